--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -56,13 +56,13 @@
 	return c
 }
 
-func newModule(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) steps.Module {
+func newModule(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
 	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
 }
 
-func oldModule(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) steps.Module {
+func oldModule(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
 	return reference.New(seed, place, kinds, profiles, tenants, allowed, guards)
 }
 
--- a/cmd/mintkeel-lab/ways.go
+++ b/cmd/mintkeel-lab/ways.go
@@ -62,22 +62,22 @@
 
 // taking is the time of each part in which a module hands out what it has learned, in order.
 func taking(engines, tables, profiles int) (parts []time.Duration) {
-	m := router.New(1, router.Place{}, make([]router.Kind, 2), make([]router.Profile, profiles), nil, router.Allowed{},
-		router.Guards{})
-	listed := router.Listed{Whole: true}
-	var l router.Learned
+	m := router.New(1, router.Identity{}, make([]router.MachineKind, 2), make([]router.QueryClass, profiles), nil, router.Capabilities{},
+		router.SafetyLimits{})
+	listed := router.EndpointsUpdated{Complete: true}
+	var l router.Statistics
 	for i := range engines {
 		id := router.EngineID(fmt.Sprintf("e%08d", i))
-		listed.Entries = append(listed.Entries, router.Entry{Engine: id, Kind: -1})
-		l.Engines = append(l.Engines, router.LearnedEngine{Engine: id, Width: 2, Outcomes: 0xff, Lead: id})
+		listed.Endpoints = append(listed.Endpoints, router.Endpoint{Engine: id, Kind: -1})
+		l.Engines = append(l.Engines, router.EngineStatistics{Engine: id, ThreadsPerCore: 2, Outcomes: 0xff, PoolLeader: id})
 	}
 	for i := range tables {
-		l.Tables = append(l.Tables, router.LearnedTables{Tables: router.TableGroup(i), Demand: 1})
+		l.Tables = append(l.Tables, router.TableStatistics{Tables: router.TableGroup(i), Demand: 1})
 	}
-	m.Step(1, []router.Event{listed, router.Recalled{Learned: l}})
+	m.Step(1, []router.Event{listed, router.StatisticsRestored{Statistics: l}})
 	for from, more := (router.Cursor{}), true; more; {
 		began := time.Now()
-		_, from, more = m.Learned(from, 256)
+		_, from, more = m.Statistics(from, 256)
 		parts = append(parts, time.Since(began))
 	}
 	slices.Sort(parts)
--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -99,17 +99,17 @@
 func write(w *simwire.Writer, number int, actions []router.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case router.Send:
-			w.Line("submit_to", number, uint32(a.ID), string(a.Engine), int64(math.Floor(a.Until*1e6)))
-		case router.Cancel:
-			w.Line("recall", number, uint32(a.ID), int(a.Send))
-		case router.Shed:
-			w.Line("deny", number, uint32(a.ID), int64(a.After*1e6))
+		case router.StartAttempt:
+			w.Line("submit_to", number, uint32(a.ID), string(a.Engine), int64(math.Floor(a.Deadline*1e6)))
+		case router.CancelAttempt:
+			w.Line("recall", number, uint32(a.ID), int(a.Attempt))
+		case router.Reject:
+			w.Line("deny", number, uint32(a.ID), int64(a.RetryAfter*1e6))
 		case router.Fail:
 			w.Line("finish_error", number, uint32(a.ID))
-		case router.Wake:
+		case router.SetTimer:
 			w.Line("set_timer", number, int64(math.Ceil(a.After*1e6)), 0)
-		case router.Probe:
+		case router.CheckHealth:
 			w.Line("touch", number, string(a.Engine))
 		case router.Subscribe:
 			w.Line("follow", number, 1)
--- a/cmd/mintkeel-sim/main_test.go
+++ b/cmd/mintkeel-sim/main_test.go
@@ -68,8 +68,8 @@
 func TestActRounds(t *testing.T) {
 	var out strings.Builder
 	w := simwire.NewWriter(&out)
-	write(w, 3, []router.Action{router.Wake{After: 0.0000011},
-		router.Send{ID: 1, Engine: "a", Until: 1.9999999}})
+	write(w, 3, []router.Action{router.SetTimer{After: 0.0000011},
+		router.StartAttempt{ID: 1, Engine: "a", Deadline: 1.9999999}})
 	act(w, 4, &instance{}, 0)
 	w.End("1")
 	want := "set_timer\t3\t2\t0\nsubmit_to\t3\t1\ta\t1999999\nbug\t4\t"
--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -14,11 +14,11 @@
 type names settings.Names
 
 var (
-	states = map[int64]router.State{2: router.Ready, 0: router.Draining, 3: router.Gone}
-	notes  = map[int64]router.NoteKind{1: router.NoteProgress, 2: router.NoteSpills, 3: router.NoteWaitsMemory}
+	states = map[int64]router.EngineState{2: router.Ready, 0: router.Draining, 3: router.Gone}
+	notes  = map[int64]router.ProgressKind{1: router.ProgressDone, 2: router.ProgressSpilling, 3: router.ProgressWaitsForMemory}
 
-	outcomes = map[string]router.Outcome{"done": router.Answered, "err": router.Errored, "busy": router.Full,
-		"etimedout": router.TimedOut, "econnrefused": router.Refused, "econnreset": router.Reset,
+	outcomes = map[string]router.Outcome{"done": router.Succeeded, "err": router.Errored, "busy": router.EngineFull,
+		"etimedout": router.TimedOut, "econnrefused": router.ConnectFailed, "econnreset": router.ConnectionReset,
 		"ecanceled": router.Cancelled, "skipped": router.NotSent}
 )
 
@@ -62,16 +62,16 @@
 	}
 	switch b := m.Body.(type) {
 	case simwire.View:
-		listed := router.Listed{Whole: b.Scope == 1 || b.Scope == 2, Cached: b.Scope == 2, Failed: b.Scope == 3}
+		listed := router.EndpointsUpdated{Complete: b.Scope == 1 || b.Scope == 2, Cached: b.Scope == 2, Failed: b.Scope == 3}
 		for _, item := range b.Items {
 			state, known := states[item.State]
 			if !known {
 				return nil, unknown("state", strconv.FormatInt(item.State, 10))
 			}
 			kind := (*settings.Names)(n).Kind(item.Shape)
-			listed.Entries = append(listed.Entries, router.Entry{Engine: router.EngineID(item.Executor), State: state,
+			listed.Endpoints = append(listed.Endpoints, router.Endpoint{Engine: router.EngineID(item.Executor), State: state,
 				Zone: router.Zone(item.Zone), Kind: kind, Cell: router.CellID(item.Cluster),
-				Since: float64(item.Since) / 1e6})
+				StartedAt: float64(item.Since) / 1e6})
 		}
 		return listed, nil
 	case simwire.Incoming:
@@ -87,46 +87,46 @@
 		if b.Flags&1 == 0 {
 			estimate = 0
 		}
-		return router.Arrived{ID: router.CommandID(b.ID), Tenant: tenant, Profile: profile,
-			Tables: router.TableGroup(b.TableGroup), Key: router.OrderKey(b.Relation), Left: float64(b.Left) / 1e6,
-			Estimate: float64(estimate) / 1e6, NeedMB: max(0, b.MemoryMB)}, nil
+		return router.QueryArrived{ID: router.QueryID(b.ID), Tenant: tenant, Class: profile,
+			Tables: router.TableGroup(b.TableGroup), Key: router.OrderingKey(b.Relation), TimeLeft: float64(b.Left) / 1e6,
+			EstimatedWork: float64(estimate) / 1e6, EstimatedMemoryMB: max(0, b.MemoryMB)}, nil
 	case simwire.Opened:
-		return router.Began{ID: router.CommandID(b.ID), Send: router.SendID(b.Go)}, nil
+		return router.ResponseStarted{ID: router.QueryID(b.ID), Attempt: router.AttemptID(b.Go)}, nil
 	case simwire.Signal:
 		kind, known := notes[b.What]
 		if !known {
-			kind = router.NoteOther
+			kind = router.ProgressOther
 		}
 		if b.What == 3 && b.Level == 2 {
-			kind = router.NoteWaitsTables
+			kind = router.ProgressWaitsForTables
 		}
-		return router.Noted{ID: router.CommandID(b.ID), Send: router.SendID(b.Go), What: kind, Level: b.Level}, nil
+		return router.AttemptProgress{ID: router.QueryID(b.ID), Attempt: router.AttemptID(b.Go), Kind: kind, Value: b.Level}, nil
 	case simwire.AttemptEnd:
 		outcome, known := outcomes[b.Reason]
 		if !known {
 			return nil, unknown("reason", b.Reason)
 		}
-		ended := router.Ended{ID: router.CommandID(b.ID), Send: router.SendID(b.Go), Outcome: outcome, Over: b.Over,
-			Took: float64(b.Took) / 1e6, Load: n.load(b.Feedback)}
-		if n.Bills && outcome == router.Answered && b.TrueCost > 0 {
-			ended.Work, ended.NeedMB = float64(b.TrueCost/4096), float64(b.TrueCost%4096)*4
+		ended := router.AttemptEnded{ID: router.QueryID(b.ID), Attempt: router.AttemptID(b.Go), Outcome: outcome, QueryDone: b.Over,
+			Elapsed: float64(b.Took) / 1e6, Load: n.load(b.Feedback)}
+		if n.Bills && outcome == router.Succeeded && b.TrueCost > 0 {
+			ended.Work, ended.MemoryMB = float64(b.TrueCost/4096), float64(b.TrueCost%4096)*4
 		}
 		return ended, nil
 	case simwire.Vanished:
-		return router.Left{ID: router.CommandID(b.ID)}, nil
+		return router.ClientDisconnected{ID: router.QueryID(b.ID)}, nil
 	case simwire.Bell:
-		return router.Woke{}, nil
+		return router.TimerFired{}, nil
 	case simwire.Probed:
 		outcome, known := outcomes[b.Reason]
 		if !known {
 			return nil, unknown("reason", b.Reason)
 		}
-		return router.Probed{Engine: router.EngineID(b.Executor), Outcome: outcome, Load: n.load(b.Feedback)}, nil
+		return router.HealthCheckEnded{Engine: router.EngineID(b.Executor), Outcome: outcome, Load: n.load(b.Feedback)}, nil
 	}
 	return nil, nil
 }
 
-func (n *names) load(row []float64) *router.Load {
+func (n *names) load(row []float64) *router.LoadReport {
 	if row == nil {
 		return nil
 	}
--- a/cmd/mintkeel/jobs.go
+++ b/cmd/mintkeel/jobs.go
@@ -36,18 +36,18 @@
 func (d *daemon) learner() fleet.Learner {
 	l := fleet.Learner{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
 	if !d.remembers {
-		l.Remember = func(learned router.Learned) { go d.restoreDigest(learned) } // it may wait
+		l.Remember = func(learned router.Statistics) { go d.restoreDigest(learned) } // it may wait
 	}
 	return l
 }
 
 // restoreDigest takes over what the fleet knows. Where the fleet's configuration says whether this controller remembers for
 // itself, that is waited for.
-func (d *daemon) restoreDigest(learned router.Learned) {
+func (d *daemon) restoreDigest(learned router.Statistics) {
 	if d.agreed != nil && !d.agreed.wantsDigest() {
 		return
 	}
-	d.loop.Post(controller.Remembered{Believe: func(list []router.Entry) router.Learned {
+	d.loop.Post(controller.Remembered{Believe: func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
 		m := restore.Snapshot{Of: d.identity(), Learned: learned}
 		believed, account := restore.Select(&m, d.identity(), list, now, restore.DefaultHalfLives())
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -45,7 +45,7 @@
 			}
 			longest := 0.0
 			for _, p := range s.facts.Profiles {
-				longest = max(longest, p.Timeout)
+				longest = max(longest, p.ClientTimeout)
 			}
 			l := limits.For(s.Grants.Descriptors, s.Grants.MemoryMB, s.facts.Links.ConnectTimeout, s.facts.Links.Idle,
 				time.Duration(longest*float64(time.Millisecond)))
@@ -88,7 +88,7 @@
 	defer cancel()
 	d.log = d.lines.Logger()
 	guards := d.start.facts.Guards
-	d.loop = controller.New(d.start.facts.Router(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderRest+guards.Round)
+	d.loop = controller.New(d.start.facts.Router(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
 	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.Post, d.log)
 	d.loop.SetEngines(d.pool)
 	defer d.leaveFleet()
@@ -137,7 +137,7 @@
 	}
 	facts := d.start.facts
 	d.server = clients.New(d.limits, &facts.Names, facts.Profiles, d.loop.Offer, func() time.Duration {
-		return time.Duration(facts.Allowed.ComeBack(rand.Float64()) * float64(time.Millisecond))
+		return time.Duration(facts.Allowed.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
 	}, d.loop.Post, d.log)
 	go d.loop.Run(ctx)
 	d.loop.SetRules(d.file.Rules)
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -34,7 +34,7 @@
 type Server struct {
 	limits   *limits.Limits
 	names    *settings.Names
-	profiles []router.Profile
+	profiles []router.QueryClass
 	post     func(event any)
 	offer    func(Taken) bool
 	away     func() time.Duration // how long who is refused should stay away
@@ -83,7 +83,7 @@
 
 // New makes a server that offers commands, and sheds one that is not taken with the time for which away says to stay
 // away. It tells post of clients that leave; post may block its caller.
-func New(l *limits.Limits, names *settings.Names, profiles []router.Profile, offer func(Taken) bool,
+func New(l *limits.Limits, names *settings.Names, profiles []router.QueryClass, offer func(Taken) bool,
 	away func() time.Duration, post func(event any), log *slog.Logger) *Server {
 	return &Server{limits: l, names: names, profiles: profiles, offer: offer, away: away, post: post, log: log,
 		sessions: map[uint32]*session{}, empty: make(chan struct{}), heard: time.Now()}
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -53,7 +53,7 @@
 	if change != nil {
 		change(l)
 	}
-	names := &settings.Names{Profiles: map[string]router.ProfileID{"report": 0, "load": 1},
+	names := &settings.Names{Profiles: map[string]router.ClassID{"report": 0, "load": 1},
 		Tenants: map[string]router.TenantID{"acme": 0}}
 	f := &front{t: t, events: make(chan any, 100), full: make(chan bool, 1)}
 	offer := func(ev Taken) bool {
@@ -65,7 +65,7 @@
 			return true
 		}
 	}
-	f.server = New(l, names, []router.Profile{{}, {Effect: router.Uniqued}}, offer,
+	f.server = New(l, names, []router.QueryClass{{}, {Effect: router.Deduplicated}}, offer,
 		func() time.Duration { return 250 * time.Millisecond }, func(ev any) { f.events <- ev }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -474,8 +474,8 @@
 func FuzzSession(f *testing.F) {
 	f.Add(append(bytes.Clone(hello), ask(query)...))
 	f.Add([]byte(fmt.Sprint(head)))
-	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ProfileID{"report": 0}},
-		[]router.Profile{{}}, func(t Taken) bool {
+	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ClassID{"report": 0}},
+		[]router.QueryClass{{}}, func(t Taken) bool {
 			t.Query.Finish(request.Answer{Verdict: request.Succeeded})
 			return true
 		}, nil, func(any) {}, slog.Default())
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -236,7 +236,7 @@
 		}
 	}
 	p := ses.server.profiles[profile]
-	if p.Effect == router.Uniqued && f.Unique == "" {
+	if p.Effect == router.Deduplicated && f.Unique == "" {
 		return no(pgwire.CodeMissing, "field unique: is missing")
 	}
 	table, found := pgwire.TableOf(f.Statement)
@@ -244,9 +244,9 @@
 		return no(pgwire.CodeField, "the statement names no group of tables")
 	}
 	cmd := &request.Query{ID: f.ID, Profile: profile, Verb: f.Verb, Tenant: tenant, Unique: f.Unique,
-		Key: router.OrderKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB, Tables: router.TableGroup(table.Group),
+		Key: router.OrderingKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB, Tables: router.TableGroup(table.Group),
 		First: !ses.used, Read: now, Left: ses.within(f.LimitMS),
-		Patience: time.Duration(p.Timeout * float64(time.Millisecond))}
+		Patience: time.Duration(p.ClientTimeout * float64(time.Millisecond))}
 	if ses.server.describe {
 		c := described(f, profile, table, ses.name, ses.conn.LocalAddr().String())
 		if cmd.Described = &c; ses.server.rules.Load() != nil {
@@ -260,9 +260,9 @@
 }
 
 // described is a command as rules see it.
-func described(f pgwire.Fields, profile router.ProfileID, table pgwire.Table, application, listener string) rules.Command {
+func described(f pgwire.Fields, profile router.ClassID, table pgwire.Table, application, listener string) rules.Command {
 	c := rules.Command{Profile: profile, Tenant: f.Team, Schema: table.Schema, Table: table.Name,
-		Tables: router.TableGroup(table.Group), Key: router.OrderKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB,
+		Tables: router.TableGroup(table.Group), Key: router.OrderingKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB,
 		Left: f.LimitMS, Front: "postgres", Application: application, Listener: listener}
 	for _, l := range f.Labels {
 		c.Labels = append(c.Labels, match.Label{Name: l.Name, Text: l.Text})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -35,8 +35,8 @@
 type Engines interface {
 	List(addresses []engines.Address, whole bool)
 	Expire(expired bool)
-	Send(cmd *request.Query, number router.SendID, to router.EngineID, within, begin time.Duration)
-	Cancel(cmd *request.Query, number router.SendID, to router.EngineID)
+	Send(cmd *request.Query, number router.AttemptID, to router.EngineID, within, begin time.Duration)
+	Cancel(cmd *request.Query, number router.AttemptID, to router.EngineID)
 	Probe(id router.EngineID)
 	Close()
 }
@@ -63,16 +63,16 @@
 
 	counts   Counts
 	events   []router.Event
-	commands map[router.CommandID]*command
-	ids      map[string]router.CommandID // of commands that the module holds, by the clients' ids
-	serial   router.CommandID
+	commands map[router.QueryID]*command
+	ids      map[string]router.QueryID // of commands that the module holds, by the clients' ids
+	serial   router.QueryID
 	epochs   rules.Epochs // by which keys are given
 	trains   spacing.Trains
 	wake     *time.Timer
-	restore  func(list []router.Entry) router.Learned // nil: nothing is remembered, or it was put in
-	listed   map[router.EngineID]router.Entry         // nil: nobody may remember something later, or hold engines
-	dials    map[router.EngineID]string               // where they are
-	held     map[router.EngineID]bool                 // taken for draining, whatever the list says
+	restore  func(list []router.Endpoint) router.Statistics // nil: nothing is remembered, or it was put in
+	listed   map[router.EngineID]router.Endpoint            // nil: nobody may remember something later, or hold engines
+	dials    map[router.EngineID]string                     // where they are
+	held     map[router.EngineID]bool                       // taken for draining, whatever the list says
 }
 
 // Counts are what the loop has seen and done.
@@ -105,7 +105,7 @@
 	wake := time.NewTimer(time.Hour)
 	return &Loop{module: module, clock: clock, inbox: make(chan any, inbox), queue: make(chan clients.Taken, inbox), wake: wake,
 		epochs:   rules.Epochs{Rest: rest},
-		commands: map[router.CommandID]*command{}, ids: map[string]router.CommandID{}}
+		commands: map[router.QueryID]*command{}, ids: map[string]router.QueryID{}}
 }
 
 // SetEngines hands over what carries out actions, before Run.
@@ -128,7 +128,9 @@
 
 // SetRestore hands over, before Run and before any news, who tells what is still believed of an earlier run, once the
 // first engines of a list are there to be known by it.
-func (l *Loop) SetRestore(restore func(list []router.Entry) router.Learned) { l.restore = restore }
+func (l *Loop) SetRestore(restore func(list []router.Endpoint) router.Statistics) {
+	l.restore = restore
+}
 
 // newRules is posted by SetRules.
 type newRules struct {
@@ -153,7 +155,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.commands)) { // in one order, for the same events
 		if c := l.commands[id]; c.Described != nil {
 			if key := l.epochs.Key(c.Described); key != "" {
-				l.events = append(l.events, router.Keyed{ID: id, Key: key})
+				l.events = append(l.events, router.OrderingKeyAdded{ID: id, Key: key})
 			}
 		}
 	}
@@ -187,12 +189,12 @@
 // Remembered is what came to be known of an earlier time, or from others, while this controller runs: Believe tells what of
 // it holds with the engines that there are.
 type Remembered struct {
-	Believe func(list []router.Entry) router.Learned
+	Believe func(list []router.Endpoint) router.Statistics
 }
 
 // KeepList has the loop keep the list, for a Remembered that may come. It is called before Run and before any news.
 func (l *Loop) KeepList() {
-	l.listed, l.dials = map[router.EngineID]router.Entry{}, map[router.EngineID]string{}
+	l.listed, l.dials = map[router.EngineID]router.Endpoint{}, map[router.EngineID]string{}
 }
 
 // Hold has these engines, and no others, taken for draining whatever the list says of them: they are to be taken out, or are.
@@ -201,7 +203,7 @@
 
 // hold brings what is held to that.
 func (l *Loop) hold(wanted []router.EngineID) {
-	var entries []router.Entry
+	var entries []router.Endpoint
 	var addresses []engines.Address
 	held := map[router.EngineID]bool{}
 	for _, id := range wanted {
@@ -218,16 +220,16 @@
 	}
 	if l.held = held; len(entries) > 0 {
 		l.engines.List(addresses, false)
-		l.events = append(l.events, router.Listed{Entries: entries})
+		l.events = append(l.events, router.EndpointsUpdated{Endpoints: entries})
 	}
 }
 
 // now is posted by EnginesNow.
-type now struct{ reply chan []router.EngineNow }
+type now struct{ reply chan []router.EngineStatus }
 
 // EnginesNow is what the module knows of the engines; its error is that of ctx.
-func (l *Loop) EnginesNow(ctx context.Context) ([]router.EngineNow, error) {
-	reply := make(chan []router.EngineNow, 1)
+func (l *Loop) EnginesNow(ctx context.Context) ([]router.EngineStatus, error) {
+	reply := make(chan []router.EngineStatus, 1)
 	select {
 	case l.inbox <- now{reply}:
 	case <-ctx.Done():
@@ -274,7 +276,7 @@
 func (l *Loop) Run(ctx context.Context) {
 	for more := l.step(); ; more = l.step() { // the first actions need no event
 		if more {
-			l.events = append(l.events, router.Woke{})
+			l.events = append(l.events, router.TimerFired{})
 			drain(l, l.inbox, cap(l.inbox))
 			if ctx.Err() != nil {
 				return
@@ -289,7 +291,7 @@
 		case taken := <-l.queue:
 			l.take(taken)
 		case <-l.wake.C:
-			l.events = append(l.events, router.Woke{})
+			l.events = append(l.events, router.TimerFired{})
 		}
 		drain(l, l.inbox, cap(l.inbox)) // what else is there belongs to the same step,
 		drain(l, l.queue, stepMost)     // but not all that waits to be decided: answers and timeouts must not wait for it
@@ -317,22 +319,22 @@
 		if c := l.commands[ev.Query.Number]; c != nil && c.Query == ev.Query {
 			l.counts.Left++
 			c.over = true
-			l.events = append(l.events, router.Left{ID: c.Number})
+			l.events = append(l.events, router.ClientDisconnected{ID: c.Number})
 			l.forget(c)
 		}
 	case engines.Ended:
 		l.ended(ev)
 	case engines.Noted:
 		if l.commands[ev.Query.Number] != nil {
-			l.events = append(l.events, router.Noted{ID: ev.Query.Number, Send: ev.Send, What: ev.What,
-				Level: ev.Level})
+			l.events = append(l.events, router.AttemptProgress{ID: ev.Query.Number, Attempt: ev.Send, Kind: ev.What,
+				Value: ev.Level})
 		}
 	case engines.Probed:
-		l.events = append(l.events, router.Probed{Engine: ev.Engine, Outcome: ev.Outcome, Load: ev.Load})
+		l.events = append(l.events, router.HealthCheckEnded{Engine: ev.Engine, Outcome: ev.Outcome, Load: ev.Load})
 	case discovery.Update:
 		l.News(ev, false)
 	case Stop:
-		l.events = append(l.events, router.Stopping{Within: float64(ev.Within) / 1e6})
+		l.events = append(l.events, router.ShutdownStarted{Within: float64(ev.Within) / 1e6})
 	case closing:
 		l.engines.Close()
 		close(ev.done)
@@ -340,22 +342,22 @@
 		ev.reply <- l.rekey(ev.set)
 	case learned:
 		var part memory.Part
-		part.Learned, part.Next, part.More = l.module.Learned(ev.from, ev.most)
+		part.Learned, part.Next, part.More = l.module.Statistics(ev.from, ev.most)
 		ev.reply <- part
 	case Hold:
 		l.hold(ev.Engines)
 	case now:
-		list := l.module.EnginesNow()
+		list := l.module.EngineStatuses()
 		for i := range list {
 			if told, ok := l.listed[list[i].Engine]; ok {
-				list[i].Listed = told.State
+				list[i].ListedState = told.State
 			}
 		}
 		ev.reply <- list
 	case Remembered:
 		list := slices.Collect(maps.Values(l.listed))
-		slices.SortFunc(list, func(a, b router.Entry) int { return cmp.Compare(a.Engine, b.Engine) })
-		l.events = append(l.events, router.Recalled{Learned: ev.Believe(list)})
+		slices.SortFunc(list, func(a, b router.Endpoint) int { return cmp.Compare(a.Engine, b.Engine) })
+		l.events = append(l.events, router.StatisticsRestored{Statistics: ev.Believe(list)})
 	case ask:
 		counts := l.counts
 		counts.Refused = l.refused.Load()
@@ -383,7 +385,7 @@
 	}
 	cmd.Number = l.serial
 	c := &command{Query: cmd}
-	key, also := cmd.Key, []router.OrderKey(nil)
+	key, also := cmd.Key, []router.OrderingKey(nil)
 	if cmd.Described != nil {
 		c.epoch, key, also = l.epochs.Take(l.clock(), cmd.Described)
 	}
@@ -394,9 +396,9 @@
 	if cmd.Key != "" {
 		lined = l.trains.Came(cmd.Key, cmd.Read, cmd.First, cmd.Patience)
 	}
-	l.events = append(l.events, router.Arrived{ID: cmd.Number, Tenant: cmd.Tenant, Profile: cmd.Profile,
-		Tables: cmd.Tables, Key: key, Also: also, Left: float64(cmd.Left-waited) / 1e6, Waited: float64(waited) / 1e6, Lined: float64(lined) / 1e6,
-		Estimate: cmd.Estimate, NeedMB: cmd.NeedMB, Kinds: cmd.Kinds, Zones: cmd.Zones, Hot: cmd.Hot, Most: cmd.Most})
+	l.events = append(l.events, router.QueryArrived{ID: cmd.Number, Tenant: cmd.Tenant, Class: cmd.Profile,
+		Tables: cmd.Tables, Key: key, MoreKeys: also, TimeLeft: float64(cmd.Left-waited) / 1e6, InboxWait: float64(waited) / 1e6, ClientQueueTime: float64(lined) / 1e6,
+		EstimatedWork: cmd.Estimate, EstimatedMemoryMB: cmd.NeedMB, Kinds: cmd.Kinds, Zones: cmd.Zones, Hot: cmd.Hot, EstimateCap: cmd.Most})
 }
 
 func (l *Loop) ended(ev engines.Ended) {
@@ -406,11 +408,11 @@
 	}
 	c.open--
 	l.counts.Ends[ev.Outcome]++
-	if ev.Outcome == router.Answered && !c.over {
+	if ev.Outcome == router.Succeeded && !c.over {
 		l.finish(c, request.Answer{Verdict: request.Succeeded, Pages: ev.Pages})
 	}
-	l.events = append(l.events, router.Ended{ID: c.Number, Send: ev.Send, Outcome: ev.Outcome, Over: c.over,
-		Took: float64(ev.Took) / 1e6, Load: ev.Load})
+	l.events = append(l.events, router.AttemptEnded{ID: c.Number, Attempt: ev.Send, Outcome: ev.Outcome, QueryDone: c.over,
+		Elapsed: float64(ev.Took) / 1e6, Load: ev.Load})
 	l.freed = l.freed || c.over && c.open == 0 && c.keyed
 	l.forget(c)
 }
@@ -445,14 +447,14 @@
 // cached tells that it was known at start.
 func (l *Loop) News(news discovery.Update, cached bool) {
 	l.counts.News++
-	listed := router.Listed{Whole: news.Whole, Cached: cached, Expired: float64(news.Expired) / 1e6}
+	listed := router.EndpointsUpdated{Complete: news.Whole, Cached: cached, ExpiredFor: float64(news.Expired) / 1e6}
 	var addresses []engines.Address
-	told := make([]router.Entry, 0, len(news.Entries))
+	told := make([]router.Endpoint, 0, len(news.Entries))
 	for _, e := range news.Entries {
-		if told = append(told, e.Entry); l.held[e.Engine] && e.State == router.Ready {
+		if told = append(told, e.Endpoint); l.held[e.Engine] && e.State == router.Ready {
 			e.State = router.Draining
 		}
-		listed.Entries = append(listed.Entries, e.Entry)
+		listed.Endpoints = append(listed.Endpoints, e.Endpoint)
 		addresses = append(addresses, engines.Address{Engine: e.Engine, Dial: e.Dial, State: e.State})
 	}
 	l.engines.List(addresses, news.Whole)
@@ -471,8 +473,8 @@
 			}
 		}
 	}
-	if l.restore != nil && len(listed.Entries) > 0 {
-		l.events = append(l.events, router.Recalled{Learned: l.restore(listed.Entries)})
+	if l.restore != nil && len(listed.Endpoints) > 0 {
+		l.events = append(l.events, router.StatisticsRestored{Statistics: l.restore(listed.Endpoints)})
 		l.restore = nil
 	}
 }
@@ -488,29 +490,29 @@
 	l.events = l.events[:0]
 	for _, action := range actions {
 		switch a := action.(type) {
-		case router.Send:
+		case router.StartAttempt:
 			c := l.commands[a.ID] // the module sends only what it was given and has not ended
 			c.sends, c.open = append(c.sends, a.Engine), c.open+1
 			l.counts.Sends++
 			sends++
 			begin := time.Duration(0)
-			if a.Begin > 0 { // by now at the latest, if not by a time to come
-				begin = max(1, duration(a.Begin-now))
+			if a.StartBy > 0 { // by now at the latest, if not by a time to come
+				begin = max(1, duration(a.StartBy-now))
 			}
-			l.engines.Send(c.Query, router.SendID(len(c.sends)-1), a.Engine, duration(a.Until-now), begin)
-		case router.Cancel:
-			if c := l.commands[a.ID]; c != nil && int(a.Send) < len(c.sends) {
+			l.engines.Send(c.Query, router.AttemptID(len(c.sends)-1), a.Engine, duration(a.Deadline-now), begin)
+		case router.CancelAttempt:
+			if c := l.commands[a.ID]; c != nil && int(a.Attempt) < len(c.sends) {
 				l.counts.Cancels++
-				l.engines.Cancel(c.Query, a.Send, c.sends[a.Send])
+				l.engines.Cancel(c.Query, a.Attempt, c.sends[a.Attempt])
 			}
-		case router.Shed:
-			l.end(a.ID, request.Answer{Verdict: request.Rejected, After: duration(a.After)})
+		case router.Reject:
+			l.end(a.ID, request.Answer{Verdict: request.Rejected, After: duration(a.RetryAfter)})
 		case router.Fail:
 			l.end(a.ID, request.Answer{Verdict: request.Failed})
-		case router.Probe:
+		case router.CheckHealth:
 			l.counts.Probes++
 			l.engines.Probe(a.Engine)
-		case router.Wake:
+		case router.SetTimer:
 			l.wake.Reset(max(0, duration(a.After)))
 		case router.Subscribe: // the feed is followed at all times
 		}
@@ -520,7 +522,7 @@
 
 // end gives a command the module's final answer. The command is kept until its sends have their outcomes, and
 // actions that follow in the same step may still name it.
-func (l *Loop) end(id router.CommandID, a request.Answer) {
+func (l *Loop) end(id router.QueryID, a request.Answer) {
 	if c := l.commands[id]; c != nil && !c.over {
 		l.finish(c, a)
 		l.forget(c)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,19 +21,19 @@
 // hands are engines that note what they are told.
 type hands struct {
 	sent      chan *request.Query
-	cancelled chan router.SendID
+	cancelled chan router.AttemptID
 	begins    chan time.Duration // nil: not noted
 }
 
 func (h *hands) List([]engines.Address, bool) {}
 func (h *hands) Expire(bool)                  {}
-func (h *hands) Send(cmd *request.Query, _ router.SendID, _ router.EngineID, _, begin time.Duration) {
+func (h *hands) Send(cmd *request.Query, _ router.AttemptID, _ router.EngineID, _, begin time.Duration) {
 	if h.begins != nil {
 		h.begins <- begin
 	}
 	h.sent <- cmd
 }
-func (h *hands) Cancel(_ *request.Query, number router.SendID, _ router.EngineID) {
+func (h *hands) Cancel(_ *request.Query, number router.AttemptID, _ router.EngineID) {
 	h.cancelled <- number
 }
 func (h *hands) Probe(router.EngineID) {}
@@ -51,7 +51,7 @@
 // The end of the connections to engines meets news of the list: both are the loop's, one after the other. The race detector
 // tells if they are not.
 func TestCloseMeetsNews(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, nil, nil, nil, router.Allowed{}, router.Guards{})
+	module := router.New(1, router.Identity{Controllers: 1}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{})
 	l := New(module, SystemClock(), 10, 0)
 	o := &owned{hands: &hands{}}
 	l.SetEngines(o)
@@ -72,13 +72,13 @@
 }
 
 func newLoop(t *testing.T) (*Loop, *hands) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 1000, Timeout: 5000, Threads: 1}}, nil, router.Allowed{Cancel: true, MaxSends: 3},
-		router.Guards{Round: 5, ColdShare: 0.3, ColdTime: 1000, ColdMultiple: 4, ColdWindow: 1000})
-	h := &hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.SendID, 10)}
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1}}, nil, router.Capabilities{Cancel: true, MaxAttempts: 3},
+		router.SafetyLimits{EventInterval: 5, SlowStartCapacity: 0.3, SlowStartTime: 1000, SlowStartOverload: 4, SlowStartWindow: 1000})
+	h := &hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.AttemptID, 10)}
 	l := New(module, SystemClock(), 10, 0)
 	l.SetEngines(h)
-	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e"}}}}, true)
+	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e"}}}}, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go l.Run(ctx)
@@ -92,12 +92,12 @@
 // However many commands wait, what engines tell is not behind them, one too many is refused at once, and none that was
 // taken goes without its answer.
 func TestQueue(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 1000, Timeout: 5000, Threads: 1}}, nil, router.Allowed{MaxSends: 3}, router.Guards{Round: 5})
-	h := &hands{sent: make(chan *request.Query, 10000), cancelled: make(chan router.SendID, 10)}
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1}}, nil, router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{EventInterval: 5})
+	h := &hands{sent: make(chan *request.Query, 10000), cancelled: make(chan router.AttemptID, 10)}
 	l := New(module, SystemClock(), 1000, 0)
 	l.SetEngines(h)
-	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e"}}}}, true)
+	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e"}}}}, true)
 	answers := make(chan request.Verdict, 2000)
 	offered := 0
 	for i := range 1200 {
@@ -130,13 +130,13 @@
 // By when a send must have gone out is handed on: the first at any time, a repeat of what may have run while engines know
 // it as one.
 func TestBegin(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 60000, Timeout: 60000, Threads: 1, Effect: router.Uniqued, RepeatWindow: 3600e3}}, nil,
-		router.Allowed{MaxSends: 3}, router.Guards{})
-	h := &hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.SendID, 10), begins: make(chan time.Duration, 10)}
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, Effect: router.Deduplicated, DeduplicationWindow: 3600e3}}, nil,
+		router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{})
+	h := &hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.AttemptID, 10), begins: make(chan time.Duration, 10)}
 	l := New(module, SystemClock(), 10, 0)
 	l.SetEngines(h)
-	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e"}}, {Entry: router.Entry{Engine: "f"}}}}, true)
+	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e"}}, {Endpoint: router.Endpoint{Engine: "f"}}}}, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.Run(ctx)
@@ -147,7 +147,7 @@
 		t.Errorf("the first within %v", begin)
 	}
 	<-h.sent
-	l.Post(engines.Ended{Query: cmd, Outcome: router.Reset})
+	l.Post(engines.Ended{Query: cmd, Outcome: router.ConnectionReset})
 	if begin := <-h.begins; begin <= 50*time.Minute || begin >= time.Hour {
 		t.Errorf("the repeat within %v", begin)
 	}
@@ -156,13 +156,13 @@
 // The next command of a key goes as soon as the one before is over, not when the module next looks round: 200 of one key,
 // each answered at once, would take ten seconds.
 func TestKeyComesFree(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 60000, Timeout: 60000, Threads: 1, InOrder: true, LateShare: 1}}, nil, router.Allowed{MaxSends: 3},
-		router.Guards{})
-	h := &hands{sent: make(chan *request.Query, 1000), cancelled: make(chan router.SendID, 10)}
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, Ordered: true, LateBenefit: 1}}, nil, router.Capabilities{MaxAttempts: 3},
+		router.SafetyLimits{})
+	h := &hands{sent: make(chan *request.Query, 1000), cancelled: make(chan router.AttemptID, 10)}
 	l := New(module, SystemClock(), 1000, 0)
 	l.SetEngines(h)
-	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e"}}}}, true)
+	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e"}}}}, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.Run(ctx)
@@ -188,16 +188,16 @@
 // Commands of a key that come as close as clients write them may have waited for one another there: the last of them must
 // have its answer as long ahead of the time that it names as the first came ahead of it, though all name the same.
 func TestLineAtTheClient(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 1000, Timeout: 5000, LateShare: 1, Threads: 1, InOrder: true}}, nil, router.Allowed{Cancel: true, MaxSends: 3},
-		router.Guards{Round: 5})
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 1000, ClientTimeout: 5000, LateBenefit: 1, Threads: 1, Ordered: true}}, nil, router.Capabilities{Cancel: true, MaxAttempts: 3},
+		router.SafetyLimits{EventInterval: 5})
 	const left, apart = 2000 * time.Millisecond, 50 * time.Millisecond
 	now := time.Now()
 	since := func() float64 { return float64(time.Since(now)) / 1e6 }
-	h := &hands{sent: make(chan *request.Query, 100), cancelled: make(chan router.SendID, 100)}
+	h := &hands{sent: make(chan *request.Query, 100), cancelled: make(chan router.AttemptID, 100)}
 	l := New(module, since, 100, 0)
 	l.SetEngines(h)
-	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e"}}}}, true)
+	l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e"}}}}, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	answered := make(chan time.Duration, 1)
@@ -227,13 +227,13 @@
 			l.Post(engines.Ended{Query: cmd, Pages: rows})
 		}, request.Succeeded, Counts{Taken: 1, Answered: 1, Sends: 1}},
 		{"resent, then answered", func(l *Loop, h *hands, cmd *request.Query) {
-			l.Post(engines.Ended{Query: cmd, Outcome: router.Reset})
+			l.Post(engines.Ended{Query: cmd, Outcome: router.ConnectionReset})
 			<-h.sent
 			l.Post(engines.Ended{Query: cmd, Send: 1, Pages: rows})
 		}, request.Succeeded, Counts{Taken: 1, Answered: 1, Sends: 2}},
 		{"all its sends spent", func(l *Loop, h *hands, cmd *request.Query) {
 			for i := range 3 {
-				if l.Post(engines.Ended{Query: cmd, Send: router.SendID(i), Outcome: router.Reset}); i < 2 {
+				if l.Post(engines.Ended{Query: cmd, Send: router.AttemptID(i), Outcome: router.ConnectionReset}); i < 2 {
 					<-h.sent
 				}
 			}
@@ -253,7 +253,7 @@
 		{"the controller ends", func(l *Loop, h *hands, cmd *request.Query) {
 			l.Post(Stop{Within: 30 * time.Millisecond})
 			<-h.cancelled
-			l.Post(engines.Ended{Query: cmd, Outcome: router.Answered, Pages: rows}) // too late
+			l.Post(engines.Ended{Query: cmd, Outcome: router.Succeeded, Pages: rows}) // too late
 		}, request.Rejected, Counts{Taken: 1, Shed: 1, Sends: 1, Cancels: 1}},
 	} {
 		l, h := newLoop(t)
@@ -315,19 +315,19 @@
 	if _, err := ended.Learned(soon, router.Cursor{}, 1); err == nil {
 		t.Error("a loop that does not run has told something")
 	}
-	fresh := New(router.New(1, router.Place{}, nil, nil, nil, router.Allowed{}, router.Guards{}), SystemClock(), 1, 0)
+	fresh := New(router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{}), SystemClock(), 1, 0)
 	fresh.SetEngines(&hands{})
 	asked := 0
-	fresh.SetRestore(func(list []router.Entry) router.Learned {
+	fresh.SetRestore(func(list []router.Endpoint) router.Statistics {
 		if asked++; len(list) != 1 {
 			t.Errorf("asked with %d engines", len(list))
 		}
-		return router.Learned{}
+		return router.Statistics{}
 	})
-	for _, entries := range [][]discovery.Entry{nil, {{Entry: router.Entry{Engine: "e"}}}, {{}}} {
+	for _, entries := range [][]discovery.Entry{nil, {{Endpoint: router.Endpoint{Engine: "e"}}}, {{}}} {
 		fresh.News(discovery.Update{Entries: entries}, true)
 	}
-	if _, recalled := fresh.events[2].(router.Recalled); asked != 1 || len(fresh.events) != 4 || !recalled {
+	if _, recalled := fresh.events[2].(router.StatisticsRestored); asked != 1 || len(fresh.events) != 4 || !recalled {
 		t.Errorf("asked %d times: %v", asked, fresh.events)
 	}
 }
@@ -335,25 +335,25 @@
 // While rules change, no command is sent that shares a key, under any set that has commands open, with one that came
 // before it or is out; and all are sent in the end. Random sets, reloads, commands and outcomes.
 func TestRekey(t *testing.T) {
-	facts := rules.Facts{Names: []string{"load"}, Profiles: []router.Profile{{InOrder: true}}}
+	facts := rules.Facts{Names: []string{"load"}, Profiles: []router.QueryClass{{Ordered: true}}}
 	sources := []string{"", `"s/" + label("store")`, `"b/" + label("brand")`, `"one" + profile`, `"x/" + part(label("store"), "-", 0)`}
 	sends, shared, refused := 0, 0, 0
 	for seed := range int64(24) {
 		rng := rand.New(rand.NewSource(seed))
-		h := &hands{sent: make(chan *request.Query, 1000), cancelled: make(chan router.SendID, 1000)}
+		h := &hands{sent: make(chan *request.Query, 1000), cancelled: make(chan router.AttemptID, 1000)}
 		now := 1e6
-		module := router.New(seed, router.Place{Controllers: 1}, nil, []router.Profile{{InOrder: true, Target: 1e6, Timeout: 1e7,
-			Threads: 1, LateShare: 1}}, nil, router.Allowed{MaxSends: 1}, router.Guards{OrderRest: 20})
+		module := router.New(seed, router.Identity{Controllers: 1}, nil, []router.QueryClass{{Ordered: true, LatencyObjective: 1e6, ClientTimeout: 1e7,
+			Threads: 1, LateBenefit: 1}}, nil, router.Capabilities{MaxAttempts: 1}, router.SafetyLimits{OrderingCooldown: 20})
 		l := New(module, func() float64 { return now }, 0, 20)
 		l.SetEngines(h)
-		l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Entry: router.Entry{Engine: "e", Kind: -1}}}}, true)
+		l.News(discovery.Update{Whole: true, Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: "e", Kind: -1}}}}, true)
 		var active []*rules.Set // that were in force since the oldest command that is open came
 		var open, out []*request.Query
 		var resting []*request.Query // they are over, and a send of theirs may still run
 		rests := map[*request.Query]float64{}
 		since := map[*request.Query]int{} // place in active
 		var scratch rules.Scratch
-		key := func(s *rules.Set, c *request.Query) router.OrderKey { return s.Key(c.Described, &scratch) }
+		key := func(s *rules.Set, c *request.Query) router.OrderingKey { return s.Key(c.Described, &scratch) }
 		active = append(active, nil)
 		check := func(c *request.Query) {
 			sends++
@@ -404,9 +404,9 @@
 		end := func(at int) {
 			c := out[at]
 			out = slices.Delete(out, at, at+1)
-			outcome := []router.Outcome{router.Answered, router.Answered, router.Reset, router.Full}[rng.Intn(4)]
+			outcome := []router.Outcome{router.Succeeded, router.Succeeded, router.ConnectionReset, router.EngineFull}[rng.Intn(4)]
 			l.take(engines.Ended{Query: c, Outcome: outcome, Pages: [][]byte{nil}})
-			if outcome == router.Reset {
+			if outcome == router.ConnectionReset {
 				resting, rests[c] = append(resting, c), now+20
 			}
 			open = slices.DeleteFunc(open, func(o *request.Query) bool { return o == c })
@@ -420,7 +420,7 @@
 				store, brand := fmt.Sprintf("%d-%d", rng.Intn(2), rng.Intn(3)), fmt.Sprint(rng.Intn(3))
 				cmd := &request.Query{ID: fmt.Sprint("c", i), Tenant: -1, Read: time.Now(), Left: time.Hour,
 					Described: &rules.Command{Labels: []match.Label{{Name: "store", Text: store}, {Name: "brand", Text: brand}},
-						Key: router.OrderKey([]string{"", "k", "s/0-0"}[rng.Intn(3)])}}
+						Key: router.OrderingKey([]string{"", "k", "s/0-0"}[rng.Intn(3)])}}
 				cmd.Key = cmd.Described.Key
 				open, since[cmd] = append(open, cmd), len(active)-1
 				l.take(clients.Taken{Query: cmd})
@@ -473,18 +473,18 @@
 // An engine that is held gets nothing, whatever the list says meanwhile; when it is let go, it is as the list has it by then,
 // for the module and for the connections.
 func TestHold(t *testing.T) {
-	module := router.New(1, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 1000}},
-		[]router.Profile{{Target: 1000, Timeout: 5000, Threads: 1}}, nil, router.Allowed{MaxSends: 3}, router.Guards{})
-	h := &listing{hands: hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.SendID, 10)}, states: map[router.EngineID]engines.Address{}}
+	module := router.New(1, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}},
+		[]router.QueryClass{{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1}}, nil, router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{})
+	h := &listing{hands: hands{sent: make(chan *request.Query, 10), cancelled: make(chan router.AttemptID, 10)}, states: map[router.EngineID]engines.Address{}}
 	l := New(module, SystemClock(), 10, 0)
 	l.SetEngines(h)
 	l.KeepList()
-	entry := func(id router.EngineID, s router.State, since float64, dial string) discovery.Update {
-		return discovery.Update{Entries: []discovery.Entry{{Entry: router.Entry{Engine: id, State: s, Since: since}, Dial: dial}}}
+	entry := func(id router.EngineID, s router.EngineState, since float64, dial string) discovery.Update {
+		return discovery.Update{Entries: []discovery.Entry{{Endpoint: router.Endpoint{Engine: id, State: s, StartedAt: since}, Dial: dial}}}
 	}
-	state := func(id router.EngineID) (now router.EngineNow) {
+	state := func(id router.EngineID) (now router.EngineStatus) {
 		l.step()
-		for _, e := range module.EnginesNow() {
+		for _, e := range module.EngineStatuses() {
 			if e.Engine == id {
 				now = e
 			}
@@ -504,7 +504,7 @@
 	}
 	l.take(Hold{[]router.EngineID{"a", "b"}})
 	l.take(Hold{[]router.EngineID{"b"}})
-	if e := state("a"); e.State != router.Ready || e.Since != 77 || h.states["a"] != (engines.Address{Engine: "a", Dial: "a new place", State: router.Ready}) {
+	if e := state("a"); e.State != router.Ready || e.StartedAt != 77 || h.states["a"] != (engines.Address{Engine: "a", Dial: "a new place", State: router.Ready}) {
 		t.Errorf("let go: %+v, %+v", e, h.states["a"])
 	}
 	l.News(entry("b", router.Gone, 0, "elsewhere"), false)
--- a/internal/core/fleet/digest/digest.go
+++ b/internal/core/fleet/digest/digest.go
@@ -18,7 +18,7 @@
 type Source struct {
 	From    members.ID
 	At      float64 // when it told it
-	Learned router.Learned
+	Learned router.Statistics
 }
 
 // Bounds on what is kept, whatever is told.
@@ -80,12 +80,12 @@
 // Merge is what the sources know together: each figure by weight and age, health by who saw an engine last. Which engines
 // belong together is one controller's word, or leads of one would name engines of another: that of whom most is asked,
 // as its moves rest on most.
-func (g *Gathered) Merge(now float64, lives restore.HalfLives) (l router.Learned) {
+func (g *Gathered) Merge(now float64, lives restore.HalfLives) (l router.Statistics) {
 	sources := g.fresh(now)
 	lead := leading(sources)
 	l.Engines = mergeEngines(sources, lead, now, lives)
 	l.Tables = mergeTables(sources, lead, now, lives)
-	l.Profiles = mergeProfiles(sources, now, lives)
+	l.Classes = mergeProfiles(sources, now, lives)
 	return l
 }
 
@@ -111,16 +111,16 @@
 	since float64
 }
 
-func mergeEngines(sources []Source, lead int, now float64, lives restore.HalfLives) (out []router.LearnedEngine) {
+func mergeEngines(sources []Source, lead int, now float64, lives restore.HalfLives) (out []router.EngineStatistics) {
 	type sum struct {
 		pace, width mean
-		latest      router.LearnedEngine
+		latest      router.EngineStatistics
 		lead        router.EngineID
 	}
 	sums := map[process]*sum{}
 	for i, s := range sources {
 		for _, e := range s.Learned.Engines {
-			p := process{e.Engine, e.Since}
+			p := process{e.Engine, e.StartedAt}
 			x := sums[p]
 			if x == nil {
 				if len(sums) >= MostEngines {
@@ -130,13 +130,13 @@
 				sums[p] = x
 			}
 			age := now - e.At
-			x.pace.add(e.Pace.Mean, e.Pace.Weight*restore.Factor(age, lives.Pace))
-			x.width.add(e.Width, restore.Factor(age, lives.Width))
+			x.pace.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.Factor(age, lives.Pace))
+			x.width.add(e.ThreadsPerCore, restore.Factor(age, lives.Width))
 			if e.At > x.latest.At {
 				x.latest = e
 			}
 			if i == lead {
-				x.lead = e.Lead
+				x.lead = e.PoolLeader
 			}
 		}
 	}
@@ -145,17 +145,17 @@
 	}) {
 		x := sums[p]
 		e := x.latest
-		e.Pace = router.Weighed{Mean: x.pace.of(1), Weight: x.pace.weight}
-		e.Width, e.Lead = x.width.of(e.Width), x.lead
+		e.Slowdown = router.WeightedMean{Mean: x.pace.of(1), Weight: x.pace.weight}
+		e.ThreadsPerCore, e.PoolLeader = x.width.of(e.ThreadsPerCore), x.lead
 		out = append(out, e)
 	}
 	return out
 }
 
-func mergeTables(sources []Source, lead int, now float64, lives restore.HalfLives) (out []router.LearnedTables) {
+func mergeTables(sources []Source, lead int, now float64, lives restore.HalfLives) (out []router.TableStatistics) {
 	type sum struct {
 		demand, held float64
-		latest       router.LearnedTables
+		latest       router.TableStatistics
 		homes        []router.EngineID
 	}
 	sums, weights := map[router.TableGroup]*sum{}, 0.0
@@ -163,7 +163,7 @@
 		f := restore.Factor(now-s.At, lives.Tables)
 		weights += f
 		for _, t := range s.Learned.Tables {
-			if !(t.Demand >= 0) || !(t.Held >= 0) || math.IsInf(t.Demand+t.Held, 0) {
+			if !(t.Demand >= 0) || !(t.MemoryTime >= 0) || math.IsInf(t.Demand+t.MemoryTime, 0) {
 				continue
 			}
 			x := sums[t.Tables]
@@ -171,75 +171,75 @@
 				x = &sum{latest: t}
 				sums[t.Tables] = x
 			}
-			x.demand, x.held = x.demand+t.Demand*f, x.held+t.Held*f
+			x.demand, x.held = x.demand+t.Demand*f, x.held+t.MemoryTime*f
 			if t.At > x.latest.At {
 				x.latest = t
 			}
 			if i == lead {
-				x.homes = t.Homes
+				x.homes = t.PoolLeaders
 			}
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(sums)) {
 		x := sums[id]
 		t := x.latest
-		t.Homes = x.homes
+		t.PoolLeaders = x.homes
 		if weights > 0 { // what one controller is asked for, on the mean of all: also of those that are not asked for it
-			t.Demand, t.Held = x.demand/weights, x.held/weights
+			t.Demand, t.MemoryTime = x.demand/weights, x.held/weights
 		}
 		out = append(out, t)
 	}
 	if len(out) > MostTables {
-		slices.SortStableFunc(out, func(a, b router.LearnedTables) int { return cmp.Compare(b.Demand, a.Demand) })
+		slices.SortStableFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
 		out = out[:MostTables]
-		slices.SortFunc(out, func(a, b router.LearnedTables) int { return cmp.Compare(a.Tables, b.Tables) })
+		slices.SortFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(a.Tables, b.Tables) })
 	}
 	return out
 }
 
-func mergeProfiles(sources []Source, now float64, lives restore.HalfLives) (out []router.LearnedProfile) {
+func mergeProfiles(sources []Source, now float64, lives restore.HalfLives) (out []router.ClassStatistics) {
 	type sum struct {
 		best, work, need mean
 		left             float64
 		at               float64
 	}
-	sums := map[router.ProfileID]*sum{}
+	sums := map[router.ClassID]*sum{}
 	for _, s := range sources {
-		for _, p := range s.Learned.Profiles {
-			x := sums[p.Profile]
+		for _, p := range s.Learned.Classes {
+			x := sums[p.Class]
 			if x == nil {
 				x = &sum{}
-				sums[p.Profile] = x
+				sums[p.Class] = x
 			}
 			f := restore.Factor(now-p.At, lives.Profile)
-			if p.Best > 0 {
-				x.best.add(p.Best, f)
+			if p.UnloadedTime > 0 {
+				x.best.add(p.UnloadedTime, f)
 			}
 			x.work.add(p.WorkScale.Mean, p.WorkScale.Weight*f)
-			x.need.add(p.NeedScale.Mean, p.NeedScale.Weight*f)
-			x.left, x.at = max(x.left, p.FullLeft), max(x.at, p.At)
+			x.need.add(p.MemoryScale.Mean, p.MemoryScale.Weight*f)
+			x.left, x.at = max(x.left, p.FirstTryTimeout), max(x.at, p.At)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(sums)) {
 		x := sums[id]
-		out = append(out, router.LearnedProfile{At: x.at, Profile: id, FullLeft: x.left, Best: x.best.of(0),
-			WorkScale: router.Weighed{Mean: x.work.of(1), Weight: x.work.weight},
-			NeedScale: router.Weighed{Mean: x.need.of(1), Weight: x.need.weight}})
+		out = append(out, router.ClassStatistics{At: x.at, Class: id, FirstTryTimeout: x.left, UnloadedTime: x.best.of(0),
+			WorkScale:   router.WeightedMean{Mean: x.work.of(1), Weight: x.work.weight},
+			MemoryScale: router.WeightedMean{Mean: x.need.of(1), Weight: x.need.weight}})
 	}
 	return out
 }
 
 // Shift brings the times of records from the clock of who told them to this one's: only how old they are counts, so clocks
 // that are set differently, or jump, make nothing older or younger than it is.
-func Shift(l *router.Learned, by float64) {
+func Shift(l *router.Statistics, by float64) {
 	for i := range l.Engines {
 		l.Engines[i].At += by
 	}
 	for i := range l.Tables {
 		l.Tables[i].At += by
 	}
-	for i := range l.Profiles {
-		l.Profiles[i].At += by
+	for i := range l.Classes {
+		l.Classes[i].At += by
 	}
 	for i := range l.Traffic {
 		l.Traffic[i].At += by
--- a/internal/core/fleet/digest/digest_test.go
+++ b/internal/core/fleet/digest/digest_test.go
@@ -10,8 +10,8 @@
 	"mintkeel/router"
 )
 
-func engine(id router.EngineID, at, pace, weight float64, lead router.EngineID) router.LearnedEngine {
-	return router.LearnedEngine{At: at, Engine: id, Pace: router.Weighed{Mean: pace, Weight: weight}, Width: 2, Outcomes: 0xff, Lead: lead}
+func engine(id router.EngineID, at, pace, weight float64, lead router.EngineID) router.EngineStatistics {
+	return router.EngineStatistics{At: at, Engine: id, Slowdown: router.WeightedMean{Mean: pace, Weight: weight}, ThreadsPerCore: 2, Outcomes: 0xff, PoolLeader: lead}
 }
 
 func TestMerge(t *testing.T) {
@@ -19,30 +19,30 @@
 	var g Gathered
 	bad := engine("s1", now-1, 4, 3, "s1")
 	bad.Outcomes = 0x0f
-	g.Put(Source{From: "a", At: now, Learned: router.Learned{
-		Engines:  []router.LearnedEngine{engine("s1", now-30000, 2, 3, "s2"), engine("s2", now, 1, 1, "s2")},
-		Tables:   []router.LearnedTables{{At: now, Tables: 1, Demand: 10, Held: 4, Homes: []router.EngineID{"s2"}}},
-		Profiles: []router.LearnedProfile{{At: now, Best: 2, FullLeft: 900, WorkScale: router.Weighed{Mean: 1, Weight: 1}}}}})
-	g.Put(Source{From: "b", At: now, Learned: router.Learned{
-		Engines: []router.LearnedEngine{bad},
-		Tables: []router.LearnedTables{{At: now, Tables: 1, Demand: 2, Homes: []router.EngineID{"s1"}},
+	g.Put(Source{From: "a", At: now, Learned: router.Statistics{
+		Engines: []router.EngineStatistics{engine("s1", now-30000, 2, 3, "s2"), engine("s2", now, 1, 1, "s2")},
+		Tables:  []router.TableStatistics{{At: now, Tables: 1, Demand: 10, MemoryTime: 4, PoolLeaders: []router.EngineID{"s2"}}},
+		Classes: []router.ClassStatistics{{At: now, UnloadedTime: 2, FirstTryTimeout: 900, WorkScale: router.WeightedMean{Mean: 1, Weight: 1}}}}})
+	g.Put(Source{From: "b", At: now, Learned: router.Statistics{
+		Engines: []router.EngineStatistics{bad},
+		Tables: []router.TableStatistics{{At: now, Tables: 1, Demand: 2, PoolLeaders: []router.EngineID{"s1"}},
 			{At: now, Tables: 2, Demand: 4}, {At: now, Tables: 3, Demand: math.Inf(1)}},
-		Profiles: []router.LearnedProfile{{At: now, Best: 4, FullLeft: 1000, WorkScale: router.Weighed{Mean: 3, Weight: 3}}}}})
+		Classes: []router.ClassStatistics{{At: now, UnloadedTime: 4, FirstTryTimeout: 1000, WorkScale: router.WeightedMean{Mean: 3, Weight: 3}}}}})
 	l := g.Merge(now, restore.DefaultHalfLives())
-	if len(l.Engines) != 2 || len(l.Tables) != 2 || len(l.Profiles) != 1 {
+	if len(l.Engines) != 2 || len(l.Tables) != 2 || len(l.Classes) != 1 {
 		t.Fatalf("%+v", l)
 	}
 	s1 := l.Engines[0]
-	if want := (2*1.5 + 4*3) / 4.5; math.Abs(s1.Pace.Mean-want) > 0.01 { // the first is a half life old
-		t.Errorf("pace %g, want %g", s1.Pace.Mean, want)
+	if want := (2*1.5 + 4*3) / 4.5; math.Abs(s1.Slowdown.Mean-want) > 0.01 { // the first is a half life old
+		t.Errorf("pace %g, want %g", s1.Slowdown.Mean, want)
 	}
-	if s1.Outcomes != 0x0f || s1.Lead != "s2" {
+	if s1.Outcomes != 0x0f || s1.PoolLeader != "s2" {
 		t.Errorf("health by who saw it last, leads by of whom most is asked: %+v", s1)
 	}
-	if d := l.Tables[0].Demand; d != 6 || l.Tables[0].Homes[0] != "s2" || l.Tables[1].Demand != 2 {
+	if d := l.Tables[0].Demand; d != 6 || l.Tables[0].PoolLeaders[0] != "s2" || l.Tables[1].Demand != 2 {
 		t.Errorf("tables %+v", l.Tables)
 	}
-	if p := l.Profiles[0]; p.FullLeft != 1000 || p.Best != 3 || p.WorkScale.Mean != 2.5 {
+	if p := l.Classes[0]; p.FirstTryTimeout != 1000 || p.UnloadedTime != 3 || p.WorkScale.Mean != 2.5 {
 		t.Errorf("profile %+v", p)
 	}
 	if l := g.Merge(now+mostAge+1, restore.DefaultHalfLives()); l.Len() != 0 {
@@ -55,8 +55,8 @@
 	var g, h Gathered
 	sources := []Source{}
 	for i := range 10 {
-		sources = append(sources, Source{From: members.ID(fmt.Sprint(i)), At: float64(i), Learned: router.Learned{
-			Engines: []router.LearnedEngine{engine("s", float64(i), float64(i), 1, "s")}}})
+		sources = append(sources, Source{From: members.ID(fmt.Sprint(i)), At: float64(i), Learned: router.Statistics{
+			Engines: []router.EngineStatistics{engine("s", float64(i), float64(i), 1, "s")}}})
 	}
 	for i := range sources {
 		g.Put(sources[i])
@@ -73,7 +73,7 @@
 	for i := range 3 * mostSources {
 		s := Source{From: members.ID(fmt.Sprint(i)), At: float64(i)}
 		for j := range 200 {
-			s.Learned.Tables = append(s.Learned.Tables, router.LearnedTables{Tables: router.TableGroup(i*200 + j), Demand: float64(j)})
+			s.Learned.Tables = append(s.Learned.Tables, router.TableStatistics{Tables: router.TableGroup(i*200 + j), Demand: float64(j)})
 			s.Learned.Engines = append(s.Learned.Engines, engine(router.EngineID(fmt.Sprint(i, j)), 0, 1, 1, ""))
 		}
 		g.Put(s)
--- a/internal/core/restore/restore.go
+++ b/internal/core/restore/restore.go
@@ -21,7 +21,7 @@
 // Snapshot is what was stored, as it was read.
 type Snapshot struct {
 	Of      Identity
-	Learned router.Learned
+	Learned router.Statistics
 }
 
 // HalfLives are the times in ms after which a record of each kind weighs half. Zero: it does not count at all; infinite:
@@ -109,13 +109,13 @@
 
 // Select returns what of a snapshot still counts for this controller, with this list of engines, at a time in the
 // module's ms. The records come out ordered by id, each with the weight that is left.
-func Select(m *Snapshot, of Identity, list []router.Entry, now float64, lives HalfLives) (router.Learned, Account) {
+func Select(m *Snapshot, of Identity, list []router.Endpoint, now float64, lives HalfLives) (router.Statistics, Account) {
 	s := &selector{now: now, lives: lives}
 	if m.Of != of {
 		s.account.Foreign = m.Learned.Len()
-		return router.Learned{}, s.account
+		return router.Statistics{}, s.account
 	}
-	l := router.Learned{Engines: s.engines(m.Learned.Engines, list), Profiles: s.profiles(m.Learned.Profiles),
+	l := router.Statistics{Engines: s.engines(m.Learned.Engines, list), Classes: s.profiles(m.Learned.Classes),
 		Traffic: s.traffic(m.Learned.Traffic)}
 	l.Tables = s.tables(m.Learned.Tables, len(list))
 	s.account.Believed = l.Len()
@@ -135,20 +135,20 @@
 	return sorted
 }
 
-func (s *selector) engines(records []router.LearnedEngine, list []router.Entry) (out []router.LearnedEngine) {
+func (s *selector) engines(records []router.EngineStatistics, list []router.Endpoint) (out []router.EngineStatistics) {
 	since := make(map[router.EngineID]float64, len(list))
 	for _, e := range list {
 		if e.State == router.Ready {
-			since[e.Engine] = e.Since
+			since[e.Engine] = e.StartedAt
 		}
 	}
-	for _, e := range once(s, records, func(e *router.LearnedEngine) router.EngineID { return e.Engine }, mostEngines) {
+	for _, e := range once(s, records, func(e *router.EngineStatistics) router.EngineID { return e.Engine }, mostEngines) {
 		started, listed := since[e.Engine]
 		switch {
-		case !finite(e.At, e.Since, e.Pace.Mean, e.Pace.Weight, e.Width):
+		case !finite(e.At, e.StartedAt, e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore):
 			s.account.Wrong++
 			continue
-		case !listed || started != e.Since:
+		case !listed || started != e.StartedAt:
 			s.account.Unknown++
 			continue
 		}
@@ -156,11 +156,11 @@
 		if s.factor(e.At, max(s.lives.Pace, s.lives.Health, s.lives.Width, s.lives.Homes)) == 0 {
 			continue
 		}
-		e.Pace.Weight = min(mostPaceN, e.Pace.Weight) * Factor(age, s.lives.Pace)
-		e.Width = usualWidth + (e.Width-usualWidth)*Factor(age, s.lives.Width)
+		e.Slowdown.Weight = min(mostPaceN, e.Slowdown.Weight) * Factor(age, s.lives.Pace)
+		e.ThreadsPerCore = usualWidth + (e.ThreadsPerCore-usualWidth)*Factor(age, s.lives.Width)
 		e.Outcomes = fadeOutcomes(e.Outcomes, Factor(age, s.lives.Health))
 		if Factor(age, s.lives.Homes) < leastBelief {
-			e.Lead = ""
+			e.PoolLeader = ""
 		}
 		out = append(out, e)
 	}
@@ -173,10 +173,10 @@
 	return outcomes | uint8(0xff<<kept)
 }
 
-func (s *selector) profiles(records []router.LearnedProfile) (out []router.LearnedProfile) {
-	for _, p := range once(s, records, func(p *router.LearnedProfile) router.ProfileID { return p.Profile }, mostTables) {
-		if p.Profile < 0 || !finite(p.At, p.FullLeft, p.Best, p.WorkScale.Mean, p.WorkScale.Weight, p.NeedScale.Mean,
-			p.NeedScale.Weight) {
+func (s *selector) profiles(records []router.ClassStatistics) (out []router.ClassStatistics) {
+	for _, p := range once(s, records, func(p *router.ClassStatistics) router.ClassID { return p.Class }, mostTables) {
+		if p.Class < 0 || !finite(p.At, p.FirstTryTimeout, p.UnloadedTime, p.WorkScale.Mean, p.WorkScale.Weight, p.MemoryScale.Mean,
+			p.MemoryScale.Weight) {
 			s.account.Wrong++
 			continue
 		}
@@ -185,20 +185,20 @@
 			continue
 		}
 		p.WorkScale.Weight = min(mostScaleN, p.WorkScale.Weight) * f
-		p.NeedScale.Weight = min(mostScaleN, p.NeedScale.Weight) * f
+		p.MemoryScale.Weight = min(mostScaleN, p.MemoryScale.Weight) * f
 		out = append(out, p)
 	}
 	return out
 }
 
-func (s *selector) traffic(records []router.LearnedTraffic) (out []router.LearnedTraffic) {
+func (s *selector) traffic(records []router.TrafficStatistics) (out []router.TrafficStatistics) {
 	for _, t := range records {
-		if len(out) > 0 || !finite(t.At, t.Part.Mean, t.Part.Weight) || t.Part.Mean > 1 {
+		if len(out) > 0 || !finite(t.At, t.Share.Mean, t.Share.Weight) || t.Share.Mean > 1 {
 			s.account.Wrong++
 			continue
 		}
 		if f := s.factor(t.At, s.lives.Traffic); f > 0 {
-			t.Part.Weight = min(mostTraffic, t.Part.Weight) * f
+			t.Share.Weight = min(mostTraffic, t.Share.Weight) * f
 			out = append(out, t)
 		}
 	}
@@ -206,9 +206,9 @@
 }
 
 // tables passes those that are asked for most, as many as can be put in at once with so many engines.
-func (s *selector) tables(records []router.LearnedTables, engines int) (out []router.LearnedTables) {
-	for _, t := range once(s, records, func(t *router.LearnedTables) router.TableGroup { return t.Tables }, len(records)) {
-		if !finite(t.At, t.Demand, t.Held) || t.Demand > mostRate {
+func (s *selector) tables(records []router.TableStatistics, engines int) (out []router.TableStatistics) {
+	for _, t := range once(s, records, func(t *router.TableStatistics) router.TableGroup { return t.Tables }, len(records)) {
+		if !finite(t.At, t.Demand, t.MemoryTime) || t.Demand > mostRate {
 			s.account.Wrong++
 			continue
 		}
@@ -216,17 +216,17 @@
 		if f == 0 {
 			continue
 		}
-		t.Demand, t.Held = t.Demand*f, t.Held*f
+		t.Demand, t.MemoryTime = t.Demand*f, t.MemoryTime*f
 		if Factor(s.now-t.At, s.lives.Homes) < leastBelief {
-			t.Homes = nil
+			t.PoolLeaders = nil
 		}
 		out = append(out, t)
 	}
 	if most := min(mostTables, mostFits/max(1, engines)); len(out) > most {
-		slices.SortStableFunc(out, func(a, b router.LearnedTables) int { return cmp.Compare(b.Demand, a.Demand) })
+		slices.SortStableFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
 		s.account.Wrong += len(out) - most
 		out = out[:most]
-		slices.SortFunc(out, func(a, b router.LearnedTables) int { return cmp.Compare(a.Tables, b.Tables) })
+		slices.SortFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(a.Tables, b.Tables) })
 	}
 	return out
 }
--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -30,18 +30,18 @@
 
 var (
 	me   = Identity{Name: "n3", Settings: 77}
-	list = []router.Entry{{Engine: "a"}, {Engine: "b", Since: now - 1e6}, {Engine: "d", State: router.Draining}}
+	list = []router.Endpoint{{Engine: "a"}, {Engine: "b", StartedAt: now - 1e6}, {Engine: "d", State: router.Draining}}
 )
 
 // memory is one of each record, taken out so many ms ago.
 func memory(age float64) *Snapshot {
 	at := now - age
-	return &Snapshot{Of: me, Learned: router.Learned{
-		Engines: []router.LearnedEngine{{At: at, Engine: "a", Pace: router.Weighed{Mean: 5, Weight: 3}, Width: 1.6,
-			Outcomes: 0b11110000, Lead: "a"}},
-		Tables:   []router.LearnedTables{{At: at, Tables: 7, Demand: 2, Held: 40, Homes: []router.EngineID{"a"}}},
-		Profiles: []router.LearnedProfile{{At: at, FullLeft: 900, Best: 20, WorkScale: router.Weighed{Mean: 2, Weight: 5}}},
-		Traffic:  []router.LearnedTraffic{{At: at, Part: router.Weighed{Mean: 0.4, Weight: 300}}},
+	return &Snapshot{Of: me, Learned: router.Statistics{
+		Engines: []router.EngineStatistics{{At: at, Engine: "a", Slowdown: router.WeightedMean{Mean: 5, Weight: 3}, ThreadsPerCore: 1.6,
+			Outcomes: 0b11110000, PoolLeader: "a"}},
+		Tables:  []router.TableStatistics{{At: at, Tables: 7, Demand: 2, MemoryTime: 40, PoolLeaders: []router.EngineID{"a"}}},
+		Classes: []router.ClassStatistics{{At: at, FirstTryTimeout: 900, UnloadedTime: 20, WorkScale: router.WeightedMean{Mean: 2, Weight: 5}}},
+		Traffic: []router.TrafficStatistics{{At: at, Share: router.WeightedMean{Mean: 0.4, Weight: 300}}},
 	}}
 }
 
@@ -67,7 +67,7 @@
 		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Account{Aged: 4}},
 	} {
 		l, account := Select(memory(c.age), me, list, now, c.lives)
-		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Profiles) != c.profiles ||
+		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
 			len(l.Traffic) != c.traffc || account != c.account {
 			t.Errorf("%s: %+v, %+v", c.name, l, account)
 		}
@@ -77,14 +77,14 @@
 // Each figure fades towards what holds of an engine that is not known, by its own life.
 func TestFading(t *testing.T) {
 	u := DefaultHalfLives()
-	at := func(age float64) router.Learned { l, _ := Select(memory(age), me, list, now, u); return l }
-	if e := at(0).Engines[0]; e.Pace.Weight != 3 || e.Width != 1.6 || e.Outcomes != 0b11110000 || e.Lead != "a" {
+	at := func(age float64) router.Statistics { l, _ := Select(memory(age), me, list, now, u); return l }
+	if e := at(0).Engines[0]; e.Slowdown.Weight != 3 || e.ThreadsPerCore != 1.6 || e.Outcomes != 0b11110000 || e.PoolLeader != "a" {
 		t.Errorf("fresh: %+v", e)
 	}
-	if e := at(u.Pace).Engines[0]; e.Pace.Weight != 1.5 || e.Pace.Mean != 5 {
+	if e := at(u.Pace).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
 		t.Errorf("after the life of a pace: %+v", e)
 	}
-	if e := at(u.Width).Engines[0]; math.Abs(e.Width-1.8) > 1e-9 {
+	if e := at(u.Width).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
 		t.Errorf("after the life of a width: %+v", e)
 	}
 	if e := at(u.Health).Engines[0]; e.Outcomes != 0b11110000 {
@@ -96,10 +96,10 @@
 	if e := at(5 * u.Health).Engines[0]; e.Outcomes != 0xff {
 		t.Errorf("after five times the life of outcomes: %08b", e.Outcomes)
 	}
-	if g := at(u.Tables).Tables[0]; math.Abs(g.Demand-1) > 1e-9 || math.Abs(g.Held-20) > 1e-9 {
+	if g := at(u.Tables).Tables[0]; math.Abs(g.Demand-1) > 1e-9 || math.Abs(g.MemoryTime-20) > 1e-9 {
 		t.Errorf("after the life of table groups: %+v", g)
 	}
-	if g := at(4.5 * u.Homes).Tables[0]; g.Homes != nil || g.Demand < 1.9 {
+	if g := at(4.5 * u.Homes).Tables[0]; g.PoolLeaders != nil || g.Demand < 1.9 {
 		t.Errorf("after the life of homes: %+v", g)
 	}
 }
@@ -117,13 +117,13 @@
 		{"other settings", func(m *Snapshot) { m.Of.Settings++ }, 0, Account{Foreign: 4}},
 		{"an engine not listed", func(m *Snapshot) { m.Learned.Engines[0].Engine = "c" }, 3, Account{Believed: 3, Unknown: 1}},
 		{"an engine that drains", func(m *Snapshot) { m.Learned.Engines[0].Engine = "d" }, 3, Account{Believed: 3, Unknown: 1}},
-		{"another process", func(m *Snapshot) { m.Learned.Engines[0].Since = 5 }, 3, Account{Believed: 3, Unknown: 1}},
-		{"a pace that is no number", func(m *Snapshot) { m.Learned.Engines[0].Pace.Mean = nan }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a width without end", func(m *Snapshot) { m.Learned.Engines[0].Width = inf }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a weight below zero", func(m *Snapshot) { m.Learned.Engines[0].Pace.Weight = -1 }, 3, Account{Believed: 3, Wrong: 1}},
+		{"another process", func(m *Snapshot) { m.Learned.Engines[0].StartedAt = 5 }, 3, Account{Believed: 3, Unknown: 1}},
+		{"a pace that is no number", func(m *Snapshot) { m.Learned.Engines[0].Slowdown.Mean = nan }, 3, Account{Believed: 3, Wrong: 1}},
+		{"a width without end", func(m *Snapshot) { m.Learned.Engines[0].ThreadsPerCore = inf }, 3, Account{Believed: 3, Wrong: 1}},
+		{"a weight below zero", func(m *Snapshot) { m.Learned.Engines[0].Slowdown.Weight = -1 }, 3, Account{Believed: 3, Wrong: 1}},
 		{"a demand that can't be", func(m *Snapshot) { m.Learned.Tables[0].Demand = 1e9 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"no profile", func(m *Snapshot) { m.Learned.Profiles[0].Profile = -1 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"more than all traffic", func(m *Snapshot) { m.Learned.Traffic[0].Part.Mean = 1.1 }, 3, Account{Believed: 3, Wrong: 1}},
+		{"no profile", func(m *Snapshot) { m.Learned.Classes[0].Class = -1 }, 3, Account{Believed: 3, Wrong: 1}},
+		{"more than all traffic", func(m *Snapshot) { m.Learned.Traffic[0].Share.Mean = 1.1 }, 3, Account{Believed: 3, Wrong: 1}},
 		{"a time that is no number", func(m *Snapshot) { m.Learned.Traffic[0].At = nan }, 3, Account{Believed: 3, Wrong: 1}},
 		{"twice the same engine", func(m *Snapshot) {
 			m.Learned.Engines = append(m.Learned.Engines, m.Learned.Engines[0])
@@ -141,12 +141,12 @@
 func TestMostTables(t *testing.T) {
 	m := &Snapshot{Of: me}
 	for i := range 1000 {
-		m.Learned.Tables = append(m.Learned.Tables, router.LearnedTables{At: now, Tables: router.TableGroup(i),
+		m.Learned.Tables = append(m.Learned.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
 			Demand: float64(i * 7919 % 1000)})
 	}
-	var many []router.Entry
+	var many []router.Endpoint
 	for range mostFits / 100 {
-		many = append(many, router.Entry{})
+		many = append(many, router.Endpoint{})
 	}
 	l, account := Select(m, me, many, now, DefaultHalfLives())
 	if len(l.Tables) != 100 || account.Wrong != 900 {
@@ -157,7 +157,7 @@
 			t.Errorf("%+v is left", g)
 		}
 	}
-	if !slices.IsSortedFunc(l.Tables, func(a, b router.LearnedTables) int { return int(a.Tables - b.Tables) }) {
+	if !slices.IsSortedFunc(l.Tables, func(a, b router.TableStatistics) int { return int(a.Tables - b.Tables) }) {
 		t.Error("not by id")
 	}
 }
@@ -169,25 +169,27 @@
 		return rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 5), rapid.SampledFrom([]float64{math.NaN(),
 			math.Inf(1), math.Inf(-1), now, now - 1e4, now + 1e9, 0})).Draw(t, name)
 	}
-	weighed := func(t *rapid.T) router.Weighed { return router.Weighed{Mean: odd(t, "mean"), Weight: odd(t, "weight")} }
+	weighed := func(t *rapid.T) router.WeightedMean {
+		return router.WeightedMean{Mean: odd(t, "mean"), Weight: odd(t, "weight")}
+	}
 	id := rapid.Map(rapid.SampledFrom([]string{"a", "b", "c", "d", ""}), func(s string) router.EngineID {
 		return router.EngineID(s)
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		m := &Snapshot{Of: me}
 		for range rapid.IntRange(0, 6).Draw(t, "engines") {
-			m.Learned.Engines = append(m.Learned.Engines, router.LearnedEngine{At: odd(t, "at"), Engine: id.Draw(t, "id"),
-				Since: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Pace: weighed(t),
-				Width: odd(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), Lead: id.Draw(t, "lead")})
+			m.Learned.Engines = append(m.Learned.Engines, router.EngineStatistics{At: odd(t, "at"), Engine: id.Draw(t, "id"),
+				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Slowdown: weighed(t),
+				ThreadsPerCore: odd(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "lead")})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "tables") {
-			m.Learned.Tables = append(m.Learned.Tables, router.LearnedTables{At: odd(t, "at"),
+			m.Learned.Tables = append(m.Learned.Tables, router.TableStatistics{At: odd(t, "at"),
 				Tables: router.TableGroup(rapid.IntRange(-2, 2).Draw(t, "group")), Demand: odd(t, "demand"),
-				Held: odd(t, "held"), Homes: []router.EngineID{id.Draw(t, "home")}})
+				MemoryTime: odd(t, "held"), PoolLeaders: []router.EngineID{id.Draw(t, "home")}})
 		}
-		m.Learned.Profiles = []router.LearnedProfile{{At: odd(t, "at"), FullLeft: odd(t, "left"), Best: odd(t, "best"),
-			WorkScale: weighed(t), NeedScale: weighed(t)}}
-		m.Learned.Traffic = []router.LearnedTraffic{{At: odd(t, "at"), Part: weighed(t)}}
+		m.Learned.Classes = []router.ClassStatistics{{At: odd(t, "at"), FirstTryTimeout: odd(t, "left"), UnloadedTime: odd(t, "best"),
+			WorkScale: weighed(t), MemoryScale: weighed(t)}}
+		m.Learned.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
 		before := clone(m)
 		sooner, _ := Select(m, me, list, now, DefaultHalfLives())
 		later, account := Select(m, me, list, now+30000, DefaultHalfLives())
@@ -199,30 +201,30 @@
 		}
 		seen := map[router.EngineID]bool{}
 		for _, e := range sooner.Engines {
-			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !finite(e.Pace.Mean, e.Pace.Weight, e.Width) ||
-				e.Pace.Weight > mostPaceN {
+			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !finite(e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore) ||
+				e.Slowdown.Weight > mostPaceN {
 				t.Fatalf("%+v", e)
 			}
 			seen[e.Engine] = true
 			for _, o := range later.Engines {
-				if o.Engine == e.Engine && o.At == e.At && (o.Pace.Weight > e.Pace.Weight ||
-					math.Abs(o.Width-usualWidth) > math.Abs(e.Width-usualWidth)+1e-9 || o.Outcomes|e.Outcomes != o.Outcomes) {
+				if o.Engine == e.Engine && o.At == e.At && (o.Slowdown.Weight > e.Slowdown.Weight ||
+					math.Abs(o.ThreadsPerCore-usualWidth) > math.Abs(e.ThreadsPerCore-usualWidth)+1e-9 || o.Outcomes|e.Outcomes != o.Outcomes) {
 					t.Fatalf("later %+v weighs more than %+v", o, e)
 				}
 			}
 		}
 		for _, g := range sooner.Tables {
-			if !finite(g.Demand, g.Held) || g.Demand > mostRate {
+			if !finite(g.Demand, g.MemoryTime) || g.Demand > mostRate {
 				t.Fatalf("%+v", g)
 			}
 		}
-		for _, p := range sooner.Profiles {
-			if !finite(p.Best, p.FullLeft, p.WorkScale.Mean, p.NeedScale.Mean) || p.WorkScale.Weight > mostScaleN {
+		for _, p := range sooner.Classes {
+			if !finite(p.UnloadedTime, p.FirstTryTimeout, p.WorkScale.Mean, p.MemoryScale.Mean) || p.WorkScale.Weight > mostScaleN {
 				t.Fatalf("%+v", p)
 			}
 		}
 		for _, p := range sooner.Traffic {
-			if !(p.Part.Mean >= 0 && p.Part.Mean <= 1) || !(p.Part.Weight <= mostTraffic) {
+			if !(p.Share.Mean >= 0 && p.Share.Mean <= 1) || !(p.Share.Weight <= mostTraffic) {
 				t.Fatalf("%+v", p)
 			}
 		}
--- a/internal/core/rules/apply.go
+++ b/internal/core/rules/apply.go
@@ -95,7 +95,7 @@
 	row := match.Row{Values: scratch.values[:], Labels: scratch.labels}
 	v.Hot = v.Hot || r.Hot
 	if r.key != nil {
-		v.Key = router.OrderKey(clean(r.key.Text(row, &scratch.match)))
+		v.Key = router.OrderingKey(clean(r.key.Text(row, &scratch.match)))
 	}
 	if r.kinds != nil {
 		v.Kinds = narrowed(v.Kinds, r.kinds)
@@ -340,7 +340,7 @@
 }
 
 // Key is the key that the rules give a command; the client's where there are none, or they give none.
-func (s *Set) Key(c *Command, scratch *Scratch) router.OrderKey {
+func (s *Set) Key(c *Command, scratch *Scratch) router.OrderingKey {
 	if !s.GivesKeys() {
 		return c.Key
 	}
--- a/internal/core/rules/epochs.go
+++ b/internal/core/rules/epochs.go
@@ -60,7 +60,7 @@
 }
 
 // Take counts a command in, and tells its keys: first that of the set in force, then those under older ones.
-func (e *Epochs) Take(now float64, c *Command) (number Epoch, key router.OrderKey, also []router.OrderKey) {
+func (e *Epochs) Take(now float64, c *Command) (number Epoch, key router.OrderingKey, also []router.OrderingKey) {
 	if len(e.sets) == 0 {
 		e.sets = append(e.sets, epoch{})
 	}
@@ -77,7 +77,7 @@
 }
 
 // Key is a command's key under the set in force.
-func (e *Epochs) Key(c *Command) router.OrderKey {
+func (e *Epochs) Key(c *Command) router.OrderingKey {
 	if len(e.sets) == 0 {
 		return c.Key
 	}
--- a/internal/core/rules/epochs_test.go
+++ b/internal/core/rules/epochs_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("at %g: put in force is %v", now, ok)
 		}
 	}
-	take := func(now float64, key router.OrderKey, also ...router.OrderKey) Epoch {
+	take := func(now float64, key router.OrderingKey, also ...router.OrderingKey) Epoch {
 		t.Helper()
 		n, k, a := e.Take(now, load)
 		if k != key || !slices.Equal(a, also) {
--- a/internal/core/rules/rules.go
+++ b/internal/core/rules/rules.go
@@ -41,7 +41,7 @@
 // Facts are what the settings say.
 type Facts struct {
 	Names    []string // of profiles, by id
-	Profiles []router.Profile
+	Profiles []router.QueryClass
 	Kinds    map[string]router.KindID
 	Zones    []string
 }
@@ -94,10 +94,10 @@
 
 // Command is what rules know of a command.
 type Command struct {
-	Profile                      router.ProfileID
+	Profile                      router.ClassID
 	Tenant, Schema, Table        string
 	Tables                       router.TableGroup
-	Key                          router.OrderKey
+	Key                          router.OrderingKey
 	Estimate, NeedMB, Left       float64
 	Front, Application, Listener string
 	Labels                       []match.Label
@@ -106,8 +106,8 @@
 // Verdict is what the rules come to.
 type Verdict struct {
 	Refuse  string // not empty: the command is turned away with this
-	Profile router.ProfileID
-	Key     router.OrderKey
+	Profile router.ClassID
+	Key     router.OrderingKey
 	Hot     bool
 	Kinds   []router.KindID // nil: not narrowed
 	Zones   []router.Zone   // nil: not narrowed
@@ -123,7 +123,7 @@
 	labels []labelled
 	kinds  []router.KindID
 	zones  []router.Zone
-	target router.ProfileID // -1: it stays
+	target router.ClassID // -1: it stays
 }
 
 type labelled struct {
@@ -318,7 +318,7 @@
 	if !r.key.NeverEmpty("profile") {
 		c.note("key", "may be empty: put a text beside what may be missing, as in \"store/\" + label(\"store\")")
 	}
-	if !slices.ContainsFunc(sources, func(s state) bool { return c.facts.Profiles[s.now].InOrder }) {
+	if !slices.ContainsFunc(sources, func(s state) bool { return c.facts.Profiles[s.now].Ordered }) {
 		c.note("key", "no profile keeps order here")
 	}
 }
@@ -380,7 +380,7 @@
 		c.note("profile", "%q is no profile", r.Profile)
 		return
 	}
-	r.target = router.ProfileID(at)
+	r.target = router.ClassID(at)
 	for _, s := range sources {
 		if why := wider(c.facts.Profiles[s.first], s, c.facts.Profiles[at]); why != "" {
 			c.note("profile", "a command of profile %s can't be taken for %s: %s", c.facts.Names[s.first], r.Profile, why)
@@ -390,13 +390,13 @@
 }
 
 // wider tells in what a profile allows more than another does, or promises less; empty if in nothing.
-func wider(from router.Profile, s state, to router.Profile) string {
+func wider(from router.QueryClass, s state, to router.QueryClass) string {
 	switch {
-	case to.Effect < from.Effect || to.Effect == router.Uniqued && from.Effect != router.Uniqued:
+	case to.Effect < from.Effect || to.Effect == router.Deduplicated && from.Effect != router.Deduplicated:
 		return "it could run twice"
-	case to.Effect == router.Uniqued && (to.Scope != from.Scope || to.RepeatWindow > from.RepeatWindow):
+	case to.Effect == router.Deduplicated && (to.Scope != from.Scope || to.DeduplicationWindow > from.DeduplicationWindow):
 		return "its repeats are dropped by other engines, or for longer"
-	case from.InOrder && !to.InOrder:
+	case from.Ordered && !to.Ordered:
 		return "it keeps no order"
 	case from.Kinds != nil && !within(to.Kinds, from.Kinds):
 		return "it may go to other kinds of engine"
@@ -438,7 +438,7 @@
 // state is what a command may be ahead of a rule: the profile its client gave, the one it is taken for, and what is
 // left of kinds and zones at the least.
 type state struct {
-	first, now router.ProfileID
+	first, now router.ClassID
 	kinds      []router.KindID
 	zones      []router.Zone
 }
@@ -453,7 +453,7 @@
 func newReach(f Facts) *reach {
 	r := &reach{facts: f, known: map[string]bool{}}
 	for i, p := range f.Profiles {
-		r.add(state{router.ProfileID(i), router.ProfileID(i), p.Kinds, p.Zones})
+		r.add(state{router.ClassID(i), router.ClassID(i), p.Kinds, p.Zones})
 	}
 	return r
 }
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -16,8 +16,8 @@
 // once.
 var facts = Facts{
 	Names: []string{"lookup", "report", "load", "once"},
-	Profiles: []router.Profile{{}, {Kinds: []router.KindID{1}}, {InOrder: true, Effect: router.Uniqued,
-		RepeatWindow: 1000}, {Kinds: []router.KindID{1}, Effect: router.NonReplayable, Zones: []router.Zone{"east"}}},
+	Profiles: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true, Effect: router.Deduplicated,
+		DeduplicationWindow: 1000}, {Kinds: []router.KindID{1}, Effect: router.NonIdempotent, Zones: []router.Zone{"east"}}},
 	Kinds: map[string]router.KindID{"std": 0, "c16": 1},
 	Zones: []string{"east", "west"},
 }
@@ -141,7 +141,7 @@
 	for i := range 12 { // each may match or not, so that all subsets must be followed
 		ways.Zones = append(ways.Zones, fmt.Sprint("z", i))
 	}
-	ways.Profiles = []router.Profile{{}, {}, {}, {}}
+	ways.Profiles = []router.QueryClass{{}, {}, {}, {}}
 	for i := range 12 {
 		narrowing = append(narrowing, Given{Name: fmt.Sprint("n", i), When: `tenant == "x"`,
 			Zones: slices.Delete(slices.Clone(ways.Zones), i, i+1)})
@@ -268,7 +268,7 @@
 		var s, p Scratch
 		for range 20 {
 			words := []string{"a", "b", "ab", "abc", "", "menu_1"}
-			cmd := Command{Profile: router.ProfileID(rng.Intn(4)), Tenant: words[rng.Intn(6)], Table: words[rng.Intn(6)],
+			cmd := Command{Profile: router.ClassID(rng.Intn(4)), Tenant: words[rng.Intn(6)], Table: words[rng.Intn(6)],
 				Tables: router.TableGroup(rng.Intn(6) - 2), Estimate: float64(rng.Intn(5)), Key: "own"}
 			tried := 0
 			p.Trace = func(_ int, m bool) {
@@ -282,7 +282,7 @@
 			}
 			from, to := facts.Profiles[cmd.Profile], facts.Profiles[got.Profile]
 			kinds := both(both(to.Kinds, got.Kinds), nil)
-			if from.Kinds != nil && !within(kinds, from.Kinds) || to.Effect < from.Effect || from.InOrder && !to.InOrder ||
+			if from.Kinds != nil && !within(kinds, from.Kinds) || to.Effect < from.Effect || from.Ordered && !to.Ordered ||
 				(from.Kinds != nil || got.Kinds != nil) && len(kinds) == 0 || got.Key == "" {
 				t.Fatalf("%+v\n%+v is widened: %+v", rules, cmd, got)
 			}
--- a/internal/core/spacing/spacing.go
+++ b/internal/core/spacing/spacing.go
@@ -39,7 +39,7 @@
 
 // Trains are those of all keys of which a command came just now. The zero value is ready for use, by one goroutine.
 type Trains struct {
-	keys  map[router.OrderKey]train
+	keys  map[router.OrderingKey]train
 	sweep int       // how many of them call for a look at which are over
 	full  time.Time // until then keys may have come that are not kept: from before the start, or past the bound
 }
@@ -54,12 +54,12 @@
 // at the longest: since the first of its train, which came when the client's line was empty, as lines keep their order;
 // and by a share of the patience in a line that this controller does not see, where the key came lately. Its memory is
 // bounded by the keys of one patience, and by a number.
-func (t *Trains) Came(key router.OrderKey, at time.Time, first bool, patience time.Duration) time.Duration {
+func (t *Trains) Came(key router.OrderingKey, at time.Time, first bool, patience time.Duration) time.Duration {
 	if t.keys == nil {
-		t.keys, t.sweep, t.full = map[router.OrderKey]train{}, leastSweep, at.Add(patience)
+		t.keys, t.sweep, t.full = map[router.OrderingKey]train{}, leastSweep, at.Add(patience)
 	}
 	if len(t.keys) >= t.sweep {
-		maps.DeleteFunc(t.keys, func(_ router.OrderKey, tr train) bool { return at.After(tr.until) })
+		maps.DeleteFunc(t.keys, func(_ router.OrderingKey, tr train) bool { return at.After(tr.until) })
 		t.sweep = 2*len(t.keys) + leastSweep
 	}
 	tr, known := t.keys[key]
--- a/internal/core/spacing/spacing_test.go
+++ b/internal/core/spacing/spacing_test.go
@@ -70,7 +70,7 @@
 	var trains Trains
 	for _, c := range []struct {
 		name string
-		key  router.OrderKey
+		key  router.OrderingKey
 		at   int
 		want time.Duration
 	}{
@@ -91,14 +91,14 @@
 func TestBounded(t *testing.T) {
 	var trains Trains
 	for i := range 100000 {
-		trains.Came(router.OrderKey(fmt.Sprint("key ", i)), ms(i), true, 0)
+		trains.Came(router.OrderingKey(fmt.Sprint("key ", i)), ms(i), true, 0)
 	}
 	if n := len(trains.keys); n > 1000 {
 		t.Errorf("%d keys are kept of which none came within the last second but 310", n)
 	}
 	trains = Trains{}
 	for i := range 100000 {
-		trains.Came(router.OrderKey(fmt.Sprint("key ", i)), ms(i/1000), true, time.Minute)
+		trains.Came(router.OrderingKey(fmt.Sprint("key ", i)), ms(i/1000), true, time.Minute)
 	}
 	if n := len(trains.keys); n > mostKeys {
 		t.Errorf("%d keys are kept", n)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -22,7 +22,7 @@
 
 // Entry is an engine of the list.
 type Entry struct {
-	router.Entry
+	router.Endpoint
 	Dial string
 }
 
@@ -57,7 +57,7 @@
 	BornMS float64 `json:"born_ms"`
 }
 
-var states = map[string]router.State{"active": router.Ready, "leaving": router.Draining, "left": router.Gone}
+var states = map[string]router.EngineState{"active": router.Ready, "leaving": router.Draining, "left": router.Gone}
 
 // Read turns what was known at start into updates, in their order.
 func (k *Known) Read(names *settings.Names) ([]Update, error) {
@@ -79,9 +79,9 @@
 			if h.Host == "" {
 				return nil, &settings.FieldError{Field: at + "host", Why: "is missing"}
 			}
-			update.Entries = append(update.Entries, Entry{Dial: h.Dial, Entry: router.Entry{
+			update.Entries = append(update.Entries, Entry{Dial: h.Dial, Endpoint: router.Endpoint{
 				Engine: router.EngineID(h.Host), State: state, Zone: router.Zone(h.Site), Kind: names.Kind(h.Class),
-				Cell: router.CellID(h.Block), Since: h.BornMS}})
+				Cell: router.CellID(h.Block), StartedAt: h.BornMS}})
 		}
 		all = append(all, update)
 	}
@@ -133,7 +133,7 @@
 	}
 	e.Engine = router.EngineID(fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)))
 	e.Dial = net.JoinHostPort(net.IP(b[4:8]).String(), strconv.Itoa(int(binary.BigEndian.Uint16(b[8:]))))
-	e.State, e.Kind = router.State(state), router.KindID(kind)
+	e.State, e.Kind = router.EngineState(state), router.KindID(kind)
 	if kind >= len(names.KindAt) {
 		e.Kind = -1
 	}
@@ -141,7 +141,7 @@
 		e.Zone = router.Zone(names.ZoneAt[zone])
 	}
 	e.Cell = router.CellID(binary.BigEndian.Uint16(b[13:]))
-	e.Since = float64(binary.BigEndian.Uint64(b[19:]))
+	e.StartedAt = float64(binary.BigEndian.Uint64(b[19:]))
 	return e, nil
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,8 +29,8 @@
 }
 
 var (
-	engine = Entry{Dial: "10.1.0.9:8443", Entry: router.Entry{Engine: "s-00c41f7a", Zone: "east", Cell: 2,
-		Since: 1700000000123}}
+	engine = Entry{Dial: "10.1.0.9:8443", Endpoint: router.Endpoint{Engine: "s-00c41f7a", Zone: "east", Cell: 2,
+		StartedAt: 1700000000123}}
 	whole = frame(1, 1, record(0xc41f7a, 0, 0, 0))
 )
 
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -22,7 +22,7 @@
 // send is one send on its connection.
 type send struct {
 	cmd       *request.Query
-	number    router.SendID
+	number    router.AttemptID
 	at, until time.Time
 	begin     time.Time // after which it must not be written; zero: none
 	written   bool      // its last byte may have gone out
@@ -33,7 +33,7 @@
 	pages     [][]byte
 	missing   int // pages
 	size      int // bytes of the pages
-	load      *router.Load
+	load      *router.LoadReport
 }
 
 // tooLate tells that it must not be written any more: its connection may have come up after its command was answered,
@@ -213,7 +213,7 @@
 }
 
 // giveUp gives a send up if it is out here.
-func (c *conn) giveUp(cmd *request.Query, number router.SendID) {
+func (c *conn) giveUp(cmd *request.Query, number router.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.sends[cmd.ID]; s != nil && s.cmd == cmd && s.number == number {
@@ -259,7 +259,7 @@
 		}
 	}
 	end := Ended{Query: s.cmd, Send: s.number, Outcome: outcome, Took: now.Sub(s.at), Load: s.load}
-	if outcome == router.Answered {
+	if outcome == router.Succeeded {
 		end.Pages = s.pages
 	}
 	return end
@@ -276,7 +276,7 @@
 	dialer := net.Dialer{Timeout: c.pool.limits.ConnectTime, KeepAlive: -1}
 	up, err := dialer.DialContext(c.ctx, "tcp", c.addr)
 	if err != nil {
-		c.end(err, router.Refused)
+		c.end(err, router.ConnectFailed)
 		return
 	}
 	c.mu.Lock()
@@ -287,7 +287,7 @@
 		err = c.serve(from)
 	}
 	up.Close()
-	c.end(err, router.Reset)
+	c.end(err, router.ConnectionReset)
 }
 
 var (
@@ -432,7 +432,7 @@
 
 // take files one answer. One to an id that is not out here crossed the end of its send, and tells nothing.
 func (c *conn) take(a enginewire.Answer) (events []any, err error) {
-	var load *router.Load
+	var load *router.LoadReport
 	if a.Report != nil {
 		load = settings.NoLoad()
 		set := func(name string, x float64) { settings.SetLoad(load, name, x) }
@@ -464,12 +464,12 @@
 		if a.Word == enginewire.Stale {
 			return one(c.finish(s, router.NotSent)), nil
 		}
-		return one(c.finish(s, router.Full)), nil
+		return one(c.finish(s, router.EngineFull)), nil
 	case enginewire.Error:
 		return one(c.finish(s, router.Errored)), nil
 	case enginewire.Note:
 		if what, known := note(a); known {
-			s.ran = s.ran || what == router.NoteProgress && a.Value > 0
+			s.ran = s.ran || what == router.ProgressDone && a.Value > 0
 			return one(Noted{s.cmd, s.number, what, a.Value}), nil
 		}
 		return nil, nil
@@ -478,11 +478,11 @@
 }
 
 // ready takes in that the engine has read all that came before a ping.
-func (c *conn) ready(tag string, load *router.Load) []any {
+func (c *conn) ready(tag string, load *router.LoadReport) []any {
 	if _, probe := c.pings[tag]; probe {
 		delete(c.pings, tag)
 		c.idleAt = time.Now()
-		return one(Probed{c.engine, router.Answered, load})
+		return one(Probed{c.engine, router.Succeeded, load})
 	}
 	id, undo := strings.CutPrefix(tag, undoTag)
 	if s := c.sends[id]; undo && s != nil && s.undone && s.written {
@@ -527,25 +527,25 @@
 	if len(s.pages) > 1 {
 		c.say(enginewire.AppendForget(nil, s.cmd.ID))
 	}
-	return one(c.finish(s, router.Answered)), nil
+	return one(c.finish(s, router.Succeeded)), nil
 }
 
 func one(event any) []any { return []any{event} }
 
-func note(a enginewire.Answer) (what router.NoteKind, known bool) {
+func note(a enginewire.Answer) (what router.ProgressKind, known bool) {
 	switch {
 	case len(a.Remark) == 0:
 		return 0, false
 	case bytes.Equal(a.Remark, []byte("progress")):
-		return router.NoteProgress, true
+		return router.ProgressDone, true
 	case bytes.Equal(a.Remark, []byte("spill_mb")):
-		return router.NoteSpills, true
+		return router.ProgressSpilling, true
 	case bytes.Equal(a.Remark, []byte("blocked")) && a.Value == 2:
-		return router.NoteWaitsTables, true
+		return router.ProgressWaitsForTables, true
 	case bytes.Equal(a.Remark, []byte("blocked")):
-		return router.NoteWaitsMemory, true
+		return router.ProgressWaitsForMemory, true
 	}
-	return router.NoteOther, true
+	return router.ProgressOther, true
 }
 
 // end ends all that is left: what no byte has left of never ran, and of the rest nobody knows.
@@ -560,13 +560,13 @@
 		case s.undone && s.written:
 			outcome = s.outcome
 		case !s.written:
-			outcome = router.Refused
+			outcome = router.ConnectFailed
 		}
 		ends = append(ends, c.finish(s, outcome))
 	}
 	for tag := range c.pings {
 		delete(c.pings, tag)
-		ends = append(ends, Probed{Engine: c.engine, Outcome: router.Refused})
+		ends = append(ends, Probed{Engine: c.engine, Outcome: router.ConnectFailed})
 	}
 	c.mu.Unlock()
 	c.cancel()
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -24,24 +24,24 @@
 	// Ended is the outcome of a send; with Answered it comes when all pages are in.
 	Ended struct {
 		Query   *request.Query
-		Send    router.SendID
+		Send    router.AttemptID
 		Outcome router.Outcome
 		Took    time.Duration
 		Pages   [][]byte
-		Load    *router.Load
+		Load    *router.LoadReport
 	}
 	// Noted is word of a send that is out.
 	Noted struct {
 		Query *request.Query
-		Send  router.SendID
-		What  router.NoteKind
+		Send  router.AttemptID
+		What  router.ProgressKind
 		Level float64
 	}
 	// Probed is what a ping found.
 	Probed struct {
 		Engine  router.EngineID
 		Outcome router.Outcome
-		Load    *router.Load
+		Load    *router.LoadReport
 	}
 )
 
@@ -49,7 +49,7 @@
 type Address struct {
 	Engine router.EngineID
 	Dial   string
-	State  router.State
+	State  router.EngineState
 }
 
 // Pool is the connections to all engines. Its methods are for one goroutine, the loop's; none of them blocks.
@@ -212,7 +212,7 @@
 
 // Send writes a command to an engine, over a connection that it has not been on; its end is told by an Ended. What has
 // not gone out within begin, where that is above 0, does not go out any more.
-func (p *Pool) Send(cmd *request.Query, number router.SendID, to router.EngineID, within, begin time.Duration) {
+func (p *Pool) Send(cmd *request.Query, number router.AttemptID, to router.EngineID, within, begin time.Duration) {
 	now := time.Now()
 	s := &send{cmd: cmd, number: number, at: now, until: now.Add(within)}
 	if begin > 0 {
@@ -258,7 +258,7 @@
 }
 
 // Cancel gives a send up. Its Ended still comes: when the engine is known to have heard, or has had time to.
-func (p *Pool) Cancel(cmd *request.Query, number router.SendID, to router.EngineID) {
+func (p *Pool) Cancel(cmd *request.Query, number router.AttemptID, to router.EngineID) {
 	if e := p.engines[to]; e != nil {
 		for _, c := range e.conns {
 			c.giveUp(cmd, number)
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -53,11 +53,11 @@
 	return r
 }
 
-func (r *rig) list(state router.State) {
+func (r *rig) list(state router.EngineState) {
 	r.pool.List([]Address{{Engine: "e", Dial: r.listener.Addr().String(), State: state}}, true)
 }
 
-func (r *rig) send(cmd *request.Query, number router.SendID) {
+func (r *rig) send(cmd *request.Query, number router.AttemptID) {
 	r.pool.Send(cmd, number, "e", time.Minute, 0)
 }
 
@@ -103,7 +103,7 @@
 	p.says("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body)
 }
 
-func (r *rig) ended(number router.SendID, want router.Outcome) Ended {
+func (r *rig) ended(number router.AttemptID, want router.Outcome) Ended {
 	r.t.Helper()
 	select {
 	case ev := <-r.events:
@@ -132,24 +132,24 @@
 	}{
 		{name: "one page", says: "c1 ACK parts=1,report=inflight:7;util:0.5 6\r\na\tb\tc\n\r\n", pages: "a\tb\tc\n"},
 		{name: "no rows", says: "c1 ACK - 0\r\n\r\n"},
-		{name: "full", says: "c1 AGAIN - 0\r\n\r\n", want: router.Full},
+		{name: "full", says: "c1 AGAIN - 0\r\n\r\n", want: router.EngineFull},
 		{name: "over already", says: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
 		{name: "error", says: "c1 EIO - 4\r\nsome\r\n", want: router.Errored},
-		{name: "reset", hangUp: true, want: router.Reset},
-		{name: "half a line, then the end", says: "c1 ACK parts=1 6\r", hangUp: true, want: router.Reset},
-		{name: "not a word", says: "c1 WHAT - 0\r\n\r\n", want: router.Reset},
-		{name: "no length", says: "c1 ACK - x\r\n\r\n", want: router.Reset},
-		{name: "no line end after the body", says: "c1 ACK - 0\r\nxx", want: router.Reset},
-		{name: "a bare line feed", says: "c1 ACK - 0\n", want: router.Reset},
-		{name: "a field without a value", says: "c1 ACK parts 0\r\n\r\n", want: router.Reset},
-		{name: "a report of no numbers", says: "c1 ACK report=util:x 0\r\n\r\n", want: router.Reset},
-		{name: "a row of two columns", says: "c1 ACK - 4\r\na\tb\n\r\n", want: router.Reset},
-		{name: "a row without an end", says: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.Reset},
-		{name: "a page too long", says: "c1 ACK - 6001\r\n", want: router.Reset},
-		{name: "a line too long", says: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.Reset},
-		{name: "too many pages", says: "c1 ACK parts=1000000 0\r\n\r\n", want: router.Reset},
-		{name: "a page before the first", says: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.Reset},
-		{name: "a note, then nothing", says: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.Reset},
+		{name: "reset", hangUp: true, want: router.ConnectionReset},
+		{name: "half a line, then the end", says: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
+		{name: "not a word", says: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "no length", says: "c1 ACK - x\r\n\r\n", want: router.ConnectionReset},
+		{name: "no line end after the body", says: "c1 ACK - 0\r\nxx", want: router.ConnectionReset},
+		{name: "a bare line feed", says: "c1 ACK - 0\n", want: router.ConnectionReset},
+		{name: "a field without a value", says: "c1 ACK parts 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a report of no numbers", says: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a row of two columns", says: "c1 ACK - 4\r\na\tb\n\r\n", want: router.ConnectionReset},
+		{name: "a row without an end", says: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.ConnectionReset},
+		{name: "a page too long", says: "c1 ACK - 6001\r\n", want: router.ConnectionReset},
+		{name: "a line too long", says: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.ConnectionReset},
+		{name: "too many pages", says: "c1 ACK parts=1000000 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a page before the first", says: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.ConnectionReset},
+		{name: "a note, then nothing", says: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
 	} {
 		r := newRig(t, nil)
 		cmd := command("c1")
@@ -164,7 +164,7 @@
 		if got := string(join(end.Pages)); got != c.pages {
 			t.Errorf("%s: pages %q", c.name, got)
 		}
-		if c.pages != "" && (end.Load == nil || end.Load.Inflight != 7 || end.Load.Util != 0.5 || end.Load.Disk != -1) {
+		if c.pages != "" && (end.Load == nil || end.Load.Inflight != 7 || end.Load.Utilization != 0.5 || end.Load.Disk != -1) {
 			t.Errorf("%s: load %+v", c.name, end.Load)
 		}
 	}
@@ -185,18 +185,18 @@
 		want router.Outcome
 	}{
 		{"out of order", []string{"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n"},
-			router.Answered},
+			router.Succeeded},
 		{"one lost", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 EIO - 0\r\n\r\n"}, router.Errored},
 		{"one twice", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
-			"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Answered},
+			"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
 		{"one twice, but otherwise", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
-			"c1 BLOCK part_no=1 6\r\n2\t2\t9\n\r\n"}, router.Reset},
-		{"one not asked for", []string{"c1 BLOCK part_no=3 6\r\n2\t2\t2\n\r\n"}, router.Reset},
+			"c1 BLOCK part_no=1 6\r\n2\t2\t9\n\r\n"}, router.ConnectionReset},
+		{"one not asked for", []string{"c1 BLOCK part_no=3 6\r\n2\t2\t2\n\r\n"}, router.ConnectionReset},
 		{"the first again", []string{"c1 ACK parts=3 6\r\n1\t1\t1\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
-			"c9 ACK parts=1 0\r\n\r\n", "c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Answered},
-		{"the first again, but otherwise", []string{"c1 ACK parts=3 6\r\n1\t1\t9\n\r\n"}, router.Reset},
+			"c9 ACK parts=1 0\r\n\r\n", "c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
+		{"the first again, but otherwise", []string{"c1 ACK parts=3 6\r\n1\t1\t9\n\r\n"}, router.ConnectionReset},
 		{"more than a result holds", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\nc1 BLOCK part_no=2 39\r\n" +
-			strings.Repeat("long", 9) + "\t\t\n\r\n"}, router.Reset},
+			strings.Repeat("long", 9) + "\t\t\n\r\n"}, router.ConnectionReset},
 	} {
 		r := newRig(t, func(l *limits.Limits) { l.ResultBytes = 48 })
 		r.send(command("c1"), 0)
@@ -210,10 +210,10 @@
 		}
 		t.Log(c.name)
 		end := r.ended(0, c.want)
-		if got := string(join(end.Pages)); c.want == router.Answered && got != "1\t1\t1\n2\t2\t2\n3\t3\t3\n" {
+		if got := string(join(end.Pages)); c.want == router.Succeeded && got != "1\t1\t1\n2\t2\t2\n3\t3\t3\n" {
 			t.Errorf("%s: pages %q", c.name, got)
 		}
-		if c.want == router.Answered {
+		if c.want == router.Succeeded {
 			p.hears("forget c1\r\n")
 		}
 	}
@@ -246,11 +246,11 @@
 	r.send(other, 0)
 	first.hearsDo("c2")
 	first.answers("c2", "ACK", "parts=1", "2\t2\t2\n")
-	if end := r.ended(0, router.Answered); end.Query != other {
+	if end := r.ended(0, router.Succeeded); end.Query != other {
 		t.Fatalf("the end of %s", end.Query.ID)
 	}
 	second.answers("c1", "ACK", "parts=1", "new\tnew\tnew\n")
-	if end := r.ended(1, router.Answered); string(join(end.Pages)) != "new\tnew\tnew\n" {
+	if end := r.ended(1, router.Succeeded); string(join(end.Pages)) != "new\tnew\tnew\n" {
 		t.Fatalf("pages %q", end.Pages)
 	}
 }
@@ -261,9 +261,9 @@
 		word, fields, body string
 		want               router.Outcome
 	}{
-		{"ACK", "parts=1", "1\t1\t1\n", router.Answered},
+		{"ACK", "parts=1", "1\t1\t1\n", router.Succeeded},
 		{"ACK", "parts=2", "1\t1\t1\n", router.Cancelled}, // the rest can't be had any more
-		{"AGAIN", "-", "", router.Full},
+		{"AGAIN", "-", "", router.EngineFull},
 		{"EIO", "-", "", router.Errored},
 	} {
 		r := newRig(t, nil)
@@ -290,7 +290,7 @@
 	r.ended(0, router.Cancelled)
 	r.listener.Close()
 	r.send(command("c2"), 0)
-	r.ended(0, router.Refused)
+	r.ended(0, router.ConnectFailed)
 	p.answers("any", "READY", "-", "") // it is back
 	r.pool.Probe("e")
 	p.hears("undo")
@@ -303,7 +303,7 @@
 	var peers []*peer
 	for i := range 2 {
 		id := fmt.Sprint("c", i)
-		r.send(command(id), router.SendID(i))
+		r.send(command(id), router.AttemptID(i))
 		p := r.accept()
 		p.hearsDo(id)
 		peers = append(peers, p)
@@ -313,12 +313,12 @@
 	shared.hearsDo("c2")
 	shared.says("c2 ACK - x\r\n")
 	for range 2 {
-		if end := (<-r.events).(Ended); end.Outcome != router.Reset || end.Send == 1 {
+		if end := (<-r.events).(Ended); end.Outcome != router.ConnectionReset || end.Send == 1 {
 			t.Errorf("told %+v", end)
 		}
 	}
 	alone.answers("c1", "ACK", "-", "")
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 	r.send(command("c3"), 3) // on the idle one
 	alone.hearsDo("c3")
 }
@@ -328,7 +328,7 @@
 func TestNewEngine(t *testing.T) {
 	r := newRig(t, func(l *limits.Limits) { l.EngineConns = 8 })
 	for i := range 8 {
-		r.send(command(fmt.Sprint("c", i)), router.SendID(i))
+		r.send(command(fmt.Sprint("c", i)), router.AttemptID(i))
 	}
 	for range 6 {
 		p := r.accept()
@@ -358,14 +358,14 @@
 	r.pool.List(list, true)
 	reach := func(i int) *peer {
 		t.Helper()
-		r.pool.Send(command(fmt.Sprint("c", i)), router.SendID(i), list[i].Engine, time.Minute, 0)
+		r.pool.Send(command(fmt.Sprint("c", i)), router.AttemptID(i), list[i].Engine, time.Minute, 0)
 		p := r.accept()
 		p.hearsDo(fmt.Sprint("c", i))
 		return p
 	}
 	busy, asked := reach(0), reach(1)
 	asked.answers("c1", "ACK", "-", "")
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 	r.pool.Probe("e1")
 	asked.hears("ping ")
 	for i := 2; i < 12; i++ {
@@ -374,13 +374,13 @@
 			t.Errorf("%d connections are open", open)
 		}
 		p.answers(fmt.Sprint("c", i), "ACK", "-", "")
-		r.ended(router.SendID(i), router.Answered)
+		r.ended(router.AttemptID(i), router.Succeeded)
 	}
 	if n := r.pool.yielded.Load(); n != 8 {
 		t.Errorf("%d connections made room", n)
 	}
 	busy.answers("c0", "ACK", "-", "")
-	r.ended(0, router.Answered)
+	r.ended(0, router.Succeeded)
 	r.pool.limits.SpareTime = time.Hour // all were of use just now
 	r.pool.Send(command("d"), 20, "e2", time.Minute, 0)
 	r.ended(20, router.NotSent)
@@ -404,8 +404,8 @@
 		p.hearsDo("c2")
 		p.says("%s", says)
 		p.hears("ping k\r\n")
-		r.ended(1, router.Reset)
-		r.ended(1, router.Reset)
+		r.ended(1, router.ConnectionReset)
+		r.ended(1, router.ConnectionReset)
 	}
 }
 
@@ -420,7 +420,7 @@
 		p.answers("k", "READY", "-", "")
 	}
 	p.answers("c1", "ACK", "-", "")
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 }
 
 func TestTimeOut(t *testing.T) {
@@ -454,7 +454,7 @@
 	r.ended(0, router.NotSent)
 	r.pool.List([]Address{{Engine: "e", Dial: "0.0.0.0:0", State: router.Gone}}, false)
 	p.answers("c1", "ACK", "-", "")
-	r.ended(0, router.Answered)
+	r.ended(0, router.Succeeded)
 }
 
 // While the list has expired, a connection is opened only beside one that is up.
@@ -473,7 +473,7 @@
 	waits.puts(t, "c9", 9)
 	r.pool.Expire(true)
 	r.ended(9, router.Withdrawn)
-	waits.end(errIdle, router.Refused)
+	waits.end(errIdle, router.ConnectFailed)
 	r.send(again, 2)
 	second := r.accept()
 	second.hearsDo("c2")
@@ -527,10 +527,10 @@
 		fields string
 		want   Noted
 	}{
-		{"remark=progress,value=0.25", Noted{cmd, 3, router.NoteProgress, 0.25}},
-		{"remark=spill_mb,value=12", Noted{cmd, 3, router.NoteSpills, 12}},
-		{"remark=blocked,value=1", Noted{cmd, 3, router.NoteWaitsMemory, 1}},
-		{"remark=blocked,value=2", Noted{cmd, 3, router.NoteWaitsTables, 2}},
+		{"remark=progress,value=0.25", Noted{cmd, 3, router.ProgressDone, 0.25}},
+		{"remark=spill_mb,value=12", Noted{cmd, 3, router.ProgressSpilling, 12}},
+		{"remark=blocked,value=1", Noted{cmd, 3, router.ProgressWaitsForMemory, 1}},
+		{"remark=blocked,value=2", Noted{cmd, 3, router.ProgressWaitsForTables, 2}},
 	} {
 		p.answers("c1", "EVENT", "-", "") // not yet over, and no note
 		p.answers("c1", "EVENT", c.fields, "")
@@ -558,7 +558,7 @@
 	return c, from, r.accept()
 }
 
-func (c *conn) puts(t *testing.T, id string, number router.SendID) *send {
+func (c *conn) puts(t *testing.T, id string, number router.AttemptID) *send {
 	t.Helper()
 	s := &send{cmd: command(id), number: number, until: time.Now().Add(time.Minute)}
 	if !c.put(s, 100) {
@@ -584,9 +584,9 @@
 		runtime.Gosched()
 	}
 	c.puts(t, "c2", 2)
-	c.end(c.serve(from), router.Reset)
-	r.ended(1, router.Answered)
-	r.ended(2, router.Refused)
+	c.end(c.serve(from), router.ConnectionReset)
+	r.ended(1, router.Succeeded)
+	r.ended(2, router.ConnectFailed)
 }
 
 // cut takes so many bytes, and fails then.
@@ -610,22 +610,22 @@
 	for _, c := range []struct {
 		name  string
 		taken func(first, both int) int
-		ends  map[router.SendID]router.Outcome
+		ends  map[router.AttemptID]router.Outcome
 	}{
-		{"before", func(int, int) int { return 0 }, map[router.SendID]router.Outcome{1: router.Refused, 2: router.Refused}},
+		{"before", func(int, int) int { return 0 }, map[router.AttemptID]router.Outcome{1: router.ConnectFailed, 2: router.ConnectFailed}},
 		{"within the first", func(first, _ int) int { return first - 1 },
-			map[router.SendID]router.Outcome{1: router.Refused, 2: router.Refused}},
+			map[router.AttemptID]router.Outcome{1: router.ConnectFailed, 2: router.ConnectFailed}},
 		{"between the two", func(first, _ int) int { return first },
-			map[router.SendID]router.Outcome{1: router.Reset, 2: router.Refused}},
+			map[router.AttemptID]router.Outcome{1: router.ConnectionReset, 2: router.ConnectFailed}},
 		{"within the second", func(_, both int) int { return both - 1 },
-			map[router.SendID]router.Outcome{1: router.Reset, 2: router.Refused}},
+			map[router.AttemptID]router.Outcome{1: router.ConnectionReset, 2: router.ConnectFailed}},
 		{"after both", func(_, both int) int { return both },
-			map[router.SendID]router.Outcome{1: router.Reset, 2: router.Reset}},
+			map[router.AttemptID]router.Outcome{1: router.ConnectionReset, 2: router.ConnectionReset}},
 	} {
 		ours, theirs := net.Pipe()
 		theirs.Close()
 		conn := newConn(r.pool, "e", "")
-		for number := range router.SendID(2) {
+		for number := range router.AttemptID(2) {
 			conn.puts(t, fmt.Sprint("c", number), number+1)
 		}
 		first, both := conn.out[0].size(), conn.queued
@@ -633,7 +633,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.end(conn.serve(from), router.Reset)
+		conn.end(conn.serve(from), router.ConnectionReset)
 		for range 2 {
 			if end := (<-r.events).(Ended); end.Outcome != c.ends[end.Send] {
 				t.Errorf("%s: send %d ended as %v", c.name, end.Send, end.Outcome)
@@ -670,7 +670,7 @@
 		p := r.accept()
 		p.hearsDo("c2")
 		p.answers("c2", "ACK", "-", "")
-		r.ended(2, router.Answered)
+		r.ended(2, router.Succeeded)
 		conn.stop()
 	}
 }
@@ -692,7 +692,7 @@
 	fresh := r.accept()
 	fresh.hearsDo("c4")
 	old.answers("c1", "ACK", "-", "") // what is out there may still end
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 	r.pool.List([]Address{{Engine: "e", Dial: r.listener.Addr().String()}}, false) // and it is back, at the address that is named now
 	r.send(command("c5"), 5)
 	again := r.accept()
@@ -706,14 +706,14 @@
 	p := r.accept()
 	p.hearsDo("c1")
 	p.answers("c1", "ACK", "parts=1", "1\t1\t1\n")
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 	r.send(command("c2"), 2)
 	p.hearsDo("c2")
 	p.answers("c1", "ACK", "parts=1", "1\t1\t1\n")
 	p.answers("c1", "EIO", "-", "")
 	p.answers("c1", "BLOCK", "part_no=3", "1\t1\t1\n")
 	p.answers("c2", "ACK", "parts=1", "2\t2\t2\n")
-	if end := r.ended(2, router.Answered); string(join(end.Pages)) != "2\t2\t2\n" {
+	if end := r.ended(2, router.Succeeded); string(join(end.Pages)) != "2\t2\t2\n" {
 		t.Errorf("pages %q", end.Pages)
 	}
 }
@@ -761,7 +761,7 @@
 	p := r.accept()
 	p.hearsDo("c1")
 	p.answers("c1", "ACK", "-", "")
-	r.ended(1, router.Answered)
+	r.ended(1, router.Succeeded)
 	p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Close()
 	for len(r.pool.engines["e"].live()) > 0 { // until it is seen
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -61,8 +61,8 @@
 // Learner is what the digest needs of its controller.
 type Learner struct {
 	Source   memory.Source
-	Settings uint64               // only those with the same speak of the same profiles
-	Remember func(router.Learned) // takes over what others knew; nil: nothing is missing
+	Settings uint64                  // only those with the same speak of the same profiles
+	Remember func(router.Statistics) // takes over what others knew; nil: nothing is missing
 	Log      *slog.Logger
 }
 
@@ -190,7 +190,7 @@
 	d.group.Go(func() {
 		ctx, cancel := context.WithTimeout(d.ctx, 2*time.Second)
 		defer cancel()
-		var all router.Learned
+		var all router.Statistics
 		part := memory.Part{More: true}
 		var err error
 		for err == nil && part.More && all.Len() < mostRecords {
@@ -208,8 +208,8 @@
 }
 
 // pack is what was learned in at most so many bytes: table groups that are asked for least are left out.
-func pack(l *router.Learned) []byte {
-	slices.SortStableFunc(l.Tables, func(a, b router.LearnedTables) int { return cmp.Compare(b.Demand, a.Demand) })
+func pack(l *router.Statistics) []byte {
+	slices.SortStableFunc(l.Tables, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
 	for {
 		data, err := memory.Pack(l)
 		if err != nil {
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -43,7 +43,7 @@
 
 // MaintenanceHost is what maintenance needs of its controller.
 type MaintenanceHost struct {
-	Engines func(ctx context.Context) ([]router.EngineNow, error)
+	Engines func(ctx context.Context) ([]router.EngineStatus, error)
 	Hold    func([]router.EngineID)
 	Kinds   []string // names, by number
 	Bounds  [][]router.KindID
@@ -82,7 +82,7 @@
 	lastRequest uint64
 
 	mu          sync.Mutex
-	engines     []router.EngineNow // nil: not known since the last change of what is held
+	engines     []router.EngineStatus // nil: not known since the last change of what is held
 	asking      bool
 	holdChanges int               // how often what is to be held has changed
 	toHold      []router.EngineID // and what it is now
@@ -235,7 +235,7 @@
 }
 
 // currentEngines is what the loop last said of the engines; nil: nothing since the last change of what is held.
-func (j *MaintenanceJob) currentEngines() []router.EngineNow {
+func (j *MaintenanceJob) currentEngines() []router.EngineStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.engines
--- a/internal/fleet/maintenance_hold.go
+++ b/internal/fleet/maintenance_hold.go
@@ -88,8 +88,8 @@
 	}
 	m := maintenanceMessage{Token: uint64(j.heldToken), Serial: j.held.Serial}
 	for _, id := range j.held.Engines {
-		inUse := slices.ContainsFunc(engines, func(e router.EngineNow) bool {
-			return e.Engine == id && (e.State == router.Ready || e.Out > 0)
+		inUse := slices.ContainsFunc(engines, func(e router.EngineStatus) bool {
+			return e.Engine == id && (e.State == router.Ready || e.Attempts > 0)
 		})
 		if !inUse {
 			m.Stopped = append(m.Stopped, id)
--- a/internal/fleet/maintenance_step.go
+++ b/internal/fleet/maintenance_step.go
@@ -54,22 +54,22 @@
 	return j.host.Kinds[k]
 }
 
-func (j *MaintenanceJob) viewEngine(e router.EngineNow) maintenance.Engine {
+func (j *MaintenanceJob) viewEngine(e router.EngineStatus) maintenance.Engine {
 	viewed := maintenance.Engine{
 		ID:     maintenance.EngineID(e.Engine),
 		Zone:   maintenance.Zone(e.Zone),
 		Kind:   maintenance.Kind(j.kindName(e.Kind)),
 		Cores:  e.Cores,
 		Ready:  e.State == router.Ready,
-		Since:  e.Since,
+		Since:  e.StartedAt,
 		WarmAt: e.WarmAt,
 		Load:   min(1, e.Load),
 	}
 	if slices.Contains(j.held.Engines, e.Engine) { // maintenance itself has it drain: whether it is back, the list tells
-		viewed.Ready = e.Listed == router.Ready
+		viewed.Ready = e.ListedState == router.Ready
 	}
 	for _, t := range e.Tables {
-		viewed.Groups = append(viewed.Groups, maintenance.Held{Group: maintenance.Group(t.Tables), Asked: t.Asked, Homes: t.Homes})
+		viewed.Groups = append(viewed.Groups, maintenance.Held{Group: maintenance.Group(t.Tables), Asked: t.Demand, Homes: t.OtherEngines})
 	}
 	return viewed
 }
@@ -182,10 +182,10 @@
 }
 
 // listedState is what the endpoint list says of an engine, whether or not this controller holds it.
-func (j *MaintenanceJob) listedState(id maintenance.EngineID) router.State {
+func (j *MaintenanceJob) listedState(id maintenance.EngineID) router.EngineState {
 	for _, e := range j.currentEngines() {
 		if maintenance.EngineID(e.Engine) == id {
-			return e.Listed
+			return e.ListedState
 		}
 	}
 	return router.Gone
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -31,10 +31,10 @@
 
 // Facts are the settings that the controllers share.
 type Facts struct {
-	Kinds    []router.Kind
-	Profiles []router.Profile
-	Allowed  router.Allowed
-	Guards   router.Guards
+	Kinds    []router.MachineKind
+	Profiles []router.QueryClass
+	Allowed  router.Capabilities
+	Guards   router.SafetyLimits
 }
 
 // Breach is one rule broken, once.
@@ -78,10 +78,10 @@
 
 // life is one run of a controller.
 type life struct {
-	commands       map[router.CommandID]*command
-	lines          map[router.OrderKey][]*command
-	rests          map[router.OrderKey]float64
-	engines        map[router.EngineID]router.Entry
+	commands       map[router.QueryID]*command
+	lines          map[router.OrderingKey][]*command
+	rests          map[router.OrderingKey]float64
+	engines        map[router.EngineID]router.Endpoint
 	taken, resends []float64
 	expired        float64
 	heard          bool // it is subscribed to the list
@@ -90,8 +90,8 @@
 }
 
 type command struct {
-	router.Arrived
-	profile  *router.Profile
+	router.QueryArrived
+	profile  *router.QueryClass
 	at       float64
 	number   int // by arrival
 	deadline float64
@@ -99,13 +99,13 @@
 	sends    []send
 	over     bool
 	began    bool
-	keys     []router.OrderKey
+	keys     []router.OrderingKey
 	rest     float64 // until when nothing follows it, by its own doubtful outcomes
 }
 
 type send struct {
 	at      float64
-	engine  router.Entry
+	engine  router.Endpoint
 	ended   bool
 	outcome router.Outcome
 }
@@ -140,8 +140,8 @@
 
 // Up tells that a controller starts, and knows nothing.
 func (r *Checker) Up(controller int, now float64) {
-	r.lives[controller] = &life{commands: map[router.CommandID]*command{}, lines: map[router.OrderKey][]*command{},
-		rests: map[router.OrderKey]float64{}, engines: map[router.EngineID]router.Entry{}, asked: now,
+	r.lives[controller] = &life{commands: map[router.QueryID]*command{}, lines: map[router.OrderingKey][]*command{},
+		rests: map[router.OrderingKey]float64{}, engines: map[router.EngineID]router.Endpoint{}, asked: now,
 		stop: math.Inf(1)}
 }
 
@@ -171,44 +171,44 @@
 }
 
 // Told takes in what a controller is told in one step; work is what a command needs on one thread, in truth.
-func (r *Checker) Told(controller int, now float64, events []router.Event, work func(router.CommandID) float64) {
+func (r *Checker) Told(controller int, now float64, events []router.Event, work func(router.QueryID) float64) {
 	l := r.lives[controller]
 	for _, event := range events {
 		switch ev := event.(type) {
-		case router.Listed:
+		case router.EndpointsUpdated:
 			l.listed(now, ev)
-		case router.Arrived:
-			c := &command{Arrived: ev, profile: &r.facts.Profiles[ev.Profile], at: now, number: r.Commands,
-				deadline: now + ev.Left - ev.Lined, work: work(ev.ID)}
+		case router.QueryArrived:
+			c := &command{QueryArrived: ev, profile: &r.facts.Profiles[ev.Class], at: now, number: r.Commands,
+				deadline: now + ev.TimeLeft - ev.ClientQueueTime, work: work(ev.ID)}
 			r.Commands++
 			l.commands[ev.ID] = c
 			l.taken = append(l.taken, now)
-			for _, key := range append([]router.OrderKey{ev.Key}, ev.Also...) {
+			for _, key := range append([]router.OrderingKey{ev.Key}, ev.MoreKeys...) {
 				l.stand(c, key)
 			}
-		case router.Keyed:
+		case router.OrderingKeyAdded:
 			if c := l.commands[ev.ID]; c != nil {
 				l.stand(c, ev.Key)
 			}
-		case router.Began:
+		case router.ResponseStarted:
 			if c := l.commands[ev.ID]; c != nil {
 				c.began = true
 			}
-		case router.Ended:
+		case router.AttemptEnded:
 			r.ended(controller, now, l, ev)
-		case router.Left:
+		case router.ClientDisconnected:
 			if c := l.commands[ev.ID]; c != nil {
 				c.over = true
 				l.settle(c)
 			}
-		case router.Stopping:
+		case router.ShutdownStarted:
 			l.stop = now + ev.Within
 		}
 	}
 	r.overdue(controller, now, l)
 }
 
-func (l *life) listed(now float64, ev router.Listed) {
+func (l *life) listed(now float64, ev router.EndpointsUpdated) {
 	if ev.Failed {
 		if l.heard { // until now it was told without asking
 			l.asked = now
@@ -216,35 +216,35 @@
 		l.heard = false
 		return
 	}
-	l.expired = ev.Expired
+	l.expired = ev.ExpiredFor
 	l.heard = l.heard || !ev.Cached
 	named := map[router.EngineID]bool{}
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		l.engines[e.Engine], named[e.Engine] = e, true
 	}
 	for id, e := range l.engines {
-		if ev.Whole && !named[id] {
+		if ev.Complete && !named[id] {
 			e.State = router.Gone
 			l.engines[id] = e
 		}
 	}
 }
 
-func (r *Checker) ended(controller int, now float64, l *life, ev router.Ended) {
+func (r *Checker) ended(controller int, now float64, l *life, ev router.AttemptEnded) {
 	c := l.commands[ev.ID]
-	if c == nil || int(ev.Send) >= len(c.sends) {
+	if c == nil || int(ev.Attempt) >= len(c.sends) {
 		return
 	}
-	s := &c.sends[ev.Send]
+	s := &c.sends[ev.Attempt]
 	s.ended, s.outcome = true, ev.Outcome
-	if ev.Over && !c.over {
-		if r.Answers++; now > c.deadline+r.facts.Guards.Round+slack && !c.began {
+	if ev.QueryDone && !c.over {
+		if r.Answers++; now > c.deadline+r.facts.Guards.EventInterval+slack && !c.began {
 			r.breach(Answered, now, controller, "command %d answered %.1f ms after its timeout", ev.ID, now-c.deadline)
 		}
 		c.over = true
 	}
 	if ev.Outcome.MayRunOn() {
-		c.rest = max(c.rest, now+r.facts.Guards.OrderRest)
+		c.rest = max(c.rest, now+r.facts.Guards.OrderingCooldown)
 	}
 	for _, key := range c.keys {
 		l.rests[key] = max(l.rests[key], c.rest)
@@ -277,8 +277,8 @@
 }
 
 // stand files a command under one more key, by when it came.
-func (l *life) stand(c *command, key router.OrderKey) {
-	if !c.profile.InOrder || key == "" || contains(c.keys, key) {
+func (l *life) stand(c *command, key router.OrderingKey) {
+	if !c.profile.Ordered || key == "" || contains(c.keys, key) {
 		return
 	}
 	c.keys = append(c.keys, key)
@@ -297,13 +297,13 @@
 // controller does in it, so a round is granted.
 func (r *Checker) overdue(controller int, now float64, l *life) {
 	for _, c := range l.commands {
-		if by := c.by(l); !c.over && !c.began && now > by+r.facts.Guards.Round+slack {
+		if by := c.by(l); !c.over && !c.began && now > by+r.facts.Guards.EventInterval+slack {
 			r.breach(Answered, now, controller, "command %d has no answer %.1f ms after its timeout", c.ID, now-by)
 			c.over = true
 			l.settle(c)
 		}
 	}
-	if r.facts.Allowed.MustAsk && !l.heard && now-l.asked > r.facts.Guards.AskWithin {
+	if r.facts.Allowed.PollEndpoints && !l.heard && now-l.asked > r.facts.Guards.PollWithin {
 		r.breach(Drains, now, controller, "has not asked for the list for %.1f ms", now-l.asked)
 		l.asked = now
 	}
@@ -314,32 +314,32 @@
 	l := r.lives[controller]
 	for _, action := range actions {
 		switch a := action.(type) {
-		case router.Send:
+		case router.StartAttempt:
 			r.send(controller, now, l, a)
-		case router.Shed:
+		case router.Reject:
 			r.Sheds++
 			r.final(controller, now, l, a.ID, "shed")
 			if c := l.commands[a.ID]; c != nil {
 				r.mayShed(controller, now, c)
 			}
-			if a.After < 0 || a.After > r.facts.Allowed.MaxRetryAfter+slack || math.IsNaN(a.After) {
-				r.breach(Form, now, controller, "command %d shed for %v ms", a.ID, a.After)
+			if a.RetryAfter < 0 || a.RetryAfter > r.facts.Allowed.MaxRetryAfter+slack || math.IsNaN(a.RetryAfter) {
+				r.breach(Form, now, controller, "command %d shed for %v ms", a.ID, a.RetryAfter)
 			}
 		case router.Fail:
 			r.Fails++
 			r.final(controller, now, l, a.ID, "failed")
-		case router.Cancel:
+		case router.CancelAttempt:
 			c := l.commands[a.ID]
-			if !r.facts.Allowed.Cancel || c != nil && int(a.Send) >= len(c.sends) {
-				r.breach(Form, now, controller, "send %d of command %d cancelled", a.Send, a.ID)
+			if !r.facts.Allowed.Cancel || c != nil && int(a.Attempt) >= len(c.sends) {
+				r.breach(Form, now, controller, "send %d of command %d cancelled", a.Attempt, a.ID)
 			}
-		case router.Probe:
-			if _, known := l.engines[a.Engine]; !known || !r.facts.Allowed.Probes {
+		case router.CheckHealth:
+			if _, known := l.engines[a.Engine]; !known || !r.facts.Allowed.HealthChecks {
 				r.breach(Form, now, controller, "engine %s probed", a.Engine)
 			}
 		case router.Subscribe:
 			l.asked = now
-		case router.Wake:
+		case router.SetTimer:
 			if !(a.After > 0) {
 				r.breach(Form, now, controller, "wakes after %v ms", a.After)
 			}
@@ -347,7 +347,7 @@
 	}
 	for _, action := range actions { // what was over and had no send out is needed no more
 		switch a := action.(type) {
-		case router.Shed:
+		case router.Reject:
 			r.close(l, a.ID)
 		case router.Fail:
 			r.close(l, a.ID)
@@ -355,14 +355,14 @@
 	}
 }
 
-func (r *Checker) close(l *life, id router.CommandID) {
+func (r *Checker) close(l *life, id router.QueryID) {
 	if c := l.commands[id]; c != nil {
 		l.settle(c)
 	}
 }
 
 // final judges a final answer: there is one for each command, in time.
-func (r *Checker) final(controller int, now float64, l *life, id router.CommandID, how string) {
+func (r *Checker) final(controller int, now float64, l *life, id router.QueryID, how string) {
 	c := l.commands[id]
 	switch {
 	case c == nil:
@@ -371,7 +371,7 @@
 		r.breach(Answered, now, controller, "command %d %s after its end", id, how)
 	case c.began:
 		r.breach(Answered, now, controller, "command %d %s though its answer has begun", id, how)
-	case now > c.by(l)+r.facts.Guards.Round+slack:
+	case now > c.by(l)+r.facts.Guards.EventInterval+slack:
 		r.breach(Answered, now, controller, "command %d %s %.1f ms after its timeout", id, how, now-c.by(l))
 	}
 	if c != nil {
@@ -391,13 +391,13 @@
 
 func (r *Checker) mayShed(controller int, now float64, c *command) {
 	p := c.profile
-	if p.Effect == router.NonReplayable && c.doubt() != nil ||
-		p.Effect == router.Uniqued && p.Scope != router.ScopeAll && c.doubt() != nil {
+	if p.Effect == router.NonIdempotent && c.doubt() != nil ||
+		p.Effect == router.Deduplicated && p.Scope != router.ScopeAll && c.doubt() != nil {
 		r.breach(Once, now, controller, "command %d shed though it may have run", c.ID)
 	}
 }
 
-func sameGroup(scope router.Scope, a, b router.Entry) bool {
+func sameGroup(scope router.DeduplicationScope, a, b router.Endpoint) bool {
 	switch scope {
 	case router.ScopeAll:
 		return true
@@ -408,7 +408,7 @@
 }
 
 // send judges one send by all rules that it can break.
-func (r *Checker) send(controller int, now float64, l *life, a router.Send) {
+func (r *Checker) send(controller int, now float64, l *life, a router.StartAttempt) {
 	c, e := l.commands[a.ID], l.engines[a.Engine]
 	if c == nil || c.over {
 		r.breach(Answered, now, controller, "command %d sent after its end", a.ID)
@@ -443,7 +443,7 @@
 	return false
 }
 
-func (r *Checker) drains(controller int, now float64, l *life, c *command, e router.Entry) {
+func (r *Checker) drains(controller int, now float64, l *life, c *command, e router.Endpoint) {
 	if e.State != router.Ready {
 		r.breach(Drains, now, controller, "command %d sent to %s, told to be state %d", c.ID, e.Engine, e.State)
 	}
@@ -451,7 +451,7 @@
 		return
 	}
 	for _, at := range r.drained[e.Engine] {
-		if at >= e.Since && now-at > l.expired && !r.restarted(e.Engine, at) {
+		if at >= e.StartedAt && now-at > l.expired && !r.restarted(e.Engine, at) {
 			r.breach(Drains, now, controller, "command %d sent to %s, which counts as told to drain for %.1f ms", c.ID,
 				e.Engine, now-at)
 		}
@@ -468,30 +468,30 @@
 	return false
 }
 
-func (r *Checker) repeats(controller int, now float64, c *command, e router.Entry) {
+func (r *Checker) repeats(controller int, now float64, c *command, e router.Endpoint) {
 	if len(c.sends) == 0 {
 		return
 	}
 	r.Further++
 	p, doubt := c.profile, c.doubt()
-	if len(c.sends) >= r.facts.Allowed.MaxSends {
+	if len(c.sends) >= r.facts.Allowed.MaxAttempts {
 		r.breach(Form, now, controller, "command %d sent %d times", c.ID, len(c.sends)+1)
 	}
 	for _, s := range c.sends {
-		if !s.ended && !r.facts.Allowed.SecondCopies {
+		if !s.ended && !r.facts.Allowed.Hedging {
 			r.breach(Once, now, controller, "command %d sent while it is out", c.ID)
 			break
 		}
 	}
 	switch {
-	case doubt == nil || p.Effect == router.Replayable:
-	case p.Effect == router.NonReplayable:
+	case doubt == nil || p.Effect == router.Idempotent:
+	case p.Effect == router.NonIdempotent:
 		r.breach(Once, now, controller, "command %d sent again though it may have run", c.ID)
 	case !sameGroup(p.Scope, doubt.engine, e):
 		r.breach(Once, now, controller, "command %d sent out of the group that drops its repeats", c.ID)
-	case now > doubt.at+p.RepeatWindow+slack:
+	case now > doubt.at+p.DeduplicationWindow+slack:
 		r.breach(Once, now, controller, "command %d sent %.1f ms after its window", c.ID,
-			now-doubt.at-p.RepeatWindow)
+			now-doubt.at-p.DeduplicationWindow)
 	}
 }
 
@@ -513,12 +513,12 @@
 
 func (r *Checker) budget(controller int, now float64, l *life, c *command) {
 	g := r.facts.Guards
-	if !g.Budgeted || len(c.sends) == 0 {
+	if !g.RetryBudgeted || len(c.sends) == 0 {
 		return
 	}
 	l.resends = append(l.resends, now)
-	n, most := within(l.resends, now-g.ResendWindow, now), g.ResendFree+g.ResendShare*
-		float64(within(l.taken, now-g.ResendWindow, now))
+	n, most := within(l.resends, now-g.RetryBudgetWindow, now), g.RetryBudgetMin+g.RetryBudgetRatio*
+		float64(within(l.taken, now-g.RetryBudgetWindow, now))
 	if float64(n) > most+slack {
 		r.breach(Budget, now, controller, "%d further sends in the window, %.2f allowed", n, most)
 	}
@@ -536,9 +536,9 @@
 
 // cold judges what all controllers that were told of an engine's start have sent it within the window, as if it had
 // no more than its least capacity.
-func (r *Checker) cold(controller int, now float64, l *life, c *command, e router.Entry) {
+func (r *Checker) cold(controller int, now float64, l *life, c *command, e router.Endpoint) {
 	g := r.facts.Guards
-	if g.ColdMultiple <= 0 || e.Since == 0 || now > e.Since+g.ColdTime {
+	if g.SlowStartOverload <= 0 || e.StartedAt == 0 || now > e.StartedAt+g.SlowStartTime {
 		return
 	}
 	cores := 8.0 // of a kind that the settings don't list
@@ -546,10 +546,10 @@
 		cores = r.facts.Kinds[e.Kind].Cores
 	}
 	r.ColdSends++
-	at := process{e.Engine, e.Since}
+	at := process{e.Engine, e.StartedAt}
 	r.work[at] = append(r.work[at], sent{now, c.work})
-	sum, whole := 0.0, g.ColdMultiple*g.ColdShare*cores*g.ColdWindow
-	for i := len(r.work[at]) - 1; i >= 0 && r.work[at][i].at > now-g.ColdWindow; i-- {
+	sum, whole := 0.0, g.SlowStartOverload*g.SlowStartCapacity*cores*g.SlowStartWindow
+	for i := len(r.work[at]) - 1; i >= 0 && r.work[at][i].at > now-g.SlowStartWindow; i-- {
 		sum += r.work[at][i].work
 	}
 	if sum > whole {
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -45,21 +45,21 @@
 		}
 	}
 	n := float64(t.generation.Load())
-	part, next, more := t.module.Learned(from, most)
+	part, next, more := t.module.Statistics(from, most)
 	for i := range part.Engines {
-		part.Engines[i].Pace, part.Engines[i].At = router.Weighed{Mean: n, Weight: 1}, float64(time.Now().UnixMilli())
+		part.Engines[i].Slowdown, part.Engines[i].At = router.WeightedMean{Mean: n, Weight: 1}, float64(time.Now().UnixMilli())
 	}
 	return memory.Part{Learned: part, Next: next, More: more}, nil
 }
 
 func newTeacher(kept func(int64)) *teacher {
-	entries := make([]router.Entry, Records)
+	entries := make([]router.Endpoint, Records)
 	for i := range entries {
-		entries[i] = router.Entry{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Kind: -1}
+		entries[i] = router.Endpoint{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Kind: -1}
 	}
 	t := &teacher{kept: kept,
-		module: router.New(1, router.Place{}, nil, nil, nil, router.Allowed{}, router.Guards{})}
-	t.module.Step(1, []router.Event{router.Listed{Whole: true, Entries: entries}})
+		module: router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{})}
+	t.module.Step(1, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: entries}})
 	return t
 }
 
@@ -173,9 +173,9 @@
 		t.Corrupt++
 		return
 	}
-	generation := l.Engines[0].Pace.Mean
+	generation := l.Engines[0].Slowdown.Mean
 	for _, e := range l.Engines {
-		if e.Pace.Mean != generation {
+		if e.Slowdown.Mean != generation {
 			t.Corrupt++
 			return
 		}
--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -80,15 +80,15 @@
 
 // outcomeFeatures are the features of outcomes.
 var outcomeFeatures = map[router.Outcome]feature{
-	router.Answered:  attemptAnswered,
-	router.Errored:   attemptErrored,
-	router.Full:      attemptFull,
-	router.TimedOut:  attemptTimedOut,
-	router.Refused:   attemptRefused,
-	router.Reset:     attemptReset,
-	router.Cancelled: attemptEndedCancelled,
-	router.NotSent:   attemptNotSent,
-	router.Withdrawn: attemptWithdrawn,
+	router.Succeeded:       attemptAnswered,
+	router.Errored:         attemptErrored,
+	router.EngineFull:      attemptFull,
+	router.TimedOut:        attemptTimedOut,
+	router.ConnectFailed:   attemptRefused,
+	router.ConnectionReset: attemptReset,
+	router.Cancelled:       attemptEndedCancelled,
+	router.NotSent:         attemptNotSent,
+	router.Withdrawn:       attemptWithdrawn,
 }
 
 // coverage counts features.
@@ -111,59 +111,59 @@
 	c := &m.recording.counts
 	for _, event := range events {
 		switch ev := event.(type) {
-		case router.Listed:
+		case router.EndpointsUpdated:
 			c.countList(ev)
-		case router.Arrived:
+		case router.QueryArrived:
 			c.countArrival(ev)
-		case router.Keyed:
+		case router.OrderingKeyAdded:
 			c.add(keyAdded, true)
-		case router.Began:
+		case router.ResponseStarted:
 			c.add(answerBegan, true)
-		case router.Noted:
+		case router.AttemptProgress:
 			c.add(attemptNoted, true)
-		case router.Ended:
+		case router.AttemptEnded:
 			c.add(attemptEnded, true)
 			c.add(outcomeFeatures[ev.Outcome], true)
 			if n, known := m.attempts[ev.ID]; known {
 				n.running--
 				m.attempts[ev.ID] = n
 			}
-		case router.Left:
+		case router.ClientDisconnected:
 			c.add(clientLeft, true)
-		case router.Probed:
+		case router.HealthCheckEnded:
 			c.add(probeEnded, true)
-		case router.Recalled:
+		case router.StatisticsRestored:
 			c.add(statisticsRecalled, true)
-		case router.Stopping:
+		case router.ShutdownStarted:
 			c.add(stopPlanned, true)
-		case router.Woke:
+		case router.TimerFired:
 			c.add(timerFired, true)
 		}
 	}
 }
 
-func (c *coverage) countList(ev router.Listed) {
-	c.add(listWhole, ev.Whole)
+func (c *coverage) countList(ev router.EndpointsUpdated) {
+	c.add(listWhole, ev.Complete)
 	c.add(listCached, ev.Cached)
 	c.add(listFailed, ev.Failed)
-	c.add(listExpired, ev.Expired > 0)
-	c.add(listChanged, !ev.Whole && len(ev.Entries) > 0)
-	for _, entry := range ev.Entries {
+	c.add(listExpired, ev.ExpiredFor > 0)
+	c.add(listChanged, !ev.Complete && len(ev.Endpoints) > 0)
+	for _, entry := range ev.Endpoints {
 		c.add(engineDraining, entry.State == router.Draining)
 		c.add(engineGone, entry.State == router.Gone)
-		c.add(engineStarted, entry.State == router.Ready && entry.Since > 0)
+		c.add(engineStarted, entry.State == router.Ready && entry.StartedAt > 0)
 	}
 }
 
-func (c *coverage) countArrival(ev router.Arrived) {
+func (c *coverage) countArrival(ev router.QueryArrived) {
 	c.add(queryArrived, true)
 	c.add(queryWithKey, ev.Key != "")
-	c.add(queryWithMoreKeys, len(ev.Also) > 0)
+	c.add(queryWithMoreKeys, len(ev.MoreKeys) > 0)
 	c.add(queryOfTenant, ev.Tenant >= 0)
-	c.add(queryWithEstimate, ev.Estimate > 0)
-	c.add(queryWithCappedEstimate, ev.Most > 0)
-	c.add(queryWaited, ev.Waited > 0)
-	c.add(queryLined, ev.Lined > 0)
+	c.add(queryWithEstimate, ev.EstimatedWork > 0)
+	c.add(queryWithCappedEstimate, ev.EstimateCap > 0)
+	c.add(queryWaited, ev.InboxWait > 0)
+	c.add(queryLined, ev.ClientQueueTime > 0)
 	c.add(queryNarrowed, ev.Kinds != nil || ev.Zones != nil)
 	c.add(queryHot, ev.Hot)
 }
--- a/internal/lab/recorded/encoder_test.go
+++ b/internal/lab/recorded/encoder_test.go
@@ -74,27 +74,27 @@
 
 func (e *encoder) action(action router.Action) {
 	switch a := action.(type) {
-	case router.Send:
+	case router.StartAttempt:
 		e.tag(tagSend)
 		e.integer(int64(a.ID))
 		e.text(string(a.Engine))
-		e.number(a.Until)
-		e.number(a.Begin)
-	case router.Cancel:
+		e.number(a.Deadline)
+		e.number(a.StartBy)
+	case router.CancelAttempt:
 		e.tag(tagCancel)
 		e.integer(int64(a.ID))
-		e.integer(int64(a.Send))
-	case router.Shed:
+		e.integer(int64(a.Attempt))
+	case router.Reject:
 		e.tag(tagShed)
 		e.integer(int64(a.ID))
-		e.number(a.After)
+		e.number(a.RetryAfter)
 	case router.Fail:
 		e.tag(tagFail)
 		e.integer(int64(a.ID))
-	case router.Wake:
+	case router.SetTimer:
 		e.tag(tagWake)
 		e.number(a.After)
-	case router.Probe:
+	case router.CheckHealth:
 		e.tag(tagProbe)
 		e.text(string(a.Engine))
 	case router.Subscribe:
@@ -104,72 +104,72 @@
 	}
 }
 
-func (e *encoder) weighed(w router.Weighed) {
+func (e *encoder) weighed(w router.WeightedMean) {
 	e.number(w.Mean)
 	e.number(w.Weight)
 }
 
 // learned encodes what a controller has learned.
-func (e *encoder) learned(l router.Learned) {
+func (e *encoder) learned(l router.Statistics) {
 	e.tag(tagLearned)
 	e.integer(int64(len(l.Engines)))
 	for _, x := range l.Engines {
 		e.number(x.At)
 		e.text(string(x.Engine))
-		e.number(x.Since)
-		e.weighed(x.Pace)
-		e.number(x.Width)
+		e.number(x.StartedAt)
+		e.weighed(x.Slowdown)
+		e.number(x.ThreadsPerCore)
 		e.integer(int64(x.Outcomes))
-		e.text(string(x.Lead))
+		e.text(string(x.PoolLeader))
 	}
 	e.integer(int64(len(l.Tables)))
 	for _, x := range l.Tables {
 		e.number(x.At)
 		e.integer(int64(x.Tables))
 		e.number(x.Demand)
-		e.number(x.Held)
-		e.integer(int64(len(x.Homes)))
-		for _, home := range x.Homes {
+		e.number(x.MemoryTime)
+		e.integer(int64(len(x.PoolLeaders)))
+		for _, home := range x.PoolLeaders {
 			e.text(string(home))
 		}
 	}
-	e.integer(int64(len(l.Profiles)))
-	for _, x := range l.Profiles {
+	e.integer(int64(len(l.Classes)))
+	for _, x := range l.Classes {
 		e.number(x.At)
-		e.integer(int64(x.Profile))
-		e.number(x.FullLeft)
-		e.number(x.Best)
+		e.integer(int64(x.Class))
+		e.number(x.FirstTryTimeout)
+		e.number(x.UnloadedTime)
 		e.weighed(x.WorkScale)
-		e.weighed(x.NeedScale)
+		e.weighed(x.MemoryScale)
 	}
 	e.integer(int64(len(l.Traffic)))
 	for _, x := range l.Traffic {
 		e.number(x.At)
-		e.weighed(x.Part)
+		e.weighed(x.Share)
 	}
 	e.flush()
 }
 
 // engines encodes what a controller knows of its engines just now.
-func (e *encoder) engines(list []router.EngineNow) {
+func (e *encoder) engines(list []router.EngineStatus) {
 	e.tag(tagEngines)
 	e.integer(int64(len(list)))
 	for _, x := range list {
 		e.text(string(x.Engine))
 		e.integer(int64(x.State))
-		e.integer(int64(x.Listed))
+		e.integer(int64(x.ListedState))
 		e.text(string(x.Zone))
 		e.integer(int64(x.Kind))
-		e.number(x.Since)
+		e.number(x.StartedAt)
 		e.number(x.WarmAt)
 		e.number(x.Cores)
 		e.number(x.Load)
-		e.integer(int64(x.Out))
+		e.integer(int64(x.Attempts))
 		e.integer(int64(len(x.Tables)))
 		for _, t := range x.Tables {
 			e.integer(int64(t.Tables))
-			e.number(t.Asked)
-			e.integer(int64(t.Homes))
+			e.number(t.Demand)
+			e.integer(int64(t.OtherEngines))
 		}
 	}
 	e.flush()
@@ -180,23 +180,23 @@
 	c := &m.recording.counts
 	for _, action := range actions {
 		switch a := action.(type) {
-		case router.Send:
+		case router.StartAttempt:
 			c.add(attemptStarted, true)
-			c.add(attemptWithLatestBegin, a.Begin > 0)
+			c.add(attemptWithLatestBegin, a.StartBy > 0)
 			n := m.attempts[a.ID]
 			c.add(retry, n.started > 0)
 			c.add(secondCopy, n.running > 0)
 			m.attempts[a.ID] = attempts{started: n.started + 1, running: n.running + 1}
-		case router.Cancel:
+		case router.CancelAttempt:
 			c.add(attemptCancelled, true)
-		case router.Shed:
+		case router.Reject:
 			c.add(queryShed, true)
-			c.add(queryShedWithWait, a.After > 0)
+			c.add(queryShedWithWait, a.RetryAfter > 0)
 		case router.Fail:
 			c.add(queryFailed, true)
-		case router.Wake:
+		case router.SetTimer:
 			c.add(timerSet, true)
-		case router.Probe:
+		case router.CheckHealth:
 			c.add(engineProbed, true)
 		case router.Subscribe:
 			c.add(listSubscribed, true)
--- a/internal/lab/recorded/recorded_test.go
+++ b/internal/lab/recorded/recorded_test.go
@@ -118,27 +118,27 @@
 
 // A recording notices each single change of an action: another kind, value, order, time or number of them.
 func TestEncoderTellsActionsApart(t *testing.T) {
-	send := router.Send{ID: 1, Engine: "a", Until: 2, Begin: 3}
+	send := router.StartAttempt{ID: 1, Engine: "a", Deadline: 2, StartBy: 3}
 	steps := [][]router.Action{
 		nil,
 		{send},
 		{send, send},
-		{router.Send{ID: 2, Engine: "a", Until: 2, Begin: 3}},
-		{router.Send{ID: 1, Engine: "b", Until: 2, Begin: 3}},
-		{router.Send{ID: 1, Engine: "a", Until: 2.0000000000000004, Begin: 3}},
-		{router.Send{ID: 1, Engine: "a", Until: 2, Begin: 4}},
-		{router.Cancel{ID: 1}},
-		{router.Cancel{ID: 1, Send: 1}},
-		{router.Shed{ID: 1}},
-		{router.Shed{ID: 1, After: 1}},
+		{router.StartAttempt{ID: 2, Engine: "a", Deadline: 2, StartBy: 3}},
+		{router.StartAttempt{ID: 1, Engine: "b", Deadline: 2, StartBy: 3}},
+		{router.StartAttempt{ID: 1, Engine: "a", Deadline: 2.0000000000000004, StartBy: 3}},
+		{router.StartAttempt{ID: 1, Engine: "a", Deadline: 2, StartBy: 4}},
+		{router.CancelAttempt{ID: 1}},
+		{router.CancelAttempt{ID: 1, Attempt: 1}},
+		{router.Reject{ID: 1}},
+		{router.Reject{ID: 1, RetryAfter: 1}},
 		{router.Fail{ID: 1}},
 		{router.Fail{ID: 2}},
 		{router.Fail{ID: 1}, router.Fail{ID: 2}},
 		{router.Fail{ID: 2}, router.Fail{ID: 1}},
-		{router.Wake{After: 1}},
-		{router.Wake{After: 2}},
-		{router.Probe{Engine: "a"}},
-		{router.Probe{Engine: "b"}},
+		{router.SetTimer{After: 1}},
+		{router.SetTimer{After: 2}},
+		{router.CheckHealth{Engine: "a"}},
+		{router.CheckHealth{Engine: "b"}},
 		{router.Subscribe{}},
 	}
 	seen := map[uint64]bool{}
--- a/internal/lab/recorded/recorder_test.go
+++ b/internal/lab/recorded/recorder_test.go
@@ -36,7 +36,7 @@
 	*router.Router
 	recording *recording
 	number    int // of the controller
-	attempts  map[router.CommandID]attempts
+	attempts  map[router.QueryID]attempts
 	tenants   int // events are given tenants if it is above 0
 }
 
@@ -44,13 +44,13 @@
 type attempts struct{ started, running int }
 
 // module makes a recorded module.
-func (r *recording) module(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile,
-	tenants []router.Tenant, allowed router.Allowed, guards router.Guards) *module {
+func (r *recording) module(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass,
+	tenants []router.Tenant, allowed router.Capabilities, guards router.SafetyLimits) *module {
 	return &module{
 		Router:    router.New(seed, place, kinds, profiles, tenants, allowed, guards),
 		recording: r,
-		number:    place.Number,
-		attempts:  map[router.CommandID]attempts{},
+		number:    place.Index,
+		attempts:  map[router.QueryID]attempts{},
 		tenants:   len(tenants),
 	}
 }
@@ -65,7 +65,7 @@
 	r.encoder.step(m.number, now, actions)
 	if len(r.running)%readInterval == 0 {
 		r.encoder.learned(m.takeOut())
-		r.encoder.engines(m.EnginesNow())
+		r.encoder.engines(m.EngineStatuses())
 	}
 	r.actions += len(actions)
 	r.running = append(r.running, uint16(r.encoder.sum()))
@@ -73,10 +73,10 @@
 }
 
 // takeOut is all that the module has learned.
-func (m *module) takeOut() (all router.Learned) {
+func (m *module) takeOut() (all router.Statistics) {
 	for from, more := (router.Cursor{}), true; more; {
-		var part router.Learned
-		part, from, more = m.Learned(from, learnedPart)
+		var part router.Statistics
+		part, from, more = m.Statistics(from, learnedPart)
 		all.Add(part)
 	}
 	return all
@@ -89,7 +89,7 @@
 	}
 	changed := slices.Clone(events)
 	for i, event := range changed {
-		if ev, arrived := event.(router.Arrived); arrived {
+		if ev, arrived := event.(router.QueryArrived); arrived {
 			spread := uint32(ev.ID) * 2654435761 >> 16
 			ev.Tenant = router.TenantID(int(spread)%(m.tenants+1) - 1)
 			changed[i] = ev
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -48,35 +48,35 @@
 	f := &s.Facts
 	var tenants []router.Tenant
 	if seed%4 == 1 {
-		f.Guards.OverShare = 0.2
+		f.Guards.OverQuotaBenefit = 0.2
 		tenants = tenantsOf(s.Rate)
 	}
 	if seed%6 == 4 {
 		allowSecondCopies(f)
 	}
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
-	r.counts.add(sceneWithRetryBudget, f.Guards.Budgeted)
-	r.counts.add(sceneWithMustAsk, f.Allowed.MustAsk)
+	r.counts.add(sceneWithRetryBudget, f.Guards.RetryBudgeted)
+	r.counts.add(sceneWithMustAsk, f.Allowed.PollEndpoints)
 	r.counts.add(sceneWithSlowStart, s.Young)
 	r.counts.add(sceneWithAbsurdReports, s.Absurd)
 	r.counts.add(sceneWithHostileStatistics, s.Memory == simulation.Hostile)
-	simulation.Play(s, func(seed int64, place router.Place) simulation.Controller {
+	simulation.Play(s, func(seed int64, place router.Identity) simulation.Controller {
 		return r.module(seed, place, f.Kinds, f.Profiles, tenants, f.Allowed, f.Guards)
 	})
 }
 
 // allowSecondCopies has attempts report progress often, and one that stops to do so runs on beside a second copy.
 func allowSecondCopies(f *checker.Facts) {
-	f.Allowed.SecondCopies, f.Allowed.Cancel = true, false
-	f.Allowed.NotePace = 60
-	f.Allowed.MaxSends = max(3, f.Allowed.MaxSends)
-	f.Profiles[0].Effect = router.Replayable
-	f.Profiles[0].Timeout = max(3000, f.Profiles[0].Timeout)
+	f.Allowed.Hedging, f.Allowed.Cancel = true, false
+	f.Allowed.ProgressInterval = 60
+	f.Allowed.MaxAttempts = max(3, f.Allowed.MaxAttempts)
+	f.Profiles[0].Effect = router.Idempotent
+	f.Profiles[0].ClientTimeout = max(3000, f.Profiles[0].ClientTimeout)
 }
 
 // tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the shares.
 func tenantsOf(rate float64) []router.Tenant {
-	return []router.Tenant{{}, {PerSecond: rate / 10}, {PerSecond: rate / 5}}
+	return []router.Tenant{{}, {QueriesPerSecond: rate / 10}, {QueriesPerSecond: rate / 5}}
 }
 
 // stepScenes are fleets that are kept idle, busy or full.
@@ -105,8 +105,8 @@
 		tenants = tenantsOf(500)
 	}
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
-	steps.New(s, func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, _ []router.Tenant,
-		allowed router.Allowed, guards router.Guards) steps.Module {
+	steps.New(s, func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, _ []router.Tenant,
+		allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
 		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
 	}).Run(taken)
 }
@@ -122,8 +122,8 @@
 }
 
 func pressed(r *recording, p steps.Pressed) {
-	p.Play(func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-		allowed router.Allowed, guards router.Guards) steps.Module {
+	p.Play(func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+		allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
 		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
 	})
 }
@@ -132,22 +132,22 @@
 type anyEventsRun struct {
 	rng    *rand.Rand
 	now    float64 // ms
-	serial router.CommandID
+	serial router.QueryID
 }
 
 // anyEvents plays such a module; outcomes hit an attempt by chance.
 func anyEvents(r *recording, seed int64) {
 	const taken = 400
 	run := &anyEventsRun{rng: rand.New(rand.NewSource(seed)), now: 1e6}
-	allowed := router.Allowed{Cancel: true, Probes: true, SecondCopies: true, RetryAfter: true, MaxSends: 4,
-		MaxRetryAfter: 300, NotePace: 50, MustAsk: seed%2 == 1}
-	guards := router.Guards{ColdShare: 0.3, ColdTime: 3000, ColdMultiple: 4, ColdWindow: 1000, OrderRest: 100, Budgeted: true,
-		ResendFree: 3, ResendShare: 0.2, ResendWindow: 1000, AskWithin: 7000, OverShare: 0.2}
-	r.counts.add(sceneWithRetryBudget, guards.Budgeted)
-	r.counts.add(sceneWithMustAsk, allowed.MustAsk)
-	m := r.module(seed, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
+	allowed := router.Capabilities{Cancel: true, HealthChecks: true, Hedging: true, RetryAfter: true, MaxAttempts: 4,
+		MaxRetryAfter: 300, ProgressInterval: 50, PollEndpoints: seed%2 == 1}
+	guards := router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4, SlowStartWindow: 1000, OrderingCooldown: 100, RetryBudgeted: true,
+		RetryBudgetMin: 3, RetryBudgetRatio: 0.2, RetryBudgetWindow: 1000, PollWithin: 7000, OverQuotaBenefit: 0.2}
+	r.counts.add(sceneWithRetryBudget, guards.RetryBudgeted)
+	r.counts.add(sceneWithMustAsk, allowed.PollEndpoints)
+	m := r.module(seed, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
 		steps.Profiles(2000), tenantsOf(200), allowed, guards)
-	m.Step(run.now, []router.Event{router.Listed{Whole: true, Entries: run.entries(16, router.Ready)}})
+	m.Step(run.now, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: run.entries(16, router.Ready)}})
 	for range taken {
 		run.now += 10 * run.rng.Float64()
 		var events []router.Event
@@ -156,18 +156,18 @@
 		}
 		m.Step(run.now, events)
 	}
-	m.Step(run.now, []router.Event{router.Stopping{Within: 100}})
+	m.Step(run.now, []router.Event{router.ShutdownStarted{Within: 100}})
 	m.Step(run.now+110, nil)
 }
 
 // entries are a number of engines in a state.
-func (run *anyEventsRun) entries(n int, state router.State) (list []router.Entry) {
+func (run *anyEventsRun) entries(n int, state router.EngineState) (list []router.Endpoint) {
 	for i := range n {
 		since := 0.0
 		if run.rng.Intn(4) == 0 {
 			since = run.now - 100*run.rng.Float64()
 		}
-		list = append(list, router.Entry{Engine: engineID(i), State: state, Zone: "z", Kind: router.KindID(i % 2), Since: since})
+		list = append(list, router.Endpoint{Engine: engineID(i), State: state, Zone: "z", Kind: router.KindID(i % 2), StartedAt: since})
 	}
 	return list
 }
@@ -175,45 +175,45 @@
 func engineID(i int) router.EngineID { return router.EngineID(fmt.Sprintf("e%02d", i)) }
 
 // recent is the id of a recent query, which may have ended.
-func (run *anyEventsRun) recent() router.CommandID {
-	return run.serial - router.CommandID(run.rng.Intn(20))
+func (run *anyEventsRun) recent() router.QueryID {
+	return run.serial - router.QueryID(run.rng.Intn(20))
 }
 
-func (run *anyEventsRun) key() router.OrderKey {
-	return router.OrderKey(fmt.Sprint("k", run.rng.Intn(9)))
+func (run *anyEventsRun) key() router.OrderingKey {
+	return router.OrderingKey(fmt.Sprint("k", run.rng.Intn(9)))
 }
 
 // event draws an event.
 func (run *anyEventsRun) event() router.Event {
 	rng := run.rng
-	send := router.SendID(rng.Intn(2) * rng.Intn(3))
+	send := router.AttemptID(rng.Intn(2) * rng.Intn(3))
 	switch x := rng.Intn(100); {
 	case x < 45:
 		return run.arrival()
 	case x < 80:
-		outcome := router.Answered
+		outcome := router.Succeeded
 		if rng.Intn(3) == 0 {
 			outcome = router.Outcome(rng.Intn(int(router.Withdrawn) + 1))
 		}
-		return router.Ended{ID: run.recent(), Send: send, Outcome: outcome, Over: outcome == router.Answered,
-			Took: 50 * rng.Float64(), Work: 30 * rng.Float64(), Load: run.load()}
+		return router.AttemptEnded{ID: run.recent(), Attempt: send, Outcome: outcome, QueryDone: outcome == router.Succeeded,
+			Elapsed: 50 * rng.Float64(), Work: 30 * rng.Float64(), Load: run.load()}
 	case x < 84:
-		return router.Noted{ID: run.recent(), Send: send, What: router.NoteKind(rng.Intn(5)), Level: rng.Float64()}
+		return router.AttemptProgress{ID: run.recent(), Attempt: send, Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()}
 	case x < 87:
-		return router.Left{ID: run.recent()}
+		return router.ClientDisconnected{ID: run.recent()}
 	case x < 89:
-		return router.Keyed{ID: run.recent(), Key: run.key()}
+		return router.OrderingKeyAdded{ID: run.recent(), Key: run.key()}
 	case x < 91:
-		return router.Began{ID: run.recent(), Send: send}
+		return router.ResponseStarted{ID: run.recent(), Attempt: send}
 	case x < 94:
-		return router.Probed{Engine: engineID(rng.Intn(20)), Outcome: router.Outcome(4 * rng.Intn(2)), Load: run.load()}
+		return router.HealthCheckEnded{Engine: engineID(rng.Intn(20)), Outcome: router.Outcome(4 * rng.Intn(2)), Load: run.load()}
 	case x < 98:
-		states := []router.State{router.Ready, router.Ready, router.Draining, router.Gone}
-		return router.Listed{Entries: run.entries(1+rng.Intn(12), states[rng.Intn(len(states))])}
+		states := []router.EngineState{router.Ready, router.Ready, router.Draining, router.Gone}
+		return router.EndpointsUpdated{Endpoints: run.entries(1+rng.Intn(12), states[rng.Intn(len(states))])}
 	case x < 99:
-		return router.Listed{Failed: true}
+		return router.EndpointsUpdated{Failed: true}
 	default:
-		return router.Listed{Expired: 1000}
+		return router.EndpointsUpdated{ExpiredFor: 1000}
 	}
 }
 
@@ -221,23 +221,23 @@
 func (run *anyEventsRun) arrival() router.Event {
 	rng := run.rng
 	run.serial++
-	ev := router.Arrived{ID: run.serial, Tenant: -1, Profile: router.ProfileID(rng.Intn(4)),
-		Tables: router.TableGroup(rng.Intn(12)), Left: 300 + 1700*rng.Float64(), Estimate: 60 * rng.Float64(),
-		NeedMB: 2000 * rng.Float64(), Hot: rng.Intn(20) == 0}
+	ev := router.QueryArrived{ID: run.serial, Tenant: -1, Class: router.ClassID(rng.Intn(4)),
+		Tables: router.TableGroup(rng.Intn(12)), TimeLeft: 300 + 1700*rng.Float64(), EstimatedWork: 60 * rng.Float64(),
+		EstimatedMemoryMB: 2000 * rng.Float64(), Hot: rng.Intn(20) == 0}
 	if rng.Intn(2) == 0 {
 		ev.Key = run.key()
 	}
 	if rng.Intn(10) == 0 {
-		ev.Most = 20 * rng.Float64()
+		ev.EstimateCap = 20 * rng.Float64()
 	}
 	return ev
 }
 
 // load draws a report, or none.
-func (run *anyEventsRun) load() *router.Load {
+func (run *anyEventsRun) load() *router.LoadReport {
 	rng := run.rng
 	if rng.Intn(2) == 0 {
 		return nil
 	}
-	return &router.Load{Inflight: 10 * rng.Float64(), Util: rng.Float64(), Memory: rng.Float64(), Disk: rng.Float64()}
+	return &router.LoadReport{Inflight: 10 * rng.Float64(), Utilization: rng.Float64(), Memory: rng.Float64(), Disk: rng.Float64()}
 }
--- a/internal/lab/reference/learned.go
+++ b/internal/lab/reference/learned.go
@@ -17,45 +17,45 @@
 }
 
 // refill is a decaying mean as it would stand had it just been learned.
-func refill(w Weighed, life, now, least, most float64) decay {
+func refill(w WeightedMean, life, now, least, most float64) decay {
 	n := sane(w.Weight, 0, mostWeight)
 	return decay{life: life, at: now, sum: sane(w.Mean, least, most) * n, n: n}
 }
 
 // recall puts in what an earlier run of this controller learned. Whatever this run has learned itself stands, an
 // engine of which another process is remembered is passed over, and no figure is taken past its bounds.
-func (r *Router) recall(l Learned) {
+func (r *Router) recall(l Statistics) {
 	sets := map[EngineID]*owner{} // engines that had the same owner
 	for _, m := range l.Engines {
 		e := r.engines[m.Engine]
-		if e == nil || e.state != Ready || max(e.since, 0) != m.Since {
+		if e == nil || e.state != Ready || max(e.since, 0) != m.StartedAt {
 			continue
 		}
 		if e.slow.n == 0 && e.outcomes == math.MaxUint64 && e.width == startWidth {
-			e.slow = refill(m.Pace, e.slow.life, r.now, 0, mostPace)
+			e.slow = refill(m.Slowdown, e.slow.life, r.now, 0, mostPace)
 			e.outcomes = math.MaxUint64&^0xff | uint64(m.Outcomes)
-			e.width = sane(m.Width, leastWidth, mostWidth)
+			e.width = sane(m.ThreadsPerCore, leastWidth, mostWidth)
 		}
-		if m.Lead != "" {
-			if sets[m.Lead] == nil {
-				sets[m.Lead] = &owner{}
+		if m.PoolLeader != "" {
+			if sets[m.PoolLeader] == nil {
+				sets[m.PoolLeader] = &owner{}
 			}
-			sets[m.Lead].engines = append(sets[m.Lead].engines, e)
+			sets[m.PoolLeader].engines = append(sets[m.PoolLeader].engines, e)
 		}
 	}
-	for _, m := range l.Profiles {
-		if m.Profile < 0 || int(m.Profile) >= len(r.profiles) || r.profiles[m.Profile].unit.n > 0 {
+	for _, m := range l.Classes {
+		if m.Class < 0 || int(m.Class) >= len(r.profiles) || r.profiles[m.Class].unit.n > 0 {
 			continue
 		}
-		p := r.profiles[m.Profile]
-		p.fullLeft = max(p.fullLeft, sane(m.FullLeft, 0, p.Timeout))
-		p.best, p.hearsayAt = sane(m.Best, 0, p.Timeout), r.now
+		p := r.profiles[m.Class]
+		p.fullLeft = max(p.fullLeft, sane(m.FirstTryTimeout, 0, p.ClientTimeout))
+		p.best, p.hearsayAt = sane(m.UnloadedTime, 0, p.ClientTimeout), r.now
 		p.workScale = refill(m.WorkScale, scaleLife, r.now, 1/mostScale, mostScale)
-		p.needScale = refill(m.NeedScale, scaleLife, r.now, 1/mostScale, mostScale)
+		p.needScale = refill(m.MemoryScale, scaleLife, r.now, 1/mostScale, mostScale)
 	}
 	for _, m := range l.Traffic {
 		if r.share.n == 0 {
-			r.share = refill(m.Part, shareLife, r.now, 0, 1)
+			r.share = refill(m.Share, shareLife, r.now, 0, 1)
 		}
 	}
 	for _, m := range l.Tables {
@@ -64,10 +64,10 @@
 			continue
 		}
 		g.known, g.asked = true, r.now
-		demand, held := sane(m.Demand, 0, mostRate), sane(m.Held, 0, mostRate*mostRate)
+		demand, held := sane(m.Demand, 0, mostRate), sane(m.MemoryTime, 0, mostRate*mostRate)
 		g.demand.add(r.now, demand*demandLife/math.Ln2, 1)
 		g.held.add(r.now, held*demandLife/math.Ln2, 1)
-		for k, lead := range m.Homes {
+		for k, lead := range m.PoolLeaders {
 			if k < len(g.homes) && sets[lead] != nil {
 				g.homes[k] = sets[lead]
 			}
--- a/internal/lab/reference/router.go
+++ b/internal/lab/reference/router.go
@@ -33,13 +33,13 @@
 // alone is the time that c would take on an idle engine, as far as is known.
 func (p *profile) alone(c *command, now float64) float64 {
 	if p.best == 0 && c.estimate <= 0 {
-		return p.Target / 2
+		return p.LatencyObjective / 2
 	}
 	return cmp.Or(p.best, 1) * p.unitOf(c, now)
 }
 
 // usualWork leans high while little is known: it guards cold engines, where too low a guess breaks a rule.
-func (p *profile) usualWork(now float64) float64 { return p.work.mean(now, p.Timeout/3, 1) }
+func (p *profile) usualWork(now float64) float64 { return p.work.mean(now, p.ClientTimeout/3, 1) }
 
 // coldWork is what c counts for at a cold engine: as its profile usually does, more if its estimate says so.
 func (c *command) coldWork(now float64) float64 { return max(c.profile.usualWork(now), c.stated) }
@@ -50,7 +50,7 @@
 	p := c.profile
 	return e.state == Ready && r.listHolds(e) && allows(p.Kinds, e.kind) && allows(p.Zones, e.zone) &&
 		allows(c.kinds, e.kind) && allows(c.zones, e.zone) && r.mayStart(c) &&
-		(c.doubt == nil || p.Effect == Replayable || scopeHolds(p.Scope, c.doubt, e)) && r.coldAllows(c, e)
+		(c.doubt == nil || p.Effect == Idempotent || scopeHolds(p.Scope, c.doubt, e)) && r.coldAllows(c, e)
 }
 
 // listHolds tells whether the list may be trusted of e. Once expired, it may for one that answered what was
@@ -80,24 +80,24 @@
 // endBy is when a command is ended at the latest: before its client timeout, and before a planned end of this
 // controller, so that who cannot be done by then is told at once and can try another.
 func (r *Router) endBy(c *command) float64 {
-	return min(c.timeout, r.stopAt) - roundsToEnd*r.guards.Round - 5
+	return min(c.timeout, r.stopAt) - roundsToEnd*r.guards.EventInterval - 5
 }
 
 // spent tells that no further send of c can ever be allowed.
 func (r *Router) spent(c *command) bool {
 	p := c.profile
-	return len(c.sends) >= r.allowed.MaxSends || c.doubt != nil && (p.Effect == NonReplayable ||
-		p.Effect == Uniqued && r.now > p.repeatBy(c.doubtAt))
+	return len(c.sends) >= r.allowed.MaxAttempts || c.doubt != nil && (p.Effect == NonIdempotent ||
+		p.Effect == Deduplicated && r.now > p.repeatBy(c.doubtAt))
 }
 
 // repeatBy is the latest that a repeat may go out of what first did at a time, for engines to know it as one.
-func (p *profile) repeatBy(first float64) float64 { return first + p.RepeatWindow - netSlack }
+func (p *profile) repeatBy(first float64) float64 { return first + p.DeduplicationWindow - netSlack }
 
 // budgetAllows counts resends over a little more, and commands taken over a little less, than the window.
 func (r *Router) budgetAllows() bool {
 	g := r.guards
-	return !g.Budgeted || r.resends.since(r.now-g.ResendWindow-netSlack)+1 <=
-		g.ResendFree+g.ResendShare*r.taken.since(r.now-g.ResendWindow+netSlack)
+	return !g.RetryBudgeted || r.resends.since(r.now-g.RetryBudgetWindow-netSlack)+1 <=
+		g.RetryBudgetMin+g.RetryBudgetRatio*r.taken.since(r.now-g.RetryBudgetWindow+netSlack)
 }
 
 // coldPart is this controller's part of what a cold engine may be sent within the window, as if it had its
@@ -105,15 +105,15 @@
 // take turns by number, engine and time since its start, at parts for small, middling and large commands.
 func (r *Router) coldPart(e *engine) float64 {
 	g := r.guards
-	if r.now > e.since+g.ColdTime+netSlack || g.ColdMultiple <= 0 {
+	if r.now > e.since+g.SlowStartTime+netSlack || g.SlowStartOverload <= 0 {
 		return math.Inf(1)
 	}
-	whole := coldShareUsed * g.ColdMultiple * g.ColdShare * e.cores * g.ColdWindow
+	whole := coldShareUsed * g.SlowStartOverload * g.SlowStartCapacity * e.cores * g.SlowStartWindow
 	if whole >= coldParts[0]*r.controllers {
 		return whole / r.controllers
 	}
 	whole /= coldSpans + 1 // a window touches so many stretches
-	stretch := uint64(max(0, r.now-e.since) * coldSpans / (g.ColdWindow + 2*netSlack))
+	stretch := uint64(max(0, r.now-e.since) * coldSpans / (g.SlowStartWindow + 2*netSlack))
 	turns := math.Ceil(r.controllers / max(1, math.Floor(whole/coldParts[stretch%uint64(len(coldParts))])))
 	if (e.hash+uint64(r.number)+stretch/uint64(len(coldParts)))%uint64(turns) != 0 {
 		return 0
@@ -122,7 +122,7 @@
 }
 
 func (r *Router) coldAllows(c *command, e *engine) bool {
-	part, from := r.coldPart(e), r.now-r.guards.ColdWindow-netSlack // what an earlier life sent is not known
+	part, from := r.coldPart(e), r.now-r.guards.SlowStartWindow-netSlack // what an earlier life sent is not known
 	return math.IsInf(part, 1) || r.born <= from && e.coldSent.since(from)+c.coldWork(r.now) <= part
 }
 
@@ -131,13 +131,13 @@
 // of cold engines or of the budget could fall into the next. Harm: some that would have gone well go anew.
 func (r *Router) beginBy(c *command, e *engine) float64 {
 	by := math.Inf(1)
-	if c.doubt != nil && c.profile.Effect == Uniqued {
+	if c.doubt != nil && c.profile.Effect == Deduplicated {
 		by = c.profile.repeatBy(c.doubtAt)
 	}
 	if r.expired > 0 {
 		by = min(by, e.tookAt+r.expired)
 	}
-	if len(c.sends) > 0 && r.guards.Budgeted || !math.IsInf(r.coldPart(e), 1) {
+	if len(c.sends) > 0 && r.guards.RetryBudgeted || !math.IsInf(r.coldPart(e), 1) {
 		by = min(by, r.now+netSlack)
 	}
 	if math.IsInf(by, 1) {
@@ -149,7 +149,7 @@
 // mayShed tells whether the client may be told that trying again is harmless.
 func (r *Router) mayShed(c *command) bool {
 	p, doubt := c.profile, c.doubt != nil || c.out > 0
-	return p.Effect == Replayable || !doubt || p.Effect == Uniqued && p.Scope == ScopeAll
+	return p.Effect == Idempotent || !doubt || p.Effect == Deduplicated && p.Scope == ScopeAll
 }
 
 // The engine view.
@@ -194,11 +194,11 @@
 
 // ramp is the share of its capacity that a cold engine is taken to have.
 func (r *Router) ramp(e *engine) float64 {
-	return r.guards.ColdShare + (1-r.guards.ColdShare)*min(1, max(0, r.now-e.since)/max(1, r.guards.ColdTime))
+	return r.guards.SlowStartCapacity + (1-r.guards.SlowStartCapacity)*min(1, max(0, r.now-e.since)/max(1, r.guards.SlowStartTime))
 }
 
 // listed takes in news of the list; a failed question is asked again before the old list counts as told.
-func (r *Router) listed(ev Listed) {
+func (r *Router) listed(ev EndpointsUpdated) {
 	if r.subscribed = !ev.Failed && (r.subscribed || !ev.Cached); ev.Failed {
 		r.askAt = r.now + askAgain*(1+r.rng.Float64())
 		return
@@ -211,7 +211,7 @@
 
 // recalled takes in what is remembered. Engines go back to the owners of the table groups that they had; they
 // merge and move only by loads that are known: at first all are none, and lone engines would be shared.
-func (r *Router) recalled(l Learned) {
+func (r *Router) recalled(l Statistics) {
 	if r.recall(l); len(l.Tables) > 0 {
 		r.moveAt = max(r.moveAt, r.now+period)
 		for k := range r.owners {
@@ -230,7 +230,7 @@
 
 // ask has an engine probed, in relation to commands: by time, a hundred controllers would probe all day.
 func (r *Router) ask(e *engine) bool {
-	if !r.allowed.Probes || e.probing || r.credit < 1 {
+	if !r.allowed.HealthChecks || e.probing || r.credit < 1 {
 		return false
 	}
 	r.credit, e.probing, r.asked = r.credit-1, true, append(r.asked, e)
@@ -239,7 +239,9 @@
 }
 
 // plausible tells whether a report may be true: figures that no engine can mean change nothing.
-func plausible(l *Load, e *engine) bool { return l.Util <= mostUtil && l.Inflight <= mostEach*e.cores }
+func plausible(l *LoadReport, e *engine) bool {
+	return l.Utilization <= mostUtil && l.Inflight <= mostEach*e.cores
+}
 
 // load is the design's, with its fallbacks in order.
 func (r *Router) load(e *engine) float64 {
@@ -454,13 +456,13 @@
 func (r *Router) bound(e *engine) float64 { return e.width * e.cores * r.ramp(e) * r.portion() }
 
 // learn takes in the time of an answered send: what the profile takes alone, and by it the engine's bound.
-func (r *Router) learn(c *command, e *engine, ev Ended) {
+func (r *Router) learn(c *command, e *engine, ev AttemptEnded) {
 	p, unit := c.profile, c.profile.unitOf(c, r.now)
 	if p.told(r.now, c, ev) {
 		unit = max(1, ev.Work/p.Threads)
 	}
-	p.work.add(r.now, cmp.Or(ev.Work, c.stated, ev.Took*p.Threads), 1)
-	p.unit.add(r.now, ev.Took/unit, 1)
+	p.work.add(r.now, cmp.Or(ev.Work, c.stated, ev.Elapsed*p.Threads), 1)
+	p.unit.add(r.now, ev.Elapsed/unit, 1)
 	m := p.unit.mean(r.now, 0, 0)
 	if p.hearsayAt > 0 && p.unit.n > hearsayOver && (m > farFrom*p.best || m < p.best/farFrom) {
 		p.unlearn() // commands have become others than they are remembered
@@ -471,8 +473,8 @@
 		p.hearsayAt = r.now
 	}
 	if p.best > 0 {
-		e.slow.add(r.now, min(20, ev.Took/(p.best*unit)), 1)
-		p.run.add(r.now, math.Log(max(1, ev.Took/(p.best*unit))), 1)
+		e.slow.add(r.now, min(20, ev.Elapsed/(p.best*unit)), 1)
+		p.run.add(r.now, math.Log(max(1, ev.Elapsed/(p.best*unit))), 1)
 	}
 	slow, bound := e.slow.mean(r.now, 1, 1), r.bound(e)
 	if slow < nearBest && e.threads+p.Threads >= 0.7*bound {
@@ -519,7 +521,7 @@
 func (r *Router) pressure(c *command, e *engine) float64 {
 	x := (r.filled(e) + c.profile.Threads/(e.cores*r.ramp(e))) * max(1, e.slow.mean(r.now, 1, 1)/nearBest)
 	x += heldTable * r.against(c, e) // who would stand still behind a load finds another engine
-	if !c.profile.HoldsTables {      // those don't meet, or they would stand still behind each other
+	if !c.profile.LocksTables {      // those don't meet, or they would stand still behind each other
 		x += leaning * (1 - likes(c.tables, e))
 	}
 	return x
@@ -528,7 +530,7 @@
 // against is what is known against c on e: loads that it would stand still behind, its sends that failed
 // there.
 func (r *Router) against(c *command, e *engine) float64 {
-	if p := c.profile; p.HoldsTables || p.Waits {
+	if p := c.profile; p.LocksTables || p.WaitsForTables {
 		return e.holds(c.tables, r.now) + c.failedAt(e)
 	}
 	return c.failedAt(e)
@@ -546,7 +548,7 @@
 			}
 		}
 	}
-	return c.profile.HoldsTables && held > 0 && held >= crowdedFrom*all
+	return c.profile.LocksTables && held > 0 && held >= crowdedFrom*all
 }
 
 // choose finds the engine for c: the least pressed of its owners' with room, else a roomy one anywhere.
@@ -613,17 +615,17 @@
 // its latency target or, where late answers keep most of their benefit, its client timeout.
 func (r *Router) startBy(c *command) float64 {
 	p, alone := c.profile, c.profile.alone(c, r.now)
-	if p.LateShare >= lateShare {
+	if p.LateBenefit >= lateShare {
 		return r.endBy(c) - 1.5*alone
 	}
-	return min(c.asked+p.Target+p.TargetStretch*alone, r.endBy(c)) - alone
+	return min(c.asked+p.LatencyObjective+p.ObjectivePerWork*alone, r.endBy(c)) - alone
 }
 
 // giveUpAt is when a held command is given up: as startBy, but by how long such commands run lately, or
 // overload would send all at the last moment. A part of its target is waited: one slow answer shuts none out.
 func (r *Router) giveUpAt(c *command) float64 {
 	p, by := c.profile, r.startBy(c)
-	return max(by-max(0, runOver*p.runs(c, r.now)-p.alone(c, r.now)), min(by, c.asked+leastHold*p.Target))
+	return max(by-max(0, runOver*p.runs(c, r.now)-p.alone(c, r.now)), min(by, c.asked+leastHold*p.LatencyObjective))
 }
 
 // runs is the time that c takes as such commands run lately.
@@ -673,22 +675,22 @@
 // comeBack is how long a client that is shed should stay away: long, and not all together.
 func (r *Router) comeBack() float64 { return r.allowed.MaxRetryAfter * (0.5 + 0.5*r.rng.Float64()) }
 
-func (r *Router) arrived(ev Arrived) {
-	p := r.profiles[ev.Profile]
-	ev.Left = min(ev.Left, p.Timeout) // a stranger may claim any
+func (r *Router) arrived(ev QueryArrived) {
+	p := r.profiles[ev.Class]
+	ev.TimeLeft = min(ev.TimeLeft, p.ClientTimeout) // a stranger may claim any
 	c := r.enrol(ev)
-	c.timeout -= min(ev.Lined, linedMost*ev.Left)
+	c.timeout -= min(ev.ClientQueueTime, linedMost*ev.TimeLeft)
 	r.credit = min(probeSaved, r.credit+probeShare)
-	if p.fullLeft = max(p.fullLeft*patience, ev.Left); ev.Left < p.fullLeft*retryLeft { // a retry, it seems
-		c.asked -= max(0, p.Timeout-ev.Left)
+	if p.fullLeft = max(p.fullLeft*patience, ev.TimeLeft); ev.TimeLeft < p.fullLeft*retryLeft { // a retry, it seems
+		c.asked -= max(0, p.ClientTimeout-ev.TimeLeft)
 	}
-	if t := c.tenant; t != nil && t.PerSecond > 0 { // past its share here, so many commands are worth little
-		c.overShare = r.rng.Float64()*t.took.rate(r.now) > t.PerSecond/1000*r.portion()*shareOver
+	if t := c.tenant; t != nil && t.QueriesPerSecond > 0 { // past its share here, so many commands are worth little
+		c.overShare = r.rng.Float64()*t.took.rate(r.now) > t.QueriesPerSecond/1000*r.portion()*shareOver
 	}
 	if ev.Hot && c.tables.known && !c.tables.hot { // of groups that are there; loads take over from then on
 		c.tables.hot, r.packed = true, false
 	}
-	c.tables.demand.add(r.now, min(p.alone(c, r.now), p.Timeout)*p.Threads, 1)
+	c.tables.demand.add(r.now, min(p.alone(c, r.now), p.ClientTimeout)*p.Threads, 1)
 	if r.tooFar(c) {
 		r.end(c)
 		return
@@ -697,28 +699,28 @@
 	r.held = insert(r.held, c, byTimeout)
 }
 
-func (r *Router) ended(ev Ended) {
-	c, s := r.sendOf(ev.ID, ev.Send)
+func (r *Router) ended(ev AttemptEnded) {
+	c, s := r.sendOf(ev.ID, ev.Attempt)
 	if s == nil {
 		return
 	}
 	r.unbook(c, s, ev)
 	r.report(s.engine, ev.Load)
 	switch ev.Outcome {
-	case Answered:
+	case Succeeded:
 		r.mark(c, s, true)
 		for _, o := range c.sends {
 			if o.erred && o.engine != s.engine { // on what another can do
 				o.engine.turned(c.profile).away(r.now, o.at, fullRest, fullLongest)
 			}
 		}
-		r.missed = r.missed || r.now > c.asked+c.profile.Target+c.profile.TargetStretch*c.profile.alone(c, r.now)
+		r.missed = r.missed || r.now > c.asked+c.profile.LatencyObjective+c.profile.ObjectivePerWork*c.profile.alone(c, r.now)
 		r.learn(c, s.engine, ev)
-	case Full, NotSent: // sending on would use up the sends of commands, and others may fare well there
+	case EngineFull, NotSent: // sending on would use up the sends of commands, and others may fare well there
 		s.engine.turned(c.profile).away(r.now, s.at, fullRest, fullLongest)
 		s.engine.width = max(leastWidth, s.engine.width*cutBy)
-	case Errored, Refused, Reset, TimedOut: // an error may be the command's own fault, unless another answers it
-		if s.erred = ev.Outcome == Errored && c.profile.Effect != NonReplayable; !s.erred {
+	case Errored, ConnectFailed, ConnectionReset, TimedOut: // an error may be the command's own fault, unless another answers it
+		if s.erred = ev.Outcome == Errored && c.profile.Effect != NonIdempotent; !s.erred {
 			r.mark(c, s, false)
 		}
 	}
@@ -732,31 +734,31 @@
 
 // noted cancels a plan drawn badly, or a send on an engine that has all but stopped. Harm: work is lost of
 // a command that is truly large, so it acts only with an estimate.
-func (r *Router) noted(ev Noted) {
-	c, s := r.sendOf(ev.ID, ev.Send)
+func (r *Router) noted(ev AttemptProgress) {
+	c, s := r.sendOf(ev.ID, ev.Attempt)
 	if s == nil {
 		return
 	}
 	first := s.word == s.at
-	if s.word = r.now; ev.What == NoteWaitsTables {
+	if s.word = r.now; ev.Kind == ProgressWaitsForTables {
 		s.engine.heldUntil[c.tables] = r.now + heldFor
 	}
 	alone, passed := c.profile.alone(c, r.now), r.now-s.at
-	total, should := passed/max(ev.Level, 0.01), alone*max(1, s.engine.slow.mean(r.now, 1, 1))
-	if ev.What != NoteProgress || ev.Level < 0 || ev.Level > 1 { // or no share that an engine can mean
+	total, should := passed/max(ev.Value, 0.01), alone*max(1, s.engine.slow.mean(r.now, 1, 1))
+	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 { // or no share that an engine can mean
 		return
 	}
 	if c.profile.best > 0 && first {
 		s.engine.slow.add(r.now, noteWeight*min(20, total/alone), noteWeight)
 	}
-	if c.estimate > 0 && !c.over && c.profile.Effect == Replayable && !r.spent(c) && r.budgetAllows() &&
+	if c.estimate > 0 && !c.over && c.profile.Effect == Idempotent && !r.spent(c) && r.budgetAllows() &&
 		total > badPlan*should && total-passed > badPlanGap*should {
 		c.wantCancel = true
 		r.touch(c)
 	}
 }
 
-func (r *Router) quiet() float64 { return quietPaces*r.allowed.NotePace + netSlack }
+func (r *Router) quiet() float64 { return quietPaces*r.allowed.ProgressInterval + netSlack }
 
 // look is what a command's alarm asks for: its end or, if a send has gone quiet, another. Against answers
 // that are lost and engines that hang, though they answer probes. Harm: if only notes are lost it runs twice.
@@ -769,15 +771,15 @@
 		if c.over || c.begun || c.wantEnd != open || !s.out || s.lost || s.cancelled {
 			continue
 		}
-		again := p.Effect == Replayable || p.Effect == Uniqued && r.now < p.repeatBy(s.at)
+		again := p.Effect == Idempotent || p.Effect == Deduplicated && r.now < p.repeatBy(s.at)
 		if quiet := s.word + r.quiet(); r.now < quiet {
 			r.setAlarm(quiet, c)
-		} else if again && len(c.sends) < r.allowed.MaxSends && r.budgetAllows() {
+		} else if again && len(c.sends) < r.allowed.MaxAttempts && r.budgetAllows() {
 			r.mark(c, s, false)
 			if r.allowed.Cancel {
 				c.wantCancel = true
 				r.touch(c)
-			} else if r.allowed.SecondCopies {
+			} else if r.allowed.Hedging {
 				r.lose(c, s)
 				r.held = insert(r.held, c, byTimeout)
 			}
@@ -836,8 +838,8 @@
 			r.rebalance(k)
 		}
 	}
-	if r.allowed.MustAsk && !r.subscribed && r.now >= r.askAt {
-		r.askAt, r.wantList = r.now+max(askAgain, r.guards.AskWithin/3), true
+	if r.allowed.PollEndpoints && !r.subscribed && r.now >= r.askAt {
+		r.askAt, r.wantList = r.now+max(askAgain, r.guards.PollWithin/3), true
 	}
 	r.pool, r.cores = 0, 0
 	for _, e := range r.order {
--- a/internal/lab/reference/state.go
+++ b/internal/lab/reference/state.go
@@ -104,7 +104,7 @@
 // command is one that is owed an answer, or has a send without an outcome. The want fields are the wanted
 // state: emit alone compares them with the rest.
 type command struct {
-	id             CommandID
+	id             QueryID
 	profile        *profile
 	tables         *tableGroup
 	tenant         *tenant // nil: none
@@ -135,7 +135,7 @@
 
 // profile is what is stated of a profile, with what was learned of it.
 type profile struct {
-	Profile
+	QueryClass
 	fullLeft  float64 // what a first try leaves until its client gives up: the most seen
 	best      float64 // least mean, lately, of the time taken over the unit: how it runs alone
 	unit      decay   // time taken over the unit
@@ -148,7 +148,7 @@
 
 // line is the queue of one order key, by arrival; rest is when its next command may start after a doubtful outcome.
 type line struct {
-	key   OrderKey
+	key   OrderingKey
 	cmds  []*command
 	rest  float64
 	mixed bool // commands came to it that were held or out before, so one behind the first may be out
@@ -163,7 +163,7 @@
 type engine struct {
 	id         EngineID
 	hash       uint64 // of the id
-	state      State
+	state      EngineState
 	zone       Zone
 	kind       KindID
 	cell       CellID
@@ -299,18 +299,18 @@
 	rng         *rand.Rand
 	controllers float64
 	number      int
-	kinds       []Kind
+	kinds       []MachineKind
 	profiles    []*profile
 	tenants     []*tenant
-	allowed     Allowed
-	guards      Guards
+	allowed     Capabilities
+	guards      SafetyLimits
 
 	now, born, firstAt float64
-	cmds               map[CommandID]*command
+	cmds               map[QueryID]*command
 	held               []*command // by client timeout
-	lines              map[OrderKey]*line
-	turns              uint64     // commands taken
-	resting            []OrderKey // of empty lines that may not be forgotten yet
+	lines              map[OrderingKey]*line
+	turns              uint64        // commands taken
+	resting            []OrderingKey // of empty lines that may not be forgotten yet
 	resends, taken     stamps
 	engines            map[EngineID]*engine
 	order              []*engine // by id
@@ -348,18 +348,18 @@
 }
 
 // New makes the module of a controller that has just started.
-func New(seed int64, place Place, kinds []Kind, profiles []Profile, tenants []Tenant, allowed Allowed,
-	guards Guards) *Router {
+func New(seed int64, place Identity, kinds []MachineKind, profiles []QueryClass, tenants []Tenant, allowed Capabilities,
+	guards SafetyLimits) *Router {
 	r := &Router{rng: rand.New(rand.NewSource(seed)), controllers: max(1, float64(place.Controllers)),
-		number: place.Number,
+		number: place.Index,
 		kinds:  kinds, allowed: allowed, guards: guards, born: -1, stopAt: math.Inf(1), sizeCap: mostSize,
 		share: decay{life: shareLife}, busy: decay{life: shareLife}, rate: decay{life: shareLife},
-		cmds: map[CommandID]*command{}, lines: map[OrderKey]*line{},
+		cmds: map[QueryID]*command{}, lines: map[OrderingKey]*line{},
 		engines: map[EngineID]*engine{},
 		tables:  map[TableGroup]*tableGroup{}, owners: make([][]*owner, len(kinds))}
 	for _, p := range profiles {
 		scale := decay{life: scaleLife}
-		r.profiles = append(r.profiles, &profile{Profile: p, unit: decay{life: unitLife},
+		r.profiles = append(r.profiles, &profile{QueryClass: p, unit: decay{life: unitLife},
 			run:  decay{life: runLife},
 			work: decay{life: workLife}, workScale: scale, needScale: scale})
 	}
@@ -369,8 +369,8 @@
 	if !allowed.RetryAfter {
 		r.allowed.MaxRetryAfter = 0
 	}
-	if allowed.NotePace == 0 {
-		r.allowed.NotePace = math.Inf(1)
+	if allowed.ProgressInterval == 0 {
+		r.allowed.ProgressInterval = math.Inf(1)
 	}
 	return r
 }
@@ -410,13 +410,13 @@
 }
 
 // enrol files a new command, in the line of its key if it has one.
-func (r *Router) enrol(ev Arrived) *command {
+func (r *Router) enrol(ev QueryArrived) *command {
 	g := r.groupOf(ev.Tables)
 	g.asked = r.now
-	c := &command{id: ev.ID, profile: r.profiles[ev.Profile], tables: g, arrived: r.now,
-		asked: r.now, timeout: r.now + ev.Left, estimate: ev.Estimate, stated: ev.Estimate, need: ev.NeedMB, kinds: ev.Kinds, zones: ev.Zones}
-	if ev.Most > 0 {
-		c.estimate = min(c.estimate, ev.Most)
+	c := &command{id: ev.ID, profile: r.profiles[ev.Class], tables: g, arrived: r.now,
+		asked: r.now, timeout: r.now + ev.TimeLeft, estimate: ev.EstimatedWork, stated: ev.EstimatedWork, need: ev.EstimatedMemoryMB, kinds: ev.Kinds, zones: ev.Zones}
+	if ev.EstimateCap > 0 {
+		c.estimate = min(c.estimate, ev.EstimateCap)
 	}
 	r.cmds[c.id] = c
 	g.open++
@@ -428,13 +428,13 @@
 	if r.firstAt == 0 {
 		r.firstAt = r.now
 	}
-	if r.guards.Budgeted {
+	if r.guards.RetryBudgeted {
 		r.taken.add(r.now, 1)
 	}
 	r.turns++
 	c.turn = r.turns
 	r.stand(c, ev.Key)
-	for _, key := range ev.Also {
+	for _, key := range ev.MoreKeys {
 		r.stand(c, key)
 	}
 	return c
@@ -443,8 +443,8 @@
 func byTurn(a, b *command) int { return cmp.Compare(a.turn, b.turn) }
 
 // stand files a command in the line of a key, if its profile keeps order.
-func (r *Router) stand(c *command, key OrderKey) {
-	if !c.profile.InOrder || key == "" {
+func (r *Router) stand(c *command, key OrderingKey) {
+	if !c.profile.Ordered || key == "" {
 		return
 	}
 	l := r.lines[key]
@@ -461,17 +461,17 @@
 
 // book counts a send of c on e as out, so that the next choice of the same step sees it.
 func (r *Router) book(c *command, e *engine, mem, work, begin float64) {
-	if len(c.sends) > 0 && r.guards.Budgeted {
+	if len(c.sends) > 0 && r.guards.RetryBudgeted {
 		r.resends.add(r.now, 1)
 	}
 	c.sends = append(c.sends, sendState{engine: e, at: r.now, word: r.now, out: true, mem: mem})
 	c.pending++
 	c.out, e.out, r.out = c.out+1, e.out+1, r.out+1
 	e.threads, r.threads = e.threads+c.profile.Threads, r.threads+c.profile.Threads
-	if r.now < e.since+r.guards.ColdTime+r.guards.ColdWindow {
+	if r.now < e.since+r.guards.SlowStartTime+r.guards.SlowStartWindow {
 		e.coldSent.add(r.now, work)
 	}
-	if c.profile.HoldsTables {
+	if c.profile.LocksTables {
 		e.loads[c.tables]++
 	}
 	c.wantEngine, c.wantBegin = e, begin
@@ -479,29 +479,29 @@
 }
 
 // unbook takes in that a send has its outcome: what may have run by it, and whether its key must rest.
-func (r *Router) unbook(c *command, s *sendState, ev Ended) {
+func (r *Router) unbook(c *command, s *sendState, ev AttemptEnded) {
 	if !s.lost {
 		r.free(c, s)
 	}
 	c.pending--
-	c.tables.held.add(r.now, s.mem*ev.Took, 1)
-	s.out, c.over = false, c.over || ev.Over
+	c.tables.held.add(r.now, s.mem*ev.Elapsed, 1)
+	s.out, c.over = false, c.over || ev.QueryDone
 	switch ev.Outcome {
-	case Errored, Reset, TimedOut, Refused:
+	case Errored, ConnectionReset, TimedOut, ConnectFailed:
 		s.failed = true
 	}
 	switch ev.Outcome {
-	case Answered:
+	case Succeeded:
 		s.engine.tookAt, s.engine.brokeAt = max(s.engine.tookAt, s.at), math.Inf(-1) // the process is the same
 		c.tables.known = true
-	case Refused, Reset, NotSent:
+	case ConnectFailed, ConnectionReset, NotSent:
 		s.engine.brokeAt = r.now
 	}
 	if !ev.Outcome.NeverRan() && c.doubt == nil {
 		c.doubtAt, c.doubt = s.at, s.engine
 	}
 	if ev.Outcome.MayRunOn() {
-		c.rest = r.now + r.guards.OrderRest + r.guards.Round
+		c.rest = r.now + r.guards.OrderingCooldown + r.guards.EventInterval
 	}
 	for _, l := range c.lines {
 		l.rest = max(l.rest, c.rest)
@@ -510,9 +510,9 @@
 }
 
 // told files what an answer tells of a command's true work and memory, and reports whether it told the work.
-func (p *profile) told(now float64, c *command, ev Ended) bool {
-	if ev.NeedMB > 0 && c.need > 0 {
-		p.needScale.add(now, ev.NeedMB/c.need, 1)
+func (p *profile) told(now float64, c *command, ev AttemptEnded) bool {
+	if ev.MemoryMB > 0 && c.need > 0 {
+		p.needScale.add(now, ev.MemoryMB/c.need, 1)
 	}
 	if ev.Work > 0 && c.stated > 0 {
 		p.workScale.add(now, ev.Work/c.stated, 1)
@@ -534,7 +534,7 @@
 	e := s.engine
 	c.out, e.out, r.out = c.out-1, e.out-1, r.out-1
 	e.threads, r.threads = e.threads-c.profile.Threads, r.threads-c.profile.Threads
-	if c.profile.HoldsTables {
+	if c.profile.LocksTables {
 		if e.loads[c.tables]--; e.loads[c.tables] == 0 {
 			delete(e.loads, c.tables)
 		}
@@ -580,7 +580,7 @@
 
 // forgetLines drops empty lines that have rested.
 func (r *Router) forgetLines() {
-	r.resting = slices.DeleteFunc(r.resting, func(key OrderKey) bool {
+	r.resting = slices.DeleteFunc(r.resting, func(key OrderingKey) bool {
 		l := r.lines[key]
 		if l != nil && len(l.cmds) == 0 && r.now >= l.rest {
 			delete(r.lines, key)
@@ -648,14 +648,14 @@
 }
 
 // enlist takes in the entries of a list; what a whole list doesn't name has left.
-func (r *Router) enlist(ev Listed) {
-	if r.expired = ev.Expired; r.expired == 0 {
+func (r *Router) enlist(ev EndpointsUpdated) {
+	if r.expired = ev.ExpiredFor; r.expired == 0 {
 		r.heardAt = r.now
 	}
 	named := map[EngineID]bool{}
-	for _, entry := range ev.Entries {
+	for _, entry := range ev.Endpoints {
 		named[entry.Engine] = true
-		e, since := r.engines[entry.Engine], entry.Since
+		e, since := r.engines[entry.Engine], entry.StartedAt
 		if since == 0 {
 			since = math.Inf(-1)
 		}
@@ -677,7 +677,7 @@
 		}
 	}
 	for _, e := range r.order {
-		if ev.Whole && !named[e.id] {
+		if ev.Complete && !named[e.id] {
 			e.state = Gone
 		}
 	}
@@ -686,27 +686,27 @@
 // take hands an event to who decides by it, or files it.
 func (r *Router) take(event Event) {
 	switch ev := event.(type) {
-	case Listed:
+	case EndpointsUpdated:
 		r.listed(ev)
-	case Arrived:
+	case QueryArrived:
 		r.arrived(ev)
-	case Ended:
+	case AttemptEnded:
 		r.ended(ev)
-	case Noted:
+	case AttemptProgress:
 		r.noted(ev)
-	case Began:
+	case ResponseStarted:
 		r.begun(ev.ID)
-	case Left:
+	case ClientDisconnected:
 		r.left(ev.ID)
-	case Probed:
+	case HealthCheckEnded:
 		r.probed(ev)
-	case Keyed:
+	case OrderingKeyAdded:
 		if c := r.cmds[ev.ID]; c != nil {
 			r.stand(c, ev.Key)
 		}
-	case Recalled:
-		r.recalled(ev.Learned)
-	case Stopping:
+	case StatisticsRestored:
+		r.recalled(ev.Statistics)
+	case ShutdownStarted:
 		r.stopping(ev.Within)
 	}
 }
@@ -719,24 +719,24 @@
 	}
 }
 
-func (r *Router) begun(id CommandID) {
+func (r *Router) begun(id QueryID) {
 	if c := r.cmds[id]; c != nil {
 		c.begun = true
 	}
 }
 
 // left takes in that c's client has gone: nothing is owed, and what is out is not wanted.
-func (r *Router) left(id CommandID) {
+func (r *Router) left(id QueryID) {
 	if c := r.cmds[id]; c != nil {
 		c.over, c.wantCancel = true, true
 		r.touch(c)
 	}
 }
 
-func (r *Router) probed(ev Probed) {
+func (r *Router) probed(ev HealthCheckEnded) {
 	if e := r.engines[ev.Engine]; e != nil {
 		e.probing = false
-		e.judge(r.now, ev.Outcome == Answered)
+		e.judge(r.now, ev.Outcome == Succeeded)
 		r.report(e, ev.Load)
 	}
 }
@@ -751,13 +751,13 @@
 }
 
 // report files a load report.
-func (r *Router) report(e *engine, l *Load) {
+func (r *Router) report(e *engine, l *LoadReport) {
 	if l == nil || !plausible(l, e) {
 		return
 	}
 	e.reportAt, e.granted = r.now, max(0, l.Memory)
-	if l.Util >= 0 {
-		e.util.add(r.now, l.Util, 1)
+	if l.Utilization >= 0 {
+		e.util.add(r.now, l.Utilization, 1)
 	}
 	if l.Disk >= 0 {
 		e.disk.add(r.now, l.Disk, 1)
@@ -773,7 +773,7 @@
 }
 
 // holds tells whether two engines drop each other's repeats.
-func scopeHolds(s Scope, a, b *engine) bool {
+func scopeHolds(s DeduplicationScope, a, b *engine) bool {
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
@@ -786,7 +786,7 @@
 }
 
 // sendOf finds a send that is out; nil if there is none such.
-func (r *Router) sendOf(id CommandID, send SendID) (*command, *sendState) {
+func (r *Router) sendOf(id QueryID, send AttemptID) (*command, *sendState) {
 	c := r.cmds[id]
 	if c == nil || send < 0 || int(send) >= len(c.sends) || !c.sends[send].out {
 		return nil, nil
@@ -812,11 +812,11 @@
 	for _, c := range r.touched {
 		c.touched = false
 		if c.wantEngine != nil {
-			actions = append(actions, Send{ID: c.id, Engine: c.wantEngine.id, Until: c.timeout, Begin: c.wantBegin})
+			actions = append(actions, StartAttempt{ID: c.id, Engine: c.wantEngine.id, Deadline: c.timeout, StartBy: c.wantBegin})
 			c.wantEngine = nil
 		}
 		if c.wantEnd == shed && !c.over {
-			actions = append(actions, Shed{ID: c.id, After: r.comeBack()})
+			actions = append(actions, Reject{ID: c.id, RetryAfter: r.comeBack()})
 		} else if c.wantEnd == failed && !c.over {
 			actions = append(actions, Fail{ID: c.id})
 		}
@@ -824,7 +824,7 @@
 		for i := range c.sends {
 			if s := &c.sends[i]; c.wantCancel && r.allowed.Cancel && s.out && !s.cancelled {
 				s.cancelled = true
-				actions = append(actions, Cancel{ID: c.id, Send: SendID(i)})
+				actions = append(actions, CancelAttempt{ID: c.id, Attempt: AttemptID(i)})
 			}
 		}
 		if c.wantCancel = false; c.over && c.pending == 0 {
@@ -832,7 +832,7 @@
 		}
 	}
 	for _, e := range r.asked {
-		actions = append(actions, Probe{Engine: e.id})
+		actions = append(actions, CheckHealth{Engine: e.id})
 	}
 	if r.wantList {
 		r.wantList = false
@@ -842,7 +842,7 @@
 	wake := min(r.tendAt, r.nextAlarm())
 	if r.wakeAt <= r.now || wake < r.wakeAt {
 		r.wakeAt = wake
-		actions = append(actions, Wake{After: max(0.001, wake-r.now)})
+		actions = append(actions, SetTimer{After: max(0.001, wake-r.now)})
 	}
 	return actions
 }
--- a/internal/lab/reference/twin.go
+++ b/internal/lab/reference/twin.go
@@ -18,8 +18,8 @@
 }
 
 // NewTwin is as router.New.
-func NewTwin(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) *Twin {
+func NewTwin(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) *Twin {
 	return &Twin{Router: router.New(seed, place, kinds, profiles, tenants, allowed, guards),
 		old: New(seed, place, kinds, profiles, tenants, allowed, guards)}
 }
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -23,13 +23,13 @@
 func Serve(ctx context.Context, listener net.Listener, dial string, verbs []string, l *limits.Limits) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	events, taken := make(chan any, l.Inbox), make(chan clients.Taken, l.Inbox)
-	names := &settings.Names{Profiles: map[string]router.ProfileID{}}
+	names := &settings.Names{Profiles: map[string]router.ClassID{}}
 	for i, verb := range verbs {
-		names.Profiles[verb] = router.ProfileID(i)
+		names.Profiles[verb] = router.ClassID(i)
 	}
 	pool := engines.New(l, 100, func(ev any) { events <- ev }, log)
 	pool.List([]engines.Address{{Engine: engine, Dial: dial}}, true)
-	server := clients.New(l, names, make([]router.Profile, len(verbs)), func(t clients.Taken) bool {
+	server := clients.New(l, names, make([]router.QueryClass, len(verbs)), func(t clients.Taken) bool {
 		taken <- t
 		return true
 	}, func() time.Duration { return 0 }, func(ev any) { events <- ev }, log)
@@ -45,7 +45,7 @@
 		case ev := <-events:
 			if end, ok := ev.(engines.Ended); ok {
 				verdict := request.Rejected
-				if end.Outcome == router.Answered {
+				if end.Outcome == router.Succeeded {
 					verdict = request.Succeeded
 				}
 				end.Query.Finish(request.Answer{Verdict: verdict, Pages: end.Pages})
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -408,7 +408,7 @@
 		}
 	}
 	now, day := float64(time.Now().UnixMilli()), float64(24*3600*1000)
-	return memory.Rewrite(disk.Folder(kept), w.Bounds, func(l *router.Learned) {
+	return memory.Rewrite(disk.Folder(kept), w.Bounds, func(l *router.Statistics) {
 		switch v {
 		case Aged, Yesterday:
 			shift(l, func(at float64) float64 { return at - day })
@@ -424,26 +424,26 @@
 			}
 			for i := range l.Engines {
 				e := &l.Engines[i]
-				e.Engine, e.Lead = next[e.Engine], next[e.Lead]
+				e.Engine, e.PoolLeader = next[e.Engine], next[e.PoolLeader]
 			}
 			for i := range l.Tables {
-				for k, home := range l.Tables[i].Homes {
-					l.Tables[i].Homes[k] = next[home]
+				for k, home := range l.Tables[i].PoolLeaders {
+					l.Tables[i].PoolLeaders[k] = next[home]
 				}
 			}
 		}
 	})
 }
 
-func shift(l *router.Learned, to func(at float64) float64) {
+func shift(l *router.Statistics, to func(at float64) float64) {
 	for i := range l.Engines {
 		l.Engines[i].At = to(l.Engines[i].At)
 	}
 	for i := range l.Tables {
 		l.Tables[i].At = to(l.Tables[i].At)
 	}
-	for i := range l.Profiles {
-		l.Profiles[i].At = to(l.Profiles[i].At)
+	for i := range l.Classes {
+		l.Classes[i].At = to(l.Classes[i].At)
 	}
 	for i := range l.Traffic {
 		l.Traffic[i].At = to(l.Traffic[i].At)
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -29,10 +29,10 @@
 
 // All records are shifted, or their ages would differ.
 func TestShift(t *testing.T) {
-	l := router.Learned{Engines: make([]router.LearnedEngine, 1), Tables: make([]router.LearnedTables, 1),
-		Profiles: make([]router.LearnedProfile, 1), Traffic: make([]router.LearnedTraffic, 1)}
+	l := router.Statistics{Engines: make([]router.EngineStatistics, 1), Tables: make([]router.TableStatistics, 1),
+		Classes: make([]router.ClassStatistics, 1), Traffic: make([]router.TrafficStatistics, 1)}
 	shift(&l, func(at float64) float64 { return at + 5 })
-	if l.Engines[0].At+l.Tables[0].At+l.Profiles[0].At+l.Traffic[0].At != 20 {
+	if l.Engines[0].At+l.Tables[0].At+l.Classes[0].At+l.Traffic[0].At != 20 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/lab/scale/datapath/decision.go
+++ b/internal/lab/scale/datapath/decision.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-func newModule(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) steps.Module {
+func newModule(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
 	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
 }
 
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -32,7 +32,7 @@
 )
 
 // frame is a frame of the feed that tells the states of engines first to last.
-func frame(number uint64, kind byte, first, last int, state router.State) []byte {
+func frame(number uint64, kind byte, first, last int, state router.EngineState) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(headBytes-4+recordBytes*(last-first)))
 	b = append(binary.BigEndian.AppendUint64(b, number), kind)
 	for i := first; i < last; i++ {
@@ -77,7 +77,7 @@
 }
 
 // tell writes a frame of the next number.
-func (f *teller) tell(kind byte, first, last int, state router.State) error {
+func (f *teller) tell(kind byte, first, last int, state router.EngineState) error {
 	f.last++
 	f.conn.SetDeadline(time.Now().Add(daemon.StartTime))
 	_, err := f.conn.Write(frame(f.last, kind, first, last, state))
@@ -144,7 +144,7 @@
 }
 
 // tell writes a frame and waits until the module has taken it in.
-func (w *watcher) tell(kind byte, first, last int, state router.State) (time.Duration, error) {
+func (w *watcher) tell(kind byte, first, last int, state router.EngineState) (time.Duration, error) {
 	began := time.Now()
 	if err := w.feed.tell(kind, first, last, state); err != nil {
 		return 0, err
@@ -164,8 +164,8 @@
 type change struct {
 	name   string
 	kind   byte
-	share  float64        // of the engines
-	states []router.State // that take turns
+	share  float64              // of the engines
+	states []router.EngineState // that take turns
 }
 
 // listCost is what one frame of a change costs.
@@ -223,7 +223,7 @@
 	if err := feed.accept(); err != nil {
 		return err
 	}
-	tell := func(kind byte, last int, state router.State) error {
+	tell := func(kind byte, last int, state router.EngineState) error {
 		err := feed.tell(kind, 0, last, state)
 		time.Sleep(frameSpacing)
 		return err
@@ -248,8 +248,8 @@
 
 // changes are the whole list, and a region's worth of engines at once.
 var changes = []change{
-	{"whole list", frameWhole, 1, []router.State{router.Ready}},
-	{"a region's engines go and come back", frameChange, 1.0 / regions, []router.State{router.Gone, router.Ready}},
+	{"whole list", frameWhole, 1, []router.EngineState{router.Ready}},
+	{"a region's engines go and come back", frameChange, 1.0 / regions, []router.EngineState{router.Gone, router.Ready}},
 }
 
 // discovery measures lists and changes by their engines.
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -333,8 +333,8 @@
 		t.Errorf("%d engines and %d table groups", len(first.Learned.Engines), len(first.Learned.Tables))
 	}
 	for i, e := range first.Learned.Engines {
-		if other := second.Learned.Engines[i]; e.Engine != other.Engine || e.Since != other.Since {
-			t.Fatalf("%s of %g and %s of %g", e.Engine, e.Since, other.Engine, other.Since)
+		if other := second.Learned.Engines[i]; e.Engine != other.Engine || e.StartedAt != other.StartedAt {
+			t.Fatalf("%s of %g and %s of %g", e.Engine, e.StartedAt, other.Engine, other.StartedAt)
 		}
 	}
 }
--- a/internal/lab/scale/hollow/statistics.go
+++ b/internal/lab/scale/hollow/statistics.go
@@ -22,17 +22,17 @@
 // Learned implements memory.Source, in one part.
 func (s statistics) Learned(context.Context, router.Cursor, int) (memory.Part, error) {
 	now := float64(time.Now().UnixMilli())
-	learned := router.Learned{Traffic: []router.LearnedTraffic{{At: now, Part: router.Weighed{Mean: 0.01, Weight: 100}}}}
+	learned := router.Statistics{Traffic: []router.TrafficStatistics{{At: now, Share: router.WeightedMean{Mean: 0.01, Weight: 100}}}}
 	for i := range s.engines {
-		learned.Engines = append(learned.Engines, router.LearnedEngine{At: now, Engine: engine(i), Since: firstStart + float64(i)*1000,
-			Pace: router.Weighed{Mean: 1 + float64(i%100)/70, Weight: 50}, Width: 4 + float64(i%13)/3, Outcomes: 0xff,
-			Lead: engine(i / kinds * kinds)})
+		learned.Engines = append(learned.Engines, router.EngineStatistics{At: now, Engine: engine(i), StartedAt: firstStart + float64(i)*1000,
+			Slowdown: router.WeightedMean{Mean: 1 + float64(i%100)/70, Weight: 50}, ThreadsPerCore: 4 + float64(i%13)/3, Outcomes: 0xff,
+			PoolLeader: engine(i / kinds * kinds)})
 	}
 	for i := range s.tableGroups {
-		group := router.LearnedTables{At: now, Tables: router.TableGroup(i + 1), Demand: 1 + float64(i%977)/31,
-			Held: 100 + float64(i%613)/7}
+		group := router.TableStatistics{At: now, Tables: router.TableGroup(i + 1), Demand: 1 + float64(i%977)/31,
+			MemoryTime: 100 + float64(i%613)/7}
 		for range min(kinds, s.engines) {
-			group.Homes = append(group.Homes, engine(i*kinds%s.engines))
+			group.PoolLeaders = append(group.PoolLeaders, engine(i*kinds%s.engines))
 		}
 		learned.Tables = append(learned.Tables, group)
 	}
