--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -17,40 +17,40 @@
 	events      []router.Event
 	due         bool // a step is scheduled
 	wake        int  // number of the last wake-up; earlier ones are void
-	queries     map[router.CommandID]*query
-	listed      map[router.EngineID]router.Entry // as far as it has received the list
-	process     map[router.EngineID]int          // of each engine it talked to last
-	cutOff      bool                             // it receives nothing of the list
-	missed      []router.Entry
+	queries     map[router.QueryID]*query
+	listed      map[router.EngineID]router.Endpoint // as far as it has received the list
+	process     map[router.EngineID]int             // of each engine it talked to last
+	cutOff      bool                                // it receives nothing of the list
+	missed      []router.Endpoint
 	expired     bool
 	listener    bool // it has asked for the list, or need not
-	saved       router.Learned
+	saved       router.Statistics
 }
 
 // startController starts a controller: it receives the list, and what its earlier incarnation had learned.
 func (sim *simulation) startController(c *controller) {
 	c.incarnation++
 	c.up, c.stopping, c.cutOff, c.expired = true, false, false, false
-	c.queries, c.events, c.missed = map[router.CommandID]*query{}, nil, nil
-	c.listed, c.process = map[router.EngineID]router.Entry{}, map[router.EngineID]int{}
-	c.listener = !sim.Facts.Allowed.MustAsk
-	c.module = sim.make(sim.rng.Int63(), router.Place{Controllers: sim.Controllers, Number: c.number, Zone: "z0"})
+	c.queries, c.events, c.missed = map[router.QueryID]*query{}, nil, nil
+	c.listed, c.process = map[router.EngineID]router.Endpoint{}, map[router.EngineID]int{}
+	c.listener = !sim.Facts.Allowed.PollEndpoints
+	c.module = sim.make(sim.rng.Int63(), router.Identity{Controllers: sim.Controllers, Index: c.number, Zone: "z0"})
 	sim.checker.Up(c.number, sim.now)
-	var entries []router.Entry
+	var entries []router.Endpoint
 	for _, e := range sim.order {
 		if !e.gone {
-			entries = append(entries, e.Entry)
-			c.listed[e.Engine] = e.Entry
+			entries = append(entries, e.Endpoint)
+			c.listed[e.Engine] = e.Endpoint
 		}
 	}
-	sim.deliver(c, router.Listed{Whole: true, Cached: true, Entries: entries})
+	sim.deliver(c, router.EndpointsUpdated{Complete: true, Cached: true, Endpoints: entries})
 	if sim.Memory == Persisted && c.incarnation > 1 {
 		m := &restore.Snapshot{Learned: c.saved}
 		learned, _ := restore.Select(m, restore.Identity{}, entries, sim.now, restore.DefaultHalfLives())
-		sim.deliver(c, router.Recalled{Learned: learned})
+		sim.deliver(c, router.StatisticsRestored{Statistics: learned})
 	}
 	if sim.Memory == Hostile {
-		sim.deliver(c, router.Recalled{Learned: sim.hostileLearned()})
+		sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileLearned()})
 	}
 }
 
@@ -82,8 +82,8 @@
 	}
 	c.stopping = true
 	within := 100 + sim.rng.Float64()*2000
-	sim.deliver(c, router.Stopping{Within: within})
-	sim.afterFor(c, within+2*sim.Facts.Guards.Round+10, func() {
+	sim.deliver(c, router.ShutdownStarted{Within: within})
+	sim.afterFor(c, within+2*sim.Facts.Guards.EventInterval+10, func() {
 		sim.checker.Ended(c.number, sim.now)
 		sim.takeDown(c)
 	})
@@ -96,10 +96,10 @@
 			if !c.up {
 				continue
 			}
-			var all router.Learned
+			var all router.Statistics
 			for from, more := (router.Cursor{}), true; more; {
-				var part router.Learned
-				part, from, more = c.module.Learned(from, 1+sim.rng.Intn(50))
+				var part router.Statistics
+				part, from, more = c.module.Statistics(from, 1+sim.rng.Intn(50))
 				all.Add(part)
 			}
 			c.saved = all
@@ -116,7 +116,7 @@
 	}
 	c.due = true
 	at := sim.now
-	if round := sim.Facts.Guards.Round; sim.Ticks && round > 0 {
+	if round := sim.Facts.Guards.EventInterval; sim.Ticks && round > 0 {
 		at = math.Ceil(sim.now/round) * round
 	}
 	sim.at(at, func() {
@@ -131,7 +131,7 @@
 	events := c.events
 	c.events = nil
 	sim.result.Steps++
-	sim.checker.Told(c.number, sim.now, events, func(id router.CommandID) float64 { return sim.works[id] })
+	sim.checker.Told(c.number, sim.now, events, func(id router.QueryID) float64 { return sim.works[id] })
 	actions := c.module.Step(sim.now, events)
 	sim.checker.Ordered(c.number, sim.now, actions)
 	for _, action := range actions {
@@ -142,21 +142,21 @@
 // carryOut does what a controller ordered.
 func (sim *simulation) carryOut(c *controller, action router.Action) {
 	switch a := action.(type) {
-	case router.Send:
+	case router.StartAttempt:
 		if q := c.queries[a.ID]; q != nil {
 			sim.startAttempt(c, q, a)
 		}
-	case router.Cancel:
-		if q := c.queries[a.ID]; q != nil && int(a.Send) < len(q.attempts) && !q.attempts[a.Send].ended {
-			sim.scheduleOutcome(c, q, int(a.Send), 1+sim.rng.Float64()*20, router.Cancelled)
+	case router.CancelAttempt:
+		if q := c.queries[a.ID]; q != nil && int(a.Attempt) < len(q.attempts) && !q.attempts[a.Attempt].ended {
+			sim.scheduleOutcome(c, q, int(a.Attempt), 1+sim.rng.Float64()*20, router.Cancelled)
 		}
-	case router.Shed:
+	case router.Reject:
 		sim.finish(c, a.ID)
 	case router.Fail:
 		sim.finish(c, a.ID)
-	case router.Probe:
+	case router.CheckHealth:
 		sim.probe(c, a.Engine)
-	case router.Wake:
+	case router.SetTimer:
 		sim.scheduleWake(c, a.After)
 	case router.Subscribe:
 		sim.subscribe(c)
@@ -167,7 +167,7 @@
 func (sim *simulation) probe(c *controller, id router.EngineID) {
 	e := sim.engines[id]
 	sim.afterFor(c, 1+sim.rng.Float64()*5, func() {
-		probed := router.Probed{Engine: id, Outcome: router.Answered, Load: sim.loadReport(e)}
+		probed := router.HealthCheckEnded{Engine: id, Outcome: router.Succeeded, Load: sim.loadReport(e)}
 		if e == nil || e.gone || sim.rng.Float64() < 0.1 {
 			probed.Outcome, probed.Load = router.TimedOut, nil
 		}
@@ -181,7 +181,7 @@
 	wake := c.wake
 	sim.afterFor(c, delay, func() {
 		if c.wake == wake {
-			sim.deliver(c, router.Woke{})
+			sim.deliver(c, router.TimerFired{})
 		}
 	})
 }
@@ -190,7 +190,7 @@
 func (sim *simulation) subscribe(c *controller) {
 	sim.afterFor(c, sim.rng.Float64()*100, func() {
 		if sim.rng.Intn(3) == 0 {
-			sim.deliver(c, router.Listed{Failed: true})
+			sim.deliver(c, router.EndpointsUpdated{Failed: true})
 			return
 		}
 		c.listener = true
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,7 +9,7 @@
 // publish has every controller receive the entry of an engine, each with a lag of its own. An entry that overtakes a newer
 // one is ignored by receiveEntries.
 func (sim *simulation) publish(e *engine) {
-	entry := e.Entry
+	entry := e.Endpoint
 	for _, c := range sim.controllers {
 		sim.afterFor(c, sim.rng.Float64()*sim.ListLag, func() {
 			if c.cutOff || !c.listener {
@@ -22,8 +22,8 @@
 }
 
 // receiveEntries delivers the entries that are newer than what a controller has received.
-func (sim *simulation) receiveEntries(c *controller, entries ...router.Entry) {
-	var news []router.Entry
+func (sim *simulation) receiveEntries(c *controller, entries ...router.Endpoint) {
+	var news []router.Endpoint
 	for _, e := range entries {
 		if newer(c.listed[e.Engine], e) {
 			c.listed[e.Engine] = e
@@ -31,12 +31,12 @@
 		}
 	}
 	c.expired = false
-	sim.deliver(c, router.Listed{Entries: news})
+	sim.deliver(c, router.EndpointsUpdated{Endpoints: news})
 }
 
 // newer tells whether b is no older entry of an engine than a.
-func newer(a, b router.Entry) bool {
-	return a.Engine == "" || cmp.Or(cmp.Compare(b.Since, a.Since), cmp.Compare(b.State, a.State)) >= 0
+func newer(a, b router.Endpoint) bool {
+	return a.Engine == "" || cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(b.State, a.State)) >= 0
 }
 
 // expiry is for how long, in ms, a controller is cut off from the list until what it has expires.
@@ -51,17 +51,17 @@
 	sim.afterFor(c, expiry, func() {
 		if c.cutOff {
 			c.expired = true
-			sim.deliver(c, router.Listed{Expired: expiry})
+			sim.deliver(c, router.EndpointsUpdated{ExpiredFor: expiry})
 		}
 	})
 	sim.afterFor(c, sim.rng.Float64()*4000, func() {
 		c.cutOff = false
 		missed := c.missed
 		c.missed = nil
-		if sim.Facts.Allowed.MustAsk && sim.rng.Intn(2) == 0 { // the subscription broke
+		if sim.Facts.Allowed.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription broke
 			c.listener = false
 			c.missed = missed
-			sim.deliver(c, router.Listed{Failed: true})
+			sim.deliver(c, router.EndpointsUpdated{Failed: true})
 			return
 		}
 		sim.receiveEntries(c, missed...)
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -64,48 +64,48 @@
 	}
 	f := &s.Facts
 	for i := range whole("kinds", 1, 3) {
-		f.Kinds = append(f.Kinds, router.Kind{Cores: number(fmt.Sprint("cores", i), 1, 32),
+		f.Kinds = append(f.Kinds, router.MachineKind{Cores: number(fmt.Sprint("cores", i), 1, 32),
 			MemoryMB: number(fmt.Sprint("memory", i), 100, 64000)})
 	}
 	for i := range whole("profiles", 1, 4) {
 		p, work := profile(t, i, len(f.Kinds), s.Zones)
 		f.Profiles, s.Work = append(f.Profiles, p), append(s.Work, work)
 	}
-	f.Allowed = router.Allowed{Cancel: flag("cancel"), Probes: flag("probes"), SecondCopies: flag("copies"),
-		RetryAfter: flag("retry after"), MaxSends: whole("most sends", 1, 6),
-		MustAsk: flag("must ask")}
+	f.Allowed = router.Capabilities{Cancel: flag("cancel"), HealthChecks: flag("probes"), Hedging: flag("copies"),
+		RetryAfter: flag("retry after"), MaxAttempts: whole("most sends", 1, 6),
+		PollEndpoints: flag("must ask")}
 	if flag("notes") {
-		f.Allowed.NotePace = number("note pace", 50, 800)
+		f.Allowed.ProgressInterval = number("note pace", 50, 800)
 	}
 	if f.Allowed.RetryAfter {
 		f.Allowed.MaxRetryAfter = number("longest wait", 0, 1000)
 	}
-	f.Guards = router.Guards{Round: rate("round", 10), ColdShare: number("cold share", 0.05, 0.9),
-		ColdTime: number("cold time", 200, 6000), ColdMultiple: number("cold multiple", 0.5, 6),
-		ColdWindow: number("cold window", 100, 2000), OrderRest: rate("order rest", 500),
-		Budgeted: flag("budgeted"), ResendFree: float64(whole("free resends", 0, 5)),
-		ResendShare: number("resend share", 0, 1), ResendWindow: number("resend window", 300, 4000),
-		AskWithin: number("ask within", 7000, 20000)}
+	f.Guards = router.SafetyLimits{EventInterval: rate("round", 10), SlowStartCapacity: number("cold share", 0.05, 0.9),
+		SlowStartTime: number("cold time", 200, 6000), SlowStartOverload: number("cold multiple", 0.5, 6),
+		SlowStartWindow: number("cold window", 100, 2000), OrderingCooldown: rate("order rest", 500),
+		RetryBudgeted: flag("budgeted"), RetryBudgetMin: float64(whole("free resends", 0, 5)),
+		RetryBudgetRatio: number("resend share", 0, 1), RetryBudgetWindow: number("resend window", 300, 4000),
+		PollWithin: number("ask within", 7000, 20000)}
 	s.Pressed = rapid.IntRange(0, 3).Draw(t, "pressed") == 3 // last, so that earlier worlds stay what they were
 	s.Lined = rapid.IntRange(0, 3).Draw(t, "lined") == 3
 	return s
 }
 
-func profile(t *rapid.T, i, kinds, zones int) (router.Profile, float64) {
+func profile(t *rapid.T, i, kinds, zones int) (router.QueryClass, float64) {
 	name := func(of string) string { return fmt.Sprint("profile ", i, " ", of) }
-	p := router.Profile{
-		Effect:      rapid.SampledFrom([]router.Effect{router.Replayable, router.Uniqued, router.NonReplayable}).Draw(t, name("effect")),
-		Scope:       rapid.SampledFrom([]router.Scope{router.ScopeAll, router.ScopeZone, router.ScopeCell}).Draw(t, name("scope")),
-		InOrder:     rapid.Bool().Draw(t, name("in order")),
-		Timeout:     rapid.Float64Range(200, 4000).Draw(t, name("timeout")),
-		Threads:     rapid.Float64Range(1, 4).Draw(t, name("threads")),
-		HoldsTables: rapid.Bool().Draw(t, name("holds")),
-		Waits:       rapid.Bool().Draw(t, name("waits")),
-		LateShare:   rapid.Float64Range(0, 1).Draw(t, name("late share")),
+	p := router.QueryClass{
+		Effect:         rapid.SampledFrom([]router.RepeatEffect{router.Idempotent, router.Deduplicated, router.NonIdempotent}).Draw(t, name("effect")),
+		Scope:          rapid.SampledFrom([]router.DeduplicationScope{router.ScopeAll, router.ScopeZone, router.ScopeCell}).Draw(t, name("scope")),
+		Ordered:        rapid.Bool().Draw(t, name("in order")),
+		ClientTimeout:  rapid.Float64Range(200, 4000).Draw(t, name("timeout")),
+		Threads:        rapid.Float64Range(1, 4).Draw(t, name("threads")),
+		LocksTables:    rapid.Bool().Draw(t, name("holds")),
+		WaitsForTables: rapid.Bool().Draw(t, name("waits")),
+		LateBenefit:    rapid.Float64Range(0, 1).Draw(t, name("late share")),
 	}
-	p.Target = p.Timeout * rapid.Float64Range(0.2, 0.9).Draw(t, name("target"))
-	p.TargetStretch = rapid.Float64Range(0, 3).Draw(t, name("stretch"))
-	p.RepeatWindow = rapid.Float64Range(100, 4000).Draw(t, name("window"))
+	p.LatencyObjective = p.ClientTimeout * rapid.Float64Range(0.2, 0.9).Draw(t, name("target"))
+	p.ObjectivePerWork = rapid.Float64Range(0, 3).Draw(t, name("stretch"))
+	p.DeduplicationWindow = rapid.Float64Range(100, 4000).Draw(t, name("window"))
 	if rapid.Bool().Draw(t, name("bound")) {
 		p.Kinds = []router.KindID{}
 		for k := range kinds {
@@ -122,5 +122,5 @@
 			}
 		}
 	}
-	return p, p.Timeout * rapid.Float64Range(0.01, 0.25).Draw(t, name("work"))
+	return p, p.ClientTimeout * rapid.Float64Range(0.01, 0.25).Draw(t, name("work"))
 }
--- a/internal/lab/simulation/engines.go
+++ b/internal/lab/simulation/engines.go
@@ -9,7 +9,7 @@
 
 // engine is an engine as it is, whatever the controllers know of it.
 type engine struct {
-	router.Entry
+	router.Endpoint
 	serial      int     // of its process
 	slowness    float64 // times the usual time
 	errorFactor float64 // times the usual share of failures
@@ -30,12 +30,12 @@
 	if sim.rng.Intn(20) == 0 {
 		kind = -1
 	}
-	e := &engine{Entry: router.Entry{
-		Engine: router.EngineID(fmt.Sprintf("e%02d", len(sim.order))),
-		Since:  since,
-		Zone:   router.Zone(fmt.Sprint("z", sim.rng.Intn(sim.Zones))),
-		Kind:   kind,
-		Cell:   router.CellID(sim.rng.Intn(sim.Cells)),
+	e := &engine{Endpoint: router.Endpoint{
+		Engine:    router.EngineID(fmt.Sprintf("e%02d", len(sim.order))),
+		StartedAt: since,
+		Zone:      router.Zone(fmt.Sprint("z", sim.rng.Intn(sim.Zones))),
+		Kind:      kind,
+		Cell:      router.CellID(sim.rng.Intn(sim.Cells)),
 	}}
 	sim.order = append(sim.order, e)
 	sim.engines[e.Engine] = e
@@ -58,7 +58,7 @@
 
 // restartEngine brings an engine back under its old id.
 func (sim *simulation) restartEngine(e *engine) {
-	e.gone, e.State, e.Since = false, router.Ready, sim.now
+	e.gone, e.State, e.StartedAt = false, router.Ready, sim.now
 	sim.startProcess(e)
 	sim.publish(e)
 }
@@ -92,7 +92,7 @@
 		for _, q := range sim.openQueries(c) {
 			for i, s := range q.attempts {
 				if s.engine == e && !s.ended && sim.rng.Intn(3) > 0 { // some connections stay silent
-					sim.scheduleOutcome(c, q, i, 0.5+sim.rng.Float64(), router.Reset)
+					sim.scheduleOutcome(c, q, i, 0.5+sim.rng.Float64(), router.ConnectionReset)
 				}
 			}
 		}
@@ -101,15 +101,15 @@
 }
 
 // loadReport is the report that comes with an answer, at times an absurd one; nil: there is none.
-func (sim *simulation) loadReport(e *engine) *router.Load {
+func (sim *simulation) loadReport(e *engine) *router.LoadReport {
 	if e == nil || sim.rng.Intn(3) == 0 {
 		return nil
 	}
 	if sim.Absurd && sim.rng.Intn(2) == 0 {
 		x := []float64{0, -1, 1e12, math.Inf(1), math.NaN()}
-		return &router.Load{Inflight: x[sim.rng.Intn(5)], Util: x[sim.rng.Intn(5)], Memory: x[sim.rng.Intn(5)],
+		return &router.LoadReport{Inflight: x[sim.rng.Intn(5)], Utilization: x[sim.rng.Intn(5)], Memory: x[sim.rng.Intn(5)],
 			Disk: x[sim.rng.Intn(5)]}
 	}
-	return &router.Load{Inflight: sim.rng.Float64() * 20, Util: sim.rng.Float64(), Memory: sim.rng.Float64(),
+	return &router.LoadReport{Inflight: sim.rng.Float64() * 20, Utilization: sim.rng.Float64(), Memory: sim.rng.Float64(),
 		Disk: sim.rng.Float64()}
 }
--- a/internal/lab/simulation/hostile.go
+++ b/internal/lab/simulation/hostile.go
@@ -8,12 +8,12 @@
 )
 
 // hostileLearned is a restored state that no controller can have learned.
-func (sim *simulation) hostileLearned() (l router.Learned) {
+func (sim *simulation) hostileLearned() (l router.Statistics) {
 	odd := func() float64 {
 		x := []float64{0, -1, 1, 1e-300, 1e300, math.Inf(1), math.Inf(-1), math.NaN(), sim.now, sim.rng.Float64()}
 		return x[sim.rng.Intn(len(x))]
 	}
-	weighed := func() router.Weighed { return router.Weighed{Mean: odd(), Weight: odd()} }
+	weighed := func() router.WeightedMean { return router.WeightedMean{Mean: odd(), Weight: odd()} }
 	engineID := func() router.EngineID {
 		if e := sim.randomEngine(); e != nil && sim.rng.Intn(8) > 0 {
 			return e.Engine
@@ -21,30 +21,30 @@
 		return router.EngineID(fmt.Sprint("x", sim.rng.Intn(3)))
 	}
 	for range sim.rng.Intn(12) {
-		m := router.LearnedEngine{At: odd(), Engine: engineID(), Pace: weighed(), Width: odd(),
-			Outcomes: uint8(sim.rng.Intn(256)), Lead: engineID()}
+		m := router.EngineStatistics{At: odd(), Engine: engineID(), Slowdown: weighed(), ThreadsPerCore: odd(),
+			Outcomes: uint8(sim.rng.Intn(256)), PoolLeader: engineID()}
 		if e := sim.engines[m.Engine]; e != nil && sim.rng.Intn(3) > 0 {
-			m.Since = e.Since
+			m.StartedAt = e.StartedAt
 		} else {
-			m.Since = odd()
+			m.StartedAt = odd()
 		}
 		l.Engines = append(l.Engines, m)
 	}
 	for range sim.rng.Intn(12) {
-		m := router.LearnedTables{At: odd(), Tables: router.TableGroup(sim.rng.Intn(2*sim.Tables) - 2), Demand: odd(),
-			Held: odd()}
+		m := router.TableStatistics{At: odd(), Tables: router.TableGroup(sim.rng.Intn(2*sim.Tables) - 2), Demand: odd(),
+			MemoryTime: odd()}
 		for range sim.rng.Intn(5) {
-			m.Homes = append(m.Homes, engineID())
+			m.PoolLeaders = append(m.PoolLeaders, engineID())
 		}
 		l.Tables = append(l.Tables, m)
 	}
 	for range sim.rng.Intn(4) {
-		l.Profiles = append(l.Profiles, router.LearnedProfile{At: odd(),
-			Profile: router.ProfileID(sim.rng.Intn(len(sim.Facts.Profiles)+2) - 1), FullLeft: odd(), Best: odd(),
-			WorkScale: weighed(), NeedScale: weighed()})
+		l.Classes = append(l.Classes, router.ClassStatistics{At: odd(),
+			Class: router.ClassID(sim.rng.Intn(len(sim.Facts.Profiles)+2) - 1), FirstTryTimeout: odd(), UnloadedTime: odd(),
+			WorkScale: weighed(), MemoryScale: weighed()})
 	}
 	for range sim.rng.Intn(3) {
-		l.Traffic = append(l.Traffic, router.LearnedTraffic{At: odd(), Part: weighed()})
+		l.Traffic = append(l.Traffic, router.TrafficStatistics{At: odd(), Share: weighed()})
 	}
 	return l
 }
--- a/internal/lab/simulation/queries.go
+++ b/internal/lab/simulation/queries.go
@@ -11,8 +11,8 @@
 
 // query is one that a controller owes an answer, or that has an attempt without an outcome.
 type query struct {
-	id       router.CommandID
-	class    router.ProfileID
+	id       router.QueryID
+	class    router.ClassID
 	work     float64 // ms on one thread, in truth
 	over     bool    // its client has an answer, or has left
 	began    bool    // its answer has begun
@@ -39,8 +39,8 @@
 }
 
 // randomKey draws an order key.
-func (sim *simulation) randomKey() router.OrderKey {
-	return router.OrderKey(fmt.Sprint("k", sim.rng.Intn(sim.Keys)))
+func (sim *simulation) randomKey() router.OrderingKey {
+	return router.OrderingKey(fmt.Sprint("k", sim.rng.Intn(sim.Keys)))
 }
 
 // arriveQuery has a query arrive at a controller; its client may leave before the answer.
@@ -49,13 +49,13 @@
 	if !c.up {
 		return
 	}
-	class := router.ProfileID(sim.rng.Intn(len(sim.Facts.Profiles)))
+	class := router.ClassID(sim.rng.Intn(len(sim.Facts.Profiles)))
 	sim.serial++
 	q := &query{id: sim.serial, class: class, work: sim.Work[class] * (0.75 + 0.5*sim.rng.Float64())}
 	ev, left := sim.drawArrival(q)
-	q.estimate, q.needMB = ev.Estimate, ev.NeedMB
+	q.estimate, q.needMB = ev.EstimatedWork, ev.EstimatedMemoryMB
 	if sim.Rekeyed && sim.rng.Intn(3) == 0 {
-		ev.Also = []router.OrderKey{sim.randomKey()}
+		ev.MoreKeys = []router.OrderingKey{sim.randomKey()}
 	}
 	c.queries[q.id], sim.works[q.id] = q, q.work
 	sim.deliver(c, ev)
@@ -67,44 +67,44 @@
 			return
 		}
 		q.over = true
-		sim.deliver(c, router.Left{ID: q.id})
+		sim.deliver(c, router.ClientDisconnected{ID: q.id})
 		sim.forgetIfDone(c, q)
 	})
 }
 
 // drawArrival draws what a controller is told of a query, and the time, in ms, until its client gives up.
-func (sim *simulation) drawArrival(q *query) (ev router.Arrived, left float64) {
+func (sim *simulation) drawArrival(q *query) (ev router.QueryArrived, left float64) {
 	f := &sim.Facts
-	left = f.Profiles[q.class].Timeout * (0.2 + 0.8*sim.rng.Float64())
+	left = f.Profiles[q.class].ClientTimeout * (0.2 + 0.8*sim.rng.Float64())
 	if sim.rng.Intn(4) > 0 {
-		left = f.Profiles[q.class].Timeout
+		left = f.Profiles[q.class].ClientTimeout
 	}
-	left = max(left, 2*f.Guards.Round+10)
+	left = max(left, 2*f.Guards.EventInterval+10)
 	tables := router.TableGroup(sim.rng.Intn(sim.Tables))
-	ev = router.Arrived{ID: q.id, Tenant: -1, Profile: q.class, Tables: tables, Left: left}
+	ev = router.QueryArrived{ID: q.id, Tenant: -1, Class: q.class, Tables: tables, TimeLeft: left}
 	if sim.rng.Intn(2) == 0 {
 		ev.Key = sim.randomKey()
 	}
 	if sim.rng.Intn(2) == 0 {
-		ev.Estimate = q.work * (0.85 + 0.3*sim.rng.Float64())
-		ev.NeedMB = 10 + sim.rng.Float64()*100
+		ev.EstimatedWork = q.work * (0.85 + 0.3*sim.rng.Float64())
+		ev.EstimatedMemoryMB = 10 + sim.rng.Float64()*100
 		if sim.Absurd && sim.rng.Intn(3) == 0 {
-			ev.Estimate, ev.NeedMB = q.work*math.Exp(3*sim.rng.Float64()), sim.rng.Float64()*1e6
+			ev.EstimatedWork, ev.EstimatedMemoryMB = q.work*math.Exp(3*sim.rng.Float64()), sim.rng.Float64()*1e6
 		}
 	}
 	if sim.Narrowed && sim.rng.Intn(3) == 0 { // as an operator's rules may
-		ev.Most = q.work * sim.rng.Float64() / 20
+		ev.EstimateCap = q.work * sim.rng.Float64() / 20
 		ev.Hot, ev.Kinds = sim.rng.Intn(2) == 0, []router.KindID{router.KindID(sim.rng.Intn(len(f.Kinds)))}
 		if sim.rng.Intn(3) == 0 {
 			ev.Kinds, ev.Zones = nil, []router.Zone{router.Zone(fmt.Sprint("z", sim.rng.Intn(sim.Zones)))}
 		}
 	}
 	if sim.Pressed {
-		ev.Waited = 40 * sim.rng.ExpFloat64()
+		ev.InboxWait = 40 * sim.rng.ExpFloat64()
 	}
 	if sim.Lined && sim.rng.Intn(2) == 0 {
-		ev.Lined = sim.rng.Float64() * 0.7 * left
-		left -= ev.Lined * sim.rng.Float64()
+		ev.ClientQueueTime = sim.rng.Float64() * 0.7 * left
+		left -= ev.ClientQueueTime * sim.rng.Float64()
 	}
 	return ev, left
 }
@@ -117,13 +117,13 @@
 	}
 	for _, q := range sim.openQueries(c) {
 		if sim.rng.Intn(3) > 0 {
-			sim.deliver(c, router.Keyed{ID: q.id, Key: sim.randomKey()})
+			sim.deliver(c, router.OrderingKeyAdded{ID: q.id, Key: sim.randomKey()})
 		}
 	}
 }
 
 // startAttempt sends a query to an engine, and schedules what becomes of it.
-func (sim *simulation) startAttempt(c *controller, q *query, a router.Send) {
+func (sim *simulation) startAttempt(c *controller, q *query, a router.StartAttempt) {
 	e := sim.engines[a.Engine]
 	q.attempts = append(q.attempts, &attempt{engine: e, at: sim.now})
 	n := len(q.attempts) - 1
@@ -135,18 +135,18 @@
 		return
 	case e.gone:
 		delete(c.process, e.Engine)
-		sim.scheduleOutcome(c, q, n, latency, router.Refused)
+		sim.scheduleOutcome(c, q, n, latency, router.ConnectFailed)
 		return
 	}
 	c.process[e.Engine] = e.serial
 	if e.State != router.Ready {
-		sim.scheduleOutcome(c, q, n, latency, router.Full)
+		sim.scheduleOutcome(c, q, n, latency, router.EngineFull)
 		return
 	}
 	took := q.work / sim.Facts.Profiles[q.class].Threads * e.slowness * (1 + sim.rng.ExpFloat64()*0.3)
-	outcome := router.Answered
+	outcome := router.Succeeded
 	if sim.rng.Float64() < sim.Bad*e.errorFactor {
-		outcome = []router.Outcome{router.Errored, router.Full, router.TimedOut, router.Refused, router.Reset,
+		outcome = []router.Outcome{router.Errored, router.EngineFull, router.TimedOut, router.ConnectFailed, router.ConnectionReset,
 			router.NotSent}[sim.rng.Intn(6)]
 		took *= sim.rng.Float64() * 2
 	}
@@ -154,14 +154,14 @@
 		took = math.Inf(1)
 	}
 	if sim.rng.Intn(20) == 0 {
-		sim.scheduleBegin(c, q, n, latency+min(took, a.Until-sim.now)*sim.rng.Float64())
+		sim.scheduleBegin(c, q, n, latency+min(took, a.Deadline-sim.now)*sim.rng.Float64())
 	}
-	if late := a.Until - sim.now; latency+took > late {
+	if late := a.Deadline - sim.now; latency+took > late {
 		sim.scheduleOutcome(c, q, n, max(0, late), router.TimedOut)
 	} else {
 		sim.scheduleOutcome(c, q, n, latency+took, outcome)
 	}
-	if interval := sim.Facts.Allowed.NotePace; interval > 0 && sim.rng.Intn(4) > 0 {
+	if interval := sim.Facts.Allowed.ProgressInterval; interval > 0 && sim.rng.Intn(4) > 0 {
 		sim.scheduleProgress(c, q, n, interval)
 	}
 }
@@ -172,7 +172,7 @@
 	sim.afterFor(c, delay, func() {
 		if !q.over && !q.attempts[n].ended && len(q.attempts) == 1 && !q.began {
 			q.began = true
-			sim.deliver(c, router.Began{ID: q.id, Send: router.SendID(n)})
+			sim.deliver(c, router.ResponseStarted{ID: q.id, Attempt: router.AttemptID(n)})
 		}
 	})
 }
@@ -183,11 +183,11 @@
 		if q.attempts[n].ended {
 			return
 		}
-		what, level := router.NoteKind(sim.rng.Intn(5)), sim.rng.Float64()
+		what, level := router.ProgressKind(sim.rng.Intn(5)), sim.rng.Float64()
 		if sim.Absurd {
 			level = []float64{level, -1, 1e9, 0, 1e-9}[sim.rng.Intn(5)]
 		}
-		sim.deliver(c, router.Noted{ID: q.id, Send: router.SendID(n), What: what, Level: level})
+		sim.deliver(c, router.AttemptProgress{ID: q.id, Attempt: router.AttemptID(n), Kind: what, Value: level})
 		sim.scheduleProgress(c, q, n, interval)
 	})
 }
@@ -200,19 +200,19 @@
 			return
 		}
 		if outcome == router.TimedOut && q.began { // an answer that has begun has no timeout
-			sim.scheduleOutcome(c, q, n, sim.rng.Float64()*1000, []router.Outcome{router.Answered, router.Reset}[sim.rng.Intn(2)])
+			sim.scheduleOutcome(c, q, n, sim.rng.Float64()*1000, []router.Outcome{router.Succeeded, router.ConnectionReset}[sim.rng.Intn(2)])
 			return
 		}
 		a.ended = true
-		if outcome == router.Answered || q.began {
+		if outcome == router.Succeeded || q.began {
 			q.over = true // the answer went to the client, or broke off on its way
 		}
-		ev := router.Ended{ID: q.id, Send: router.SendID(n), Outcome: outcome, Over: q.over, Took: sim.now - a.at}
+		ev := router.AttemptEnded{ID: q.id, Attempt: router.AttemptID(n), Outcome: outcome, QueryDone: q.over, Elapsed: sim.now - a.at}
 		if sim.rng.Intn(2) == 0 {
 			ev.Load = sim.loadReport(a.engine)
 		}
-		if outcome == router.Answered && q.estimate > 0 && sim.rng.Intn(2) == 0 {
-			ev.Work, ev.NeedMB = q.work, q.needMB*(0.5+sim.rng.Float64())
+		if outcome == router.Succeeded && q.estimate > 0 && sim.rng.Intn(2) == 0 {
+			ev.Work, ev.MemoryMB = q.work, q.needMB*(0.5+sim.rng.Float64())
 		}
 		sim.deliver(c, ev)
 		sim.forgetIfDone(c, q)
@@ -220,7 +220,7 @@
 }
 
 // finish takes in that a controller has given the final answer.
-func (sim *simulation) finish(c *controller, id router.CommandID) {
+func (sim *simulation) finish(c *controller, id router.QueryID) {
 	if q := c.queries[id]; q != nil {
 		q.over = true
 		sim.forgetIfDone(c, q)
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -13,7 +13,7 @@
 // Controller is what a simulation drives: the module, or one made to break a rule.
 type Controller interface {
 	Step(now float64, events []router.Event) []router.Action
-	Learned(from router.Cursor, most int) (router.Learned, router.Cursor, bool)
+	Statistics(from router.Cursor, most int) (router.Statistics, router.Cursor, bool)
 }
 
 // Memory is what controllers restore when they start again.
@@ -64,14 +64,14 @@
 }
 
 // Play runs a simulation to its end. make makes a controller that starts.
-func Play(s Spec, make func(seed int64, place router.Place) Controller) *Result {
+func Play(s Spec, make func(seed int64, place router.Identity) Controller) *Result {
 	sim := &simulation{
 		Spec:    s,
 		rng:     rand.New(rand.NewSource(s.Seed)),
 		make:    make,
 		checker: checker.New(s.Facts),
 		engines: map[router.EngineID]*engine{},
-		works:   map[router.CommandID]float64{},
+		works:   map[router.QueryID]float64{},
 		result:  &Result{},
 	}
 	sim.result.Checker = sim.checker
@@ -85,7 +85,7 @@
 }
 
 // Module makes controllers of the module as it is.
-func (s Spec) Module(seed int64, place router.Place) Controller {
+func (s Spec) Module(seed int64, place router.Identity) Controller {
 	f := s.Facts
 	return router.New(seed, place, f.Kinds, f.Profiles, nil, f.Allowed, f.Guards)
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -74,7 +74,7 @@
 		s.Memory = Nothing
 		var logs [2][]string
 		for i := range logs {
-			Play(s, func(seed int64, place router.Place) Controller {
+			Play(s, func(seed int64, place router.Identity) Controller {
 				return &scribe{Controller: s.Module(seed, place), log: &logs[i], takes: i == 1}
 			})
 		}
@@ -95,7 +95,7 @@
 	actions := s.Controller.Step(now, events)
 	*s.log = append(*s.log, fmt.Sprint(now, actions))
 	if s.takes {
-		s.Learned(router.Cursor{}, 1000)
+		s.Statistics(router.Cursor{}, 1000)
 	}
 	return actions
 }
@@ -104,7 +104,7 @@
 type broken struct {
 	Controller
 	change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
-	sent   map[router.CommandID]router.EngineID
+	sent   map[router.QueryID]router.EngineID
 	listed router.EngineID
 	n      int
 }
@@ -124,7 +124,7 @@
 	if worldsPlayed < 100 || testing.Short() {
 		t.Skip("one goroutine, and too slow under the race detector; tells of the worlds, not of the module")
 	}
-	isShed := func(a router.Action) bool { _, ok := a.(router.Shed); return ok }
+	isShed := func(a router.Action) bool { _, ok := a.(router.Reject); return ok }
 	for _, c := range []struct {
 		name   string
 		rule   checker.Rule
@@ -143,8 +143,8 @@
 		}},
 		{"sheds what is out", checker.Once, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			for _, action := range a {
-				if s, ok := action.(router.Send); ok && b.n%5 == 0 {
-					return append(a, router.Shed{ID: s.ID})
+				if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
+					return append(a, router.Reject{ID: s.ID})
 				}
 			}
 			return a
@@ -152,7 +152,7 @@
 		{"sends all that it sends anew at once", checker.Once,
 			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
-					if s, ok := action.(router.Send); ok {
+					if s, ok := action.(router.StartAttempt); ok {
 						return append(a, s)
 					}
 				}
@@ -161,8 +161,8 @@
 		{"sends to engines that left", checker.Drains,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
-					if l, ok := ev.(router.Listed); ok {
-						for _, e := range l.Entries {
+					if l, ok := ev.(router.EndpointsUpdated); ok {
+						for _, e := range l.Endpoints {
 							if e.State != router.Ready {
 								b.listed = e.Engine
 							}
@@ -178,9 +178,9 @@
 		{"knows nothing of cold engines", checker.Cold,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
-					if l, ok := ev.(router.Listed); ok {
-						for _, e := range l.Entries {
-							if e.State == router.Ready && e.Since > start {
+					if l, ok := ev.(router.EndpointsUpdated); ok {
+						for _, e := range l.Endpoints {
+							if e.State == router.Ready && e.StartedAt > start {
 								b.listed = e.Engine
 							}
 						}
@@ -191,12 +191,12 @@
 		{"sends what is ahead of its turn", checker.Order,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
-					if arrived, ok := ev.(router.Arrived); ok && b.listed != "" {
-						return append(a, router.Send{ID: arrived.ID, Engine: b.listed, Until: arrived.Left})
+					if arrived, ok := ev.(router.QueryArrived); ok && b.listed != "" {
+						return append(a, router.StartAttempt{ID: arrived.ID, Engine: b.listed, Deadline: arrived.TimeLeft})
 					}
 				}
 				for _, action := range a {
-					if s, ok := action.(router.Send); ok {
+					if s, ok := action.(router.StartAttempt); ok {
 						b.listed = s.Engine
 					}
 				}
@@ -205,12 +205,12 @@
 		{"sends as often as it likes", checker.Budget,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
-					if e, ok := ev.(router.Ended); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" && !e.Over {
-						a = append(a, router.Send{ID: e.ID, Engine: b.sent[e.ID]})
+					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" && !e.QueryDone {
+						a = append(a, router.StartAttempt{ID: e.ID, Engine: b.sent[e.ID]})
 					}
 				}
 				for _, action := range a {
-					if s, ok := action.(router.Send); ok {
+					if s, ok := action.(router.StartAttempt); ok {
 						b.sent[s.ID] = s.Engine
 					}
 				}
@@ -229,9 +229,9 @@
 			if s.Controllers > 5 {
 				continue
 			}
-			r := Play(s, func(seed int64, place router.Place) Controller {
+			r := Play(s, func(seed int64, place router.Identity) Controller {
 				return &broken{Controller: s.Module(seed, place), change: c.change,
-					sent: map[router.CommandID]router.EngineID{}}
+					sent: map[router.QueryID]router.EngineID{}}
 			})
 			if r.Count(c.rule) > 0 {
 				if found++; found == 3 {
@@ -249,7 +249,7 @@
 func (b *broken) aim(actions []router.Action, to router.EngineID) []router.Action {
 	out := slices.Clone(actions)
 	for i, action := range out {
-		if s, ok := action.(router.Send); ok && to != "" {
+		if s, ok := action.(router.StartAttempt); ok && to != "" {
 			s.Engine = to
 			out[i] = s
 		}
--- a/internal/lab/simulation/steps.go
+++ b/internal/lab/simulation/steps.go
@@ -13,7 +13,7 @@
 type simulation struct {
 	Spec
 	rng         *rand.Rand
-	make        func(int64, router.Place) Controller
+	make        func(int64, router.Identity) Controller
 	now         float64
 	queue       eventqueue.Queue
 	checker     *checker.Checker
@@ -21,8 +21,8 @@
 	order       []*engine // by when they joined
 	controllers []*controller
 	weights     []float64 // of controllers, in arrivals
-	serial      router.CommandID
-	works       map[router.CommandID]float64
+	serial      router.QueryID
+	works       map[router.QueryID]float64
 	result      *Result
 }
 
@@ -81,7 +81,7 @@
 	for range sim.Engines {
 		since := 0.0
 		if sim.Young {
-			since = sim.now - sim.rng.Float64()*sim.Facts.Guards.ColdTime/2
+			since = sim.now - sim.rng.Float64()*sim.Facts.Guards.SlowStartTime/2
 		}
 		sim.addEngine(since)
 	}
@@ -123,7 +123,7 @@
 	if sim.Memory == Hostile {
 		sim.poisson(2, func() {
 			if c := sim.randomController(); c.up {
-				sim.deliver(c, router.Recalled{Learned: sim.hostileLearned()})
+				sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileLearned()})
 			}
 		})
 	}
--- a/internal/lab/steps/hard_test.go
+++ b/internal/lab/steps/hard_test.go
@@ -14,16 +14,16 @@
 	t      *testing.T
 	m      Module
 	now    float64
-	serial router.CommandID
-	out    map[router.CommandID]router.EngineID // by its only send
-	finals map[router.CommandID]int
-	sends  []router.Send // in order
+	serial router.QueryID
+	out    map[router.QueryID]router.EngineID // by its only send
+	finals map[router.QueryID]int
+	sends  []router.StartAttempt // in order
 }
 
-func newFront(t *testing.T, make_ Make, profiles []router.Profile, guards router.Guards) *front {
-	kinds := []router.Kind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
-	return &front{t: t, now: 1e6, out: map[router.CommandID]router.EngineID{}, finals: map[router.CommandID]int{},
-		m: make_(1, router.Place{Controllers: 1}, kinds, profiles, nil, router.Allowed{Cancel: true, MaxSends: 3, RetryAfter: true,
+func newFront(t *testing.T, make_ Make, profiles []router.QueryClass, guards router.SafetyLimits) *front {
+	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
+	return &front{t: t, now: 1e6, out: map[router.QueryID]router.EngineID{}, finals: map[router.QueryID]int{},
+		m: make_(1, router.Identity{Controllers: 1}, kinds, profiles, nil, router.Capabilities{Cancel: true, MaxAttempts: 3, RetryAfter: true,
 			MaxRetryAfter: 100}, guards)}
 }
 
@@ -31,10 +31,10 @@
 	f.now += after
 	for _, action := range f.m.Step(f.now, events) {
 		switch a := action.(type) {
-		case router.Send:
+		case router.StartAttempt:
 			f.out[a.ID] = a.Engine
 			f.sends = append(f.sends, a)
-		case router.Shed:
+		case router.Reject:
 			f.finals[a.ID]++
 		case router.Fail:
 			f.finals[a.ID]++
@@ -43,23 +43,23 @@
 }
 
 // answer ends a send well.
-func (f *front) answer(id router.CommandID) router.Ended {
+func (f *front) answer(id router.QueryID) router.AttemptEnded {
 	delete(f.out, id)
 	f.finals[id]++
-	return router.Ended{ID: id, Over: true, Took: 30, Load: &router.Load{Inflight: 3, Util: 0.4, Memory: 0.3, Disk: 0.1}}
+	return router.AttemptEnded{ID: id, QueryDone: true, Elapsed: 30, Load: &router.LoadReport{Inflight: 3, Utilization: 0.4, Memory: 0.3, Disk: 0.1}}
 }
 
-func (f *front) command(p router.ProfileID, tables int, left float64, key string) router.Arrived {
+func (f *front) command(p router.ClassID, tables int, left float64, key string) router.QueryArrived {
 	f.serial++
-	return router.Arrived{ID: f.serial, Tenant: -1, Profile: p, Tables: router.TableGroup(tables), Left: left, Estimate: 20,
-		Key: router.OrderKey(key)}
+	return router.QueryArrived{ID: f.serial, Tenant: -1, Class: p, Tables: router.TableGroup(tables), TimeLeft: left, EstimatedWork: 20,
+		Key: router.OrderingKey(key)}
 }
 
 // once checks that each command had one final answer, and no more.
 func (f *front) once() {
 	f.t.Helper()
 	wrong := 0
-	for id := router.CommandID(1); id <= f.serial; id++ {
+	for id := router.QueryID(1); id <= f.serial; id++ {
 		if f.finals[id] != 1 {
 			wrong++
 		}
@@ -70,32 +70,32 @@
 }
 
 // list is so many engines of two kinds.
-func list(prefix string, n int, since float64, state router.State) (l []router.Entry) {
+func list(prefix string, n int, since float64, state router.EngineState) (l []router.Endpoint) {
 	for i := range n {
-		l = append(l, router.Entry{Engine: router.EngineID(fmt.Sprintf("%s%04d", prefix, i)), Zone: "z", Kind: router.KindID(i % 2),
-			Since: since, State: state})
+		l = append(l, router.Endpoint{Engine: router.EngineID(fmt.Sprintf("%s%04d", prefix, i)), Zone: "z", Kind: router.KindID(i % 2),
+			StartedAt: since, State: state})
 	}
 	return l
 }
 
-var guards = router.Guards{ColdShare: 0.3, ColdTime: 3000, ColdMultiple: 4, ColdWindow: 1000, OrderRest: 100}
+var guards = router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4, SlowStartWindow: 1000, OrderingCooldown: 100}
 
 // All engines drain at once and come back under new ids, cold, while many are held; before and after module and reference
 // order the same, nothing new goes to an engine that drains, and everybody is answered once.
 func TestAllComeBackCold(t *testing.T) {
 	const engines, held = 60, 4000
 	f := newFront(t, twin(t), Profiles(3000), guards)
-	f.step(0, router.Listed{Whole: true, Entries: list("a", engines, 0, router.Ready)})
+	f.step(0, router.EndpointsUpdated{Complete: true, Endpoints: list("a", engines, 0, router.Ready)})
 	for range held / 50 {
 		var events []router.Event
 		for i := range 50 {
-			events = append(events, f.command(router.ProfileID(i%4), i%20, 3000, ""))
+			events = append(events, f.command(router.ClassID(i%4), i%20, 3000, ""))
 		}
 		f.step(2, events...)
 	}
-	f.step(1, router.Listed{Entries: list("a", engines, 0, router.Draining)})
+	f.step(1, router.EndpointsUpdated{Endpoints: list("a", engines, 0, router.Draining)})
 	before := len(f.sends)
-	f.step(200, router.Listed{Entries: list("b", engines, f.now, router.Ready)})
+	f.step(200, router.EndpointsUpdated{Endpoints: list("b", engines, f.now, router.Ready)})
 	for len(f.finals) < int(f.serial) && f.now < 1.02e6 {
 		var events []router.Event
 		for _, s := range f.sends[max(0, len(f.sends)-300):] { // the latest are answered
@@ -128,10 +128,10 @@
 		keys, commands, steps int
 		make_                 Make
 	}{{300, 1500, 400, twin(t)}, {1, 400, 400, twin(t)}, {20000, 20000, 300, module}, {1, 20000, 300, module}} {
-		profiles := []router.Profile{{Effect: router.Replayable, Target: 1e6, Timeout: 1e6, Threads: 1, LateShare: 1, InOrder: true}}
+		profiles := []router.QueryClass{{Effect: router.Idempotent, LatencyObjective: 1e6, ClientTimeout: 1e6, Threads: 1, LateBenefit: 1, Ordered: true}}
 		f := newFront(t, c.make_, profiles, guards)
-		f.step(0, router.Listed{Whole: true, Entries: list("a", 20, 0, router.Ready)})
-		keyOf := map[router.CommandID]int{}
+		f.step(0, router.EndpointsUpdated{Complete: true, Endpoints: list("a", 20, 0, router.Ready)})
+		keyOf := map[router.QueryID]int{}
 		for n := 0; n < c.commands; {
 			var events []router.Event
 			for range min(100, c.commands-n) {
@@ -142,8 +142,8 @@
 			}
 			f.step(1, events...)
 		}
-		last := map[int]router.CommandID{}
-		check := func(s router.Send) {
+		last := map[int]router.QueryID{}
+		check := func(s router.StartAttempt) {
 			if key := keyOf[s.ID]; s.ID < last[key] {
 				t.Fatalf("%+v: %d of key %d went after %d", c, s.ID, key, last[key])
 			} else {
@@ -156,7 +156,7 @@
 				check(f.sends[seen])
 			}
 			running := map[int]bool{}
-			var ids []router.CommandID
+			var ids []router.QueryID
 			for id := range f.out {
 				if running[keyOf[id]] {
 					t.Fatalf("%+v: two of key %d are out", c, keyOf[id])
@@ -185,7 +185,7 @@
 	for i := range only {
 		only[i].Kind = 0
 	}
-	f.step(0, router.Listed{Whole: true, Entries: only})
+	f.step(0, router.EndpointsUpdated{Complete: true, Endpoints: only})
 	for range 40 {
 		f.step(1, f.command(1, 0, 1000, ""), f.command(1, 1, 1000, ""))
 	}
@@ -208,7 +208,7 @@
 	for range 100 {
 		var events []router.Event
 		for i := range 1000 {
-			events = append(events, f.command(router.ProfileID(i%4), i%50, 2000-(f.now-1e6), fmt.Sprint("k", i%100)))
+			events = append(events, f.command(router.ClassID(i%4), i%50, 2000-(f.now-1e6), fmt.Sprint("k", i%100)))
 		}
 		f.step(0.1, events...)
 	}
@@ -218,30 +218,30 @@
 
 // All kinds of events in one step, in any order: the same as the reference, and as another of the same order.
 func TestAnyOrder(t *testing.T) {
-	play := func(make_ Make, seed int64) (all []router.Send) {
+	play := func(make_ Make, seed int64) (all []router.StartAttempt) {
 		rng := rand.New(rand.NewSource(seed))
 		f := newFront(t, make_, Profiles(4000), guards)
-		f.step(0, router.Listed{Whole: true, Entries: list("a", 30, 0, router.Ready)})
+		f.step(0, router.EndpointsUpdated{Complete: true, Endpoints: list("a", 30, 0, router.Ready)})
 		for range 40 {
 			var events []router.Event
 			for i := range rng.Intn(60) {
-				events = append(events, f.command(router.ProfileID(rng.Intn(4)), rng.Intn(12), 500+3500*rng.Float64(), fmt.Sprint("k", i%9)))
+				events = append(events, f.command(router.ClassID(rng.Intn(4)), rng.Intn(12), 500+3500*rng.Float64(), fmt.Sprint("k", i%9)))
 			}
-			for id := range router.CommandID(300) { // of some that were never sent, too
+			for id := range router.QueryID(300) { // of some that were never sent, too
 				id = f.serial - id
 				if _, out := f.out[id]; out && rng.Intn(3) == 0 {
 					events = append(events, f.answer(id))
 				} else if rng.Intn(40) == 0 {
-					events = append(events, router.Noted{ID: id, What: router.NoteKind(rng.Intn(5)), Level: rng.Float64()})
+					events = append(events, router.AttemptProgress{ID: id, Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()})
 				} else if rng.Intn(200) == 0 && f.finals[id] == 0 {
-					events = append(events, router.Left{ID: id})
+					events = append(events, router.ClientDisconnected{ID: id})
 					f.finals[id]++
 					delete(f.out, id)
 				}
 			}
 			if rng.Intn(3) == 0 {
-				states := []router.State{router.Ready, router.Draining, router.Gone}
-				events = append(events, router.Listed{Entries: list("a", rng.Intn(30), 0, states[rng.Intn(3)])})
+				states := []router.EngineState{router.Ready, router.Draining, router.Gone}
+				events = append(events, router.EndpointsUpdated{Endpoints: list("a", rng.Intn(30), 0, states[rng.Intn(3)])})
 			}
 			rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 			f.step(10*rng.Float64(), events...)
--- a/internal/lab/steps/pressed.go
+++ b/internal/lab/steps/pressed.go
@@ -37,7 +37,7 @@
 
 // waiting is a command that has come.
 type waiting struct {
-	id          router.CommandID
+	id          router.QueryID
 	came, taken float64
 	over        bool
 }
@@ -52,10 +52,10 @@
 	end    float64 // after which none comes
 	next   float64 // when the next command comes
 	wake   float64 // when the module wants to be asked
-	serial router.CommandID
+	serial router.QueryID
 	queue  []*waiting
 	ends   []*waiting // that engines answer, in order, as all take as long
-	open   map[router.CommandID]*waiting
+	open   map[router.QueryID]*waiting
 	sent   int     // in the last step
 	busy   float64 // ms of processor time in this turn
 	took   struct{ answered, shed float64 }
@@ -84,16 +84,16 @@
 
 func (p Pressed) start(make_ Make) *pressedRun {
 	const began, engines = 1e6, 50
-	profile := router.Profile{Effect: router.Replayable, Target: pressedTarget, Timeout: pressedTimeout, Threads: 1, LateShare: 0.3}
+	profile := router.QueryClass{Effect: router.Idempotent, LatencyObjective: pressedTarget, ClientTimeout: pressedTimeout, Threads: 1, LateBenefit: 0.3}
 	r := &pressedRun{Pressed: p, rng: rand.New(rand.NewSource(p.Seed)), now: began, next: began, end: began + p.Length,
-		wake: math.Inf(1), open: map[router.CommandID]*waiting{}}
-	r.module = make_(p.Seed, router.Place{Controllers: 1}, []router.Kind{{Cores: 64, MemoryMB: memory}}, []router.Profile{profile}, nil,
-		router.Allowed{Cancel: true, MaxSends: 3}, router.Guards{Round: 1, ColdShare: 1, ColdMultiple: 0})
-	var entries []router.Entry
+		wake: math.Inf(1), open: map[router.QueryID]*waiting{}}
+	r.module = make_(p.Seed, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 64, MemoryMB: memory}}, []router.QueryClass{profile}, nil,
+		router.Capabilities{Cancel: true, MaxAttempts: 3}, router.SafetyLimits{EventInterval: 1, SlowStartCapacity: 1, SlowStartOverload: 0})
+	var entries []router.Endpoint
 	for i := range engines {
-		entries = append(entries, router.Entry{Engine: router.EngineID(rune('A' + i)), Zone: "z"})
+		entries = append(entries, router.Endpoint{Engine: router.EngineID(rune('A' + i)), Zone: "z"})
 	}
-	r.module.Step(r.now, []router.Event{router.Listed{Whole: true, Entries: entries}})
+	r.module.Step(r.now, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: entries}})
 	return r
 }
 
@@ -131,7 +131,7 @@
 	for len(r.ends) > 0 && r.ends[0].taken+pressedWork <= r.now {
 		c := r.ends[0]
 		r.ends = r.ends[1:]
-		event := router.Ended{ID: c.id, Took: pressedWork, Over: true}
+		event := router.AttemptEnded{ID: c.id, Elapsed: pressedWork, QueryDone: true}
 		if c.over { // it was given up meanwhile
 			event.Outcome = router.Cancelled
 		} else if r.took.answered += r.tell(c, r.now); r.now-c.came <= pressedTarget {
@@ -155,9 +155,9 @@
 		c := r.queue[0]
 		r.queue = r.queue[1:]
 		waited := r.now - c.came
-		event := router.Arrived{ID: c.id, Tenant: -1, Left: pressedTimeout - waited, Estimate: pressedWork}
+		event := router.QueryArrived{ID: c.id, Tenant: -1, TimeLeft: pressedTimeout - waited, EstimatedWork: pressedWork}
 		if !r.Blind {
-			event.Waited = waited
+			event.InboxWait = waited
 		}
 		r.open[c.id] = c
 		events = append(events, event)
@@ -167,14 +167,14 @@
 
 func (r *pressedRun) carryOut(action router.Action) {
 	switch a := action.(type) {
-	case router.Send:
+	case router.StartAttempt:
 		r.busy += r.Decide
 		r.sent++
 		if c := r.open[a.ID]; c != nil {
 			c.taken = r.now + r.busy
 			r.ends = append(r.ends, c)
 		}
-	case router.Shed:
+	case router.Reject:
 		r.busy += r.Away
 		if c := r.open[a.ID]; c != nil {
 			r.out.Shed++
@@ -185,7 +185,7 @@
 			r.out.Failed++
 			r.tell(c, r.now+r.busy)
 		}
-	case router.Wake:
+	case router.SetTimer:
 		r.wake = r.now + a.After
 	}
 }
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -20,8 +20,8 @@
 }
 
 // Make makes a module.
-type Make func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) Module
+type Make func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) Module
 
 // Busy is how full the fleet is kept.
 type Busy int
@@ -59,13 +59,13 @@
 )
 
 // Profiles are those of a scene: lookups, reports that one kind alone takes, loads in order that hold their tables.
-func Profiles(longest float64) []router.Profile {
-	return []router.Profile{
-		{Effect: router.Replayable, Target: 2000, Timeout: longest, Threads: 1, LateShare: 1},
-		{Effect: router.Replayable, Target: 2000, Timeout: longest, Threads: 4, LateShare: 1, Kinds: []router.KindID{1}},
-		{Effect: router.Uniqued, RepeatWindow: 60000, Target: 2000, Timeout: longest, Threads: 2, LateShare: 1, InOrder: true,
-			HoldsTables: true},
-		{Effect: router.Replayable, Target: 2000, Timeout: longest, Threads: 1, LateShare: 1, Waits: true}}
+func Profiles(longest float64) []router.QueryClass {
+	return []router.QueryClass{
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1, LateBenefit: 1},
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 4, LateBenefit: 1, Kinds: []router.KindID{1}},
+		{Effect: router.Deduplicated, DeduplicationWindow: 60000, LatencyObjective: 2000, ClientTimeout: longest, Threads: 2, LateBenefit: 1, Ordered: true,
+			LocksTables: true},
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1, LateBenefit: 1, WaitsForTables: true}}
 }
 
 // Rig is a module in a scene, with the world's side of it.
@@ -74,10 +74,10 @@
 	m              Module
 	rng            *rand.Rand
 	now            float64
-	serial         router.CommandID
+	serial         router.QueryID
 	out            []sent
-	held           map[router.CommandID]bool
-	sends          map[router.CommandID]int
+	held           map[router.QueryID]bool
+	sends          map[router.QueryID]int
 	loads          map[router.EngineID]int
 	wake           float64
 	events         []router.Event
@@ -86,21 +86,21 @@
 }
 
 type sent struct {
-	id     router.CommandID
-	send   router.SendID
+	id     router.QueryID
+	send   router.AttemptID
 	engine router.EngineID
 	at     float64
 }
 
 // New fills a scene.
 func New(s Scene, make_ Make) *Rig {
-	kinds := []router.Kind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
-	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6, held: map[router.CommandID]bool{},
-		sends: map[router.CommandID]int{}, loads: map[router.EngineID]int{}, wake: math.Inf(1)}
-	g.m = make_(s.Seed, router.Place{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
-		router.Allowed{Cancel: true, MaxSends: 4, RetryAfter: true, MaxRetryAfter: 500},
-		router.Guards{ColdShare: 0.3, ColdTime: 10000, ColdMultiple: 4, ColdWindow: 1500, OrderRest: 300})
-	g.step(router.Listed{Whole: true, Entries: g.entries()})
+	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
+	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6, held: map[router.QueryID]bool{},
+		sends: map[router.QueryID]int{}, loads: map[router.EngineID]int{}, wake: math.Inf(1)}
+	g.m = make_(s.Seed, router.Identity{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
+		router.Capabilities{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 500},
+		router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4, SlowStartWindow: 1500, OrderingCooldown: 300})
+	g.step(router.EndpointsUpdated{Complete: true, Endpoints: g.entries()})
 	for t := range s.Tables { // all are known before anything is packed
 		g.arrive(router.TableGroup(t))
 		if t%64 == 63 {
@@ -143,9 +143,9 @@
 	return len(g.out) >= want
 }
 
-func (g *Rig) entries() (list []router.Entry) {
+func (g *Rig) entries() (list []router.Endpoint) {
 	for i := range g.Engines {
-		list = append(list, router.Entry{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Zone: "z", Kind: router.KindID(i % 2)})
+		list = append(list, router.Endpoint{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Zone: "z", Kind: router.KindID(i % 2)})
 	}
 	return list
 }
@@ -155,7 +155,7 @@
 		tables = router.TableGroup(g.rng.Intn(max(1, g.Tables)))
 	}
 	g.serial++
-	p := router.ProfileID(0)
+	p := router.ClassID(0)
 	switch x := g.rng.Intn(20); {
 	case x == 0:
 		p = 1
@@ -164,10 +164,10 @@
 	case x < 7:
 		p = 3
 	}
-	ev := router.Arrived{ID: g.serial, Tenant: -1, Profile: p, Tables: tables, Left: 1e7 - g.rng.Float64()*1e6,
-		Estimate: 20 + 60*g.rng.Float64(), NeedMB: 10 + 50*g.rng.Float64()}
+	ev := router.QueryArrived{ID: g.serial, Tenant: -1, Class: p, Tables: tables, TimeLeft: 1e7 - g.rng.Float64()*1e6,
+		EstimatedWork: 20 + 60*g.rng.Float64(), EstimatedMemoryMB: 10 + 50*g.rng.Float64()}
 	if g.Keys > 0 {
-		ev.Key = router.OrderKey(fmt.Sprint("k", g.rng.Intn(g.Keys)))
+		ev.Key = router.OrderingKey(fmt.Sprint("k", g.rng.Intn(g.Keys)))
 	}
 	g.held[g.serial] = true
 	g.events = append(g.events, ev)
@@ -184,8 +184,8 @@
 	g.out = g.out[:len(g.out)-1]
 	g.loads[s.engine]--
 	delete(g.sends, s.id)
-	g.events = append(g.events, router.Ended{ID: s.id, Send: s.send, Over: true, Took: 20 + 40*g.rng.Float64(),
-		Load: &router.Load{Inflight: float64(g.loads[s.engine]), Util: min(1, float64(g.loads[s.engine])/cores), Memory: 0.5, Disk: 0.1}})
+	g.events = append(g.events, router.AttemptEnded{ID: s.id, Attempt: s.send, QueryDone: true, Elapsed: 20 + 40*g.rng.Float64(),
+		Load: &router.LoadReport{Inflight: float64(g.loads[s.engine]), Utilization: min(1, float64(g.loads[s.engine])/cores), Memory: 0.5, Disk: 0.1}})
 }
 
 // step hands events over and returns what the step cost, in microseconds.
@@ -197,16 +197,16 @@
 	g.events = g.events[:0]
 	for _, action := range actions {
 		switch a := action.(type) {
-		case router.Send:
-			g.out = append(g.out, sent{a.ID, router.SendID(g.sends[a.ID]), a.Engine, g.now})
+		case router.StartAttempt:
+			g.out = append(g.out, sent{a.ID, router.AttemptID(g.sends[a.ID]), a.Engine, g.now})
 			g.sends[a.ID]++
 			g.loads[a.Engine]++
 			delete(g.held, a.ID)
-		case router.Shed:
+		case router.Reject:
 			delete(g.held, a.ID)
 		case router.Fail:
 			delete(g.held, a.ID)
-		case router.Wake:
+		case router.SetTimer:
 			g.wake = g.now + a.After
 		}
 	}
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -8,8 +8,8 @@
 	"mintkeel/router"
 )
 
-func module(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-	allowed router.Allowed, guards router.Guards) Module {
+func module(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+	allowed router.Capabilities, guards router.SafetyLimits) Module {
 	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
 }
 
@@ -36,8 +36,8 @@
 
 // twin steps module and reference, and tells where they part.
 func twin(t *testing.T) Make {
-	return func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
-		allowed router.Allowed, guards router.Guards) Module {
+	return func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
+		allowed router.Capabilities, guards router.SafetyLimits) Module {
 		m := reference.NewTwin(seed, place, kinds, profiles, tenants, allowed, guards)
 		m.Differs = func(step int, now float64, _ []router.Event, module, old []router.Action) {
 			t.Errorf("step %d at %v: %s", step, now, reference.Difference(module, old))
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -13,25 +13,25 @@
 // sizes are engines; there are ten table groups to each.
 var sizes = []int{10, 100, 1000}
 
-func sized(engines int) (router.Learned, []router.Entry) {
-	l := router.Learned{}
-	var list []router.Entry
+func sized(engines int) (router.Statistics, []router.Endpoint) {
+	l := router.Statistics{}
+	var list []router.Endpoint
 	for i := range engines {
 		id := router.EngineID(fmt.Sprintf("s-%08x", i))
-		l.Engines = append(l.Engines, router.LearnedEngine{At: 1e6, Engine: id, Pace: router.Weighed{Mean: 1.5, Weight: 2},
-			Width: 2.25, Outcomes: 0xff, Lead: id})
-		list = append(list, router.Entry{Engine: id})
+		l.Engines = append(l.Engines, router.EngineStatistics{At: 1e6, Engine: id, Slowdown: router.WeightedMean{Mean: 1.5, Weight: 2},
+			ThreadsPerCore: 2.25, Outcomes: 0xff, PoolLeader: id})
+		list = append(list, router.Endpoint{Engine: id})
 	}
 	for i := range 10 * engines {
-		l.Tables = append(l.Tables, router.LearnedTables{At: 1e6, Tables: router.TableGroup(i), Demand: float64(i%7) + 1,
-			Held: 100, Homes: []router.EngineID{l.Engines[i%engines].Engine}})
+		l.Tables = append(l.Tables, router.TableStatistics{At: 1e6, Tables: router.TableGroup(i), Demand: float64(i%7) + 1,
+			MemoryTime: 100, PoolLeaders: []router.EngineID{l.Engines[i%engines].Engine}})
 	}
 	return l, list
 }
 
-func module(l router.Learned, list []router.Entry) *router.Router {
-	r := router.New(1, router.Place{}, []router.Kind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Allowed{}, router.Guards{})
-	r.Step(1e6, []router.Event{router.Listed{Whole: true, Entries: list}, router.Recalled{Learned: l}})
+func module(l router.Statistics, list []router.Endpoint) *router.Router {
+	r := router.New(1, router.Identity{}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Capabilities{}, router.SafetyLimits{})
+	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: list}, router.StatisticsRestored{Statistics: l}})
 	return r
 }
 
@@ -44,7 +44,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for from, more := (router.Cursor{}), true; more; {
-					_, from, more = m.Learned(from, 256)
+					_, from, more = m.Statistics(from, 256)
 				}
 			}
 		})
--- a/internal/memory/form.go
+++ b/internal/memory/form.go
@@ -96,12 +96,12 @@
 	return mode
 }
 
-func weighed(w router.Weighed) weighedForm {
+func weighed(w router.WeightedMean) weighedForm {
 	return weighedForm{Mean: float32(w.Mean), Weight: float32(w.Weight)}
 }
 
-func (w weighedForm) record() router.Weighed {
-	return router.Weighed{Mean: float64(w.Mean), Weight: float64(w.Weight)}
+func (w weighedForm) record() router.WeightedMean {
+	return router.WeightedMean{Mean: float64(w.Mean), Weight: float64(w.Weight)}
 }
 
 func texts[T ~string](ids []T) []string {
@@ -121,22 +121,22 @@
 }
 
 // encode hands the sections of a part to add.
-func encode(part *router.Learned, add func(snapshots.Kind, []byte) error) error {
+func encode(part *router.Statistics, add func(snapshots.Kind, []byte) error) error {
 	return errors.Join(
-		section(sectionEngines, part.Engines, add, func(e router.LearnedEngine) engineForm {
-			return engineForm{At: int64(e.At), Engine: string(e.Engine), Since: e.Since, Pace: weighed(e.Pace),
-				Width: float32(e.Width), Outcomes: e.Outcomes, Lead: string(e.Lead)}
+		section(sectionEngines, part.Engines, add, func(e router.EngineStatistics) engineForm {
+			return engineForm{At: int64(e.At), Engine: string(e.Engine), Since: e.StartedAt, Pace: weighed(e.Slowdown),
+				Width: float32(e.ThreadsPerCore), Outcomes: e.Outcomes, Lead: string(e.PoolLeader)}
 		}),
-		section(sectionTables, part.Tables, add, func(t router.LearnedTables) tablesForm {
+		section(sectionTables, part.Tables, add, func(t router.TableStatistics) tablesForm {
 			return tablesForm{At: int64(t.At), Tables: int64(t.Tables), Demand: float32(t.Demand),
-				Held: float32(t.Held), Homes: texts(t.Homes)}
+				Held: float32(t.MemoryTime), Homes: texts(t.PoolLeaders)}
 		}),
-		section(sectionProfiles, part.Profiles, add, func(p router.LearnedProfile) profileForm {
-			return profileForm{At: int64(p.At), Profile: int64(p.Profile), FullLeft: float32(p.FullLeft),
-				Best: float32(p.Best), WorkScale: weighed(p.WorkScale), NeedScale: weighed(p.NeedScale)}
+		section(sectionProfiles, part.Classes, add, func(p router.ClassStatistics) profileForm {
+			return profileForm{At: int64(p.At), Profile: int64(p.Class), FullLeft: float32(p.FirstTryTimeout),
+				Best: float32(p.UnloadedTime), WorkScale: weighed(p.WorkScale), NeedScale: weighed(p.MemoryScale)}
 		}),
-		section(sectionTraffic, part.Traffic, add, func(t router.LearnedTraffic) trafficForm {
-			return trafficForm{At: int64(t.At), Part: weighed(t.Part)}
+		section(sectionTraffic, part.Traffic, add, func(t router.TrafficStatistics) trafficForm {
+			return trafficForm{At: int64(t.At), Part: weighed(t.Share)}
 		}))
 }
 
@@ -161,7 +161,7 @@
 }
 
 // Pack is what was learned as one value, for another controller: the same sections as in a file, one behind another.
-func Pack(l *router.Learned) ([]byte, error) {
+func Pack(l *router.Statistics) ([]byte, error) {
 	var sections []packed
 	err := encode(l, func(kind snapshots.Kind, payload []byte) error {
 		sections = append(sections, packed{Kind: uint16(kind), Payload: payload})
@@ -180,18 +180,18 @@
 }
 
 // Unpack reads what another controller packed; what has a wrong form is an error, and nothing of it is used.
-func Unpack(data []byte) (router.Learned, error) {
+func Unpack(data []byte) (router.Statistics, error) {
 	var sections []packed
 	if err := decoder.Unmarshal(data, &sections); err != nil {
-		return router.Learned{}, fmt.Errorf("%w: %w", errForm, err)
+		return router.Statistics{}, fmt.Errorf("%w: %w", errForm, err)
 	}
 	kept := &Kept{}
 	for _, s := range sections {
 		if kept.Memory.Learned.Len() > mostKept {
-			return router.Learned{}, errMany
+			return router.Statistics{}, errMany
 		}
 		if err := decode(snapshots.Section{Kind: snapshots.Kind(s.Kind), Payload: s.Payload}, kept); err != nil {
-			return router.Learned{}, err
+			return router.Statistics{}, err
 		}
 	}
 	return kept.Memory.Learned, nil
@@ -213,25 +213,25 @@
 		into.Taken, into.Build, into.head = float64(h.Taken), h.Build, true
 		return nil
 	case sectionEngines:
-		return records(s, &l.Engines, func(e engineForm) (router.LearnedEngine, bool) {
-			return router.LearnedEngine{At: float64(e.At), Engine: router.EngineID(e.Engine), Since: e.Since,
-				Pace: e.Pace.record(), Width: float64(e.Width), Outcomes: e.Outcomes,
-				Lead: router.EngineID(e.Lead)}, len(e.Engine) <= mostText && len(e.Lead) <= mostText
+		return records(s, &l.Engines, func(e engineForm) (router.EngineStatistics, bool) {
+			return router.EngineStatistics{At: float64(e.At), Engine: router.EngineID(e.Engine), StartedAt: e.Since,
+				Slowdown: e.Pace.record(), ThreadsPerCore: float64(e.Width), Outcomes: e.Outcomes,
+				PoolLeader: router.EngineID(e.Lead)}, len(e.Engine) <= mostText && len(e.Lead) <= mostText
 		})
 	case sectionTables:
-		return records(s, &l.Tables, func(t tablesForm) (router.LearnedTables, bool) {
-			return router.LearnedTables{At: float64(t.At), Tables: router.TableGroup(t.Tables),
-				Demand: float64(t.Demand), Held: float64(t.Held), Homes: ids[router.EngineID](t.Homes)}, homely(t.Homes)
+		return records(s, &l.Tables, func(t tablesForm) (router.TableStatistics, bool) {
+			return router.TableStatistics{At: float64(t.At), Tables: router.TableGroup(t.Tables),
+				Demand: float64(t.Demand), MemoryTime: float64(t.Held), PoolLeaders: ids[router.EngineID](t.Homes)}, homely(t.Homes)
 		})
 	case sectionProfiles:
-		return records(s, &l.Profiles, func(p profileForm) (router.LearnedProfile, bool) {
-			return router.LearnedProfile{At: float64(p.At), Profile: router.ProfileID(p.Profile),
-				FullLeft: float64(p.FullLeft), Best: float64(p.Best), WorkScale: p.WorkScale.record(),
-				NeedScale: p.NeedScale.record()}, p.Profile >= 0 && p.Profile <= math.MaxInt32
+		return records(s, &l.Classes, func(p profileForm) (router.ClassStatistics, bool) {
+			return router.ClassStatistics{At: float64(p.At), Class: router.ClassID(p.Profile),
+				FirstTryTimeout: float64(p.FullLeft), UnloadedTime: float64(p.Best), WorkScale: p.WorkScale.record(),
+				MemoryScale: p.NeedScale.record()}, p.Profile >= 0 && p.Profile <= math.MaxInt32
 		})
 	case sectionTraffic:
-		return records(s, &l.Traffic, func(t trafficForm) (router.LearnedTraffic, bool) {
-			return router.LearnedTraffic{At: float64(t.At), Part: t.Part.record()}, true
+		return records(s, &l.Traffic, func(t trafficForm) (router.TrafficStatistics, bool) {
+			return router.TrafficStatistics{At: float64(t.At), Share: t.Part.record()}, true
 		})
 	}
 	return nil
--- a/internal/memory/inspect.go
+++ b/internal/memory/inspect.go
@@ -69,9 +69,9 @@
 // the same engines.
 func Show(k *Kept, now float64, lives restore.HalfLives) *Shown {
 	l := &k.Memory.Learned
-	var list []router.Entry
+	var list []router.Endpoint
 	for _, e := range l.Engines {
-		list = append(list, router.Entry{Engine: e.Engine, Since: e.Since})
+		list = append(list, router.Endpoint{Engine: e.Engine, StartedAt: e.StartedAt})
 	}
 	_, account := restore.Select(&k.Memory, k.Memory.Of, list, now, lives)
 	s := &Shown{File: k.File, Serial: k.Serial, Name: k.Memory.Of.Name, Build: k.Build, AgeMS: int64(now - k.Taken),
@@ -86,18 +86,18 @@
 	}
 	for _, e := range l.Engines {
 		s.Engines = append(s.Engines, ShownEngine{record(e.At, lives.Pace, lives.Health, lives.Width, lives.Homes),
-			string(e.Engine), plain(e.Pace.Mean), plain(e.Width), e.Outcomes, string(e.Lead)})
+			string(e.Engine), plain(e.Slowdown.Mean), plain(e.ThreadsPerCore), e.Outcomes, string(e.PoolLeader)})
 	}
 	for _, t := range l.Tables {
 		s.Tables = append(s.Tables, ShownTables{record(t.At, lives.Tables), int64(t.Tables), plain(t.Demand),
-			texts(t.Homes)})
+			texts(t.PoolLeaders)})
 	}
-	for _, p := range l.Profiles {
-		s.Profiles = append(s.Profiles, ShownProfile{record(p.At, lives.Profile), int(p.Profile), plain(p.Best),
-			plain(p.WorkScale.Mean), plain(p.NeedScale.Mean)})
+	for _, p := range l.Classes {
+		s.Profiles = append(s.Profiles, ShownProfile{record(p.At, lives.Profile), int(p.Class), plain(p.UnloadedTime),
+			plain(p.WorkScale.Mean), plain(p.MemoryScale.Mean)})
 	}
 	for _, t := range l.Traffic {
-		s.Traffic = append(s.Traffic, ShownTraffic{record(t.At, lives.Traffic), plain(t.Part.Mean)})
+		s.Traffic = append(s.Traffic, ShownTraffic{record(t.At, lives.Traffic), plain(t.Share.Mean)})
 	}
 	return s
 }
@@ -154,12 +154,12 @@
 		return clearAll(d, b)
 	}
 	n := 0
-	err := Rewrite(d, b, func(l *router.Learned) {
+	err := Rewrite(d, b, func(l *router.Statistics) {
 		n = l.Len()
-		l.Engines = slices.DeleteFunc(l.Engines, func(e router.LearnedEngine) bool {
+		l.Engines = slices.DeleteFunc(l.Engines, func(e router.EngineStatistics) bool {
 			return slices.Contains(what.Engines, e.Engine)
 		})
-		l.Tables = slices.DeleteFunc(l.Tables, func(t router.LearnedTables) bool {
+		l.Tables = slices.DeleteFunc(l.Tables, func(t router.TableStatistics) bool {
 			return slices.Contains(what.Tables, t.Tables)
 		})
 		n -= l.Len()
@@ -182,7 +182,7 @@
 
 // Rewrite writes a folder's newest snapshot anew with changed records, under its old times. The older one goes too, so
 // that nothing comes back by a file that can't be read.
-func Rewrite(d disk.Disk, b snapshots.Bounds, change func(*router.Learned)) error {
+func Rewrite(d disk.Disk, b snapshots.Bounds, change func(*router.Statistics)) error {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
 		return err
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -48,7 +48,7 @@
 
 // Part is a part of what was learned, with where the next one begins.
 type Part struct {
-	Learned router.Learned
+	Learned router.Statistics
 	Next    router.Cursor
 	More    bool
 }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -52,17 +52,17 @@
 }
 
 // lesson is n records of each kind that there may be several of.
-func lesson(n int, at float64) (l router.Learned) {
+func lesson(n int, at float64) (l router.Statistics) {
 	for i := range n {
 		id := router.EngineID(fmt.Sprint("e", i))
-		l.Engines = append(l.Engines, router.LearnedEngine{At: at, Engine: id, Since: float64(i),
-			Pace: router.Weighed{Mean: 1.5, Weight: 2}, Width: 2.25, Outcomes: uint8(i), Lead: "e0"})
-		l.Tables = append(l.Tables, router.LearnedTables{At: at, Tables: router.TableGroup(i - 1), Demand: 0.5, Held: 8,
-			Homes: []router.EngineID{id, ""}})
-	}
-	l.Profiles = []router.LearnedProfile{{At: at, Profile: 1, FullLeft: 900, Best: 20,
-		WorkScale: router.Weighed{Mean: 2, Weight: 5}, NeedScale: router.Weighed{Mean: 0.5, Weight: 1}}}
-	l.Traffic = []router.LearnedTraffic{{At: at, Part: router.Weighed{Mean: 0.25, Weight: 300}}}
+		l.Engines = append(l.Engines, router.EngineStatistics{At: at, Engine: id, StartedAt: float64(i),
+			Slowdown: router.WeightedMean{Mean: 1.5, Weight: 2}, ThreadsPerCore: 2.25, Outcomes: uint8(i), PoolLeader: "e0"})
+		l.Tables = append(l.Tables, router.TableStatistics{At: at, Tables: router.TableGroup(i - 1), Demand: 0.5, MemoryTime: 8,
+			PoolLeaders: []router.EngineID{id, ""}})
+	}
+	l.Classes = []router.ClassStatistics{{At: at, Class: 1, FirstTryTimeout: 900, UnloadedTime: 20,
+		WorkScale: router.WeightedMean{Mean: 2, Weight: 5}, MemoryScale: router.WeightedMean{Mean: 0.5, Weight: 1}}}
+	l.Traffic = []router.TrafficStatistics{{At: at, Share: router.WeightedMean{Mean: 0.25, Weight: 300}}}
 	return l
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,9 +15,9 @@
 )
 
 // facts are settings with one profile that may go anywhere and one that may not.
-var facts = &settings.Facts{Profiles: []router.Profile{{}, {Kinds: []router.KindID{1}}},
+var facts = &settings.Facts{Profiles: []router.QueryClass{{}, {Kinds: []router.KindID{1}}},
 	Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
-		Profiles: map[string]router.ProfileID{"lookup": 0, "report": 1}}}
+		Profiles: map[string]router.ClassID{"lookup": 0, "report": 1}}}
 
 // Every problem is told with line, column and field, all at once.
 func TestProblems(t *testing.T) {
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -31,13 +31,13 @@
 
 // Query is one that a client wrote whole. The fields above mu don't change once it is posted.
 type Query struct {
-	Number    router.CommandID // the loop's, set before anyone else has it
-	ID        string           // the client's, which goes on unchanged
-	Profile   router.ProfileID
+	Number    router.QueryID // the loop's, set before anyone else has it
+	ID        string         // the client's, which goes on unchanged
+	Profile   router.ClassID
 	Verb      string // the profile's name
 	Tenant    router.TenantID
 	Unique    string // mark by which a repeat is known; empty: none
-	Key       router.OrderKey
+	Key       router.OrderingKey
 	Estimate  float64
 	NeedMB    float64
 	Tables    router.TableGroup
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -77,12 +77,12 @@
 
 // Facts are what the settings say.
 type Facts struct {
-	Place    router.Place
-	Kinds    []router.Kind
-	Profiles []router.Profile
+	Place    router.Identity
+	Kinds    []router.MachineKind
+	Profiles []router.QueryClass
 	Tenants  []router.Tenant
-	Allowed  router.Allowed
-	Guards   router.Guards
+	Allowed  router.Capabilities
+	Guards   router.SafetyLimits
 	Names    Names
 	Links    Links
 }
@@ -90,7 +90,7 @@
 // Names turn the names that stand on the wires into the module's ids.
 type Names struct {
 	Kinds    map[string]router.KindID
-	Profiles map[string]router.ProfileID
+	Profiles map[string]router.ClassID
 	Tenants  map[string]router.TenantID
 	KindAt   []string
 	ZoneAt   []string
@@ -173,20 +173,20 @@
 func (o *reading) floatAt(key string, i int) float64 { return o.number(key, o.at(key, i)) }
 
 var (
-	effects = map[string]router.Effect{"free": router.Replayable, "guarded": router.Uniqued,
-		"single_shot": router.NonReplayable}
-	scopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeCell}
+	effects = map[string]router.RepeatEffect{"free": router.Idempotent, "guarded": router.Deduplicated,
+		"single_shot": router.NonIdempotent}
+	scopes = map[string]router.DeduplicationScope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeCell}
 )
 
 // Read turns settings into facts; the first that can't be used is a FieldError.
 func Read(values Values) (*Facts, error) {
 	o := &reading{values: values}
-	f := &Facts{Names: Names{Kinds: map[string]router.KindID{}, Profiles: map[string]router.ProfileID{},
+	f := &Facts{Names: Names{Kinds: map[string]router.KindID{}, Profiles: map[string]router.ClassID{},
 		Tenants: map[string]router.TenantID{}, KindAt: o.list("kinds"), ZoneAt: o.list("failure_domains"),
 		Reports: o.list("report.fields"), Bills: o.bool("family_info.bills")}}
 	for i, name := range f.Names.KindAt {
 		f.Names.Kinds[name] = router.KindID(i)
-		f.Kinds = append(f.Kinds, router.Kind{Cores: o.floatAt("family_info.size_cores", i),
+		f.Kinds = append(f.Kinds, router.MachineKind{Cores: o.floatAt("family_info.size_cores", i),
 			MemoryMB: o.floatAt("family_info.size_mb", i)})
 	}
 	for i := range o.count("services") {
@@ -195,43 +195,43 @@
 	for i := range o.count("accounts") {
 		at := fmt.Sprintf("accounts.%d.", i)
 		f.Names.Tenants[values[at+"name"]] = router.TenantID(i)
-		f.Tenants = append(f.Tenants, router.Tenant{PerSecond: o.float(at + "quota_per_s")})
+		f.Tenants = append(f.Tenants, router.Tenant{QueriesPerSecond: o.float(at + "quota_per_s")})
 	}
-	f.Place = router.Place{Controllers: o.int("n_instances"), Number: o.int("me"), Zone: router.Zone(values["zone"])}
-	f.Allowed = router.Allowed{Cancel: o.bool("bounds.cancel"), Probes: o.bool("bounds.probes"),
-		SecondCopies: o.bool("bounds.parallel_tries"), RetryAfter: o.bool("bounds.retry_after"),
-		NotePace: o.ms("family_info.progress_pace_ns"), MaxSends: o.int("bounds.send_cap"),
-		MaxRetryAfter: o.ms("bounds.max_retry_after_ns"), MustAsk: values["registry_mode"] == "subscribe"}
-	f.Guards = router.Guards{Round: o.ms("round_ns"), ColdShare: o.float("contract.cold_share"),
-		ColdTime: o.ms("contract.cold_ns"), ColdMultiple: o.float("contract.overload_factor"),
-		ColdWindow: o.ms("contract.tip_after_ns"), OrderRest: o.ms("contract.order_settle_ns"),
-		Budgeted: o.has("contract.resend_span_ns"), ResendFree: o.float("contract.budget_free"),
-		ResendShare: o.float("contract.resend_ratio"), ResendWindow: o.ms("contract.resend_span_ns"),
-		AskWithin: o.ms("contract.ask_within_ns"), OverShare: o.float("over_share_worth")}
+	f.Place = router.Identity{Controllers: o.int("n_instances"), Index: o.int("me"), Zone: router.Zone(values["zone"])}
+	f.Allowed = router.Capabilities{Cancel: o.bool("bounds.cancel"), HealthChecks: o.bool("bounds.probes"),
+		Hedging: o.bool("bounds.parallel_tries"), RetryAfter: o.bool("bounds.retry_after"),
+		ProgressInterval: o.ms("family_info.progress_pace_ns"), MaxAttempts: o.int("bounds.send_cap"),
+		MaxRetryAfter: o.ms("bounds.max_retry_after_ns"), PollEndpoints: values["registry_mode"] == "subscribe"}
+	f.Guards = router.SafetyLimits{EventInterval: o.ms("round_ns"), SlowStartCapacity: o.float("contract.cold_share"),
+		SlowStartTime: o.ms("contract.cold_ns"), SlowStartOverload: o.float("contract.overload_factor"),
+		SlowStartWindow: o.ms("contract.tip_after_ns"), OrderingCooldown: o.ms("contract.order_settle_ns"),
+		RetryBudgeted: o.has("contract.resend_span_ns"), RetryBudgetMin: o.float("contract.budget_free"),
+		RetryBudgetRatio: o.float("contract.resend_ratio"), RetryBudgetWindow: o.ms("contract.resend_span_ns"),
+		PollWithin: o.ms("contract.ask_within_ns"), OverQuotaBenefit: o.float("over_share_worth")}
 	f.Links = Links{ConnectTimeout: time.Duration(o.float("bounds.connect_timeout_ns")),
 		Idle:    time.Duration(o.float("bounds.conn_idle_ns")),
 		Streams: o.int("bounds.max_streams")}
 	return f, o.err
 }
 
-func (o *reading) profile(i int, n *Names) router.Profile {
+func (o *reading) profile(i int, n *Names) router.QueryClass {
 	at := fmt.Sprintf("services.%d.", i)
-	n.Profiles[o.values[at+"name"]] = router.ProfileID(i)
+	n.Profiles[o.values[at+"name"]] = router.ClassID(i)
 	effect, known := effects[o.values[at+"effect"]]
 	if !known {
 		o.fail(at+"effect", "is not known")
 	}
 	scope, known := scopes[o.values[at+"dedup_scope"]]
-	if !known && effect == router.Uniqued {
+	if !known && effect == router.Deduplicated {
 		o.fail(at+"dedup_scope", "is not known")
 	}
-	p := router.Profile{Effect: effect, Scope: scope, RepeatWindow: o.ms(at + "repeat_window_ns"),
-		InOrder: o.bool(at + "in_order"), Target: o.ms(at + "promise_ns"),
-		TargetStretch: o.float(at + "aim_stretch"), Timeout: o.ms(at + "hard_limit_ns"),
-		LateShare:   o.float(at + "late_worth"),
-		Threads:     max(1, o.floatAt("family_info.width_by_class", i)),
-		HoldsTables: o.at("family_info.holds_tables", i) == "true",
-		Waits:       o.at("family_info.class_waits", i) == "true"}
+	p := router.QueryClass{Effect: effect, Scope: scope, DeduplicationWindow: o.ms(at + "repeat_window_ns"),
+		Ordered: o.bool(at + "in_order"), LatencyObjective: o.ms(at + "promise_ns"),
+		ObjectivePerWork: o.float(at + "aim_stretch"), ClientTimeout: o.ms(at + "hard_limit_ns"),
+		LateBenefit:    o.float(at + "late_worth"),
+		Threads:        max(1, o.floatAt("family_info.width_by_class", i)),
+		LocksTables:    o.at("family_info.holds_tables", i) == "true",
+		WaitsForTables: o.at("family_info.class_waits", i) == "true"}
 	if o.has(at + "bound_to") {
 		p.Kinds = []router.KindID{}
 	}
@@ -258,15 +258,17 @@
 }
 
 // NoLoad is a report that holds nothing yet.
-func NoLoad() *router.Load { return &router.Load{Inflight: -1, Util: -1, Memory: -1, Disk: -1} }
+func NoLoad() *router.LoadReport {
+	return &router.LoadReport{Inflight: -1, Utilization: -1, Memory: -1, Disk: -1}
+}
 
 // SetLoad files one value of a report under its name; names that no decision reads are passed over.
-func SetLoad(l *router.Load, name string, x float64) {
+func SetLoad(l *router.LoadReport, name string, x float64) {
 	switch name {
 	case "inflight":
 		l.Inflight = x
 	case "util":
-		l.Util = x
+		l.Utilization = x
 	case "x0":
 		l.Memory = x
 	case "x1":
--- a/router/behind_test.go
+++ b/router/behind_test.go
@@ -18,18 +18,18 @@
 		{"who can't be in time goes first", 3 * waitsMost, 150, 390, 400},
 	} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-		away, id := 0, CommandID(0)
+		away, id := 0, QueryID(0)
 		come := func(waited float64) {
 			id++
 			ev := command1(id)
-			ev.Waited, ev.Left = waited, c.left
+			ev.InboxWait, ev.TimeLeft = waited, c.left
 			actions := d.step(ev)
 			sheds, fails := answers(actions, id)
 			if fails > 0 || sheds > 0 && sent(actions, id) != "" {
 				t.Fatalf("%s: %v", c.name, actions)
 			}
 			if away += sheds; sheds == 0 {
-				d.step(outcome(id, 0, Answered))
+				d.step(outcome(id, 0, Succeeded))
 			}
 		}
 		for range 400 {
--- a/router/command.go
+++ b/router/command.go
@@ -30,7 +30,7 @@
 // command is one that is owed an answer, or has a send without an outcome. The want fields are the wanted
 // state: emit alone compares them with the rest.
 type command struct {
-	id             CommandID
+	id             QueryID
 	profile        *profile
 	tables         *tableGroup
 	tenant         *tenant // nil: none
@@ -66,7 +66,7 @@
 
 // profile is what is stated of a profile, with what was learned of it.
 type profile struct {
-	Profile
+	QueryClass
 	number    int
 	fullLeft  float64 // what a first try leaves until its client gives up: the most seen
 	best      float64 // least mean, lately, of the time taken over the unit: how it runs alone
@@ -82,7 +82,7 @@
 
 // line is the queue of one order key, by arrival; rest is when its next command may start after a doubtful outcome.
 type line struct {
-	key   OrderKey
+	key   OrderingKey
 	cmds  []*command
 	rest  float64
 	mixed bool // commands came to it that were held or out before, so one behind the first may be out
@@ -124,13 +124,13 @@
 }
 
 // enrol files a new command, in the line of its key if it has one.
-func (r *Router) enrol(ev Arrived) *command {
+func (r *Router) enrol(ev QueryArrived) *command {
 	g := r.groupOf(ev.Tables)
 	g.asked = r.now
-	c := &command{id: ev.ID, profile: r.profiles[ev.Profile], tables: g, arrived: r.now,
-		asked: r.now, timeout: r.now + ev.Left, estimate: ev.Estimate, stated: ev.Estimate, need: ev.NeedMB, kinds: ev.Kinds, zones: ev.Zones}
-	if ev.Most > 0 {
-		c.estimate = min(c.estimate, ev.Most)
+	c := &command{id: ev.ID, profile: r.profiles[ev.Class], tables: g, arrived: r.now,
+		asked: r.now, timeout: r.now + ev.TimeLeft, estimate: ev.EstimatedWork, stated: ev.EstimatedWork, need: ev.EstimatedMemoryMB, kinds: ev.Kinds, zones: ev.Zones}
+	if ev.EstimateCap > 0 {
+		c.estimate = min(c.estimate, ev.EstimateCap)
 	}
 	r.cmds[c.id] = c
 	g.open++
@@ -142,21 +142,21 @@
 	if r.firstAt == 0 {
 		r.firstAt = r.now
 	}
-	if r.guards.Budgeted {
+	if r.guards.RetryBudgeted {
 		r.taken.add(r.now, 1)
 	}
 	r.turns++
 	c.turn = r.turns
 	r.stand(c, ev.Key)
-	for _, key := range ev.Also {
+	for _, key := range ev.MoreKeys {
 		r.stand(c, key)
 	}
 	return c
 }
 
 // stand files a command in the line of a key, if its profile keeps order.
-func (r *Router) stand(c *command, key OrderKey) {
-	if !c.profile.InOrder || key == "" {
+func (r *Router) stand(c *command, key OrderingKey) {
+	if !c.profile.Ordered || key == "" {
 		return
 	}
 	l := r.lines[key]
@@ -173,7 +173,7 @@
 
 // book counts a send of c on e as out, so that the next choice of the same step sees it.
 func (r *Router) book(c *command, e *engine, mem, work, begin float64) {
-	if len(c.sends) > 0 && r.guards.Budgeted {
+	if len(c.sends) > 0 && r.guards.RetryBudgeted {
 		r.resends.add(r.now, 1)
 	}
 	r.unhold(c)
@@ -181,10 +181,10 @@
 	c.pending++
 	c.out, e.out, r.out = c.out+1, e.out+1, r.out+1
 	e.threads, r.threads = e.threads+c.profile.Threads, r.threads+c.profile.Threads
-	if r.now < e.since+r.guards.ColdTime+r.guards.ColdWindow {
+	if r.now < e.since+r.guards.SlowStartTime+r.guards.SlowStartWindow {
 		e.coldSent.add(r.now, work)
 	}
-	if c.profile.HoldsTables {
+	if c.profile.LocksTables {
 		e.loads[c.tables]++
 		c.tables.heldOn(e)
 	}
@@ -194,29 +194,29 @@
 }
 
 // unbook takes in that a send has its outcome: what may have run by it, and whether its key must rest.
-func (r *Router) unbook(c *command, s *sendState, ev Ended) {
+func (r *Router) unbook(c *command, s *sendState, ev AttemptEnded) {
 	if !s.lost {
 		r.free(c, s)
 	}
 	c.pending--
-	c.tables.held.add(r.now, s.mem*ev.Took, 1)
-	s.out, c.over = false, c.over || ev.Over
+	c.tables.held.add(r.now, s.mem*ev.Elapsed, 1)
+	s.out, c.over = false, c.over || ev.QueryDone
 	switch ev.Outcome {
-	case Errored, Reset, TimedOut, Refused:
+	case Errored, ConnectionReset, TimedOut, ConnectFailed:
 		s.failed = true
 	}
 	switch ev.Outcome {
-	case Answered:
+	case Succeeded:
 		s.engine.tookAt, s.engine.brokeAt = max(s.engine.tookAt, s.at), math.Inf(-1) // the process is the same
 		c.tables.known = true
-	case Refused, Reset, NotSent:
+	case ConnectFailed, ConnectionReset, NotSent:
 		s.engine.brokeAt = r.now
 	}
 	if !ev.Outcome.NeverRan() && c.doubt == nil {
 		c.doubtAt, c.doubt = s.at, s.engine
 	}
 	if ev.Outcome.MayRunOn() {
-		c.rest = r.now + r.guards.OrderRest + r.guards.Round
+		c.rest = r.now + r.guards.OrderingCooldown + r.guards.EventInterval
 	}
 	for _, l := range c.lines {
 		l.rest = max(l.rest, c.rest)
@@ -225,9 +225,9 @@
 }
 
 // told files what an answer tells of a command's true work and memory, and reports whether it told the work.
-func (p *profile) told(now float64, c *command, ev Ended) bool {
-	if ev.NeedMB > 0 && c.need > 0 {
-		p.needScale.add(now, ev.NeedMB/c.need, 1)
+func (p *profile) told(now float64, c *command, ev AttemptEnded) bool {
+	if ev.MemoryMB > 0 && c.need > 0 {
+		p.needScale.add(now, ev.MemoryMB/c.need, 1)
 	}
 	if ev.Work > 0 && c.stated > 0 {
 		p.workScale.add(now, ev.Work/c.stated, 1)
@@ -249,7 +249,7 @@
 	e := s.engine
 	c.out, e.out, r.out = c.out-1, e.out-1, r.out-1
 	e.threads, r.threads = e.threads-c.profile.Threads, r.threads-c.profile.Threads
-	if c.profile.HoldsTables {
+	if c.profile.LocksTables {
 		if e.loads[c.tables]--; e.loads[c.tables] == 0 {
 			delete(e.loads, c.tables)
 		}
@@ -257,14 +257,14 @@
 	r.weigh(e)
 }
 
-func (r *Router) begun(id CommandID) {
+func (r *Router) begun(id QueryID) {
 	if c := r.cmds[id]; c != nil {
 		c.begun = true
 	}
 }
 
 // left takes in that c's client has gone: nothing is owed, and what is out is not wanted.
-func (r *Router) left(id CommandID) {
+func (r *Router) left(id QueryID) {
 	if c := r.cmds[id]; c != nil {
 		c.over, c.wantCancel = true, true
 		r.touch(c)
@@ -272,7 +272,7 @@
 }
 
 // sendOf finds a send that is out; nil if there is none such.
-func (r *Router) sendOf(id CommandID, send SendID) (*command, *sendState) {
+func (r *Router) sendOf(id QueryID, send AttemptID) (*command, *sendState) {
 	c := r.cmds[id]
 	if c == nil || send < 0 || int(send) >= len(c.sends) || !c.sends[send].out {
 		return nil, nil
@@ -301,7 +301,7 @@
 
 // forgetLines drops empty lines that have rested.
 func (r *Router) forgetLines() {
-	r.resting = slices.DeleteFunc(r.resting, func(key OrderKey) bool {
+	r.resting = slices.DeleteFunc(r.resting, func(key OrderingKey) bool {
 		l := r.lines[key]
 		if l != nil && len(l.cmds) == 0 && r.now >= l.rest {
 			delete(r.lines, key)
--- a/router/design_test.go
+++ b/router/design_test.go
@@ -54,11 +54,11 @@
 		{"splits the shared one that is busiest", []int{1, 3}, []int{2, 1}, []float64{0.9, 0.3}, []int{1, 2, 1}},
 	} {
 		d := newDesk(t, lookup, loose, tight)
-		var entries []Entry
+		var entries []Endpoint
 		for i := range 10 {
 			entries = append(entries, engineAt(EngineID(rune('a'+i)), 0, "z", 1))
 		}
-		d.step(Listed{Entries: entries[:sum(c.counts)]})
+		d.step(EndpointsUpdated{Endpoints: entries[:sum(c.counts)]})
 		free := d.r.ready(0)
 		for i, n := range c.counts {
 			o := &owner{engines: slices.Clone(free[:n]), want: n}
@@ -104,7 +104,7 @@
 		for range 40 {
 			e.threads = d.r.bound(e)
 			d.r.now += 100
-			d.r.learn(cmd, e, Ended{Outcome: Answered, Took: c.took})
+			d.r.learn(cmd, e, AttemptEnded{Outcome: Succeeded, Elapsed: c.took})
 		}
 		if (e.width > startWidth) != c.wider || (e.width < startWidth) != c.less || e.width > mostWidth {
 			t.Errorf("%s: width became %g", c.name, e.width)
@@ -120,11 +120,11 @@
 		t.Fatal("an idle engine was not given its one command")
 	}
 	early, late := command1(3), command1(2)
-	early.Left = 4000
+	early.TimeLeft = 4000
 	if actions := d.step(late, early); sent(actions, 2)+sent(actions, 3) != "" {
 		t.Fatal("a full engine was sent more")
 	}
-	if actions := d.step(outcome(1, 0, Answered)); sent(actions, 3) != "a" || sent(actions, 2) != "" {
+	if actions := d.step(outcome(1, 0, Succeeded)); sent(actions, 3) != "a" || sent(actions, 2) != "" {
 		t.Error("the later client timeout left first")
 	}
 }
@@ -132,7 +132,7 @@
 // Found on tacoma-east: loads of one table group stood still behind each other on the engine they leaned to.
 func TestLoadsSpread(t *testing.T) {
 	p := lookup
-	p.HoldsTables = true
+	p.LocksTables = true
 	d := newDesk(t, p, loose, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 	actions := d.step(command1(1), command1(2))
 	if sent(actions, 1) == sent(actions, 2) {
@@ -144,20 +144,20 @@
 // engine, and lookups stood still behind them everywhere, at their owner's engines while others were free.
 func TestCrowdedTables(t *testing.T) {
 	load, waits := lookup, lookup
-	load.HoldsTables, waits.Waits = true, true
+	load.LocksTables, waits.WaitsForTables = true, true
 	for _, c := range []struct {
 		name    string
 		engines int
 		most    int // that loads hold
 	}{{"two thirds", 6, 4}, {"one engine", 1, 1}} {
-		var entries []Entry
+		var entries []Endpoint
 		for i := range c.engines {
 			entries = append(entries, engineAt(EngineID(fmt.Sprint("e", i)), 0, "z", 1))
 		}
 		d := newDesk(t, load, loose, tight, entries...)
 		d.more(waits)
 		held := map[EngineID]int{}
-		for id := range CommandID(2 * c.engines) {
+		for id := range QueryID(2 * c.engines) {
 			held[sent(d.step(command1(id)), id)]++
 		}
 		if len(held) != c.most || held[""] > 0 {
@@ -169,7 +169,7 @@
 			}
 		}
 		ev := command1(100)
-		ev.Profile = 1
+		ev.Class = 1
 		if to := sent(d.step(ev), 100); held[to] > 0 && c.most < c.engines || to == "" {
 			t.Errorf("%s: who waits for tables went to %q", c.name, to)
 		}
@@ -186,7 +186,7 @@
 		d.r.profiles[0].work.add(d.now, 100*1000, 1000)
 		d.r.sizeCap = c.sizeCap
 		ev := command1(1)
-		ev.Estimate = c.estimate
+		ev.EstimatedWork = c.estimate
 		if s, _ := answers(d.step(ev), 1); s != c.sheds {
 			t.Errorf("%+v: shed %d", c, s)
 		}
@@ -201,10 +201,10 @@
 	}{{200, 0.05, true}, {200, 0.8, false}, {3000, 0.15, false}, {0, 0.05, false}} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		ev := command1(1)
-		ev.Estimate = c.estimate
+		ev.EstimatedWork = c.estimate
 		d.step(ev)
 		d.wait(500)
-		actions := d.step(Noted{ID: 1, What: NoteProgress, Level: c.done})
+		actions := d.step(AttemptProgress{ID: 1, Kind: ProgressDone, Value: c.done})
 		if got := cancels(actions); got != c.cancels {
 			t.Errorf("%+v: cancelled: %v", c, got)
 		}
@@ -235,31 +235,31 @@
 func TestOneProfileFails(t *testing.T) {
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 	d.more(lookup)
-	id := CommandID(0)
-	try := func(p ProfileID, o Outcome) bool {
+	id := QueryID(0)
+	try := func(p ClassID, o Outcome) bool {
 		id++
 		ev := command1(id)
-		ev.Profile = p
+		ev.Class = p
 		if sent(d.step(ev), id) == "" {
-			d.step(Left{ID: id})
+			d.step(ClientDisconnected{ID: id})
 			return false
 		}
-		d.step(outcome(id, 0, o), Left{ID: id})
+		d.step(outcome(id, 0, o), ClientDisconnected{ID: id})
 		return true
 	}
-	try(1, Answered)
+	try(1, Succeeded)
 	for i, want := range []bool{true, true, false} {
-		if got := try(0, Reset); got != want {
+		if got := try(0, ConnectionReset); got != want {
 			t.Errorf("send %d of the profile that fails went out: %v", i, got)
 		}
 	}
 	for range judgeOver {
 		d.r.engines["a"].judge(d.now, false)
 	}
-	if d.r.engines["a"].well() || !try(1, Answered) || !try(1, Answered) {
+	if d.r.engines["a"].well() || !try(1, Succeeded) || !try(1, Succeeded) {
 		t.Error("the other profile is not served")
 	}
-	if try(1, Reset); try(1, Answered) {
+	if try(1, ConnectionReset); try(1, Succeeded) {
 		t.Error("the other profile is served, though it failed too")
 	}
 }
@@ -275,7 +275,7 @@
 		{"at ease", 2500, false, 0}} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		first, again := command1(1), command1(2)
-		first.Left, again.Left = 4000, c.left
+		first.TimeLeft, again.TimeLeft = 4000, c.left
 		d.step(first)
 		if d.r.jamUntil = 0; c.short {
 			d.r.jamUntil = d.now + shortFor
@@ -292,7 +292,7 @@
 	d.r.profiles[0].best = 100
 	d.r.profiles[0].run.add(d.now, 3, 1)
 	cmd := &command{profile: d.r.profiles[0], arrived: d.now, asked: d.now, timeout: d.now + 5000}
-	if by := d.r.giveUpAt(cmd); by < d.now+leastHold*lookup.Target {
+	if by := d.r.giveUpAt(cmd); by < d.now+leastHold*lookup.LatencyObjective {
 		t.Errorf("given up %g ms after it came", by-d.now)
 	}
 }
@@ -301,12 +301,12 @@
 func TestShorterPatienceIsNoJam(t *testing.T) {
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 	sheds := 0
-	for id := range CommandID(1000) {
+	for id := range QueryID(1000) {
 		ev := command1(id)
 		if id > 200 {
-			ev.Left = 2500
+			ev.TimeLeft = 2500
 		}
-		s, _ := answers(append(d.step(ev), d.step(outcome(id, 0, Answered))...), id)
+		s, _ := answers(append(d.step(ev), d.step(outcome(id, 0, Succeeded))...), id)
 		sheds += s
 	}
 	if sheds > 0 {
@@ -317,7 +317,7 @@
 // Found on trapani-sosta, and on tacoma-east for want of connections: an engine that can't take a command was
 // sent it again at once, until no send was left.
 func TestFullEngineRests(t *testing.T) {
-	for _, o := range []Outcome{Full, NotSent} {
+	for _, o := range []Outcome{EngineFull, NotSent} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		d.step(command1(1))
 		if actions := d.step(outcome(1, 0, o)); sent(actions, 1) != "" {
@@ -334,31 +334,31 @@
 func TestProfileTurnedAway(t *testing.T) {
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 	d.more(lookup)
-	offer := func(id CommandID, p ProfileID) bool { // a command, which leaves if it isn't sent at once
+	offer := func(id QueryID, p ClassID) bool { // a command, which leaves if it isn't sent at once
 		ev := command1(id)
-		ev.Profile = p
+		ev.Class = p
 		to := sent(d.step(ev), id)
 		if to == "" {
-			d.step(Left{ID: id})
+			d.step(ClientDisconnected{ID: id})
 		}
 		return to != ""
 	}
-	id, tries, taken := CommandID(0), 0, 0
+	id, tries, taken := QueryID(0), 0, 0
 	run := func(ms float64, takes bool) {
 		for until := d.now + ms; d.now < until; d.wait(10) {
 			if id++; offer(id, 0) {
 				tries++
 				if takes {
 					taken++
-					d.step(outcome(id, 0, Answered))
+					d.step(outcome(id, 0, Succeeded))
 				} else {
-					d.step(outcome(id, 0, Full), Left{ID: id})
+					d.step(outcome(id, 0, EngineFull), ClientDisconnected{ID: id})
 				}
 			}
 			if id++; !offer(id, 1) {
 				t.Fatal("another profile rests too")
 			}
-			d.step(outcome(id, 0, Answered))
+			d.step(outcome(id, 0, Succeeded))
 		}
 	}
 	if run(10000, false); tries > 14 || tries < 8 {
@@ -373,8 +373,8 @@
 			burst++
 		}
 	}
-	for i := range CommandID(5) {
-		d.step(outcome(id-i, 0, Full), Left{ID: id - i})
+	for i := range QueryID(5) {
+		d.step(outcome(id-i, 0, EngineFull), ClientDisconnected{ID: id - i})
 	}
 	if wait := d.r.engines["a"].turned(d.r.profiles[0]).wait; burst != 5 || wait != fullRest {
 		t.Errorf("after %d at once the rest is %g ms", burst, wait)
@@ -387,22 +387,22 @@
 func TestErrors(t *testing.T) {
 	for _, c := range []struct {
 		second     Outcome
-		effect     Effect
+		effect     RepeatEffect
 		well, rest bool
-	}{{Errored, Replayable, true, false}, {Answered, Replayable, true, true},
-		{Errored, NonReplayable, false, true}} {
+	}{{Errored, Idempotent, true, false}, {Succeeded, Idempotent, true, true},
+		{Errored, NonIdempotent, false, true}} {
 		p := lookup
 		p.Effect = c.effect
 		d := newDesk(t, p, loose, tight, engineAt("a", 0, "z", 1))
-		for id := range CommandID(judgeOver) {
-			d.step(command1(id), Listed{Entries: []Entry{{Engine: "b", State: Gone}}})
+		for id := range QueryID(judgeOver) {
+			d.step(command1(id), EndpointsUpdated{Endpoints: []Endpoint{{Engine: "b", State: Gone}}})
 			b := engineAt("b", 0, "z", 1)
-			actions := d.step(outcome(id, 0, Errored), Listed{Entries: []Entry{b}}, Probed{Engine: "b",
-				Outcome: Answered, Load: &Load{Inflight: 20, Util: 0.9, Memory: -1, Disk: -1}})
-			if to := sent(actions, id); to != "b" && c.effect == Replayable {
+			actions := d.step(outcome(id, 0, Errored), EndpointsUpdated{Endpoints: []Endpoint{b}}, HealthCheckEnded{Engine: "b",
+				Outcome: Succeeded, Load: &LoadReport{Inflight: 20, Utilization: 0.9, Memory: -1, Disk: -1}})
+			if to := sent(actions, id); to != "b" && c.effect == Idempotent {
 				t.Errorf("%+v: sent to %q after its send to a erred", c, to)
 			}
-			d.step(outcome(id, 1, c.second), Left{ID: id})
+			d.step(outcome(id, 1, c.second), ClientDisconnected{ID: id})
 			d.step(outcome(id, 1, c.second), outcome(id, 2, c.second))
 			d.wait(longTrial)
 		}
@@ -421,22 +421,22 @@
 	d.step(command1(1))
 	before := d.r.profiles[0].fullLeft
 	ev := command1(2)
-	ev.Left, ev.Estimate = 1e12, 1e12
+	ev.TimeLeft, ev.EstimatedWork = 1e12, 1e12
 	if d.step(ev); d.r.profiles[0].fullLeft > before {
 		t.Errorf("first tries are thought to leave %g ms", d.r.profiles[0].fullLeft)
 	}
-	if demand := d.r.tables[7].demand.sum; demand > 2*lookup.Timeout {
+	if demand := d.r.tables[7].demand.sum; demand > 2*lookup.ClientTimeout {
 		t.Errorf("a demand of %g", demand)
 	}
 	e := d.r.engines["a"]
-	for _, l := range []Load{{Inflight: 1e9, Util: 0.5}, {Inflight: 3, Util: 1e9}} {
+	for _, l := range []LoadReport{{Inflight: 1e9, Utilization: 0.5}, {Inflight: 3, Utilization: 1e9}} {
 		if d.r.report(e, &l); e.reportAt > 0 {
 			t.Errorf("a report of %+v counts", l)
 		}
 	}
 	d.r.profiles[0].best = 10
 	for _, level := range []float64{-1, 1e9} {
-		if d.step(Noted{ID: 1, What: NoteProgress, Level: level}); e.slow.n > 0 {
+		if d.step(AttemptProgress{ID: 1, Kind: ProgressDone, Value: level}); e.slow.n > 0 {
 			t.Errorf("a note of %g done counts", level)
 		}
 	}
@@ -445,15 +445,15 @@
 // Table groups go when nobody names them, those that strangers alone have named soon.
 func TestTablesGo(t *testing.T) {
 	load := lookup
-	load.HoldsTables = true
+	load.LocksTables = true
 	d := newDesk(t, load, loose, tight, engineAt("a", 0, "z", 1))
 	d.step(command1(1))
-	d.step(Noted{ID: 1, What: NoteWaitsTables}, outcome(1, 0, Answered))
-	for id := range CommandID(500) {
+	d.step(AttemptProgress{ID: 1, Kind: ProgressWaitsForTables}, outcome(1, 0, Succeeded))
+	for id := range QueryID(500) {
 		ev := command1(1000 + id)
 		ev.Tables = TableGroup(1000 + id)
 		d.step(ev)
-		d.step(Noted{ID: ev.ID, What: NoteWaitsTables}, outcome(ev.ID, 0, Errored), Left{ID: ev.ID})
+		d.step(AttemptProgress{ID: ev.ID, Kind: ProgressWaitsForTables}, outcome(ev.ID, 0, Errored), ClientDisconnected{ID: ev.ID})
 		d.step(outcome(ev.ID, 1, Errored))
 	}
 	for _, c := range []struct {
@@ -483,15 +483,15 @@
 		least, most int
 	}{{100, true, 60, 120}, {100, false, 0, 0}, {5000, true, 0, 0}, {0, true, 0, 0}} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-		d.r.tenants = []*tenant{{Tenant: Tenant{PerSecond: c.perSecond}, took: decay{life: tenantLife}}}
+		d.r.tenants = []*tenant{{Tenant: Tenant{QueriesPerSecond: c.perSecond}, took: decay{life: tenantLife}}}
 		sheds := 0
-		for id := range CommandID(3000) { // 500 a second, of which the last 100 count
+		for id := range QueryID(3000) { // 500 a second, of which the last 100 count
 			ev := command1(id)
 			ev.Tenant = 0
 			if c.jam {
 				d.r.jamUntil = d.now + shortFor
 			}
-			s, _ := answers(append(d.step(ev), d.step(outcome(id, 0, Answered))...), id)
+			s, _ := answers(append(d.step(ev), d.step(outcome(id, 0, Succeeded))...), id)
 			if id >= 2900 {
 				sheds += s
 			}
@@ -506,18 +506,18 @@
 func TestHot(t *testing.T) {
 	var engines [2]int
 	for i, hot := range []bool{false, true} {
-		var entries []Entry
+		var entries []Endpoint
 		for n := range 8 {
 			entries = append(entries, engineAt(EngineID(rune('a'+n)), 0, "z", 1))
 		}
 		d := newDesk(t, lookup, loose, tight, entries...)
-		for id := range CommandID(80) {
+		for id := range QueryID(80) {
 			ev := command1(id)
-			ev.Tables, ev.NeedMB = TableGroup(id%4), 500
+			ev.Tables, ev.EstimatedMemoryMB = TableGroup(id%4), 500
 			ev.Hot = hot && ev.Tables == 0
 			d.step(ev)
-			end := outcome(id, 0, Answered)
-			end.Took = 20000 // so that each group is a pack of its own
+			end := outcome(id, 0, Succeeded)
+			end.Elapsed = 20000 // so that each group is a pack of its own
 			d.step(end)
 			d.wait(30)
 		}
--- a/router/engine.go
+++ b/router/engine.go
@@ -16,7 +16,7 @@
 	out        int     // own sends out
 	threads    float64 // of these
 	id         EngineID
-	state      State
+	state      EngineState
 	zone       Zone
 	kind       KindID
 	cell       CellID
@@ -74,15 +74,15 @@
 func byEngine(a, b *engine) int { return cmp.Compare(a.id, b.id) }
 
 // enlist takes in the entries of a list; what a whole list doesn't name has left.
-func (r *Router) enlist(ev Listed) {
+func (r *Router) enlist(ev EndpointsUpdated) {
 	r.fleet++
-	if r.expired = ev.Expired; r.expired == 0 {
+	if r.expired = ev.ExpiredFor; r.expired == 0 {
 		r.heardAt = r.now
 	}
 	named := map[EngineID]bool{}
-	for _, entry := range ev.Entries {
+	for _, entry := range ev.Endpoints {
 		named[entry.Engine] = true
-		e, since := r.engines[entry.Engine], entry.Since
+		e, since := r.engines[entry.Engine], entry.StartedAt
 		if since == 0 {
 			since = math.Inf(-1)
 		}
@@ -105,7 +105,7 @@
 		r.weigh(e)
 	}
 	for _, e := range r.order {
-		if ev.Whole && !named[e.id] {
+		if ev.Complete && !named[e.id] {
 			e.state = Gone
 			r.weigh(e)
 		}
@@ -122,23 +122,23 @@
 	return list
 }
 
-func (r *Router) probed(ev Probed) {
+func (r *Router) probed(ev HealthCheckEnded) {
 	if e := r.engines[ev.Engine]; e != nil {
 		e.probing = false
-		e.judge(r.now, ev.Outcome == Answered)
+		e.judge(r.now, ev.Outcome == Succeeded)
 		r.report(e, ev.Load)
 		r.weigh(e)
 	}
 }
 
 // report files a load report.
-func (r *Router) report(e *engine, l *Load) {
+func (r *Router) report(e *engine, l *LoadReport) {
 	if l == nil || !l.plausible(e) {
 		return
 	}
 	e.reportAt, e.granted = r.now, max(0, l.Memory)
-	if l.Util >= 0 {
-		e.util.add(r.now, l.Util, 1)
+	if l.Utilization >= 0 {
+		e.util.add(r.now, l.Utilization, 1)
 	}
 	if l.Disk >= 0 {
 		e.disk.add(r.now, l.Disk, 1)
@@ -167,7 +167,7 @@
 }
 
 // holds tells whether two engines drop each other's repeats.
-func (s Scope) holds(a, b *engine) bool {
+func (s DeduplicationScope) holds(a, b *engine) bool {
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -39,7 +39,7 @@
 
 // rampAt is the share of its capacity that a cold engine is taken to have at some time, by what is stated of such.
 func (r *Router) rampAt(e *engine, at float64) float64 {
-	return r.guards.ColdShare + (1-r.guards.ColdShare)*min(1, max(0, at-e.since)/max(1, r.guards.ColdTime))
+	return r.guards.SlowStartCapacity + (1-r.guards.SlowStartCapacity)*min(1, max(0, at-e.since)/max(1, r.guards.SlowStartTime))
 }
 
 // coldWork is what c counts for at a cold engine: as its profile usually does, more if its estimate says so.
@@ -62,7 +62,7 @@
 		r.leastFilled, r.mostCapacity = min(r.leastFilled, b.filled), max(r.mostCapacity, b.capacity)
 	}
 	b.room = e.width * b.capacity * (1 + rounding)
-	if b.cold = r.now <= e.since+r.guards.ColdTime+netSlack; b.cold {
+	if b.cold = r.now <= e.since+r.guards.SlowStartTime+netSlack; b.cold {
 		r.colds++ // at the least: it only tells that there is one
 	}
 	if was := b.airy; was != (b.fit && (b.cold || b.filled < roomy*startWidth)) {
@@ -87,7 +87,7 @@
 // atLeast is a bound on the pressure of c on e.
 func (c *command) atLeast(e *engine) float64 {
 	x := (e.bounds.filled + c.profile.Threads/e.bounds.capacity) * e.bounds.slow
-	if !c.profile.HoldsTables {
+	if !c.profile.LocksTables {
 		x += leaning * (1 - likes(c.tables, e))
 	}
 	return x
@@ -101,7 +101,7 @@
 	}
 	r.looked += len(engines)
 	list = r.floor[:len(engines)]
-	least, threads, leans := math.Inf(1), c.profile.Threads, !c.profile.HoldsTables
+	least, threads, leans := math.Inf(1), c.profile.Threads, !c.profile.LocksTables
 	none, pooled, fill := r.out == 0, r.threads <= r.pool, fill*part
 	for i, e := range engines {
 		b := &e.bounds
@@ -194,7 +194,7 @@
 
 // likely hands the engines to try that may win, by their bounds, the likeliest first. try makes the winner.
 func (r *Router) likely(c *command, s *spare, all []*engine, fill, part float64, best *winner, try func(e *engine, at int)) {
-	if r.held.n < fewHeld && !c.profile.HoldsTables {
+	if r.held.n < fewHeld && !c.profile.LocksTables {
 		if places := r.leaning(s, c.tables, all); places != nil {
 			least := r.leastFilled + c.profile.Threads/r.mostCapacity
 			for _, i := range places {
@@ -274,7 +274,7 @@
 // plain tells that nothing but its profile and table group narrows where c may go: no estimate that makes it more than
 // its profile's others to a cold engine.
 func (r *Router) plain(c *command) bool {
-	return (r.colds == 0 || c.stated <= c.profile.usualWork(r.now)) && c.kinds == nil && c.zones == nil && (c.doubt == nil || c.profile.Effect == Replayable)
+	return (r.colds == 0 || c.stated <= c.profile.usualWork(r.now)) && c.kinds == nil && c.zones == nil && (c.doubt == nil || c.profile.Effect == Idempotent)
 }
 
 // heldOn files that a load holds a table group on e, or that a note said so.
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -18,15 +18,15 @@
 		d := crowd(t, loose, 1, c.engines)
 		d.step(command1(1))
 		for _, e := range d.r.order {
-			d.r.report(e, &Load{Inflight: 1, Util: 0.5, Disk: 0.5, Memory: c.memory})
+			d.r.report(e, &LoadReport{Inflight: 1, Utilization: 0.5, Disk: 0.5, Memory: c.memory})
 		}
-		id := CommandID(1)
+		id := QueryID(1)
 		for d.r.held.n < c.held {
 			var events []Event
 			for range 100 {
 				id++
 				ev := command1(id)
-				ev.Left, ev.Tables = 1e6, TableGroup(id%20)
+				ev.TimeLeft, ev.Tables = 1e6, TableGroup(id%20)
 				events = append(events, ev)
 			}
 			d.step(events...)
@@ -35,7 +35,7 @@
 		for range steps {
 			id++
 			ev := command1(id)
-			ev.Left, ev.Tables = 1e6, TableGroup(id%20)
+			ev.TimeLeft, ev.Tables = 1e6, TableGroup(id%20)
 			d.step(ev)
 		}
 		if looked := (d.r.looked - before) / steps; looked > c.most {
@@ -51,32 +51,32 @@
 		rng := rand.New(rand.NewSource(seed))
 		controllers := 1 + rng.Intn(4)*rng.Intn(20)
 		d := crowd(t, loose, controllers, 12)
-		out := map[CommandID]bool{}
-		id := CommandID(0)
+		out := map[QueryID]bool{}
+		id := QueryID(0)
 		for range 300 {
 			var events []Event
 			for range rng.Intn(4) {
 				id++
 				ev := command1(id)
-				ev.Tables, ev.Estimate = TableGroup(rng.Intn(5)), 200*rng.Float64()
+				ev.Tables, ev.EstimatedWork = TableGroup(rng.Intn(5)), 200*rng.Float64()
 				events = append(events, ev)
 			}
-			for _, o := range []Outcome{Answered, Answered, Errored, Full, Reset} {
-				if at := CommandID(rng.Intn(int(id) + 1)); out[at] {
+			for _, o := range []Outcome{Succeeded, Succeeded, Errored, EngineFull, ConnectionReset} {
+				if at := QueryID(rng.Intn(int(id) + 1)); out[at] {
 					delete(out, at)
 					ev := outcome(at, 0, o)
-					ev.Took, ev.Over = 300*rng.Float64(), true
-					ev.Load = &Load{Inflight: 30 * rng.Float64(), Util: rng.Float64(), Memory: rng.Float64()}
-					events = append(events, ev, Noted{ID: at, What: NoteProgress, Level: rng.Float64()})
+					ev.Elapsed, ev.QueryDone = 300*rng.Float64(), true
+					ev.Load = &LoadReport{Inflight: 30 * rng.Float64(), Utilization: rng.Float64(), Memory: rng.Float64()}
+					events = append(events, ev, AttemptProgress{ID: at, Kind: ProgressDone, Value: rng.Float64()})
 				}
 			}
 			if rng.Intn(40) == 0 {
 				e := d.r.order[rng.Intn(len(d.r.order))]
-				events = append(events, Listed{Entries: []Entry{{Engine: e.id, Kind: e.kind, Zone: e.zone, Since: d.now}}})
+				events = append(events, EndpointsUpdated{Endpoints: []Endpoint{{Engine: e.id, Kind: e.kind, Zone: e.zone, StartedAt: d.now}}})
 			}
 			d.now += 12 * rng.Float64()
 			for _, action := range d.step(events...) {
-				if s, ok := action.(Send); ok {
+				if s, ok := action.(StartAttempt); ok {
 					out[s.ID] = true
 				}
 			}
@@ -104,25 +104,25 @@
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
 		p := lookup
-		p.TargetStretch, p.LateShare = 4*rng.Float64(), rng.Float64()
+		p.ObjectivePerWork, p.LateBenefit = 4*rng.Float64(), rng.Float64()
 		d := newDesk(t, p, loose, tight) // no engine: all are held
 		r := d.r
-		for id := range CommandID(200) {
+		for id := range QueryID(200) {
 			ev := command1(id + 1)
-			ev.Estimate, ev.Left = []float64{0, 300 * rng.Float64(), 3000 * rng.Float64()}[rng.Intn(3)], 500+4500*rng.Float64()
+			ev.EstimatedWork, ev.TimeLeft = []float64{0, 300 * rng.Float64(), 3000 * rng.Float64()}[rng.Intn(3)], 500+4500*rng.Float64()
 			d.step(ev)
 			q := r.profiles[0]
 			q.best = []float64{0, q.best, 2 * rng.Float64(), 50 * rng.Float64()}[rng.Intn(4)]
 			q.run.add(r.now, 3*rng.Float64(), 1)
 			q.workScale.add(r.now, 2*rng.Float64(), 1)
 			r.now++ // two looks are never at one moment
-			var want []CommandID
+			var want []QueryID
 			for _, c := range r.cmds {
 				if c.held && r.now > r.giveUpAt(c) {
 					want = append(want, c.id)
 				}
 			}
-			var got []CommandID
+			var got []QueryID
 			for _, c := range r.hopeless() {
 				got = append(got, c.id)
 			}
@@ -140,16 +140,16 @@
 // What is kept of engines and commands that are gone is forgotten, though new ones come for ever.
 func TestNothingGrows(t *testing.T) {
 	waits := lookup
-	waits.Waits = true
+	waits.WaitsForTables = true
 	d := newDesk(t, waits, loose, tight)
-	id := CommandID(0)
+	id := QueryID(0)
 	for n := range 400 {
 		e := engineAt(EngineID(fmt.Sprint("e", n)), 0, "z", 1)
-		d.step(Listed{Whole: true, Entries: []Entry{e}})
+		d.step(EndpointsUpdated{Complete: true, Endpoints: []Endpoint{e}})
 		for range 5 {
 			id++
 			d.step(command1(id))
-			d.step(Noted{ID: id, What: NoteWaitsTables}, outcome(id, 0, Answered))
+			d.step(AttemptProgress{ID: id, Kind: ProgressWaitsForTables}, outcome(id, 0, Succeeded))
 		}
 		d.wait(100)
 	}
@@ -190,7 +190,7 @@
 // Whoever names table groups without end, what is kept of how they lean is bounded.
 func TestLeaningsBounded(t *testing.T) {
 	d := crowd(t, loose, 1, 2*fewLeanings)
-	for id := range CommandID(20000) {
+	for id := range QueryID(20000) {
 		g := &tableGroup{id: TableGroup(id)}
 		d.r.leaning(&d.r.spare, g, d.r.order)
 		if n := len(d.r.spare.orders); n > mostLeanings/groupLeanings+1 {
--- a/router/held.go
+++ b/router/held.go
@@ -277,7 +277,7 @@
 
 // reach is how far lookAt may lie from what no pace moves, for the largest command watched.
 func (p *profile) reach(by pace) float64 {
-	steepest := max(1.5, p.TargetStretch, 1) + max(0, runOver*by.run*runDrifts-1)
+	steepest := max(1.5, p.ObjectivePerWork, 1) + max(0, runOver*by.run*runDrifts-1)
 	return steepest * alongDrifts * max(p.aloneBy(0, by), p.aloneBy(max(p.watches.largest, 1), by))
 }
 
@@ -325,18 +325,18 @@
 	p := c.profile
 	long := p.aloneBy(c.estimate, p.watches.by) * alongDrifts
 	by, later := r.startLeast(c), max(0, long*(runOver*p.watches.by.run*runDrifts-1))
-	return max(by-later, min(by, c.asked+leastHold*p.Target)) - 0.01
+	return max(by-later, min(by, c.asked+leastHold*p.LatencyObjective)) - 0.01
 }
 
 // startLeast is the least that startBy may say within the drifts.
 func (r *Router) startLeast(c *command) float64 {
 	p, alone := c.profile, c.profile.aloneBy(c.estimate, c.profile.watches.by)
 	short, long := alone/alongDrifts, alone*alongDrifts
-	if p.LateShare >= lateShare {
+	if p.LateBenefit >= lateShare {
 		return r.endBy(c) - 1.5*long
 	}
-	grows := min((p.TargetStretch-1)*short, (p.TargetStretch-1)*long)
-	return min(c.asked+p.Target+grows, r.endBy(c)-long)
+	grows := min((p.ObjectivePerWork-1)*short, (p.ObjectivePerWork-1)*long)
+	return min(c.asked+p.LatencyObjective+grows, r.endBy(c)-long)
 }
 
 // runs is the time that c takes, from its alone, as such commands run lately.
@@ -347,7 +347,7 @@
 // aloneBy is alone, by a pace, for an estimate.
 func (p *profile) aloneBy(estimate float64, by pace) float64 {
 	if by.best == 0 && estimate <= 0 {
-		return p.Target / 2
+		return p.LatencyObjective / 2
 	}
 	unit := 1.0
 	if estimate > 0 {
--- a/router/learned.go
+++ b/router/learned.go
@@ -10,61 +10,63 @@
 // state.go it keeps books and decides nothing: what is still believed is decided before it comes here, and when what
 // was put in gives way to what is learned anew stands in router.go.
 
-// Weighed is a mean with its weight, in additions of the usual weight.
-type Weighed struct{ Mean, Weight float64 }
+// WeightedMean is a mean with its weight, in additions of the usual weight.
+type WeightedMean struct{ Mean, Weight float64 }
 
 // Learned is what a controller has learned, or a part of it. Each record has in At when it was taken out, in the
 // module's time. What a rule rests on is not in it: sends to cold engines, the work that guards them, keys' rests,
 // doubtful sends, the sends budget, and which engines answered since the list was last heard.
 type (
-	Learned struct {
-		Engines  []LearnedEngine
-		Tables   []LearnedTables
-		Profiles []LearnedProfile
-		Traffic  []LearnedTraffic // one at most
+	Statistics struct {
+		Engines []EngineStatistics
+		Tables  []TableStatistics
+		Classes []ClassStatistics
+		Traffic []TrafficStatistics // one at most
 	}
-	// LearnedEngine is what is known of one process of an engine.
-	LearnedEngine struct {
-		At       float64
-		Engine   EngineID
-		Since    float64  // when that process started; 0: long ago
-		Pace     Weighed  // time taken over the time alone
-		Width    float64  // threads a core
-		Outcomes uint8    // of the last eight sends and probes, the latest lowest; 1: good
-		Lead     EngineID // names the engines that have the same owner, of which it is one; empty: it has none
+	// EngineStatistics is what is known of one process of an engine.
+	EngineStatistics struct {
+		At             float64
+		Engine         EngineID
+		StartedAt      float64      // when that process started; 0: long ago
+		Slowdown       WeightedMean // time taken over the time alone
+		ThreadsPerCore float64      // threads a core
+		Outcomes       uint8        // of the last eight sends and probes, the latest lowest; 1: good
+		PoolLeader     EngineID     // names the engines that have the same owner, of which it is one; empty: it has none
 	}
-	// LearnedTables is what is known of a table group.
-	LearnedTables struct {
-		At     float64
-		Tables TableGroup
-		Demand float64    // work asked for, ms on one thread for each ms
-		Held   float64    // memory times time of its sends, for each ms
-		Homes  []EngineID // by kind: the Lead of the engines that its owner has; empty: none
+	// TableStatistics is what is known of a table group.
+	TableStatistics struct {
+		At          float64
+		Tables      TableGroup
+		Demand      float64    // work asked for, ms on one thread for each ms
+		MemoryTime  float64    // memory times time of its sends, for each ms
+		PoolLeaders []EngineID // by kind: the Lead of the engines that its owner has; empty: none
 	}
-	// LearnedProfile is how a profile's commands run.
-	LearnedProfile struct {
-		At        float64
-		Profile   ProfileID
-		FullLeft  float64 // what a first try leaves until its client gives up
-		Best      float64 // time alone over the unit; 0: not known
-		WorkScale Weighed // true work over estimate
-		NeedScale Weighed // true memory over estimate
+	// ClassStatistics is how a profile's commands run.
+	ClassStatistics struct {
+		At              float64
+		Class           ClassID
+		FirstTryTimeout float64      // what a first try leaves until its client gives up
+		UnloadedTime    float64      // time alone over the unit; 0: not known
+		WorkScale       WeightedMean // true work over estimate
+		MemoryScale     WeightedMean // true memory over estimate
 	}
-	// LearnedTraffic is this controller's part of the traffic.
-	LearnedTraffic struct {
-		At   float64
-		Part Weighed
+	// TrafficStatistics is this controller's part of the traffic.
+	TrafficStatistics struct {
+		At    float64
+		Share WeightedMean
 	}
 )
 
 // Len is the number of records.
-func (l *Learned) Len() int { return len(l.Engines) + len(l.Tables) + len(l.Profiles) + len(l.Traffic) }
+func (l *Statistics) Len() int {
+	return len(l.Engines) + len(l.Tables) + len(l.Classes) + len(l.Traffic)
+}
 
 // Add appends another part.
-func (l *Learned) Add(part Learned) {
+func (l *Statistics) Add(part Statistics) {
 	l.Engines = append(l.Engines, part.Engines...)
 	l.Tables = append(l.Tables, part.Tables...)
-	l.Profiles = append(l.Profiles, part.Profiles...)
+	l.Classes = append(l.Classes, part.Classes...)
 	l.Traffic = append(l.Traffic, part.Traffic...)
 }
 
@@ -85,22 +87,22 @@
 	takeDone
 )
 
-// Learned takes out a part of most records at most, and where the next one begins; more tells whether there is one.
+// Statistics takes out a part of most records at most, and where the next one begins; more tells whether there is one.
 // It changes nothing, not even the last bit of a sum that fades, so that the same events lead to the same actions
 // whether or not anyone asks. A part looks at as many records as it may return.
-func (r *Router) Learned(from Cursor, most int) (part Learned, next Cursor, more bool) {
+func (r *Router) Statistics(from Cursor, most int) (part Statistics, next Cursor, more bool) {
 	for looked := 0; looked < most && from.stage < takeDone; {
 		switch from.stage {
 		case takeTraffic:
 			if w := weighed(r.share, r.now); w.Weight > 0 {
-				part.Traffic = append(part.Traffic, LearnedTraffic{r.now, w})
+				part.Traffic = append(part.Traffic, TrafficStatistics{r.now, w})
 			}
 			looked, from.stage = looked+1, takeProfiles
 		case takeProfiles:
 			for ; from.number < len(r.profiles) && looked < most; from.number++ {
 				looked++
 				if p := r.profiles[from.number]; p.best > 0 || p.fullLeft > 0 {
-					part.Profiles = append(part.Profiles, LearnedProfile{r.now, ProfileID(from.number), p.fullLeft,
+					part.Classes = append(part.Classes, ClassStatistics{r.now, ClassID(from.number), p.fullLeft,
 						p.best, weighed(p.workScale, r.now), weighed(p.needScale, r.now)})
 				}
 			}
@@ -143,32 +145,32 @@
 }
 
 // weighed reads a decaying mean without bringing it up to date.
-func weighed(d decay, now float64) Weighed { // d is a copy
+func weighed(d decay, now float64) WeightedMean { // d is a copy
 	if d.fade(now); d.n < 1e-6 {
-		return Weighed{}
+		return WeightedMean{}
 	}
-	return Weighed{d.sum / d.n, d.n}
+	return WeightedMean{d.sum / d.n, d.n}
 }
 
-func (e *engine) learned(now float64) LearnedEngine {
-	l := LearnedEngine{At: now, Engine: e.id, Since: e.since, Pace: weighed(e.slow, now), Width: e.width,
+func (e *engine) learned(now float64) EngineStatistics {
+	l := EngineStatistics{At: now, Engine: e.id, StartedAt: e.since, Slowdown: weighed(e.slow, now), ThreadsPerCore: e.width,
 		Outcomes: uint8(e.outcomes)}
 	if math.IsInf(e.since, -1) {
-		l.Since = 0
+		l.StartedAt = 0
 	}
 	if e.owner != nil && len(e.owner.engines) > 0 {
-		l.Lead = e.owner.engines[0].id
+		l.PoolLeader = e.owner.engines[0].id
 	}
 	return l
 }
 
-func (g *tableGroup) learned(now float64) LearnedTables {
+func (g *tableGroup) learned(now float64) TableStatistics {
 	demand, held := g.demand, g.held
-	l := LearnedTables{At: now, Tables: g.id, Demand: demand.rate(now), Held: held.rate(now),
-		Homes: make([]EngineID, len(g.homes))}
+	l := TableStatistics{At: now, Tables: g.id, Demand: demand.rate(now), MemoryTime: held.rate(now),
+		PoolLeaders: make([]EngineID, len(g.homes))}
 	for k, o := range g.homes {
 		if o != nil && len(o.engines) > 0 {
-			l.Homes[k] = o.engines[0].id
+			l.PoolLeaders[k] = o.engines[0].id
 		}
 	}
 	return l
@@ -189,46 +191,46 @@
 }
 
 // refill is a decaying mean as it would stand had it just been learned.
-func (w Weighed) refill(life, now, least, most float64) decay {
+func (w WeightedMean) refill(life, now, least, most float64) decay {
 	n := sane(w.Weight, 0, mostWeight)
 	return decay{life: life, at: now, sum: sane(w.Mean, least, most) * n, n: n}
 }
 
 // recall puts in what an earlier run of this controller learned. Whatever this run has learned itself stands, an
 // engine of which another process is remembered is passed over, and no figure is taken past its bounds.
-func (r *Router) recall(l Learned) {
+func (r *Router) recall(l Statistics) {
 	sets := map[EngineID]*owner{} // engines that had the same owner
 	for _, m := range l.Engines {
 		e := r.engines[m.Engine]
-		if e == nil || e.state != Ready || max(e.since, 0) != m.Since {
+		if e == nil || e.state != Ready || max(e.since, 0) != m.StartedAt {
 			continue
 		}
 		if e.slow.n == 0 && e.outcomes == math.MaxUint64 && e.width == startWidth {
-			e.slow = m.Pace.refill(e.slow.life, r.now, 0, mostPace)
+			e.slow = m.Slowdown.refill(e.slow.life, r.now, 0, mostPace)
 			e.outcomes = math.MaxUint64&^0xff | uint64(m.Outcomes)
-			e.width = sane(m.Width, leastWidth, mostWidth)
+			e.width = sane(m.ThreadsPerCore, leastWidth, mostWidth)
 			r.weigh(e)
 		}
-		if m.Lead != "" {
-			if sets[m.Lead] == nil {
-				sets[m.Lead] = &owner{}
+		if m.PoolLeader != "" {
+			if sets[m.PoolLeader] == nil {
+				sets[m.PoolLeader] = &owner{}
 			}
-			sets[m.Lead].engines = append(sets[m.Lead].engines, e)
+			sets[m.PoolLeader].engines = append(sets[m.PoolLeader].engines, e)
 		}
 	}
-	for _, m := range l.Profiles {
-		if m.Profile < 0 || int(m.Profile) >= len(r.profiles) || r.profiles[m.Profile].unit.n > 0 {
+	for _, m := range l.Classes {
+		if m.Class < 0 || int(m.Class) >= len(r.profiles) || r.profiles[m.Class].unit.n > 0 {
 			continue
 		}
-		p := r.profiles[m.Profile]
-		p.fullLeft = max(p.fullLeft, sane(m.FullLeft, 0, p.Timeout))
-		p.best, p.hearsayAt = sane(m.Best, 0, p.Timeout), r.now
+		p := r.profiles[m.Class]
+		p.fullLeft = max(p.fullLeft, sane(m.FirstTryTimeout, 0, p.ClientTimeout))
+		p.best, p.hearsayAt = sane(m.UnloadedTime, 0, p.ClientTimeout), r.now
 		p.workScale = m.WorkScale.refill(scaleLife, r.now, 1/mostScale, mostScale)
-		p.needScale = m.NeedScale.refill(scaleLife, r.now, 1/mostScale, mostScale)
+		p.needScale = m.MemoryScale.refill(scaleLife, r.now, 1/mostScale, mostScale)
 	}
 	for _, m := range l.Traffic {
 		if r.share.n == 0 {
-			r.share = m.Part.refill(shareLife, r.now, 0, 1)
+			r.share = m.Share.refill(shareLife, r.now, 0, 1)
 		}
 	}
 	for _, m := range l.Tables {
@@ -237,10 +239,10 @@
 			continue
 		}
 		g.known, g.asked = true, r.now
-		demand, held := sane(m.Demand, 0, mostRate), sane(m.Held, 0, mostRate*mostRate)
+		demand, held := sane(m.Demand, 0, mostRate), sane(m.MemoryTime, 0, mostRate*mostRate)
 		g.demand.add(r.now, demand*demandLife/math.Ln2, 1)
 		g.held.add(r.now, held*demandLife/math.Ln2, 1)
-		for k, lead := range m.Homes {
+		for k, lead := range m.PoolLeaders {
 			if k < len(g.homes) && sets[lead] != nil {
 				g.homes[k] = sets[lead]
 			}
@@ -254,42 +256,42 @@
 	p.workScale, p.needScale = decay{life: scaleLife}, decay{life: scaleLife}
 }
 
-// EngineNow is what a controller knows of an engine just now, for those who plan by it: nothing is decided here.
-type EngineNow struct {
-	Engine EngineID
-	State  State
-	Listed State // what the list tells, where somebody holds the engine otherwise
-	Zone   Zone
-	Kind   KindID
-	Since  float64
-	WarmAt float64 // from when it counts as warm
-	Cores  float64
-	Load   float64 // as the design's
-	Out    int     // own sends out
-	Tables []TablesNow
+// EngineStatus is what a controller knows of an engine just now, for those who plan by it: nothing is decided here.
+type EngineStatus struct {
+	Engine      EngineID
+	State       EngineState
+	ListedState EngineState // what the list tells, where somebody holds the engine otherwise
+	Zone        Zone
+	Kind        KindID
+	StartedAt   float64
+	WarmAt      float64 // from when it counts as warm
+	Cores       float64
+	Load        float64 // as the design's
+	Attempts    int     // own sends out
+	Tables      []TableStatus
 }
 
-// TablesNow is a table group that an engine's owner has.
-type TablesNow struct {
-	Tables TableGroup
-	Asked  float64 // of this controller there, work on one thread for each ms
-	Homes  int     // other ready engines of that owner
+// TableStatus is a table group that an engine's owner has.
+type TableStatus struct {
+	Tables       TableGroup
+	Demand       float64 // of this controller there, work on one thread for each ms
+	OtherEngines int     // other ready engines of that owner
 }
 
-// EnginesNow tells of all engines, in the order of the list. It changes nothing.
-func (r *Router) EnginesNow() []EngineNow {
-	list := make([]EngineNow, 0, len(r.order))
+// EngineStatuses tells of all engines, in the order of the list. It changes nothing.
+func (r *Router) EngineStatuses() []EngineStatus {
+	list := make([]EngineStatus, 0, len(r.order))
 	for _, e := range r.order {
-		now := EngineNow{Engine: e.id, State: e.state, Listed: e.state, Zone: e.zone, Kind: e.kind, Since: e.since, Cores: e.cores, Out: e.out}
+		now := EngineStatus{Engine: e.id, State: e.state, ListedState: e.state, Zone: e.zone, Kind: e.kind, StartedAt: e.since, Cores: e.cores, Attempts: e.out}
 		if e.since > 0 {
-			now.WarmAt = e.since + r.guards.ColdTime
+			now.WarmAt = e.since + r.guards.SlowStartTime
 		}
 		if e.reportAt > 0 && r.now-e.reportAt <= reportStale {
 			now.Load = r.load(e)
 		}
 		if o := e.owner; o != nil && e.state == Ready {
 			for _, g := range o.groups() {
-				now.Tables = append(now.Tables, TablesNow{g.id, g.demand.rate(r.now) / float64(max(1, len(o.engines))), len(o.engines) - 1})
+				now.Tables = append(now.Tables, TableStatus{g.id, g.demand.rate(r.now) / float64(max(1, len(o.engines))), len(o.engines) - 1})
 			}
 		}
 		list = append(list, now)
--- a/router/learned_test.go
+++ b/router/learned_test.go
@@ -9,24 +9,24 @@
 
 // taught is a controller that has learned of some engines, of which one is slow, table groups and a profile.
 func taught(t *testing.T) (d *desk, slow EngineID) {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 6 {
 		e := engineAt(EngineID(fmt.Sprint("e", i)), KindID(i%2), "z", CellID(i))
-		e.Since = float64(i) * 10
+		e.StartedAt = float64(i) * 10
 		entries = append(entries, e)
 	}
 	d = newDesk(t, lookup, loose, tight, entries...)
-	for id := range CommandID(400) {
+	for id := range QueryID(400) {
 		ev := command1(id)
 		ev.Tables = TableGroup(id % 5)
 		to := sent(d.step(ev), id)
 		if slow == "" {
 			slow = to
 		}
-		end := outcome(id, 0, Answered)
-		end.Took, end.Load = 100, &Load{Inflight: 4, Util: 0.5, Disk: 0.1}
+		end := outcome(id, 0, Succeeded)
+		end.Elapsed, end.Load = 100, &LoadReport{Inflight: 4, Utilization: 0.5, Disk: 0.1}
 		if to == slow && id > 100 {
-			end.Took = 900
+			end.Elapsed = 900
 		}
 		if d.step(end); id%8 == 0 {
 			d.wait(30)
@@ -35,10 +35,10 @@
 	return d, slow
 }
 
-func all(r *Router, most int) (l Learned, parts int) {
+func all(r *Router, most int) (l Statistics, parts int) {
 	for from, more := (Cursor{}), true; more; parts++ {
-		var part Learned
-		if part, from, more = r.Learned(from, most); part.Len() > most {
+		var part Statistics
+		if part, from, more = r.Statistics(from, most); part.Len() > most {
 			panic("a part has too many records")
 		}
 		l.Add(part)
@@ -50,7 +50,7 @@
 func TestLearnedInParts(t *testing.T) {
 	d, slow := taught(t)
 	whole, _ := all(d.r, 1000)
-	if len(whole.Engines) != 6 || len(whole.Tables) != 5 || len(whole.Profiles) != 1 || len(whole.Traffic) != 1 {
+	if len(whole.Engines) != 6 || len(whole.Tables) != 5 || len(whole.Classes) != 1 || len(whole.Traffic) != 1 {
 		t.Fatalf("%+v", whole)
 	}
 	for _, most := range []int{1, 2, 3, 7} {
@@ -59,11 +59,11 @@
 		}
 	}
 	for _, e := range whole.Engines {
-		if (e.Engine == slow) != (e.Pace.Mean > 2) {
+		if (e.Engine == slow) != (e.Slowdown.Mean > 2) {
 			t.Errorf("%s is nine times slower: %+v", slow, e)
 		}
 	}
-	if p := whole.Profiles[0]; p.Best < 50 || p.Best > 200 || p.FullLeft < 4000 {
+	if p := whole.Classes[0]; p.UnloadedTime < 50 || p.UnloadedTime > 200 || p.FirstTryTimeout < 4000 {
 		t.Errorf("%+v", p)
 	}
 }
@@ -73,11 +73,11 @@
 	d, _ := taught(t)
 	seen := map[EngineID]int{}
 	for from, more := (Cursor{}), true; more; {
-		var part Learned
-		part, from, more = d.r.Learned(from, 1)
+		var part Statistics
+		part, from, more = d.r.Statistics(from, 1)
 		for _, e := range part.Engines {
 			if seen[e.Engine]++; e.Engine == "e2" {
-				d.step(Listed{Entries: []Entry{{Engine: "e1", State: Gone}, {Engine: "e15"}, {Engine: "e4", State: Gone}}})
+				d.step(EndpointsUpdated{Endpoints: []Endpoint{{Engine: "e1", State: Gone}, {Engine: "e15"}, {Engine: "e4", State: Gone}}})
 			}
 		}
 	}
@@ -90,14 +90,14 @@
 func TestRecalled(t *testing.T) {
 	old, slow := taught(t)
 	l, _ := all(old.r, 1000)
-	var entries []Entry
+	var entries []Endpoint
 	want := map[string]EngineID{}
 	for _, e := range old.r.order {
-		entry := Entry{Engine: e.id, Kind: e.kind, Zone: e.zone, Cell: e.cell, Since: e.since}
+		entry := Endpoint{Engine: e.id, Kind: e.kind, Zone: e.zone, Cell: e.cell, StartedAt: e.since}
 		switch {
 		case e.id == slow:
 		case want["process"] == "":
-			want["process"], entry.Since = e.id, 5 // another one
+			want["process"], entry.StartedAt = e.id, 5 // another one
 		case want["drains"] == "":
 			want["drains"], entry.State = e.id, Draining
 		case want["gone"] == "":
@@ -107,7 +107,7 @@
 		entries = append(entries, entry)
 	}
 	d := newDesk(t, lookup, loose, tight, entries...)
-	d.step(Recalled{Learned: l})
+	d.step(StatisticsRestored{Statistics: l})
 	for _, e := range d.r.order {
 		if (e.slow.mean(d.r.now, 1, 1) > 2) != (e.id == slow) || e.id == want["process"] && e.slow.n > 0 ||
 			e.id == want["drains"] && e.slow.n > 0 {
@@ -117,11 +117,11 @@
 	if len(d.r.groups) != 5 || d.r.groups[0].demand.rate(d.r.now) <= 0 {
 		t.Errorf("%d table groups", len(d.r.groups))
 	}
-	if p := d.r.profiles[0]; p.best != l.Profiles[0].Best || p.work.n != 0 {
+	if p := d.r.profiles[0]; p.best != l.Classes[0].UnloadedTime || p.work.n != 0 {
 		t.Errorf("best %g, %g told of work, which guards cold engines", p.best, p.work.n)
 	}
 	e := d.r.engines[slow]
-	d.step(Recalled{Learned: Learned{Engines: []LearnedEngine{{Engine: slow, Since: e.since, Pace: Weighed{1, 50}}}}})
+	d.step(StatisticsRestored{Statistics: Statistics{Engines: []EngineStatistics{{Engine: slow, StartedAt: e.since, Slowdown: WeightedMean{1, 50}}}}})
 	if e.slow.mean(d.r.now, 1, 1) < 2 {
 		t.Error("what is there was put in anew")
 	}
@@ -140,25 +140,25 @@
 
 // Table groups go back to the engines that had them, while those are there.
 func TestRecalledHomes(t *testing.T) {
-	var entries []Entry
+	var entries []Endpoint
 	for i := range 8 {
 		entries = append(entries, engineAt(EngineID(fmt.Sprint("e", i)), 0, "z", 1))
 	}
 	kept, moved := 0, 0
 	for shift := range 8 { // at each shift other engines had them than a fixed leaning would choose
-		var l Learned
+		var l Statistics
 		for i := range 8 {
 			id := EngineID(fmt.Sprint("e", i))
-			l.Engines = append(l.Engines, LearnedEngine{Engine: id, Width: 2, Outcomes: 0xff, Lead: id})
-			l.Tables = append(l.Tables, LearnedTables{Tables: TableGroup(i), Demand: 1, Held: 12000,
-				Homes: []EngineID{EngineID(fmt.Sprint("e", (i+shift)%8))}})
+			l.Engines = append(l.Engines, EngineStatistics{Engine: id, ThreadsPerCore: 2, Outcomes: 0xff, PoolLeader: id})
+			l.Tables = append(l.Tables, TableStatistics{Tables: TableGroup(i), Demand: 1, MemoryTime: 12000,
+				PoolLeaders: []EngineID{EngineID(fmt.Sprint("e", (i+shift)%8))}})
 		}
-		d := &desk{t: t, now: 100000, r: New(1, Place{}, twoKinds, []Profile{lookup}, nil, loose, tight)}
-		d.step(Listed{Whole: true, Cached: true, Entries: entries}, Recalled{Learned: l})
+		d := &desk{t: t, now: 100000, r: New(1, Identity{}, twoKinds, []QueryClass{lookup}, nil, loose, tight)}
+		d.step(EndpointsUpdated{Complete: true, Cached: true, Endpoints: entries}, StatisticsRestored{Statistics: l})
 		d.wait(tendEvery) // a period would merge owners by loads that are all none
 		for i, g := range d.r.groups {
 			if o := g.homes[0]; slices.Contains(d.r.owners[0], o) && len(o.engines) == 1 &&
-				o.engines[0].id == l.Tables[i].Homes[0] {
+				o.engines[0].id == l.Tables[i].PoolLeaders[0] {
 				kept++
 			} else {
 				moved++
@@ -186,10 +186,10 @@
 		{"answers are shorter", 900, 200, 0, 90, 110},
 	} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-		d.step(Recalled{Learned: Learned{Profiles: []LearnedProfile{{Best: c.best, FullLeft: 5000}}}})
-		for id := range CommandID(c.answers) {
+		d.step(StatisticsRestored{Statistics: Statistics{Classes: []ClassStatistics{{UnloadedTime: c.best, FirstTryTimeout: 5000}}}})
+		for id := range QueryID(c.answers) {
 			d.step(command1(id))
-			d.step(outcome(id, 0, Answered))
+			d.step(outcome(id, 0, Succeeded))
 		}
 		for at := 0.0; at < c.wait; at += 50 {
 			d.wait(49)
@@ -201,11 +201,11 @@
 	// few answers, which tell otherwise: it is dropped by them, though none is ever far from the next
 	for _, best := range []float64{1, 2000} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-		d.step(Recalled{Learned: Learned{Profiles: []LearnedProfile{{Best: best}}}})
-		for id := range CommandID(40) {
+		d.step(StatisticsRestored{Statistics: Statistics{Classes: []ClassStatistics{{UnloadedTime: best}}}})
+		for id := range QueryID(40) {
 			d.wait(1000)
 			d.step(command1(id))
-			d.step(outcome(id, 0, Answered))
+			d.step(outcome(id, 0, Succeeded))
 		}
 		if d.r.profiles[0].best != 0 {
 			t.Errorf("%g ms are remembered of answers that take 100", best)
@@ -213,13 +213,13 @@
 	}
 	// few answers, none for long between two: what is borne out now and then stands
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-	d.step(Recalled{Learned: Learned{Profiles: []LearnedProfile{{Best: 90}}}})
-	for id := range CommandID(5) {
+	d.step(StatisticsRestored{Statistics: Statistics{Classes: []ClassStatistics{{UnloadedTime: 90}}}})
+	for id := range QueryID(5) {
 		for range 120 {
 			d.wait(49)
 		}
 		d.step(command1(id))
-		d.step(outcome(id, 0, Answered))
+		d.step(outcome(id, 0, Succeeded))
 	}
 	if d.r.profiles[0].best == 0 {
 		t.Error("dropped though answers came")
@@ -229,14 +229,14 @@
 // No figure is taken past its bounds, and odd records do no harm.
 func TestRecalledBounds(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300, 1e-300} {
-		w := Weighed{x, x}
+		w := WeightedMean{x, x}
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1), engineAt("b", 1, "z", 1))
-		d.step(Recalled{Learned: Learned{
-			Engines: []LearnedEngine{{Engine: "a", Pace: w, Width: x, Lead: "b"}, {Engine: "a"}, {Engine: "x", Lead: "a"}},
-			Tables: []LearnedTables{{Tables: 1, Demand: x, Held: x, Homes: []EngineID{"b", "x", "a", "a"}}, {Tables: 1},
+		d.step(StatisticsRestored{Statistics: Statistics{
+			Engines: []EngineStatistics{{Engine: "a", Slowdown: w, ThreadsPerCore: x, PoolLeader: "b"}, {Engine: "a"}, {Engine: "x", PoolLeader: "a"}},
+			Tables: []TableStatistics{{Tables: 1, Demand: x, MemoryTime: x, PoolLeaders: []EngineID{"b", "x", "a", "a"}}, {Tables: 1},
 				{Tables: -1}},
-			Profiles: []LearnedProfile{{Profile: 7}, {Profile: -1}, {FullLeft: x, Best: x, WorkScale: w, NeedScale: w}},
-			Traffic:  []LearnedTraffic{{Part: w}, {Part: w}}}})
+			Classes: []ClassStatistics{{Class: 7}, {Class: -1}, {FirstTryTimeout: x, UnloadedTime: x, WorkScale: w, MemoryScale: w}},
+			Traffic: []TrafficStatistics{{Share: w}, {Share: w}}}})
 		e, p := d.r.engines["a"], d.r.profiles[0]
 		for name, y := range map[string]float64{"pace": e.slow.mean(d.r.now, 1, 1), "width": e.width,
 			"best": p.best, "left": p.fullLeft, "scale": p.workScale.mean(d.r.now, 1, 2), "need": p.needScale.mean(
@@ -245,7 +245,7 @@
 				t.Errorf("%g remembered: %s is %g", x, name, y)
 			}
 		}
-		if e.width < leastWidth || e.width > mostWidth || p.best > p.Timeout {
+		if e.width < leastWidth || e.width > mostWidth || p.best > p.ClientTimeout {
 			t.Errorf("%g remembered: width %g, best %g", x, e.width, p.best)
 		}
 		if to := sent(append(d.step(command1(1)), d.wait(100)...), 1); to == "" && d.r.engines["b"].out == 0 {
--- a/router/margins_test.go
+++ b/router/margins_test.go
@@ -26,10 +26,10 @@
 		{"taken well within the window", 10, window - 2*netSlack, 2, true},
 	} {
 		g := tight
-		g.Budgeted, g.ResendFree, g.ResendShare, g.ResendWindow = true, 1, c.share, window
+		g.RetryBudgeted, g.RetryBudgetMin, g.RetryBudgetRatio, g.RetryBudgetWindow = true, 1, c.share, window
 		d := newDesk(t, lookup, loose, g)
 		if c.share > 0 {
-			g.ResendFree, d.r.guards.ResendFree = 0, 0
+			g.RetryBudgetMin, d.r.guards.RetryBudgetMin = 0, 0
 		}
 		d.r.resends.add(d.r.now-c.resent, 1)
 		d.r.taken.add(d.r.now-c.took, 1)
@@ -42,7 +42,7 @@
 // Rule 2: a repeat must reach its engine before the window of the first doubtful send ends.
 func TestRepeatWindowMargin(t *testing.T) {
 	p := lookup
-	p.Effect, p.RepeatWindow = Uniqued, 1000
+	p.Effect, p.DeduplicationWindow = Deduplicated, 1000
 	for _, c := range []struct {
 		after float64
 		spent bool
@@ -65,8 +65,8 @@
 		window float64
 		again  bool
 	}{{2000, true}, {880, false}} {
-		p, a := lookup, Allowed{MaxSends: 6, SecondCopies: true, NotePace: 500}
-		p.Effect, p.RepeatWindow = Uniqued, c.window
+		p, a := lookup, Capabilities{MaxAttempts: 6, Hedging: true, ProgressInterval: 500}
+		p.Effect, p.DeduplicationWindow = Deduplicated, c.window
 		d := newDesk(t, p, a, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 		d.step(command1(1))
 		actions := d.wait(d.r.quiet() + 5)
@@ -80,7 +80,7 @@
 func TestEndMargin(t *testing.T) {
 	for _, round := range []float64{0, 5, 50} {
 		g := tight
-		g.Round = round
+		g.EventInterval = round
 		d := newDesk(t, lookup, loose, g)
 		d.step(command1(1))
 		c := d.r.cmds[1]
@@ -100,16 +100,16 @@
 	desk := func() *desk {
 		d := newDesk(t, lookup, loose, tight)
 		d.now += 5000
-		cold.Since = d.now
-		d.step(Listed{Entries: []Entry{cold}})
+		cold.StartedAt = d.now
+		d.step(EndpointsUpdated{Endpoints: []Endpoint{cold}})
 		return d
 	}
 	for _, c := range []struct {
 		age  float64
 		cold bool
-	}{{0, true}, {tight.ColdTime - 10, true}, {tight.ColdTime + netSlack/2, true}, {tight.ColdTime + 2*netSlack, false}} {
+	}{{0, true}, {tight.SlowStartTime - 10, true}, {tight.SlowStartTime + netSlack/2, true}, {tight.SlowStartTime + 2*netSlack, false}} {
 		d := desk()
-		d.r.now = cold.Since + c.age
+		d.r.now = cold.StartedAt + c.age
 		if part := d.r.coldPart(d.r.engines["a"]); (part < 1e9) != c.cold {
 			t.Errorf("%g ms after its start: part %g", c.age, part)
 		}
@@ -118,11 +118,11 @@
 		name string
 		ago  float64 // since all of its part was sent
 		may  bool
-	}{{"within the window", 1000, false}, {"just before the window", tight.ColdWindow + netSlack/2, false},
-		{"well before the window", tight.ColdWindow + 2*netSlack, true}} {
+	}{{"within the window", 1000, false}, {"just before the window", tight.SlowStartWindow + netSlack/2, false},
+		{"well before the window", tight.SlowStartWindow + 2*netSlack, true}} {
 		d := desk()
 		e := d.r.engines["a"]
-		d.r.now = cold.Since + 5000
+		d.r.now = cold.StartedAt + 5000
 		e.coldSent.add(d.r.now-c.ago, d.r.coldPart(e))
 		if d.r.coldAllows(&command{profile: d.r.profiles[0]}, e) != c.may {
 			t.Errorf("%s: may is %v", c.name, !c.may)
@@ -131,9 +131,9 @@
 	for _, c := range []struct {
 		up  float64 // ms for which this controller has been up
 		may bool
-	}{{tight.ColdWindow, false}, {tight.ColdWindow + netSlack/2, false}, {tight.ColdWindow + 2*netSlack, true}} {
+	}{{tight.SlowStartWindow, false}, {tight.SlowStartWindow + netSlack/2, false}, {tight.SlowStartWindow + 2*netSlack, true}} {
 		d := desk()
-		d.r.now, d.r.born = cold.Since+3000, cold.Since+3000-c.up
+		d.r.now, d.r.born = cold.StartedAt+3000, cold.StartedAt+3000-c.up
 		if d.r.coldAllows(&command{profile: d.r.profiles[0]}, d.r.engines["a"]) != c.may {
 			t.Errorf("up for %g ms: may is %v", c.up, !c.may)
 		}
@@ -141,17 +141,17 @@
 	for _, controllers := range []int{60, 150, 300, 1000} { // whoever has a turn that touches a window uses all of it
 		d := desk()
 		d.r.controllers = float64(controllers)
-		e, whole := d.r.engines["a"], coldShareUsed*tight.ColdMultiple*tight.ColdShare*8*tight.ColdWindow
-		length, sizes := (tight.ColdWindow+2*netSlack)/coldSpans, map[float64]bool{}
+		e, whole := d.r.engines["a"], coldShareUsed*tight.SlowStartOverload*tight.SlowStartCapacity*8*tight.SlowStartWindow
+		length, sizes := (tight.SlowStartWindow+2*netSlack)/coldSpans, map[float64]bool{}
 		var sums []float64 // by stretch
-		for at := length / 2; at < tight.ColdTime; at += length {
+		for at := length / 2; at < tight.SlowStartTime; at += length {
 			sum := 0.0
 			for n := range controllers {
-				d.r.number, d.r.now = n, cold.Since+at
+				d.r.number, d.r.now = n, cold.StartedAt+at
 				part := d.r.coldPart(e)
 				sum += part
 				for early := -0.49; early < 0.5; early += 0.49 {
-					if d.r.now = cold.Since + at + early*length; d.r.coldPart(e) != part {
+					if d.r.now = cold.StartedAt + at + early*length; d.r.coldPart(e) != part {
 						t.Fatalf("%d controllers: the part of %d changes within a stretch", controllers, n)
 					}
 				}
@@ -171,10 +171,10 @@
 	for _, controllers := range []float64{1, 7, 20, 30, 60} { // all parts of a stretch together
 		d := desk()
 		d.r.controllers = controllers
-		whole := coldShareUsed * tight.ColdMultiple * tight.ColdShare * 8 * tight.ColdWindow
+		whole := coldShareUsed * tight.SlowStartOverload * tight.SlowStartCapacity * 8 * tight.SlowStartWindow
 		sum := 0.0
 		for n := range int(controllers) {
-			d.r.number, d.r.now = n, cold.Since+100
+			d.r.number, d.r.now = n, cold.StartedAt+100
 			sum += d.r.coldPart(d.r.engines["a"])
 		}
 		if sum > whole*1.001 || controllers < 10 && sum < whole*0.999 {
@@ -215,8 +215,8 @@
 	cold := engineAt("a", 0, "z", 1)
 	d := newDesk(t, lookup, loose, tight, engineAt("b", 0, "z", 1))
 	d.now += 5000
-	cold.Since = d.now - 2000
-	d.step(Listed{Entries: []Entry{cold}})
+	cold.StartedAt = d.now - 2000
+	d.step(EndpointsUpdated{Endpoints: []Endpoint{cold}})
 	d.r.controllers, d.r.share = 300, decay{}
 	d.r.tend()
 	c := &command{profile: d.r.profiles[0]}
@@ -250,49 +250,49 @@
 // What twenty or thirty controllers together send a cold engine that all of them want, command by command: of N calls of
 // usual work that the rule allows in a window, chance may add 2 roots of N and 2, and they stay under N.
 func TestColdSum(t *testing.T) {
-	p := Profile{Target: 60000, Timeout: 60000, Threads: 1, LateShare: 1}
+	p := QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, LateBenefit: 1}
 	const usual, stepMS, each = 300.0, 10.0, 3
 	for _, controllers := range []int{3, 20, 30} {
 		rng := rand.New(rand.NewSource(int64(controllers)))
-		cold := Entry{Engine: "a", Since: 100000}
+		cold := Endpoint{Engine: "a", StartedAt: 100000}
 		type out struct {
-			ended Ended
+			ended AttemptEnded
 			at    float64
 		}
 		var fleet []*Router
 		for n := range controllers {
-			r := New(int64(n), Place{Controllers: controllers, Number: n}, twoKinds, []Profile{p}, nil, loose, tight)
-			r.Step(cold.Since-10000, []Event{Listed{Whole: true, Cached: true, Entries: []Entry{cold}}})
-			r.profiles[0].work.add(cold.Since, 100*usual, 100) // what they usually are is known
+			r := New(int64(n), Identity{Controllers: controllers, Index: n}, twoKinds, []QueryClass{p}, nil, loose, tight)
+			r.Step(cold.StartedAt-10000, []Event{EndpointsUpdated{Complete: true, Cached: true, Endpoints: []Endpoint{cold}}})
+			r.profiles[0].work.add(cold.StartedAt, 100*usual, 100) // what they usually are is known
 			fleet = append(fleet, r)
 		}
 		var sends []float64 // when, in order
-		pending, work, id := make([][]out, controllers), map[CommandID]float64{}, CommandID(0)
-		for now := cold.Since; now < cold.Since+tight.ColdTime; now += stepMS {
+		pending, work, id := make([][]out, controllers), map[QueryID]float64{}, QueryID(0)
+		for now := cold.StartedAt; now < cold.StartedAt+tight.SlowStartTime; now += stepMS {
 			for n, r := range fleet {
-				events := []Event{Woke{}}
+				events := []Event{TimerFired{}}
 				for len(pending[n]) > 0 && pending[n][0].at <= now {
 					events, pending[n] = append(events, pending[n][0].ended), pending[n][1:]
 				}
 				for range each * (1 + rng.Intn(2)) / 3 {
 					id++
 					work[id] = usual * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
-					events = append(events, Arrived{ID: id, Tenant: -1, Left: 60000, Tables: 7, Estimate: work[id]})
+					events = append(events, QueryArrived{ID: id, Tenant: -1, TimeLeft: 60000, Tables: 7, EstimatedWork: work[id]})
 				}
 				for _, a := range r.Step(now, events) {
-					if s, ok := a.(Send); ok {
+					if s, ok := a.(StartAttempt); ok {
 						sends = append(sends, now)
-						pending[n] = append(pending[n], out{Ended{ID: s.ID, Over: true, Took: 50}, now + 50})
+						pending[n] = append(pending[n], out{AttemptEnded{ID: s.ID, QueryDone: true, Elapsed: 50}, now + 50})
 					}
 				}
 			}
 		}
-		allowed := tight.ColdMultiple * tight.ColdShare * 8 * tight.ColdWindow / usual
+		allowed := tight.SlowStartOverload * tight.SlowStartCapacity * 8 * tight.SlowStartWindow / usual
 		most := 0
 		for from := range sends {
 			within := 0
 			for _, at := range sends[from:] {
-				if at <= sends[from]+tight.ColdWindow {
+				if at <= sends[from]+tight.SlowStartWindow {
 					within++
 				}
 			}
--- a/router/rules_test.go
+++ b/router/rules_test.go
@@ -10,39 +10,39 @@
 func TestFurtherSends(t *testing.T) {
 	here, sameZone := engineAt("a", 0, "z1", 1), engineAt("b", 0, "z1", 2)
 	sameCell, far := engineAt("c", 0, "z2", 1), engineAt("d", 0, "z2", 2)
-	with := func(e Effect, s Scope) Profile {
+	with := func(e RepeatEffect, s DeduplicationScope) QueryClass {
 		p := lookup
-		p.Effect, p.Scope, p.RepeatWindow, p.LateShare = e, s, 2000, 1 // so late that only its rule ends it
+		p.Effect, p.Scope, p.DeduplicationWindow, p.LateBenefit = e, s, 2000, 1 // so late that only its rule ends it
 		return p
 	}
 	rationed := tight
-	rationed.Budgeted, rationed.ResendShare, rationed.ResendWindow = true, 0.5, 1000
+	rationed.RetryBudgeted, rationed.RetryBudgetRatio, rationed.RetryBudgetWindow = true, 0.5, 1000
 	for _, c := range []struct {
 		name        string
-		p           Profile
-		g           Guards
+		p           QueryClass
+		g           SafetyLimits
 		o           Outcome
 		after       float64
-		others      []Entry
+		others      []Endpoint
 		resend      bool
 		sheds, fail int
 	}{
-		{"replayable after a reset", with(Replayable, ScopeAll), tight, Reset, 0, []Entry{far}, true, 0, 0},
-		{"non-replayable that never ran", with(NonReplayable, ScopeAll), tight, Full, 0, []Entry{far}, true, 0, 0},
-		{"non-replayable that was not taken whole", with(NonReplayable, ScopeAll), tight, Refused, 0, []Entry{far}, true, 0, 0},
-		{"non-replayable that was withdrawn", with(NonReplayable, ScopeAll), tight, Withdrawn, 0, []Entry{far}, true, 0, 0},
-		{"non-replayable that never went out", with(NonReplayable, ScopeAll), tight, NotSent, 0, []Entry{far}, true, 0, 0},
-		{"non-replayable after an error", with(NonReplayable, ScopeAll), tight, Errored, 0, []Entry{far}, false, 0, 1},
-		{"non-replayable after a time-out", with(NonReplayable, ScopeAll), tight, TimedOut, 0, []Entry{far}, false, 0, 1},
-		{"non-replayable after a reset", with(NonReplayable, ScopeAll), tight, Reset, 0, []Entry{far}, false, 0, 1},
-		{"uniqued in all", with(Uniqued, ScopeAll), tight, Reset, 0, []Entry{far}, true, 0, 0},
-		{"uniqued in its zone", with(Uniqued, ScopeZone), tight, Reset, 0, []Entry{sameZone}, true, 0, 0},
-		{"uniqued out of its zone", with(Uniqued, ScopeZone), tight, Reset, 0, []Entry{sameCell, far}, false, 0, 0},
-		{"uniqued in its cell", with(Uniqued, ScopeCell), tight, Reset, 0, []Entry{sameCell}, true, 0, 0},
-		{"uniqued out of its cell", with(Uniqued, ScopeCell), tight, Reset, 0, []Entry{sameZone, far}, false, 0, 0},
-		{"uniqued past its window", with(Uniqued, ScopeAll), tight, Reset, 2100, []Entry{far}, false, 1, 0},
-		{"zoned, past its window", with(Uniqued, ScopeZone), tight, Reset, 2100, []Entry{sameZone}, false, 0, 1},
-		{"no budget left", with(Replayable, ScopeAll), rationed, Reset, 0, []Entry{far}, false, 0, 0},
+		{"replayable after a reset", with(Idempotent, ScopeAll), tight, ConnectionReset, 0, []Endpoint{far}, true, 0, 0},
+		{"non-replayable that never ran", with(NonIdempotent, ScopeAll), tight, EngineFull, 0, []Endpoint{far}, true, 0, 0},
+		{"non-replayable that was not taken whole", with(NonIdempotent, ScopeAll), tight, ConnectFailed, 0, []Endpoint{far}, true, 0, 0},
+		{"non-replayable that was withdrawn", with(NonIdempotent, ScopeAll), tight, Withdrawn, 0, []Endpoint{far}, true, 0, 0},
+		{"non-replayable that never went out", with(NonIdempotent, ScopeAll), tight, NotSent, 0, []Endpoint{far}, true, 0, 0},
+		{"non-replayable after an error", with(NonIdempotent, ScopeAll), tight, Errored, 0, []Endpoint{far}, false, 0, 1},
+		{"non-replayable after a time-out", with(NonIdempotent, ScopeAll), tight, TimedOut, 0, []Endpoint{far}, false, 0, 1},
+		{"non-replayable after a reset", with(NonIdempotent, ScopeAll), tight, ConnectionReset, 0, []Endpoint{far}, false, 0, 1},
+		{"uniqued in all", with(Deduplicated, ScopeAll), tight, ConnectionReset, 0, []Endpoint{far}, true, 0, 0},
+		{"uniqued in its zone", with(Deduplicated, ScopeZone), tight, ConnectionReset, 0, []Endpoint{sameZone}, true, 0, 0},
+		{"uniqued out of its zone", with(Deduplicated, ScopeZone), tight, ConnectionReset, 0, []Endpoint{sameCell, far}, false, 0, 0},
+		{"uniqued in its cell", with(Deduplicated, ScopeCell), tight, ConnectionReset, 0, []Endpoint{sameCell}, true, 0, 0},
+		{"uniqued out of its cell", with(Deduplicated, ScopeCell), tight, ConnectionReset, 0, []Endpoint{sameZone, far}, false, 0, 0},
+		{"uniqued past its window", with(Deduplicated, ScopeAll), tight, ConnectionReset, 2100, []Endpoint{far}, false, 1, 0},
+		{"zoned, past its window", with(Deduplicated, ScopeZone), tight, ConnectionReset, 2100, []Endpoint{sameZone}, false, 0, 1},
+		{"no budget left", with(Idempotent, ScopeAll), rationed, ConnectionReset, 0, []Endpoint{far}, false, 0, 0},
 	} {
 		d := newDesk(t, c.p, loose, c.g, here)
 		if to := sent(d.step(command1(1)), 1); to != "a" {
@@ -53,7 +53,7 @@
 		}
 		gone := here
 		gone.State = Draining
-		d.step(Listed{Entries: append([]Entry{gone}, c.others...)})
+		d.step(EndpointsUpdated{Endpoints: append([]Endpoint{gone}, c.others...)})
 		d.now += c.after
 		actions := d.step(outcome(1, 0, c.o))
 		actions = append(actions, d.wait(60)...)
@@ -70,36 +70,36 @@
 func TestBeginsInTime(t *testing.T) {
 	here, far := engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1)
 	uniqued, rationed := lookup, tight
-	uniqued.Effect, uniqued.RepeatWindow, uniqued.LateShare = Uniqued, 2000, 1
-	rationed.Budgeted, rationed.ResendFree, rationed.ResendWindow = true, 5, 1000
+	uniqued.Effect, uniqued.DeduplicationWindow, uniqued.LateBenefit = Deduplicated, 2000, 1
+	rationed.RetryBudgeted, rationed.RetryBudgetMin, rationed.RetryBudgetWindow = true, 5, 1000
 	atAnyTime := func(_, _ float64) float64 { return 0 }
 	atOnce := func(_, now float64) float64 { return now + netSlack }
 	for _, c := range []struct {
 		name  string
-		p     Profile
-		g     Guards
+		p     QueryClass
+		g     SafetyLimits
 		event func(d *desk) Event // ahead of the send that is looked at
 		begin func(first, now float64) float64
 	}{
 		{"a first one", lookup, tight, nil, atAnyTime},
-		{"replayable, again", lookup, tight, func(*desk) Event { return outcome(1, 0, Reset) }, atAnyTime},
-		{"uniqued, never ran", uniqued, tight, func(*desk) Event { return outcome(1, 0, Full) }, atAnyTime},
-		{"uniqued, may have run", uniqued, tight, func(*desk) Event { return outcome(1, 0, Reset) },
+		{"replayable, again", lookup, tight, func(*desk) Event { return outcome(1, 0, ConnectionReset) }, atAnyTime},
+		{"uniqued, never ran", uniqued, tight, func(*desk) Event { return outcome(1, 0, EngineFull) }, atAnyTime},
+		{"uniqued, may have run", uniqued, tight, func(*desk) Event { return outcome(1, 0, ConnectionReset) },
 			func(first, _ float64) float64 { return first + 2000 - netSlack }},
-		{"again, out of a budget", lookup, rationed, func(*desk) Event { return outcome(1, 0, Reset) }, atOnce},
+		{"again, out of a budget", lookup, rationed, func(*desk) Event { return outcome(1, 0, ConnectionReset) }, atOnce},
 		{"while the list has expired", lookup, tight, func(d *desk) Event {
-			d.step(outcome(1, 0, Answered), command1(2)) // which may take over the second engine
+			d.step(outcome(1, 0, Succeeded), command1(2)) // which may take over the second engine
 			d.r.engines["b"].tookAt = d.r.engines["a"].tookAt
-			d.step(outcome(2, 0, Answered), Listed{Expired: 3000})
+			d.step(outcome(2, 0, Succeeded), EndpointsUpdated{ExpiredFor: 3000})
 			d.r.engines["a"].tookAt, d.r.engines["b"].tookAt = d.r.born, d.r.born
 			return command1(3)
 		}, func(first, _ float64) float64 { return first - 1 + 3000 }},
 		{"to a cold engine", lookup, tight, func(d *desk) Event {
-			d.step(outcome(1, 0, Answered))
+			d.step(outcome(1, 0, Succeeded))
 			cold := far
-			cold.Since = d.now
-			d.step(Listed{Whole: true, Entries: []Entry{cold}})
-			d.now += tight.ColdWindow + 2*netSlack // this controller's own first window
+			cold.StartedAt = d.now
+			d.step(EndpointsUpdated{Complete: true, Endpoints: []Endpoint{cold}})
+			d.now += tight.SlowStartWindow + 2*netSlack // this controller's own first window
 			return command1(2)
 		}, atOnce},
 	} {
@@ -109,15 +109,15 @@
 		if c.event != nil {
 			actions = d.step(c.event(d))
 			for range 5 { // what was turned away rests
-				if len(actions) == 0 || !slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok }) {
+				if len(actions) == 0 || !slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(StartAttempt); return ok }) {
 					actions = d.wait(60)
 				}
 			}
 		}
-		at := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok })
+		at := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(StartAttempt); return ok })
 		if at < 0 {
 			t.Errorf("%s: not sent", c.name)
-		} else if got, want := actions[at].(Send).Begin, c.begin(first, d.now); got != want {
+		} else if got, want := actions[at].(StartAttempt).StartBy, c.begin(first, d.now); got != want {
 			t.Errorf("%s: to begin by %g, not %g (first %g, now %g)", c.name, got, want, first, d.now)
 		}
 	}
@@ -131,10 +131,10 @@
 		events []Event
 		sends  bool // one is out when they come
 	}{
-		{"as it arrives", []Event{command1(1), Left{1}}, false},
-		{"as its send ends unsent", []Event{outcome(1, 0, NotSent), Left{1}}, true},
-		{"ahead of the end of its send", []Event{Left{1}, outcome(1, 0, NotSent)}, true},
-		{"as its engine is turned away", []Event{outcome(1, 0, Full), Left{1}, Listed{Entries: []Entry{engineAt("c", 0, "z", 1)}}}, true},
+		{"as it arrives", []Event{command1(1), ClientDisconnected{1}}, false},
+		{"as its send ends unsent", []Event{outcome(1, 0, NotSent), ClientDisconnected{1}}, true},
+		{"ahead of the end of its send", []Event{ClientDisconnected{1}, outcome(1, 0, NotSent)}, true},
+		{"as its engine is turned away", []Event{outcome(1, 0, EngineFull), ClientDisconnected{1}, EndpointsUpdated{Endpoints: []Endpoint{engineAt("c", 0, "z", 1)}}}, true},
 	} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 		if c.sends && sent(d.step(command1(1)), 1) == "" {
@@ -147,7 +147,7 @@
 	}
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 	d.step(command1(1))
-	if !cancels(d.step(Left{1})) {
+	if !cancels(d.step(ClientDisconnected{1})) {
 		t.Error("what is out is not given up")
 	}
 }
@@ -156,14 +156,14 @@
 func TestOneAnswerInTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		effect  Effect
-		engines []Entry
+		effect  RepeatEffect
+		engines []Endpoint
 		sheds   int
 		fails   int
 	}{
-		{"never sent", NonReplayable, nil, 1, 0},
-		{"replayable, out", Replayable, []Entry{engineAt("a", 0, "z", 1)}, 1, 0},
-		{"non-replayable, out", NonReplayable, []Entry{engineAt("a", 0, "z", 1)}, 0, 1},
+		{"never sent", NonIdempotent, nil, 1, 0},
+		{"replayable, out", Idempotent, []Endpoint{engineAt("a", 0, "z", 1)}, 1, 0},
+		{"non-replayable, out", NonIdempotent, []Endpoint{engineAt("a", 0, "z", 1)}, 0, 1},
 	} {
 		p := lookup
 		p.Effect = c.effect
@@ -189,8 +189,8 @@
 	draining := engineAt("a", 1, "z2", 1)
 	draining.State = Draining
 	for i, c := range []struct {
-		p    Profile
-		e    Entry
+		p    QueryClass
+		e    Endpoint
 		want EngineID
 	}{
 		{lookup, draining, ""},
@@ -216,16 +216,16 @@
 		d.r.profiles[0].work.add(d.now, 100*1000, 100)
 		d.now += c.born
 		cold := engineAt("a", 0, "z", 1)
-		cold.Since = d.now
-		d.step(Listed{Entries: []Entry{cold}})
+		cold.StartedAt = d.now
+		d.step(EndpointsUpdated{Endpoints: []Endpoint{cold}})
 		n := 0.0
-		for id := range CommandID(60) {
+		for id := range QueryID(60) {
 			if sent(d.step(command1(id)), id) != "" {
 				n++
-				d.step(outcome(id, 0, Answered))
+				d.step(outcome(id, 0, Succeeded))
 			}
 		}
-		if whole := tight.ColdMultiple * tight.ColdShare * 8 * tight.ColdWindow / c.controllers; n*1000 > whole ||
+		if whole := tight.SlowStartOverload * tight.SlowStartCapacity * 8 * tight.SlowStartWindow / c.controllers; n*1000 > whole ||
 			n < c.least || n > c.most {
 			t.Errorf("%g controllers, up for %g ms: %g commands of 1000 ms to a cold engine", c.controllers, c.born, n)
 		}
@@ -235,13 +235,13 @@
 // Rule 5: one key runs one at a time in the order taken, and rests after a doubtful outcome.
 func TestOrder(t *testing.T) {
 	p, g := lookup, tight
-	p.InOrder, g.OrderRest = true, 300
+	p.Ordered, g.OrderingCooldown = true, 300
 	for _, c := range []struct {
 		o     Outcome
 		rests bool
-	}{{Answered, false}, {Errored, false}, {Reset, true}, {TimedOut, true}} {
-		d := newDesk(t, p, Allowed{MaxSends: 1}, g, engineAt("a", 0, "z", 1))
-		keyed := func(id CommandID) Arrived { ev := command1(id); ev.Key = "k"; return ev }
+	}{{Succeeded, false}, {Errored, false}, {ConnectionReset, true}, {TimedOut, true}} {
+		d := newDesk(t, p, Capabilities{MaxAttempts: 1}, g, engineAt("a", 0, "z", 1))
+		keyed := func(id QueryID) QueryArrived { ev := command1(id); ev.Key = "k"; return ev }
 		if to := sent(d.step(keyed(1), keyed(2), command1(3)), 2); to != "" {
 			t.Errorf("%d: the second of a key was sent beside the first", c.o)
 		}
@@ -252,7 +252,7 @@
 		if later := d.wait(100); c.rests && sent(later, 2) == "" {
 			t.Errorf("outcome %d: the key rests for ever", c.o)
 		}
-		d.step(outcome(2, 0, Answered), outcome(3, 0, Answered))
+		d.step(outcome(2, 0, Succeeded), outcome(3, 0, Succeeded))
 		if d.wait(500); len(d.r.lines) > 0 || len(d.r.resting) > 0 {
 			t.Errorf("outcome %d: the line was not forgotten", c.o)
 		}
@@ -262,18 +262,18 @@
 // A list that must be asked for is asked for again after each failure, well within the stated time.
 func TestAskAgain(t *testing.T) {
 	a, g := loose, tight
-	a.MustAsk, g.AskWithin = true, 10000
+	a.PollEndpoints, g.PollWithin = true, 10000
 	d := newDesk(t, lookup, a, g)
 	last, asked := d.now, 0
 	for range 400 {
 		for _, action := range d.wait(99) {
 			if _, ok := action.(Subscribe); ok {
-				if d.now-last >= g.AskWithin {
+				if d.now-last >= g.PollWithin {
 					t.Fatalf("nothing was asked for %g ms", d.now-last)
 				}
 				last = d.now
 				asked++
-				d.step(Listed{Failed: true})
+				d.step(EndpointsUpdated{Failed: true})
 			}
 		}
 	}
@@ -288,11 +288,11 @@
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1), engineAt("b", 1, "z", 2),
 			engineAt("c", -1, "z", 2))
 		log := ""
-		for i := range CommandID(200) {
+		for i := range QueryID(200) {
 			ev := command1(i)
-			ev.Tables, ev.Left = TableGroup(i%13), float64(i%7)*100-100
-			log += fmt.Sprint(d.step(ev, Left{ID: i / 2}, outcome(i/3, 0, Outcome(i%8)), outcome(i, 5, Answered),
-				Noted{ID: i, What: NoteProgress}, Probed{Engine: "x"}, Began{ID: i / 5}, Listed{Whole: i%50 == 49}))
+			ev.Tables, ev.TimeLeft = TableGroup(i%13), float64(i%7)*100-100
+			log += fmt.Sprint(d.step(ev, ClientDisconnected{ID: i / 2}, outcome(i/3, 0, Outcome(i%8)), outcome(i, 5, Succeeded),
+				AttemptProgress{ID: i, Kind: ProgressDone}, HealthCheckEnded{Engine: "x"}, ResponseStarted{ID: i / 5}, EndpointsUpdated{Complete: i%50 == 49}))
 		}
 		return log
 	}
@@ -307,11 +307,11 @@
 	if to := sent(d.step(command1(1)), 1); to != "a" {
 		t.Fatal("not sent")
 	}
-	if s, f := answers(d.step(Stopping{Within: 1000}), 1); s+f != 0 {
+	if s, f := answers(d.step(ShutdownStarted{Within: 1000}), 1); s+f != 0 {
 		t.Fatal("answered when told to stop, though there is time")
 	}
 	late := command1(2)
-	late.Estimate = 2000
+	late.EstimatedWork = 2000
 	if s, _ := answers(append(d.step(late), d.wait(tendEvery)...), 2); s != 1 {
 		t.Error("a command that can't be done by then is not shed at once")
 	}
@@ -329,9 +329,9 @@
 	for _, expired := range []float64{0, 6000} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		d.step(command1(1))
-		d.step(outcome(1, 0, Answered))
+		d.step(outcome(1, 0, Succeeded))
 		d.step(command1(2))
-		if to := sent(d.step(Listed{Expired: expired}, outcome(2, 0, Withdrawn)), 2); to != "a" {
+		if to := sent(d.step(EndpointsUpdated{ExpiredFor: expired}, outcome(2, 0, Withdrawn)), 2); to != "a" {
 			t.Errorf("expired %g: sent to %q", expired, to)
 		}
 	}
@@ -347,21 +347,21 @@
 		sent    bool
 	}{
 		{"no word of the engine", NotSent, fullRest, false},
-		{"it answered just now", Answered, 10, true},
-		{"it answered too long ago", Answered, 7000, false},
-		{"it turned the send away", Full, 500, false},
-		{"it broke", Reset, 500, false},
+		{"it answered just now", Succeeded, 10, true},
+		{"it answered too long ago", Succeeded, 7000, false},
+		{"it turned the send away", EngineFull, 500, false},
+		{"it broke", ConnectionReset, 500, false},
 	} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		d.step(command1(1))
-		d.step(outcome(1, 0, c.outcome), Left{ID: 1})
-		d.step(Listed{Expired: 6000})
+		d.step(outcome(1, 0, c.outcome), ClientDisconnected{ID: 1})
+		d.step(EndpointsUpdated{ExpiredFor: 6000})
 		d.wait(c.wait)
 		if to := sent(append(d.step(command1(2)), d.wait(tendEvery)...), 2); (to != "") != c.sent {
 			t.Errorf("%s: sent to %q by an expired list", c.name, to)
 		}
-		d.step(Left{ID: 2})
-		if to := sent(append(d.step(Listed{}, command1(3)), d.wait(tendEvery)...), 3); to != "a" {
+		d.step(ClientDisconnected{ID: 2})
+		if to := sent(append(d.step(EndpointsUpdated{}, command1(3)), d.wait(tendEvery)...), 3); to != "a" {
 			t.Errorf("%s: not sent when news came", c.name)
 		}
 	}
@@ -371,9 +371,9 @@
 func TestNarrowed(t *testing.T) {
 	bound := lookup
 	bound.Kinds, bound.Zones = []KindID{1}, []Zone{"z1", "z2"}
-	entries := []Entry{engineAt("a", 0, "z1", 1), engineAt("b", 1, "z1", 1), engineAt("c", 1, "z2", 1), engineAt("d", 1, "z3", 1)}
+	entries := []Endpoint{engineAt("a", 0, "z1", 1), engineAt("b", 1, "z1", 1), engineAt("c", 1, "z2", 1), engineAt("d", 1, "z3", 1)}
 	for i, c := range []struct {
-		p     Profile
+		p     QueryClass
 		kinds []KindID
 		zones []Zone
 		want  EngineID
@@ -400,22 +400,22 @@
 // given it while held or out, and nobody waits for ever.
 func TestSeveralKeys(t *testing.T) {
 	p := lookup
-	p.InOrder = true
-	d := newDesk(t, p, Allowed{MaxSends: 1}, tight, engineAt("a", 0, "z", 1))
-	keyed := func(id CommandID, key OrderKey, also ...OrderKey) Arrived {
+	p.Ordered = true
+	d := newDesk(t, p, Capabilities{MaxAttempts: 1}, tight, engineAt("a", 0, "z", 1))
+	keyed := func(id QueryID, key OrderingKey, also ...OrderingKey) QueryArrived {
 		ev := command1(id)
-		ev.Key, ev.Also = key, also
+		ev.Key, ev.MoreKeys = key, also
 		return ev
 	}
-	out := func(actions []Action) (ids []CommandID) {
-		for id := range CommandID(10) {
+	out := func(actions []Action) (ids []QueryID) {
+		for id := range QueryID(10) {
 			if sent(actions, id) != "" {
 				ids = append(ids, id)
 			}
 		}
 		return ids
 	}
-	expect := func(what string, actions []Action, want ...CommandID) {
+	expect := func(what string, actions []Action, want ...QueryID) {
 		t.Helper()
 		if got := out(append(actions, d.wait(tendEvery)...)); !slices.Equal(got, want) {
 			t.Errorf("%s: sent %v, not %v", what, got, want)
@@ -423,16 +423,16 @@
 	}
 	expect("old keys", d.step(keyed(1, "x"), keyed(2, "y")), 1, 2)
 	expect("new ones, in both turns", d.step(keyed(3, "m", "x"), keyed(4, "m", "y"), keyed(5, "n", "y")))
-	expect("those before under one key alone are over", d.step(outcome(2, 0, Answered)))
-	expect("first of all its keys", d.step(outcome(1, 0, Answered)), 3)
-	expect("next under the new key", d.step(outcome(3, 0, Answered)), 4)
-	expect("next under the old key", d.step(outcome(4, 0, Answered)), 5)
-	d.step(outcome(5, 0, Answered))
+	expect("those before under one key alone are over", d.step(outcome(2, 0, Succeeded)))
+	expect("first of all its keys", d.step(outcome(1, 0, Succeeded)), 3)
+	expect("next under the new key", d.step(outcome(3, 0, Succeeded)), 4)
+	expect("next under the old key", d.step(outcome(4, 0, Succeeded)), 5)
+	d.step(outcome(5, 0, Succeeded))
 	// given a key while out: one that came before waits for it
 	expect("two keys", d.step(keyed(6, "p"), keyed(7, "p"), keyed(8, "q")), 6, 8)
-	expect("8 is out under p too", d.step(Keyed{7, "q"}, Keyed{8, "p"}, outcome(6, 0, Answered)))
-	expect("nothing is out any more", d.step(outcome(8, 0, Answered)), 7)
-	d.step(outcome(7, 0, Answered))
+	expect("8 is out under p too", d.step(OrderingKeyAdded{7, "q"}, OrderingKeyAdded{8, "p"}, outcome(6, 0, Succeeded)))
+	expect("nothing is out any more", d.step(outcome(8, 0, Succeeded)), 7)
+	d.step(outcome(7, 0, Succeeded))
 	if d.wait(500); len(d.r.lines) > 0 || len(d.r.resting) > 0 || len(d.r.cmds) > 0 {
 		t.Errorf("%d lines are left", len(d.r.lines))
 	}
@@ -441,11 +441,11 @@
 // Rule 4: a rule that cuts estimates does not make work look small to what guards cold engines.
 func TestCutEstimate(t *testing.T) {
 	d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
-	for id := range CommandID(50) {
+	for id := range QueryID(50) {
 		ev := command1(id)
-		ev.Estimate, ev.Most = 400, 1
+		ev.EstimatedWork, ev.EstimateCap = 400, 1
 		d.step(ev)
-		d.step(outcome(id, 0, Answered))
+		d.step(outcome(id, 0, Succeeded))
 	}
 	if w := d.r.profiles[0].usualWork(d.now); w < 300 {
 		t.Errorf("commands of 400 ms are taken to need %g", w)
@@ -455,13 +455,13 @@
 // Rule 5: a key that a command is given after a doubtful outcome rests by it, as the earlier send may still run.
 func TestRestComesAlong(t *testing.T) {
 	p, g := lookup, tight
-	p.InOrder, g.OrderRest = true, 300
-	d := newDesk(t, p, Allowed{MaxSends: 2}, g, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
+	p.Ordered, g.OrderingCooldown = true, 300
+	d := newDesk(t, p, Capabilities{MaxAttempts: 2}, g, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 	ev := command1(1)
 	ev.Key = "x"
 	d.step(ev)
-	d.step(outcome(1, 0, Reset))
-	d.step(Keyed{1, "y"}, outcome(1, 1, Answered))
+	d.step(outcome(1, 0, ConnectionReset))
+	d.step(OrderingKeyAdded{1, "y"}, outcome(1, 1, Succeeded))
 	ev.ID, ev.Key = 2, "y"
 	if sent(append(d.step(ev), d.wait(tendEvery)...), 2) != "" {
 		t.Error("sent while a send that was reset may still run under its key")
--- a/router/scale_test.go
+++ b/router/scale_test.go
@@ -13,10 +13,10 @@
 		least, most int
 	}{{100, -1, 1, 7}, {100, 4, 8, 11}, {100, 16, 1, 7}, {1000, -1, 1, 1}, {1, -1, 60, 60}} {
 		d, n := crowd(t, loose, c.controllers, 40), 0
-		for id := range CommandID(60) {
+		for id := range QueryID(60) {
 			for _, e := range d.r.order {
 				if c.inflight >= 0 {
-					d.r.report(e, &Load{Inflight: c.inflight + float64(e.out), Util: 0.5, Disk: 0.5})
+					d.r.report(e, &LoadReport{Inflight: c.inflight + float64(e.out), Utilization: 0.5, Disk: 0.5})
 				}
 			}
 			d.r.share = decay{life: shareLife}
@@ -34,16 +34,16 @@
 // Found on dundee-main-later: paced by time alone, a hundred controllers probed six times for each command.
 func TestProbesFollowCommands(t *testing.T) {
 	a, probes := loose, 0
-	a.Probes = true
+	a.HealthChecks = true
 	d := crowd(t, a, 100, 40)
-	for id := range CommandID(100) {
+	for id := range QueryID(100) {
 		for _, action := range append(d.step(command1(id)), d.wait(500)...) {
-			if p, ok := action.(Probe); ok {
+			if p, ok := action.(CheckHealth); ok {
 				probes++
-				d.step(Probed{Engine: p.Engine, Outcome: Answered, Load: &Load{Inflight: 3}})
+				d.step(HealthCheckEnded{Engine: p.Engine, Outcome: Succeeded, Load: &LoadReport{Inflight: 3}})
 			}
 		}
-		d.step(outcome(id, 0, Answered))
+		d.step(outcome(id, 0, Succeeded))
 	}
 	if probes < 20 || probes > 100 {
 		t.Errorf("%d probes for 100 commands", probes)
@@ -52,16 +52,16 @@
 
 // Found on the grown deployments: sends whose answer was lost were waited for until the client timeout.
 func TestQuietSend(t *testing.T) {
-	with := func(e Effect, window float64) Profile {
+	with := func(e RepeatEffect, window float64) QueryClass {
 		p := lookup
-		p.Effect, p.RepeatWindow = e, window
+		p.Effect, p.DeduplicationWindow = e, window
 		return p
 	}
-	mayCancel, copies, neither := loose, Allowed{MaxSends: 6, SecondCopies: true}, Allowed{MaxSends: 6}
+	mayCancel, copies, neither := loose, Capabilities{MaxAttempts: 6, Hedging: true}, Capabilities{MaxAttempts: 6}
 	for _, c := range []struct {
 		name           string
-		p              Profile
-		a              Allowed
+		p              QueryClass
+		a              Capabilities
 		pace           float64
 		notes          bool
 		cancel, resent bool
@@ -71,17 +71,17 @@
 		{"neither is allowed", lookup, neither, 500, false, false, false},
 		{"notes still come", lookup, mayCancel, 500, true, false, false},
 		{"there are no notes", lookup, mayCancel, 0, false, false, false},
-		{"non-replayable", with(NonReplayable, 0), mayCancel, 500, false, false, false},
-		{"uniqued", with(Uniqued, 5000), copies, 500, false, false, true},
-		{"uniqued, past its window", with(Uniqued, 500), copies, 500, false, false, false},
+		{"non-replayable", with(NonIdempotent, 0), mayCancel, 500, false, false, false},
+		{"uniqued", with(Deduplicated, 5000), copies, 500, false, false, true},
+		{"uniqued, past its window", with(Deduplicated, 500), copies, 500, false, false, false},
 	} {
-		c.a.NotePace = c.pace
+		c.a.ProgressInterval = c.pace
 		d := newDesk(t, c.p, c.a, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 		d.step(command1(1))
 		var actions []Action
 		for range 20 {
 			if actions = append(actions, d.wait(48)...); c.notes {
-				d.step(Noted{ID: 1, What: NoteProgress, Level: 0.5})
+				d.step(AttemptProgress{ID: 1, Kind: ProgressDone, Value: 0.5})
 			}
 		}
 		if cancels(actions) != c.cancel || (sent(actions, 1) != "") != c.resent {
@@ -92,11 +92,11 @@
 
 // Found in a random world: a command whose answer had begun was sent again when notes of it stayed out.
 func TestBegunIsLeftAlone(t *testing.T) {
-	for _, a := range []Allowed{{MaxSends: 6, SecondCopies: true, NotePace: 500},
-		{MaxSends: 6, Cancel: true, NotePace: 500}} {
+	for _, a := range []Capabilities{{MaxAttempts: 6, Hedging: true, ProgressInterval: 500},
+		{MaxAttempts: 6, Cancel: true, ProgressInterval: 500}} {
 		d := newDesk(t, lookup, a, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
 		d.step(command1(1))
-		actions := d.step(Began{ID: 1})
+		actions := d.step(ResponseStarted{ID: 1})
 		for range 120 {
 			actions = append(actions, d.wait(50)...)
 		}
@@ -109,13 +109,13 @@
 
 // A send no longer waited for still holds its key's order, and is counted as out no longer.
 func TestLostSendKeepsItsKey(t *testing.T) {
-	p, a := lookup, Allowed{MaxSends: 6, SecondCopies: true, NotePace: 500}
-	p.InOrder, p.LateShare = true, 1
+	p, a := lookup, Capabilities{MaxAttempts: 6, Hedging: true, ProgressInterval: 500}
+	p.Ordered, p.LateBenefit = true, 1
 	d := newDesk(t, p, a, tight, engineAt("a", 0, "z", 1), engineAt("b", 0, "z", 1))
-	keyed := func(id CommandID) Arrived { ev := command1(id); ev.Key = "k"; return ev }
+	keyed := func(id QueryID) QueryArrived { ev := command1(id); ev.Key = "k"; return ev }
 	d.step(keyed(1), keyed(2))
 	d.wait(900)
-	if actions := append(d.step(outcome(1, 1, Answered)), d.wait(500)...); sent(actions, 2) != "" {
+	if actions := append(d.step(outcome(1, 1, Succeeded)), d.wait(500)...); sent(actions, 2) != "" {
 		t.Error("the next of the key was sent while a lost send had no outcome")
 	}
 	actions := append(d.step(outcome(1, 0, TimedOut)), d.wait(500)...)
@@ -132,7 +132,7 @@
 	}{{0.95, 0, false}, {0.5, 0, true}, {0.95, reportStale + 100, true}} {
 		d := newDesk(t, lookup, loose, tight, engineAt("a", 0, "z", 1))
 		d.step(command1(1))
-		d.r.report(d.r.engines["a"], &Load{Inflight: 1, Memory: c.memory})
+		d.r.report(d.r.engines["a"], &LoadReport{Inflight: 1, Memory: c.memory})
 		d.wait(c.age)
 		if to := sent(d.step(command1(2)), 2); (to != "") != c.goes {
 			t.Errorf("%+v: sent to %q", c, to)
@@ -144,7 +144,7 @@
 func TestNewsIsNoDrawback(t *testing.T) {
 	d := crowd(t, loose, 100, 2)
 	a, b := d.r.order[0], d.r.order[1]
-	d.r.report(a, &Load{Inflight: 8, Util: 0.8, Disk: 0.8})
+	d.r.report(a, &LoadReport{Inflight: 8, Utilization: 0.8, Disk: 0.8})
 	a.hash = b.hash
 	cmd := &command{profile: d.r.profiles[0], tables: &tableGroup{}}
 	if x, y := d.r.pressure(cmd, a), d.r.pressure(cmd, b); x > y*1.1 {
@@ -157,8 +157,8 @@
 	for _, c := range []struct{ controllers, more int }{{1, 1}, {100, 0}} {
 		d := crowd(t, loose, c.controllers, 2)
 		before, cold := d.r.pool, engineAt("x", 0, "z", 9)
-		cold.Since = d.now
-		d.step(Listed{Entries: []Entry{cold}})
+		cold.StartedAt = d.now
+		d.step(EndpointsUpdated{Endpoints: []Endpoint{cold}})
 		if d.wait(tendEvery); (d.r.pool > before) != (c.more > 0) {
 			t.Errorf("%d controllers: the pool went from %g to %g", c.controllers, before, d.r.pool)
 		}
@@ -169,7 +169,7 @@
 func TestColdTurns(t *testing.T) {
 	const controllers = 150
 	var parts [controllers][]float64 // of each controller, every 10 ms
-	whole := tight.ColdMultiple * tight.ColdShare * 8 * tight.ColdWindow
+	whole := tight.SlowStartOverload * tight.SlowStartCapacity * 8 * tight.SlowStartWindow
 	d := crowd(t, loose, controllers, 1)
 	e := d.r.order[0]
 	e.since = d.now
@@ -180,7 +180,7 @@
 		}
 		d.r.now += 10
 	}
-	window, used := int(tight.ColdWindow/10), 0.0
+	window, used := int(tight.SlowStartWindow/10), 0.0
 	for from := range 600 - window {
 		sum := 0.0
 		for n := range controllers { // each may use its part once within a window, and again in a later turn
--- a/router/state.go
+++ b/router/state.go
@@ -13,20 +13,20 @@
 	rng         *rand.Rand
 	controllers float64
 	number      int
-	kinds       []Kind
+	kinds       []MachineKind
 	profiles    []*profile
 	tenants     []*tenant
-	allowed     Allowed
-	guards      Guards
+	allowed     Capabilities
+	guards      SafetyLimits
 
 	now, born, firstAt float64
-	cmds               map[CommandID]*command
+	cmds               map[QueryID]*command
 	held               heldBooks
 	spare              spare  // of all engines, filled up to roomy
 	steps              uint64 // taken
-	lines              map[OrderKey]*line
-	turns              uint64     // commands taken
-	resting            []OrderKey // of empty lines that may not be forgotten yet
+	lines              map[OrderingKey]*line
+	turns              uint64        // commands taken
+	resting            []OrderingKey // of empty lines that may not be forgotten yet
 	resends, taken     stamps
 	engines            map[EngineID]*engine
 	order              []*engine // by id
@@ -71,28 +71,28 @@
 }
 
 // New makes the module of a controller that has just started.
-func New(seed int64, place Place, kinds []Kind, profiles []Profile, tenants []Tenant, allowed Allowed,
-	guards Guards) *Router {
+func New(seed int64, place Identity, kinds []MachineKind, profiles []QueryClass, tenants []Tenant, allowed Capabilities,
+	guards SafetyLimits) *Router {
 	r := &Router{rng: rand.New(rand.NewSource(seed)), controllers: max(1, float64(place.Controllers)),
-		number: place.Number,
+		number: place.Index,
 		kinds:  kinds, allowed: allowed, guards: guards, born: -1, stopAt: math.Inf(1), sizeCap: mostSize,
 		share: decay{life: shareLife}, waits: decay{life: waitLife}, busy: decay{life: shareLife}, rate: decay{life: shareLife},
-		cmds: map[CommandID]*command{}, lines: map[OrderKey]*line{},
+		cmds: map[QueryID]*command{}, lines: map[OrderingKey]*line{},
 		engines: map[EngineID]*engine{},
 		tables:  map[TableGroup]*tableGroup{}, owners: make([][]*owner, len(kinds))}
 	r.held.fresh, r.held.again = newHeldTree(), newHeldTree()
 	r.alarms.less = earlier
 	for i, p := range profiles {
 		scale := decay{life: scaleLife}
-		r.profiles = append(r.profiles, &profile{Profile: p, number: i, watches: watches{heap: heap[alarm]{less: earlier}}, unit: decay{life: unitLife},
+		r.profiles = append(r.profiles, &profile{QueryClass: p, number: i, watches: watches{heap: heap[alarm]{less: earlier}}, unit: decay{life: unitLife},
 			run:  decay{life: runLife},
 			work: decay{life: workLife}, workScale: scale, needScale: scale})
 	}
 	for _, t := range tenants {
 		r.tenants = append(r.tenants, &tenant{Tenant: t, took: decay{life: tenantLife}})
 	}
-	if allowed.NotePace == 0 {
-		r.allowed.NotePace = math.Inf(1)
+	if allowed.ProgressInterval == 0 {
+		r.allowed.ProgressInterval = math.Inf(1)
 	}
 	return r
 }
@@ -100,27 +100,27 @@
 // take hands an event to who decides by it, or files it.
 func (r *Router) take(event Event) {
 	switch ev := event.(type) {
-	case Listed:
+	case EndpointsUpdated:
 		r.listed(ev)
-	case Arrived:
+	case QueryArrived:
 		r.arrived(ev)
-	case Ended:
+	case AttemptEnded:
 		r.ended(ev)
-	case Noted:
+	case AttemptProgress:
 		r.noted(ev)
-	case Began:
+	case ResponseStarted:
 		r.begun(ev.ID)
-	case Left:
+	case ClientDisconnected:
 		r.left(ev.ID)
-	case Probed:
+	case HealthCheckEnded:
 		r.probed(ev)
-	case Keyed:
+	case OrderingKeyAdded:
 		if c := r.cmds[ev.ID]; c != nil {
 			r.stand(c, ev.Key)
 		}
-	case Recalled:
-		r.recalled(ev.Learned)
-	case Stopping:
+	case StatisticsRestored:
+		r.recalled(ev.Statistics)
+	case ShutdownStarted:
 		r.stopping(ev.Within)
 	}
 }
@@ -182,11 +182,11 @@
 	for _, c := range r.touched {
 		c.touched = false
 		if c.wantEngine != nil {
-			actions = append(actions, Send{c.id, c.wantEngine.id, c.timeout, c.wantBegin})
+			actions = append(actions, StartAttempt{c.id, c.wantEngine.id, c.timeout, c.wantBegin})
 			c.wantEngine = nil
 		}
 		if c.wantEnd == shed && !c.over {
-			actions = append(actions, Shed{c.id, r.allowed.ComeBack(r.rng.Float64())})
+			actions = append(actions, Reject{c.id, r.allowed.RetryAfterDelay(r.rng.Float64())})
 		} else if c.wantEnd == failed && !c.over {
 			actions = append(actions, Fail{c.id})
 		}
@@ -194,7 +194,7 @@
 		for i := range c.sends {
 			if s := &c.sends[i]; c.wantCancel && r.allowed.Cancel && s.out && !s.cancelled {
 				s.cancelled = true
-				actions = append(actions, Cancel{c.id, SendID(i)})
+				actions = append(actions, CancelAttempt{c.id, AttemptID(i)})
 			}
 		}
 		if c.wantCancel = false; c.over && c.pending == 0 {
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, e := range r.asked {
-		actions = append(actions, Probe{e.id})
+		actions = append(actions, CheckHealth{e.id})
 	}
 	if r.wantList {
 		r.wantList = false
@@ -212,7 +212,7 @@
 	wake := min(r.tendAt, r.nextAlarm())
 	if r.wakeAt <= r.now || wake < r.wakeAt {
 		r.wakeAt = wake
-		actions = append(actions, Wake{max(0.001, wake-r.now)})
+		actions = append(actions, SetTimer{max(0.001, wake-r.now)})
 	}
 	return actions
 }
