--- a/cmd/mintkeel-lab/rules.go
+++ b/cmd/mintkeel-lab/rules.go
@@ -76,7 +76,7 @@
 
 func mutantsCommand() *cobra.Command {
 	n, seed, workers := 90, int64(1), max(1, runtime.NumCPU()/2)
-	file, within := "router/router.go", time.Minute
+	file, within := "router/eligibility.go", time.Minute
 	packages := []string{"./router", "./internal/lab/simulation"}
 	var funcs []string
 	checks := false
--- /dev/null
+++ b/router/eligibility.go
@@ -0,0 +1,151 @@
+package router
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	// windowSlack is the time in ms by which the windows of the rules are kept wider than configured, or
+	// narrower where that is the safe side: engines' clocks differ from this controller's, and messages take
+	// time.
+	windowSlack = 60.0
+	// answerLeadIntervals is how many event intervals before its client timeout a query has its final answer.
+	answerLeadIntervals = 2.0
+	// answerLead is the further time in ms that the answer has for its way.
+	answerLead = 5.0
+)
+
+// eligible reports whether an attempt of q may start on e now. Every attempt passes it, first or retry, and
+// so it keeps rule 1 (no attempt for an answered query), 2 (repeats), 3 (drains), 4 (slow start), 5
+// (order), 6 (placement) and 7 (retry budget).
+func (r *Router) eligible(q *query, e *engine) bool {
+	return e.state == Ready &&
+		r.endpointTrusted(e) &&
+		q.placementAllows(e.kind, e.zone) &&
+		r.startable(q) &&
+		q.repeatAllowedOn(e) &&
+		r.slowStartAllows(q, e)
+}
+
+// startable is the part of eligible that is the same for all engines.
+func (r *Router) startable(q *query) bool {
+	return r.headOfQueues(q) &&
+		!q.done && !q.responseStarted && q.answer == unanswered &&
+		q.awaited == 0 &&
+		r.now < r.answerBy(q) &&
+		!r.attemptsExhausted(q) &&
+		(len(q.attempts) == 0 || r.retryBudgetAllows())
+}
+
+// repeatAllowedOn is rule 2 for one engine: a query with an attempt that may have run may be repeated only
+// if it is idempotent, or on an engine that would recognize the repeat and drop it.
+func (q *query) repeatAllowedOn(e *engine) bool {
+	return q.unresolved == nil ||
+		q.class.Effect == Idempotent ||
+		q.class.Scope.covers(q.unresolved, e)
+}
+
+// placementAllows is rule 6: it reports whether q may run on engines of a kind in a zone, by its class and
+// by what an operator's rule has narrowed that to.
+func (q *query) placementAllows(kind KindID, zone Zone) bool {
+	return permits(q.class.Kinds, kind) && permits(q.class.Zones, zone) &&
+		permits(q.kinds, kind) && permits(q.zones, zone)
+}
+
+// permits reports whether a list of what is allowed has x; a nil list allows all.
+func permits[T comparable](list []T, x T) bool { return list == nil || slices.Contains(list, x) }
+
+// endpointTrusted is rule 3 while the endpoint list has expired: e may have begun to drain without notice.
+// It is trusted all the same if it has answered an attempt that started so recently that no later drain
+// counts as notified, because a draining engine rejects new work. Not if a connection to it was lost since
+// the last update: its process may have been replaced by one that is warming up, or another engine may have
+// its address.
+func (r *Router) endpointTrusted(e *engine) bool {
+	if r.endpoints.expiredFor == 0 {
+		return true
+	}
+	return e.connectionLostAt < r.endpoints.updatedAt && r.now-e.answeredStartAt < r.endpoints.expiredFor
+}
+
+// headOfQueues is rule 5: it reports whether q is at the head of the queue of each of its ordering keys,
+// and none of them is in cooldown. All queues are ordered by arrival, so the query that arrived first is at
+// the head of all of its own: no queries can wait for each other in a circle. A retry does not wait for the
+// cooldown that its own attempt began.
+func (r *Router) headOfQueues(q *query) bool {
+	for _, queue := range q.queues {
+		if queue.queries[0] != q || queue.followerOutstanding() {
+			return false
+		}
+		if len(q.attempts) == 0 && r.now < queue.cooldownUntil {
+			return false
+		}
+	}
+	return true
+}
+
+// answerBy is the time by which q has its final answer (rule 1): before its client timeout, and before a
+// planned shutdown, so that a client whose query can't be done by then is told at once and can turn to
+// another controller.
+func (r *Router) answerBy(q *query) float64 {
+	return min(q.deadline, r.shutdownAt) - answerLeadIntervals*r.limits.EventInterval - answerLead
+}
+
+// attemptsExhausted reports that no further attempt of q can ever be allowed: its number is used up, or an
+// attempt may have run and rule 2 forbids to repeat it anywhere.
+func (r *Router) attemptsExhausted(q *query) bool {
+	if len(q.attempts) >= r.capabilities.MaxAttempts {
+		return true
+	}
+	if q.unresolved == nil {
+		return false
+	}
+	switch q.class.Effect {
+	case NonIdempotent:
+		return true
+	case Deduplicated:
+		return r.now > q.class.repeatDeadline(q.unresolvedAt)
+	default:
+		return false
+	}
+}
+
+// repeatDeadline is the latest time at which a repeat may be sent of a deduplicated query that was first
+// sent at some time: later, engines may have forgotten its idempotency key.
+func (class *queryClass) repeatDeadline(firstSent float64) float64 {
+	return firstSent + class.DeduplicationWindow - windowSlack
+}
+
+// attemptStartBy is the time by which an attempt of q on e must have been sent; 0: there is none. A
+// connection may come up late, and what was eligible when it was decided may not be any more when it is
+// sent: a repeat could be past its deduplication window, a drain could count as notified, an attempt on a
+// warming engine or a retry could fall into the next window of its limit. Some attempts that would have
+// gone well are withdrawn for it and decided anew.
+func (r *Router) attemptStartBy(q *query, e *engine) float64 {
+	by := math.Inf(1)
+	if q.unresolved != nil && q.class.Effect == Deduplicated {
+		by = q.class.repeatDeadline(q.unresolvedAt)
+	}
+	if r.endpoints.expiredFor > 0 {
+		by = min(by, e.answeredStartAt+r.endpoints.expiredFor)
+	}
+	budgeted := len(q.attempts) > 0 && r.limits.RetryBudgeted
+	warming := !math.IsInf(r.slowStartAllowance(e), 1)
+	if budgeted || warming {
+		by = min(by, r.now+windowSlack)
+	}
+	if math.IsInf(by, 1) {
+		return 0
+	}
+	return by
+}
+
+// mayReject is rule 2 for the answer: it reports whether the client may be told that a retry is harmless,
+// because no attempt may have run or because a repeat has no further effect on any engine.
+func (r *Router) mayReject(q *query) bool {
+	mayHaveRun := q.unresolved != nil || q.awaited > 0
+	if !mayHaveRun || q.class.Effect == Idempotent {
+		return true
+	}
+	return q.class.Effect == Deduplicated && q.class.Scope == ScopeAll
+}
--- a/router/lined_test.go
+++ b/router/lined_test.go
@@ -6,8 +6,8 @@
 var keyed = QueryClass{Effect: Deduplicated, DeduplicationWindow: 12000, Ordered: true, LatencyObjective: 4000, ObjectivePerWork: 2, ClientTimeout: 13000,
 	LateBenefit: 0.6, Threads: 2}
 
-// A command that may have stood in a line at its client is ended before that client leaves, out or held; without the
-// line it has the whole time that was named.
+// A command that may have stood in a line at its client is ended before that client leaves, out or held;
+// without the line it has the whole time that was named.
 func TestEndedBeforeALineAtTheClientEatsItsTime(t *testing.T) {
 	for _, c := range []struct{ lined, before float64 }{{0, 13000}, {3000, 10000}, {9000, 4000}, {40000, 13000 * 0.25}} {
 		d := newDesk(t, keyed, loose, tight, engineAt("a", 0, "z", 0))
@@ -34,8 +34,8 @@
 	}
 }
 
-// Who stands so far back in the line of its key that its turn can't come in time is told at once; who can be in time
-// waits, and so do all while nobody knows how long such commands take.
+// Who stands so far back in the line of its key that its turn can't come in time is told at once; who can
+// be in time waits, and so do all while nobody knows how long such commands take.
 func TestTooFarInLine(t *testing.T) {
 	const took = 1000.0 // by the estimate, on two threads
 	for name, c := range map[string]struct {
