--- a/router/admission.go
+++ b/router/admission.go
@@ -1,11 +1,11 @@
 package router
 
-// admission is what decides which queries are worth an attempt while there is more to do than capacity for
-// it.
+// admission is the state of admission control: which queries are taken while there is more to do than
+// capacity for it.
 type admission struct {
-	sizeLimit       float64     // the largest query taken, as a multiple of its class's usual work
-	objectiveMissed bool        // since the size limit was last adjusted
-	overloadedUntil float64     // ms; set when a query on its first try had to be shed from the queue
+	sizeLimit       float64     // the largest query taken, as a multiple of the usual work of its class
+	objectiveMissed bool        // a latency objective was missed since the size limit was last adjusted
+	overloadedUntil float64     // ms; overload is assumed until then
 	inboxWait       decayedMean // ms that queries waited until a step took them in
 	rejectShare     float64     // share of the arriving queries that is rejected at once
 	rejectShareAt   float64     // ms, when that share was last adjusted
@@ -13,93 +13,152 @@
 
 const (
 	maxSizeLimit    = 64.0  // times the usual work of its class that a query may need, when nothing is late
-	minSizeLimit    = 4.0   // the same at the longest overload
-	sizeLimitCut    = 0.9   // of the limit is left when an objective was missed, each periodicInterval
-	sizeLimitGrowth = 1.005 // growth of the limit each periodicInterval
+	minSizeLimit    = 4.0   // the same in the worst overload
+	sizeLimitCut    = 0.9   // is left of the limit, each periodicInterval in which an objective was missed
+	sizeLimitGrowth = 1.005 // growth of the limit, each periodicInterval
 )
 
 const (
 	quotaTolerance       = 1.2    // times a tenant's quota up to which its queries count as within it
-	overloadDuration     = 1000.0 // ms for which overload is assumed after a query had to be shed from the queue
-	firstTryTimeoutDecay = 0.997  // with each query, of the longest client timeout seen
-	retryTimeoutShare    = 0.95   // of that; a query that leaves less time is taken for a client's retry
-	maxClientQueueShare  = 0.75   // of the client timeout that a query may have spent in its client's own queue
+	overloadDuration     = 1000.0 // ms for which overload is assumed after a query was queued too long
+	firstTryTimeoutDecay = 0.997  // with each query, of the longest time left that was seen
+	retryTimeoutShare    = 0.95   // of that; a query with less time left is taken for a client's retry
+	maxClientQueueShare  = 0.75   // of a query's time left that can have passed in its client's own queue
 )
 
 const (
-	maxInboxWait       = 20.0   // ms that queries may wait for a step, on average
+	maxInboxWait       = 20.0   // ms, on average, that queries may wait until a step takes them in
 	inboxWaitHalfLife  = 50.0   // ms
-	rejectShareRamp    = 2500.0 // ms in which the rejected share moves by as much as waits are over their limit
-	maxRejectShareStep = 20.0   // ms of that ramp that one query may bring
-	maxRejectShare     = 0.98
+	rejectShareRamp    = 2500.0 // ms in which the rejected share grows to 1 at twice the allowed wait
+	maxRejectShareStep = 20.0   // ms since the last query, at most, that count for one adjustment
+	maxRejectShare     = 0.98   // so that waits are still seen
 )
 
+// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in time.
 func (r *Router) queryArrived(ev QueryArrived) {
 	class := r.classes[ev.Class]
-	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // a stranger may claim any
+	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // clients may claim any time
 	q := r.addQuery(ev)
 	q.deadline -= min(ev.ClientQueueTime, maxClientQueueShare*ev.TimeLeft)
 	r.healthChecks.credit = min(maxHealthCheckCredit, r.healthChecks.credit+healthChecksPerQuery)
-	// a retry, it seems
-	if class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay,
-		ev.TimeLeft); ev.TimeLeft < class.firstTryTimeout*retryTimeoutShare {
-		q.firstTriedAt -= max(0, class.ClientTimeout-ev.TimeLeft)
-	}
-	// past its share here, so many commands are worth little
-	if t := q.tenant; t != nil && t.QueriesPerSecond > 0 {
-		quota := t.QueriesPerSecond / 1000 * r.trafficShare() * quotaTolerance
-		q.overQuota = r.rng.Float64()*t.queries.rate(r.now) > quota
-	}
-	if ev.Hot && q.tables.confirmed && !q.tables.hot { // of groups that are there; loads take over from then on
-		q.tables.hot, r.pools.packed = true, false
-	}
-	q.tables.demand.add(r.now, min(class.unloadedTime(q, r.now), class.ClientTimeout)*class.Threads, 1)
-	if r.shedOnArrival(q, ev.InboxWait) || r.cannotReachHeadInTime(q) {
-		r.rejectOrFail(q)
+	class.recognizeRetry(q, ev.TimeLeft)
+	q.overQuota = r.overQuota(q)
+	r.noteHotTables(q, ev.Hot)
+	demand := min(class.unloadedTime(q, r.now), class.ClientTimeout) * class.Threads
+	q.tables.demand.add(r.now, demand, 1)
+	if reason := r.whyRejectOnArrival(q, ev.InboxWait); reason != noReason {
+		r.rejectOrFail(q, reason)
 		return
 	}
 	r.setAlarm(r.answerBy(q), q)
 	r.enqueue(q)
 }
 
-// shedOnArrival tells whether c, which has waited so long to be looked at at all, is turned away at once:
-// there is more to decide than time for it. Who can't be in time after such a wait goes first, then a share
-// of all, until waits are short again. Harm: a few are turned away after a pause that was none of theirs.
-func (r *Router) shedOnArrival(q *query, waited float64) bool {
-	r.admission.inboxWait.add(r.now, waited, 1)
-	late, since := r.admission.inboxWait.mean(r.now, 0, 1), min(maxRejectShareStep,
-		r.now-r.admission.rejectShareAt)
-	r.admission.rejectShare, r.admission.rejectShareAt = min(maxRejectShare, max(0,
-		r.admission.rejectShare+(late/maxInboxWait-1)*since/rejectShareRamp)), r.now
-	return late > maxInboxWait && r.now+late > r.latestStart(q) || r.admission.rejectShare > 0 &&
-		r.rng.Float64() < r.admission.rejectShare
+// recognizeRetry takes q for a client's retry if it leaves clearly less time than first tries do. The latency
+// objective then counts from when its client first tried.
+func (class *queryClass) recognizeRetry(q *query, timeLeft float64) {
+	class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, timeLeft)
+	if timeLeft < class.firstTryTimeout*retryTimeoutShare {
+		q.firstTriedAt -= max(0, class.ClientTimeout-timeLeft)
+	}
+}
+
+// overQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks for more than
+// this controller's share of its quota, as many as are over it, by chance.
+func (r *Router) overQuota(q *query) bool {
+	tenant := q.tenant
+	if tenant == nil || tenant.QueriesPerSecond <= 0 {
+		return false
+	}
+	quota := tenant.QueriesPerSecond / 1000 * r.trafficShare() * quotaTolerance
+	return r.rng.Float64()*tenant.queries.rate(r.now) > quota
+}
+
+// noteHotTables has the pools packed anew if a rule marks the query's table group as hot for the first time.
+// Groups of which no query was ever answered don't count: any client can name one.
+func (r *Router) noteHotTables(q *query, hot bool) {
+	if hot && q.tables.confirmed && !q.tables.hot {
+		q.tables.hot = true
+		r.pools.packed = false
+	}
 }
 
-// cannotReachHeadInTime tells whether c stands so far back in the line of a key that its turn can't come in
-// time: its client is told at once, and can turn elsewhere. Against bursts on one key. Harm: some could
-// have run in the end.
+// whyRejectOnArrival is the reason for which an arriving query is rejected or failed at once.
+func (r *Router) whyRejectOnArrival(q *query, inboxWait float64) answerReason {
+	if reason := r.whyShedForInbox(q, inboxWait); reason != noReason {
+		return reason
+	}
+	if r.cannotReachHeadInTime(q) {
+		return reasonOrderingQueueTooLong
+	}
+	return noReason
+}
+
+// whyShedForInbox sheds load when this controller can't decide as fast as queries come: waits for a step grow
+// without end, and in the end every query would be late. Queries that can't be in time after such a wait are
+// rejected first, then a share of all that grows until waits are short again. After a single pause of the
+// process a few queries are rejected that could have run.
+func (r *Router) whyShedForInbox(q *query, inboxWait float64) answerReason {
+	state := &r.admission
+	state.inboxWait.add(r.now, inboxWait, 1)
+	wait := state.inboxWait.mean(r.now, 0, 1)
+	since := min(maxRejectShareStep, r.now-state.rejectShareAt)
+	share := state.rejectShare + (wait/maxInboxWait-1)*since/rejectShareRamp
+	state.rejectShare = min(maxRejectShare, max(0, share))
+	state.rejectShareAt = r.now
+	if wait > maxInboxWait && r.now+wait > r.latestStart(q) {
+		return reasonInboxTooSlow
+	}
+	if state.rejectShare > 0 && r.rng.Float64() < state.rejectShare {
+		return reasonInboxShare
+	}
+	return noReason
+}
+
+// cannotReachHeadInTime reports whether those ahead of q in the queue of an ordering key take longer than
+// it can wait. In a burst on one key its client then knows at once and can turn elsewhere. Some of these
+// queries could have run in the end.
 func (r *Router) cannotReachHeadInTime(q *query) bool {
 	ahead := r.waitAhead(q, r.latestStart(q)-r.now)
 	return ahead > 0 && r.now+ahead > r.latestStart(q)
 }
 
-// notWorthRunning tells whether c asks for more than it is worth now. In a jam, who can only be late, who
-// is past its tenant's share and the largest of a profile make room. Against overload, costs and tenants
-// that swing, and retries, which by early client timeouts go before first tries. Harm: a few are shed that
-// could have run.
-func (r *Router) notWorthRunning(q *query) bool {
+// whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one. In
+// overload these make room: the ones that can only be late, those over their tenant's quota, and the
+// largest of a class. It guards against overload, queries that cost many times the usual, tenants that
+// surge, and client retries, which would crowd out first tries as they have the shorter timeouts. A few are
+// shed that could have run.
+func (r *Router) whyNotWorthRunning(q *query) answerReason {
+	if len(q.attempts) > 0 {
+		return noReason
+	}
+	if r.now < r.admission.overloadedUntil {
+		if q.overQuota {
+			return reasonOverQuota
+		}
+		if r.now > r.latestStart(q) {
+			return reasonLateInOverload
+		}
+	}
+	if q.estimatedWork <= 0 {
+		return noReason
+	}
 	class := q.class
-	return len(q.attempts) == 0 && (r.now < r.admission.overloadedUntil && (q.overQuota ||
-		r.now > r.latestStart(q)) || q.estimatedWork > 0 &&
-		(r.now > r.answerBy(q)-class.unloadedTime(q, r.now) || class.workUnits(q,
-			r.now)*class.Threads > r.admission.sizeLimit*class.usualWork(r.now)))
+	if r.now > r.answerBy(q)-class.unloadedTime(q, r.now) {
+		return reasonCannotFinish
+	}
+	if class.workUnits(q, r.now)*class.Threads > r.admission.sizeLimit*class.usualWork(r.now) {
+		return reasonTooLarge
+	}
+	return noReason
 }
 
-// adjustSizeLimit lets the size limit of admission control grow, and cuts it when objectives were missed.
+// adjustSizeLimit lets the size limit grow, and cuts it when latency objectives were missed.
 func (r *Router) adjustSizeLimit() {
-	r.admission.sizeLimit = min(maxSizeLimit, r.admission.sizeLimit*sizeLimitGrowth)
-	if r.admission.objectiveMissed {
-		r.admission.sizeLimit = max(minSizeLimit, r.admission.sizeLimit*sizeLimitCut)
-		r.admission.objectiveMissed = false
+	state := &r.admission
+	state.sizeLimit = min(maxSizeLimit, state.sizeLimit*sizeLimitGrowth)
+	if state.objectiveMissed {
+		state.sizeLimit = max(minSizeLimit, state.sizeLimit*sizeLimitCut)
+		state.objectiveMissed = false
 	}
 }
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -5,80 +5,105 @@
 	"slices"
 )
 
-// allocateCounts makes the counts wanted sum to n, one at least each, by what demand leaves for each engine.
-func (r *Router) allocateCounts(owners []*enginePool, n int) {
-	r.updateDemands(owners)
-	for _, pool := range owners {
+const (
+	// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of a kind
+	// are assigned, so that it takes some milliseconds at most.
+	maxAssignmentPairs = 500000
+	// maxEnginesSortedWhole is up to how many engines are sorted whole, so that engines of equal affinity go
+	// to the pools in the order that earlier pools left them in.
+	maxEnginesSortedWhole = 256
+	// maxPicksByScan is up to how many of more engines are found one by one, which costs less than a heap.
+	maxPicksByScan = 8
+)
+
+// assignEngines gives the pools of a kind as many engines as they are to have. An engine stays with the
+// pool that it is in, whose tables it has in memory; otherwise it goes by rendezvous affinity. Pools that
+// give up engines choose first, so that a move of one engine moves no other.
+func (r *Router) assignEngines(kind int, pools []*enginePool) {
+	free := r.readyEngines(kind)
+	r.allocateCounts(pools, len(free))
+	growth := func(pool *enginePool) int { return pool.targetCount - len(pool.engines) }
+	turns := slices.Clone(pools)
+	slices.SortStableFunc(turns, func(a, b *enginePool) int { return growth(a) - growth(b) })
+	for _, pool := range turns {
+		r.unmarkPool() // the pool of the last turn has other engines now
+		r.scoreAffinity(kind, pool, free, len(turns))
+		for _, g := range pool.tableGroups() {
+			g.pools[kind] = pool
+		}
+		pool.engines, free = splitByAffinity(free, pool.targetCount)
+		for _, e := range pool.engines {
+			e.pool = pool
+		}
+	}
+	r.pools.byKind[kind] = pools
+	r.topologyVersion++
+}
+
+// scoreAffinity computes how well each free engine suits a pool: for each of its table groups, by demand, the
+// rendezvous affinity and whether the group's present pool has the engine.
+func (r *Router) scoreAffinity(kind int, pool *enginePool, free []*engine, turns int) {
+	for _, e := range free {
+		e.affinity = 0
+	}
+	for _, g := range r.heaviestGroups(pool.tableGroups(), len(free)*turns) {
+		weight := g.demand.rate(r.now) + negligibleDemand
+		present := g.pools[kind]
+		r.markPool(present)
+		for _, e := range free {
+			e.affinity += weight * rendezvousAffinity(g, e)
+			if present != nil && e.markedPool == present {
+				e.affinity += weight
+			}
+		}
+	}
+}
+
+// allocateCounts makes the target counts of all pools sum to the number of engines, one at least each, by
+// the demand that is left for each engine.
+func (r *Router) allocateCounts(pools []*enginePool, engines int) {
+	r.updateDemands(pools)
+	for _, pool := range pools {
 		pool.targetCount = max(1, pool.targetCount)
-		n -= pool.targetCount
+		engines -= pool.targetCount
 	}
-	giveByDemand(owners, n)
-	for ; n < 0; n++ {
-		after := func(pool *enginePool) float64 { return pool.demand / (float64(pool.targetCount) - 1) }
-		slices.MinFunc(owners, func(a, b *enginePool) int { return cmp.Compare(after(a), after(b)) }).targetCount--
+	giveByDemand(pools, engines)
+	for ; engines < 0; engines++ {
+		demandWithLess := func(pool *enginePool) float64 { return pool.demand / (float64(pool.targetCount) - 1) }
+		donor := slices.MinFunc(pools, func(a, b *enginePool) int {
+			return cmp.Compare(demandWithLess(a), demandWithLess(b))
+		})
+		donor.targetCount--
 	}
 }
 
-// poolNeed is what an owner, by its place, asks for each engine.
+// poolNeed is what a pool asks for each engine that it is to have.
 type poolNeed struct {
 	demandPerEngine float64
-	index           int
+	index           int // of the pool
 }
 
-// giveByDemand gives n engines out, one at a time, each to the first owner that asks for most for each that
-// it has.
-func giveByDemand(owners []*enginePool, n int) {
+// giveByDemand gives engines out one at a time, each to the pool with the most demand for each engine, the
+// first of several.
+func giveByDemand(pools []*enginePool, engines int) {
 	neediest := heap[poolNeed]{less: func(a, b *poolNeed) bool {
 		return a.demandPerEngine > b.demandPerEngine || a.demandPerEngine == b.demandPerEngine && a.index < b.index
 	}}
-	for i, pool := range owners {
-		neediest.push(poolNeed{pool.demandPerEngine(), i})
+	for i, pool := range pools {
+		neediest.push(poolNeed{demandPerEngine: pool.demandPerEngine(), index: i})
 	}
-	for ; n > 0; n-- {
+	for range engines {
 		top := &neediest.list[0]
-		owners[top.index].targetCount++
-		top.demandPerEngine = owners[top.index].demandPerEngine()
+		pool := pools[top.index]
+		pool.targetCount++
+		top.demandPerEngine = pool.demandPerEngine()
 		neediest.sink(0)
 	}
 }
 
-// assignEngines hands the engines of a kind out as wanted. An engine stays where its tables are warm, else
-// goes by a leaning that all controllers share. Who gives up engines chooses first, so that one move moves
-// one engine.
-func (r *Router) assignEngines(k int, owners []*enginePool) {
-	free, turn := r.readyEngines(k), slices.Clone(owners)
-	r.allocateCounts(owners, len(free))
-	growth := func(pool *enginePool) int { return pool.targetCount - len(pool.engines) }
-	slices.SortStableFunc(turn, func(a, b *enginePool) int { return growth(a) - growth(b) })
-	for _, pool := range turn {
-		r.unmarkPool() // the last turn gave engines
-		groups := r.heaviestGroups(pool.tableGroups(), len(free)*len(turn))
-		for _, e := range free {
-			e.affinity = 0
-		}
-		for _, g := range groups {
-			weight, home := g.demand.rate(r.now)+1e-9, g.pools[k]
-			r.markPool(home)
-			for _, e := range free {
-				if e.affinity += weight * rendezvousAffinity(g, e); e.markedPool == home && home != nil {
-					e.affinity += weight
-				}
-			}
-		}
-		for _, g := range pool.tableGroups() {
-			g.pools[k] = pool
-		}
-		pool.engines, free = splitByAffinity(free, pool.targetCount)
-		for _, e := range pool.engines {
-			e.pool = pool
-		}
-	}
-	r.pools.byKind[k], r.topologyVersion = owners, r.topologyVersion+1
-}
-
-// markPool marks an owner's engines, and no others, as found there.
+// markPool marks the engines of a pool, and no others.
 func (r *Router) markPool(pool *enginePool) {
-	if r.pools.marked == pool || pool == nil {
+	if pool == nil || r.pools.marked == pool {
 		return
 	}
 	if r.pools.marked != nil {
@@ -86,80 +111,86 @@
 			e.markedPool = nil
 		}
 	}
-	r.pools.marked, r.pools.markedEngines = pool, append(r.pools.markedEngines[:0], pool.engines...)
+	r.pools.marked = pool
+	r.pools.markedEngines = append(r.pools.markedEngines[:0], pool.engines...)
 	for _, e := range pool.engines {
 		e.markedPool = pool
 	}
 }
 
-// unmarkPool forgets whose engines were marked: owners are about to be given others.
+// unmarkPool takes all marks back.
 func (r *Router) unmarkPool() {
 	for _, e := range r.pools.markedEngines {
 		e.markedPool = nil
 	}
 	clear(r.pools.markedEngines)
-	r.pools.marked, r.pools.markedEngines = nil, r.pools.markedEngines[:0]
+	r.pools.marked = nil
+	r.pools.markedEngines = r.pools.markedEngines[:0]
 }
 
-// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of a kind
-// are handed out: some milliseconds.
-const maxAssignmentPairs = 500000
-
-// heaviestGroups is all groups of an owner, or as many of those asked for most, one at least, as can be
-// looked at: each is paired with so many engines.
-func (r *Router) heaviestGroups(groups []*tableGroup, pairs int) []*tableGroup {
-	most := max(1, maxAssignmentPairs/max(1, pairs))
+// heaviestGroups are all table groups of a pool or, where there are too many pairs with engines, those with
+// the most demand, one at least. Each group takes part in so many pairs.
+func (r *Router) heaviestGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
+	most := max(1, maxAssignmentPairs/max(1, pairsEach))
 	if len(groups) <= most {
 		return groups
 	}
 	slices.SortStableFunc(groups, func(a, b *tableGroup) int {
-		return cmp.Compare(b.demand.rate(r.now),
-			a.demand.rate(r.now))
+		return cmp.Compare(b.demand.rate(r.now), a.demand.rate(r.now))
 	})
 	return groups[:most]
 }
 
-// maxEnginesSortedWhole are sorted whole, so that who finds engines alike takes them in the order that
-// others left; fewFittest are found one by one.
-const maxEnginesSortedWhole, maxPicksByScan = 256, 8
+// splitByAffinity divides engines into the count with the most affinity, those first, and the rest; of two
+// alike the earlier comes first.
+func splitByAffinity(engines []*engine, count int) (best, rest []*engine) {
+	switch {
+	case len(engines) <= maxEnginesSortedWhole:
+		slices.SortStableFunc(engines, func(a, b *engine) int { return cmp.Compare(b.affinity, a.affinity) })
+		return slices.Clone(engines[:count]), engines[count:]
+	case count <= maxPicksByScan:
+		return splitByScan(engines, count)
+	default:
+		return splitByHeap(engines, count)
+	}
+}
 
-// splitByAffinity parts the engines that fit best, those first, from the others; of two alike the earlier
-// fits better.
-func splitByAffinity(free []*engine, n int) (best, rest []*engine) {
-	if len(free) <= maxEnginesSortedWhole {
-		slices.SortStableFunc(free, func(a, b *engine) int { return cmp.Compare(b.affinity, a.affinity) })
-		return slices.Clone(free[:n]), free[n:]
-	}
-	if n <= maxPicksByScan { // as many owners as engines: a look each is less than a heap
-		for range n {
-			at := 0
-			for i, e := range free {
-				if e.affinity > free[at].affinity {
-					at = i
-				}
+// splitByScan is splitByAffinity by one pass for each engine picked.
+func splitByScan(engines []*engine, count int) (best, rest []*engine) {
+	for range count {
+		top := 0
+		for i, e := range engines {
+			if e.affinity > engines[top].affinity {
+				top = i
 			}
-			best, free = append(best, free[at]), slices.Delete(free, at, at+1)
 		}
-		return best, free
+		best = append(best, engines[top])
+		engines = slices.Delete(engines, top, top+1)
 	}
-	type fit struct {
-		*engine
-		at int
-	}
-	h := heap[fit]{less: func(a, b *fit) bool {
-		return a.engine.affinity > b.engine.affinity || a.engine.affinity == b.engine.affinity && a.at < b.at
+	return best, engines
+}
+
+// splitByHeap is splitByAffinity by a heap of all engines.
+func splitByHeap(engines []*engine, count int) (best, rest []*engine) {
+	type indexed struct {
+		e     *engine
+		index int
+	}
+	byAffinity := heap[indexed]{less: func(a, b *indexed) bool {
+		return a.e.affinity > b.e.affinity || a.e.affinity == b.e.affinity && a.index < b.index
 	}}
-	h.list = make([]fit, 0, len(free))
-	for i, e := range free {
-		h.list = append(h.list, fit{e, i})
-	}
-	h.heapify()
-	taken := make([]bool, len(free))
-	for range n {
-		x := h.pop()
-		best, taken[x.at] = append(best, x.engine), true
-	}
-	for i, e := range free {
+	byAffinity.list = make([]indexed, 0, len(engines))
+	for i, e := range engines {
+		byAffinity.list = append(byAffinity.list, indexed{e, i})
+	}
+	byAffinity.heapify()
+	taken := make([]bool, len(engines))
+	for range count {
+		top := byAffinity.pop()
+		best = append(best, top.e)
+		taken[top.index] = true
+	}
+	for i, e := range engines {
 		if !taken[i] {
 			rest = append(rest, e)
 		}
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -1,37 +1,46 @@
 package router
 
-// backoff is how long something waits between tries: twice as long after each that fails, half as long after
-// each that does well. What left before the last change tells nothing of it.
+// backoff is an exponential backoff: the wait between tries doubles with each failure and halves with each
+// success. A try that started before the last change of the wait does not change it again, so that many tries
+// that fail together count once.
 type backoff struct {
-	changedAt, until, wait float64
-	lastFailed             bool    // the last send failed
-	succeededAt            float64 // when one last did well
+	changedAt   float64 // ms, of the last change of wait
+	until       float64 // ms, before which nothing is tried
+	wait        float64 // ms; 0: there is none
+	lastFailed  bool    // the last try failed
+	succeededAt float64 // ms, of the last success
 }
 
-func (t *backoff) increase(now, sent, least, most float64) {
-	if sent >= t.changedAt {
-		t.changedAt, t.wait = now, min(most, max(least, 2*t.wait))
-		t.until = now + t.wait
+// increase takes in the failure of a try that started at some time.
+func (b *backoff) increase(now, startedAt, minWait, maxWait float64) {
+	if startedAt < b.changedAt {
+		return
 	}
+	b.changedAt = now
+	b.wait = min(maxWait, max(minWait, 2*b.wait))
+	b.until = now + b.wait
 }
 
-func (t *backoff) decrease(now, sent, least float64) {
-	t.succeededAt = now
-	if t.wait > 0 && sent >= t.changedAt {
-		if t.changedAt, t.wait = sent, t.wait/2; t.wait < least {
-			t.wait = 0
-		}
-		t.until = sent + t.wait
+// decrease takes in the success of a try that started at some time. A wait below minWait becomes none.
+func (b *backoff) decrease(now, startedAt, minWait float64) {
+	b.succeededAt = now
+	if b.wait <= 0 || startedAt < b.changedAt {
+		return
 	}
+	b.changedAt = startedAt
+	b.wait /= 2
+	if b.wait < minWait {
+		b.wait = 0
+	}
+	b.until = startedAt + b.wait
 }
 
-// startTrial takes in that one startTrial is made: until the rest is over, or this does well, it is the
-// only one.
-func (t *backoff) startTrial(now float64) {
-	if t.wait > 0 {
-		t.until = now + t.wait
+// startTrial takes in that a try starts: it is the only one until the wait is over or it succeeds.
+func (b *backoff) startTrial(now float64) {
+	if b.wait > 0 {
+		b.until = now + b.wait
 	}
 }
 
-// succeededSince tells whether the last send did well, since then.
-func (t *backoff) succeededSince(since float64) bool { return !t.lastFailed && t.succeededAt > since }
+// succeededSince reports whether the last try succeeded, after some time.
+func (b *backoff) succeededSince(since float64) bool { return !b.lastFailed && b.succeededAt > since }
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -19,38 +19,67 @@
 	maxThreadsPerCore     = 2.5
 	widenBelowSlowdown    = 1.8   // slowdown of an engine below which its limit widens
 	cutAboveSlowdown      = 3.0   // slowdown of an engine above which its limit is cut
-	widenStep             = 0.5   // threads, for each answer
-	limitCutFactor        = 0.85  // of the limit is left by a cut
+	widenStep             = 0.5   // threads that an answer adds to the limit
+	widenFromShare        = 0.7   // of the limit; it widens only while at least this much of it is used
+	limitCutFactor        = 0.85  // of the limit, is left by a cut
 	limitCutInterval      = 400.0 // ms between cuts
 	poolOverhang          = 3.0   // threads over the pooled limit that may start where reports tell of capacity
 	threadsPerOtherQuery  = 1.2   // threads that a query of another controller is taken to use
 	maxMemoryGranted      = 0.9   // share of an engine's memory; it gets nothing new while it reports more
 )
 
+// threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's own,
+// times the capacity that it has while it warms up, times this controller's share of the traffic.
 func (r *Router) threadLimit(e *engine) float64 {
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// hasCapacity is the thread bound, for the engine and pooled over all: a small controller's part of one
-// engine is less than a command, of which one may always run, and the last may overhang. Its part of all is
-// coarse too: it may go a little past it where a report tells of room, and nothing goes where one tells of
-// no memory.
-func (r *Router) hasCapacity(q *query, e *engine, fill float64) bool {
-	told, pool, room, t := r.now-e.reportedAt < reportMaxAge, r.concurrency.threadLimit,
-		fill*r.threadLimit(e), e.classBackoff(q.class)
-	if room < 1 && !math.IsInf(r.slowStartAllowance(e), 1) { // a cold one's guard is its part
-		pool, room = math.Inf(1), room/r.trafficShare()
-	} else if told && r.fill(e) < roomyFill*initialThreadsPerCore {
-		pool += poolOverhang
+// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run nearly
+// as fast as on an idle engine and the limit is in use, and is cut when they run much slower.
+func (r *Router) adjustThreadLimit(e *engine, threads float64) {
+	slowdown := e.slowdown.mean(r.now, 1, 1)
+	limit := r.threadLimit(e)
+	switch {
+	case slowdown < widenBelowSlowdown && e.threads+threads >= widenFromShare*limit:
+		e.threadsPerCore = min(maxThreadsPerCore, e.threadsPerCore*(1+widenStep/max(1, limit)))
+	case slowdown > cutAboveSlowdown && r.now-e.limitCutAt > limitCutInterval:
+		e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitCutFactor)
+		e.limitCutAt = r.now
 	}
-	return r.now >= t.until && (e.healthy() || t.succeededSince(r.now-recentSuccessFor) ||
-		e.attempts == 0 && r.now >= e.trialAt) &&
-		(r.concurrency.attempts == 0 || r.concurrency.threads <= pool && (e.attempts == 0 ||
-			e.threads <= room) && (!told || e.memoryGranted <= maxMemoryGranted))
 }
 
-// refreshEngines computes the pooled concurrency limit anew and asks engines for their health that are due.
-// A warming engine from which no class may get anything adds nothing to the limit.
+// hasCapacity reports whether e may take q now, up to a share of its thread limit. A controller with
+// nothing in flight may always start one attempt: a small controller's part of the engines is less than one
+// query.
+func (r *Router) hasCapacity(q *query, e *engine, share float64) bool {
+	if r.now < e.classBackoff(q.class).until || !r.usable(q.class, e) {
+		return false
+	}
+	return r.concurrency.attempts == 0 || r.withinThreadLimits(e, share)
+}
+
+// withinThreadLimits reports whether the threads in flight are within the limits, on e and pooled over all
+// engines. The last attempt may overhang either, and one may always run on an engine that has none. The
+// pooled limit is passed a little where a report tells that e has capacity, as a controller's share is
+// coarse; it does not count for a warming engine whose part is below one thread, as slowStartAllows guards
+// that one. Nothing starts where a report tells that memory is used up.
+func (r *Router) withinThreadLimits(e *engine, share float64) bool {
+	reported := r.now-e.reportedAt < reportMaxAge
+	pooledLimit := r.concurrency.threadLimit
+	limit := share * r.threadLimit(e)
+	if limit < 1 && !math.IsInf(r.slowStartAllowance(e), 1) {
+		pooledLimit = math.Inf(1)
+		limit /= r.trafficShare()
+	} else if reported && r.fill(e) < spillShare*initialThreadsPerCore {
+		pooledLimit += poolOverhang
+	}
+	return r.concurrency.threads <= pooledLimit &&
+		(e.attempts == 0 || e.threads <= limit) &&
+		(!reported || e.memoryGranted <= maxMemoryGranted)
+}
+
+// refreshEngines computes the pooled concurrency limit anew and checks the health of the engines that are
+// due. A warming engine from which no class may get anything adds nothing to the limit.
 func (r *Router) refreshEngines() {
 	r.concurrency.threadLimit = 0
 	r.concurrency.readyCores = 0
@@ -69,14 +98,7 @@
 	}
 }
 
-// slowdownHalfLife is as long as it takes for some own queries to come to each engine, within bounds.
-func (r *Router) slowdownHalfLife() float64 {
-	queryRate := r.traffic.queryRate.rate(r.now) + 1e-9
-	wanted := slowdownLifeFactor * float64(len(r.engineList)) / queryRate
-	return min(maxSlowdownHalfLife, max(reportHalfLife, wanted))
-}
-
-// usableByAnyClass reports whether a usual query of some class fits what e may get while it warms up.
+// usableByAnyClass reports whether a usual query of some class fits into what e may get while it warms up.
 func (r *Router) usableByAnyClass(e *engine) bool {
 	return slices.ContainsFunc(r.classes, func(class *queryClass) bool {
 		return class.usualWork(r.now) < r.slowStartAllowance(e)
--- a/router/doc.go
+++ b/router/doc.go
@@ -55,6 +55,8 @@
 //	estimates.go     how long does a query run, and how much memory does it need?
 //	periodic.go      what is done by time and not by events?
 //
+// reasons.go lists all reasons for which a query is rejected, failed or kept waiting.
+//
 // State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go, ordering.go, queue.go;
 // search.go and candidates.go (bounds by which a selection looks at few engines of many), shedwatch.go and worthcache.go
 // (bounds by which few queued queries are looked at), statistics.go, restore.go and status.go (what is learned, taken
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -29,13 +29,26 @@
 }
 
 // startable is the part of eligible that is the same for all engines.
-func (r *Router) startable(q *query) bool {
-	return r.headOfQueues(q) &&
-		!q.done && !q.responseStarted && q.answer == unanswered &&
-		q.awaited == 0 &&
-		r.now < r.answerBy(q) &&
-		!r.attemptsExhausted(q) &&
-		(len(q.attempts) == 0 || r.retryBudgetAllows())
+func (r *Router) startable(q *query) bool { return r.whyWaiting(q) == notWaiting }
+
+// whyWaiting is the first reason for which no attempt of q may start on any engine now.
+func (r *Router) whyWaiting(q *query) waitReason {
+	switch {
+	case !r.headOfQueues(q):
+		return waitOrdering
+	case q.done || q.responseStarted || q.answer != unanswered:
+		return waitAnswered
+	case q.awaited > 0:
+		return waitOutcome
+	case r.now >= r.answerBy(q):
+		return waitAnswerDue
+	case r.attemptsExhausted(q):
+		return waitAttemptsExhausted
+	case len(q.attempts) > 0 && !r.retryBudgetAllows():
+		return waitRetryBudget
+	default:
+		return notWaiting
+	}
 }
 
 // repeatAllowedOn is rule 2 for one engine: a query with an attempt that may have run may be repeated only
--- a/router/engine.go
+++ b/router/engine.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"hash/fnv"
 	"math"
 	"slices"
 )
@@ -54,11 +55,35 @@
 	return float64(e.tableLocks[g])
 }
 
+// allSucceeded are the outcomes that a new engine starts with.
+const allSucceeded = math.MaxUint64
+
+// newEngine returns an engine of which nothing is known yet, for a number of query classes.
+func newEngine(id EngineID, classes int) *engine {
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	e := &engine{
+		id:                id,
+		idHash:            hash.Sum64(),
+		tableLocks:        map[*tableGroup]int{},
+		tablesLockedUntil: map[*tableGroup]float64{},
+		classBackoffs:     make([]backoff, classes),
+	}
+	e.resetStatistics()
+	return e
+}
+
 // resetStatistics forgets what was learned of an engine's earlier process.
 func (e *engine) resetStatistics() {
-	e.outcomes, e.trialWait, e.trialAt = math.MaxUint64, minTrialWait, 0
-	e.othersInflight, e.utilization, e.disk = decayedMean{halfLife: othersHalfLife}, decayedMean{halfLife: reportHalfLife}, decayedMean{halfLife: reportHalfLife}
-	e.slowdown, e.reportedAt, e.threadsPerCore = decayedMean{halfLife: reportHalfLife}, 0, initialThreadsPerCore
+	e.outcomes = allSucceeded
+	e.trialWait = minTrialWait
+	e.trialAt = 0
+	e.othersInflight = decayedMean{halfLife: othersHalfLife}
+	e.utilization = decayedMean{halfLife: reportHalfLife}
+	e.disk = decayedMean{halfLife: reportHalfLife}
+	e.slowdown = decayedMean{halfLife: reportHalfLife}
+	e.reportedAt = 0
+	e.threadsPerCore = initialThreadsPerCore
 	e.succeededAt = 0
 	clear(e.classBackoffs)
 }
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Half-lives of what is learned of a class, in ms.
+// Half-lives, in ms, of what is learned of a class.
 const (
 	unitTimeHalfLife    = 10000.0
 	logSlowdownHalfLife = 1000.0
@@ -14,15 +14,16 @@
 )
 
 const (
-	minAnswersForBest = 25.0 // answers before a class's best unit time counts
-	// growth of the best unit time with each answer, so that it follows slower work
-	bestUnitTimeDrift       = 1.0001
+	minAnswersForBest       = 25.0    // answers after which a class's best unit time counts
+	bestUnitTimeDrift       = 1.0001  // growth of the best unit time with each answer: it follows slower work
+	maxSlowdownSample       = 20.0    // slowdown that one answer may count as, at most
 	restoredMaxAge          = 10000.0 // ms without an answer after which restored estimates are discarded
-	answersToRefuteRestored = 5.0     // answers from which restored estimates can be refuted
+	answersToRefuteRestored = 5.0     // answers after which restored estimates can be refuted
+	refuteRatio             = 3.0     // between learned and restored unit time, from which they are refuted
 )
 
-// workUnits is the time that c's estimate gives it alone; without estimates all commands of a profile are
-// alike.
+// workUnits is the size of q for its class: its estimated time in ms on an idle engine, corrected by how true
+// the estimates of the class were. Without an estimate all queries of a class are of the same size, 1.
 func (class *queryClass) workUnits(q *query, now float64) float64 {
 	if q.estimatedWork <= 0 {
 		return 1
@@ -30,7 +31,8 @@
 	return max(1, q.estimatedWork*class.workScale.mean(now, 1, 2)/class.Threads)
 }
 
-// unloadedTime is the time that c would take on an idle engine, as far as is known.
+// unloadedTime is the time in ms that q would take on an idle engine, as far as is known: half of its latency
+// objective if nothing is.
 func (class *queryClass) unloadedTime(q *query, now float64) float64 {
 	if class.bestUnitTime == 0 && q.estimatedWork <= 0 {
 		return class.LatencyObjective / 2
@@ -38,65 +40,74 @@
 	return cmp.Or(class.bestUnitTime, 1) * class.workUnits(q, now)
 }
 
-// expectedRunTime is the time that c takes, from its alone, as such commands run lately.
+// expectedRunTime is the time in ms that q would take as such queries run lately.
 func (class *queryClass) expectedRunTime(q *query, now float64) float64 {
 	return math.Exp(class.logSlowdown.mean(now, 0, 1)) * class.unloadedTime(q, now)
 }
 
-// usualWork leans high while little is known: it guards cold engines, where too low a guess breaks a rule.
+// usualWork is the mean work in ms of a class. It is high while little is known, as it guards warming
+// engines: too low a guess would break rule 4.
 func (class *queryClass) usualWork(now float64) float64 {
 	return class.work.mean(now, class.ClientTimeout/3, 1)
 }
 
-// learnFromSuccess takes in the time of an answered send: what the profile takes alone, and by it the
-// engine's bound.
+// learnFromSuccess takes in how long a successful attempt of q took on e: for the estimates of its class, the
+// slowdown of the engine, and its concurrency limit.
 func (r *Router) learnFromSuccess(q *query, e *engine, ev AttemptEnded) {
-	class, unit := q.class, q.class.workUnits(q, r.now)
+	class := q.class
+	units := class.workUnits(q, r.now)
 	if class.recordMeasuredCost(r.now, q, ev) {
-		unit = max(1, ev.Work/class.Threads)
+		units = max(1, ev.Work/class.Threads)
 	}
 	class.work.add(r.now, cmp.Or(ev.Work, q.uncappedEstimate, ev.Elapsed*class.Threads), 1)
-	class.unitTime.add(r.now, ev.Elapsed/unit, 1)
-	m := class.unitTime.mean(r.now, 0, 0)
-	if class.unconfirmedSince > 0 && class.unitTime.weight > answersToRefuteRestored &&
-		(m > cutAboveSlowdown*class.bestUnitTime || m < class.bestUnitTime/cutAboveSlowdown) {
-		class.discardRestored() // commands have become others than they are remembered
-	}
-	if class.unitTime.weight > minAnswersForBest {
-		class.bestUnitTime, class.unconfirmedSince = cmp.Or(min(class.bestUnitTime*bestUnitTimeDrift, m), m), 0
-	} else if class.unconfirmedSince > 0 {
-		class.unconfirmedSince = r.now
-	}
+	class.unitTime.add(r.now, ev.Elapsed/units, 1)
+	class.updateBestUnitTime(r.now)
 	if class.bestUnitTime > 0 {
-		e.slowdown.add(r.now, min(20, ev.Elapsed/(class.bestUnitTime*unit)), 1)
-		class.logSlowdown.add(r.now, math.Log(max(1, ev.Elapsed/(class.bestUnitTime*unit))), 1)
-	}
-	slow, bound := e.slowdown.mean(r.now, 1, 1), r.threadLimit(e)
-	if slow < widenBelowSlowdown && e.threads+class.Threads >= 0.7*bound {
-		e.threadsPerCore = min(maxThreadsPerCore, e.threadsPerCore*(1+widenStep/max(1, bound)))
-	} else if slow > cutAboveSlowdown && r.now-e.limitCutAt > limitCutInterval {
-		e.threadsPerCore, e.limitCutAt = max(minThreadsPerCore, e.threadsPerCore*limitCutFactor), r.now
+		slowdown := ev.Elapsed / (class.bestUnitTime * units)
+		e.slowdown.add(r.now, min(maxSlowdownSample, slowdown), 1)
+		class.logSlowdown.add(r.now, math.Log(max(1, slowdown)), 1)
 	}
+	r.adjustThreadLimit(e, class.Threads)
 	r.updateBounds(e)
 }
 
-// recordMeasuredCost files what an answer tells of a command's true work and memory, and reports whether it
-// recordMeasuredCost the work.
+// updateBestUnitTime keeps the least mean of the unit time, once enough answers are known. Until then a
+// restored value stands, unless answers show that the class's queries have become others.
+func (class *queryClass) updateBestUnitTime(now float64) {
+	answers := class.unitTime.weight
+	mean := class.unitTime.mean(now, 0, 0)
+	restored := class.unconfirmedSince > 0
+	differs := mean > refuteRatio*class.bestUnitTime || mean < class.bestUnitTime/refuteRatio
+	if restored && answers > answersToRefuteRestored && differs {
+		class.discardRestored()
+	}
+	if answers > minAnswersForBest {
+		class.bestUnitTime = cmp.Or(min(class.bestUnitTime*bestUnitTimeDrift, mean), mean)
+		class.unconfirmedSince = 0
+	} else if class.unconfirmedSince > 0 {
+		class.unconfirmedSince = now
+	}
+}
+
+// recordMeasuredCost takes in the true work and memory of an answered query, and reports whether the work is
+// known beside an estimate.
 func (class *queryClass) recordMeasuredCost(now float64, q *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && q.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/q.estimatedMemoryMB, 1)
 	}
-	if ev.Work > 0 && q.uncappedEstimate > 0 {
-		class.workScale.add(now, ev.Work/q.uncappedEstimate, 1)
+	if ev.Work <= 0 || q.uncappedEstimate <= 0 {
+		return false
 	}
-	return ev.Work > 0 && q.uncappedEstimate > 0
+	class.workScale.add(now, ev.Work/q.uncappedEstimate, 1)
+	return true
 }
 
-// discardRestored forgets how a profile was said to run.
+// discardRestored forgets the estimates that were restored from an earlier run.
 func (class *queryClass) discardRestored() {
-	class.bestUnitTime, class.unconfirmedSince = 0, 0
-	class.workScale, class.memoryScale = decayedMean{halfLife: scaleHalfLife},
-		decayedMean{halfLife: scaleHalfLife}
+	class.bestUnitTime = 0
+	class.unconfirmedSince = 0
+	class.workScale = decayedMean{halfLife: scaleHalfLife}
+	class.memoryScale = decayedMean{halfLife: scaleHalfLife}
 }
 
 // discardUnconfirmed drops restored estimates that no answer has confirmed for long. An estimate that is
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -1,6 +1,7 @@
 package router
 
-// healthChecks are those that the module asks for.
+// healthChecks are those that this controller makes. They are paid for by a credit that queries bring,
+// because hundreds of controllers that check by time alone would keep the engines busy.
 type healthChecks struct {
 	wanted []*engine // to be checked at the end of this step
 	credit float64   // checks that may be made
@@ -8,30 +9,47 @@
 
 const (
 	healthCheckInterval    = 400.0  // ms between checks of an engine, by all controllers together
-	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller
+	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller, at most
+	healthCheckJitter      = 0.2    // share of the interval by which it varies
 	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt starts on its engine
 	healthChecksPerQuery   = 1.0    // credit that a query brings
-	maxHealthCheckCredit   = 10.0   // credit; half of it is kept for refreshing reports
+	maxHealthCheckCredit   = 10.0   // half of it is kept for refreshing reports
 )
 
-// checkHealth has an engine probed, in relation to commands: by time, a hundred controllers would probe all
-// day.
+// checkHealth asks an engine for its health and load, and reports whether it does: not where checks are not
+// allowed, none is paid for, or one runs.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthChecks.credit < 1 {
 		return false
 	}
-	r.healthChecks.credit, e.checkingHealth, r.healthChecks.wanted = r.healthChecks.credit-1, true,
-		append(r.healthChecks.wanted, e)
-	e.healthCheckAt = r.now + min(maxHealthCheckInterval,
-		healthCheckInterval*r.controllers)*(0.9+0.2*r.rng.Float64())
+	r.healthChecks.credit--
+	r.healthChecks.wanted = append(r.healthChecks.wanted, e)
+	e.checkingHealth = true
+	interval := min(maxHealthCheckInterval, healthCheckInterval*r.controllers)
+	e.healthCheckAt = r.now + interval*(1-healthCheckJitter/2+healthCheckJitter*r.rng.Float64())
 	return true
 }
 
+// needsFreshReport reports whether an attempt on e has to wait for a health check, which is asked for if none
+// runs. If none is to be had the attempt goes without.
+func (r *Router) needsFreshReport(e *engine) bool {
+	if r.now-e.reportedAt <= reportRefreshAge {
+		return false
+	}
+	if e.checkingHealth {
+		return true
+	}
+	return r.now > e.healthCheckAt && r.checkHealth(e)
+}
+
+// healthCheckEnded takes in the result of a health check.
 func (r *Router) healthCheckEnded(ev HealthCheckEnded) {
-	if e := r.engines[ev.Engine]; e != nil {
-		e.checkingHealth = false
-		e.recordOutcome(r.now, ev.Outcome == Succeeded)
-		r.recordReport(e, ev.Load)
-		r.updateBounds(e)
+	e := r.engines[ev.Engine]
+	if e == nil {
+		return
 	}
+	e.checkingHealth = false
+	e.recordOutcome(r.now, ev.Outcome == Succeeded)
+	r.recordReport(e, ev.Load)
+	r.updateBounds(e)
 }
--- a/router/load.go
+++ b/router/load.go
@@ -2,43 +2,54 @@
 
 const (
 	reportHalfLife      = 1000.0  // ms, of reported utilization
-	othersHalfLife      = 5000.0  // ms, of what others are reported to have in flight on an engine
-	slowdownLifeFactor  = 4.0     // half-life of an engine's slowdown, in mean times between own queries for it
-	maxSlowdownHalfLife = 10000.0 // ms
+	othersHalfLife      = 5000.0  // ms, of what other controllers have in flight on an engine
 	reportMaxAge        = 4000.0  // ms after which a load report no longer counts
 	maxUtilization      = 2.0     // busy cores over all cores; a report of more is not believed
 	maxInflightPerCore  = 100.0   // queries; a report of more is not believed
+	slowdownLifeFactor  = 4.0     // half-life of an engine's slowdown, in mean times between own queries for it
+	maxSlowdownHalfLife = 10000.0 // ms
 )
 
-// plausible tells whether a report may be true: figures that no engine can mean change nothing.
+// plausible reports whether an engine can mean this. A report of figures that can't be changes nothing.
 func (l *LoadReport) plausible(e *engine) bool {
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
 }
 
-// recordReport files a load recordReport.
-func (r *Router) recordReport(e *engine, l *LoadReport) {
-	if l == nil || !l.plausible(e) {
+// recordReport takes in an engine's load report; nil: there is none.
+func (r *Router) recordReport(e *engine, report *LoadReport) {
+	if report == nil || !report.plausible(e) {
 		return
 	}
-	e.reportedAt, e.memoryGranted = r.now, max(0, l.Memory)
-	if l.Utilization >= 0 {
-		e.utilization.add(r.now, l.Utilization, 1)
+	e.reportedAt = r.now
+	e.memoryGranted = max(0, report.Memory)
+	if report.Utilization >= 0 {
+		e.utilization.add(r.now, report.Utilization, 1)
 	}
-	if l.Disk >= 0 {
-		e.disk.add(r.now, l.Disk, 1)
+	if report.Disk >= 0 {
+		e.disk.add(r.now, report.Disk, 1)
 	}
-	if l.Inflight >= 0 {
-		e.othersInflight.capWeight(r.now, 1)
-		e.othersInflight.add(r.now, max(0, l.Inflight-float64(e.attempts)), 1)
-		r.traffic.othersPerCore.add(r.now, max(0, l.Inflight-float64(e.attempts)), e.cores)
-		if r.concurrency.readyCores > 0 {
-			r.traffic.share.add(r.now, float64(r.concurrency.attempts)*e.cores/r.concurrency.readyCores, l.Inflight)
-		}
+	if report.Inflight >= 0 {
+		r.recordInflight(e, report.Inflight)
 	}
 	r.updateBounds(e)
 }
 
-// engineLoad is the design's, with its fallbacks in order.
+// recordInflight takes in how many queries of all controllers an engine has in flight: the part of the
+// others is its load, and the part of this controller its share of the traffic.
+func (r *Router) recordInflight(e *engine, inflight float64) {
+	others := max(0, inflight-float64(e.attempts))
+	e.othersInflight.capWeight(r.now, 1)
+	e.othersInflight.add(r.now, others, 1)
+	r.traffic.othersPerCore.add(r.now, others, e.cores)
+	if r.concurrency.readyCores > 0 {
+		ownPart := float64(r.concurrency.attempts) * e.cores / r.concurrency.readyCores
+		r.traffic.share.add(r.now, ownPart, inflight)
+	}
+}
+
+// engineLoad is the design's load of an engine: the larger of its reported utilization and disk use;
+// without these the queries in flight for each core; without any recent report what this controller's own
+// attempts and its share of the traffic tell.
 func (r *Router) engineLoad(e *engine) float64 {
 	if e.reportedAt == 0 || r.now-e.reportedAt > reportMaxAge {
 		return float64(e.attempts) / e.cores / r.trafficShare()
@@ -48,3 +59,11 @@
 	}
 	return (float64(e.attempts) + e.othersInflight.mean(r.now, 0, 0)) / e.cores
 }
+
+// slowdownHalfLife is the half-life in ms of an engine's slowdown: as long as it takes for some own queries
+// to come to each engine, within bounds.
+func (r *Router) slowdownHalfLife() float64 {
+	queryRate := r.traffic.queryRate.rate(r.now) + 1e-9
+	wanted := slowdownLifeFactor * float64(len(r.engineList)) / queryRate
+	return min(maxSlowdownHalfLife, max(reportHalfLife, wanted))
+}
--- a/router/pools.go
+++ b/router/pools.go
@@ -6,185 +6,228 @@
 	"slices"
 )
 
-// poolState has the engine pools of each machine kind.
+// poolState is which engines serve which table groups.
 type poolState struct {
-	byKind        [][]*enginePool
-	packed        bool    // by learned footprints
-	rebalanceAt   float64 // ms, when engines may move between pools again
+	byKind      [][]*enginePool // by machine kind; each ready engine of a kind is in one pool of it
+	packed      bool            // by learned footprints
+	rebalanceAt float64         // ms, when engines may move between pools again
+
+	// marked is the pool whose engines have it as their markedPool, while engines are assigned; nil: none.
 	marked        *enginePool
-	markedEngines []*engine // those whose markedPool is marked
+	markedEngines []*engine
 }
 
-// enginePool is a pack, or several packs that share as merged, with the engines of one kind that it owns.
+// enginePool is the engines of one kind that serve a pack of table groups, or several packs that share them
+// as merged.
 type enginePool struct {
 	packs       [][]*tableGroup
 	engines     []*engine
-	targetCount int     // how many it is to have
-	demand      float64 // its demand, when counts were last made
+	targetCount int     // engines that it is to have
+	demand      float64 // poolDemand, when engines were last counted out
 	candidates  candidateList
 }
 
 func (pool *enginePool) tableGroups() []*tableGroup { return slices.Concat(pool.packs...) }
 
-// demandPerEngine is what an owner asked for demandPerEngine engine, when that was last reckoned.
+// demandPerEngine is the demand for each engine that the pool is to have.
 func (pool *enginePool) demandPerEngine() float64 {
 	return pool.demand / float64(max(1, pool.targetCount))
 }
 
 const (
 	rebalanceInterval = 2000.0  // ms between moves of engines
-	moveMargin        = 1.25    // busiest pool's load over the donor's future load from which an engine moves
-	solveMargin       = 2.5     // the same from which all counts are solved at once
+	moveMargin        = 1.25    // busiest pool's load over the donor's future load, from which an engine moves
+	solveMargin       = 2.5     // the same, from which all counts are solved at once
 	underusedLoad     = 0.25    // load below which a pool of one engine may be merged with another
 	hotDemandFactor   = 3.0     // weight of the demand of a table group that a rule marks as hot
 	tableGroupMaxIdle = 60000.0 // ms after its last query for which a table group is kept
+	negligibleDemand  = 1e-9    // so that no demand or load is a divisor of 0
 )
 
-// rebalance is the design's period for one kind: split, fast solve, move or merge.
-func (r *Router) rebalance(k int) {
-	owners, ready := r.pools.byKind[k], len(r.readyEngines(k))
-	if len(owners) == 0 || ready < len(owners) {
+// rebalanceAll is the design's period: table groups that nobody uses are forgotten, the pools of each kind
+// are packed once demand is known, and engines move between them.
+func (r *Router) rebalanceAll() {
+	r.pools.rebalanceAt = r.now + rebalanceInterval
+	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
+	demandKnown := r.firstQueryAt > 0 && r.now >= r.firstQueryAt+rebalanceInterval
+	repack := !r.pools.packed && demandKnown
+	r.pools.packed = r.pools.packed || repack
+	for kind := range r.pools.byKind {
+		if repack {
+			r.repack(kind)
+		}
+		r.rebalance(kind)
+	}
+}
+
+// rebalance is the design's step for one kind. The busiest pool gets an engine of the pool whose load would
+// then be the lowest, if its own load is moveMargin times that; after a sharp swing all counts are solved
+// at once. A pool of several packs on one engine is divided first. Otherwise two pools that underuse their
+// only engines are merged.
+func (r *Router) rebalance(kind int) {
+	pools := r.pools.byKind[kind]
+	ready := len(r.readyEngines(kind))
+	if len(pools) == 0 || ready < len(pools) {
 		return
 	}
-	busy := slices.MaxFunc(owners, func(a, b *enginePool) int {
-		return cmp.Compare(r.poolLoad(a),
-			r.poolLoad(b))
+	busiest := slices.MaxFunc(pools, func(a, b *enginePool) int {
+		return cmp.Compare(r.poolLoad(a), r.poolLoad(b))
 	})
-	donor := slices.MinFunc(owners, func(a, b *enginePool) int {
-		return cmp.Compare(r.futureLoad(a),
-			r.futureLoad(b))
+	donor := slices.MinFunc(pools, func(a, b *enginePool) int {
+		return cmp.Compare(r.futureLoad(a), r.futureLoad(b))
 	})
-	var lone []*enginePool
-	total, high, low := 1e-9, r.poolLoad(busy), r.futureLoad(donor)
-	for _, pool := range owners {
-		total += r.poolLoad(pool) * float64(len(pool.engines))
-		if len(pool.engines) == 1 && pool != busy && r.poolLoad(pool) < underusedLoad {
-			lone = append(lone, pool)
-		}
-	}
+	load, futureLoad := r.poolLoad(busiest), r.futureLoad(donor)
+	move := donor != busiest && load >= moveMargin*futureLoad
+	solve := donor != busiest && load >= solveMargin*futureLoad
+	underused := r.underusedPools(pools, busiest)
 	switch {
-	case donor != busy && high >= moveMargin*low && len(busy.packs) > 1 && len(busy.engines) == 1:
-		// who shares parts when busiest
-		owners = append(owners, &enginePool{packs: busy.packs[:1:1], targetCount: 1})
-		busy.packs = busy.packs[1:]
+	case move && len(busiest.packs) > 1 && len(busiest.engines) == 1:
+		pools = append(pools, &enginePool{packs: busiest.packs[:1:1], targetCount: 1})
+		busiest.packs = busiest.packs[1:]
 		donor.targetCount--
-	case donor != busy && high >= solveMargin*low: // equal load, rounded towards the present counts
-		for _, pool := range owners {
-			n := float64(len(pool.engines))
-			pool.targetCount = max(1, pool.targetCount+int(r.poolLoad(pool)*n/total*float64(ready)-n))
-		}
-	case donor != busy && high >= moveMargin*low:
+	case solve:
+		r.solveCounts(pools, ready)
+	case move:
 		donor.targetCount--
-		busy.targetCount++
-	case len(lone) > 1:
-		lone[0].packs = append(lone[0].packs, lone[1].packs...)
-		owners = slices.DeleteFunc(owners, func(pool *enginePool) bool { return pool == lone[1] })
-		busy.targetCount++
+		busiest.targetCount++
+	case len(underused) > 1:
+		merged, freed := underused[0], underused[1]
+		merged.packs = append(merged.packs, freed.packs...)
+		pools = slices.DeleteFunc(pools, func(pool *enginePool) bool { return pool == freed })
+		busiest.targetCount++
 	default:
 		return
 	}
-	r.assignEngines(k, owners)
+	r.assignEngines(kind, pools)
+}
+
+// underusedPools are those, but the busiest, with one engine whose load is low.
+func (r *Router) underusedPools(pools []*enginePool, busiest *enginePool) []*enginePool {
+	var underused []*enginePool
+	for _, pool := range pools {
+		if len(pool.engines) == 1 && pool != busiest && r.poolLoad(pool) < underusedLoad {
+			underused = append(underused, pool)
+		}
+	}
+	return underused
 }
 
-// futureLoad is the load of an owner that gives up an engine; one that can't is never the lowest.
+// solveCounts sets the counts for which all loads would be equal, rounded towards the present counts.
+func (r *Router) solveCounts(pools []*enginePool, ready int) {
+	total := negligibleDemand
+	for _, pool := range pools {
+		total += r.poolLoad(pool) * float64(len(pool.engines))
+	}
+	for _, pool := range pools {
+		count := float64(len(pool.engines))
+		change := int(r.poolLoad(pool)*count/total*float64(ready) - count)
+		pool.targetCount = max(1, pool.targetCount+change)
+	}
+}
+
+// futureLoad is the load that a pool would have with one engine less; +Inf if it has no engine to give.
 func (r *Router) futureLoad(pool *enginePool) float64 {
-	if n := float64(len(pool.engines)); n > 1 {
-		return r.poolLoad(pool) * n / (n - 1)
+	count := float64(len(pool.engines))
+	if count <= 1 {
+		return math.Inf(1)
 	}
-	return math.Inf(1)
+	return r.poolLoad(pool) * count / (count - 1)
 }
 
-// poolLoad is an owner's load: that of its engines, on average.
-func (r *Router) poolLoad(pool *enginePool) (sum float64) {
+// poolLoad is the mean load of a pool's engines.
+func (r *Router) poolLoad(pool *enginePool) float64 {
+	load := 0.0
 	for _, e := range pool.engines {
-		sum += r.engineLoad(e) / float64(len(pool.engines))
+		load += r.engineLoad(e) / float64(len(pool.engines))
 	}
-	return sum
+	return load
 }
 
-// poolDemand is the work asked of an owner's groups, for each millisecond.
+// poolDemand is the work that the queries of a pool's table groups ask for, in ms for each ms.
 func (r *Router) poolDemand(pool *enginePool) float64 {
-	sum := 1e-9
+	demand := negligibleDemand
 	for _, pack := range pool.packs {
 		for _, g := range pack {
-			if sum += g.demand.rate(r.now); g.hot {
-				sum += (hotDemandFactor - 1) * g.demand.rate(r.now)
+			demand += g.demand.rate(r.now)
+			if g.hot {
+				demand += (hotDemandFactor - 1) * g.demand.rate(r.now)
 			}
 		}
 	}
-	return sum
+	return demand
 }
 
-// updateDemands files what each owner asks for.
-func (r *Router) updateDemands(owners []*enginePool) {
-	for _, pool := range owners {
+// updateDemands computes the demand of each pool.
+func (r *Router) updateDemands(pools []*enginePool) {
+	for _, pool := range pools {
 		pool.demand = r.poolDemand(pool)
 	}
 }
 
-func (r *Router) repack(k int) {
-	r.pools.byKind[k] = nil
-	for _, bin := range bestFitDecreasing(r.groupList, r.footprints(k), r.kinds[k].MemoryMB*(1-memoryReserve)) {
-		r.pools.byKind[k] = append(r.pools.byKind[k], &enginePool{packs: [][]*tableGroup{bin}})
+// repack gives each pack of table groups, by their present footprints, a pool of its own.
+func (r *Router) repack(kind int) {
+	binSize := r.kinds[kind].MemoryMB * (1 - memoryReserve)
+	r.pools.byKind[kind] = nil
+	for _, pack := range bestFitDecreasing(r.groupList, r.footprints(kind), binSize) {
+		pool := &enginePool{packs: [][]*tableGroup{pack}}
+		r.pools.byKind[kind] = append(r.pools.byKind[kind], pool)
 	}
-	r.reassign(k)
+	r.reassign(kind)
 }
 
-// addToPool gives a new group to the owner with least demand for each engine.
-func (r *Router) addToPool(k int, g *tableGroup) {
-	if len(r.pools.byKind[k]) == 0 {
-		r.pools.byKind[k] = []*enginePool{{packs: make([][]*tableGroup, 1)}}
+// addToPool gives a new table group to the pool with the least demand for each engine.
+func (r *Router) addToPool(kind int, g *tableGroup) {
+	if len(r.pools.byKind[kind]) == 0 {
+		r.pools.byKind[kind] = []*enginePool{{packs: make([][]*tableGroup, 1)}}
 	}
-	r.updateDemands(r.pools.byKind[k]) // once for each
-	pool := slices.MinFunc(r.pools.byKind[k], func(a,
-		b *enginePool) int {
+	pools := r.pools.byKind[kind]
+	r.updateDemands(pools)
+	pool := slices.MinFunc(pools, func(a, b *enginePool) int {
 		return cmp.Compare(a.demandPerEngine(), b.demandPerEngine())
 	})
-	if pool.packs[0], g.pools[k] = append(pool.packs[0], g), pool; len(pool.engines) == 0 {
-		r.reassign(k)
+	pool.packs[0] = append(pool.packs[0], g)
+	g.pools[kind] = pool
+	if len(pool.engines) == 0 {
+		r.reassign(kind)
 	}
 }
 
-// reassign mends ownership after a change: surplus light packs share as merged, who has engines keeps them.
-func (r *Router) reassign(k int) {
-	owners, ready := r.pools.byKind[k], r.readyEngines(k)
+// reassign gives each pool of a kind engines after engines or table groups have changed. Pools keep the
+// engines that they have, as these have their tables in memory. While there are fewer engines than pools
+// the lightest are merged.
+func (r *Router) reassign(kind int) {
+	pools := r.pools.byKind[kind]
+	ready := r.readyEngines(kind)
 	if len(ready) == 0 || len(r.groupList) == 0 {
 		return
 	}
-	asks := map[*enginePool]float64{}
-	for len(owners) > len(ready) {
-		last := len(owners) - 1
-		if len(asks) == 0 {
-			for _, pool := range owners {
-				asks[pool] = r.poolDemand(pool)
-			}
-			slices.SortStableFunc(owners, func(a, b *enginePool) int { return cmp.Compare(asks[b], asks[a]) })
-		}
-		for i := last; i > 0 && asks[owners[i-1]] < asks[owners[i]]; i-- { // who shares by now asks for more
-			owners[i-1], owners[i] = owners[i], owners[i-1]
-		}
-		owners[last-1].packs = append(owners[last-1].packs, owners[last].packs...)
-		asks[owners[last-1]], owners = r.poolDemand(owners[last-1]), owners[:last]
+	if len(pools) > len(ready) {
+		pools = r.mergeLightest(pools, len(ready))
 	}
-	for _, pool := range owners {
-		pool.engines = slices.DeleteFunc(pool.engines, func(e *engine) bool { return !e.readyOfKind(k) })
+	for _, pool := range pools {
+		pool.engines = slices.DeleteFunc(pool.engines, func(e *engine) bool { return !e.readyOfKind(kind) })
 		pool.targetCount = len(pool.engines)
 	}
-	r.assignEngines(k, owners)
+	r.assignEngines(kind, pools)
 }
 
-// rebalanceAll is the period of the design: table groups that nobody uses are forgotten, each kind's pools
-// are packed once demand is known, and engines move between them.
-func (r *Router) rebalanceAll() {
-	r.pools.rebalanceAt = r.now + rebalanceInterval
-	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
-	demandKnown := r.firstQueryAt > 0 && r.now >= r.firstQueryAt+rebalanceInterval
-	repack := !r.pools.packed && demandKnown
-	r.pools.packed = r.pools.packed || repack
-	for kind := range r.pools.byKind {
-		if repack {
-			r.repack(kind)
+// mergeLightest merges the two pools with the least demand until no more than count are left.
+func (r *Router) mergeLightest(pools []*enginePool, count int) []*enginePool {
+	demand := map[*enginePool]float64{}
+	for _, pool := range pools {
+		demand[pool] = r.poolDemand(pool)
+	}
+	slices.SortStableFunc(pools, func(a, b *enginePool) int { return cmp.Compare(demand[b], demand[a]) })
+	for len(pools) > count {
+		last := len(pools) - 1
+		// The pool that was merged into last may be out of order by now.
+		for i := last; i > 0 && demand[pools[i-1]] < demand[pools[i]]; i-- {
+			pools[i-1], pools[i] = pools[i], pools[i-1]
 		}
-		r.rebalance(kind)
+		merged, lightest := pools[last-1], pools[last]
+		merged.packs = append(merged.packs, lightest.packs...)
+		demand[merged] = r.poolDemand(merged)
+		pools = pools[:last]
 	}
+	return pools
 }
--- a/router/query.go
+++ b/router/query.go
@@ -53,6 +53,7 @@
 	startOn      *engine
 	startBy      float64 // with it: by when the send must have gone out; 0: at any time
 	answer       finalAnswer
+	reason       answerReason // of that answer
 	cancelWanted bool
 	changed      bool
 	queued       bool    // it is among the held
--- a/router/retry.go
+++ b/router/retry.go
@@ -1,12 +1,15 @@
 package router
 
 const (
-	silenceIntervals = 1.6 // progress intervals without a message after which an attempt counts as silent
-	progressWeight   = 0.5 // weight of a first progress message in an engine's slowdown; an answer's is 1
-	badPlanFactor    = 4.0 // times the expected run time from which a plan counts as bad
-	badPlanRemaining = 1.5 // expected run times that such an attempt must have left for a cancel to pay
+	silenceIntervals = 1.6  // progress intervals without a message after which an attempt counts as silent
+	progressWeight   = 0.5  // weight of a first progress message in an engine's slowdown; an answer's is 1
+	minProgressShare = 0.01 // share of the work that a progress message counts as, at least
+	badPlanFactor    = 4.0  // times the expected time from which the plan of an attempt counts as bad
+	badPlanRemaining = 1.5  // expected times that such an attempt must have left for a retry to pay
 )
 
+// attemptEnded takes in the outcome of an attempt. A query without an answer goes back into the queue,
+// where it waits for another engine, or gets its final answer if no further attempt is allowed.
 func (r *Router) attemptEnded(ev AttemptEnded) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -16,91 +19,154 @@
 	r.recordReport(a.engine, ev.Load)
 	switch ev.Outcome {
 	case Succeeded:
-		r.recordAttemptOutcome(q, a, true)
-		for _, o := range q.attempts {
-			if o.endedInError && o.engine != a.engine { // on what another can do
-				o.engine.classBackoff(q.class).increase(r.now, o.startedAt, minClassBackoff, maxClassBackoff)
-			}
-		}
-		r.admission.objectiveMissed = r.admission.objectiveMissed ||
-			r.now > q.firstTriedAt+q.class.LatencyObjective+q.class.ObjectivePerWork*q.class.unloadedTime(q, r.now)
-		r.learnFromSuccess(q, a.engine, ev)
-	case EngineFull, NotSent: // sending on would use up the sends of commands, and others may fare well there
-		a.engine.classBackoff(q.class).increase(r.now, a.startedAt, minClassBackoff, maxClassBackoff)
-		a.engine.threadsPerCore = max(minThreadsPerCore, a.engine.threadsPerCore*limitCutFactor)
-		r.updateBounds(a.engine)
-	// an error may be the command's own fault, unless another answers it
+		r.attemptSucceeded(q, a, ev)
+	case EngineFull, NotSent:
+		r.attemptRejected(q, a)
 	case Errored, ConnectFailed, ConnectionReset, TimedOut:
-		if a.endedInError = ev.Outcome == Errored && q.class.Effect != NonIdempotent; !a.endedInError {
-			r.recordAttemptOutcome(q, a, false)
-		}
+		r.attemptFailed(q, a, ev.Outcome)
+	case Cancelled, Withdrawn:
+		// These say nothing about the engine.
 	}
 	if q.done || q.answer != unanswered || q.responseStarted || q.awaited > 0 || a.abandoned {
 		return
 	}
-	if r.enqueue(q); r.now >= r.answerBy(q) || r.attemptsExhausted(q) {
-		r.rejectOrFail(q)
+	r.enqueue(q)
+	if r.now >= r.answerBy(q) {
+		r.rejectOrFail(q, reasonAnswerDue)
+	} else if r.attemptsExhausted(q) {
+		r.rejectOrFail(q, reasonAttemptsExhausted)
+	}
+}
+
+// attemptSucceeded learns from an answer. An error of the same query on another engine was that engine's
+// fault, as this one could answer it.
+func (r *Router) attemptSucceeded(q *query, a *attempt, ev AttemptEnded) {
+	r.recordAttemptOutcome(q, a, true)
+	for i := range q.attempts {
+		other := &q.attempts[i]
+		if other.endedInError && other.engine != a.engine {
+			r.backOff(q, other)
+		}
+	}
+	class := q.class
+	if r.now > q.firstTriedAt+class.LatencyObjective+class.ObjectivePerWork*class.unloadedTime(q, r.now) {
+		r.admission.objectiveMissed = true
+	}
+	r.learnFromSuccess(q, a.engine, ev)
+}
+
+// attemptRejected keeps the class away from an engine that was full for a while and cuts the engine's
+// concurrency limit. Attempts that went on there would be rejected too, and queries would use up their
+// attempts.
+func (r *Router) attemptRejected(q *query, a *attempt) {
+	e := a.engine
+	r.backOff(q, a)
+	e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitCutFactor)
+	r.updateBounds(e)
+}
+
+// attemptFailed takes in a failure of the engine. An error may be the query's own fault: it counts against
+// the engine only if another one answers the query, or if the query may not be tried anywhere else.
+func (r *Router) attemptFailed(q *query, a *attempt, outcome Outcome) {
+	a.endedInError = outcome == Errored && q.class.Effect != NonIdempotent
+	if !a.endedInError {
+		r.recordAttemptOutcome(q, a, false)
 	}
 }
 
-// attemptProgress cancels a plan drawn badly, or a send on an engine that has all but stopped. Harm: work
-// is lost of a command that is truly large, so it acts only with an estimate.
+// attemptProgress takes in a progress message: it tells of table locks and of how slow the engine is, and
+// has an attempt cancelled whose plan is bad or whose engine has all but stopped, if a retry is expected to
+// end sooner. The work that is cancelled is lost; a query that is truly large would be cancelled again and
+// again, so this acts only on queries with an estimate.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
 		return
 	}
-	first := a.lastHeardAt == a.startedAt
-	if a.lastHeardAt = r.now; ev.Kind == ProgressWaitsForTables {
+	firstMessage := a.lastHeardAt == a.startedAt
+	a.lastHeardAt = r.now
+	if ev.Kind == ProgressWaitsForTables {
 		a.engine.tablesLockedUntil[q.tables] = r.now + tableLockNoteLife
 		q.tables.addLockHolder(a.engine)
 	}
-	alone, passed := q.class.unloadedTime(q, r.now), r.now-a.startedAt
-	total, should := passed/max(ev.Value, 0.01), alone*max(1, a.engine.slowdown.mean(r.now, 1, 1))
-	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 { // or no share that an engine can mean
+	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 {
 		return
 	}
-	if q.class.bestUnitTime > 0 && first {
-		a.engine.slowdown.add(r.now, progressWeight*min(20, total/alone), progressWeight)
+	unloaded := q.class.unloadedTime(q, r.now)
+	elapsed := r.now - a.startedAt
+	total := elapsed / max(ev.Value, minProgressShare)
+	expected := unloaded * max(1, a.engine.slowdown.mean(r.now, 1, 1))
+	if firstMessage && q.class.bestUnitTime > 0 {
+		slowdown := min(maxSlowdownSample, total/unloaded)
+		a.engine.slowdown.add(r.now, progressWeight*slowdown, progressWeight)
 		r.updateBounds(a.engine)
 	}
-	if q.estimatedWork > 0 && !q.done && q.class.Effect == Idempotent && !r.attemptsExhausted(q) &&
-		r.retryBudgetAllows() &&
-		total > badPlanFactor*should && total-passed > badPlanRemaining*should {
+	badPlan := total > badPlanFactor*expected && total-elapsed > badPlanRemaining*expected
+	if badPlan && r.mayRetryInstead(q) {
 		q.cancelWanted = true
 		r.markChanged(q)
 	}
 }
 
+// mayRetryInstead reports whether q may be cancelled in order to be retried.
+func (r *Router) mayRetryInstead(q *query) bool {
+	return q.estimatedWork > 0 && !q.done && q.class.Effect == Idempotent &&
+		!r.attemptsExhausted(q) && r.retryBudgetAllows()
+}
+
+// silenceLimit is the time in ms without a message after which an attempt counts as silent; +Inf where
+// engines send no progress messages.
 func (r *Router) silenceLimit() float64 {
 	return silenceIntervals*r.capabilities.ProgressInterval + windowSlack
 }
 
-// checkQuery is what a command's alarm asks for: its end or, if a send has gone quiet, another. Against
-// answers that are lost and engines that hang, though they answer probes. Harm: if only notes are lost it
-// runs twice.
+// checkQuery is what an alarm of q asks for: its final answer if that is due, and a retry for each attempt
+// that has gone silent. It guards against answers that get lost and against engines that hang though they
+// still answer health checks. If only progress messages were lost the query runs twice.
 func (r *Router) checkQuery(q *query) {
 	if r.now >= r.answerBy(q) {
-		r.rejectOrFail(q)
+		r.rejectOrFail(q, reasonAnswerDue)
 	}
 	for i := range q.attempts {
-		a, class := &q.attempts[i], q.class
-		if q.done || q.responseStarted || q.answer != unanswered || !a.outstanding || a.abandoned || a.cancelled {
-			continue
+		a := &q.attempts[i]
+		if q.done || q.responseStarted || q.answer != unanswered {
+			return
 		}
-		again := class.Effect == Idempotent || class.Effect == Deduplicated &&
-			r.now < class.repeatDeadline(a.startedAt)
-		if quiet := a.lastHeardAt + r.silenceLimit(); r.now < quiet {
-			r.setAlarm(quiet, q)
-		} else if again && len(q.attempts) < r.capabilities.MaxAttempts && r.retryBudgetAllows() {
-			r.recordAttemptOutcome(q, a, false)
-			if r.capabilities.Cancel {
-				q.cancelWanted = true
-				r.markChanged(q)
-			} else if r.capabilities.Hedging {
-				r.abandonAttempt(q, a)
-				r.enqueue(q)
-			}
+		if a.outstanding && !a.abandoned && !a.cancelled {
+			r.checkAttempt(q, a)
 		}
 	}
 }
+
+// checkAttempt replaces an attempt of q that has gone silent: it is cancelled where that is possible, else
+// abandoned where a hedged attempt may run beside it. The retry goes through the queue as any other.
+func (r *Router) checkAttempt(q *query, a *attempt) {
+	silentAt := a.lastHeardAt + r.silenceLimit()
+	if r.now < silentAt {
+		r.setAlarm(silentAt, q)
+		return
+	}
+	if !r.repeatable(q, a) || len(q.attempts) >= r.capabilities.MaxAttempts || !r.retryBudgetAllows() {
+		return
+	}
+	r.recordAttemptOutcome(q, a, false)
+	if r.capabilities.Cancel {
+		q.cancelWanted = true
+		r.markChanged(q)
+	} else if r.capabilities.Hedging {
+		r.abandonAttempt(q, a)
+		r.enqueue(q)
+	}
+}
+
+// repeatable reports whether q may be repeated although an attempt may still run.
+func (r *Router) repeatable(q *query, a *attempt) bool {
+	switch q.class.Effect {
+	case Idempotent:
+		return true
+	case Deduplicated:
+		return r.now < q.class.repeatDeadline(a.startedAt)
+	default:
+		return false
+	}
+}
--- a/router/retrybudget.go
+++ b/router/retrybudget.go
@@ -1,15 +1,20 @@
 package router
 
-// retryBudget has the attempts and queries that the retry budget counts.
+// retryBudget is what the retry budget counts.
 type retryBudget struct {
 	retries slidingWindow // attempts beyond a query's first
 	queries slidingWindow // queries taken
 }
 
-// retryBudgetAllows counts resends over a little more, and commands taken over a little less, than the
-// window.
+// retryBudgetAllows is rule 7: it reports whether one more retry stays within the budget in every window
+// that ends now. Retries are counted over a little more than the window and queries over a little less, so
+// that the rule holds by clocks that differ by up to windowSlack.
 func (r *Router) retryBudgetAllows() bool {
-	g := r.limits
-	return !g.RetryBudgeted || r.retryBudget.retries.sumSince(r.now-g.RetryBudgetWindow-windowSlack)+1 <=
-		g.RetryBudgetMin+g.RetryBudgetRatio*r.retryBudget.queries.sumSince(r.now-g.RetryBudgetWindow+windowSlack)
+	limits := &r.limits
+	if !limits.RetryBudgeted {
+		return true
+	}
+	retries := r.retryBudget.retries.sumSince(r.now - limits.RetryBudgetWindow - windowSlack)
+	queries := r.retryBudget.queries.sumSince(r.now - limits.RetryBudgetWindow + windowSlack)
+	return retries+1 <= limits.RetryBudgetMin+limits.RetryBudgetRatio*queries
 }
--- a/router/search.go
+++ b/router/search.go
@@ -49,7 +49,7 @@
 	b := &e.bounds
 	b.maybeHealthy = e.state == Ready && (e.healthy() || e.attempts == 0 || e.succeededAt > r.now-recentSuccessFor)
 	b.maxCapacity = e.cores * r.slowStartCapacityAt(e, until)
-	b.minFill = (e.threads + threadsPerOtherQuery*max(0, e.othersInflight.lowerBound(r.now, until, e.cores*r.search.minOthersPerCore, 0.5))) / b.maxCapacity
+	b.minFill = (e.threads + threadsPerOtherQuery*max(0, e.othersInflight.lowerBound(r.now, until, e.cores*r.search.minOthersPerCore, priorReportWeight))) / b.maxCapacity
 	b.minSlowdown = 1
 	if e.slowdown.sum > e.slowdown.weight {
 		b.minSlowdown = max(1, e.slowdown.lowerBound(r.now, until, 1, 1)/widenBelowSlowdown)
@@ -61,7 +61,7 @@
 	if b.maybeWarming = r.now <= e.startedAt+r.limits.SlowStartTime+windowSlack; b.maybeWarming {
 		r.search.warmingEngines++ // at the least: it only tells that there is one
 	}
-	if was := b.exemptFromPool; was != (b.maybeHealthy && (b.maybeWarming || b.minFill < roomyFill*initialThreadsPerCore)) {
+	if was := b.exemptFromPool; was != (b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)) {
 		if b.exemptFromPool = !was; was {
 			r.search.exemptEngines--
 		} else {
--- a/router/selection.go
+++ b/router/selection.go
@@ -1,122 +1,145 @@
 package router
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	roomyFill         = 0.75   // share of the thread limit up to which an engine takes queries of other pools
-	affinityWeight    = 1.0    // threads a core that the least affinity of a table group to an engine counts as
-	tableLockPenalty  = 4.0    // threads a core that a lock on the query's tables counts as
-	tableLockNoteLife = 1500.0 // ms for which a progress message that tells of a table lock counts
-	// of the healthy engines; when as many have a group locked, further loads join them
-	widelyLockedShare = 2.0 / 3
+	spillShare        = 0.75    // of its thread limit, up to which an engine takes queries of other pools
+	affinityWeight    = 1.0     // threads a core, as which the least affinity counts
+	tableLockPenalty  = 4.0     // threads a core, as which a lock on the query's tables counts
+	tableLockNoteLife = 1500.0  // ms for which a progress message that tells of a table lock counts
+	widelyLockedShare = 2.0 / 3 // of the healthy engines; where a group is locked on as many, further loads join
+	priorReportWeight = 0.5     // reports that the mean of all engines weighs as much as, for one engine's load
 )
 
-const (
-	minClassBackoff = 200.0 // ms for which a class stays away from an engine that rejected it, at first
-	maxClassBackoff = 1e3   // ms
-)
+// selection is one search for the engine of a query.
+type selection struct {
+	q            *query
+	lockedOnly   bool    // it goes only where its tables are locked already
+	trafficShare float64 // of this controller
+	best         bestCandidate
+}
 
-// selectEngine finds the engine for c: the least pressed of its owners' with room, else a roomy one
-// anywhere; of two alike the first. Who can't be it by their bounds, or by another of the profile just now,
-// are left out.
+// selectEngine finds the engine for q: the one with the lowest placement score among those of its table
+// group's pools that have capacity. If none has, or q would meet a lock or its own failure there, it spills
+// to any engine that is not too full. Of two alike the first in the list wins. nil: no engine may take it
+// now.
 func (r *Router) selectEngine(q *query) *engine {
 	if r.noCapacityAnywhere(q) {
 		return nil
 	}
-	best, crowded, part := bestCandidate{score: math.Inf(1)}, r.tablesLockedWidely(q), r.trafficShare()
-	consider := func(s *candidateList, engines []*engine, fill float64) {
-		if r.knownFull(s, q.class) {
+	s := selection{
+		q:            q,
+		lockedOnly:   r.tablesLockedWidely(q),
+		trafficShare: r.trafficShare(),
+		best:         bestCandidate{score: math.Inf(1)},
+	}
+	for kind, pool := range q.tables.pools {
+		if pool != nil && permits(q.class.Kinds, KindID(kind)) {
+			r.searchIn(&s, &pool.candidates, pool.engines, 1)
+		}
+	}
+	if s.best.engine == nil || r.contention(q, s.best.engine) > 0 {
+		r.searchIn(&s, &r.search.candidates, r.engineList, spillShare)
+	}
+	return s.best.engine
+}
+
+// searchIn looks for a better engine in a list, each filled up to a share of its thread limit. The bounds
+// of search.go leave out those that can't be better. If no engine of the list has capacity, and nothing but
+// its class and table group narrows the choice of q, that is remembered for the others of its class in this
+// step.
+func (r *Router) searchIn(s *selection, candidates *candidateList, engines []*engine, share float64) {
+	q := s.q
+	if r.knownFull(candidates, q.class) {
+		return
+	}
+	firstSearch := s.best.engine == nil
+	s.best.index = -1 // a best engine of an earlier list comes before all of this one
+	r.eachLikelyWinner(q, candidates, engines, share, s.trafficShare, &s.best, func(e *engine, index int) {
+		if !q.placementAllows(e.kind, e.zone) {
 			return
 		}
-		found := best.engine
-		best.index = -1 // ahead of all others
-		r.eachLikelyWinner(q, s, engines, fill, part, &best, func(e *engine, at int) {
-			if q.placementAllows(e.kind, e.zone) && (!crowded || e.tableLocksHeld(q.tables, r.now) > 0) {
-				x := r.placementScore(q, e)
-				if best.beatenBy(x, at) && r.hasCapacity(q, e, fill) && r.eligible(q, e) {
-					best = bestCandidate{e, x, at}
-				}
-			}
-		})
-		if found == nil && best.engine == nil && !crowded && r.unrestricted(q) {
-			r.markFull(s, q.class)
+		if s.lockedOnly && e.tableLocksHeld(q.tables, r.now) == 0 {
+			return
 		}
-	}
-	for k, pool := range q.tables.pools {
-		if pool != nil && permits(q.class.Kinds, KindID(k)) {
-			consider(&pool.candidates, pool.engines, 1)
+		score := r.placementScore(q, e)
+		if s.best.beatenBy(score, index) && r.hasCapacity(q, e, share) && r.eligible(q, e) {
+			s.best = bestCandidate{engine: e, score: score, index: index}
 		}
+	})
+	if firstSearch && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
+		r.markFull(candidates, q.class)
 	}
-	if best.engine == nil || r.contention(q, best.engine) > 0 {
-		consider(&r.search.candidates, r.engineList, roomyFill)
-	}
-	return best.engine
 }
 
-// placementScore ranks engines for a command: how filled and slow they are, loads that hold its tables,
-// leaning.
+// placementScore ranks engines for a query, lowest first: how full the engine would be, times how slow it
+// is, plus what q would wait for there, plus the affinity of its table group. Queries that lock their
+// tables have no affinity: they would meet on one engine and wait for each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
-	x := (r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))) * max(1, e.slowdown.mean(r.now, 1,
-		1)/widenBelowSlowdown)
-	x += tableLockPenalty * r.contention(q, e) // who would stand still behind a load finds another engine
-	if !q.class.LocksTables {                  // those don't meet, or they would stand still behind each other
-		x += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
+	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
+	score := fill * max(1, e.slowdown.mean(r.now, 1, 1)/widenBelowSlowdown)
+	score += tableLockPenalty * r.contention(q, e)
+	if !q.class.LocksTables {
+		score += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
 	}
-	return x
+	return score
 }
 
-// fill is the threads a core that an engine is taken to run, own and others', by its reports.
+// fill is how many threads a core an engine is taken to run: own attempts, and those of other controllers
+// by its reports, or by the mean of all engines' while it has not reported.
 func (r *Router) fill(e *engine) float64 {
-	others := e.othersInflight.mean(r.now, e.cores*r.traffic.othersPerCore.mean(r.now, 0, 1), 0.5)
+	mean := e.cores * r.traffic.othersPerCore.mean(r.now, 0, 1)
+	others := e.othersInflight.mean(r.now, mean, priorReportWeight)
 	return (e.threads + threadsPerOtherQuery*others) / (e.cores * r.slowStartCapacity(e))
 }
 
-// contention is what is known contention c on e: loads that it would stand still behind, its sends that
-// failed there.
+// contention counts what is known to speak against q on e: locks on its tables that it would wait for, and
+// its own attempts that failed there.
 func (r *Router) contention(q *query, e *engine) float64 {
-	if class := q.class; class.LocksTables || class.WaitsForTables {
-		return e.tableLocksHeld(q.tables, r.now) + q.failedAttemptsOn(e)
+	failed := q.failedAttemptsOn(e)
+	if q.class.LocksTables || q.class.WaitsForTables {
+		return e.tableLocksHeld(q.tables, r.now) + failed
 	}
-	return q.failedAttemptsOn(e)
+	return failed
 }
 
-// tablesLockedWidely tells whether loads hold c's tables on so many engines that another goes where they
-// are held: it waits its turn there, and who waits for tables finds engines where it need not. Against
-// traffic that meets on few tables, whose loads would hold them everywhere. Harm: loads queue up, and more
-// of them are late.
+// tablesLockedWidely reports whether the tables of q, which will lock them too, are locked on so many
+// engines that q has to join one of these. It waits there, and queries that wait for the tables find
+// engines where they need not. It guards against traffic that meets on few tables, whose locks would
+// otherwise spread to all engines. Loads queue up, and more of them are late.
 func (r *Router) tablesLockedWidely(q *query) bool {
 	if !q.class.LocksTables || len(q.tables.lockHolders) == 0 {
 		return false
 	}
-	held := r.lockedEngines(q.tables)
-	return held > 0 && held >= widelyLockedShare*r.healthyEngines()
+	locked := r.lockedEngines(q.tables)
+	return locked > 0 && locked >= widelyLockedShare*r.healthyEngines()
 }
 
-// lockedEngines counts the ready and well engines on which loads hold a table group.
-func (r *Router) lockedEngines(g *tableGroup) (n float64) {
+// lockedEngines counts the ready and healthy engines on which a table group is locked.
+func (r *Router) lockedEngines(g *tableGroup) float64 {
 	g.dropReleasedLocks(r.now)
+	count := 0.0
 	for _, e := range g.lockHolders {
 		if e.state == Ready && e.healthy() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// healthyEngines counts the engines that are ready and well.
-func (r *Router) healthyEngines() (n float64) {
+// healthyEngines counts the engines that are ready and healthy.
+func (r *Router) healthyEngines() float64 {
+	count := 0.0
 	for _, e := range r.engineList {
 		if e.state == Ready && e.healthy() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// rendezvousAffinity is a fixed leaning from 0 to 1 of a table group to an engine, the same at every
-// controller.
+// rendezvousAffinity is a hash of a table group and an engine, from 0 to 1: the same at every controller,
+// so that they all prefer the same engines for a group without any talk.
 func rendezvousAffinity(g *tableGroup, e *engine) float64 {
 	x := e.idHash ^ uint64(g.id)*0x9e3779b97f4a7c15
 	x ^= x >> 31
--- a/router/shedding.go
+++ b/router/shedding.go
@@ -1,60 +1,69 @@
 package router
 
 const (
-	runTimeMargin = 1.2 // on the expected run time, when it is decided whether a query is given up
-	minQueueShare = 0.5 // of the latency objective for which a query is always queued
-	// a class that keeps this share of its benefit when late is queued past its objective
-	lateBenefitThreshold = 0.5
+	runTimeMargin        = 1.2 // on the expected run time, when it is decided how long a query may be queued
+	minQueueShare        = 0.5 // of the latency objective, for which a query is queued whatever is expected
+	lateBenefitThreshold = 0.5 // benefit when late, from which a class is queued past its latency objective
+	lateRunTimeMargin    = 1.5 // on the unloaded time of such a class
 )
 
-// latestStart is the latest that c may start and be worth its work, if it runs as alone: later it could
-// only miss its latency target or, where late answers keep most of their benefit, its client timeout.
+// latestStart is the latest time at which q can start and be worth its work, if it runs as on an idle
+// engine. Started later it could only miss its latency objective or, where late answers keep most of their
+// benefit, its client timeout.
 func (r *Router) latestStart(q *query) float64 {
-	class, alone := q.class, q.class.unloadedTime(q, r.now)
+	class := q.class
+	unloaded := class.unloadedTime(q, r.now)
 	if class.LateBenefit >= lateBenefitThreshold {
-		return r.answerBy(q) - 1.5*alone
+		return r.answerBy(q) - lateRunTimeMargin*unloaded
 	}
-	return min(q.firstTriedAt+class.LatencyObjective+class.ObjectivePerWork*alone, r.answerBy(q)) - alone
+	return min(q.firstTriedAt+class.LatencyObjective+class.ObjectivePerWork*unloaded, r.answerBy(q)) - unloaded
 }
 
-// shedDeadline is when a held command is given up: as startBy, but by how long such commands run lately, or
-// overload would send all at the last moment. A part of its target is waited: one slow answer shuts none out.
+// shedDeadline is the time at which a queued query is given up. It is latestStart, less what such queries
+// lately take longer than on an idle engine: otherwise, in overload, all would start at the last moment and
+// be late. For a part of its latency objective it is queued in any case, so that one slow answer does not
+// shut out a class.
 func (r *Router) shedDeadline(q *query) float64 {
-	class, by := q.class, r.latestStart(q)
-	return max(by-max(0, runTimeMargin*class.expectedRunTime(q, r.now)-class.unloadedTime(q, r.now)), min(by,
-		q.firstTriedAt+minQueueShare*class.LatencyObjective))
+	class := q.class
+	latest := r.latestStart(q)
+	slower := max(0, runTimeMargin*class.expectedRunTime(q, r.now)-class.unloadedTime(q, r.now))
+	return max(latest-slower, min(latest, q.firstTriedAt+minQueueShare*class.LatencyObjective))
 }
 
-// rejectOrFail gives c its final answer at once: it is never parked to keep its client from asking again.
-func (r *Router) rejectOrFail(q *query) {
+// shedOverdue gives up the queued queries that are past their shedDeadline. Only those that are on their
+// client's first try make it an overload: if late retries did, shedding them would bring the next retries
+// and keep it up.
+func (r *Router) shedOverdue() {
+	for _, q := range r.overdueQueries() {
+		r.admission.objectiveMissed = true
+		if q.firstTriedAt == q.arrivedAt {
+			r.admission.overloadedUntil = r.now + overloadDuration
+		}
+		r.rejectOrFail(q, reasonOverdue)
+	}
+}
+
+// rejectOrFail gives q its final answer at once, for the reason named. A query that was given up is never
+// held back to keep its client from retrying. It is rejected if a retry is harmless, else failed; attempts
+// that run are cancelled.
+func (r *Router) rejectOrFail(q *query, reason answerReason) {
 	if q.done || q.responseStarted || q.answer != unanswered {
 		return
 	}
-	q.answer, q.cancelWanted = failedFinally, true
+	q.answer = failedFinally
 	if r.mayReject(q) {
 		q.answer = rejected
 	}
+	q.reason = reason
+	q.cancelWanted = true
 	r.markChanged(q)
 }
 
-// RetryAfterDelay is how long a client that is shed should stay away, in ms: long, and not all together, by
-// chance.
-func (a Capabilities) RetryAfterDelay(chance float64) float64 {
-	if !a.RetryAfter {
+// RetryAfterDelay is the time in ms that a rejected client should wait before it retries; 0 if it is not
+// told. chance, from 0 to 1, spreads the retries over the second half of the longest wait allowed.
+func (c Capabilities) RetryAfterDelay(chance float64) float64 {
+	if !c.RetryAfter {
 		return 0
 	}
-	return a.MaxRetryAfter * (0.5 + 0.5*chance)
-}
-
-// shedOverdue gives up the queued queries that can't be worth their work any more. Overload is taken from
-// those alone that are on their client's first try: shedding for late retries would keep an overload up by
-// their next retries.
-func (r *Router) shedOverdue() {
-	for _, q := range r.overdueQueries() {
-		r.admission.objectiveMissed = true
-		if q.firstTriedAt == q.arrivedAt {
-			r.admission.overloadedUntil = r.now + overloadDuration
-		}
-		r.rejectOrFail(q)
-	}
+	return c.MaxRetryAfter * (0.5 + 0.5*chance)
 }
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -1,59 +1,76 @@
 package router
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	slowStartShareUsed      = 0.6 // share of what the rule allows a warming engine that is used
-	slowStartTurnsPerWindow = 2.0 // turns among controllers in a window of the rule
+	// slowStartShareUsed is the share of what rule 4 allows a warming engine that all controllers together use.
+	slowStartShareUsed = 0.6
+	// slowStartTurnsPerWindow is how many turns controllers take in one window of the rule.
+	slowStartTurnsPerWindow = 2.0
 )
 
-// slowStartPartSizes are, in ms of work, what a controller's part of a warming engine must hold for small,
-// middling and large queries. Where an equal part holds less, controllers take turns.
+// slowStartPartSizes are, in ms of work, what a controller's part of a warming engine has to hold so that a
+// small, a middling or a large query fits into it.
 var slowStartPartSizes = [...]float64{500, 2000, 8000}
 
-// slowStartAllowance is this controller's part of what a cold engine may be sent within the window, as if
-// it had its least stated capacity until warm and all used theirs. Where an equal part is under a command,
-// controllers take turns by number, engine and time since its start, at parts for small, middling and large
-// commands.
+// slowStartAllows is rule 4: it reports whether an attempt of q fits into this controller's part of what a
+// warming engine may be sent in one window. A controller that has not yet run for a window starts nothing
+// on a warming engine, because it does not know what it sent before its own restart.
+func (r *Router) slowStartAllows(q *query, e *engine) bool {
+	allowance := r.slowStartAllowance(e)
+	if math.IsInf(allowance, 1) {
+		return true
+	}
+	windowStart := r.now - r.limits.SlowStartWindow - windowSlack
+	return r.startedAt <= windowStart &&
+		e.slowStartWork.sumSince(windowStart)+q.slowStartCost(r.now) <= allowance
+}
+
+// slowStartAllowance is this controller's part, in ms of work, of what a warming engine may be sent in one
+// window; +Inf once the engine is warm. Controllers don't talk to each other, so it is computed as if all of
+// them used theirs, and as if the engine had no more than the capacity that it starts with until it is warm.
+//
+// Where an equal part would be too small for any query, controllers take turns: in each turn some of them
+// have a larger part and the others none. Who has a turn follows from its index, the engine and the time
+// since the engine's start, which all controllers know alike. The size of the parts changes from turn to
+// turn, so that large queries get their turn too.
 func (r *Router) slowStartAllowance(e *engine) float64 {
-	g := r.limits
-	if r.now > e.startedAt+g.SlowStartTime+windowSlack || g.SlowStartOverload <= 0 {
+	limits := &r.limits
+	warm := r.now > e.startedAt+limits.SlowStartTime+windowSlack
+	if warm || limits.SlowStartOverload <= 0 {
 		return math.Inf(1)
 	}
-	whole := slowStartShareUsed * g.SlowStartOverload * g.SlowStartCapacity * e.cores * g.SlowStartWindow
+	whole := slowStartShareUsed * limits.SlowStartOverload * limits.SlowStartCapacity *
+		e.cores * limits.SlowStartWindow
 	if whole >= slowStartPartSizes[0]*r.controllers {
 		return whole / r.controllers
 	}
-	whole /= slowStartTurnsPerWindow + 1 // a window touches so many stretches
-	stretch := uint64(max(0, r.now-e.startedAt) * slowStartTurnsPerWindow / (g.SlowStartWindow + 2*windowSlack))
-	turns := math.Ceil(r.controllers / max(1,
-		math.Floor(whole/slowStartPartSizes[stretch%uint64(len(slowStartPartSizes))])))
-	if (e.idHash+uint64(r.index)+stretch/uint64(len(slowStartPartSizes)))%uint64(turns) != 0 {
+	whole /= slowStartTurnsPerWindow + 1 // a window overlaps this many turns
+	const sizes = uint64(len(slowStartPartSizes))
+	window := limits.SlowStartWindow + 2*windowSlack
+	turn := uint64(max(0, r.now-e.startedAt) * slowStartTurnsPerWindow / window)
+	partsAtOnce := max(1, math.Floor(whole/slowStartPartSizes[turn%sizes]))
+	groups := math.Ceil(r.controllers / partsAtOnce)
+	if (e.idHash+uint64(r.index)+turn/sizes)%uint64(groups) != 0 {
 		return 0
 	}
-	return whole / math.Ceil(r.controllers/turns)
-}
-
-func (r *Router) slowStartAllows(q *query, e *engine) bool {
-	// what an earlier life sent is not known
-	part, from := r.slowStartAllowance(e), r.now-r.limits.SlowStartWindow-windowSlack
-	return math.IsInf(part, 1) || r.startedAt <= from &&
-		e.slowStartWork.sumSince(from)+q.slowStartCost(r.now) <= part
+	return whole / math.Ceil(r.controllers/groups)
 }
 
-// slowStartCapacityAt is the share of its capacity that a cold engine is taken to have at some time, by
-// what is stated of such.
+// slowStartCapacityAt is the share of its full capacity that e is taken to have at some time: it grows evenly
+// from the configured start to 1.
 func (r *Router) slowStartCapacityAt(e *engine, at float64) float64 {
-	return r.limits.SlowStartCapacity + (1-r.limits.SlowStartCapacity)*min(1, max(0, at-e.startedAt)/max(1,
-		r.limits.SlowStartTime))
+	limits := &r.limits
+	warmth := min(1, max(0, at-e.startedAt)/max(1, limits.SlowStartTime))
+	return limits.SlowStartCapacity + (1-limits.SlowStartCapacity)*warmth
 }
 
+// slowStartCapacity is slowStartCapacityAt now.
 func (r *Router) slowStartCapacity(e *engine) float64 { return r.slowStartCapacityAt(e, r.now) }
 
-// slowStartCost is what c counts for at a cold engine: as its profile usually does, more if its estimate
-// says so.
+// slowStartCost is the work in ms that q counts for on a warming engine: the usual work of its class, or
+// its own estimate if that is larger. A cap on the estimate does not count here: too low a guess would
+// break rule 4.
 func (q *query) slowStartCost(now float64) float64 {
 	return max(q.class.usualWork(now), q.uncappedEstimate)
 }
--- a/router/trafficshare.go
+++ b/router/trafficshare.go
@@ -7,25 +7,30 @@
 	othersPerCore decayedMean // queries of other controllers for each core, by all reports
 
 	// trafficShare keeps its last result, as it is asked for many times a step.
-	cachedFrom  decayedMean // the share that it was computed from
-	cachedAt    float64     // ms
 	cachedShare float64
+	cachedAt    float64     // ms
+	cachedFrom  decayedMean // the value of share that it was computed from
 }
 
 const (
-	shareHalfLife  = 5000.0 // ms, of the traffic share and the rates beside it
-	tenantHalfLife = 2000.0 // ms, of the rate of a tenant's queries
+	shareHalfLife    = 5000.0 // ms, of the traffic share and the rates beside it
+	tenantHalfLife   = 2000.0 // ms, of the rate of a tenant's queries
+	equalShareWeight = 200.0  // reported queries that the assumption of an equal share weighs as much as
+	minShare         = 0.2    // of an equal share; a controller takes no less for its own
 )
 
-// trafficShare is this controller's part of the traffic, by what engines hold; first, weighing 200, an
-// equal one.
+// trafficShare is the share of all traffic that passes through this controller, from 0 to 1. It is learned
+// from what engines report to have in flight, and starts as an equal share.
 func (r *Router) trafficShare() float64 {
 	if r.controllers == 1 {
 		return 1
 	}
-	if r.traffic.cachedAt != r.now || r.traffic.cachedFrom != r.traffic.share { // many ask at one moment
-		r.traffic.cachedShare = min(1, max(0.2/r.controllers, r.traffic.share.mean(r.now, 1/r.controllers, 200)))
-		r.traffic.cachedAt, r.traffic.cachedFrom = r.now, r.traffic.share
+	state := &r.traffic
+	if state.cachedAt != r.now || state.cachedFrom != state.share {
+		learned := state.share.mean(r.now, 1/r.controllers, equalShareWeight)
+		state.cachedShare = min(1, max(minShare/r.controllers, learned))
+		state.cachedAt = r.now
+		state.cachedFrom = state.share
 	}
-	return r.traffic.cachedShare
+	return state.cachedShare
 }
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -42,7 +42,7 @@
 	if q.worthEpoch == class.worthCache.epoch && r.now < q.worthUntil {
 		return true
 	}
-	if r.notWorthRunning(q) {
+	if r.whyNotWorthRunning(q) != noReason {
 		return false
 	}
 	long := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
