--- /dev/null
+++ b/internal/memory/stored_test.go
@@ -0,0 +1,145 @@
+package memory
+
+// A rename or a reordering of fields can change the format of the memory folder without any other test failing: both
+// ends of a test are of one build. These tests read a folder that an earlier build wrote.
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"mintkeel/internal/core/restore"
+	"mintkeel/internal/lab/golden"
+	"mintkeel/internal/store/disk"
+	"mintkeel/internal/store/disk/disktest"
+	"mintkeel/internal/store/snapshots"
+	"mintkeel/router"
+)
+
+const (
+	storedFolder = "testdata/folder"
+	storedName   = "snapshot-0000000000000001"
+	storedTaken  = 1_700_000_000_500.0 // ms since 1970
+)
+
+// storedLearned holds each kind of record, with every field set and figures that the format holds exactly.
+func storedLearned() router.Learned {
+	return router.Learned{
+		Engines: []router.LearnedEngine{
+			{At: 1_700_000_000_001, Engine: "engine-a", Since: 1_699_999_000_000.25,
+				Pace: router.Weighed{Mean: 1.5, Weight: 2}, Width: 2.25, Outcomes: 0xfb, Lead: "engine-b"},
+			{At: 1_700_000_000_002, Engine: "engine-b", Since: 1_699_999_100_000.5,
+				Pace: router.Weighed{Mean: 1.25, Weight: 3}, Width: 4.125, Outcomes: 0x7f, Lead: "engine-b"},
+		},
+		Tables: []router.LearnedTables{
+			{At: 1_700_000_000_003, Tables: -1, Demand: 0.5, Held: 8, Homes: []router.EngineID{"engine-a", ""}},
+			{At: 1_700_000_000_004, Tables: 70_000, Demand: 0.75, Held: 16.5,
+				Homes: []router.EngineID{"", "engine-b"}},
+		},
+		Profiles: []router.LearnedProfile{{At: 1_700_000_000_005, Profile: 3, FullLeft: 900, Best: 20,
+			WorkScale: router.Weighed{Mean: 2, Weight: 5}, NeedScale: router.Weighed{Mean: 0.625, Weight: 1}}},
+		Traffic: []router.LearnedTraffic{{At: 1_700_000_000_006, Part: router.Weighed{Mean: 0.375, Weight: 300}}},
+	}
+}
+
+func storedKept() *Kept {
+	return &Kept{File: storedName, Serial: 1, Taken: storedTaken, Build: "v1.2.3",
+		Memory: restore.Snapshot{Of: restore.Identity{Name: "n3", Settings: 0xfedcba9876543210}, Learned: storedLearned()},
+		Whole:  true, head: true}
+}
+
+// writeStored writes what a snapshot holds to a new folder, and returns the bytes of its file.
+func writeStored(t *testing.T, kept *Kept) []byte {
+	t.Helper()
+	d := disktest.New()
+	folder, err := snapshots.Open(d, Bounds(usual))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer folder.Close()
+	_, err = folder.Write(func(add func(snapshots.Kind, []byte) error) error {
+		head, err := encoder.Marshal(headForm{Name: kept.Memory.Of.Name, Settings: kept.Memory.Of.Settings,
+			Taken: int64(kept.Taken), Build: kept.Build})
+		if err != nil {
+			return err
+		}
+		if err := add(sectionHead, head); err != nil {
+			return err
+		}
+		return encode(&kept.Memory.Learned, add)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := d.Open(storedName)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	size, _ := file.Size()
+	content := make([]byte, size)
+	if _, err := file.Read(content); err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+func TestStoredSnapshotIsReadable(t *testing.T) {
+	if golden.Updating() {
+		golden.Write(t, filepath.Join(storedFolder, storedName), writeStored(t, storedKept()))
+	}
+	kept, trials, err := Load(disk.Folder(storedFolder), Bounds(usual))
+	if err != nil || len(trials) != 1 || trials[0].Err != nil {
+		t.Fatal(trials, err)
+	}
+	if want := storedKept(); !reflect.DeepEqual(kept, want) {
+		t.Errorf("read:\n%+v\nstored:\n%+v", kept, want)
+	}
+	checks, err := Verify(disk.Folder(storedFolder), Bounds(usual))
+	if err != nil || !reflect.DeepEqual(checks, []Check{{File: storedName, Whole: true, Name: "n3", Records: 6}}) {
+		t.Errorf("verified: %+v, %v", checks, err)
+	}
+}
+
+func TestStoredSnapshotIsWrittenAsBefore(t *testing.T) {
+	want, err := os.ReadFile(filepath.Join(storedFolder, storedName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := writeStored(t, storedKept()); string(got) != string(want) {
+		t.Errorf("written: %x\nstored:  %x", got, want)
+	}
+}
+
+func TestPackedStatisticsAreStable(t *testing.T) {
+	table := golden.Open(t, "packed.golden")
+	learned := storedLearned()
+	golden.AllSet(t, learned.Engines)
+	golden.AllSet(t, learned.Tables)
+	golden.AllSet(t, learned.Profiles)
+	golden.AllSet(t, learned.Traffic)
+	packed, err := Pack(&learned)
+	if err != nil {
+		t.Fatal(err)
+	}
+	unpacked, err := Unpack(table.Bytes(t, "learned", packed))
+	if err != nil || !reflect.DeepEqual(unpacked, learned) {
+		t.Errorf("unpacked: %+v, %v", unpacked, err)
+	}
+}
+
+func TestShownMemoryJSONIsStable(t *testing.T) {
+	shown, err := json.MarshalIndent(Show(storedKept(), storedTaken+1000, restore.DefaultHalfLives()), "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.File(t, "show.json.golden", shown)
+	checks := []Check{{File: storedName, Whole: true, Why: "is damaged", Name: "n3", Records: 6}}
+	verified, err := json.MarshalIndent(checks, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.File(t, "verify.json.golden", verified)
+}
