--- /dev/null
+++ b/internal/fleet/stored_test.go
@@ -0,0 +1,232 @@
+package fleet
+
+// A rename or a reordering of fields can change what lease holders hand on, what jobs send each other, and what a
+// controller stores of the fleet's configuration. It shows only beside a controller, or with a folder, of an earlier
+// build. These tests compare with what an earlier build wrote.
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/core/fleet/maintenance"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/lab/golden"
+	"mintkeel/internal/store/disk"
+	"mintkeel/router"
+)
+
+func storedPlan() maintenance.Plan {
+	return maintenance.Plan{
+		ID: "kernel",
+		Select: maintenance.Selection{Engines: []maintenance.EngineID{"e1", "e2"}, Zones: []maintenance.Zone{"east"},
+			Kinds: []maintenance.Kind{"c16"}, Before: 1_700_000_000_000.5},
+		Needs:   600_000,
+		By:      1_700_000_900_000,
+		Not:     []maintenance.Hours{{From: 480, To: 1080}},
+		Keep:    []maintenance.Keep{{Kind: "std", Zone: "west", Count: 3, Share: 0.75}},
+		AtOnce:  2,
+		Version: 4,
+		Halted:  true,
+		Over:    true,
+		Person:  true,
+	}
+}
+
+func storedTask() maintenance.Task {
+	return maintenance.Task{Engine: "e1", Plan: "kernel", Step: maintenance.Working, At: 1_700_000_000_001.25, Number: 17,
+		Zone: "east", Kind: "c16", Cores: 16, Before: 1_699_000_000_000, Begun: 1_700_000_000_000.25}
+}
+
+func storedMaintenance() maintenanceState {
+	return maintenanceState{
+		Plans:   []maintenance.Plan{storedPlan()},
+		Tasks:   []maintenance.Task{storedTask()},
+		Without: []members.ID{"n7"},
+		Known:   []maintenance.EngineID{"e1", "e2", "e3"},
+		Hooked:  map[string]uint64{"e1": 17}, // one entry: the encoding of a map has no order
+	}
+}
+
+func versionOfDocument(document []byte) config.Version {
+	return config.Version{Number: 7, Hash: sha256.Sum256(document), Size: len(document), Author: "ann",
+		Reason: "more room", Time: 1_700_000_000_123, RollbackOf: 5,
+		ID: config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11}}
+}
+
+func TestStoredMaintenanceStateIsReadable(t *testing.T) {
+	table := golden.Open(t, "maintenance.golden")
+	state := storedMaintenance()
+	golden.AllSet(t, state)
+	golden.CBOR(t, table, "agreed-state", state, frames.Decoder.Unmarshal)
+	effect := holdEffect{Serial: 18, Engines: []router.EngineID{"e1", "e2"}}
+	golden.AllSet(t, effect)
+	golden.CBOR(t, table, "hold-effect", effect, frames.Decoder.Unmarshal)
+}
+
+func TestMaintenanceStepNumbersAreStable(t *testing.T) {
+	steps := []maintenance.Step{maintenance.Preparing, maintenance.Draining, maintenance.Free, maintenance.Working,
+		maintenance.Returning, maintenance.Warming, maintenance.Done, maintenance.Missing}
+	for number, step := range steps {
+		if int(step) != number {
+			t.Errorf("%v is stored as %d, and was as %d", step, step, number)
+		}
+	}
+}
+
+func TestJobMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "jobmessages.golden")
+	confirmation := maintenanceMessage{Kind: maintenanceMessageKind, Token: 19, Serial: 18,
+		Stopped: []router.EngineID{"e1", "e2"}}
+	golden.CBOR(t, table, "maintenance-confirmation", confirmation, frames.Decoder.Unmarshal)
+	request := maintenanceMessage{Kind: maintenanceMessageKind, Token: 19, Serial: 18, Stopped: []router.EngineID{"e1"},
+		Request: &encodedRequest{Ref: 20, JSON: []byte(`{"do":"status"}`)}}
+	golden.CBOR(t, table, "maintenance-request", request, frames.Decoder.Unmarshal)
+	answer := maintenanceMessage{Kind: maintenanceMessageKind, Token: 19, Serial: 18, Stopped: []router.EngineID{"e1"},
+		Answer: &encodedAnswer{Ref: 20, JSON: []byte(`{}`)}}
+	golden.CBOR(t, table, "maintenance-answer", answer, frames.Decoder.Unmarshal)
+
+	statistics := &statisticsSnapshot{Settings: 0xfedcba9876543210, Now: 1_700_000_000_000.5, Whole: true, Token: 21,
+		Data: []byte{1, 2, 3}}
+	golden.AllSet(t, statistics)
+	golden.CBOR(t, table, "digest-gather", digestMessage{Digest: true, Gather: true}, frames.Decoder.Unmarshal)
+	golden.CBOR(t, table, "digest-want", digestMessage{Digest: true, Want: true}, frames.Decoder.Unmarshal)
+	golden.CBOR(t, table, "digest-snapshot", digestMessage{Digest: true, Snapshot: statistics}, frames.Decoder.Unmarshal)
+	golden.CBOR(t, table, "digest-effect", *statistics, frames.Decoder.Unmarshal)
+}
+
+// TestStoredConfigFolderIsReadable reads a folder of configuration versions of an earlier build, and writes the same
+// versions to the same files.
+func TestStoredConfigFolderIsReadable(t *testing.T) {
+	const generation = 3
+	document := []byte("log {\n  level = \"warn\"\n}\n")
+	version := versionOfDocument(document)
+	golden.AllSet(t, configRecord{Generation: generation, Version: version})
+
+	written := filepath.Join(t.TempDir(), "config")
+	folder, _, err := openConfigFolder(disk.Folder(written), generation)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer folder.close()
+	request := &config.StoreRequest{Hash: version.Hash, Document: document, Current: &version}
+	if err := folder.store(request); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"current", "document-" + version.Hash.String()} {
+		content, err := os.ReadFile(filepath.Join(written, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.File(t, filepath.Join("config", name), content)
+	}
+
+	read := t.TempDir() // a folder is opened with a lock in it
+	if err := os.CopyFS(read, os.DirFS("testdata/config")); err != nil {
+		t.Fatal(err)
+	}
+	opened, contents, err := openConfigFolder(disk.Folder(read), generation)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer opened.close()
+	want := configContents{record: &configRecord{Generation: generation, Version: version}, document: document,
+		documents: map[config.Hash][]byte{version.Hash: document}}
+	if !reflect.DeepEqual(contents, want) {
+		t.Errorf("read: %+v\nstored: %+v", contents, want)
+	}
+}
+
+// storedRequests are requests of operators, one with each part.
+func storedRequests() map[string]Request {
+	expect := uint64(6)
+	return map[string]Request{
+		"maintenance": {Action: "maintenance", Lease: "digest", To: "n2", Old: "n1",
+			Maintenance: &MaintenanceRequest{Action: "plan", Plans: []maintenance.Plan{storedPlan()}, Name: "kernel"}},
+		"config": {Action: "config", Lease: "digest", To: "n2", Old: "n1",
+			Config: &ConfigOrder{Action: ConfigPut, Document: []byte("log {\n}\n"), Expect: &expect, Number: 5,
+				Author: "ann", Reason: "more room"}},
+	}
+}
+
+func storedMaintenanceStatus() *MaintenanceStatus {
+	return &MaintenanceStatus{Holder: "n1", Token: 19, Serial: 18, Plans: []maintenance.Plan{storedPlan()},
+		Tasks: []TaskStatus{{Engine: "e1", Plan: "kernel", Step: "working", SinceMS: 1234, NotConfirmed: []string{"n3"},
+			Waits: "for a person"}},
+		Reasons: []string{"e2: too few remain"},
+		Forecasts: []ForecastStatus{{Plan: "kernel", After: time.UnixMilli(1_700_000_000_000).UTC(),
+			Before: time.UnixMilli(1_700_000_900_000).UTC()}},
+		Problems: []string{"a plan selects nothing"}, Error: "not held"}
+}
+
+func storedConfigAnswer() *ConfigAnswer {
+	document := []byte("log {\n}\n")
+	version := versionOfDocument(document)
+	report := config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
+	return &ConfigAnswer{Result: ConfigLost, Reason: "another was first", Version: &version,
+		Local: config.Readiness{Confirmed: true, Number: 6, Latest: 7},
+		Status: &config.Status{Latest: version, Members: 9, InForce: 8, Counts: map[uint64]int{6: 1, 7: 8},
+			Refused: []config.ControllerReport{report}, Behind: []config.ControllerReport{report},
+			Unheard: []config.ControllerReport{report}, More: 2, Since: 60_000.5},
+		From: "n1", Versions: []config.Version{version}, Document: document}
+}
+
+func storedStatus() Status {
+	return Status{Fleet: "east", Generation: 3, Self: "n1", Slow: 2,
+		Members: []MemberStatus{{ID: "n2", Addr: "10.0.0.2:9443", State: "suspect", Incarnation: 5, Willing: true,
+			Run: "1f"}},
+		Leases: []LeaseStatus{{Lease: "digest", Token: 9, Holder: "n1", Run: "4d", Preferred: "n2"}},
+		Own:    true, Holds: []string{"digest"},
+		Quorum: QuorumStatus{Role: "voting", Reason: "a reason", Leader: "n1", Term: 6, Record: 21,
+			Members: []IncarnationStatus{{Name: "n1", Disk: "65", Votes: true}}},
+		Error: "an error", Maintenance: storedMaintenanceStatus(), Config: storedConfigAnswer()}
+}
+
+// checkJSON compares the JSON of a value with the stored one, and the stored one's value with this one. The structs in
+// it that have no json tags are encoded under the names of their Go fields.
+func checkJSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	golden.AllSet(t, value)
+	encoded, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.File(t, name, append(encoded, '\n'))
+	stored, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded T
+	if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s is read as %+v, %v", name, decoded, err)
+	}
+}
+
+func TestOperatorJSONIsStable(t *testing.T) {
+	requests := storedRequests()
+	golden.AllSet(t, requests["config"].Config)
+	golden.AllSet(t, requests["maintenance"].Maintenance)
+	for name, request := range requests {
+		encoded, err := json.MarshalIndent(request, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		file := "request-" + name + ".json"
+		golden.File(t, file, append(encoded, '\n'))
+		stored, err := os.ReadFile(filepath.Join("testdata", file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var decoded Request
+		if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, request) {
+			t.Errorf("%s is read as %+v, %v", file, decoded, err)
+		}
+	}
+	checkJSON(t, "status.json", storedStatus())
+}
