--- /dev/null
+++ b/internal/core/fleet/node/encoding_test.go
@@ -0,0 +1,184 @@
+package node
+
+// A rename or a reordering of fields can change the messages among controllers. Controllers of one build agree with each
+// other whatever it is; it shows only beside controllers of an earlier one, within an update of a fleet. These tests
+// compare each kind of message with what an earlier build sent.
+
+import (
+	"testing"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/core/fleet/lease"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/core/fleet/quorum"
+	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/lab/golden"
+)
+
+// Values that messages are made of, with every field set.
+
+func sentHolder() lease.Holder { return lease.Holder{ID: "n1", Run: 77} }
+
+func sentGrant() lease.Grant { return lease.Grant{Name: "digest", Token: 9} }
+
+func sentLease() lease.Lease {
+	return lease.Lease{Name: "digest", Token: 9, Holder: sentHolder(), Renewal: 1001, Preferred: "n3", Retired: true,
+		Serial: 4, State: []byte{1, 2, 3}}
+}
+
+func sentMember() members.Member {
+	return members.Member{ID: "n2", Addr: "10.0.0.2:9443", State: members.Suspect, Incarnation: 5, Willing: true, Run: 78,
+		By: "n3"}
+}
+
+func sentHash() config.Hash { return config.Hash{0xa1, 31: 0xa2} }
+
+func sentProposalID() config.ProposalID { return config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11} }
+
+func sentVersion() config.Version {
+	return config.Version{Number: 7, Hash: sentHash(), Size: 1234, Author: "ann", Reason: "more room",
+		Time: 1_700_000_000_123, RollbackOf: 5, ID: sentProposalID()}
+}
+
+func sentControllerReport() config.ControllerReport {
+	return config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
+}
+
+// checkMessage compares a message whose only part is sent, which must have all its fields set.
+func checkMessage(t *testing.T, table *golden.Table, name string, part any, message Message) {
+	t.Helper()
+	golden.AllSet(t, part)
+	golden.CBOR(t, table, name, message, frames.Decoder.Unmarshal)
+}
+
+func TestMembersMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "members.golden")
+	ping := &members.Message{Kind: members.Ping, Seq: 41, About: "n4", Want: true, News: []members.Member{sentMember()},
+		Sums: members.Sums{51, 52}, Buckets: 1<<63 | 3}
+	checkMessage(t, table, "members", ping, Message{Members: ping})
+	ack := &members.Message{Kind: members.Ack, Seq: 42}
+	golden.CBOR(t, table, "members-ack", Message{Members: ack}, frames.Decoder.Unmarshal)
+}
+
+func TestQuorumMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "quorum.golden")
+	from, to := quorum.Incarnation{Name: "n1", Disk: 101}, quorum.Incarnation{Name: "n2", Disk: 102}
+	raft := &quorum.Message{From: from, To: to, Raft: []byte{1, 2, 3}, Serial: 21, Run: 77}
+	golden.CBOR(t, table, "raft", Message{Quorum: raft}, frames.Decoder.Unmarshal)
+	ask := &quorum.Message{From: from, To: to, Ask: &quorum.Ask{Run: 77}, Run: 77}
+	checkMessage(t, table, "ask", ask.Ask, Message{Quorum: ask})
+	answer := &quorum.Message{From: from, To: to, Run: 77, Answer: &quorum.Answer{Run: 78, Mark: 22, Retired: true, Led: true,
+		Members: []members.ID{"n1", "n2"}, Index: 40, Pending: []members.ID{"n3"}}}
+	checkMessage(t, table, "answer", answer.Answer, Message{Quorum: answer})
+	join := &quorum.Message{From: from, To: to, Join: &quorum.Join{Run: 77}, Run: 77}
+	checkMessage(t, table, "join", join.Join, Message{Quorum: join})
+	invite := &quorum.Message{From: from, To: to, Run: 77, Invite: true}
+	golden.CBOR(t, table, "invite", Message{Quorum: invite}, frames.Decoder.Unmarshal)
+	redirect := &quorum.Message{From: from, To: to, Run: 77, Redirect: &quorum.Redirect{Leader: "n3"}}
+	checkMessage(t, table, "redirect", redirect.Redirect, Message{Quorum: redirect})
+}
+
+func TestLeaseMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "lease.golden")
+	renew := &lease.Renew{Holder: sentHolder(), Grants: []lease.Grant{sentGrant()}, Sequence: 13}
+	checkMessage(t, table, "renew", renew, Message{Renew: renew})
+	granted := &Granted{Sequence: 13, Held: []lease.Grant{sentGrant()}, Lost: []lease.Grant{{Name: "maintenance", Token: 2}},
+		Yield: []lease.Name{"digest"}, Leader: "n2", To: sentHolder()}
+	checkMessage(t, table, "granted", granted, Message{Granted: granted})
+	offer := &Offer{To: sentHolder(), Grant: sentGrant()}
+	checkMessage(t, table, "offer", offer, Message{Offer: offer})
+	release := &lease.Release{Holder: sentHolder(), Grant: sentGrant(), Failed: true}
+	checkMessage(t, table, "release", release, Message{Release: release})
+	prefer := &lease.Prefer{Name: "digest", To: "n2"}
+	checkMessage(t, table, "prefer", prefer, Message{Prefer: prefer})
+	store := &lease.StoreState{Holder: sentHolder(), Grant: sentGrant(), Serial: 14, Data: []byte{5, 6}}
+	checkMessage(t, table, "store-state", store, Message{StoreState: store})
+	load := &lease.LoadState{Holder: sentHolder(), Grant: sentGrant()}
+	checkMessage(t, table, "load-state", load, Message{LoadState: load})
+	checkpoint := &Checkpoint{To: sentHolder(), Grant: sentGrant(), Serial: 15, Data: []byte{7, 8}}
+	checkMessage(t, table, "checkpoint", checkpoint, Message{Checkpoint: checkpoint})
+}
+
+func TestNodeMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "node.golden")
+	golden.CBOR(t, table, "view-request", Message{ViewRequest: &ViewRequest{}}, frames.Decoder.Unmarshal)
+	view := &View{Leader: "n1", Voters: []members.ID{"n1", "n2"}, Leases: []lease.Lease{sentLease()}, Changed: 40}
+	checkMessage(t, table, "view", view, Message{View: view})
+	effect := &Effect{Grant: sentGrant(), ID: 61, Data: []byte{9}}
+	checkMessage(t, table, "effect", effect, Message{Effect: effect})
+	verdict := &Verdict{Lease: "digest", ID: 61, Seen: 10, Accepted: true}
+	checkMessage(t, table, "verdict", verdict, Message{Verdict: verdict})
+	replace := &Replace{Old: "n1", With: "n4"}
+	checkMessage(t, table, "replace", replace, Message{Replace: replace})
+	golden.CBOR(t, table, "job-message", Message{JobMessage: []byte{10, 11}}, frames.Decoder.Unmarshal)
+	hint := &LeaderHint{ID: "n1", Term: 6, Changed: 40}
+	checkMessage(t, table, "leader", hint, Message{Leader: hint})
+}
+
+func TestConfigMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "config.golden")
+	check := func(name string, part any, message config.Message) {
+		t.Helper()
+		checkMessage(t, table, name, part, Message{Config: &message})
+	}
+	version := sentVersion()
+	summary := &config.Summary{Number: 7, Hash: sentHash(), Size: 1234}
+	check("summary", summary, config.Message{Summary: summary})
+	fetch := &config.Fetch{Hash: sentHash(), Offset: 32768}
+	check("fetch", fetch, config.Message{Fetch: fetch})
+	chunk := &config.Chunk{Hash: sentHash(), Offset: 32768, Total: 65536, Data: []byte{1, 2}, Missing: true, About: &version}
+	check("chunk", chunk, config.Message{Chunk: chunk})
+	propose := &config.ProposeRequest{Proposal: config.Proposal{Expect: 6, Version: version}}
+	check("propose", propose, config.Message{Propose: propose})
+	proposed := &config.ProposeReply{ID: sentProposalID(), Result: config.Refused, Version: version, Reason: "not used"}
+	check("proposed", proposed, config.Message{Proposed: proposed})
+	hold := &config.HoldRequest{Hash: sentHash(), Size: 1234, About: &version}
+	check("hold", hold, config.Message{Hold: hold})
+	held := &config.HoldReply{Hash: sentHash()}
+	check("held", held, config.Message{Held: held})
+	reports := &config.Reports{Sequence: 71, List: []config.Report{{ID: "n4", Run: 31, Sequence: 72, Applied: 6, Refused: 7,
+		Reason: "no space left", Age: 250.5}}}
+	check("reports", reports, config.Message{Reports: reports})
+	reported := &config.ReportsReply{Sequence: 71, Leader: "n1"}
+	check("reported", reported, config.Message{Reported: reported})
+	query := &config.Query{Ref: 81, Kind: config.AskHistory}
+	check("query", query, config.Message{Query: query})
+	answer := &config.Answer{Ref: 81, Voting: true, Leads: true, Leader: "n1", Latest: *summary,
+		Status: &config.Status{Latest: version, Members: 9, InForce: 8,
+			Counts:  map[uint64]int{7: 8}, // one entry: the encoding of a map has no order
+			Refused: []config.ControllerReport{sentControllerReport()},
+			Behind:  []config.ControllerReport{sentControllerReport()},
+			Unheard: []config.ControllerReport{sentControllerReport()}, More: 2, Since: 60_000.5},
+		Versions: []config.Version{version}}
+	check("answer", answer, config.Message{Answer: answer})
+}
+
+// TestPiggybackedMessageEncodingIsStable has a message with the parts that ride on one of membership.
+func TestPiggybackedMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "piggybacked.golden")
+	message := Message{Members: &members.Message{Kind: members.Ping, Seq: 41},
+		Config: &config.Message{Summary: &config.Summary{Number: 7, Hash: sentHash(), Size: 1234}},
+		Leader: &LeaderHint{ID: "n1", Term: 6, Changed: 40}}
+	golden.CBOR(t, table, "piggybacked", message, frames.Decoder.Unmarshal)
+}
+
+// TestKindNumbersAreStable pins the numbers by which kinds, states and results stand in messages.
+func TestKindNumbersAreStable(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		number, was int
+	}{
+		{"ping", int(members.Ping), 1}, {"ping for", int(members.PingFor), 2}, {"ack", int(members.Ack), 3},
+		{"nack", int(members.Nack), 4}, {"sync", int(members.Sync), 5},
+		{"alive", int(members.Alive), 0}, {"suspect", int(members.Suspect), 1}, {"gone", int(members.Gone), 2},
+		{"left", int(members.Left), 3},
+		{"unknown", int(config.Unknown), 0}, {"agreed", int(config.Agreed), 1}, {"lost", int(config.Lost), 2},
+		{"refused", int(config.Refused), 3},
+		{"ask latest", int(config.AskLatest), 1}, {"ask status", int(config.AskStatus), 2},
+		{"ask history", int(config.AskHistory), 3},
+	} {
+		if c.number != c.was {
+			t.Errorf("%s is sent as %d, and was as %d", c.name, c.number, c.was)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/frames/encoding_test.go
@@ -0,0 +1,94 @@
+package frames
+
+// A change of the hello or of the frames around messages shows only beside a controller of an earlier build, which ends
+// the connection. These tests compare with what an earlier build sent, and read it.
+
+import (
+	"bytes"
+	"crypto/hmac"
+	"crypto/sha256"
+	"io"
+	"os"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"mintkeel/internal/lab/golden"
+)
+
+const storedConnection = "testdata/connection"
+
+var (
+	storedKey       = Key("0123456789abcdef")
+	storedChallenge = bytes.Repeat([]byte{0xc1}, nonceSize)
+	storedPayloads  = []string{"first payload", "second payload"}
+)
+
+func storedHello(nonce []byte) Hello {
+	return Hello{Fleet: "east", Generation: 3, From: "n1", Run: 77, To: "n2", Nonce: nonce}
+}
+
+// challenged is a connection on which the challenge of a listener has come; what is written to it is gathered.
+type challenged struct {
+	io.Reader
+	written bytes.Buffer
+}
+
+func (c *challenged) Write(b []byte) (int, error) { return c.written.Write(b) }
+
+// writeConnection returns what a controller writes that opens a connection and sends the payloads.
+func writeConnection(t *testing.T) []byte {
+	t.Helper()
+	connection := &challenged{Reader: bytes.NewReader(append([]byte("MKFLEET1"), storedChallenge...))}
+	writer, err := Open(connection, storedKey, storedHello(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, payload := range storedPayloads {
+		if err := writer.Write([]byte(payload)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return connection.written.Bytes()
+}
+
+func TestHelloEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "hello.golden")
+	hello := storedHello(bytes.Repeat([]byte{0xe1}, nonceSize))
+	golden.AllSet(t, hello)
+	golden.CBOR(t, table, "hello", hello, Decoder.Unmarshal)
+}
+
+func TestStoredConnectionIsReadable(t *testing.T) {
+	if golden.Updating() {
+		golden.Write(t, storedConnection, writeConnection(t)) // the nonce in it is drawn
+	}
+	stored, err := os.ReadFile(storedConnection)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := Accept(bytes.NewReader(stored), storedChallenge, Keys{storedKey}, "east", 3, "n2")
+	if err != nil {
+		t.Fatal(err)
+	}
+	hello, err := cbor.Marshal(storedHello(reader.Hello.Nonce))
+	if err != nil || len(reader.Hello.Nonce) != nonceSize {
+		t.Fatal(reader.Hello, err)
+	}
+	if at := lengthBytes; !bytes.Equal(stored[at:at+len(hello)], hello) {
+		t.Errorf("the hello is encoded as %x, and was as %x", hello, stored[at:at+len(hello)])
+	}
+	var written bytes.Buffer
+	writer := &Writer{w: &written, mac: hmac.New(sha256.New, sum(storedKey, []byte("frames"), storedChallenge, hello))}
+	for _, payload := range storedPayloads {
+		if got, err := reader.Read(); string(got) != payload || err != nil {
+			t.Errorf("%q, %v", got, err)
+		}
+		if err := writer.Write([]byte(payload)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := stored[len(hello)+Overhead:]; !bytes.Equal(written.Bytes(), want) {
+		t.Errorf("the frames are %x, and were %x", written.Bytes(), want)
+	}
+}
