--- /dev/null
+++ b/internal/operator/stored_test.go
@@ -0,0 +1,159 @@
+package operator
+
+// Operators' files outlive versions of the program: a name in them that changes is found only at a controller's start.
+// This test reads a file with each block and field, and compares all that was read with what an earlier build read.
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"mintkeel/internal/core/rules"
+	"mintkeel/internal/fleet"
+	"mintkeel/internal/lab/golden"
+	"mintkeel/internal/logs"
+	"mintkeel/internal/memory"
+	"mintkeel/internal/settings"
+	"mintkeel/match"
+	"mintkeel/router"
+)
+
+// printer prints values under names that are those of this test, and not of the fields.
+type printer struct{ strings.Builder }
+
+func (p *printer) line(name string, value any) { fmt.Fprintf(p, "%s = %v\n", name, value) }
+
+func (p *printer) log(b logs.Block) {
+	p.line("log format", b.Format)
+	p.line("log level", b.Level)
+	p.line("log burst", b.Burst)
+	p.line("log every", b.Every)
+}
+
+func (p *printer) memory(b *memory.Block) {
+	p.line("memory folder", b.Folder)
+	p.line("memory pace", b.Pace)
+}
+
+func (p *printer) fleet(b *fleet.Block) {
+	p.line("fleet name", b.Name)
+	p.line("fleet generation", b.Generation)
+	p.line("fleet listen", b.Listen)
+	p.line("fleet advertise", b.Advertise)
+	p.line("fleet key file", b.KeyFile)
+	p.line("fleet folder", b.Folder)
+	for _, id := range slices.Sorted(maps.Keys(b.Voters)) {
+		p.line("fleet voter "+string(id), b.Voters[id])
+	}
+	p.line("fleet leases", b.Leases)
+	p.line("fleet lease", b.Lease)
+	p.line("fleet willing", b.Willing)
+}
+
+func (p *printer) maintenance(b *fleet.MaintenanceBlock) {
+	p.line("maintenance drain", b.Drain)
+	p.line("maintenance work", b.Work)
+	p.line("maintenance back", b.Back)
+	p.line("maintenance within", b.Within)
+	p.line("maintenance prepare", b.Prepare)
+	p.line("maintenance list", b.List)
+}
+
+// rulesOn prints what the rules do to a command.
+func (p *printer) rulesOn(name string, set *rules.Set, command rules.Command) {
+	verdict := set.Apply(&command, &rules.Scratch{})
+	p.line(name+" refused", verdict.Refuse)
+	p.line(name+" profile", int(verdict.Profile))
+	p.line(name+" key", verdict.Key)
+	p.line(name+" hot", verdict.Hot)
+	p.line(name+" kinds", verdict.Kinds)
+	p.line(name+" zones", verdict.Zones)
+	p.line(name+" longest estimate ms", verdict.Most)
+	p.line(name+" labels", verdict.Labels)
+}
+
+// storedFacts are settings with a profile that may go anywhere, one that may not, and one that keeps order.
+func storedFacts() *settings.Facts {
+	return &settings.Facts{Profiles: []router.Profile{{}, {Kinds: []router.KindID{1}}, {InOrder: true}},
+		Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
+			Profiles: map[string]router.ProfileID{"lookup": 0, "report": 1, "ordered": 2}}}
+}
+
+func TestStoredOperatorFileIsReadAsBefore(t *testing.T) {
+	file, err := Read("testdata/operator.hcl", storedFacts())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var p printer
+	p.log(file.Log)
+	p.memory(file.Memory)
+	p.fleet(file.Fleet)
+	p.line("config wait", file.Config.Wait)
+	p.maintenance(file.Maintenance)
+	p.line("rules", file.Rules.Len())
+	command := rules.Command{Tenant: "acme", Schema: "s", Table: "menu_17", Tables: 5, Key: "k", Estimate: 6000, NeedMB: 64,
+		Left: 9000, Front: "postgres", Application: "psql", Listener: "l"}
+	p.rulesOn("long lookup", file.Rules, command)
+	command.Estimate = 1000
+	p.rulesOn("short lookup", file.Rules, command)
+	command.Profile = 2
+	p.rulesOn("ordered", file.Rules, command)
+	command.Table = "secrets"
+	p.rulesOn("secret", file.Rules, command)
+	golden.File(t, "file.golden", []byte(p.String()))
+}
+
+// fieldName is a field within a block of deploy/operator.hcl, which stands there as a comment.
+var fieldName = regexp.MustCompile(`(?m)^# +([a-z_]+) +=`)
+
+// TestStoredFileHasFieldsOfDeployed checks that the stored file has each block and field that the deployed one shows.
+func TestStoredFileHasFieldsOfDeployed(t *testing.T) {
+	deployed, err := os.ReadFile("../../deploy/operator.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := os.ReadFile("testdata/operator.hcl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fields := fieldName.FindAllStringSubmatch(string(deployed), -1)
+	if len(fields) < 10 {
+		t.Fatalf("%d fields are found", len(fields))
+	}
+	for _, field := range fields {
+		if !regexp.MustCompile(`(?m)^ +` + field[1] + ` +=`).Match(stored) {
+			t.Errorf("field %s of the deployed file is not in the stored one", field[1])
+		}
+	}
+	var turnedOn strings.Builder // the deployed file with its blocks as they stand in the comments
+	on := false
+	for line := range strings.Lines(string(deployed)) {
+		text := strings.TrimPrefix(line, "# ")
+		on = on || regexp.MustCompile(`^[a-z]+ .*\{`).MatchString(text)
+		if on {
+			turnedOn.WriteString(text)
+		}
+		on = on && !strings.HasPrefix(text, "}")
+	}
+	file, err := Parse("operator.hcl", []byte(turnedOn.String()), storedFacts())
+	if err != nil {
+		t.Fatalf("%v\n%s", err, turnedOn.String())
+	}
+	if file.Memory == nil || file.Rules.Len() != 1 || file.Fleet == nil || file.Config == nil || file.Maintenance == nil {
+		t.Errorf("%+v", file)
+	}
+}
+
+// TestRuleFieldsAreStable pins the names that expressions of rules may read.
+func TestRuleFieldsAreStable(t *testing.T) {
+	var p printer
+	for _, field := range rules.Schema.Fields {
+		kind := map[match.Type]string{match.Text: "text", match.Number: "number", match.Duration: "duration"}[field.Type]
+		p.line(field.Name, fmt.Sprint(kind, " ", field.Most))
+	}
+	golden.File(t, "rulefields.golden", []byte(p.String()))
+}
