--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -163,6 +163,15 @@
 	}
 }
 
+func TestRoleNamesAreStable(t *testing.T) {
+	names := map[Role]string{Outside: "outside", Doubted: "doubted", Joining: "joining", Learning: "learning", Voting: "voting"}
+	for role, name := range names {
+		if role.String() != name {
+			t.Errorf("%q, and was %q", role, name)
+		}
+	}
+}
+
 func mustEncode(t *testing.T, record Record) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(record)
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -73,13 +73,30 @@
 func TestMaintenanceStepNumbersAreStable(t *testing.T) {
 	steps := []maintenance.Step{maintenance.Preparing, maintenance.Draining, maintenance.Free, maintenance.Working,
 		maintenance.Returning, maintenance.Warming, maintenance.Done, maintenance.Missing}
+	names := []string{"preparing", "draining", "free", "working", "returning", "warming", "done", "missing"}
 	for number, step := range steps {
-		if int(step) != number {
-			t.Errorf("%v is stored as %d, and was as %d", step, step, number)
+		if int(step) != number || step.String() != names[number] {
+			t.Errorf("%v is stored as %d, and was as %d, %s", step, step, number, names[number])
 		}
 	}
 }
 
+// TestProgramArgumentsAreStable pins what the programs of an installation are given, which read it by position.
+func TestProgramArgumentsAreStable(t *testing.T) {
+	folder := t.TempDir()
+	program, given := filepath.Join(folder, "program"), filepath.Join(folder, "given")
+	if err := os.WriteFile(program, []byte("#!/bin/sh\necho \"$*\" > "+given+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	job := &MaintenanceJob{ctx: t.Context()}
+	if err := job.execute(program, "drain", storedTask(), 10*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if text, err := os.ReadFile(given); string(text) != "drain e1 17\n" || err != nil {
+		t.Errorf("%q, %v", text, err)
+	}
+}
+
 func TestJobMessageEncodingIsStable(t *testing.T) {
 	table := golden.Open(t, "jobmessages.golden")
 	confirmation := maintenanceMessage{Kind: maintenanceMessageKind, Token: 19, Serial: 18,
