--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -12,6 +12,7 @@
 	"reflect"
 	"strings"
 	"testing"
+	"unicode/utf8"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -32,8 +33,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(content, want) {
+	switch {
+	case bytes.Equal(content, want):
+	case utf8.Valid(content) && utf8.Valid(want):
 		t.Errorf("%s has changed:\ngot:\n%s\nstored:\n%s", name, content, want)
+	default:
+		t.Errorf("%s has changed:\ngot:    %x\nstored: %x", name, content, want)
 	}
 }
 
