--- /dev/null
+++ b/internal/lab/recorded/encoder_test.go
@@ -0,0 +1,205 @@
+package recorded
+
+import (
+	"encoding/binary"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+
+	"mintkeel/router"
+)
+
+// Tags of the encoded records. The recorded hashes depend on them: they must not change.
+const (
+	tagSend      byte = 1
+	tagCancel    byte = 2
+	tagShed      byte = 3
+	tagFail      byte = 4
+	tagWake      byte = 5
+	tagProbe     byte = 6
+	tagSubscribe byte = 7
+	tagStep      byte = 20
+	tagLearned   byte = 21
+	tagEngines   byte = 22
+)
+
+// encoder hashes steps in a form that holds values alone and names no type and no field.
+type encoder struct {
+	digest  *xxhash.Digest
+	scratch []byte
+}
+
+func newEncoder() *encoder { return &encoder{digest: xxhash.New()} }
+
+// sum is the hash of all that was encoded so far.
+func (e *encoder) sum() uint64 { return e.digest.Sum64() }
+
+// flush moves what was encoded into the hash.
+func (e *encoder) flush() {
+	e.digest.Write(e.scratch)
+	e.scratch = e.scratch[:0]
+}
+
+func (e *encoder) tag(t byte) { e.scratch = append(e.scratch, t) }
+
+func (e *encoder) integer(x int64) {
+	e.scratch = binary.LittleEndian.AppendUint64(e.scratch, uint64(x))
+}
+
+// number encodes the bits of x; all values that are no number count as one.
+func (e *encoder) number(x float64) {
+	bits := math.Float64bits(x)
+	if math.IsNaN(x) {
+		bits = math.Float64bits(math.NaN())
+	}
+	e.scratch = binary.LittleEndian.AppendUint64(e.scratch, bits)
+}
+
+func (e *encoder) text(s string) {
+	e.integer(int64(len(s)))
+	e.scratch = append(e.scratch, s...)
+}
+
+// step encodes a step of one controller.
+func (e *encoder) step(controller int, now float64, actions []router.Action) {
+	e.tag(tagStep)
+	e.integer(int64(controller))
+	e.number(now)
+	e.integer(int64(len(actions)))
+	for _, action := range actions {
+		e.action(action)
+	}
+	e.flush()
+}
+
+func (e *encoder) action(action router.Action) {
+	switch a := action.(type) {
+	case router.Send:
+		e.tag(tagSend)
+		e.integer(int64(a.ID))
+		e.text(string(a.Engine))
+		e.number(a.Until)
+		e.number(a.Begin)
+	case router.Cancel:
+		e.tag(tagCancel)
+		e.integer(int64(a.ID))
+		e.integer(int64(a.Send))
+	case router.Shed:
+		e.tag(tagShed)
+		e.integer(int64(a.ID))
+		e.number(a.After)
+	case router.Fail:
+		e.tag(tagFail)
+		e.integer(int64(a.ID))
+	case router.Wake:
+		e.tag(tagWake)
+		e.number(a.After)
+	case router.Probe:
+		e.tag(tagProbe)
+		e.text(string(a.Engine))
+	case router.Subscribe:
+		e.tag(tagSubscribe)
+	default:
+		panic("an action of an unknown kind")
+	}
+}
+
+func (e *encoder) weighed(w router.Weighed) {
+	e.number(w.Mean)
+	e.number(w.Weight)
+}
+
+// learned encodes what a controller has learned.
+func (e *encoder) learned(l router.Learned) {
+	e.tag(tagLearned)
+	e.integer(int64(len(l.Engines)))
+	for _, x := range l.Engines {
+		e.number(x.At)
+		e.text(string(x.Engine))
+		e.number(x.Since)
+		e.weighed(x.Pace)
+		e.number(x.Width)
+		e.integer(int64(x.Outcomes))
+		e.text(string(x.Lead))
+	}
+	e.integer(int64(len(l.Tables)))
+	for _, x := range l.Tables {
+		e.number(x.At)
+		e.integer(int64(x.Tables))
+		e.number(x.Demand)
+		e.number(x.Held)
+		e.integer(int64(len(x.Homes)))
+		for _, home := range x.Homes {
+			e.text(string(home))
+		}
+	}
+	e.integer(int64(len(l.Profiles)))
+	for _, x := range l.Profiles {
+		e.number(x.At)
+		e.integer(int64(x.Profile))
+		e.number(x.FullLeft)
+		e.number(x.Best)
+		e.weighed(x.WorkScale)
+		e.weighed(x.NeedScale)
+	}
+	e.integer(int64(len(l.Traffic)))
+	for _, x := range l.Traffic {
+		e.number(x.At)
+		e.weighed(x.Part)
+	}
+	e.flush()
+}
+
+// engines encodes what a controller knows of its engines just now.
+func (e *encoder) engines(list []router.EngineNow) {
+	e.tag(tagEngines)
+	e.integer(int64(len(list)))
+	for _, x := range list {
+		e.text(string(x.Engine))
+		e.integer(int64(x.State))
+		e.integer(int64(x.Listed))
+		e.text(string(x.Zone))
+		e.integer(int64(x.Kind))
+		e.number(x.Since)
+		e.number(x.WarmAt)
+		e.number(x.Cores)
+		e.number(x.Load)
+		e.integer(int64(x.Out))
+		e.integer(int64(len(x.Tables)))
+		for _, t := range x.Tables {
+			e.integer(int64(t.Tables))
+			e.number(t.Asked)
+			e.integer(int64(t.Homes))
+		}
+	}
+	e.flush()
+}
+
+// countActions counts the kinds of actions, and the attempts that are retries or run beside another.
+func (m *module) countActions(actions []router.Action) {
+	c := &m.recording.counts
+	for _, action := range actions {
+		switch a := action.(type) {
+		case router.Send:
+			c.add(attemptStarted, true)
+			c.add(attemptWithLatestBegin, a.Begin > 0)
+			n := m.attempts[a.ID]
+			c.add(retry, n.started > 0)
+			c.add(secondCopy, n.running > 0)
+			m.attempts[a.ID] = attempts{started: n.started + 1, running: n.running + 1}
+		case router.Cancel:
+			c.add(attemptCancelled, true)
+		case router.Shed:
+			c.add(queryShed, true)
+			c.add(queryShedWithWait, a.After > 0)
+		case router.Fail:
+			c.add(queryFailed, true)
+		case router.Wake:
+			c.add(timerSet, true)
+		case router.Probe:
+			c.add(engineProbed, true)
+		case router.Subscribe:
+			c.add(listSubscribed, true)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/recorded/recorder_test.go
@@ -0,0 +1,169 @@
+package recorded
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"mintkeel/router"
+)
+
+// readInterval is the number of steps between two readings of what a module has learned and knows of its engines.
+const readInterval = 64
+
+// learnedPart is the number of records that are taken out at once.
+const learnedPart = 20
+
+// checkpoints is the largest number of hashes of a scene before its last step.
+const checkpoints = 16
+
+// recording is what the modules of one scene did, in order.
+type recording struct {
+	encoder *encoder
+	running []uint16 // the lowest bits of the hash after each step
+	actions int
+	counts  coverage
+}
+
+func newRecording() *recording { return &recording{encoder: newEncoder()} }
+
+// module is a module that is recorded.
+type module struct {
+	*router.Router
+	recording *recording
+	number    int // of the controller
+	attempts  map[router.CommandID]attempts
+	tenants   int // events are given tenants if it is above 0
+}
+
+// attempts counts those of a query.
+type attempts struct{ started, running int }
+
+// module makes a recorded module.
+func (r *recording) module(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile,
+	tenants []router.Tenant, allowed router.Allowed, guards router.Guards) *module {
+	return &module{
+		Router:    router.New(seed, place, kinds, profiles, tenants, allowed, guards),
+		recording: r,
+		number:    place.Number,
+		attempts:  map[router.CommandID]attempts{},
+		tenants:   len(tenants),
+	}
+}
+
+// Step has the module decide, and records the actions.
+func (m *module) Step(now float64, events []router.Event) []router.Action {
+	events = m.withTenants(events)
+	m.countEvents(events)
+	actions := m.Router.Step(now, events)
+	m.countActions(actions)
+	r := m.recording
+	r.encoder.step(m.number, now, actions)
+	if len(r.running)%readInterval == 0 {
+		r.encoder.learned(m.takeOut())
+		r.encoder.engines(m.EnginesNow())
+	}
+	r.actions += len(actions)
+	r.running = append(r.running, uint16(r.encoder.sum()))
+	return actions
+}
+
+// takeOut is all that the module has learned.
+func (m *module) takeOut() (all router.Learned) {
+	for from, more := (router.Cursor{}), true; more; {
+		var part router.Learned
+		part, from, more = m.Learned(from, learnedPart)
+		all.Add(part)
+	}
+	return all
+}
+
+// withTenants gives queries a tenant each by their id, and some none.
+func (m *module) withTenants(events []router.Event) []router.Event {
+	if m.tenants == 0 {
+		return events
+	}
+	changed := slices.Clone(events)
+	for i, event := range changed {
+		if ev, arrived := event.(router.Arrived); arrived {
+			spread := uint32(ev.ID) * 2654435761 >> 16
+			ev.Tenant = router.TenantID(int(spread)%(m.tenants+1) - 1)
+			changed[i] = ev
+		}
+	}
+	return changed
+}
+
+// record is a line of the file: what is recorded of a scene.
+type record struct {
+	name           string
+	steps, actions int
+	hash           string
+	checkpoints    []string // after each interval of steps
+}
+
+// interval is the number of steps between two checkpoints.
+func (r record) interval() int { return r.steps/checkpoints + 1 }
+
+// record is the recording's record.
+func (r *recording) record(name string) record {
+	made := record{name: name, steps: len(r.running), actions: r.actions, hash: fmt.Sprintf("%016x", r.encoder.sum())}
+	for at := made.interval(); at <= len(r.running); at += made.interval() {
+		made.checkpoints = append(made.checkpoints, fmt.Sprintf("%04x", r.running[at-1]))
+	}
+	return made
+}
+
+// difference says where a recording departs from its record; empty: it doesn't.
+func (r *recording) difference(want record) string {
+	got := r.record(want.name)
+	if got.steps == want.steps && got.actions == want.actions && got.hash == want.hash {
+		return ""
+	}
+	from, to := 1, "the last"
+	for i, checkpoint := range want.checkpoints {
+		at := (i + 1) * want.interval()
+		if at > len(r.running) || fmt.Sprintf("%04x", r.running[at-1]) != checkpoint {
+			to = strconv.Itoa(at)
+			break
+		}
+		from = at + 1
+	}
+	return fmt.Sprintf("scene %s: first difference in steps %d to %s; %d steps, %d actions, hash %s; recorded: %d, %d, %s",
+		want.name, from, to, got.steps, got.actions, got.hash, want.steps, want.actions, want.hash)
+}
+
+func (r record) String() string {
+	return fmt.Sprintf("%s %d %d %s %s", r.name, r.steps, r.actions, r.hash, strings.Join(r.checkpoints, ","))
+}
+
+// readRecords reads the file, in its order.
+func readRecords(t *testing.T, path string) (records []record) {
+	t.Helper()
+	file, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	lines := bufio.NewScanner(file)
+	for lines.Scan() {
+		if strings.HasPrefix(lines.Text(), "#") {
+			continue
+		}
+		var r record
+		var list string
+		if _, err := fmt.Sscan(lines.Text(), &r.name, &r.steps, &r.actions, &r.hash, &list); err != nil {
+			t.Fatalf("%q: %v", lines.Text(), err)
+		}
+		r.checkpoints = strings.Split(list, ",")
+		records = append(records, r)
+	}
+	if err := lines.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return records
+}
--- /dev/null
+++ b/internal/lab/recorded/scenes_test.go
@@ -0,0 +1,243 @@
+package recorded
+
+import (
+	"fmt"
+	"math/rand"
+
+	"mintkeel/internal/lab/checker"
+	"mintkeel/internal/lab/simulation"
+	"mintkeel/internal/lab/steps"
+	"mintkeel/router"
+)
+
+// scene is a fixed history: the same events as long as the module's actions are the same.
+type scene struct {
+	name string
+	play func(*recording)
+}
+
+// manyEngines is from how many engines a scene counts as one with many.
+const manyEngines = 60
+
+// simulations is the number of random fleets.
+const simulations = 240
+
+// scenes are all scenes. Their names and order are those of the file.
+func scenes() (all []scene) {
+	for seed := range simulations {
+		all = append(all, scene{name: fmt.Sprintf("simulation-%03d", seed), play: func(r *recording) { simulate(r, seed) }})
+	}
+	for i, s := range stepScenes() {
+		all = append(all, scene{name: fmt.Sprintf("steps-%02d", i), play: func(r *recording) { rig(r, s) }})
+	}
+	for i, p := range pressedScenes() {
+		all = append(all, scene{name: fmt.Sprintf("pressed-%02d", i), play: func(r *recording) { pressed(r, p) }})
+	}
+	for seed := range int64(20) {
+		all = append(all, scene{name: fmt.Sprintf("any-events-%02d", seed), play: func(r *recording) { anyEvents(r, seed) }})
+	}
+	return all
+}
+
+// simulate plays a random fleet; some are larger, some have tenants with shares, and some have second copies.
+func simulate(r *recording, seed int) {
+	s := simulation.FromSeed(seed)
+	if seed%12 == 3 {
+		s = s.Larger()
+	}
+	f := &s.Facts
+	var tenants []router.Tenant
+	if seed%4 == 1 {
+		f.Guards.OverShare = 0.2
+		tenants = tenantsOf(s.Rate)
+	}
+	if seed%6 == 4 {
+		allowSecondCopies(f)
+	}
+	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
+	r.counts.add(sceneWithRetryBudget, f.Guards.Budgeted)
+	r.counts.add(sceneWithMustAsk, f.Allowed.MustAsk)
+	r.counts.add(sceneWithSlowStart, s.Young)
+	r.counts.add(sceneWithAbsurdReports, s.Absurd)
+	r.counts.add(sceneWithHostileStatistics, s.Memory == simulation.Hostile)
+	simulation.Play(s, func(seed int64, place router.Place) simulation.Controller {
+		return r.module(seed, place, f.Kinds, f.Profiles, tenants, f.Allowed, f.Guards)
+	})
+}
+
+// allowSecondCopies has attempts report progress often, and one that stops to do so runs on beside a second copy.
+func allowSecondCopies(f *checker.Facts) {
+	f.Allowed.SecondCopies, f.Allowed.Cancel = true, false
+	f.Allowed.NotePace = 60
+	f.Allowed.MaxSends = max(3, f.Allowed.MaxSends)
+	f.Profiles[0].Effect = router.Replayable
+	f.Profiles[0].Timeout = max(3000, f.Profiles[0].Timeout)
+}
+
+// tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the shares.
+func tenantsOf(rate float64) []router.Tenant {
+	return []router.Tenant{{}, {PerSecond: rate / 10}, {PerSecond: rate / 5}}
+}
+
+// stepScenes are fleets that are kept idle, busy or full.
+func stepScenes() []steps.Scene {
+	return []steps.Scene{
+		{Engines: 10, Held: 400, Tables: 10, Busy: steps.Full},
+		{Engines: 60, Held: 200, Tables: 30, Busy: steps.Full, Keys: 20},
+		{Engines: 40, Held: 200, Tables: 5, Busy: steps.Full, Controllers: 5},
+		{Engines: 60, Tables: 20, Busy: steps.Half, Keys: 5},
+		{Engines: 120, Tables: 3, Busy: steps.Idle},
+		{Engines: 200, Tables: 2, Busy: steps.Idle, Controllers: 3},
+		{Engines: 300, Tables: 4, Busy: steps.Half},
+		{Engines: 20, Held: 1000, Tables: 50, Busy: steps.Full, Keys: 100, Seed: 1},
+		{Engines: 100, Held: 100, Tables: 8, Busy: steps.Full, Keys: 3, Seed: 2},
+		{Engines: 100, Tables: 60, Busy: steps.Half, Keys: 40, Controllers: 2, Seed: 3},
+		{Engines: 500, Tables: 20, Busy: steps.Idle, Keys: 10, Seed: 4},
+		{Engines: 1000, Tables: 5, Busy: steps.Idle, Seed: 5},
+	}
+}
+
+// rig takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more than their shares.
+func rig(r *recording, s steps.Scene) {
+	const taken = 400
+	var tenants []router.Tenant
+	if s.Seed%3 == 1 {
+		tenants = tenantsOf(500)
+	}
+	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
+	steps.New(s, func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, _ []router.Tenant,
+		allowed router.Allowed, guards router.Guards) steps.Module {
+		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
+	}).Run(taken)
+}
+
+// pressedScenes are controllers that get more queries than they can decide on.
+func pressedScenes() []steps.Pressed {
+	return []steps.Pressed{
+		{Seed: 1, Times: 0.5, Decide: 0.05, Away: 0.005, Refused: 0.001, Length: 300},
+		{Seed: 2, Times: 2, Decide: 0.05, Away: 0.005, Refused: 0.001, Length: 300},
+		{Seed: 3, Times: 1.2, Decide: 0.2, Away: 0.02, Refused: 0.004, Length: 1500},
+		{Seed: 4, Times: 5, Decide: 0.2, Away: 0.02, Refused: 0.004, Length: 1000},
+	}
+}
+
+func pressed(r *recording, p steps.Pressed) {
+	p.Play(func(seed int64, place router.Place, kinds []router.Kind, profiles []router.Profile, tenants []router.Tenant,
+		allowed router.Allowed, guards router.Guards) steps.Module {
+		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
+	})
+}
+
+// anyEventsRun is a module that gets events of any kind in any order, also of queries and engines that it doesn't know.
+type anyEventsRun struct {
+	rng    *rand.Rand
+	now    float64 // ms
+	serial router.CommandID
+}
+
+// anyEvents plays such a module; outcomes hit an attempt by chance.
+func anyEvents(r *recording, seed int64) {
+	const taken = 400
+	run := &anyEventsRun{rng: rand.New(rand.NewSource(seed)), now: 1e6}
+	allowed := router.Allowed{Cancel: true, Probes: true, SecondCopies: true, RetryAfter: true, MaxSends: 4,
+		MaxRetryAfter: 300, NotePace: 50, MustAsk: seed%2 == 1}
+	guards := router.Guards{ColdShare: 0.3, ColdTime: 3000, ColdMultiple: 4, ColdWindow: 1000, OrderRest: 100, Budgeted: true,
+		ResendFree: 3, ResendShare: 0.2, ResendWindow: 1000, AskWithin: 7000, OverShare: 0.2}
+	r.counts.add(sceneWithRetryBudget, guards.Budgeted)
+	r.counts.add(sceneWithMustAsk, allowed.MustAsk)
+	m := r.module(seed, router.Place{Controllers: 1}, []router.Kind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
+		steps.Profiles(2000), tenantsOf(200), allowed, guards)
+	m.Step(run.now, []router.Event{router.Listed{Whole: true, Entries: run.entries(16, router.Ready)}})
+	for range taken {
+		run.now += 10 * run.rng.Float64()
+		var events []router.Event
+		for range run.rng.Intn(12) {
+			events = append(events, run.event())
+		}
+		m.Step(run.now, events)
+	}
+	m.Step(run.now, []router.Event{router.Stopping{Within: 100}})
+	m.Step(run.now+110, nil)
+}
+
+// entries are a number of engines in a state.
+func (run *anyEventsRun) entries(n int, state router.State) (list []router.Entry) {
+	for i := range n {
+		since := 0.0
+		if run.rng.Intn(4) == 0 {
+			since = run.now - 100*run.rng.Float64()
+		}
+		list = append(list, router.Entry{Engine: engineID(i), State: state, Zone: "z", Kind: router.KindID(i % 2), Since: since})
+	}
+	return list
+}
+
+func engineID(i int) router.EngineID { return router.EngineID(fmt.Sprintf("e%02d", i)) }
+
+// recent is the id of a recent query, which may have ended.
+func (run *anyEventsRun) recent() router.CommandID {
+	return run.serial - router.CommandID(run.rng.Intn(20))
+}
+
+func (run *anyEventsRun) key() router.OrderKey {
+	return router.OrderKey(fmt.Sprint("k", run.rng.Intn(9)))
+}
+
+// event draws an event.
+func (run *anyEventsRun) event() router.Event {
+	rng := run.rng
+	send := router.SendID(rng.Intn(2) * rng.Intn(3))
+	switch x := rng.Intn(100); {
+	case x < 45:
+		return run.arrival()
+	case x < 80:
+		outcome := router.Answered
+		if rng.Intn(3) == 0 {
+			outcome = router.Outcome(rng.Intn(int(router.Withdrawn) + 1))
+		}
+		return router.Ended{ID: run.recent(), Send: send, Outcome: outcome, Over: outcome == router.Answered,
+			Took: 50 * rng.Float64(), Work: 30 * rng.Float64(), Load: run.load()}
+	case x < 84:
+		return router.Noted{ID: run.recent(), Send: send, What: router.NoteKind(rng.Intn(5)), Level: rng.Float64()}
+	case x < 87:
+		return router.Left{ID: run.recent()}
+	case x < 89:
+		return router.Keyed{ID: run.recent(), Key: run.key()}
+	case x < 91:
+		return router.Began{ID: run.recent(), Send: send}
+	case x < 94:
+		return router.Probed{Engine: engineID(rng.Intn(20)), Outcome: router.Outcome(4 * rng.Intn(2)), Load: run.load()}
+	case x < 98:
+		states := []router.State{router.Ready, router.Ready, router.Draining, router.Gone}
+		return router.Listed{Entries: run.entries(1+rng.Intn(12), states[rng.Intn(len(states))])}
+	case x < 99:
+		return router.Listed{Failed: true}
+	default:
+		return router.Listed{Expired: 1000}
+	}
+}
+
+// arrival draws a query.
+func (run *anyEventsRun) arrival() router.Event {
+	rng := run.rng
+	run.serial++
+	ev := router.Arrived{ID: run.serial, Tenant: -1, Profile: router.ProfileID(rng.Intn(4)),
+		Tables: router.TableGroup(rng.Intn(12)), Left: 300 + 1700*rng.Float64(), Estimate: 60 * rng.Float64(),
+		NeedMB: 2000 * rng.Float64(), Hot: rng.Intn(20) == 0}
+	if rng.Intn(2) == 0 {
+		ev.Key = run.key()
+	}
+	if rng.Intn(10) == 0 {
+		ev.Most = 20 * rng.Float64()
+	}
+	return ev
+}
+
+// load draws a report, or none.
+func (run *anyEventsRun) load() *router.Load {
+	rng := run.rng
+	if rng.Intn(2) == 0 {
+		return nil
+	}
+	return &router.Load{Inflight: 10 * rng.Float64(), Util: rng.Float64(), Memory: rng.Float64(), Disk: rng.Float64()}
+}
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -15,6 +15,15 @@
 // FromSeed is the world that a seed stands for.
 func FromSeed(seed int) Spec { return Drawn().Example(seed) }
 
+// Larger is the same fleet with more of all: engines, queries, tables, keys and engine changes, in a shorter time.
+func (s Spec) Larger() Spec {
+	s.Engines, s.Rate, s.Tables, s.Keys = 6*s.Engines, 4*s.Rate, 3*s.Tables, 10*s.Keys
+	s.Controllers = min(s.Controllers, 5)
+	s.Length = min(s.Length, 3000)
+	s.Starts, s.Deaths, s.Drains = 10*s.Starts, 10*s.Deaths, 10*s.Drains
+	return s
+}
+
 func draw(t *rapid.T) Spec {
 	number := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
 	whole := func(name string, least, most int) int { return rapid.IntRange(least, most).Draw(t, name) }
--- a/internal/lab/simulation/twin_test.go
+++ b/internal/lab/simulation/twin_test.go
@@ -20,7 +20,7 @@
 				s.Pressed = false // the reference knows nothing of waits
 				name := "world"
 				if seed%12 == 3 {
-					s, name = s.larger(), "larger world"
+					s, name = s.Larger(), "larger world"
 				}
 				Play(s, s.twin(func(step int, now float64, module, old []router.Action) {
 					t.Errorf("%s %d, step %d at %v: %s", name, seed, step, now, reference.Difference(module, old))
@@ -30,15 +30,6 @@
 	}
 }
 
-// larger is a world with more of all.
-func (s Spec) larger() Spec {
-	s.Engines, s.Rate, s.Tables, s.Keys = 6*s.Engines, 4*s.Rate, 3*s.Tables, 10*s.Keys
-	s.Controllers = min(s.Controllers, 5)
-	s.Length = min(s.Length, 3000)
-	s.Starts, s.Deaths, s.Drains = 10*s.Starts, 10*s.Deaths, 10*s.Drains
-	return s
-}
-
 // twin makes controllers of the module beside the reference.
 func (s Spec) twin(differs func(step int, now float64, module, old []router.Action)) func(int64, router.Place) Controller {
 	return func(seed int64, place router.Place) Controller {
