--- a/internal/fleet/configstore.go
+++ b/internal/fleet/configstore.go
@@ -111,7 +111,7 @@
 
 func (f *configFolder) clearCurrent() error {
 	if f.earlier != nil {
-		if err := f.folder.SetCurrent(*f.earlier); !errors.Is(err, documents.ErrMissing) {
+		if err := f.folder.SetCurrent(*f.earlier); !errors.Is(err, documents.ErrNotFound) {
 			return err
 		}
 	}
--- a/internal/fleet/configstore_test.go
+++ b/internal/fleet/configstore_test.go
@@ -223,22 +223,22 @@
 func TestConfigFolderStops(t *testing.T) {
 	t.Parallel()
 	points := 0
-	for _, how := range disktest.Hows() {
+	for _, how := range disktest.CrashModes() {
 		for seed := range int64(4) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f, _ := openTestFolder(t, d, 1)
 			for n := 1; n <= 5; n++ {
-				d.Watch(func(op int) {
+				d.OnOperation(func(op int) {
 					points++
-					if got := currentNumber(t, d.After(how, rng), 1); got != uint64(n) && got != uint64(n-1) {
+					if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) && got != uint64(n-1) {
 						t.Fatalf("way %d, operation %d: version %d is found, %d was being stored", how, op, got, n)
 					}
 				})
 				if err := storeVersion(f, n); err != nil {
 					t.Fatal(err)
 				}
-				d.Watch(nil)
-				if got := currentNumber(t, d.After(how, rng), 1); got != uint64(n) {
+				d.OnOperation(nil)
+				if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) {
 					t.Fatalf("way %d: version %d was stored, %d is found", how, n, got)
 				}
 			}
@@ -279,7 +279,7 @@
 		if err := step.store(); err != nil {
 			t.Fatalf("%s: %v", step.name, err)
 		}
-		if got := currentNumber(t, d.After(disktest.LoseAll, nil), 2); got != step.want {
+		if got := currentNumber(t, d.AfterCrash(disktest.LoseUnsynced, nil), 2); got != step.want {
 			t.Errorf("%s: version %d is found", step.name, got)
 		}
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -336,7 +336,7 @@
 
 // open reads what is kept. A log that is damaged is as one that was lost: the quorum finds out what it had promised.
 func (in *session) open() ([]quorum.Record, error) {
-	log, kept, torn, err := records.Open(disk.Folder(in.block.Folder), records.Usual())
+	log, kept, torn, err := records.Open(disk.Folder(in.block.Folder), records.DefaultBounds())
 	if log == nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
--- a/internal/store/disk/disktest/disktest.go
+++ b/internal/store/disk/disktest/disktest.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Watch has each operation told to watch, by its number, before it is done.
-func (d *Disk) Watch(watch func(op int)) {
+// OnOperation has each operation told to watch, by its number, before it is done.
+func (d *Disk) OnOperation(watch func(op int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stop = watch
@@ -138,31 +138,31 @@
 	return nil
 }
 
-// How a stop treats what was not synced.
-type How int
+// CrashMode a stop treats what was not synced.
+type CrashMode int
 
 const (
-	LoseAll   How = iota // none of it is there
-	KeepAll              // all of it
-	KeepNames            // names without content
-	KeepData             // content under old names
-	Tear                 // the last write of each file is cut
-	Reorder              // a file's first write is lost, a later one is there
-	AtRandom             // each change for itself
-	DropFirst            // the first change of names is lost, the others are there
-	numberOfHow
+	LoseUnsynced        CrashMode = iota // none of it is there
+	KeepUnsynced                         // all of it
+	KeepNamesOnly                        // names without content
+	KeepContentOnly                      // content under old names
+	TearLastWrite                        // the last write of each file is cut
+	LoseFirstWrite                       // a file's first write is lost, a later one is there
+	LoseAtRandom                         // each change for itself
+	LoseFirstNameChange                  // the first change of names is lost, the others are there
+	crashModeCount
 )
 
-// Hows are all ways.
-func Hows() (all []How) {
-	for h := range numberOfHow {
+// CrashModes are all ways.
+func CrashModes() (all []CrashMode) {
+	for h := range crashModeCount {
 		all = append(all, h)
 	}
 	return all
 }
 
-// After is the disk as it is found after a stop at this moment. It may be called from watch.
-func (d *Disk) After(how How, rng *rand.Rand) *Disk {
+// AfterCrash is the disk as it is found after a stop at this moment. It may be called from watch.
+func (d *Disk) AfterCrash(how CrashMode, rng *rand.Rand) *Disk {
 	after := New()
 	kept := map[*inode]*inode{}
 	survive := func(n *inode) *inode {
@@ -176,8 +176,8 @@
 		names[name] = n
 	}
 	for i, c := range d.loose {
-		keep := how == KeepAll || how == KeepNames || how == Tear || how == Reorder || how == DropFirst && i > 0 ||
-			how == AtRandom && rng.Intn(2) == 0
+		keep := how == KeepUnsynced || how == KeepNamesOnly || how == TearLastWrite || how == LoseFirstWrite || how == LoseFirstNameChange && i > 0 ||
+			how == LoseAtRandom && rng.Intn(2) == 0
 		if keep && c.node == nil {
 			delete(names, c.name)
 		} else if keep {
@@ -191,20 +191,20 @@
 	return after
 }
 
-func (n *inode) after(how How, rng *rand.Rand) []byte {
+func (n *inode) after(how CrashMode, rng *rand.Rand) []byte {
 	out := slices.Clone(n.safe)
 	for i, w := range n.loose {
 		last := i == len(n.loose)-1
 		switch {
-		case how == LoseAll || how == KeepNames:
-		case how == Tear && last:
+		case how == LoseUnsynced || how == KeepNamesOnly:
+		case how == TearLastWrite && last:
 			out = append(out, w[:rng.Intn(len(w)+1)]...)
-		case how == Reorder && i == 0 && len(w) > 0: // a hole where it should be
+		case how == LoseFirstWrite && i == 0 && len(w) > 0: // a hole where it should be
 			out = append(out, make([]byte, len(w))...)
-		case how == AtRandom && rng.Intn(3) == 0:
+		case how == LoseAtRandom && rng.Intn(3) == 0:
 			out = append(out, w[:rng.Intn(len(w)+1)]...)
 			return out
-		case how == AtRandom && rng.Intn(3) == 0:
+		case how == LoseAtRandom && rng.Intn(3) == 0:
 			out = append(out, make([]byte, len(w))...)
 		default:
 			out = append(out, w...)
@@ -354,8 +354,8 @@
 	return n, nil
 }
 
-// ErrFull is that of a disk without room.
-var ErrFull = errFull{}
+// ErrNoSpace is that of a disk without room.
+var ErrNoSpace = errFull{}
 
 type errFull struct{}
 
@@ -374,7 +374,7 @@
 	}
 	f.node.loose = append(f.node.loose, slices.Clone(b[:n]))
 	if n < len(b) {
-		return n, ErrFull
+		return n, ErrNoSpace
 	}
 	return n, nil
 }
--- a/internal/store/documents/documents.go
+++ b/internal/store/documents/documents.go
@@ -52,12 +52,12 @@
 
 // Errors of what is not stored.
 var (
-	ErrTooBig  = errors.New("is too big")
-	ErrFull    = errors.New("finds no room within the bounds")
-	ErrHash    = errors.New("has another hash")
-	ErrMissing = errors.New("is not stored")
-	ErrInUse   = errors.New("is the current one")
-	errDamaged = errors.New("is damaged")
+	ErrTooLarge     = errors.New("is too big")
+	ErrFull         = errors.New("finds no room within the bounds")
+	ErrHashMismatch = errors.New("has another hash")
+	ErrNotFound     = errors.New("is not stored")
+	ErrInUse        = errors.New("is the current one")
+	errDamaged      = errors.New("is damaged")
 )
 
 // Contents is what a folder held when it was opened.
@@ -189,7 +189,7 @@
 }
 
 // unusable tells of a file that was read and is not what it should be.
-func unusable(err error) bool { return errors.Is(err, errDamaged) || errors.Is(err, ErrTooBig) }
+func unusable(err error) bool { return errors.Is(err, errDamaged) || errors.Is(err, ErrTooLarge) }
 
 func (f *Folder) readDocument(hash Hash) ([]byte, error) {
 	document, err := f.read(fileName(hash), f.bounds.Document)
@@ -210,7 +210,7 @@
 		return nil, err
 	}
 	if size > int64(most) {
-		return nil, ErrTooBig
+		return nil, ErrTooLarge
 	}
 	content := make([]byte, size)
 	if _, err := io.ReadFull(in, content); err != nil {
@@ -251,9 +251,9 @@
 	}
 	switch {
 	case len(document) > f.bounds.Document:
-		return ErrTooBig
+		return ErrTooLarge
 	case sha256.Sum256(document) != hash:
-		return ErrHash
+		return ErrHashMismatch
 	case !f.fits(len(document)):
 		return ErrFull
 	}
@@ -269,10 +269,10 @@
 // After an error a restart may find the new one or the one before, whole, with its document.
 func (f *Folder) SetCurrent(c Current) error {
 	if len(c.Record) > maxRecordSize {
-		return ErrTooBig
+		return ErrTooLarge
 	}
 	if _, stored := f.sizes[c.Document]; !stored {
-		return ErrMissing
+		return ErrNotFound
 	}
 	f.inUse[c.Document] = true
 	if err := f.write(currentName, encode(c)); err != nil {
--- a/internal/store/documents/documents_test.go
+++ b/internal/store/documents/documents_test.go
@@ -113,15 +113,15 @@
 // process goes on.
 func TestStopAtEveryPoint(t *testing.T) {
 	points := 0
-	for _, how := range disktest.Hows() {
+	for _, how := range disktest.CrashModes() {
 		for seed := range int64(8) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f, _ := open(t, d)
 			done := 0
 			for n := 1; n <= 5; n++ {
-				d.Watch(func(op int) {
+				d.OnOperation(func(op int) {
 					points++
-					after := d.After(how, rng)
+					after := d.AfterCrash(how, rng)
 					if got := found(t, after); got < done || got > n {
 						t.Fatalf("way %d, operation %d: %d is found, %d was stored, %d was being stored", how, op, got, done, n)
 					}
@@ -144,8 +144,8 @@
 						t.Fatal(err)
 					}
 				}
-				d.Watch(nil)
-				if got := found(t, d.After(how, rng)); got != n {
+				d.OnOperation(nil)
+				if got := found(t, d.AfterCrash(how, rng)); got != n {
 					t.Fatalf("way %d: %d was stored, %d is found", how, n, got)
 				}
 			}
@@ -171,13 +171,13 @@
 
 // TestDocumentBeforeRecord has a document that was put be there after a stop, before any record is about it.
 func TestDocumentBeforeRecord(t *testing.T) {
-	for _, how := range disktest.Hows() {
+	for _, how := range disktest.CrashModes() {
 		d := disktest.New()
 		f, _ := open(t, d)
 		if err := f.Put(hashOfDocument(1), document(1)); err != nil {
 			t.Fatal(err)
 		}
-		g, c := open(t, d.After(how, rand.New(rand.NewSource(1))))
+		g, c := open(t, d.AfterCrash(how, rand.New(rand.NewSource(1))))
 		if !bytes.Equal(c.Documents[hashOfDocument(1)], document(1)) {
 			t.Errorf("way %d: the document is lost", how)
 		}
@@ -341,19 +341,19 @@
 // TestClearCurrent has the record removed: at each stop, and after each failure, it is there whole or gone, and its
 // document is let go only once it is gone for good.
 func TestClearCurrent(t *testing.T) {
-	for _, how := range disktest.Hows() {
+	for _, how := range disktest.CrashModes() {
 		d, rng := prepared(t), rand.New(rand.NewSource(1))
 		f, _ := open(t, d)
-		d.Watch(func(op int) {
-			if got := found(t, d.After(how, rng)); got != 0 && got != 2 {
+		d.OnOperation(func(op int) {
+			if got := found(t, d.AfterCrash(how, rng)); got != 0 && got != 2 {
 				t.Fatalf("way %d, operation %d: %d is current", how, op, got)
 			}
 		})
 		if err := f.ClearCurrent(); err != nil {
 			t.Fatal(err)
 		}
-		d.Watch(nil)
-		if got := found(t, d.After(how, rng)); got != 0 {
+		d.OnOperation(nil)
+		if got := found(t, d.AfterCrash(how, rng)); got != 0 {
 			t.Errorf("way %d: cleared, and %d is current", how, got)
 		}
 	}
@@ -429,10 +429,10 @@
 		err  error
 		want error
 	}{
-		"a document too big":                  {f.Put(sha256.Sum256(big), big), ErrTooBig},
-		"a document of another hash":          {f.Put(hashOfDocument(4), document(5)), ErrHash},
-		"a record without a document":         {f.SetCurrent(current(6)), ErrMissing},
-		"a record too big":                    {f.SetCurrent(Current{hashOfDocument(1), make([]byte, maxRecordSize+1)}), ErrTooBig},
+		"a document too big":                  {f.Put(sha256.Sum256(big), big), ErrTooLarge},
+		"a document of another hash":          {f.Put(hashOfDocument(4), document(5)), ErrHashMismatch},
+		"a record without a document":         {f.SetCurrent(current(6)), ErrNotFound},
+		"a record too big":                    {f.SetCurrent(Current{hashOfDocument(1), make([]byte, maxRecordSize+1)}), ErrTooLarge},
 		"the current document's removal":      {f.Remove(hashOfDocument(2)), ErrInUse},
 		"removal of what was never there":     {f.Remove(hashOfDocument(7)), nil},
 		"a document that is there already":    {f.Put(hashOfDocument(2), document(2)), nil},
--- a/internal/store/fenced/fenced.go
+++ b/internal/store/fenced/fenced.go
@@ -24,14 +24,14 @@
 
 // Errors. ErrSuperseded is that somebody has written with a higher token: the writer that gets it holds the value no more.
 var (
-	ErrSuperseded = errors.New("was written with a higher token")
-	ErrNone       = errors.New("was never written")
-	ErrName       = errors.New("is no name of a value: 1 to 64 small letters, digits and '-'")
-	ErrTooLarge   = errors.New("is too big")
+	ErrSuperseded  = errors.New("was written with a higher token")
+	ErrNotFound    = errors.New("was never written")
+	ErrInvalidName = errors.New("is no name of a value: 1 to 64 small letters, digits and '-'")
+	ErrTooLarge    = errors.New("is too big")
 )
 
-// MaxBytes is how many bytes a value may have.
-const MaxBytes = 4 << 20
+// MaxValueBytes is how many bytes a value may have.
+const MaxValueBytes = 4 << 20
 
 type version struct {
 	token, serial uint64
@@ -73,9 +73,9 @@
 // value may be there or not; if it is, it counts for as little as its token.
 func Write(d disk.Disk, name string, token uint64, value []byte) error {
 	if !wellNamed(name) {
-		return ErrName
+		return ErrInvalidName
 	}
-	if len(value) > MaxBytes {
+	if len(value) > MaxValueBytes {
 		return ErrTooLarge
 	}
 	list, err := versions(d, name)
@@ -140,7 +140,7 @@
 // Read is the value of the highest token that can be read whole, with that token.
 func Read(d disk.Disk, name string) (value []byte, token uint64, err error) {
 	if !wellNamed(name) {
-		return nil, 0, ErrName
+		return nil, 0, ErrInvalidName
 	}
 	for range 3 { // a file may be removed between the look and the read, as a later one is there
 		list, err := versions(d, name)
@@ -159,7 +159,7 @@
 			break
 		}
 	}
-	return nil, 0, ErrNone
+	return nil, 0, ErrNotFound
 }
 
 var errSum = errors.New("is damaged")
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if size < 8 || size > 8+MaxBytes {
+	if size < 8 || size > 8+MaxValueBytes {
 		return nil, errSum
 	}
 	b, err := io.ReadAll(io.LimitReader(f, size))
--- a/internal/store/fenced/fenced_test.go
+++ b/internal/store/fenced/fenced_test.go
@@ -88,9 +88,9 @@
 	rng := rand.New(rand.NewSource(1))
 	d := disktest.New()
 	Write(d, "plan", 1, []byte("before"))
-	d.Watch(func(int) {
-		for _, how := range disktest.Hows() {
-			if v, _, err := Read(d.After(how, rng), "plan"); err != nil || string(v) != "before" && string(v) != "after" {
+	d.OnOperation(func(int) {
+		for _, how := range disktest.CrashModes() {
+			if v, _, err := Read(d.AfterCrash(how, rng), "plan"); err != nil || string(v) != "before" && string(v) != "after" {
 				t.Errorf("%v: %q, %v", how, v, err)
 			}
 		}
@@ -98,9 +98,9 @@
 	if err := Write(d, "plan", 2, []byte("after")); err != nil {
 		t.Fatal(err)
 	}
-	d.Watch(nil)
-	for _, how := range disktest.Hows() {
-		if v, e, _ := Read(d.After(how, rng), "plan"); string(v) != "after" || e != 2 {
+	d.OnOperation(nil)
+	for _, how := range disktest.CrashModes() {
+		if v, e, _ := Read(d.AfterCrash(how, rng), "plan"); string(v) != "after" || e != 2 {
 			t.Errorf("%v: once told as written: %q of token %d", how, v, e)
 		}
 	}
@@ -109,14 +109,14 @@
 func TestNamesAndBounds(t *testing.T) {
 	d := disktest.New()
 	for _, name := range []string{"", "a/b", "A", "a.b", "..", string(make([]byte, 65))} {
-		if err := Write(d, name, 1, nil); !errors.Is(err, ErrName) {
+		if err := Write(d, name, 1, nil); !errors.Is(err, ErrInvalidName) {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
-	if err := Write(d, "a", 1, make([]byte, MaxBytes+1)); !errors.Is(err, ErrTooLarge) {
+	if err := Write(d, "a", 1, make([]byte, MaxValueBytes+1)); !errors.Is(err, ErrTooLarge) {
 		t.Error(err)
 	}
-	if _, _, err := Read(d, "a"); !errors.Is(err, ErrNone) {
+	if _, _, err := Read(d, "a"); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
 	for range 5 {
--- a/internal/store/records/records.go
+++ b/internal/store/records/records.go
@@ -45,13 +45,13 @@
 	Files  int
 }
 
-// Usual are the bounds of a log of small agreements.
-func Usual() Bounds { return Bounds{Record: 8 << 20, Log: 64 << 20, Files: 1000} }
+// DefaultBounds are the bounds of a log of small agreements.
+func DefaultBounds() Bounds { return Bounds{Record: 8 << 20, Log: 64 << 20, Files: 1000} }
 
 // Errors of logs that can't be used.
 var (
-	ErrDamaged = errors.New("is damaged")
-	ErrTooBig  = errors.New("is too big")
+	ErrDamaged  = errors.New("is damaged")
+	ErrTooLarge = errors.New("is too big")
 )
 
 // Log is one that this process holds the lock of. It is for one goroutine.
@@ -97,7 +97,7 @@
 		l.names, l.number = append(l.names, f.name), f.number
 	}
 	if len(files) > b.Files {
-		l.failed = ErrTooBig
+		l.failed = ErrTooLarge
 		return l, nil, false, fmt.Errorf("%w: %d files", ErrDamaged, len(files))
 	}
 	left := b.Log
@@ -125,7 +125,7 @@
 		return nil, false, err
 	}
 	if *left -= size; *left < 0 {
-		return nil, false, fmt.Errorf("%s: %w", name, ErrTooBig)
+		return nil, false, fmt.Errorf("%s: %w", name, ErrTooLarge)
 	}
 	r := bufio.NewReader(io.LimitReader(f, size))
 	head := make([]byte, headBytes)
@@ -205,7 +205,7 @@
 		return l.failed
 	}
 	if len(payload) > l.bounds.Record {
-		return ErrTooBig
+		return ErrTooLarge
 	}
 	if l.out == nil {
 		if err := l.begin(); err != nil {
@@ -254,12 +254,12 @@
 // Replace keeps a record that holds all, in a file of its own, and lets the files before it go. Those of a log that was
 // damaged are put aside under another name, for whoever wants to look.
 func (l *Log) Replace(payload []byte) error {
-	damaged := errors.Is(l.failed, ErrDamaged) || errors.Is(l.failed, ErrTooBig)
+	damaged := errors.Is(l.failed, ErrDamaged) || errors.Is(l.failed, ErrTooLarge)
 	if l.failed != nil && !damaged {
 		return l.failed
 	}
 	if len(payload) > l.bounds.Record {
-		return ErrTooBig
+		return ErrTooLarge
 	}
 	if l.out != nil {
 		l.out.Close()
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -20,10 +20,10 @@
 		var kept []string // what is owed
 		next, writing := 0, ""
 		look := func(int) {
-			for _, how := range disktest.Hows() {
+			for _, how := range disktest.CrashModes() {
 				stops++
-				after := d.After(how, rng)
-				l, found, _, err := Open(after, Usual())
+				after := d.AfterCrash(how, rng)
+				l, found, _, err := Open(after, DefaultBounds())
 				if err != nil {
 					t.Fatalf("seed %d, %v after %d: %v", seed, how, next, err)
 				}
@@ -41,11 +41,11 @@
 				}
 			}
 		}
-		l, _, _, err := Open(d, Usual())
+		l, _, _, err := Open(d, DefaultBounds())
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Watch(look)
+		d.OnOperation(look)
 		for range 25 {
 			next++
 			switch rng.Intn(6) {
@@ -57,7 +57,7 @@
 				kept = []string{writing}
 			case 1:
 				l.Close()
-				if l, _, _, err = Open(d, Usual()); err != nil {
+				if l, _, _, err = Open(d, DefaultBounds()); err != nil {
 					t.Fatal(err)
 				}
 			default:
@@ -69,7 +69,7 @@
 			}
 			writing = ""
 		}
-		d.Watch(nil)
+		d.OnOperation(nil)
 		l.Close()
 	}
 	t.Logf("%d stops", stops)
@@ -78,7 +78,7 @@
 // A log of which a byte has changed is never read as another: it is damaged, or its end is missing.
 func TestDamage(t *testing.T) {
 	d := disktest.New()
-	l, _, _, _ := Open(d, Usual())
+	l, _, _, _ := Open(d, DefaultBounds())
 	for i := range 4 {
 		l.Append(fmt.Append(nil, "record ", i))
 	}
@@ -90,7 +90,7 @@
 		bad[at] ^= 1 << (at % 8)
 		other := disktest.New()
 		other.Put(name, bad)
-		_, found, torn, err := Open(other, Usual())
+		_, found, torn, err := Open(other, DefaultBounds())
 		if err == nil && !torn {
 			t.Fatalf("byte %d: taken as whole: %q", at, found)
 		}
@@ -103,7 +103,7 @@
 	for cut := range whole {
 		other := disktest.New()
 		other.Put(name, whole[:cut])
-		if _, found, _, err := Open(other, Usual()); err != nil || len(found) > 3 {
+		if _, found, _, err := Open(other, DefaultBounds()); err != nil || len(found) > 3 {
 			t.Fatalf("cut at %d: %d records, %v", cut, len(found), err)
 		}
 	}
@@ -112,10 +112,10 @@
 // A damaged log takes nothing but a new whole, and its files are put aside; after a failure nothing is appended.
 func TestFailures(t *testing.T) {
 	d := disktest.New()
-	l, _, _, _ := Open(d, Usual())
+	l, _, _, _ := Open(d, DefaultBounds())
 	l.Append([]byte("one"))
 	l.Append([]byte("two"))
-	if _, _, _, err := Open(d, Usual()); !errors.Is(err, disk.ErrLocked) {
+	if _, _, _, err := Open(d, DefaultBounds()); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("a second process opens it: %v", err)
 	}
 	reached := d.FailFrom(1, errors.New("broken"))
@@ -131,7 +131,7 @@
 	bad[len(magic)+20] ^= 1
 	other := disktest.New()
 	other.Put(name, bad)
-	l, _, _, err := Open(other, Usual())
+	l, _, _, err := Open(other, DefaultBounds())
 	if !errors.Is(err, ErrDamaged) || l.Append([]byte("x")) == nil {
 		t.Fatalf("a damaged log is appended to: %v", err)
 	}
@@ -142,7 +142,7 @@
 	if other.Get(aside+name) == nil {
 		t.Error("the damaged file is not put aside")
 	}
-	if _, found, _, err := Open(other, Usual()); err != nil || len(found) != 1 || string(found[0]) != "anew" {
+	if _, found, _, err := Open(other, DefaultBounds()); err != nil || len(found) != 1 || string(found[0]) != "anew" {
 		t.Errorf("%q, %v", found, err)
 	}
 }
--- a/internal/store/snapshots/snapshots.go
+++ b/internal/store/snapshots/snapshots.go
@@ -59,11 +59,11 @@
 
 // Errors of files that can't be used.
 var (
-	ErrForeign = errors.New("is no snapshot")
-	ErrVersion = errors.New("is of another version")
-	ErrDamaged = errors.New("is damaged")
-	ErrTooBig  = errors.New("is too big")
-	ErrNone    = errors.New("holds no snapshot")
+	ErrNotSnapshot = errors.New("is no snapshot")
+	ErrVersion     = errors.New("is of another version")
+	ErrDamaged     = errors.New("is damaged")
+	ErrTooLarge    = errors.New("is too big")
+	ErrNone        = errors.New("holds no snapshot")
 )
 
 // Folder is a folder of snapshots that this process holds the lock of. It is for one goroutine.
@@ -231,7 +231,7 @@
 		w.err = errors.New("kind 0 is taken")
 	case len(payload) > w.bounds.Section || w.sections >= w.bounds.Sections ||
 		w.size+int64(len(payload)+3*partBytes) > w.bounds.File: // what would not be read need not be written
-		w.err = ErrTooBig
+		w.err = ErrTooLarge
 	}
 	w.section(kind, payload)
 	w.sections++
@@ -281,7 +281,7 @@
 	if size, err := in.Size(); err != nil {
 		return 0, err
 	} else if size > b.File {
-		return 0, fmt.Errorf("%w: %d bytes", ErrTooBig, size)
+		return 0, fmt.Errorf("%w: %d bytes", ErrTooLarge, size)
 	}
 	r := bufio.NewReaderSize(io.LimitReader(in, b.File), 16<<10)
 	if serial, err = readHead(r); err != nil {
@@ -295,14 +295,14 @@
 	head := make([]byte, headBytes)
 	if _, err := io.ReadFull(r, head); err != nil {
 		if cut(err) {
-			err = ErrForeign
+			err = ErrNotSnapshot
 		}
 		return 0, err
 	}
 	version := binary.BigEndian.Uint16(head[len(magic):])
 	switch {
 	case string(head[:len(magic)]) != magic:
-		return 0, ErrForeign
+		return 0, ErrNotSnapshot
 	case xxhash.Sum64(head[:headBytes-8]) != binary.BigEndian.Uint64(head[headBytes-8:]):
 		return 0, fmt.Errorf("%w in its head", ErrDamaged)
 	case version != Version:
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -114,15 +114,15 @@
 // before or the new one, whole; once a write has returned, the new one. The next process goes on.
 func TestStopAtEveryPoint(t *testing.T) {
 	points := 0
-	for _, how := range disktest.Hows() {
+	for _, how := range disktest.CrashModes() {
 		for seed := range int64(8) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f := open(t, d)
 			done := 0
 			for serial := 1; serial <= 4; serial++ {
-				d.Watch(func(op int) {
+				d.OnOperation(func(op int) {
 					points++
-					after := d.After(how, rng)
+					after := d.AfterCrash(how, rng)
 					if got := newest(t, after); got < done || got > serial {
 						t.Fatalf("way %d, operation %d: %d is found, %d was kept, %d was being written", how, op, got,
 							done, serial)
@@ -134,9 +134,9 @@
 				if err := write(f, content(serial)); err != nil {
 					t.Fatal(err)
 				}
-				d.Watch(nil)
-				if done = serial; newest(t, d.After(how, rng)) != serial {
-					t.Fatalf("way %d: %d was written, %d is found", how, serial, newest(t, d.After(how, rng)))
+				d.OnOperation(nil)
+				if done = serial; newest(t, d.AfterCrash(how, rng)) != serial {
+					t.Fatalf("way %d: %d was written, %d is found", how, serial, newest(t, d.AfterCrash(how, rng)))
 				}
 			}
 		}
@@ -209,12 +209,12 @@
 		file []byte
 		want error
 	}{
-		{"empty", nil, ErrForeign},
-		{"another program's", []byte("SQLite format 3\x00 and more than a head of it"), ErrForeign},
+		{"empty", nil, ErrNotSnapshot},
+		{"another program's", []byte("SQLite format 3\x00 and more than a head of it"), ErrNotSnapshot},
 		{"a newer version's", head(Version + 1), ErrVersion},
 		{"a section of 2 GB", append(claims, make([]byte, 100)...), ErrDamaged},
-		{"past the bound", make([]byte, small.File+1), ErrTooBig},
-		{"zeros", make([]byte, small.File), ErrForeign},
+		{"past the bound", make([]byte, small.File+1), ErrTooLarge},
+		{"zeros", make([]byte, small.File), ErrNotSnapshot},
 	} {
 		d := disktest.New()
 		d.Put("snapshot-0000000000000001", c.file)
@@ -232,7 +232,7 @@
 	}
 	big.Truncate(1 << 30)
 	big.Close()
-	if _, _, err := read(disk.Folder(path), "snapshot-00000000000000ff"); !errors.Is(err, ErrTooBig) {
+	if _, _, err := read(disk.Folder(path), "snapshot-00000000000000ff"); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a file of 1 GB: %v", err)
 	}
 	if err := os.Mkdir(filepath.Join(path, "snapshot-00000000000000fe"), 0o700); err != nil {
