--- /dev/null
+++ b/internal/store/disk/disktest/faults.go
@@ -0,0 +1,71 @@
+package disktest
+
+// Fill leaves room for so many bytes; below 0 there is no limit.
+func (d *Disk) Fill(left int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.free = max(left, unlimited)
+}
+
+// Fail makes every operation from now on fail with err; nil ends it.
+func (d *Disk) Fail(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.failure = err
+}
+
+// FailFrom makes operations fail with err from the n-th on, counted from now. The returned function ends that and tells
+// whether any operation failed.
+func (d *Disk) FailFrom(n int, err error) (reached func() bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.failFrom = d.operations + n
+	d.failFromErr = err
+	return func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.failFromErr = nil
+		return d.operations >= d.failFrom
+	}
+}
+
+// Hang makes every operation wait until the returned function is called.
+func (d *Disk) Hang() (release func()) {
+	hang := make(chan struct{})
+	d.mu.Lock()
+	d.hang = hang
+	d.mu.Unlock()
+	return func() {
+		d.mu.Lock()
+		d.hang = nil
+		d.mu.Unlock()
+		close(hang)
+	}
+}
+
+// OnOperation has watch called before each operation, with the operation's number; nil ends it. The disk is locked
+// meanwhile: watch may call AfterCrash and no other method.
+func (d *Disk) OnOperation(watch func(op int)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.onOperation = watch
+}
+
+// begin counts an operation, waits while the disk hangs, and returns the error that the operation has to fail with. It
+// returns with d.mu held, also with an error.
+func (d *Disk) begin() error {
+	d.mu.Lock()
+	if hang := d.hang; hang != nil {
+		d.mu.Unlock()
+		<-hang
+		d.mu.Lock()
+	}
+	d.operations++
+	if d.onOperation != nil {
+		d.onOperation(d.operations)
+	}
+	if d.failFromErr != nil && d.operations >= d.failFrom {
+		return d.failFromErr
+	}
+	return d.failure
+}
