--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -5,8 +5,9 @@
 	"io"
 )
 
-// Disk is one directory. Names are plain file names, without separators. Errors are those of the operating system
-// (fs.ErrNotExist, fs.ErrExist and others), ErrLocked, ErrInvalidName or ErrNotRegular.
+// Disk is one directory. Names are plain file names, without separators. Errors are those of the
+// operating system (fs.ErrNotExist, fs.ErrExist and others), ErrLocked, ErrInvalidName or
+// ErrNotRegular.
 type Disk interface {
 	// Make creates the directory itself, unless it exists. Its parent must exist.
 	Make() error
@@ -22,7 +23,8 @@
 	Names() ([]string, error)
 	// Sync makes the creates, renames and removes so far durable.
 	Sync() error
-	// Lock takes an exclusive lock that ends with Close or with the process; ErrLocked if another process has it.
+	// Lock takes an exclusive lock that ends with Close or with the process; ErrLocked if another
+	// process has it.
 	Lock(name string) (io.Closer, error)
 }
 
--- a/internal/store/disk/disktest/crash.go
+++ b/internal/store/disk/disktest/crash.go
@@ -30,8 +30,8 @@
 	return all
 }
 
-// AfterCrash returns the disk as it is found after a crash at this moment; d itself is not changed. It takes no lock, so
-// that it may be called from the function of OnOperation.
+// AfterCrash returns the disk as it is found after a crash at this moment; d itself is not changed.
+// It takes no lock, so that it may be called from the function of OnOperation.
 func (d *Disk) AfterCrash(mode CrashMode, rng *rand.Rand) *Disk {
 	names := maps.Clone(d.durableNames)
 	for i, change := range d.unsyncedNames {
--- a/internal/store/disk/disktest/disk.go
+++ b/internal/store/disk/disktest/disk.go
@@ -16,7 +16,8 @@
 // ErrNoSpace is the error of a write to a full disk.
 var ErrNoSpace = errors.New("no space left on device")
 
-// Disk is a directory on the modelled disk. New makes one; the zero value is not usable. Any goroutine may use it.
+// Disk is a directory on the modelled disk. New makes one; the zero value is not usable. Any
+// goroutine may use it.
 type Disk struct {
 	mu sync.Mutex // guards all below
 
--- a/internal/store/disk/disktest/doc.go
+++ b/internal/store/disk/disktest/doc.go
@@ -1,6 +1,8 @@
-// Package disktest is a model of a disk for tests of stores. It implements disk.Disk in memory, can be made full, failing
-// or hanging, and tells what a crash at any operation would leave: each CrashMode treats what was not synced in another
-// way that real file systems have shown (lost, torn, out of order).
+// Package disktest is a model of a disk for tests of stores. It implements disk.Disk in memory, can
+// be made full, failing or hanging, and tells what a crash at any operation would leave: each
+// CrashMode treats what was not synced in another way that real file systems have shown (lost,
+// torn, out of order).
 //
-// A test of a crash at every point calls OnOperation with a function that reopens the store on AfterCrash.
+// A test of a crash at every point calls OnOperation with a function that reopens the store on
+// AfterCrash.
 package disktest
--- a/internal/store/disk/disktest/faults.go
+++ b/internal/store/disk/disktest/faults.go
@@ -14,8 +14,8 @@
 	d.failure = err
 }
 
-// FailFrom makes operations fail with err from the n-th on, counted from now. The returned function ends that and tells
-// whether any operation failed.
+// FailFrom makes operations fail with err from the n-th on, counted from now. The returned function
+// ends that and tells whether any operation failed.
 func (d *Disk) FailFrom(n int, err error) (reached func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,16 +43,16 @@
 	}
 }
 
-// OnOperation has watch called before each operation, with the operation's number; nil ends it. The disk is locked
-// meanwhile: watch may call AfterCrash and no other method.
+// OnOperation has watch called before each operation, with the operation's number; nil ends it. The
+// disk is locked meanwhile: watch may call AfterCrash and no other method.
 func (d *Disk) OnOperation(watch func(op int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onOperation = watch
 }
 
-// begin counts an operation, waits while the disk hangs, and returns the error that the operation has to fail with. It
-// returns with d.mu held, also with an error.
+// begin counts an operation, waits while the disk hangs, and returns the error that the operation
+// has to fail with. It returns with d.mu held, also with an error.
 func (d *Disk) begin() error {
 	d.mu.Lock()
 	if hang := d.hang; hang != nil {
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// folderMode and fileMode give access to this user alone: the statistics tell of a customer's traffic.
+	// folderMode and fileMode give access to this user alone: the statistics tell of a customer's
+	// traffic.
 	folderMode = 0o700
 	fileMode   = 0o600
 
@@ -21,8 +22,8 @@
 // Folder is a directory of the operating system's file system, by its path.
 type Folder string
 
-// Make creates the directory, but not its parents: a path whose parent is missing may be that of a disk which is not
-// mounted yet.
+// Make creates the directory, but not its parents: a path whose parent is missing may be that of a
+// disk which is not mounted yet.
 func (d Folder) Make() error {
 	err := os.Mkdir(string(d), folderMode)
 	if errors.Is(err, os.ErrExist) {
@@ -40,7 +41,8 @@
 	return f, nil
 }
 
-// Open opens a regular file; other kinds are ErrNotRegular. It does not block: opening a pipe would wait for a writer.
+// Open opens a regular file; other kinds are ErrNotRegular. It does not block: opening a pipe would
+// wait for a writer.
 func (d Folder) Open(name string) (File, error) {
 	f, err := d.openFile(name, os.O_RDONLY|syscall.O_NONBLOCK)
 	if err != nil {
@@ -101,7 +103,8 @@
 	return f.Sync()
 }
 
-// Lock takes an flock on a file of this name. The kernel releases it when the process ends, however it ends.
+// Lock takes an flock on a file of this name. The kernel releases it when the process ends, however
+// it ends.
 func (d Folder) Lock(name string) (io.Closer, error) {
 	path, err := d.path(name)
 	if err != nil {
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -20,7 +20,7 @@
 
 var small = Bounds{Section: 1 << 10, Sections: 8, File: 8 << 10}
 
-// content is what is kept: each section says which snapshot it is of.
+// content returns sections that say which snapshot they belong to.
 func content(serial int) []Section {
 	var all []Section
 	for i := range 3 {
@@ -50,10 +50,13 @@
 }
 
 func same(a, b []Section) bool {
-	return slices.EqualFunc(a, b, func(a, b Section) bool { return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload) })
+	return slices.EqualFunc(a, b, func(a, b Section) bool {
+		return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload)
+	})
 }
 
-// newest is the first file that is whole, as a reader would take it; 0: there is none.
+// newest is the number of the newest snapshot that can be read whole, as a reader would choose it;
+// 0: there is none.
 func newest(t *testing.T, d disk.Disk) int {
 	t.Helper()
 	files, err := Files(d)
@@ -82,8 +85,8 @@
 	return f
 }
 
-// Snapshots follow each other, two are kept, and another process goes on from them.
-func TestWriteAndRead(t *testing.T) {
+// Snapshots are written one after another: two are retained, and another process continues from them.
+func TestProcessesContinueOneSeries(t *testing.T) {
 	path := t.TempDir()
 	for _, d := range []disk.Disk{disktest.New(), disk.Folder(path)} {
 		f := open(t, d)
@@ -94,7 +97,7 @@
 			if err := write(f, content(serial)); err != nil {
 				t.Fatal(err)
 			}
-			if files, _ := Files(d); newest(t, d) != serial || len(files) != min(serial, kept) {
+			if files, _ := Files(d); newest(t, d) != serial || len(files) != min(serial, retainedFiles) {
 				t.Errorf("%T: %v after %d", d, files, serial)
 			}
 		}
@@ -110,11 +113,12 @@
 	}
 }
 
-// A machine that stops at any operation of a write, with any treatment of what was not synced, leaves the snapshot
-// before or the new one, whole; once a write has returned, the new one. The next process goes on.
-func TestStopAtEveryPoint(t *testing.T) {
+// The machine crashes at some operation of a write, and what was not synced is lost, torn or
+// reordered. The directory then has the snapshot before or the new one, whole; once Write has
+// reflipped, the new one. The next process can write again.
+func TestCrashAtEveryOperation(t *testing.T) {
 	points := 0
-	for _, how := range disktest.CrashModes() {
+	for _, mode := range disktest.CrashModes() {
 		for seed := range int64(8) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f := open(t, d)
@@ -122,21 +126,22 @@
 			for serial := 1; serial <= 4; serial++ {
 				d.OnOperation(func(op int) {
 					points++
-					after := d.AfterCrash(how, rng)
+					after := d.AfterCrash(mode, rng)
 					if got := newest(t, after); got < done || got > serial {
-						t.Fatalf("way %d, operation %d: %d is found, %d was kept, %d was being written", how, op, got,
-							done, serial)
+						t.Fatalf("crash mode %d, operation %d: %d is found, %d was written, %d was being written",
+							mode, op, got, done, serial)
 					}
 					if g := open(t, after); write(g, content(9)) != nil || newest(t, after) != 9 {
-						t.Fatalf("way %d, operation %d: the next process can't go on", how, op)
+						t.Fatalf("crash mode %d, operation %d: the next process can't go on", mode, op)
 					}
 				})
 				if err := write(f, content(serial)); err != nil {
 					t.Fatal(err)
 				}
 				d.OnOperation(nil)
-				if done = serial; newest(t, d.AfterCrash(how, rng)) != serial {
-					t.Fatalf("way %d: %d was written, %d is found", how, serial, newest(t, d.AfterCrash(how, rng)))
+				done = serial
+				if got := newest(t, d.AfterCrash(mode, rng)); got != serial {
+					t.Fatalf("crash mode %d: %d was written, %d is found", mode, serial, got)
 				}
 			}
 		}
@@ -146,9 +151,9 @@
 	}
 }
 
-// A file cut at any byte, with any bit turned, or with anything behind its end is never taken for whole, and never
-// hands on a section that was not written.
-func TestDamage(t *testing.T) {
+// A file is cut at any byte, has any bit flipped, or has something behind its end. Read reports it
+// as damaged and never passes on a section that was not written.
+func TestDamagedFilesAreReported(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
 	if err := write(f, content(1)); err != nil {
@@ -164,7 +169,8 @@
 			t.Errorf("%s: taken for whole", what)
 		}
 		for _, s := range got {
-			if !slices.ContainsFunc(content(1), func(w Section) bool { return same([]Section{w}, []Section{s}) }) {
+			wasWritten := func(w Section) bool { return same([]Section{w}, []Section{s}) }
+			if !slices.ContainsFunc(content(1), wasWritten) {
 				t.Errorf("%s: hands on what was not written", what)
 			}
 		}
@@ -172,16 +178,16 @@
 	for n := range whole {
 		try(fmt.Sprint("cut at ", n), whole[:n])
 		for bit := range 8 {
-			turned := slices.Clone(whole)
-			turned[n] ^= 1 << bit
-			try(fmt.Sprint("bit ", bit, " of ", n), turned)
+			flipped := slices.Clone(whole)
+			flipped[n] ^= 1 << bit
+			try(fmt.Sprint("bit ", bit, " of ", n), flipped)
 		}
 	}
 	try("something behind the end", append(slices.Clone(whole), 0))
 	try("twice", append(slices.Clone(whole), whole...))
-	turned := slices.Clone(whole)
-	turned[headBytes+partBytes+3] ^= 1
-	d.Put(name, turned)
+	flipped := slices.Clone(whole)
+	flipped[headerBytes+sectionHeaderBytes+3] ^= 1
+	d.Put(name, flipped)
 	if got, _, _ := read(d, name); !same(got, content(1)[1:]) {
 		t.Errorf("one section damaged: %d are left", len(got))
 	}
@@ -192,12 +198,14 @@
 		t.Fatal(err)
 	}
 	second := d.Get("snapshot-0000000000000002")
-	mixed := slices.Concat(second[:headBytes], whole[headBytes:])
+	mixed := slices.Concat(second[:headerBytes], whole[headerBytes:])
 	try("the head of another file", mixed)
 }
 
-// What a file claims costs no more than the bounds, and what is no snapshot of ours is told as such.
-func TestForeignFiles(t *testing.T) {
+// A directory has files of other programs and versions, of absurd sizes or with absurd lengths
+// inside. Each gets its own error, no more is allocated than the bounds say, and snapshots can be
+// written beside it.
+func TestFilesThatAreNoUsableSnapshots(t *testing.T) {
 	head := func(version uint16) []byte {
 		b := binary.BigEndian.AppendUint16([]byte(magic), version)
 		b = binary.BigEndian.AppendUint64(b, 1)
@@ -248,8 +256,9 @@
 	}
 }
 
-// A disk that is full or fails leaves what was there, and takes writes again when it is well.
-func TestFullDisk(t *testing.T) {
+// A disk gets full, or fails from any operation on. The earlier snapshot stays, and writes succeed
+// again once the disk works.
+func TestFullAndFailingDisks(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
 	if err := write(f, content(1)); err != nil {
@@ -282,8 +291,8 @@
 	}
 }
 
-// What would not be read is not written.
-func TestBounds(t *testing.T) {
+// Write refuses what Read would refuse.
+func TestWriteKeepsToTheBounds(t *testing.T) {
 	f := open(t, disktest.New())
 	for name, sections := range map[string][]Section{
 		"a section too long": {{1, make([]byte, small.Section+1)}},
