--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -336,20 +336,19 @@
 
 // open reads what is kept. A log that is damaged is as one that was lost: the quorum finds out what it had promised.
 func (in *session) open() ([]quorum.Record, error) {
-	log, kept, torn, err := records.Open(disk.Folder(in.block.Folder), records.DefaultBounds())
+	log, recovered, err := records.Open(disk.Folder(in.block.Folder), records.DefaultBounds())
 	if log == nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
 	in.kept = log
 	if err != nil {
 		in.Service.log.Error("fleet: what the quorum kept here can't be read: taking part as one that lost it", "why", err)
-		kept = nil
 	}
-	if torn {
+	if recovered.TornTail {
 		in.Service.log.Info("fleet: the last record was not written whole, and nothing was said on it")
 	}
-	list := make([]quorum.Record, 0, len(kept))
-	for i, b := range kept {
+	list := make([]quorum.Record, 0, len(recovered.Records))
+	for i, b := range recovered.Records {
 		var r quorum.Record
 		if err := recordForm.Unmarshal(b, &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
--- /dev/null
+++ b/internal/store/records/read.go
@@ -0,0 +1,148 @@
+package records
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"mintkeel/internal/store/disk"
+)
+
+// Ends of a file that are no errors to the caller of readFile.
+var (
+	errEndOfFile = errors.New("end of the file")
+	errTornTail  = errors.New("torn tail")
+)
+
+// logFile is a file of the log in a directory.
+type logFile struct {
+	name   string
+	number uint64
+}
+
+// readFile reads the records of a file. tornTail tells that the last one is not whole. The file's
+// size is taken off bytesLeft, which must not get below 0.
+func readFile(
+	d disk.Disk, file logFile, b Bounds, bytesLeft *int64,
+) (records [][]byte, tornTail bool, err error) {
+	in, err := d.Open(file.name)
+	if err != nil {
+		return nil, false, err
+	}
+	defer in.Close()
+	size, err := in.Size()
+	if err != nil {
+		return nil, false, err
+	}
+	*bytesLeft -= size
+	if *bytesLeft < 0 {
+		return nil, false, &FileError{file.name, noRecord, ErrTooLarge}
+	}
+	r := &reader{in: bufio.NewReader(io.LimitReader(in, size)), file: file, size: size, maxRecord: b.Record}
+	err = r.readHeader()
+	for err == nil {
+		var payload []byte
+		payload, err = r.readRecord()
+		if err == nil {
+			records = append(records, payload)
+		}
+	}
+	switch err {
+	case errEndOfFile:
+		return records, false, nil
+	case errTornTail:
+		return records, true, nil
+	}
+	return nil, false, err
+}
+
+// reader reads one file.
+type reader struct {
+	in        *bufio.Reader
+	file      logFile
+	size      int64 // bytes of the file
+	offset    int64 // bytes read so far
+	maxRecord int   // bytes of a payload
+	records   int   // read so far
+}
+
+func (r *reader) readHeader() error {
+	header := make([]byte, headerBytes)
+	_, err := io.ReadFull(r.in, header)
+	if isTruncation(err) {
+		return errTornTail
+	}
+	if err != nil {
+		return err
+	}
+	r.offset = int64(headerBytes)
+	switch {
+	case bytes.Equal(header, appendHeader(nil, r.file.number)):
+		return nil
+	case isZeros(header):
+		// The header is written together with the first record, so this write was lost and no
+		// Append had returned.
+		return errTornTail
+	}
+	return &FileError{r.file.name, noRecord, fmt.Errorf("head %w", ErrDamaged)}
+}
+
+// readRecord returns the payload of the next record, errEndOfFile, errTornTail or an error of the file.
+func (r *reader) readRecord() ([]byte, error) {
+	header := make([]byte, recordHeaderBytes)
+	_, err := io.ReadFull(r.in, header)
+	switch {
+	case err == io.EOF:
+		return nil, errEndOfFile
+	case isTruncation(err):
+		return nil, errTornTail
+	case err != nil:
+		return nil, err
+	}
+	length := int64(binary.BigEndian.Uint32(header))
+	r.offset += int64(recordHeaderBytes)
+	if length > int64(r.maxRecord) {
+		return nil, r.damaged()
+	}
+	if r.offset+length > r.size {
+		return nil, errTornTail
+	}
+	payload := make([]byte, length)
+	if _, err := io.ReadFull(r.in, payload); err != nil {
+		return nil, err
+	}
+	r.offset += length
+	checksum := binary.BigEndian.Uint64(header[recordHeaderBytes-checksumBytes:])
+	if checksum != recordChecksum(r.file.number, uint64(r.records), payload) {
+		return nil, r.classifyMismatch(header, payload)
+	}
+	r.records++
+	return payload, nil
+}
+
+// classifyMismatch tells a torn write from later damage, for a record whose checksum is wrong: a
+// torn write has nothing behind it, or zeros all over, which a file system leaves where it had
+// allocated blocks for a write that it lost.
+func (r *reader) classifyMismatch(header, payload []byte) error {
+	rest, err := io.ReadAll(r.in) // bounded by the file's size
+	if err != nil {
+		return err
+	}
+	isLast := r.offset == r.size
+	if isLast || isZeros(header) && isZeros(payload) && isZeros(rest) {
+		return errTornTail
+	}
+	return r.damaged()
+}
+
+func (r *reader) damaged() error { return &FileError{r.file.name, r.records, ErrDamaged} }
+
+func isZeros(b []byte) bool { return len(bytes.Trim(b, "\x00")) == 0 }
+
+// isTruncation tells whether a read failed because the file is too short.
+func isTruncation(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+}
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -10,42 +10,46 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// TestStops has the machine stop at each operation of a log's life, in each way in which a disk may treat what was not
-// synced: what Append kept is there, in order, and nothing but what was appended.
-func TestStops(t *testing.T) {
-	stops := 0
+// The machine crashes at some operation in the life of a log, and what was not synced is lost, torn
+// or reordered. A new Open then returns every record whose Append or Replace had returned, in
+// order, and besides at most the one that was being written.
+func TestCrashAtEveryOperation(t *testing.T) {
+	crashes := 0
 	for seed := range int64(20) {
 		rng := rand.New(rand.NewSource(seed))
 		d := disktest.New()
-		var kept []string // what is owed
+		var durable []string // records whose Append or Replace has returned
 		next, writing := 0, ""
-		look := func(int) {
-			for _, how := range disktest.CrashModes() {
-				stops++
-				after := d.AfterCrash(how, rng)
-				l, found, _, err := Open(after, DefaultBounds())
+		checkCrash := func(int) {
+			for _, mode := range disktest.CrashModes() {
+				crashes++
+				after := d.AfterCrash(mode, rng)
+				l, recovered, err := Open(after, DefaultBounds())
 				if err != nil {
-					t.Fatalf("seed %d, %v after %d: %v", seed, how, next, err)
+					t.Fatalf("seed %d, crash mode %v after %d: %v", seed, mode, next, err)
 				}
 				l.Close()
 				texts := []string{}
-				for _, b := range found {
-					if texts = append(texts, string(b)); b[0] == 'W' { // a whole one stands for all before it
+				for _, b := range recovered.Records {
+					texts = append(texts, string(b))
+					if b[0] == 'W' { // it replaces all before it
 						texts = texts[len(texts)-1:]
 					}
 				}
-				owed := fmt.Sprint(kept)
-				with := fmt.Sprint(append(append([]string{}, kept...), writing))
-				if got := fmt.Sprint(texts); got != owed && got != with && got != fmt.Sprint([]string{writing}) {
-					t.Fatalf("seed %d, way %v: found %v, owed %v, writing %q", seed, how, got, owed, writing)
+				owed := fmt.Sprint(durable)
+				with := fmt.Sprint(append(append([]string{}, durable...), writing))
+				replaced := fmt.Sprint([]string{writing})
+				if got := fmt.Sprint(texts); got != owed && got != with && got != replaced {
+					t.Fatalf("seed %d, crash mode %v: found %v, owed %v, writing %q",
+						seed, mode, got, owed, writing)
 				}
 			}
 		}
-		l, _, _, err := Open(d, DefaultBounds())
+		l, _, err := Open(d, DefaultBounds())
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.OnOperation(look)
+		d.OnOperation(checkCrash)
 		for range 25 {
 			next++
 			switch rng.Intn(6) {
@@ -54,10 +58,10 @@
 				if err := l.Replace([]byte(writing)); err != nil {
 					t.Fatal(err)
 				}
-				kept = []string{writing}
+				durable = []string{writing}
 			case 1:
 				l.Close()
-				if l, _, _, err = Open(d, DefaultBounds()); err != nil {
+				if l, _, err = Open(d, DefaultBounds()); err != nil {
 					t.Fatal(err)
 				}
 			default:
@@ -65,36 +69,37 @@
 				if err := l.Append([]byte(writing)); err != nil {
 					t.Fatal(err)
 				}
-				kept = append(kept, writing)
+				durable = append(durable, writing)
 			}
 			writing = ""
 		}
 		d.OnOperation(nil)
 		l.Close()
 	}
-	t.Logf("%d stops", stops)
+	t.Logf("%d crashes", crashes)
 }
 
-// A log of which a byte has changed is never read as another: it is damaged, or its end is missing.
-func TestDamage(t *testing.T) {
+// A byte of a log's file changes, or the file is cut. Open then fails, or reports a torn tail; it
+// never returns a record with other content.
+func TestChangedBytesAreNoticed(t *testing.T) {
 	d := disktest.New()
-	l, _, _, _ := Open(d, DefaultBounds())
+	l, _, _ := Open(d, DefaultBounds())
 	for i := range 4 {
 		l.Append(fmt.Append(nil, "record ", i))
 	}
 	l.Close()
-	name := fmt.Sprintf("%s%016x", prefix, 1)
+	const name = "records-0000000000000001"
 	whole := d.Get(name)
 	for at := range whole {
 		bad := append([]byte{}, whole...)
 		bad[at] ^= 1 << (at % 8)
 		other := disktest.New()
 		other.Put(name, bad)
-		_, found, torn, err := Open(other, DefaultBounds())
-		if err == nil && !torn {
-			t.Fatalf("byte %d: taken as whole: %q", at, found)
+		_, recovered, err := Open(other, DefaultBounds())
+		if err == nil && !recovered.TornTail {
+			t.Fatalf("byte %d: taken as whole: %q", at, recovered.Records)
 		}
-		for i, b := range found {
+		for i, b := range recovered.Records {
 			if string(b) != fmt.Sprint("record ", i) {
 				t.Fatalf("byte %d: record %d is %q", at, i, b)
 			}
@@ -103,19 +108,20 @@
 	for cut := range whole {
 		other := disktest.New()
 		other.Put(name, whole[:cut])
-		if _, found, _, err := Open(other, DefaultBounds()); err != nil || len(found) > 3 {
-			t.Fatalf("cut at %d: %d records, %v", cut, len(found), err)
+		if _, recovered, err := Open(other, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
+			t.Fatalf("cut at %d: %d records, %v", cut, len(recovered.Records), err)
 		}
 	}
 }
 
-// A damaged log takes nothing but a new whole, and its files are put aside; after a failure nothing is appended.
-func TestFailures(t *testing.T) {
+// An append fails: the log accepts nothing more, as the record may be there or not. A log is
+// damaged: it accepts only a record that replaces all, and its files are kept under another name.
+func TestFailedAndDamagedLogs(t *testing.T) {
 	d := disktest.New()
-	l, _, _, _ := Open(d, DefaultBounds())
+	l, _, _ := Open(d, DefaultBounds())
 	l.Append([]byte("one"))
 	l.Append([]byte("two"))
-	if _, _, _, err := Open(d, DefaultBounds()); !errors.Is(err, disk.ErrLocked) {
+	if _, _, err := Open(d, DefaultBounds()); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("a second process opens it: %v", err)
 	}
 	reached := d.FailFrom(1, errors.New("broken"))
@@ -126,12 +132,12 @@
 		t.Error("something is kept after a failure")
 	}
 	l.Close()
-	name := fmt.Sprintf("%s%016x", prefix, 1)
+	const name = "records-0000000000000001"
 	bad := d.Get(name)
 	bad[len(magic)+20] ^= 1
 	other := disktest.New()
 	other.Put(name, bad)
-	l, _, _, err := Open(other, DefaultBounds())
+	l, _, err := Open(other, DefaultBounds())
 	if !errors.Is(err, ErrDamaged) || l.Append([]byte("x")) == nil {
 		t.Fatalf("a damaged log is appended to: %v", err)
 	}
@@ -139,10 +145,11 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if other.Get(aside+name) == nil {
+	if other.Get(damagedPrefix+name) == nil {
 		t.Error("the damaged file is not put aside")
 	}
-	if _, found, _, err := Open(other, DefaultBounds()); err != nil || len(found) != 1 || string(found[0]) != "anew" {
-		t.Errorf("%q, %v", found, err)
+	_, recovered, err := Open(other, DefaultBounds())
+	if err != nil || len(recovered.Records) != 1 || string(recovered.Records[0]) != "anew" {
+		t.Errorf("%q, %v", recovered.Records, err)
 	}
 }
