--- a/internal/store/documents/documents_test.go
+++ b/internal/store/documents/documents_test.go
@@ -26,8 +26,8 @@
 
 func current(n int) Current { return Current{hashOfDocument(n), fmt.Append(nil, "version ", n)} }
 
-// store is what a caller does for the n-th version: its document, the record, and the removal of the document before the
-// last one.
+// store does what a caller does for the n-th version: it stores the document and the record, and
+// removes the document before the last one.
 func store(f *Folder, n int) error {
 	if err := f.Put(hashOfDocument(n), document(n)); err != nil {
 		return err
@@ -50,7 +50,8 @@
 	return f, c
 }
 
-// found is the current version of a folder; 0: it has none. All that the folder hands out has to be as it was stored.
+// found returns the current version of a directory; 0: it has none. Everything that the directory
+// returns must be as it was stored.
 func found(t *testing.T, d disk.Disk) int {
 	t.Helper()
 	f, c := open(t, d)
@@ -75,8 +76,8 @@
 	return 0
 }
 
-// TestStore has versions follow each other on a model of a disk and on the system's, over restarts.
-func TestStore(t *testing.T) {
+// Versions follow each other over restarts, on the model of a disk and on the operating system's.
+func TestVersionsFollowEachOtherOverRestarts(t *testing.T) {
 	for _, d := range []disk.Disk{disktest.New(), disk.Folder(t.TempDir())} {
 		f, c := open(t, d)
 		if c.Current != nil || len(c.Documents) > 0 || c.Damaged > 0 {
@@ -108,12 +109,12 @@
 	}
 }
 
-// TestStopAtEveryPoint has the machine stop at each operation, with each treatment of what was not synced: the version
-// before or the new one is current, with its document; once a call has returned, what it stored is there. The next
-// process goes on.
-func TestStopAtEveryPoint(t *testing.T) {
+// The machine crashes at some operation, and what was not synced is lost, torn or reordered. The
+// version before or the new one is then current, with its document; once a call has returned, what
+// it stored is there. The next process can continue.
+func TestCrashAtEveryOperation(t *testing.T) {
 	points := 0
-	for _, how := range disktest.CrashModes() {
+	for _, mode := range disktest.CrashModes() {
 		for seed := range int64(8) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f, _ := open(t, d)
@@ -121,15 +122,16 @@
 			for n := 1; n <= 5; n++ {
 				d.OnOperation(func(op int) {
 					points++
-					after := d.AfterCrash(how, rng)
+					after := d.AfterCrash(mode, rng)
 					if got := found(t, after); got < done || got > n {
-						t.Fatalf("way %d, operation %d: %d is found, %d was stored, %d was being stored", how, op, got, done, n)
+						t.Fatalf("crash mode %d, operation %d: %d is found, %d was stored, %d was being stored",
+							mode, op, got, done, n)
 					}
 					g, c := open(t, after)
 					defer g.Close()
 					removeOthers(t, g, c)
 					if err := store(g, 9); err != nil {
-						t.Fatalf("way %d, operation %d: the next process can't go on: %v", how, op, err)
+						t.Fatalf("crash mode %d, operation %d: the next process can't go on: %v", mode, op, err)
 					}
 				})
 				if err := f.Put(hashOfDocument(n), document(n)); err != nil {
@@ -145,8 +147,8 @@
 					}
 				}
 				d.OnOperation(nil)
-				if got := found(t, d.AfterCrash(how, rng)); got != n {
-					t.Fatalf("way %d: %d was stored, %d is found", how, n, got)
+				if got := found(t, d.AfterCrash(mode, rng)); got != n {
+					t.Fatalf("crash mode %d: %d was stored, %d is found", mode, n, got)
 				}
 			}
 		}
@@ -156,7 +158,7 @@
 	}
 }
 
-// removeOthers lets all documents go but the current one, as removals before a stop may be undone by it.
+// removeOthers removes all documents but the current one, as a crash may have undone removals.
 func removeOthers(t *testing.T, f *Folder, c Contents) {
 	t.Helper()
 	for hash := range c.Documents {
@@ -169,34 +171,34 @@
 	}
 }
 
-// TestDocumentBeforeRecord has a document that was put be there after a stop, before any record is about it.
-func TestDocumentBeforeRecord(t *testing.T) {
-	for _, how := range disktest.CrashModes() {
+// A document is put and the machine crashes before any record names it. The document is there.
+func TestDocumentIsDurableBeforeItsRecord(t *testing.T) {
+	for _, mode := range disktest.CrashModes() {
 		d := disktest.New()
 		f, _ := open(t, d)
 		if err := f.Put(hashOfDocument(1), document(1)); err != nil {
 			t.Fatal(err)
 		}
-		g, c := open(t, d.AfterCrash(how, rand.New(rand.NewSource(1))))
+		g, c := open(t, d.AfterCrash(mode, rand.New(rand.NewSource(1))))
 		if !bytes.Equal(c.Documents[hashOfDocument(1)], document(1)) {
-			t.Errorf("way %d: the document is lost", how)
+			t.Errorf("crash mode %d: the document is lost", mode)
 		}
 		g.Close()
 	}
 }
 
-// TestDamage cuts each file at each byte and turns each bit: what is damaged is dropped and counted, and the next
-// process can store the same again.
-func TestDamage(t *testing.T) {
-	for _, name := range []string{currentName, fileName(hashOfDocument(2)), fileName(hashOfDocument(1))} {
+// A file is cut at some byte or has a bit flipped. Open removes and counts it, and the next process
+// can store the same content again.
+func TestDamagedFilesAreDroppedAndCounted(t *testing.T) {
+	for _, name := range []string{currentName, documentName(hashOfDocument(2)), documentName(hashOfDocument(1))} {
 		whole := prepared(t).Get(name)
 		var versions [][]byte
 		for n := range whole {
 			versions = append(versions, whole[:n])
 			for bit := range 8 {
-				turned := slices.Clone(whole)
-				turned[n] ^= 1 << bit
-				versions = append(versions, turned)
+				flipped := slices.Clone(whole)
+				flipped[n] ^= 1 << bit
+				versions = append(versions, flipped)
 			}
 		}
 		versions = append(versions, append(slices.Clone(whole), 0), slices.Concat(whole, whole), make([]byte, 1<<20))
@@ -207,7 +209,7 @@
 			if c.Damaged == 0 {
 				t.Fatalf("%s: damage %d is not counted", name, i)
 			}
-			if isCurrent := c.Current != nil; isCurrent != (name == fileName(hashOfDocument(1))) {
+			if isCurrent := c.Current != nil; isCurrent != (name == documentName(hashOfDocument(1))) {
 				t.Fatalf("%s: damage %d: there is a current version: %v", name, i, isCurrent)
 			}
 			if err := store(f, 2); err != nil {
@@ -221,7 +223,7 @@
 	}
 }
 
-// prepared is a disk with two versions.
+// prepared returns a disk with two versions.
 func prepared(t *testing.T) *disktest.Disk {
 	t.Helper()
 	d := disktest.New()
@@ -235,18 +237,19 @@
 	return d
 }
 
-// TestFullDisk has each amount of room run out: the version before stays, and the new one is taken when room is back.
-func TestFullDisk(t *testing.T) {
+// The disk gets full at some byte of a write. The version before stays, and the new one is stored
+// once there is room.
+func TestFullDiskKeepsTheVersionBefore(t *testing.T) {
 	d := prepared(t)
 	f, _ := open(t, d)
-	size := len(document(3)) + headBytes + len(current(3).Record)
+	size := len(document(3)) + headerBytes + len(current(3).Record)
 	for left := range size {
 		d.Fill(left)
 		if err := store(f, 3); err == nil {
 			t.Fatalf("%d bytes of room: stored", left)
 		}
 		for name := range namesOf(t, d) {
-			if strings.HasSuffix(name, unfinished) {
+			if strings.HasSuffix(name, temporarySuffix) {
 				t.Fatalf("%d bytes of room: %s is left", left, name)
 			}
 		}
@@ -282,9 +285,9 @@
 	return set
 }
 
-// TestFailingDisk has operations fail from each one on: the version before or the new one is current, no document of
-// either is let go, and the same process goes on when the disk is well.
-func TestFailingDisk(t *testing.T) {
+// The disk fails from some operation on. The version before or the new one is current and neither
+// document is removed; the process continues once the disk works.
+func TestFailingDiskKeepsBothDocuments(t *testing.T) {
 	for op := 1; ; op++ {
 		d := prepared(t)
 		f, _ := open(t, d)
@@ -312,9 +315,9 @@
 	}
 }
 
-// TestFailedReplacement has the folder's sync fail after the record's rename: either version may be found by a restart,
-// so neither document is let go before a replacement has succeeded.
-func TestFailedReplacement(t *testing.T) {
+// The directory's sync fails after the record's rename. A restart may find either version, so
+// neither document can be removed before a replacement has succeeded.
+func TestFailedReplacementKeepsBothDocumentsInUse(t *testing.T) {
 	d := prepared(t)
 	f, _ := open(t, d)
 	if err := f.Put(hashOfDocument(3), document(3)); err != nil {
@@ -338,23 +341,23 @@
 	}
 }
 
-// TestClearCurrent has the record removed: at each stop, and after each failure, it is there whole or gone, and its
-// document is let go only once it is gone for good.
-func TestClearCurrent(t *testing.T) {
-	for _, how := range disktest.CrashModes() {
+// The record is removed. At each crash and after each failure it is there whole or gone, and its
+// document can be removed only once the record is gone for good.
+func TestClearedRecordIsGoneForGood(t *testing.T) {
+	for _, mode := range disktest.CrashModes() {
 		d, rng := prepared(t), rand.New(rand.NewSource(1))
 		f, _ := open(t, d)
 		d.OnOperation(func(op int) {
-			if got := found(t, d.AfterCrash(how, rng)); got != 0 && got != 2 {
-				t.Fatalf("way %d, operation %d: %d is current", how, op, got)
+			if got := found(t, d.AfterCrash(mode, rng)); got != 0 && got != 2 {
+				t.Fatalf("crash mode %d, operation %d: %d is current", mode, op, got)
 			}
 		})
 		if err := f.ClearCurrent(); err != nil {
 			t.Fatal(err)
 		}
 		d.OnOperation(nil)
-		if got := found(t, d.AfterCrash(how, rng)); got != 0 {
-			t.Errorf("way %d: cleared, and %d is current", how, got)
+		if got := found(t, d.AfterCrash(mode, rng)); got != 0 {
+			t.Errorf("crash mode %d: cleared, and %d is current", mode, got)
 		}
 	}
 	d := prepared(t)
@@ -378,8 +381,9 @@
 	}
 }
 
-// TestUnreadableDisk has reading fail: that is told, as a disk that can't be read just now is not one without a version.
-func TestUnreadableDisk(t *testing.T) {
+// Reading fails. Open reports that, because a disk that can't be read just now is not one without a
+// version.
+func TestUnreadableDiskIsNotAnEmptyOne(t *testing.T) {
 	for op := 1; ; op++ {
 		d := prepared(t)
 		reached := d.FailFrom(op, io.ErrClosedPipe)
@@ -399,8 +403,8 @@
 	}
 }
 
-// TestHangingDisk has a write take as long as the disk hangs, and be whole after it.
-func TestHangingDisk(t *testing.T) {
+// The disk hangs during a write. The write returns once the disk goes on, and is whole.
+func TestWriteWaitsForAHangingDisk(t *testing.T) {
 	d := prepared(t)
 	f, _ := open(t, d)
 	release := d.Hang()
@@ -421,10 +425,11 @@
 	}
 }
 
-// TestBounds has what is past a bound, or is not what it is said to be, change nothing.
-func TestBounds(t *testing.T) {
+// A call exceeds a bound, or its arguments contradict each other. It fails and changes nothing.
+func TestRefusedCallsChangeNothing(t *testing.T) {
 	f, _ := open(t, prepared(t))
 	big := make([]byte, small.Document+1)
+	withBigRecord := Current{hashOfDocument(1), make([]byte, maxRecordBytes+1)}
 	for name, c := range map[string]struct {
 		err  error
 		want error
@@ -432,7 +437,7 @@
 		"a document too big":                  {f.Put(sha256.Sum256(big), big), ErrTooLarge},
 		"a document of another hash":          {f.Put(hashOfDocument(4), document(5)), ErrHashMismatch},
 		"a record without a document":         {f.SetCurrent(current(6)), ErrNotFound},
-		"a record too big":                    {f.SetCurrent(Current{hashOfDocument(1), make([]byte, maxRecordSize+1)}), ErrTooLarge},
+		"a record too big":                    {f.SetCurrent(withBigRecord), ErrTooLarge},
 		"the current document's removal":      {f.Remove(hashOfDocument(2)), ErrInUse},
 		"removal of what was never there":     {f.Remove(hashOfDocument(7)), nil},
 		"a document that is there already":    {f.Put(hashOfDocument(2), document(2)), nil},
@@ -457,9 +462,9 @@
 	}
 }
 
-// TestForeignFiles has files of others be left alone, and what was put there past the bounds be dropped; the current
-// document comes first.
-func TestForeignFiles(t *testing.T) {
+// Other programs' files are left alone. Documents that exceed the bounds are dropped, the current
+// one last.
+func TestForeignFilesStayAndExcessDocumentsGo(t *testing.T) {
 	path := t.TempDir()
 	d := disk.Folder(path)
 	f, _ := open(t, d)
@@ -473,21 +478,23 @@
 			t.Fatal(err)
 		}
 	}
-	foreign := []string{"notes.txt", "document-", "document-zz", strings.ToUpper(fileName(hashOfDocument(3))), "other.new"}
+	upperCase := strings.ToUpper(documentName(hashOfDocument(3)))
+	foreign := []string{"notes.txt", "document-", "document-zz", upperCase, "other.new"}
 	for _, name := range foreign {
 		put(name, []byte("an operator's"))
 	}
 	for n := 2; n <= 9; n++ {
-		put(fileName(hashOfDocument(n)), document(n))
+		put(documentName(hashOfDocument(n)), document(n))
 	}
-	put(fileName(hashOfDocument(10))+unfinished, document(10)[:3])
-	put(currentName+unfinished, []byte("half"))
-	if err := os.Mkdir(filepath.Join(path, fileName(hashOfDocument(11))), 0o700); err != nil {
+	put(documentName(hashOfDocument(10))+temporarySuffix, document(10)[:3])
+	put(currentName+temporarySuffix, []byte("half"))
+	if err := os.Mkdir(filepath.Join(path, documentName(hashOfDocument(11))), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	f, c := open(t, d)
 	defer f.Close()
-	if c.Current == nil || c.Current.Document != hashOfDocument(1) || len(c.Documents) != small.Documents || c.Damaged != 6 {
+	isCurrent := c.Current != nil && c.Current.Document == hashOfDocument(1)
+	if !isCurrent || len(c.Documents) != small.Documents || c.Damaged != 6 {
 		t.Errorf("current %v, %d documents, %d damaged", c.Current, len(c.Documents), c.Damaged)
 	}
 	names := namesOf(t, d)
--- /dev/null
+++ b/internal/store/documents/folder.go
@@ -0,0 +1,154 @@
+package documents
+
+import (
+	"crypto/sha256"
+	"errors"
+	"io"
+	"io/fs"
+
+	"mintkeel/internal/store/disk"
+)
+
+// Folder is a directory of documents, locked by this process. It is for use by one goroutine.
+type Folder struct {
+	disk   disk.Disk
+	bounds Bounds
+	lock   io.Closer
+	sizes  map[Hash]int // bytes of each document that is durable
+	bytes  int64        // sum of sizes
+
+	// inUse has the documents that a record in the directory may name: two after a SetCurrent that
+	// failed, as a restart may find either record.
+	inUse map[Hash]bool
+}
+
+// Put stores a document; one that is stored already is no error. It is durable when Put returns
+// nil. After an error it may be there or not, and Put may be called again.
+func (f *Folder) Put(hash Hash, document []byte) error {
+	if _, stored := f.sizes[hash]; stored {
+		return nil
+	}
+	switch {
+	case len(document) > f.bounds.Document:
+		return ErrTooLarge
+	case sha256.Sum256(document) != hash:
+		return ErrHashMismatch
+	case !f.hasRoom(len(document)):
+		return ErrFull
+	}
+	name := documentName(hash)
+	if err := f.writeFile(name, document); err != nil {
+		// If only the last sync failed the file is there, but it is not counted towards the bounds.
+		f.disk.Remove(name)
+		return err
+	}
+	f.recordStored(hash, len(document))
+	return nil
+}
+
+// SetCurrent replaces the record by one that names a document which is stored; ErrNotFound if it is
+// not. The record is durable when SetCurrent returns nil. After an error a restart finds the new
+// record or the one before, whole, with its document.
+func (f *Folder) SetCurrent(c Current) error {
+	if len(c.Record) > maxRecordBytes {
+		return ErrTooLarge
+	}
+	if _, stored := f.sizes[c.Document]; !stored {
+		return ErrNotFound
+	}
+	f.inUse[c.Document] = true
+	if err := f.writeFile(currentName, encodeCurrent(c)); err != nil {
+		return err
+	}
+	f.inUse = map[Hash]bool{c.Document: true}
+	return nil
+}
+
+// ClearCurrent removes the record. It is gone for good when ClearCurrent returns nil; after an
+// error a restart may find it.
+func (f *Folder) ClearCurrent() error {
+	if err := f.removeFile(currentName); err != nil {
+		return err
+	}
+	if err := f.disk.Sync(); err != nil {
+		return err
+	}
+	f.inUse = map[Hash]bool{}
+	return nil
+}
+
+// Remove removes a document; ErrInUse if a record may name it. One that is not there is no error.
+// The removal is not synced: after a crash the document may be there again.
+func (f *Folder) Remove(hash Hash) error {
+	if f.inUse[hash] {
+		return ErrInUse
+	}
+	if err := f.removeFile(documentName(hash)); err != nil {
+		return err
+	}
+	f.bytes -= int64(f.sizes[hash])
+	delete(f.sizes, hash)
+	return nil
+}
+
+// Close releases the lock.
+func (f *Folder) Close() error { return f.lock.Close() }
+
+// recordStored counts a durable document towards the bounds.
+func (f *Folder) recordStored(hash Hash, size int) {
+	f.sizes[hash] = size
+	f.bytes += int64(size)
+}
+
+// hasRoom tells whether a document of so many bytes is within the bounds of the directory.
+func (f *Folder) hasRoom(size int) bool {
+	return len(f.sizes) < f.bounds.Documents && f.bytes+int64(size) <= f.bounds.Bytes
+}
+
+// writeFile replaces a file by one with this content, durably. After an error of anything but the
+// last sync the file that was there is untouched.
+func (f *Folder) writeFile(name string, content []byte) error {
+	temporary := name + temporarySuffix
+	err := f.writeTemporary(temporary, content)
+	if err == nil {
+		err = f.disk.Rename(temporary, name)
+	}
+	if err != nil {
+		f.disk.Remove(temporary)
+		return err
+	}
+	return f.disk.Sync()
+}
+
+// writeTemporary writes a file and syncs it. One that an earlier write could not remove is replaced.
+func (f *Folder) writeTemporary(name string, content []byte) (err error) {
+	out, err := f.disk.Create(name)
+	if errors.Is(err, fs.ErrExist) {
+		if err := f.disk.Remove(name); err != nil {
+			return err
+		}
+		out, err = f.disk.Create(name)
+	}
+	if err != nil {
+		return err
+	}
+	defer func() {
+		closeErr := out.Close()
+		if err == nil {
+			err = closeErr
+		}
+	}()
+	if _, err := out.Write(content); err != nil {
+		return err
+	}
+	return out.Sync()
+}
+
+// removeFile removes a file; one that is not there is no error.
+func (f *Folder) removeFile(name string) error {
+	err := f.disk.Remove(name)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
+	}
+	return err
+}
