--- a/internal/store/fenced/fenced_test.go
+++ b/internal/store/fenced/fenced_test.go
@@ -10,88 +10,116 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// stopped is a process's way to the folder: before its n-th operation it stands still, and others go on.
-type stopped struct {
+// pausedDisk is the directory as one process sees it: before its n-th operation the process is
+// paused, and others continue.
+type pausedDisk struct {
 	disk.Disk
 	n    int
 	then func()
 }
 
-func (s *stopped) step() {
-	if s.n--; s.n == 0 {
+func (s *pausedDisk) beforeOperation() {
+	s.n--
+	if s.n == 0 {
 		s.then()
 	}
 }
 
-type stoppedFile struct {
+type pausedFile struct {
 	disk.File
-	s *stopped
+	s *pausedDisk
 }
 
-func (f stoppedFile) Write(b []byte) (int, error) { f.s.step(); return f.File.Write(b) }
-func (f stoppedFile) Sync() error                 { f.s.step(); return f.File.Sync() }
+func (f pausedFile) Write(b []byte) (int, error) {
+	f.s.beforeOperation()
+	return f.File.Write(b)
+}
+
+func (f pausedFile) Sync() error {
+	f.s.beforeOperation()
+	return f.File.Sync()
+}
 
-func (s *stopped) Create(name string) (disk.File, error) {
-	s.step()
+func (s *pausedDisk) Create(name string) (disk.File, error) {
+	s.beforeOperation()
 	f, err := s.Disk.Create(name)
-	return stoppedFile{f, s}, err
+	return pausedFile{f, s}, err
+}
+
+func (s *pausedDisk) Rename(a, b string) error {
+	s.beforeOperation()
+	return s.Disk.Rename(a, b)
+}
+
+func (s *pausedDisk) Remove(name string) error {
+	s.beforeOperation()
+	return s.Disk.Remove(name)
 }
-func (s *stopped) Rename(a, b string) error            { s.step(); return s.Disk.Rename(a, b) }
-func (s *stopped) Remove(name string) error            { s.step(); return s.Disk.Remove(name) }
-func (s *stopped) Names() ([]string, error)            { s.step(); return s.Disk.Names() }
-func (s *stopped) Sync() error                         { s.step(); return s.Disk.Sync() }
-func (s *stopped) Lock(name string) (io.Closer, error) { return s.Disk.Lock(name) }
-
-// An old writer is stopped before each of its operations, the new one writes once or twice, and the old one goes on in the
-// very next: readers have the new one's value, before and after, and the old one is told.
-func TestLateWriter(t *testing.T) {
+
+func (s *pausedDisk) Names() ([]string, error) {
+	s.beforeOperation()
+	return s.Disk.Names()
+}
+
+func (s *pausedDisk) Sync() error {
+	s.beforeOperation()
+	return s.Disk.Sync()
+}
+
+func (s *pausedDisk) Lock(name string) (io.Closer, error) { return s.Disk.Lock(name) }
+
+// A writer is paused before one of its operations and loses its lease. The new owner writes once or
+// twice, and the old one continues with the very next operation. Readers have the new owner's value
+// before and after that, and the old writer gets ErrSuperseded.
+func TestPausedWriterWithAnOldToken(t *testing.T) {
 	for writes := 1; writes <= 2; writes++ {
 		for n := 1; ; n++ {
 			d := disktest.New()
 			if err := Write(d, "plan", 4, []byte("before")); err != nil {
 				t.Fatal(err)
 			}
-			came := false
-			old := &stopped{Disk: d, n: n, then: func() {
-				came = true
+			paused := false
+			old := &pausedDisk{Disk: d, n: n, then: func() {
+				paused = true
 				for range writes {
 					if err := Write(d, "plan", 6, []byte("new")); err != nil {
-						t.Fatalf("stopped at %d: the new owner can't write: %v", n, err)
+						t.Fatalf("paused at %d: the new owner can't write: %v", n, err)
 					}
 				}
 				if v, e, err := Read(d, "plan"); string(v) != "new" || e != 6 || err != nil {
-					t.Fatalf("stopped at %d: %q of token %d, %v", n, v, e, err)
+					t.Fatalf("paused at %d: %q of token %d, %v", n, v, e, err)
 				}
 			}}
 			err := Write(old, "plan", 5, []byte("old"))
-			if !came {
+			if !paused {
 				break // it has no more operations
 			}
 			if !errors.Is(err, ErrSuperseded) {
-				t.Errorf("stopped at %d: the old owner is told %v", n, err)
+				t.Errorf("paused at %d: the old owner gets %v", n, err)
 			}
 			if v, e, err := Read(d, "plan"); string(v) != "new" || e != 6 || err != nil {
-				t.Errorf("stopped at %d: %q of token %d, %v", n, v, e, err)
+				t.Errorf("paused at %d: %q of token %d, %v", n, v, e, err)
 			}
 			if err := Write(d, "plan", 6, []byte("newer")); err != nil {
-				t.Errorf("stopped at %d: %v", n, err)
+				t.Errorf("paused at %d: %v", n, err)
 			}
 			if v, _, _ := Read(d, "plan"); string(v) != "newer" {
-				t.Errorf("stopped at %d: then %q", n, v)
+				t.Errorf("paused at %d: then %q", n, v)
 			}
 		}
 	}
 }
 
-// The machine stops at each operation: the value before or the new one is there, whole.
-func TestStops(t *testing.T) {
+// The machine crashes at some operation of a write. The value before or the new one is there, whole.
+func TestCrashAtEveryOperation(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	d := disktest.New()
 	Write(d, "plan", 1, []byte("before"))
 	d.OnOperation(func(int) {
-		for _, how := range disktest.CrashModes() {
-			if v, _, err := Read(d.AfterCrash(how, rng), "plan"); err != nil || string(v) != "before" && string(v) != "after" {
-				t.Errorf("%v: %q, %v", how, v, err)
+		for _, mode := range disktest.CrashModes() {
+			v, _, err := Read(d.AfterCrash(mode, rng), "plan")
+			if err != nil || string(v) != "before" && string(v) != "after" {
+				t.Errorf("%v: %q, %v", mode, v, err)
 			}
 		}
 	})
@@ -99,14 +127,16 @@
 		t.Fatal(err)
 	}
 	d.OnOperation(nil)
-	for _, how := range disktest.CrashModes() {
-		if v, e, _ := Read(d.AfterCrash(how, rng), "plan"); string(v) != "after" || e != 2 {
-			t.Errorf("%v: once told as written: %q of token %d", how, v, e)
+	for _, mode := range disktest.CrashModes() {
+		if v, e, _ := Read(d.AfterCrash(mode, rng), "plan"); string(v) != "after" || e != 2 {
+			t.Errorf("%v: after Write returned: %q of token %d", mode, v, e)
 		}
 	}
 }
 
-func TestNamesAndBounds(t *testing.T) {
+// Names and sizes out of bounds are refused, old files are removed, and a damaged file with a high
+// token does not hide the value.
+func TestNamesBoundsAndLeftFiles(t *testing.T) {
 	d := disktest.New()
 	for _, name := range []string{"", "a/b", "A", "a.b", "..", string(make([]byte, 65))} {
 		if err := Write(d, name, 1, nil); !errors.Is(err, ErrInvalidName) {
