--- /dev/null
+++ b/internal/logs/block.go
@@ -0,0 +1,58 @@
+package logs
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"mintkeel/internal/operator/block"
+)
+
+// Values of the field "format".
+const (
+	formatText = "text"
+	formatJSON = "json"
+)
+
+// Defaults and bounds of the fields of the block "log".
+const (
+	defaultBurst = 20 // lines
+	maxBurst     = 1_000_000
+
+	defaultEvery = time.Second
+	minEvery     = 10 * time.Millisecond
+	maxEvery     = time.Hour
+)
+
+// Block is the block "log" of the operator's file.
+type Block struct {
+	// Format is "text" for people or "json" for programs. Default: "text".
+	Format string
+	// Level is the lowest level that is written. Default: info.
+	Level slog.Level
+	// Burst is how many lines of one kind are written within Every; further ones are counted and
+	// dropped. From 1 to 1,000,000, default 20. Zero would drop all lines and can't be set in the
+	// file.
+	Burst int
+	// Every is the window of the rate limit. From 10 ms to 1 h, default 1 s. Zero would be no limit
+	// and can't be set in the file.
+	Every time.Duration
+}
+
+// Usual returns the defaults, which hold without a block.
+func Usual() Block {
+	return Block{Format: formatText, Level: slog.LevelInfo, Burst: defaultBurst, Every: defaultEvery}
+}
+
+// ReadBlock reads the block "log". What can't be used is noted in the sheet and has its default.
+func ReadBlock(b *hcl.Block, sheet *block.Sheet) Block {
+	read := Usual()
+	open := block.Open(b, sheet, "format", "level", "burst", "every")
+	read.Format = open.Choice("format", read.Format, formatText, formatJSON)
+	level := open.Choice("level", "info", "debug", "info", "warn", "error")
+	read.Level.UnmarshalText([]byte(level)) // can't fail: slog knows all of these words
+	read.Burst = open.Whole("burst", read.Burst, 1, maxBurst)
+	read.Every = open.Duration("every", read.Every, minEvery, maxEvery)
+	return read
+}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// at is a log whose clock stands still until it is moved.
-func at(b Block) (*Log, *bytes.Buffer, *time.Time) {
+// newTestLog returns a log whose clock stands still until it is moved.
+func newTestLog(b Block) (*Log, *bytes.Buffer, *time.Time) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	l := New(&out, b)
-	l.now = func() time.Time { return now }
+	l.limiter.now = func() time.Time { return now }
 	return l, &out, &now
 }
 
-// Text for people and JSON for programs say the same, with groups by dots and each attribute in the group it was set in.
-func TestForms(t *testing.T) {
+// A line says the same as text and as JSON. Groups are joined by dots, and each attribute is in the
+// group in which it was set.
+func TestTextAndJSONSayTheSame(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		b := Usual()
 		b.Format = format
-		l, out, _ := at(b)
+		l, out, _ := newTestLog(b)
 		log := l.Logger().With("a", 1).WithGroup("g").With("b", 2)
 		log.Warn("it happened", "c", slog.GroupValue(slog.Int("d", 3)), "why", fmt.Errorf("two words"))
 		if format == "text" {
@@ -47,11 +48,13 @@
 	}
 }
 
-// A kind past its burst is dropped and counted, others go on; the next line of the kind tells how many are missing.
-func TestBound(t *testing.T) {
+// One message is repeated more often than its burst. It is dropped and counted while others are
+// written, and the next line of its kind has the count. A clock that is set back does not silence a
+// kind, and ever new messages do not fill the memory.
+func TestRateLimitByKind(t *testing.T) {
 	b := Usual()
 	b.Burst = 3
-	l, out, now := at(b)
+	l, out, now := newTestLog(b)
 	log := l.Logger()
 	for range 10 {
 		log.Info("often")
@@ -74,17 +77,17 @@
 	if out.Len() == 0 {
 		t.Error("silent since the clock was set back")
 	}
-	for i := range 10 * mostKinds {
+	for i := range 10 * maxKinds {
 		log.Info(fmt.Sprint("kind ", i))
 	}
-	if len(l.kinds) > mostKinds+1 {
-		t.Errorf("%d kinds are kept", len(l.kinds))
+	if len(l.limiter.windows) > maxKinds+1 {
+		t.Errorf("%d kinds are kept", len(l.limiter.windows))
 	}
 }
 
-// What changes while running holds for loggers that were there before.
-func TestSet(t *testing.T) {
-	l, out, _ := at(Usual())
+// Level and format change while the process runs. Loggers that exist already follow.
+func TestChangesHoldForExistingLoggers(t *testing.T) {
+	l, out, _ := newTestLog(Usual())
 	log := l.Logger()
 	log.Debug("quiet")
 	b := Usual()
@@ -99,11 +102,11 @@
 	}
 }
 
-// Lines of many goroutines stay whole, also while the form changes.
-func TestApart(t *testing.T) {
+// Many goroutines log while the format changes. Lines stay whole.
+func TestLinesOfManyGoroutinesStayWhole(t *testing.T) {
 	b := Usual()
 	b.Format, b.Burst = "json", 1e6
-	l, out, _ := at(b)
+	l, out, _ := newTestLog(b)
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -116,7 +119,8 @@
 	wg.Wait()
 	n := 0
 	for line := range strings.Lines(out.String()) {
-		if n++; !json.Valid([]byte(line)) {
+		n++
+		if !json.Valid([]byte(line)) {
 			t.Fatalf("no line: %s", line)
 		}
 	}
