--- a/internal/lab/layout/layout_test.go
+++ b/internal/lab/layout/layout_test.go
@@ -13,7 +13,6 @@
 // longTables are functions that are longer than a function may be, with their lengths: they are tables, read from top to
 // bottom, and may only become shorter.
 var longTables = map[string]int{
-	"internal/limits/limits.go For":            63, // sizes
 	"internal/simwire/simwire.go Reader.parse": 63, // messages
 	"cmd/mintkeel-sim/names.go names.event":    69, // messages
 	"internal/lab/exprs/exprs.go boolean":      92, // kinds of expression
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -2,10 +2,13 @@
 
 import "testing"
 
-// Whatever clients hold, and engines, descriptors are left for the feed, the listener, the log and a file that is read
-// again: the way back to discovery never waits for one that a client holds.
+// Clients and engines take all connections that they may. Descriptors are left for discovery, the
+// listener, the log and a file that is read again: reconnecting to discovery never waits for a
+// descriptor that a client holds.
 func TestPartsAddUp(t *testing.T) {
-	const own = 10 // standard streams, the poller's two, listener, feed, a file, its folder, and one that is being accepted
+	// Standard streams, the poller's two, listener, discovery, a file, its folder, and a connection
+	// being accepted.
+	const own = 10
 	for descriptors := 64; descriptors <= 1<<16; descriptors += descriptors/7 + 1 {
 		for _, memoryMB := range []int{32, 192, 4096} {
 			l := For(descriptors, memoryMB, 0, 0, 0)
