--- /dev/null
+++ b/internal/operator/complexity.go
@@ -0,0 +1,70 @@
+package operator
+
+import (
+	"fmt"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+
+	"mintkeel/internal/operator/block"
+)
+
+// The HCL library parses by recursion, so a small file of brackets or operators could need a stack
+// that the process has no memory for, and end it. Its scanner does not recurse, so tokens are
+// counted before the file is parsed.
+const (
+	maxDepth     = 32   // brackets within each other
+	maxOperators = 2000 // outside of strings
+	maxDigits    = 64   // of a number: the time to read one grows with the square
+)
+
+// shape returns the first place at which a file is too complex to be parsed; nil if there is none.
+// Scan errors are left to the parser, which finds them again.
+func shape(path string, text []byte) *block.Problem {
+	tokens, _ := hclsyntax.LexConfig(text, path, hcl.InitialPos)
+	depth := 0
+	operators := 0
+	for _, token := range tokens {
+		depth += depthChange(token.Type)
+		if isOperator(token.Type) {
+			operators++
+		}
+		why := ""
+		switch {
+		case token.Type == hclsyntax.TokenNumberLit && len(token.Bytes) > maxDigits:
+			why = fmt.Sprintf("has a number of over %d digits", maxDigits)
+		case operators > maxOperators:
+			why = fmt.Sprintf("has over %d operators", maxOperators)
+		case depth > maxDepth:
+			why = fmt.Sprintf("has over %d brackets within each other", maxDepth)
+		}
+		if why != "" {
+			at := token.Range.Start
+			return &block.Problem{File: path, Line: at.Line, Column: at.Column, Why: why}
+		}
+	}
+	return nil
+}
+
+// depthChange is 1 for a token that opens a bracket, -1 for one that closes it, and 0 for others.
+func depthChange(token hclsyntax.TokenType) int {
+	switch token {
+	case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen,
+		hclsyntax.TokenTemplateInterp, hclsyntax.TokenTemplateControl:
+		return 1
+	case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
+		return -1
+	}
+	return 0
+}
+
+// isOperator tells whether a token is one that the parser recurses for.
+func isOperator(token hclsyntax.TokenType) bool {
+	switch token {
+	case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion, hclsyntax.TokenPlus,
+		hclsyntax.TokenStar, hclsyntax.TokenSlash, hclsyntax.TokenPercent, hclsyntax.TokenAnd,
+		hclsyntax.TokenOr, hclsyntax.TokenDot, hclsyntax.TokenEqualOp, hclsyntax.TokenNotEqual:
+		return true
+	}
+	return false
+}
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -14,117 +14,120 @@
 	"mintkeel/internal/settings"
 )
 
-// Local is what a controller adds to the fleet's document: its name, and its own operator's file.
+// Local is what a document is completed with on one controller.
 type Local struct {
-	Name string // stands for ${name} in the document's block memory
-	File *File  // with the blocks fleet and config, and what the controller runs with while no version is agreed
+	// Name is the controller's name, which the document's block memory may use as ${name}.
+	Name string
+	// File is the controller's own file, which holds as long as the fleet has agreed on no version.
+	File *File
 }
 
-// ownFields are the fields of the block fleet that belong to one controller and may not stand in a document.
-var ownFields = []string{"name", "generation", "listen", "advertise", "key_file", "folder", "council", "lease", "willing"}
+// ownFields are the fields of the block fleet that each controller has in its own file. A document
+// has only the others.
+var ownFields = []string{
+	"name", "generation", "listen", "advertise", "key_file", "folder", "council", "lease", "willing",
+}
+
+const onlyInOwnFile = "is each controller's own: it stands in its file alone"
 
-// ParseDocument reads a document that the fleet has agreed on, or may agree on: the operator's file for all controllers,
-// without the blocks and fields that are a controller's own. It returns the whole file that this controller would run with:
-// its own blocks fleet and config, and all else from the document; blocks that the document does not name are off, or at
-// usual values, but for the leases, which then are as in the controller's own file. What a running controller can't take over is a problem of its field. The path stands in problems alone.
-// ParseDocument has no effects, and its error is a block.Problems.
+// ParseDocument reads a document that the fleet agrees on: the operator's file for all controllers,
+// without the blocks and fields that are each controller's own. It returns the file that this
+// controller would run with: its own blocks fleet and config, and all else from the document.
+// Blocks that the document does not have are off or have defaults; leases that it does not name are
+// those of the controller's own file.
+//
+// What a running controller can't change without a restart is a problem of its field. The path is
+// used in problems only; the error is a block.Problems. ParseDocument has no effects.
 func ParseDocument(path string, text []byte, local Local, facts *settings.Facts) (*File, error) {
 	if len(text) > config.MaxDocument {
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", config.MaxDocument)}}
 	}
-	if p := shape(path, text); p != nil {
-		return nil, block.Problems{*p}
-	}
-	sheet := block.NewSheet(text)
-	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.NoteAll(found, "")
 	file := &File{Log: logs.Usual(), Fleet: local.File.Fleet, Config: local.File.Config}
-	if parsed != nil && !found.HasErrors() && onlyLiterals(parsed, sheet) {
-		file.readDocument(parsed.Body, local, facts, sheet)
-	}
-	if problems := sheet.Problems(); problems != nil {
-		return nil, problems
+	err := parse(path, text, func(parsed *hcl.File, sheet *block.Sheet) {
+		if onlyLiterals(parsed, sheet) {
+			file.readDocument(parsed.Body, local, facts, sheet)
+		}
+	})
+	if err != nil {
+		return nil, err
 	}
 	return file, nil
 }
 
 func (f *File) readDocument(body hcl.Body, local Local, facts *settings.Facts, sheet *block.Sheet) {
-	content, found := body.Content(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "log"}, {Type: "memory"}, {Type: "fleet"},
-		{Type: "maintenance"}, {Type: "config"}, {Type: "rule", LabelNames: []string{"name"}}}})
+	content, found := body.Content(fileSchema)
 	sheet.NoteAll(found, "")
 	if content == nil {
 		return
 	}
-	single, ruled := singles(content.Blocks, sheet)
+	single, ruleBlocks := splitRules(content.Blocks, sheet)
 	for _, b := range single {
-		switch b.Type {
-		case "log":
-			f.Log = logs.ReadBlock(b, sheet)
-		case "memory":
-			sheet.SetVariables(map[string]string{"name": local.Name})
-			f.Memory = memory.ReadBlock(b, sheet)
-			sheet.SetVariables(nil)
-		case "fleet":
-			f.Fleet = readDocumentLeases(b, local.File, sheet)
-		case "maintenance":
-			f.Maintenance = fleet.ReadMaintenance(b, sheet)
-			checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, sheet)
-		case "config":
-			sheet.Note(b.DefRange, "config", "is each controller's own: it stands in its file alone")
-		}
+		f.readDocumentBlock(b, local, sheet)
 	}
-	if !hasBlock(content.Blocks, "maintenance") {
+	if !hasBlock(content.Blocks, blockMaintenance) {
 		checkDocumentMaintenance(body.MissingItemRange(), nil, local.File.Maintenance, sheet)
 	}
-	f.Rules = readRules(ruled, facts, sheet)
+	f.Rules = readRules(ruleBlocks, facts, sheet)
 }
 
-// singles parts the blocks that may stand once from the rules, and notes those that stand there again.
-func singles(blocks hcl.Blocks, sheet *block.Sheet) (single, ruled hcl.Blocks) {
-	seen := map[string]bool{}
-	for _, b := range blocks {
-		switch {
-		case b.Type == "rule":
-			ruled = append(ruled, b)
-		case seen[b.Type]:
-			sheet.Note(b.DefRange, b.Type, "stands here a second time")
-		default:
-			seen[b.Type] = true
-			single = append(single, b)
-		}
+// readDocumentBlock reads a block that is no rule.
+func (f *File) readDocumentBlock(b *hcl.Block, local Local, sheet *block.Sheet) {
+	switch b.Type {
+	case blockLog:
+		f.Log = logs.ReadBlock(b, sheet)
+	case blockMemory:
+		sheet.SetVariables(map[string]string{"name": local.Name})
+		f.Memory = memory.ReadBlock(b, sheet)
+		sheet.SetVariables(nil)
+	case blockFleet:
+		f.Fleet = readDocumentLeases(b, local.File, sheet)
+	case blockMaintenance:
+		f.Maintenance = fleet.ReadMaintenance(b, sheet)
+		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, sheet)
+	case blockConfig:
+		sheet.Note(b.DefRange, blockConfig, onlyInOwnFile)
 	}
-	return single, ruled
 }
 
-// readDocumentLeases reads the block fleet of a document, which holds the leases alone, and returns the controller's own
-// block with them.
+// readDocumentLeases reads the block fleet of a document, which has only the leases, and returns
+// the controller's own block with these.
 func readDocumentLeases(b *hcl.Block, local *File, sheet *block.Sheet) *fleet.Block {
 	open := block.Open(b, sheet, append([]string{"works"}, ownFields...)...)
 	for _, field := range ownFields {
 		if open.Has(field) {
-			open.Note(field, "is each controller's own: it stands in its file alone")
+			open.Note(field, onlyInOwnFile)
 		}
 	}
-	names := fleet.ReadLeases(open)
+	leases := fleet.ReadLeases(open)
 	if local.Fleet == nil || !open.Has("works") {
 		return local.Fleet
 	}
-	whole := *local.Fleet
-	whole.Leases = withMaintenance(names, local.Maintenance)
-	return &whole
+	merged := *local.Fleet
+	merged.Leases = withMaintenance(leases, local.Maintenance)
+	return &merged
 }
 
-// checkDocumentMaintenance notes a block maintenance where this controller was started without one, and the other way round.
+// checkDocumentMaintenance notes a document that turns scheduled maintenance on or off, which a
+// running controller can't.
 func checkDocumentMaintenance(at hcl.Range, wanted, running *fleet.MaintenanceBlock, sheet *block.Sheet) {
-	if (wanted == nil) != (running == nil) {
-		is := map[bool]string{true: "on", false: "off"}
-		sheet.Note(at, "maintenance", fmt.Sprintf("is %s, but this controller was started with it %s: that can't change without a restart",
-			is[wanted != nil], is[running != nil]))
+	if (wanted == nil) == (running == nil) {
+		return
+	}
+	sheet.Note(at, blockMaintenance, fmt.Sprintf(
+		"is %s, but this controller was started with it %s: that can't change without a restart",
+		onOrOff(wanted), onOrOff(running)))
+}
+
+func onOrOff(maintenance *fleet.MaintenanceBlock) string {
+	if maintenance == nil {
+		return "off"
 	}
+	return "on"
 }
 
-// onlyLiterals notes expressions that compute something. A document comes from afar, and a loop or a large power could
-// take any time and memory; what it needs are texts, with ${name}, numbers, lists and maps.
+// onlyLiterals notes expressions that compute something. A document comes over the network, and a
+// loop or a large power could take any time and memory. It needs only strings with ${name},
+// numbers, lists and maps.
 func onlyLiterals(parsed *hcl.File, sheet *block.Sheet) bool {
 	body, ok := parsed.Body.(*hclsyntax.Body)
 	if !ok {
@@ -132,10 +135,8 @@
 	}
 	literal := true
 	hclsyntax.VisitAll(body, func(node hclsyntax.Node) hcl.Diagnostics {
-		switch node := node.(type) {
-		case *hclsyntax.LiteralValueExpr, *hclsyntax.TemplateExpr, *hclsyntax.TemplateWrapExpr, *hclsyntax.TupleConsExpr,
-			*hclsyntax.ObjectConsExpr, *hclsyntax.ObjectConsKeyExpr, *hclsyntax.ScopeTraversalExpr, *hclsyntax.ParenthesesExpr:
-		case hclsyntax.Expression:
+		expression, isExpression := node.(hclsyntax.Expression)
+		if isExpression && !isLiteral(expression) {
 			literal = false
 			sheet.Note(node.Range(), "", "computes something: a document holds plain values")
 		}
@@ -143,3 +144,13 @@
 	})
 	return literal
 }
+
+func isLiteral(expression hclsyntax.Expression) bool {
+	switch expression.(type) {
+	case *hclsyntax.LiteralValueExpr, *hclsyntax.TemplateExpr, *hclsyntax.TemplateWrapExpr,
+		*hclsyntax.TupleConsExpr, *hclsyntax.ObjectConsExpr, *hclsyntax.ObjectConsKeyExpr,
+		*hclsyntax.ScopeTraversalExpr, *hclsyntax.ParenthesesExpr:
+		return true
+	}
+	return false
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,3 @@
-// Package operator reads the operator's file: settings of this installation, in HCL, apart from what the platform
-// tells a controller. A controller needs none, and whatever it does not name is off. Each block belongs to the package
-// that needs it, which also checks it. It is used at start and reload only, before the loop.
 package operator
 
 import (
@@ -22,23 +19,49 @@
 	"mintkeel/internal/settings"
 )
 
-// File is what an operator's file says.
-type File struct {
-	Log    logs.Block
-	Memory *memory.Block // nil: off
-	Rules  *rules.Set    // nil: there are none
-	Fleet  *fleet.Block  // nil: off, and this controller stands alone
+// mostBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of memory.
+const mostBytes = 1 << 20
 
-	Maintenance *fleet.MaintenanceBlock // nil: off
+// Names of the blocks of an operator's file.
+const (
+	blockLog         = "log"
+	blockMemory      = "memory"
+	blockFleet       = "fleet"
+	blockMaintenance = "maintenance"
+	blockConfig      = "config"
+	blockRule        = "rule"
+)
 
-	Config *fleet.ConfigBlock // nil: the fleet has no say in this controller's configuration
-}
+// fileSchema is the blocks of an operator's file, and of a document for all controllers. Rules may
+// be many; of all other blocks there is one at most.
+var fileSchema = &hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
+	{Type: blockLog},
+	{Type: blockMemory},
+	{Type: blockFleet},
+	{Type: blockMaintenance},
+	{Type: blockConfig},
+	{Type: blockRule, LabelNames: []string{"name"}},
+}}
 
-// mostBytes bounds a file, and with it what reading it can cost: a controller may have 32 MB.
-const mostBytes = 1 << 20
+// File is what an operator's file says.
+type File struct {
+	// Log has the defaults if the file has no such block.
+	Log logs.Block
+	// Memory is nil if statistics are not stored.
+	Memory *memory.Block
+	// Rules is nil if there are none.
+	Rules *rules.Set
+	// Fleet is nil if the controller belongs to no fleet.
+	Fleet *fleet.Block
+	// Maintenance is nil if the controller takes no part in scheduled maintenance.
+	Maintenance *fleet.MaintenanceBlock
+	// Config is nil if the controller does not take its configuration from the fleet.
+	Config *fleet.ConfigBlock
+}
 
-// Read reads an operator's file for a controller with these settings; an empty path stands for no file, with all off. Its error is a block.Problems that
-// holds all that is wrong, unless the file can't be had at all.
+// Read reads an operator's file for a controller with these settings; an empty path means that
+// there is none, and everything is off. The error is a block.Problems with everything that is
+// wrong, unless the file can't be read at all.
 func Read(path string, facts *settings.Facts) (*File, error) {
 	if path == "" {
 		return &File{Log: logs.Usual()}, nil
@@ -55,125 +78,122 @@
 	return Parse(path, text, facts)
 }
 
-// Parse reads the text of a file; path stands in the problems alone.
+// Parse reads the text of an operator's file. The path is used in problems only; the error is a
+// block.Problems.
 func Parse(path string, text []byte, facts *settings.Facts) (*File, error) {
 	if len(text) > mostBytes {
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", mostBytes)}}
 	}
-	if p := shape(path, text); p != nil {
-		return nil, block.Problems{*p}
+	file := &File{Log: logs.Usual()}
+	err := parse(path, text, func(parsed *hcl.File, sheet *block.Sheet) {
+		file.read(parsed.Body, facts, sheet)
+	})
+	if err != nil {
+		return nil, err
+	}
+	return file, nil
+}
+
+// parse parses HCL and calls read with the result, unless the syntax is wrong. The error is a
+// block.Problems.
+func parse(path string, text []byte, read func(*hcl.File, *block.Sheet)) error {
+	if problem := shape(path, text); problem != nil {
+		return block.Problems{*problem}
 	}
 	sheet := block.NewSheet(text)
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	sheet.NoteAll(found, "")
-	file := &File{Log: logs.Usual()}
 	if parsed != nil && !found.HasErrors() {
-		file.read(parsed.Body, facts, sheet)
+		read(parsed, sheet)
 	}
 	if problems := sheet.Problems(); problems != nil {
-		return nil, problems
+		return problems
 	}
-	return file, nil
+	return nil
+}
+
+// Problems returns the problems in an error of Read, Parse, ParseDocument or ReadCases; nil if it
+// holds none.
+func Problems(err error) block.Problems {
+	var problems block.Problems
+	errors.As(err, &problems)
+	return problems
 }
 
 func (f *File) read(body hcl.Body, facts *settings.Facts, sheet *block.Sheet) {
-	content, found := body.Content(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "log"}, {Type: "memory"}, {Type: "fleet"}, {Type: "maintenance"},
-		{Type: "config"}, {Type: "rule", LabelNames: []string{"name"}}}})
+	content, found := body.Content(fileSchema)
 	sheet.NoteAll(found, "")
 	if content == nil {
 		return
 	}
-	seen := map[string]bool{}
-	var ruled hcl.Blocks
-	for _, b := range content.Blocks {
-		if b.Type == "rule" {
-			ruled = append(ruled, b)
-			continue
-		}
-		if seen[b.Type] {
-			sheet.Note(b.DefRange, b.Type, "stands here a second time")
-			continue
-		}
-		switch seen[b.Type] = true; b.Type {
-		case "log":
-			f.Log = logs.ReadBlock(b, sheet)
-		case "memory":
-			f.Memory = memory.ReadBlock(b, sheet)
-		case "fleet":
-			f.Fleet = fleet.ReadBlock(b, sheet)
-		case "maintenance":
-			f.Maintenance = fleet.ReadMaintenance(b, sheet)
-			if !hasBlock(content.Blocks, "fleet") {
-				sheet.Note(b.DefRange, "maintenance", "needs a block fleet: controllers settle it among them")
-			}
-		case "config":
-			f.Config = fleet.ReadConfig(b, sheet)
-			if !hasBlock(content.Blocks, "fleet") {
-				sheet.Note(b.DefRange, "config", "needs a block fleet: its controllers agree on the configuration")
-			}
+	single, ruleBlocks := splitRules(content.Blocks, sheet)
+	for _, b := range single {
+		f.readBlock(b, sheet)
+	}
+	if !hasBlock(content.Blocks, blockFleet) {
+		for _, b := range single {
+			noteMissingFleet(b, sheet)
 		}
 	}
 	if f.Fleet != nil {
 		f.Fleet.Leases = withMaintenance(f.Fleet.Leases, f.Maintenance)
 	}
-	f.Rules = readRules(ruled, facts, sheet)
+	f.Rules = readRules(ruleBlocks, facts, sheet)
 }
 
-// withMaintenance adds the lease of maintenance to others, where that is on.
-func withMaintenance(names []lease.Name, maintenance *fleet.MaintenanceBlock) []lease.Name {
-	if maintenance != nil && !slices.Contains(names, fleet.Maintenance) {
-		names = append(names, fleet.Maintenance)
-		slices.Sort(names)
+// readBlock reads a block that is no rule.
+func (f *File) readBlock(b *hcl.Block, sheet *block.Sheet) {
+	switch b.Type {
+	case blockLog:
+		f.Log = logs.ReadBlock(b, sheet)
+	case blockMemory:
+		f.Memory = memory.ReadBlock(b, sheet)
+	case blockFleet:
+		f.Fleet = fleet.ReadBlock(b, sheet)
+	case blockMaintenance:
+		f.Maintenance = fleet.ReadMaintenance(b, sheet)
+	case blockConfig:
+		f.Config = fleet.ReadConfig(b, sheet)
 	}
-	return names
 }
 
-func hasBlock(blocks hcl.Blocks, name string) bool {
-	return slices.ContainsFunc(blocks, func(b *hcl.Block) bool { return b.Type == name })
+// noteMissingFleet notes blocks that need a block fleet, in a file without one.
+func noteMissingFleet(b *hcl.Block, sheet *block.Sheet) {
+	switch b.Type {
+	case blockMaintenance:
+		sheet.Note(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
+	case blockConfig:
+		sheet.Note(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
+	}
 }
 
-// The library parses by recursion, so a small file of brackets or signs could take a stack that the process has no
-// memory for. The library's own scanner, which has none, counts them first.
-const (
-	mostDepth  = 32
-	mostSigns  = 2000 // outside of texts in quotes
-	mostDigits = 64   // of a number: the time to read one grows with their square
-)
-
-func shape(path string, text []byte) *block.Problem {
-	tokens, _ := hclsyntax.LexConfig(text, path, hcl.InitialPos) // what can't be scanned is found by the parser again
-	depth, signs := 0, 0
-	for _, t := range tokens {
-		switch t.Type {
-		case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen, hclsyntax.TokenTemplateInterp,
-			hclsyntax.TokenTemplateControl:
-			depth++
-		case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
-			depth--
-		case hclsyntax.TokenNumberLit:
-			if len(t.Bytes) > mostDigits {
-				return &block.Problem{File: path, Line: t.Range.Start.Line, Column: t.Range.Start.Column,
-					Why: fmt.Sprintf("has a number of over %d digits", mostDigits)}
-			}
-		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion, hclsyntax.TokenPlus,
-			hclsyntax.TokenStar, hclsyntax.TokenSlash, hclsyntax.TokenPercent, hclsyntax.TokenAnd, hclsyntax.TokenOr,
-			hclsyntax.TokenDot, hclsyntax.TokenEqualOp, hclsyntax.TokenNotEqual:
-			signs++
-		}
-		if depth > mostDepth || signs > mostSigns {
-			why := fmt.Sprintf("has over %d brackets within each other", mostDepth)
-			if signs > mostSigns {
-				why = fmt.Sprintf("has over %d operators", mostSigns)
-			}
-			return &block.Problem{File: path, Line: t.Range.Start.Line, Column: t.Range.Start.Column, Why: why}
+// splitRules separates the rules from the blocks of which there may be one, and notes a second one.
+func splitRules(blocks hcl.Blocks, sheet *block.Sheet) (single, ruleBlocks hcl.Blocks) {
+	seen := map[string]bool{}
+	for _, b := range blocks {
+		switch {
+		case b.Type == blockRule:
+			ruleBlocks = append(ruleBlocks, b)
+		case seen[b.Type]:
+			sheet.Note(b.DefRange, b.Type, "stands here a second time")
+		default:
+			seen[b.Type] = true
+			single = append(single, b)
 		}
 	}
-	return nil
+	return single, ruleBlocks
 }
 
-// Problems are those of an error of Read, for programs that print them; nil if it holds none.
-func Problems(err error) block.Problems {
-	var p block.Problems
-	errors.As(err, &p)
-	return p
+// withMaintenance adds the lease of scheduled maintenance to others, if that is on.
+func withMaintenance(names []lease.Name, maintenance *fleet.MaintenanceBlock) []lease.Name {
+	if maintenance == nil || slices.Contains(names, fleet.Maintenance) {
+		return names
+	}
+	names = append(names, fleet.Maintenance)
+	slices.Sort(names)
+	return names
+}
+
+func hasBlock(blocks hcl.Blocks, name string) bool {
+	return slices.ContainsFunc(blocks, func(b *hcl.Block) bool { return b.Type == name })
 }
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -15,12 +15,17 @@
 	"mintkeel/match"
 )
 
-// longest is that of an expression and of a refusal's text, as far as the file is concerned; the rules have bounds of
-// their own.
-const longest = 64 << 10
+// Bounds of texts in the file. The rules have bounds of their own, for what their expressions cost.
+const (
+	longest      = 64 << 10 // bytes of an expression, a label or the text of a rejection
+	maxNameBytes = 64       // bytes of the name of a kind, zone or profile
 
-// readRules reads the blocks rule, in order, and has them compiled. Problems within an expression are told at the field,
-// with their place in the expression and a mark under it.
+	minEstimate = time.Millisecond
+	maxEstimate = time.Hour
+)
+
+// readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
+// Problems within an expression are noted at its field, with their place in the expression.
 func readRules(blocks hcl.Blocks, facts *settings.Facts, sheet *block.Sheet) *rules.Set {
 	if len(blocks) == 0 {
 		return nil
@@ -28,37 +33,61 @@
 	var given []rules.Given
 	var opened []*block.Block
 	for _, b := range blocks {
-		open := block.Open(b, sheet, "when", "hot", "key", "kinds", "zones", "profile", "labels", "most_estimate", "refuse",
-			"last")
+		open := block.Open(b, sheet,
+			"when", "hot", "key", "kinds", "zones", "profile", "labels", "most_estimate", "refuse", "last")
 		open.Name = fmt.Sprintf("rule %q", b.Labels[0])
 		opened = append(opened, open)
-		given = append(given, rules.Given{Name: b.Labels[0], When: open.Text("when", "", false, longest),
-			Hot: open.Bool("hot", false), Key: open.Text("key", "", false, longest), Kinds: open.Texts("kinds", 64),
-			Zones: open.Texts("zones", 64), Profile: open.Text("profile", "", false, 64),
-			Labels: open.Map("labels", longest),
-			Most:   float64(open.Duration("most_estimate", 0, time.Millisecond, time.Hour)) / 1e6,
-			Refuse: open.Text("refuse", "", false, longest), Last: open.Bool("last", false)})
+		given = append(given, readRule(b.Labels[0], open))
 	}
 	set, problems := rules.Compile(given, RuleFacts(facts), RuleBounds())
-	for _, p := range problems {
-		why := p.Why
-		if p.Place != nil {
-			line, column := p.Place.Place()
-			why = fmt.Sprintf("%s, at %d:%d of the expression:\n%s", why, line, column, p.Place.Caret())
-		}
-		field, _, _ := strings.Cut(p.Field, ".")
-		opened[p.Rule].Note(field, why)
+	for _, problem := range problems {
+		field, _, _ := strings.Cut(problem.Field, ".")
+		opened[problem.Rule].Note(field, describeRuleProblem(problem))
 	}
 	return set
 }
 
-// RuleBounds are what one expression of a rule may cost.
+// readRule reads the fields of one rule. Their meaning, with what an absent one does, stands at
+// rules.Given.
+func readRule(name string, open *block.Block) rules.Given {
+	return rules.Given{
+		Name:    name,
+		When:    open.Text("when", "", false, longest),
+		Hot:     open.Bool("hot", false),
+		Key:     open.Text("key", "", false, longest),
+		Kinds:   open.Texts("kinds", maxNameBytes),
+		Zones:   open.Texts("zones", maxNameBytes),
+		Profile: open.Text("profile", "", false, maxNameBytes),
+		Labels:  open.Map("labels", longest),
+		Most:    milliseconds(open.Duration("most_estimate", 0, minEstimate, maxEstimate)),
+		Refuse:  open.Text("refuse", "", false, longest),
+		Last:    open.Bool("last", false),
+	}
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// describeRuleProblem is the reason and, for a problem within an expression, its place and the line
+// with a mark under it.
+func describeRuleProblem(p rules.Problem) string {
+	if p.Place == nil {
+		return p.Why
+	}
+	line, column := p.Place.Place()
+	return fmt.Sprintf("%s, at %d:%d of the expression:\n%s", p.Why, line, column, p.Place.Caret())
+}
+
+// RuleBounds bounds what one expression of a rule may cost.
 func RuleBounds() match.Bounds { return match.Usual() }
 
-// RuleFacts are what rules need to know of the settings.
+// RuleFacts returns what rules need to know of the settings.
 func RuleFacts(f *settings.Facts) rules.Facts {
-	facts := rules.Facts{Names: make([]string, len(f.Profiles)), Profiles: f.Profiles, Kinds: f.Names.Kinds,
-		Zones: f.Names.ZoneAt}
+	facts := rules.Facts{
+		Names:    make([]string, len(f.Profiles)),
+		Profiles: f.Profiles,
+		Kinds:    f.Names.Kinds,
+		Zones:    f.Names.ZoneAt,
+	}
 	for _, name := range slices.Sorted(maps.Keys(f.Names.Profiles)) {
 		facts.Names[f.Names.Profiles[name]] = name
 	}
