--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -592,12 +592,12 @@
 		m.State = members.Left
 	case of == c:
 	case !of.up && f.now >= of.changedAt+goneAfter:
-		m.State = members.Gone
+		m.State = members.Dead
 	case of.side != c.side && f.now >= f.cutAt+goneAfter:
-		m.State = members.Gone
+		m.State = members.Dead
 	case of.up && of.changedAt > 0 && f.now < of.changedAt+aliveAfter:
 		m.Run = 0
-		m.State = members.Gone
+		m.State = members.Dead
 	}
 	return m, true
 }
--- a/internal/core/fleet/members/index.go
+++ b/internal/core/fleet/members/index.go
@@ -5,32 +5,33 @@
 	"slices"
 )
 
-// index keeps the entries of a table in lists sorted by id, so that no event scans or sorts the whole table. A map alone
-// has no order, and the same events must lead to the same messages. This controller's own entry is in all and nowhere else.
+// index holds the entries of a Table in lists sorted by ID, so that no event scans or sorts the
+// whole table. A map alone has no order, and the same inputs must give the same messages. This
+// controller's own entry is in all and in no other list.
 type index struct {
 	all      []*entry
 	active   []*entry // alive or suspect
 	alive    []*entry
 	suspects []*entry
-	gone     []*entry
-	absent   []*entry // gone or left
+	dead     []*entry
+	absent   []*entry // dead or left
 }
 
-// lists are those that hold entries of a state.
+// lists returns the lists that hold the entries of a state.
 func (x *index) lists(s State) []*[]*entry {
 	switch s {
 	case Alive:
 		return []*[]*entry{&x.active, &x.alive}
 	case Suspect:
 		return []*[]*entry{&x.active, &x.suspects}
-	case Gone:
-		return []*[]*entry{&x.absent, &x.gone}
+	case Dead:
+		return []*[]*entry{&x.absent, &x.dead}
 	default:
 		return []*[]*entry{&x.absent}
 	}
 }
 
-// add takes in an entry of another controller.
+// add inserts the entry of another controller.
 func (x *index) add(e *entry) {
 	insertEntry(&x.all, e)
 	for _, list := range x.lists(e.State) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// remove takes an entry of another controller out.
+// remove removes the entry of another controller.
 func (x *index) remove(e *entry) {
 	removeEntry(&x.all, e.ID)
 	for _, list := range x.lists(e.State) {
@@ -46,12 +47,12 @@
 	}
 }
 
-// move takes in that the state of an entry was another one.
-func (x *index) move(e *entry, was State) {
-	if e.State == was {
+// move moves an entry from the lists of its previous state to those of its state.
+func (x *index) move(e *entry, previous State) {
+	if e.State == previous {
 		return
 	}
-	for _, list := range x.lists(was) {
+	for _, list := range x.lists(previous) {
 		removeEntry(list, e.ID)
 	}
 	for _, list := range x.lists(e.State) {
@@ -59,6 +60,7 @@
 	}
 }
 
+// findEntry returns the index of an ID in a sorted list, or where it would be inserted.
 func findEntry(list []*entry, id ID) (int, bool) {
 	return slices.BinarySearchFunc(list, id, func(e *entry, id ID) int { return cmp.Compare(e.ID, id) })
 }
--- a/internal/core/fleet/members/index_test.go
+++ b/internal/core/fleet/members/index_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// lossyNet is a net whose messages are lost by a seed, whose members restart and leave, and which notes what is sent.
+// lossyNet is a net whose messages are lost by a seed, whose members restart and leave, and which
+// notes what is sent.
 func lossyNet(seed int64, until float64, look func(*net)) (sent []Message) {
 	ids := []ID{"a", "b", "c", "d", "e", "f", "g", "h"}
 	n := newNet(ids...)
@@ -24,7 +25,7 @@
 		id := ids[rng.Intn(len(ids))]
 		switch rng.Intn(4) {
 		case 0:
-			n.tables[id] = New(Member{ID: id, Addr: string(id), Run: rng.Uint64()}, []Member{{ID: "a", Addr: "a"}}, pace, rng.Int63(), n.now)
+			n.tables[id] = New(Member{ID: id, Addr: string(id), Run: rng.Uint64()}, []Member{{ID: "a", Addr: "a"}}, testConfig, rng.Int63(), n.now)
 		case 1:
 			n.tables[id].Leave(n.now)
 		}
@@ -33,7 +34,8 @@
 	return sent
 }
 
-// TestIndex compares the lists with what a scan of the table finds, and the queue of updates with its order.
+// TestIndex compares the lists with what a scan of the table finds, and the queue of updates with
+// its order.
 func TestIndex(t *testing.T) {
 	lossyNet(1, 200_000, func(n *net) {
 		for id, table := range n.tables {
@@ -46,8 +48,8 @@
 
 func checkIndex(table *Table) error {
 	scan := func(which func(*entry) bool) (list []*entry) {
-		for _, id := range slices.Sorted(maps.Keys(table.all)) {
-			if e := table.all[id]; which(e) {
+		for _, id := range slices.Sorted(maps.Keys(table.entries)) {
+			if e := table.entries[id]; which(e) {
 				list = append(list, e)
 			}
 		}
@@ -62,8 +64,8 @@
 		"active":   {x.active, other(func(s State) bool { return s <= Suspect })},
 		"alive":    {x.alive, other(func(s State) bool { return s == Alive })},
 		"suspects": {x.suspects, other(func(s State) bool { return s == Suspect })},
-		"gone":     {x.gone, other(func(s State) bool { return s == Gone })},
-		"absent":   {x.absent, other(func(s State) bool { return s >= Gone })},
+		"gone":     {x.dead, other(func(s State) bool { return s == Dead })},
+		"absent":   {x.absent, other(func(s State) bool { return s >= Dead })},
 	} {
 		if !slices.Equal(lists[0], lists[1]) {
 			return fmt.Errorf("%s has %d entries, a scan finds %d", name, len(lists[0]), len(lists[1]))
@@ -71,16 +73,16 @@
 	}
 	expiry := math.Inf(1)
 	for _, e := range x.suspects {
-		expiry = min(expiry, table.goneAt(e))
+		expiry = min(expiry, table.deadAt(e))
 	}
 	if got := table.firstExpiry(); got != expiry {
 		return fmt.Errorf("first expiry %v, a scan finds %v", got, expiry)
 	}
-	if !slices.IsSortedFunc(table.updates.queue, func(a, b *entry) int { return a.sent - b.sent }) {
+	if !slices.IsSortedFunc(table.updates.queue, func(a, b *entry) int { return a.transmits - b.transmits }) {
 		return fmt.Errorf("the updates are not sorted")
 	}
 	for _, e := range table.updates.queue {
-		if !e.queued || table.all[e.ID] != e {
+		if !e.queued || table.entries[e.ID] != e {
 			return fmt.Errorf("%s is among the updates and not marked or not known", e.ID)
 		}
 	}
@@ -98,16 +100,16 @@
 
 // TestForgetNotSelf has one that left, and goes on answering, forget others and not itself.
 func TestForgetNotSelf(t *testing.T) {
-	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, pace, 1, 0)
-	table.Receive(0, "b", Message{Kind: Ping, News: []Member{{ID: "b", Addr: "b", Run: 2, State: Left}}})
+	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
+	table.Receive(0, "b", Message{Kind: Ping, Updates: []Member{{ID: "b", Addr: "b", Run: 2, State: Left}}})
 	table.Leave(1000)
-	for now := 2000.0; now < 1000+2*pace.Forget; now += 1000 {
+	for now := 2000.0; now < 1000+2*testConfig.ReclaimTime; now += 1000 {
 		table.Tick(now)
 	}
-	if _, known := table.Of("b"); known {
+	if _, known := table.Lookup("b"); known {
 		t.Error("one that left long ago is not forgotten")
 	}
-	if m, known := table.Of("a"); !known || m.State != Left {
+	if m, known := table.Lookup("a"); !known || m.State != Left {
 		t.Errorf("it forgets itself, or knows itself as %v", m.State)
 	}
 }
--- /dev/null
+++ b/internal/core/fleet/members/merge.go
@@ -0,0 +1,119 @@
+package members
+
+// applyUpdates merges the updates of a message.
+func (t *Table) applyUpdates(from ID, m Message) {
+	if m.Kind == Sync && len(m.Checksums) == 0 {
+		// It carries members that differ, which others learn by their own syncs too.
+		t.initialTransmits = min(syncedUpdateTransmits, t.transmitLimit()/2)
+	}
+	for _, update := range m.Updates {
+		t.applyUpdate(update, from)
+	}
+	t.initialTransmits = 0
+}
+
+// applyUpdate merges what a member, or this controller's failure detection, says of a member.
+func (t *Table) applyUpdate(update Member, from ID) {
+	if update.ID == "" || update.State > Left {
+		return
+	}
+	if update.ID == t.self.ID {
+		t.refute(update)
+		return
+	}
+	e := t.entries[update.ID]
+	if e == nil {
+		t.addMember(update)
+		return
+	}
+	if update.State == Suspect && e.State == Suspect && update.Incarnation == e.Incarnation {
+		t.confirmSuspicion(e, update.Suspector)
+		return
+	}
+	firstContact := e.Run == 0 && update.Run != 0 // a seed of which only the address was known
+	if !update.overrides(e.Member) && !firstContact {
+		t.noteStaleUpdate(e, update, from)
+		return
+	}
+	previous := e.State
+	e.Member = update
+	e.changedAt = t.now
+	t.index.move(e, previous)
+	t.resetSuspicion(e)
+	t.updates.add(e, t.initialTransmits)
+	if previous != update.State || firstContact {
+		t.changes = append(t.changes, Change{Member: update, Previous: previous})
+	}
+}
+
+// addMember takes in a member that was not known. One that is dead or has left is not taken in:
+// controllers reclaim it at different times, and would gossip it to each other for ever.
+func (t *Table) addMember(update Member) {
+	if len(t.entries) >= t.config.MaxMembers || update.Addr == "" || !update.State.active() {
+		return
+	}
+	e := newEntry(update, t.now)
+	t.entries[update.ID] = e
+	t.index.add(e)
+	t.resetSuspicion(e)
+	t.updates.add(e, t.initialTransmits)
+	t.changes = append(t.changes, Change{Member: update, Previous: update.State, New: true})
+	if len(t.index.active) <= rings { // else it may not be one of the members that this controller probes
+		t.insertIntoRound(update.ID)
+	}
+}
+
+// noteStaleUpdate handles an update that does not override what is believed. If the member said it
+// of itself, it restarted and does not know what the others believe: it is notified, and refutes.
+func (t *Table) noteStaleUpdate(e *entry, update Member, from ID) {
+	if from == update.ID && (update.Run != e.Run || update.State < e.State) {
+		e.mustBeNotified = true
+	}
+	t.pingOnRunConflict(e, update)
+}
+
+// pingOnRunConflict pings a member that is known here and elsewhere by two runs of the same
+// incarnation, of which neither overrides the other. The ping carries the belief of here, and the
+// member ends the conflict by a higher incarnation.
+func (t *Table) pingOnRunConflict(e *entry, update Member) {
+	conflict := update.Run != 0 && update.Run != e.Run && update.Incarnation == e.Incarnation && e.State.active()
+	if !conflict || t.now < e.conflictPingAt {
+		return
+	}
+	e.mustBeNotified = true
+	e.conflictPingAt = t.now + t.config.ProbeInterval
+	t.sendPing(e)
+}
+
+// refute answers an update about this controller by a higher incarnation, if it says something else
+// than is true. That it was suspected shows that this controller was slow to answer.
+func (t *Table) refute(update Member) {
+	if t.leaving {
+		if update.State != Left && update.Incarnation >= t.self.Incarnation {
+			t.announceAbove(update.Incarnation)
+		}
+		return
+	}
+	if update.Incarnation < t.self.Incarnation || t.isOwnState(update) {
+		return
+	}
+	if update.State != Alive && update.Run == t.self.Run {
+		t.refutations++
+		t.addHealthPenalty(1)
+	}
+	t.announceAbove(update.Incarnation)
+}
+
+// isOwnState tells whether an update says of this controller what it announces itself.
+func (t *Table) isOwnState(update Member) bool {
+	return update.Incarnation == t.self.Incarnation &&
+		update.Run == t.self.Run &&
+		update.State == Alive &&
+		update.Addr == t.self.Addr
+}
+
+// announceAbove announces this controller's own state with an incarnation that overrides another.
+func (t *Table) announceAbove(incarnation Incarnation) {
+	t.self.Incarnation = incarnation + 1
+	t.updates.add(t.self, 0)
+}
--- a/internal/core/fleet/members/overlay_test.go
+++ b/internal/core/fleet/members/overlay_test.go
@@ -6,26 +6,27 @@
 )
 
 // knowing is a table that knows some members, all alive.
-func knowing(self int, size int, p Pace) *Table {
+func knowing(self int, size int, p Config) *Table {
 	id := func(i int) ID { return ID(fmt.Sprintf("n%d", i)) }
-	p.Most = max(p.Most, size)
+	p.MaxMembers = max(p.MaxMembers, size)
 	table := New(Member{ID: id(self), Addr: "x", Run: uint64(self + 1)}, nil, p, int64(self), 0)
 	for i := range size {
 		if i != self {
-			table.believe(Member{ID: id(i), Addr: "x", Run: uint64(i + 1)}, id(i))
+			table.applyUpdate(Member{ID: id(i), Addr: "x", Run: uint64(i + 1)}, id(i))
 		}
 	}
 	return table
 }
 
-// TestSubjects has each controller ping a few, each be pinged by some, and all be reached over these paths.
+// TestSubjects has each controller ping a few, each be pinged by some, and all be reached over
+// these paths.
 func TestSubjects(t *testing.T) {
 	const size = 200
 	pinged := map[ID]int{}
 	paths := map[ID][]ID{}
 	for i := range size {
-		table := knowing(i, size, Usual())
-		subjects := table.subjects()
+		table := knowing(i, size, DefaultConfig())
+		subjects := table.probeTargets()
 		if len(subjects) < rings-4 || len(subjects) > rings {
 			t.Errorf("n%d pings %d others", i, len(subjects))
 		}
@@ -60,19 +61,19 @@
 	if len(reached) != size {
 		t.Errorf("%d of %d are reached", len(reached), size)
 	}
-	if n := len(knowing(0, rings+1, Usual()).subjects()); n != rings {
+	if n := len(knowing(0, rings+1, DefaultConfig()).probeTargets()); n != rings {
 		t.Errorf("in a fleet of %d one pings %d", rings+1, n)
 	}
 }
 
-// TestFewPeers has a controller of a large fleet send its pings to the same few, whose connections stay open. The first round
-// may be of those that it heard of first.
+// TestFewPeers has a controller of a large fleet send its pings to the same few, whose connections
+// stay open. The first round may be of those that it heard of first.
 func TestFewPeers(t *testing.T) {
-	table := knowing(0, 200, Usual())
+	table := knowing(0, 200, DefaultConfig())
 	peers := map[ID]int{}
 	for now := 0.0; now < 130_000; now = table.Next() {
 		table.Tick(now)
-		for _, out := range table.Out() {
+		for _, out := range table.TakeMessages() {
 			if out.Message.Kind == Ping {
 				if now > 30_000 {
 					peers[out.To]++
@@ -91,28 +92,29 @@
 	}
 }
 
-// TestLateAnswer has an answer passed on that comes after the Nack, as over a new connection to a far member.
+// TestLateAnswer has an answer passed on that comes after the Nack, as over a new connection to a
+// far member.
 func TestLateAnswer(t *testing.T) {
-	table := knowing(0, 3, pace)
+	table := knowing(0, 3, testConfig)
 	table.Tick(1)
-	table.Out()
-	table.Receive(10, "n1", Message{Kind: PingFor, Seq: 77, About: "n2"})
-	asked := table.Out()
+	table.TakeMessages()
+	table.Receive(10, "n1", Message{Kind: PingRequest, Seq: 77, Target: "n2"})
+	asked := table.TakeMessages()
 	if len(asked) != 1 || asked[0].To != "n2" || asked[0].Message.Kind != Ping {
 		t.Fatalf("asked to ping another it sends %+v", asked)
 	}
-	table.Tick(10 + pace.Answer)
-	if !sends(table.Out(), "n1", Message{Kind: Nack, Seq: 77, About: "n2"}) {
+	table.Tick(10 + testConfig.ProbeTimeout)
+	if !sends(table.TakeMessages(), "n1", Message{Kind: Nack, Seq: 77, Target: "n2"}) {
 		t.Error("no Nack when the answer is late")
 	}
-	table.Tick(10 + pace.Answer + 50)
-	table.Out()
-	table.Receive(10+pace.Answer+100, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
-	if !sends(table.Out(), "n1", Message{Kind: Ack, Seq: 77, About: "n2"}) {
+	table.Tick(10 + testConfig.ProbeTimeout + 50)
+	table.TakeMessages()
+	table.Receive(10+testConfig.ProbeTimeout+100, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
+	if !sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
 		t.Error("the late answer is not passed on")
 	}
-	table.Receive(10+pace.Answer+200, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
-	if sends(table.Out(), "n1", Message{Kind: Ack, Seq: 77, About: "n2"}) {
+	table.Receive(10+testConfig.ProbeTimeout+200, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
+	if sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
 		t.Error("one answer is passed on twice")
 	}
 	if table.relays.len() != 0 {
@@ -121,10 +123,10 @@
 }
 
 // sends tells whether a message goes to one, whatever its news.
-func sends(outs []Out, to ID, want Message) bool {
+func sends(outs []Envelope, to ID, want Message) bool {
 	for _, out := range outs {
 		m := out.Message
-		if out.To == to && m.Kind == want.Kind && m.Seq == want.Seq && m.About == want.About {
+		if out.To == to && m.Kind == want.Kind && m.Seq == want.Seq && m.Target == want.Target {
 			return true
 		}
 	}
@@ -133,21 +135,21 @@
 
 // TestSecondPing has a target that does not answer in time pinged again, beside those that are asked to.
 func TestSecondPing(t *testing.T) {
-	table := knowing(0, 4, pace)
-	table.Tick(table.periodAt)
-	table.Out()
-	target := table.target
-	table.Tick(table.targetAt + pace.Answer)
+	table := knowing(0, 4, testConfig)
+	table.Tick(table.probeAt)
+	table.TakeMessages()
+	target := table.probe.target
+	table.Tick(table.probe.sentAt + testConfig.ProbeTimeout)
 	pings, requests := 0, 0
-	for _, out := range table.Out() {
+	for _, out := range table.TakeMessages() {
 		if out.Message.Kind == Ping && out.To == target {
 			pings++
 		}
-		if out.Message.Kind == PingFor && out.Message.About == target {
+		if out.Message.Kind == PingRequest && out.Message.Target == target {
 			requests++
 		}
 	}
-	if pings != 1 || requests != pace.Helpers {
+	if pings != 1 || requests != testConfig.IndirectProbes {
 		t.Errorf("%d pings and %d requests", pings, requests)
 	}
 }
--- a/internal/core/fleet/members/relays.go
+++ b/internal/core/fleet/members/relays.go
@@ -2,49 +2,78 @@
 
 import "slices"
 
-// relay is a ping made in another's place.
+// relay is a ping sent on behalf of another member, which could not reach the target itself.
 type relay struct {
-	ping  uint32 // sequence number of the ping made
-	asker ID
-	seq   uint32 // of the asker's request
-	about ID
-	until float64
+	pingSeq    uint32 // of the ping sent to the target
+	requester  ID
+	requestSeq uint32 // of the requester's PingRequest
+	target     ID
+	deadline   float64 // ms
 }
 
-// relays are the pings made in others' places, both lists by until. An answer that comes too late to spare the asker a Nack
-// is passed on all the same: over a new connection to a far member it takes several round trips.
+// relays are the pings sent on behalf of others, both lists by deadline. An ack that comes after
+// the nack is passed on all the same: over a new connection to a distant member it takes several
+// round trips.
 type relays struct {
-	waiting []relay
-	late    []relay
+	waiting []relay // until a nack is due
+	nacked  []relay // the nack was sent; a late ack is still passed on until the deadline
 }
 
-func (r *relays) len() int { return len(r.waiting) + len(r.late) }
+func (r *relays) len() int { return len(r.waiting) + len(r.nacked) }
 
-// answered takes out the relay that an answer belongs to.
-func (r *relays) answered(ping uint32, about ID) (found relay, ok bool) {
-	for _, list := range []*[]relay{&r.waiting, &r.late} {
-		i := slices.IndexFunc(*list, func(r relay) bool { return r.ping == ping && r.about == about })
+// takeAnswered removes and returns the relay that an ack from a target answers.
+func (r *relays) takeAnswered(pingSeq uint32, target ID) (answered relay, found bool) {
+	for _, list := range []*[]relay{&r.waiting, &r.nacked} {
+		i := slices.IndexFunc(*list, func(r relay) bool { return r.pingSeq == pingSeq && r.target == target })
 		if i >= 0 {
-			found = (*list)[i]
+			answered = (*list)[i]
 			*list = slices.Delete(*list, i, i+1)
-			return found, true
+			return answered, true
 		}
 	}
 	return relay{}, false
 }
 
-// expired are the relays whose askers are due a Nack; for so long after it an answer is still waited for.
-func (r *relays) expired(now, longer float64) (due []relay) {
-	for len(r.late) > 0 && now >= r.late[0].until {
-		r.late = r.late[1:]
+// takeOverdue returns the relays whose requesters are due a nack, and keeps them for extension ms
+// more for a late ack.
+func (r *relays) takeOverdue(now, extension float64) (overdue []relay) {
+	for len(r.nacked) > 0 && now >= r.nacked[0].deadline {
+		r.nacked = r.nacked[1:]
 	}
-	for len(r.waiting) > 0 && now >= r.waiting[0].until {
-		due = append(due, r.waiting[0])
+	for len(r.waiting) > 0 && now >= r.waiting[0].deadline {
+		overdue = append(overdue, r.waiting[0])
 		r.waiting = r.waiting[1:]
 	}
-	for _, one := range due {
-		one.until += longer
-		r.late = append(r.late, one)
+	for _, late := range overdue {
+		late.deadline += extension
+		r.nacked = append(r.nacked, late)
+	}
+	return overdue
+}
+
+// relayPing pings a member on behalf of a requester.
+func (t *Table) relayPing(requester ID, request Message) {
+	target := t.entries[request.Target]
+	if target == nil || target == t.self || t.relays.len() >= t.config.MaxMembers {
+		return
+	}
+	seq := t.nextSeq()
+	t.relays.waiting = append(t.relays.waiting, relay{
+		pingSeq:    seq,
+		requester:  requester,
+		requestSeq: request.Seq,
+		target:     request.Target,
+		deadline:   t.now + t.config.ProbeTimeout,
+	})
+	t.send(target, Message{Kind: Ping, Seq: seq})
+}
+
+// sendNacks answers the requesters whose targets have not answered in time.
+func (t *Table) sendNacks() {
+	extension := t.config.ProbeInterval - t.config.ProbeTimeout
+	for _, r := range t.relays.takeOverdue(t.now, extension) {
+		if requester := t.entries[r.requester]; requester != nil {
+			t.send(requester, Message{Kind: Nack, Seq: r.requestSeq, Target: r.target})
+		}
 	}
-	return due
 }
--- /dev/null
+++ b/internal/core/fleet/members/suspicion.go
@@ -0,0 +1,89 @@
+package members
+
+import "math"
+
+// deadAt returns when a suspect is declared dead, in ms: late while nobody else suspects it, as the
+// fault may be on this controller's side.
+func (t *Table) deadAt(e *entry) float64 {
+	return e.suspectedAt + t.suspicionTimeouts()[e.confirmations()]
+}
+
+// confirmations counts how many members other than the first suspector have failed to reach a
+// suspect themselves.
+func (e *entry) confirmations() int {
+	return max(0, min(maxSuspicionConfirmations, len(e.suspectors)-1))
+}
+
+// suspicionTimeouts returns how long a member stays a suspect, in ms, by the number of confirmations.
+func (t *Table) suspicionTimeouts() (timeouts [maxSuspicionConfirmations + 1]float64) {
+	shortest := t.config.SuspicionMult * t.logSize() * t.config.ProbeInterval
+	longest := shortest * t.config.SuspicionMaxMult
+	for confirmations := range timeouts {
+		share := math.Log(float64(confirmations)+1) / math.Log(maxSuspicionConfirmations+1)
+		timeouts[confirmations] = max(shortest, longest-(longest-shortest)*share)
+	}
+	return timeouts
+}
+
+func (t *Table) logSize() float64 { return max(1, math.Log10(float64(t.Size()))) }
+
+// firstExpiry returns when the first suspect is declared dead, in ms; infinite: there is none.
+func (t *Table) firstExpiry() float64 {
+	if t.expiryKnown {
+		return t.expiry
+	}
+	t.expiry = math.Inf(1)
+	t.expiryKnown = true
+	if len(t.index.suspects) > 0 {
+		timeouts := t.suspicionTimeouts()
+		for _, e := range t.index.suspects {
+			t.expiry = min(t.expiry, e.suspectedAt+timeouts[e.confirmations()])
+		}
+	}
+	return t.expiry
+}
+
+// expireSuspects declares the suspects dead that have not refuted in time.
+func (t *Table) expireSuspects() {
+	for _, e := range t.expiredSuspects() {
+		dead := e.Member
+		dead.State = Dead
+		t.applyUpdate(dead, t.self.ID)
+	}
+}
+
+// expiredSuspects returns the suspects whose timeout is over, by ID.
+func (t *Table) expiredSuspects() (expired []*entry) {
+	if t.now < t.firstExpiry() {
+		return nil
+	}
+	timeouts := t.suspicionTimeouts()
+	for _, e := range t.index.suspects {
+		if t.now >= e.suspectedAt+timeouts[e.confirmations()] {
+			expired = append(expired, e)
+		}
+	}
+	return expired
+}
+
+// resetSuspicion starts the suspicion of an entry that is new or has changed, or ends it.
+func (t *Table) resetSuspicion(e *entry) {
+	t.expiryKnown = false // the timeouts depend on the size of the fleet too
+	e.suspectors = nil
+	if e.State == Suspect {
+		e.suspectedAt = t.now
+		e.suspectors = map[ID]bool{e.Suspector: true}
+	}
+}
+
+// confirmSuspicion counts a suspector that found out itself that a suspect does not answer. A
+// member that only passes the suspicion on names the same suspector and confirms nothing.
+func (t *Table) confirmSuspicion(e *entry, suspector ID) {
+	if len(e.suspectors) > maxSuspicionConfirmations || suspector == "" || e.suspectors[suspector] {
+		return
+	}
+	e.suspectors[suspector] = true
+	e.Suspector = suspector
+	t.expiryKnown = false
+	t.updates.add(e, t.initialTransmits)
+}
--- a/internal/core/fleet/members/sync.go
+++ b/internal/core/fleet/members/sync.go
@@ -5,14 +5,15 @@
 	"hash/fnv"
 )
 
-// syncBuckets is in how many buckets the members are divided by their ids. Two controllers compare a sum of each bucket, and
-// exchange only the members of those that differ.
+// syncBuckets is the number of buckets into which the members are divided by the hash of their IDs.
+// Two controllers compare a checksum of each bucket and exchange only the members of the buckets
+// that differ.
 const syncBuckets = 64
 
-// bucket is the one that an entry is in.
-func (e *entry) bucket() int { return int(e.position % syncBuckets) }
+// bucket returns the bucket that an entry is in.
+func (e *entry) bucket() int { return int(e.ringHash % syncBuckets) }
 
-// checksum is of what two controllers must agree on of a member.
+// checksum covers what two controllers must agree on about a member.
 func (e *entry) checksum() uint32 {
 	var numbers [18]byte
 	binary.LittleEndian.PutUint64(numbers[0:], uint64(e.Incarnation))
@@ -29,106 +30,134 @@
 	return uint32(h.Sum64() >> 16)
 }
 
-// Sums are checksums of a controller's view, one of each bucket; empty: none are sent.
-type Sums []uint32
+// Checksums are those of a controller's view, one for each bucket. Empty: the message carries none.
+type Checksums []uint32
 
-// sums are of the members that are taken to be there. Those that are gone don't count: they are forgotten at different
-// times.
-func (t *Table) sums() Sums {
-	sums := make(Sums, syncBuckets)
+// checksums returns the checksums of the active members. Dead members don't count: controllers
+// reclaim them at different times.
+func (t *Table) checksums() Checksums {
+	sums := make(Checksums, syncBuckets)
 	for _, e := range t.index.all {
-		if e.State <= Suspect && e.Run != 0 {
+		if e.State.active() && e.Run != 0 {
 			sums[e.bucket()] ^= e.checksum()
 		}
 	}
 	return sums
 }
 
-// compare asks a member for what its view has other than this one's, by the sums of both. It says who asks, as the member
-// may not know a newcomer and could not answer.
-func (t *Table) compare(e *entry) {
-	m := Message{Kind: Sync, Want: true, Sums: t.sums(), News: []Member{t.self.Member}}
-	t.outs = append(t.outs, Out{e.ID, e.Addr, m})
+// syncWithRandomMember starts an anti-entropy exchange with an active member, or with a seed while
+// no member is known.
+func (t *Table) syncWithRandomMember() {
+	t.syncAt = t.now + t.jittered(t.config.SyncInterval)
+	if picked := t.pick(1, t.index.active, nil); len(picked) > 0 {
+		t.startSync(picked[0])
+		return
+	}
+	if picked := t.pick(1, t.index.all, t.self); len(picked) > 0 {
+		t.syncAt = t.now + t.config.ProbeInterval
+		t.startSync(picked[0])
+	}
+}
+
+// startSync sends a member the checksums of this view, and asks for what differs. It carries this
+// controller's own member, without which a receiver that does not know it could not answer.
+func (t *Table) startSync(e *entry) {
+	t.enqueue(e, Message{
+		Kind:      Sync,
+		WantReply: true,
+		Checksums: t.checksums(),
+		Updates:   []Member{t.self.Member},
+	})
 }
 
-// answerSync takes in that another one's view is compared with this one's, or that it sent what differed.
-func (t *Table) answerSync(e *entry, m Message) {
+// receiveSync answers checksums with the buckets that differ, and the members of buckets with those
+// that are newer here.
+func (t *Table) receiveSync(sender *entry, m Message) {
 	switch {
-	case len(m.Sums) == syncBuckets:
-		t.sendDifferences(e, m.Sums)
-	case m.Want && m.Buckets != 0:
-		t.sendNewer(e, m)
-	case m.Want: // all that a controller of an earlier version believes: it wants the same
-		t.sendAll(e)
+	case len(m.Checksums) == syncBuckets:
+		t.sendDifferences(sender, m.Checksums)
+	case m.WantReply && m.Buckets != 0:
+		t.sendNewer(sender, m)
+	case m.WantReply: // a controller of an earlier version sent its whole view, and asks for this one
+		t.sendAll(sender)
 	}
 }
 
-// sendDifferences sends all of the buckets whose sums differ, in parts of whole buckets as far as they fit, and asks in each
-// part for what this one lacks of these buckets.
-func (t *Table) sendDifferences(e *entry, theirs Sums) {
-	var members [syncBuckets][]Member
-	for _, x := range t.index.all {
-		if x.Run != 0 {
-			members[x.bucket()] = append(members[x.bucket()], x.Member)
-		}
-	}
-	part := Message{Kind: Sync, Want: true}
-	for bucket, sum := range t.sums() {
+// sendDifferences sends all members of the buckets whose checksums differ, in parts of whole
+// buckets as far as they fit, and asks in each part for what is missing here in these buckets.
+func (t *Table) sendDifferences(to *entry, theirs Checksums) {
+	buckets := t.membersByBucket()
+	part := Message{Kind: Sync, WantReply: true}
+	for bucket, sum := range t.checksums() {
 		if sum == theirs[bucket] {
 			continue
 		}
-		if len(part.News) > 0 && len(part.News)+len(members[bucket]) > t.pace.Part {
-			t.sendPart(e, part)
-			part = Message{Kind: Sync, Want: true}
+		if len(part.Updates) > 0 && len(part.Updates)+len(buckets[bucket]) > t.config.MaxSyncMembers {
+			t.sendPart(to, part)
+			part = Message{Kind: Sync, WantReply: true}
 		}
 		part.Buckets |= 1 << bucket
-		part.News = append(part.News, members[bucket]...)
+		part.Updates = append(part.Updates, buckets[bucket]...)
 	}
 	if part.Buckets != 0 {
-		t.sendPart(e, part)
+		t.sendPart(to, part)
 	}
 }
 
-// sendPart sends a part, without what is over the bound: the next comparison finds what is left.
-func (t *Table) sendPart(e *entry, part Message) {
-	if len(part.News) > t.pace.Part {
-		part.News = part.News[:t.pace.Part]
+// membersByBucket returns all members that were heard from, by bucket.
+func (t *Table) membersByBucket() (buckets [syncBuckets][]Member) {
+	for _, e := range t.index.all {
+		if e.Run != 0 {
+			buckets[e.bucket()] = append(buckets[e.bucket()], e.Member)
+		}
+	}
+	return buckets
+}
+
+// sendPart sends a part, without the members above the bound: the next exchange finds them.
+func (t *Table) sendPart(to *entry, part Message) {
+	if len(part.Updates) > t.config.MaxSyncMembers {
+		part.Updates = part.Updates[:t.config.MaxSyncMembers]
 	}
-	t.outs = append(t.outs, Out{e.ID, e.Addr, part})
+	t.enqueue(to, part)
 }
 
-// sendNewer answers a part with what this one knows of its buckets and the part has not, or has older.
-func (t *Table) sendNewer(e *entry, part Message) {
-	theirs := make(map[ID]Member, len(part.News))
-	for _, m := range part.News {
+// sendNewer answers a part with the members of its buckets that the part lacks, or has in an older
+// state.
+func (t *Table) sendNewer(to *entry, part Message) {
+	theirs := make(map[ID]Member, len(part.Updates))
+	for _, m := range part.Updates {
 		theirs[m.ID] = m
 	}
 	answer := Message{Kind: Sync}
-	for _, x := range t.index.all {
-		if x.Run == 0 || part.Buckets&(1<<x.bucket()) == 0 {
+	for _, e := range t.index.all {
+		if e.Run == 0 || part.Buckets&(1<<e.bucket()) == 0 {
 			continue
 		}
-		if m, known := theirs[x.ID]; !known && x.State <= Suspect || known && x.overrides(m) {
-			answer.News = append(answer.News, x.Member)
+		m, known := theirs[e.ID]
+		missing := !known && e.State.active()
+		newer := known && e.overrides(m)
+		if missing || newer {
+			answer.Updates = append(answer.Updates, e.Member)
 		}
 	}
-	if len(answer.News) > 0 {
-		t.sendPart(e, answer)
+	if len(answer.Updates) > 0 {
+		t.sendPart(to, answer)
 	}
 }
 
-// sendAll sends all that is believed, in parts.
-func (t *Table) sendAll(e *entry) {
+// sendAll sends all members that were heard from, in parts.
+func (t *Table) sendAll(to *entry) {
 	part := Message{Kind: Sync}
-	for _, x := range t.index.all {
-		if x.Run == 0 {
+	for _, e := range t.index.all {
+		if e.Run == 0 {
 			continue
 		}
-		if len(part.News) == t.pace.Part {
-			t.outs = append(t.outs, Out{e.ID, e.Addr, part})
+		if len(part.Updates) == t.config.MaxSyncMembers {
+			t.enqueue(to, part)
 			part = Message{Kind: Sync}
 		}
-		part.News = append(part.News, x.Member)
+		part.Updates = append(part.Updates, e.Member)
 	}
-	t.outs = append(t.outs, Out{e.ID, e.Addr, part})
+	t.enqueue(to, part)
 }
--- a/internal/core/fleet/members/updates.go
+++ b/internal/core/fleet/members/updates.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// updates is the queue of entries whose news is passed on with messages, the ones sent least often first.
+// updates is the queue of the entries whose state is gossiped, those that were sent least often first.
 type updates struct {
-	queue []*entry // sorted by sent
+	queue []*entry // sorted by transmits
 }
 
-// add puts an entry behind those that were sent as often as it is taken to have been.
-func (u *updates) add(e *entry, sent int) {
+// add enqueues an entry behind those that were sent as often as it counts as sent.
+func (u *updates) add(e *entry, transmits int) {
 	u.remove(e)
-	e.queued, e.sent = true, sent
-	u.queue = slices.Insert(u.queue, u.after(0, sent), e)
+	e.queued = true
+	e.transmits = transmits
+	u.queue = slices.Insert(u.queue, u.indexAfter(0, transmits), e)
 }
 
-// remove takes an entry out.
+// remove takes an entry out of the queue, if it is in it.
 func (u *updates) remove(e *entry) {
 	if !e.queued {
 		return
@@ -28,18 +29,19 @@
 	}
 }
 
-// after is the first place from one on whose entry was sent more often than a count.
-func (u *updates) after(from, sent int) int {
-	i, _ := slices.BinarySearchFunc(u.queue[from:], sent+1, func(e *entry, sent int) int { return cmp.Compare(e.sent, sent) })
+// indexAfter returns the first index, not before from, whose entry was sent more often than transmits.
+func (u *updates) indexAfter(from, transmits int) int {
+	compare := func(e *entry, transmits int) int { return cmp.Compare(e.transmits, transmits) }
+	i, _ := slices.BinarySearchFunc(u.queue[from:], transmits+1, compare)
 	return from + i
 }
 
-// take appends the news of entries to a list until it has room no more, and counts them as sent. Entries sent limit times
-// leave the queue.
-func (u *updates) take(list []Member, room, limit int, skip func(*entry) bool) []Member {
+// take appends updates to a list until it has capacity entries, and counts them as sent. Entries
+// that were sent limit times leave the queue.
+func (u *updates) take(list []Member, capacity, limit int, skip func(*entry) bool) []Member {
 	var taken []int
 	for i, e := range u.queue {
-		if len(list) >= room {
+		if len(list) >= capacity {
 			break
 		}
 		if !skip(e) {
@@ -48,20 +50,21 @@
 		}
 	}
 	for _, i := range slices.Backward(taken) {
-		u.advance(i)
+		u.countTransmit(i)
 	}
-	for n := len(u.queue); n > 0 && u.queue[n-1].sent >= limit; n-- {
+	for n := len(u.queue); n > 0 && u.queue[n-1].transmits >= limit; n-- {
 		u.queue[n-1].queued = false
 		u.queue = u.queue[:n-1]
 	}
 	return list
 }
 
-// advance counts the entry at a place as sent once more and moves it ahead of those that were sent as often.
-func (u *updates) advance(i int) {
+// countTransmit counts the entry at an index as sent once more, and moves it ahead of those that
+// were sent as often.
+func (u *updates) countTransmit(i int) {
 	e := u.queue[i]
-	to := u.after(i, e.sent)
-	e.sent++
-	copy(u.queue[i:], u.queue[i+1:to])
-	u.queue[to-1] = e
+	end := u.indexAfter(i, e.transmits)
+	e.transmits++
+	copy(u.queue[i:], u.queue[i+1:end])
+	u.queue[end-1] = e
 }
--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -18,7 +18,9 @@
 func (e configEnvironment) Members() []members.Member { return e.node.members.Members() }
 
 // Member is what is believed of one.
-func (e configEnvironment) Member(id members.ID) (members.Member, bool) { return e.node.members.Of(id) }
+func (e configEnvironment) Member(id members.ID) (members.Member, bool) {
+	return e.node.members.Lookup(id)
+}
 
 // Voters are the quorum's, as far as this one knows.
 func (e configEnvironment) Voters() []members.ID { return e.node.Voters() }
--- a/internal/core/fleet/node/leaderhint.go
+++ b/internal/core/fleet/node/leaderhint.go
@@ -75,7 +75,7 @@
 // sendMembership hands out what membership has to send. What this controller knows of the configuration and of the leader
 // rides on it.
 func (n *Node) sendMembership() {
-	outs := n.members.Out()
+	outs := n.members.TakeMessages()
 	if len(outs) == 0 {
 		return
 	}
--- a/internal/core/fleet/node/leaderhint_test.go
+++ b/internal/core/fleet/node/leaderhint_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	seeds := []members.Member{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
 	n, err := New(Facts{Self: members.Member{ID: "x", Addr: "x", Run: 1}, Seeds: seeds, Founders: []members.ID{"a", "b", "c"},
-		Terms: lease.Terms{Lease: 10000}, Pace: members.Usual(), Seed: 1}, nil, nil, 0)
+		Terms: lease.Terms{Lease: 10000}, Pace: members.DefaultConfig(), Seed: 1}, nil, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	for len(known) > 0 {
 		part := known[:min(len(known), 100)]
 		known = known[len(part):]
-		n.Receive(1, "a", &Message{Members: &members.Message{Kind: members.Sync, News: part}})
+		n.Receive(1, "a", &Message{Members: &members.Message{Kind: members.Sync, Updates: part}})
 	}
 	n.Take()
 	return n
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -21,7 +21,7 @@
 	Founders []members.ID // of the quorum
 	Leases   []lease.Name // that there are to be
 	Terms    lease.Terms
-	Pace     members.Pace
+	Pace     members.Config
 	Disk     uint64 // drawn: of the next incarnation in the quorum
 	Seed     int64
 	Config   *ConfigFacts // nil: the fleet does not agree on configuration
@@ -243,7 +243,7 @@
 	for _, m := range n.quorum.Out() {
 		n.send(m.To.Name, Message{Quorum: &m})
 	}
-	n.out.Changes = append(n.out.Changes, n.members.Changes()...)
+	n.out.Changes = append(n.out.Changes, n.members.TakeChanges()...)
 	began, ended := n.client.Turns(n.now)
 	n.out.Began, n.out.Ended = append(n.out.Began, began...), append(n.out.Ended, ended...)
 }
--- a/internal/core/fleet/node/renewals_test.go
+++ b/internal/core/fleet/node/renewals_test.go
@@ -81,8 +81,8 @@
 // leaderOfTwo is the only voter of a quorum; h1 and h2 hold a lease each and have renewed it once.
 func leaderOfTwo(t *testing.T) (d *driver, held map[members.ID]lease.Grant) {
 	t.Helper()
-	pace := members.Usual()
-	pace.Period, pace.SyncEach = 1e9, 1e9 // nobody answers here
+	pace := members.DefaultConfig()
+	pace.ProbeInterval, pace.SyncInterval = 1e9, 1e9 // nobody answers here
 	node, err := New(Facts{Self: members.Member{ID: "a", Addr: "a", Run: 1}, Founders: []members.ID{"a"}, Leases: []lease.Name{"x", "y"},
 		Terms: lease.Terms{Lease: testLease}, Pace: pace, Seed: 1}, nil, nil, 0)
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	d = &driver{t: t, node: node}
 	holders := []members.Member{{ID: "h1", Addr: "h1", Run: 1, Willing: true}, {ID: "h2", Addr: "h2", Run: 1, Willing: true}}
-	d.receive("h1", Message{Members: &members.Message{Kind: members.Sync, News: holders}})
+	d.receive("h1", Message{Members: &members.Message{Kind: members.Sync, Updates: holders}})
 	held = map[members.ID]lease.Grant{}
 	for ; len(held) < 2; d.advance(100) {
 		if d.now > testLease {
@@ -212,7 +212,7 @@
 // seconds where no other would take it.
 func TestLeaseDeclaredAgain(t *testing.T) {
 	d, held := leaderOfTwo(t)
-	d.receive("h2", Message{Members: &members.Message{Kind: members.Sync, News: []members.Member{
+	d.receive("h2", Message{Members: &members.Message{Kind: members.Sync, Updates: []members.Member{
 		{ID: "h2", Addr: "h2", Run: 1, Incarnation: 1}}}}) // it takes on none from now on
 	grant := held["h1"]
 	other := held["h2"].Name
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -15,7 +15,7 @@
 		return
 	}
 	addr := ""
-	if about, ok := n.members.Of(to); ok {
+	if about, ok := n.members.Lookup(to); ok {
 		addr = about.Addr
 	}
 	n.out.Sends = append(n.out.Sends, Send{to, addr, m})
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -241,7 +241,7 @@
 
 func (in *session) ordered(r Request) error {
 	known := func(name string) bool {
-		_, ok := in.core.Table().Of(members.ID(name))
+		_, ok := in.core.Table().Lookup(members.ID(name))
 		return ok
 	}
 	switch r.Action {
@@ -278,7 +278,7 @@
 func (in *session) describe() Status {
 	c := in.core.Quorum()
 	standing, why := c.Role()
-	s := Status{Fleet: in.block.Name, Generation: in.block.Generation, Self: string(in.self), Slow: in.core.Table().Slow(),
+	s := Status{Fleet: in.block.Name, Generation: in.block.Generation, Self: string(in.self), Slow: in.core.Table().HealthScore(),
 		Members: []MemberStatus{}, Leases: []LeaseStatus{}, Holds: []string{},
 		Quorum: QuorumStatus{Role: standing.String(), Reason: why, Leader: string(in.core.Leader()), Term: c.Term(),
 			Record: c.Serial(), Members: []IncarnationStatus{}}}
--- a/internal/fleet/maintenance_hold.go
+++ b/internal/fleet/maintenance_hold.go
@@ -39,7 +39,7 @@
 		return
 	}
 	for _, m := range h.Members() {
-		if m.State <= members.Suspect || m.State == members.Gone { // one that is gone may be cut off one way alone
+		if m.State <= members.Suspect || m.State == members.Dead { // one that is gone may be cut off one way alone
 			j.effectID++
 			h.TryEffect(Maintenance, m.ID, j.effectID, data)
 		}
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -51,8 +51,8 @@
 // logMembers logs members that are new, or of which another state is believed now.
 func (in *session) logMembers(changes []members.Change) {
 	for _, c := range changes {
-		if c.Member.State != c.Was || c.New {
-			in.Service.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Was.String(),
+		if c.Member.State != c.Previous || c.New {
+			in.Service.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Previous.String(),
 				"new", c.New)
 		}
 	}
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -21,7 +21,7 @@
 // changes among them.
 func ConfigurationPlan(seed int64, nodes, faults int) Plan {
 	rng := rand.New(rand.NewSource(seed))
-	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: 1, Lease: 4000, Pace: members.Usual(), Settle: 90000, Config: true, Busy: 0.05}
+	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: 1, Lease: 4000, Pace: members.DefaultConfig(), Settle: 90000, Config: true, Busy: 0.05}
 	if nodes >= 5 && rng.Intn(2) == 0 {
 		p.Voters = 5
 	}
--- a/internal/lab/fleet/configuration_test.go
+++ b/internal/lab/fleet/configuration_test.go
@@ -228,7 +228,7 @@
 
 // A world without a configuration has none of it.
 func TestNoConfiguration(t *testing.T) {
-	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Pace: members.Usual()})
+	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Pace: members.DefaultConfig()})
 	w.Run(5000)
 	if w.Configuration() != nil || w.nodes[0].config.inForce.Number != 0 {
 		t.Error("there is a configuration")
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -50,7 +50,7 @@
 
 // TakeOverAcross is TakeOver in a fleet whose controllers, and among them its voters, are spread over regions.
 func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (free float64, refused int) {
-	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Pace: members.Usual(), Latency: regions.latency}
+	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Pace: members.DefaultConfig(), Latency: regions.latency}
 	w := NewWorld(p)
 	w.Run(20000 + 2*leaseTime + rand.New(rand.NewSource(seed)).Float64()*leaseTime)
 	var owner *machine
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -19,7 +19,7 @@
 	Voters  int
 	Leases  int
 	Lease   float64
-	Pace    members.Pace
+	Pace    members.Config
 	Script  Script
 	Settle  float64                // ms after the last fault within which all must be well again
 	Mutant  string                 // a check that is left out, to see whether that is noticed; empty: none
@@ -32,7 +32,7 @@
 // UsualPlan is one whose script is drawn from a seed.
 func UsualPlan(seed int64, nodes, leases, faults int) Plan {
 	rng := rand.New(rand.NewSource(seed))
-	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: leases, Lease: 4000, Pace: members.Usual(), Settle: 90000}
+	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: leases, Lease: 4000, Pace: members.DefaultConfig(), Settle: 90000}
 	if nodes >= 5 && rng.Intn(2) == 0 {
 		p.Voters = 5
 	}
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -116,9 +116,9 @@
 	for _, c := range out.Changes {
 		if about := w.nodes[w.number(c.Member.ID)]; about.core != nil && w.now >= about.paused && !c.New && len(w.blocked) == 0 &&
 			c.Member.Run == about.run && m.number == 0 { // as one of them sees it: what one suspects all hear of
-			if c.Member.State == members.Suspect && c.Was == members.Alive {
+			if c.Member.State == members.Suspect && c.Previous == members.Alive {
 				w.False++
-			} else if c.Member.State == members.Gone {
+			} else if c.Member.State == members.Dead {
 				w.FalseGone++
 			}
 		}
--- a/internal/lab/fleet/virtual_measure.go
+++ b/internal/lab/fleet/virtual_measure.go
@@ -16,7 +16,7 @@
 // MeasureMembers runs a fleet in virtual time: some seconds to find itself, then so many ms at rest or under loss and
 // pauses, then one is killed.
 func MeasureMembers(seed int64, nodes int, loss float64, pauses bool, long float64) (c Costs) {
-	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Lease: 10000, Pace: members.Usual()}
+	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Lease: 10000, Pace: members.DefaultConfig()}
 	w := NewWorld(p)
 	warm := 20000 + 20*float64(nodes)
 	w.Run(warm)
@@ -42,7 +42,7 @@
 		unknowing := 0
 		for _, m := range w.nodes {
 			if m.core != nil {
-				if about, ok := m.core.Table().Of(dead.id); ok && about.State <= members.Suspect {
+				if about, ok := m.core.Table().Lookup(dead.id); ok && about.State <= members.Suspect {
 					unknowing++
 				}
 			}
--- a/internal/lab/scale/membership/process.go
+++ b/internal/lab/scale/membership/process.go
@@ -78,7 +78,7 @@
 	tables := make([]*members.Table, measuredTables)
 	for i := range tables {
 		self := members.Member{ID: "self", Addr: "10.0.0.1:7400", Run: 1}
-		tables[i] = members.New(self, nil, members.Usual(), int64(i), 0)
+		tables[i] = members.New(self, nil, members.DefaultConfig(), int64(i), 0)
 		for _, payload := range payloads {
 			var m node.Message
 			if err := frames.Decoder.Unmarshal(payload, &m); err != nil {
@@ -94,11 +94,11 @@
 
 // introductions are encoded messages that tell of all of a fleet.
 func introductions(size int) (payloads [][]byte, err error) {
-	part := members.Usual().Part
+	part := members.DefaultConfig().MaxSyncMembers
 	for from := 0; from < size; from += part {
 		m := members.Message{Kind: members.Sync}
 		for n := from; n < min(size, from+part); n++ {
-			m.News = append(m.News, members.Member{ID: members.ID(fmt.Sprintf("n%d", n)), Addr: fmt.Sprintf("10.0.%d.%d:7400", n/250, n%250),
+			m.Updates = append(m.Updates, members.Member{ID: members.ID(fmt.Sprintf("n%d", n)), Addr: fmt.Sprintf("10.0.%d.%d:7400", n/250, n%250),
 				Run: uint64(n)<<32 + 1, Willing: true})
 		}
 		payload, err := cbor.Marshal(node.Message{Members: &m})
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -65,7 +65,7 @@
 	controllers []*controller
 	byID        map[members.ID]*controller
 	network     conditions
-	pace        members.Pace
+	pace        members.Config
 	encoder     encoder
 	mac         hash.Hash
 	decode      bool // messages are decoded as the daemon does, so that its processor time counts
@@ -84,7 +84,7 @@
 
 func newSimulation(p plan) *simulation {
 	s := &simulation{rng: rand.New(rand.NewSource(p.seed*7919 + int64(p.size))), byID: map[members.ID]*controller{},
-		network: conditions{cutOff: -1, far: p.far}, pace: members.Usual(), mac: hmac.New(sha256.New, make([]byte, sha256.Size)), wronged: map[members.Member]bool{}}
+		network: conditions{cutOff: -1, far: p.far}, pace: members.DefaultConfig(), mac: hmac.New(sha256.New, make([]byte, sha256.Size)), wronged: map[members.Member]bool{}}
 	for range p.size {
 		s.addController()
 	}
@@ -141,10 +141,10 @@
 
 // turn carries out what a table asks for after some input.
 func (s *simulation) turn(c *controller) {
-	for _, change := range c.table.Changes() {
+	for _, change := range c.table.TakeChanges() {
 		s.judge(c, change)
 	}
-	for _, out := range c.table.Out() {
+	for _, out := range c.table.TakeMessages() {
 		s.send(c, out)
 	}
 	if next := max(c.table.Next(), s.now+0.5); next < c.wakeAt {
@@ -182,9 +182,9 @@
 		return
 	}
 	switch {
-	case change.Member.State == members.Suspect && change.Member.By == at.id:
+	case change.Member.State == members.Suspect && change.Member.Suspector == at.id:
 		s.counters.falseSuspicions++
-	case change.Member.State == members.Gone && !s.wronged[change.Member]:
+	case change.Member.State == members.Dead && !s.wronged[change.Member]:
 		s.wronged[change.Member] = true
 		s.counters.falseDeaths++
 	}
@@ -205,7 +205,7 @@
 }
 
 // send carries a message over its connection, which is opened where there is none.
-func (s *simulation) send(from *controller, out members.Out) {
+func (s *simulation) send(from *controller, out members.Envelope) {
 	to := s.byID[out.To]
 	payload, err := s.encoder.payload(&out.Message)
 	if err != nil {
--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -19,7 +19,7 @@
 func (s *simulation) deathWatch(dead *controller) *watch {
 	id, run := dead.id, dead.run
 	return s.newWatch(func(t *members.Table) bool {
-		m, known := t.Of(id)
+		m, known := t.Lookup(id)
 		return !known || m.Run != run || m.State > members.Suspect
 	})
 }
@@ -28,7 +28,7 @@
 func (s *simulation) startWatch(started *controller) *watch {
 	id, run := started.id, started.run
 	return s.newWatch(func(t *members.Table) bool {
-		m, known := t.Of(id)
+		m, known := t.Lookup(id)
 		return known && m.Run == run && m.State <= members.Suspect
 	})
 }
@@ -74,7 +74,7 @@
 func (s *simulation) wholeWatch() *watch {
 	return s.newWatch(func(t *members.Table) bool {
 		for _, c := range s.controllers {
-			m, known := t.Of(c.id)
+			m, known := t.Lookup(c.id)
 			alive := known && m.State == members.Alive
 			if alive != (c.table != nil) || alive && m.Run != c.run {
 				return false
