--- a/internal/core/fleet/members/index_test.go
+++ b/internal/core/fleet/members/index_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// lossyNet is a net whose messages are lost by a seed, whose members restart and leave, and which
-// notes what is sent.
-func lossyNet(seed int64, until float64, look func(*net)) (sent []Message) {
+// lossyNet runs a network that loses messages and whose members restart and leave, all by a seed.
+// It returns all messages that were sent.
+func lossyNet(seed int64, until float64, inspect func(*net)) (sent []Message) {
 	ids := []ID{"a", "b", "c", "d", "e", "f", "g", "h"}
 	n := newNet(ids...)
 	rng := rand.New(rand.NewSource(seed))
-	n.cut = func(_, _ ID, m Message) bool {
+	n.lost = func(_, _ ID, m Message) bool {
 		sent = append(sent, m)
 		return rng.Float64() < 0.4
 	}
@@ -25,18 +25,19 @@
 		id := ids[rng.Intn(len(ids))]
 		switch rng.Intn(4) {
 		case 0:
-			n.tables[id] = New(Member{ID: id, Addr: string(id), Run: rng.Uint64()}, []Member{{ID: "a", Addr: "a"}}, testConfig, rng.Int63(), n.now)
+			restarted := Member{ID: id, Addr: string(id), Run: rng.Uint64()}
+			n.tables[id] = New(restarted, []Member{{ID: "a", Addr: "a"}}, testConfig, rng.Int63(), n.now)
 		case 1:
 			n.tables[id].Leave(n.now)
 		}
-		look(n)
+		inspect(n)
 	}
 	return sent
 }
 
-// TestIndex compares the lists with what a scan of the table finds, and the queue of updates with
-// its order.
-func TestIndex(t *testing.T) {
+// TestIndexEqualsScan compares the sorted lists, the first expiry and the update queue with a scan
+// of the table, while members of a lossy network restart and leave.
+func TestIndexEqualsScan(t *testing.T) {
 	lossyNet(1, 200_000, func(n *net) {
 		for id, table := range n.tables {
 			if err := checkIndex(table); err != nil {
@@ -79,18 +80,19 @@
 		return fmt.Errorf("first expiry %v, a scan finds %v", got, expiry)
 	}
 	if !slices.IsSortedFunc(table.updates.queue, func(a, b *entry) int { return a.transmits - b.transmits }) {
-		return fmt.Errorf("the updates are not sorted")
+		return fmt.Errorf("the update queue is not sorted")
 	}
 	for _, e := range table.updates.queue {
 		if !e.queued || table.entries[e.ID] != e {
-			return fmt.Errorf("%s is among the updates and not marked or not known", e.ID)
+			return fmt.Errorf("%s is in the update queue and not marked as queued or not known", e.ID)
 		}
 	}
 	return nil
 }
 
-// TestSameSeed has the same events lead to the same messages.
-func TestSameSeed(t *testing.T) {
+// TestSameSeedSendsSameMessages: simulations can be replayed only if the same inputs give the same
+// messages.
+func TestSameSeedSendsSameMessages(t *testing.T) {
 	once := lossyNet(7, 100_000, func(*net) {})
 	again := lossyNet(7, 100_000, func(*net) {})
 	if !reflect.DeepEqual(once, again) {
@@ -98,8 +100,9 @@
 	}
 }
 
-// TestForgetNotSelf has one that left, and goes on answering, forget others and not itself.
-func TestForgetNotSelf(t *testing.T) {
+// A controller that left goes on answering for as long as its caller lets it. It reclaims others
+// that left long ago, and must not reclaim its own entry.
+func TestLeavingMemberReclaimsOthersNotItself(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	table.Receive(0, "b", Message{Kind: Ping, Updates: []Member{{ID: "b", Addr: "b", Run: 2, State: Left}}})
 	table.Leave(1000)
@@ -107,9 +110,9 @@
 		table.Tick(now)
 	}
 	if _, known := table.Lookup("b"); known {
-		t.Error("one that left long ago is not forgotten")
+		t.Error("a member that left long ago is not reclaimed")
 	}
 	if m, known := table.Lookup("a"); !known || m.State != Left {
-		t.Errorf("it forgets itself, or knows itself as %v", m.State)
+		t.Errorf("it reclaimed itself, or believes itself to be %v", m.State)
 	}
 }
--- a/internal/core/fleet/members/members_test.go
+++ b/internal/core/fleet/members/members_test.go
@@ -6,16 +6,29 @@
 	"testing"
 )
 
-var testConfig = Config{ProbeInterval: 1000, ProbeTimeout: 400, IndirectProbes: 2, SuspicionMult: 4, SuspicionMaxMult: 6, SyncInterval: 30000, ReconnectInterval: 5000, ReclaimTime: 60000, MaxUpdates: 8,
-	MaxSyncMembers: 200, MaxMembers: 100}
+// testConfig has few members and a short time to reclaim dead ones.
+var testConfig = Config{
+	ProbeInterval:     1000,
+	ProbeTimeout:      400,
+	IndirectProbes:    2,
+	SuspicionMult:     4,
+	SuspicionMaxMult:  6,
+	SyncInterval:      30000,
+	ReconnectInterval: 5000,
+	ReclaimTime:       60000,
+	MaxUpdates:        8,
+	MaxSyncMembers:    200,
+	MaxMembers:        100,
+}
 
-// net carries messages between some tables, but for those that cut says are lost.
+// net delivers messages between tables in virtual time.
 type net struct {
 	tables map[ID]*Table
-	now    float64
-	cut    func(from, to ID, m Message) bool
+	now    float64                           // ms
+	lost   func(from, to ID, m Message) bool // nil: no message is lost
 }
 
+// newNet returns controllers that all have each other as seeds.
 func newNet(ids ...ID) *net {
 	n := &net{tables: map[ID]*Table{}}
 	var seeds []Member
@@ -23,11 +36,13 @@
 		seeds = append(seeds, Member{ID: id, Addr: string(id)})
 	}
 	for i, id := range ids {
-		n.tables[id] = New(Member{ID: id, Addr: string(id), Run: uint64(i + 1), Willing: true}, seeds, testConfig, int64(i), 0)
+		self := Member{ID: id, Addr: string(id), Run: uint64(i + 1), Willing: true}
+		n.tables[id] = New(self, seeds, testConfig, int64(i), 0)
 	}
 	return n
 }
 
+// run advances the time in steps of 10 ms.
 func (n *net) run(until float64) {
 	for ; n.now < until; n.now += 10 {
 		for range 3 {
@@ -37,7 +52,7 @@
 					t.Tick(n.now)
 				}
 				for _, o := range t.TakeMessages() {
-					if to := n.tables[o.To]; to != nil && (n.cut == nil || !n.cut(from, o.To, o.Message)) {
+					if to := n.tables[o.To]; to != nil && (n.lost == nil || !n.lost(from, o.To, o.Message)) {
 						to.Receive(n.now, from, o.Message)
 					}
 				}
@@ -46,65 +61,73 @@
 	}
 }
 
+// stateUnknown is no State: the member is not known.
+const stateUnknown State = 99
+
+// state returns what one controller believes of another.
 func (n *net) state(at, of ID) State {
 	m, ok := n.tables[at].Lookup(of)
 	if !ok {
-		return 99
+		return stateUnknown
 	}
 	return m.State
 }
 
-func TestFound(t *testing.T) {
+// TestMembersDiscoverEachOther: controllers that know seeds come to believe each other alive, and
+// to know when one leaves.
+func TestMembersDiscoverEachOther(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
 	for _, at := range []ID{"a", "b", "c"} {
 		for _, of := range []ID{"a", "b", "c"} {
 			if n.state(at, of) != Alive {
-				t.Errorf("%s takes %s as %v", at, of, n.state(at, of))
+				t.Errorf("%s believes %s to be %v", at, of, n.state(at, of))
 			}
 		}
 	}
 	n.tables["c"].Leave(n.now)
 	n.run(n.now + 5000)
 	if n.state("a", "c") != Left || n.state("b", "c") != Left {
-		t.Error("one that said that it ends is not taken to have left")
+		t.Error("a member that left is not believed to have left")
 	}
 }
 
-// One that is silent is suspected, then gone; when it is heard again it says that it is there. One
-// that only one other can't reach is not even suspected, as others ping it in that one's place.
-func TestSilence(t *testing.T) {
+// A network fault between two members alone must not lead to a suspicion, as others reach both by
+// indirect probes. A member that nobody reaches is suspected, then dead; when the partition heals
+// it refutes, and all are alive again.
+func TestSilentMemberIsSuspectedThenDead(t *testing.T) {
 	n := newNet("a", "b", "c", "d")
 	n.run(10000)
-	n.cut = func(from, to ID, _ Message) bool { return from == "a" && to == "d" || from == "d" && to == "a" }
+	n.lost = func(from, to ID, _ Message) bool { return from == "a" && to == "d" || from == "d" && to == "a" }
 	n.run(60000)
 	if n.state("a", "d") != Alive || n.tables["d"].Refutations() > 0 {
-		t.Errorf("a can't reach d, others can: %v", n.state("a", "d"))
+		t.Errorf("a can't reach d, others can, and a believes d to be %v", n.state("a", "d"))
 	}
-	n.cut = func(from, to ID, _ Message) bool { return from == "d" || to == "d" }
+	n.lost = func(from, to ID, _ Message) bool { return from == "d" || to == "d" }
 	n.run(67000)
 	if n.state("a", "d") != Suspect && n.state("b", "d") != Suspect {
-		t.Error("nobody suspects one that says nothing")
+		t.Error("nobody suspects a silent member")
 	}
 	n.run(120000)
 	for _, at := range []ID{"a", "b", "c"} {
 		if n.state(at, "d") != Dead {
-			t.Errorf("%s takes one that is cut off as %v", at, n.state(at, "d"))
+			t.Errorf("%s believes a partitioned member to be %v", at, n.state(at, "d"))
 		}
 	}
-	n.cut = nil
+	n.lost = nil
 	n.run(150000)
 	for _, at := range []ID{"a", "b", "c", "d"} {
 		for _, of := range []ID{"a", "b", "c", "d"} {
 			if n.state(at, of) != Alive {
-				t.Errorf("after the cut %s takes %s as %v", at, of, n.state(at, of))
+				t.Errorf("after the partition %s believes %s to be %v", at, of, n.state(at, of))
 			}
 		}
 	}
 }
 
-// A process that stood still has nobody declared gone for it.
-func TestPause(t *testing.T) {
+// A process is stopped for some seconds and receives no ack meanwhile. When it runs again it must
+// not declare the members dead whose acks it missed.
+func TestPausedProcessSuspectsNobody(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
 	paused := n.tables["a"]
@@ -113,27 +136,28 @@
 	n.tables["a"] = paused
 	paused.Tick(n.now)
 	if paused.HealthScore() == 0 {
-		t.Error("it does not notice that it stood still")
+		t.Error("the paused process did not worsen its health score")
 	}
 	for _, of := range []ID{"b", "c"} {
 		if n.state("a", of) != Alive {
-			t.Errorf("it takes %s as %v", of, n.state("a", of))
+			t.Errorf("the paused process believes %s to be %v", of, n.state("a", of))
 		}
 	}
 	n.run(60000)
 	if paused.HealthScore() != 0 || n.state("b", "a") != Alive {
-		t.Errorf("later it takes itself as slow (%d), or others take it as %v", paused.HealthScore(), n.state("b", "a"))
+		t.Errorf("later its health score is %d, b believes it to be %v", paused.HealthScore(), n.state("b", "a"))
 	}
 }
 
-// One that starts again under its name is known as another run, soon, whatever was believed of the
-// one before.
-func TestRestart(t *testing.T) {
+// A member whose incarnation was high restarts, and begins at incarnation 0, which overrides
+// nothing. It is notified of what the others believe, refutes, and all know its new run soon.
+func TestRestartedMemberIsKnownByItsNewRun(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
 	n.tables["a"].SetWilling(n.now, false) // a higher incarnation than the new one begins with
 	n.run(15000)
-	n.tables["a"] = New(Member{ID: "a", Addr: "a", Run: 77, Willing: true}, []Member{{ID: "b", Addr: "b"}}, testConfig, 9, n.now)
+	restarted := Member{ID: "a", Addr: "a", Run: 77, Willing: true}
+	n.tables["a"] = New(restarted, []Member{{ID: "b", Addr: "b"}}, testConfig, 9, n.now)
 	n.run(25000)
 	for _, at := range []ID{"b", "c"} {
 		if m, _ := n.tables[at].Lookup("a"); m.Run != 77 || m.State != Alive || !m.Willing {
@@ -142,7 +166,8 @@
 	}
 }
 
-func TestOverrides(t *testing.T) {
+// TestHigherIncarnationThenWorseStateOverrides: the order in which updates override each other.
+func TestHigherIncarnationThenWorseStateOverrides(t *testing.T) {
 	for _, c := range []struct {
 		a, b Member
 		want bool
@@ -160,36 +185,40 @@
 	}
 }
 
-// Who passes a suspicion on has not found it out: only others who say so themselves shorten the time.
-func TestConfirmations(t *testing.T) {
+// If each member that passes a suspicion on confirmed it, gossip alone would shorten the suspect's
+// time to refute. Only members that suspect it by a probe of their own do.
+func TestOnlyOtherSuspectorsConfirmSuspicion(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	for _, id := range []ID{"b", "c", "d", "e"} {
 		table.applyUpdate(Member{ID: id, Addr: string(id), Run: 2}, id)
 	}
 	suspect := Member{ID: "e", Addr: "e", Run: 2, State: Suspect, Suspector: "b"}
 	table.applyUpdate(suspect, "b")
-	alone := table.deadAt(table.entries["e"])
+	unconfirmed := table.deadAt(table.entries["e"])
 	table.applyUpdate(suspect, "c")
 	table.applyUpdate(suspect, "d")
-	if table.deadAt(table.entries["e"]) != alone {
-		t.Error("who passes it on counts")
+	if table.deadAt(table.entries["e"]) != unconfirmed {
+		t.Error("a member that passes the suspicion on confirms it")
 	}
 	suspect.Suspector = "c"
 	table.applyUpdate(suspect, "c")
-	if at := table.deadAt(table.entries["e"]); at >= alone {
-		t.Error("who finds it out too does not count")
+	if at := table.deadAt(table.entries["e"]); at >= unconfirmed {
+		t.Error("a second suspector does not confirm the suspicion")
 	}
 }
 
-// Strangers' claims are bounded, and of nobody.
-func TestBounds(t *testing.T) {
+// A faulty or hostile peer sends too many updates at once, more members than a table holds, and
+// updates without an ID or address or with an unknown state. The table stays bounded and takes in
+// none of the invalid ones.
+func TestHostileUpdatesAreBoundedAndValidated(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
-	news := make([]Member, 1000)
-	table.Receive(1, "b", Message{Kind: Sync, Updates: news})
+	updates := make([]Member, 1000)
+	table.Receive(1, "b", Message{Kind: Sync, Updates: updates})
 	for i := range 1000 {
 		table.Receive(1, "b", Message{Kind: Ping, Updates: []Member{{ID: ID(rune(i + 1000)), Addr: "x", Run: 3}}})
 	}
-	table.Receive(1, "b", Message{Kind: Ping, Updates: []Member{{ID: "", Addr: "x"}, {ID: "z"}, {ID: "y", Addr: "y", State: 9}}})
+	invalid := []Member{{ID: "", Addr: "x"}, {ID: "z"}, {ID: "y", Addr: "y", State: 9}}
+	table.Receive(1, "b", Message{Kind: Ping, Updates: invalid})
 	if n := len(table.Members()); n > testConfig.MaxMembers {
 		t.Errorf("%d members", n)
 	}
@@ -199,42 +228,44 @@
 		}
 	}
 	if table.Receive(2, "a", Message{Kind: Ping}); len(table.TakeMessages()) != 0 {
-		t.Error("it answers itself")
+		t.Error("a message from itself is answered")
 	}
 }
 
-// TestOwnFindingConfirms has a controller ping, in vain, one that others suspect already: that is a
-// confirmation, for which the suspect's time gets shorter, and it is passed on with this controller
-// as its finder.
-func TestOwnFindingConfirms(t *testing.T) {
+// A controller probes a member that others suspect already, and gets no ack. That is a
+// confirmation: the suspect's timeout gets shorter, and the controller gossips itself as a
+// suspector.
+func TestFailedProbeOfSuspectConfirmsSuspicion(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	for _, id := range []ID{"b", "c"} {
 		table.Receive(0, "b", Message{Kind: Ping, Updates: []Member{{ID: id, Addr: string(id), Run: 2}}})
 	}
-	table.Receive(1, "b", Message{Kind: Ping, Updates: []Member{{ID: "c", Addr: "c", Run: 2, State: Suspect, Suspector: "b"}}})
-	alone := table.deadAt(table.entries["c"])
-	passedOn := false
+	suspected := Member{ID: "c", Addr: "c", Run: 2, State: Suspect, Suspector: "b"}
+	table.Receive(1, "b", Message{Kind: Ping, Updates: []Member{suspected}})
+	unconfirmed := table.deadAt(table.entries["c"])
+	ownSuspicion := func(m Member) bool { return m.ID == "c" && m.Suspector == "a" }
+	gossiped := false
 	for now := 1.0; now < 6*testConfig.ProbeInterval; now = table.Next() {
 		table.Tick(now)
 		for _, out := range table.TakeMessages() {
 			if out.To == "b" && out.Message.Kind == Ping {
 				table.Receive(now, "b", Message{Kind: Ack, Seq: out.Message.Seq})
 			}
-			passedOn = passedOn || slices.ContainsFunc(out.Message.Updates, func(m Member) bool { return m.ID == "c" && m.Suspector == "a" })
+			gossiped = gossiped || slices.ContainsFunc(out.Message.Updates, ownSuspicion)
 		}
 	}
-	if table.deadAt(table.entries["c"]) >= alone {
-		t.Error("one that pings a suspect in vain does not confirm it")
+	if table.deadAt(table.entries["c"]) >= unconfirmed {
+		t.Error("a failed probe of a suspect does not confirm the suspicion")
 	}
-	if !passedOn {
-		t.Error("the confirmation is not passed on")
+	if !gossiped {
+		t.Error("the confirmation is not gossiped")
 	}
 }
 
-// One that restarted with the incarnation that it had before is known by two runs. Who hears of the
-// other run asks the member itself, though it would not ping it otherwise, and all come to know the
-// new run.
-func TestTwoRuns(t *testing.T) {
+// A member restarted with the incarnation it had before, so some know its former run and some its
+// new one, and neither update overrides the other. A controller that hears of the other run pings
+// the member, even if it would not probe it, and the member refutes: all come to know the new run.
+func TestConflictingRunsAreResolved(t *testing.T) {
 	former := Member{ID: "b", Addr: "b", Run: 1}
 	restarted := Member{ID: "b", Addr: "b", Run: 2}
 	survivor := New(Member{ID: "a", Addr: "a", Run: 9}, nil, testConfig, 1, 0)
@@ -244,11 +275,11 @@
 	survivor.Receive(2, "c", Message{Kind: Ack, Updates: []Member{restarted}})
 	outs := survivor.TakeMessages()
 	if len(outs) != 1 || outs[0].To != "b" || !slices.Contains(outs[0].Message.Updates, former) {
-		t.Fatalf("the member is not asked: %+v", outs)
+		t.Fatalf("the member is not pinged: %+v", outs)
 	}
 	survivor.Receive(3, "c", Message{Kind: Ack, Updates: []Member{restarted}})
 	if outs := survivor.TakeMessages(); len(outs) != 0 {
-		t.Errorf("it is asked again within a period: %+v", outs)
+		t.Errorf("it is pinged again within a probe interval: %+v", outs)
 	}
 	member := New(restarted, []Member{other}, testConfig, 2, 0)
 	member.Receive(4, "a", outs[0].Message)
--- a/internal/core/fleet/members/overlay_test.go
+++ b/internal/core/fleet/members/overlay_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// knowing is a table that knows some members, all alive.
-func knowing(self int, size int, p Config) *Table {
+// tableOfSize returns the table of controller n<self> that knows all others of a fleet, all alive.
+func tableOfSize(self int, size int, p Config) *Table {
 	id := func(i int) ID { return ID(fmt.Sprintf("n%d", i)) }
 	p.MaxMembers = max(p.MaxMembers, size)
 	table := New(Member{ID: id(self), Addr: "x", Run: uint64(self + 1)}, nil, p, int64(self), 0)
@@ -18,58 +18,58 @@
 	return table
 }
 
-// TestSubjects has each controller ping a few, each be pinged by some, and all be reached over
-// these paths.
-func TestSubjects(t *testing.T) {
+// TestProbeTargetsFormConnectedOverlay: in a large fleet each controller probes few others, each is
+// probed by several, and all are reached over these edges in few steps.
+func TestProbeTargetsFormConnectedOverlay(t *testing.T) {
 	const size = 200
-	pinged := map[ID]int{}
-	paths := map[ID][]ID{}
+	probedBy := map[ID]int{}
+	edges := map[ID][]ID{}
 	for i := range size {
-		table := knowing(i, size, DefaultConfig())
-		subjects := table.probeTargets()
-		if len(subjects) < rings-4 || len(subjects) > rings {
-			t.Errorf("n%d pings %d others", i, len(subjects))
+		table := tableOfSize(i, size, DefaultConfig())
+		targets := table.probeTargets()
+		if len(targets) < rings-4 || len(targets) > rings {
+			t.Errorf("n%d probes %d others", i, len(targets))
 		}
-		for _, e := range subjects {
-			pinged[e.ID]++
-			paths[table.self.ID] = append(paths[table.self.ID], e.ID)
+		for _, e := range targets {
+			probedBy[e.ID]++
+			edges[table.self.ID] = append(edges[table.self.ID], e.ID)
 		}
 	}
 	for i := range size {
-		if n := pinged[ID(fmt.Sprintf("n%d", i))]; n < rings-5 {
-			t.Errorf("n%d is pinged by %d others", i, n)
+		if n := probedBy[ID(fmt.Sprintf("n%d", i))]; n < rings-5 {
+			t.Errorf("n%d is probed by %d others", i, n)
 		}
 	}
 	reached := map[ID]bool{"n0": true}
-	front := []ID{"n0"}
-	for steps := 0; len(front) > 0; steps++ {
+	frontier := []ID{"n0"}
+	for steps := 0; len(frontier) > 0; steps++ {
 		if steps > 5 {
 			t.Errorf("more than %d steps to reach all", steps)
 			break
 		}
 		var next []ID
-		for _, id := range front {
-			for _, to := range paths[id] {
+		for _, id := range frontier {
+			for _, to := range edges[id] {
 				if !reached[to] {
 					reached[to] = true
 					next = append(next, to)
 				}
 			}
 		}
-		front = next
+		frontier = next
 	}
 	if len(reached) != size {
 		t.Errorf("%d of %d are reached", len(reached), size)
 	}
-	if n := len(knowing(0, rings+1, DefaultConfig()).probeTargets()); n != rings {
-		t.Errorf("in a fleet of %d one pings %d", rings+1, n)
+	if n := len(tableOfSize(0, rings+1, DefaultConfig()).probeTargets()); n != rings {
+		t.Errorf("in a fleet of %d a controller probes %d", rings+1, n)
 	}
 }
 
-// TestFewPeers has a controller of a large fleet send its pings to the same few, whose connections
-// stay open. The first round may be of those that it heard of first.
-func TestFewPeers(t *testing.T) {
-	table := knowing(0, 200, DefaultConfig())
+// TestLargeFleetProbesSameFewMembers: the connections to the probed members stay open only if they
+// are the same in each round. The first round may hold the members that were heard from first.
+func TestLargeFleetProbesSameFewMembers(t *testing.T) {
+	table := tableOfSize(0, 200, DefaultConfig())
 	peers := map[ID]int{}
 	for now := 0.0; now < 130_000; now = table.Next() {
 		table.Tick(now)
@@ -92,37 +92,38 @@
 	}
 }
 
-// TestLateAnswer has an answer passed on that comes after the Nack, as over a new connection to a
-// far member.
-func TestLateAnswer(t *testing.T) {
-	table := knowing(0, 3, testConfig)
+// Over a new connection to a distant member an ack takes several round trips, and comes after the
+// nack was sent. It is passed on all the same, once, or the member would be suspected by the
+// requester.
+func TestLateAckIsPassedOnAfterNack(t *testing.T) {
+	table := tableOfSize(0, 3, testConfig)
 	table.Tick(1)
 	table.TakeMessages()
 	table.Receive(10, "n1", Message{Kind: PingRequest, Seq: 77, Target: "n2"})
-	asked := table.TakeMessages()
-	if len(asked) != 1 || asked[0].To != "n2" || asked[0].Message.Kind != Ping {
-		t.Fatalf("asked to ping another it sends %+v", asked)
+	relayed := table.TakeMessages()
+	if len(relayed) != 1 || relayed[0].To != "n2" || relayed[0].Message.Kind != Ping {
+		t.Fatalf("upon a PingRequest it sends %+v", relayed)
 	}
 	table.Tick(10 + testConfig.ProbeTimeout)
 	if !sends(table.TakeMessages(), "n1", Message{Kind: Nack, Seq: 77, Target: "n2"}) {
-		t.Error("no Nack when the answer is late")
+		t.Error("no Nack when the ack is late")
 	}
 	table.Tick(10 + testConfig.ProbeTimeout + 50)
 	table.TakeMessages()
-	table.Receive(10+testConfig.ProbeTimeout+100, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
+	table.Receive(10+testConfig.ProbeTimeout+100, "n2", Message{Kind: Ack, Seq: relayed[0].Message.Seq})
 	if !sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
-		t.Error("the late answer is not passed on")
+		t.Error("the late ack is not passed on")
 	}
-	table.Receive(10+testConfig.ProbeTimeout+200, "n2", Message{Kind: Ack, Seq: asked[0].Message.Seq})
+	table.Receive(10+testConfig.ProbeTimeout+200, "n2", Message{Kind: Ack, Seq: relayed[0].Message.Seq})
 	if sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
-		t.Error("one answer is passed on twice")
+		t.Error("one ack is passed on twice")
 	}
 	if table.relays.len() != 0 {
 		t.Errorf("%d relays are left", table.relays.len())
 	}
 }
 
-// sends tells whether a message goes to one, whatever its news.
+// sends tells whether a message is sent to a member, whatever its updates are.
 func sends(outs []Envelope, to ID, want Message) bool {
 	for _, out := range outs {
 		m := out.Message
@@ -133,9 +134,10 @@
 	return false
 }
 
-// TestSecondPing has a target that does not answer in time pinged again, beside those that are asked to.
-func TestSecondPing(t *testing.T) {
-	table := knowing(0, 4, testConfig)
+// A ping or its ack is lost. Beside the members that are asked to ping the target, the controller
+// pings it again itself.
+func TestUnansweredTargetIsPingedAgain(t *testing.T) {
+	table := tableOfSize(0, 4, testConfig)
 	table.Tick(table.probeAt)
 	table.TakeMessages()
 	target := table.probe.target
--- a/internal/core/fleet/members/updates_test.go
+++ b/internal/core/fleet/members/updates_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-// TestFreshBeforeBulk has news that comes in with a message go out with the next ones, though
-// hundreds of members were learned at once from a comparison of views, which others do too.
-func TestFreshBeforeBulk(t *testing.T) {
-	table := knowing(0, 100, DefaultConfig())
-	for _, e := range slices.Clone(table.updates.queue) { // what it learned one by one has been passed on long ago
+// A controller learns hundreds of members at once by an anti-entropy exchange, as others do by
+// theirs. A fresh update that comes by gossip must not wait behind them: it goes out with the next
+// messages.
+func TestFreshUpdateGoesBeforeSyncedOnes(t *testing.T) {
+	table := tableOfSize(0, 100, DefaultConfig())
+	for _, e := range slices.Clone(table.updates.queue) { // as if sent often enough
 		table.updates.remove(e)
 	}
 	for part := range 3 {
@@ -24,9 +25,9 @@
 	table.TakeMessages()
 	for i := range syncedUpdateTransmits - 2 {
 		table.Receive(3, "n1", Message{Kind: Ping, Seq: uint32(i)})
-		news := table.TakeMessages()[0].Message.Updates
-		if !slices.ContainsFunc(news, func(m Member) bool { return m.ID == "fresh" }) {
-			t.Fatalf("message %d does not pass the fresh news on", i)
+		updates := table.TakeMessages()[0].Message.Updates
+		if !slices.ContainsFunc(updates, func(m Member) bool { return m.ID == "fresh" }) {
+			t.Fatalf("message %d does not carry the fresh update", i)
 		}
 	}
 }
