--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -5,33 +5,37 @@
 	"slices"
 )
 
-// Client is a holder's side: what this controller may still do, by its own steady clock.
+// Client is a holder's side: which leases this controller may act under, by its own steady clock.
+// It is for one goroutine.
 type Client struct {
 	self     Holder
-	terms    Terms
+	timing   Timing
 	held     map[Name]*heldLease
 	sequence uint64             // of the last renewal
 	sentAt   map[uint64]float64 // ms, when a renewal was sent, by its sequence
 	renewAt  float64            // ms
-	began    []Grant
-	ended    []Grant
+
+	// The grants that began and ended since the last TakeChanges.
+	began []Grant
+	ended []Grant
 }
 
-// heldLease is a lease that this controller was offered.
+// heldLease is a lease that was offered to this controller.
 type heldLease struct {
-	token    Token
-	until    float64 // ms, before which it may begin an effect; 0: not yet
-	reported bool    // it has begun, and Turns says so
+	token     Token
+	expiresAt float64 // ms, before which it may begin an effect; 0: no renewal was confirmed yet
+	reported  bool    // TakeChanges reported, or will report, that it began
 }
 
-// NewClient is for one incarnation of a controller.
-func NewClient(self Holder, t Terms) *Client {
-	return &Client{self: self, terms: t, held: map[Name]*heldLease{}, sentAt: map[uint64]float64{}}
+// NewClient returns the client of one run of a controller, which holds nothing.
+func NewClient(self Holder, t Timing) *Client {
+	return &Client{self: self, timing: t, held: map[Name]*heldLease{}, sentAt: map[uint64]float64{}}
 }
 
-// Offered takes in that this controller is said to hold a lease. It may not act on that: how long the message took is not
-// known. It asks for a renewal, and counts from when it asked.
-func (c *Client) Offered(now float64, grant Grant) {
+// AcceptOffer handles a leader's message that this controller was assigned a lease. The controller
+// may not act yet, as it does not know how long the message took: it requests a renewal and counts
+// from when it sent that.
+func (c *Client) AcceptOffer(now float64, grant Grant) {
 	lease := c.held[grant.Name]
 	if lease != nil && lease.token >= grant.Token || lease == nil && len(c.held) >= maxLeases {
 		return
@@ -43,16 +47,16 @@
 	c.renewAt = now
 }
 
-// Renewal is the next renewal, if one is due; nil: none.
+// Renewal returns the renewal that is due now; nil: none.
 func (c *Client) Renewal(now float64) *Renew {
 	c.expire(now)
 	if len(c.held) == 0 || now < c.renewAt {
 		return nil
 	}
-	c.renewAt = now + c.terms.RenewEach()
+	c.renewAt = now + c.timing.RenewInterval()
 	c.sequence++
 	for sequence, at := range c.sentAt {
-		if now-at > c.terms.Lease {
+		if now-at > c.timing.Duration {
 			delete(c.sentAt, sequence)
 		}
 	}
@@ -64,12 +68,13 @@
 	return renewal
 }
 
-// Hurry has the next renewal sent at once, as the last one went to a controller that does not lead.
-func (c *Client) Hurry(now float64) { c.renewAt = min(c.renewAt, now) }
+// RenewNow makes the next renewal due at once: the last one was sent to a controller that does not lead.
+func (c *Client) RenewNow(now float64) { c.renewAt = min(c.renewAt, now) }
 
-// Renewed takes in what was agreed upon a renewal: the grants that are valid. Of a grant that the renewal named and that
-// is not among them, this controller is no longer the holder, which Refused takes in.
-func (c *Client) Renewed(now float64, sequence uint64, valid []Grant) {
+// ConfirmRenewal handles what the quorum agreed on about a renewal: the grants that are valid. The
+// holder may act for the hold time from when it sent the renewal, however late the answer comes.
+// The grants of the renewal that are not valid are passed to Revoke.
+func (c *Client) ConfirmRenewal(now float64, sequence uint64, valid []Grant) {
 	sentAt, ok := c.sentAt[sequence]
 	if !ok {
 		return
@@ -80,33 +85,34 @@
 		if lease == nil || lease.token != grant.Token {
 			continue
 		}
-		lease.until = max(lease.until, sentAt+c.terms.HoldsFor())
-		if !lease.reported && now < lease.until {
+		lease.expiresAt = max(lease.expiresAt, sentAt+c.timing.HoldTime())
+		if !lease.reported && now < lease.expiresAt {
 			lease.reported = true
 			c.began = append(c.began, grant)
 		}
 	}
 }
 
-// Refused takes in that a grant is not valid.
-func (c *Client) Refused(grant Grant) {
+// Revoke ends a grant that is no longer valid.
+func (c *Client) Revoke(grant Grant) {
 	if lease := c.held[grant.Name]; lease != nil && lease.token == grant.Token {
 		c.drop(grant.Name)
 	}
 }
 
-// CanAct tells whether this controller may begin an effect of a lease now, with which fencing token, and until when, in
-// ms, it has to be done.
+// CanAct tells whether this controller may begin an effect under a lease now, with which fencing
+// token, and until when, in ms, the effect has to be done.
 func (c *Client) CanAct(now float64, name Name) (token Token, until float64, ok bool) {
 	lease := c.held[name]
-	if lease == nil || now >= lease.until {
+	if lease == nil || now >= lease.expiresAt {
 		return 0, 0, false
 	}
-	return lease.token, lease.until, true
+	return lease.token, lease.expiresAt, true
 }
 
-// GiveUp stops a lease at once and returns the release that is to be sent, nil if the lease is not held.
-func (c *Client) GiveUp(name Name, failed bool) *Release {
+// Release ends a lease at once and returns the release to be sent; nil: the lease is not held.
+// Failed says that the controller could not run the lease's job.
+func (c *Client) Release(name Name, failed bool) *Release {
 	lease := c.held[name]
 	if lease == nil {
 		return nil
@@ -116,7 +122,7 @@
 	return &Release{Holder: c.self, Grant: grant, Failed: failed}
 }
 
-// Held are the grants under which this controller may act now, in the order of their names.
+// Held returns the grants under which this controller may act now, by name.
 func (c *Client) Held(now float64) (held []Grant) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
 		if token, _, ok := c.CanAct(now, name); ok {
@@ -126,32 +132,33 @@
 	return held
 }
 
-// Turns hands over which leases began and ended since the last call.
-func (c *Client) Turns(now float64) (began, ended []Grant) {
+// TakeChanges returns the grants that began and ended since the last call.
+func (c *Client) TakeChanges(now float64) (began, ended []Grant) {
 	c.expire(now)
 	began, ended = c.began, c.ended
 	c.began, c.ended = nil, nil
 	return began, ended
 }
 
-// Next is when Renewal or Turns is to be called at the latest, in ms.
+// Next returns when Renewal or TakeChanges is to be called at the latest, in ms.
 func (c *Client) Next(now float64) float64 {
 	if len(c.held) == 0 {
-		return now + c.terms.Lease
+		return now + c.timing.Duration
 	}
 	next := max(now, c.renewAt)
 	for _, lease := range c.held {
 		if lease.reported {
-			next = min(next, max(now, lease.until))
+			next = min(next, max(now, lease.expiresAt))
 		}
 	}
 	return next
 }
 
-// expire drops the leases that were not renewed in time. One that was never renewed is kept: the quorum may be away.
+// expire ends the leases that were not renewed in time. A lease that was offered and never renewed
+// stays: the quorum may be unavailable and confirm a later renewal.
 func (c *Client) expire(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
-		if lease := c.held[name]; lease.reported && now >= lease.until {
+		if lease := c.held[name]; lease.reported && now >= lease.expiresAt {
 			c.drop(name)
 		}
 	}
--- a/internal/core/fleet/lease/command.go
+++ b/internal/core/fleet/lease/command.go
@@ -2,7 +2,8 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Command is one entry of the quorum's log; one of its fields is set.
+// Command is a proposal to the quorum about leases, an entry of its log. Exactly one field is set.
+// Commands and their parts are encoded by the keys of their fields, and stored.
 type Command struct {
 	Declare    *Declare    `cbor:"1,keyasint,omitempty"`
 	Assign     *Assign     `cbor:"2,keyasint,omitempty"`
@@ -13,45 +14,46 @@
 	LoadState  *LoadState  `cbor:"7,keyasint,omitempty"`
 }
 
-// ChangesHolders tells whether a command is one that changes which leases there are, who holds them or is to hold them.
+// ChangesHolders tells whether the command may change which leases there are, their holders or
+// their preferred holders.
 func (c Command) ChangesHolders() bool {
 	return c.Declare != nil || c.Assign != nil || c.Release != nil || c.Prefer != nil
 }
 
-// Declare says which leases there are to be.
+// Declare sets which leases there are. Others are retired.
 type Declare struct {
 	Names []Name `cbor:"1,keyasint"`
 }
 
-// Assign gives a lease to a holder, if nothing has changed since the leader looked.
+// Assign assigns a lease to a holder, if the lease has not changed since the leader decided on it.
 type Assign struct {
-	Name    Name   `cbor:"1,keyasint"`
-	Renewal uint64 `cbor:"2,keyasint"` // as it was then
-	To      Holder `cbor:"3,keyasint"`
+	Name     Name   `cbor:"1,keyasint"`
+	Revision uint64 `cbor:"2,keyasint"` // of the lease when the leader decided
+	To       Holder `cbor:"3,keyasint"`
 }
 
-// Renew is a holder's heartbeat, for all its leases.
+// Renew renews all leases of a holder.
 type Renew struct {
 	Holder   Holder  `cbor:"1,keyasint"`
 	Grants   []Grant `cbor:"2,keyasint"`
-	Sequence uint64  `cbor:"3,keyasint"`
+	Sequence uint64  `cbor:"3,keyasint"` // the holder's number of this renewal
 }
 
-// Release says that a holder has stopped, for good.
+// Release ends a holder's lease: the holder has stopped and begins no effect of the grant any more.
 type Release struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
-	Failed bool   `cbor:"3,keyasint,omitempty"` // the holder could not do the lease's work
+	Failed bool   `cbor:"3,keyasint,omitempty"` // the holder could not run the lease's job
 }
 
-// Prefer is an operator's command that names the next holder of a lease.
+// Prefer sets the preferred next holder of a lease, by an operator's command.
 type Prefer struct {
 	Name Name       `cbor:"1,keyasint"`
 	To   members.ID `cbor:"2,keyasint"`
 }
 
-// StoreState stores the state that a lease's holder hands on to the next one, small and as a whole. It is applied if the holder
-// still is one and knows the state before.
+// StoreState replaces the state that a lease's holder hands on to the next one. It is applied if
+// the holder still holds the lease and has read the state before.
 type StoreState struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
@@ -59,7 +61,8 @@
 	Data   []byte `cbor:"4,keyasint"`
 }
 
-// LoadState reads the state of a lease as of its own place in the log: a holder that begins reads what every earlier one stored.
+// LoadState reads the state of a lease at its own index of the log: a new holder reads all that
+// earlier ones stored.
 type LoadState struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
--- a/internal/core/fleet/lease/fencing.go
+++ b/internal/core/fleet/lease/fencing.go
@@ -2,35 +2,41 @@
 
 import "maps"
 
-// FencingCheck is the receivers' side: the highest fencing token seen of each lease.
-type FencingCheck struct{ seen map[Name]Token }
+// FencingCheck is a receiver's side: it rejects effects of former holders, by the highest fencing
+// token seen of each lease.
+type FencingCheck struct {
+	highest map[Name]Token
+}
 
-// NewFencingCheck begins from the tokens that were persisted; nil: none.
-func NewFencingCheck(persisted map[Name]Token) *FencingCheck {
-	f := &FencingCheck{seen: map[Name]Token{}}
-	maps.Copy(f.seen, persisted)
+// NewFencingCheck returns a check that begins with the tokens that were stored; nil: none.
+func NewFencingCheck(stored map[Name]Token) *FencingCheck {
+	f := &FencingCheck{highest: map[Name]Token{}}
+	maps.Copy(f.highest, stored)
 	return f
 }
 
-// Pass tells whether an effect with a fencing token may be accepted, and whether the token is new here: where effects
-// last, it has to be durable before the effect is.
-func (f *FencingCheck) Pass(name Name, token Token) (ok, risen bool) {
-	highest, known := f.seen[name]
-	if token == 0 || token < highest || !known && len(f.seen) >= maxLeases {
+// Admit tells whether an effect with a fencing token may be accepted, and whether the token is new
+// here. If effects are durable, a new token must be durable before the effect is, or an older
+// holder's effect could be accepted after a restart.
+func (f *FencingCheck) Admit(name Name, token Token) (ok, isNew bool) {
+	highest, known := f.highest[name]
+	if token == 0 || token < highest || !known && len(f.highest) >= maxLeases {
 		return false, false
 	}
-	if token > highest {
-		f.seen[name] = token
+	isNew = token > highest
+	if isNew {
+		f.highest[name] = token
 	}
-	return true, token > highest
+	return true, isNew
 }
 
-// Seen is the highest fencing token seen of each lease.
-func (f *FencingCheck) Seen() map[Name]Token { return maps.Clone(f.seen) }
+// Seen returns the highest fencing token seen of each lease.
+func (f *FencingCheck) Seen() map[Name]Token { return maps.Clone(f.highest) }
 
-// Raise takes in that a fencing token is in use elsewhere: effects with lower ones are refused from now on.
+// Raise records that a fencing token is in use elsewhere: effects with lower ones are rejected from
+// now on.
 func (f *FencingCheck) Raise(name Name, token Token) {
-	if _, known := f.seen[name]; known || len(f.seen) < maxLeases {
-		f.seen[name] = max(f.seen[name], token)
+	if _, known := f.highest[name]; known || len(f.highest) < maxLeases {
+		f.highest[name] = max(f.highest[name], token)
 	}
 }
--- a/internal/core/fleet/lease/manager.go
+++ b/internal/core/fleet/lease/manager.go
@@ -9,48 +9,41 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Candidate is a controller that a lease could be assigned to.
+// Candidate is a controller that a lease can be assigned to.
 type Candidate struct {
 	Holder  Holder
-	Slow    bool // it is suspected, or leads: others are preferred
-	Willing bool
+	Avoid   bool // it is suspect, or leads the quorum: others come first
+	Willing bool // it takes on leases
 }
 
-// Manager is the leader's side: it counts leases by its own clock. It is made anew whenever this controller begins to
-// lead, and counts all leases from then: what an earlier leader counted is not known.
+// Manager is the leader's side: it counts the leases by the leader's clock and decides on
+// assignments. A controller makes a new one whenever it becomes leader, and counts all leases from
+// then, as it does not know what the former leader counted. It is for one goroutine.
 type Manager struct {
-	terms        Terms
+	timing       Timing
 	startedAt    float64                 // ms
-	renewedAt    map[Name]float64        // ms, when a renewal was last applied here
-	backoffUntil map[leaseMember]float64 // ms, until when a member that failed at a lease does not get it
+	renewedAt    map[Name]float64        // ms, when an applied command last changed or renewed it
+	backoffUntil map[leaseMember]float64 // ms, before which a member does not get a lease
 	pending      map[Name]assignment     // proposed and not agreed on yet
 	unconfirmed  map[Name]bool           // assigned and not renewed yet
 }
 
-// leaseMember is a lease together with a member.
+// leaseMember is a pair of a lease and a member.
 type leaseMember struct {
 	name Name
 	id   members.ID
 }
 
-// assignment is the proposal of an Assign.
+// assignment is an Assign that was proposed.
 type assignment struct {
-	renewal uint64
-	until   float64 // ms, after which it is proposed again
+	revision uint64
+	deadline float64 // ms, from which on it is proposed again
 }
 
-// Waiting times in ms.
-const (
-	failureBackoff     = 60000.0 // for which a member that failed at a lease does not get it again
-	unconfirmedBackoff = 15000.0 // the same for one that did not begin with a lease, or gave it up
-	proposalTimeout    = 3000.0  // after which a proposal that was not agreed on is made again
-	preferredWait      = 60000.0 // for which a free lease at most waits for the member that an operator named
-)
-
-// NewManager begins to lead now.
-func NewManager(t Terms, now float64) *Manager {
+// NewManager returns the manager of a controller that has become leader now.
+func NewManager(t Timing, now float64) *Manager {
 	return &Manager{
-		terms:        t,
+		timing:       t,
 		startedAt:    now,
 		renewedAt:    map[Name]float64{},
 		backoffUntil: map[leaseMember]float64{},
@@ -59,32 +52,39 @@
 	}
 }
 
-// Applied takes in an agreed command and the leases that it changed.
+// Applied handles an agreed command and the leases that it changed or renewed.
 func (m *Manager) Applied(now float64, c Command, changed []Name) {
-	if c.StoreState != nil || c.LoadState != nil || c.Prefer != nil { // a holder counts its lease by renewals alone, and so does this
-		return
+	if c.StoreState != nil || c.LoadState != nil || c.Prefer != nil {
+		return // these extend no lease: its holder counts by renewals alone, and so must the leader
 	}
 	for _, name := range changed {
-		m.renewedAt[name], m.unconfirmed[name] = now, c.Assign != nil
+		m.renewedAt[name] = now
+		m.unconfirmed[name] = c.Assign != nil
 		delete(m.pending, name)
 	}
-	if c.Declare != nil { // a holder that gave a lease up as it was no longer declared is not shutting down
-		maps.DeleteFunc(m.backoffUntil, func(of leaseMember, _ float64) bool { return slices.Contains(changed, of.name) })
+	if c.Declare != nil { // a holder that released a lease because it was retired is not shutting down
+		isChanged := func(of leaseMember, _ float64) bool { return slices.Contains(changed, of.name) }
+		maps.DeleteFunc(m.backoffUntil, isChanged)
 	}
-	if r := c.Release; r != nil && len(changed) > 0 { // it does not get the lease back at once: it may be shutting down
-		backoff := unconfirmedBackoff
-		if r.Failed {
-			backoff = failureBackoff
-		}
-		m.backoffUntil[leaseMember{r.Grant.Name, r.Holder.ID}] = now + backoff
+	if c.Release != nil && len(changed) > 0 {
+		m.backOff(now, c.Release)
 	}
 }
 
-// Renewed tells whether a lease was renewed lately: its holder knows that it holds it. One that has not been renewed for
-// two of its intervals may have dropped the lease, and takes it up again if it is offered.
-func (m *Manager) Renewed(now float64, name Name) bool {
+// backOff keeps a lease from the member that released it, for a while: the member may be shutting down.
+func (m *Manager) backOff(now float64, r *Release) {
+	backoff := unconfirmedBackoff
+	if r.Failed {
+		backoff = failureBackoff
+	}
+	m.backoffUntil[leaseMember{r.Grant.Name, r.Holder.ID}] = now + backoff
+}
+
+// RecentlyRenewed tells whether a lease was renewed within two renew intervals. If not, its holder
+// may not know of it, or has dropped it, and takes it up again if it is offered.
+func (m *Manager) RecentlyRenewed(now float64, name Name) bool {
 	at, ever := m.renewedAt[name]
-	return ever && !m.unconfirmed[name] && now < at+2*m.terms.RenewEach()
+	return ever && !m.unconfirmed[name] && now < at+2*m.timing.RenewInterval()
 }
 
 // Confirmed tells whether the holders of all these grants have renewed them before.
@@ -95,41 +95,35 @@
 	})
 }
 
-// Until is when a lease may be assigned to another at the earliest, in ms.
-func (m *Manager) Until(name Name) float64 { return m.countedFrom(name) + m.terms.FreeAfter() }
+// ReassignableAt returns when a lease may be assigned to another at the earliest, in ms.
+func (m *Manager) ReassignableAt(name Name) float64 {
+	return m.countedFrom(name) + m.timing.ReassignAfter()
+}
 
-// countedFrom is when the lease began to run by this manager's clock.
+// countedFrom returns from when the lease runs by this manager's clock, in ms.
 func (m *Manager) countedFrom(name Name) float64 { return max(m.startedAt, m.renewedAt[name]) }
 
-// Next is when Decide is to be called at the latest, in ms.
+// Next returns when Decide is to be called at the latest, in ms.
 func (m *Manager) Next(now float64, state *State) float64 {
-	next := now + m.terms.Lease
+	next := now + m.timing.Duration
 	for name, lease := range state.Leases {
 		if lease.Held() {
-			next = min(next, max(now, m.Until(name)))
+			next = min(next, max(now, m.ReassignableAt(name)))
 		}
 	}
 	return next
 }
 
-// Decide returns the commands that are to be proposed now. A lease stays with its holder as long as that renews it: a
-// better candidate gets the next one that comes free.
+// Decide returns the commands that are to be proposed now. A lease stays with its holder as long as
+// that renews it: a better candidate gets the next lease that becomes free.
 func (m *Manager) Decide(now float64, state *State, candidates []Candidate) (commands []Command) {
-	holding := map[members.ID]int{}
-	for _, lease := range state.Leases {
-		if lease.Held() && !lease.Retired {
-			holding[lease.Holder.ID]++
-		}
-	}
+	holding := leasesByHolder(state)
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
 		lease := state.Leases[name]
-		if p, ok := m.pending[name]; ok && p.renewal == lease.Renewal && now < p.until {
+		if !m.mayAssign(now, lease) {
 			continue
 		}
-		if lease.Retired || lease.Held() && now < m.Until(name) {
-			continue
-		}
-		if lease.Held() && m.unconfirmed[name] { // it never began: it is gone, or another incarnation than is known here
+		if lease.Held() && m.unconfirmed[name] { // it never renewed: it is dead, or another run than was believed
 			m.backoffUntil[leaseMember{name, lease.Holder.ID}] = now + unconfirmedBackoff
 		}
 		to, ok := m.choose(now, lease, candidates, holding)
@@ -137,33 +131,59 @@
 			continue
 		}
 		holding[to.ID]++
-		m.pending[name] = assignment{lease.Renewal, now + proposalTimeout}
-		commands = append(commands, Command{Assign: &Assign{Name: name, Renewal: lease.Renewal, To: to}})
+		m.pending[name] = assignment{revision: lease.Revision, deadline: now + proposalTimeout}
+		assign := &Assign{Name: name, Revision: lease.Revision, To: to}
+		commands = append(commands, Command{Assign: assign})
 	}
 	return commands
 }
 
-// choose finds the next holder of a free lease: the one that an operator named, if it is there within a time; else the one
-// that holds fewest, and among equals by a draw that differs by lease, so that leases spread.
-func (m *Manager) choose(now float64, lease *Lease, candidates []Candidate, holding map[members.ID]int) (Holder, bool) {
+// leasesByHolder counts the leases of each holder.
+func leasesByHolder(state *State) map[members.ID]int {
+	holding := map[members.ID]int{}
+	for _, lease := range state.Leases {
+		if lease.Held() && !lease.Retired {
+			holding[lease.Holder.ID]++
+		}
+	}
+	return holding
+}
+
+// mayAssign tells whether a lease is free or has run out, and no assignment of it is pending.
+func (m *Manager) mayAssign(now float64, lease *Lease) bool {
+	pending, ok := m.pending[lease.Name]
+	if ok && pending.revision == lease.Revision && now < pending.deadline {
+		return false
+	}
+	return !lease.Retired && (!lease.Held() || now >= m.ReassignableAt(lease.Name))
+}
+
+// choose returns the next holder of a free lease: the one that an operator prefers, if it is there
+// within a time; else the candidate with the fewest leases, and among equals by a hash that differs
+// by lease, so that leases spread.
+func (m *Manager) choose(
+	now float64, lease *Lease, candidates []Candidate, holding map[members.ID]int,
+) (holder Holder, found bool) {
 	if lease.Preferred != "" {
 		for _, c := range candidates {
 			if c.Holder.ID == lease.Preferred && c.Willing {
 				return c.Holder, true
 			}
 		}
-		if now < m.countedFrom(lease.Name)+min(preferredWait, m.terms.Lease) {
+		if now < m.countedFrom(lease.Name)+min(preferredWait, m.timing.Duration) {
 			return Holder{}, false
 		}
 	}
-	best, found := Candidate{}, false
+	var best Candidate
 	for _, c := range candidates {
-		expired := c.Holder == lease.Holder && lease.Held() // it did not renew in time: others are preferred
-		if !c.Willing || expired && len(candidates) > 1 || now < m.backoffUntil[leaseMember{lease.Name, c.Holder.ID}] {
+		expired := c.Holder == lease.Holder && lease.Held() // it did not renew in time: any other comes first
+		backingOff := now < m.backoffUntil[leaseMember{lease.Name, c.Holder.ID}]
+		if !c.Willing || backingOff || expired && len(candidates) > 1 {
 			continue
 		}
 		if !found || betterCandidate(lease.Name, c, best, holding) {
-			best, found = c, true
+			best = c
+			found = true
 		}
 	}
 	return best.Holder, found
@@ -171,20 +191,20 @@
 
 // betterCandidate tells whether a is to get a lease rather than b.
 func betterCandidate(name Name, a, b Candidate, holding map[members.ID]int) bool {
-	if a.Slow != b.Slow {
-		return b.Slow
+	if a.Avoid != b.Avoid {
+		return b.Avoid
 	}
 	if n := cmp.Compare(holding[a.Holder.ID], holding[b.Holder.ID]); n != 0 {
 		return n < 0
 	}
-	return draw(name, a.Holder.ID) < draw(name, b.Holder.ID)
+	return spreadHash(name, a.Holder.ID) < spreadHash(name, b.Holder.ID)
 }
 
 // hashMultiplier spreads the hash's low bits to its high ones (2^64 divided by the golden ratio).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// draw is a number that is the same for the same lease and member.
-func draw(name Name, id members.ID) uint64 {
+// spreadHash orders the members differently for each lease.
+func spreadHash(name Name, id members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	h.Write([]byte{0})
--- a/internal/core/fleet/lease/modelcheck.go
+++ b/internal/core/fleet/lease/modelcheck.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// What follows is for a model checker, which explores all orders of events: copies to branch on, and keys by which it
-// recognizes a state that it has seen.
+// This file is for the model checker (internal/lab/fleet), which explores all orders of events:
+// copies to branch on, and keys by which it recognizes a state that it has visited.
 
-// Copy is a manager that shares nothing with this one.
+// Copy returns a deep copy.
 func (m *Manager) Copy() *Manager {
 	copied := *m
 	copied.renewedAt = maps.Clone(m.renewedAt)
@@ -19,15 +19,15 @@
 	return &copied
 }
 
-// AppendKey adds everything by which this manager will decide.
+// AppendKey appends all that this manager's decisions depend on.
 func (m *Manager) AppendKey(b []byte, state *State) []byte {
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
-		b = fmt.Append(b, m.Until(name), m.unconfirmed[name])
+		b = fmt.Append(b, m.ReassignableAt(name), m.unconfirmed[name])
 	}
 	return b
 }
 
-// Copy is a client that shares nothing with this one.
+// Copy returns a deep copy.
 func (c *Client) Copy() *Client {
 	copied := *c
 	copied.sentAt = maps.Clone(c.sentAt)
@@ -40,16 +40,16 @@
 	return &copied
 }
 
-// SentAt is when the renewal of a sequence was sent, in ms; 0: it is not waited for.
+// SentAt returns when the renewal of a sequence was sent, in ms; 0: no answer to it is expected.
 func (c *Client) SentAt(sequence uint64) float64 { return c.sentAt[sequence] }
 
-// AppendKey adds everything by which this client will act, but for the renewals that are on their way: two clients with
-// the same key and the same renewals act alike.
+// AppendKey appends all that this client's actions depend on, but for the renewals under way: two
+// clients with the same key and the same renewals under way act alike.
 func (c *Client) AppendKey(b []byte) []byte {
 	b = fmt.Append(b, c.self.Run, c.renewAt)
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
 		lease := c.held[name]
-		b = fmt.Append(b, name, lease.token, lease.until, lease.reported)
+		b = fmt.Append(b, name, lease.token, lease.expiresAt, lease.reported)
 	}
 	return b
 }
--- a/internal/core/fleet/lease/state.go
+++ b/internal/core/fleet/lease/state.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// State is what is agreed. The zero value has no leases.
+// State is what the quorum has agreed on about the leases. The zero value has none. It is for one
+// goroutine.
 type State struct {
 	Leases map[Name]*Lease
 }
 
-// Copy is a state that shares nothing with this one.
+// Copy returns a deep copy.
 func (s *State) Copy() *State {
 	copied := &State{Leases: make(map[Name]*Lease, len(s.Leases))}
 	for name, lease := range s.Leases {
@@ -20,7 +21,7 @@
 	return copied
 }
 
-// List is all leases in the order of their names.
+// List returns all leases by name.
 func (s *State) List() []Lease {
 	list := make([]Lease, 0, len(s.Leases))
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
@@ -29,7 +30,7 @@
 	return list
 }
 
-// Restore takes over a list, as of a snapshot.
+// Restore replaces the state by a list of leases, as of a snapshot.
 func (s *State) Restore(list []Lease) {
 	s.Leases = make(map[Name]*Lease, len(list))
 	for _, lease := range list {
@@ -37,8 +38,9 @@
 	}
 }
 
-// Apply takes in an agreed command, and returns the leases that it changed, renewed or read. The same commands in the same
-// order lead to the same state; one that no longer fits changes nothing.
+// Apply applies an agreed command, and returns the leases that it changed, renewed or read. It is
+// deterministic: the same commands in the same order give the same state on all voters. A command
+// that no longer fits the state changes nothing.
 func (s *State) Apply(c Command) (changed []Name) {
 	switch {
 	case c.Declare != nil:
@@ -50,7 +52,7 @@
 	case c.Release != nil:
 		return s.release(c.Release)
 	case c.StoreState != nil:
-		return s.put(c.StoreState)
+		return s.storeState(c.StoreState)
 	case c.LoadState != nil:
 		if s.heldBy(c.LoadState.Holder, c.LoadState.Grant) != nil {
 			return []Name{c.LoadState.Grant.Name}
@@ -61,15 +63,16 @@
 	return nil
 }
 
-// declare brings the leases to those that are declared. One that no longer is stays with its fencing token: declared
-// again, it goes on there.
+// declare sets which leases there are. One that is no longer declared is retired and keeps its
+// fencing token: if it is declared again, its token goes on from there, and effects of its former
+// holders stay fenced.
 func (s *State) declare(declared []Name) (changed []Name) {
 	if s.Leases == nil {
 		s.Leases = map[Name]*Lease{}
 	}
 	for _, name := range declared {
 		lease := s.Leases[name]
-		if lease == nil && len(s.Leases) < maxLeases && name != "" && len(name) <= maxName {
+		if lease == nil && len(s.Leases) < maxLeases && name != "" && len(name) <= maxNameBytes {
 			s.Leases[name] = &Lease{Name: name}
 			changed = append(changed, name)
 		} else if lease != nil && lease.Retired {
@@ -80,7 +83,8 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
 		lease := s.Leases[name]
 		if !lease.Retired && !slices.Contains(declared, name) {
-			lease.Retired, lease.Preferred = true, ""
+			lease.Retired = true
+			lease.Preferred = ""
 			changed = append(changed, name)
 		}
 	}
@@ -89,12 +93,12 @@
 
 func (s *State) assign(c *Assign) []Name {
 	lease := s.Leases[c.Name]
-	if lease == nil || lease.Retired || lease.Renewal != c.Renewal || c.To.ID == "" {
+	if lease == nil || lease.Retired || lease.Revision != c.Revision || c.To.ID == "" {
 		return nil
 	}
 	lease.Token++
 	lease.Holder = c.To
-	lease.Renewal++
+	lease.Revision++
 	if lease.Preferred == lease.Holder.ID {
 		lease.Preferred = ""
 	}
@@ -104,7 +108,7 @@
 func (s *State) renew(c *Renew) (renewed []Name) {
 	for _, grant := range c.Grants {
 		if lease := s.heldBy(c.Holder, grant); lease != nil {
-			lease.Renewal++
+			lease.Revision++
 			renewed = append(renewed, lease.Name)
 		}
 	}
@@ -117,29 +121,30 @@
 		return nil
 	}
 	lease.Holder = Holder{}
-	lease.Renewal++
+	lease.Revision++
 	return []Name{lease.Name}
 }
 
-func (s *State) put(c *StoreState) []Name {
+func (s *State) storeState(c *StoreState) []Name {
 	lease := s.heldBy(c.Holder, c.Grant)
-	if lease == nil || c.Serial != lease.Serial+1 || len(c.Data) > MaxData {
+	if lease == nil || c.Serial != lease.Serial+1 || len(c.Data) > MaxStateBytes {
 		return nil
 	}
-	lease.Serial, lease.State = c.Serial, c.Data
+	lease.Serial = c.Serial
+	lease.State = c.Data
 	return []Name{lease.Name}
 }
 
 func (s *State) prefer(c *Prefer) []Name {
 	lease := s.Leases[c.Name]
-	if lease == nil || lease.Retired || lease.Holder.ID == c.To || len(c.To) > maxName {
+	if lease == nil || lease.Retired || lease.Holder.ID == c.To || len(c.To) > maxNameBytes {
 		return nil
 	}
 	lease.Preferred = c.To
 	return []Name{lease.Name}
 }
 
-// heldBy is the lease that a holder holds under a grant; nil: it does not.
+// heldBy returns the lease that a holder holds under a grant; nil: it does not hold it.
 func (s *State) heldBy(holder Holder, grant Grant) *Lease {
 	lease := s.Leases[grant.Name]
 	if lease == nil || lease.Holder != holder || lease.Token != grant.Token || holder.ID == "" {
--- /dev/null
+++ b/internal/core/fleet/lease/timing.go
@@ -0,0 +1,48 @@
+package lease
+
+// Timing holds the duration of leases, from which all other times follow. All controllers of a
+// fleet must use the same.
+type Timing struct {
+	// Duration of a lease in ms. It must be above 0: with 0 no holder may ever act.
+	Duration float64
+}
+
+// Shares of a lease's duration.
+//
+// A holder stops holdShare after it sent the renewal that was granted; the leader assigns the lease
+// to another reassignShare after the renewal was applied, which is later. The margin between the
+// two covers clocks whose rates differ by 40%, or a pause of half a lease between a holder's check
+// of its clock and the end of the effect it then began. If a holder breaks the margin, two
+// controllers act at a time, and receivers reject the older fencing token.
+const (
+	holdShare         = 0.7
+	reassignShare     = 1.5
+	renewShare        = 0.2
+	renewalBatchShare = 0.05
+)
+
+// HoldTime returns how long after sending a renewal a holder may begin an effect, in ms.
+func (t Timing) HoldTime() float64 { return holdShare * t.Duration }
+
+// ReassignAfter returns how long after the last applied renewal the leader assigns a lease to
+// another, in ms.
+func (t Timing) ReassignAfter() float64 { return reassignShare * t.Duration }
+
+// RenewalBatchTime returns how long the leader may gather renewals to propose them together, in ms.
+func (t Timing) RenewalBatchTime() float64 { return renewalBatchShare * t.Duration }
+
+// RenewInterval returns the time between a holder's renewals, in ms.
+func (t Timing) RenewInterval() float64 { return renewShare * t.Duration }
+
+// The leader's waiting times in ms.
+const (
+	// failureBackoff is for how long a member that failed at a lease does not get it again.
+	failureBackoff = 60000.0
+	// unconfirmedBackoff is the same for a member that was assigned a lease and never renewed it,
+	// or released it.
+	unconfirmedBackoff = 15000.0
+	// proposalTimeout is after which time an assignment that was not agreed on is proposed again.
+	proposalTimeout = 3000.0
+	// preferredWait is how long a free lease waits at most for the member that an operator prefers.
+	preferredWait = 60000.0
+)
--- a/internal/core/fleet/node/effects.go
+++ b/internal/core/fleet/node/effects.go
@@ -7,7 +7,7 @@
 
 // effect lets an effect of another pass, or not.
 func (n *Node) effect(from members.ID, e *Effect) {
-	ok, risen := n.fencing.Pass(e.Grant.Name, e.Grant.Token)
+	ok, risen := n.fencing.Admit(e.Grant.Name, e.Grant.Token)
 	if ok {
 		n.out.Effects = append(n.out.Effects, Accepted{from, *e})
 	}
--- a/internal/core/fleet/node/holder.go
+++ b/internal/core/fleet/node/holder.go
@@ -18,9 +18,9 @@
 		return
 	}
 	n.leader, n.heardAt = g.Leader, n.now
-	n.client.Renewed(n.now, g.Sequence, g.Held)
+	n.client.ConfirmRenewal(n.now, g.Sequence, g.Held)
 	for _, c := range g.Lost {
-		n.client.Refused(c)
+		n.client.Revoke(c)
 		n.released = slices.DeleteFunc(n.released, func(g releasedLease) bool { return g.release.Grant == c })
 	}
 	for _, w := range g.Yield {
@@ -31,7 +31,7 @@
 // Release stops a lease and tells the quorum, that another can have it at once.
 func (n *Node) Release(now float64, w lease.Name, failed bool) {
 	n.now = max(n.now, now)
-	if r := n.client.GiveUp(w, failed); r != nil {
+	if r := n.client.Release(w, failed); r != nil {
 		if len(n.released) < maxReleases {
 			n.released = append(n.released, releasedLease{r, n.now + releaseTimeout})
 		}
--- a/internal/core/fleet/node/leaderhint_test.go
+++ b/internal/core/fleet/node/leaderhint_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	seeds := []members.Member{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}, {ID: "c", Addr: "c"}}
 	n, err := New(Facts{Self: members.Member{ID: "x", Addr: "x", Run: 1}, Seeds: seeds, Founders: []members.ID{"a", "b", "c"},
-		Terms: lease.Terms{Lease: 10000}, Pace: members.DefaultConfig(), Seed: 1}, nil, nil, 0)
+		Terms: lease.Timing{Duration: 10000}, Pace: members.DefaultConfig(), Seed: 1}, nil, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/fleet/node/manager.go
+++ b/internal/core/fleet/node/manager.go
@@ -104,7 +104,7 @@
 	if n.now >= n.offerAt { // an offer may be lost
 		n.offerAt = n.now + offerInterval
 		for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
-			if !n.leases.Renewed(n.now, name) {
+			if !n.leases.RecentlyRenewed(n.now, name) {
 				n.offer(name)
 			}
 		}
@@ -131,7 +131,7 @@
 	for _, m := range n.members.Members() {
 		if m.State <= members.Suspect && m.Run != 0 {
 			list = append(list, lease.Candidate{Holder: lease.Holder{ID: m.ID, Run: m.Run}, Willing: m.Willing,
-				Slow: m.State == members.Suspect || m.ID == n.facts.Self.ID}) // with this one the count of its leases would go
+				Avoid: m.State == members.Suspect || m.ID == n.facts.Self.ID}) // with this one the count of its leases would go
 		}
 	}
 	return list
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -20,7 +20,7 @@
 	Seeds    []members.Member
 	Founders []members.ID // of the quorum
 	Leases   []lease.Name // that there are to be
-	Terms    lease.Terms
+	Terms    lease.Timing
 	Pace     members.Config
 	Disk     uint64 // drawn: of the next incarnation in the quorum
 	Seed     int64
@@ -119,7 +119,7 @@
 	case m.Offer != nil:
 		if m.Offer.To == n.self() && !n.stopping {
 			n.leader, n.heardAt = from, n.now // only a leader offers
-			n.client.Offered(n.now, m.Offer.Grant)
+			n.client.AcceptOffer(n.now, m.Offer.Grant)
 		}
 	case m.Release != nil:
 		n.proposeOrForward(from, m, lease.Command{Release: m.Release})
@@ -244,6 +244,6 @@
 		n.send(m.To.Name, Message{Quorum: &m})
 	}
 	n.out.Changes = append(n.out.Changes, n.members.TakeChanges()...)
-	began, ended := n.client.Turns(n.now)
+	began, ended := n.client.TakeChanges(n.now)
 	n.out.Began, n.out.Ended = append(n.out.Began, began...), append(n.out.Ended, ended...)
 }
--- a/internal/core/fleet/node/renewals.go
+++ b/internal/core/fleet/node/renewals.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if len(n.renewals.list) == 0 {
-		n.renewals.proposeAt = n.now + n.facts.Terms.BatchFor()
+		n.renewals.proposeAt = n.now + n.facts.Terms.RenewalBatchTime()
 	}
 	n.renewals.list = append(n.renewals.list, pendingRenewal{from: from, renew: r})
 	if n.leases == nil || !n.leases.Confirmed(r.Grants) || len(n.renewals.list) >= maxRenewals {
--- a/internal/core/fleet/node/renewals_test.go
+++ b/internal/core/fleet/node/renewals_test.go
@@ -84,7 +84,7 @@
 	pace := members.DefaultConfig()
 	pace.ProbeInterval, pace.SyncInterval = 1e9, 1e9 // nobody answers here
 	node, err := New(Facts{Self: members.Member{ID: "a", Addr: "a", Run: 1}, Founders: []members.ID{"a"}, Leases: []lease.Name{"x", "y"},
-		Terms: lease.Terms{Lease: testLease}, Pace: pace, Seed: 1}, nil, nil, 0)
+		Terms: lease.Timing{Duration: testLease}, Pace: pace, Seed: 1}, nil, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 // Renewals of several holders that come within a while are agreed on together and written once.
 func TestRenewalsShareAnAgreement(t *testing.T) {
 	d, held := leaderOfTwo(t)
-	batch := lease.Terms{Lease: testLease}.BatchFor()
+	batch := lease.Timing{Duration: testLease}.RenewalBatchTime()
 	d.advance(1000)
 	d.take()
 	before := d.records
@@ -175,18 +175,18 @@
 // dropped it.
 func TestOffers(t *testing.T) {
 	d, held := leaderOfTwo(t)
-	terms := lease.Terms{Lease: testLease}
+	terms := lease.Timing{Duration: testLease}
 	d.take()
 	for sequence := uint64(2); sequence < 8; sequence++ {
 		for id, grant := range held {
 			d.receive(id, renewal(id, grant, sequence))
 		}
-		d.advance(terms.RenewEach())
+		d.advance(terms.RenewInterval())
 	}
 	if n := d.offers(); n > 0 {
 		t.Errorf("%d offers of leases that are renewed", n)
 	}
-	d.advance(2 * terms.RenewEach())
+	d.advance(2 * terms.RenewInterval())
 	if n := d.offers(); n < 2 {
 		t.Errorf("%d offers of leases that are not renewed any more", n)
 	}
@@ -199,7 +199,7 @@
 	d.receive("h1", renewal("h1", held["h1"], 2))
 	d.take()
 	d.node.quorum = outsider(t, 3).quorum
-	d.advance(lease.Terms{Lease: testLease}.BatchFor())
+	d.advance(lease.Timing{Duration: testLease}.RenewalBatchTime())
 	for _, s := range d.take() {
 		if s.To == "h1" && s.Message.View != nil {
 			return
@@ -220,7 +220,7 @@
 	d.settle()
 	d.advance(1000)
 	d.receive("h1", renewal("h1", grant, 2))
-	d.advance(lease.Terms{Lease: testLease}.BatchFor())
+	d.advance(lease.Timing{Duration: testLease}.RenewalBatchTime())
 	if a := d.answers()["h1"]; a == nil || len(a.Yield) != 1 {
 		t.Fatalf("the holder of a lease that is no longer declared is answered %+v", a)
 	}
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -30,7 +30,7 @@
 		n.granted(m.Granted)
 	case m.Offer != nil:
 		if m.Offer.To == n.self() && !n.stopping {
-			n.client.Offered(n.now, m.Offer.Grant)
+			n.client.AcceptOffer(n.now, m.Offer.Grant)
 		}
 	case m.Release != nil:
 		n.propose(n.facts.Self.ID, lease.Command{Release: m.Release})
@@ -142,7 +142,7 @@
 		n.leader = lead
 	}
 	to := n.leader
-	if to == "" || n.now > n.heardAt+n.facts.Terms.RenewEach()*2 || to == n.facts.Self.ID {
+	if to == "" || n.now > n.heardAt+n.facts.Terms.RenewInterval()*2 || to == n.facts.Self.ID {
 		names := n.voters
 		if standing, _ := n.quorum.Role(); standing != quorum.Outside {
 			names = n.quorum.Names()
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -22,7 +22,7 @@
 func (n *Node) receiveView(v *View) {
 	if v.Leader != "" {
 		if n.leader != v.Leader { // what it asked of another comes too late if it waits for its turn
-			n.client.Hurry(n.now)
+			n.client.RenewNow(n.now)
 		}
 		n.leader, n.heardAt = v.Leader, n.now
 	}
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -199,7 +199,7 @@
 // propose has a changed state agreed on; it is acted on once it is.
 func (j *MaintenanceJob) propose(h Context, state maintenanceState) {
 	data, err := cbor.Marshal(state)
-	if err != nil || len(data) > lease.MaxData {
+	if err != nil || len(data) > lease.MaxStateBytes {
 		j.host.Log.Error("maintenance: the state is too big to be agreed on", "bytes", len(data))
 		return
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -294,7 +294,7 @@
 		return err
 	}
 	facts := node.Facts{Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: in.willing, Run: run}, Leases: s.wantedLeases(),
-		Terms: lease.Terms{Lease: float64(s.block.Lease) / 1e6}, Pace: members.DefaultConfig(), Disk: draw(), Seed: int64(draw() >> 1),
+		Terms: lease.Timing{Duration: float64(s.block.Lease) / 1e6}, Pace: members.DefaultConfig(), Disk: draw(), Seed: int64(draw() >> 1),
 		Config: configFacts}
 	for id, addr := range s.block.Voters {
 		facts.Founders = append(facts.Founders, id)
--- a/internal/lab/fleet/model.go
+++ b/internal/lab/fleet/model.go
@@ -174,7 +174,7 @@
 
 // Search looks at all states.
 func (p Small) Search() (t Tally) {
-	terms := lease.Terms{Lease: p.Lease}
+	terms := lease.Timing{Duration: p.Lease}
 	first := &modelState{state: &lease.State{}, manager: lease.NewManager(terms, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
 		accepted: map[lease.Grant]int{}}
 	var names []lease.Name
--- a/internal/lab/fleet/model_moves.go
+++ b/internal/lab/fleet/model_moves.go
@@ -8,7 +8,7 @@
 )
 
 // moves are all states that can follow a state.
-func (p Small) moves(s *modelState, terms lease.Terms, names []lease.Name) []*modelState {
+func (p Small) moves(s *modelState, terms lease.Timing, names []lease.Name) []*modelState {
 	m := &moveList{search: p, from: s, terms: terms}
 	m.passTime()
 	m.assign()
@@ -33,7 +33,7 @@
 type moveList struct {
 	search Small
 	from   *modelState
-	terms  lease.Terms
+	terms  lease.Timing
 	next   []*modelState
 }
 
@@ -161,9 +161,9 @@
 	case m.renew != nil:
 		p.applyRenewal(s, m)
 	case m.to >= 0 && s.runs[m.to] == m.run && m.offer != nil:
-		s.clients[m.to].Offered(p.local(s, m.to), *m.offer)
+		s.clients[m.to].AcceptOffer(p.local(s, m.to), *m.offer)
 	case m.to >= 0 && s.runs[m.to] == m.run:
-		s.clients[m.to].Renewed(p.local(s, m.to), m.token, m.held)
+		s.clients[m.to].ConfirmRenewal(p.local(s, m.to), m.token, m.held)
 	}
 }
 
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -48,7 +48,7 @@
 				claim := lease.Grant{Name: lease.Name(words[0]), Token: lease.Token(epoch)}
 				from, _ := strconv.Atoi(strings.TrimPrefix(words[3], "n"))
 				r.mu.Lock()
-				ok, _ := gate.Pass(claim.Name, claim.Token)
+				ok, _ := gate.Admit(claim.Name, claim.Token)
 				if ok {
 					now := time.Now()
 					if was := last[claim.Name]; was.epoch != claim.Token && was.epoch != 0 {
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -85,7 +85,7 @@
 			if m != owner && m.core != nil && w.now >= m.paused && len(m.core.Held(w.local(m))) > 0 {
 				free = w.now - lost
 				if l == CutOff || l == CutEnds { // it acted on for as long as it might
-					free -= lease.Terms{Lease: leaseTime}.HoldsFor() / 2
+					free -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
 				}
 				w.Run(until + leaseTime)
 				return max(0, free), w.Checker.Late
--- a/internal/lab/fleet/virtual_faults.go
+++ b/internal/lab/fleet/virtual_faults.go
@@ -43,7 +43,7 @@
 	run := m.run
 	id := m.effects
 	w.at(w.now+took, func() {
-		ok, _ := at.gated.Pass(c.Name, c.Token)
+		ok, _ := at.gated.Admit(c.Name, c.Token)
 		if ok || w.plan.Mutant == "gate" {
 			w.Checker.effectAccepted(fmt.Sprintf("endpoint of n%d", at.number), m.number, node.Effect{Grant: c, ID: id}, w.now)
 		}
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -56,7 +56,7 @@
 	}
 	m.run = w.rng.Uint64()
 	core, err := node.New(node.Facts{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
-		Founders: founders, Leases: w.works(), Terms: lease.Terms{Lease: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
+		Founders: founders, Leases: w.works(), Terms: lease.Timing{Duration: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
 		Seed: w.rng.Int63(), Config: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
 	if err != nil {
 		w.Checker.fail(w.now, "n%d can't start: %v", m.number, err)
