--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -34,7 +34,7 @@
 // Voting tells whether this one is a voter.
 func (e configEnvironment) Voting() bool {
 	role, _ := e.node.quorum.Role()
-	return role == quorum.Voting
+	return role == quorum.Voter
 }
 
 // State is what the quorum agreed on.
--- a/internal/core/fleet/node/manager.go
+++ b/internal/core/fleet/node/manager.go
@@ -19,7 +19,7 @@
 
 // applyAgreed takes in what the quorum has agreed on, and tells whether there was something.
 func (n *Node) applyAgreed() bool {
-	list := n.quorum.Agreed()
+	list := n.quorum.TakeApplied()
 	for _, a := range list {
 		for _, w := range a.Changed {
 			if g := n.quorum.State().Leases[w]; g != nil {
@@ -61,7 +61,7 @@
 			continue
 		}
 		reply.Held = append(reply.Held, c)
-		if g := n.quorum.State().Leases[c.Name]; g.Preferred != "" && g.Preferred != a.By || g.Retired {
+		if g := n.quorum.State().Leases[c.Name]; g.Preferred != "" && g.Preferred != a.Proposer || g.Retired {
 			reply.Yield = append(reply.Yield, c.Name)
 		}
 	}
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -73,7 +73,7 @@
 
 // New begins with what the quorum's records tell, and with the fencing tokens that the fencing check had seen, where these were kept.
 func New(f Facts, kept []quorum.Record, seen map[lease.Name]lease.Token, now float64) (*Node, error) {
-	quorumFacts := quorum.Facts{Self: f.Self.ID, Founders: f.Founders, Run: f.Self.Run, Disk: f.Disk, Seed: f.Seed + 1}
+	quorumFacts := quorum.Config{Self: f.Self.ID, Founders: f.Founders, Run: f.Self.Run, NextDisk: f.Disk, Seed: f.Seed + 1}
 	replica, err := quorum.New(quorumFacts, kept, now)
 	if err != nil {
 		return nil, err
@@ -160,17 +160,17 @@
 	n.turn()
 }
 
-// Saved takes in that a batch is durable.
-func (n *Node) Saved(now float64, b *quorum.Batch) {
+// Advance takes in that a batch is durable.
+func (n *Node) Advance(now float64, b *quorum.Ready) {
 	n.now = max(n.now, now)
-	n.quorum.Done(n.now, b)
+	n.quorum.Advance(n.now, b)
 	n.turn()
 }
 
-// Kept takes in that a whole record is durable.
-func (n *Node) Kept(now float64, r *quorum.Record) {
+// Compacted takes in that a whole record is durable.
+func (n *Node) Compacted(now float64, r *quorum.Record) {
 	n.now = max(n.now, now)
-	n.quorum.Kept(r)
+	n.quorum.Compacted(r)
 	n.wholeOut = false
 	n.turn()
 }
@@ -213,7 +213,7 @@
 // Trust carries out an operator's command that says that this voter's folder is the latest.
 func (n *Node) Trust(now float64) bool {
 	n.now = max(n.now, now)
-	ok := n.quorum.Trust()
+	ok := n.quorum.TrustDisk()
 	n.turn()
 	return ok
 }
@@ -240,7 +240,7 @@
 	}
 	n.turnConfig()
 	n.sendMembership()
-	for _, m := range n.quorum.Out() {
+	for _, m := range n.quorum.TakeMessages() {
 		n.send(m.To.Name, Message{Quorum: &m})
 	}
 	n.out.Changes = append(n.out.Changes, n.members.TakeChanges()...)
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -29,8 +29,8 @@
 // Output is what is to be done after some input.
 type Output struct {
 	Sends       []Send
-	Batch       *quorum.Batch  // to be made durable, then Saved; nothing of it has an effect before
-	Whole       *quorum.Record // the same of a whole record that replaces all before it, then Kept
+	Ready       *quorum.Ready  // to be made durable, then Saved; nothing of it has an effect before
+	Compaction  *quorum.Record // the same of a whole record that replaces all before it, then Kept
 	Began       []lease.Grant  // this controller holds these from now on
 	Ended       []lease.Grant  // and no longer these
 	Changes     []members.Change
@@ -44,11 +44,11 @@
 
 // Take hands over what is to be done.
 func (n *Node) Take() Output {
-	if n.out.Batch == nil && !n.wholeOut {
+	if n.out.Ready == nil && !n.wholeOut {
 		if whole := n.quorum.Compact(); whole != nil {
-			n.out.Whole, n.wholeOut = whole, true
+			n.out.Compaction, n.wholeOut = whole, true
 		} else {
-			n.out.Batch = n.quorum.Batch()
+			n.out.Ready = n.quorum.Ready()
 		}
 	}
 	out := n.out
--- a/internal/core/fleet/node/renewals.go
+++ b/internal/core/fleet/node/renewals.go
@@ -49,7 +49,7 @@
 	requests := make([]quorum.Request, 0, len(list))
 	for _, p := range list {
 		n.ref++
-		requests = append(requests, quorum.Request{By: p.from, Ref: n.ref, Command: lease.Command{Renew: p.renew}})
+		requests = append(requests, quorum.Request{Proposer: p.from, Ref: n.ref, Command: lease.Command{Renew: p.renew}})
 	}
 	if !n.quorum.ProposeAll(requests) {
 		for _, p := range list {
--- a/internal/core/fleet/node/renewals_test.go
+++ b/internal/core/fleet/node/renewals_test.go
@@ -21,13 +21,13 @@
 		out := d.node.Take()
 		d.sends = append(d.sends, out.Sends...)
 		switch {
-		case out.Whole != nil:
-			d.node.Kept(d.now, out.Whole)
-		case out.Batch != nil:
-			if out.Batch.Record != nil {
+		case out.Compaction != nil:
+			d.node.Compacted(d.now, out.Compaction)
+		case out.Ready != nil:
+			if out.Ready.Record != nil {
 				d.records++
 			}
-			d.node.Saved(d.now, out.Batch)
+			d.node.Advance(d.now, out.Ready)
 		default:
 			return
 		}
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -144,8 +144,8 @@
 	to := n.leader
 	if to == "" || n.now > n.heardAt+n.facts.Terms.RenewInterval()*2 || to == n.facts.Self.ID {
 		names := n.voters
-		if standing, _ := n.quorum.Role(); standing != quorum.Outside {
-			names = n.quorum.Names()
+		if standing, _ := n.quorum.Role(); standing != quorum.NonMember {
+			names = n.quorum.MemberNames()
 		}
 		if n.nextVoter++; len(names) > 0 {
 			to = names[n.nextVoter%len(names)]
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -7,8 +7,8 @@
 )
 
 func (n *Node) viewOf() *View {
-	v := &View{Leader: n.quorum.Leader(), Voters: n.quorum.Names()}
-	if standing, _ := n.quorum.Role(); standing == quorum.Outside {
+	v := &View{Leader: n.quorum.Leader(), Voters: n.quorum.MemberNames()}
+	if standing, _ := n.quorum.Role(); standing == quorum.NonMember {
 		v.Leader, v.Voters = n.leader, n.voters
 	} else {
 		v.Leases, v.Changed = n.quorum.State().List(), n.quorum.ChangedIndex()
@@ -65,7 +65,7 @@
 
 // Leases are the leases as this one knows them, and whether it votes itself: else they may be late.
 func (n *Node) Leases() (list []lease.Lease, own bool) {
-	if standing, _ := n.quorum.Role(); standing == quorum.Voting {
+	if standing, _ := n.quorum.Role(); standing == quorum.Voter {
 		return n.quorum.State().List(), true
 	}
 	return n.leaseView, false
@@ -73,8 +73,8 @@
 
 // Voters are the quorum's members, as far as this one knows.
 func (n *Node) Voters() []members.ID {
-	if standing, _ := n.quorum.Role(); standing != quorum.Outside {
-		return n.quorum.Names()
+	if standing, _ := n.quorum.Role(); standing != quorum.NonMember {
+		return n.quorum.MemberNames()
 	}
 	return n.voters
 }
--- a/internal/core/fleet/quorum/config_test.go
+++ b/internal/core/fleet/quorum/config_test.go
@@ -9,14 +9,24 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
+// proposalOf returns a proposal about the configuration that expects a version and is told apart by ref.
 func proposalOf(expect, ref uint64) config.Proposal {
-	return config.Proposal{Expect: expect, Version: config.Version{Hash: config.Hash{byte(ref)}, Size: 1, Author: "a", Reason: "r",
-		ID: config.ProposalID{Origin: "x", Run: 1, Ref: ref}}}
+	return config.Proposal{
+		Expect: expect,
+		Version: config.Version{
+			Hash:   config.Hash{byte(ref)},
+			Size:   1,
+			Author: "a",
+			Reason: "r",
+			ID:     config.ProposalID{Origin: "x", Run: 1, Ref: ref},
+		},
+	}
 }
 
-// Versions are agreed on one after another, one for each number; they outlast snapshots of the log and restarts.
-func TestConfigVersions(t *testing.T) {
-	r := newRoom(t, "a", "b", "c")
+// TestConfigVersionsOutlastSnapshotsAndRestarts: versions are agreed on one for each number, and
+// are the same on all members after snapshots of the log, restarts and the loss of a disk.
+func TestConfigVersionsOutlastSnapshotsAndRestarts(t *testing.T) {
+	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	propose := func(expect, ref uint64) {
 		t.Helper()
@@ -25,11 +35,11 @@
 		}
 	}
 	propose(0, 1)
-	propose(0, 2) // in the same round: the second one comes too late
+	propose(0, 2) // expects the same version: it comes too late
 	r.run(500)
 	propose(1, 3)
 	propose(1, 3) // sent again
-	propose(7, 4) // of a version that there never was
+	propose(7, 4) // expects a version that does not exist
 	r.run(500)
 	want := fmt.Sprint([]uint64{1, 3})
 	check := func(name members.ID) {
@@ -48,7 +58,7 @@
 	for _, name := range r.founders {
 		check(name)
 	}
-	for ref := range uint64(600) { // past a snapshot or two
+	for ref := range uint64(600) { // enough for two snapshots
 		r.leader().Propose("x", ref, lease.Command{Declare: &lease.Declare{Names: []lease.Name{"w"}}})
 		r.run(50)
 	}
@@ -57,19 +67,19 @@
 	}
 	r.run(5000)
 	for _, name := range r.founders {
-		r.standing(name, Voting)
+		r.expectRole(name, Voter)
 		check(name)
 	}
-	r.kept["b"] = nil // its folder is lost: the leader sends it everything as a new incarnation
+	r.records["b"] = nil // its disk is lost: the leader sends the new incarnation everything
 	r.start("b")
 	r.run(20000)
-	r.standing("b", Voting)
+	r.expectRole("b", Voter)
 	check("b")
 }
 
-// Only the leader's proposals count.
-func TestConfigNeedsLeader(t *testing.T) {
-	r := newRoom(t, "a", "b", "c")
+// TestOnlyLeaderProposesConfig: a proposal of a follower is rejected.
+func TestOnlyLeaderProposesConfig(t *testing.T) {
+	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	for _, name := range r.founders {
 		if c := r.members[name]; c.Leads() == !c.ProposeConfig("x", proposalOf(0, 1)) {
@@ -78,19 +88,20 @@
 	}
 }
 
-// One that has just been elected may hold what was agreed on in its log and not have applied it yet: it answers for the
-// quorum only once it has applied an entry of its own term.
-func TestLeadsCaughtUp(t *testing.T) {
-	r := newRoom(t, "a", "b", "c")
+// A new leader may hold agreed entries in its log that it has not applied yet. If it answered for
+// the quorum then, it would deny a version that was agreed on. It answers only once it has applied
+// an entry of its own term.
+func TestNewLeaderAnswersOnlyWhenCaughtUp(t *testing.T) {
+	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	before := r.leader()
 	if !before.LeadsCaughtUp() {
-		t.Fatal("a leader at rest has not caught up")
+		t.Fatal("an idle leader has not caught up")
 	}
 	before.ProposeConfig("x", proposalOf(0, 1))
 	name := before.Incarnation().Name
 	r.run(100)
-	r.cut = func(from, to members.ID) bool { return from == name || to == name }
+	r.lost = func(from, to members.ID) bool { return from == name || to == name }
 	behind := false
 	for range 400 {
 		r.run(25)
@@ -106,11 +117,11 @@
 		}
 	}
 	if !behind {
-		t.Error("no leader was seen before it had caught up: nothing is shown")
+		t.Error("no leader was seen before it had caught up: the test shows nothing")
 	}
 	for _, c := range r.members {
 		if !c.Leads() && c.LeadsCaughtUp() {
-			t.Error("one that does not lead answers for the quorum")
+			t.Error("a follower answers for the quorum")
 		}
 	}
 }
--- /dev/null
+++ b/internal/core/fleet/quorum/join.go
@@ -0,0 +1,130 @@
+package quorum
+
+import (
+	"slices"
+
+	"go.etcd.io/raft/v3"
+
+	"mintkeel/internal/core/fleet/members"
+)
+
+// requestJoin has a member whose former incarnation has ended request to be taken in.
+func (r *Replica) requestJoin() {
+	if r.now < r.nextRequestAt || r.newIncarnation {
+		return
+	}
+	r.nextRequestAt = r.now + joinInterval
+	for _, name := range r.joinTargets() {
+		r.send(Incarnation{Name: name}, Message{Join: &Join{Run: r.run}})
+	}
+}
+
+// joinTargets returns the members that are asked to take this one in: those it knows, the one that
+// wrote to it, and the leader that one of them named.
+func (r *Replica) joinTargets() []members.ID {
+	targets := r.others()
+	for _, name := range []members.ID{r.joinContact.Name, r.leaderHint} {
+		if name != "" && name != r.cfg.Self && !slices.Contains(targets, name) {
+			targets = append(targets, name)
+		}
+	}
+	return targets
+}
+
+// handleInvite has a controller that is no member request to join.
+func (r *Replica) handleInvite(m *Message) {
+	if r.role != NonMember || r.newIncarnation {
+		return
+	}
+	r.joinContact = m.From
+	r.endIncarnation("asked to join the quorum")
+}
+
+// handleJoin handles a request to join, from a member, a founder that was not removed, or a
+// controller that was invited.
+func (r *Replica) handleJoin(from members.ID, m *Message) {
+	if !r.isLeader {
+		r.redirect(m)
+		return
+	}
+	if len(r.membership.joins) >= maxRemembered {
+		return
+	}
+	expected := r.hasMember(from) || slices.Contains(r.cfg.Founders, from)
+	if r.invited(from) || expected && !slices.Contains(r.removed, from) {
+		r.membership.joins[from] = joinRequest{incarnation: m.From, at: r.now}
+	}
+}
+
+// redirect tells a member that requests to join which member leads: it may know the founders alone,
+// and since then others may have become voters.
+func (r *Replica) redirect(m *Message) {
+	leader := r.Leader()
+	if r.role == Voter && leader != "" && leader != m.From.Name {
+		r.send(m.From, Message{Redirect: &Redirect{Leader: leader}})
+	}
+}
+
+// handleRedirect handles which member leads.
+func (r *Replica) handleRedirect(redirect *Redirect) {
+	if len(redirect.Leader) <= maxNameBytes {
+		r.leaderHint = redirect.Leader
+	}
+}
+
+// nextIncarnation returns the incarnation as which this controller would come back.
+func (r *Replica) nextIncarnation() Incarnation {
+	return Incarnation{Name: r.cfg.Self, Disk: r.cfg.NextDisk}
+}
+
+// endIncarnation ends this incarnation: nothing that its disk holds counts as promised by it, and it
+// comes back as another.
+func (r *Replica) endIncarnation(reason string) {
+	r.setRole(Joining, reason)
+	r.node = nil
+	r.isLeader = false
+	r.newIncarnation = true
+	r.waiting = nil
+	r.waitingSerials = map[Incarnation]uint64{}
+	r.nextRequestAt = r.now
+	r.verification.joinRequested = false
+	if r.incarnation == r.nextIncarnation() { // the second one that ends in this process
+		r.cfg.NextDisk = max(1, r.rng.Uint64())
+	}
+}
+
+// beginIncarnation returns the Ready whose record begins the folder anew. It must be durable before
+// any message of the new incarnation is sent.
+func (r *Replica) beginIncarnation() *Ready {
+	incarnation := r.nextIncarnation()
+	record := &Record{
+		Serial:          r.serial + 1,
+		Incarnation:     &incarnation,
+		ReceivedSerials: sortedSerials(r.receivedSerials),
+		Full:            true,
+	}
+	return &Ready{Record: record, newIncarnation: true}
+}
+
+// handleSuperseded handles that a leader writes to the incarnation as which this member requested
+// to join: it was taken in, and this incarnation ends.
+func (r *Replica) handleSuperseded() {
+	if r.keepsVote() {
+		return
+	}
+	r.endIncarnation("taken in as another incarnation, as not all others could vouch for its disk")
+}
+
+// keepsVote tells whether this incarnation stays although a leader writes to the next one: its disk
+// was vouched for meanwhile, and it votes. If it hears from no leader for a while, the quorum goes
+// on without it.
+func (r *Replica) keepsVote() bool {
+	if r.role != Voter || r.node == nil {
+		return false
+	}
+	if r.node.BasicStatus().Lead != raft.None || r.now > r.supersededAt+settleTime {
+		r.supersededSince = r.now
+	}
+	r.supersededAt = r.now
+	return r.now < r.supersededSince+settleTime
+}
--- a/internal/core/fleet/quorum/membership.go
+++ b/internal/core/fleet/quorum/membership.go
@@ -11,149 +11,69 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// memberChange goes with a change of the members through the consensus.
-type memberChange struct {
-	Incarnation Incarnation `cbor:"1,keyasint"`
-	Removed     bool        `cbor:"2,keyasint,omitempty"` // by an operator's command
+// membershipChanges is what a leader knows of the changes of the members that it was asked for and
+// carries out.
+type membershipChanges struct {
+	respondedAt      map[uint64]float64 // ms, when members last responded, by their number
+	joins            map[members.ID]joinRequest
+	replacements     []replacement
+	changePending    bool    // a change was proposed and not applied yet
+	changeProposedAt float64 // ms
 }
 
-// joinRequest is of an incarnation that asked this leader to be taken in.
+func newMembershipChanges() membershipChanges {
+	return membershipChanges{
+		respondedAt: map[uint64]float64{},
+		joins:       map[members.ID]joinRequest{},
+	}
+}
+
+// joinRequest is of an incarnation that requested this leader to be taken in.
 type joinRequest struct {
 	incarnation Incarnation
-	at          float64 // ms, of its last request
+	at          float64 // ms, when it was last repeated
 }
 
-// replacement is an operator's command: old leaves, and successor, if it is not empty, comes in its place.
+// replacement is an operator's command: old is removed once successor, unless it is empty, has a vote.
 type replacement struct {
-	old, successor members.ID
-	until          float64 // ms, after which it is forgotten
-	inviteAt       float64 // ms
+	old       members.ID
+	successor members.ID
+	deadline  float64 // ms, after which it is forgotten
+	inviteAt  float64 // ms, when the next invitation of successor is due
 }
 
-// Replace has a member leave, by an operator's command; first another one joins in its place and has a vote, unless that
-// is empty. It is false where this one does not lead, or the first is no member.
-func (r *Replica) Replace(old, with members.ID) bool {
-	if !r.leading || !r.knows(old) || old == with || len(r.replacements) >= maxRetired {
+// Replace removes a member by an operator's command, after its successor, unless that is empty, has
+// joined and has a vote. It returns false if this member does not lead, or the old one is no
+// member.
+func (r *Replica) Replace(old, successor members.ID) bool {
+	if !r.isLeader || !r.hasMember(old) || old == successor || len(r.membership.replacements) >= maxRemembered {
 		return false
 	}
-	r.replacements = append(r.replacements, replacement{old: old, successor: with, until: r.now + replaceTimeout})
+	r.membership.replacements = append(r.membership.replacements, replacement{
+		old:       old,
+		successor: successor,
+		deadline:  r.now + replaceTimeout,
+	})
 	return true
 }
 
-// isMember tells whether this incarnation is a member.
-func (r *Replica) isMember() bool { return r.incarnations[r.incarnation.Number()] == r.incarnation }
-
-// isVoter tells whether this incarnation has a vote.
-func (r *Replica) isVoter() bool {
-	return r.votes(r.incarnation)
-}
-
-// others are the names of the other members as this one knows them, sorted.
-func (r *Replica) others() (names []members.ID) {
-	for _, incarnation := range r.incarnations {
-		if incarnation.Name != r.facts.Self && !slices.Contains(names, incarnation.Name) {
-			names = append(names, incarnation.Name)
-		}
-	}
-	if len(r.incarnations) == 0 {
-		for _, name := range r.facts.Founders {
-			if name != r.facts.Self {
-				names = append(names, name)
-			}
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// knows tells whether an incarnation of a name is a member.
-func (r *Replica) knows(name members.ID) bool {
-	for _, incarnation := range r.incarnations {
-		if incarnation.Name == name {
-			return true
-		}
-	}
-	return false
-}
-
-// hasVote tells whether a name's one incarnation has a vote. Where there are two, the one that votes has ended.
-func (r *Replica) hasVote(name members.ID) bool {
-	voting, all := 0, 0
-	for _, incarnation := range r.incarnations {
-		if incarnation.Name != name {
-			continue
-		}
-		all++
-		if r.votes(incarnation) {
-			voting++
-		}
-	}
-	return voting == 1 && all == 1
-}
-
-// invited tells whether a controller outside has been asked to join.
+// invited tells whether a controller that is no member was invited to join.
 func (r *Replica) invited(name members.ID) bool {
-	return slices.ContainsFunc(r.replacements, func(p replacement) bool { return p.successor == name })
-}
-
-// updateRole sets the role by the members that are agreed on.
-func (r *Replica) updateRole() {
-	switch {
-	case r.role == Outside || r.role == Doubted:
-	case r.isVoter():
-		r.role, r.roleReason = Voting, ""
-	case r.isMember():
-		r.role, r.roleReason = Learning, "it has not caught up yet"
-	case slices.Contains(r.removed, r.facts.Self) && r.leading && r.now < r.leadUntil():
-	case slices.Contains(r.removed, r.facts.Self):
-		r.role, r.roleReason = Outside, "taken out of the quorum by an operator's command"
-		r.node, r.leading, r.removedAt = nil, false, 0
-	case r.role != Joining:
-		r.endIncarnation("the quorum goes on without it")
-	}
-}
-
-// leadUntil is until when a leader that was taken out goes on to lead: its heartbeats tell the others that this is agreed
-// on. They could not elect one of them while they take it for a voter that does not answer.
-func (r *Replica) leadUntil() float64 {
-	if r.removedAt == 0 {
-		r.removedAt = r.now
-	}
-	return r.removedAt + stepDownDelay
+	named := func(p replacement) bool { return p.successor == name }
+	return slices.ContainsFunc(r.membership.replacements, named)
 }
 
-// receiveJoin takes in a request to join, from a member, a founder that was not removed, or a controller that was invited.
-func (r *Replica) receiveJoin(from members.ID, m *Message) {
-	if !r.leading {
-		r.redirect(m)
-		return
-	}
-	if len(r.joins) >= maxRetired {
-		return
-	}
-	expected := r.knows(from) || slices.Contains(r.facts.Founders, from)
-	if r.invited(from) || expected && !slices.Contains(r.removed, from) {
-		r.joins[from] = joinRequest{m.From, r.now}
-	}
-}
-
-// redirect tells one that asks to join which member leads: since the founders, others may have become voters.
-func (r *Replica) redirect(m *Message) {
-	if leader := r.Leader(); r.role == Voting && leader != "" && leader != m.From.Name {
-		r.send(m.From, Message{Redirect: &Redirect{Leader: leader}})
-	}
-}
-
-// changeMembers brings the members to those wanted, one change at a time: a member that came back as another incarnation
-// is taken in as a learner. Its former incarnation keeps its vote until the learner has caught up and gets one: a quorum
-// that is smaller meanwhile would not be whole again if one more member failed.
+// changeMembers proposes the next change of the members that is needed, one at a time. A member
+// that came back as another incarnation is added as a learner. Its former incarnation keeps its
+// vote until the learner has caught up and is promoted: if the quorum were smaller meanwhile, one
+// more failure could leave it without a majority.
 func (r *Replica) changeMembers() {
-	r.noteAnswers()
-	if r.changePending && r.now < r.changeAt+changeTimeout {
+	r.recordResponses()
+	if r.membership.changePending && r.now < r.membership.changeProposedAt+changeTimeout {
 		return
 	}
-	r.changePending = false
-	if r.now < r.ledSince+settleTime {
+	r.membership.changePending = false
+	if r.now < r.leaderChangedAt+settleTime {
 		return
 	}
 	if r.takeInJoining() || r.dropUnusedLearner() || r.promoteLearner() {
@@ -162,36 +82,38 @@
 	r.carryOutReplacements()
 }
 
-// noteAnswers notes which members have answered this leader since the library looked last, which it does once in an
-// election timeout.
-func (r *Replica) noteAnswers() {
+// recordResponses records which members have responded to this leader since the raft library last
+// looked, which it does once in an election timeout.
+func (r *Replica) recordResponses() {
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, progress raftProgress) {
 		if progress.RecentActive {
-			r.answeredAt[id] = r.now
+			r.membership.respondedAt[id] = r.now
 		}
 	})
 }
 
-// answers tells whether a member has answered this leader lately. One that was just added counts for a while.
-func (r *Replica) answers(incarnation Incarnation) bool {
-	at, ever := r.answeredAt[incarnation.Number()]
+// isResponsive tells whether a member has responded to this leader lately. One that was just added
+// counts for a while.
+func (r *Replica) isResponsive(incarnation Incarnation) bool {
+	at, ever := r.membership.respondedAt[incarnation.Number()]
 	return incarnation == r.incarnation || ever && r.now < at+settleTime
 }
 
-// takeInJoining proposes the next change that a request to join needs, and tells whether there was one. A request is left
-// alone while a former incarnation of its sender goes on to vote: its disk was vouched for after all.
+// takeInJoining proposes the next change that a request to join needs, and tells whether there was
+// one. A request is not carried out while a former incarnation of the member goes on to vote: its
+// disk was vouched for after all.
 func (r *Replica) takeInJoining() bool {
-	for _, name := range slices.Sorted(maps.Keys(r.joins)) {
-		request := r.joins[name]
+	for _, name := range slices.Sorted(maps.Keys(r.membership.joins)) {
+		request := r.membership.joins[name]
 		if r.now > request.at+joinTimeout {
-			delete(r.joins, name)
+			delete(r.membership.joins, name)
 			continue
 		}
 		if slices.Contains(r.retired, request.incarnation) {
 			continue
 		}
 		former, found := r.formerIncarnation(request.incarnation)
-		if found && r.votes(former) && r.answers(former) {
+		if found && r.votes(former) && r.isResponsive(former) {
 			continue
 		}
 		if found && !r.votes(former) {
@@ -206,15 +128,15 @@
 	return false
 }
 
-// dropUnusedLearner proposes to remove a learner whose former incarnation goes on to vote in its place, and tells whether
-// there was one.
+// dropUnusedLearner proposes to remove a learner that does not respond and whose former incarnation
+// goes on to vote, and tells whether there was one.
 func (r *Replica) dropUnusedLearner() bool {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		learner := r.incarnations[number]
-		if r.votes(learner) || r.answers(learner) {
+		if r.votes(learner) || r.isResponsive(learner) {
 			continue
 		}
-		if former, ok := r.formerIncarnation(learner); ok && r.votes(former) && r.answers(former) {
+		if former, ok := r.formerIncarnation(learner); ok && r.votes(former) && r.isResponsive(former) {
 			r.proposeChange(pb.ConfChangeRemoveNode, memberChange{Incarnation: learner})
 			return true
 		}
@@ -222,33 +144,14 @@
 	return false
 }
 
-// formerIncarnation is a member of the same name, first one without a vote.
-func (r *Replica) formerIncarnation(of Incarnation) (former Incarnation, ok bool) {
-	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
-		incarnation := r.incarnations[number]
-		if incarnation.Name != of.Name || incarnation == of {
-			continue
-		}
-		if former, ok = incarnation, true; !r.votes(incarnation) {
-			break
-		}
-	}
-	return former, ok
-}
-
-// votes tells whether an incarnation has a vote.
-func (r *Replica) votes(incarnation Incarnation) bool {
-	return slices.Contains(r.voters.GetVoters(), incarnation.Number())
-}
-
-// promoteLearner proposes a vote for a learner that has caught up, once the former incarnation has none, and tells
-// whether there was one.
+// promoteLearner proposes a vote for a learner that has caught up, after the removal of its former
+// incarnation, and tells whether there was one.
 func (r *Replica) promoteLearner() bool {
 	last, _ := r.storage.LastIndex()
-	promoted := Incarnation{}
+	var promoted Incarnation
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, progress raftProgress) {
 		learner, ok := r.incarnations[id]
-		answered := progress.RecentActive && progress.Match > 0 // one that was just added counts as active
+		answered := progress.RecentActive && progress.Match > 0 // one that was just added is active, too
 		if ok && progress.IsLearner && answered && progress.Match+promotionDistance > last {
 			promoted = learner
 		}
@@ -264,17 +167,15 @@
 	return true
 }
 
-// carryOutReplacements goes on with the replacements that operators asked for: it invites the new member until it votes,
-// then proposes to remove the old one.
+// carryOutReplacements continues the operators' replacements: it invites the successor until that
+// votes, then proposes to remove the old member.
 func (r *Replica) carryOutReplacements() {
-	r.replacements = slices.DeleteFunc(r.replacements, func(p replacement) bool { return r.now > p.until || !r.knows(p.old) })
-	for i := range r.replacements {
-		p := &r.replacements[i]
+	done := func(p replacement) bool { return r.now > p.deadline || !r.hasMember(p.old) }
+	r.membership.replacements = slices.DeleteFunc(r.membership.replacements, done)
+	for i := range r.membership.replacements {
+		p := &r.membership.replacements[i]
 		if p.successor != "" && !r.hasVote(p.successor) {
-			if r.now >= p.inviteAt {
-				p.inviteAt = r.now + joinInterval
-				r.send(Incarnation{Name: p.successor}, Message{Invite: true})
-			}
+			r.invite(p)
 			continue
 		}
 		for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
@@ -286,65 +187,23 @@
 	}
 }
 
+// invite asks a successor to request to join, once in an interval.
+func (r *Replica) invite(p *replacement) {
+	if r.now < p.inviteAt {
+		return
+	}
+	p.inviteAt = r.now + joinInterval
+	r.send(Incarnation{Name: p.successor}, Message{Invite: true})
+}
+
 // proposeChange proposes one change of the members.
 func (r *Replica) proposeChange(kind pb.ConfChangeType, change memberChange) {
 	context, err := cbor.Marshal(change)
 	if err != nil {
 		return
 	}
-	r.changePending, r.changeAt = true, r.now
-	r.node.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: new(change.Incarnation.Number()), Context: context})
-}
-
-// applyChange takes in a change of the members that has been agreed on.
-func (r *Replica) applyChange(change *pb.ConfChange) {
-	var c memberChange
-	if cbor.Unmarshal(change.GetContext(), &c) == nil && c.Incarnation.Number() == change.GetNodeId() {
-		if change.GetType() == pb.ConfChangeRemoveNode {
-			r.removeMember(c)
-		} else {
-			r.addMember(c.Incarnation)
-			r.snapshotWanted = r.snapshotWanted || change.GetType() == pb.ConfChangeAddLearnerNode // it takes none without itself
-		}
-	}
-	r.changePending = false
-	if r.node != nil {
-		r.voters = r.node.ApplyConfChange(change)
-	} else {
-		r.voters = changedVoters(r.voters, change)
-	}
-}
-
-func (r *Replica) removeMember(c memberChange) {
-	delete(r.incarnations, c.Incarnation.Number())
-	if c.Removed && !slices.Contains(r.removed, c.Incarnation.Name) && len(r.removed) < maxRetired {
-		r.removed = append(r.removed, c.Incarnation.Name)
-	}
-	r.retired = append(r.retired, c.Incarnation)
-	if len(r.retired) > maxRetired {
-		r.retired = r.retired[1:]
-	}
-}
-
-func (r *Replica) addMember(incarnation Incarnation) {
-	r.incarnations[incarnation.Number()] = incarnation
-	r.removed = slices.DeleteFunc(r.removed, func(id members.ID) bool { return id == incarnation.Name })
-}
-
-// changedVoters are the voters and learners after a change, where no consensus runs that would compute them: at a start.
-func changedVoters(before *pb.ConfState, change *pb.ConfChange) *pb.ConfState {
-	id := change.GetNodeId()
-	without := func(ids []uint64) []uint64 {
-		return slices.DeleteFunc(slices.Clone(ids), func(x uint64) bool { return x == id })
-	}
-	after := &pb.ConfState{Voters: without(before.GetVoters()), Learners: without(before.GetLearners())}
-	switch change.GetType() {
-	case pb.ConfChangeAddNode:
-		after.Voters = append(after.Voters, id)
-		slices.Sort(after.Voters)
-	case pb.ConfChangeAddLearnerNode:
-		after.Learners = append(after.Learners, id)
-		slices.Sort(after.Learners)
-	}
-	return after
+	r.membership.changePending = true
+	r.membership.changeProposedAt = r.now
+	number := change.Incarnation.Number()
+	r.node.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &number, Context: context})
 }
--- a/internal/core/fleet/quorum/messages.go
+++ b/internal/core/fleet/quorum/messages.go
@@ -2,38 +2,51 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Message is one between members. Exactly one of Raft, Ask, Answer, Join, Invite and Redirect is set.
+// Message is a message between members. Exactly one of Raft, VouchRequest, VouchResponse, Join,
+// Invite and Redirect is set. It is encoded by the keys of its fields.
 type Message struct {
-	From     Incarnation `cbor:"1,keyasint"`
-	To       Incarnation `cbor:"2,keyasint"`
-	Raft     []byte      `cbor:"3,keyasint,omitempty"`
-	Serial   uint64      `cbor:"4,keyasint,omitempty"` // of the sender's record that Raft depends on; 0: it depends on none
-	Ask      *Ask        `cbor:"5,keyasint,omitempty"`
-	Answer   *Answer     `cbor:"6,keyasint,omitempty"`
-	Join     *Join       `cbor:"7,keyasint,omitempty"`
-	Run      uint64      `cbor:"8,keyasint,omitempty"` // of the sender's process
-	Invite   bool        `cbor:"9,keyasint,omitempty"` // the leader asks a controller outside to join
-	Redirect *Redirect   `cbor:"10,keyasint,omitempty"`
+	From Incarnation `cbor:"1,keyasint"`
+	To   Incarnation `cbor:"2,keyasint"`
+	// Raft is a message of the raft library.
+	Raft []byte `cbor:"3,keyasint,omitempty"`
+	// Serial is that of the sender's record that Raft depends on; 0: it depends on none.
+	Serial        uint64         `cbor:"4,keyasint,omitempty"`
+	VouchRequest  *VouchRequest  `cbor:"5,keyasint,omitempty"`
+	VouchResponse *VouchResponse `cbor:"6,keyasint,omitempty"`
+	Join          *Join          `cbor:"7,keyasint,omitempty"`
+	// Run is that of the sender's process.
+	Run uint64 `cbor:"8,keyasint,omitempty"`
+	// Invite asks a controller that is no member to request to join.
+	Invite   bool      `cbor:"9,keyasint,omitempty"`
+	Redirect *Redirect `cbor:"10,keyasint,omitempty"`
 }
 
-// Ask is sent by a member that starts: what is the highest serial that you received from this incarnation of mine?
-type Ask struct {
+// VouchRequest is sent by an unverified member: what is the highest serial that the receiver got
+// from this incarnation?
+type VouchRequest struct {
 	Run uint64 `cbor:"1,keyasint"`
 }
 
-// Answer answers an Ask of a run.
-type Answer struct {
-	Run     uint64 `cbor:"1,keyasint"`
-	Mark    uint64 `cbor:"2,keyasint"`
-	Retired bool   `cbor:"3,keyasint,omitempty"` // that incarnation has ended
-	Led     bool   `cbor:"4,keyasint,omitempty"` // the quorum has a leader other than the asker
-
-	Members []members.ID `cbor:"5,keyasint,omitempty"` // as of Index; one whose folder is older has to ask them too
-	Index   uint64       `cbor:"6,keyasint,omitempty"` // of the last entry of the consensus that the sender has applied
-	Pending []members.ID `cbor:"7,keyasint,omitempty"` // added by later entries, which may not be agreed on yet: to be asked in any case
+// VouchResponse answers a VouchRequest.
+type VouchResponse struct {
+	// Run is that of the request.
+	Run uint64 `cbor:"1,keyasint"`
+	// ReceivedSerial is the highest serial that the sender got from the requesting incarnation; 0: none.
+	ReceivedSerial uint64 `cbor:"2,keyasint"`
+	// Retired: the requesting incarnation has ended.
+	Retired bool `cbor:"3,keyasint,omitempty"`
+	// HasLeader: the quorum has a leader other than the requester.
+	HasLeader bool `cbor:"4,keyasint,omitempty"`
+	// Members are the quorum's as of Index. A requester whose disk is older must ask them too.
+	Members []members.ID `cbor:"5,keyasint,omitempty"`
+	// Index is that of the last entry that the sender has applied.
+	Index uint64 `cbor:"6,keyasint,omitempty"`
+	// PendingMembers are added by later entries, which may not be agreed on yet. The requester must
+	// ask them in any case.
+	PendingMembers []members.ID `cbor:"7,keyasint,omitempty"`
 }
 
-// Join asks to be taken in, as a new incarnation.
+// Join requests to be taken in as a new incarnation.
 type Join struct {
 	Run uint64 `cbor:"1,keyasint"`
 }
@@ -43,37 +56,40 @@
 	Leader members.ID `cbor:"1,keyasint"`
 }
 
-// Receive takes in a message of a member. A message whose names don't fit its sender or this member is ignored.
+// Receive handles a message. The transport must have authenticated from. A message whose names
+// don't fit its sender or this member is ignored.
 func (r *Replica) Receive(now float64, from members.ID, m *Message) {
 	r.now = max(r.now, now)
-	if m.From.Name != from || m.To.Name != r.facts.Self || from == r.facts.Self {
+	if m.From.Name != from || m.To.Name != r.cfg.Self || from == r.cfg.Self {
 		return
 	}
 	switch {
-	case m.Ask != nil:
-		r.answerAsk(m)
-	case m.Answer != nil:
-		r.receiveAnswer(from, m.Answer)
+	case m.VouchRequest != nil:
+		r.handleVouchRequest(m)
+	case m.VouchResponse != nil:
+		r.handleVouchResponse(from, m.VouchResponse)
 	case m.Join != nil:
-		r.receiveJoin(from, m)
+		r.handleJoin(from, m)
 	case m.Redirect != nil:
-		r.receiveRedirect(m.Redirect)
+		r.handleRedirect(m.Redirect)
 	case m.Invite:
-		r.receiveInvite(m)
+		r.handleInvite(m)
 	case m.Raft != nil:
-		r.receiveRaft(m)
+		r.handleRaft(m)
 	}
 }
 
-// Out hands over the messages that are to be sent since the last call.
-func (r *Replica) Out() []Message {
-	out := r.out
-	r.out = nil
+// TakeMessages returns the messages to be sent since the last call.
+func (r *Replica) TakeMessages() []Message {
+	out := r.outgoing
+	r.outgoing = nil
 	return out
 }
 
 // send enqueues a message of this incarnation.
 func (r *Replica) send(to Incarnation, m Message) {
-	m.From, m.To, m.Run = r.incarnation, to, r.run
-	r.out = append(r.out, m)
+	m.From = r.incarnation
+	m.To = to
+	m.Run = r.run
+	r.outgoing = append(r.outgoing, m)
 }
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -300,7 +300,7 @@
 	for _, h := range in.core.Held(in.now()) {
 		s.Holds = append(s.Holds, string(h.Name))
 	}
-	if standing != quorum.Outside {
+	if standing != quorum.NonMember {
 		lives, votes := c.Members()
 		for i, l := range lives {
 			s.Quorum.Members = append(s.Quorum.Members, IncarnationStatus{string(l.Name), fmt.Sprintf("%x", l.Disk), votes[i]})
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -92,12 +92,12 @@
 // once, which again tells.
 func (in *session) persist(out node.Output) (again bool, err error) {
 	switch {
-	case out.Whole != nil:
-		return false, in.keep(writeRequest{whole: true, record: out.Whole}, out.Whole)
-	case out.Batch != nil && out.Batch.Record != nil:
-		return false, in.keep(writeRequest{whole: out.Batch.Record.Whole, batch: out.Batch}, out.Batch.Record)
-	case out.Batch != nil:
-		in.core.Saved(in.now(), out.Batch)
+	case out.Compaction != nil:
+		return false, in.keep(writeRequest{whole: true, record: out.Compaction}, out.Compaction)
+	case out.Ready != nil && out.Ready.Record != nil:
+		return false, in.keep(writeRequest{whole: out.Ready.Record.Full, batch: out.Ready}, out.Ready.Record)
+	case out.Ready != nil:
+		in.core.Advance(in.now(), out.Ready)
 		return true, nil
 	}
 	return false, nil
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -269,7 +269,7 @@
 type writeRequest struct {
 	payload []byte
 	whole   bool
-	batch   *quorum.Batch
+	batch   *quorum.Ready
 	record  *quorum.Record
 }
 
@@ -354,7 +354,7 @@
 		if err := recordForm.Unmarshal(b, &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
-		if r.Whole {
+		if r.Full {
 			list = list[:0]
 		}
 		list = append(list, r)
@@ -418,9 +418,9 @@
 			}
 			in.counts.saves.Add(1)
 			if r.record != nil {
-				in.core.Kept(in.now(), r.record)
+				in.core.Compacted(in.now(), r.record)
 			} else {
-				in.core.Saved(in.now(), r.batch)
+				in.core.Advance(in.now(), r.batch)
 			}
 		case check := <-in.config.checked:
 			in.configChecked(check)
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -499,7 +499,7 @@
 	if m.core == nil {
 		return nil
 	}
-	if role, _ := m.core.Quorum().Role(); role != quorum.Voting {
+	if role, _ := m.core.Quorum().Role(); role != quorum.Voter {
 		return nil
 	}
 	return m.core.Quorum().ConfigState()
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -212,7 +212,7 @@
 		if m.core == nil {
 			return fmt.Sprintf("n%d does not run", m.number)
 		}
-		if role, _ := m.core.Quorum().Role(); role == quorum.Voting {
+		if role, _ := m.core.Quorum().Role(); role == quorum.Voter {
 			voting++
 		}
 	}
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -184,7 +184,7 @@
 		for _, c := range m.core.Held(w.local(m)) {
 			owners[c.Name]++
 		}
-		if s, why := m.core.Quorum().Role(); m.number < w.plan.Voters && s != quorum.Voting {
+		if s, why := m.core.Quorum().Role(); m.number < w.plan.Voters && s != quorum.Voter {
 			return fmt.Sprintf("n%d is %v in the council: %s", m.number, s, why)
 		}
 	}
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -123,13 +123,13 @@
 			}
 		}
 	}
-	w.save(m, run, out.Batch, out.Whole)
+	w.save(m, run, out.Ready, out.Compaction)
 	w.configTurn(m, out.Config)
 	w.scheduleTick(m)
 }
 
 // save makes a batch durable after the time that the disk takes; what it asks for holds only then.
-func (w *World) save(m *machine, run uint64, b *quorum.Batch, whole *quorum.Record) {
+func (w *World) save(m *machine, run uint64, b *quorum.Ready, whole *quorum.Record) {
 	if b == nil && whole == nil {
 		return
 	}
@@ -155,15 +155,15 @@
 		}
 		w.deliver(m, func() {
 			if whole != nil {
-				m.core.Kept(w.local(m), whole)
+				m.core.Compacted(w.local(m), whole)
 			} else {
-				m.core.Saved(w.local(m), b)
+				m.core.Advance(w.local(m), b)
 			}
 		})
 	})
 }
 
-func (m *machine) write(w *World, run uint64, b *quorum.Batch, whole *quorum.Record) {
+func (m *machine) write(w *World, run uint64, b *quorum.Ready, whole *quorum.Record) {
 	if m.run != run || m.core == nil {
 		return
 	}
@@ -183,7 +183,7 @@
 		w.Checker.fail(w.now, "record: %v", err)
 		return
 	}
-	if kept.Whole {
+	if kept.Full {
 		m.kept = nil
 	}
 	m.kept = append(m.kept, kept)
