--- a/cmd/mintkeel-lab/scale.go
+++ b/cmd/mintkeel-lab/scale.go
@@ -142,15 +142,15 @@
 		fmt.Fprintf(w, "%s: extrapolated\n", e)
 	}
 	if missing > 0 {
-		return errUnlisted{missing}
+		return unlistedError{missing}
 	}
 	return nil
 }
 
-// errUnlisted is rows over their budget that the page does not list.
-type errUnlisted struct{ rows int }
+// unlistedError is rows over their budget that the page does not list.
+type unlistedError struct{ rows int }
 
-func (e errUnlisted) Error() string {
+func (e unlistedError) Error() string {
 	return fmt.Sprintf("%d rows are over their budget and not listed as that", e.rows)
 }
 
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -67,8 +67,8 @@
 }
 
 // measure takes a few steps first, and then as many as there is time for.
-func measure(s steps.Scene, make_ steps.Make, n int, within time.Duration) steps.Costs {
-	g := steps.New(s, make_)
+func measure(s steps.Scene, newModule steps.Make, n int, within time.Duration) steps.Costs {
+	g := steps.New(s, newModule)
 	few := g.Run(20)
 	if most := int(within.Seconds() * 1e6 / max(0.1, few.Median)); most < n {
 		n = max(20, most)
--- a/internal/core/rules/rules.go
+++ b/internal/core/rules/rules.go
@@ -4,6 +4,7 @@
 package rules
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -206,9 +207,9 @@
 func (c *compiler) expr(field, source string, typ match.Type) *match.Expr {
 	e, err := match.Compile(source, typ, &Schema, c.bounds)
 	if err != nil {
-		place, _ := err.(*match.Error)
 		why := err.Error()
-		if place != nil {
+		var place *match.Error
+		if errors.As(err, &place) {
 			why = place.Why
 		}
 		c.problems = append(c.problems, Problem{Rule: c.at, Field: field, Why: why, Place: place})
@@ -273,7 +274,7 @@
 	c.labels(&r)
 	c.key(&r, sources)
 	c.narrow(&r, sources)
-	c.profile(&r, sources, may)
+	c.profile(&r, sources)
 	if !may.narrow(&r, sources) {
 		c.note("rule", "rules before it narrow in more than %d ways", mostStates)
 	}
@@ -371,7 +372,7 @@
 }
 
 // profile checks that a command may be taken for another profile: that one must allow nothing more.
-func (c *compiler) profile(r *rule, sources []state, may *reach) {
+func (c *compiler) profile(r *rule, sources []state) {
 	if r.Profile == "" {
 		return
 	}
--- a/internal/enginewire/enginewire.go
+++ b/internal/enginewire/enginewire.go
@@ -17,6 +17,7 @@
 // Word is what an answer says.
 type Word int
 
+// What an answer says, of an attempt but for Ready.
 const (
 	OK    Word = iota // page 0, and the number of all pages
 	Full              // it never ran
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -14,6 +14,7 @@
 // to use only what the settings allow.
 type Rule int
 
+// The rules that the checker holds controllers to.
 const (
 	Form Rule = iota
 	Answered
@@ -430,7 +431,7 @@
 	r.repeats(controller, now, c, e)
 	r.order(controller, now, l, c)
 	r.budget(controller, now, l, c)
-	r.cold(controller, now, l, c, e)
+	r.cold(controller, now, c, e)
 	c.sends = append(c.sends, send{at: now, engine: e})
 }
 
@@ -536,7 +537,7 @@
 
 // cold judges what all controllers that were told of an engine's start have sent it within the window, as if it had
 // no more than its least capacity.
-func (r *Checker) cold(controller int, now float64, l *life, c *command, e router.Entry) {
+func (r *Checker) cold(controller int, now float64, c *command, e router.Entry) {
 	g := r.facts.Guards
 	if g.ColdMultiple <= 0 || e.Since == 0 || now > e.Since+g.ColdTime {
 		return
--- a/internal/lab/exprs/exprs.go
+++ b/internal/lab/exprs/exprs.go
@@ -186,46 +186,46 @@
 func truth(b bool) value { return value{b: b} }
 
 func boolean(rng *rand.Rand, depth int) *Expr {
-	make := func(source string, eval func(match.Row) bool) *Expr {
+	newExpr := func(source string, eval func(match.Row) bool) *Expr {
 		return &Expr{source, match.Bool, func(r match.Row) value { return truth(eval(r)) }}
 	}
 	if depth <= 0 {
 		switch rng.Intn(4) {
 		case 0:
 			b := rng.Intn(2) == 0
-			return make(strconv.FormatBool(b), func(match.Row) bool { return b })
+			return newExpr(strconv.FormatBool(b), func(match.Row) bool { return b })
 		case 1:
 			return leafOf(rng, match.Bool)
 		case 2:
 			i := rng.Intn(len(Schema.Fields))
-			return make("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return field(r, i).Has })
+			return newExpr("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return field(r, i).Has })
 		}
-		return make(`has(label("store"))`, func(r match.Row) bool { _, has := labelOf(r, "store"); return has })
+		return newExpr(`has(label("store"))`, func(r match.Row) bool { _, has := labelOf(r, "store"); return has })
 	}
 	d := depth - 1
 	switch rng.Intn(11) {
 	case 0:
 		a, b := boolean(rng, d), boolean(rng, d)
-		return make("("+a.Source+" && "+b.Source+")", func(r match.Row) bool { return a.Bool(r) && b.Bool(r) })
+		return newExpr("("+a.Source+" && "+b.Source+")", func(r match.Row) bool { return a.Bool(r) && b.Bool(r) })
 	case 1:
 		a, b := boolean(rng, d), boolean(rng, d)
-		return make("("+a.Source+" || "+b.Source+")", func(r match.Row) bool { return a.Bool(r) || b.Bool(r) })
+		return newExpr("("+a.Source+" || "+b.Source+")", func(r match.Row) bool { return a.Bool(r) || b.Bool(r) })
 	case 2:
 		a := boolean(rng, d)
-		return make("!("+a.Source+")", func(r match.Row) bool { return !a.Bool(r) })
+		return newExpr("!("+a.Source+")", func(r match.Row) bool { return !a.Bool(r) })
 	case 3:
 		return choice(rng, match.Bool, depth)
 	case 4, 5: // numbers compared
 		typ := []match.Type{match.Number, match.Duration}[rng.Intn(2)]
 		a, b := number(rng, typ, d), number(rng, typ, d)
 		sign := []string{"==", "!=", "<", "<=", ">", ">="}[rng.Intn(6)]
-		return make("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
+		return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
 			return compared(sign, a.Number(r), b.Number(r))
 		})
 	case 6: // texts compared
 		a, b := text(rng, d), text(rng, d)
 		sign := []string{"==", "!=", "<", "<=", ">", ">=", "startswith", "endswith", "contains"}[rng.Intn(9)]
-		return make("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
+		return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
 			x, y := a.Text(r), b.Text(r)
 			switch sign {
 			case "startswith":
@@ -244,7 +244,7 @@
 			w := word(rng)
 			list, source = append(list, w), append(source, quote(w))
 		}
-		return make("("+a.Source+" in ["+strings.Join(source, ", ")+"])", func(r match.Row) bool {
+		return newExpr("("+a.Source+" in ["+strings.Join(source, ", ")+"])", func(r match.Row) bool {
 			for _, w := range list {
 				if w == a.Text(r) {
 					return true
@@ -259,7 +259,7 @@
 		for _, x := range xs {
 			source = append(source, strconv.FormatFloat(x, 'f', -1, 64))
 		}
-		return make("("+a.Source+" in ["+strings.Join(source, ", ")+"])", func(r match.Row) bool {
+		return newExpr("("+a.Source+" in ["+strings.Join(source, ", ")+"])", func(r match.Row) bool {
 			for _, x := range xs {
 				if x == a.Number(r) {
 					return true
@@ -270,12 +270,12 @@
 	case 9:
 		a := text(rng, d)
 		glob := []string{"*", "menu_*", "*a*a*b", "?oad", "", "a\\*b", "**x?", "*-*-*", "lo*d"}[rng.Intn(9)]
-		return make("("+a.Source+" like "+quote(glob)+")", func(r match.Row) bool { return globbed(glob, a.Text(r)) })
+		return newExpr("("+a.Source+" like "+quote(glob)+")", func(r match.Row) bool { return globbed(glob, a.Text(r)) })
 	}
 	a := text(rng, d)
 	pattern := []string{"^menu_[0-9]+$", "(a+)+$", "x|load", "", "^(.*)-(.*)$", "[A-Z]"}[rng.Intn(6)]
 	r2 := regexp.MustCompile(pattern)
-	return make("("+a.Source+" matches "+quote(pattern)+")", func(r match.Row) bool { return r2.MatchString(a.Text(r)) })
+	return newExpr("("+a.Source+" matches "+quote(pattern)+")", func(r match.Row) bool { return r2.MatchString(a.Text(r)) })
 }
 
 func compared(sign string, a, b float64) bool {
@@ -318,7 +318,7 @@
 }
 
 func number(rng *rand.Rand, typ match.Type, depth int) *Expr {
-	make := func(source string, eval func(match.Row) float64) *Expr {
+	newExpr := func(source string, eval func(match.Row) float64) *Expr {
 		return &Expr{source, typ, func(r match.Row) value { return value{x: eval(r)} }}
 	}
 	if depth <= 0 {
@@ -332,7 +332,7 @@
 			source += unit
 			x *= map[string]float64{"ms": 1, "s": 1000, "m": 60000}[unit]
 		}
-		return make(source, func(match.Row) float64 { return x })
+		return newExpr(source, func(match.Row) float64 { return x })
 	}
 	d := depth - 1
 	switch rng.Intn(7) {
@@ -340,22 +340,22 @@
 		return choice(rng, typ, depth)
 	case 1:
 		a := number(rng, typ, d)
-		return make("-("+a.Source+")", func(r match.Row) float64 { return -a.Number(r) })
+		return newExpr("-("+a.Source+")", func(r match.Row) float64 { return -a.Number(r) })
 	case 2:
 		a, b, f := number(rng, typ, d), number(rng, typ, d), "min"
 		if rng.Intn(2) == 0 {
 			f = "max"
 		}
-		return make(f+"("+a.Source+", "+b.Source+")", func(r match.Row) float64 {
-			if x, y := a.Number(r), b.Number(r); (x < y) == (f == "min") {
+		return newExpr(f+"("+a.Source+", "+b.Source+")", func(r match.Row) float64 {
+			x, y := a.Number(r), b.Number(r)
+			if (x < y) == (f == "min") {
 				return x
-			} else {
-				return y
 			}
+			return y
 		})
 	case 3:
 		if typ == match.Number {
-			return ofText(rng, d, make)
+			return ofText(rng, d, newExpr)
 		}
 	}
 	sign := []string{"+", "-", "%", "*", "/"}[rng.Intn(5)]
@@ -364,7 +364,7 @@
 		right = match.Number
 	}
 	a, b := number(rng, typ, d), number(rng, right, d)
-	return make("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) float64 {
+	return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) float64 {
 		x, y := a.Number(r), b.Number(r)
 		switch sign {
 		case "+":
@@ -388,13 +388,13 @@
 }
 
 // ofText is a number that a text comes to.
-func ofText(rng *rand.Rand, d int, make func(string, func(match.Row) float64) *Expr) *Expr {
+func ofText(rng *rand.Rand, d int, newExpr func(string, func(match.Row) float64) *Expr) *Expr {
 	a := text(rng, d)
 	if rng.Intn(2) == 0 {
-		return make("length("+a.Source+")", func(r match.Row) float64 { return float64(len(a.Text(r))) })
+		return newExpr("length("+a.Source+")", func(r match.Row) float64 { return float64(len(a.Text(r))) })
 	}
 	n := 1 + rng.Intn(50)
-	return make(fmt.Sprintf("bucket(%s, %d)", a.Source, n), func(r match.Row) float64 {
+	return newExpr(fmt.Sprintf("bucket(%s, %d)", a.Source, n), func(r match.Row) float64 {
 		h := uint64(14695981039346656037)
 		for _, c := range []byte(a.Text(r)) {
 			h ^= uint64(c)
@@ -414,7 +414,7 @@
 }
 
 func text(rng *rand.Rand, depth int) *Expr {
-	make := func(source string, eval func(match.Row) string) *Expr {
+	newExpr := func(source string, eval func(match.Row) string) *Expr {
 		return &Expr{source, match.Text, func(r match.Row) value { return value{s: eval(r)} }}
 	}
 	if depth <= 0 {
@@ -423,10 +423,10 @@
 			return leafOf(rng, match.Text)
 		case 1:
 			name := []string{"store", "brand", "none"}[rng.Intn(3)]
-			return make("label("+quote(name)+")", func(r match.Row) string { s, _ := labelOf(r, name); return s })
+			return newExpr("label("+quote(name)+")", func(r match.Row) string { s, _ := labelOf(r, name); return s })
 		}
 		w := word(rng)
-		return make(quote(w), func(match.Row) string { return w })
+		return newExpr(quote(w), func(match.Row) string { return w })
 	}
 	d := depth - 1
 	switch rng.Intn(5) {
@@ -434,10 +434,10 @@
 		return choice(rng, match.Text, depth)
 	case 1:
 		a, b := text(rng, d), text(rng, d)
-		return make("("+a.Source+" + "+b.Source+")", func(r match.Row) string { return a.Text(r) + b.Text(r) })
+		return newExpr("("+a.Source+" + "+b.Source+")", func(r match.Row) string { return a.Text(r) + b.Text(r) })
 	case 2:
 		a, b, c := text(rng, d), text(rng, d), text(rng, d)
-		return make("concat("+a.Source+", "+b.Source+", "+c.Source+")", func(r match.Row) string {
+		return newExpr("concat("+a.Source+", "+b.Source+", "+c.Source+")", func(r match.Row) string {
 			return a.Text(r) + b.Text(r) + c.Text(r)
 		})
 	case 3:
@@ -446,7 +446,7 @@
 		if up {
 			f, from = "upper", 'a'
 		}
-		return make(f+"("+a.Source+")", func(r match.Row) string {
+		return newExpr(f+"("+a.Source+")", func(r match.Row) string {
 			b := []byte(a.Text(r))
 			for i, c := range b {
 				if c >= from && c < from+26 {
@@ -457,7 +457,7 @@
 		})
 	}
 	a, sep, n := text(rng, d), []string{"-", "_", "a", "aa"}[rng.Intn(4)], rng.Intn(7)-3
-	return make(fmt.Sprintf("part(%s, %s, %d)", a.Source, quote(sep), n), func(r match.Row) string {
+	return newExpr(fmt.Sprintf("part(%s, %s, %d)", a.Source, quote(sep), n), func(r match.Row) string {
 		if n < 0 {
 			return fromEnd(a.Text(r), sep, -n)
 		}
--- a/internal/lab/fleet/checker.go
+++ b/internal/lab/fleet/checker.go
@@ -73,7 +73,7 @@
 	j.holders[e.Grant] = from
 }
 
-func (j *Checker) began(run uint64, number int, c lease.Grant, now float64) {
+func (j *Checker) began(run uint64, c lease.Grant, now float64) {
 	acting := j.acting[c.Name]
 	if acting == nil {
 		acting = map[uint64]lease.Token{}
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -30,7 +30,7 @@
 		within = 110000
 	}
 	p.Script = DrawScript(rng, nodes, p.Voters, faults, within)
-	p.Script = append(p.Script, drawOrders(rng, nodes, p.Voters, within)...)
+	p.Script = append(p.Script, drawOrders(rng, nodes, within)...)
 	if nodes > p.Voters && rng.Intn(4) == 0 {
 		p.Script = replaceVoter(rng, p, within)
 	}
@@ -39,7 +39,7 @@
 }
 
 // drawOrders draws what operators ask for, and faults of the configuration's own.
-func drawOrders(rng *rand.Rand, nodes, council int, within float64) (s Script) {
+func drawOrders(rng *rand.Rand, nodes int, within float64) (s Script) {
 	for range (ordersLeast + rng.Intn(ordersLeast)) * int(1+within/60000) {
 		f := Fault{At: 2000 + rng.Float64()*(within+3000), A: rng.Intn(nodes), B: rng.Intn(nodes), N: -1}
 		switch kind := rng.Intn(20); {
--- a/internal/lab/fleet/configuration_processes.go
+++ b/internal/lab/fleet/configuration_processes.go
@@ -57,7 +57,7 @@
 	s := UsualScene(mintkeel, seed, nodes, faults)
 	s.Config, s.Leases, s.Rate = true, 1, 1
 	rng := rand.New(rand.NewSource(seed * 17))
-	for _, f := range drawOrders(rng, nodes, s.Voters, 12000) {
+	for _, f := range drawOrders(rng, nodes, 12000) {
 		switch f.Kind {
 		case KillLeader, Replay: // the rig's faults are those of processes
 			f.Kind, f.For = Put, 0
--- a/internal/lab/fleet/orders.go
+++ b/internal/lab/fleet/orders.go
@@ -12,6 +12,7 @@
 // Policy is a way to take engines out.
 type Policy int
 
+// The policies that are compared.
 const (
 	Ours       Policy = iota // core/fleet/maintenance
 	ListOrder                // one at a time, the next when the one before is in the list again
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -112,7 +112,7 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for r.sleep(time.Duration(rng.ExpFloat64() / r.Rate * 1e9)) {
-		id, group_ := rng.Uint64(), rng.Intn(8)
+		id, tables := rng.Uint64(), rng.Intn(8)
 		began := time.Now()
 		if n.isOut(began) {
 			continue
@@ -122,7 +122,7 @@
 			c, err := standin.Dial(context.Background(), n.serve, time.Second)
 			verdict := standin.Lost
 			if err == nil {
-				verdict, _ = c.Query(fmt.Sprintf("verb=lookup,txn=%016x,cpu=5.0", id), fmt.Sprintf("SELECT WORK(5) FROM sales_%d.orders", group_), limit)
+				verdict, _ = c.Query(fmt.Sprintf("verb=lookup,txn=%016x,cpu=5.0", id), fmt.Sprintf("SELECT WORK(5) FROM sales_%d.orders", tables), limit)
 				c.Close()
 			}
 			n.mu.Lock()
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -13,6 +13,7 @@
 // FaultKind is what breaks.
 type FaultKind int
 
+// The kinds of fault, in the order that scripts draw them in.
 const (
 	Kill     FaultKind = iota // the process ends at once; it starts again after For, with its folder
 	Pause                     // the process stands still for For
@@ -35,6 +36,7 @@
 	Full                      // its disk takes no record
 
 	// What operators ask of the fleet's configuration, and faults of its own; DrawScript draws none of them.
+
 	Put          // at A: a document of Amount bytes that N can't use
 	PutTwice     // the same, and another one at B at the same time
 	RollBack     // at A: to the version that is 1+B%4 before the newest
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -11,6 +11,7 @@
 // Loss is how an owner is lost.
 type Loss int
 
+// The losses that are measured.
 const (
 	Killed    Loss = iota
 	Paused         // for six leases
@@ -98,9 +99,9 @@
 // LockFile is the plain baseline: a file with an owner and a time until which it owns, by the wall clocks of the machines,
 // looked at and written in two steps. It plays one history with the troubles that a quorum's lease is played with, and
 // tells how often two acted at once, and how many effects a receiver took from one after a later owner's.
-func LockFile(seed int64, lease float64) (both, late int) {
+func LockFile(seed int64, leaseTime float64) (both, late int) {
 	const end, interval = 60000.0, 50.0 // ms
-	f := newLockFile(seed, lease)
+	f := newLockFile(seed, leaseTime)
 	for now := 0.0; now < end; now += interval {
 		f.trouble(now)
 		acting := 0
@@ -139,9 +140,9 @@
 	actsUntil          float64 // by its own clock
 }
 
-func newLockFile(seed int64, lease float64) *lockFile {
+func newLockFile(seed int64, leaseTime float64) *lockFile {
 	const machines = 4
-	f := &lockFile{rng: rand.New(rand.NewSource(seed)), lease: lease, machines: make([]lockMachine, machines), owner: -1, last: -1,
+	f := &lockFile{rng: rand.New(rand.NewSource(seed)), lease: leaseTime, machines: make([]lockMachine, machines), owner: -1, last: -1,
 		terms: map[int]int{}}
 	for i := range f.machines {
 		f.machines[i].rate = 1
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -99,7 +99,7 @@
 	}
 	for _, c := range out.Began {
 		w.trace("n%d holds %s, token %d", m.number, c.Name, c.Token)
-		w.Checker.began(m.run, m.number, c, w.now)
+		w.Checker.began(m.run, c, w.now)
 	}
 	for _, c := range out.Ended {
 		w.trace("n%d holds %s no more, token %d", m.number, c.Name, c.Token)
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -146,6 +146,7 @@
 // Verdict is what the tests said of a mutant.
 type Verdict int
 
+// The verdicts.
 const (
 	Passed   Verdict = iota // no test noticed
 	Noticed                 // a test failed
@@ -209,11 +210,11 @@
 	if err := os.WriteFile(changed, m.apply(source), 0o600); err != nil {
 		return 0, "", err
 	}
-	real, err := filepath.Abs(m.File)
+	original, err := filepath.Abs(m.File)
 	if err != nil {
 		return 0, "", err
 	}
-	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{real: changed}})
+	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{original: changed}})
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -29,6 +29,7 @@
 // Variant is what the controller finds when it starts again.
 type Variant int
 
+// The variants that are compared.
 const (
 	Unbroken  Variant = iota // it was never killed
 	Without                  // nothing
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -91,23 +91,23 @@
 	if err := f.Start(numbers(0, hollow), size); err != nil {
 		return err
 	}
-	real, err := f.startDaemons(ctx, d.daemons, m.Seed)
+	daemons, err := f.startDaemons(ctx, d.daemons, m.Seed)
 	if err != nil {
 		return err
 	}
-	defer real.close()
+	defer daemons.close()
 	if _, err := f.AwaitAllKnown(ctx, knownWithin); err != nil && !m.isLate(size, err) {
 		return err
 	}
 	if err := pause(ctx, m.settle); err != nil {
 		return err
 	}
-	run := &dayRun{measurement: m, fleet: f, daemons: real, size: size, hollow: hollow, voters: voters, day: d,
+	run := &dayRun{measurement: m, fleet: f, daemons: daemons, size: size, hollow: hollow, voters: voters, day: d,
 		rng: rand.New(rand.NewSource(m.Seed + int64(size)))}
 	if err := run.mix(ctx); err != nil {
 		return err
 	}
-	real.close()
+	daemons.close()
 	return run.cutRegion(ctx)
 }
 
@@ -225,7 +225,7 @@
 }
 
 // replace has an ordinary controller end and start again at once.
-func (r *dayRun) replace(ctx context.Context) error {
+func (r *dayRun) replace(_ context.Context) error {
 	number := r.ordinary()
 	if err := r.fleet.Stop([]int{number}); err != nil {
 		return err
--- a/internal/lab/scale/membership/scenarios.go
+++ b/internal/lab/scale/membership/scenarios.go
@@ -54,7 +54,7 @@
 	if err := s.runUntil(ctx, 2*starting); err != nil {
 		return nil, err
 	}
-	_, err := s.settle(ctx, []*watch{s.wholeWatch()}, warmMost)
+	err := s.settle(ctx, []*watch{s.wholeWatch()}, warmMost)
 	if err == nil {
 		err = s.runUntil(ctx, s.now+20_000) // what is still passed on of the start
 	}
@@ -125,17 +125,17 @@
 		dead := s.controllers[min(voters, p.size/2)+i] // no voter
 		deaths = append(deaths, s.deathWatch(dead))
 		s.stop(dead)
-		if _, err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
+		if err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
 			return outcome{}, err
 		}
 		started := s.addController()
 		s.start(started)
 		joins = append(joins, s.startWatch(started))
-		if _, err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
+		if err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
 			return outcome{}, err
 		}
 	}
-	if _, err := s.settle(ctx, append(deaths, joins...), tookMost); err != nil {
+	if err := s.settle(ctx, append(deaths, joins...), tookMost); err != nil {
 		return outcome{}, err
 	}
 	o.deaths, o.joins = times(deaths), times(joins)
@@ -166,7 +166,7 @@
 // untilWhole plays until all know all, and gives the time that it took.
 func (s *simulation) untilWhole(ctx context.Context) (outcome, error) {
 	whole := []*watch{s.wholeWatch()}
-	_, err := s.settle(ctx, whole, tookMost)
+	err := s.settle(ctx, whole, tookMost)
 	return outcome{whole: times(whole)}, err
 }
 
--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -51,11 +51,11 @@
 	}
 }
 
-// settle plays until all watches are done, for a time at most, and tells whether they are.
-func (s *simulation) settle(ctx context.Context, watches []*watch, most float64) (bool, error) {
+// settle plays until all watches are done, for a time in ms at most.
+func (s *simulation) settle(ctx context.Context, watches []*watch, most float64) error {
 	for end := s.now + most; s.now < end; {
 		if err := s.runUntil(ctx, s.now+pollEvery); err != nil {
-			return false, err
+			return err
 		}
 		waiting := 0
 		for _, w := range watches {
@@ -64,10 +64,10 @@
 			}
 		}
 		if waiting == 0 {
-			return true, nil
+			return nil
 		}
 	}
-	return false, nil
+	return nil
 }
 
 // wholeWatch waits until all that run take all that run to be alive, and nobody else.
--- a/internal/lab/scale/membership/wire.go
+++ b/internal/lab/scale/membership/wire.go
@@ -55,9 +55,9 @@
 }
 
 // segments is the size on the socket of some bytes, and of their acknowledgements: one for two segments.
-func segments(bytes int) traffic {
-	n := (bytes + segmentPayload - 1) / segmentPayload
-	return traffic{sender: bytes + n*segmentHeader, receiver: (n + 1) / 2 * segmentHeader}
+func segments(size int) traffic {
+	n := (size + segmentPayload - 1) / segmentPayload
+	return traffic{sender: size + n*segmentHeader, receiver: (n + 1) / 2 * segmentHeader}
 }
 
 // handshake is what opening a connection and closing it again costs: SYN, SYN-ACK, ACK; the challenge, whose
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -112,9 +112,9 @@
 // PrintTable prints rows as a table.
 func PrintTable(w io.Writer, rows []slope.Row) error {
 	table := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	print := func(cells ...string) { fmt.Fprintf(table, "| %s\t|\n", strings.Join(cells, "\t| ")) }
-	print("role", "cost", "condition", "method", "sizes", "slope", "residual", "at target", "origin", "budget", "ratio")
-	print(slices.Repeat([]string{"---"}, 11)...)
+	printRow := func(cells ...string) { fmt.Fprintf(table, "| %s\t|\n", strings.Join(cells, "\t| ")) }
+	printRow("role", "cost", "condition", "method", "sizes", "slope", "residual", "at target", "origin", "budget", "ratio")
+	printRow(slices.Repeat([]string{"---"}, 11)...)
 	for _, r := range rows {
 		line := r.Fit()
 		value, _ := r.AtTarget()
@@ -126,7 +126,7 @@
 		if r.Log {
 			per = "doubling of " + r.Per
 		}
-		print(r.Role, r.Cost, r.Condition, r.Method, sizes(r), fmt.Sprintf("%s %s per %s", figure(line.Slope), r.Unit, singular(per)),
+		printRow(r.Role, r.Cost, r.Condition, r.Method, sizes(r), fmt.Sprintf("%s %s per %s", figure(line.Slope), r.Unit, singular(per)),
 			figure(line.Residual), fmt.Sprintf("%s %s at %g %s", figure(value), r.Unit, r.Target, r.Per), r.Origin(), budget, ratio)
 	}
 	return table.Flush()
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -19,6 +19,7 @@
 // Memory is what controllers restore when they start again.
 type Memory int
 
+// What there may be to restore.
 const (
 	Nothing   Memory = iota
 	Persisted        // what the earlier incarnation had learned, aged as in service
@@ -63,12 +64,12 @@
 	Log             []string // the last events, if they were recorded
 }
 
-// Play runs a simulation to its end. make makes a controller that starts.
-func Play(s Spec, make func(seed int64, place router.Place) Controller) *Result {
+// Play runs a simulation to its end. start makes a controller.
+func Play(s Spec, start func(seed int64, place router.Place) Controller) *Result {
 	sim := &simulation{
 		Spec:    s,
 		rng:     rand.New(rand.NewSource(s.Seed)),
-		make:    make,
+		make:    start,
 		checker: checker.New(s.Facts),
 		engines: map[router.EngineID]*engine{},
 		works:   map[router.CommandID]float64{},
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -130,10 +130,10 @@
 		rule   checker.Rule
 		change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
 	}{
-		{"sheds nothing", checker.Answered, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"sheds nothing", checker.Answered, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			return drop(a, isShed)
 		}},
-		{"sheds twice", checker.Answered, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"sheds twice", checker.Answered, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			for _, action := range a {
 				if isShed(action) {
 					return append(a, action)
@@ -150,7 +150,7 @@
 			return a
 		}},
 		{"sends all that it sends anew at once", checker.Once,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.Send); ok {
 						return append(a, s)
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -14,6 +14,7 @@
 // Verdict is what a client was told.
 type Verdict int
 
+// The verdicts.
 const (
 	Answered Verdict = iota
 	Shed
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -7,6 +7,7 @@
 	"context"
 	"encoding/binary"
 	"fmt"
+	"io"
 	"math"
 	"math/rand"
 	"net"
@@ -167,7 +168,7 @@
 				return
 			}
 			statement := make([]byte, length+2)
-			if _, err := readFull(r, statement); err != nil {
+			if _, err := io.ReadFull(r, statement); err != nil {
 				return
 			}
 			e.received(words[0], len(line)+len(statement))
@@ -178,15 +179,6 @@
 	}
 }
 
-func readFull(r *bufio.Reader, b []byte) (n int, err error) {
-	for n < len(b) && err == nil {
-		var m int
-		m, err = r.Read(b[n:])
-		n += m
-	}
-	return n, err
-}
-
 // between is what stands between two marks; empty if they are not there.
 func between(text, from, to string) string {
 	_, rest, ok := strings.Cut(text, from)
@@ -345,6 +337,7 @@
 // ListState is what the list tells of an engine.
 type ListState byte
 
+// The states of an engine in the list.
 const (
 	Ready ListState = iota
 	Draining
@@ -382,7 +375,7 @@
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	head := make([]byte, 8)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := readFull(bufio.NewReader(c), head); err != nil {
+	if _, err := io.ReadFull(bufio.NewReader(c), head); err != nil {
 		return
 	}
 	for last := binary.BigEndian.Uint64(head); ; {
--- a/internal/lab/steps/hard_test.go
+++ b/internal/lab/steps/hard_test.go
@@ -20,10 +20,10 @@
 	sends  []router.Send // in order
 }
 
-func newFront(t *testing.T, make_ Make, profiles []router.Profile, guards router.Guards) *front {
+func newFront(t *testing.T, newModule Make, profiles []router.Profile, guards router.Guards) *front {
 	kinds := []router.Kind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	return &front{t: t, now: 1e6, out: map[router.CommandID]router.EngineID{}, finals: map[router.CommandID]int{},
-		m: make_(1, router.Place{Controllers: 1}, kinds, profiles, nil, router.Allowed{Cancel: true, MaxSends: 3, RetryAfter: true,
+		m: newModule(1, router.Place{Controllers: 1}, kinds, profiles, nil, router.Allowed{Cancel: true, MaxSends: 3, RetryAfter: true,
 			MaxRetryAfter: 100}, guards)}
 }
 
@@ -126,10 +126,10 @@
 func TestLongLines(t *testing.T) {
 	for _, c := range []struct {
 		keys, commands, steps int
-		make_                 Make
+		newModule             Make
 	}{{300, 1500, 400, twin(t)}, {1, 400, 400, twin(t)}, {20000, 20000, 300, module}, {1, 20000, 300, module}} {
 		profiles := []router.Profile{{Effect: router.Replayable, Target: 1e6, Timeout: 1e6, Threads: 1, LateShare: 1, InOrder: true}}
-		f := newFront(t, c.make_, profiles, guards)
+		f := newFront(t, c.newModule, profiles, guards)
 		f.step(0, router.Listed{Whole: true, Entries: list("a", 20, 0, router.Ready)})
 		keyOf := map[router.CommandID]int{}
 		for n := 0; n < c.commands; {
@@ -218,9 +218,9 @@
 
 // All kinds of events in one step, in any order: the same as the reference, and as another of the same order.
 func TestAnyOrder(t *testing.T) {
-	play := func(make_ Make, seed int64) (all []router.Send) {
+	play := func(newModule Make, seed int64) (all []router.Send) {
 		rng := rand.New(rand.NewSource(seed))
-		f := newFront(t, make_, Profiles(4000), guards)
+		f := newFront(t, newModule, Profiles(4000), guards)
 		f.step(0, router.Listed{Whole: true, Entries: list("a", 30, 0, router.Ready)})
 		for range 40 {
 			var events []router.Event
--- a/internal/lab/steps/pressed.go
+++ b/internal/lab/steps/pressed.go
@@ -62,8 +62,8 @@
 }
 
 // Play plays it.
-func (p Pressed) Play(make_ Make) Pressure {
-	r := p.start(make_)
+func (p Pressed) Play(newModule Make) Pressure {
+	r := p.start(newModule)
 	for r.now < r.end || len(r.queue) > 0 || len(r.open) > 0 {
 		r.passIdleTime()
 		r.busy = 0
@@ -82,12 +82,12 @@
 	return r.out
 }
 
-func (p Pressed) start(make_ Make) *pressedRun {
+func (p Pressed) start(newModule Make) *pressedRun {
 	const began, engines = 1e6, 50
 	profile := router.Profile{Effect: router.Replayable, Target: pressedTarget, Timeout: pressedTimeout, Threads: 1, LateShare: 0.3}
 	r := &pressedRun{Pressed: p, rng: rand.New(rand.NewSource(p.Seed)), now: began, next: began, end: began + p.Length,
 		wake: math.Inf(1), open: map[router.CommandID]*waiting{}}
-	r.module = make_(p.Seed, router.Place{Controllers: 1}, []router.Kind{{Cores: 64, MemoryMB: memory}}, []router.Profile{profile}, nil,
+	r.module = newModule(p.Seed, router.Place{Controllers: 1}, []router.Kind{{Cores: 64, MemoryMB: memory}}, []router.Profile{profile}, nil,
 		router.Allowed{Cancel: true, MaxSends: 3}, router.Guards{Round: 1, ColdShare: 1, ColdMultiple: 0})
 	var entries []router.Entry
 	for i := range engines {
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -26,6 +26,7 @@
 // Busy is how full the fleet is kept.
 type Busy int
 
+// How full the fleet may be kept.
 const (
 	Idle Busy = iota // one command out for every engine of ten
 	Half             // half of what engines take
@@ -93,11 +94,11 @@
 }
 
 // New fills a scene.
-func New(s Scene, make_ Make) *Rig {
+func New(s Scene, newModule Make) *Rig {
 	kinds := []router.Kind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6, held: map[router.CommandID]bool{},
 		sends: map[router.CommandID]int{}, loads: map[router.EngineID]int{}, wake: math.Inf(1)}
-	g.m = make_(s.Seed, router.Place{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
+	g.m = newModule(s.Seed, router.Place{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
 		router.Allowed{Cancel: true, MaxSends: 4, RetryAfter: true, MaxRetryAfter: 500},
 		router.Guards{ColdShare: 0.3, ColdTime: 10000, ColdMultiple: 4, ColdWindow: 1500, OrderRest: 300})
 	g.step(router.Listed{Whole: true, Entries: g.entries()})
--- a/internal/lab/steps/ways_test.go
+++ b/internal/lab/steps/ways_test.go
@@ -64,7 +64,7 @@
 func BenchmarkHeld(b *testing.B) {
 	less := func(x, y *item) bool { return order(x, y) < 0 }
 	for _, n := range []int{10, 1000, 100000} {
-		for name, make := range map[string]func() held{
+		for name, newHeld := range map[string]func() held{
 			"slice":  func() held { return &asSlice{} },
 			"google": func() held { return &asGoogle{gbtree.NewG(32, less)} },
 			"tidwall": func() held {
@@ -72,7 +72,7 @@
 			},
 		} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
-				h, rng, id := make(), rand.New(rand.NewSource(1)), uint32(0)
+				h, rng, id := newHeld(), rand.New(rand.NewSource(1)), uint32(0)
 				come := func() {
 					id++
 					h.insert(&item{at: float64(id) + rng.Float64()*float64(n)/3, id: id})
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -52,6 +52,7 @@
 // StartKind is what a connection begins with.
 type StartKind int
 
+// The kinds of a connection's first message.
 const (
 	Start   StartKind = iota
 	Cancel            // give up what the session of this key has open
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -28,13 +28,16 @@
 
 // Messages that come in. Times are nanoseconds.
 type (
+	// Up starts a controller.
 	Up struct {
 		Controller int
 		Nonce      uint64
 		Options    Options
 	}
+	// Retire ends a controller at once; its state goes with it.
 	Retire struct{ Controller int }
-	Item   struct {
+	// Item is an engine in the endpoint list.
+	Item struct {
 		Since    int64
 		Zone     string
 		Shape    string
@@ -43,11 +46,13 @@
 		Executor string
 		State    int64
 	}
+	// View is an update of the endpoint list. Scope: 0 those that changed, 1 all, 2 all from the cache, 3 discovery failed.
 	View struct {
 		Controller int
 		Scope      int64
 		Items      []Item
 	}
+	// Incoming is a query that arrived.
 	Incoming struct {
 		Controller int
 		ID         uint32
@@ -60,11 +65,13 @@
 		MemoryMB   float64
 		Relation   string
 	}
+	// Opened tells that the response to an attempt has started.
 	Opened struct {
 		Controller int
 		ID         uint32
 		Go         int
 	}
+	// Signal is progress of an attempt.
 	Signal struct {
 		Controller int
 		ID         uint32
@@ -72,6 +79,7 @@
 		What       int64
 		Level      float64
 	}
+	// AttemptEnd tells how an attempt ended.
 	AttemptEnd struct {
 		Controller int
 		ID         uint32
@@ -82,17 +90,21 @@
 		Go         int
 		Feedback   []float64
 	}
+	// Vanished tells that a query's client disconnected.
 	Vanished struct {
 		Controller int
 		ID         uint32
 	}
-	Bell   struct{ Controller int }
+	// Bell is a timer that fired.
+	Bell struct{ Controller int }
+	// Probed tells how a health check ended.
 	Probed struct {
 		Controller int
 		Executor   string
 		Reason     string
 		Feedback   []float64
 	}
+	// Memo is a message of another controller, for which nothing has a use.
 	Memo struct{ Controller int }
 )
 
@@ -116,6 +128,7 @@
 	sheets [16][]Item
 }
 
+// NewReader reads batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<20)} }
 
 // fields hands out the parts of a line in their order and keeps the first error.
@@ -383,6 +396,7 @@
 // Writer writes replies.
 type Writer struct{ out *bufio.Writer }
 
+// NewWriter writes replies to out. End writes them out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<20)} }
 
 // Line writes one action: its name and its values in order.
--- a/match/glob.go
+++ b/match/glob.go
@@ -14,9 +14,9 @@
 func newPattern(source string) *pattern {
 	p := &pattern{source: source}
 	var b strings.Builder
-	add := func(c byte, any, one bool) {
+	add := func(c byte, star, question bool) {
 		b.WriteByte(c)
-		p.any, p.one = append(p.any, any), append(p.one, one)
+		p.any, p.one = append(p.any, star), append(p.one, question)
 	}
 	for i := 0; i < len(source); i++ {
 		switch c := source[i]; {
--- a/match/match.go
+++ b/match/match.go
@@ -18,6 +18,7 @@
 // Type is that of an expression or a field.
 type Type int
 
+// The types.
 const (
 	Bool     Type = iota
 	Number        // a float64
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -88,8 +88,8 @@
 
 // What is wrong is told with its place.
 func TestErrors(t *testing.T) {
-	deep := func(open, close string, n int) string {
-		return strings.Repeat(open, n) + "true" + strings.Repeat(close, n)
+	deep := func(opening, closing string, n int) string {
+		return strings.Repeat(opening, n) + "true" + strings.Repeat(closing, n)
 	}
 	for _, c := range []struct {
 		source, place, why string
