--- a/internal/core/fleet/lease/manager_test.go
+++ b/internal/core/fleet/lease/manager_test.go
@@ -93,7 +93,7 @@
 	}
 
 	s = stateWithHolders(a) // an operator's preference
-	s.Apply(prefer("x", "c"))
+	s.Apply(preferredHolder("c"))
 	s.Apply(release(a, "x", 1))
 	if got := assignments(NewManager(timing, 0).Decide(0, s, candidates("a", "b", "c"))[:1]); got != "x:c " {
 		t.Errorf("c is preferred: %q", got)
--- a/internal/core/fleet/lease/mutation_test.go
+++ b/internal/core/fleet/lease/mutation_test.go
@@ -10,7 +10,7 @@
 func TestCasesFoundByMutationTesting(t *testing.T) {
 	timing := Timing{Duration: 1000}
 	s := stateWithHolders(a)
-	s.Apply(prefer("x", "b"))
+	s.Apply(preferredHolder("b"))
 	s.Apply(assign("x", 1, b))
 	if s.Leases["x"].Preferred != "" {
 		t.Error("a preference stays after it was met")
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -22,13 +22,13 @@
 func sentGrant() lease.Grant { return lease.Grant{Name: "digest", Token: 9} }
 
 func sentLease() lease.Lease {
-	return lease.Lease{Name: "digest", Token: 9, Holder: sentHolder(), Renewal: 1001, Preferred: "n3", Retired: true,
+	return lease.Lease{Name: "digest", Token: 9, Holder: sentHolder(), Revision: 1001, Preferred: "n3", Retired: true,
 		Serial: 4, State: []byte{1, 2, 3}}
 }
 
 func sentMember() members.Member {
 	return members.Member{ID: "n2", Addr: "10.0.0.2:9443", State: members.Suspect, Incarnation: 5, Willing: true, Run: 78,
-		By: "n3"}
+		Suspector: "n3"}
 }
 
 func sentHash() config.Hash { return config.Hash{0xa1, 31: 0xa2} }
@@ -53,8 +53,8 @@
 
 func TestMembersMessageEncodingIsStable(t *testing.T) {
 	table := golden.Open(t, "members.golden")
-	ping := &members.Message{Kind: members.Ping, Seq: 41, About: "n4", Want: true, News: []members.Member{sentMember()},
-		Sums: members.Sums{51, 52}, Buckets: 1<<63 | 3}
+	ping := &members.Message{Kind: members.Ping, Seq: 41, Target: "n4", WantReply: true, Updates: []members.Member{sentMember()},
+		Checksums: members.Checksums{51, 52}, Buckets: 1<<63 | 3}
 	checkMessage(t, table, "members", ping, Message{Members: ping})
 	ack := &members.Message{Kind: members.Ack, Seq: 42}
 	golden.CBOR(t, table, "members-ack", Message{Members: ack}, frames.Decoder.Unmarshal)
@@ -65,11 +65,11 @@
 	from, to := quorum.Incarnation{Name: "n1", Disk: 101}, quorum.Incarnation{Name: "n2", Disk: 102}
 	raft := &quorum.Message{From: from, To: to, Raft: []byte{1, 2, 3}, Serial: 21, Run: 77}
 	golden.CBOR(t, table, "raft", Message{Quorum: raft}, frames.Decoder.Unmarshal)
-	ask := &quorum.Message{From: from, To: to, Ask: &quorum.Ask{Run: 77}, Run: 77}
-	checkMessage(t, table, "ask", ask.Ask, Message{Quorum: ask})
-	answer := &quorum.Message{From: from, To: to, Run: 77, Answer: &quorum.Answer{Run: 78, Mark: 22, Retired: true, Led: true,
-		Members: []members.ID{"n1", "n2"}, Index: 40, Pending: []members.ID{"n3"}}}
-	checkMessage(t, table, "answer", answer.Answer, Message{Quorum: answer})
+	ask := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
+	checkMessage(t, table, "ask", ask.VouchRequest, Message{Quorum: ask})
+	answer := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78, ReceivedSerial: 22, Retired: true, HasLeader: true,
+		Members: []members.ID{"n1", "n2"}, Index: 40, PendingMembers: []members.ID{"n3"}}}
+	checkMessage(t, table, "answer", answer.VouchResponse, Message{Quorum: answer})
 	join := &quorum.Message{From: from, To: to, Join: &quorum.Join{Run: 77}, Run: 77}
 	checkMessage(t, table, "join", join.Join, Message{Quorum: join})
 	invite := &quorum.Message{From: from, To: to, Run: 77, Invite: true}
@@ -168,9 +168,9 @@
 		name        string
 		number, was int
 	}{
-		{"ping", int(members.Ping), 1}, {"ping for", int(members.PingFor), 2}, {"ack", int(members.Ack), 3},
+		{"ping", int(members.Ping), 1}, {"ping for", int(members.PingRequest), 2}, {"ack", int(members.Ack), 3},
 		{"nack", int(members.Nack), 4}, {"sync", int(members.Sync), 5},
-		{"alive", int(members.Alive), 0}, {"suspect", int(members.Suspect), 1}, {"gone", int(members.Gone), 2},
+		{"alive", int(members.Alive), 0}, {"suspect", int(members.Suspect), 1}, {"gone", int(members.Dead), 2},
 		{"left", int(members.Left), 3},
 		{"unknown", int(config.Unknown), 0}, {"agreed", int(config.Agreed), 1}, {"lost", int(config.Lost), 2},
 		{"refused", int(config.Refused), 3},
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -36,9 +36,9 @@
 
 func storedLeases() []lease.Lease {
 	return []lease.Lease{
-		{Name: "digest", Token: 9, Holder: lease.Holder{ID: "n1", Run: 77}, Renewal: 1001, Preferred: "n3", Retired: true,
+		{Name: "digest", Token: 9, Holder: lease.Holder{ID: "n1", Run: 77}, Revision: 1001, Preferred: "n3", Retired: true,
 			Serial: 4, State: []byte{1, 2, 3}},
-		{Name: "maintenance", Token: 2, Holder: lease.Holder{ID: "n2", Run: 78}, Renewal: 1002, Preferred: "n1",
+		{Name: "maintenance", Token: 2, Holder: lease.Holder{ID: "n2", Run: 78}, Revision: 1002, Preferred: "n1",
 			Retired: true, Serial: 5, State: []byte{4}},
 	}
 }
@@ -59,7 +59,7 @@
 	grant := lease.Grant{Name: "digest", Token: 9}
 	return map[string]lease.Command{
 		"declare": {Declare: &lease.Declare{Names: []lease.Name{"digest", "maintenance"}}},
-		"assign":  {Assign: &lease.Assign{Name: "digest", Renewal: 12, To: holder}},
+		"assign":  {Assign: &lease.Assign{Name: "digest", Revision: 12, To: holder}},
 		"renew":   {Renew: &lease.Renew{Holder: holder, Grants: []lease.Grant{grant}, Sequence: 13}},
 		"release": {Release: &lease.Release{Holder: holder, Grant: grant, Failed: true}},
 		"prefer":  {Prefer: &lease.Prefer{Name: "digest", To: "n2"}},
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry, err := encodeProposal(proposal{By: "n1", Ref: 15, Command: storedCommands()["prefer"]})
+	entry, err := encodeProposal(proposal{Proposer: "n1", Ref: 15, Command: storedCommands()["prefer"]})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,8 +92,8 @@
 			Data: entry})},
 		Snapshot: protoBytes(t, &pb.Snapshot{Data: agreed, Metadata: &pb.SnapshotMetadata{
 			ConfState: &pb.ConfState{Voters: voters, AutoLeave: new(false)}, Index: new(uint64(40)), Term: new(uint64(5))}}),
-		Marks: []Mark{{Incarnation: Incarnation{Name: "n2", Disk: 102}, Serial: 33}},
-		Whole: true,
+		ReceivedSerials: []ReceivedSerial{{Incarnation: Incarnation{Name: "n2", Disk: 102}, Serial: 33}},
+		Full:            true,
 	}
 }
 
@@ -114,7 +114,7 @@
 	table := golden.Open(t, "commands.golden")
 	commands := storedCommands()
 	for _, name := range []string{"declare", "assign", "renew", "release", "prefer", "store", "load"} {
-		golden.CBOR(t, table, name, proposal{By: "n1", Ref: 15, Command: commands[name]}, cbor.Unmarshal)
+		golden.CBOR(t, table, name, proposal{Proposer: "n1", Ref: 15, Command: commands[name]}, cbor.Unmarshal)
 	}
 	for _, command := range []any{commands["declare"].Declare, commands["assign"].Assign, commands["renew"].Renew,
 		commands["release"].Release, commands["prefer"].Prefer, commands["store"].StoreState, commands["load"].LoadState} {
@@ -122,7 +122,7 @@
 	}
 	proposed := &config.Proposal{Expect: 6, Version: storedVersion()}
 	golden.AllSet(t, proposed)
-	golden.CBOR(t, table, "config", proposal{By: "n1", Ref: 16, Config: proposed}, cbor.Unmarshal)
+	golden.CBOR(t, table, "config", proposal{Proposer: "n1", Ref: 16, Config: proposed}, cbor.Unmarshal)
 }
 
 // TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote: it has the agreed state, and the
@@ -133,13 +133,13 @@
 	if err := cbor.Unmarshal(stored, &record); err != nil {
 		t.Fatal(err)
 	}
-	replica, err := New(Facts{Self: "n1", Founders: []members.ID{"n1", "n2", "n3"}, Run: 1, Disk: 2, Seed: 3},
+	replica, err := New(Config{Self: "n1", Founders: []members.ID{"n1", "n2", "n3"}, Run: 1, NextDisk: 2, Seed: 3},
 		[]Record{record}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := storedAgreed()
-	if got := replica.state.List(); !reflect.DeepEqual(got, want.Leases) {
+	if got := replica.leases.List(); !reflect.DeepEqual(got, want.Leases) {
 		t.Errorf("leases: %+v", got)
 	}
 	if got := replica.snapshot(); !reflect.DeepEqual(got.Retired, want.Retired) ||
@@ -148,15 +148,15 @@
 		t.Errorf("agreed state: %+v", got)
 	}
 	if replica.incarnation != *record.Incarnation || replica.serial != record.Serial ||
-		replica.marks[record.Marks[0].Incarnation] != record.Marks[0].Serial || replica.appliedIndex != 41 {
-		t.Errorf("incarnation %+v, serial %d, marks %v, applied %d", replica.incarnation, replica.serial, replica.marks,
+		replica.receivedSerials[record.ReceivedSerials[0].Incarnation] != record.ReceivedSerials[0].Serial || replica.appliedIndex != 41 {
+		t.Errorf("incarnation %+v, serial %d, marks %v, applied %d", replica.incarnation, replica.serial, replica.receivedSerials,
 			replica.appliedIndex)
 	}
 	snap, err := replica.storage.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := replica.Whole(snap)
+	whole := replica.fullRecord(snap)
 	whole.Serial = record.Serial // the next one's is one more
 	if rewritten := mustEncode(t, *whole); !bytes.Equal(rewritten, stored) {
 		t.Errorf("written again:\n%x\nstored:\n%x", rewritten, stored)
@@ -164,7 +164,7 @@
 }
 
 func TestRoleNamesAreStable(t *testing.T) {
-	names := map[Role]string{Outside: "outside", Doubted: "doubted", Joining: "joining", Learning: "learning", Voting: "voting"}
+	names := map[Role]string{NonMember: "outside", Unverified: "doubted", Joining: "joining", Learner: "learning", Voter: "voting"}
 	for role, name := range names {
 		if role.String() != name {
 			t.Errorf("%q, and was %q", role, name)
