--- a/router/class.go
+++ b/router/class.go
@@ -1,22 +1,27 @@
 package router
 
-// queryClass is what is stated of a queryClass, with what was learned of it.
+// queryClass is a configured QueryClass with what was learned of its queries.
 type queryClass struct {
 	QueryClass
-	index            int
-	firstTryTimeout  float64     // what a first try leaves until its client gives up: the most seen
-	bestUnitTime     float64     // least mean, lately, of the time taken over the unit: how it runs alone
-	unitTime         decayedMean // time taken over the unit
-	logSlowdown      decayedMean // logarithm of the time taken over the time alone, lately
-	work             decayedMean // what a command needs on one thread
-	workScale        decayedMean // true work over estimate
-	memoryScale      decayedMean // true memory over estimate
-	unconfirmedSince float64     // when best and scales were put in or last borne out, if they are remembered; 0: they are its own
-	shedWatch        shedWatch   // its held commands, to be given up in time
-	worthCache       worthCache
+	index           int     // its ClassID
+	firstTryTimeout float64 // ms that a first try leaves until its client gives up: slowly decaying maximum
+	bestUnitTime    float64 // ms per unit on an idle engine: least recent mean of unitTime; 0: not known
+
+	unitTime    decayedMean // ms per unit of work, see workUnits
+	logSlowdown decayedMean // natural logarithm of the run time over the time on an idle engine
+	work        decayedMean // ms on one thread
+	workScale   decayedMean // true work over estimated work
+	memoryScale decayedMean // true memory over estimated memory
+
+	// unconfirmedSince, in ms, is when bestUnitTime and the scales were restored from an earlier run or, if
+	// later, when the last answer came; 0: they are this run's own.
+	unconfirmedSince float64
+
+	shedWatch  shedWatch
+	worthCache worthCache
 }
 
-// newQueryClass returns the state of the class at an index of the list given at start.
+// newQueryClass returns the state of the class at an index of the list given to New.
 func newQueryClass(index int, class QueryClass) *queryClass {
 	return &queryClass{
 		QueryClass:  class,
@@ -30,8 +35,8 @@
 	}
 }
 
-// tenant is one that shares the fleet, with what it asks for here.
+// tenant is a configured Tenant with the queries that it sends here.
 type tenant struct {
 	Tenant
-	queries decayedMean // commands taken
+	queries decayedMean // its rate is queries per ms
 }
--- a/router/engine.go
+++ b/router/engine.go
@@ -7,52 +7,59 @@
 	"slices"
 )
 
-// engine is one of the list, or one that left it with sends still out.
+// engine is an engine of the endpoint list, or one that has left it while the outcome of an attempt or of a
+// health check is waited for.
 type engine struct {
-	idHash            uint64 // of the id
-	bounds            searchBounds
-	attempts          int     // own sends out
-	threads           float64 // of these
-	id                EngineID
-	state             EngineState
-	zone              Zone
-	kind              KindID
-	cell              CellID
-	startedAt         float64
-	cores             float64
-	tableLocks        map[*tableGroup]int     // own loads out, by what they hold
-	tablesLockedUntil map[*tableGroup]float64 // by a note that a load holds them
-	othersInflight    decayedMean             // commands of other controllers, by its reports
-	utilization, disk decayedMean
-	memoryGranted     float64 // share of its memory, by its last report
-	reportedAt        float64
-	slowdown          decayedMean // time taken over the time alone
-	outcomes          uint64      // the last outcomes, a bit each, 1 for success
-	trialAt           float64
-	trialWait         float64
-	checkingHealth    bool
-	healthCheckAt     float64
-	threadsPerCore    float64 // threads a core that all controllers together may run here, by what this one sees
-	limitCutAt        float64
-	classBackoffs     []backoff // of profiles that it turned away, by number
-	succeededAt       float64   // when a send last did well, whatever its profile
-	slowStartWork     slidingWindow
-	answeredStartAt   float64     // when what it last answered was sent to it
-	connectionLostAt  float64     // when a connection to it was last lost, or not to be had
-	pool              *enginePool // which it has
-	markedPool        *enginePool // among whose engines it was found last, and
-	affinity          float64     // how well it suits an owner, while engines are handed out
-}
+	// What a search over engines reads first, so that it lies close together.
+	idHash   uint64 // of id
+	bounds   searchBounds
+	attempts int     // of this controller, whose outcome is waited for
+	threads  float64 // that these attempts use
 
-// tableLocksHeld is how many loads are known to hold a table group on the engine.
-func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
-	if len(g.lockHolders) == 0 {
-		return 0
-	}
-	if now < e.tablesLockedUntil[g] {
-		return float64(e.tableLocks[g] + 1)
-	}
-	return float64(e.tableLocks[g])
+	// What the endpoint list says of it.
+	id        EngineID
+	state     EngineState
+	zone      Zone
+	kind      KindID
+	cell      CellID
+	startedAt float64 // ms, of its process; -Inf: long ago
+	cores     float64
+
+	// Table locks on it.
+	tableLocks        map[*tableGroup]int     // attempts of this controller that lock the group
+	tablesLockedUntil map[*tableGroup]float64 // ms, until which a progress message counts that told of a lock
+
+	// What its load reports say.
+	othersInflight decayedMean // queries of other controllers in flight
+	utilization    decayedMean // busy cores over all cores
+	disk           decayedMean // share of its disks that is busy
+	memoryGranted  float64     // share of its memory that is granted, by the last report
+	reportedAt     float64     // ms, of the last report; 0: there is none
+
+	// How attempts of this controller do on it.
+	slowdown       decayedMean // run time over the time on an idle engine
+	threadsPerCore float64     // concurrency limit of all controllers together, as this one sees it
+	limitCutAt     float64     // ms, when that limit was last cut because the engine was slow
+	outcomes       uint64      // of attempts and health checks, a bit each, the last one lowest; 1: success
+	succeededAt    float64     // ms, of the last success of any class
+	classBackoffs  []backoff   // by class index
+	slowStartWork  slidingWindow
+
+	// Trials while it is not healthy, and health checks.
+	trialAt        float64 // ms, from which it may get a trial attempt
+	trialWait      float64 // ms, from the next failure until a trial
+	checkingHealth bool    // a health check is outstanding
+	healthCheckAt  float64 // ms, when the next health check is due
+
+	// What rule 3 goes by while the endpoint list has expired.
+	answeredStartAt  float64 // ms, the latest start of an attempt that it answered
+	connectionLostAt float64 // ms, when a connection was last lost or failed; -Inf: none since its last answer
+
+	pool *enginePool // that it is in; nil: none
+
+	// Scratch values while engines are assigned to pools.
+	markedPool *enginePool // the pool that is marked, if this engine is in it
+	affinity   float64     // to the pool that gets engines
 }
 
 // allSucceeded are the outcomes that a new engine starts with.
@@ -88,29 +95,44 @@
 	clear(e.classBackoffs)
 }
 
-// readyOfKind tells whether the list calls an engine of a kind ready.
-func (e *engine) readyOfKind(k int) bool { return e.state == Ready && int(e.kind) == k }
+// tableLocksHeld is how many attempts are known to lock a table group on e: this controller's, and one more
+// if a progress message has told of a lock lately.
+func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
+	if len(g.lockHolders) == 0 {
+		return 0
+	}
+	if now < e.tablesLockedUntil[g] {
+		return float64(e.tableLocks[g] + 1)
+	}
+	return float64(e.tableLocks[g])
+}
+
+// readyOfKind reports whether an engine is ready and of a machine kind.
+func (e *engine) readyOfKind(kind int) bool { return e.state == Ready && int(e.kind) == kind }
 
+// byEngineID orders engines by id.
 func byEngineID(a, b *engine) int { return cmp.Compare(a.id, b.id) }
 
-// readyEngines is the engines of a kind that the list calls readyEngines, by id.
-func (r *Router) readyEngines(k int) (list []*engine) {
+// readyEngines lists the ready engines of a machine kind by id.
+func (r *Router) readyEngines(kind int) []*engine {
+	var list []*engine
 	for _, e := range r.engineList {
-		if e.readyOfKind(k) {
+		if e.readyOfKind(kind) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// forgetEngines drops engines that left the list and owe no outcome.
+// forgetEngines drops the engines that have left the endpoint list, once no outcome of an attempt or of a
+// health check is waited for.
 func (r *Router) forgetEngines() {
 	r.engineList = slices.DeleteFunc(r.engineList, func(e *engine) bool {
-		done := e.state == Gone && e.attempts == 0 && !e.checkingHealth
-		if done {
-			r.topologyVersion++
-			delete(r.engines, e.id)
+		if e.state != Gone || e.attempts != 0 || e.checkingHealth {
+			return false
 		}
-		return done
+		r.topologyVersion++
+		delete(r.engines, e.id)
+		return true
 	})
 }
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -10,21 +10,26 @@
 	cooling []OrderingKey // keys of empty queues that are kept until their cooldown is over
 }
 
-// orderingQueue is the queue of one order key, by arrival; rest is when its next command may start after a
-// doubtful outcome.
+// orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the ones that
+// run stand in it too.
 type orderingQueue struct {
 	key           OrderingKey
-	queries       []*query
-	cooldownUntil float64
-	joinedLate    bool // commands came to it that were held or out before, so one behind the first may be out
+	queries       []*query // by arrival
+	cooldownUntil float64  // ms, before which no first attempt starts: an earlier one may still be running
+
+	// joinedLate says that a query came to it which had arrived before its last one or had an attempt already:
+	// only then one behind the head can have an attempt outstanding.
+	joinedLate bool
 }
 
-// followerOutstanding tells whether a command behind the first is out.
+// followerOutstanding reports whether a query behind the head has an attempt outstanding.
 func (queue *orderingQueue) followerOutstanding() bool {
-	return queue.joinedLate && slices.ContainsFunc(queue.queries[1:], func(q *query) bool { return q.outstanding > 0 })
+	return queue.joinedLate &&
+		slices.ContainsFunc(queue.queries[1:], func(q *query) bool { return q.outstanding > 0 })
 }
 
-// joinOrderingQueue files a command in the line of a key, if its profile keeps order.
+// joinOrderingQueue puts q into the queue of an ordering key at the place of its arrival, if its class is
+// ordered. It does nothing if q is in it already.
 func (r *Router) joinOrderingQueue(q *query, key OrderingKey) {
 	if !q.class.Ordered || key == "" {
 		return
@@ -34,39 +39,87 @@
 		queue = &orderingQueue{key: key}
 		r.ordering.queues[key] = queue
 	}
-	if !slices.Contains(q.queues, queue) {
-		queue.joinedLate = queue.joinedLate || len(queue.queries) > 0 && byArrival(q, queue.queries[len(queue.queries)-1]) < 0 || q.outstanding > 0
-		q.queues, queue.queries = append(q.queues, queue), insertSorted(queue.queries, q, byArrival)
-		queue.cooldownUntil = max(queue.cooldownUntil, q.cooldownUntil)
+	if slices.Contains(q.queues, queue) {
+		return
+	}
+	if q.outstanding > 0 || queue.hasLaterThan(q) {
+		queue.joinedLate = true
+	}
+	queue.queries = insertSorted(queue.queries, q, byArrival)
+	queue.cooldownUntil = max(queue.cooldownUntil, q.cooldownUntil)
+	q.queues = append(q.queues, queue)
+}
+
+// hasLaterThan reports whether the queue holds a query that arrived after q.
+func (queue *orderingQueue) hasLaterThan(q *query) bool {
+	count := len(queue.queries)
+	return count > 0 && byArrival(q, queue.queries[count-1]) < 0
+}
+
+// leaveOrderingQueue takes q out of a queue. The query that is at the head now may be startable by it. A
+// queue that is left empty is kept until its cooldown is over.
+func (r *Router) leaveOrderingQueue(q *query, queue *orderingQueue) {
+	queue.remove(q)
+	if len(queue.queries) == 0 {
+		queue.queries = nil
+		queue.joinedLate = false
+		r.ordering.cooling = append(r.ordering.cooling, queue.key)
+		return
+	}
+	head := queue.queries[0]
+	if head.queued && head.blocked {
+		r.insertUnlessBlocked(head)
+	}
+}
+
+// remove takes q out of the queue. It is nearly always the head, for which no other is moved.
+func (queue *orderingQueue) remove(q *query) {
+	if queue.queries[0] == q {
+		queue.queries[0] = nil // so that the slice does not keep q in memory
+		queue.queries = queue.queries[1:]
+		return
+	}
+	if at, found := slices.BinarySearchFunc(queue.queries, q, byArrival); found {
+		queue.queries = slices.Delete(queue.queries, at, at+1)
 	}
 }
 
-// waitAhead is the time that those waitAhead of c in a line take one after another, as such run lately;
-// that of the longest of its lines, and no further than past most. Lines in which a command's time is not
-// known count as none.
-func (r *Router) waitAhead(q *query, most float64) (longest float64) {
+// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries run lately:
+// the longest of all its queues. A sum is not taken much further than past limit (ms), so that a long queue
+// costs no time. Queries of unknown run time count as 0.
+func (r *Router) waitAhead(q *query, limit float64) float64 {
+	longest := 0.0
 	for _, queue := range q.queues {
-		sum := 0.0
-		for _, o := range queue.queries {
-			if o == q || sum > most {
-				break
-			}
-			if o.class.bestUnitTime > 0 || o.estimatedWork > 0 {
-				sum += o.class.expectedRunTime(o, r.now)
-			}
-		}
-		longest = max(longest, sum)
+		longest = max(longest, r.waitAheadIn(queue, q, limit))
 	}
 	return longest
 }
 
-// forgetOrderingQueues drops empty lines that have rested.
+// waitAheadIn is waitAhead for one queue.
+func (r *Router) waitAheadIn(queue *orderingQueue, q *query, limit float64) float64 {
+	sum := 0.0
+	for _, other := range queue.queries {
+		if other == q || sum > limit {
+			break
+		}
+		if other.class.bestUnitTime > 0 || other.estimatedWork > 0 {
+			sum += other.class.expectedRunTime(other, r.now)
+		}
+	}
+	return sum
+}
+
+// forgetOrderingQueues drops the empty queues whose cooldown is over.
 func (r *Router) forgetOrderingQueues() {
 	r.ordering.cooling = slices.DeleteFunc(r.ordering.cooling, func(key OrderingKey) bool {
 		queue := r.ordering.queues[key]
-		if queue != nil && len(queue.queries) == 0 && r.now >= queue.cooldownUntil {
-			delete(r.ordering.queues, key)
+		if queue == nil || len(queue.queries) > 0 {
+			return true // it was dropped, or is in use again and will be listed anew
+		}
+		if r.now < queue.cooldownUntil {
+			return false
 		}
-		return queue == nil || len(queue.queries) > 0 || r.now >= queue.cooldownUntil
+		delete(r.ordering.queues, key)
+		return true
 	})
 }
--- a/router/query.go
+++ b/router/query.go
@@ -3,106 +3,132 @@
 import (
 	"cmp"
 	"math"
-	"slices"
 )
 
+// finalAnswer is the final answer that this controller itself gives to a query.
 type finalAnswer int
 
 const (
+	// unanswered: this controller has decided on no answer.
 	unanswered finalAnswer = iota
+	// rejected: the client gets an error that is safe to retry.
 	rejected
+	// failedFinally: the client gets an error after which the query may have had its effect.
 	failedFinally
 )
 
-// attempt is one send of a command.
+// attempt is one attempt of a query on an engine.
 type attempt struct {
-	engine                 *engine
-	startedAt, lastHeardAt float64 // when it left, and when last heard of
-	outstanding, cancelled bool
-	abandoned              bool // out, but not waited for
-	failed                 bool // by what is known of it, or its engine has gone quiet
-	endedInError           bool // it ended as an error, which may be the command's own fault
-	memoryMB               float64
+	engine       *engine
+	startedAt    float64 // ms
+	lastHeardAt  float64 // ms, of the last progress message; startedAt before the first
+	memoryMB     float64 // estimate
+	outstanding  bool    // it has no outcome yet
+	cancelled    bool    // CancelAttempt was returned for it
+	abandoned    bool    // its outcome is no longer waited for, and it holds no capacity
+	failed       bool    // by its outcome, or because it has gone silent
+	endedInError bool    // it ended in an error that may be the query's own fault
 }
 
-// query is one that is owed an answer, or has a send without an outcome. The want fields are the wanted
-// state: emit alone compares them with the rest.
+// query is one that is owed a final answer or has an attempt without an outcome.
 type query struct {
-	id                               QueryID
-	class                            *queryClass
-	tables                           *tableGroup
-	tenant                           *tenant // nil: none
-	overQuota                        bool
-	queues                           []*orderingQueue // of its order keys, in whose turns it stands
-	arrivalOrder                     uint64           // its place among all by arrival
-	cooldownUntil                    float64          // until when nothing may follow it under a key, by its doubtful outcomes
-	arrivedAt                        float64
-	firstTriedAt                     float64 // when its client first did, as far as its client timeout tells
-	deadline                         float64
-	estimatedWork, estimatedMemoryMB float64
-	uncappedEstimate                 float64  // its estimate before an operator's rule cut it: what guards cold engines learns by that
-	kinds                            []KindID // that its profile's are narrowed to; nil: they are not
-	zones                            []Zone
-	attempts                         []attempt
-	awaited                          int // sends that are waited for
-	outstanding                      int // and all without an outcome
-	done, responseStarted            bool
-	unresolvedAt                     float64 // when the first send left that may have run
-	unresolved                       *engine // where it went; nil: none may have run
-
-	startOn      *engine
-	startBy      float64 // with it: by when the send must have gone out; 0: at any time
+	id                QueryID
+	class             *queryClass
+	tables            *tableGroup
+	tenant            *tenant  // nil: none
+	overQuota         bool     // it is over its tenant's quota, as drawn when it arrived
+	arrivalOrder      uint64   // its number by arrival, from 1
+	arrivedAt         float64  // ms
+	firstTriedAt      float64  // ms, when its client first tried; before arrivedAt if this is the client's retry
+	deadline          float64  // ms, when its client gives up
+	estimatedWork     float64  // ms on one thread, as capped by an operator's rule; 0: no estimate
+	uncappedEstimate  float64  // ms on one thread, before that cap
+	estimatedMemoryMB float64  // 0: no estimate
+	kinds             []KindID // further limit on the machine kinds of its class; nil: none
+	zones             []Zone   // further limit on the zones of its class; nil: none
+
+	// Its attempts, by number. unresolved is the engine of the first one that may have run without an answer,
+	// nil if there is none, and unresolvedAt (ms) when that one was started: rule 2 decides by them whether the
+	// query may be repeated.
+	attempts        []attempt
+	awaited         int // attempts whose outcome is waited for
+	outstanding     int // attempts without an outcome, the abandoned ones among them
+	unresolved      *engine
+	unresolvedAt    float64
+	responseStarted bool // its client has got a part of the response
+	done            bool // no final answer is owed any more
+
+	// The queues of its ordering keys. cooldownUntil (ms) is when the next query may start in each of them,
+	// as far as attempts of this one may still be running.
+	queues        []*orderingQueue
+	cooldownUntil float64
+
+	// What collectActions turns into actions at the end of the step.
+	startOn      *engine // on which an attempt starts; nil: none does
+	startBy      float64 // ms, by which that attempt must have been sent; 0: at any time
 	answer       finalAnswer
-	reason       answerReason // of that answer
-	cancelWanted bool
-	changed      bool
-	queued       bool    // it is among the held
-	blocked      bool    // and not the first in one of its lines
-	worthEpoch   int     // by which it was found wise to hold it on,
-	worthUntil   float64 // and until when it is
-	watched      bool    // and looked at for giving up, when its time comes
-}
-
-// failedAttemptsOn is how many sends of c failed on e.
-func (q *query) failedAttemptsOn(e *engine) (n float64) {
+	reason       answerReason // of the answer
+	cancelWanted bool         // its outstanding attempts are cancelled
+	changed      bool         // it is in Router.changed
+
+	// Its place in the queue of queries that wait for an engine.
+	queued  bool // it waits for an engine
+	blocked bool // it is queued, but not at the head of all its ordering queues
+	watched bool // it is in the shedWatch of its class
+
+	// In the epoch of its class's worthCache that is named here it is known to be worth running until
+	// worthUntil (ms).
+	worthEpoch int
+	worthUntil float64
+}
+
+// failedAttemptsOn counts the attempts of q that failed on an engine.
+func (q *query) failedAttemptsOn(e *engine) float64 {
+	count := 0.0
 	for _, a := range q.attempts {
 		if a.failed && a.engine == e {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
+// byDeadline orders queries by client timeout, and by id where that is the same.
 func byDeadline(a, b *query) int {
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 }
 
+// byArrival orders queries by arrival.
 func byArrival(a, b *query) int { return cmp.Compare(a.arrivalOrder, b.arrivalOrder) }
 
-// addQuery files a new command, in the line of its key if it has one.
+// addQuery takes up the state of an arriving query, and puts it into the queues of its ordering keys.
 func (r *Router) addQuery(ev QueryArrived) *query {
 	g := r.tableGroupOf(ev.Tables)
 	g.lastQueryAt = r.now
-	q := &query{id: ev.ID, class: r.classes[ev.Class], tables: g, arrivedAt: r.now,
-		firstTriedAt: r.now, deadline: r.now + ev.TimeLeft, estimatedWork: ev.EstimatedWork, uncappedEstimate: ev.EstimatedWork, estimatedMemoryMB: ev.EstimatedMemoryMB, kinds: ev.Kinds, zones: ev.Zones}
+	g.openQueries++
+	q := &query{
+		id:                ev.ID,
+		class:             r.classes[ev.Class],
+		tables:            g,
+		arrivedAt:         r.now,
+		firstTriedAt:      r.now,
+		deadline:          r.now + ev.TimeLeft,
+		estimatedWork:     ev.EstimatedWork,
+		uncappedEstimate:  ev.EstimatedWork,
+		estimatedMemoryMB: ev.EstimatedMemoryMB,
+		kinds:             ev.Kinds,
+		zones:             ev.Zones,
+	}
 	if ev.EstimateCap > 0 {
 		q.estimatedWork = min(q.estimatedWork, ev.EstimateCap)
 	}
-	r.queries[q.id] = q
-	g.openQueries++
-	r.traffic.queryRate.add(r.now, 1, 0)
 	if ev.Tenant >= 0 {
 		q.tenant = r.tenants[ev.Tenant]
-		q.tenant.queries.add(r.now, 1, 0)
-	}
-	if r.firstQueryAt == 0 {
-		r.firstQueryAt = r.now
-	}
-	if r.limits.RetryBudgeted {
-		r.retryBudget.queries.add(r.now, 1)
 	}
 	r.arrivals++
 	q.arrivalOrder = r.arrivals
+	r.queries[q.id] = q
+	r.countArrival(q)
 	r.joinOrderingQueue(q, ev.Key)
 	for _, key := range ev.MoreKeys {
 		r.joinOrderingQueue(q, key)
@@ -110,49 +136,93 @@
 	return q
 }
 
-// recordStart counts a send of c on e as out, so that the next choice of the same step sees it.
-func (r *Router) recordStart(q *query, e *engine, mem, work, begin float64) {
+// countArrival counts an arriving query for the rates that are learned and for the retry budget.
+func (r *Router) countArrival(q *query) {
+	r.traffic.queryRate.add(r.now, 1, 0)
+	if q.tenant != nil {
+		q.tenant.queries.add(r.now, 1, 0)
+	}
+	if r.firstQueryAt == 0 {
+		r.firstQueryAt = r.now
+	}
+	if r.limits.RetryBudgeted {
+		r.retryBudget.queries.add(r.now, 1)
+	}
+}
+
+// recordStart takes in that an attempt of q starts on e, before the action for it is returned: all further
+// decisions of the same step count it. memoryMB is its estimated memory, slowStartCost (ms of work) what it
+// counts for on a warming engine, startBy (ms) when it must have been sent; 0: at any time.
+func (r *Router) recordStart(q *query, e *engine, memoryMB, slowStartCost, startBy float64) {
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retryBudget.retries.add(r.now, 1)
 	}
-	r.dequeue(q)
-	q.attempts = append(q.attempts, attempt{engine: e, startedAt: r.now, lastHeardAt: r.now, outstanding: true, memoryMB: mem})
+	r.dequeue(q) // while the number of its attempts still tells which tree holds it
+	q.attempts = append(q.attempts, attempt{
+		engine:      e,
+		startedAt:   r.now,
+		lastHeardAt: r.now,
+		memoryMB:    memoryMB,
+		outstanding: true,
+	})
 	q.outstanding++
-	q.awaited, e.attempts, r.concurrency.attempts = q.awaited+1, e.attempts+1, r.concurrency.attempts+1
-	e.threads, r.concurrency.threads = e.threads+q.class.Threads, r.concurrency.threads+q.class.Threads
+	r.takeCapacity(q, e)
 	if r.now < e.startedAt+r.limits.SlowStartTime+r.limits.SlowStartWindow {
-		e.slowStartWork.add(r.now, work)
+		e.slowStartWork.add(r.now, slowStartCost)
 	}
+	r.updateBounds(e)
+	q.startOn = e
+	q.startBy = startBy
+	r.markChanged(q)
+}
+
+// takeCapacity counts an attempt of q on e that starts. The caller updates the bounds of e.
+func (r *Router) takeCapacity(q *query, e *engine) {
+	q.awaited++
+	e.attempts++
+	e.threads += q.class.Threads
+	r.concurrency.attempts++
+	r.concurrency.threads += q.class.Threads
 	if q.class.LocksTables {
 		e.tableLocks[q.tables]++
 		q.tables.addLockHolder(e)
 	}
+}
+
+// releaseCapacity is the reverse of takeCapacity, for an attempt that has ended or is abandoned.
+func (r *Router) releaseCapacity(q *query, a *attempt) {
+	e := a.engine
+	q.awaited--
+	e.attempts--
+	e.threads -= q.class.Threads
+	r.concurrency.attempts--
+	r.concurrency.threads -= q.class.Threads
+	if q.class.LocksTables {
+		e.tableLocks[q.tables]--
+		if e.tableLocks[q.tables] == 0 {
+			delete(e.tableLocks, q.tables)
+		}
+	}
 	r.updateBounds(e)
-	q.startOn, q.startBy = e, begin
-	r.markChanged(q)
 }
 
-// recordEnd takes in that a send has its outcome: what may have run by it, and whether its key must rest.
+// recordEnd takes in the outcome of an attempt of q, as far as the rules need it: what may have run, what the
+// outcome proves about the engine, and how long its ordering keys are in cooldown.
 func (r *Router) recordEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
 	}
 	q.outstanding--
 	q.tables.memoryTime.add(r.now, a.memoryMB*ev.Elapsed, 1)
-	a.outstanding, q.done = false, q.done || ev.QueryDone
-	switch ev.Outcome {
-	case Errored, ConnectionReset, TimedOut, ConnectFailed:
-		a.failed = true
-	}
-	switch ev.Outcome {
-	case Succeeded:
-		a.engine.answeredStartAt, a.engine.connectionLostAt = max(a.engine.answeredStartAt, a.startedAt), math.Inf(-1) // the process is the same
+	a.outstanding = false
+	a.failed = a.failed || ev.Outcome.isFailure()
+	q.done = q.done || ev.QueryDone
+	a.engine.recordConnection(r.now, a, ev.Outcome)
+	if ev.Outcome == Succeeded {
 		q.tables.confirmed = true
-	case ConnectFailed, ConnectionReset, NotSent:
-		a.engine.connectionLostAt = r.now
 	}
-	if !ev.Outcome.NeverRan() && q.unresolved == nil {
-		q.unresolvedAt, q.unresolved = a.startedAt, a.engine
+	if !ev.Outcome.NeverRan() {
+		q.markUnresolved(a)
 	}
 	if ev.Outcome.MayRunOn() {
 		q.cooldownUntil = r.now + r.limits.OrderingCooldown + r.limits.EventInterval
@@ -163,66 +233,74 @@
 	r.markChanged(q)
 }
 
-// abandonAttempt takes in that a send's answer is not waited for any more; it may have run.
-func (r *Router) abandonAttempt(q *query, a *attempt) {
-	a.abandoned = true
-	r.releaseCapacity(q, a)
-	if q.unresolved == nil {
-		q.unresolvedAt, q.unresolved = a.startedAt, a.engine
+// isFailure reports whether an attempt with this outcome was taken on and has failed.
+func (o Outcome) isFailure() bool {
+	return o == Errored || o == ConnectionReset || o == TimedOut || o == ConnectFailed
+}
+
+// recordConnection takes in what the outcome of an attempt proves about the process that has the address of
+// an engine: an answer shows that it is still the same, a lost connection that it may be another.
+func (e *engine) recordConnection(now float64, a *attempt, outcome Outcome) {
+	switch outcome {
+	case Succeeded:
+		e.answeredStartAt = max(e.answeredStartAt, a.startedAt)
+		e.connectionLostAt = math.Inf(-1)
+	case ConnectFailed, ConnectionReset, NotSent:
+		e.connectionLostAt = now
 	}
 }
 
-// releaseCapacity gives back what a send that is waited for holds.
-func (r *Router) releaseCapacity(q *query, a *attempt) {
-	e := a.engine
-	q.awaited, e.attempts, r.concurrency.attempts = q.awaited-1, e.attempts-1, r.concurrency.attempts-1
-	e.threads, r.concurrency.threads = e.threads-q.class.Threads, r.concurrency.threads-q.class.Threads
-	if q.class.LocksTables {
-		if e.tableLocks[q.tables]--; e.tableLocks[q.tables] == 0 {
-			delete(e.tableLocks, q.tables)
-		}
+// markUnresolved takes in that an attempt of q may have run. The first such attempt is what rule 2 goes by,
+// as the deduplication window of a query begins with it.
+func (q *query) markUnresolved(a *attempt) {
+	if q.unresolved == nil {
+		q.unresolved = a.engine
+		q.unresolvedAt = a.startedAt
 	}
-	r.updateBounds(e)
 }
 
+// abandonAttempt takes in that the outcome of an attempt is no longer waited for; it may have run.
+func (r *Router) abandonAttempt(q *query, a *attempt) {
+	a.abandoned = true
+	r.releaseCapacity(q, a)
+	q.markUnresolved(a)
+}
+
+// responseStarted takes in that the client has got a part of the response: no attempt may start any more,
+// and no other answer may be given.
 func (r *Router) responseStarted(id QueryID) {
 	if q := r.queries[id]; q != nil {
 		q.responseStarted = true
 	}
 }
 
-// clientDisconnected takes in that c's client has gone: nothing is owed, and what is out is not wanted.
+// clientDisconnected takes in that the client has gone: no answer is owed any more, and its attempts are
+// cancelled.
 func (r *Router) clientDisconnected(id QueryID) {
-	if q := r.queries[id]; q != nil {
-		q.done, q.cancelWanted = true, true
-		r.markChanged(q)
+	q := r.queries[id]
+	if q == nil {
+		return
 	}
+	q.done = true
+	q.cancelWanted = true
+	r.markChanged(q)
 }
 
-// outstandingAttempt finds a send that is out; nil if there is none such.
-func (r *Router) outstandingAttempt(id QueryID, send AttemptID) (*query, *attempt) {
+// outstandingAttempt finds an attempt that has no outcome yet, with its query; nil, nil: there is no such
+// attempt.
+func (r *Router) outstandingAttempt(id QueryID, number AttemptID) (*query, *attempt) {
 	q := r.queries[id]
-	if q == nil || send < 0 || int(send) >= len(q.attempts) || !q.attempts[send].outstanding {
+	if q == nil || number < 0 || int(number) >= len(q.attempts) || !q.attempts[number].outstanding {
 		return nil, nil
 	}
-	return q, &q.attempts[send]
+	return q, &q.attempts[number]
 }
 
-// forgetQuery drops a command that no rule needs any more; a line that still rests is kept until it has.
+// forgetQuery drops a query that has its answer and whose attempts all have an outcome.
 func (r *Router) forgetQuery(q *query) {
 	delete(r.queries, q.id)
 	q.tables.openQueries--
 	for _, queue := range q.queues {
-		if queue.queries[0] == q { // the usual one; the rest need not be moved
-			queue.queries[0], queue.queries = nil, queue.queries[1:]
-		} else if at, found := slices.BinarySearchFunc(queue.queries, q, byArrival); found {
-			queue.queries = slices.Delete(queue.queries, at, at+1)
-		}
-		if len(queue.queries) == 0 {
-			queue.joinedLate, queue.queries = false, nil
-			r.ordering.cooling = append(r.ordering.cooling, queue.key)
-		} else if next := queue.queries[0]; next.queued && next.blocked {
-			r.insertUnlessBlocked(next)
-		}
+		r.leaveOrderingQueue(q, queue)
 	}
 }
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -6,67 +6,86 @@
 	"slices"
 )
 
-// tableGroup is a group of tables with its learned demand.
+// tableGroup is a group of tables with the demand for it.
 type tableGroup struct {
 	id          TableGroup
-	lastQueryAt float64       // when it was last named
-	openQueries int           // commands on it in the books
-	hot         bool          // it was said to be
-	confirmed   bool          // commands on it have been answered; else any stranger may have named it
-	demand      decayedMean   // work asked for
-	memoryTime  decayedMean   // memory times time, of this controller's sends
-	pools       []*enginePool // by kind
-	lockHolders []*engine     // on which loads may hold it
+	lastQueryAt float64       // ms, when a query last named it
+	openQueries int           // queries that name it and are not forgotten yet
+	hot         bool          // an operator's rule marked it as hot
+	confirmed   bool          // a query on it was answered; until then a client may have made it up
+	demand      decayedMean   // its rate is ms of work on one thread for each ms
+	memoryTime  decayedMean   // megabytes times ms of this controller's attempts; its rate is megabytes in use
+	pools       []*enginePool // that serve it, by machine kind; nil: none
+	lockHolders []*engine     // all engines on which it may be locked
 }
 
+// byGroupID orders table groups by id.
 func byGroupID(a, b *tableGroup) int { return cmp.Compare(a.id, b.id) }
 
-// tableGroupOf is the table group of an id; a new one finds its owners.
+// tableGroupOf returns the table group of an id. A new one is added to a pool of each machine kind.
 func (r *Router) tableGroupOf(id TableGroup) *tableGroup {
-	g := r.tableGroups[id]
-	if g == nil {
-		g = &tableGroup{id: id, demand: decayedMean{halfLife: demandHalfLife}, memoryTime: decayedMean{halfLife: demandHalfLife},
-			pools: make([]*enginePool, len(r.kinds))}
-		r.tableGroups[id], r.groupList = g, insertSorted(r.groupList, g, byGroupID)
-		for k := range r.pools.byKind {
-			r.addToPool(k, g)
-		}
+	if g := r.tableGroups[id]; g != nil {
+		return g
+	}
+	g := &tableGroup{
+		id:         id,
+		demand:     decayedMean{halfLife: demandHalfLife},
+		memoryTime: decayedMean{halfLife: demandHalfLife},
+		pools:      make([]*enginePool, len(r.kinds)),
+	}
+	r.tableGroups[id] = g
+	r.groupList = insertSorted(r.groupList, g, byGroupID)
+	for kind := range r.pools.byKind {
+		r.addToPool(kind, g)
 	}
 	return g
 }
 
-// addLockHolder files that a load holds a table group on e, or that a note said so.
+// addLockHolder takes in that the table group may be locked on e.
 func (g *tableGroup) addLockHolder(e *engine) {
 	if !slices.Contains(g.lockHolders, e) {
 		g.lockHolders = append(g.lockHolders, e)
 	}
 }
 
-// dropReleasedLocks forgets the engines on which no load holds the table group any more, those that are
-// gone among them.
+// dropReleasedLocks forgets the engines on which the table group is no longer locked, those that are gone
+// among them.
 func (g *tableGroup) dropReleasedLocks(now float64) {
-	if len(g.lockHolders) > 0 {
-		g.lockHolders = slices.DeleteFunc(g.lockHolders, func(e *engine) bool { return e.tableLocksHeld(g, now) == 0 })
+	if len(g.lockHolders) == 0 {
+		return
+	}
+	g.lockHolders = slices.DeleteFunc(g.lockHolders, func(e *engine) bool {
+		return e.tableLocksHeld(g, now) == 0
+	})
+}
+
+// forgetTableGroups drops table groups that have no open query and that no query has named since idleSince
+// (ms) or, if no query on them was ever answered, since unconfirmedSince (ms). The second time is the later
+// one: clients can name any number of groups that don't exist, and memory would grow with them.
+func (r *Router) forgetTableGroups(idleSince, unconfirmedSince float64) {
+	r.dropTableLocks()
+	unused := func(g *tableGroup) bool {
+		if g.openQueries != 0 {
+			return false
+		}
+		return g.lastQueryAt < idleSince || !g.confirmed && g.lastQueryAt < unconfirmedSince
+	}
+	r.groupList = slices.DeleteFunc(r.groupList, unused)
+	for _, pool := range slices.Concat(r.pools.byKind...) {
+		for i := range pool.packs {
+			pool.packs[i] = slices.DeleteFunc(pool.packs[i], unused)
+		}
 	}
+	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return unused(g) })
 }
 
-// forgetTableGroups drops table groups that nobody has named since then, or since the later time if no
-// command on them was ever answered, and that have no command open, with all that is kept by them.
-func (r *Router) forgetTableGroups(since, strange float64) {
+// dropTableLocks forgets the table locks that count no longer. They would keep dropped table groups in
+// memory.
+func (r *Router) dropTableLocks() {
 	for _, e := range r.engineList {
 		maps.DeleteFunc(e.tablesLockedUntil, func(_ *tableGroup, until float64) bool { return r.now >= until })
 	}
 	for _, g := range r.groupList {
 		g.dropReleasedLocks(r.now)
 	}
-	gone := func(g *tableGroup) bool {
-		return g.openQueries == 0 && (g.lastQueryAt < since || !g.confirmed && g.lastQueryAt < strange)
-	}
-	r.groupList = slices.DeleteFunc(r.groupList, gone)
-	for _, pool := range slices.Concat(r.pools.byKind...) {
-		for i := range pool.packs {
-			pool.packs[i] = slices.DeleteFunc(pool.packs[i], gone)
-		}
-	}
-	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return gone(g) })
 }
