--- a/router/decay.go
+++ b/router/decay.go
@@ -1,60 +1,80 @@
 package router
 
-import (
-	"math"
-)
+import "math"
 
-// decayedMean is a pair of sums that halve every life milliseconds, brought up to date when something is
-// added. Reading it changes nothing, so that who reads more or less of them, or at other times, still reads
-// the same to the last bit.
+// decayedMean is an exponentially decayed mean: a sum and its weight, which both halve in every halfLife (ms)
+// without additions. Only additions change it. Reading does not, so a figure is the same to the last bit
+// however often, and at whatever times, it was read before.
 type decayedMean struct {
-	halfLife, updatedAt, sum, weight float64
-	factorAt, factor                 float64 // what faded last said, as many ask at one moment
+	halfLife  float64 // ms
+	updatedAt float64 // ms, for which sum and weight hold
+	sum       float64 // of what was added, each times its weight
+	weight    float64 // of what was added
+
+	// The last result of decayFactor and the time (ms) that it is for, as many reads ask for the same time.
+	factorAt float64
+	factor   float64
 }
 
-// factorBy is what is left of one by now.
-func (d *decayedMean) factorBy(now float64) float64 {
+// negligibleWeight is the weight below which a mean says nothing. It keeps a division from one by 0.
+const negligibleWeight = 1e-9
+
+// decayFactor is what is left at a time (ms) of a sum of 1.
+func (d *decayedMean) decayFactor(now float64) float64 {
 	if now <= d.updatedAt {
 		return 1
 	}
 	if now != d.factorAt {
-		d.factorAt, d.factor = now, math.Exp2((d.updatedAt-now)/d.halfLife)
+		d.factorAt = now
+		d.factor = math.Exp2((d.updatedAt - now) / d.halfLife)
 	}
 	return d.factor
 }
 
+// advance has sum and weight hold for a time (ms).
 func (d *decayedMean) advance(now float64) {
-	if now > d.updatedAt {
-		f := d.factorBy(now)
-		d.sum, d.weight, d.updatedAt, d.factorAt = d.sum*f, d.weight*f, now, 0
+	if now <= d.updatedAt {
+		return
 	}
+	factor := d.decayFactor(now)
+	d.sum *= factor
+	d.weight *= factor
+	d.updatedAt = now
+	d.factorAt = 0 // the factor was reckoned from the earlier updatedAt
 }
 
-func (d *decayedMean) add(now, x, n float64) { d.advance(now); d.sum += x; d.weight += n }
+// add takes in an amount with a weight.
+func (d *decayedMean) add(now, amount, weight float64) {
+	d.advance(now)
+	d.sum += amount
+	d.weight += weight
+}
 
-// capWeight makes what is there weigh as much as n additions at most.
-func (d *decayedMean) capWeight(now, n float64) {
-	if d.advance(now); d.weight > n {
-		d.sum, d.weight = d.sum*n/d.weight, n
+// capWeight reduces the weight of what was added to a largest one, without a change of the mean.
+func (d *decayedMean) capWeight(now, largest float64) {
+	d.advance(now)
+	if d.weight > largest {
+		d.sum = d.sum * largest / d.weight
+		d.weight = largest
 	}
 }
 
-// mean leans on a prior that counts as much as weight of what was added.
-func (d *decayedMean) mean(now, prior, weight float64) float64 {
+// mean is the mean of what was added and of a prior with a weight of its own.
+func (d *decayedMean) mean(now, prior, priorWeight float64) float64 {
 	if d.weight == 0 && d.sum == 0 {
 		return prior
 	}
-	f := d.factorBy(now)
-	if d.weight*f+weight < 1e-9 {
+	factor := d.decayFactor(now)
+	if d.weight*factor+priorWeight < negligibleWeight {
 		return prior
 	}
-	return (d.sum*f + prior*weight) / (d.weight*f + weight)
+	return (d.sum*factor + prior*priorWeight) / (d.weight*factor + priorWeight)
 }
 
-// rate is what was added for each millisecond, over about the last life.
+// rate is what was added for each ms, over about the last halfLife.
 func (d *decayedMean) rate(now float64) float64 {
 	if d.sum == 0 {
 		return 0
 	}
-	return d.sum * d.factorBy(now) * math.Ln2 / d.halfLife
+	return d.sum * d.decayFactor(now) * math.Ln2 / d.halfLife
 }
--- a/router/heap.go
+++ b/router/heap.go
@@ -1,33 +1,43 @@
 package router
 
-// heap keeps what is least by less at place 0.
+// heap is a binary heap. Its least member by less is list[0]. Where less finds no two members equal, the
+// order in which they are taken out does not depend on the order in which they were put in.
 type heap[T any] struct {
 	list []T
 	less func(a, b *T) bool
 }
 
+// push puts in a member.
 func (h *heap[T]) push(x T) {
 	h.list = append(h.list, x)
-	for i := len(h.list) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h.less(&h.list[i], &h.list[up]) {
-			break
-		}
-		h.list[i], h.list[up] = h.list[up], h.list[i]
-		i = up
-	}
+	h.rise(len(h.list) - 1)
 }
 
+// pop takes out the least member; there must be one.
 func (h *heap[T]) pop() T {
-	top, last := h.list[0], len(h.list)-1
+	top := h.list[0]
+	last := len(h.list) - 1
 	h.list[0] = h.list[last]
-	var none T
-	h.list[last] = none // it holds on to nothing
+	var zero T
+	h.list[last] = zero // so that the slice does not keep it in memory
 	h.list = h.list[:last]
 	h.sink(0)
 	return top
 }
 
+// rise moves the member at an index up to its place.
+func (h *heap[T]) rise(i int) {
+	for i > 0 {
+		parent := (i - 1) / 2
+		if !h.less(&h.list[i], &h.list[parent]) {
+			return
+		}
+		h.list[i], h.list[parent] = h.list[parent], h.list[i]
+		i = parent
+	}
+}
+
+// sink moves the member at an index down to its place.
 func (h *heap[T]) sink(i int) {
 	for {
 		least := i
@@ -51,10 +61,13 @@
 	}
 }
 
-// alarm is a time at which a command must be looked at.
+// alarm is a time at which a query must be looked at.
 type alarm struct {
-	at    float64
+	at    float64 // ms
 	query *query
 }
 
-func byAlarmTime(a, b *alarm) bool { return a.at < b.at || a.at == b.at && a.query.id < b.query.id }
+// byAlarmTime orders alarms by time, and by query id where that is the same.
+func byAlarmTime(a, b *alarm) bool {
+	return a.at < b.at || a.at == b.at && a.query.id < b.query.id
+}
--- a/router/queue.go
+++ b/router/queue.go
@@ -6,32 +6,38 @@
 	"github.com/tidwall/btree"
 )
 
-// deadlineTree has held commands by client timeout.
+// deadlineTree holds queries by client timeout.
 type deadlineTree = btree.BTreeG[*query]
 
+// treeDegree is the degree of the trees of queued queries.
+const treeDegree = 32
+
 func newDeadlineTree() *deadlineTree {
 	return btree.NewBTreeGOptions(func(a, b *query) bool { return byDeadline(a, b) < 0 },
-		btree.Options{NoLocks: true, Degree: 32})
+		btree.Options{NoLocks: true, Degree: treeDegree})
 }
 
-// queryQueue are the held commands. Those that stand behind another in the line of one of their keys are
-// parked: they are in no tree until they are first. Fresh ones and those sent before stand apart, as the
-// sends budget may bar all of the latter.
+// queryQueue holds the queries that wait for an engine. Those that are not at the head of all their ordering
+// queues are blocked: they are in neither tree until they are. Retries have a tree of their own, because none
+// of them may start while the retry budget is used up, and passing over many of them would cost time.
 type queryQueue struct {
-	length                 int
-	firstAttempts, retries *deadlineTree
-	scanBuffer             []*query // of release, kept for its room
-	overdueBuffer          []*query // of tend
+	length        int // queued queries, the blocked ones among them
+	firstAttempts *deadlineTree
+	retries       *deadlineTree
+	scanBuffer    []*query // kept for its memory: eachInBatches, overdueQueries
+	overdueBuffer []*query // kept for its memory: overdueQueries
 }
 
-func (h *queryQueue) treeOf(q *query) *deadlineTree {
+// treeOf is the tree that a queued query is in unless it is blocked.
+func (queue *queryQueue) treeOf(q *query) *deadlineTree {
 	if len(q.attempts) == 0 {
-		return h.firstAttempts
+		return queue.firstAttempts
 	}
-	return h.retries
+	return queue.retries
 }
 
-// enqueue takes c among the held.
+// enqueue puts q into the queue, and has it looked at when it may have to be shed. It does nothing if q is
+// queued already.
 func (r *Router) enqueue(q *query) {
 	if q.queued {
 		return
@@ -45,8 +51,8 @@
 	}
 }
 
-// insertUnlessBlocked puts a held command into its tree or, where another is ahead of it in a line, leaves
-// it to that line.
+// insertUnlessBlocked puts a queued query into its tree if it is at the head of all its ordering queues. If
+// not, leaveOrderingQueue calls this again when it gets to the head of one.
 func (r *Router) insertUnlessBlocked(q *query) {
 	q.blocked = slices.ContainsFunc(q.queues, func(queue *orderingQueue) bool { return queue.queries[0] != q })
 	if !q.blocked {
@@ -54,7 +60,8 @@
 	}
 }
 
-// dequeue takes c out, before a send of it is booked.
+// dequeue takes q out of the queue if it is queued. It comes before an attempt is added to q, as the number
+// of attempts tells which tree holds it.
 func (r *Router) dequeue(q *query) {
 	if !q.queued {
 		return
@@ -62,11 +69,12 @@
 	if !q.blocked {
 		r.queue.treeOf(q).Delete(q)
 	}
-	q.queued, q.blocked = false, false
+	q.queued = false
+	q.blocked = false
 	r.queue.length--
 }
 
-// dequeueAnswered drops from the held what has ended in this step.
+// dequeueAnswered takes out of the queue the queries that got their answer in this step.
 func (r *Router) dequeueAnswered() {
 	for _, q := range r.changed {
 		if q.done || q.answer != unanswered {
@@ -75,9 +83,9 @@
 	}
 }
 
-// eachUnblocked hands the queued queries that no other is ahead of to visit, by client timeout, until visit
-// returns false. visit may take the query that it is handed out of the queue. Retries are left out if the
-// retry budget is used up: an attempt that starts meanwhile makes it no larger.
+// eachUnblocked calls visit for the queued queries that are not blocked, by client timeout, until it returns
+// false. visit may take the query that it is called for out of the queue. Retries are left out if the retry
+// budget is used up: an attempt that starts meanwhile makes it no larger.
 func (r *Router) eachUnblocked(visit func(q *query) bool) {
 	firstAttempts, retries := r.queue.firstAttempts, r.queue.retries
 	if retries.Len() == 0 || !r.retryBudgetAllows() {
@@ -103,28 +111,28 @@
 // after is the query that follows q in a tree, whether or not q is still in it; the first one for nil, and
 // nil if none follows.
 func after(tree *deadlineTree, q *query) *query {
-	var next *query
 	if q == nil {
-		next, _ = tree.Min()
-		return next
+		first, _ := tree.Min()
+		return first
 	}
-	tree.Ascend(q, func(x *query) bool {
-		if x != q {
-			next = x
+	var next *query
+	tree.Ascend(q, func(other *query) bool {
+		if other != q {
+			next = other
 		}
 		return next == nil
 	})
 	return next
 }
 
-// Sizes of the batches that eachInBatches reads: a step that finds no capacity stops early, and must not
-// have read much.
+// Sizes of the batches, in queries, that eachInBatches reads. They start small: a step that stops early must
+// not have read many.
 const (
 	minBatch = 4
 	maxBatch = 64
 )
 
-// eachInBatches hands the queries of one tree to visit, in order, until it returns false. It reads ahead in
+// eachInBatches calls visit for the queries of one tree, in order, until it returns false. It reads ahead in
 // batches, as visit may change the tree.
 func (r *Router) eachInBatches(tree *deadlineTree, visit func(q *query) bool) {
 	var last *query
--- a/router/sort.go
+++ b/router/sort.go
@@ -1,10 +1,9 @@
 package router
 
-import (
-	"slices"
-)
+import "slices"
 
-// insertSorted keeps list ordered by compare, which must tell all its members apart.
+// insertSorted inserts x into a list that is in the order of compare, which finds no two of its members
+// equal.
 func insertSorted[T any](list []T, x T, compare func(a, b T) int) []T {
 	at, _ := slices.BinarySearchFunc(list, x, compare)
 	return slices.Insert(list, at, x)
--- a/router/window.go
+++ b/router/window.go
@@ -1,23 +1,29 @@
 package router
 
-// slidingWindow are amounts at times within a sliding window.
+// slidingWindow sums amounts by the times at which they were added.
 type slidingWindow struct {
-	times, amounts []float64
-	total          float64
+	times   []float64 // ms, ascending
+	amounts []float64 // by the same index
+	total   float64   // of amounts
 }
 
-func (s *slidingWindow) add(at, amount float64) {
-	s.times, s.amounts, s.total = append(s.times, at), append(s.amounts, amount), s.total+amount
+// add takes in an amount at a time (ms) that is not before the last one.
+func (w *slidingWindow) add(at, amount float64) {
+	w.times = append(w.times, at)
+	w.amounts = append(w.amounts, amount)
+	w.total += amount
 }
 
-// sumSince is the sum of what came at from or later; what came before is dropped.
-func (s *slidingWindow) sumSince(from float64) float64 {
-	for len(s.times) > 0 && s.times[0] < from {
-		s.total -= s.amounts[0]
-		s.times, s.amounts = s.times[1:], s.amounts[1:]
+// sumSince is the sum of the amounts from a time (ms) on. It drops the earlier ones, so a later call with an
+// earlier time does not find them again.
+func (w *slidingWindow) sumSince(from float64) float64 {
+	for len(w.times) > 0 && w.times[0] < from {
+		w.total -= w.amounts[0]
+		w.times = w.times[1:]
+		w.amounts = w.amounts[1:]
 	}
-	if len(s.times) == 0 {
-		s.total = 0
+	if len(w.times) == 0 {
+		w.total = 0 // what rounding has left of it
 	}
-	return s.total
+	return w.total
 }
