--- a/router/candidates.go
+++ b/router/candidates.go
@@ -5,109 +5,138 @@
 	"slices"
 )
 
-// candidateList is a list of engines that may have room, kept for the step in which it was made: room only
-// shrinks while held commands are let go. none are the profiles for which none has, by number. It also
-// keeps in which order table groups lean to the engines, as long as these are the same.
+// candidateList remembers, for one list of engines, what searches for many queries would find again: which
+// engines may have capacity, for the rest of the step, and the order of engines by affinity, while the list
+// is the same.
 type candidateList struct {
-	step       uint64
-	engines    []*engine
-	fullAtStep []uint64
+	step       uint64    // in which engines was made
+	engines    []*engine // that may have capacity
+	fullAtStep []uint64  // by class index: the last step in which no engine of the list had capacity for it
 
-	topology       int // by which the orders were made
-	affinityOrders map[*tableGroup]*affinityOrder
-	entries        int
+	topologyVersion int // for which affinityOrders were made
+	affinityOrders  map[*tableGroup]*affinityOrder
+	affinityEntries int // size of affinityOrders, in entries
 }
 
-// minQueuedForList is how many commands must be held for a list to be worth making.
-const minQueuedForList = 4
+// affinityOrder is the order of a list's engines by their affinity for one table group.
+type affinityOrder struct {
+	uses  int     // searches for the group
+	order []int32 // indexes of the engines, most affinity first; nil: not made yet
+}
+
+const (
+	// minQueuedForList is the number of queued queries from which a list of the engines that may have capacity
+	// is made: it pays only if several queries use it in one step.
+	minQueuedForList = 4
+	// minEnginesForAffinityOrder is the number of engines from which an order by affinity is made.
+	minEnginesForAffinityOrder = 64
+	// minUsesForAffinityOrder is how many searches for a table group come before an order is made for it.
+	minUsesForAffinityOrder = 8
+	// maxAffinityEntries is the size of affinityOrders, in entries of 4 bytes, above which all are dropped.
+	maxAffinityEntries = 200000
+	// affinityEntriesPerGroup is what a table group counts for without its order. Clients can name any number
+	// of groups that don't exist, so the mere count of searches must be limited too.
+	affinityEntriesPerGroup = 64
+)
 
-// withCapacity narrows engines to those that may have room, where the list will be used again in this step.
-func (r *Router) withCapacity(s *candidateList, engines []*engine, fill, part float64) []*engine {
+// withCapacity narrows the engines of a search to those that may have capacity. The narrowed list serves all
+// searches of the step: while queries are started, capacity only shrinks.
+func (r *Router) withCapacity(s *listSearch) []*engine {
 	if r.queue.length < minQueuedForList {
-		return engines
+		return s.engines
 	}
-	if s.step != r.stepCount {
-		s.step, s.engines = r.stepCount, s.engines[:0]
-		for _, e := range engines {
-			if r.mayHaveCapacity(e, fill, part) {
-				s.engines = append(s.engines, e)
-			}
+	list := s.candidates
+	if list.step == r.stepCount {
+		return list.engines
+	}
+	list.step = r.stepCount
+	list.engines = list.engines[:0]
+	for _, e := range s.engines {
+		if s.capacity.mayHold(e) {
+			list.engines = append(list.engines, e)
 		}
 	}
-	return s.engines
+	return list.engines
 }
 
-// knownFull tells whether it is known of this step that no engine has room for a profile.
-func (r *Router) knownFull(s *candidateList, class *queryClass) bool {
-	return class.index < len(s.fullAtStep) && s.fullAtStep[class.index] == r.stepCount
+// knownFull reports whether a search of this step has found that no engine of the list has capacity for a
+// class.
+func (r *Router) knownFull(list *candidateList, class *queryClass) bool {
+	return class.index < len(list.fullAtStep) && list.fullAtStep[class.index] == r.stepCount
 }
 
-func (r *Router) markFull(s *candidateList, class *queryClass) {
-	if s.fullAtStep == nil {
-		s.fullAtStep = make([]uint64, len(r.classes))
+// markFull remembers for this step that no engine of the list has capacity for a class.
+func (r *Router) markFull(list *candidateList, class *queryClass) {
+	if list.fullAtStep == nil {
+		list.fullAtStep = make([]uint64, len(r.classes))
 	}
-	s.fullAtStep[class.index] = r.stepCount
+	list.fullAtStep[class.index] = r.stepCount
 }
 
-// knownFullFor tells that it is known of this step that no engine has room for c.
+// knownFullFor reports whether searches of this step have found that no engine at all has capacity for the
+// class of q, neither in the pools of its table group nor elsewhere.
 func (r *Router) knownFullFor(q *query) bool {
 	if !r.knownFull(&r.search.candidates, q.class) {
 		return false
 	}
-	for k, pool := range q.tables.pools {
-		if pool != nil && permits(q.class.Kinds, KindID(k)) && !r.knownFull(&pool.candidates, q.class) {
+	for kind, pool := range q.tables.pools {
+		if pool != nil && permits(q.class.Kinds, KindID(kind)) && !r.knownFull(&pool.candidates, q.class) {
 			return false
 		}
 	}
 	return true
 }
 
-// unrestricted tells that nothing but its profile and table group narrows where c may go: no estimate that
-// makes it more than its profile's others to a cold engine.
+// unrestricted reports whether nothing but its class and table group limits the engines of q: only then does
+// a search in vain for q say something about other queries. A query with an estimate above the usual may be
+// too large for a warming engine that takes others.
 func (r *Router) unrestricted(q *query) bool {
-	return (r.search.warmingEngines == 0 || q.uncappedEstimate <= q.class.usualWork(r.now)) && q.kinds == nil && q.zones == nil && (q.unresolved == nil || q.class.Effect == Idempotent)
-}
-
-// affinityOrder are the places of engines, the most liked first, once a group has been looked for often
-// enough.
-type affinityOrder struct {
-	uses   int
-	places []int32
+	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.usualWork(r.now) {
+		return false
+	}
+	if q.kinds != nil || q.zones != nil {
+		return false
+	}
+	return q.unresolved == nil || q.class.Effect == Idempotent
 }
 
-const (
-	minEnginesForAffinityOrder = 64     // engines for which an order is worth making,
-	minUsesForAffinityOrder    = 8      // for a table group that is looked for so often
-	maxAffinityEntries         = 200000 // entries that a list keeps: under two megabytes; any stranger may name a group, so
-	// that it was looked for weighs as what its books take
-	affinityEntriesPerGroup = 64
-)
-
-// affinityOrderOf is the order in which a table group leans to engines; nil: none is worth keeping.
-func (r *Router) affinityOrderOf(s *candidateList, g *tableGroup, engines []*engine) []int32 {
+// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: it is not worth
+// to be kept, as there are few engines or searches for the group.
+func (r *Router) affinityOrderOf(list *candidateList, g *tableGroup, engines []*engine) []int32 {
 	if len(engines) < minEnginesForAffinityOrder {
 		return nil
 	}
-	if s.topology != r.topologyVersion || s.affinityOrders == nil || s.entries > maxAffinityEntries {
-		s.topology, s.affinityOrders, s.entries = r.topologyVersion, map[*tableGroup]*affinityOrder{}, 0
+	outdated := list.topologyVersion != r.topologyVersion || list.affinityOrders == nil
+	if outdated || list.affinityEntries > maxAffinityEntries {
+		list.topologyVersion = r.topologyVersion
+		list.affinityOrders = map[*tableGroup]*affinityOrder{}
+		list.affinityEntries = 0
 	}
-	l := s.affinityOrders[g]
-	if l == nil {
-		l = &affinityOrder{}
-		s.affinityOrders[g] = l
-		s.entries += affinityEntriesPerGroup
+	kept := list.affinityOrders[g]
+	if kept == nil {
+		kept = &affinityOrder{}
+		list.affinityOrders[g] = kept
+		list.affinityEntries += affinityEntriesPerGroup
 	}
-	if l.uses++; l.uses < minUsesForAffinityOrder {
+	kept.uses++
+	if kept.uses < minUsesForAffinityOrder {
 		return nil
 	}
-	if l.places == nil {
-		for i := range engines {
-			l.places = append(l.places, int32(i))
-		}
-		slices.SortFunc(l.places, func(a, b int32) int {
-			return cmp.Compare(rendezvousAffinity(g, engines[b]), rendezvousAffinity(g, engines[a]))
-		})
-		s.entries += len(engines)
+	if kept.order == nil {
+		kept.order = orderByAffinity(g, engines)
+		list.affinityEntries += len(engines)
+	}
+	return kept.order
+}
+
+// orderByAffinity returns the indexes of engines by their affinity for a table group, most first.
+func orderByAffinity(g *tableGroup, engines []*engine) []int32 {
+	order := make([]int32, 0, len(engines))
+	for i := range engines {
+		order = append(order, int32(i))
 	}
-	return l.places
+	slices.SortFunc(order, func(a, b int32) int {
+		return cmp.Compare(rendezvousAffinity(g, engines[b]), rendezvousAffinity(g, engines[a]))
+	})
+	return order
 }
--- a/router/class.go
+++ b/router/class.go
@@ -31,7 +31,7 @@
 		work:        decayedMean{halfLife: workHalfLife},
 		workScale:   decayedMean{halfLife: scaleHalfLife},
 		memoryScale: decayedMean{halfLife: scaleHalfLife},
-		shedWatch:   shedWatch{heap: heap[alarm]{less: byAlarmTime}},
+		shedWatch:   shedWatch{alarms: heap[alarm]{less: byAlarmTime}},
 	}
 }
 
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -85,7 +85,7 @@
 			}
 			q := &query{class: d.r.classes[0], tables: d.r.tableGroupOf(TableGroup(rng.Intn(5)))}
 			part := d.r.trafficShare()
-			floors, least := d.r.scoreLowerBounds(q, d.r.engineList, 1, part)
+			floors, least := d.r.scoreLowerBounds(q, d.r.engineList, d.r.capacityBound(1, part))
 			for i, e := range d.r.engineList {
 				x, room := d.r.placementScore(q, e), d.r.hasCapacity(q, e, 1) && e.state == Ready
 				if ends := math.IsInf(floors[i], 1); !ends && floors[i] > x || ends && room {
@@ -155,7 +155,7 @@
 	}
 	d.wait(10000)
 	d.wait(rebalanceInterval)
-	watched := len(d.r.classes[0].shedWatch.heap.list)
+	watched := len(d.r.classes[0].shedWatch.alarms.list)
 	if g := d.r.tableGroups[7]; len(d.r.engineList) > 2 || len(d.r.queries) > 0 || d.r.queue.length > 0 || watched > 0 ||
 		len(d.r.timers.alarms.list) > 0 || g != nil && len(g.lockHolders) > 0 {
 		t.Errorf("%d engines, %d commands, %d held, %d watched, %d alarms, %+v", len(d.r.engineList), len(d.r.queries), d.r.queue.length,
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -28,7 +28,7 @@
 
 // more adds a profile of which nothing has been seen yet.
 func (d *desk) more(p QueryClass) {
-	d.r.classes = append(d.r.classes, &queryClass{QueryClass: p, index: len(d.r.classes), shedWatch: shedWatch{heap: heap[alarm]{less: byAlarmTime}}})
+	d.r.classes = append(d.r.classes, &queryClass{QueryClass: p, index: len(d.r.classes), shedWatch: shedWatch{alarms: heap[alarm]{less: byAlarmTime}}})
 	for _, e := range d.r.engineList {
 		e.classBackoffs = append(e.classBackoffs, backoff{})
 	}
--- a/router/margins_test.go
+++ b/router/margins_test.go
@@ -231,7 +231,8 @@
 	}
 	d.r.concurrency.attempts, d.r.concurrency.threads, e.attempts, e.threads = 30, d.r.concurrency.threadLimit+poolOverhang+1, 2, 2
 	turn(true)
-	if !d.r.hasCapacity(q, e, 1) || !d.r.mayHaveCapacity(e, 1, d.r.trafficShare()) || d.r.noCapacityAnywhere(q) {
+	capacity := d.r.capacityBound(1, d.r.trafficShare())
+	if !d.r.hasCapacity(q, e, 1) || !capacity.mayHold(e) || d.r.noCapacityAnywhere(q) {
 		t.Error("a cold engine whose turn it is has no room")
 	}
 	if d.r.hasCapacity(q, d.r.engines["b"], 1) {
--- a/router/search.go
+++ b/router/search.go
@@ -1,175 +1,299 @@
 package router
 
-import (
-	"math"
-)
+import "math"
+
+// This file is a branch-and-bound search: it finds the engine that selectEngine would find by an exact look
+// at every engine, while it looks exactly at few of them. Each engine has bounds that are cheap to compare.
+//
+// The invariant is that a bound never excludes an engine that the exact figures would select: a lower bound
+// of the placement score is at most the exact score, and an engine counts as without capacity only if
+// hasCapacity says so too. A bound that is too weak costs time; one that is wrong would change what is
+// selected.
+//
+// It holds in floating point, to the last bit. A bound is computed by the same operations, in the same order,
+// as the exact figure, from operands that are not larger (under a division or a subtraction: not smaller).
+// Rounding is monotone, so after each operation the bound is still not larger. Where a bound takes operations
+// in another order, roundingSlack covers the difference.
+//
+// The bounds of an engine hold for all times until the next runPeriodic, which computes them anew with
+// updateAllBounds. Whatever changes an engine in between calls updateBounds for it. dispatch calls
+// updateAllBounds early if the mean load of the other controllers falls below what the bounds assume.
 
-// searchState has the bounds by which selectEngine leaves out engines that can't be selected. They hold
-// until the next runPeriodic.
+// searchState is what is kept for the searches over engines.
 type searchState struct {
-	candidates       candidateList // of all engines, for queries that leave their pools
-	exemptEngines    int           // that may have capacity although all threads of the pooled limit are in use
-	warmingEngines   int           // at least 1 if an engine may be warming up
-	minFill          float64       // threads a core, at most that of the least filled engine
-	maxCapacity      float64       // cores, at least those of the largest engine
-	minOthersPerCore float64       // least value of traffic.othersPerCore for which the bounds hold
-	scores           []float64     // of the engines of one search, kept for its memory
-	boundsExamined   int           // engines whose bounds were looked at, ever; read by tests
-}
-
-// searchBounds are those of an engine, until r.tendAt. Each is reckoned as the exact figure is, operation
-// by operation, from parts that are no larger (or, under a division, no smaller): rounding keeps order, so
-// it is a bound to the last bit.
+	candidates       candidateList // of engineList, for queries that leave their pools
+	exemptEngines    int           // engines with bounds.exemptFromPool
+	warmingEngines   int           // more than 0 if an engine may be warming up; counts some engines repeatedly
+	minFill          float64       // threads per core; lower bound over all engines
+	maxCapacity      float64       // cores; upper bound over all engines
+	minOthersPerCore float64       // lower bound of the mean of traffic.othersPerCore
+	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
+	boundsExamined   int           // engines whose bounds were examined since the start; read by tests
+}
+
+// searchBounds are the bounds of one engine.
 type searchBounds struct {
-	minFill                    float64 // at least so many threads a core is it taken to run
-	maxCapacity                float64 // at most so many cores does it have, as far as it is warm
-	minSlowdown                float64 // at least this is the factor of its pace
-	maxThreads                 float64 // at most so many threads is its bound, for a part of the traffic of one
-	maybeHealthy, maybeWarming bool    // it may be fit for some profile; it may be cold
-	exemptFromPool             bool    // it may have room by reports, or as it is cold, where the pool has none
+	minFill        float64 // threads per core; lower bound of fill
+	maxCapacity    float64 // cores; upper bound of cores times slowStartCapacity
+	minSlowdown    float64 // lower bound of the factor of its slowdown in the placement score
+	maxThreadLimit float64 // threads; upper bound of the thread limit of all controllers together
+	maybeHealthy   bool    // false: it is usable for no class
+	maybeWarming   bool    // false: it is warm
+	exemptFromPool bool    // false: it has no capacity once the pooled thread limit is used up
 }
 
-// roundingError is how far a mean may lie outside of those at two times, when taken between these; and more.
-const roundingError = 1e-12
+const (
+	// roundingSlack is a relative difference, larger than rounding can make between two ways to compute a
+	// figure of a few operations.
+	roundingSlack = 1e-12
+	// othersPerCoreSlack is how far the mean load of the other controllers may fall, as a share of itself,
+	// before all bounds are computed anew.
+	othersPerCoreSlack = 0.1
+)
 
-// lowerBound is the lowerBound that a mean may be between two times, for a prior that is no smaller.
-func (d *decayedMean) lowerBound(now, until, prior, weight float64) float64 {
+// meanLowerBound is a lower bound of mean for all times from now until another, and for a prior that is not
+// smaller. Without additions the mean moves towards the prior, so it is least at one of the two times.
+func (d *decayedMean) meanLowerBound(now, until, prior, priorWeight float64) float64 {
 	if d.weight == 0 && d.sum == 0 {
 		return prior
 	}
-	if d.sum > prior*d.weight { // it falls towards the prior
-		now = until
+	leastAt := now
+	if falling := d.sum > prior*d.weight; falling {
+		leastAt = until
 	}
-	return d.mean(now, prior, weight) * (1 - roundingError)
+	return d.mean(leastAt, prior, priorWeight) * (1 - roundingSlack)
 }
 
-// updateBounds reckons an engine's bounds anew.
+// updateBounds computes the bounds of an engine anew, for the time until the next runPeriodic.
 func (r *Router) updateBounds(e *engine) {
 	until := max(r.now, r.timers.periodicAt)
 	b := &e.bounds
-	b.maybeHealthy = e.state == Ready && (e.healthy() || e.attempts == 0 || e.succeededAt > r.now-recentSuccessFor)
+	b.maybeHealthy = e.state == Ready &&
+		(e.healthy() || e.attempts == 0 || e.succeededAt > r.now-recentSuccessFor)
+	b.maybeWarming = r.now <= e.startedAt+r.limits.SlowStartTime+windowSlack
 	b.maxCapacity = e.cores * r.slowStartCapacityAt(e, until)
-	b.minFill = (e.threads + threadsPerOtherQuery*max(0, e.othersInflight.lowerBound(r.now, until, e.cores*r.search.minOthersPerCore, priorReportWeight))) / b.maxCapacity
-	b.minSlowdown = 1
-	if e.slowdown.sum > e.slowdown.weight {
-		b.minSlowdown = max(1, e.slowdown.lowerBound(r.now, until, 1, 1)/widenBelowSlowdown)
+	b.minFill = r.fillLowerBound(e, until)
+	b.minSlowdown = e.slowdownLowerBound(r.now, until)
+	b.maxThreadLimit = e.threadsPerCore * b.maxCapacity * (1 + roundingSlack)
+	r.includeInSearchBounds(b)
+	r.updateExempt(b)
+}
+
+// fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must hold already.
+func (r *Router) fillLowerBound(e *engine, until float64) float64 {
+	minMean := e.cores * r.search.minOthersPerCore
+	minOthers := max(0, e.othersInflight.meanLowerBound(r.now, until, minMean, priorReportWeight))
+	return (e.threads + threadsPerOtherQuery*minOthers) / e.bounds.maxCapacity
+}
+
+// slowdownLowerBound is a lower bound of the factor of an engine's slowdown in the placement score.
+func (e *engine) slowdownLowerBound(now, until float64) float64 {
+	if e.slowdown.sum <= e.slowdown.weight {
+		return 1
 	}
+	return max(1, e.slowdown.meanLowerBound(now, until, 1, 1)/widenBelowSlowdown)
+}
+
+// includeInSearchBounds widens the bounds over all engines to those of one.
+func (r *Router) includeInSearchBounds(b *searchBounds) {
 	if b.maybeHealthy {
-		r.search.minFill, r.search.maxCapacity = min(r.search.minFill, b.minFill), max(r.search.maxCapacity, b.maxCapacity)
+		r.search.minFill = min(r.search.minFill, b.minFill)
+		r.search.maxCapacity = max(r.search.maxCapacity, b.maxCapacity)
 	}
-	b.maxThreads = e.threadsPerCore * b.maxCapacity * (1 + roundingError)
-	if b.maybeWarming = r.now <= e.startedAt+r.limits.SlowStartTime+windowSlack; b.maybeWarming {
-		r.search.warmingEngines++ // at the least: it only tells that there is one
+	if b.maybeWarming {
+		r.search.warmingEngines++
 	}
-	if was := b.exemptFromPool; was != (b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)) {
-		if b.exemptFromPool = !was; was {
-			r.search.exemptEngines--
-		} else {
-			r.search.exemptEngines++
-		}
+}
+
+// updateExempt sets exemptFromPool by the other bounds of the engine, and keeps the count of such engines.
+// The two cases are those in which withinThreadLimits lets an engine pass the pooled limit: it is warming
+// up, or its reports tell of capacity.
+func (r *Router) updateExempt(b *searchBounds) {
+	exempt := b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)
+	switch {
+	case exempt && !b.exemptFromPool:
+		r.search.exemptEngines++
+	case !exempt && b.exemptFromPool:
+		r.search.exemptEngines--
 	}
+	b.exemptFromPool = exempt
 }
 
-// updateAllBounds reckons all anew; busy, of which every engine takes a part where it has not been heard
-// of, may fall by a tenth until then.
+// updateAllBounds computes the bounds of all engines anew.
 func (r *Router) updateAllBounds() {
-	r.search.minOthersPerCore = 0.9 * r.traffic.othersPerCore.mean(r.now, 0, 1)
-	r.search.minFill, r.search.maxCapacity, r.search.warmingEngines = math.Inf(1), 0, 0
+	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.traffic.othersPerCore.mean(r.now, 0, 1)
+	r.search.minFill = math.Inf(1)
+	r.search.maxCapacity = 0
+	r.search.warmingEngines = 0
 	for _, e := range r.engineList {
 		r.updateBounds(e)
 	}
 }
 
-// scoreLowerBound is a bound on the pressure of c on e.
+// fillScoreLowerBound is a lower bound of the part of the placement score of q on e that comes from how full
+// and how slow e is.
+func (q *query) fillScoreLowerBound(e *engine) float64 {
+	b := &e.bounds
+	return (b.minFill + q.class.Threads/b.maxCapacity) * b.minSlowdown
+}
+
+// affinityScore is the part of the placement score of q on e that comes from the affinity of its table group.
+func (q *query) affinityScore(e *engine) float64 {
+	return affinityWeight * (1 - rendezvousAffinity(q.tables, e))
+}
+
+// scoreLowerBound is a lower bound of the placement score of q on e.
 func (q *query) scoreLowerBound(e *engine) float64 {
-	x := (e.bounds.minFill + q.class.Threads/e.bounds.maxCapacity) * e.bounds.minSlowdown
+	bound := q.fillScoreLowerBound(e)
 	if !q.class.LocksTables {
-		x += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
+		bound += q.affinityScore(e)
 	}
-	return x
+	return bound
 }
 
-// scoreLowerBounds fills in, for each of some engines, a bound on the pressure of c on it, without end
-// where it can't have room, and tells where the least of them is. Where leaning can't make it the least it
-// is left out.
-func (r *Router) scoreLowerBounds(q *query, engines []*engine, fill, part float64) (list []float64, at int) {
-	if cap(r.search.scores) < len(engines) {
-		r.search.scores = make([]float64, len(engines)+len(engines)/2)
+// capacityBound is what is the same for all engines of a list when it is asked whether they may have
+// capacity.
+type capacityBound struct {
+	nothingInFlight   bool    // this controller has no attempt
+	withinPooledLimit bool    // the pooled thread limit is not used up
+	limitShare        float64 // of an engine's thread limit of all controllers, up to which this one may fill it
+}
+
+// capacityBound returns the bound for a list whose engines are filled up to a share of this controller's
+// thread limit on them.
+func (r *Router) capacityBound(share, trafficShare float64) capacityBound {
+	return capacityBound{
+		nothingInFlight:   r.concurrency.attempts == 0,
+		withinPooledLimit: r.concurrency.threads <= r.concurrency.threadLimit,
+		limitShare:        share * trafficShare,
+	}
+}
+
+// mayHold reports whether e may have capacity. If it says no, hasCapacity does so too, for every class.
+func (c *capacityBound) mayHold(e *engine) bool {
+	b := &e.bounds
+	if !b.maybeHealthy || c.nothingInFlight {
+		return b.maybeHealthy
 	}
+	return (c.withinPooledLimit || b.exemptFromPool) &&
+		(e.attempts == 0 || b.maybeWarming || e.threads <= c.limitShare*b.maxThreadLimit)
+}
+
+// scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The bound is
+// +Inf where the engine has no capacity, else a lower bound of the placement score of q on it. The affinity
+// is left out of it where the engine can't be the least anyway: hashes are the dearer part.
+func (r *Router) scoreLowerBounds(q *query, engines []*engine, capacity capacityBound) ([]float64, int) {
+	bounds := r.scoreBuffer(len(engines))
 	r.search.boundsExamined += len(engines)
-	list = r.search.scores[:len(engines)]
-	least, threads, leans := math.Inf(1), q.class.Threads, !q.class.LocksTables
-	none, pooled, fill := r.concurrency.attempts == 0, r.concurrency.threads <= r.concurrency.threadLimit, fill*part
+	least := math.Inf(1)
+	leastIndex := 0
 	for i, e := range engines {
-		b := &e.bounds
-		x := math.Inf(1)
-		if b.maybeHealthy && (none || (pooled || b.exemptFromPool) && (e.attempts == 0 || b.maybeWarming || e.threads <= fill*b.maxThreads)) {
-			if x = (b.minFill + threads/b.maxCapacity) * b.minSlowdown; x < least {
-				if leans {
-					x += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
-				}
-				if x < least {
-					least, at = x, i
-				}
+		bound := math.Inf(1)
+		if capacity.mayHold(e) {
+			bound = q.fillScoreLowerBound(e)
+			if bound < least && !q.class.LocksTables {
+				bound += q.affinityScore(e)
 			}
 		}
-		list[i] = x
+		if bound < least {
+			least = bound
+			leastIndex = i
+		}
+		bounds[i] = bound
 	}
-	return list, at
+	return bounds, leastIndex
 }
 
-// mayHaveCapacity tells whether hasRoom could say so, filled up to a share, for a part of the traffic.
-func (r *Router) mayHaveCapacity(e *engine, fill, part float64) bool {
-	b := &e.bounds
-	return b.maybeHealthy && (r.concurrency.attempts == 0 || (r.concurrency.threads <= r.concurrency.threadLimit || b.exemptFromPool) &&
-		(e.attempts == 0 || b.maybeWarming || e.threads <= fill*part*b.maxThreads))
+// scoreBuffer returns memory for the scores of a number of engines, which the next call uses again.
+func (r *Router) scoreBuffer(length int) []float64 {
+	if cap(r.search.scoreBuffer) < length {
+		r.search.scoreBuffer = make([]float64, length+length/2)
+	}
+	return r.search.scoreBuffer[:length]
 }
 
-// bestCandidate is the engine that is pressed least so far, with its place in the list that is looked
-// through.
+// bestCandidate is the best engine that a search has found so far.
 type bestCandidate struct {
-	engine *engine
-	score  float64
-	index  int
-}
-
-// beatenBy tells whether another wins over it: of two alike the first.
-func (w *bestCandidate) beatenBy(x float64, at int) bool {
-	return x < w.score || x == w.score && at < w.index
-}
-
-// eachLikelyWinner hands the engines to try that may win, by their bounds, the likeliest first. try makes
-// the winner.
-func (r *Router) eachLikelyWinner(q *query, s *candidateList, all []*engine, fill, part float64, best *bestCandidate, try func(e *engine, at int)) {
-	if r.queue.length < minQueuedForList && !q.class.LocksTables {
-		if places := r.affinityOrderOf(s, q.tables, all); places != nil {
-			least := r.search.minFill + q.class.Threads/r.search.maxCapacity
-			for _, i := range places {
-				e := all[i]
-				if least+affinityWeight*(1-rendezvousAffinity(q.tables, e)) > best.score { // and so is it for all that are liked less
-					return
-				}
-				if r.mayHaveCapacity(e, fill, part) && best.beatenBy(q.scoreLowerBound(e), int(i)) {
-					try(e, int(i))
-				}
-			}
+	engine *engine // nil: none
+	score  float64 // placement score; +Inf: there is none
+	index  int     // in the list that is searched; -1: it comes from an earlier list
+}
+
+// beatenBy reports whether an engine with this score at this index is better: of two alike the first is.
+func (best *bestCandidate) beatenBy(score float64, index int) bool {
+	return score < best.score || score == best.score && index < best.index
+}
+
+// listSearch is the search for the best engine of one list. try looks at one engine exactly, and makes it the
+// best one if it is.
+type listSearch struct {
+	q          *query
+	candidates *candidateList // of the list
+	engines    []*engine
+	capacity   capacityBound
+	best       *bestCandidate
+	try        func(e *engine, index int)
+}
+
+// eachPossibleBest calls try for the engines of a list that their bounds don't exclude.
+func (r *Router) eachPossibleBest(s *listSearch) {
+	if r.queue.length < minQueuedForList && !s.q.class.LocksTables {
+		if order := r.affinityOrderOf(s.candidates, s.q.tables, s.engines); order != nil {
+			r.searchByAffinity(s, order)
 			return
 		}
 	}
-	engines := r.withCapacity(s, all, fill, part)
-	floors, first := r.scoreLowerBounds(q, engines, fill, part)
-	if first < len(engines) { // who will hardly be beaten spares the others
-		try(engines[first], first)
+	r.searchByBounds(s)
+}
+
+// searchByAffinity tries engines in the order of their affinity. The score is at least the affinity's part
+// and what the least filled engine would have, so the search ends as soon as that is worse than the best:
+// the engines that follow have less affinity.
+func (r *Router) searchByAffinity(s *listSearch, order []int32) {
+	minFillScore := r.search.minFill + s.q.class.Threads/r.search.maxCapacity
+	for _, index := range order {
+		e := s.engines[index]
+		if minFillScore+s.q.affinityScore(e) > s.best.score {
+			return
+		}
+		if s.capacity.mayHold(e) && s.best.beatenBy(s.q.scoreLowerBound(e), int(index)) {
+			s.try(e, int(index))
+		}
+	}
+}
+
+// searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then those
+// whose bound is better than its score.
+func (r *Router) searchByBounds(s *listSearch) {
+	engines := r.withCapacity(s)
+	bounds, first := r.scoreLowerBounds(s.q, engines, s.capacity)
+	if first < len(engines) {
+		s.try(engines[first], first)
 	}
-	for i, x := range floors {
-		if i != first && best.beatenBy(x, i) && best.beatenBy(q.scoreLowerBound(engines[i]), i) {
-			try(engines[i], i)
+	for i, bound := range bounds {
+		if i == first || !s.best.beatenBy(bound, i) {
+			continue
+		}
+		if s.best.beatenBy(s.q.scoreLowerBound(engines[i]), i) {
+			s.try(engines[i], i)
 		}
 	}
 }
 
-// noCapacityAnywhere tells that no engine has room for c, as far as that is known without looking: the pool
-// is used up and no engine is excused, or none had room for another of its profile in this step.
+// noCapacityAnywhere reports that no engine has capacity for q, as far as that is known without a search. It
+// may be false although none has.
 func (r *Router) noCapacityAnywhere(q *query) bool {
-	return r.concurrency.attempts > 0 && r.concurrency.threads > r.concurrency.threadLimit && (r.concurrency.threads > r.concurrency.threadLimit+poolOverhang && r.search.warmingEngines == 0 || r.search.exemptEngines == 0) || r.knownFullFor(q)
+	return r.pooledLimitExceeded() || r.knownFullFor(q)
+}
+
+// pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass it.
+func (r *Router) pooledLimitExceeded() bool {
+	pooled := &r.concurrency
+	if pooled.attempts == 0 || pooled.threads <= pooled.threadLimit {
+		return false
+	}
+	if r.search.exemptEngines == 0 {
+		return true
+	}
+	return r.search.warmingEngines == 0 && pooled.threads > pooled.threadLimit+poolOverhang
 }
--- a/router/selection.go
+++ b/router/selection.go
@@ -55,7 +55,14 @@
 	}
 	firstSearch := s.best.engine == nil
 	s.best.index = -1 // a best engine of an earlier list comes before all of this one
-	r.eachLikelyWinner(q, candidates, engines, share, s.trafficShare, &s.best, func(e *engine, index int) {
+	search := listSearch{
+		q:          q,
+		candidates: candidates,
+		engines:    engines,
+		capacity:   r.capacityBound(share, s.trafficShare),
+		best:       &s.best,
+	}
+	search.try = func(e *engine, index int) {
 		if !q.placementAllows(e.kind, e.zone) {
 			return
 		}
@@ -66,7 +73,8 @@
 		if s.best.beatenBy(score, index) && r.hasCapacity(q, e, share) && r.eligible(q, e) {
 			s.best = bestCandidate{engine: e, score: score, index: index}
 		}
-	})
+	}
+	r.eachPossibleBest(&search)
 	if firstSearch && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
 		r.markFull(candidates, q.class)
 	}
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -6,124 +6,189 @@
 	"slices"
 )
 
-// timeModel is what is learned of a profile that tells when its held commands are given up.
-type timeModel struct{ unitTime, workScale, slowdown float64 }
+// This file finds the queued queries that are past their shedDeadline without a look at all of them. That
+// time depends on the run times of the class, which change with every answer.
+//
+// Each queued query has an alarm at its earliestShed: a time that is not after its shedDeadline, whatever
+// the run times do within the tolerances below. So a query whose alarm is not due is not overdue, and one
+// whose alarm is due is looked at exactly. When a class leaves the tolerances, all its alarms come forward
+// at once by as much as any of them could have to (shedWatch.offset), and each is set anew when it is
+// looked at. As with the bounds of search.go, an alarm that comes too early costs time only.
 
+// timeModel is what the run time of a query follows from, besides its own estimate.
+type timeModel struct {
+	unitTime  float64 // queryClass.bestUnitTime, ms
+	workScale float64 // mean of queryClass.workScale
+	slowdown  float64 // mean slowdown, from queryClass.logSlowdown
+}
+
+// timeModel returns the model of a class at a time (ms).
 func (class *queryClass) timeModel(now float64) timeModel {
-	return timeModel{class.bestUnitTime, class.workScale.mean(now, 1, 2), math.Exp(class.logSlowdown.mean(now, 0, 1))}
+	return timeModel{
+		unitTime:  class.bestUnitTime,
+		workScale: class.workScale.mean(now, 1, 2),
+		slowdown:  math.Exp(class.logSlowdown.mean(now, 0, 1)),
+	}
 }
 
-// shedWatch are a profile's commands that are held, or were, each by a time before which it is not given
-// up. A pace may move, by the ratios below, without these being wrong; if it moves farther all of them come
-// earlier by as much as any can, which costs nothing now, and those that are looked at for it are reckoned
-// anew one by one.
+// shedWatch has an alarm for each queued query of a class, and for some that are queued no longer.
 type shedWatch struct {
-	heap            heap[alarm] // by that time, and shift
-	offset          float64     // taken off all
-	model           timeModel
-	largestEstimate float64 // estimate among them
+	alarms          heap[alarm] // at earliestShed plus the offset of the time when they were set
+	offset          float64     // ms; an alarm is due at its time less this
+	model           timeModel   // for which earliestShed holds, within the tolerances
+	largestEstimate float64     // ms on one thread, of the queries that are or were watched
 }
 
 const (
-	unitTimeTolerance, workScaleTolerance, slowdownTolerance = 1.25, 1.25, 2.5
-	unloadedTolerance                                        = unitTimeTolerance * workScaleTolerance // of the time alone
+	// unitTimeTolerance, workScaleTolerance and slowdownTolerance are the ratios by which the values of a
+	// timeModel may change, up or down, before the alarms are brought forward.
+	unitTimeTolerance  = 1.25
+	workScaleTolerance = 1.25
+	slowdownTolerance  = 2.5
+	// unloadedTolerance is the ratio by which unloadedTime changes at most within these.
+	unloadedTolerance = unitTimeTolerance * workScaleTolerance
+	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970, whose float64 are
+	// about 0.0002 ms apart.
+	timeRoundingSlack = 0.01
 )
 
+// withinRatio reports whether neither of two values is more than a ratio times the other.
 func withinRatio(a, b, ratio float64) bool { return a <= b*ratio && b <= a*ratio }
 
-// watchForShedding has c looked at in time.
+// within reports whether a model is within the tolerances of another.
+func (m timeModel) within(other timeModel) bool {
+	return withinRatio(m.unitTime, other.unitTime, unitTimeTolerance) &&
+		withinRatio(m.workScale, other.workScale, workScaleTolerance) &&
+		withinRatio(m.slowdown, other.slowdown, slowdownTolerance)
+}
+
+// watchForShedding sets the alarm of a queued query.
 func (r *Router) watchForShedding(q *query) {
-	w := &q.class.shedWatch
-	w.largestEstimate = max(w.largestEstimate, q.estimatedWork)
-	w.heap.push(alarm{r.earliestShed(q) + w.offset, q})
+	watch := &q.class.shedWatch
+	watch.largestEstimate = max(watch.largestEstimate, q.estimatedWork)
+	watch.alarms.push(alarm{r.earliestShed(q) + watch.offset, q})
 }
 
-// refreshShedWatch brings all forward if the profile's pace has moved too far.
+// refreshShedWatch takes over the present model of the class if it has left the tolerances, and brings all
+// alarms forward: by as much as the old model and the new one, together, can move any of them.
 func (class *queryClass) refreshShedWatch(now float64) {
-	w, next := &class.shedWatch, class.timeModel(now)
-	if len(w.heap.list) == 0 {
-		w.model, w.offset, w.largestEstimate = next, 0, 0
-	} else if !withinRatio(next.unitTime, w.model.unitTime, unitTimeTolerance) || !withinRatio(next.workScale, w.model.workScale, workScaleTolerance) ||
-		!withinRatio(next.slowdown, w.model.slowdown, slowdownTolerance) {
-		before := class.maxShedShift(w.model)
-		w.model = next
-		w.offset += before + class.maxShedShift(next)
+	watch := &class.shedWatch
+	model := class.timeModel(now)
+	if len(watch.alarms.list) == 0 {
+		watch.model = model
+		watch.offset = 0
+		watch.largestEstimate = 0
+		return
+	}
+	if model.within(watch.model) {
+		return
 	}
+	shift := class.maxShedShift(watch.model) + class.maxShedShift(model)
+	watch.model = model
+	watch.offset += shift
 }
 
-// maxShedShift is how far lookAt may lie from what no pace moves, for the largest command watched.
-func (class *queryClass) maxShedShift(by timeModel) float64 {
-	steepest := max(1.5, class.ObjectivePerWork, 1) + max(0, runTimeMargin*by.slowdown*slowdownTolerance-1)
-	return steepest * unloadedTolerance * max(class.unloadedTimeBy(0, by), class.unloadedTimeBy(max(class.shedWatch.largestEstimate, 1), by))
+// maxShedShift is the time in ms by which a model, within its tolerances, moves earliestShed at most: it is
+// the largest for the query with the largest estimate or for one without any.
+func (class *queryClass) maxShedShift(model timeModel) float64 {
+	largestEstimate := max(class.shedWatch.largestEstimate, 1)
+	longest := max(class.unloadedTimeBy(0, model), class.unloadedTimeBy(largestEstimate, model))
+	// Of the unloaded time, by latestStart and by what shedDeadline takes off it.
+	shifts := max(lateRunTimeMargin, class.ObjectivePerWork, 1) +
+		max(0, runTimeMargin*model.slowdown*slowdownTolerance-1)
+	return shifts * unloadedTolerance * longest
 }
 
-// rebuildShedWatches reckons all anew: the time by which this controller ends has changed.
+// rebuildShedWatches sets all alarms anew. It is for a change of answerBy, on which they depend too.
 func (r *Router) rebuildShedWatches() {
 	for _, class := range r.classes {
-		w := &class.shedWatch
 		class.worthCache.epoch++
-		for i := range w.heap.list {
-			w.heap.list[i].at = r.earliestShed(w.heap.list[i].query) + w.offset
+		watch := &class.shedWatch
+		for i := range watch.alarms.list {
+			a := &watch.alarms.list[i]
+			a.at = r.earliestShed(a.query) + watch.offset
 		}
-		w.heap.heapify()
+		watch.alarms.heapify()
 	}
 }
 
-// overdueQueries is the held commands that are past giving up, by client timeout.
+// overdueQueries lists the queued queries that are past their shedDeadline, by client timeout.
 func (r *Router) overdueQueries() []*query {
-	due, looked := r.queue.overdueBuffer[:0], r.queue.scanBuffer[:0]
+	overdue := r.queue.overdueBuffer[:0]
+	examined := r.queue.scanBuffer[:0]
 	for _, class := range r.classes {
 		class.refreshShedWatch(r.now)
-		for h := &class.shedWatch.heap; len(h.list) > 0 && h.list[0].at-class.shedWatch.offset < r.now; {
-			q := h.pop().query
-			if !q.queued {
-				q.watched = false
-				continue
-			}
-			if r.now > r.shedDeadline(q) {
-				due = append(due, q)
-			}
-			looked = append(looked, q)
+		examined = class.shedWatch.takeDue(r.now, examined)
+	}
+	for _, q := range examined {
+		if r.now > r.shedDeadline(q) {
+			overdue = append(overdue, q)
 		}
+		r.watchAgain(q)
 	}
-	for _, q := range looked { // one that can't be ended, as its answer has begun, is looked at again
-		q.class.shedWatch.heap.push(alarm{max(r.now, r.earliestShed(q)) + q.class.shedWatch.offset, q})
+	clear(examined)
+	slices.SortFunc(overdue, byDeadline)
+	r.queue.overdueBuffer = overdue[:0]
+	r.queue.scanBuffer = examined[:0]
+	return overdue
+}
+
+// takeDue takes out the alarms that are due at a time (ms), and appends the queries that are still queued.
+func (watch *shedWatch) takeDue(now float64, queued []*query) []*query {
+	alarms := &watch.alarms
+	for len(alarms.list) > 0 && alarms.list[0].at-watch.offset < now {
+		q := alarms.pop().query
+		if q.queued {
+			queued = append(queued, q)
+		} else {
+			q.watched = false
+		}
 	}
-	clear(looked)
-	slices.SortFunc(due, byDeadline)
-	r.queue.overdueBuffer, r.queue.scanBuffer = due[:0], looked[:0]
-	return due
+	return queued
 }
 
-// earliestShed is a time before which c is not given up, whatever its profile's pace does within its
-// drifts: giveUpAt at the worst of these, and a little earlier, as sums of times since 1970 are that
-// coarse.
+// watchAgain sets the alarm of a query that was looked at. An overdue one gets an alarm too: it stays
+// queued if it can't be given an answer, as its response has begun.
+func (r *Router) watchAgain(q *query) {
+	watch := &q.class.shedWatch
+	watch.alarms.push(alarm{max(r.now, r.earliestShed(q)) + watch.offset, q})
+}
+
+// earliestShed is a lower bound in ms of the shedDeadline of q, for all run times within the tolerances of
+// the watch's model. It is shedDeadline with its least latestStart, and the most that is taken off it.
 func (r *Router) earliestShed(q *query) float64 {
 	class := q.class
-	long := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
-	by, later := r.latestStartLowerBound(q), max(0, long*(runTimeMargin*class.shedWatch.model.slowdown*slowdownTolerance-1))
-	return max(by-later, min(by, q.firstTriedAt+minQueueShare*class.LatencyObjective)) - 0.01
+	model := class.shedWatch.model
+	longest := class.unloadedTimeBy(q.estimatedWork, model) * unloadedTolerance
+	latest := r.latestStartLowerBound(q)
+	slower := max(0, longest*(runTimeMargin*model.slowdown*slowdownTolerance-1))
+	shed := max(latest-slower, min(latest, q.firstTriedAt+minQueueShare*class.LatencyObjective))
+	return shed - timeRoundingSlack
 }
 
-// latestStartLowerBound is the least that startBy may say within the drifts.
+// latestStartLowerBound is a lower bound in ms of the latestStart of q, for all run times within the
+// tolerances. latestStart is a sum of terms that grow or fall evenly with the unloaded time, so each is
+// least at one of the ends of its range.
 func (r *Router) latestStartLowerBound(q *query) float64 {
-	class, alone := q.class, q.class.unloadedTimeBy(q.estimatedWork, q.class.shedWatch.model)
-	short, long := alone/unloadedTolerance, alone*unloadedTolerance
+	class := q.class
+	unloaded := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model)
+	shortest := unloaded / unloadedTolerance
+	longest := unloaded * unloadedTolerance
 	if class.LateBenefit >= lateBenefitThreshold {
-		return r.answerBy(q) - 1.5*long
+		return r.answerBy(q) - lateRunTimeMargin*longest
 	}
-	grows := min((class.ObjectivePerWork-1)*short, (class.ObjectivePerWork-1)*long)
-	return min(q.firstTriedAt+class.LatencyObjective+grows, r.answerBy(q)-long)
+	added := min((class.ObjectivePerWork-1)*shortest, (class.ObjectivePerWork-1)*longest)
+	return min(q.firstTriedAt+class.LatencyObjective+added, r.answerBy(q)-longest)
 }
 
-// unloadedTimeBy is alone, by a pace, for an estimate.
-func (class *queryClass) unloadedTimeBy(estimate float64, by timeModel) float64 {
-	if by.unitTime == 0 && estimate <= 0 {
+// unloadedTimeBy is unloadedTime by a model, for a query with this estimate of its work.
+func (class *queryClass) unloadedTimeBy(estimatedWork float64, model timeModel) float64 {
+	if model.unitTime == 0 && estimatedWork <= 0 {
 		return class.LatencyObjective / 2
 	}
-	unit := 1.0
-	if estimate > 0 {
-		unit = max(1, estimate*by.workScale/class.Threads)
+	units := 1.0
+	if estimatedWork > 0 {
+		units = max(1, estimatedWork*model.workScale/class.Threads)
 	}
-	return cmp.Or(by.unitTime, 1) * unit
+	return cmp.Or(model.unitTime, 1) * units
 }
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -1,54 +1,80 @@
 package router
 
-import (
-	"math"
-)
+import "math"
 
-// worthCache is what a profile's held commands were found wise by.
+// worthCache makes it cheap to ask again and again, while no engine has capacity, whether a queued query is
+// still worth running: whyNotWorthRunning is asked once, and its answer is remembered for the query until a
+// time before which nothing can change it, in the epoch in which it was given. An epoch ends when the run
+// times of the class or the size limit of admission control leave their tolerances, or when a shutdown is
+// planned.
 type worthCache struct {
-	step      uint64 // at which it was last looked at,
-	epoch     int    // which counts how often it has changed,
-	sizeLimit float64
+	step        uint64  // in which it was last refreshed
+	epoch       int     // its number
+	allowedWork float64 // ms on one thread that a query may need, by the size limit, when the epoch began
 }
 
-const sizeLimitTolerance = 1.3 // of the size that a command may have
+// sizeLimitTolerance is the ratio by which the allowed work may change, up or down, within an epoch.
+const sizeLimitTolerance = 1.3
 
-// refreshWorthCache begins another epoch if the profile's pace, or the size that it may have, has moved too
-// far.
-func (class *queryClass) refreshWorthCache(r *Router) {
-	w := &class.worthCache
-	if w.step == r.stepCount {
+// refreshWorthCache begins another epoch of a class if its model, or the allowed work, has left the
+// tolerances. It does so once in a step.
+func (r *Router) refreshWorthCache(class *queryClass) {
+	cache := &class.worthCache
+	if cache.step == r.stepCount {
 		return
 	}
-	was := class.shedWatch.model
+	cache.step = r.stepCount
+	model := class.shedWatch.model
 	class.refreshShedWatch(r.now)
-	limit := r.admission.sizeLimit * class.usualWork(r.now)
-	if w.step = r.stepCount; was != class.shedWatch.model || !withinRatio(limit, w.sizeLimit, sizeLimitTolerance) {
-		w.epoch, w.sizeLimit = w.epoch+1, limit
+	allowedWork := r.admission.sizeLimit * class.usualWork(r.now)
+	if model != class.shedWatch.model || !withinRatio(allowedWork, cache.allowedWork, sizeLimitTolerance) {
+		cache.epoch++
+		cache.allowedWork = allowedWork
 	}
 }
 
-// knownWorthRunning tells that c is not unwise, from what was reckoned of it before where that still holds,
-// else by asking. It may say no of one that is.
+// knownWorthRunning reports that q is worth running, from the cache where that holds, else by asking. A
+// cached yes is always true: of the reasons in whyNotWorthRunning, the tenant's quota is asked for anew,
+// the two that come with time can't come before worthUntil, and the size is within the limit for the whole
+// epoch.
 func (r *Router) knownWorthRunning(q *query) bool {
-	class := q.class
 	if len(q.attempts) > 0 {
 		return true
 	}
-	class.refreshWorthCache(r)
+	r.refreshWorthCache(q.class)
 	if q.overQuota && r.now < r.admission.overloadedUntil {
 		return false
 	}
-	if q.worthEpoch == class.worthCache.epoch && r.now < q.worthUntil {
+	if q.worthEpoch == q.class.worthCache.epoch && r.now < q.worthUntil {
 		return true
 	}
 	if r.whyNotWorthRunning(q) != noReason {
 		return false
 	}
-	long := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
-	if q.worthEpoch, q.worthUntil = class.worthCache.epoch, min(r.answerBy(q)-long, r.latestStartLowerBound(q))-0.01; q.estimatedWork > 0 &&
-		max(1, q.estimatedWork*class.shedWatch.model.workScale*workScaleTolerance/class.Threads)*class.Threads > class.worthCache.sizeLimit/sizeLimitTolerance*(1-roundingError) {
-		q.worthUntil = math.Inf(-1) // it is too near the limit to be sure of it
-	}
+	q.worthEpoch = q.class.worthCache.epoch
+	q.worthUntil = r.worthUntilLowerBound(q)
 	return true
 }
+
+// worthUntilLowerBound is a time in ms until which q, which is worth running now, stays so in this epoch;
+// -Inf: it is so near to the size limit that it may be too large before the epoch ends.
+func (r *Router) worthUntilLowerBound(q *query) float64 {
+	if q.mayExceed(q.class.worthCache.allowedWork) {
+		return math.Inf(-1)
+	}
+	class := q.class
+	longest := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
+	return min(r.answerBy(q)-longest, r.latestStartLowerBound(q)) - timeRoundingSlack
+}
+
+// mayExceed reports whether q may need more than is allowed, at some time in an epoch that began with this
+// allowed work (ms on one thread).
+func (q *query) mayExceed(allowedWork float64) bool {
+	if q.estimatedWork <= 0 {
+		return false
+	}
+	threads := q.class.Threads
+	scale := q.class.shedWatch.model.workScale
+	mostWork := max(1, q.estimatedWork*scale*workScaleTolerance/threads) * threads
+	return mostWork > allowedWork/sizeLimitTolerance*(1-roundingSlack)
+}
