--- a/cmd/mintkeel/jobs.go
+++ b/cmd/mintkeel/jobs.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"mintkeel/internal/controller"
 	"mintkeel/internal/core/restore"
 	"mintkeel/internal/fleet"
 	"mintkeel/router"
@@ -16,7 +15,7 @@
 		return programs
 	}
 	facts := d.start.facts
-	k := fleet.MaintenanceHost{Engines: d.loop.EnginesNow, Hold: func(held []router.EngineID) { d.loop.Post(controller.Hold{Engines: held}) },
+	k := fleet.MaintenanceHost{Engines: d.loop.EngineStatuses, Hold: d.loop.HoldEngines,
 		Kinds: make([]string, len(facts.Kinds)), Log: d.log}
 	for name, i := range facts.Names.Kinds {
 		if int(i) >= 0 && int(i) < len(k.Kinds) {
@@ -47,12 +46,12 @@
 	if d.agreed != nil && !d.agreed.wantsDigest() {
 		return
 	}
-	d.loop.Post(controller.Remembered{Believe: func(list []router.Endpoint) router.Statistics {
+	d.loop.RestoreStatistics(func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
 		m := restore.Snapshot{Of: d.identity(), Learned: learned}
 		believed, account := restore.Select(&m, d.identity(), list, now, restore.DefaultHalfLives())
 		d.log.Info("fleet: the digest", "believed", account.Believed, "aged", account.Aged, "future", account.Future,
 			"unknown", account.Unknown, "wrong", account.Wrong)
 		return believed
-	}})
+	})
 }
--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/restore.go
@@ -23,7 +23,7 @@
 		return
 	}
 	d.remembers = true
-	d.loop.SetRestore(func(list []router.Endpoint) router.Statistics {
+	d.loop.RestoreOnFirstEndpoints(func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
 		learned, account := restore.Select(&kept.Memory, d.identity(), list, now, restore.DefaultHalfLives())
 		d.log.Info("remembered", "file", kept.File, "age_ms", int64(now-kept.Taken), "believed", account.Believed,
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -89,7 +89,7 @@
 	d.log = d.lines.Logger()
 	guards := d.start.facts.Guards
 	d.loop = controller.New(d.start.facts.Router(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
-	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.Post, d.log)
+	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.pool)
 	defer d.leaveFleet()
 	var pending pendingSignals
@@ -124,11 +124,11 @@
 		d.restoreSnapshot()
 	}
 	if d.file.Fleet != nil {
-		d.loop.KeepList()
+		d.loop.KeepEndpoints()
 	}
 	last := d.start.Known.No
 	for i, news := range d.start.news {
-		d.loop.News(news, i == 0)
+		d.loop.UpdateEndpoints(news, i == 0)
 		last = max(last, news.No)
 	}
 	listener, err := net.Listen("tcp", d.start.Listen)
@@ -138,10 +138,10 @@
 	facts := d.start.facts
 	d.server = clients.New(d.limits, &facts.Names, facts.Profiles, d.loop.Offer, func() time.Duration {
 		return time.Duration(facts.Allowed.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
-	}, d.loop.Post, d.log)
+	}, d.loop.PostClientEvent, d.log)
 	go d.loop.Run(ctx)
 	d.loop.SetRules(d.file.Rules)
-	d.feed = discovery.NewWatcher(d.start.Feed, last, &facts.Names, d.limits, func(news discovery.Update) { d.loop.Post(news) }, d.log)
+	d.feed = discovery.NewWatcher(d.start.Feed, last, &facts.Names, d.limits, d.loop.PostEndpoints, d.log)
 	go d.feed.Follow(ctx)
 	if d.from.operator != "" {
 		d.server.Describe()
@@ -230,7 +230,7 @@
 	l := d.limits
 	d.log.Info("told to stop")
 	end := time.Now().Add(l.EndTime)
-	d.loop.Post(controller.Stop{Within: l.StopTime})
+	d.loop.StartShutdown(l.StopTime)
 	if d.agreed != nil {
 		d.agreed.stopTaking()
 	}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -22,21 +22,13 @@
 	"mintkeel/router"
 )
 
-// What the loop is told.
-type (
-	// Taken is a command that a client wrote whole.
-	Taken struct{ Query *request.Query }
-	// Gone says that a command's client has left; nothing is owed.
-	Gone struct{ Query *request.Query }
-)
-
 // Server is a listener with its sessions.
 type Server struct {
 	limits   *limits.Limits
 	names    *settings.Names
 	profiles []router.QueryClass
-	post     func(event any)
-	offer    func(Taken) bool
+	post     func(Event)
+	offer    func(QueryArrived) bool
 	away     func() time.Duration // how long who is refused should stay away
 	log      *slog.Logger
 
@@ -83,8 +75,8 @@
 
 // New makes a server that offers commands, and sheds one that is not taken with the time for which away says to stay
 // away. It tells post of clients that leave; post may block its caller.
-func New(l *limits.Limits, names *settings.Names, profiles []router.QueryClass, offer func(Taken) bool,
-	away func() time.Duration, post func(event any), log *slog.Logger) *Server {
+func New(l *limits.Limits, names *settings.Names, profiles []router.QueryClass, offer func(QueryArrived) bool,
+	away func() time.Duration, post func(Event), log *slog.Logger) *Server {
 	return &Server{limits: l, names: names, profiles: profiles, offer: offer, away: away, post: post, log: log,
 		sessions: map[uint32]*session{}, empty: make(chan struct{}), heard: time.Now()}
 }
@@ -148,7 +140,7 @@
 		r.refused.Add(1)
 		return v.Refuse
 	}
-	cmd.Profile, cmd.Key, cmd.Hot, cmd.Kinds, cmd.Zones, cmd.Most = v.Profile, v.Key, v.Hot, v.Kinds, v.Zones, v.Most
+	cmd.Class, cmd.OrderingKey, cmd.Hot, cmd.Kinds, cmd.Zones, cmd.EstimateCap = v.Profile, v.Key, v.Hot, v.Kinds, v.Zones, v.Most
 	return ""
 }
 
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -56,7 +56,7 @@
 	names := &settings.Names{Profiles: map[string]router.ClassID{"report": 0, "load": 1},
 		Tenants: map[string]router.TenantID{"acme": 0}}
 	f := &front{t: t, events: make(chan any, 100), full: make(chan bool, 1)}
-	offer := func(ev Taken) bool {
+	offer := func(ev QueryArrived) bool {
 		select {
 		case <-f.full:
 			return false
@@ -66,7 +66,7 @@
 		}
 	}
 	f.server = New(l, names, []router.QueryClass{{}, {Effect: router.Deduplicated}}, offer,
-		func() time.Duration { return 250 * time.Millisecond }, func(ev any) { f.events <- ev }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		func() time.Duration { return 250 * time.Millisecond }, func(ev Event) { f.events <- ev }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	f.t.Helper()
 	select {
 	case ev := <-f.events:
-		if t, ok := ev.(Taken); ok {
+		if t, ok := ev.(QueryArrived); ok {
 			return t.Query
 		}
 		f.t.Fatalf("told %+v", ev)
@@ -147,11 +147,11 @@
 		{request.Answer{Verdict: request.Succeeded, Pages: [][]byte{[]byte("a\tb\tc\nd\te\tf\n"), []byte("\t\t\n")}},
 			"TDDDCZ"},
 		{request.Answer{Verdict: request.Succeeded}, "TCZ"},
-		{request.Answer{Verdict: request.Rejected, After: time.Second}, "E53000Z"},
+		{request.Answer{Verdict: request.Rejected, RetryAfter: time.Second}, "E53000Z"},
 		{request.Answer{Verdict: request.Failed}, "E58000Z"},
 	} {
 		cmd := f.taken()
-		if cmd.Tables != 17 || cmd.Left != 1500*time.Millisecond-f.server.limits.AnswerTime || string(cmd.Statement) != query[len(head):] {
+		if cmd.Tables != 17 || cmd.TimeLeft != 1500*time.Millisecond-f.server.limits.AnswerTime || string(cmd.Statement) != query[len(head):] {
 			t.Errorf("took %+v", cmd)
 		}
 		if !cmd.Finish(c.answer) || cmd.Finish(request.Answer{Verdict: request.Failed}) {
@@ -291,7 +291,7 @@
 		wrong := append(bytes.Clone(key[:4]), key[4]^1, key[5], key[6], key[7])
 		f.hears(f.dial(startUp(80877102, string(wrong))), "") // until it is closed, so has been read
 		c.leave(f, conn, key)
-		if ev := <-f.events; ev != any(Gone{cmd}) {
+		if ev := <-f.events; ev != any(ClientDisconnected{cmd}) {
 			t.Errorf("%s: told %+v", c.name, ev)
 		}
 		if cmd.Finish(request.Answer{Verdict: request.Succeeded}) {
@@ -333,7 +333,7 @@
 	}
 	answeredAt := time.Now()
 	first.Finish(request.Answer{Verdict: request.Rejected})
-	if second := f.taken(); !second.Read.Before(answeredAt) {
+	if second := f.taken(); !second.ReadAt.Before(answeredAt) {
 		t.Error("its time counts from its turn")
 	}
 }
@@ -475,10 +475,10 @@
 	f.Add(append(bytes.Clone(hello), ask(query)...))
 	f.Add([]byte(fmt.Sprint(head)))
 	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ClassID{"report": 0}},
-		[]router.QueryClass{{}}, func(t Taken) bool {
+		[]router.QueryClass{{}}, func(t QueryArrived) bool {
 			t.Query.Finish(request.Answer{Verdict: request.Succeeded})
 			return true
-		}, nil, func(any) {}, slog.Default())
+		}, nil, func(Event) {}, slog.Default())
 	f.Fuzz(func(t *testing.T, in []byte) {
 		ours, theirs := net.Pipe()
 		go func() { theirs.Write(in); theirs.Close() }()
@@ -612,7 +612,7 @@
 		conn.Close()
 		select {
 		case ev := <-f.events:
-			if ev != any(Gone{cmd}) {
+			if ev != any(ClientDisconnected{cmd}) {
 				t.Errorf("%d queries ahead: told %+v", ahead, ev)
 			}
 		case <-time.After(patience):
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -243,13 +243,13 @@
 	if !found {
 		return no(pgwire.CodeField, "the statement names no group of tables")
 	}
-	cmd := &request.Query{ID: f.ID, Profile: profile, Verb: f.Verb, Tenant: tenant, Unique: f.Unique,
-		Key: router.OrderingKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB, Tables: router.TableGroup(table.Group),
-		First: !ses.used, Read: now, Left: ses.within(f.LimitMS),
-		Patience: time.Duration(p.ClientTimeout * float64(time.Millisecond))}
+	cmd := &request.Query{ID: f.ID, Class: profile, ClassName: f.Verb, Tenant: tenant, IdempotencyKey: f.Unique,
+		OrderingKey: router.OrderingKey(f.Item), EstimatedWork: f.CPU, EstimatedMemoryMB: f.EstMB, Tables: router.TableGroup(table.Group),
+		FirstOnConnection: !ses.used, ReadAt: now, TimeLeft: ses.within(f.LimitMS),
+		ClientTimeout: time.Duration(p.ClientTimeout * float64(time.Millisecond))}
 	if ses.server.describe {
 		c := described(f, profile, table, ses.name, ses.conn.LocalAddr().String())
-		if cmd.Described = &c; ses.server.rules.Load() != nil {
+		if cmd.RuleInput = &c; ses.server.rules.Load() != nil {
 			if why := ses.server.rule(cmd, c); why != "" {
 				return nil, pgwire.AppendError(nil, false, pgwire.CodeRule, why)
 			}
@@ -317,8 +317,8 @@
 	})
 	if overtaken {
 		cmd.Finish(request.Answer{Verdict: request.Disconnected})
-	} else if !ses.server.offer(Taken{cmd}) {
-		cmd.Finish(request.Answer{Verdict: request.Rejected, After: ses.server.away()})
+	} else if !ses.server.offer(QueryArrived{cmd}) {
+		cmd.Finish(request.Answer{Verdict: request.Rejected, RetryAfter: ses.server.away()})
 	}
 	err := ses.watch()
 	if !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errFlood) {
@@ -380,14 +380,14 @@
 	}
 	ses.mu.Unlock()
 	if cmd != nil && cmd.Finish(request.Answer{Verdict: request.Disconnected}) {
-		ses.server.post(Gone{cmd})
+		ses.server.post(ClientDisconnected{cmd})
 	}
 }
 
 func (ses *session) answer(a request.Answer) error {
 	switch a.Verdict {
 	case request.Rejected:
-		return ses.write(pgwire.AppendReady(pgwire.AppendShed(nil, a.After)))
+		return ses.write(pgwire.AppendReady(pgwire.AppendShed(nil, a.RetryAfter)))
 	case request.Failed:
 		return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed")))
 	case request.Disconnected:
--- /dev/null
+++ b/internal/controller/actions.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"time"
+
+	"mintkeel/internal/request"
+	"mintkeel/router"
+)
+
+// perform carries out one action of the step at now (ms).
+func (l *Loop) perform(action router.Action, now float64) {
+	switch a := action.(type) {
+	case router.StartAttempt:
+		l.startAttempt(a, now)
+	case router.CancelAttempt:
+		l.cancelAttempt(a)
+	case router.Reject:
+		l.answerFinally(a.ID, request.Answer{Verdict: request.Rejected, RetryAfter: duration(a.RetryAfter)})
+	case router.Fail:
+		l.answerFinally(a.ID, request.Answer{Verdict: request.Failed})
+	case router.CheckHealth:
+		l.counts.HealthChecks++
+		l.engines.CheckHealth(a.Engine)
+	case router.SetTimer:
+		l.timer.Reset(max(0, duration(a.After)))
+	case router.Subscribe:
+		// Discovery is watched at all times.
+	}
+}
+
+// startAttempt starts the next attempt of a query. The module names only queries that it was given and has
+// not ended.
+func (l *Loop) startAttempt(a router.StartAttempt, now float64) {
+	q := l.queries[a.ID]
+	attempt := router.AttemptID(len(q.attempts))
+	q.attempts = append(q.attempts, a.Engine)
+	q.outstanding++
+	l.counts.Attempts++
+	startWithin := time.Duration(0) // no limit
+	if a.StartBy > 0 {
+		// A time that has passed must stay a limit, and not become 0.
+		startWithin = max(1, duration(a.StartBy-now))
+	}
+	l.engines.StartAttempt(q.Query, attempt, a.Engine, duration(a.Deadline-now), startWithin)
+}
+
+// cancelAttempt cancels an attempt, if it is known.
+func (l *Loop) cancelAttempt(a router.CancelAttempt) {
+	q := l.queries[a.ID]
+	if q == nil || int(a.Attempt) >= len(q.attempts) {
+		return
+	}
+	l.counts.Cancels++
+	l.engines.CancelAttempt(q.Query, a.Attempt, q.attempts[a.Attempt])
+}
+
+// answerFinally gives a query the module's final answer. The query is kept until its attempts have their
+// outcomes, and actions that follow in the same step may still name it.
+func (l *Loop) answerFinally(id router.QueryID, answer request.Answer) {
+	if q := l.queries[id]; q != nil && !q.answered {
+		l.answerQuery(q, answer)
+		l.forget(q)
+	}
+}
--- /dev/null
+++ b/internal/controller/counts.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"log/slog"
+
+	"mintkeel/router"
+)
+
+// Counts are what the loop has seen and done since its start.
+type Counts struct {
+	Accepted        int64 // queries handed to the module
+	Answered        int64 // with the result of an attempt
+	Rejected        int64 // by the module
+	Failed          int64 // by the module
+	Disconnected    int64 // queries whose client went before the answer
+	Duplicates      int64 // queries failed as their id was in flight; not in Accepted
+	QueueFull       int64 // queries rejected as too many waited to be looked at; not in Accepted
+	Open            int64 // queries without a final answer, now
+	Attempts        int64
+	Cancels         int64 // of attempts
+	HealthChecks    int64
+	EndpointUpdates int64
+	Outcomes        [router.Withdrawn + 1]int64 // of attempts
+}
+
+// outcomeNames are the outcomes as they are printed. Operators' tools read them, so the words stay.
+var outcomeNames = [router.Withdrawn + 1]string{
+	router.Succeeded:       "answered",
+	router.Errored:         "errored",
+	router.EngineFull:      "full",
+	router.TimedOut:        "timed_out",
+	router.ConnectFailed:   "refused",
+	router.ConnectionReset: "reset",
+	router.Cancelled:       "cancelled",
+	router.NotSent:         "not_sent",
+	router.Withdrawn:       "withdrawn",
+}
+
+// LogValue prints the counts. The keys are those that docs/oncall.md explains and operators' tools read; they
+// are mapped to the field's terms here alone.
+func (c Counts) LogValue() slog.Value {
+	var outcomes []slog.Attr
+	for outcome, n := range c.Outcomes {
+		outcomes = append(outcomes, slog.Int64(outcomeNames[outcome], n))
+	}
+	return slog.GroupValue(
+		slog.Int64("taken", c.Accepted),
+		slog.Int64("answered", c.Answered),
+		slog.Int64("shed", c.Rejected),
+		slog.Int64("failed", c.Failed),
+		slog.Int64("left", c.Disconnected),
+		slog.Int64("duplicate", c.Duplicates),
+		slog.Int64("refused", c.QueueFull),
+		slog.Int64("open", c.Open),
+		slog.Int64("sends", c.Attempts),
+		slog.Int64("cancels", c.Cancels),
+		slog.Int64("probes", c.HealthChecks),
+		slog.Int64("news", c.EndpointUpdates),
+		slog.Attr{Key: "ends", Value: slog.GroupValue(outcomes...)},
+	)
+}
+
+// Counts asks the loop for its counts and waits for them.
+func (l *Loop) Counts() Counts {
+	reply := make(chan Counts, 1)
+	l.post(countsRequest{reply})
+	return <-reply
+}
+
+// currentCounts adds to the running counts those that are counted elsewhere.
+func (l *Loop) currentCounts() Counts {
+	counts := l.counts
+	counts.QueueFull = l.queueFull.Load()
+	for _, q := range l.queries {
+		if !q.answered {
+			counts.Open++
+		}
+	}
+	return counts
+}
--- /dev/null
+++ b/internal/controller/endpoints.go
@@ -0,0 +1,100 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"mintkeel/internal/discovery"
+	"mintkeel/internal/engines"
+	"mintkeel/router"
+)
+
+// KeepEndpoints has the loop keep the endpoint list, which HoldEngines and RestoreStatistics need. It must be
+// called before Run and before UpdateEndpoints.
+func (l *Loop) KeepEndpoints() {
+	l.endpoints = map[router.EngineID]router.Endpoint{}
+	l.addresses = map[router.EngineID]string{}
+}
+
+// UpdateEndpoints takes in an update of the endpoint list: the engines' side gets it first, so that the
+// module's actions find the engines that the module knows. cached says that the update was stored before this
+// start and is not confirmed. It is called before Run, and later by the loop's goroutine alone; others call
+// PostEndpoints.
+func (l *Loop) UpdateEndpoints(update discovery.Update, cached bool) {
+	l.counts.EndpointUpdates++
+	event := router.EndpointsUpdated{
+		Complete:   update.Whole,
+		Cached:     cached,
+		ExpiredFor: milliseconds(update.Expired),
+	}
+	var addresses []engines.Endpoint
+	for _, entry := range update.Entries {
+		endpoint := entry.Endpoint
+		if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
+			endpoint.State = router.Draining
+		}
+		event.Endpoints = append(event.Endpoints, endpoint)
+		addresses = append(addresses,
+			engines.Endpoint{Engine: endpoint.Engine, Address: entry.Dial, State: endpoint.State})
+	}
+	l.engines.UpdateEndpoints(addresses, update.Whole)
+	l.engines.SetExpired(update.Expired > 0)
+	l.events = append(l.events, event)
+	if l.endpoints != nil {
+		l.keepEndpoints(update)
+	}
+	if l.restore != nil && len(event.Endpoints) > 0 {
+		l.events = append(l.events, router.StatisticsRestored{Statistics: l.restore(event.Endpoints)})
+		l.restore = nil
+	}
+}
+
+// keepEndpoints updates the kept list, which has the engines' states as received, held or not.
+func (l *Loop) keepEndpoints(update discovery.Update) {
+	if update.Whole {
+		clear(l.endpoints)
+		clear(l.addresses)
+	}
+	for _, entry := range update.Entries {
+		if entry.State == router.Gone {
+			delete(l.endpoints, entry.Engine)
+			delete(l.addresses, entry.Engine)
+			continue
+		}
+		l.endpoints[entry.Engine] = entry.Endpoint
+		l.addresses[entry.Engine] = entry.Dial
+	}
+}
+
+// HoldEngines has these engines, and no others, treated as draining whatever the endpoint list says of them:
+// maintenance is about to take them out, or has. From when the loop takes it in they get no new attempts, as
+// with any engine that drains. It needs KeepEndpoints, and waits while the inbox is full.
+func (l *Loop) HoldEngines(held []router.EngineID) { l.post(holdMessage{held}) }
+
+// hold replaces the held engines, and tells the module and the engines' side of those whose state changes by
+// that.
+func (l *Loop) hold(wanted []router.EngineID) {
+	held := map[router.EngineID]bool{}
+	for _, id := range wanted {
+		held[id] = true
+	}
+	var changed []router.Endpoint
+	var addresses []engines.Endpoint
+	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
+		endpoint := l.endpoints[id]
+		if held[id] == l.heldEngines[id] || endpoint.State != router.Ready {
+			continue
+		}
+		if held[id] {
+			endpoint.State = router.Draining
+		}
+		changed = append(changed, endpoint)
+		addresses = append(addresses, engines.Endpoint{Engine: id, Address: l.addresses[id], State: endpoint.State})
+	}
+	l.heldEngines = held
+	if len(changed) == 0 {
+		return
+	}
+	l.engines.UpdateEndpoints(addresses, false)
+	l.events = append(l.events, router.EndpointsUpdated{Endpoints: changed})
+}
--- /dev/null
+++ b/internal/controller/queries.go
@@ -0,0 +1,155 @@
+package controller
+
+import (
+	"time"
+
+	"mintkeel/internal/core/rules"
+	"mintkeel/internal/engines"
+	"mintkeel/internal/request"
+	"mintkeel/router"
+)
+
+// queryState is a query in flight, as the package comment describes its states.
+type queryState struct {
+	*request.Query
+	ruleEpoch   rules.Epoch       // the rules that it arrived under
+	ordered     bool              // it has an ordering key
+	answered    bool              // it has its final answer, or its client has gone
+	attempts    []router.EngineID // where each attempt went, by AttemptID
+	outstanding int               // attempts without an outcome
+}
+
+// queryArrived hands a new query to the module. One whose client id is in flight already fails at once, as
+// engines could not tell the two apart. One whose client has gone before it came here is dropped.
+func (l *Loop) queryArrived(query *request.Query) {
+	if _, inFlight := l.clientIDs[query.ID]; inFlight {
+		l.counts.Duplicates++
+		query.Finish(request.Answer{Verdict: request.Failed})
+		return
+	}
+	if query.Answer().Verdict != request.Unanswered {
+		return
+	}
+	query.RouterID = l.newQueryID()
+	q := &queryState{Query: query}
+	key := query.OrderingKey
+	var moreKeys []router.OrderingKey
+	if query.RuleInput != nil {
+		q.ruleEpoch, key, moreKeys = l.ruleEpochs.Take(l.clock(), query.RuleInput)
+	}
+	q.ordered = key != "" || len(moreKeys) > 0
+	l.queries[query.RouterID] = q
+	l.clientIDs[query.ID] = query.RouterID
+	l.counts.Accepted++
+	inboxWait := time.Since(query.ReadAt)
+	clientQueueTime := time.Duration(0)
+	if query.OrderingKey != "" {
+		clientQueueTime = l.clientQueues.Came(query.OrderingKey, query.ReadAt, query.FirstOnConnection,
+			query.ClientTimeout)
+	}
+	l.events = append(l.events, router.QueryArrived{
+		ID:                query.RouterID,
+		Tenant:            query.Tenant,
+		Class:             query.Class,
+		Tables:            query.Tables,
+		Key:               key,
+		MoreKeys:          moreKeys,
+		TimeLeft:          milliseconds(query.TimeLeft - inboxWait),
+		InboxWait:         milliseconds(inboxWait),
+		ClientQueueTime:   milliseconds(clientQueueTime),
+		EstimatedWork:     query.EstimatedWork,
+		EstimateCap:       query.EstimateCap,
+		EstimatedMemoryMB: query.EstimatedMemoryMB,
+		Kinds:             query.Kinds,
+		Zones:             query.Zones,
+		Hot:               query.Hot,
+	})
+}
+
+// newQueryID returns the next id, which wraps around, that no query in flight has. 0 is never given.
+func (l *Loop) newQueryID() router.QueryID {
+	l.lastID++
+	for l.lastID == 0 || l.queries[l.lastID] != nil {
+		l.lastID++
+	}
+	return l.lastID
+}
+
+// clientDisconnected ends a query that is owed no answer any more. Its outstanding attempts still get their
+// outcomes.
+func (l *Loop) clientDisconnected(query *request.Query) {
+	q := l.queries[query.RouterID]
+	if q == nil || q.Query != query {
+		return
+	}
+	l.counts.Disconnected++
+	q.answered = true
+	l.events = append(l.events, router.ClientDisconnected{ID: q.RouterID})
+	l.forget(q)
+}
+
+// attemptEnded takes in the outcome of an attempt, and answers its query if it succeeded.
+func (l *Loop) attemptEnded(ev engines.AttemptEnded) {
+	q := l.queries[ev.Query.RouterID]
+	if q == nil || int(ev.Attempt) >= len(q.attempts) {
+		return
+	}
+	q.outstanding--
+	l.counts.Outcomes[ev.Outcome]++
+	if ev.Outcome == router.Succeeded && !q.answered {
+		l.answerQuery(q, request.Answer{Verdict: request.Succeeded, Pages: ev.Pages})
+	}
+	l.events = append(l.events, router.AttemptEnded{
+		ID:        q.RouterID,
+		Attempt:   ev.Attempt,
+		Outcome:   ev.Outcome,
+		QueryDone: q.answered,
+		Elapsed:   milliseconds(ev.Elapsed),
+		Load:      ev.Load,
+	})
+	if q.answered && q.outstanding == 0 && q.ordered {
+		l.orderingKeyFreed = true
+	}
+	l.forget(q)
+}
+
+// attemptProgress takes in a progress message of an attempt.
+func (l *Loop) attemptProgress(ev engines.AttemptProgress) {
+	if l.queries[ev.Query.RouterID] == nil {
+		return
+	}
+	l.events = append(l.events, router.AttemptProgress{
+		ID:      ev.Query.RouterID,
+		Attempt: ev.Attempt,
+		Kind:    ev.Kind,
+		Value:   ev.Value,
+	})
+}
+
+// answerQuery gives a query its final answer, and counts it unless the client had gone first.
+func (l *Loop) answerQuery(q *queryState, answer request.Answer) {
+	q.answered = true
+	if !q.Finish(answer) {
+		return
+	}
+	switch answer.Verdict {
+	case request.Succeeded:
+		l.counts.Answered++
+	case request.Rejected:
+		l.counts.Rejected++
+	case request.Failed:
+		l.counts.Failed++
+	}
+}
+
+// forget drops a query that is answered and has no attempt without an outcome.
+func (l *Loop) forget(q *queryState) {
+	if !q.answered || q.outstanding > 0 {
+		return
+	}
+	if q.RuleInput != nil {
+		l.ruleEpochs.Over(l.clock(), q.ruleEpoch)
+	}
+	delete(l.queries, q.RouterID)
+	delete(l.clientIDs, q.ID)
+}
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -39,7 +39,7 @@
 // tooLate tells that it must not be written any more: its connection may have come up after its command was answered,
 // or left by its client, or past the time by which it was to begin.
 func (s *send) tooLate(now time.Time) bool {
-	return !s.begin.IsZero() && now.After(s.begin) || s.cmd.Answer().Verdict != request.None
+	return !s.begin.IsZero() && now.After(s.begin) || s.cmd.Answer().Verdict != request.Unanswered
 }
 
 // item is something to be written; send is the one that it starts, if any.
@@ -153,9 +153,9 @@
 	if len(c.sends) == 0 {
 		c.heard = time.Now()
 	}
-	c.used[s.cmd.ID], c.sends[s.cmd.ID] = s.cmd.Read.Add(s.cmd.Left+c.pool.limits.LateTime), s
+	c.used[s.cmd.ID], c.sends[s.cmd.ID] = s.cmd.ReadAt.Add(s.cmd.TimeLeft+c.pool.limits.LateTime), s
 	within := max(1, time.Until(s.until).Milliseconds()) // no engine can use a time under 1
-	head := enginewire.AppendDo(nil, s.cmd.ID, s.cmd.Verb, within, s.cmd.Unique, len(s.cmd.Statement))
+	head := enginewire.AppendDo(nil, s.cmd.ID, s.cmd.ClassName, within, s.cmd.IdempotencyKey, len(s.cmd.Statement))
 	c.busy.Store(int32(len(c.sends)))
 	c.write(item{net.Buffers{head, s.cmd.Statement, lineEnd}, s})
 	return true
@@ -196,7 +196,7 @@
 // withdraw ends the sends that no byte has left of.
 func (c *conn) withdraw(gone bool) {
 	c.mu.Lock()
-	var ends []any
+	var ends []Event
 	for _, s := range c.sends {
 		if !s.written {
 			ends = append(ends, c.finish(s, router.Withdrawn))
@@ -245,7 +245,7 @@
 }
 
 // finish takes a send off and makes its Ended; mu is held.
-func (c *conn) finish(s *send, outcome router.Outcome) any {
+func (c *conn) finish(s *send, outcome router.Outcome) Event {
 	delete(c.sends, s.cmd.ID)
 	c.busy.Store(int32(len(c.sends)))
 	now := time.Now()
@@ -258,14 +258,14 @@
 			}
 		}
 	}
-	end := Ended{Query: s.cmd, Send: s.number, Outcome: outcome, Took: now.Sub(s.at), Load: s.load}
+	end := AttemptEnded{Query: s.cmd, Attempt: s.number, Outcome: outcome, Elapsed: now.Sub(s.at), Load: s.load}
 	if outcome == router.Succeeded {
 		end.Pages = s.pages
 	}
 	return end
 }
 
-func (c *conn) tell(events []any) {
+func (c *conn) tell(events []Event) {
 	for _, ev := range events {
 		c.pool.post(ev)
 	}
@@ -369,7 +369,7 @@
 
 // next ends what has had its time and returns what is to be written or, if that is nothing, lets the next read wait
 // until something else is due.
-func (c *conn) next(now time.Time, up net.Conn, half time.Time) (batch []item, ends []any, err error) {
+func (c *conn) next(now time.Time, up net.Conn, half time.Time) (batch []item, ends []Event, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.pool.limits
@@ -409,7 +409,7 @@
 	for tag, at := range c.pings {
 		if by(at) {
 			delete(c.pings, tag)
-			ends = append(ends, Probed{Engine: c.engine, Outcome: router.TimedOut})
+			ends = append(ends, HealthCheckEnded{Engine: c.engine, Outcome: router.TimedOut})
 		}
 	}
 	out := c.out
@@ -431,7 +431,7 @@
 }
 
 // take files one answer. One to an id that is not out here crossed the end of its send, and tells nothing.
-func (c *conn) take(a enginewire.Answer) (events []any, err error) {
+func (c *conn) take(a enginewire.Answer) (events []Event, err error) {
 	var load *router.LoadReport
 	if a.Report != nil {
 		load = settings.NoLoad()
@@ -470,7 +470,7 @@
 	case enginewire.Note:
 		if what, known := note(a); known {
 			s.ran = s.ran || what == router.ProgressDone && a.Value > 0
-			return one(Noted{s.cmd, s.number, what, a.Value}), nil
+			return one(AttemptProgress{s.cmd, s.number, what, a.Value}), nil
 		}
 		return nil, nil
 	}
@@ -478,11 +478,11 @@
 }
 
 // ready takes in that the engine has read all that came before a ping.
-func (c *conn) ready(tag string, load *router.LoadReport) []any {
+func (c *conn) ready(tag string, load *router.LoadReport) []Event {
 	if _, probe := c.pings[tag]; probe {
 		delete(c.pings, tag)
 		c.idleAt = time.Now()
-		return one(Probed{c.engine, router.Succeeded, load})
+		return one(HealthCheckEnded{c.engine, router.Succeeded, load})
 	}
 	id, undo := strings.CutPrefix(tag, undoTag)
 	if s := c.sends[id]; undo && s != nil && s.undone && s.written {
@@ -492,7 +492,7 @@
 }
 
 // page gathers a result. After an undo the engine no longer has further pages, so only a whole result counts.
-func (c *conn) page(s *send, a enginewire.Answer) ([]any, error) {
+func (c *conn) page(s *send, a enginewire.Answer) ([]Event, error) {
 	l, at := c.pool.limits, a.PartNo
 	if a.Word == enginewire.OK {
 		at = 0
@@ -530,7 +530,7 @@
 	return one(c.finish(s, router.Succeeded)), nil
 }
 
-func one(event any) []any { return []any{event} }
+func one(event Event) []Event { return []Event{event} }
 
 func note(a enginewire.Answer) (what router.ProgressKind, known bool) {
 	switch {
@@ -553,7 +553,7 @@
 	c.mu.Lock()
 	c.over = true
 	c.gone.Store(true)
-	var ends []any
+	var ends []Event
 	for _, s := range c.sends {
 		outcome := written
 		switch {
@@ -566,7 +566,7 @@
 	}
 	for tag := range c.pings {
 		delete(c.pings, tag)
-		ends = append(ends, Probed{Engine: c.engine, Outcome: router.ConnectFailed})
+		ends = append(ends, HealthCheckEnded{Engine: c.engine, Outcome: router.ConnectFailed})
 	}
 	c.mu.Unlock()
 	c.cancel()
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -19,44 +19,18 @@
 	"mintkeel/router"
 )
 
-// What the loop is told.
-type (
-	// Ended is the outcome of a send; with Answered it comes when all pages are in.
-	Ended struct {
-		Query   *request.Query
-		Send    router.AttemptID
-		Outcome router.Outcome
-		Took    time.Duration
-		Pages   [][]byte
-		Load    *router.LoadReport
-	}
-	// Noted is word of a send that is out.
-	Noted struct {
-		Query *request.Query
-		Send  router.AttemptID
-		What  router.ProgressKind
-		Level float64
-	}
-	// Probed is what a ping found.
-	Probed struct {
-		Engine  router.EngineID
-		Outcome router.Outcome
-		Load    *router.LoadReport
-	}
-)
-
-// Address is where an engine listens, and whether it may get new sends.
-type Address struct {
-	Engine router.EngineID
-	Dial   string
-	State  router.EngineState
+// Endpoint is where an engine listens, and whether it may get new sends.
+type Endpoint struct {
+	Engine  router.EngineID
+	Address string
+	State   router.EngineState
 }
 
 // Pool is the connections to all engines. Its methods are for one goroutine, the loop's; none of them blocks.
 type Pool struct {
 	limits  *limits.Limits
 	streams int // sends that one connection carries
-	post    func(event any)
+	post    func(Event)
 	log     *slog.Logger
 	engines map[router.EngineID]*engine
 	ready   int          // engines that may get sends
@@ -72,12 +46,12 @@
 }
 
 type engine struct {
-	Address
+	Endpoint
 	conns []*conn
 }
 
 // New makes a pool that tells post what happens; post may block its caller, which is never the loop.
-func New(l *limits.Limits, streams int, post func(event any), log *slog.Logger) *Pool {
+func New(l *limits.Limits, streams int, post func(Event), log *slog.Logger) *Pool {
 	if streams <= 0 {
 		streams = 100
 	}
@@ -85,15 +59,15 @@
 		logged: map[router.EngineID]time.Time{}}
 }
 
-// List takes in where engines are. Sends that wait for a connection to one that drains or is gone are withdrawn:
+// UpdateEndpoints takes in where engines are. Sends that wait for a connection to one that drains or is gone are withdrawn:
 // they would go out after the list had told.
-func (p *Pool) List(addresses []Address, whole bool) {
+func (p *Pool) UpdateEndpoints(addresses []Endpoint, whole bool) {
 	named, at := map[router.EngineID]bool{}, map[string]bool{}
 	for _, a := range addresses {
 		named[a.Engine] = true
 		e := p.engines[a.Engine]
 		if e == nil {
-			e = &engine{Address: a}
+			e = &engine{Endpoint: a}
 			p.engines[a.Engine] = e
 		}
 		if a.State != router.Ready { // where it was is not told any more, and what is out there may still end
@@ -101,12 +75,12 @@
 			e.withdraw()
 			continue
 		}
-		if e.Dial != a.Dial {
+		if e.Address != a.Address {
 			for _, c := range e.conns {
 				c.stop()
 			}
 		}
-		e.Address, at[a.Dial] = a, true
+		e.Endpoint, at[a.Address] = a, true
 	}
 	p.ready = 0
 	for id, e := range p.engines {
@@ -114,8 +88,8 @@
 			e.State = router.Gone
 			e.withdraw()
 		}
-		if !named[id] && e.Dial != "" && at[e.Dial] { // another has its address now: it must not get what is meant for this one
-			e.Dial = ""
+		if !named[id] && e.Address != "" && at[e.Address] { // another has its address now: it must not get what is meant for this one
+			e.Address = ""
 			e.withdraw()
 		}
 		if e.live(); e.State == router.Gone && len(e.conns) == 0 {
@@ -129,12 +103,12 @@
 	}
 }
 
-// Expire tells that where engines are may have changed unheard, or that it is known again. Until then connections
+// SetExpired tells that where engines are may have changed unheard, or that it is known again. Until then connections
 // are opened only beside one that is up, which shows that the same process is still there: another engine may have
 // come to the address of one that has gone, or the same one back cold.
 //
 // A send that waits for a connection as the list expires is withdrawn: it was decided by a list that held.
-func (p *Pool) Expire(expired bool) {
+func (p *Pool) SetExpired(expired bool) {
 	if expired && !p.expired {
 		for _, e := range p.engines {
 			e.withdraw()
@@ -210,20 +184,20 @@
 	}
 }
 
-// Send writes a command to an engine, over a connection that it has not been on; its end is told by an Ended. What has
+// StartAttempt writes a command to an engine, over a connection that it has not been on; its end is told by an Ended. What has
 // not gone out within begin, where that is above 0, does not go out any more.
-func (p *Pool) Send(cmd *request.Query, number router.AttemptID, to router.EngineID, within, begin time.Duration) {
+func (p *Pool) StartAttempt(cmd *request.Query, number router.AttemptID, to router.EngineID, within, begin time.Duration) {
 	now := time.Now()
 	s := &send{cmd: cmd, number: number, at: now, until: now.Add(within)}
 	if begin > 0 {
 		s.begin = now.Add(begin)
 	}
 	e := p.engines[to]
-	if e != nil && e.State == router.Ready && within > 0 && e.Dial != "" && p.put(s, e) {
+	if e != nil && e.State == router.Ready && within > 0 && e.Address != "" && p.put(s, e) {
 		return
 	}
 	// The loop must not wait for room in its own inbox.
-	go p.post(Ended{Query: cmd, Send: number, Outcome: router.NotSent})
+	go p.post(AttemptEnded{Query: cmd, Attempt: number, Outcome: router.NotSent})
 }
 
 // put has a connection take a send on: an idle one, else a new one and, where there may be none, the one that
@@ -246,7 +220,7 @@
 }
 
 func (p *Pool) connect(e *engine) *conn {
-	c := newConn(p, e.Engine, e.Dial)
+	c := newConn(p, e.Engine, e.Address)
 	e.conns = append(e.conns, c)
 	p.open.Add(1)
 	p.dialled.Add(1)
@@ -257,8 +231,8 @@
 	return c
 }
 
-// Cancel gives a send up. Its Ended still comes: when the engine is known to have heard, or has had time to.
-func (p *Pool) Cancel(cmd *request.Query, number router.AttemptID, to router.EngineID) {
+// CancelAttempt gives a send up. Its Ended still comes: when the engine is known to have heard, or has had time to.
+func (p *Pool) CancelAttempt(cmd *request.Query, number router.AttemptID, to router.EngineID) {
 	if e := p.engines[to]; e != nil {
 		for _, c := range e.conns {
 			c.giveUp(cmd, number)
@@ -266,17 +240,17 @@
 	}
 }
 
-// Probe pings an engine, which tells only that a connection works.
-func (p *Pool) Probe(id router.EngineID) {
+// CheckHealth pings an engine, which tells only that a connection works.
+func (p *Pool) CheckHealth(id router.EngineID) {
 	p.tags++
 	tag := "p" + strconv.FormatUint(p.tags, 10) // no tag of an undo begins so
-	if e := p.engines[id]; e != nil && e.Dial != "" {
+	if e := p.engines[id]; e != nil && e.Address != "" {
 		ask := func(c *conn) bool { return c.ping(tag) }
 		if slices.ContainsFunc(e.live(), ask) || p.mayDial(e, false) && ask(p.connect(e)) {
 			return
 		}
 	}
-	go p.post(Probed{Engine: id, Outcome: router.NotSent})
+	go p.post(HealthCheckEnded{Engine: id, Outcome: router.NotSent})
 }
 
 // note logs that a connection ended, if nothing was logged of its engine just now.
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -34,7 +34,7 @@
 		change(l)
 	}
 	r := &rig{t: t, events: make(chan any, 100), conns: make(chan net.Conn, 10)}
-	r.pool = New(l, 100, func(ev any) { r.events <- ev }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	r.pool = New(l, 100, func(ev Event) { r.events <- ev }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	var err error
 	if r.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -54,11 +54,11 @@
 }
 
 func (r *rig) list(state router.EngineState) {
-	r.pool.List([]Address{{Engine: "e", Dial: r.listener.Addr().String(), State: state}}, true)
+	r.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: r.listener.Addr().String(), State: state}}, true)
 }
 
 func (r *rig) send(cmd *request.Query, number router.AttemptID) {
-	r.pool.Send(cmd, number, "e", time.Minute, 0)
+	r.pool.StartAttempt(cmd, number, "e", time.Minute, 0)
 }
 
 // peer is the engine's side of a connection.
@@ -103,24 +103,24 @@
 	p.says("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body)
 }
 
-func (r *rig) ended(number router.AttemptID, want router.Outcome) Ended {
+func (r *rig) ended(number router.AttemptID, want router.Outcome) AttemptEnded {
 	r.t.Helper()
 	select {
 	case ev := <-r.events:
-		end, ok := ev.(Ended)
-		if !ok || end.Send != number || end.Outcome != want {
+		end, ok := ev.(AttemptEnded)
+		if !ok || end.Attempt != number || end.Outcome != want {
 			r.t.Fatalf("told %+v, not the end of %d by %v", ev, number, want)
 		}
 		return end
 	case <-time.After(patience):
 		r.t.Fatalf("not told the end of %d by %v", number, want)
-		return Ended{}
+		return AttemptEnded{}
 	}
 }
 
 func command(id string) *request.Query {
-	return &request.Query{ID: id, Verb: "report", Statement: []byte("SELECT 1 FROM s_1.t"), Read: time.Now(),
-		Left: time.Minute}
+	return &request.Query{ID: id, ClassName: "report", Statement: []byte("SELECT 1 FROM s_1.t"), ReadAt: time.Now(),
+		TimeLeft: time.Minute}
 }
 
 func TestOutcomes(t *testing.T) {
@@ -227,7 +227,7 @@
 	r.send(cmd, 0)
 	first := r.accept()
 	first.hearsDo("c1")
-	r.pool.Cancel(cmd, 0, "e")
+	r.pool.CancelAttempt(cmd, 0, "e")
 	first.hears("undo c1\r\n")
 	tag := strings.TrimPrefix(first.hears("ping "), "ping ")
 	select {
@@ -271,7 +271,7 @@
 		r.send(cmd, 0)
 		p := r.accept()
 		p.hearsDo("c1")
-		r.pool.Cancel(cmd, 0, "e")
+		r.pool.CancelAttempt(cmd, 0, "e")
 		p.hears("undo c1\r\n")
 		p.answers("c1", c.word, c.fields, c.body)
 		r.ended(0, c.want)
@@ -286,13 +286,13 @@
 	r.send(cmd, 0)
 	p := r.accept()
 	p.hearsDo("c1")
-	r.pool.Cancel(cmd, 0, "e")
+	r.pool.CancelAttempt(cmd, 0, "e")
 	r.ended(0, router.Cancelled)
 	r.listener.Close()
 	r.send(command("c2"), 0)
 	r.ended(0, router.ConnectFailed)
 	p.answers("any", "READY", "-", "") // it is back
-	r.pool.Probe("e")
+	r.pool.CheckHealth("e")
 	p.hears("undo")
 	p.hears("ping")
 }
@@ -313,7 +313,7 @@
 	shared.hearsDo("c2")
 	shared.says("c2 ACK - x\r\n")
 	for range 2 {
-		if end := (<-r.events).(Ended); end.Outcome != router.ConnectionReset || end.Send == 1 {
+		if end := (<-r.events).(AttemptEnded); end.Outcome != router.ConnectionReset || end.Attempt == 1 {
 			t.Errorf("told %+v", end)
 		}
 	}
@@ -338,8 +338,8 @@
 		<-r.events
 	}
 	dial := r.listener.Addr().String()
-	r.pool.List([]Address{{Engine: "e", Dial: dial}, {Engine: "new", Dial: dial}}, true)
-	r.pool.Send(command("d"), 0, "new", time.Minute, 0)
+	r.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: dial}, {Engine: "new", Address: dial}}, true)
+	r.pool.StartAttempt(command("d"), 0, "new", time.Minute, 0)
 	r.accept().hearsDo("d")
 	for len(r.pool.engines["e"].live()) > 3 {
 		runtime.Gosched()
@@ -351,14 +351,14 @@
 func TestMoreEngines(t *testing.T) {
 	r := newRig(t, func(l *limits.Limits) { l.EngineConns, l.SpareTime = 4, 0 })
 	dial := r.listener.Addr().String()
-	var list []Address
+	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Address{Engine: router.EngineID(fmt.Sprint("e", i)), Dial: dial})
+		list = append(list, Endpoint{Engine: router.EngineID(fmt.Sprint("e", i)), Address: dial})
 	}
-	r.pool.List(list, true)
+	r.pool.UpdateEndpoints(list, true)
 	reach := func(i int) *peer {
 		t.Helper()
-		r.pool.Send(command(fmt.Sprint("c", i)), router.AttemptID(i), list[i].Engine, time.Minute, 0)
+		r.pool.StartAttempt(command(fmt.Sprint("c", i)), router.AttemptID(i), list[i].Engine, time.Minute, 0)
 		p := r.accept()
 		p.hearsDo(fmt.Sprint("c", i))
 		return p
@@ -366,7 +366,7 @@
 	busy, asked := reach(0), reach(1)
 	asked.answers("c1", "ACK", "-", "")
 	r.ended(1, router.Succeeded)
-	r.pool.Probe("e1")
+	r.pool.CheckHealth("e1")
 	asked.hears("ping ")
 	for i := 2; i < 12; i++ {
 		p := reach(i)
@@ -382,11 +382,11 @@
 	busy.answers("c0", "ACK", "-", "")
 	r.ended(0, router.Succeeded)
 	r.pool.limits.SpareTime = time.Hour // all were of use just now
-	r.pool.Send(command("d"), 20, "e2", time.Minute, 0)
+	r.pool.StartAttempt(command("d"), 20, "e2", time.Minute, 0)
 	r.ended(20, router.NotSent)
 	r.pool.limits.SpareTime = 0
-	r.pool.Expire(true)
-	r.pool.Send(command("e"), 21, "e3", time.Minute, 0)
+	r.pool.SetExpired(true)
+	r.pool.StartAttempt(command("e"), 21, "e3", time.Minute, 0)
 	r.ended(21, router.NotSent)
 }
 
@@ -425,7 +425,7 @@
 
 func TestTimeOut(t *testing.T) {
 	r := newRig(t, nil)
-	r.pool.Send(command("c1"), 0, "e", 30*time.Millisecond, 0)
+	r.pool.StartAttempt(command("c1"), 0, "e", 30*time.Millisecond, 0)
 	p := r.accept()
 	p.hearsDo("c1")
 	p.hears("undo c1\r\n")
@@ -452,7 +452,7 @@
 	}
 	r.send(command("c3"), 0)
 	r.ended(0, router.NotSent)
-	r.pool.List([]Address{{Engine: "e", Dial: "0.0.0.0:0", State: router.Gone}}, false)
+	r.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: "0.0.0.0:0", State: router.Gone}}, false)
 	p.answers("c1", "ACK", "-", "")
 	r.ended(0, router.Succeeded)
 }
@@ -460,10 +460,10 @@
 // While the list has expired, a connection is opened only beside one that is up.
 func TestExpired(t *testing.T) {
 	r := newRig(t, nil)
-	r.pool.Expire(true)
+	r.pool.SetExpired(true)
 	r.send(command("c1"), 0)
 	r.ended(0, router.NotSent)
-	r.pool.Expire(false)
+	r.pool.SetExpired(false)
 	again := command("c2")
 	r.send(again, 1)
 	first := r.accept()
@@ -471,7 +471,7 @@
 	waits := newConn(r.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
 	r.pool.engines["e"].conns = append(r.pool.engines["e"].conns, waits)
 	waits.puts(t, "c9", 9)
-	r.pool.Expire(true)
+	r.pool.SetExpired(true)
 	r.ended(9, router.Withdrawn)
 	waits.end(errIdle, router.ConnectFailed)
 	r.send(again, 2)
@@ -509,7 +509,7 @@
 	c.put(&send{cmd: live}, 1e6)
 	for i := range 10 * leastSweep {
 		old := command(fmt.Sprint(i))
-		old.Read = time.Now().Add(-time.Hour)
+		old.ReadAt = time.Now().Add(-time.Hour)
 		c.put(&send{cmd: old}, 1e6)
 	}
 	if len(c.used) > 2*leastSweep || c.put(&send{cmd: live}, 1e6) {
@@ -525,12 +525,12 @@
 	p.hearsDo("c1")
 	for _, c := range []struct {
 		fields string
-		want   Noted
+		want   AttemptProgress
 	}{
-		{"remark=progress,value=0.25", Noted{cmd, 3, router.ProgressDone, 0.25}},
-		{"remark=spill_mb,value=12", Noted{cmd, 3, router.ProgressSpilling, 12}},
-		{"remark=blocked,value=1", Noted{cmd, 3, router.ProgressWaitsForMemory, 1}},
-		{"remark=blocked,value=2", Noted{cmd, 3, router.ProgressWaitsForTables, 2}},
+		{"remark=progress,value=0.25", AttemptProgress{cmd, 3, router.ProgressDone, 0.25}},
+		{"remark=spill_mb,value=12", AttemptProgress{cmd, 3, router.ProgressSpilling, 12}},
+		{"remark=blocked,value=1", AttemptProgress{cmd, 3, router.ProgressWaitsForMemory, 1}},
+		{"remark=blocked,value=2", AttemptProgress{cmd, 3, router.ProgressWaitsForTables, 2}},
 	} {
 		p.answers("c1", "EVENT", "-", "") // not yet over, and no note
 		p.answers("c1", "EVENT", c.fields, "")
@@ -635,8 +635,8 @@
 		}
 		conn.end(conn.serve(from), router.ConnectionReset)
 		for range 2 {
-			if end := (<-r.events).(Ended); end.Outcome != c.ends[end.Send] {
-				t.Errorf("%s: send %d ended as %v", c.name, end.Send, end.Outcome)
+			if end := (<-r.events).(AttemptEnded); end.Outcome != c.ends[end.Attempt] {
+				t.Errorf("%s: send %d ended as %v", c.name, end.Attempt, end.Outcome)
 			}
 		}
 	}
@@ -684,16 +684,16 @@
 	waits := newConn(r.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
 	r.pool.engines["e"].conns = append(r.pool.engines["e"].conns, waits)
 	waits.puts(t, "c2", 2)
-	r.pool.List([]Address{{Engine: "f", Dial: r.listener.Addr().String()}}, false)
+	r.pool.UpdateEndpoints([]Endpoint{{Engine: "f", Address: r.listener.Addr().String()}}, false)
 	r.ended(2, router.Withdrawn)
 	r.send(command("c3"), 3)
 	r.ended(3, router.NotSent)
-	r.pool.Send(command("c4"), 4, "f", time.Minute, 0)
+	r.pool.StartAttempt(command("c4"), 4, "f", time.Minute, 0)
 	fresh := r.accept()
 	fresh.hearsDo("c4")
 	old.answers("c1", "ACK", "-", "") // what is out there may still end
 	r.ended(1, router.Succeeded)
-	r.pool.List([]Address{{Engine: "e", Dial: r.listener.Addr().String()}}, false) // and it is back, at the address that is named now
+	r.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: r.listener.Addr().String()}}, false) // and it is back, at the address that is named now
 	r.send(command("c5"), 5)
 	again := r.accept()
 	again.hearsDo("c5")
--- /dev/null
+++ b/internal/engines/events.go
@@ -0,0 +1,40 @@
+package engines
+
+import (
+	"time"
+
+	"mintkeel/internal/request"
+	"mintkeel/router"
+)
+
+// Event is something that the pool reports: one of the types below that has the method event.
+type Event interface{ event() }
+
+type (
+	// AttemptEnded is the outcome of an attempt. There is exactly one for each attempt that was started.
+	AttemptEnded struct {
+		Query   *request.Query
+		Attempt router.AttemptID
+		Outcome router.Outcome
+		Elapsed time.Duration      // since StartAttempt
+		Pages   [][]byte           // the result, whole; nil unless Outcome is router.Succeeded
+		Load    *router.LoadReport // nil: none came with it
+	}
+	// AttemptProgress is a progress message of an attempt that is running.
+	AttemptProgress struct {
+		Query   *request.Query
+		Attempt router.AttemptID
+		Kind    router.ProgressKind
+		Value   float64 // its meaning is told by the kind
+	}
+	// HealthCheckEnded is the result of a health check.
+	HealthCheckEnded struct {
+		Engine  router.EngineID
+		Outcome router.Outcome
+		Load    *router.LoadReport // nil: none came with it
+	}
+)
+
+func (AttemptEnded) event()     {}
+func (AttemptProgress) event()  {}
+func (HealthCheckEnded) event() {}
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -194,7 +194,7 @@
 		part := memory.Part{More: true}
 		var err error
 		for err == nil && part.More && all.Len() < mostRecords {
-			if part, err = d.learner.Source.Learned(ctx, part.Next, partRecords); err == nil {
+			if part, err = d.learner.Source.Statistics(ctx, part.Next, partRecords); err == nil {
 				all.Add(part.Learned)
 			}
 		}
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -38,7 +38,7 @@
 	kept       func(generation int64)
 }
 
-func (t *teacher) Learned(_ context.Context, from router.Cursor, most int) (memory.Part, error) {
+func (t *teacher) Statistics(_ context.Context, from router.Cursor, most int) (memory.Part, error) {
 	if from == (router.Cursor{}) {
 		if n := t.generation.Add(1); n > 1 {
 			t.kept(n - 1)
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -22,17 +22,17 @@
 // Serve relays until ctx ends. Profiles are named by the commands' verbs, in this order.
 func Serve(ctx context.Context, listener net.Listener, dial string, verbs []string, l *limits.Limits) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	events, taken := make(chan any, l.Inbox), make(chan clients.Taken, l.Inbox)
+	events, taken := make(chan any, l.Inbox), make(chan clients.QueryArrived, l.Inbox)
 	names := &settings.Names{Profiles: map[string]router.ClassID{}}
 	for i, verb := range verbs {
 		names.Profiles[verb] = router.ClassID(i)
 	}
-	pool := engines.New(l, 100, func(ev any) { events <- ev }, log)
-	pool.List([]engines.Address{{Engine: engine, Dial: dial}}, true)
-	server := clients.New(l, names, make([]router.QueryClass, len(verbs)), func(t clients.Taken) bool {
+	pool := engines.New(l, 100, func(ev engines.Event) { events <- ev }, log)
+	pool.UpdateEndpoints([]engines.Endpoint{{Engine: engine, Address: dial}}, true)
+	server := clients.New(l, names, make([]router.QueryClass, len(verbs)), func(t clients.QueryArrived) bool {
 		taken <- t
 		return true
-	}, func() time.Duration { return 0 }, func(ev any) { events <- ev }, log)
+	}, func() time.Duration { return 0 }, func(ev clients.Event) { events <- ev }, log)
 	go server.Serve(listener)
 	defer pool.Close()
 	defer server.Close()
@@ -41,9 +41,9 @@
 		case <-ctx.Done():
 			return listener.Close()
 		case t := <-taken:
-			pool.Send(t.Query, 0, engine, t.Query.Left, 0)
+			pool.StartAttempt(t.Query, 0, engine, t.Query.TimeLeft, 0)
 		case ev := <-events:
-			if end, ok := ev.(engines.Ended); ok {
+			if end, ok := ev.(engines.AttemptEnded); ok {
 				verdict := request.Rejected
 				if end.Outcome == router.Succeeded {
 					verdict = request.Succeeded
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -113,9 +113,9 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l := limits.For(daemon.DescriptorLimit(), daemon.Memory, facts.Links.ConnectTimeout, facts.Links.Idle, daemon.Deadline)
 	loop := controller.New(facts.Router(seed), controller.SystemClock(), l.Inbox, 0)
-	loop.SetEngines(engines.New(l, facts.Links.Streams, loop.Post, log))
+	loop.SetEngines(engines.New(l, facts.Links.Streams, loop.PostEngineEvent, log))
 	go loop.Run(ctx)
-	follower := discovery.NewWatcher(feed.addr(), 0, &facts.Names, l, func(news discovery.Update) { loop.Post(news) }, log)
+	follower := discovery.NewWatcher(feed.addr(), 0, &facts.Names, l, loop.PostEndpoints, log)
 	go follower.Follow(ctx)
 	w := &watcher{feed: feed, loop: loop, cancel: cancel}
 	if err := feed.accept(); err != nil {
@@ -150,7 +150,7 @@
 		return 0, err
 	}
 	w.news++
-	for w.loop.Counts().News < w.news {
+	for w.loop.Counts().EndpointUpdates < w.news {
 		if time.Since(began) > daemon.StartTime {
 			return 0, errors.New("the list was not taken")
 		}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -326,9 +326,9 @@
 
 // All controllers know the same processes of engines, as a merge would have them many times over otherwise.
 func TestStatistics(t *testing.T) {
-	first, _ := statistics{engines: 30, tableGroups: 20}.Learned(t.Context(), router.Cursor{}, 0)
+	first, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
 	time.Sleep(2 * time.Millisecond)
-	second, _ := statistics{engines: 30, tableGroups: 20}.Learned(t.Context(), router.Cursor{}, 0)
+	second, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
 	if len(first.Learned.Engines) != 30 || len(first.Learned.Tables) != 20 || first.More {
 		t.Errorf("%d engines and %d table groups", len(first.Learned.Engines), len(first.Learned.Tables))
 	}
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -43,7 +43,7 @@
 
 // Source is who has learned something. Learned is a part of it, as the module's; its error is that of ctx.
 type Source interface {
-	Learned(ctx context.Context, from router.Cursor, most int) (Part, error)
+	Statistics(ctx context.Context, from router.Cursor, most int) (Part, error)
 }
 
 // Part is a part of what was learned, with where the next one begins.
@@ -212,7 +212,7 @@
 			err = add(sectionHead, head)
 		}
 		for part := (Part{More: true}); part.More && err == nil; {
-			if part, err = k.source.Learned(k.ctx, part.Next, k.limits.MemoryPart); err != nil {
+			if part, err = k.source.Statistics(k.ctx, part.Next, k.limits.MemoryPart); err != nil {
 				break
 			}
 			records += part.Learned.Len()
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -39,7 +39,7 @@
 	block   chan struct{} // nil: it answers at once
 }
 
-func (p *pupil) Learned(ctx context.Context, from router.Cursor, most int) (Part, error) {
+func (p *pupil) Statistics(ctx context.Context, from router.Cursor, most int) (Part, error) {
 	p.asked.Add(1)
 	if p.block != nil {
 		select {
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,9 @@
-// Package request holds a query in flight: the one object that the clients' side and the engines' side share. The clients'
-// side fills it and waits on it, the controller's loop finishes it, the engines' side reads its statement.
+// Package request holds a query in flight: the one object that the clients' side and the engines' side share.
+// The clients' side fills it and waits for its answer, the controller's loop finishes it, and the engines'
+// side reads its statement.
+//
+// The exported fields of Query don't change once it is handed to the loop, but for RouterID, which the loop
+// sets before it hands the query on. Its answer is guarded by a mutex, which is held for no I/O.
 package request
 
 import (
@@ -13,74 +17,84 @@
 // Verdict is how a query was answered.
 type Verdict int
 
-// The verdicts. A query has None until it is finished.
 const (
-	None         Verdict = iota
-	Succeeded            // with rows
-	Rejected             // load shedding: trying again is harmless
-	Failed               // no promise
-	Disconnected         // its client has gone, and is owed nothing
+	// Unanswered queries have no final answer yet.
+	Unanswered Verdict = iota
+	// Succeeded queries have rows.
+	Succeeded
+	// Rejected queries had no effect or may run again: the client may retry.
+	Rejected
+	// Failed queries may have had their effect or not: nothing is promised.
+	Failed
+	// Disconnected queries are owed no answer: their client has gone, or has cancelled them.
+	Disconnected
 )
 
 // Answer is a query's final answer.
 type Answer struct {
-	Verdict Verdict
-	Pages   [][]byte      // rows as an engine sent them
-	After   time.Duration // with Rejected: how long to stay away; 0: no advice
+	Verdict    Verdict
+	Pages      [][]byte      // of Succeeded: rows as the engine sent them
+	RetryAfter time.Duration // of Rejected: how long the client should wait; 0: it is not told
 }
 
-// Query is one that a client wrote whole. The fields above mu don't change once it is posted.
+// Query is one that a client has sent whole.
 type Query struct {
-	Number    router.QueryID // the loop's, set before anyone else has it
-	ID        string         // the client's, which goes on unchanged
-	Profile   router.ClassID
-	Verb      string // the profile's name
-	Tenant    router.TenantID
-	Unique    string // mark by which a repeat is known; empty: none
-	Key       router.OrderingKey
-	Estimate  float64
-	NeedMB    float64
-	Tables    router.TableGroup
-	Described *rules.Command  // as rules see it; nil where there can be none
-	Kinds     []router.KindID // by the operator's rules; nil: not narrowed
-	Zones     []router.Zone
-	Hot       bool
-	Most      float64
-	Statement []byte
-	First     bool          // it is the first on its connection
-	Read      time.Time     // when its last byte was read
-	Left      time.Duration // from then until it must be answered, a little before its client gives up
-	Patience  time.Duration // how long clients wait for such a query from when they want it, by the settings
+	RouterID          router.QueryID     // set by the loop; 0 until then
+	ID                string             // the client's own, which engines get
+	Class             router.ClassID     // of the settings
+	ClassName         string             // of Class, which engines get
+	Tenant            router.TenantID    // -1: none
+	IdempotencyKey    string             // engines drop a repeat with the same key; empty: none
+	OrderingKey       router.OrderingKey // as the client gave it; empty: none
+	EstimatedWork     float64            // ms on one thread; 0: no estimate
+	EstimateCap       float64            // ms, by the operator's rules; 0: none
+	EstimatedMemoryMB float64            // 0: no estimate
+	Tables            router.TableGroup
+	Kinds             []router.KindID // by the operator's rules; nil: not narrowed
+	Zones             []router.Zone   // by the operator's rules; nil: not narrowed
+	Hot               bool            // by the operator's rules: its tables are to be on several engines at once
+	Statement         []byte          // which engines get
 
-	mu     sync.Mutex
-	answer Answer
-	wake   func()
+	// RuleInput is the query as the operator's rules see it; nil where there can be none.
+	RuleInput *rules.Command
+
+	FirstOnConnection bool          // no query came before it on its connection
+	ReadAt            time.Time     // when its last byte was read
+	TimeLeft          time.Duration // from ReadAt until it must be answered, a little before its client gives up
+	// ClientTimeout is how long clients wait for a query of this class, from when they want it, by the settings.
+	ClientTimeout time.Duration
+
+	mu       sync.Mutex
+	answer   Answer
+	onAnswer func() // nil: nobody waits yet
 }
 
-// OnAnswer has wake called, once, when the answer is there. It must not block.
-func (q *Query) OnAnswer(wake func()) {
+// OnAnswer has a function called when the final answer is there, once. It must not block, and must be set
+// before the query is handed to the loop.
+func (q *Query) OnAnswer(notify func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wake = wake
+	q.onAnswer = notify
 }
 
-// Finish gives the final answer and reports whether it is the first: no later one takes effect, against a second
-// answer when a client leaves, a send ends and a timeout passes at one moment.
-func (q *Query) Finish(a Answer) bool {
+// Finish gives the final answer and reports whether it is the first. No later one takes effect: a client's
+// leaving, the end of an attempt and a timeout may come at the same moment, and the client must not get two
+// answers.
+func (q *Query) Finish(answer Answer) bool {
 	q.mu.Lock()
-	first := q.answer.Verdict == None
+	first := q.answer.Verdict == Unanswered
 	if first {
-		q.answer = a
+		q.answer = answer
 	}
-	wake := q.wake
+	notify := q.onAnswer
 	q.mu.Unlock()
-	if first && wake != nil {
-		wake()
+	if first && notify != nil {
+		notify()
 	}
 	return first
 }
 
-// Answer is the final answer; its verdict is None until there is one.
+// Answer returns the final answer; its verdict is Unanswered until there is one.
 func (q *Query) Answer() Answer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
