--- a/internal/core/fleet/members/stored_test.go
+++ b/internal/core/fleet/members/stored_test.go
@@ -17,13 +17,13 @@
 	for i := range 4 {
 		e := newEntry(Member{ID: ID(fmt.Sprint("m", i)), Addr: fmt.Sprint("10.0.1.", i, ":9443"), State: State(i),
 			Incarnation: Incarnation(5 + i), Willing: i%2 == 0, Run: uint64(100 + i)}, 0)
-		fmt.Fprintf(&text, "%s: bucket %d, checksum %08x, place in a ring %016x\n", e.ID, e.bucket(), e.checksum(), e.place(3))
+		fmt.Fprintf(&text, "%s: bucket %d, checksum %08x, place in a ring %016x\n", e.ID, e.bucket(), e.checksum(), e.ringPosition(3))
 	}
 	golden.File(t, "checksums.golden", []byte(text.String()))
 }
 
 func TestStateNamesAreStable(t *testing.T) {
-	if names := fmt.Sprint(Alive, Suspect, Gone, Left); names != "alive suspect gone left" {
+	if names := fmt.Sprint(Alive, Suspect, Dead, Left); names != "alive suspect gone left" {
 		t.Error(names)
 	}
 }
--- a/internal/store/documents/stored_test.go
+++ b/internal/store/documents/stored_test.go
@@ -35,7 +35,7 @@
 	if err := folder.SetCurrent(record); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{currentName, fileName(record.Document), fileName(sha256.Sum256(other))} {
+	for _, name := range []string{currentName, documentName(record.Document), documentName(sha256.Sum256(other))} {
 		content, err := os.ReadFile(filepath.Join(written, name))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/store/records/stored_test.go
+++ b/internal/store/records/stored_test.go
@@ -21,7 +21,7 @@
 func writeLog(t *testing.T, records [][]byte) (name string, content []byte) {
 	t.Helper()
 	folder := disk.Folder(t.TempDir())
-	log, _, _, err := Open(folder, Usual())
+	log, _, err := Open(folder, DefaultBounds())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,12 +50,12 @@
 		t.Fatal(err)
 	}
 	golden.Write(t, filepath.Join(folder, "records-0000000000000001"), stored)
-	log, kept, torn, err := Open(disk.Folder(folder), Usual())
+	log, recovered, err := Open(disk.Folder(folder), DefaultBounds())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if torn || !reflect.DeepEqual(kept, storedRecords()) {
-		t.Errorf("torn %v, read %q", torn, kept)
+	if recovered.TornTail || !reflect.DeepEqual(recovered.Records, storedRecords()) {
+		t.Errorf("torn %v, read %q", recovered.TornTail, recovered.Records)
 	}
 }
