--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -66,7 +66,7 @@
 	breaches []Breach
 	count    map[Rule]int
 
-	Commands, Sends, Further, Answers, Sheds, Fails, ColdSends int
+	Commands, Sends, Further, Sheds, Fails, ColdSends int
 }
 
 // process is one life of an engine.
@@ -239,7 +239,7 @@
 	s := &c.sends[ev.Attempt]
 	s.ended, s.outcome = true, ev.Outcome
 	if ev.QueryDone && !c.over {
-		if r.Answers++; now > c.deadline+r.facts.Guards.EventInterval+slack && !c.began {
+		if now > c.deadline+r.facts.Guards.EventInterval+slack && !c.began {
 			r.breach(Answered, now, controller, "command %d answered %.1f ms after its timeout", ev.ID, now-c.deadline)
 		}
 		c.over = true
--- a/internal/lab/fleet/checker.go
+++ b/internal/lab/fleet/checker.go
@@ -14,8 +14,7 @@
 	highest map[string]map[lease.Name]lease.Token // by receiver
 	holders map[lease.Grant]int                   // whose effects were accepted under a token, by controller
 	acting  map[lease.Name]map[uint64]lease.Token // runs that act, by their own account: for times alone
-	lastAct map[lease.Name]float64
-	Free    map[lease.Name][]float64 // ms without a holder, each time
+	Free    map[lease.Name][]float64              // ms without a holder, each time
 	freeAt  map[lease.Name]float64
 	Overlap int // times that two acted at once, of which one was refused by its token
 	Effects int
@@ -29,7 +28,7 @@
 // NewChecker has seen nothing.
 func NewChecker() *Checker {
 	return &Checker{highest: map[string]map[lease.Name]lease.Token{}, holders: map[lease.Grant]int{},
-		acting: map[lease.Name]map[uint64]lease.Token{}, lastAct: map[lease.Name]float64{}, Free: map[lease.Name][]float64{},
+		acting: map[lease.Name]map[uint64]lease.Token{}, Free: map[lease.Name][]float64{},
 		freeAt: map[lease.Name]float64{}, handed: map[lease.Name]map[uint64]string{}, last: map[lease.Name]uint64{}}
 }
 
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -123,7 +123,6 @@
 		}
 	case ReplaceVoter:
 		if m := w.leader(); m != nil && w.now >= m.paused {
-			w.replaced = true
 			w.deliver(m, func() { m.core.ReplaceVoter(w.local(m), w.nodes[f.A].id, w.nodes[f.B].id) })
 		}
 	case Corrupt:
--- a/internal/lab/fleet/configuration_measure.go
+++ b/internal/lab/fleet/configuration_measure.go
@@ -16,9 +16,6 @@
 // frameBytes is what a frame adds to a message.
 const frameBytes = 40
 
-// Machines is how many machines the world has.
-func (w *World) Machines() int { return len(w.nodes) }
-
 // Observe has every version told that comes into force at a machine, and what is in force when its process starts: number
 // 0 is none.
 func (w *World) Observe(observed func(machine int, number uint64, started bool)) {
@@ -40,11 +37,6 @@
 	}
 }
 
-// AskStatus has an operator ask at a machine where the newest version is in force.
-func (w *World) AskStatus(machine int, answered func(config.Answer)) {
-	w.askStatus(w.nodes[machine], answered)
-}
-
 // Leader is the number of a machine that leads the quorum; below 0: none does.
 func (w *World) Leader() int {
 	if m := w.leader(); m != nil {
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -20,13 +20,11 @@
 // yard is where the engines of a scene are worked on: it stands in for the installation's programs and its platform, which
 // drain by the list, and keeps the checker's own count of which are out.
 type yard struct {
-	rig      *rig
-	listener net.Listener
-	mu       sync.Mutex
-	out      map[string]string // engine by its step: "drain", "work"
-	done     map[string]int    // times that one came back
-	most     int
-	asked    int // words of hooks, repeats with them
+	rig  *rig
+	mu   sync.Mutex
+	out  map[string]string // engine by its step: "drain", "work"
+	done map[string]int    // times that one came back
+	most int
 }
 
 // hookScript is the program that the operator's file names: it passes its three words on to the yard.
@@ -37,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	y := &yard{rig: r, listener: listener, out: map[string]string{}, done: map[string]int{}}
+	y := &yard{rig: r, out: map[string]string{}, done: map[string]int{}}
 	r.yard = y
 	context.AfterFunc(r.ctx, func() { listener.Close() })
 	host, port, _ := net.SplitHostPort(listener.Addr().String())
@@ -74,7 +72,6 @@
 	}
 	e := y.rig.engines[n-1]
 	y.mu.Lock()
-	y.asked++
 	is := y.out[id]
 	y.mu.Unlock()
 	switch step {
--- a/internal/lab/fleet/model.go
+++ b/internal/lab/fleet/model.go
@@ -25,7 +25,6 @@
 	Rates                    []float64 // of the nodes' clocks; nil: all alike
 	Most                     int       // states, at which the search ends without a verdict
 	Ungated                  bool      // a mutant: receivers let all pass
-	Unstopped                bool      // a mutant: a holder looks at its clock no more once it acts
 }
 
 // Tally is what the search found.
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -81,7 +81,6 @@
 type rig struct {
 	Scene
 	dir      string
-	rng      *rand.Rand
 	engines  []*standin.Engine
 	feed     *standin.Feed
 	nodes    []*machineProc
@@ -107,7 +106,7 @@
 		return Report{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{Scene: s, dir: dir, rng: rand.New(rand.NewSource(s.Seed + 77)), checker: NewChecker(), ctx: ctx, began: time.Now()}
+	r := &rig{Scene: s, dir: dir, checker: NewChecker(), ctx: ctx, began: time.Now()}
 	defer r.close()
 	if s.Config {
 		r.openConfig()
--- a/internal/lab/fleet/promises.go
+++ b/internal/lab/fleet/promises.go
@@ -93,6 +93,3 @@
 	}
 	return fmt.Sprintf("the %d promises of the council have no order that one register could have given", len(p.ops))
 }
-
-// Len is how many promises were made.
-func (p *Promises) Len() int { return len(p.ops) }
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -7,7 +7,6 @@
 
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
-	"mintkeel/internal/core/fleet/node"
 	"mintkeel/internal/core/fleet/quorum"
 	"mintkeel/internal/lab/eventqueue"
 )
@@ -53,18 +52,14 @@
 	delay   float64
 	delayTo float64
 
-	config   *configWorld // nil: the plan has none
-	numbers  map[members.ID]int
-	replaced bool // an operator had a voter replaced
-	lost     bool // a majority of the voters lost their folders: nothing more can be agreed on
-	traffic  []Traffic
+	config  *configWorld // nil: the plan has none
+	numbers map[members.ID]int
+	lost    bool // a majority of the voters lost their folders: nothing more can be agreed on
+	traffic []Traffic
 
 	Checker   *Checker
 	Promises  *Promises
-	Messages  int
-	Bytes     int
-	Talk      int // messages of membership
-	TalkBytes int
+	TalkBytes int // of messages of membership
 	Wakes     int
 	Whole     float64 // ms from the last fault until all was well
 	False     int     // suspicions of one that ran and was not cut off, as n0 heard of them
@@ -206,11 +201,5 @@
 // idles tells that there is nothing to be done for leases, of which a plan of a configuration may have none.
 func (p *Plan) idles() bool { return p.Config && p.Leases == 0 }
 
-// Machine is a node's number of restarts and its core, for those who look in.
-func (w *World) Machine(i int) (*node.Node, int) { return w.nodes[i].core, w.nodes[i].restarts }
-
 // Now is the time in ms.
 func (w *World) Now() float64 { return w.now }
-
-// Records are how many durable records a node has.
-func (w *World) Records(i int) int { return len(w.nodes[i].kept) }
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -30,7 +30,6 @@
 	gated    *lease.FencingCheck // an endpoint beside the controller, that lasts
 	effects  uint64
 	handed   map[lease.Name]uint64 // the serial of what was handed on, as this run was told
-	inbox    []func()
 	config   configMachine
 
 	stoppedAs quorum.Incarnation // of the quorum, when it stopped last
@@ -62,7 +61,7 @@
 		w.Checker.fail(w.now, "n%d can't start: %v", m.number, err)
 		return
 	}
-	m.core, m.inbox, m.handed = core, nil, map[lease.Name]uint64{}
+	m.core, m.handed = core, map[lease.Name]uint64{}
 	m.restarts++
 	w.trace("n%d starts, run %x, %d records", m.number, m.run, len(m.kept))
 	w.configStarted(m)
--- a/internal/lab/fleet/virtual_measure.go
+++ b/internal/lab/fleet/virtual_measure.go
@@ -6,7 +6,6 @@
 
 // Costs are what membership costs a controller, and how often it is wrong.
 type Costs struct {
-	Nodes        int
 	Bytes, Wakes float64 // a second, sent by one controller; wake-ups of its clock
 	False        float64 // suspicions of one that ran, an hour, of the whole fleet
 	Gone         float64 // the same, taken to be gone
@@ -31,7 +30,7 @@
 	w.TalkBytes, w.Wakes, w.False, w.FalseGone = 0, 0, 0, 0
 	w.Run(warm + long)
 	seconds := long / 1000
-	c = Costs{Nodes: nodes, Bytes: float64(w.TalkBytes) / seconds / float64(nodes), Wakes: float64(w.Wakes) / seconds / float64(nodes),
+	c = Costs{Bytes: float64(w.TalkBytes) / seconds / float64(nodes), Wakes: float64(w.Wakes) / seconds / float64(nodes),
 		False: float64(w.False) / seconds * 3600, Gone: float64(w.FalseGone) / seconds * 3600}
 	w.Run(w.now + 60000)
 	dead := w.nodes[nodes-1]
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -60,11 +60,8 @@
 
 func (w *World) countMessage(from, to int, m *node.Message, bytes int) {
 	w.countSent(from, to, m, bytes)
-	w.Messages++
-	w.Bytes += bytes + frameBytes
 	if m.Members != nil {
 		w.TalkBytes += bytes + frameBytes
-		w.Talk++
 	}
 }
 
--- a/internal/lab/restart/path.go
+++ b/internal/lab/restart/path.go
@@ -16,7 +16,6 @@
 type Cost struct {
 	Processor float64 // ms for each command
 	Benefit   float64
-	Commands  int
 }
 
 // Path measures the daemon's whole path: a scene is played, and the process's time on processors is taken over it,
@@ -51,7 +50,7 @@
 	if err != nil {
 		return cost, err
 	}
-	return Cost{(after - before) / float64(max(1, out.Commands)), out.Benefit, out.Commands}, ctx.Err()
+	return Cost{(after - before) / float64(max(1, out.Commands)), out.Benefit}, ctx.Err()
 }
 
 // processor is the time that a process has had on processors, in ms: the kernel counts it in hundredths of a second.
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -27,7 +27,6 @@
 
 // controller is one of the simulation.
 type controller struct {
-	number int
 	id     members.ID
 	addr   string
 	region int
@@ -97,7 +96,7 @@
 // addController adds one that does not run yet.
 func (s *simulation) addController() *controller {
 	n := len(s.controllers)
-	c := &controller{number: n, id: members.ID(fmt.Sprintf("n%d", n)), region: n % regions,
+	c := &controller{id: members.ID(fmt.Sprintf("n%d", n)), region: n % regions,
 		addr: fmt.Sprintf("10.%d.%d.%d:7400", n%regions, n/250, n%250)}
 	s.controllers = append(s.controllers, c)
 	s.byID[c.id] = c
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -61,7 +61,6 @@
 type Result struct {
 	*checker.Checker
 	Steps, Restarts int
-	Log             []string // the last events, if they were recorded
 }
 
 // Play runs a simulation to its end. start makes a controller.
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -51,7 +51,6 @@
 	Held                 int     // really
 	Bytes                float64 // of memory for each held command, with the books of the rig
 	Start                float64 // the longest step of a start with a full list
-	Steps                int
 }
 
 const (
@@ -90,7 +89,6 @@
 	id     router.QueryID
 	send   router.AttemptID
 	engine router.EngineID
-	at     float64
 }
 
 // New fills a scene.
@@ -199,7 +197,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case router.StartAttempt:
-			g.out = append(g.out, sent{a.ID, router.AttemptID(g.sends[a.ID]), a.Engine, g.now})
+			g.out = append(g.out, sent{a.ID, router.AttemptID(g.sends[a.ID]), a.Engine})
 			g.sends[a.ID]++
 			g.loads[a.Engine]++
 			delete(g.held, a.ID)
@@ -239,7 +237,7 @@
 	runtime.ReadMemStats(&after)
 	slices.Sort(costs)
 	return Costs{Median: costs[n/2], P99: costs[n*99/100], Longest: costs[n-1],
-		Allocations: float64(after.Mallocs-before.Mallocs) / float64(n), Held: len(g.held), Steps: n, Bytes: bytes, Start: g.start}
+		Allocations: float64(after.Mallocs-before.Mallocs) / float64(n), Held: len(g.held), Bytes: bytes, Start: g.start}
 }
 
 // Advance lets the usual time between two steps pass.
