--- a/cmd/mintkeel-lab/main.go
+++ b/cmd/mintkeel-lab/main.go
@@ -19,7 +19,7 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.AddCommand(simulateCommand(), mutantsCommand(), killsCommand(), restartCommand(), waysCommand(), fuzzCommand(), surgeCommand(), pathCommand(), stepsCommand(), relayCommand(), daemonCommand(), behindCommand(), fleetCommand(), scaleCommand(), playgroundCommand(), queryCommand())
+	root.AddCommand(simulateCommand(), mutantsCommand(), killsCommand(), restartCommand(), fuzzCommand(), surgeCommand(), pathCommand(), stepsCommand(), relayCommand(), daemonCommand(), behindCommand(), fleetCommand(), scaleCommand(), playgroundCommand(), queryCommand())
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	if err := root.ExecuteContext(ctx); err != nil {
