--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -18,7 +18,9 @@
 func (e configEnvironment) Members() []members.Member { return e.node.members.Members() }
 
 // Member is what is believed of one.
-func (e configEnvironment) Member(id members.ID) (members.Member, bool) { return e.node.members.Of(id) }
+func (e configEnvironment) Member(id members.ID) (members.Member, bool) {
+	return e.node.members.Lookup(id)
+}
 
 // Voters are the quorum's, as far as this one knows.
 func (e configEnvironment) Voters() []members.ID { return e.node.Voters() }
@@ -32,7 +34,7 @@
 // Voting tells whether this one is a voter.
 func (e configEnvironment) Voting() bool {
 	role, _ := e.node.quorum.Role()
-	return role == quorum.Voting
+	return role == quorum.Voter
 }
 
 // State is what the quorum agreed on.
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -269,7 +269,7 @@
 type writeRequest struct {
 	payload []byte
 	whole   bool
-	batch   *quorum.Batch
+	batch   *quorum.Ready
 	record  *quorum.Record
 }
 
@@ -294,7 +294,7 @@
 		return err
 	}
 	facts := node.Facts{Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: in.willing, Run: run}, Leases: s.wantedLeases(),
-		Terms: lease.Terms{Lease: float64(s.block.Lease) / 1e6}, Pace: members.Usual(), Disk: draw(), Seed: int64(draw() >> 1),
+		Terms: lease.Timing{Duration: float64(s.block.Lease) / 1e6}, Pace: members.DefaultConfig(), Disk: draw(), Seed: int64(draw() >> 1),
 		Config: configFacts}
 	for id, addr := range s.block.Voters {
 		facts.Founders = append(facts.Founders, id)
@@ -336,25 +336,24 @@
 
 // open reads what is kept. A log that is damaged is as one that was lost: the quorum finds out what it had promised.
 func (in *session) open() ([]quorum.Record, error) {
-	log, kept, torn, err := records.Open(disk.Folder(in.block.Folder), records.Usual())
+	log, recovered, err := records.Open(disk.Folder(in.block.Folder), records.DefaultBounds())
 	if log == nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
 	in.kept = log
 	if err != nil {
 		in.Service.log.Error("fleet: what the quorum kept here can't be read: taking part as one that lost it", "why", err)
-		kept = nil
 	}
-	if torn {
+	if recovered.TornTail {
 		in.Service.log.Info("fleet: the last record was not written whole, and nothing was said on it")
 	}
-	list := make([]quorum.Record, 0, len(kept))
-	for i, b := range kept {
+	list := make([]quorum.Record, 0, len(recovered.Records))
+	for i, b := range recovered.Records {
 		var r quorum.Record
 		if err := recordForm.Unmarshal(b, &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
-		if r.Whole {
+		if r.Full {
 			list = list[:0]
 		}
 		list = append(list, r)
@@ -418,9 +417,9 @@
 			}
 			in.counts.saves.Add(1)
 			if r.record != nil {
-				in.core.Kept(in.now(), r.record)
+				in.core.Compacted(in.now(), r.record)
 			} else {
-				in.core.Saved(in.now(), r.batch)
+				in.core.Advance(in.now(), r.batch)
 			}
 		case check := <-in.config.checked:
 			in.configChecked(check)
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -55,7 +55,7 @@
 	}
 	m.run = w.rng.Uint64()
 	core, err := node.New(node.Facts{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
-		Founders: founders, Leases: w.works(), Terms: lease.Terms{Lease: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
+		Founders: founders, Leases: w.works(), Terms: lease.Timing{Duration: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
 		Seed: w.rng.Int63(), Config: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
 	if err != nil {
 		w.Checker.fail(w.now, "n%d can't start: %v", m.number, err)
@@ -115,20 +115,20 @@
 	for _, c := range out.Changes {
 		if about := w.nodes[w.number(c.Member.ID)]; about.core != nil && w.now >= about.paused && !c.New && len(w.blocked) == 0 &&
 			c.Member.Run == about.run && m.number == 0 { // as one of them sees it: what one suspects all hear of
-			if c.Member.State == members.Suspect && c.Was == members.Alive {
+			if c.Member.State == members.Suspect && c.Previous == members.Alive {
 				w.False++
-			} else if c.Member.State == members.Gone {
+			} else if c.Member.State == members.Dead {
 				w.FalseGone++
 			}
 		}
 	}
-	w.save(m, run, out.Batch, out.Whole)
+	w.save(m, run, out.Ready, out.Compaction)
 	w.configTurn(m, out.Config)
 	w.scheduleTick(m)
 }
 
 // save makes a batch durable after the time that the disk takes; what it asks for holds only then.
-func (w *World) save(m *machine, run uint64, b *quorum.Batch, whole *quorum.Record) {
+func (w *World) save(m *machine, run uint64, b *quorum.Ready, whole *quorum.Record) {
 	if b == nil && whole == nil {
 		return
 	}
@@ -154,15 +154,15 @@
 		}
 		w.deliver(m, func() {
 			if whole != nil {
-				m.core.Kept(w.local(m), whole)
+				m.core.Compacted(w.local(m), whole)
 			} else {
-				m.core.Saved(w.local(m), b)
+				m.core.Advance(w.local(m), b)
 			}
 		})
 	})
 }
 
-func (m *machine) write(w *World, run uint64, b *quorum.Batch, whole *quorum.Record) {
+func (m *machine) write(w *World, run uint64, b *quorum.Ready, whole *quorum.Record) {
 	if m.run != run || m.core == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 		w.Checker.fail(w.now, "record: %v", err)
 		return
 	}
-	if kept.Whole {
+	if kept.Full {
 		m.kept = nil
 	}
 	m.kept = append(m.kept, kept)
--- /dev/null
+++ b/internal/settings/stored_test.go
@@ -0,0 +1,173 @@
+package settings
+
+// A renamed or dropped key of the settings is read as its zero value, without an error: a controller would start and
+// decide by other figures than its platform gave. This test reads settings in which each key is set, and compares all
+// that was read with what an earlier build read.
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"mintkeel/internal/lab/golden"
+	"mintkeel/router"
+)
+
+// printer prints values under names that are those of this test, and not of the fields.
+type printer struct{ strings.Builder }
+
+func (p *printer) line(name string, value any) { fmt.Fprintf(p, "%s = %#v\n", name, value) }
+
+func (p *printer) place(x router.Identity) {
+	p.line("place controllers", x.Controllers)
+	p.line("place number", x.Index)
+	p.line("place zone", string(x.Zone))
+}
+
+func (p *printer) allowed(x router.Capabilities) {
+	p.line("allowed cancel", x.Cancel)
+	p.line("allowed probes", x.HealthChecks)
+	p.line("allowed second copies", x.Hedging)
+	p.line("allowed retry after", x.RetryAfter)
+	p.line("allowed sends", x.MaxAttempts)
+	p.line("allowed longest retry after ms", x.MaxRetryAfter)
+	p.line("allowed pace of notes ms", x.ProgressInterval)
+	p.line("allowed list only when asked for", x.PollEndpoints)
+}
+
+func (p *printer) guards(x router.SafetyLimits) {
+	p.line("guards round ms", x.EventInterval)
+	p.line("guards cold share", x.SlowStartCapacity)
+	p.line("guards cold time ms", x.SlowStartTime)
+	p.line("guards cold multiple", x.SlowStartOverload)
+	p.line("guards cold window ms", x.SlowStartWindow)
+	p.line("guards order rest ms", x.OrderingCooldown)
+	p.line("guards budgeted", x.RetryBudgeted)
+	p.line("guards free resends", x.RetryBudgetMin)
+	p.line("guards share of resends", x.RetryBudgetRatio)
+	p.line("guards window of resends ms", x.RetryBudgetWindow)
+	p.line("guards ask within ms", x.PollWithin)
+	p.line("guards benefit over the share", x.OverQuotaBenefit)
+}
+
+func (p *printer) profile(at string, x router.QueryClass) {
+	p.line(at+" effect", int(x.Effect))
+	p.line(at+" scope", int(x.Scope))
+	p.line(at+" repeat window ms", x.DeduplicationWindow)
+	p.line(at+" in order", x.Ordered)
+	p.line(at+" kinds", kindNumbers(x.Kinds))
+	p.line(at+" zones", zoneNames(x.Zones))
+	p.line(at+" target ms", x.LatencyObjective)
+	p.line(at+" target stretch", x.ObjectivePerWork)
+	p.line(at+" timeout ms", x.ClientTimeout)
+	p.line(at+" late share", x.LateBenefit)
+	p.line(at+" threads", x.Threads)
+	p.line(at+" holds tables", x.LocksTables)
+	p.line(at+" waits", x.WaitsForTables)
+}
+
+func kindNumbers(kinds []router.KindID) (numbers []int) {
+	if kinds == nil {
+		return nil
+	}
+	numbers = []int{}
+	for _, kind := range kinds {
+		numbers = append(numbers, int(kind))
+	}
+	return numbers
+}
+
+func zoneNames(zones []router.Zone) (names []string) {
+	if zones == nil {
+		return nil
+	}
+	names = []string{}
+	for _, zone := range zones {
+		names = append(names, string(zone))
+	}
+	return names
+}
+
+func numbered[T ~int](p *printer, at string, ids map[string]T) {
+	for _, name := range slices.Sorted(maps.Keys(ids)) {
+		p.line(at+" "+name, int(ids[name]))
+	}
+}
+
+func (p *printer) facts(f *Facts) {
+	p.place(f.Place)
+	p.allowed(f.Allowed)
+	p.guards(f.Guards)
+	for i, kind := range f.Kinds {
+		p.line(fmt.Sprintf("kind %d cores", i), kind.Cores)
+		p.line(fmt.Sprintf("kind %d memory MB", i), kind.MemoryMB)
+	}
+	for i, profile := range f.Profiles {
+		p.profile(fmt.Sprintf("profile %d", i), profile)
+	}
+	for i, tenant := range f.Tenants {
+		p.line(fmt.Sprintf("tenant %d per second", i), tenant.QueriesPerSecond)
+	}
+	numbered(p, "name of kind", f.Names.Kinds)
+	numbered(p, "name of profile", f.Names.Profiles)
+	numbered(p, "name of tenant", f.Names.Tenants)
+	p.line("names of kinds", f.Names.KindAt)
+	p.line("names of zones", f.Names.ZoneAt)
+	p.line("names in reports", f.Names.Reports)
+	p.line("answers tell costs", f.Names.Bills)
+	p.line("connect timeout", f.Links.ConnectTimeout.String())
+	p.line("idle connection", f.Links.Idle.String())
+	p.line("streams", f.Links.Streams)
+}
+
+func readStored(t *testing.T) Values {
+	t.Helper()
+	text, err := os.ReadFile("testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	var nested map[string]any
+	if err := decoder.Decode(&nested); err != nil {
+		t.Fatal(err)
+	}
+	return Flatten(nested)
+}
+
+func TestStoredSettingsAreReadAsBefore(t *testing.T) {
+	values := readStored(t)
+	facts, err := Read(values)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.AllSet(t, facts.Place)
+	golden.AllSet(t, facts.Allowed)
+	golden.AllSet(t, facts.Guards)
+	golden.AllSet(t, facts.Names)
+	golden.AllSet(t, facts.Links)
+	var p printer
+	p.facts(facts)
+	golden.File(t, "facts.golden", []byte(p.String()))
+}
+
+// TestSettingsSumIsStable pins the hash by which a memory folder is known to be of the same settings: with another hash
+// all that was learned is dropped at a start.
+func TestSettingsSumIsStable(t *testing.T) {
+	golden.File(t, "sum.golden", []byte(fmt.Sprintf("%016x\n", readStored(t).Sum())))
+}
+
+func TestReportNamesAreStable(t *testing.T) {
+	load := NoLoad()
+	for i, name := range []string{"inflight", "util", "x0", "x1", "unknown"} {
+		SetLoad(load, name, float64(i+1))
+	}
+	if load.Inflight != 1 || load.Utilization != 2 || load.Memory != 3 || load.Disk != 4 {
+		t.Errorf("%+v", load)
+	}
+}
