--- a/cmd/mintkeel-lab/kills.go
+++ b/cmd/mintkeel-lab/kills.go
@@ -38,7 +38,7 @@
 				group.Go(func() {
 					t, err := kills.Run(c.Context(), (n+w)/workers, seed+int64(w), func(folder string) *exec.Cmd {
 						return exec.Command(self, "kills", "--child", folder)
-					}, memory.Bounds(limits.For(64, 64, 0, 0, 0)))
+					}, memory.FileBounds(limits.For(64, 64, 0, 0, 0)))
 					mu.Lock()
 					defer mu.Unlock()
 					if sum.Add(t); err != nil {
--- a/cmd/mintkeel-lab/restart.go
+++ b/cmd/mintkeel-lab/restart.go
@@ -24,7 +24,7 @@
 			if scene.Mintkeel, err = filepath.Abs(scene.Mintkeel); err != nil {
 				return err
 			}
-			scene.Bounds = memory.Bounds(limits.For(64, 64, 0, 0, 0))
+			scene.Bounds = memory.FileBounds(limits.For(64, 64, 0, 0, 0))
 			var all []map[restart.Variant]restart.Outcome
 			for i := range seeds { // a seed's variants run beside each other, so that noise of the machine meets all
 				scene := scene
--- a/cmd/mintkeel/agreed.go
+++ b/cmd/mintkeel/agreed.go
@@ -210,7 +210,7 @@
 func (d *daemon) takeVersion(r versionRequest) error {
 	a := d.agreed
 	if d.server == nil { // clients are served later, by the file in force then
-		d.lines.Set(r.file.Log)
+		d.lines.Configure(r.file.Log)
 		d.tellFleet(r.file)
 		d.file = r.file
 	} else if err := d.enforce(r.file); err != nil {
--- a/cmd/mintkeel/agreed_test.go
+++ b/cmd/mintkeel/agreed_test.go
@@ -149,7 +149,7 @@
 
 // Whoever offers a version while nobody takes it is not left waiting: not past the time for it, and not past an end.
 func TestOfferUntaken(t *testing.T) {
-	own := &operator.File{Log: logs.Usual()}
+	own := &operator.File{Log: logs.DefaultBlock()}
 	a := newAgreedConfig(&start{Name: "n1"}, own)
 	ended := make(chan error, 2)
 	for range 2 { // one that is not taken, and one that is taken and not answered
@@ -172,7 +172,7 @@
 
 // A document is read once, unless the controller's own file was read again since; what can't be used is not remembered.
 func TestParseOnce(t *testing.T) {
-	a := newAgreedConfig(&start{Name: "n1"}, &operator.File{Log: logs.Usual()})
+	a := newAgreedConfig(&start{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
 	parse := func(text string) *operator.File {
 		t.Helper()
 		file, err := a.parse([]byte(text))
@@ -191,7 +191,7 @@
 	if parse("log {\n}\n") != one {
 		t.Error("read twice")
 	}
-	a.setLocal(&operator.File{Log: logs.Usual()})
+	a.setLocal(&operator.File{Log: logs.DefaultBlock()})
 	two := parse("log {\n}\n")
 	if two == one || parse("log {\n burst = 7\n}\n").Log.Burst != 7 || parse("log {\n}\n") == two {
 		t.Error("not read again")
--- a/cmd/mintkeel/jobs.go
+++ b/cmd/mintkeel/jobs.go
@@ -49,10 +49,10 @@
 	}
 	d.loop.Post(controller.Remembered{Believe: func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
-		m := restore.Snapshot{Of: d.identity(), Learned: learned}
+		m := restore.Snapshot{Owner: d.identity(), Statistics: learned}
 		believed, account := restore.Select(&m, d.identity(), list, now, restore.DefaultHalfLives())
-		d.log.Info("fleet: the digest", "believed", account.Believed, "aged", account.Aged, "future", account.Future,
-			"unknown", account.Unknown, "wrong", account.Wrong)
+		d.log.Info("fleet: the digest", "believed", account.Restored, "aged", account.Expired, "future", account.FromFuture,
+			"unknown", account.UnknownEngines, "wrong", account.Invalid)
 		return believed
 	}})
 }
--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -180,7 +180,7 @@
 	l.StopTime, l.EndTime, l.StopQuiet = 300*time.Millisecond, patience, 100*time.Millisecond
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	d := &daemon{from: sources{config: path}, start: s, file: &operator.File{}, limits: l,
-		lines: logs.New(io.Discard, logs.Usual())}
+		lines: logs.New(io.Discard, logs.DefaultBlock())}
 	go func() { ended <- d.run(signals) }()
 	dial := func() *client {
 		for deadline := time.Now().Add(patience); ; {
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -37,11 +37,11 @@
 		Short: "Tell what is kept in a folder, how old it is, and what it would weigh now",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			kept, _, err := memory.Load(disk.Folder(args[0]), memory.Bounds(usualLimits()))
+			kept, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(usualLimits()))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			shown := memory.Show(kept, float64(time.Now().UnixMilli()), restore.DefaultHalfLives())
+			shown := memory.NewReport(kept, float64(time.Now().UnixMilli()), restore.DefaultHalfLives())
 			if asJSON {
 				return printJSON(c, shown)
 			}
@@ -56,14 +56,14 @@
 // fewShown are printed of each kind unless all are asked for.
 const fewShown = 20
 
-func printShown(out io.Writer, s *memory.Shown, all bool) error {
+func printShown(out io.Writer, s *memory.Report, all bool) error {
 	fmt.Fprintf(out, "%s of %s, number %d, %s old, written by %s\n", s.File, s.Name, s.Serial,
 		(time.Duration(s.AgeMS) * time.Millisecond).Round(time.Millisecond), s.Build)
-	if !s.Whole {
+	if !s.Complete {
 		fmt.Fprintln(out, "some of its sections could not be used and are left out")
 	}
 	fmt.Fprintf(out, "%d records: %d believed now, %d too old, %d from the future, %d with figures that can't be\n",
-		s.Records, s.Believed, s.Aged, s.Future, s.Wrong)
+		s.Records, s.Restorable, s.Expired, s.FromFuture, s.Invalid)
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	table := func(title, head string, n int, line func(i int)) {
 		if n == 0 {
@@ -80,22 +80,22 @@
 	}
 	table("Engines", "id\tage\tweighs\tpace\twidth\toutcomes\tshares with", len(s.Engines), func(i int) {
 		e := s.Engines[i]
-		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS), e.Weighs, e.Pace, e.Width,
-			e.Outcomes, e.Lead)
+		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS), e.RemainingWeight, e.Slowdown, e.ThreadsPerCore,
+			e.Outcomes, e.PoolLeader)
 	})
 	table("Table groups", "id\tage\tweighs\tasks for\tat", len(s.Tables), func(i int) {
 		g := s.Tables[i]
-		fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%v\n", g.Tables, ms(g.AgeMS), g.Weighs, g.Demand, g.Homes)
+		fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%v\n", g.Tables, ms(g.AgeMS), g.RemainingWeight, g.Demand, g.PoolLeaders)
 	})
-	table("Profiles", "place\tage\tweighs\talone\twork over estimate\tmemory over estimate", len(s.Profiles),
+	table("Profiles", "place\tage\tweighs\talone\twork over estimate\tmemory over estimate", len(s.Classes),
 		func(i int) {
-			p := s.Profiles[i]
-			fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%.3g\t%.3g\n", p.Profile, ms(p.AgeMS), p.Weighs, p.Best, p.WorkScale,
-				p.NeedScale)
+			p := s.Classes[i]
+			fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%.3g\t%.3g\n", p.Class, ms(p.AgeMS), p.RemainingWeight, p.UnloadedTime, p.WorkScale,
+				p.MemoryScale)
 		})
 	table("Part of the traffic", "age\tweighs\tpart", len(s.Traffic), func(i int) {
 		p := s.Traffic[i]
-		fmt.Fprintf(t, "%s\t%.2f\t%.3f\n", ms(p.AgeMS), p.Weighs, p.Part)
+		fmt.Fprintf(t, "%s\t%.2f\t%.3f\n", ms(p.AgeMS), p.RemainingWeight, p.Share)
 	})
 	return t.Flush()
 }
@@ -114,19 +114,19 @@
 		Short: "Tell whether what is kept in a folder can be trusted; exit code 1 if a file can't",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			checks, err := memory.Verify(disk.Folder(args[0]), memory.Bounds(usualLimits()))
+			checks, err := memory.Verify(disk.Folder(args[0]), memory.FileBounds(usualLimits()))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			bad := false
 			for _, check := range checks {
-				if bad = bad || !check.Whole; asJSON {
+				if bad = bad || !check.Complete; asJSON {
 					continue
 				}
-				if check.Whole {
+				if check.Complete {
 					fmt.Fprintf(c.OutOrStdout(), "%s is whole: %d records of %s\n", check.File, check.Records, check.Name)
 				} else {
-					fmt.Fprintf(c.OutOrStdout(), "%s %s\n", check.File, check.Why)
+					fmt.Fprintf(c.OutOrStdout(), "%s %s\n", check.File, check.Reason)
 				}
 			}
 			if asJSON {
@@ -145,7 +145,7 @@
 }
 
 func memoryPrune() *cobra.Command {
-	var what memory.Pruning
+	var what memory.PruneSelection
 	var engines []string
 	var tables []int64
 	c := &cobra.Command{
@@ -162,7 +162,7 @@
 			if !what.All && len(what.Engines)+len(what.Tables) == 0 {
 				return errors.New("name what to forget: --engine, --tables or --all")
 			}
-			n, err := memory.Prune(disk.Folder(args[0]), memory.Bounds(usualLimits()), what)
+			n, err := memory.Prune(disk.Folder(args[0]), memory.FileBounds(usualLimits()), what)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -109,7 +109,7 @@
 	if !d.loop.SetRules(file.Rules) {
 		return errRules
 	}
-	d.lines.Set(file.Log)
+	d.lines.Configure(file.Log)
 	d.prune()
 	d.keep(d.file.Memory, file.Memory)
 	d.server.SetRules(file.Rules)
--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/restore.go
@@ -18,16 +18,16 @@
 
 // restoreSnapshot has the loop told what an earlier run has learned, once the first engines are listed.
 func (d *daemon) restoreSnapshot() {
-	kept := memory.Restore(disk.Folder(d.file.Memory.Folder), d.limits, d.log)
+	kept := memory.LoadWithTimeout(disk.Folder(d.file.Memory.Folder), d.limits, d.log)
 	if kept == nil {
 		return
 	}
 	d.remembers = true
 	d.loop.SetRestore(func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
-		learned, account := restore.Select(&kept.Memory, d.identity(), list, now, restore.DefaultHalfLives())
-		d.log.Info("remembered", "file", kept.File, "age_ms", int64(now-kept.Taken), "believed", account.Believed,
-			"aged", account.Aged, "future", account.Future, "unknown", account.Unknown, "wrong", account.Wrong,
+		learned, account := restore.Select(&kept.Snapshot, d.identity(), list, now, restore.DefaultHalfLives())
+		d.log.Info("remembered", "file", kept.File, "age_ms", int64(now-kept.TakenAt), "believed", account.Restored,
+			"aged", account.Expired, "future", account.FromFuture, "unknown", account.UnknownEngines, "wrong", account.Invalid,
 			"foreign", account.Foreign)
 		return learned
 	})
@@ -36,15 +36,15 @@
 // keep changes over from what is kept by one block to what is kept by another; nil stands for off.
 func (d *daemon) keep(from, to *memory.Block) {
 	if from != nil && to != nil && from.Folder == to.Folder {
-		d.keeper.SetPace(to.Pace)
+		d.keeper.SetInterval(to.Interval)
 		return
 	}
 	if d.keeper != nil { // it ends by itself, with a last snapshot
-		d.keeper.Last()
+		d.keeper.Stop()
 		d.gone, d.keeper = append(d.gone, d.keeper), nil
 	}
 	if to != nil {
-		d.keeper = memory.Start(disk.Folder(to.Folder), to.Pace, d.identity(), built().String(), d.loop, d.limits, d.log)
+		d.keeper = memory.StartSnapshotWriter(disk.Folder(to.Folder), to.Interval, d.identity(), built().String(), d.loop, d.limits, d.log)
 	}
 }
 
@@ -71,7 +71,7 @@
 	now, cancel := context.WithCancel(context.Background())
 	cancel()
 	for i := 0; i < len(d.gone); {
-		if d.gone[i].Ended() {
+		if d.gone[i].Stopped() {
 			d.gone = append(d.gone[:i], d.gone[i+1:]...)
 			continue
 		}
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -72,8 +72,8 @@
 	pool   *engines.Pool
 	feed   *discovery.Watcher
 	server *clients.Server
-	keeper *memory.Keeper // nil: memory is off
-	gone   []*memory.Keeper
+	keeper *memory.SnapshotWriter // nil: memory is off
+	gone   []*memory.SnapshotWriter
 	fleet  *fleet.Service // nil: off
 	agreed *agreedConfig  // nil: the fleet has no say in this controller's configuration
 
@@ -238,7 +238,7 @@
 		d.fleet.Stop() // another takes over what this one owns, while commands are still answered
 	}
 	if d.keeper != nil {
-		d.keeper.Last() // beside the commands that are still to be answered
+		d.keeper.Stop() // beside the commands that are still to be answered
 	}
 	drain(d.server, end.Add(-l.CloseTime), l.StopQuiet) // who goes on asking to the last is owed an orderly end too
 	listener.Close()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -169,9 +169,9 @@
 	reply chan memory.Part
 }
 
-// Learned takes out a part of what the module has learned, of most records at most, which is the slice of the loop's
+// Statistics takes out a part of what the module has learned, of most records at most, which is the slice of the loop's
 // time that it costs. Its error is that of ctx, also if the loop has ended.
-func (l *Loop) Learned(ctx context.Context, from router.Cursor, most int) (memory.Part, error) {
+func (l *Loop) Statistics(ctx context.Context, from router.Cursor, most int) (memory.Part, error) {
 	reply := make(chan memory.Part, 1)
 	select {
 	case l.inbox <- learned{from, most, reply}:
@@ -342,7 +342,7 @@
 		ev.reply <- l.rekey(ev.set)
 	case learned:
 		var part memory.Part
-		part.Learned, part.Next, part.More = l.module.Statistics(ev.from, ev.most)
+		part.Statistics, part.Next, part.More = l.module.Statistics(ev.from, ev.most)
 		ev.reply <- part
 	case Hold:
 		l.hold(ev.Engines)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -301,10 +301,10 @@
 	engines, parts := 0, 0
 	for part := (memory.Part{More: true}); part.More; parts++ {
 		var err error
-		if part, err = l.Learned(ctx, part.Next, 1); err != nil || part.Learned.Len() > 1 {
+		if part, err = l.Statistics(ctx, part.Next, 1); err != nil || part.Statistics.Len() > 1 {
 			t.Fatal(part, err)
 		}
-		engines += len(part.Learned.Engines)
+		engines += len(part.Statistics.Engines)
 	}
 	if engines != 1 || parts < 3 {
 		t.Errorf("%d engines in %d parts", engines, parts)
@@ -312,7 +312,7 @@
 	ended := New(nil, SystemClock(), 0, 0)
 	soon, stop := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer stop()
-	if _, err := ended.Learned(soon, router.Cursor{}, 1); err == nil {
+	if _, err := ended.Statistics(soon, router.Cursor{}, 1); err == nil {
 		t.Error("a loop that does not run has told something")
 	}
 	fresh := New(router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{}), SystemClock(), 1, 0)
--- a/internal/core/fleet/digest/digest.go
+++ b/internal/core/fleet/digest/digest.go
@@ -130,8 +130,8 @@
 				sums[p] = x
 			}
 			age := now - e.At
-			x.pace.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.Factor(age, lives.Pace))
-			x.width.add(e.ThreadsPerCore, restore.Factor(age, lives.Width))
+			x.pace.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.RemainingWeight(age, lives.Slowdown))
+			x.width.add(e.ThreadsPerCore, restore.RemainingWeight(age, lives.ThreadsPerCore))
 			if e.At > x.latest.At {
 				x.latest = e
 			}
@@ -160,7 +160,7 @@
 	}
 	sums, weights := map[router.TableGroup]*sum{}, 0.0
 	for i, s := range sources {
-		f := restore.Factor(now-s.At, lives.Tables)
+		f := restore.RemainingWeight(now-s.At, lives.Tables)
 		weights += f
 		for _, t := range s.Learned.Tables {
 			if !(t.Demand >= 0) || !(t.MemoryTime >= 0) || math.IsInf(t.Demand+t.MemoryTime, 0) {
@@ -211,7 +211,7 @@
 				x = &sum{}
 				sums[p.Class] = x
 			}
-			f := restore.Factor(now-p.At, lives.Profile)
+			f := restore.RemainingWeight(now-p.At, lives.Classes)
 			if p.UnloadedTime > 0 {
 				x.best.add(p.UnloadedTime, f)
 			}
--- a/internal/core/restore/restore.go
+++ b/internal/core/restore/restore.go
@@ -20,20 +20,20 @@
 
 // Snapshot is what was stored, as it was read.
 type Snapshot struct {
-	Of      Identity
-	Learned router.Statistics
+	Owner      Identity
+	Statistics router.Statistics
 }
 
 // HalfLives are the times in ms after which a record of each kind weighs half. Zero: it does not count at all; infinite:
 // it never ages.
 type HalfLives struct {
-	Pace    float64 // how slow an engine is
-	Health  float64 // outcomes of its last sends
-	Width   float64 // threads a core that it bears
-	Homes   float64 // which engines have which table groups warm
-	Tables  float64 // how much is asked of a table group
-	Profile float64 // how a profile's commands run
-	Traffic float64 // this controller's part of the traffic
+	Slowdown       float64 // how slow an engine is
+	Outcomes       float64 // outcomes of its last sends
+	ThreadsPerCore float64 // threads a core that it bears
+	Pools          float64 // which engines have which table groups warm
+	Tables         float64 // how much is asked of a table group
+	Classes        float64 // how a profile's commands run
+	TrafficShare   float64 // this controller's part of the traffic
 }
 
 // DefaultHalfLives are those in use. An engine's trouble passes or gets it replaced within a minute or
@@ -43,8 +43,8 @@
 // within seconds where answers tell otherwise.
 func DefaultHalfLives() HalfLives {
 	const second, minute, day = 1000.0, 60 * 1000.0, 24 * 60 * 60 * 1000.0
-	return HalfLives{Pace: 30 * second, Health: 20 * second, Width: 2 * minute, Homes: 2 * minute, Tables: 3 * day,
-		Profile: 3 * day, Traffic: minute}
+	return HalfLives{Slowdown: 30 * second, Outcomes: 20 * second, ThreadsPerCore: 2 * minute, Pools: 2 * minute, Tables: 3 * day,
+		Classes: 3 * day, TrafficShare: minute}
 }
 
 // Bounds on what is believed at once, whatever a file holds.
@@ -61,18 +61,18 @@
 	mostRate    = 1e6   // ms of work for each ms that a table group may be said to ask for
 )
 
-// Account tells what became of the records.
-type Account struct {
-	Believed int
-	Aged     int // too old to weigh anything
-	Future   int // from a time that has not come: nobody knows how old they are
-	Unknown  int // of engines that the list does not hold, or of other processes under their ids
-	Wrong    int // with figures that can't be, named twice, or past what is believed at once
-	Foreign  int // all, as they are of another controller or from under other settings
+// Counts tells what became of the records.
+type Counts struct {
+	Restored       int
+	Expired        int // too old to weigh anything
+	FromFuture     int // from a time that has not come: nobody knows how old they are
+	UnknownEngines int // of engines that the list does not hold, or of other processes under their ids
+	Invalid        int // with figures that can't be, named twice, or past what is believed at once
+	Foreign        int // all, as they are of another controller or from under other settings
 }
 
-// Factor is the share of its weight that a record still has after an age in ms; age below zero is the future.
-func Factor(age, life float64) float64 {
+// RemainingWeight is the share of its weight that a record still has after an age in ms; age below zero is the future.
+func RemainingWeight(age, life float64) float64 {
 	switch {
 	case math.IsNaN(age) || age < -clockSlack || !(life > 0):
 		return 0
@@ -86,17 +86,17 @@
 type selector struct {
 	now     float64
 	lives   HalfLives
-	account Account
+	account Counts
 }
 
 // factor is that of a record taken out at a time, or 0, which is then accounted for.
 func (s *selector) factor(at, life float64) float64 {
-	f := Factor(s.now-at, life)
+	f := RemainingWeight(s.now-at, life)
 	if f < leastBelief {
 		if s.now-at < -clockSlack {
-			s.account.Future++
+			s.account.FromFuture++
 		} else {
-			s.account.Aged++
+			s.account.Expired++
 		}
 		return 0
 	}
@@ -109,16 +109,16 @@
 
 // Select returns what of a snapshot still counts for this controller, with this list of engines, at a time in the
 // module's ms. The records come out ordered by id, each with the weight that is left.
-func Select(m *Snapshot, of Identity, list []router.Endpoint, now float64, lives HalfLives) (router.Statistics, Account) {
+func Select(m *Snapshot, of Identity, list []router.Endpoint, now float64, lives HalfLives) (router.Statistics, Counts) {
 	s := &selector{now: now, lives: lives}
-	if m.Of != of {
-		s.account.Foreign = m.Learned.Len()
+	if m.Owner != of {
+		s.account.Foreign = m.Statistics.Len()
 		return router.Statistics{}, s.account
 	}
-	l := router.Statistics{Engines: s.engines(m.Learned.Engines, list), Classes: s.profiles(m.Learned.Classes),
-		Traffic: s.traffic(m.Learned.Traffic)}
-	l.Tables = s.tables(m.Learned.Tables, len(list))
-	s.account.Believed = l.Len()
+	l := router.Statistics{Engines: s.engines(m.Statistics.Engines, list), Classes: s.profiles(m.Statistics.Classes),
+		Traffic: s.traffic(m.Statistics.Traffic)}
+	l.Tables = s.tables(m.Statistics.Tables, len(list))
+	s.account.Restored = l.Len()
 	return l, s.account
 }
 
@@ -131,7 +131,7 @@
 	if len(sorted) > most {
 		sorted = sorted[:most]
 	}
-	s.account.Wrong += n - len(sorted)
+	s.account.Invalid += n - len(sorted)
 	return sorted
 }
 
@@ -146,20 +146,20 @@
 		started, listed := since[e.Engine]
 		switch {
 		case !finite(e.At, e.StartedAt, e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore):
-			s.account.Wrong++
+			s.account.Invalid++
 			continue
 		case !listed || started != e.StartedAt:
-			s.account.Unknown++
+			s.account.UnknownEngines++
 			continue
 		}
 		age := s.now - e.At
-		if s.factor(e.At, max(s.lives.Pace, s.lives.Health, s.lives.Width, s.lives.Homes)) == 0 {
+		if s.factor(e.At, max(s.lives.Slowdown, s.lives.Outcomes, s.lives.ThreadsPerCore, s.lives.Pools)) == 0 {
 			continue
 		}
-		e.Slowdown.Weight = min(mostPaceN, e.Slowdown.Weight) * Factor(age, s.lives.Pace)
-		e.ThreadsPerCore = usualWidth + (e.ThreadsPerCore-usualWidth)*Factor(age, s.lives.Width)
-		e.Outcomes = fadeOutcomes(e.Outcomes, Factor(age, s.lives.Health))
-		if Factor(age, s.lives.Homes) < leastBelief {
+		e.Slowdown.Weight = min(mostPaceN, e.Slowdown.Weight) * RemainingWeight(age, s.lives.Slowdown)
+		e.ThreadsPerCore = usualWidth + (e.ThreadsPerCore-usualWidth)*RemainingWeight(age, s.lives.ThreadsPerCore)
+		e.Outcomes = fadeOutcomes(e.Outcomes, RemainingWeight(age, s.lives.Outcomes))
+		if RemainingWeight(age, s.lives.Pools) < leastBelief {
 			e.PoolLeader = ""
 		}
 		out = append(out, e)
@@ -177,10 +177,10 @@
 	for _, p := range once(s, records, func(p *router.ClassStatistics) router.ClassID { return p.Class }, mostTables) {
 		if p.Class < 0 || !finite(p.At, p.FirstTryTimeout, p.UnloadedTime, p.WorkScale.Mean, p.WorkScale.Weight, p.MemoryScale.Mean,
 			p.MemoryScale.Weight) {
-			s.account.Wrong++
+			s.account.Invalid++
 			continue
 		}
-		f := s.factor(p.At, s.lives.Profile)
+		f := s.factor(p.At, s.lives.Classes)
 		if f == 0 {
 			continue
 		}
@@ -194,10 +194,10 @@
 func (s *selector) traffic(records []router.TrafficStatistics) (out []router.TrafficStatistics) {
 	for _, t := range records {
 		if len(out) > 0 || !finite(t.At, t.Share.Mean, t.Share.Weight) || t.Share.Mean > 1 {
-			s.account.Wrong++
+			s.account.Invalid++
 			continue
 		}
-		if f := s.factor(t.At, s.lives.Traffic); f > 0 {
+		if f := s.factor(t.At, s.lives.TrafficShare); f > 0 {
 			t.Share.Weight = min(mostTraffic, t.Share.Weight) * f
 			out = append(out, t)
 		}
@@ -209,7 +209,7 @@
 func (s *selector) tables(records []router.TableStatistics, engines int) (out []router.TableStatistics) {
 	for _, t := range once(s, records, func(t *router.TableStatistics) router.TableGroup { return t.Tables }, len(records)) {
 		if !finite(t.At, t.Demand, t.MemoryTime) || t.Demand > mostRate {
-			s.account.Wrong++
+			s.account.Invalid++
 			continue
 		}
 		f := s.factor(t.At, s.lives.Tables)
@@ -217,14 +217,14 @@
 			continue
 		}
 		t.Demand, t.MemoryTime = t.Demand*f, t.MemoryTime*f
-		if Factor(s.now-t.At, s.lives.Homes) < leastBelief {
+		if RemainingWeight(s.now-t.At, s.lives.Pools) < leastBelief {
 			t.PoolLeaders = nil
 		}
 		out = append(out, t)
 	}
 	if most := min(mostTables, mostFits/max(1, engines)); len(out) > most {
 		slices.SortStableFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
-		s.account.Wrong += len(out) - most
+		s.account.Invalid += len(out) - most
 		out = out[:most]
 		slices.SortFunc(out, func(a, b router.TableStatistics) int { return cmp.Compare(a.Tables, b.Tables) })
 	}
--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -36,7 +36,7 @@
 // memory is one of each record, taken out so many ms ago.
 func memory(age float64) *Snapshot {
 	at := now - age
-	return &Snapshot{Of: me, Learned: router.Statistics{
+	return &Snapshot{Owner: me, Statistics: router.Statistics{
 		Engines: []router.EngineStatistics{{At: at, Engine: "a", Slowdown: router.WeightedMean{Mean: 5, Weight: 3}, ThreadsPerCore: 1.6,
 			Outcomes: 0b11110000, PoolLeader: "a"}},
 		Tables:  []router.TableStatistics{{At: at, Tables: 7, Demand: 2, MemoryTime: 40, PoolLeaders: []router.EngineID{"a"}}},
@@ -53,18 +53,18 @@
 		age                               float64
 		lives                             HalfLives
 		engines, tables, profiles, traffc int
-		account                           Account
+		account                           Counts
 	}{
-		{"fresh", 0, u, 1, 1, 1, 1, Account{Believed: 4}},
-		{"a clock set back by half a second", -500, u, 1, 1, 1, 1, Account{Believed: 4}},
-		{"from the future", -5000, u, 0, 0, 0, 0, Account{Future: 4}},
-		{"a minute", 60e3, u, 1, 1, 1, 1, Account{Believed: 4}},
-		{"ten minutes", 600e3, u, 0, 1, 1, 0, Account{Believed: 2, Aged: 2}},
-		{"three hours", 3 * 3600e3, u, 0, 1, 1, 0, Account{Believed: 2, Aged: 2}},
-		{"a day", 24 * 3600e3, u, 0, 1, 1, 0, Account{Believed: 2, Aged: 2}},
-		{"two weeks", 14 * 24 * 3600e3, u, 0, 0, 0, 0, Account{Aged: 4}},
-		{"a day, by the plain baseline", 24 * 3600e3, ageless(), 1, 1, 1, 1, Account{Believed: 4}},
-		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Account{Aged: 4}},
+		{"fresh", 0, u, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"a clock set back by half a second", -500, u, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"from the future", -5000, u, 0, 0, 0, 0, Counts{FromFuture: 4}},
+		{"a minute", 60e3, u, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"ten minutes", 600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"three hours", 3 * 3600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"a day", 24 * 3600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"two weeks", 14 * 24 * 3600e3, u, 0, 0, 0, 0, Counts{Expired: 4}},
+		{"a day, by the plain baseline", 24 * 3600e3, ageless(), 1, 1, 1, 1, Counts{Restored: 4}},
+		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
 	} {
 		l, account := Select(memory(c.age), me, list, now, c.lives)
 		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
@@ -81,25 +81,25 @@
 	if e := at(0).Engines[0]; e.Slowdown.Weight != 3 || e.ThreadsPerCore != 1.6 || e.Outcomes != 0b11110000 || e.PoolLeader != "a" {
 		t.Errorf("fresh: %+v", e)
 	}
-	if e := at(u.Pace).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
+	if e := at(u.Slowdown).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
 		t.Errorf("after the life of a pace: %+v", e)
 	}
-	if e := at(u.Width).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
+	if e := at(u.ThreadsPerCore).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
 		t.Errorf("after the life of a width: %+v", e)
 	}
-	if e := at(u.Health).Engines[0]; e.Outcomes != 0b11110000 {
+	if e := at(u.Outcomes).Engines[0]; e.Outcomes != 0b11110000 {
 		t.Errorf("after the life of outcomes, of which the bad are the latest: %08b", e.Outcomes)
 	}
-	if e := at(2 * u.Health).Engines[0]; e.Outcomes != 0b11111100 {
+	if e := at(2 * u.Outcomes).Engines[0]; e.Outcomes != 0b11111100 {
 		t.Errorf("after twice the life of outcomes: %08b", e.Outcomes)
 	}
-	if e := at(5 * u.Health).Engines[0]; e.Outcomes != 0xff {
+	if e := at(5 * u.Outcomes).Engines[0]; e.Outcomes != 0xff {
 		t.Errorf("after five times the life of outcomes: %08b", e.Outcomes)
 	}
 	if g := at(u.Tables).Tables[0]; math.Abs(g.Demand-1) > 1e-9 || math.Abs(g.MemoryTime-20) > 1e-9 {
 		t.Errorf("after the life of table groups: %+v", g)
 	}
-	if g := at(4.5 * u.Homes).Tables[0]; g.PoolLeaders != nil || g.Demand < 1.9 {
+	if g := at(4.5 * u.Pools).Tables[0]; g.PoolLeaders != nil || g.Demand < 1.9 {
 		t.Errorf("after the life of homes: %+v", g)
 	}
 }
@@ -111,23 +111,23 @@
 		name   string
 		change func(m *Snapshot)
 		left   int
-		tell   Account
+		tell   Counts
 	}{
-		{"another controller's", func(m *Snapshot) { m.Of.Name = "n4" }, 0, Account{Foreign: 4}},
-		{"other settings", func(m *Snapshot) { m.Of.Settings++ }, 0, Account{Foreign: 4}},
-		{"an engine not listed", func(m *Snapshot) { m.Learned.Engines[0].Engine = "c" }, 3, Account{Believed: 3, Unknown: 1}},
-		{"an engine that drains", func(m *Snapshot) { m.Learned.Engines[0].Engine = "d" }, 3, Account{Believed: 3, Unknown: 1}},
-		{"another process", func(m *Snapshot) { m.Learned.Engines[0].StartedAt = 5 }, 3, Account{Believed: 3, Unknown: 1}},
-		{"a pace that is no number", func(m *Snapshot) { m.Learned.Engines[0].Slowdown.Mean = nan }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a width without end", func(m *Snapshot) { m.Learned.Engines[0].ThreadsPerCore = inf }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a weight below zero", func(m *Snapshot) { m.Learned.Engines[0].Slowdown.Weight = -1 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a demand that can't be", func(m *Snapshot) { m.Learned.Tables[0].Demand = 1e9 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"no profile", func(m *Snapshot) { m.Learned.Classes[0].Class = -1 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"more than all traffic", func(m *Snapshot) { m.Learned.Traffic[0].Share.Mean = 1.1 }, 3, Account{Believed: 3, Wrong: 1}},
-		{"a time that is no number", func(m *Snapshot) { m.Learned.Traffic[0].At = nan }, 3, Account{Believed: 3, Wrong: 1}},
+		{"another controller's", func(m *Snapshot) { m.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
+		{"other settings", func(m *Snapshot) { m.Owner.Settings++ }, 0, Counts{Foreign: 4}},
+		{"an engine not listed", func(m *Snapshot) { m.Statistics.Engines[0].Engine = "c" }, 3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"an engine that drains", func(m *Snapshot) { m.Statistics.Engines[0].Engine = "d" }, 3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"another process", func(m *Snapshot) { m.Statistics.Engines[0].StartedAt = 5 }, 3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"a pace that is no number", func(m *Snapshot) { m.Statistics.Engines[0].Slowdown.Mean = nan }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"a width without end", func(m *Snapshot) { m.Statistics.Engines[0].ThreadsPerCore = inf }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"a weight below zero", func(m *Snapshot) { m.Statistics.Engines[0].Slowdown.Weight = -1 }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"a demand that can't be", func(m *Snapshot) { m.Statistics.Tables[0].Demand = 1e9 }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"no profile", func(m *Snapshot) { m.Statistics.Classes[0].Class = -1 }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"more than all traffic", func(m *Snapshot) { m.Statistics.Traffic[0].Share.Mean = 1.1 }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"a time that is no number", func(m *Snapshot) { m.Statistics.Traffic[0].At = nan }, 3, Counts{Restored: 3, Invalid: 1}},
 		{"twice the same engine", func(m *Snapshot) {
-			m.Learned.Engines = append(m.Learned.Engines, m.Learned.Engines[0])
-		}, 4, Account{Believed: 4, Wrong: 1}},
+			m.Statistics.Engines = append(m.Statistics.Engines, m.Statistics.Engines[0])
+		}, 4, Counts{Restored: 4, Invalid: 1}},
 	} {
 		m := memory(0)
 		c.change(m)
@@ -139,9 +139,9 @@
 
 // Of more table groups than can be put in at once those are passed that are asked for most, by id.
 func TestMostTables(t *testing.T) {
-	m := &Snapshot{Of: me}
+	m := &Snapshot{Owner: me}
 	for i := range 1000 {
-		m.Learned.Tables = append(m.Learned.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
+		m.Statistics.Tables = append(m.Statistics.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
 			Demand: float64(i * 7919 % 1000)})
 	}
 	var many []router.Endpoint
@@ -149,7 +149,7 @@
 		many = append(many, router.Endpoint{})
 	}
 	l, account := Select(m, me, many, now, DefaultHalfLives())
-	if len(l.Tables) != 100 || account.Wrong != 900 {
+	if len(l.Tables) != 100 || account.Invalid != 900 {
 		t.Fatalf("%d left, %+v", len(l.Tables), account)
 	}
 	for _, g := range l.Tables {
@@ -176,27 +176,27 @@
 		return router.EngineID(s)
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		m := &Snapshot{Of: me}
+		m := &Snapshot{Owner: me}
 		for range rapid.IntRange(0, 6).Draw(t, "engines") {
-			m.Learned.Engines = append(m.Learned.Engines, router.EngineStatistics{At: odd(t, "at"), Engine: id.Draw(t, "id"),
+			m.Statistics.Engines = append(m.Statistics.Engines, router.EngineStatistics{At: odd(t, "at"), Engine: id.Draw(t, "id"),
 				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Slowdown: weighed(t),
 				ThreadsPerCore: odd(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "lead")})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "tables") {
-			m.Learned.Tables = append(m.Learned.Tables, router.TableStatistics{At: odd(t, "at"),
+			m.Statistics.Tables = append(m.Statistics.Tables, router.TableStatistics{At: odd(t, "at"),
 				Tables: router.TableGroup(rapid.IntRange(-2, 2).Draw(t, "group")), Demand: odd(t, "demand"),
 				MemoryTime: odd(t, "held"), PoolLeaders: []router.EngineID{id.Draw(t, "home")}})
 		}
-		m.Learned.Classes = []router.ClassStatistics{{At: odd(t, "at"), FirstTryTimeout: odd(t, "left"), UnloadedTime: odd(t, "best"),
+		m.Statistics.Classes = []router.ClassStatistics{{At: odd(t, "at"), FirstTryTimeout: odd(t, "left"), UnloadedTime: odd(t, "best"),
 			WorkScale: weighed(t), MemoryScale: weighed(t)}}
-		m.Learned.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
+		m.Statistics.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
 		before := clone(m)
 		sooner, _ := Select(m, me, list, now, DefaultHalfLives())
 		later, account := Select(m, me, list, now+30000, DefaultHalfLives())
 		if before != clone(m) {
 			t.Fatal("the memory itself was changed")
 		}
-		if account.Believed != later.Len() || later.Len() > sooner.Len()+6 {
+		if account.Restored != later.Len() || later.Len() > sooner.Len()+6 {
 			t.Fatalf("%+v of %d", account, later.Len())
 		}
 		seen := map[router.EngineID]bool{}
--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -41,43 +41,43 @@
 const maxVoters = 7
 
 // ReadBlock reads the block fleet.
-func ReadBlock(b *hcl.Block, sheet *block.Sheet) *Block {
+func ReadBlock(b *hcl.Block, sheet *block.Diagnostics) *Block {
 	open := block.Open(b, sheet, "name", "generation", "listen", "advertise", "key_file", "folder", "council", "works", "lease",
 		"willing")
-	read := &Block{Name: open.Text("name", "", true, 64), Generation: uint64(open.Whole("generation", 1, 1, 1_000_000_000)),
-		Listen: open.Text("listen", "", true, 256), KeyFile: open.Text("key_file", "", true, 4096),
-		Folder: open.Text("folder", "", true, 4096), Lease: open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
+	read := &Block{Name: open.String("name", "", true, 64), Generation: uint64(open.Int("generation", 1, 1, 1_000_000_000)),
+		Listen: open.String("listen", "", true, 256), KeyFile: open.String("key_file", "", true, 4096),
+		Folder: open.String("folder", "", true, 4096), Lease: open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
 		Willing: open.Bool("willing", true), Voters: map[members.ID]string{}}
-	read.Advertise = open.Text("advertise", read.Listen, false, 256)
+	read.Advertise = open.String("advertise", read.Listen, false, 256)
 	if read.Name != "" && !nameForm.MatchString(read.Name) {
-		open.Note("name", "holds other than letters, digits, '.', '_' and '-'")
+		open.AddProblem("name", "holds other than letters, digits, '.', '_' and '-'")
 	}
 	for _, address := range []struct{ field, text string }{{"listen", read.Listen}, {"advertise", read.Advertise}} {
 		if why := addressWrong(address.text); address.text != "" && why != "" && open.Has(address.field) {
-			open.Note(address.field, why)
+			open.AddProblem(address.field, why)
 		}
 	}
 	for _, path := range []struct{ field, text string }{{"key_file", read.KeyFile}, {"folder", read.Folder}} {
 		if path.text != "" && !filepath.IsAbs(path.text) {
-			open.Note(path.field, "is no absolute path")
+			open.AddProblem(path.field, "is no absolute path")
 		}
 	}
-	council := open.Map("council", 256)
+	council := open.StringMap("council", 256)
 	if !open.Has("council") {
-		open.Note("council", "is missing")
+		open.AddProblem("council", "is missing")
 	} else if n := len(council); n != 1 && n != 3 && n != 5 && n != maxVoters {
-		open.Note("council", fmt.Sprintf("has %d members: 1, 3, 5 or %d are possible, as half of an even number decides nothing", n,
+		open.AddProblem("council", fmt.Sprintf("has %d members: 1, 3, 5 or %d are possible, as half of an even number decides nothing", n,
 			maxVoters))
 	}
 	seen := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(council)) {
 		addr := council[name]
 		if !nameForm.MatchString(name) {
-			open.Note("council", fmt.Sprintf("%.64q is no name of a controller", name))
+			open.AddProblem("council", fmt.Sprintf("%.64q is no name of a controller", name))
 		} else if why := addressWrong(addr); why != "" {
-			open.Note("council", fmt.Sprintf("%s: %s", name, why))
+			open.AddProblem("council", fmt.Sprintf("%s: %s", name, why))
 		} else if other := seen[addr]; other != "" {
-			open.Note("council", fmt.Sprintf("%s and %s have the same address", min(name, other), max(name, other)))
+			open.AddProblem("council", fmt.Sprintf("%s and %s have the same address", min(name, other), max(name, other)))
 		}
 		seen[addr] = name
 		read.Voters[members.ID(name)] = addr
@@ -92,11 +92,11 @@
 		return []lease.Name{Digest}
 	}
 	var names []lease.Name
-	for _, w := range open.Texts("works", 64) {
+	for _, w := range open.Strings("works", 64) {
 		if !nameForm.MatchString(w) {
-			open.Note("works", fmt.Sprintf("%.64q is no name of a lease", w))
+			open.AddProblem("works", fmt.Sprintf("%.64q is no name of a lease", w))
 		} else if slices.Contains(names, lease.Name(w)) {
-			open.Note("works", w+" stands there twice")
+			open.AddProblem("works", w+" stands there twice")
 		} else {
 			names = append(names, lease.Name(w))
 		}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -17,7 +17,7 @@
 }
 
 // ReadConfig reads the block config.
-func ReadConfig(b *hcl.Block, sheet *block.Sheet) *ConfigBlock {
+func ReadConfig(b *hcl.Block, sheet *block.Diagnostics) *ConfigBlock {
 	open := block.Open(b, sheet, "wait")
 	return &ConfigBlock{Wait: open.Duration("wait", 3*time.Second, 100*time.Millisecond, 8*time.Second)}
 }
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -60,7 +60,7 @@
 
 // Learner is what the digest needs of its controller.
 type Learner struct {
-	Source   memory.Source
+	Source   memory.StatisticsSource
 	Settings uint64                  // only those with the same speak of the same profiles
 	Remember func(router.Statistics) // takes over what others knew; nil: nothing is missing
 	Log      *slog.Logger
@@ -194,8 +194,8 @@
 		part := memory.Part{More: true}
 		var err error
 		for err == nil && part.More && all.Len() < mostRecords {
-			if part, err = d.learner.Source.Learned(ctx, part.Next, partRecords); err == nil {
-				all.Add(part.Learned)
+			if part, err = d.learner.Source.Statistics(ctx, part.Next, partRecords); err == nil {
+				all.Add(part.Statistics)
 			}
 		}
 		data := pack(&all)
@@ -211,7 +211,7 @@
 func pack(l *router.Statistics) []byte {
 	slices.SortStableFunc(l.Tables, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
 	for {
-		data, err := memory.Pack(l)
+		data, err := memory.EncodeStatistics(l)
 		if err != nil {
 			return nil
 		}
@@ -278,7 +278,7 @@
 
 // took takes in what one controller has learned.
 func (d *digester) took(from members.ID, t *statisticsSnapshot) {
-	l, err := memory.Unpack(t.Data)
+	l, err := memory.DecodeStatistics(t.Data)
 	if err != nil || t.Settings != d.learner.Settings {
 		return
 	}
@@ -292,7 +292,7 @@
 	if !d.wanting || t.Settings != d.learner.Settings {
 		return
 	}
-	l, err := memory.Unpack(t.Data)
+	l, err := memory.DecodeStatistics(t.Data)
 	if err != nil {
 		d.learner.Log.Warn("fleet: a digest can't be used", "why", err)
 		return
--- a/internal/fleet/planfile.go
+++ b/internal/fleet/planfile.go
@@ -23,14 +23,14 @@
 }
 
 // ReadMaintenance reads the block maintenance.
-func ReadMaintenance(b *hcl.Block, sheet *block.Sheet) *MaintenanceBlock {
+func ReadMaintenance(b *hcl.Block, sheet *block.Diagnostics) *MaintenanceBlock {
 	open := block.Open(b, sheet, "drain", "work", "back", "within", "prepare", "list")
-	m := &MaintenanceBlock{Drain: open.Text("drain", "", false, 4096), Work: open.Text("work", "", false, 4096),
-		Back: open.Text("back", "", false, 4096), Within: open.Duration("within", 10*time.Minute, time.Second, 24*time.Hour),
+	m := &MaintenanceBlock{Drain: open.String("drain", "", false, 4096), Work: open.String("work", "", false, 4096),
+		Back: open.String("back", "", false, 4096), Within: open.Duration("within", 10*time.Minute, time.Second, 24*time.Hour),
 		Prepare: open.Duration("prepare", 30*time.Second, 0, time.Hour), List: open.Bool("list", true)}
 	for _, hook := range []struct{ field, path string }{{"drain", m.Drain}, {"work", m.Work}, {"back", m.Back}} {
 		if hook.path != "" && !filepath.IsAbs(hook.path) {
-			open.Note(hook.field, "is no absolute path")
+			open.AddProblem(hook.field, "is no absolute path")
 		}
 	}
 	return m
@@ -41,26 +41,26 @@
 // ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with the file itself; whether
 // the plans can be done is for the conductor to say.
 func ReadPlans(path string, text []byte) ([]maintenance.Plan, error) {
-	sheet := block.NewSheet(text)
+	sheet := block.NewDiagnostics(text)
 	if len(text) > 1<<18 {
 		return nil, block.Problems{{File: path, Why: "has over 256 KB"}}
 	}
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.NoteAll(found, "")
+	sheet.AddHCL(found, "")
 	var plans []maintenance.Plan
 	if parsed != nil && !found.HasErrors() {
 		content, found := parsed.Body.Content(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "plan", LabelNames: []string{"name"}}}})
-		sheet.NoteAll(found, "")
+		sheet.AddHCL(found, "")
 		seen := map[string]bool{}
 		for _, b := range content.Blocks {
 			if seen[b.Labels[0]] {
-				sheet.Note(b.DefRange, "plan", b.Labels[0]+" stands here a second time")
+				sheet.Add(b.DefRange, "plan", b.Labels[0]+" stands here a second time")
 			}
 			seen[b.Labels[0]] = true
 			plans = append(plans, readPlan(b, sheet))
 		}
 		if len(plans) > mostPlans {
-			sheet.Note(hcl.Range{Filename: path}, "plan", fmt.Sprintf("there are over %d", mostPlans))
+			sheet.Add(hcl.Range{Filename: path}, "plan", fmt.Sprintf("there are over %d", mostPlans))
 		}
 	}
 	if problems := sheet.Problems(); problems != nil {
@@ -69,46 +69,46 @@
 	return plans, nil
 }
 
-func readPlan(b *hcl.Block, sheet *block.Sheet) maintenance.Plan {
+func readPlan(b *hcl.Block, sheet *block.Diagnostics) maintenance.Plan {
 	open := block.Open(b, sheet, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep", "at_once", "person")
-	p := maintenance.Plan{ID: maintenance.PlanID(b.Labels[0]), AtOnce: open.Whole("at_once", 1, 1, 1000), Person: open.Bool("person", false),
+	p := maintenance.Plan{ID: maintenance.PlanID(b.Labels[0]), AtOnce: open.Int("at_once", 1, 1, 1000), Person: open.Bool("person", false),
 		Needs: float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6}
 	if !nameForm.MatchString(b.Labels[0]) {
-		sheet.Note(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
+		sheet.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
 	}
-	for _, id := range open.Texts("engines", 256) {
+	for _, id := range open.Strings("engines", 256) {
 		p.Select.Engines = append(p.Select.Engines, maintenance.EngineID(id))
 	}
-	for _, z := range open.Texts("zones", 256) {
+	for _, z := range open.Strings("zones", 256) {
 		p.Select.Zones = append(p.Select.Zones, maintenance.Zone(z))
 	}
-	for _, k := range open.Texts("kinds", 256) {
+	for _, k := range open.Strings("kinds", 256) {
 		p.Select.Kinds = append(p.Select.Kinds, maintenance.Kind(k))
 	}
 	at := func(field string) float64 {
-		text := open.Text(field, "", false, 64)
+		text := open.String(field, "", false, 64)
 		if text == "" {
 			return 0
 		}
 		t, err := time.Parse(time.RFC3339, text)
 		if err != nil {
-			open.Note(field, fmt.Sprintf("%.40q is no time, such as \"2026-12-03T06:00:00Z\"", text))
+			open.AddProblem(field, fmt.Sprintf("%.40q is no time, such as \"2026-12-03T06:00:00Z\"", text))
 			return 0
 		}
 		return float64(t.UnixMilli())
 	}
 	p.Select.Before, p.By = at("before"), at("by")
-	for _, text := range open.Texts("not", 32) {
+	for _, text := range open.Strings("not", 32) {
 		h, ok := readHours(text)
 		if !ok {
-			open.Note("not", fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
+			open.AddProblem("not", fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
 		}
 		p.Not = append(p.Not, h)
 	}
-	for _, text := range open.Texts("keep", 128) {
+	for _, text := range open.Strings("keep", 128) {
 		k, ok := readKeep(text)
 		if !ok {
-			open.Note("keep", fmt.Sprintf("%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
+			open.AddProblem("keep", fmt.Sprintf("%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
 		}
 		p.Keep = append(p.Keep, k)
 	}
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -38,7 +38,7 @@
 	kept       func(generation int64)
 }
 
-func (t *teacher) Learned(_ context.Context, from router.Cursor, most int) (memory.Part, error) {
+func (t *teacher) Statistics(_ context.Context, from router.Cursor, most int) (memory.Part, error) {
 	if from == (router.Cursor{}) {
 		if n := t.generation.Add(1); n > 1 {
 			t.kept(n - 1)
@@ -49,7 +49,7 @@
 	for i := range part.Engines {
 		part.Engines[i].Slowdown, part.Engines[i].At = router.WeightedMean{Mean: n, Weight: 1}, float64(time.Now().UnixMilli())
 	}
-	return memory.Part{Learned: part, Next: next, More: more}, nil
+	return memory.Part{Statistics: part, Next: next, More: more}, nil
 }
 
 func newTeacher(kept func(int64)) *teacher {
@@ -69,11 +69,11 @@
 	l.MemoryRate, l.MemoryRest, l.MemoryPart = 1<<30, 50*time.Microsecond, 64
 	lines := make(chan int64, 1000)
 	t := newTeacher(func(n int64) { lines <- n })
-	k := memory.Start(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
+	k := memory.StartSnapshotWriter(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
 		slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	for n := range lines { // there is no end but the kill, or the reader's
 		if _, err := fmt.Fprintln(out, n); err != nil {
-			k.Last()
+			k.Stop()
 			return err
 		}
 	}
@@ -168,8 +168,8 @@
 	if trials[0].Err != nil {
 		t.FellBack++
 	}
-	l := &kept.Memory.Learned
-	if kept.Memory.Of != Identity || len(l.Engines) != Records || !kept.Whole {
+	l := &kept.Snapshot.Statistics
+	if kept.Snapshot.Owner != Identity || len(l.Engines) != Records || !kept.Complete {
 		t.Corrupt++
 		return
 	}
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -408,7 +408,7 @@
 		}
 	}
 	now, day := float64(time.Now().UnixMilli()), float64(24*3600*1000)
-	return memory.Rewrite(disk.Folder(kept), w.Bounds, func(l *router.Statistics) {
+	return memory.RewriteNewest(disk.Folder(kept), w.Bounds, func(l *router.Statistics) {
 		switch v {
 		case Aged, Yesterday:
 			shift(l, func(at float64) float64 { return at - day })
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -326,14 +326,14 @@
 
 // All controllers know the same processes of engines, as a merge would have them many times over otherwise.
 func TestStatistics(t *testing.T) {
-	first, _ := statistics{engines: 30, tableGroups: 20}.Learned(t.Context(), router.Cursor{}, 0)
+	first, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
 	time.Sleep(2 * time.Millisecond)
-	second, _ := statistics{engines: 30, tableGroups: 20}.Learned(t.Context(), router.Cursor{}, 0)
-	if len(first.Learned.Engines) != 30 || len(first.Learned.Tables) != 20 || first.More {
-		t.Errorf("%d engines and %d table groups", len(first.Learned.Engines), len(first.Learned.Tables))
+	second, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
+	if len(first.Statistics.Engines) != 30 || len(first.Statistics.Tables) != 20 || first.More {
+		t.Errorf("%d engines and %d table groups", len(first.Statistics.Engines), len(first.Statistics.Tables))
 	}
-	for i, e := range first.Learned.Engines {
-		if other := second.Learned.Engines[i]; e.Engine != other.Engine || e.StartedAt != other.StartedAt {
+	for i, e := range first.Statistics.Engines {
+		if other := second.Statistics.Engines[i]; e.Engine != other.Engine || e.StartedAt != other.StartedAt {
 			t.Fatalf("%s of %g and %s of %g", e.Engine, e.StartedAt, other.Engine, other.StartedAt)
 		}
 	}
--- a/internal/lab/scale/hollow/statistics.go
+++ b/internal/lab/scale/hollow/statistics.go
@@ -19,8 +19,8 @@
 // kinds is how many kinds of engines there are, each of which has a home for a table group.
 const kinds = 2
 
-// Learned implements memory.Source, in one part.
-func (s statistics) Learned(context.Context, router.Cursor, int) (memory.Part, error) {
+// Statistics implements memory.Source, in one part.
+func (s statistics) Statistics(context.Context, router.Cursor, int) (memory.Part, error) {
 	now := float64(time.Now().UnixMilli())
 	learned := router.Statistics{Traffic: []router.TrafficStatistics{{At: now, Share: router.WeightedMean{Mean: 0.01, Weight: 100}}}}
 	for i := range s.engines {
@@ -36,7 +36,7 @@
 		}
 		learned.Tables = append(learned.Tables, group)
 	}
-	return memory.Part{Learned: learned}, nil
+	return memory.Part{Statistics: learned}, nil
 }
 
 // engine is the name of an engine, as long as the operators' names are.
--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -45,7 +45,7 @@
 	}
 	sim.deliver(c, router.EndpointsUpdated{Complete: true, Cached: true, Endpoints: entries})
 	if sim.Memory == Persisted && c.incarnation > 1 {
-		m := &restore.Snapshot{Learned: c.saved}
+		m := &restore.Snapshot{Statistics: c.saved}
 		learned, _ := restore.Select(m, restore.Identity{}, entries, sim.now, restore.DefaultHalfLives())
 		sim.deliver(c, router.StatisticsRestored{Statistics: learned})
 	}
--- a/internal/lab/ways/ways.go
+++ b/internal/lab/ways/ways.go
@@ -106,7 +106,7 @@
 
 func (w *Snapshots) Keep(s *State) error {
 	s.changed = s.changed[:0]
-	_, err := w.folder.Write(func(add func(snapshots.Kind, []byte) error) error {
+	_, err := w.folder.Write(func(add func(snapshots.SectionKind, []byte) error) error {
 		for at := 0; at < len(s.Records); at += 1024 {
 			some := s.Records[at:min(at+1024, len(s.Records))]
 			var payload []byte
--- a/internal/logs/block.go
+++ b/internal/logs/block.go
@@ -40,19 +40,19 @@
 	Every time.Duration
 }
 
-// Usual returns the defaults, which hold without a block.
-func Usual() Block {
+// DefaultBlock returns the defaults, which hold without a block.
+func DefaultBlock() Block {
 	return Block{Format: formatText, Level: slog.LevelInfo, Burst: defaultBurst, Every: defaultEvery}
 }
 
 // ReadBlock reads the block "log". What can't be used is noted in the sheet and has its default.
-func ReadBlock(b *hcl.Block, sheet *block.Sheet) Block {
-	read := Usual()
+func ReadBlock(b *hcl.Block, sheet *block.Diagnostics) Block {
+	read := DefaultBlock()
 	open := block.Open(b, sheet, "format", "level", "burst", "every")
 	read.Format = open.Choice("format", read.Format, formatText, formatJSON)
 	level := open.Choice("level", "info", "debug", "info", "warn", "error")
 	read.Level.UnmarshalText([]byte(level)) // can't fail: slog knows all of these words
-	read.Burst = open.Whole("burst", read.Burst, 1, maxBurst)
+	read.Burst = open.Int("burst", read.Burst, 1, maxBurst)
 	read.Every = open.Duration("every", read.Every, minEvery, maxEvery)
 	return read
 }
--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -35,12 +35,12 @@
 		out:     &lineWriter{to: out},
 		limiter: &rateLimiter{now: time.Now, windows: map[kind]*window{}},
 	}
-	l.Set(b)
+	l.Configure(b)
 	return l
 }
 
-// Set changes format, level and rate limit, also for loggers that exist already.
-func (l *Log) Set(b Block) {
+// Configure changes format, level and rate limit, also for loggers that exist already.
+func (l *Log) Configure(b Block) {
 	var to io.Writer = l.out
 	if b.Format != formatJSON {
 		to = zerolog.ConsoleWriter{Out: l.out, NoColor: true, TimeFormat: timeFormat}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -24,7 +24,7 @@
 // group in which it was set.
 func TestTextAndJSONSayTheSame(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
-		b := Usual()
+		b := DefaultBlock()
 		b.Format = format
 		l, out, _ := newTestLog(b)
 		log := l.Logger().With("a", 1).WithGroup("g").With("b", 2)
@@ -52,7 +52,7 @@
 // written, and the next line of its kind has the count. A clock that is set back does not silence a
 // kind, and ever new messages do not fill the memory.
 func TestRateLimitByKind(t *testing.T) {
-	b := Usual()
+	b := DefaultBlock()
 	b.Burst = 3
 	l, out, now := newTestLog(b)
 	log := l.Logger()
@@ -87,15 +87,15 @@
 
 // Level and format change while the process runs. Loggers that exist already follow.
 func TestChangesHoldForExistingLoggers(t *testing.T) {
-	l, out, _ := newTestLog(Usual())
+	l, out, _ := newTestLog(DefaultBlock())
 	log := l.Logger()
 	log.Debug("quiet")
-	b := Usual()
+	b := DefaultBlock()
 	b.Level, b.Format = slog.LevelDebug, "json"
-	l.Set(b)
+	l.Configure(b)
 	log.Debug("loud")
 	b.Level = slog.LevelError
-	l.Set(b)
+	l.Configure(b)
 	log.Warn("quiet")
 	if text := out.String(); strings.Contains(text, "quiet") || !strings.Contains(text, `"message":"loud"`) {
 		t.Error(text)
@@ -104,7 +104,7 @@
 
 // Many goroutines log while the format changes. Lines stay whole.
 func TestLinesOfManyGoroutinesStayWhole(t *testing.T) {
-	b := Usual()
+	b := DefaultBlock()
 	b.Format, b.Burst = "json", 1e6
 	l, out, _ := newTestLog(b)
 	var wg sync.WaitGroup
@@ -112,7 +112,7 @@
 		wg.Go(func() {
 			for range 200 {
 				l.Logger().Info("line", "x", strings.Repeat("x", 100))
-				l.Set(b)
+				l.Configure(b)
 			}
 		})
 	}
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -55,7 +55,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l, list := sized(n)
-			m := &restore.Snapshot{Of: me, Learned: l}
+			m := &restore.Snapshot{Owner: me, Statistics: l}
 			b.ReportAllocs()
 			for b.Loop() {
 				restore.Select(m, me, list, 1e6+5000, restore.DefaultHalfLives())
@@ -69,7 +69,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l, list := sized(n)
-			believed, _ := restore.Select(&restore.Snapshot{Of: me, Learned: l}, me, list, 1e6, restore.DefaultHalfLives())
+			believed, _ := restore.Select(&restore.Snapshot{Owner: me, Statistics: l}, me, list, 1e6, restore.DefaultHalfLives())
 			for b.Loop() {
 				module(believed, list)
 			}
@@ -81,15 +81,15 @@
 	for _, n := range sizes {
 		l, _ := sized(n)
 		dir := disk.Folder(b.TempDir())
-		f, err := snapshots.Open(dir, Bounds(usual))
+		f, err := snapshots.Open(dir, FileBounds(testLimits))
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprint("write/", n), func(b *testing.B) {
 			for b.Loop() {
-				size, err := f.Write(func(add func(snapshots.Kind, []byte) error) error {
-					head, _ := encoder.Marshal(headForm{Name: "n3", Settings: 77})
-					if err := add(sectionHead, head); err != nil {
+				size, err := f.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+					head, _ := encoder.Marshal(headerForm{Name: "n3", Settings: 77})
+					if err := add(sectionHeader, head); err != nil {
 						return err
 					}
 					return encode(&l, add)
@@ -103,7 +103,7 @@
 		b.Run(fmt.Sprint("read/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, err := Load(dir, Bounds(usual)); err != nil {
+				if _, _, err := Load(dir, FileBounds(testLimits)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -26,80 +26,80 @@
 
 // Block is the block memory of the operator's file.
 type Block struct {
-	Folder string
-	Pace   time.Duration // between two snapshots; longer where they are large
+	Folder   string
+	Interval time.Duration // between two snapshots; longer where they are large
 }
 
 // ReadBlock reads the block memory.
-func ReadBlock(b *hcl.Block, sheet *block.Sheet) *Block {
+func ReadBlock(b *hcl.Block, sheet *block.Diagnostics) *Block {
 	open := block.Open(b, sheet, "folder", "pace")
-	read := &Block{Folder: open.Text("folder", "", true, 4096),
-		Pace: open.Duration("pace", 5*time.Second, 100*time.Millisecond, time.Hour)}
+	read := &Block{Folder: open.String("folder", "", true, 4096),
+		Interval: open.Duration("pace", 5*time.Second, 100*time.Millisecond, time.Hour)}
 	if read.Folder != "" && !filepath.IsAbs(read.Folder) {
-		open.Note("folder", "is no absolute path")
+		open.AddProblem("folder", "is no absolute path")
 	}
 	return read
 }
 
-// Source is who has learned something. Learned is a part of it, as the module's; its error is that of ctx.
-type Source interface {
-	Learned(ctx context.Context, from router.Cursor, most int) (Part, error)
+// StatisticsSource is who has learned something. Learned is a part of it, as the module's; its error is that of ctx.
+type StatisticsSource interface {
+	Statistics(ctx context.Context, from router.Cursor, most int) (Part, error)
 }
 
 // Part is a part of what was learned, with where the next one begins.
 type Part struct {
-	Learned router.Statistics
-	Next    router.Cursor
-	More    bool
+	Statistics router.Statistics
+	Next       router.Cursor
+	More       bool
 }
 
-// Keeper writes snapshots until it is stopped.
-type Keeper struct {
+// SnapshotWriter writes snapshots until it is stopped.
+type SnapshotWriter struct {
 	disk   disk.Disk
-	of     restore.Identity
+	owner  restore.Identity
 	build  string
-	source Source
+	source StatisticsSource
 	limits *limits.Limits
 	log    *slog.Logger
 
-	pace  atomic.Int64
-	paced chan struct{} // the pace has changed
-	last  chan struct{} // closed: write a last time, then end
-	once  sync.Once
-	done  chan struct{}
-	ctx   context.Context
-	end   context.CancelFunc
+	interval        atomic.Int64
+	intervalChanged chan struct{} // the pace has changed
+	last            chan struct{} // closed: write a last time, then end
+	once            sync.Once
+	done            chan struct{}
+	ctx             context.Context
+	end             context.CancelFunc
 
 	written, failed, bytes, records, locked atomic.Int64
 	writtenAt                               atomic.Int64 // ms since 1970
 }
 
-// Start begins to keep what source learns in a folder, which is of the identity's controller.
-func Start(d disk.Disk, pace time.Duration, of restore.Identity, build string, source Source, l *limits.Limits,
-	log *slog.Logger) *Keeper {
+// StartSnapshotWriter begins to keep what source learns in a folder, which is of the identity's controller.
+func StartSnapshotWriter(d disk.Disk, pace time.Duration, of restore.Identity, build string, source StatisticsSource, l *limits.Limits,
+	log *slog.Logger) *SnapshotWriter {
 	ctx, end := context.WithCancel(context.Background())
-	k := &Keeper{disk: d, of: of, build: build, source: source, limits: l, log: log, paced: make(chan struct{}, 1),
+	k := &SnapshotWriter{disk: d, owner: of, build: build, source: source, limits: l, log: log, intervalChanged: make(chan struct{}, 1),
 		last: make(chan struct{}), done: make(chan struct{}), ctx: ctx, end: end}
-	k.pace.Store(int64(pace))
+	k.interval.Store(int64(pace))
 	go k.run()
 	return k
 }
 
-// SetPace changes the time between two snapshots.
-func (k *Keeper) SetPace(pace time.Duration) {
-	k.pace.Store(int64(pace))
+// SetInterval changes the time between two snapshots.
+func (k *SnapshotWriter) SetInterval(pace time.Duration) {
+	k.interval.Store(int64(pace))
 	select {
-	case k.paced <- struct{}{}:
+	case k.intervalChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Last has a last snapshot written and the folder let go of. It does not wait.
-func (k *Keeper) Last() { k.once.Do(func() { close(k.last) }) }
+// Stop has a last snapshot written and the folder let go of. It does not wait.
+func (k *SnapshotWriter) Stop() { k.once.Do(func() { close(k.last) }) }
 
 // Wait waits until the folder is let go of, or ctx ends; what is being written then is given up. A write that hangs in
 // the system can't be broken off: its goroutine ends with it, or with the process.
-func (k *Keeper) Wait(ctx context.Context) error {
+func (k *SnapshotWriter) Wait(ctx context.Context) error {
 	defer k.end()
 	select {
 	case <-k.done:
@@ -109,8 +109,8 @@
 	}
 }
 
-// Ended tells that the folder has been let go of.
-func (k *Keeper) Ended() bool {
+// Stopped tells that the folder has been let go of.
+func (k *SnapshotWriter) Stopped() bool {
 	select {
 	case <-k.done:
 		return true
@@ -120,7 +120,7 @@
 }
 
 // LogValue prints what was kept.
-func (k *Keeper) LogValue() slog.Value {
+func (k *SnapshotWriter) LogValue() slog.Value {
 	age := int64(-1)
 	if at := k.writtenAt.Load(); at > 0 {
 		age = time.Now().UnixMilli() - at
@@ -132,7 +132,7 @@
 
 // run writes a snapshot at each pace. After one that failed the pace doubles, up to a bound: a disk that is full or
 // gone is tried for as long as the process lives.
-func (k *Keeper) run() {
+func (k *SnapshotWriter) run() {
 	defer close(k.done)
 	var folder *snapshots.Folder
 	defer func() {
@@ -140,7 +140,7 @@
 			folder.Close()
 		}
 	}()
-	timer := time.NewTimer(k.next(0, 0))
+	timer := time.NewTimer(k.nextDelay(0, 0))
 	defer timer.Stop()
 	failures, size := 0, int64(0)
 	for last := false; !last; {
@@ -149,8 +149,8 @@
 			return
 		case <-k.last:
 			last = true
-		case <-k.paced:
-			timer.Reset(k.next(failures, size))
+		case <-k.intervalChanged:
+			timer.Reset(k.nextDelay(failures, size))
 			continue
 		case <-timer.C:
 		}
@@ -166,13 +166,13 @@
 			}
 			failures = 0
 		}
-		timer.Reset(k.next(failures, size))
+		timer.Reset(k.nextDelay(failures, size))
 	}
 }
 
-// next is the time until the next snapshot, after so many failures in a row and a file of so many bytes.
-func (k *Keeper) next(failures int, size int64) time.Duration {
-	pace := time.Duration(k.pace.Load())
+// nextDelay is the time until the nextDelay snapshot, after so many failures in a row and a file of so many bytes.
+func (k *SnapshotWriter) nextDelay(failures int, size int64) time.Duration {
+	pace := time.Duration(k.interval.Load())
 	wait := max(pace, time.Duration(float64(size)/float64(k.limits.MemoryRate)*float64(time.Second)))
 	if failures > 0 {
 		wait = max(pace, min(wait<<min(failures, 10), k.limits.MemoryRetry))
@@ -181,12 +181,12 @@
 }
 
 // keep writes a snapshot, in a folder that is made and opened first if it isn't yet. One that is gone is opened anew.
-func (k *Keeper) keep(folder *snapshots.Folder) (*snapshots.Folder, int64, error) {
+func (k *SnapshotWriter) keep(folder *snapshots.Folder) (*snapshots.Folder, int64, error) {
 	if folder == nil {
 		if err := k.disk.Make(); err != nil {
 			return nil, 0, err
 		}
-		opened, err := snapshots.Open(k.disk, Bounds(k.limits))
+		opened, err := snapshots.Open(k.disk, FileBounds(k.limits))
 		if errors.Is(err, disk.ErrLocked) {
 			k.locked.Add(1)
 		}
@@ -203,20 +203,20 @@
 	return folder, size, err
 }
 
-func (k *Keeper) write(folder *snapshots.Folder) (int64, error) {
+func (k *SnapshotWriter) write(folder *snapshots.Folder) (int64, error) {
 	records := 0
-	size, err := folder.Write(func(add func(snapshots.Kind, []byte) error) error {
-		head, err := encoder.Marshal(headForm{Name: k.of.Name, Settings: k.of.Settings, Taken: time.Now().UnixMilli(),
+	size, err := folder.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+		head, err := encoder.Marshal(headerForm{Name: k.owner.Name, Settings: k.owner.Settings, Taken: time.Now().UnixMilli(),
 			Build: k.build})
 		if err == nil {
-			err = add(sectionHead, head)
+			err = add(sectionHeader, head)
 		}
 		for part := (Part{More: true}); part.More && err == nil; {
-			if part, err = k.source.Learned(k.ctx, part.Next, k.limits.MemoryPart); err != nil {
+			if part, err = k.source.Statistics(k.ctx, part.Next, k.limits.MemoryPart); err != nil {
 				break
 			}
-			records += part.Learned.Len()
-			if err = encode(&part.Learned, add); err == nil && part.More {
+			records += part.Statistics.Len()
+			if err = encode(&part.Statistics, add); err == nil && part.More {
 				k.rest()
 			}
 		}
@@ -232,7 +232,7 @@
 }
 
 // rest leaves the loop to its commands between two parts.
-func (k *Keeper) rest() {
+func (k *SnapshotWriter) rest() {
 	timer := time.NewTimer(k.limits.MemoryRest)
 	defer timer.Stop()
 	select {
@@ -241,17 +241,17 @@
 	}
 }
 
-// Restore reads a folder for a controller that starts, in a bounded time: a disk that hangs must not keep it from
+// LoadWithTimeout reads a folder for a controller that starts, in a bounded time: a disk that hangs must not keep it from
 // serving. It returns nil if there is nothing to be believed, and logs why.
-func Restore(d disk.Disk, l *limits.Limits, log *slog.Logger) *Kept {
+func LoadWithTimeout(d disk.Disk, l *limits.Limits, log *slog.Logger) *StoredSnapshot {
 	type found struct {
-		kept   *Kept
-		trials []Trial
+		kept   *StoredSnapshot
+		trials []ReadResult
 		err    error
 	}
 	reply := make(chan found, 1)
 	go func() { // ends with the system's reads; its reply waits for nobody
-		kept, trials, err := Load(d, Bounds(l))
+		kept, trials, err := Load(d, FileBounds(l))
 		reply <- found{kept, trials, err}
 	}()
 	timer := time.NewTimer(l.MemoryRead)
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -27,19 +27,19 @@
 const patience = 10 * time.Second // for what must come
 
 var (
-	me    = restore.Identity{Name: "n3", Settings: 77}
-	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
-	usual = limits.For(1024, 192, 0, 0, 0)
+	me         = restore.Identity{Name: "n3", Settings: 77}
+	quiet      = slog.New(slog.NewTextHandler(io.Discard, nil))
+	testLimits = limits.For(1024, 192, 0, 0, 0)
 )
 
-// pupil is a source that has learned so many records.
-type pupil struct {
+// fakeSource is a source that has learned so many records.
+type fakeSource struct {
 	records int
 	asked   atomic.Int64
 	block   chan struct{} // nil: it answers at once
 }
 
-func (p *pupil) Learned(ctx context.Context, from router.Cursor, most int) (Part, error) {
+func (p *fakeSource) Statistics(ctx context.Context, from router.Cursor, most int) (Part, error) {
 	p.asked.Add(1)
 	if p.block != nil {
 		select {
@@ -48,11 +48,11 @@
 			return Part{}, ctx.Err()
 		}
 	}
-	return Part{Learned: lesson(p.records, float64(time.Now().UnixMilli()))}, nil
+	return Part{Statistics: sampleStatistics(p.records, float64(time.Now().UnixMilli()))}, nil
 }
 
-// lesson is n records of each kind that there may be several of.
-func lesson(n int, at float64) (l router.Statistics) {
+// sampleStatistics is n records of each kind that there may be several of.
+func sampleStatistics(n int, at float64) (l router.Statistics) {
 	for i := range n {
 		id := router.EngineID(fmt.Sprint("e", i))
 		l.Engines = append(l.Engines, router.EngineStatistics{At: at, Engine: id, StartedAt: float64(i),
@@ -75,9 +75,9 @@
 	}
 }
 
-func stop(t *testing.T, k *Keeper) {
+func stop(t *testing.T, k *SnapshotWriter) {
 	t.Helper()
-	k.Last()
+	k.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	if err := k.Wait(ctx); err != nil {
@@ -85,35 +85,35 @@
 	}
 }
 
-func begin(d disk.Disk, pace time.Duration, source Source, l *limits.Limits) *Keeper {
-	return Start(d, pace, me, "test", source, l, quiet)
+func startWriter(d disk.Disk, pace time.Duration, source StatisticsSource, l *limits.Limits) *SnapshotWriter {
+	return StartSnapshotWriter(d, pace, me, "test", source, l, quiet)
 }
 
 // What is kept is read again as it was.
 func TestRoundTrip(t *testing.T) {
 	d := disktest.New()
-	k := begin(d, time.Hour, &pupil{records: 300}, usual)
+	k := startWriter(d, time.Hour, &fakeSource{records: 300}, testLimits)
 	stop(t, k)
-	kept, trials, err := Load(d, Bounds(usual))
-	if err != nil || len(trials) != 1 || !kept.Whole || kept.Build != "test" {
+	kept, trials, err := Load(d, FileBounds(testLimits))
+	if err != nil || len(trials) != 1 || !kept.Complete || kept.Build != "test" {
 		t.Fatal(kept, trials, err)
 	}
-	want := lesson(300, kept.Memory.Learned.Engines[0].At)
-	if kept.Memory.Of != me || !reflect.DeepEqual(kept.Memory.Learned, want) {
-		t.Errorf("%+v", kept.Memory.Learned.Engines[:3])
+	want := sampleStatistics(300, kept.Snapshot.Statistics.Engines[0].At)
+	if kept.Snapshot.Owner != me || !reflect.DeepEqual(kept.Snapshot.Statistics, want) {
+		t.Errorf("%+v", kept.Snapshot.Statistics.Engines[:3])
 	}
 }
 
 // Snapshots follow each other at the pace, which can change; the last one is written when told so.
 func TestPace(t *testing.T) {
 	d := disktest.New()
-	k := begin(d, time.Hour, &pupil{records: 3}, usual)
+	k := startWriter(d, time.Hour, &fakeSource{records: 3}, testLimits)
 	if k.written.Load() != 0 {
 		t.Error("written ahead of the pace")
 	}
-	k.SetPace(time.Millisecond)
+	k.SetInterval(time.Millisecond)
 	until(t, "snapshots at the new pace", func() bool { return k.written.Load() >= 3 })
-	k.SetPace(time.Hour)
+	k.SetInterval(time.Hour)
 	stop(t, k)
 	n := k.written.Load()
 	if files, _ := snapshots.Files(d); len(files) != 2 || files[0].Serial != uint64(n) {
@@ -123,45 +123,45 @@
 
 // Large snapshots are written less often, and failures make the pace slower, up to a bound.
 func TestNext(t *testing.T) {
-	k := &Keeper{limits: usual}
-	k.pace.Store(int64(time.Second))
+	k := &SnapshotWriter{limits: testLimits}
+	k.interval.Store(int64(time.Second))
 	for _, c := range []struct {
 		failures int
 		size     int64
 		want     time.Duration
 	}{
 		{0, 0, time.Second},
-		{0, int64(usual.MemoryRate) / 2, time.Second},
-		{0, int64(usual.MemoryRate) * 7, 7 * time.Second},
+		{0, int64(testLimits.MemoryRate) / 2, time.Second},
+		{0, int64(testLimits.MemoryRate) * 7, 7 * time.Second},
 		{1, 0, 2 * time.Second},
 		{3, 0, 8 * time.Second},
-		{40, 0, usual.MemoryRetry},
+		{40, 0, testLimits.MemoryRetry},
 	} {
-		if got := k.next(c.failures, c.size); got != c.want {
+		if got := k.nextDelay(c.failures, c.size); got != c.want {
 			t.Errorf("%d failures, %d bytes: %v", c.failures, c.size, got)
 		}
 	}
-	if k.pace.Store(int64(time.Hour)); k.next(5, 0) != time.Hour {
-		t.Errorf("after failures quicker than the pace: %v", k.next(5, 0))
+	if k.interval.Store(int64(time.Hour)); k.nextDelay(5, 0) != time.Hour {
+		t.Errorf("after failures quicker than the pace: %v", k.nextDelay(5, 0))
 	}
 }
 
 // A disk that is full, fails or is gone is counted, and written to again when it is back; the older snapshot stays.
 func TestTroubleWithTheDisk(t *testing.T) {
-	l := *usual
+	l := *testLimits
 	l.MemoryRetry = time.Millisecond
 	for name, c := range map[string]struct{ begins, ends func(*disktest.Disk) }{
 		"full":  {func(d *disktest.Disk) { d.Fill(10) }, func(d *disktest.Disk) { d.Fill(-1) }},
 		"fails": {func(d *disktest.Disk) { d.Fail(io.ErrClosedPipe) }, func(d *disktest.Disk) { d.Fail(nil) }},
 	} {
 		d := disktest.New()
-		k := begin(d, time.Millisecond, &pupil{records: 20}, &l)
+		k := startWriter(d, time.Millisecond, &fakeSource{records: 20}, &l)
 		until(t, name+": a first snapshot", func() bool { return k.written.Load() > 0 })
 		c.begins(d)
 		until(t, name+": failures", func() bool { return k.failed.Load() > 3 })
 		written := k.written.Load()
 		if name == "full" {
-			if _, _, err := Load(d, Bounds(usual)); err != nil {
+			if _, _, err := Load(d, FileBounds(testLimits)); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -172,7 +172,7 @@
 	// from the start
 	d := disktest.New()
 	d.Fail(io.ErrClosedPipe)
-	k := begin(d, time.Millisecond, &pupil{}, &l)
+	k := startWriter(d, time.Millisecond, &fakeSource{}, &l)
 	until(t, "failures from the start", func() bool { return k.failed.Load() > 2 })
 	d.Fail(nil)
 	until(t, "a first snapshot", func() bool { return k.written.Load() > 0 })
@@ -182,25 +182,25 @@
 // A disk that hangs holds up neither a start nor an end, and nobody who asks for the counts.
 func TestHangingDisk(t *testing.T) {
 	d := disktest.New()
-	k := begin(d, time.Hour, &pupil{records: 1}, usual)
+	k := startWriter(d, time.Hour, &fakeSource{records: 1}, testLimits)
 	stop(t, k)
 	release := d.Hang()
-	l := *usual
+	l := *testLimits
 	l.MemoryRead = 10 * time.Millisecond
-	if kept := Restore(d, &l, quiet); kept != nil {
+	if kept := LoadWithTimeout(d, &l, quiet); kept != nil {
 		t.Error("something was read of a disk that hangs")
 	}
-	k = begin(d, time.Millisecond, &pupil{records: 1}, usual)
+	k = startWriter(d, time.Millisecond, &fakeSource{records: 1}, testLimits)
 	k.LogValue()
-	k.Last()
+	k.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	if err := k.Wait(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("waits for a disk that hangs: %v", err)
 	}
 	release()
-	until(t, "the goroutine ends", k.Ended)
-	if kept := Restore(d, usual, quiet); kept == nil {
+	until(t, "the goroutine ends", k.Stopped)
+	if kept := LoadWithTimeout(d, testLimits, quiet); kept == nil {
 		t.Error("the disk is back, and nothing is read")
 	}
 }
@@ -208,26 +208,26 @@
 // A source that does not answer, as its loop is gone, is let go of.
 func TestSilentSource(t *testing.T) {
 	before := runtime.NumGoroutine()
-	p := &pupil{block: make(chan struct{})}
-	k := begin(disktest.New(), time.Millisecond, p, usual)
+	p := &fakeSource{block: make(chan struct{})}
+	k := startWriter(disktest.New(), time.Millisecond, p, testLimits)
 	until(t, "the source is asked", func() bool { return p.asked.Load() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	k.Last()
+	k.Stop()
 	k.Wait(ctx)
-	until(t, "the goroutine ends", func() bool { return k.Ended() && runtime.NumGoroutine() <= before })
+	until(t, "the goroutine ends", func() bool { return k.Stopped() && runtime.NumGoroutine() <= before })
 }
 
 // Of two processes one has the folder; the other goes on without, reads what is there, and takes over when it is free.
 func TestTwoProcesses(t *testing.T) {
-	l := *usual
+	l := *testLimits
 	l.MemoryRetry = time.Millisecond
 	d := disktest.New()
-	one := begin(d, time.Millisecond, &pupil{records: 2}, &l)
+	one := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
 	until(t, "the first has the folder", func() bool { return one.written.Load() > 0 })
-	two := begin(d, time.Millisecond, &pupil{records: 2}, &l)
+	two := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
 	until(t, "the second finds it taken", func() bool { return two.locked.Load() > 2 })
-	if two.written.Load() > 0 || Restore(d, &l, quiet) == nil {
+	if two.written.Load() > 0 || LoadWithTimeout(d, &l, quiet) == nil {
 		t.Error("the second has written, or can't read")
 	}
 	stop(t, one)
@@ -239,7 +239,7 @@
 func TestFallBack(t *testing.T) {
 	d := disktest.New()
 	for n := 1; n <= 2; n++ {
-		k := begin(d, time.Hour, &pupil{records: n}, usual)
+		k := startWriter(d, time.Hour, &fakeSource{records: n}, testLimits)
 		stop(t, k)
 	}
 	const older, newer = "snapshot-0000000000000001", "snapshot-0000000000000002"
@@ -249,11 +249,11 @@
 		out[len(out)-40] ^= 1
 		return out
 	}
-	engines := func(kept *Kept) int {
+	engines := func(kept *StoredSnapshot) int {
 		if kept == nil {
 			return -1
 		}
-		return len(kept.Memory.Learned.Engines)
+		return len(kept.Snapshot.Statistics.Engines)
 	}
 	for _, c := range []struct {
 		name    string
@@ -276,11 +276,11 @@
 		for name, file := range c.files {
 			d.Put(name, file)
 		}
-		kept, _, err := Load(d, Bounds(usual))
-		if engines(kept) != c.engines || kept != nil && kept.Whole != c.whole || (err == nil) != (kept != nil) {
+		kept, _, err := Load(d, FileBounds(testLimits))
+		if engines(kept) != c.engines || kept != nil && kept.Complete != c.whole || (err == nil) != (kept != nil) {
 			t.Errorf("%s: %d engines, %v", c.name, engines(kept), err)
 		}
-		checks, err := Verify(d, Bounds(usual))
+		checks, err := Verify(d, FileBounds(testLimits))
 		if bad := strings.Contains(fmt.Sprint(checks), "false"); err != nil || bad == (c.name == "both whole" || c.name == "nothing") {
 			t.Errorf("%s: %+v, %v", c.name, checks, err)
 		}
@@ -292,12 +292,12 @@
 	rng := rand.New(rand.NewSource(1))
 	write := func(sections ...snapshots.Section) disk.Disk {
 		d := disktest.New()
-		f, err := snapshots.Open(d, Bounds(usual))
+		f, err := snapshots.Open(d, FileBounds(testLimits))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		if _, err := f.Write(func(add func(snapshots.Kind, []byte) error) error {
+		if _, err := f.Write(func(add func(snapshots.SectionKind, []byte) error) error {
 			for _, s := range sections {
 				if err := add(s.Kind, s.Payload); err != nil {
 					return err
@@ -309,12 +309,12 @@
 		}
 		return d
 	}
-	head, _ := encoder.Marshal(headForm{Name: "n3"})
+	head, _ := encoder.Marshal(headerForm{Name: "n3"})
 	good, _ := encoder.Marshal([]trafficForm{{At: 5}})
 	claims := []byte{0x9b, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff} // an array of billions
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for kind := sectionHead; kind <= sectionTraffic; kind++ {
+	for kind := sectionHeader; kind <= sectionTraffic; kind++ {
 		odd := [][]byte{nil, claims, {0x80}, {0xa0}, {0xf6}, {0x81, 0x80}, {0x81, 0xf6}, []byte(strings.Repeat("\x81", 5000)),
 			append([]byte{0x99, 0x04, 0x01}, make([]byte, 0x401)...)}
 		for range 300 {
@@ -323,10 +323,10 @@
 			odd = append(odd, noise)
 		}
 		for _, payload := range odd {
-			d := write(snapshots.Section{Kind: sectionHead, Payload: head}, snapshots.Section{Kind: kind, Payload: payload},
+			d := write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: kind, Payload: payload},
 				snapshots.Section{Kind: sectionTraffic, Payload: good}, snapshots.Section{Kind: 999, Payload: payload})
-			kept, _, err := Load(d, Bounds(usual))
-			if err != nil || len(kept.Memory.Learned.Traffic) == 0 {
+			kept, _, err := Load(d, FileBounds(testLimits))
+			if err != nil || len(kept.Snapshot.Statistics.Traffic) == 0 {
 				t.Errorf("kind %d, % x: %v", kind, payload[:min(len(payload), 20)], err)
 			}
 		}
@@ -335,16 +335,16 @@
 	if mean := (after.TotalAlloc - before.TotalAlloc) / (5 * 309); mean > 1<<20 {
 		t.Errorf("%d bytes a file", mean)
 	}
-	homes, _ := encoder.Marshal([]tablesForm{{Homes: make([]string, mostHomes+1)}})
-	long, _ := encoder.Marshal([]tablesForm{{Homes: []string{strings.Repeat("x", mostText+1)}}})
+	homes, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
+	long, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
 	for _, payload := range [][]byte{homes, long} {
-		kept, _, err := Load(write(snapshots.Section{Kind: sectionHead, Payload: head}, snapshots.Section{Kind: sectionTables,
-			Payload: payload}, snapshots.Section{Kind: sectionTraffic, Payload: good}), Bounds(usual))
-		if err != nil || len(kept.Memory.Learned.Tables) != 0 || kept.Whole {
+		kept, _, err := Load(write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: sectionTables,
+			Payload: payload}, snapshots.Section{Kind: sectionTraffic, Payload: good}), FileBounds(testLimits))
+		if err != nil || len(kept.Snapshot.Statistics.Tables) != 0 || kept.Complete {
 			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), kept, err)
 		}
 	}
-	if _, _, err := Load(write(snapshots.Section{Kind: sectionTraffic, Payload: good}), Bounds(usual)); err == nil {
+	if _, _, err := Load(write(snapshots.Section{Kind: sectionTraffic, Payload: good}), FileBounds(testLimits)); err == nil {
 		t.Error("read without a head")
 	}
 }
@@ -352,39 +352,39 @@
 // What is to be forgotten is in no file any more, and the rest is as old as it was.
 func TestPrune(t *testing.T) {
 	d := disktest.New()
-	k := begin(d, time.Hour, &pupil{records: 4}, usual)
-	if _, err := Prune(d, Bounds(usual), Pruning{All: true}); err != nil { // it has not taken the folder yet
+	k := startWriter(d, time.Hour, &fakeSource{records: 4}, testLimits)
+	if _, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); err != nil { // it has not taken the folder yet
 		t.Error(err)
 	}
-	k.SetPace(time.Millisecond)
+	k.SetInterval(time.Millisecond)
 	until(t, "two snapshots", func() bool { return k.written.Load() > 1 })
-	if _, err := Prune(d, Bounds(usual), Pruning{All: true}); !errors.Is(err, disk.ErrLocked) {
+	if _, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("pruned under a controller that runs: %v", err)
 	}
 	stop(t, k)
-	old, _, _ := Load(d, Bounds(usual))
-	n, err := Prune(d, Bounds(usual), Pruning{Engines: []router.EngineID{"e1", "x"}, Tables: []router.TableGroup{-1, 2}})
+	old, _, _ := Load(d, FileBounds(testLimits))
+	n, err := Prune(d, FileBounds(testLimits), PruneSelection{Engines: []router.EngineID{"e1", "x"}, Tables: []router.TableGroup{-1, 2}})
 	if err != nil || n != 3 {
 		t.Errorf("%d forgotten, %v", n, err)
 	}
 	files, _ := snapshots.Files(d)
 	for _, f := range files {
-		kept, err := read(d, f, Bounds(usual))
-		if err != nil || len(kept.Memory.Learned.Engines) != 3 || len(kept.Memory.Learned.Tables) != 2 {
+		kept, err := read(d, f, FileBounds(testLimits))
+		if err != nil || len(kept.Snapshot.Statistics.Engines) != 3 || len(kept.Snapshot.Statistics.Tables) != 2 {
 			t.Errorf("%s: %+v, %v", f.Name, kept, err)
 		}
-		if kept.Taken != old.Taken || kept.Memory.Learned.Engines[0].At != old.Memory.Learned.Engines[0].At {
+		if kept.TakenAt != old.TakenAt || kept.Snapshot.Statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
 			t.Error("it looks younger than it is")
 		}
 	}
-	shown := Show(old, old.Taken+60e3, restore.DefaultHalfLives())
-	if shown.Records != 10 || shown.Believed != 10 || shown.Engines[0].Weighs <= 0 || shown.Engines[0].Weighs >= 1 {
+	shown := NewReport(old, old.TakenAt+60e3, restore.DefaultHalfLives())
+	if shown.Records != 10 || shown.Restorable != 10 || shown.Engines[0].RemainingWeight <= 0 || shown.Engines[0].RemainingWeight >= 1 {
 		t.Errorf("%+v", shown)
 	}
-	if n, err := Prune(d, Bounds(usual), Pruning{All: true}); err != nil || n != 7 {
+	if n, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); err != nil || n != 7 {
 		t.Errorf("%d forgotten of all, %v", n, err)
 	}
-	if _, _, err := Load(d, Bounds(usual)); !errors.Is(err, snapshots.ErrNone) {
+	if _, _, err := Load(d, FileBounds(testLimits)); !errors.Is(err, snapshots.ErrNoSnapshot) {
 		t.Errorf("after all was forgotten: %v", err)
 	}
 }
@@ -392,23 +392,23 @@
 // A folder that can't be made or written is counted and tried again, as one of a real file system; one that is there
 // again, or only now, is used.
 func TestRealFolders(t *testing.T) {
-	l := *usual
+	l := *testLimits
 	l.MemoryRetry = time.Millisecond
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range []string{"/proc/self/none", filepath.Join(file, "below"), filepath.Join(t.TempDir(), "no", "parent")} {
-		k := begin(disk.Folder(path), time.Millisecond, &pupil{records: 1}, &l)
+		k := startWriter(disk.Folder(path), time.Millisecond, &fakeSource{records: 1}, &l)
 		until(t, path+": failures", func() bool { return k.failed.Load() > 2 })
 		stop(t, k)
-		if k.written.Load() > 0 || Restore(disk.Folder(path), &l, quiet) != nil {
+		if k.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, quiet) != nil {
 			t.Errorf("%s is written", path)
 		}
 	}
 	parent := filepath.Join(t.TempDir(), "parent")
 	folder := disk.Folder(filepath.Join(parent, "kept"))
-	k := begin(folder, time.Millisecond, &pupil{records: 1}, &l)
+	k := startWriter(folder, time.Millisecond, &fakeSource{records: 1}, &l)
 	until(t, "failures without a parent", func() bool { return k.failed.Load() > 0 })
 	if err := os.Mkdir(parent, 0o700); err != nil {
 		t.Fatal(err)
@@ -419,7 +419,7 @@
 	}
 	until(t, "the folder is made anew", func() bool { return k.written.Load() > written+2 })
 	stop(t, k)
-	if _, _, err := Load(folder, Bounds(usual)); err != nil {
+	if _, _, err := Load(folder, FileBounds(testLimits)); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -17,56 +17,56 @@
 	Name string    // in front of its fields in problems
 	At   hcl.Range // of its first line
 
-	sheet     *Sheet
-	fields    hcl.Attributes
-	variables *hcl.EvalContext
+	diagnostics *Diagnostics
+	fields      hcl.Attributes
+	variables   *hcl.EvalContext
 }
 
 // Open opens a block that may have these fields and no others.
-func Open(b *hcl.Block, sheet *Sheet, fields ...string) *Block {
+func Open(b *hcl.Block, sheet *Diagnostics, fields ...string) *Block {
 	schema := &hcl.BodySchema{}
 	for _, name := range fields {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: name})
 	}
 	content, found := b.Body.Content(schema)
-	sheet.NoteAll(found, b.Type)
-	open := &Block{Name: b.Type, At: b.DefRange, sheet: sheet, variables: sheet.variables}
+	sheet.AddHCL(found, b.Type)
+	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: sheet, variables: sheet.variables}
 	if content != nil {
 		open.fields = content.Attributes
 	}
 	return open
 }
 
-// Note adds a problem of a field, at the field's value or, if it is absent, at the block.
-func (b *Block) Note(field, why string) {
+// AddProblem adds a problem of a field, at the field's value or, if it is absent, at the block.
+func (b *Block) AddProblem(field, why string) {
 	at := b.At
 	if attribute := b.fields[field]; attribute != nil {
 		at = attribute.Expr.Range()
 	}
-	b.sheet.Note(at, join(b.Name, field), why)
+	b.diagnostics.Add(at, join(b.Name, field), why)
 }
 
 // Has tells whether a field is present.
 func (b *Block) Has(field string) bool { return b.fields[field] != nil }
 
-// Text reads a string of at most maxBytes bytes. If it is required, its absence or an empty string
+// String reads a string of at most maxBytes bytes. If it is required, its absence or an empty string
 // is a problem.
-func (b *Block) Text(field, fallback string, required bool, maxBytes int) string {
+func (b *Block) String(field, fallback string, required bool, maxBytes int) string {
 	value, ok := b.value(field, cty.String, "text in quotes")
 	if !ok {
 		if required && !b.Has(field) {
-			b.Note(field, "is missing")
+			b.AddProblem(field, "is missing")
 		}
 		return fallback
 	}
 	text := value.AsString()
 	switch {
 	case required && text == "":
-		b.Note(field, "is empty")
+		b.AddProblem(field, "is empty")
 	case len(text) > maxBytes:
-		b.Note(field, fmt.Sprintf("has over %d bytes", maxBytes))
+		b.AddProblem(field, fmt.Sprintf("has over %d bytes", maxBytes))
 	case strings.ContainsRune(text, 0):
-		b.Note(field, "holds a zero byte")
+		b.AddProblem(field, "holds a zero byte")
 	default:
 		return text
 	}
@@ -81,7 +81,7 @@
 	}
 	word := value.AsString()
 	if !slices.Contains(words, word) {
-		b.Note(field, fmt.Sprintf("%.40q is none of %s", word, strings.Join(words, ", ")))
+		b.AddProblem(field, fmt.Sprintf("%.40q is none of %s", word, strings.Join(words, ", ")))
 		return fallback
 	}
 	return word
@@ -95,25 +95,25 @@
 	}
 	duration, err := time.ParseDuration(value.AsString())
 	if err != nil {
-		b.Note(field, fmt.Sprintf(`%.40q is no time, such as "5s"`, value.AsString()))
+		b.AddProblem(field, fmt.Sprintf(`%.40q is no time, such as "5s"`, value.AsString()))
 		return fallback
 	}
 	if duration < least || duration > most {
-		b.Note(field, fmt.Sprintf("%v is not from %v to %v", duration, least, most))
+		b.AddProblem(field, fmt.Sprintf("%v is not from %v to %v", duration, least, most))
 		return fallback
 	}
 	return duration
 }
 
-// Whole reads a whole number.
-func (b *Block) Whole(field string, fallback, least, most int) int {
+// Int reads a whole number.
+func (b *Block) Int(field string, fallback, least, most int) int {
 	value, ok := b.value(field, cty.Number, "number")
 	if !ok {
 		return fallback
 	}
 	number, _ := value.AsBigFloat().Float64()
 	if number != math.Trunc(number) || number < float64(least) || number > float64(most) {
-		b.Note(field, fmt.Sprintf("%v is no whole number from %d to %d", number, least, most))
+		b.AddProblem(field, fmt.Sprintf("%v is no whole number from %d to %d", number, least, most))
 		return fallback
 	}
 	return int(number)
@@ -136,7 +136,7 @@
 		return value, false
 	}
 	if value.IsNull() || !value.IsKnown() || !value.Type().Equals(want) {
-		b.Note(field, "is no "+typeName)
+		b.AddProblem(field, "is no "+typeName)
 		return value, false
 	}
 	return value, true
@@ -150,7 +150,7 @@
 	}
 	value, found := attribute.Expr.Value(b.variables)
 	if found.HasErrors() {
-		b.sheet.NoteAll(found, join(b.Name, field))
+		b.diagnostics.AddHCL(found, join(b.Name, field))
 		return value, false
 	}
 	return value, true
--- a/internal/operator/block/sheet.go
+++ b/internal/operator/block/diagnostics.go
@@ -9,19 +9,19 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Sheet collects the problems of one file.
-type Sheet struct {
+// Diagnostics collects the problems of one file.
+type Diagnostics struct {
 	text      []byte
 	problems  Problems
 	variables *hcl.EvalContext // for blocks opened from now on; nil: expressions know no variables
 }
 
-// NewSheet returns a sheet for a file with this text, from which the names of unknown fields are taken.
-func NewSheet(text []byte) *Sheet { return &Sheet{text: text} }
+// NewDiagnostics returns a sheet for a file with this text, from which the names of unknown fields are taken.
+func NewDiagnostics(text []byte) *Diagnostics { return &Diagnostics{text: text} }
 
 // SetVariables sets the variables that expressions of blocks opened from now on may use, as in
 // "${name}"; nil: none.
-func (s *Sheet) SetVariables(texts map[string]string) {
+func (s *Diagnostics) SetVariables(texts map[string]string) {
 	if texts == nil {
 		s.variables = nil
 		return
@@ -33,8 +33,8 @@
 	s.variables = &hcl.EvalContext{Variables: values}
 }
 
-// Note adds a problem at a place of the file.
-func (s *Sheet) Note(at hcl.Range, field, why string) {
+// Add adds a problem at a place of the file.
+func (s *Diagnostics) Add(at hcl.Range, field, why string) {
 	s.problems = append(s.problems, Problem{
 		File:   at.Filename,
 		Line:   at.Start.Line,
@@ -44,14 +44,14 @@
 	})
 }
 
-// NoteAll adds what the HCL library found when it read a block or field, whose name is within.
-func (s *Sheet) NoteAll(found hcl.Diagnostics, within string) {
+// AddHCL adds what the HCL library found when it read a block or field, whose name is within.
+func (s *Diagnostics) AddHCL(found hcl.Diagnostics, within string) {
 	for _, diagnostic := range found {
-		s.noteDiagnostic(diagnostic, within)
+		s.addHCL(diagnostic, within)
 	}
 }
 
-func (s *Sheet) noteDiagnostic(d *hcl.Diagnostic, within string) {
+func (s *Diagnostics) addHCL(d *hcl.Diagnostic, within string) {
 	var at hcl.Range
 	if d.Subject != nil {
 		at = *d.Subject
@@ -60,18 +60,18 @@
 	// the name.
 	isUnknownName := strings.HasPrefix(d.Summary, "Unsupported") && d.Subject != nil
 	if isUnknownName {
-		s.Note(at, join(within, string(at.SliceBytes(s.text))), "is not known")
+		s.Add(at, join(within, string(at.SliceBytes(s.text))), "is not known")
 		return
 	}
 	why := d.Summary
 	if d.Detail != "" {
 		why += ": " + strings.TrimSuffix(d.Detail, ".")
 	}
-	s.Note(at, within, why)
+	s.Add(at, within, why)
 }
 
 // Problems returns the problems so far in the order of their places; nil if there are none.
-func (s *Sheet) Problems() Problems {
+func (s *Diagnostics) Problems() Problems {
 	slices.SortStableFunc(s.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
--- a/internal/operator/block/lists.go
+++ b/internal/operator/block/lists.go
@@ -6,9 +6,9 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Texts reads a list of strings of at most maxBytes bytes each; nil if it is absent. An empty list
+// Strings reads a list of strings of at most maxBytes bytes each; nil if it is absent. An empty list
 // is not nil.
-func (b *Block) Texts(field string, maxBytes int) []string {
+func (b *Block) Strings(field string, maxBytes int) []string {
 	if !b.Has(field) {
 		return nil
 	}
@@ -28,20 +28,20 @@
 		return nil
 	}
 	if value.IsNull() || !value.IsKnown() || !value.Type().IsTupleType() {
-		b.Note(field, "is no list")
+		b.AddProblem(field, "is no list")
 		return nil
 	}
 	return value.AsValueSlice()
 }
 
-// Map reads strings by name, of at most maxBytes bytes each; nil if it is absent.
-func (b *Block) Map(field string, maxBytes int) map[string]string {
+// StringMap reads strings by name, of at most maxBytes bytes each; nil if it is absent.
+func (b *Block) StringMap(field string, maxBytes int) map[string]string {
 	value, ok := b.evaluate(field)
 	if !ok {
 		return nil
 	}
 	if value.IsNull() || !value.IsKnown() || !value.Type().IsObjectType() {
-		b.Note(field, `is no list of names and texts, such as { team = "\"a\"" }`)
+		b.AddProblem(field, `is no list of names and texts, such as { team = "\"a\"" }`)
 		return nil
 	}
 	texts := map[string]string{}
@@ -56,12 +56,12 @@
 // element returns one string of a list or map.
 func (b *Block) element(field string, value cty.Value, maxBytes int) (text string, ok bool) {
 	if value.IsNull() || !value.IsKnown() || !value.Type().Equals(cty.String) {
-		b.Note(field, "holds something that is no text in quotes")
+		b.AddProblem(field, "holds something that is no text in quotes")
 		return "", false
 	}
 	text = value.AsString()
 	if len(text) > maxBytes {
-		b.Note(field, fmt.Sprintf("holds a text of over %d bytes", maxBytes))
+		b.AddProblem(field, fmt.Sprintf("holds a text of over %d bytes", maxBytes))
 		return "", false
 	}
 	return text, true
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -34,17 +34,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if p := shape(path, text); p != nil {
+	if p := checkComplexity(path, text); p != nil {
 		return nil, block.Problems{*p}
 	}
-	sheet := block.NewSheet(text)
+	sheet := block.NewDiagnostics(text)
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.NoteAll(found, "")
+	sheet.AddHCL(found, "")
 	var cases []Case
 	if parsed != nil && !found.HasErrors() {
 		content, found := parsed.Body.Content(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "case",
 			LabelNames: []string{"name"}}}})
-		sheet.NoteAll(found, "")
+		sheet.AddHCL(found, "")
 		if content != nil {
 			for _, b := range content.Blocks {
 				cases = append(cases, readCase(b, facts, sheet))
@@ -57,14 +57,14 @@
 	return cases, nil
 }
 
-func readCase(b *hcl.Block, facts *settings.Facts, sheet *block.Sheet) Case {
+func readCase(b *hcl.Block, facts *settings.Facts, sheet *block.Diagnostics) Case {
 	open := block.Open(b, sheet, "query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile",
 		"refuse")
 	c := Case{Name: b.Labels[0]}
-	command, err := clients.Describe([]byte(open.Text("query", "", true, longest)), &facts.Names,
-		open.Text("application", "", false, 64), open.Text("listener", "", false, 64))
+	command, err := clients.Describe([]byte(open.String("query", "", true, maxTextBytes)), &facts.Names,
+		open.String("application", "", false, 64), open.String("listener", "", false, 64))
 	if err != nil {
-		open.Note("query", err.Error())
+		open.AddProblem("query", err.Error())
 	}
 	c.Command = command
 	var checks []func(v rules.Verdict, matched []string) string
@@ -79,14 +79,14 @@
 			return ""
 		})
 	}
-	check("matches", func(_ rules.Verdict, m []string) any { return m }, open.Texts("matches", 64))
+	check("matches", func(_ rules.Verdict, m []string) any { return m }, open.Strings("matches", 64))
 	check("hot", func(v rules.Verdict, _ []string) any { return fmt.Sprint(v.Hot) }, fmt.Sprint(open.Bool("hot", false)))
-	check("key", func(v rules.Verdict, _ []string) any { return string(v.Key) }, open.Text("key", "", false, 128))
-	check("refuse", func(v rules.Verdict, _ []string) any { return v.Refuse }, open.Text("refuse", "", false, longest))
+	check("key", func(v rules.Verdict, _ []string) any { return string(v.Key) }, open.String("key", "", false, 128))
+	check("refuse", func(v rules.Verdict, _ []string) any { return v.Refuse }, open.String("refuse", "", false, maxTextBytes))
 	names := RuleFacts(facts).Names
-	check("profile", func(v rules.Verdict, _ []string) any { return names[v.Profile] }, open.Text("profile", "", false, 64))
-	check("kinds", func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }, sorted(open.Texts("kinds", 64)))
-	check("zones", func(v rules.Verdict, _ []string) any { return zoneNames(v.Zones) }, sorted(open.Texts("zones", 64)))
+	check("profile", func(v rules.Verdict, _ []string) any { return names[v.Profile] }, open.String("profile", "", false, 64))
+	check("kinds", func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }, sorted(open.Strings("kinds", 64)))
+	check("zones", func(v rules.Verdict, _ []string) any { return zoneNames(v.Zones) }, sorted(open.Strings("zones", 64)))
 	c.expect = func(v rules.Verdict, matched []string) (wrong []string) {
 		for _, check := range checks {
 			if why := check(v, matched); why != "" {
--- a/internal/operator/complexity.go
+++ b/internal/operator/complexity.go
@@ -18,9 +18,9 @@
 	maxDigits    = 64   // of a number: the time to read one grows with the square
 )
 
-// shape returns the first place at which a file is too complex to be parsed; nil if there is none.
+// checkComplexity returns the first place at which a file is too complex to be parsed; nil if there is none.
 // Scan errors are left to the parser, which finds them again.
-func shape(path string, text []byte) *block.Problem {
+func checkComplexity(path string, text []byte) *block.Problem {
 	tokens, _ := hclsyntax.LexConfig(text, path, hcl.InitialPos)
 	depth := 0
 	operators := 0
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -42,8 +42,8 @@
 	if len(text) > config.MaxDocument {
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", config.MaxDocument)}}
 	}
-	file := &File{Log: logs.Usual(), Fleet: local.File.Fleet, Config: local.File.Config}
-	err := parse(path, text, func(parsed *hcl.File, sheet *block.Sheet) {
+	file := &File{Log: logs.DefaultBlock(), Fleet: local.File.Fleet, Config: local.File.Config}
+	err := parse(path, text, func(parsed *hcl.File, sheet *block.Diagnostics) {
 		if onlyLiterals(parsed, sheet) {
 			file.readDocument(parsed.Body, local, facts, sheet)
 		}
@@ -54,9 +54,9 @@
 	return file, nil
 }
 
-func (f *File) readDocument(body hcl.Body, local Local, facts *settings.Facts, sheet *block.Sheet) {
+func (f *File) readDocument(body hcl.Body, local Local, facts *settings.Facts, sheet *block.Diagnostics) {
 	content, found := body.Content(fileSchema)
-	sheet.NoteAll(found, "")
+	sheet.AddHCL(found, "")
 	if content == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // readDocumentBlock reads a block that is no rule.
-func (f *File) readDocumentBlock(b *hcl.Block, local Local, sheet *block.Sheet) {
+func (f *File) readDocumentBlock(b *hcl.Block, local Local, sheet *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
 		f.Log = logs.ReadBlock(b, sheet)
@@ -85,17 +85,17 @@
 		f.Maintenance = fleet.ReadMaintenance(b, sheet)
 		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, sheet)
 	case blockConfig:
-		sheet.Note(b.DefRange, blockConfig, onlyInOwnFile)
+		sheet.Add(b.DefRange, blockConfig, onlyInOwnFile)
 	}
 }
 
 // readDocumentLeases reads the block fleet of a document, which has only the leases, and returns
 // the controller's own block with these.
-func readDocumentLeases(b *hcl.Block, local *File, sheet *block.Sheet) *fleet.Block {
+func readDocumentLeases(b *hcl.Block, local *File, sheet *block.Diagnostics) *fleet.Block {
 	open := block.Open(b, sheet, append([]string{"works"}, ownFields...)...)
 	for _, field := range ownFields {
 		if open.Has(field) {
-			open.Note(field, onlyInOwnFile)
+			open.AddProblem(field, onlyInOwnFile)
 		}
 	}
 	leases := fleet.ReadLeases(open)
@@ -109,11 +109,11 @@
 
 // checkDocumentMaintenance notes a document that turns scheduled maintenance on or off, which a
 // running controller can't.
-func checkDocumentMaintenance(at hcl.Range, wanted, running *fleet.MaintenanceBlock, sheet *block.Sheet) {
+func checkDocumentMaintenance(at hcl.Range, wanted, running *fleet.MaintenanceBlock, sheet *block.Diagnostics) {
 	if (wanted == nil) == (running == nil) {
 		return
 	}
-	sheet.Note(at, blockMaintenance, fmt.Sprintf(
+	sheet.Add(at, blockMaintenance, fmt.Sprintf(
 		"is %s, but this controller was started with it %s: that can't change without a restart",
 		onOrOff(wanted), onOrOff(running)))
 }
@@ -128,7 +128,7 @@
 // onlyLiterals notes expressions that compute something. A document comes over the network, and a
 // loop or a large power could take any time and memory. It needs only strings with ${name},
 // numbers, lists and maps.
-func onlyLiterals(parsed *hcl.File, sheet *block.Sheet) bool {
+func onlyLiterals(parsed *hcl.File, sheet *block.Diagnostics) bool {
 	body, ok := parsed.Body.(*hclsyntax.Body)
 	if !ok {
 		return false
@@ -138,7 +138,7 @@
 		expression, isExpression := node.(hclsyntax.Expression)
 		if isExpression && !isLiteral(expression) {
 			literal = false
-			sheet.Note(node.Range(), "", "computes something: a document holds plain values")
+			sheet.Add(node.Range(), "", "computes something: a document holds plain values")
 		}
 		return nil
 	})
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -17,7 +17,7 @@
 
 // localOf is a controller whose own file has the blocks fleet and config, some of its own defaults, and perhaps maintenance.
 func localOf(maintenance *fleet.MaintenanceBlock, leases ...lease.Name) Local {
-	return Local{Name: "n7", File: &File{Log: logs.Usual(), Memory: &memory.Block{Folder: "/own", Pace: time.Second},
+	return Local{Name: "n7", File: &File{Log: logs.DefaultBlock(), Memory: &memory.Block{Folder: "/own", Interval: time.Second},
 		Fleet:  &fleet.Block{Name: "east", Folder: "/f", Leases: leases, Lease: 3 * time.Second, Willing: true},
 		Config: &fleet.ConfigBlock{Wait: time.Second}, Maintenance: maintenance}}
 }
@@ -104,7 +104,7 @@
 	local := localOf(nil, "digest")
 	local.File.Log.Burst = 7
 	file, err := ParseDocument("document", []byte(""), local, facts)
-	if err != nil || file.Memory != nil || file.Rules != nil || file.Maintenance != nil || file.Log != logs.Usual() {
+	if err != nil || file.Memory != nil || file.Rules != nil || file.Maintenance != nil || file.Log != logs.DefaultBlock() {
 		t.Errorf("an empty document: %+v, %v", file, err)
 	}
 	if file.Fleet != local.File.Fleet || file.Config != local.File.Config {
@@ -112,7 +112,7 @@
 	}
 	before, leasesBefore := *local.File, slices.Clone(local.File.Fleet.Leases)
 	file, err = ParseDocument("document", []byte("memory {\n folder = \"/m/${name}\"\n}\nrule \"a\" {\n hot = true\n}\n"), local, facts)
-	if err != nil || *file.Memory != (memory.Block{Folder: "/m/n7", Pace: 5 * time.Second}) || file.Rules.Len() != 1 {
+	if err != nil || *file.Memory != (memory.Block{Folder: "/m/n7", Interval: 5 * time.Second}) || file.Rules.Len() != 1 {
 		t.Errorf("memory and a rule: %+v, %v", file, err)
 	}
 	file, err = ParseDocument("document", []byte("fleet {\n works = [\"plan\", \"a\"]\n}\n"), local, facts)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -19,8 +19,8 @@
 	"mintkeel/internal/settings"
 )
 
-// mostBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of memory.
-const mostBytes = 1 << 20
+// maxFileBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of memory.
+const maxFileBytes = 1 << 20
 
 // Names of the blocks of an operator's file.
 const (
@@ -64,14 +64,14 @@
 // wrong, unless the file can't be read at all.
 func Read(path string, facts *settings.Facts) (*File, error) {
 	if path == "" {
-		return &File{Log: logs.Usual()}, nil
+		return &File{Log: logs.DefaultBlock()}, nil
 	}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
@@ -81,11 +81,11 @@
 // Parse reads the text of an operator's file. The path is used in problems only; the error is a
 // block.Problems.
 func Parse(path string, text []byte, facts *settings.Facts) (*File, error) {
-	if len(text) > mostBytes {
-		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", mostBytes)}}
+	if len(text) > maxFileBytes {
+		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", maxFileBytes)}}
 	}
-	file := &File{Log: logs.Usual()}
-	err := parse(path, text, func(parsed *hcl.File, sheet *block.Sheet) {
+	file := &File{Log: logs.DefaultBlock()}
+	err := parse(path, text, func(parsed *hcl.File, sheet *block.Diagnostics) {
 		file.read(parsed.Body, facts, sheet)
 	})
 	if err != nil {
@@ -96,13 +96,13 @@
 
 // parse parses HCL and calls read with the result, unless the syntax is wrong. The error is a
 // block.Problems.
-func parse(path string, text []byte, read func(*hcl.File, *block.Sheet)) error {
-	if problem := shape(path, text); problem != nil {
+func parse(path string, text []byte, read func(*hcl.File, *block.Diagnostics)) error {
+	if problem := checkComplexity(path, text); problem != nil {
 		return block.Problems{*problem}
 	}
-	sheet := block.NewSheet(text)
+	sheet := block.NewDiagnostics(text)
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.NoteAll(found, "")
+	sheet.AddHCL(found, "")
 	if parsed != nil && !found.HasErrors() {
 		read(parsed, sheet)
 	}
@@ -120,9 +120,9 @@
 	return problems
 }
 
-func (f *File) read(body hcl.Body, facts *settings.Facts, sheet *block.Sheet) {
+func (f *File) read(body hcl.Body, facts *settings.Facts, sheet *block.Diagnostics) {
 	content, found := body.Content(fileSchema)
-	sheet.NoteAll(found, "")
+	sheet.AddHCL(found, "")
 	if content == nil {
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // readBlock reads a block that is no rule.
-func (f *File) readBlock(b *hcl.Block, sheet *block.Sheet) {
+func (f *File) readBlock(b *hcl.Block, sheet *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
 		f.Log = logs.ReadBlock(b, sheet)
@@ -158,24 +158,24 @@
 }
 
 // noteMissingFleet notes blocks that need a block fleet, in a file without one.
-func noteMissingFleet(b *hcl.Block, sheet *block.Sheet) {
+func noteMissingFleet(b *hcl.Block, sheet *block.Diagnostics) {
 	switch b.Type {
 	case blockMaintenance:
-		sheet.Note(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
+		sheet.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
 	case blockConfig:
-		sheet.Note(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
+		sheet.Add(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
 	}
 }
 
 // splitRules separates the rules from the blocks of which there may be one, and notes a second one.
-func splitRules(blocks hcl.Blocks, sheet *block.Sheet) (single, ruleBlocks hcl.Blocks) {
+func splitRules(blocks hcl.Blocks, sheet *block.Diagnostics) (single, ruleBlocks hcl.Blocks) {
 	seen := map[string]bool{}
 	for _, b := range blocks {
 		switch {
 		case b.Type == blockRule:
 			ruleBlocks = append(ruleBlocks, b)
 		case seen[b.Type]:
-			sheet.Note(b.DefRange, b.Type, "stands here a second time")
+			sheet.Add(b.DefRange, b.Type, "stands here a second time")
 		default:
 			seen[b.Type] = true
 			single = append(single, b)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -73,7 +73,7 @@
 		{"deep signs", "x = " + strings.Repeat("!", 100000) + "true", []string{"1:"}},
 		{"long choices", "x = " + strings.Repeat("true ? 1 : ", 20000) + "2", []string{"1:"}},
 		{"deep blocks", strings.Repeat("a {\n", 50000), []string{"33:"}},
-		{"too long", strings.Repeat("#\n", mostBytes), []string{"0:0 "}},
+		{"too long", strings.Repeat("#\n", maxFileBytes), []string{"0:0 "}},
 	} {
 		file, err := Parse("f.hcl", []byte(c.text), facts)
 		var got []string
@@ -104,19 +104,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := logs.Usual()
+	want := logs.DefaultBlock()
 	want.Level = -4
-	if file.Log != want || *file.Memory != (memory.Block{Folder: "/a", Pace: 5 * time.Second}) {
+	if file.Log != want || *file.Memory != (memory.Block{Folder: "/a", Interval: 5 * time.Second}) {
 		t.Errorf("%+v, %+v", file, file.Memory)
 	}
-	if file, err := Read("", facts); err != nil || file.Memory != nil || file.Log != logs.Usual() {
+	if file, err := Read("", facts); err != nil || file.Memory != nil || file.Log != logs.DefaultBlock() {
 		t.Errorf("no file: %+v, %v", file, err)
 	}
 	if _, err := Read(path+"x", facts); err == nil {
 		t.Error("a file that is not there is read")
 	}
 	if file, err := Read(filepath.Join("..", "..", "deploy", "operator.hcl"), facts); err != nil || file.Memory != nil ||
-		file.Log != logs.Usual() {
+		file.Log != logs.DefaultBlock() {
 		t.Errorf("the example is not all off: %+v, %v", file, err)
 	}
 	example, err := os.ReadFile(filepath.Join("..", "..", "deploy", "operator.hcl"))
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -17,7 +17,7 @@
 
 // Bounds of texts in the file. The rules have bounds of their own, for what their expressions cost.
 const (
-	longest      = 64 << 10 // bytes of an expression, a label or the text of a rejection
+	maxTextBytes = 64 << 10 // bytes of an expression, a label or the text of a rejection
 	maxNameBytes = 64       // bytes of the name of a kind, zone or profile
 
 	minEstimate = time.Millisecond
@@ -26,7 +26,7 @@
 
 // readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
 // Problems within an expression are noted at its field, with their place in the expression.
-func readRules(blocks hcl.Blocks, facts *settings.Facts, sheet *block.Sheet) *rules.Set {
+func readRules(blocks hcl.Blocks, facts *settings.Facts, sheet *block.Diagnostics) *rules.Set {
 	if len(blocks) == 0 {
 		return nil
 	}
@@ -42,7 +42,7 @@
 	set, problems := rules.Compile(given, RuleFacts(facts), RuleBounds())
 	for _, problem := range problems {
 		field, _, _ := strings.Cut(problem.Field, ".")
-		opened[problem.Rule].Note(field, describeRuleProblem(problem))
+		opened[problem.Rule].AddProblem(field, describeRuleProblem(problem))
 	}
 	return set
 }
@@ -52,15 +52,15 @@
 func readRule(name string, open *block.Block) rules.Given {
 	return rules.Given{
 		Name:    name,
-		When:    open.Text("when", "", false, longest),
+		When:    open.String("when", "", false, maxTextBytes),
 		Hot:     open.Bool("hot", false),
-		Key:     open.Text("key", "", false, longest),
-		Kinds:   open.Texts("kinds", maxNameBytes),
-		Zones:   open.Texts("zones", maxNameBytes),
-		Profile: open.Text("profile", "", false, maxNameBytes),
-		Labels:  open.Map("labels", longest),
+		Key:     open.String("key", "", false, maxTextBytes),
+		Kinds:   open.Strings("kinds", maxNameBytes),
+		Zones:   open.Strings("zones", maxNameBytes),
+		Profile: open.String("profile", "", false, maxNameBytes),
+		Labels:  open.StringMap("labels", maxTextBytes),
 		Most:    milliseconds(open.Duration("most_estimate", 0, minEstimate, maxEstimate)),
-		Refuse:  open.Text("refuse", "", false, longest),
+		Refuse:  open.String("refuse", "", false, maxTextBytes),
 		Last:    open.Bool("last", false),
 	}
 }
--- a/internal/store/snapshots/errors.go
+++ b/internal/store/snapshots/errors.go
@@ -12,8 +12,8 @@
 	ErrDamaged = errors.New("is damaged")
 	// ErrTooLarge means that a file or section exceeds the bounds.
 	ErrTooLarge = errors.New("is too big")
-	// ErrNone means that a directory has no snapshot that can be used.
-	ErrNone = errors.New("holds no snapshot")
+	// ErrNoSnapshot means that a directory has no snapshot that can be used.
+	ErrNoSnapshot = errors.New("holds no snapshot")
 
 	errReservedKind     = errors.New("kind 0 is taken")
 	errSerialsExhausted = errors.New("serial numbers are used up")
--- a/internal/store/snapshots/format.go
+++ b/internal/store/snapshots/format.go
@@ -32,10 +32,10 @@
 	retainedFiles = 2
 )
 
-// Kind tells sections apart. 0 is reserved for the end of a file.
-type Kind uint16
+// SectionKind tells sections apart. 0 is reserved for the end of a file.
+type SectionKind uint16
 
-const kindEnd Kind = 0
+const kindEnd SectionKind = 0
 
 // Bounds limits what is written, and what is read whatever a file claims.
 type Bounds struct {
@@ -46,7 +46,7 @@
 
 // Section is one section of a file.
 type Section struct {
-	Kind    Kind
+	Kind    SectionKind
 	Payload []byte
 }
 
@@ -78,7 +78,7 @@
 
 // sectionHeader stands before a section's payload.
 type sectionHeader struct {
-	kind     Kind
+	kind     SectionKind
 	length   int // bytes of the payload
 	checksum uint64
 }
@@ -92,7 +92,7 @@
 
 func parseSectionHeader(header []byte) sectionHeader {
 	return sectionHeader{
-		kind:     Kind(binary.BigEndian.Uint16(header)),
+		kind:     SectionKind(binary.BigEndian.Uint16(header)),
 		length:   int(binary.BigEndian.Uint32(header[2:])),
 		checksum: binary.BigEndian.Uint64(header[6:]),
 	}
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -24,13 +24,13 @@
 func content(serial int) []Section {
 	var all []Section
 	for i := range 3 {
-		all = append(all, Section{Kind(i + 1), bytes.Repeat([]byte{byte(serial), byte(i)}, 20+10*i)})
+		all = append(all, Section{SectionKind(i + 1), bytes.Repeat([]byte{byte(serial), byte(i)}, 20+10*i)})
 	}
 	return all
 }
 
 func write(f *Folder, sections []Section) error {
-	_, err := f.Write(func(add func(Kind, []byte) error) error {
+	_, err := f.Write(func(add func(SectionKind, []byte) error) error {
 		for _, s := range sections {
 			if err := add(s.Kind, s.Payload); err != nil {
 				return err
--- a/internal/store/snapshots/write.go
+++ b/internal/store/snapshots/write.go
@@ -9,7 +9,7 @@
 // Write stores a new snapshot and removes old ones. The function fill passes the sections to add,
 // one after another; an error of add or fill ends the write. Write returns the bytes of the file.
 // See the package comment for what is durable when it returns.
-func (f *Folder) Write(fill func(add func(kind Kind, payload []byte) error) error) (size int64, err error) {
+func (f *Folder) Write(fill func(add func(kind SectionKind, payload []byte) error) error) (size int64, err error) {
 	if f.serial == math.MaxUint64 {
 		return 0, errSerialsExhausted
 	}
@@ -38,7 +38,7 @@
 
 // writeFile writes a whole file and syncs it. It returns the bytes of the file.
 func (f *Folder) writeFile(
-	name string, serial uint64, fill func(add func(Kind, []byte) error) error,
+	name string, serial uint64, fill func(add func(SectionKind, []byte) error) error,
 ) (size int64, err error) {
 	out, err := f.disk.Create(name)
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // add appends a section to the file, unless it exceeds the bounds: Read would refuse it.
-func (w *writer) add(kind Kind, payload []byte) error {
+func (w *writer) add(kind SectionKind, payload []byte) error {
 	if w.err == nil {
 		w.err = w.check(kind, payload)
 	}
@@ -81,7 +81,7 @@
 	return w.err
 }
 
-func (w *writer) check(kind Kind, payload []byte) error {
+func (w *writer) check(kind SectionKind, payload []byte) error {
 	// Room is left for the headers of this section and of the end, and for the end's payload.
 	sizeWithEnd := w.size + int64(len(payload)+3*sectionHeaderBytes)
 	switch {
