--- a/internal/logs/block.go
+++ b/internal/logs/block.go
@@ -45,10 +45,10 @@
 	return Block{Format: formatText, Level: slog.LevelInfo, Burst: defaultBurst, Every: defaultEvery}
 }
 
-// ReadBlock reads the block "log". What can't be used is noted in the sheet and has its default.
-func ReadBlock(b *hcl.Block, sheet *block.Diagnostics) Block {
+// ReadBlock reads the block "log". What can't be used is noted in the diagnostics and has its default.
+func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) Block {
 	read := DefaultBlock()
-	open := block.Open(b, sheet, "format", "level", "burst", "every")
+	open := block.Open(b, diagnostics, "format", "level", "burst", "every")
 	read.Format = open.Choice("format", read.Format, formatText, formatJSON)
 	level := open.Choice("level", "info", "debug", "info", "warn", "error")
 	read.Level.UnmarshalText([]byte(level)) // can't fail: slog knows all of these words
--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -23,14 +23,14 @@
 }
 
 // Open opens a block that may have these fields and no others.
-func Open(b *hcl.Block, sheet *Diagnostics, fields ...string) *Block {
+func Open(b *hcl.Block, diagnostics *Diagnostics, fields ...string) *Block {
 	schema := &hcl.BodySchema{}
 	for _, name := range fields {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: name})
 	}
 	content, found := b.Body.Content(schema)
-	sheet.AddHCL(found, b.Type)
-	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: sheet, variables: sheet.variables}
+	diagnostics.AddHCL(found, b.Type)
+	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: diagnostics, variables: diagnostics.variables}
 	if content != nil {
 		open.fields = content.Attributes
 	}
--- a/internal/operator/block/diagnostics.go
+++ b/internal/operator/block/diagnostics.go
@@ -16,26 +16,27 @@
 	variables *hcl.EvalContext // for blocks opened from now on; nil: expressions know no variables
 }
 
-// NewDiagnostics returns a sheet for a file with this text, from which the names of unknown fields are taken.
+// NewDiagnostics returns empty diagnostics of a file with this text, from which the names of
+// unknown fields are taken.
 func NewDiagnostics(text []byte) *Diagnostics { return &Diagnostics{text: text} }
 
 // SetVariables sets the variables that expressions of blocks opened from now on may use, as in
 // "${name}"; nil: none.
-func (s *Diagnostics) SetVariables(texts map[string]string) {
+func (d *Diagnostics) SetVariables(texts map[string]string) {
 	if texts == nil {
-		s.variables = nil
+		d.variables = nil
 		return
 	}
 	values := make(map[string]cty.Value, len(texts))
 	for name, text := range texts {
 		values[name] = cty.StringVal(text)
 	}
-	s.variables = &hcl.EvalContext{Variables: values}
+	d.variables = &hcl.EvalContext{Variables: values}
 }
 
 // Add adds a problem at a place of the file.
-func (s *Diagnostics) Add(at hcl.Range, field, why string) {
-	s.problems = append(s.problems, Problem{
+func (d *Diagnostics) Add(at hcl.Range, field, why string) {
+	d.problems = append(d.problems, Problem{
 		File:   at.Filename,
 		Line:   at.Start.Line,
 		Column: at.Start.Column,
@@ -45,37 +46,37 @@
 }
 
 // AddHCL adds what the HCL library found when it read a block or field, whose name is within.
-func (s *Diagnostics) AddHCL(found hcl.Diagnostics, within string) {
+func (d *Diagnostics) AddHCL(found hcl.Diagnostics, within string) {
 	for _, diagnostic := range found {
-		s.addHCL(diagnostic, within)
+		d.addHCL(diagnostic, within)
 	}
 }
 
-func (s *Diagnostics) addHCL(d *hcl.Diagnostic, within string) {
+func (d *Diagnostics) addHCL(found *hcl.Diagnostic, within string) {
 	var at hcl.Range
-	if d.Subject != nil {
-		at = *d.Subject
+	if found.Subject != nil {
+		at = *found.Subject
 	}
 	// The library's message for an unknown field or block begins with this word, and its place is
 	// the name.
-	isUnknownName := strings.HasPrefix(d.Summary, "Unsupported") && d.Subject != nil
+	isUnknownName := strings.HasPrefix(found.Summary, "Unsupported") && found.Subject != nil
 	if isUnknownName {
-		s.Add(at, join(within, string(at.SliceBytes(s.text))), "is not known")
+		d.Add(at, join(within, string(at.SliceBytes(d.text))), "is not known")
 		return
 	}
-	why := d.Summary
-	if d.Detail != "" {
-		why += ": " + strings.TrimSuffix(d.Detail, ".")
+	why := found.Summary
+	if found.Detail != "" {
+		why += ": " + strings.TrimSuffix(found.Detail, ".")
 	}
-	s.Add(at, within, why)
+	d.Add(at, within, why)
 }
 
 // Problems returns the problems so far in the order of their places; nil if there are none.
-func (s *Diagnostics) Problems() Problems {
-	slices.SortStableFunc(s.problems, func(a, b Problem) int {
+func (d *Diagnostics) Problems() Problems {
+	slices.SortStableFunc(d.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return s.problems
+	return d.problems
 }
 
 // join is the name of a field with that of its block, if any.
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -6,7 +6,6 @@
 	"slices"
 
 	"github.com/hashicorp/hcl/v2"
-	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"mintkeel/internal/clients"
 	"mintkeel/internal/core/rules"
@@ -15,13 +14,36 @@
 	"mintkeel/router"
 )
 
-// Case is a query with what rules are expected to do to it. What is not expected is not looked at.
+// Case is a query together with what the rules are expected to do to it.
 type Case struct {
-	Name    string
-	Command rules.Command
-	expect  func(v rules.Verdict, matched []string) []string
+	Name         string
+	Command      rules.Command
+	expectations []expectation
 }
 
+// expectation is one field of a case that stands in the file; what the file does not name is not
+// checked.
+type expectation struct {
+	field string
+	want  any
+	got   func(v rules.Verdict, matched []string) any
+}
+
+// check returns what is wrong; empty if the expectation is met.
+func (e expectation) check(v rules.Verdict, matched []string) string {
+	got := fmt.Sprintf("%q", e.got(v, matched))
+	want := fmt.Sprintf("%q", e.want)
+	if got == want {
+		return ""
+	}
+	return fmt.Sprintf("%s is %s, not %s", e.field, got, want)
+}
+
+// caseSchema is the blocks of a file of cases.
+var caseSchema = &hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
+	{Type: "case", LabelNames: []string{"name"}},
+}}
+
 // ReadCases reads a file of cases:
 //
 //	case "menu marts are hot" {
@@ -34,68 +56,56 @@
 	if err != nil {
 		return nil, err
 	}
-	if p := checkComplexity(path, text); p != nil {
-		return nil, block.Problems{*p}
-	}
-	sheet := block.NewDiagnostics(text)
-	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.AddHCL(found, "")
 	var cases []Case
-	if parsed != nil && !found.HasErrors() {
-		content, found := parsed.Body.Content(&hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{{Type: "case",
-			LabelNames: []string{"name"}}}})
-		sheet.AddHCL(found, "")
-		if content != nil {
-			for _, b := range content.Blocks {
-				cases = append(cases, readCase(b, facts, sheet))
-			}
+	err = parse(path, text, func(parsed *hcl.File, diagnostics *block.Diagnostics) {
+		content, found := parsed.Body.Content(caseSchema)
+		diagnostics.AddHCL(found, "")
+		if content == nil {
+			return
 		}
-	}
-	if problems := sheet.Problems(); problems != nil {
-		return nil, problems
+		for _, b := range content.Blocks {
+			cases = append(cases, readCase(b, facts, diagnostics))
+		}
+	})
+	if err != nil {
+		return nil, err
 	}
 	return cases, nil
 }
 
-func readCase(b *hcl.Block, facts *settings.Facts, sheet *block.Diagnostics) Case {
-	open := block.Open(b, sheet, "query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile",
-		"refuse")
-	c := Case{Name: b.Labels[0]}
-	command, err := clients.Describe([]byte(open.String("query", "", true, maxTextBytes)), &facts.Names,
-		open.String("application", "", false, 64), open.String("listener", "", false, 64))
+func readCase(b *hcl.Block, facts *settings.Facts, diagnostics *block.Diagnostics) Case {
+	open := block.Open(b, diagnostics,
+		"query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile", "refuse")
+	query := open.String("query", "", true, maxTextBytes)
+	application := open.String("application", "", false, maxNameBytes)
+	listener := open.String("listener", "", false, maxNameBytes)
+	command, err := clients.Describe([]byte(query), &facts.Names, application, listener)
 	if err != nil {
 		open.AddProblem("query", err.Error())
 	}
-	c.Command = command
-	var checks []func(v rules.Verdict, matched []string) string
-	check := func(field string, got func(v rules.Verdict, matched []string) any, want any) {
-		if !open.Has(field) {
-			return
-		}
-		checks = append(checks, func(v rules.Verdict, matched []string) string {
-			if g := fmt.Sprintf("%q", got(v, matched)); g != fmt.Sprintf("%q", want) {
-				return fmt.Sprintf("%s is %s, not %q", field, g, want)
-			}
-			return ""
-		})
-	}
-	check("matches", func(_ rules.Verdict, m []string) any { return m }, open.Strings("matches", 64))
-	check("hot", func(v rules.Verdict, _ []string) any { return fmt.Sprint(v.Hot) }, fmt.Sprint(open.Bool("hot", false)))
-	check("key", func(v rules.Verdict, _ []string) any { return string(v.Key) }, open.String("key", "", false, 128))
-	check("refuse", func(v rules.Verdict, _ []string) any { return v.Refuse }, open.String("refuse", "", false, maxTextBytes))
-	names := RuleFacts(facts).Names
-	check("profile", func(v rules.Verdict, _ []string) any { return names[v.Profile] }, open.String("profile", "", false, 64))
-	check("kinds", func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }, sorted(open.Strings("kinds", 64)))
-	check("zones", func(v rules.Verdict, _ []string) any { return zoneNames(v.Zones) }, sorted(open.Strings("zones", 64)))
-	c.expect = func(v rules.Verdict, matched []string) (wrong []string) {
-		for _, check := range checks {
-			if why := check(v, matched); why != "" {
-				wrong = append(wrong, why)
-			}
-		}
-		return wrong
+	return Case{Name: b.Labels[0], Command: command, expectations: readExpectations(open, facts)}
+}
+
+// readExpectations reads the fields of a case that say what is expected.
+func readExpectations(open *block.Block, facts *settings.Facts) []expectation {
+	classNames := RuleFacts(facts).Names
+	all := []expectation{
+		{"matches", open.Strings("matches", maxNameBytes),
+			func(_ rules.Verdict, matched []string) any { return matched }},
+		{"hot", fmt.Sprint(open.Bool("hot", false)),
+			func(v rules.Verdict, _ []string) any { return fmt.Sprint(v.Hot) }},
+		{"key", open.String("key", "", false, maxKeyBytes),
+			func(v rules.Verdict, _ []string) any { return string(v.Key) }},
+		{"refuse", open.String("refuse", "", false, maxTextBytes),
+			func(v rules.Verdict, _ []string) any { return v.Refuse }},
+		{"profile", open.String("profile", "", false, maxNameBytes),
+			func(v rules.Verdict, _ []string) any { return classNames[v.Profile] }},
+		{"kinds", sorted(open.Strings("kinds", maxNameBytes)),
+			func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }},
+		{"zones", sorted(open.Strings("zones", maxNameBytes)),
+			func(v rules.Verdict, _ []string) any { return zoneNames(v.Zones) }},
 	}
-	return c
+	return slices.DeleteFunc(all, func(e expectation) bool { return !open.Has(e.field) })
 }
 
 func sorted(texts []string) []string {
@@ -117,14 +127,20 @@
 	return sorted(names)
 }
 
-// Run tries the rules on the case and tells what is not as expected; nothing if all is.
+// Run applies the rules to the query and returns what is not as expected; nothing if all is.
 func (c *Case) Run(set *rules.Set) []string {
-	v, tried := set.Explain(&c.Command)
+	verdict, tried := set.Explain(&c.Command)
 	matched := []string{}
-	for _, t := range tried {
-		if t.Matched {
-			matched = append(matched, t.Name)
+	for _, rule := range tried {
+		if rule.Matched {
+			matched = append(matched, rule.Name)
+		}
+	}
+	var wrong []string
+	for _, e := range c.expectations {
+		if why := e.check(verdict, matched); why != "" {
+			wrong = append(wrong, why)
 		}
 	}
-	return c.expect(v, matched)
+	return wrong
 }
--- a/internal/operator/complexity.go
+++ b/internal/operator/complexity.go
@@ -18,8 +18,8 @@
 	maxDigits    = 64   // of a number: the time to read one grows with the square
 )
 
-// checkComplexity returns the first place at which a file is too complex to be parsed; nil if there is none.
-// Scan errors are left to the parser, which finds them again.
+// checkComplexity returns the first place at which a file is too complex to be parsed; nil if there
+// is none. Scan errors are left to the parser, which finds them again.
 func checkComplexity(path string, text []byte) *block.Problem {
 	tokens, _ := hclsyntax.LexConfig(text, path, hcl.InitialPos)
 	depth := 0
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -43,9 +43,9 @@
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", config.MaxDocument)}}
 	}
 	file := &File{Log: logs.DefaultBlock(), Fleet: local.File.Fleet, Config: local.File.Config}
-	err := parse(path, text, func(parsed *hcl.File, sheet *block.Diagnostics) {
-		if onlyLiterals(parsed, sheet) {
-			file.readDocument(parsed.Body, local, facts, sheet)
+	err := parse(path, text, func(parsed *hcl.File, diagnostics *block.Diagnostics) {
+		if onlyLiterals(parsed, diagnostics) {
+			file.readDocument(parsed.Body, local, facts, diagnostics)
 		}
 	})
 	if err != nil {
@@ -54,45 +54,47 @@
 	return file, nil
 }
 
-func (f *File) readDocument(body hcl.Body, local Local, facts *settings.Facts, sheet *block.Diagnostics) {
+func (f *File) readDocument(
+	body hcl.Body, local Local, facts *settings.Facts, diagnostics *block.Diagnostics,
+) {
 	content, found := body.Content(fileSchema)
-	sheet.AddHCL(found, "")
+	diagnostics.AddHCL(found, "")
 	if content == nil {
 		return
 	}
-	single, ruleBlocks := splitRules(content.Blocks, sheet)
+	single, ruleBlocks := splitRules(content.Blocks, diagnostics)
 	for _, b := range single {
-		f.readDocumentBlock(b, local, sheet)
+		f.readDocumentBlock(b, local, diagnostics)
 	}
 	if !hasBlock(content.Blocks, blockMaintenance) {
-		checkDocumentMaintenance(body.MissingItemRange(), nil, local.File.Maintenance, sheet)
+		checkDocumentMaintenance(body.MissingItemRange(), nil, local.File.Maintenance, diagnostics)
 	}
-	f.Rules = readRules(ruleBlocks, facts, sheet)
+	f.Rules = readRules(ruleBlocks, facts, diagnostics)
 }
 
 // readDocumentBlock reads a block that is no rule.
-func (f *File) readDocumentBlock(b *hcl.Block, local Local, sheet *block.Diagnostics) {
+func (f *File) readDocumentBlock(b *hcl.Block, local Local, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
-		f.Log = logs.ReadBlock(b, sheet)
+		f.Log = logs.ReadBlock(b, diagnostics)
 	case blockMemory:
-		sheet.SetVariables(map[string]string{"name": local.Name})
-		f.Memory = memory.ReadBlock(b, sheet)
-		sheet.SetVariables(nil)
+		diagnostics.SetVariables(map[string]string{"name": local.Name})
+		f.Memory = memory.ReadBlock(b, diagnostics)
+		diagnostics.SetVariables(nil)
 	case blockFleet:
-		f.Fleet = readDocumentLeases(b, local.File, sheet)
+		f.Fleet = readDocumentLeases(b, local.File, diagnostics)
 	case blockMaintenance:
-		f.Maintenance = fleet.ReadMaintenance(b, sheet)
-		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, sheet)
+		f.Maintenance = fleet.ReadMaintenance(b, diagnostics)
+		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, diagnostics)
 	case blockConfig:
-		sheet.Add(b.DefRange, blockConfig, onlyInOwnFile)
+		diagnostics.Add(b.DefRange, blockConfig, onlyInOwnFile)
 	}
 }
 
 // readDocumentLeases reads the block fleet of a document, which has only the leases, and returns
 // the controller's own block with these.
-func readDocumentLeases(b *hcl.Block, local *File, sheet *block.Diagnostics) *fleet.Block {
-	open := block.Open(b, sheet, append([]string{"works"}, ownFields...)...)
+func readDocumentLeases(b *hcl.Block, local *File, diagnostics *block.Diagnostics) *fleet.Block {
+	open := block.Open(b, diagnostics, append([]string{"works"}, ownFields...)...)
 	for _, field := range ownFields {
 		if open.Has(field) {
 			open.AddProblem(field, onlyInOwnFile)
@@ -109,11 +111,13 @@
 
 // checkDocumentMaintenance notes a document that turns scheduled maintenance on or off, which a
 // running controller can't.
-func checkDocumentMaintenance(at hcl.Range, wanted, running *fleet.MaintenanceBlock, sheet *block.Diagnostics) {
+func checkDocumentMaintenance(
+	at hcl.Range, wanted, running *fleet.MaintenanceBlock, diagnostics *block.Diagnostics,
+) {
 	if (wanted == nil) == (running == nil) {
 		return
 	}
-	sheet.Add(at, blockMaintenance, fmt.Sprintf(
+	diagnostics.Add(at, blockMaintenance, fmt.Sprintf(
 		"is %s, but this controller was started with it %s: that can't change without a restart",
 		onOrOff(wanted), onOrOff(running)))
 }
@@ -128,7 +132,7 @@
 // onlyLiterals notes expressions that compute something. A document comes over the network, and a
 // loop or a large power could take any time and memory. It needs only strings with ${name},
 // numbers, lists and maps.
-func onlyLiterals(parsed *hcl.File, sheet *block.Diagnostics) bool {
+func onlyLiterals(parsed *hcl.File, diagnostics *block.Diagnostics) bool {
 	body, ok := parsed.Body.(*hclsyntax.Body)
 	if !ok {
 		return false
@@ -138,7 +142,7 @@
 		expression, isExpression := node.(hclsyntax.Expression)
 		if isExpression && !isLiteral(expression) {
 			literal = false
-			sheet.Add(node.Range(), "", "computes something: a document holds plain values")
+			diagnostics.Add(node.Range(), "", "computes something: a document holds plain values")
 		}
 		return nil
 	})
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -15,7 +15,8 @@
 	"mintkeel/internal/memory"
 )
 
-// localOf is a controller whose own file has the blocks fleet and config, some of its own defaults, and perhaps maintenance.
+// localOf is a controller whose own file has the blocks fleet and config, some of its own defaults,
+// and perhaps maintenance.
 func localOf(maintenance *fleet.MaintenanceBlock, leases ...lease.Name) Local {
 	return Local{Name: "n7", File: &File{Log: logs.DefaultBlock(), Memory: &memory.Block{Folder: "/own", Interval: time.Second},
 		Fleet:  &fleet.Block{Name: "east", Folder: "/f", Leases: leases, Lease: 3 * time.Second, Willing: true},
@@ -30,8 +31,10 @@
 	return list
 }
 
-// What a document may not hold is told with its place and field, all of it at once, and none of it is taken.
-func TestDocumentProblems(t *testing.T) {
+// A document has fields that only a controller's own file may have, or that can't change without a
+// restart, or expressions that compute. All of these are reported at once, with place and field,
+// and nothing of the document is used.
+func TestDocumentProblemsAreReportedAtOnce(t *testing.T) {
 	usual := &fleet.MaintenanceBlock{Drain: "/d", Within: 10 * time.Minute, Prepare: 30 * time.Second, List: true}
 	alone, maintained := localOf(nil, "digest"), localOf(usual, "digest", "maintenance")
 	for _, c := range []struct {
@@ -98,9 +101,9 @@
 	return slices.Equal(slices.Compact(got), want)
 }
 
-// The whole of a document is taken, with the controller's own blocks beside it: what the document does not name is off,
-// whatever the controller's own file says.
-func TestDocumentWhole(t *testing.T) {
+// A document is used together with the controller's own blocks. What it does not name is off or has
+// its default, whatever the controller's own file says, and that file is not changed.
+func TestDocumentIsCompletedWithOwnBlocks(t *testing.T) {
 	local := localOf(nil, "digest")
 	local.File.Log.Burst = 7
 	file, err := ParseDocument("document", []byte(""), local, facts)
@@ -129,8 +132,8 @@
 	}
 }
 
-// The block config of a controller's own file.
-func TestConfigBlock(t *testing.T) {
+// The block config of a controller's own file is read; its fields have bounds.
+func TestConfigBlockOfOwnFile(t *testing.T) {
 	const own = "fleet {\n name = \"e\"\n listen = \"10.0.0.1:9\"\n key_file = \"/k\"\n folder = \"/f\"\n council = { n1 = \"10.0.0.1:9\" }\n}\n"
 	file, err := Parse("f", []byte(own+"config {\n wait = \"2s\"\n}\n"), facts)
 	if err != nil || file.Config == nil || file.Config.Wait != 2*time.Second {
@@ -147,7 +150,7 @@
 	}
 }
 
-// Whatever a document holds, it is read or refused, by every controller alike.
+// Whatever a document holds, it is read or refused with problems.
 func FuzzParseDocument(f *testing.F) {
 	f.Add([]byte("log {\n level = \"info\"\n}\n"))
 	f.Add([]byte("memory {\n folder = \"/a/${name}\"\n}\n"))
@@ -164,7 +167,8 @@
 	})
 }
 
-// BenchmarkParseDocument tells what a document costs to check, by its size: rules of 90 bytes, up to the most there may be.
+// BenchmarkParseDocument tells what a document costs to check, by its size: rules of 90 bytes, up
+// to the most there may be.
 func BenchmarkParseDocument(b *testing.B) {
 	for _, rules := range []int{10, 100, 1000, 10_000} {
 		var text strings.Builder
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -85,8 +85,8 @@
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", maxFileBytes)}}
 	}
 	file := &File{Log: logs.DefaultBlock()}
-	err := parse(path, text, func(parsed *hcl.File, sheet *block.Diagnostics) {
-		file.read(parsed.Body, facts, sheet)
+	err := parse(path, text, func(parsed *hcl.File, diagnostics *block.Diagnostics) {
+		file.read(parsed.Body, facts, diagnostics)
 	})
 	if err != nil {
 		return nil, err
@@ -100,13 +100,13 @@
 	if problem := checkComplexity(path, text); problem != nil {
 		return block.Problems{*problem}
 	}
-	sheet := block.NewDiagnostics(text)
+	diagnostics := block.NewDiagnostics(text)
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
-	sheet.AddHCL(found, "")
+	diagnostics.AddHCL(found, "")
 	if parsed != nil && !found.HasErrors() {
-		read(parsed, sheet)
+		read(parsed, diagnostics)
 	}
-	if problems := sheet.Problems(); problems != nil {
+	if problems := diagnostics.Problems(); problems != nil {
 		return problems
 	}
 	return nil
@@ -120,62 +120,62 @@
 	return problems
 }
 
-func (f *File) read(body hcl.Body, facts *settings.Facts, sheet *block.Diagnostics) {
+func (f *File) read(body hcl.Body, facts *settings.Facts, diagnostics *block.Diagnostics) {
 	content, found := body.Content(fileSchema)
-	sheet.AddHCL(found, "")
+	diagnostics.AddHCL(found, "")
 	if content == nil {
 		return
 	}
-	single, ruleBlocks := splitRules(content.Blocks, sheet)
+	single, ruleBlocks := splitRules(content.Blocks, diagnostics)
 	for _, b := range single {
-		f.readBlock(b, sheet)
+		f.readBlock(b, diagnostics)
 	}
 	if !hasBlock(content.Blocks, blockFleet) {
 		for _, b := range single {
-			noteMissingFleet(b, sheet)
+			noteMissingFleet(b, diagnostics)
 		}
 	}
 	if f.Fleet != nil {
 		f.Fleet.Leases = withMaintenance(f.Fleet.Leases, f.Maintenance)
 	}
-	f.Rules = readRules(ruleBlocks, facts, sheet)
+	f.Rules = readRules(ruleBlocks, facts, diagnostics)
 }
 
 // readBlock reads a block that is no rule.
-func (f *File) readBlock(b *hcl.Block, sheet *block.Diagnostics) {
+func (f *File) readBlock(b *hcl.Block, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
-		f.Log = logs.ReadBlock(b, sheet)
+		f.Log = logs.ReadBlock(b, diagnostics)
 	case blockMemory:
-		f.Memory = memory.ReadBlock(b, sheet)
+		f.Memory = memory.ReadBlock(b, diagnostics)
 	case blockFleet:
-		f.Fleet = fleet.ReadBlock(b, sheet)
+		f.Fleet = fleet.ReadBlock(b, diagnostics)
 	case blockMaintenance:
-		f.Maintenance = fleet.ReadMaintenance(b, sheet)
+		f.Maintenance = fleet.ReadMaintenance(b, diagnostics)
 	case blockConfig:
-		f.Config = fleet.ReadConfig(b, sheet)
+		f.Config = fleet.ReadConfig(b, diagnostics)
 	}
 }
 
 // noteMissingFleet notes blocks that need a block fleet, in a file without one.
-func noteMissingFleet(b *hcl.Block, sheet *block.Diagnostics) {
+func noteMissingFleet(b *hcl.Block, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockMaintenance:
-		sheet.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
+		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
 	case blockConfig:
-		sheet.Add(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
+		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
 	}
 }
 
 // splitRules separates the rules from the blocks of which there may be one, and notes a second one.
-func splitRules(blocks hcl.Blocks, sheet *block.Diagnostics) (single, ruleBlocks hcl.Blocks) {
+func splitRules(blocks hcl.Blocks, diagnostics *block.Diagnostics) (single, ruleBlocks hcl.Blocks) {
 	seen := map[string]bool{}
 	for _, b := range blocks {
 		switch {
 		case b.Type == blockRule:
 			ruleBlocks = append(ruleBlocks, b)
 		case seen[b.Type]:
-			sheet.Add(b.DefRange, b.Type, "stands here a second time")
+			diagnostics.Add(b.DefRange, b.Type, "stands here a second time")
 		default:
 			seen[b.Type] = true
 			single = append(single, b)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,8 +19,8 @@
 	Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
 		Profiles: map[string]router.ClassID{"lookup": 0, "report": 1}}}
 
-// Every problem is told with line, column and field, all at once.
-func TestProblems(t *testing.T) {
+// A file has several mistakes. All are reported at once, each with line, column and field.
+func TestEveryProblemHasItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string // as line:column field; none: it is read
@@ -93,8 +93,9 @@
 	}
 }
 
-// What stands in a file is what its owners get; what does not is off, or as usual.
-func TestRead(t *testing.T) {
+// What a file has is what its owners get; what it does not have is off or has its default. The
+// example that is installed is valid, also with all of it turned on.
+func TestReadFileAndExample(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.hcl")
 	text := "log {\n level = \"debug\"\n}\nmemory {\n folder = \"/a\"\n}\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// Whatever a file holds, it is read or refused.
+// Whatever a file holds, it is read or refused with problems.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("log {\n level = \"info\"\n}\n"))
 	f.Add([]byte("memory {\n folder = \"/a\"\n pace = \"5s\"\n}\n"))
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -20,20 +20,22 @@
 	maxTextBytes = 64 << 10 // bytes of an expression, a label or the text of a rejection
 	maxNameBytes = 64       // bytes of the name of a kind, zone or profile
 
+	maxKeyBytes = 128 // bytes of an ordering key that a case expects
+
 	minEstimate = time.Millisecond
 	maxEstimate = time.Hour
 )
 
 // readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
 // Problems within an expression are noted at its field, with their place in the expression.
-func readRules(blocks hcl.Blocks, facts *settings.Facts, sheet *block.Diagnostics) *rules.Set {
+func readRules(blocks hcl.Blocks, facts *settings.Facts, diagnostics *block.Diagnostics) *rules.Set {
 	if len(blocks) == 0 {
 		return nil
 	}
 	var given []rules.Given
 	var opened []*block.Block
 	for _, b := range blocks {
-		open := block.Open(b, sheet,
+		open := block.Open(b, diagnostics,
 			"when", "hot", "key", "kinds", "zones", "profile", "labels", "most_estimate", "refuse", "last")
 		open.Name = fmt.Sprintf("rule %q", b.Labels[0])
 		opened = append(opened, open)
