--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -110,8 +110,8 @@
 		return errRules
 	}
 	d.lines.Configure(file.Log)
-	d.prune()
-	d.keep(d.file.Memory, file.Memory)
+	d.forgetStoppedWriters()
+	d.replaceSnapshotWriter(d.file.Memory, file.Memory)
 	d.server.SetRules(file.Rules)
 	d.tellFleet(file)
 	d.file = file
--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/restore.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"mintkeel/internal/core/restore"
@@ -11,74 +12,84 @@
 	"mintkeel/router"
 )
 
-// identity tells whose memory this controller's is.
+// identity is what this controller's snapshots are marked with. Those of another identity are not
+// restored.
 func (d *daemon) identity() restore.Identity {
 	return restore.Identity{Name: d.start.Name, Settings: settings.Flatten(d.start.Settings).Sum()}
 }
 
-// restoreSnapshot has the loop told what an earlier run has learned, once the first engines are listed.
+// restoreSnapshot reads the statistics of an earlier run and hands them to the event loop, which
+// takes in what still counts once the first engines are listed.
 func (d *daemon) restoreSnapshot() {
-	kept := memory.LoadWithTimeout(disk.Folder(d.file.Memory.Folder), d.limits, d.log)
-	if kept == nil {
+	stored := memory.LoadWithTimeout(disk.Folder(d.file.Memory.Folder), d.limits, d.log)
+	if stored == nil {
 		return
 	}
 	d.remembers = true
-	d.loop.SetRestore(func(list []router.Endpoint) router.Statistics {
+	d.loop.SetRestore(func(endpoints []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
-		learned, account := restore.Select(&kept.Snapshot, d.identity(), list, now, restore.DefaultHalfLives())
-		d.log.Info("remembered", "file", kept.File, "age_ms", int64(now-kept.TakenAt), "believed", account.Restored,
-			"aged", account.Expired, "future", account.FromFuture, "unknown", account.UnknownEngines, "wrong", account.Invalid,
-			"foreign", account.Foreign)
-		return learned
+		statistics, counts := restore.Select(
+			&stored.Snapshot, d.identity(), endpoints, now, restore.DefaultHalfLives())
+		// The keys of the counts are those of mintkeel memory show --json.
+		d.log.Info("restored statistics from snapshot",
+			"file", stored.File,
+			"age_ms", int64(now-stored.TakenAt),
+			"believed", counts.Restored,
+			"aged", counts.Expired,
+			"future", counts.FromFuture,
+			"unknown", counts.UnknownEngines,
+			"wrong", counts.Invalid,
+			"foreign", counts.Foreign)
+		return statistics
 	})
 }
 
-// keep changes over from what is kept by one block to what is kept by another; nil stands for off.
-func (d *daemon) keep(from, to *memory.Block) {
+// replaceSnapshotWriter changes over from the block memory of one file to that of another; nil
+// stands for off. The former writer writes a final snapshot and ends by itself, unless only the
+// interval differs.
+func (d *daemon) replaceSnapshotWriter(from, to *memory.Block) {
 	if from != nil && to != nil && from.Folder == to.Folder {
-		d.keeper.SetInterval(to.Interval)
+		d.snapshotWriter.SetInterval(to.Interval)
 		return
 	}
-	if d.keeper != nil { // it ends by itself, with a last snapshot
-		d.keeper.Stop()
-		d.gone, d.keeper = append(d.gone, d.keeper), nil
+	if d.snapshotWriter != nil {
+		d.snapshotWriter.Stop()
+		d.stoppingWriters = append(d.stoppingWriters, d.snapshotWriter)
+		d.snapshotWriter = nil
 	}
 	if to != nil {
-		d.keeper = memory.StartSnapshotWriter(disk.Folder(to.Folder), to.Interval, d.identity(), built().String(), d.loop, d.limits, d.log)
+		d.snapshotWriter = memory.StartSnapshotWriter(
+			disk.Folder(to.Folder), to.Interval, d.identity(), built().String(), d.loop, d.limits, d.log)
 	}
 }
 
-// letGo waits for folders to be let go of, as long as there is time.
-func (d *daemon) letGo(end time.Time) {
+// awaitSnapshotWriters waits for final snapshots until a time.
+func (d *daemon) awaitSnapshotWriters(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	keepers := d.gone
-	if d.keeper != nil {
-		keepers = append(keepers, d.keeper)
+	writers := d.stoppingWriters
+	if d.snapshotWriter != nil {
+		writers = append(writers, d.snapshotWriter)
 	}
-	for _, k := range keepers {
-		if err := k.Wait(ctx); err != nil {
-			d.log.Warn("memory not written in time at the end", "why", err)
+	for _, w := range writers {
+		if err := w.Wait(ctx); err != nil {
+			d.log.Warn("final snapshot not written in time", "why", err)
 		}
 	}
 }
 
-// mostGone bounds the keepers that are letting go of their folders, against reloads in quick turn on a disk that hangs.
-const mostGone = 8
+// maxStoppingWriters bounds the writers that are stopping, as reloads may follow each other quickly
+// while a disk hangs.
+const maxStoppingWriters = 8
 
-// prune forgets keepers that have ended and, past a bound, gives up the oldest.
-func (d *daemon) prune() {
-	now, cancel := context.WithCancel(context.Background())
+// forgetStoppedWriters drops writers that have stopped and, past maxStoppingWriters, gives up the
+// oldest.
+func (d *daemon) forgetStoppedWriters() {
+	d.stoppingWriters = slices.DeleteFunc(d.stoppingWriters, (*memory.SnapshotWriter).Stopped)
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	for i := 0; i < len(d.gone); {
-		if d.gone[i].Stopped() {
-			d.gone = append(d.gone[:i], d.gone[i+1:]...)
-			continue
-		}
-		i++
-	}
-	for len(d.gone) >= mostGone {
-		d.gone[0].Wait(now)
-		d.gone = d.gone[1:]
+	for len(d.stoppingWriters) >= maxStoppingWriters {
+		d.stoppingWriters[0].Wait(expired)
+		d.stoppingWriters = d.stoppingWriters[1:]
 	}
 }
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -67,15 +67,15 @@
 	limits *limits.Limits
 	lines  *logs.Log
 
-	log    *slog.Logger
-	loop   *controller.Loop
-	pool   *engines.Pool
-	feed   *discovery.Watcher
-	server *clients.Server
-	keeper *memory.SnapshotWriter // nil: memory is off
-	gone   []*memory.SnapshotWriter
-	fleet  *fleet.Service // nil: off
-	agreed *agreedConfig  // nil: the fleet has no say in this controller's configuration
+	log             *slog.Logger
+	loop            *controller.Loop
+	pool            *engines.Pool
+	feed            *discovery.Watcher
+	server          *clients.Server
+	snapshotWriter  *memory.SnapshotWriter // nil: memory is off
+	stoppingWriters []*memory.SnapshotWriter
+	fleet           *fleet.Service // nil: off
+	agreed          *agreedConfig  // nil: the fleet has no say in this controller's configuration
 
 	conductor *fleet.MaintenanceJob // nil: maintenance is off
 
@@ -148,7 +148,7 @@
 	}
 	d.server.SetRules(d.file.Rules)
 	go d.server.Serve(listener)
-	d.keep(nil, d.file.Memory)
+	d.replaceSnapshotWriter(nil, d.file.Memory)
 	if d.agreed != nil {
 		d.agreed.beginServing(d.remembers)
 	}
@@ -210,8 +210,8 @@
 // report logs all counts.
 func (d *daemon) report(message string) {
 	counts := []any{"commands", d.loop.Counts(), "clients", d.server, "engines", d.pool}
-	if d.keeper != nil {
-		counts = append(counts, "memory", d.keeper)
+	if d.snapshotWriter != nil {
+		counts = append(counts, "memory", d.snapshotWriter)
 	}
 	if d.file.Rules != nil {
 		counts = append(counts, "rules", d.server.Rules())
@@ -237,15 +237,15 @@
 	if d.fleet != nil {
 		d.fleet.Stop() // another takes over what this one owns, while commands are still answered
 	}
-	if d.keeper != nil {
-		d.keeper.Stop() // beside the commands that are still to be answered
+	if d.snapshotWriter != nil {
+		d.snapshotWriter.Stop() // beside the commands that are still to be answered
 	}
 	drain(d.server, end.Add(-l.CloseTime), l.StopQuiet) // who goes on asking to the last is owed an orderly end too
 	listener.Close()
 	d.server.Shutdown(end)
 	d.server.Close()
 	d.loop.Close()
-	d.letGo(end)
+	d.awaitSnapshotWriters(end)
 	d.report("stopped")
 }
 
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -1,5 +1,5 @@
 // Package kills kills a process that writes snapshots all the time, at random moments, and sees whether what it left
-// can be trusted: a real SIGKILL, the real keeper and the real file system.
+// can be trusted: a real SIGKILL, the real snapshot writer and the real file system.
 package kills
 
 import (
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -92,7 +92,7 @@
 					if err := add(sectionHeader, head); err != nil {
 						return err
 					}
-					return encode(&l, add)
+					return encodeRecords(&l, add)
 				})
 				if err != nil {
 					b.Fatal(err)
--- /dev/null
+++ b/internal/memory/encode.go
@@ -0,0 +1,73 @@
+package memory
+
+import (
+	"mintkeel/internal/store/snapshots"
+	"mintkeel/router"
+)
+
+// addSection adds a section to a file or message.
+type addSection = func(kind snapshots.SectionKind, payload []byte) error
+
+func encodeHeader(header headerForm, add addSection) error {
+	payload, err := encoder.Marshal(header)
+	if err != nil {
+		return err
+	}
+	return add(sectionHeader, payload)
+}
+
+// encodeRecords adds all records, as few sections as possible for each kind.
+func encodeRecords(s *router.Statistics, add addSection) error {
+	if err := addRecords(sectionEngines, s.Engines, newEngineForm, add); err != nil {
+		return err
+	}
+	if err := addRecords(sectionTables, s.Tables, newTableForm, add); err != nil {
+		return err
+	}
+	if err := addRecords(sectionClasses, s.Classes, newClassForm, add); err != nil {
+		return err
+	}
+	return addRecords(sectionTraffic, s.Traffic, newTrafficForm, add)
+}
+
+func addRecords[R, F any](
+	kind snapshots.SectionKind, records []R, newForm func(R) F, add addSection,
+) error {
+	for len(records) > 0 {
+		count := min(len(records), maxSectionRecords)
+		forms := make([]F, count)
+		for i, r := range records[:count] {
+			forms[i] = newForm(r)
+		}
+		payload, err := encoder.Marshal(forms)
+		if err != nil {
+			return err
+		}
+		if err := add(kind, payload); err != nil {
+			return err
+		}
+		records = records[count:]
+	}
+	return nil
+}
+
+// sectionForm is a section in a message to another controller, encoded like the forms of records.
+type sectionForm struct {
+	_       struct{} `cbor:",toarray"`
+	Kind    uint16
+	Payload []byte
+}
+
+// EncodeStatistics returns statistics as one value for another controller: a list of the sections
+// that a file would have, without the header.
+func EncodeStatistics(s *router.Statistics) ([]byte, error) {
+	var sections []sectionForm
+	err := encodeRecords(s, func(kind snapshots.SectionKind, payload []byte) error {
+		sections = append(sections, sectionForm{Kind: uint16(kind), Payload: payload})
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return encoder.Marshal(sections)
+}
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -24,15 +24,17 @@
 	"mintkeel/router"
 )
 
-const patience = 10 * time.Second // for what must come
+// patience is how long a test waits for what must happen.
+const patience = 10 * time.Second
 
 var (
 	me         = restore.Identity{Name: "n3", Settings: 77}
 	quiet      = slog.New(slog.NewTextHandler(io.Discard, nil))
 	testLimits = limits.For(1024, 192, 0, 0, 0)
+	testBounds = FileBounds(testLimits)
 )
 
-// fakeSource is a source that has learned so many records.
+// fakeSource is a source with so many records of each kind.
 type fakeSource struct {
 	records int
 	asked   atomic.Int64
@@ -51,7 +53,7 @@
 	return Part{Statistics: sampleStatistics(p.records, float64(time.Now().UnixMilli()))}, nil
 }
 
-// sampleStatistics is n records of each kind that there may be several of.
+// sampleStatistics returns n records of each kind of which there may be several.
 func sampleStatistics(n int, at float64) (l router.Statistics) {
 	for i := range n {
 		id := router.EngineID(fmt.Sprint("e", i))
@@ -66,6 +68,7 @@
 	return l
 }
 
+// until waits until a condition holds.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
@@ -75,12 +78,13 @@
 	}
 }
 
-func stop(t *testing.T, k *SnapshotWriter) {
+// stop stops a writer and waits until it has released the directory.
+func stop(t *testing.T, w *SnapshotWriter) {
 	t.Helper()
-	k.Stop()
+	w.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if err := k.Wait(ctx); err != nil {
+	if err := w.Wait(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -89,42 +93,43 @@
 	return StartSnapshotWriter(d, pace, me, "test", source, l, quiet)
 }
 
-// What is kept is read again as it was.
-func TestRoundTrip(t *testing.T) {
+// A snapshot is written and read back as it was.
+func TestSnapshotIsReadAsItWasWritten(t *testing.T) {
 	d := disktest.New()
-	k := startWriter(d, time.Hour, &fakeSource{records: 300}, testLimits)
-	stop(t, k)
-	kept, trials, err := Load(d, FileBounds(testLimits))
-	if err != nil || len(trials) != 1 || !kept.Complete || kept.Build != "test" {
-		t.Fatal(kept, trials, err)
+	w := startWriter(d, time.Hour, &fakeSource{records: 300}, testLimits)
+	stop(t, w)
+	stored, results, err := Load(d, testBounds)
+	if err != nil || len(results) != 1 || !stored.Complete || stored.Build != "test" {
+		t.Fatal(stored, results, err)
 	}
-	want := sampleStatistics(300, kept.Snapshot.Statistics.Engines[0].At)
-	if kept.Snapshot.Owner != me || !reflect.DeepEqual(kept.Snapshot.Statistics, want) {
-		t.Errorf("%+v", kept.Snapshot.Statistics.Engines[:3])
+	want := sampleStatistics(300, stored.Snapshot.Statistics.Engines[0].At)
+	if stored.Snapshot.Owner != me || !reflect.DeepEqual(stored.Snapshot.Statistics, want) {
+		t.Errorf("%+v", stored.Snapshot.Statistics.Engines[:3])
 	}
 }
 
-// Snapshots follow each other at the pace, which can change; the last one is written when told so.
-func TestPace(t *testing.T) {
+// Snapshots follow each other at the interval, which can change. Stop writes a final one.
+func TestIntervalAndFinalSnapshot(t *testing.T) {
 	d := disktest.New()
-	k := startWriter(d, time.Hour, &fakeSource{records: 3}, testLimits)
-	if k.written.Load() != 0 {
-		t.Error("written ahead of the pace")
-	}
-	k.SetInterval(time.Millisecond)
-	until(t, "snapshots at the new pace", func() bool { return k.written.Load() >= 3 })
-	k.SetInterval(time.Hour)
-	stop(t, k)
-	n := k.written.Load()
+	w := startWriter(d, time.Hour, &fakeSource{records: 3}, testLimits)
+	if w.written.Load() != 0 {
+		t.Error("written ahead of the interval")
+	}
+	w.SetInterval(time.Millisecond)
+	until(t, "snapshots at the new interval", func() bool { return w.written.Load() >= 3 })
+	w.SetInterval(time.Hour)
+	stop(t, w)
+	n := w.written.Load()
 	if files, _ := snapshots.Files(d); len(files) != 2 || files[0].Serial != uint64(n) {
 		t.Errorf("%d written, %v are there", n, files)
 	}
 }
 
-// Large snapshots are written less often, and failures make the pace slower, up to a bound.
-func TestNext(t *testing.T) {
-	k := &SnapshotWriter{limits: testLimits}
-	k.interval.Store(int64(time.Second))
+// Large snapshots are written less often. Failures double the delay, up to a bound, and never make
+// it shorter than the interval.
+func TestDelayBySizeAndFailures(t *testing.T) {
+	w := &SnapshotWriter{limits: testLimits}
+	w.interval.Store(int64(time.Second))
 	for _, c := range []struct {
 		failures int
 		size     int64
@@ -137,89 +142,96 @@
 		{3, 0, 8 * time.Second},
 		{40, 0, testLimits.MemoryRetry},
 	} {
-		if got := k.nextDelay(c.failures, c.size); got != c.want {
+		if got := w.nextDelay(c.failures, c.size); got != c.want {
 			t.Errorf("%d failures, %d bytes: %v", c.failures, c.size, got)
 		}
 	}
-	if k.interval.Store(int64(time.Hour)); k.nextDelay(5, 0) != time.Hour {
-		t.Errorf("after failures quicker than the pace: %v", k.nextDelay(5, 0))
+	w.interval.Store(int64(time.Hour))
+	if got := w.nextDelay(5, 0); got != time.Hour {
+		t.Errorf("after failures sooner than the interval: %v", got)
 	}
 }
 
-// A disk that is full, fails or is gone is counted, and written to again when it is back; the older snapshot stays.
-func TestTroubleWithTheDisk(t *testing.T) {
+// The disk is full, fails or is gone for a while. Failures are counted, an earlier snapshot stays,
+// and writing goes on once the disk is back.
+func TestWritingResumesAfterDiskFailures(t *testing.T) {
 	l := *testLimits
 	l.MemoryRetry = time.Millisecond
-	for name, c := range map[string]struct{ begins, ends func(*disktest.Disk) }{
-		"full":  {func(d *disktest.Disk) { d.Fill(10) }, func(d *disktest.Disk) { d.Fill(-1) }},
-		"fails": {func(d *disktest.Disk) { d.Fail(io.ErrClosedPipe) }, func(d *disktest.Disk) { d.Fail(nil) }},
+	for name, fault := range map[string]struct{ begins, ends func(*disktest.Disk) }{
+		"full": {func(d *disktest.Disk) { d.Fill(10) }, func(d *disktest.Disk) { d.Fill(-1) }},
+		"fails": {
+			func(d *disktest.Disk) { d.Fail(io.ErrClosedPipe) },
+			func(d *disktest.Disk) { d.Fail(nil) },
+		},
 	} {
 		d := disktest.New()
-		k := startWriter(d, time.Millisecond, &fakeSource{records: 20}, &l)
-		until(t, name+": a first snapshot", func() bool { return k.written.Load() > 0 })
-		c.begins(d)
-		until(t, name+": failures", func() bool { return k.failed.Load() > 3 })
-		written := k.written.Load()
+		w := startWriter(d, time.Millisecond, &fakeSource{records: 20}, &l)
+		until(t, name+": a first snapshot", func() bool { return w.written.Load() > 0 })
+		fault.begins(d)
+		until(t, name+": failures", func() bool { return w.failed.Load() > 3 })
+		written := w.written.Load()
 		if name == "full" {
-			if _, _, err := Load(d, FileBounds(testLimits)); err != nil {
+			if _, _, err := Load(d, testBounds); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		c.ends(d)
-		until(t, name+": written again", func() bool { return k.written.Load() > written+1 })
-		stop(t, k)
+		fault.ends(d)
+		until(t, name+": written again", func() bool { return w.written.Load() > written+1 })
+		stop(t, w)
 	}
 	// from the start
 	d := disktest.New()
 	d.Fail(io.ErrClosedPipe)
-	k := startWriter(d, time.Millisecond, &fakeSource{}, &l)
-	until(t, "failures from the start", func() bool { return k.failed.Load() > 2 })
+	w := startWriter(d, time.Millisecond, &fakeSource{}, &l)
+	until(t, "failures from the start", func() bool { return w.failed.Load() > 2 })
 	d.Fail(nil)
-	until(t, "a first snapshot", func() bool { return k.written.Load() > 0 })
-	stop(t, k)
+	until(t, "a first snapshot", func() bool { return w.written.Load() > 0 })
+	stop(t, w)
 }
 
-// A disk that hangs holds up neither a start nor an end, and nobody who asks for the counts.
-func TestHangingDisk(t *testing.T) {
+// The disk hangs. Neither a start nor an end waits for it, nor whoever asks for the counts.
+func TestHangingDiskDelaysNeitherStartNorEnd(t *testing.T) {
 	d := disktest.New()
-	k := startWriter(d, time.Hour, &fakeSource{records: 1}, testLimits)
-	stop(t, k)
+	w := startWriter(d, time.Hour, &fakeSource{records: 1}, testLimits)
+	stop(t, w)
 	release := d.Hang()
 	l := *testLimits
 	l.MemoryRead = 10 * time.Millisecond
-	if kept := LoadWithTimeout(d, &l, quiet); kept != nil {
+	if stored := LoadWithTimeout(d, &l, quiet); stored != nil {
 		t.Error("something was read of a disk that hangs")
 	}
-	k = startWriter(d, time.Millisecond, &fakeSource{records: 1}, testLimits)
-	k.LogValue()
-	k.Stop()
+	w = startWriter(d, time.Millisecond, &fakeSource{records: 1}, testLimits)
+	w.LogValue()
+	w.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := k.Wait(ctx); !errors.Is(err, context.DeadlineExceeded) {
+	if err := w.Wait(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("waits for a disk that hangs: %v", err)
 	}
 	release()
-	until(t, "the goroutine ends", k.Stopped)
-	if kept := LoadWithTimeout(d, testLimits, quiet); kept == nil {
+	until(t, "the goroutine ends", w.Stopped)
+	if stored := LoadWithTimeout(d, testLimits, quiet); stored == nil {
 		t.Error("the disk is back, and nothing is read")
 	}
 }
 
-// A source that does not answer, as its loop is gone, is let go of.
-func TestSilentSource(t *testing.T) {
+// The source does not answer, as its loop has ended. The writer gives up once it isn't waited for
+// any more, and leaves no goroutine.
+func TestSourceThatDoesNotAnswer(t *testing.T) {
 	before := runtime.NumGoroutine()
 	p := &fakeSource{block: make(chan struct{})}
-	k := startWriter(disktest.New(), time.Millisecond, p, testLimits)
+	w := startWriter(disktest.New(), time.Millisecond, p, testLimits)
 	until(t, "the source is asked", func() bool { return p.asked.Load() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	k.Stop()
-	k.Wait(ctx)
-	until(t, "the goroutine ends", func() bool { return k.Stopped() && runtime.NumGoroutine() <= before })
+	w.Stop()
+	w.Wait(ctx)
+	until(t, "the goroutine ends", func() bool { return w.Stopped() && runtime.NumGoroutine() <= before })
 }
 
-// Of two processes one has the folder; the other goes on without, reads what is there, and takes over when it is free.
-func TestTwoProcesses(t *testing.T) {
+// Two processes have the same directory. One writes; the other counts that it is locked, reads what
+// is there, and takes over once the first has stopped.
+func TestSecondProcessTakesOver(t *testing.T) {
 	l := *testLimits
 	l.MemoryRetry = time.Millisecond
 	d := disktest.New()
@@ -235,25 +247,26 @@
 	stop(t, two)
 }
 
-// The newest file that is whole is read; if none is, what is left of the newest.
-func TestFallBack(t *testing.T) {
+// Files are damaged, empty or foreign. Load takes the newest that is whole or, if none is, what can
+// be used of the newest.
+func TestLoadFallsBackToOlderSnapshots(t *testing.T) {
 	d := disktest.New()
 	for n := 1; n <= 2; n++ {
-		k := startWriter(d, time.Hour, &fakeSource{records: n}, testLimits)
-		stop(t, k)
+		w := startWriter(d, time.Hour, &fakeSource{records: n}, testLimits)
+		stop(t, w)
 	}
 	const older, newer = "snapshot-0000000000000001", "snapshot-0000000000000002"
 	a, b := d.Get(older), d.Get(newer)
-	turned := func(file []byte) []byte {
+	flipped := func(file []byte) []byte {
 		out := append([]byte(nil), file...)
 		out[len(out)-40] ^= 1
 		return out
 	}
-	engines := func(kept *StoredSnapshot) int {
-		if kept == nil {
+	engines := func(stored *StoredSnapshot) int {
+		if stored == nil {
 			return -1
 		}
-		return len(kept.Snapshot.Statistics.Engines)
+		return len(stored.Snapshot.Statistics.Engines)
 	}
 	for _, c := range []struct {
 		name    string
@@ -264,9 +277,9 @@
 		{"both whole", map[string][]byte{older: a, newer: b}, 2, true},
 		{"the newer one is cut", map[string][]byte{older: a, newer: b[:len(b)/2]}, 1, true},
 		{"the newer one is empty", map[string][]byte{older: a, newer: nil}, 1, true},
-		{"a bit of the newer one is turned", map[string][]byte{older: a, newer: turned(b)}, 1, true},
-		{"both are damaged", map[string][]byte{older: turned(a), newer: turned(b)}, 2, false},
-		{"only a damaged one", map[string][]byte{newer: turned(b)}, 2, false},
+		{"a bit of the newer one is flipped", map[string][]byte{older: a, newer: flipped(b)}, 1, true},
+		{"both are damaged", map[string][]byte{older: flipped(a), newer: flipped(b)}, 2, false},
+		{"only a damaged one", map[string][]byte{newer: flipped(b)}, 2, false},
 		{"an old backup under a newer name", map[string][]byte{"snapshot-00000000000000ff": a, newer: b}, 2, true},
 		{"another program's file beside it", map[string][]byte{"snapshot-00000000000000ff": []byte("x"), newer: b}, 2, true},
 		{"nothing", nil, -1, false},
@@ -276,23 +289,24 @@
 		for name, file := range c.files {
 			d.Put(name, file)
 		}
-		kept, _, err := Load(d, FileBounds(testLimits))
-		if engines(kept) != c.engines || kept != nil && kept.Complete != c.whole || (err == nil) != (kept != nil) {
-			t.Errorf("%s: %d engines, %v", c.name, engines(kept), err)
+		stored, _, err := Load(d, testBounds)
+		if engines(stored) != c.engines || stored != nil && stored.Complete != c.whole || (err == nil) != (stored != nil) {
+			t.Errorf("%s: %d engines, %v", c.name, engines(stored), err)
 		}
-		checks, err := Verify(d, FileBounds(testLimits))
+		checks, err := Verify(d, testBounds)
 		if bad := strings.Contains(fmt.Sprint(checks), "false"); err != nil || bad == (c.name == "both whole" || c.name == "nothing") {
 			t.Errorf("%s: %+v, %v", c.name, checks, err)
 		}
 	}
 }
 
-// A section whose checksum is right may still hold anything: it costs no more than its size allows, and is told.
-func TestOddSections(t *testing.T) {
+// Sections have good checksums and contents that no program of ours wrote. They are refused, cost
+// no more memory than their size allows, and the other sections are still used.
+func TestForeignContentOfSections(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	write := func(sections ...snapshots.Section) disk.Disk {
 		d := disktest.New()
-		f, err := snapshots.Open(d, FileBounds(testLimits))
+		f, err := snapshots.Open(d, testBounds)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -325,8 +339,8 @@
 		for _, payload := range odd {
 			d := write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: kind, Payload: payload},
 				snapshots.Section{Kind: sectionTraffic, Payload: good}, snapshots.Section{Kind: 999, Payload: payload})
-			kept, _, err := Load(d, FileBounds(testLimits))
-			if err != nil || len(kept.Snapshot.Statistics.Traffic) == 0 {
+			stored, _, err := Load(d, testBounds)
+			if err != nil || len(stored.Snapshot.Statistics.Traffic) == 0 {
 				t.Errorf("kind %d, % x: %v", kind, payload[:min(len(payload), 20)], err)
 			}
 		}
@@ -338,42 +352,42 @@
 	homes, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
 	long, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
 	for _, payload := range [][]byte{homes, long} {
-		kept, _, err := Load(write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: sectionTables,
-			Payload: payload}, snapshots.Section{Kind: sectionTraffic, Payload: good}), FileBounds(testLimits))
-		if err != nil || len(kept.Snapshot.Statistics.Tables) != 0 || kept.Complete {
-			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), kept, err)
+		stored, _, err := Load(write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: sectionTables,
+			Payload: payload}, snapshots.Section{Kind: sectionTraffic, Payload: good}), testBounds)
+		if err != nil || len(stored.Snapshot.Statistics.Tables) != 0 || stored.Complete {
+			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), stored, err)
 		}
 	}
-	if _, _, err := Load(write(snapshots.Section{Kind: sectionTraffic, Payload: good}), FileBounds(testLimits)); err == nil {
+	if _, _, err := Load(write(snapshots.Section{Kind: sectionTraffic, Payload: good}), testBounds); err == nil {
 		t.Error("read without a head")
 	}
 }
 
-// What is to be forgotten is in no file any more, and the rest is as old as it was.
-func TestPrune(t *testing.T) {
+// Records are pruned. They are in no file any more, and the others are as old as before.
+func TestPrunedRecordsAreInNoFile(t *testing.T) {
 	d := disktest.New()
-	k := startWriter(d, time.Hour, &fakeSource{records: 4}, testLimits)
-	if _, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); err != nil { // it has not taken the folder yet
+	w := startWriter(d, time.Hour, &fakeSource{records: 4}, testLimits)
+	if _, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil { // it has not taken the folder yet
 		t.Error(err)
 	}
-	k.SetInterval(time.Millisecond)
-	until(t, "two snapshots", func() bool { return k.written.Load() > 1 })
-	if _, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); !errors.Is(err, disk.ErrLocked) {
+	w.SetInterval(time.Millisecond)
+	until(t, "two snapshots", func() bool { return w.written.Load() > 1 })
+	if _, err := Prune(d, testBounds, PruneSelection{All: true}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("pruned under a controller that runs: %v", err)
 	}
-	stop(t, k)
-	old, _, _ := Load(d, FileBounds(testLimits))
-	n, err := Prune(d, FileBounds(testLimits), PruneSelection{Engines: []router.EngineID{"e1", "x"}, Tables: []router.TableGroup{-1, 2}})
+	stop(t, w)
+	old, _, _ := Load(d, testBounds)
+	n, err := Prune(d, testBounds, PruneSelection{Engines: []router.EngineID{"e1", "x"}, Tables: []router.TableGroup{-1, 2}})
 	if err != nil || n != 3 {
 		t.Errorf("%d forgotten, %v", n, err)
 	}
 	files, _ := snapshots.Files(d)
 	for _, f := range files {
-		kept, err := read(d, f, FileBounds(testLimits))
-		if err != nil || len(kept.Snapshot.Statistics.Engines) != 3 || len(kept.Snapshot.Statistics.Tables) != 2 {
-			t.Errorf("%s: %+v, %v", f.Name, kept, err)
+		stored, err := readFile(d, f, testBounds)
+		if err != nil || len(stored.Snapshot.Statistics.Engines) != 3 || len(stored.Snapshot.Statistics.Tables) != 2 {
+			t.Errorf("%s: %+v, %v", f.Name, stored, err)
 		}
-		if kept.TakenAt != old.TakenAt || kept.Snapshot.Statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
+		if stored.TakenAt != old.TakenAt || stored.Snapshot.Statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
 			t.Error("it looks younger than it is")
 		}
 	}
@@ -381,17 +395,17 @@
 	if shown.Records != 10 || shown.Restorable != 10 || shown.Engines[0].RemainingWeight <= 0 || shown.Engines[0].RemainingWeight >= 1 {
 		t.Errorf("%+v", shown)
 	}
-	if n, err := Prune(d, FileBounds(testLimits), PruneSelection{All: true}); err != nil || n != 7 {
+	if n, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil || n != 7 {
 		t.Errorf("%d forgotten of all, %v", n, err)
 	}
-	if _, _, err := Load(d, FileBounds(testLimits)); !errors.Is(err, snapshots.ErrNoSnapshot) {
+	if _, _, err := Load(d, testBounds); !errors.Is(err, snapshots.ErrNoSnapshot) {
 		t.Errorf("after all was forgotten: %v", err)
 	}
 }
 
-// A folder that can't be made or written is counted and tried again, as one of a real file system; one that is there
-// again, or only now, is used.
-func TestRealFolders(t *testing.T) {
+// On a real file system, a directory can't be created, or is removed while the writer runs.
+// Failures are counted, and a directory that can be created later is used.
+func TestDirectoriesOfTheFileSystem(t *testing.T) {
 	l := *testLimits
 	l.MemoryRetry = time.Millisecond
 	file := filepath.Join(t.TempDir(), "file")
@@ -399,27 +413,27 @@
 		t.Fatal(err)
 	}
 	for _, path := range []string{"/proc/self/none", filepath.Join(file, "below"), filepath.Join(t.TempDir(), "no", "parent")} {
-		k := startWriter(disk.Folder(path), time.Millisecond, &fakeSource{records: 1}, &l)
-		until(t, path+": failures", func() bool { return k.failed.Load() > 2 })
-		stop(t, k)
-		if k.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, quiet) != nil {
+		w := startWriter(disk.Folder(path), time.Millisecond, &fakeSource{records: 1}, &l)
+		until(t, path+": failures", func() bool { return w.failed.Load() > 2 })
+		stop(t, w)
+		if w.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, quiet) != nil {
 			t.Errorf("%s is written", path)
 		}
 	}
 	parent := filepath.Join(t.TempDir(), "parent")
 	folder := disk.Folder(filepath.Join(parent, "kept"))
-	k := startWriter(folder, time.Millisecond, &fakeSource{records: 1}, &l)
-	until(t, "failures without a parent", func() bool { return k.failed.Load() > 0 })
+	w := startWriter(folder, time.Millisecond, &fakeSource{records: 1}, &l)
+	until(t, "failures without a parent", func() bool { return w.failed.Load() > 0 })
 	if err := os.Mkdir(parent, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the disk is there", func() bool { return k.written.Load() > 0 })
-	written := k.written.Load()
+	until(t, "the disk is there", func() bool { return w.written.Load() > 0 })
+	written := w.written.Load()
 	for os.RemoveAll(string(folder)) != nil { // it may be writing
 	}
-	until(t, "the folder is made anew", func() bool { return k.written.Load() > written+2 })
-	stop(t, k)
-	if _, _, err := Load(folder, FileBounds(testLimits)); err != nil {
+	until(t, "the folder is made anew", func() bool { return w.written.Load() > written+2 })
+	stop(t, w)
+	if _, _, err := Load(folder, testBounds); err != nil {
 		t.Error(err)
 	}
 }
