--- a/internal/core/fleet/node/manager.go
+++ b/internal/core/fleet/node/manager.go
@@ -19,7 +19,7 @@
 
 // applyAgreed takes in what the quorum has agreed on, and tells whether there was something.
 func (n *Node) applyAgreed() bool {
-	list := n.quorum.Agreed()
+	list := n.quorum.TakeApplied()
 	for _, a := range list {
 		for _, w := range a.Changed {
 			if g := n.quorum.State().Leases[w]; g != nil {
@@ -61,7 +61,7 @@
 			continue
 		}
 		reply.Held = append(reply.Held, c)
-		if g := n.quorum.State().Leases[c.Name]; g.Preferred != "" && g.Preferred != a.By || g.Retired {
+		if g := n.quorum.State().Leases[c.Name]; g.Preferred != "" && g.Preferred != a.Proposer || g.Retired {
 			reply.Yield = append(reply.Yield, c.Name)
 		}
 	}
@@ -104,7 +104,7 @@
 	if n.now >= n.offerAt { // an offer may be lost
 		n.offerAt = n.now + offerInterval
 		for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
-			if !n.leases.Renewed(n.now, name) {
+			if !n.leases.RecentlyRenewed(n.now, name) {
 				n.offer(name)
 			}
 		}
@@ -131,7 +131,7 @@
 	for _, m := range n.members.Members() {
 		if m.State <= members.Suspect && m.Run != 0 {
 			list = append(list, lease.Candidate{Holder: lease.Holder{ID: m.ID, Run: m.Run}, Willing: m.Willing,
-				Slow: m.State == members.Suspect || m.ID == n.facts.Self.ID}) // with this one the count of its leases would go
+				Avoid: m.State == members.Suspect || m.ID == n.facts.Self.ID}) // with this one the count of its leases would go
 		}
 	}
 	return list
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -51,8 +51,8 @@
 // logMembers logs members that are new, or of which another state is believed now.
 func (in *session) logMembers(changes []members.Change) {
 	for _, c := range changes {
-		if c.Member.State != c.Was || c.New {
-			in.Service.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Was.String(),
+		if c.Member.State != c.Previous || c.New {
+			in.Service.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Previous.String(),
 				"new", c.New)
 		}
 	}
@@ -92,12 +92,12 @@
 // once, which again tells.
 func (in *session) persist(out node.Output) (again bool, err error) {
 	switch {
-	case out.Whole != nil:
-		return false, in.keep(writeRequest{whole: true, record: out.Whole}, out.Whole)
-	case out.Batch != nil && out.Batch.Record != nil:
-		return false, in.keep(writeRequest{whole: out.Batch.Record.Whole, batch: out.Batch}, out.Batch.Record)
-	case out.Batch != nil:
-		in.core.Saved(in.now(), out.Batch)
+	case out.Compaction != nil:
+		return false, in.keep(writeRequest{whole: true, record: out.Compaction}, out.Compaction)
+	case out.Ready != nil && out.Ready.Record != nil:
+		return false, in.keep(writeRequest{whole: out.Ready.Record.Full, batch: out.Ready}, out.Ready.Record)
+	case out.Ready != nil:
+		in.core.Advance(in.now(), out.Ready)
 		return true, nil
 	}
 	return false, nil
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -269,7 +269,7 @@
 type writeRequest struct {
 	payload []byte
 	whole   bool
-	batch   *quorum.Batch
+	batch   *quorum.Ready
 	record  *quorum.Record
 }
 
@@ -294,7 +294,7 @@
 		return err
 	}
 	facts := node.Facts{Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: in.willing, Run: run}, Leases: s.wantedLeases(),
-		Terms: lease.Terms{Lease: float64(s.block.Lease) / 1e6}, Pace: members.Usual(), Disk: draw(), Seed: int64(draw() >> 1),
+		Terms: lease.Timing{Duration: float64(s.block.Lease) / 1e6}, Pace: members.DefaultConfig(), Disk: draw(), Seed: int64(draw() >> 1),
 		Config: configFacts}
 	for id, addr := range s.block.Voters {
 		facts.Founders = append(facts.Founders, id)
@@ -353,7 +353,7 @@
 		if err := recordForm.Unmarshal(b, &r); err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
-		if r.Whole {
+		if r.Full {
 			list = list[:0]
 		}
 		list = append(list, r)
@@ -417,9 +417,9 @@
 			}
 			in.counts.saves.Add(1)
 			if r.record != nil {
-				in.core.Kept(in.now(), r.record)
+				in.core.Compacted(in.now(), r.record)
 			} else {
-				in.core.Saved(in.now(), r.batch)
+				in.core.Advance(in.now(), r.batch)
 			}
 		case check := <-in.config.checked:
 			in.configChecked(check)
--- a/internal/lab/steps/pressed.go
+++ b/internal/lab/steps/pressed.go
@@ -62,8 +62,8 @@
 }
 
 // Play plays it.
-func (p Pressed) Play(make_ Make) Pressure {
-	r := p.start(make_)
+func (p Pressed) Play(newModule Make) Pressure {
+	r := p.start(newModule)
 	for r.now < r.end || len(r.queue) > 0 || len(r.open) > 0 {
 		r.passIdleTime()
 		r.busy = 0
@@ -82,12 +82,12 @@
 	return r.out
 }
 
-func (p Pressed) start(make_ Make) *pressedRun {
+func (p Pressed) start(newModule Make) *pressedRun {
 	const began, engines = 1e6, 50
 	profile := router.QueryClass{Effect: router.Idempotent, LatencyObjective: pressedTarget, ClientTimeout: pressedTimeout, Threads: 1, LateBenefit: 0.3}
 	r := &pressedRun{Pressed: p, rng: rand.New(rand.NewSource(p.Seed)), now: began, next: began, end: began + p.Length,
 		wake: math.Inf(1), open: map[router.QueryID]*waiting{}}
-	r.module = make_(p.Seed, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 64, MemoryMB: memory}}, []router.QueryClass{profile}, nil,
+	r.module = newModule(p.Seed, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 64, MemoryMB: memory}}, []router.QueryClass{profile}, nil,
 		router.Capabilities{Cancel: true, MaxAttempts: 3}, router.SafetyLimits{EventInterval: 1, SlowStartCapacity: 1, SlowStartOverload: 0})
 	var entries []router.Endpoint
 	for i := range engines {
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -26,6 +26,7 @@
 // Busy is how full the fleet is kept.
 type Busy int
 
+// How full the fleet may be kept.
 const (
 	Idle Busy = iota // one command out for every engine of ten
 	Half             // half of what engines take
@@ -93,11 +94,11 @@
 }
 
 // New fills a scene.
-func New(s Scene, make_ Make) *Rig {
+func New(s Scene, newModule Make) *Rig {
 	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6, held: map[router.QueryID]bool{},
 		sends: map[router.QueryID]int{}, loads: map[router.EngineID]int{}, wake: math.Inf(1)}
-	g.m = make_(s.Seed, router.Identity{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
+	g.m = newModule(s.Seed, router.Identity{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
 		router.Capabilities{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 500},
 		router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4, SlowStartWindow: 1500, OrderingCooldown: 300})
 	g.step(router.EndpointsUpdated{Complete: true, Endpoints: g.entries()})
