--- a/internal/controller/statistics_test.go
+++ b/internal/controller/statistics_test.go
@@ -19,10 +19,10 @@
 	engines, parts := 0, 0
 	for part := (memory.Part{More: true}); part.More; parts++ {
 		var err error
-		if part, err = l.Statistics(ctx, part.Next, 1); err != nil || part.Learned.Len() > 1 {
+		if part, err = l.Statistics(ctx, part.Next, 1); err != nil || part.Statistics.Len() > 1 {
 			t.Fatal(part, err)
 		}
-		engines += len(part.Learned.Engines)
+		engines += len(part.Statistics.Engines)
 	}
 	if engines != 1 || parts < 3 {
 		t.Errorf("%d engines in %d parts", engines, parts)
--- a/internal/lab/scale/hollow/statistics.go
+++ b/internal/lab/scale/hollow/statistics.go
@@ -36,7 +36,7 @@
 		}
 		learned.Tables = append(learned.Tables, group)
 	}
-	return memory.Part{Learned: learned}, nil
+	return memory.Part{Statistics: learned}, nil
 }
 
 // engine is the name of an engine, as long as the operators' names are.
--- a/internal/memory/inspect.go
+++ b/internal/memory/inspect.go
@@ -1,213 +1,120 @@
 package memory
 
 import (
-	"math"
 	"slices"
 
-	"mintkeel/internal/core/restore"
 	"mintkeel/internal/store/disk"
 	"mintkeel/internal/store/snapshots"
 	"mintkeel/router"
 )
 
-// Shown is what a snapshot holds, for people and programs. Weighs is the share of its weight that a record still has;
-// 0: it is forgotten.
-type Shown struct {
-	File     string         `json:"file"`
-	Serial   uint64         `json:"serial"`
-	Name     string         `json:"name"`
-	Build    string         `json:"build"`
-	AgeMS    int64          `json:"age_ms"`
-	Whole    bool           `json:"whole"`
-	Records  int            `json:"records"`
-	Believed int            `json:"believed"`
-	Aged     int            `json:"aged"`
-	Future   int            `json:"future"`
-	Wrong    int            `json:"wrong"`
-	Engines  []ShownEngine  `json:"engines"`
-	Tables   []ShownTables  `json:"tables"`
-	Profiles []ShownProfile `json:"profiles"`
-	Traffic  []ShownTraffic `json:"traffic"`
-}
-
-// ShownRecord is what all records have.
-type ShownRecord struct {
-	AgeMS  int64   `json:"age_ms"`
-	Weighs float64 `json:"weighs"`
-}
-
-// The records of each kind.
-type (
-	ShownEngine struct {
-		ShownRecord
-		Engine   string  `json:"engine"`
-		Pace     float64 `json:"pace"`
-		Width    float64 `json:"width"`
-		Outcomes uint8   `json:"outcomes"`
-		Lead     string  `json:"lead,omitempty"`
-	}
-	ShownTables struct {
-		ShownRecord
-		Tables int64    `json:"tables"`
-		Demand float64  `json:"demand"`
-		Homes  []string `json:"homes"`
-	}
-	ShownProfile struct {
-		ShownRecord
-		Profile   int     `json:"profile"`
-		Best      float64 `json:"best"`
-		WorkScale float64 `json:"work_scale"`
-		NeedScale float64 `json:"need_scale"`
-	}
-	ShownTraffic struct {
-		ShownRecord
-		Part float64 `json:"part"`
-	}
-)
-
-// Show judges a snapshot as a controller of its name and settings would at a time in ms since 1970, whose list holds
-// the same engines.
-func Show(k *Kept, now float64, lives restore.HalfLives) *Shown {
-	l := &k.Memory.Learned
-	var list []router.Endpoint
-	for _, e := range l.Engines {
-		list = append(list, router.Endpoint{Engine: e.Engine, StartedAt: e.StartedAt})
-	}
-	_, account := restore.Select(&k.Memory, k.Memory.Of, list, now, lives)
-	s := &Shown{File: k.File, Serial: k.Serial, Name: k.Memory.Of.Name, Build: k.Build, AgeMS: int64(now - k.Taken),
-		Whole: k.Whole, Records: l.Len(), Believed: account.Believed, Aged: account.Aged, Future: account.Future,
-		Wrong: account.Wrong}
-	record := func(at float64, lives ...float64) ShownRecord {
-		r := ShownRecord{AgeMS: int64(now - at)}
-		for _, life := range lives {
-			r.Weighs = max(r.Weighs, restore.Factor(now-at, life))
-		}
-		return r
-	}
-	for _, e := range l.Engines {
-		s.Engines = append(s.Engines, ShownEngine{record(e.At, lives.Pace, lives.Health, lives.Width, lives.Homes),
-			string(e.Engine), plain(e.Slowdown.Mean), plain(e.ThreadsPerCore), e.Outcomes, string(e.PoolLeader)})
-	}
-	for _, t := range l.Tables {
-		s.Tables = append(s.Tables, ShownTables{record(t.At, lives.Tables), int64(t.Tables), plain(t.Demand),
-			texts(t.PoolLeaders)})
-	}
-	for _, p := range l.Classes {
-		s.Profiles = append(s.Profiles, ShownProfile{record(p.At, lives.Profile), int(p.Class), plain(p.UnloadedTime),
-			plain(p.WorkScale.Mean), plain(p.MemoryScale.Mean)})
-	}
-	for _, t := range l.Traffic {
-		s.Traffic = append(s.Traffic, ShownTraffic{record(t.At, lives.Traffic), plain(t.Share.Mean)})
-	}
-	return s
-}
-
-// plain is a figure that JSON can hold.
-func plain(x float64) float64 {
-	if math.IsNaN(x) || math.IsInf(x, 0) {
-		return -1
-	}
-	return x
-}
+// retainedSnapshots is how many snapshots a folder keeps: see package snapshots.
+const retainedSnapshots = 2
 
-// Check is what was found of one file.
-type Check struct {
-	File    string `json:"file"`
-	Whole   bool   `json:"whole"`
-	Why     string `json:"why,omitempty"`
-	Name    string `json:"name,omitempty"`
-	Records int    `json:"records"`
+// FileCheck is the state of one file. The JSON keys are those of mintkeel memory verify --json.
+type FileCheck struct {
+	File     string `json:"file"`
+	Complete bool   `json:"whole"`
+	Reason   string `json:"why,omitempty"`  // why it is not complete
+	Name     string `json:"name,omitempty"` // of the controller
+	Records  int    `json:"records"`        // that can be used
 }
 
-// Verify reads all files of a folder, the newest first.
-func Verify(d disk.Disk, b snapshots.Bounds) ([]Check, error) {
+// Verify reads all files of a directory, the newest first.
+func Verify(d disk.Disk, b snapshots.Bounds) ([]FileCheck, error) {
 	files, err := snapshots.Files(d)
 	if err != nil {
 		return nil, err
 	}
-	checks := []Check{}
+	checks := []FileCheck{} // an empty list in JSON, and not null
 	for _, file := range files {
-		kept, err := read(d, file, b)
-		check := Check{File: file.Name, Whole: err == nil}
+		stored, err := readFile(d, file, b)
+		check := FileCheck{File: file.Name, Complete: err == nil}
 		if err != nil {
-			check.Why = err.Error()
+			check.Reason = err.Error()
 		}
-		if kept != nil {
-			check.Name, check.Records = kept.Memory.Of.Name, kept.Memory.Learned.Len()
+		if stored != nil {
+			check.Name = stored.Snapshot.Owner.Name
+			check.Records = stored.Snapshot.Statistics.Len()
 		}
 		checks = append(checks, check)
 	}
 	return checks, nil
 }
 
-// Pruning says what to forget.
-type Pruning struct {
-	All     bool
+// PruneSelection is which records to remove.
+type PruneSelection struct {
+	All     bool // the others don't count then
 	Engines []router.EngineID
 	Tables  []router.TableGroup
 }
 
-// Prune has some records forgotten and returns how many went. Its error is disk.ErrLocked while a controller has the
-// folder.
-func Prune(d disk.Disk, b snapshots.Bounds, what Pruning) (int, error) {
-	if what.All {
-		return clearAll(d, b)
-	}
-	n := 0
-	err := Rewrite(d, b, func(l *router.Statistics) {
-		n = l.Len()
-		l.Engines = slices.DeleteFunc(l.Engines, func(e router.EngineStatistics) bool {
-			return slices.Contains(what.Engines, e.Engine)
+// Prune removes records from the stored snapshots and returns how many. The error is disk.ErrLocked
+// while a controller uses the directory.
+func Prune(d disk.Disk, b snapshots.Bounds, selection PruneSelection) (removed int, err error) {
+	if selection.All {
+		return removeAll(d, b)
+	}
+	err = RewriteNewest(d, b, func(s *router.Statistics) {
+		before := s.Len()
+		s.Engines = slices.DeleteFunc(s.Engines, func(e router.EngineStatistics) bool {
+			return slices.Contains(selection.Engines, e.Engine)
 		})
-		l.Tables = slices.DeleteFunc(l.Tables, func(t router.TableStatistics) bool {
-			return slices.Contains(what.Tables, t.Tables)
+		s.Tables = slices.DeleteFunc(s.Tables, func(t router.TableStatistics) bool {
+			return slices.Contains(selection.Tables, t.Tables)
 		})
-		n -= l.Len()
+		removed = before - s.Len()
 	})
-	return n, err
+	return removed, err
 }
 
-func clearAll(d disk.Disk, b snapshots.Bounds) (int, error) {
+// removeAll removes all files and returns how many records could be used of them.
+func removeAll(d disk.Disk, b snapshots.Bounds) (removed int, err error) {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
 		return 0, err
 	}
 	defer folder.Close()
-	n := 0
-	if kept, _, err := Load(d, b); err == nil {
-		n = kept.Memory.Learned.Len()
+	stored, _, err := Load(d, b)
+	if err == nil {
+		removed = stored.Snapshot.Statistics.Len()
 	}
-	return n, folder.Clear()
+	return removed, folder.Clear()
 }
 
-// Rewrite writes a folder's newest snapshot anew with changed records, under its old times. The older one goes too, so
-// that nothing comes back by a file that can't be read.
-func Rewrite(d disk.Disk, b snapshots.Bounds, change func(*router.Statistics)) error {
+// RewriteNewest replaces all snapshots of a directory by the newest one with changed records. Times
+// stay, so that the records don't look younger.
+func RewriteNewest(d disk.Disk, b snapshots.Bounds, change func(*router.Statistics)) error {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
 		return err
 	}
 	defer folder.Close()
-	kept, _, err := Load(d, b)
+	stored, _, err := Load(d, b)
 	if err != nil {
 		return err
 	}
-	change(&kept.Memory.Learned)
-	for range 2 { // so that none of the files that are kept has what was there before
-		_, err = folder.Write(func(add func(snapshots.Kind, []byte) error) error {
-			head, err := encoder.Marshal(headForm{Name: kept.Memory.Of.Name, Settings: kept.Memory.Of.Settings,
-				Taken: int64(kept.Taken), Build: kept.Build})
-			if err == nil {
-				err = add(sectionHead, head)
-			}
-			if err == nil {
-				err = encode(&kept.Memory.Learned, add)
-			}
-			return err
-		})
+	change(&stored.Snapshot.Statistics)
+	// It is written as often as files are retained, so that no file has what was removed.
+	for range retainedSnapshots {
+		_, err = folder.Write(stored.writeSections)
 		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
+
+// writeSections adds the snapshot's sections to a file, with the header that it had.
+func (stored *StoredSnapshot) writeSections(add addSection) error {
+	header := headerForm{
+		Name:     stored.Snapshot.Owner.Name,
+		Settings: stored.Snapshot.Owner.Settings,
+		Taken:    int64(stored.TakenAt),
+		Build:    stored.Build,
+	}
+	if err := encodeHeader(header, add); err != nil {
+		return err
+	}
+	return encodeRecords(&stored.Snapshot.Statistics, add)
+}
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -36,7 +36,7 @@
 
 func (p *printer) memory(b *memory.Block) {
 	p.line("memory folder", b.Folder)
-	p.line("memory pace", b.Pace)
+	p.line("memory pace", b.Interval)
 }
 
 func (p *printer) fleet(b *fleet.Block) {
