--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -2,141 +2,87 @@
 
 import (
 	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// ConfigFacts are what a node is told at its start where the fleet agrees on configuration.
-type ConfigFacts struct {
-	Kept config.Kept
+// Config is what a node is given when its process starts.
+type Config struct {
+	Self        members.Member // Run is that of this process
+	Seeds       []members.Member
+	Founders    []members.ID // of the quorum
+	Leases      []lease.Name // that are to be declared, if this node leads the quorum
+	LeaseTiming lease.Timing
+	Membership  members.Config
+	NextDisk    uint64       // see quorum.Config
+	Seed        int64        // of all random draws
+	FleetConfig *FleetConfig // nil: the fleet does not agree on configuration
 }
 
-// configEnvironment is what the configuration's replica sees of its node.
-type configEnvironment struct{ node *Node }
-
-// Members are all that are known, this one among them.
-func (e configEnvironment) Members() []members.Member { return e.node.members.Members() }
-
-// Member is what is believed of one.
-func (e configEnvironment) Member(id members.ID) (members.Member, bool) {
-	return e.node.members.Lookup(id)
+// FleetConfig is what a node is given at its start if the fleet agrees on configuration.
+type FleetConfig struct {
+	Stored config.Kept // what the folder holds
 }
 
-// Voters are the quorum's, as far as this one knows.
-func (e configEnvironment) Voters() []members.ID { return e.node.Voters() }
-
-// Leader is the quorum's; empty: not known.
-func (e configEnvironment) Leader() members.ID { return e.node.Leader() }
-
-// Leads tells whether this one leads the quorum and knows all that was agreed on.
-func (e configEnvironment) Leads() bool { return e.node.quorum.LeadsCaughtUp() }
-
-// Voting tells whether this one is a voter.
-func (e configEnvironment) Voting() bool {
-	role, _ := e.node.quorum.Role()
-	return role == quorum.Voter
-}
-
-// State is what the quorum agreed on.
-func (e configEnvironment) State() *config.State { return e.node.quorum.ConfigState() }
-
-// Propose puts a proposal into the quorum's log, where this one leads.
-func (e configEnvironment) Propose(p config.Proposal) bool {
-	return e.node.quorum.ProposeConfig(e.node.facts.Self.ID, p)
-}
-
-// Config lets the caller use the configuration's replica, and carries out what follows. It does nothing where the fleet
-// does not agree on configuration.
-func (n *Node) Config(now float64, use func(*config.Replica)) {
-	if n.config == nil {
-		return
-	}
-	n.now = max(n.now, now)
-	use(n.config)
-	n.turn()
-}
-
-// startConfig begins with what the folder holds.
-func (n *Node) startConfig() {
-	if n.facts.Config == nil {
-		return
-	}
-	facts := config.Facts{Self: n.facts.Self.ID, Run: n.facts.Self.Run, Seed: n.facts.Seed + 3}
-	n.config = config.New(facts, configEnvironment{n}, n.facts.Config.Kept, n.now)
-}
-
-// summary is what rides on membership's messages; nil where there is nothing to tell.
-func (n *Node) summary() *config.Message {
-	if n.config == nil {
-		return nil
-	}
-	s := n.config.Summary()
-	if s == nil {
-		return nil
+// quorumConfig returns the configuration of the node's replica in the quorum.
+func (c Config) quorumConfig() quorum.Config {
+	return quorum.Config{
+		Self:     c.Self.ID,
+		Founders: c.Founders,
+		Run:      c.Self.Run,
+		NextDisk: c.NextDisk,
+		Seed:     c.Seed + 1,
 	}
-	return &config.Message{Summary: s}
 }
 
-// tellConfig lets the replica know what the quorum agreed on and who leads it, when either has changed.
-func (n *Node) tellConfig() {
-	newest := n.quorum.ConfigState().Newest()
-	seen := configSeen{number: newest, leads: n.quorum.LeadsCaughtUp(), voting: configEnvironment{n}.Voting(), leader: n.Leader()}
-	if seen == n.configSeen {
-		return
-	}
-	n.configSeen = seen
-	n.config.Agreed(n.now)
-}
-
-// configSeen is what the replica was last told of the quorum.
-type configSeen struct {
-	number uint64
-	leads  bool
-	voting bool
-	leader members.ID
-}
-
-// maxLocalRounds bounds how often a replica's messages to itself are delivered in one turn.
-const maxLocalRounds = 16
+// Intervals and timeouts in ms.
+const (
+	// offerInterval is the time between two offers of a lease to a holder that does not renew it, and at
+	// most between two looks of a leader at the leases.
+	offerInterval = 1000.0
+	// minManageInterval is the time at least between two looks of a leader at the leases.
+	minManageInterval = 50.0
+	// releaseInterval is the time between two messages about a release.
+	releaseInterval = 300.0
+	// releaseTimeout is after which time a release that was not confirmed is given up: the quorum
+	// then waits for the lease to expire.
+	releaseTimeout = 10000.0
+	// preferInterval is the time between two messages about an operator's preference.
+	preferInterval = 1000.0
+	// preferTimeout is after which time a preference that does not show in the agreed state is given up.
+	preferTimeout = 10000.0
+)
 
-// turnConfig lets the replica do what is to be done by now. What it sends to itself is delivered at once.
-func (n *Node) turnConfig() {
-	if n.config == nil {
-		return
-	}
-	n.tellConfig()
-	for range maxLocalRounds {
-		out := n.config.Take()
-		local := n.takeConfig(out)
-		if len(local) == 0 {
-			return
-		}
-		for _, m := range local {
-			n.config.Receive(n.now, n.facts.Self.ID, &m)
-		}
-	}
-}
+// Counts and bounds.
+const (
+	// maxReleases bounds the releases that are not confirmed yet.
+	maxReleases = 256
+	// maxPreferences bounds the operators' preferences that are not agreed on yet.
+	maxPreferences = 256
+	// maxUnanswered bounds the proposals that are to be answered when they are agreed on.
+	maxUnanswered = 4096
+	// maxRenewals bounds the renewals that a leader gathers; with so many they are proposed at once.
+	maxRenewals = 256
+	// maxProcessRounds bounds how often the parts of a node answer each other in one call.
+	maxProcessRounds = 4
+	// maxLocalRounds bounds how often the configuration's messages to itself are delivered in one call.
+	maxLocalRounds = 16
+	// leaderTimeoutRenewals is the number of renew intervals without a word of the leader after
+	// which another member is asked which one leads.
+	leaderTimeoutRenewals = 2
+)
 
-// takeConfig adds an output of the replica to the node's, and returns the messages that it sends to itself.
-func (n *Node) takeConfig(out config.Output) (local []config.Message) {
-	for _, s := range out.Sends {
-		if s.To == n.facts.Self.ID {
-			local = append(local, s.Message)
-			continue
-		}
-		n.send(s.To, Message{Config: &s.Message})
-	}
-	if out.Check != nil {
-		n.out.Config.Check = out.Check
-	}
-	if out.Store != nil {
-		n.out.Config.Store = out.Store
-	}
-	if out.Apply != nil {
-		n.out.Config.Apply = out.Apply
-	}
-	n.out.Config.Outcomes = append(n.out.Config.Outcomes, out.Outcomes...)
-	n.out.Config.Answers = append(n.out.Config.Answers, out.Answers...)
-	n.out.Config.Documents = append(n.out.Config.Documents, out.Documents...)
-	return local
-}
+// Requests for the quorum's view by a controller that is no member.
+const (
+	// viewInterval is the time between two requests at least, in ms.
+	viewInterval = 5000.0
+	// viewIntervalPerMember is the same for each member of the fleet, in ms, so that the whole
+	// fleet sends at most ten requests a second.
+	viewIntervalPerMember = 100.0
+	// currentViewFactor multiplies the interval while nothing has changed since the last view.
+	currentViewFactor = 10.0
+	// viewJitterShare is by which share of itself the interval is drawn shorter or longer, so that
+	// controllers that started together soon send their requests apart.
+	viewJitterShare = 0.5
+)
--- a/internal/core/fleet/node/effects.go
+++ b/internal/core/fleet/node/effects.go
@@ -5,29 +5,51 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// effect lets an effect of another pass, or not.
-func (n *Node) effect(from members.ID, e *Effect) {
-	ok, risen := n.fencing.Admit(e.Grant.Name, e.Grant.Token)
-	if ok {
-		n.out.Effects = append(n.out.Effects, Accepted{from, *e})
-	}
-	n.out.Seen = n.out.Seen || risen
-	n.send(from, Message{Verdict: &Verdict{Lease: e.Grant.Name, ID: e.ID, Accepted: ok, Seen: n.fencing.Seen()[e.Grant.Name]}})
-}
-
-// TryEffect sends an effect of a lease that this controller holds now; it is false where it does not, and then nothing is sent. The clock
-// is looked at here, and the message goes after that: what a pause in between does is for the receiver's fencing check.
-func (n *Node) TryEffect(now float64, w lease.Name, to members.ID, id uint64, data []byte) bool {
+// TryEffect sends an effect under a lease that this controller holds; it returns false, and sends
+// nothing, if it does not. The clock is checked here and the message goes out after that: if the
+// process pauses in between, the receiver's fencing check rejects the effect.
+func (n *Node) TryEffect(now float64, name lease.Name, to members.ID, id uint64, data []byte) bool {
 	n.now = max(n.now, now)
-	token, _, ok := n.client.CanAct(n.now, w)
+	token, _, ok := n.leaseClient.CanAct(n.now, name)
 	if !ok {
 		return false
 	}
-	n.send(to, Message{Effect: &Effect{lease.Grant{Name: w, Token: token}, id, data}})
+	grant := lease.Grant{Name: name, Token: token}
+	n.send(to, Message{Effect: &Effect{Grant: grant, ID: id, Data: data}})
 	return true
 }
 
-// SendMessage sends a message of a job to the same job of another controller.
+// handleEffect accepts or rejects an effect of another controller by the fencing check, and answers.
+func (n *Node) handleEffect(from members.ID, e *Effect) {
+	ok, isNew := n.fencing.Admit(e.Grant.Name, e.Grant.Token)
+	if ok {
+		n.out.Effects = append(n.out.Effects, AcceptedEffect{From: from, Effect: *e})
+	}
+	n.out.TokensRaised = n.out.TokensRaised || isNew
+	n.send(from, Message{EffectResponse: &EffectResponse{
+		Lease:        e.Grant.Name,
+		ID:           e.ID,
+		HighestToken: n.fencing.Seen()[e.Grant.Name],
+		Accepted:     ok,
+	}})
+}
+
+// raiseTokens records which fencing tokens are in use: a controller that restarted without its
+// stored tokens learns them again.
+func (n *Node) raiseTokens(leases []lease.Lease) {
+	before := n.fencing.Seen()
+	for _, l := range leases {
+		if l.Token > before[l.Name] {
+			n.fencing.Raise(l.Name, l.Token)
+			n.out.TokensRaised = true
+		}
+	}
+}
+
+// FencingTokens returns the highest fencing token seen of each lease, which is to be durable.
+func (n *Node) FencingTokens() map[lease.Name]lease.Token { return n.fencing.Seen() }
+
+// SendMessage sends a message of a job to the same job at another controller. It may be lost.
 func (n *Node) SendMessage(now float64, to members.ID, data []byte) {
 	n.now = max(n.now, now)
 	n.send(to, Message{JobMessage: data})
--- a/internal/core/fleet/node/holder.go
+++ b/internal/core/fleet/node/holder.go
@@ -6,94 +6,126 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// releasedLease is a lease that was given up, of which the quorum may not know yet.
-type releasedLease struct {
-	release *lease.Release
-	until   float64
+// handleOffer handles the offer of a lease, and tells whether it was to this run and accepted.
+func (n *Node) handleOffer(o *Offer) bool {
+	if o.To != n.holder() || n.stopping {
+		return false
+	}
+	n.leaseClient.AcceptOffer(n.now, o.Grant)
+	return true
 }
 
-// granted takes in what was agreed upon a renewal of this one.
-func (n *Node) granted(g *Granted) {
-	if g.To != n.self() {
+// renewLeases sends the renewal of the leases that this controller holds, if it is due.
+func (n *Node) renewLeases() {
+	if n.stopping {
 		return
 	}
-	n.leader, n.heardAt = g.Leader, n.now
-	n.client.ConfirmRenewal(n.now, g.Sequence, g.Held)
-	for _, c := range g.Lost {
-		n.client.Revoke(c)
-		n.released = slices.DeleteFunc(n.released, func(g releasedLease) bool { return g.release.Grant == c })
-	}
-	for _, w := range g.Yield {
-		n.Release(n.now, w, false)
+	if renew := n.leaseClient.Renewal(n.now); renew != nil {
+		n.sendToLeader(Message{Renew: renew})
 	}
 }
 
-// Release stops a lease and tells the quorum, that another can have it at once.
-func (n *Node) Release(now float64, w lease.Name, failed bool) {
-	n.now = max(n.now, now)
-	if r := n.client.Release(w, failed); r != nil {
-		if len(n.released) < maxReleases {
-			n.released = append(n.released, releasedLease{r, n.now + releaseTimeout})
-		}
-		n.releaseAt = n.now
-		n.sendReleases()
+// handleRenewResponse handles what was agreed on about a renewal or release of this run.
+func (n *Node) handleRenewResponse(r *RenewResponse) {
+	if r.To != n.holder() {
+		return
+	}
+	n.leader.hear(r.Leader, n.now)
+	n.leaseClient.ConfirmRenewal(n.now, r.Sequence, r.Valid)
+	for _, grant := range r.Invalid {
+		n.leaseClient.Revoke(grant)
+		confirmed := func(u unconfirmedRelease) bool { return u.release.Grant == grant }
+		n.unconfirmedReleases = slices.DeleteFunc(n.unconfirmedReleases, confirmed)
+	}
+	for _, name := range r.Yield {
+		n.Release(n.now, name, false)
 	}
 }
 
-// sendReleases says again what was given up, until somebody says that it is known: else the quorum would wait for the lease.
-func (n *Node) sendReleases() {
-	n.released = slices.DeleteFunc(n.released, func(g releasedLease) bool { return n.now > g.until })
-	if len(n.released) == 0 || n.now < n.releaseAt {
+// Held returns the grants under which this controller may act now.
+func (n *Node) Held(now float64) []lease.Grant { return n.leaseClient.Held(now) }
+
+// CanAct tells whether this controller may begin an effect under a lease now, with which fencing
+// token, and until when, in ms, the effect has to be done.
+func (n *Node) CanAct(now float64, name lease.Name) (token lease.Token, until float64, ok bool) {
+	return n.leaseClient.CanAct(now, name)
+}
+
+// unconfirmedRelease is the release of a lease that the quorum may not know of yet.
+type unconfirmedRelease struct {
+	release  *lease.Release
+	deadline float64 // ms, after which it is not sent any more
+}
+
+// Release ends a lease that this controller holds and notifies the quorum, so that another
+// controller can have it at once. Failed says that this controller could not run the lease's job.
+func (n *Node) Release(now float64, name lease.Name, failed bool) {
+	n.now = max(n.now, now)
+	release := n.leaseClient.Release(name, failed)
+	if release == nil {
 		return
 	}
-	n.releaseAt = n.now + releaseInterval
-	for _, g := range n.released {
-		n.toLeader(Message{Release: g.release})
+	if len(n.unconfirmedReleases) < maxReleases {
+		n.unconfirmedReleases = append(n.unconfirmedReleases, unconfirmedRelease{
+			release:  release,
+			deadline: n.now + releaseTimeout,
+		})
 	}
+	n.sendReleasesAt = n.now
+	n.sendReleases()
 }
 
-// CanAct tells whether this controller holds a lease now, with its fencing token, and until when what it begins has to be done.
-func (n *Node) CanAct(now float64, w lease.Name) (lease.Token, float64, bool) {
-	return n.client.CanAct(now, w)
-}
-
-// receiveCheckpoint takes in what the holders of a lease hand on.
-func (n *Node) receiveCheckpoint(s *Checkpoint) {
-	if e, _, ok := n.client.CanAct(n.now, s.Grant.Name); s.To == n.self() && ok && e == s.Grant.Token {
-		n.out.Checkpoints = append(n.out.Checkpoints, *s)
+// sendReleases repeats releases until they are confirmed: if one were lost, the quorum would wait
+// for the lease to expire.
+func (n *Node) sendReleases() {
+	overdue := func(u unconfirmedRelease) bool { return n.now > u.deadline }
+	n.unconfirmedReleases = slices.DeleteFunc(n.unconfirmedReleases, overdue)
+	if len(n.unconfirmedReleases) == 0 || n.now < n.sendReleasesAt {
+		return
+	}
+	n.sendReleasesAt = n.now + releaseInterval
+	for _, u := range n.unconfirmedReleases {
+		n.sendToLeader(Message{Release: u.release})
 	}
 }
 
-// ProposeState asks for the state of a lease that this controller holds to be handed on; what was agreed on comes as a Checkpoint. It may be lost: ask
-// again, with the same serial.
-func (n *Node) ProposeState(now float64, w lease.Name, serial uint64, data []byte) bool {
+// ProposeState proposes the state to be handed on of a lease that this controller holds; it returns
+// false if it does not. What was agreed on comes as a Checkpoint. The proposal may be lost: the
+// caller repeats it with the same serial.
+func (n *Node) ProposeState(now float64, name lease.Name, serial uint64, data []byte) bool {
 	n.now = max(n.now, now)
-	e, _, ok := n.client.CanAct(n.now, w)
-	if ok {
-		n.toLeader(Message{StoreState: &lease.StoreState{Holder: n.self(), Grant: lease.Grant{Name: w, Token: e}, Serial: serial, Data: data}})
+	token, _, ok := n.leaseClient.CanAct(n.now, name)
+	if !ok {
+		return false
 	}
-	return ok
+	n.sendToLeader(Message{StoreState: &lease.StoreState{
+		Holder: n.holder(),
+		Grant:  lease.Grant{Name: name, Token: token},
+		Serial: serial,
+		Data:   data,
+	}})
+	return true
 }
 
-// RequestState asks for what was handed on.
-func (n *Node) RequestState(now float64, w lease.Name) bool {
+// RequestState requests the state of a lease that this controller holds; it returns false if it
+// does not. The state comes as a Checkpoint. The request may be lost.
+func (n *Node) RequestState(now float64, name lease.Name) bool {
 	n.now = max(n.now, now)
-	e, _, ok := n.client.CanAct(n.now, w)
-	if ok {
-		n.toLeader(Message{LoadState: &lease.LoadState{Holder: n.self(), Grant: lease.Grant{Name: w, Token: e}}})
+	token, _, ok := n.leaseClient.CanAct(n.now, name)
+	if !ok {
+		return false
 	}
-	return ok
+	n.sendToLeader(Message{LoadState: &lease.LoadState{
+		Holder: n.holder(),
+		Grant:  lease.Grant{Name: name, Token: token},
+	}})
+	return true
 }
 
-// renewLeases sends the renewal that is due of the leases that this controller holds.
-func (n *Node) renewLeases() {
-	if n.stopping {
-		return
-	}
-	if r := n.client.Renewal(n.now); r != nil {
-		n.toLeader(Message{Renew: r})
+// handleCheckpoint handles the state of a lease that this run holds.
+func (n *Node) handleCheckpoint(c *Checkpoint) {
+	token, _, ok := n.leaseClient.CanAct(n.now, c.Grant.Name)
+	if c.To == n.holder() && ok && token == c.Grant.Token {
+		n.out.Checkpoints = append(n.out.Checkpoints, *c)
 	}
 }
-
-// Held are the leases that this controller holds now.
-func (n *Node) Held(now float64) []lease.Grant { return n.client.Held(now) }
--- a/internal/core/fleet/node/messages.go
+++ b/internal/core/fleet/node/messages.go
@@ -7,29 +7,31 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Message is what one controller says to another; one of its fields is set.
+// Message is a message between controllers, encoded by the keys of its fields. One field is set;
+// Config and Leader may accompany a Members message.
 type Message struct {
-	Members     *members.Message  `cbor:"1,keyasint,omitempty"`
-	Quorum      *quorum.Message   `cbor:"2,keyasint,omitempty"`
-	Renew       *lease.Renew      `cbor:"3,keyasint,omitempty"`
-	Granted     *Granted          `cbor:"4,keyasint,omitempty"`
-	Offer       *Offer            `cbor:"5,keyasint,omitempty"`
-	Release     *lease.Release    `cbor:"6,keyasint,omitempty"`
-	Prefer      *lease.Prefer     `cbor:"7,keyasint,omitempty"`
-	ViewRequest *ViewRequest      `cbor:"8,keyasint,omitempty"`
-	View        *View             `cbor:"9,keyasint,omitempty"`
-	Effect      *Effect           `cbor:"10,keyasint,omitempty"`
-	Verdict     *Verdict          `cbor:"11,keyasint,omitempty"`
-	Replace     *Replace          `cbor:"12,keyasint,omitempty"`
-	JobMessage  []byte            `cbor:"13,keyasint,omitempty"` // of a lease's own program, to that of another
-	StoreState  *lease.StoreState `cbor:"14,keyasint,omitempty"`
-	LoadState   *lease.LoadState  `cbor:"15,keyasint,omitempty"`
-	Checkpoint  *Checkpoint       `cbor:"16,keyasint,omitempty"`
-	Config      *config.Message   `cbor:"17,keyasint,omitempty"` // may ride on a Members message
-	Leader      *LeaderHint       `cbor:"18,keyasint,omitempty"` // may ride on a Members message
+	Members        *members.Message  `cbor:"1,keyasint,omitempty"`
+	Quorum         *quorum.Message   `cbor:"2,keyasint,omitempty"`
+	Renew          *lease.Renew      `cbor:"3,keyasint,omitempty"`
+	RenewResponse  *RenewResponse    `cbor:"4,keyasint,omitempty"`
+	Offer          *Offer            `cbor:"5,keyasint,omitempty"`
+	Release        *lease.Release    `cbor:"6,keyasint,omitempty"`
+	Prefer         *lease.Prefer     `cbor:"7,keyasint,omitempty"`
+	ViewRequest    *ViewRequest      `cbor:"8,keyasint,omitempty"`
+	View           *View             `cbor:"9,keyasint,omitempty"`
+	Effect         *Effect           `cbor:"10,keyasint,omitempty"`
+	EffectResponse *EffectResponse   `cbor:"11,keyasint,omitempty"`
+	Replace        *Replace          `cbor:"12,keyasint,omitempty"`
+	JobMessage     []byte            `cbor:"13,keyasint,omitempty"` // from a job to another controller's
+	StoreState     *lease.StoreState `cbor:"14,keyasint,omitempty"`
+	LoadState      *lease.LoadState  `cbor:"15,keyasint,omitempty"`
+	Checkpoint     *Checkpoint       `cbor:"16,keyasint,omitempty"`
+	Config         *config.Message   `cbor:"17,keyasint,omitempty"`
+	Leader         *LeaderHint       `cbor:"18,keyasint,omitempty"`
 }
 
-// Checkpoint is the state that the holders of a lease hand on, agreed on by a StoreState or LoadState of its holder.
+// Checkpoint is the state that the holders of a lease hand on, as agreed on by a StoreState or
+// LoadState of its holder.
 type Checkpoint struct {
 	To     lease.Holder `cbor:"1,keyasint"`
 	Grant  lease.Grant  `cbor:"2,keyasint"`
@@ -37,17 +39,22 @@
 	Data   []byte       `cbor:"4,keyasint"`
 }
 
-// Granted answers a Renew, when the quorum has agreed on it.
-type Granted struct {
-	Sequence uint64        `cbor:"1,keyasint"`
-	Held     []lease.Grant `cbor:"2,keyasint"`
-	Lost     []lease.Grant `cbor:"3,keyasint,omitempty"` // claims that do not hold
-	Yield    []lease.Name  `cbor:"4,keyasint,omitempty"` // to be given up: an operator wants them elsewhere
-	Leader   members.ID    `cbor:"5,keyasint"`
-	To       lease.Holder  `cbor:"6,keyasint"` // tokens of another run count from the beginning too
+// RenewResponse answers a Renew, when the quorum has agreed on it.
+type RenewResponse struct {
+	// Sequence is that of the renewal; 0 if the response is to a Release.
+	Sequence uint64 `cbor:"1,keyasint"`
+	// Valid are the grants that are renewed, Invalid those that the holder no longer holds.
+	Valid   []lease.Grant `cbor:"2,keyasint"`
+	Invalid []lease.Grant `cbor:"3,keyasint,omitempty"`
+	// Yield are the leases to be released: an operator prefers another holder, or they are no
+	// longer declared.
+	Yield  []lease.Name `cbor:"4,keyasint,omitempty"`
+	Leader members.ID   `cbor:"5,keyasint"`
+	// To is the holder's run: the sequences of another run begin anew.
+	To lease.Holder `cbor:"6,keyasint"`
 }
 
-// Offer tells the receiver's run that it holds a lease.
+// Offer notifies a holder that it was assigned a lease.
 type Offer struct {
 	To    lease.Holder `cbor:"1,keyasint"`
 	Grant lease.Grant  `cbor:"2,keyasint"`
@@ -56,7 +63,7 @@
 // ViewRequest asks a member of the quorum for its view.
 type ViewRequest struct{}
 
-// View is what a member of the quorum knows: it may be late. Leader is empty if it knows none.
+// View is what a member of the quorum knows. It may be stale. Leader is empty if it knows none.
 type View struct {
 	Leader members.ID    `cbor:"1,keyasint"`
 	Voters []members.ID  `cbor:"2,keyasint"`
@@ -65,23 +72,34 @@
 	Changed uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Effect is what a holder does at another controller.
+// Effect is what a holder of a lease does at another controller.
 type Effect struct {
 	Grant lease.Grant `cbor:"1,keyasint"`
-	ID    uint64      `cbor:"2,keyasint"`
+	ID    uint64      `cbor:"2,keyasint"` // the sender's number of the effect
 	Data  []byte      `cbor:"3,keyasint"`
 }
 
-// Verdict answers an Effect: whether it was taken and, if not, for which fencing token it is refused.
-type Verdict struct {
-	Lease    lease.Name  `cbor:"1,keyasint"`
-	ID       uint64      `cbor:"2,keyasint"`
-	Seen     lease.Token `cbor:"3,keyasint"`
-	Accepted bool        `cbor:"4,keyasint"`
+// EffectResponse answers an Effect.
+type EffectResponse struct {
+	Lease lease.Name `cbor:"1,keyasint"`
+	ID    uint64     `cbor:"2,keyasint"`
+	// HighestToken is the highest fencing token seen of the lease; lower ones are rejected.
+	HighestToken lease.Token `cbor:"3,keyasint"`
+	Accepted     bool        `cbor:"4,keyasint"`
 }
 
-// Replace is an operator's command to replace a voter.
+// Replace is an operator's command to replace a voter; Successor is empty if it is to be removed.
 type Replace struct {
-	Old  members.ID `cbor:"1,keyasint"`
-	With members.ID `cbor:"2,keyasint"`
+	Old       members.ID `cbor:"1,keyasint"`
+	Successor members.ID `cbor:"2,keyasint"`
+}
+
+// LeaderHint names the quorum's leader of a term, and how far the quorum's view has changed. It
+// accompanies membership messages, so that a controller that is no voter learns of both by gossip.
+// In a fleet of hundreds the voters could not answer all controllers each few seconds.
+type LeaderHint struct {
+	ID   members.ID `cbor:"1,keyasint"`
+	Term uint64     `cbor:"2,keyasint"`
+	// Changed is the quorum's ChangedIndex; 0: unknown.
+	Changed uint64 `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -1,7 +1,3 @@
-// Package node is one controller's part in a fleet as a whole: membership, the quorum, the leases it holds and what it
-// lets pass, with the messages in which they reach others. It is free of I/O and clocks, like all it puts together: a
-// goroutine with sockets and a disk drives it in the daemon, a queue of events drives hundreds of it in virtual time, and
-// both run the same program. It stands beside the loop, which neither waits for it nor asks it.
 package node
 
 import (
@@ -14,97 +10,84 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Facts are what a controller is told at its start.
-type Facts struct {
-	Self     members.Member // Run is that of this start
-	Seeds    []members.Member
-	Founders []members.ID // of the quorum
-	Leases   []lease.Name // that there are to be
-	Terms    lease.Timing
-	Pace     members.Config
-	Disk     uint64 // drawn: of the next incarnation in the quorum
-	Seed     int64
-	Config   *ConfigFacts // nil: the fleet does not agree on configuration
-}
-
-const (
-	offerInterval   = 1000.0
-	releaseInterval = 300.0   // between two messages that tell of a release,
-	releaseTimeout  = 10000.0 // for so long
-	maxReleases     = 256
-	maxAsked        = 4096
-)
-
-// Node is one controller's. It is for one goroutine.
+// Node is one controller of a fleet. It is for one goroutine.
 type Node struct {
-	facts   Facts
-	now     float64
-	members *members.Table
-	quorum  *quorum.Replica
-	leases  *lease.Manager // nil: this one does not lead
-	client  *lease.Client
-	fencing *lease.FencingCheck
-	out     Output
-
-	leader       members.ID // as far as this one knows
-	leaderTerm   uint64     // of the quorum, in which leader leads
-	rng          *rand.Rand
-	voters       []members.ID
-	leaseView    []lease.Lease
-	viewAt       float64 // to be asked for anew
-	viewChanged  uint64  // the quorum's ChangedIndex as of the view that this one has
-	changed      uint64  // the highest ChangedIndex that this one has heard of
-	offerAt      float64
-	manageAt     float64
-	nextVoter    int // the index of the voter to ask next
-	heardAt      float64
-	ref          uint64
-	asked        map[uint64]bool // what this one proposed and is to be answered
-	renewals     renewalBatch
-	stopping     bool
-	wholeOut     bool
-	released     []releasedLease
-	releaseAt    float64
-	preferences  []pendingPreference
-	preferenceAt float64
-	config       *config.Replica // nil: off
-	configSeen   configSeen
+	cfg Config
+	rng *rand.Rand
+	now float64 // ms, the latest time passed in
+	out Output
+
+	members      *members.Table
+	quorum       *quorum.Replica
+	leaseManager *lease.Manager // nil: this controller does not lead
+	leaseClient  *lease.Client
+	fencing      *lease.FencingCheck
+	config       *config.Replica // nil: the fleet does not agree on configuration
+
+	// What this controller knows of the quorum by messages, if it is no member.
+	leader knownLeader
+	view   quorumView
+
+	// As the leader.
+	manageAt       float64 // ms, when it looks at the leases next
+	offerAt        float64 // ms, when it repeats offers next
+	lastRef        uint64  // of this controller's proposals
+	unansweredRefs map[uint64]bool
+	renewals       renewalBatch
+
+	// As a holder.
+	stopping            bool // Stop was called
+	unconfirmedReleases []unconfirmedRelease
+	sendReleasesAt      float64 // ms
+
+	// Operators' commands.
+	pendingPreferences []pendingPreference
+	sendPreferencesAt  float64 // ms
+
+	compactionPending bool        // a Compaction is out
+	lastQuorumState   quorumState // as last notified to config
 }
 
-// New begins with what the quorum's records tell, and with the fencing tokens that the fencing check had seen, where these were kept.
-func New(f Facts, kept []quorum.Record, seen map[lease.Name]lease.Token, now float64) (*Node, error) {
-	quorumFacts := quorum.Config{Self: f.Self.ID, Founders: f.Founders, Run: f.Self.Run, NextDisk: f.Disk, Seed: f.Seed + 1}
-	replica, err := quorum.New(quorumFacts, kept, now)
+// New returns a node that goes on from the quorum's records of its folder, and from the fencing
+// tokens that were stored; nil: none. It fails if quorum.New fails.
+func New(cfg Config, records []quorum.Record, tokens map[lease.Name]lease.Token, now float64) (*Node, error) {
+	replica, err := quorum.New(cfg.quorumConfig(), records, now)
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		facts:   f,
-		now:     now,
-		quorum:  replica,
-		members: members.New(f.Self, f.Seeds, f.Pace, f.Seed, now),
-		client:  lease.NewClient(lease.Holder{ID: f.Self.ID, Run: f.Self.Run}, f.Terms),
-		fencing: lease.NewFencingCheck(seen),
-		voters:  slices.Clone(f.Founders),
-		viewAt:  now,
-		rng:     rand.New(rand.NewSource(f.Seed + 4)),
-		asked:   map[uint64]bool{},
-		ref:     uint64(rand.New(rand.NewSource(f.Seed + 2)).Int63()),
+		cfg:            cfg,
+		now:            now,
+		rng:            rand.New(rand.NewSource(cfg.Seed + 4)),
+		members:        members.New(cfg.Self, cfg.Seeds, cfg.Membership, cfg.Seed, now),
+		quorum:         replica,
+		leaseClient:    lease.NewClient(lease.Holder{ID: cfg.Self.ID, Run: cfg.Self.Run}, cfg.LeaseTiming),
+		fencing:        lease.NewFencingCheck(tokens),
+		view:           quorumView{voters: slices.Clone(cfg.Founders), requestAt: now},
+		lastRef:        uint64(rand.New(rand.NewSource(cfg.Seed + 2)).Int63()),
+		unansweredRefs: map[uint64]bool{},
 	}
-	if len(f.Founders) > 0 { // controllers that start together begin with different voters
-		n.nextVoter = n.rng.Intn(len(f.Founders))
+	if len(cfg.Founders) > 0 { // controllers that start together begin with different voters
+		n.view.nextVoter = n.rng.Intn(len(cfg.Founders))
 	}
 	n.startConfig()
 	return n, nil
 }
 
-// Receive takes in a message that a controller of this fleet and generation is proved to have sent.
+// Receive handles a message. The transport must have authenticated from as a controller of this
+// fleet and generation.
 func (n *Node) Receive(now float64, from members.ID, m *Message) {
 	n.now = max(n.now, now)
 	if m.Config != nil && n.config != nil {
 		n.config.Receive(n.now, from, m.Config)
 	}
-	n.receiveLeaderHint(m.Leader)
+	n.handleLeaderHint(m.Leader)
+	n.dispatch(from, m)
+	n.process()
+}
+
+// dispatch passes a message of another controller to its handler.
+func (n *Node) dispatch(from members.ID, m *Message) {
 	switch {
 	case m.Members != nil:
 		n.members.Receive(n.now, from, *m.Members)
@@ -112,14 +95,13 @@
 		n.quorum.Receive(n.now, from, m.Quorum)
 	case m.Renew != nil:
 		if m.Renew.Holder.ID == from {
-			n.renew(from, m.Renew)
+			n.handleRenew(from, m.Renew)
 		}
-	case m.Granted != nil:
-		n.granted(m.Granted)
+	case m.RenewResponse != nil:
+		n.handleRenewResponse(m.RenewResponse)
 	case m.Offer != nil:
-		if m.Offer.To == n.self() && !n.stopping {
-			n.leader, n.heardAt = from, n.now // only a leader offers
-			n.client.AcceptOffer(n.now, m.Offer.Grant)
+		if n.handleOffer(m.Offer) {
+			n.leader.hear(from, n.now) // only a leader sends offers
 		}
 	case m.Release != nil:
 		n.proposeOrForward(from, m, lease.Command{Release: m.Release})
@@ -130,26 +112,25 @@
 	case m.LoadState != nil:
 		n.proposeOrForward(from, m, lease.Command{LoadState: m.LoadState})
 	case m.Checkpoint != nil:
-		n.receiveCheckpoint(m.Checkpoint)
+		n.handleCheckpoint(m.Checkpoint)
 	case m.Replace != nil:
 		if !n.forward(from, m) {
-			n.quorum.Replace(m.Replace.Old, m.Replace.With)
+			n.quorum.Replace(m.Replace.Old, m.Replace.Successor)
 		}
 	case m.ViewRequest != nil:
-		n.send(from, Message{View: n.viewOf()})
+		n.send(from, Message{View: n.ownView()})
 	case m.View != nil:
-		n.receiveView(m.View)
+		n.handleView(m.View)
 	case m.Effect != nil:
-		n.effect(from, m.Effect)
-	case m.Verdict != nil:
-		n.out.Verdicts = append(n.out.Verdicts, *m.Verdict)
+		n.handleEffect(from, m.Effect)
+	case m.EffectResponse != nil:
+		n.out.EffectResponses = append(n.out.EffectResponses, *m.EffectResponse)
 	case m.JobMessage != nil:
-		n.out.JobMessages = append(n.out.JobMessages, JobMessage{from, m.JobMessage})
+		n.out.JobMessages = append(n.out.JobMessages, JobMessage{From: from, Data: m.JobMessage})
 	}
-	n.turn()
 }
 
-// Tick takes in that time has passed.
+// Tick advances the time and does what is due.
 func (n *Node) Tick(now float64) {
 	n.now = max(n.now, now)
 	n.members.Tick(n.now)
@@ -157,93 +138,99 @@
 	if n.config != nil {
 		n.config.Tick(n.now)
 	}
-	n.turn()
+	n.process()
 }
 
-// Advance takes in that a batch is durable.
-func (n *Node) Advance(now float64, b *quorum.Ready) {
-	n.now = max(n.now, now)
-	n.quorum.Advance(n.now, b)
-	n.turn()
-}
-
-// Compacted takes in that a whole record is durable.
-func (n *Node) Compacted(now float64, r *quorum.Record) {
-	n.now = max(n.now, now)
-	n.quorum.Compacted(r)
-	n.wholeOut = false
-	n.turn()
-}
-
-// Next is when Tick is to be called at the latest.
+// Next returns when Tick is to be called at the latest, in ms.
 func (n *Node) Next() float64 {
-	next := min(n.members.Next(), n.quorum.Next(), n.client.Next(n.now))
-	if n.leases != nil {
+	next := min(n.members.Next(), n.quorum.Next(), n.leaseClient.Next(n.now))
+	if n.leaseManager != nil {
 		next = min(next, n.manageAt)
 	}
 	if len(n.renewals.list) > 0 {
 		next = min(next, n.renewals.proposeAt)
 	}
-	if len(n.released) > 0 {
-		next = min(next, n.releaseAt)
+	if len(n.unconfirmedReleases) > 0 {
+		next = min(next, n.sendReleasesAt)
 	}
-	if len(n.preferences) > 0 {
-		next = min(next, n.preferenceAt)
+	if len(n.pendingPreferences) > 0 {
+		next = min(next, n.sendPreferencesAt)
 	}
-	next = min(next, n.viewAt)
+	next = min(next, n.view.requestAt)
 	if n.config != nil {
 		next = min(next, n.config.Next())
 	}
 	return max(next, n.now)
 }
 
-func (n *Node) self() lease.Holder { return lease.Holder{ID: n.facts.Self.ID, Run: n.facts.Self.Run} }
+// Advance continues after a Ready whose record is durable.
+func (n *Node) Advance(now float64, ready *quorum.Ready) {
+	n.now = max(n.now, now)
+	n.quorum.Advance(n.now, ready)
+	n.process()
+}
+
+// Compacted continues after a Compaction became durable.
+func (n *Node) Compacted(now float64, record *quorum.Record) {
+	n.now = max(n.now, now)
+	n.quorum.Compacted(record)
+	n.compactionPending = false
+	n.process()
+}
 
-// Stop gives up all leases, says that this one ends, and takes on no more.
+// Stop releases all leases and announces that this controller shuts down. It takes on no lease from
+// then on.
 func (n *Node) Stop(now float64) {
 	n.now = max(n.now, now)
 	n.stopping = true
-	for _, c := range n.client.Held(n.now) {
-		n.Release(n.now, c.Name, false)
+	for _, grant := range n.leaseClient.Held(n.now) {
+		n.Release(n.now, grant.Name, false)
 	}
 	n.members.Leave(n.now)
-	n.turn()
-}
-
-// Trust carries out an operator's command that says that this voter's folder is the latest.
-func (n *Node) Trust(now float64) bool {
-	n.now = max(n.now, now)
-	ok := n.quorum.TrustDisk()
-	n.turn()
-	return ok
+	n.process()
 }
 
-// SetWilling says whether this one would take on leases.
+// SetWilling sets whether this controller would take on leases.
 func (n *Node) SetWilling(now float64, willing bool) {
 	n.members.SetWilling(now, willing && !n.stopping)
 }
 
-// turn lets each part do what is to be done by now.
-func (n *Node) turn() {
-	for range 4 { // what one part says to another of the same controller is heard at once
-		n.lead()
+// process lets each part do what is due, and collects what there is to send and report.
+func (n *Node) process() {
+	for range maxProcessRounds { // what one part sends to another of this node is handled at once
+		n.leadQuorum()
 		n.renewLeases()
 		n.proposeRenewals()
 		n.sendReleases()
 		n.sendPreferences()
-		if n.now >= n.viewAt {
+		if n.now >= n.view.requestAt {
 			n.requestView()
 		}
-		if !n.applyAgreed() {
+		if !n.handleApplied() {
 			break
 		}
 	}
-	n.turnConfig()
+	n.processConfig()
 	n.sendMembership()
 	for _, m := range n.quorum.TakeMessages() {
 		n.send(m.To.Name, Message{Quorum: &m})
 	}
 	n.out.Changes = append(n.out.Changes, n.members.TakeChanges()...)
-	began, ended := n.client.TakeChanges(n.now)
-	n.out.Began, n.out.Ended = append(n.out.Began, began...), append(n.out.Ended, ended...)
+	began, ended := n.leaseClient.TakeChanges(n.now)
+	n.out.Began = append(n.out.Began, began...)
+	n.out.Ended = append(n.out.Ended, ended...)
+}
+
+// holder returns this run of the controller, as a holder of leases.
+func (n *Node) holder() lease.Holder {
+	return lease.Holder{ID: n.cfg.Self.ID, Run: n.cfg.Self.Run}
 }
+
+// Members returns all members that this controller knows, itself among them.
+func (n *Node) Members() []members.Member { return n.members.Members() }
+
+// Quorum returns this controller's replica in the quorum, to be read.
+func (n *Node) Quorum() *quorum.Replica { return n.quorum }
+
+// Table returns this controller's view of the membership, to be read.
+func (n *Node) Table() *members.Table { return n.members }
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -7,46 +7,52 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Send is a message to be sent.
-type Send struct {
+// Output is what the caller has to carry out; the package page says in which order.
+type Output struct {
+	Messages   []Envelope
+	Ready      *quorum.Ready  // its record is to be made durable, then passed to Advance
+	Compaction *quorum.Record // to be made durable, then passed to Compacted
+
+	Began       []lease.Grant // this controller holds these leases from now on
+	Ended       []lease.Grant // and no longer these
+	Checkpoints []Checkpoint  // states of leases that it holds
+	JobMessages []JobMessage
+
+	Changes []members.Change
+
+	TokensRaised    bool // FencingTokens has a higher token than before
+	Effects         []AcceptedEffect
+	EffectResponses []EffectResponse
+
+	Config config.Output // its messages are among Messages
+}
+
+// Envelope is a message to be sent to a controller at an address; empty: the address is not known.
+type Envelope struct {
 	To      members.ID
 	Addr    string
 	Message Message
 }
 
-// Accepted is an effect that has passed the fencing check here.
-type Accepted struct {
+// AcceptedEffect is an effect that passed the fencing check of this controller.
+type AcceptedEffect struct {
 	From   members.ID
 	Effect Effect
 }
 
-// JobMessage is what another controller's program of a lease said to this one's.
+// JobMessage is a message from a lease's job at another controller to the same job here.
 type JobMessage struct {
 	From members.ID
 	Data []byte
 }
 
-// Output is what is to be done after some input.
-type Output struct {
-	Sends       []Send
-	Ready       *quorum.Ready  // to be made durable, then Saved; nothing of it has an effect before
-	Compaction  *quorum.Record // the same of a whole record that replaces all before it, then Kept
-	Began       []lease.Grant  // this controller holds these from now on
-	Ended       []lease.Grant  // and no longer these
-	Changes     []members.Change
-	Effects     []Accepted
-	Verdicts    []Verdict
-	JobMessages []JobMessage
-	Checkpoints []Checkpoint
-	Seen        bool          // the fencing check has seen a higher fencing token
-	Config      config.Output // its Sends are among Sends
-}
-
-// Take hands over what is to be done.
+// Take returns what is to be carried out since the last call. At most one of Ready and Compaction
+// is out at a time.
 func (n *Node) Take() Output {
-	if n.out.Ready == nil && !n.wholeOut {
-		if whole := n.quorum.Compact(); whole != nil {
-			n.out.Compaction, n.wholeOut = whole, true
+	if n.out.Ready == nil && !n.compactionPending {
+		if record := n.quorum.Compact(); record != nil {
+			n.out.Compaction = record
+			n.compactionPending = true
 		} else {
 			n.out.Ready = n.quorum.Ready()
 		}
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -1,157 +1,112 @@
 package node
 
 import (
-	"slices"
-
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
-	"mintkeel/internal/core/fleet/quorum"
 )
 
-// send hands a message out, or to this one itself.
+// send hands a message out, or handles it at once if it is to this controller itself.
 func (n *Node) send(to members.ID, m Message) {
-	if to == n.facts.Self.ID {
-		n.receiveOwn(m)
+	if to == n.cfg.Self.ID {
+		n.receiveLocal(m)
 		return
 	}
 	addr := ""
-	if about, ok := n.members.Lookup(to); ok {
-		addr = about.Addr
+	if member, known := n.members.Lookup(to); known {
+		addr = member.Addr
 	}
-	n.out.Sends = append(n.out.Sends, Send{to, addr, m})
+	n.out.Messages = append(n.out.Messages, Envelope{To: to, Addr: addr, Message: m})
 }
 
-// receiveOwn takes in what this one says to itself, where it is holder and leader at once.
-func (n *Node) receiveOwn(m Message) {
+// receiveLocal handles a message of this controller to itself, which is holder and leader at once.
+func (n *Node) receiveLocal(m Message) {
+	self := n.cfg.Self.ID
 	switch {
 	case m.Renew != nil:
-		n.renew(n.facts.Self.ID, m.Renew)
-	case m.Granted != nil:
-		n.granted(m.Granted)
+		n.handleRenew(self, m.Renew)
+	case m.RenewResponse != nil:
+		n.handleRenewResponse(m.RenewResponse)
 	case m.Offer != nil:
-		if m.Offer.To == n.self() && !n.stopping {
-			n.client.AcceptOffer(n.now, m.Offer.Grant)
-		}
+		n.handleOffer(m.Offer)
 	case m.Release != nil:
-		n.propose(n.facts.Self.ID, lease.Command{Release: m.Release})
+		n.propose(self, lease.Command{Release: m.Release})
 	case m.Prefer != nil:
-		n.propose(n.facts.Self.ID, lease.Command{Prefer: m.Prefer})
+		n.propose(self, lease.Command{Prefer: m.Prefer})
 	case m.StoreState != nil:
-		n.propose(n.facts.Self.ID, lease.Command{StoreState: m.StoreState})
+		n.propose(self, lease.Command{StoreState: m.StoreState})
 	case m.LoadState != nil:
-		n.propose(n.facts.Self.ID, lease.Command{LoadState: m.LoadState})
+		n.propose(self, lease.Command{LoadState: m.LoadState})
 	case m.Checkpoint != nil:
-		n.receiveCheckpoint(m.Checkpoint)
+		n.handleCheckpoint(m.Checkpoint)
 	case m.Replace != nil:
-		n.quorum.Replace(m.Replace.Old, m.Replace.With)
+		n.quorum.Replace(m.Replace.Old, m.Replace.Successor)
 	case m.Effect != nil:
-		n.effect(n.facts.Self.ID, m.Effect)
-	case m.Verdict != nil:
-		n.out.Verdicts = append(n.out.Verdicts, *m.Verdict)
+		n.handleEffect(self, m.Effect)
+	case m.EffectResponse != nil:
+		n.out.EffectResponses = append(n.out.EffectResponses, *m.EffectResponse)
 	case m.JobMessage != nil:
-		n.out.JobMessages = append(n.out.JobMessages, JobMessage{n.facts.Self.ID, m.JobMessage})
+		n.out.JobMessages = append(n.out.JobMessages, JobMessage{From: self, Data: m.JobMessage})
 	}
 }
 
-// propose asks for something to be agreed on. What a leader applies again after a restart was not asked of it, and is not
-// answered: it may be of any age.
+// propose proposes a command to the quorum, if this controller leads it. The proposer is answered
+// when the command is applied. What a leader applies again after a restart was not proposed by this
+// run, may be of any age, and is not answered.
 func (n *Node) propose(by members.ID, c lease.Command) bool {
-	n.ref++
-	if !n.quorum.Propose(by, n.ref, c) {
+	n.lastRef++
+	if !n.quorum.Propose(by, n.lastRef, c) {
 		return false
 	}
-	n.expectAnswer(n.ref)
+	n.expectAnswer(n.lastRef)
 	return true
 }
 
-// expectAnswer notes that a proposal of this number is to be answered once it is agreed on.
+// expectAnswer records that a proposal is to be answered when it is applied.
 func (n *Node) expectAnswer(ref uint64) {
-	if len(n.asked) >= maxAsked {
-		clear(n.asked) // a requester that is not answered asks again
+	if len(n.unansweredRefs) >= maxUnanswered {
+		clear(n.unansweredRefs) // their senders repeat what is not answered
 	}
-	n.asked[ref] = true
+	n.unansweredRefs[ref] = true
 }
 
-// proposeOrForward proposes a command, or passes the message on to the leader.
+// proposeOrForward proposes a command, or forwards its message to the leader.
 func (n *Node) proposeOrForward(from members.ID, m *Message, c lease.Command) {
 	if !n.forward(from, m) {
 		n.propose(from, c)
 	}
 }
 
-// forward passes a message on to the leader, if that is neither this controller nor the sender.
+// forward forwards a message to the leader, if that is neither this controller nor the sender, and
+// tells whether it did.
 func (n *Node) forward(from members.ID, m *Message) bool {
-	lead := n.quorum.Leader()
-	if n.quorum.Leads() || lead == "" || lead == n.facts.Self.ID || lead == from {
+	leader := n.quorum.Leader()
+	if n.quorum.Leads() || leader == "" || leader == n.cfg.Self.ID || leader == from {
 		return false
 	}
-	n.send(lead, *m)
+	n.send(leader, *m)
 	return true
 }
 
-// HandOver carries out an operator's command to hand a lease over to another controller.
-func (n *Node) HandOver(now float64, w lease.Name, to members.ID) {
-	n.now = max(n.now, now)
-	n.preferences = slices.DeleteFunc(n.preferences, func(o pendingPreference) bool { return o.want.Name == w })
-	if len(n.preferences) < maxReleases {
-		n.preferences = append(n.preferences, pendingPreference{&lease.Prefer{Name: w, To: to}, n.now + releaseTimeout})
-	}
-	n.preferenceAt = n.now
-	n.sendPreferences()
-	n.turn()
-}
-
-// pendingPreference is an operator's command that the quorum may not have received yet.
-type pendingPreference struct {
-	want  *lease.Prefer
-	until float64
-}
-
-// sendPreferences sends operators' commands again until they show in the agreed state: the first may reach one that does not lead.
-func (n *Node) sendPreferences() {
-	list, _ := n.Leases()
-	n.preferences = slices.DeleteFunc(n.preferences, func(o pendingPreference) bool {
-		return n.now > o.until || slices.ContainsFunc(list, func(g lease.Lease) bool {
-			return g.Name == o.want.Name && (g.Preferred == o.want.To || g.Holder.ID == o.want.To)
-		})
-	})
-	if len(n.preferences) == 0 || n.now < n.preferenceAt {
-		return
-	}
-	n.preferenceAt = n.now + offerInterval
-	for _, o := range n.preferences {
-		n.toLeader(Message{Prefer: o.want})
-	}
-	n.viewAt = min(n.viewAt, n.now+offerInterval/2)
-}
-
-// ReplaceVoter carries out an operator's command to replace a voter.
-func (n *Node) ReplaceVoter(now float64, old, with members.ID) {
-	n.now = max(n.now, now)
-	n.toLeader(Message{Replace: &Replace{old, with}})
-	n.turn()
-}
-
-// toLeader sends to whoever is said to lead; if nobody is, to one of the quorum after another.
-func (n *Node) toLeader(m Message) {
+// sendToLeader sends a message to the leader. If no leader is known, or none was heard from for
+// some time, it goes to the members of the quorum in turn: one that does not lead forwards it, or
+// answers with its view.
+func (n *Node) sendToLeader(m Message) {
 	if n.quorum.Leads() {
-		n.receiveOwn(m)
+		n.receiveLocal(m)
 		return
 	}
-	if lead := n.quorum.Leader(); lead != "" {
-		n.leader = lead
+	if leader := n.quorum.Leader(); leader != "" {
+		n.leader.id = leader
 	}
-	to := n.leader
-	if to == "" || n.now > n.heardAt+n.facts.Terms.RenewInterval()*2 || to == n.facts.Self.ID {
-		names := n.voters
-		if standing, _ := n.quorum.Role(); standing != quorum.NonMember {
-			names = n.quorum.MemberNames()
-		}
-		if n.nextVoter++; len(names) > 0 {
-			to = names[n.nextVoter%len(names)]
+	to := n.leader.id
+	timeout := n.cfg.LeaseTiming.RenewInterval() * leaderTimeoutRenewals
+	if to == "" || to == n.cfg.Self.ID || n.now > n.leader.heardAt+timeout {
+		n.view.nextVoter++
+		if names := n.Voters(); len(names) > 0 {
+			to = names[n.view.nextVoter%len(names)]
 		}
 	}
-	if to != "" && to != n.facts.Self.ID {
+	if to != "" && to != n.cfg.Self.ID {
 		n.send(to, m)
 	}
 }
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -6,83 +6,121 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-func (n *Node) viewOf() *View {
-	v := &View{Leader: n.quorum.Leader(), Voters: n.quorum.MemberNames()}
-	if standing, _ := n.quorum.Role(); standing == quorum.NonMember {
-		v.Leader, v.Voters = n.leader, n.voters
-	} else {
-		v.Leases, v.Changed = n.quorum.State().List(), n.quorum.ChangedIndex()
-		for i := range v.Leases { // the state of a lease is for its holders
-			v.Leases[i].State = nil
-		}
+// knownLeader is the quorum's leader as this controller knows it by messages.
+type knownLeader struct {
+	id      members.ID // empty: none
+	term    uint64     // of the quorum, in which id leads
+	heardAt float64    // ms, when the leader, or a member's view of it, was last heard
+}
+
+// hear records that a leader was heard.
+func (l *knownLeader) hear(id members.ID, now float64) {
+	l.id = id
+	l.heardAt = now
+}
+
+// quorumView is the quorum as its members have told it to this controller, which is no member.
+type quorumView struct {
+	voters       []members.ID
+	leases       []lease.Lease
+	changedIndex uint64  // the quorum's ChangedIndex as of leases
+	latestIndex  uint64  // the highest ChangedIndex heard of
+	requestAt    float64 // ms, when the view is requested next
+	nextVoter    int     // counts the members asked in turn
+}
+
+// ownView returns what this controller knows of the quorum, to be sent.
+func (n *Node) ownView() *View {
+	role, _ := n.quorum.Role()
+	if role == quorum.NonMember {
+		return &View{Leader: n.leader.id, Voters: n.view.voters}
+	}
+	v := &View{
+		Leader:  n.quorum.Leader(),
+		Voters:  n.quorum.MemberNames(),
+		Leases:  n.quorum.State().List(),
+		Changed: n.quorum.ChangedIndex(),
+	}
+	for i := range v.Leases {
+		v.Leases[i].State = nil // the state of a lease is for its holders alone
 	}
 	return v
 }
 
-func (n *Node) receiveView(v *View) {
+// handleView handles a member's view of the quorum.
+func (n *Node) handleView(v *View) {
 	if v.Leader != "" {
-		if n.leader != v.Leader { // what it asked of another comes too late if it waits for its turn
-			n.client.RenewNow(n.now)
+		if n.leader.id != v.Leader { // the last renewal went to a controller that does not lead
+			n.leaseClient.RenewNow(n.now)
 		}
-		n.leader, n.heardAt = v.Leader, n.now
+		n.leader.hear(v.Leader, n.now)
 	}
 	if len(v.Voters) > 0 {
-		n.voters = v.Voters
+		n.view.voters = v.Voters
 	}
 	if v.Leases != nil {
-		n.leaseView = v.Leases
+		n.view.leases = v.Leases
 		n.raiseTokens(v.Leases)
 	}
-	n.viewChanged = max(n.viewChanged, v.Changed)
-	n.changed = max(n.changed, v.Changed)
+	n.view.changedIndex = max(n.view.changedIndex, v.Changed)
+	n.view.latestIndex = max(n.view.latestIndex, v.Changed)
 	if n.viewIsCurrent() {
-		n.viewAt = n.nextView()
+		n.view.requestAt = n.nextView()
 	}
 }
 
-// raiseTokens takes in which fencing tokens have begun: one that restarted and lost what its fencing check had seen learns it again.
-func (n *Node) raiseTokens(grants []lease.Lease) {
-	before := n.fencing.Seen()
-	for _, g := range grants {
-		if g.Token > before[g.Name] {
-			n.fencing.Raise(g.Name, g.Token)
-			n.out.Seen = true
-		}
+// requestView requests the quorum's view, unless this controller leads it.
+func (n *Node) requestView() {
+	n.view.requestAt = n.nextView()
+	if !n.quorum.Leads() {
+		n.sendToLeader(Message{ViewRequest: &ViewRequest{}})
 	}
 }
 
-// Members are all that this one knows, itself among them.
-func (n *Node) Members() []members.Member { return n.members.Members() }
-
-// Quorum is this one's part of it.
-func (n *Node) Quorum() *quorum.Replica { return n.quorum }
+// viewIsCurrent tells whether nothing has changed since the view that this controller has, as far
+// as it has heard.
+func (n *Node) viewIsCurrent() bool {
+	return n.view.changedIndex > 0 && n.view.changedIndex >= n.view.latestIndex
+}
 
-// Table is this one's view of the members.
-func (n *Node) Table() *members.Table { return n.members }
+// viewWait returns the usual interval between two requests for the view, in ms.
+func (n *Node) viewWait() float64 {
+	if n.leader.id == "" {
+		return viewInterval
+	}
+	return max(viewInterval, viewIntervalPerMember*float64(n.members.Size()))
+}
 
-// Seen are the fencing tokens that the fencing check has seen.
-func (n *Node) Seen() map[lease.Name]lease.Token { return n.fencing.Seen() }
+// nextView returns when the view is to be requested next, in ms.
+func (n *Node) nextView() float64 {
+	interval := n.viewWait()
+	if n.leader.id != "" && n.viewIsCurrent() {
+		interval *= currentViewFactor
+	}
+	return n.now + interval*(1-viewJitterShare+2*viewJitterShare*n.rng.Float64())
+}
 
-// Leases are the leases as this one knows them, and whether it votes itself: else they may be late.
+// Leases returns the leases as this controller knows them, and whether it votes itself: else they
+// may be stale.
 func (n *Node) Leases() (list []lease.Lease, own bool) {
-	if standing, _ := n.quorum.Role(); standing == quorum.Voter {
+	if role, _ := n.quorum.Role(); role == quorum.Voter {
 		return n.quorum.State().List(), true
 	}
-	return n.leaseView, false
+	return n.view.leases, false
 }
 
-// Voters are the quorum's members, as far as this one knows.
+// Voters returns the quorum's members, as far as this controller knows.
 func (n *Node) Voters() []members.ID {
-	if standing, _ := n.quorum.Role(); standing != quorum.NonMember {
+	if role, _ := n.quorum.Role(); role != quorum.NonMember {
 		return n.quorum.MemberNames()
 	}
-	return n.voters
+	return n.view.voters
 }
 
-// Leader is the quorum's leader as far as this one knows; empty: none.
+// Leader returns the quorum's leader, as far as this controller knows; empty: none.
 func (n *Node) Leader() members.ID {
-	if lead := n.quorum.Leader(); lead != "" {
-		return lead
+	if leader := n.quorum.Leader(); leader != "" {
+		return leader
 	}
-	return n.leader
+	return n.leader.id
 }
--- a/internal/fleet/configcontrol.go
+++ b/internal/fleet/configcontrol.go
@@ -270,5 +270,5 @@
 		return
 	}
 	in.config.waiters[ref] = w
-	in.core.Config(in.now(), func(r *config.Replica) { request(in.now(), ref, r) })
+	in.core.WithConfig(in.now(), func(r *config.Replica) { request(in.now(), ref, r) })
 }
--- a/internal/fleet/configservice.go
+++ b/internal/fleet/configservice.go
@@ -226,7 +226,7 @@
 
 // openConfig reads the folder and has the version that is to be in force at a start applied. It returns nil facts where
 // the fleet has no say in this controller's configuration.
-func (in *session) openConfig() (*node.ConfigFacts, error) {
+func (in *session) openConfig() (*node.FleetConfig, error) {
 	c := in.Service.config
 	if c == nil {
 		return nil, nil
@@ -248,7 +248,7 @@
 		return nil, fmt.Errorf("folder of configuration: %w", err)
 	}
 	c.local.Store(&config.Readiness{Number: kept.Current.Number, Latest: kept.Current.Number})
-	return &node.ConfigFacts{Kept: kept}, nil
+	return &node.FleetConfig{Stored: kept}, nil
 }
 
 // openConfigFolder opens the folder, unless the service ends first: a disk that hangs is left to the system.
@@ -419,7 +419,7 @@
 	if c.err != nil {
 		in.Service.log.Warn("fleet: a document of the configuration can't be used here", "hash", c.hash.String(), "why", problemsOf(c.err))
 	}
-	in.core.Config(in.now(), func(r *config.Replica) { r.Checked(in.now(), c.hash, c.err) })
+	in.core.WithConfig(in.now(), func(r *config.Replica) { r.Checked(in.now(), c.hash, c.err) })
 }
 
 // configStored takes in the answer to a StoreRequest.
@@ -431,7 +431,7 @@
 	} else {
 		in.Service.config.stored.Add(1)
 	}
-	in.core.Config(in.now(), func(r *config.Replica) { r.Stored(in.now(), err) })
+	in.core.WithConfig(in.now(), func(r *config.Replica) { r.Stored(in.now(), err) })
 }
 
 // configApplied takes in the answer to an ApplyRequest.
@@ -440,7 +440,7 @@
 	if err != nil {
 		in.Service.log.Warn("fleet: a version of the configuration is not in force here", "tried_again", retryable, "why", problemsOf(err))
 	}
-	in.core.Config(in.now(), func(r *config.Replica) { r.Applied(in.now(), err, retryable) })
+	in.core.WithConfig(in.now(), func(r *config.Replica) { r.Applied(in.now(), err, retryable) })
 	in.observeConfig()
 }
 
@@ -450,7 +450,7 @@
 	if c == nil {
 		return
 	}
-	in.core.Config(in.now(), func(r *config.Replica) {
+	in.core.WithConfig(in.now(), func(r *config.Replica) {
 		local, counts := r.Readiness(), r.Counts()
 		c.local.Store(&local)
 		c.counts.Store(&counts)
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -265,7 +265,7 @@
 		}
 		in.core.ReplaceVoter(in.now(), members.ID(r.Old), members.ID(r.To))
 	case "trust":
-		if !in.core.Trust(in.now()) {
+		if !in.core.TrustDisk(in.now()) {
 			return errors.New("there is nothing to trust: this controller is no voter whose folder is doubted")
 		}
 		in.Service.log.Warn("fleet: the folder is trusted by an operator's command")
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -114,7 +114,7 @@
 	}
 }
 
-func (d *digester) VerdictReceived(node.Verdict) {}
+func (d *digester) VerdictReceived(node.EffectResponse) {}
 
 func (d *digester) StateReceived(Context, node.Checkpoint) {}
 
--- a/internal/fleet/lab.go
+++ b/internal/fleet/lab.go
@@ -45,7 +45,7 @@
 
 func (p *labJob) Began(Context, lease.Grant)             {}
 func (p *labJob) Ended(lease.Grant)                      {}
-func (p *labJob) VerdictReceived(node.Verdict)           {}
+func (p *labJob) VerdictReceived(node.EffectResponse)    {}
 func (p *labJob) StateReceived(Context, node.Checkpoint) {}
 func (p *labJob) Close()                                 { close(p.end) }
 
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -141,7 +141,7 @@
 }
 
 // VerdictReceived is of no use here: an announcement is repeated whatever became of it.
-func (j *MaintenanceJob) VerdictReceived(node.Verdict) {}
+func (j *MaintenanceJob) VerdictReceived(node.EffectResponse) {}
 
 // Tick confirms what this controller holds and, where it holds the lease, makes the next step.
 func (j *MaintenanceJob) Tick(h Context, now float64) {
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -13,7 +13,7 @@
 func (in *session) carryOut() error {
 	for range mostOutputs {
 		out := in.core.Take()
-		for _, m := range out.Sends {
+		for _, m := range out.Messages {
 			in.send(m)
 		}
 		in.tellLeases(out)
@@ -66,7 +66,7 @@
 			p.EffectReceived(in, t.From, t.Effect)
 		}
 	}
-	for _, r := range out.Verdicts {
+	for _, r := range out.EffectResponses {
 		if !r.Accepted {
 			in.counts.turned.Add(1)
 		}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -37,7 +37,7 @@
 	Ended(c lease.Grant)
 	Tick(h Context, now float64)                                         // about each 100 ms
 	EffectReceived(h Context, from members.ID, e node.Effect)            // an effect that passed the fencing check here
-	VerdictReceived(p node.Verdict)                                      // what became of an effect of this one
+	VerdictReceived(p node.EffectResponse)                               // what became of an effect of this one
 	MessageReceived(h Context, from members.ID, data []byte) (mine bool) // a message of another controller's job
 	StateReceived(h Context, s node.Checkpoint)                          // what the holders of a lease hand on, upon ProposeState or RequestState
 	Close()
@@ -293,9 +293,9 @@
 		in.close()
 		return err
 	}
-	facts := node.Facts{Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: in.willing, Run: run}, Leases: s.wantedLeases(),
-		Terms: lease.Timing{Duration: float64(s.block.Lease) / 1e6}, Pace: members.DefaultConfig(), Disk: draw(), Seed: int64(draw() >> 1),
-		Config: configFacts}
+	facts := node.Config{Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: in.willing, Run: run}, Leases: s.wantedLeases(),
+		LeaseTiming: lease.Timing{Duration: float64(s.block.Lease) / 1e6}, Membership: members.DefaultConfig(), NextDisk: draw(), Seed: int64(draw() >> 1),
+		FleetConfig: configFacts}
 	for id, addr := range s.block.Voters {
 		facts.Founders = append(facts.Founders, id)
 		facts.Seeds = append(facts.Seeds, members.Member{ID: id, Addr: addr})
@@ -461,7 +461,7 @@
 	return nil
 }
 
-func (in *session) send(m node.Send) {
+func (in *session) send(m node.Envelope) {
 	payload, err := cbor.Marshal(m.Message)
 	if err != nil {
 		return
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -121,7 +121,7 @@
 }
 
 // configFacts begins a run's part with what the folder holds.
-func (w *World) configFacts(m *machine) *node.ConfigFacts {
+func (w *World) configFacts(m *machine) *node.FleetConfig {
 	if w.config == nil {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	}
 	m.config.inForce = disk.current
 	m.config.pending = map[uint64]configPending{}
-	return &node.ConfigFacts{Kept: config.Kept{Current: disk.current, Documents: maps.Clone(disk.documents)}}
+	return &node.FleetConfig{Stored: config.Kept{Current: disk.current, Documents: maps.Clone(disk.documents)}}
 }
 
 // olderDisk is the latest copy with a lower version than the folder's.
@@ -210,7 +210,7 @@
 			return
 		}
 		w.deliver(m, func() {
-			m.core.Config(w.local(m), func(r *config.Replica) { r.Checked(w.local(m), c.Hash, m.checkDocument(c.Document)) })
+			m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Checked(w.local(m), c.Hash, m.checkDocument(c.Document)) })
 		})
 	})
 }
@@ -221,7 +221,7 @@
 	took := m.diskMS * (0.5 + w.rng.Float64())
 	running := func() bool { return m.run == run && m.core != nil }
 	answer := func(err error) {
-		w.deliver(m, func() { m.core.Config(w.local(m), func(r *config.Replica) { r.Stored(w.local(m), err) }) })
+		w.deliver(m, func() { m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Stored(w.local(m), err) }) })
 	}
 	w.at(w.now+took/2, func() {
 		if running() && w.now >= m.full && s.Document != nil && w.plan.Mutant != "skip store" {
@@ -279,7 +279,7 @@
 			} else {
 				w.inForce(m, a.Version, a.Document)
 			}
-			m.core.Config(w.local(m), func(r *config.Replica) { r.Applied(w.local(m), err, busy) })
+			m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Applied(w.local(m), err, busy) })
 		})
 	})
 }
@@ -414,7 +414,7 @@
 		ref := m.config.refs
 		m.config.pending[ref] = configPending{reason: reason}
 		w.trace("n%d is asked for %s of %d bytes after version %d", m.number, reason, len(document), expect)
-		m.core.Config(w.local(m), func(r *config.Replica) { r.Propose(w.local(m), ref, document, expect, v) })
+		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Propose(w.local(m), ref, document, expect, v) })
 	})
 }
 
@@ -455,7 +455,7 @@
 		m.config.refs++
 		ref := m.config.refs
 		m.config.pending[ref] = configPending{rollback: number, expect: newest}
-		m.core.Config(w.local(m), func(r *config.Replica) { r.FetchDocument(w.local(m), ref, hash) })
+		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.FetchDocument(w.local(m), ref, hash) })
 	})
 }
 
@@ -481,7 +481,7 @@
 		m.config.refs++
 		ref := m.config.refs
 		m.config.pending[ref] = configPending{status: answered}
-		m.core.Config(w.local(m), func(r *config.Replica) { r.Ask(w.local(m), ref, config.AskStatus) })
+		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Ask(w.local(m), ref, config.AskStatus) })
 	})
 }
 
--- a/internal/lab/fleet/configuration_test.go
+++ b/internal/lab/fleet/configuration_test.go
@@ -150,7 +150,7 @@
 	w.Run(39000)
 	newcomer := w.nodes[5]
 	var ready config.Readiness
-	newcomer.core.Config(w.local(newcomer), func(r *config.Replica) { ready = r.Readiness() })
+	newcomer.core.WithConfig(w.local(newcomer), func(r *config.Replica) { ready = r.Readiness() })
 	if newest := w.Configuration().Newest().Number; newest != 2 || ready.Number > 1 || ready.Confirmed {
 		t.Errorf("version %d is the newest; the newcomer tells %+v", newest, ready)
 	}
--- a/internal/lab/fleet/promises.go
+++ b/internal/lab/fleet/promises.go
@@ -38,7 +38,7 @@
 }
 
 // Came takes in what it was told, once for each that it asked: an answer that comes twice is one promise.
-func (p *Promises) Came(run uint64, g *node.Granted, now float64) {
+func (p *Promises) Came(run uint64, g *node.RenewResponse, now float64) {
 	k := asked{run, g.Sequence}
 	at, ok := p.sent[k]
 	if !ok || g.Sequence == 0 {
@@ -48,7 +48,7 @@
 	if p.ids[run] == 0 {
 		p.ids[run] = len(p.ids) + 1
 	}
-	for _, c := range g.Held {
+	for _, c := range g.Valid {
 		p.ops = append(p.ops, porcupine.Operation{ClientId: p.ids[run], Input: renewal{c.Name, c.Token, run}, Call: int64(at * 1e3),
 			Output: true, Return: int64(now * 1e3)})
 	}
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -55,9 +55,9 @@
 		seeds = append(seeds, members.Member{ID: w.nodes[i].id, Addr: string(w.nodes[i].id)})
 	}
 	m.run = w.rng.Uint64()
-	core, err := node.New(node.Facts{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
-		Founders: founders, Leases: w.works(), Terms: lease.Timing{Duration: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
-		Seed: w.rng.Int63(), Config: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
+	core, err := node.New(node.Config{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
+		Founders: founders, Leases: w.works(), LeaseTiming: lease.Timing{Duration: w.plan.Lease}, Membership: w.plan.Pace, NextDisk: w.rng.Uint64() | 1,
+		Seed: w.rng.Int63(), FleetConfig: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
 	if err != nil {
 		w.Checker.fail(w.now, "n%d can't start: %v", m.number, err)
 		return
@@ -94,7 +94,7 @@
 	}
 	run := m.run
 	out := m.core.Take()
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		w.send(m, s)
 	}
 	for _, c := range out.Began {
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -17,7 +17,7 @@
 func (w *World) isBlocked(a, b int) bool { return w.now < w.blocked[[2]int{a, b}] }
 
 // send carries a message over: it may be lost, take long or come twice, and comes from the run that sent it.
-func (w *World) send(from *machine, s node.Send) {
+func (w *World) send(from *machine, s node.Envelope) {
 	to := w.number(s.To)
 	if to < 0 {
 		return
@@ -93,8 +93,8 @@
 			return
 		}
 	}
-	if m.Granted != nil && m.Granted.To.Run == target.run {
-		w.Promises.Came(target.run, m.Granted, w.now)
+	if m.RenewResponse != nil && m.RenewResponse.To.Run == target.run {
+		w.Promises.Came(target.run, m.RenewResponse, w.now)
 	}
 	target.core.Receive(w.local(target), from, &m)
 }
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -107,7 +107,7 @@
 		for i, x := range c.list {
 			r := &lease.Renew{Sequence: uint64(i + 1)}
 			p.Sent(x.run, r, x.from)
-			p.Came(x.run, &node.Granted{Sequence: r.Sequence, Held: []lease.Grant{{Name: "w", Token: x.epoch}}}, x.til)
+			p.Came(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.epoch}}}, x.til)
 		}
 		if why := p.Check(); (why == "") != c.ok {
 			t.Errorf("%s: %q", name, why)
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -140,7 +140,7 @@
 func (p *probe) EffectReceived(fleet.Context, members.ID, node.Effect) {}
 
 // VerdictReceived does nothing.
-func (p *probe) VerdictReceived(node.Verdict) {}
+func (p *probe) VerdictReceived(node.EffectResponse) {}
 
 // MessageReceived leaves messages to other jobs.
 func (p *probe) MessageReceived(fleet.Context, members.ID, []byte) bool { return false }
