--- a/router/backoff.go
+++ b/router/backoff.go
@@ -1,38 +1,46 @@
 package router
 
-// The backoff between tries after failures. Nothing is decided here.
-
-// rest is how long something waits between tries: twice as long after each that fails, half as long after
-// each that does well. What left before the last change tells nothing of it.
-type rest struct {
-	changed, until, wait float64
-	bad                  bool    // the last send failed
-	goodAt               float64 // when one last did well
+// backoff is an exponential backoff: the wait between tries doubles with each failure and halves with each
+// success. A try that started before the last change of the wait does not change it again, so that many tries
+// that fail together count once.
+type backoff struct {
+	changedAt   float64 // ms, of the last change of wait
+	until       float64 // ms, before which nothing is tried
+	wait        float64 // ms; 0: there is none
+	lastFailed  bool    // the last try failed
+	succeededAt float64 // ms, of the last success
 }
 
-func (t *rest) away(now, sent, least, most float64) {
-	if sent >= t.changed {
-		t.changed, t.wait = now, min(most, max(least, 2*t.wait))
-		t.until = now + t.wait
+// increase takes in the failure of a try that started at some time.
+func (b *backoff) increase(now, startedAt, minWait, maxWait float64) {
+	if startedAt < b.changedAt {
+		return
 	}
+	b.changedAt = now
+	b.wait = min(maxWait, max(minWait, 2*b.wait))
+	b.until = now + b.wait
 }
 
-func (t *rest) took(now, sent, least float64) {
-	t.goodAt = now
-	if t.wait > 0 && sent >= t.changed {
-		if t.changed, t.wait = sent, t.wait/2; t.wait < least {
-			t.wait = 0
-		}
-		t.until = sent + t.wait
+// decrease takes in the success of a try that started at some time. A wait below minWait becomes none.
+func (b *backoff) decrease(now, startedAt, minWait float64) {
+	b.succeededAt = now
+	if b.wait <= 0 || startedAt < b.changedAt {
+		return
+	}
+	b.changedAt = startedAt
+	b.wait /= 2
+	if b.wait < minWait {
+		b.wait = 0
 	}
+	b.until = startedAt + b.wait
 }
 
-// try takes in that one try is made: until the rest is over, or this does well, it is the only one.
-func (t *rest) try(now float64) {
-	if t.wait > 0 {
-		t.until = now + t.wait
+// startTrial takes in that a try starts: it is the only one until the wait is over or it succeeds.
+func (b *backoff) startTrial(now float64) {
+	if b.wait > 0 {
+		b.until = now + b.wait
 	}
 }
 
-// good tells whether the last send did well, since then.
-func (t *rest) good(since float64) bool { return !t.bad && t.goodAt > since }
+// succeededSince reports whether the last try succeeded, after some time.
+func (b *backoff) succeededSince(since float64) bool { return !b.lastFailed && b.succeededAt > since }
--- /dev/null
+++ b/router/dispatch.go
@@ -0,0 +1,42 @@
+package router
+
+// maxTriedPerStep is how many queued queries one step tries to start, so that a step stays short.
+const maxTriedPerStep = 100
+
+// dispatch starts queued queries, the earliest client timeout first, as far as engines have capacity.
+func (r *Router) dispatch() {
+	r.dequeueAnswered()
+	if r.traffic.othersPerCore.mean(r.now, 0, 1) < r.search.minOthersPerCore {
+		r.updateAllBounds()
+	}
+	tried := 0
+	r.eachUnblocked(func(q *query) bool {
+		if !r.startable(q) {
+			return true
+		}
+		tried++
+		r.tryToStart(q)
+		return tried < maxTriedPerStep
+	})
+}
+
+// tryToStart starts an attempt of a startable query if an engine has capacity for it, gives the query up if
+// it is not worth an attempt any more, and else leaves it in the queue.
+func (r *Router) tryToStart(q *query) {
+	if r.noCapacityAnywhere(q) && r.knownWorthRunning(q) {
+		return
+	}
+	if reason := r.whyNotWorthRunning(q); reason != noReason {
+		r.rejectOrFail(q, reason)
+		r.dequeue(q)
+		return
+	}
+	e := r.selectEngine(q)
+	if e == nil || r.needsFreshReport(e) {
+		return
+	}
+	e.classBackoff(q.class).startTrial(r.now)
+	r.setAlarm(r.now+r.silenceLimit(), q)
+	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, 3)
+	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
+}
