--- /dev/null
+++ b/internal/core/fleet/digest/merge.go
@@ -0,0 +1,202 @@
+package digest
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+
+	"mintkeel/internal/core/restore"
+	"mintkeel/router"
+)
+
+// weightedMean is a mean of figures with weights. The zero value has none.
+type weightedMean struct {
+	sum    float64
+	weight float64
+}
+
+// add adds a figure. One that is not finite, or without a weight, is ignored.
+func (m *weightedMean) add(x, weight float64) {
+	if weight > 0 && !math.IsNaN(x) && !math.IsInf(x, 0) {
+		m.sum += x * weight
+		m.weight += weight
+	}
+}
+
+// mean returns the mean, or a fallback if no figure was added.
+func (m *weightedMean) mean(fallback float64) float64 {
+	if m.weight == 0 {
+		return fallback
+	}
+	return m.sum / m.weight
+}
+
+// engineProcess is one run of an engine's process: after a restart its figures are another's.
+type engineProcess struct {
+	engine    router.EngineID
+	startedAt float64 // ms; 0: long ago
+}
+
+func compareProcesses(a, b engineProcess) int {
+	return cmp.Or(cmp.Compare(a.engine, b.engine), cmp.Compare(a.startedAt, b.startedAt))
+}
+
+// engineSum is what the reports say of one engine process.
+type engineSum struct {
+	slowdown       weightedMean
+	threadsPerCore weightedMean
+	newest         router.EngineStatistics
+	poolLeader     router.EngineID
+}
+
+// mergeEngines merges the engines of all reports, and takes their pools from the report at an index.
+func mergeEngines(
+	reports []Report, pools int, now float64, halfLives restore.HalfLives,
+) (merged []router.EngineStatistics) {
+	sums := map[engineProcess]*engineSum{}
+	for i, report := range reports {
+		for _, e := range report.Statistics.Engines {
+			process := engineProcess{engine: e.Engine, startedAt: e.StartedAt}
+			sum := sums[process]
+			if sum == nil {
+				if len(sums) >= MaxEngines {
+					continue
+				}
+				sum = &engineSum{newest: e}
+				sums[process] = sum
+			}
+			age := now - e.At
+			sum.slowdown.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.Factor(age, halfLives.Pace))
+			sum.threadsPerCore.add(e.ThreadsPerCore, restore.Factor(age, halfLives.Width))
+			if e.At > sum.newest.At {
+				sum.newest = e
+			}
+			if i == pools {
+				sum.poolLeader = e.PoolLeader
+			}
+		}
+	}
+	for _, process := range slices.SortedFunc(maps.Keys(sums), compareProcesses) {
+		sum := sums[process]
+		e := sum.newest
+		e.Slowdown = router.WeightedMean{Mean: sum.slowdown.mean(1), Weight: sum.slowdown.weight}
+		e.ThreadsPerCore = sum.threadsPerCore.mean(e.ThreadsPerCore)
+		e.PoolLeader = sum.poolLeader
+		merged = append(merged, e)
+	}
+	return merged
+}
+
+// tableSum is what the reports say of one table group.
+type tableSum struct {
+	demand      float64 // weighted
+	memoryTime  float64 // weighted
+	newest      router.TableStatistics
+	poolLeaders []router.EngineID
+}
+
+// mergeTables merges the table groups of all reports, and takes their pools from the report at an
+// index. A group's demand is the mean of all reports, also of those without demand for it.
+func mergeTables(
+	reports []Report, pools int, now float64, halfLives restore.HalfLives,
+) (merged []router.TableStatistics) {
+	sums := map[router.TableGroup]*tableSum{}
+	weights := 0.0
+	for i, report := range reports {
+		weight := restore.Factor(now-report.At, halfLives.Tables)
+		weights += weight
+		for _, t := range report.Statistics.Tables {
+			if !validTables(t) {
+				continue
+			}
+			sum := sums[t.Tables]
+			if sum == nil {
+				sum = &tableSum{newest: t}
+				sums[t.Tables] = sum
+			}
+			sum.demand += t.Demand * weight
+			sum.memoryTime += t.MemoryTime * weight
+			if t.At > sum.newest.At {
+				sum.newest = t
+			}
+			if i == pools {
+				sum.poolLeaders = t.PoolLeaders
+			}
+		}
+	}
+	for _, group := range slices.Sorted(maps.Keys(sums)) {
+		sum := sums[group]
+		t := sum.newest
+		t.PoolLeaders = sum.poolLeaders
+		if weights > 0 {
+			t.Demand = sum.demand / weights
+			t.MemoryTime = sum.memoryTime / weights
+		}
+		merged = append(merged, t)
+	}
+	return mostDemandedTables(merged)
+}
+
+// validTables tells whether the figures of a table group are neither negative nor infinite nor NaN.
+func validTables(t router.TableStatistics) bool {
+	return t.Demand >= 0 && t.MemoryTime >= 0 && !math.IsInf(t.Demand+t.MemoryTime, 0)
+}
+
+// mostDemandedTables keeps the table groups with the most demand, sorted by number.
+func mostDemandedTables(tables []router.TableStatistics) []router.TableStatistics {
+	if len(tables) <= MaxTables {
+		return tables
+	}
+	slices.SortStableFunc(tables, func(a, b router.TableStatistics) int {
+		return cmp.Compare(b.Demand, a.Demand)
+	})
+	tables = tables[:MaxTables]
+	slices.SortFunc(tables, func(a, b router.TableStatistics) int { return cmp.Compare(a.Tables, b.Tables) })
+	return tables
+}
+
+// classSum is what the reports say of one query class.
+type classSum struct {
+	unloadedTime    weightedMean
+	workScale       weightedMean
+	memoryScale     weightedMean
+	firstTryTimeout float64
+	at              float64
+}
+
+// mergeClasses merges the query classes of all reports.
+func mergeClasses(
+	reports []Report, now float64, halfLives restore.HalfLives,
+) (merged []router.ClassStatistics) {
+	sums := map[router.ClassID]*classSum{}
+	for _, report := range reports {
+		for _, class := range report.Statistics.Classes {
+			sum := sums[class.Class]
+			if sum == nil {
+				sum = &classSum{}
+				sums[class.Class] = sum
+			}
+			weight := restore.Factor(now-class.At, halfLives.Profile)
+			if class.UnloadedTime > 0 {
+				sum.unloadedTime.add(class.UnloadedTime, weight)
+			}
+			sum.workScale.add(class.WorkScale.Mean, class.WorkScale.Weight*weight)
+			sum.memoryScale.add(class.MemoryScale.Mean, class.MemoryScale.Weight*weight)
+			sum.firstTryTimeout = max(sum.firstTryTimeout, class.FirstTryTimeout)
+			sum.at = max(sum.at, class.At)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(sums)) {
+		sum := sums[id]
+		merged = append(merged, router.ClassStatistics{
+			At:              sum.at,
+			Class:           id,
+			FirstTryTimeout: sum.firstTryTimeout,
+			UnloadedTime:    sum.unloadedTime.mean(0),
+			WorkScale:       router.WeightedMean{Mean: sum.workScale.mean(1), Weight: sum.workScale.weight},
+			MemoryScale:     router.WeightedMean{Mean: sum.memoryScale.mean(1), Weight: sum.memoryScale.weight},
+		})
+	}
+	return merged
+}
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -72,7 +72,7 @@
 	rng     *rand.Rand
 	began   float64
 
-	gathered  digest.Gathered
+	gathered  digest.Collector
 	owns      bool
 	gatherAt  float64
 	publishAt float64
@@ -104,7 +104,7 @@
 func (d *digester) Began(h Context, c lease.Grant) {
 	if c.Name == Digest {
 		d.owns, d.gatherAt, d.publishAt = true, h.Now(), h.Now()+gatherEach/2
-		d.gathered = digest.Gathered{}
+		d.gathered = digest.Collector{}
 	}
 }
 
@@ -283,8 +283,8 @@
 		return
 	}
 	now := d.now()
-	digest.Shift(&l, now-t.Now)
-	d.gathered.Put(digest.Source{From: from, At: now, Learned: l})
+	digest.ShiftTimes(&l, now-t.Now)
+	d.gathered.Add(digest.Report{From: from, At: now, Statistics: l})
 }
 
 // begin takes over what the fleet knows, once.
@@ -298,7 +298,7 @@
 		return
 	}
 	d.wanting = false
-	digest.Shift(&l, d.now()-t.Now)
+	digest.ShiftTimes(&l, d.now()-t.Now)
 	d.learner.Log.Info("fleet: begins with what the fleet knows", "records", l.Len(), "token", t.Token)
 	d.learner.Remember(l)
 }
