--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -67,8 +67,9 @@
 	golden.CBOR(t, table, "raft", Message{Quorum: raft}, frames.Decoder.Unmarshal)
 	ask := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
 	checkMessage(t, table, "ask", ask.VouchRequest, Message{Quorum: ask})
-	answer := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78, ReceivedSerial: 22, Retired: true, HasLeader: true,
-		Members: []members.ID{"n1", "n2"}, Index: 40, PendingMembers: []members.ID{"n3"}}}
+	answer := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78,
+		ReceivedSerial: 22, Retired: true, HasLeader: true, Members: []members.ID{"n1", "n2"}, Index: 40,
+		PendingMembers: []members.ID{"n3"}}}
 	checkMessage(t, table, "answer", answer.VouchResponse, Message{Quorum: answer})
 	join := &quorum.Message{From: from, To: to, Join: &quorum.Join{Run: 77}, Run: 77}
 	checkMessage(t, table, "join", join.Join, Message{Quorum: join})
@@ -82,9 +83,10 @@
 	table := golden.Open(t, "lease.golden")
 	renew := &lease.Renew{Holder: sentHolder(), Grants: []lease.Grant{sentGrant()}, Sequence: 13}
 	checkMessage(t, table, "renew", renew, Message{Renew: renew})
-	granted := &Granted{Sequence: 13, Held: []lease.Grant{sentGrant()}, Lost: []lease.Grant{{Name: "maintenance", Token: 2}},
-		Yield: []lease.Name{"digest"}, Leader: "n2", To: sentHolder()}
-	checkMessage(t, table, "granted", granted, Message{Granted: granted})
+	granted := &RenewResponse{Sequence: 13, Valid: []lease.Grant{sentGrant()},
+		Invalid: []lease.Grant{{Name: "maintenance", Token: 2}},
+		Yield:   []lease.Name{"digest"}, Leader: "n2", To: sentHolder()}
+	checkMessage(t, table, "granted", granted, Message{RenewResponse: granted})
 	offer := &Offer{To: sentHolder(), Grant: sentGrant()}
 	checkMessage(t, table, "offer", offer, Message{Offer: offer})
 	release := &lease.Release{Holder: sentHolder(), Grant: sentGrant(), Failed: true}
@@ -106,9 +108,9 @@
 	checkMessage(t, table, "view", view, Message{View: view})
 	effect := &Effect{Grant: sentGrant(), ID: 61, Data: []byte{9}}
 	checkMessage(t, table, "effect", effect, Message{Effect: effect})
-	verdict := &Verdict{Lease: "digest", ID: 61, Seen: 10, Accepted: true}
-	checkMessage(t, table, "verdict", verdict, Message{Verdict: verdict})
-	replace := &Replace{Old: "n1", With: "n4"}
+	verdict := &EffectResponse{Lease: "digest", ID: 61, HighestToken: 10, Accepted: true}
+	checkMessage(t, table, "verdict", verdict, Message{EffectResponse: verdict})
+	replace := &Replace{Old: "n1", Successor: "n4"}
 	checkMessage(t, table, "replace", replace, Message{Replace: replace})
 	golden.CBOR(t, table, "job-message", Message{JobMessage: []byte{10, 11}}, frames.Decoder.Unmarshal)
 	hint := &LeaderHint{ID: "n1", Term: 6, Changed: 40}
