--- a/router/search.go
+++ b/router/search.go
@@ -224,32 +224,34 @@
 	return score < best.score || score == best.score && index < best.index
 }
 
-// listSearch is the search for the best engine of one list. try looks at one engine exactly, and makes it the
-// best one if it is.
+// listSearch is the search for the best engine of one list.
 type listSearch struct {
 	q          *query
 	candidates *candidateList // of the list
 	engines    []*engine
 	capacity   capacityBound
 	best       *bestCandidate
-	try        func(e *engine, index int)
 }
 
+// tryEngine looks at one engine of the list exactly, and makes it the best one if it is. It is handed on
+// beside the listSearch, as the closure would be allocated anew for each search if it were part of it.
+type tryEngine func(e *engine, index int)
+
 // eachPossibleBest calls try for the engines of a list that their bounds don't exclude.
-func (r *Router) eachPossibleBest(s *listSearch) {
+func (r *Router) eachPossibleBest(s *listSearch, try tryEngine) {
 	if r.queue.length < minQueuedForList && !s.q.class.LocksTables {
 		if order := r.affinityOrderOf(s.candidates, s.q.tables, s.engines); order != nil {
-			r.searchByAffinity(s, order)
+			r.searchByAffinity(s, order, try)
 			return
 		}
 	}
-	r.searchByBounds(s)
+	r.searchByBounds(s, try)
 }
 
 // searchByAffinity tries engines in the order of their affinity. The score is at least the affinity's part
 // and what the least filled engine would have, so the search ends as soon as that is worse than the best:
 // the engines that follow have less affinity.
-func (r *Router) searchByAffinity(s *listSearch, order []int32) {
+func (r *Router) searchByAffinity(s *listSearch, order []int32, try tryEngine) {
 	minFillScore := r.search.minFill + s.q.class.Threads/r.search.maxCapacity
 	for _, index := range order {
 		e := s.engines[index]
@@ -257,25 +259,25 @@
 			return
 		}
 		if s.capacity.mayHold(e) && s.best.beatenBy(s.q.scoreLowerBound(e), int(index)) {
-			s.try(e, int(index))
+			try(e, int(index))
 		}
 	}
 }
 
 // searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then those
 // whose bound is better than its score.
-func (r *Router) searchByBounds(s *listSearch) {
+func (r *Router) searchByBounds(s *listSearch, try tryEngine) {
 	engines := r.withCapacity(s)
 	bounds, first := r.scoreLowerBounds(s.q, engines, s.capacity)
 	if first < len(engines) {
-		s.try(engines[first], first)
+		try(engines[first], first)
 	}
 	for i, bound := range bounds {
 		if i == first || !s.best.beatenBy(bound, i) {
 			continue
 		}
 		if s.best.beatenBy(s.q.scoreLowerBound(engines[i]), i) {
-			s.try(engines[i], i)
+			try(engines[i], i)
 		}
 	}
 }
--- a/router/selection.go
+++ b/router/selection.go
@@ -62,7 +62,7 @@
 		capacity:   r.capacityBound(share, s.trafficShare),
 		best:       &s.best,
 	}
-	search.try = func(e *engine, index int) {
+	r.eachPossibleBest(&search, func(e *engine, index int) {
 		if !q.placementAllows(e.kind, e.zone) {
 			return
 		}
@@ -73,8 +73,7 @@
 		if s.best.beatenBy(score, index) && r.hasCapacity(q, e, share) && r.eligible(q, e) {
 			s.best = bestCandidate{engine: e, score: score, index: index}
 		}
-	}
-	r.eachPossibleBest(&search)
+	})
 	if firstSearch && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
 		r.markFull(candidates, q.class)
 	}
