--- a/router/restore.go
+++ b/router/restore.go
@@ -1,92 +1,144 @@
 package router
 
-import (
-	"math"
-)
+import "math"
 
-// The bounds of what is put in: past them no figure can be true, and none may starve a profile or an engine.
+// The bounds of restored figures. Beyond them no figure can be true; within them none can shut out a class or
+// an engine for long.
 const (
-	maxWeight, maxSlowdown = 1000.0, 20.0
-	maxScale, maxRate      = 16.0, 1e6
+	maxRestoredWeight   = 1000.0 // additions
+	maxRestoredSlowdown = 20.0   // times the time on an idle engine
+	maxRestoredScale    = 16.0   // times the estimate; the least is one over this
+	maxRestoredRate     = 1e6    // ms of work for each ms; the square of it bounds megabytes in use
 )
 
-// clamp brings a figure within bounds; what is no number counts as the least.
+// clamp brings a figure within bounds. NaN counts as the least.
 func clamp(x, least, most float64) float64 {
-	if !(x >= least) {
+	if math.IsNaN(x) || x < least {
 		return least
 	}
 	return min(x, most)
 }
 
-// decayed is a decaying mean as it would stand had it just been learned.
-func (w WeightedMean) decayed(life, now, least, most float64) decayedMean {
-	n := clamp(w.Weight, 0, maxWeight)
-	return decayedMean{halfLife: life, updatedAt: now, sum: clamp(w.Mean, least, most) * n, weight: n}
+// restored is a decayed mean as it would be if it had been learned just now. Its mean is clamped to bounds.
+func (m WeightedMean) restored(halfLife, now, least, most float64) decayedMean {
+	weight := clamp(m.Weight, 0, maxRestoredWeight)
+	return decayedMean{
+		halfLife:  halfLife,
+		updatedAt: now,
+		sum:       clamp(m.Mean, least, most) * weight,
+		weight:    weight,
+	}
 }
 
-// statisticsRestored takes in what is remembered. Engines go back to the owners of the table groups that
-// they had; they merge and move only by loads that are known: at first all are none, and lone engines would
-// be shared.
-func (r *Router) statisticsRestored(l Statistics) {
-	if r.restore(l); len(l.Tables) > 0 {
-		r.pools.rebalanceAt = max(r.pools.rebalanceAt, r.now+rebalanceInterval)
-		for k := range r.pools.byKind {
-			r.repack(k)
-		}
+// statisticsRestored imports what an earlier run of this controller exported. If it knows table groups, the
+// pools are packed anew by them, and the next rebalance waits for a whole interval: all loads are still
+// unknown, and pools of one engine would be merged as idle.
+func (r *Router) statisticsRestored(s Statistics) {
+	r.restore(s)
+	if len(s.Tables) == 0 {
+		return
+	}
+	r.pools.rebalanceAt = max(r.pools.rebalanceAt, r.now+rebalanceInterval)
+	for kind := range r.pools.byKind {
+		r.repack(kind)
 	}
 }
 
-// restore puts in what an earlier run of this controller learned. Whatever this run has learned itself
-// stands, an engine of which another process is remembered is passed over, and no figure is taken past its
-// bounds.
-func (r *Router) restore(l Statistics) {
-	sets := map[EngineID]*enginePool{} // engines that had the same owner
-	for _, m := range l.Engines {
-		e := r.engines[m.Engine]
-		if e == nil || e.state != Ready || max(e.startedAt, 0) != m.StartedAt {
-			continue
-		}
-		if e.slowdown.weight == 0 && e.outcomes == math.MaxUint64 && e.threadsPerCore == initialThreadsPerCore {
-			e.slowdown = m.Slowdown.decayed(e.slowdown.halfLife, r.now, 0, maxSlowdown)
-			e.outcomes = math.MaxUint64&^0xff | uint64(m.Outcomes)
-			e.threadsPerCore = clamp(m.ThreadsPerCore, minThreadsPerCore, maxThreadsPerCore)
-			r.updateBounds(e)
-		}
-		if m.PoolLeader != "" {
-			if sets[m.PoolLeader] == nil {
-				sets[m.PoolLeader] = &enginePool{}
-			}
-			sets[m.PoolLeader].engines = append(sets[m.PoolLeader].engines, e)
-		}
+// restore imports statistics, which may hold any figures. What this run has learned itself stands; figures
+// are clamped to their bounds; records of engines and classes that don't exist are passed over, as are
+// those of engines that have another process now.
+func (r *Router) restore(s Statistics) {
+	pools := restoredPools{}
+	for _, record := range s.Engines {
+		r.restoreEngine(record, pools)
 	}
-	for _, m := range l.Classes {
-		if m.Class < 0 || int(m.Class) >= len(r.classes) || r.classes[m.Class].unitTime.weight > 0 {
-			continue
-		}
-		class := r.classes[m.Class]
-		class.firstTryTimeout = max(class.firstTryTimeout, clamp(m.FirstTryTimeout, 0, class.ClientTimeout))
-		class.bestUnitTime, class.unconfirmedSince = clamp(m.UnloadedTime, 0, class.ClientTimeout), r.now
-		class.workScale = m.WorkScale.decayed(scaleHalfLife, r.now, 1/maxScale, maxScale)
-		class.memoryScale = m.MemoryScale.decayed(scaleHalfLife, r.now, 1/maxScale, maxScale)
-	}
-	for _, m := range l.Traffic {
-		if r.traffic.share.weight == 0 {
-			r.traffic.share = m.Share.decayed(shareHalfLife, r.now, 0, 1)
-		}
+	for _, record := range s.Classes {
+		r.restoreClass(record)
 	}
-	for _, m := range l.Tables {
-		g := r.tableGroupOf(m.Tables)
-		if g.confirmed {
-			continue
-		}
-		g.confirmed, g.lastQueryAt = true, r.now
-		demand, held := clamp(m.Demand, 0, maxRate), clamp(m.MemoryTime, 0, maxRate*maxRate)
-		g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1)
-		g.memoryTime.add(r.now, held*demandHalfLife/math.Ln2, 1)
-		for k, lead := range m.PoolLeaders {
-			if k < len(g.pools) && sets[lead] != nil {
-				g.pools[k] = sets[lead]
-			}
+	for _, record := range s.Traffic {
+		r.restoreTraffic(record)
+	}
+	for _, record := range s.Tables {
+		r.restoreTables(record, pools)
+	}
+}
+
+// restoredPools are the pools of the earlier run, by their leader, with those of their engines that still
+// have the same process. They stand in for the pools of table groups until repack, which gives the pools
+// that it makes the engines of those that their table groups had.
+type restoredPools map[EngineID]*enginePool
+
+// add puts an engine into the pool of a leader.
+func (pools restoredPools) add(leader EngineID, e *engine) {
+	pool := pools[leader]
+	if pool == nil {
+		pool = &enginePool{}
+		pools[leader] = pool
+	}
+	pool.engines = append(pool.engines, e)
+}
+
+// restoreEngine imports the record of an engine, if it is ready and has the process that the record is of.
+func (r *Router) restoreEngine(record EngineStatistics, pools restoredPools) {
+	e := r.engines[record.Engine]
+	if e == nil || e.state != Ready || max(e.startedAt, 0) != record.StartedAt {
+		return
+	}
+	if e.untried() {
+		e.slowdown = record.Slowdown.restored(e.slowdown.halfLife, r.now, 0, maxRestoredSlowdown)
+		e.outcomes = allSucceeded&^math.MaxUint8 | uint64(record.Outcomes)
+		e.threadsPerCore = clamp(record.ThreadsPerCore, minThreadsPerCore, maxThreadsPerCore)
+		r.updateBounds(e)
+	}
+	if record.PoolLeader != "" {
+		pools.add(record.PoolLeader, e)
+	}
+}
+
+// untried reports whether this run has learned nothing of an engine.
+func (e *engine) untried() bool {
+	return e.slowdown.weight == 0 && e.outcomes == allSucceeded && e.threadsPerCore == initialThreadsPerCore
+}
+
+// restoreClass imports the record of a query class, if this run has no answer of its queries yet.
+func (r *Router) restoreClass(record ClassStatistics) {
+	if record.Class < 0 || int(record.Class) >= len(r.classes) {
+		return
+	}
+	class := r.classes[record.Class]
+	if class.unitTime.weight > 0 {
+		return
+	}
+	firstTryTimeout := clamp(record.FirstTryTimeout, 0, class.ClientTimeout)
+	class.firstTryTimeout = max(class.firstTryTimeout, firstTryTimeout)
+	class.bestUnitTime = clamp(record.UnloadedTime, 0, class.ClientTimeout)
+	class.unconfirmedSince = r.now
+	class.workScale = record.WorkScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
+	class.memoryScale = record.MemoryScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
+}
+
+// restoreTraffic imports the share of the traffic, if this run knows nothing of it.
+func (r *Router) restoreTraffic(record TrafficStatistics) {
+	if r.traffic.share.weight == 0 {
+		r.traffic.share = record.Share.restored(shareHalfLife, r.now, 0, 1)
+	}
+}
+
+// restoreTables imports the record of a table group, if this run has answered no query on it.
+func (r *Router) restoreTables(record TableStatistics, pools restoredPools) {
+	g := r.tableGroupOf(record.Tables)
+	if g.confirmed {
+		return
+	}
+	g.confirmed = true
+	g.lastQueryAt = r.now
+	demand := clamp(record.Demand, 0, maxRestoredRate)
+	memoryTime := clamp(record.MemoryTime, 0, maxRestoredRate*maxRestoredRate)
+	g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1) // rate, turned round
+	g.memoryTime.add(r.now, memoryTime*demandHalfLife/math.Ln2, 1)
+	for kind, leader := range record.PoolLeaders {
+		if pool := pools[leader]; pool != nil && kind < len(g.pools) {
+			g.pools[kind] = pool
 		}
 	}
 }
--- a/router/statistics.go
+++ b/router/statistics.go
@@ -6,169 +6,255 @@
 	"slices"
 )
 
-// WeightedMean is a mean with its weight, in additions of the usual weight.
-type WeightedMean struct{ Mean, Weight float64 }
-
-// Learned is what a controller has learned, or a part of it. Each record has in At when it was taken out,
-// in the module's time. What a rule rests on is not in it: sends to cold engines, the work that guards
-// them, keys' rests, doubtful sends, the sends budget, and which engines answered since the list was last
-// heard.
-type (
-	Statistics struct {
-		Engines []EngineStatistics
-		Tables  []TableStatistics
-		Classes []ClassStatistics
-		Traffic []TrafficStatistics // one at most
-	}
-	// EngineStatistics is what is known of one process of an engine.
-	EngineStatistics struct {
-		At             float64
-		Engine         EngineID
-		StartedAt      float64      // when that process started; 0: long ago
-		Slowdown       WeightedMean // time taken over the time alone
-		ThreadsPerCore float64      // threads a core
-		Outcomes       uint8        // of the last eight sends and probes, the latest lowest; 1: good
-		PoolLeader     EngineID     // names the engines that have the same owner, of which it is one; empty: it has none
-	}
-	// TableStatistics is what is known of a table group.
-	TableStatistics struct {
-		At          float64
-		Tables      TableGroup
-		Demand      float64    // work asked for, ms on one thread for each ms
-		MemoryTime  float64    // memory times time of its sends, for each ms
-		PoolLeaders []EngineID // by kind: the Lead of the engines that its owner has; empty: none
-	}
-	// ClassStatistics is how a profile's commands run.
-	ClassStatistics struct {
-		At              float64
-		Class           ClassID
-		FirstTryTimeout float64      // what a first try leaves until its client gives up
-		UnloadedTime    float64      // time alone over the unit; 0: not known
-		WorkScale       WeightedMean // true work over estimate
-		MemoryScale     WeightedMean // true memory over estimate
-	}
-	// TrafficStatistics is this controller's part of the traffic.
-	TrafficStatistics struct {
-		At    float64
-		Share WeightedMean
-	}
-)
+// WeightedMean is a mean with its weight.
+type WeightedMean struct {
+	Mean   float64
+	Weight float64 // in additions of weight 1
+}
+
+// Statistics is what a controller has learned, or a part of it. Each record has in At the time, in ms, at
+// which it was exported. What a rule rests on is not in it: what was started on warming engines and the
+// usual work that guards them, cooldowns of ordering keys, attempts that may have run, the retry budget,
+// and which engines answered since the endpoint list was last updated.
+type Statistics struct {
+	Engines []EngineStatistics
+	Tables  []TableStatistics
+	Classes []ClassStatistics
+	Traffic []TrafficStatistics // at most one
+}
+
+// EngineStatistics is what is known of one process of an engine.
+type EngineStatistics struct {
+	At             float64 // ms
+	Engine         EngineID
+	StartedAt      float64      // ms, when that process started; 0: long ago
+	Slowdown       WeightedMean // run time over the time on an idle engine
+	ThreadsPerCore float64      // concurrency limit of all controllers together
+	Outcomes       uint8        // of attempts and health checks, a bit each, the last one lowest; 1: success
+	PoolLeader     EngineID     // the first engine of its pool, by which the pool is named; empty: it is in none
+}
+
+// TableStatistics is what is known of a table group.
+type TableStatistics struct {
+	At          float64 // ms
+	Tables      TableGroup
+	Demand      float64    // ms of work on one thread for each ms
+	MemoryTime  float64    // megabytes times ms of its attempts, for each ms
+	PoolLeaders []EngineID // by machine kind: the PoolLeader of the pool that serves it; empty: none does
+}
+
+// ClassStatistics is how the queries of a class run.
+type ClassStatistics struct {
+	At              float64 // ms
+	Class           ClassID
+	FirstTryTimeout float64      // ms that a first try leaves until its client gives up
+	UnloadedTime    float64      // ms per unit of work on an idle engine; 0: not known
+	WorkScale       WeightedMean // true work over estimated work
+	MemoryScale     WeightedMean // true memory over estimated memory
+}
+
+// TrafficStatistics is this controller's share of the traffic.
+type TrafficStatistics struct {
+	At    float64 // ms
+	Share WeightedMean
+}
 
 // Len is the number of records.
-func (l *Statistics) Len() int {
-	return len(l.Engines) + len(l.Tables) + len(l.Classes) + len(l.Traffic)
+func (s *Statistics) Len() int {
+	return len(s.Engines) + len(s.Tables) + len(s.Classes) + len(s.Traffic)
 }
 
 // Add appends another part.
-func (l *Statistics) Add(part Statistics) {
-	l.Engines = append(l.Engines, part.Engines...)
-	l.Tables = append(l.Tables, part.Tables...)
-	l.Classes = append(l.Classes, part.Classes...)
-	l.Traffic = append(l.Traffic, part.Traffic...)
+func (s *Statistics) Add(part Statistics) {
+	s.Engines = append(s.Engines, part.Engines...)
+	s.Tables = append(s.Tables, part.Tables...)
+	s.Classes = append(s.Classes, part.Classes...)
+	s.Traffic = append(s.Traffic, part.Traffic...)
 }
 
-// Cursor is where the next part of what was learned begins; its zero value is the beginning. It stays good
-// while engines and table groups come and go.
+// Cursor is where the next part of an export begins; its zero value is the beginning. It stays valid while
+// engines and table groups come and go, as it names the next ones by id.
 type Cursor struct {
-	stage  int
-	engine EngineID
-	tables TableGroup
-	class  int
+	stage  exportStage
+	engine EngineID   // least id that was not examined yet
+	tables TableGroup // the same
+	class  int        // the same, an index
 }
 
-const ( // in the order in which they are taken out
-	stageTraffic = iota
+// exportStage is the kind of records that an export has come to.
+type exportStage int
+
+const ( // in the order of the export
+	stageTraffic exportStage = iota
 	stageClasses
 	stageEngines
 	stageTables
 	stageDone
 )
 
-// Statistics takes out a part of most records at most, and where the next one begins; more tells whether
-// there is one. It changes nothing, not even the last bit of a sum that fades, so that the same events lead
-// to the same actions whether or not anyone asks. A part looks at as many records as it may return.
-func (r *Router) Statistics(from Cursor, most int) (part Statistics, next Cursor, more bool) {
-	for looked := 0; looked < most && from.stage < stageDone; {
-		switch from.stage {
+// Statistics exports a part of what was learned, and returns where the next part begins; more is false after
+// the last one. It examines limit records at most, and returns those of them that say something, so that a
+// part takes little time. It changes nothing, not even the last bit of a decayed sum: the same events lead to
+// the same actions whether or not anyone exports.
+func (r *Router) Statistics(from Cursor, limit int) (part Statistics, next Cursor, more bool) {
+	export := statisticsExport{router: r, now: r.now, cursor: from, left: limit}
+	for export.left > 0 && export.cursor.stage < stageDone {
+		switch export.cursor.stage {
 		case stageTraffic:
-			if w := weightedMean(r.traffic.share, r.now); w.Weight > 0 {
-				part.Traffic = append(part.Traffic, TrafficStatistics{r.now, w})
-			}
-			looked, from.stage = looked+1, stageClasses
+			export.exportTraffic()
 		case stageClasses:
-			for ; from.class < len(r.classes) && looked < most; from.class++ {
-				looked++
-				if class := r.classes[from.class]; class.bestUnitTime > 0 || class.firstTryTimeout > 0 {
-					part.Classes = append(part.Classes, ClassStatistics{r.now, ClassID(from.class), class.firstTryTimeout,
-						class.bestUnitTime, weightedMean(class.workScale, r.now), weightedMean(class.memoryScale, r.now)})
-				}
-			}
-			if from.class == len(r.classes) {
-				from.stage = stageEngines
-			}
+			export.exportClasses()
 		case stageEngines:
-			at, _ := slices.BinarySearchFunc(r.engineList, from.engine, func(e *engine, id EngineID) int {
-				return cmp.Compare(e.id, id)
-			})
-			for ; at < len(r.engineList) && looked < most; at++ {
-				looked++
-				if e := r.engineList[at]; e.state != Gone {
-					part.Engines = append(part.Engines, e.statistics(r.now))
-				}
-				from.engine = r.engineList[at].id + "\x00" // the least that follows
-			}
-			if at == len(r.engineList) {
-				from.stage, from.tables = stageTables, math.MinInt64
-			}
+			export.exportEngines()
 		case stageTables:
-			at, _ := slices.BinarySearchFunc(r.groupList, from.tables, func(g *tableGroup, id TableGroup) int {
-				return cmp.Compare(g.id, id)
-			})
-			for ; at < len(r.groupList) && looked < most; at++ {
-				looked++
-				if g := r.groupList[at]; g.confirmed {
-					part.Tables = append(part.Tables, g.statistics(r.now))
-				}
-				if from.tables = r.groupList[at].id; from.tables < math.MaxInt64 {
-					from.tables++
-				}
-			}
-			if at == len(r.groupList) {
-				from.stage = stageDone
-			}
+			export.exportTables()
+		}
+	}
+	return export.part, export.cursor, export.cursor.stage < stageDone
+}
+
+// statisticsExport is one call of Router.Statistics.
+type statisticsExport struct {
+	router *Router
+	now    float64 // ms
+	part   Statistics
+	cursor Cursor
+	left   int // records that may still be examined
+}
+
+// exportTraffic exports this controller's share of the traffic.
+func (export *statisticsExport) exportTraffic() {
+	export.left--
+	if share := weightedMean(export.router.traffic.share, export.now); share.Weight > 0 {
+		export.part.Traffic = append(export.part.Traffic, TrafficStatistics{At: export.now, Share: share})
+	}
+	export.cursor.stage = stageClasses
+}
+
+// exportClasses exports the query classes, from the cursor on.
+func (export *statisticsExport) exportClasses() {
+	all := export.router.classes
+	for ; export.cursor.class < len(all) && export.left > 0; export.cursor.class++ {
+		export.left--
+		class := all[export.cursor.class]
+		if class.bestUnitTime > 0 || class.firstTryTimeout > 0 {
+			export.part.Classes = append(export.part.Classes, class.statistics(export.now))
 		}
 	}
-	return part, from, from.stage < stageDone
+	if export.cursor.class == len(all) {
+		export.cursor.stage = stageEngines
+	}
 }
 
-// weightedMean reads a decaying mean without bringing it up to date.
-func weightedMean(d decayedMean, now float64) WeightedMean { // d is a copy
-	if d.advance(now); d.weight < 1e-6 {
+// exportEngines exports the engines, from the cursor on.
+func (export *statisticsExport) exportEngines() {
+	all := export.router.engineList
+	at, _ := slices.BinarySearchFunc(all, export.cursor.engine, func(e *engine, id EngineID) int {
+		return cmp.Compare(e.id, id)
+	})
+	for ; at < len(all) && export.left > 0; at++ {
+		export.left--
+		e := all[at]
+		if e.state != Gone {
+			export.part.Engines = append(export.part.Engines, e.statistics(export.now))
+		}
+		export.cursor.engine = e.id + "\x00" // the least id that follows
+	}
+	if at == len(all) {
+		export.cursor.stage = stageTables
+		export.cursor.tables = math.MinInt64
+	}
+}
+
+// exportTables exports the table groups, from the cursor on.
+func (export *statisticsExport) exportTables() {
+	all := export.router.groupList
+	at, _ := slices.BinarySearchFunc(all, export.cursor.tables, func(g *tableGroup, id TableGroup) int {
+		return cmp.Compare(g.id, id)
+	})
+	for ; at < len(all) && export.left > 0; at++ {
+		export.left--
+		g := all[at]
+		if g.confirmed {
+			export.part.Tables = append(export.part.Tables, g.statistics(export.now))
+		}
+		export.cursor.tables = g.id
+		if g.id < math.MaxInt64 {
+			export.cursor.tables++
+		}
+	}
+	if at == len(all) {
+		export.cursor.stage = stageDone
+	}
+}
+
+// negligibleExportWeight is the weight below which a mean is exported as not known.
+const negligibleExportWeight = 1e-6
+
+// weightedMean reads a mean at a time (ms). It works on a copy, as an export must change nothing.
+func weightedMean(d decayedMean, now float64) WeightedMean {
+	d.advance(now)
+	if d.weight < negligibleExportWeight {
 		return WeightedMean{}
 	}
-	return WeightedMean{d.sum / d.weight, d.weight}
+	return WeightedMean{Mean: d.sum / d.weight, Weight: d.weight}
+}
+
+// statistics exports a query class.
+func (class *queryClass) statistics(now float64) ClassStatistics {
+	return ClassStatistics{
+		At:              now,
+		Class:           ClassID(class.index),
+		FirstTryTimeout: class.firstTryTimeout,
+		UnloadedTime:    class.bestUnitTime,
+		WorkScale:       weightedMean(class.workScale, now),
+		MemoryScale:     weightedMean(class.memoryScale, now),
+	}
 }
 
+// statistics exports an engine.
 func (e *engine) statistics(now float64) EngineStatistics {
-	l := EngineStatistics{At: now, Engine: e.id, StartedAt: e.startedAt, Slowdown: weightedMean(e.slowdown, now), ThreadsPerCore: e.threadsPerCore,
-		Outcomes: uint8(e.outcomes)}
-	if math.IsInf(e.startedAt, -1) {
-		l.StartedAt = 0
+	return EngineStatistics{
+		At:             now,
+		Engine:         e.id,
+		StartedAt:      exportedStart(e.startedAt),
+		Slowdown:       weightedMean(e.slowdown, now),
+		ThreadsPerCore: e.threadsPerCore,
+		Outcomes:       uint8(e.outcomes),
+		PoolLeader:     e.pool.leader(),
 	}
-	if e.pool != nil && len(e.pool.engines) > 0 {
-		l.PoolLeader = e.pool.engines[0].id
+}
+
+// exportedStart is the start of an engine's process (ms) as it is exported: -Inf, long ago, becomes 0.
+func exportedStart(startedAt float64) float64 {
+	if math.IsInf(startedAt, -1) {
+		return 0
 	}
-	return l
+	return startedAt
 }
 
+// statistics exports a table group.
 func (g *tableGroup) statistics(now float64) TableStatistics {
-	demand, held := g.demand, g.memoryTime
-	l := TableStatistics{At: now, Tables: g.id, Demand: demand.rate(now), MemoryTime: held.rate(now),
-		PoolLeaders: make([]EngineID, len(g.pools))}
-	for k, pool := range g.pools {
-		if pool != nil && len(pool.engines) > 0 {
-			l.PoolLeaders[k] = pool.engines[0].id
-		}
+	demand := g.demand // copies, as an export must change nothing
+	memoryTime := g.memoryTime
+	record := TableStatistics{
+		At:          now,
+		Tables:      g.id,
+		Demand:      demand.rate(now),
+		MemoryTime:  memoryTime.rate(now),
+		PoolLeaders: make([]EngineID, len(g.pools)),
+	}
+	for kind, pool := range g.pools {
+		record.PoolLeaders[kind] = pool.leader()
+	}
+	return record
+}
+
+// leader is the first engine of a pool, by which an export names the pool; empty: there is no pool or no
+// engine in it.
+func (pool *enginePool) leader() EngineID {
+	if pool == nil || len(pool.engines) == 0 {
+		return ""
 	}
-	return l
+	return pool.engines[0].id
 }
--- a/router/status.go
+++ b/router/status.go
@@ -1,45 +1,71 @@
 package router
 
-// EngineStatus is what a controller knows of an engine just now, for those who plan by it: nothing is
-// decided here.
+// EngineStatus is what a controller knows of an engine just now, for capacity planning and for operators.
+// Nothing is decided by it.
 type EngineStatus struct {
 	Engine      EngineID
-	State       EngineState
-	ListedState EngineState // what the list tells, where somebody holds the engine otherwise
+	State       EngineState // as the controller treats it
+	ListedState EngineState // as the endpoint list has it, if an override is in force
 	Zone        Zone
 	Kind        KindID
-	StartedAt   float64
-	WarmAt      float64 // from when it counts as warm
+	StartedAt   float64 // ms, of its process; -Inf: long ago
+	WarmAt      float64 // ms, from which it counts as warm; 0: it started long ago
 	Cores       float64
-	Load        float64 // as the design's
-	Attempts    int     // own sends out
+	Load        float64 // its load by its reports, see engineLoad; 0 if there is no recent report
+	Attempts    int     // of this controller, whose outcome is waited for
 	Tables      []TableStatus
 }
 
-// TableStatus is a table group that an engine's owner has.
+// TableStatus is a table group that an engine's pool serves.
 type TableStatus struct {
 	Tables       TableGroup
-	Demand       float64 // of this controller there, work on one thread for each ms
-	OtherEngines int     // other ready engines of that owner
+	Demand       float64 // ms of work on one thread for each ms, of this controller, per engine of the pool
+	OtherEngines int     // of the pool
 }
 
-// EngineStatuses tells of all engines, in the order of the list. It changes nothing.
+// EngineStatuses returns the status of all engines by id. It changes nothing.
 func (r *Router) EngineStatuses() []EngineStatus {
 	list := make([]EngineStatus, 0, len(r.engineList))
 	for _, e := range r.engineList {
-		now := EngineStatus{Engine: e.id, State: e.state, ListedState: e.state, Zone: e.zone, Kind: e.kind, StartedAt: e.startedAt, Cores: e.cores, Attempts: e.attempts}
-		if e.startedAt > 0 {
-			now.WarmAt = e.startedAt + r.limits.SlowStartTime
-		}
-		if e.reportedAt > 0 && r.now-e.reportedAt <= reportMaxAge {
-			now.Load = r.engineLoad(e)
-		}
-		if pool := e.pool; pool != nil && e.state == Ready {
-			for _, g := range pool.tableGroups() {
-				now.Tables = append(now.Tables, TableStatus{g.id, g.demand.rate(r.now) / float64(max(1, len(pool.engines))), len(pool.engines) - 1})
-			}
-		}
-		list = append(list, now)
+		list = append(list, r.engineStatus(e))
+	}
+	return list
+}
+
+// engineStatus is the status of one engine.
+func (r *Router) engineStatus(e *engine) EngineStatus {
+	status := EngineStatus{
+		Engine:      e.id,
+		State:       e.state,
+		ListedState: e.state,
+		Zone:        e.zone,
+		Kind:        e.kind,
+		StartedAt:   e.startedAt,
+		Cores:       e.cores,
+		Attempts:    e.attempts,
+	}
+	if e.startedAt > 0 {
+		status.WarmAt = e.startedAt + r.limits.SlowStartTime
+	}
+	if e.reportedAt > 0 && r.now-e.reportedAt <= reportMaxAge {
+		status.Load = r.engineLoad(e)
+	}
+	if e.state == Ready && e.pool != nil {
+		status.Tables = e.pool.tableStatuses(r.now)
+	}
+	return status
+}
+
+// tableStatuses lists the table groups that a pool serves, as the status of one of its engines has them.
+func (pool *enginePool) tableStatuses(now float64) []TableStatus {
+	var list []TableStatus
+	engines := len(pool.engines)
+	for _, g := range pool.tableGroups() {
+		list = append(list, TableStatus{
+			Tables:       g.id,
+			Demand:       g.demand.rate(now) / float64(max(1, engines)),
+			OtherEngines: engines - 1,
+		})
 	}
 	return list
 }
