--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -6,97 +6,150 @@
 	"testing"
 )
 
-// desk is a controller at a clock of its own, for tables of cases.
-type desk struct {
+// testRouter is a Router with a clock of its own, for tests that step it by events.
+type testRouter struct {
 	t   *testing.T
 	r   *Router
-	now float64
+	now float64 // ms, of the last step
 }
 
-var (
-	twoKinds = []MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 4, MemoryMB: 8000}}
-	lookup   = QueryClass{LatencyObjective: 1000, ObjectivePerWork: 2, ClientTimeout: 5000, Threads: 1}
-	loose    = Capabilities{Cancel: true, MaxAttempts: 6}
-	tight    = SafetyLimits{EventInterval: 5, SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4, SlowStartWindow: 1500}
-)
+// twoKinds are a large and a small machine kind.
+var twoKinds = []MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 4, MemoryMB: 8000}}
+
+// lookupClass is a class of small queries that may be repeated anywhere.
+var lookupClass = QueryClass{
+	LatencyObjective: 1000,
+	ObjectivePerWork: 2,
+	ClientTimeout:    5000,
+	Threads:          1,
+}
 
-func newDesk(t *testing.T, p QueryClass, a Capabilities, g SafetyLimits, entries ...Endpoint) *desk {
-	d := &desk{t: t, now: 100000, r: New(1, Identity{Controllers: 1}, twoKinds, []QueryClass{p}, nil, a, g)}
-	d.step(EndpointsUpdated{Complete: true, Cached: true, Endpoints: entries})
-	return d
+// orderedClass is a class of queries with an idempotency key that run in the order of their ordering key.
+var orderedClass = QueryClass{
+	Effect:              Deduplicated,
+	DeduplicationWindow: 12000,
+	Ordered:             true,
+	LatencyObjective:    4000,
+	ObjectivePerWork:    2,
+	ClientTimeout:       13000,
+	LateBenefit:         0.6,
+	Threads:             2,
 }
 
-// more adds a profile of which nothing has been seen yet.
-func (d *desk) more(p QueryClass) {
-	d.r.classes = append(d.r.classes, &queryClass{QueryClass: p, index: len(d.r.classes), shedWatch: shedWatch{alarms: heap[alarm]{less: byAlarmTime}}})
-	for _, e := range d.r.engineList {
+// cancelCapabilities let attempts be cancelled, and nothing else.
+var cancelCapabilities = Capabilities{Cancel: true, MaxAttempts: 6}
+
+// slowStartLimits limit what warming engines are sent; retries have no budget and ordering keys no cooldown.
+var slowStartLimits = SafetyLimits{
+	EventInterval:     5,
+	SlowStartCapacity: 0.3,
+	SlowStartTime:     10000,
+	SlowStartOverload: 4,
+	SlowStartWindow:   1500,
+}
+
+// newTestRouter returns the only controller of some engines, with one query class.
+func newTestRouter(t *testing.T, class QueryClass, capabilities Capabilities, limits SafetyLimits,
+	endpoints ...Endpoint) *testRouter {
+	r := New(1, Identity{Controllers: 1}, twoKinds, []QueryClass{class}, nil, capabilities, limits)
+	tr := &testRouter{t: t, now: 100000, r: r}
+	tr.step(EndpointsUpdated{Complete: true, Cached: true, Endpoints: endpoints})
+	return tr
+}
+
+// newTestRouterInFleet returns one of many controllers, with many engines of the first machine kind.
+func newTestRouterInFleet(t *testing.T, capabilities Capabilities, controllers, engines int) *testRouter {
+	tr := newTestRouter(t, lookupClass, capabilities, slowStartLimits)
+	tr.r.controllers = float64(controllers)
+	for i := range engines {
+		endpoint := readyEndpoint(EngineID(fmt.Sprint("e", i)), 0, "z", CellID(i))
+		tr.step(EndpointsUpdated{Endpoints: []Endpoint{endpoint}})
+	}
+	tr.wait(periodicInterval)
+	return tr
+}
+
+// addClass adds a query class, as if it had been given to New.
+func (tr *testRouter) addClass(class QueryClass) {
+	tr.r.classes = append(tr.r.classes, &queryClass{
+		QueryClass: class,
+		index:      len(tr.r.classes),
+		shedWatch:  shedWatch{alarms: heap[alarm]{less: byAlarmTime}},
+	})
+	for _, e := range tr.r.engineList {
 		e.classBackoffs = append(e.classBackoffs, backoff{})
 	}
 }
 
-func (d *desk) step(events ...Event) []Action {
-	d.now++
-	return d.r.Step(d.now, events)
+// step has events happen 1 ms after the last step.
+func (tr *testRouter) step(events ...Event) []Action {
+	tr.now++
+	return tr.r.Step(tr.now, events)
 }
 
-func (d *desk) wait(ms float64) []Action {
-	d.now += ms
-	return d.step(TimerFired{})
+// wait steps once, without an event, after a time in ms.
+func (tr *testRouter) wait(ms float64) []Action {
+	tr.now += ms
+	return tr.step(TimerFired{})
 }
 
-func engineAt(id EngineID, kind KindID, zone Zone, cell CellID) Endpoint {
+// readyEndpoint is an engine that started long ago.
+func readyEndpoint(id EngineID, kind KindID, zone Zone, cell CellID) Endpoint {
 	return Endpoint{Engine: id, Kind: kind, Zone: zone, Cell: cell}
 }
 
-func command1(id QueryID) QueryArrived {
+// newQuery is a query of the first class without tenant, estimate or ordering key.
+func newQuery(id QueryID) QueryArrived {
 	return QueryArrived{ID: id, Tenant: -1, TimeLeft: 5000, Tables: 7}
 }
 
-func outcome(id QueryID, send AttemptID, o Outcome) AttemptEnded {
-	return AttemptEnded{ID: id, Attempt: send, Outcome: o, QueryDone: o == Succeeded, Elapsed: 100}
+// attemptEnded is the outcome of an attempt after 100 ms. A success is the final answer of the query.
+func attemptEnded(id QueryID, number AttemptID, outcome Outcome) AttemptEnded {
+	return AttemptEnded{
+		ID:        id,
+		Attempt:   number,
+		Outcome:   outcome,
+		QueryDone: outcome == Succeeded,
+		Elapsed:   100,
+	}
 }
 
-// sent is where the command was sent by these actions; empty: nowhere.
-func sent(actions []Action, id QueryID) (to EngineID) {
-	for _, a := range actions {
-		if s, ok := a.(StartAttempt); ok && s.ID == id {
-			to = s.Engine
+// startedOn is the engine on which actions start an attempt of a query; empty: they start none.
+func startedOn(actions []Action, id QueryID) EngineID {
+	var engine EngineID
+	for _, action := range actions {
+		if start, ok := action.(StartAttempt); ok && start.ID == id {
+			engine = start.Engine
 		}
 	}
-	return to
+	return engine
 }
 
-// answers counts the final answers to a command, by kind.
-func answers(actions []Action, id QueryID) (sheds, fails int) {
-	for _, a := range actions {
-		if s, ok := a.(Reject); ok && s.ID == id {
-			sheds++
+// finalAnswers counts the final answers to a query, by kind.
+func finalAnswers(actions []Action, id QueryID) (rejections, failures int) {
+	for _, action := range actions {
+		if reject, ok := action.(Reject); ok && reject.ID == id {
+			rejections++
 		}
-		if f, ok := a.(Fail); ok && f.ID == id {
-			fails++
+		if fail, ok := action.(Fail); ok && fail.ID == id {
+			failures++
 		}
 	}
-	return sheds, fails
+	return rejections, failures
 }
 
-func cancels(actions []Action) bool {
-	return slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(CancelAttempt); return ok })
+// hasCancel reports whether actions cancel an attempt.
+func hasCancel(actions []Action) bool {
+	return slices.ContainsFunc(actions, func(action Action) bool {
+		_, ok := action.(CancelAttempt)
+		return ok
+	})
 }
 
-func sum(counts []int) (n int) {
-	for _, c := range counts {
-		n += c
-	}
-	return n
-}
-
-// crowd is a desk of one controller among many, with many engines of the first kind.
-func crowd(t *testing.T, a Capabilities, controllers, engines int) *desk {
-	d := newDesk(t, lookup, a, tight)
-	d.r.controllers = float64(controllers)
-	for i := range engines {
-		d.step(EndpointsUpdated{Endpoints: []Endpoint{engineAt(EngineID(fmt.Sprint("e", i)), 0, "z", CellID(i))}})
+func sum(counts []int) int {
+	total := 0
+	for _, count := range counts {
+		total += count
 	}
-	d.wait(periodicInterval)
-	return d
+	return total
 }
--- /dev/null
+++ b/router/slowstart_test.go
@@ -0,0 +1,303 @@
+package router
+
+import (
+	"math"
+	"math/rand"
+	"slices"
+	"testing"
+)
+
+// Rule 4, at the margins: clocks differ by some ms, so an engine counts as warming a little longer than
+// configured, a window as longer, and a turn lasts for all of a window. All parts of a turn together stay
+// within what the rule allows.
+func TestSlowStartMargins(t *testing.T) {
+	warming := readyEndpoint("a", 0, "z", 1)
+	withWarming := func() *testRouter {
+		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
+		tr.now += 5000
+		warming.StartedAt = tr.now
+		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
+		return tr
+	}
+	for _, c := range []struct {
+		age     float64
+		warming bool
+	}{{0, true}, {slowStartLimits.SlowStartTime - 10, true},
+		{slowStartLimits.SlowStartTime + windowSlack/2, true},
+		{slowStartLimits.SlowStartTime + 2*windowSlack, false}} {
+		tr := withWarming()
+		tr.r.now = warming.StartedAt + c.age
+		if part := tr.r.slowStartAllowance(tr.r.engines["a"]); (part < 1e9) != c.warming {
+			t.Errorf("%g ms after its start: part %g", c.age, part)
+		}
+	}
+	for _, c := range []struct {
+		name    string
+		ago     float64 // since all of its part was started
+		allowed bool
+	}{{"within the window", 1000, false}, {"just before the window",
+		slowStartLimits.SlowStartWindow + windowSlack/2, false},
+		{"well before the window", slowStartLimits.SlowStartWindow + 2*windowSlack, true}} {
+		tr := withWarming()
+		e := tr.r.engines["a"]
+		tr.r.now = warming.StartedAt + 5000
+		e.slowStartWork.add(tr.r.now-c.ago, tr.r.slowStartAllowance(e))
+		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, e) != c.allowed {
+			t.Errorf("%s: may is %v", c.name, !c.allowed)
+		}
+	}
+	for _, c := range []struct {
+		up      float64 // ms for which this controller has been up
+		allowed bool
+	}{{slowStartLimits.SlowStartWindow, false}, {slowStartLimits.SlowStartWindow + windowSlack/2, false},
+		{slowStartLimits.SlowStartWindow + 2*windowSlack, true}} {
+		tr := withWarming()
+		tr.r.now = warming.StartedAt + 3000
+		tr.r.startedAt = warming.StartedAt + 3000 - c.up
+		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, tr.r.engines["a"]) != c.allowed {
+			t.Errorf("up for %g ms: may is %v", c.up, !c.allowed)
+		}
+	}
+	// all controllers whose turns overlap a window use all of their parts
+	for _, controllers := range []int{60, 150, 300, 1000} {
+		tr := withWarming()
+		tr.r.controllers = float64(controllers)
+		e := tr.r.engines["a"]
+		whole := slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+			slowStartLimits.SlowStartWindow
+		length := (slowStartLimits.SlowStartWindow + 2*windowSlack) / slowStartTurnsPerWindow
+		sizes := map[float64]bool{}
+		var sums []float64 // by stretch
+		for at := length / 2; at < slowStartLimits.SlowStartTime; at += length {
+			sum := 0.0
+			for n := range controllers {
+				tr.r.index = n
+				tr.r.now = warming.StartedAt + at
+				part := tr.r.slowStartAllowance(e)
+				sum += part
+				for early := -0.49; early < 0.5; early += 0.49 {
+					if tr.r.now = warming.StartedAt + at + early*length; tr.r.slowStartAllowance(e) != part {
+						t.Fatalf("%d controllers: the part of %d changes within a turn", controllers, n)
+					}
+				}
+				sizes[part] = true
+			}
+			sums = append(sums, sum)
+		}
+		for i := 2; i < len(sums); i++ { // a window, and clocks that differ by the slack, overlap three turns
+			if together := sums[i-2] + sums[i-1] + sums[i]; together > whole*1.001 || together < whole/3 {
+				t.Errorf("%d controllers: %g ms of %g are handed out in a window", controllers, together, whole)
+			}
+		}
+		if len(sizes) < 3 { // none, small and large
+			t.Errorf("%d controllers: parts of %v alone", controllers, sizes)
+		}
+	}
+	for _, controllers := range []float64{1, 7, 20, 30, 60} { // all parts of a turn together
+		tr := withWarming()
+		tr.r.controllers = controllers
+		whole := slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+			slowStartLimits.SlowStartWindow
+		sum := 0.0
+		for n := range int(controllers) {
+			tr.r.index = n
+			tr.r.now = warming.StartedAt + 100
+			sum += tr.r.slowStartAllowance(tr.r.engines["a"])
+		}
+		if sum > whole*1.001 || controllers < 10 && sum < whole*0.999 {
+			t.Errorf("%g controllers: %g ms of %g are handed out", controllers, sum, whole)
+		}
+	}
+}
+
+// A warming engine takes what this controller's part in its turn holds, though the pooled thread limit is
+// used up and the controller's equal part of the engine is less than one thread. Another engine does not,
+// nor does the warming one without a turn.
+func TestSlowStartTurnPassesPooledLimit(t *testing.T) {
+	warming := readyEndpoint("a", 0, "z", 1)
+	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("b", 0, "z", 1))
+	tr.now += 5000
+	warming.StartedAt = tr.now - 2000
+	tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
+	tr.r.controllers = 300
+	tr.r.traffic.share = decayedMean{}
+	tr.r.runPeriodic()
+	q := &query{class: tr.r.classes[0]}
+	e := tr.r.engines["a"]
+	turn := func(want bool) {
+		for tr.r.index = 0; tr.r.slowStartAllowance(e) > 0 != want; tr.r.index++ {
+		}
+		tr.r.updateAllBounds()
+	}
+	tr.r.concurrency.attempts = 30
+	tr.r.concurrency.threads = tr.r.concurrency.threadLimit + poolOverhang + 1
+	e.attempts = 2
+	e.threads = 2
+	turn(true)
+	capacity := tr.r.capacityBound(1, tr.r.trafficShare())
+	if !tr.r.hasCapacity(q, e, 1) || !capacity.mayHold(e) || tr.r.noCapacityAnywhere(q) {
+		t.Error("a warming engine whose turn it is has no capacity")
+	}
+	if tr.r.hasCapacity(q, tr.r.engines["b"], 1) {
+		t.Error("a warm engine has capacity though the pool is used up")
+	}
+	if e.threads = 2 * maxThreadsPerCore * e.cores; tr.r.hasCapacity(q, e, 1) {
+		t.Error("a warming engine takes more threads than its limit")
+	}
+	e.threads = 2
+	turn(false)
+	if tr.r.slowStartAllows(q, e) {
+		t.Error("a warming engine takes something out of turn")
+	}
+	if q.uncappedEstimate = 1e5; q.slowStartCost(tr.r.now) < 1e5 {
+		t.Error("a large estimate does not count at a warming engine")
+	}
+}
+
+// Rule 4: twenty or thirty controllers all want one warming engine, and none knows of the others. Of N
+// queries of usual work that the rule allows in a window, chance may add 2 roots of N and 2; together they
+// stay under N.
+func TestSlowStartSumOverControllers(t *testing.T) {
+	class := QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, LateBenefit: 1}
+	const usual, stepMS, each = 300.0, 10.0, 3
+	for _, controllers := range []int{3, 20, 30} {
+		rng := rand.New(rand.NewSource(int64(controllers)))
+		warming := Endpoint{Engine: "a", StartedAt: 100000}
+		type out struct {
+			ended AttemptEnded
+			at    float64
+		}
+		var fleet []*Router
+		for n := range controllers {
+			r := New(int64(n), Identity{Controllers: controllers, Index: n}, twoKinds, []QueryClass{class}, nil,
+				cancelCapabilities, slowStartLimits)
+			r.Step(warming.StartedAt-10000, []Event{EndpointsUpdated{Complete: true, Cached: true,
+				Endpoints: []Endpoint{warming}}})
+			r.classes[0].work.add(warming.StartedAt, 100*usual, 100) // what they usually are is known
+			fleet = append(fleet, r)
+		}
+		var starts []float64 // ms, in order
+		pending := make([][]out, controllers)
+		work := map[QueryID]float64{}
+		id := QueryID(0)
+		for now := warming.StartedAt; now < warming.StartedAt+slowStartLimits.SlowStartTime; now += stepMS {
+			for n, r := range fleet {
+				events := []Event{TimerFired{}}
+				for len(pending[n]) > 0 && pending[n][0].at <= now {
+					events = append(events, pending[n][0].ended)
+					pending[n] = pending[n][1:]
+				}
+				for range each * (1 + rng.Intn(2)) / 3 {
+					id++
+					work[id] = usual * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
+					events = append(events, QueryArrived{ID: id, Tenant: -1, TimeLeft: 60000, Tables: 7,
+						EstimatedWork: work[id]})
+				}
+				for _, a := range r.Step(now, events) {
+					if s, ok := a.(StartAttempt); ok {
+						starts = append(starts, now)
+						pending[n] = append(pending[n], out{AttemptEnded{ID: s.ID, QueryDone: true, Elapsed: 50}, now + 50})
+					}
+				}
+			}
+		}
+		allowed := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+			slowStartLimits.SlowStartWindow / usual
+		most := 0
+		for from := range starts {
+			within := 0
+			for _, at := range starts[from:] {
+				if at <= starts[from]+slowStartLimits.SlowStartWindow {
+					within++
+				}
+			}
+			most = max(most, within)
+		}
+		if float64(most) > allowed {
+			t.Errorf("%d controllers: %d queries in a window, of %.0f, where chance may add %.0f", controllers, most,
+				allowed, 2*math.Sqrt(allowed)+2)
+		}
+		if float64(most) < allowed/6 {
+			t.Errorf("%d controllers: only %d queries in a window, of %.0f: the test asks for too little",
+				controllers, most, allowed)
+		}
+		t.Logf("%d controllers: at most %d queries in a window, of %.0f", controllers, most, allowed)
+	}
+}
+
+// Rule 4: what a warming engine is sent within a window stays under this controller's part, and a controller
+// that has just started starts it nothing.
+func TestWarmingEngineGetsItsPartAtMost(t *testing.T) {
+	for _, c := range []struct{ controllers, born, least, most float64 }{
+		{1, 5000, 1, 20}, {4, 5000, 0, 5}, {1, 500, 0, 0},
+	} {
+		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
+		tr.r.controllers = c.controllers
+		tr.r.classes[0].work.add(tr.now, 100*1000, 100)
+		tr.now += c.born
+		warming := readyEndpoint("a", 0, "z", 1)
+		warming.StartedAt = tr.now
+		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
+		n := 0.0
+		for id := range QueryID(60) {
+			if startedOn(tr.step(newQuery(id)), id) != "" {
+				n++
+				tr.step(attemptEnded(id, 0, Succeeded))
+			}
+		}
+		if whole := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+			slowStartLimits.SlowStartWindow / c.controllers; n*1000 > whole ||
+			n < c.least || n > c.most {
+			t.Errorf("%g controllers, up for %g ms: %g queries of 1000 ms to a warming engine", c.controllers,
+				c.born, n)
+		}
+	}
+}
+
+// Rule 4: a rule that caps estimates must not make work look small to what protects warming engines.
+func TestCappedEstimateCountsInFull(t *testing.T) {
+	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
+	for id := range QueryID(50) {
+		ev := newQuery(id)
+		ev.EstimatedWork = 400
+		ev.EstimateCap = 1
+		tr.step(ev)
+		tr.step(attemptEnded(id, 0, Succeeded))
+	}
+	if w := tr.r.classes[0].usualWork(tr.now); w < 300 {
+		t.Errorf("queries of 400 ms are taken to need %g", w)
+	}
+}
+
+// Rule 4 with many controllers: in any window all of them together stay under the limit, and some of them
+// may start attempts.
+func TestSlowStartTurnsStayWithinTheLimit(t *testing.T) {
+	const controllers = 150
+	var parts [controllers][]float64 // of each controller, every 10 ms
+	whole := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+		slowStartLimits.SlowStartWindow
+	tr := newTestRouterInFleet(t, cancelCapabilities, controllers, 1)
+	e := tr.r.engineList[0]
+	e.startedAt = tr.now
+	for range 600 {
+		for n := range controllers {
+			tr.r.index = n
+			parts[n] = append(parts[n], tr.r.slowStartAllowance(e))
+		}
+		tr.r.now += 10
+	}
+	window := int(slowStartLimits.SlowStartWindow / 10)
+	used := 0.0
+	for from := range 600 - window {
+		sum := 0.0
+		for n := range controllers { // each may use its part once within a window, and again in a later turn
+			sum += slices.Max(parts[n][from : from+window])
+		}
+		if used = max(used, sum); sum > slowStartShareUsed*whole*1.001 {
+			t.Fatalf("%g ms of work may be sent within a window, of %g", sum, slowStartShareUsed*whole)
+		}
+	}
+	if used < whole/4 {
+		t.Errorf("only %g ms of work of %g may be sent", used, whole)
+	}
+}
