--- /dev/null
+++ b/router/reasons_test.go
@@ -0,0 +1,142 @@
+package router
+
+import "testing"
+
+// decide does all of a step but its end, which turns decisions into actions and forgets the queries that have
+// their answer. It returns the query of an id, with the reason for its answer.
+func (tr *testRouter) decide(id QueryID, events ...Event) *query {
+	tr.now++
+	r := tr.r
+	r.now = tr.now
+	r.stepCount++
+	for _, event := range events {
+		r.handle(event)
+	}
+	for q := r.nextDue(); q != nil; q = r.nextDue() {
+		r.checkQuery(q)
+	}
+	if r.now >= r.timers.periodicAt {
+		r.runPeriodic()
+	}
+	r.dispatch()
+	return r.queries[id]
+}
+
+// An operator asks why queries were rejected, and the wrong reason would send the search for the cause
+// astray. Each condition for a final answer by the controller gives its own reason.
+func TestReasonOfAnswer(t *testing.T) {
+	nonIdempotent := lookupClass
+	nonIdempotent.Effect = NonIdempotent
+	ready := []Endpoint{readyEndpoint("a", 0, "z", 1)}
+	for _, c := range []struct {
+		want    answerReason
+		class   QueryClass
+		engines []Endpoint
+		// prepare sets up the router, and returns the event in whose step query 1 has its answer.
+		prepare func(tr *testRouter) Event
+	}{
+		{noReason, lookupClass, ready, func(*testRouter) Event { return newQuery(1) }},
+		{reasonInboxTooSlow, lookupClass, ready, func(*testRouter) Event {
+			ev := newQuery(1)
+			ev.InboxWait = 10 * maxInboxWait
+			ev.TimeLeft = 5 * maxInboxWait
+			return ev
+		}},
+		{reasonInboxShare, lookupClass, ready, func(tr *testRouter) Event {
+			tr.r.admission.rejectShare = maxRejectShare
+			return newQuery(1)
+		}},
+		{reasonOrderingQueueTooLong, orderedClass, ready, func(tr *testRouter) Event {
+			ev := newQuery(2)
+			ev.Key = "k"
+			ev.EstimatedWork = 5000 // half of its time left, on two threads
+			tr.step(ev)
+			ev.ID = 1
+			return ev
+		}},
+		{reasonOverQuota, lookupClass, ready, func(tr *testRouter) Event {
+			tr.r.tenants = []*tenant{{
+				Tenant:  Tenant{QueriesPerSecond: 1e-6},
+				queries: decayedMean{halfLife: tenantHalfLife},
+			}}
+			tr.r.admission.overloadedUntil = tr.now + overloadDuration
+			ev := newQuery(1)
+			ev.Tenant = 0
+			return ev
+		}},
+		{reasonLateInOverload, lookupClass, ready, func(tr *testRouter) Event {
+			tr.step(newQuery(2)) // a first try, by which the other one is recognized as a retry
+			tr.r.admission.overloadedUntil = tr.now + overloadDuration
+			ev := newQuery(1)
+			ev.TimeLeft = 2500
+			return ev
+		}},
+		{reasonCannotFinish, lookupClass, ready, func(*testRouter) Event {
+			ev := newQuery(1)
+			ev.EstimatedWork = ev.TimeLeft + 1
+			return ev
+		}},
+		{reasonTooLarge, lookupClass, ready, func(tr *testRouter) Event {
+			tr.r.classes[0].work.add(tr.now, 100*1000, 1000)
+			tr.r.admission.sizeLimit = minSizeLimit
+			ev := newQuery(1)
+			ev.EstimatedWork = 600
+			return ev
+		}},
+		{reasonOverdue, lookupClass, nil, func(tr *testRouter) Event {
+			tr.step(newQuery(1))
+			tr.now = tr.r.shedDeadline(tr.r.queries[1])
+			return TimerFired{}
+		}},
+		{reasonAnswerDue, lookupClass, ready, func(tr *testRouter) Event {
+			tr.step(newQuery(1))
+			tr.now += newQuery(1).TimeLeft
+			return TimerFired{}
+		}},
+		{reasonAttemptsExhausted, nonIdempotent, ready, func(tr *testRouter) Event {
+			tr.step(newQuery(1))
+			return attemptEnded(1, 0, Errored)
+		}},
+	} {
+		tr := newTestRouter(t, c.class, cancelCapabilities, slowStartLimits, c.engines...)
+		q := tr.decide(1, c.prepare(tr))
+		if q.reason != c.want || (q.answer == unanswered) != (c.want == noReason) {
+			t.Errorf("%v: the reason is %v, the answer %v", c.want, q.reason, q.answer)
+		}
+	}
+}
+
+// A query is queued while engines are idle, and an operator asks why. Each condition that keeps it from
+// starting gives its own reason, which is also what startable goes by.
+func TestReasonOfWait(t *testing.T) {
+	class := lookupClass
+	class.Ordered = true
+	limits := slowStartLimits
+	limits.RetryBudgeted = true
+	limits.RetryBudgetWindow = 1000
+	for _, c := range []struct {
+		want    waitReason
+		prepare func(tr *testRouter, q *query)
+	}{
+		{notWaiting, func(*testRouter, *query) {}},
+		{waitOrdering, func(tr *testRouter, q *query) {
+			tr.r.joinOrderingQueue(q, "k")
+			q.queues[0].cooldownUntil = tr.r.now + 1
+		}},
+		{waitAnswered, func(_ *testRouter, q *query) { q.responseStarted = true }},
+		{waitOutcome, func(_ *testRouter, q *query) { q.awaited = 1 }},
+		{waitAnswerDue, func(tr *testRouter, q *query) { tr.r.now = tr.r.answerBy(q) }},
+		{waitAttemptsExhausted, func(_ *testRouter, q *query) {
+			q.attempts = make([]attempt, cancelCapabilities.MaxAttempts)
+		}},
+		{waitRetryBudget, func(_ *testRouter, q *query) { q.attempts = make([]attempt, 1) }},
+	} {
+		tr := newTestRouter(t, class, cancelCapabilities, limits)
+		tr.step(newQuery(1))
+		q := tr.r.queries[1]
+		c.prepare(tr, q)
+		if got := tr.r.whyWaiting(q); got != c.want || tr.r.startable(q) != (c.want == notWaiting) {
+			t.Errorf("%v: the reason is %v, startable %v", c.want, got, tr.r.startable(q))
+		}
+	}
+}
