--- a/internal/lab/reference/router.go
+++ b/internal/lab/reference/router.go
@@ -1,6 +1,3 @@
-// Package reference is the decision module as it stood before its structures for a thousand engines, kept as it was:
-// new and old are stepped side by side on the same events and must order the same. It is no part of any program that
-// serves, and nothing in it is to be improved. Its interface is the module's own.
 package reference
 
 import (
