--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -164,7 +164,8 @@
 }
 
 func TestRoleNamesAreStable(t *testing.T) {
-	names := map[Role]string{NonMember: "outside", Unverified: "doubted", Joining: "joining", Learner: "learning", Voter: "voting"}
+	names := map[Role]string{NonMember: "outside", Unverified: "doubted", Joining: "joining", Learner: "learning",
+		Voter: "voting"}
 	for role, name := range names {
 		if role.String() != name {
 			t.Errorf("%q, and was %q", role, name)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,8 +19,8 @@
 	Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
 		Profiles: map[string]router.ClassID{"lookup": 0, "report": 1}}}
 
-// Every problem is told with line, column and field, all at once.
-func TestProblems(t *testing.T) {
+// A file has several mistakes. All are reported at once, each with line, column and field.
+func TestEveryProblemHasItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string // as line:column field; none: it is read
@@ -73,7 +73,7 @@
 		{"deep signs", "x = " + strings.Repeat("!", 100000) + "true", []string{"1:"}},
 		{"long choices", "x = " + strings.Repeat("true ? 1 : ", 20000) + "2", []string{"1:"}},
 		{"deep blocks", strings.Repeat("a {\n", 50000), []string{"33:"}},
-		{"too long", strings.Repeat("#\n", mostBytes), []string{"0:0 "}},
+		{"too long", strings.Repeat("#\n", maxFileBytes), []string{"0:0 "}},
 	} {
 		file, err := Parse("f.hcl", []byte(c.text), facts)
 		var got []string
@@ -93,8 +93,9 @@
 	}
 }
 
-// What stands in a file is what its owners get; what does not is off, or as usual.
-func TestRead(t *testing.T) {
+// What a file has is what its owners get; what it does not have is off or has its default. The
+// example that is installed is valid, also with all of it turned on.
+func TestReadFileAndExample(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.hcl")
 	text := "log {\n level = \"debug\"\n}\nmemory {\n folder = \"/a\"\n}\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -104,19 +105,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := logs.Usual()
+	want := logs.DefaultBlock()
 	want.Level = -4
-	if file.Log != want || *file.Memory != (memory.Block{Folder: "/a", Pace: 5 * time.Second}) {
+	if file.Log != want || *file.Memory != (memory.Block{Folder: "/a", Interval: 5 * time.Second}) {
 		t.Errorf("%+v, %+v", file, file.Memory)
 	}
-	if file, err := Read("", facts); err != nil || file.Memory != nil || file.Log != logs.Usual() {
+	if file, err := Read("", facts); err != nil || file.Memory != nil || file.Log != logs.DefaultBlock() {
 		t.Errorf("no file: %+v, %v", file, err)
 	}
 	if _, err := Read(path+"x", facts); err == nil {
 		t.Error("a file that is not there is read")
 	}
 	if file, err := Read(filepath.Join("..", "..", "deploy", "operator.hcl"), facts); err != nil || file.Memory != nil ||
-		file.Log != logs.Usual() {
+		file.Log != logs.DefaultBlock() {
 		t.Errorf("the example is not all off: %+v, %v", file, err)
 	}
 	example, err := os.ReadFile(filepath.Join("..", "..", "deploy", "operator.hcl"))
@@ -136,7 +137,7 @@
 	}
 }
 
-// Whatever a file holds, it is read or refused.
+// Whatever a file holds, it is read or refused with problems.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("log {\n level = \"info\"\n}\n"))
 	f.Add([]byte("memory {\n folder = \"/a\"\n pace = \"5s\"\n}\n"))
