--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -95,7 +95,7 @@
 // The daemon closes the connections to engines while discovery posts an update. Done by the caller of Close,
 // the two would use the engines' side at once. Both are done by the loop's goroutine; the race detector shows
 // if they are not.
-func TestCloseDuringEndpointUpdates(t *testing.T) {
+func TestCloseDuringEndpointUpdates(_ *testing.T) {
 	module := router.New(1, router.Identity{Controllers: 1}, nil, nil, nil, router.Capabilities{},
 		router.SafetyLimits{})
 	l := New(module, SystemClock(), 10, 0)
--- /dev/null
+++ b/internal/engines/answers_test.go
@@ -0,0 +1,188 @@
+package engines
+
+import (
+	"net"
+	"runtime"
+	"strings"
+	"testing"
+
+	"mintkeel/internal/limits"
+	"mintkeel/router"
+)
+
+// Every way in which an engine may end an attempt, and every malformed answer, gives one outcome.
+func TestOutcomes(t *testing.T) {
+	for _, c := range []struct {
+		name, says string
+		hangUp     bool
+		want       router.Outcome
+		pages      string
+	}{
+		{name: "one page", says: "c1 ACK parts=1,report=inflight:7;util:0.5 6\r\na\tb\tc\n\r\n", pages: "a\tb\tc\n"},
+		{name: "no rows", says: "c1 ACK - 0\r\n\r\n"},
+		{name: "full", says: "c1 AGAIN - 0\r\n\r\n", want: router.EngineFull},
+		{name: "over already", says: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
+		{name: "error", says: "c1 EIO - 4\r\nsome\r\n", want: router.Errored},
+		{name: "reset", hangUp: true, want: router.ConnectionReset},
+		{name: "half a line, then the end", says: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
+		{name: "not a word", says: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "no length", says: "c1 ACK - x\r\n\r\n", want: router.ConnectionReset},
+		{name: "no line end after the body", says: "c1 ACK - 0\r\nxx", want: router.ConnectionReset},
+		{name: "a bare line feed", says: "c1 ACK - 0\n", want: router.ConnectionReset},
+		{name: "a field without a value", says: "c1 ACK parts 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a report of no numbers", says: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a row of two columns", says: "c1 ACK - 4\r\na\tb\n\r\n", want: router.ConnectionReset},
+		{name: "a row without an end", says: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.ConnectionReset},
+		{name: "a page too long", says: "c1 ACK - 6001\r\n", want: router.ConnectionReset},
+		{name: "a line too long", says: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.ConnectionReset},
+		{name: "too many pages", says: "c1 ACK parts=1000000 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a page before the first", says: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.ConnectionReset},
+		{name: "a note, then nothing", says: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
+	} {
+		pt := newPoolTest(t, nil)
+		query := newQuery("c1")
+		pt.start(query, 0)
+		engine := pt.accept()
+		engine.expectQuery("c1")
+		if engine.write("%s", c.says); c.hangUp {
+			engine.Close()
+		}
+		t.Log(c.name)
+		end := pt.expectEnd(0, c.want)
+		if got := string(joinPages(end.Pages)); got != c.pages {
+			t.Errorf("%s: pages %q", c.name, got)
+		}
+		if load := end.Load; c.pages != "" &&
+			(load == nil || load.Inflight != 7 || load.Utilization != 0.5 || load.Disk != -1) {
+			t.Errorf("%s: load %+v", c.name, load)
+		}
+	}
+}
+
+// joinPages is a result as one text.
+func joinPages(pages [][]byte) (all []byte) {
+	for _, page := range pages {
+		all = append(all, page...)
+	}
+	return all
+}
+
+// A result counts when all its pages are in, in whatever order they come. A page may come twice, but not with
+// other content; one that is lost makes the attempt fail.
+func TestPages(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		says []string
+		want router.Outcome
+	}{
+		{"out of order", []string{"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n"},
+			router.Succeeded},
+		{"one lost", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 EIO - 0\r\n\r\n"}, router.Errored},
+		{"one twice", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
+			"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
+		{"one twice, but otherwise", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
+			"c1 BLOCK part_no=1 6\r\n2\t2\t9\n\r\n"}, router.ConnectionReset},
+		{"one not asked for", []string{"c1 BLOCK part_no=3 6\r\n2\t2\t2\n\r\n"}, router.ConnectionReset},
+		{"the first again", []string{"c1 ACK parts=3 6\r\n1\t1\t1\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
+			"c9 ACK parts=1 0\r\n\r\n", "c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
+		{"the first again, but otherwise", []string{"c1 ACK parts=3 6\r\n1\t1\t9\n\r\n"}, router.ConnectionReset},
+		{"more than a result holds", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\nc1 BLOCK part_no=2 39\r\n" +
+			strings.Repeat("long", 9) + "\t\t\n\r\n"}, router.ConnectionReset},
+	} {
+		pt := newPoolTest(t, func(l *limits.Limits) { l.ResultBytes = 48 })
+		pt.start(newQuery("c1"), 0)
+		engine := pt.accept()
+		engine.expectQuery("c1")
+		engine.answer("c1", "ACK", "parts=3", "1\t1\t1\n")
+		engine.expect("page c1 1\r\n")
+		engine.expect("page c1 2\r\n")
+		for _, s := range c.says {
+			engine.write("%s", s)
+		}
+		t.Log(c.name)
+		end := pt.expectEnd(0, c.want)
+		if got := string(joinPages(end.Pages)); c.want == router.Succeeded && got != "1\t1\t1\n2\t2\t2\n3\t3\t3\n" {
+			t.Errorf("%s: pages %q", c.name, got)
+		}
+		if c.want == router.Succeeded {
+			engine.expect("forget c1\r\n")
+		}
+	}
+}
+
+// Each kind of progress message is reported as the module's term for it.
+func TestProgressMessages(t *testing.T) {
+	pt := newPoolTest(t, nil)
+	query := newQuery("c1")
+	pt.start(query, 3)
+	engine := pt.accept()
+	engine.expectQuery("c1")
+	for _, c := range []struct {
+		fields string
+		want   AttemptProgress
+	}{
+		{"remark=progress,value=0.25", AttemptProgress{query, 3, router.ProgressDone, 0.25}},
+		{"remark=spill_mb,value=12", AttemptProgress{query, 3, router.ProgressSpilling, 12}},
+		{"remark=blocked,value=1", AttemptProgress{query, 3, router.ProgressWaitsForMemory, 1}},
+		{"remark=blocked,value=2", AttemptProgress{query, 3, router.ProgressWaitsForTables, 2}},
+	} {
+		engine.answer("c1", "EVENT", "-", "") // not yet over, and no note
+		engine.answer("c1", "EVENT", c.fields, "")
+		if got := <-pt.events; got != any(c.want) {
+			t.Errorf("%s: %+v", c.fields, got)
+		}
+	}
+}
+
+// An engine answers an attempt again some milliseconds later, in the same way or in another. That must not
+// spoil what follows on the connection.
+func TestDuplicateAnswer(t *testing.T) {
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 1 })
+	pt.start(newQuery("c1"), 1)
+	engine := pt.accept()
+	engine.expectQuery("c1")
+	engine.answer("c1", "ACK", "parts=1", "1\t1\t1\n")
+	pt.expectEnd(1, router.Succeeded)
+	pt.start(newQuery("c2"), 2)
+	engine.expectQuery("c2")
+	engine.answer("c1", "ACK", "parts=1", "1\t1\t1\n")
+	engine.answer("c1", "EIO", "-", "")
+	engine.answer("c1", "BLOCK", "part_no=3", "1\t1\t1\n")
+	engine.answer("c2", "ACK", "parts=1", "2\t2\t2\n")
+	if end := pt.expectEnd(2, router.Succeeded); string(joinPages(end.Pages)) != "2\t2\t2\n" {
+		t.Errorf("pages %q", end.Pages)
+	}
+}
+
+// An engine reports progress, and then that the attempt never ran. That is not believed: it may have had its
+// effect.
+func TestRejectedAfterProgress(t *testing.T) {
+	for _, word := range []string{"AGAIN", "STALE"} {
+		pt := newPoolTest(t, nil)
+		pt.start(newQuery("c1"), 1)
+		engine := pt.accept()
+		engine.expectQuery("c1")
+		engine.answer("c1", "EVENT", "remark=progress,value=0.1", "")
+		<-pt.events
+		engine.answer("c1", word, "-", "")
+		pt.expectEnd(1, router.Errored)
+	}
+}
+
+// An engine resets a connection after an answer. The answer counts, and what follows goes over another
+// connection.
+func TestResetAfterAnswer(t *testing.T) {
+	pt := newPoolTest(t, nil)
+	pt.start(newQuery("c1"), 1)
+	engine := pt.accept()
+	engine.expectQuery("c1")
+	engine.answer("c1", "ACK", "-", "")
+	pt.expectEnd(1, router.Succeeded)
+	engine.Conn.(*net.TCPConn).SetLinger(0)
+	engine.Close()
+	for len(pt.pool.engines["e"].liveConns()) > 0 { // until it is seen
+		runtime.Gosched()
+	}
+	pt.start(newQuery("c2"), 2)
+	pt.accept().expectQuery("c2")
+}
--- /dev/null
+++ b/internal/engines/conn_attempts.go
@@ -0,0 +1,129 @@
+package engines
+
+import (
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"mintkeel/internal/enginewire"
+	"mintkeel/internal/request"
+	"mintkeel/router"
+)
+
+// minAttemptMS is the least time in ms that an attempt is given: engines take no shorter one.
+const minAttemptMS = 1
+
+// lineEnd ends a statement.
+var lineEnd = []byte("\r\n")
+
+// add takes an attempt on and reports whether it did: not if the connection has ended, carries maxAttempts,
+// has carried the query before or has too much to write.
+func (c *conn) add(a *attempt, maxAttempts int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	query := a.query
+	if !c.usable() || !c.usedIDs[query.ID].IsZero() || len(c.attempts) >= maxAttempts ||
+		c.queuedBytes+len(query.Statement) > c.pool.limits.QueueBytes {
+		return false
+	}
+	c.sweepUsedIDs()
+	if len(c.attempts) == 0 {
+		c.heardAt = time.Now()
+	}
+	c.usedIDs[query.ID] = query.ReadAt.Add(query.TimeLeft + c.pool.limits.LateTime)
+	c.attempts[query.ID] = a
+	c.attemptCount.Store(int32(len(c.attempts)))
+	timeout := max(minAttemptMS, time.Until(a.deadline).Milliseconds())
+	head := enginewire.AppendDo(nil, query.ID, query.ClassName, timeout, query.IdempotencyKey,
+		len(query.Statement))
+	c.enqueue(outgoing{parts: net.Buffers{head, query.Statement, lineEnd}, attempt: a})
+	return true
+}
+
+// sweepUsedIDs forgets ids whose clients have given up, once there are many. mu is held.
+func (c *conn) sweepUsedIDs() {
+	if len(c.usedIDs) < c.sweepAt {
+		return
+	}
+	now := time.Now()
+	maps.DeleteFunc(c.usedIDs, func(_ string, until time.Time) bool { return now.After(until) })
+	c.sweepAt = 2*len(c.usedIDs) + minSweep
+}
+
+// cancelAttempt gives an attempt up if it is on this connection.
+func (c *conn) cancelAttempt(query *request.Query, id router.AttemptID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if a := c.attempts[query.ID]; a != nil && a.query == query && a.id == id {
+		c.giveUp(a, router.Cancelled)
+	}
+}
+
+// giveUp tells the engine that an attempt is given up, and pings it behind that: until the engine has
+// answered the query may not be sent again, or two of its attempts could run at once. An attempt that was not
+// written needs neither and is Withdrawn. mu is held.
+func (c *conn) giveUp(a *attempt, outcome router.Outcome) {
+	if a.givenUp {
+		return
+	}
+	a.givenUp = true
+	if !a.written {
+		a.giveUpOutcome = router.Withdrawn
+		a.giveUpBy = longAgo
+		wake(c.netConn)
+		return
+	}
+	a.giveUpOutcome = outcome
+	a.giveUpBy = time.Now().Add(c.pool.limits.GiveUpTime)
+	b := enginewire.AppendUndo(nil, a.query.ID)
+	if a.pages != nil {
+		b = enginewire.AppendForget(b, a.query.ID)
+	}
+	c.ping(b, giveUpTag+a.query.ID)
+}
+
+// withdrawUnsent ends the attempts that were not written, and the connection if its engine has gone and it
+// carries no other.
+func (c *conn) withdrawUnsent(engineGone bool) {
+	c.mu.Lock()
+	var events []Event
+	for _, a := range c.attempts {
+		if !a.written {
+			events = append(events, c.finish(a, router.Withdrawn))
+		}
+	}
+	if engineGone && len(c.attempts) == 0 {
+		c.cancel()
+		wake(c.netConn)
+	}
+	c.mu.Unlock()
+	if len(events) > 0 {
+		go c.report(events) // the caller is the loop, which must not wait
+	}
+}
+
+// finish takes an attempt off the connection and returns its end. mu is held.
+func (c *conn) finish(a *attempt, outcome router.Outcome) Event {
+	delete(c.attempts, a.query.ID)
+	c.attemptCount.Store(int32(len(c.attempts)))
+	now := time.Now()
+	c.lastUsed = now
+	if !a.written {
+		at := slices.IndexFunc(c.queue, func(o outgoing) bool { return o.attempt == a })
+		if at >= 0 {
+			c.queue = slices.Delete(c.queue, at, at+1)
+		}
+	}
+	ended := AttemptEnded{
+		Query:   a.query,
+		Attempt: a.id,
+		Outcome: outcome,
+		Elapsed: now.Sub(a.startedAt),
+		Load:    a.load,
+	}
+	if outcome == router.Succeeded {
+		ended.Pages = a.pages
+	}
+	return ended
+}
--- /dev/null
+++ b/internal/engines/conn_due.go
@@ -0,0 +1,119 @@
+package engines
+
+import (
+	"net"
+	"time"
+
+	"mintkeel/router"
+)
+
+// maxReadWait is the longest that a read waits on a connection that carries something.
+const maxReadWait = time.Minute
+
+// dueWork is what a connection's goroutine has to do before it reads on.
+type dueWork struct {
+	events []Event    // to be reported first
+	write  []outgoing // then to be written; empty: the read deadline is set to when something else is due
+	err    error      // not nil: the connection must end, and the other fields are empty
+}
+
+// alarm finds the earliest of the times at which something is due.
+type alarm struct {
+	now  time.Time
+	next time.Time // the earliest of those that have not passed
+}
+
+// passed reports whether a time has come. If not, the alarm rings by then.
+func (a *alarm) passed(at time.Time) bool {
+	if !a.now.Before(at) {
+		return true
+	}
+	if at.Before(a.next) {
+		a.next = at
+	}
+	return false
+}
+
+// takeDue ends what has had its time and takes out what is to be written. If there is nothing to write, it
+// lets the next read wait until something else is due. partialSince is since when there is a part of an
+// answer; zero: there is none.
+func (c *conn) takeDue(now time.Time, netConn net.Conn, partialSince time.Time) dueWork {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	alarm := alarm{now: now, next: now.Add(maxReadWait)}
+	if c.idle() {
+		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdle)
+		if now.After(alarm.next) {
+			c.markEnded() // under the mutex, so that an attempt comes before it or goes over another connection
+			return dueWork{err: errIdle}
+		}
+	}
+	if err := c.checkAlive(&alarm, partialSince); err != nil {
+		return dueWork{err: err}
+	}
+	events := c.endOverdue(&alarm)
+	write, withdrawn := c.takeQueue(now)
+	if len(write) == 0 {
+		netConn.SetReadDeadline(alarm.next)
+	}
+	return dueWork{events: append(events, withdrawn...), write: write}
+}
+
+// checkAlive returns why the connection counts as dead, if it does: an engine that is cut off says nothing,
+// and its attempts would be missed only at their deadlines. It pings an engine that has been silent for
+// PingAfter while it owes something. mu is held.
+func (c *conn) checkAlive(alarm *alarm, partialSince time.Time) error {
+	l := c.pool.limits
+	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.RestTime)) {
+		return errPartialAnswer
+	}
+	if len(c.attempts) > 0 && c.pingedAt.IsZero() && alarm.passed(c.heardAt.Add(l.PingAfter)) {
+		c.ping(nil, keepaliveTag)
+	}
+	if !c.pingedAt.IsZero() && alarm.passed(c.pingedAt.Add(l.GiveUpTime)) {
+		return errPingUnanswered
+	}
+	return nil
+}
+
+// endOverdue gives up attempts past their deadline, and ends those that were given up and health checks whose
+// time is over. mu is held.
+func (c *conn) endOverdue(alarm *alarm) []Event {
+	var events []Event
+	for _, a := range c.attempts {
+		if !a.givenUp && !alarm.now.Before(a.deadline) {
+			c.giveUp(a, router.TimedOut)
+		}
+		if !a.givenUp {
+			alarm.passed(a.deadline)
+		} else if alarm.passed(a.giveUpBy) {
+			events = append(events, c.finish(a, a.giveUpOutcome))
+		}
+	}
+	for tag, deadline := range c.healthChecks {
+		if alarm.passed(deadline) {
+			delete(c.healthChecks, tag)
+			events = append(events, HealthCheckEnded{Engine: c.engine, Outcome: router.TimedOut})
+		}
+	}
+	return events
+}
+
+// takeQueue takes out what is to be written, and withdraws attempts that it is too late for. The others count
+// as written from here on: their last byte may be taken at any moment. mu is held.
+func (c *conn) takeQueue(now time.Time) (write []outgoing, withdrawn []Event) {
+	queue := c.queue
+	c.queue = nil
+	c.queuedBytes = 0
+	for _, o := range queue {
+		if o.attempt != nil {
+			if o.attempt.tooLate(now) {
+				withdrawn = append(withdrawn, c.finish(o.attempt, router.Withdrawn))
+				continue
+			}
+			o.attempt.written = true
+		}
+		write = append(write, o)
+	}
+	return write, withdrawn
+}
--- /dev/null
+++ b/internal/engines/conn_ping.go
@@ -0,0 +1,57 @@
+package engines
+
+import (
+	"strings"
+	"time"
+
+	"mintkeel/internal/enginewire"
+	"mintkeel/router"
+)
+
+// The tag of a ping, which its answer repeats, tells what it is for. None begins as another.
+const (
+	// healthCheckTag begins the tag of a health check; a number is the rest.
+	healthCheckTag = "p"
+	// giveUpTag begins the tag of the ping that follows an undo; the query's id is the rest.
+	giveUpTag = "u"
+	// keepaliveTag asks no more than whether a silent connection still works.
+	keepaliveTag = "k"
+)
+
+// checkHealth begins a health check, unless the connection has ended. It ends as TimedOut after GiveUpTime.
+func (c *conn) checkHealth(tag string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.usable() {
+		return false
+	}
+	c.healthChecks[tag] = time.Now().Add(c.pool.limits.GiveUpTime)
+	c.ping(nil, tag)
+	return true
+}
+
+// ping writes a ping behind b. If the engine sends nothing for GiveUpTime after it, the connection ends. mu
+// is held.
+func (c *conn) ping(b []byte, tag string) {
+	if c.pingedAt.IsZero() {
+		c.pingedAt = time.Now()
+	}
+	c.enqueueLine(enginewire.AppendPing(b, tag))
+}
+
+// handlePong takes in the answer to a ping: the engine has read all that was written before it. mu is held.
+func (c *conn) handlePong(tag string, load *router.LoadReport) []Event {
+	if _, found := c.healthChecks[tag]; found {
+		delete(c.healthChecks, tag)
+		c.lastUsed = time.Now()
+		return []Event{HealthCheckEnded{Engine: c.engine, Outcome: router.Succeeded, Load: load}}
+	}
+	id, isGiveUp := strings.CutPrefix(tag, giveUpTag)
+	if !isGiveUp {
+		return nil
+	}
+	if a := c.attempts[id]; a != nil && a.givenUp && a.written {
+		return []Event{c.finish(a, a.giveUpOutcome)}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/engines/conn_read.go
@@ -0,0 +1,146 @@
+package engines
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"mintkeel/internal/enginewire"
+	"mintkeel/internal/settings"
+	"mintkeel/router"
+)
+
+// run is the connection's goroutine: it dials, then serves until the connection ends.
+func (c *conn) run() {
+	dialer := net.Dialer{Timeout: c.pool.limits.ConnectTime, KeepAlive: -1}
+	netConn, err := dialer.DialContext(c.ctx, "tcp", c.address)
+	if err != nil {
+		c.end(err, router.ConnectFailed)
+		return
+	}
+	c.mu.Lock()
+	c.netConn = netConn
+	c.heardAt = time.Now()
+	c.mu.Unlock()
+	from, err := newLookaheadConn(netConn)
+	if err == nil {
+		err = c.serve(from)
+	}
+	netConn.Close()
+	c.end(err, router.ConnectionReset)
+}
+
+// serve writes what there is to write and reads answers, one after the other, until the connection ends. A
+// read waits until something is due, and is ended early when there is something to write (see wake). An
+// answer is taken from the buffer only when it is whole, so a read that is broken off loses nothing.
+func (c *conn) serve(from *lookaheadConn) error {
+	l := c.pool.limits
+	r := bufio.NewReaderSize(from, l.LineBytes+l.PageBytes+len(lineEnd))
+	var partialSince time.Time // since when the buffer holds a part of an answer; zero: it holds none
+	for c.ctx.Err() == nil {
+		now := time.Now()
+		due := c.takeDue(now, from, partialSince)
+		c.report(due.events)
+		if due.err != nil {
+			return due.err
+		}
+		if len(due.write) > 0 {
+			err := c.flush(due.write, from, now.Add(l.EngineWrite))
+			if err == nil {
+				continue
+			}
+			if !errors.Is(err, errClosedByEngine) {
+				return err
+			}
+			// Answers that came ahead of the end still count: they are read, and then the end is.
+		}
+		answer, size, err := enginewire.Peek(r, l.LineBytes, l.PageBytes)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			if r.Buffered() > 0 && partialSince.IsZero() {
+				partialSince = time.Now()
+			}
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		partialSince = time.Time{}
+		events, err := c.handleAnswer(answer)
+		c.report(events)
+		if err != nil {
+			return err
+		}
+		r.Discard(size)
+	}
+	return c.ctx.Err()
+}
+
+// handleAnswer takes in one answer. One for an id that is not running here crossed the end of its attempt and
+// says nothing. An error ends the connection.
+func (c *conn) handleAnswer(answer enginewire.Answer) ([]Event, error) {
+	load, err := loadReport(answer)
+	if err != nil {
+		return nil, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.heardAt = time.Now()
+	c.pingedAt = time.Time{}
+	if answer.Word == enginewire.Ready {
+		return c.handlePong(string(answer.ID), load), nil
+	}
+	a := c.attempts[string(answer.ID)]
+	if a == nil || !a.written {
+		return nil, nil
+	}
+	if load != nil {
+		a.load = load
+	}
+	switch answer.Word {
+	case enginewire.Full:
+		return c.handleNeverRan(a, router.EngineFull)
+	case enginewire.Stale:
+		return c.handleNeverRan(a, router.NotSent)
+	case enginewire.Error:
+		return []Event{c.finish(a, router.Errored)}, nil
+	case enginewire.Note:
+		return c.handleProgress(a, answer), nil
+	}
+	return c.handlePage(a, answer)
+}
+
+// loadReport is the load report of an answer; nil if there is none.
+func loadReport(answer enginewire.Answer) (*router.LoadReport, error) {
+	if answer.Report == nil {
+		return nil, nil
+	}
+	load := settings.NoLoad()
+	err := enginewire.Report(answer.Report, func(name string, x float64) { settings.SetLoad(load, name, x) })
+	return load, err
+}
+
+// handleNeverRan takes in that the engine did not run an attempt. It is not believed of one that has reported
+// progress: that may have had its effect. After a page it makes no sense. mu is held.
+func (c *conn) handleNeverRan(a *attempt, outcome router.Outcome) ([]Event, error) {
+	if a.pages != nil {
+		return nil, enginewire.ErrMalformed
+	}
+	if a.progressed {
+		outcome = router.Errored
+	}
+	return []Event{c.finish(a, outcome)}, nil
+}
+
+// handleProgress takes in a progress message. mu is held.
+func (c *conn) handleProgress(a *attempt, answer enginewire.Answer) []Event {
+	kind, known := progressKind(answer)
+	if !known {
+		return nil
+	}
+	if kind == router.ProgressDone && answer.Value > 0 {
+		a.progressed = true
+	}
+	return []Event{AttemptProgress{Query: a.query, Attempt: a.id, Kind: kind, Value: answer.Value}}
+}
--- /dev/null
+++ b/internal/engines/endpoints.go
@@ -0,0 +1,117 @@
+package engines
+
+import "mintkeel/router"
+
+// Endpoint is where an engine listens, and whether it may get attempts.
+type Endpoint struct {
+	Engine  router.EngineID
+	Address string // host:port
+	State   router.EngineState
+}
+
+// engine is an engine of the endpoint list with its connections. It stays, as Gone, until its last connection
+// ends.
+type engine struct {
+	Endpoint         // with an empty Address while another engine has it
+	conns    []*conn // that have not been found ended
+}
+
+// UpdateEndpoints takes in where engines are; if complete, those that are not named are gone. Attempts that
+// wait for a connection to an engine that drains or is gone are withdrawn, as they would be sent after the
+// list has said so. Those that were sent may end.
+func (p *Pool) UpdateEndpoints(endpoints []Endpoint, complete bool) {
+	named := map[router.EngineID]bool{}
+	readyAt := map[string]bool{} // addresses
+	for _, endpoint := range endpoints {
+		named[endpoint.Engine] = true
+		if p.updateEndpoint(endpoint) {
+			readyAt[endpoint.Address] = true
+		}
+	}
+	p.readyEngines = 0
+	for id, e := range p.engines {
+		if !named[id] {
+			e.updateUnnamed(complete, readyAt)
+		}
+		conns := e.liveConns()
+		switch {
+		case e.State == router.Gone && len(conns) == 0:
+			delete(p.engines, id)
+		case e.State == router.Ready:
+			p.readyEngines++
+		}
+	}
+	for _, e := range p.engines {
+		p.trim(e)
+	}
+}
+
+// updateEndpoint takes in one endpoint and reports whether it is ready.
+func (p *Pool) updateEndpoint(endpoint Endpoint) (ready bool) {
+	e := p.engines[endpoint.Engine]
+	if e == nil {
+		e = &engine{Endpoint: endpoint}
+		p.engines[endpoint.Engine] = e
+	}
+	if endpoint.State != router.Ready {
+		// Its address may not be named any more. The old one stays, as attempts that were sent there may still end.
+		e.State = endpoint.State
+		e.withdrawUnsent()
+		return false
+	}
+	if e.Address != endpoint.Address {
+		for _, c := range e.conns {
+			c.close()
+		}
+	}
+	e.Endpoint = endpoint
+	return true
+}
+
+// updateUnnamed takes in an update that does not name the engine: it is gone if the update is complete, and
+// has lost its address if another engine is there now. That one must not get what is meant for this.
+func (e *engine) updateUnnamed(complete bool, readyAt map[string]bool) {
+	if complete {
+		e.State = router.Gone
+		e.withdrawUnsent()
+	}
+	if e.Address != "" && readyAt[e.Address] {
+		e.Address = ""
+		e.withdrawUnsent()
+	}
+}
+
+// SetExpired says whether the endpoint list is out of date. While it is, a connection is dialled only beside
+// one that is up, which shows that the same process is still there: another engine may listen at the address
+// of one that has gone, or the same one may have restarted and be warming up.
+//
+// An attempt that waits for a connection as the list expires is withdrawn, as it was decided by a list that
+// was valid.
+func (p *Pool) SetExpired(expired bool) {
+	if expired && !p.listExpired {
+		for _, e := range p.engines {
+			e.withdrawUnsent()
+		}
+	}
+	p.listExpired = expired
+}
+
+// liveConns drops the connections that have ended, and returns the others.
+func (e *engine) liveConns() []*conn {
+	kept := e.conns[:0]
+	for _, c := range e.conns {
+		if !c.isEnded() {
+			kept = append(kept, c)
+		}
+	}
+	clear(e.conns[len(kept):])
+	e.conns = kept
+	return kept
+}
+
+// withdrawUnsent ends the attempts that were not written yet.
+func (e *engine) withdrawUnsent() {
+	for _, c := range e.liveConns() {
+		c.withdrawUnsent(e.State == router.Gone)
+	}
+}
--- /dev/null
+++ b/internal/engines/placement_test.go
@@ -0,0 +1,107 @@
+package engines
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/router"
+)
+
+// One malformed answer ends all attempts of its connection, so they share one only where there may be no
+// other.
+func TestAttemptsShareConnectionsOnlyAtLimit(t *testing.T) {
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 3 }) // of which one is kept back
+	var peers []*fakeEngine
+	for i := range 2 {
+		id := fmt.Sprint("c", i)
+		pt.start(newQuery(id), router.AttemptID(i))
+		engine := pt.accept()
+		engine.expectQuery(id)
+		peers = append(peers, engine)
+	}
+	pt.start(newQuery("c2"), 2)
+	shared, alone := peers[0], peers[1]
+	shared.expectQuery("c2")
+	shared.write("c2 ACK - x\r\n")
+	for range 2 {
+		if end := (<-pt.events).(AttemptEnded); end.Outcome != router.ConnectionReset || end.Attempt == 1 {
+			t.Errorf("told %+v", end)
+		}
+	}
+	alone.answer("c1", "ACK", "-", "")
+	pt.expectEnd(1, router.Succeeded)
+	pt.start(newQuery("c3"), 3) // on the idle one
+	alone.expectQuery("c3")
+}
+
+// An engine joins while another holds all connections that there may be. The idle ones above the other's
+// share are closed, and the new engine gets its own.
+func TestNewEngineGetsConnections(t *testing.T) {
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 8 })
+	for i := range 8 {
+		pt.start(newQuery(fmt.Sprint("c", i)), router.AttemptID(i))
+	}
+	for range 6 {
+		engine := pt.accept()
+		head := strings.Fields(engine.expect("do "))
+		engine.expect("SELECT")
+		engine.answer(head[1], "ACK", "-", "")
+		<-pt.events
+	}
+	dial := pt.listener.Addr().String()
+	pt.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: dial}, {Engine: "new", Address: dial}}, true)
+	pt.pool.StartAttempt(newQuery("d"), 0, "new", time.Minute, 0)
+	pt.accept().expectQuery("d")
+	for len(pt.pool.engines["e"].liveConns()) > 3 {
+		runtime.Gosched()
+	}
+}
+
+// With more engines than connections each engine is reached: the connection that has been idle for the
+// longest time is closed. Never one that carries an attempt, waits for the answer to a ping or was used just
+// now, and none while the endpoint list has expired.
+func TestMoreEnginesThanConnections(t *testing.T) {
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns, l.SpareTime = 4, 0 })
+	dial := pt.listener.Addr().String()
+	var list []Endpoint
+	for i := range 12 {
+		list = append(list, Endpoint{Engine: router.EngineID(fmt.Sprint("e", i)), Address: dial})
+	}
+	pt.pool.UpdateEndpoints(list, true)
+	reach := func(i int) *fakeEngine {
+		t.Helper()
+		pt.pool.StartAttempt(newQuery(fmt.Sprint("c", i)), router.AttemptID(i), list[i].Engine, time.Minute, 0)
+		engine := pt.accept()
+		engine.expectQuery(fmt.Sprint("c", i))
+		return engine
+	}
+	busy, asked := reach(0), reach(1)
+	asked.answer("c1", "ACK", "-", "")
+	pt.expectEnd(1, router.Succeeded)
+	pt.pool.CheckHealth("e1")
+	asked.expect("ping ")
+	for i := 2; i < 12; i++ {
+		engine := reach(i)
+		if open := pt.pool.openConns.Load(); open > 4 {
+			t.Errorf("%d connections are open", open)
+		}
+		engine.answer(fmt.Sprint("c", i), "ACK", "-", "")
+		pt.expectEnd(router.AttemptID(i), router.Succeeded)
+	}
+	if n := pt.pool.evictedConns.Load(); n != 8 {
+		t.Errorf("%d connections made room", n)
+	}
+	busy.answer("c0", "ACK", "-", "")
+	pt.expectEnd(0, router.Succeeded)
+	pt.pool.limits.SpareTime = time.Hour // all were of use just now
+	pt.pool.StartAttempt(newQuery("d"), 20, "e2", time.Minute, 0)
+	pt.expectEnd(20, router.NotSent)
+	pt.pool.limits.SpareTime = 0
+	pt.pool.SetExpired(true)
+	pt.pool.StartAttempt(newQuery("e"), 21, "e3", time.Minute, 0)
+	pt.expectEnd(21, router.NotSent)
+}
--- /dev/null
+++ b/internal/engines/progress.go
@@ -0,0 +1,35 @@
+package engines
+
+import (
+	"mintkeel/internal/enginewire"
+	"mintkeel/router"
+)
+
+// Remarks of progress messages, as engines write them.
+const (
+	remarkProgress = "progress"
+	remarkSpilling = "spill_mb"
+	remarkBlocked  = "blocked"
+)
+
+// blockedByTables is the value of remarkBlocked that says that the attempt waits for its tables; others say
+// that it waits for memory.
+const blockedByTables = 2
+
+// progressKind maps a remark to the module's term; known is false of an answer that has none.
+func progressKind(answer enginewire.Answer) (kind router.ProgressKind, known bool) {
+	switch string(answer.Remark) {
+	case "":
+		return 0, false
+	case remarkProgress:
+		return router.ProgressDone, true
+	case remarkSpilling:
+		return router.ProgressSpilling, true
+	case remarkBlocked:
+		if answer.Value == blockedByTables {
+			return router.ProgressWaitsForTables, true
+		}
+		return router.ProgressWaitsForMemory, true
+	}
+	return router.ProgressOther, true
+}
--- /dev/null
+++ b/internal/engines/result.go
@@ -0,0 +1,63 @@
+package engines
+
+import (
+	"bytes"
+
+	"mintkeel/internal/enginewire"
+	"mintkeel/router"
+)
+
+// handlePage takes in a page of a result. The first one tells how many there are, and the others are asked
+// for together. The attempt succeeds when all are in, in whatever order they come. mu is held.
+func (c *conn) handlePage(a *attempt, answer enginewire.Answer) ([]Event, error) {
+	number := answer.PartNo
+	if answer.Word == enginewire.OK {
+		number = 0
+	}
+	if number < len(a.pages) && a.pages[number] != nil && bytes.Equal(a.pages[number], answer.Body) {
+		// The same page again says nothing, and is no reason to end what else the connection carries.
+		return nil, nil
+	}
+	if answer.Word == enginewire.OK {
+		if a.pages != nil || answer.Parts > c.pool.limits.Pages {
+			return nil, enginewire.ErrMalformed
+		}
+		a.pages = make([][]byte, max(1, answer.Parts))
+		a.missingPages = len(a.pages)
+		if a.givenUp && a.missingPages > 1 {
+			// After an undo the engine no longer has further pages, so only a whole result counts.
+			return []Event{c.finish(a, a.giveUpOutcome)}, nil
+		}
+		c.requestPages(a)
+	}
+	return c.storePage(a, number, answer.Body)
+}
+
+// requestPages asks for all pages but the first, which is in. mu is held.
+func (c *conn) requestPages(a *attempt) {
+	var b []byte
+	for number := 1; number < len(a.pages); number++ {
+		b = enginewire.AppendPage(b, a.query.ID, number)
+	}
+	if b != nil {
+		c.enqueueLine(b)
+	}
+}
+
+// storePage keeps a copy of a page, and ends the attempt with the last one. mu is held.
+func (c *conn) storePage(a *attempt, number int, body []byte) ([]Event, error) {
+	if number >= len(a.pages) || a.pages[number] != nil || !enginewire.Whole(body) ||
+		a.resultBytes+len(body) > c.pool.limits.ResultBytes {
+		return nil, enginewire.ErrMalformed
+	}
+	a.pages[number] = append(make([]byte, 0, max(1, len(body))), body...) // never nil, though it may be empty
+	a.resultBytes += len(body)
+	a.missingPages--
+	if a.missingPages > 0 {
+		return nil, nil
+	}
+	if len(a.pages) > 1 {
+		c.enqueueLine(enginewire.AppendForget(nil, a.query.ID))
+	}
+	return []Event{c.finish(a, router.Succeeded)}, nil
+}
