--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -73,7 +73,7 @@
 			if err != nil {
 				return err
 			}
-			command, err := clients.Describe([]byte(args[0]), &facts.Names, application, listener)
+			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, application, listener)
 			if err != nil {
 				return err
 			}
@@ -149,7 +149,7 @@
 			if err != nil {
 				return err
 			}
-			command, err := clients.Describe([]byte(args[0]), &facts.Names, "", "")
+			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, "", "")
 			if err != nil {
 				return err
 			}
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -144,7 +144,7 @@
 	d.feed = discovery.NewWatcher(d.start.Feed, last, &facts.Names, d.limits, d.loop.PostEndpoints, d.log)
 	go d.feed.Follow(ctx)
 	if d.from.operator != "" {
-		d.server.Describe()
+		d.server.ExpectRules()
 	}
 	d.server.SetRules(d.file.Rules)
 	go d.server.Serve(listener)
@@ -214,7 +214,7 @@
 		counts = append(counts, "memory", d.keeper)
 	}
 	if d.file.Rules != nil {
-		counts = append(counts, "rules", d.server.Rules())
+		counts = append(counts, "rules", d.server.RuleCounts())
 	}
 	if d.fleet != nil {
 		counts = append(counts, "fleet", d.fleet)
--- /dev/null
+++ b/internal/clients/connections.go
@@ -0,0 +1,181 @@
+package clients
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"io"
+	"time"
+
+	"mintkeel/internal/pgwire"
+)
+
+// admission is what becomes of a new connection.
+type admission int
+
+const (
+	// admitted connections are served.
+	admitted admission = iota
+	// rejected connections are told that there are too many, and may cancel a query.
+	rejected
+	// dropped connections are closed at once: there is no room even to tell them.
+	dropped
+)
+
+// Kinds of sessions that are owed nothing, in the order in which they are closed to make room.
+const (
+	// idleClosing sessions are being closed: nothing that they send becomes a query any more.
+	idleClosing = iota
+	// idleNoQuery sessions have not sent a query yet.
+	idleNoQuery
+	// idleBetweenQueries sessions have.
+	idleBetweenQueries
+	idleKinds
+)
+
+// admit takes a connection into the sessions, if there is room or room can be made, and gives it its cancel
+// key. While the server drains there is none.
+func (s *Server) admit(ses *session) admission {
+	var secret [4]byte
+	rand.Read(secret[:])
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	result := admitted
+	if s.draining || !s.evictIdle(ses.idleSince) {
+		result = rejected
+		if len(s.sessions) >= s.limits.Connections+s.limits.ClosingConns {
+			return dropped
+		}
+	}
+	s.lastID++
+	for s.lastID == 0 || s.sessions[s.lastID] != nil {
+		s.lastID++
+	}
+	ses.key = pgwire.Key{Session: s.lastID, Secret: binary.BigEndian.Uint32(secret[:])}
+	s.sessions[s.lastID] = ses
+	s.markIdle(ses, idleNoQuery)
+	return result
+}
+
+// evictIdle makes room for a connection, if all are taken, and reports whether there is room then. It closes
+// the session that has been idle for the longest time: of those that are being closed first, then of those
+// that never sent a query, then of the others. So hundreds of connections that send nothing, or that sent one
+// query and stay, can't keep others out. Sessions younger than FreshTime are spared, as their first message
+// may be on its way. mu is held.
+func (s *Server) evictIdle(now time.Time) bool {
+	for kind := range s.idle {
+		for len(s.sessions) >= s.limits.Connections {
+			front := s.idle[kind].Front()
+			if front == nil {
+				break
+			}
+			ses := front.Value.(*session)
+			if now.Sub(ses.idleSince) < s.limits.FreshTime {
+				break
+			}
+			s.counts.evicted.Add(1)
+			if kind != idleClosing && len(s.sessions) < s.limits.Connections+s.limits.ClosingConns {
+				s.beginClose(ses)
+				return true
+			}
+			s.remove(ses)
+			ses.conn.Close()
+		}
+	}
+	return len(s.sessions) < s.limits.Connections
+}
+
+// markIdle puts a session among those that are owed nothing. mu is held.
+func (s *Server) markIdle(ses *session, kind int) {
+	ses.idleKind = kind
+	ses.idleElement = s.idle[kind].PushBack(ses)
+}
+
+// unmarkIdle takes a session off those that are owed nothing. mu is held.
+func (s *Server) unmarkIdle(ses *session) {
+	if ses.idleElement != nil {
+		s.idle[ses.idleKind].Remove(ses.idleElement)
+		ses.idleElement = nil
+	}
+}
+
+// beginMessage says that a session has read a message and is owed something, and reports whether it may go
+// on: not if it is being closed.
+func (s *Server) beginMessage(ses *session, isQuery bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if ses.closing.Load() {
+		return false
+	}
+	s.unmarkIdle(ses)
+	if isQuery {
+		ses.queried = true
+		s.busySessions++
+		s.lastQueryAt = time.Now()
+	}
+	return true
+}
+
+// endMessage says that a session is owed nothing any more. If the server drains it is closed, unless another
+// query came while it was open.
+func (s *Server) endMessage(ses *session, isQuery bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ses.idleSince = time.Now()
+	if isQuery {
+		s.busySessions--
+	}
+	if ses.closing.Load() {
+		return
+	}
+	kind := idleNoQuery
+	if ses.queried {
+		kind = idleBetweenQueries
+	}
+	s.markIdle(ses, kind)
+	if s.draining && ses.pipelinedAt.IsZero() {
+		s.beginClose(ses)
+	}
+}
+
+// beginClose has a session that is owed nothing end: from here on nothing that it sends becomes a query, and
+// its client reads the end. Its goroutine reads on to the client's end, or within a bound (leave). mu is
+// held.
+func (s *Server) beginClose(ses *session) {
+	if ses.closing.Swap(true) {
+		return
+	}
+	s.unmarkIdle(ses)
+	ses.idleSince = time.Now()
+	s.markIdle(ses, idleClosing)
+	if halfCloser, ok := ses.conn.(interface{ CloseWrite() error }); ok {
+		halfCloser.CloseWrite()
+	}
+	ses.conn.SetReadDeadline(ses.idleSince.Add(s.limits.CloseTime))
+}
+
+// leave ends a session, whatever ended it: its goroutine calls it last.
+func (s *Server) leave(ses *session) {
+	s.mu.Lock()
+	s.beginClose(ses)
+	s.mu.Unlock()
+	io.CopyN(io.Discard, ses.conn, s.limits.CloseBytes)
+	ses.conn.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.remove(ses)
+}
+
+// remove takes a session out of the sessions. mu is held.
+func (s *Server) remove(ses *session) {
+	ses.closing.Store(true)
+	s.unmarkIdle(ses)
+	delete(s.sessions, ses.key.Session)
+	if !s.draining || len(s.sessions) > 0 {
+		return
+	}
+	select {
+	case <-s.drained: // a session may be removed twice
+	default:
+		close(s.drained)
+	}
+}
--- /dev/null
+++ b/internal/clients/connections_test.go
@@ -0,0 +1,111 @@
+package clients
+
+import (
+	"net"
+	"runtime"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/request"
+)
+
+// All connections are taken, and more come. Room is made of the sessions that have no open query: first of
+// those that never sent one, then of those that have been idle for longest. If all have one open, a new
+// connection is told so, but it may still cancel.
+func TestConnectionLimit(t *testing.T) {
+	st := newServerTest(t, func(l *limits.Limits) { l.Connections, l.FreshTime = 3, 0 })
+	answer := func(conn net.Conn) {
+		st.nextQuery().Finish(request.Answer{Verdict: request.Rejected})
+		st.readUntil(conn, "E")
+		st.readUntil(conn, "Z")
+		for st.server.Quiet() == 0 { // until the session is idle
+			runtime.Gosched()
+		}
+	}
+	stays := st.connect(startMessage, queryMessage(queryText))
+	answer(stays)
+	open := st.connect(startMessage, queryMessage(queryText))
+	query := st.nextQuery()
+	silent := st.connect()
+	for range 2 { // of the second, whose first message is on its way when the third comes
+		st.readUntil(st.connect(startMessage, message('X', "")), "")
+	}
+	if said, _ := st.readUntil(silent, ""); said != "$" {
+		t.Errorf("the one that sent nothing: %s", said)
+	}
+	next := st.connect(startMessage, queryMessage(queryText))
+	st.nextQuery()
+	last := st.connect(startMessage, queryMessage(queryText))
+	st.nextQuery()
+	if said, _ := st.readUntil(stays, ""); said != "$" {
+		t.Errorf("the one that sent a query and stayed: %s", said)
+	}
+	if said, _ := st.readUntil(st.connect(startMessage), ""); said != "E53300$" {
+		t.Errorf("a new one while all have a query open: %s", said)
+	}
+	query.Finish(request.Answer{Verdict: request.Succeeded})
+	if said, _ := st.readUntil(open, "C"); said != welcomeKinds+"TC" {
+		t.Errorf("the one with a query open: %s", said)
+	}
+	said, key := st.readUntil(next, "Z")
+	if also, _ := st.readUntil(last, "Z"); said != welcomeKinds || also != welcomeKinds {
+		t.Errorf("others with a query open: %s, %s", said, also)
+	}
+	st.waitUntil("the answered session is idle", func() bool {
+		st.server.mu.Lock()
+		defer st.server.mu.Unlock()
+		return st.server.idle[idleBetweenQueries].Len() == 1
+	})
+	st.connect(startMessage, queryMessage(queryText)) // in its place
+	st.nextQuery()
+	st.connect(startUpMessage(cancelCode, string(key)))
+	if said, _ := st.readUntil(next, "Z"); said != "E57014Z" {
+		t.Errorf("a cancel request while all are taken: %s", said)
+	}
+}
+
+// A session is closed while a query is on its way to it. The query is read and dropped, and the client finds
+// an orderly end. A close over unread bytes would be a reset.
+func TestQueryCrossesClose(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*limits.Limits)
+		end    func(st *serverTest)
+	}{
+		{"idle too long", func(l *limits.Limits) { l.IdleTime = 20 * time.Millisecond }, func(*serverTest) {}},
+		{"evicted", func(l *limits.Limits) { l.Connections, l.FreshTime = 1, 0 }, func(st *serverTest) {
+			st.connect(startMessage)
+		}},
+		{"the server shuts down", nil, func(st *serverTest) { go st.server.Shutdown(time.Now().Add(testTimeout)) }},
+	} {
+		st := newServerTest(t, func(l *limits.Limits) {
+			l.CloseTime = testTimeout
+			l.FirstTime = 2 * testTimeout // new connections stay to the end of the test
+			if c.change != nil {
+				c.change(l)
+			}
+		})
+		conn := st.connect(startMessage, queryMessage(queryText))
+		st.nextQuery().Finish(request.Answer{Verdict: request.Failed})
+		st.readUntil(conn, "Z")
+		st.readUntil(conn, "Z")
+		st.waitUntil("the session is idle", func() bool { return st.server.Quiet() > 0 })
+		c.end(st)
+		if said, orderly := st.readToEnd(conn); said != "$" || !orderly {
+			t.Errorf("%s: said %s, orderly %t", c.name, said, orderly)
+		}
+		for range 2000 { // a closed socket would answer the first by a reset, which the next meets
+			if _, err := conn.Write(queryMessage(queryText)); err != nil {
+				t.Fatalf("%s: reset under a query that crossed it: %v", c.name, err)
+			}
+		}
+		conn.Close()
+		st.waitUntil("it is closed", func() bool {
+			st.server.mu.Lock()
+			defer st.server.mu.Unlock()
+			return st.server.idle[idleClosing].Len() == 0
+		})
+		st.expectNoEvent(c.name)
+	}
+}
--- /dev/null
+++ b/internal/clients/draining.go
@@ -0,0 +1,54 @@
+package clients
+
+import "time"
+
+// Quiet is how long no client has sent a query; 0 while an answer is owed or not written yet.
+func (s *Server) Quiet() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.busySessions > 0 {
+		return 0
+	}
+	return time.Since(s.lastQueryAt)
+}
+
+// queryRead says that a client has sent a query behind an open one.
+func (s *Server) queryRead(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastQueryAt = now
+}
+
+// Shutdown closes every session as soon as nothing is owed to it, and returns when none is left or the time
+// has come. A query that came before its session was closed is answered; what is read after that is dropped,
+// so that no query is sent to an engine and lost. It must be called once at most, and before Close.
+func (s *Server) Shutdown(until time.Time) {
+	s.mu.Lock()
+	s.draining = true
+	if len(s.sessions) == 0 {
+		close(s.drained)
+	}
+	for _, ses := range s.sessions {
+		if ses.idleElement != nil {
+			s.beginClose(ses)
+		}
+	}
+	s.mu.Unlock()
+	timeout := time.NewTimer(time.Until(until))
+	defer timeout.Stop()
+	select {
+	case <-s.drained:
+	case <-timeout.C:
+	}
+}
+
+// Close closes all connections at once.
+func (s *Server) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
+	for _, ses := range s.sessions {
+		ses.closing.Store(true)
+		ses.conn.Close()
+	}
+}
--- /dev/null
+++ b/internal/clients/draining_test.go
@@ -0,0 +1,57 @@
+package clients
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/request"
+)
+
+// The server shuts down. Who is owed an answer has it, also for a query that came behind, and then finds an
+// orderly end. Half a query is not waited for, nothing that comes later is handed over, and new connections
+// are told. Shutdown returns when all that is done.
+func TestShutdown(t *testing.T) {
+	st := newServerTest(t, func(l *limits.Limits) { l.CloseTime, l.IdleTime = testTimeout, 2*testTimeout })
+	owed := st.connect(startMessage, queryMessage(queryText))
+	first := st.nextQuery()
+	st.readUntil(owed, "Z")
+	half := st.connect(startMessage, queryMessage(queryText)[:12])
+	st.readUntil(half, "Z")
+	over := make(chan bool)
+	go func() { st.server.Shutdown(time.Now().Add(testTimeout)); close(over) }()
+	if said, orderly := st.readToEnd(half); said != "$" || !orderly {
+		t.Errorf("half a query: said %s, orderly %t", said, orderly)
+	}
+	half.Write(queryMessage(queryText)[12:])
+	half.Close()
+	late := st.connect(startMessage)
+	if said, orderly := st.readToEnd(late); said != "E53300$" || !orderly {
+		t.Errorf("new connection: said %s, orderly %t", said, orderly)
+	}
+	late.Close()
+	before := time.Now()
+	owed.Write(queryMessage(queryText))
+	st.waitUntil("the second query is read", func() bool {
+		st.server.mu.Lock()
+		defer st.server.mu.Unlock()
+		return st.server.lastQueryAt.After(before)
+	})
+	select {
+	case <-over:
+		t.Error("over with an answer owed")
+	default:
+	}
+	first.Finish(request.Answer{Verdict: request.Succeeded})
+	pages := slices.Repeat([][]byte{bytes.Repeat([]byte("one\ttwo\tthree\n"), 400)}, 8)
+	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded, Pages: pages})
+	if said, orderly := st.readToEnd(owed); said != "TCZT"+strings.Repeat("D", 8*400)+"CZ$" || !orderly {
+		t.Errorf("owed two answers: said %s, orderly %t", said, orderly)
+	}
+	owed.Close()
+	<-over
+	st.expectNoEvent("after the end")
+}
--- /dev/null
+++ b/internal/clients/execute.go
@@ -0,0 +1,125 @@
+package clients
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"time"
+
+	"mintkeel/internal/pgwire"
+	"mintkeel/internal/request"
+)
+
+// errPipelineFull is of a client that has sent more behind an open query than is held.
+var errPipelineFull = errors.New("too much behind an open command")
+
+// execute hands a query over, waits for its answer and writes it. An error ends the session.
+func (ses *session) execute(query *request.Query) error {
+	ses.mu.Lock()
+	ses.openQuery = query
+	cancelledEarly := time.Since(ses.earlyCancelAt) < ses.server.limits.CancelTime
+	ses.mu.Unlock()
+	answered := make(chan struct{})
+	ses.conn.SetReadDeadline(time.Time{})
+	query.OnAnswer(func() {
+		// Before answered is closed: after that the next read has a deadline of its own.
+		ses.conn.SetReadDeadline(longAgo)
+		close(answered)
+	})
+	switch {
+	case cancelledEarly:
+		query.Finish(request.Answer{Verdict: request.Disconnected})
+	case !ses.server.offer(QueryArrived{query}):
+		query.Finish(request.Answer{Verdict: request.Rejected, RetryAfter: ses.server.retryAfter()})
+	}
+	err := ses.watchForDisconnect()
+	pipelineFull := errors.Is(err, errPipelineFull)
+	if !pipelineFull && !errors.Is(err, os.ErrDeadlineExceeded) {
+		ses.abandonQuery(false)
+		return err
+	}
+	<-answered
+	ses.mu.Lock()
+	ses.openQuery = nil
+	ses.mu.Unlock()
+	if writeErr := ses.writeAnswer(query.Answer()); writeErr != nil || !pipelineFull {
+		return writeErr
+	}
+	ses.endWithError(pgwire.CodeTooLong,
+		fmt.Sprintf("behind an open command: holds %d bytes at most", ses.server.limits.MessageBytes))
+	return err
+}
+
+// watchForDisconnect reads on while a query is open, to notice that its client disconnects, also behind what
+// it has sent ahead. That is kept, with the time at which it came, up to MessageBytes; past that it is
+// dropped and the session has to end. The error is os.ErrDeadlineExceeded when the answer is there,
+// errPipelineFull if there also was too much, and any other one when the client has disconnected.
+func (ses *session) watchForDisconnect() error {
+	maxBytes := ses.server.limits.MessageBytes
+	for {
+		have := ses.reader.Buffered()
+		if have > 0 && ses.pipelinedAt.IsZero() {
+			ses.pipelinedAt = time.Now()
+			ses.server.queryRead(ses.pipelinedAt)
+		}
+		if have >= maxBytes {
+			break
+		}
+		if have == ses.reader.Size() {
+			ses.enlargeBuffer(min(2*have, maxBytes))
+		}
+		if _, err := ses.reader.Peek(have + 1); err != nil {
+			return err
+		}
+		if kind, _ := ses.reader.Peek(1); kind[0] == pgwire.MessageTerminate {
+			return errTerminated
+		}
+	}
+	ses.server.counts.flooded.Add(1)
+	if _, err := io.Copy(io.Discard, ses.conn); errors.Is(err, os.ErrDeadlineExceeded) {
+		return errPipelineFull
+	}
+	return net.ErrClosed
+}
+
+// abandonQuery says that the client no longer waits for the open query. If none is open and the client may be
+// about to send it (cancelRequest), the next query is abandoned, for CancelTime.
+func (ses *session) abandonQuery(cancelRequest bool) {
+	ses.mu.Lock()
+	query := ses.openQuery
+	if query == nil && cancelRequest {
+		ses.earlyCancelAt = time.Now()
+	}
+	ses.mu.Unlock()
+	if query != nil && query.Finish(request.Answer{Verdict: request.Disconnected}) {
+		ses.server.report(ClientDisconnected{query})
+	}
+}
+
+// writeAnswer writes a query's answer, and that the next query may come.
+func (ses *session) writeAnswer(answer request.Answer) error {
+	switch answer.Verdict {
+	case request.Rejected:
+		return ses.write(pgwire.AppendReady(pgwire.AppendShed(nil, answer.RetryAfter)))
+	case request.Failed:
+		return ses.writeError(pgwire.CodeFailed, "the command failed")
+	case request.Disconnected:
+		return ses.writeError(pgwire.CodeCancelled, "the command was given up at its client's request")
+	}
+	parts := net.Buffers{pgwire.AppendRowDescription(nil)}
+	rowCount := 0
+	for _, page := range answer.Pages {
+		rows, n := pgwire.AppendRows(make([]byte, 0, 2*len(page)), page)
+		parts = append(parts, rows)
+		rowCount += n
+	}
+	parts = append(parts, pgwire.AppendReady(pgwire.AppendComplete(nil, rowCount)))
+	return ses.write(parts...)
+}
+
+// writeError answers a query with an error; the session goes on.
+func (ses *session) writeError(code, message string) error {
+	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, code, message)))
+}
--- /dev/null
+++ b/internal/clients/server_test.go
@@ -0,0 +1,168 @@
+package clients
+
+import (
+	"bytes"
+	"encoding/binary"
+	"io"
+	"log/slog"
+	"net"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/request"
+	"mintkeel/internal/settings"
+	"mintkeel/router"
+)
+
+const (
+	// testTimeout is how long a test waits for what must come.
+	testTimeout = 10 * time.Second
+	// queryFields are the fields of queryText, which a query message may hold.
+	queryFields = "/* verb=report,txn=9b1f03aa5c7e2d41,limit=1500 */ "
+	queryText   = queryFields + "SELECT 1 FROM sales_17.orders"
+	// cancelCode begins a cancel request, and sslCode a request for encryption.
+	cancelCode = 80877102
+	sslCode    = 80877103
+)
+
+// startUpMessage is a connection's first message, of a code and what follows it.
+func startUpMessage(code uint32, rest string) []byte {
+	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(rest)))
+	return append(binary.BigEndian.AppendUint32(b, code), rest...)
+}
+
+// message is a message of a type.
+func message(kind byte, body string) []byte {
+	return append(binary.BigEndian.AppendUint32([]byte{kind}, uint32(4+len(body))), body...)
+}
+
+// queryMessage is a simple query.
+func queryMessage(text string) []byte { return message('Q', text+"\x00") }
+
+// startMessage opens a session.
+var startMessage = startUpMessage(3<<16, "user\x00app\x00database\x00core\x00\x00")
+
+// welcomeKinds are the types of the messages that open a session.
+const welcomeKinds = "RSSSSSSKZ"
+
+// serverTest is a running server. The test takes the place of the loop and of the clients.
+type serverTest struct {
+	t          *testing.T
+	server     *Server
+	address    string
+	events     chan any
+	rejectNext chan bool // with something in it: the next query is not accepted
+}
+
+func newServerTest(t *testing.T, change func(*limits.Limits)) *serverTest {
+	l := limits.For(1024, 192, 0, 0, 0)
+	if change != nil {
+		change(l)
+	}
+	names := &settings.Names{Profiles: map[string]router.ClassID{"report": 0, "load": 1},
+		Tenants: map[string]router.TenantID{"acme": 0}}
+	st := &serverTest{t: t, events: make(chan any, 100), rejectNext: make(chan bool, 1)}
+	offer := func(ev QueryArrived) bool {
+		select {
+		case <-st.rejectNext:
+			return false
+		default:
+			st.events <- ev
+			return true
+		}
+	}
+	st.server = New(l, names, []router.QueryClass{{}, {Effect: router.Deduplicated}}, offer,
+		func() time.Duration { return 250 * time.Millisecond }, func(ev Event) { st.events <- ev },
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	st.address = listener.Addr().String()
+	go st.server.Serve(listener)
+	t.Cleanup(func() { listener.Close(); st.server.Close() })
+	return st
+}
+
+// connect opens a connection and sends messages on it.
+func (st *serverTest) connect(messages ...[]byte) net.Conn {
+	st.t.Helper()
+	conn, err := net.Dial("tcp", st.address)
+	if err != nil {
+		st.t.Fatal(err)
+	}
+	st.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	for _, b := range messages {
+		conn.Write(b)
+	}
+	return conn
+}
+
+// readUntil reads messages until one whose type is in until, or the end ("$"). It returns the types, with the
+// codes of errors, and the session's cancel key if it came.
+func (st *serverTest) readUntil(conn net.Conn, until string) (said string, key []byte) {
+	st.t.Helper()
+	for {
+		head := make([]byte, 5)
+		if _, err := io.ReadFull(conn, head); err != nil {
+			return said + "$", key
+		}
+		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
+		io.ReadFull(conn, body)
+		switch said += string(head[:1]); head[0] {
+		case 'E':
+			_, code, _ := bytes.Cut(body, []byte("\x00C"))
+			said += string(code[:5])
+		case 'K':
+			key = body
+		}
+		if strings.Contains(until, string(head[:1])) {
+			return said, key
+		}
+	}
+}
+
+// readToEnd reads to the end of a connection, and reports whether that was an orderly one and no reset.
+func (st *serverTest) readToEnd(conn net.Conn) (said string, orderly bool) {
+	st.t.Helper()
+	said, _ = st.readUntil(conn, "")
+	_, err := conn.Read(make([]byte, 1))
+	return said, err == io.EOF
+}
+
+// nextQuery returns the next query that is handed over.
+func (st *serverTest) nextQuery() *request.Query {
+	st.t.Helper()
+	select {
+	case ev := <-st.events:
+		if arrived, ok := ev.(QueryArrived); ok {
+			return arrived.Query
+		}
+		st.t.Fatalf("handed over %+v", ev)
+	case <-time.After(testTimeout):
+		st.t.Fatal("no query was handed over")
+	}
+	return nil
+}
+
+// expectNoEvent checks that nothing was handed over.
+func (st *serverTest) expectNoEvent(what string) {
+	st.t.Helper()
+	if len(st.events) > 0 {
+		st.t.Errorf("%s: handed over %+v", what, <-st.events)
+	}
+}
+
+// waitUntil waits for what another goroutine brings about.
+func (st *serverTest) waitUntil(what string, done func() bool) {
+	st.t.Helper()
+	for deadline := time.Now().Add(testTimeout); !done(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			st.t.Fatalf("never: %s", what)
+		}
+	}
+}
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -13,405 +13,223 @@
 	"sync/atomic"
 	"time"
 
-	"mintkeel/internal/core/rules"
 	"mintkeel/internal/pgwire"
 	"mintkeel/internal/request"
-	"mintkeel/internal/settings"
-	"mintkeel/match"
-	"mintkeel/router"
 )
 
-// session is one client's connection, run by one goroutine. While a command is open it goes on reading, to notice
-// that its client leaves, and is woken from its read by the answer.
+// session is one client's connection. Its goroutine runs it and owns the fields whose comments say nothing
+// else.
 type session struct {
-	server *Server
-	conn   net.Conn
-	small  *bufio.Reader // of the size that most messages need
-	r      *bufio.Reader // small, or a larger one for a while
-	key    pgwire.Key
-	readAt time.Time // when what stands next in the buffer came, if it came while a command was open
-	began  time.Time
-	name   string // of the client's application
-	used   bool   // it has brought a command that could be used
-
-	// Under the server's mutex:
-	since   time.Time     // when it was last of use
-	asked   bool          // it has brought a command
-	waits   *list.Element // among those that are owed nothing; nil: it is owed something
-	kind    int           // of those
-	closing atomic.Bool   // it is on its way out; set under the mutex
-
-	mu          sync.Mutex
-	open        *request.Query
-	cancelledAt time.Time // when a cancel came while nothing was open
+	server      *Server
+	conn        net.Conn
+	smallReader *bufio.Reader // of the size that most messages need
+	reader      *bufio.Reader // smallReader, or a larger one for a while
+	key         pgwire.Key    // set by admit
+	application string        // the client's name for itself
+	connectedAt time.Time
+	pipelinedAt time.Time // when the next message came, if that was while a query was open; else zero
+	hadQuery    bool      // it has sent a query that could be used
+	skipToSync  bool      // messages of the extended protocol are dropped until a Sync
+	queried     bool      // it has sent a query; written under the server's mutex
+
+	// Guarded by the server's mutex:
+	idleSince   time.Time     // when it was last owed something
+	idleElement *list.Element // its place among the server's idle sessions; nil: it is owed something
+	idleKind    int           // of idleElement
+
+	closing atomic.Bool // nothing that it sends becomes a query any more; set under the server's mutex
+
+	mu            sync.Mutex     // guards the following, which cancel requests reach from other sessions
+	openQuery     *request.Query // nil: none
+	earlyCancelAt time.Time      // of a cancel request that came while no query was open
 }
 
 func newSession(s *Server, conn net.Conn) *session {
 	now := time.Now()
 	r := bufio.NewReaderSize(conn, s.limits.ReadBytes)
-	return &session{server: s, conn: conn, small: r, r: r, began: now, since: now}
-}
-
-// past is a deadline that has gone by: it wakes a goroutine that reads.
-var past = time.Unix(1, 0)
-
-// greet takes the start-up messages and reports whether they open a session.
-func (ses *session) greet() bool {
-	for {
-		start, err := pgwire.ReadStartUp(ses.r)
-		switch {
-		case err != nil:
-			ses.bad(err, "start-up message")
-			return false
-		case start.Kind == pgwire.Start:
-			ses.name = start.Application
-			return true
-		case start.Kind == pgwire.Cancel:
-			ses.server.cancel(start.Key)
-			return false
-		}
-		if ses.write(pgwire.NoEncryption) != nil {
-			return false
-		}
-	}
-}
-
-// bad ends a session by what went wrong in reading: a proper error for what can't be used, nothing for one that has
-// gone or says nothing.
-func (ses *session) bad(err error, what string) {
-	c, l := &ses.server.counts, ses.server.limits
-	switch {
-	case ses.closing.Load():
-	case errors.Is(err, pgwire.ErrMalformed):
-		c.malformed.Add(1)
-		ses.refuse(pgwire.CodeProtocol, "malformed "+what)
-	case errors.Is(err, pgwire.ErrTooLong):
-		c.tooLong.Add(1)
-		ses.refuse(pgwire.CodeTooLong, fmt.Sprintf("%s: holds %d bytes at most", what, l.MessageBytes))
-	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.r.Buffered() > 0 || !ses.asked):
-		c.silent.Add(1) // half a message or, from one that never asked, none
-		ses.refuse(pgwire.CodeProtocol, what+": not whole in time")
-	}
+	return &session{server: s, conn: conn, smallReader: r, reader: r, connectedAt: now, idleSince: now}
 }
 
-// next waits for a whole message. A client that has never asked anything has little time for all it does, one that
-// began a message for the rest of that, and one between two commands some more.
-func (ses *session) next() (kind byte, body []byte, size int, err error) {
-	l, first := ses.server.limits, ses.began.Add(ses.server.limits.FirstTime)
-	deadline := func(after time.Duration) {
-		at := time.Now().Add(after)
-		if !ses.asked && first.Before(at) {
-			at = first
-		}
-		ses.conn.SetReadDeadline(at)
-		if ses.closing.Load() { // what has it end sets the flag first: one of the two sees the other
-			ses.conn.SetReadDeadline(time.Now().Add(l.CloseTime))
-		}
-	}
-	if ses.r != ses.small && ses.r.Buffered() == 0 { // against large buffers that are kept by those who sit still
-		ses.r = ses.small
-	}
-	deadline(l.IdleTime)
-	if _, err = ses.r.Peek(1); err != nil {
-		return 0, nil, 0, err
-	}
-	deadline(l.MessageTime)
-	kind, body, size, err = pgwire.Peek(ses.r, l.MessageBytes)
-	if errors.Is(err, pgwire.ErrBuffer) {
-		ses.widen(size)
-		kind, body, size, err = pgwire.Peek(ses.r, l.MessageBytes)
-	}
-	return kind, body, size, err
-}
-
-// widen puts a larger buffer in place of the usual one, with what is there.
-func (ses *session) widen(size int) {
-	have, _ := ses.r.Peek(ses.r.Buffered())
-	ses.r = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(have)), ses.conn), size)
-	ses.r.Peek(len(have))
-	ses.small.Reset(ses.conn)
-}
-
-// turnAway tells a client that there is no room for it. One that came to cancel needs none.
-func (ses *session) turnAway() {
-	ses.conn.SetReadDeadline(ses.began.Add(ses.server.limits.CloseTime))
-	if ses.greet() {
-		ses.server.counts.turnedAway.Add(1)
-		ses.write(pgwire.AppendError(nil, true, pgwire.CodeTooMany, "too many connections"))
-	}
-}
+// longAgo is a deadline that has passed: it ends a read.
+var longAgo = time.Unix(1, 0)
 
+// run serves the session until it ends.
 func (ses *session) run() {
-	ses.conn.SetReadDeadline(ses.began.Add(ses.server.limits.FirstTime))
-	if !ses.greet() || ses.write(pgwire.AppendWelcome(nil, ses.key)) != nil {
+	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.FirstTime))
+	if !ses.readStartUp() || ses.write(pgwire.AppendWelcome(nil, ses.key)) != nil {
 		return
 	}
-	for skip := false; ; {
-		kind, body, size, err := ses.next()
+	for {
+		kind, body, size, err := ses.nextMessage()
 		if err != nil {
-			ses.bad(err, "message")
+			ses.failRead(err, "message")
 			return
 		}
-		now := time.Now()
-		if !ses.readAt.IsZero() {
-			now, ses.readAt = ses.readAt, time.Time{}
+		readAt := time.Now()
+		if !ses.pipelinedAt.IsZero() {
+			readAt = ses.pipelinedAt
+			ses.pipelinedAt = time.Time{}
 		}
-		asked := kind == 'Q'
-		if !ses.server.begin(ses, asked) {
+		isQuery := kind == pgwire.MessageQuery
+		if !ses.server.beginMessage(ses, isQuery) {
 			return
 		}
-		over := false
-		switch kind {
-		case 'X':
-			over = true
-		case 'Q':
-			err = ses.query(body, size, now)
-		case 'P', 'B', 'E', 'D', 'C', 'H', 'F', 'd', 'c', 'f':
-			ses.r.Discard(size)
-			if !skip && kind != 'd' && kind != 'c' && kind != 'f' {
-				reply := pgwire.AppendError(nil, false, pgwire.CodeUnsupported, "only simple queries are served")
-				if skip = kind != 'F'; !skip {
-					reply = pgwire.AppendReady(reply)
-				}
-				err = ses.write(reply)
-			}
-		case 'S':
-			ses.r.Discard(size)
-			skip = false
-			err = ses.write(pgwire.AppendReady(nil))
-		default:
-			err = pgwire.ErrMalformed
-		}
+		err = ses.handleMessage(kind, body, size, readAt)
 		if errors.Is(err, pgwire.ErrMalformed) {
-			ses.bad(err, "message")
+			ses.failRead(err, "message")
 		}
-		if ses.server.end(ses, asked); over || err != nil {
+		ses.server.endMessage(ses, isQuery)
+		if err != nil {
 			return
 		}
 	}
 }
 
-// query answers a query, by a command if it can be one.
-func (ses *session) query(body []byte, size int, now time.Time) error {
-	text, whole := pgwire.Text(body)
-	if !whole {
-		return pgwire.ErrMalformed
-	}
-	ses.server.counts.queries.Add(1)
-	cmd, reply := ses.command(text, now)
-	ses.r.Discard(size)
-	if cmd != nil {
-		return ses.wait(cmd)
+// reject tells a client that there is no room for it. One that came to cancel a query needs none.
+func (ses *session) reject() {
+	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.CloseTime))
+	if ses.readStartUp() {
+		ses.server.counts.rejected.Add(1)
+		ses.write(pgwire.AppendError(nil, true, pgwire.CodeTooMany, "too many connections"))
 	}
-	return ses.write(pgwire.AppendReady(reply))
 }
 
-// command makes a command of a query, or tells what to reply in its place.
-func (ses *session) command(text []byte, now time.Time) (*request.Query, []byte) {
-	if blank(text) {
-		return nil, pgwire.AppendEmpty(nil)
-	}
-	no := func(code, why string) (*request.Query, []byte) {
-		ses.server.counts.badQueries.Add(1)
-		ses.server.note(ses, why)
-		return nil, pgwire.AppendError(nil, false, code, why)
-	}
-	f, err := pgwire.ParseQuery(text)
-	var field *pgwire.FieldError
-	if errors.As(err, &field) {
-		if field.Missing {
-			return no(pgwire.CodeMissing, err.Error())
+// readStartUp handles the start-up messages and reports whether they open a session.
+func (ses *session) readStartUp() bool {
+	for {
+		start, err := pgwire.ReadStartUp(ses.reader)
+		if err != nil {
+			ses.failRead(err, "start-up message")
+			return false
 		}
-		return no(pgwire.CodeField, err.Error())
-	}
-	names := ses.server.names
-	profile, known := names.Profiles[f.Verb]
-	if !known {
-		return no(pgwire.CodeField, fmt.Sprintf("field verb: %.60q is no profile", f.Verb))
-	}
-	tenant, known := names.Tenants[f.Team]
-	if !known {
-		if tenant = -1; f.Team != "" && len(names.Tenants) > 0 {
-			return no(pgwire.CodeField, fmt.Sprintf("field team: %.60q is no tenant", f.Team))
+		switch start.Kind {
+		case pgwire.Start:
+			ses.application = start.Application
+			return true
+		case pgwire.Cancel:
+			ses.server.cancel(start.Key)
+			return false
 		}
-	}
-	p := ses.server.profiles[profile]
-	if p.Effect == router.Deduplicated && f.Unique == "" {
-		return no(pgwire.CodeMissing, "field unique: is missing")
-	}
-	table, found := pgwire.TableOf(f.Statement)
-	if !found {
-		return no(pgwire.CodeField, "the statement names no group of tables")
-	}
-	cmd := &request.Query{ID: f.ID, Class: profile, ClassName: f.Verb, Tenant: tenant, IdempotencyKey: f.Unique,
-		OrderingKey: router.OrderingKey(f.Item), EstimatedWork: f.CPU, EstimatedMemoryMB: f.EstMB, Tables: router.TableGroup(table.Group),
-		FirstOnConnection: !ses.used, ReadAt: now, TimeLeft: ses.within(f.LimitMS),
-		ClientTimeout: time.Duration(p.ClientTimeout * float64(time.Millisecond))}
-	if ses.server.describe {
-		c := described(f, profile, table, ses.name, ses.conn.LocalAddr().String())
-		if cmd.RuleInput = &c; ses.server.rules.Load() != nil {
-			if why := ses.server.rule(cmd, c); why != "" {
-				return nil, pgwire.AppendError(nil, false, pgwire.CodeRule, why)
-			}
+		if ses.write(pgwire.NoEncryption) != nil {
+			return false
 		}
 	}
-	cmd.Statement, ses.used = append([]byte(nil), f.Statement...), true
-	return cmd, nil
 }
 
-// described is a command as rules see it.
-func described(f pgwire.Fields, profile router.ClassID, table pgwire.Table, application, listener string) rules.Command {
-	c := rules.Command{Profile: profile, Tenant: f.Team, Schema: table.Schema, Table: table.Name,
-		Tables: router.TableGroup(table.Group), Key: router.OrderingKey(f.Item), Estimate: f.CPU, NeedMB: f.EstMB,
-		Left: f.LimitMS, Front: "postgres", Application: application, Listener: listener}
-	for _, l := range f.Labels {
-		c.Labels = append(c.Labels, match.Label{Name: l.Name, Text: l.Text})
-	}
-	return c
-}
+// errTerminated ends the session of a client that has said so.
+var errTerminated = errors.New("terminated by the client")
 
-// Describe is a query as rules see it, for those who try rules without a controller; its error names the field.
-func Describe(query []byte, names *settings.Names, application, listener string) (rules.Command, error) {
-	f, err := pgwire.ParseQuery(query)
-	if err != nil {
-		return rules.Command{}, err
-	}
-	profile, known := names.Profiles[f.Verb]
-	if !known {
-		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: fmt.Sprintf("%.60q is no profile", f.Verb)}
+// handleMessage handles one whole message and takes it from the buffer. An error ends the session.
+func (ses *session) handleMessage(kind byte, body []byte, size int, readAt time.Time) error {
+	switch kind {
+	case pgwire.MessageTerminate:
+		return errTerminated
+	case pgwire.MessageQuery:
+		return ses.handleQuery(body, size, readAt)
+	case pgwire.MessageSync:
+		ses.reader.Discard(size)
+		ses.skipToSync = false
+		return ses.write(pgwire.AppendReady(nil))
+	case pgwire.MessageCopyData, pgwire.MessageCopyDone, pgwire.MessageCopyFail:
+		ses.reader.Discard(size) // clients may still send it after an error
+		return nil
+	case pgwire.MessageParse, pgwire.MessageBind, pgwire.MessageExecute, pgwire.MessageDescribe,
+		pgwire.MessageClose, pgwire.MessageFlush, pgwire.MessageFunctionCall:
+		ses.reader.Discard(size)
+		return ses.refuseUnsupported(kind)
 	}
-	table, found := pgwire.TableOf(f.Statement)
-	if !found {
-		return rules.Command{}, &pgwire.FieldError{Field: "statement", Why: "names no group of tables"}
-	}
-	return described(f, profile, table, application, listener), nil
-}
-
-// within is how long after its reading a command must be answered at the latest. Against answers at the last moment
-// that come too late: on a crowded day some of thousands did, though written ahead of the client's timeout.
-func (ses *session) within(limitMS float64) time.Duration {
-	limit := time.Duration(limitMS * float64(time.Millisecond))
-	return limit - min(ses.server.limits.AnswerTime, limit/8)
+	return pgwire.ErrMalformed
 }
 
-func blank(text []byte) bool {
-	for _, c := range text {
-		if c != ' ' && c != '\t' && c != '\r' && c != '\n' && c != ';' {
-			return false
-		}
+// refuseUnsupported answers a message of the extended protocol, or a function call, with an error. As the
+// protocol has it, what follows is dropped up to the next Sync, but not after a function call, which is
+// answered on its own.
+func (ses *session) refuseUnsupported(kind byte) error {
+	if ses.skipToSync {
+		return nil
+	}
+	reply := pgwire.AppendError(nil, false, pgwire.CodeUnsupported, "only simple queries are served")
+	if kind == pgwire.MessageFunctionCall {
+		reply = pgwire.AppendReady(reply)
+	} else {
+		ses.skipToSync = true
 	}
-	return true
+	return ses.write(reply)
 }
 
-// wait posts a command, waits for its answer and writes it.
-func (ses *session) wait(cmd *request.Query) error {
-	ses.mu.Lock()
-	ses.open = cmd
-	overtaken := time.Since(ses.cancelledAt) < ses.server.limits.CancelTime
-	ses.mu.Unlock()
-	ready := make(chan struct{})
-	ses.conn.SetReadDeadline(time.Time{})
-	cmd.OnAnswer(func() {
-		ses.conn.SetReadDeadline(past) // first: after ready, the next read has a deadline of its own
-		close(ready)
-	})
-	if overtaken {
-		cmd.Finish(request.Answer{Verdict: request.Disconnected})
-	} else if !ses.server.offer(QueryArrived{cmd}) {
-		cmd.Finish(request.Answer{Verdict: request.Rejected, RetryAfter: ses.server.away()})
+// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a query has
+// FirstTime for all that it does; one that has begun a message has MessageTime for the rest of it, and one
+// between two queries has IdleTime.
+func (ses *session) nextMessage() (kind byte, body []byte, size int, err error) {
+	l := ses.server.limits
+	if ses.reader != ses.smallReader && ses.reader.Buffered() == 0 {
+		ses.reader = ses.smallReader // so that clients that are idle don't keep large buffers
 	}
-	err := ses.watch()
-	if !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errFlood) {
-		ses.giveUp(false)
-		return err
+	ses.setReadTimeout(l.IdleTime)
+	if _, err = ses.reader.Peek(1); err != nil {
+		return 0, nil, 0, err
 	}
-	<-ready
-	ses.mu.Lock()
-	ses.open = nil
-	ses.mu.Unlock()
-	if wrote := ses.answer(cmd.Answer()); wrote != nil || !errors.Is(err, errFlood) {
-		return wrote
+	ses.setReadTimeout(l.MessageTime)
+	kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
+	if errors.Is(err, pgwire.ErrBuffer) {
+		ses.enlargeBuffer(size)
+		kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
 	}
-	ses.refuse(pgwire.CodeTooLong, fmt.Sprintf("behind an open command: holds %d bytes at most", ses.server.limits.MessageBytes))
-	return err
+	return kind, body, size, err
 }
 
-// errFlood is of a client that wrote more behind an open command than is held.
-var errFlood = errors.New("too much behind an open command")
-
-// watch reads on while a command is open, to notice that its client leaves, also behind what it has written ahead:
-// that is kept, with the time at which it came, and what is too much to keep is dropped, with the session's end to
-// follow. The error is that of the deadline when the answer is there, errFlood if there also was too much, and any
-// other when the client has left.
-func (ses *session) watch() error {
-	most := ses.server.limits.MessageBytes
-	for {
-		have := ses.r.Buffered()
-		if have > 0 && ses.readAt.IsZero() {
-			ses.readAt = time.Now()
-			ses.server.touch(ses.readAt)
-		}
-		if have >= most {
-			break
-		}
-		if have == ses.r.Size() {
-			ses.widen(min(2*have, most))
-		}
-		if _, err := ses.r.Peek(have + 1); err != nil {
-			return err
-		}
-		if kind, _ := ses.r.Peek(1); kind[0] == 'X' {
-			return net.ErrClosed
-		}
+// setReadTimeout sets by when the next reads must be done. A session that is being closed has CloseTime:
+// beginClose sets the flag and then its deadline, and this the deadline and then looks at the flag, so one of
+// the two sees the other.
+func (ses *session) setReadTimeout(timeout time.Duration) {
+	l := ses.server.limits
+	deadline := time.Now().Add(timeout)
+	if first := ses.connectedAt.Add(l.FirstTime); !ses.queried && first.Before(deadline) {
+		deadline = first
 	}
-	ses.server.counts.flooded.Add(1)
-	if _, err := io.Copy(io.Discard, ses.conn); errors.Is(err, os.ErrDeadlineExceeded) {
-		return errFlood
+	ses.conn.SetReadDeadline(deadline)
+	if ses.closing.Load() {
+		ses.conn.SetReadDeadline(time.Now().Add(l.CloseTime))
 	}
-	return net.ErrClosed
 }
 
-// giveUp takes in that the client no longer waits for what is open or, if early, for what it is about to be.
-func (ses *session) giveUp(early bool) {
-	ses.mu.Lock()
-	cmd := ses.open
-	if cmd == nil && early {
-		ses.cancelledAt = time.Now()
-	}
-	ses.mu.Unlock()
-	if cmd != nil && cmd.Finish(request.Answer{Verdict: request.Disconnected}) {
-		ses.server.post(ClientDisconnected{cmd})
-	}
+// enlargeBuffer puts a larger buffer in place of the small one, with what that holds.
+func (ses *session) enlargeBuffer(size int) {
+	have, _ := ses.reader.Peek(ses.reader.Buffered())
+	ses.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(have)), ses.conn), size)
+	ses.reader.Peek(len(have))
+	ses.smallReader.Reset(ses.conn)
 }
 
-func (ses *session) answer(a request.Answer) error {
-	switch a.Verdict {
-	case request.Rejected:
-		return ses.write(pgwire.AppendReady(pgwire.AppendShed(nil, a.RetryAfter)))
-	case request.Failed:
-		return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, pgwire.CodeFailed, "the command failed")))
-	case request.Disconnected:
-		const why = "the command was given up at its client's request"
-		return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, pgwire.CodeCancelled, why)))
-	}
-	parts := net.Buffers{pgwire.AppendRowDescription(nil)}
-	rows := 0
-	for _, page := range a.Pages {
-		b, n := pgwire.AppendRows(make([]byte, 0, 2*len(page)), page)
-		parts, rows = append(parts, b), rows+n
+// failRead tells a client why its session ends, by the error of a read; what names what was read. One that
+// has gone, or was idle for too long, is told nothing.
+func (ses *session) failRead(err error, what string) {
+	c := &ses.server.counts
+	switch {
+	case ses.closing.Load():
+	case errors.Is(err, pgwire.ErrMalformed):
+		c.malformed.Add(1)
+		ses.endWithError(pgwire.CodeProtocol, "malformed "+what)
+	case errors.Is(err, pgwire.ErrTooLong):
+		c.tooLong.Add(1)
+		ses.endWithError(pgwire.CodeTooLong,
+			fmt.Sprintf("%s: holds %d bytes at most", what, ses.server.limits.MessageBytes))
+	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.reader.Buffered() > 0 || !ses.queried):
+		c.timedOut.Add(1) // with half a message or, if it never sent a query, with none
+		ses.endWithError(pgwire.CodeProtocol, what+": not whole in time")
 	}
-	return ses.write(append(parts, pgwire.AppendReady(pgwire.AppendComplete(nil, rows)))...)
 }
 
+// endWithError tells the client why its session ends.
+func (ses *session) endWithError(code, why string) {
+	ses.server.logBadClient(ses, why)
+	ses.write(pgwire.AppendError(nil, true, code, why))
+}
+
+// write writes all parts at once, within WriteTime.
 func (ses *session) write(parts ...[]byte) error {
 	ses.conn.SetWriteDeadline(time.Now().Add(ses.server.limits.WriteTime))
 	buffers := net.Buffers(parts)
 	_, err := buffers.WriteTo(ses.conn)
 	return err
 }
-
-// refuse tells the client why its session ends.
-func (ses *session) refuse(code, why string) {
-	ses.server.note(ses, why)
-	ses.write(pgwire.AppendError(nil, true, code, why))
-}
--- /dev/null
+++ b/internal/clients/session_test.go
@@ -0,0 +1,209 @@
+package clients
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/pgwire"
+	"mintkeel/internal/request"
+	"mintkeel/internal/settings"
+	"mintkeel/router"
+)
+
+// A client asks for encryption, and sends its first query right behind the start-up message. Each kind of
+// answer comes on one session, and a second answer to a query takes no effect.
+func TestAnswers(t *testing.T) {
+	st := newServerTest(t, nil)
+	conn := st.connect(startUpMessage(sslCode, ""))
+	one := make([]byte, 1)
+	if io.ReadFull(conn, one); one[0] != 'N' {
+		t.Fatalf("encryption answered by %q", one)
+	}
+	conn.Write(append(startMessage, queryMessage(queryText)...))
+	for _, c := range []struct {
+		answer request.Answer
+		said   string
+	}{
+		{request.Answer{Verdict: request.Succeeded,
+			Pages: [][]byte{[]byte("a\tb\tc\nd\te\tf\n"), []byte("\t\t\n")}}, "TDDDCZ"},
+		{request.Answer{Verdict: request.Succeeded}, "TCZ"},
+		{request.Answer{Verdict: request.Rejected, RetryAfter: time.Second}, "E53000Z"},
+		{request.Answer{Verdict: request.Failed}, "E58000Z"},
+	} {
+		query := st.nextQuery()
+		timeLeft := 1500*time.Millisecond - st.server.limits.AnswerTime
+		statement := queryText[len(queryFields):]
+		if query.Tables != 17 || query.TimeLeft != timeLeft || string(query.Statement) != statement {
+			t.Errorf("took %+v", query)
+		}
+		if !query.Finish(c.answer) || query.Finish(request.Answer{Verdict: request.Failed}) {
+			t.Error("not one final answer")
+		}
+		said, _ := st.readUntil(conn, "Z")
+		if said == welcomeKinds {
+			said, _ = st.readUntil(conn, "Z")
+		}
+		if said != c.said {
+			t.Errorf("%+v: said %s", c.answer, said)
+		}
+		conn.Write(queryMessage(queryText))
+	}
+}
+
+// A result is written as the protocol has it, byte for byte.
+func TestRows(t *testing.T) {
+	st := newServerTest(t, nil)
+	conn := st.connect(startMessage, queryMessage(queryText))
+	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded, Pages: [][]byte{[]byte("one\t\tthree\n")}})
+	st.readUntil(conn, "Z")
+	want := append(pgwire.AppendRowDescription(nil),
+		message('D', "\x00\x03\x00\x00\x00\x03one\x00\x00\x00\x00\x00\x00\x00\x05three")...)
+	want = append(append(want, message('C', "SELECT 1\x00")...), message('Z', "I")...)
+	got := make([]byte, len(want))
+	if io.ReadFull(conn, got); !bytes.Equal(got, want) {
+		t.Errorf("wrote %q", got)
+	}
+}
+
+// Whatever a client should not send gets a proper error, and nothing of it is handed over.
+func TestBadInput(t *testing.T) {
+	load := strings.Replace(queryText, "report", "load", 1)
+	with := func(from, to string) []byte { return queryMessage(strings.Replace(queryText, from, to, 1)) }
+	st := newServerTest(t, nil)
+	for _, c := range []struct {
+		name  string
+		bytes []byte
+		said  string
+	}{
+		{"empty query", queryMessage(""), "IZ"},
+		{"blanks alone", queryMessage(" ;\n"), "IZ"},
+		{"no fields", queryMessage("SELECT 1 FROM sales_17.orders"), "E22004Z"},
+		{"comment without end", queryMessage("/* verb=report"), "E22023Z"},
+		{"no statement", queryMessage(queryFields), "E22004Z"},
+		{"no profile", with("verb=report,", ""), "E22004Z"},
+		{"another profile", with("report", "what"), "E22023Z"},
+		{"profile that is no word", with("report", "re port"), "E22023Z"},
+		{"no id", with("txn=9b1f03aa5c7e2d41,", ""), "E22004Z"},
+		{"short id", with("9b1f", "9b1"), "E22023Z"},
+		{"id of no hex", with("9b1f", "9b1g"), "E22023Z"},
+		{"no limit", with(",limit=1500", ""), "E22004Z"},
+		{"limit of no number", with("1500", "soon"), "E22023Z"},
+		{"negative limit", with("1500", "-1"), "E22023Z"},
+		{"infinite limit", with("1500", "+Inf"), "E22023Z"},
+		{"limit of a year", with("1500", "31536000000"), "E22023Z"},
+		{"estimate of no number", with("1500", "1500,cpu=NaN"), "E22023Z"},
+		{"memory that nobody has", with("1500", "1500,est_mb=1e8"), "E22023Z"},
+		{"field twice", with("limit=1500", "limit=1,limit=2"), "E22023Z"},
+		{"field without value", with("limit=1500", "limit=1500,cpu"), "E22023Z"},
+		{"another tenant", with("limit", "team=none,limit"), "E22023Z"},
+		{"mark that is no word", with("limit", "unique=a b,limit"), "E22023Z"},
+		{"uniqued without mark", queryMessage(load), "E22004Z"},
+		{"no tables", with("sales_17", "staging"), "E22023Z"},
+		{"extended query", slices.Concat(message('P', "\x00x\x00\x00\x00"), message('D', "S\x00"),
+			message('S', "")), "E0A000Z"},
+		{"function call", message('F', ""), "E0A000Z"},
+		{"copy data out of turn", append(message('d', "x"), message('S', "")...), "Z"},
+		{"query without end", message('Q', "SELECT 1"), "E08P01$"},
+		{"query of two texts", message('Q', "a\x00b\x00"), "E08P01$"},
+		{"unknown message", message('!', ""), "E08P01$"},
+		{"length under its own size", []byte{'Q', 0, 0, 0, 3}, "E08P01$"},
+		{"too long", queryMessage(queryText + strings.Repeat(" ", 1<<20)), "E54000$"},
+		{"good bye", message('X', ""), "$"},
+	} {
+		conn := st.connect(startMessage)
+		st.readUntil(conn, "Z")
+		conn.Write(c.bytes)
+		if said, _ := st.readUntil(conn, "Z"); said != c.said {
+			t.Errorf("%s: said %s", c.name, said)
+		}
+	}
+	for _, start := range [][]byte{startUpMessage(2<<16, ""), startUpMessage(3<<16, "user"),
+		[]byte("GET / HTTP/1.1\r\n\r\n"),
+		{0, 0, 0, 4, 0, 0, 0, 0}, startUpMessage(cancelCode, "short")} {
+		if said, _ := st.readUntil(st.connect(start), "Z"); said != "E08P01$" {
+			t.Errorf("start %q: said %s", start, said)
+		}
+	}
+	if len(st.events) > 0 {
+		t.Errorf("told %+v", <-st.events)
+	}
+}
+
+// Clients that send nothing, or half a message, are told and closed in time; so are those that sent a query
+// and stay.
+func TestSilentClient(t *testing.T) {
+	st := newServerTest(t, func(l *limits.Limits) {
+		l.FirstTime = 40 * time.Millisecond
+		l.MessageTime = 30 * time.Millisecond
+		l.IdleTime = 60 * time.Millisecond
+		l.CloseTime = 0
+	})
+	for _, c := range []struct {
+		name  string
+		bytes [][]byte
+		said  string
+	}{
+		{"nothing", nil, "E08P01$"},
+		{"half a start-up message", [][]byte{startMessage[:9]}, "E08P01$"},
+		{"a start-up message alone", [][]byte{startMessage}, welcomeKinds + "E08P01$"},
+		{"half a query", [][]byte{startMessage, queryMessage(queryText)[:20]}, welcomeKinds + "E08P01$"},
+		{"a query without end", [][]byte{startMessage, {'Q', 0, 0, 0x40, 0}, make([]byte, 8000)},
+			welcomeKinds + "E08P01$"},
+		{"an empty query, then nothing", [][]byte{startMessage, queryMessage("")}, welcomeKinds + "IZ$"},
+		{"an empty query, then half of one", [][]byte{startMessage, queryMessage(""), queryMessage(queryText)[:9]},
+			welcomeKinds + "IZE08P01$"},
+	} {
+		if said, _ := st.readUntil(st.connect(c.bytes...), ""); said != c.said {
+			t.Errorf("%s: said %s", c.name, said)
+		}
+	}
+}
+
+// A message that is longer than the usual buffer is handled, and so is what follows it. The large buffer does
+// not stay.
+func TestLongMessage(t *testing.T) {
+	st := newServerTest(t, nil)
+	long := queryText + strings.Repeat(" ", st.server.limits.MessageBytes/2)
+	conn := st.connect(startMessage, queryMessage(long), queryMessage(queryText))
+	for _, want := range []string{long, queryText} {
+		query := st.nextQuery()
+		if string(query.Statement) != want[len(queryFields):] {
+			t.Errorf("took a statement of %d bytes, not %d", len(query.Statement), len(want)-len(queryFields))
+		}
+		query.Finish(request.Answer{Verdict: request.Rejected})
+	}
+	st.readUntil(conn, "Z")
+	st.readUntil(conn, "Z")
+	st.readUntil(conn, "Z")
+	ses := newSession(st.server, conn)
+	ses.enlargeBuffer(9000)
+	conn.Close()
+	if ses.nextMessage(); ses.reader != ses.smallReader {
+		t.Error("the large buffer stays")
+	}
+}
+
+// No bytes that a client sends make the server fail.
+func FuzzSession(f *testing.F) {
+	f.Add(append(bytes.Clone(startMessage), queryMessage(queryText)...))
+	f.Add([]byte(fmt.Sprint(queryFields)))
+	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ClassID{"report": 0}},
+		[]router.QueryClass{{}}, func(t QueryArrived) bool {
+			t.Query.Finish(request.Answer{Verdict: request.Succeeded})
+			return true
+		}, nil, func(Event) {}, slog.Default())
+	f.Fuzz(func(_ *testing.T, in []byte) {
+		ours, theirs := net.Pipe()
+		go func() { theirs.Write(in); theirs.Close() }()
+		go io.Copy(io.Discard, theirs)
+		newSession(server, ours).run()
+	})
+}
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -61,7 +61,7 @@
 	open := block.Open(b, sheet, "query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile",
 		"refuse")
 	c := Case{Name: b.Labels[0]}
-	command, err := clients.Describe([]byte(open.Text("query", "", true, longest)), &facts.Names,
+	command, err := clients.RuleInput([]byte(open.Text("query", "", true, longest)), &facts.Names,
 		open.Text("application", "", false, 64), open.Text("listener", "", false, 64))
 	if err != nil {
 		open.Note("query", err.Error())
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -31,6 +31,23 @@
 	mostClaimed  = 1 << 30 // a length past this is no length
 )
 
+// Types of the messages that clients send.
+const (
+	MessageQuery        = 'Q'
+	MessageTerminate    = 'X'
+	MessageSync         = 'S'
+	MessageParse        = 'P'
+	MessageBind         = 'B'
+	MessageExecute      = 'E'
+	MessageDescribe     = 'D'
+	MessageClose        = 'C'
+	MessageFlush        = 'H'
+	MessageFunctionCall = 'F'
+	MessageCopyData     = 'd'
+	MessageCopyDone     = 'c'
+	MessageCopyFail     = 'f'
+)
+
 // Codes of errors.
 const (
 	CodeNoResources = "53000" // trying again is harmless
