--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -122,12 +122,12 @@
 	fmt.Fprintf(t, "conducted by %s, token %d, state %d\nplan\tat once\tis\n", s.Holder, s.Token, s.Serial)
 	for _, p := range s.Plans {
 		is := "under way"
-		if p.Over {
+		if p.Withdrawn {
 			is = "withdrawn"
 		} else if p.Halted {
 			is = "halted"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\n", p.ID, p.AtOnce, is)
+		fmt.Fprintf(t, "%s\t%d\t%s\n", p.ID, p.MaxUnavailable, is)
 	}
 	fmt.Fprintln(t, "engine\tplan\tis\tfor\twaits for")
 	for _, x := range s.Tasks {
--- a/internal/core/fleet/maintenance/blocked.go
+++ b/internal/core/fleet/maintenance/blocked.go
@@ -5,11 +5,13 @@
 	"slices"
 )
 
+// msOfMinute is a minute in ms.
 const msOfMinute = 60000
 
-// blocked tells why an engine may not go now; empty: it may.
-func (v View) blocked(id EngineID, of PlanID, l Limits, begun bool) string {
-	e, ok := find(v.Engines, id)
+// blocked tells why an engine may not be taken out now; empty: it may. Begun says that it is being
+// prepared already.
+func (v View) blocked(id EngineID, l Limits, begun bool) string {
+	e, ok := findEngine(v.Engines, id)
 	if !ok {
 		return "it is not in the list"
 	}
@@ -17,35 +19,35 @@
 	if !ok {
 		return "its plan is halted or withdrawn"
 	}
-	if v.Behind != "" {
-		return v.Behind
+	if v.StaleReason != "" {
+		return v.StaleReason
 	}
-	if why := v.blockedByHour(plan); why != "" {
-		return why
+	if reason := v.blockedByHour(plan); reason != "" {
+		return reason
 	}
-	if v.Storm {
+	if v.ReconnectStorm {
 		return "clients are coming back in a storm"
 	}
-	away := v.away(id)
-	if len(away) >= plan.AtOnce {
-		return fmt.Sprintf("%d are out or lost, and %d may be", len(away), plan.AtOnce)
-	}
-	r := remainder{view: v, engine: e, away: away}
-	for _, why := range []func() string{
-		func() string { return v.blockedByTasks(id, l, begun) },
-		func() string { return r.lacksKept(plan) },
-		func() string { return r.lacksCores(l) },
-		func() string { return r.tooBusy(l) },
-	} {
-		if text := why(); text != "" {
-			return text
-		}
+	unavailable := v.unavailable(id)
+	if len(unavailable) >= plan.MaxUnavailable {
+		return fmt.Sprintf("%d are out or lost, and %d may be", len(unavailable), plan.MaxUnavailable)
 	}
-	return ""
+	if reason := v.blockedByTasks(id, l, begun); reason != "" {
+		return reason
+	}
+	r := remaining{view: v, engine: e, unavailable: unavailable}
+	if reason := r.lacksMinAvailable(plan); reason != "" {
+		return reason
+	}
+	if reason := r.lacksRequiredCores(l); reason != "" {
+		return reason
+	}
+	return r.overloaded(l)
 }
 
+// blockedByHour tells whether the hour of the day is blocked; empty: it is not.
 func (v View) blockedByHour(plan Plan) string {
-	for _, h := range plan.Not {
+	for _, h := range plan.BlockedHours {
 		if left, ok := h.within(int(v.Now/msOfMinute) % dayMinutes); ok {
 			return fmt.Sprintf("none is taken in these hours, for %d min more", left)
 		}
@@ -53,13 +55,13 @@
 	return ""
 }
 
-// blockedByTasks tells which other engine's step has to end first.
+// blockedByTasks tells which other engine's step has to end first; empty: none.
 func (v View) blockedByTasks(id EngineID, l Limits, begun bool) string {
 	for _, t := range v.Tasks {
 		if t.Engine == id {
 			continue
 		}
-		if l.ColdRest && t.Step == Warming {
+		if l.WaitForWarm && t.Step == Warming {
 			return fmt.Sprintf("%s is back and still cold", t.Engine)
 		}
 		if !begun && t.Step == Preparing {
@@ -69,89 +71,94 @@
 	return ""
 }
 
-// remainder is the fleet without one engine and those that are away already.
-type remainder struct {
-	view   View
-	engine Engine // that would go
-	away   []Engine
+// remaining is the fleet without one engine, and without those that are unavailable already.
+type remaining struct {
+	view        View
+	engine      Engine // that would be taken out
+	unavailable []Engine
 }
 
-// stays tells whether an engine would go on to serve.
-func (r remainder) stays(o Engine) bool {
-	return o.ID != r.engine.ID && o.Ready && !slices.ContainsFunc(r.away, func(a Engine) bool { return a.ID == o.ID })
+// staysReady tells whether an engine would go on serving.
+func (r remaining) staysReady(e Engine) bool {
+	isUnavailable := func(u Engine) bool { return u.ID == e.ID }
+	return e.ID != r.engine.ID && e.Ready && !slices.ContainsFunc(r.unavailable, isUnavailable)
 }
 
-// staysWarm tells whether it would, with its caches filled.
-func (r remainder) staysWarm(o Engine) bool { return r.stays(o) && r.view.Now >= o.WarmAt }
+// staysWarm tells whether an engine would go on serving with warm caches.
+func (r remaining) staysWarm(e Engine) bool { return r.staysReady(e) && r.view.Now >= e.WarmAt }
 
-// all are the engines of the list, and those that are away, which it may not hold.
-func (r remainder) all() []Engine {
+// all returns the engines of the endpoint list, and those that are unavailable, which may have left it.
+func (r remaining) all() []Engine {
 	all := slices.Clone(r.view.Engines)
-	for _, o := range r.away {
-		if _, listed := find(all, o.ID); !listed {
-			all = append(all, o)
+	for _, e := range r.unavailable {
+		if _, listed := findEngine(all, e.ID); !listed {
+			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// lacksKept tells what the plan keeps and would not remain.
-func (r remainder) lacksKept(plan Plan) string {
+// lacksMinAvailable tells which rule of the plan would be broken; empty: none.
+func (r remaining) lacksMinAvailable(plan Plan) string {
 	all := r.all()
-	for _, k := range plan.Keep {
-		if !k.of(r.engine) {
+	for _, rule := range plan.MinAvailable {
+		if !rule.matches(r.engine) {
 			continue
 		}
-		remain := 0
-		for _, o := range all {
-			if k.of(o) && r.staysWarm(o) {
-				remain++
+		available := 0
+		for _, e := range all {
+			if rule.matches(e) && r.staysWarm(e) {
+				available++
 			}
 		}
-		if must := k.must(countOf(k, all)); remain < must {
-			return fmt.Sprintf("%s must remain, and %d would", k, remain)
+		if required := rule.required(countMatching(rule, all)); available < required {
+			return fmt.Sprintf("%s must remain, and %d would", rule, available)
 		}
 	}
 	return ""
 }
 
-// lacksCores tells which kinds would have fewer cores than what only they may run needs.
-func (r remainder) lacksCores(l Limits) string {
-	for _, b := range r.view.Bounds {
-		if !slices.Contains(b.Kinds, r.engine.Kind) {
+// lacksRequiredCores tells which kinds would have fewer cores than query classes need that run on
+// them alone; empty: none.
+func (r remaining) lacksRequiredCores(l Limits) string {
+	for _, requirement := range r.view.Requirements {
+		if !slices.Contains(requirement.Kinds, r.engine.Kind) {
 			continue
 		}
 		cores := 0.0
-		for _, o := range r.view.Engines {
-			if slices.Contains(b.Kinds, o.Kind) && r.staysWarm(o) {
-				cores += o.Cores
+		for _, e := range r.view.Engines {
+			if slices.Contains(requirement.Kinds, e.Kind) && r.staysWarm(e) {
+				cores += e.Cores
 			}
 		}
-		if cores < l.Spare*b.Needs {
-			return fmt.Sprintf("what only %s may run needs %.1f cores, and %.1f would remain", kinds(b.Kinds), l.Spare*b.Needs, cores)
+		needed := l.CapacityFactor * requirement.Cores
+		if cores < needed {
+			return fmt.Sprintf("what only %s may run needs %.1f cores, and %.1f would remain",
+				kinds(requirement.Kinds), needed, cores)
 		}
 	}
 	return ""
 }
 
-// tooBusy tells whether what remains could not bear the load.
-func (r remainder) tooBusy(l Limits) string {
-	busy, cores := 0.0, 0.0
-	for _, o := range r.view.Engines {
-		goes := o.ID == r.engine.ID
-		if !goes && !r.stays(o) {
+// overloaded tells whether the remaining engines could not bear the load; empty: they could.
+func (r remaining) overloaded(l Limits) string {
+	used := 0.0
+	cores := 0.0
+	for _, e := range r.view.Engines {
+		isTaken := e.ID == r.engine.ID
+		if !isTaken && !r.staysReady(e) {
 			continue
 		}
-		busy += o.Load * o.Cores
-		if !goes {
-			cores += o.Cores
+		used += e.Load * e.Cores
+		if !isTaken {
+			cores += e.Cores
 		}
 	}
 	if cores == 0 {
 		return "nothing would remain"
 	}
-	if busy > l.Busy*cores {
-		return fmt.Sprintf("what remains would be busy to %.0f%%", 100*busy/cores)
+	if used > l.MaxLoad*cores {
+		return fmt.Sprintf("what remains would be busy to %.0f%%", 100*used/cores)
 	}
 	return ""
 }
--- /dev/null
+++ b/internal/core/fleet/maintenance/forecast.go
@@ -0,0 +1,77 @@
+package maintenance
+
+import (
+	"math"
+	"slices"
+)
+
+// Constants of Forecast.
+const (
+	// minForecastEnds is how many engines must be done before anything is forecast.
+	minForecastEnds = 3
+	// forecastDeviations is the half-width of the forecast in standard deviations: nine of ten
+	// normally distributed values lie within.
+	forecastDeviations = 1.64
+	// minForecastSpread is the smallest standard deviation that is assumed, as a share of the mean
+	// interval.
+	minForecastSpread = 0.05
+)
+
+// Forecast returns the two times, in ms since 1970, between which all engines of a plan will be
+// back and warm in nine of ten cases. It is extrapolated from the intervals between the engines
+// that are done so far, with their waits and losses; false: too few are done.
+func Forecast(v View, p Plan) (earliest, latest float64, ok bool) {
+	ends, left, first := planProgress(v, p)
+	if len(ends) < minForecastEnds {
+		return 0, 0, false
+	}
+	last := slices.Max(ends)
+	if left == 0 {
+		return last, last, true
+	}
+	slices.Sort(ends)
+	mean, deviation := intervals(first, ends)
+	n := float64(left)
+	spread := max(minForecastSpread*mean, deviation)
+	// The variance of n intervals to come, and that of the mean, which is known from few.
+	half := forecastDeviations*spread*math.Sqrt(n+n*n/float64(len(ends))) + minForecastSpread*n*mean
+	at := v.Now - min(v.Now-last, mean) + n*mean
+	return max(v.Now, at-half), at + half, true
+}
+
+// planProgress returns when engines of a plan were done, how many are left, and when the first was
+// chosen.
+func planProgress(v View, p Plan) (ends []float64, left int, first float64) {
+	first = math.Inf(1)
+	for _, t := range v.Tasks {
+		if t.Plan != p.ID {
+			continue
+		}
+		first = min(first, t.ChosenAt)
+		if t.Step == Done {
+			ends = append(ends, t.StepStartedAt)
+		} else {
+			left++
+		}
+	}
+	for _, e := range v.Engines {
+		hasTask := slices.ContainsFunc(v.Tasks, func(t Task) bool { return t.Engine == e.ID })
+		if p.Select.matches(e) && !hasTask {
+			left++
+		}
+	}
+	return ends, left, first
+}
+
+// intervals returns the mean and the standard deviation of the intervals between sorted times, from
+// a first one on.
+func intervals(first float64, ends []float64) (mean, deviation float64) {
+	mean = (ends[len(ends)-1] - first) / float64(len(ends))
+	sum := 0.0
+	previous := first
+	for _, end := range ends {
+		sum += (end - previous - mean) * (end - previous - mean)
+		previous = end
+	}
+	return mean, math.Sqrt(sum / float64(len(ends)-1))
+}
--- a/internal/core/fleet/maintenance/maintenance_test.go
+++ b/internal/core/fleet/maintenance/maintenance_test.go
@@ -7,48 +7,101 @@
 	"testing"
 )
 
+// fleetOf returns n ready engines, spread over three zones and two kinds: every second one, from
+// s01 on, is a c12.
 func fleetOf(n int) (fleet []Engine) {
 	for i := range n {
-		fleet = append(fleet, Engine{ID: EngineID(fmt.Sprintf("s%02d", i)), Zone: Zone("abc"[i%3 : i%3+1]), Kind: [...]Kind{"c16", "c12"}[i%2],
-			Cores: [...]float64{16, 12}[i%2], Ready: true, Load: 0.4})
+		fleet = append(fleet, Engine{
+			ID:    EngineID(fmt.Sprintf("s%02d", i)),
+			Zone:  Zone("abc"[i%3 : i%3+1]),
+			Kind:  [...]Kind{"c16", "c12"}[i%2],
+			Cores: [...]float64{16, 12}[i%2],
+			Ready: true,
+			Load:  0.4,
+		})
 	}
 	return fleet
 }
 
-func TestCheck(t *testing.T) {
+// TestCheckFindsProblemsOfPlan: each problem is found, with what would help.
+func TestCheckFindsProblemsOfPlan(t *testing.T) {
 	fleet := fleetOf(8)
-	good := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, Needs: 60000, AtOnce: 2}
+	good := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, WorkTime: 60000, MaxUnavailable: 2}
 	for name, c := range map[string]struct {
-		change func(*Plan)
-		others []Plan
-		bounds []Bound
-		want   string // of the problems; empty: none
+		change       func(*Plan)
+		others       []Plan
+		requirements []Requirement
+		want         string // a part of the problems; empty: none
 	}{
-		"good":                  {func(*Plan) {}, nil, nil, ""},
-		"no id":                 {func(p *Plan) { p.ID = "" }, nil, nil, "id: "},
-		"no time":               {func(p *Plan) { p.Needs = 0 }, nil, nil, "needs: "},
-		"none at once":          {func(p *Plan) { p.AtOnce = 0 }, nil, nil, "at_once: "},
-		"no part of a day":      {func(p *Plan) { p.Not = []Hours{{0, dayMinutes}} }, nil, nil, "not: "},
-		"nothing selected":      {func(p *Plan) { p.Select = Selection{} }, nil, nil, "select: selects nothing; name engines"},
-		"nobody fits":           {func(p *Plan) { p.Select = Selection{Zones: []Zone{"z"}} }, nil, nil, "select: no engine"},
-		"one not in the list":   {func(p *Plan) { p.Select = Selection{Engines: []EngineID{"s00", "s99"}} }, nil, nil, "select.engines: s99"},
-		"all must remain":       {func(p *Plan) { p.Keep = []Keep{{Kind: "c12", Count: 4}} }, nil, nil, "so none can go; at most 3 of 4"},
-		"a share must remain":   {func(p *Plan) { p.Keep = []Keep{{Share: 0.9}} }, nil, nil, "keep: 90% of the engines must remain of 8"},
-		"another kind's remain": {func(p *Plan) { p.Keep = []Keep{{Kind: "c16", Count: 4}} }, nil, nil, ""},
-		"keeps nothing":         {func(p *Plan) { p.Keep = []Keep{{Kind: "c16"}} }, nil, nil, "names neither"},
-		"there are none":        {func(p *Plan) { p.Keep = []Keep{{Kind: "c1", Count: 1}} }, nil, nil, "there are no"},
-		"a profile needs them":  {func(*Plan) {}, nil, []Bound{{Kinds: []Kind{"c12"}, Needs: 40}}, "select: what only c12 may run needs 40 cores now, and 36"},
-		"a profile has room":    {func(*Plan) {}, nil, []Bound{{Kinds: []Kind{"c12"}, Needs: 30}}, ""},
-		"not by then":           {func(p *Plan) { p.By = 100000 }, nil, nil, "by: 4 engines, 2 at once"},
-		"by then with more":     {func(p *Plan) { p.By = 150000; p.AtOnce = 1 }, nil, nil, "2 at once would do"},
-		"another wants it halted": {func(*Plan) {}, []Plan{{ID: "o", Halted: true, Select: Selection{Engines: []EngineID{"s01"}}}}, nil,
-			"s01 is in plan o as well"},
+		"a valid plan": {func(*Plan) {}, nil, nil, ""},
+		"no id":        {func(p *Plan) { p.ID = "" }, nil, nil, "id: "},
+		"no work time": {func(p *Plan) { p.WorkTime = 0 }, nil, nil, "needs: "},
+		"none at once": {func(p *Plan) { p.MaxUnavailable = 0 }, nil, nil, "at_once: "},
+		"hours that are no part of a day": {
+			func(p *Plan) { p.BlockedHours = []Hours{{0, dayMinutes}} },
+			nil, nil, "not: ",
+		},
+		"nothing selected": {
+			func(p *Plan) { p.Select = Selection{} },
+			nil, nil, "select: selects nothing; name engines",
+		},
+		"no engine matches": {
+			func(p *Plan) { p.Select = Selection{Zones: []Zone{"z"}} },
+			nil, nil, "select: no engine",
+		},
+		"an engine that is not in the list": {
+			func(p *Plan) { p.Select = Selection{Engines: []EngineID{"s00", "s99"}} },
+			nil, nil, "select.engines: s99",
+		},
+		"all must remain": {
+			func(p *Plan) { p.MinAvailable = []MinAvailable{{Kind: "c12", Count: 4}} },
+			nil, nil, "so none can go; at most 3 of 4",
+		},
+		"a share must remain": {
+			func(p *Plan) { p.MinAvailable = []MinAvailable{{Share: 0.9}} },
+			nil, nil, "keep: 90% of the engines must remain of 8",
+		},
+		"another kind must remain": {
+			func(p *Plan) { p.MinAvailable = []MinAvailable{{Kind: "c16", Count: 4}} },
+			nil, nil, "",
+		},
+		"a rule without a number": {
+			func(p *Plan) { p.MinAvailable = []MinAvailable{{Kind: "c16"}} },
+			nil, nil, "names neither",
+		},
+		"a rule for a kind without engines": {
+			func(p *Plan) { p.MinAvailable = []MinAvailable{{Kind: "c1", Count: 1}} },
+			nil, nil, "there are no",
+		},
+		"query classes need the engines": {
+			func(*Plan) {},
+			nil, []Requirement{{Kinds: []Kind{"c12"}, Cores: 40}},
+			"select: what only c12 may run needs 40 cores now, and 36",
+		},
+		"query classes have enough": {
+			func(*Plan) {},
+			nil, []Requirement{{Kinds: []Kind{"c12"}, Cores: 30}}, "",
+		},
+		"not done by the deadline": {
+			func(p *Plan) { p.Deadline = 100000 },
+			nil, nil, "by: 4 engines, 2 at once",
+		},
+		"done by the deadline with more at once": {
+			func(p *Plan) { p.Deadline = 150000; p.MaxUnavailable = 1 },
+			nil, nil, "2 at once would do",
+		},
+		"another plan has it halted": {
+			func(*Plan) {},
+			[]Plan{{ID: "o", Halted: true, Select: Selection{Engines: []EngineID{"s01"}}}}, nil,
+			"s01 is in plan o as well",
+		},
 	} {
 		p := good
 		c.change(&p)
 		texts := []string{}
-		for _, x := range Check(p, c.others, fleet, c.bounds, 0, Times{Drain: 1000, Warm: 10000}) {
-			texts = append(texts, x.Error())
+		durations := StepDurations{Drain: 1000, Warm: 10000}
+		for _, problem := range Check(p, c.others, fleet, c.requirements, 0, durations) {
+			texts = append(texts, problem.Error())
 		}
 		if got := strings.Join(texts, "\n"); (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -56,116 +109,179 @@
 	}
 }
 
-func TestHours(t *testing.T) {
+// TestHoursSpanMidnight: hours within a day and over midnight, and hours that follow each other.
+func TestHoursSpanMidnight(t *testing.T) {
 	for _, c := range []struct {
 		h      Hours
 		minute int
 		within bool
 		left   int
-	}{{Hours{60, 120}, 59, false, 0}, {Hours{60, 120}, 60, true, 60}, {Hours{60, 120}, 119, true, 1}, {Hours{60, 120}, 120, false, 0},
-		{Hours{1380, 60}, 1400, true, 100}, {Hours{1380, 60}, 10, true, 50}, {Hours{1380, 60}, 700, false, 0}} {
+	}{
+		{Hours{60, 120}, 59, false, 0},
+		{Hours{60, 120}, 60, true, 60},
+		{Hours{60, 120}, 119, true, 1},
+		{Hours{60, 120}, 120, false, 0},
+		{Hours{1380, 60}, 1400, true, 100},
+		{Hours{1380, 60}, 10, true, 50},
+		{Hours{1380, 60}, 700, false, 0},
+	} {
 		if left, ok := c.h.within(c.minute); ok != c.within || ok && left != c.left {
 			t.Errorf("%v at %d: %v, %d", c.h, c.minute, ok, left)
 		}
 	}
-	p := Plan{Not: []Hours{{60, 120}, {120, 180}}}
-	if at := opens(p, 61*60000); at != 180*60000 {
-		t.Errorf("opens at %g min", at/60000)
+	p := Plan{BlockedHours: []Hours{{60, 120}, {120, 180}}}
+	if at := nextAllowed(p, 61*60000); at != 180*60000 {
+		t.Errorf("the next allowed time is minute %g", at/60000)
 	}
 }
 
-func TestDecide(t *testing.T) {
-	plan := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, Needs: 60000, AtOnce: 2}
+// TestDecideNextMove: which move is next, or why there is none.
+func TestDecideNextMove(t *testing.T) {
+	plan := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, WorkTime: 60000, MaxUnavailable: 2}
 	base := func() View { return View{Now: 1e9, Engines: fleetOf(8), Plans: []Plan{plan}} }
 	for name, c := range map[string]struct {
 		change func(*View)
-		move   string // engine, to; empty: none
-		why    string
+		move   string // the engine and its step; empty: none
+		reason string // a part of the reasons
 	}{
-		"the first":             {func(*View) {}, "s01 preparing", "is next"},
-		"groups without a home": {func(v *View) { v.Engines[1].Groups = []Held{{Asked: 3}} }, "s03 preparing", "costs least"},
-		"the less asked": {func(v *View) {
+		"the first engine": {func(*View) {}, "s01 preparing", "is next"},
+		"a table group without a warm replica": {
+			func(v *View) { v.Engines[1].Groups = []HostedGroup{{Demand: 3}} },
+			"s03 preparing", "costs least",
+		},
+		"the engine with the least demand": {func(v *View) {
 			for i := range v.Engines {
-				v.Engines[i].Groups = []Held{{Asked: float64(9 - i), Homes: 1}}
+				v.Engines[i].Groups = []HostedGroup{{Demand: float64(9 - i), WarmReplicas: 1}}
 			}
 		}, "s07 preparing", ""},
-		"a zone has one away":  {func(v *View) { v.Lost = []Engine{{ID: "x", Zone: "b"}} }, "s03 preparing", ""},
-		"too many away":        {func(v *View) { v.Lost = []Engine{{ID: "x"}, {ID: "y"}} }, "", "2 are out or lost, and 2 may be"},
-		"a storm":              {func(v *View) { v.Storm = true }, "", "storm"},
-		"not sure of the view": {func(v *View) { v.Behind = "the list is 9 s old" }, "", "the list is 9 s old"},
-		"busy": {func(v *View) {
+		"a zone with a lost engine": {
+			func(v *View) { v.Lost = []Engine{{ID: "x", Zone: "b"}} },
+			"s03 preparing", "",
+		},
+		"too many are lost": {
+			func(v *View) {
+				v.Lost = []Engine{{ID: "x"},
+					{ID: "y"}}
+			}, "", "2 are out or lost, and 2 may be",
+		},
+		"a reconnect storm": {func(v *View) { v.ReconnectStorm = true }, "", "storm"},
+		"a stale view":      {func(v *View) { v.StaleReason = "the list is 9 s old" }, "", "the list is 9 s old"},
+		"high load": {func(v *View) {
 			for i := range v.Engines {
 				v.Engines[i].Load = 0.7
 			}
 		}, "", "busy to"},
-		"hours":                  {func(v *View) { v.Plans[0].Not = []Hours{{0, 1439}} }, "", "these hours"},
-		"halted":                 {func(v *View) { v.Plans[0].Halted = true }, "", "no engine waits"},
-		"must remain":            {func(v *View) { v.Plans[0].Keep = []Keep{{Kind: "c12", Count: 3}}; v.Engines[3].Ready = false }, "", "must remain, and 2 would"},
-		"cold ones don't remain": {func(v *View) { v.Plans[0].Keep = []Keep{{Kind: "c12", Count: 3}}; v.Engines[3].WarmAt = 2e9 }, "s03 preparing", ""},
-		"a bound profile":        {func(v *View) { v.Bounds = []Bound{{Kinds: []Kind{"c12"}, Needs: 31}} }, "", "needs 37.2 cores, and 36.0"},
-		"one is being prepared": {func(v *View) {
-			v.Tasks = []Task{{Engine: "s01", Step: Preparing, At: 1e9}}
-			v.Engines[1].Groups = []Held{{}}
+		"blocked hours": {func(v *View) { v.Plans[0].BlockedHours = []Hours{{0, 1439}} }, "", "these hours"},
+		"a halted plan": {func(v *View) { v.Plans[0].Halted = true }, "", "no engine waits"},
+		"too few would remain": {func(v *View) {
+			v.Plans[0].MinAvailable = []MinAvailable{{Kind: "c12", Count: 3}}
+			v.Engines[3].Ready = false
+		}, "", "must remain, and 2 would"},
+		"a cold engine does not count as available": {func(v *View) {
+			v.Plans[0].MinAvailable = []MinAvailable{{Kind: "c12", Count: 3}}
+			v.Engines[3].WarmAt = 2e9
+		}, "s03 preparing", ""},
+		"query classes need the kind": {
+			func(v *View) {
+				v.Requirements = []Requirement{{Kinds: []Kind{"c12"},
+					Cores: 31}}
+			}, "", "needs 37.2 cores, and 36.0",
+		},
+		"another is being prepared": {func(v *View) {
+			v.Tasks = []Task{{Engine: "s01", Step: Preparing, StepStartedAt: 1e9}}
+			v.Engines[1].Groups = []HostedGroup{{}}
 		}, "", "s01 is being prepared"},
-		"prepared": {func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, At: 1e9}} }, "s01 draining", "goes"},
+		"an engine is prepared": {
+			func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, StepStartedAt: 1e9}} },
+			"s01 draining", "goes",
+		},
 		"prepared for too long": {func(v *View) {
-			v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, At: 0}}
-			v.Engines[1].Groups = []Held{{}}
+			v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, StepStartedAt: 0}}
+			v.Engines[1].Groups = []HostedGroup{{}}
 		}, "s01 draining", ""},
 		"prepared and halted": {func(v *View) {
-			v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, At: 1e9}}
-			v.Plans[0].Over = true
+			v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Preparing, StepStartedAt: 1e9}}
+			v.Plans[0].Withdrawn = true
 		}, "", "halted or withdrawn"},
-		"one drains":  {func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Draining}} }, "s03 preparing", ""},
-		"one is cold": {func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Warming}}; v.Engines[1].WarmAt = 2e9 }, "", "still cold"},
-		"one is warm": {func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Warming}} }, "s01 done", ""},
-		"one is back": {func(v *View) {
-			v.Tasks = []Task{{Engine: "s01", Step: Returning, At: 1e9, Before: 5}}
-			v.Engines[1].Since = 6
+		"another drains": {
+			func(v *View) { v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Draining}} },
+			"s03 preparing", "",
+		},
+		"another is cold": {
+			func(v *View) {
+				v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Warming}}
+				v.Engines[1].WarmAt = 2e9
+			},
+			"", "still cold",
+		},
+		"an engine has warmed up": {
+			func(v *View) {
+				v.Tasks = []Task{{Engine: "s01", Plan: "p", Step: Warming}}
+			},
+			"s01 done", "",
+		},
+		"an engine is back": {func(v *View) {
+			v.Tasks = []Task{{Engine: "s01", Step: Returning, StepStartedAt: 1e9, EngineStartedAt: 5}}
+			v.Engines[1].StartedAt = 6
 		}, "s01 warming", ""},
-		"the old one is listed": {func(v *View) {
-			v.Tasks = []Task{{Engine: "s01", Step: Returning, At: 1e9, Before: 5}}
-			v.Engines[1].Since = 5
+		"the process from before the work is listed": {func(v *View) {
+			v.Tasks = []Task{{Engine: "s01", Step: Returning, StepStartedAt: 1e9, EngineStartedAt: 5}}
+			v.Engines[1].StartedAt = 5
 		}, "s03 preparing", ""},
-		"one does not come back": {func(v *View) { v.Tasks = []Task{{Engine: "s01", Step: Returning, At: 0}}; v.Engines = v.Engines[2:] }, "s01 missing", "has not come back"},
-		"a missing one counts": {func(v *View) {
-			v.Plans[0].AtOnce = 1
+		"an engine does not come back": {func(v *View) {
+			v.Tasks = []Task{{Engine: "s01", Step: Returning, StepStartedAt: 0}}
+			v.Engines = v.Engines[2:]
+		}, "s01 missing", "has not come back"},
+		"a missing engine counts as lost": {func(v *View) {
+			v.Plans[0].MaxUnavailable = 1
 			v.Tasks = []Task{{Engine: "s01", Step: Missing}}
 			v.Engines = v.Engines[2:]
 		}, "", "1 are out or lost"},
-		"it comes after all": {func(v *View) { v.Tasks = []Task{{Engine: "s01", Step: Missing}}; v.Engines[1].Since = 7 }, "s01 warming", ""},
+		"a missing engine comes back": {
+			func(v *View) {
+				v.Tasks = []Task{{Engine: "s01", Step: Missing}}
+				v.Engines[1].StartedAt = 7
+			},
+			"s01 warming", "",
+		},
 	} {
 		v := base()
 		v.Plans = []Plan{plan}
 		c.change(&v)
-		move, reasons := Decide(v, Usual())
+		move, reasons := Decide(v, DefaultLimits())
 		got := ""
 		if move != nil {
 			got = fmt.Sprint(move.Engine, " ", move.To)
 		}
-		if got != c.move || !strings.Contains(fmt.Sprint(reasons), c.why) {
+		if got != c.move || !strings.Contains(fmt.Sprint(reasons), c.reason) {
 			t.Errorf("%s: %q, want %q; %v", name, got, c.move, reasons)
 		}
 	}
 }
 
-// Random fleets, plans and losses are played to the end: never more out than may be, what must remain remains, bound profiles
-// have their cores, nobody is taken twice or forgotten; and a second conductor that knows an old state changes nothing.
-func TestPlayed(t *testing.T) {
+// Random fleets, plans and losses are simulated until all engines are done. At no time are more out
+// than the plan allows, what must remain remains, query classes that need a kind have their cores,
+// no engine is taken twice or forgotten, and a move that does not fit the tasks changes nothing.
+func TestRandomPlansKeepCapacity(t *testing.T) {
 	for seed := range int64(80) {
 		rng := rand.New(rand.NewSource(seed))
 		n := 4 + rng.Intn(30)
 		engines := fleetOf(n)
-		plan := Plan{ID: "all", Select: Selection{Kinds: []Kind{"c16", "c12"}}, Needs: 60000, AtOnce: 1 + rng.Intn(3), Version: 1,
-			Keep: []Keep{{Kind: "c16", Count: max(1, n/2-2)}}}
-		bounds := []Bound{{Kinds: []Kind{"c16"}, Needs: 16 * float64(n/2-2) / 1.2}}
-		v := View{Now: 1e9, Engines: engines, Plans: []Plan{plan}, Bounds: bounds}
+		plan := Plan{
+			ID:             "all",
+			Select:         Selection{Kinds: []Kind{"c16", "c12"}},
+			WorkTime:       60000,
+			MaxUnavailable: 1 + rng.Intn(3),
+			Version:        1,
+			MinAvailable:   []MinAvailable{{Kind: "c16", Count: max(1, n/2-2)}},
+		}
+		requirements := []Requirement{{Kinds: []Kind{"c16"}, Cores: 16 * float64(n/2-2) / 1.2}}
+		v := View{Now: 1e9, Engines: engines, Plans: []Plan{plan}, Requirements: requirements}
 		lost := map[EngineID]float64{}
 		taken := map[EngineID]int{}
-		var old []Task
 		for range 20000 {
 			v.Now += 1000
-			if rng.Intn(400) == 0 && len(lost) == 0 { // one dies, and is back after a while
+			if rng.Intn(400) == 0 && len(lost) == 0 { // an engine fails, and is back after a while
 				lost[engines[rng.Intn(n)].ID] = v.Now + 30000
 			}
 			v.Lost = nil
@@ -174,7 +290,7 @@
 				e := &engines[i]
 				if back, ok := lost[e.ID]; ok && v.Now >= back {
 					delete(lost, e.ID)
-					e.Since, e.WarmAt = v.Now, v.Now+14000
+					e.StartedAt, e.WarmAt = v.Now, v.Now+14000
 				}
 				away := false
 				for _, task := range v.Tasks {
@@ -186,40 +302,38 @@
 					v.Engines = append(v.Engines, *e)
 				}
 			}
-			for i := range v.Tasks { // what others tell
+			for i := range v.Tasks { // the steps that the caller makes
 				task := &v.Tasks[i]
-				step := func(to Step) { task.Step, task.At = to, v.Now }
+				step := func(to Step) { task.Step, task.StepStartedAt = to, v.Now }
 				switch {
-				case task.Step == Draining && v.Now > task.At+2000:
+				case task.Step == Draining && v.Now > task.StepStartedAt+2000:
 					step(Free)
 				case task.Step == Free:
 					step(Working)
-				case task.Step == Working && v.Now > task.At+plan.Needs:
+				case task.Step == Working && v.Now > task.StepStartedAt+plan.WorkTime:
 					step(Returning)
 					for j := range engines {
 						if engines[j].ID == task.Engine {
-							engines[j].Since, engines[j].WarmAt = v.Now, v.Now+14000
+							engines[j].StartedAt, engines[j].WarmAt = v.Now, v.Now+14000
 						}
 					}
 				}
 			}
-			move, _ := Decide(v, Usual())
+			move, _ := Decide(v, DefaultLimits())
 			if move == nil {
 				if len(taken) == n && len(lost) == 0 {
 					break
 				}
 				continue
 			}
-			e, _ := find(v.Engines, move.Engine)
-			if rng.Intn(10) == 0 {
-				old = append([]Task{}, v.Tasks...)
-			}
+			e, _ := findEngine(v.Engines, move.Engine)
+			rng.Intn(10) // keeps the sequence of the draws that follow
 			if _, ok := Apply(v.Tasks, Move{Engine: move.Engine, From: move.From + 1, To: move.To}, e, v.Now); ok {
 				t.Fatalf("seed %d: a move that does not fit is made", seed)
 			}
 			tasks, ok := Apply(v.Tasks, *move, e, v.Now)
 			if !ok {
-				t.Fatalf("seed %d: its own move is refused: %+v", seed, move)
+				t.Fatalf("seed %d: the decided move does not fit: %+v", seed, move)
 			}
 			v.Tasks = tasks
 			if move.To == Draining {
@@ -231,8 +345,8 @@
 						}
 					}
 				}
-				if out > plan.AtOnce {
-					t.Fatalf("seed %d: %d are out, %d may be", seed, out, plan.AtOnce)
+				if out > plan.MaxUnavailable {
+					t.Fatalf("seed %d: %d are out, %d may be", seed, out, plan.MaxUnavailable)
 				}
 				for _, e := range v.Engines {
 					gone := false
@@ -243,7 +357,7 @@
 						remain, cores = remain+1, cores+e.Cores
 					}
 				}
-				if e.Kind == "c16" && (remain < plan.Keep[0].Count || cores < bounds[0].Needs) {
+				if e.Kind == "c16" && (remain < plan.MinAvailable[0].Count || cores < requirements[0].Cores) {
 					t.Fatalf("seed %d: %d remain with %g cores", seed, remain, cores)
 				}
 				if taken[move.Engine]++; taken[move.Engine] > 1 {
@@ -251,9 +365,8 @@
 				}
 			}
 		}
-		_ = old
 		if len(taken) != n {
-			_, why := Decide(v, Usual())
+			_, why := Decide(v, DefaultLimits())
 			t.Fatalf("seed %d: %d of %d were taken: %v", seed, len(taken), n, why)
 		}
 	}
--- a/internal/core/fleet/maintenance/plan.go
+++ b/internal/core/fleet/maintenance/plan.go
@@ -1,61 +1,75 @@
-// Package maintenance decides in which order engines are taken out for work, and when each may go: so that service is kept
-// whatever breaks meanwhile. It is free of I/O and clocks: from plans, what the list and controllers tell, and what is out,
-// it reckons the wanted state and one difference to the present at a time, with a reason for each choice and each wait.
-// Whoever owns the work conducts by it; all that it knows of its own is agreed, so that the next owner goes on.
 package maintenance
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
-	"strings"
 )
 
-type (
-	// EngineID is the name of an engine, as the endpoint list has it.
-	EngineID string
-	// Zone is the name of a zone, as the endpoint list has it.
-	Zone string
-	// Kind is the name of a kind of engine, as the settings have it.
-	Kind string
-	// Group is the number of a table group, as the settings have it.
-	Group int64
-	// PlanID names a plan.
-	PlanID string
-)
-
-// Selection tells which engines a plan is for: those named, and those that all of the rest holds for, where some is given.
+// Plan is maintenance work that operators want done. It is encoded by the keys of its fields, and
+// shown to operators as JSON: the JSON names are those of earlier versions.
+type Plan struct {
+	ID     PlanID    `cbor:"1,keyasint"`
+	Select Selection `cbor:"2,keyasint"`
+	// WorkTime is what the work on one engine takes in ms, from drained to back in the endpoint list.
+	WorkTime float64 `cbor:"3,keyasint" json:"Needs"`
+	// Deadline is when all is to be done, in ms since 1970; 0: any time.
+	Deadline float64 `cbor:"4,keyasint,omitempty" json:"By"`
+	// BlockedHours are the hours of a day in which no engine is taken out.
+	BlockedHours []Hours `cbor:"5,keyasint,omitempty" json:"Not"`
+	// MinAvailable is the capacity that must remain at all times.
+	MinAvailable []MinAvailable `cbor:"6,keyasint,omitempty" json:"Keep"`
+	// MaxUnavailable is how many engines may be out or lost at a time.
+	MaxUnavailable int `cbor:"7,keyasint" json:"AtOnce"`
+	// Version is the serial of the agreed state in which the plan was accepted.
+	Version int `cbor:"8,keyasint,omitempty"`
+	// Halted: no further engine is taken out; those that are out come back.
+	Halted bool `cbor:"9,keyasint,omitempty"`
+	// Withdrawn: as Halted, for good.
+	Withdrawn bool `cbor:"10,keyasint,omitempty" json:"Over"`
+	// ConfirmWork: each task waits until a person confirms that the work is done.
+	ConfirmWork bool `cbor:"11,keyasint,omitempty" json:"Person"`
+}
+
+// Selection tells which engines a plan is for: those that are named, and those that match all of Zones,
+// Kinds and StartedBefore that are given.
 type Selection struct {
 	Engines []EngineID `cbor:"1,keyasint,omitempty"`
 	Zones   []Zone     `cbor:"2,keyasint,omitempty"`
 	Kinds   []Kind     `cbor:"3,keyasint,omitempty"`
-	Before  float64    `cbor:"4,keyasint,omitempty"` // started before this time, ms since 1970; 0: whenever
+	// StartedBefore selects engines that started before this time, in ms since 1970; 0: any.
+	StartedBefore float64 `cbor:"4,keyasint,omitempty" json:"Before"`
 }
 
+// empty tells whether nothing is selected.
 func (s Selection) empty() bool {
-	return len(s.Engines)+len(s.Zones)+len(s.Kinds) == 0 && s.Before == 0
+	return len(s.Engines)+len(s.Zones)+len(s.Kinds) == 0 && s.StartedBefore == 0
 }
 
-func (s Selection) has(e Engine) bool {
+// matches tells whether an engine is selected.
+func (s Selection) matches(e Engine) bool {
 	if slices.Contains(s.Engines, e.ID) {
 		return true
 	}
-	if len(s.Zones)+len(s.Kinds) == 0 && s.Before == 0 {
+	if len(s.Zones)+len(s.Kinds) == 0 && s.StartedBefore == 0 {
 		return false
 	}
-	return (len(s.Zones) == 0 || slices.Contains(s.Zones, e.Zone)) && (len(s.Kinds) == 0 || slices.Contains(s.Kinds, e.Kind)) &&
-		(s.Before == 0 || e.Since < s.Before)
+	zone := len(s.Zones) == 0 || slices.Contains(s.Zones, e.Zone)
+	kind := len(s.Kinds) == 0 || slices.Contains(s.Kinds, e.Kind)
+	started := s.StartedBefore == 0 || e.StartedAt < s.StartedBefore
+	return zone && kind && started
 }
 
-// Keep is what must always remain: so many engines, or such a share, of a kind, of a zone or of all.
-type Keep struct {
-	Kind  Kind    `cbor:"1,keyasint,omitempty"`
-	Zone  Zone    `cbor:"2,keyasint,omitempty"`
+// MinAvailable is what must remain ready and warm: a count or a share of the engines of a kind, of
+// a zone, or of all.
+type MinAvailable struct {
+	Kind  Kind    `cbor:"1,keyasint,omitempty"` // empty: any
+	Zone  Zone    `cbor:"2,keyasint,omitempty"` // empty: any
 	Count int     `cbor:"3,keyasint,omitempty"`
 	Share float64 `cbor:"4,keyasint,omitempty"`
 }
 
-func (k Keep) String() string {
+// String returns the rule as operators read it.
+func (k MinAvailable) String() string {
 	what := "engines"
 	if k.Kind != "" {
 		what += " of kind " + string(k.Kind)
@@ -69,159 +83,65 @@
 	return fmt.Sprintf("%d %s", k.Count, what)
 }
 
-// Hours is a part of each day, in minutes from midnight; it may pass midnight.
-type Hours struct {
-	From int `cbor:"1,keyasint"`
-	To   int `cbor:"2,keyasint"`
-}
-
-const dayMinutes = 24 * 60
-
-// within tells whether a minute of a day lies in it, and for how many more it does.
-func (h Hours) within(minute int) (left int, ok bool) {
-	long := (h.To - h.From + dayMinutes) % dayMinutes
-	since := (minute - h.From + dayMinutes) % dayMinutes
-	return long - since, since < long
-}
-
-// Plan is what operators want done.
-type Plan struct {
-	ID      PlanID    `cbor:"1,keyasint"`
-	Select  Selection `cbor:"2,keyasint"`
-	Needs   float64   `cbor:"3,keyasint"`           // ms that the work on one engine takes, from free to back
-	By      float64   `cbor:"4,keyasint,omitempty"` // ms since 1970; 0: whenever
-	Not     []Hours   `cbor:"5,keyasint,omitempty"` // in which none is taken out
-	Keep    []Keep    `cbor:"6,keyasint,omitempty"`
-	AtOnce  int       `cbor:"7,keyasint"` // out at most
-	Version int       `cbor:"8,keyasint,omitempty"`
-	Halted  bool      `cbor:"9,keyasint,omitempty"`  // no further one is taken; who is out comes back
-	Over    bool      `cbor:"10,keyasint,omitempty"` // withdrawn: as halted, for good
-	Person  bool      `cbor:"11,keyasint,omitempty"` // each step waits for a person's word that the work is done
-}
-
-// Engine is one as it is known now.
-type Engine struct {
-	ID     EngineID
-	Zone   Zone
-	Kind   Kind
-	Cores  float64
-	Ready  bool    // in the list, and not draining
-	Since  float64 // when it last started, ms since 1970; 0: long ago
-	WarmAt float64 // until then it is cold
-	Load   float64 // share of its cores in use
-	Groups []Held  // table groups that it serves
-}
-
-// Held is a table group on an engine.
-type Held struct {
-	Group Group
-	Asked float64 // work asked of it there, cores
-	Homes int     // other engines, ready and warm, that have it warm
-}
-
-// Bound is a profile that only some kinds may run, with what it needs of them in cores.
-type Bound struct {
-	Kinds []Kind
-	Needs float64
-}
-
-// Problem is why a plan can't be done as it stands, and what would do.
-type Problem struct{ Field, Why, Would string }
-
-func (p Problem) Error() string {
-	text := p.Field + ": " + p.Why
-	if p.Would != "" {
-		text += "; " + p.Would
-	}
-	return text
+// matches tells whether an engine counts for the rule.
+func (k MinAvailable) matches(e Engine) bool {
+	return (k.Kind == "" || k.Kind == e.Kind) && (k.Zone == "" || k.Zone == e.Zone)
 }
 
-// Times are what a step takes beside the work itself, in ms: until an engine is free, and until it is warm again.
-type Times struct{ Drain, Warm float64 }
-
-func kinds(list []Kind) string {
-	texts := make([]string, len(list))
-	for i, k := range list {
-		texts[i] = string(k)
-	}
-	return strings.Join(texts, " and ")
+// required returns how many of a number of engines must remain.
+func (k MinAvailable) required(all int) int {
+	byShare := int(k.Share*float64(all) + 0.999999) // rounded up
+	return min(max(k.Count, byShare), max(k.Count, all))
 }
 
-// countOf is how many engines a Keep speaks of.
-func countOf(k Keep, fleet []Engine) (n int) {
+// countMatching returns how many engines count for a rule.
+func countMatching(k MinAvailable, fleet []Engine) (n int) {
 	for _, e := range fleet {
-		if k.of(e) {
+		if k.matches(e) {
 			n++
 		}
 	}
 	return n
 }
 
-func (k Keep) of(e Engine) bool {
-	return (k.Kind == "" || k.Kind == e.Kind) && (k.Zone == "" || k.Zone == e.Zone)
-}
-
-// must is how many of so many have to remain.
-func (k Keep) must(all int) int {
-	by := int(k.Share*float64(all) + 0.999999)
-	return min(max(k.Count, by), max(k.Count, all))
-}
+// dayMinutes is the length of a day in minutes.
+const dayMinutes = 24 * 60
 
-// forecast is when a plan's last engine would be back and warm, if nothing goes wrong: the next is taken when the one that came
-// back is warm, and none is taken in hours in which none may be.
-func forecast(p Plan, engines, atOnce int, now float64, t Times) float64 {
-	one := t.Drain + p.Needs + t.Warm
-	at := now
-	for rounds := (engines + atOnce - 1) / atOnce; rounds > 0; rounds-- {
-		at = opens(p, at) + one
-	}
-	return at
+// Hours is a part of each day, in minutes from midnight (UTC). It may span midnight.
+type Hours struct {
+	From int `cbor:"1,keyasint"`
+	To   int `cbor:"2,keyasint"`
 }
 
-// opens is when one may be taken, at a time or later.
-func opens(p Plan, at float64) float64 {
-	for range 8 {
-		moved := false
-		for _, h := range p.Not {
-			minute := int(at/60000) % dayMinutes
-			if left, ok := h.within(minute); ok {
-				at, moved = (float64(int(at/60000))+float64(left))*60000, true
-			}
-		}
-		if !moved {
-			break
-		}
-	}
-	return at
+// within tells whether a minute of a day lies in the hours, and for how many minutes more.
+func (h Hours) within(minute int) (left int, ok bool) {
+	length := (h.To - h.From + dayMinutes) % dayMinutes
+	since := (minute - h.From + dayMinutes) % dayMinutes
+	return length - since, since < length
 }
 
-// Merge is the plans that hold for an engine, as one: the longest work, the latest hour that suits all, what any of them keeps.
-// Overlapping plans take an engine out once.
+// Merge combines the plans that hold for an engine: the longest work, the earliest deadline, the
+// strictest limits, and what any of them blocks or keeps available. So plans that overlap take an
+// engine out once. It returns false if no plan holds.
 func Merge(plans []Plan, e Engine) (merged Plan, ok bool) {
 	for _, p := range plans {
-		if p.Over || p.Halted || !p.Select.has(e) {
+		if p.Withdrawn || p.Halted || !p.Select.matches(e) {
 			continue
 		}
 		if !ok {
-			merged, ok = p, true
+			merged = p
+			ok = true
 			continue
 		}
-		merged.Needs = max(merged.Needs, p.Needs)
-		merged.AtOnce = min(merged.AtOnce, p.AtOnce)
-		if p.By > 0 && (merged.By == 0 || p.By < merged.By) {
-			merged.By = p.By
+		merged.WorkTime = max(merged.WorkTime, p.WorkTime)
+		merged.MaxUnavailable = min(merged.MaxUnavailable, p.MaxUnavailable)
+		if p.Deadline > 0 && (merged.Deadline == 0 || p.Deadline < merged.Deadline) {
+			merged.Deadline = p.Deadline
 		}
-		merged.Not = append(slices.Clone(merged.Not), p.Not...)
-		merged.Keep = append(slices.Clone(merged.Keep), p.Keep...)
-		merged.Person = merged.Person || p.Person
+		merged.BlockedHours = append(slices.Clone(merged.BlockedHours), p.BlockedHours...)
+		merged.MinAvailable = append(slices.Clone(merged.MinAvailable), p.MinAvailable...)
+		merged.ConfirmWork = merged.ConfirmWork || p.ConfirmWork
 		merged.ID = min(merged.ID, p.ID)
 	}
 	return merged, ok
 }
-
-// byID orders engines, as lists come in any order.
-func byID(fleet []Engine) []Engine {
-	sorted := slices.Clone(fleet)
-	slices.SortFunc(sorted, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	return sorted
-}
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -70,7 +70,7 @@
 	}
 	c := NewMaintenanceJob(MaintenanceHost{Log: quiet}, MaintenanceBlock{Within: time.Minute})
 	defer c.Close()
-	task := maintenance.Task{Engine: "e1", Step: maintenance.Working, Number: 7}
+	task := maintenance.Task{Engine: "e1", Step: maintenance.Working, Sequence: 7}
 	if m := c.step(nil, maintenance.View{}, task); m != nil || c.waits["e1"] != "a person's word that the work is done" {
 		t.Errorf("without a program: %+v, waits for %q", m, c.waits["e1"])
 	}
--- a/internal/fleet/maintenance_request.go
+++ b/internal/fleet/maintenance_request.go
@@ -109,10 +109,10 @@
 
 // takePlans checks plans and takes them into the state; commit tells whether they are to be agreed on.
 func (r *requestRun) takePlans(plans []maintenance.Plan, v maintenance.View, version int, commit bool) {
-	times := maintenance.Times{Drain: 10000, Warm: 30000}
+	times := maintenance.StepDurations{Drain: 10000, Warm: 30000}
 	for _, p := range plans {
 		p.Version = version
-		for _, problem := range maintenance.Check(p, r.state.Plans, v.Engines, v.Bounds, v.Now, times) {
+		for _, problem := range maintenance.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, times) {
 			r.status.Problems = append(r.status.Problems, fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
 		}
 		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q maintenance.Plan) bool { return q.ID == p.ID })
@@ -133,7 +133,7 @@
 	if p == nil {
 		return
 	}
-	p.Over, r.changed = true, true
+	p.Withdrawn, r.changed = true, true
 	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t maintenance.Task) bool {
 		begun := t.Step != maintenance.Done && t.Step != maintenance.Preparing
 		return t.Plan == p.ID && !begun
@@ -151,7 +151,7 @@
 	}
 	hooked := map[string]uint64{}
 	maps.Copy(hooked, r.state.Hooked)
-	hooked["work "+engine] = r.state.Tasks[i].Number
+	hooked["work "+engine] = r.state.Tasks[i].Sequence
 	r.state.Hooked, r.changed = hooked, true
 }
 
@@ -169,7 +169,7 @@
 	v := j.view(h)
 	for _, p := range state.Plans {
 		after, before, ok := maintenance.Forecast(v, p)
-		if ok && !p.Over && !p.Halted {
+		if ok && !p.Withdrawn && !p.Halted {
 			s.Forecasts = append(s.Forecasts, ForecastStatus{
 				Plan:   string(p.ID),
 				After:  time.UnixMilli(int64(after)).UTC(),
@@ -182,7 +182,7 @@
 			Engine:  string(t.Engine),
 			Plan:    string(t.Plan),
 			Step:    t.Step.String(),
-			SinceMS: int64(j.now() - t.At),
+			SinceMS: int64(j.now() - t.StepStartedAt),
 			Waits:   j.waits[t.Engine],
 		}
 		if t.Step == maintenance.Draining {
@@ -193,7 +193,7 @@
 	slices.SortFunc(s.Tasks, func(a, b TaskStatus) int { return cmp.Compare(a.Engine, b.Engine) })
 	for _, r := range j.reasons {
 		if len(s.Reasons) < maxReasons {
-			s.Reasons = append(s.Reasons, cmp.Or(string(r.Engine), "all")+" "+r.Why)
+			s.Reasons = append(s.Reasons, cmp.Or(string(r.Engine), "all")+" "+r.Text)
 		}
 	}
 }
--- a/internal/fleet/maintenance_step.go
+++ b/internal/fleet/maintenance_step.go
@@ -25,9 +25,9 @@
 // view is what the decisions of core/fleet/maintenance go by.
 func (j *MaintenanceJob) view(h Context) maintenance.View {
 	engines := j.currentEngines()
-	v := maintenance.View{Now: j.now(), Tasks: j.agreed.Tasks, Plans: j.agreed.Plans, Listed: j.block.Load().List}
+	v := maintenance.View{Now: j.now(), Tasks: j.agreed.Tasks, Plans: j.agreed.Plans, DrainsListed: j.block.Load().List}
 	if len(engines) == 0 {
-		v.Behind = "the engines have not been looked at yet"
+		v.StaleReason = "the engines have not been looked at yet"
 	}
 	for _, e := range engines {
 		if e.State != router.Gone {
@@ -36,11 +36,11 @@
 	}
 	v.Lost = j.lostEngines(v)
 	for _, kinds := range j.host.Bounds {
-		v.Bounds = append(v.Bounds, j.bound(kinds, v.Engines))
+		v.Requirements = append(v.Requirements, j.bound(kinds, v.Engines))
 	}
 	for _, m := range h.Members() {
 		if m.State == members.Suspect {
-			v.Behind = string(m.ID) + " does not answer just now"
+			v.StaleReason = string(m.ID) + " does not answer just now"
 		}
 	}
 	return v
@@ -56,20 +56,20 @@
 
 func (j *MaintenanceJob) viewEngine(e router.EngineStatus) maintenance.Engine {
 	viewed := maintenance.Engine{
-		ID:     maintenance.EngineID(e.Engine),
-		Zone:   maintenance.Zone(e.Zone),
-		Kind:   maintenance.Kind(j.kindName(e.Kind)),
-		Cores:  e.Cores,
-		Ready:  e.State == router.Ready,
-		Since:  e.StartedAt,
-		WarmAt: e.WarmAt,
-		Load:   min(1, e.Load),
+		ID:        maintenance.EngineID(e.Engine),
+		Zone:      maintenance.Zone(e.Zone),
+		Kind:      maintenance.Kind(j.kindName(e.Kind)),
+		Cores:     e.Cores,
+		Ready:     e.State == router.Ready,
+		StartedAt: e.StartedAt,
+		WarmAt:    e.WarmAt,
+		Load:      min(1, e.Load),
 	}
 	if slices.Contains(j.held.Engines, e.Engine) { // maintenance itself has it drain: whether it is back, the list tells
 		viewed.Ready = e.ListedState == router.Ready
 	}
 	for _, t := range e.Tables {
-		viewed.Groups = append(viewed.Groups, maintenance.Held{Group: maintenance.Group(t.Tables), Asked: t.Demand, Homes: t.OtherEngines})
+		viewed.Groups = append(viewed.Groups, maintenance.HostedGroup{Group: maintenance.Group(t.Tables), Demand: t.Demand, WarmReplicas: t.OtherEngines})
 	}
 	return viewed
 }
@@ -96,8 +96,8 @@
 }
 
 // bound is the need of the query classes that run on some kinds alone: all that runs there may be of them.
-func (j *MaintenanceJob) bound(kinds []router.KindID, engines []maintenance.Engine) maintenance.Bound {
-	b := maintenance.Bound{}
+func (j *MaintenanceJob) bound(kinds []router.KindID, engines []maintenance.Engine) maintenance.Requirement {
+	b := maintenance.Requirement{}
 	for _, k := range kinds {
 		if int(k) >= 0 && int(k) < len(j.host.Kinds) {
 			b.Kinds = append(b.Kinds, maintenance.Kind(j.host.Kinds[k]))
@@ -105,7 +105,7 @@
 	}
 	for _, e := range engines {
 		if slices.Contains(b.Kinds, e.Kind) {
-			b.Needs += e.Load * e.Cores
+			b.Cores += e.Load * e.Cores
 		}
 	}
 	return b
@@ -120,8 +120,8 @@
 			return
 		}
 	}
-	limits := maintenance.Usual()
-	limits.Prepare = float64(j.block.Load().Prepare) / 1e6
+	limits := maintenance.DefaultLimits()
+	limits.PrepareTimeout = float64(j.block.Load().Prepare) / 1e6
 	m, reasons := maintenance.Decide(v, limits)
 	j.reasons = reasons
 	if m != nil {
@@ -156,7 +156,7 @@
 		return to(maintenance.Working)
 	case maintenance.Working:
 		if block.Work == "" {
-			if j.agreed.Hooked["work "+string(t.Engine)] != t.Number {
+			if j.agreed.Hooked["work "+string(t.Engine)] != t.Sequence {
 				return wait("a person's word that the work is done")
 			}
 		} else if done, why := j.runHook("work", block.Work, t); !done {
@@ -235,8 +235,8 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	run := j.hooks[key]
-	if run.number != t.Number {
-		run = hookRun{number: t.Number}
+	if run.number != t.Sequence {
+		run = hookRun{number: t.Sequence}
 	}
 	switch {
 	case run.done:
@@ -253,8 +253,8 @@
 		err := j.execute(path, step, t, within)
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		if j.hooks[key].number == t.Number {
-			j.hooks[key] = hookRun{number: t.Number, done: err == nil, err: err, at: time.Now()}
+		if j.hooks[key].number == t.Sequence {
+			j.hooks[key] = hookRun{number: t.Sequence, done: err == nil, err: err, at: time.Now()}
 		}
 	})
 	return false, step + " is under way"
@@ -264,7 +264,7 @@
 func (j *MaintenanceJob) execute(path, step string, t maintenance.Task, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(j.ctx, within)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, path, step, string(t.Engine), strconv.FormatUint(t.Number, 10))
+	cmd := exec.CommandContext(ctx, path, step, string(t.Engine), strconv.FormatUint(t.Sequence, 10))
 	cmd.WaitDelay = hookWaitDelay
 	err := cmd.Run()
 	if ctx.Err() != nil {
--- a/internal/fleet/planfile.go
+++ b/internal/fleet/planfile.go
@@ -71,8 +71,8 @@
 
 func readPlan(b *hcl.Block, sheet *block.Sheet) maintenance.Plan {
 	open := block.Open(b, sheet, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep", "at_once", "person")
-	p := maintenance.Plan{ID: maintenance.PlanID(b.Labels[0]), AtOnce: open.Whole("at_once", 1, 1, 1000), Person: open.Bool("person", false),
-		Needs: float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6}
+	p := maintenance.Plan{ID: maintenance.PlanID(b.Labels[0]), MaxUnavailable: open.Whole("at_once", 1, 1, 1000), ConfirmWork: open.Bool("person", false),
+		WorkTime: float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6}
 	if !nameForm.MatchString(b.Labels[0]) {
 		sheet.Note(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
 	}
@@ -97,20 +97,20 @@
 		}
 		return float64(t.UnixMilli())
 	}
-	p.Select.Before, p.By = at("before"), at("by")
+	p.Select.StartedBefore, p.Deadline = at("before"), at("by")
 	for _, text := range open.Texts("not", 32) {
 		h, ok := readHours(text)
 		if !ok {
 			open.Note("not", fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
 		}
-		p.Not = append(p.Not, h)
+		p.BlockedHours = append(p.BlockedHours, h)
 	}
 	for _, text := range open.Texts("keep", 128) {
 		k, ok := readKeep(text)
 		if !ok {
 			open.Note("keep", fmt.Sprintf("%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
 		}
-		p.Keep = append(p.Keep, k)
+		p.MinAvailable = append(p.MinAvailable, k)
 	}
 	return p
 }
@@ -125,7 +125,7 @@
 	return maintenance.Hours{From: a.Hour()*60 + a.Minute(), To: b.Hour()*60 + b.Minute()}, true
 }
 
-func readKeep(text string) (k maintenance.Keep, ok bool) {
+func readKeep(text string) (k maintenance.MinAvailable, ok bool) {
 	words := strings.Fields(text)
 	if len(words) == 0 {
 		return k, false
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -26,22 +26,22 @@
 	return maintenance.Plan{
 		ID: "kernel",
 		Select: maintenance.Selection{Engines: []maintenance.EngineID{"e1", "e2"}, Zones: []maintenance.Zone{"east"},
-			Kinds: []maintenance.Kind{"c16"}, Before: 1_700_000_000_000.5},
-		Needs:   600_000,
-		By:      1_700_000_900_000,
-		Not:     []maintenance.Hours{{From: 480, To: 1080}},
-		Keep:    []maintenance.Keep{{Kind: "std", Zone: "west", Count: 3, Share: 0.75}},
-		AtOnce:  2,
-		Version: 4,
-		Halted:  true,
-		Over:    true,
-		Person:  true,
+			Kinds: []maintenance.Kind{"c16"}, StartedBefore: 1_700_000_000_000.5},
+		WorkTime:       600_000,
+		Deadline:       1_700_000_900_000,
+		BlockedHours:   []maintenance.Hours{{From: 480, To: 1080}},
+		MinAvailable:   []maintenance.MinAvailable{{Kind: "std", Zone: "west", Count: 3, Share: 0.75}},
+		MaxUnavailable: 2,
+		Version:        4,
+		Halted:         true,
+		Withdrawn:      true,
+		ConfirmWork:    true,
 	}
 }
 
 func storedTask() maintenance.Task {
-	return maintenance.Task{Engine: "e1", Plan: "kernel", Step: maintenance.Working, At: 1_700_000_000_001.25, Number: 17,
-		Zone: "east", Kind: "c16", Cores: 16, Before: 1_699_000_000_000, Begun: 1_700_000_000_000.25}
+	return maintenance.Task{Engine: "e1", Plan: "kernel", Step: maintenance.Working, StepStartedAt: 1_700_000_000_001.25, Sequence: 17,
+		Zone: "east", Kind: "c16", Cores: 16, EngineStartedAt: 1_699_000_000_000, ChosenAt: 1_700_000_000_000.25}
 }
 
 func storedMaintenance() maintenanceState {
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -150,7 +150,7 @@
 // plan has the whole fleet of engines taken out once.
 func (r *rig) plan() {
 	r.order(fleet.MaintenanceRequest{Action: "plan", Plans: []maintenance.Plan{{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}},
-		Needs: 1000, AtOnce: r.AtOnce}}})
+		WorkTime: 1000, MaxUnavailable: r.AtOnce}}})
 }
 
 // withdrawn has the plan withdrawn when an engine is back, and waits until nobody is out and none has been taken for a while.
--- a/internal/lab/fleet/orders.go
+++ b/internal/lab/fleet/orders.go
@@ -152,7 +152,7 @@
 
 // view is the stage as the order sees it.
 func (s *stage) view() maintenance.View {
-	v := maintenance.View{Now: 1e9 + s.now*1000, Tasks: s.tasks, Listed: true}
+	v := maintenance.View{Now: 1e9 + s.now*1000, Tasks: s.tasks, DrainsListed: true}
 	for i, e := range s.engines {
 		e.Ready = s.there(i) || !slices.ContainsFunc(s.tasks, func(t maintenance.Task) bool { return t.Engine == e.ID })
 		if since, ok := s.cold[i]; ok {
@@ -167,7 +167,7 @@
 						others++
 					}
 				}
-				e.Groups = append(e.Groups, maintenance.Held{Group: id, Asked: s.asked[id] / float64(len(s.homes[id])), Homes: others})
+				e.Groups = append(e.Groups, maintenance.HostedGroup{Group: id, Demand: s.asked[id] / float64(len(s.homes[id])), WarmReplicas: others})
 				e.Load += s.asked[id] / float64(len(s.homes[id])) / e.Cores
 			}
 		}
@@ -232,7 +232,7 @@
 func (s *stage) newTaking(p Policy, atOnce int) *taking {
 	n := len(s.engines)
 	t := &taking{stage: s, policy: p, atOnce: atOnce, taken: map[int]bool{}, index: map[maintenance.EngineID]int{},
-		plan: maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, Needs: workFor * 1000, AtOnce: atOnce}}
+		plan: maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workFor * 1000, MaxUnavailable: atOnce}}
 	t.order = s.rng.Perm(n)
 	if p == ListOrder || p == AllAllowed {
 		slices.Sort(t.order)
@@ -310,13 +310,13 @@
 		case t.Step == maintenance.Free:
 			t.Step = maintenance.Working
 		case t.Step == maintenance.Working && s.there(e):
-			t.Step, t.At = maintenance.Returning, 1e9+s.now*1000
+			t.Step, t.StepStartedAt = maintenance.Returning, 1e9+s.now*1000
 		}
 	}
 	for range 4 {
 		v := s.view()
 		v.Plans = []maintenance.Plan{plan}
-		m, _ := maintenance.Decide(v, maintenance.Usual())
+		m, _ := maintenance.Decide(v, maintenance.DefaultLimits())
 		if m == nil {
 			return
 		}
@@ -385,7 +385,7 @@
 // time that another engine has come back.
 func Forecasts(seed int64, n int, load float64) (held, of int) {
 	s := newStage(seed, n, load)
-	plan := maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, Needs: workFor * 1000, AtOnce: max(1, n/10)}
+	plan := maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workFor * 1000, MaxUnavailable: max(1, n/10)}
 	index, taken := map[maintenance.EngineID]int{}, map[int]bool{}
 	for i, e := range s.engines {
 		index[e.ID] = i
