--- a/internal/core/fleet/lease/state_test.go
+++ b/internal/core/fleet/lease/state_test.go
@@ -31,8 +31,9 @@
 	return Command{Release: &Release{Holder: holder, Grant: Grant{name, token}}}
 }
 
-func prefer(name Name, to members.ID) Command {
-	return Command{Prefer: &Prefer{Name: name, To: to}}
+// preferredHolder is the command that prefers a holder for lease x.
+func preferredHolder(to members.ID) Command {
+	return Command{Prefer: &Prefer{Name: "x", To: to}}
 }
 
 func declare(names ...Name) Command {
@@ -64,8 +65,8 @@
 		"renewal by nobody of a free lease":             {stateWithHolders(), renew(Holder{}, "x", 0), 0, 0, Holder{}},
 		"release by the holder":                         {heldByB(), release(b, "x", 2), 1, 2, Holder{}},
 		"release with an older token":                   {heldByB(), release(b, "x", 1), 0, 2, b},
-		"preference for another":                        {heldByB(), prefer("x", "c"), 1, 2, b},
-		"preference for the holder itself":              {heldByB(), prefer("x", "b"), 0, 2, b},
+		"preference for another":                        {heldByB(), preferredHolder("c"), 1, 2, b},
+		"preference for the holder itself":              {heldByB(), preferredHolder("b"), 0, 2, b},
 		"no longer declared":                            {heldByB(), declare("y"), 1, 2, b},
 		"declaration of the same leases":                {heldByB(), declare("x", "y"), 0, 2, b},
 		"declaration of an empty name and one too long": {heldByB(), declare("x", "y", "", nameTooLong), 0, 2, b},
@@ -84,7 +85,7 @@
 	}
 	s := heldByB()
 	s.Apply(declare("y"))
-	if s.Apply(assign("x", 2, c)) != nil || s.Apply(prefer("x", "c")) != nil {
+	if s.Apply(assign("x", 2, c)) != nil || s.Apply(preferredHolder("c")) != nil {
 		t.Error("a retired lease is assigned or gets a preference")
 	}
 	s.Apply(declare("x", "y"))
