--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -52,13 +52,11 @@
 // propose proposes a command to the quorum, if this controller leads it. The proposer is answered
 // when the command is applied. What a leader applies again after a restart was not proposed by this
 // run, may be of any age, and is not answered.
-func (n *Node) propose(by members.ID, c lease.Command) bool {
+func (n *Node) propose(by members.ID, c lease.Command) {
 	n.lastRef++
-	if !n.quorum.Propose(by, n.lastRef, c) {
-		return false
+	if n.quorum.Propose(by, n.lastRef, c) {
+		n.expectAnswer(n.lastRef)
 	}
-	n.expectAnswer(n.lastRef)
-	return true
 }
 
 // expectAnswer records that a proposal is to be answered when it is applied.
--- a/internal/core/fleet/quorum/quorum_test.go
+++ b/internal/core/fleet/quorum/quorum_test.go
@@ -464,7 +464,7 @@
 		out = "a"
 	}
 	c := r.start(out)
-	r.lost = func(from, to members.ID) bool { return to == out } // it sends and receives nothing
+	r.lost = func(_, to members.ID) bool { return to == out } // it sends and receives nothing
 	c.verification.othersHaveLeader = true
 	c.verification.startedAt = r.now - vouchTimeout - 1
 	r.run(3000)
--- a/internal/core/fleet/quorum/recovery_test.go
+++ b/internal/core/fleet/quorum/recovery_test.go
@@ -201,7 +201,7 @@
 		t.Fatal("not replaced")
 	}
 	const lost = 100.0 // ms in which the leader's messages are lost
-	r.lost = func(from, to members.ID) bool {
+	r.lost = func(from, _ members.ID) bool {
 		at := r.members[leader].removedAt
 		return from == leader && at > 0 && r.now < at+lost
 	}
@@ -382,7 +382,7 @@
 		}
 	}
 	leader := r.leader()
-	requestJoin := func(duration float64) (members int) {
+	requestJoin := func(duration float64) (count int) {
 		for end := r.now + duration; r.now < end; r.run(25) {
 			leader.membership.joins[former] = joinRequest{incarnation: Incarnation{Name: former, Disk: 99}, at: r.now}
 		}
