--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -33,15 +33,15 @@
 
 // unheard is how many controllers are not heard of. The lists of a status may be cut, its counts by version are not.
 func (s configStatus) unheard() int {
-	if s.status.More == 0 {
-		return len(s.status.Unheard)
+	if s.status.Omitted == 0 {
+		return len(s.status.Unreachable)
 	}
 	return max(0, s.status.Members-s.counted(0))
 }
 
 // counted is how many controllers have a version from this number on in force.
 func (s configStatus) counted(from uint64) (n int) {
-	for number, count := range s.status.Counts {
+	for number, count := range s.status.ByVersion {
 		if number >= from {
 			n += count
 		}
@@ -59,7 +59,7 @@
 
 // young tells that the leader has collected for too short a time to say much of controllers that it has not heard.
 func (s configStatus) young() bool {
-	return s.unheard() > 0 && s.status.Since < float64(collectTime/time.Millisecond)
+	return s.unheard() > 0 && s.status.CollectedFor < float64(collectTime/time.Millisecond)
 }
 
 // everywhereHeard tells that the version, or a later one, is in force at all controllers that are heard.
@@ -76,10 +76,10 @@
 	if s.everywhereHeard(number) {
 		return true
 	}
-	if s.status == nil || s.status.Latest.Number != number || s.young() || s.status.More > 0 || len(s.status.Refused) == 0 {
+	if s.status == nil || s.status.Latest.Number != number || s.young() || s.status.Omitted > 0 || len(s.status.Rejected) == 0 {
 		return false
 	}
-	return s.status.InForce+len(s.status.Refused) == s.status.Members-s.unheard()
+	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unheard()
 }
 
 // verdict is nil if the version is in force at all controllers that are heard, else an error with its exit code.
@@ -99,7 +99,7 @@
 }
 
 func since(s *config.Status) time.Duration {
-	return (time.Duration(s.Since) * time.Millisecond).Round(time.Second)
+	return (time.Duration(s.CollectedFor) * time.Millisecond).Round(time.Second)
 }
 
 // line is a status in one line.
@@ -109,8 +109,8 @@
 		return fmt.Sprintf("no version is agreed yet: each of %d controllers runs by its own file", st.Members)
 	}
 	parts := []string{fmt.Sprintf("version %d in force at %d of %d", st.Latest.Number, st.InForce, st.Members)}
-	if n := len(st.Refused); n > 0 {
-		parts = append(parts, fmt.Sprintf("%d refused: %s", n, named(st.Refused, func(r config.ControllerReport) string {
+	if n := len(st.Rejected); n > 0 {
+		parts = append(parts, fmt.Sprintf("%d refused: %s", n, named(st.Rejected, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s (%s)", r.ID, cmp.Or(oneLine(r.Reason), "no reason told"))
 		})))
 	}
@@ -119,16 +119,16 @@
 			return fmt.Sprintf("%s (version %d)", r.ID, r.Applied)
 		})))
 	}
-	switch n := len(st.Unheard); {
+	switch n := len(st.Unreachable); {
 	case n == 1:
-		parts = append(parts, fmt.Sprintf("1 not heard %s: %s", lastHeard(st.Unheard[0], now), st.Unheard[0].ID))
+		parts = append(parts, fmt.Sprintf("1 not heard %s: %s", lastHeard(st.Unreachable[0], now), st.Unreachable[0].ID))
 	case n > 1:
-		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, named(st.Unheard, func(r config.ControllerReport) string {
+		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, named(st.Unreachable, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s %s", r.ID, lastHeard(r, now))
 		})))
 	}
-	if st.More > 0 {
-		parts = append(parts, fmt.Sprintf("%d more that are refused, behind or not heard", st.More))
+	if st.Omitted > 0 {
+		parts = append(parts, fmt.Sprintf("%d more that are refused, behind or not heard", st.Omitted))
 	}
 	return strings.Join(parts, "; ")
 }
@@ -300,8 +300,8 @@
 func statusViewOf(found configStatus, local *localView, now time.Time) statusView {
 	s := found.status
 	return statusView{Local: local, Known: true, From: found.from, Latest: viewOf(&s.Latest), Controllers: s.Members,
-		InForce: s.InForce, Everywhere: found.everywhereHeard(s.Latest.Number), Counts: s.Counts, Refused: reportViews(s.Refused, now),
-		Behind: reportViews(s.Behind, now), NotHeard: reportViews(s.Unheard, now), More: s.More, CollectedMS: int64(s.Since),
+		InForce: s.InForce, Everywhere: found.everywhereHeard(s.Latest.Number), Counts: s.ByVersion, Refused: reportViews(s.Rejected, now),
+		Behind: reportViews(s.Behind, now), NotHeard: reportViews(s.Unreachable, now), More: s.Omitted, CollectedMS: int64(s.CollectedFor),
 		TooShort: found.young()}
 }
 
--- a/cmd/mintkeel/fleetconfig_test.go
+++ b/cmd/mintkeel/fleetconfig_test.go
@@ -91,7 +91,7 @@
 
 // statusOf is a status of a leader that has collected for long.
 func statusOf(number uint64, members, inForce int, change func(*config.Status)) fleet.ConfigAnswer {
-	s := &config.Status{Latest: *versionOf(number), Members: members, InForce: inForce, Counts: map[uint64]int{number: inForce}, Since: 60_000}
+	s := &config.Status{Latest: *versionOf(number), Members: members, InForce: inForce, ByVersion: map[uint64]int{number: inForce}, CollectedFor: 60_000}
 	if change != nil {
 		change(s)
 	}
@@ -130,25 +130,25 @@
 		{"in force at all", agreed, state(statusOf(12, 3, 3, nil)), "9s", 0,
 			[]string{"version 12 is agreed", "version 12 in force at 3 of 3\n"}, nil},
 		{"in force after a while", agreed, state(statusOf(11, 3, 3, nil), statusOf(12, 3, 1, func(s *config.Status) {
-			s.Counts[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
+			s.ByVersion[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
 		}), statusOf(12, 3, 3, nil)), "9s", 0, []string{"version 12 in force at 3 of 3\n"}, nil},
 		{"in force at all that are heard", agreed, state(statusOf(12, 3, 2, func(s *config.Status) {
-			s.Unheard = reports(-1, 0, "", "n3")
+			s.Unreachable = reports(-1, 0, "", "n3")
 		})), "9s", 0, []string{"version 12 in force at 2 of 3; 1 not heard by this leader: n3\n"}, nil},
 		{"a leader that has just begun", agreed, state(statusOf(12, 3, 1, func(s *config.Status) {
-			s.Since, s.Unheard = 2000, reports(-1, 0, "", "n2", "n3")
+			s.CollectedFor, s.Unreachable = 2000, reports(-1, 0, "", "n2", "n3")
 		})), "0s", 3, []string{"version 12 in force at 1 of 3; 2 not heard: n2 by this leader, n3 by this leader"},
 			[]string{"2 controllers are not heard, and the leader has collected for 2s only"}},
 		{"one is behind", agreed, state(statusOf(12, 3, 2, func(s *config.Status) {
-			s.Counts[11], s.Behind = 1, reports(1, 11, "", "n3")
+			s.ByVersion[11], s.Behind = 1, reports(1, 11, "", "n3")
 		})), "300ms", 3, []string{"in force at 2 of 3; 1 behind: n3 (version 11)"}, []string{"not in force at all controllers that are heard"}},
 		{"one refused", agreed, state(statusOf(12, 3, 2, func(s *config.Status) {
-			s.Counts[11], s.Refused = 1, reports(1, 11, "line 4: field x\nis not\x07 known", "n17")
+			s.ByVersion[11], s.Rejected = 1, reports(1, 11, "line 4: field x\nis not\x07 known", "n17")
 		})), "60s", 3, []string{"in force at 2 of 3; 1 refused: n17 (line 4: field x is not  known)"}, []string{"not in force at all"}},
-		{"a later one came", agreed, state(statusOf(13, 3, 2, func(s *config.Status) { s.Counts[12] = 1 })), "9s", 0,
+		{"a later one came", agreed, state(statusOf(13, 3, 2, func(s *config.Status) { s.ByVersion[12] = 1 })), "9s", 0,
 			[]string{"version 13 in force at 2 of 3\n"}, nil},
 		{"a leader that is behind", agreed, state(statusOf(11, 3, 3, nil)), "300ms", 3, nil, []string{"version 12 is agreed and not in force"}},
-		{"lists that are cut", agreed, state(statusOf(12, 600, 400, func(s *config.Status) { s.More, s.Counts[11] = 100, 100 })), "0s", 3,
+		{"lists that are cut", agreed, state(statusOf(12, 600, 400, func(s *config.Status) { s.Omitted, s.ByVersion[11] = 100, 100 })), "0s", 3,
 			[]string{"version 12 in force at 400 of 600; 100 more that are refused, behind or not heard"}, []string{"not in force"}},
 		{"no status", agreed, state(fleet.ConfigAnswer{}), "300ms", 3, []string{"version 12 is agreed\n"}, []string{"is not known"}},
 		{"no answer to status", agreed, []*fleet.Status{nil}, "300ms", 3, nil, []string{"is not known", "EOF"}},
@@ -203,8 +203,8 @@
 	again := versionOf(3)
 	again.RollbackOf = 1
 	refusedAt := statusOf(12, 670, 668, func(s *config.Status) {
-		s.Counts[11], s.Refused = 1, reports(1, 11, "line 4: no", "n17")
-		s.Unheard = reports(60_000, 11, "", "n40")
+		s.ByVersion[11], s.Rejected = 1, reports(1, 11, "line 4: no", "n17")
+		s.Unreachable = reports(60_000, 11, "", "n40")
 	})
 	documents := []*fleet.Status{told(fleet.ConfigAnswer{Document: []byte("a\nb\nc\n")}), told(fleet.ConfigAnswer{Document: []byte("a\nx\nc\n")})}
 	put := "put --reason r " + small
@@ -236,7 +236,7 @@
 		{"status --json", fleet.ConfigState, []*fleet.Status{told(refusedAt)}, 3, []string{`"in_force": 668`, `"in_force_at_all_heard": false`,
 			`"controller": "n17"`, `"reason": "line 4: no"`, `"last_heard": "`, `"hash": "0cab00`, `"known": true`}, []string{"not in force"}},
 		{"status --wait 5s", fleet.ConfigState, []*fleet.Status{told(statusOf(12, 3, 1, func(s *config.Status) {
-			s.Counts[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
+			s.ByVersion[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
 		})), told(statusOf(12, 3, 3, nil))}, 0, []string{"version 12 in force at 3 of 3"}, nil},
 		{"status", fleet.ConfigState, []*fleet.Status{told(fleet.ConfigAnswer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
 			[]string{"the controller asked: version 4 in force, version 5 heard of, not confirmed"}, []string{"is not known: no leader"}},
--- a/internal/core/fleet/config/alive.go
+++ b/internal/core/fleet/config/alive.go
@@ -9,32 +9,32 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// aliveFor is how long a list of the members that are alive is used, in ms.
-const aliveFor = 1000.0
+// aliveInterval is how long a list of the members that are alive is used, in ms.
+const aliveInterval = 1000.0
 
-// hintFor is how long another's word on who leads is believed, in ms.
-const hintFor = 5000.0
+// hintTime is how long another's word on who leads is believed, in ms.
+const hintTime = 5000.0
 
 // aliveMembers is the list of members that are alive, this one among them, as of a short time ago.
 type aliveMembers struct {
-	at     float64
-	ids    []members.ID
-	relays []members.ID // of which these collect reports
+	refreshedAt float64
+	ids         []members.ID
+	relays      []members.ID // of which these collect reports
 }
 
 // leaderHint is another's word on who leads the quorum.
 type leaderHint struct {
-	leader members.ID
-	until  float64
-	over   members.ID // what the environment said then
+	leader   members.ID
+	until    float64
+	replaces members.ID // what the environment said then
 }
 
 // refreshAlive looks at all members, at most each second.
 func (r *Replica) refreshAlive() {
-	if r.now < r.alive.at+aliveFor {
+	if r.now < r.alive.refreshedAt+aliveInterval {
 		return
 	}
-	r.alive.at = r.now
+	r.alive.refreshedAt = r.now
 	r.alive.ids = r.alive.ids[:0]
 	for _, m := range r.env.Members() {
 		if m.State == members.Alive {
@@ -47,13 +47,13 @@
 	r.alive.relays = relaysOf(r.alive.ids)
 }
 
-// pickAlive draws some members other than this one.
-func (r *Replica) pickAlive(count int) (picked []members.ID) {
+// drawAlive draws some members other than this one.
+func (r *Replica) drawAlive(count int) (picked []members.ID) {
 	r.refreshAlive()
 	ids := r.alive.ids
 	if len(ids) <= count+1 {
 		for _, id := range ids {
-			if id != r.facts.Self {
+			if id != r.options.Self {
 				picked = append(picked, id)
 			}
 		}
@@ -61,32 +61,32 @@
 	}
 	for len(picked) < count {
 		id := ids[r.rng.Intn(len(ids))]
-		if id != r.facts.Self && !slices.Contains(picked, id) {
+		if id != r.options.Self && !slices.Contains(picked, id) {
 			picked = append(picked, id)
 		}
 	}
 	return picked
 }
 
-// rated is a member with a number drawn from its name.
-type rated struct {
+// hashedMember is a member with a number drawn from its name.
+type hashedMember struct {
 	id   members.ID
-	rate uint64
+	hash uint64
 }
 
 // relaysOf are the members that collect reports: as many as the root of all, the same ones wherever the same are alive.
 func relaysOf(ids []members.ID) []members.ID {
 	count := int(math.Ceil(math.Sqrt(float64(len(ids)))))
-	return highest(ids, "", count)
+	return highestHashes(ids, "", count)
 }
 
-// highest are those members whose names, mixed with a salt, give the highest numbers; the highest first.
-func highest(ids []members.ID, salt members.ID, count int) []members.ID {
-	list := make([]rated, len(ids))
+// highestHashes are those members whose names, mixed with a salt, give the highestHashes numbers; the highestHashes first.
+func highestHashes(ids []members.ID, salt members.ID, count int) []members.ID {
+	list := make([]hashedMember, len(ids))
 	for i, id := range ids {
-		list[i] = rated{id, rate(id, salt)}
+		list[i] = hashedMember{id, mixedHash(id, salt)}
 	}
-	slices.SortFunc(list, func(a, b rated) int { return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(list, func(a, b hashedMember) int { return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.id, b.id)) })
 	top := make([]members.ID, 0, min(count, len(list)))
 	for _, x := range list[:min(count, len(list))] {
 		top = append(top, x.id)
@@ -94,8 +94,8 @@
 	return top
 }
 
-// rate draws a number from two names. FNV alone leaves names that differ in their last byte close to each other.
-func rate(id, salt members.ID) uint64 {
+// mixedHash draws a number from two names. FNV alone leaves names that differ in their last byte close to each other.
+func mixedHash(id, salt members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(salt))
 	h.Write([]byte{0})
@@ -106,19 +106,19 @@
 	return x ^ x>>31
 }
 
-// ownRelays are the relays in the order in which this one turns to them.
-func (r *Replica) ownRelays() []members.ID {
+// relaysInOrder are the relays in the order in which this one turns to them.
+func (r *Replica) relaysInOrder() []members.ID {
 	r.refreshAlive()
-	return highest(r.alive.relays, r.facts.Self, len(r.alive.relays))
+	return highestHashes(r.alive.relays, r.options.Self, len(r.alive.relays))
 }
 
 // leader is whom this one takes for the quorum's leader; empty: it knows none.
 func (r *Replica) leader() members.ID {
 	if r.env.Leads() {
-		return r.facts.Self
+		return r.options.Self
 	}
 	told := r.env.Leader()
-	if r.hint.leader != "" && r.now < r.hint.until && told == r.hint.over {
+	if r.hint.leader != "" && r.now < r.hint.until && told == r.hint.replaces {
 		return r.hint.leader
 	}
 	return told
@@ -126,22 +126,22 @@
 
 // hintLeader takes in who leads by the word of one that was asked and does not lead.
 func (r *Replica) hintLeader(from, leader members.ID) {
-	if leader == "" || leader == from || leader == r.facts.Self || from != r.leader() {
+	if leader == "" || leader == from || leader == r.options.Self || from != r.leader() {
 		return
 	}
 	if _, known := r.env.Member(leader); known {
-		r.hint = leaderHint{leader: leader, until: r.now + hintFor, over: r.env.Leader()}
+		r.hint = leaderHint{leader: leader, until: r.now + hintTime, replaces: r.env.Leader()}
 	}
 }
 
-// noticeLeader sees that another leads now.
-func (r *Replica) noticeLeader() {
-	if leads := r.env.Leads(); leads != r.leading {
-		r.leading = leads
-		r.ledSince = r.now
+// updateLeader sees that another leads now.
+func (r *Replica) updateLeader() {
+	if leads := r.env.Leads(); leads != r.leads {
+		r.leads = leads
+		r.leadsChangedAt = r.now
 	}
 	if leader := r.leader(); leader != r.reports.leader {
 		r.reports.leader = leader
-		r.resendReports()
+		r.reportToNewLeader()
 	}
 }
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -7,9 +7,9 @@
 	Document []byte
 }
 
-// checking is what is known of the documents that a proposal at this leader, or the next version here, needs to pass.
-type checking struct {
-	out     *CheckRequest  // not answered yet
+// checks is what is known of the documents that a proposal at this leader, or the next version here, needs to pass.
+type checks struct {
+	pending *CheckRequest  // not answered yet
 	results map[Hash]error // of checks that ended; a nil error: the document can be used
 }
 
@@ -19,9 +19,9 @@
 	if err, ended = r.checks.results[h]; ended {
 		return true, err
 	}
-	if r.checks.out == nil {
-		r.checks.out = &CheckRequest{Hash: h, Document: r.library.get(h)}
-		r.out.Check = r.checks.out
+	if r.checks.pending == nil {
+		r.checks.pending = &CheckRequest{Hash: h, Document: r.documents.get(h)}
+		r.out.Check = r.checks.pending
 	}
 	return false, nil
 }
@@ -29,30 +29,30 @@
 // Checked answers a CheckRequest; an error tells why the document can't be used.
 func (r *Replica) Checked(now float64, h Hash, err error) {
 	r.advanceClock(now)
-	if r.checks.out == nil || r.checks.out.Hash != h {
+	if r.checks.pending == nil || r.checks.pending.Hash != h {
 		return
 	}
-	r.checks.out = nil
+	r.checks.pending = nil
 	r.checks.results[h] = err
-	r.turn()
+	r.process()
 }
 
-// sweepChecks forgets results that neither a proposal nor the next version waits for.
-func (r *Replica) sweepChecks() {
+// forgetChecks forgets results that neither a proposal nor the next version waits for.
+func (r *Replica) forgetChecks() {
 	for h := range r.checks.results {
-		if !r.awaitsCheck(h) {
+		if !r.needsCheckResult(h) {
 			delete(r.checks.results, h)
 		}
 	}
 }
 
-// awaitsCheck tells whether a result is still of use.
-func (r *Replica) awaitsCheck(h Hash) bool {
-	for _, c := range r.queue {
+// needsCheckResult tells whether a result is still of use.
+func (r *Replica) needsCheckResult(h Hash) bool {
+	for _, c := range r.candidates {
 		if !c.checked && c.proposal.Version.Hash == h {
 			return true
 		}
 	}
-	v, open := r.candidate()
-	return open && v.Hash == h && r.take.checked.summary() != v.summary()
+	v, open := r.nextVersion()
+	return open && v.Hash == h && r.application.passedCheck.summary() != v.summary()
 }
--- a/internal/core/fleet/config/checks_test.go
+++ b/internal/core/fleet/config/checks_test.go
@@ -27,7 +27,7 @@
 		if out.Check != nil || out.Store != nil || out.Apply != nil {
 			t.Fatalf("while the check is under way: %+v", out)
 		}
-		if len(out.Sends) == 0 {
+		if len(out.Messages) == 0 {
 			t.Error("it serves no documents while a check is under way")
 		}
 	}
@@ -39,7 +39,7 @@
 		t.Fatalf("after the check: %+v", out)
 	}
 	x.replica.Checked(x.now, request.Hash, errors.New("late")) // nobody waits for it
-	if v, _ := x.replica.Refused(); v.Number != 0 {
+	if v, _ := x.replica.Rejected(); v.Number != 0 {
 		t.Errorf("version %d is refused by a result that nobody waits for", v.Number)
 	}
 }
@@ -64,7 +64,7 @@
 			if out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 3 {
 				t.Errorf("after both checks: %+v", out.Store)
 			}
-			if v, _ := x.replica.Refused(); v.Number != 0 {
+			if v, _ := x.replica.Rejected(); v.Number != 0 {
 				t.Errorf("version %d is refused, and a newer one was to be taken", v.Number)
 			}
 			if len(x.replica.checks.results) != 0 {
@@ -80,7 +80,7 @@
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one)}
 	x := &target{env: &lonely{self: "n0", leads: true, voting: true, state: State{Versions: []Version{v}}}}
-	x.replica = New(Facts{Self: "n0", Run: 5, Seed: 1}, x.env, Kept{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
+	x.replica = New(Options{Self: "n0", Run: 5, Seed: 1}, x.env, StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
 	x.replica.Take()
 	document := []byte("proposed")
 	p := Proposal{Expect: 1, Version: Version{Hash: HashOf(document), Size: len(document),
@@ -95,15 +95,15 @@
 		t.Fatalf("%+v", request)
 	}
 	x.env.leads = false
-	x.replica.Agreed(x.now)
+	x.replica.QuorumChanged(x.now)
 	x.replica.Checked(x.now, request.Hash, errors.New("bad"))
-	for _, s := range x.replica.Take().Sends {
-		if s.Message.Proposed != nil || s.Message.Hold != nil {
+	for _, s := range x.replica.Take().Messages {
+		if s.Message.ProposeReply != nil || s.Message.Hold != nil {
 			t.Errorf("one that does not lead any more sends %+v", s.Message)
 		}
 	}
 	x.env.leads = true
-	x.replica.Agreed(x.now)
+	x.replica.QuorumChanged(x.now)
 	if again := propose(); again == nil || again.Hash != request.Hash {
 		t.Errorf("when it leads again: %+v", again)
 	}
@@ -120,7 +120,7 @@
 	for number := uint64(1); number <= 3; number++ {
 		document := randomDocument(5000, int64(number))
 		ref := f.put(f.all[5], document, number-1)
-		if o := f.outcome(f.all[5], ref); o.Result != Agreed || o.Version.Number != number {
+		if o := f.outcome(f.all[5], ref); o.Result != Committed || o.Version.Number != number {
 			t.Fatalf("%+v", o)
 		}
 		took := f.runUntil(19000, func() bool {
@@ -136,7 +136,7 @@
 		}
 	}
 	ref := f.put(f.all[5], []byte("nonsense"), 3)
-	if o := f.outcome(f.all[5], ref); o.Result != Refused {
+	if o := f.outcome(f.all[5], ref); o.Result != Rejected {
 		t.Errorf("%+v", o)
 	}
 }
@@ -153,18 +153,18 @@
 		f.put(c, randomDocument(3000, int64(i)), 0)
 	}
 	f.runFor(200)
-	if len(leader.replica.queue) != len(gone) {
-		t.Fatalf("%d proposals wait", len(leader.replica.queue))
+	if len(leader.replica.candidates) != len(gone) {
+		t.Fatalf("%d proposals wait", len(leader.replica.candidates))
 	}
 	author := f.all[10]
 	ref := f.put(author, randomDocument(3000, 100), 0)
 	const within = 3000.0
-	took := f.runUntil(within, func() bool { return author.outcomes[ref].Result == Agreed })
+	took := f.runUntil(within, func() bool { return author.outcomes[ref].Result == Committed })
 	if took < 0 {
 		t.Errorf("not agreed on within %.0f ms: %+v", within, author.outcomes[ref])
 	}
 	f.runFor(candidateTimeout + 5000)
-	if n := len(leader.replica.queue); n != 0 {
+	if n := len(leader.replica.candidates); n != 0 {
 		t.Errorf("%d proposals are still at the leader", n)
 	}
 }
--- a/internal/core/fleet/config/config.go
+++ b/internal/core/fleet/config/config.go
@@ -72,17 +72,17 @@
 
 // Message is one between replicas; any of its fields may be set.
 type Message struct {
-	Summary  *Summary        `cbor:"1,keyasint,omitempty"`
-	Fetch    *Fetch          `cbor:"2,keyasint,omitempty"`
-	Chunk    *Chunk          `cbor:"3,keyasint,omitempty"`
-	Propose  *ProposeRequest `cbor:"4,keyasint,omitempty"`
-	Proposed *ProposeReply   `cbor:"5,keyasint,omitempty"`
-	Hold     *HoldRequest    `cbor:"6,keyasint,omitempty"`
-	Held     *HoldReply      `cbor:"7,keyasint,omitempty"`
-	Reports  *Reports        `cbor:"8,keyasint,omitempty"`
-	Reported *ReportsReply   `cbor:"9,keyasint,omitempty"`
-	Query    *Query          `cbor:"10,keyasint,omitempty"`
-	Answer   *Answer         `cbor:"11,keyasint,omitempty"`
+	Summary      *Summary        `cbor:"1,keyasint,omitempty"`
+	Fetch        *Fetch          `cbor:"2,keyasint,omitempty"`
+	Chunk        *Chunk          `cbor:"3,keyasint,omitempty"`
+	Propose      *ProposeRequest `cbor:"4,keyasint,omitempty"`
+	ProposeReply *ProposeReply   `cbor:"5,keyasint,omitempty"`
+	Hold         *HoldRequest    `cbor:"6,keyasint,omitempty"`
+	HoldReply    *HoldReply      `cbor:"7,keyasint,omitempty"`
+	Reports      *Reports        `cbor:"8,keyasint,omitempty"`
+	ReportsReply *ReportsReply   `cbor:"9,keyasint,omitempty"`
+	Query        *Query          `cbor:"10,keyasint,omitempty"`
+	Answer       *Answer         `cbor:"11,keyasint,omitempty"`
 }
 
 // Fetch asks for a chunk of a document.
@@ -99,7 +99,7 @@
 	Data    []byte `cbor:"4,keyasint,omitempty"`
 	Missing bool   `cbor:"5,keyasint,omitempty"`
 
-	About *Version `cbor:"6,keyasint,omitempty"` // with the first bytes: the version that the document is sent for
+	Version *Version `cbor:"6,keyasint,omitempty"` // with the first bytes: the version that the document is sent for
 }
 
 // ProposeRequest asks the leader for a new version; the leader fetches the document from the sender.
@@ -113,9 +113,9 @@
 // Results of a proposal. Unknown is one that was not answered in time: it may have been agreed on.
 const (
 	Unknown Result = iota
-	Agreed
-	Lost    // another version was agreed on first
-	Refused // the document can't be used, or a bound is passed
+	Committed
+	Conflict // another version was agreed on first
+	Rejected // the document can't be used, or a bound is passed
 )
 
 // ProposeReply answers a ProposeRequest.
@@ -131,7 +131,7 @@
 	Hash Hash `cbor:"1,keyasint"`
 	Size int  `cbor:"2,keyasint"`
 
-	About *Version `cbor:"3,keyasint,omitempty"` // the proposed version; its Number is not set yet
+	Version *Version `cbor:"3,keyasint,omitempty"` // the proposed version; its Number is not set yet
 }
 
 // HoldReply tells that a document is stored durably.
@@ -145,7 +145,7 @@
 	Run      uint64     `cbor:"2,keyasint"`
 	Sequence uint64     `cbor:"3,keyasint"`
 	Applied  uint64     `cbor:"4,keyasint"`           // the version in force there; 0: none yet
-	Refused  uint64     `cbor:"5,keyasint,omitempty"` // a later version that it can't use
+	Rejected uint64     `cbor:"5,keyasint,omitempty"` // a later version that it can't use
 	Reason   string     `cbor:"6,keyasint,omitempty"` // why
 	Age      float64    `cbor:"7,keyasint,omitempty"` // ms since the sender of this message heard it
 }
@@ -167,9 +167,9 @@
 
 // Kinds of questions. AskLatest goes to voters at a start, the others to the leader.
 const (
-	AskLatest QueryKind = iota + 1
-	AskStatus
-	AskHistory
+	QueryLatest QueryKind = iota + 1
+	QueryStatus
+	QueryHistory
 )
 
 // Query asks a voter.
@@ -192,15 +192,15 @@
 // Status is where versions are in force, as the leader collected it. No controller counts twice, and one that was not
 // heard of lately is not counted as in force.
 type Status struct {
-	Latest  Version            `cbor:"1,keyasint"`
-	Members int                `cbor:"2,keyasint"`           // controllers that should have the latest: all known but those that left
-	InForce int                `cbor:"3,keyasint"`           // of which so many reported it
-	Counts  map[uint64]int     `cbor:"4,keyasint"`           // controllers heard of, by the version they reported
-	Refused []ControllerReport `cbor:"5,keyasint,omitempty"` // at most MaxListed of each
-	Behind  []ControllerReport `cbor:"6,keyasint,omitempty"`
-	Unheard []ControllerReport `cbor:"7,keyasint,omitempty"`
-	More    int                `cbor:"8,keyasint,omitempty"` // that found no room in these lists
-	Since   float64            `cbor:"9,keyasint"`           // ms for which the leader has collected: after a change of leader reports come anew
+	Latest       Version            `cbor:"1,keyasint"`
+	Members      int                `cbor:"2,keyasint"`                          // controllers that should have the latest: all known but those that left
+	InForce      int                `cbor:"3,keyasint"`                          // of which so many reported it
+	ByVersion    map[uint64]int     `cbor:"4,keyasint" json:"Counts"`            // controllers heard of, by the version they reported
+	Rejected     []ControllerReport `cbor:"5,keyasint,omitempty" json:"Refused"` // at most MaxListed of each
+	Behind       []ControllerReport `cbor:"6,keyasint,omitempty"`
+	Unreachable  []ControllerReport `cbor:"7,keyasint,omitempty" json:"Unheard"`
+	Omitted      int                `cbor:"8,keyasint,omitempty" json:"More"` // that found no room in these lists
+	CollectedFor float64            `cbor:"9,keyasint" json:"Since"`          // ms for which the leader has collected: after a change of leader reports come anew
 }
 
 // MaxListed bounds each list of a Status.
@@ -215,8 +215,8 @@
 	Age     float64    `cbor:"5,keyasint"` // ms since it was heard of; below 0: never
 }
 
-// Kept is what a controller's folder holds of an earlier run.
-type Kept struct {
+// StoredState is what a controller's folder holds of an earlier run.
+type StoredState struct {
 	Current   Version         // the version to be in force at the start; Number 0: none
 	Documents map[Hash][]byte // all that are stored, that of Current among them
 }
@@ -233,15 +233,15 @@
 	Propose(Proposal) bool // into the quorum's log, where Leads; false: not taken
 }
 
-// Facts are what a replica is told at its start.
-type Facts struct {
+// Options are what a replica is told at its start.
+type Options struct {
 	Self members.ID
 	Run  uint64
 	Seed int64
 }
 
-// Send is a message to be sent.
-type Send struct {
+// Envelope is a message to be sent.
+type Envelope struct {
 	To      members.ID
 	Message Message
 }
@@ -260,23 +260,23 @@
 	Document []byte
 }
 
-// Outcome is how a proposal of this controller ended.
-type Outcome struct {
+// ProposalResult is how a proposal of this controller ended.
+type ProposalResult struct {
 	Ref     uint64
 	Result  Result
 	Version Version
 	Reason  string
 }
 
-// QueryOutcome is the answer to a question of this controller.
-type QueryOutcome struct {
+// QueryResult is the answer to a question of this controller.
+type QueryResult struct {
 	Ref    uint64
 	From   members.ID
 	Answer Answer
 }
 
-// DocumentOutcome is a document that this controller asked for; Document is nil where nobody asked had it.
-type DocumentOutcome struct {
+// DocumentResult is a document that this controller asked for; Document is nil where nobody asked had it.
+type DocumentResult struct {
 	Ref      uint64
 	Hash     Hash
 	Document []byte
@@ -285,13 +285,13 @@
 // Output is what is to be done after some input. At most one CheckRequest, one StoreRequest and one ApplyRequest are out
 // at a time; an ApplyRequest comes only after its version passed the check and was stored as Current.
 type Output struct {
-	Sends     []Send
-	Check     *CheckRequest
-	Store     *StoreRequest
-	Apply     *ApplyRequest
-	Outcomes  []Outcome
-	Answers   []QueryOutcome
-	Documents []DocumentOutcome
+	Messages        []Envelope
+	Check           *CheckRequest
+	Store           *StoreRequest
+	Apply           *ApplyRequest
+	ProposalResults []ProposalResult
+	QueryResults    []QueryResult
+	DocumentResults []DocumentResult
 }
 
 // Readiness is whether a controller that starts knows the latest version.
@@ -301,7 +301,7 @@
 	Latest    uint64 // the highest number heard of
 }
 
-// Counts are for operators and measurements.
-type Counts struct {
-	Applied, Refused, Conflicts, Corrupt, FetchedBytes, ServedBytes, Pushed int64
+// Counters are for operators and measurements.
+type Counters struct {
+	Applied, Rejected, Conflicts, Corrupt, FetchedBytes, ServedBytes, Pushed int64
 }
--- a/internal/core/fleet/config/describe_test.go
+++ b/internal/core/fleet/config/describe_test.go
@@ -39,20 +39,20 @@
 		"another size":     {func(v *Version) { v.Size++ }, false},
 		"a long author":    {func(v *Version) { v.Author = strings.Repeat("a", MaxAuthor+1) }, false},
 		"a long reason":    {func(v *Version) { v.Reason = strings.Repeat("r", MaxReason+1) }, false},
-		"a long origin":    {func(v *Version) { v.ID.Origin = members.ID(strings.Repeat("o", maxID+1)) }, false},
+		"a long origin":    {func(v *Version) { v.ID.Origin = members.ID(strings.Repeat("o", maxIDBytes+1)) }, false},
 		"longest possible": {func(v *Version) { v.Author, v.Reason = strings.Repeat("a", MaxAuthor), strings.Repeat("r", MaxReason) }, true},
 	} {
 		x := newTargets()[2] // one that does not vote
 		told := good
 		c.change(&told)
 		x.replica.Receive(1, "n1", &Message{Summary: &s})
-		sends := x.replica.Take().Sends
-		if !slices.ContainsFunc(sends, func(m Send) bool { return m.To == "n1" && m.Message.Fetch != nil }) {
+		sends := x.replica.Take().Messages
+		if !slices.ContainsFunc(sends, func(m Envelope) bool { return m.To == "n1" && m.Message.Fetch != nil }) {
 			t.Fatalf("%s: nothing is fetched: %+v", name, sends)
 		}
-		x.replica.Receive(2, "n1", &Message{Chunk: &Chunk{Hash: s.Hash, Total: s.Size, Data: document, About: &told}})
+		x.replica.Receive(2, "n1", &Message{Chunk: &Chunk{Hash: s.Hash, Total: s.Size, Data: document, Version: &told}})
 		v := x.replica.newest
-		if v.summary() != s || v.described() != c.taken || c.taken && v.Author != told.Author {
+		if v.summary() != s || v.isDescribed() != c.taken || c.taken && v.Author != told.Author {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -67,9 +67,9 @@
 
 	runApplied map[uint64]uint64 // by run, the version in force
 	appliedAt  map[uint64]float64
-	outcomes   map[uint64]Outcome
-	answers    map[uint64]QueryOutcome
-	documents  map[uint64]DocumentOutcome
+	outcomes   map[uint64]ProposalResult
+	answers    map[uint64]QueryResult
+	documents  map[uint64]DocumentResult
 	sentBytes  int64
 	sent       int64
 }
@@ -119,8 +119,8 @@
 
 func (f *fleet) add(voter bool, on *folder) *controller {
 	c := &controller{fleet: f, id: members.ID(fmt.Sprintf("n%03d", len(f.all))), voter: voter, folder: on,
-		runApplied: map[uint64]uint64{}, appliedAt: map[uint64]float64{}, outcomes: map[uint64]Outcome{},
-		answers: map[uint64]QueryOutcome{}, documents: map[uint64]DocumentOutcome{}}
+		runApplied: map[uint64]uint64{}, appliedAt: map[uint64]float64{}, outcomes: map[uint64]ProposalResult{},
+		answers: map[uint64]QueryResult{}, documents: map[uint64]DocumentResult{}}
 	f.all = append(f.all, c)
 	f.byID[c.id] = c
 	if voter {
@@ -135,12 +135,12 @@
 	c.run, c.up, c.changedAt = f.runs, true, f.now
 	c.votesAt = f.now + voteAfter
 	c.checking, c.storing, c.applying, c.state, c.learnt = false, false, false, State{}, 0
-	kept := Kept{Current: c.folder.current, Documents: maps.Clone(c.folder.documents)}
+	kept := StoredState{Current: c.folder.current, Documents: maps.Clone(c.folder.documents)}
 	if v := kept.Current; v.Number > 0 {
 		f.noteApplied(c, v, c.folder.documents[v.Hash])
 	}
-	c.replica = New(Facts{Self: c.id, Run: c.run, Seed: f.rng.Int63()}, c, kept, c.clock())
-	c.replica.Agreed(c.clock())
+	c.replica = New(Options{Self: c.id, Run: c.run, Seed: f.rng.Int63()}, c, kept, c.clock())
+	c.replica.QuorumChanged(c.clock())
 	if c.voter {
 		f.learnLater(c)
 	}
@@ -161,7 +161,7 @@
 	f.before, f.leader, f.leaderAt = f.leader, id, f.now
 	for _, c := range f.all {
 		if c.voter && c.up {
-			c.replica.Agreed(c.clock())
+			c.replica.QuorumChanged(c.clock())
 			f.settle(c)
 		}
 	}
@@ -227,7 +227,7 @@
 // settle does what a replica asks for, and has it wake up in time.
 func (f *fleet) settle(c *controller) {
 	out := c.replica.Take()
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if to := f.byID[s.To]; to != nil {
 			f.deliver(c, to, s.Message, nil)
 		}
@@ -241,19 +241,19 @@
 	if out.Apply != nil {
 		f.applyLater(c, out.Apply)
 	}
-	for _, o := range out.Outcomes {
+	for _, o := range out.ProposalResults {
 		if _, twice := c.outcomes[o.Ref]; twice {
 			f.fail("%s: two outcomes of proposal %d", c.id, o.Ref)
 		}
 		c.outcomes[o.Ref] = o
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.QueryResults {
 		c.answers[a.Ref] = a
 		if a.Answer.Status != nil {
 			f.checkStatus(f.byID[a.From], a.Answer.Status)
 		}
 	}
-	for _, d := range out.Documents {
+	for _, d := range out.DocumentResults {
 		c.documents[d.Ref] = d
 		if d.Document != nil && HashOf(d.Document) != d.Hash {
 			f.fail("%s: a document that does not match its hash", c.id)
@@ -480,19 +480,19 @@
 	if s.Members > count || s.InForce > inForce {
 		f.fail("status tells %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
 	}
-	listed := len(s.Refused) + len(s.Behind) + len(s.Unheard) + s.More
+	listed := len(s.Rejected) + len(s.Behind) + len(s.Unreachable) + s.Omitted
 	if s.Latest.Number > 0 && s.InForce+listed != s.Members {
 		f.fail("status lists %d and %d of %d: %+v", s.InForce, listed, s.Members, s)
 	}
 	sum := 0
-	for _, n := range s.Counts {
+	for _, n := range s.ByVersion {
 		sum += n
 	}
 	if sum > s.Members {
 		f.fail("status counts %d of %d members", sum, s.Members)
 	}
 	seen := map[members.ID]bool{}
-	for _, list := range [][]ControllerReport{s.Refused, s.Behind, s.Unheard} {
+	for _, list := range [][]ControllerReport{s.Rejected, s.Behind, s.Unreachable} {
 		if len(list) > MaxListed {
 			f.fail("a list of %d", len(list))
 		}
@@ -562,7 +562,7 @@
 		for ; c.learnt < len(f.log); c.learnt++ {
 			c.state.Apply(f.log[c.learnt])
 		}
-		c.replica.Agreed(c.clock())
+		c.replica.QuorumChanged(c.clock())
 		f.settle(c)
 	})
 }
@@ -659,7 +659,7 @@
 }
 
 // outcome waits for how a proposal ends.
-func (f *fleet) outcome(c *controller, ref uint64) Outcome {
+func (f *fleet) outcome(c *controller, ref uint64) ProposalResult {
 	f.t.Helper()
 	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.outcomes[ref]; return ok })
 	o, ok := c.outcomes[ref]
@@ -673,7 +673,7 @@
 func (f *fleet) putAgreed(c *controller, document []byte, expect uint64) Version {
 	f.t.Helper()
 	o := f.outcome(c, f.put(c, document, expect))
-	if o.Result != Agreed || o.Version.Number != expect+1 || o.Version.Hash != HashOf(document) {
+	if o.Result != Committed || o.Version.Number != expect+1 || o.Version.Hash != HashOf(document) {
 		f.t.Fatalf("proposal after %d: %+v", expect, o)
 	}
 	return o.Version
@@ -709,7 +709,7 @@
 func (f *fleet) ask(c *controller, kind QueryKind) (Answer, bool) {
 	f.ref++
 	ref := f.ref
-	c.replica.Ask(c.clock(), ref, kind)
+	c.replica.Query(c.clock(), ref, kind)
 	f.settle(c)
 	f.runUntil(queryTimeout+100, func() bool { _, ok := c.answers[ref]; return ok })
 	a, ok := c.answers[ref]
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	if f.rng.Intn(4) == 0 && f.leader != "" && f.byID[f.leader].up {
-		f.ask(f.byID[f.leader], AskStatus)
+		f.ask(f.byID[f.leader], QueryStatus)
 	}
 }
 
@@ -184,8 +184,8 @@
 		h.t.Fatal("nobody leads")
 	}
 	latest := f.agreed.Newest()
-	refusing := func(c *controller) bool { return c.refuses != nil && c.replica.take.refused.Number == latest }
-	took := f.runUntil(storeRetryMost+1000, func() bool {
+	refusing := func(c *controller) bool { return c.refuses != nil && c.replica.application.rejected.Number == latest }
+	took := f.runUntil(maxStoreRetry+1000, func() bool {
 		for _, c := range f.all {
 			if c.replica.Current().Number != latest && !refusing(c) {
 				return false
@@ -201,9 +201,9 @@
 		}
 		h.t.Fatalf("not in force everywhere\n%s", strings.Join(h.script, "\n"))
 	}
-	f.runFor(2*reportEach + 2000)
+	f.runFor(2*reportInterval + 2000)
 	s := f.status(h.t, f.byID[f.leader])
-	if latest > 0 && s.InForce+len(s.Refused) != len(f.all) {
+	if latest > 0 && s.InForce+len(s.Rejected) != len(f.all) {
 		h.t.Errorf("the status tells %+v", s)
 	}
 	for _, c := range f.all {
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -77,9 +77,9 @@
 			e.state = State{Versions: []Version{v}}
 		}
 		x := &target{env: e, applied: 1}
-		x.replica = New(Facts{Self: e.self, Run: 5, Seed: 1}, e, Kept{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
+		x.replica = New(Options{Self: e.self, Run: 5, Seed: 1}, e, StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
 		x.replica.Propose(0, 1, []byte("two"), 1, Version{})
-		x.replica.Ask(0, 2, AskStatus)
+		x.replica.Query(0, 2, QueryStatus)
 		x.replica.FetchDocument(0, 3, HashOf([]byte("three")))
 		list = append(list, x)
 	}
@@ -102,8 +102,8 @@
 func (x *target) drain() error {
 	for range 10 {
 		out := x.replica.Take()
-		if len(out.Sends) > 64 {
-			return fmt.Errorf("%d messages at once", len(out.Sends))
+		if len(out.Messages) > 64 {
+			return fmt.Errorf("%d messages at once", len(out.Messages))
 		}
 		if out.Check != nil {
 			x.replica.Checked(x.now, out.Check.Hash, x.env.check(out.Check.Document))
@@ -129,7 +129,7 @@
 func (x *target) bounds() error {
 	r := x.replica
 	size := 0
-	for h, d := range r.library.documents {
+	for h, d := range r.documents.documents {
 		if HashOf(d.data) != h {
 			return errors.New("a document does not match its hash")
 		}
@@ -138,17 +138,17 @@
 	switch {
 	case size > MaxStored+(maxDownloads+maxHolds)*MaxDocument:
 		return fmt.Errorf("%d bytes of documents", size)
-	case len(r.downloads) > maxDownloads, len(r.avoided) > maxExcluded:
-		return fmt.Errorf("%d downloads, %d avoided", len(r.downloads), len(r.avoided))
-	case len(r.reports.heard) > MaxReports, len(r.reports.batches) > maxBatches:
-		return fmt.Errorf("%d reports, %d batches", len(r.reports.heard), len(r.reports.batches))
-	case len(r.queue) > MaxProposals+1, len(r.holds) > maxHolds:
-		return fmt.Errorf("%d proposals, %d holds", len(r.queue), len(r.holds))
-	case len(r.start.told) > 16:
-		return fmt.Errorf("%d voters told", len(r.start.told))
+	case len(r.downloads) > maxDownloads, len(r.avoidedUntil) > maxExcluded:
+		return fmt.Errorf("%d downloads, %d avoided", len(r.downloads), len(r.avoidedUntil))
+	case len(r.reports.known) > MaxReports, len(r.reports.batches) > maxBatches:
+		return fmt.Errorf("%d reports, %d batches", len(r.reports.known), len(r.reports.batches))
+	case len(r.candidates) > MaxProposals+1, len(r.holds) > maxHolds:
+		return fmt.Errorf("%d proposals, %d holds", len(r.candidates), len(r.holds))
+	case len(r.startup.latestOf) > 16:
+		return fmt.Errorf("%d voters told", len(r.startup.latestOf))
 	}
 	for _, d := range r.downloads {
-		if len(d.chunks) > chunkCount(MaxDocument) || len(d.missing) > maxExcluded || len(d.asked) > maxExcluded || len(d.sources) > maxSources {
+		if len(d.chunks) > chunkCount(MaxDocument) || len(d.missingUntil) > maxExcluded || len(d.requestedFrom) > maxExcluded || len(d.sources) > maxSources {
 			return fmt.Errorf("a download of %d chunks", len(d.chunks))
 		}
 	}
@@ -181,22 +181,22 @@
 		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: 1, Reason: long, ID: id}}}},
 		{Propose: &ProposeRequest{Proposal: Proposal{Expect: math.MaxUint64, Version: Version{Hash: h, Size: 1, ID: id}}}},
 		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: 1, ID: ProposalID{Origin: "n3", Ref: 7}}}}},
-		{Proposed: &ProposeReply{ID: ProposalID{Origin: "n0", Run: 5, Ref: 1}, Result: 200, Reason: long}},
-		{Proposed: &ProposeReply{ID: ProposalID{Origin: "n2", Run: 5, Ref: 1}, Result: Agreed}},
+		{ProposeReply: &ProposeReply{ID: ProposalID{Origin: "n0", Run: 5, Ref: 1}, Result: 200, Reason: long}},
+		{ProposeReply: &ProposeReply{ID: ProposalID{Origin: "n2", Run: 5, Ref: 1}, Result: Committed}},
 		{Hold: &HoldRequest{Hash: h, Size: math.MaxInt}},
 		{Hold: &HoldRequest{Hash: h, Size: -1}},
 		{Hold: &HoldRequest{Hash: h, Size: MaxDocument}},
-		{Held: &HoldReply{Hash: h}},
+		{HoldReply: &HoldReply{Hash: h}},
 		{Reports: &Reports{List: many}},
 		{Reports: &Reports{List: many[:1000]}},
 		{Reports: &Reports{List: []Report{{}, {ID: "n3", Age: math.Inf(1)}, {ID: "n3", Age: math.NaN()}, {ID: "n3", Age: -1e300},
 			{ID: "n3", Run: 4, Sequence: math.MaxUint64, Applied: math.MaxUint64, Age: math.MaxFloat64}, {ID: members.ID(long)}, {ID: "n3", Reason: long}}}},
-		{Reported: &ReportsReply{Sequence: 1, Leader: members.ID(long)}},
-		{Reported: &ReportsReply{Sequence: math.MaxUint64, Leader: "n3"}},
-		{Query: &Query{Kind: 0}}, {Query: &Query{Kind: 99}}, {Query: &Query{Kind: AskStatus}}, {Query: &Query{Kind: AskHistory}}, {Query: &Query{Kind: AskLatest}},
+		{ReportsReply: &ReportsReply{Sequence: 1, Leader: members.ID(long)}},
+		{ReportsReply: &ReportsReply{Sequence: math.MaxUint64, Leader: "n3"}},
+		{Query: &Query{Kind: 0}}, {Query: &Query{Kind: 99}}, {Query: &Query{Kind: QueryStatus}}, {Query: &Query{Kind: QueryHistory}}, {Query: &Query{Kind: QueryLatest}},
 		{Answer: &Answer{Ref: 1, Voting: true, Leads: true, Leader: members.ID(long)}},
 		{Answer: &Answer{Ref: 1, Versions: make([]Version, 100)}},
-		{Answer: &Answer{Ref: 1, Leads: true, Voting: true, Status: &Status{Refused: make([]ControllerReport, 1000)}}},
+		{Answer: &Answer{Ref: 1, Leads: true, Voting: true, Status: &Status{Rejected: make([]ControllerReport, 1000)}}},
 		{Answer: &Answer{Ref: 1, Voting: true, Leads: true, Latest: Summary{Number: math.MaxUint64, Hash: h, Size: 1}}},
 		{Answer: &Answer{Ref: 2, Voting: true, Leads: true}},
 		{Answer: &Answer{Voting: true, Leads: true, Latest: Summary{Number: 7, Size: -7}}},
--- a/internal/core/fleet/config/library.go
+++ b/internal/core/fleet/config/library.go
@@ -13,14 +13,14 @@
 	stored bool
 }
 
-// library holds documents by their hash. Each one in it matches its hash.
-type library struct {
+// documentStore holds documents by their hash. Each one in it matches its hash.
+type documentStore struct {
 	documents map[Hash]*document
 }
 
-// newLibrary begins with the documents of a folder; one that does not match its hash is left out.
-func newLibrary(kept map[Hash][]byte) library {
-	l := library{documents: map[Hash]*document{}}
+// newDocumentStore begins with the documents of a folder; one that does not match its hash is left out.
+func newDocumentStore(kept map[Hash][]byte) documentStore {
+	l := documentStore{documents: map[Hash]*document{}}
 	for h, data := range kept {
 		if HashOf(data) == h {
 			l.documents[h] = &document{data: data, stored: true}
@@ -33,35 +33,35 @@
 func HashOf(data []byte) Hash { return sha256.Sum256(data) }
 
 // get is a document's bytes; nil: it is not here.
-func (l *library) get(h Hash) []byte {
+func (l *documentStore) get(h Hash) []byte {
 	if d := l.documents[h]; d != nil {
 		return d.data
 	}
 	return nil
 }
 
-// stored tells whether a document is here durably.
-func (l *library) stored(h Hash) bool {
+// isStored tells whether a document is here durably.
+func (l *documentStore) isStored(h Hash) bool {
 	d := l.documents[h]
 	return d != nil && d.stored
 }
 
 // put takes in a document whose hash was verified.
-func (l *library) put(h Hash, data []byte) {
+func (l *documentStore) put(h Hash, data []byte) {
 	if l.documents[h] == nil {
 		l.documents[h] = &document{data: data}
 	}
 }
 
 // markStored notes whether a document is durable.
-func (l *library) markStored(h Hash, stored bool) {
+func (l *documentStore) markStored(h Hash, stored bool) {
 	if d := l.documents[h]; d != nil {
 		d.stored = stored
 	}
 }
 
-// surplus are the durable documents that are not needed, in the order of their hashes.
-func (l *library) surplus(needed map[Hash]bool) (hashes []Hash) {
+// unneeded are the durable documents that are not needed, in the order of their hashes.
+func (l *documentStore) unneeded(needed map[Hash]bool) (hashes []Hash) {
 	for h, d := range l.documents {
 		if d.stored && !needed[h] {
 			hashes = append(hashes, h)
@@ -71,13 +71,13 @@
 	return hashes
 }
 
-// sweep forgets documents that are in memory alone and not needed.
-func (l *library) sweep(needed map[Hash]bool) {
+// forgetUnstored forgets documents that are in memory alone and not needed.
+func (l *documentStore) forgetUnstored(needed map[Hash]bool) {
 	maps.DeleteFunc(l.documents, func(h Hash, d *document) bool { return !d.stored && !needed[h] })
 }
 
-// volatile tells whether any document is in memory alone.
-func (l *library) volatile() bool {
+// hasUnstored tells whether any document is in memory alone.
+func (l *documentStore) hasUnstored() bool {
 	for _, d := range l.documents {
 		if !d.stored {
 			return true
--- a/internal/core/fleet/config/lookup.go
+++ b/internal/core/fleet/config/lookup.go
@@ -14,21 +14,21 @@
 	ref      uint64
 	hash     Hash
 	deadline float64
-	missing  []members.ID // voters that do not have it
+	without  []members.ID // voters that do not have it
 }
 
 // FetchDocument looks for a document here and at voters.
 func (r *Replica) FetchDocument(now float64, ref uint64, h Hash) {
 	r.advanceClock(now)
-	if data := r.library.get(h); data != nil || len(r.lookups) >= maxLookups {
-		r.out.Documents = append(r.out.Documents, DocumentOutcome{Ref: ref, Hash: h, Document: data})
+	if data := r.documents.get(h); data != nil || len(r.lookups) >= maxLookups {
+		r.out.DocumentResults = append(r.out.DocumentResults, DocumentResult{Ref: ref, Hash: h, Document: data})
 		return
 	}
 	l := &lookup{ref: ref, hash: h, deadline: r.now + lookupTimeout}
 	r.lookups = append(r.lookups, l)
 	r.fetch(h, 0, forLookup)
 	r.endMissing()
-	r.turn()
+	r.process()
 }
 
 // answerLookups hands out a document that has come.
@@ -42,17 +42,17 @@
 
 func (r *Replica) endLookup(l *lookup, data []byte) {
 	r.lookups = slices.DeleteFunc(r.lookups, func(x *lookup) bool { return x == l })
-	r.out.Documents = append(r.out.Documents, DocumentOutcome{Ref: l.ref, Hash: l.hash, Document: data})
+	r.out.DocumentResults = append(r.out.DocumentResults, DocumentResult{Ref: l.ref, Hash: l.hash, Document: data})
 	if !slices.ContainsFunc(r.lookups, func(x *lookup) bool { return x.hash == l.hash }) {
-		r.release(l.hash, forLookup)
+		r.releaseFetch(l.hash, forLookup)
 	}
 }
 
 // lookupMissing takes in that one does not have a document.
 func (r *Replica) lookupMissing(h Hash, from members.ID) {
 	for _, l := range r.lookups {
-		if l.hash == h && !slices.Contains(l.missing, from) && len(l.missing) < maxExcluded {
-			l.missing = append(l.missing, from)
+		if l.hash == h && !slices.Contains(l.without, from) && len(l.without) < maxExcluded {
+			l.without = append(l.without, from)
 		}
 	}
 	r.endMissing()
@@ -61,7 +61,7 @@
 // endMissing ends the lookups of documents that no voter has.
 func (r *Replica) endMissing() {
 	for _, l := range slices.Clone(r.lookups) {
-		has := func(id members.ID) bool { return id != r.facts.Self && !slices.Contains(l.missing, id) }
+		has := func(id members.ID) bool { return id != r.options.Self && !slices.Contains(l.without, id) }
 		if !slices.ContainsFunc(r.env.Voters(), has) {
 			r.endLookup(l, nil)
 		}
--- a/internal/core/fleet/config/propose_test.go
+++ b/internal/core/fleet/config/propose_test.go
@@ -22,7 +22,7 @@
 		f.runFor(400)
 		f.setLeader(f.all[1].id)
 		o := f.outcome(at, ref)
-		if o.Result != Agreed || o.Version.Number != 1 || f.agreed.Newest() != 1 {
+		if o.Result != Committed || o.Version.Number != 1 || f.agreed.Newest() != 1 {
 			t.Errorf("seed %d: %+v, newest %d", seed, o, f.agreed.Newest())
 		}
 		f.everywhere(1, 15000)
@@ -40,10 +40,10 @@
 		}
 		a, b := f.put(first, randomDocument(5000, 1), 0), f.put(second, randomDocument(9000, 2), 0)
 		x, y := f.outcome(first, a), f.outcome(second, b)
-		if x.Result == Lost {
+		if x.Result == Conflict {
 			x, y = y, x
 		}
-		if x.Result != Agreed || y.Result != Lost || y.Version.Number != 1 || y.Version.Hash != x.Version.Hash || y.Reason == "" {
+		if x.Result != Committed || y.Result != Conflict || y.Version.Number != 1 || y.Version.Hash != x.Version.Hash || y.Reason == "" {
 			t.Errorf("seed %d: %+v, %+v", seed, x, y)
 		}
 		f.everywhere(1, 10000)
@@ -56,7 +56,7 @@
 	f.putAgreed(f.all[5], []byte("one"), 0)
 	f.putAgreed(f.all[5], []byte("two"), 1)
 	for _, expect := range []uint64{0, 1, 3, 1 << 63} {
-		if o := f.outcome(f.all[4], f.put(f.all[4], []byte("three"), expect)); o.Result != Lost || o.Version.Number != 2 || o.Reason == "" {
+		if o := f.outcome(f.all[4], f.put(f.all[4], []byte("three"), expect)); o.Result != Conflict || o.Version.Number != 2 || o.Reason == "" {
 			t.Errorf("expecting %d: %+v", expect, o)
 		}
 	}
@@ -71,7 +71,7 @@
 	f.runFor(1000)
 	for _, at := range []*controller{f.all[0], f.all[1], f.all[5]} {
 		o := f.outcome(at, f.put(at, []byte("nonsense, for "+at.id), 0))
-		if o.Result != Refused || o.Reason != "line 1: nonsense" {
+		if o.Result != Rejected || o.Reason != "line 1: nonsense" {
 			t.Errorf("at %s: %+v", at.id, o)
 		}
 	}
@@ -79,7 +79,7 @@
 		t.Error("it came to the quorum")
 	}
 	f.all[0].refuses = func([]byte) error { return fmt.Errorf("%s", strings.Repeat("ä", MaxReason)) }
-	if o := f.outcome(f.all[5], f.put(f.all[5], []byte("x"), 0)); o.Result != Refused || len(o.Reason) > MaxReason || !strings.HasPrefix(o.Reason, "ä") || strings.ContainsRune(o.Reason, 0xfffd) {
+	if o := f.outcome(f.all[5], f.put(f.all[5], []byte("x"), 0)); o.Result != Rejected || len(o.Reason) > MaxReason || !strings.HasPrefix(o.Reason, "ä") || strings.ContainsRune(o.Reason, 0xfffd) {
 		t.Errorf("a long reason: %d bytes", len(o.Reason))
 	}
 }
@@ -120,7 +120,7 @@
 	f.runFor(400)
 	busy := 0
 	for c, ref := range refs {
-		if o, ok := c.outcomes[ref]; ok && o.Result == Refused && o.Reason == "busy" {
+		if o, ok := c.outcomes[ref]; ok && o.Result == Rejected && o.Reason == "busy" {
 			busy++
 		}
 	}
@@ -141,12 +141,12 @@
 func TestAnswerLost(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
-	f.onMessage = func(from, to *controller, m *Message) bool { return m.Proposed == nil }
+	f.onMessage = func(from, to *controller, m *Message) bool { return m.ProposeReply == nil }
 	ref := f.put(f.all[7], []byte("one"), 0)
 	f.runUntil(5000, func() bool { return f.agreed.Newest() == 1 })
 	f.setLeader(f.all[1].id)
 	f.onMessage = nil
-	if o := f.outcome(f.all[7], ref); o.Result != Agreed || o.Version.Number != 1 || len(f.log) != 1 {
+	if o := f.outcome(f.all[7], ref); o.Result != Committed || o.Version.Number != 1 || len(f.log) != 1 {
 		t.Errorf("%+v, %d entries", o, len(f.log))
 	}
 }
@@ -164,7 +164,7 @@
 		t.Fatal("it was proposed with two of five")
 	}
 	f.all[2].diskFull = false // it tries again after some seconds
-	if o := f.outcome(f.all[7], ref); o.Result != Agreed {
+	if o := f.outcome(f.all[7], ref); o.Result != Committed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -182,7 +182,7 @@
 		t.Fatal("it was proposed with two of five")
 	}
 	f.all[0].diskFull = false
-	if o := f.outcome(f.all[7], ref); o.Result != Agreed {
+	if o := f.outcome(f.all[7], ref); o.Result != Committed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -198,7 +198,7 @@
 		t.Error("not in force at the others, or in force where it is not stored")
 	}
 	f.all[0].diskFull = false
-	f.everywhere(1, storeRetryMost+1000)
+	f.everywhere(1, maxStoreRetry+1000)
 }
 
 // A rollback is a new version with the old document, and wins while the version before still spreads.
@@ -286,7 +286,7 @@
 		if n := len(c.folder.documents); c.voter && (bytes < MaxStored-2*MaxDocument || bytes > MaxStored+MaxDocument) || !c.voter && (n < 2 || n > 3) {
 			t.Errorf("%s keeps %d documents, %d bytes", c.id, n, bytes)
 		}
-		if n := len(c.replica.library.documents); n > 12 {
+		if n := len(c.replica.documents.documents); n > 12 {
 			t.Errorf("%s has %d documents in memory", c.id, n)
 		}
 	}
@@ -319,27 +319,27 @@
 	f.runFor(1000)
 	p := Proposal{Version: Version{Hash: HashOf([]byte("x")), Size: 1, ID: ProposalID{Origin: "n005", Run: 1, Ref: 1}}}
 	f.all[0].replica.Receive(f.now, "n006", &Message{Propose: &ProposeRequest{Proposal: p}})
-	if len(f.all[0].replica.queue) != 0 {
+	if len(f.all[0].replica.candidates) != 0 {
 		t.Error("another's proposal is taken")
 	}
 	c := f.all[7]
 	ref := f.put(c, []byte("one"), 0)
 	id := ProposalID{Origin: c.id, Run: c.run, Ref: ref}
 	for from, reply := range map[members.ID]ProposeReply{
-		"n005": {ID: id, Result: Lost},
+		"n005": {ID: id, Result: Conflict},
 		"n000": {ID: id, Result: Unknown},
-		"n001": {ID: id, Result: Refused},
+		"n001": {ID: id, Result: Rejected},
 	} {
-		c.replica.Receive(f.now, from, &Message{Proposed: &reply})
+		c.replica.Receive(f.now, from, &Message{ProposeReply: &reply})
 	}
-	c.replica.Receive(f.now, "n000", &Message{Proposed: &ProposeReply{ID: id, Result: Agreed, Version: Version{Number: 9, ID: id, Hash: HashOf([]byte("other"))}}})
-	c.replica.Receive(f.now, "n000", &Message{Proposed: &ProposeReply{ID: id, Result: Agreed, // the same document of another
+	c.replica.Receive(f.now, "n000", &Message{ProposeReply: &ProposeReply{ID: id, Result: Committed, Version: Version{Number: 9, ID: id, Hash: HashOf([]byte("other"))}}})
+	c.replica.Receive(f.now, "n000", &Message{ProposeReply: &ProposeReply{ID: id, Result: Committed, // the same document of another
 		Version: Version{Number: 9, ID: ProposalID{Origin: "n005", Run: 1, Ref: 1}, Hash: HashOf([]byte("one")), Size: 3}}})
 	f.settle(c)
 	if len(c.outcomes) != 0 {
 		t.Errorf("%+v", c.outcomes)
 	}
-	if o := f.outcome(c, ref); o.Result != Agreed || o.Version.Number != 1 {
+	if o := f.outcome(c, ref); o.Result != Committed || o.Version.Number != 1 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -357,16 +357,16 @@
 	answered := func(c *controller, ref uint64) func() bool {
 		return func() bool { _, ok := c.outcomes[ref]; return ok }
 	}
-	if took := f.runUntil(4000, answered(other, second)); took < 0 || other.outcomes[second].Result != Agreed {
+	if took := f.runUntil(4000, answered(other, second)); took < 0 || other.outcomes[second].Result != Committed {
 		t.Errorf("the proposal behind it took %v ms: %+v", took, other.outcomes[second])
 	}
-	if o := f.outcome(origin, first); o.Result != Lost {
+	if o := f.outcome(origin, first); o.Result != Conflict {
 		t.Errorf("the proposal of the changed bytes: %+v", o)
 	}
 	third := f.put(origin, randomDocument(1000, 3), 1)
 	f.runFor(1500)
 	origin.corrupt = false
-	if took := f.runUntil(3000, answered(origin, third)); took < 0 || origin.outcomes[third].Result != Agreed {
+	if took := f.runUntil(3000, answered(origin, third)); took < 0 || origin.outcomes[third].Result != Committed {
 		t.Errorf("once nothing is changed on its way: %v ms, %+v", took, origin.outcomes[third])
 	}
 }
--- a/internal/core/fleet/config/query.go
+++ b/internal/core/fleet/config/query.go
@@ -8,64 +8,64 @@
 
 // Times of questions, in ms, and counts.
 const (
-	queryEach     = 500.0
-	queryTimeout  = 5000.0
-	lookupTimeout = 10000.0
-	latestEach    = 300.0  // between two questions at a start
-	latestLater   = 2000.0 // the same, once it has gone on for some seconds
-	latestVoters  = 2      // that are asked at a time
-	maxQuestions  = 16
+	queryInterval     = 500.0
+	queryTimeout      = 5000.0
+	lookupTimeout     = 10000.0
+	latestInterval    = 300.0  // between two questions at a start
+	maxLatestInterval = 2000.0 // the same, once it has gone on for some seconds
+	latestVoters      = 2      // that are asked at a time
+	maxQuestions      = 16
 )
 
-// question is one of this controller that has not been answered.
-type question struct {
+// pendingQuery is one of this controller that has not been answered.
+type pendingQuery struct {
 	ref      uint64 // the caller's
-	wire     uint64 // in messages
+	wireRef  uint64 // in messages
 	kind     QueryKind
-	at       float64
+	nextAt   float64
 	deadline float64
 }
 
-// Ask puts a question to the leader, or to voters; its answer comes within queryTimeout, or never.
-func (r *Replica) Ask(now float64, ref uint64, kind QueryKind) {
+// Query puts a question to the leader, or to voters; its answer comes within queryTimeout, or never.
+func (r *Replica) Query(now float64, ref uint64, kind QueryKind) {
 	r.advanceClock(now)
-	if len(r.questions) >= maxQuestions || kind < AskLatest || kind > AskHistory {
+	if len(r.queries) >= maxQuestions || kind < QueryLatest || kind > QueryHistory {
 		return
 	}
-	r.wireRef++
-	r.questions = append(r.questions, &question{ref: ref, wire: r.wireRef, kind: kind, at: r.now, deadline: r.now + queryTimeout})
-	r.tickQuestions()
-	r.turn()
+	r.lastWireRef++
+	r.queries = append(r.queries, &pendingQuery{ref: ref, wireRef: r.lastWireRef, kind: kind, nextAt: r.now, deadline: r.now + queryTimeout})
+	r.tickQueries()
+	r.process()
 }
 
-// tickQuestions asks again, and drops questions that were not answered.
-func (r *Replica) tickQuestions() {
-	for _, q := range slices.Clone(r.questions) {
+// tickQueries asks again, and drops questions that were not answered.
+func (r *Replica) tickQueries() {
+	for _, q := range slices.Clone(r.queries) {
 		switch {
 		case r.now >= q.deadline:
-			r.endQuestion(q)
-		case r.now >= q.at:
-			q.at = r.now + queryEach
-			r.sendQuestion(q)
+			r.endQuery(q)
+		case r.now >= q.nextAt:
+			q.nextAt = r.now + queryInterval
+			r.sendQuery(q)
 		}
 	}
 }
 
-func (r *Replica) endQuestion(q *question) {
-	r.questions = slices.DeleteFunc(r.questions, func(x *question) bool { return x == q })
+func (r *Replica) endQuery(q *pendingQuery) {
+	r.queries = slices.DeleteFunc(r.queries, func(x *pendingQuery) bool { return x == q })
 }
 
-func (r *Replica) sendQuestion(q *question) {
+func (r *Replica) sendQuery(q *pendingQuery) {
 	leader := r.leader()
 	if r.env.Leads() && r.votes() {
-		r.endQuestion(q)
-		r.out.Answers = append(r.out.Answers, QueryOutcome{Ref: q.ref, From: leader, Answer: r.answer(q.ref, q.kind)})
+		r.endQuery(q)
+		r.out.QueryResults = append(r.out.QueryResults, QueryResult{Ref: q.ref, From: leader, Answer: r.answer(q.ref, q.kind)})
 		return // one that leads and is not ready to answer asks itself again
 	}
-	m := Message{Query: &Query{Ref: q.wire, Kind: q.kind}}
+	m := Message{Query: &Query{Ref: q.wireRef, Kind: q.kind}}
 	r.send(leader, m)
-	if q.kind == AskLatest {
-		for _, id := range r.someVoters(latestVoters) {
+	if q.kind == QueryLatest {
+		for _, id := range r.drawVoters(latestVoters) {
 			if id != leader {
 				r.send(id, m)
 			}
@@ -73,19 +73,19 @@
 	}
 }
 
-// someVoters draws voters other than this one.
-func (r *Replica) someVoters(count int) (picked []members.ID) {
+// drawVoters draws voters other than this one.
+func (r *Replica) drawVoters(count int) (picked []members.ID) {
 	for _, i := range r.rng.Perm(len(r.env.Voters())) {
-		if id := r.env.Voters()[i]; id != r.facts.Self && len(picked) < count {
+		if id := r.env.Voters()[i]; id != r.options.Self && len(picked) < count {
 			picked = append(picked, id)
 		}
 	}
 	return picked
 }
 
-// query answers another's question.
-func (r *Replica) query(from members.ID, q *Query) {
-	if q.Kind < AskLatest || q.Kind > AskHistory {
+// handleQuery answers another's question.
+func (r *Replica) handleQuery(from members.ID, q *Query) {
+	if q.Kind < QueryLatest || q.Kind > QueryHistory {
 		return
 	}
 	a := r.answer(q.Ref, q.Kind)
@@ -95,106 +95,106 @@
 // answer is what this one can say: of status and history only as the leader.
 func (r *Replica) answer(ref uint64, kind QueryKind) Answer {
 	a := Answer{Ref: ref, Voting: r.votes(), Leads: r.env.Leads() && r.votes(), Leader: r.leader()}
-	if r.spread.summary.Number > 0 {
-		a.Latest = r.spread.summary
+	if r.announcement.summary.Number > 0 {
+		a.Latest = r.announcement.summary
 	}
 	if a.Voting {
 		latest := r.env.State().Latest()
 		a.Latest = latest.summary()
 	}
-	if a.Leads && kind == AskStatus {
+	if a.Leads && kind == QueryStatus {
 		a.Status = r.status()
 	}
-	if a.Leads && kind == AskHistory {
+	if a.Leads && kind == QueryHistory {
 		a.Versions = slices.Clone(r.env.State().Versions)
 	}
 	return a
 }
 
-// wellFormed tells whether an answer keeps its bounds.
-func (a *Answer) wellFormed() bool {
-	if len(a.Leader) > maxID || len(a.Versions) > MaxHistory {
+// valid tells whether an answer keeps its bounds.
+func (a *Answer) valid() bool {
+	if len(a.Leader) > maxIDBytes || len(a.Versions) > MaxHistory {
 		return false
 	}
 	s := a.Status
-	return s == nil || len(s.Counts) <= MaxReports && len(s.Refused) <= MaxListed && len(s.Behind) <= MaxListed && len(s.Unheard) <= MaxListed
+	return s == nil || len(s.ByVersion) <= MaxReports && len(s.Rejected) <= MaxListed && len(s.Behind) <= MaxListed && len(s.Unreachable) <= MaxListed
 }
 
-// answered takes in an answer.
-func (r *Replica) answered(from members.ID, a *Answer) {
-	if !a.wellFormed() {
+// handleAnswer takes in an answer.
+func (r *Replica) handleAnswer(from members.ID, a *Answer) {
+	if !a.valid() {
 		return
 	}
-	if a.Ref != 0 && a.Ref == r.start.wire {
-		r.toldLatest(from, a)
+	if a.Ref != 0 && a.Ref == r.startup.wireRef {
+		r.handleLatest(from, a)
 		return
 	}
-	i := slices.IndexFunc(r.questions, func(q *question) bool { return q.wire == a.Ref })
+	i := slices.IndexFunc(r.queries, func(q *pendingQuery) bool { return q.wireRef == a.Ref })
 	if i < 0 {
 		return
 	}
-	q := r.questions[i]
+	q := r.queries[i]
 	complete := a.Leads
 	switch q.kind {
-	case AskLatest:
+	case QueryLatest:
 		complete = a.Voting
-	case AskStatus:
+	case QueryStatus:
 		complete = complete && a.Status != nil
 	}
 	if !complete {
 		r.hintLeader(from, a.Leader)
 		return
 	}
-	r.endQuestion(q)
+	r.endQuery(q)
 	own := *a
 	own.Ref = q.ref
-	r.out.Answers = append(r.out.Answers, QueryOutcome{Ref: q.ref, From: from, Answer: own})
+	r.out.QueryResults = append(r.out.QueryResults, QueryResult{Ref: q.ref, From: from, Answer: own})
 }
 
-func (r *Replica) nextQuestion() float64 {
+func (r *Replica) nextQuery() float64 {
 	next := never
-	for _, q := range r.questions {
-		next = min(next, q.at, q.deadline)
+	for _, q := range r.queries {
+		next = min(next, q.nextAt, q.deadline)
 	}
 	return next
 }
 
-// starting is how far a controller that starts is with finding the latest version.
-type starting struct {
-	at        float64 // of the next questions
-	wire      uint64
-	told      map[members.ID]uint64 // voters that answered, with their latest number
-	leader    bool                  // the leader has answered
-	latest    uint64                // the highest that was told
-	confirmed bool
+// startup is how far a controller that starts is with finding the latest version.
+type startup struct {
+	nextAt         float64 // of the next questions
+	wireRef        uint64
+	latestOf       map[members.ID]uint64 // voters that answered, with their latest number
+	leaderAnswered bool                  // the leader has answered
+	latest         uint64                // the highest that was told
+	confirmed      bool
 }
 
-// tickStart asks the leader and voters for their latest version until it is known.
-func (r *Replica) tickStart() {
-	s := &r.start
-	if s.confirmed || r.now < s.at {
+// tickStartup asks the leader and voters for their latest version until it is known.
+func (r *Replica) tickStartup() {
+	s := &r.startup
+	if s.confirmed || r.now < s.nextAt {
 		return
 	}
-	s.at = r.now + min(latestLater, latestEach+(r.now-r.began)/2) // hundreds that start together must not keep the voters busy
-	if s.heard(r) {
+	s.nextAt = r.now + min(maxLatestInterval, latestInterval+(r.now-r.startedAt)/2) // hundreds that start together must not keep the voters busy
+	if s.answered(r) {
 		return // what was told is on its way here
 	}
-	if s.wire == 0 {
-		r.wireRef++
-		s.wire = r.wireRef
+	if s.wireRef == 0 {
+		r.lastWireRef++
+		s.wireRef = r.lastWireRef
 	}
-	ids := r.someVoters(latestVoters)
-	if leader := r.leader(); leader != "" && leader != r.facts.Self && !slices.Contains(ids, leader) {
+	ids := r.drawVoters(latestVoters)
+	if leader := r.leader(); leader != "" && leader != r.options.Self && !slices.Contains(ids, leader) {
 		ids = append([]members.ID{leader}, ids[:min(len(ids), latestVoters-1)]...)
 	}
 	for _, id := range ids {
-		r.send(id, Message{Query: &Query{Ref: s.wire, Kind: AskLatest}})
+		r.send(id, Message{Query: &Query{Ref: s.wireRef, Kind: QueryLatest}})
 	}
 }
 
-// toldLatest takes in the latest version of a voter.
-func (r *Replica) toldLatest(from members.ID, a *Answer) {
-	s := &r.start
+// handleLatest takes in the latest version of a voter.
+func (r *Replica) handleLatest(from members.ID, a *Answer) {
+	s := &r.startup
 	if s.confirmed {
 		return
 	}
@@ -203,48 +203,48 @@
 		return
 	}
 	if a.Leads {
-		s.leader = true
+		s.leaderAnswered = true
 	} else if !slices.Contains(r.env.Voters(), from) {
 		return
 	}
-	s.told[from] = a.Latest.Number
+	s.latestOf[from] = a.Latest.Number
 	s.latest = max(s.latest, a.Latest.Number)
-	r.receiveSummary(from, a.Latest)
+	r.handleSummary(from, a.Latest)
 }
 
-// heard tells whether the leader, or a majority of the voters, has told its latest version.
-func (s *starting) heard(r *Replica) bool {
-	if s.leader {
+// answered tells whether the leader, or a majority of the voters, has told its latest version.
+func (s *startup) answered(r *Replica) bool {
+	if s.leaderAnswered {
 		return true
 	}
 	voters := r.env.Voters()
 	count := 0
 	for _, id := range voters {
-		if _, ok := s.told[id]; ok || id == r.facts.Self && r.votes() {
+		if _, ok := s.latestOf[id]; ok || id == r.options.Self && r.votes() {
 			count++
 		}
 	}
 	return len(voters) > 0 && 2*count > len(voters)
 }
 
-// confirm notes that the latest version is in force or refused here.
-func (r *Replica) confirm() {
-	s := &r.start
+// confirmLatest notes that the latest version is in force or refused here.
+func (r *Replica) confirmLatest() {
+	s := &r.startup
 	if s.confirmed {
 		return
 	}
 	if r.votes() {
 		s.latest = max(s.latest, r.env.State().Newest())
 		if r.env.Leads() {
-			s.leader = true
+			s.leaderAnswered = true
 		}
 	}
-	s.confirmed = s.heard(r) && r.take.handled() >= s.latest
+	s.confirmed = s.answered(r) && r.application.handled() >= s.latest
 }
 
-func (r *Replica) nextStart() float64 {
-	if r.start.confirmed {
+func (r *Replica) nextStartup() float64 {
+	if r.startup.confirmed {
 		return never
 	}
-	return r.start.at
+	return r.startup.nextAt
 }
--- a/internal/core/fleet/config/spread.go
+++ b/internal/core/fleet/config/spread.go
@@ -9,28 +9,28 @@
 // How a new version is told to others, in ms and counts.
 const (
 	pushFanout   = 4       // members to which a new summary is pushed at a time
-	pushes       = 3       // how often
-	pushGap      = 300.0   // until the second push; the third comes twice as long after it
-	stallAfter   = 5000.0  // without a byte, after which a version that was told is given up
-	abandonedFor = 10000.0 // for which it is not fetched again on the word of the same members
+	maxPushes    = 3       // how often
+	pushInterval = 300.0   // until the second push; the third comes twice as long after it
+	stallTimeout = 5000.0  // without a byte, after which a version that was told is given up
+	abandonTime  = 10000.0 // for which it is not fetched again on the word of the same members
 )
 
-// spreading is what is told to others.
-type spreading struct {
-	summary Summary
-	left    int // pushes that are still to come
-	at      float64
+// announcement is what is told to others.
+type announcement struct {
+	summary    Summary
+	pushesLeft int // pushes that are still to come
+	nextPushAt float64
 }
 
-func (s *spreading) next() float64 {
-	if s.left > 0 {
-		return s.at
+func (s *announcement) next() float64 {
+	if s.pushesLeft > 0 {
+		return s.nextPushAt
 	}
 	return never
 }
 
-// abandonment is a version that was told and whose document nobody gave.
-type abandonment struct {
+// abandonedVersion is a version that was told and whose document nobody gave.
+type abandonedVersion struct {
 	summary Summary
 	until   float64
 	sources []members.ID
@@ -38,46 +38,46 @@
 
 // Summary is what rides on membership's messages; nil: there is nothing to tell.
 func (r *Replica) Summary() *Summary {
-	if r.spread.summary.Number == 0 {
+	if r.announcement.summary.Number == 0 {
 		return nil
 	}
-	s := r.spread.summary
+	s := r.announcement.summary
 	return &s
 }
 
 // updateSummary tells the newest version as soon as its document is durable here.
 func (r *Replica) updateSummary() {
-	if r.newest.Number <= r.spread.summary.Number || !r.library.stored(r.newest.Hash) {
+	if r.newest.Number <= r.announcement.summary.Number || !r.documents.isStored(r.newest.Hash) {
 		return
 	}
 	if r.votes() && r.env.State().Newest() < r.newest.Number {
 		return // a voter tells of what its own state knows, with its author and reason
 	}
-	r.spread = spreading{summary: r.newest.summary(), left: pushes, at: r.now}
-	r.tickPushes()
+	r.announcement = announcement{summary: r.newest.summary(), pushesLeft: maxPushes, nextPushAt: r.now}
+	r.sendPushes()
 }
 
-// tickPushes tells some members at once, and some others a little later.
-func (r *Replica) tickPushes() {
-	if r.spread.left == 0 || r.now < r.spread.at {
+// sendPushes tells some members at once, and some others a little later.
+func (r *Replica) sendPushes() {
+	if r.announcement.pushesLeft == 0 || r.now < r.announcement.nextPushAt {
 		return
 	}
-	done := pushes - r.spread.left
-	r.spread.left--
-	r.spread.at = r.now + pushGap*float64(1+done)
-	for _, id := range r.pickAlive(pushFanout) {
+	done := maxPushes - r.announcement.pushesLeft
+	r.announcement.pushesLeft--
+	r.announcement.nextPushAt = r.now + pushInterval*float64(1+done)
+	for _, id := range r.drawAlive(pushFanout) {
 		r.send(id, Message{Summary: r.Summary()})
-		r.counts.Pushed++
+		r.counters.Pushed++
 	}
 }
 
-// receiveSummary takes in which version a member has, and tells whether that is news. A lower number, or the same again, is none.
-func (r *Replica) receiveSummary(from members.ID, s Summary) bool {
+// handleSummary takes in which version a member has, and tells whether that is news. A lower number, or the same again, is none.
+func (r *Replica) handleSummary(from members.ID, s Summary) bool {
 	switch {
 	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
 		return false
 	case r.contradicts(s):
-		r.counts.Conflicts++
+		r.counters.Conflicts++
 		return false
 	case s.Number < r.target.Number:
 		return false
@@ -92,7 +92,7 @@
 
 // contradicts tells whether another document is known here by that number.
 func (r *Replica) contradicts(s Summary) bool {
-	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.take.current} {
+	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
 		if v.Number == s.Number && v.summary() != s {
 			return true
 		}
@@ -114,18 +114,18 @@
 // setTarget makes a version the one to get: the fetch of one before it ends.
 func (r *Replica) setTarget(v Version, sources ...members.ID) {
 	if r.target.Hash != v.Hash {
-		r.release(r.target.Hash, forTaking)
+		r.releaseFetch(r.target.Hash, forApplication)
 	}
-	v.complete(r.description(v.Hash))
+	v.addDescription(r.findDescription(v.Hash))
 	r.target = v
-	if r.library.get(v.Hash) == nil {
-		r.fetch(v.Hash, v.Size, forTaking, sources...)
+	if r.documents.get(v.Hash) == nil {
+		r.fetch(v.Hash, v.Size, forApplication, sources...)
 	}
 }
 
-// followState aims at the newest version that the quorum agreed on, where this one votes. The state is the truth: of
+// followQuorum aims at the newest version that the quorum agreed on, where this one votes. The state is the truth: of
 // what was told under a number that it knows, nothing else is fetched.
-func (r *Replica) followState() {
+func (r *Replica) followQuorum() {
 	if !r.votes() {
 		return
 	}
@@ -144,22 +144,22 @@
 	if latest.Number == r.newest.Number && latest.Hash == r.newest.Hash {
 		r.newest = latest
 	}
-	if latest.Number == r.take.current.Number && latest.Hash == r.take.current.Hash {
-		r.take.current = latest
+	if latest.Number == r.application.current.Number && latest.Hash == r.application.current.Hash {
+		r.application.current = latest
 	}
 }
 
-// noticeDocument takes in that the document of the version aimed at is here.
-func (r *Replica) noticeDocument() {
+// adoptTarget takes in that the document of the version aimed at is here.
+func (r *Replica) adoptTarget() {
 	if r.target.Number <= r.newest.Number {
 		return
 	}
-	data := r.library.get(r.target.Hash)
+	data := r.documents.get(r.target.Hash)
 	if data == nil {
 		return
 	}
 	if len(data) != r.target.Size { // the hash is of another document than was told
-		r.counts.Conflicts++
+		r.counters.Conflicts++
 		r.abandon(nil)
 		return
 	}
@@ -177,10 +177,10 @@
 			return
 		}
 	}
-	r.abandoned = abandonment{summary: r.target.summary(), until: r.now + abandonedFor, sources: sources}
-	r.release(r.target.Hash, forTaking)
+	r.abandoned = abandonedVersion{summary: r.target.summary(), until: r.now + abandonTime, sources: sources}
+	r.releaseFetch(r.target.Hash, forApplication)
 	r.target = r.newest
-	if r.take.current.Number > r.target.Number {
-		r.target = r.take.current
+	if r.application.current.Number > r.target.Number {
+		r.target = r.application.current
 	}
 }
--- a/internal/core/fleet/config/spread_test.go
+++ b/internal/core/fleet/config/spread_test.go
@@ -19,7 +19,7 @@
 			began, most := f.bytesSent()
 			ref := f.put(f.all[50], randomDocument(c.size, 1), 0)
 			putAt := f.now
-			if o := f.outcome(f.all[50], ref); o.Result != Agreed || o.Version.Number != 1 {
+			if o := f.outcome(f.all[50], ref); o.Result != Committed || o.Version.Number != 1 {
 				t.Fatalf("%+v", o)
 			}
 			agreed := f.now - putAt
@@ -41,7 +41,7 @@
 	f.runFor(1000)
 	for _, size := range []int{0, MaxDocument + 1} {
 		ref := f.put(f.all[4], randomDocument(size, 1), 0)
-		if o, ok := f.all[4].outcomes[ref]; !ok || o.Result != Refused || o.Reason == "" {
+		if o, ok := f.all[4].outcomes[ref]; !ok || o.Result != Rejected || o.Reason == "" {
 			t.Errorf("%d bytes: %+v, %v", size, o, ok)
 		}
 	}
--- a/internal/core/fleet/config/state.go
+++ b/internal/core/fleet/config/state.go
@@ -71,7 +71,7 @@
 		return "the author's name is too long"
 	case len(v.Reason) > MaxReason:
 		return "the reason is too long"
-	case v.ID.Origin == "" || len(v.ID.Origin) > maxID:
+	case v.ID.Origin == "" || len(v.ID.Origin) > maxIDBytes:
 		return "the proposal names no origin"
 	}
 	return ""
--- a/internal/core/fleet/config/status.go
+++ b/internal/core/fleet/config/status.go
@@ -6,7 +6,7 @@
 // membership believes in and was heard lately of a member that is alive, else as not heard of.
 func (r *Replica) status() *Status {
 	r.mergeReport(r.reports.own, r.now)
-	s := &Status{Latest: r.env.State().Latest(), Counts: map[uint64]int{}, Since: r.now - r.ledSince}
+	s := &Status{Latest: r.env.State().Latest(), ByVersion: map[uint64]int{}, CollectedFor: r.now - r.leadsChangedAt}
 	for _, m := range r.env.Members() {
 		if m.State != members.Left {
 			s.Members++
@@ -18,33 +18,33 @@
 
 // countMember counts one member.
 func (r *Replica) countMember(s *Status, m members.Member) {
-	h := r.reports.heard[m.ID]
-	if h == nil || h.Run != m.Run || h.at < r.now-freshFor || m.State != members.Alive {
+	h := r.reports.known[m.ID]
+	if h == nil || h.Run != m.Run || h.heardAt < r.now-reportFreshTime || m.State != members.Alive {
 		c := ControllerReport{ID: m.ID, Run: m.Run, Age: -1}
 		if h != nil {
-			c.Run, c.Applied, c.Reason, c.Age = h.Run, h.Applied, h.Reason, r.now-h.at
+			c.Run, c.Applied, c.Reason, c.Age = h.Run, h.Applied, h.Reason, r.now-h.heardAt
 		}
-		s.list(&s.Unheard, c)
+		s.addTo(&s.Unreachable, c)
 		return
 	}
-	s.Counts[h.Applied]++
-	c := ControllerReport{ID: m.ID, Run: h.Run, Applied: h.Applied, Reason: h.Reason, Age: r.now - h.at}
+	s.ByVersion[h.Applied]++
+	c := ControllerReport{ID: m.ID, Run: h.Run, Applied: h.Applied, Reason: h.Reason, Age: r.now - h.heardAt}
 	switch {
 	case h.Applied == s.Latest.Number:
 		if s.Latest.Number > 0 {
 			s.InForce++
 		}
-	case h.Refused == s.Latest.Number:
-		s.list(&s.Refused, c)
+	case h.Rejected == s.Latest.Number:
+		s.addTo(&s.Rejected, c)
 	default:
-		s.list(&s.Behind, c)
+		s.addTo(&s.Behind, c)
 	}
 }
 
-// list adds a controller to a list that has room.
-func (s *Status) list(to *[]ControllerReport, c ControllerReport) {
+// addTo adds a controller to a addTo that has room.
+func (s *Status) addTo(to *[]ControllerReport, c ControllerReport) {
 	if len(*to) >= MaxListed {
-		s.More++
+		s.Omitted++
 		return
 	}
 	*to = append(*to, c)
--- a/internal/core/fleet/config/status_test.go
+++ b/internal/core/fleet/config/status_test.go
@@ -10,7 +10,7 @@
 
 func (f *fleet) status(t *testing.T, at *controller) *Status {
 	t.Helper()
-	a, ok := f.ask(at, AskStatus)
+	a, ok := f.ask(at, QueryStatus)
 	if !ok || a.Status == nil {
 		t.Fatalf("no status at %s", at.id)
 	}
@@ -31,14 +31,14 @@
 	}
 	t.Logf("the leader knows %.0f ms after it was in force at the last", took)
 	for _, at := range []*controller{f.all[0], f.all[1], f.all[99]} {
-		if s := f.status(t, at); s.InForce != 100 || s.Members != 100 || s.Counts[1] != 100 || s.Latest.Author != "operator" || len(s.Unheard) != 0 {
+		if s := f.status(t, at); s.InForce != 100 || s.Members != 100 || s.ByVersion[1] != 100 || s.Latest.Author != "operator" || len(s.Unreachable) != 0 {
 			t.Errorf("at %s: %+v", at.id, s)
 		}
 	}
-	if a, ok := f.ask(f.all[50], AskHistory); !ok || len(a.Versions) != 1 || a.Versions[0].Reason != "test" {
+	if a, ok := f.ask(f.all[50], QueryHistory); !ok || len(a.Versions) != 1 || a.Versions[0].Reason != "test" {
 		t.Errorf("history: %v, %+v", ok, a)
 	}
-	if a, ok := f.ask(f.all[50], AskLatest); !ok || a.Latest.Number != 1 || !a.Voting {
+	if a, ok := f.ask(f.all[50], QueryLatest); !ok || a.Latest.Number != 1 || !a.Voting {
 		t.Errorf("latest: %v, %+v", ok, a)
 	}
 }
@@ -56,7 +56,7 @@
 	gone.left = true
 	f.runFor(goneAfter + 1000)
 	s := f.status(t, f.all[5])
-	if s.Members != 19 || s.InForce != 18 || len(s.Unheard) != 1 || s.Unheard[0].ID != dead.id || s.Unheard[0].Age < goneAfter || s.Unheard[0].Applied != 1 {
+	if s.Members != 19 || s.InForce != 18 || len(s.Unreachable) != 1 || s.Unreachable[0].ID != dead.id || s.Unreachable[0].Age < goneAfter || s.Unreachable[0].Applied != 1 {
 		t.Errorf("%+v", s)
 	}
 	dead.folder = &folder{documents: map[Hash][]byte{}} // it comes back empty, and can't store
@@ -68,7 +68,7 @@
 			t.Fatalf("the run before counts: %+v", s)
 		}
 	}
-	if s := f.status(t, f.all[0]); len(s.Refused) != 1 || s.Refused[0].ID != dead.id {
+	if s := f.status(t, f.all[0]); len(s.Rejected) != 1 || s.Rejected[0].ID != dead.id {
 		t.Errorf("%+v", s)
 	}
 }
@@ -87,14 +87,14 @@
 	f.start(c)
 	f.runFor(aliveAfter + 100)
 	leader := f.all[0].replica
-	delete(leader.reports.heard, c.id) // as one that has just begun to lead
+	delete(leader.reports.known, c.id) // as one that has just begun to lead
 	leader.Receive(f.now, "n015", &Message{Reports: &Reports{Sequence: 1, List: []Report{{ID: c.id, Run: before, Sequence: 99, Applied: 1}}}})
 	if s := f.status(t, f.all[0]); s.InForce != 19 {
 		t.Errorf("%+v", s)
 	}
 	f.runFor(15000) // its own report is not overridden by the earlier run's
 	leader.Receive(f.now, "n015", &Message{Reports: &Reports{Sequence: 2, List: []Report{{ID: c.id, Run: before, Sequence: 100, Applied: 1}}}})
-	if s := f.status(t, f.all[0]); s.InForce != 19 || len(s.Refused) != 1 {
+	if s := f.status(t, f.all[0]); s.InForce != 19 || len(s.Rejected) != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -106,9 +106,9 @@
 	f.putAgreed(f.all[0], []byte("one"), 0)
 	f.everywhere(1, 5000)
 	f.cut(f.all[15:], 1)
-	f.runFor(freshFor + relayedFor)
+	f.runFor(reportFreshTime + relayedReportTime)
 	s := f.status(t, f.all[0])
-	if s.InForce != 15 || len(s.Unheard) != 5 || s.Unheard[0].Age < freshFor {
+	if s.InForce != 15 || len(s.Unreachable) != 5 || s.Unreachable[0].Age < reportFreshTime {
 		t.Errorf("%+v", s)
 	}
 	f.cut(f.all, 0)
@@ -128,13 +128,13 @@
 	f.onMessage = func(from, to *controller, m *Message) bool { return from != c || m.Reports == nil } // it is alive, and says nothing
 	f.runFor(5000)
 	report := Report{ID: c.id, Run: c.run, Sequence: c.replica.reports.own.Sequence, Applied: 1}
-	for _, age := range []float64{freshFor + 1, 1e12, 40000} {
+	for _, age := range []float64{reportFreshTime + 1, 1e12, 40000} {
 		report.Age = age
 		leader.Receive(f.now, "n003", &Message{Reports: &Reports{Sequence: 1, List: []Report{report}}})
 	}
-	f.runFor(freshFor)
+	f.runFor(reportFreshTime)
 	leader.Receive(f.now, "n003", &Message{Reports: &Reports{Sequence: 1, List: []Report{report}}})
-	if s := f.status(t, f.all[0]); s.InForce != 4 || len(s.Unheard) != 1 {
+	if s := f.status(t, f.all[0]); s.InForce != 4 || len(s.Unreachable) != 1 {
 		t.Errorf("old reports count as new ones: %+v", s)
 	}
 	report.Age = 0
@@ -151,10 +151,10 @@
 	x.replica.Take()
 	at := x.now
 	seen := 0
-	for x.now < at+3*reportEach {
+	for x.now < at+3*reportInterval {
 		x.now = x.replica.Next()
 		x.replica.Tick(x.now)
-		for _, s := range x.replica.Take().Sends {
+		for _, s := range x.replica.Take().Messages {
 			if s.Message.Reports == nil || s.To != "n1" {
 				continue
 			}
@@ -188,7 +188,7 @@
 	}
 	t.Logf("the next leader knows 99 after %.0f ms", took)
 	f.runFor(goneAfter)
-	if s := f.status(t, f.all[60]); s.InForce != 99 || s.Since <= 0 || s.Since > f.now {
+	if s := f.status(t, f.all[60]); s.InForce != 99 || s.CollectedFor <= 0 || s.CollectedFor > f.now {
 		t.Errorf("%+v", s)
 	}
 }
@@ -220,10 +220,10 @@
 	}
 	s := f.status(t, f.all[0])
 	sum := 0
-	for _, n := range s.Counts {
+	for _, n := range s.ByVersion {
 		sum += n
 	}
-	if s.Members != 20 || s.InForce != 20 || sum+len(s.Unheard) != 20 {
+	if s.Members != 20 || s.InForce != 20 || sum+len(s.Unreachable) != 20 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -237,8 +237,8 @@
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
 	f.runFor(5000)
-	if s := f.status(t, f.all[0]); len(s.Refused) != MaxListed || s.More != 147-MaxListed || s.InForce != 3 {
-		t.Errorf("%d refused, %d more, %d in force", len(s.Refused), s.More, s.InForce)
+	if s := f.status(t, f.all[0]); len(s.Rejected) != MaxListed || s.Omitted != 147-MaxListed || s.InForce != 3 {
+		t.Errorf("%d refused, %d more, %d in force", len(s.Rejected), s.Omitted, s.InForce)
 	}
 }
 
@@ -251,14 +251,14 @@
 		r.Receive(f.now, "n006", &Message{Reports: &Reports{Sequence: uint64(i), List: []Report{{ID: members.ID(fmt.Sprint("x", i)), Run: 1, Sequence: 1}}}})
 		r.Take()
 	}
-	if n := len(r.reports.heard); n > MaxReports {
+	if n := len(r.reports.known); n > MaxReports {
 		t.Errorf("%d reports", n)
 	}
 	if n := len(r.reports.batches); n > maxBatches {
 		t.Errorf("%d batches", n)
 	}
-	f.runFor(2*relayedFor + 2*reportEach)
-	if n := len(r.reports.heard); n > 8 {
+	f.runFor(2*relayedReportTime + 2*reportInterval)
+	if n := len(r.reports.known); n > 8 {
 		t.Errorf("%d reports after a while", n)
 	}
 }
@@ -272,7 +272,7 @@
 		relays := relaysOf(ids)
 		load := map[members.ID]int{}
 		for _, id := range ids {
-			load[highest(relays, id, len(relays))[0]]++
+			load[highestHashes(relays, id, len(relays))[0]]++
 		}
 		most := 0
 		for _, n := range load {
--- a/internal/core/fleet/config/take_test.go
+++ b/internal/core/fleet/config/take_test.go
@@ -90,12 +90,12 @@
 		for _, s := range []Summary{one.summary(), two.summary(), {Number: 2, Hash: HashOf([]byte("x")), Size: 1}, {Number: 2, Hash: two.Hash, Size: two.Size + 1},
 			{Number: 0, Hash: two.Hash, Size: 3}, {Number: 9, Hash: two.Hash}, {Number: 9, Hash: two.Hash, Size: -1}, {Number: 9, Hash: two.Hash, Size: MaxDocument + 1}} {
 			c.replica.Receive(f.now, "n003", &Message{Summary: &s})
-			if out := c.replica.Take(); len(out.Sends) != 0 || out.Store != nil || out.Apply != nil {
+			if out := c.replica.Take(); len(out.Messages) != 0 || out.Store != nil || out.Apply != nil {
 				t.Errorf("%s on %+v: %+v", c.id, s, out)
 			}
 		}
-		if c.replica.Counts().Conflicts != 2 || c.replica.Current().Number != 2 {
-			t.Errorf("%s: %+v", c.id, c.replica.Counts())
+		if c.replica.Counters().Conflicts != 2 || c.replica.Current().Number != 2 {
+			t.Errorf("%s: %+v", c.id, c.replica.Counters())
 		}
 	}
 }
@@ -207,8 +207,8 @@
 			t.Errorf("%s: version %d", c.id, c.replica.Current().Number)
 		}
 	}
-	a, ok := f.ask(f.all[30], AskStatus)
-	if !ok || a.Status.InForce != 54 || len(a.Status.Refused) != 6 || a.Status.Refused[0].Reason != errOld.Error() || a.Status.Refused[0].Applied != 1 {
+	a, ok := f.ask(f.all[30], QueryStatus)
+	if !ok || a.Status.InForce != 54 || len(a.Status.Rejected) != 6 || a.Status.Rejected[0].Reason != errOld.Error() || a.Status.Rejected[0].Applied != 1 {
 		t.Fatalf("%v, %+v", ok, a.Status)
 	}
 	c := f.all[9]
@@ -271,8 +271,8 @@
 	if forGood.replica.Current().Number != 1 || forGood.folder.current.Number != 1 {
 		t.Errorf("in force %d, at a start %d", forGood.replica.Current().Number, forGood.folder.current.Number)
 	}
-	a, ok := f.ask(f.all[5], AskStatus)
-	if !ok || len(a.Status.Refused) != 1 || a.Status.Refused[0].Reason != "needs a restart" {
+	a, ok := f.ask(f.all[5], QueryStatus)
+	if !ok || len(a.Status.Rejected) != 1 || a.Status.Rejected[0].Reason != "needs a restart" {
 		t.Errorf("%v: %+v", ok, a.Status)
 	}
 	forGood.applyErr = nil
@@ -305,16 +305,16 @@
 	if c.replica.Current().Number != 0 || c.replica.Readiness().Confirmed && c.replica.Readiness().Number != 0 {
 		t.Errorf("%+v", c.replica.Readiness())
 	}
-	a, ok := f.ask(f.all[5], AskStatus)
-	if !ok || len(a.Status.Refused) != 1 || a.Status.Refused[0].Reason != "not stored yet: "+errDisk.Error() || a.Status.InForce != 7 {
+	a, ok := f.ask(f.all[5], QueryStatus)
+	if !ok || len(a.Status.Rejected) != 1 || a.Status.Rejected[0].Reason != "not stored yet: "+errDisk.Error() || a.Status.InForce != 7 {
 		t.Errorf("%v: %+v", ok, a.Status)
 	}
 	c.replica.Receive(f.now, "n006", &Message{Fetch: &Fetch{Hash: v.Hash}})
-	if out := c.replica.Take(); len(out.Sends) != 1 || string(out.Sends[0].Message.Chunk.Data) != "one" {
-		t.Errorf("it does not hand it on: %+v", out.Sends)
+	if out := c.replica.Take(); len(out.Messages) != 1 || string(out.Messages[0].Message.Chunk.Data) != "one" {
+		t.Errorf("it does not hand it on: %+v", out.Messages)
 	}
 	c.diskFull = false
-	f.everywhere(1, storeRetryMost+1000)
+	f.everywhere(1, maxStoreRetry+1000)
 }
 
 // A source that sends corrupt bytes is found out and left alone; the document comes from another.
@@ -329,7 +329,7 @@
 		f.everywhere(1, 19000)
 		corrupt := int64(0)
 		for _, c := range f.all {
-			corrupt += c.replica.Counts().Corrupt
+			corrupt += c.replica.Counters().Corrupt
 		}
 		if corrupt == 0 {
 			t.Errorf("seed %d: nobody met a corrupt chunk", seed)
@@ -350,14 +350,14 @@
 	for _, n := range f.all {
 		n.delay = 20
 	}
-	f.runUntil(8000, func() bool { d := c.replica.findDownload(HashOf(data)); return d != nil && d.have >= 10 })
+	f.runUntil(8000, func() bool { d := c.replica.findDownload(HashOf(data)); return d != nil && d.received >= 10 })
 	source := f.byID[c.replica.findDownload(HashOf(data)).source]
 	f.kill(source)
 	if f.leader == "" {
 		f.setLeader(f.all[1].id)
 	}
 	f.everywhere(1, 8000)
-	if got := c.replica.Counts().FetchedBytes; got != MaxDocument {
+	if got := c.replica.Counters().FetchedBytes; got != MaxDocument {
 		t.Errorf("%d bytes were fetched", got)
 	}
 }
@@ -384,16 +384,16 @@
 	v := f.putAgreed(f.all[0], []byte("one"), 0)
 	voter := f.all[2]
 	f.runUntil(1000, func() bool { return voter.learnt == 1 })
-	fresh := New(Facts{Self: voter.id, Run: 77, Seed: 1}, voter, Kept{}, f.now) // it knows the state and no document yet
+	fresh := New(Options{Self: voter.id, Run: 77, Seed: 1}, voter, StoredState{}, f.now) // it knows the state and no document yet
 	fresh.Take()
 	fresh.Receive(f.now, "n007", &Message{Summary: &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}})
-	for _, s := range fresh.Take().Sends {
+	for _, s := range fresh.Take().Messages {
 		if s.Message.Fetch != nil && s.Message.Fetch.Hash != v.Hash {
 			t.Errorf("it fetches %v", s.Message.Fetch)
 		}
 	}
-	if fresh.Counts().Conflicts != 1 {
-		t.Errorf("%+v", fresh.Counts())
+	if fresh.Counters().Conflicts != 1 {
+		t.Errorf("%+v", fresh.Counters())
 	}
 }
 
@@ -444,7 +444,7 @@
 		f := newFleet(t, 5, 30, 5)
 		f.lossRate = 0.05
 		f.onMessage = func(from, to *controller, m *Message) bool {
-			sum = sum*31 + rate(from.id, to.id) + uint64(f.now*1000)
+			sum = sum*31 + mixedHash(from.id, to.id) + uint64(f.now*1000)
 			return true
 		}
 		f.runFor(1000)
--- a/internal/core/fleet/config/unit_test.go
+++ b/internal/core/fleet/config/unit_test.go
@@ -11,7 +11,7 @@
 
 // fetches are the documents that are asked for.
 func fetches(out Output) (hashes []Hash) {
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if s.Message.Fetch != nil {
 			hashes = append(hashes, s.Message.Fetch.Hash)
 		}
@@ -54,7 +54,7 @@
 	forged := chunkOf("second")
 	forged.Data = []byte("sEcond")
 	x.replica.Receive(0, "n3", &Message{Chunk: forged})
-	if d := x.replica.findDownload(HashOf([]byte("second"))); d == nil || d.have != 0 || x.replica.Counts().Corrupt != 0 {
+	if d := x.replica.findDownload(HashOf([]byte("second"))); d == nil || d.received != 0 || x.replica.Counters().Corrupt != 0 {
 		t.Fatal("a chunk of one that was not asked is taken")
 	}
 	x.replica.Receive(0, "n1", &Message{Chunk: chunkOf("second")})
@@ -62,12 +62,12 @@
 	if out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 2 || out.Apply != nil {
 		t.Fatalf("%+v", out)
 	}
-	if x.replica.Summary().Number != 1 || len(out.Sends) != 0 {
-		t.Errorf("others hear of it before it is stored: %+v", out.Sends)
+	if x.replica.Summary().Number != 1 || len(out.Messages) != 0 {
+		t.Errorf("others hear of it before it is stored: %+v", out.Messages)
 	}
 	x.replica.Stored(1, nil)
 	out = x.replica.Take()
-	if x.replica.Summary().Number != 2 || out.Apply == nil || out.Apply.Version.Number != 2 || len(out.Sends) == 0 {
+	if x.replica.Summary().Number != 2 || out.Apply == nil || out.Apply.Version.Number != 2 || len(out.Messages) == 0 {
 		t.Errorf("after it was stored: %+v", out)
 	}
 }
@@ -82,9 +82,9 @@
 	if got := fetches(x.replica.Take()); len(got) != 0 {
 		t.Errorf("it fetches %v", got)
 	}
-	x.replica.Agreed(0)
-	if got := fetches(x.replica.Take()); len(got) != 1 || got[0] != real.Hash || x.replica.Counts().Conflicts != 1 {
-		t.Errorf("%v, %+v", got, x.replica.Counts())
+	x.replica.QuorumChanged(0)
+	if got := fetches(x.replica.Take()); len(got) != 1 || got[0] != real.Hash || x.replica.Counters().Conflicts != 1 {
+		t.Errorf("%v, %+v", got, x.replica.Counters())
 	}
 }
 
@@ -93,8 +93,8 @@
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one)}
 	x := &target{env: e, applied: 1, now: removeAfter + 1}
-	x.replica = New(Facts{Self: e.self, Run: 5, Seed: 1}, e,
-		Kept{Current: v, Documents: map[Hash][]byte{v.Hash: one, HashOf([]byte(surplus)): []byte(surplus)}}, 0)
+	x.replica = New(Options{Self: e.self, Run: 5, Seed: 1}, e,
+		StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one, HashOf([]byte(surplus)): []byte(surplus)}}, 0)
 	x.replica.Tick(x.now)
 	x.replica.Take()
 	return x
@@ -128,8 +128,8 @@
 	}
 	hold := &Message{Hold: &HoldRequest{Hash: HashOf([]byte("surplus")), Size: len("surplus")}}
 	x.replica.Receive(x.now, "n1", hold)
-	for _, s := range x.replica.Take().Sends {
-		if s.Message.Held != nil {
+	for _, s := range x.replica.Take().Messages {
+		if s.Message.HoldReply != nil {
 			t.Error("it tells that it holds what it removes")
 		}
 	}
@@ -141,8 +141,8 @@
 	}
 	x.replica.Stored(x.now, nil)
 	held := false
-	for _, s := range x.replica.Take().Sends {
-		held = held || s.To == "n1" && s.Message.Held != nil
+	for _, s := range x.replica.Take().Messages {
+		held = held || s.To == "n1" && s.Message.HoldReply != nil
 	}
 	if !held {
 		t.Error("it does not tell that it holds it")
@@ -169,7 +169,7 @@
 		t.Errorf("a voter that does not vote: %+v", request)
 	}
 	x := withSurplus(&lonely{self: "n4"}, "surplus")
-	x.replica.began = x.now - removeAfter + 100
+	x.replica.startedAt = x.now - removeAfter + 100
 	if request := x.getSecond(t); request == nil || len(request.Remove) != 0 {
 		t.Errorf("right after its start: %+v", request)
 	}
@@ -183,14 +183,14 @@
 	for x.now < 8000 {
 		x.now = x.replica.Next()
 		x.replica.Tick(x.now)
-		for _, s := range x.replica.Take().Sends {
+		for _, s := range x.replica.Take().Messages {
 			if s.Message.Reports != nil && s.Message.Reports.List[0].ID == "n4" {
 				asked = append(asked, s.To)
-				x.replica.Receive(x.now, "n9", &Message{Reported: &ReportsReply{Sequence: s.Message.Reports.Sequence}})
+				x.replica.Receive(x.now, "n9", &Message{ReportsReply: &ReportsReply{Sequence: s.Message.Reports.Sequence}})
 			}
 		}
 	}
-	relays := x.replica.ownRelays()
+	relays := x.replica.relaysInOrder()
 	if len(relays) != 3 || len(asked) < 2 || asked[0] == asked[1] {
 		t.Errorf("relays %v, asked %v", relays, asked)
 	}
@@ -205,24 +205,24 @@
 	corrupt := chunkOf("second")
 	corrupt.Data = []byte("sEcond")
 	x.replica.Receive(x.now, "n3", &Message{Chunk: corrupt})
-	if x.replica.Counts().Corrupt != 1 {
-		t.Fatalf("%+v", x.replica.Counts())
+	if x.replica.Counters().Corrupt != 1 {
+		t.Fatalf("%+v", x.replica.Counters())
 	}
-	for _, s := range x.replica.Take().Sends {
+	for _, s := range x.replica.Take().Messages {
 		if s.To == "n3" && s.Message.Fetch != nil {
 			t.Error("it is asked again")
 		}
 	}
 	asked := func(number uint64, text string) bool {
 		x.replica.Receive(x.now, "n3", &Message{Summary: summaryOf(number, text)})
-		for _, s := range x.replica.Take().Sends {
+		for _, s := range x.replica.Take().Messages {
 			if s.To == "n3" && s.Message.Fetch != nil {
 				return true
 			}
 		}
 		return false
 	}
-	x.now += avoidFor - 1
+	x.now += avoidTime - 1
 	if asked(3, "third") {
 		t.Error("it is asked for another document")
 	}
@@ -254,9 +254,9 @@
 	p := proposal(2, 7, "third")
 	p.Version.ID.Origin = "n3"
 	reply := func() *ProposeReply {
-		for _, s := range x.replica.Take().Sends {
-			if s.Message.Proposed != nil {
-				return s.Message.Proposed
+		for _, s := range x.replica.Take().Messages {
+			if s.Message.ProposeReply != nil {
+				return s.Message.ProposeReply
 			}
 		}
 		return nil
@@ -265,7 +265,7 @@
 	x.replica.Tick(x.now)
 	x.env.leads = true
 	x.replica.Receive(x.now, "n3", &Message{Propose: &ProposeRequest{Proposal: p}})
-	for x.now < catchUp-600 {
+	for x.now < catchUpTime-600 {
 		x.now += 500
 		x.replica.Tick(x.now)
 		if got := reply(); got != nil {
@@ -275,8 +275,8 @@
 	second := proposal(1, 6, "second")
 	x.env.state.Apply(second)
 	x.env.state.Apply(p)
-	x.replica.Agreed(x.now)
-	if got := reply(); got == nil || got.Result != Agreed || got.Version.Number != 3 {
+	x.replica.QuorumChanged(x.now)
+	if got := reply(); got == nil || got.Result != Committed || got.Version.Number != 3 {
 		t.Errorf("when it knows: %+v", got)
 	}
 }
@@ -285,15 +285,15 @@
 func TestKeptCorruptDocument(t *testing.T) {
 	one, two := HashOf([]byte("one")), HashOf([]byte("two"))
 	e := &lonely{self: "n4"}
-	r := New(Facts{Self: "n4", Run: 5, Seed: 1}, e, Kept{Current: Version{Number: 1, Hash: one, Size: 3},
+	r := New(Options{Self: "n4", Run: 5, Seed: 1}, e, StoredState{Current: Version{Number: 1, Hash: one, Size: 3},
 		Documents: map[Hash][]byte{one: []byte("one"), two: []byte("tw0")}}, 0)
 	r.Receive(0, "n3", &Message{Fetch: &Fetch{Hash: two}})
-	for _, s := range r.Take().Sends {
+	for _, s := range r.Take().Messages {
 		if s.Message.Chunk != nil && !s.Message.Chunk.Missing {
 			t.Errorf("it hands on %q", s.Message.Chunk.Data)
 		}
 	}
-	r = New(Facts{Self: "n4", Run: 5, Seed: 1}, e, Kept{Current: Version{Number: 1, Hash: one, Size: 3},
+	r = New(Options{Self: "n4", Run: 5, Seed: 1}, e, StoredState{Current: Version{Number: 1, Hash: one, Size: 3},
 		Documents: map[Hash][]byte{one: []byte("0ne")}}, 0)
 	if r.Summary() != nil || r.Current().Number != 1 {
 		t.Errorf("it tells %+v", r.Summary())
@@ -309,18 +309,18 @@
 	x := plainTarget()
 	x.replica.Take()
 	x.replica.Receive(x.now, "n3", &Message{Summary: &Summary{Number: 2, Hash: HashOf([]byte("one")), Size: 99}})
-	if out := x.replica.Take(); out.Store != nil || x.replica.Counts().Conflicts != 1 || x.replica.target.Number != 1 {
-		t.Errorf("%+v, %+v", out.Store, x.replica.Counts())
+	if out := x.replica.Take(); out.Store != nil || x.replica.Counters().Conflicts != 1 || x.replica.target.Number != 1 {
+		t.Errorf("%+v, %+v", out.Store, x.replica.Counters())
 	}
 	x = newTargets()[0]
 	x.replica.Take()
 	p := proposal(1, 7, "one")
 	p.Version.ID.Origin, p.Version.Size = "n3", 99
-	x.replica.queue = nil // what this one proposed itself
+	x.replica.candidates = nil // what this one proposed itself
 	x.replica.Receive(x.now, "n3", &Message{Propose: &ProposeRequest{Proposal: p}})
 	refused := false
-	for _, s := range x.replica.Take().Sends {
-		refused = refused || s.To == "n3" && s.Message.Proposed != nil && s.Message.Proposed.Result == Refused
+	for _, s := range x.replica.Take().Messages {
+		refused = refused || s.To == "n3" && s.Message.ProposeReply != nil && s.Message.ProposeReply.Result == Rejected
 	}
 	if !refused {
 		t.Error("a proposal with a wrong size is worked on")
@@ -333,12 +333,12 @@
 	x := newTargets()[1]
 	x.replica.Take()
 	x.env.late = true
-	x.replica.Ask(x.now, 50, AskStatus)
+	x.replica.Query(x.now, 50, QueryStatus)
 	x.replica.Propose(x.now, 51, []byte("second"), 1, Version{})
 	for x.now < 1500 {
 		x.now += 100
 		x.replica.Tick(x.now)
-		if out := x.replica.Take(); len(out.Answers) != 0 || len(out.Outcomes) != 0 || len(x.replica.queue) != 0 {
+		if out := x.replica.Take(); len(out.QueryResults) != 0 || len(out.ProposalResults) != 0 || len(x.replica.candidates) != 0 {
 			t.Fatalf("after %.0f ms: %+v", x.now, out)
 		}
 	}
@@ -347,12 +347,12 @@
 	for x.now < 2200 {
 		x.now += 100
 		x.replica.Tick(x.now)
-		for _, a := range x.replica.Take().Answers {
+		for _, a := range x.replica.Take().QueryResults {
 			answered = answered || a.Ref == 50 && a.Answer.Status != nil
 		}
 	}
-	if !answered || len(x.replica.queue) == 0 {
-		t.Errorf("answered %v, %d proposals", answered, len(x.replica.queue))
+	if !answered || len(x.replica.candidates) == 0 {
+		t.Errorf("answered %v, %d proposals", answered, len(x.replica.candidates))
 	}
 }
 
--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -22,7 +22,7 @@
 
 // FleetConfig is what a node is given at its start if the fleet agrees on configuration.
 type FleetConfig struct {
-	Stored config.Kept // what the folder holds
+	Stored config.StoredState // what the folder holds
 }
 
 // quorumConfig returns the configuration of the node's replica in the quorum.
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -128,29 +128,29 @@
 	check("summary", summary, config.Message{Summary: summary})
 	fetch := &config.Fetch{Hash: sentHash(), Offset: 32768}
 	check("fetch", fetch, config.Message{Fetch: fetch})
-	chunk := &config.Chunk{Hash: sentHash(), Offset: 32768, Total: 65536, Data: []byte{1, 2}, Missing: true, About: &version}
+	chunk := &config.Chunk{Hash: sentHash(), Offset: 32768, Total: 65536, Data: []byte{1, 2}, Missing: true, Version: &version}
 	check("chunk", chunk, config.Message{Chunk: chunk})
 	propose := &config.ProposeRequest{Proposal: config.Proposal{Expect: 6, Version: version}}
 	check("propose", propose, config.Message{Propose: propose})
-	proposed := &config.ProposeReply{ID: sentProposalID(), Result: config.Refused, Version: version, Reason: "not used"}
-	check("proposed", proposed, config.Message{Proposed: proposed})
-	hold := &config.HoldRequest{Hash: sentHash(), Size: 1234, About: &version}
+	proposed := &config.ProposeReply{ID: sentProposalID(), Result: config.Rejected, Version: version, Reason: "not used"}
+	check("proposed", proposed, config.Message{ProposeReply: proposed})
+	hold := &config.HoldRequest{Hash: sentHash(), Size: 1234, Version: &version}
 	check("hold", hold, config.Message{Hold: hold})
 	held := &config.HoldReply{Hash: sentHash()}
-	check("held", held, config.Message{Held: held})
-	reports := &config.Reports{Sequence: 71, List: []config.Report{{ID: "n4", Run: 31, Sequence: 72, Applied: 6, Refused: 7,
+	check("held", held, config.Message{HoldReply: held})
+	reports := &config.Reports{Sequence: 71, List: []config.Report{{ID: "n4", Run: 31, Sequence: 72, Applied: 6, Rejected: 7,
 		Reason: "no space left", Age: 250.5}}}
 	check("reports", reports, config.Message{Reports: reports})
 	reported := &config.ReportsReply{Sequence: 71, Leader: "n1"}
-	check("reported", reported, config.Message{Reported: reported})
-	query := &config.Query{Ref: 81, Kind: config.AskHistory}
+	check("reported", reported, config.Message{ReportsReply: reported})
+	query := &config.Query{Ref: 81, Kind: config.QueryHistory}
 	check("query", query, config.Message{Query: query})
 	answer := &config.Answer{Ref: 81, Voting: true, Leads: true, Leader: "n1", Latest: *summary,
 		Status: &config.Status{Latest: version, Members: 9, InForce: 8,
-			Counts:  map[uint64]int{7: 8}, // one entry: the encoding of a map has no order
-			Refused: []config.ControllerReport{sentControllerReport()},
-			Behind:  []config.ControllerReport{sentControllerReport()},
-			Unheard: []config.ControllerReport{sentControllerReport()}, More: 2, Since: 60_000.5},
+			ByVersion:   map[uint64]int{7: 8}, // one entry: the encoding of a map has no order
+			Rejected:    []config.ControllerReport{sentControllerReport()},
+			Behind:      []config.ControllerReport{sentControllerReport()},
+			Unreachable: []config.ControllerReport{sentControllerReport()}, Omitted: 2, CollectedFor: 60_000.5},
 		Versions: []config.Version{version}}
 	check("answer", answer, config.Message{Answer: answer})
 }
@@ -174,10 +174,10 @@
 		{"nack", int(members.Nack), 4}, {"sync", int(members.Sync), 5},
 		{"alive", int(members.Alive), 0}, {"suspect", int(members.Suspect), 1}, {"gone", int(members.Dead), 2},
 		{"left", int(members.Left), 3},
-		{"unknown", int(config.Unknown), 0}, {"agreed", int(config.Agreed), 1}, {"lost", int(config.Lost), 2},
-		{"refused", int(config.Refused), 3},
-		{"ask latest", int(config.AskLatest), 1}, {"ask status", int(config.AskStatus), 2},
-		{"ask history", int(config.AskHistory), 3},
+		{"unknown", int(config.Unknown), 0}, {"agreed", int(config.Committed), 1}, {"lost", int(config.Conflict), 2},
+		{"refused", int(config.Rejected), 3},
+		{"ask latest", int(config.QueryLatest), 1}, {"ask status", int(config.QueryStatus), 2},
+		{"ask history", int(config.QueryHistory), 3},
 	} {
 		if c.number != c.was {
 			t.Errorf("%s is sent as %d, and was as %d", c.name, c.number, c.was)
--- a/internal/core/fleet/node/fleetconfig.go
+++ b/internal/core/fleet/node/fleetconfig.go
@@ -59,7 +59,7 @@
 	if n.cfg.FleetConfig == nil {
 		return
 	}
-	facts := config.Facts{Self: n.cfg.Self.ID, Run: n.cfg.Self.Run, Seed: n.cfg.Seed + 3}
+	facts := config.Options{Self: n.cfg.Self.ID, Run: n.cfg.Self.Run, Seed: n.cfg.Seed + 3}
 	n.config = config.New(facts, configEnvironment{n}, n.cfg.FleetConfig.Stored, n.now)
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	n.lastQuorumState = state
-	n.config.Agreed(n.now)
+	n.config.QuorumChanged(n.now)
 }
 
 // processConfig lets the replica do what is due. Its messages to itself are delivered at once.
@@ -121,7 +121,7 @@
 // collectConfig adds an output of the replica to the node's, and returns the messages that it sends
 // to itself.
 func (n *Node) collectConfig(out config.Output) (local []config.Message) {
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if s.To == n.cfg.Self.ID {
 			local = append(local, s.Message)
 			continue
@@ -137,8 +137,8 @@
 	if out.Apply != nil {
 		n.out.Config.Apply = out.Apply
 	}
-	n.out.Config.Outcomes = append(n.out.Config.Outcomes, out.Outcomes...)
-	n.out.Config.Answers = append(n.out.Config.Answers, out.Answers...)
-	n.out.Config.Documents = append(n.out.Config.Documents, out.Documents...)
+	n.out.Config.ProposalResults = append(n.out.Config.ProposalResults, out.ProposalResults...)
+	n.out.Config.QueryResults = append(n.out.Config.QueryResults, out.QueryResults...)
+	n.out.Config.DocumentResults = append(n.out.Config.DocumentResults, out.DocumentResults...)
 	return local
 }
--- a/internal/fleet/configcontrol.go
+++ b/internal/fleet/configcontrol.go
@@ -148,11 +148,11 @@
 
 func resultName(r config.Result) string {
 	switch r {
-	case config.Agreed:
+	case config.Committed:
 		return ConfigAgreed
-	case config.Lost:
+	case config.Conflict:
 		return ConfigLost
-	case config.Refused:
+	case config.Rejected:
 		return ConfigRefused
 	default:
 		return ConfigUnknown
@@ -161,7 +161,7 @@
 
 // configStatus asks the leader where versions are in force.
 func (s *Service) configStatus() (ConfigAnswer, error) {
-	reply, err := s.queryConfig(config.AskStatus)
+	reply, err := s.queryConfig(config.QueryStatus)
 	if err != nil {
 		return ConfigAnswer{}, err
 	}
@@ -170,15 +170,15 @@
 
 // configHistory asks the leader for the versions that the quorum remembers, oldest first.
 func (s *Service) configHistory() (ConfigAnswer, error) {
-	reply, err := s.queryConfig(config.AskHistory)
+	reply, err := s.queryConfig(config.QueryHistory)
 	if err != nil {
 		return ConfigAnswer{}, err
 	}
 	return ConfigAnswer{Versions: reply.Answer.Versions, From: string(reply.From)}, nil
 }
 
-func (s *Service) queryConfig(kind config.QueryKind) (*config.QueryOutcome, error) {
-	reply, err := s.requestConfig(configQueryTime, func(now float64, ref uint64, r *config.Replica) { r.Ask(now, ref, kind) })
+func (s *Service) queryConfig(kind config.QueryKind) (*config.QueryResult, error) {
+	reply, err := s.requestConfig(configQueryTime, func(now float64, ref uint64, r *config.Replica) { r.Query(now, ref, kind) })
 	if errors.Is(err, errUnanswered) {
 		err = errNoLeader
 	}
--- a/internal/fleet/configcontrol_test.go
+++ b/internal/fleet/configcontrol_test.go
@@ -29,7 +29,7 @@
 		f.inForce(v, document, all...)
 	}
 	f.statusIs(4, "in force at all", func(s *config.Status) bool {
-		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.Counts[3] == 5
+		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.ByVersion[3] == 5
 	})
 	for bytes, want := range map[int]string{config.MaxDocument + 1: tooBig(config.MaxDocument + 1), 0: "the document is empty"} {
 		order := ConfigOrder{Action: ConfigPut, Document: make([]byte, bytes)}
--- a/internal/fleet/configservice.go
+++ b/internal/fleet/configservice.go
@@ -39,7 +39,7 @@
 	applying chan struct{}                  // holds one while host.Apply is called
 	applied  atomic.Pointer[appliedVersion] // what host.Apply took last; nil: nothing yet
 	local    atomic.Pointer[config.Readiness]
-	counts   atomic.Pointer[config.Counts]
+	counts   atomic.Pointer[config.Counters]
 	ref      atomic.Uint64 // of the last request to the replica
 
 	stored, storeFailed, damaged atomic.Int64
@@ -142,7 +142,7 @@
 
 // logValue prints the counts.
 func (c *configuration) logValue() slog.Value {
-	local, counts := c.readiness(), config.Counts{}
+	local, counts := c.readiness(), config.Counters{}
 	if last := c.counts.Load(); last != nil {
 		counts = *last
 	}
@@ -151,7 +151,7 @@
 		slog.Uint64("latest", local.Latest),
 		slog.Bool("confirmed", local.Confirmed),
 		slog.Int64("applied", counts.Applied),
-		slog.Int64("refused", counts.Refused),
+		slog.Int64("refused", counts.Rejected),
 		slog.Int64("conflicts", counts.Conflicts),
 		slog.Int64("corrupt", counts.Corrupt),
 		slog.Int64("fetched_bytes", counts.FetchedBytes),
@@ -218,9 +218,9 @@
 
 // configReply is the replica's answer to a request; one of its fields is set.
 type configReply struct {
-	outcome  *config.Outcome
-	answer   *config.QueryOutcome
-	document *config.DocumentOutcome
+	outcome  *config.ProposalResult
+	answer   *config.QueryResult
+	document *config.DocumentResult
 	err      error
 }
 
@@ -315,8 +315,8 @@
 
 // keptConfig is what the replica begins with: what is in force here, which an earlier session may have applied after its
 // folder failed. Versions of another generation do not count.
-func (in *session) keptConfig(contents configContents) (config.Kept, error) {
-	kept := config.Kept{Documents: contents.documents}
+func (in *session) keptConfig(contents configContents) (config.StoredState, error) {
+	kept := config.StoredState{Documents: contents.documents}
 	inForce := in.Service.config.applied.Load()
 	if inForce == nil || inForce.generation != in.block.Generation {
 		return kept, nil
@@ -385,13 +385,13 @@
 	if out.Apply != nil {
 		in.applyConfig(out.Apply)
 	}
-	for _, o := range out.Outcomes {
+	for _, o := range out.ProposalResults {
 		in.replyConfig(o.Ref, configReply{outcome: &o})
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.QueryResults {
 		in.replyConfig(a.Ref, configReply{answer: &a})
 	}
-	for _, d := range out.Documents {
+	for _, d := range out.DocumentResults {
 		in.replyConfig(d.Ref, configReply{document: &d})
 	}
 }
@@ -451,7 +451,7 @@
 		return
 	}
 	in.core.WithConfig(in.now(), func(r *config.Replica) {
-		local, counts := r.Readiness(), r.Counts()
+		local, counts := r.Readiness(), r.Counters()
 		c.local.Store(&local)
 		c.counts.Store(&counts)
 		in.logRefused(r)
@@ -465,7 +465,7 @@
 
 // logRefused tells of a version that can't be used here, once.
 func (in *session) logRefused(r *config.Replica) {
-	v, reason := r.Refused()
+	v, reason := r.Rejected()
 	if v.Number == in.config.refused.Number && v.Hash == in.config.refused.Hash {
 		return
 	}
--- a/internal/fleet/configservice_test.go
+++ b/internal/fleet/configservice_test.go
@@ -46,8 +46,8 @@
 			bad := f.put(0, []byte("bad"))
 			f.inForce(bad, []byte("bad"), 0, 1, 2)
 			f.statusIs(1, "refused at one", func(s *config.Status) bool {
-				return s.InForce == 3 && len(s.Refused) == 1 && s.Refused[0].ID == "n3" && s.Refused[0].Applied == before.Number &&
-					strings.Contains(s.Refused[0].Reason, "can't use this")
+				return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == before.Number &&
+					strings.Contains(s.Rejected[0].Reason, "can't use this")
 			})
 			if !f.hosts[3].uses(before.Number, []byte("good")) {
 				t.Error("the version before is not in force")
@@ -133,7 +133,7 @@
 	f.hosts[3] = &fakeHost{apply: func(_ config.Version, d []byte) error { return refuse(d, errors.New("can't use this")) }}
 	f.start(3)
 	f.statusIs(0, "refused at one", func(s *config.Status) bool {
-		return s.InForce == 3 && len(s.Refused) == 1 && s.Refused[0].ID == "n3" && s.Refused[0].Applied == 0
+		return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == 0
 	})
 	if local := f.services[3].ConfigLocal(); local.Number != 0 {
 		t.Errorf("it tells %+v", local)
@@ -301,7 +301,7 @@
 	}
 	forged := config.Summary{Number: 99, Hash: config.HashOf([]byte("forged")), Size: 6}
 	payload, err := cbor.Marshal(node.Message{Config: &config.Message{Summary: &forged,
-		Proposed: &config.ProposeReply{Result: config.Agreed, Version: config.Version{Number: 99, Hash: forged.Hash, Size: 6}}}})
+		ProposeReply: &config.ProposeReply{Result: config.Committed, Version: config.Version{Number: 99, Hash: forged.Hash, Size: 6}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/configstore_test.go
+++ b/internal/fleet/configstore_test.go
@@ -95,7 +95,7 @@
 	two := f.put(0, []byte("two"))
 	f.inForce(two, []byte("two"), 0, 1, 2)
 	f.statusIs(0, "not stored at one", func(s *config.Status) bool {
-		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Refused), func(r config.ControllerReport) bool {
+		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Rejected), func(r config.ControllerReport) bool {
 			return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
 		})
 	})
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -188,9 +188,9 @@
 	report := config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
 	return &ConfigAnswer{Result: ConfigLost, Reason: "another was first", Version: &version,
 		Local: config.Readiness{Confirmed: true, Number: 6, Latest: 7},
-		Status: &config.Status{Latest: version, Members: 9, InForce: 8, Counts: map[uint64]int{6: 1, 7: 8},
-			Refused: []config.ControllerReport{report}, Behind: []config.ControllerReport{report},
-			Unheard: []config.ControllerReport{report}, More: 2, Since: 60_000.5},
+		Status: &config.Status{Latest: version, Members: 9, InForce: 8, ByVersion: map[uint64]int{6: 1, 7: 8},
+			Rejected: []config.ControllerReport{report}, Behind: []config.ControllerReport{report},
+			Unreachable: []config.ControllerReport{report}, Omitted: 2, CollectedFor: 60_000.5},
 		From: "n1", Versions: []config.Version{version}, Document: document}
 }
 
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -64,7 +64,7 @@
 	rollback  uint64 // the version to go back to, whose document is asked for
 	expect    uint64
 	status    func(config.Answer)
-	concluded func(config.Outcome) // nil: nobody but the checker is told
+	concluded func(config.ProposalResult) // nil: nobody but the checker is told
 }
 
 // configWorld is what a world has for the fleet's configuration.
@@ -131,7 +131,7 @@
 	}
 	m.config.inForce = disk.current
 	m.config.pending = map[uint64]configPending{}
-	return &node.FleetConfig{Stored: config.Kept{Current: disk.current, Documents: maps.Clone(disk.documents)}}
+	return &node.FleetConfig{Stored: config.StoredState{Current: disk.current, Documents: maps.Clone(disk.documents)}}
 }
 
 // olderDisk is the latest copy with a lower version than the folder's.
@@ -183,10 +183,10 @@
 	if out.Apply != nil {
 		w.applyConfig(m, m.run, out.Apply)
 	}
-	for _, o := range out.Outcomes {
+	for _, o := range out.ProposalResults {
 		w.concludeConfig(m, o)
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.QueryResults {
 		if asked, ok := m.config.pending[a.Ref]; ok && asked.status != nil {
 			delete(m.config.pending, a.Ref)
 			if a.From == m.id && a.Answer.Status != nil { // made here, now
@@ -195,7 +195,7 @@
 			asked.status(a.Answer)
 		}
 	}
-	for _, d := range out.Documents {
+	for _, d := range out.DocumentResults {
 		if asked, ok := m.config.pending[d.Ref]; ok && asked.rollback > 0 {
 			delete(m.config.pending, d.Ref)
 			w.rollBackTo(m, asked, d.Document)
@@ -362,7 +362,7 @@
 		}
 		message := old.message
 		if from.run != old.run {
-			message.Held = nil // what a run of before promised of its folder is bound to its connection
+			message.HoldReply = nil // what a run of before promised of its folder is bound to its connection
 		}
 		w.deliver(target, func() { target.core.Receive(w.local(target), from.id, &node.Message{Config: &message}) })
 	}
@@ -418,18 +418,18 @@
 	})
 }
 
-func (w *World) concludeConfig(m *machine, o config.Outcome) {
+func (w *World) concludeConfig(m *machine, o config.ProposalResult) {
 	asked, ok := m.config.pending[o.Ref]
 	if !ok || asked.reason == "" {
 		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s tells the outcome of %d, which was not asked, or twice", w.now, m.id, o.Ref)
 		return
 	}
 	delete(m.config.pending, o.Ref)
-	if w.plan.Mutant == "tell agreed" && o.Result == config.Lost {
-		o.Result = config.Agreed
+	if w.plan.Mutant == "tell agreed" && o.Result == config.Conflict {
+		o.Result = config.Committed
 	}
-	if w.plan.Mutant == "tell lost" && o.Result == config.Agreed {
-		o.Result = config.Lost
+	if w.plan.Mutant == "tell lost" && o.Result == config.Committed {
+		o.Result = config.Conflict
 	}
 	w.trace("n%d tells that %s is %s: version %d, %s", m.number, asked.reason, resultNames[o.Result], o.Version.Number, o.Reason)
 	w.config.checker.Concluded(w.now, asked.reason, o)
@@ -481,7 +481,7 @@
 		m.config.refs++
 		ref := m.config.refs
 		m.config.pending[ref] = configPending{status: answered}
-		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Ask(w.local(m), ref, config.AskStatus) })
+		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Query(w.local(m), ref, config.QueryStatus) })
 	})
 }
 
--- a/internal/lab/fleet/configuration/checker.go
+++ b/internal/lab/fleet/configuration/checker.go
@@ -154,7 +154,7 @@
 }
 
 // Concluded takes in what the operator was told of a proposal.
-func (c *Checker) Concluded(now float64, reason string, o config.Outcome) {
+func (c *Checker) Concluded(now float64, reason string, o config.ProposalResult) {
 	told := c.verdicts[reason]
 	if told == nil {
 		c.fail(now, "an outcome of %q, which nobody proposed", reason)
@@ -165,12 +165,12 @@
 	}
 	told.concluded, told.result, told.number = true, o.Result, o.Version.Number
 	switch o.Result {
-	case config.Agreed:
+	case config.Committed:
 		c.Agreed++
 		c.concludedAgreed(now, told, o.Version)
-	case config.Lost:
+	case config.Conflict:
 		c.Lost++
-	case config.Refused:
+	case config.Rejected:
 		c.Refused++
 	default:
 		c.Unanswered++
@@ -197,7 +197,7 @@
 func (c *Checker) contradict(now float64, told *verdict, number uint64) {
 	switch {
 	case !told.concluded || told.result == config.Unknown:
-	case told.result == config.Lost || told.result == config.Refused:
+	case told.result == config.Conflict || told.result == config.Rejected:
 		c.fail(now, "%q was told to be lost or refused and is version %d", told.proposal.Reason, number)
 	case told.number != number:
 		c.fail(now, "%q was told to be version %d and is version %d", told.proposal.Reason, told.number, number)
--- a/internal/lab/fleet/configuration/checker_test.go
+++ b/internal/lab/fleet/configuration/checker_test.go
@@ -25,13 +25,13 @@
 	return Proposal{Reason: reason, Expect: expect, Hash: config.Hash{hash}}
 }
 
-func agreed(v config.Version) config.Outcome {
-	return config.Outcome{Result: config.Agreed, Version: v}
+func agreed(v config.Version) config.ProposalResult {
+	return config.ProposalResult{Result: config.Committed, Version: v}
 }
 
 // status is one of three controllers at version 1, of which two are in force and one is behind.
 func status() *config.Status {
-	return &config.Status{Latest: version(1, 1, "a"), Members: 3, InForce: 2, Counts: map[uint64]int{1: 2, 0: 1},
+	return &config.Status{Latest: version(1, 1, "a"), Members: 3, InForce: 2, ByVersion: map[uint64]int{1: 2, 0: 1},
 		Behind: []config.ControllerReport{{ID: "n2", Run: 9}}}
 }
 
@@ -86,7 +86,7 @@
 			c.Proposed(proposal("a", 0, 1))
 			c.Proposed(proposal("b", 0, 2))
 			c.Concluded(1, "a", agreed(version(1, 1, "a")))
-			c.Concluded(2, "b", config.Outcome{Result: config.Lost, Version: version(1, 1, "a")})
+			c.Concluded(2, "b", config.ProposalResult{Result: config.Conflict, Version: version(1, 1, "a")})
 			c.History(3, "n0", []config.Version{version(1, 1, "a")})
 			c.Survived(4, "n0", []config.Version{version(1, 1, "a")})
 		}, ""},
@@ -106,22 +106,22 @@
 		}, "was told to be"},
 		"one that was told lost is in the history": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
-			c.Concluded(1, "a", config.Outcome{Result: config.Lost})
+			c.Concluded(1, "a", config.ProposalResult{Result: config.Conflict})
 			c.History(2, "n0", []config.Version{version(1, 1, "a")})
 		}, "told to be lost or refused"},
 		"one of the history is told refused": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.History(1, "n0", []config.Version{version(1, 1, "a")})
-			c.Concluded(2, "a", config.Outcome{Result: config.Refused})
+			c.Concluded(2, "a", config.ProposalResult{Result: config.Rejected})
 		}, "told to be lost or refused"},
 		"one that was not answered is in the history": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
-			c.Concluded(1, "a", config.Outcome{Result: config.Unknown})
+			c.Concluded(1, "a", config.ProposalResult{Result: config.Unknown})
 			c.History(2, "n0", []config.Version{version(1, 1, "a")})
 		}, ""},
 		"one is told twice": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
-			c.Concluded(1, "a", config.Outcome{Result: config.Lost})
+			c.Concluded(1, "a", config.ProposalResult{Result: config.Conflict})
 			c.Concluded(2, "a", agreed(version(1, 1, "a")))
 		}, "was told to be"},
 		"one that nobody proposed": {func(c *Checker) {
@@ -178,7 +178,7 @@
 		"a status counts one twice": {func(c *Checker) {
 			applyAt(c, "n0", "n1")
 			s := status()
-			s.Counts[1] = 3
+			s.ByVersion[1] = 3
 			c.StatusMade(5, s, nil)
 		}, "4 controllers by version, of 3"},
 		"a status counts one whose newer run had not applied it": {func(c *Checker) {
@@ -192,7 +192,7 @@
 		"a status names one twice": {func(c *Checker) {
 			applyAt(c, "n0", "n1")
 			s := status()
-			s.Unheard = s.Behind
+			s.Unreachable = s.Behind
 			c.StatusMade(5, s, nil)
 		}, "names n2 twice"},
 		"a status leaves one out": {func(c *Checker) {
--- a/internal/lab/fleet/configuration/status.go
+++ b/internal/lab/fleet/configuration/status.go
@@ -33,7 +33,7 @@
 	if s.InForce > able {
 		c.fail(now, "a status counts %d as in force at version %d, and %d had applied it", s.InForce, s.Latest.Number, able)
 	}
-	if s.More > 0 || s.Members != len(c.controllers) {
+	if s.Omitted > 0 || s.Members != len(c.controllers) {
 		return // who is counted can't be told from who is not listed
 	}
 	for _, id := range c.controllers {
@@ -57,16 +57,16 @@
 // checkCounts checks the sums: no controller counts twice.
 func (c *Checker) checkCounts(now float64, s *config.Status) {
 	heard := 0
-	for _, count := range s.Counts {
+	for _, count := range s.ByVersion {
 		heard += count
 	}
 	if heard > s.Members {
 		c.fail(now, "a status counts %d controllers by version, of %d members", heard, s.Members)
 	}
-	if s.InForce > s.Counts[s.Latest.Number] {
-		c.fail(now, "a status counts %d as in force, and %d at version %d", s.InForce, s.Counts[s.Latest.Number], s.Latest.Number)
+	if s.InForce > s.ByVersion[s.Latest.Number] {
+		c.fail(now, "a status counts %d as in force, and %d at version %d", s.InForce, s.ByVersion[s.Latest.Number], s.Latest.Number)
 	}
-	if others := len(s.Refused) + len(s.Behind) + len(s.Unheard) + s.More; s.InForce+others != s.Members {
+	if others := len(s.Rejected) + len(s.Behind) + len(s.Unreachable) + s.Omitted; s.InForce+others != s.Members {
 		c.fail(now, "a status counts %d as in force and %d others, of %d members", s.InForce, others, s.Members)
 	}
 }
@@ -74,7 +74,7 @@
 // listed are the controllers that a status names as not in force; each is named once and with what it had applied.
 func (c *Checker) listed(now float64, s *config.Status) map[members.ID]bool {
 	listed := map[members.ID]bool{}
-	for _, report := range slices.Concat(s.Refused, s.Behind, s.Unheard) {
+	for _, report := range slices.Concat(s.Rejected, s.Behind, s.Unreachable) {
 		if listed[report.ID] {
 			c.fail(now, "a status names %s twice", report.ID)
 		}
@@ -83,7 +83,7 @@
 			c.fail(now, "a status names %s, which is none of the fleet", report.ID)
 		}
 	}
-	for _, report := range slices.Concat(s.Refused, s.Behind) {
+	for _, report := range slices.Concat(s.Rejected, s.Behind) {
 		if report.Applied > 0 && !c.runApplied(report.ID, report.Run, report.Applied, now) {
 			c.fail(now, "a status tells that %s/%x is at version %d, which it had not applied", report.ID, report.Run, report.Applied)
 		}
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -277,9 +277,9 @@
 			able++
 		}
 	}
-	if s.Latest.Number != newest.Number || s.Members != len(w.nodes) || s.InForce != able || len(s.Refused) != len(w.nodes)-able {
+	if s.Latest.Number != newest.Number || s.Members != len(w.nodes) || s.InForce != able || len(s.Rejected) != len(w.nodes)-able {
 		return fmt.Sprintf("a status tells version %d in force at %d of %d, %d refused, %d behind, %d not heard; it is version %d at %d of %d",
-			s.Latest.Number, s.InForce, s.Members, len(s.Refused), len(s.Behind), len(s.Unheard), newest.Number, able, len(w.nodes))
+			s.Latest.Number, s.InForce, s.Members, len(s.Rejected), len(s.Behind), len(s.Unreachable), newest.Number, able, len(w.nodes))
 	}
 	return ""
 }
--- a/internal/lab/fleet/configuration_measure.go
+++ b/internal/lab/fleet/configuration_measure.go
@@ -30,7 +30,7 @@
 
 // PutDocument has an operator propose a document of some bytes at a machine that runs, after the newest version that voters hold.
 // Ended is told how that went, and not at all if the machine's process ends before.
-func (w *World) PutDocument(machine, size int, ended func(config.Outcome)) {
+func (w *World) PutDocument(machine, size int, ended func(config.ProposalResult)) {
 	w.lookAtHistories()
 	m := w.nodes[machine]
 	w.put(m, w.known(m), w.document(size, -1))
--- a/internal/lab/fleet/configuration_processes.go
+++ b/internal/lab/fleet/configuration_processes.go
@@ -196,7 +196,7 @@
 		r.tell("%s: %v", reason, err)
 		return
 	}
-	o := config.Outcome{Result: resultOf(a.Result), Reason: a.Reason}
+	o := config.ProposalResult{Result: resultOf(a.Result), Reason: a.Reason}
 	if a.Version != nil {
 		o.Version = *a.Version
 		o.Version.Hash = shortened(o.Version.Hash)
@@ -208,11 +208,11 @@
 func resultOf(text string) config.Result {
 	switch text {
 	case fleet.ConfigAgreed:
-		return config.Agreed
+		return config.Committed
 	case fleet.ConfigLost:
-		return config.Lost
+		return config.Conflict
 	case fleet.ConfigRefused:
-		return config.Refused
+		return config.Rejected
 	}
 	return config.Unknown
 }
@@ -281,7 +281,7 @@
 	})
 	r.awaitConfig("after a version that one can't use was in force at all others", func() string {
 		s := r.configStatus(voter)
-		if s == nil || s.InForce != r.Nodes-1 || len(s.Refused) != 1 {
+		if s == nil || s.InForce != r.Nodes-1 || len(s.Rejected) != 1 {
 			return fmt.Sprintf("a status tells %+v", s)
 		}
 		return ""
--- a/internal/lab/scale/spread/measure.go
+++ b/internal/lab/scale/spread/measure.go
@@ -195,8 +195,8 @@
 	for _, c := range s.changes {
 		s.times.Changes++
 		switch c.result {
-		case config.Agreed:
-		case config.Lost:
+		case config.Committed:
+		case config.Conflict:
 			s.times.Lost++
 			continue
 		default:
--- a/internal/lab/scale/spread/world.go
+++ b/internal/lab/scale/spread/world.go
@@ -103,9 +103,9 @@
 	}
 	s.changes = append(s.changes, change{at: s.world.Now()})
 	i := len(s.changes) - 1
-	s.world.PutDocument(machine, changeBytes, func(o config.Outcome) {
+	s.world.PutDocument(machine, changeBytes, func(o config.ProposalResult) {
 		s.changes[i].result = o.Result
-		if o.Result == config.Agreed {
+		if o.Result == config.Committed {
 			s.changes[i].agreed, s.changes[i].number = s.world.Now(), o.Version.Number
 		}
 	})
