--- /dev/null
+++ b/internal/core/fleet/config/announce.go
@@ -0,0 +1,102 @@
+package config
+
+import (
+	"slices"
+
+	"mintkeel/internal/core/fleet/members"
+)
+
+// Pushes of a new summary.
+const (
+	// pushFanout is how many members a push goes to.
+	pushFanout = 4
+	// maxPushes is how often a new summary is pushed.
+	maxPushes = 3
+	// pushInterval is the time until the second push in ms; the third comes twice as long after that.
+	pushInterval = 300.0
+)
+
+// announcement is the summary that this controller announces, and its pushes.
+type announcement struct {
+	summary    Summary
+	pushesLeft int
+	nextPushAt float64
+}
+
+// next returns when the next push is due.
+func (s *announcement) next() float64 {
+	if s.pushesLeft > 0 {
+		return s.nextPushAt
+	}
+	return never
+}
+
+// Summary returns what accompanies membership messages; nil: nothing.
+func (r *Replica) Summary() *Summary {
+	if r.announcement.summary.Number == 0 {
+		return nil
+	}
+	s := r.announcement.summary
+	return &s
+}
+
+// updateSummary announces the newest version as soon as its document is durable here.
+func (r *Replica) updateSummary() {
+	if r.newest.Number <= r.announcement.summary.Number || !r.documents.isStored(r.newest.Hash) {
+		return
+	}
+	if r.votes() && r.env.State().Newest() < r.newest.Number {
+		return // a voter announces only what its own state has, as that has the author and reason
+	}
+	r.announcement = announcement{summary: r.newest.summary(), pushesLeft: maxPushes, nextPushAt: r.now}
+	r.sendPushes()
+}
+
+// sendPushes pushes the summary to some members at once, and to others a little later.
+func (r *Replica) sendPushes() {
+	if r.announcement.pushesLeft == 0 || r.now < r.announcement.nextPushAt {
+		return
+	}
+	done := maxPushes - r.announcement.pushesLeft
+	r.announcement.pushesLeft--
+	r.announcement.nextPushAt = r.now + pushInterval*float64(1+done)
+	for _, id := range r.drawAlive(pushFanout) {
+		r.send(id, Message{Summary: r.Summary()})
+		r.counters.Pushed++
+	}
+}
+
+// handleSummary handles which version a member has, and tells whether that is news. A lower number,
+// or the same again, is none.
+func (r *Replica) handleSummary(from members.ID, s Summary) bool {
+	switch {
+	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
+		return false
+	case r.contradicts(s):
+		r.counters.Conflicts++
+		return false
+	case s.Number < r.target.Number:
+		return false
+	case s.Number == r.target.Number:
+		return r.addTargetSource(from)
+	case s == r.abandoned.summary && r.now < r.abandoned.until && slices.Contains(r.abandoned.sources, from):
+		return false
+	}
+	r.setTarget(Version{Number: s.Number, Hash: s.Hash, Size: s.Size}, from)
+	return true
+}
+
+// contradicts tells whether another document is known here by the same number.
+func (r *Replica) contradicts(s Summary) bool {
+	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
+		if v.Number == s.Number && v.summary() != s {
+			return true
+		}
+	}
+	if s.Number >= r.target.Number && r.votes() {
+		if v, ok := r.env.State().Find(s.Number); ok && v.summary() != s {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/core/fleet/config/candidate.go
+++ b/internal/core/fleet/config/candidate.go
@@ -7,29 +7,39 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Times of a proposal at the leader, in ms.
+// Proposals at the leader.
 const (
-	candidateTimeout = 12000.0 // after which one that came no further makes room for the next; its origin asks again
-	catchUpTime      = 3000.0  // after which one that leads knows all that was agreed on before: else it would not lead any more
-	proposeRetry     = 200.0   // after the quorum did not take a proposal
-	commitTimeout    = 2000.0  // after it took one that was not agreed on since
+	// candidateTimeout is the time in ms after which a candidate that made no progress is dropped;
+	// its origin sends it again.
+	candidateTimeout = 12000.0
+	// catchUpTime is the time in ms after which a leader has applied all that was agreed on before:
+	// else it would not lead any more.
+	catchUpTime = 3000.0
+	// proposeRetry is the time in ms after which a proposal that the quorum did not accept is repeated.
+	proposeRetry = 200.0
+	// commitTimeout is the same for a proposal that was accepted and not agreed on.
+	commitTimeout = 2000.0
 )
 
-// candidate is a proposal at the leader: its document is fetched, checked and held by a majority of the voters before
-// the quorum is asked to agree.
+// errSize rejects a document that does not have the size of its proposal.
+var errSize = errors.New("the document has another size than the proposal")
+
+// candidate is a proposal at the leader. Its document is fetched, checked and stored durably by a
+// majority of the voters before the quorum is asked to agree, so that an agreed version can always
+// be fetched.
 type candidate struct {
 	proposal  Proposal
 	origin    members.ID
 	arrivedAt float64
-	startedAt float64 // to be worked on; 0: it waits
-	checked   bool
-	heldBy    []members.ID // voters that hold the document durably
-	holdAt    float64      // of the next HoldRequests
-	proposeAt float64      // of the next proposal to the quorum
+	startedAt float64      // when it came to the head of the queue; 0: it waits
+	checked   bool         // its document passed the check here
+	heldBy    []members.ID // voters that have stored the document durably
+	holdAt    float64      // when the next HoldRequests are sent
+	proposeAt float64      // when it is proposed to the quorum next
 }
 
-// handlePropose takes in another controller's proposal. One that comes to a member that does not lead is not
-// answered: the origin finds the leader.
+// handlePropose handles another controller's proposal. A member that does not lead does not answer:
+// the origin finds the leader.
 func (r *Replica) handlePropose(from members.ID, p Proposal) {
 	if p.Version.ID.Origin != from {
 		return
@@ -37,7 +47,7 @@
 	r.submit(from, p)
 }
 
-// submit answers a proposal at once or puts it into the queue.
+// submit answers a proposal at once, or enqueues it.
 func (r *Replica) submit(origin members.ID, p Proposal) {
 	if !r.env.Leads() || !r.votes() {
 		return
@@ -46,7 +56,8 @@
 		r.reply(origin, p, ProposeReply{Result: Rejected, Reason: reason})
 		return
 	}
-	if slices.ContainsFunc(r.candidates, func(c *candidate) bool { return c.proposal.Version.ID == p.Version.ID }) {
+	same := func(c *candidate) bool { return c.proposal.Version.ID == p.Version.ID }
+	if slices.ContainsFunc(r.candidates, same) {
 		return
 	}
 	if r.answerDecided(origin, p) {
@@ -59,8 +70,9 @@
 	r.candidates = append(r.candidates, &candidate{proposal: p, origin: origin, arrivedAt: r.now})
 }
 
-// answerDecided answers a proposal of which the state tells how it ended. Where another version than the expected one follows,
-// no entry of the log can make it a version any more.
+// answerDecided answers a proposal if the agreed state shows how it ended, and tells whether it
+// did. Once another version than the expected one is the newest, no entry of the log can make the
+// proposal a version.
 func (r *Replica) answerDecided(origin members.ID, p Proposal) bool {
 	state := r.env.State()
 	if v, ok := state.FindProposal(p.Version.ID); ok {
@@ -68,12 +80,17 @@
 		return true
 	}
 	if state.Newest() > p.Expect {
-		r.reply(origin, p, ProposeReply{Result: Conflict, Version: state.Latest(), Reason: "another version was agreed on"})
+		r.reply(origin, p, ProposeReply{
+			Result:  Conflict,
+			Version: state.Latest(),
+			Reason:  "another version was agreed on",
+		})
 		return true
 	}
 	return false
 }
 
+// reply answers the origin of a proposal, which may be this controller.
 func (r *Replica) reply(to members.ID, p Proposal, reply ProposeReply) {
 	reply.ID = p.Version.ID
 	reply.Reason = truncateReason(reply.Reason)
@@ -84,8 +101,8 @@
 	r.send(to, Message{ProposeReply: &reply})
 }
 
-// advanceCandidates works on the first proposal of the queue whose document is here. One that does not lead drops them
-// all: their origins ask the next leader.
+// advanceCandidates works on the first candidate whose document is here. A controller that does not
+// lead drops all: their origins send them to the next leader.
 func (r *Replica) advanceCandidates() {
 	if !r.env.Leads() || !r.votes() {
 		for _, c := range r.candidates {
@@ -108,8 +125,9 @@
 	}
 }
 
-// fetchProposed has the documents of all proposals fetched, so that one whose document does not come holds up no other,
-// and drops a proposal whose document has not come in time: its origin may have given it up.
+// fetchProposed has the documents of all candidates fetched, so that one whose document does not
+// come holds up no other. It drops a candidate whose document has not come in time: its origin may
+// have given it up.
 func (r *Replica) fetchProposed() {
 	r.candidates = slices.DeleteFunc(r.candidates, func(c *candidate) bool {
 		v := &c.proposal.Version
@@ -126,9 +144,11 @@
 	r.runDownloads()
 }
 
-// selectCandidate moves the first proposal whose document is here to the head of the queue, and returns the head.
+// selectCandidate moves the first candidate whose document is here to the head of the queue, and
+// returns the head.
 func (r *Replica) selectCandidate() *candidate {
-	i := slices.IndexFunc(r.candidates, func(c *candidate) bool { return r.documents.get(c.proposal.Version.Hash) != nil })
+	hasDocument := func(c *candidate) bool { return r.documents.get(c.proposal.Version.Hash) != nil }
+	i := slices.IndexFunc(r.candidates, hasDocument)
 	if i > 0 {
 		c := r.candidates[i]
 		r.candidates = slices.Insert(slices.Delete(r.candidates, i, i+1), 0, c)
@@ -136,7 +156,7 @@
 	return r.candidates[0]
 }
 
-// advanceCandidate does the next step of a proposal, and tells whether it has ended.
+// advanceCandidate does the next step of a candidate, and tells whether it has ended.
 func (r *Replica) advanceCandidate(c *candidate) bool {
 	if r.answerDecided(c.origin, c.proposal) {
 		return true
@@ -165,29 +185,27 @@
 		r.holdOwn(v.Hash)
 	}
 	r.sendHoldRequests(c)
-	if r.now >= c.proposeAt && r.heldByMajority(c) {
-		c.proposeAt = r.now + proposeRetry
-		if r.env.Propose(c.proposal) {
-			c.proposeAt = r.now + commitTimeout
-		}
-	}
+	r.proposeCandidate(c)
 	return false
 }
 
-// awaitExpected answers a proposal that expects a version which this one does not know. One that has just begun to lead
-// may be late itself, and the proposal may be one that was agreed on already; later there is no such version.
+// awaitExpected handles a candidate that expects a version which this leader does not know, and
+// tells whether it has ended. A new leader may not have applied all yet, and the proposal may even
+// be agreed on already. Later there is no such version.
 func (r *Replica) awaitExpected(c *candidate) bool {
 	if r.now < r.leadsChangedAt+catchUpTime {
 		return false
 	}
-	r.reply(c.origin, c.proposal, ProposeReply{Result: Conflict, Version: r.env.State().Latest(),
-		Reason: "the expected version does not exist"})
+	r.reply(c.origin, c.proposal, ProposeReply{
+		Result:  Conflict,
+		Version: r.env.State().Latest(),
+		Reason:  "the expected version does not exist",
+	})
 	return true
 }
 
-var errSize = errors.New("the document has another size than the proposal")
-
-// checkCandidate tells whether the check of a proposal's document ended, and why the document can't be used.
+// checkCandidate tells whether the check of a candidate's document has ended, and why the document
+// can't be used.
 func (r *Replica) checkCandidate(v *Version, data []byte) (ended bool, err error) {
 	if len(data) != v.Size {
 		return true, errSize
@@ -195,7 +213,7 @@
 	return r.checkEnded(v.Hash)
 }
 
-// sendHoldRequests has the voters that don't hold the document yet fetch and store it.
+// sendHoldRequests has the voters that have not stored the document yet fetch and store it.
 func (r *Replica) sendHoldRequests(c *candidate) {
 	if r.now < c.holdAt {
 		return
@@ -209,7 +227,20 @@
 	}
 }
 
-// heldByMajority tells whether enough voters hold the document durably: each majority has one of them.
+// handleHoldReply handles that a voter has stored a document.
+func (r *Replica) handleHoldReply(from members.ID, reply *HoldReply) {
+	if len(r.candidates) == 0 {
+		return
+	}
+	c := r.candidates[0]
+	expected := c.checked && reply.Hash == c.proposal.Version.Hash && slices.Contains(r.env.Voters(), from)
+	if expected && !slices.Contains(c.heldBy, from) {
+		c.heldBy = append(c.heldBy, from)
+	}
+}
+
+// heldByMajority tells whether a majority of the voters has stored the document durably: each later
+// majority has one of them.
 func (r *Replica) heldByMajority(c *candidate) bool {
 	voters := r.env.Voters()
 	held := 0
@@ -221,17 +252,18 @@
 	return 2*held > len(voters)
 }
 
-// handleHoldReply takes in that a voter holds a document.
-func (r *Replica) handleHoldReply(from members.ID, reply *HoldReply) {
-	if len(r.candidates) == 0 {
+// proposeCandidate proposes a candidate to the quorum if a majority of the voters hold its document.
+func (r *Replica) proposeCandidate(c *candidate) {
+	if r.now < c.proposeAt || !r.heldByMajority(c) {
 		return
 	}
-	c := r.candidates[0]
-	if c.checked && reply.Hash == c.proposal.Version.Hash && slices.Contains(r.env.Voters(), from) && !slices.Contains(c.heldBy, from) {
-		c.heldBy = append(c.heldBy, from)
+	c.proposeAt = r.now + proposeRetry
+	if r.env.Propose(c.proposal) {
+		c.proposeAt = r.now + commitTimeout
 	}
 }
 
+// nextCandidate returns when a candidate has something due.
 func (r *Replica) nextCandidate() float64 {
 	if len(r.candidates) == 0 {
 		return never
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -1,20 +1,14 @@
 package config
 
-// CheckRequest asks whether a document could be used here, by the same code as `mintkeel check`. It is answered by
-// Replica.Checked. Reading a large document takes a second, in which the replica goes on.
-type CheckRequest struct {
-	Hash     Hash
-	Document []byte
-}
-
-// checks is what is known of the documents that a proposal at this leader, or the next version here, needs to pass.
+// checks are the checks of documents that a proposal at this leader, or the next version here,
+// needs to pass.
 type checks struct {
 	pending *CheckRequest  // not answered yet
 	results map[Hash]error // of checks that ended; a nil error: the document can be used
 }
 
-// checkEnded tells whether the check of a document ended, and with which error. A check that was not asked for yet is,
-// unless another one is out.
+// checkEnded tells whether the check of a document has ended, and with which error. If it has not
+// been requested it is, unless another check is out.
 func (r *Replica) checkEnded(h Hash) (ended bool, err error) {
 	if err, ended = r.checks.results[h]; ended {
 		return true, err
@@ -26,7 +20,7 @@
 	return false, nil
 }
 
-// Checked answers a CheckRequest; an error tells why the document can't be used.
+// Checked continues after a CheckRequest; an error says why the document can't be used.
 func (r *Replica) Checked(now float64, h Hash, err error) {
 	r.advanceClock(now)
 	if r.checks.pending == nil || r.checks.pending.Hash != h {
@@ -37,7 +31,7 @@
 	r.process()
 }
 
-// forgetChecks forgets results that neither a proposal nor the next version waits for.
+// forgetChecks forgets results that neither a proposal nor the next version needs.
 func (r *Replica) forgetChecks() {
 	for h := range r.checks.results {
 		if !r.needsCheckResult(h) {
@@ -46,7 +40,7 @@
 	}
 }
 
-// needsCheckResult tells whether a result is still of use.
+// needsCheckResult tells whether the result of a check is still needed.
 func (r *Replica) needsCheckResult(h Hash) bool {
 	for _, c := range r.candidates {
 		if !c.checked && c.proposal.Version.Hash == h {
@@ -54,5 +48,5 @@
 		}
 	}
 	v, open := r.nextVersion()
-	return open && v.Hash == h && r.application.passedCheck.summary() != v.summary()
+	return open && v.Hash == h && !r.application.hasPassed(v)
 }
--- a/internal/core/fleet/config/describe.go
+++ b/internal/core/fleet/config/describe.go
@@ -3,11 +3,31 @@
 // isDescribed tells whether the author or reason of a version is known.
 func (v *Version) isDescribed() bool { return v.Author+v.Reason != "" }
 
-// findDescription finds what is known here of the version of a document: summaries don't tell its author and reason. Its Number
-// is 0 where it is known from a proposal.
+// hasBoundedText tells whether the texts of a version that a member sent are within their bounds.
+func (v *Version) hasBoundedText() bool {
+	return len(v.Author) <= MaxAuthor && len(v.Reason) <= MaxReason && len(v.ID.Origin) <= maxIDBytes
+}
+
+// addDescription adds a description of this version, or of the proposal that it came from.
+func (v *Version) addDescription(description *Version) {
+	if description == nil || v.isDescribed() {
+		return
+	}
+	sameDocument := description.Hash == v.Hash && description.Size == v.Size
+	sameNumber := description.Number == 0 || description.Number == v.Number
+	if !sameDocument || !sameNumber {
+		return
+	}
+	number := v.Number
+	*v = *description
+	v.Number = number
+}
+
+// findDescription returns what is known here of the version of a document; nil: nothing. Summaries
+// have no author and reason, so it comes with the document. Its Number is 0 if it is known from a
+// proposal.
 func (r *Replica) findDescription(hash Hash) *Version {
-	var known []Version
-	known = append(known, r.newest, r.target, r.application.current)
+	known := []Version{r.newest, r.target, r.application.current}
 	for _, p := range r.proposals {
 		known = append(known, p.proposal.Version)
 	}
@@ -27,35 +47,20 @@
 	return nil
 }
 
-// describe adds to the first chunk of a document what is known of its version.
+// describe adds what is known of its version to the first chunk of a document.
 func (r *Replica) describe(c *Chunk) {
 	if c.Offset == 0 {
 		c.Version = r.findDescription(c.Hash)
 	}
 }
 
-// hasBoundedText tells whether a description that a member sent is within the bounds of one.
-func (v *Version) hasBoundedText() bool {
-	return len(v.Author) <= MaxAuthor && len(v.Reason) <= MaxReason && len(v.ID.Origin) <= maxIDBytes
-}
-
-// addDescription takes in what a member told of a version. It is for people alone: nothing is decided by it, and a
-// document is used by its hash.
-func (r *Replica) addDescription(told *Version) {
-	if told == nil || !told.hasBoundedText() {
+// addDescription adds what a member says of a version. It is for operators alone: nothing is
+// decided by it.
+func (r *Replica) addDescription(description *Version) {
+	if description == nil || !description.hasBoundedText() {
 		return
 	}
 	for _, v := range [...]*Version{&r.target, &r.newest, &r.application.current} {
-		v.addDescription(told)
-	}
-}
-
-// addDescription adds a description of this version, or of the proposal that it came from.
-func (v *Version) addDescription(told *Version) {
-	if told == nil || v.isDescribed() || told.Hash != v.Hash || told.Size != v.Size || told.Number != 0 && told.Number != v.Number {
-		return
+		v.addDescription(description)
 	}
-	number := v.Number
-	*v = *told
-	v.Number = number
 }
--- /dev/null
+++ b/internal/core/fleet/config/documents.go
@@ -0,0 +1,82 @@
+package config
+
+import (
+	"maps"
+	"slices"
+)
+
+// document is a document in memory, and perhaps durable.
+type document struct {
+	data   []byte
+	stored bool // durably
+}
+
+// documentStore holds documents by their hash. Each one matches its hash.
+type documentStore struct {
+	documents map[Hash]*document
+}
+
+// newDocumentStore begins with the documents of a folder. One that does not match its hash is left out.
+func newDocumentStore(stored map[Hash][]byte) documentStore {
+	s := documentStore{documents: map[Hash]*document{}}
+	for h, data := range stored {
+		if HashOf(data) == h {
+			s.documents[h] = &document{data: data, stored: true}
+		}
+	}
+	return s
+}
+
+// get returns a document; nil: it is not here.
+func (s *documentStore) get(h Hash) []byte {
+	if d := s.documents[h]; d != nil {
+		return d.data
+	}
+	return nil
+}
+
+// isStored tells whether a document is here durably.
+func (s *documentStore) isStored(h Hash) bool {
+	d := s.documents[h]
+	return d != nil && d.stored
+}
+
+// put adds a document whose hash was verified.
+func (s *documentStore) put(h Hash, data []byte) {
+	if s.documents[h] == nil {
+		s.documents[h] = &document{data: data}
+	}
+}
+
+// markStored records whether a document is durable.
+func (s *documentStore) markStored(h Hash, stored bool) {
+	if d := s.documents[h]; d != nil {
+		d.stored = stored
+	}
+}
+
+// unneeded returns the durable documents that are not needed, by hash.
+func (s *documentStore) unneeded(needed map[Hash]bool) (hashes []Hash) {
+	for h, d := range s.documents {
+		if d.stored && !needed[h] {
+			hashes = append(hashes, h)
+		}
+	}
+	slices.SortFunc(hashes, compareHashes)
+	return hashes
+}
+
+// forgetUnstored forgets documents that are in memory alone and not needed.
+func (s *documentStore) forgetUnstored(needed map[Hash]bool) {
+	maps.DeleteFunc(s.documents, func(h Hash, d *document) bool { return !d.stored && !needed[h] })
+}
+
+// hasUnstored tells whether a document is in memory alone.
+func (s *documentStore) hasUnstored() bool {
+	for _, d := range s.documents {
+		if !d.stored {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/core/fleet/config/download.go
@@ -0,0 +1,94 @@
+package config
+
+import (
+	"slices"
+
+	"mintkeel/internal/core/fleet/members"
+)
+
+// purpose is a set of what a document is fetched for.
+type purpose uint8
+
+// The purposes of a fetch.
+const (
+	forApplication purpose = 1 << iota
+	forProposal
+	forHold
+	forLookup
+	forHistory
+)
+
+// chunkRequest is a chunk that was requested.
+type chunkRequest struct {
+	index  int
+	sentAt float64
+}
+
+// download is a document that is being fetched. The chunks that came stay when its source changes.
+type download struct {
+	hash           Hash
+	size           int // bytes; 0: not known yet
+	purposes       purpose
+	chunks         [][]byte
+	received       int // how many chunks are here
+	sources        []members.ID
+	source         members.ID   // that is asked now; empty: none
+	slowSource     members.ID   // that last did not answer in time
+	requestedFrom  []members.ID // all that were asked: chunks of others are ignored
+	contributors   []members.ID // those whose chunks are here
+	requests       []chunkRequest
+	missingUntil   map[members.ID]float64 // members that did not have it, and until when they are not asked
+	chooseSourceAt float64                // while there is no source
+	progressAt     float64                // when the last chunk came
+	rotation       int                    // the voter with which the search for a source begins
+}
+
+// chunkCount returns how many chunks a document has.
+func chunkCount(size int) int { return (size + ChunkBytes - 1) / ChunkBytes }
+
+// addSource adds a member that has the document, and tells whether it is new.
+func (d *download) addSource(id members.ID) bool {
+	if slices.Contains(d.sources, id) || len(d.sources) >= maxSources {
+		return false
+	}
+	d.sources = append(d.sources, id)
+	d.chooseSourceAt = 0
+	delete(d.missingUntil, id) // it has the document by now
+	return true
+}
+
+// setSize sets the size of the document. It allocates no memory for the bytes: these come with the
+// chunks.
+func (d *download) setSize(size int) {
+	d.size = size
+	d.chunks = make([][]byte, chunkCount(size))
+	d.received = 0
+}
+
+// requested tells whether a chunk is requested already.
+func (d *download) requested(index int) bool {
+	return slices.ContainsFunc(d.requests, func(q chunkRequest) bool { return q.index == index })
+}
+
+// changeSource has another source chosen; the one before is tried last from now on.
+func (d *download) changeSource() {
+	d.slowSource = d.source
+	if i := slices.Index(d.sources, d.source); i >= 0 {
+		d.sources = append(slices.Delete(d.sources, i, i+1), d.source)
+	}
+	d.rotation++
+	d.source = ""
+	d.chooseSourceAt = 0
+	d.requests = d.requests[:0]
+}
+
+// fits tells whether a chunk can be one of the document.
+func (d *download) fits(c *Chunk) bool {
+	if c.Total < 1 || c.Total > MaxDocument || d.size != 0 && c.Total != d.size {
+		return false
+	}
+	if c.Offset < 0 || c.Offset >= c.Total || c.Offset%ChunkBytes != 0 {
+		return false
+	}
+	return len(c.Data) == min(ChunkBytes, c.Total-c.Offset)
+}
--- a/internal/core/fleet/config/lookup.go
+++ b/internal/core/fleet/config/lookup.go
@@ -6,21 +6,25 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// maxLookups bounds the documents that are looked for at a time.
+// maxLookups bounds the lookups at a time.
 const maxLookups = 4
 
-// lookup is a document that an operator asked for here.
+// lookupTimeout is the time in ms after which a lookup ends without the document.
+const lookupTimeout = 10000.0
+
+// lookup is a document that an operator requested here.
 type lookup struct {
-	ref      uint64
+	ref      uint64 // the caller's number of it
 	hash     Hash
 	deadline float64
-	without  []members.ID // voters that do not have it
+	without  []members.ID // voters that don't have it
 }
 
-// FetchDocument looks for a document here and at voters.
+// FetchDocument looks a document up here and at voters. The result comes within lookupTimeout.
 func (r *Replica) FetchDocument(now float64, ref uint64, h Hash) {
 	r.advanceClock(now)
-	if data := r.documents.get(h); data != nil || len(r.lookups) >= maxLookups {
+	data := r.documents.get(h)
+	if data != nil || len(r.lookups) >= maxLookups {
 		r.out.DocumentResults = append(r.out.DocumentResults, DocumentResult{Ref: ref, Hash: h, Document: data})
 		return
 	}
@@ -31,7 +35,7 @@
 	r.process()
 }
 
-// answerLookups hands out a document that has come.
+// answerLookups ends the lookups of a document that has come.
 func (r *Replica) answerLookups(h Hash, data []byte) {
 	for _, l := range slices.Clone(r.lookups) {
 		if l.hash == h {
@@ -40,15 +44,17 @@
 	}
 }
 
+// endLookup ends a lookup with its result; nil: the document was not found.
 func (r *Replica) endLookup(l *lookup, data []byte) {
 	r.lookups = slices.DeleteFunc(r.lookups, func(x *lookup) bool { return x == l })
-	r.out.DocumentResults = append(r.out.DocumentResults, DocumentResult{Ref: l.ref, Hash: l.hash, Document: data})
+	result := DocumentResult{Ref: l.ref, Hash: l.hash, Document: data}
+	r.out.DocumentResults = append(r.out.DocumentResults, result)
 	if !slices.ContainsFunc(r.lookups, func(x *lookup) bool { return x.hash == l.hash }) {
 		r.releaseFetch(l.hash, forLookup)
 	}
 }
 
-// lookupMissing takes in that one does not have a document.
+// lookupMissing handles that a member does not have a document.
 func (r *Replica) lookupMissing(h Hash, from members.ID) {
 	for _, l := range r.lookups {
 		if l.hash == h && !slices.Contains(l.without, from) && len(l.without) < maxExcluded {
@@ -77,6 +83,7 @@
 	}
 }
 
+// nextLookup returns when a lookup ends.
 func (r *Replica) nextLookup() float64 {
 	next := never
 	for _, l := range r.lookups {
--- a/internal/core/fleet/config/propose.go
+++ b/internal/core/fleet/config/propose.go
@@ -6,53 +6,65 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Times of a proposal at its origin, in ms.
+// Proposals at their origin.
 const (
+	// proposeInterval is the time in ms after which a proposal is sent to the leader again.
 	proposeInterval = 500.0
-	proposeTimeout  = 15000.0
+	// proposeTimeout is the time in ms after which a proposal ends as Unknown.
+	proposeTimeout = 15000.0
 )
 
-// ownProposal is one that an operator made here and that has not ended.
+// ownProposal is a proposal of this controller's operators that has not ended.
 type ownProposal struct {
-	ref      uint64
+	ref      uint64 // the caller's number of it
 	proposal Proposal
 	deadline float64
-	nextAt   float64 // of the next message
-	sentTo   []members.ID
+	nextAt   float64      // when it is sent again
+	sentTo   []members.ID // only these may answer it
 }
 
-// Propose asks for a document to become the next version after expect. The caller has checked it. The outcome comes
-// within proposeTimeout.
+// Propose proposes a document as the next version after expect. The caller has checked it. The
+// result comes within proposeTimeout. A ref that is under way already is ignored.
 func (r *Replica) Propose(now float64, ref uint64, document []byte, expect uint64, v Version) {
 	r.advanceClock(now)
+	if slices.ContainsFunc(r.proposals, func(p *ownProposal) bool { return p.ref == ref }) {
+		return
+	}
 	v.Number = 0
 	v.Size = len(document)
 	v.ID = ProposalID{Origin: r.options.Self, Run: r.options.Run, Ref: ref}
 	p := Proposal{Expect: expect, Version: v}
-	refusal := p.invalid()
+	reason := p.invalid()
 	if len(r.proposals) >= MaxProposals {
-		refusal = "busy"
-	}
-	if slices.ContainsFunc(r.proposals, func(o *ownProposal) bool { return o.ref == ref }) {
-		return // it is under way
+		reason = "busy"
 	}
-	if refusal != "" {
-		r.out.ProposalResults = append(r.out.ProposalResults, ProposalResult{Ref: ref, Result: Rejected, Version: v, Reason: refusal})
+	if reason != "" {
+		rejection := ProposalResult{Ref: ref, Result: Rejected, Version: v, Reason: reason}
+		r.out.ProposalResults = append(r.out.ProposalResults, rejection)
 		return
 	}
 	p.Version.Hash = HashOf(document)
-	r.proposals = append(r.proposals, &ownProposal{ref: ref, proposal: p, deadline: r.now + proposeTimeout, nextAt: r.now})
+	r.proposals = append(r.proposals, &ownProposal{
+		ref:      ref,
+		proposal: p,
+		deadline: r.now + proposeTimeout,
+		nextAt:   r.now,
+	})
 	r.documents.put(p.Version.Hash, document)
 	r.tickProposals()
 	r.process()
 }
 
-// tickProposals sends proposals again to whoever leads, and ends those that were not answered.
+// tickProposals sends proposals to the leader again, and ends those that were not answered in time.
 func (r *Replica) tickProposals() {
 	for _, p := range slices.Clone(r.proposals) {
 		switch {
 		case r.now >= p.deadline:
-			r.endProposal(p, ProposalResult{Result: Unknown, Version: p.proposal.Version, Reason: "not answered in time"})
+			r.endProposal(p, ProposalResult{
+				Result:  Unknown,
+				Version: p.proposal.Version,
+				Reason:  "not answered in time",
+			})
 		case r.now >= p.nextAt:
 			p.nextAt = r.now + proposeInterval
 			r.sendProposal(p)
@@ -60,6 +72,7 @@
 	}
 }
 
+// sendProposal sends a proposal to the leader, which may be this controller.
 func (r *Replica) sendProposal(p *ownProposal) {
 	leader := r.leader()
 	if leader == r.options.Self {
@@ -72,7 +85,8 @@
 	r.send(leader, Message{Propose: &ProposeRequest{Proposal: p.proposal}})
 }
 
-// handleProposeReply takes in how a proposal of this one ended, by the word of one that it was sent to.
+// handleProposeReply handles how a proposal of this controller ended. Only members that it was sent
+// to can tell.
 func (r *Replica) handleProposeReply(from members.ID, reply *ProposeReply) {
 	i := slices.IndexFunc(r.proposals, func(p *ownProposal) bool { return p.proposal.Version.ID == reply.ID })
 	if i < 0 {
@@ -92,19 +106,25 @@
 	default:
 		return
 	}
-	r.endProposal(p, ProposalResult{Result: reply.Result, Version: reply.Version, Reason: truncateReason(reply.Reason)})
+	r.endProposal(p, ProposalResult{
+		Result:  reply.Result,
+		Version: reply.Version,
+		Reason:  truncateReason(reply.Reason),
+	})
 	if reply.Result == Committed {
 		r.handleSummary(from, reply.Version.summary())
 		r.addDescription(&reply.Version)
 	}
 }
 
-func (r *Replica) endProposal(p *ownProposal, o ProposalResult) {
+// endProposal ends a proposal with a result.
+func (r *Replica) endProposal(p *ownProposal, result ProposalResult) {
 	r.proposals = slices.DeleteFunc(r.proposals, func(x *ownProposal) bool { return x == p })
-	o.Ref = p.ref
-	r.out.ProposalResults = append(r.out.ProposalResults, o)
+	result.Ref = p.ref
+	r.out.ProposalResults = append(r.out.ProposalResults, result)
 }
 
+// nextProposal returns when a proposal has something due.
 func (r *Replica) nextProposal() float64 {
 	next := never
 	for _, p := range r.proposals {
@@ -113,7 +133,7 @@
 	return next
 }
 
-// truncateReason cuts a reason to what is sent of it.
+// truncateReason cuts a reason to MaxReason bytes, at a character.
 func truncateReason(reason string) string {
 	if len(reason) <= MaxReason {
 		return reason
--- a/internal/core/fleet/config/replica.go
+++ b/internal/core/fleet/config/replica.go
@@ -8,86 +8,84 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// maxIDBytes bounds the bytes of a controller's name in a message.
-const maxIDBytes = 64
-
-// removeAfter is how long after its start a controller removes no document: until then its state may be an old one.
-const removeAfter = 60000.0
-
-// never is a time that does not come.
-var never = math.Inf(1)
-
-// Replica is one controller's part. It is for one goroutine; times are milliseconds of a steady clock.
+// Replica is one controller's part in distributing the configuration. It is for one goroutine;
+// times are in ms of a steady clock.
 //
-// Messages are taken from members that are proved to be of this fleet: such a member is believed when it tells a version,
-// unless this controller votes and its own state tells another one of that number. What can be verified is: a document by
-// its hash, each size and length by its bound.
+// The senders of messages are authenticated members of the fleet. A member is believed when it
+// announces a version, unless this controller votes and its own state has another one of that
+// number. What can be verified is verified: a document by its hash, each size and length by its
+// bound.
 type Replica struct {
 	options   Options
 	env       Environment
 	rng       *rand.Rand
-	now       float64
+	now       float64 // the latest time passed in
 	startedAt float64
 	out       Output
 	counters  Counters
 	documents documentStore
 
-	target   Version // the newest that is known of
+	target   Version // the newest version known of
 	newest   Version // the newest whose document is here
 	previous Version // the one before newest whose document is here
 
-	announcement   announcement
-	downloads      []*download
-	avoidedUntil   map[members.ID]float64 // sources of bytes that did not fit, until when
-	abandoned      abandonedVersion
-	served         servedBytes
-	checks         checks
-	application    application
-	storage        storage
-	proposals      []*ownProposal
-	candidates     []*candidate
-	holds          []*hold
-	reports        reports
-	queries        []*pendingQuery
-	lookups        []*lookup
-	startup        startup
-	lastWireRef    uint64
+	announcement announcement
+	abandoned    abandonedVersion
+	downloads    []*download
+	avoidedUntil map[members.ID]float64 // members that sent wrong bytes, and until when they are not asked
+	served       servedBytes
+	checks       checks
+	application  application
+	storage      storage
+
+	proposals  []*ownProposal // of this controller
+	candidates []*candidate   // at this leader; the first one is worked on
+	holds      []*hold        // at this voter
+	history    historyFetch
+	retained   retainedVersions
+
+	reports     reports
+	queries     []*pendingQuery
+	lookups     []*lookup
+	startup     startup
+	lastWireRef uint64 // of queries in messages
+
 	alive          aliveMembers
 	hint           leaderHint
-	leads          bool
+	leads          bool // as of the last look
 	leadsChangedAt float64
-	history        historyFetch
-	retained       retainedVersions
 }
 
-// New begins with what the folder holds. Kept.Current is in force already: the caller applied it before.
-func New(f Options, env Environment, kept StoredState, now float64) *Replica {
+// New returns a replica that goes on from what its folder holds. The caller has applied
+// stored.Current already.
+func New(options Options, env Environment, stored StoredState, now float64) *Replica {
 	r := &Replica{
-		options:      f,
+		options:      options,
 		env:          env,
-		rng:          rand.New(rand.NewSource(f.Seed)),
+		rng:          rand.New(rand.NewSource(options.Seed)),
 		now:          now,
 		startedAt:    now,
-		documents:    newDocumentStore(kept.Documents),
-		target:       kept.Current,
+		documents:    newDocumentStore(stored.Documents),
+		target:       stored.Current,
 		avoidedUntil: map[members.ID]float64{},
 		checks:       checks{results: map[Hash]error{}},
-		application:  application{current: kept.Current, persisted: kept.Current},
+		application:  application{current: stored.Current, persisted: stored.Current},
 		startup:      startup{nextAt: now, latestOf: map[members.ID]uint64{}},
 	}
-	if kept.Current.Number > 0 && r.documents.get(kept.Current.Hash) != nil {
-		r.newest = kept.Current
-		r.announcement.summary = kept.Current.summary()
+	if stored.Current.Number > 0 && r.documents.get(stored.Current.Hash) != nil {
+		r.newest = stored.Current
+		r.announcement.summary = stored.Current.summary()
 	}
 	r.served.windowStart = now
 	r.alive.refreshedAt = math.Inf(-1)
-	r.reports = newReporting(now)
+	r.reports = newReports(now)
 	r.updateReport()
 	r.process()
 	return r
 }
 
-// Receive takes in a message of a member of this fleet and generation.
+// Receive handles a message. The transport must have authenticated from as a member of this fleet
+// and generation.
 func (r *Replica) Receive(now float64, from members.ID, m *Message) {
 	r.advanceClock(now)
 	if from == "" || from == r.options.Self || len(from) > maxIDBytes || m == nil {
@@ -95,13 +93,13 @@
 	}
 	if m.Summary != nil && !r.handleSummary(from, *m.Summary) && *m == (Message{Summary: m.Summary}) {
 		r.updateLeader()
-		return // most messages tell nothing new: they cost next to nothing
+		return // most messages announce nothing new, and must cost next to nothing
 	}
 	r.dispatch(from, m)
 	r.process()
 }
 
-// dispatch hands each part of a message to its receiver.
+// dispatch passes each part of a message to its handler.
 func (r *Replica) dispatch(from members.ID, m *Message) {
 	if m.Fetch != nil {
 		r.handleFetch(from, m.Fetch)
@@ -135,7 +133,7 @@
 	}
 }
 
-// Tick takes in that time has passed.
+// Tick advances the time and does what is due.
 func (r *Replica) Tick(now float64) {
 	r.advanceClock(now)
 	r.sendPushes()
@@ -149,40 +147,51 @@
 	r.forgetUnneeded()
 }
 
-// Next is when Tick is to be called at the latest.
+// Next returns when Tick is to be called at the latest.
 func (r *Replica) Next() float64 {
-	next := min(r.announcement.next(), r.nextDownload(), r.nextApplication(), r.nextProposal(), r.nextCandidate(), r.nextReport(),
-		r.nextQuery(), r.nextLookup(), r.nextStartup(), r.nextHold(), r.nextHistory())
+	next := min(
+		r.announcement.next(),
+		r.nextDownload(),
+		r.nextApplication(),
+		r.nextProposal(),
+		r.nextCandidate(),
+		r.nextHold(),
+		r.nextHistory(),
+		r.nextReport(),
+		r.nextQuery(),
+		r.nextLookup(),
+		r.nextStartup(),
+	)
 	return max(next, r.now)
 }
 
-// QuorumChanged takes in that the quorum's state may have changed.
+// QuorumChanged handles that the quorum's state, its leader or this controller's role may have changed.
 func (r *Replica) QuorumChanged(now float64) {
 	r.advanceClock(now)
 	r.process()
 }
 
-// Take hands over what is to be done.
+// Take returns what is to be carried out since the last call.
 func (r *Replica) Take() Output {
 	out := r.out
 	r.out = Output{}
 	return out
 }
 
-// Current is the version in force here.
+// Current returns the version in force here.
 func (r *Replica) Current() Version { return r.application.current }
 
-// Counters are since the start.
+// Counters returns the counters since the start.
 func (r *Replica) Counters() Counters { return r.counters }
 
-// advanceClock takes in the time, which never runs backwards here.
+// advanceClock advances the time, which never goes back here.
 func (r *Replica) advanceClock(now float64) {
-	if now > r.now { // false for a time that is no number
+	if now > r.now { // false for NaN
 		r.now = now
 	}
 }
 
-// process does what has become possible by the last input.
+// process does what the last input has made possible, in the order in which one step enables the next.
 func (r *Replica) process() {
 	r.updateLeader()
 	r.followQuorum()
@@ -199,88 +208,15 @@
 	r.forgetChecks()
 }
 
-// send hands a message out.
+// send hands a message out. One to this controller itself, or to nobody, is dropped.
 func (r *Replica) send(to members.ID, m Message) {
 	if to != "" && to != r.options.Self {
 		r.out.Messages = append(r.out.Messages, Envelope{To: to, Message: m})
 	}
 }
 
-// votes tells whether this one's state counts.
+// votes tells whether this controller votes and its state counts.
 func (r *Replica) votes() bool { return r.env.Voting() && r.env.State() != nil }
 
-// isVoter tells whether this one is of the quorum, as far as it knows.
+// isVoter tells whether this controller is one of the voters, as far as it knows.
 func (r *Replica) isVoter() bool { return slices.Contains(r.env.Voters(), r.options.Self) }
-
-// forgetUnneeded forgets documents that are in memory alone and that nothing needs any more.
-func (r *Replica) forgetUnneeded() {
-	if r.documents.hasUnstored() {
-		r.documents.forgetUnstored(r.neededDocuments())
-	}
-}
-
-// neededDocuments are the documents that this one has a use for.
-func (r *Replica) neededDocuments() map[Hash]bool {
-	needed := map[Hash]bool{
-		r.application.current.Hash:   true,
-		r.application.persisted.Hash: true,
-		r.target.Hash:                true,
-		r.newest.Hash:                true,
-		r.previous.Hash:              true,
-	}
-	if r.application.applying != nil {
-		needed[r.application.applying.Hash] = true
-	}
-	if r.storage.pending != nil {
-		needed[r.storage.pending.Hash] = true
-	}
-	for _, p := range r.proposals {
-		needed[p.proposal.Version.Hash] = true
-	}
-	for _, c := range r.candidates {
-		needed[c.proposal.Version.Hash] = true
-	}
-	for _, h := range r.holds {
-		needed[h.hash] = true
-	}
-	for _, v := range r.retainedVersions() {
-		needed[v.Hash] = true
-	}
-	return needed
-}
-
-// retainedVersions are the versions whose documents a voter keeps, as of a state of this newest one.
-type retainedVersions struct {
-	newest Version
-	list   []Version
-}
-
-// retainedVersions are the versions of the state whose documents a voter keeps; newest first.
-func (r *Replica) retainedVersions() []Version {
-	if !r.votes() {
-		return nil
-	}
-	state := r.env.State()
-	if latest := state.Latest(); r.retained.newest != latest {
-		r.retained = retainedVersions{newest: latest, list: selectRetained(state.Versions)}
-	}
-	return r.retained.list
-}
-
-// selectRetained are the newest two versions, and those before them as far as MaxStored goes.
-func selectRetained(versions []Version) (kept []Version) {
-	counted := map[Hash]bool{}
-	bytes := 0
-	for i := len(versions) - 1; i >= 0; i-- {
-		v := versions[i]
-		if !counted[v.Hash] {
-			counted[v.Hash] = true
-			bytes += v.Size
-		}
-		if len(kept) >= 2 && bytes > MaxStored {
-			break
-		}
-		kept = append(kept, v)
-	}
-	return kept
-}
--- a/internal/core/fleet/config/serve.go
+++ b/internal/core/fleet/config/serve.go
@@ -2,10 +2,14 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// maxServedBytes bounds the bytes of documents that are sent in one second; those that ask for more ask another.
+// maxServedBytes bounds the bytes of documents that are sent in serveWindow. A member whose fetch
+// is not answered asks another one.
 const maxServedBytes = 8 << 20
 
-// servedBytes counts what was sent within a second.
+// serveWindow is the time in ms in which maxServedBytes may be sent.
+const serveWindow = 1000.0
+
+// servedBytes counts the bytes sent since the start of a window.
 type servedBytes struct {
 	windowStart float64
 	bytes       int
@@ -22,7 +26,7 @@
 		return
 	}
 	part := data[f.Offset:min(len(data), f.Offset+ChunkBytes)]
-	if r.now >= r.served.windowStart+1000 {
+	if r.now >= r.served.windowStart+serveWindow {
 		r.served = servedBytes{windowStart: r.now}
 	}
 	if r.served.bytes+len(part) > maxServedBytes {
--- /dev/null
+++ b/internal/core/fleet/config/startup.go
@@ -0,0 +1,121 @@
+package config
+
+import (
+	"slices"
+
+	"mintkeel/internal/core/fleet/members"
+)
+
+// Queries for the latest version at a start.
+const (
+	// latestInterval is the time in ms between the first two queries. It grows with the time since
+	// the start up to maxLatestInterval, so that hundreds of controllers that start together don't
+	// keep the voters busy.
+	latestInterval    = 300.0
+	maxLatestInterval = 2000.0
+	// latestVoters is how many voters are asked at a time.
+	latestVoters = 2
+)
+
+// startup is how far a controller that starts is with finding the latest version.
+type startup struct {
+	nextAt         float64 // when the next queries are sent
+	wireRef        uint64
+	latestOf       map[members.ID]uint64 // the voters that answered, with their latest number
+	leaderAnswered bool
+	latest         uint64 // the highest number of the answers
+	confirmed      bool   // see Readiness
+}
+
+// answered tells whether the leader, or a majority of the voters, has answered. This controller
+// counts if it votes.
+func (s *startup) answered(r *Replica) bool {
+	if s.leaderAnswered {
+		return true
+	}
+	voters := r.env.Voters()
+	count := 0
+	for _, id := range voters {
+		if _, ok := s.latestOf[id]; ok || id == r.options.Self && r.votes() {
+			count++
+		}
+	}
+	return len(voters) > 0 && 2*count > len(voters)
+}
+
+// tickStartup asks the leader and voters for their latest version until enough of them have answered.
+func (r *Replica) tickStartup() {
+	s := &r.startup
+	if s.confirmed || r.now < s.nextAt {
+		return
+	}
+	s.nextAt = r.now + min(maxLatestInterval, latestInterval+(r.now-r.startedAt)/2)
+	if s.answered(r) {
+		return // the version is being fetched or applied
+	}
+	if s.wireRef == 0 {
+		r.lastWireRef++
+		s.wireRef = r.lastWireRef
+	}
+	ids := r.drawVoters(latestVoters)
+	leader := r.leader()
+	if leader != "" && leader != r.options.Self && !slices.Contains(ids, leader) {
+		ids = append([]members.ID{leader}, ids[:min(len(ids), latestVoters-1)]...)
+	}
+	for _, id := range ids {
+		r.send(id, Message{Query: &Query{Ref: s.wireRef, Kind: QueryLatest}})
+	}
+}
+
+// drawVoters draws a number of voters other than this controller.
+func (r *Replica) drawVoters(count int) (picked []members.ID) {
+	for _, i := range r.rng.Perm(len(r.env.Voters())) {
+		if id := r.env.Voters()[i]; id != r.options.Self && len(picked) < count {
+			picked = append(picked, id)
+		}
+	}
+	return picked
+}
+
+// handleLatest handles the latest version of a voter.
+func (r *Replica) handleLatest(from members.ID, a *Answer) {
+	s := &r.startup
+	if s.confirmed {
+		return
+	}
+	if !a.Voting {
+		r.hintLeader(from, a.Leader)
+		return
+	}
+	if a.Leads {
+		s.leaderAnswered = true
+	} else if !slices.Contains(r.env.Voters(), from) {
+		return
+	}
+	s.latestOf[from] = a.Latest.Number
+	s.latest = max(s.latest, a.Latest.Number)
+	r.handleSummary(from, a.Latest)
+}
+
+// confirmLatest confirms that the latest version is in force or rejected here.
+func (r *Replica) confirmLatest() {
+	s := &r.startup
+	if s.confirmed {
+		return
+	}
+	if r.votes() {
+		s.latest = max(s.latest, r.env.State().Newest())
+		if r.env.Leads() {
+			s.leaderAnswered = true
+		}
+	}
+	s.confirmed = s.answered(r) && r.application.handled() >= s.latest
+}
+
+// nextStartup returns when the next queries of the start are due.
+func (r *Replica) nextStartup() float64 {
+	if r.startup.confirmed {
+		return never
+	}
+	return r.startup.nextAt
+}
--- a/internal/core/fleet/config/state.go
+++ b/internal/core/fleet/config/state.go
@@ -2,7 +2,12 @@
 
 import "slices"
 
-// Newest is the number of the latest version; 0: there is none.
+// State is what the quorum agrees on, the same on each voter. The zero value has no versions.
+type State struct {
+	Versions []Version `cbor:"1,keyasint"` // the last MaxHistory, oldest first
+}
+
+// Newest returns the number of the latest version; 0: there is none.
 func (s *State) Newest() uint64 {
 	if len(s.Versions) == 0 {
 		return 0
@@ -10,7 +15,7 @@
 	return s.Versions[len(s.Versions)-1].Number
 }
 
-// Latest is the version that was agreed on last; of Number 0 if there is none.
+// Latest returns the version that was agreed on last; its Number is 0 if there is none.
 func (s *State) Latest() Version {
 	if len(s.Versions) == 0 {
 		return Version{}
@@ -18,7 +23,7 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Find is the version of a number, if it is remembered.
+// Find returns the version of a number, if it is remembered.
 func (s *State) Find(number uint64) (Version, bool) {
 	for _, v := range s.Versions {
 		if v.Number == number {
@@ -28,7 +33,7 @@
 	return Version{}, false
 }
 
-// FindProposal is the version that a proposal became, if it is remembered.
+// FindProposal returns the version that a proposal became, if it is remembered.
 func (s *State) FindProposal(id ProposalID) (Version, bool) {
 	for _, v := range s.Versions {
 		if v.ID == id {
@@ -38,12 +43,13 @@
 	return Version{}, false
 }
 
-// Copy is one that shares nothing.
+// Copy returns a deep copy.
 func (s *State) Copy() *State { return &State{Versions: slices.Clone(s.Versions)} }
 
-// Apply takes in an agreed proposal and tells the version that it became. The same proposals in the same order lead to
-// the same state. A proposal that was agreed on before tells its version again; one that expects another version than the
-// newest, or passes a bound, changes nothing and tells false.
+// Apply applies an agreed proposal, and returns the version that it became. It is deterministic:
+// the same proposals in the same order give the same state on all voters. A proposal that was
+// agreed on before returns its version again. One that expects another version than the newest, or
+// exceeds a bound, changes nothing and returns false.
 func (s *State) Apply(p Proposal) (Version, bool) {
 	if v, ok := s.FindProposal(p.Version.ID); ok {
 		return v, true
@@ -59,23 +65,3 @@
 	}
 	return v, true
 }
-
-// invalid tells which bound a proposal passes; empty: none.
-func (p *Proposal) invalid() string {
-	switch v := &p.Version; {
-	case v.Size < 1:
-		return "the document is empty"
-	case v.Size > MaxDocument:
-		return "the document is too large"
-	case len(v.Author) > MaxAuthor:
-		return "the author's name is too long"
-	case len(v.Reason) > MaxReason:
-		return "the reason is too long"
-	case v.ID.Origin == "" || len(v.ID.Origin) > maxIDBytes:
-		return "the proposal names no origin"
-	}
-	return ""
-}
-
-// summary is what is told of a version.
-func (v *Version) summary() Summary { return Summary{Number: v.Number, Hash: v.Hash, Size: v.Size} }
--- /dev/null
+++ b/internal/core/fleet/config/storage.go
@@ -0,0 +1,127 @@
+package config
+
+// Retries of storing.
+const (
+	// storeRetryFirst is the time in ms after which a failed StoreRequest is tried again, doubled
+	// up to maxStoreRetry.
+	storeRetryFirst = 5000.0
+	// maxStoreRetry bounds that time: a version is in force within 19 s after there is space again.
+	maxStoreRetry = 10000.0
+	// maxRemoveAgain bounds the documents whose removal is tried again.
+	maxRemoveAgain = 64
+)
+
+// storage is how far this controller is with making things durable.
+type storage struct {
+	pending     *StoreRequest // not answered yet
+	retryAt     float64       // after a failure
+	delay       float64       // until the next retry; 0: the last request succeeded
+	removeAgain []Hash        // documents that may not have been removed, as a request failed
+}
+
+// storesCurrent tells whether a StoreRequest is out that changes the version to be in force at a start.
+func (r *Replica) storesCurrent() bool {
+	return r.storage.pending != nil && r.storage.pending.Current != nil
+}
+
+// advanceStorage sends the next StoreRequest, if none is out.
+func (r *Replica) advanceStorage() {
+	if r.storage.pending != nil || r.now < r.storage.retryAt {
+		return
+	}
+	request := r.nextStore()
+	if request == nil {
+		return
+	}
+	r.storage.pending = request
+	request.Remove = r.documentsToRemove()
+	r.out.Store = request
+}
+
+// nextStore returns what is to become durable next; nil: nothing.
+func (r *Replica) nextStore() *StoreRequest {
+	a := &r.application
+	v, found := r.nextVersion()
+	switch {
+	case a.applying != nil:
+	case found && !a.hasPassed(v): // its check has not ended
+	case found && a.persisted.Number != v.Number:
+		return r.storeRequest(v.Hash, &v)
+	case !found && a.persisted.Number != a.current.Number:
+		before := a.current // a version that was rejected when it was applied must not be in force at a start
+		return r.storeRequest(before.Hash, &before)
+	}
+	if !r.documents.hasUnstored() {
+		return nil
+	}
+	for _, h := range r.documentsToStore() {
+		if r.documents.get(h) != nil && !r.documents.isStored(h) {
+			return r.storeRequest(h, nil)
+		}
+	}
+	return nil
+}
+
+// storeRequest returns a request to store a document, unless it is durable already, and the current
+// version.
+func (r *Replica) storeRequest(h Hash, current *Version) *StoreRequest {
+	request := &StoreRequest{Hash: h, Current: current}
+	if !r.documents.isStored(h) {
+		request.Document = r.documents.get(h)
+	}
+	return request
+}
+
+// documentsToStore returns the documents that are to be durable here without being applied.
+func (r *Replica) documentsToStore() (hashes []Hash) {
+	for _, h := range r.holds {
+		hashes = append(hashes, h.hash)
+	}
+	if r.newest.Number > 0 && !r.application.isApplicable(r.newest) {
+		hashes = append(hashes, r.newest.Hash)
+	}
+	for _, v := range r.retainedVersions() {
+		hashes = append(hashes, v.Hash)
+	}
+	return hashes
+}
+
+// Stored continues after a StoreRequest.
+func (r *Replica) Stored(now float64, err error) {
+	r.advanceClock(now)
+	s := &r.storage
+	request := s.pending
+	if request == nil {
+		return
+	}
+	s.pending = nil
+	if err != nil {
+		r.storeFailed(request, err)
+	} else {
+		r.storeDone(request)
+	}
+	r.process()
+}
+
+// storeFailed schedules the retry of a StoreRequest, and reports a version that could not be stored.
+func (r *Replica) storeFailed(request *StoreRequest, err error) {
+	s := &r.storage
+	s.delay = min(maxStoreRetry, max(storeRetryFirst, 2*s.delay))
+	s.retryAt = r.now + s.delay
+	s.removeAgain = request.Remove[:min(len(request.Remove), maxRemoveAgain)]
+	if v := request.Current; v != nil && v.Number > r.application.current.Number {
+		r.setStuck(*v, "not stored yet: "+err.Error())
+	}
+}
+
+// storeDone records what has become durable.
+func (r *Replica) storeDone(request *StoreRequest) {
+	r.storage.delay = 0
+	if request.Document != nil {
+		r.documents.markStored(request.Hash, true)
+	}
+	if request.Current != nil {
+		r.application.persisted = *request.Current
+		r.application.retryAt = r.now
+	}
+}
--- /dev/null
+++ b/internal/core/fleet/config/target.go
@@ -0,0 +1,99 @@
+package config
+
+import "mintkeel/internal/core/fleet/members"
+
+// Abandoned versions.
+const (
+	// stallTimeout is the time in ms without a byte after which a version that was announced is
+	// abandoned.
+	stallTimeout = 5000.0
+	// abandonTime is for how long in ms an abandoned version is not fetched again from the same members.
+	abandonTime = 10000.0
+)
+
+// abandonedVersion is a version that was announced and whose document no member sent.
+type abandonedVersion struct {
+	summary Summary
+	until   float64
+	sources []members.ID
+}
+
+// addTargetSource adds a member that has the target version to the sources of its document.
+func (r *Replica) addTargetSource(from members.ID) bool {
+	d := r.findDownload(r.target.Hash)
+	return d != nil && d.addSource(from)
+}
+
+// setTarget aims at a version: a fetch of the target before ends.
+func (r *Replica) setTarget(v Version, sources ...members.ID) {
+	if r.target.Hash != v.Hash {
+		r.releaseFetch(r.target.Hash, forApplication)
+	}
+	v.addDescription(r.findDescription(v.Hash))
+	r.target = v
+	if r.documents.get(v.Hash) == nil {
+		r.fetch(v.Hash, v.Size, forApplication, sources...)
+	}
+}
+
+// followQuorum aims at the newest version that the quorum agreed on, if this controller votes. Its
+// own state overrides what was announced under a number that the state has.
+func (r *Replica) followQuorum() {
+	if !r.votes() {
+		return
+	}
+	latest := r.env.State().Latest()
+	if latest.Number == 0 {
+		return
+	}
+	known, found := r.env.State().Find(r.target.Number)
+	forged := found && known.Hash != r.target.Hash && r.newest.Number < r.target.Number
+	if latest.Number > r.target.Number || forged {
+		r.setTarget(latest)
+	}
+	if latest.Number == r.target.Number && latest.Hash == r.target.Hash {
+		r.target = latest // with its author and reason, which summaries don't have
+	}
+	if latest.Number == r.newest.Number && latest.Hash == r.newest.Hash {
+		r.newest = latest
+	}
+	if latest.Number == r.application.current.Number && latest.Hash == r.application.current.Hash {
+		r.application.current = latest
+	}
+}
+
+// adoptTarget makes the target the newest version once its document is here.
+func (r *Replica) adoptTarget() {
+	if r.target.Number <= r.newest.Number {
+		return
+	}
+	data := r.documents.get(r.target.Hash)
+	if data == nil {
+		return
+	}
+	if len(data) != r.target.Size { // the hash was announced with a wrong size
+		r.counters.Conflicts++
+		r.abandon(nil)
+		return
+	}
+	if r.newest.Number > 0 {
+		r.previous = r.newest
+	}
+	r.newest = r.target
+}
+
+// abandon gives a version up whose document no member sends, so that one before it can be fetched.
+// A version that this voter's state has is not given up.
+func (r *Replica) abandon(sources []members.ID) {
+	if r.votes() {
+		if v, ok := r.env.State().Find(r.target.Number); ok && v.Hash == r.target.Hash {
+			return
+		}
+	}
+	r.abandoned = abandonedVersion{summary: r.target.summary(), until: r.now + abandonTime, sources: sources}
+	r.releaseFetch(r.target.Hash, forApplication)
+	r.target = r.newest
+	if r.application.current.Number > r.target.Number {
+		r.target = r.application.current
+	}
+}
--- a/internal/core/fleet/members/probe.go
+++ b/internal/core/fleet/members/probe.go
@@ -97,7 +97,7 @@
 	return list
 }
 
-// receiveAck takes in the answer to this controller's own probe, direct or indirect, or to a ping
+// receiveAck handles the answer to this controller's own probe, direct or indirect, or to a ping
 // sent on behalf of another.
 func (t *Table) receiveAck(from ID, m Message) {
 	if r, found := t.relays.takeAnswered(m.Seq, from); found {
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -19,7 +19,7 @@
 	l.heardAt = now
 }
 
-// quorumView is the quorum as its members have told it to this controller, which is no member.
+// quorumView is the quorum as its members have described it to this controller, which is no member.
 type quorumView struct {
 	voters       []members.ID
 	leases       []lease.Lease
