--- a/internal/core/fleet/config/reports.go
+++ b/internal/core/fleet/config/reports.go
@@ -2,74 +2,92 @@
 
 import (
 	"math"
-	"slices"
 
 	"mintkeel/internal/core/fleet/members"
 )
 
-// How reports are collected, in ms and counts.
+// How reports are collected.
 const (
-	reportDelay  = 200.0   // at most, until a change is reported
-	reportEach   = 10000.0 // between two reports, and between two of all that a relay knows
-	relayDelay   = 200.0   // in which a relay gathers changes
-	reportAnswer = 1000.0  // until another relay is asked, or the leader again
-	freshFor     = 30000.0 // for which a report counts
-	relayedFor   = 60000.0 // for which a relay keeps one
-	reportChunk  = 300     // reports of a message
-	maxReported  = 1024    // of a message that is taken in
-	maxBatches   = 32      // messages to the leader that are not answered
-	relayTries   = 4
+	// reportDelay is the time in ms within which a change is reported, by a random draw.
+	reportDelay = 200.0
+	// reportInterval is the time in ms between two reports of a controller, and between two of all
+	// that a relay knows.
+	reportInterval = 10000.0
+	// relayDelay is the time in ms in which a relay gathers changes.
+	relayDelay = 200.0
+	// reportTimeout is the time in ms after which another relay is tried, or the leader again.
+	reportTimeout = 1000.0
+	// reportFreshTime is for how long in ms a report counts.
+	reportFreshTime = 30000.0
+	// relayedReportTime is for how long in ms a relay keeps a report.
+	relayedReportTime = 60000.0
+	// reportIntervalJitter is the share of reportInterval by which it is drawn shorter.
+	reportIntervalJitter = 0.1
+	// maxReportsPerMessage bounds the reports of a message.
+	maxReportsPerMessage = 300
+	// maxReportsAccepted bounds the reports of a message that is accepted.
+	maxReportsAccepted = 1024
+	// maxBatches bounds the messages to the leader that are not answered.
+	maxBatches = 32
+	// relayTries is how many relays are tried before the first one again.
+	relayTries = 4
 )
 
 // heardReport is a report and when it was heard.
 type heardReport struct {
 	Report
-	at    float64
-	dirty bool // the leader has not been sent it
+	heardAt float64
+	dirty   bool // it is to be sent to the leader
 }
 
-// batch is a message to the leader that is not answered.
-type batch struct {
-	sequence uint64
-	to       members.ID
-	ids      []members.ID
-	at       float64
-}
+// reports is the part of a controller in collecting reports: its own, those for which it is a
+// relay, and all if it leads.
+type reports struct {
+	own       Report
+	changed   bool // own has changed since it was sent
+	sendOwnAt float64
+	sequence  uint64 // of the last message
 
-// reporting is the part of a controller in collecting reports: its own, those for which it is a relay, and all of them
-// where it leads.
-type reporting struct {
-	own      Report
-	at       float64 // of the next own report
-	changed  bool    // own has changed since it was sent
-	sequence uint64  // of messages
-	waiting  uint64  // for the answer to this message with the own report; 0: none
-	waitFor  members.ID
-	waitTill float64
-	tries    int
+	// The message with own that is not answered yet.
+	awaitedSequence uint64 // 0: none
+	awaitedFrom     members.ID
+	awaitedUntil    float64
+	tries           int // relays that did not answer
 
-	heard   map[members.ID]*heardReport
-	dirty   int
-	flushAt float64
-	wholeAt float64
-	batches []batch
-	leader  members.ID
-	purgeAt float64
+	known      map[members.ID]*heardReport
+	dirtyCount int
+	flushAt    float64 // when dirty reports are sent
+	resendAt   float64 // when all fresh reports are sent again
+	purgeAt    float64
+	batches    []batch
+	leader     members.ID // that the reports are sent to
 }
 
-func newReporting(now float64) reporting {
-	return reporting{at: now, heard: map[members.ID]*heardReport{}, flushAt: never, wholeAt: now + reportEach}
+func newReports(now float64) reports {
+	return reports{
+		sendOwnAt: now,
+		known:     map[members.ID]*heardReport{},
+		flushAt:   never,
+		resendAt:  now + reportInterval,
+	}
 }
 
-// updateReport sees whether this one has something new to say of itself.
+// updateReport updates the report of this controller about itself, and schedules it if it has changed.
 func (r *Replica) updateReport() {
-	t := &r.take
-	next := Report{ID: r.facts.Self, Run: r.facts.Run, Sequence: r.reports.own.Sequence, Applied: t.current.Number}
+	a := &r.application
+	next := Report{
+		ID:       r.options.Self,
+		Run:      r.options.Run,
+		Sequence: r.reports.own.Sequence,
+		Applied:  a.current.Number,
+	}
 	switch {
-	case t.stuck.Number > t.current.Number && t.stuck.Number > t.refused.Number:
-		next.Refused, next.Reason = t.stuck.Number, bounded(t.stuckWhy)
-	case t.refused.Number > t.current.Number:
-		next.Refused, next.Reason = t.refused.Number, bounded(t.reason)
+	case a.stuck.Number > a.current.Number && a.stuck.Number > a.rejected.Number:
+		next.Rejected = a.stuck.Number
+		next.Reason = truncateReason(a.stuckReason)
+	case a.rejected.Number > a.current.Number:
+		next.Rejected = a.rejected.Number
+		next.Reason = truncateReason(a.reason)
 	}
 	if next == r.reports.own {
 		return
@@ -77,105 +95,112 @@
 	next.Sequence++
 	r.reports.own = next
 	r.reports.changed = true
-	r.reports.at = min(r.reports.at, r.now+reportDelay*r.rng.Float64())
-	r.reports.waiting = 0
+	r.reports.sendOwnAt = min(r.reports.sendOwnAt, r.now+reportDelay*r.rng.Float64())
+	r.reports.awaitedSequence = 0
 }
 
 // tickReports sends what is due.
 func (r *Replica) tickReports() {
 	s := &r.reports
-	if s.waiting != 0 && r.now >= s.waitTill {
-		s.waiting = 0
-		if s.tries++; s.tries < relayTries {
-			s.at = r.now
+	if s.awaitedSequence != 0 && r.now >= s.awaitedUntil {
+		s.awaitedSequence = 0
+		s.tries++
+		if s.tries < relayTries {
+			s.sendOwnAt = r.now
 		}
 	}
-	if r.now >= s.at {
+	if r.now >= s.sendOwnAt {
 		r.sendReport()
 	}
-	if r.now >= s.wholeAt {
-		s.wholeAt = r.now + reportEach
+	if r.now >= s.resendAt {
+		s.resendAt = r.now + reportInterval
 		r.purgeReports()
-		r.markAll(freshFor)
+		r.markDirtySince(reportFreshTime)
 	}
 	r.retryBatches()
 	if r.now >= s.flushAt {
-		r.flushReports()
+		r.sendDirtyReports()
 	}
 }
 
-// sendReport sends the own report to a relay: the first one, or the next if one before did not answer.
+// sendReport sends the own report to a relay: the first one, or the next if one did not answer.
 func (r *Replica) sendReport() {
 	s := &r.reports
 	if s.changed {
-		s.changed, s.tries = false, 0
+		s.changed = false
+		s.tries = 0
 	}
-	s.at = r.now + reportEach*(0.9+0.1*r.rng.Float64())
+	s.sendOwnAt = r.now + reportInterval*(1-reportIntervalJitter+reportIntervalJitter*r.rng.Float64())
 	if s.tries >= relayTries {
 		s.tries = 0
 	}
-	relays := r.ownRelays()
-	if r.env.Leads() || len(relays) == 0 || relays[s.tries%len(relays)] == r.facts.Self {
+	relays := r.relaysInOrder()
+	if r.env.Leads() || len(relays) == 0 || relays[s.tries%len(relays)] == r.options.Self {
 		s.tries = 0
 		r.mergeReport(s.own, r.now)
 		return
 	}
 	s.sequence++
-	s.waiting, s.waitTill = s.sequence, r.now+reportAnswer
-	s.waitFor = relays[s.tries%len(relays)]
-	r.send(s.waitFor, Message{Reports: &Reports{Sequence: s.sequence, List: []Report{s.own}}})
+	s.awaitedSequence = s.sequence
+	s.awaitedUntil = r.now + reportTimeout
+	s.awaitedFrom = relays[s.tries%len(relays)]
+	r.send(s.awaitedFrom, Message{Reports: &Reports{Sequence: s.sequence, List: []Report{s.own}}})
 }
 
-// reportsReceived takes in reports as a relay or the leader.
-func (r *Replica) reportsReceived(from members.ID, m *Reports) {
-	if len(m.List) > maxReported {
+// handleReports handles reports as a relay or the leader.
+func (r *Replica) handleReports(from members.ID, m *Reports) {
+	if len(m.List) > maxReportsAccepted {
 		return
 	}
 	for _, report := range m.List {
-		if report.wellFormed() && report.ID != r.facts.Self {
+		if report.valid() && report.ID != r.options.Self {
 			r.mergeReport(report, r.now-report.Age)
 		}
 	}
-	r.send(from, Message{Reported: &ReportsReply{Sequence: m.Sequence, Leader: r.leader()}})
+	r.send(from, Message{ReportsReply: &ReportsReply{Sequence: m.Sequence, Leader: r.leader()}})
 }
 
-func (report *Report) wellFormed() bool {
-	return report.ID != "" && len(report.ID) <= maxID && len(report.Reason) <= MaxReason && report.Age >= 0 && !math.IsInf(report.Age, 1)
+// valid tells whether a report keeps its bounds.
+func (report *Report) valid() bool {
+	validID := report.ID != "" && len(report.ID) <= maxIDBytes
+	validAge := report.Age >= 0 && !math.IsInf(report.Age, 1)
+	return validID && validAge && len(report.Reason) <= MaxReason
 }
 
-// mergeReport takes in one report, in whatever order and however often it comes.
+// mergeReport merges a report, in whatever order and however often it comes.
 func (r *Replica) mergeReport(report Report, at float64) {
 	s := &r.reports
 	report.Age = 0
-	h := s.heard[report.ID]
+	h := s.known[report.ID]
 	switch {
 	case h == nil:
-		if len(s.heard) >= MaxReports {
+		if len(s.known) >= MaxReports {
 			r.purgeReports()
 		}
-		if len(s.heard) >= MaxReports {
+		if len(s.known) >= MaxReports {
 			return
 		}
-		s.heard[report.ID] = &heardReport{at: at}
-		h = s.heard[report.ID]
+		s.known[report.ID] = &heardReport{heardAt: at}
+		h = s.known[report.ID]
 	case h.Run != report.Run:
-		if !r.laterRun(h, report, at) {
+		if !r.isLaterRun(h, report, at) {
 			return
 		}
-		h.at = at
+		h.heardAt = at
 	case h.Sequence >= report.Sequence:
 		if h.Sequence == report.Sequence {
-			h.at = max(h.at, at)
+			h.heardAt = max(h.heardAt, at)
 		}
 		return
 	}
-	h.Report, h.at = report, max(h.at, at)
+	h.Report = report
+	h.heardAt = max(h.heardAt, at)
 	r.markDirty(h)
 }
 
-// laterRun tells whether a report is of a later run of a controller than the one before it. Runs have no order: what
-// membership believes counts, else what was heard last.
-func (r *Replica) laterRun(before *heardReport, report Report, at float64) bool {
+// isLaterRun tells whether a report is of a later run of a controller than the one before. Runs
+// have no order: the run that membership believes in counts, else the one heard last.
+func (r *Replica) isLaterRun(before *heardReport, report Report, at float64) bool {
 	if m, ok := r.env.Member(report.ID); ok && m.Run != 0 {
 		if m.Run == before.Run {
 			return false
@@ -184,153 +209,42 @@
 			return true
 		}
 	}
-	return at > before.at
-}
-
-func (r *Replica) markDirty(h *heardReport) {
-	if r.env.Leads() || h.dirty {
-		return
-	}
-	h.dirty = true
-	r.reports.dirty++
-	r.reports.flushAt = min(r.reports.flushAt, r.now+relayDelay)
-}
-
-// markAll has all reports sent that were heard within a time.
-func (r *Replica) markAll(within float64) {
-	for _, h := range r.reports.heard {
-		if h.at > r.now-within {
-			r.markDirty(h)
-		}
-	}
-}
-
-// resendReports tells a new leader all at once.
-func (r *Replica) resendReports() {
-	r.reports.batches = nil
-	if r.env.Leads() {
-		r.clearDirty()
-		r.mergeReport(r.reports.own, r.now)
-		return
-	}
-	r.markAll(never)
-	if r.reports.dirty > 0 {
-		r.flushReports()
-	}
-}
-
-func (r *Replica) clearDirty() {
-	for _, h := range r.reports.heard {
-		h.dirty = false
-	}
-	r.reports.dirty = 0
-	r.reports.flushAt = never
-}
-
-// flushReports sends to the leader what it has not been sent.
-func (r *Replica) flushReports() {
-	s := &r.reports
-	s.flushAt = never
-	leader := r.leader()
-	if leader == r.facts.Self {
-		r.clearDirty()
-	}
-	if leader == "" || s.dirty == 0 {
-		return // a leader that becomes known is told all
-	}
-	ids := make([]members.ID, 0, s.dirty)
-	for id, h := range s.heard {
-		if h.dirty {
-			ids = append(ids, id)
-		}
-	}
-	slices.Sort(ids)
-	for part := range slices.Chunk(ids, reportChunk) {
-		if len(s.batches) >= maxBatches {
-			s.flushAt = r.now + reportAnswer
-			return
-		}
-		r.sendBatch(leader, part)
-	}
-}
-
-func (r *Replica) sendBatch(leader members.ID, ids []members.ID) {
-	s := &r.reports
-	s.sequence++
-	list := make([]Report, 0, len(ids))
-	for _, id := range ids {
-		h := s.heard[id]
-		h.dirty = false
-		s.dirty--
-		report := h.Report
-		report.Age = r.now - h.at
-		list = append(list, report)
-	}
-	s.batches = append(s.batches, batch{sequence: s.sequence, to: leader, ids: ids, at: r.now})
-	r.send(leader, Message{Reports: &Reports{Sequence: s.sequence, List: list}})
-}
-
-// retryBatches sends again what was not answered.
-func (r *Replica) retryBatches() {
-	s := &r.reports
-	s.batches = slices.DeleteFunc(s.batches, func(b batch) bool {
-		if r.now < b.at+reportAnswer {
-			return false
-		}
-		for _, id := range b.ids {
-			if h := s.heard[id]; h != nil {
-				r.markDirty(h)
-			}
-		}
-		s.flushAt = min(s.flushAt, r.now)
-		return true
-	})
-}
-
-// reportsAcknowledged takes in that reports have come.
-func (r *Replica) reportsAcknowledged(from members.ID, reply *ReportsReply) {
-	s := &r.reports
-	if s.waiting != 0 && reply.Sequence == s.waiting && from == s.waitFor {
-		s.waiting, s.tries = 0, 0
-	}
-	s.batches = slices.DeleteFunc(s.batches, func(b batch) bool { return b.sequence == reply.Sequence && b.to == from })
-	if len(reply.Leader) <= maxID {
-		r.hintLeader(from, reply.Leader)
-	}
+	return at > before.heardAt
 }
 
-// purgeReports forgets reports that are too old, and those of controllers that are not known or have left. A leader keeps
-// old ones, so that it can tell when a controller was heard last.
+// purgeReports forgets old reports. A leader keeps those of members that it knows and that have not
+// left, so that it can tell when each was last heard from.
 func (r *Replica) purgeReports() {
 	s := &r.reports
 	if r.now < s.purgeAt {
 		return
 	}
-	s.purgeAt = r.now + aliveFor
+	s.purgeAt = r.now + aliveInterval
 	leads := r.env.Leads()
-	for id, h := range s.heard {
+	for id, h := range s.known {
 		m, known := r.env.Member(id)
-		old := h.at <= r.now-relayedFor
+		old := h.heardAt <= r.now-relayedReportTime
 		if !leads && old || old && (!known || m.State == members.Left) {
 			if h.dirty {
-				s.dirty--
+				s.dirtyCount--
 			}
-			delete(s.heard, id)
+			delete(s.known, id)
 		}
 	}
 }
 
+// nextReport returns when something of the reports is due.
 func (r *Replica) nextReport() float64 {
 	s := &r.reports
-	next := min(s.at, s.flushAt)
-	if s.waiting != 0 {
-		next = min(next, s.waitTill)
+	next := min(s.sendOwnAt, s.flushAt)
+	if s.awaitedSequence != 0 {
+		next = min(next, s.awaitedUntil)
 	}
-	if len(s.heard) > 0 {
-		next = min(next, s.wholeAt)
+	if len(s.known) > 0 {
+		next = min(next, s.resendAt)
 	}
 	for _, b := range s.batches {
-		next = min(next, b.at+reportAnswer)
+		next = min(next, b.sentAt+reportTimeout)
 	}
 	return next
 }
