--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -19,7 +19,7 @@
 func (s *simulation) deathWatch(dead *controller) *watch {
 	id, run := dead.id, dead.run
 	return s.newWatch(func(t *members.Table) bool {
-		m, known := t.Of(id)
+		m, known := t.Lookup(id)
 		return !known || m.Run != run || m.State > members.Suspect
 	})
 }
@@ -28,7 +28,7 @@
 func (s *simulation) startWatch(started *controller) *watch {
 	id, run := started.id, started.run
 	return s.newWatch(func(t *members.Table) bool {
-		m, known := t.Of(id)
+		m, known := t.Lookup(id)
 		return known && m.Run == run && m.State <= members.Suspect
 	})
 }
@@ -51,11 +51,11 @@
 	}
 }
 
-// settle plays until all watches are done, for a time at most, and tells whether they are.
-func (s *simulation) settle(ctx context.Context, watches []*watch, most float64) (bool, error) {
+// settle plays until all watches are done, for a time in ms at most.
+func (s *simulation) settle(ctx context.Context, watches []*watch, most float64) error {
 	for end := s.now + most; s.now < end; {
 		if err := s.runUntil(ctx, s.now+pollEvery); err != nil {
-			return false, err
+			return err
 		}
 		waiting := 0
 		for _, w := range watches {
@@ -64,17 +64,17 @@
 			}
 		}
 		if waiting == 0 {
-			return true, nil
+			return nil
 		}
 	}
-	return false, nil
+	return nil
 }
 
 // wholeWatch waits until all that run take all that run to be alive, and nobody else.
 func (s *simulation) wholeWatch() *watch {
 	return s.newWatch(func(t *members.Table) bool {
 		for _, c := range s.controllers {
-			m, known := t.Of(c.id)
+			m, known := t.Lookup(c.id)
 			alive := known && m.State == members.Alive
 			if alive != (c.table != nil) || alive && m.Run != c.run {
 				return false
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -50,10 +50,10 @@
 			records = append(records, payload)
 		}
 	}
-	switch err {
-	case errEndOfFile:
+	switch {
+	case errors.Is(err, errEndOfFile):
 		return records, false, nil
-	case errTornTail:
+	case errors.Is(err, errTornTail):
 		return records, true, nil
 	}
 	return nil, false, err
