--- a/internal/core/fleet/config/spread_test.go
+++ b/internal/core/fleet/config/announce_test.go
@@ -5,13 +5,21 @@
 	"testing"
 )
 
-// A version reaches all, whatever its size and with a tenth of the messages lost.
-func TestSpread(t *testing.T) {
+// TestVersionReachesAll: documents of all sizes come into force at all controllers in time, also
+// with a tenth of the messages lost.
+func TestVersionReachesAll(t *testing.T) {
 	for _, c := range []struct {
 		size  int
 		loss  float64
 		limit float64
-	}{{1, 0, 5000}, {4 << 10, 0, 5000}, {64 << 10, 0, 5000}, {4 << 10, 0.1, 12000}, {64 << 10, 0.1, 12000}, {MaxDocument, 0, 12000}} {
+	}{
+		{1, 0, 5000},
+		{4 << 10, 0, 5000},
+		{64 << 10, 0, 5000},
+		{4 << 10, 0.1, 12000},
+		{64 << 10, 0.1, 12000},
+		{MaxDocument, 0, 12000},
+	} {
 		t.Run(fmt.Sprintf("%d bytes, loss %g", c.size, c.loss), func(t *testing.T) {
 			f := newFleet(t, int64(c.size), 100, 7)
 			f.lossRate = c.loss
@@ -30,13 +38,15 @@
 			for _, n := range f.all {
 				last = max(last, n.appliedAt[1]-putAt)
 			}
-			t.Logf("agreed after %.0f ms, in force at the last after %.0f ms; %d bytes sent by each on average, %d at most",
+			t.Logf("agreed after %.0f ms, in force everywhere after %.0f ms; bytes sent: mean %d, most %d",
 				agreed, last, (total-began)/100, mostAfter-most)
 		})
 	}
 }
 
-func TestTooLarge(t *testing.T) {
+// TestDocumentSizeIsBounded: documents that are empty or too large are rejected, and never proposed
+// to the quorum.
+func TestDocumentSizeIsBounded(t *testing.T) {
 	f := newFleet(t, 1, 5, 3)
 	f.runFor(1000)
 	for _, size := range []int{0, MaxDocument + 1} {
--- a/internal/core/fleet/config/take_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -7,7 +7,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// One that was killed between Stored and Applied has the version in force at its next start.
+// A controller is killed after a version was stored as the current one and before it was applied.
+// It has the version in force at its next start.
 func TestKilledBetweenStoredAndApplied(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -22,7 +23,8 @@
 	f.putAgreed(f.all[7], []byte("two"), 1)
 	f.runUntil(5000, func() bool { return !victim.up })
 	if victim.up || victim.runApplied[victim.run] != 1 || victim.folder.current.Number != 2 {
-		t.Fatalf("up %v, in force %d, to be in force %d", victim.up, victim.runApplied[victim.run], victim.folder.current.Number)
+		t.Fatalf("up %v, in force %d, to be in force %d",
+			victim.up, victim.runApplied[victim.run], victim.folder.current.Number)
 	}
 	f.onStored = nil
 	f.start(victim)
@@ -33,8 +35,9 @@
 	f.everywhere(3, 5000)
 }
 
-// One that is killed while it writes the document starts with the version before, and catches up.
-func TestKilledWhileWriting(t *testing.T) {
+// A controller is killed while it stores the document. It starts with the version before, and
+// catches up.
+func TestKilledWhileStoringDocument(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[7], []byte("one"), 0)
@@ -54,8 +57,9 @@
 	f.everywhere(2, 5000)
 }
 
-// Clocks that jump by an hour, of a voter, of the leader and of others, neither lose a version nor bring one back.
-func TestClockJumps(t *testing.T) {
+// The clocks of a voter, of the leader and of others jump by an hour. No version is lost, and none
+// comes back.
+func TestClockJumpsLoseNoVersion(t *testing.T) {
 	const hour = 3600000.0
 	f := newFleet(t, 1, 20, 5)
 	f.runFor(1000)
@@ -78,8 +82,9 @@
 	}
 }
 
-// An older summary after a newer one, the same again, and another document of that number change nothing.
-func TestOlderAfterNewer(t *testing.T) {
+// After a newer version come a summary of an older one, the same again, and one of another document
+// under the same number. They change nothing.
+func TestOlderOrContradictingSummaryChangesNothing(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	one := f.putAgreed(f.all[7], []byte("one"), 0)
@@ -87,8 +92,16 @@
 	f.everywhere(2, 5000)
 	f.runFor(2000)
 	for _, c := range []*controller{f.all[1], f.all[5]} {
-		for _, s := range []Summary{one.summary(), two.summary(), {Number: 2, Hash: HashOf([]byte("x")), Size: 1}, {Number: 2, Hash: two.Hash, Size: two.Size + 1},
-			{Number: 0, Hash: two.Hash, Size: 3}, {Number: 9, Hash: two.Hash}, {Number: 9, Hash: two.Hash, Size: -1}, {Number: 9, Hash: two.Hash, Size: MaxDocument + 1}} {
+		for _, s := range []Summary{
+			one.summary(),
+			two.summary(),
+			{Number: 2, Hash: HashOf([]byte("x")), Size: 1},
+			{Number: 2, Hash: two.Hash, Size: two.Size + 1},
+			{Number: 0, Hash: two.Hash, Size: 3},
+			{Number: 9, Hash: two.Hash},
+			{Number: 9, Hash: two.Hash, Size: -1},
+			{Number: 9, Hash: two.Hash, Size: MaxDocument + 1},
+		} {
 			c.replica.Receive(f.now, "n003", &Message{Summary: &s})
 			if out := c.replica.Take(); len(out.Messages) != 0 || out.Store != nil || out.Apply != nil {
 				t.Errorf("%s on %+v: %+v", c.id, s, out)
@@ -100,8 +113,8 @@
 	}
 }
 
-// A controller on an older copy of its folder catches up, and never goes back within a run.
-func TestRestoredOlderFolder(t *testing.T) {
+// A controller starts on an older copy of its folder. It catches up, and never goes back within a run.
+func TestOlderCopyOfFolderCatchesUp(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[7], []byte("one"), 0)
@@ -124,8 +137,9 @@
 	f.everywhere(3, 5000)
 }
 
-// A newcomer whose only peer has the older version takes that, says that it is not confirmed, and catches up later.
-func TestNewcomerWithOldPeer(t *testing.T) {
+// A newcomer reaches one member alone, which has an older version. It applies that, is not
+// confirmed, and catches up when it reaches the others.
+func TestNewcomerWithOldPeerIsNotConfirmed(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[7], []byte("one"), 0)
@@ -149,8 +163,8 @@
 	}
 }
 
-// A newcomer is ready soon, with the latest version.
-func TestNewcomer(t *testing.T) {
+// TestNewcomerIsReadySoon: a newcomer has the latest version in force soon, and is confirmed.
+func TestNewcomerIsReadySoon(t *testing.T) {
 	f := newFleet(t, 1, 30, 5)
 	f.runFor(1000)
 	for _, c := range f.all {
@@ -169,9 +183,9 @@
 
 var errOld = errors.New("line 4: unknown field \"later\"")
 
-// Of a document that one in ten can't use, these keep the version before and say so; they hand it on all the same, and
-// take the next one.
-func TestOneInTenRefuses(t *testing.T) {
+// One in ten controllers can't use a document. They keep the version before and report it, serve
+// the document all the same, and apply the next version.
+func TestOneInTenRejectsVersion(t *testing.T) {
 	f := newFleet(t, 1, 60, 5)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -197,7 +211,7 @@
 		if i%10 == 9 {
 			want = 1
 			if s := c.replica.Summary(); s == nil || s.Number != 2 {
-				t.Errorf("%s does not hand it on: %+v", c.id, s)
+				t.Errorf("%s does not announce it: %+v", c.id, s)
 			}
 			if c.folder.current.Number != 1 {
 				t.Errorf("%s: version %d is to be in force at a start", c.id, c.folder.current.Number)
@@ -208,21 +222,25 @@
 		}
 	}
 	a, ok := f.ask(f.all[30], QueryStatus)
-	if !ok || a.Status.InForce != 54 || len(a.Status.Rejected) != 6 || a.Status.Rejected[0].Reason != errOld.Error() || a.Status.Rejected[0].Applied != 1 {
+	if !ok || a.Status.InForce != 54 || len(a.Status.Rejected) != 6 {
+		t.Fatalf("%v, %+v", ok, a.Status)
+	}
+	if rejected := a.Status.Rejected[0]; rejected.Reason != errOld.Error() || rejected.Applied != 1 {
 		t.Fatalf("%v, %+v", ok, a.Status)
 	}
 	c := f.all[9]
 	f.kill(c) // at its next start it refuses it again, and is ready with the version before
 	f.start(c)
-	if took := f.runUntil(5000, func() bool { return c.replica.Readiness().Confirmed }); took < 0 || c.replica.Current().Number != 1 || c.replica.Readiness().Latest != 2 {
+	took := f.runUntil(5000, func() bool { return c.replica.Readiness().Confirmed })
+	if took < 0 || c.replica.Current().Number != 1 || c.replica.Readiness().Latest != 2 {
 		t.Errorf("after a start: %+v", c.replica.Readiness())
 	}
 	f.putAgreed(f.all[0], []byte("three"), 2)
 	f.everywhere(3, 5000)
 }
 
-// Of two versions that come at once, the later of which can't be used here, the earlier comes into force.
-func TestRefusedAfterUsable(t *testing.T) {
+// Two versions come at once, the later of which can't be used here. The earlier one comes into force.
+func TestEarlierVersionAppliesIfLaterIsRejected(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -248,8 +266,9 @@
 	}
 }
 
-// One that can't be applied is tried again, or refused for good.
-func TestApplyErrors(t *testing.T) {
+// TestApplyErrorIsRetriedOrRejects: a retryable error of applying a version is tried again, any
+// other rejects the version for good.
+func TestApplyErrorIsRetriedOrRejects(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -280,8 +299,8 @@
 	f.everywhere(3, 5000)
 }
 
-// The first version of all that can't be applied leaves none to be in force at a start.
-func TestFirstRefusedOnApply(t *testing.T) {
+// The first version of all can't be applied. None is in force at the next start.
+func TestFirstVersionRejectedOnApply(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	c := f.all[7]
@@ -293,8 +312,9 @@
 	}
 }
 
-// With a full disk a version does not come into force; it is handed on from memory, reported, and tried again.
-func TestDiskFull(t *testing.T) {
+// The disk is full. A version does not come into force, is served from memory, reported, and tried
+// again.
+func TestDiskFullVersionIsServedAndRetried(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	c := f.all[7]
@@ -306,19 +326,21 @@
 		t.Errorf("%+v", c.replica.Readiness())
 	}
 	a, ok := f.ask(f.all[5], QueryStatus)
-	if !ok || len(a.Status.Rejected) != 1 || a.Status.Rejected[0].Reason != "not stored yet: "+errDisk.Error() || a.Status.InForce != 7 {
+	notStored := ok && len(a.Status.Rejected) == 1 &&
+		a.Status.Rejected[0].Reason == "not stored yet: "+errDisk.Error()
+	if !notStored || a.Status.InForce != 7 {
 		t.Errorf("%v: %+v", ok, a.Status)
 	}
 	c.replica.Receive(f.now, "n006", &Message{Fetch: &Fetch{Hash: v.Hash}})
 	if out := c.replica.Take(); len(out.Messages) != 1 || string(out.Messages[0].Message.Chunk.Data) != "one" {
-		t.Errorf("it does not hand it on: %+v", out.Messages)
+		t.Errorf("the document is not served: %+v", out.Messages)
 	}
 	c.diskFull = false
 	f.everywhere(1, maxStoreRetry+1000)
 }
 
-// A source that sends corrupt bytes is found out and left alone; the document comes from another.
-func TestCorruptSource(t *testing.T) {
+// A source sends corrupt bytes. It is found out and avoided, and the document comes from another.
+func TestCorruptSourceIsReplaced(t *testing.T) {
 	for seed := range int64(10) {
 		f := newFleet(t, seed, 40, 5)
 		f.runFor(1000)
@@ -332,13 +354,14 @@
 			corrupt += c.replica.Counters().Corrupt
 		}
 		if corrupt == 0 {
-			t.Errorf("seed %d: nobody met a corrupt chunk", seed)
+			t.Errorf("seed %d: no corrupt chunk was received", seed)
 		}
 	}
 }
 
-// A fetch goes on with what it has when its source goes.
-func TestResumedFetch(t *testing.T) {
+// The source of a document ends in the middle. The fetch goes on with the chunks that are here,
+// from another source.
+func TestFetchGoesOnWithAnotherSource(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	c := f.all[7]
@@ -350,7 +373,10 @@
 	for _, n := range f.all {
 		n.delay = 20
 	}
-	f.runUntil(8000, func() bool { d := c.replica.findDownload(HashOf(data)); return d != nil && d.received >= 10 })
+	f.runUntil(8000, func() bool {
+		d := c.replica.findDownload(HashOf(data))
+		return d != nil && d.received >= 10
+	})
 	source := f.byID[c.replica.findDownload(HashOf(data)).source]
 	f.kill(source)
 	if f.leader == "" {
@@ -362,14 +388,15 @@
 	}
 }
 
-// A version that somebody tells and nobody has does not keep real ones from coming.
-func TestPhantom(t *testing.T) {
+// A member announces a version whose document nobody has. It must not keep real versions from coming.
+func TestForgedVersionIsAbandoned(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
 	f.everywhere(1, 5000)
 	for _, c := range f.all[1:] {
-		c.replica.Receive(f.now, "n002", &Message{Summary: &Summary{Number: 99, Hash: HashOf([]byte("phantom")), Size: 7}})
+		forged := &Summary{Number: 99, Hash: HashOf([]byte("phantom")), Size: 7}
+		c.replica.Receive(f.now, "n002", &Message{Summary: forged})
 		f.settle(c)
 	}
 	f.runFor(500)
@@ -377,14 +404,16 @@
 	f.everywhere(2, 19000)
 }
 
-// A voter believes its state, not what is told: another document of a number that it knows is not fetched.
-func TestVoterRefusesForgery(t *testing.T) {
+// A member announces another document under a number that a voter's own state has. The voter does
+// not fetch it.
+func TestVoterBelievesItsState(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	v := f.putAgreed(f.all[0], []byte("one"), 0)
 	voter := f.all[2]
 	f.runUntil(1000, func() bool { return voter.learnt == 1 })
-	fresh := New(Options{Self: voter.id, Run: 77, Seed: 1}, voter, StoredState{}, f.now) // it knows the state and no document yet
+	// It has the state and no document yet.
+	fresh := New(Options{Self: voter.id, Run: 77, Seed: 1}, voter, StoredState{}, f.now)
 	fresh.Take()
 	fresh.Receive(f.now, "n007", &Message{Summary: &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}})
 	for _, s := range fresh.Take().Messages {
@@ -397,19 +426,22 @@
 	}
 }
 
-// A voter that was told a forged version before it knew of the real one turns to that.
-func TestVoterForgeryBeforeState(t *testing.T) {
+// A forged version is announced to a voter before the voter learns of the real one. The voter turns
+// to the real one at once.
+func TestVoterCorrectsForgedTarget(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	voter := f.all[2]
-	voter.replica.Receive(f.now, "n007", &Message{Summary: &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}})
+	forged := &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}
+	voter.replica.Receive(f.now, "n007", &Message{Summary: forged})
 	f.settle(voter)
 	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 2000) // it does not wait until the forged one is given up
+	f.everywhere(1, 2000) // it does not wait until the forged one is abandoned
 }
 
-// Of 60 versions in as many seconds each controller comes to the last.
-func TestSixtyInAMinute(t *testing.T) {
+// TestSixtyVersionsInAMinute: of 60 versions in as many seconds the last comes into force at each
+// controller.
+func TestSixtyVersionsInAMinute(t *testing.T) {
 	f := newFleet(t, 1, 60, 5)
 	f.lossRate = 0.02
 	f.runFor(1000)
@@ -421,8 +453,8 @@
 	t.Logf("in force at the last %.0f ms after the last was agreed on", took)
 }
 
-// 223 of 300 are cut off while versions follow each other, and come back at once.
-func TestManyComeBack(t *testing.T) {
+// 223 of 300 controllers are partitioned while versions follow each other, and come back at once.
+func TestManyControllersComeBack(t *testing.T) {
 	f := newFleet(t, 1, 300, 7)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], randomDocument(16<<10, 1), 0)
@@ -438,12 +470,13 @@
 	t.Logf("in force at the last %.0f ms after the heal", f.everywhere(3, 19000))
 }
 
-// The same seed and events lead to the same messages.
-func TestDeterministic(t *testing.T) {
+// TestSameSeedSendsSameMessages: simulations can be replayed only if the same seed and events give
+// the same messages.
+func TestSameSeedSendsSameMessages(t *testing.T) {
 	trace := func() (sum uint64) {
 		f := newFleet(t, 5, 30, 5)
 		f.lossRate = 0.05
-		f.onMessage = func(from, to *controller, m *Message) bool {
+		f.onMessage = func(from, to *controller, _ *Message) bool {
 			sum = sum*31 + mixedHash(from.id, to.id) + uint64(f.now*1000)
 			return true
 		}
@@ -461,8 +494,8 @@
 	}
 }
 
-// At rest a controller wakes up seldom, and sends little.
-func TestAtRest(t *testing.T) {
+// TestIdleReplicaSendsLittle: without a new version a controller wakes up seldom and sends little.
+func TestIdleReplicaSendsLittle(t *testing.T) {
 	f := newFleet(t, 1, 100, 7)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], randomDocument(4<<10, 1), 0)
@@ -479,7 +512,8 @@
 	for _, c := range f.all {
 		most = max(most, c.sentBytes-perOne[c.id])
 	}
-	t.Logf("%d bytes a second of each on average, %d at most, summaries on membership's messages among them", (after-before)/100/60, most/60)
+	t.Logf("%d bytes a second of each on average, %d at most, with summaries on membership messages",
+		(after-before)/100/60, most/60)
 	if most/60 > 1000 {
 		t.Errorf("%d bytes a second", most/60)
 	}
--- a/internal/core/fleet/config/checks_test.go
+++ b/internal/core/fleet/config/checks_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// TestCheckUnderWay has the check of a version take long: meanwhile nothing of it is stored, applied or told, messages
-// and ticks are answered, and no other check is asked for. A result for another document, or a second one, does nothing.
-func TestCheckUnderWay(t *testing.T) {
-	x := plainTarget()
+// The check of a version takes long. Until it ends nothing of the version is stored, applied or
+// announced, messages and ticks are answered, and no other check is requested. A result for another
+// document, or a second one, does nothing.
+func TestNothingIsStoredOrAnnouncedBeforeCheck(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(2, "second")})
 	x.replica.Take()
@@ -28,11 +29,11 @@
 			t.Fatalf("while the check is under way: %+v", out)
 		}
 		if len(out.Messages) == 0 {
-			t.Error("it serves no documents while a check is under way")
+			t.Error("no document is served while a check is under way")
 		}
 	}
 	if x.replica.Summary().Number != 1 {
-		t.Error("others hear of a version that was not checked")
+		t.Error("a version that was not checked is announced")
 	}
 	x.replica.Checked(x.now, request.Hash, nil)
 	if out := x.replica.Take(); out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 2 {
@@ -40,16 +41,16 @@
 	}
 	x.replica.Checked(x.now, request.Hash, errors.New("late")) // nobody waits for it
 	if v, _ := x.replica.Rejected(); v.Number != 0 {
-		t.Errorf("version %d is refused by a result that nobody waits for", v.Number)
+		t.Errorf("version %d is rejected by a result that nobody waits for", v.Number)
 	}
 }
 
-// TestNewerDuringCheck has a newer version come while an older one is checked: the older one is never stored or applied,
-// whether it passes or not, and what is known of it is forgotten.
-func TestNewerDuringCheck(t *testing.T) {
+// A newer version comes while an older one is checked. The older one is never stored or applied,
+// whether it passes or not, and its result is forgotten.
+func TestNewerVersionReplacesCheckedOne(t *testing.T) {
 	for name, result := range map[string]error{"passes": nil, "fails": errors.New("bad")} {
 		t.Run(name, func(t *testing.T) {
-			x := plainTarget()
+			x := newNonVoter()
 			x.replica.Take()
 			x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(2, "second")})
 			x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("second")})
@@ -65,7 +66,7 @@
 				t.Errorf("after both checks: %+v", out.Store)
 			}
 			if v, _ := x.replica.Rejected(); v.Number != 0 {
-				t.Errorf("version %d is refused, and a newer one was to be taken", v.Number)
+				t.Errorf("version %d is rejected although a newer one is aimed at", v.Number)
 			}
 			if len(x.replica.checks.results) != 0 {
 				t.Errorf("%d results are remembered", len(x.replica.checks.results))
@@ -74,13 +75,15 @@
 	}
 }
 
-// TestLeaderLostDuringCheck has a leader lose its office while it checks a proposal: it asks for no agreement, and a
-// result that comes then changes nothing. When it leads again the proposal is checked anew.
-func TestLeaderLostDuringCheck(t *testing.T) {
+// A leader loses the lead while it checks a proposal. It must not propose it, and a result that
+// comes then changes nothing. When it leads again the proposal is checked anew.
+func TestLeaderLostDuringCheckProposesNothing(t *testing.T) {
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one)}
-	x := &target{env: &lonely{self: "n0", leads: true, voting: true, state: State{Versions: []Version{v}}}}
-	x.replica = New(Options{Self: "n0", Run: 5, Seed: 1}, x.env, StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
+	state := State{Versions: []Version{v}}
+	x := &testReplica{env: &fakeEnvironment{self: "n0", leads: true, voting: true, state: state}}
+	stored := StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}
+	x.replica = New(Options{Self: "n0", Run: 5, Seed: 1}, x.env, stored, 0)
 	x.replica.Take()
 	document := []byte("proposed")
 	p := Proposal{Expect: 1, Version: Version{Hash: HashOf(document), Size: len(document),
@@ -99,7 +102,7 @@
 	x.replica.Checked(x.now, request.Hash, errors.New("bad"))
 	for _, s := range x.replica.Take().Messages {
 		if s.Message.ProposeReply != nil || s.Message.Hold != nil {
-			t.Errorf("one that does not lead any more sends %+v", s.Message)
+			t.Errorf("a former leader sends %+v", s.Message)
 		}
 	}
 	x.env.leads = true
@@ -109,9 +112,9 @@
 	}
 }
 
-// TestSlowChecks has every check take two seconds: versions are in force everywhere all the same, in their order, and a
-// document that can't be used is refused to its author.
-func TestSlowChecks(t *testing.T) {
+// Every check takes two seconds. Versions come into force everywhere all the same, in their order,
+// and a document that can't be used is rejected to its author.
+func TestSlowChecksKeepOrder(t *testing.T) {
 	f := newFleet(t, 1, 9, 3)
 	for _, c := range f.all {
 		c.checkMS = 2000
@@ -141,14 +144,16 @@
 	}
 }
 
-// TestProposalsWithoutDocument has many proposals come whose origins end before the leader has their documents, as when a
-// leader goes on that stood still: they hold up no proposal whose document comes, and are forgotten in time.
-func TestProposalsWithoutDocument(t *testing.T) {
+// Many proposals arrive whose origins end before the leader has their documents, as after a pause
+// of the leader. They must hold up no proposal whose document comes, and are dropped in time.
+func TestCandidatesWithoutDocumentHoldUpNoOther(t *testing.T) {
 	f := newFleet(t, 3, 12, 3)
 	f.runFor(3000)
 	leader := f.all[0]
 	gone := f.all[4:10]
-	f.onMessage = func(from, to *controller, m *Message) bool { return m.Chunk == nil || !slices.Contains(gone, from) }
+	f.onMessage = func(from, _ *controller, m *Message) bool {
+		return m.Chunk == nil || !slices.Contains(gone, from)
+	}
 	for i, c := range gone {
 		f.put(c, randomDocument(3000, int64(i)), 0)
 	}
--- a/internal/core/fleet/config/describe_test.go
+++ b/internal/core/fleet/config/describe_test.go
@@ -8,9 +8,9 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Every controller learns who made a version and why: voters and others, those that fetch its document and the proposer,
-// whether that hears of the version first or of its proposal's end.
-func TestDescription(t *testing.T) {
+// TestAllLearnAuthorAndReason: voters, other controllers and the proposer, whether it hears of the
+// version or of its proposal's end first.
+func TestAllLearnAuthorAndReason(t *testing.T) {
 	for seed := range int64(20) {
 		f := newFleet(t, seed, 20, 3)
 		f.runFor(1000)
@@ -24,8 +24,9 @@
 	}
 }
 
-// What a member tells of another version, or too long, is not taken in; the document is.
-func TestForgedDescription(t *testing.T) {
+// A member sends a description of another version, or one with texts that are too long. It is
+// ignored, and the document is used.
+func TestForgedDescriptionIsIgnored(t *testing.T) {
 	document := []byte("three")
 	s := Summary{Number: 2, Hash: HashOf(document), Size: len(document)}
 	good := Version{Number: 2, Hash: s.Hash, Size: s.Size, Author: "anna", Reason: "why"}
@@ -33,26 +34,30 @@
 		change func(v *Version)
 		taken  bool
 	}{
-		"as it is":         {func(*Version) {}, true},
-		"another number":   {func(v *Version) { v.Number = 3 }, false},
-		"another hash":     {func(v *Version) { v.Hash[0]++ }, false},
-		"another size":     {func(v *Version) { v.Size++ }, false},
-		"a long author":    {func(v *Version) { v.Author = strings.Repeat("a", MaxAuthor+1) }, false},
-		"a long reason":    {func(v *Version) { v.Reason = strings.Repeat("r", MaxReason+1) }, false},
-		"a long origin":    {func(v *Version) { v.ID.Origin = members.ID(strings.Repeat("o", maxIDBytes+1)) }, false},
-		"longest possible": {func(v *Version) { v.Author, v.Reason = strings.Repeat("a", MaxAuthor), strings.Repeat("r", MaxReason) }, true},
+		"as it is":       {func(*Version) {}, true},
+		"another number": {func(v *Version) { v.Number = 3 }, false},
+		"another hash":   {func(v *Version) { v.Hash[0]++ }, false},
+		"another size":   {func(v *Version) { v.Size++ }, false},
+		"a long author":  {func(v *Version) { v.Author = strings.Repeat("a", MaxAuthor+1) }, false},
+		"a long reason":  {func(v *Version) { v.Reason = strings.Repeat("r", MaxReason+1) }, false},
+		"a long origin":  {func(v *Version) { v.ID.Origin = members.ID(strings.Repeat("o", maxIDBytes+1)) }, false},
+		"longest possible": {func(v *Version) {
+			v.Author = strings.Repeat("a", MaxAuthor)
+			v.Reason = strings.Repeat("r", MaxReason)
+		}, true},
 	} {
-		x := newTargets()[2] // one that does not vote
-		told := good
-		c.change(&told)
+		x := newTestReplicas()[2] // one that does not vote
+		description := good
+		c.change(&description)
 		x.replica.Receive(1, "n1", &Message{Summary: &s})
 		sends := x.replica.Take().Messages
 		if !slices.ContainsFunc(sends, func(m Envelope) bool { return m.To == "n1" && m.Message.Fetch != nil }) {
 			t.Fatalf("%s: nothing is fetched: %+v", name, sends)
 		}
-		x.replica.Receive(2, "n1", &Message{Chunk: &Chunk{Hash: s.Hash, Total: s.Size, Data: document, Version: &told}})
+		chunk := &Chunk{Hash: s.Hash, Total: s.Size, Data: document, Version: &description}
+		x.replica.Receive(2, "n1", &Message{Chunk: chunk})
 		v := x.replica.newest
-		if v.summary() != s || v.isDescribed() != c.taken || c.taken && v.Author != told.Author {
+		if v.summary() != s || v.isDescribed() != c.taken || c.taken && v.Author != description.Author {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -29,14 +29,14 @@
 type folder struct {
 	current     Version
 	documents   map[Hash][]byte
-	lastApplied uint64 // by any run on this folder: for the checker
+	lastApplied uint64 // by any run on this folder, to check that it never goes back
 }
 
 func (f *folder) copy() *folder {
 	return &folder{current: f.current, documents: maps.Clone(f.documents), lastApplied: f.lastApplied}
 }
 
-// controller is one simulated controller: its replica, its folder and what it did.
+// controller is a simulated controller: its replica, its folder, and what it did.
 type controller struct {
 	fleet     *fleet
 	id        members.ID
@@ -181,7 +181,7 @@
 	}
 }
 
-// runFor lets time pass.
+// runFor advances the time.
 func (f *fleet) runFor(ms float64) {
 	until := f.now + ms
 	for f.events.Next() <= until {
@@ -190,7 +190,8 @@
 	f.now = until
 }
 
-// runUntil lets time pass until something holds, and tells how long that took; below 0: it did not in time.
+// runUntil advances the time until a condition holds, and returns how long that took; below 0: it
+// does not hold in time.
 func (f *fleet) runUntil(limit float64, holds func() bool) float64 {
 	began := f.now
 	for !holds() {
@@ -209,7 +210,7 @@
 	}
 }
 
-// gossip carries summaries as membership does.
+// gossip delivers summaries as membership messages do.
 func (f *fleet) gossip(c *controller, run uint64) {
 	if !c.up || c.run != run {
 		return
@@ -224,7 +225,7 @@
 	})
 }
 
-// settle does what a replica asks for, and has it wake up in time.
+// settle carries out what a replica asks for, and schedules its next tick.
 func (f *fleet) settle(c *controller) {
 	out := c.replica.Take()
 	for _, s := range out.Messages {
@@ -285,7 +286,7 @@
 
 func (f *fleet) connected(a, b *controller) bool { return a.up && b.up && a.side == b.side }
 
-// deliver sends a message as its bytes.
+// deliver delivers a message through its encoding.
 func (f *fleet) deliver(from, to *controller, m Message, then func()) {
 	if m == (Message{}) {
 		return
@@ -410,7 +411,8 @@
 		f.fail("%s: two ApplyRequests are out", c.id)
 	}
 	if c.folder.current.Number != request.Version.Number {
-		f.fail("%s applies version %d while %d is to be in force at a start", c.id, request.Version.Number, c.folder.current.Number)
+		f.fail("%s applies version %d while %d is to be in force at a start",
+			c.id, request.Version.Number, c.folder.current.Number)
 	}
 	c.applying = true
 	run := c.run
@@ -432,7 +434,7 @@
 	})
 }
 
-// noteApplied checks that versions never fall, and that each is the one that was agreed on.
+// noteApplied checks that versions never go back, and that each is the one that was agreed on.
 func (f *fleet) noteApplied(c *controller, v Version, document []byte) {
 	if HashOf(document) != v.Hash {
 		f.fail("%s applies a document that does not match the hash of version %d", c.id, v.Number)
@@ -453,7 +455,7 @@
 	}
 }
 
-// history are the hashes of all versions by the log.
+// history returns the hashes of all versions by the log.
 func (f *fleet) history() (hashes []Hash) {
 	seen := map[ProposalID]bool{}
 	for _, p := range f.log {
@@ -465,7 +467,7 @@
 	return hashes
 }
 
-// checkStatus compares a status with what the controllers themselves did.
+// checkStatus compares a status with what the controllers did.
 func (f *fleet) checkStatus(leader *controller, s *Status) {
 	inForce, count := 0, 0
 	for _, m := range f.view(leader) {
@@ -478,7 +480,7 @@
 		}
 	}
 	if s.Members > count || s.InForce > inForce {
-		f.fail("status tells %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
+		f.fail("the status has %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
 	}
 	listed := len(s.Rejected) + len(s.Behind) + len(s.Unreachable) + s.Omitted
 	if s.Latest.Number > 0 && s.InForce+listed != s.Members {
@@ -505,8 +507,8 @@
 	}
 }
 
-// propose is the quorum: a proposal is agreed on a little later, if its leader still leads with a majority, and sometimes
-// if it does not lead any more.
+// propose simulates the quorum: a proposal is agreed on a little later if its leader still leads
+// with a majority, and sometimes if it does not.
 func (f *fleet) propose(c *controller, p Proposal) bool {
 	if f.leader != c.id || !f.majority(c) {
 		return false
@@ -548,7 +550,7 @@
 	return 2*count > len(f.voters)
 }
 
-// learnLater has a voter learn what was agreed on.
+// learnLater has a voter learn a little later what was agreed on.
 func (f *fleet) learnLater(c *controller) {
 	run := c.run
 	f.after(2+f.rng.Float64()*60, func() {
@@ -567,7 +569,7 @@
 	})
 }
 
-// cut parts some controllers from the rest.
+// cut partitions some controllers from the rest.
 func (f *fleet) cut(controllers []*controller, side int) {
 	f.cutAt = f.now
 	for _, c := range controllers {
@@ -575,7 +577,7 @@
 	}
 }
 
-// view is what one believes of all.
+// view returns what a controller believes of all.
 func (f *fleet) view(c *controller) (list []members.Member) {
 	for _, m := range f.all {
 		if known, ok := f.believed(c, m); ok {
@@ -602,8 +604,6 @@
 	return m, true
 }
 
-// The environment of a controller's replica.
-
 func (c *controller) Members() []members.Member { return c.fleet.view(c) }
 
 func (c *controller) Member(id members.ID) (members.Member, bool) {
@@ -632,7 +632,7 @@
 
 func (c *controller) Propose(p Proposal) bool { return c.fleet.propose(c, p) }
 
-// check tells whether a document could be used here.
+// check tells whether a document can be used here.
 func (c *controller) check(document []byte) error {
 	if strings.HasPrefix(string(document), "nonsense") {
 		return errors.New("line 1: nonsense")
@@ -643,22 +643,23 @@
 	return nil
 }
 
-// randomDocument is one of a size, different for each seed.
+// randomDocument returns a document of a size, different for each seed.
 func randomDocument(size int, seed int64) []byte {
 	data := make([]byte, size)
 	rand.New(rand.NewSource(seed)).Read(data)
 	return data
 }
 
-// put proposes at one controller and returns the reference.
+// put proposes a document at a controller and returns the reference.
 func (f *fleet) put(c *controller, document []byte, expect uint64) uint64 {
 	f.ref++
-	c.replica.Propose(c.clock(), f.ref, document, expect, Version{Author: "operator", Reason: "test", Time: int64(f.now)})
+	v := Version{Author: "operator", Reason: "test", Time: int64(f.now)}
+	c.replica.Propose(c.clock(), f.ref, document, expect, v)
 	f.settle(c)
 	return f.ref
 }
 
-// outcome waits for how a proposal ends.
+// outcome waits for the result of a proposal.
 func (f *fleet) outcome(c *controller, ref uint64) ProposalResult {
 	f.t.Helper()
 	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.outcomes[ref]; return ok })
@@ -669,7 +670,7 @@
 	return o
 }
 
-// putAgreed proposes and expects that it is agreed on.
+// putAgreed proposes a document and expects it to be committed.
 func (f *fleet) putAgreed(c *controller, document []byte, expect uint64) Version {
 	f.t.Helper()
 	o := f.outcome(c, f.put(c, document, expect))
@@ -689,7 +690,7 @@
 	return true
 }
 
-// everywhere waits until a version is in force at all, and tells how long that took.
+// everywhere waits until a version is in force at all controllers, and returns how long that took.
 func (f *fleet) everywhere(number uint64, limit float64) float64 {
 	f.t.Helper()
 	took := f.runUntil(limit, func() bool { return inForce(number, f.all) })
@@ -700,12 +701,13 @@
 				behind = append(behind, c.id)
 			}
 		}
-		f.t.Fatalf("version %d is not in force after %.0f ms at %d: %v", number, limit, len(behind), behind[:min(8, len(behind))])
+		f.t.Fatalf("version %d is not in force after %.0f ms at %d: %v",
+			number, limit, len(behind), behind[:min(8, len(behind))])
 	}
 	return took
 }
 
-// ask puts a question and waits for its answer.
+// ask sends a query and waits for its answer.
 func (f *fleet) ask(c *controller, kind QueryKind) (Answer, bool) {
 	f.ref++
 	ref := f.ref
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -12,8 +12,9 @@
 	firstHistory = flag.Int64("first-history", 0, "the seed of the first one")
 )
 
-// A drawn history of faults: the checker of the simulation looks after each step, and at the end all that was cut, full
-// or down is mended and the latest version comes into force everywhere in time.
+// TestDrawnHistories simulates random histories of faults. The simulation checks the invariants
+// after each step. At the end all partitions, full disks and stopped controllers are mended, and
+// the latest version must come into force everywhere in time.
 func TestDrawnHistories(t *testing.T) {
 	versions := 0
 	for i := range int64(*histories) {
@@ -28,7 +29,7 @@
 	t.Logf("%d versions in %d histories", versions, *histories)
 }
 
-// drawnHistory is one history of faults.
+// drawnHistory is a random history of faults.
 type drawnHistory struct {
 	t      *testing.T
 	fleet  *fleet
@@ -37,6 +38,7 @@
 	script []string
 }
 
+// newDrawnHistory returns the history of a seed.
 func newDrawnHistory(t *testing.T, seed int64) *drawnHistory {
 	f := newFleet(t, seed, 9+int(seed%5)*6, 3+2*int(seed%3))
 	f.lossRate = []float64{0, 0.02, 0.1}[seed%3]
@@ -59,10 +61,12 @@
 	return h
 }
 
+// note adds to the script that is shown if the test fails.
 func (h *drawnHistory) note(format string, args ...any) {
 	h.script = append(h.script, fmt.Sprintf("%.0f ms: ", h.fleet.now)+fmt.Sprintf(format, args...))
 }
 
+// run simulates the faults.
 func (h *drawnHistory) run() {
 	f := h.fleet
 	defer func() {
@@ -78,7 +82,7 @@
 	}
 }
 
-// fault does one drawn thing.
+// fault causes or ends one random fault.
 func (h *drawnHistory) fault() {
 	f := h.fleet
 	c := f.all[f.rng.Intn(len(f.all))]
@@ -118,7 +122,7 @@
 	}
 }
 
-// voterMayGo tells whether a majority of the voters is left.
+// voterMayGo tells whether a majority of the voters remains without one.
 func (h *drawnHistory) voterMayGo(c *controller) bool {
 	up := 0
 	for _, id := range h.fleet.voters {
@@ -129,7 +133,8 @@
 	return !c.voter || 2*(up-1) > len(h.fleet.voters)
 }
 
-// restart starts one that is down, perhaps on an older copy of its folder. Of the voters only the last one may have such.
+// restart starts a stopped controller, perhaps on an older copy of its folder. Of the voters only
+// the last one may have such.
 func (h *drawnHistory) restart() {
 	f := h.fleet
 	for _, c := range f.all {
@@ -138,7 +143,8 @@
 		}
 		old := h.copies[c]
 		if old != nil && f.rng.Intn(2) == 0 && (!c.voter || c.id == f.voters[len(f.voters)-1]) {
-			h.note("%s starts on an older copy of its folder, version %d for %d", c.id, old.current.Number, c.folder.current.Number)
+			h.note("%s starts on an older copy of its folder, version %d for %d",
+				c.id, old.current.Number, c.folder.current.Number)
 			c.folder = old.copy()
 		} else {
 			h.note("%s starts", c.id)
@@ -148,7 +154,7 @@
 	}
 }
 
-// elect has a voter lead that reaches a majority, if none does.
+// elect makes a voter that reaches a majority the leader, if none leads.
 func (h *drawnHistory) elect() {
 	f := h.fleet
 	if f.leader != "" && f.byID[f.leader].up && f.majority(f.byID[f.leader]) {
@@ -167,7 +173,8 @@
 	}
 }
 
-// mend ends all faults, and expects the latest version to be in force everywhere in time and the status to say so.
+// mend ends all faults, and expects the latest version to come into force everywhere in time and
+// the status to show it.
 func (h *drawnHistory) mend() {
 	f := h.fleet
 	f.lossRate = 0
@@ -181,13 +188,15 @@
 	f.runFor(proposeTimeout + 1000) // what is proposed ends
 	h.elect()
 	if f.leader == "" {
-		h.t.Fatal("nobody leads")
+		h.t.Fatal("no leader")
 	}
 	latest := f.agreed.Newest()
-	refusing := func(c *controller) bool { return c.refuses != nil && c.replica.application.rejected.Number == latest }
+	rejecting := func(c *controller) bool {
+		return c.refuses != nil && c.replica.application.rejected.Number == latest
+	}
 	took := f.runUntil(maxStoreRetry+1000, func() bool {
 		for _, c := range f.all {
-			if c.replica.Current().Number != latest && !refusing(c) {
+			if c.replica.Current().Number != latest && !rejecting(c) {
 				return false
 			}
 		}
@@ -196,7 +205,8 @@
 	if took < 0 {
 		for _, c := range f.all {
 			if c.replica.Current().Number != latest {
-				h.t.Errorf("%s has version %d of %d: target %+v", c.id, c.replica.Current().Number, latest, c.replica.target)
+				h.t.Errorf("%s has version %d of %d: target %+v",
+					c.id, c.replica.Current().Number, latest, c.replica.target)
 			}
 		}
 		h.t.Fatalf("not in force everywhere\n%s", strings.Join(h.script, "\n"))
@@ -204,7 +214,7 @@
 	f.runFor(2*reportInterval + 2000)
 	s := f.status(h.t, f.byID[f.leader])
 	if latest > 0 && s.InForce+len(s.Rejected) != len(f.all) {
-		h.t.Errorf("the status tells %+v", s)
+		h.t.Errorf("the status is %+v", s)
 	}
 	for _, c := range f.all {
 		if !c.replica.Readiness().Confirmed {
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -13,8 +13,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// lonely is the environment of a replica whose messages all come from the test.
-type lonely struct {
+// fakeEnvironment is the environment of a replica whose messages all come from the test.
+type fakeEnvironment struct {
 	self   members.ID
 	leads  bool
 	late   bool // it leads, and does not know yet all that was agreed on
@@ -22,14 +22,14 @@
 	state  State
 }
 
-func (e *lonely) Members() (list []members.Member) {
+func (e *fakeEnvironment) Members() (list []members.Member) {
 	for i := range 5 {
 		list = append(list, members.Member{ID: members.ID(fmt.Sprint("n", i)), Run: uint64(i) + 1})
 	}
 	return list
 }
 
-func (e *lonely) Member(id members.ID) (members.Member, bool) {
+func (e *fakeEnvironment) Member(id members.ID) (members.Member, bool) {
 	for _, m := range e.Members() {
 		if m.ID == id {
 			return m, true
@@ -38,46 +38,56 @@
 	return members.Member{}, false
 }
 
-func (e *lonely) Voters() []members.ID { return []members.ID{"n0", "n1", "n2"} }
+func (e *fakeEnvironment) Voters() []members.ID { return []members.ID{"n0", "n1", "n2"} }
 
-func (e *lonely) Leader() members.ID {
+func (e *fakeEnvironment) Leader() members.ID {
 	if e.leads || e.late {
 		return e.self
 	}
 	return "n1"
 }
 
-func (e *lonely) Leads() bool           { return e.leads }
-func (e *lonely) Voting() bool          { return e.voting }
-func (e *lonely) State() *State         { return &e.state }
-func (e *lonely) Propose(Proposal) bool { return true }
+func (e *fakeEnvironment) Leads() bool { return e.leads }
 
-// check tells whether a document could be used here.
-func (e *lonely) check(document []byte) error {
+func (e *fakeEnvironment) Voting() bool { return e.voting }
+
+func (e *fakeEnvironment) State() *State { return &e.state }
+
+func (e *fakeEnvironment) Propose(Proposal) bool { return true }
+
+// check tells whether a document can be used here.
+func (e *fakeEnvironment) check(document []byte) error {
 	if bytes.HasPrefix(document, []byte("bad")) {
 		return errors.New("bad")
 	}
 	return nil
 }
 
-// target is a replica in one role that a hostile member talks to.
-type target struct {
-	env     *lonely
+// testReplica is a replica in one role to which a test sends messages.
+type testReplica struct {
+	env     *fakeEnvironment
 	replica *Replica
 	now     float64
 	applied uint64
 }
 
-func newTargets() []*target {
+// newTestReplicas returns a leader, a voter and a controller that is no voter, each with version 1
+// in force.
+func newTestReplicas() []*testReplica {
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one), ID: ProposalID{Origin: "n3", Run: 1, Ref: 1}}
-	var list []*target
-	for _, e := range []*lonely{{self: "n0", leads: true, voting: true}, {self: "n2", voting: true}, {self: "n4"}} {
+	var list []*testReplica
+	for _, e := range []*fakeEnvironment{
+		{self: "n0", leads: true, voting: true},
+		{self: "n2", voting: true},
+		{self: "n4"},
+	} {
 		if e.voting {
 			e.state = State{Versions: []Version{v}}
 		}
-		x := &target{env: e, applied: 1}
-		x.replica = New(Options{Self: e.self, Run: 5, Seed: 1}, e, StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}, 0)
+		x := &testReplica{env: e, applied: 1}
+		stored := StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one}}
+		x.replica = New(Options{Self: e.self, Run: 5, Seed: 1}, e, stored, 0)
 		x.replica.Propose(0, 1, []byte("two"), 1, Version{})
 		x.replica.Query(0, 2, QueryStatus)
 		x.replica.FetchDocument(0, 3, HashOf([]byte("three")))
@@ -86,8 +96,8 @@
 	return list
 }
 
-// receive takes one message in, lets some time pass, and tells what is wrong then.
-func (x *target) receive(from members.ID, m *Message) error {
+// receive passes a message in, advances the time a little, and returns what is wrong then.
+func (x *testReplica) receive(from members.ID, m *Message) error {
 	x.replica.Receive(x.now, from, m)
 	problem := x.drain()
 	x.now += 150
@@ -98,8 +108,8 @@
 	return errors.Join(problem, x.drain(), x.bounds())
 }
 
-// drain answers what the replica asks for.
-func (x *target) drain() error {
+// drain carries out what the replica asks for.
+func (x *testReplica) drain() error {
 	for range 10 {
 		out := x.replica.Take()
 		if len(out.Messages) > 64 {
@@ -125,8 +135,8 @@
 	return nil
 }
 
-// bounds tells which bound of what is kept is passed.
-func (x *target) bounds() error {
+// bounds returns which bound of what is remembered is exceeded.
+func (x *testReplica) bounds() error {
 	r := x.replica
 	size := 0
 	for h, d := range r.documents.documents {
@@ -145,18 +155,23 @@
 	case len(r.candidates) > MaxProposals+1, len(r.holds) > maxHolds:
 		return fmt.Errorf("%d proposals, %d holds", len(r.candidates), len(r.holds))
 	case len(r.startup.latestOf) > 16:
-		return fmt.Errorf("%d voters told", len(r.startup.latestOf))
+		return fmt.Errorf("%d voters answered", len(r.startup.latestOf))
 	}
 	for _, d := range r.downloads {
-		if len(d.chunks) > chunkCount(MaxDocument) || len(d.missingUntil) > maxExcluded || len(d.requestedFrom) > maxExcluded || len(d.sources) > maxSources {
+		tooManyMembers := len(d.missingUntil) > maxExcluded || len(d.requestedFrom) > maxExcluded ||
+			len(d.sources) > maxSources
+		if len(d.chunks) > chunkCount(MaxDocument) || tooManyMembers {
 			return fmt.Errorf("a download of %d chunks", len(d.chunks))
 		}
 	}
 	return nil
 }
 
-// nonsense are messages whose fields are out of bounds.
+// nonsense returns messages whose fields are out of bounds.
 func nonsense() []Message {
+	propose := func(v Version) *ProposeRequest {
+		return &ProposeRequest{Proposal: Proposal{Expect: 1, Version: v}}
+	}
 	h, one := HashOf([]byte("x")), HashOf([]byte("one"))
 	long := strings.Repeat("a", 70000)
 	id := ProposalID{Origin: "n3", Run: 1, Ref: 1}
@@ -175,12 +190,15 @@
 		{Fetch: &Fetch{Hash: one, Offset: 1}},
 		{Fetch: &Fetch{Hash: one, Offset: -ChunkBytes}},
 		{Propose: &ProposeRequest{}},
-		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: math.MaxInt, ID: id}}}},
+		{Propose: propose(Version{Hash: h, Size: math.MaxInt, ID: id})},
 		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: -1, ID: id}}}},
-		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: 1, Author: long, ID: id}}}},
-		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: 1, Reason: long, ID: id}}}},
-		{Propose: &ProposeRequest{Proposal: Proposal{Expect: math.MaxUint64, Version: Version{Hash: h, Size: 1, ID: id}}}},
-		{Propose: &ProposeRequest{Proposal: Proposal{Expect: 1, Version: Version{Hash: h, Size: 1, ID: ProposalID{Origin: "n3", Ref: 7}}}}},
+		{Propose: propose(Version{Hash: h, Size: 1, Author: long, ID: id})},
+		{Propose: propose(Version{Hash: h, Size: 1, Reason: long, ID: id})},
+		{Propose: &ProposeRequest{Proposal: Proposal{
+			Expect:  math.MaxUint64,
+			Version: Version{Hash: h, Size: 1, ID: id},
+		}}},
+		{Propose: propose(Version{Hash: h, Size: 1, ID: ProposalID{Origin: "n3", Ref: 7}})},
 		{ProposeReply: &ProposeReply{ID: ProposalID{Origin: "n0", Run: 5, Ref: 1}, Result: 200, Reason: long}},
 		{ProposeReply: &ProposeReply{ID: ProposalID{Origin: "n2", Run: 5, Ref: 1}, Result: Committed}},
 		{Hold: &HoldRequest{Hash: h, Size: math.MaxInt}},
@@ -189,22 +207,49 @@
 		{HoldReply: &HoldReply{Hash: h}},
 		{Reports: &Reports{List: many}},
 		{Reports: &Reports{List: many[:1000]}},
-		{Reports: &Reports{List: []Report{{}, {ID: "n3", Age: math.Inf(1)}, {ID: "n3", Age: math.NaN()}, {ID: "n3", Age: -1e300},
-			{ID: "n3", Run: 4, Sequence: math.MaxUint64, Applied: math.MaxUint64, Age: math.MaxFloat64}, {ID: members.ID(long)}, {ID: "n3", Reason: long}}}},
+		{Reports: &Reports{List: []Report{
+			{},
+			{ID: "n3", Age: math.Inf(1)},
+			{ID: "n3", Age: math.NaN()},
+			{ID: "n3", Age: -1e300},
+			{ID: "n3", Run: 4, Sequence: math.MaxUint64, Applied: math.MaxUint64, Age: math.MaxFloat64},
+			{ID: members.ID(long)},
+			{ID: "n3", Reason: long},
+		}}},
 		{ReportsReply: &ReportsReply{Sequence: 1, Leader: members.ID(long)}},
 		{ReportsReply: &ReportsReply{Sequence: math.MaxUint64, Leader: "n3"}},
-		{Query: &Query{Kind: 0}}, {Query: &Query{Kind: 99}}, {Query: &Query{Kind: QueryStatus}}, {Query: &Query{Kind: QueryHistory}}, {Query: &Query{Kind: QueryLatest}},
+		{Query: &Query{Kind: 0}},
+		{Query: &Query{Kind: 99}},
+		{Query: &Query{Kind: QueryStatus}},
+		{Query: &Query{Kind: QueryHistory}},
+		{Query: &Query{Kind: QueryLatest}},
 		{Answer: &Answer{Ref: 1, Voting: true, Leads: true, Leader: members.ID(long)}},
 		{Answer: &Answer{Ref: 1, Versions: make([]Version, 100)}},
-		{Answer: &Answer{Ref: 1, Leads: true, Voting: true, Status: &Status{Rejected: make([]ControllerReport, 1000)}}},
-		{Answer: &Answer{Ref: 1, Voting: true, Leads: true, Latest: Summary{Number: math.MaxUint64, Hash: h, Size: 1}}},
+		{Answer: &Answer{Ref: 1, Leads: true, Voting: true, Status: &Status{
+			Rejected: make([]ControllerReport, 1000),
+		}}},
+		{Answer: &Answer{Ref: 1, Voting: true, Leads: true, Latest: Summary{
+			Number: math.MaxUint64,
+			Hash:   h,
+			Size:   1,
+		}}},
 		{Answer: &Answer{Ref: 2, Voting: true, Leads: true}},
 		{Answer: &Answer{Voting: true, Leads: true, Latest: Summary{Number: 7, Size: -7}}},
 	}
 	for _, hash := range []Hash{h, HashOf([]byte("three")), one, {}} {
-		for _, c := range []Chunk{{Offset: -1, Total: 5}, {Offset: 0, Total: math.MaxInt, Data: []byte("x")}, {Offset: 0, Total: 1, Data: []byte("y")},
-			{Offset: 0, Total: -1}, {Offset: math.MinInt, Total: 1}, {Offset: math.MaxInt, Total: math.MaxInt, Data: []byte("x")}, {Offset: ChunkBytes, Total: 1, Data: []byte("x")},
-			{Missing: true}, {Offset: 0, Total: 1}, {Offset: 0, Total: MaxDocument, Data: make([]byte, ChunkBytes)}, {Offset: 0, Total: 1, Data: make([]byte, 100000)}} {
+		for _, c := range []Chunk{
+			{Offset: -1, Total: 5},
+			{Offset: 0, Total: math.MaxInt, Data: []byte("x")},
+			{Offset: 0, Total: 1, Data: []byte("y")},
+			{Offset: 0, Total: -1},
+			{Offset: math.MinInt, Total: 1},
+			{Offset: math.MaxInt, Total: math.MaxInt, Data: []byte("x")},
+			{Offset: ChunkBytes, Total: 1, Data: []byte("x")},
+			{Missing: true},
+			{Offset: 0, Total: 1},
+			{Offset: 0, Total: MaxDocument, Data: make([]byte, ChunkBytes)},
+			{Offset: 0, Total: 1, Data: make([]byte, 100000)},
+		} {
 			c.Hash = hash
 			list = append(list, Message{Chunk: &c})
 		}
@@ -212,10 +257,11 @@
 	return list
 }
 
-// Messages with fields out of bounds do no harm, in whatever order they come.
-func TestNonsense(t *testing.T) {
+// A faulty or hostile member sends messages with fields out of bounds, in whatever order. No bound
+// is exceeded, and no wrong version is applied.
+func TestMessagesOutOfBoundsDoNoHarm(t *testing.T) {
 	for from := range 5 {
-		for i, x := range newTargets() {
+		for i, x := range newTestReplicas() {
 			for round := range 4 {
 				list := nonsense()
 				for j := range list {
@@ -232,23 +278,25 @@
 	}
 }
 
-// A size that is told takes up no memory before its bytes have come.
-func TestNoMemoryByWord(t *testing.T) {
-	x := newTargets()[2]
-	bytes := testing.AllocsPerRun(10, func() {
-		x.replica.Receive(x.now, "n3", &Message{Summary: &Summary{Number: 1 << 40, Hash: HashOf([]byte("x")), Size: MaxDocument}})
+// A member announces a large document that nobody has. If memory were taken up for the announced
+// size, a few messages could use it up. It is taken up for the bytes that come alone.
+func TestAnnouncedSizeTakesNoMemory(t *testing.T) {
+	x := newTestReplicas()[2]
+	allocations := testing.AllocsPerRun(10, func() {
+		summary := &Summary{Number: 1 << 40, Hash: HashOf([]byte("x")), Size: MaxDocument}
+		x.replica.Receive(x.now, "n3", &Message{Summary: summary})
 	})
-	if d := x.replica.findDownload(HashOf([]byte("x"))); d == nil || len(d.chunks) != 32 || bytes > 100 {
-		t.Errorf("%v, %g allocations", d, bytes)
+	if d := x.replica.findDownload(HashOf([]byte("x"))); d == nil || len(d.chunks) != 32 || allocations > 100 {
+		t.Errorf("%v, %g allocations", d, allocations)
 	}
 	for _, c := range x.replica.findDownload(HashOf([]byte("x"))).chunks {
 		if c != nil {
-			t.Error("memory for a chunk that has not come")
+			t.Error("memory is taken up for a chunk that has not come")
 		}
 	}
 }
 
-// FuzzReceive takes in messages as they would come off the wire, in each role.
+// FuzzReceive passes in messages as they would come off the wire, in each role.
 func FuzzReceive(f *testing.F) {
 	for _, m := range nonsense() {
 		data, err := cbor.Marshal(m)
@@ -263,7 +311,7 @@
 	chunk, _ := cbor.Marshal(Message{Chunk: &Chunk{Hash: HashOf([]byte("x")), Total: 1, Data: []byte("x")}})
 	f.Add(append(append([]byte{}, two...), chunk...))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		targets := newTargets()
+		targets := newTestReplicas()
 		for i := range 16 {
 			var m Message
 			rest, err := cbor.UnmarshalFirst(data, &m)
--- a/internal/core/fleet/config/propose_test.go
+++ b/internal/core/fleet/config/propose_test.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// The proposal is sent again to the next leader, and becomes one version.
-func TestPutWhileLeaderChanges(t *testing.T) {
+// The leader ends while a proposal is under way. It is sent to the next leader, and becomes one version.
+func TestProposalOutlastsLeaderChange(t *testing.T) {
 	for seed := range int64(40) {
 		f := newFleet(t, seed, 12, 5)
 		f.lossRate = 0.05
@@ -29,8 +29,9 @@
 	}
 }
 
-// Of two at once one wins, and the other is told which.
-func TestTwoPutsAtOnce(t *testing.T) {
+// Two proposals expect the same version. One becomes the next, and the other ends as a conflict
+// with that version.
+func TestOneOfTwoProposalsWins(t *testing.T) {
 	for seed := range int64(20) {
 		f := newFleet(t, seed, 12, 5)
 		f.runFor(1000)
@@ -43,20 +44,24 @@
 		if x.Result == Conflict {
 			x, y = y, x
 		}
-		if x.Result != Committed || y.Result != Conflict || y.Version.Number != 1 || y.Version.Hash != x.Version.Hash || y.Reason == "" {
+		sameVersion := y.Version.Number == 1 && y.Version.Hash == x.Version.Hash
+		if x.Result != Committed || y.Result != Conflict || !sameVersion || y.Reason == "" {
 			t.Errorf("seed %d: %+v, %+v", seed, x, y)
 		}
 		f.everywhere(1, 10000)
 	}
 }
 
-func TestExpect(t *testing.T) {
+// TestProposalExpectsNewestVersion: a proposal that expects another version than the newest ends as
+// a conflict.
+func TestProposalExpectsNewestVersion(t *testing.T) {
 	f := newFleet(t, 1, 6, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[5], []byte("one"), 0)
 	f.putAgreed(f.all[5], []byte("two"), 1)
 	for _, expect := range []uint64{0, 1, 3, 1 << 63} {
-		if o := f.outcome(f.all[4], f.put(f.all[4], []byte("three"), expect)); o.Result != Conflict || o.Version.Number != 2 || o.Reason == "" {
+		o := f.outcome(f.all[4], f.put(f.all[4], []byte("three"), expect))
+		if o.Result != Conflict || o.Version.Number != 2 || o.Reason == "" {
 			t.Errorf("expecting %d: %+v", expect, o)
 		}
 	}
@@ -65,8 +70,8 @@
 	}
 }
 
-// A document that the leader can't use is refused with the reason, and nobody hears of it.
-func TestRefusedByLeader(t *testing.T) {
+// A document that the leader can't use is rejected with the reason, and never proposed to the quorum.
+func TestLeaderRejectsUnusableDocument(t *testing.T) {
 	f := newFleet(t, 1, 6, 3)
 	f.runFor(1000)
 	for _, at := range []*controller{f.all[0], f.all[1], f.all[5]} {
@@ -76,16 +81,19 @@
 		}
 	}
 	if len(f.log) != 0 {
-		t.Error("it came to the quorum")
+		t.Error("it was proposed to the quorum")
 	}
 	f.all[0].refuses = func([]byte) error { return fmt.Errorf("%s", strings.Repeat("ä", MaxReason)) }
-	if o := f.outcome(f.all[5], f.put(f.all[5], []byte("x"), 0)); o.Result != Rejected || len(o.Reason) > MaxReason || !strings.HasPrefix(o.Reason, "ä") || strings.ContainsRune(o.Reason, 0xfffd) {
+	o := f.outcome(f.all[5], f.put(f.all[5], []byte("x"), 0))
+	wholeCharacters := strings.HasPrefix(o.Reason, "ä") && !strings.ContainsRune(o.Reason, 0xfffd)
+	if o.Result != Rejected || len(o.Reason) > MaxReason || !wholeCharacters {
 		t.Errorf("a long reason: %d bytes", len(o.Reason))
 	}
 }
 
-// Cut off from the leader, a proposal ends as unknown in time; and the one that leads without a majority begins nothing.
-func TestCutOff(t *testing.T) {
+// A proposal whose origin is partitioned from the leader ends as unknown in time, and a leader
+// without a majority commits nothing.
+func TestPartitionedProposalIsUnknown(t *testing.T) {
 	f := newFleet(t, 1, 10, 5)
 	f.runFor(1000)
 	f.putAgreed(f.all[9], []byte("one"), 0)
@@ -93,7 +101,8 @@
 	f.cut([]*controller{f.all[0], f.all[1], f.all[9]}, 1) // the leader of before and one voter
 	a, b := f.put(f.all[9], []byte("two"), 1), f.put(f.all[0], []byte("three"), 1)
 	began := f.now
-	if x, y := f.outcome(f.all[9], a), f.outcome(f.all[0], b); x.Result != Unknown || y.Result != Unknown || f.now-began > proposeTimeout+100 {
+	x, y := f.outcome(f.all[9], a), f.outcome(f.all[0], b)
+	if x.Result != Unknown || y.Result != Unknown || f.now-began > proposeTimeout+100 {
 		t.Errorf("%+v, %+v after %.0f ms", x, y, f.now-began)
 	}
 	f.setLeader(f.all[2].id)
@@ -108,8 +117,8 @@
 	}
 }
 
-// More proposals than wait at the leader are told so.
-func TestBusy(t *testing.T) {
+// TestProposalsAboveBoundAreRejected: more proposals than may wait at the leader are rejected as busy.
+func TestProposalsAboveBoundAreRejected(t *testing.T) {
 	f := newFleet(t, 1, 30, 3)
 	f.runFor(1000)
 	f.cut([]*controller{f.all[1], f.all[2]}, 1) // no majority: nothing ends
@@ -125,7 +134,7 @@
 		}
 	}
 	if busy != len(refs)-MaxProposals-1 {
-		t.Errorf("%d of %d are told that it is busy", busy, len(refs))
+		t.Errorf("%d of %d are rejected as busy", busy, len(refs))
 	}
 	if c := f.all[5]; c != nil {
 		for range 2 * MaxProposals {
@@ -137,11 +146,12 @@
 	}
 }
 
-// One that was agreed on and whose answer was lost is answered by the next leader, which did not propose it.
-func TestAnswerLost(t *testing.T) {
+// A proposal was committed and the answer was lost with the leader. The next leader, which did not
+// propose it, answers it.
+func TestNextLeaderAnswersCommittedProposal(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
-	f.onMessage = func(from, to *controller, m *Message) bool { return m.ProposeReply == nil }
+	f.onMessage = func(_, _ *controller, m *Message) bool { return m.ProposeReply == nil }
 	ref := f.put(f.all[7], []byte("one"), 0)
 	f.runUntil(5000, func() bool { return f.agreed.Newest() == 1 })
 	f.setLeader(f.all[1].id)
@@ -151,8 +161,9 @@
 	}
 }
 
-// The quorum is asked only once a majority holds the document durably: a voter whose disk is full does not count.
-func TestMajorityHolds(t *testing.T) {
+// If a version were agreed on whose document a minority holds, it could be lost. The quorum is
+// asked only when a majority holds it durably: a voter whose disk is full does not count.
+func TestProposedOnlyWhenMajorityHoldsDocument(t *testing.T) {
 	f := newFleet(t, 1, 8, 5)
 	f.runFor(1000)
 	for _, i := range []int{1, 2, 3} {
@@ -169,8 +180,8 @@
 	}
 }
 
-// A leader that could not store the document does not count itself.
-func TestLeaderHoldsNothing(t *testing.T) {
+// A leader that could not store the document does not count itself among those that hold it.
+func TestLeaderWithoutDocumentDoesNotCount(t *testing.T) {
 	f := newFleet(t, 1, 8, 5)
 	f.runFor(1000)
 	for _, c := range f.all[:3] {
@@ -187,8 +198,9 @@
 	}
 }
 
-// The leader needs no free disk itself, if a majority of the others holds it.
-func TestLeaderDiskFull(t *testing.T) {
+// The leader's disk is full. A version is agreed on all the same if a majority of the voters holds
+// the document.
+func TestLeaderDiskFullMajorityOfOthers(t *testing.T) {
 	f := newFleet(t, 1, 8, 5)
 	f.runFor(1000)
 	f.all[0].diskFull = true
@@ -201,8 +213,9 @@
 	f.everywhere(1, maxStoreRetry+1000)
 }
 
-// A rollback is a new version with the old document, and wins while the version before still spreads.
-func TestRollbackWhileSpreading(t *testing.T) {
+// A rollback is a new version with an older document. It comes into force everywhere, also while
+// the version before still spreads.
+func TestRollbackWhileVersionSpreads(t *testing.T) {
 	f := newFleet(t, 3, 60, 5)
 	f.runFor(2000)
 	old, bad := randomDocument(64<<10, 1), randomDocument(MaxDocument, 2)
@@ -217,7 +230,7 @@
 		}
 	}
 	if spread == len(f.all) {
-		t.Fatal("the version before has spread already")
+		t.Fatal("the version before is in force already")
 	}
 	f.putAgreed(f.all[40], old, 2)
 	f.everywhere(3, 10000)
@@ -228,7 +241,8 @@
 	}
 }
 
-// Documents of a voter's history are found by all, and those that nobody keeps are told as not found.
+// TestFetchDocument: documents of the history are found from all controllers, and one that no voter
+// has ends as not found.
 func TestFetchDocument(t *testing.T) {
 	f := newFleet(t, 1, 12, 3)
 	f.runFor(1000)
@@ -255,7 +269,7 @@
 	f.settle(c)
 	f.runUntil(lookupTimeout+100, func() bool { _, ok := c.documents[9999]; return ok })
 	if got, ok := c.documents[9999]; !ok || got.Document != nil || f.now-began > 1000 {
-		t.Errorf("one that nobody has: %v after %.0f ms", ok, f.now-began)
+		t.Errorf("a document that nobody has: %v after %.0f ms", ok, f.now-began)
 	}
 	for _, n := range f.all[:3] {
 		n.up = false
@@ -265,12 +279,13 @@
 	f.settle(c)
 	f.runFor(lookupTimeout + 100)
 	if got, ok := c.documents[9998]; !ok || got.Document != nil {
-		t.Error("no answer where no voter answers")
+		t.Error("no result although no voter answers")
 	}
 }
 
-// A voter keeps the documents of its history within the bound, the others the newest two.
-func TestKeptDocuments(t *testing.T) {
+// TestStoredDocumentsAreBounded: a voter stores the documents of its history within the bound,
+// other controllers the newest two.
+func TestStoredDocumentsAreBounded(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(removeAfter + 1000)
 	for i := range 12 {
@@ -279,12 +294,17 @@
 	}
 	f.runFor(1000)
 	for _, c := range f.all {
-		bytes := 0
+		size := 0
 		for _, d := range c.folder.documents {
-			bytes += len(d)
+			size += len(d)
 		}
-		if n := len(c.folder.documents); c.voter && (bytes < MaxStored-2*MaxDocument || bytes > MaxStored+MaxDocument) || !c.voter && (n < 2 || n > 3) {
-			t.Errorf("%s keeps %d documents, %d bytes", c.id, n, bytes)
+		n := len(c.folder.documents)
+		outOfBounds := n < 2 || n > 3
+		if c.voter {
+			outOfBounds = size < MaxStored-2*MaxDocument || size > MaxStored+MaxDocument
+		}
+		if outOfBounds {
+			t.Errorf("%s stores %d documents, %d bytes", c.id, n, size)
 		}
 		if n := len(c.replica.documents.documents); n > 12 {
 			t.Errorf("%s has %d documents in memory", c.id, n)
@@ -292,8 +312,9 @@
 	}
 }
 
-// A voter that lost its folder gets the documents of its history again.
-func TestVoterHistoryRestored(t *testing.T) {
+// A voter that lost its folder fetches the documents of its history again, and stops looking when
+// it has all.
+func TestVoterFetchesLostHistory(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	for i := range 5 {
@@ -309,18 +330,20 @@
 		t.Errorf("it has %d documents", n)
 	}
 	if c.replica.Next() < f.now+1000 && len(c.replica.downloads) > 0 {
-		t.Error("it goes on looking")
+		t.Error("it still looks for documents")
 	}
 }
 
-// A proposal under another's name, and answers from one that was not asked, change nothing.
-func TestForgedProposals(t *testing.T) {
+// A member sends a proposal under the name of another, and a member that was not asked answers a
+// proposal. Neither changes anything.
+func TestForgedProposalsAndRepliesAreIgnored(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
-	p := Proposal{Version: Version{Hash: HashOf([]byte("x")), Size: 1, ID: ProposalID{Origin: "n005", Run: 1, Ref: 1}}}
+	id5 := ProposalID{Origin: "n005", Run: 1, Ref: 1}
+	p := Proposal{Version: Version{Hash: HashOf([]byte("x")), Size: 1, ID: id5}}
 	f.all[0].replica.Receive(f.now, "n006", &Message{Propose: &ProposeRequest{Proposal: p}})
 	if len(f.all[0].replica.candidates) != 0 {
-		t.Error("another's proposal is taken")
+		t.Error("a proposal under another name is accepted")
 	}
 	c := f.all[7]
 	ref := f.put(c, []byte("one"), 0)
@@ -332,9 +355,13 @@
 	} {
 		c.replica.Receive(f.now, from, &Message{ProposeReply: &reply})
 	}
-	c.replica.Receive(f.now, "n000", &Message{ProposeReply: &ProposeReply{ID: id, Result: Committed, Version: Version{Number: 9, ID: id, Hash: HashOf([]byte("other"))}}})
-	c.replica.Receive(f.now, "n000", &Message{ProposeReply: &ProposeReply{ID: id, Result: Committed, // the same document of another
-		Version: Version{Number: 9, ID: ProposalID{Origin: "n005", Run: 1, Ref: 1}, Hash: HashOf([]byte("one")), Size: 3}}})
+	committed := func(v Version) {
+		reply := &ProposeReply{ID: id, Result: Committed, Version: v}
+		c.replica.Receive(f.now, "n000", &Message{ProposeReply: reply})
+	}
+	committed(Version{Number: 9, ID: id, Hash: HashOf([]byte("other"))})
+	otherID := ProposalID{Origin: "n005", Run: 1, Ref: 1} // of the same document
+	committed(Version{Number: 9, ID: otherID, Hash: HashOf([]byte("one")), Size: 3})
 	f.settle(c)
 	if len(c.outcomes) != 0 {
 		t.Errorf("%+v", c.outcomes)
@@ -344,9 +371,9 @@
 	}
 }
 
-// The origin of a proposal may be the only one that has the document: bytes that were changed on their way from it do
-// not keep it from being asked again, and proposals behind it don't wait for it.
-func TestOriginWithChangedBytes(t *testing.T) {
+// The origin of a proposal may be the only member that has its document, and its bytes were changed
+// on their way. It must be asked again, and proposals behind that one must not wait for it.
+func TestOnlySourceIsAskedAgainAfterCorruptBytes(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	origin, other := f.all[6], f.all[5]
@@ -357,7 +384,8 @@
 	answered := func(c *controller, ref uint64) func() bool {
 		return func() bool { _, ok := c.outcomes[ref]; return ok }
 	}
-	if took := f.runUntil(4000, answered(other, second)); took < 0 || other.outcomes[second].Result != Committed {
+	took := f.runUntil(4000, answered(other, second))
+	if took < 0 || other.outcomes[second].Result != Committed {
 		t.Errorf("the proposal behind it took %v ms: %+v", took, other.outcomes[second])
 	}
 	if o := f.outcome(origin, first); o.Result != Conflict {
@@ -366,7 +394,8 @@
 	third := f.put(origin, randomDocument(1000, 3), 1)
 	f.runFor(1500)
 	origin.corrupt = false
-	if took := f.runUntil(3000, answered(origin, third)); took < 0 || origin.outcomes[third].Result != Committed {
-		t.Errorf("once nothing is changed on its way: %v ms, %+v", took, origin.outcomes[third])
+	took = f.runUntil(3000, answered(origin, third))
+	if took < 0 || origin.outcomes[third].Result != Committed {
+		t.Errorf("when no bytes are changed any more: %v ms, %+v", took, origin.outcomes[third])
 	}
 }
--- a/internal/core/fleet/config/unit_test.go
+++ b/internal/core/fleet/config/replica_test.go
@@ -6,10 +6,10 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// plainTarget is a controller that is no voter, and has version 1 in force.
-func plainTarget() *target { return newTargets()[2] }
+// newNonVoter returns a controller that is no voter and has version 1 in force.
+func newNonVoter() *testReplica { return newTestReplicas()[2] }
 
-// fetches are the documents that are asked for.
+// fetches returns the documents that are requested.
 func fetches(out Output) (hashes []Hash) {
 	for _, s := range out.Messages {
 		if s.Message.Fetch != nil {
@@ -19,17 +19,20 @@
 	return hashes
 }
 
+// summaryOf returns the summary of a version with this text.
 func summaryOf(number uint64, text string) *Summary {
 	return &Summary{Number: number, Hash: HashOf([]byte(text)), Size: len(text)}
 }
 
+// chunkOf returns the only chunk of a document with this text.
 func chunkOf(text string) *Chunk {
 	return &Chunk{Hash: HashOf([]byte(text)), Total: len(text), Data: []byte(text)}
 }
 
-// A late summary of an older version does not end the fetch of a newer one; a newer one ends that of an older one.
-func TestFetchOfNewest(t *testing.T) {
-	x := plainTarget()
+// A late summary of an older version does not end the fetch of a newer one. A newer one ends that
+// of an older one.
+func TestNewerTargetEndsOlderFetch(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(0, "n1", &Message{Summary: summaryOf(3, "three!")})
 	x.replica.Receive(0, "n3", &Message{Summary: summaryOf(2, "second")})
@@ -37,25 +40,29 @@
 		t.Errorf("%v", got)
 	}
 	if x.replica.target.Number != 3 || x.replica.findDownload(HashOf([]byte("three!"))) == nil {
-		t.Errorf("it turned to %+v", x.replica.target)
+		t.Errorf("the target is %+v", x.replica.target)
 	}
 	x.replica.Receive(0, "n1", &Message{Summary: summaryOf(4, "fourth")})
-	if x.replica.findDownload(HashOf([]byte("three!"))) != nil || x.replica.findDownload(HashOf([]byte("fourth"))) == nil {
+	older := x.replica.findDownload(HashOf([]byte("three!")))
+	newer := x.replica.findDownload(HashOf([]byte("fourth")))
+	if older != nil || newer == nil {
 		t.Error("the fetch of the older one goes on")
 	}
 }
 
-// Only who was asked for a chunk may send it, and nobody hears of a version before its document is durable here.
-func TestChunkAndSummary(t *testing.T) {
-	x := plainTarget()
+// Only a member that was asked for a chunk may send it, and a version is announced only when its
+// document is durable here.
+func TestChunkOfAskedSourceAndSummaryWhenStored(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(0, "n1", &Message{Summary: summaryOf(2, "second")})
 	x.replica.Take()
 	forged := chunkOf("second")
 	forged.Data = []byte("sEcond")
 	x.replica.Receive(0, "n3", &Message{Chunk: forged})
-	if d := x.replica.findDownload(HashOf([]byte("second"))); d == nil || d.received != 0 || x.replica.Counters().Corrupt != 0 {
-		t.Fatal("a chunk of one that was not asked is taken")
+	d := x.replica.findDownload(HashOf([]byte("second")))
+	if d == nil || d.received != 0 || x.replica.Counters().Corrupt != 0 {
+		t.Fatal("a chunk of a member that was not asked is used")
 	}
 	x.replica.Receive(0, "n1", &Message{Chunk: chunkOf("second")})
 	out := x.answerCheck(t)
@@ -63,45 +70,52 @@
 		t.Fatalf("%+v", out)
 	}
 	if x.replica.Summary().Number != 1 || len(out.Messages) != 0 {
-		t.Errorf("others hear of it before it is stored: %+v", out.Messages)
+		t.Errorf("it is announced before it is stored: %+v", out.Messages)
 	}
 	x.replica.Stored(1, nil)
 	out = x.replica.Take()
-	if x.replica.Summary().Number != 2 || out.Apply == nil || out.Apply.Version.Number != 2 || len(out.Messages) == 0 {
+	applies := out.Apply != nil && out.Apply.Version.Number == 2
+	if x.replica.Summary().Number != 2 || !applies || len(out.Messages) == 0 {
 		t.Errorf("after it was stored: %+v", out)
 	}
 }
 
-// A voter believes its state over what is told, though it has not looked at it since.
-func TestStateOverSummary(t *testing.T) {
-	x := newTargets()[1]
+// A voter has not looked at its state since a version was agreed on, and a member announces another
+// document under its number. The state counts.
+func TestVoterStateOverridesSummary(t *testing.T) {
+	x := newTestReplicas()[1]
 	x.replica.Take()
-	real := summaryOf(2, "second")
-	x.env.state.Versions = append(x.env.state.Versions, Version{Number: 2, Hash: real.Hash, Size: real.Size})
+	agreed := summaryOf(2, "second")
+	x.env.state.Versions = append(x.env.state.Versions, Version{Number: 2, Hash: agreed.Hash, Size: agreed.Size})
 	x.replica.Receive(0, "n3", &Message{Summary: summaryOf(2, "forged")})
 	if got := fetches(x.replica.Take()); len(got) != 0 {
 		t.Errorf("it fetches %v", got)
 	}
 	x.replica.QuorumChanged(0)
-	if got := fetches(x.replica.Take()); len(got) != 1 || got[0] != real.Hash || x.replica.Counters().Conflicts != 1 {
+	got := fetches(x.replica.Take())
+	if len(got) != 1 || got[0] != agreed.Hash || x.replica.Counters().Conflicts != 1 {
 		t.Errorf("%v, %+v", got, x.replica.Counters())
 	}
 }
 
-// withSurplus is a target at a time at which it may remove documents, with one that it does not need.
-func withSurplus(e *lonely, surplus string) *target {
+// newWithUnneeded returns a replica at a time at which it may remove documents, with the document
+// "surplus" that it does not need.
+func newWithUnneeded(e *fakeEnvironment) *testReplica {
+	const unneeded = "surplus"
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one)}
-	x := &target{env: e, applied: 1, now: removeAfter + 1}
+	documents := map[Hash][]byte{v.Hash: one, HashOf([]byte(unneeded)): []byte(unneeded)}
+	x := &testReplica{env: e, applied: 1, now: removeAfter + 1}
 	x.replica = New(Options{Self: e.self, Run: 5, Seed: 1}, e,
-		StoredState{Current: v, Documents: map[Hash][]byte{v.Hash: one, HashOf([]byte(surplus)): []byte(surplus)}}, 0)
+		StoredState{Current: v, Documents: documents}, 0)
 	x.replica.Tick(x.now)
 	x.replica.Take()
 	return x
 }
 
-// answerCheck answers the CheckRequest that must be all that a replica asks for, and returns what it asks for then.
-func (x *target) answerCheck(t *testing.T) Output {
+// answerCheck answers the CheckRequest, which must be all that the replica asks for, and returns
+// what it asks for then.
+func (x *testReplica) answerCheck(t *testing.T) Output {
 	t.Helper()
 	out := x.replica.Take()
 	if out.Check == nil || out.Store != nil || out.Apply != nil {
@@ -111,17 +125,18 @@
 	return x.replica.Take()
 }
 
-// getSecond has a replica get version 2 and tells what it has stored then.
-func (x *target) getSecond(t *testing.T) *StoreRequest {
+// getSecond has the replica get version 2, and returns the StoreRequest that follows.
+func (x *testReplica) getSecond(t *testing.T) *StoreRequest {
 	t.Helper()
 	x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(2, "second")})
 	x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("second")})
 	return x.answerCheck(t).Store
 }
 
-// A document whose removal is under way does not count as held, whether or not the removal comes about.
-func TestHoldWhileRemoved(t *testing.T) {
-	x := withSurplus(&lonely{self: "n2", voting: true}, "surplus")
+// A leader has a voter hold a document whose removal is under way. The document does not count as
+// held, whether or not the removal succeeds, and is stored again.
+func TestDocumentBeingRemovedIsNotHeld(t *testing.T) {
+	x := newWithUnneeded(&fakeEnvironment{self: "n2", voting: true})
 	request := x.getSecond(t)
 	if request == nil || len(request.Remove) != 1 || request.Remove[0] != HashOf([]byte("surplus")) {
 		t.Fatalf("%+v", request)
@@ -130,13 +145,14 @@
 	x.replica.Receive(x.now, "n1", hold)
 	for _, s := range x.replica.Take().Messages {
 		if s.Message.HoldReply != nil {
-			t.Error("it tells that it holds what it removes")
+			t.Error("it confirms a hold of what it removes")
 		}
 	}
 	x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("surplus")})
 	x.replica.Stored(x.now, nil)
 	out := x.replica.Take()
-	if out.Store == nil || out.Store.Hash != HashOf([]byte("surplus")) || string(out.Store.Document) != "surplus" {
+	again := out.Store
+	if again == nil || again.Hash != HashOf([]byte("surplus")) || string(again.Document) != "surplus" {
 		t.Fatalf("it is not stored again: %+v", out.Store)
 	}
 	x.replica.Stored(x.now, nil)
@@ -145,39 +161,43 @@
 		held = held || s.To == "n1" && s.Message.HoldReply != nil
 	}
 	if !held {
-		t.Error("it does not tell that it holds it")
+		t.Error("it does not confirm the hold")
 	}
 }
 
-// What could not be removed is removed with a later request.
-func TestRemovalAgain(t *testing.T) {
-	x := withSurplus(&lonely{self: "n4"}, "surplus")
+// A document could not be removed. It is removed with a later request.
+func TestFailedRemovalIsRepeated(t *testing.T) {
+	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
 	if request := x.getSecond(t); request == nil || len(request.Remove) != 1 {
 		t.Fatalf("%+v", request)
 	}
 	x.replica.Stored(x.now, errDisk)
 	x.now += storeRetryFirst
 	x.replica.Tick(x.now)
-	if out := x.replica.Take(); out.Store == nil || len(out.Store.Remove) != 1 || out.Store.Remove[0] != HashOf([]byte("surplus")) {
+	out := x.replica.Take()
+	if out.Store == nil || len(out.Store.Remove) != 1 || out.Store.Remove[0] != HashOf([]byte("surplus")) {
 		t.Errorf("%+v", out.Store)
 	}
 }
 
-// A voter that does not know the state yet removes nothing, nor does anybody right after its start.
-func TestNoEarlyRemoval(t *testing.T) {
-	if request := withSurplus(&lonely{self: "n2"}, "surplus").getSecond(t); request == nil || len(request.Remove) != 0 {
+// A voter that does not have the state yet, or a controller that has just started, does not know
+// which documents are needed. It removes none.
+func TestNothingIsRemovedBeforeStateIsKnown(t *testing.T) {
+	request := newWithUnneeded(&fakeEnvironment{self: "n2"}).getSecond(t)
+	if request == nil || len(request.Remove) != 0 {
 		t.Errorf("a voter that does not vote: %+v", request)
 	}
-	x := withSurplus(&lonely{self: "n4"}, "surplus")
+	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
 	x.replica.startedAt = x.now - removeAfter + 100
 	if request := x.getSecond(t); request == nil || len(request.Remove) != 0 {
 		t.Errorf("right after its start: %+v", request)
 	}
 }
 
-// A report is sent to the next relay if the first does not answer, and the answer of another does not count.
-func TestReportToNextRelay(t *testing.T) {
-	x := plainTarget()
+// The first relay does not answer. The report is sent to the next one, and the answer of another
+// member does not count.
+func TestReportGoesToNextRelay(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	var asked []members.ID
 	for x.now < 8000 {
@@ -186,7 +206,8 @@
 		for _, s := range x.replica.Take().Messages {
 			if s.Message.Reports != nil && s.Message.Reports.List[0].ID == "n4" {
 				asked = append(asked, s.To)
-				x.replica.Receive(x.now, "n9", &Message{ReportsReply: &ReportsReply{Sequence: s.Message.Reports.Sequence}})
+				reply := &ReportsReply{Sequence: s.Message.Reports.Sequence}
+				x.replica.Receive(x.now, "n9", &Message{ReportsReply: reply})
 			}
 		}
 	}
@@ -196,9 +217,9 @@
 	}
 }
 
-// One that sent corrupt bytes is not asked for another document for a while, then it is again.
-func TestCorruptSourceIsAvoided(t *testing.T) {
-	x := plainTarget()
+// A member sent corrupt bytes. It is not asked for another document for a while, then it is again.
+func TestCorruptSourceIsAvoidedForAWhile(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(x.now, "n3", &Message{Summary: summaryOf(2, "second")})
 	x.replica.Take()
@@ -231,14 +252,14 @@
 	}
 }
 
-// Only the leader has documents held.
-func TestHoldOfLeaderAlone(t *testing.T) {
-	x := newTargets()[1]
+// TestOnlyLeaderHasDocumentsHeld: a voter holds documents for the leader alone.
+func TestOnlyLeaderHasDocumentsHeld(t *testing.T) {
+	x := newTestReplicas()[1]
 	x.replica.Take()
 	hold := &Message{Hold: &HoldRequest{Hash: HashOf([]byte("x")), Size: 1}}
 	x.replica.Receive(x.now, "n3", hold)
 	if got := fetches(x.replica.Take()); len(got) != 0 || len(x.replica.holds) != 0 {
-		t.Errorf("for another it fetches %v", got)
+		t.Errorf("for another member it fetches %v", got)
 	}
 	x.replica.Receive(x.now, "n1", hold)
 	if got := fetches(x.replica.Take()); len(got) != 1 || len(x.replica.holds) != 1 {
@@ -246,10 +267,10 @@
 	}
 }
 
-// One that has just begun to lead and does not know the expected version yet says nothing of it: the proposal may be one
-// that was agreed on under the leader before.
-func TestLateLeader(t *testing.T) {
-	x := newTargets()[0]
+// A new leader does not know the version that a proposal expects. It must not reject the proposal
+// yet: it may be one that was committed under the leader before.
+func TestNewLeaderWaitsForExpectedVersion(t *testing.T) {
+	x := newTestReplicas()[0]
 	x.replica.Take()
 	p := proposal(2, 7, "third")
 	p.Version.ID.Origin = "n3"
@@ -281,56 +302,63 @@
 	}
 }
 
-// A document in the folder that does not match its hash is not used, nor handed on.
-func TestKeptCorruptDocument(t *testing.T) {
+// A document in the folder does not match its hash. It is neither used nor served, and fetched again.
+func TestCorruptStoredDocumentIsNotUsed(t *testing.T) {
 	one, two := HashOf([]byte("one")), HashOf([]byte("two"))
-	e := &lonely{self: "n4"}
-	r := New(Options{Self: "n4", Run: 5, Seed: 1}, e, StoredState{Current: Version{Number: 1, Hash: one, Size: 3},
-		Documents: map[Hash][]byte{one: []byte("one"), two: []byte("tw0")}}, 0)
+	e := &fakeEnvironment{self: "n4"}
+	stored := StoredState{
+		Current:   Version{Number: 1, Hash: one, Size: 3},
+		Documents: map[Hash][]byte{one: []byte("one"), two: []byte("tw0")},
+	}
+	r := New(Options{Self: "n4", Run: 5, Seed: 1}, e, stored, 0)
 	r.Receive(0, "n3", &Message{Fetch: &Fetch{Hash: two}})
 	for _, s := range r.Take().Messages {
 		if s.Message.Chunk != nil && !s.Message.Chunk.Missing {
-			t.Errorf("it hands on %q", s.Message.Chunk.Data)
+			t.Errorf("it serves %q", s.Message.Chunk.Data)
 		}
 	}
 	r = New(Options{Self: "n4", Run: 5, Seed: 1}, e, StoredState{Current: Version{Number: 1, Hash: one, Size: 3},
 		Documents: map[Hash][]byte{one: []byte("0ne")}}, 0)
 	if r.Summary() != nil || r.Current().Number != 1 {
-		t.Errorf("it tells %+v", r.Summary())
+		t.Errorf("it announces %+v", r.Summary())
 	}
-	r.Receive(0, "n3", &Message{Summary: summaryOf(1, "one")}) // what is in force stays, and its document comes again
+	// The version in force stays, and its document is fetched again.
+	r.Receive(0, "n3", &Message{Summary: summaryOf(1, "one")})
 	if got := r.findDownload(one); got == nil {
 		t.Error("it does not fetch the document of its version")
 	}
 }
 
-// A version told with the hash of a document that is here, and with another size, is none.
-func TestWrongSizeOfKnownDocument(t *testing.T) {
-	x := plainTarget()
+// A version is announced with the hash of a document that is here, and with another size. It is
+// ignored, and so is such a proposal.
+func TestWrongSizeOfKnownDocumentIsIgnored(t *testing.T) {
+	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(x.now, "n3", &Message{Summary: &Summary{Number: 2, Hash: HashOf([]byte("one")), Size: 99}})
-	if out := x.replica.Take(); out.Store != nil || x.replica.Counters().Conflicts != 1 || x.replica.target.Number != 1 {
+	out := x.replica.Take()
+	if out.Store != nil || x.replica.Counters().Conflicts != 1 || x.replica.target.Number != 1 {
 		t.Errorf("%+v, %+v", out.Store, x.replica.Counters())
 	}
-	x = newTargets()[0]
+	x = newTestReplicas()[0]
 	x.replica.Take()
 	p := proposal(1, 7, "one")
 	p.Version.ID.Origin, p.Version.Size = "n3", 99
 	x.replica.candidates = nil // what this one proposed itself
 	x.replica.Receive(x.now, "n3", &Message{Propose: &ProposeRequest{Proposal: p}})
-	refused := false
+	rejected := false
 	for _, s := range x.replica.Take().Messages {
-		refused = refused || s.To == "n3" && s.Message.ProposeReply != nil && s.Message.ProposeReply.Result == Rejected
+		reply := s.Message.ProposeReply
+		rejected = rejected || s.To == "n3" && reply != nil && reply.Result == Rejected
 	}
-	if !refused {
-		t.Error("a proposal with a wrong size is worked on")
+	if !rejected {
+		t.Error("a proposal with a wrong size is not rejected")
 	}
 }
 
-// A leader that does not know yet all that was agreed on answers no question of its own, nor takes a proposal, until it
-// does.
-func TestLeaderNotReady(t *testing.T) {
-	x := newTargets()[1]
+// A leader has not applied all that was agreed on. It answers no query of its own and accepts no
+// proposal until it has.
+func TestLeaderAnswersOnlyWhenReady(t *testing.T) {
+	x := newTestReplicas()[1]
 	x.replica.Take()
 	x.env.late = true
 	x.replica.Query(x.now, 50, QueryStatus)
@@ -338,7 +366,8 @@
 	for x.now < 1500 {
 		x.now += 100
 		x.replica.Tick(x.now)
-		if out := x.replica.Take(); len(out.QueryResults) != 0 || len(out.ProposalResults) != 0 || len(x.replica.candidates) != 0 {
+		out := x.replica.Take()
+		if len(out.QueryResults) != 0 || len(out.ProposalResults) != 0 || len(x.replica.candidates) != 0 {
 			t.Fatalf("after %.0f ms: %+v", x.now, out)
 		}
 	}
@@ -356,9 +385,10 @@
 	}
 }
 
-// A summary that tells nothing new takes up no memory: one rides on each of membership's messages.
-func TestKnownSummaryCostsNothing(t *testing.T) {
-	for i, x := range newTargets() {
+// A summary accompanies each membership message, and mostly announces nothing new. It must allocate
+// nothing.
+func TestKnownSummaryAllocatesNothing(t *testing.T) {
+	for i, x := range newTestReplicas() {
 		x.replica.Take()
 		m := &Message{Summary: summaryOf(1, "one")}
 		if n := testing.AllocsPerRun(100, func() { x.replica.Receive(x.now, "n3", m) }); n != 0 {
@@ -368,7 +398,7 @@
 }
 
 func BenchmarkKnownSummary(b *testing.B) {
-	x := plainTarget()
+	x := newNonVoter()
 	m := &Message{Summary: summaryOf(1, "one")}
 	for b.Loop() {
 		x.replica.Receive(x.now, "n3", m)
--- a/internal/core/fleet/config/state_test.go
+++ b/internal/core/fleet/config/state_test.go
@@ -6,43 +6,53 @@
 	"testing"
 )
 
-// proposal is a well-formed one of the document that is this text.
+// proposal returns a valid proposal of a document with this text.
 func proposal(expect uint64, ref uint64, text string) Proposal {
-	return Proposal{Expect: expect, Version: Version{Hash: HashOf([]byte(text)), Size: len(text), Author: "a", Reason: "r",
-		ID: ProposalID{Origin: "n1", Run: 1, Ref: ref}}}
+	return Proposal{Expect: expect, Version: Version{
+		Hash:   HashOf([]byte(text)),
+		Size:   len(text),
+		Author: "a",
+		Reason: "r",
+		ID:     ProposalID{Origin: "n1", Run: 1, Ref: ref},
+	}}
 }
 
-func TestStateApply(t *testing.T) {
-	changed := func(p Proposal, change func(v *Version)) Proposal {
+// TestStateApplyBoundsAndExpectation: which proposals become versions after others.
+func TestStateApplyBoundsAndExpectation(t *testing.T) {
+	with := func(change func(*Version)) Proposal {
+		p := proposal(0, 1, "x")
 		change(&p.Version)
 		return p
 	}
+	afterX := []Proposal{proposal(0, 1, "x")}
+	afterXAndY := []Proposal{proposal(0, 1, "x"), proposal(1, 2, "y")}
+	text := func(length int) string { return strings.Repeat("a", length) }
 	for name, c := range map[string]struct {
 		before []Proposal
 		p      Proposal
 		ok     bool
-		number uint64 // told
-		newest uint64 // after it
+		number uint64 // of the version
+		newest uint64 // of the state after it
 	}{
-		"the first":                   {nil, proposal(0, 1, "x"), true, 1, 1},
-		"the first, expecting one":    {nil, proposal(1, 1, "x"), false, 0, 0},
-		"the second":                  {[]Proposal{proposal(0, 1, "x")}, proposal(1, 2, "y"), true, 2, 2},
-		"the same document again":     {[]Proposal{proposal(0, 1, "x")}, proposal(1, 2, "x"), true, 2, 2},
-		"one that expects too little": {[]Proposal{proposal(0, 1, "x")}, proposal(0, 2, "y"), false, 0, 1},
-		"one that expects too much":   {[]Proposal{proposal(0, 1, "x")}, proposal(2, 2, "y"), false, 0, 1},
-		"one again":                   {[]Proposal{proposal(0, 1, "x")}, proposal(0, 1, "x"), true, 1, 1},
-		"one again, after another":    {[]Proposal{proposal(0, 1, "x"), proposal(1, 2, "y")}, proposal(0, 1, "x"), true, 1, 2},
-		"an empty document":           {nil, proposal(0, 1, ""), false, 0, 0},
-		"one byte":                    {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Size = 1 }), true, 1, 1},
-		"a negative size":             {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Size = -1 }), false, 0, 0},
-		"the largest document":        {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Size = MaxDocument }), true, 1, 1},
-		"one byte too large":          {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Size = MaxDocument + 1 }), false, 0, 0},
-		"the longest author":          {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Author = strings.Repeat("a", MaxAuthor) }), true, 1, 1},
-		"too long an author":          {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Author = strings.Repeat("a", MaxAuthor+1) }), false, 0, 0},
-		"the longest reason":          {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Reason = strings.Repeat("a", MaxReason) }), true, 1, 1},
-		"too long a reason":           {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Reason = strings.Repeat("a", MaxReason+1) }), false, 0, 0},
-		"no origin":                   {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.ID.Origin = "" }), false, 0, 0},
-		"a number of its own":         {nil, changed(proposal(0, 1, "x"), func(v *Version) { v.Number = 7 }), true, 1, 1},
+		"the first version":            {nil, proposal(0, 1, "x"), true, 1, 1},
+		"the first, expecting another": {nil, proposal(1, 1, "x"), false, 0, 0},
+		"the second version":           {afterX, proposal(1, 2, "y"), true, 2, 2},
+		"the same document again":      {afterX, proposal(1, 2, "x"), true, 2, 2},
+		"expecting an older version":   {afterX, proposal(0, 2, "y"), false, 0, 1},
+		"expecting a later version":    {afterX, proposal(2, 2, "y"), false, 0, 1},
+		"the same proposal again":      {afterX, proposal(0, 1, "x"), true, 1, 1},
+		"the same, after another":      {afterXAndY, proposal(0, 1, "x"), true, 1, 2},
+		"an empty document":            {nil, proposal(0, 1, ""), false, 0, 0},
+		"one byte":                     {nil, with(func(v *Version) { v.Size = 1 }), true, 1, 1},
+		"a negative size":              {nil, with(func(v *Version) { v.Size = -1 }), false, 0, 0},
+		"the largest document":         {nil, with(func(v *Version) { v.Size = MaxDocument }), true, 1, 1},
+		"one byte too large":           {nil, with(func(v *Version) { v.Size = MaxDocument + 1 }), false, 0, 0},
+		"the longest author":           {nil, with(func(v *Version) { v.Author = text(MaxAuthor) }), true, 1, 1},
+		"an author too long":           {nil, with(func(v *Version) { v.Author = text(MaxAuthor + 1) }), false, 0, 0},
+		"the longest reason":           {nil, with(func(v *Version) { v.Reason = text(MaxReason) }), true, 1, 1},
+		"a reason too long":            {nil, with(func(v *Version) { v.Reason = text(MaxReason + 1) }), false, 0, 0},
+		"no origin":                    {nil, with(func(v *Version) { v.ID.Origin = "" }), false, 0, 0},
+		"a number set already":         {nil, with(func(v *Version) { v.Number = 7 }), true, 1, 1},
 	} {
 		s := &State{}
 		for _, p := range c.before {
@@ -55,21 +65,23 @@
 	}
 }
 
-func TestStateHistory(t *testing.T) {
+// TestStateRemembersBoundedHistory: the last MaxHistory versions are remembered.
+func TestStateRemembersBoundedHistory(t *testing.T) {
 	s := &State{}
 	if s.Latest() != (Version{}) || s.Newest() != 0 {
-		t.Errorf("at first: %+v", s.Latest())
+		t.Errorf("of an empty state: %+v", s.Latest())
 	}
 	for i := range uint64(3 * MaxHistory) {
 		if v, ok := s.Apply(proposal(i, i+1, fmt.Sprint("text ", i))); !ok || v.Number != i+1 {
 			t.Fatalf("%d: %+v, %v", i, v, ok)
 		}
 	}
-	if len(s.Versions) != MaxHistory || s.Versions[0].Number != 2*MaxHistory+1 || s.Latest().Number != 3*MaxHistory {
+	oldest := s.Versions[0].Number
+	if len(s.Versions) != MaxHistory || oldest != 2*MaxHistory+1 || s.Latest().Number != 3*MaxHistory {
 		t.Errorf("%d versions from %d to %d", len(s.Versions), s.Versions[0].Number, s.Latest().Number)
 	}
 	if _, ok := s.Find(2 * MaxHistory); ok {
-		t.Error("one that was dropped is found")
+		t.Error("a dropped version is found")
 	}
 	if v, ok := s.Find(2*MaxHistory + 5); !ok || v.Number != 2*MaxHistory+5 {
 		t.Errorf("found: %+v, %v", v, ok)
--- a/internal/core/fleet/config/status_test.go
+++ b/internal/core/fleet/config/status_test.go
@@ -8,6 +8,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
+// status queries the status at a controller.
 func (f *fleet) status(t *testing.T, at *controller) *Status {
 	t.Helper()
 	a, ok := f.ask(at, QueryStatus)
@@ -17,7 +18,8 @@
 	return a.Status
 }
 
-func TestStatus(t *testing.T) {
+// TestStatusCountsControllersInForce: the status is the same wherever it is queried.
+func TestStatusCountsControllersInForce(t *testing.T) {
 	f := newFleet(t, 1, 100, 7)
 	f.runFor(1000)
 	if s := f.status(t, f.all[20]); s.Latest.Number != 0 || s.InForce != 0 || s.Members != 100 {
@@ -31,7 +33,9 @@
 	}
 	t.Logf("the leader knows %.0f ms after it was in force at the last", took)
 	for _, at := range []*controller{f.all[0], f.all[1], f.all[99]} {
-		if s := f.status(t, at); s.InForce != 100 || s.Members != 100 || s.ByVersion[1] != 100 || s.Latest.Author != "operator" || len(s.Unreachable) != 0 {
+		s := f.status(t, at)
+		allInForce := s.InForce == 100 && s.Members == 100 && s.ByVersion[1] == 100
+		if !allInForce || s.Latest.Author != "operator" || len(s.Unreachable) != 0 {
 			t.Errorf("at %s: %+v", at.id, s)
 		}
 	}
@@ -43,8 +47,9 @@
 	}
 }
 
-// One that is killed, one that was restarted and one that left: none counts as in force, and the last not at all.
-func TestStatusOfAbsent(t *testing.T) {
+// A controller is killed, another is restarted, a third leaves. The first is listed as unreachable,
+// the second does not count by the report of its earlier run, the third is not counted at all.
+func TestStatusOfKilledRestartedAndLeft(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -56,7 +61,10 @@
 	gone.left = true
 	f.runFor(goneAfter + 1000)
 	s := f.status(t, f.all[5])
-	if s.Members != 19 || s.InForce != 18 || len(s.Unreachable) != 1 || s.Unreachable[0].ID != dead.id || s.Unreachable[0].Age < goneAfter || s.Unreachable[0].Applied != 1 {
+	if s.Members != 19 || s.InForce != 18 || len(s.Unreachable) != 1 {
+		t.Fatalf("%+v", s)
+	}
+	if u := s.Unreachable[0]; u.ID != dead.id || u.Age < goneAfter || u.Applied != 1 {
 		t.Errorf("%+v", s)
 	}
 	dead.folder = &folder{documents: map[Hash][]byte{}} // it comes back empty, and can't store
@@ -73,8 +81,9 @@
 	}
 }
 
-// A report of an earlier run that is still on its way does not count for the run after it.
-func TestStatusOfEarlierRun(t *testing.T) {
+// A report of an earlier run is still under way when the controller has restarted. It must not
+// count for the new run.
+func TestLateReportOfEarlierRunIsIgnored(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -88,19 +97,21 @@
 	f.runFor(aliveAfter + 100)
 	leader := f.all[0].replica
 	delete(leader.reports.known, c.id) // as one that has just begun to lead
-	leader.Receive(f.now, "n015", &Message{Reports: &Reports{Sequence: 1, List: []Report{{ID: c.id, Run: before, Sequence: 99, Applied: 1}}}})
+	receive := func(reports Reports) { leader.Receive(f.now, "n015", &Message{Reports: &reports}) }
+	receive(Reports{Sequence: 1, List: []Report{{ID: c.id, Run: before, Sequence: 99, Applied: 1}}})
 	if s := f.status(t, f.all[0]); s.InForce != 19 {
 		t.Errorf("%+v", s)
 	}
 	f.runFor(15000) // its own report is not overridden by the earlier run's
-	leader.Receive(f.now, "n015", &Message{Reports: &Reports{Sequence: 2, List: []Report{{ID: c.id, Run: before, Sequence: 100, Applied: 1}}}})
+	receive(Reports{Sequence: 2, List: []Report{{ID: c.id, Run: before, Sequence: 100, Applied: 1}}})
 	if s := f.status(t, f.all[0]); s.InForce != 19 || len(s.Rejected) != 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// One that is cut off is not counted, though it is in force there.
-func TestStatusOfCutOff(t *testing.T) {
+// A partitioned controller has the version in force, but the leader does not hear from it: it does
+// not count.
+func TestPartitionedControllerIsNotInForce(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -117,15 +128,18 @@
 	}
 }
 
-// The age of a report counts from when it was said, over relays too.
-func TestReportAge(t *testing.T) {
+// The age of a report counts from when it was sent, also over relays: an old report must not count
+// as a new one.
+func TestReportAgeIncludesRelays(t *testing.T) {
 	f := newFleet(t, 1, 5, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
 	f.everywhere(1, 5000)
 	leader, c := f.all[0].replica, f.all[4]
 	f.runFor(2000)
-	f.onMessage = func(from, to *controller, m *Message) bool { return from != c || m.Reports == nil } // it is alive, and says nothing
+	f.onMessage = func(from, _ *controller, m *Message) bool {
+		return from != c || m.Reports == nil // it is alive, and its reports are lost
+	}
 	f.runFor(5000)
 	report := Report{ID: c.id, Run: c.run, Sequence: c.replica.reports.own.Sequence, Applied: 1}
 	for _, age := range []float64{reportFreshTime + 1, 1e12, 40000} {
@@ -144,10 +158,11 @@
 	}
 }
 
-// A relay adds to a report's age how long it had it.
-func TestReportAgeAtRelay(t *testing.T) {
-	x := newTargets()[2]
-	x.replica.Receive(x.now, "n3", &Message{Reports: &Reports{Sequence: 1, List: []Report{{ID: "n3", Run: 4, Sequence: 1, Applied: 1, Age: 700}}}})
+// TestRelayAddsToReportAge: a relay adds to a report's age for how long it has had it.
+func TestRelayAddsToReportAge(t *testing.T) {
+	x := newTestReplicas()[2]
+	list := []Report{{ID: "n3", Run: 4, Sequence: 1, Applied: 1, Age: 700}}
+	x.replica.Receive(x.now, "n3", &Message{Reports: &Reports{Sequence: 1, List: list}})
 	x.replica.Take()
 	at := x.now
 	seen := 0
@@ -172,8 +187,8 @@
 	}
 }
 
-// A new leader knows all within seconds.
-func TestStatusAfterLeaderChange(t *testing.T) {
+// A new leader knows no reports. It has those of all controllers within seconds.
+func TestNewLeaderCollectsReportsSoon(t *testing.T) {
 	f := newFleet(t, 1, 100, 7)
 	f.runFor(1000)
 	f.putAgreed(f.all[50], []byte("one"), 0)
@@ -193,8 +208,9 @@
 	}
 }
 
-// However often and in whatever order reports come, each controller counts once.
-func TestReportsMerge(t *testing.T) {
+// TestReportsMergeInAnyOrder: however often and in whatever order reports come, each controller
+// counts once.
+func TestReportsMergeInAnyOrder(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
@@ -228,8 +244,9 @@
 	}
 }
 
-// Lists are bounded, and what finds no room is counted.
-func TestStatusBounds(t *testing.T) {
+// TestStatusListsAreBounded: the lists of a status are bounded, and controllers that they have no
+// room for are counted.
+func TestStatusListsAreBounded(t *testing.T) {
 	f := newFleet(t, 1, 150, 3)
 	for _, c := range f.all[3:] {
 		c.refuses = func([]byte) error { return errOld }
@@ -238,17 +255,19 @@
 	f.putAgreed(f.all[0], []byte("one"), 0)
 	f.runFor(5000)
 	if s := f.status(t, f.all[0]); len(s.Rejected) != MaxListed || s.Omitted != 147-MaxListed || s.InForce != 3 {
-		t.Errorf("%d refused, %d more, %d in force", len(s.Rejected), s.Omitted, s.InForce)
+		t.Errorf("%d rejected, %d omitted, %d in force", len(s.Rejected), s.Omitted, s.InForce)
 	}
 }
 
-// A relay that knows too many forgets nobody that is there, and takes in no more than its bound.
-func TestReportsBounded(t *testing.T) {
+// A relay gets reports of more controllers than its bound. It forgets none of a known member, and
+// accepts no more than its bound.
+func TestReportsOfRelayAreBounded(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	r := f.all[5].replica
 	for i := range 3 * MaxReports {
-		r.Receive(f.now, "n006", &Message{Reports: &Reports{Sequence: uint64(i), List: []Report{{ID: members.ID(fmt.Sprint("x", i)), Run: 1, Sequence: 1}}}})
+		list := []Report{{ID: members.ID(fmt.Sprint("x", i)), Run: 1, Sequence: 1}}
+		r.Receive(f.now, "n006", &Message{Reports: &Reports{Sequence: uint64(i), List: list}})
 		r.Take()
 	}
 	if n := len(r.reports.known); n > MaxReports {
@@ -263,7 +282,9 @@
 	}
 }
 
-func TestRelays(t *testing.T) {
+// TestRelaysShareControllersEvenly: there are as many relays as the square root of the members, the
+// controllers spread over them, and a relay that ends does not change the others.
+func TestRelaysShareControllersEvenly(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 100, 670} {
 		var ids []members.ID
 		for i := range size {
@@ -279,18 +300,20 @@
 			most = max(most, n)
 		}
 		t.Logf("%d members: %d relays, %d members at most at one", size, len(relays), most)
-		if want := map[int]int{1: 1, 2: 2, 5: 3, 100: 10, 670: 26}[size]; len(relays) != want || most > 4*(size/want+1) {
+		want := map[int]int{1: 1, 2: 2, 5: 3, 100: 10, 670: 26}[size]
+		if len(relays) != want || most > 4*(size/want+1) {
 			t.Errorf("%d members: %d relays, at most %d members at one", size, len(relays), most)
 		}
 		without := slices.DeleteFunc(slices.Clone(ids), func(id members.ID) bool { return id == relays[0] })
 		if again := relaysOf(without); size == 100 && !slices.Equal(again[:len(again)-1], relays[1:]) {
-			t.Error("a relay that goes changes the others")
+			t.Error("a relay that ends changes the others")
 		}
 	}
 }
 
-// A status is of the moment at which it is asked for: of one that has restarted meanwhile nothing is told again.
-func TestStatusOfThisMoment(t *testing.T) {
+// A status is of the moment of the query: a controller that has restarted meanwhile does not count
+// by its former run.
+func TestStatusIsOfTheQuery(t *testing.T) {
 	f := newFleet(t, 1, 20, 3)
 	f.runFor(1000)
 	f.putAgreed(f.all[0], []byte("one"), 0)
