--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -109,9 +109,9 @@
 	if !d.loop.SetRules(file.Rules) {
 		return errRules
 	}
-	d.lines.Set(file.Log)
-	d.prune()
-	d.keep(d.file.Memory, file.Memory)
+	d.lines.Configure(file.Log)
+	d.forgetStoppedWriters()
+	d.replaceSnapshotWriter(d.file.Memory, file.Memory)
 	d.server.SetRules(file.Rules)
 	d.tellFleet(file)
 	d.file = file
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -67,15 +67,15 @@
 	limits *limits.Limits
 	lines  *logs.Log
 
-	log    *slog.Logger
-	loop   *controller.Loop
-	pool   *engines.Pool
-	feed   *discovery.Watcher
-	server *clients.Server
-	keeper *memory.Keeper // nil: memory is off
-	gone   []*memory.Keeper
-	fleet  *fleet.Service // nil: off
-	agreed *agreedConfig  // nil: the fleet has no say in this controller's configuration
+	log             *slog.Logger
+	loop            *controller.Loop
+	pool            *engines.Pool
+	feed            *discovery.Watcher
+	server          *clients.Server
+	snapshotWriter  *memory.SnapshotWriter // nil: memory is off
+	stoppingWriters []*memory.SnapshotWriter
+	fleet           *fleet.Service // nil: off
+	agreed          *agreedConfig  // nil: the fleet has no say in this controller's configuration
 
 	conductor *fleet.MaintenanceJob // nil: maintenance is off
 
@@ -89,7 +89,7 @@
 	d.log = d.lines.Logger()
 	guards := d.start.facts.Guards
 	d.loop = controller.New(d.start.facts.Router(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
-	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.Post, d.log)
+	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.pool)
 	defer d.leaveFleet()
 	var pending pendingSignals
@@ -124,11 +124,11 @@
 		d.restoreSnapshot()
 	}
 	if d.file.Fleet != nil {
-		d.loop.KeepList()
+		d.loop.KeepEndpoints()
 	}
 	last := d.start.Known.No
 	for i, news := range d.start.news {
-		d.loop.News(news, i == 0)
+		d.loop.UpdateEndpoints(news, i == 0)
 		last = max(last, news.No)
 	}
 	listener, err := net.Listen("tcp", d.start.Listen)
@@ -138,17 +138,17 @@
 	facts := d.start.facts
 	d.server = clients.New(d.limits, &facts.Names, facts.Profiles, d.loop.Offer, func() time.Duration {
 		return time.Duration(facts.Allowed.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
-	}, d.loop.Post, d.log)
+	}, d.loop.PostClientEvent, d.log)
 	go d.loop.Run(ctx)
 	d.loop.SetRules(d.file.Rules)
-	d.feed = discovery.NewWatcher(d.start.Feed, last, &facts.Names, d.limits, func(news discovery.Update) { d.loop.Post(news) }, d.log)
+	d.feed = discovery.NewWatcher(d.start.Feed, last, &facts.Names, d.limits, d.loop.PostEndpoints, d.log)
 	go d.feed.Follow(ctx)
 	if d.from.operator != "" {
 		d.server.Describe()
 	}
 	d.server.SetRules(d.file.Rules)
 	go d.server.Serve(listener)
-	d.keep(nil, d.file.Memory)
+	d.replaceSnapshotWriter(nil, d.file.Memory)
 	if d.agreed != nil {
 		d.agreed.beginServing(d.remembers)
 	}
@@ -210,8 +210,8 @@
 // report logs all counts.
 func (d *daemon) report(message string) {
 	counts := []any{"commands", d.loop.Counts(), "clients", d.server, "engines", d.pool}
-	if d.keeper != nil {
-		counts = append(counts, "memory", d.keeper)
+	if d.snapshotWriter != nil {
+		counts = append(counts, "memory", d.snapshotWriter)
 	}
 	if d.file.Rules != nil {
 		counts = append(counts, "rules", d.server.Rules())
@@ -230,22 +230,22 @@
 	l := d.limits
 	d.log.Info("told to stop")
 	end := time.Now().Add(l.EndTime)
-	d.loop.Post(controller.Stop{Within: l.StopTime})
+	d.loop.StartShutdown(l.StopTime)
 	if d.agreed != nil {
 		d.agreed.stopTaking()
 	}
 	if d.fleet != nil {
 		d.fleet.Stop() // another takes over what this one owns, while commands are still answered
 	}
-	if d.keeper != nil {
-		d.keeper.Last() // beside the commands that are still to be answered
+	if d.snapshotWriter != nil {
+		d.snapshotWriter.Stop() // beside the commands that are still to be answered
 	}
 	drain(d.server, end.Add(-l.CloseTime), l.StopQuiet) // who goes on asking to the last is owed an orderly end too
 	listener.Close()
 	d.server.Shutdown(end)
 	d.server.Close()
 	d.loop.Close()
-	d.letGo(end)
+	d.awaitSnapshotWriters(end)
 	d.report("stopped")
 }
 
--- a/internal/core/fleet/digest/merge.go
+++ b/internal/core/fleet/digest/merge.go
@@ -67,8 +67,8 @@
 				sums[process] = sum
 			}
 			age := now - e.At
-			sum.slowdown.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.Factor(age, halfLives.Pace))
-			sum.threadsPerCore.add(e.ThreadsPerCore, restore.Factor(age, halfLives.Width))
+			sum.slowdown.add(e.Slowdown.Mean, e.Slowdown.Weight*restore.RemainingWeight(age, halfLives.Slowdown))
+			sum.threadsPerCore.add(e.ThreadsPerCore, restore.RemainingWeight(age, halfLives.ThreadsPerCore))
 			if e.At > sum.newest.At {
 				sum.newest = e
 			}
@@ -104,7 +104,7 @@
 	sums := map[router.TableGroup]*tableSum{}
 	weights := 0.0
 	for i, report := range reports {
-		weight := restore.Factor(now-report.At, halfLives.Tables)
+		weight := restore.RemainingWeight(now-report.At, halfLives.Tables)
 		weights += weight
 		for _, t := range report.Statistics.Tables {
 			if !validTables(t) {
@@ -177,7 +177,7 @@
 				sum = &classSum{}
 				sums[class.Class] = sum
 			}
-			weight := restore.Factor(now-class.At, halfLives.Profile)
+			weight := restore.RemainingWeight(now-class.At, halfLives.Classes)
 			if class.UnloadedTime > 0 {
 				sum.unloadedTime.add(class.UnloadedTime, weight)
 			}
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -24,8 +24,8 @@
 	storedTaken  = 1_700_000_000_500.0 // ms since 1970
 )
 
-// storedLearned holds each kind of record, with every field set and figures that the format holds exactly.
-func storedLearned() router.Statistics {
+// storedStatistics holds each kind of record, with every field set and figures that the format holds exactly.
+func storedStatistics() router.Statistics {
 	return router.Statistics{
 		Engines: []router.EngineStatistics{
 			{At: 1_700_000_000_001, Engine: "engine-a", StartedAt: 1_699_999_000_000.25,
@@ -44,31 +44,31 @@
 	}
 }
 
-func storedKept() *Kept {
-	return &Kept{File: storedName, Serial: 1, Taken: storedTaken, Build: "v1.2.3",
-		Memory: restore.Snapshot{Of: restore.Identity{Name: "n3", Settings: 0xfedcba9876543210}, Learned: storedLearned()},
-		Whole:  true, head: true}
+func storedSnapshot() *StoredSnapshot {
+	return &StoredSnapshot{File: storedName, Serial: 1, TakenAt: storedTaken, Build: "v1.2.3",
+		Snapshot: restore.Snapshot{Owner: restore.Identity{Name: "n3", Settings: 0xfedcba9876543210}, Statistics: storedStatistics()},
+		Complete: true, hasHeader: true}
 }
 
 // writeStored writes what a snapshot holds to a new folder, and returns the bytes of its file.
-func writeStored(t *testing.T, kept *Kept) []byte {
+func writeStored(t *testing.T, kept *StoredSnapshot) []byte {
 	t.Helper()
 	d := disktest.New()
-	folder, err := snapshots.Open(d, Bounds(usual))
+	folder, err := snapshots.Open(d, FileBounds(testLimits))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer folder.Close()
-	_, err = folder.Write(func(add func(snapshots.Kind, []byte) error) error {
-		head, err := encoder.Marshal(headForm{Name: kept.Memory.Of.Name, Settings: kept.Memory.Of.Settings,
-			Taken: int64(kept.Taken), Build: kept.Build})
+	_, err = folder.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+		head, err := encoder.Marshal(headerForm{Name: kept.Snapshot.Owner.Name, Settings: kept.Snapshot.Owner.Settings,
+			Taken: int64(kept.TakenAt), Build: kept.Build})
 		if err != nil {
 			return err
 		}
-		if err := add(sectionHead, head); err != nil {
+		if err := add(sectionHeader, head); err != nil {
 			return err
 		}
-		return encode(&kept.Memory.Learned, add)
+		return encodeRecords(&kept.Snapshot.Statistics, add)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -88,17 +88,17 @@
 
 func TestStoredSnapshotIsReadable(t *testing.T) {
 	if golden.Updating() {
-		golden.Write(t, filepath.Join(storedFolder, storedName), writeStored(t, storedKept()))
+		golden.Write(t, filepath.Join(storedFolder, storedName), writeStored(t, storedSnapshot()))
 	}
-	kept, trials, err := Load(disk.Folder(storedFolder), Bounds(usual))
+	kept, trials, err := Load(disk.Folder(storedFolder), FileBounds(testLimits))
 	if err != nil || len(trials) != 1 || trials[0].Err != nil {
 		t.Fatal(trials, err)
 	}
-	if want := storedKept(); !reflect.DeepEqual(kept, want) {
+	if want := storedSnapshot(); !reflect.DeepEqual(kept, want) {
 		t.Errorf("read:\n%+v\nstored:\n%+v", kept, want)
 	}
-	checks, err := Verify(disk.Folder(storedFolder), Bounds(usual))
-	if err != nil || !reflect.DeepEqual(checks, []Check{{File: storedName, Whole: true, Name: "n3", Records: 6}}) {
+	checks, err := Verify(disk.Folder(storedFolder), FileBounds(testLimits))
+	if err != nil || !reflect.DeepEqual(checks, []FileCheck{{File: storedName, Complete: true, Name: "n3", Records: 6}}) {
 		t.Errorf("verified: %+v, %v", checks, err)
 	}
 }
@@ -108,35 +108,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := writeStored(t, storedKept()); string(got) != string(want) {
+	if got := writeStored(t, storedSnapshot()); string(got) != string(want) {
 		t.Errorf("written: %x\nstored:  %x", got, want)
 	}
 }
 
 func TestPackedStatisticsAreStable(t *testing.T) {
 	table := golden.Open(t, "packed.golden")
-	learned := storedLearned()
+	learned := storedStatistics()
 	golden.AllSet(t, learned.Engines)
 	golden.AllSet(t, learned.Tables)
 	golden.AllSet(t, learned.Classes)
 	golden.AllSet(t, learned.Traffic)
-	packed, err := Pack(&learned)
+	packed, err := EncodeStatistics(&learned)
 	if err != nil {
 		t.Fatal(err)
 	}
-	unpacked, err := Unpack(table.Bytes(t, "learned", packed))
+	unpacked, err := DecodeStatistics(table.Bytes(t, "learned", packed))
 	if err != nil || !reflect.DeepEqual(unpacked, learned) {
 		t.Errorf("unpacked: %+v, %v", unpacked, err)
 	}
 }
 
 func TestShownMemoryJSONIsStable(t *testing.T) {
-	shown, err := json.MarshalIndent(Show(storedKept(), storedTaken+1000, restore.DefaultHalfLives()), "", "  ")
+	shown, err := json.MarshalIndent(NewReport(storedSnapshot(), storedTaken+1000, restore.DefaultHalfLives()), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.File(t, "show.json.golden", shown)
-	checks := []Check{{File: storedName, Whole: true, Why: "is damaged", Name: "n3", Records: 6}}
+	checks := []FileCheck{{File: storedName, Complete: true, Reason: "is damaged", Name: "n3", Records: 6}}
 	verified, err := json.MarshalIndent(checks, "", "  ")
 	if err != nil {
 		t.Fatal(err)
