--- a/internal/fleet/planfile.go
+++ b/internal/fleet/planfile.go
@@ -71,8 +71,12 @@
 
 func readPlan(b *hcl.Block, sheet *block.Diagnostics) maintenance.Plan {
 	open := block.Open(b, sheet, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep", "at_once", "person")
-	p := maintenance.Plan{ID: maintenance.PlanID(b.Labels[0]), MaxUnavailable: open.Int("at_once", 1, 1, 1000), ConfirmWork: open.Bool("person", false),
-		WorkTime: float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6}
+	p := maintenance.Plan{
+		ID:             maintenance.PlanID(b.Labels[0]),
+		MaxUnavailable: open.Int("at_once", 1, 1, 1000),
+		ConfirmWork:    open.Bool("person", false),
+		WorkTime:       float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6,
+	}
 	if !nameForm.MatchString(b.Labels[0]) {
 		sheet.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
 	}
@@ -97,7 +101,8 @@
 		}
 		return float64(t.UnixMilli())
 	}
-	p.Select.StartedBefore, p.Deadline = at("before"), at("by")
+	p.Select.StartedBefore = at("before")
+	p.Deadline = at("by")
 	for _, text := range open.Strings("not", 32) {
 		h, ok := readHours(text)
 		if !ok {
