--- a/router/eligibility_test.go
+++ b/router/eligibility_test.go
@@ -82,10 +82,10 @@
 	here := readyEndpoint("a", 0, "z", 1)
 	far := readyEndpoint("b", 0, "z", 1)
 	deduplicated := lookupClass
-	budgeted := slowStartLimits
 	deduplicated.Effect = Deduplicated
 	deduplicated.DeduplicationWindow = 2000
 	deduplicated.LateBenefit = 1
+	budgeted := slowStartLimits
 	budgeted.RetryBudgeted = true
 	budgeted.RetryBudgetMin = 5
 	budgeted.RetryBudgetWindow = 1000
@@ -107,22 +107,8 @@
 		{"deduplicated, may have run", deduplicated, slowStartLimits,
 			afterOutcome(ConnectionReset), func(first, _ float64) float64 { return first + 2000 - windowSlack }},
 		{"again, within a retry budget", lookupClass, budgeted, afterOutcome(ConnectionReset), atOnce},
-		{"while the list has expired", lookupClass, slowStartLimits, func(tr *testRouter) Event {
-			tr.step(attemptEnded(1, 0, Succeeded), newQuery(2)) // which may take over the second engine
-			tr.r.engines["b"].answeredStartAt = tr.r.engines["a"].answeredStartAt
-			tr.step(attemptEnded(2, 0, Succeeded), EndpointsUpdated{ExpiredFor: 3000})
-			tr.r.engines["a"].answeredStartAt = tr.r.startedAt
-			tr.r.engines["b"].answeredStartAt = tr.r.startedAt
-			return newQuery(3)
-		}, func(first, _ float64) float64 { return first - 1 + 3000 }},
-		{"to a warming engine", lookupClass, slowStartLimits, func(tr *testRouter) Event {
-			tr.step(attemptEnded(1, 0, Succeeded))
-			warming := far
-			warming.StartedAt = tr.now
-			tr.step(EndpointsUpdated{Complete: true, Endpoints: []Endpoint{warming}})
-			tr.now += slowStartLimits.SlowStartWindow + 2*windowSlack // this controller's own first window
-			return newQuery(2)
-		}, atOnce},
+		{"while the list has expired", lookupClass, slowStartLimits, expireEndpointList, func(first, _ float64) float64 { return first - 1 + 3000 }},
+		{"to a warming engine", lookupClass, slowStartLimits, replaceByWarmingEngine, atOnce},
 	} {
 		tr := newTestRouter(t, c.class, cancelCapabilities, c.limits, here, far)
 		actions := tr.step(newQuery(1))
@@ -130,13 +116,12 @@
 		if c.event != nil {
 			actions = tr.step(c.event(tr))
 			for range 5 { // a class that was rejected backs off
-				if len(actions) == 0 || !slices.ContainsFunc(actions,
-					func(a Action) bool { _, ok := a.(StartAttempt); return ok }) {
+				if !slices.ContainsFunc(actions, isStart) {
 					actions = tr.wait(60)
 				}
 			}
 		}
-		at := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(StartAttempt); return ok })
+		at := slices.IndexFunc(actions, isStart)
 		if at < 0 {
 			t.Errorf("%s: not started", c.name)
 		} else if got, want := actions[at].(StartAttempt).StartBy, c.startBy(first, tr.now); got != want {
@@ -145,6 +130,27 @@
 	}
 }
 
+// expireEndpointList lets the endpoint list expire when both engines have answered an attempt that started
+// with the router.
+func expireEndpointList(tr *testRouter) Event {
+	tr.step(attemptEnded(1, 0, Succeeded), newQuery(2)) // which may take over the second engine
+	tr.r.engines["b"].answeredStartAt = tr.r.engines["a"].answeredStartAt
+	tr.step(attemptEnded(2, 0, Succeeded), EndpointsUpdated{ExpiredFor: 3000})
+	tr.r.engines["a"].answeredStartAt = tr.r.startedAt
+	tr.r.engines["b"].answeredStartAt = tr.r.startedAt
+	return newQuery(3)
+}
+
+// replaceByWarmingEngine puts an engine that has just started in the place of both.
+func replaceByWarmingEngine(tr *testRouter) Event {
+	tr.step(attemptEnded(1, 0, Succeeded))
+	warming := readyEndpoint("b", 0, "z", 1)
+	warming.StartedAt = tr.now
+	tr.step(EndpointsUpdated{Complete: true, Endpoints: []Endpoint{warming}})
+	tr.now += slowStartLimits.SlowStartWindow + 2*windowSlack // this controller's own first window
+	return newQuery(2)
+}
+
 // Rule 1: a query has one final answer before its client timeout, whatever became of its attempt, and
 // nothing is done for it afterwards.
 func TestOneFinalAnswerInTime(t *testing.T) {
--- a/router/engine.go
+++ b/router/engine.go
@@ -13,7 +13,7 @@
 	// What a search over engines reads first, so that it lies close together.
 	idHash   uint64 // of id
 	bounds   searchBounds
-	attempts int     // of this controller, whose outcome is waited for
+	attempts int     // of this controller, with an outcome that is waited for
 	threads  float64 // that these attempts use
 
 	// What the endpoint list says of it.
@@ -27,7 +27,7 @@
 
 	// Table locks on it.
 	tableLocks        map[*tableGroup]int     // attempts of this controller that lock the group
-	tablesLockedUntil map[*tableGroup]float64 // ms, until which a progress message counts that told of a lock
+	tablesLockedUntil map[*tableGroup]float64 // ms, until which a progress message of a lock counts
 
 	// What its load reports say.
 	othersInflight decayedMean // queries of other controllers in flight
@@ -96,7 +96,7 @@
 }
 
 // tableLocksHeld is how many attempts are known to lock a table group on e: this controller's, and one more
-// if a progress message has told of a lock lately.
+// if a progress message of a lock has come lately.
 func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
 	if len(g.lockHolders) == 0 {
 		return 0
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -125,6 +125,12 @@
 	return engine
 }
 
+// isStart reports whether an action starts an attempt.
+func isStart(action Action) bool {
+	_, ok := action.(StartAttempt)
+	return ok
+}
+
 // finalAnswers counts the final answers to a query, by kind.
 func finalAnswers(actions []Action, id QueryID) (rejections, failures int) {
 	for _, action := range actions {
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -109,7 +109,7 @@
 	return sum
 }
 
-// forgetOrderingQueues drops the empty queues whose cooldown is over.
+// forgetOrderingQueues drops the empty queues that are in cooldown no longer.
 func (r *Router) forgetOrderingQueues() {
 	r.ordering.cooling = slices.DeleteFunc(r.ordering.cooling, func(key OrderingKey) bool {
 		queue := r.ordering.queues[key]
--- a/router/query.go
+++ b/router/query.go
@@ -51,7 +51,7 @@
 	// nil if there is none, and unresolvedAt (ms) when that one was started: rule 2 decides by them whether the
 	// query may be repeated.
 	attempts        []attempt
-	awaited         int // attempts whose outcome is waited for
+	awaited         int // attempts with an outcome that is waited for
 	outstanding     int // attempts without an outcome, the abandoned ones among them
 	unresolved      *engine
 	unresolvedAt    float64
@@ -296,7 +296,7 @@
 	return q, &q.attempts[number]
 }
 
-// forgetQuery drops a query that has its answer and whose attempts all have an outcome.
+// forgetQuery drops a query that has its answer and no attempt without an outcome.
 func (r *Router) forgetQuery(q *query) {
 	delete(r.queries, q.id)
 	q.tables.openQueries--
--- a/router/reasons_test.go
+++ b/router/reasons_test.go
@@ -23,18 +23,10 @@
 }
 
 // An operator asks why queries were rejected, and the wrong reason would send the search for the cause
-// astray. Each condition for a final answer by the controller gives its own reason.
-func TestReasonOfAnswer(t *testing.T) {
-	nonIdempotent := lookupClass
-	nonIdempotent.Effect = NonIdempotent
+// astray. Each condition for which an arriving query is rejected gives its own reason.
+func TestReasonOfAnswerOnArrival(t *testing.T) {
 	ready := []Endpoint{readyEndpoint("a", 0, "z", 1)}
-	for _, c := range []struct {
-		want    answerReason
-		class   QueryClass
-		engines []Endpoint
-		// prepare sets up the router, and returns the event in whose step query 1 has its answer.
-		prepare func(tr *testRouter) Event
-	}{
+	for _, c := range []answerReasonCase{
 		{noReason, lookupClass, ready, func(*testRouter) Event { return newQuery(1) }},
 		{reasonInboxTooSlow, lookupClass, ready, func(*testRouter) Event {
 			ev := newQuery(1)
@@ -54,6 +46,17 @@
 			ev.ID = 1
 			return ev
 		}},
+	} {
+		c.check(t)
+	}
+}
+
+// The same for queries that were taken: each condition for which one is given up gives its own reason.
+func TestReasonOfAnswerToAQueuedQuery(t *testing.T) {
+	nonIdempotent := lookupClass
+	nonIdempotent.Effect = NonIdempotent
+	ready := []Endpoint{readyEndpoint("a", 0, "z", 1)}
+	for _, c := range []answerReasonCase{
 		{reasonOverQuota, lookupClass, ready, func(tr *testRouter) Event {
 			tr.r.tenants = []*tenant{{
 				Tenant:  Tenant{QueriesPerSecond: 1e-6},
@@ -98,11 +101,26 @@
 			return attemptEnded(1, 0, Errored)
 		}},
 	} {
-		tr := newTestRouter(t, c.class, cancelCapabilities, slowStartLimits, c.engines...)
-		q := tr.decide(1, c.prepare(tr))
-		if q.reason != c.want || (q.answer == unanswered) != (c.want == noReason) {
-			t.Errorf("%v: the reason is %v, the answer %v", c.want, q.reason, q.answer)
-		}
+		c.check(t)
+	}
+}
+
+// answerReasonCase is a condition for a final answer by the controller, and its reason.
+type answerReasonCase struct {
+	want    answerReason
+	class   QueryClass
+	engines []Endpoint
+	// prepare sets up the router, and returns the event in whose step query 1 has its answer.
+	prepare func(tr *testRouter) Event
+}
+
+// check plays the case. noReason wants no answer.
+func (c answerReasonCase) check(t *testing.T) {
+	t.Helper()
+	tr := newTestRouter(t, c.class, cancelCapabilities, slowStartLimits, c.engines...)
+	q := tr.decide(1, c.prepare(tr))
+	if q.reason != c.want || (q.answer == unanswered) != (c.want == noReason) {
+		t.Errorf("%v: the reason is %v, the answer %v", c.want, q.reason, q.answer)
 	}
 }
 
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -61,16 +61,7 @@
 	budgeted.RetryBudgeted = true
 	budgeted.RetryBudgetRatio = 0.5
 	budgeted.RetryBudgetWindow = 1000
-	for _, c := range []struct {
-		name                 string
-		class                QueryClass
-		limits               SafetyLimits
-		outcome              Outcome
-		after                float64
-		others               []Endpoint
-		retried              bool
-		rejections, failures int
-	}{
+	for _, c := range []retryCase{
 		{"idempotent after a reset", with(Idempotent, ScopeAll), slowStartLimits, ConnectionReset, 0,
 			[]Endpoint{far}, true, 0, 0},
 		{"non-idempotent that never ran", with(NonIdempotent, ScopeAll), slowStartLimits, EngineFull, 0,
@@ -103,25 +94,44 @@
 			ConnectionReset, 2100, []Endpoint{sameZone}, false, 0, 1},
 		{"no budget left", with(Idempotent, ScopeAll), budgeted, ConnectionReset, 0, []Endpoint{far}, false, 0, 0},
 	} {
-		tr := newTestRouter(t, c.class, cancelCapabilities, c.limits, here)
-		if to := startedOn(tr.step(newQuery(1)), 1); to != "a" {
-			t.Fatalf("%s: first attempt went to %q", c.name, to)
-		}
-		if q := tr.r.queries[1]; tr.r.eligible(q, tr.r.engines["a"]) {
-			t.Errorf("%s: may have two attempts in flight", c.name)
-		}
-		gone := here
-		gone.State = Draining
-		tr.step(EndpointsUpdated{Endpoints: append([]Endpoint{gone}, c.others...)})
-		tr.now += c.after
-		actions := tr.step(attemptEnded(1, 0, c.outcome))
-		actions = append(actions, tr.wait(60)...)
-		if to := startedOn(actions, 1); (to != "") != c.retried {
-			t.Errorf("%s: retried on %q", c.name, to)
-		}
-		if s, f := finalAnswers(actions, 1); s != c.rejections || f != c.failures {
-			t.Errorf("%s: %d rejected, %d failed", c.name, s, f)
-		}
+		c.check(t, here)
+	}
+}
+
+// retryCase is what follows the outcome of the first attempt of a query, which an engine had that drains
+// then.
+type retryCase struct {
+	name                 string
+	class                QueryClass
+	limits               SafetyLimits
+	outcome              Outcome
+	after                float64    // ms
+	others               []Endpoint // that are there when the attempt ends
+	retried              bool
+	rejections, failures int
+}
+
+// check plays the case with the engine of the first attempt.
+func (c retryCase) check(t *testing.T, first Endpoint) {
+	t.Helper()
+	tr := newTestRouter(t, c.class, cancelCapabilities, c.limits, first)
+	if to := startedOn(tr.step(newQuery(1)), 1); to != "a" {
+		t.Fatalf("%s: first attempt went to %q", c.name, to)
+	}
+	if q := tr.r.queries[1]; tr.r.eligible(q, tr.r.engines["a"]) {
+		t.Errorf("%s: may have two attempts in flight", c.name)
+	}
+	draining := first
+	draining.State = Draining
+	tr.step(EndpointsUpdated{Endpoints: append([]Endpoint{draining}, c.others...)})
+	tr.now += c.after
+	actions := tr.step(attemptEnded(1, 0, c.outcome))
+	actions = append(actions, tr.wait(60)...)
+	if to := startedOn(actions, 1); (to != "") != c.retried {
+		t.Errorf("%s: retried on %q", c.name, to)
+	}
+	if s, f := finalAnswers(actions, 1); s != c.rejections || f != c.failures {
+		t.Errorf("%s: %d rejected, %d failed", c.name, s, f)
 	}
 }
 
--- a/router/search.go
+++ b/router/search.go
@@ -159,7 +159,7 @@
 	limitShare        float64 // of an engine's thread limit of all controllers, up to which this one may fill it
 }
 
-// capacityBound returns the bound for a list whose engines are filled up to a share of this controller's
+// capacityBound returns the bound for a list of engines that are filled up to a share of this controller's
 // thread limit on them.
 func (r *Router) capacityBound(share, trafficShare float64) capacityBound {
 	return capacityBound{
@@ -265,7 +265,7 @@
 }
 
 // searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then those
-// whose bound is better than its score.
+// with a bound that is better than its score.
 func (r *Router) searchByBounds(s *listSearch, try tryEngine) {
 	engines := r.withCapacity(s)
 	bounds, first := r.scoreLowerBounds(s.q, engines, s.capacity)
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -10,10 +10,10 @@
 // time depends on the run times of the class, which change with every answer.
 //
 // Each queued query has an alarm at its earliestShed: a time that is not after its shedDeadline, whatever
-// the run times do within the tolerances below. So a query whose alarm is not due is not overdue, and one
-// whose alarm is due is looked at exactly. When a class leaves the tolerances, all its alarms come forward
-// at once by as much as any of them could have to (shedWatch.offset), and each is set anew when it is
-// looked at. As with the bounds of search.go, an alarm that comes too early costs time only.
+// the run times do within the tolerances below. So a query is not overdue before its alarm is due, and
+// then it is looked at exactly. When a class leaves the tolerances, all its alarms come forward at once by
+// as much as any of them could have to (shedWatch.offset), and each is set anew when it is looked at. As
+// with the bounds of search.go, an alarm that comes too early costs time only.
 
 // timeModel is what the run time of a query follows from, besides its own estimate.
 type timeModel struct {
@@ -47,7 +47,7 @@
 	slowdownTolerance  = 2.5
 	// unloadedTolerance is the ratio by which unloadedTime changes at most within these.
 	unloadedTolerance = unitTimeTolerance * workScaleTolerance
-	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970, whose float64 are
+	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970: as float64 these are
 	// about 0.0002 ms apart.
 	timeRoundingSlack = 0.01
 )
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -11,26 +11,50 @@
 // configured, a window as longer, and a turn lasts for all of a window. All parts of a turn together stay
 // within what the rule allows.
 func TestSlowStartMargins(t *testing.T) {
+	checkWarmingByAge(t)
+	checkSlowStartWindow(t)
+	checkSlowStartAfterRestart(t)
+	checkSlowStartTurns(t)
+	checkSlowStartParts(t)
+}
+
+// newWarmingTestRouter returns a controller for which engine "a" has just started, and that engine.
+func newWarmingTestRouter(t *testing.T) (*testRouter, Endpoint) {
+	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
+	tr.now += 5000
 	warming := readyEndpoint("a", 0, "z", 1)
-	withWarming := func() *testRouter {
-		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
-		tr.now += 5000
-		warming.StartedAt = tr.now
-		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
-		return tr
-	}
+	warming.StartedAt = tr.now
+	tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
+	return tr, warming
+}
+
+// usedSlowStartWork is the work in ms that slowStartLimits let all controllers together start within a
+// window on an engine of the first machine kind, times the share of it that is used.
+func usedSlowStartWork() float64 {
+	return slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+		slowStartLimits.SlowStartWindow
+}
+
+// checkWarmingByAge checks until which age an engine counts as warming.
+func checkWarmingByAge(t *testing.T) {
+	t.Helper()
 	for _, c := range []struct {
 		age     float64
 		warming bool
 	}{{0, true}, {slowStartLimits.SlowStartTime - 10, true},
 		{slowStartLimits.SlowStartTime + windowSlack/2, true},
 		{slowStartLimits.SlowStartTime + 2*windowSlack, false}} {
-		tr := withWarming()
+		tr, warming := newWarmingTestRouter(t)
 		tr.r.now = warming.StartedAt + c.age
 		if part := tr.r.slowStartAllowance(tr.r.engines["a"]); (part < 1e9) != c.warming {
 			t.Errorf("%g ms after its start: part %g", c.age, part)
 		}
 	}
+}
+
+// checkSlowStartWindow checks for how long what was started counts.
+func checkSlowStartWindow(t *testing.T) {
+	t.Helper()
 	for _, c := range []struct {
 		name    string
 		ago     float64 // since all of its part was started
@@ -38,36 +62,46 @@
 	}{{"within the window", 1000, false}, {"just before the window",
 		slowStartLimits.SlowStartWindow + windowSlack/2, false},
 		{"well before the window", slowStartLimits.SlowStartWindow + 2*windowSlack, true}} {
-		tr := withWarming()
+		tr, warming := newWarmingTestRouter(t)
 		e := tr.r.engines["a"]
 		tr.r.now = warming.StartedAt + 5000
 		e.slowStartWork.add(tr.r.now-c.ago, tr.r.slowStartAllowance(e))
 		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, e) != c.allowed {
-			t.Errorf("%s: may is %v", c.name, !c.allowed)
+			t.Errorf("%s: allowed is %v", c.name, !c.allowed)
 		}
 	}
+}
+
+// checkSlowStartAfterRestart checks for how long a controller that has just started sends nothing.
+func checkSlowStartAfterRestart(t *testing.T) {
+	t.Helper()
 	for _, c := range []struct {
 		up      float64 // ms for which this controller has been up
 		allowed bool
 	}{{slowStartLimits.SlowStartWindow, false}, {slowStartLimits.SlowStartWindow + windowSlack/2, false},
 		{slowStartLimits.SlowStartWindow + 2*windowSlack, true}} {
-		tr := withWarming()
+		tr, warming := newWarmingTestRouter(t)
 		tr.r.now = warming.StartedAt + 3000
 		tr.r.startedAt = warming.StartedAt + 3000 - c.up
 		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, tr.r.engines["a"]) != c.allowed {
-			t.Errorf("up for %g ms: may is %v", c.up, !c.allowed)
+			t.Errorf("up for %g ms: allowed is %v", c.up, !c.allowed)
 		}
 	}
+}
+
+// checkSlowStartTurns checks that a part stays the same within a turn, that the parts of all turns which a
+// window overlaps are within what the rule allows, and that there are parts of several sizes.
+func checkSlowStartTurns(t *testing.T) {
+	t.Helper()
 	// all controllers whose turns overlap a window use all of their parts
 	for _, controllers := range []int{60, 150, 300, 1000} {
-		tr := withWarming()
+		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = float64(controllers)
 		e := tr.r.engines["a"]
-		whole := slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
-			slowStartLimits.SlowStartWindow
+		whole := usedSlowStartWork()
 		length := (slowStartLimits.SlowStartWindow + 2*windowSlack) / slowStartTurnsPerWindow
 		sizes := map[float64]bool{}
-		var sums []float64 // by stretch
+		var sums []float64 // by turn
 		for at := length / 2; at < slowStartLimits.SlowStartTime; at += length {
 			sum := 0.0
 			for n := range controllers {
@@ -93,11 +127,16 @@
 			t.Errorf("%d controllers: parts of %v alone", controllers, sizes)
 		}
 	}
+}
+
+// checkSlowStartParts checks that the parts of all controllers in one turn add up to no more than the rule
+// allows.
+func checkSlowStartParts(t *testing.T) {
+	t.Helper()
 	for _, controllers := range []float64{1, 7, 20, 30, 60} { // all parts of a turn together
-		tr := withWarming()
+		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = controllers
-		whole := slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
-			slowStartLimits.SlowStartWindow
+		whole := usedSlowStartWork()
 		sum := 0.0
 		for n := range int(controllers) {
 			tr.r.index = n
@@ -167,15 +206,7 @@
 			ended AttemptEnded
 			at    float64
 		}
-		var fleet []*Router
-		for n := range controllers {
-			r := New(int64(n), Identity{Controllers: controllers, Index: n}, twoKinds, []QueryClass{class}, nil,
-				cancelCapabilities, slowStartLimits)
-			r.Step(warming.StartedAt-10000, []Event{EndpointsUpdated{Complete: true, Cached: true,
-				Endpoints: []Endpoint{warming}}})
-			r.classes[0].work.add(warming.StartedAt, 100*usual, 100) // what they usually are is known
-			fleet = append(fleet, r)
-		}
+		fleet := newFleet(controllers, class, warming, usual)
 		var starts []float64 // ms, in order
 		pending := make([][]out, controllers)
 		work := map[QueryID]float64{}
@@ -203,16 +234,7 @@
 		}
 		allowed := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
 			slowStartLimits.SlowStartWindow / usual
-		most := 0
-		for from := range starts {
-			within := 0
-			for _, at := range starts[from:] {
-				if at <= starts[from]+slowStartLimits.SlowStartWindow {
-					within++
-				}
-			}
-			most = max(most, within)
-		}
+		most := mostWithin(starts, slowStartLimits.SlowStartWindow)
 		if float64(most) > allowed {
 			t.Errorf("%d controllers: %d queries in a window, of %.0f, where chance may add %.0f", controllers, most,
 				allowed, 2*math.Sqrt(allowed)+2)
@@ -301,3 +323,33 @@
 		t.Errorf("only %g ms of work of %g may be sent", used, whole)
 	}
 }
+
+// newFleet returns controllers that all know of one warming engine, and that the queries of their class
+// usually need so much work (ms).
+func newFleet(controllers int, class QueryClass, warming Endpoint, usualWork float64) []*Router {
+	var fleet []*Router
+	for n := range controllers {
+		r := New(int64(n), Identity{Controllers: controllers, Index: n}, twoKinds, []QueryClass{class}, nil,
+			cancelCapabilities, slowStartLimits)
+		r.Step(warming.StartedAt-10000, []Event{EndpointsUpdated{Complete: true, Cached: true,
+			Endpoints: []Endpoint{warming}}})
+		r.classes[0].work.add(warming.StartedAt, 100*usualWork, 100)
+		fleet = append(fleet, r)
+	}
+	return fleet
+}
+
+// mostWithin is the largest number of times, which are in order, that lie within any window (ms).
+func mostWithin(times []float64, window float64) int {
+	most := 0
+	for from := range times {
+		within := 0
+		for _, at := range times[from:] {
+			if at <= times[from]+window {
+				within++
+			}
+		}
+		most = max(most, within)
+	}
+	return most
+}
--- a/router/status.go
+++ b/router/status.go
@@ -12,7 +12,7 @@
 	WarmAt      float64 // ms, from which it counts as warm; 0: it started long ago
 	Cores       float64
 	Load        float64 // its load by its reports, see engineLoad; 0 if there is no recent report
-	Attempts    int     // of this controller, whose outcome is waited for
+	Attempts    int     // of this controller, with an outcome that is waited for
 	Tables      []TableStatus
 }
 
