--- /dev/null
+++ b/internal/core/restore/engines.go
@@ -0,0 +1,63 @@
+package restore
+
+import (
+	"math"
+
+	"mintkeel/router"
+)
+
+// recordedOutcomes is how many outcomes of attempts an engine's record has, a bit for each.
+const recordedOutcomes = 8
+
+// selectEngines returns the records of engines that are listed as ready and are still the same process.
+func (s *selector) selectEngines(
+	records []router.EngineStatistics, endpoints []router.Endpoint,
+) (selected []router.EngineStatistics) {
+	startedAt := make(map[router.EngineID]float64, len(endpoints))
+	for _, e := range endpoints {
+		if e.State == router.Ready {
+			startedAt[e.Engine] = e.StartedAt
+		}
+	}
+	id := func(e *router.EngineStatistics) router.EngineID { return e.Engine }
+	for _, e := range uniqueByID(s, records, id, maxEngines) {
+		started, isListed := startedAt[e.Engine]
+		switch {
+		case !allValid(e.At, e.StartedAt, e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore):
+			s.counts.Invalid++
+		case !isListed || started != e.StartedAt:
+			s.counts.UnknownEngines++
+		default:
+			if aged, ok := s.ageEngine(e); ok {
+				selected = append(selected, aged)
+			}
+		}
+	}
+	return selected
+}
+
+// ageEngine returns a record with each of its values aged by its own half-life. Not ok if all have
+// expired.
+func (s *selector) ageEngine(e router.EngineStatistics) (aged router.EngineStatistics, ok bool) {
+	lives := s.halfLives
+	longest := max(lives.Slowdown, lives.Outcomes, lives.ThreadsPerCore, lives.Pools)
+	if _, ok := s.remainingWeight(e.At, longest); !ok {
+		return e, false
+	}
+	age := s.now - e.At
+	e.Slowdown.Weight = min(maxSlowdownWeight, e.Slowdown.Weight) * RemainingWeight(age, lives.Slowdown)
+	surplus := e.ThreadsPerCore - defaultThreadsPerCore
+	e.ThreadsPerCore = defaultThreadsPerCore + surplus*RemainingWeight(age, lives.ThreadsPerCore)
+	e.Outcomes = ageOutcomes(e.Outcomes, RemainingWeight(age, lives.Outcomes))
+	if RemainingWeight(age, lives.Pools) < minRemainingWeight {
+		e.PoolLeader = ""
+	}
+	return e, true
+}
+
+// ageOutcomes keeps a share of the outcomes, the latest, and takes the others as good, as with an
+// engine without statistics.
+func ageOutcomes(outcomes uint8, share float64) uint8 {
+	count := int(math.Round(recordedOutcomes * share))
+	return outcomes | uint8(0xff<<count)
+}
--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// ageless are the lives of the plain baseline: all is believed as if it had just been learned.
+// ageless returns the half-lives of a plain baseline, by which all records count as if they were new.
 func ageless() HalfLives {
 	inf := math.Inf(1)
 	return HalfLives{inf, inf, inf, inf, inf, inf, inf}
@@ -29,12 +29,12 @@
 const now = 1.8e12
 
 var (
-	me   = Identity{Name: "n3", Settings: 77}
-	list = []router.Endpoint{{Engine: "a"}, {Engine: "b", StartedAt: now - 1e6}, {Engine: "d", State: router.Draining}}
+	me            = Identity{Name: "n3", Settings: 77}
+	testEndpoints = []router.Endpoint{{Engine: "a"}, {Engine: "b", StartedAt: now - 1e6}, {Engine: "d", State: router.Draining}}
 )
 
-// memory is one of each record, taken out so many ms ago.
-func memory(age float64) *Snapshot {
+// sampleSnapshot has a record of each kind, of an age in ms.
+func sampleSnapshot(age float64) *Snapshot {
 	at := now - age
 	return &Snapshot{Owner: me, Statistics: router.Statistics{
 		Engines: []router.EngineStatistics{{At: at, Engine: "a", Slowdown: router.WeightedMean{Mean: 5, Weight: 3}, ThreadsPerCore: 1.6,
@@ -45,8 +45,9 @@
 	}}
 }
 
-// What is left of each record by its age, and how the rest is accounted for.
-func TestAgeing(t *testing.T) {
+// Records of several ages, also of the future, are restored or counted as expired by the half-life
+// of their kind.
+func TestRecordsExpireByAge(t *testing.T) {
 	u := DefaultHalfLives()
 	for _, c := range []struct {
 		name                              string
@@ -66,7 +67,7 @@
 		{"a day, by the plain baseline", 24 * 3600e3, ageless(), 1, 1, 1, 1, Counts{Restored: 4}},
 		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
 	} {
-		l, account := Select(memory(c.age), me, list, now, c.lives)
+		l, account := Select(sampleSnapshot(c.age), me, testEndpoints, now, c.lives)
 		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
 			len(l.Traffic) != c.traffc || account != c.account {
 			t.Errorf("%s: %+v, %+v", c.name, l, account)
@@ -74,10 +75,13 @@
 	}
 }
 
-// Each figure fades towards what holds of an engine that is not known, by its own life.
-func TestFading(t *testing.T) {
+// Each value of a record ages towards that of an engine without statistics, by its own half-life.
+func TestValuesAgeByTheirOwnHalfLife(t *testing.T) {
 	u := DefaultHalfLives()
-	at := func(age float64) router.Statistics { l, _ := Select(memory(age), me, list, now, u); return l }
+	at := func(age float64) router.Statistics {
+		l, _ := Select(sampleSnapshot(age), me, testEndpoints, now, u)
+		return l
+	}
 	if e := at(0).Engines[0]; e.Slowdown.Weight != 3 || e.ThreadsPerCore != 1.6 || e.Outcomes != 0b11110000 || e.PoolLeader != "a" {
 		t.Errorf("fresh: %+v", e)
 	}
@@ -104,8 +108,9 @@
 	}
 }
 
-// Whose memory it is, which engines it is of, and what can't be.
-func TestNotBelieved(t *testing.T) {
+// Snapshots of another controller or settings, records of engines that aren't listed, and values
+// that can't be are dropped and counted.
+func TestForeignAndInvalidRecordsAreDropped(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, c := range []struct {
 		name   string
@@ -129,23 +134,24 @@
 			m.Statistics.Engines = append(m.Statistics.Engines, m.Statistics.Engines[0])
 		}, 4, Counts{Restored: 4, Invalid: 1}},
 	} {
-		m := memory(0)
+		m := sampleSnapshot(0)
 		c.change(m)
-		if l, account := Select(m, me, list, now, DefaultHalfLives()); l.Len() != c.left || account != c.tell {
+		if l, account := Select(m, me, testEndpoints, now, DefaultHalfLives()); l.Len() != c.left || account != c.tell {
 			t.Errorf("%s: %d left, %+v", c.name, l.Len(), account)
 		}
 	}
 }
 
-// Of more table groups than can be put in at once those are passed that are asked for most, by id.
-func TestMostTables(t *testing.T) {
+// There are more table groups than can be taken in at once. Those with the most demand are
+// restored, ordered by id.
+func TestTableGroupsWithMostDemandAreRestored(t *testing.T) {
 	m := &Snapshot{Owner: me}
 	for i := range 1000 {
 		m.Statistics.Tables = append(m.Statistics.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
 			Demand: float64(i * 7919 % 1000)})
 	}
 	var many []router.Endpoint
-	for range mostFits / 100 {
+	for range maxTableEnginePairs / 100 {
 		many = append(many, router.Endpoint{})
 	}
 	l, account := Select(m, me, many, now, DefaultHalfLives())
@@ -162,9 +168,9 @@
 	}
 }
 
-// Whatever a memory holds: what is believed weighs no more than it did, less the older it is, names each engine once
-// and only as listed, and every figure is one.
-func TestAnyMemory(t *testing.T) {
+// A snapshot holds anything. What is restored has no more weight than it had, less the older it is;
+// it names each engine once and only as listed; and every value is a number.
+func TestAnySnapshotIsRestoredWithinBounds(t *testing.T) {
 	odd := func(t *rapid.T, name string) float64 {
 		return rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 5), rapid.SampledFrom([]float64{math.NaN(),
 			math.Inf(1), math.Inf(-1), now, now - 1e4, now + 1e9, 0})).Draw(t, name)
@@ -191,45 +197,45 @@
 			WorkScale: weighed(t), MemoryScale: weighed(t)}}
 		m.Statistics.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
 		before := clone(m)
-		sooner, _ := Select(m, me, list, now, DefaultHalfLives())
-		later, account := Select(m, me, list, now+30000, DefaultHalfLives())
+		sooner, _ := Select(m, me, testEndpoints, now, DefaultHalfLives())
+		later, account := Select(m, me, testEndpoints, now+30000, DefaultHalfLives())
 		if before != clone(m) {
-			t.Fatal("the memory itself was changed")
+			t.Fatal("the snapshot itself was changed")
 		}
 		if account.Restored != later.Len() || later.Len() > sooner.Len()+6 {
 			t.Fatalf("%+v of %d", account, later.Len())
 		}
 		seen := map[router.EngineID]bool{}
 		for _, e := range sooner.Engines {
-			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !finite(e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore) ||
-				e.Slowdown.Weight > mostPaceN {
+			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !allValid(e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore) ||
+				e.Slowdown.Weight > maxSlowdownWeight {
 				t.Fatalf("%+v", e)
 			}
 			seen[e.Engine] = true
 			for _, o := range later.Engines {
 				if o.Engine == e.Engine && o.At == e.At && (o.Slowdown.Weight > e.Slowdown.Weight ||
-					math.Abs(o.ThreadsPerCore-usualWidth) > math.Abs(e.ThreadsPerCore-usualWidth)+1e-9 || o.Outcomes|e.Outcomes != o.Outcomes) {
+					math.Abs(o.ThreadsPerCore-defaultThreadsPerCore) > math.Abs(e.ThreadsPerCore-defaultThreadsPerCore)+1e-9 || o.Outcomes|e.Outcomes != o.Outcomes) {
 					t.Fatalf("later %+v weighs more than %+v", o, e)
 				}
 			}
 		}
 		for _, g := range sooner.Tables {
-			if !finite(g.Demand, g.MemoryTime) || g.Demand > mostRate {
+			if !allValid(g.Demand, g.MemoryTime) || g.Demand > maxDemand {
 				t.Fatalf("%+v", g)
 			}
 		}
 		for _, p := range sooner.Classes {
-			if !finite(p.UnloadedTime, p.FirstTryTimeout, p.WorkScale.Mean, p.MemoryScale.Mean) || p.WorkScale.Weight > mostScaleN {
+			if !allValid(p.UnloadedTime, p.FirstTryTimeout, p.WorkScale.Mean, p.MemoryScale.Mean) || p.WorkScale.Weight > maxScaleWeight {
 				t.Fatalf("%+v", p)
 			}
 		}
 		for _, p := range sooner.Traffic {
-			if !(p.Share.Mean >= 0 && p.Share.Mean <= 1) || !(p.Share.Weight <= mostTraffic) {
+			if !(p.Share.Mean >= 0 && p.Share.Mean <= 1) || !(p.Share.Weight <= maxShareWeight) {
 				t.Fatalf("%+v", p)
 			}
 		}
 	})
 }
 
-// clone is the text of a memory, in which what is no number equals itself.
+// clone returns a snapshot as text, in which NaN equals itself.
 func clone(m *Snapshot) string { return fmt.Sprint(*m) }
