--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/restore.go
@@ -26,7 +26,7 @@
 		return
 	}
 	d.remembers = true
-	d.loop.SetRestore(func(endpoints []router.Endpoint) router.Statistics {
+	d.loop.RestoreOnFirstEndpoints(func(endpoints []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
 		statistics, counts := restore.Select(
 			&stored.Snapshot, d.identity(), endpoints, now, restore.DefaultHalfLives())
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -30,7 +30,6 @@
 	gated    *lease.FencingCheck // an endpoint beside the controller, that lasts
 	effects  uint64
 	handed   map[lease.Name]uint64 // the serial of what was handed on, as this run was told
-	inbox    []func()
 	config   configMachine
 
 	stoppedAs quorum.Incarnation // of the quorum, when it stopped last
@@ -55,14 +54,14 @@
 		seeds = append(seeds, members.Member{ID: w.nodes[i].id, Addr: string(w.nodes[i].id)})
 	}
 	m.run = w.rng.Uint64()
-	core, err := node.New(node.Facts{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
-		Founders: founders, Leases: w.works(), Terms: lease.Timing{Duration: w.plan.Lease}, Pace: w.plan.Pace, Disk: w.rng.Uint64() | 1,
-		Seed: w.rng.Int63(), Config: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
+	core, err := node.New(node.Config{Self: members.Member{ID: m.id, Addr: string(m.id), Willing: true, Run: m.run}, Seeds: seeds,
+		Founders: founders, Leases: w.works(), LeaseTiming: lease.Timing{Duration: w.plan.Lease}, Membership: w.plan.Pace, NextDisk: w.rng.Uint64() | 1,
+		Seed: w.rng.Int63(), FleetConfig: w.configFacts(m)}, slices.Clone(m.kept), nil, w.local(m))
 	if err != nil {
 		w.Checker.fail(w.now, "n%d can't start: %v", m.number, err)
 		return
 	}
-	m.core, m.inbox, m.handed = core, nil, map[lease.Name]uint64{}
+	m.core, m.handed = core, map[lease.Name]uint64{}
 	m.restarts++
 	w.trace("n%d starts, run %x, %d records", m.number, m.run, len(m.kept))
 	w.configStarted(m)
@@ -94,7 +93,7 @@
 	}
 	run := m.run
 	out := m.core.Take()
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		w.send(m, s)
 	}
 	for _, c := range out.Began {
