--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -28,7 +28,7 @@
 	if errors.As(err, &field) {
 		return nil, &simwire.FieldError{Line: line, Field: field.Field, Why: field.Why}
 	}
-	return &instance{names: names(facts.Names), module: facts.Router(int64(up.Nonce))}, nil
+	return &instance{names: names(facts.Names), module: facts.NewRouter(int64(up.Nonce))}, nil
 }
 
 func controllerOf(body any) int {
@@ -68,14 +68,14 @@
 			if !known {
 				return nil, unknown("state", strconv.FormatInt(item.State, 10))
 			}
-			kind := (*settings.Names)(n).Kind(item.Shape)
+			kind := (*settings.Names)(n).MachineKind(item.Shape)
 			listed.Endpoints = append(listed.Endpoints, router.Endpoint{Engine: router.EngineID(item.Executor), State: state,
 				Zone: router.Zone(item.Zone), Kind: kind, Cell: router.CellID(item.Cluster),
 				StartedAt: float64(item.Since) / 1e6})
 		}
 		return listed, nil
 	case simwire.Incoming:
-		profile, known := n.Profiles[b.Band]
+		profile, known := n.Classes[b.Band]
 		if !known {
 			return nil, unknown("band", b.Band)
 		}
@@ -108,7 +108,7 @@
 		}
 		ended := router.AttemptEnded{ID: router.QueryID(b.ID), Attempt: router.AttemptID(b.Go), Outcome: outcome, QueryDone: b.Over,
 			Elapsed: float64(b.Took) / 1e6, Load: n.load(b.Feedback)}
-		if n.Bills && outcome == router.Succeeded && b.TrueCost > 0 {
+		if n.AnswersHaveCost && outcome == router.Succeeded && b.TrueCost > 0 {
 			ended.Work, ended.MemoryMB = float64(b.TrueCost/4096), float64(b.TrueCost%4096)*4
 		}
 		return ended, nil
@@ -130,9 +130,9 @@
 	if row == nil {
 		return nil
 	}
-	l := settings.NoLoad()
-	for i, x := range row[:min(len(row), len(n.Reports))] {
-		settings.SetLoad(l, n.Reports[i], x)
+	l := settings.UnknownLoad()
+	for i, x := range row[:min(len(row), len(n.ReportFields))] {
+		settings.SetLoadField(l, n.ReportFields[i], x)
 	}
 	return l
 }
--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -60,7 +60,7 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
-				cmp.Or(s.Name, "unnamed"), len(s.facts.Profiles), len(s.facts.Tenants), len(s.facts.Kinds), s.Known.No)
+				cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants), len(s.facts.MachineKinds), s.Known.No)
 			if from.operator != "" && document == "" {
 				fmt.Fprintf(c.OutOrStdout(), "%s: memory %s, %d rules, fleet %s\n", from.operator, onOff(file.Memory != nil), ruleCount(file),
 					onOff(file.Fleet != nil))
@@ -120,8 +120,8 @@
 		Problems []problem `json:"problems"`
 	}{OK: err == nil, Problems: []problem{}}
 	if err == nil {
-		found.Name, found.Profiles, found.Tenants = s.Name, len(s.facts.Profiles), len(s.facts.Tenants)
-		found.Kinds, found.Memory = len(s.facts.Kinds), file.Memory != nil
+		found.Name, found.Profiles, found.Tenants = s.Name, len(s.facts.Classes), len(s.facts.Tenants)
+		found.Kinds, found.Memory = len(s.facts.MachineKinds), file.Memory != nil
 	}
 	for _, p := range operator.Problems(err) {
 		found.Problems = append(found.Problems, problem{p.File, p.Line, p.Column, p.Field, p.Why})
--- a/cmd/mintkeel/jobs.go
+++ b/cmd/mintkeel/jobs.go
@@ -16,13 +16,13 @@
 	}
 	facts := d.start.facts
 	k := fleet.MaintenanceHost{Engines: d.loop.EngineStatuses, Hold: d.loop.HoldEngines,
-		Kinds: make([]string, len(facts.Kinds)), Log: d.log}
-	for name, i := range facts.Names.Kinds {
+		Kinds: make([]string, len(facts.MachineKinds)), Log: d.log}
+	for name, i := range facts.Names.MachineKinds {
 		if int(i) >= 0 && int(i) < len(k.Kinds) {
 			k.Kinds[i] = name
 		}
 	}
-	for _, p := range facts.Profiles {
+	for _, p := range facts.Classes {
 		if p.Kinds != nil {
 			k.Bounds = append(k.Bounds, p.Kinds)
 		}
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -196,7 +196,7 @@
 	}
 	var p strings.Builder
 	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", s.Name,
-		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.No, len(s.facts.Profiles))
+		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.No, len(s.facts.Classes))
 	for _, update := range s.news {
 		fmt.Fprintf(&p, "update %d, whole %v\n", update.No, update.Whole)
 		for _, e := range update.Entries {
--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/restore.go
@@ -15,7 +15,7 @@
 // identity is what this controller's snapshots are marked with. Those of another identity are not
 // restored.
 func (d *daemon) identity() restore.Identity {
-	return restore.Identity{Name: d.start.Name, Settings: settings.Flatten(d.start.Settings).Sum()}
+	return restore.Identity{Name: d.start.Name, Settings: settings.Flatten(d.start.Settings).Hash()}
 }
 
 // restoreSnapshot reads the statistics of an earlier run and hands them to the event loop, which
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -44,10 +44,10 @@
 				return err
 			}
 			longest := 0.0
-			for _, p := range s.facts.Profiles {
+			for _, p := range s.facts.Classes {
 				longest = max(longest, p.ClientTimeout)
 			}
-			l := limits.For(s.Grants.Descriptors, s.Grants.MemoryMB, s.facts.Links.ConnectTimeout, s.facts.Links.Idle,
+			l := limits.For(s.Grants.Descriptors, s.Grants.MemoryMB, s.facts.Connections.ConnectTimeout, s.facts.Connections.IdleTimeout,
 				time.Duration(longest*float64(time.Millisecond)))
 			debug.SetMemoryLimit(l.MemoryBytes)
 			runtime.GOMAXPROCS(max(1, int(s.Grants.Cores+0.5)))
@@ -87,9 +87,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.log = d.lines.Logger()
-	guards := d.start.facts.Guards
-	d.loop = controller.New(d.start.facts.Router(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
-	d.pool = engines.New(d.limits, d.start.facts.Links.Streams, d.loop.PostEngineEvent, d.log)
+	guards := d.start.facts.SafetyLimits
+	d.loop = controller.New(d.start.facts.NewRouter(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
+	d.pool = engines.New(d.limits, d.start.facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.pool)
 	defer d.leaveFleet()
 	var pending pendingSignals
@@ -136,8 +136,8 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	facts := d.start.facts
-	d.server = clients.New(d.limits, &facts.Names, facts.Profiles, d.loop.Offer, func() time.Duration {
-		return time.Duration(facts.Allowed.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
+	d.server = clients.New(d.limits, &facts.Names, facts.Classes, d.loop.Offer, func() time.Duration {
+		return time.Duration(facts.Capabilities.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
 	}, d.loop.PostClientEvent, d.log)
 	go d.loop.Run(ctx)
 	d.loop.SetRules(d.file.Rules)
--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -53,7 +53,7 @@
 	if change != nil {
 		change(l)
 	}
-	names := &settings.Names{Profiles: map[string]router.ClassID{"report": 0, "load": 1},
+	names := &settings.Names{Classes: map[string]router.ClassID{"report": 0, "load": 1},
 		Tenants: map[string]router.TenantID{"acme": 0}}
 	f := &front{t: t, events: make(chan any, 100), full: make(chan bool, 1)}
 	offer := func(ev QueryArrived) bool {
@@ -474,7 +474,7 @@
 func FuzzSession(f *testing.F) {
 	f.Add(append(bytes.Clone(hello), ask(query)...))
 	f.Add([]byte(fmt.Sprint(head)))
-	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ClassID{"report": 0}},
+	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Classes: map[string]router.ClassID{"report": 0}},
 		[]router.QueryClass{{}}, func(t QueryArrived) bool {
 			t.Query.Finish(request.Answer{Verdict: request.Succeeded})
 			return true
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -225,7 +225,7 @@
 		return no(pgwire.CodeField, err.Error())
 	}
 	names := ses.server.names
-	profile, known := names.Profiles[f.Verb]
+	profile, known := names.Classes[f.Verb]
 	if !known {
 		return no(pgwire.CodeField, fmt.Sprintf("field verb: %.60q is no profile", f.Verb))
 	}
@@ -276,7 +276,7 @@
 	if err != nil {
 		return rules.Command{}, err
 	}
-	profile, known := names.Profiles[f.Verb]
+	profile, known := names.Classes[f.Verb]
 	if !known {
 		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: fmt.Sprintf("%.60q is no profile", f.Verb)}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -80,7 +80,7 @@
 				return nil, &settings.FieldError{Field: at + "host", Why: "is missing"}
 			}
 			update.Entries = append(update.Entries, Entry{Dial: h.Dial, Endpoint: router.Endpoint{
-				Engine: router.EngineID(h.Host), State: state, Zone: router.Zone(h.Site), Kind: names.Kind(h.Class),
+				Engine: router.EngineID(h.Host), State: state, Zone: router.Zone(h.Site), Kind: names.MachineKind(h.Class),
 				Cell: router.CellID(h.Block), StartedAt: h.BornMS}})
 		}
 		all = append(all, update)
@@ -134,7 +134,7 @@
 	e.Engine = router.EngineID(fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)))
 	e.Dial = net.JoinHostPort(net.IP(b[4:8]).String(), strconv.Itoa(int(binary.BigEndian.Uint16(b[8:]))))
 	e.State, e.Kind = router.EngineState(state), router.KindID(kind)
-	if kind >= len(names.KindAt) {
+	if kind >= len(names.MachineKindAt) {
 		e.Kind = -1
 	}
 	if e.Zone = router.Zone(fmt.Sprint("#", zone)); zone < len(names.ZoneAt) { // else one that no profile is bound to
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"mintkeel/router"
 )
 
-var names = &settings.Names{Kinds: map[string]router.KindID{"std": 0, "big": 1}, KindAt: []string{"std", "big"},
+var names = &settings.Names{MachineKinds: map[string]router.KindID{"std": 0, "big": 1}, MachineKindAt: []string{"std", "big"},
 	ZoneAt: []string{"east", "west"}}
 
 func frame(no uint64, kind byte, records ...[]byte) []byte {
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -434,8 +434,8 @@
 func (c *conn) take(a enginewire.Answer) (events []Event, err error) {
 	var load *router.LoadReport
 	if a.Report != nil {
-		load = settings.NoLoad()
-		set := func(name string, x float64) { settings.SetLoad(load, name, x) }
+		load = settings.UnknownLoad()
+		set := func(name string, x float64) { settings.SetLoadField(load, name, x) }
 		if err := enginewire.Report(a.Report, set); err != nil {
 			return nil, err
 		}
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -23,9 +23,9 @@
 func Serve(ctx context.Context, listener net.Listener, dial string, verbs []string, l *limits.Limits) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	events, taken := make(chan any, l.Inbox), make(chan clients.QueryArrived, l.Inbox)
-	names := &settings.Names{Profiles: map[string]router.ClassID{}}
+	names := &settings.Names{Classes: map[string]router.ClassID{}}
 	for i, verb := range verbs {
-		names.Profiles[verb] = router.ClassID(i)
+		names.Classes[verb] = router.ClassID(i)
 	}
 	pool := engines.New(l, 100, func(ev engines.Event) { events <- ev }, log)
 	pool.UpdateEndpoints([]engines.Endpoint{{Engine: engine, Address: dial}}, true)
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -111,9 +111,9 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := limits.For(daemon.DescriptorLimit(), daemon.Memory, facts.Links.ConnectTimeout, facts.Links.Idle, daemon.Deadline)
-	loop := controller.New(facts.Router(seed), controller.SystemClock(), l.Inbox, 0)
-	loop.SetEngines(engines.New(l, facts.Links.Streams, loop.PostEngineEvent, log))
+	l := limits.For(daemon.DescriptorLimit(), daemon.Memory, facts.Connections.ConnectTimeout, facts.Connections.IdleTimeout, daemon.Deadline)
+	loop := controller.New(facts.NewRouter(seed), controller.SystemClock(), l.Inbox, 0)
+	loop.SetEngines(engines.New(l, facts.Connections.AttemptsPerConnection, loop.PostEngineEvent, log))
 	go loop.Run(ctx)
 	follower := discovery.NewWatcher(feed.addr(), 0, &facts.Names, l, loop.PostEndpoints, log)
 	go follower.Follow(ctx)
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -115,7 +115,7 @@
 
 func kindNames(kinds []router.KindID, facts *settings.Facts) (names []string) {
 	for _, k := range kinds {
-		names = append(names, facts.Names.KindAt[k])
+		names = append(names, facts.Names.MachineKindAt[k])
 	}
 	return sorted(names)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,9 +15,9 @@
 )
 
 // facts are settings with one profile that may go anywhere and one that may not.
-var facts = &settings.Facts{Profiles: []router.QueryClass{{}, {Kinds: []router.KindID{1}}},
-	Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
-		Profiles: map[string]router.ClassID{"lookup": 0, "report": 1}}}
+var facts = &settings.Facts{Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}},
+	Names: settings.Names{MachineKinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
+		Classes: map[string]router.ClassID{"lookup": 0, "report": 1}}}
 
 // A file has several mistakes. All are reported at once, each with line, column and field.
 func TestEveryProblemHasItsPlace(t *testing.T) {
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -85,13 +85,13 @@
 // RuleFacts returns what rules need to know of the settings.
 func RuleFacts(f *settings.Facts) rules.Facts {
 	facts := rules.Facts{
-		Names:    make([]string, len(f.Profiles)),
-		Profiles: f.Profiles,
-		Kinds:    f.Names.Kinds,
+		Names:    make([]string, len(f.Classes)),
+		Profiles: f.Classes,
+		Kinds:    f.Names.MachineKinds,
 		Zones:    f.Names.ZoneAt,
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.Names.Profiles)) {
-		facts.Names[f.Names.Profiles[name]] = name
+	for _, name := range slices.Sorted(maps.Keys(f.Names.Classes)) {
+		facts.Names[f.Names.Classes[name]] = name
 	}
 	return facts
 }
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -78,9 +78,9 @@
 
 // storedFacts are settings with a profile that may go anywhere, one that may not, and one that keeps order.
 func storedFacts() *settings.Facts {
-	return &settings.Facts{Profiles: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true}},
-		Names: settings.Names{Kinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
-			Profiles: map[string]router.ClassID{"lookup": 0, "report": 1, "ordered": 2}}}
+	return &settings.Facts{Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true}},
+		Names: settings.Names{MachineKinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
+			Classes: map[string]router.ClassID{"lookup": 0, "report": 1, "ordered": 2}}}
 }
 
 func TestStoredOperatorFileIsReadAsBefore(t *testing.T) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,8 +20,8 @@
 // .count and its items under .0, .1 and so on. An absent key is its zero value.
 type Values map[string]string
 
-// Sum is a hash by which other settings are told from these.
-func (v Values) Sum() uint64 {
+// Hash is a hash by which other settings are told from these.
+func (v Values) Hash() uint64 {
 	d := xxhash.New()
 	for _, key := range slices.Sorted(maps.Keys(v)) {
 		fmt.Fprintf(d, "%q=%q\n", key, v[key])
@@ -77,51 +77,51 @@
 
 // Facts are what the settings say.
 type Facts struct {
-	Place    router.Identity
-	Kinds    []router.MachineKind
-	Profiles []router.QueryClass
-	Tenants  []router.Tenant
-	Allowed  router.Capabilities
-	Guards   router.SafetyLimits
-	Names    Names
-	Links    Links
+	Identity     router.Identity
+	MachineKinds []router.MachineKind
+	Classes      []router.QueryClass
+	Tenants      []router.Tenant
+	Capabilities router.Capabilities
+	SafetyLimits router.SafetyLimits
+	Names        Names
+	Connections  Connections
 }
 
 // Names turn the names that stand on the wires into the module's ids.
 type Names struct {
-	Kinds    map[string]router.KindID
-	Profiles map[string]router.ClassID
-	Tenants  map[string]router.TenantID
-	KindAt   []string
-	ZoneAt   []string
-	Reports  []string // fields of a load report
-	Bills    bool     // answers tell what a command cost
+	MachineKinds    map[string]router.KindID
+	Classes         map[string]router.ClassID
+	Tenants         map[string]router.TenantID
+	MachineKindAt   []string
+	ZoneAt          []string
+	ReportFields    []string // fields of a load report
+	AnswersHaveCost bool     // answers tell what a command cost
 }
 
-// Links is what the settings say of connections to engines.
-type Links struct {
-	ConnectTimeout, Idle time.Duration
-	Streams              int // sends that one connection carries
+// Connections is what the settings say of connections to engines.
+type Connections struct {
+	ConnectTimeout, IdleTimeout time.Duration
+	AttemptsPerConnection       int // sends that one connection carries
 }
 
-// Router makes the module of a controller with these facts.
-func (f *Facts) Router(seed int64) *router.Router {
-	return router.New(seed, f.Place, f.Kinds, f.Profiles, f.Tenants, f.Allowed, f.Guards)
+// NewRouter makes the module of a controller with these facts.
+func (f *Facts) NewRouter(seed int64) *router.Router {
+	return router.New(seed, f.Identity, f.MachineKinds, f.Classes, f.Tenants, f.Capabilities, f.SafetyLimits)
 }
 
-// reading keeps the first error.
-type reading struct {
+// parser keeps the first error.
+type parser struct {
 	values Values
 	err    error
 }
 
-func (o *reading) fail(key, why string) {
+func (o *parser) fail(key, why string) {
 	if o.err == nil {
 		o.err = &FieldError{key, why}
 	}
 }
 
-func (o *reading) number(key, text string) float64 {
+func (o *parser) number(key, text string) float64 {
 	if text == "" {
 		return 0
 	}
@@ -132,13 +132,13 @@
 	return x
 }
 
-func (o *reading) float(key string) float64 { return o.number(key, o.values[key]) }
-func (o *reading) ms(key string) float64    { return o.float(key) / 1e6 }
-func (o *reading) int(key string) int       { return int(o.float(key)) }
-func (o *reading) has(key string) bool      { _, found := o.values[key]; return found }
+func (o *parser) float(key string) float64 { return o.number(key, o.values[key]) }
+func (o *parser) ms(key string) float64    { return o.float(key) / 1e6 }
+func (o *parser) int(key string) int       { return int(o.float(key)) }
+func (o *parser) has(key string) bool      { _, found := o.values[key]; return found }
 
 // count is the length of a list of objects.
-func (o *reading) count(key string) int {
+func (o *parser) count(key string) int {
 	n := o.float(key + ".count")
 	if n < 0 || n > 1e6 {
 		o.fail(key+".count", "is not from 0 to a million")
@@ -147,7 +147,7 @@
 	return int(n)
 }
 
-func (o *reading) bool(key string) bool {
+func (o *parser) bool(key string) bool {
 	text := o.values[key]
 	if text != "" && text != "true" && text != "false" && text != "1" && text != "0" {
 		o.fail(key, fmt.Sprintf("%q is neither true nor false", text))
@@ -155,7 +155,7 @@
 	return text == "true" || text == "1"
 }
 
-func (o *reading) list(key string) []string {
+func (o *parser) list(key string) []string {
 	if o.values[key] == "" {
 		return nil
 	}
@@ -163,14 +163,14 @@
 }
 
 // at is the i-th value of a list of plain values.
-func (o *reading) at(key string, i int) string {
+func (o *parser) at(key string, i int) string {
 	if list := o.list(key); i < len(list) {
 		return list[i]
 	}
 	return ""
 }
 
-func (o *reading) floatAt(key string, i int) float64 { return o.number(key, o.at(key, i)) }
+func (o *parser) floatAt(key string, i int) float64 { return o.number(key, o.at(key, i)) }
 
 var (
 	effects = map[string]router.RepeatEffect{"free": router.Idempotent, "guarded": router.Deduplicated,
@@ -180,43 +180,43 @@
 
 // Read turns settings into facts; the first that can't be used is a FieldError.
 func Read(values Values) (*Facts, error) {
-	o := &reading{values: values}
-	f := &Facts{Names: Names{Kinds: map[string]router.KindID{}, Profiles: map[string]router.ClassID{},
-		Tenants: map[string]router.TenantID{}, KindAt: o.list("kinds"), ZoneAt: o.list("failure_domains"),
-		Reports: o.list("report.fields"), Bills: o.bool("family_info.bills")}}
-	for i, name := range f.Names.KindAt {
-		f.Names.Kinds[name] = router.KindID(i)
-		f.Kinds = append(f.Kinds, router.MachineKind{Cores: o.floatAt("family_info.size_cores", i),
+	o := &parser{values: values}
+	f := &Facts{Names: Names{MachineKinds: map[string]router.KindID{}, Classes: map[string]router.ClassID{},
+		Tenants: map[string]router.TenantID{}, MachineKindAt: o.list("kinds"), ZoneAt: o.list("failure_domains"),
+		ReportFields: o.list("report.fields"), AnswersHaveCost: o.bool("family_info.bills")}}
+	for i, name := range f.Names.MachineKindAt {
+		f.Names.MachineKinds[name] = router.KindID(i)
+		f.MachineKinds = append(f.MachineKinds, router.MachineKind{Cores: o.floatAt("family_info.size_cores", i),
 			MemoryMB: o.floatAt("family_info.size_mb", i)})
 	}
 	for i := range o.count("services") {
-		f.Profiles = append(f.Profiles, o.profile(i, &f.Names))
+		f.Classes = append(f.Classes, o.profile(i, &f.Names))
 	}
 	for i := range o.count("accounts") {
 		at := fmt.Sprintf("accounts.%d.", i)
 		f.Names.Tenants[values[at+"name"]] = router.TenantID(i)
 		f.Tenants = append(f.Tenants, router.Tenant{QueriesPerSecond: o.float(at + "quota_per_s")})
 	}
-	f.Place = router.Identity{Controllers: o.int("n_instances"), Index: o.int("me"), Zone: router.Zone(values["zone"])}
-	f.Allowed = router.Capabilities{Cancel: o.bool("bounds.cancel"), HealthChecks: o.bool("bounds.probes"),
+	f.Identity = router.Identity{Controllers: o.int("n_instances"), Index: o.int("me"), Zone: router.Zone(values["zone"])}
+	f.Capabilities = router.Capabilities{Cancel: o.bool("bounds.cancel"), HealthChecks: o.bool("bounds.probes"),
 		Hedging: o.bool("bounds.parallel_tries"), RetryAfter: o.bool("bounds.retry_after"),
 		ProgressInterval: o.ms("family_info.progress_pace_ns"), MaxAttempts: o.int("bounds.send_cap"),
 		MaxRetryAfter: o.ms("bounds.max_retry_after_ns"), PollEndpoints: values["registry_mode"] == "subscribe"}
-	f.Guards = router.SafetyLimits{EventInterval: o.ms("round_ns"), SlowStartCapacity: o.float("contract.cold_share"),
+	f.SafetyLimits = router.SafetyLimits{EventInterval: o.ms("round_ns"), SlowStartCapacity: o.float("contract.cold_share"),
 		SlowStartTime: o.ms("contract.cold_ns"), SlowStartOverload: o.float("contract.overload_factor"),
 		SlowStartWindow: o.ms("contract.tip_after_ns"), OrderingCooldown: o.ms("contract.order_settle_ns"),
 		RetryBudgeted: o.has("contract.resend_span_ns"), RetryBudgetMin: o.float("contract.budget_free"),
 		RetryBudgetRatio: o.float("contract.resend_ratio"), RetryBudgetWindow: o.ms("contract.resend_span_ns"),
 		PollWithin: o.ms("contract.ask_within_ns"), OverQuotaBenefit: o.float("over_share_worth")}
-	f.Links = Links{ConnectTimeout: time.Duration(o.float("bounds.connect_timeout_ns")),
-		Idle:    time.Duration(o.float("bounds.conn_idle_ns")),
-		Streams: o.int("bounds.max_streams")}
+	f.Connections = Connections{ConnectTimeout: time.Duration(o.float("bounds.connect_timeout_ns")),
+		IdleTimeout:           time.Duration(o.float("bounds.conn_idle_ns")),
+		AttemptsPerConnection: o.int("bounds.max_streams")}
 	return f, o.err
 }
 
-func (o *reading) profile(i int, n *Names) router.QueryClass {
+func (o *parser) profile(i int, n *Names) router.QueryClass {
 	at := fmt.Sprintf("services.%d.", i)
-	n.Profiles[o.values[at+"name"]] = router.ClassID(i)
+	n.Classes[o.values[at+"name"]] = router.ClassID(i)
 	effect, known := effects[o.values[at+"effect"]]
 	if !known {
 		o.fail(at+"effect", "is not known")
@@ -236,7 +236,7 @@
 		p.Kinds = []router.KindID{}
 	}
 	for _, name := range o.list(at + "bound_to") {
-		if kind, known := n.Kinds[name]; known {
+		if kind, known := n.MachineKinds[name]; known {
 			p.Kinds = append(p.Kinds, kind)
 		}
 	}
@@ -249,21 +249,21 @@
 	return p
 }
 
-// Kind is the id of a kind's name; -1 for one that the settings don't list.
-func (n *Names) Kind(name string) router.KindID {
-	if kind, known := n.Kinds[name]; known {
+// MachineKind is the id of a kind's name; -1 for one that the settings don't list.
+func (n *Names) MachineKind(name string) router.KindID {
+	if kind, known := n.MachineKinds[name]; known {
 		return kind
 	}
 	return -1
 }
 
-// NoLoad is a report that holds nothing yet.
-func NoLoad() *router.LoadReport {
+// UnknownLoad is a report that holds nothing yet.
+func UnknownLoad() *router.LoadReport {
 	return &router.LoadReport{Inflight: -1, Utilization: -1, Memory: -1, Disk: -1}
 }
 
-// SetLoad files one value of a report under its name; names that no decision reads are passed over.
-func SetLoad(l *router.LoadReport, name string, x float64) {
+// SetLoadField files one value of a report under its name; names that no decision reads are passed over.
+func SetLoadField(l *router.LoadReport, name string, x float64) {
 	switch name {
 	case "inflight":
 		l.Inflight = x
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,8 +28,8 @@
 	if err != nil || err2 != nil || !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, %v\n%+v, %v", a, err, b, err2)
 	}
-	if p := a.Profiles[1]; !reflect.DeepEqual(p.Kinds, []router.KindID{1}) || !p.LocksTables || a.Profiles[0].LatencyObjective != 1.5 ||
-		!a.Guards.RetryBudgeted || a.Tenants[a.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || a.Names.Kind("none") != -1 {
+	if p := a.Classes[1]; !reflect.DeepEqual(p.Kinds, []router.KindID{1}) || !p.LocksTables || a.Classes[0].LatencyObjective != 1.5 ||
+		!a.SafetyLimits.RetryBudgeted || a.Tenants[a.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || a.Names.MachineKind("none") != -1 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -100,29 +100,29 @@
 }
 
 func (p *printer) facts(f *Facts) {
-	p.place(f.Place)
-	p.allowed(f.Allowed)
-	p.guards(f.Guards)
-	for i, kind := range f.Kinds {
+	p.place(f.Identity)
+	p.allowed(f.Capabilities)
+	p.guards(f.SafetyLimits)
+	for i, kind := range f.MachineKinds {
 		p.line(fmt.Sprintf("kind %d cores", i), kind.Cores)
 		p.line(fmt.Sprintf("kind %d memory MB", i), kind.MemoryMB)
 	}
-	for i, profile := range f.Profiles {
+	for i, profile := range f.Classes {
 		p.profile(fmt.Sprintf("profile %d", i), profile)
 	}
 	for i, tenant := range f.Tenants {
 		p.line(fmt.Sprintf("tenant %d per second", i), tenant.QueriesPerSecond)
 	}
-	numbered(p, "name of kind", f.Names.Kinds)
-	numbered(p, "name of profile", f.Names.Profiles)
+	numbered(p, "name of kind", f.Names.MachineKinds)
+	numbered(p, "name of profile", f.Names.Classes)
 	numbered(p, "name of tenant", f.Names.Tenants)
-	p.line("names of kinds", f.Names.KindAt)
+	p.line("names of kinds", f.Names.MachineKindAt)
 	p.line("names of zones", f.Names.ZoneAt)
-	p.line("names in reports", f.Names.Reports)
-	p.line("answers tell costs", f.Names.Bills)
-	p.line("connect timeout", f.Links.ConnectTimeout.String())
-	p.line("idle connection", f.Links.Idle.String())
-	p.line("streams", f.Links.Streams)
+	p.line("names in reports", f.Names.ReportFields)
+	p.line("answers tell costs", f.Names.AnswersHaveCost)
+	p.line("connect timeout", f.Connections.ConnectTimeout.String())
+	p.line("idle connection", f.Connections.IdleTimeout.String())
+	p.line("streams", f.Connections.AttemptsPerConnection)
 }
 
 func readStored(t *testing.T) Values {
@@ -146,11 +146,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.AllSet(t, facts.Place)
-	golden.AllSet(t, facts.Allowed)
-	golden.AllSet(t, facts.Guards)
+	golden.AllSet(t, facts.Identity)
+	golden.AllSet(t, facts.Capabilities)
+	golden.AllSet(t, facts.SafetyLimits)
 	golden.AllSet(t, facts.Names)
-	golden.AllSet(t, facts.Links)
+	golden.AllSet(t, facts.Connections)
 	var p printer
 	p.facts(facts)
 	golden.File(t, "facts.golden", []byte(p.String()))
@@ -159,13 +159,13 @@
 // TestSettingsSumIsStable pins the hash by which a memory folder is known to be of the same settings: with another hash
 // all that was learned is dropped at a start.
 func TestSettingsSumIsStable(t *testing.T) {
-	golden.File(t, "sum.golden", []byte(fmt.Sprintf("%016x\n", readStored(t).Sum())))
+	golden.File(t, "sum.golden", []byte(fmt.Sprintf("%016x\n", readStored(t).Hash())))
 }
 
 func TestReportNamesAreStable(t *testing.T) {
-	load := NoLoad()
+	load := UnknownLoad()
 	for i, name := range []string{"inflight", "util", "x0", "x1", "unknown"} {
-		SetLoad(load, name, float64(i+1))
+		SetLoadField(load, name, float64(i+1))
 	}
 	if load.Inflight != 1 || load.Utilization != 2 || load.Memory != 3 || load.Disk != 4 {
 		t.Errorf("%+v", load)
