--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// The wire's pairs and nested JSON come to the same facts.
-func TestRead(t *testing.T) {
+// The same settings come as the wire's pairs and as nested JSON. Both are read as the same facts.
+func TestPairsAndNestedJSONAreReadAlike(t *testing.T) {
 	pairs := Values{"kinds": "a,b", "family_info.size_cores": "8,4", "family_info.holds_tables": "false,true",
 		"services.count": "2", "services": "", "services.0.name": "x", "services.0.effect": "free",
 		"services.0.promise_ns": "1500000", "services.1.name": "y", "services.1.effect": "guarded",
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -1,8 +1,9 @@
 package settings
 
-// A renamed or dropped key of the settings is read as its zero value, without an error: a controller would start and
-// decide by other figures than its platform gave. This test reads settings in which each key is set, and compares all
-// that was read with what an earlier build read.
+// A renamed or dropped key of the settings is read as its zero value, without an error: a
+// controller would start and decide by other figures than its platform gave. This test reads
+// settings in which each key is set, and compares all that was read with what an earlier build
+// read.
 
 import (
 	"bytes"
@@ -156,8 +157,8 @@
 	golden.File(t, "facts.golden", []byte(p.String()))
 }
 
-// TestSettingsSumIsStable pins the hash by which a memory folder is known to be of the same settings: with another hash
-// all that was learned is dropped at a start.
+// TestSettingsSumIsStable pins the hash by which a memory folder is known to be of the same
+// settings: with another hash all that was learned is dropped at a start.
 func TestSettingsSumIsStable(t *testing.T) {
 	golden.File(t, "sum.golden", []byte(fmt.Sprintf("%016x\n", readStored(t).Hash())))
 }
