--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return rules.Command{}, err
 	}
-	class, known := names.Profiles[f.Verb]
+	class, known := names.Classes[f.Verb]
 	if !known {
 		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: fmt.Sprintf("%.60q is no profile", f.Verb)}
 	}
--- a/internal/clients/session_test.go
+++ b/internal/clients/session_test.go
@@ -195,7 +195,7 @@
 func FuzzSession(f *testing.F) {
 	f.Add(append(bytes.Clone(startMessage), queryMessage(queryText)...))
 	f.Add([]byte(fmt.Sprint(queryFields)))
-	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Profiles: map[string]router.ClassID{"report": 0}},
+	server := New(limits.For(64, 32, 0, 0, 0), &settings.Names{Classes: map[string]router.ClassID{"report": 0}},
 		[]router.QueryClass{{}}, func(t QueryArrived) bool {
 			t.Query.Finish(request.Answer{Verdict: request.Succeeded})
 			return true
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -116,8 +116,8 @@
 	if answer.Report == nil {
 		return nil, nil
 	}
-	load := settings.NoLoad()
-	err := enginewire.Report(answer.Report, func(name string, x float64) { settings.SetLoad(load, name, x) })
+	load := settings.UnknownLoad()
+	err := enginewire.Report(answer.Report, func(name string, x float64) { settings.SetLoadField(load, name, x) })
 	return load, err
 }
 
