--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -60,7 +60,7 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
-				cmp.Or(s.Name, "unnamed"), len(s.facts.Profiles), len(s.facts.Tenants), len(s.facts.Kinds), s.Known.No)
+				cmp.Or(s.Name, "unnamed"), len(s.facts.Profiles), len(s.facts.Tenants), len(s.facts.Kinds), s.Known.Number)
 			if from.operator != "" && document == "" {
 				fmt.Fprintf(c.OutOrStdout(), "%s: memory %s, %d rules, fleet %s\n", from.operator, onOff(file.Memory != nil), ruleCount(file),
 					onOff(file.Fleet != nil))
--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -24,9 +24,9 @@
 		MemoryMB    int     `json:"memory_mb"`
 		Descriptors int     `json:"sockets"`
 	} `json:"limits"`
-	Feed     string          `json:"bulletin"`
-	Known    discovery.Known `json:"known"`
-	Settings map[string]any  `json:"settings"`
+	Feed     string                `json:"bulletin"`
+	Known    discovery.InitialList `json:"known"`
+	Settings map[string]any        `json:"settings"`
 
 	seed  int64
 	facts *settings.Facts
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -196,11 +196,11 @@
 	}
 	var p strings.Builder
 	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", s.Name,
-		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.No, len(s.facts.Profiles))
+		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.Number, len(s.facts.Profiles))
 	for _, update := range s.news {
-		fmt.Fprintf(&p, "update %d, whole %v\n", update.No, update.Whole)
-		for _, e := range update.Entries {
-			fmt.Fprintf(&p, "  engine %s at %s, state %d, zone %s, kind %d, cell %d, since %v\n", e.Engine, e.Dial, int(e.State), e.Zone,
+		fmt.Fprintf(&p, "update %d, whole %v\n", update.Number, update.Complete)
+		for _, e := range update.Endpoints {
+			fmt.Fprintf(&p, "  engine %s at %s, state %d, zone %s, kind %d, cell %d, since %v\n", e.Engine, e.Address, int(e.State), e.Zone,
 				int(e.Kind), int(e.Cell), e.StartedAt)
 		}
 	}
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -45,7 +45,7 @@
 		return
 	}
 	d.start.compare(r.again, d.log)
-	d.feed.Move(r.again.Feed)
+	d.feed.SetAddress(r.again.Feed)
 }
 
 // takeFile takes over the controller's own file as it was read again.
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -126,10 +126,10 @@
 	if d.file.Fleet != nil {
 		d.loop.KeepEndpoints()
 	}
-	last := d.start.Known.No
+	last := d.start.Known.Number
 	for i, news := range d.start.news {
 		d.loop.UpdateEndpoints(news, i == 0)
-		last = max(last, news.No)
+		last = max(last, news.Number)
 	}
 	listener, err := net.Listen("tcp", d.start.Listen)
 	if err != nil {
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -23,22 +23,22 @@
 func (l *Loop) UpdateEndpoints(update discovery.Update, cached bool) {
 	l.counts.EndpointUpdates++
 	event := router.EndpointsUpdated{
-		Complete:   update.Whole,
+		Complete:   update.Complete,
 		Cached:     cached,
-		ExpiredFor: milliseconds(update.Expired),
+		ExpiredFor: milliseconds(update.ExpiredFor),
 	}
 	var addresses []engines.Endpoint
-	for _, entry := range update.Entries {
+	for _, entry := range update.Endpoints {
 		endpoint := entry.Endpoint
 		if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
 			endpoint.State = router.Draining
 		}
 		event.Endpoints = append(event.Endpoints, endpoint)
 		addresses = append(addresses,
-			engines.Endpoint{Engine: endpoint.Engine, Address: entry.Dial, State: endpoint.State})
+			engines.Endpoint{Engine: endpoint.Engine, Address: entry.Address, State: endpoint.State})
 	}
-	l.engines.UpdateEndpoints(addresses, update.Whole)
-	l.engines.SetExpired(update.Expired > 0)
+	l.engines.UpdateEndpoints(addresses, update.Complete)
+	l.engines.SetExpired(update.ExpiredFor > 0)
 	l.events = append(l.events, event)
 	if l.endpoints != nil {
 		l.keepEndpoints(update)
@@ -51,18 +51,18 @@
 
 // keepEndpoints updates the kept list, which has the engines' states as received, held or not.
 func (l *Loop) keepEndpoints(update discovery.Update) {
-	if update.Whole {
+	if update.Complete {
 		clear(l.endpoints)
 		clear(l.addresses)
 	}
-	for _, entry := range update.Entries {
+	for _, entry := range update.Endpoints {
 		if entry.State == router.Gone {
 			delete(l.endpoints, entry.Engine)
 			delete(l.addresses, entry.Engine)
 			continue
 		}
 		l.endpoints[entry.Engine] = entry.Endpoint
-		l.addresses[entry.Engine] = entry.Dial
+		l.addresses[entry.Engine] = entry.Address
 	}
 }
 
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -36,7 +36,7 @@
 	update := func(id router.EngineID, state router.EngineState, startedAt float64,
 		address string) discovery.Update {
 		endpoint := router.Endpoint{Engine: id, State: state, StartedAt: startedAt}
-		return discovery.Update{Entries: []discovery.Entry{{Endpoint: endpoint, Dial: address}}}
+		return discovery.Update{Endpoints: []discovery.Endpoint{{Endpoint: endpoint, Address: address}}}
 	}
 	status := func(id router.EngineID) (now router.EngineStatus) {
 		l.step()
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -64,9 +64,9 @@
 
 // engineList is a complete endpoint list of these engines, all ready.
 func engineList(ids ...router.EngineID) discovery.Update {
-	update := discovery.Update{Whole: true}
+	update := discovery.Update{Complete: true}
 	for _, id := range ids {
-		update.Entries = append(update.Entries, discovery.Entry{Endpoint: router.Endpoint{Engine: id}})
+		update.Endpoints = append(update.Endpoints, discovery.Endpoint{Endpoint: router.Endpoint{Engine: id}})
 	}
 	return update
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -57,8 +57,8 @@
 		router.Capabilities{MaxAttempts: 1}, router.SafetyLimits{OrderingCooldown: orderingCooldown})
 	h.loop = New(module, func() float64 { return h.now }, 0, orderingCooldown)
 	h.loop.SetEngines(h.recorder)
-	engine := discovery.Entry{Endpoint: router.Endpoint{Engine: "e", Kind: -1}}
-	h.loop.UpdateEndpoints(discovery.Update{Whole: true, Entries: []discovery.Entry{engine}}, true)
+	engine := discovery.Endpoint{Endpoint: router.Endpoint{Engine: "e", Kind: -1}}
+	h.loop.UpdateEndpoints(discovery.Update{Complete: true, Endpoints: []discovery.Endpoint{engine}}, true)
 	return h
 }
 
--- a/internal/controller/statistics_test.go
+++ b/internal/controller/statistics_test.go
@@ -44,8 +44,8 @@
 		}
 		return router.Statistics{}
 	})
-	for _, entries := range [][]discovery.Entry{nil, {{Endpoint: router.Endpoint{Engine: "e"}}}, {{}}} {
-		fresh.UpdateEndpoints(discovery.Update{Entries: entries}, true)
+	for _, entries := range [][]discovery.Endpoint{nil, {{Endpoint: router.Endpoint{Engine: "e"}}}, {{}}} {
+		fresh.UpdateEndpoints(discovery.Update{Endpoints: entries}, true)
 	}
 	_, restored := fresh.events[2].(router.StatisticsRestored)
 	if restores != 1 || len(fresh.events) != 4 || !restored {
--- /dev/null
+++ b/internal/discovery/expiry.go
@@ -0,0 +1,47 @@
+package discovery
+
+import "time"
+
+// expireWithin has the list expire after this time, unless it does so earlier. mu is held.
+func (w *Watcher) expireWithin(d time.Duration) {
+	if at := time.Now().Add(d); at.Before(w.expiresAt) {
+		w.expiresAt = at
+	}
+}
+
+// expireIfDue reports, once, that the list has expired, if it has.
+func (w *Watcher) expireIfDue() {
+	w.mu.Lock()
+	expiresAt := w.expiresAt
+	w.mu.Unlock()
+	if w.expired || time.Now().Before(expiresAt) {
+		return
+	}
+	w.expired = true
+	w.log.Warn("nothing heard from discovery for too long: only engines that go on answering get queries")
+	w.report(Update{ExpiredFor: w.limits.FeedBroken})
+}
+
+// readDeadline is until when nothing may be received: no longer than a silent connection is trusted and,
+// until the list has expired, not past that.
+func (w *Watcher) readDeadline() time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	deadline := time.Now().Add(w.limits.FeedSilence)
+	if !w.expired && w.expiresAt.Before(deadline) {
+		return w.expiresAt
+	}
+	return deadline
+}
+
+// received puts the expiry off, as something was received, and reports whether that counts: not if the
+// address has changed since, as there may be more at the new one.
+func (w *Watcher) received() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.addressChanged {
+		return false
+	}
+	w.expiresAt = time.Now().Add(w.limits.FeedTold)
+	return true
+}
--- /dev/null
+++ b/internal/discovery/frame.go
@@ -0,0 +1,101 @@
+package discovery
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+
+	"mintkeel/internal/settings"
+	"mintkeel/router"
+)
+
+// ErrMalformed is wrapped by the errors of frames that have no valid form.
+var ErrMalformed = errors.New("malformed frame")
+
+// A frame is, in network byte order: the length of what follows (4 bytes), the number of an update (8), a
+// kind (1), and records of engines.
+const (
+	frameLengthBytes = 4
+	frameHeadBytes   = frameLengthBytes + 8 + 1
+)
+
+// Kinds of frames.
+const (
+	frameUnchanged = 0 // the list is that of the update with this number; there are no records
+	frameComplete  = 1 // the records are all engines
+	frameChanges   = 2 // the records are those that have changed
+)
+
+// A record is, in network byte order, the fields that begin at these bytes.
+const (
+	recordEngine    = 0  // 4 bytes: the engine's number
+	recordIP        = 4  // 4 bytes
+	recordPort      = 8  // 2 bytes
+	recordState     = 10 // 1 byte, as router.EngineState counts
+	recordZone      = 11 // 1 byte: index into the settings' zones
+	recordKind      = 12 // 1 byte: index into the settings' machine kinds
+	recordCell      = 13 // 2 bytes; 4 bytes that are not used follow
+	recordStartedAt = 19 // 8 bytes: ms since 1970
+	recordBytes     = 27
+)
+
+// ReadFrame reads one frame of at most maxBytes after its length. changed is false if it holds no update.
+func ReadFrame(r *bufio.Reader, maxBytes int, names *settings.Names) (
+	update Update, changed bool, err error) {
+	head, err := r.Peek(frameHeadBytes)
+	if err != nil {
+		return Update{}, false, err
+	}
+	length := int(binary.BigEndian.Uint32(head))
+	update.Number = binary.BigEndian.Uint64(head[frameLengthBytes:])
+	kind := head[frameHeadBytes-1]
+	update.Complete = kind == frameComplete
+	size := length - (frameHeadBytes - frameLengthBytes) // of the records
+	if length > maxBytes || size < 0 || kind > frameChanges || size%recordBytes != 0 ||
+		kind == frameUnchanged && size != 0 {
+		return update, false, fmt.Errorf("%w: length %d, kind %d", ErrMalformed, length, kind)
+	}
+	r.Discard(frameHeadBytes)
+	record := make([]byte, recordBytes)
+	for range size / recordBytes {
+		if _, err := io.ReadFull(r, record); err != nil {
+			return update, false, err
+		}
+		endpoint, err := parseRecord(record, names)
+		if err != nil {
+			return update, false, err
+		}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update, kind != frameUnchanged, nil
+}
+
+// parseRecord reads one engine. A zone or kind that the settings don't know is given a value that no query
+// class is bound to.
+func parseRecord(b []byte, names *settings.Names) (Endpoint, error) {
+	state := b[recordState]
+	if state > byte(router.Gone) {
+		return Endpoint{}, fmt.Errorf("%w: state %d", ErrMalformed, state)
+	}
+	var e Endpoint
+	e.Engine = router.EngineID(fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b[recordEngine:])))
+	port := strconv.Itoa(int(binary.BigEndian.Uint16(b[recordPort:])))
+	e.Address = net.JoinHostPort(net.IP(b[recordIP:recordPort]).String(), port)
+	e.State = router.EngineState(state)
+	e.Kind = -1
+	if kind := int(b[recordKind]); kind < len(names.KindAt) {
+		e.Kind = router.KindID(kind)
+	}
+	zone := int(b[recordZone])
+	e.Zone = router.Zone(fmt.Sprint("#", zone))
+	if zone < len(names.ZoneAt) {
+		e.Zone = router.Zone(names.ZoneAt[zone])
+	}
+	e.Cell = router.CellID(binary.BigEndian.Uint16(b[recordCell:]))
+	e.StartedAt = float64(binary.BigEndian.Uint64(b[recordStartedAt:]))
+	return e, nil
+}
--- /dev/null
+++ b/internal/discovery/frame_test.go
@@ -0,0 +1,94 @@
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+	"reflect"
+	"testing"
+
+	"mintkeel/internal/settings"
+	"mintkeel/router"
+)
+
+// names are those of the settings.
+var names = &settings.Names{
+	Kinds:  map[string]router.KindID{"std": 0, "big": 1},
+	KindAt: []string{"std", "big"},
+	ZoneAt: []string{"east", "west"},
+}
+
+// frame is a frame of records.
+func frame(no uint64, kind byte, records ...[]byte) []byte {
+	payload := bytes.Join(records, nil)
+	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
+	return append(append(binary.BigEndian.AppendUint64(b, no), kind), payload...)
+}
+
+// record is an engine, at 10.1.0.9:8443 in cell 2.
+func record(id uint32, state, zone, kind byte) []byte {
+	b := append(binary.BigEndian.AppendUint32(nil, id), 10, 1, 0, 9)
+	b = append(binary.BigEndian.AppendUint16(b, 8443), state, zone, kind)
+	b = append(binary.BigEndian.AppendUint16(b, 2), 0, 0, 15, 160)
+	return binary.BigEndian.AppendUint64(b, 1700000000123)
+}
+
+var (
+	testEndpoint = Endpoint{Address: "10.1.0.9:8443",
+		Endpoint: router.Endpoint{Engine: "s-00c41f7a", Zone: "east", Cell: 2, StartedAt: 1700000000123}}
+	wholeFrame = frame(1, 1, record(0xc41f7a, 0, 0, 0))
+)
+
+// Each kind of frame gives its update. A zone or kind that the settings do not know gets a value of its own,
+// and what is no frame an error.
+func TestReadFrame(t *testing.T) {
+	draining := testEndpoint
+	draining.State = router.Draining
+	draining.Zone = "west"
+	draining.Kind = 1
+	strange := testEndpoint
+	strange.Kind = -1
+	strange.Zone = "#5"
+	for _, c := range []struct {
+		name  string
+		bytes []byte
+		want  []Endpoint
+		fresh bool
+		bad   bool
+	}{
+		{"nothing new", frame(3, 0), nil, false, false},
+		{"whole", wholeFrame, []Endpoint{testEndpoint}, true, false},
+		{"changes", frame(2, 2, record(0xc41f7a, 1, 1, 1), record(0xc41f7a, 0, 5, 9)),
+			[]Endpoint{draining, strange}, true, false},
+		{"an empty change", frame(2, 2), nil, true, false},
+		{"another kind", frame(2, 3), nil, false, true},
+		{"another state", frame(2, 2, record(1, 3, 0, 0)), nil, false, true},
+		{"half a record", frame(2, 2, record(1, 0, 0, 0)[:20]), nil, false, true},
+		{"nothing new, with a record", frame(2, 0, record(1, 0, 0, 0)), nil, false, true},
+		{"too short", []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1, 0}, nil, false, true},
+		{"far too long", append([]byte{0xff, 0xff, 0xff, 0xff}, wholeFrame[4:]...), nil, false, true},
+		{"cut", wholeFrame[:30], nil, false, true},
+	} {
+		update, fresh, err := ReadFrame(bufio.NewReader(bytes.NewReader(c.bytes)), 1000, names)
+		if c.bad != (err != nil) || !c.bad && (fresh != c.fresh || !reflect.DeepEqual(update.Endpoints, c.want)) {
+			t.Errorf("%s: %+v, %t, %v", c.name, update, fresh, err)
+		}
+	}
+}
+
+// No bytes make ReadFrame fail otherwise than by an error, or return more endpoints than they hold.
+func FuzzFrame(f *testing.F) {
+	f.Add(wholeFrame)
+	f.Add(frame(2, 2, record(1, 3, 0, 0)))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		for r := bufio.NewReader(bytes.NewReader(in)); ; {
+			update, _, err := ReadFrame(r, 1000, names)
+			if err != nil {
+				return
+			}
+			if len(update.Endpoints) > len(in)/recordBytes {
+				t.Fatalf("%d entries of %d bytes", len(update.Endpoints), len(in))
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/reconnect.go
@@ -0,0 +1,66 @@
+package discovery
+
+import (
+	"context"
+	"net"
+	"time"
+)
+
+// minDialTimeout is the least time that a dial is given, also when the list is about to expire.
+const minDialTimeout = time.Millisecond
+
+// Follow keeps a connection open until ctx ends, and reports what comes after the last update, in order and
+// once.
+func (w *Watcher) Follow(ctx context.Context) {
+	for ctx.Err() == nil {
+		connectedAt := time.Now()
+		err := w.watch(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		w.logConnectionEnd(err)
+		w.expireIfDue()
+		w.backOff(ctx, connectedAt)
+	}
+}
+
+// logConnectionEnd logs that a connection ended, unless one was logged just now.
+func (w *Watcher) logConnectionEnd(err error) {
+	now := time.Now()
+	if now.Sub(w.lastLogged) >= w.limits.LogEvery {
+		w.lastLogged = now
+		w.log.Warn("discovery connection ended", "why", err, "last", w.lastNumber)
+	}
+}
+
+// backOff waits until FeedRetry has passed since the last connection was begun: not at all after one that
+// lasted. The wait does not grow, as the list soon expires without a connection.
+func (w *Watcher) backOff(ctx context.Context, connectedAt time.Time) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(w.limits.FeedRetry - time.Since(connectedAt)):
+	}
+}
+
+// dial opens a connection to the current address, which SetAddress closes if that changes.
+func (w *Watcher) dial(ctx context.Context) (net.Conn, error) {
+	w.mu.Lock()
+	address := w.address
+	w.addressChanged = false
+	w.mu.Unlock()
+	timeout := min(w.limits.ConnectTime, max(minDialTimeout, time.Until(w.readDeadline())))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	conn, err := w.dialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.addressChanged {
+		conn.Close()
+		return nil, errAddressChanged
+	}
+	w.conn = conn
+	return conn, nil
+}
--- /dev/null
+++ b/internal/discovery/watch.go
@@ -0,0 +1,85 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+)
+
+// watch opens a connection and reads it to its end.
+func (w *Watcher) watch(ctx context.Context) error {
+	conn, err := w.dial(ctx)
+	if err != nil {
+		return err
+	}
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	err = w.readUpdates(conn)
+	return w.disconnect(conn, err)
+}
+
+// readUpdates asks for all updates after the last one, and reports them until the connection ends, which it
+// returns the reason of.
+func (w *Watcher) readUpdates(conn net.Conn) error {
+	w.expireIfDue() // it may have become due while dialling; that does not cost the connection
+	conn.SetWriteDeadline(time.Now().Add(w.limits.FeedSilence))
+	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, w.lastNumber)); err != nil {
+		return err
+	}
+	r := bufio.NewReader(conn)
+	for {
+		conn.SetReadDeadline(w.readDeadline())
+		update, changed, err := ReadFrame(r, w.limits.FrameBytes, w.names)
+		if err != nil {
+			return err
+		}
+		if err := w.handle(update, changed); err != nil {
+			return err
+		}
+	}
+}
+
+// handle takes in one frame. Its error ends the connection: an update was skipped, or the address has
+// changed.
+func (w *Watcher) handle(update Update, changed bool) error {
+	next := w.lastNumber + 1
+	if update.Number > next && !update.Complete || update.Number == next && !changed {
+		return fmt.Errorf("%w: number %d after %d", ErrMalformed, update.Number, w.lastNumber)
+	}
+	if update.Number < w.lastNumber {
+		// Older than what is known: it does not say that what is known still holds, so it does not end an expiry.
+		return nil
+	}
+	if !w.received() {
+		return errAddressChanged
+	}
+	switch {
+	case changed && update.Number > w.lastNumber:
+		w.lastNumber = update.Number
+		w.report(update)
+	case w.expired:
+		w.report(Update{Number: w.lastNumber})
+	}
+	w.expired = false
+	return nil
+}
+
+// disconnect closes a connection that ended with err, and returns why it did. A break brings the expiry of
+// the list nearer; silence does not, as that is what FeedTold is about.
+func (w *Watcher) disconnect(conn net.Conn, err error) error {
+	conn.Close()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conn = nil
+	if w.addressChanged {
+		return errAddressChanged
+	}
+	if !errors.Is(err, os.ErrDeadlineExceeded) {
+		w.expireWithin(w.limits.FeedBroken)
+	}
+	return err
+}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	patience = 10 * time.Second // for what must come, in the bubble's time
-	backlog  = 10               // connections that wait to be accepted
+	testTimeout = 10 * time.Second // for what must come, in the bubble's time
+	maxPending  = 10               // connections that wait to be accepted
 )
 
 var errRefused = errors.New("connection refused")
@@ -26,11 +26,11 @@
 // fakeNetwork is a network of pipes, for use within a synctest bubble.
 type fakeNetwork struct {
 	listening map[string]chan request
-	late      bool // a dial succeeds in the moment its time is up
+	late      bool // a dial succeeds at the moment its time is up
 }
 
-// request is a connection from a watcher, and what was asked on it: the first bytes are read ahead of its acceptance, as
-// a socket's buffer would take them.
+// request is a connection from a watcher, and the number of the update that it knows: that is read ahead of
+// the connection's acceptance, as a socket's buffer would take it.
 type request struct {
 	conn net.Conn
 	last uint64
@@ -40,7 +40,7 @@
 func newFakeNetwork(addresses ...string) *fakeNetwork {
 	n := &fakeNetwork{listening: map[string]chan request{}}
 	for _, address := range addresses {
-		n.listening[address] = make(chan request, backlog)
+		n.listening[address] = make(chan request, maxPending)
 	}
 	return n
 }
@@ -62,7 +62,7 @@
 	return near, nil
 }
 
-// accept takes the next connection to an address, on which an update's number must have been said.
+// accept takes the next connection to an address, which must ask for what comes after an update.
 func (n *fakeNetwork) accept(t *testing.T, address string, last uint64) net.Conn {
 	t.Helper()
 	select {
@@ -71,16 +71,17 @@
 		if got.err != nil || got.last != last {
 			t.Fatalf("asked from %d, not %d: %v", got.last, last, got.err)
 		}
-		got.conn.SetDeadline(time.Now().Add(patience))
+		got.conn.SetDeadline(time.Now().Add(testTimeout))
 		return got.conn
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no connection")
 		return nil
 	}
 }
 
-// watch follows the list at an address until the test's end; it has the updates up to last.
-func (n *fakeNetwork) watch(t *testing.T, address string, last uint64, l *limits.Limits) (*Watcher, <-chan Update) {
+// follow follows the list at an address until the test's end, by a watcher that knows the updates up to last.
+func (n *fakeNetwork) follow(t *testing.T, address string, last uint64,
+	l *limits.Limits) (*Watcher, <-chan Update) {
 	updates := make(chan Update, 10)
 	watcher := NewWatcher(address, last, names, l, func(u Update) { updates <- u },
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -95,49 +96,55 @@
 		cancel()
 		select {
 		case <-done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("goes on after its end")
 		}
 	})
 	return watcher, updates
 }
 
+// expect checks the next update, but for its endpoints.
 func expect(t *testing.T, updates <-chan Update, want Update) {
 	t.Helper()
 	select {
 	case got := <-updates:
-		if got.No != want.No || got.Expired != want.Expired || got.Whole != want.Whole {
+		if got.Number != want.Number || got.ExpiredFor != want.ExpiredFor || got.Complete != want.Complete {
 			t.Fatalf("told %+v, not %+v", got, want)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("not told %+v", want)
 	}
 }
 
-func change(no uint64) []byte { return frame(no, kindChange, record(0xc41f7a, 0, 0, 0)) }
+// change is a frame that changes an engine.
+func change(no uint64) []byte { return frame(no, frameChanges, record(0xc41f7a, 0, 0, 0)) }
 
-// A connection that breaks, is malformed, skips an update or falls silent is begun anew from the last update; what
-// comes twice is told once; too long a silence is told, and so is its end.
-func TestFollow(t *testing.T) {
+// Discovery breaks the connection, skips an update, sends what is malformed and falls silent. Each time the
+// list is asked for again from the last update, and what comes twice is reported once. The silence lasts
+// until the list expires, which is reported, and so is its end.
+func TestReconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedSilence = time.Millisecond, 50*time.Millisecond
-		l.FeedTold, l.FeedBroken = 120*time.Millisecond, 110*time.Millisecond
-		_, updates := network.watch(t, "feed", 4, l)
+		l.FeedRetry = time.Millisecond
+		l.FeedSilence = 50 * time.Millisecond
+		l.FeedTold = 120 * time.Millisecond
+		l.FeedBroken = 110 * time.Millisecond
+		_, updates := network.follow(t, "feed", 4, l)
 		for _, c := range []struct {
 			name    string
 			last    uint64
 			frames  [][]byte
 			updates []Update
 		}{
-			{"breaks after two", 4, [][]byte{change(5), frame(5, 0), change(6)}, []Update{{No: 5}, {No: 6}}},
-			{"the same again", 6, [][]byte{change(5), change(6), change(7)}, []Update{{No: 7}}},
+			{"breaks after two", 4, [][]byte{change(5), frame(5, 0), change(6)}, []Update{{Number: 5}, {Number: 6}}},
+			{"the same again", 6, [][]byte{change(5), change(6), change(7)}, []Update{{Number: 7}}},
 			{"skips one", 7, [][]byte{change(9)}, nil},
 			{"nothing new, but one that did not come", 7, [][]byte{frame(8, 0), change(8)}, nil},
 			{"nothing new, but several", 7, [][]byte{frame(9, 0), change(8)}, nil},
-			{"skips to a whole list", 7, [][]byte{frame(9, 1, record(1, 0, 0, 0))}, []Update{{No: 9, Whole: true}}},
-			{"malformed", 9, [][]byte{change(10), {0, 0, 0, 1}, change(11)}, []Update{{No: 10}}},
+			{"skips to a complete list", 7, [][]byte{frame(9, 1, record(1, 0, 0, 0))},
+				[]Update{{Number: 9, Complete: true}}},
+			{"malformed", 9, [][]byte{change(10), {0, 0, 0, 1}, change(11)}, []Update{{Number: 10}}},
 		} {
 			t.Log(c.name)
 			conn := network.accept(t, "feed", c.last)
@@ -148,7 +155,7 @@
 			conn.Close()
 		}
 		network.accept(t, "feed", 10) // and those after it stay unanswered
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			conn.Write(frame(10, 0))
@@ -156,99 +163,105 @@
 				t.Fatal("the watcher said more than its last update")
 			}
 		}
-		expect(t, updates, Update{No: 10})
+		expect(t, updates, Update{Number: 10})
 	})
 }
 
-// A list that expires while a connection is dialled is told as expired, and the connection is used: it is asked from
-// the last update, and stays.
-func TestExpiryDuringDial(t *testing.T) {
+// The list expires while a connection is dialled. That is reported, and the connection is used all the same:
+// closing it would only put off the end of the expiry.
+func TestListExpiresDuringDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedTold, l.FeedBroken = time.Millisecond, patience, 110*time.Millisecond
-		_, updates := network.watch(t, "feed", 4, l)
+		l.FeedRetry = time.Millisecond
+		l.FeedTold = testTimeout
+		l.FeedBroken = 110 * time.Millisecond
+		_, updates := network.follow(t, "feed", 4, l)
 		first := network.accept(t, "feed", 4)
 		network.late = true
 		first.Close()
 		conn := network.accept(t, "feed", 4)
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
 		conn.Write(change(5))
-		expect(t, updates, Update{No: 5})
+		expect(t, updates, Update{Number: 5})
 		if len(network.listening["feed"]) > 0 {
 			t.Error("the list was asked for once more")
 		}
 	})
 }
 
-// A watch that stays open and falls silent, and a drain that begins right then: it is told by the next watch, which is
-// begun long before the list expires.
-func TestSilentWatch(t *testing.T) {
+// A connection stays open and falls silent, and an engine begins to drain right then. The drain is reported
+// by the next connection, which is opened long before the list expires.
+func TestDrainDuringSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedSilence, l.FeedTold = 20*time.Millisecond, patience
-		_, updates := network.watch(t, "feed", 4, l)
+		l.FeedSilence = 20 * time.Millisecond
+		l.FeedTold = testTimeout
+		_, updates := network.follow(t, "feed", 4, l)
 		silent := network.accept(t, "feed", 4)
 		silent.Write(change(5))
-		if got := <-updates; got.No != 5 || got.Entries[0].State != router.Ready {
+		if got := <-updates; got.Number != 5 || got.Endpoints[0].State != router.Ready {
 			t.Fatalf("told %+v", got)
 		}
 		for len(updates) == 0 {
 			next := network.accept(t, "feed", 5)
-			next.Write(frame(6, kindChange, record(0xc41f7a, 1, 0, 0)))
+			next.Write(frame(6, frameChanges, record(0xc41f7a, 1, 0, 0)))
 			next.Read(make([]byte, 1))
 		}
-		if got := <-updates; got.No != 6 || got.Expired > 0 || got.Entries[0].State != router.Draining {
+		if got := <-updates; got.Number != 6 || got.ExpiredFor > 0 || got.Endpoints[0].State != router.Draining {
 			t.Errorf("told %+v", got)
 		}
 	})
 }
 
-// Discovery that comes back with less than is known tells nothing of what has happened since: its older list is not
-// taken, and the list that has expired is still so, until it tells of what comes next.
-func TestOlderThanKnown(t *testing.T) {
+// Discovery restarts with an older list than the known one. That says nothing of what has happened since: it
+// is dropped, and does not end an expiry. The update that comes next does.
+func TestListOlderThanKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedTold, l.FeedSilence = time.Millisecond, 20*time.Millisecond, patience
-		_, updates := network.watch(t, "feed", 10, l)
+		l.FeedRetry = time.Millisecond
+		l.FeedTold = 20 * time.Millisecond
+		l.FeedSilence = testTimeout
+		_, updates := network.follow(t, "feed", 10, l)
 		network.accept(t, "feed", 10).Close() // down
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
-			older := append(frame(9, kindNone), frame(9, kindWhole, record(1, 0, 0, 0))...)
-			conn.Write(append(older, frame(11, kindChange, record(2, 0, 0, 0))...))
+			older := append(frame(9, frameUnchanged), frame(9, frameComplete, record(1, 0, 0, 0))...)
+			conn.Write(append(older, frame(11, frameChanges, record(2, 0, 0, 0))...))
 			conn.Read(make([]byte, 1))
 		}
-		expect(t, updates, Update{No: 11})
+		expect(t, updates, Update{Number: 11})
 	})
 }
 
-// At a new address the list is watched at once from the last update, also while the old one holds its connection open
-// or can't be reached, and nothing that the old one still says is taken.
-func TestMove(t *testing.T) {
+// Discovery gets another address, while the old one holds its connection open or can't be reached. The list
+// is watched at the new one at once, from the last update, and what the old one still sends is dropped.
+func TestAddressChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("first", "second", "third")
-		watcher, updates := network.watch(t, "first", 4, limits.For(1024, 192, time.Second, 0, 0))
+		watcher, updates := network.follow(t, "first", 4, limits.For(1024, 192, time.Second, 0, 0))
 		old := network.accept(t, "first", 4)
 		old.Write(change(5))
-		expect(t, updates, Update{No: 5})
-		watcher.Move("second")
+		expect(t, updates, Update{Number: 5})
+		watcher.SetAddress("second")
 		at := network.accept(t, "second", 5)
 		old.Write(change(6)) // crosses the move
 		at.Write(append(change(6), change(7)...))
-		expect(t, updates, Update{No: 6})
-		expect(t, updates, Update{No: 7})
+		expect(t, updates, Update{Number: 6})
+		expect(t, updates, Update{Number: 7})
 		at.Close()
-		watcher.Move("nobody there")
-		watcher.Move("third")
+		watcher.SetAddress("nobody there")
+		watcher.SetAddress("third")
 		network.accept(t, "third", 7)
 		watcher.mu.Lock()
 		conn := watcher.conn
 		watcher.mu.Unlock()
-		if watcher.Move("third"); conn.SetDeadline(time.Time{}) != nil {
-			t.Error("the connection to where it is already was closed")
+		watcher.SetAddress("third")
+		if conn.SetDeadline(time.Time{}) != nil {
+			t.Error("the connection to the same address was closed")
 		}
 	})
 }
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,68 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/settings"
+)
+
+// errAddressChanged ends a connection to an address at which the list is not watched any more.
+var errAddressChanged = errors.New("discovery has another address now")
+
+// Watcher follows the endpoint list.
+type Watcher struct {
+	names  *settings.Names
+	limits *limits.Limits
+	report func(Update) // may block
+	log    *slog.Logger
+	// dialContext is a net.Dialer's, but in tests.
+	dialContext func(ctx context.Context, network, address string) (net.Conn, error)
+
+	// Owned by the goroutine of Follow:
+	lastNumber uint64    // of the last update that is known
+	expired    bool      // the list has expired, and nothing was received since
+	lastLogged time.Time // when the end of a connection was last logged
+
+	mu             sync.Mutex // guards all below
+	address        string
+	conn           net.Conn  // nil: there is none
+	addressChanged bool      // since conn was dialled
+	expiresAt      time.Time // when the list expires, unless something is received
+}
+
+// NewWatcher returns a watcher that knows all updates up to lastNumber.
+func NewWatcher(address string, lastNumber uint64, names *settings.Names, l *limits.Limits,
+	report func(Update), log *slog.Logger) *Watcher {
+	return &Watcher{
+		names:       names,
+		limits:      l,
+		report:      report,
+		log:         log,
+		dialContext: new(net.Dialer).DialContext,
+		lastNumber:  lastNumber,
+		address:     address,
+		expiresAt:   time.Now().Add(l.FeedTold),
+	}
+}
+
+// SetAddress has the list watched at another address, from the last update. The connection to the old one
+// ends at once, as nothing more is said there.
+func (w *Watcher) SetAddress(address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if address == w.address {
+		return
+	}
+	w.address = address
+	w.addressChanged = true
+	w.expireWithin(w.limits.FeedTold)
+	if w.conn != nil {
+		w.conn.Close()
+	}
+}
--- a/internal/lab/scale/datapath/datapath_test.go
+++ b/internal/lab/scale/datapath/datapath_test.go
@@ -64,10 +64,10 @@
 	}
 	b := frame(7, frameChange, 2, 5, router.Draining)
 	news, fresh, err := discovery.ReadFrame(bufio.NewReader(bytes.NewReader(b)), len(b), &facts.Names)
-	if err != nil || !fresh || news.No != 7 || news.Whole || len(news.Entries) != 3 {
+	if err != nil || !fresh || news.Number != 7 || news.Complete || len(news.Endpoints) != 3 {
 		t.Fatalf("%+v, %v, %v", news, fresh, err)
 	}
-	if e := news.Entries[0]; e.Engine != "s-00000003" || e.State != router.Draining || e.Zone != "east" {
+	if e := news.Endpoints[0]; e.Engine != "s-00000003" || e.State != router.Draining || e.Zone != "east" {
 		t.Errorf("%+v", e)
 	}
 	if n := len(frame(1, frameWhole, 0, engineCount, router.Ready)); n != headBytes+recordBytes*engineCount {
