--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -39,7 +39,7 @@
 // statistics takes a part out of the module.
 func (l *Loop) statistics(from router.Cursor, maxRecords int) memory.Part {
 	var part memory.Part
-	part.Learned, part.Next, part.More = l.module.Statistics(from, maxRecords)
+	part.Statistics, part.Next, part.More = l.module.Statistics(from, maxRecords)
 	return part
 }
 
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -60,7 +60,7 @@
 
 // Learner is what the digest needs of its controller.
 type Learner struct {
-	Source   memory.Source
+	Source   memory.StatisticsSource
 	Settings uint64                  // only those with the same speak of the same profiles
 	Remember func(router.Statistics) // takes over what others knew; nil: nothing is missing
 	Log      *slog.Logger
@@ -72,7 +72,7 @@
 	rng     *rand.Rand
 	began   float64
 
-	gathered  digest.Gathered
+	gathered  digest.Collector
 	owns      bool
 	gatherAt  float64
 	publishAt float64
@@ -104,7 +104,7 @@
 func (d *digester) Began(h Context, c lease.Grant) {
 	if c.Name == Digest {
 		d.owns, d.gatherAt, d.publishAt = true, h.Now(), h.Now()+gatherEach/2
-		d.gathered = digest.Gathered{}
+		d.gathered = digest.Collector{}
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-func (d *digester) VerdictReceived(node.Verdict) {}
+func (d *digester) VerdictReceived(node.EffectResponse) {}
 
 func (d *digester) StateReceived(Context, node.Checkpoint) {}
 
@@ -195,7 +195,7 @@
 		var err error
 		for err == nil && part.More && all.Len() < mostRecords {
 			if part, err = d.learner.Source.Statistics(ctx, part.Next, partRecords); err == nil {
-				all.Add(part.Learned)
+				all.Add(part.Statistics)
 			}
 		}
 		data := pack(&all)
@@ -211,7 +211,7 @@
 func pack(l *router.Statistics) []byte {
 	slices.SortStableFunc(l.Tables, func(a, b router.TableStatistics) int { return cmp.Compare(b.Demand, a.Demand) })
 	for {
-		data, err := memory.Pack(l)
+		data, err := memory.EncodeStatistics(l)
 		if err != nil {
 			return nil
 		}
@@ -278,13 +278,13 @@
 
 // took takes in what one controller has learned.
 func (d *digester) took(from members.ID, t *statisticsSnapshot) {
-	l, err := memory.Unpack(t.Data)
+	l, err := memory.DecodeStatistics(t.Data)
 	if err != nil || t.Settings != d.learner.Settings {
 		return
 	}
 	now := d.now()
-	digest.Shift(&l, now-t.Now)
-	d.gathered.Put(digest.Source{From: from, At: now, Learned: l})
+	digest.ShiftTimes(&l, now-t.Now)
+	d.gathered.Add(digest.Report{From: from, At: now, Statistics: l})
 }
 
 // begin takes over what the fleet knows, once.
@@ -292,13 +292,13 @@
 	if !d.wanting || t.Settings != d.learner.Settings {
 		return
 	}
-	l, err := memory.Unpack(t.Data)
+	l, err := memory.DecodeStatistics(t.Data)
 	if err != nil {
 		d.learner.Log.Warn("fleet: a digest can't be used", "why", err)
 		return
 	}
 	d.wanting = false
-	digest.Shift(&l, d.now()-t.Now)
+	digest.ShiftTimes(&l, d.now()-t.Now)
 	d.learner.Log.Info("fleet: begins with what the fleet knows", "records", l.Len(), "token", t.Token)
 	d.learner.Remember(l)
 }
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -17,7 +17,7 @@
 func (w *World) isBlocked(a, b int) bool { return w.now < w.blocked[[2]int{a, b}] }
 
 // send carries a message over: it may be lost, take long or come twice, and comes from the run that sent it.
-func (w *World) send(from *machine, s node.Send) {
+func (w *World) send(from *machine, s node.Envelope) {
 	to := w.number(s.To)
 	if to < 0 {
 		return
@@ -60,11 +60,8 @@
 
 func (w *World) countMessage(from, to int, m *node.Message, bytes int) {
 	w.countSent(from, to, m, bytes)
-	w.Messages++
-	w.Bytes += bytes + frameBytes
 	if m.Members != nil {
 		w.TalkBytes += bytes + frameBytes
-		w.Talk++
 	}
 }
 
@@ -93,8 +90,8 @@
 			return
 		}
 	}
-	if m.Granted != nil && m.Granted.To.Run == target.run {
-		w.Promises.Came(target.run, m.Granted, w.now)
+	if m.RenewResponse != nil && m.RenewResponse.To.Run == target.run {
+		w.Promises.Came(target.run, m.RenewResponse, w.now)
 	}
 	target.core.Receive(w.local(target), from, &m)
 }
