--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -50,7 +50,7 @@
 	for s.lastID == 0 || s.sessions[s.lastID] != nil {
 		s.lastID++
 	}
-	ses.key = pgwire.Key{Session: s.lastID, Secret: binary.BigEndian.Uint32(secret[:])}
+	ses.key = pgwire.CancelKey{SessionID: s.lastID, Secret: binary.BigEndian.Uint32(secret[:])}
 	s.sessions[s.lastID] = ses
 	s.markIdle(ses, idleNoQuery)
 	return result
@@ -169,7 +169,7 @@
 func (s *Server) remove(ses *session) {
 	ses.closing.Store(true)
 	s.unmarkIdle(ses)
-	delete(s.sessions, ses.key.Session)
+	delete(s.sessions, ses.key.SessionID)
 	if !s.draining || len(s.sessions) > 0 {
 		return
 	}
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -102,7 +102,7 @@
 func (ses *session) writeAnswer(answer request.Answer) error {
 	switch answer.Verdict {
 	case request.Rejected:
-		return ses.write(pgwire.AppendReady(pgwire.AppendShed(nil, answer.RetryAfter)))
+		return ses.write(pgwire.AppendReady(pgwire.AppendRejected(nil, answer.RetryAfter)))
 	case request.Failed:
 		return ses.writeError(pgwire.CodeFailed, "the command failed")
 	case request.Disconnected:
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -23,14 +23,14 @@
 
 // handleQuery answers a query message, by running the query if it can be used.
 func (ses *session) handleQuery(body []byte, size int, readAt time.Time) error {
-	text, whole := pgwire.Text(body)
+	text, whole := pgwire.QueryText(body)
 	if !whole {
 		return pgwire.ErrMalformed
 	}
 	ses.server.counts.queries.Add(1)
 	if isBlank(text) {
 		ses.reader.Discard(size)
-		return ses.write(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
+		return ses.write(pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 	}
 	query, failed := ses.parseQuery(text, readAt)
 	ses.reader.Discard(size) // only now, as text is in the buffer
@@ -61,38 +61,38 @@
 		return nil, fieldError(err)
 	}
 	names := ses.server.names
-	class, known := names.Profiles[f.Verb]
+	class, known := names.Profiles[f.ClassName]
 	if !known {
-		return nil, &queryError{pgwire.CodeField, fmt.Sprintf("field verb: %.60q is no profile", f.Verb)}
+		return nil, &queryError{pgwire.CodeField, fmt.Sprintf("field verb: %.60q is no profile", f.ClassName)}
 	}
-	tenant, known := names.Tenants[f.Team]
+	tenant, known := names.Tenants[f.Tenant]
 	if !known {
-		if f.Team != "" && len(names.Tenants) > 0 {
-			return nil, &queryError{pgwire.CodeField, fmt.Sprintf("field team: %.60q is no tenant", f.Team)}
+		if f.Tenant != "" && len(names.Tenants) > 0 {
+			return nil, &queryError{pgwire.CodeField, fmt.Sprintf("field team: %.60q is no tenant", f.Tenant)}
 		}
 		tenant = noTenant
 	}
 	settings := ses.server.classes[class]
-	if settings.Effect == router.Deduplicated && f.Unique == "" {
+	if settings.Effect == router.Deduplicated && f.IdempotencyKey == "" {
 		return nil, &queryError{pgwire.CodeMissing, "field unique: is missing"}
 	}
-	table, found := pgwire.TableOf(f.Statement)
+	table, found := pgwire.FindTable(f.Statement)
 	if !found {
 		return nil, &queryError{pgwire.CodeField, "the statement names no group of tables"}
 	}
 	query := &request.Query{
 		ID:                f.ID,
 		Class:             class,
-		ClassName:         f.Verb,
+		ClassName:         f.ClassName,
 		Tenant:            tenant,
-		IdempotencyKey:    f.Unique,
-		OrderingKey:       router.OrderingKey(f.Item),
-		EstimatedWork:     f.CPU,
-		EstimatedMemoryMB: f.EstMB,
+		IdempotencyKey:    f.IdempotencyKey,
+		OrderingKey:       router.OrderingKey(f.OrderingKey),
+		EstimatedWork:     f.EstimatedWorkMS,
+		EstimatedMemoryMB: f.EstimatedMemoryMB,
 		Tables:            router.TableGroup(table.Group),
 		FirstOnConnection: !ses.hadQuery,
 		ReadAt:            readAt,
-		TimeLeft:          ses.answerWithin(f.LimitMS),
+		TimeLeft:          ses.answerWithin(f.TimeoutMS),
 		ClientTimeout:     milliseconds(settings.ClientTimeout),
 	}
 	if ses.server.rulesPossible {
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -93,20 +93,20 @@
 	application, listener string) rules.Command {
 	input := rules.Command{
 		Profile:     class,
-		Tenant:      f.Team,
+		Tenant:      f.Tenant,
 		Schema:      table.Schema,
 		Table:       table.Name,
 		Tables:      router.TableGroup(table.Group),
-		Key:         router.OrderingKey(f.Item),
-		Estimate:    f.CPU,
-		NeedMB:      f.EstMB,
-		Left:        f.LimitMS,
+		Key:         router.OrderingKey(f.OrderingKey),
+		Estimate:    f.EstimatedWorkMS,
+		NeedMB:      f.EstimatedMemoryMB,
+		Left:        f.TimeoutMS,
 		Front:       "postgres",
 		Application: application,
 		Listener:    listener,
 	}
 	for _, l := range f.Labels {
-		input.Labels = append(input.Labels, match.Label{Name: l.Name, Text: l.Text})
+		input.Labels = append(input.Labels, match.Label{Name: l.Name, Text: l.Value})
 	}
 	return input
 }
@@ -118,11 +118,12 @@
 	if err != nil {
 		return rules.Command{}, err
 	}
-	class, known := names.Profiles[f.Verb]
+	class, known := names.Profiles[f.ClassName]
 	if !known {
-		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: fmt.Sprintf("%.60q is no profile", f.Verb)}
+		why := fmt.Sprintf("%.60q is no profile", f.ClassName)
+		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: why}
 	}
-	table, found := pgwire.TableOf(f.Statement)
+	table, found := pgwire.FindTable(f.Statement)
 	if !found {
 		return rules.Command{}, &pgwire.FieldError{Field: "statement", Why: "names no group of tables"}
 	}
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -115,10 +115,10 @@
 
 // cancel gives up the query that the session of a key has open, or is about to have: a cancel request can
 // overtake its query, as they come on two connections.
-func (s *Server) cancel(key pgwire.Key) {
+func (s *Server) cancel(key pgwire.CancelKey) {
 	s.counts.cancels.Add(1)
 	s.mu.Lock()
-	ses := s.sessions[key.Session]
+	ses := s.sessions[key.SessionID]
 	s.mu.Unlock()
 	if ses != nil && ses.key == key {
 		ses.abandonQuery(true)
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -22,10 +22,10 @@
 type session struct {
 	server      *Server
 	conn        net.Conn
-	smallReader *bufio.Reader // of the size that most messages need
-	reader      *bufio.Reader // smallReader, or a larger one for a while
-	key         pgwire.Key    // set by admit
-	application string        // the client's name for itself
+	smallReader *bufio.Reader    // of the size that most messages need
+	reader      *bufio.Reader    // smallReader, or a larger one for a while
+	key         pgwire.CancelKey // set by admit
+	application string           // the client's name for itself
 	connectedAt time.Time
 	pipelinedAt time.Time // when the next message came, if that was while a query was open; else zero
 	hadQuery    bool      // it has sent a query that could be used
@@ -56,7 +56,7 @@
 // run serves the session until it ends.
 func (ses *session) run() {
 	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.FirstTime))
-	if !ses.readStartUp() || ses.write(pgwire.AppendWelcome(nil, ses.key)) != nil {
+	if !ses.readStartUp() || ses.write(pgwire.AppendSessionStart(nil, ses.key)) != nil {
 		return
 	}
 	for {
@@ -103,14 +103,14 @@
 			return false
 		}
 		switch start.Kind {
-		case pgwire.Start:
+		case pgwire.StartSession:
 			ses.application = start.Application
 			return true
-		case pgwire.Cancel:
-			ses.server.cancel(start.Key)
+		case pgwire.StartCancel:
+			ses.server.cancel(start.CancelKey)
 			return false
 		}
-		if ses.write(pgwire.NoEncryption) != nil {
+		if ses.write(pgwire.EncryptionRefused) != nil {
 			return false
 		}
 	}
@@ -170,10 +170,10 @@
 		return 0, nil, 0, err
 	}
 	ses.setReadTimeout(l.MessageTime)
-	kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
+	kind, body, size, err = pgwire.PeekMessage(ses.reader, l.MessageBytes)
 	if errors.Is(err, pgwire.ErrBuffer) {
 		ses.enlargeBuffer(size)
-		kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
+		kind, body, size, err = pgwire.PeekMessage(ses.reader, l.MessageBytes)
 	}
 	return kind, body, size, err
 }
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -35,7 +35,7 @@
 	c.attempts[query.ID] = a
 	c.attemptCount.Store(int32(len(c.attempts)))
 	timeout := max(minAttemptMS, time.Until(a.deadline).Milliseconds())
-	head := enginewire.AppendDo(nil, query.ID, query.ClassName, timeout, query.IdempotencyKey,
+	head := enginewire.AppendStart(nil, query.ID, query.ClassName, timeout, query.IdempotencyKey,
 		len(query.Statement))
 	c.enqueue(outgoing{parts: net.Buffers{head, query.Statement, lineEnd}, attempt: a})
 	return true
@@ -76,9 +76,9 @@
 	}
 	a.giveUpOutcome = outcome
 	a.giveUpBy = time.Now().Add(c.pool.limits.GiveUpTime)
-	b := enginewire.AppendUndo(nil, a.query.ID)
+	b := enginewire.AppendGiveUp(nil, a.query.ID)
 	if a.pages != nil {
-		b = enginewire.AppendForget(b, a.query.ID)
+		b = enginewire.AppendDropPages(b, a.query.ID)
 	}
 	c.ping(b, giveUpTag+a.query.ID)
 }
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -56,7 +56,7 @@
 			}
 			// Answers that came ahead of the end still count: they are read, and then the end is.
 		}
-		answer, size, err := enginewire.Peek(r, l.LineBytes, l.PageBytes)
+		answer, size, err := enginewire.PeekAnswer(r, l.LineBytes, l.PageBytes)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			if r.Buffered() > 0 && partialSince.IsZero() {
 				partialSince = time.Now()
@@ -88,7 +88,7 @@
 	defer c.mu.Unlock()
 	c.heardAt = time.Now()
 	c.pingedAt = time.Time{}
-	if answer.Word == enginewire.Ready {
+	if answer.Kind == enginewire.Pong {
 		return c.handlePong(string(answer.ID), load), nil
 	}
 	a := c.attempts[string(answer.ID)]
@@ -98,14 +98,14 @@
 	if load != nil {
 		a.load = load
 	}
-	switch answer.Word {
-	case enginewire.Full:
+	switch answer.Kind {
+	case enginewire.EngineFull:
 		return c.handleNeverRan(a, router.EngineFull)
-	case enginewire.Stale:
+	case enginewire.AlreadyEnded:
 		return c.handleNeverRan(a, router.NotSent)
-	case enginewire.Error:
+	case enginewire.Failed:
 		return []Event{c.finish(a, router.Errored)}, nil
-	case enginewire.Note:
+	case enginewire.Progress:
 		return c.handleProgress(a, answer), nil
 	}
 	return c.handlePage(a, answer)
@@ -113,11 +113,12 @@
 
 // loadReport is the load report of an answer; nil if there is none.
 func loadReport(answer enginewire.Answer) (*router.LoadReport, error) {
-	if answer.Report == nil {
+	if answer.LoadReport == nil {
 		return nil, nil
 	}
 	load := settings.NoLoad()
-	err := enginewire.Report(answer.Report, func(name string, x float64) { settings.SetLoad(load, name, x) })
+	set := func(name string, x float64) { settings.SetLoad(load, name, x) }
+	err := enginewire.ParseLoadReport(answer.LoadReport, set)
 	return load, err
 }
 
--- a/internal/engines/result.go
+++ b/internal/engines/result.go
@@ -10,19 +10,19 @@
 // handlePage takes in a page of a result. The first one tells how many there are, and the others are asked
 // for together. The attempt succeeds when all are in, in whatever order they come. mu is held.
 func (c *conn) handlePage(a *attempt, answer enginewire.Answer) ([]Event, error) {
-	number := answer.PartNo
-	if answer.Word == enginewire.OK {
+	number := answer.PageNumber
+	if answer.Kind == enginewire.FirstPage {
 		number = 0
 	}
 	if number < len(a.pages) && a.pages[number] != nil && bytes.Equal(a.pages[number], answer.Body) {
 		// The same page again says nothing, and is no reason to end what else the connection carries.
 		return nil, nil
 	}
-	if answer.Word == enginewire.OK {
-		if a.pages != nil || answer.Parts > c.pool.limits.Pages {
+	if answer.Kind == enginewire.FirstPage {
+		if a.pages != nil || answer.PageCount > c.pool.limits.Pages {
 			return nil, enginewire.ErrMalformed
 		}
-		a.pages = make([][]byte, max(1, answer.Parts))
+		a.pages = make([][]byte, max(1, answer.PageCount))
 		a.missingPages = len(a.pages)
 		if a.givenUp && a.missingPages > 1 {
 			// After an undo the engine no longer has further pages, so only a whole result counts.
@@ -37,7 +37,7 @@
 func (c *conn) requestPages(a *attempt) {
 	var b []byte
 	for number := 1; number < len(a.pages); number++ {
-		b = enginewire.AppendPage(b, a.query.ID, number)
+		b = enginewire.AppendPageRequest(b, a.query.ID, number)
 	}
 	if b != nil {
 		c.enqueueLine(b)
@@ -46,7 +46,7 @@
 
 // storePage keeps a copy of a page, and ends the attempt with the last one. mu is held.
 func (c *conn) storePage(a *attempt, number int, body []byte) ([]Event, error) {
-	if number >= len(a.pages) || a.pages[number] != nil || !enginewire.Whole(body) ||
+	if number >= len(a.pages) || a.pages[number] != nil || !enginewire.WholeRows(body) ||
 		a.resultBytes+len(body) > c.pool.limits.ResultBytes {
 		return nil, enginewire.ErrMalformed
 	}
@@ -57,7 +57,7 @@
 		return nil, nil
 	}
 	if len(a.pages) > 1 {
-		c.enqueueLine(enginewire.AppendForget(nil, a.query.ID))
+		c.enqueueLine(enginewire.AppendDropPages(nil, a.query.ID))
 	}
 	return []Event{c.finish(a, router.Succeeded)}, nil
 }
--- a/internal/enginewire/encoding_test.go
+++ b/internal/enginewire/encoding_test.go
@@ -1,7 +1,7 @@
 package enginewire
 
-// Engines are not built with this project: a change of the wire shows only beside a real one. These tests pin what is
-// written to engines and read from them.
+// Engines are not built with this project: a change of the wire shows only beside a real one. These tests pin
+// what is written to engines and read from them.
 
 import (
 	"bufio"
@@ -15,13 +15,13 @@
 
 func TestRequestEncodingIsStable(t *testing.T) {
 	var b []byte
-	b = AppendDo(b, "9b1f03aa5c7e2d41", "lookup", 1500, "", 8)
+	b = AppendStart(b, "9b1f03aa5c7e2d41", "lookup", 1500, "", 8)
 	b = append(b, "SELECT 1\r\n"...)
-	b = AppendDo(b, "9b1f03aa5c7e2d42", "insert", 2500, "guard-7", 0)
-	b = AppendUndo(b, "9b1f03aa5c7e2d41")
-	b = AppendForget(b, "9b1f03aa5c7e2d41")
+	b = AppendStart(b, "9b1f03aa5c7e2d42", "insert", 2500, "guard-7", 0)
+	b = AppendGiveUp(b, "9b1f03aa5c7e2d41")
+	b = AppendDropPages(b, "9b1f03aa5c7e2d41")
 	b = AppendPing(b, "tag-3")
-	b = AppendPage(b, "9b1f03aa5c7e2d41", 4)
+	b = AppendPageRequest(b, "9b1f03aa5c7e2d41", 4)
 	golden.File(t, "requests.golden", b)
 }
 
@@ -33,17 +33,18 @@
 		"a5 READY report=x0:0.5;x1:0.25 0\r\n\r\n" +
 		"a6 EVENT remark=progress,value=0.5 0\r\n\r\n" +
 		"a7 BLOCK part_no=1 6\r\nd\te\tf\n\r\n"
-	words := map[Word]string{OK: "ok", Full: "full", Error: "error", Stale: "stale", Ready: "ready", Note: "note", Page: "page"}
+	words := map[Kind]string{FirstPage: "ok", EngineFull: "full", Failed: "error", AlreadyEnded: "stale", Pong: "ready",
+		Progress: "note", FurtherPage: "page"}
 	r := bufio.NewReader(strings.NewReader(answers))
 	var printed bytes.Buffer
 	for range len(words) {
-		a, size, err := Peek(r, 128, 128)
+		a, size, err := PeekAnswer(r, 128, 128)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&printed, "%s %s, pages %d, page %d, remark %q, value %v, report %q, body %q\n", a.ID, words[a.Word], a.Parts,
-			a.PartNo, a.Remark, a.Value, a.Report, a.Body)
-		if err := Report(a.Report, func(name string, x float64) { fmt.Fprintf(&printed, "  %s: %v\n", name, x) }); err != nil {
+		fmt.Fprintf(&printed, "%s %s, pages %d, page %d, remark %q, value %v, report %q, body %q\n", a.ID, words[a.Kind], a.PageCount,
+			a.PageNumber, a.Remark, a.Value, a.LoadReport, a.Body)
+		if err := ParseLoadReport(a.LoadReport, func(name string, x float64) { fmt.Fprintf(&printed, "  %s: %v\n", name, x) }); err != nil {
 			t.Error(err)
 		}
 		r.Discard(size)
--- a/internal/enginewire/enginewire_test.go
+++ b/internal/enginewire/enginewire_test.go
@@ -9,8 +9,8 @@
 	"testing/iotest"
 )
 
-// Whatever an engine says, in whatever pieces, it is an answer within its bounds or an error; and the pieces make no
-// difference.
+// Whatever an engine says, in whatever pieces, it is an answer within its bounds or an error; and the pieces
+// make no difference.
 func FuzzPeek(f *testing.F) {
 	f.Add([]byte("9b1f03aa5c7e2d41 ACK parts=2,report=inflight:7;util:0.61 6\r\na\tb\tc\n\r\n"))
 	f.Add([]byte("c EVENT remark=progress,value=0.5 0\r\n\r\n"))
@@ -21,8 +21,8 @@
 		whole := bufio.NewReaderSize(bytes.NewReader(in), line+body+2)
 		pieces := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(in)), line+body+2)
 		for {
-			a, size, err := Peek(whole, line, body)
-			b, size2, err2 := Peek(pieces, line, body)
+			a, size, err := PeekAnswer(whole, line, body)
+			b, size2, err2 := PeekAnswer(pieces, line, body)
 			if (err == nil) != (err2 == nil) || err == nil && (size != size2 || !bytes.Equal(a.Body, b.Body)) {
 				t.Fatalf("%+v, %v in one, %+v, %v in pieces", a, err, b, err2)
 			}
@@ -35,8 +35,8 @@
 			if len(a.Body) > body || len(a.ID) == 0 || size > whole.Buffered() {
 				t.Fatalf("%+v of %d bytes", a, size)
 			}
-			Report(a.Report, func(string, float64) {})
-			Whole(a.Body)
+			ParseLoadReport(a.LoadReport, func(string, float64) {})
+			WholeRows(a.Body)
 			whole.Discard(size)
 			pieces.Discard(size)
 		}
--- /dev/null
+++ b/internal/pgwire/codes.go
@@ -0,0 +1,29 @@
+package pgwire
+
+import "errors"
+
+// Errors of messages, checked with errors.Is.
+var (
+	// ErrTooLong is of a message longer than is accepted.
+	ErrTooLong = errors.New("message too long")
+	// ErrBuffer is of a message longer than the reader's buffer, but not too long.
+	ErrBuffer = errors.New("message longer than the buffer")
+	// ErrMalformed is of bytes that are no message of the protocol.
+	ErrMalformed = errors.New("malformed message")
+)
+
+// Codes of errors (SQLSTATE), with the conditions that PostgreSQL has under them. Clients tell by the code
+// what they may do.
+const (
+	CodeNoResources = "53000" // insufficient_resources: the query was rejected, and may be retried
+	CodeTooMany     = "53300" // too_many_connections
+	CodeProtocol    = "08P01" // protocol_violation
+	CodeUnsupported = "0A000" // feature_not_supported
+	CodeField       = "22023" // invalid_parameter_value: a field of the query can't be used
+	CodeMissing     = "22004" // null_value_not_allowed: a field of the query is missing
+	CodeTooLong     = "54000" // program_limit_exceeded
+	CodeCancelled   = "57014" // query_canceled
+	CodeFailed      = "58000" // system_error: the query failed, and may have had its effect
+	CodeDuplicate   = "42710" // duplicate_object
+	CodeRule        = "42501" // insufficient_privilege: an operator's rule refuses the query
+)
--- a/internal/pgwire/encoding_test.go
+++ b/internal/pgwire/encoding_test.go
@@ -1,7 +1,7 @@
 package pgwire
 
-// Clients are not built with this project: a change of the wire shows only beside a real one. These tests pin what is
-// written to clients and read from them.
+// Clients are not built with this project: a change of the wire shows only beside a real one. These tests pin
+// what is written to clients and read from them.
 
 import (
 	"bufio"
@@ -23,14 +23,14 @@
 		name    string
 		encoded []byte
 	}{
-		{"no-encryption", NoEncryption},
-		{"welcome", AppendWelcome(nil, Key{Session: 0x01020304, Secret: 0x05060708})},
+		{"no-encryption", EncryptionRefused},
+		{"welcome", AppendSessionStart(nil, CancelKey{SessionID: 0x01020304, Secret: 0x05060708})},
 		{"ready", AppendReady(nil)},
-		{"empty", AppendEmpty(nil)},
+		{"empty", AppendEmptyQuery(nil)},
 		{"error", AppendError(nil, false, CodeField, "field limit: is missing")},
 		{"fatal", AppendError(nil, true, CodeProtocol, "malformed message")},
-		{"shed", AppendShed(nil, 0)},
-		{"shed-later", AppendShed(nil, 250*time.Millisecond)},
+		{"shed", AppendRejected(nil, 0)},
+		{"shed-later", AppendRejected(nil, 250*time.Millisecond)},
 		{"row-description", AppendRowDescription(nil)},
 		{"rows", rows},
 		{"complete", AppendComplete(nil, 2)},
@@ -53,10 +53,10 @@
 	in.WriteString("\x00\x00\x00\x1f\x00\x03\x00\x00application_name\x00psql\x00\x00") // starts
 	r := bufio.NewReader(&in)
 	for _, want := range []StartUp{
-		{Kind: Encrypt},
-		{Kind: Encrypt},
-		{Kind: Cancel, Key: Key{Session: 0x01020304, Secret: 0x05060708}},
-		{Kind: Start, Application: "psql"},
+		{Kind: StartEncryption},
+		{Kind: StartEncryption},
+		{Kind: StartCancel, CancelKey: CancelKey{SessionID: 0x01020304, Secret: 0x05060708}},
+		{Kind: StartSession, Application: "psql"},
 	} {
 		if got, err := ReadStartUp(r); got != want || err != nil {
 			t.Errorf("%+v, %v, not %+v", got, err, want)
@@ -73,9 +73,9 @@
 	}
 	golden.AllSet(t, f)
 	printed := fmt.Sprintf("verb %q\nid %q\nteam %q\nunique %q\nitem %q\nlimit ms %v\ncpu %v\nestimated MB %v\nstatement %q\n",
-		f.Verb, f.ID, f.Team, f.Unique, f.Item, f.LimitMS, f.CPU, f.EstMB, f.Statement)
+		f.ClassName, f.ID, f.Tenant, f.IdempotencyKey, f.OrderingKey, f.TimeoutMS, f.EstimatedWorkMS, f.EstimatedMemoryMB, f.Statement)
 	for _, label := range f.Labels {
-		printed += fmt.Sprintf("label %q: %q\n", label.Name, label.Text)
+		printed += fmt.Sprintf("label %q: %q\n", label.Name, label.Value)
 	}
 	golden.File(t, "query.golden", []byte(printed))
 }
--- /dev/null
+++ b/internal/pgwire/fields.go
@@ -0,0 +1,160 @@
+package pgwire
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// Names of the fields on the wire, as clients write them into the comment ahead of a statement.
+const (
+	fieldClassName         = "verb"
+	fieldID                = "txn"
+	fieldTenant            = "team"
+	fieldIdempotencyKey    = "unique"
+	fieldOrderingKey       = "item"
+	fieldTimeout           = "limit"  // ms
+	fieldEstimatedWork     = "cpu"    // ms
+	fieldEstimatedMemoryMB = "est_mb" // MB
+	// Errors name these as fields too.
+	fieldComment   = "comment"
+	fieldStatement = "statement"
+)
+
+const (
+	// maxMilliseconds and maxMegabytes are past what any query means: eleven days, ten terabytes.
+	maxMilliseconds = 1e9
+	maxMegabytes    = 1e7
+	// maxLabels of a query are kept, with names and values of up to maxLabelBytes.
+	maxLabels     = 16
+	maxLabelBytes = 128
+	// maxWordBytes is the length of a value that goes on to engines.
+	maxWordBytes = 128
+	// idDigits is the length of a query's id, in hexadecimal digits.
+	idDigits = 16
+)
+
+// blanks may stand around the comment and the statement.
+const blanks = " \t\r\n"
+
+// FieldError is of a field of a query that can't be used, by the name that it has on the wire.
+type FieldError struct {
+	Field   string
+	Why     string
+	Missing bool // it is not there
+}
+
+// Error names the field and what is wrong with it.
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Why) }
+
+func invalid(field, why string) *FieldError { return &FieldError{Field: field, Why: why} }
+func missing(field, why string) *FieldError {
+	return &FieldError{Field: field, Why: why, Missing: true}
+}
+
+// Fields are what stands in the comment ahead of a statement. Numbers that are absent are 0, texts empty.
+type Fields struct {
+	ClassName         string
+	ID                string
+	Tenant            string
+	IdempotencyKey    string
+	OrderingKey       string
+	TimeoutMS         float64 // the client's
+	EstimatedWorkMS   float64 // on one thread
+	EstimatedMemoryMB float64
+	Statement         []byte  // what follows the comment, in the query's bytes
+	Labels            []Label // in their order
+}
+
+// Label is a field with a name that the protocol does not know. Operators' rules may read it.
+type Label struct{ Name, Value string }
+
+// ParseQuery takes a query's fields from the comment that it begins with. Its error is a *FieldError.
+func ParseQuery(query []byte) (Fields, error) {
+	rest := bytes.TrimLeft(query, blanks)
+	if !bytes.HasPrefix(rest, []byte("/*")) {
+		return Fields{}, missing(fieldComment, "the query does not begin with its fields")
+	}
+	comment, statement, closed := bytes.Cut(rest[2:], []byte("*/"))
+	if !closed {
+		return Fields{}, invalid(fieldComment, "has no end")
+	}
+	f := Fields{Statement: bytes.TrimLeft(statement, blanks)}
+	if len(bytes.TrimRight(f.Statement, blanks+";")) == 0 {
+		return f, missing(fieldStatement, "is empty")
+	}
+	seen := map[string]bool{}
+	for pair := range strings.SplitSeq(strings.TrimSpace(string(comment)), ",") {
+		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
+		if !found || seen[name] {
+			return f, invalid(fieldComment, fmt.Sprintf("%q is no field of its own", pair))
+		}
+		seen[name] = true
+		if err := f.set(name, value); err != nil {
+			return f, err
+		}
+	}
+	switch {
+	case f.ClassName == "":
+		return f, missing(fieldClassName, "is missing")
+	case f.ID == "":
+		return f, missing(fieldID, "is missing")
+	case !seen[fieldTimeout]:
+		return f, missing(fieldTimeout, "is missing")
+	}
+	return f, nil
+}
+
+// set reads one field. A name that is not known makes a label, so that a client may be newer than its
+// gateway.
+func (f *Fields) set(name, value string) (err error) {
+	switch name {
+	case fieldClassName:
+		f.ClassName = value
+		err = checkWord(name, value, true)
+	case fieldID:
+		f.ID = value
+		if len(value) != idDigits || strings.Trim(value, "0123456789abcdefABCDEF") != "" {
+			err = invalid(name, "is not of 16 hex digits")
+		}
+	case fieldTenant:
+		f.Tenant = value
+	case fieldIdempotencyKey:
+		f.IdempotencyKey = value
+		err = checkWord(name, value, false)
+	case fieldOrderingKey:
+		f.OrderingKey = value
+		err = checkWord(name, value, true)
+	case fieldTimeout:
+		f.TimeoutMS, err = parseNumber(name, value, maxMilliseconds)
+	case fieldEstimatedWork:
+		f.EstimatedWorkMS, err = parseNumber(name, value, maxMilliseconds)
+	case fieldEstimatedMemoryMB:
+		f.EstimatedMemoryMB, err = parseNumber(name, value, maxMegabytes)
+	default:
+		if len(f.Labels) < maxLabels && len(name) <= maxLabelBytes && len(value) <= maxLabelBytes {
+			f.Labels = append(f.Labels, Label{Name: name, Value: value})
+		}
+	}
+	return err
+}
+
+// checkWord checks that a value can go on in an engine's list of fields.
+func checkWord(name, value string, mayBeEmpty bool) error {
+	isSeparator := func(c rune) bool { return c <= ' ' || c >= 0x7f || c == ',' || c == '=' }
+	if len(value) > maxWordBytes || strings.IndexFunc(value, isSeparator) >= 0 || value == "" && !mayBeEmpty {
+		return invalid(name, "is no word")
+	}
+	return nil
+}
+
+// parseNumber reads a number from 0 to a bound.
+func parseNumber(name, value string, most float64) (float64, error) {
+	x, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(x) || x < 0 || x > most {
+		return 0, invalid(name, fmt.Sprintf("%.40q is no number from 0 to %g", value, most))
+	}
+	return x, nil
+}
--- /dev/null
+++ b/internal/pgwire/message.go
@@ -0,0 +1,58 @@
+package pgwire
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/binary"
+)
+
+// Types of the messages that clients send.
+const (
+	MessageQuery        = 'Q'
+	MessageTerminate    = 'X'
+	MessageSync         = 'S'
+	MessageParse        = 'P'
+	MessageBind         = 'B'
+	MessageExecute      = 'E'
+	MessageDescribe     = 'D'
+	MessageClose        = 'C'
+	MessageFlush        = 'H'
+	MessageFunctionCall = 'F'
+	MessageCopyData     = 'd'
+	MessageCopyDone     = 'c'
+	MessageCopyFail     = 'f'
+)
+
+// headBytes is the size of a message's type and length. The length counts itself, but not the type.
+const headBytes = 5
+
+// PeekMessage returns the type and body of the next message, of maxBytes at most, without taking it; size is
+// what to discard, also with ErrBuffer. The body is good until the reader is used again.
+func PeekMessage(r *bufio.Reader, maxBytes int) (kind byte, body []byte, size int, err error) {
+	head, err := r.Peek(headBytes)
+	if err != nil {
+		return 0, nil, 0, err
+	}
+	kind = head[0]
+	size = int(binary.BigEndian.Uint32(head[1:])) + 1
+	switch {
+	case size < headBytes || size > maxClaimedBytes:
+		return kind, nil, size, ErrMalformed
+	case size > maxBytes:
+		return kind, nil, size, ErrTooLong
+	case size > r.Size():
+		return kind, nil, size, ErrBuffer
+	}
+	message, err := r.Peek(size)
+	if err != nil {
+		return kind, nil, size, err
+	}
+	return kind, message[headBytes:], size, nil
+}
+
+// QueryText returns the text of a query message, which ends in a zero, and whether that is the whole of its
+// body.
+func QueryText(body []byte) (text []byte, whole bool) {
+	end := bytes.IndexByte(body, 0)
+	return body[:max(0, end)], end >= 0 && end == len(body)-1
+}
--- /dev/null
+++ b/internal/pgwire/table.go
@@ -0,0 +1,66 @@
+package pgwire
+
+import (
+	"strconv"
+	"strings"
+)
+
+// stagingSchema, with a number behind it, names a schema whose number is no table group.
+const stagingSchema = "staging"
+
+// beforeTable are the words that the name of a table follows.
+var beforeTable = map[string]bool{
+	"from":     true,
+	"join":     true,
+	"into":     true,
+	"update":   true,
+	"table":    true,
+	"using":    true,
+	"copy":     true,
+	"only":     true,
+	"truncate": true,
+}
+
+// Table is what a statement reads or writes.
+type Table struct {
+	Group        int64 // the number behind the underscore in the schema's name
+	Schema, Name string
+}
+
+// FindTable returns the table of a statement: the first qualified name with a table group that stands where a
+// table's name does, or if there is none the first elsewhere, which could be a column's.
+func FindTable(statement []byte) (table Table, found bool) {
+	tokens := tokenize(statement)
+	for i := 0; i+2 < len(tokens); i++ {
+		schema, dot, name := tokens[i], tokens[i+1], tokens[i+2]
+		if !schema.isName || dot.text != "." || dot.isName || !name.isName {
+			continue
+		}
+		if i > 0 && tokens[i-1].text == "." {
+			continue
+		}
+		group, ok := tableGroup(schema.text)
+		if !ok {
+			continue
+		}
+		candidate := Table{Group: group, Schema: schema.text, Name: name.text}
+		if i > 0 && tokens[i-1].isName && !tokens[i-1].quoted && beforeTable[tokens[i-1].text] {
+			return candidate, true
+		}
+		if !found {
+			table = candidate
+			found = true
+		}
+	}
+	return table, found
+}
+
+// tableGroup is the number behind the last underscore in a schema's name.
+func tableGroup(schema string) (group int64, ok bool) {
+	at := strings.LastIndexByte(schema, '_')
+	if at < 1 || schema[:at] == stagingSchema {
+		return 0, false
+	}
+	n, err := strconv.ParseUint(schema[at+1:], 10, 62)
+	return int64(n), err == nil
+}
--- /dev/null
+++ b/internal/pgwire/tokens.go
@@ -0,0 +1,170 @@
+package pgwire
+
+import (
+	"bytes"
+	"strings"
+)
+
+// Texts of tokens whose own text does not matter.
+const (
+	textString = "'"
+	textNumber = "0"
+)
+
+// token is a name, perhaps quoted, or a single sign. A string is the sign textString, a number textNumber.
+type token struct {
+	text   string // of a name: in the case that it stands for
+	isName bool
+	quoted bool // of a name
+}
+
+// tokenizer splits a statement.
+type tokenizer struct {
+	source []byte
+	at     int // of the next byte
+	tokens []token
+}
+
+// tokenize splits a statement into tokens, without comments and without what its strings hold: a name there
+// is not one of the statement. What has no end reaches to the end of the statement.
+func tokenize(statement []byte) []token {
+	t := &tokenizer{source: statement}
+	for t.at < len(t.source) {
+		t.next()
+	}
+	return t.tokens
+}
+
+// next takes the next token, or passes a comment or a blank.
+func (t *tokenizer) next() {
+	c := t.source[t.at]
+	switch {
+	case c == '\'':
+		t.skipQuoted('\'', t.afterEscapeMark())
+		t.add(token{text: textString})
+	case c == '"':
+		t.quotedName()
+	case c == '-' && t.peek() == '-':
+		t.skipWhile(func(c byte) bool { return c != '\n' })
+	case c == '/' && t.peek() == '*':
+		t.skipComment()
+	case c == '$' && dollarTagLength(t.source[t.at:]) > 0:
+		t.skipDollarQuoted()
+		t.add(token{text: textString})
+	case isLetter(c):
+		from := t.at
+		t.skipWhile(func(c byte) bool { return isLetter(c) || isDigit(c) || c == '$' })
+		t.add(token{text: strings.ToLower(string(t.source[from:t.at])), isName: true})
+	case isDigit(c):
+		t.skipWhile(func(c byte) bool { return isLetter(c) || isDigit(c) || c == '.' })
+		t.add(token{text: textNumber})
+	default:
+		t.at++
+		if c > ' ' {
+			t.add(token{text: string(rune(c))})
+		}
+	}
+}
+
+func (t *tokenizer) add(token token) { t.tokens = append(t.tokens, token) }
+
+// peek is the byte behind the next one; 0 past the end.
+func (t *tokenizer) peek() byte {
+	if t.at+1 >= len(t.source) {
+		return 0
+	}
+	return t.source[t.at+1]
+}
+
+// skipWhile passes bytes for which a condition holds.
+func (t *tokenizer) skipWhile(holds func(byte) bool) {
+	for t.at < len(t.source) && holds(t.source[t.at]) {
+		t.at++
+	}
+}
+
+// afterEscapeMark reports whether the string that begins here has an E right before it, which gives
+// backslashes a meaning in it.
+func (t *tokenizer) afterEscapeMark() bool {
+	if len(t.tokens) == 0 || t.at == 0 {
+		return false
+	}
+	last := t.tokens[len(t.tokens)-1]
+	return last.isName && last.text == "e" && t.source[t.at-1]|0x20 == 'e'
+}
+
+// quotedName takes a name in double quotes; a doubled quote in it stands for one.
+func (t *tokenizer) quotedName() {
+	from := t.at + 1
+	t.skipQuoted('"', false)
+	inner := string(t.source[from:max(from, t.at-1)])
+	t.add(token{text: strings.ReplaceAll(inner, `""`, `"`), isName: true, quoted: true})
+}
+
+// skipQuoted passes what stands in quotes, in which a doubled quote stands for one, and a backslash before
+// any byte for that byte if escapes is set.
+func (t *tokenizer) skipQuoted(quote byte, escapes bool) {
+	for t.at++; t.at < len(t.source); t.at++ {
+		c := t.source[t.at]
+		switch {
+		case escapes && c == '\\':
+			t.at++
+		case c == quote && t.peek() == quote:
+			t.at++
+		case c == quote:
+			t.at++
+			return
+		}
+	}
+	t.at = len(t.source) // an escape may have led past it
+}
+
+// skipComment passes a comment, which may hold others.
+func (t *tokenizer) skipComment() {
+	depth := 0
+	for ; t.at < len(t.source); t.at++ {
+		switch {
+		case t.source[t.at] == '/' && t.peek() == '*':
+			depth++
+			t.at++
+		case t.source[t.at] == '*' && t.peek() == '/':
+			depth--
+			t.at++
+			if depth == 0 {
+				t.at++
+				return
+			}
+		}
+	}
+	t.at = len(t.source)
+}
+
+// skipDollarQuoted passes a string between two marks such as $$ or $tag$.
+func (t *tokenizer) skipDollarQuoted() {
+	length := dollarTagLength(t.source[t.at:])
+	mark := t.source[t.at : t.at+length]
+	body := t.source[t.at+length:]
+	end := bytes.Index(body, mark)
+	if end < 0 {
+		t.at = len(t.source)
+		return
+	}
+	t.at += end + 2*length
+}
+
+// dollarTagLength is the length of the mark that opens a dollar-quoted string; 0: there is none.
+func dollarTagLength(s []byte) int {
+	for i := 1; i < len(s); i++ {
+		if s[i] == '$' {
+			return i + 1
+		}
+		if !isLetter(s[i]) && (i == 1 || !isDigit(s[i])) {
+			return 0
+		}
+	}
+	return 0
+}
+
+func isLetter(c byte) bool { return c|0x20 >= 'a' && c|0x20 <= 'z' || c == '_' || c >= 0x80 }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
