--- a/internal/core/fleet/config/candidate.go
+++ b/internal/core/fleet/config/candidate.go
@@ -7,117 +7,135 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Times of a proposal at the leader, in ms.
+// Proposals at the leader.
 const (
-	candidateTimeout = 12000.0 // after which one that came no further makes room for the next; its origin asks again
-	catchUp          = 3000.0  // after which one that leads knows all that was agreed on before: else it would not lead any more
-	proposeRetry     = 200.0   // after the quorum did not take a proposal
-	proposeAgain     = 2000.0  // after it took one that was not agreed on since
+	// candidateTimeout is the time in ms after which a candidate that made no progress is dropped;
+	// its origin sends it again.
+	candidateTimeout = 12000.0
+	// catchUpTime is the time in ms after which a leader has applied all that was agreed on before:
+	// else it would not lead any more.
+	catchUpTime = 3000.0
+	// proposeRetry is the time in ms after which a proposal that the quorum did not accept is repeated.
+	proposeRetry = 200.0
+	// commitTimeout is the same for a proposal that was accepted and not agreed on.
+	commitTimeout = 2000.0
 )
 
-// candidate is a proposal at the leader: its document is fetched, checked and held by a majority of the voters before
-// the quorum is asked to agree.
+// errSize rejects a document that does not have the size of its proposal.
+var errSize = errors.New("the document has another size than the proposal")
+
+// candidate is a proposal at the leader. Its document is fetched, checked and stored durably by a
+// majority of the voters before the quorum is asked to agree, so that an agreed version can always
+// be fetched.
 type candidate struct {
 	proposal  Proposal
 	origin    members.ID
-	arrived   float64
-	began     float64 // to be worked on; 0: it waits
-	checked   bool
-	held      []members.ID // voters that hold the document durably
-	holdAt    float64      // of the next HoldRequests
-	proposeAt float64      // of the next proposal to the quorum
+	arrivedAt float64
+	startedAt float64      // when it came to the head of the queue; 0: it waits
+	checked   bool         // its document passed the check here
+	heldBy    []members.ID // voters that have stored the document durably
+	holdAt    float64      // when the next HoldRequests are sent
+	proposeAt float64      // when it is proposed to the quorum next
 }
 
-// proposeRequested takes in another controller's proposal. One that comes to a member that does not lead is not
-// answered: the origin finds the leader.
-func (r *Replica) proposeRequested(from members.ID, p Proposal) {
+// handlePropose handles another controller's proposal. A member that does not lead does not answer:
+// the origin finds the leader.
+func (r *Replica) handlePropose(from members.ID, p Proposal) {
 	if p.Version.ID.Origin != from {
 		return
 	}
 	r.submit(from, p)
 }
 
-// submit answers a proposal at once or puts it into the queue.
+// submit answers a proposal at once, or enqueues it.
 func (r *Replica) submit(origin members.ID, p Proposal) {
 	if !r.env.Leads() || !r.votes() {
 		return
 	}
 	if reason := p.invalid(); reason != "" {
-		r.reply(origin, p, ProposeReply{Result: Refused, Reason: reason})
+		r.reply(origin, p, ProposeReply{Result: Rejected, Reason: reason})
 		return
 	}
-	if slices.ContainsFunc(r.queue, func(c *candidate) bool { return c.proposal.Version.ID == p.Version.ID }) {
+	same := func(c *candidate) bool { return c.proposal.Version.ID == p.Version.ID }
+	if slices.ContainsFunc(r.candidates, same) {
 		return
 	}
-	if r.decided(origin, p) {
+	if r.answerDecided(origin, p) {
 		return
 	}
-	if len(r.queue) > MaxProposals {
-		r.reply(origin, p, ProposeReply{Result: Refused, Reason: "busy"})
+	if len(r.candidates) > MaxProposals {
+		r.reply(origin, p, ProposeReply{Result: Rejected, Reason: "busy"})
 		return
 	}
-	r.queue = append(r.queue, &candidate{proposal: p, origin: origin, arrived: r.now})
+	r.candidates = append(r.candidates, &candidate{proposal: p, origin: origin, arrivedAt: r.now})
 }
 
-// decided answers a proposal of which the state tells how it ended. Where another version than the expected one follows,
-// no entry of the log can make it a version any more.
-func (r *Replica) decided(origin members.ID, p Proposal) bool {
+// answerDecided answers a proposal if the agreed state shows how it ended, and tells whether it
+// did. Once another version than the expected one is the newest, no entry of the log can make the
+// proposal a version.
+func (r *Replica) answerDecided(origin members.ID, p Proposal) bool {
 	state := r.env.State()
 	if v, ok := state.FindProposal(p.Version.ID); ok {
-		r.reply(origin, p, ProposeReply{Result: Agreed, Version: v})
+		r.reply(origin, p, ProposeReply{Result: Committed, Version: v})
 		return true
 	}
 	if state.Newest() > p.Expect {
-		r.reply(origin, p, ProposeReply{Result: Lost, Version: state.Latest(), Reason: "another version was agreed on"})
+		r.reply(origin, p, ProposeReply{
+			Result:  Conflict,
+			Version: state.Latest(),
+			Reason:  "another version was agreed on",
+		})
 		return true
 	}
 	return false
 }
 
+// reply answers the origin of a proposal, which may be this controller.
 func (r *Replica) reply(to members.ID, p Proposal, reply ProposeReply) {
 	reply.ID = p.Version.ID
-	reply.Reason = bounded(reply.Reason)
-	if to == r.facts.Self {
-		r.proposeAnswered(to, &reply)
+	reply.Reason = truncateReason(reply.Reason)
+	if to == r.options.Self {
+		r.handleProposeReply(to, &reply)
 		return
 	}
-	r.send(to, Message{Proposed: &reply})
+	r.send(to, Message{ProposeReply: &reply})
 }
 
-// advanceCandidates works on the first proposal of the queue whose document is here. One that does not lead drops them
-// all: their origins ask the next leader.
+// advanceCandidates works on the first candidate whose document is here. A controller that does not
+// lead drops all: their origins send them to the next leader.
 func (r *Replica) advanceCandidates() {
 	if !r.env.Leads() || !r.votes() {
-		for _, c := range r.queue {
-			r.release(c.proposal.Version.Hash, forProposal)
+		for _, c := range r.candidates {
+			r.releaseFetch(c.proposal.Version.Hash, forProposal)
 		}
-		r.queue = nil
+		r.candidates = nil
 		return
 	}
 	r.fetchProposed()
-	for len(r.queue) > 0 {
+	for len(r.candidates) > 0 {
 		c := r.selectCandidate()
-		if c.began == 0 {
-			c.began = max(r.now, 1)
+		if c.startedAt == 0 {
+			c.startedAt = max(r.now, 1)
 		}
 		if !r.advanceCandidate(c) {
 			return
 		}
-		r.release(c.proposal.Version.Hash, forProposal)
-		r.queue = r.queue[1:]
+		r.releaseFetch(c.proposal.Version.Hash, forProposal)
+		r.candidates = r.candidates[1:]
 	}
 }
 
-// fetchProposed has the documents of all proposals fetched, so that one whose document does not come holds up no other,
-// and drops a proposal whose document has not come in time: its origin may have given it up.
+// fetchProposed has the documents of all candidates fetched, so that one whose document does not
+// come holds up no other. It drops a candidate whose document has not come in time: its origin may
+// have given it up.
 func (r *Replica) fetchProposed() {
-	r.queue = slices.DeleteFunc(r.queue, func(c *candidate) bool {
+	r.candidates = slices.DeleteFunc(r.candidates, func(c *candidate) bool {
 		v := &c.proposal.Version
-		if r.library.get(v.Hash) != nil {
+		if r.documents.get(v.Hash) != nil {
 			return false
 		}
-		if r.now >= c.arrived+candidateTimeout {
-			r.release(v.Hash, forProposal)
+		if r.now >= c.arrivedAt+candidateTimeout {
+			r.releaseFetch(v.Hash, forProposal)
 			return true
 		}
 		r.fetch(v.Hash, v.Size, forProposal, c.origin)
@@ -126,29 +144,31 @@
 	r.runDownloads()
 }
 
-// selectCandidate moves the first proposal whose document is here to the head of the queue, and returns the head.
+// selectCandidate moves the first candidate whose document is here to the head of the queue, and
+// returns the head.
 func (r *Replica) selectCandidate() *candidate {
-	i := slices.IndexFunc(r.queue, func(c *candidate) bool { return r.library.get(c.proposal.Version.Hash) != nil })
+	hasDocument := func(c *candidate) bool { return r.documents.get(c.proposal.Version.Hash) != nil }
+	i := slices.IndexFunc(r.candidates, hasDocument)
 	if i > 0 {
-		c := r.queue[i]
-		r.queue = slices.Insert(slices.Delete(r.queue, i, i+1), 0, c)
+		c := r.candidates[i]
+		r.candidates = slices.Insert(slices.Delete(r.candidates, i, i+1), 0, c)
 	}
-	return r.queue[0]
+	return r.candidates[0]
 }
 
-// advanceCandidate does the next step of a proposal, and tells whether it has ended.
+// advanceCandidate does the next step of a candidate, and tells whether it has ended.
 func (r *Replica) advanceCandidate(c *candidate) bool {
-	if r.decided(c.origin, c.proposal) {
+	if r.answerDecided(c.origin, c.proposal) {
 		return true
 	}
 	if r.env.State().Newest() < c.proposal.Expect {
 		return r.awaitExpected(c)
 	}
-	if r.now >= c.began+candidateTimeout {
+	if r.now >= c.startedAt+candidateTimeout {
 		return true
 	}
 	v := &c.proposal.Version
-	data := r.library.get(v.Hash)
+	data := r.documents.get(v.Hash)
 	if data == nil {
 		return false
 	}
@@ -158,36 +178,34 @@
 			return false
 		}
 		if err != nil {
-			r.reply(c.origin, c.proposal, ProposeReply{Result: Refused, Reason: err.Error()})
+			r.reply(c.origin, c.proposal, ProposeReply{Result: Rejected, Reason: err.Error()})
 			return true
 		}
 		c.checked = true
 		r.holdOwn(v.Hash)
 	}
-	r.askVoters(c)
-	if r.now >= c.proposeAt && r.heldByMajority(c) {
-		c.proposeAt = r.now + proposeRetry
-		if r.env.Propose(c.proposal) {
-			c.proposeAt = r.now + proposeAgain
-		}
-	}
+	r.sendHoldRequests(c)
+	r.proposeCandidate(c)
 	return false
 }
 
-// awaitExpected answers a proposal that expects a version which this one does not know. One that has just begun to lead
-// may be late itself, and the proposal may be one that was agreed on already; later there is no such version.
+// awaitExpected handles a candidate that expects a version which this leader does not know, and
+// tells whether it has ended. A new leader may not have applied all yet, and the proposal may even
+// be agreed on already. Later there is no such version.
 func (r *Replica) awaitExpected(c *candidate) bool {
-	if r.now < r.ledSince+catchUp {
+	if r.now < r.leadsChangedAt+catchUpTime {
 		return false
 	}
-	r.reply(c.origin, c.proposal, ProposeReply{Result: Lost, Version: r.env.State().Latest(),
-		Reason: "the expected version does not exist"})
+	r.reply(c.origin, c.proposal, ProposeReply{
+		Result:  Conflict,
+		Version: r.env.State().Latest(),
+		Reason:  "the expected version does not exist",
+	})
 	return true
 }
 
-var errSize = errors.New("the document has another size than the proposal")
-
-// checkCandidate tells whether the check of a proposal's document ended, and why the document can't be used.
+// checkCandidate tells whether the check of a candidate's document has ended, and why the document
+// can't be used.
 func (r *Replica) checkCandidate(v *Version, data []byte) (ended bool, err error) {
 	if len(data) != v.Size {
 		return true, errSize
@@ -195,57 +213,71 @@
 	return r.checkEnded(v.Hash)
 }
 
-// askVoters has the voters that don't hold the document yet fetch and store it.
-func (r *Replica) askVoters(c *candidate) {
+// sendHoldRequests has the voters that have not stored the document yet fetch and store it.
+func (r *Replica) sendHoldRequests(c *candidate) {
 	if r.now < c.holdAt {
 		return
 	}
-	c.holdAt = r.now + holdEach
+	c.holdAt = r.now + holdInterval
 	v := &c.proposal.Version
 	for _, id := range r.env.Voters() {
-		if id != r.facts.Self && !slices.Contains(c.held, id) {
-			r.send(id, Message{Hold: &HoldRequest{Hash: v.Hash, Size: v.Size, About: v}})
+		if id != r.options.Self && !slices.Contains(c.heldBy, id) {
+			r.send(id, Message{Hold: &HoldRequest{Hash: v.Hash, Size: v.Size, Version: v}})
 		}
 	}
 }
 
-// heldByMajority tells whether enough voters hold the document durably: each majority has one of them.
+// handleHoldReply handles that a voter has stored a document.
+func (r *Replica) handleHoldReply(from members.ID, reply *HoldReply) {
+	if len(r.candidates) == 0 {
+		return
+	}
+	c := r.candidates[0]
+	expected := c.checked && reply.Hash == c.proposal.Version.Hash && slices.Contains(r.env.Voters(), from)
+	if expected && !slices.Contains(c.heldBy, from) {
+		c.heldBy = append(c.heldBy, from)
+	}
+}
+
+// heldByMajority tells whether a majority of the voters has stored the document durably: each later
+// majority has one of them.
 func (r *Replica) heldByMajority(c *candidate) bool {
 	voters := r.env.Voters()
 	held := 0
 	for _, id := range voters {
-		if id == r.facts.Self && r.library.stored(c.proposal.Version.Hash) || slices.Contains(c.held, id) {
+		if id == r.options.Self && r.documents.isStored(c.proposal.Version.Hash) || slices.Contains(c.heldBy, id) {
 			held++
 		}
 	}
 	return 2*held > len(voters)
 }
 
-// heldBy takes in that a voter holds a document.
-func (r *Replica) heldBy(from members.ID, reply *HoldReply) {
-	if len(r.queue) == 0 {
+// proposeCandidate proposes a candidate to the quorum if a majority of the voters hold its document.
+func (r *Replica) proposeCandidate(c *candidate) {
+	if r.now < c.proposeAt || !r.heldByMajority(c) {
 		return
 	}
-	c := r.queue[0]
-	if c.checked && reply.Hash == c.proposal.Version.Hash && slices.Contains(r.env.Voters(), from) && !slices.Contains(c.held, from) {
-		c.held = append(c.held, from)
+	c.proposeAt = r.now + proposeRetry
+	if r.env.Propose(c.proposal) {
+		c.proposeAt = r.now + commitTimeout
 	}
 }
 
+// nextCandidate returns when a candidate has something due.
 func (r *Replica) nextCandidate() float64 {
-	if len(r.queue) == 0 {
+	if len(r.candidates) == 0 {
 		return never
 	}
-	c := r.queue[0]
-	next := c.began + candidateTimeout
-	for _, waiting := range r.queue {
-		if r.library.get(waiting.proposal.Version.Hash) == nil {
-			next = min(next, waiting.arrived+candidateTimeout)
+	c := r.candidates[0]
+	next := c.startedAt + candidateTimeout
+	for _, waiting := range r.candidates {
+		if r.documents.get(waiting.proposal.Version.Hash) == nil {
+			next = min(next, waiting.arrivedAt+candidateTimeout)
 		}
 	}
 	switch {
 	case r.env.State() != nil && r.env.State().Newest() < c.proposal.Expect:
-		next = min(next, r.ledSince+catchUp)
+		next = min(next, r.leadsChangedAt+catchUpTime)
 	case c.checked:
 		next = min(next, c.holdAt)
 		if r.heldByMajority(c) {
