--- a/internal/core/fleet/config/state_test.go
+++ b/internal/core/fleet/config/state_test.go
@@ -27,6 +27,8 @@
 	afterX := []Proposal{proposal(0, 1, "x")}
 	afterXAndY := []Proposal{proposal(0, 1, "x"), proposal(1, 2, "y")}
 	text := func(length int) string { return strings.Repeat("a", length) }
+	tooLongAuthor := with(func(v *Version) { v.Author = text(MaxAuthor + 1) })
+	tooLongReason := with(func(v *Version) { v.Reason = text(MaxReason + 1) })
 	for name, c := range map[string]struct {
 		before []Proposal
 		p      Proposal
@@ -48,9 +50,9 @@
 		"the largest document":         {nil, with(func(v *Version) { v.Size = MaxDocument }), true, 1, 1},
 		"one byte too large":           {nil, with(func(v *Version) { v.Size = MaxDocument + 1 }), false, 0, 0},
 		"the longest author":           {nil, with(func(v *Version) { v.Author = text(MaxAuthor) }), true, 1, 1},
-		"an author too long":           {nil, with(func(v *Version) { v.Author = text(MaxAuthor + 1) }), false, 0, 0},
+		"an author too long":           {nil, tooLongAuthor, false, 0, 0},
 		"the longest reason":           {nil, with(func(v *Version) { v.Reason = text(MaxReason) }), true, 1, 1},
-		"a reason too long":            {nil, with(func(v *Version) { v.Reason = text(MaxReason + 1) }), false, 0, 0},
+		"a reason too long":            {nil, tooLongReason, false, 0, 0},
 		"no origin":                    {nil, with(func(v *Version) { v.ID.Origin = "" }), false, 0, 0},
 		"a number set already":         {nil, with(func(v *Version) { v.Number = 7 }), true, 1, 1},
 	} {
--- a/internal/core/fleet/digest/collector_test.go
+++ b/internal/core/fleet/digest/collector_test.go
@@ -11,7 +11,9 @@
 )
 
 // engine returns the statistics of an engine that has only successes.
-func engine(id router.EngineID, at, slowdown, weight float64, leader router.EngineID) router.EngineStatistics {
+func engine(
+	id router.EngineID, at, slowdown, weight float64, leader router.EngineID,
+) router.EngineStatistics {
 	return router.EngineStatistics{
 		At:             at,
 		Engine:         id,
--- a/internal/core/fleet/lease/client_test.go
+++ b/internal/core/fleet/lease/client_test.go
@@ -60,7 +60,8 @@
 	}
 	r = client.Renewal(2800)
 	client.ConfirmRenewal(2801, r.Sequence, r.Grants)
-	if rel := client.Release("x", true); rel == nil || !rel.Failed || rel.Grant != (Grant{"x", 4}) || canAct(2802) {
+	release := client.Release("x", true)
+	if release == nil || !release.Failed || release.Grant != (Grant{"x", 4}) || canAct(2802) {
 		t.Error("released and still held")
 	}
 	client.AcceptOffer(3000, Grant{"x", 6})
--- a/internal/core/fleet/lease/manager_test.go
+++ b/internal/core/fleet/lease/manager_test.go
@@ -57,7 +57,8 @@
 	}
 
 	manager = NewManager(timing, 0)
-	if got := assignments(manager.Decide(0, stateWithHolders(), candidates("a", "b"))); got != "x:a y:b " && got != "x:b y:a " {
+	got := assignments(manager.Decide(0, stateWithHolders(), candidates("a", "b")))
+	if got != "x:a y:b " && got != "x:b y:a " {
 		t.Errorf("two leases and two candidates: %q", got)
 	}
 	list := candidates("a", "b")
--- a/internal/core/fleet/lease/state_test.go
+++ b/internal/core/fleet/lease/state_test.go
@@ -44,6 +44,7 @@
 // a former holder, changes nothing.
 func TestApplyChangesOnlyWhatFitsTheState(t *testing.T) {
 	heldByB := func() *State { return stateWithHolders(a, b) } // x: token 2, revision 2
+	nobody := Holder{}
 	nameTooLong := Name(make([]byte, maxNameBytes+1))
 	for name, c := range map[string]struct {
 		state   *State
@@ -62,7 +63,7 @@
 		"renewal with an older token":                   {heldByB(), renew(b, "x", 1), 0, 2, b},
 		"renewal by a former holder":                    {heldByB(), renew(a, "x", 2), 0, 2, b},
 		"renewal by another run of the holder":          {heldByB(), renew(Holder{"b", 2}, "x", 2), 0, 2, b},
-		"renewal by nobody of a free lease":             {stateWithHolders(), renew(Holder{}, "x", 0), 0, 0, Holder{}},
+		"renewal by nobody of a free lease":             {stateWithHolders(), renew(nobody, "x", 0), 0, 0, nobody},
 		"release by the holder":                         {heldByB(), release(b, "x", 2), 1, 2, Holder{}},
 		"release with an older token":                   {heldByB(), release(b, "x", 1), 0, 2, b},
 		"preference for another":                        {heldByB(), preferredHolder("c"), 1, 2, b},
--- a/internal/core/fleet/members/stored_test.go
+++ b/internal/core/fleet/members/stored_test.go
@@ -1,8 +1,8 @@
 package members
 
-// Controllers compare their views by checksums: were they formed in another way than in an earlier build, all members
-// would be sent with each comparison within an update of a fleet. These tests pin the checksums, and the names of states
-// as operators and their programs read them.
+// Controllers compare their views by checksums: were they formed in another way than in an earlier
+// build, all members would be sent with each comparison within an update of a fleet. These tests
+// pin the checksums, and the names of states as operators and their programs read them.
 
 import (
 	"fmt"
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -1,8 +1,9 @@
 package node
 
-// A rename or a reordering of fields can change the messages among controllers. Controllers of one build agree with each
-// other whatever it is; it shows only beside controllers of an earlier one, within an update of a fleet. These tests
-// compare each kind of message with what an earlier build sent.
+// A rename or a reordering of fields can change the messages among controllers. Controllers of one
+// build agree with each other whatever it is; it shows only beside controllers of an earlier one,
+// within an update of a fleet. These tests compare each kind of message with what an earlier build
+// sent.
 
 import (
 	"testing"
--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -84,9 +84,9 @@
 		for _, name := range slices.Sorted(maps.Keys(r.members)) {
 			c := r.members[name]
 			c.Tick(r.now)
-			if whole := c.Compact(); whole != nil {
-				r.save(name, whole)
-				c.Compacted(whole)
+			if compaction := c.Compact(); compaction != nil {
+				r.save(name, compaction)
+				c.Compacted(compaction)
 			}
 			for b := c.Ready(); b != nil; b = c.Ready() {
 				r.save(name, b.Record)
--- a/internal/core/fleet/quorum/storage.go
+++ b/internal/core/fleet/quorum/storage.go
@@ -61,7 +61,7 @@
 			r.receivedSerials[received.Incarnation] = max(highest, received.Serial)
 		}
 		if err := r.store(&rec); err != nil {
-			return err
+			return fmt.Errorf("record %d: %w", rec.Serial, err)
 		}
 	}
 	return r.replayCommitted()
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -1,7 +1,8 @@
 package quorum
 
-// A rename or a reordering of fields can change what a quorum member stores: it shows only when a controller starts with
-// a folder that an earlier build wrote. These tests read records and agreed state as an earlier build encoded them.
+// A rename or a reordering of fields can change what a quorum member stores: it shows only when a
+// controller starts with a folder that an earlier build wrote. These tests read records and agreed
+// state as an earlier build encoded them.
 
 import (
 	"bytes"
@@ -68,7 +69,8 @@
 	}
 }
 
-// storedRecord is a whole record: a snapshot of the agreed state, an entry after it, marks and a hard state.
+// storedRecord is a full record: a snapshot of the agreed state, an entry after it, received
+// serials and a hard state.
 func storedRecord(t *testing.T) Record {
 	t.Helper()
 	agreed, err := cbor.Marshal(storedAgreed())
@@ -125,8 +127,8 @@
 	golden.CBOR(t, table, "config", proposal{Proposer: "n1", Ref: 16, Config: proposed}, cbor.Unmarshal)
 }
 
-// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote: it has the agreed state, and the
-// record that it would write to replace all is the same again.
+// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote: it has the
+// agreed state, and the record that it would write to replace all is the same again.
 func TestStoredRecordIsReadable(t *testing.T) {
 	stored := golden.Open(t, "replay.golden").Bytes(t, "record", mustEncode(t, storedRecord(t)))
 	var record Record
@@ -156,9 +158,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := replica.fullRecord(snap)
-	whole.Serial = record.Serial // the next one's is one more
-	if rewritten := mustEncode(t, *whole); !bytes.Equal(rewritten, stored) {
+	full := replica.fullRecord(snap)
+	full.Serial = record.Serial // the next one's is one more
+	if rewritten := mustEncode(t, *full); !bytes.Equal(rewritten, stored) {
 		t.Errorf("written again:\n%x\nstored:\n%x", rewritten, stored)
 	}
 }
