--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -32,10 +32,19 @@
 		Founders: c.Founders,
 		Run:      c.Self.Run,
 		NextDisk: c.NextDisk,
-		Seed:     c.Seed + 1,
+		Seed:     c.Seed + quorumSeedOffset,
 	}
 }
 
+// Offsets from Config.Seed, so that the parts of a node draw different numbers. Membership draws
+// from the seed itself.
+const (
+	quorumSeedOffset = 1
+	refSeedOffset    = 2 // of the numbers of proposals
+	configSeedOffset = 3
+	viewSeedOffset   = 4 // of requests for the quorum's view
+)
+
 // Intervals and timeouts in ms.
 const (
 	// offerInterval is the time between two offers of a lease to a holder that does not renew it, and at
--- a/internal/core/fleet/node/fleetconfig.go
+++ b/internal/core/fleet/node/fleetconfig.go
@@ -59,8 +59,8 @@
 	if n.cfg.FleetConfig == nil {
 		return
 	}
-	facts := config.Options{Self: n.cfg.Self.ID, Run: n.cfg.Self.Run, Seed: n.cfg.Seed + 3}
-	n.config = config.New(facts, configEnvironment{n}, n.cfg.FleetConfig.Stored, n.now)
+	options := config.Options{Self: n.cfg.Self.ID, Run: n.cfg.Self.Run, Seed: n.cfg.Seed + configSeedOffset}
+	n.config = config.New(options, configEnvironment{n}, n.cfg.FleetConfig.Stored, n.now)
 }
 
 // configSummary returns the summary of the configuration that accompanies membership messages; nil:
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -58,13 +58,13 @@
 	n := &Node{
 		cfg:            cfg,
 		now:            now,
-		rng:            rand.New(rand.NewSource(cfg.Seed + 4)),
+		rng:            rand.New(rand.NewSource(cfg.Seed + viewSeedOffset)),
 		members:        members.New(cfg.Self, cfg.Seeds, cfg.Membership, cfg.Seed, now),
 		quorum:         replica,
 		leaseClient:    lease.NewClient(lease.Holder{ID: cfg.Self.ID, Run: cfg.Self.Run}, cfg.LeaseTiming),
 		fencing:        lease.NewFencingCheck(tokens),
 		view:           quorumView{voters: slices.Clone(cfg.Founders), requestAt: now},
-		lastRef:        uint64(rand.New(rand.NewSource(cfg.Seed + 2)).Int63()),
+		lastRef:        uint64(rand.New(rand.NewSource(cfg.Seed + refSeedOffset)).Int63()),
 		unansweredRefs: map[uint64]bool{},
 	}
 	if len(cfg.Founders) > 0 { // controllers that start together begin with different voters
