--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
-	l.StopTime, l.EndTime, l.StopQuiet = 300*time.Millisecond, patience, 100*time.Millisecond
+	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, patience, 100*time.Millisecond
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	d := &daemon{from: sources{config: path}, start: s, file: &operator.File{}, limits: l,
 		lines: logs.New(io.Discard, logs.DefaultBlock())}
@@ -292,7 +292,7 @@
 		h.t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
-	l.StopTime, l.EndTime, l.StopQuiet, l.ReadTime = 300*time.Millisecond, patience, 50*time.Millisecond, patience
+	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod, l.ConfigReadTimeout = 300*time.Millisecond, patience, 50*time.Millisecond, patience
 	if h.change != nil {
 		h.change(l)
 	}
@@ -443,7 +443,7 @@
 	t.Run("twice, and a reload behind it", func(t *testing.T) {
 		feed, engine, hangs := feedAndEngine(t)
 		h := found(t, good, feed, engine, "")
-		h.change = func(l *limits.Limits) { l.CloseTime = patience }
+		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = patience }
 		h.serve()
 		rests, open := h.dial(), h.dial()
 		if rests.query(1, "1"); rests.hears() != "TDCZ" {
@@ -481,7 +481,9 @@
 	t.Run("and clients that ask to the last", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
 		h := found(t, good, feed, engine, "")
-		h.change = func(l *limits.Limits) { l.EndTime, l.CloseTime, l.StopQuiet = patience, patience-time.Second, patience }
+		h.change = func(l *limits.Limits) {
+			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = patience, patience-time.Second, patience
+		}
 		h.serve()
 		rests, asks := h.dial(), h.dial()
 		h.signals <- syscall.SIGTERM
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -21,10 +21,10 @@
 
 // reread reads the operator's file and the configuration again, each within a bound. It changes nothing.
 func (d *daemon) reread() (r reloaded) {
-	r.file, r.fileErr = inTime(d.limits.ReadTime, func() (*operator.File, error) {
+	r.file, r.fileErr = inTime(d.limits.ConfigReadTimeout, func() (*operator.File, error) {
 		return operator.Read(d.from.operator, d.start.facts)
 	})
-	r.again, r.againErr = inTime(d.limits.ReadTime, func() (*start, error) { return readStart(d.from.config) })
+	r.again, r.againErr = inTime(d.limits.ConfigReadTimeout, func() (*start, error) { return readStart(d.from.config) })
 	return r
 }
 
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -49,7 +49,7 @@
 			}
 			l := limits.For(s.Grants.Descriptors, s.Grants.MemoryMB, s.facts.Connections.ConnectTimeout, s.facts.Connections.IdleTimeout,
 				time.Duration(longest*float64(time.Millisecond)))
-			debug.SetMemoryLimit(l.MemoryBytes)
+			debug.SetMemoryLimit(l.RuntimeMemoryBytes)
 			runtime.GOMAXPROCS(max(1, int(s.Grants.Cores+0.5)))
 			d := &daemon{from: from, start: s, file: file, limits: l, lines: logs.New(os.Stderr, file.Log)}
 			return d.run(signals)
@@ -88,7 +88,7 @@
 	defer cancel()
 	d.log = d.lines.Logger()
 	guards := d.start.facts.SafetyLimits
-	d.loop = controller.New(d.start.facts.NewRouter(d.start.seed), controller.SystemClock(), d.limits.Inbox, guards.OrderingCooldown+guards.EventInterval)
+	d.loop = controller.New(d.start.facts.NewRouter(d.start.seed), controller.SystemClock(), d.limits.EventQueueLength, guards.OrderingCooldown+guards.EventInterval)
 	d.pool = engines.New(d.limits, d.start.facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.pool)
 	defer d.leaveFleet()
@@ -229,8 +229,8 @@
 func (d *daemon) stop(listener net.Listener) {
 	l := d.limits
 	d.log.Info("told to stop")
-	end := time.Now().Add(l.EndTime)
-	d.loop.StartShutdown(l.StopTime)
+	end := time.Now().Add(l.ShutdownTimeout)
+	d.loop.StartShutdown(l.DrainTimeout)
 	if d.agreed != nil {
 		d.agreed.stopTaking()
 	}
@@ -240,7 +240,7 @@
 	if d.snapshotWriter != nil {
 		d.snapshotWriter.Stop() // beside the commands that are still to be answered
 	}
-	drain(d.server, end.Add(-l.CloseTime), l.StopQuiet) // who goes on asking to the last is owed an orderly end too
+	drain(d.server, end.Add(-l.ClientCloseTimeout), l.DrainQuietPeriod) // who goes on asking to the last is owed an orderly end too
 	listener.Close()
 	d.server.Shutdown(end)
 	d.server.Close()
--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -42,7 +42,7 @@
 	result := admitted
 	if s.draining || !s.evictIdle(ses.idleSince) {
 		result = rejected
-		if len(s.sessions) >= s.limits.Connections+s.limits.ClosingConns {
+		if len(s.sessions) >= s.limits.ClientConnections+s.limits.ClosingConnections {
 			return dropped
 		}
 	}
@@ -59,21 +59,21 @@
 // evictIdle makes room for a connection, if all are taken, and reports whether there is room then. It closes
 // the session that has been idle for the longest time: of those that are being closed first, then of those
 // that never sent a query, then of the others. So hundreds of connections that send nothing, or that sent one
-// query and stay, can't keep others out. Sessions younger than FreshTime are spared, as their first message
+// query and stay, can't keep others out. Sessions younger than NewConnectionGrace are spared, as their first message
 // may be on its way. mu is held.
 func (s *Server) evictIdle(now time.Time) bool {
 	for kind := range s.idle {
-		for len(s.sessions) >= s.limits.Connections {
+		for len(s.sessions) >= s.limits.ClientConnections {
 			front := s.idle[kind].Front()
 			if front == nil {
 				break
 			}
 			ses := front.Value.(*session)
-			if now.Sub(ses.idleSince) < s.limits.FreshTime {
+			if now.Sub(ses.idleSince) < s.limits.NewConnectionGrace {
 				break
 			}
 			s.counts.evicted.Add(1)
-			if kind != idleClosing && len(s.sessions) < s.limits.Connections+s.limits.ClosingConns {
+			if kind != idleClosing && len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections {
 				s.beginClose(ses)
 				return true
 			}
@@ -81,7 +81,7 @@
 			ses.conn.Close()
 		}
 	}
-	return len(s.sessions) < s.limits.Connections
+	return len(s.sessions) < s.limits.ClientConnections
 }
 
 // markIdle puts a session among those that are owed nothing. mu is held.
@@ -150,7 +150,7 @@
 	if halfCloser, ok := ses.conn.(interface{ CloseWrite() error }); ok {
 		halfCloser.CloseWrite()
 	}
-	ses.conn.SetReadDeadline(ses.idleSince.Add(s.limits.CloseTime))
+	ses.conn.SetReadDeadline(ses.idleSince.Add(s.limits.ClientCloseTimeout))
 }
 
 // leave ends a session, whatever ended it: its goroutine calls it last.
@@ -158,7 +158,7 @@
 	s.mu.Lock()
 	s.beginClose(ses)
 	s.mu.Unlock()
-	io.CopyN(io.Discard, ses.conn, s.limits.CloseBytes)
+	io.CopyN(io.Discard, ses.conn, s.limits.ClientDrainBytes)
 	ses.conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clients/connections_test.go
+++ b/internal/clients/connections_test.go
@@ -14,7 +14,7 @@
 // those that never sent one, then of those that have been idle for longest. If all have one open, a new
 // connection is told so, but it may still cancel.
 func TestConnectionLimit(t *testing.T) {
-	st := newServerTest(t, func(l *limits.Limits) { l.Connections, l.FreshTime = 3, 0 })
+	st := newServerTest(t, func(l *limits.Limits) { l.ClientConnections, l.NewConnectionGrace = 3, 0 })
 	answer := func(conn net.Conn) {
 		st.nextQuery().Finish(request.Answer{Verdict: request.Rejected})
 		st.readUntil(conn, "E")
@@ -73,15 +73,15 @@
 		change func(*limits.Limits)
 		end    func(st *serverTest)
 	}{
-		{"idle too long", func(l *limits.Limits) { l.IdleTime = 20 * time.Millisecond }, func(*serverTest) {}},
-		{"evicted", func(l *limits.Limits) { l.Connections, l.FreshTime = 1, 0 }, func(st *serverTest) {
+		{"idle too long", func(l *limits.Limits) { l.ClientIdleTimeout = 20 * time.Millisecond }, func(*serverTest) {}},
+		{"evicted", func(l *limits.Limits) { l.ClientConnections, l.NewConnectionGrace = 1, 0 }, func(st *serverTest) {
 			st.connect(startMessage)
 		}},
 		{"the server shuts down", nil, func(st *serverTest) { go st.server.Shutdown(time.Now().Add(testTimeout)) }},
 	} {
 		st := newServerTest(t, func(l *limits.Limits) {
-			l.CloseTime = testTimeout
-			l.FirstTime = 2 * testTimeout // new connections stay to the end of the test
+			l.ClientCloseTimeout = testTimeout
+			l.FirstQueryTimeout = 2 * testTimeout // new connections stay to the end of the test
 			if c.change != nil {
 				c.change(l)
 			}
--- a/internal/clients/doc.go
+++ b/internal/clients/doc.go
@@ -17,16 +17,16 @@
 //
 // # Bounds
 //
-// There are at most Connections sessions. Past that the one that has been idle for the longest time is
-// closed. If none is idle, a new connection is read as far as its start-up message, so that a client may
-// still cancel, and is told that there are too many; of those, and of sessions that are being closed, there
-// are ClosingConns at most, and what comes past that is closed at once. A message and what is sent behind an
-// open query hold MessageBytes at most; past that the session ends with an error. Each wait for a client has
-// a time in limits.Limits.
+// There are at most ClientConnections sessions. Past that the one that has been idle for the longest time
+// is closed. If none is idle, a new connection is read as far as its start-up message, so that a client
+// may still cancel, and is told that there are too many; of those, and of sessions that are being closed,
+// there are ClosingConnections at most, and what comes past that is closed at once. A message and what is
+// sent behind an open query hold ClientMessageBytes at most; past that the session ends with an error.
+// Each wait for a client has a time in limits.Limits.
 //
 // # The end of a session
 //
 // All sessions end in one way (beginClose, leave): the write side is closed, what still comes is read and
-// dropped within CloseTime and CloseBytes, then the connection is closed. A close over unread bytes would be
-// a reset, which can cost a client an answer that it has not read yet.
+// dropped within ClientCloseTimeout and ClientDrainBytes, then the connection is closed. A close over
+// unread bytes would be a reset, which can cost a client an answer that it has not read yet.
 package clients
--- a/internal/clients/draining_test.go
+++ b/internal/clients/draining_test.go
@@ -15,7 +15,7 @@
 // orderly end. Half a query is not waited for, nothing that comes later is handed over, and new connections
 // are told. Shutdown returns when all that is done.
 func TestShutdown(t *testing.T) {
-	st := newServerTest(t, func(l *limits.Limits) { l.CloseTime, l.IdleTime = testTimeout, 2*testTimeout })
+	st := newServerTest(t, func(l *limits.Limits) { l.ClientCloseTimeout, l.ClientIdleTimeout = testTimeout, 2*testTimeout })
 	owed := st.connect(startMessage, queryMessage(queryText))
 	first := st.nextQuery()
 	st.readUntil(owed, "Z")
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -19,7 +19,7 @@
 func (ses *session) execute(query *request.Query) error {
 	ses.mu.Lock()
 	ses.openQuery = query
-	cancelledEarly := time.Since(ses.earlyCancelAt) < ses.server.limits.CancelTime
+	cancelledEarly := time.Since(ses.earlyCancelAt) < ses.server.limits.EarlyCancelWindow
 	ses.mu.Unlock()
 	answered := make(chan struct{})
 	ses.conn.SetReadDeadline(time.Time{})
@@ -48,16 +48,16 @@
 		return writeErr
 	}
 	ses.endWithError(pgwire.CodeTooLong,
-		fmt.Sprintf("behind an open command: holds %d bytes at most", ses.server.limits.MessageBytes))
+		fmt.Sprintf("behind an open command: holds %d bytes at most", ses.server.limits.ClientMessageBytes))
 	return err
 }
 
 // watchForDisconnect reads on while a query is open, to notice that its client disconnects, also behind what
-// it has sent ahead. That is kept, with the time at which it came, up to MessageBytes; past that it is
+// it has sent ahead. That is kept, with the time at which it came, up to ClientMessageBytes; past that it is
 // dropped and the session has to end. The error is os.ErrDeadlineExceeded when the answer is there,
 // errPipelineFull if there also was too much, and any other one when the client has disconnected.
 func (ses *session) watchForDisconnect() error {
-	maxBytes := ses.server.limits.MessageBytes
+	maxBytes := ses.server.limits.ClientMessageBytes
 	for {
 		have := ses.reader.Buffered()
 		if have > 0 && ses.pipelinedAt.IsZero() {
@@ -85,7 +85,7 @@
 }
 
 // abandonQuery says that the client no longer waits for the open query. If none is open and the client may be
-// about to send it (cancelRequest), the next query is abandoned, for CancelTime.
+// about to send it (cancelRequest), the next query is abandoned, for EarlyCancelWindow.
 func (ses *session) abandonQuery(cancelRequest bool) {
 	ses.mu.Lock()
 	query := ses.openQuery
--- a/internal/clients/execute_test.go
+++ b/internal/clients/execute_test.go
@@ -149,7 +149,7 @@
 		within time.Duration
 		said   string
 	}{{testTimeout, "E57014Z"}, {0, "TCZ"}} {
-		st := newServerTest(t, func(l *limits.Limits) { l.CancelTime = c.within })
+		st := newServerTest(t, func(l *limits.Limits) { l.EarlyCancelWindow = c.within })
 		conn := st.connect(startMessage)
 		_, key := st.readUntil(conn, "Z")
 		// Until it is closed, so has taken effect.
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -122,7 +122,7 @@
 // too late.
 func (ses *session) answerWithin(timeoutMS float64) time.Duration {
 	timeout := milliseconds(timeoutMS)
-	return timeout - min(ses.server.limits.AnswerTime, timeout/8)
+	return timeout - min(ses.server.limits.AnswerAllowance, timeout/8)
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/clients/query_test.go
+++ b/internal/clients/query_test.go
@@ -33,7 +33,7 @@
 
 // A query must be answered a little before its client gives up, so that the answer arrives in time.
 func TestAnswerWithin(t *testing.T) {
-	st := newServerTest(t, func(l *limits.Limits) { l.AnswerTime = 50 * time.Millisecond })
+	st := newServerTest(t, func(l *limits.Limits) { l.AnswerAllowance = 50 * time.Millisecond })
 	ses := newSession(st.server, nil)
 	for _, c := range []struct{ limitMS, want float64 }{{6000, 5950}, {400, 350}, {80, 70}, {0, 0}} {
 		if got := ses.answerWithin(c.limitMS); got != time.Duration(c.want*1e6) {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -85,7 +85,7 @@
 		}
 		if err != nil { // descriptors may be short, for as long as it takes until some are closed
 			s.log.Warn("accept failed", "why", err)
-			time.Sleep(s.limits.AcceptRetry)
+			time.Sleep(s.limits.AcceptRetryDelay)
 			continue
 		}
 		s.counts.connections.Add(1)
@@ -129,7 +129,7 @@
 func (s *Server) logBadClient(ses *session, why string) {
 	s.mu.Lock()
 	now := time.Now()
-	due := now.Sub(s.lastLogged) >= s.limits.LogEvery
+	due := now.Sub(s.lastLogged) >= s.limits.LogInterval
 	if due {
 		s.lastLogged = now
 	}
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -46,7 +46,7 @@
 
 func newSession(s *Server, conn net.Conn) *session {
 	now := time.Now()
-	r := bufio.NewReaderSize(conn, s.limits.ReadBytes)
+	r := bufio.NewReaderSize(conn, s.limits.ClientReadBufferBytes)
 	return &session{server: s, conn: conn, smallReader: r, reader: r, connectedAt: now, idleSince: now}
 }
 
@@ -55,7 +55,7 @@
 
 // run serves the session until it ends.
 func (ses *session) run() {
-	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.FirstTime))
+	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.FirstQueryTimeout))
 	if !ses.readStartUp() || ses.write(pgwire.AppendWelcome(nil, ses.key)) != nil {
 		return
 	}
@@ -87,7 +87,7 @@
 
 // reject tells a client that there is no room for it. One that came to cancel a query needs none.
 func (ses *session) reject() {
-	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.CloseTime))
+	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.ClientCloseTimeout))
 	if ses.readStartUp() {
 		ses.server.counts.rejected.Add(1)
 		ses.write(pgwire.AppendError(nil, true, pgwire.CodeTooMany, "too many connections"))
@@ -157,39 +157,39 @@
 	return ses.write(reply)
 }
 
-// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a query has
-// FirstTime for all that it does; one that has begun a message has MessageTime for the rest of it, and one
-// between two queries has IdleTime.
+// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a query
+// has FirstQueryTimeout for all that it does; one that has begun a message has ClientMessageTimeout for
+// the rest of it, and one between two queries has ClientIdleTimeout.
 func (ses *session) nextMessage() (kind byte, body []byte, size int, err error) {
 	l := ses.server.limits
 	if ses.reader != ses.smallReader && ses.reader.Buffered() == 0 {
 		ses.reader = ses.smallReader // so that clients that are idle don't keep large buffers
 	}
-	ses.setReadTimeout(l.IdleTime)
+	ses.setReadTimeout(l.ClientIdleTimeout)
 	if _, err = ses.reader.Peek(1); err != nil {
 		return 0, nil, 0, err
 	}
-	ses.setReadTimeout(l.MessageTime)
-	kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
+	ses.setReadTimeout(l.ClientMessageTimeout)
+	kind, body, size, err = pgwire.Peek(ses.reader, l.ClientMessageBytes)
 	if errors.Is(err, pgwire.ErrBuffer) {
 		ses.enlargeBuffer(size)
-		kind, body, size, err = pgwire.Peek(ses.reader, l.MessageBytes)
+		kind, body, size, err = pgwire.Peek(ses.reader, l.ClientMessageBytes)
 	}
 	return kind, body, size, err
 }
 
-// setReadTimeout sets by when the next reads must be done. A session that is being closed has CloseTime:
-// beginClose sets the flag and then its deadline, and this the deadline and then looks at the flag, so one of
-// the two sees the other.
+// setReadTimeout sets by when the next reads must be done. A session that is being closed has
+// ClientCloseTimeout: beginClose sets the flag and then its deadline, and this the deadline and then looks
+// at the flag, so one of the two sees the other.
 func (ses *session) setReadTimeout(timeout time.Duration) {
 	l := ses.server.limits
 	deadline := time.Now().Add(timeout)
-	if first := ses.connectedAt.Add(l.FirstTime); !ses.queried && first.Before(deadline) {
+	if first := ses.connectedAt.Add(l.FirstQueryTimeout); !ses.queried && first.Before(deadline) {
 		deadline = first
 	}
 	ses.conn.SetReadDeadline(deadline)
 	if ses.closing.Load() {
-		ses.conn.SetReadDeadline(time.Now().Add(l.CloseTime))
+		ses.conn.SetReadDeadline(time.Now().Add(l.ClientCloseTimeout))
 	}
 }
 
@@ -213,7 +213,7 @@
 	case errors.Is(err, pgwire.ErrTooLong):
 		c.tooLong.Add(1)
 		ses.endWithError(pgwire.CodeTooLong,
-			fmt.Sprintf("%s: holds %d bytes at most", what, ses.server.limits.MessageBytes))
+			fmt.Sprintf("%s: holds %d bytes at most", what, ses.server.limits.ClientMessageBytes))
 	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.reader.Buffered() > 0 || !ses.queried):
 		c.timedOut.Add(1) // with half a message or, if it never sent a query, with none
 		ses.endWithError(pgwire.CodeProtocol, what+": not whole in time")
@@ -226,9 +226,9 @@
 	ses.write(pgwire.AppendError(nil, true, code, why))
 }
 
-// write writes all parts at once, within WriteTime.
+// write writes all parts at once, within ClientWriteTimeout.
 func (ses *session) write(parts ...[]byte) error {
-	ses.conn.SetWriteDeadline(time.Now().Add(ses.server.limits.WriteTime))
+	ses.conn.SetWriteDeadline(time.Now().Add(ses.server.limits.ClientWriteTimeout))
 	buffers := net.Buffers(parts)
 	_, err := buffers.WriteTo(ses.conn)
 	return err
--- a/internal/clients/session_test.go
+++ b/internal/clients/session_test.go
@@ -39,7 +39,7 @@
 		{request.Answer{Verdict: request.Failed}, "E58000Z"},
 	} {
 		query := st.nextQuery()
-		timeLeft := 1500*time.Millisecond - st.server.limits.AnswerTime
+		timeLeft := 1500*time.Millisecond - st.server.limits.AnswerAllowance
 		statement := queryText[len(queryFields):]
 		if query.Tables != 17 || query.TimeLeft != timeLeft || string(query.Statement) != statement {
 			t.Errorf("took %+v", query)
@@ -141,10 +141,10 @@
 // and stay.
 func TestSilentClient(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) {
-		l.FirstTime = 40 * time.Millisecond
-		l.MessageTime = 30 * time.Millisecond
-		l.IdleTime = 60 * time.Millisecond
-		l.CloseTime = 0
+		l.FirstQueryTimeout = 40 * time.Millisecond
+		l.ClientMessageTimeout = 30 * time.Millisecond
+		l.ClientIdleTimeout = 60 * time.Millisecond
+		l.ClientCloseTimeout = 0
 	})
 	for _, c := range []struct {
 		name  string
@@ -171,7 +171,7 @@
 // not stay.
 func TestLongMessage(t *testing.T) {
 	st := newServerTest(t, nil)
-	long := queryText + strings.Repeat(" ", st.server.limits.MessageBytes/2)
+	long := queryText + strings.Repeat(" ", st.server.limits.ClientMessageBytes/2)
 	conn := st.connect(startMessage, queryMessage(long), queryMessage(queryText))
 	for _, want := range []string{long, queryText} {
 		query := st.nextQuery()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -168,7 +168,7 @@
 func NewWatcher(addr string, last uint64, names *settings.Names, l *limits.Limits, post func(Update),
 	log *slog.Logger) *Watcher {
 	return &Watcher{addr: addr, last: last, names: names, limits: l, post: post, log: log,
-		dialContext: new(net.Dialer).DialContext, told: time.Now().Add(l.FeedTold)}
+		dialContext: new(net.Dialer).DialContext, told: time.Now().Add(l.EndpointListExpiry)}
 }
 
 // Move has the list watched at another address, from the last update; the connection to the old one ends at once, as
@@ -180,7 +180,7 @@
 		return
 	}
 	w.addr, w.moved = addr, true
-	w.within(w.limits.FeedTold)
+	w.within(w.limits.EndpointListExpiry)
 	if w.conn != nil {
 		w.conn.Close()
 	}
@@ -202,14 +202,14 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if now := time.Now(); now.Sub(w.logged) >= w.limits.LogEvery {
+		if now := time.Now(); now.Sub(w.logged) >= w.limits.LogInterval {
 			w.logged = now
 			w.log.Warn("discovery connection ended", "why", err, "last", w.last)
 		}
 		w.expireIfDue()
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.limits.FeedRetry - time.Since(began)): // none after a connection that lasted
+		case <-time.After(w.limits.DiscoveryRetryDelay - time.Since(began)): // none after a connection that lasted
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	}
 	w.expired = true
 	w.log.Warn("nothing heard from discovery for too long: only engines that go on answering get queries")
-	w.post(Update{Expired: w.limits.FeedBroken})
+	w.post(Update{Expired: w.limits.EndpointListExpiryDisconnected})
 }
 
 // silence is until when nothing may come: no longer than the connection may be trusted or, the first time, than the
@@ -232,7 +232,7 @@
 func (w *Watcher) silence() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until := time.Now().Add(w.limits.FeedSilence)
+	until := time.Now().Add(w.limits.DiscoverySilenceTimeout)
 	if !w.expired && w.told.Before(until) {
 		return w.told
 	}
@@ -245,7 +245,7 @@
 	addr := w.addr
 	w.moved = false
 	w.mu.Unlock()
-	timeout := min(w.limits.ConnectTime, max(time.Millisecond, time.Until(w.silence())))
+	timeout := min(w.limits.ConnectTimeout, max(time.Millisecond, time.Until(w.silence())))
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := w.dialContext(ctx, "tcp", addr)
@@ -278,18 +278,18 @@
 		if w.conn = nil; w.moved {
 			err = errMoved
 		} else if !errors.Is(err, os.ErrDeadlineExceeded) {
-			w.within(w.limits.FeedBroken)
+			w.within(w.limits.EndpointListExpiryDisconnected)
 		}
 	}()
 	w.expireIfDue() // while it was dialled; a list that expires now does not cost the connection
-	conn.SetWriteDeadline(time.Now().Add(w.limits.FeedSilence))
+	conn.SetWriteDeadline(time.Now().Add(w.limits.DiscoverySilenceTimeout))
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, w.last)); err != nil {
 		return err
 	}
 	r := bufio.NewReader(conn)
 	for {
 		conn.SetReadDeadline(w.silence())
-		update, fresh, err := ReadFrame(r, w.limits.FrameBytes, w.names)
+		update, fresh, err := ReadFrame(r, w.limits.DiscoveryFrameBytes, w.names)
 		if err != nil {
 			return err
 		}
@@ -318,7 +318,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.moved {
-		w.told = time.Now().Add(w.limits.FeedTold)
+		w.told = time.Now().Add(w.limits.EndpointListExpiry)
 	}
 	return !w.moved
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -122,8 +122,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedSilence = time.Millisecond, 50*time.Millisecond
-		l.FeedTold, l.FeedBroken = 120*time.Millisecond, 110*time.Millisecond
+		l.DiscoveryRetryDelay, l.DiscoverySilenceTimeout = time.Millisecond, 50*time.Millisecond
+		l.EndpointListExpiry, l.EndpointListExpiryDisconnected = 120*time.Millisecond, 110*time.Millisecond
 		_, updates := network.watch(t, "feed", 4, l)
 		for _, c := range []struct {
 			name    string
@@ -148,7 +148,7 @@
 			conn.Close()
 		}
 		network.accept(t, "feed", 10) // and those after it stay unanswered
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{Expired: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			conn.Write(frame(10, 0))
@@ -166,13 +166,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedTold, l.FeedBroken = time.Millisecond, patience, 110*time.Millisecond
+		l.DiscoveryRetryDelay, l.EndpointListExpiry, l.EndpointListExpiryDisconnected = time.Millisecond, patience, 110*time.Millisecond
 		_, updates := network.watch(t, "feed", 4, l)
 		first := network.accept(t, "feed", 4)
 		network.late = true
 		first.Close()
 		conn := network.accept(t, "feed", 4)
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{Expired: l.EndpointListExpiryDisconnected})
 		conn.Write(change(5))
 		expect(t, updates, Update{No: 5})
 		if len(network.listening["feed"]) > 0 {
@@ -187,7 +187,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedSilence, l.FeedTold = 20*time.Millisecond, patience
+		l.DiscoverySilenceTimeout, l.EndpointListExpiry = 20*time.Millisecond, patience
 		_, updates := network.watch(t, "feed", 4, l)
 		silent := network.accept(t, "feed", 4)
 		silent.Write(change(5))
@@ -211,10 +211,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry, l.FeedTold, l.FeedSilence = time.Millisecond, 20*time.Millisecond, patience
+		l.DiscoveryRetryDelay, l.EndpointListExpiry, l.DiscoverySilenceTimeout = time.Millisecond, 20*time.Millisecond, patience
 		_, updates := network.watch(t, "feed", 10, l)
 		network.accept(t, "feed", 10).Close() // down
-		expect(t, updates, Update{Expired: l.FeedBroken})
+		expect(t, updates, Update{Expired: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			older := append(frame(9, kindNone), frame(9, kindWhole, record(1, 0, 0, 0))...)
--- a/internal/engines/answers_test.go
+++ b/internal/engines/answers_test.go
@@ -137,7 +137,7 @@
 // An engine answers an attempt again some milliseconds later, in the same way or in another. That must not
 // spoil what follows on the connection.
 func TestDuplicateAnswer(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 1 })
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 1 })
 	pt.start(newQuery("c1"), 1)
 	engine := pt.accept()
 	engine.expectQuery("c1")
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -14,8 +14,8 @@
 // Reasons for which a connection ends that are no errors of the network or the protocol.
 var (
 	errIdle           = errors.New("idle")
-	errPartialAnswer  = errors.New("the rest of an answer") // did not come within RestTime
-	errPingUnanswered = errors.New("no answer to a ping")   // within GiveUpTime
+	errPartialAnswer  = errors.New("the rest of an answer") // did not come within AnswerTimeout
+	errPingUnanswered = errors.New("no answer to a ping")   // within PingTimeout
 )
 
 // errClosedByEngine says that the engine ended the connection before an attempt was written.
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -24,14 +24,14 @@
 	defer c.mu.Unlock()
 	query := a.query
 	if !c.usable() || !c.usedIDs[query.ID].IsZero() || len(c.attempts) >= maxAttempts ||
-		c.queuedBytes+len(query.Statement) > c.pool.limits.QueueBytes {
+		c.queuedBytes+len(query.Statement) > c.pool.limits.EngineQueueBytes {
 		return false
 	}
 	c.sweepUsedIDs()
 	if len(c.attempts) == 0 {
 		c.heardAt = time.Now()
 	}
-	c.usedIDs[query.ID] = query.ReadAt.Add(query.TimeLeft + c.pool.limits.LateTime)
+	c.usedIDs[query.ID] = query.ReadAt.Add(query.TimeLeft + c.pool.limits.QueryIDReuseDelay)
 	c.attempts[query.ID] = a
 	c.attemptCount.Store(int32(len(c.attempts)))
 	timeout := max(minAttemptMS, time.Until(a.deadline).Milliseconds())
@@ -75,7 +75,7 @@
 		return
 	}
 	a.giveUpOutcome = outcome
-	a.giveUpBy = time.Now().Add(c.pool.limits.GiveUpTime)
+	a.giveUpBy = time.Now().Add(c.pool.limits.PingTimeout)
 	b := enginewire.AppendUndo(nil, a.query.ID)
 	if a.pages != nil {
 		b = enginewire.AppendForget(b, a.query.ID)
--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -42,7 +42,7 @@
 	defer c.mu.Unlock()
 	alarm := alarm{now: now, next: now.Add(maxReadWait)}
 	if c.idle() {
-		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdle)
+		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
 		if now.After(alarm.next) {
 			c.markEnded() // under the mutex, so that an attempt comes before it or goes over another connection
 			return dueWork{err: errIdle}
@@ -64,13 +64,13 @@
 // PingAfter while it owes something. mu is held.
 func (c *conn) checkAlive(alarm *alarm, partialSince time.Time) error {
 	l := c.pool.limits
-	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.RestTime)) {
+	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.AnswerTimeout)) {
 		return errPartialAnswer
 	}
 	if len(c.attempts) > 0 && c.pingedAt.IsZero() && alarm.passed(c.heardAt.Add(l.PingAfter)) {
 		c.ping(nil, keepaliveTag)
 	}
-	if !c.pingedAt.IsZero() && alarm.passed(c.pingedAt.Add(l.GiveUpTime)) {
+	if !c.pingedAt.IsZero() && alarm.passed(c.pingedAt.Add(l.PingTimeout)) {
 		return errPingUnanswered
 	}
 	return nil
--- a/internal/engines/conn_ping.go
+++ b/internal/engines/conn_ping.go
@@ -18,19 +18,19 @@
 	keepaliveTag = "k"
 )
 
-// checkHealth begins a health check, unless the connection has ended. It ends as TimedOut after GiveUpTime.
+// checkHealth begins a health check, unless the connection has ended. It ends as TimedOut after PingTimeout.
 func (c *conn) checkHealth(tag string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.usable() {
 		return false
 	}
-	c.healthChecks[tag] = time.Now().Add(c.pool.limits.GiveUpTime)
+	c.healthChecks[tag] = time.Now().Add(c.pool.limits.PingTimeout)
 	c.ping(nil, tag)
 	return true
 }
 
-// ping writes a ping behind b. If the engine sends nothing for GiveUpTime after it, the connection ends. mu
+// ping writes a ping behind b. If the engine sends nothing for PingTimeout after it, the connection ends. mu
 // is held.
 func (c *conn) ping(b []byte, tag string) {
 	if c.pingedAt.IsZero() {
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -14,7 +14,7 @@
 
 // run is the connection's goroutine: it dials, then serves until the connection ends.
 func (c *conn) run() {
-	dialer := net.Dialer{Timeout: c.pool.limits.ConnectTime, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: c.pool.limits.ConnectTimeout, KeepAlive: -1}
 	netConn, err := dialer.DialContext(c.ctx, "tcp", c.address)
 	if err != nil {
 		c.end(err, router.ConnectFailed)
@@ -37,7 +37,7 @@
 // answer is taken from the buffer only when it is whole, so a read that is broken off loses nothing.
 func (c *conn) serve(from *lookaheadConn) error {
 	l := c.pool.limits
-	r := bufio.NewReaderSize(from, l.LineBytes+l.PageBytes+len(lineEnd))
+	r := bufio.NewReaderSize(from, l.AnswerHeaderBytes+l.PageBytes+len(lineEnd))
 	var partialSince time.Time // since when the buffer holds a part of an answer; zero: it holds none
 	for c.ctx.Err() == nil {
 		now := time.Now()
@@ -47,7 +47,7 @@
 			return due.err
 		}
 		if len(due.write) > 0 {
-			err := c.flush(due.write, from, now.Add(l.EngineWrite))
+			err := c.flush(due.write, from, now.Add(l.EngineWriteTimeout))
 			if err == nil {
 				continue
 			}
@@ -56,7 +56,7 @@
 			}
 			// Answers that came ahead of the end still count: they are read, and then the end is.
 		}
-		answer, size, err := enginewire.Peek(r, l.LineBytes, l.PageBytes)
+		answer, size, err := enginewire.Peek(r, l.AnswerHeaderBytes, l.PageBytes)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			if r.Buffered() > 0 && partialSince.IsZero() {
 				partialSince = time.Now()
--- a/internal/engines/doc.go
+++ b/internal/engines/doc.go
@@ -33,12 +33,12 @@
 //
 // A query's id goes over one connection at most once, so that a late answer to an attempt that was given up
 // can't pass for that of the next one. The outcome of an attempt that is given up comes only when the
-// engine has answered a ping that follows the undo, or had GiveUpTime to. So a retry can't reach its engine
+// engine has answered a ping that follows the undo, or had PingTimeout to. So a retry can't reach its engine
 // before the undo has reached the other one.
 //
 // # Bounds
 //
-// The pool holds EngineConns connections at most. Attempts share one only where there may be no other: a
+// The pool holds EngineConnections connections at most. Attempts share one only where there may be no other: a
 // connection that breaks takes all of its attempts with it. What waits to be written to a connection, and
 // what a result holds, is bounded by limits.Limits; at a bound the attempt goes over another connection, or
 // ends as NotSent.
--- a/internal/engines/keepalive_test.go
+++ b/internal/engines/keepalive_test.go
@@ -12,7 +12,7 @@
 // goes over a new connection, and as that does not come up it never ran. When the engine speaks again its
 // connection is used again.
 func TestSilentEngine(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.GiveUpTime = 20 * time.Millisecond })
+	pt := newPoolTest(t, func(l *limits.Limits) { l.PingTimeout = 20 * time.Millisecond })
 	query := newQuery("c1")
 	pt.start(query, 0)
 	engine := pt.accept()
@@ -33,10 +33,10 @@
 func TestDeadConnection(t *testing.T) {
 	for _, says := range []string{"", "c1 ACK parts=1 6\r\na\tb", "c1 ACK par"} {
 		pt := newPoolTest(t, func(l *limits.Limits) {
-			l.EngineConns = 1
+			l.EngineConnections = 1
 			l.PingAfter = 20 * time.Millisecond
-			l.GiveUpTime = 30 * time.Millisecond
-			l.RestTime = 10 * time.Millisecond
+			l.PingTimeout = 30 * time.Millisecond
+			l.AnswerTimeout = 10 * time.Millisecond
 		})
 		pt.start(newQuery("c1"), 1)
 		pt.start(newQuery("c2"), 1)
--- a/internal/engines/placement.go
+++ b/internal/engines/placement.go
@@ -38,7 +38,7 @@
 	if p.listExpired && !slices.ContainsFunc(e.conns, (*conn).connected) {
 		return false
 	}
-	return int(p.openConns.Load()) < p.limits.EngineConns || first && p.evictIdle()
+	return int(p.openConns.Load()) < p.limits.EngineConnections || first && p.evictIdle()
 }
 
 // dial begins a connection, which a goroutine of its own runs.
@@ -54,14 +54,14 @@
 	return c
 }
 
-// evictIdle ends the connection that has been idle for the longest time, so that an engine without one can be
-// reached though there are more engines than connections. Connections that carry an attempt, wait for the
-// answer to a ping or were used within SpareTime stay. While the endpoint list has expired none is evicted,
-// by mayDial: an open connection is what shows that the same process is still there.
+// evictIdle ends the connection that has been idle for the longest time, so that an engine without one can
+// be reached though there are more engines than connections. Connections that carry an attempt, wait for
+// the answer to a ping or were used within MinIdleBeforeEviction stay. While the endpoint list has expired
+// none is evicted, by mayDial: an open connection is what shows that the same process is still there.
 func (p *Pool) evictIdle() bool {
 	var longest *conn
 	var longestSince time.Time
-	usedBefore := time.Now().Add(-p.limits.SpareTime)
+	usedBefore := time.Now().Add(-p.limits.MinIdleBeforeEviction)
 	for _, e := range p.engines {
 		for _, c := range e.conns {
 			since, idle := c.idleSince()
@@ -80,7 +80,9 @@
 
 // connectionShare is how many connections an engine may have so that each of its attempts has its own. A
 // quarter is kept back, for engines that come new and for queries that all connections have carried.
-func (p *Pool) connectionShare() int { return max(1, p.limits.EngineConns*3/4/max(1, p.readyEngines)) }
+func (p *Pool) connectionShare() int {
+	return max(1, p.limits.EngineConnections*3/4/max(1, p.readyEngines))
+}
 
 // trim closes idle connections above an engine's share, which falls as engines come, and all idle ones of an
 // engine that gets no attempts.
--- a/internal/engines/placement_test.go
+++ b/internal/engines/placement_test.go
@@ -14,7 +14,7 @@
 // One malformed answer ends all attempts of its connection, so they share one only where there may be no
 // other.
 func TestAttemptsShareConnectionsOnlyAtLimit(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 3 }) // of which one is kept back
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 3 }) // of which one is kept back
 	var peers []*fakeEngine
 	for i := range 2 {
 		id := fmt.Sprint("c", i)
@@ -41,7 +41,7 @@
 // An engine joins while another holds all connections that there may be. The idle ones above the other's
 // share are closed, and the new engine gets its own.
 func TestNewEngineGetsConnections(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 8 })
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 8 })
 	for i := range 8 {
 		pt.start(newQuery(fmt.Sprint("c", i)), router.AttemptID(i))
 	}
@@ -65,7 +65,7 @@
 // longest time is closed. Never one that carries an attempt, waits for the answer to a ping or was used just
 // now, and none while the endpoint list has expired.
 func TestMoreEnginesThanConnections(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns, l.SpareTime = 4, 0 })
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections, l.MinIdleBeforeEviction = 4, 0 })
 	dial := pt.listener.Addr().String()
 	var list []Endpoint
 	for i := range 12 {
@@ -97,10 +97,10 @@
 	}
 	busy.answer("c0", "ACK", "-", "")
 	pt.expectEnd(0, router.Succeeded)
-	pt.pool.limits.SpareTime = time.Hour // all were of use just now
+	pt.pool.limits.MinIdleBeforeEviction = time.Hour // all were of use just now
 	pt.pool.StartAttempt(newQuery("d"), 20, "e2", time.Minute, 0)
 	pt.expectEnd(20, router.NotSent)
-	pt.pool.limits.SpareTime = 0
+	pt.pool.limits.MinIdleBeforeEviction = 0
 	pt.pool.SetExpired(true)
 	pt.pool.StartAttempt(newQuery("e"), 21, "e3", time.Minute, 0)
 	pt.expectEnd(21, router.NotSent)
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -114,10 +114,10 @@
 	p.lostConns.Add(1)
 	p.logMu.Lock()
 	now := time.Now()
-	due := now.Sub(p.lastLogged[id]) >= p.limits.LogEvery
+	due := now.Sub(p.lastLogged[id]) >= p.limits.LogInterval
 	if due {
 		maps.DeleteFunc(p.lastLogged, func(_ router.EngineID, at time.Time) bool {
-			return now.Sub(at) >= p.limits.LogEvery
+			return now.Sub(at) >= p.limits.LogInterval
 		})
 		p.lastLogged[id] = now
 	}
--- a/internal/engines/pool_test.go
+++ b/internal/engines/pool_test.go
@@ -171,14 +171,14 @@
 
 // At a limit of connections or of bytes an attempt ends as one that was never sent.
 func TestAttemptNotSentAtLimits(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConns = 1 })
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 1 })
 	query := newQuery("c1")
 	pt.start(query, 0)
 	pt.accept().expectQuery("c1")
 	pt.start(query, 1) // needs a second connection
 	pt.expectEnd(1, router.NotSent)
 	big := newQuery("c2")
-	big.Statement = make([]byte, pt.pool.limits.QueueBytes+1)
+	big.Statement = make([]byte, pt.pool.limits.EngineQueueBytes+1)
 	pt.start(big, 2)
 	pt.expectEnd(2, router.NotSent)
 }
--- a/internal/engines/result.go
+++ b/internal/engines/result.go
@@ -19,7 +19,7 @@
 		return nil, nil
 	}
 	if answer.Word == enginewire.OK {
-		if a.pages != nil || answer.Parts > c.pool.limits.Pages {
+		if a.pages != nil || answer.Parts > c.pool.limits.ResultPages {
 			return nil, enginewire.ErrMalformed
 		}
 		a.pages = make([][]byte, max(1, answer.Parts))
--- a/internal/engines/write_test.go
+++ b/internal/engines/write_test.go
@@ -133,7 +133,7 @@
 		c, from, _ := pt.idleConn()
 		a := &attempt{query: newQuery("c1"), deadline: time.Now().Add(time.Minute)}
 		taken := true
-		c.lastUsed = time.Now().Add(-2 * pt.pool.limits.EngineIdle)
+		c.lastUsed = time.Now().Add(-2 * pt.pool.limits.EngineIdleTimeout)
 		if first == "put" {
 			taken = c.add(a, 100)
 		}
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -66,7 +66,7 @@
 // Child writes snapshots until it is killed, and a line with the generation to out for each that was kept.
 func Child(folder string, out io.Writer) error {
 	l := limits.For(64, 64, 0, 0, 0)
-	l.MemoryRate, l.MemoryRest, l.MemoryPart = 1<<30, 50*time.Microsecond, 64
+	l.SnapshotBytesPerSecond, l.SnapshotPartPause, l.SnapshotPartRecords = 1<<30, 50*time.Microsecond, 64
 	lines := make(chan int64, 1000)
 	t := newTeacher(func(n int64) { lines <- n })
 	k := memory.StartSnapshotWriter(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -22,7 +22,7 @@
 // Serve relays until ctx ends. Profiles are named by the commands' verbs, in this order.
 func Serve(ctx context.Context, listener net.Listener, dial string, verbs []string, l *limits.Limits) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	events, taken := make(chan any, l.Inbox), make(chan clients.QueryArrived, l.Inbox)
+	events, taken := make(chan any, l.EventQueueLength), make(chan clients.QueryArrived, l.EventQueueLength)
 	names := &settings.Names{Classes: map[string]router.ClassID{}}
 	for i, verb := range verbs {
 		names.Classes[verb] = router.ClassID(i)
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	l := limits.For(daemon.DescriptorLimit(), daemon.Memory, facts.Connections.ConnectTimeout, facts.Connections.IdleTimeout, daemon.Deadline)
-	loop := controller.New(facts.NewRouter(seed), controller.SystemClock(), l.Inbox, 0)
+	loop := controller.New(facts.NewRouter(seed), controller.SystemClock(), l.EventQueueLength, 0)
 	loop.SetEngines(engines.New(l, facts.Connections.AttemptsPerConnection, loop.PostEngineEvent, log))
 	go loop.Run(ctx)
 	follower := discovery.NewWatcher(feed.addr(), 0, &facts.Names, l, loop.PostEndpoints, log)
@@ -254,7 +254,7 @@
 
 // discovery measures lists and changes by their engines.
 func (b *bench) discovery(ctx context.Context) (rows []slope.Row, err error) {
-	bound := float64(limits.For(daemon.DescriptorLimit(), daemon.Memory, 0, 0, 0).FrameBytes)
+	bound := float64(limits.For(daemon.DescriptorLimit(), daemon.Memory, 0, 0, 0).DiscoveryFrameBytes)
 	for _, c := range changes {
 		row := func(cost, unit string, budget float64, note string) slope.Row {
 			return slope.Row{Role: controllerRole, Cost: "discovery: " + cost, Unit: unit, Per: "engines", Condition: c.name,
--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -10,38 +10,38 @@
 	memoryPercent = 60
 
 	// sessionBytes is the memory of one connection between queries: its goroutine, buffer and
-	// bookkeeping. Results are held by few connections at a time: those whose pages have arrived
+	// bookkeeping. Results are held by few connections at a time: those whose resultPages have arrived
 	// and whose client is reading.
 	sessionBytes = 24 << 10
 
 	// Of descriptorShares parts of the descriptors, clients have 21, closing connections 1, engines
 	// 12. The rest is for discovery, the listener, the log and files.
-	descriptorShares   = 40
-	clientShares       = 21
-	closingConnsShares = 1
-	engineConnsShares  = 12
+	descriptorShares         = 40
+	clientShares             = 21
+	closingConnectionsShares = 1
+	engineConnectionsShares  = 12
 )
 
 // Sizes in bytes, and counts.
 const (
-	messageBytes = 32 << 10
-	readBytes    = 2 << 10
-	closeBytes   = 256 << 10
-
-	lineBytes   = 2 << 10
-	pageBytes   = 6000
-	pages       = 256
-	resultBytes = 48_000
-	queueBytes  = 1 << 20
-
-	frameBytes = 1 << 20
-	inbox      = 1024
-
-	snapshotRecords  = 256
-	snapshotRate     = 128 << 10 // a second
-	sectionBytes     = 256 << 10
-	snapshotSections = 1024
-	maxSnapshotBytes = 8 << 20 // ten thousand table groups take 0.4 MB
+	clientMessageBytes    = 32 << 10
+	clientReadBufferBytes = 2 << 10
+	clientDrainBytes      = 256 << 10
+
+	answerHeaderBytes = 2 << 10
+	pageBytes         = 6000
+	resultPages       = 256
+	resultBytes       = 48_000
+	engineQueueBytes  = 1 << 20
+
+	discoveryFrameBytes = 1 << 20
+	eventQueueLength    = 1024
+
+	snapshotPartRecords    = 256
+	snapshotBytesPerSecond = 128 << 10
+	snapshotSectionBytes   = 256 << 10
+	snapshotSections       = 1024
+	maxSnapshotFileBytes   = 8 << 20 // ten thousand table groups take 0.4 MB
 )
 
 // Times.
@@ -53,35 +53,35 @@
 	// maxDrain is how long a graceful shutdown waits for queries at most, whatever their clients'
 	// timeouts. After it, or the longest timeout, the last answers and the end of the process have
 	// a margin.
-	maxDrain     = 3 * time.Second
-	answerMargin = 300 * time.Millisecond
-	endMargin    = 600 * time.Millisecond
-	quietPeriod  = 800 * time.Millisecond
-
-	acceptRetry       = 5 * time.Millisecond
-	firstQueryTimeout = 2 * time.Second
-	messageTimeout    = 2 * time.Second
-	clientIdleTimeout = 5 * time.Second
-	newConnGrace      = 50 * time.Millisecond
-	writeTimeout      = 2 * time.Second
-	answerAllowance   = 60 * time.Millisecond
-	closeTimeout      = 300 * time.Millisecond
-	earlyCancel       = 100 * time.Millisecond
+	maxDrain         = 3 * time.Second
+	answerMargin     = 300 * time.Millisecond
+	endMargin        = 600 * time.Millisecond
+	drainQuietPeriod = 800 * time.Millisecond
+
+	acceptRetryDelay     = 5 * time.Millisecond
+	firstQueryTimeout    = 2 * time.Second
+	clientMessageTimeout = 2 * time.Second
+	clientIdleTimeout    = 5 * time.Second
+	newConnectionGrace   = 50 * time.Millisecond
+	clientWriteTimeout   = 2 * time.Second
+	answerAllowance      = 60 * time.Millisecond
+	clientCloseTimeout   = 300 * time.Millisecond
+	earlyCancelWindow    = 100 * time.Millisecond
 
 	engineWriteTimeout = time.Second
-	queryIDRest        = 2 * time.Second
+	queryIDReuseDelay  = 2 * time.Second
 
-	discoverySilence = 1600 * time.Millisecond
-	listExpiry       = 4 * time.Second
-	listExpiryBroken = 2 * time.Second
-	discoveryRetry   = 50 * time.Millisecond
+	discoverySilenceTimeout        = 1600 * time.Millisecond
+	endpointListExpiry             = 4 * time.Second
+	endpointListExpiryDisconnected = 2 * time.Second
+	discoveryRetryDelay            = 50 * time.Millisecond
 
 	configReadTimeout = 2 * time.Second
 	logInterval       = time.Second
 
-	snapshotPause        = 2 * time.Millisecond
-	snapshotMaxRetry     = time.Minute
-	snapshotsReadTimeout = 500 * time.Millisecond
+	snapshotPartPause     = 2 * time.Millisecond
+	snapshotMaxRetryDelay = time.Minute
+	snapshotReadTimeout   = 500 * time.Millisecond
 )
 
 // For returns the limits of a controller that is granted so many descriptors and so much memory in
@@ -100,70 +100,70 @@
 	}
 	memory := memoryMB << 20 * memoryPercent / 100
 	l := &Limits{
-		Inbox:       inbox,
-		ReadTime:    configReadTimeout,
-		LogEvery:    logInterval,
-		StopTime:    longest + answerMargin,
-		EndTime:     longest + endMargin,
-		StopQuiet:   quietPeriod,
-		MemoryBytes: int64(memory),
+		EventQueueLength:   eventQueueLength,
+		ConfigReadTimeout:  configReadTimeout,
+		LogInterval:        logInterval,
+		DrainTimeout:       longest + answerMargin,
+		ShutdownTimeout:    longest + endMargin,
+		DrainQuietPeriod:   drainQuietPeriod,
+		RuntimeMemoryBytes: int64(memory),
 	}
-	l.setClients(descriptors, memory)
-	l.setEngines(descriptors, memory, connect, idle)
-	l.setDiscovery()
-	l.setSnapshots(memory)
+	l.setClientLimits(descriptors, memory)
+	l.setEngineLimits(descriptors, memory, connect, idle)
+	l.setDiscoveryLimits()
+	l.setSnapshotLimits(memory)
 	return l
 }
 
-func (l *Limits) setClients(descriptors, memory int) {
-	l.Connections = min(descriptors*clientShares/descriptorShares, memory/2/sessionBytes)
-	l.ClosingConns = descriptors * closingConnsShares / descriptorShares
-	l.MessageBytes = messageBytes
-	l.ReadBytes = readBytes
-	l.CloseBytes = closeBytes
-	l.AcceptRetry = acceptRetry
-	l.FirstTime = firstQueryTimeout
-	l.MessageTime = messageTimeout
-	l.IdleTime = clientIdleTimeout
-	l.FreshTime = newConnGrace
-	l.WriteTime = writeTimeout
-	l.AnswerTime = answerAllowance
-	l.CloseTime = closeTimeout
-	l.CancelTime = earlyCancel
+func (l *Limits) setClientLimits(descriptors, memory int) {
+	l.ClientConnections = min(descriptors*clientShares/descriptorShares, memory/2/sessionBytes)
+	l.ClosingConnections = descriptors * closingConnectionsShares / descriptorShares
+	l.ClientMessageBytes = clientMessageBytes
+	l.ClientReadBufferBytes = clientReadBufferBytes
+	l.ClientDrainBytes = clientDrainBytes
+	l.AcceptRetryDelay = acceptRetryDelay
+	l.FirstQueryTimeout = firstQueryTimeout
+	l.ClientMessageTimeout = clientMessageTimeout
+	l.ClientIdleTimeout = clientIdleTimeout
+	l.NewConnectionGrace = newConnectionGrace
+	l.ClientWriteTimeout = clientWriteTimeout
+	l.AnswerAllowance = answerAllowance
+	l.ClientCloseTimeout = clientCloseTimeout
+	l.EarlyCancelWindow = earlyCancelWindow
 }
 
-func (l *Limits) setEngines(descriptors, memory int, connect, idle time.Duration) {
-	l.EngineConns = min(descriptors*engineConnsShares/descriptorShares, memory/4/sessionBytes)
-	l.LineBytes = lineBytes
+func (l *Limits) setEngineLimits(descriptors, memory int, connect, idle time.Duration) {
+	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares, memory/4/sessionBytes)
+	l.AnswerHeaderBytes = answerHeaderBytes
 	l.PageBytes = pageBytes
-	l.Pages = pages
+	l.ResultPages = resultPages
 	l.ResultBytes = resultBytes
-	l.QueueBytes = queueBytes
-	l.EngineWrite = engineWriteTimeout
-	l.ConnectTime = connect
-	l.EngineIdle = idle / 2
-	l.SpareTime = connect
-	l.GiveUpTime = connect
+	l.EngineQueueBytes = engineQueueBytes
+	l.EngineWriteTimeout = engineWriteTimeout
+	l.ConnectTimeout = connect
+	l.EngineIdleTimeout = idle / 2
+	l.MinIdleBeforeEviction = connect
+	l.PingTimeout = connect
 	l.PingAfter = connect
-	l.RestTime = connect
-	l.LateTime = queryIDRest
+	l.AnswerTimeout = connect
+	l.QueryIDReuseDelay = queryIDReuseDelay
 }
 
-func (l *Limits) setDiscovery() {
-	l.FrameBytes = frameBytes
-	l.FeedSilence = discoverySilence
-	l.FeedTold = listExpiry
-	l.FeedBroken = listExpiryBroken
-	l.FeedRetry = discoveryRetry
+func (l *Limits) setDiscoveryLimits() {
+	l.DiscoveryFrameBytes = discoveryFrameBytes
+	l.DiscoverySilenceTimeout = discoverySilenceTimeout
+	l.EndpointListExpiry = endpointListExpiry
+	l.EndpointListExpiryDisconnected = endpointListExpiryDisconnected
+	l.DiscoveryRetryDelay = discoveryRetryDelay
 }
 
-func (l *Limits) setSnapshots(memory int) {
-	l.MemoryPart = snapshotRecords
-	l.MemoryRest = snapshotPause
-	l.MemoryRate = snapshotRate
-	l.MemoryRetry = snapshotMaxRetry
-	l.MemoryRead = snapshotsReadTimeout
-	l.MemorySection = sectionBytes
-	l.MemorySections = snapshotSections
-	l.MemoryFile = min(maxSnapshotBytes, int64(memory/12))
+func (l *Limits) setSnapshotLimits(memory int) {
+	l.SnapshotPartRecords = snapshotPartRecords
+	l.SnapshotPartPause = snapshotPartPause
+	l.SnapshotBytesPerSecond = snapshotBytesPerSecond
+	l.SnapshotMaxRetryDelay = snapshotMaxRetryDelay
+	l.SnapshotReadTimeout = snapshotReadTimeout
+	l.SnapshotSectionBytes = snapshotSectionBytes
+	l.SnapshotSections = snapshotSections
+	l.SnapshotFileBytes = min(maxSnapshotFileBytes, int64(memory/12))
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -12,11 +12,11 @@
 	for descriptors := 64; descriptors <= 1<<16; descriptors += descriptors/7 + 1 {
 		for _, memoryMB := range []int{32, 192, 4096} {
 			l := For(descriptors, memoryMB, 0, 0, 0)
-			if held := l.Connections + l.ClosingConns + l.EngineConns; descriptors-held < own {
+			if held := l.ClientConnections + l.ClosingConnections + l.EngineConnections; descriptors-held < own {
 				t.Errorf("of %d descriptors %d are handed out", descriptors, held)
 			}
-			if l.Connections <= descriptors/3 && memoryMB == 4096 {
-				t.Errorf("of %d descriptors %d for clients, who may hold a third", descriptors, l.Connections)
+			if l.ClientConnections <= descriptors/3 && memoryMB == 4096 {
+				t.Errorf("of %d descriptors %d for clients, who may hold a third", descriptors, l.ClientConnections)
 			}
 		}
 	}
--- a/internal/memory/block.go
+++ b/internal/memory/block.go
@@ -24,8 +24,8 @@
 	// alone. It is created if its parent exists. Required.
 	Folder string
 	// Interval is the time between two snapshots, longer where they are large
-	// (limits.Limits.MemoryRate). From 100 ms to 1 h, default 5 s; zero can't be set. The field is
-	// called "pace" in the file.
+	// (limits.Limits.SnapshotBytesPerSecond). From 100 ms to 1 h, default 5 s; zero can't be set.
+	// The field is called "pace" in the file.
 	Interval time.Duration
 }
 
--- a/internal/memory/load.go
+++ b/internal/memory/load.go
@@ -43,7 +43,11 @@
 
 // FileBounds returns the bounds of a snapshot's file.
 func FileBounds(l *limits.Limits) snapshots.Bounds {
-	return snapshots.Bounds{Section: l.MemorySection, Sections: l.MemorySections, File: l.MemoryFile}
+	return snapshots.Bounds{
+		Section:  l.SnapshotSectionBytes,
+		Sections: l.SnapshotSections,
+		File:     l.SnapshotFileBytes,
+	}
 }
 
 // Load reads the newest snapshot that is whole or, if none is, the newest of which some records can
@@ -104,8 +108,8 @@
 }
 
 // LoadWithTimeout reads the directory of a controller that starts, and logs what can't be used. It
-// returns nil if there is nothing to be restored, or if the disk takes longer than MemoryRead: a
-// disk that hangs must not keep a controller from serving.
+// returns nil if there is nothing to be restored, or if the disk takes longer than
+// SnapshotReadTimeout: a disk that hangs must not keep a controller from serving.
 func LoadWithTimeout(d disk.Disk, l *limits.Limits, log *slog.Logger) *StoredSnapshot {
 	type loaded struct {
 		stored  *StoredSnapshot
@@ -117,11 +121,11 @@
 		stored, results, err := Load(d, FileBounds(l))
 		reply <- loaded{stored, results, err}
 	}()
-	timer := time.NewTimer(l.MemoryRead)
+	timer := time.NewTimer(l.SnapshotReadTimeout)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		log.Warn("snapshot not read in time, starting without statistics", "after", l.MemoryRead)
+		log.Warn("snapshot not read in time, starting without statistics", "after", l.SnapshotReadTimeout)
 		return nil
 	case found := <-reply:
 		logResults(found.results, found.err, log)
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -136,11 +136,11 @@
 		want     time.Duration
 	}{
 		{0, 0, time.Second},
-		{0, int64(testLimits.MemoryRate) / 2, time.Second},
-		{0, int64(testLimits.MemoryRate) * 7, 7 * time.Second},
+		{0, int64(testLimits.SnapshotBytesPerSecond) / 2, time.Second},
+		{0, int64(testLimits.SnapshotBytesPerSecond) * 7, 7 * time.Second},
 		{1, 0, 2 * time.Second},
 		{3, 0, 8 * time.Second},
-		{40, 0, testLimits.MemoryRetry},
+		{40, 0, testLimits.SnapshotMaxRetryDelay},
 	} {
 		if got := w.nextDelay(c.failures, c.size); got != c.want {
 			t.Errorf("%d failures, %d bytes: %v", c.failures, c.size, got)
@@ -156,7 +156,7 @@
 // and writing goes on once the disk is back.
 func TestWritingResumesAfterDiskFailures(t *testing.T) {
 	l := *testLimits
-	l.MemoryRetry = time.Millisecond
+	l.SnapshotMaxRetryDelay = time.Millisecond
 	for name, fault := range map[string]struct{ begins, ends func(*disktest.Disk) }{
 		"full": {func(d *disktest.Disk) { d.Fill(10) }, func(d *disktest.Disk) { d.Fill(-1) }},
 		"fails": {
@@ -196,7 +196,7 @@
 	stop(t, w)
 	release := d.Hang()
 	l := *testLimits
-	l.MemoryRead = 10 * time.Millisecond
+	l.SnapshotReadTimeout = 10 * time.Millisecond
 	if stored := LoadWithTimeout(d, &l, quiet); stored != nil {
 		t.Error("something was read of a disk that hangs")
 	}
@@ -233,7 +233,7 @@
 // is there, and takes over once the first has stopped.
 func TestSecondProcessTakesOver(t *testing.T) {
 	l := *testLimits
-	l.MemoryRetry = time.Millisecond
+	l.SnapshotMaxRetryDelay = time.Millisecond
 	d := disktest.New()
 	one := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
 	until(t, "the first has the folder", func() bool { return one.written.Load() > 0 })
@@ -407,7 +407,7 @@
 // Failures are counted, and a directory that can be created later is used.
 func TestDirectoriesOfTheFileSystem(t *testing.T) {
 	l := *testLimits
-	l.MemoryRetry = time.Millisecond
+	l.SnapshotMaxRetryDelay = time.Millisecond
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -1,7 +1,8 @@
 package memory
 
-// A rename or a reordering of fields can change the format of the memory folder without any other test failing: both
-// ends of a test are of one build. These tests read a folder that an earlier build wrote.
+// A rename or a reordering of fields can change the format of the memory folder without any other
+// test failing: both ends of a test are of one build. These tests read a folder that an earlier
+// build wrote.
 
 import (
 	"encoding/json"
@@ -24,7 +25,8 @@
 	storedTaken  = 1_700_000_000_500.0 // ms since 1970
 )
 
-// storedStatistics holds each kind of record, with every field set and figures that the format holds exactly.
+// storedStatistics holds each kind of record, with every field set and figures that the format
+// holds exactly.
 func storedStatistics() router.Statistics {
 	return router.Statistics{
 		Engines: []router.EngineStatistics{
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -170,18 +170,18 @@
 }
 
 // nextDelay is the time until the next snapshot, after so many failures in a row and a snapshot of
-// so many bytes. A large snapshot makes it longer, so that no more than MemoryRate is written on
-// average. Each failure doubles it up to MemoryRetry: a disk that is full or gone is tried as long
-// as the process lives.
+// so many bytes. A large snapshot makes it longer, so that no more than SnapshotBytesPerSecond is
+// written on average. Each failure doubles it up to SnapshotMaxRetryDelay: a disk that is full or
+// gone is tried as long as the process lives.
 func (w *SnapshotWriter) nextDelay(failures int, size int64) time.Duration {
 	interval := time.Duration(w.interval.Load())
-	bySize := time.Duration(float64(size) / float64(w.limits.MemoryRate) * float64(time.Second))
+	bySize := time.Duration(float64(size) / float64(w.limits.SnapshotBytesPerSecond) * float64(time.Second))
 	delay := max(interval, bySize)
 	if failures == 0 {
 		return delay
 	}
 	backoff := delay << min(failures, maxBackoffDoublings)
-	return max(interval, min(backoff, w.limits.MemoryRetry))
+	return max(interval, min(backoff, w.limits.SnapshotMaxRetryDelay))
 }
 
 // writeSnapshot writes a snapshot and logs if that fails, or succeeds after failures.
@@ -268,7 +268,7 @@
 	}
 	part := Part{More: true}
 	for part.More {
-		part, err = w.source.Statistics(w.ctx, part.Next, w.limits.MemoryPart)
+		part, err = w.source.Statistics(w.ctx, part.Next, w.limits.SnapshotPartRecords)
 		if err != nil {
 			return 0, err
 		}
@@ -285,7 +285,7 @@
 
 // pause leaves the event loop to its queries between two parts.
 func (w *SnapshotWriter) pause() {
-	timer := time.NewTimer(w.limits.MemoryRest)
+	timer := time.NewTimer(w.limits.SnapshotPartPause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
