--- a/internal/discovery/expiry.go
+++ b/internal/discovery/expiry.go
@@ -19,7 +19,7 @@
 	}
 	w.expired = true
 	w.log.Warn("nothing heard from discovery for too long: only engines that go on answering get queries")
-	w.report(Update{ExpiredFor: w.limits.FeedBroken})
+	w.report(Update{ExpiredFor: w.limits.EndpointListExpiryDisconnected})
 }
 
 // readDeadline is until when nothing may be received: no longer than a silent connection is trusted and,
@@ -27,7 +27,7 @@
 func (w *Watcher) readDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	deadline := time.Now().Add(w.limits.FeedSilence)
+	deadline := time.Now().Add(w.limits.DiscoverySilenceTimeout)
 	if !w.expired && w.expiresAt.Before(deadline) {
 		return w.expiresAt
 	}
@@ -42,6 +42,6 @@
 	if w.addressChanged {
 		return false
 	}
-	w.expiresAt = time.Now().Add(w.limits.FeedTold)
+	w.expiresAt = time.Now().Add(w.limits.EndpointListExpiry)
 	return true
 }
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -27,18 +27,18 @@
 // logConnectionEnd logs that a connection ended, unless one was logged just now.
 func (w *Watcher) logConnectionEnd(err error) {
 	now := time.Now()
-	if now.Sub(w.lastLogged) >= w.limits.LogEvery {
+	if now.Sub(w.lastLogged) >= w.limits.LogInterval {
 		w.lastLogged = now
 		w.log.Warn("discovery connection ended", "why", err, "last", w.lastNumber)
 	}
 }
 
-// backOff waits until FeedRetry has passed since the last connection was begun: not at all after one that
+// backOff waits until DiscoveryRetryDelay has passed since the last connection was begun: not at all after one that
 // lasted. The wait does not grow, as the list soon expires without a connection.
 func (w *Watcher) backOff(ctx context.Context, connectedAt time.Time) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(w.limits.FeedRetry - time.Since(connectedAt)):
+	case <-time.After(w.limits.DiscoveryRetryDelay - time.Since(connectedAt)):
 	}
 }
 
@@ -48,7 +48,7 @@
 	address := w.address
 	w.addressChanged = false
 	w.mu.Unlock()
-	timeout := min(w.limits.ConnectTime, max(minDialTimeout, time.Until(w.readDeadline())))
+	timeout := min(w.limits.ConnectTimeout, max(minDialTimeout, time.Until(w.readDeadline())))
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := w.dialContext(ctx, "tcp", address)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -26,14 +26,14 @@
 // returns the reason of.
 func (w *Watcher) readUpdates(conn net.Conn) error {
 	w.expireIfDue() // it may have become due while dialling; that does not cost the connection
-	conn.SetWriteDeadline(time.Now().Add(w.limits.FeedSilence))
+	conn.SetWriteDeadline(time.Now().Add(w.limits.DiscoverySilenceTimeout))
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, w.lastNumber)); err != nil {
 		return err
 	}
 	r := bufio.NewReader(conn)
 	for {
 		conn.SetReadDeadline(w.readDeadline())
-		update, changed, err := ReadFrame(r, w.limits.FrameBytes, w.names)
+		update, changed, err := ReadFrame(r, w.limits.DiscoveryFrameBytes, w.names)
 		if err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 }
 
 // disconnect closes a connection that ended with err, and returns why it did. A break brings the expiry of
-// the list nearer; silence does not, as that is what FeedTold is about.
+// the list nearer; silence does not, as that is what EndpointListExpiry is about.
 func (w *Watcher) disconnect(conn net.Conn, err error) error {
 	conn.Close()
 	w.mu.Lock()
@@ -79,7 +79,7 @@
 		return errAddressChanged
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		w.expireWithin(w.limits.FeedBroken)
+		w.expireWithin(w.limits.EndpointListExpiryDisconnected)
 	}
 	return err
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -126,10 +126,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry = time.Millisecond
-		l.FeedSilence = 50 * time.Millisecond
-		l.FeedTold = 120 * time.Millisecond
-		l.FeedBroken = 110 * time.Millisecond
+		l.DiscoveryRetryDelay = time.Millisecond
+		l.DiscoverySilenceTimeout = 50 * time.Millisecond
+		l.EndpointListExpiry = 120 * time.Millisecond
+		l.EndpointListExpiryDisconnected = 110 * time.Millisecond
 		_, updates := network.follow(t, "feed", 4, l)
 		for _, c := range []struct {
 			name    string
@@ -155,7 +155,7 @@
 			conn.Close()
 		}
 		network.accept(t, "feed", 10) // and those after it stay unanswered
-		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			conn.Write(frame(10, 0))
@@ -173,15 +173,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry = time.Millisecond
-		l.FeedTold = testTimeout
-		l.FeedBroken = 110 * time.Millisecond
+		l.DiscoveryRetryDelay = time.Millisecond
+		l.EndpointListExpiry = testTimeout
+		l.EndpointListExpiryDisconnected = 110 * time.Millisecond
 		_, updates := network.follow(t, "feed", 4, l)
 		first := network.accept(t, "feed", 4)
 		network.late = true
 		first.Close()
 		conn := network.accept(t, "feed", 4)
-		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
 		conn.Write(change(5))
 		expect(t, updates, Update{Number: 5})
 		if len(network.listening["feed"]) > 0 {
@@ -196,8 +196,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedSilence = 20 * time.Millisecond
-		l.FeedTold = testTimeout
+		l.DiscoverySilenceTimeout = 20 * time.Millisecond
+		l.EndpointListExpiry = testTimeout
 		_, updates := network.follow(t, "feed", 4, l)
 		silent := network.accept(t, "feed", 4)
 		silent.Write(change(5))
@@ -221,12 +221,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := newFakeNetwork("feed")
 		l := limits.For(1024, 192, time.Second, 0, 0)
-		l.FeedRetry = time.Millisecond
-		l.FeedTold = 20 * time.Millisecond
-		l.FeedSilence = testTimeout
+		l.DiscoveryRetryDelay = time.Millisecond
+		l.EndpointListExpiry = 20 * time.Millisecond
+		l.DiscoverySilenceTimeout = testTimeout
 		_, updates := network.follow(t, "feed", 10, l)
 		network.accept(t, "feed", 10).Close() // down
-		expect(t, updates, Update{ExpiredFor: l.FeedBroken})
+		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			older := append(frame(9, frameUnchanged), frame(9, frameComplete, record(1, 0, 0, 0))...)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -47,7 +47,7 @@
 		dialContext: new(net.Dialer).DialContext,
 		lastNumber:  lastNumber,
 		address:     address,
-		expiresAt:   time.Now().Add(l.FeedTold),
+		expiresAt:   time.Now().Add(l.EndpointListExpiry),
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	w.address = address
 	w.addressChanged = true
-	w.expireWithin(w.limits.FeedTold)
+	w.expireWithin(w.limits.EndpointListExpiry)
 	if w.conn != nil {
 		w.conn.Close()
 	}
