--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -67,7 +67,7 @@
 	// orderingKeyFreed says that in this step the last attempt of an answered query ended, so that the next
 	// query of its ordering keys may start.
 	orderingKeyFreed bool
-	clientQueues     spacing.Trains // estimate how long queries waited at their clients
+	clientQueues     spacing.ClientQueues // estimate how long queries waited at their clients
 
 	endpoints   map[router.EngineID]router.Endpoint // the list as received; nil: not kept, see KeepEndpoints
 	addresses   map[router.EngineID]string          // of the engines in endpoints
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -44,7 +44,7 @@
 	inboxWait := time.Since(query.ReadAt)
 	clientQueueTime := time.Duration(0)
 	if query.OrderingKey != "" {
-		clientQueueTime = l.clientQueues.Came(query.OrderingKey, query.ReadAt, query.FirstOnConnection,
+		clientQueueTime = l.clientQueues.Wait(query.OrderingKey, query.ReadAt, query.FirstOnConnection,
 			query.ClientTimeout)
 	}
 	l.events = append(l.events, router.QueryArrived{
--- a/internal/core/spacing/spacing.go
+++ b/internal/core/spacing/spacing.go
@@ -1,10 +1,11 @@
-// Package spacing tells how long a command may have stood in a line at its own client before it was written. Clients write
-// the commands of one key some time apart, so a burst of them waits where no controller sees it, while each goes on
-// naming the whole time that its client had at first. Who answers by that time alone answers too late: on a crowded day
-// clients left up to 3 s ahead of the 13 s that they had named. The line is of all commands of the key, whichever
-// controller they go to: of one that was 1.9 s long, each of 45 controllers saw a command each second or two. So beside
-// what this controller sees of a line there is what it may not see. It is free of I/O and clocks; it stands in the loop,
-// ahead of the module, and decides nothing.
+// Package spacing estimates how long a query may have queued at its own client before it was sent. Clients
+// send the queries of one ordering key some time apart, so a burst of them waits where no controller sees it,
+// while each goes on naming the whole timeout that its client had at first. A controller that answers by that
+// timeout alone answers too late.
+//
+// The queue at a client is of all queries of the key, whichever controllers they go to, so beside what this
+// controller sees of it there is a part that it does not see. The package is free of I/O and clocks. The loop
+// asks it ahead of the decision module; it decides nothing.
 package spacing
 
 import (
@@ -14,76 +15,100 @@
 	"mintkeel/router"
 )
 
-// The times that clients keep between two commands of one key, by the platform's protocol: longer after one that came on
-// a new connection.
+// The times that clients keep between two queries of one ordering key, by the platform's protocol.
 const (
-	usual = 60 * time.Millisecond
-	fresh = 250 * time.Millisecond
+	queryInterval   = 60 * time.Millisecond
+	newConnInterval = 250 * time.Millisecond // after a query that was the first on its connection
 )
 
-// slack is by how much more than that two commands may be read apart and the later still have waited for the earlier:
-// either may have waited to be read. One that comes after a longer gap found no line at its client.
-const slack = 60 * time.Millisecond
+// readDelay is how much later than it was sent a query may be read. Two queries that are read by so much more
+// than the interval apart may still have waited for one another; after a longer gap the later one found no
+// queue at its client.
+const readDelay = 60 * time.Millisecond
 
-// unseen is the share of a client's whole patience that a line which others see may have taken, of a key that came here
-// within that patience. Lines were up to a quarter of it, on three days. Harm: a load has 0.7 of its time, if another
-// of its key came just before.
-const unseen = 0.3
+// unseenShare is the share of the client timeout that a query may have waited in a queue that this controller
+// does not see, if its key came here within that timeout. A larger share covers longer queues and leaves
+// queries less time.
+const unseenShare = 0.3
 
-// train is a run of commands of one key, each of which may have waited for the one before it.
-type train struct {
-	since time.Time // the first of them was read
-	next  time.Time // who comes later than this waited for none of them that this controller saw
-	until time.Time // and who comes later than this for none at all
-}
+const (
+	// minSweep is the least number of keys at which those that are over are looked for.
+	minSweep = 64
+	// maxKeys bounds the keys that are kept.
+	maxKeys = 4096
+)
 
-// Trains are those of all keys of which a command came just now. The zero value is ready for use, by one goroutine.
-type Trains struct {
-	keys  map[router.OrderingKey]train
-	sweep int       // how many of them call for a look at which are over
-	full  time.Time // until then keys may have come that are not kept: from before the start, or past the bound
+// burst is a run of queries of one key, each of which may have waited for the one before it.
+type burst struct {
+	firstAt   time.Time // when the first of them was read
+	endsAt    time.Time // a query that is read later waited for none of them that this controller saw
+	keptUntil time.Time // a query that is read later waited for none of the key at all
 }
 
-const (
-	leastSweep = 64
-	mostKeys   = 4096
-)
+// ClientQueues are the queues at clients, by ordering key. The zero value is ready for use, by one goroutine.
+type ClientQueues struct {
+	bursts  map[router.OrderingKey]burst
+	sweepAt int // number of bursts at which those that are over are dropped
+	// incompleteUntil is until when there may be keys that came lately and are not in bursts: they came before
+	// the start, or past maxKeys.
+	incompleteUntil time.Time
+}
 
-// Came takes in that a command of a key was read, and whether it was the first on its connection; patience is how long a
-// client waits for such a command from when it wanted it. It returns how long that command may have waited at its client
-// at the longest: since the first of its train, which came when the client's line was empty, as lines keep their order;
-// and by a share of the patience in a line that this controller does not see, where the key came lately. Its memory is
-// bounded by the keys of one patience, and by a number.
-func (t *Trains) Came(key router.OrderingKey, at time.Time, first bool, patience time.Duration) time.Duration {
-	if t.keys == nil {
-		t.keys, t.sweep, t.full = map[router.OrderingKey]train{}, leastSweep, at.Add(patience)
+// Wait takes in a query of a key that was read at some time, and returns how long it may have waited at its
+// client at most. first says that it was the first on its connection, and clientTimeout is how long clients
+// wait for such a query from when they want it.
+//
+// The wait is since the first of its burst, which came when the queue was empty, as queues keep their order;
+// or a share of the timeout, in a queue that this controller does not see, where the key came lately. Memory
+// is bounded by the keys of one timeout, and by maxKeys.
+func (q *ClientQueues) Wait(key router.OrderingKey, readAt time.Time, first bool,
+	clientTimeout time.Duration) time.Duration {
+	if q.bursts == nil {
+		q.bursts = map[router.OrderingKey]burst{}
+		q.sweepAt = minSweep
+		q.incompleteUntil = readAt.Add(clientTimeout)
 	}
-	if len(t.keys) >= t.sweep {
-		maps.DeleteFunc(t.keys, func(_ router.OrderingKey, tr train) bool { return at.After(tr.until) })
-		t.sweep = 2*len(t.keys) + leastSweep
+	q.sweep(readAt)
+	b, known := q.bursts[key]
+	unseen := time.Duration(0)
+	if known && !readAt.After(b.keptUntil) || !known && !readAt.After(q.incompleteUntil) {
+		unseen = time.Duration(unseenShare * float64(clientTimeout))
 	}
-	tr, known := t.keys[key]
-	waited := time.Duration(0)
-	if known && !at.After(tr.until) || !known && !at.After(t.full) {
-		waited = time.Duration(unseen * float64(patience))
+	if !known || readAt.After(b.endsAt) {
+		b.firstAt = readAt
 	}
-	if !known || at.After(tr.next) {
-		tr.since = at
+	b.extend(readAt, first, clientTimeout)
+	if known || len(q.bursts) < maxKeys {
+		q.bursts[key] = b
+	} else {
+		q.incompleteUntil = latest(q.incompleteUntil, readAt.Add(clientTimeout))
 	}
-	apart := usual
+	return max(unseen, readAt.Sub(b.firstAt), 0)
+}
+
+// extend has a burst last as long as a query in it makes it. What was read earlier may be told later, so it
+// never gets shorter.
+func (b *burst) extend(readAt time.Time, first bool, clientTimeout time.Duration) {
+	interval := queryInterval
 	if first {
-		apart = fresh
-	}
-	if next := at.Add(apart + slack); next.After(tr.next) { // what was read earlier may be told later
-		tr.next = next
+		interval = newConnInterval
 	}
-	if until := at.Add(max(patience, apart+slack)); until.After(tr.until) {
-		tr.until = until
+	b.endsAt = latest(b.endsAt, readAt.Add(interval+readDelay))
+	b.keptUntil = latest(b.keptUntil, readAt.Add(max(clientTimeout, interval+readDelay)))
+}
+
+// sweep drops bursts that are over, once there are many.
+func (q *ClientQueues) sweep(now time.Time) {
+	if len(q.bursts) < q.sweepAt {
+		return
 	}
-	if known || len(t.keys) < mostKeys {
-		t.keys[key] = tr
-	} else if at.Add(patience).After(t.full) {
-		t.full = at.Add(patience)
+	maps.DeleteFunc(q.bursts, func(_ router.OrderingKey, b burst) bool { return now.After(b.keptUntil) })
+	q.sweepAt = 2*len(q.bursts) + minSweep
+}
+
+func latest(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
 	}
-	return max(waited, at.Sub(tr.since), 0)
+	return a
 }
--- a/internal/core/spacing/spacing_test.go
+++ b/internal/core/spacing/spacing_test.go
@@ -9,11 +9,15 @@
 	"mintkeel/router"
 )
 
+// zero is the time at which the tests begin.
 var zero = time.Unix(1000, 0)
 
+// ms is a time in ms after zero.
 func ms(x int) time.Time { return zero.Add(time.Duration(x) * time.Millisecond) }
 
-func TestCame(t *testing.T) {
+// What a query may have waited for the queries of its key that this controller saw: nothing after a gap, else
+// since the first of its burst.
+func TestWait(t *testing.T) {
 	type came struct {
 		at    int
 		first bool
@@ -30,20 +34,21 @@
 		"told out of the order of reads": {{0, false, 0}, {60, true, 60}, {40, false, 40}, {310, false, 310}},
 		"told before the first":          {{100, false, 0}, {90, false, 0}},
 	} {
-		var trains Trains
+		var queues ClientQueues
 		for i, c := range list {
-			if got := trains.Came("k", ms(c.at), c.first, 0); got != time.Duration(c.want)*time.Millisecond {
+			if got := queues.Wait("k", ms(c.at), c.first, 0); got != time.Duration(c.want)*time.Millisecond {
 				t.Errorf("%s: command %d waited %v at most, want %d ms", name, i, got, c.want)
 			}
 		}
 	}
 }
 
-// A client's line is played: whoever waited in it is never told to have waited less than it did.
-func TestNeverLess(t *testing.T) {
+// A client sends queries of one key at random times, each some time after the one before. None has waited for
+// longer at the client than the estimate.
+func TestWaitIsUpperBound(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
-		var trains Trains
+		var queues ClientQueues
 		due, free := 0.0, 0.0
 		rate := 20 + 400*rng.Float64() // ms between commands
 		for range 300 {
@@ -54,7 +59,7 @@
 				free = sent + 250
 			}
 			read := sent + 40*rng.Float64()
-			got := float64(trains.Came("k", zero.Add(time.Duration(read*1e6)), first, 0)) / 1e6
+			got := float64(queues.Wait("k", zero.Add(time.Duration(read*1e6)), first, 0)) / 1e6
 			if waited := sent - due; got < waited-41 { // the first of the train may have been read late itself
 				t.Fatalf("seed %d: it waited %.0f ms, and was told to have waited %.0f at most", seed, waited, got)
 			}
@@ -62,12 +67,12 @@
 	}
 }
 
-// Of a line that all controllers together see, each sees a part. A key that came within a client's patience may stand in
-// one; another that came for the first time does not, but for right after the start.
-func TestUnseen(t *testing.T) {
+// Of a queue at a client each controller sees a part. A key that came within the client timeout may stand in
+// one; a key that comes for the first time does not, but for right after the start.
+func TestUnseenQueue(t *testing.T) {
 	const patience = 8 * time.Second
-	share := time.Duration(unseen * float64(patience))
-	var trains Trains
+	share := time.Duration(unseenShare * float64(patience))
+	var queues ClientQueues
 	for _, c := range []struct {
 		name string
 		key  router.OrderingKey
@@ -82,28 +87,30 @@
 		{"its fourth, past it", "c", 26100, 0},
 		{"one that follows at the pace", "c", 26160, share},
 	} {
-		if got := trains.Came(c.key, ms(c.at), false, patience); got != c.want {
+		if got := queues.Wait(c.key, ms(c.at), false, patience); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestBounded(t *testing.T) {
-	var trains Trains
+// Many keys come, once each. Those that are over are dropped, and past the bound keys are not kept; then a
+// key that may have come counts as one that did.
+func TestMemoryIsBounded(t *testing.T) {
+	var queues ClientQueues
 	for i := range 100000 {
-		trains.Came(router.OrderingKey(fmt.Sprint("key ", i)), ms(i), true, 0)
+		queues.Wait(router.OrderingKey(fmt.Sprint("key ", i)), ms(i), true, 0)
 	}
-	if n := len(trains.keys); n > 1000 {
+	if n := len(queues.bursts); n > 1000 {
 		t.Errorf("%d keys are kept of which none came within the last second but 310", n)
 	}
-	trains = Trains{}
+	queues = ClientQueues{}
 	for i := range 100000 {
-		trains.Came(router.OrderingKey(fmt.Sprint("key ", i)), ms(i/1000), true, time.Minute)
+		queues.Wait(router.OrderingKey(fmt.Sprint("key ", i)), ms(i/1000), true, time.Minute)
 	}
-	if n := len(trains.keys); n > mostKeys {
+	if n := len(queues.bursts); n > maxKeys {
 		t.Errorf("%d keys are kept", n)
 	}
-	if got := trains.Came("one that may not have been kept", ms(100), false, time.Minute); got == 0 {
+	if got := queues.Wait("one that may not have been kept", ms(100), false, time.Minute); got == 0 {
 		t.Error("a key that may have come before is told to have waited for nothing")
 	}
 }
