--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -56,11 +56,11 @@
 	return result
 }
 
-// evictIdle makes room for a connection, if all are taken, and reports whether there is room then. It closes
-// the session that has been idle for the longest time: of those that are being closed first, then of those
-// that never sent a query, then of the others. So hundreds of connections that send nothing, or that sent one
-// query and stay, can't keep others out. Sessions younger than NewConnectionGrace are spared, as their first message
-// may be on its way. mu is held.
+// evictIdle makes room for a connection, if all are taken, and reports whether there is room then. It
+// closes the session that has been idle for the longest time: of those that are being closed first, then of
+// those that never sent a query, then of the others. So hundreds of connections that send nothing, or that
+// sent one query and stay, can't keep others out. Sessions younger than NewConnectionGrace are spared, as
+// their first message may be on its way. mu is held.
 func (s *Server) evictIdle(now time.Time) bool {
 	for kind := range s.idle {
 		for len(s.sessions) >= s.limits.ClientConnections {
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -157,9 +157,9 @@
 	return ses.write(reply)
 }
 
-// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a query has
-// FirstQueryTimeout for all that it does; one that has begun a message has ClientMessageTimeout for the rest of it, and one
-// between two queries has ClientIdleTimeout.
+// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a query
+// has FirstQueryTimeout for all that it does; one that has begun a message has ClientMessageTimeout for the
+// rest of it, and one between two queries has ClientIdleTimeout.
 func (ses *session) nextMessage() (kind byte, body []byte, size int, err error) {
 	l := ses.server.limits
 	if ses.reader != ses.smallReader && ses.reader.Buffered() == 0 {
@@ -178,9 +178,9 @@
 	return kind, body, size, err
 }
 
-// setReadTimeout sets by when the next reads must be done. A session that is being closed has ClientCloseTimeout:
-// beginClose sets the flag and then its deadline, and this the deadline and then looks at the flag, so one of
-// the two sees the other.
+// setReadTimeout sets by when the next reads must be done. A session that is being closed has
+// ClientCloseTimeout: beginClose sets the flag and then its deadline, and this the deadline and then looks
+// at the flag, so one of the two sees the other.
 func (ses *session) setReadTimeout(timeout time.Duration) {
 	l := ses.server.limits
 	deadline := time.Now().Add(timeout)
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -115,7 +115,12 @@
 
 // A query's life as the loop sees it, for each way in which it may end: it is answered once and then
 // forgotten, so that its id may be used again.
-func TestQueryEnds(t *testing.T) {
+//
+// It plays in virtual time: a query is given up half a second after it came, and on a machine that pauses the test for
+// longer between two attempts there would be no third, for which the test would wait without end.
+func TestQueryEnds(t *testing.T) { synctest.Test(t, testQueryEnds) }
+
+func testQueryEnds(t *testing.T) {
 	rows := [][]byte{[]byte("a\tb\tc\n")}
 	for _, c := range []struct {
 		name   string
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// backOff waits until DiscoveryRetryDelay has passed since the last connection was begun: not at all after one that
-// lasted. The wait does not grow, as the list soon expires without a connection.
+// backOff waits until DiscoveryRetryDelay has passed since the last connection was begun: not at all after
+// one that lasted. The wait does not grow, as the list soon expires without a connection.
 func (w *Watcher) backOff(ctx context.Context, connectedAt time.Time) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -316,10 +316,10 @@
 	if err := pause(ctx, r.day.cut-time.Since(began)); err != nil {
 		return err
 	}
+	healed := time.Now() // Heal takes a while, and a controller whose connections it opened first may be done before it is
 	if err := r.fleet.Heal(); err != nil {
 		return err
 	}
-	healed := time.Now()
 	last, err := r.fleet.AwaitInForce(ctx, knownWithin, newest)
 	if err != nil {
 		return err
