--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -86,12 +86,12 @@
 				}
 			}
 			fmt.Fprintf(out, "%d of %d rules were tried; the others require something that it has not\n", len(tried), set.Len())
-			if v.Refuse != "" {
-				fmt.Fprintf(out, "refused: %s\n", v.Refuse)
+			if v.Refusal != "" {
+				fmt.Fprintf(out, "refused: %s\n", v.Refusal)
 				return nil
 			}
 			fmt.Fprintf(out, "profile %s, key %q, hot %t, kinds %v, zones %v, estimate at the most %gms, labels %v\n",
-				operator.RuleFacts(facts).Names[v.Profile], v.Key, v.Hot, v.Kinds, v.Zones, v.Most, v.Labels)
+				operator.RuleFacts(facts).ClassNames[v.Class], v.OrderingKey, v.Hot, v.Kinds, v.Zones, v.EstimateCap, v.Labels)
 			return nil
 		},
 	}
@@ -153,7 +153,7 @@
 			if err != nil {
 				return err
 			}
-			one, problems := rules.Compile([]rules.Given{{Name: "one", When: `tenant == "\x"`}}, operator.RuleFacts(facts),
+			one, problems := rules.Compile([]rules.Rule{{Name: "one", When: `tenant == "\x"`}}, operator.RuleFacts(facts),
 				operator.RuleBounds())
 			if problems != nil {
 				return problems[0]
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -62,7 +62,7 @@
 
 // applyRules has the operator's rules change a query that is not handed over yet. refusal is the text that
 // they refuse it with; empty: they don't.
-func (s *Server) applyRules(query *request.Query, input rules.Command) (refusal string) {
+func (s *Server) applyRules(query *request.Query, input rules.Query) (refusal string) {
 	r := s.ruleSet.Load()
 	if r == nil {
 		return ""
@@ -75,35 +75,35 @@
 		}
 	}
 	verdict := r.set.Apply(&input, scratch)
-	if verdict.Refuse != "" {
+	if verdict.Refusal != "" {
 		r.refused.Add(1)
-		return verdict.Refuse
+		return verdict.Refusal
 	}
-	query.Class = verdict.Profile
-	query.OrderingKey = verdict.Key
+	query.Class = verdict.Class
+	query.OrderingKey = verdict.OrderingKey
 	query.Hot = verdict.Hot
 	query.Kinds = verdict.Kinds
 	query.Zones = verdict.Zones
-	query.EstimateCap = verdict.Most
+	query.EstimateCap = verdict.EstimateCap
 	return ""
 }
 
 // ruleInput is a query as rules see it.
 func ruleInput(f pgwire.Fields, class router.ClassID, table pgwire.Table,
-	application, listener string) rules.Command {
-	input := rules.Command{
-		Profile:     class,
-		Tenant:      f.Tenant,
-		Schema:      table.Schema,
-		Table:       table.Name,
-		Tables:      router.TableGroup(table.Group),
-		Key:         router.OrderingKey(f.OrderingKey),
-		Estimate:    f.EstimatedWorkMS,
-		NeedMB:      f.EstimatedMemoryMB,
-		Left:        f.TimeoutMS,
-		Front:       "postgres",
-		Application: application,
-		Listener:    listener,
+	application, listener string) rules.Query {
+	input := rules.Query{
+		Class:             class,
+		Tenant:            f.Tenant,
+		Schema:            table.Schema,
+		Table:             table.Name,
+		Tables:            router.TableGroup(table.Group),
+		OrderingKey:       router.OrderingKey(f.OrderingKey),
+		EstimatedWork:     f.EstimatedWorkMS,
+		EstimatedMemoryMB: f.EstimatedMemoryMB,
+		TimeLeft:          f.TimeoutMS,
+		Protocol:          "postgres",
+		Application:       application,
+		Listener:          listener,
 	}
 	for _, l := range f.Labels {
 		input.Labels = append(input.Labels, match.Label{Name: l.Name, Text: l.Value})
@@ -113,19 +113,19 @@
 
 // RuleInput returns a query as rules see it, to try rules without a controller. Its error is a
 // *pgwire.FieldError, which names the field that can't be used.
-func RuleInput(query []byte, names *settings.Names, application, listener string) (rules.Command, error) {
+func RuleInput(query []byte, names *settings.Names, application, listener string) (rules.Query, error) {
 	f, err := pgwire.ParseQuery(query)
 	if err != nil {
-		return rules.Command{}, err
+		return rules.Query{}, err
 	}
 	class, known := names.Profiles[f.ClassName]
 	if !known {
 		why := fmt.Sprintf("%.60q is no profile", f.ClassName)
-		return rules.Command{}, &pgwire.FieldError{Field: "verb", Why: why}
+		return rules.Query{}, &pgwire.FieldError{Field: "verb", Why: why}
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
-		return rules.Command{}, &pgwire.FieldError{Field: "statement", Why: "names no group of tables"}
+		return rules.Query{}, &pgwire.FieldError{Field: "statement", Why: "names no group of tables"}
 	}
 	return ruleInput(f, class, table, application, listener), nil
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -87,7 +87,7 @@
 		timer:      time.NewTimer(idleTimer),
 		queries:    map[router.QueryID]*queryState{},
 		clientIDs:  map[string]router.QueryID{},
-		ruleEpochs: rules.Epochs{Rest: orderingCooldown},
+		ruleEpochs: rules.Epochs{OrderingCooldown: orderingCooldown},
 	}
 }
 
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -35,7 +35,7 @@
 	key := query.OrderingKey
 	var moreKeys []router.OrderingKey
 	if query.RuleInput != nil {
-		q.ruleEpoch, key, moreKeys = l.ruleEpochs.Take(l.clock(), query.RuleInput)
+		q.ruleEpoch, key, moreKeys = l.ruleEpochs.QueryArrived(l.clock(), query.RuleInput)
 	}
 	q.ordered = key != "" || len(moreKeys) > 0
 	l.queries[query.RouterID] = q
@@ -148,7 +148,7 @@
 		return
 	}
 	if q.RuleInput != nil {
-		l.ruleEpochs.Over(l.clock(), q.ruleEpoch)
+		l.ruleEpochs.QueryEnded(l.clock(), q.ruleEpoch)
 	}
 	delete(l.queries, q.RouterID)
 	delete(l.clientIDs, q.ID)
--- a/internal/controller/rules.go
+++ b/internal/controller/rules.go
@@ -19,7 +19,7 @@
 
 // setRules puts rules in force. Queries in flight are put into the queue of their new ordering key as well.
 func (l *Loop) setRules(set *rules.Set) bool {
-	inForce, addKeys := l.ruleEpochs.Begin(l.clock(), set, len(l.queries))
+	inForce, addKeys := l.ruleEpochs.PutInForce(l.clock(), set, len(l.queries))
 	if !addKeys {
 		return inForce
 	}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -118,9 +118,9 @@
 	key := router.OrderingKey([]string{"", "k", "s/0-0"}[h.rng.Intn(3)])
 	query := &request.Query{ID: fmt.Sprint("c", number), Tenant: -1, ReadAt: time.Now(), TimeLeft: time.Hour,
 		OrderingKey: key,
-		RuleInput: &rules.Command{
-			Labels: []match.Label{{Name: "store", Text: store}, {Name: "brand", Text: brand}},
-			Key:    key,
+		RuleInput: &rules.Query{
+			Labels:      []match.Label{{Name: "store", Text: store}, {Name: "brand", Text: brand}},
+			OrderingKey: key,
 		}}
 	h.open = append(h.open, query)
 	h.setAt[query] = len(h.sets) - 1
@@ -146,11 +146,11 @@
 
 // changeRules offers the loop one of the rules, by its source; empty: none.
 func (h *rulesHistory) changeRules(source string) {
-	facts := rules.Facts{Names: []string{"load"}, Profiles: []router.QueryClass{{Ordered: true}}}
+	facts := rules.Facts{ClassNames: []string{"load"}, Classes: []router.QueryClass{{Ordered: true}}}
 	var set *rules.Set
 	if source != "" {
 		var problems []rules.Problem
-		set, problems = rules.Compile([]rules.Given{{Name: "r", Key: source}}, facts, match.Usual())
+		set, problems = rules.Compile([]rules.Rule{{Name: "r", Key: source}}, facts, match.Usual())
 		if problems != nil {
 			h.t.Fatal(problems)
 		}
@@ -185,9 +185,9 @@
 	}
 	h.now += 100
 	h.loop.setRules(nil)
-	if len(h.open) > 0 || len(h.loop.queries) > 0 || h.loop.ruleEpochs.Followed() != 1 {
+	if len(h.open) > 0 || len(h.loop.queries) > 0 || h.loop.ruleEpochs.Count() != 1 {
 		h.t.Fatalf("seed %d: %d queries are left, %d sets are followed", h.seed, len(h.open),
-			h.loop.ruleEpochs.Followed())
+			h.loop.ruleEpochs.Count())
 	}
 }
 
--- /dev/null
+++ b/internal/core/rules/compile.go
@@ -0,0 +1,252 @@
+package rules
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+
+	"mintkeel/match"
+	"mintkeel/router"
+)
+
+// Fields of a rule as the operator's file names them, for problems. fieldNameRule is of the rule as a whole.
+const (
+	fieldNameRule        = "rule"
+	fieldNameName        = "name"
+	fieldNameWhen        = "when"
+	fieldNameKey         = "key"
+	fieldNameKinds       = "kinds"
+	fieldNameZones       = "zones"
+	fieldNameClass       = "profile"
+	fieldNameLabels      = "labels"
+	fieldNameEstimateCap = "most_estimate"
+	fieldNameRefusal     = "refuse"
+)
+
+// compiler gathers the problems of a set of rules, and what is known ahead of the rule that is being
+// compiled.
+type compiler struct {
+	facts     Facts
+	bounds    match.Bounds // of each expression
+	problems  []Problem
+	rule      int // number of the rule that is being compiled
+	stability retryStability
+	reachable *reachable
+}
+
+// Compile compiles rules, or returns all that is wrong with them.
+func Compile(rules []Rule, facts Facts, b match.Bounds) (*Set, []Problem) {
+	c := &compiler{
+		facts:     facts,
+		bounds:    b,
+		stability: retryStability{unstableLabels: map[string]bool{}},
+		reachable: newReachable(facts),
+	}
+	if len(rules) > maxRules {
+		c.addProblem(fieldNameRule, "there are over %d rules", maxRules)
+		return nil, c.problems
+	}
+	for _, name := range facts.ClassNames { // a longer name is cut, and could pass for another
+		if len(name) > Schema.Fields[fieldClass].Most {
+			c.addProblem(fieldNameRule, "profile %.80q has too long a name for rules", name)
+		}
+	}
+	set := &Set{facts: facts}
+	seen := map[string]int{}
+	for i, r := range rules {
+		c.rule = i
+		c.checkName(r.Name, seen)
+		seen[r.Name] = i
+		set.rules = append(set.rules, c.compile(r))
+	}
+	if c.problems != nil {
+		return nil, c.problems
+	}
+	set.index = newIndex(set.rules)
+	var dearest int
+	set.maxSteps, dearest = set.index.maxSteps(set.rules)
+	if set.maxSteps > maxSteps {
+		c.rule = dearest
+		c.addProblem(fieldNameWhen, "rules tried on one command may take %d steps together, of %d allowed; "+
+			"this one is among the dearest. Rules that require a field to equal or begin with a text are tried only where it does",
+			set.maxSteps, maxSteps)
+		return nil, c.problems
+	}
+	return set, nil
+}
+
+func (c *compiler) addProblem(field, format string, args ...any) {
+	c.problems = append(c.problems, Problem{Rule: c.rule, Field: field, Reason: fmt.Sprintf(format, args...)})
+}
+
+// checkName checks a rule's name; seen has those of the rules before, with their numbers.
+func (c *compiler) checkName(name string, seen map[string]int) {
+	if first, twice := seen[name]; twice {
+		c.addProblem(fieldNameName, "%q is the name of rule %d too", name, first)
+	}
+	if name == "" || len(name) > maxNameBytes {
+		c.addProblem(fieldNameName, "has not 1 to %d bytes", maxNameBytes)
+	}
+}
+
+// compile compiles a rule, and takes in what it may change for those after it.
+func (c *compiler) compile(rule Rule) compiledRule {
+	r := compiledRule{Rule: rule, class: unchanged}
+	if rule.When != "" {
+		r.when = c.expression(fieldNameWhen, rule.When, match.Bool)
+	}
+	states := c.reachable.matching(r.when)
+	if len(states) == 0 {
+		c.addProblem(fieldNameWhen, "no command can have this profile here")
+	}
+	isControl := func(x rune) bool { return x < ' ' }
+	if len(rule.Refusal) > maxTextBytes || strings.ContainsFunc(rule.Refusal, isControl) {
+		c.addProblem(fieldNameRefusal, "is no line of %d bytes at the most", maxTextBytes)
+	}
+	if rule.EstimateCap < 0 || math.IsNaN(rule.EstimateCap) {
+		c.addProblem(fieldNameEstimateCap, "is below zero")
+	}
+	c.compileLabels(&r)
+	c.compileKey(&r, states)
+	c.compileKinds(&r, states)
+	c.compileZones(&r, states)
+	c.compileClass(&r, states)
+	if !c.reachable.apply(&r, states) {
+		c.addProblem(fieldNameRule, "rules before it narrow in more than %d ways", maxStates)
+	}
+	c.stability.record(&r)
+	return r
+}
+
+// expression compiles an expression; nil: it has a problem.
+func (c *compiler) expression(field, source string, t match.Type) *match.Expr {
+	e, err := match.Compile(source, t, &Schema, c.bounds)
+	if err != nil {
+		reason := err.Error()
+		var place *match.Error
+		if errors.As(err, &place) {
+			reason = place.Why
+		}
+		c.problems = append(c.problems, Problem{Rule: c.rule, Field: field, Reason: reason, Place: place})
+		return nil
+	}
+	return e
+}
+
+func (c *compiler) compileLabels(r *compiledRule) {
+	if len(r.Labels) > maxLabels {
+		c.addProblem(fieldNameLabels, "there are over %d", maxLabels)
+	}
+	for _, name := range slices.Sorted(maps.Keys(r.Labels)) { // sorted, so that problems come in the same order
+		if name == "" || len(name) > maxNameBytes {
+			c.addProblem(fieldNameLabels, "a name has not 1 to %d bytes", maxNameBytes)
+		}
+		if e := c.expression(fieldNameLabels+"."+name, r.Labels[name], match.Text); e != nil {
+			r.labels = append(r.labels, labelExpr{name, e})
+		}
+	}
+}
+
+// compileKey checks that an ordering key is the same for all retries of a query, and never empty.
+func (c *compiler) compileKey(r *compiledRule, states []state) {
+	if r.Key == "" {
+		return
+	}
+	r.key = c.expression(fieldNameKey, r.Key, match.Text)
+	if r.key == nil {
+		return
+	}
+	if part := c.stability.unstablePart(r.key); part != "" {
+		c.addProblem(fieldNameKey, "reads %s, which a client's retry need not repeat", part)
+	} else if part := c.stability.unstablePart(r.when); part != "" {
+		c.addProblem(fieldNameKey, "depends on %s, which a client's retry need not repeat", part)
+	} else if c.stability.unstableFlow {
+		c.addProblem(fieldNameKey, "an earlier rule is the last by something that a client's retry need not repeat")
+	}
+	if !r.key.NeverEmpty(classField) {
+		c.addProblem(fieldNameKey,
+			"may be empty: put a text beside what may be missing, as in \"store/\" + label(\"store\")")
+	}
+	isOrdered := func(s state) bool { return c.facts.Classes[s.class].Ordered }
+	if !slices.ContainsFunc(states, isOrdered) {
+		c.addProblem(fieldNameKey, "no profile keeps order here")
+	}
+}
+
+// compileKinds checks that machine kinds leave something of what each class may use.
+func (c *compiler) compileKinds(r *compiledRule, states []state) {
+	if r.Kinds == nil {
+		return
+	}
+	r.kinds = []router.KindID{}
+	for _, name := range r.Kinds {
+		kind, known := c.facts.Kinds[name]
+		if !known {
+			c.addProblem(fieldNameKinds, "%q is no kind of engine", name)
+			continue
+		}
+		r.kinds = append(r.kinds, kind)
+	}
+	for _, s := range states {
+		if len(intersect(s.kinds, r.kinds)) == 0 {
+			c.addProblem(fieldNameKinds, "profile %s may not go there: it may use %s",
+				c.facts.ClassNames[s.original], c.kindNames(s.kinds))
+			break
+		}
+	}
+}
+
+// compileZones checks that zones leave something of what each class may use.
+func (c *compiler) compileZones(r *compiledRule, states []state) {
+	if r.Zones == nil {
+		return
+	}
+	r.zones = []router.Zone{}
+	for _, name := range r.Zones {
+		if !slices.Contains(c.facts.Zones, name) {
+			c.addProblem(fieldNameZones, "%q is no zone", name)
+		}
+		r.zones = append(r.zones, router.Zone(name))
+	}
+	for _, s := range states {
+		if len(intersect(s.zones, r.zones)) == 0 {
+			c.addProblem(fieldNameZones, "profile %s may not go there", c.facts.ClassNames[s.original])
+			break
+		}
+	}
+}
+
+// kindNames lists machine kinds, of which nil is all.
+func (c *compiler) kindNames(kinds []router.KindID) string {
+	var names []string
+	for name, kind := range c.facts.Kinds {
+		if kinds == nil || slices.Contains(kinds, kind) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return strings.Join(names, ", ")
+}
+
+// compileClass checks that a query may count as one of another class: that must allow nothing more.
+func (c *compiler) compileClass(r *compiledRule, states []state) {
+	if r.Class == "" {
+		return
+	}
+	id := slices.Index(c.facts.ClassNames, r.Class)
+	if id < 0 {
+		c.addProblem(fieldNameClass, "%q is no profile", r.Class)
+		return
+	}
+	r.class = router.ClassID(id)
+	for _, s := range states {
+		if why := whyWider(c.facts.Classes[s.original], s, c.facts.Classes[id]); why != "" {
+			c.addProblem(fieldNameClass, "a command of profile %s can't be taken for %s: %s",
+				c.facts.ClassNames[s.original], r.Class, why)
+			return
+		}
+	}
+}
--- a/internal/core/rules/epochs.go
+++ b/internal/core/rules/epochs.go
@@ -2,97 +2,109 @@
 
 import "mintkeel/router"
 
-// Epochs are the sets of rules under which commands are held or out, or have been so lately that a send which was given
-// up may still run. While rules change, a command that comes stands in the turn of its key under the new set and under
-// each older one that is followed; those that are open are given their key under the new one. So of two commands that
-// share a key under any of these sets, the later one waits. It is for one goroutine; times are the module's.
-type Epochs struct {
-	Rest    float64 // of a key after a doubtful outcome
-	sets    []epoch // the last is in force
-	first   int     // number of sets[0]
-	scratch Scratch
-}
-
-type epoch struct {
-	set   *Set    // nil: no rules
-	open  int     // commands that came under it
-	until float64 // by when what was given up of them runs no more
-}
-
 const (
-	// mostEpochs bounds the sets that are followed at once. Commands end at their client timeouts, so a set is done with
-	// within seconds; who changes rules faster than that is told to wait.
-	mostEpochs = 4
-	// mostRekeyed bounds the steps that keying all open commands anew may take: some 20 ms of the loop.
-	mostRekeyed = 5000000
+	// maxEpochs bounds the sets that are followed at once. Queries end at their client timeouts, so a set is
+	// done with within seconds; rules that change faster than that have to wait.
+	maxEpochs = 4
+	// maxRekeySteps bounds the steps that giving new ordering keys to all queries in flight may take: some 20 ms
+	// of the loop.
+	maxRekeySteps = 5000000
 )
 
 // Epoch numbers a set of rules, from 0.
 type Epoch int
 
-// Begin puts a set in force while so many commands are open. It reports whether it did: not while too many older ones
-// are followed, or too many commands would have to be keyed anew; and whether these must be.
-func (e *Epochs) Begin(now float64, set *Set, open int) (ok, rekey bool) {
-	e.forget(now)
-	last := len(e.sets) - 1
-	switch {
-	case last < 0:
+// Epochs are the sets of rules under which queries are in flight, or were so lately that an attempt which was
+// given up may still run. While rules change, a query that arrives stands in the queue of its ordering key
+// under the new set and under each older one that is followed, and those in flight also get their key under
+// the new one. So of two queries that share a key under any of these sets, the later one waits. One goroutine
+// uses them; times are the module's, in ms.
+type Epochs struct {
+	OrderingCooldown float64 // ms, of an ordering key after an attempt that may still run
+	sets             []epoch // the last is in force
+	first            int     // number of sets[0]
+	scratch          Scratch
+}
+
+// epoch is the time for which a set was in force.
+type epoch struct {
+	set       *Set    // nil: no rules
+	open      int     // queries in flight that arrived under it
+	runsUntil float64 // ms: by then what was given up of them runs no more
+}
+
+// PutInForce puts a set in force while so many queries are in flight. inForce is false if too many older ones
+// are followed, or too many queries would have to get new keys. addKeys says that the queries in flight must
+// get their keys under the new set.
+func (e *Epochs) PutInForce(now float64, set *Set, inFlight int) (inForce, addKeys bool) {
+	e.dropFinished(now)
+	if len(e.sets) == 0 {
 		e.sets = append(e.sets, epoch{set: set})
 		return true, false
-	case e.sets[last].set.Same(set):
+	}
+	current := &e.sets[len(e.sets)-1]
+	switch {
+	case current.set.Same(set):
 		return true, false
-	case !e.sets[last].set.GivesKeys() && !set.GivesKeys(): // all keys stay their clients'
-		e.sets[last].set = set
+	case !current.set.GivesKeys() && !set.GivesKeys(): // all keys stay their clients'
+		current.set = set
 		return true, false
-	case len(e.sets) >= mostEpochs || set.GivesKeys() && open*max(1, set.most) > mostRekeyed:
+	case len(e.sets) >= maxEpochs:
+		return false, false
+	case set.GivesKeys() && inFlight*max(1, set.maxSteps) > maxRekeySteps:
 		return false, false
 	}
 	e.sets = append(e.sets, epoch{set: set})
-	e.forget(now)
+	e.dropFinished(now)
 	return true, true
 }
 
-// forget drops the oldest sets once nothing of them is open or may still run.
-func (e *Epochs) forget(now float64) {
-	for len(e.sets) > 1 && e.sets[0].open == 0 && now >= e.sets[0].until {
-		e.sets, e.first = e.sets[1:], e.first+1
+// dropFinished drops the oldest sets once nothing of them is in flight or may still run.
+func (e *Epochs) dropFinished(now float64) {
+	for len(e.sets) > 1 && e.sets[0].open == 0 && now >= e.sets[0].runsUntil {
+		e.sets = e.sets[1:]
+		e.first++
 	}
 }
 
-// Take counts a command in, and tells its keys: first that of the set in force, then those under older ones.
-func (e *Epochs) Take(now float64, c *Command) (number Epoch, key router.OrderingKey, also []router.OrderingKey) {
+// QueryArrived counts a query in, under the set in force, and returns its keys: that under the set in force,
+// and further ones under older sets.
+func (e *Epochs) QueryArrived(now float64, q *Query) (
+	number Epoch, key router.OrderingKey, moreKeys []router.OrderingKey) {
 	if len(e.sets) == 0 {
 		e.sets = append(e.sets, epoch{})
 	}
-	e.forget(now)
+	e.dropFinished(now)
 	last := len(e.sets) - 1
 	e.sets[last].open++
-	key = e.sets[last].set.Key(c, &e.scratch)
-	for _, old := range e.sets[:last] {
-		if k := old.set.Key(c, &e.scratch); k != key && k != "" {
-			also = append(also, k)
+	key = e.sets[last].set.Key(q, &e.scratch)
+	for _, older := range e.sets[:last] {
+		if k := older.set.Key(q, &e.scratch); k != key && k != "" {
+			moreKeys = append(moreKeys, k)
 		}
 	}
-	return Epoch(e.first + last), key, also
+	return Epoch(e.first + last), key, moreKeys
 }
 
-// Key is a command's key under the set in force.
-func (e *Epochs) Key(c *Command) router.OrderingKey {
+// Key is a query's ordering key under the set in force.
+func (e *Epochs) Key(q *Query) router.OrderingKey {
 	if len(e.sets) == 0 {
-		return c.Key
+		return q.OrderingKey
 	}
-	return e.sets[len(e.sets)-1].set.Key(c, &e.scratch)
+	return e.sets[len(e.sets)-1].set.Key(q, &e.scratch)
 }
 
-// Over counts a command out that is over and has no send without an outcome. What it left may run on for the rest of
-// its key.
-func (e *Epochs) Over(now float64, number Epoch) {
-	if at := int(number) - e.first; at >= 0 && at < len(e.sets) {
-		e.sets[at].open--
-		e.sets[at].until = now + e.Rest
-		e.forget(now)
+// QueryEnded counts a query out that has its final answer and no attempt without an outcome. What it left may
+// run on for the cooldown of its key.
+func (e *Epochs) QueryEnded(now float64, number Epoch) {
+	i := int(number) - e.first
+	if i < 0 || i >= len(e.sets) {
+		return
 	}
+	e.sets[i].open--
+	e.sets[i].runsUntil = now + e.OrderingCooldown
+	e.dropFinished(now)
 }
 
-// Followed is how many sets are followed.
-func (e *Epochs) Followed() int { return len(e.sets) }
+// Count is how many sets are followed.
+func (e *Epochs) Count() int { return len(e.sets) }
--- a/internal/core/rules/epochs_test.go
+++ b/internal/core/rules/epochs_test.go
@@ -8,24 +8,25 @@
 	"mintkeel/router"
 )
 
-// keyed is a set that keys all loads alike, by its own name.
+// keyed is a set that gives all loads one key, by its name.
 func keyed(t *testing.T, name string) *Set {
-	return compile(t, Given{Name: name, Key: `"` + name + `"`})
+	return compile(t, Rule{Name: name, Key: `"` + name + `"`})
 }
 
-// A set is followed until the commands that came under it are over, and for as long as what they left may run on.
-func TestFollowed(t *testing.T) {
-	e := Epochs{Rest: 300}
-	load := &Command{Profile: 2, Key: "own"}
+// A set is followed until the queries that arrived under it have ended, and for as long as what they left may
+// run on.
+func TestEpochsAreFollowed(t *testing.T) {
+	e := Epochs{OrderingCooldown: 300}
+	load := &Query{Class: 2, OrderingKey: "own"}
 	begin := func(now float64, s *Set, want bool) {
 		t.Helper()
-		if ok, _ := e.Begin(now, s, 1); ok != want {
+		if ok, _ := e.PutInForce(now, s, 1); ok != want {
 			t.Errorf("at %g: put in force is %v", now, ok)
 		}
 	}
 	take := func(now float64, key router.OrderingKey, also ...router.OrderingKey) Epoch {
 		t.Helper()
-		n, k, a := e.Take(now, load)
+		n, k, a := e.QueryArrived(now, load)
 		if k != key || !slices.Equal(a, also) {
 			t.Errorf("at %g: key %s, also %v, not %s, also %v", now, k, a, key, also)
 		}
@@ -34,13 +35,13 @@
 	one := take(0, "own")
 	begin(10, keyed(t, "a"), true)
 	two := take(20, "a", "own")
-	e.Over(100, one)
+	e.QueryEnded(100, one)
 	three := take(350, "a", "own") // what one left may run until 400
 	four := take(400, "a")
 	begin(410, keyed(t, "b"), true)
-	e.Over(500, two)
-	e.Over(500, three)
-	e.Over(500, four)
+	e.QueryEnded(500, two)
+	e.QueryEnded(500, three)
+	e.QueryEnded(500, four)
 	five := take(799, "b", "a")
 	six := take(800, "b")
 	begin(810, keyed(t, "c"), true)
@@ -48,36 +49,37 @@
 	begin(830, nil, true)
 	begin(840, keyed(t, "d"), true)
 	begin(850, keyed(t, "e"), false)
-	e.Over(900, five)
-	e.Over(900, six)
+	e.QueryEnded(900, five)
+	e.QueryEnded(900, six)
 	begin(1199, keyed(t, "e"), false)
 	begin(1200, keyed(t, "e"), true)
-	if e.Followed() != 1 {
-		t.Errorf("%d sets are followed", e.Followed())
+	if e.Count() != 1 {
+		t.Errorf("%d sets are followed", e.Count())
 	}
 }
 
-// Sets without keys take each other's place in the same epoch; too many open commands are not keyed anew at once.
-func TestBegin(t *testing.T) {
+// Sets without keys replace each other in one epoch, and too many queries in flight do not get new keys in
+// one step.
+func TestPutInForce(t *testing.T) {
 	e := Epochs{}
-	hot := compile(t, Given{Name: "a", Hot: true})
-	for range 3 * mostEpochs {
-		e.Take(0, &Command{Profile: 2})
-		if ok, rekey := e.Begin(0, hot, 1e9); !ok || rekey {
+	hot := compile(t, Rule{Name: "a", Hot: true})
+	for range 3 * maxEpochs {
+		e.QueryArrived(0, &Query{Class: 2})
+		if ok, rekey := e.PutInForce(0, hot, 1e9); !ok || rekey {
 			t.Errorf("put in force is %v, to be keyed anew %v", ok, rekey)
 		}
-		if ok, rekey := e.Begin(0, nil, 1e9); !ok || rekey {
+		if ok, rekey := e.PutInForce(0, nil, 1e9); !ok || rekey {
 			t.Errorf("put in force is %v, to be keyed anew %v", ok, rekey)
 		}
 	}
-	dear, problems := Compile([]Given{{Name: "a", When: `application like "*a*b*c*d*"`, Key: `"k"`}}, facts, match.Usual())
+	dear, problems := Compile([]Rule{{Name: "a", When: `application like "*a*b*c*d*"`, Key: `"k"`}}, facts, match.Usual())
 	if dear != nil || problems == nil {
 		t.Error("a key by what a retry changes")
 	}
-	if ok, _ := e.Begin(0, keyed(t, "k"), mostRekeyed); ok {
+	if ok, _ := e.PutInForce(0, keyed(t, "k"), maxRekeySteps); ok {
 		t.Error("millions of commands are keyed anew in one step")
 	}
-	if ok, rekey := e.Begin(0, keyed(t, "k"), 10); !ok || !rekey {
+	if ok, rekey := e.PutInForce(0, keyed(t, "k"), 10); !ok || !rekey {
 		t.Error("ten are not")
 	}
 }
--- /dev/null
+++ b/internal/core/rules/query.go
@@ -0,0 +1,87 @@
+package rules
+
+import (
+	"mintkeel/match"
+	"mintkeel/router"
+)
+
+// Query is a query as rules see it.
+type Query struct {
+	Class             router.ClassID
+	Tenant            string
+	Schema, Table     string // of the table that it names
+	Tables            router.TableGroup
+	OrderingKey       router.OrderingKey // as the client gave it
+	EstimatedWork     float64            // ms; 0: no estimate
+	EstimatedMemoryMB float64            // 0: no estimate
+	TimeLeft          float64            // ms until the client gives up
+	Protocol          string             // by which it came
+	Application       string             // the client's name for itself
+	Listener          string             // the address that it came to
+	Labels            []match.Label
+}
+
+// Indexes of the fields in Schema and in a row of values.
+const (
+	fieldClass = iota
+	fieldTenant
+	fieldTableGroup
+	fieldSchema
+	fieldTable
+	fieldOrderingKey
+	fieldEstimatedWork
+	fieldEstimatedMemory
+	fieldTimeLeft
+	fieldProtocol
+	fieldApplication
+	fieldListener
+	fieldCount
+)
+
+// classField is the name of the field that rules may change.
+const classField = "profile"
+
+// Schema is the fields that rules may read. Their names are those of the operator's file, mapped here alone.
+var Schema = match.Schema{
+	Fields: []match.Field{
+		fieldClass:           {Name: classField, Type: match.Text, Most: maxFieldBytes},
+		fieldTenant:          {Name: "tenant", Type: match.Text, Most: maxFieldBytes},
+		fieldTableGroup:      {Name: "table_group", Type: match.Number},
+		fieldSchema:          {Name: "schema", Type: match.Text, Most: maxFieldBytes},
+		fieldTable:           {Name: "table_name", Type: match.Text, Most: maxFieldBytes},
+		fieldOrderingKey:     {Name: "client_key", Type: match.Text, Most: maxKeyBytes},
+		fieldEstimatedWork:   {Name: "estimate", Type: match.Duration},
+		fieldEstimatedMemory: {Name: "memory_mb", Type: match.Number},
+		fieldTimeLeft:        {Name: "left", Type: match.Duration},
+		fieldProtocol:        {Name: "front", Type: match.Text, Most: 16},
+		fieldApplication:     {Name: "application", Type: match.Text, Most: maxFieldBytes},
+		fieldListener:        {Name: "listener", Type: match.Text, Most: maxFieldBytes},
+	},
+	Labels: maxLabels,
+	Label:  maxTextBytes,
+}
+
+// changingFields are the fields that may differ between a query and its client's retry of it.
+var changingFields = []string{"estimate", "memory_mb", "left", "front", "application", "listener"}
+
+// fill sets a scratch's values to a query's fields.
+func (s *Set) fill(q *Query, scratch *Scratch) {
+	text := func(i int, x string) { scratch.values[i] = match.Value{Text: x, Has: x != ""} }
+	number := func(i int, x float64) { scratch.values[i] = match.Value{Number: x, Has: x != 0} }
+	scratch.values[fieldClass] = match.TextOf(s.facts.ClassNames[q.Class])
+	scratch.values[fieldTableGroup] = match.NumberOf(float64(q.Tables))
+	scratch.values[fieldTimeLeft] = match.NumberOf(q.TimeLeft)
+	text(fieldTenant, q.Tenant)
+	text(fieldSchema, q.Schema)
+	text(fieldTable, q.Table)
+	text(fieldOrderingKey, string(q.OrderingKey))
+	number(fieldEstimatedWork, q.EstimatedWork)
+	number(fieldEstimatedMemory, q.EstimatedMemoryMB)
+	text(fieldProtocol, q.Protocol)
+	text(fieldApplication, q.Application)
+	text(fieldListener, q.Listener)
+	scratch.labels = append(scratch.labels[:0], q.Labels...)
+	if len(scratch.labels) > maxLabels {
+		scratch.labels = scratch.labels[:maxLabels]
+	}
+}
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -12,17 +12,17 @@
 	"mintkeel/router"
 )
 
-// facts are three profiles: report may go to c16 alone, load keeps order, lookup is free; once is like report, and runs
-// once.
+// facts are four classes: a report may go to c16 alone, a load keeps order, a lookup may do anything, and
+// once is like a report but must not run twice.
 var facts = Facts{
-	Names: []string{"lookup", "report", "load", "once"},
-	Profiles: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true, Effect: router.Deduplicated,
+	ClassNames: []string{"lookup", "report", "load", "once"},
+	Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true, Effect: router.Deduplicated,
 		DeduplicationWindow: 1000}, {Kinds: []router.KindID{1}, Effect: router.NonIdempotent, Zones: []router.Zone{"east"}}},
 	Kinds: map[string]router.KindID{"std": 0, "c16": 1},
 	Zones: []string{"east", "west"},
 }
 
-func compile(t *testing.T, given ...Given) *Set {
+func compile(t *testing.T, given ...Rule) *Set {
 	t.Helper()
 	set, problems := Compile(given, facts, match.Usual())
 	if problems != nil {
@@ -31,71 +31,72 @@
 	return set
 }
 
-// What could widen, break order or repeat what may not be is refused, however it comes about.
-func TestRefused(t *testing.T) {
+// Rules that could widen what the settings allow, break the order or repeat what must not be repeated are
+// refused, however that comes about.
+func TestCompileProblems(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		rules []Given
+		rules []Rule
 		field string // of the last rule; empty: it is fine
 		why   string
 	}{
 		{"nothing", nil, "", ""},
-		{"hot", []Given{{Name: "a", When: `table_name startswith "menu_"`, Hot: true}}, "", ""},
-		{"no name", []Given{{}}, "name", "1 to"},
-		{"a name twice", []Given{{Name: "a"}, {Name: "a"}}, "name", "rule 0 too"},
-		{"no condition", []Given{{Name: "a", When: "profile = 1"}}, "when", "begins nothing"},
-		{"a report elsewhere", []Given{{Name: "a", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there: it may use c16"},
-		{"a report elsewhere, unsaid", []Given{{Name: "a", Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"a report elsewhere, by a condition that may hold", []Given{{Name: "a", When: `tenant == "x" || profile == "lookup"`,
+		{"hot", []Rule{{Name: "a", When: `table_name startswith "menu_"`, Hot: true}}, "", ""},
+		{"no name", []Rule{{}}, "name", "1 to"},
+		{"a name twice", []Rule{{Name: "a"}, {Name: "a"}}, "name", "rule 0 too"},
+		{"no condition", []Rule{{Name: "a", When: "profile = 1"}}, "when", "begins nothing"},
+		{"a report elsewhere", []Rule{{Name: "a", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there: it may use c16"},
+		{"a report elsewhere, unsaid", []Rule{{Name: "a", Kinds: []string{"std"}}}, "kinds", "profile report"},
+		{"a report elsewhere, by a condition that may hold", []Rule{{Name: "a", When: `tenant == "x" || profile == "lookup"`,
 			Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"lookups elsewhere", []Given{{Name: "a", When: `profile == "lookup" && tenant == "x"`, Kinds: []string{"std"}}}, "", ""},
-		{"a report where it belongs", []Given{{Name: "a", Kinds: []string{"c16"}}}, "", ""},
-		{"a report taken for a lookup", []Given{{Name: "a", When: `profile == "report"`, Profile: "lookup"}}, "profile", "other kinds"},
-		{"anything taken for a lookup", []Given{{Name: "a", Profile: "lookup"}}, "profile", "other kinds"},
-		{"a lookup taken for a report", []Given{{Name: "a", When: `profile == "lookup"`, Profile: "report"}}, "", ""},
-		{"a report in two steps", []Given{{Name: "a", When: `profile == "lookup"`, Profile: "report"},
+		{"lookups elsewhere", []Rule{{Name: "a", When: `profile == "lookup" && tenant == "x"`, Kinds: []string{"std"}}}, "", ""},
+		{"a report where it belongs", []Rule{{Name: "a", Kinds: []string{"c16"}}}, "", ""},
+		{"a report taken for a lookup", []Rule{{Name: "a", When: `profile == "report"`, Class: "lookup"}}, "profile", "other kinds"},
+		{"anything taken for a lookup", []Rule{{Name: "a", Class: "lookup"}}, "profile", "other kinds"},
+		{"a lookup taken for a report", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"}}, "", ""},
+		{"a report in two steps", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"},
 			{Name: "b", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there"},
-		{"narrowed twice to nothing", []Given{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
+		{"narrowed twice to nothing", []Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
 			{Name: "b", When: `profile == "lookup"`, Kinds: []string{"c16"}}}, "kinds", "may not go there"},
-		{"narrowed, then taken for what can't go there", []Given{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
-			{Name: "b", When: `profile == "lookup"`, Profile: "report"}}, "profile", "nothing is left"},
-		{"by a label", []Given{{Name: "a", When: `profile == "report"`, Labels: map[string]string{"go": `"std"`}},
+		{"narrowed, then taken for what can't go there", []Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
+			{Name: "b", When: `profile == "lookup"`, Class: "report"}}, "profile", "nothing is left"},
+		{"by a label", []Rule{{Name: "a", When: `profile == "report"`, Labels: map[string]string{"go": `"std"`}},
 			{Name: "b", When: `label("go") == "std"`, Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"by a condition that is always true", []Given{{Name: "a", When: `true || profile == "lookup"`, Kinds: []string{"std"}}},
+		{"by a condition that is always true", []Rule{{Name: "a", When: `true || profile == "lookup"`, Kinds: []string{"std"}}},
 			"kinds", "profile report"},
-		{"what may run once taken for what may run again", []Given{{Name: "a", When: `profile == "once"`, Profile: "report"}},
+		{"what may run once taken for what may run again", []Rule{{Name: "a", When: `profile == "once"`, Class: "report"}},
 			"profile", "run twice"},
-		{"what runs again taken for what runs once", []Given{{Name: "a", When: `profile == "report"`, Profile: "once"}}, "", ""},
-		{"without a mark taken for what needs one", []Given{{Name: "a", When: `profile == "lookup"`, Profile: "load"}}, "profile", "twice"},
-		{"in order taken for what is not", []Given{{Name: "a", When: `profile == "load"`, Profile: "once"}}, "profile", "no order"},
-		{"a profile that nobody has any more", []Given{{Name: "a", When: `profile == "none"`}}, "when", "no command"},
-		{"no profile", []Given{{Name: "a", When: `profile == "lookup"`, Profile: "none"}}, "profile", "no profile"},
-		{"no kind", []Given{{Name: "a", Kinds: []string{"c17"}}}, "kinds", "no kind"},
-		{"no kinds at all", []Given{{Name: "a", Kinds: []string{}}}, "kinds", "may not go there"},
-		{"no zone", []Given{{Name: "a", Zones: []string{"north"}}}, "zones", "no zone"},
-		{"another zone", []Given{{Name: "a", When: `profile == "once"`, Zones: []string{"west"}}}, "zones", "may not go there"},
-		{"a key by store", []Given{{Name: "a", When: `profile == "load"`, Key: `"store/" + label("store")`}}, "", ""},
-		{"a key that may be empty", []Given{{Name: "a", When: `profile == "load"`, Key: `label("store")`}}, "key", "may be empty"},
-		{"a key that may be empty at times", []Given{{Name: "a", Key: `has(tenant) ? "x" : ""`}}, "key", "may be empty"},
-		{"a key that a retry changes", []Given{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "need not repeat"},
-		{"a key by a label that a retry changes", []Given{{Name: "l", Labels: map[string]string{"x": `left > 1s ? "a" : "b"`}},
+		{"what runs again taken for what runs once", []Rule{{Name: "a", When: `profile == "report"`, Class: "once"}}, "", ""},
+		{"without a mark taken for what needs one", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "load"}}, "profile", "twice"},
+		{"in order taken for what is not", []Rule{{Name: "a", When: `profile == "load"`, Class: "once"}}, "profile", "no order"},
+		{"a profile that nobody has any more", []Rule{{Name: "a", When: `profile == "none"`}}, "when", "no command"},
+		{"no profile", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "none"}}, "profile", "no profile"},
+		{"no kind", []Rule{{Name: "a", Kinds: []string{"c17"}}}, "kinds", "no kind"},
+		{"no kinds at all", []Rule{{Name: "a", Kinds: []string{}}}, "kinds", "may not go there"},
+		{"no zone", []Rule{{Name: "a", Zones: []string{"north"}}}, "zones", "no zone"},
+		{"another zone", []Rule{{Name: "a", When: `profile == "once"`, Zones: []string{"west"}}}, "zones", "may not go there"},
+		{"a key by store", []Rule{{Name: "a", When: `profile == "load"`, Key: `"store/" + label("store")`}}, "", ""},
+		{"a key that may be empty", []Rule{{Name: "a", When: `profile == "load"`, Key: `label("store")`}}, "key", "may be empty"},
+		{"a key that may be empty at times", []Rule{{Name: "a", Key: `has(tenant) ? "x" : ""`}}, "key", "may be empty"},
+		{"a key that a retry changes", []Rule{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "need not repeat"},
+		{"a key by a label that a retry changes", []Rule{{Name: "l", Labels: map[string]string{"x": `left > 1s ? "a" : "b"`}},
 			{Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
-		{"a key by a label that is given by what a retry changes", []Given{{Name: "l", When: `estimate > 1s`,
+		{"a key by a label that is given by what a retry changes", []Rule{{Name: "l", When: `estimate > 1s`,
 			Labels: map[string]string{"x": `"a"`}}, {Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
-		{"a key by a label of such a label", []Given{{Name: "l", Labels: map[string]string{"x": `front`}},
+		{"a key by a label of such a label", []Rule{{Name: "l", Labels: map[string]string{"x": `front`}},
 			{Name: "m", Labels: map[string]string{"y": `label("x")`}}, {Name: "a", When: `has(label("y"))`, Key: `"k"`}}, "key", "label y"},
-		{"a key at times", []Given{{Name: "a", When: `estimate > 1s`, Key: `"k"`}}, "key", "depends on estimate"},
-		{"a key by a profile that a retry changes", []Given{{Name: "p", When: `profile == "lookup" && left > 1s`, Profile: "report"},
+		{"a key at times", []Rule{{Name: "a", When: `estimate > 1s`, Key: `"k"`}}, "key", "depends on estimate"},
+		{"a key by a profile that a retry changes", []Rule{{Name: "p", When: `profile == "lookup" && left > 1s`, Class: "report"},
 			{Name: "a", When: `profile != "report"`, Key: `"k"`}}, "key", "depends on profile"},
-		{"a key that a retry may not come to", []Given{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "is the last by"},
-		{"a key beside such things", []Given{{Name: "l", When: `left > 1s`, Labels: map[string]string{"x": `"a"`}},
+		{"a key that a retry may not come to", []Rule{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "is the last by"},
+		{"a key beside such things", []Rule{{Name: "l", When: `left > 1s`, Labels: map[string]string{"x": `"a"`}},
 			{Name: "a", Key: `"k" + label("y")`}}, "", ""},
-		{"a key for what keeps no order", []Given{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
-		{"a key that is no text", []Given{{Name: "a", Key: `1`}}, "key", "number"},
-		{"a refusal of two lines", []Given{{Name: "a", Refuse: "no\nmore"}}, "refuse", "no line"},
-		{"a label that is no text", []Given{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
-		{"an estimate below zero", []Given{{Name: "a", Most: -1}}, "most_estimate", "below zero"},
-		{"too dear", []Given{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
+		{"a key for what keeps no order", []Rule{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
+		{"a key that is no text", []Rule{{Name: "a", Key: `1`}}, "key", "number"},
+		{"a refusal of two lines", []Rule{{Name: "a", Refusal: "no\nmore"}}, "refuse", "no line"},
+		{"a label that is no text", []Rule{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
+		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "below zero"},
+		{"too dear", []Rule{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
 	} {
 		set, problems := Compile(c.rules, facts, match.Usual())
 		if c.field == "" {
@@ -106,22 +107,22 @@
 		}
 		last := len(c.rules) - 1
 		if set != nil || !slices.ContainsFunc(problems, func(p Problem) bool {
-			return p.Rule == last && p.Field == c.field && strings.Contains(p.Why, c.why)
+			return p.Rule == last && p.Field == c.field && strings.Contains(p.Reason, c.why)
 		}) {
 			t.Errorf("%s: %v", c.name, problems)
 		}
 	}
-	if _, problems := Compile([]Given{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}, facts, match.Usual()); len(problems) < 3 {
+	if _, problems := Compile([]Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}, facts, match.Usual()); len(problems) < 3 {
 		t.Errorf("not all problems at once: %v", problems)
 	}
-	many := func(when string) (rules []Given) {
+	many := func(when string) (rules []Rule) {
 		for i := range 400 {
-			rules = append(rules, Given{Name: fmt.Sprint("r", i), When: fmt.Sprintf(when, i)})
+			rules = append(rules, Rule{Name: fmt.Sprint("r", i), When: fmt.Sprintf(when, i)})
 		}
 		return rules
 	}
 	if _, problems := Compile(many(`application like "*a*b%d"`), facts, match.Usual()); len(problems) != 1 ||
-		!strings.Contains(problems[0].Why, "together") {
+		!strings.Contains(problems[0].Reason, "together") {
 		t.Errorf("too dear together: %v", problems)
 	}
 	if _, problems := Compile(many(`tenant startswith "t" && application like "*a*b%d"`), facts, match.Usual()); problems == nil {
@@ -131,61 +132,61 @@
 		t.Errorf("each on its tenant alone: %v", problems)
 	}
 	long := facts
-	long.Names = []string{"lookup", strings.Repeat("r", 70), "load", "once"}
-	if _, problems := Compile([]Given{{Name: "a"}}, long, match.Usual()); problems == nil {
+	long.ClassNames = []string{"lookup", strings.Repeat("r", 70), "load", "once"}
+	if _, problems := Compile([]Rule{{Name: "a"}}, long, match.Usual()); problems == nil {
 		t.Error("a profile whose name can't be told from another's")
 	}
 	ways := facts
 	ways.Zones = nil
-	var narrowing []Given
+	var narrowing []Rule
 	for i := range 12 { // each may match or not, so that all subsets must be followed
 		ways.Zones = append(ways.Zones, fmt.Sprint("z", i))
 	}
-	ways.Profiles = []router.QueryClass{{}, {}, {}, {}}
+	ways.Classes = []router.QueryClass{{}, {}, {}, {}}
 	for i := range 12 {
-		narrowing = append(narrowing, Given{Name: fmt.Sprint("n", i), When: `tenant == "x"`,
+		narrowing = append(narrowing, Rule{Name: fmt.Sprint("n", i), When: `tenant == "x"`,
 			Zones: slices.Delete(slices.Clone(ways.Zones), i, i+1)})
 	}
 	if _, problems := Compile(narrowing, ways, match.Usual()); !slices.ContainsFunc(problems, func(p Problem) bool {
-		return strings.Contains(p.Why, "in more than")
+		return strings.Contains(p.Reason, "in more than")
 	}) {
 		t.Errorf("more ways than can be followed: %v", problems)
 	}
-	if _, problems := Compile(make([]Given, mostRules+1), facts, match.Usual()); problems == nil {
+	if _, problems := Compile(make([]Rule, maxRules+1), facts, match.Usual()); problems == nil {
 		t.Error("too many rules")
 	}
 }
 
-// What rules come to, in order.
+// What rules come to for a query, in their order.
 func TestApply(t *testing.T) {
 	set := compile(t,
-		Given{Name: "team", When: `tenant == "acme"`, Labels: map[string]string{"team": `"partner/" + tenant`}},
-		Given{Name: "hot", When: `table_name startswith "menu_" && label("team") startswith "partner"`, Hot: true},
-		Given{Name: "stores", When: `profile == "load"`, Key: `"s/" + part(label("store"), "-", 0)`},
-		Given{Name: "here", When: `profile == "lookup" && label("team") == ""`, Kinds: []string{"std", "c16"}, Zones: []string{"east"}},
-		Given{Name: "less", When: `profile == "lookup"`, Kinds: []string{"c16"}, Most: 500},
-		Given{Name: "heavy", When: `profile == "lookup" && estimate > 100ms`, Profile: "report", Last: true},
-		Given{Name: "no", When: `profile == "report" && tenant == "evil"`, Refuse: "ask for less"},
+		Rule{Name: "team", When: `tenant == "acme"`, Labels: map[string]string{"team": `"partner/" + tenant`}},
+		Rule{Name: "hot", When: `table_name startswith "menu_" && label("team") startswith "partner"`, Hot: true},
+		Rule{Name: "stores", When: `profile == "load"`, Key: `"s/" + part(label("store"), "-", 0)`},
+		Rule{Name: "here", When: `profile == "lookup" && label("team") == ""`, Kinds: []string{"std", "c16"}, Zones: []string{"east"}},
+		Rule{Name: "less", When: `profile == "lookup"`, Kinds: []string{"c16"}, EstimateCap: 500},
+		Rule{Name: "heavy", When: `profile == "lookup" && estimate > 100ms`, Class: "report", Last: true},
+		Rule{Name: "no", When: `profile == "report" && tenant == "evil"`, Refusal: "ask for less"},
 	)
 	var s Scratch
 	for _, c := range []struct {
-		name string
-		cmd  Command
-		want Verdict
+		name  string
+		query Query
+		want  Verdict
 	}{
-		{"none fits", Command{Profile: 1, Key: "k"}, Verdict{Profile: 1, Key: "k"}},
-		{"a label from one rule to the next", Command{Profile: 1, Tenant: "acme", Table: "menu_3"},
-			Verdict{Profile: 1, Hot: true, Labels: []match.Label{{Name: "team", Text: "partner/acme"}}}},
-		{"a key", Command{Profile: 2, Key: "k", Labels: []match.Label{{Name: "store", Text: "12-east"}}},
-			Verdict{Profile: 2, Key: "s/12", Labels: []match.Label{{Name: "store", Text: "12-east"}}}},
-		{"a key without its label", Command{Profile: 2, Key: "k"}, Verdict{Profile: 2, Key: "s/"}},
-		{"narrowed twice, its estimate cut, and taken for a report", Command{Estimate: 900}, Verdict{Profile: 1, Most: 500,
+		{"none fits", Query{Class: 1, OrderingKey: "k"}, Verdict{Class: 1, OrderingKey: "k"}},
+		{"a label from one rule to the next", Query{Class: 1, Tenant: "acme", Table: "menu_3"},
+			Verdict{Class: 1, Hot: true, Labels: []match.Label{{Name: "team", Text: "partner/acme"}}}},
+		{"a key", Query{Class: 2, OrderingKey: "k", Labels: []match.Label{{Name: "store", Text: "12-east"}}},
+			Verdict{Class: 2, OrderingKey: "s/12", Labels: []match.Label{{Name: "store", Text: "12-east"}}}},
+		{"a key without its label", Query{Class: 2, OrderingKey: "k"}, Verdict{Class: 2, OrderingKey: "s/"}},
+		{"narrowed twice, its estimate cut, and taken for a report", Query{EstimatedWork: 900}, Verdict{Class: 1, EstimateCap: 500,
 			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
-		{"the last one ends it", Command{Estimate: 900, Tenant: "evil"}, Verdict{Profile: 1, Most: 500,
+		{"the last one ends it", Query{EstimatedWork: 900, Tenant: "evil"}, Verdict{Class: 1, EstimateCap: 500,
 			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
-		{"refused", Command{Profile: 1, Tenant: "evil"}, Verdict{Profile: 1, Refuse: "ask for less"}},
+		{"refused", Query{Class: 1, Tenant: "evil"}, Verdict{Class: 1, Refusal: "ask for less"}},
 	} {
-		got := set.Apply(&c.cmd, &s)
+		got := set.Apply(&c.query, &s)
 		if len(got.Labels) == 0 {
 			got.Labels = nil
 		}
@@ -196,7 +197,7 @@
 }
 
 // drawn are random rules over few values, so that many match, and of all kinds that the index tells apart.
-func drawn(rng *rand.Rand, n int) []Given {
+func drawn(rng *rand.Rand, n int) []Rule {
 	text := func() string { return fmt.Sprintf("%q", []string{"a", "b", "ab", "abc", "", "menu_1"}[rng.Intn(6)]) }
 	conjunct := func() string {
 		switch rng.Intn(9) {
@@ -213,15 +214,15 @@
 		case 5:
 			return fmt.Sprintf("table_group in [0, -%d]", rng.Intn(4))
 		case 6:
-			return fmt.Sprintf("profile == %q", facts.Names[rng.Intn(4)])
+			return fmt.Sprintf("profile == %q", facts.ClassNames[rng.Intn(4)])
 		case 7:
 			return fmt.Sprintf("(estimate > %dms || tenant == %s)", rng.Intn(4), text())
 		}
 		return `label("l") == ` + text()
 	}
-	var rules []Given
+	var rules []Rule
 	for i := range n {
-		g := Given{Name: fmt.Sprint("r", i), When: conjunct()}
+		g := Rule{Name: fmt.Sprint("r", i), When: conjunct()}
 		for range rng.Intn(3) {
 			g.When += " && " + conjunct()
 		}
@@ -236,23 +237,24 @@
 		case 3:
 			g.Kinds = []string{"c16"}
 		case 4:
-			g.When, g.Profile = `profile == "lookup" && `+g.When, "report"
+			g.When, g.Class = `profile == "lookup" && `+g.When, "report"
 		case 5:
 			g.Last = rng.Intn(3) == 0
 		case 6:
-			g.Most = 2
+			g.EstimateCap = 2
 		}
 		rules = append(rules, g)
 	}
 	return rules
 }
 
-// The index gives the same verdicts as trying each rule in order; whatever rules were taken, they only narrow.
-func TestIndex(t *testing.T) {
+// The index gives the same verdicts as trying each rule in order; and whatever rules are taken, they only
+// narrow.
+func TestIndexFindsAllRules(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	compiled, matched := 0, 0
 	for range 600 {
-		var rules []Given
+		var rules []Rule
 		for _, g := range drawn(rng, rng.Intn(30)) { // those that are refused are left out
 			if _, problems := Compile(append(slices.Clone(rules), g), facts, match.Usual()); problems == nil {
 				rules = append(rules, g)
@@ -268,23 +270,23 @@
 		var s, p Scratch
 		for range 20 {
 			words := []string{"a", "b", "ab", "abc", "", "menu_1"}
-			cmd := Command{Profile: router.ClassID(rng.Intn(4)), Tenant: words[rng.Intn(6)], Table: words[rng.Intn(6)],
-				Tables: router.TableGroup(rng.Intn(6) - 2), Estimate: float64(rng.Intn(5)), Key: "own"}
+			query := Query{Class: router.ClassID(rng.Intn(4)), Tenant: words[rng.Intn(6)], Table: words[rng.Intn(6)],
+				Tables: router.TableGroup(rng.Intn(6) - 2), EstimatedWork: float64(rng.Intn(5)), OrderingKey: "own"}
 			tried := 0
 			p.Trace = func(_ int, m bool) {
 				if tried++; m {
 					matched++
 				}
 			}
-			got, want := set.Apply(&cmd, &s), plain.Apply(&cmd, &p)
+			got, want := set.Apply(&query, &s), plain.Apply(&query, &p)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("%+v\n%+v\n%+v, not %+v", rules, cmd, got, want)
+				t.Fatalf("%+v\n%+v\n%+v, not %+v", rules, query, got, want)
 			}
-			from, to := facts.Profiles[cmd.Profile], facts.Profiles[got.Profile]
-			kinds := both(both(to.Kinds, got.Kinds), nil)
-			if from.Kinds != nil && !within(kinds, from.Kinds) || to.Effect < from.Effect || from.Ordered && !to.Ordered ||
-				(from.Kinds != nil || got.Kinds != nil) && len(kinds) == 0 || got.Key == "" {
-				t.Fatalf("%+v\n%+v is widened: %+v", rules, cmd, got)
+			from, to := facts.Classes[query.Class], facts.Classes[got.Class]
+			kinds := intersect(intersect(to.Kinds, got.Kinds), nil)
+			if from.Kinds != nil && !isSubset(kinds, from.Kinds) || to.Effect < from.Effect || from.Ordered && !to.Ordered ||
+				(from.Kinds != nil || got.Kinds != nil) && len(kinds) == 0 || got.OrderingKey == "" {
+				t.Fatalf("%+v\n%+v is widened: %+v", rules, query, got)
 			}
 		}
 	}
@@ -295,12 +297,12 @@
 
 // Applying rules allocates nothing where none gives a key or a label.
 func TestAllocations(t *testing.T) {
-	set := compile(t, Given{Name: "a", When: `tenant == "acme"`, Hot: true}, Given{Name: "b", When: `table_name startswith "m"`,
-		Kinds: []string{"c16"}}, Given{Name: "c", When: `estimate > 5ms`, Most: 3})
+	set := compile(t, Rule{Name: "a", When: `tenant == "acme"`, Hot: true}, Rule{Name: "b", When: `table_name startswith "m"`,
+		Kinds: []string{"c16"}}, Rule{Name: "c", When: `estimate > 5ms`, EstimateCap: 3})
 	var s Scratch
-	cmd := Command{Tenant: "acme", Table: "menu_1", Estimate: 10}
-	set.Apply(&cmd, &s)
-	if n := testing.AllocsPerRun(100, func() { set.Apply(&cmd, &s) }); n > 0 {
+	query := Query{Tenant: "acme", Table: "menu_1", EstimatedWork: 10}
+	set.Apply(&query, &s)
+	if n := testing.AllocsPerRun(100, func() { set.Apply(&query, &s) }); n > 0 {
 		t.Errorf("%g allocations", n)
 	}
 }
@@ -308,24 +310,24 @@
 // BenchmarkApply is rules on the same few fields, by the index and each in order.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
-		var rules []Given
+		var rules []Rule
 		for i := range n {
 			when := fmt.Sprintf(`tenant == "t%d" && estimate > 5ms`, i)
 			if i%3 == 1 {
 				when = fmt.Sprintf(`table_name startswith "mart_%d_"`, i)
 			}
-			rules = append(rules, Given{Name: fmt.Sprint("r", i), When: when, Hot: true})
+			rules = append(rules, Rule{Name: fmt.Sprint("r", i), When: when, Hot: true})
 		}
 		set, problems := Compile(rules, facts, match.Usual())
 		if problems != nil {
 			b.Fatal(problems)
 		}
-		cmd := Command{Tenant: fmt.Sprint("t", n/2), Table: "mart_1_x", Estimate: 10}
+		query := Query{Tenant: fmt.Sprint("t", n/2), Table: "mart_1_x", EstimatedWork: 10}
 		b.Run(fmt.Sprint("index/", n), func(b *testing.B) {
 			var s Scratch
 			b.ReportAllocs()
 			for b.Loop() {
-				set.Apply(&cmd, &s)
+				set.Apply(&query, &s)
 			}
 		})
 		plain := *set
@@ -336,7 +338,7 @@
 		b.Run(fmt.Sprint("each/", n), func(b *testing.B) {
 			var s Scratch
 			for b.Loop() {
-				plain.Apply(&cmd, &s)
+				plain.Apply(&query, &s)
 			}
 		})
 	}
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -17,7 +17,7 @@
 // Case is a query together with what the rules are expected to do to it.
 type Case struct {
 	Name         string
-	Command      rules.Command
+	Command      rules.Query
 	expectations []expectation
 }
 
@@ -88,18 +88,18 @@
 
 // readExpectations reads the fields of a case that say what is expected.
 func readExpectations(open *block.Block, facts *settings.Facts) []expectation {
-	classNames := RuleFacts(facts).Names
+	classNames := RuleFacts(facts).ClassNames
 	all := []expectation{
 		{"matches", open.Strings("matches", maxNameBytes),
 			func(_ rules.Verdict, matched []string) any { return matched }},
 		{"hot", fmt.Sprint(open.Bool("hot", false)),
 			func(v rules.Verdict, _ []string) any { return fmt.Sprint(v.Hot) }},
 		{"key", open.String("key", "", false, maxKeyBytes),
-			func(v rules.Verdict, _ []string) any { return string(v.Key) }},
+			func(v rules.Verdict, _ []string) any { return string(v.OrderingKey) }},
 		{"refuse", open.String("refuse", "", false, maxTextBytes),
-			func(v rules.Verdict, _ []string) any { return v.Refuse }},
+			func(v rules.Verdict, _ []string) any { return v.Refusal }},
 		{"profile", open.String("profile", "", false, maxNameBytes),
-			func(v rules.Verdict, _ []string) any { return classNames[v.Profile] }},
+			func(v rules.Verdict, _ []string) any { return classNames[v.Class] }},
 		{"kinds", sorted(open.Strings("kinds", maxNameBytes)),
 			func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }},
 		{"zones", sorted(open.Strings("zones", maxNameBytes)),
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -32,7 +32,7 @@
 	if len(blocks) == 0 {
 		return nil
 	}
-	var given []rules.Given
+	var given []rules.Rule
 	var opened []*block.Block
 	for _, b := range blocks {
 		open := block.Open(b, diagnostics,
@@ -50,20 +50,20 @@
 }
 
 // readRule reads the fields of one rule. Their meaning, with what an absent one does, stands at
-// rules.Given.
-func readRule(name string, open *block.Block) rules.Given {
-	return rules.Given{
-		Name:    name,
-		When:    open.String("when", "", false, maxTextBytes),
-		Hot:     open.Bool("hot", false),
-		Key:     open.String("key", "", false, maxTextBytes),
-		Kinds:   open.Strings("kinds", maxNameBytes),
-		Zones:   open.Strings("zones", maxNameBytes),
-		Profile: open.String("profile", "", false, maxNameBytes),
-		Labels:  open.StringMap("labels", maxTextBytes),
-		Most:    milliseconds(open.Duration("most_estimate", 0, minEstimate, maxEstimate)),
-		Refuse:  open.String("refuse", "", false, maxTextBytes),
-		Last:    open.Bool("last", false),
+// rules.Rule.
+func readRule(name string, open *block.Block) rules.Rule {
+	return rules.Rule{
+		Name:        name,
+		When:        open.String("when", "", false, maxTextBytes),
+		Hot:         open.Bool("hot", false),
+		Key:         open.String("key", "", false, maxTextBytes),
+		Kinds:       open.Strings("kinds", maxNameBytes),
+		Zones:       open.Strings("zones", maxNameBytes),
+		Class:       open.String("profile", "", false, maxNameBytes),
+		Labels:      open.StringMap("labels", maxTextBytes),
+		EstimateCap: milliseconds(open.Duration("most_estimate", 0, minEstimate, maxEstimate)),
+		Refusal:     open.String("refuse", "", false, maxTextBytes),
+		Last:        open.Bool("last", false),
 	}
 }
 
@@ -73,10 +73,10 @@
 // with a mark under it.
 func describeRuleProblem(p rules.Problem) string {
 	if p.Place == nil {
-		return p.Why
+		return p.Reason
 	}
 	line, column := p.Place.Place()
-	return fmt.Sprintf("%s, at %d:%d of the expression:\n%s", p.Why, line, column, p.Place.Caret())
+	return fmt.Sprintf("%s, at %d:%d of the expression:\n%s", p.Reason, line, column, p.Place.Caret())
 }
 
 // RuleBounds bounds what one expression of a rule may cost.
@@ -85,13 +85,13 @@
 // RuleFacts returns what rules need to know of the settings.
 func RuleFacts(f *settings.Facts) rules.Facts {
 	facts := rules.Facts{
-		Names:    make([]string, len(f.Profiles)),
-		Profiles: f.Profiles,
-		Kinds:    f.Names.Kinds,
-		Zones:    f.Names.ZoneAt,
+		ClassNames: make([]string, len(f.Profiles)),
+		Classes:    f.Profiles,
+		Kinds:      f.Names.Kinds,
+		Zones:      f.Names.ZoneAt,
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Names.Profiles)) {
-		facts.Names[f.Names.Profiles[name]] = name
+		facts.ClassNames[f.Names.Profiles[name]] = name
 	}
 	return facts
 }
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -64,15 +64,15 @@
 }
 
 // rulesOn prints what the rules do to a command.
-func (p *printer) rulesOn(name string, set *rules.Set, command rules.Command) {
+func (p *printer) rulesOn(name string, set *rules.Set, command rules.Query) {
 	verdict := set.Apply(&command, &rules.Scratch{})
-	p.line(name+" refused", verdict.Refuse)
-	p.line(name+" profile", int(verdict.Profile))
-	p.line(name+" key", verdict.Key)
+	p.line(name+" refused", verdict.Refusal)
+	p.line(name+" profile", int(verdict.Class))
+	p.line(name+" key", verdict.OrderingKey)
 	p.line(name+" hot", verdict.Hot)
 	p.line(name+" kinds", verdict.Kinds)
 	p.line(name+" zones", verdict.Zones)
-	p.line(name+" longest estimate ms", verdict.Most)
+	p.line(name+" longest estimate ms", verdict.EstimateCap)
 	p.line(name+" labels", verdict.Labels)
 }
 
@@ -95,12 +95,12 @@
 	p.line("config wait", file.Config.Wait)
 	p.maintenance(file.Maintenance)
 	p.line("rules", file.Rules.Len())
-	command := rules.Command{Tenant: "acme", Schema: "s", Table: "menu_17", Tables: 5, Key: "k", Estimate: 6000, NeedMB: 64,
-		Left: 9000, Front: "postgres", Application: "psql", Listener: "l"}
+	command := rules.Query{Tenant: "acme", Schema: "s", Table: "menu_17", Tables: 5, OrderingKey: "k", EstimatedWork: 6000, EstimatedMemoryMB: 64,
+		TimeLeft: 9000, Protocol: "postgres", Application: "psql", Listener: "l"}
 	p.rulesOn("long lookup", file.Rules, command)
-	command.Estimate = 1000
+	command.EstimatedWork = 1000
 	p.rulesOn("short lookup", file.Rules, command)
-	command.Profile = 2
+	command.Class = 2
 	p.rulesOn("ordered", file.Rules, command)
 	command.Table = "secrets"
 	p.rulesOn("secret", file.Rules, command)
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -56,7 +56,7 @@
 	Statement         []byte          // which engines get
 
 	// RuleInput is the query as the operator's rules see it; nil where there can be none.
-	RuleInput *rules.Command
+	RuleInput *rules.Query
 
 	FirstOnConnection bool          // no query came before it on its connection
 	ReadAt            time.Time     // when its last byte was read
