--- a/cmd/mintkeel-sim/events.go
+++ b/cmd/mintkeel-sim/events.go
@@ -67,7 +67,7 @@
 }
 
 func (n *names) queryArrived(line int, m simwire.QueryArrived) (router.Event, error) {
-	class, known := n.Profiles[m.Class]
+	class, known := n.Classes[m.Class]
 	if !known {
 		return nil, unknownValue(line, "band", m.Class)
 	}
@@ -120,7 +120,7 @@
 		Elapsed:   milliseconds(m.Elapsed),
 		Load:      n.loadReport(m.LoadReport),
 	}
-	if n.Bills && outcome == router.Succeeded && m.Cost > 0 {
+	if n.AnswersHaveCost && outcome == router.Succeeded && m.Cost > 0 {
 		event.Work, event.MemoryMB = unpackCost(m.Cost)
 	}
 	return event, nil
--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -104,7 +104,7 @@
 	if errors.As(err, &field) {
 		return nil, &simwire.FieldError{Line: line, Field: field.Field, Why: field.Why}
 	}
-	return &instance{names: names(facts.Names), module: facts.Router(int64(m.Seed))}, nil
+	return &instance{names: names(facts.Names), module: facts.NewRouter(int64(m.Seed))}, nil
 }
 
 // step has a controller's module decide, and writes its actions; a panic is reported in their place.
--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -73,16 +73,16 @@
 type names settings.Names
 
 // machineKind is the id of a machine kind; -1: it is not among the settings.
-func (n *names) machineKind(name string) router.KindID { return (*settings.Names)(n).Kind(name) }
+func (n *names) machineKind(name string) router.KindID { return (*settings.Names)(n).MachineKind(name) }
 
 // loadReport reads the values of a load report, which stand in the order of the settings; nil: there is none.
 func (n *names) loadReport(values []float64) *router.LoadReport {
 	if values == nil {
 		return nil
 	}
-	report := settings.NoLoad()
-	for i, x := range values[:min(len(values), len(n.Reports))] {
-		settings.SetLoad(report, n.Reports[i], x)
+	report := settings.UnknownLoad()
+	for i, x := range values[:min(len(values), len(n.ReportFields))] {
+		settings.SetLoadField(report, n.ReportFields[i], x)
 	}
 	return report
 }
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -61,7 +61,7 @@
 		return nil, fieldError(err)
 	}
 	names := ses.server.names
-	class, known := names.Profiles[f.ClassName]
+	class, known := names.Classes[f.ClassName]
 	if !known {
 		return nil, &queryError{pgwire.CodeField, fmt.Sprintf("field verb: %.60q is no profile", f.ClassName)}
 	}
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return rules.Query{}, err
 	}
-	class, known := names.Profiles[f.ClassName]
+	class, known := names.Classes[f.ClassName]
 	if !known {
 		why := fmt.Sprintf("%.60q is no profile", f.ClassName)
 		return rules.Query{}, &pgwire.FieldError{Field: "verb", Why: why}
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -87,7 +87,7 @@
 	e.Address = net.JoinHostPort(net.IP(b[recordIP:recordPort]).String(), port)
 	e.State = router.EngineState(state)
 	e.Kind = -1
-	if kind := int(b[recordKind]); kind < len(names.KindAt) {
+	if kind := int(b[recordKind]); kind < len(names.MachineKindAt) {
 		e.Kind = router.KindID(kind)
 	}
 	zone := int(b[recordZone])
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -84,7 +84,7 @@
 		Engine:    router.EngineID(e.Engine),
 		State:     state,
 		Zone:      router.Zone(e.Zone),
-		Kind:      names.Kind(e.Kind),
+		Kind:      names.MachineKind(e.Kind),
 		Cell:      router.CellID(e.Cell),
 		StartedAt: e.StartedAtMS,
 	}}, nil
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -116,8 +116,8 @@
 	if answer.LoadReport == nil {
 		return nil, nil
 	}
-	load := settings.NoLoad()
-	set := func(name string, x float64) { settings.SetLoad(load, name, x) }
+	load := settings.UnknownLoad()
+	set := func(name string, x float64) { settings.SetLoadField(load, name, x) }
 	err := enginewire.ParseLoadReport(answer.LoadReport, set)
 	return load, err
 }
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -85,13 +85,13 @@
 // RuleFacts returns what rules need to know of the settings.
 func RuleFacts(f *settings.Facts) rules.Facts {
 	facts := rules.Facts{
-		ClassNames: make([]string, len(f.Profiles)),
-		Classes:    f.Profiles,
-		Kinds:      f.Names.Kinds,
+		ClassNames: make([]string, len(f.Classes)),
+		Classes:    f.Classes,
+		Kinds:      f.Names.MachineKinds,
 		Zones:      f.Names.ZoneAt,
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.Names.Profiles)) {
-		facts.ClassNames[f.Names.Profiles[name]] = name
+	for _, name := range slices.Sorted(maps.Keys(f.Names.Classes)) {
+		facts.ClassNames[f.Names.Classes[name]] = name
 	}
 	return facts
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// The wire's pairs and nested JSON come to the same facts.
-func TestRead(t *testing.T) {
+// The same settings come as the wire's pairs and as nested JSON. Both are read as the same facts.
+func TestPairsAndNestedJSONAreReadAlike(t *testing.T) {
 	pairs := Values{"kinds": "a,b", "family_info.size_cores": "8,4", "family_info.holds_tables": "false,true",
 		"services.count": "2", "services": "", "services.0.name": "x", "services.0.effect": "free",
 		"services.0.promise_ns": "1500000", "services.1.name": "y", "services.1.effect": "guarded",
@@ -28,8 +28,8 @@
 	if err != nil || err2 != nil || !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, %v\n%+v, %v", a, err, b, err2)
 	}
-	if p := a.Profiles[1]; !reflect.DeepEqual(p.Kinds, []router.KindID{1}) || !p.LocksTables || a.Profiles[0].LatencyObjective != 1.5 ||
-		!a.Guards.RetryBudgeted || a.Tenants[a.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || a.Names.Kind("none") != -1 {
+	if p := a.Classes[1]; !reflect.DeepEqual(p.Kinds, []router.KindID{1}) || !p.LocksTables || a.Classes[0].LatencyObjective != 1.5 ||
+		!a.SafetyLimits.RetryBudgeted || a.Tenants[a.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || a.Names.MachineKind("none") != -1 {
 		t.Errorf("%+v", a)
 	}
 }
