--- a/cmd/mintkeel-lab/fuzz.go
+++ b/cmd/mintkeel-lab/fuzz.go
@@ -40,7 +40,7 @@
 	if i%4 == 0 {
 		source = exprs.Break(rng, source)
 	}
-	e, err := match.Compile(source, typ, &exprs.Schema, match.Usual())
+	e, err := match.Compile(source, typ, &exprs.Schema, match.DefaultBounds())
 	var why *match.Error
 	switch {
 	case err != nil && !errors.As(err, &why):
@@ -50,7 +50,7 @@
 		f.broken++
 		return
 	case err != nil:
-		if f.dear++; !strings.Contains(why.Why, "steps, of") && !strings.Contains(why.Why, "longer") {
+		if f.dear++; !strings.Contains(why.Reason, "steps, of") && !strings.Contains(why.Reason, "longer") {
 			f.wrong = append(f.wrong, source+": "+err.Error())
 		}
 		return
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -106,7 +106,7 @@
 		Listener:          listener,
 	}
 	for _, l := range f.Labels {
-		input.Labels = append(input.Labels, match.Label{Name: l.Name, Text: l.Value})
+		input.Labels = append(input.Labels, match.Label{Name: l.Name, Value: l.Value})
 	}
 	return input
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -119,7 +119,7 @@
 	query := &request.Query{ID: fmt.Sprint("c", number), Tenant: -1, ReadAt: time.Now(), TimeLeft: time.Hour,
 		OrderingKey: key,
 		RuleInput: &rules.Query{
-			Labels:      []match.Label{{Name: "store", Text: store}, {Name: "brand", Text: brand}},
+			Labels:      []match.Label{{Name: "store", Value: store}, {Name: "brand", Value: brand}},
 			OrderingKey: key,
 		}}
 	h.open = append(h.open, query)
@@ -150,7 +150,7 @@
 	var set *rules.Set
 	if source != "" {
 		var problems []rules.Problem
-		set, problems = rules.Compile([]rules.Rule{{Name: "r", Key: source}}, facts, match.Usual())
+		set, problems = rules.Compile([]rules.Rule{{Name: "r", Key: source}}, facts, match.DefaultBounds())
 		if problems != nil {
 			h.t.Fatal(problems)
 		}
--- a/internal/core/rules/apply.go
+++ b/internal/core/rules/apply.go
@@ -39,12 +39,12 @@
 func (s *Scratch) setLabel(name, text string) {
 	for i := range s.labels {
 		if s.labels[i].Name == name {
-			s.labels[i].Text = text
+			s.labels[i].Value = text
 			return
 		}
 	}
 	if len(s.labels) < maxLabels {
-		s.labels = append(s.labels, match.Label{Name: name, Text: text})
+		s.labels = append(s.labels, match.Label{Name: name, Value: text})
 	}
 }
 
--- a/internal/core/rules/compile.go
+++ b/internal/core/rules/compile.go
@@ -50,7 +50,7 @@
 		return nil, c.problems
 	}
 	for _, name := range facts.ClassNames { // a longer name is cut, and could pass for another
-		if len(name) > Schema.Fields[fieldClass].Most {
+		if len(name) > Schema.Fields[fieldClass].MaxBytes {
 			c.addProblem(fieldNameRule, "profile %.80q has too long a name for rules", name)
 		}
 	}
@@ -128,7 +128,7 @@
 		reason := err.Error()
 		var place *match.Error
 		if errors.As(err, &place) {
-			reason = place.Why
+			reason = place.Reason
 		}
 		c.problems = append(c.problems, Problem{Rule: c.rule, Field: field, Reason: reason, Place: place})
 		return nil
--- a/internal/core/rules/epochs_test.go
+++ b/internal/core/rules/epochs_test.go
@@ -72,7 +72,7 @@
 			t.Errorf("put in force is %v, to be keyed anew %v", ok, rekey)
 		}
 	}
-	dear, problems := Compile([]Rule{{Name: "a", When: `application like "*a*b*c*d*"`, Key: `"k"`}}, facts, match.Usual())
+	dear, problems := Compile([]Rule{{Name: "a", When: `application like "*a*b*c*d*"`, Key: `"k"`}}, facts, match.DefaultBounds())
 	if dear != nil || problems == nil {
 		t.Error("a key by what a retry changes")
 	}
--- a/internal/core/rules/index.go
+++ b/internal/core/rules/index.go
@@ -124,7 +124,7 @@
 	scratch.candidates = append(scratch.candidates[:0], x.always...)
 	for i := range fieldCount {
 		v := &scratch.values[i]
-		text := v.Text[:min(len(v.Text), max(0, Schema.Fields[i].Most))]
+		text := v.Text[:min(len(v.Text), max(0, Schema.Fields[i].MaxBytes))]
 		if x.equal[i] != nil {
 			scratch.addCandidates(x.equal[i][text])
 		}
--- a/internal/core/rules/query.go
+++ b/internal/core/rules/query.go
@@ -44,21 +44,21 @@
 // Schema is the fields that rules may read. Their names are those of the operator's file, mapped here alone.
 var Schema = match.Schema{
 	Fields: []match.Field{
-		fieldClass:           {Name: classField, Type: match.Text, Most: maxFieldBytes},
-		fieldTenant:          {Name: "tenant", Type: match.Text, Most: maxFieldBytes},
+		fieldClass:           {Name: classField, Type: match.Text, MaxBytes: maxFieldBytes},
+		fieldTenant:          {Name: "tenant", Type: match.Text, MaxBytes: maxFieldBytes},
 		fieldTableGroup:      {Name: "table_group", Type: match.Number},
-		fieldSchema:          {Name: "schema", Type: match.Text, Most: maxFieldBytes},
-		fieldTable:           {Name: "table_name", Type: match.Text, Most: maxFieldBytes},
-		fieldOrderingKey:     {Name: "client_key", Type: match.Text, Most: maxKeyBytes},
+		fieldSchema:          {Name: "schema", Type: match.Text, MaxBytes: maxFieldBytes},
+		fieldTable:           {Name: "table_name", Type: match.Text, MaxBytes: maxFieldBytes},
+		fieldOrderingKey:     {Name: "client_key", Type: match.Text, MaxBytes: maxKeyBytes},
 		fieldEstimatedWork:   {Name: "estimate", Type: match.Duration},
 		fieldEstimatedMemory: {Name: "memory_mb", Type: match.Number},
 		fieldTimeLeft:        {Name: "left", Type: match.Duration},
-		fieldProtocol:        {Name: "front", Type: match.Text, Most: 16},
-		fieldApplication:     {Name: "application", Type: match.Text, Most: maxFieldBytes},
-		fieldListener:        {Name: "listener", Type: match.Text, Most: maxFieldBytes},
+		fieldProtocol:        {Name: "front", Type: match.Text, MaxBytes: 16},
+		fieldApplication:     {Name: "application", Type: match.Text, MaxBytes: maxFieldBytes},
+		fieldListener:        {Name: "listener", Type: match.Text, MaxBytes: maxFieldBytes},
 	},
-	Labels: maxLabels,
-	Label:  maxTextBytes,
+	MaxLabels:     maxLabels,
+	MaxLabelBytes: maxTextBytes,
 }
 
 // changingFields are the fields that may differ between a query and its client's retry of it.
@@ -66,8 +66,8 @@
 
 // fill sets a scratch's values to a query's fields.
 func (s *Set) fill(q *Query, scratch *Scratch) {
-	text := func(i int, x string) { scratch.values[i] = match.Value{Text: x, Has: x != ""} }
-	number := func(i int, x float64) { scratch.values[i] = match.Value{Number: x, Has: x != 0} }
+	text := func(i int, x string) { scratch.values[i] = match.Value{Text: x, Present: x != ""} }
+	number := func(i int, x float64) { scratch.values[i] = match.Value{Number: x, Present: x != 0} }
 	scratch.values[fieldClass] = match.TextOf(s.facts.ClassNames[q.Class])
 	scratch.values[fieldTableGroup] = match.NumberOf(float64(q.Tables))
 	scratch.values[fieldTimeLeft] = match.NumberOf(q.TimeLeft)
--- a/internal/core/rules/retrystable.go
+++ b/internal/core/rules/retrystable.go
@@ -20,7 +20,7 @@
 	if e == nil {
 		return ""
 	}
-	for _, name := range e.Names() {
+	for _, name := range e.Fields() {
 		if slices.Contains(changingFields, name) || name == classField && s.unstableClass {
 			return name
 		}
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -24,7 +24,7 @@
 
 func compile(t *testing.T, given ...Rule) *Set {
 	t.Helper()
-	set, problems := Compile(given, facts, match.Usual())
+	set, problems := Compile(given, facts, match.DefaultBounds())
 	if problems != nil {
 		t.Fatal(problems)
 	}
@@ -98,7 +98,7 @@
 		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "below zero"},
 		{"too dear", []Rule{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
 	} {
-		set, problems := Compile(c.rules, facts, match.Usual())
+		set, problems := Compile(c.rules, facts, match.DefaultBounds())
 		if c.field == "" {
 			if problems != nil || set.Len() != len(c.rules) {
 				t.Errorf("%s: %v", c.name, problems)
@@ -112,7 +112,7 @@
 			t.Errorf("%s: %v", c.name, problems)
 		}
 	}
-	if _, problems := Compile([]Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}, facts, match.Usual()); len(problems) < 3 {
+	if _, problems := Compile([]Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}, facts, match.DefaultBounds()); len(problems) < 3 {
 		t.Errorf("not all problems at once: %v", problems)
 	}
 	many := func(when string) (rules []Rule) {
@@ -121,19 +121,19 @@
 		}
 		return rules
 	}
-	if _, problems := Compile(many(`application like "*a*b%d"`), facts, match.Usual()); len(problems) != 1 ||
+	if _, problems := Compile(many(`application like "*a*b%d"`), facts, match.DefaultBounds()); len(problems) != 1 ||
 		!strings.Contains(problems[0].Reason, "together") {
 		t.Errorf("too dear together: %v", problems)
 	}
-	if _, problems := Compile(many(`tenant startswith "t" && application like "*a*b%d"`), facts, match.Usual()); problems == nil {
+	if _, problems := Compile(many(`tenant startswith "t" && application like "*a*b%d"`), facts, match.DefaultBounds()); problems == nil {
 		t.Error("too dear together by one prefix")
 	}
-	if _, problems := Compile(many(`tenant == "t%[1]d" && application like "*a*b%[1]d"`), facts, match.Usual()); problems != nil {
+	if _, problems := Compile(many(`tenant == "t%[1]d" && application like "*a*b%[1]d"`), facts, match.DefaultBounds()); problems != nil {
 		t.Errorf("each on its tenant alone: %v", problems)
 	}
 	long := facts
 	long.ClassNames = []string{"lookup", strings.Repeat("r", 70), "load", "once"}
-	if _, problems := Compile([]Rule{{Name: "a"}}, long, match.Usual()); problems == nil {
+	if _, problems := Compile([]Rule{{Name: "a"}}, long, match.DefaultBounds()); problems == nil {
 		t.Error("a profile whose name can't be told from another's")
 	}
 	ways := facts
@@ -147,12 +147,12 @@
 		narrowing = append(narrowing, Rule{Name: fmt.Sprint("n", i), When: `tenant == "x"`,
 			Zones: slices.Delete(slices.Clone(ways.Zones), i, i+1)})
 	}
-	if _, problems := Compile(narrowing, ways, match.Usual()); !slices.ContainsFunc(problems, func(p Problem) bool {
+	if _, problems := Compile(narrowing, ways, match.DefaultBounds()); !slices.ContainsFunc(problems, func(p Problem) bool {
 		return strings.Contains(p.Reason, "in more than")
 	}) {
 		t.Errorf("more ways than can be followed: %v", problems)
 	}
-	if _, problems := Compile(make([]Rule, maxRules+1), facts, match.Usual()); problems == nil {
+	if _, problems := Compile(make([]Rule, maxRules+1), facts, match.DefaultBounds()); problems == nil {
 		t.Error("too many rules")
 	}
 }
@@ -176,9 +176,9 @@
 	}{
 		{"none fits", Query{Class: 1, OrderingKey: "k"}, Verdict{Class: 1, OrderingKey: "k"}},
 		{"a label from one rule to the next", Query{Class: 1, Tenant: "acme", Table: "menu_3"},
-			Verdict{Class: 1, Hot: true, Labels: []match.Label{{Name: "team", Text: "partner/acme"}}}},
-		{"a key", Query{Class: 2, OrderingKey: "k", Labels: []match.Label{{Name: "store", Text: "12-east"}}},
-			Verdict{Class: 2, OrderingKey: "s/12", Labels: []match.Label{{Name: "store", Text: "12-east"}}}},
+			Verdict{Class: 1, Hot: true, Labels: []match.Label{{Name: "team", Value: "partner/acme"}}}},
+		{"a key", Query{Class: 2, OrderingKey: "k", Labels: []match.Label{{Name: "store", Value: "12-east"}}},
+			Verdict{Class: 2, OrderingKey: "s/12", Labels: []match.Label{{Name: "store", Value: "12-east"}}}},
 		{"a key without its label", Query{Class: 2, OrderingKey: "k"}, Verdict{Class: 2, OrderingKey: "s/"}},
 		{"narrowed twice, its estimate cut, and taken for a report", Query{EstimatedWork: 900}, Verdict{Class: 1, EstimateCap: 500,
 			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
@@ -256,7 +256,7 @@
 	for range 600 {
 		var rules []Rule
 		for _, g := range drawn(rng, rng.Intn(30)) { // those that are refused are left out
-			if _, problems := Compile(append(slices.Clone(rules), g), facts, match.Usual()); problems == nil {
+			if _, problems := Compile(append(slices.Clone(rules), g), facts, match.DefaultBounds()); problems == nil {
 				rules = append(rules, g)
 			}
 		}
@@ -318,7 +318,7 @@
 			}
 			rules = append(rules, Rule{Name: fmt.Sprint("r", i), When: when, Hot: true})
 		}
-		set, problems := Compile(rules, facts, match.Usual())
+		set, problems := Compile(rules, facts, match.DefaultBounds())
 		if problems != nil {
 			b.Fatal(problems)
 		}
--- a/internal/lab/exprs/exprs.go
+++ b/internal/lab/exprs/exprs.go
@@ -16,14 +16,14 @@
 
 // Schema is the one that random expressions are drawn over: the commands' (docs/rules.md).
 var Schema = match.Schema{Fields: []match.Field{
-	{Name: "profile", Type: match.Text, Most: 32},
-	{Name: "tenant", Type: match.Text, Most: 32},
-	{Name: "table_name", Type: match.Text, Most: 64},
+	{Name: "profile", Type: match.Text, MaxBytes: 32},
+	{Name: "tenant", Type: match.Text, MaxBytes: 32},
+	{Name: "table_name", Type: match.Text, MaxBytes: 64},
 	{Name: "table_group", Type: match.Number},
 	{Name: "estimate", Type: match.Duration},
 	{Name: "left", Type: match.Duration},
 	{Name: "urgent", Type: match.Bool},
-}, Labels: 4, Label: 24}
+}, MaxLabels: 4, MaxLabelBytes: 24}
 
 // value is what a tree evaluates to.
 type value struct {
@@ -98,7 +98,7 @@
 		r.Values = r.Values[:rng.Intn(len(r.Values))]
 	}
 	for range rng.Intn(7) {
-		r.Labels = append(r.Labels, match.Label{Name: []string{"store", "brand", "x"}[rng.Intn(3)], Text: word(rng)})
+		r.Labels = append(r.Labels, match.Label{Name: []string{"store", "brand", "x"}[rng.Intn(3)], Value: word(rng)})
 	}
 	return r
 }
@@ -158,8 +158,8 @@
 	return &Expr{f.Name, typ, func(r match.Row) value {
 		v := field(r, i)
 		s := v.Text
-		if len(s) > f.Most {
-			s = s[:f.Most]
+		if len(s) > f.MaxBytes {
+			s = s[:f.MaxBytes]
 		}
 		return value{v.Number != 0 && v.Number == v.Number || v.Number != v.Number, plain(v.Number), s}
 	}}
@@ -198,7 +198,7 @@
 			return leafOf(rng, match.Bool)
 		case 2:
 			i := rng.Intn(len(Schema.Fields))
-			return newExpr("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return field(r, i).Has })
+			return newExpr("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return field(r, i).Present })
 		}
 		return newExpr(`has(label("store"))`, func(r match.Row) bool { _, has := labelOf(r, "store"); return has })
 	}
@@ -406,8 +406,8 @@
 
 func labelOf(r match.Row, name string) (string, bool) {
 	for i, l := range r.Labels {
-		if i < Schema.Labels && l.Name == name {
-			return l.Text[:min(len(l.Text), Schema.Label)], true
+		if i < Schema.MaxLabels && l.Name == name {
+			return l.Value[:min(len(l.Value), Schema.MaxLabelBytes)], true
 		}
 	}
 	return "", false
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -80,7 +80,7 @@
 }
 
 // RuleBounds bounds what one expression of a rule may cost.
-func RuleBounds() match.Bounds { return match.Usual() }
+func RuleBounds() match.Bounds { return match.DefaultBounds() }
 
 // RuleFacts returns what rules need to know of the settings.
 func RuleFacts(f *settings.Facts) rules.Facts {
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -153,7 +153,7 @@
 	var p printer
 	for _, field := range rules.Schema.Fields {
 		kind := map[match.Type]string{match.Text: "text", match.Number: "number", match.Duration: "duration"}[field.Type]
-		p.line(field.Name, fmt.Sprint(kind, " ", field.Most))
+		p.line(field.Name, fmt.Sprint(kind, " ", field.MaxBytes))
 	}
 	golden.File(t, "rulefields.golden", []byte(p.String()))
 }
--- a/match/cost.go
+++ b/match/cost.go
@@ -2,119 +2,133 @@
 
 import "slices"
 
-// What things cost, in steps of some nanoseconds. A text is looked at a word at a time where it is compared, a byte at a
-// time where it is changed or matched.
+// Costs in steps of some nanoseconds. A text is looked at a word at a time where it is compared, and a byte
+// at a time where it is changed or matched.
 const (
-	perWord      = 8 // bytes
-	lookUp       = 2
-	perMatchByte = 2 // for each byte and instruction of a regular expression, a quarter of a step is paid
+	wordBytes      = 8
+	lookupSteps    = 2
+	literalSteps   = 1
+	regexSteps     = 20 // of a regular expression, beside those for each byte and instruction
+	regexByteSteps = 2  // for each byte, beside those for each instruction
+	callSteps      = 4  // of a function on a text, beside those for each byte
+	divideSteps    = 4
+	remainderSteps = 300 // it is a division by hand, a bit at a time
 )
 
-// length is how many bytes a text may have.
-func (n *node) length(s *Schema) int {
+// maxTextBytes is how many bytes a text may have.
+func (n *node) maxTextBytes(s *Schema) int {
 	switch n.op {
 	case opLiteral:
 		return len(n.literal.Text)
 	case opField:
-		return n.field.Most
+		return n.field.MaxBytes
 	case opLabel:
-		return s.Label
+		return s.MaxLabelBytes
 	case opIf:
-		return max(n.args[1].length(s), n.args[2].length(s))
+		return max(n.args[1].maxTextBytes(s), n.args[2].maxTextBytes(s))
 	case opConcat:
 		sum := 0
 		for _, a := range n.args {
-			sum += a.length(s)
+			sum += a.maxTextBytes(s)
 		}
 		return sum
 	case opLower, opUpper, opPart:
-		return n.args[0].length(s)
+		return n.args[0].maxTextBytes(s)
 	}
 	return 0
 }
 
-// own is what a node costs apart from its arguments, and the bytes of scratch that it needs.
-func (n *node) own(s *Schema) (steps, buffer int) {
-	words := func(i int) int { return n.args[i].length(s)/perWord + 1 }
+// ownCost is what a node costs apart from its arguments, and the bytes of scratch that it needs.
+func (n *node) ownCost(s *Schema) (steps, scratchBytes int) {
+	words := func(i int) int { return n.args[i].maxTextBytes(s)/wordBytes + 1 }
 	switch n.op {
 	case opLiteral:
-		return 1, 0
+		return literalSteps, 0
 	case opField, opHas:
-		return lookUp, 0
+		return lookupSteps, 0
 	case opLabel, opHasLabel:
-		return lookUp + s.Labels*(len(n.name)/perWord+2), 0
+		return lookupSteps + s.MaxLabels*(len(n.name)/wordBytes+2), 0
 	case opEqual, opLess:
-		if n.args[0].typ == Text {
+		if n.args[0].valueType == Text {
 			return 1 + min(words(0), words(1)), 0
 		}
 		return 1, 0
 	case opIn:
-		halves, longest := 1, 0
-		for k := len(n.set); k > 0; k /= 2 {
-			halves++
-		}
-		for _, v := range n.set {
-			longest = max(longest, len(v.Text))
-		}
-		if n.args[0].typ != Text {
-			return 2 * halves, 0
-		}
-		return halves * (2 + min(n.args[0].length(s), longest)/perWord), 0
-	case opStarts, opEnds:
+		return n.listCost(s), 0
+	case opStartsWith, opEndsWith:
 		return 1 + words(1), 0
 	case opContains: // by a search that does not go back far
-		return 2 + 2*n.args[0].length(s) + words(1), 0
+		return 2 + 2*n.args[0].maxTextBytes(s) + words(1), 0
 	case opLike:
-		if !slices.Contains(n.pattern.any, true) {
-			return 2 + n.args[0].length(s), 0
+		if !slices.Contains(n.pattern.isStar, true) {
+			return 2 + n.args[0].maxTextBytes(s), 0
 		}
-		return 2 + n.args[0].length(s)*(len(n.pattern.text)+1), 0
+		return 2 + n.args[0].maxTextBytes(s)*(len(n.pattern.text)+1), 0
 	case opMatches:
-		return 20 + n.args[0].length(s)*(perMatchByte+n.program), 0
+		return regexSteps + n.args[0].maxTextBytes(s)*(regexByteSteps+n.programLength), 0
 	case opConcat:
-		length := n.length(s)
-		return 2 + len(n.args) + length/perWord, length
+		length := n.maxTextBytes(s)
+		return 2 + len(n.args) + length/wordBytes, length
 	case opLower, opUpper:
-		length := n.length(s)
+		length := n.maxTextBytes(s)
 		return 2 + length, length
 	case opPart:
-		return 4 + 2*n.args[0].length(s), 0
+		return callSteps + 2*n.args[0].maxTextBytes(s), 0
 	case opBucket:
-		return 4 + n.args[0].length(s), 0
+		return callSteps + n.args[0].maxTextBytes(s), 0
 	case opNumber:
-		return 4 + 2*min(mostDigits, n.args[0].length(s)), 0
-	case opRest: // a division by hand, a bit at a time
-		return 300, 0
+		return callSteps + 2*min(maxDigits, n.args[0].maxTextBytes(s)), 0
+	case opRemainder:
+		return remainderSteps, 0
 	case opDivide:
-		return 4, 0
+		return divideSteps, 0
 	}
 	return 1, 0
 }
 
-// cost is the most that one evaluation may take, and the bytes of scratch. Of a choice both sides count for scratch, the
-// dearer for steps.
-func (n *node) cost(s *Schema) (steps, buffer int) {
-	steps, buffer = n.own(s)
+// listCost is what searching a list by halves costs.
+func (n *node) listCost(s *Schema) int {
+	halves := 1
+	for k := len(n.set); k > 0; k /= 2 {
+		halves++
+	}
+	if n.args[0].valueType != Text {
+		return 2 * halves
+	}
+	longest := 0
+	for _, v := range n.set {
+		longest = max(longest, len(v.Text))
+	}
+	return halves * (2 + min(n.args[0].maxTextBytes(s), longest)/wordBytes)
+}
+
+// cost is the most that one evaluation may take, and the bytes of scratch that it may need. Of a choice the
+// dearer side counts for steps, and both for scratch.
+func (n *node) cost(s *Schema) (steps, scratchBytes int) {
+	steps, scratchBytes = n.ownCost(s)
 	if n.op == opIf {
-		c, b := n.args[0].cost(s)
-		y, yb := n.args[1].cost(s)
-		o, ob := n.args[2].cost(s)
-		return steps + c + max(y, o), buffer + b + yb + ob
+		condition, conditionBytes := n.args[0].cost(s)
+		yes, yesBytes := n.args[1].cost(s)
+		no, noBytes := n.args[2].cost(s)
+		return steps + condition + max(yes, no), scratchBytes + conditionBytes + yesBytes + noBytes
 	}
 	for _, a := range n.args {
-		more, bytes := a.cost(s)
-		steps, buffer = steps+more, buffer+bytes
+		argSteps, argBytes := a.cost(s)
+		steps += argSteps
+		scratchBytes += argBytes
 	}
-	return steps, buffer
+	return steps, scratchBytes
 }
 
-// dearest is the node that costs most by itself.
-func (n *node) dearest(s *Schema) *node {
-	best, most := n, -1
+// costliest is the node below n, itself included, that costs most apart from its arguments.
+func (n *node) costliest(s *Schema) *node {
+	costliest := n
+	most := -1
 	n.walk(func(o *node) {
-		if own, _ := o.own(s); own > most {
-			best, most = o, own
+		if own, _ := o.ownCost(s); own > most {
+			costliest = o
+			most = own
 		}
 	})
-	return best
+	return costliest
 }
--- a/match/explain.go
+++ b/match/explain.go
@@ -6,20 +6,23 @@
 	"strings"
 )
 
-// Step is one part of an expression with what it came to, for people: Depth is how deep it stands.
+// maxItemsShown of a list are written out.
+const maxItemsShown = 8
+
+// Step is one part of an expression with its value, for people.
 type Step struct {
-	Depth int
+	Depth int    // of the part in the expression
 	Text  string // the part, written out
 	Value string
 }
 
-// Explain evaluates an expression part by part: conditions down to what they compare, and the two sides of each
-// comparison. Parts that evaluation would pass over are told too.
+// Explain evaluates an expression part by part: conditions down to what they compare, and the two sides of
+// each comparison. Parts that an evaluation would skip are there too.
 func (e *Expr) Explain(row Row) (steps []Step) {
 	var s Scratch
 	var explain func(n *node, depth int)
 	explain = func(n *node, depth int) {
-		steps = append(steps, Step{depth, n.String(), n.come(e, row, &s)})
+		steps = append(steps, Step{depth, n.String(), n.evaluate(e, row, &s)})
 		for _, a := range n.args {
 			if a.op != opLiteral {
 				explain(a, depth+1)
@@ -30,23 +33,47 @@
 	return steps
 }
 
-// come is what a part of an expression comes to, written out.
-func (n *node) come(whole *Expr, row Row, s *Scratch) string {
-	part := &Expr{typ: n.typ, buffer: whole.buffer}
-	f := part.begin(row, s)
-	switch n.typ {
+// evaluate returns the value of a part of an expression, written out.
+func (n *node) evaluate(whole *Expr, row Row, s *Scratch) string {
+	part := &Expr{valueType: n.valueType, scratchBytes: whole.scratchBytes}
+	ev := part.beginEvaluation(row, s)
+	switch n.valueType {
 	case Bool:
-		return strconv.FormatBool(n.compileBool()(f))
+		return strconv.FormatBool(n.compileBool()(ev))
 	case Text:
-		return strconv.Quote(n.compileText()(f))
-	case Duration:
-		return strconv.FormatFloat(n.compileNumber()(f), 'g', 6, 64) + "ms"
+		return strconv.Quote(n.compileText()(ev))
 	}
-	return strconv.FormatFloat(n.compileNumber()(f), 'g', 6, 64)
+	return numberText(n.valueType, n.compileNumber()(ev))
+}
+
+// infixSigns are the operators that are written between their sides.
+var infixSigns = map[op]string{
+	opAnd:        "&&",
+	opOr:         "||",
+	opStartsWith: "startswith",
+	opEndsWith:   "endswith",
+	opContains:   "contains",
+	opAdd:        "+",
+	opSubtract:   "-",
+	opMultiply:   "*",
+	opDivide:     "/",
+	opRemainder:  "%",
 }
 
-var between = map[op]string{opAnd: "&&", opOr: "||", opStarts: "startswith", opEnds: "endswith", opContains: "contains",
-	opAdd: "+", opSubtract: "-", opMultiply: "*", opDivide: "/", opRest: "%"}
+// sign is the operator between the sides of a node; empty: it is not written so.
+func (n *node) sign() string {
+	switch {
+	case n.op == opEqual && n.negated:
+		return "!="
+	case n.op == opEqual:
+		return "=="
+	case n.op == opLess && n.negated:
+		return ">="
+	case n.op == opLess:
+		return "<"
+	}
+	return infixSigns[n.op]
+}
 
 // String is the part written out, with its operators in parentheses.
 func (n *node) String() string {
@@ -54,12 +81,12 @@
 	for _, a := range n.args {
 		args = append(args, a.String())
 	}
-	if sign, ok := between[n.op]; ok {
+	if sign := n.sign(); sign != "" {
 		return "(" + args[0] + " " + sign + " " + args[1] + ")"
 	}
 	switch n.op {
 	case opLiteral:
-		return literalText(n.typ, n.literal)
+		return literalText(n.valueType, n.literal)
 	case opField:
 		return n.field.Name
 	case opHas:
@@ -70,26 +97,12 @@
 		return "has(label(" + strconv.Quote(n.name) + "))"
 	case opNot:
 		return "!" + args[0]
-	case opMinus:
+	case opNegate:
 		return "-" + args[0]
 	case opIf:
 		return "(" + args[0] + " ? " + args[1] + " : " + args[2] + ")"
-	case opEqual, opLess:
-		sign := map[op][2]string{opEqual: {"==", "!="}, opLess: {"<", ">="}}[n.op]
-		if n.negated {
-			return "(" + args[0] + " " + sign[1] + " " + args[1] + ")"
-		}
-		return "(" + args[0] + " " + sign[0] + " " + args[1] + ")"
 	case opIn:
-		var items []string
-		for i, v := range n.set {
-			if i == 8 {
-				items = append(items, fmt.Sprintf("... %d more", len(n.set)-i))
-				break
-			}
-			items = append(items, literalText(n.args[0].typ, v))
-		}
-		return "(" + args[0] + " in [" + strings.Join(items, ", ") + "])"
+		return "(" + args[0] + " in [" + n.listText() + "])"
 	case opLike:
 		return "(" + args[0] + " like " + strconv.Quote(n.pattern.source) + ")"
 	case opMatches:
@@ -103,14 +116,34 @@
 	return "?"
 }
 
+// listText is the list of an opIn, written out as far as it is short.
+func (n *node) listText() string {
+	var items []string
+	for i, v := range n.set {
+		if i == maxItemsShown {
+			items = append(items, fmt.Sprintf("... %d more", len(n.set)-i))
+			break
+		}
+		items = append(items, literalText(n.args[0].valueType, v))
+	}
+	return strings.Join(items, ", ")
+}
+
 func literalText(t Type, v Value) string {
 	switch t {
 	case Bool:
 		return strconv.FormatBool(v.Number != 0)
 	case Text:
 		return strconv.Quote(v.Text)
-	case Duration:
-		return strconv.FormatFloat(v.Number, 'g', 6, 64) + "ms"
 	}
-	return strconv.FormatFloat(v.Number, 'g', 6, 64)
+	return numberText(t, v.Number)
+}
+
+// numberText writes out a number, or a duration with its unit.
+func numberText(t Type, x float64) string {
+	text := strconv.FormatFloat(x, 'g', 6, 64)
+	if t == Duration {
+		text += "ms"
+	}
+	return text
 }
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -16,9 +16,9 @@
 // row is a load of one of a brand's menu marts.
 var row = match.Row{Values: []match.Value{match.TextOf("load"), match.TextOf("acme"), match.TextOf("menu_17"),
 	match.NumberOf(17), match.NumberOf(250), match.NumberOf(1500), {}},
-	Labels: []match.Label{{Name: "store", Text: "store-12-east"}}}
+	Labels: []match.Label{{Name: "store", Value: "store-12-east"}}}
 
-// What expressions come to: each operator and function, with absent fields and odd values.
+// What expressions evaluate to: each operator and function, with absent fields and odd values.
 func TestMeaning(t *testing.T) {
 	for source, want := range map[string]any{
 		`true`: true, `!true`: false, `!!true`: true, `urgent`: false, `has(urgent)`: false, `has(profile)`: true,
@@ -53,7 +53,7 @@
 				typ = match.Duration
 			}
 		}
-		e, err := match.Compile(source, typ, schema, match.Usual())
+		e, err := match.Compile(source, typ, schema, match.DefaultBounds())
 		if err != nil {
 			t.Errorf("%s: %v", source, err)
 			continue
@@ -86,7 +86,7 @@
 	}
 }
 
-// What is wrong is told with its place.
+// Whatever is wrong with an expression is reported when it is compiled, with its place.
 func TestErrors(t *testing.T) {
 	deep := func(opening, closing string, n int) string {
 		return strings.Repeat(opening, n) + "true" + strings.Repeat(closing, n)
@@ -153,9 +153,9 @@
 		{strings.Repeat("table_name like \"*a*b*c*d*e*f*g*h\" || ", 9) + "true", "1:", "steps, of 2500 allowed"},
 		{strings.Repeat("table_name matches \"(a|b)*c\" && ", 9) + "true", "1:", "most, "},
 	} {
-		_, err := match.Compile(c.source, match.Bool, schema, match.Usual())
+		_, err := match.Compile(c.source, match.Bool, schema, match.DefaultBounds())
 		var e *match.Error
-		if !errors.As(err, &e) || !strings.HasPrefix(err.Error(), c.place) || !strings.Contains(e.Why, c.why) {
+		if !errors.As(err, &e) || !strings.HasPrefix(err.Error(), c.place) || !strings.Contains(e.Reason, c.why) {
 			t.Errorf("%.60q: %v", c.source, err)
 			continue
 		}
@@ -170,15 +170,15 @@
 
 // A caret stands under the place, also behind tabs and in long lines.
 func TestCaret(t *testing.T) {
-	_, err := match.Compile("true &&\n\tprfile", match.Bool, schema, match.Usual())
+	_, err := match.Compile("true &&\n\tprfile", match.Bool, schema, match.DefaultBounds())
 	var e *match.Error
 	if errors.As(err, &e); e.Caret() != "\tprfile\n\t^" {
 		t.Errorf("%q", e.Caret())
 	}
 }
 
-// Random expressions, well-typed and broken, compiled and walked: the same verdicts, no failure, within the bound, and
-// nothing allocated.
+// Random expressions, well-typed and broken, compiled and walked: the same verdicts, no failure, within the
+// bound, and nothing allocated.
 func TestRandom(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	n := 20000
@@ -191,15 +191,15 @@
 		typ := match.Type(rng.Intn(4))
 		drawn := exprs.Draw(rng, typ, rng.Intn(6))
 		if i%4 == 0 {
-			if _, err := match.Compile(exprs.Break(rng, drawn.Source), typ, schema, match.Usual()); err != nil {
+			if _, err := match.Compile(exprs.Break(rng, drawn.Source), typ, schema, match.DefaultBounds()); err != nil {
 				broken++
 			}
 			continue
 		}
-		e, err := match.Compile(drawn.Source, typ, schema, match.Usual())
+		e, err := match.Compile(drawn.Source, typ, schema, match.DefaultBounds())
 		if err != nil {
 			var why *match.Error
-			if refused++; !errors.As(err, &why) || !strings.Contains(why.Why, "steps, of") && !strings.Contains(why.Why, "longer") {
+			if refused++; !errors.As(err, &why) || !strings.Contains(why.Reason, "steps, of") && !strings.Contains(why.Reason, "longer") {
 				t.Fatalf("%s: %v", drawn.Source, err)
 			}
 			continue
@@ -235,7 +235,7 @@
 		`bucket(tenant, 16) < 8 && left - estimate > 1s`,
 		`table_name matches "^menu_[0-9]+$"`,
 	} {
-		e, err := match.Compile(source, match.Bool, schema, match.Usual())
+		e, err := match.Compile(source, match.Bool, schema, match.DefaultBounds())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -248,8 +248,8 @@
 }
 
 // The same expression in several goroutines, each with a scratch of its own.
-func TestTogether(t *testing.T) {
-	e, err := match.Compile(`lower(upper(tenant) + "-" + label("store"))`, match.Text, schema, match.Usual())
+func TestConcurrentEvaluation(t *testing.T) {
+	e, err := match.Compile(`lower(upper(tenant) + "-" + label("store"))`, match.Text, schema, match.DefaultBounds())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,14 +266,15 @@
 	}
 }
 
-// Names are those that are read.
-func TestNames(t *testing.T) {
-	e, err := match.Compile(`has(urgent) || profile == tenant || profile == "x"`, match.Bool, schema, match.Usual())
-	if err != nil || fmt.Sprint(e.Names()) != "[profile tenant urgent]" {
-		t.Errorf("%v, %v", e.Names(), err)
+// Fields are those that an expression reads.
+func TestFields(t *testing.T) {
+	e, err := match.Compile(`has(urgent) || profile == tenant || profile == "x"`, match.Bool, schema, match.DefaultBounds())
+	if err != nil || fmt.Sprint(e.Fields()) != "[profile tenant urgent]" {
+		t.Errorf("%v, %v", e.Fields(), err)
 	}
 }
 
+// No source makes Compile fail otherwise than by an error, and no evaluation fails.
 func FuzzCompile(f *testing.F) {
 	rng := rand.New(rand.NewSource(2))
 	for range 20 {
@@ -281,7 +282,7 @@
 	}
 	f.Add(`profile matches "(a+)+$" && label("x") like "**?"`)
 	f.Fuzz(func(t *testing.T, source string) {
-		e, err := match.Compile(source, match.Bool, schema, match.Usual())
+		e, err := match.Compile(source, match.Bool, schema, match.DefaultBounds())
 		if err != nil {
 			var why *match.Error
 			if !errors.As(err, &why) {
@@ -290,7 +291,7 @@
 			why.Caret()
 			return
 		}
-		if e.Steps() > match.Usual().Steps {
+		if e.Steps() > match.DefaultBounds().Steps {
 			t.Fatalf("%d steps", e.Steps())
 		}
 		var s match.Scratch
@@ -299,6 +300,7 @@
 	})
 }
 
+// BenchmarkTypical is a condition as operators write them.
 func BenchmarkTypical(b *testing.B) {
 	for name, source := range map[string]string{
 		"equal":  `profile == "load"`,
@@ -308,7 +310,7 @@
 		"worst":  strings.Repeat(`table_name like "*a*a*a*b" || `, 3) + `false`,
 		"worst2": `table_name matches "(a|aa)+(a|b)*c$" || false`,
 	} {
-		e, err := match.Compile(source, match.Bool, schema, match.Usual())
+		e, err := match.Compile(source, match.Bool, schema, match.DefaultBounds())
 		if err != nil {
 			b.Fatal(name, err)
 		}
--- /dev/null
+++ b/match/parser.go
@@ -0,0 +1,231 @@
+package match
+
+import "fmt"
+
+// parser is a recursive descent of bounded depth. Each method that parses returns a tree whose types are
+// checked.
+type parser struct {
+	lexer  lexer
+	schema *Schema
+	bounds Bounds
+	token  token // the next one
+	depth  int   // of the tree above what is being parsed
+}
+
+// parse returns the tree of an expression. Its error is an *Error.
+func parse(source string, schema *Schema, b Bounds) (*node, error) {
+	if len(source) > b.SourceBytes {
+		reason := fmt.Sprintf("is longer than %d bytes", b.SourceBytes)
+		return nil, &Error{b.SourceBytes, reason, source[:b.SourceBytes]}
+	}
+	p := &parser{lexer: lexer{source: source}, schema: schema, bounds: b}
+	if err := p.advance(); err != nil {
+		return nil, err
+	}
+	if p.token.kind == tokenEnd {
+		return nil, p.fail(0, "is empty")
+	}
+	n, err := p.expression()
+	if err == nil && p.token.kind != tokenEnd {
+		err = p.fail(p.token.offset, "something follows that belongs to nothing")
+	}
+	return n, err
+}
+
+func (p *parser) fail(offset int, format string, args ...any) error {
+	return p.lexer.fail(offset, format, args...)
+}
+
+// advance takes the next token.
+func (p *parser) advance() (err error) {
+	p.token, err = p.lexer.next()
+	return err
+}
+
+// nextIs reports whether the next token is this sign or word.
+func (p *parser) nextIs(text string) bool {
+	return (p.token.kind == tokenSign || p.token.kind == tokenName) && p.token.text == text
+}
+
+// accept takes the next token if it is one of these signs or words; empty: it is not.
+func (p *parser) accept(texts ...string) (text string, offset int, err error) {
+	for _, text := range texts {
+		if p.nextIs(text) {
+			offset := p.token.offset
+			return text, offset, p.advance()
+		}
+	}
+	return "", 0, nil
+}
+
+// expect takes the next token, which must be this sign.
+func (p *parser) expect(text string) error {
+	if !p.nextIs(text) {
+		return p.fail(p.token.offset, "%q is missing", text)
+	}
+	return p.advance()
+}
+
+// nested guards each recursion.
+func (p *parser) nested(parse func() (*node, error)) (*node, error) {
+	p.depth++
+	if p.depth > p.bounds.Depth {
+		return nil, p.fail(p.token.offset, "is nested more than %d deep", p.bounds.Depth)
+	}
+	n, err := parse()
+	p.depth--
+	return n, err
+}
+
+func (p *parser) expression() (*node, error) { return p.nested(p.conditional) }
+
+// conditional parses condition ? a : b, or what has no ? behind it.
+func (p *parser) conditional() (*node, error) {
+	condition, err := p.binary(0)
+	if err != nil || !p.nextIs("?") {
+		return condition, err
+	}
+	offset := p.token.offset
+	if err := p.advance(); err != nil {
+		return nil, err
+	}
+	if condition.valueType != Bool {
+		return nil, p.fail(condition.offset, "stands before ? and is a %v, not a truth value", condition.valueType)
+	}
+	yes, err := p.expression()
+	if err == nil {
+		err = p.expect(":")
+	}
+	if err != nil {
+		return nil, err
+	}
+	no, err := p.expression()
+	if err != nil {
+		return nil, err
+	}
+	if yes.valueType != no.valueType {
+		return nil, p.fail(no.offset, "is a %v, the other choice a %v", no.valueType, yes.valueType)
+	}
+	return &node{op: opIf, valueType: yes.valueType, offset: offset, args: []*node{condition, yes, no}}, nil
+}
+
+// operatorLevels are the binary operators, those that bind least first. Those of one level associate to the
+// left.
+var operatorLevels = [][]string{
+	{"||"},
+	{"&&"},
+	{"==", "!=", "<", "<=", ">", ">=", "in", "startswith", "endswith", "contains", "like", "matches"},
+	{"+", "-"},
+	{"*", "/", "%"},
+}
+
+// comparisonLevel is the level whose operators can't follow each other.
+const comparisonLevel = 2
+
+// binary parses the operators of a level and those that bind more. A chain of operators counts as deep as it
+// is long, as evaluation goes down its left side.
+func (p *parser) binary(level int) (*node, error) {
+	if level == len(operatorLevels) {
+		return p.unary()
+	}
+	left, err := p.binary(level + 1)
+	depth := p.depth
+	defer func() { p.depth = depth }()
+	for n := 0; err == nil; n++ {
+		var sign string
+		var offset int
+		sign, offset, err = p.accept(operatorLevels[level]...)
+		if sign == "" || err != nil {
+			break
+		}
+		p.depth++
+		if p.depth > p.bounds.Depth {
+			return nil, p.fail(offset, "is nested more than %d deep", p.bounds.Depth)
+		}
+		if level == comparisonLevel && n > 0 {
+			return nil, p.fail(offset, "comparisons can't follow each other: use && or parentheses")
+		}
+		left, err = p.rightSide(left, sign, offset, level)
+	}
+	return left, err
+}
+
+// rightSide parses what stands on the right of a binary operator.
+func (p *parser) rightSide(left *node, sign string, offset, level int) (*node, error) {
+	switch sign {
+	case "in":
+		return p.list(left, offset)
+	case "like", "matches":
+		return p.patternMatch(left, sign, offset)
+	}
+	right, err := p.binary(level + 1)
+	if err != nil {
+		return nil, err
+	}
+	return p.combine(left, right, sign, offset)
+}
+
+// unary parses ! and -.
+func (p *parser) unary() (*node, error) {
+	sign, offset, err := p.accept("!", "-")
+	if err != nil {
+		return nil, err
+	}
+	if sign == "" {
+		return p.primary()
+	}
+	arg, err := p.nested(p.unary)
+	if err != nil {
+		return nil, err
+	}
+	n := &node{op: opNot, valueType: Bool, offset: offset, args: []*node{arg}}
+	fits := arg.valueType == Bool
+	if sign == "-" {
+		n.op = opNegate
+		n.valueType = arg.valueType
+		fits = arg.valueType == Number || arg.valueType == Duration
+	}
+	if !fits {
+		return nil, p.fail(offset, "%s does not go with a %v", sign, arg.valueType)
+	}
+	return n, nil
+}
+
+// primary parses a literal, a field, a function or an expression in parentheses.
+func (p *parser) primary() (*node, error) {
+	t := p.token
+	switch {
+	case t.kind == tokenEnd:
+		return nil, p.fail(t.offset, "something is missing at the end")
+	case p.nextIs("("):
+		if err := p.advance(); err != nil {
+			return nil, err
+		}
+		n, err := p.expression()
+		if err != nil {
+			return nil, err
+		}
+		return n, p.expect(")")
+	case t.kind == tokenName && t.text != "true" && t.text != "false":
+		return p.fieldOrCall()
+	case t.kind == tokenSign:
+		return nil, p.fail(t.offset, "%q stands where a value should", t.text)
+	}
+	return p.literal()
+}
+
+// fieldOrCall parses a field's name, or a function's with its arguments.
+func (p *parser) fieldOrCall() (*node, error) {
+	name := p.token
+	if err := p.advance(); err != nil {
+		return nil, err
+	}
+	if p.nextIs("(") {
+		return p.functionCall(name)
+	}
+	field, index := p.schema.findField(name.text)
+	if field == nil {
+		return nil, p.fail(name.offset, "%.40q is no field: there are %s", name.text, p.schema.fieldNames())
+	}
+	return &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index}, nil
+}
--- /dev/null
+++ b/match/pattern.go
@@ -0,0 +1,65 @@
+package match
+
+import "strings"
+
+// pattern is a glob: * stands for any bytes, ? for one, and \ takes the next byte as it is. Matching goes
+// back to the last star alone, so it costs at most a text's length times the pattern's.
+type pattern struct {
+	source         string
+	text           string
+	isStar         []bool // by byte of text
+	isQuestionMark []bool // by byte of text
+}
+
+func newPattern(source string) *pattern {
+	p := &pattern{source: source}
+	var text strings.Builder
+	add := func(c byte, isStar, isQuestionMark bool) {
+		text.WriteByte(c)
+		p.isStar = append(p.isStar, isStar)
+		p.isQuestionMark = append(p.isQuestionMark, isQuestionMark)
+	}
+	for i := 0; i < len(source); i++ {
+		c := source[i]
+		afterStar := len(p.isStar) > 0 && p.isStar[len(p.isStar)-1]
+		switch {
+		case c == '\\' && i+1 < len(source):
+			i++
+			add(source[i], false, false)
+		case c == '*' && afterStar:
+			// Two stars are one.
+		default:
+			add(c, c == '*', c == '?')
+		}
+	}
+	p.text = text.String()
+	return p
+}
+
+// matches reports whether the pattern stands for the whole of a text.
+func (p *pattern) matches(s string) bool {
+	at := 0        // in the pattern
+	lastStar := -1 // in the pattern; -1: there was none
+	starEnd := 0   // in s: where what the last star stands for ends
+	for i := 0; i < len(s); {
+		switch {
+		case at < len(p.text) && p.isStar[at]:
+			lastStar = at
+			starEnd = i
+			at++
+		case at < len(p.text) && (p.isQuestionMark[at] || p.text[at] == s[i]):
+			at++
+			i++
+		case lastStar >= 0: // the star has to stand for one byte more
+			starEnd++
+			at = lastStar + 1
+			i = starEnd
+		default:
+			return false
+		}
+	}
+	for at < len(p.text) && p.isStar[at] {
+		at++
+	}
+	return at == len(p.text)
+}
--- /dev/null
+++ b/match/requirements.go
@@ -0,0 +1,66 @@
+package match
+
+import "slices"
+
+// Requirement is something that holds of every row on which a condition does: a field has one of some values,
+// or begins with a text.
+type Requirement struct {
+	Field  string
+	Equal  []Value // one of these; nil: it begins with Prefix
+	Prefix string
+}
+
+// Requires returns what the outermost conjunction of a condition requires, without evaluating it. There may
+// be nothing.
+func (e *Expr) Requires() []Requirement { return e.tree.requirements(nil) }
+
+// requirements appends those of a condition.
+func (n *node) requirements(all []Requirement) []Requirement {
+	if n.op == opAnd {
+		return n.args[1].requirements(n.args[0].requirements(all))
+	}
+	if n.negated || len(n.args) == 0 {
+		return all
+	}
+	left := n.args[0]
+	switch n.op {
+	case opIn:
+		if left.op == opField {
+			all = append(all, Requirement{Field: left.field.Name, Equal: n.set})
+		}
+	case opEqual:
+		right := n.args[1]
+		switch {
+		case left.valueType == Bool:
+		case left.op == opField && right.op == opLiteral:
+			all = append(all, Requirement{Field: left.field.Name, Equal: []Value{right.literal}})
+		case left.op == opLiteral && right.op == opField:
+			all = append(all, Requirement{Field: right.field.Name, Equal: []Value{left.literal}})
+		}
+	case opStartsWith:
+		right := n.args[1]
+		if left.op == opField && right.op == opLiteral && right.literal.Text != "" {
+			all = append(all, Requirement{Field: left.field.Name, Prefix: right.literal.Text})
+		}
+	}
+	return all
+}
+
+// NeverEmpty reports whether it can be shown that a text is never empty, where these fields never are.
+func (e *Expr) NeverEmpty(filled ...string) bool { return e.tree.neverEmpty(filled) }
+
+func (n *node) neverEmpty(filled []string) bool {
+	switch n.op {
+	case opLiteral:
+		return n.literal.Text != ""
+	case opField:
+		return slices.Contains(filled, n.field.Name)
+	case opConcat:
+		return slices.ContainsFunc(n.args, func(a *node) bool { return a.neverEmpty(filled) })
+	case opLower, opUpper:
+		return n.args[0].neverEmpty(filled)
+	case opIf:
+		return n.args[1].neverEmpty(filled) && n.args[2].neverEmpty(filled)
+	}
+	return false
+}
