--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -20,8 +20,8 @@
 //     accepted, and its client is told so at once.
 //
 // One step takes in all that stands in the inbox and a bounded number of arrivals (maxQueriesPerStep), then
-// calls the module once. The loop waits in one place only, in Run: for a message, an arrival, its timer or the end of
-// its context. Nothing that it calls to carry out an action blocks.
+// calls the module once. The loop waits in one place only, in Run: for a message, an arrival, its timer or
+// the end of its context. Nothing that it calls to carry out an action blocks.
 //
 // # A query in flight
 //
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -76,8 +76,8 @@
 // their client, while each goes on naming the whole timeout. Answered by that timeout alone, the last would
 // find its client gone. It must have its answer as much earlier as it arrived after the first.
 //
-// It plays in virtual time: on a machine with three busy processes a core the test's own goroutine was woken up to 33 ms
-// late, past the 15 ms by which the answer is ahead.
+// It plays in virtual time: on a machine with three busy processes a core the test's own goroutine was woken
+// up to 33 ms late, past the 15 ms by which the answer is ahead.
 func TestClientSideQueueing(t *testing.T) { synctest.Test(t, testClientSideQueueing) }
 
 func testClientSideQueueing(t *testing.T) {
--- a/internal/core/rules/compile.go
+++ b/internal/core/rules/compile.go
@@ -71,7 +71,8 @@
 	if set.maxSteps > maxSteps {
 		c.rule = dearest
 		c.addProblem(fieldNameWhen, "rules tried on one command may take %d steps together, of %d allowed; "+
-			"this one is among the dearest. Rules that require a field to equal or begin with a text are tried only where it does",
+			"this one is among the dearest. Rules that require a field to equal or begin with a text are tried only "+
+			"where it does",
 			set.maxSteps, maxSteps)
 		return nil, c.problems
 	}
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -17,7 +17,8 @@
 var facts = Facts{
 	ClassNames: []string{"lookup", "report", "load", "once"},
 	Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true, Effect: router.Deduplicated,
-		DeduplicationWindow: 1000}, {Kinds: []router.KindID{1}, Effect: router.NonIdempotent, Zones: []router.Zone{"east"}}},
+		DeduplicationWindow: 1000},
+		{Kinds: []router.KindID{1}, Effect: router.NonIdempotent, Zones: []router.Zone{"east"}}},
 	Kinds: map[string]router.KindID{"std": 0, "c16": 1},
 	Zones: []string{"east", "west"},
 }
@@ -45,58 +46,80 @@
 		{"no name", []Rule{{}}, "name", "1 to"},
 		{"a name twice", []Rule{{Name: "a"}, {Name: "a"}}, "name", "rule 0 too"},
 		{"no condition", []Rule{{Name: "a", When: "profile = 1"}}, "when", "begins nothing"},
-		{"a report elsewhere", []Rule{{Name: "a", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there: it may use c16"},
+		{"a report elsewhere",
+			[]Rule{{Name: "a", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there: it may use c16"},
 		{"a report elsewhere, unsaid", []Rule{{Name: "a", Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"a report elsewhere, by a condition that may hold", []Rule{{Name: "a", When: `tenant == "x" || profile == "lookup"`,
-			Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"lookups elsewhere", []Rule{{Name: "a", When: `profile == "lookup" && tenant == "x"`, Kinds: []string{"std"}}}, "", ""},
+		{"a report elsewhere, by a condition that may hold",
+			[]Rule{{Name: "a", When: `tenant == "x" || profile == "lookup"`,
+				Kinds: []string{"std"}}}, "kinds", "profile report"},
+		{"lookups elsewhere",
+			[]Rule{{Name: "a", When: `profile == "lookup" && tenant == "x"`, Kinds: []string{"std"}}}, "", ""},
 		{"a report where it belongs", []Rule{{Name: "a", Kinds: []string{"c16"}}}, "", ""},
-		{"a report taken for a lookup", []Rule{{Name: "a", When: `profile == "report"`, Class: "lookup"}}, "profile", "other kinds"},
+		{"a report taken for a lookup",
+			[]Rule{{Name: "a", When: `profile == "report"`, Class: "lookup"}}, "profile", "other kinds"},
 		{"anything taken for a lookup", []Rule{{Name: "a", Class: "lookup"}}, "profile", "other kinds"},
 		{"a lookup taken for a report", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"}}, "", ""},
 		{"a report in two steps", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"},
 			{Name: "b", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there"},
 		{"narrowed twice to nothing", []Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
 			{Name: "b", When: `profile == "lookup"`, Kinds: []string{"c16"}}}, "kinds", "may not go there"},
-		{"narrowed, then taken for what can't go there", []Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
-			{Name: "b", When: `profile == "lookup"`, Class: "report"}}, "profile", "nothing is left"},
+		{"narrowed, then taken for what can't go there",
+			[]Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
+				{Name: "b", When: `profile == "lookup"`, Class: "report"}}, "profile", "nothing is left"},
 		{"by a label", []Rule{{Name: "a", When: `profile == "report"`, Labels: map[string]string{"go": `"std"`}},
 			{Name: "b", When: `label("go") == "std"`, Kinds: []string{"std"}}}, "kinds", "profile report"},
-		{"by a condition that is always true", []Rule{{Name: "a", When: `true || profile == "lookup"`, Kinds: []string{"std"}}},
+		{"by a condition that is always true",
+			[]Rule{{Name: "a", When: `true || profile == "lookup"`, Kinds: []string{"std"}}},
 			"kinds", "profile report"},
-		{"what may run once taken for what may run again", []Rule{{Name: "a", When: `profile == "once"`, Class: "report"}},
+		{"what may run once taken for what may run again",
+			[]Rule{{Name: "a", When: `profile == "once"`, Class: "report"}},
 			"profile", "run twice"},
-		{"what runs again taken for what runs once", []Rule{{Name: "a", When: `profile == "report"`, Class: "once"}}, "", ""},
-		{"without a mark taken for what needs one", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "load"}}, "profile", "twice"},
-		{"in order taken for what is not", []Rule{{Name: "a", When: `profile == "load"`, Class: "once"}}, "profile", "no order"},
-		{"a profile that nobody has any more", []Rule{{Name: "a", When: `profile == "none"`}}, "when", "no command"},
+		{"what runs again taken for what runs once",
+			[]Rule{{Name: "a", When: `profile == "report"`, Class: "once"}}, "", ""},
+		{"without a mark taken for what needs one",
+			[]Rule{{Name: "a", When: `profile == "lookup"`, Class: "load"}}, "profile", "twice"},
+		{"in order taken for what is not",
+			[]Rule{{Name: "a", When: `profile == "load"`, Class: "once"}}, "profile", "no order"},
+		{"a profile that nobody has any more",
+			[]Rule{{Name: "a", When: `profile == "none"`}}, "when", "no command"},
 		{"no profile", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "none"}}, "profile", "no profile"},
 		{"no kind", []Rule{{Name: "a", Kinds: []string{"c17"}}}, "kinds", "no kind"},
 		{"no kinds at all", []Rule{{Name: "a", Kinds: []string{}}}, "kinds", "may not go there"},
 		{"no zone", []Rule{{Name: "a", Zones: []string{"north"}}}, "zones", "no zone"},
-		{"another zone", []Rule{{Name: "a", When: `profile == "once"`, Zones: []string{"west"}}}, "zones", "may not go there"},
-		{"a key by store", []Rule{{Name: "a", When: `profile == "load"`, Key: `"store/" + label("store")`}}, "", ""},
-		{"a key that may be empty", []Rule{{Name: "a", When: `profile == "load"`, Key: `label("store")`}}, "key", "may be empty"},
-		{"a key that may be empty at times", []Rule{{Name: "a", Key: `has(tenant) ? "x" : ""`}}, "key", "may be empty"},
-		{"a key that a retry changes", []Rule{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "need not repeat"},
-		{"a key by a label that a retry changes", []Rule{{Name: "l", Labels: map[string]string{"x": `left > 1s ? "a" : "b"`}},
-			{Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
+		{"another zone",
+			[]Rule{{Name: "a", When: `profile == "once"`, Zones: []string{"west"}}}, "zones", "may not go there"},
+		{"a key by store",
+			[]Rule{{Name: "a", When: `profile == "load"`, Key: `"store/" + label("store")`}}, "", ""},
+		{"a key that may be empty",
+			[]Rule{{Name: "a", When: `profile == "load"`, Key: `label("store")`}}, "key", "may be empty"},
+		{"a key that may be empty at times",
+			[]Rule{{Name: "a", Key: `has(tenant) ? "x" : ""`}}, "key", "may be empty"},
+		{"a key that a retry changes",
+			[]Rule{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "need not repeat"},
+		{"a key by a label that a retry changes",
+			[]Rule{{Name: "l", Labels: map[string]string{"x": `left > 1s ? "a" : "b"`}},
+				{Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
 		{"a key by a label that is given by what a retry changes", []Rule{{Name: "l", When: `estimate > 1s`,
 			Labels: map[string]string{"x": `"a"`}}, {Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
 		{"a key by a label of such a label", []Rule{{Name: "l", Labels: map[string]string{"x": `front`}},
 			{Name: "m", Labels: map[string]string{"y": `label("x")`}}, {Name: "a", When: `has(label("y"))`, Key: `"k"`}}, "key", "label y"},
 		{"a key at times", []Rule{{Name: "a", When: `estimate > 1s`, Key: `"k"`}}, "key", "depends on estimate"},
-		{"a key by a profile that a retry changes", []Rule{{Name: "p", When: `profile == "lookup" && left > 1s`, Class: "report"},
-			{Name: "a", When: `profile != "report"`, Key: `"k"`}}, "key", "depends on profile"},
-		{"a key that a retry may not come to", []Rule{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "is the last by"},
+		{"a key by a profile that a retry changes",
+			[]Rule{{Name: "p", When: `profile == "lookup" && left > 1s`, Class: "report"},
+				{Name: "a", When: `profile != "report"`, Key: `"k"`}}, "key", "depends on profile"},
+		{"a key that a retry may not come to",
+			[]Rule{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "is the last by"},
 		{"a key beside such things", []Rule{{Name: "l", When: `left > 1s`, Labels: map[string]string{"x": `"a"`}},
 			{Name: "a", Key: `"k" + label("y")`}}, "", ""},
-		{"a key for what keeps no order", []Rule{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
+		{"a key for what keeps no order",
+			[]Rule{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
 		{"a key that is no text", []Rule{{Name: "a", Key: `1`}}, "key", "number"},
 		{"a refusal of two lines", []Rule{{Name: "a", Refusal: "no\nmore"}}, "refuse", "no line"},
-		{"a label that is no text", []Rule{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
+		{"a label that is no text",
+			[]Rule{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
 		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "below zero"},
-		{"too dear", []Rule{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
+		{"too dear",
+			[]Rule{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
 	} {
 		set, problems := Compile(c.rules, facts, match.DefaultBounds())
 		if c.field == "" {
@@ -112,7 +135,8 @@
 			t.Errorf("%s: %v", c.name, problems)
 		}
 	}
-	if _, problems := Compile([]Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}, facts, match.DefaultBounds()); len(problems) < 3 {
+	several := []Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}
+	if _, problems := Compile(several, facts, match.DefaultBounds()); len(problems) < 3 {
 		t.Errorf("not all problems at once: %v", problems)
 	}
 	many := func(when string) (rules []Rule) {
@@ -125,10 +149,12 @@
 		!strings.Contains(problems[0].Reason, "together") {
 		t.Errorf("too dear together: %v", problems)
 	}
-	if _, problems := Compile(many(`tenant startswith "t" && application like "*a*b%d"`), facts, match.DefaultBounds()); problems == nil {
+	prefixed := many(`tenant startswith "t" && application like "*a*b%d"`)
+	if _, problems := Compile(prefixed, facts, match.DefaultBounds()); problems == nil {
 		t.Error("too dear together by one prefix")
 	}
-	if _, problems := Compile(many(`tenant == "t%[1]d" && application like "*a*b%[1]d"`), facts, match.DefaultBounds()); problems != nil {
+	equal := many(`tenant == "t%[1]d" && application like "*a*b%[1]d"`)
+	if _, problems := Compile(equal, facts, match.DefaultBounds()); problems != nil {
 		t.Errorf("each on its tenant alone: %v", problems)
 	}
 	long := facts
@@ -163,7 +189,8 @@
 		Rule{Name: "team", When: `tenant == "acme"`, Labels: map[string]string{"team": `"partner/" + tenant`}},
 		Rule{Name: "hot", When: `table_name startswith "menu_" && label("team") startswith "partner"`, Hot: true},
 		Rule{Name: "stores", When: `profile == "load"`, Key: `"s/" + part(label("store"), "-", 0)`},
-		Rule{Name: "here", When: `profile == "lookup" && label("team") == ""`, Kinds: []string{"std", "c16"}, Zones: []string{"east"}},
+		Rule{Name: "here", When: `profile == "lookup" && label("team") == ""`, Kinds: []string{"std", "c16"},
+			Zones: []string{"east"}},
 		Rule{Name: "less", When: `profile == "lookup"`, Kinds: []string{"c16"}, EstimateCap: 500},
 		Rule{Name: "heavy", When: `profile == "lookup" && estimate > 100ms`, Class: "report", Last: true},
 		Rule{Name: "no", When: `profile == "report" && tenant == "evil"`, Refusal: "ask for less"},
@@ -180,8 +207,9 @@
 		{"a key", Query{Class: 2, OrderingKey: "k", Labels: []match.Label{{Name: "store", Value: "12-east"}}},
 			Verdict{Class: 2, OrderingKey: "s/12", Labels: []match.Label{{Name: "store", Value: "12-east"}}}},
 		{"a key without its label", Query{Class: 2, OrderingKey: "k"}, Verdict{Class: 2, OrderingKey: "s/"}},
-		{"narrowed twice, its estimate cut, and taken for a report", Query{EstimatedWork: 900}, Verdict{Class: 1, EstimateCap: 500,
-			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
+		{"narrowed twice, its estimate cut, and taken for a report",
+			Query{EstimatedWork: 900}, Verdict{Class: 1, EstimateCap: 500,
+				Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
 		{"the last one ends it", Query{EstimatedWork: 900, Tenant: "evil"}, Verdict{Class: 1, EstimateCap: 500,
 			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
 		{"refused", Query{Class: 1, Tenant: "evil"}, Verdict{Class: 1, Refusal: "ask for less"}},
--- a/internal/engines/pool_test.go
+++ b/internal/engines/pool_test.go
@@ -154,8 +154,13 @@
 
 // newQuery returns a query that was read just now.
 func newQuery(id string) *request.Query {
-	return &request.Query{ID: id, ClassName: "report", Statement: []byte("SELECT 1 FROM s_1.t"), ReadAt: time.Now(),
-		TimeLeft: time.Minute}
+	return &request.Query{
+		ID:        id,
+		ClassName: "report",
+		Statement: []byte("SELECT 1 FROM s_1.t"),
+		ReadAt:    time.Now(),
+		TimeLeft:  time.Minute,
+	}
 }
 
 // An attempt past its deadline is given up, and ends as TimedOut when the engine has confirmed the undo.
--- a/internal/engines/write_test.go
+++ b/internal/engines/write_test.go
@@ -101,7 +101,9 @@
 		{"its client has gone", func(_ *conn, query *request.Query) {
 			query.Finish(request.Answer{Verdict: request.Disconnected})
 		}},
-		{"answered", func(_ *conn, query *request.Query) { query.Finish(request.Answer{Verdict: request.Rejected}) }},
+		{"answered", func(_ *conn, query *request.Query) {
+			query.Finish(request.Answer{Verdict: request.Rejected})
+		}},
 		{"past the time by which it must start", func(c *conn, _ *request.Query) {
 			for _, o := range c.queue {
 				o.attempt.startBy = time.Now()
