--- /dev/null
+++ b/internal/clients/query_test.go
@@ -0,0 +1,43 @@
+package clients
+
+import (
+	"bytes"
+	"io"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/pgwire"
+	"mintkeel/internal/request"
+)
+
+// Too many queries wait for the loop, so one is not accepted. It is rejected at once, with a time to wait,
+// and the session goes on.
+func TestQueryRejectedWhenLoopIsFull(t *testing.T) {
+	st := newServerTest(t, nil)
+	conn := st.connect(startMessage)
+	st.readUntil(conn, "Z")
+	st.rejectNext <- true
+	conn.Write(queryMessage(queryText))
+	want := pgwire.AppendReady(pgwire.AppendRejected(nil, 250*time.Millisecond))
+	got := make([]byte, len(want))
+	if io.ReadFull(conn, got); !bytes.Equal(got, want) {
+		t.Errorf("said %q", got)
+	}
+	conn.Write(queryMessage(queryText))
+	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded})
+	if said, _ := st.readUntil(conn, "Z"); said != "TCZ" {
+		t.Errorf("then said %s", said)
+	}
+}
+
+// A query must be answered a little before its client gives up, so that the answer arrives in time.
+func TestAnswerWithin(t *testing.T) {
+	st := newServerTest(t, func(l *limits.Limits) { l.AnswerTime = 50 * time.Millisecond })
+	ses := newSession(st.server, nil)
+	for _, c := range []struct{ limitMS, want float64 }{{6000, 5950}, {400, 350}, {80, 70}, {0, 0}} {
+		if got := ses.answerWithin(c.limitMS); got != time.Duration(c.want*1e6) {
+			t.Errorf("of %v ms: %v", c.limitMS, got)
+		}
+	}
+}
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -64,9 +64,9 @@
 
 // engineList is a complete endpoint list of these engines, all ready.
 func engineList(ids ...router.EngineID) discovery.Update {
-	update := discovery.Update{Whole: true}
+	update := discovery.Update{Complete: true}
 	for _, id := range ids {
-		update.Entries = append(update.Entries, discovery.Entry{Endpoint: router.Endpoint{Engine: id}})
+		update.Endpoints = append(update.Endpoints, discovery.Endpoint{Endpoint: router.Endpoint{Engine: id}})
 	}
 	return update
 }
@@ -95,7 +95,7 @@
 // The daemon closes the connections to engines while discovery posts an update. Done by the caller of Close,
 // the two would use the engines' side at once. Both are done by the loop's goroutine; the race detector shows
 // if they are not.
-func TestCloseDuringEndpointUpdates(t *testing.T) {
+func TestCloseDuringEndpointUpdates(_ *testing.T) {
 	module := router.New(1, router.Identity{Controllers: 1}, nil, nil, nil, router.Capabilities{},
 		router.SafetyLimits{})
 	l := New(module, SystemClock(), 10, 0)
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -79,7 +79,7 @@
 	query := open.String("query", "", true, maxTextBytes)
 	application := open.String("application", "", false, maxNameBytes)
 	listener := open.String("listener", "", false, maxNameBytes)
-	command, err := clients.Describe([]byte(query), &facts.Names, application, listener)
+	command, err := clients.RuleInput([]byte(query), &facts.Names, application, listener)
 	if err != nil {
 		open.AddProblem("query", err.Error())
 	}
@@ -115,7 +115,7 @@
 
 func kindNames(kinds []router.KindID, facts *settings.Facts) (names []string) {
 	for _, k := range kinds {
-		names = append(names, facts.Names.KindAt[k])
+		names = append(names, facts.Names.MachineKindAt[k])
 	}
 	return sorted(names)
 }
