--- a/internal/core/fleet/members/stored_test.go
+++ b/internal/core/fleet/members/stored_test.go
@@ -17,7 +17,8 @@
 	for i := range 4 {
 		e := newEntry(Member{ID: ID(fmt.Sprint("m", i)), Addr: fmt.Sprint("10.0.1.", i, ":9443"), State: State(i),
 			Incarnation: Incarnation(5 + i), Willing: i%2 == 0, Run: uint64(100 + i)}, 0)
-		fmt.Fprintf(&text, "%s: bucket %d, checksum %08x, place in a ring %016x\n", e.ID, e.bucket(), e.checksum(), e.ringPosition(3))
+		fmt.Fprintf(&text, "%s: bucket %d, checksum %08x, place in a ring %016x\n",
+			e.ID, e.bucket(), e.checksum(), e.ringPosition(3))
 	}
 	golden.File(t, "checksums.golden", []byte(text.String()))
 }
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -28,7 +28,8 @@
 }
 
 func sentMember() members.Member {
-	return members.Member{ID: "n2", Addr: "10.0.0.2:9443", State: members.Suspect, Incarnation: 5, Willing: true, Run: 78,
+	return members.Member{ID: "n2", Addr: "10.0.0.2:9443", State: members.Suspect, Incarnation: 5,
+		Willing: true, Run: 78,
 		Suspector: "n3"}
 }
 
@@ -54,7 +55,8 @@
 
 func TestMembersMessageEncodingIsStable(t *testing.T) {
 	table := golden.Open(t, "members.golden")
-	ping := &members.Message{Kind: members.Ping, Seq: 41, Target: "n4", WantReply: true, Updates: []members.Member{sentMember()},
+	ping := &members.Message{Kind: members.Ping, Seq: 41, Target: "n4", WantReply: true,
+		Updates:   []members.Member{sentMember()},
 		Checksums: members.Checksums{51, 52}, Buckets: 1<<63 | 3}
 	checkMessage(t, table, "members", ping, Message{Members: ping})
 	ack := &members.Message{Kind: members.Ack, Seq: 42}
@@ -129,7 +131,8 @@
 	check("summary", summary, config.Message{Summary: summary})
 	fetch := &config.Fetch{Hash: sentHash(), Offset: 32768}
 	check("fetch", fetch, config.Message{Fetch: fetch})
-	chunk := &config.Chunk{Hash: sentHash(), Offset: 32768, Total: 65536, Data: []byte{1, 2}, Missing: true, Version: &version}
+	chunk := &config.Chunk{Hash: sentHash(), Offset: 32768, Total: 65536, Data: []byte{1, 2}, Missing: true,
+		Version: &version}
 	check("chunk", chunk, config.Message{Chunk: chunk})
 	propose := &config.ProposeRequest{Proposal: config.Proposal{Expect: 6, Version: version}}
 	check("propose", propose, config.Message{Propose: propose})
@@ -139,7 +142,8 @@
 	check("hold", hold, config.Message{Hold: hold})
 	held := &config.HoldReply{Hash: sentHash()}
 	check("held", held, config.Message{HoldReply: held})
-	reports := &config.Reports{Sequence: 71, List: []config.Report{{ID: "n4", Run: 31, Sequence: 72, Applied: 6, Rejected: 7,
+	reports := &config.Reports{Sequence: 71, List: []config.Report{{ID: "n4", Run: 31, Sequence: 72,
+		Applied: 6, Rejected: 7,
 		Reason: "no space left", Age: 250.5}}}
 	check("reports", reports, config.Message{Reports: reports})
 	reported := &config.ReportsReply{Sequence: 71, Leader: "n1"}
