--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -54,7 +54,7 @@
 		age                               float64
 		lives                             HalfLives
 		engines, tables, profiles, traffc int
-		account                           Counts
+		counts                            Counts
 	}{
 		{"fresh", 0, u, 1, 1, 1, 1, Counts{Restored: 4}},
 		{"a clock set back by half a second", -500, u, 1, 1, 1, 1, Counts{Restored: 4}},
@@ -67,10 +67,10 @@
 		{"a day, by the plain baseline", 24 * 3600e3, ageless(), 1, 1, 1, 1, Counts{Restored: 4}},
 		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
 	} {
-		l, account := Select(sampleSnapshot(c.age), me, testEndpoints, now, c.lives)
+		l, counts := Select(sampleSnapshot(c.age), me, testEndpoints, now, c.lives)
 		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
-			len(l.Traffic) != c.traffc || account != c.account {
-			t.Errorf("%s: %+v, %+v", c.name, l, account)
+			len(l.Traffic) != c.traffc || counts != c.counts {
+			t.Errorf("%s: %+v, %+v", c.name, l, counts)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 		name   string
 		change func(m *Snapshot)
 		left   int
-		tell   Counts
+		want   Counts
 	}{
 		{"another controller's", func(m *Snapshot) { m.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
 		{"other settings", func(m *Snapshot) { m.Owner.Settings++ }, 0, Counts{Foreign: 4}},
@@ -136,8 +136,8 @@
 	} {
 		m := sampleSnapshot(0)
 		c.change(m)
-		if l, account := Select(m, me, testEndpoints, now, DefaultHalfLives()); l.Len() != c.left || account != c.tell {
-			t.Errorf("%s: %d left, %+v", c.name, l.Len(), account)
+		if l, counts := Select(m, me, testEndpoints, now, DefaultHalfLives()); l.Len() != c.left || counts != c.want {
+			t.Errorf("%s: %d left, %+v", c.name, l.Len(), counts)
 		}
 	}
 }
@@ -154,9 +154,9 @@
 	for range maxTableEnginePairs / 100 {
 		many = append(many, router.Endpoint{})
 	}
-	l, account := Select(m, me, many, now, DefaultHalfLives())
-	if len(l.Tables) != 100 || account.Invalid != 900 {
-		t.Fatalf("%d left, %+v", len(l.Tables), account)
+	l, counts := Select(m, me, many, now, DefaultHalfLives())
+	if len(l.Tables) != 100 || counts.Invalid != 900 {
+		t.Fatalf("%d left, %+v", len(l.Tables), counts)
 	}
 	for _, g := range l.Tables {
 		if g.Demand < 900 {
@@ -198,12 +198,12 @@
 		m.Statistics.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
 		before := clone(m)
 		sooner, _ := Select(m, me, testEndpoints, now, DefaultHalfLives())
-		later, account := Select(m, me, testEndpoints, now+30000, DefaultHalfLives())
+		later, counts := Select(m, me, testEndpoints, now+30000, DefaultHalfLives())
 		if before != clone(m) {
 			t.Fatal("the snapshot itself was changed")
 		}
-		if account.Restored != later.Len() || later.Len() > sooner.Len()+6 {
-			t.Fatalf("%+v of %d", account, later.Len())
+		if counts.Restored != later.Len() || later.Len() > sooner.Len()+6 {
+			t.Fatalf("%+v of %d", counts, later.Len())
 		}
 		seen := map[router.EngineID]bool{}
 		for _, e := range sooner.Engines {
--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -10,7 +10,7 @@
 	memoryPercent = 60
 
 	// sessionBytes is the memory of one connection between queries: its goroutine, buffer and
-	// bookkeeping. Results are held by few connections at a time: those whose resultPages have arrived
+	// bookkeeping. Results are held by few connections at a time: those whose pages have arrived
 	// and whose client is reading.
 	sessionBytes = 24 << 10
 
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -10,10 +10,11 @@
 	"mintkeel/router"
 )
 
-// sizes are engines; there are ten table groups to each.
+// sizes are numbers of engines; there are ten table groups for each.
 var sizes = []int{10, 100, 1000}
 
-func sized(engines int) (router.Statistics, []router.Endpoint) {
+// statisticsOf returns statistics of so many engines, and their endpoints.
+func statisticsOf(engines int) (router.Statistics, []router.Endpoint) {
 	l := router.Statistics{}
 	var list []router.Endpoint
 	for i := range engines {
@@ -29,18 +30,20 @@
 	return l, list
 }
 
-func module(l router.Statistics, list []router.Endpoint) *router.Router {
+// newRouter returns a router that has taken in statistics.
+func newRouter(l router.Statistics, list []router.Endpoint) *router.Router {
 	r := router.New(1, router.Identity{}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Capabilities{}, router.SafetyLimits{})
 	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: list}, router.StatisticsRestored{Statistics: l}})
 	return r
 }
 
-func BenchmarkTake(b *testing.B) {
+// BenchmarkCopyStatistics copies all statistics in parts, as a snapshot does.
+func BenchmarkCopyStatistics(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := sized(n)
-			l.Tables = l.Tables[:min(len(l.Tables), 3000)] // putting more in at once is not what is measured
-			m := module(l, list)
+			l, list := statisticsOf(n)
+			l.Tables = l.Tables[:min(len(l.Tables), 3000)] // taking in more is not what is measured
+			m := newRouter(l, list)
 			b.ReportAllocs()
 			for b.Loop() {
 				for from, more := (router.Cursor{}), true; more; {
@@ -51,10 +54,11 @@
 	}
 }
 
-func BenchmarkBelieve(b *testing.B) {
+// BenchmarkSelect decides what of a snapshot still counts.
+func BenchmarkSelect(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := sized(n)
+			l, list := statisticsOf(n)
 			m := &restore.Snapshot{Owner: me, Statistics: l}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -64,22 +68,23 @@
 	}
 }
 
-// BenchmarkPutIn is the step in which all that is believed at once is put in.
-func BenchmarkPutIn(b *testing.B) {
+// BenchmarkTakeIn is the step in which the router takes in all statistics at once.
+func BenchmarkTakeIn(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := sized(n)
-			believed, _ := restore.Select(&restore.Snapshot{Owner: me, Statistics: l}, me, list, 1e6, restore.DefaultHalfLives())
+			l, list := statisticsOf(n)
+			selected, _ := restore.Select(&restore.Snapshot{Owner: me, Statistics: l}, me, list, 1e6, restore.DefaultHalfLives())
 			for b.Loop() {
-				module(believed, list)
+				newRouter(selected, list)
 			}
 		})
 	}
 }
 
+// BenchmarkWriteAndRead writes and reads a snapshot on the file system.
 func BenchmarkWriteAndRead(b *testing.B) {
 	for _, n := range sizes {
-		l, _ := sized(n)
+		l, _ := statisticsOf(n)
 		dir := disk.Folder(b.TempDir())
 		f, err := snapshots.Open(dir, FileBounds(testLimits))
 		if err != nil {
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-func startWriter(d disk.Disk, pace time.Duration, source StatisticsSource, l *limits.Limits) *SnapshotWriter {
-	return StartSnapshotWriter(d, pace, me, "test", source, l, quiet)
+func startWriter(d disk.Disk, interval time.Duration, source StatisticsSource, l *limits.Limits) *SnapshotWriter {
+	return StartSnapshotWriter(d, interval, me, "test", source, l, quiet)
 }
 
 // A snapshot is written and read back as it was.
