--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -30,17 +30,38 @@
 
 var (
 	me            = Identity{Name: "n3", Settings: 77}
-	testEndpoints = []router.Endpoint{{Engine: "a"}, {Engine: "b", StartedAt: now - 1e6}, {Engine: "d", State: router.Draining}}
+	testEndpoints = []router.Endpoint{
+		{Engine: "a"},
+		{Engine: "b", StartedAt: now - 1e6},
+		{Engine: "d", State: router.Draining},
+	}
 )
 
 // sampleSnapshot has a record of each kind, of an age in ms.
 func sampleSnapshot(age float64) *Snapshot {
 	at := now - age
 	return &Snapshot{Owner: me, Statistics: router.Statistics{
-		Engines: []router.EngineStatistics{{At: at, Engine: "a", Slowdown: router.WeightedMean{Mean: 5, Weight: 3}, ThreadsPerCore: 1.6,
-			Outcomes: 0b11110000, PoolLeader: "a"}},
-		Tables:  []router.TableStatistics{{At: at, Tables: 7, Demand: 2, MemoryTime: 40, PoolLeaders: []router.EngineID{"a"}}},
-		Classes: []router.ClassStatistics{{At: at, FirstTryTimeout: 900, UnloadedTime: 20, WorkScale: router.WeightedMean{Mean: 2, Weight: 5}}},
+		Engines: []router.EngineStatistics{{
+			At:             at,
+			Engine:         "a",
+			Slowdown:       router.WeightedMean{Mean: 5, Weight: 3},
+			ThreadsPerCore: 1.6,
+			Outcomes:       0b11110000,
+			PoolLeader:     "a",
+		}},
+		Tables: []router.TableStatistics{{
+			At:          at,
+			Tables:      7,
+			Demand:      2,
+			MemoryTime:  40,
+			PoolLeaders: []router.EngineID{"a"},
+		}},
+		Classes: []router.ClassStatistics{{
+			At:              at,
+			FirstTryTimeout: 900,
+			UnloadedTime:    20,
+			WorkScale:       router.WeightedMean{Mean: 2, Weight: 5},
+		}},
 		Traffic: []router.TrafficStatistics{{At: at, Share: router.WeightedMean{Mean: 0.4, Weight: 300}}},
 	}}
 }
@@ -50,11 +71,11 @@
 func TestRecordsExpireByAge(t *testing.T) {
 	u := DefaultHalfLives()
 	for _, c := range []struct {
-		name                              string
-		age                               float64
-		lives                             HalfLives
-		engines, tables, profiles, traffc int
-		counts                            Counts
+		name                               string
+		age                                float64
+		lives                              HalfLives
+		engines, tables, profiles, traffic int
+		counts                             Counts
 	}{
 		{"fresh", 0, u, 1, 1, 1, 1, Counts{Restored: 4}},
 		{"a clock set back by half a second", -500, u, 1, 1, 1, 1, Counts{Restored: 4}},
@@ -69,7 +90,7 @@
 	} {
 		l, counts := Select(sampleSnapshot(c.age), me, testEndpoints, now, c.lives)
 		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
-			len(l.Traffic) != c.traffc || counts != c.counts {
+			len(l.Traffic) != c.traffic || counts != c.counts {
 			t.Errorf("%s: %+v, %+v", c.name, l, counts)
 		}
 	}
@@ -86,32 +107,37 @@
 		t.Errorf("fresh: %+v", e)
 	}
 	if e := at(u.Slowdown).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
-		t.Errorf("after the life of a pace: %+v", e)
+		t.Errorf("after the half-life of a slowdown: %+v", e)
 	}
 	if e := at(u.ThreadsPerCore).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
-		t.Errorf("after the life of a width: %+v", e)
+		t.Errorf("after the half-life of threads per core: %+v", e)
 	}
 	if e := at(u.Outcomes).Engines[0]; e.Outcomes != 0b11110000 {
-		t.Errorf("after the life of outcomes, of which the bad are the latest: %08b", e.Outcomes)
+		t.Errorf("after the half-life of outcomes, of which the bad are the latest: %08b", e.Outcomes)
 	}
 	if e := at(2 * u.Outcomes).Engines[0]; e.Outcomes != 0b11111100 {
-		t.Errorf("after twice the life of outcomes: %08b", e.Outcomes)
+		t.Errorf("after twice the half-life of outcomes: %08b", e.Outcomes)
 	}
 	if e := at(5 * u.Outcomes).Engines[0]; e.Outcomes != 0xff {
-		t.Errorf("after five times the life of outcomes: %08b", e.Outcomes)
+		t.Errorf("after five times the half-life of outcomes: %08b", e.Outcomes)
 	}
 	if g := at(u.Tables).Tables[0]; math.Abs(g.Demand-1) > 1e-9 || math.Abs(g.MemoryTime-20) > 1e-9 {
-		t.Errorf("after the life of table groups: %+v", g)
+		t.Errorf("after the half-life of table groups: %+v", g)
 	}
 	if g := at(4.5 * u.Pools).Tables[0]; g.PoolLeaders != nil || g.Demand < 1.9 {
-		t.Errorf("after the life of homes: %+v", g)
+		t.Errorf("after the half-life of pools: %+v", g)
 	}
 }
 
 // Snapshots of another controller or settings, records of engines that aren't listed, and values
 // that can't be are dropped and counted.
 func TestForeignAndInvalidRecordsAreDropped(t *testing.T) {
-	nan, inf := math.NaN(), math.Inf(1)
+	nan := math.NaN()
+	inf := math.Inf(1)
+	// engine changes the record of an engine.
+	engine := func(change func(*router.EngineStatistics)) func(*Snapshot) {
+		return func(m *Snapshot) { change(&m.Statistics.Engines[0]) }
+	}
 	for _, c := range []struct {
 		name   string
 		change func(m *Snapshot)
@@ -120,16 +146,26 @@
 	}{
 		{"another controller's", func(m *Snapshot) { m.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
 		{"other settings", func(m *Snapshot) { m.Owner.Settings++ }, 0, Counts{Foreign: 4}},
-		{"an engine not listed", func(m *Snapshot) { m.Statistics.Engines[0].Engine = "c" }, 3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"an engine that drains", func(m *Snapshot) { m.Statistics.Engines[0].Engine = "d" }, 3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"another process", func(m *Snapshot) { m.Statistics.Engines[0].StartedAt = 5 }, 3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"a pace that is no number", func(m *Snapshot) { m.Statistics.Engines[0].Slowdown.Mean = nan }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"a width without end", func(m *Snapshot) { m.Statistics.Engines[0].ThreadsPerCore = inf }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"a weight below zero", func(m *Snapshot) { m.Statistics.Engines[0].Slowdown.Weight = -1 }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"a demand that can't be", func(m *Snapshot) { m.Statistics.Tables[0].Demand = 1e9 }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"no profile", func(m *Snapshot) { m.Statistics.Classes[0].Class = -1 }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"more than all traffic", func(m *Snapshot) { m.Statistics.Traffic[0].Share.Mean = 1.1 }, 3, Counts{Restored: 3, Invalid: 1}},
-		{"a time that is no number", func(m *Snapshot) { m.Statistics.Traffic[0].At = nan }, 3, Counts{Restored: 3, Invalid: 1}},
+		{"an engine not listed", engine(func(e *router.EngineStatistics) { e.Engine = "c" }),
+			3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"an engine that drains", engine(func(e *router.EngineStatistics) { e.Engine = "d" }),
+			3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"another process", engine(func(e *router.EngineStatistics) { e.StartedAt = 5 }),
+			3, Counts{Restored: 3, UnknownEngines: 1}},
+		{"a slowdown that is no number", engine(func(e *router.EngineStatistics) { e.Slowdown.Mean = nan }),
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"infinite threads per core", engine(func(e *router.EngineStatistics) { e.ThreadsPerCore = inf }),
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"a weight below zero", engine(func(e *router.EngineStatistics) { e.Slowdown.Weight = -1 }),
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"a demand that can't be", func(m *Snapshot) { m.Statistics.Tables[0].Demand = 1e9 },
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"no class", func(m *Snapshot) { m.Statistics.Classes[0].Class = -1 },
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"more than all traffic", func(m *Snapshot) { m.Statistics.Traffic[0].Share.Mean = 1.1 },
+			3, Counts{Restored: 3, Invalid: 1}},
+		{"a time that is no number", func(m *Snapshot) { m.Statistics.Traffic[0].At = nan },
+			3, Counts{Restored: 3, Invalid: 1}},
 		{"twice the same engine", func(m *Snapshot) {
 			m.Statistics.Engines = append(m.Statistics.Engines, m.Statistics.Engines[0])
 		}, 4, Counts{Restored: 4, Invalid: 1}},
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -92,7 +92,7 @@
 		}
 		b.Run(fmt.Sprint("write/", n), func(b *testing.B) {
 			for b.Loop() {
-				size, err := f.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+				size, err := f.Write(func(add snapshots.AddFunc) error {
 					head, _ := encoder.Marshal(headerForm{Name: "n3", Settings: 77})
 					if err := add(sectionHeader, head); err != nil {
 						return err
--- a/internal/memory/encode.go
+++ b/internal/memory/encode.go
@@ -5,10 +5,7 @@
 	"mintkeel/router"
 )
 
-// addSection adds a section to a file or message.
-type addSection = func(kind snapshots.SectionKind, payload []byte) error
-
-func encodeHeader(header headerForm, add addSection) error {
+func encodeHeader(header headerForm, add snapshots.AddFunc) error {
 	payload, err := encoder.Marshal(header)
 	if err != nil {
 		return err
@@ -17,7 +14,7 @@
 }
 
 // encodeRecords adds all records, as few sections as possible for each kind.
-func encodeRecords(s *router.Statistics, add addSection) error {
+func encodeRecords(s *router.Statistics, add snapshots.AddFunc) error {
 	if err := addRecords(sectionEngines, s.Engines, newEngineForm, add); err != nil {
 		return err
 	}
@@ -31,7 +28,7 @@
 }
 
 func addRecords[R, F any](
-	kind snapshots.SectionKind, records []R, newForm func(R) F, add addSection,
+	kind snapshots.SectionKind, records []R, newForm func(R) F, add snapshots.AddFunc,
 ) error {
 	for len(records) > 0 {
 		count := min(len(records), maxSectionRecords)
--- a/internal/memory/inspect.go
+++ b/internal/memory/inspect.go
@@ -106,7 +106,7 @@
 }
 
 // writeSections adds the snapshot's sections to a file, with the header that it had.
-func (stored *StoredSnapshot) writeSections(add addSection) error {
+func (stored *StoredSnapshot) writeSections(add snapshots.AddFunc) error {
 	header := headerForm{
 		Name:     stored.Snapshot.Owner.Name,
 		Settings: stored.Snapshot.Owner.Settings,
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -311,7 +311,7 @@
 			t.Fatal(err)
 		}
 		defer f.Close()
-		if _, err := f.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+		if _, err := f.Write(func(add snapshots.AddFunc) error {
 			for _, s := range sections {
 				if err := add(s.Kind, s.Payload); err != nil {
 					return err
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	defer folder.Close()
-	_, err = folder.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+	_, err = folder.Write(func(add snapshots.AddFunc) error {
 		head, err := encoder.Marshal(headerForm{Name: stored.Snapshot.Owner.Name, Settings: stored.Snapshot.Owner.Settings,
 			Taken: int64(stored.TakenAt), Build: stored.Build})
 		if err != nil {
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -211,7 +211,7 @@
 		return 0, err
 	}
 	records := 0
-	size, err = w.folder.Write(func(add addSection) error {
+	size, err = w.folder.Write(func(add snapshots.AddFunc) error {
 		var err error
 		records, err = w.writeSections(add)
 		return err
@@ -256,7 +256,7 @@
 }
 
 // writeSections copies the statistics part by part and returns the number of records.
-func (w *SnapshotWriter) writeSections(add addSection) (records int, err error) {
+func (w *SnapshotWriter) writeSections(add snapshots.AddFunc) (records int, err error) {
 	header := headerForm{
 		Name:     w.owner.Name,
 		Settings: w.owner.Settings,
--- a/internal/store/snapshots/write.go
+++ b/internal/store/snapshots/write.go
@@ -6,10 +6,13 @@
 	"math"
 )
 
+// AddFunc adds a section to the file that is being written. It does not retain the payload.
+type AddFunc = func(kind SectionKind, payload []byte) error
+
 // Write stores a new snapshot and removes old ones. The function fill passes the sections to add,
 // one after another; an error of add or fill ends the write. Write returns the bytes of the file.
 // See the package comment for what is durable when it returns.
-func (f *Folder) Write(fill func(add func(kind SectionKind, payload []byte) error) error) (size int64, err error) {
+func (f *Folder) Write(fill func(add AddFunc) error) (size int64, err error) {
 	if f.serial == math.MaxUint64 {
 		return 0, errSerialsExhausted
 	}
@@ -37,9 +40,7 @@
 }
 
 // writeFile writes a whole file and syncs it. It returns the bytes of the file.
-func (f *Folder) writeFile(
-	name string, serial uint64, fill func(add func(SectionKind, []byte) error) error,
-) (size int64, err error) {
+func (f *Folder) writeFile(name string, serial uint64, fill func(add AddFunc) error) (size int64, err error) {
 	out, err := f.disk.Create(name)
 	if err != nil {
 		return 0, err
