--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -1,8 +1,7 @@
 package memory
 
-// A rename or a reordering of fields can change the format of the memory folder without any other
-// test failing: both ends of a test are of one build. These tests read a folder that an earlier
-// build wrote.
+// A rename or a reordering of fields can change the format of the memory folder without any other test failing: both
+// ends of a test are of one build. These tests read a folder that an earlier build wrote.
 
 import (
 	"encoding/json"
@@ -25,8 +24,7 @@
 	storedTaken  = 1_700_000_000_500.0 // ms since 1970
 )
 
-// storedStatistics holds each kind of record, with every field set and figures that the format
-// holds exactly.
+// storedStatistics holds each kind of record, with every field set and figures that the format holds exactly.
 func storedStatistics() router.Statistics {
 	return router.Statistics{
 		Engines: []router.EngineStatistics{
@@ -53,24 +51,24 @@
 }
 
 // writeStored writes what a snapshot holds to a new folder, and returns the bytes of its file.
-func writeStored(t *testing.T, stored *StoredSnapshot) []byte {
+func writeStored(t *testing.T, kept *StoredSnapshot) []byte {
 	t.Helper()
 	d := disktest.New()
-	folder, err := snapshots.Open(d, testBounds)
+	folder, err := snapshots.Open(d, FileBounds(testLimits))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer folder.Close()
-	_, err = folder.Write(func(add snapshots.AddFunc) error {
-		head, err := encoder.Marshal(headerForm{Name: stored.Snapshot.Owner.Name, Settings: stored.Snapshot.Owner.Settings,
-			Taken: int64(stored.TakenAt), Build: stored.Build})
+	_, err = folder.Write(func(add func(snapshots.SectionKind, []byte) error) error {
+		head, err := encoder.Marshal(headerForm{Name: kept.Snapshot.Owner.Name, Settings: kept.Snapshot.Owner.Settings,
+			Taken: int64(kept.TakenAt), Build: kept.Build})
 		if err != nil {
 			return err
 		}
 		if err := add(sectionHeader, head); err != nil {
 			return err
 		}
-		return encodeRecords(&stored.Snapshot.Statistics, add)
+		return encodeRecords(&kept.Snapshot.Statistics, add)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -92,14 +90,14 @@
 	if golden.Updating() {
 		golden.Write(t, filepath.Join(storedFolder, storedName), writeStored(t, storedSnapshot()))
 	}
-	stored, results, err := Load(disk.Folder(storedFolder), testBounds)
-	if err != nil || len(results) != 1 || results[0].Err != nil {
-		t.Fatal(results, err)
+	kept, trials, err := Load(disk.Folder(storedFolder), FileBounds(testLimits))
+	if err != nil || len(trials) != 1 || trials[0].Err != nil {
+		t.Fatal(trials, err)
 	}
-	if want := storedSnapshot(); !reflect.DeepEqual(stored, want) {
-		t.Errorf("read:\n%+v\nstored:\n%+v", stored, want)
+	if want := storedSnapshot(); !reflect.DeepEqual(kept, want) {
+		t.Errorf("read:\n%+v\nstored:\n%+v", kept, want)
 	}
-	checks, err := Verify(disk.Folder(storedFolder), testBounds)
+	checks, err := Verify(disk.Folder(storedFolder), FileBounds(testLimits))
 	if err != nil || !reflect.DeepEqual(checks, []FileCheck{{File: storedName, Complete: true, Name: "n3", Records: 6}}) {
 		t.Errorf("verified: %+v, %v", checks, err)
 	}
@@ -117,18 +115,18 @@
 
 func TestPackedStatisticsAreStable(t *testing.T) {
 	table := golden.Open(t, "packed.golden")
-	statistics := storedStatistics()
-	golden.AllSet(t, statistics.Engines)
-	golden.AllSet(t, statistics.Tables)
-	golden.AllSet(t, statistics.Classes)
-	golden.AllSet(t, statistics.Traffic)
-	encoded, err := EncodeStatistics(&statistics)
+	learned := storedStatistics()
+	golden.AllSet(t, learned.Engines)
+	golden.AllSet(t, learned.Tables)
+	golden.AllSet(t, learned.Classes)
+	golden.AllSet(t, learned.Traffic)
+	packed, err := EncodeStatistics(&learned)
 	if err != nil {
 		t.Fatal(err)
 	}
-	decoded, err := DecodeStatistics(table.Bytes(t, "learned", encoded))
-	if err != nil || !reflect.DeepEqual(decoded, statistics) {
-		t.Errorf("decoded: %+v, %v", decoded, err)
+	unpacked, err := DecodeStatistics(table.Bytes(t, "learned", packed))
+	if err != nil || !reflect.DeepEqual(unpacked, learned) {
+		t.Errorf("unpacked: %+v, %v", unpacked, err)
 	}
 }
 
