--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -54,18 +54,36 @@
 }
 
 // sampleStatistics returns n records of each kind of which there may be several.
-func sampleStatistics(n int, at float64) (l router.Statistics) {
+func sampleStatistics(n int, at float64) (s router.Statistics) {
 	for i := range n {
 		id := router.EngineID(fmt.Sprint("e", i))
-		l.Engines = append(l.Engines, router.EngineStatistics{At: at, Engine: id, StartedAt: float64(i),
-			Slowdown: router.WeightedMean{Mean: 1.5, Weight: 2}, ThreadsPerCore: 2.25, Outcomes: uint8(i), PoolLeader: "e0"})
-		l.Tables = append(l.Tables, router.TableStatistics{At: at, Tables: router.TableGroup(i - 1), Demand: 0.5, MemoryTime: 8,
-			PoolLeaders: []router.EngineID{id, ""}})
-	}
-	l.Classes = []router.ClassStatistics{{At: at, Class: 1, FirstTryTimeout: 900, UnloadedTime: 20,
-		WorkScale: router.WeightedMean{Mean: 2, Weight: 5}, MemoryScale: router.WeightedMean{Mean: 0.5, Weight: 1}}}
-	l.Traffic = []router.TrafficStatistics{{At: at, Share: router.WeightedMean{Mean: 0.25, Weight: 300}}}
-	return l
+		s.Engines = append(s.Engines, router.EngineStatistics{
+			At:             at,
+			Engine:         id,
+			StartedAt:      float64(i),
+			Slowdown:       router.WeightedMean{Mean: 1.5, Weight: 2},
+			ThreadsPerCore: 2.25,
+			Outcomes:       uint8(i),
+			PoolLeader:     "e0",
+		})
+		s.Tables = append(s.Tables, router.TableStatistics{
+			At:          at,
+			Tables:      router.TableGroup(i - 1),
+			Demand:      0.5,
+			MemoryTime:  8,
+			PoolLeaders: []router.EngineID{id, ""},
+		})
+	}
+	s.Classes = []router.ClassStatistics{{
+		At:              at,
+		Class:           1,
+		FirstTryTimeout: 900,
+		UnloadedTime:    20,
+		WorkScale:       router.WeightedMean{Mean: 2, Weight: 5},
+		MemoryScale:     router.WeightedMean{Mean: 0.5, Weight: 1},
+	}}
+	s.Traffic = []router.TrafficStatistics{{At: at, Share: router.WeightedMean{Mean: 0.25, Weight: 300}}}
+	return s
 }
 
 // until waits until a condition holds.
@@ -257,6 +275,7 @@
 	}
 	const older, newer = "snapshot-0000000000000001", "snapshot-0000000000000002"
 	a, b := d.Get(older), d.Get(newer)
+	noSnapshot := []byte("no snapshot, but of some length at least")
 	flipped := func(file []byte) []byte {
 		out := append([]byte(nil), file...)
 		out[len(out)-40] ^= 1
@@ -283,18 +302,21 @@
 		{"an old backup under a newer name", map[string][]byte{"snapshot-00000000000000ff": a, newer: b}, 2, true},
 		{"another program's file beside it", map[string][]byte{"snapshot-00000000000000ff": []byte("x"), newer: b}, 2, true},
 		{"nothing", nil, -1, false},
-		{"nothing that can be used", map[string][]byte{newer: []byte("no snapshot, but of some length at least")}, -1, false},
+		{"nothing that can be used", map[string][]byte{newer: noSnapshot}, -1, false},
 	} {
 		d := disktest.New()
 		for name, file := range c.files {
 			d.Put(name, file)
 		}
 		stored, _, err := Load(d, testBounds)
-		if engines(stored) != c.engines || stored != nil && stored.Complete != c.whole || (err == nil) != (stored != nil) {
+		isLoaded := stored != nil
+		if engines(stored) != c.engines || isLoaded && stored.Complete != c.whole || (err == nil) != isLoaded {
 			t.Errorf("%s: %d engines, %v", c.name, engines(stored), err)
 		}
 		checks, err := Verify(d, testBounds)
-		if bad := strings.Contains(fmt.Sprint(checks), "false"); err != nil || bad == (c.name == "both whole" || c.name == "nothing") {
+		hasBad := strings.Contains(fmt.Sprint(checks), "false")
+		allGood := c.name == "both whole" || c.name == "nothing"
+		if err != nil || hasBad == allGood {
 			t.Errorf("%s: %+v, %v", c.name, checks, err)
 		}
 	}
@@ -329,16 +351,23 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for kind := sectionHeader; kind <= sectionTraffic; kind++ {
-		odd := [][]byte{nil, claims, {0x80}, {0xa0}, {0xf6}, {0x81, 0x80}, {0x81, 0xf6}, []byte(strings.Repeat("\x81", 5000)),
-			append([]byte{0x99, 0x04, 0x01}, make([]byte, 0x401)...)}
+		payloads := [][]byte{
+			nil, claims, {0x80}, {0xa0}, {0xf6}, {0x81, 0x80}, {0x81, 0xf6},
+			[]byte(strings.Repeat("\x81", 5000)),
+			append([]byte{0x99, 0x04, 0x01}, make([]byte, 0x401)...),
+		}
 		for range 300 {
 			noise := make([]byte, rng.Intn(200))
 			rng.Read(noise)
-			odd = append(odd, noise)
+			payloads = append(payloads, noise)
 		}
-		for _, payload := range odd {
-			d := write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: kind, Payload: payload},
-				snapshots.Section{Kind: sectionTraffic, Payload: good}, snapshots.Section{Kind: 999, Payload: payload})
+		for _, payload := range payloads {
+			d := write(
+				snapshots.Section{Kind: sectionHeader, Payload: head},
+				snapshots.Section{Kind: kind, Payload: payload},
+				snapshots.Section{Kind: sectionTraffic, Payload: good},
+				snapshots.Section{Kind: 999, Payload: payload},
+			)
 			stored, _, err := Load(d, testBounds)
 			if err != nil || len(stored.Snapshot.Statistics.Traffic) == 0 {
 				t.Errorf("kind %d, % x: %v", kind, payload[:min(len(payload), 20)], err)
@@ -352,13 +381,18 @@
 	homes, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
 	long, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
 	for _, payload := range [][]byte{homes, long} {
-		stored, _, err := Load(write(snapshots.Section{Kind: sectionHeader, Payload: head}, snapshots.Section{Kind: sectionTables,
-			Payload: payload}, snapshots.Section{Kind: sectionTraffic, Payload: good}), testBounds)
+		d := write(
+			snapshots.Section{Kind: sectionHeader, Payload: head},
+			snapshots.Section{Kind: sectionTables, Payload: payload},
+			snapshots.Section{Kind: sectionTraffic, Payload: good},
+		)
+		stored, _, err := Load(d, testBounds)
 		if err != nil || len(stored.Snapshot.Statistics.Tables) != 0 || stored.Complete {
 			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), stored, err)
 		}
 	}
-	if _, _, err := Load(write(snapshots.Section{Kind: sectionTraffic, Payload: good}), testBounds); err == nil {
+	withoutHeader := write(snapshots.Section{Kind: sectionTraffic, Payload: good})
+	if _, _, err := Load(withoutHeader, testBounds); err == nil {
 		t.Error("read without a head")
 	}
 }
@@ -367,7 +401,8 @@
 func TestPrunedRecordsAreInNoFile(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 4}, testLimits)
-	if _, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil { // it has not taken the folder yet
+	// The writer has not locked the directory yet.
+	if _, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil {
 		t.Error(err)
 	}
 	w.SetInterval(time.Millisecond)
@@ -377,22 +412,27 @@
 	}
 	stop(t, w)
 	old, _, _ := Load(d, testBounds)
-	n, err := Prune(d, testBounds, PruneSelection{Engines: []router.EngineID{"e1", "x"}, Tables: []router.TableGroup{-1, 2}})
+	n, err := Prune(d, testBounds, PruneSelection{
+		Engines: []router.EngineID{"e1", "x"},
+		Tables:  []router.TableGroup{-1, 2},
+	})
 	if err != nil || n != 3 {
 		t.Errorf("%d forgotten, %v", n, err)
 	}
 	files, _ := snapshots.Files(d)
 	for _, f := range files {
 		stored, err := readFile(d, f, testBounds)
-		if err != nil || len(stored.Snapshot.Statistics.Engines) != 3 || len(stored.Snapshot.Statistics.Tables) != 2 {
+		statistics := stored.Snapshot.Statistics
+		if err != nil || len(statistics.Engines) != 3 || len(statistics.Tables) != 2 {
 			t.Errorf("%s: %+v, %v", f.Name, stored, err)
 		}
-		if stored.TakenAt != old.TakenAt || stored.Snapshot.Statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
+		if stored.TakenAt != old.TakenAt || statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
 			t.Error("it looks younger than it is")
 		}
 	}
 	shown := NewReport(old, old.TakenAt+60e3, restore.DefaultHalfLives())
-	if shown.Records != 10 || shown.Restorable != 10 || shown.Engines[0].RemainingWeight <= 0 || shown.Engines[0].RemainingWeight >= 1 {
+	weight := shown.Engines[0].RemainingWeight
+	if shown.Records != 10 || shown.Restorable != 10 || weight <= 0 || weight >= 1 {
 		t.Errorf("%+v", shown)
 	}
 	if n, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil || n != 7 {
@@ -412,7 +452,8 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{"/proc/self/none", filepath.Join(file, "below"), filepath.Join(t.TempDir(), "no", "parent")} {
+	withoutParent := filepath.Join(t.TempDir(), "no", "parent")
+	for _, path := range []string{"/proc/self/none", filepath.Join(file, "below"), withoutParent} {
 		w := startWriter(disk.Folder(path), time.Millisecond, &fakeSource{records: 1}, &l)
 		until(t, path+": failures", func() bool { return w.failed.Load() > 2 })
 		stop(t, w)
