--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -8,14 +8,15 @@
 // and waits for no I/O.
 //
 // The updates are numbered. A connection is opened with the number of the last update that is known, and
-// carries what comes after it; an unchanged list is said again about once a second. A connection that breaks,
-// falls silent, is malformed or skips a number is opened again from the last update, DiscoveryRetryDelay after it was
-// opened at the earliest.
+// carries what comes after it; an unchanged list is said again about once a second. A connection that
+// breaks, falls silent, is malformed or skips a number is opened again from the last update,
+// DiscoveryRetryDelay after it was opened at the earliest.
 //
 // # Expiry
 //
 // A drain must not go unnoticed for longer than the rules allow. So the list expires when nothing was
-// received for EndpointListExpiry, or EndpointListExpiry after the address changed, or EndpointListExpiryDisconnected after a connection broke,
-// whichever comes first. That is reported once, as an update with ExpiredFor; the next thing that is
-// received, be it that nothing has changed, is reported too and ends it.
+// received for EndpointListExpiry, or EndpointListExpiry after the address changed, or
+// EndpointListExpiryDisconnected after a connection broke, whichever comes first. That is reported once,
+// as an update with ExpiredFor; the next thing that is received, be it that nothing has changed, is
+// reported too and ends it.
 package discovery
