--- a/cmd/mintkeel/jobs.go
+++ b/cmd/mintkeel/jobs.go
@@ -4,18 +4,20 @@
 	"time"
 
 	"mintkeel/internal/core/restore"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/internal/fleet/maintenance"
+	"mintkeel/internal/fleet/sharedstatistics"
 	"mintkeel/router"
 )
 
 // programs are what this controller can do for the fleet.
-func (d *daemon) programs() []fleet.Job {
-	programs := []fleet.Job{fleet.NewDigest(d.learner())}
+func (d *daemon) programs() []job.Job {
+	programs := []job.Job{sharedstatistics.NewJob(d.learner())}
 	if d.file.Maintenance == nil {
 		return programs
 	}
 	facts := d.start.facts
-	k := fleet.MaintenanceHost{Engines: d.loop.EngineStatuses, Hold: d.loop.HoldEngines,
+	k := maintenance.Host{Engines: d.loop.EngineStatuses, Hold: d.loop.HoldEngines,
 		Kinds: make([]string, len(facts.Kinds)), Log: d.log}
 	for name, i := range facts.Names.Kinds {
 		if int(i) >= 0 && int(i) < len(k.Kinds) {
@@ -27,13 +29,13 @@
 			k.Bounds = append(k.Bounds, p.Kinds)
 		}
 	}
-	d.conductor = fleet.NewMaintenanceJob(k, *d.file.Maintenance)
+	d.conductor = maintenance.NewJob(k, *d.file.Maintenance)
 	return append(programs, d.conductor)
 }
 
 // learner is what the fleet's digest needs of this controller. One that remembers for itself takes nothing from others.
-func (d *daemon) learner() fleet.Learner {
-	l := fleet.Learner{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
+func (d *daemon) learner() sharedstatistics.Host {
+	l := sharedstatistics.Host{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
 	if !d.remembers {
 		l.Remember = func(learned router.Statistics) { go d.restoreDigest(learned) } // it may wait
 	}
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -12,6 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/maintenance"
 )
 
 func maintenanceCommand() *cobra.Command {
@@ -51,9 +52,9 @@
 }
 
 // maintenancePrinter prints an answer for a person.
-type maintenancePrinter func(io.Writer, *fleet.MaintenanceStatus)
+type maintenancePrinter func(io.Writer, *maintenance.Status)
 
-func (m *maintenanceCaller) call(c *cobra.Command, request fleet.MaintenanceRequest, print maintenancePrinter) error {
+func (m *maintenanceCaller) call(c *cobra.Command, request maintenance.Request, print maintenancePrinter) error {
 	if m.folder == "" {
 		return errors.New("no folder: set --folder or MINTKEEL_FLEET")
 	}
@@ -77,7 +78,7 @@
 func (m *maintenanceCaller) ofName(use, short, action string, print maintenancePrinter) *cobra.Command {
 	count := strings.Count(use, " ")
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: func(c *cobra.Command, args []string) error {
-		request := fleet.MaintenanceRequest{Action: action}
+		request := maintenance.Request{Action: action}
 		if len(args) > 0 {
 			request.Name = args[0]
 		}
@@ -92,19 +93,19 @@
 		if err != nil {
 			return err
 		}
-		plans, err := fleet.ReadPlans(args[0], text)
+		plans, err := maintenance.ReadPlans(args[0], text)
 		if err != nil {
 			return err
 		}
 		if len(plans) == 0 {
 			return fmt.Errorf("%s: holds no plan", args[0])
 		}
-		return m.call(c, fleet.MaintenanceRequest{Action: action, Plans: plans}, print)
+		return m.call(c, maintenance.Request{Action: action, Plans: plans}, print)
 	}}
 }
 
 // printCheck tells that plans can be done; problems have been printed before.
-func printCheck(out io.Writer, s *fleet.MaintenanceStatus) {
+func printCheck(out io.Writer, s *maintenance.Status) {
 	if len(s.Problems) == 0 {
 		fmt.Fprintln(out, "can be done, as far as can be foreseen")
 	}
@@ -117,7 +118,7 @@
 	return nil
 }
 
-func printMaintenance(out io.Writer, s *fleet.MaintenanceStatus) {
+func printMaintenance(out io.Writer, s *maintenance.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(t, "conducted by %s, token %d, state %d\nplan\tat once\tis\n", s.Holder, s.Token, s.Serial)
 	for _, p := range s.Plans {
@@ -139,7 +140,7 @@
 	}
 }
 
-func printReasons(out io.Writer, s *fleet.MaintenanceStatus) {
+func printReasons(out io.Writer, s *maintenance.Status) {
 	for _, r := range s.Reasons {
 		fmt.Fprintln(out, r)
 	}
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -20,6 +20,7 @@
 	"mintkeel/internal/discovery"
 	"mintkeel/internal/engines"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/limits"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
@@ -77,7 +78,7 @@
 	fleet           *fleet.Service // nil: off
 	agreed          *agreedConfig  // nil: the fleet has no say in this controller's configuration
 
-	conductor *fleet.MaintenanceJob // nil: maintenance is off
+	conductor *maintenance.Job // nil: maintenance is off
 
 	remembers bool // its own folder held something to begin with
 }
--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -14,6 +14,7 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/fleet/links"
+	"mintkeel/internal/fleet/sharedstatistics"
 	"mintkeel/internal/operator/block"
 )
 
@@ -89,7 +90,7 @@
 // ReadLeases reads the field works of the block fleet: the names of the fleet's leases, sorted.
 func ReadLeases(open *block.Block) []lease.Name {
 	if !open.Has("works") {
-		return []lease.Name{Digest}
+		return []lease.Name{sharedstatistics.Lease}
 	}
 	var names []lease.Name
 	for _, w := range open.Strings("works", 64) {
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -17,6 +17,8 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/quorum"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/internal/fleet/maintenance"
 )
 
 // Operators speak to a controller by a socket in its folder: one request, one answer, both a line of JSON. Whoever may
@@ -36,8 +38,8 @@
 	To     string `json:"to,omitempty"`
 	Old    string `json:"old,omitempty"`
 
-	Maintenance *MaintenanceRequest `json:"maintenance,omitempty"`
-	Config      *ConfigOrder        `json:"config,omitempty"`
+	Maintenance *maintenance.Request `json:"maintenance,omitempty"`
+	Config      *ConfigOrder         `json:"config,omitempty"`
 }
 
 // Status is what a controller knows of its fleet. What it can't know it does not tell as known: Members are what it
@@ -54,8 +56,8 @@
 	Quorum     QuorumStatus   `json:"council"`
 	Error      string         `json:"error,omitempty"`
 
-	Maintenance *MaintenanceStatus `json:"maintenance,omitempty"`
-	Config      *ConfigAnswer      `json:"config,omitempty"`
+	Maintenance *maintenance.Status `json:"maintenance,omitempty"`
+	Config      *ConfigAnswer       `json:"config,omitempty"`
 }
 
 // MemberStatus is one member, as this controller believes it to be.
@@ -196,22 +198,29 @@
 	return found.status, found.err
 }
 
-// askConductor passes an order on to who conducts maintenance, and waits for the answer.
-func (s *Service) askConductor(o *MaintenanceRequest) (Status, error) {
+// maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where this controller has it.
+type maintenanceJob interface {
+	job.Job
+	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned channel.
+	SendRequest(c job.Context, holder members.ID, request maintenance.Request) (chan maintenance.Status, error)
+}
+
+// askConductor passes an operator's request on to the holder of the maintenance lease, and waits for the answer.
+func (s *Service) askConductor(o *maintenance.Request) (Status, error) {
 	if o == nil {
 		return Status{}, errors.New("nothing is asked for")
 	}
 	type sent struct {
-		reply chan MaintenanceStatus
+		reply chan maintenance.Status
 		err   error
 	}
 	found, err := ask(s, controlTime, func(in *session) sent {
 		for _, p := range in.jobs {
-			if c, ok := p.(*MaintenanceJob); ok {
+			if c, ok := p.(maintenanceJob); ok {
 				holder := members.ID("")
 				grants, _ := in.core.Leases()
 				for _, g := range grants {
-					if g.Name == Maintenance {
+					if g.Name == maintenance.Lease {
 						holder = g.Holder.ID
 					}
 				}
--- a/internal/fleet/faultinjection/faultinjection.go
+++ b/internal/fleet/faultinjection/faultinjection.go
@@ -1,6 +1,8 @@
-// Package faultinjection is where messages among controllers meet the machine: its steady clock and its way to open
-// connections. The daemon has no hook in it. A build with the tag mintkeel_lab, which only rigs make, has the clock follow a file and
-// connections go by a switch.
+// Package faultinjection is where the fleet service meets the machine: the steady clock, new connections, the time before
+// a write. The daemon injects no faults (system.go). Only builds with the tag mintkeel_lab, which the rig of
+// internal/lab/fleet makes, do (rig.go, job.go): the clock runs at a rate from a file, writes take long or fail, connections
+// go through a switch, and a job produces effects that the rig checks. The environment names the file, the switch and the
+// endpoint. It is the one package of the fleet that the tag changes, and both builds export the same functions.
 package faultinjection
 
 import (
@@ -9,12 +11,14 @@
 	"time"
 )
 
+// began is where the steady clock has 0.
 var began = time.Now()
 
-// steady is ms by the system's steady clock.
-func steady() float64 { return float64(time.Since(began)) / 1e6 }
+// steadyNow is the time in ms by the system's steady clock.
+func steadyNow() float64 { return float64(time.Since(began)) / float64(time.Millisecond) }
 
+// dial opens a connection by TCP.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
-	var d net.Dialer
-	return d.DialContext(ctx, "tcp", addr)
+	var dialer net.Dialer
+	return dialer.DialContext(ctx, "tcp", addr)
 }
--- a/internal/fleet/maintenance_hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 import (
 	"encoding/json"
@@ -6,10 +6,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"mintkeel/internal/core/fleet/maintenance"
+	core "mintkeel/internal/core/fleet/maintenance"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/node"
 	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/fleet/job"
 	"mintkeel/router"
 )
 
@@ -21,9 +22,9 @@
 }
 
 // enginesToHold are the engines that controllers are to send nothing to, sorted.
-func (j *MaintenanceJob) enginesToHold() (list []router.EngineID) {
+func (j *Job) enginesToHold() (list []router.EngineID) {
 	for _, t := range j.agreed.Tasks {
-		if t.Step >= maintenance.Draining && t.Step <= maintenance.Returning || t.Step == maintenance.Missing {
+		if t.Step >= core.Draining && t.Step <= core.Returning || t.Step == core.Missing {
 			list = append(list, router.EngineID(t.Engine))
 		}
 	}
@@ -33,22 +34,22 @@
 
 // announce sends every controller the engines to hold, again and again: one that missed an announcement, or starts, gets
 // the next.
-func (j *MaintenanceJob) announce(h Context) {
+func (j *Job) announce(jobContext job.Context) {
 	data, err := cbor.Marshal(holdEffect{j.serial, j.enginesToHold()})
 	if err != nil {
 		return
 	}
-	for _, m := range h.Members() {
+	for _, m := range jobContext.Members() {
 		if m.State <= members.Suspect || m.State == members.Dead { // one that is gone may be cut off one way alone
 			j.effectID++
-			h.TryEffect(Maintenance, m.ID, j.effectID, data)
+			jobContext.TryEffect(Lease, m.ID, j.effectID, data)
 		}
 	}
 }
 
 // EffectReceived takes in which engines this controller is to hold, from the latest holder of the lease.
-func (j *MaintenanceJob) EffectReceived(_ Context, from members.ID, e node.Effect) {
-	if e.Grant.Name != Maintenance {
+func (j *Job) EffectReceived(_ job.Context, from members.ID, e node.Effect) {
+	if e.Grant.Name != Lease {
 		return
 	}
 	var effect holdEffect
@@ -71,22 +72,22 @@
 
 // confirm tells the holder of the lease which of the held engines this controller has stopped sending to, with nothing of
 // its own still running there.
-func (j *MaintenanceJob) confirm(h Context) {
+func (j *Job) confirm(jobContext job.Context) {
 	j.mu.Lock()
 	changed, engines := j.holdChanges != j.appliedHold, j.engines
 	j.mu.Unlock()
 	if changed {
 		j.refreshEngines()
 	}
-	if j.heldFrom == "" || len(j.held.Engines) == 0 || h.Now() < j.confirmAt {
+	if j.heldFrom == "" || len(j.held.Engines) == 0 || jobContext.Now() < j.confirmAt {
 		return
 	}
-	j.confirmAt = h.Now() + stepInterval
+	j.confirmAt = jobContext.Now() + stepInterval
 	j.refreshEngines()
 	if engines == nil {
 		return
 	}
-	m := maintenanceMessage{Token: uint64(j.heldToken), Serial: j.held.Serial}
+	m := message{Token: uint64(j.heldToken), Serial: j.held.Serial}
 	for _, id := range j.held.Engines {
 		inUse := slices.ContainsFunc(engines, func(e router.EngineStatus) bool {
 			return e.Engine == id && (e.State == router.Ready || e.Attempts > 0)
@@ -95,49 +96,49 @@
 			m.Stopped = append(m.Stopped, id)
 		}
 	}
-	sendMaintenance(h, j.heldFrom, m)
+	sendMessage(jobContext, j.heldFrom, m)
 }
 
 // unconfirmed are the controllers that may still send to an engine, for all that the holder knows: each that it ever heard
 // of, but for those that said that they end and those that an operator does without.
-func (j *MaintenanceJob) unconfirmed(h Context, id maintenance.EngineID) (list []string) {
-	for _, m := range h.Members() {
+func (j *Job) unconfirmed(jobContext job.Context, id core.EngineID) (list []string) {
+	for _, m := range jobContext.Members() {
 		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Without, m.ID) {
 			continue
 		}
 		c, ok := j.confirmations[m.ID]
-		if !ok || h.Now()-c.at > confirmationLifetime || !slices.Contains(c.stopped, router.EngineID(id)) {
+		if !ok || jobContext.Now()-c.at > confirmationLifetime || !slices.Contains(c.stopped, router.EngineID(id)) {
 			list = append(list, string(m.ID))
 		}
 	}
 	return list
 }
 
-// sendMaintenance sends a message to the job of another controller.
-func sendMaintenance(h Context, to members.ID, m maintenanceMessage) {
-	m.Kind = maintenanceMessageKind
+// sendMessage sends a message to the job of another controller.
+func sendMessage(jobContext job.Context, to members.ID, m message) {
+	m.Kind = messageKind
 	if data, err := cbor.Marshal(m); err == nil {
-		h.SendMessage(to, data)
+		jobContext.SendMessage(to, data)
 	}
 }
 
 // MessageReceived takes in a request, an answer or a confirmation; it is false for a message of another job.
-func (j *MaintenanceJob) MessageReceived(h Context, from members.ID, data []byte) bool {
-	var m maintenanceMessage
-	if err := frames.Decoder.Unmarshal(data, &m); err != nil || m.Kind != maintenanceMessageKind {
+func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
+	var m message
+	if err := frames.Decoder.Unmarshal(data, &m); err != nil || m.Kind != messageKind {
 		return false
 	}
 	switch {
 	case m.Request != nil:
-		j.receiveRequest(h, from, m.Request)
+		j.receiveRequest(jobContext, from, m.Request)
 	case m.Answer != nil:
-		var s MaintenanceStatus
+		var s Status
 		if reply := j.replies[m.Answer.Ref]; reply != nil && json.Unmarshal(m.Answer.JSON, &s) == nil {
 			delete(j.replies, m.Answer.Ref)
 			reply <- s
 		}
 	case j.holdsLease && m.Token == uint64(j.grant.Token):
-		j.confirmations[from] = confirmation{m.Serial, m.Stopped, h.Now()}
+		j.confirmations[from] = confirmation{m.Serial, m.Stopped, jobContext.Now()}
 	}
 	return true
 }
--- /dev/null
+++ b/internal/fleet/maintenance/job.go
@@ -0,0 +1,229 @@
+package maintenance
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"mintkeel/internal/core/fleet/lease"
+	core "mintkeel/internal/core/fleet/maintenance"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/core/fleet/node"
+	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/router"
+)
+
+// Lease is the name of the lease whose holder carries out maintenance.
+const Lease lease.Name = "maintenance"
+
+// Intervals and timeouts of the session's goroutine, in ms of the steady clock.
+const (
+	stepInterval         = 500.0  // between two steps of the holder
+	announceInterval     = 1000.0 // between two announcements of the engines to hold, to each controller
+	confirmationLifetime = 5000.0 // a controller repeats its confirmation with each announcement
+	proposalTimeout      = 2000.0 // after which the agreed state is read again in place of awaiting a proposal
+	lostEngineTime       = 3600e3 // for which a missing engine that nobody took out counts as lost: after that it has left for good
+)
+
+// Timeouts of the job's own goroutines.
+const (
+	engineTimeout = 2 * time.Second  // for the loop to tell what it knows of the engines
+	hookBackoff   = 10 * time.Second // until a program that failed is run again
+	hookWaitDelay = time.Second      // for a program's output after its end
+)
+
+// Bounds of what is kept. What would go beyond is rejected (requests, plans) or left out (the rest).
+const (
+	maxPendingRequests = 64
+	maxPlans           = 32
+	maxKnownEngines    = 4096
+	maxWithout         = 256
+	maxReasons         = 100
+)
+
+// Host is what maintenance needs of its controller. Its functions are called from goroutines of the job.
+type Host struct {
+	Engines func(ctx context.Context) ([]router.EngineStatus, error)
+	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
+	Kinds   []string                // names of machine kinds, by number
+	Bounds  [][]router.KindID       // for each query class that is bound to some machine kinds, these kinds
+	Log     *slog.Logger
+}
+
+// Job is the job of the maintenance lease.
+type Job struct {
+	host  Host
+	block atomic.Pointer[Block]
+	now   func() float64 // ms since 1970
+
+	// State of the lease holder, owned by the session's goroutine.
+	holdsLease     bool
+	grant          lease.Grant
+	known          bool // the agreed state has been read
+	agreed         agreedState
+	serial         uint64 // of the agreed state
+	proposing      bool
+	proposedAt     float64 // ms
+	stepAt         float64 // ms, when the next step is due
+	announceAt     float64 // ms, when the next announcement is due
+	effectID       uint64  // of the last announcement
+	confirmations  map[members.ID]confirmation
+	reasons        []core.Reason            // why no step was possible at the last one
+	waits          map[core.EngineID]string // what the task of an engine waits for
+	requests       []pendingRequest
+	engineLostFrom map[core.EngineID]float64 // ms, since when one is missing, as this holder saw it
+
+	// State of every controller, owned by the session's goroutine.
+	held        holdEffect // the latest announcement
+	heldToken   lease.Token
+	heldFrom    members.ID // empty: none was received
+	confirmAt   float64    // ms, when the next confirmation is due
+	replies     map[uint64]chan Status
+	lastRequest uint64
+
+	mu          sync.Mutex            // guards the fields up to hooks
+	engines     []router.EngineStatus // nil: not known since the last change of what is held
+	asking      bool
+	holdChanges int               // how often what is to be held has changed
+	toHold      []router.EngineID // and what it is now
+	appliedHold int               // up to which change the loop knows it
+	hooks       map[string]hookRun
+	ctx         context.Context
+	end         context.CancelFunc
+	group       sync.WaitGroup
+}
+
+// NewJob returns the job of one controller; Close ends it.
+func NewJob(host Host, b Block) *Job {
+	ctx, end := context.WithCancel(context.Background())
+	j := &Job{
+		host:           host,
+		now:            func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
+		confirmations:  map[members.ID]confirmation{},
+		waits:          map[core.EngineID]string{},
+		engineLostFrom: map[core.EngineID]float64{},
+		replies:        map[uint64]chan Status{},
+		hooks:          map[string]hookRun{},
+		lastRequest:    rand.Uint64() >> 1, // an answer to an earlier process of this controller finds no request
+		ctx:            ctx,
+		end:            end,
+	}
+	j.block.Store(&b)
+	return j
+}
+
+// SetBlock has the programs and times of another block used from now on. A program that runs goes on as it began.
+func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
+
+// Began takes in that this controller holds the lease. It reads the agreed state before it does anything.
+func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
+	if grant.Name != Lease {
+		return
+	}
+	j.holdsLease = true
+	j.grant = grant
+	j.known = false
+	j.proposing = false
+	j.stepAt = jobContext.Now()
+	j.confirmations = map[members.ID]confirmation{}
+	jobContext.RequestState(Lease)
+}
+
+// Ended takes in that this controller holds the lease no more.
+func (j *Job) Ended(grant lease.Grant) {
+	if grant.Name == Lease {
+		j.holdsLease = false
+		j.known = false
+	}
+}
+
+// Close ends the job and its programs.
+func (j *Job) Close() {
+	j.end()
+	j.group.Wait()
+}
+
+// VerdictReceived is of no use here: an announcement is repeated whatever became of it.
+func (j *Job) VerdictReceived(node.EffectResponse) {}
+
+// Tick confirms what this controller holds and, where it holds the lease, makes the next step.
+func (j *Job) Tick(jobContext job.Context, now float64) {
+	j.confirm(jobContext)
+	if !j.holdsLease || now < j.stepAt {
+		return
+	}
+	j.stepAt = now + stepInterval
+	j.refreshEngines()
+	if !j.known || j.proposing {
+		j.retryState(jobContext, now)
+		return
+	}
+	if now >= j.announceAt {
+		j.announceAt = now + announceInterval
+		j.announce(jobContext)
+	}
+	if len(j.requests) > 0 {
+		first := j.requests[0]
+		j.requests = j.requests[1:]
+		j.carryOut(jobContext, first)
+		return
+	}
+	j.advance(jobContext)
+}
+
+// retryState reads the agreed state again once a proposal, or the state, has not come back in time. One of the messages
+// was lost, and the state tells which.
+func (j *Job) retryState(jobContext job.Context, now float64) {
+	if now <= j.proposedAt+proposalTimeout {
+		return
+	}
+	j.proposedAt = now
+	j.proposing = false
+	j.known = false
+	jobContext.RequestState(Lease)
+}
+
+// StateReceived takes in the agreed state.
+func (j *Job) StateReceived(jobContext job.Context, s node.Checkpoint) {
+	if s.Grant != j.grant || !j.holdsLease {
+		return
+	}
+	if j.known && s.Serial <= j.serial {
+		j.proposing = j.proposing && s.Serial < j.serial
+		return
+	}
+	var agreed agreedState
+	if len(s.Data) > 0 {
+		if err := frames.Decoder.Unmarshal(s.Data, &agreed); err != nil {
+			j.host.Log.Error("maintenance: the agreed state can't be read", "why", err)
+			jobContext.Release(Lease, true)
+			return
+		}
+	}
+	if agreed.Hooked == nil {
+		agreed.Hooked = map[string]uint64{}
+	}
+	j.agreed = agreed
+	j.serial = s.Serial
+	j.known = true
+	j.proposing = false
+}
+
+// propose has a changed state agreed on; it is acted on once it is.
+func (j *Job) propose(jobContext job.Context, state agreedState) {
+	data, err := cbor.Marshal(state)
+	if err != nil || len(data) > lease.MaxStateBytes {
+		j.host.Log.Error("maintenance: the state is too big to be agreed on", "bytes", len(data))
+		return
+	}
+	if jobContext.ProposeState(Lease, j.serial+1, data) {
+		j.proposing = true
+		j.proposedAt = jobContext.Now()
+	}
+}
--- a/internal/fleet/maintenance_request.go
+++ b/internal/fleet/maintenance/requests.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 import (
 	"cmp"
@@ -9,29 +9,30 @@
 	"slices"
 	"time"
 
-	"mintkeel/internal/core/fleet/maintenance"
+	core "mintkeel/internal/core/fleet/maintenance"
 	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/job"
 )
 
 // pendingRequest is a request that waits for the holder's next step.
 type pendingRequest struct {
 	from members.ID
 	ref  uint64
-	MaintenanceRequest
+	Request
 }
 
 // requestRun is a request that is being carried out: the state that it would have agreed on, and its answer.
 type requestRun struct {
-	state   maintenanceState
+	state   agreedState
 	changed bool
-	status  MaintenanceStatus
+	status  Status
 }
 
 // errNoConductor is that no controller holds the maintenance lease, as far as this one knows.
 var errNoConductor = errors.New("nobody conducts maintenance now, as far as this controller knows")
 
 // SendRequest passes an operator's request on to the holder of the lease; the answer comes on the returned channel.
-func (j *MaintenanceJob) SendRequest(h Context, holder members.ID, request MaintenanceRequest) (chan MaintenanceStatus, error) {
+func (j *Job) SendRequest(jobContext job.Context, holder members.ID, request Request) (chan Status, error) {
 	if holder == "" {
 		return nil, errNoConductor
 	}
@@ -43,35 +44,35 @@
 		clear(j.replies) // nobody waits for these any more
 	}
 	j.lastRequest++
-	reply := make(chan MaintenanceStatus, 1)
+	reply := make(chan Status, 1)
 	j.replies[j.lastRequest] = reply
-	sendMaintenance(h, holder, maintenanceMessage{Request: &encodedRequest{Ref: j.lastRequest, JSON: data}})
+	sendMessage(jobContext, holder, message{Request: &encodedRequest{Ref: j.lastRequest, JSON: data}})
 	return reply, nil
 }
 
 // receiveRequest enqueues a request where this controller holds the lease.
-func (j *MaintenanceJob) receiveRequest(h Context, from members.ID, encoded *encodedRequest) {
-	var request MaintenanceRequest
+func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
+	var request Request
 	if !j.holdsLease || !j.known || len(j.requests) >= maxPendingRequests || json.Unmarshal(encoded.JSON, &request) != nil {
-		j.reply(h, from, encoded.Ref, MaintenanceStatus{Error: "this controller does not conduct maintenance now: ask again"})
+		j.reply(jobContext, from, encoded.Ref, Status{Error: "this controller does not conduct maintenance now: ask again"})
 		return
 	}
 	j.requests = append(j.requests, pendingRequest{from, encoded.Ref, request})
 }
 
 // reply sends the answer to a request.
-func (j *MaintenanceJob) reply(h Context, to members.ID, ref uint64, s MaintenanceStatus) {
+func (j *Job) reply(jobContext job.Context, to members.ID, ref uint64, s Status) {
 	if data, err := json.Marshal(s); err == nil {
-		sendMaintenance(h, to, maintenanceMessage{Answer: &encodedAnswer{Ref: ref, JSON: data}})
+		sendMessage(jobContext, to, message{Answer: &encodedAnswer{Ref: ref, JSON: data}})
 	}
 }
 
 // carryOut does what an operator asks for, and answers with the state after it.
-func (j *MaintenanceJob) carryOut(h Context, request pendingRequest) {
+func (j *Job) carryOut(jobContext job.Context, request pendingRequest) {
 	run := &requestRun{state: j.agreed}
 	run.state.Plans = slices.Clone(run.state.Plans)
 	run.state.Without = slices.Clone(run.state.Without)
-	v := j.view(h)
+	v := j.view(jobContext)
 	switch request.Action {
 	case "status":
 	case "plan", "check":
@@ -90,14 +91,14 @@
 		run.status.Error = fmt.Sprintf("%.64q is not known", request.Action)
 	}
 	if run.changed {
-		j.propose(h, run.state)
+		j.propose(jobContext, run.state)
 	}
-	j.describe(h, run.state, &run.status)
-	j.reply(h, request.from, request.ref, run.status)
+	j.describe(jobContext, run.state, &run.status)
+	j.reply(jobContext, request.from, request.ref, run.status)
 }
 
 // findPlan is the plan of a name; nil, with an error in the answer: there is none.
-func (r *requestRun) findPlan(name string) *maintenance.Plan {
+func (r *requestRun) findPlan(name string) *core.Plan {
 	for i := range r.state.Plans {
 		if string(r.state.Plans[i].ID) == name {
 			return &r.state.Plans[i]
@@ -108,18 +109,18 @@
 }
 
 // takePlans checks plans and takes them into the state; commit tells whether they are to be agreed on.
-func (r *requestRun) takePlans(plans []maintenance.Plan, v maintenance.View, version int, commit bool) {
-	times := maintenance.StepDurations{Drain: 10000, Warm: 30000}
+func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
+	times := core.StepDurations{Drain: 10000, Warm: 30000}
 	for _, p := range plans {
 		p.Version = version
-		for _, problem := range maintenance.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, times) {
+		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, times) {
 			r.status.Problems = append(r.status.Problems, fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
 		}
-		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q maintenance.Plan) bool { return q.ID == p.ID })
+		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
 		r.state.Plans = append(r.state.Plans, p)
 	}
-	if len(r.state.Plans) > mostPlans {
-		r.status.Problems = append(r.status.Problems, fmt.Sprintf("there would be over %d plans: withdraw some", mostPlans))
+	if len(r.state.Plans) > maxPlans {
+		r.status.Problems = append(r.status.Problems, fmt.Sprintf("there would be over %d plans: withdraw some", maxPlans))
 	}
 	r.changed = commit && r.status.Problems == nil
 	if commit && r.status.Problems != nil {
@@ -134,16 +135,16 @@
 		return
 	}
 	p.Withdrawn, r.changed = true, true
-	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t maintenance.Task) bool {
-		begun := t.Step != maintenance.Done && t.Step != maintenance.Preparing
+	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t core.Task) bool {
+		begun := t.Step != core.Done && t.Step != core.Preparing
 		return t.Plan == p.ID && !begun
 	})
 }
 
 // markDone takes in that a person has done the work on an engine.
 func (r *requestRun) markDone(engine string) {
-	i := slices.IndexFunc(r.state.Tasks, func(t maintenance.Task) bool {
-		return string(t.Engine) == engine && t.Step == maintenance.Working
+	i := slices.IndexFunc(r.state.Tasks, func(t core.Task) bool {
+		return string(t.Engine) == engine && t.Step == core.Working
 	})
 	if i < 0 {
 		r.status.Error = fmt.Sprintf("%.64q is not being worked on", engine)
@@ -163,12 +164,12 @@
 }
 
 // describe fills in the state of all plans and tasks.
-func (j *MaintenanceJob) describe(h Context, state maintenanceState, s *MaintenanceStatus) {
-	s.Holder, s.Token, s.Serial, s.Plans = string(h.Self()), uint64(j.grant.Token), j.serial, state.Plans
+func (j *Job) describe(jobContext job.Context, state agreedState, s *Status) {
+	s.Holder, s.Token, s.Serial, s.Plans = string(jobContext.Self()), uint64(j.grant.Token), j.serial, state.Plans
 	s.Tasks, s.Reasons, s.Forecasts = []TaskStatus{}, []string{}, []ForecastStatus{}
-	v := j.view(h)
+	v := j.view(jobContext)
 	for _, p := range state.Plans {
-		after, before, ok := maintenance.Forecast(v, p)
+		after, before, ok := core.Forecast(v, p)
 		if ok && !p.Withdrawn && !p.Halted {
 			s.Forecasts = append(s.Forecasts, ForecastStatus{
 				Plan:   string(p.ID),
@@ -185,8 +186,8 @@
 			SinceMS: int64(j.now() - t.StepStartedAt),
 			Waits:   j.waits[t.Engine],
 		}
-		if t.Step == maintenance.Draining {
-			task.NotConfirmed = j.unconfirmed(h, t.Engine)
+		if t.Step == core.Draining {
+			task.NotConfirmed = j.unconfirmed(jobContext, t.Engine)
 		}
 		s.Tasks = append(s.Tasks, task)
 	}
--- a/internal/fleet/maintenance_step.go
+++ b/internal/fleet/maintenance/steps.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 import (
 	"context"
@@ -8,8 +8,9 @@
 	"strconv"
 	"time"
 
-	"mintkeel/internal/core/fleet/maintenance"
+	core "mintkeel/internal/core/fleet/maintenance"
 	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/job"
 	"mintkeel/router"
 )
 
@@ -23,9 +24,9 @@
 }
 
 // view is what the decisions of core/fleet/maintenance go by.
-func (j *MaintenanceJob) view(h Context) maintenance.View {
+func (j *Job) view(jobContext job.Context) core.View {
 	engines := j.currentEngines()
-	v := maintenance.View{Now: j.now(), Tasks: j.agreed.Tasks, Plans: j.agreed.Plans, DrainsListed: j.block.Load().List}
+	v := core.View{Now: j.now(), Tasks: j.agreed.Tasks, Plans: j.agreed.Plans, DrainsListed: j.block.Load().List}
 	if len(engines) == 0 {
 		v.StaleReason = "the engines have not been looked at yet"
 	}
@@ -38,7 +39,7 @@
 	for _, kinds := range j.host.Bounds {
 		v.Requirements = append(v.Requirements, j.bound(kinds, v.Engines))
 	}
-	for _, m := range h.Members() {
+	for _, m := range jobContext.Members() {
 		if m.State == members.Suspect {
 			v.StaleReason = string(m.ID) + " does not answer just now"
 		}
@@ -47,18 +48,18 @@
 }
 
 // kindName is the name of a kind; empty: it is not known.
-func (j *MaintenanceJob) kindName(k router.KindID) string {
+func (j *Job) kindName(k router.KindID) string {
 	if int(k) < 0 || int(k) >= len(j.host.Kinds) {
 		return ""
 	}
 	return j.host.Kinds[k]
 }
 
-func (j *MaintenanceJob) viewEngine(e router.EngineStatus) maintenance.Engine {
-	viewed := maintenance.Engine{
-		ID:        maintenance.EngineID(e.Engine),
-		Zone:      maintenance.Zone(e.Zone),
-		Kind:      maintenance.Kind(j.kindName(e.Kind)),
+func (j *Job) viewEngine(e router.EngineStatus) core.Engine {
+	viewed := core.Engine{
+		ID:        core.EngineID(e.Engine),
+		Zone:      core.Zone(e.Zone),
+		Kind:      core.Kind(j.kindName(e.Kind)),
 		Cores:     e.Cores,
 		Ready:     e.State == router.Ready,
 		StartedAt: e.StartedAt,
@@ -69,17 +70,17 @@
 		viewed.Ready = e.ListedState == router.Ready
 	}
 	for _, t := range e.Tables {
-		viewed.Groups = append(viewed.Groups, maintenance.HostedGroup{Group: maintenance.Group(t.Tables), Demand: t.Demand, WarmReplicas: t.OtherEngines})
+		viewed.Groups = append(viewed.Groups, core.HostedGroup{Group: core.Group(t.Tables), Demand: t.Demand, WarmReplicas: t.OtherEngines})
 	}
 	return viewed
 }
 
 // lostEngines are the known engines that are missing and that nobody took out, until they count as left for good.
-func (j *MaintenanceJob) lostEngines(v maintenance.View) (lost []maintenance.Engine) {
+func (j *Job) lostEngines(v core.View) (lost []core.Engine) {
 	for _, id := range j.agreed.Known {
-		ready := slices.ContainsFunc(v.Engines, func(e maintenance.Engine) bool { return e.ID == id && e.Ready })
-		takenOut := slices.ContainsFunc(v.Tasks, func(t maintenance.Task) bool {
-			return t.Engine == id && t.Step != maintenance.Done
+		ready := slices.ContainsFunc(v.Engines, func(e core.Engine) bool { return e.ID == id && e.Ready })
+		takenOut := slices.ContainsFunc(v.Tasks, func(t core.Task) bool {
+			return t.Engine == id && t.Step != core.Done
 		})
 		if ready || takenOut {
 			delete(j.engineLostFrom, id)
@@ -89,18 +90,18 @@
 			j.engineLostFrom[id] = v.Now
 		}
 		if v.Now < j.engineLostFrom[id]+lostEngineTime {
-			lost = append(lost, maintenance.Engine{ID: id})
+			lost = append(lost, core.Engine{ID: id})
 		}
 	}
 	return lost
 }
 
 // bound is the need of the query classes that run on some kinds alone: all that runs there may be of them.
-func (j *MaintenanceJob) bound(kinds []router.KindID, engines []maintenance.Engine) maintenance.Requirement {
-	b := maintenance.Requirement{}
+func (j *Job) bound(kinds []router.KindID, engines []core.Engine) core.Requirement {
+	b := core.Requirement{}
 	for _, k := range kinds {
 		if int(k) >= 0 && int(k) < len(j.host.Kinds) {
-			b.Kinds = append(b.Kinds, maintenance.Kind(j.host.Kinds[k]))
+			b.Kinds = append(b.Kinds, core.Kind(j.host.Kinds[k]))
 		}
 	}
 	for _, e := range engines {
@@ -112,49 +113,49 @@
 }
 
 // advance makes the next step, if there is one, and has it agreed on.
-func (j *MaintenanceJob) advance(h Context) {
-	v := j.view(h)
+func (j *Job) advance(jobContext job.Context) {
+	v := j.view(jobContext)
 	for _, t := range j.agreed.Tasks {
-		if m := j.step(h, v, t); m != nil {
-			j.move(h, v, *m)
+		if m := j.step(jobContext, v, t); m != nil {
+			j.move(jobContext, v, *m)
 			return
 		}
 	}
-	limits := maintenance.DefaultLimits()
+	limits := core.DefaultLimits()
 	limits.PrepareTimeout = float64(j.block.Load().Prepare) / 1e6
-	m, reasons := maintenance.Decide(v, limits)
+	m, reasons := core.Decide(v, limits)
 	j.reasons = reasons
 	if m != nil {
-		j.move(h, v, *m)
+		j.move(jobContext, v, *m)
 	}
 }
 
 // step is the next move of a task by its programs, confirmations and operators; nil: it waits, and waits says for what.
-func (j *MaintenanceJob) step(h Context, _ maintenance.View, t maintenance.Task) *maintenance.Move {
-	to := func(s maintenance.Step) *maintenance.Move {
-		return &maintenance.Move{Engine: t.Engine, Plan: t.Plan, From: t.Step, To: s}
+func (j *Job) step(jobContext job.Context, _ core.View, t core.Task) *core.Move {
+	to := func(s core.Step) *core.Move {
+		return &core.Move{Engine: t.Engine, Plan: t.Plan, From: t.Step, To: s}
 	}
-	wait := func(format string, args ...any) *maintenance.Move {
+	wait := func(format string, args ...any) *core.Move {
 		j.waits[t.Engine] = fmt.Sprintf(format, args...)
 		return nil
 	}
 	delete(j.waits, t.Engine)
 	block := j.block.Load()
 	switch t.Step {
-	case maintenance.Draining:
+	case core.Draining:
 		if done, why := j.runHook("drain", block.Drain, t); !done {
 			return wait("%s", why)
 		}
-		if list := j.unconfirmed(h, t.Engine); len(list) > 0 {
+		if list := j.unconfirmed(jobContext, t.Engine); len(list) > 0 {
 			return wait("not confirmed by %s", firstNames(list))
 		}
 		if block.List && j.listedState(t.Engine) == router.Ready {
 			return wait("the list still tells that it is there for work: a controller that starts now would send to it")
 		}
-		return to(maintenance.Free)
-	case maintenance.Free:
-		return to(maintenance.Working)
-	case maintenance.Working:
+		return to(core.Free)
+	case core.Free:
+		return to(core.Working)
+	case core.Working:
 		if block.Work == "" {
 			if j.agreed.Hooked["work "+string(t.Engine)] != t.Sequence {
 				return wait("a person's word that the work is done")
@@ -162,8 +163,8 @@
 		} else if done, why := j.runHook("work", block.Work, t); !done {
 			return wait("%s", why)
 		}
-		return to(maintenance.Returning)
-	case maintenance.Returning:
+		return to(core.Returning)
+	case core.Returning:
 		if done, why := j.runHook("back", block.Back, t); !done {
 			return wait("%s", why)
 		}
@@ -182,9 +183,9 @@
 }
 
 // listedState is what the endpoint list says of an engine, whether or not this controller holds it.
-func (j *MaintenanceJob) listedState(id maintenance.EngineID) router.EngineState {
+func (j *Job) listedState(id core.EngineID) router.EngineState {
 	for _, e := range j.currentEngines() {
-		if maintenance.EngineID(e.Engine) == id {
+		if core.EngineID(e.Engine) == id {
 			return e.ListedState
 		}
 	}
@@ -192,14 +193,14 @@
 }
 
 // move proposes the state after a move.
-func (j *MaintenanceJob) move(h Context, v maintenance.View, m maintenance.Move) {
-	engine := maintenance.Engine{ID: m.Engine}
+func (j *Job) move(jobContext job.Context, v core.View, m core.Move) {
+	engine := core.Engine{ID: m.Engine}
 	for _, e := range v.Engines {
 		if e.ID == m.Engine {
 			engine = e
 		}
 	}
-	tasks, ok := maintenance.Apply(j.agreed.Tasks, m, engine, v.Now)
+	tasks, ok := core.Apply(j.agreed.Tasks, m, engine, v.Now)
 	if !ok {
 		return
 	}
@@ -207,13 +208,13 @@
 	state.Tasks = tasks
 	state.Known = j.knownEngines(v)
 	j.host.Log.Info("maintenance: step", "engine", string(m.Engine), "to", m.To.String())
-	j.propose(h, state)
+	j.propose(jobContext, state)
 }
 
 // knownEngines are the engines that there should be: all that were ever there while there were plans, but for those that
 // left for good.
-func (j *MaintenanceJob) knownEngines(v maintenance.View) []maintenance.EngineID {
-	list := slices.DeleteFunc(slices.Clone(j.agreed.Known), func(id maintenance.EngineID) bool {
+func (j *Job) knownEngines(v core.View) []core.EngineID {
+	list := slices.DeleteFunc(slices.Clone(j.agreed.Known), func(id core.EngineID) bool {
 		return j.engineLostFrom[id] > 0 && v.Now >= j.engineLostFrom[id]+lostEngineTime
 	})
 	for _, e := range v.Engines {
@@ -227,7 +228,7 @@
 
 // runHook has a program of the installation do its part, once for each number of a task. If a holder died meanwhile, the
 // next one runs it again, with the same number.
-func (j *MaintenanceJob) runHook(step, path string, t maintenance.Task) (done bool, why string) {
+func (j *Job) runHook(step, path string, t core.Task) (done bool, why string) {
 	if path == "" {
 		return true, ""
 	}
@@ -261,7 +262,7 @@
 }
 
 // execute runs a program to its end, or until its time is up.
-func (j *MaintenanceJob) execute(path, step string, t maintenance.Task, within time.Duration) error {
+func (j *Job) execute(path, step string, t core.Task, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(j.ctx, within)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, path, step, string(t.Engine), strconv.FormatUint(t.Sequence, 10))
--- /dev/null
+++ b/internal/fleet/maintenance/stored_test.go
@@ -0,0 +1,99 @@
+package maintenance
+
+// A rename or a reordering of fields can change what lease holders hand on and what jobs send each other. It shows only
+// beside a controller of an earlier build. These tests compare with what an earlier build wrote.
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	core "mintkeel/internal/core/fleet/maintenance"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/lab/golden"
+	"mintkeel/router"
+)
+
+func storedPlan() core.Plan {
+	return core.Plan{
+		ID: "kernel",
+		Select: core.Selection{Engines: []core.EngineID{"e1", "e2"}, Zones: []core.Zone{"east"},
+			Kinds: []core.Kind{"c16"}, StartedBefore: 1_700_000_000_000.5},
+		WorkTime:       600_000,
+		Deadline:       1_700_000_900_000,
+		BlockedHours:   []core.Hours{{From: 480, To: 1080}},
+		MinAvailable:   []core.MinAvailable{{Kind: "std", Zone: "west", Count: 3, Share: 0.75}},
+		MaxUnavailable: 2,
+		Version:        4,
+		Halted:         true,
+		Withdrawn:      true,
+		ConfirmWork:    true,
+	}
+}
+
+func storedTask() core.Task {
+	return core.Task{Engine: "e1", Plan: "kernel", Step: core.Working, StepStartedAt: 1_700_000_000_001.25, Sequence: 17,
+		Zone: "east", Kind: "c16", Cores: 16, EngineStartedAt: 1_699_000_000_000, ChosenAt: 1_700_000_000_000.25}
+}
+
+func storedMaintenance() agreedState {
+	return agreedState{
+		Plans:   []core.Plan{storedPlan()},
+		Tasks:   []core.Task{storedTask()},
+		Without: []members.ID{"n7"},
+		Known:   []core.EngineID{"e1", "e2", "e3"},
+		Hooked:  map[string]uint64{"e1": 17}, // one entry: the encoding of a map has no order
+	}
+}
+
+func TestStoredMaintenanceStateIsReadable(t *testing.T) {
+	table := golden.Open(t, "maintenance.golden")
+	state := storedMaintenance()
+	golden.AllSet(t, state)
+	golden.CBOR(t, table, "agreed-state", state, frames.Decoder.Unmarshal)
+	effect := holdEffect{Serial: 18, Engines: []router.EngineID{"e1", "e2"}}
+	golden.AllSet(t, effect)
+	golden.CBOR(t, table, "hold-effect", effect, frames.Decoder.Unmarshal)
+}
+
+func TestMaintenanceStepNumbersAreStable(t *testing.T) {
+	steps := []core.Step{core.Preparing, core.Draining, core.Free, core.Working,
+		core.Returning, core.Warming, core.Done, core.Missing}
+	names := []string{"preparing", "draining", "free", "working", "returning", "warming", "done", "missing"}
+	for number, step := range steps {
+		if int(step) != number || step.String() != names[number] {
+			t.Errorf("%v is stored as %d, and was as %d, %s", step, step, number, names[number])
+		}
+	}
+}
+
+// TestProgramArgumentsAreStable pins what the programs of an installation are given, which read it by position.
+func TestProgramArgumentsAreStable(t *testing.T) {
+	folder := t.TempDir()
+	program, given := filepath.Join(folder, "program"), filepath.Join(folder, "given")
+	if err := os.WriteFile(program, []byte("#!/bin/sh\necho \"$*\" > "+given+"\n"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	job := &Job{ctx: t.Context()}
+	if err := job.execute(program, "drain", storedTask(), 10*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if text, err := os.ReadFile(given); string(text) != "drain e1 17\n" || err != nil {
+		t.Errorf("%q, %v", text, err)
+	}
+}
+
+func TestJobMessageEncodingIsStable(t *testing.T) {
+	table := golden.Open(t, "jobmessages.golden")
+	confirmation := message{Kind: messageKind, Token: 19, Serial: 18,
+		Stopped: []router.EngineID{"e1", "e2"}}
+	golden.CBOR(t, table, "maintenance-confirmation", confirmation, frames.Decoder.Unmarshal)
+	request := message{Kind: messageKind, Token: 19, Serial: 18, Stopped: []router.EngineID{"e1"},
+		Request: &encodedRequest{Ref: 20, JSON: []byte(`{"do":"status"}`)}}
+	golden.CBOR(t, table, "maintenance-request", request, frames.Decoder.Unmarshal)
+	answer := message{Kind: messageKind, Token: 19, Serial: 18, Stopped: []router.EngineID{"e1"},
+		Answer: &encodedAnswer{Ref: 20, JSON: []byte(`{}`)}}
+	golden.CBOR(t, table, "maintenance-answer", answer, frames.Decoder.Unmarshal)
+}
--- a/internal/fleet/nolab.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !mintkeel_lab
-
-package fleet
-
-func labJobs(string) []Job { return nil }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -25,6 +25,7 @@
 	"mintkeel/internal/core/fleet/quorum"
 	"mintkeel/internal/fleet/faultinjection"
 	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/fleet/job"
 	"mintkeel/internal/fleet/links"
 	"mintkeel/internal/store/disk"
 	"mintkeel/internal/store/records"
@@ -33,13 +34,13 @@
 // Job does what a lease is for while this controller holds it. Its methods are called by one goroutine and must not wait; what takes
 // time it does in goroutines of its own, which end with Ended or Close.
 type Job interface {
-	Began(h Context, c lease.Grant)
+	Began(h job.Context, c lease.Grant)
 	Ended(c lease.Grant)
-	Tick(h Context, now float64)                                         // about each 100 ms
-	EffectReceived(h Context, from members.ID, e node.Effect)            // an effect that passed the fencing check here
-	VerdictReceived(p node.EffectResponse)                               // what became of an effect of this one
-	MessageReceived(h Context, from members.ID, data []byte) (mine bool) // a message of another controller's job
-	StateReceived(h Context, s node.Checkpoint)                          // what the holders of a lease hand on, upon ProposeState or RequestState
+	Tick(h job.Context, now float64)                                         // about each 100 ms
+	EffectReceived(h job.Context, from members.ID, e node.Effect)            // an effect that passed the fencing check here
+	VerdictReceived(p node.EffectResponse)                                   // what became of an effect of this one
+	MessageReceived(h job.Context, from members.ID, data []byte) (mine bool) // a message of another controller's job
+	StateReceived(h job.Context, s node.Checkpoint)                          // what the holders of a lease hand on, upon ProposeState or RequestState
 	Close()
 }
 
@@ -62,7 +63,7 @@
 	block    Block
 	self     members.ID
 	log      *slog.Logger
-	jobs     []Job
+	jobs     []job.Job
 	links    *links.Links
 	listener net.Listener
 	control  net.Listener
@@ -88,11 +89,11 @@
 
 // Start begins to take part; host is nil where the fleet has no say in this controller's configuration. Its error is of
 // what an operator has to mend: the key's file, the address, the folder.
-func Start(b *Block, self string, jobs []Job, host *ConfigHost, log *slog.Logger) (*Service, error) {
+func Start(b *Block, self string, jobs []job.Job, host *ConfigHost, log *slog.Logger) (*Service, error) {
 	return start(b, self, jobs, newFolderConfiguration(host, b.Folder), log)
 }
 
-func start(b *Block, self string, jobs []Job, configuration *configuration, log *slog.Logger) (*Service, error) {
+func start(b *Block, self string, jobs []job.Job, configuration *configuration, log *slog.Logger) (*Service, error) {
 	keys, err := frames.ReadKeys(b.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: key_file: %w", err)
@@ -109,7 +110,7 @@
 		return nil, fmt.Errorf("fleet: listen: %w", err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	jobs = append(slices.Clone(jobs), labJobs(b.Folder)...)
+	jobs = append(slices.Clone(jobs), faultinjection.Jobs(b.Folder)...)
 	s := &Service{block: *b, self: members.ID(self), log: log, jobs: jobs, listener: listener,
 		config: configuration, inbox: make(chan func(*session), inboxSize), ctx: ctx, end: end, done: make(chan struct{})}
 	if s.control, err = listenControl(b.Folder); err != nil {
--- /dev/null
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -0,0 +1,92 @@
+package sharedstatistics
+
+import (
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"mintkeel/internal/core/fleet/digest"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/core/restore"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/internal/memory"
+)
+
+// gather asks some controllers, and this one, for their statistics.
+func (j *Job) gather(jobContext job.Context) {
+	j.collect(jobContext.Self())
+	for _, peer := range j.drawPeers(jobContext, gatherPeers, func(members.Member) bool { return true }) {
+		sendMessage(jobContext, peer, message{Gather: true})
+	}
+}
+
+// addReport takes in the statistics of one controller.
+func (j *Job) addReport(from members.ID, received *snapshot) {
+	statistics, err := memory.DecodeStatistics(received.Data)
+	if err != nil || received.Settings != j.host.Settings {
+		return
+	}
+	now := j.clock()
+	digest.ShiftTimes(&statistics, now-received.Now)
+	j.gathered.Add(digest.Report{From: from, At: now, Statistics: statistics})
+}
+
+// publish sends the digest to the voters.
+func (j *Job) publish(jobContext job.Context) {
+	now := j.clock()
+	if j.gathered.Len(now) == 0 {
+		return
+	}
+	merged := j.gathered.Merge(now, restore.DefaultHalfLives())
+	data, err := cbor.Marshal(&snapshot{
+		Settings: j.host.Settings,
+		Now:      now,
+		Whole:    true,
+		Data:     encodeWithin(&merged, maxSnapshotBytes),
+	})
+	if err != nil {
+		return
+	}
+	for _, voter := range jobContext.Voters() {
+		j.effectID++
+		jobContext.TryEffect(Lease, voter, j.effectID, data)
+	}
+}
+
+// giveDigest sends the kept digest to a newcomer, unless it is too old or one was just given.
+func (j *Job) giveDigest(jobContext job.Context, newcomer members.ID) {
+	if j.kept == nil || jobContext.Now() < j.giveAt {
+		return
+	}
+	age := time.Since(j.keptAt)
+	if float64(age.Milliseconds()) >= digestLifetime {
+		return
+	}
+	j.giveAt = jobContext.Now() + giveInterval
+	given := *j.kept
+	given.Now += float64(age.Microseconds()) / 1e3 // the receiver takes the records to be as old as they are
+	sendMessage(jobContext, newcomer, message{Snapshot: &given})
+}
+
+// requestDigest asks some voters for the digest.
+func (j *Job) requestDigest(jobContext job.Context) {
+	for _, voter := range j.drawPeers(jobContext, newcomerPeers, isVoter(jobContext)) {
+		sendMessage(jobContext, voter, message{Want: true})
+	}
+}
+
+// takeOver has a newcomer begin with the digest; only the first one counts.
+func (j *Job) takeOver(received *snapshot) {
+	if !j.wanting || received.Settings != j.host.Settings {
+		return
+	}
+	statistics, err := memory.DecodeStatistics(received.Data)
+	if err != nil {
+		j.host.Log.Warn("fleet: a digest can't be used", "why", err)
+		return
+	}
+	j.wanting = false
+	digest.ShiftTimes(&statistics, j.clock()-received.Now)
+	j.host.Log.Info("fleet: begins with what the fleet knows", "records", statistics.Len(), "token", received.Token)
+	j.host.Remember(statistics)
+}
--- /dev/null
+++ b/internal/fleet/sharedstatistics/job.go
@@ -0,0 +1,202 @@
+package sharedstatistics
+
+import (
+	"context"
+	"log/slog"
+	"math/rand"
+	"slices"
+	"sync"
+	"time"
+
+	"mintkeel/internal/core/fleet/digest"
+	"mintkeel/internal/core/fleet/lease"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/core/fleet/node"
+	"mintkeel/internal/fleet/frames"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/internal/memory"
+	"mintkeel/router"
+)
+
+// Lease is the name of the lease whose holder gathers and publishes statistics.
+const Lease lease.Name = "digest"
+
+// Intervals of the session's goroutine, in ms of the steady clock.
+const (
+	gatherInterval   = 5000.0   // between two rounds of asking
+	publishInterval  = 5000.0   // between two digests
+	newcomerInterval = 500.0    // between two requests of a newcomer for the digest
+	newcomerWindow   = 15000.0  // after its start, in which a newcomer asks
+	digestLifetime   = 120000.0 // for which a voter gives a digest to newcomers
+	giveInterval     = 100.0    // between two digests that one voter gives: newcomers spread over the voters
+)
+
+// collectTimeout bounds how long the controller's own statistics are taken out.
+const collectTimeout = 2 * time.Second
+
+// Bounds.
+const (
+	gatherPeers      = 4    // controllers asked in a round: of a thousand some sixty are heard within two minutes
+	newcomerPeers    = 2    // voters that a newcomer asks at a time
+	partRecords      = 1000 // taken out of the loop at once
+	maxRecords       = 6000 // sent by one controller
+	maxSnapshotBytes = 400 << 10
+)
+
+// Host is what the job needs of its controller.
+type Host struct {
+	Source   memory.StatisticsSource // nil: this controller has no statistics to send
+	Settings uint64                  // only controllers with the same have the same classes and machine kinds
+	Remember func(router.Statistics) // takes over the fleet's statistics; nil: this controller has its own
+	Log      *slog.Logger
+}
+
+// Job is the job of the digest lease.
+type Job struct {
+	host  Host
+	rng   *rand.Rand
+	clock func() float64 // ms since 1970, as in statistics
+
+	// State of the lease holder, owned by the session's goroutine.
+	holdsLease bool
+	gathered   digest.Collector
+	gatherAt   float64 // ms, when the next round of asking is due
+	publishAt  float64 // ms, when the next digest is due
+	effectID   uint64  // of the last digest sent
+
+	// State of a voter, owned by the session's goroutine.
+	kept   *snapshot // the latest digest; nil: none was received
+	keptAt time.Time // when it was received
+	giveAt float64   // ms, from when the digest is given again
+
+	// State of a newcomer, owned by the session's goroutine.
+	wanting   bool    // it has no statistics yet, and asks
+	startedAt float64 // ms, of the first Tick
+	wantAt    float64 // ms, when the next request is due
+
+	mu         sync.Mutex // guards the fields up to requester
+	collecting bool
+	collected  []byte     // the controller's own statistics, encoded; nil: none wait to be sent
+	requester  members.ID // to which they are to be sent
+
+	ctx   context.Context
+	end   context.CancelFunc
+	group sync.WaitGroup
+}
+
+// NewJob returns the job of one controller; Close ends it.
+func NewJob(host Host) *Job {
+	ctx, end := context.WithCancel(context.Background())
+	return &Job{
+		host:    host,
+		rng:     rand.New(rand.NewSource(rand.Int63())),
+		clock:   func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
+		wanting: host.Remember != nil,
+		ctx:     ctx,
+		end:     end,
+	}
+}
+
+// Began takes in that this controller holds the lease.
+func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
+	if grant.Name != Lease {
+		return
+	}
+	j.holdsLease = true
+	j.gatherAt = jobContext.Now()
+	j.publishAt = jobContext.Now() + publishInterval/2
+	j.gathered = digest.Collector{}
+}
+
+// Ended takes in that this controller holds the lease no more.
+func (j *Job) Ended(grant lease.Grant) {
+	if grant.Name == Lease {
+		j.holdsLease = false
+	}
+}
+
+// VerdictReceived does nothing: a digest is sent again with the next interval.
+func (j *Job) VerdictReceived(node.EffectResponse) {}
+
+// StateReceived does nothing: the holders of the lease hand nothing on.
+func (j *Job) StateReceived(job.Context, node.Checkpoint) {}
+
+// Close ends the goroutine of the job.
+func (j *Job) Close() {
+	j.end()
+	j.group.Wait()
+}
+
+// Tick sends what is due: statistics that were taken out, a round of the lease holder, a newcomer's request.
+func (j *Job) Tick(jobContext job.Context, now float64) {
+	if j.startedAt == 0 {
+		j.startedAt = now
+	}
+	j.sendCollected(jobContext)
+	if j.holdsLease && now >= j.gatherAt {
+		j.gatherAt = now + gatherInterval
+		j.gather(jobContext)
+	}
+	if j.holdsLease && now >= j.publishAt {
+		j.publishAt = now + publishInterval
+		j.publish(jobContext)
+	}
+	if j.wanting && now >= j.wantAt {
+		j.wantAt = now + newcomerInterval
+		j.wanting = now < j.startedAt+newcomerWindow
+		if j.wanting {
+			j.requestDigest(jobContext)
+		}
+	}
+}
+
+// EffectReceived keeps the digest of the latest lease holder.
+func (j *Job) EffectReceived(_ job.Context, _ members.ID, effect node.Effect) {
+	if effect.Grant.Name != Lease {
+		return
+	}
+	var received snapshot
+	err := frames.Decoder.Unmarshal(effect.Data, &received)
+	if err != nil || len(received.Data) > maxSnapshotBytes {
+		return
+	}
+	received.Token = uint64(effect.Grant.Token)
+	j.kept = &received
+	j.keptAt = time.Now()
+}
+
+// MessageReceived takes in a request or statistics; it is false for a message of another job.
+func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
+	var received message
+	if err := frames.Decoder.Unmarshal(data, &received); err != nil || !received.Digest {
+		return false
+	}
+	switch {
+	case received.Gather:
+		j.collect(from)
+	case received.Want:
+		j.giveDigest(jobContext, from)
+	case received.Snapshot != nil && received.Snapshot.Whole:
+		j.takeOver(received.Snapshot)
+	case received.Snapshot != nil && j.holdsLease:
+		j.addReport(from, received.Snapshot)
+	}
+	return true
+}
+
+// drawPeers draws some other members that are alive and eligible.
+func (j *Job) drawPeers(jobContext job.Context, count int, eligible func(members.Member) bool) (peers []members.ID) {
+	for _, m := range jobContext.Members() {
+		if m.State == members.Alive && m.ID != jobContext.Self() && eligible(m) {
+			peers = append(peers, m.ID)
+		}
+	}
+	j.rng.Shuffle(len(peers), func(a, b int) { peers[a], peers[b] = peers[b], peers[a] })
+	return peers[:min(count, len(peers))]
+}
+
+// isVoter returns whether a member is one of the quorum's.
+func isVoter(jobContext job.Context) func(members.Member) bool {
+	voters := jobContext.Voters()
+	return func(m members.Member) bool { return slices.Contains(voters, m.ID) }
+}
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -12,8 +12,9 @@
 	"sync"
 	"time"
 
-	"mintkeel/internal/core/fleet/maintenance"
+	core "mintkeel/internal/core/fleet/maintenance"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/lab/standin"
 )
 
@@ -122,7 +123,7 @@
 }
 
 // order has some controller pass an order on to who conducts, until one does.
-func (r *rig) order(o fleet.MaintenanceRequest) {
+func (r *rig) order(o maintenance.Request) {
 	began := time.Now()
 	for r.ctx.Err() == nil {
 		why := ""
@@ -146,7 +147,7 @@
 
 // plan has the whole fleet of engines taken out once.
 func (r *rig) plan() {
-	r.order(fleet.MaintenanceRequest{Action: "plan", Plans: []maintenance.Plan{{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}},
+	r.order(maintenance.Request{Action: "plan", Plans: []core.Plan{{ID: "all", Select: core.Selection{Kinds: []core.Kind{"std"}},
 		WorkTime: 1000, MaxUnavailable: r.AtOnce}}})
 }
 
@@ -161,7 +162,7 @@
 		r.report.Back, r.report.MostOut = back, r.yard.most
 		r.mu.Unlock()
 		if back > 0 && !ordered {
-			r.order(fleet.MaintenanceRequest{Action: "withdraw", Name: "all"})
+			r.order(maintenance.Request{Action: "withdraw", Name: "all"})
 			ordered = true
 		}
 		switch {
@@ -209,7 +210,7 @@
 			status := "nobody tells"
 			for _, n := range r.nodes {
 				ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
-				s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "maintenance", Maintenance: &fleet.MaintenanceRequest{Action: "status"}})
+				s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "maintenance", Maintenance: &maintenance.Request{Action: "status"}})
 				if cancel(); err == nil {
 					status = fmt.Sprintf("%+v", *s.Maintenance)
 					break
--- a/internal/lab/scale/hollow/agreement.go
+++ b/internal/lab/scale/hollow/agreement.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/sharedstatistics"
 	"mintkeel/internal/lab/scale/slope"
 )
 
@@ -148,7 +148,7 @@
 	if err := f.Start(numbers(0, s.Controllers), s.Controllers); err != nil {
 		return digestSpending{}, err
 	}
-	holder, _, err := f.AwaitHolder(ctx, knownWithin, fleet.Digest, 0)
+	holder, _, err := f.AwaitHolder(ctx, knownWithin, sharedstatistics.Lease, 0)
 	if err != nil {
 		return digestSpending{}, err
 	}
--- a/internal/lab/scale/hollow/controller.go
+++ b/internal/lab/scale/hollow/controller.go
@@ -10,6 +10,8 @@
 
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/internal/fleet/sharedstatistics"
 )
 
 // controller is one hollow controller.
@@ -37,7 +39,7 @@
 		b.Voters[name(voter)] = s.Network.address(voter).String()
 	}
 	if s.Digest {
-		b.Leases = append(b.Leases, fleet.Digest)
+		b.Leases = append(b.Leases, sharedstatistics.Lease)
 	}
 	return b
 }
@@ -48,10 +50,10 @@
 	c.dialer = newDialer(number, s.Network, peers, p)
 	c.dialer.loss = loss(s.Loss)
 	log := slog.New(c.errors)
-	jobs := []fleet.Job{c.probe}
+	jobs := []job.Job{c.probe}
 	if s.Digest {
-		learner := fleet.Learner{Source: statistics{s.Engines, s.TableGroups}, Settings: 1, Log: log}
-		jobs = append(jobs, fleet.NewDigest(learner))
+		learner := sharedstatistics.Host{Source: statistics{s.Engines, s.TableGroups}, Settings: 1, Log: log}
+		jobs = append(jobs, sharedstatistics.NewJob(learner))
 	}
 	var configHost *fleet.ConfigHost
 	if s.Configured {
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -8,7 +8,7 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/node"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/job"
 )
 
 // probe is the job that looks at the fleet from within a controller.
@@ -38,7 +38,7 @@
 )
 
 // Began notes a lease that this controller holds from now on.
-func (p *probe) Began(_ fleet.Context, grant lease.Grant) {
+func (p *probe) Began(_ job.Context, grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.held == nil {
@@ -60,7 +60,7 @@
 }
 
 // Tick looks at the members while something is awaited.
-func (p *probe) Tick(h fleet.Context, now float64) {
+func (p *probe) Tick(h job.Context, now float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	waiting := p.expect > 0 && p.knownAt.IsZero() || p.lost != "" && p.goneAt.IsZero()
@@ -137,16 +137,16 @@
 }
 
 // EffectReceived does nothing.
-func (p *probe) EffectReceived(fleet.Context, members.ID, node.Effect) {}
+func (p *probe) EffectReceived(job.Context, members.ID, node.Effect) {}
 
 // VerdictReceived does nothing.
 func (p *probe) VerdictReceived(node.EffectResponse) {}
 
 // MessageReceived leaves messages to other jobs.
-func (p *probe) MessageReceived(fleet.Context, members.ID, []byte) bool { return false }
+func (p *probe) MessageReceived(job.Context, members.ID, []byte) bool { return false }
 
 // StateReceived does nothing.
-func (p *probe) StateReceived(fleet.Context, node.Checkpoint) {}
+func (p *probe) StateReceived(job.Context, node.Checkpoint) {}
 
 // Close does nothing.
 func (p *probe) Close() {}
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -8,6 +8,7 @@
 
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
 	"mintkeel/internal/operator/block"
@@ -84,7 +85,7 @@
 	case blockFleet:
 		f.Fleet = readDocumentLeases(b, local.File, diagnostics)
 	case blockMaintenance:
-		f.Maintenance = fleet.ReadMaintenance(b, diagnostics)
+		f.Maintenance = maintenance.ReadBlock(b, diagnostics)
 		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, diagnostics)
 	case blockConfig:
 		diagnostics.Add(b.DefRange, blockConfig, onlyInOwnFile)
@@ -112,7 +113,7 @@
 // checkDocumentMaintenance notes a document that turns scheduled maintenance on or off, which a
 // running controller can't.
 func checkDocumentMaintenance(
-	at hcl.Range, wanted, running *fleet.MaintenanceBlock, diagnostics *block.Diagnostics,
+	at hcl.Range, wanted, running *maintenance.Block, diagnostics *block.Diagnostics,
 ) {
 	if (wanted == nil) == (running == nil) {
 		return
@@ -122,8 +123,8 @@
 		onOrOff(wanted), onOrOff(running)))
 }
 
-func onOrOff(maintenance *fleet.MaintenanceBlock) string {
-	if maintenance == nil {
+func onOrOff(b *maintenance.Block) string {
+	if b == nil {
 		return "off"
 	}
 	return "on"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,6 +13,7 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/rules"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
 	"mintkeel/internal/operator/block"
@@ -54,7 +55,7 @@
 	// Fleet is nil if the controller belongs to no fleet.
 	Fleet *fleet.Block
 	// Maintenance is nil if the controller takes no part in scheduled maintenance.
-	Maintenance *fleet.MaintenanceBlock
+	Maintenance *maintenance.Block
 	// Config is nil if the controller does not take its configuration from the fleet.
 	Config *fleet.ConfigBlock
 }
@@ -151,7 +152,7 @@
 	case blockFleet:
 		f.Fleet = fleet.ReadBlock(b, diagnostics)
 	case blockMaintenance:
-		f.Maintenance = fleet.ReadMaintenance(b, diagnostics)
+		f.Maintenance = maintenance.ReadBlock(b, diagnostics)
 	case blockConfig:
 		f.Config = fleet.ReadConfig(b, diagnostics)
 	}
@@ -185,11 +186,11 @@
 }
 
 // withMaintenance adds the lease of scheduled maintenance to others, if that is on.
-func withMaintenance(names []lease.Name, maintenance *fleet.MaintenanceBlock) []lease.Name {
-	if maintenance == nil || slices.Contains(names, fleet.Maintenance) {
+func withMaintenance(names []lease.Name, maintenanceBlock *maintenance.Block) []lease.Name {
+	if maintenanceBlock == nil || slices.Contains(names, maintenance.Lease) {
 		return names
 	}
-	names = append(names, fleet.Maintenance)
+	names = append(names, maintenance.Lease)
 	slices.Sort(names)
 	return names
 }
