--- a/internal/fleet/maintenance/block_test.go
+++ b/internal/fleet/maintenance/block_test.go
@@ -20,12 +20,12 @@
 	c := NewJob(Host{Log: slog.New(slog.DiscardHandler)}, Block{Within: time.Minute})
 	defer c.Close()
 	task := core.Task{Engine: "e1", Step: core.Working, Sequence: 7}
-	if m := c.step(nil, core.View{}, task); m != nil || c.waits["e1"] != "a person's word that the work is done" {
+	if m := c.step(nil, task); m != nil || c.waits["e1"] != "a person's word that the work is done" {
 		t.Errorf("without a program: %+v, waits for %q", m, c.waits["e1"])
 	}
 	c.SetBlock(Block{Work: script, Within: time.Minute})
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if m := c.step(nil, core.View{}, task); m != nil && m.To == core.Returning {
+		if m := c.step(nil, task); m != nil && m.To == core.Returning {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -1,7 +1,6 @@
 package maintenance
 
 import (
-	"encoding/json"
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
@@ -16,65 +15,75 @@
 
 // confirmation is what a controller last said of the engines that it holds.
 type confirmation struct {
-	serial  uint64
-	stopped []router.EngineID
-	at      float64 // ms
+	serial  uint64            // of the announcement that it answers
+	stopped []router.EngineID // engines on which nothing of the controller's own runs any more
+	at      float64           // ms, when it was received
 }
 
-// enginesToHold are the engines that controllers are to send nothing to, sorted.
-func (j *Job) enginesToHold() (list []router.EngineID) {
+// enginesToHold are the engines to which no controller may send anything new, sorted.
+func (j *Job) enginesToHold() (engines []router.EngineID) {
 	for _, t := range j.agreed.Tasks {
 		if t.Step >= core.Draining && t.Step <= core.Returning || t.Step == core.Missing {
-			list = append(list, router.EngineID(t.Engine))
+			engines = append(engines, router.EngineID(t.Engine))
 		}
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(engines)
+	return engines
 }
 
-// announce sends every controller the engines to hold, again and again: one that missed an announcement, or starts, gets
-// the next.
+// announce sends every controller the engines to hold. It is repeated, so that a controller that missed an announcement,
+// or starts, gets the next. A member that is believed dead may be cut off in one direction alone and gets it too.
 func (j *Job) announce(jobContext job.Context) {
-	data, err := cbor.Marshal(holdEffect{j.serial, j.enginesToHold()})
+	data, err := cbor.Marshal(holdEffect{Serial: j.serial, Engines: j.enginesToHold()})
 	if err != nil {
 		return
 	}
 	for _, m := range jobContext.Members() {
-		if m.State <= members.Suspect || m.State == members.Dead { // one that is gone may be cut off one way alone
+		if m.State <= members.Suspect || m.State == members.Dead {
 			j.effectID++
 			jobContext.TryEffect(Lease, m.ID, j.effectID, data)
 		}
 	}
 }
 
-// EffectReceived takes in which engines this controller is to hold, from the latest holder of the lease.
-func (j *Job) EffectReceived(_ job.Context, from members.ID, e node.Effect) {
-	if e.Grant.Name != Lease {
+// EffectReceived takes in the engines to hold, from the latest holder of the lease.
+func (j *Job) EffectReceived(_ job.Context, from members.ID, effect node.Effect) {
+	if effect.Grant.Name != Lease {
 		return
 	}
-	var effect holdEffect
-	if err := frames.Decoder.Unmarshal(e.Data, &effect); err != nil {
+	var announced holdEffect
+	if err := frames.Decoder.Unmarshal(effect.Data, &announced); err != nil {
 		return
 	}
-	if e.Grant.Token == j.heldToken && effect.Serial < j.held.Serial {
+	token := effect.Grant.Token
+	if token == j.heldToken && announced.Serial < j.held.Serial {
 		return
 	}
-	if !slices.Equal(effect.Engines, j.held.Engines) || e.Grant.Token != j.heldToken {
-		j.mu.Lock()
-		j.holdChanges++
-		j.toHold, j.engines = effect.Engines, nil
-		j.mu.Unlock()
-		j.host.Log.Info("maintenance: holds", "engines", len(effect.Engines), "token", uint64(e.Grant.Token), "serial", effect.Serial)
+	if !slices.Equal(announced.Engines, j.held.Engines) || token != j.heldToken {
+		j.setToHold(announced.Engines)
+		j.host.Log.Info("maintenance: holds", "engines", len(announced.Engines), "token", uint64(token), "serial", announced.Serial)
 	}
-	j.held, j.heldToken, j.heldFrom = effect, e.Grant.Token, from
+	j.held = announced
+	j.heldToken = token
+	j.heldFrom = from
 	j.refreshEngines()
 }
 
-// confirm tells the holder of the lease which of the held engines this controller has stopped sending to, with nothing of
-// its own still running there.
+// setToHold notes engines that the loop is to hold. What it said of the engines before does not count any more.
+func (j *Job) setToHold(engines []router.EngineID) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.holdChanges++
+	j.toHold = engines
+	j.engines = nil
+}
+
+// confirm tells the holder of the lease on which of the held engines nothing of this controller's own runs any more. It
+// has something to tell only once the loop has answered after the last change of what is held.
 func (j *Job) confirm(jobContext job.Context) {
 	j.mu.Lock()
-	changed, engines := j.holdChanges != j.appliedHold, j.engines
+	changed := j.holdChanges != j.appliedHold
+	engines := j.engines
 	j.mu.Unlock()
 	if changed {
 		j.refreshEngines()
@@ -99,46 +108,18 @@
 	sendMessage(jobContext, j.heldFrom, m)
 }
 
-// unconfirmed are the controllers that may still send to an engine, for all that the holder knows: each that it ever heard
-// of, but for those that said that they end and those that an operator does without.
-func (j *Job) unconfirmed(jobContext job.Context, id core.EngineID) (list []string) {
+// unconfirmed are the controllers that may still send to an engine, as far as the lease holder knows: each member that
+// it ever heard of, but for those that shut down and those that an operator does without.
+func (j *Job) unconfirmed(jobContext job.Context, engine core.EngineID) (controllers []string) {
 	for _, m := range jobContext.Members() {
 		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Without, m.ID) {
 			continue
 		}
-		c, ok := j.confirmations[m.ID]
-		if !ok || jobContext.Now()-c.at > confirmationLifetime || !slices.Contains(c.stopped, router.EngineID(id)) {
-			list = append(list, string(m.ID))
-		}
-	}
-	return list
-}
-
-// sendMessage sends a message to the job of another controller.
-func sendMessage(jobContext job.Context, to members.ID, m message) {
-	m.Kind = messageKind
-	if data, err := cbor.Marshal(m); err == nil {
-		jobContext.SendMessage(to, data)
-	}
-}
-
-// MessageReceived takes in a request, an answer or a confirmation; it is false for a message of another job.
-func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
-	var m message
-	if err := frames.Decoder.Unmarshal(data, &m); err != nil || m.Kind != messageKind {
-		return false
-	}
-	switch {
-	case m.Request != nil:
-		j.receiveRequest(jobContext, from, m.Request)
-	case m.Answer != nil:
-		var s Status
-		if reply := j.replies[m.Answer.Ref]; reply != nil && json.Unmarshal(m.Answer.JSON, &s) == nil {
-			delete(j.replies, m.Answer.Ref)
-			reply <- s
+		last, ok := j.confirmations[m.ID]
+		expired := jobContext.Now()-last.at > confirmationLifetime
+		if !ok || expired || !slices.Contains(last.stopped, router.EngineID(engine)) {
+			controllers = append(controllers, string(m.ID))
 		}
-	case j.holdsLease && m.Token == uint64(j.grant.Token):
-		j.confirmations[from] = confirmation{m.Serial, m.Stopped, jobContext.Now()}
 	}
-	return true
+	return controllers
 }
--- /dev/null
+++ b/internal/fleet/maintenance/hooks.go
@@ -0,0 +1,82 @@
+package maintenance
+
+import (
+	"context"
+	"fmt"
+	"os/exec"
+	"strconv"
+	"time"
+
+	core "mintkeel/internal/core/fleet/maintenance"
+)
+
+// Names of the steps for which the installation may have a program: its first argument, and the first word of the keys
+// of agreedState.Hooked.
+const (
+	drainHook = "drain"
+	workHook  = "work"
+	backHook  = "back"
+)
+
+// hookRun is the last run of a program of the installation.
+type hookRun struct {
+	sequence uint64 // of the task
+	running  bool
+	done     bool
+	err      error
+	endedAt  time.Time
+}
+
+// hookKey names the program of a step for an engine.
+func hookKey(step string, engine core.EngineID) string { return step + " " + string(engine) }
+
+// runHook has a program of the installation do its part, once for each sequence number of a task. Its reason tells what is
+// waited for. If a lease holder died meanwhile, the next one runs the program again, with the same number.
+func (j *Job) runHook(step, path string, task core.Task) (done bool, reason string) {
+	if path == "" {
+		return true, ""
+	}
+	key := hookKey(step, task.Engine)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	run := j.hooks[key]
+	if run.sequence != task.Sequence {
+		run = hookRun{sequence: task.Sequence}
+	}
+	switch {
+	case run.done:
+		return true, ""
+	case run.running:
+		return false, step + " is under way"
+	case run.err != nil && time.Since(run.endedAt) < hookBackoff:
+		return false, fmt.Sprintf("%s: %v; tried again after 10 s", step, run.err)
+	}
+	run.running = true
+	j.hooks[key] = run
+	timeout := j.block.Load().Within
+	j.group.Go(func() { j.hookEnded(key, task.Sequence, j.execute(path, step, task, timeout)) })
+	return false, step + " is under way"
+}
+
+// hookEnded notes how a program ended, unless the engine has a later task.
+func (j *Job) hookEnded(key string, sequence uint64, err error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.hooks[key].sequence == sequence {
+		j.hooks[key] = hookRun{sequence: sequence, done: err == nil, err: err, endedAt: time.Now()}
+	}
+}
+
+// execute runs a program to its end, or until its time is up. The program is given the step, the engine and the sequence
+// number of the task.
+func (j *Job) execute(path, step string, task core.Task, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(j.ctx, timeout)
+	defer cancel()
+	command := exec.CommandContext(ctx, path, step, string(task.Engine), strconv.FormatUint(task.Sequence, 10))
+	command.WaitDelay = hookWaitDelay
+	err := command.Run()
+	if ctx.Err() != nil {
+		return fmt.Errorf("not done within %v", timeout)
+	}
+	return err
+}
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -1,13 +1,11 @@
 package maintenance
 
 import (
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
 	"slices"
-	"time"
 
 	core "mintkeel/internal/core/fleet/maintenance"
 	"mintkeel/internal/core/fleet/members"
@@ -16,32 +14,39 @@
 
 // pendingRequest is a request that waits for the holder's next step.
 type pendingRequest struct {
-	from members.ID
-	ref  uint64
+	from members.ID // the controller that the operator asked
+	ref  uint64     // number that this controller gave the request
 	Request
 }
 
 // requestRun is a request that is being carried out: the state that it would have agreed on, and its answer.
 type requestRun struct {
 	state   agreedState
-	changed bool
+	changed bool // the state is to be agreed on
 	status  Status
 }
 
-// errNoConductor is that no controller holds the maintenance lease, as far as this one knows.
-var errNoConductor = errors.New("nobody conducts maintenance now, as far as this controller knows")
+// ErrNoHolder is that no controller holds the maintenance lease, as far as this one knows.
+var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
 
-// SendRequest passes an operator's request on to the holder of the lease; the answer comes on the returned channel.
+// Durations that plans are checked with: of the steps that end by the installation's own pace, in ms.
+const (
+	expectedDrainTime = 10000.0
+	expectedWarmTime  = 30000.0
+)
+
+// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the returned channel, which has
+// room for it, or is lost: the caller waits for a bounded time. The error is ErrNoHolder where there is none.
 func (j *Job) SendRequest(jobContext job.Context, holder members.ID, request Request) (chan Status, error) {
 	if holder == "" {
-		return nil, errNoConductor
+		return nil, ErrNoHolder
 	}
 	data, err := json.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
 	if len(j.replies) >= maxPendingRequests {
-		clear(j.replies) // nobody waits for these any more
+		clear(j.replies) // their callers have given up: there are never as many at once
 	}
 	j.lastRequest++
 	reply := make(chan Status, 1)
@@ -53,11 +58,12 @@
 // receiveRequest enqueues a request where this controller holds the lease.
 func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
 	var request Request
-	if !j.holdsLease || !j.known || len(j.requests) >= maxPendingRequests || json.Unmarshal(encoded.JSON, &request) != nil {
+	able := j.holdsLease && j.known && len(j.requests) < maxPendingRequests
+	if !able || json.Unmarshal(encoded.JSON, &request) != nil {
 		j.reply(jobContext, from, encoded.Ref, Status{Error: "this controller does not conduct maintenance now: ask again"})
 		return
 	}
-	j.requests = append(j.requests, pendingRequest{from, encoded.Ref, request})
+	j.requests = append(j.requests, pendingRequest{from: from, ref: encoded.Ref, Request: request})
 }
 
 // reply sends the answer to a request.
@@ -78,9 +84,7 @@
 	case "plan", "check":
 		run.takePlans(request.Plans, v, int(j.serial+1), request.Action == "plan")
 	case "halt", "resume":
-		if p := run.findPlan(request.Name); p != nil {
-			p.Halted, run.changed = request.Action == "halt", true
-		}
+		run.setHalted(request.Name, request.Action == "halt")
 	case "withdraw":
 		run.withdraw(request.Name)
 	case "done":
@@ -97,6 +101,14 @@
 	j.reply(jobContext, request.from, request.ref, run.status)
 }
 
+// setHalted has a plan take no further engine, or go on.
+func (r *requestRun) setHalted(name string, halted bool) {
+	if p := r.findPlan(name); p != nil {
+		p.Halted = halted
+		r.changed = true
+	}
+}
+
 // findPlan is the plan of a name; nil, with an error in the answer: there is none.
 func (r *requestRun) findPlan(name string) *core.Plan {
 	for i := range r.state.Plans {
@@ -110,10 +122,10 @@
 
 // takePlans checks plans and takes them into the state; commit tells whether they are to be agreed on.
 func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
-	times := core.StepDurations{Drain: 10000, Warm: 30000}
+	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
 	for _, p := range plans {
 		p.Version = version
-		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, times) {
+		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, durations) {
 			r.status.Problems = append(r.status.Problems, fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
 		}
 		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
@@ -134,7 +146,8 @@
 	if p == nil {
 		return
 	}
-	p.Withdrawn, r.changed = true, true
+	p.Withdrawn = true
+	r.changed = true
 	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t core.Task) bool {
 		begun := t.Step != core.Done && t.Step != core.Preparing
 		return t.Plan == p.ID && !begun
@@ -152,49 +165,15 @@
 	}
 	hooked := map[string]uint64{}
 	maps.Copy(hooked, r.state.Hooked)
-	hooked["work "+engine] = r.state.Tasks[i].Sequence
-	r.state.Hooked, r.changed = hooked, true
+	hooked[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
+	r.state.Hooked = hooked
+	r.changed = true
 }
 
 // doWithout has the confirmation of a controller no longer waited for.
 func (r *requestRun) doWithout(id members.ID) {
 	if !slices.Contains(r.state.Without, id) && len(r.state.Without) < maxWithout {
-		r.state.Without, r.changed = append(r.state.Without, id), true
-	}
-}
-
-// describe fills in the state of all plans and tasks.
-func (j *Job) describe(jobContext job.Context, state agreedState, s *Status) {
-	s.Holder, s.Token, s.Serial, s.Plans = string(jobContext.Self()), uint64(j.grant.Token), j.serial, state.Plans
-	s.Tasks, s.Reasons, s.Forecasts = []TaskStatus{}, []string{}, []ForecastStatus{}
-	v := j.view(jobContext)
-	for _, p := range state.Plans {
-		after, before, ok := core.Forecast(v, p)
-		if ok && !p.Withdrawn && !p.Halted {
-			s.Forecasts = append(s.Forecasts, ForecastStatus{
-				Plan:   string(p.ID),
-				After:  time.UnixMilli(int64(after)).UTC(),
-				Before: time.UnixMilli(int64(before)).UTC(),
-			})
-		}
-	}
-	for _, t := range state.Tasks {
-		task := TaskStatus{
-			Engine:  string(t.Engine),
-			Plan:    string(t.Plan),
-			Step:    t.Step.String(),
-			SinceMS: int64(j.now() - t.StepStartedAt),
-			Waits:   j.waits[t.Engine],
-		}
-		if t.Step == core.Draining {
-			task.NotConfirmed = j.unconfirmed(jobContext, t.Engine)
-		}
-		s.Tasks = append(s.Tasks, task)
-	}
-	slices.SortFunc(s.Tasks, func(a, b TaskStatus) int { return cmp.Compare(a.Engine, b.Engine) })
-	for _, r := range j.reasons {
-		if len(s.Reasons) < maxReasons {
-			s.Reasons = append(s.Reasons, cmp.Or(string(r.Engine), "all")+" "+r.Text)
-		}
+		r.state.Without = append(r.state.Without, id)
+		r.changed = true
 	}
 }
