--- a/cmd/mintkeel/agreed.go
+++ b/cmd/mintkeel/agreed.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/operator"
 	"mintkeel/internal/settings"
 )
@@ -56,8 +56,8 @@
 }
 
 // host is what the fleet's service calls.
-func (a *agreedConfig) host() *fleet.ConfigHost {
-	return &fleet.ConfigHost{Check: a.check, Apply: a.apply}
+func (a *agreedConfig) host() *configuration.Host {
+	return &configuration.Host{Check: a.check, Apply: a.apply}
 }
 
 // setLocal takes over the controller's own file as it was read again.
@@ -119,8 +119,8 @@
 
 // Errors of versions that are not taken over, and that go away by themselves.
 var (
-	errLate     = fmt.Errorf("the controller did not take it over in time: %w", fleet.ErrRetryable)
-	errStopping = fmt.Errorf("the controller is ending: %w", fleet.ErrRetryable)
+	errLate     = fmt.Errorf("the controller did not take it over in time: %w", configuration.ErrRetryable)
+	errStopping = fmt.Errorf("the controller is ending: %w", configuration.ErrRetryable)
 )
 
 // apply has a version taken over by the main goroutine, and waits for that.
@@ -129,7 +129,7 @@
 	switch {
 	case err == nil:
 		a.counts.taken.Add(1)
-	case errors.Is(err, fleet.ErrRetryable):
+	case errors.Is(err, configuration.ErrRetryable):
 		a.counts.later.Add(1)
 	default: // the service logs it, as it does what did not pass the check
 		a.counts.refused.Add(1)
@@ -214,7 +214,7 @@
 		d.tellFleet(r.file)
 		d.file = r.file
 	} else if err := d.enforce(r.file); err != nil {
-		return fmt.Errorf("%w: %w", err, fleet.ErrRetryable)
+		return fmt.Errorf("%w: %w", err, configuration.ErrRetryable)
 	}
 	a.version = r.version
 	d.log.Info("configuration version in force", versionAttributes(r.version)...)
--- a/cmd/mintkeel/agreed_test.go
+++ b/cmd/mintkeel/agreed_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/limits"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/operator"
@@ -78,7 +78,7 @@
 		t.Error(err)
 	}
 	serves(2, "two")
-	if err := apply(3, "rule \"x\" {\n refuse = 3\n}\nconfig {\n}\n"); err == nil || errors.Is(err, fleet.ErrRetryable) ||
+	if err := apply(3, "rule \"x\" {\n refuse = 3\n}\nconfig {\n}\n"); err == nil || errors.Is(err, configuration.ErrRetryable) ||
 		!strings.HasPrefix(err.Error(), `line 2, column 11: field rule "x".refuse is no text`) || !strings.Contains(err.Error(), "; line 4") {
 		t.Errorf("a bad document: %v", err)
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	h.stop()
-	if err := apply(5, ""); !errors.Is(err, fleet.ErrRetryable) {
+	if err := apply(5, ""); !errors.Is(err, configuration.ErrRetryable) {
 		t.Errorf("after the end: %v", err)
 	}
 	for _, word := range []string{"config.version=4", "config.taken=5", "config.refused=1"} {
@@ -139,7 +139,7 @@
 	for n := uint64(2); n < 100 && err == nil; n++ {
 		err = d.agreed.apply(numbered(n), []byte("rule \"k\" {\n key = \"'"+strings.Repeat("k", int(n))+"'\"\n}\n"))
 	}
-	if !errors.Is(err, fleet.ErrRetryable) || !errors.Is(err, errRules) {
+	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRules) {
 		t.Errorf("ended by %v", err)
 	}
 	if d.agreed.counts.later.Load() != 1 || d.agreed.counts.refused.Load() != 0 {
@@ -158,7 +158,7 @@
 	<-a.requests
 	a.stopTaking()
 	for range 2 {
-		if err := <-ended; !errors.Is(err, errStopping) || !errors.Is(err, fleet.ErrRetryable) {
+		if err := <-ended; !errors.Is(err, errStopping) || !errors.Is(err, configuration.ErrRetryable) {
 			t.Error(err)
 		}
 	}
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 )
 
 const (
@@ -329,7 +329,7 @@
 	Versions []*versionView `json:"versions"`
 }
 
-func historyViewOf(a *fleet.ConfigAnswer) historyView {
+func historyViewOf(a *configuration.Answer) historyView {
 	view := historyView{From: a.From, Versions: []*versionView{}}
 	for i := range a.Versions {
 		view.Versions = append(view.Versions, viewOf(&a.Versions[i]))
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 )
 
 // fleetFlags are the flags of all commands that speak to a controller about its fleet.
@@ -21,11 +21,11 @@
 }
 
 // call asks the controller whose folder is named.
-func (f *fleetFlags) call(ctx context.Context, request fleet.Request) (fleet.Status, error) {
+func (f *fleetFlags) call(ctx context.Context, request control.Request) (control.Status, error) {
 	if f.folder == "" {
-		return fleet.Status{}, errors.New("no folder: set --folder or MINTKEEL_FLEET")
+		return control.Status{}, errors.New("no folder: set --folder or MINTKEEL_FLEET")
 	}
-	return fleet.Call(ctx, f.folder, request)
+	return control.Call(ctx, f.folder, request)
 }
 
 func fleetCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 		hidden.Use, hidden.Hidden = old, true
 		return &hidden
 	}
-	one := func(use, short string, args int, request func(args []string) fleet.Request, print func(io.Writer, fleet.Status)) *cobra.Command {
+	one := func(use, short string, args int, request func(args []string) control.Request, print func(io.Writer, control.Status)) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(c *cobra.Command, args []string) error {
 			s, err := asked.call(c.Context(), request(args))
 			if err != nil {
@@ -62,28 +62,28 @@
 			return nil
 		}}
 	}
-	status := func([]string) fleet.Request { return fleet.Request{Action: "status"} }
+	status := func([]string) control.Request { return control.Request{Action: "status"} }
 	leases := one("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
 	quorum := one("quorum", "Tell which controllers vote on leases, which leads, and what this one is", 0, status, printQuorum)
 	c.AddCommand(
 		one("members", "List the controllers of the fleet and what is believed of each", 0, status, printMembers),
 		leases, renamed("works", leases),
 		quorum, renamed("council", quorum),
-		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; done when leases tells so", 2, func(args []string) fleet.Request {
-			return fleet.Request{Action: "handover", Lease: args[0], To: args[1]}
+		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; done when leases tells so", 2, func(args []string) control.Request {
+			return control.Request{Action: "handover", Lease: args[0], To: args[1]}
 		}, printLeases),
 		one("replace OLD NEW", "Replace a voter by another controller; done when quorum tells so", 2,
-			func(args []string) fleet.Request {
-				return fleet.Request{Action: "replace", Old: args[0], To: args[1]}
+			func(args []string) control.Request {
+				return control.Request{Action: "replace", Old: args[0], To: args[1]}
 			}, printQuorum),
 		one("trust", "Say that this voter's folder is the latest there is, where not all others can vouch for it", 0,
-			func([]string) fleet.Request { return fleet.Request{Action: "trust"} }, printQuorum),
+			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
 		fleetConfigCommand(&asked),
 	)
 	return c
 }
 
-func printMembers(out io.Writer, s fleet.Status) {
+func printMembers(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(t, "fleet %s, generation %d, as %s believes\n", s.Fleet, s.Generation, s.Self)
 	fmt.Fprintln(t, "controller\tis\taddress\ttakes leases\trun")
@@ -93,7 +93,7 @@
 	t.Flush()
 }
 
-func printLeases(out io.Writer, s fleet.Status) {
+func printLeases(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	whose := "as " + s.Self + " was told"
 	if s.Own {
@@ -106,7 +106,7 @@
 	t.Flush()
 }
 
-func printQuorum(out io.Writer, s fleet.Status) {
+func printQuorum(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(t, "%s is %s", s.Self, s.Quorum.Role)
 	if s.Quorum.Reason != "" {
--- a/cmd/mintkeel/fleetconfig.go
+++ b/cmd/mintkeel/fleetconfig.go
@@ -16,7 +16,8 @@
 	"github.com/spf13/cobra"
 
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 )
 
 // Times of the commands about the fleet's configuration.
@@ -51,8 +52,8 @@
 }
 
 // ask sends an order to the controller. The answer may come with an error; it is never nil without one.
-func (cc *configCommands) ask(ctx context.Context, order fleet.ConfigOrder) (*fleet.ConfigAnswer, error) {
-	status, err := cc.flags.call(ctx, fleet.Request{Action: "config", Config: &order})
+func (cc *configCommands) ask(ctx context.Context, order configuration.Request) (*configuration.Answer, error) {
+	status, err := cc.flags.call(ctx, control.Request{Action: "config", Config: &order})
 	if status.Config == nil && err == nil {
 		err = errors.New("the controller told nothing of the fleet's configuration: is there a block config in its file?")
 	}
@@ -89,8 +90,8 @@
 }
 
 // order is the part of an order that the flags say.
-func (f *changeFlags) order(c *cobra.Command, action fleet.ConfigAction) fleet.ConfigOrder {
-	order := fleet.ConfigOrder{Action: action, Author: f.author, Reason: f.reason}
+func (f *changeFlags) order(c *cobra.Command, action configuration.Action) configuration.Request {
+	order := configuration.Request{Action: action, Author: f.author, Reason: f.reason}
 	if order.Author == "" {
 		order.Author = userName()
 	}
@@ -121,7 +122,7 @@
 			if err != nil {
 				return err
 			}
-			order := flags.order(c, fleet.ConfigPut)
+			order := flags.order(c, configuration.ActionPut)
 			order.Document = document
 			return cc.change(c, order, flags.wait)
 		},
@@ -140,7 +141,7 @@
 			return cmp.Or(numbers(&number)(c, args), flags.check())
 		},
 		RunE: func(c *cobra.Command, _ []string) error {
-			order := flags.order(c, fleet.ConfigRollback)
+			order := flags.order(c, configuration.ActionRollback)
 			order.Number = number
 			return cc.change(c, order, flags.wait)
 		},
@@ -186,7 +187,7 @@
 }
 
 // change asks for a new version, waits until it is in force, and tells how it ended.
-func (cc *configCommands) change(c *cobra.Command, order fleet.ConfigOrder, wait time.Duration) error {
+func (cc *configCommands) change(c *cobra.Command, order configuration.Request, wait time.Duration) error {
 	answer, err := cc.ask(c.Context(), order)
 	switch {
 	case err != nil && answer == nil:
@@ -216,7 +217,7 @@
 }
 
 // notAgreed is the error of an order whose answer is another than that it was agreed.
-func notAgreed(answer *fleet.ConfigAnswer, err error) error {
+func notAgreed(answer *configuration.Answer, err error) error {
 	switch answer.Result {
 	case "lost":
 		newest := "a newer version"
@@ -236,7 +237,7 @@
 	end := cc.now().Add(wait)
 	var found configStatus
 	for {
-		answer, err := cc.ask(ctx, fleet.ConfigOrder{Action: fleet.ConfigState})
+		answer, err := cc.ask(ctx, configuration.Request{Action: configuration.ActionStatus})
 		if err == nil && answer.Status != nil {
 			found = configStatus{status: answer.Status, from: answer.From}
 		} else if err != nil {
@@ -271,7 +272,7 @@
 		Short: "Tell where the latest version is in force, who refused it, and who is not heard",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			answer, err := cc.ask(c.Context(), fleet.ConfigOrder{Action: fleet.ConfigState})
+			answer, err := cc.ask(c.Context(), configuration.Request{Action: configuration.ActionStatus})
 			if answer == nil {
 				return err
 			}
@@ -292,7 +293,7 @@
 		Short: "List the versions that the fleet remembers",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			answer, err := cc.ask(c.Context(), fleet.ConfigOrder{Action: fleet.ConfigHistory})
+			answer, err := cc.ask(c.Context(), configuration.Request{Action: configuration.ActionHistory})
 			if err != nil {
 				return err
 			}
@@ -305,8 +306,8 @@
 }
 
 // document asks for the document of a version.
-func (cc *configCommands) document(ctx context.Context, number uint64) (*fleet.ConfigAnswer, error) {
-	answer, err := cc.ask(ctx, fleet.ConfigOrder{Action: fleet.ConfigShow, Number: number})
+func (cc *configCommands) document(ctx context.Context, number uint64) (*configuration.Answer, error) {
+	answer, err := cc.ask(ctx, configuration.Request{Action: configuration.ActionShow, Number: number})
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", number, err)
 	}
--- a/cmd/mintkeel/fleetconfig_test.go
+++ b/cmd/mintkeel/fleetconfig_test.go
@@ -14,20 +14,21 @@
 
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/core/fleet/members"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 )
 
 // fakeControl is a controller's socket for operators, with answers by action; an action asked more often than it has
 // answers hears the last one again. An answer of nil closes the connection without a word.
 type fakeControl struct {
 	folder  string
-	answers map[fleet.ConfigAction][]*fleet.Status
+	answers map[configuration.Action][]*control.Status
 
 	mu     sync.Mutex
-	orders []fleet.ConfigOrder
+	orders []configuration.Request
 }
 
-func newFakeControl(t *testing.T, answers map[fleet.ConfigAction][]*fleet.Status) *fakeControl {
+func newFakeControl(t *testing.T, answers map[configuration.Action][]*control.Status) *fakeControl {
 	t.Helper()
 	fake := &fakeControl{folder: t.TempDir(), answers: answers}
 	listener, err := net.Listen("unix", filepath.Join(fake.folder, "control.sock"))
@@ -53,7 +54,7 @@
 	if err != nil {
 		return
 	}
-	var r fleet.Request
+	var r control.Request
 	if json.Unmarshal(line, &r) != nil || r.Config == nil {
 		return
 	}
@@ -71,7 +72,7 @@
 }
 
 // last is the last order of an action.
-func (f *fakeControl) last(action fleet.ConfigAction) (order fleet.ConfigOrder) {
+func (f *fakeControl) last(action configuration.Action) (order configuration.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range f.orders {
@@ -82,7 +83,7 @@
 	return order
 }
 
-func told(a fleet.ConfigAnswer) *fleet.Status { return &fleet.Status{Self: "n1", Config: &a} }
+func told(a configuration.Answer) *control.Status { return &control.Status{Self: "n1", Config: &a} }
 
 func versionOf(number uint64) *config.Version {
 	return &config.Version{Number: number, Hash: config.Hash{byte(number), 0xab}, Size: 9, Author: "anna", Reason: "why\x1b[2J",
@@ -90,12 +91,12 @@
 }
 
 // statusOf is a status of a leader that has collected for long.
-func statusOf(number uint64, members, inForce int, change func(*config.Status)) fleet.ConfigAnswer {
+func statusOf(number uint64, members, inForce int, change func(*config.Status)) configuration.Answer {
 	s := &config.Status{Latest: *versionOf(number), Members: members, InForce: inForce, ByVersion: map[uint64]int{number: inForce}, CollectedFor: 60_000}
 	if change != nil {
 		change(s)
 	}
-	return fleet.ConfigAnswer{Status: s, From: "n1", Local: config.Readiness{Confirmed: true, Number: number, Latest: number}}
+	return configuration.Answer{Status: s, From: "n1", Local: config.Readiness{Confirmed: true, Number: number, Latest: number}}
 }
 
 // reports are controllers of these names, heard an age ago.
@@ -112,8 +113,8 @@
 	if err := os.WriteFile(file, []byte("log {\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agreed := told(fleet.ConfigAnswer{Result: "agreed", Version: versionOf(12)})
-	state := func(a ...fleet.ConfigAnswer) (list []*fleet.Status) {
+	agreed := told(configuration.Answer{Result: "agreed", Version: versionOf(12)})
+	state := func(a ...configuration.Answer) (list []*control.Status) {
 		for _, one := range a {
 			list = append(list, told(one))
 		}
@@ -121,8 +122,8 @@
 	}
 	for _, c := range []struct {
 		name      string
-		put       *fleet.Status
-		states    []*fleet.Status
+		put       *control.Status
+		states    []*control.Status
 		wait      string
 		code      int
 		out, errs []string
@@ -150,23 +151,23 @@
 		{"a leader that is behind", agreed, state(statusOf(11, 3, 3, nil)), "300ms", 3, nil, []string{"version 12 is agreed and not in force"}},
 		{"lists that are cut", agreed, state(statusOf(12, 600, 400, func(s *config.Status) { s.Omitted, s.ByVersion[11] = 100, 100 })), "0s", 3,
 			[]string{"version 12 in force at 400 of 600; 100 more that are refused, behind or not heard"}, []string{"not in force"}},
-		{"no status", agreed, state(fleet.ConfigAnswer{}), "300ms", 3, []string{"version 12 is agreed\n"}, []string{"is not known"}},
-		{"no answer to status", agreed, []*fleet.Status{nil}, "300ms", 3, nil, []string{"is not known", "EOF"}},
-		{"lost", told(fleet.ConfigAnswer{Result: "lost", Version: versionOf(13)}), nil, "9s", 4, nil,
+		{"no status", agreed, state(configuration.Answer{}), "300ms", 3, []string{"version 12 is agreed\n"}, []string{"is not known"}},
+		{"no answer to status", agreed, []*control.Status{nil}, "300ms", 3, nil, []string{"is not known", "EOF"}},
+		{"lost", told(configuration.Answer{Result: "lost", Version: versionOf(13)}), nil, "9s", 4, nil,
 			[]string{"version 13 by anna (why [2J) was agreed first"}},
-		{"refused", told(fleet.ConfigAnswer{Result: "refused", Reason: "line 2: field log.level: no"}), nil, "9s", 1, nil,
+		{"refused", told(configuration.Answer{Result: "refused", Reason: "line 2: field log.level: no"}), nil, "9s", 1, nil,
 			[]string{"refused", "line 2: field log.level"}},
-		{"unknown", told(fleet.ConfigAnswer{Result: "unknown", Reason: "the leader did not answer"}), nil, "9s", 1, nil,
+		{"unknown", told(configuration.Answer{Result: "unknown", Reason: "the leader did not answer"}), nil, "9s", 1, nil,
 			[]string{"not known whether it was agreed", "fleet config history"}},
 		{"no word at all", nil, nil, "9s", 1, nil, []string{"it may have been agreed", "fleet config history"}},
-		{"an error", &fleet.Status{Error: "the controller does not answer in time"}, nil, "9s", 1, nil,
+		{"an error", &control.Status{Error: "the controller does not answer in time"}, nil, "9s", 1, nil,
 			[]string{"does not answer in time", "it may have been agreed"}},
-		{"nothing was done", &fleet.Status{Error: "nothing was proposed: no leader", Config: &fleet.ConfigAnswer{}}, nil, "9s", 1, nil,
+		{"nothing was done", &control.Status{Error: "nothing was proposed: no leader", Config: &configuration.Answer{}}, nil, "9s", 1, nil,
 			[]string{"mintkeel: nothing was proposed: no leader\n"}},
-		{"no block config", &fleet.Status{}, nil, "9s", 1, nil, []string{"block config"}},
+		{"no block config", &control.Status{}, nil, "9s", 1, nil, []string{"block config"}},
 	} {
-		for action, args := range map[fleet.ConfigAction][]string{fleet.ConfigPut: {"put", file}, fleet.ConfigRollback: {"rollback", "7"}} {
-			fake := newFakeControl(t, map[fleet.ConfigAction][]*fleet.Status{action: {c.put}, fleet.ConfigState: slices.Clone(c.states)})
+		for action, args := range map[configuration.Action][]string{configuration.ActionPut: {"put", file}, configuration.ActionRollback: {"rollback", "7"}} {
+			fake := newFakeControl(t, map[configuration.Action][]*control.Status{action: {c.put}, configuration.ActionStatus: slices.Clone(c.states)})
 			var out, errs strings.Builder
 			args = append([]string{"fleet", "config", "--folder", fake.folder, "--reason", "r", "--author", "a", "--wait", c.wait}, args...)
 			code := execute(args, &out, &errs)
@@ -175,7 +176,7 @@
 			}
 			order := fake.last(action)
 			if order.Author != "a" || order.Reason != "r" || order.Expect != nil ||
-				action == fleet.ConfigPut && string(order.Document) != "log {\n}\n" || action == fleet.ConfigRollback && order.Number != 7 {
+				action == configuration.ActionPut && string(order.Document) != "log {\n}\n" || action == configuration.ActionRollback && order.Number != 7 {
 				t.Errorf("%s: asked for %+v", c.name, order)
 			}
 		}
@@ -206,12 +207,12 @@
 		s.ByVersion[11], s.Rejected = 1, reports(1, 11, "line 4: no", "n17")
 		s.Unreachable = reports(60_000, 11, "", "n40")
 	})
-	documents := []*fleet.Status{told(fleet.ConfigAnswer{Document: []byte("a\nb\nc\n")}), told(fleet.ConfigAnswer{Document: []byte("a\nx\nc\n")})}
+	documents := []*control.Status{told(configuration.Answer{Document: []byte("a\nb\nc\n")}), told(configuration.Answer{Document: []byte("a\nx\nc\n")})}
 	put := "put --reason r " + small
 	for _, c := range []struct {
 		args      string
-		action    fleet.ConfigAction
-		answers   []*fleet.Status
+		action    configuration.Action
+		answers   []*control.Status
 		code      int
 		out, errs []string
 	}{
@@ -229,40 +230,40 @@
 		{"rollback --reason r 0", "", nil, 2, nil, []string{"no number of a version"}},
 		{"show", "", nil, 2, nil, []string{"arg"}},
 		{"diff 1", "", nil, 2, nil, []string{"arg"}},
-		{"status", fleet.ConfigState, []*fleet.Status{told(statusOf(12, 3, 3, nil))}, 0,
+		{"status", configuration.ActionStatus, []*control.Status{told(statusOf(12, 3, 3, nil))}, 0,
 			[]string{"version 12 in force at 3 of 3\n", "the controller asked: version 12 in force\n"}, nil},
-		{"status", fleet.ConfigState, []*fleet.Status{told(refusedAt)}, 3,
+		{"status", configuration.ActionStatus, []*control.Status{told(refusedAt)}, 3,
 			[]string{"version 12 in force at 668 of 670; 1 refused: n17 (line 4: no); 1 not heard since ", ": n40\n"}, []string{"not in force at all"}},
-		{"status --json", fleet.ConfigState, []*fleet.Status{told(refusedAt)}, 3, []string{`"in_force": 668`, `"in_force_at_all_heard": false`,
+		{"status --json", configuration.ActionStatus, []*control.Status{told(refusedAt)}, 3, []string{`"in_force": 668`, `"in_force_at_all_heard": false`,
 			`"controller": "n17"`, `"reason": "line 4: no"`, `"last_heard": "`, `"hash": "0cab00`, `"known": true`}, []string{"not in force"}},
-		{"status --wait 5s", fleet.ConfigState, []*fleet.Status{told(statusOf(12, 3, 1, func(s *config.Status) {
+		{"status --wait 5s", configuration.ActionStatus, []*control.Status{told(statusOf(12, 3, 1, func(s *config.Status) {
 			s.ByVersion[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
 		})), told(statusOf(12, 3, 3, nil))}, 0, []string{"version 12 in force at 3 of 3"}, nil},
-		{"status", fleet.ConfigState, []*fleet.Status{told(fleet.ConfigAnswer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
+		{"status", configuration.ActionStatus, []*control.Status{told(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
 			[]string{"the controller asked: version 4 in force, version 5 heard of, not confirmed"}, []string{"is not known: no leader"}},
-		{"status", fleet.ConfigState, []*fleet.Status{{Error: "the leader does not answer", Config: &fleet.ConfigAnswer{}}}, 1,
+		{"status", configuration.ActionStatus, []*control.Status{{Error: "the leader does not answer", Config: &configuration.Answer{}}}, 1,
 			[]string{"no version in force, by its own file, not confirmed"}, []string{"is not known: no leader told it", "the leader does not answer"}},
-		{"status --json", fleet.ConfigState, []*fleet.Status{told(fleet.ConfigAnswer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
+		{"status --json", configuration.ActionStatus, []*control.Status{told(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
 			[]string{`"known": false`, `"version": 4`}, []string{"is not known"}},
-		{"status", fleet.ConfigState, []*fleet.Status{told(statusOf(0, 3, 0, nil))}, 0, []string{"no version is agreed yet: each of 3"}, nil},
-		{"history", fleet.ConfigHistory, []*fleet.Status{told(fleet.ConfigAnswer{Versions: []config.Version{*versionOf(2), *again}})}, 0,
+		{"status", configuration.ActionStatus, []*control.Status{told(statusOf(0, 3, 0, nil))}, 0, []string{"no version is agreed yet: each of 3"}, nil},
+		{"history", configuration.ActionHistory, []*control.Status{told(configuration.Answer{Versions: []config.Version{*versionOf(2), *again}})}, 0,
 			[]string{"3        ", "rollback to 1: why [2J", "anna", "03ab00000000  "}, nil},
-		{"history --json", fleet.ConfigHistory, []*fleet.Status{told(fleet.ConfigAnswer{Versions: []config.Version{*again}})}, 0,
+		{"history --json", configuration.ActionHistory, []*control.Status{told(configuration.Answer{Versions: []config.Version{*again}})}, 0,
 			[]string{`"number": 3`, `"rollback_of": 1`, `"time": "2026-12-02T05:06:07Z"`}, nil},
-		{"history", fleet.ConfigHistory, []*fleet.Status{{Error: "no leader is known"}}, 1, nil, []string{"no leader is known"}},
-		{"show 1", fleet.ConfigShow, documents[:1], 0, []string{"a\nb\nc\n"}, nil},
-		{"show 1 --json", fleet.ConfigShow, documents[:1], 0, []string{`"document": "a\nb\nc\n"`}, nil},
-		{"show 9", fleet.ConfigShow, []*fleet.Status{told(fleet.ConfigAnswer{Reason: "it is not kept any more"})}, 1, nil,
+		{"history", configuration.ActionHistory, []*control.Status{{Error: "no leader is known"}}, 1, nil, []string{"no leader is known"}},
+		{"show 1", configuration.ActionShow, documents[:1], 0, []string{"a\nb\nc\n"}, nil},
+		{"show 1 --json", configuration.ActionShow, documents[:1], 0, []string{`"document": "a\nb\nc\n"`}, nil},
+		{"show 9", configuration.ActionShow, []*control.Status{told(configuration.Answer{Reason: "it is not kept any more"})}, 1, nil,
 			[]string{"version 9: it is not kept any more"}},
-		{"diff 1 2", fleet.ConfigShow, documents, 0, []string{"--- version 1\n+++ version 2\n", " a\n-b\n+x\n c\n"}, nil},
-		{"diff 1 2 --json", fleet.ConfigShow, documents, 0, []string{`"from": 1`, `"diff": "--- version 1`}, nil},
-		{"diff 1 1", fleet.ConfigShow, documents[:1], 0, nil, nil},
-		{put + " --json --wait 0s", fleet.ConfigPut, []*fleet.Status{told(fleet.ConfigAnswer{Result: "lost", Version: versionOf(13)})}, 4,
+		{"diff 1 2", configuration.ActionShow, documents, 0, []string{"--- version 1\n+++ version 2\n", " a\n-b\n+x\n c\n"}, nil},
+		{"diff 1 2 --json", configuration.ActionShow, documents, 0, []string{`"from": 1`, `"diff": "--- version 1`}, nil},
+		{"diff 1 1", configuration.ActionShow, documents[:1], 0, nil, nil},
+		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{told(configuration.Answer{Result: "lost", Version: versionOf(13)})}, 4,
 			[]string{`"result": "lost"`, `"number": 13`}, []string{"was agreed first"}},
-		{put + " --json --wait 0s", fleet.ConfigPut, []*fleet.Status{told(fleet.ConfigAnswer{Result: "agreed", Version: versionOf(13)})}, 3,
+		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{told(configuration.Answer{Result: "agreed", Version: versionOf(13)})}, 3,
 			[]string{`"result": "agreed"`}, []string{"is not known"}},
 	} {
-		fake := newFakeControl(t, map[fleet.ConfigAction][]*fleet.Status{c.action: slices.Clone(c.answers)})
+		fake := newFakeControl(t, map[configuration.Action][]*control.Status{c.action: slices.Clone(c.answers)})
 		var out, errs strings.Builder
 		args := append([]string{"fleet", "config", "--folder", fake.folder}, strings.Fields(c.args)...)
 		if code := execute(args, &out, &errs); code != c.code || !holdsAll(out.String(), c.out) || !holdsAll(errs.String(), c.errs) ||
@@ -278,11 +279,11 @@
 	if err := os.WriteFile(file, []byte("#"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	fake := newFakeControl(t, map[fleet.ConfigAction][]*fleet.Status{fleet.ConfigPut: {told(fleet.ConfigAnswer{Result: "refused"})}})
+	fake := newFakeControl(t, map[configuration.Action][]*control.Status{configuration.ActionPut: {told(configuration.Answer{Result: "refused"})}})
 	t.Setenv("MINTKEEL_FLEET", fake.folder)
 	var out, errs strings.Builder
 	execute([]string{"fleet", "config", "put", file, "--reason", "r", "--expect", "0"}, &out, &errs)
-	if order := fake.last(fleet.ConfigPut); order.Expect == nil || *order.Expect != 0 || order.Author != userName() || order.Author == "" {
+	if order := fake.last(configuration.ActionPut); order.Expect == nil || *order.Expect != 0 || order.Author != userName() || order.Author == "" {
 		t.Errorf("asked for %+v", order)
 	}
 	t.Setenv("MINTKEEL_FLEET", "")
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/fleet/maintenance"
 )
 
@@ -58,7 +58,7 @@
 	if m.folder == "" {
 		return errors.New("no folder: set --folder or MINTKEEL_FLEET")
 	}
-	s, err := fleet.Call(c.Context(), m.folder, fleet.Request{Action: "maintenance", Maintenance: &request})
+	s, err := control.Call(c.Context(), m.folder, control.Request{Action: "maintenance", Maintenance: &request})
 	if s.Maintenance == nil {
 		return errors.Join(err, errorIf(err == nil, "the controller told nothing of maintenance"))
 	}
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/lab/golden"
 )
 
@@ -213,7 +213,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var status fleet.Status
+	var status control.Status
 	if err := json.Unmarshal(text, &status); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -20,6 +20,7 @@
 	"mintkeel/internal/discovery"
 	"mintkeel/internal/engines"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/limits"
 	"mintkeel/internal/logs"
@@ -158,7 +159,7 @@
 
 // joinFleet begins to take part in the fleet.
 func (d *daemon) joinFleet() (err error) {
-	var host *fleet.ConfigHost
+	var host *configuration.Host
 	if d.agreed != nil {
 		host = d.agreed.host()
 	}
--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -20,71 +20,113 @@
 
 // Block is the block fleet of the operator's file.
 type Block struct {
-	Name       string // of the fleet
-	Generation uint64
-	Listen     string
-	Advertise  string // where others reach it
-	KeyFile    string
-	Folder     string
-	Voters     map[members.ID]string // its members and where they listen
-	Leases     []lease.Name
-	Lease      time.Duration
-	Willing    bool // it takes on leases
+	Name       string                // of the fleet
+	Generation uint64                // tells a rebuilt fleet from the one before
+	Listen     string                // address and port for other controllers
+	Advertise  string                // address and port at which others reach it
+	KeyFile    string                // absolute path
+	Folder     string                // absolute path
+	Voters     map[members.ID]string // first members of the quorum, and where they listen
+	Leases     []lease.Name          // sorted
+	Lease      time.Duration         // of a lease that is not renewed
+	Willing    bool                  // it takes on leases
 
 	// Dial opens connections to other controllers; nil: the system does. No file sets it. Controllers that share a machine
 	// in a measurement have addresses of their own by it, and their bytes counted.
 	Dial links.Dial
 }
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+// Bounds of the block.
+const (
+	maxVoters       = 7 // more only make each agreement slower
+	maxLeases       = 64
+	maxNameBytes    = 64
+	maxAddressBytes = 256
+	maxPathBytes    = 4096
+)
 
-// maxVoters is how many the quorum may have: more only make each agreement dearer.
-const maxVoters = 7
+// nameForm is the form of names of fleets, controllers and leases.
+var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// ReadBlock reads the block fleet.
-func ReadBlock(b *hcl.Block, sheet *block.Diagnostics) *Block {
-	open := block.Open(b, sheet, "name", "generation", "listen", "advertise", "key_file", "folder", "council", "works", "lease",
+// ReadBlock reads the block fleet. Problems go to the diagnostics.
+func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) *Block {
+	open := block.Open(b, diagnostics, "name", "generation", "listen", "advertise", "key_file", "folder", "council", "works", "lease",
 		"willing")
-	read := &Block{Name: open.String("name", "", true, 64), Generation: uint64(open.Int("generation", 1, 1, 1_000_000_000)),
-		Listen: open.String("listen", "", true, 256), KeyFile: open.String("key_file", "", true, 4096),
-		Folder: open.String("folder", "", true, 4096), Lease: open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
-		Willing: open.Bool("willing", true), Voters: map[members.ID]string{}}
-	read.Advertise = open.String("advertise", read.Listen, false, 256)
+	read := &Block{
+		Name:       open.String("name", "", true, maxNameBytes),
+		Generation: uint64(open.Int("generation", 1, 1, 1_000_000_000)),
+		Listen:     open.String("listen", "", true, maxAddressBytes),
+		KeyFile:    open.String("key_file", "", true, maxPathBytes),
+		Folder:     open.String("folder", "", true, maxPathBytes),
+		Lease:      open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
+		Willing:    open.Bool("willing", true),
+	}
+	read.Advertise = open.String("advertise", read.Listen, false, maxAddressBytes)
 	if read.Name != "" && !nameForm.MatchString(read.Name) {
 		open.AddProblem("name", "holds other than letters, digits, '.', '_' and '-'")
 	}
-	for _, address := range []struct{ field, text string }{{"listen", read.Listen}, {"advertise", read.Advertise}} {
-		if why := addressWrong(address.text); address.text != "" && why != "" && open.Has(address.field) {
-			open.AddProblem(address.field, why)
-		}
+	checkAddress(open, "listen", read.Listen)
+	checkAddress(open, "advertise", read.Advertise)
+	checkPath(open, "key_file", read.KeyFile)
+	checkPath(open, "folder", read.Folder)
+	read.Voters = readVoters(open)
+	read.Leases = ReadLeases(open)
+	return read
+}
+
+// checkAddress notes a field that is set and is no address.
+func checkAddress(open *block.Block, field, address string) {
+	if address == "" || !open.Has(field) {
+		return
 	}
-	for _, path := range []struct{ field, text string }{{"key_file", read.KeyFile}, {"folder", read.Folder}} {
-		if path.text != "" && !filepath.IsAbs(path.text) {
-			open.AddProblem(path.field, "is no absolute path")
-		}
+	if problem := addressProblem(address); problem != "" {
+		open.AddProblem(field, problem)
+	}
+}
+
+// checkPath notes a path that is not absolute.
+func checkPath(open *block.Block, field, path string) {
+	if path != "" && !filepath.IsAbs(path) {
+		open.AddProblem(field, "is no absolute path")
 	}
-	council := open.StringMap("council", 256)
-	if !open.Has("council") {
+}
+
+// readVoters reads the field council: the voters of the quorum and their addresses.
+func readVoters(open *block.Block) map[members.ID]string {
+	council := open.StringMap("council", maxAddressBytes)
+	count := len(council)
+	switch {
+	case !open.Has("council"):
 		open.AddProblem("council", "is missing")
-	} else if n := len(council); n != 1 && n != 3 && n != 5 && n != maxVoters {
-		open.AddProblem("council", fmt.Sprintf("has %d members: 1, 3, 5 or %d are possible, as half of an even number decides nothing", n,
-			maxVoters))
+	case count != 1 && count != 3 && count != 5 && count != maxVoters:
+		open.AddProblem("council", fmt.Sprintf("has %d members: 1, 3, 5 or %d are possible, as half of an even number decides nothing",
+			count, maxVoters))
 	}
-	seen := map[string]string{}
+	voters := map[members.ID]string{}
+	byAddress := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(council)) {
-		addr := council[name]
-		if !nameForm.MatchString(name) {
-			open.AddProblem("council", fmt.Sprintf("%.64q is no name of a controller", name))
-		} else if why := addressWrong(addr); why != "" {
-			open.AddProblem("council", fmt.Sprintf("%s: %s", name, why))
-		} else if other := seen[addr]; other != "" {
-			open.AddProblem("council", fmt.Sprintf("%s and %s have the same address", min(name, other), max(name, other)))
+		address := council[name]
+		if problem := voterProblem(name, address, byAddress[address]); problem != "" {
+			open.AddProblem("council", problem)
 		}
-		seen[addr] = name
-		read.Voters[members.ID(name)] = addr
+		byAddress[address] = name
+		voters[members.ID(name)] = address
 	}
-	read.Leases = ReadLeases(open)
-	return read
+	return voters
+}
+
+// voterProblem is what is wrong with a voter; empty: nothing. The other is one with the same address; empty: there is none.
+func voterProblem(name, address, other string) string {
+	if !nameForm.MatchString(name) {
+		return fmt.Sprintf("%.64q is no name of a controller", name)
+	}
+	if problem := addressProblem(address); problem != "" {
+		return fmt.Sprintf("%s: %s", name, problem)
+	}
+	if other != "" {
+		return fmt.Sprintf("%s and %s have the same address", min(name, other), max(name, other))
+	}
+	return ""
 }
 
 // ReadLeases reads the field works of the block fleet: the names of the fleet's leases, sorted.
@@ -93,43 +135,44 @@
 		return []lease.Name{sharedstatistics.Lease}
 	}
 	var names []lease.Name
-	for _, w := range open.Strings("works", 64) {
-		if !nameForm.MatchString(w) {
-			open.AddProblem("works", fmt.Sprintf("%.64q is no name of a lease", w))
-		} else if slices.Contains(names, lease.Name(w)) {
-			open.AddProblem("works", w+" stands there twice")
-		} else {
-			names = append(names, lease.Name(w))
+	for _, name := range open.Strings("works", maxLeases) {
+		switch {
+		case !nameForm.MatchString(name):
+			open.AddProblem("works", fmt.Sprintf("%.64q is no name of a lease", name))
+		case slices.Contains(names, lease.Name(name)):
+			open.AddProblem("works", name+" stands there twice")
+		default:
+			names = append(names, lease.Name(name))
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-func addressWrong(addr string) string {
-	host, port, err := net.SplitHostPort(addr)
+// addressProblem is what is wrong with an address; empty: nothing.
+func addressProblem(address string) string {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
-		return fmt.Sprintf("%.64q is no address", addr)
+		return fmt.Sprintf("%.64q is no address", address)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Sprintf("%.64q: names are not looked up", addr)
+		return fmt.Sprintf("%.64q: names are not looked up", address)
 	}
 	return ""
 }
 
-// Same tells whether two blocks mean the same fleet in the same way, but for what may change while running.
-func (b *Block) Same(o *Block) bool {
-	if b == nil || o == nil {
-		return b == o
-	}
-	if len(b.Voters) != len(o.Voters) || b.Name != o.Name || b.Generation != o.Generation || b.Listen != o.Listen ||
-		b.Advertise != o.Advertise || b.Folder != o.Folder || b.Lease != o.Lease || !slices.Equal(b.Leases, o.Leases) {
-		return false
-	}
-	for id, addr := range b.Voters {
-		if o.Voters[id] != addr {
-			return false
-		}
+// Same tells whether two blocks mean the same fleet in the same way, but for what may change while running: the keys and
+// whether this controller takes on leases.
+func (b *Block) Same(other *Block) bool {
+	if b == nil || other == nil {
+		return b == other
 	}
-	return true
+	return b.Name == other.Name &&
+		b.Generation == other.Generation &&
+		b.Listen == other.Listen &&
+		b.Advertise == other.Advertise &&
+		b.Folder == other.Folder &&
+		b.Lease == other.Lease &&
+		slices.Equal(b.Leases, other.Leases) &&
+		maps.Equal(b.Voters, other.Voters)
 }
--- a/internal/fleet/configcheck_test.go
+++ b/internal/fleet/configcheck_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 )
 
 // checkAnswerWithin bounds an operator's command at a controller that checks a document.
@@ -40,7 +42,7 @@
 			})
 			agreed := make(chan config.Version, 1)
 			go func() {
-				answer, err := f.order(author, ConfigOrder{Action: ConfigPut, Document: []byte("two"), Author: "a", Reason: "r"})
+				answer, err := f.order(author, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"), Author: "a", Reason: "r"})
 				if err != nil || answer.Version == nil {
 					t.Errorf("put: %+v, %v", answer, err)
 					answer.Version = &config.Version{}
@@ -55,7 +57,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), checkAnswerWithin)
 			defer cancel()
 			before := f.linkCount(slow, "sent")
-			status, err := Call(ctx, f.folder(slow), Request{Action: "status"})
+			status, err := control.Call(ctx, f.folder(slow), control.Request{Action: "status"})
 			if err != nil {
 				t.Fatalf("one that checks a document does not answer: %v", err)
 			}
--- a/internal/fleet/configcontrol_test.go
+++ b/internal/fleet/configcontrol_test.go
@@ -13,6 +13,8 @@
 	"testing"
 
 	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 )
 
 // TestConfigPut has documents of all sizes be in force at all, told by status, history and show.
@@ -31,31 +33,32 @@
 	f.statusIs(4, "in force at all", func(s *config.Status) bool {
 		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.ByVersion[3] == 5
 	})
-	for bytes, want := range map[int]string{config.MaxDocument + 1: tooBig(config.MaxDocument + 1), 0: "the document is empty"} {
-		order := ConfigOrder{Action: ConfigPut, Document: make([]byte, bytes)}
+	tooBig := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
+	for size, want := range map[int]string{config.MaxDocument + 1: tooBig.RefuseTooBig().Reason, 0: "the document is empty"} {
+		order := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
 		answer, err := f.order(1, order)
-		if err != nil || answer.Result != ConfigRefused || answer.Reason != want {
-			t.Errorf("%d bytes: %+v, %v", bytes, answer, err)
+		if err != nil || answer.Result != configuration.ResultRefused || answer.Reason != want {
+			t.Errorf("%d bytes: %+v, %v", size, answer, err)
 		}
-		status, err := f.services[1].Ask(Request{Action: "config", Config: &order})
-		if err != nil || status.Config.Result != ConfigRefused || status.Config.Reason != want {
-			t.Errorf("%d bytes, past the bound of the client: %+v, %v", bytes, status.Config, err)
+		status, err := f.services[1].Ask(control.Request{Action: "config", Config: &order})
+		if err != nil || status.Config.Result != configuration.ResultRefused || status.Config.Reason != want {
+			t.Errorf("%d bytes, past the bound of the client: %+v, %v", size, status.Config, err)
 		}
 	}
-	history, err := f.order(3, ConfigOrder{Action: ConfigHistory})
+	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
 	if err != nil || len(history.Versions) != 3 || history.From == "" || history.Local.Number != 3 {
 		t.Errorf("history: %+v, %v", history, err)
 	}
 	for number, want := range map[uint64][]byte{0: documents[2], 1: documents[0], 2: documents[1], 3: documents[2]} {
-		shown, err := f.order(4, ConfigOrder{Action: ConfigShow, Number: number})
+		shown, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: number})
 		if err != nil || !bytes.Equal(shown.Document, want) {
 			t.Errorf("show %d: %d bytes, %v", number, len(shown.Document), err)
 		}
 	}
-	if _, err := f.order(4, ConfigOrder{Action: ConfigShow, Number: 9}); err == nil {
+	if _, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
 		t.Error("a version that was never agreed on is shown")
 	}
-	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed || local != f.services[4].ConfigLocal() {
+	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed || local != f.services[4].ConfigReadiness() {
 		t.Errorf("local: %+v", local)
 	}
 	f.neverOlder()
@@ -66,10 +69,10 @@
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	first := f.put(0, []byte("first"))
-	answers := make(chan ConfigAnswer, 2)
+	answers := make(chan configuration.Answer, 2)
 	for i := range 2 {
 		go func() {
-			answer, err := f.order(i, ConfigOrder{Action: ConfigPut, Document: fmt.Append(nil, "by ", i), Expect: &first.Number})
+			answer, err := f.order(i, configuration.Request{Action: configuration.ActionPut, Document: fmt.Append(nil, "by ", i), Expect: &first.Number})
 			if err != nil {
 				t.Error(err)
 			}
@@ -77,14 +80,14 @@
 		}()
 	}
 	a, b := <-answers, <-answers
-	if a.Result == ConfigLost {
+	if a.Result == configuration.ResultLost {
 		a, b = b, a
 	}
-	if a.Result != ConfigAgreed || b.Result != ConfigLost || b.Version == nil || b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
+	if a.Result != configuration.ResultAgreed || b.Result != configuration.ResultLost || b.Version == nil || b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
 		t.Fatalf("%+v and %+v", a, b)
 	}
-	stale, err := f.order(2, ConfigOrder{Action: ConfigPut, Document: []byte("late"), Expect: &first.Number})
-	if err != nil || stale.Result != ConfigLost {
+	stale, err := f.order(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"), Expect: &first.Number})
+	if err != nil || stale.Result != configuration.ResultLost {
 		t.Errorf("one that has seen no newer version than the first: %+v, %v", stale, err)
 	}
 	f.neverOlder()
@@ -104,8 +107,8 @@
 		return errors.New("line 4: what is this?")
 	})
 	for document, want := range map[string]string{"bad": "line 4", "panic": "the parser is broken"} {
-		answer, err := f.order(0, ConfigOrder{Action: ConfigPut, Document: []byte(document)})
-		if err != nil || answer.Result != ConfigRefused || !strings.Contains(answer.Reason, want) {
+		answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte(document)})
+		if err != nil || answer.Result != configuration.ResultRefused || !strings.Contains(answer.Reason, want) {
 			t.Errorf("%s: %+v, %v", document, answer, err)
 		}
 	}
@@ -114,8 +117,8 @@
 		t.Errorf("agreed on %+v", v)
 	}
 	f.hosts[0].setCheck(func([]byte) error { return errors.New("no longer") })
-	rollback, err := f.order(0, ConfigOrder{Action: ConfigRollback, Number: 1})
-	if err != nil || rollback.Result != ConfigRefused {
+	rollback, err := f.order(0, configuration.Request{Action: configuration.ActionRollback, Number: 1})
+	if err != nil || rollback.Result != configuration.ResultRefused {
 		t.Errorf("rollback to what can't be used any more: %+v, %v", rollback, err)
 	}
 }
@@ -126,17 +129,17 @@
 	f := startConfigFleet(t, 4, nil)
 	f.put(0, []byte("one"))
 	f.put(1, []byte("two"))
-	answer, err := f.order(3, ConfigOrder{Action: ConfigRollback, Number: 1, Author: "b", Reason: "two is bad"})
-	if err != nil || answer.Result != ConfigAgreed || answer.Version.Number != 3 || answer.Version.RollbackOf != 1 ||
+	answer, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 1, Author: "b", Reason: "two is bad"})
+	if err != nil || answer.Result != configuration.ResultAgreed || answer.Version.Number != 3 || answer.Version.RollbackOf != 1 ||
 		answer.Version.Reason != "two is bad" {
 		t.Fatalf("%+v, %v", answer, err)
 	}
 	f.inForce(*answer.Version, []byte("one"), 0, 1, 2, 3)
 	seen := uint64(2)
-	if late, err := f.order(2, ConfigOrder{Action: ConfigRollback, Number: 2, Expect: &seen}); err != nil || late.Result != ConfigLost {
+	if late, err := f.order(2, configuration.Request{Action: configuration.ActionRollback, Number: 2, Expect: &seen}); err != nil || late.Result != configuration.ResultLost {
 		t.Errorf("one that has not seen the rollback: %+v, %v", late, err)
 	}
-	if _, err := f.order(3, ConfigOrder{Action: ConfigRollback, Number: 8}); err == nil {
+	if _, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 8}); err == nil {
 		t.Error("rolled back to a version that was never agreed on")
 	}
 	f.neverOlder()
@@ -151,22 +154,22 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := Call(context.Background(), filepath.Join(dir, "n0"), Request{Action: "status"}); err != nil {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "status"}); err != nil {
 		t.Error(err)
 	}
-	if local := s.WaitConfig(context.Background()); local != (config.Readiness{}) || s.ConfigLocal() != local {
+	if local := s.WaitConfig(context.Background()); local != (config.Readiness{}) || s.ConfigReadiness() != local {
 		t.Errorf("it tells %+v", local)
 	}
-	if _, err := Call(context.Background(), filepath.Join(dir, "n0"), Request{Action: "config", Config: &ConfigOrder{Action: ConfigState}}); err == nil ||
-		!strings.Contains(err.Error(), errNoConfig.Error()) {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config", Config: &configuration.Request{Action: configuration.ActionStatus}}); err == nil ||
+		!strings.Contains(err.Error(), configuration.ErrOff.Error()) {
 		t.Errorf("an order is answered: %v", err)
 	}
-	long := ConfigOrder{Action: ConfigPut, Document: make([]byte, controlBytes)}
-	if _, err := Call(context.Background(), filepath.Join(dir, "n0"), Request{Action: "config", Config: &long}); err == nil ||
-		!strings.Contains(err.Error(), errTooLong.Error()) {
+	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxBytes)}
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config", Config: &long}); err == nil ||
+		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
 		t.Errorf("a long order is read: %v", err)
 	}
-	if _, err := os.Stat(filepath.Join(dir, "n0", configFolderName)); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(dir, "n0", configuration.FolderName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("there is a folder: %v", err)
 	}
 	if slices.ContainsFunc(s.LogValue().Group(), func(a slog.Attr) bool { return a.Key == "config" }) {
@@ -178,26 +181,26 @@
 func TestConfigRequests(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
-	long := strings.Repeat("x", controlBytes)
-	for name, r := range map[string]Request{
-		"longer than any may be":     {Action: "config", Config: &ConfigOrder{Action: ConfigPut, Reason: strings.Repeat("x", configRequestBytes)}},
+	long := strings.Repeat("x", control.MaxBytes)
+	for name, r := range map[string]control.Request{
+		"longer than any may be":     {Action: "config", Config: &configuration.Request{Action: configuration.ActionPut, Reason: strings.Repeat("x", configuration.MaxRequestBytes)}},
 		"no order":                   {Action: "config"},
-		"an order that is not known": {Action: "config", Config: &ConfigOrder{Action: "jump"}},
+		"an order that is not known": {Action: "config", Config: &configuration.Request{Action: "jump"}},
 	} {
-		if _, err := Call(context.Background(), f.folder(0), r); err == nil {
+		if _, err := control.Call(context.Background(), f.folder(0), r); err == nil {
 			t.Errorf("%s: done", name)
 		}
 	}
-	if _, err := Call(context.Background(), f.folder(0), Request{Action: "status", Lease: long}); err == nil ||
-		!strings.Contains(err.Error(), errTooLong.Error()) {
+	if _, err := control.Call(context.Background(), f.folder(0), control.Request{Action: "status", Lease: long}); err == nil ||
+		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
 		t.Errorf("a long request of another kind: %v", err)
 	}
 	f.put(0, []byte("x"))
-	for name, o := range map[string]ConfigOrder{
-		"an author too long": {Action: ConfigPut, Document: []byte("y"), Author: strings.Repeat("a", config.MaxAuthor+1)},
-		"a reason too long":  {Action: ConfigPut, Document: []byte("y"), Reason: strings.Repeat("a", config.MaxReason+1)},
+	for name, o := range map[string]configuration.Request{
+		"an author too long": {Action: configuration.ActionPut, Document: []byte("y"), Author: strings.Repeat("a", config.MaxAuthor+1)},
+		"a reason too long":  {Action: configuration.ActionPut, Document: []byte("y"), Reason: strings.Repeat("a", config.MaxReason+1)},
 	} {
-		if answer, err := f.order(0, o); err != nil || answer.Result != ConfigRefused || answer.Reason == "" {
+		if answer, err := f.order(0, o); err != nil || answer.Result != configuration.ResultRefused || answer.Reason == "" {
 			t.Errorf("%s: %+v, %v", name, answer, err)
 		}
 	}
@@ -212,11 +215,11 @@
 	f.stop(1)
 	f.stop(2)
 	f.eventually("there is no leader", func() bool {
-		_, err := f.order(0, ConfigOrder{Action: ConfigHistory})
-		return err != nil && strings.Contains(err.Error(), errNoLeader.Error())
+		_, err := f.order(0, configuration.Request{Action: configuration.ActionHistory})
+		return err != nil && strings.Contains(err.Error(), configuration.ErrNoLeader.Error())
 	})
-	answer, err := f.order(0, ConfigOrder{Action: ConfigPut, Document: []byte("two"), Expect: &one.Number})
-	if err != nil || answer.Result != ConfigUnknown || answer.Local.Number != one.Number {
+	answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"), Expect: &one.Number})
+	if err != nil || answer.Result != configuration.ResultUnknown || answer.Local.Number != one.Number {
 		t.Errorf("put: %+v, %v", answer, err)
 	}
 	if !f.hosts[0].uses(one.Number, []byte("one")) {
@@ -231,7 +234,7 @@
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(3, []byte("one"))
 	f.inForce(one, []byte("one"), 0, 1, 2, 3)
-	history, err := f.order(3, ConfigOrder{Action: ConfigHistory})
+	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,21 +243,21 @@
 		t.Fatalf("%q leads", history.From)
 	}
 	document := bytes.Repeat([]byte("two"), 200<<10)
-	answered := make(chan ConfigAnswer, 1)
+	answered := make(chan configuration.Answer, 1)
 	go func() {
-		answer, err := f.order(3, ConfigOrder{Action: ConfigPut, Document: document, Expect: &one.Number})
+		answer, err := f.order(3, configuration.Request{Action: configuration.ActionPut, Document: document, Expect: &one.Number})
 		if err != nil {
 			t.Error(err)
 		}
 		answered <- answer
 	}()
 	f.eventually("the leader has the proposal, or has had it agreed on", func() bool {
-		n, err := ask(f.services[3], controlTime, func(in *session) int { return len(in.config.waiters) })
+		n, err := ask(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
 		return err == nil && n > 0 || len(answered) > 0
 	})
 	f.stop(leader)
 	answer := <-answered
-	if answer.Result != ConfigAgreed || answer.Version.Number != one.Number+1 {
+	if answer.Result != configuration.ResultAgreed || answer.Version.Number != one.Number+1 {
 		t.Fatalf("%+v", answer)
 	}
 	others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == leader })
@@ -262,7 +265,7 @@
 	f.start(leader)
 	f.inForce(*answer.Version, document, leader)
 	for i := range f.services {
-		history, err := f.order(i, ConfigOrder{Action: ConfigHistory})
+		history, err := f.order(i, configuration.Request{Action: configuration.ActionHistory})
 		if err != nil || len(history.Versions) != 2 || history.Versions[1] != *answer.Version {
 			t.Errorf("n%d: %+v, %v", i, history, err)
 		}
--- a/internal/fleet/configfleet_test.go
+++ b/internal/fleet/configfleet_test.go
@@ -15,6 +15,8 @@
 
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/store/disk"
 )
 
@@ -28,8 +30,8 @@
 	apply    func(v config.Version, document []byte) error
 }
 
-func (h *fakeHost) host() *ConfigHost {
-	return &ConfigHost{Check: h.checkDocument, Apply: h.applyVersion}
+func (h *fakeHost) host() *configuration.Host {
+	return &configuration.Host{Check: h.checkDocument, Apply: h.applyVersion}
 }
 
 func (h *fakeHost) checkDocument(document []byte) error {
@@ -136,7 +138,9 @@
 
 func (f *configFleet) folder(i int) string { return filepath.Join(f.dir, fmt.Sprint("n", i)) }
 
-func (f *configFleet) configFolder(i int) string { return filepath.Join(f.folder(i), configFolderName) }
+func (f *configFleet) configFolder(i int) string {
+	return filepath.Join(f.folder(i), configuration.FolderName)
+}
 
 // start begins a service, as a process that starts would.
 func (f *configFleet) start(i int) {
@@ -149,14 +153,14 @@
 	if f.change != nil {
 		f.change(i, b)
 	}
-	configuration := newFolderConfiguration(f.hosts[i].host(), b.Folder)
+	manager := configuration.NewFolderManager(f.hosts[i].host(), b.Folder)
 	switch {
 	case f.off:
-		configuration = nil
+		manager = nil
 	case f.disks[i] != nil:
-		configuration.disk = f.disks[i]
+		manager = configuration.NewManager(f.hosts[i].host(), f.disks[i])
 	}
-	s, err := start(b, fmt.Sprint("n", i), nil, configuration, f.log)
+	s, err := start(b, fmt.Sprint("n", i), nil, manager, f.log)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -171,10 +175,10 @@
 }
 
 // order asks the i-th controller by its socket.
-func (f *configFleet) order(i int, o ConfigOrder) (ConfigAnswer, error) {
-	s, err := Call(context.Background(), f.folder(i), Request{Action: "config", Config: &o})
+func (f *configFleet) order(i int, o configuration.Request) (configuration.Answer, error) {
+	s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "config", Config: &o})
 	if s.Config == nil {
-		return ConfigAnswer{}, err
+		return configuration.Answer{}, err
 	}
 	return *s.Config, err
 }
@@ -182,13 +186,13 @@
 // put has a document agreed on, asking the i-th controller.
 func (f *configFleet) put(i int, document []byte) config.Version {
 	f.t.Helper()
-	var answer ConfigAnswer
+	var answer configuration.Answer
 	var err error
 	f.eventually("put is answered", func() bool { // a quorum without a leader proposes nothing
-		answer, err = f.order(i, ConfigOrder{Action: ConfigPut, Document: document, Author: "a", Reason: "r"})
+		answer, err = f.order(i, configuration.Request{Action: configuration.ActionPut, Document: document, Author: "a", Reason: "r"})
 		return err == nil
 	})
-	if answer.Result != ConfigAgreed || answer.Version == nil || answer.Version.Hash != config.HashOf(document) {
+	if answer.Result != configuration.ResultAgreed || answer.Version == nil || answer.Version.Hash != config.HashOf(document) {
 		f.t.Fatalf("put: %+v", answer)
 	}
 	return *answer.Version
@@ -214,7 +218,7 @@
 		}
 	}()
 	f.eventually(what, func() bool {
-		answer, err := f.order(i, ConfigOrder{Action: ConfigState})
+		answer, err := f.order(i, configuration.Request{Action: configuration.ActionStatus})
 		if err != nil || answer.Status == nil {
 			return false
 		}
@@ -245,7 +249,7 @@
 // acquainted tells whether each knows all to be alive, and one leads.
 func (f *configFleet) acquainted() bool {
 	for i := range f.services {
-		s, err := Call(context.Background(), f.folder(i), Request{Action: "status"})
+		s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "status"})
 		if err != nil || s.Quorum.Leader == "" || len(s.Members) != len(f.services) {
 			return false
 		}
@@ -303,7 +307,7 @@
 // leaderOf is the number of the controller that the i-th one takes for the leader.
 func (f *configFleet) leaderOf(i int) int {
 	f.t.Helper()
-	status, err := Call(f.t.Context(), f.folder(i), Request{Action: "status"})
+	status, err := control.Call(f.t.Context(), f.folder(i), control.Request{Action: "status"})
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/fleet/configservice_test.go
+++ b/internal/fleet/configservice_test.go
@@ -19,6 +19,8 @@
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/node"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/fleet/frames"
 	"mintkeel/internal/fleet/links"
 	"mintkeel/internal/store/disk/disktest"
@@ -82,7 +84,7 @@
 func TestConfigRetry(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
-	busy := fmt.Errorf("busy: %w", ErrRetryable)
+	busy := fmt.Errorf("busy: %w", configuration.ErrRetryable)
 	f.hosts[0].setApply(func(config.Version, []byte) error { return busy })
 	v := f.put(0, []byte("x"))
 	f.eventually("tried twice", func() bool { return f.hosts[0].callCount() >= 2 })
@@ -135,7 +137,7 @@
 	f.statusIs(0, "refused at one", func(s *config.Status) bool {
 		return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == 0
 	})
-	if local := f.services[3].ConfigLocal(); local.Number != 0 {
+	if local := f.services[3].ConfigReadiness(); local.Number != 0 {
 		t.Errorf("it tells %+v", local)
 	}
 	next := f.put(0, []byte("better"))
@@ -154,7 +156,7 @@
 		f.stop(i)
 		f.hosts[i] = &fakeHost{}
 	}
-	f.change = func(i int, b *Block) { b.Generation = 2 }
+	f.change = func(_ int, b *Block) { b.Generation = 2 }
 	for i := range f.services {
 		if err := os.Rename(f.configFolder(i), f.folder(i)+"-config"); err != nil {
 			t.Fatal(err)
@@ -199,22 +201,22 @@
 		}
 		waiting := make(chan error, 1)
 		go func() {
-			_, err := f.services[3].requestConfig(configQueryTime, func(float64, uint64, *config.Replica) {})
+			_, err := f.services[3].client.Call(configuration.QueryTimeout, func(float64, uint64, *config.Replica) {})
 			waiting <- err
 		}()
 		f.eventually("a request waits", func() bool {
-			n, err := ask(f.services[3], controlTime, func(in *session) int { return len(in.config.waiters) })
+			n, err := ask(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
 			return err == nil && n == 1
 		})
 		f.services[3].post(func(*session) { panic("broken") })
-		if err := <-waiting; !errors.Is(err, errRestarted) {
+		if err := <-waiting; !errors.Is(err, configuration.ErrRestarted) {
 			t.Errorf("a request that waited is told %v", err)
 		}
-		f.eventually("begun anew", func() bool { return f.services[3].ConfigLocal().Confirmed })
+		f.eventually("begun anew", func() bool { return f.services[3].ConfigReadiness().Confirmed })
 		if n := f.services[3].counts.restarts.Load(); n != restarts+1 {
 			t.Errorf("begun anew %d times", n-restarts)
 		}
-		if local := f.services[3].ConfigLocal(); local.Number != one.Number || f.hosts[3].callCount() != calls {
+		if local := f.services[3].ConfigReadiness(); local.Number != one.Number || f.hosts[3].callCount() != calls {
 			t.Errorf("emptied %v: %+v after %d calls more", emptied, local, f.hosts[3].callCount()-calls)
 		}
 		if files := configFiles(t, f.configFolder(3)); len(files) != 2 {
@@ -230,32 +232,36 @@
 func TestConfigNeverOlder(t *testing.T) {
 	t.Parallel()
 	h := &fakeHost{}
-	c := newConfiguration(h.host(), disktest.New())
-	version := func(generation, number uint64, document string) appliedVersion {
-		return appliedVersion{generation, config.Version{Number: number, Hash: config.HashOf([]byte(document))}, []byte(document)}
+	c := configuration.NewManager(h.host(), disktest.New())
+	version := func(generation, number uint64, document string) configuration.Applied {
+		return configuration.Applied{
+			Generation: generation,
+			Version:    config.Version{Number: number, Hash: config.HashOf([]byte(document))},
+			Document:   []byte(document),
+		}
 	}
 	for _, step := range []struct {
-		next appliedVersion
+		next configuration.Applied
 		want error
 	}{
 		{version(1, 5, "five"), nil},
-		{version(1, 4, "four"), errOlder},
-		{version(1, 5, "other"), errOther},
+		{version(1, 4, "four"), configuration.ErrOlder},
+		{version(1, 5, "other"), configuration.ErrOther},
 		{version(1, 5, "five"), nil},
 		{version(1, 6, "six"), nil},
 		{version(2, 1, "one"), nil},
 	} {
-		if err := c.apply(context.Background(), step.next); !errors.Is(err, step.want) {
-			t.Errorf("%d of generation %d: %v", step.next.version.Number, step.next.generation, err)
+		if err := c.Apply(context.Background(), step.next); !errors.Is(err, step.want) {
+			t.Errorf("%d of generation %d: %v", step.next.Version.Number, step.next.Generation, err)
 		}
 	}
 	if got := h.numbers(); !slices.Equal(got, []uint64{5, 6, 1}) {
 		t.Errorf("applied %v", got)
 	}
-	c.close()
+	c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := c.apply(ctx, version(2, 2, "two")); err == nil || h.callCount() != 3 {
+	if err := c.Apply(ctx, version(2, 2, "two")); err == nil || h.callCount() != 3 {
 		t.Errorf("applied after the end: %v", err)
 	}
 }
@@ -279,7 +285,7 @@
 	go func() { f.stop(2); close(closed) }()
 	select {
 	case <-closed:
-	case <-time.After(applyGrace + 3*time.Second):
+	case <-time.After(configuration.ApplyGrace + 3*time.Second):
 		t.Error("closing waits for the host")
 	}
 	close(release)
@@ -330,7 +336,7 @@
 	f.inForce(two, []byte("two"), 0, 1, 2)
 	for i, s := range f.services {
 		f.eventually(fmt.Sprintf("n%d has heard of the second version, and of no later one", i), func() bool {
-			return s.ConfigLocal().Latest == two.Number
+			return s.ConfigReadiness().Latest == two.Number
 		})
 	}
 }
--- a/internal/fleet/configstore_test.go
+++ b/internal/fleet/configstore_test.go
@@ -1,11 +1,7 @@
 package fleet
 
 import (
-	"bytes"
 	"context"
-	"errors"
-	"fmt"
-	"math/rand"
 	"os"
 	"path/filepath"
 	"slices"
@@ -13,12 +9,9 @@
 	"testing"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/store/disk"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/store/disk/disktest"
-	"mintkeel/internal/store/documents"
 )
 
 // TestConfigFolder has a controller start after its folder was emptied, or put back to an older copy: it catches up, and
@@ -78,7 +71,7 @@
 	f.hosts[3] = &fakeHost{}
 	f.start(3)
 	f.inForce(v, []byte("one"), 3)
-	if n := f.services[3].config.damaged.Load(); n != 2 { // the document, and the record that is worth nothing without it
+	if n := f.services[3].config.DamagedFiles(); n != 2 { // the document, and the record that is worth nothing without it
 		t.Errorf("%d files are counted", n)
 	}
 }
@@ -99,7 +92,7 @@
 			return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
 		})
 	})
-	if !f.hosts[3].uses(one.Number, []byte("one")) || f.services[3].config.storeFailed.Load() == 0 {
+	if !f.hosts[3].uses(one.Number, []byte("one")) || f.services[3].config.StoreFailures() == 0 {
 		t.Error("the version before is not in force, or the failure is not counted")
 	}
 	full.Fill(-1)
@@ -131,7 +124,7 @@
 	release := hanging.Hang()
 	two := f.put(3, []byte("two"))
 	f.inForce(two, []byte("two"), 0, 1, 2)
-	if s, err := Call(context.Background(), f.folder(3), Request{Action: "status"}); err != nil || len(s.Members) != 4 {
+	if s, err := control.Call(context.Background(), f.folder(3), control.Request{Action: "status"}); err != nil || len(s.Members) != 4 {
 		t.Errorf("while the disk hangs: %+v, %v", s, err)
 	}
 	if !f.hosts[3].uses(one.Number, []byte("one")) {
@@ -176,190 +169,3 @@
 	}
 	return names
 }
-
-// storedVersion is the n-th version of a folder that is tested by itself.
-func storedVersion(n int) (config.Version, []byte) {
-	document := fmt.Append(nil, "document ", n)
-	return config.Version{Number: uint64(n), Hash: config.HashOf(document), Size: len(document), Author: "a"}, document
-}
-
-// storeVersion has the n-th version be current, and the one before the last be removed.
-func storeVersion(f *configFolder, n int) error {
-	v, document := storedVersion(n)
-	request := config.StoreRequest{Hash: v.Hash, Document: document, Current: &v}
-	if n > 2 {
-		old, _ := storedVersion(n - 2)
-		request.Remove = []config.Hash{old.Hash}
-	}
-	return f.store(&request)
-}
-
-func openTestFolder(t *testing.T, d disk.Disk, generation uint64) (*configFolder, configContents) {
-	t.Helper()
-	f, contents, err := openConfigFolder(d, generation)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return f, contents
-}
-
-// currentNumber is the number of the version that a folder has as current; 0: none.
-func currentNumber(t *testing.T, d disk.Disk, generation uint64) uint64 {
-	t.Helper()
-	f, contents := openTestFolder(t, d, generation)
-	defer f.close()
-	if contents.record == nil {
-		return 0
-	}
-	v, document := storedVersion(int(contents.record.Version.Number))
-	if contents.record.Version != v || !bytes.Equal(contents.document, document) || !bytes.Equal(contents.documents[v.Hash], document) {
-		t.Fatalf("%+v with %q", contents.record, contents.document)
-	}
-	return v.Number
-}
-
-// TestConfigFolderStops has the process be killed at each operation of a request: the version before or the new one is
-// found, whole; once the request is answered, the new one.
-func TestConfigFolderStops(t *testing.T) {
-	t.Parallel()
-	points := 0
-	for _, how := range disktest.CrashModes() {
-		for seed := range int64(4) {
-			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
-			f, _ := openTestFolder(t, d, 1)
-			for n := 1; n <= 5; n++ {
-				d.OnOperation(func(op int) {
-					points++
-					if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) && got != uint64(n-1) {
-						t.Fatalf("way %d, operation %d: version %d is found, %d was being stored", how, op, got, n)
-					}
-				})
-				if err := storeVersion(f, n); err != nil {
-					t.Fatal(err)
-				}
-				d.OnOperation(nil)
-				if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) {
-					t.Fatalf("way %d: version %d was stored, %d is found", how, n, got)
-				}
-			}
-		}
-	}
-	if points < 1000 {
-		t.Errorf("only %d points", points)
-	}
-}
-
-// TestConfigFolderGenerations has the record of another generation be found, be replaced by a version of this one, and be
-// back where that is not to be in force at a start.
-func TestConfigFolderGenerations(t *testing.T) {
-	t.Parallel()
-	d := disktest.New()
-	f, _ := openTestFolder(t, d, 1)
-	if err := storeVersion(f, 7); err != nil {
-		t.Fatal(err)
-	}
-	f.close()
-	f, contents := openTestFolder(t, d, 2)
-	if contents.record == nil || contents.record.Generation != 1 || contents.record.atLeast(2, config.Version{Number: 1}) {
-		t.Errorf("found %+v", contents.record)
-	}
-	none := config.StoreRequest{Current: &config.Version{}}
-	for _, step := range []struct {
-		name  string
-		store func() error
-		want  uint64
-	}{
-		{"a version of this generation", func() error { return storeVersion(f, 1) }, 1},
-		{"none of this generation", func() error { return f.store(&none) }, 7},
-		{"again one", func() error { return storeVersion(f, 2) }, 2},
-		{"the other's document removed", func() error { return f.folder.Remove(documents.Hash(contents.record.Version.Hash)) }, 2},
-		{"none of either", func() error { return f.store(&none) }, 0},
-		{"and again one", func() error { return storeVersion(f, 2) }, 2},
-	} {
-		if err := step.store(); err != nil {
-			t.Fatalf("%s: %v", step.name, err)
-		}
-		if got := currentNumber(t, d.AfterCrash(disktest.LoseUnsynced, nil), 2); got != step.want {
-			t.Errorf("%s: version %d is found", step.name, got)
-		}
-	}
-}
-
-// TestConfigFolderRemoval has a removal that fails be tried again with the next request, unless its document was stored
-// again.
-func TestConfigFolderRemoval(t *testing.T) {
-	t.Parallel()
-	d := disktest.New()
-	f, _ := openTestFolder(t, d, 1)
-	for n := 1; n <= 2; n++ {
-		if err := storeVersion(f, n); err != nil {
-			t.Fatal(err)
-		}
-	}
-	one, document := storedVersion(1)
-	two, _ := storedVersion(2)
-	const removal = 1 // is the only operation
-	reached := d.FailFrom(removal, os.ErrPermission)
-	if err := f.store(&config.StoreRequest{Remove: []config.Hash{one.Hash}}); err != nil || !reached() {
-		t.Fatalf("a removal that failed: %v", err)
-	}
-	if err := f.store(&config.StoreRequest{Hash: one.Hash, Document: document}); err != nil {
-		t.Fatal(err)
-	}
-	f.close()
-	f, contents := openTestFolder(t, d, 1)
-	if contents.documents[one.Hash] == nil {
-		t.Error("a document that was stored again is gone")
-	}
-	if err := f.store(&config.StoreRequest{Remove: []config.Hash{one.Hash, two.Hash}}); err != nil { // two is current
-		t.Fatal(err)
-	}
-	if err := storeVersion(f, 3); err != nil {
-		t.Fatal(err)
-	}
-	if len(f.unremoved) != 0 {
-		t.Errorf("%d documents are left", len(f.unremoved))
-	}
-	f.close()
-	if _, contents = openTestFolder(t, d, 1); len(contents.documents) != 1 {
-		t.Errorf("%d documents are stored", len(contents.documents))
-	}
-}
-
-// TestConfigFolderRecords has a record that is whole but makes no sense be dropped and counted.
-func TestConfigFolderRecords(t *testing.T) {
-	t.Parallel()
-	v, document := storedVersion(1)
-	other, _ := storedVersion(2)
-	zero := v
-	zero.Number = 0
-	for name, record := range map[string]any{
-		"no record":             "a text",
-		"of another document":   configRecord{Generation: 1, Version: other},
-		"of a version 0":        configRecord{Generation: 1, Version: zero},
-		"nothing":               nil,
-		"nested without an end": bytes.Repeat([]byte{0x81}, 1000),
-	} {
-		d := disktest.New()
-		folder, _, err := documents.Open(d, configBounds)
-		if err != nil {
-			t.Fatal(err)
-		}
-		encoded, err := cbor.Marshal(record)
-		if raw, ok := record.([]byte); ok {
-			encoded = raw
-		}
-		if err = errors.Join(err, folder.Put(documents.Hash(v.Hash), document),
-			folder.SetCurrent(documents.Current{Document: documents.Hash(v.Hash), Record: encoded})); err != nil {
-			t.Fatal(err)
-		}
-		folder.Close()
-		f, contents := openTestFolder(t, d, 1)
-		if contents.record != nil || contents.damaged != 1 || contents.documents[v.Hash] == nil {
-			t.Errorf("%s: %+v", name, contents)
-		}
-		if err := storeVersion(f, 2); err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-}
--- /dev/null
+++ b/internal/fleet/configuration/client.go
@@ -0,0 +1,248 @@
+package configuration
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"time"
+
+	"mintkeel/internal/core/fleet/config"
+)
+
+// replyGrace is how much longer than its time a request is waited for: the session ends the wait before.
+const replyGrace = 3 * time.Second
+
+// Errors of requests.
+var (
+	ErrOff       = errors.New("there is no block config in this controller's file")
+	ErrNoLeader  = errors.New("the leader of the quorum does not answer")
+	ErrRestarted = errors.New("this controller's part in the fleet ended meanwhile")
+
+	errTimeout = errors.New("no answer in time")
+	errTooMany = errors.New("too many requests at once")
+	errEnding  = errors.New("the controller is ending")
+)
+
+// notBegunError is that the session's goroutine did not take a request, and never will.
+type notBegunError struct{ cause error }
+
+func (e *notBegunError) Error() string { return e.cause.Error() }
+func (e *notBegunError) Unwrap() error { return e.cause }
+
+// hadNoEffect tells whether an error of a request means that the replica was not asked.
+func hadNoEffect(err error) bool {
+	var notBegun *notBegunError
+	return errors.As(err, &notBegun) || errors.Is(err, errTooMany)
+}
+
+// Executor runs functions on the goroutine of the service's session.
+type Executor interface {
+	// Execute has a function called with the session, and returns once the call has begun. After an error it was not
+	// called, and will not be.
+	Execute(f func(*Session)) error
+	// Done is closed when no function is called any more.
+	Done() <-chan struct{}
+}
+
+// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine but the session's may
+// call them.
+type Client struct {
+	manager  *Manager
+	executor Executor
+}
+
+// NewClient returns a client; the manager is nil where the fleet has no say in this controller's configuration.
+func NewClient(manager *Manager, executor Executor) *Client {
+	return &Client{manager: manager, executor: executor}
+}
+
+// Do carries out an operator's request. The error is ErrOff where the fleet has no say in this controller's configuration.
+func (c *Client) Do(request *Request) (Answer, error) {
+	if c.manager == nil {
+		return Answer{}, ErrOff
+	}
+	if request == nil {
+		return Answer{}, errors.New("nothing is asked for")
+	}
+	answer, err := c.dispatch(request)
+	answer.Local = c.manager.Readiness()
+	return answer, err
+}
+
+func (c *Client) dispatch(request *Request) (Answer, error) {
+	switch request.Action {
+	case ActionPut:
+		return c.put(request)
+	case ActionStatus:
+		return c.status()
+	case ActionHistory:
+		return c.history()
+	case ActionShow:
+		return c.show(request.Number)
+	case ActionRollback:
+		return c.rollback(request)
+	default:
+		return Answer{}, fmt.Errorf("%.64q is not known", request.Action)
+	}
+}
+
+// put has a document agreed on as the next version, once it is checked here.
+func (c *Client) put(request *Request) (Answer, error) {
+	if reason := c.unusable(request.Document); reason != "" {
+		return Answer{Result: ResultRefused, Reason: reason}, nil
+	}
+	if request.Expect != nil {
+		return c.propose(request, request.Document, *request.Expect, 0)
+	}
+	history, err := c.history()
+	if err != nil {
+		return history, fmt.Errorf("nothing was proposed: %w", err)
+	}
+	return c.propose(request, request.Document, newest(history.Versions), 0)
+}
+
+// rollback has an earlier document agreed on as the next version.
+func (c *Client) rollback(request *Request) (Answer, error) {
+	history, err := c.history()
+	if err != nil {
+		return history, fmt.Errorf("nothing was proposed: %w", err)
+	}
+	shown, err := c.fetch(history, request.Number)
+	if err != nil {
+		return Answer{}, fmt.Errorf("nothing was proposed: %w", err)
+	}
+	if reason := c.unusable(shown.Document); reason != "" {
+		return Answer{Result: ResultRefused, Reason: reason}, nil
+	}
+	expect := newest(history.Versions)
+	if request.Expect != nil {
+		expect = *request.Expect
+	}
+	return c.propose(request, shown.Document, expect, request.Number)
+}
+
+// unusable tells why a document is not proposed; empty: it may be.
+func (c *Client) unusable(document []byte) string {
+	switch {
+	case len(document) == 0:
+		return "the document is empty"
+	case len(document) > config.MaxDocument:
+		return tooBig(len(document))
+	}
+	if err := c.manager.check(document); err != nil {
+		return problemText(err)
+	}
+	return ""
+}
+
+// propose has a document that was checked agreed on, if the newest version is still the one expected.
+func (c *Client) propose(request *Request, document []byte, expect, rollbackOf uint64) (Answer, error) {
+	v := config.Version{Author: request.Author, Reason: request.Reason, Time: time.Now().UnixMilli(), RollbackOf: rollbackOf}
+	reply, err := c.Call(proposeTimeout, func(now float64, ref uint64, replica *config.Replica) {
+		replica.Propose(now, ref, document, expect, v)
+	})
+	if hadNoEffect(err) {
+		return Answer{}, fmt.Errorf("nothing was proposed: %w", err)
+	}
+	if err != nil {
+		return Answer{Result: ResultUnknown, Reason: err.Error()}, nil
+	}
+	return Answer{
+		Result:  resultName(reply.proposal.Result),
+		Reason:  reply.proposal.Reason,
+		Version: &reply.proposal.Version,
+	}, nil
+}
+
+// status asks the leader where versions are in force.
+func (c *Client) status() (Answer, error) {
+	result, err := c.query(config.QueryStatus)
+	if err != nil {
+		return Answer{}, err
+	}
+	return Answer{Status: result.Answer.Status, From: string(result.From)}, nil
+}
+
+// history asks the leader for the versions that the quorum remembers, oldest first.
+func (c *Client) history() (Answer, error) {
+	result, err := c.query(config.QueryHistory)
+	if err != nil {
+		return Answer{}, err
+	}
+	return Answer{Versions: result.Answer.Versions, From: string(result.From)}, nil
+}
+
+// query asks the leader. The error is ErrNoLeader if it does not answer in time.
+func (c *Client) query(kind config.QueryKind) (*config.QueryResult, error) {
+	reply, err := c.Call(QueryTimeout, func(now float64, ref uint64, replica *config.Replica) { replica.Query(now, ref, kind) })
+	if errors.Is(err, errTimeout) {
+		err = ErrNoLeader
+	}
+	return reply.query, err
+}
+
+// show finds a version's document; number 0 is the newest.
+func (c *Client) show(number uint64) (Answer, error) {
+	history, err := c.history()
+	if err != nil {
+		return history, err
+	}
+	return c.fetch(history, cmp.Or(number, newest(history.Versions)))
+}
+
+// fetch finds the document of a version, here or at a voter.
+func (c *Client) fetch(history Answer, number uint64) (Answer, error) {
+	for _, v := range history.Versions {
+		if v.Number != number {
+			continue
+		}
+		reply, err := c.Call(fetchTimeout, func(now float64, ref uint64, replica *config.Replica) {
+			replica.FetchDocument(now, ref, v.Hash)
+		})
+		if err != nil {
+			return Answer{}, err
+		}
+		if reply.document.Document == nil {
+			return Answer{}, fmt.Errorf("the document of version %d was found at no voter", number)
+		}
+		return Answer{Version: &v, Document: reply.document.Document, From: history.From}, nil
+	}
+	return Answer{}, fmt.Errorf("version %d is not remembered: the quorum has the last %d", number, config.MaxHistory)
+}
+
+// newest is the number of the last version; 0: there is none.
+func newest(versions []config.Version) uint64 {
+	if len(versions) == 0 {
+		return 0
+	}
+	return versions[len(versions)-1].Number
+}
+
+// Reply is the replica's answer to a request; one of its fields is set.
+type Reply struct {
+	proposal *config.ProposalResult
+	query    *config.QueryResult
+	document *config.DocumentResult
+	err      error
+}
+
+// Call has a function put a request to the replica, under the number ref, and waits for the reply. The session ends the
+// wait after the timeout. Unless hadNoEffect tells otherwise, the request may have had its effect after an error.
+func (c *Client) Call(timeout time.Duration, request func(now float64, ref uint64, replica *config.Replica)) (Reply, error) {
+	reply := make(chan Reply, 1)
+	ref := c.manager.lastRef.Add(1)
+	err := c.executor.Execute(func(session *Session) { session.begin(ref, waiter{reply: reply}, timeout, request) })
+	if err != nil {
+		return Reply{}, &notBegunError{err}
+	}
+	timer := time.NewTimer(timeout + replyGrace)
+	defer timer.Stop()
+	select {
+	case received := <-reply:
+		return received, received.err
+	case <-timer.C:
+		return Reply{}, errTimeout
+	case <-c.executor.Done():
+		return Reply{}, errEnding
+	}
+}
--- a/internal/fleet/configstore.go
+++ b/internal/fleet/configuration/folder.go
@@ -1,4 +1,4 @@
-package fleet
+package configuration
 
 import (
 	"errors"
@@ -12,61 +12,70 @@
 	"mintkeel/internal/store/documents"
 )
 
-// configFolderName is the folder of configuration versions within the fleet's folder.
-const configFolderName = "config"
+// FolderName is the name of the folder of configuration versions within the fleet's folder.
+const FolderName = "config"
 
-// configBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes nothing in its first minute.
-var configBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256, Bytes: 4 * config.MaxStored}
+// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes nothing in its first minute.
+var folderBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256, Bytes: 4 * config.MaxStored}
 
-// configRecord is what the folder's record holds: the version to be in force at a start.
-type configRecord struct {
+// currentRecord is what the folder's record holds: the version to be in force at a start.
+type currentRecord struct {
 	Generation uint64         `cbor:"1,keyasint"`
 	Version    config.Version `cbor:"2,keyasint"`
 }
 
 // atLeast tells whether a record is of this version or of a later one of the generation; none is not.
-func (r *configRecord) atLeast(generation uint64, v config.Version) bool {
+func (r *currentRecord) atLeast(generation uint64, v config.Version) bool {
 	if r == nil || r.Generation != generation {
 		return false
 	}
 	return r.Version.Number > v.Number || r.Version.Number == v.Number && r.Version.Hash == v.Hash
 }
 
-// configFolder stores versions. It is used by one goroutine at a time.
-type configFolder struct {
+// recordDecoder reads what this controller wrote itself.
+var recordDecoder = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	return mode
+}()
+
+// Folder stores versions. It is used by one goroutine at a time.
+type Folder struct {
 	folder     *documents.Folder
-	generation uint64
+	generation uint64             // of the fleet
 	earlier    *documents.Current // of another generation: it counts at a start until a version of this one does
-	unremoved  []config.Hash      // that could not be removed yet
+	unremoved  []config.Hash      // documents that could not be removed yet
 }
 
-// configContents is what a folder held when it was opened.
-type configContents struct {
-	record    *configRecord // nil: none
-	document  []byte        // of the record
+// Contents is what a folder held when it was opened.
+type Contents struct {
+	record    *currentRecord // nil: none
+	document  []byte         // of the record
 	documents map[config.Hash][]byte
-	damaged   int
+	damaged   int // files that were dropped
 }
 
-// openConfigFolder takes the folder for this process and reads it.
-func openConfigFolder(d disk.Disk, generation uint64) (*configFolder, configContents, error) {
+// OpenFolder takes the folder for this process and reads it.
+func OpenFolder(d disk.Disk, generation uint64) (*Folder, Contents, error) {
 	if err := d.Make(); err != nil {
-		return nil, configContents{}, err
+		return nil, Contents{}, err
 	}
-	folder, stored, err := documents.Open(d, configBounds)
+	folder, stored, err := documents.Open(d, folderBounds)
 	if err != nil {
-		return nil, configContents{}, err
+		return nil, Contents{}, err
 	}
-	f := &configFolder{folder: folder, generation: generation}
-	contents := configContents{documents: map[config.Hash][]byte{}, damaged: stored.Damaged}
+	f := &Folder{folder: folder, generation: generation}
+	contents := Contents{documents: map[config.Hash][]byte{}, damaged: stored.Damaged}
 	for hash, document := range stored.Documents {
 		contents.documents[config.Hash(hash)] = document
 	}
 	if stored.Current == nil {
 		return f, contents, nil
 	}
-	var record configRecord
-	err = recordForm.Unmarshal(stored.Current.Record, &record)
+	var record currentRecord
+	err = recordDecoder.Unmarshal(stored.Current.Record, &record)
 	if err != nil || record.Version.Number == 0 || record.Version.Hash != config.Hash(stored.Current.Document) {
 		contents.damaged++
 		return f, contents, nil
@@ -78,8 +87,8 @@
 	return f, contents, nil
 }
 
-// store carries out a request. Nothing is removed before the rest is durable.
-func (f *configFolder) store(request *config.StoreRequest) error {
+// Store carries out a request. Nothing is removed before the rest is durable.
+func (f *Folder) Store(request *config.StoreRequest) error {
 	if err := faultinjection.BeforeSave(); err != nil {
 		return err
 	}
@@ -98,18 +107,18 @@
 }
 
 // setCurrent has a version be the one to be in force at a start. One of number 0 is none of this generation.
-func (f *configFolder) setCurrent(v config.Version) error {
+func (f *Folder) setCurrent(v config.Version) error {
 	if v.Number == 0 {
 		return f.clearCurrent()
 	}
-	record, err := cbor.Marshal(configRecord{Generation: f.generation, Version: v})
+	record, err := cbor.Marshal(currentRecord{Generation: f.generation, Version: v})
 	if err != nil {
 		return err
 	}
 	return f.folder.SetCurrent(documents.Current{Document: documents.Hash(v.Hash), Record: record})
 }
 
-func (f *configFolder) clearCurrent() error {
+func (f *Folder) clearCurrent() error {
 	if f.earlier != nil {
 		if err := f.folder.SetCurrent(*f.earlier); !errors.Is(err, documents.ErrNotFound) {
 			return err
@@ -119,7 +128,7 @@
 }
 
 // remove lets documents go. One that can't be removed is tried again with the next request, unless it was stored again.
-func (f *configFolder) remove(request *config.StoreRequest) {
+func (f *Folder) remove(request *config.StoreRequest) {
 	hashes := slices.Concat(f.unremoved, request.Remove)
 	f.unremoved = nil
 	for _, hash := range hashes {
@@ -132,5 +141,5 @@
 	}
 }
 
-// close lets others have the folder.
-func (f *configFolder) close() { f.folder.Close() }
+// Close lets others have the folder.
+func (f *Folder) Close() { f.folder.Close() }
--- /dev/null
+++ b/internal/fleet/configuration/open.go
@@ -0,0 +1,152 @@
+package configuration
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/core/fleet/node"
+)
+
+const (
+	storedAttempts     = 5                      // to apply the version that the folder has
+	storedRetryBackoff = 200 * time.Millisecond // between two of them
+)
+
+// OpenSession reads the folder, has the version that is to be in force at a start applied, and tells what the core begins
+// with. It waits for the disk and for Host.Apply, until the context ends. For a nil Manager the session and the facts are
+// nil. A session that was opened must be closed, also if the core does not start.
+func (m *Manager) OpenSession(ctx context.Context, environment Environment) (*Session, *node.FleetConfig, error) {
+	if m == nil {
+		return nil, nil, nil
+	}
+	s := &Session{
+		Environment: environment,
+		manager:     m,
+		ctx:         ctx,
+		checked:     make(chan Check, 1),
+		stored:      make(chan error, 1),
+		applied:     make(chan error, 1),
+		waiters:     map[uint64]waiter{},
+	}
+	stored, err := s.open()
+	if err != nil {
+		s.Close()
+		return nil, nil, fmt.Errorf("folder of configuration: %w", err)
+	}
+	return s, &node.FleetConfig{Stored: stored}, nil
+}
+
+func (s *Session) open() (config.StoredState, error) {
+	contents, err := s.openFolder()
+	if err != nil {
+		return config.StoredState{}, err
+	}
+	s.manager.damaged.Add(int64(contents.damaged))
+	if contents.damaged > 0 {
+		s.Log.Error("fleet: stored configuration was damaged, and is dropped", "files", contents.damaged)
+	}
+	s.applyStored(contents)
+	stored, err := s.storedState(contents)
+	if err != nil {
+		return stored, err
+	}
+	s.manager.readiness.Store(&config.Readiness{Number: stored.Current.Number, Latest: stored.Current.Number})
+	return stored, nil
+}
+
+// openFolder opens the folder, unless the service ends first: a disk that hangs is left to the system.
+func (s *Session) openFolder() (Contents, error) {
+	type opened struct {
+		folder   *Folder
+		contents Contents
+		err      error
+	}
+	result := make(chan opened, 1)
+	go func() {
+		var o opened
+		o.folder, o.contents, o.err = OpenFolder(s.manager.disk, s.Generation)
+		if o.err == nil {
+			o.err = s.FleetFolder.Sync() // the folder of versions itself is to last
+		}
+		result <- o
+	}()
+	select {
+	case o := <-result:
+		s.folder = o.folder
+		return o.contents, o.err
+	case <-s.ctx.Done():
+		go func() {
+			if o := <-result; o.folder != nil {
+				o.folder.Close()
+			}
+		}()
+		return Contents{}, errEnding
+	}
+}
+
+// applyStored applies the version that the folder has. Where that fails what is in force stays: the replica takes the
+// version again, or refuses it, once it has heard of it.
+func (s *Session) applyStored(contents Contents) {
+	if contents.record == nil {
+		return
+	}
+	record := *contents.record
+	next := Applied{Generation: record.Generation, Version: record.Version, Document: contents.document}
+	for attempt := 1; ; attempt++ {
+		result := make(chan error, 1)
+		go func() { result <- s.manager.Apply(s.ctx, next) }()
+		var err error
+		select {
+		case err = <-result:
+		case <-s.ctx.Done():
+			return
+		}
+		switch {
+		case err == nil || errors.Is(err, ErrOlder):
+			return
+		case !errors.Is(err, ErrRetryable) || attempt == storedAttempts:
+			s.Log.Error("fleet: the stored version of the configuration can't be used", "version", record.Version.Number,
+				"generation", record.Generation, "why", problemText(err))
+			return
+		}
+		select {
+		case <-time.After(storedRetryBackoff):
+		case <-s.ctx.Done():
+			return
+		}
+	}
+}
+
+// storedState is what the replica begins with: what is in force here, which an earlier session may have applied after its
+// folder failed; then it is stored first. Versions of another generation do not count.
+func (s *Session) storedState(contents Contents) (config.StoredState, error) {
+	state := config.StoredState{Documents: contents.documents}
+	inForce := s.manager.applied.Load()
+	if inForce == nil || inForce.Generation != s.Generation {
+		return state, nil
+	}
+	v := inForce.Version
+	state.Current = v
+	request := config.StoreRequest{Hash: v.Hash}
+	if state.Documents[v.Hash] == nil {
+		request.Document = inForce.Document
+		state.Documents[v.Hash] = inForce.Document
+	}
+	if !contents.record.atLeast(s.Generation, v) {
+		request.Current = &v
+	}
+	if request.Document == nil && request.Current == nil {
+		return state, nil
+	}
+	s.beginStore(&request)
+	select {
+	case err := <-s.stored:
+		s.storing = false
+		return state, err
+	case <-s.ctx.Done():
+		return state, errEnding
+	}
+}
--- /dev/null
+++ b/internal/fleet/control/client.go
@@ -0,0 +1,43 @@
+package control
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"time"
+)
+
+// maxAnswerBytes bounds what a command reads of an answer.
+const maxAnswerBytes = 16 << 20
+
+// Call asks the controller whose folder this is. The error may be one of the controller; then the status is set as well,
+// as far as the controller told it.
+func Call(ctx context.Context, folder string, r Request) (Status, error) {
+	if r.Config != nil {
+		if refused := r.Config.RefuseTooBig(); refused != nil {
+			return Status{Config: refused}, nil
+		}
+	}
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "unix", filepath.Join(folder, socketName))
+	if err != nil {
+		return Status{}, fmt.Errorf("no controller answers in %s: %w", folder, err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(r.maxDuration() + socketTimeout + Timeout)) // later than the controller's own
+	if err := json.NewEncoder(conn).Encode(r); err != nil {
+		return Status{}, err
+	}
+	var status Status
+	if err := json.NewDecoder(io.LimitReader(conn, maxAnswerBytes)).Decode(&status); err != nil {
+		return Status{}, fmt.Errorf("answer of the controller: %w", err)
+	}
+	if status.Error != "" {
+		return status, errors.New(status.Error)
+	}
+	return status, nil
+}
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/control/stored_test.go
@@ -1,8 +1,7 @@
-package fleet
+package control
 
-// A rename or a reordering of fields can change what a controller stores of the fleet's configuration, and what it tells
-// operators. It shows only with a folder, or a program, of an earlier build. These tests compare with what an earlier
-// build wrote.
+// A rename of fields can change what operators' scripts read and write. It shows only beside a program of an earlier
+// build. This test compares with what an earlier build wrote.
 
 import (
 	"crypto/sha256"
@@ -15,9 +14,9 @@
 
 	"mintkeel/internal/core/fleet/config"
 	core "mintkeel/internal/core/fleet/maintenance"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/lab/golden"
-	"mintkeel/internal/store/disk"
 )
 
 func storedPlan() core.Plan {
@@ -43,48 +42,6 @@
 		ID: config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11}}
 }
 
-// TestStoredConfigFolderIsReadable reads a folder of configuration versions of an earlier build, and writes the same
-// versions to the same files.
-func TestStoredConfigFolderIsReadable(t *testing.T) {
-	const generation = 3
-	document := []byte("log {\n  level = \"warn\"\n}\n")
-	version := versionOfDocument(document)
-	golden.AllSet(t, configRecord{Generation: generation, Version: version})
-
-	written := filepath.Join(t.TempDir(), "config")
-	folder, _, err := openConfigFolder(disk.Folder(written), generation)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer folder.close()
-	request := &config.StoreRequest{Hash: version.Hash, Document: document, Current: &version}
-	if err := folder.store(request); err != nil {
-		t.Fatal(err)
-	}
-	for _, name := range []string{"current", "document-" + version.Hash.String()} {
-		content, err := os.ReadFile(filepath.Join(written, name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		golden.File(t, filepath.Join("config", name), content)
-	}
-
-	read := t.TempDir() // a folder is opened with a lock in it
-	if err := os.CopyFS(read, os.DirFS("testdata/config")); err != nil {
-		t.Fatal(err)
-	}
-	opened, contents, err := openConfigFolder(disk.Folder(read), generation)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer opened.close()
-	want := configContents{record: &configRecord{Generation: generation, Version: version}, document: document,
-		documents: map[config.Hash][]byte{version.Hash: document}}
-	if !reflect.DeepEqual(contents, want) {
-		t.Errorf("read: %+v\nstored: %+v", contents, want)
-	}
-}
-
 // storedRequests are requests of operators, one with each part.
 func storedRequests() map[string]Request {
 	expect := uint64(6)
@@ -92,7 +49,7 @@
 		"maintenance": {Action: "maintenance", Lease: "digest", To: "n2", Old: "n1",
 			Maintenance: &maintenance.Request{Action: "plan", Plans: []core.Plan{storedPlan()}, Name: "kernel"}},
 		"config": {Action: "config", Lease: "digest", To: "n2", Old: "n1",
-			Config: &ConfigOrder{Action: ConfigPut, Document: []byte("log {\n}\n"), Expect: &expect, Number: 5,
+			Config: &configuration.Request{Action: configuration.ActionPut, Document: []byte("log {\n}\n"), Expect: &expect, Number: 5,
 				Author: "ann", Reason: "more room"}},
 	}
 }
@@ -107,11 +64,11 @@
 		Problems: []string{"a plan selects nothing"}, Error: "not held"}
 }
 
-func storedConfigAnswer() *ConfigAnswer {
+func storedConfigAnswer() *configuration.Answer {
 	document := []byte("log {\n}\n")
 	version := versionOfDocument(document)
 	report := config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
-	return &ConfigAnswer{Result: ConfigLost, Reason: "another was first", Version: &version,
+	return &configuration.Answer{Result: configuration.ResultLost, Reason: "another was first", Version: &version,
 		Local: config.Readiness{Confirmed: true, Number: 6, Latest: 7},
 		Status: &config.Status{Latest: version, Members: 9, InForce: 8, ByVersion: map[uint64]int{6: 1, 7: 8},
 			Rejected: []config.ControllerReport{report}, Behind: []config.ControllerReport{report},
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -6,8 +6,8 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// SetLeases says anew which leases the fleet is to have, in place of those of the block. It counts while this controller
-// leads the quorum, and is taken in with the next tick.
+// SetLeases sets which leases the fleet is to have, in place of those of the block. It counts while this controller
+// leads the quorum, and from the next tick on.
 func (s *Service) SetLeases(names []lease.Name) {
 	names = slices.Clone(names)
 	s.leases.Store(&names)
@@ -21,10 +21,12 @@
 	return s.block.Leases
 }
 
-// updateLeases takes in what SetLeases said since the last call.
-func (in *session) updateLeases() {
-	if names := in.Service.leases.Load(); names != in.leases {
-		in.leases = names
-		in.core.SetLeases(in.now(), *names)
+// updateLeases hands on the names of SetLeases, if they were set since the last call.
+func (s *session) updateLeases() {
+	names := s.leases.Load()
+	if names == s.knownLeases {
+		return
 	}
+	s.knownLeases = names
+	s.core.SetLeases(s.Now(), *names)
 }
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"mintkeel/internal/core/fleet/lease"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/lab/loopback"
 )
 
@@ -33,7 +34,7 @@
 	await := func(want ...string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			status, err := Call(context.Background(), filepath.Join(dir, "n0"), Request{Action: "status"})
+			status, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "status"})
 			var listed []string
 			for _, w := range status.Leases {
 				listed = append(listed, w.Lease)
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -1,103 +1,118 @@
 package fleet
 
 import (
+	"github.com/fxamacker/cbor/v2"
+
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/core/fleet/node"
 )
 
-// mostOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying one out may lead to
+// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying one out may lead to
 // another.
-const mostOutputs = 8
+const maxOutputs = 8
 
 // carryOut does what the core asks for.
-func (in *session) carryOut() error {
-	for range mostOutputs {
-		out := in.core.Take()
-		for _, m := range out.Messages {
-			in.send(m)
+func (s *session) carryOut() error {
+	for range maxOutputs {
+		out := s.core.Take()
+		for _, envelope := range out.Messages {
+			s.send(envelope)
 		}
-		in.tellLeases(out)
-		in.logMembers(out.Changes)
-		in.tellJobs(out)
-		in.carryOutConfig(out.Config)
-		persisted, err := in.persist(out)
+		s.notifyLeases(out)
+		s.logMembers(out.Changes)
+		s.notifyJobs(out)
+		s.config.CarryOut(out.Config)
+		advanced, err := s.persist(out)
 		if err != nil {
 			return err
 		}
-		told := len(out.Began)+len(out.Ended)+len(out.Effects)+len(out.JobMessages)+len(out.Checkpoints) > 0
-		if !told && !persisted {
+		notified := len(out.Began)+len(out.Ended)+len(out.Effects)+len(out.JobMessages)+len(out.Checkpoints) > 0
+		if !notified && !advanced {
 			break
 		}
 	}
 	return nil
 }
 
-// tellLeases tells the jobs which leases this controller came to hold, and which it holds no more.
-func (in *session) tellLeases(out node.Output) {
-	for _, c := range out.Began {
-		in.Service.log.Info("fleet: holds a lease", "lease", string(c.Name), "token", uint64(c.Token))
-		for _, p := range in.jobs {
-			p.Began(in, c)
+// send sends a message of the core. To a voter whose address is not known yet it goes by the block.
+func (s *session) send(envelope node.Envelope) {
+	payload, err := cbor.Marshal(envelope.Message)
+	if err != nil {
+		return
+	}
+	addr := envelope.Addr
+	if addr == "" {
+		addr = s.block.Voters[envelope.To]
+	}
+	s.links.Send(envelope.To, addr, payload)
+}
+
+// notifyLeases tells the jobs which leases this controller came to hold, and which it holds no more.
+func (s *session) notifyLeases(out node.Output) {
+	for _, grant := range out.Began {
+		s.log.Info("fleet: holds a lease", "lease", string(grant.Name), "token", uint64(grant.Token))
+		for _, j := range s.jobs {
+			j.Began(s, grant)
 		}
 	}
-	for _, c := range out.Ended {
-		in.Service.log.Info("fleet: lease ended", "lease", string(c.Name), "token", uint64(c.Token))
-		for _, p := range in.jobs {
-			p.Ended(c)
+	for _, grant := range out.Ended {
+		s.log.Info("fleet: lease ended", "lease", string(grant.Name), "token", uint64(grant.Token))
+		for _, j := range s.jobs {
+			j.Ended(grant)
 		}
 	}
 }
 
-// logMembers logs members that are new, or of which another state is believed now.
-func (in *session) logMembers(changes []members.Change) {
+// logMembers logs members that are new, or whose state has changed.
+func (s *session) logMembers(changes []members.Change) {
 	for _, c := range changes {
 		if c.Member.State != c.Previous || c.New {
-			in.Service.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Previous.String(),
+			s.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Previous.String(),
 				"new", c.New)
 		}
 	}
 }
 
-// tellJobs hands the jobs what came for them.
-func (in *session) tellJobs(out node.Output) {
-	for _, t := range out.Effects {
-		in.counts.effects.Add(1)
-		for _, p := range in.jobs {
-			p.EffectReceived(in, t.From, t.Effect)
+// notifyJobs hands the jobs what came for them.
+func (s *session) notifyJobs(out node.Output) {
+	for _, received := range out.Effects {
+		s.counts.effects.Add(1)
+		for _, j := range s.jobs {
+			j.EffectReceived(s, received.From, received.Effect)
 		}
 	}
-	for _, r := range out.EffectResponses {
-		if !r.Accepted {
-			in.counts.turned.Add(1)
+	for _, response := range out.EffectResponses {
+		if !response.Accepted {
+			s.counts.rejected.Add(1)
 		}
-		for _, p := range in.jobs {
-			p.VerdictReceived(r)
+		for _, j := range s.jobs {
+			j.VerdictReceived(response)
 		}
 	}
-	for _, m := range out.JobMessages {
-		for _, p := range in.jobs {
-			if p.MessageReceived(in, m.From, m.Data) {
+	for _, message := range out.JobMessages {
+		for _, j := range s.jobs {
+			if j.MessageReceived(s, message.From, message.Data) {
 				break
 			}
 		}
 	}
-	for _, s := range out.Checkpoints {
-		for _, p := range in.jobs {
-			p.StateReceived(in, s)
+	for _, checkpoint := range out.Checkpoints {
+		for _, j := range s.jobs {
+			j.StateReceived(s, checkpoint)
 		}
 	}
 }
 
-// persist has the quorum's next record written beside the loop. Where there is none to be written the batch is over at
-// once, which again tells.
-func (in *session) persist(out node.Output) (again bool, err error) {
+// persist has the quorum's next record written beside the loop. Where a batch has none the core goes on at once, and
+// advanced is true: it may have more outputs.
+func (s *session) persist(out node.Output) (advanced bool, err error) {
 	switch {
 	case out.Compaction != nil:
-		return false, in.keep(writeRequest{whole: true, record: out.Compaction}, out.Compaction)
+		return false, s.storage.begin(writeRequest{replace: true, compaction: out.Compaction}, out.Compaction)
 	case out.Ready != nil && out.Ready.Record != nil:
-		return false, in.keep(writeRequest{whole: out.Ready.Record.Full, batch: out.Ready}, out.Ready.Record)
+		return false, s.storage.begin(writeRequest{replace: out.Ready.Record.Full, batch: out.Ready}, out.Ready.Record)
 	case out.Ready != nil:
-		in.core.Advance(in.now(), out.Ready)
+		s.core.Advance(s.Now(), out.Ready)
 		return true, nil
 	}
 	return false, nil
--- a/internal/fleet/service_test.go
+++ b/internal/fleet/service_test.go
@@ -14,6 +14,7 @@
 
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/fleet/control"
 )
 
 func blockOf(t *testing.T, dir string, i int, addrs []string) *Block {
@@ -61,7 +62,7 @@
 			if closed[s] {
 				continue
 			}
-			st, err := Call(context.Background(), filepath.Join(dir, fmt.Sprint("n", i)), Request{Action: "status"})
+			st, err := control.Call(context.Background(), filepath.Join(dir, fmt.Sprint("n", i)), control.Request{Action: "status"})
 			if err == nil && len(st.Holds) > 0 {
 				return st.Self
 			}
@@ -82,12 +83,12 @@
 	if first == to {
 		to = "n1"
 	}
-	if _, err := Call(context.Background(), filepath.Join(dir, "n2"), Request{Action: "handover", Lease: "w", To: to}); err != nil {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), control.Request{Action: "handover", Lease: "w", To: to}); err != nil {
 		t.Fatal(err)
 	}
 	wait("not handed over", func(o string) bool { return o == to })
-	for _, bad := range []Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover", Lease: "w", To: "z"}, {Action: "trust"}, {Action: "jump"}, {Action: "replace", Old: "z"}} {
-		if _, err := Call(context.Background(), filepath.Join(dir, "n2"), bad); err == nil {
+	for _, bad := range []control.Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover", Lease: "w", To: "z"}, {Action: "trust"}, {Action: "jump"}, {Action: "replace", Old: "z"}} {
+		if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), bad); err == nil {
 			t.Errorf("%+v is done", bad)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/session.go
@@ -0,0 +1,177 @@
+package fleet
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"mintkeel/internal/core/fleet/lease"
+	"mintkeel/internal/core/fleet/members"
+	"mintkeel/internal/core/fleet/node"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/faultinjection"
+	"mintkeel/internal/store/disk"
+)
+
+const (
+	tickInterval = 100.0 // ms between two ticks of jobs and configuration
+	minWait      = 0.5   // ms that the loop waits for at least
+)
+
+// session is one run of the core. It belongs to the goroutine of Service.run.
+type session struct {
+	*Service
+	core        *node.Node
+	storage     *storage
+	config      *configuration.Session // nil: the fleet has no say in this controller's configuration
+	knownLeases *[]lease.Name          // that the core was given by SetLeases; nil: those of the block
+	nextTick    float64                // ms, when jobs and configuration are called again
+}
+
+// runSession runs the core until the service ends or its disk fails.
+func (s *Service) runSession(run uint64) error {
+	session := &session{Service: s}
+	defer func() { session.config.Close() }()
+	storage, records, err := openStorage(disk.Folder(s.block.Folder), s.log)
+	if err != nil {
+		return err
+	}
+	defer storage.close()
+	session.storage = storage
+	var stored *node.FleetConfig
+	session.config, stored, err = s.config.OpenSession(s.ctx, configuration.Environment{
+		Generation:  s.block.Generation,
+		FleetFolder: disk.Folder(s.block.Folder),
+		Now:         session.Now,
+		Log:         s.log,
+	})
+	if err != nil {
+		return err
+	}
+	coreConfig := s.coreConfig(run) // by now the version in force may have set other leases
+	coreConfig.FleetConfig = stored
+	err = safely(func() (err error) {
+		session.core, err = node.New(coreConfig, records, nil, session.Now())
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	session.config.Start(session.core)
+	role, reason := session.core.Quorum().Role()
+	s.log.Info("fleet: taking part", "fleet", s.block.Name, "generation", s.block.Generation, "run", run, "quorum", role.String(),
+		"why", reason)
+	if s.stop.Load() {
+		session.core.Stop(session.Now())
+	}
+	err = safely(session.loop)
+	session.endLeases()
+	return err
+}
+
+// coreConfig is what a core begins with, but for the fleet's configuration. The founders are the voters of the block, in
+// the same order at each controller.
+func (s *Service) coreConfig(run uint64) node.Config {
+	c := node.Config{
+		Self:        members.Member{ID: s.self, Addr: s.block.Advertise, Willing: s.block.Willing, Run: run},
+		Leases:      s.wantedLeases(),
+		LeaseTiming: lease.Timing{Duration: float64(s.block.Lease) / float64(time.Millisecond)},
+		Membership:  members.DefaultConfig(),
+		NextDisk:    randomNonZero(),
+		Seed:        int64(randomNonZero() >> 1),
+	}
+	for id := range s.block.Voters {
+		c.Founders = append(c.Founders, id)
+	}
+	slices.Sort(c.Founders)
+	for _, id := range c.Founders {
+		c.Seeds = append(c.Seeds, members.Member{ID: id, Addr: s.block.Voters[id]})
+	}
+	return c
+}
+
+// safely runs a part of the core. The consensus library panics where it finds its state broken, which it may be by a disk or a
+// peer: that ends this controller's part in the fleet for a while, and must not end the serving of clients.
+func safely(f func() error) (err error) {
+	defer func() {
+		if x := recover(); x != nil {
+			err = fmt.Errorf("the agreement finds itself broken: %v", x)
+		}
+	}()
+	return f()
+}
+
+// loop has the core take in one event after another, and carries out what follows from each.
+func (s *session) loop() error {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-s.ctx.Done():
+			return nil
+		case f := <-s.inbox:
+			f(s)
+		case result := <-s.storage.results:
+			if err := s.writeEnded(result); err != nil {
+				return err
+			}
+		case check := <-s.config.Checked():
+			s.config.CheckEnded(check)
+		case err := <-s.config.Stored():
+			s.config.StoreEnded(err)
+		case err := <-s.config.Applied():
+			s.config.ApplyEnded(err)
+		case <-timer.C:
+			s.core.Tick(s.Now())
+		}
+		if err := s.carryOut(); err != nil {
+			return err
+		}
+		now := s.Now()
+		if now >= s.nextTick {
+			s.nextTick = now + tickInterval
+			if err := s.tick(now); err != nil {
+				return err
+			}
+		}
+		wait := max(minWait, min(s.core.Next(), s.nextTick)-now)
+		timer.Reset(time.Duration(wait * float64(time.Millisecond)))
+	}
+}
+
+// tick calls what is done at intervals.
+func (s *session) tick(now float64) error {
+	s.updateLeases()
+	for _, j := range s.jobs {
+		j.Tick(s, now)
+	}
+	s.config.Observe()
+	return s.carryOut()
+}
+
+// writeEnded has the core go on after a record became durable. A record that could not be written ends the session.
+func (s *session) writeEnded(result writeResult) error {
+	s.storage.saving = false
+	if result.err != nil {
+		return fmt.Errorf("record not kept: %w", result.err)
+	}
+	s.counts.saves.Add(1)
+	if result.compaction != nil {
+		s.core.Compacted(s.Now(), result.compaction)
+	} else {
+		s.core.Advance(s.Now(), result.batch)
+	}
+	return nil
+}
+
+// endLeases tells the jobs that this controller holds no lease any more.
+func (s *session) endLeases() {
+	for _, grant := range s.core.Held(s.Now()) {
+		for _, j := range s.jobs {
+			j.Ended(grant)
+		}
+	}
+}
+
+// Now is the steady clock in ms.
+func (s *session) Now() float64 { return faultinjection.Now() }
--- a/internal/lab/fleet/configuration_processes.go
+++ b/internal/lab/fleet/configuration_processes.go
@@ -18,7 +18,8 @@
 
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/core/fleet/members"
-	"mintkeel/internal/fleet"
+	fleetconfiguration "mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/lab/fleet/configuration"
 )
 
@@ -116,7 +117,7 @@
 	case RollBack:
 		if expect >= 2 {
 			back := expect - min(expect-1, uint64(1+f.B%4))
-			r.changeConfig(n, fleet.ConfigOrder{Action: fleet.ConfigRollback, Number: back, Expect: &expect}, nil)
+			r.changeConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionRollback, Number: back, Expect: &expect}, nil)
 		}
 	case AskStatus:
 		r.configStatus(n)
@@ -128,7 +129,7 @@
 // known is the newest version that an operator at a controller knows of.
 func (r *rig) known(n *machineProc) uint64 {
 	var latest config.Version
-	if a, err := r.askConfig(n, fleet.ConfigOrder{Action: fleet.ConfigHistory}); err == nil && len(a.Versions) > 0 {
+	if a, err := r.askConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory}); err == nil && len(a.Versions) > 0 {
 		latest = a.Versions[len(a.Versions)-1]
 	}
 	r.mu.Lock()
@@ -141,10 +142,10 @@
 }
 
 // askConfig asks a controller, which may be down.
-func (r *rig) askConfig(n *machineProc, order fleet.ConfigOrder) (*fleet.ConfigAnswer, error) {
+func (r *rig) askConfig(n *machineProc, order fleetconfiguration.Request) (*fleetconfiguration.Answer, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, 30*time.Second)
 	defer cancel()
-	s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "config", Config: &order})
+	s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "config", Config: &order})
 	if err != nil {
 		return nil, err
 	}
@@ -171,12 +172,12 @@
 		r.config.unusable[shortened(config.HashOf([]byte(text)))] = true
 		r.mu.Unlock()
 	}
-	r.changeConfig(n, fleet.ConfigOrder{Action: fleet.ConfigPut, Document: []byte(text), Expect: &expect}, []byte(text))
+	r.changeConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionPut, Document: []byte(text), Expect: &expect}, []byte(text))
 }
 
 // changeConfig has an operator ask for a change, and writes down what was proposed and told. The document of a rollback is
 // that of the version it goes back to.
-func (r *rig) changeConfig(n *machineProc, order fleet.ConfigOrder, document []byte) {
+func (r *rig) changeConfig(n *machineProc, order fleetconfiguration.Request, document []byte) {
 	r.mu.Lock()
 	r.config.proposals++
 	reason := fmt.Sprintf("change %d", r.config.proposals)
@@ -207,11 +208,11 @@
 
 func resultOf(text string) config.Result {
 	switch text {
-	case fleet.ConfigAgreed:
+	case fleetconfiguration.ResultAgreed:
 		return config.Committed
-	case fleet.ConfigLost:
+	case fleetconfiguration.ResultLost:
 		return config.Conflict
-	case fleet.ConfigRefused:
+	case fleetconfiguration.ResultRefused:
 		return config.Rejected
 	}
 	return config.Unknown
@@ -227,7 +228,7 @@
 
 // configStatus asks a controller for the status, writes it down and returns it; nil: there is none.
 func (r *rig) configStatus(n *machineProc) *config.Status {
-	a, err := r.askConfig(n, fleet.ConfigOrder{Action: fleet.ConfigState})
+	a, err := r.askConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionStatus})
 	if err != nil || a.Status == nil {
 		return nil
 	}
@@ -310,7 +311,7 @@
 	newest := max(r.known(r.nodes[0]), least)
 	for _, n := range r.nodes {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
-		s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "config", Config: &fleet.ConfigOrder{Action: fleet.ConfigHistory}})
+		s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "config", Config: &fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory}})
 		cancel()
 		switch {
 		case err != nil:
@@ -340,7 +341,7 @@
 
 // survivedConfig writes down the history as the leader tells it at the end.
 func (r *rig) survivedConfig() {
-	a, err := r.askConfig(r.nodes[0], fleet.ConfigOrder{Action: fleet.ConfigHistory})
+	a, err := r.askConfig(r.nodes[0], fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory})
 	if err != nil {
 		r.broke("no history at the end: %v", err)
 		return
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -13,7 +13,7 @@
 	"time"
 
 	core "mintkeel/internal/core/fleet/maintenance"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/lab/standin"
 )
@@ -129,7 +129,7 @@
 		why := ""
 		for _, n := range r.nodes {
 			ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
-			s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "maintenance", Maintenance: &o})
+			s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &o})
 			if cancel(); err == nil && s.Maintenance != nil {
 				r.tell("%s done, conducted by %s", o.Action, s.Maintenance.Holder)
 				return
@@ -210,7 +210,7 @@
 			status := "nobody tells"
 			for _, n := range r.nodes {
 				ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
-				s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "maintenance", Maintenance: &maintenance.Request{Action: "status"}})
+				s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &maintenance.Request{Action: "status"}})
 				if cancel(); err == nil {
 					status = fmt.Sprintf("%+v", *s.Maintenance)
 					break
--- a/internal/lab/fleet/processes_faults.go
+++ b/internal/lab/fleet/processes_faults.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 )
 
 func (r *rig) play() {
@@ -142,8 +142,8 @@
 	const within = 2 * time.Second
 	ctx, cancel := context.WithTimeout(r.ctx, within)
 	defer cancel()
-	request := fleet.Request{Action: "handover", Lease: fmt.Sprintf("work-%d", f.N%r.Leases), To: r.nodes[f.B].name}
-	fleet.Call(ctx, filepath.Join(n.dir, "fleet"), request)
+	request := control.Request{Action: "handover", Lease: fmt.Sprintf("work-%d", f.N%r.Leases), To: r.nodes[f.B].name}
+	control.Call(ctx, filepath.Join(n.dir, "fleet"), request)
 }
 
 // networkFault has the switch do something until a time, and tells whether the fault is one of the network.
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -14,7 +14,7 @@
 
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/fleet/node"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/lab/standin"
 )
 
@@ -171,7 +171,7 @@
 	owners := map[string]int{}
 	for _, n := range r.nodes {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
-		s, err := fleet.Call(ctx, filepath.Join(n.dir, "fleet"), fleet.Request{Action: "status"})
+		s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "status"})
 		cancel()
 		if err != nil {
 			return fmt.Sprintf("%s: %v", n.name, err)
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -11,7 +11,8 @@
 	"time"
 
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/lab/scale/slope"
 )
 
@@ -45,8 +46,8 @@
 	return slices.Clone(h.applied)
 }
 
-func (h *host) host() *fleet.ConfigHost {
-	return &fleet.ConfigHost{Check: func([]byte) error { return nil }, Apply: h.apply}
+func (h *host) host() *configuration.Host {
+	return &configuration.Host{Check: func([]byte) error { return nil }, Apply: h.apply}
 }
 
 // Put has a controller of this share propose a document, and tells the number of the version that was agreed on.
@@ -57,8 +58,8 @@
 	if c == nil {
 		return 0, fmt.Errorf("n%d does not run here", number)
 	}
-	order := fleet.ConfigOrder{Action: fleet.ConfigPut, Document: document, Author: "rig", Reason: "measurement"}
-	status, err := c.service.Ask(fleet.Request{Action: "config", Config: &order})
+	order := configuration.Request{Action: configuration.ActionPut, Document: document, Author: "rig", Reason: "measurement"}
+	status, err := c.service.Ask(control.Request{Action: "config", Config: &order})
 	switch {
 	case err != nil:
 		return 0, err
--- a/internal/lab/scale/hollow/controller.go
+++ b/internal/lab/scale/hollow/controller.go
@@ -10,6 +10,8 @@
 
 	"mintkeel/internal/core/fleet/members"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
 	"mintkeel/internal/fleet/job"
 	"mintkeel/internal/fleet/sharedstatistics"
 )
@@ -55,7 +57,7 @@
 		learner := sharedstatistics.Host{Source: statistics{s.Engines, s.TableGroups}, Settings: 1, Log: log}
 		jobs = append(jobs, sharedstatistics.NewJob(learner))
 	}
-	var configHost *fleet.ConfigHost
+	var configHost *configuration.Host
 	if s.Configured {
 		configHost = c.host.host()
 	}
@@ -76,7 +78,7 @@
 }
 
 func (c *controller) standing() (Standing, error) {
-	status, err := c.service.Ask(fleet.Request{Action: "status"})
+	status, err := c.service.Ask(control.Request{Action: "status"})
 	if err != nil {
 		return Standing{}, fmt.Errorf("n%d: %w", c.number, err)
 	}
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -11,6 +11,7 @@
 	"mintkeel/internal/core/fleet/config"
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
@@ -21,7 +22,7 @@
 func localOf(maintained *maintenance.Block, leases ...lease.Name) Local {
 	return Local{Name: "n7", File: &File{Log: logs.DefaultBlock(), Memory: &memory.Block{Folder: "/own", Interval: time.Second},
 		Fleet:  &fleet.Block{Name: "east", Folder: "/f", Leases: leases, Lease: 3 * time.Second, Willing: true},
-		Config: &fleet.ConfigBlock{Wait: time.Second}, Maintenance: maintained}}
+		Config: &configuration.Block{Wait: time.Second}, Maintenance: maintained}}
 }
 
 // places are the problems of an error as line:column field.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,6 +13,7 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/rules"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
 	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
@@ -57,7 +58,7 @@
 	// Maintenance is nil if the controller takes no part in scheduled maintenance.
 	Maintenance *maintenance.Block
 	// Config is nil if the controller does not take its configuration from the fleet.
-	Config *fleet.ConfigBlock
+	Config *configuration.Block
 }
 
 // Read reads an operator's file for a controller with these settings; an empty path means that
@@ -154,7 +155,7 @@
 	case blockMaintenance:
 		f.Maintenance = maintenance.ReadBlock(b, diagnostics)
 	case blockConfig:
-		f.Config = fleet.ReadConfig(b, diagnostics)
+		f.Config = configuration.ReadBlock(b, diagnostics)
 	}
 }
 
