--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -58,7 +58,7 @@
 
 // New returns a server. Queries are handed to offer; one that it does not accept is rejected, with the time
 // that retryAfter returns. Other events are handed to report, which may block its caller. classes are those
-// of the settings, by names.Profiles.
+// of the settings, by names.Classes.
 func New(l *limits.Limits, names *settings.Names, classes []router.QueryClass, offer func(QueryArrived) bool,
 	retryAfter func() time.Duration, report func(Event), log *slog.Logger) *Server {
 	return &Server{
@@ -115,10 +115,10 @@
 
 // cancel gives up the query that the session of a key has open, or is about to have: a cancel request can
 // overtake its query, as they come on two connections.
-func (s *Server) cancel(key pgwire.Key) {
+func (s *Server) cancel(key pgwire.CancelKey) {
 	s.counts.cancels.Add(1)
 	s.mu.Lock()
-	ses := s.sessions[key.Session]
+	ses := s.sessions[key.SessionID]
 	s.mu.Unlock()
 	if ses != nil && ses.key == key {
 		ses.abandonQuery(true)
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -62,7 +62,7 @@
 	if change != nil {
 		change(l)
 	}
-	names := &settings.Names{Profiles: map[string]router.ClassID{"report": 0, "load": 1},
+	names := &settings.Names{Classes: map[string]router.ClassID{"report": 0, "load": 1},
 		Tenants: map[string]router.TenantID{"acme": 0}}
 	st := &serverTest{t: t, events: make(chan any, 100), rejectNext: make(chan bool, 1)}
 	offer := func(ev QueryArrived) bool {
