--- a/internal/fleet/configservice_test.go
+++ b/internal/fleet/configservice_test.go
@@ -320,7 +320,7 @@
 		if name == "another key" {
 			own = frames.Keys{bytes.Repeat([]byte{9}, 32)}
 		}
-		stranger := links.New(hello, own, links.Usual(), func(links.Received) {}, quiet)
+		stranger := links.New(hello, own, links.DefaultBounds(), func(links.Received) {}, quiet)
 		for i, addr := range f.addrs {
 			stranger.Send(members.ID(fmt.Sprint("n", i)), addr, payload)
 		}
--- a/internal/fleet/frames/encoding_test.go
+++ b/internal/fleet/frames/encoding_test.go
@@ -75,11 +75,11 @@
 	if err != nil || len(reader.Hello.Nonce) != nonceSize {
 		t.Fatal(reader.Hello, err)
 	}
-	if at := lengthBytes; !bytes.Equal(stored[at:at+len(hello)], hello) {
+	if at := lengthSize; !bytes.Equal(stored[at:at+len(hello)], hello) {
 		t.Errorf("the hello is encoded as %x, and was as %x", hello, stored[at:at+len(hello)])
 	}
 	var written bytes.Buffer
-	writer := &Writer{w: &written, mac: hmac.New(sha256.New, sum(storedKey, []byte("frames"), storedChallenge, hello))}
+	writer := &Writer{w: &written, mac: hmac.New(sha256.New, framesKey(storedKey, storedChallenge, hello))}
 	for _, payload := range storedPayloads {
 		if got, err := reader.Read(); string(got) != payload || err != nil {
 			t.Errorf("%q, %v", got, err)
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -74,9 +74,9 @@
 		"another fleet":      {key, Hello{Fleet: "g", Generation: 2, From: "a"}, challenge, ErrForeign},
 		"an old generation":  {key, Hello{Fleet: "f", Generation: 1, From: "a"}, challenge, ErrForeign},
 		"meant for another":  {key, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, challenge, ErrForeign},
-		"nobody":             {key, Hello{Fleet: "f", Generation: 2}, challenge, ErrForm},
+		"nobody":             {key, Hello{Fleet: "f", Generation: 2}, challenge, ErrMalformed},
 		"said to another":    {key, mine, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
-		"a name without end": {key, Hello{Fleet: "f", Generation: 2, From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrForm},
+		"a name without end": {key, Hello{Fleet: "f", Generation: 2, From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrMalformed},
 	} {
 		if _, err := heard(written(t, c.key, c.hello, c.challenge, "x"), challenge, Keys{key}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -128,7 +128,7 @@
 // A length of 1 GB, and one within the bound of which nothing follows, take no memory to speak of.
 func TestClaims(t *testing.T) {
 	hello := written(t, key, mine, challenge)
-	for _, claim := range []uint32{1 << 30, 1<<32 - 1, FrameBytes} {
+	for _, claim := range []uint32{1 << 30, 1<<32 - 1, MaxPayloadBytes} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		_, err := heard(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), challenge, Keys{key})
@@ -138,7 +138,7 @@
 		}
 	}
 	w := written(t, key, mine, challenge)
-	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, HelloBytes+1), w...)), challenge, Keys{key}, "f", 2,
+	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)), challenge, Keys{key}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long hello: %v", err)
 	}
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -9,20 +9,23 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// acceptPause is how long no connection is accepted after one could not be: descriptors that are used up come free.
-const acceptPause = 50 * time.Millisecond
+// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors may be used up.
+const acceptBackoff = 50 * time.Millisecond
 
-// greetingShare bounds the connections that may take the place of idle ones: one in so many of all that come in. Those
-// that have proved nothing yet can't displace more controllers than that.
+// greetingShare bounds the connections that are not authenticated yet and may take the place of idle ones: one in so many of
+// MaxIncoming. So strangers can't displace more controllers than that.
 const greetingShare = 4
 
+// maxRateWait bounds how long a connection is not read as its sender is over its rate.
+const maxRateWait = time.Second
+
 // incoming is a connection from another controller.
 type incoming struct {
-	from   members.ID // empty until its hello has been verified
-	usedAt time.Time  // when it last brought a message, or came in
+	from   members.ID // empty until its hello was verified
+	usedAt time.Time  // of its last message, or when it was accepted
 }
 
-// Serve takes connections until the links are closed. The listener is closed with them.
+// Serve accepts connections until the links are closed. The listener is closed with them.
 func (l *Links) Serve(listener net.Listener) {
 	l.group.Go(func() {
 		<-l.ctx.Done()
@@ -44,7 +47,7 @@
 			return
 		default:
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptBackoff):
 			case <-l.ctx.Done():
 				return
 			}
@@ -52,137 +55,160 @@
 	}
 }
 
-// admit finds room for a connection; false: there is none. The sender of an idle connection that yields to it sees that,
-// and opens another one for its next message.
+// admit finds room for a connection; false: there is none. The sender of an idle connection that is evicted for it notices
+// that, and opens another one for its next message.
 func (l *Links) admit(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ctx.Err() != nil || len(l.incoming) >= l.bounds.Incoming && !l.evict() {
+	if l.ctx.Err() != nil {
+		return false
+	}
+	full := len(l.incoming) >= l.bounds.MaxIncoming
+	if full && !l.evictIncoming() {
 		return false
 	}
 	l.incoming[conn] = &incoming{usedAt: time.Now()}
 	return true
 }
 
-// evict closes the connection that has brought nothing for the longest time, if that is long enough; mu is held.
-func (l *Links) evict() bool {
+// evictIncoming closes the connection that has been idle for the longest time, if that is long enough. mu is held.
+func (l *Links) evictIncoming() bool {
 	var longestIdle net.Conn
 	greeting := 0
-	usedAt := time.Now().Add(-l.bounds.Yield)
-	for conn, in := range l.incoming {
-		if in.from == "" {
+	usedAt := time.Now().Add(-l.bounds.EvictAfter)
+	for conn, candidate := range l.incoming {
+		if candidate.from == "" {
 			greeting++
-		} else if in.usedAt.Before(usedAt) {
-			longestIdle, usedAt = conn, in.usedAt
+		} else if candidate.usedAt.Before(usedAt) {
+			longestIdle = conn
+			usedAt = candidate.usedAt
 		}
 	}
-	if longestIdle == nil || greeting >= max(1, l.bounds.Incoming/greetingShare) {
+	if longestIdle == nil || greeting >= max(1, l.bounds.MaxIncoming/greetingShare) {
 		return false
 	}
 	l.evicted.Add(1)
-	l.end(longestIdle)
+	l.endIncoming(longestIdle)
 	return true
 }
 
-// end closes a connection; what has come on it and was not taken in yet is void. mu is held.
-func (l *Links) end(conn net.Conn) {
+// endIncoming closes a connection. What was read from it and not handed over yet is dropped. mu is held.
+func (l *Links) endIncoming(conn net.Conn) {
 	delete(l.incoming, conn)
 	conn.Close()
 }
 
-// receiveAll takes in what one connection brings.
+// receiveAll hands over what one connection brings, until it ends.
 func (l *Links) receiveAll(conn net.Conn) {
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.end(conn)
+		l.endIncoming(conn)
 	}()
-	in, err := l.greet(conn)
+	reader, err := l.greet(conn)
 	if err != nil {
-		l.note(conn, err)
+		l.logRejected(conn, err)
 		return
 	}
-	began, bytes := time.Now(), 0
+	limit := rateLimit{bytesPerSecond: l.bounds.ReceiveRate, since: time.Now()}
 	for {
-		payload, err := l.readFrame(conn, in)
+		payload, err := l.readFrame(conn, reader)
 		if err != nil {
-			l.note(conn, err)
+			l.logRejected(conn, err)
 			return
 		}
-		if !l.use(conn) {
+		if !l.touch(conn) {
 			return
 		}
 		l.received.Add(1)
 		l.bytesIn.Add(int64(len(payload)) + frames.Overhead)
-		l.receive(Received{in.Hello.From, in.Hello.Run, payload})
-		bytes += len(payload) // one that sends more than its rate is read no faster
-		if ahead := time.Duration(bytes)*time.Second/time.Duration(l.bounds.Rate) - time.Since(began); ahead > 0 {
-			select {
-			case <-time.After(min(ahead, time.Second)):
-			case <-l.ctx.Done():
-				return
-			}
-		} else if -ahead > time.Second {
-			began, bytes = time.Now(), 0
+		l.receive(Received{From: reader.Hello.From, Run: reader.Hello.Run, Payload: payload})
+		wait := limit.add(len(payload))
+		if wait == 0 {
+			continue
 		}
+		select {
+		case <-time.After(wait):
+		case <-l.ctx.Done():
+			return
+		}
+	}
+}
+
+// rateLimit slows a connection down to a rate.
+type rateLimit struct {
+	bytesPerSecond int
+	bytes          int       // read since the time since
+	since          time.Time // begins anew once the sender is well below the rate
+}
+
+// add counts bytes that were read, and returns how long the connection is not to be read.
+func (r *rateLimit) add(bytes int) time.Duration {
+	r.bytes += bytes
+	ahead := time.Duration(r.bytes)*time.Second/time.Duration(r.bytesPerSecond) - time.Since(r.since)
+	if -ahead > maxRateWait {
+		r.since = time.Now()
+		r.bytes = 0
 	}
+	return min(max(0, ahead), maxRateWait)
 }
 
-// greet has a connection's sender prove who it is. An earlier connection of the same sender ends: what a former
-// incarnation still has on its way is void.
+// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same sender is closed: what a
+// former incarnation still has on its way does not count any more.
 func (l *Links) greet(conn net.Conn) (*frames.Reader, error) {
-	conn.SetDeadline(time.Now().Add(l.bounds.Dial))
+	conn.SetDeadline(time.Now().Add(l.bounds.DialTimeout))
 	challenge, err := frames.Challenge(conn)
 	if err != nil {
 		return nil, err
 	}
-	in, err := frames.Accept(conn, challenge, *l.keys.Load(), l.self.Fleet, l.self.Generation, l.self.From)
+	reader, err := frames.Accept(conn, challenge, *l.keys.Load(), l.self.Fleet, l.self.Generation, l.self.From)
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for other, earlier := range l.incoming {
-		if earlier.from == in.Hello.From && other != conn {
-			l.end(other)
+		if earlier.from == reader.Hello.From && other != conn {
+			l.endIncoming(other)
 		}
 	}
 	if own := l.incoming[conn]; own != nil {
-		own.from = in.Hello.From
+		own.from = reader.Hello.From
 	}
-	return in, nil
+	return reader, nil
 }
 
-// use notes that a connection has brought a message; false if it was ended meanwhile.
-func (l *Links) use(conn net.Conn) bool {
+// touch notes that a connection has brought a message. It is false if the connection was closed meanwhile.
+func (l *Links) touch(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	in := l.incoming[conn]
-	if in == nil {
+	own := l.incoming[conn]
+	if own == nil {
 		return false
 	}
-	in.usedAt = time.Now()
+	own.usedAt = time.Now()
 	return true
 }
 
-// readFrame waits for the next frame and reads it. Once it has begun it has a time by its length: one that was changed on
-// its way would else have the messages behind it taken for its payload, unseen by the sender. A slow network gets a large
-// frame through in it.
-func (l *Links) readFrame(conn net.Conn, in *frames.Reader) ([]byte, error) {
-	longest := 2 * l.bounds.Idle
-	conn.SetReadDeadline(time.Now().Add(longest))
-	length, err := in.Await()
+// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its length: with a length that
+// was changed on its way the messages behind it would otherwise be read as its payload, and the sender would
+// not notice. The deadline leaves a slow network the time for a large frame.
+func (l *Links) readFrame(conn net.Conn, reader *frames.Reader) ([]byte, error) {
+	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection before
+	conn.SetReadDeadline(time.Now().Add(maxWait))
+	length, err := reader.Await()
 	if err != nil {
 		return nil, err
 	}
-	patience := l.bounds.Write + time.Duration(length)*time.Second/time.Duration(l.bounds.LeastRate)
-	conn.SetReadDeadline(time.Now().Add(min(longest, patience)))
-	return in.Read()
+	frameTime := l.bounds.WriteTimeout + time.Duration(length)*time.Second/time.Duration(l.bounds.MinFrameRate)
+	conn.SetReadDeadline(time.Now().Add(min(maxWait, frameTime)))
+	return reader.Read()
 }
 
-func (l *Links) note(conn net.Conn, err error) {
+// logRejected counts and logs a connection that is not of this fleet. Others that end are no fault.
+func (l *Links) logRejected(conn net.Conn, err error) {
 	switch {
-	case errors.Is(err, frames.ErrForged), errors.Is(err, frames.ErrTooLong), errors.Is(err, frames.ErrForm):
+	case errors.Is(err, frames.ErrForged), errors.Is(err, frames.ErrTooLong), errors.Is(err, frames.ErrMalformed):
 		l.forged.Add(1)
 		l.log.Warn("fleet: a connection is not authentic", "from", conn.RemoteAddr().String(), "why", err)
 	case errors.Is(err, frames.ErrForeign):
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	senders := make([]*end, count)
 	for i := range senders {
-		senders[i] = open(t, members.ID(fmt.Sprint("n", i)), "f", keys, Usual())
+		senders[i] = open(t, members.ID(fmt.Sprint("n", i)), "f", keys, DefaultBounds())
 		senders[i].sendTo(t, to, fmt.Sprint("first of ", i))
 	}
 	return senders
@@ -32,12 +32,12 @@
 // Where all room is taken, the connection that has been idle for the longest time yields to a new one. Its sender sees
 // that: its next message goes over another connection and arrives.
 func TestIdleConnectionYields(t *testing.T) {
-	b := Usual()
-	b.Incoming, b.Yield = 3, time.Nanosecond
+	b := DefaultBounds()
+	b.MaxIncoming, b.EvictAfter = 3, time.Nanosecond
 	a := open(t, "a", "f", keys, b)
 	senders := fill(t, a, 3)
 	senders[0].sendTo(t, a, "second of 0") // the longest idle one is n1 now
-	late := open(t, "late", "f", keys, Usual())
+	late := open(t, "late", "f", keys, DefaultBounds())
 	late.sendTo(t, a, "late")
 	eventually(t, "n1 does not see its end", func() bool { return senders[1].ended.Load() == 1 })
 	if ended := senders[0].ended.Load() + senders[2].ended.Load(); ended > 0 || a.refused.Load() > 0 {
@@ -51,12 +51,12 @@
 
 // A connection that was used within the time does not yield: the new one is refused, and comes in once there is room.
 func TestBusyConnectionsStay(t *testing.T) {
-	b := Usual()
-	b.Incoming, b.Yield = 3, time.Hour
+	b := DefaultBounds()
+	b.MaxIncoming, b.EvictAfter = 3, time.Hour
 	a := open(t, "a", "f", keys, b)
 	senders := fill(t, a, 3)
-	quick := Usual()
-	quick.Again, quick.Busy = time.Millisecond, 10*time.Millisecond
+	quick := DefaultBounds()
+	quick.RetryInterval, quick.MaxRetryInterval = time.Millisecond, 10*time.Millisecond
 	late := open(t, "late", "f", keys, quick)
 	late.Send("a", a.addr, []byte("refused"))
 	eventually(t, "it is not refused", func() bool { return a.refused.Load() > 0 })
@@ -76,8 +76,8 @@
 // Connections that prove nothing displace no more than a share of the controllers that are idle.
 func TestStrangersDisplaceFew(t *testing.T) {
 	const room = 8
-	b := Usual()
-	b.Incoming, b.Yield = room, time.Nanosecond
+	b := DefaultBounds()
+	b.MaxIncoming, b.EvictAfter = room, time.Nanosecond
 	a := open(t, "a", "f", keys, b)
 	fill(t, a, room)
 	for range room {
@@ -121,7 +121,7 @@
 			<-release
 		}
 	}
-	a := New(frames.Hello{Fleet: "f", Generation: 1, From: "a", Run: 7}, keys, Usual(), receive, quiet)
+	a := New(frames.Hello{Fleet: "f", Generation: 1, From: "a", Run: 7}, keys, DefaultBounds(), receive, quiet)
 	a.Serve(listener)
 	t.Cleanup(a.Close)
 	conn, err := net.Dial("tcp", listener.Addr().String())
@@ -139,7 +139,7 @@
 	writer.Write([]byte("two")) // is read with the first one
 	conn.Write(g.gathered.Bytes())
 	<-first
-	again := open(t, "b", "f", keys, Usual())
+	again := open(t, "b", "f", keys, DefaultBounds())
 	again.Send("a", listener.Addr().String(), []byte("again"))
 	for _, want := range []string{"one", "again"} {
 		select {
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -1,7 +1,3 @@
-// Package links carries messages between the controllers of a fleet: a connection for each that something is sent to, one
-// way, opened when it is needed and closed when it is not. It promises nothing: what does not go within a time is
-// dropped, which the protocols above take as loss. It stands beside the loop. Each goroutine ends with its connection,
-// each connection with a deadline or with the links.
 package links
 
 import (
@@ -19,27 +15,40 @@
 
 // Bounds are sizes and times.
 type Bounds struct {
-	Peers    int           // connections out at once; the one idle for the longest time yields
-	Incoming int           // connections in at once
-	Yield    time.Duration // without a message, after which a connection in makes room for another one where there is none
-	Queue    int           // messages that wait for one
-	Bytes    int           // bytes that wait for one
-	Dial     time.Duration // to be connected and greeted
-	Write    time.Duration // to write a message
-	Idle     time.Duration // without a message, after which a connection is closed
-	Again    time.Duration // between two tries to reach one, at least
-	Busy     time.Duration // the longest wait between two tries to reach one that has no room, half as long to half as long again
-	Rate     int           // bytes a second that one may send here; it is slowed to that
-
-	LeastRate int // bytes a second at which a frame that has begun has to come, beside the time of Write
+	MaxPeers      int // outgoing connections at once
+	MaxIncoming   int // incoming connections at once
+	QueueMessages int // that wait for one peer
+	QueueBytes    int // that wait for one peer
+
+	EvictAfter       time.Duration // without a message, after which an incoming connection makes room for another where there is none
+	DialTimeout      time.Duration // to be connected and authenticated
+	WriteTimeout     time.Duration // to write a message
+	IdleTimeout      time.Duration // without a message, after which a connection is closed
+	RetryInterval    time.Duration // between two attempts to connect to one peer, at least
+	MaxRetryInterval time.Duration // the longest wait before a peer that has no room is asked again, half as long to half as long again
+
+	ReceiveRate  int // bytes a second that one sender may send; it is slowed to that
+	MinFrameRate int // bytes a second at which a frame that has begun has to come, beside the time of WriteTimeout
 }
 
-// Usual are the bounds of a fleet of up to a thousand: a controller that pings one member a second, helps some others and
-// writes to the quorum has some ten connections at a time. A leader's heartbeats come more often than a connection yields;
-// a neighbour pings each ten seconds, and opens another one where its connection has yielded.
-func Usual() Bounds {
-	return Bounds{Peers: 64, Incoming: 256, Yield: 2 * time.Second, Queue: 128, Bytes: 2 << 20, Dial: 2 * time.Second,
-		Write: 2 * time.Second, Idle: 20 * time.Second, Again: 200 * time.Millisecond, Busy: 3200 * time.Millisecond, Rate: 4 << 20, LeastRate: 32 << 10}
+// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a second, helps some others and
+// writes to the quorum has some ten connections at a time. A leader's heartbeats come more often than a connection is
+// evicted; a neighbour pings each ten seconds, and opens another one where its connection was.
+func DefaultBounds() Bounds {
+	return Bounds{
+		MaxPeers:         64,
+		MaxIncoming:      256,
+		QueueMessages:    128,
+		QueueBytes:       2 << 20,
+		EvictAfter:       2 * time.Second,
+		DialTimeout:      2 * time.Second,
+		WriteTimeout:     2 * time.Second,
+		IdleTimeout:      20 * time.Second,
+		RetryInterval:    200 * time.Millisecond,
+		MaxRetryInterval: 3200 * time.Millisecond,
+		ReceiveRate:      4 << 20,
+		MinFrameRate:     32 << 10,
+	}
 }
 
 // Dial opens a connection to an address, within the context's deadline.
@@ -48,23 +57,23 @@
 // Received is a message that came in.
 type Received struct {
 	From    members.ID
-	Run     uint64
+	Run     uint64 // of the sender
 	Payload []byte
 }
 
-// Links are one controller's. Send may be called by one goroutine.
+// Links are the connections of one controller.
 type Links struct {
 	self    frames.Hello
 	bounds  Bounds
-	receive func(Received) // must not wait long: it holds up one connection
+	receive func(Received)
 	dial    Dial
 	log     *slog.Logger
-	ctx     context.Context
+	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
 	group   sync.WaitGroup
 	keys    atomic.Pointer[frames.Keys]
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the two tables
 	peers    map[members.ID]*peer
 	incoming map[net.Conn]*incoming
 
@@ -73,20 +82,34 @@
 
 // counts are numbers since the start.
 type counts struct {
-	sent, received, dropped atomic.Int64 // messages
-	bytesOut, bytesIn       atomic.Int64
-	failed                  atomic.Int64 // connections out that could not be opened or written to
-	ended                   atomic.Int64 // connections out that the peer ended
-	forged, foreign         atomic.Int64 // connections in that were not of this fleet
-	refused                 atomic.Int64 // connections in that found no room
-	evicted                 atomic.Int64 // idle connections in that were ended to make room
+	sent     atomic.Int64 // messages
+	received atomic.Int64 // messages
+	dropped  atomic.Int64 // messages that were not sent
+	bytesOut atomic.Int64
+	bytesIn  atomic.Int64
+	failed   atomic.Int64 // outgoing connections that could not be opened or written to
+	ended    atomic.Int64 // outgoing connections that the peer ended
+	forged   atomic.Int64 // incoming connections that were not authentic
+	foreign  atomic.Int64 // incoming connections of another fleet or generation
+	refused  atomic.Int64 // incoming connections that found no room
+	evicted  atomic.Int64 // idle incoming connections that were closed to make room
 }
 
-// New is links of a controller that says hello as self.
+// New returns links of a controller that says hello as self. They call receive with each message that comes in; it must not
+// wait long, as it holds up one connection.
 func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Links{self: self, bounds: b, receive: receive, dial: faultinjection.Dial, log: log, ctx: ctx, cancel: cancel, peers: map[members.ID]*peer{},
-		incoming: map[net.Conn]*incoming{}}
+	l := &Links{
+		self:     self,
+		bounds:   b,
+		receive:  receive,
+		dial:     faultinjection.Dial,
+		log:      log,
+		ctx:      ctx,
+		cancel:   cancel,
+		peers:    map[members.ID]*peer{},
+		incoming: map[net.Conn]*incoming{},
+	}
 	l.keys.Store(&keys)
 	return l
 }
@@ -94,18 +117,23 @@
 // SetDial has connections opened in another way than the system's. It is called before the first Send.
 func (l *Links) SetDial(dial Dial) { l.dial = dial }
 
-// SetKeys takes over other keys, for connections from now on.
+// SetKeys sets the keys of connections that are opened from now on.
 func (l *Links) SetKeys(keys frames.Keys) { l.keys.Store(&keys) }
 
 // Close ends all connections and waits for their goroutines.
 func (l *Links) Close() {
 	l.cancel()
+	l.closeIncoming()
+	l.group.Wait()
+}
+
+// closeIncoming closes the incoming connections, whose goroutines then end.
+func (l *Links) closeIncoming() {
 	l.mu.Lock()
-	for c := range l.incoming {
-		c.Close()
+	defer l.mu.Unlock()
+	for conn := range l.incoming {
+		conn.Close()
 	}
-	l.mu.Unlock()
-	l.group.Wait()
 }
 
 // LogValue prints the counts.
@@ -113,9 +141,19 @@
 	l.mu.Lock()
 	peers, incoming := len(l.peers), len(l.incoming)
 	l.mu.Unlock()
-	return slog.GroupValue(slog.Int("peers", peers), slog.Int("incoming", incoming), slog.Int64("sent", l.sent.Load()),
-		slog.Int64("received", l.received.Load()), slog.Int64("dropped", l.dropped.Load()), slog.Int64("failed", l.failed.Load()), slog.Int64("ended", l.ended.Load()),
-		slog.Int64("forged", l.forged.Load()), slog.Int64("foreign", l.foreign.Load()), slog.Int64("refused", l.refused.Load()),
+	return slog.GroupValue(
+		slog.Int("peers", peers),
+		slog.Int("incoming", incoming),
+		slog.Int64("sent", l.sent.Load()),
+		slog.Int64("received", l.received.Load()),
+		slog.Int64("dropped", l.dropped.Load()),
+		slog.Int64("failed", l.failed.Load()),
+		slog.Int64("ended", l.ended.Load()),
+		slog.Int64("forged", l.forged.Load()),
+		slog.Int64("foreign", l.foreign.Load()),
+		slog.Int64("refused", l.refused.Load()),
 		slog.Int64("evicted", l.evicted.Load()),
-		slog.Int64("bytes_out", l.bytesOut.Load()), slog.Int64("bytes_in", l.bytesIn.Load()))
+		slog.Int64("bytes_out", l.bytesOut.Load()),
+		slog.Int64("bytes_in", l.bytesIn.Load()),
+	)
 }
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestBothWays(t *testing.T) {
-	a, b := open(t, "a", "f", keys, Usual()), open(t, "b", "f", keys, Usual())
+	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
 	for i := range 100 {
 		a.Send("b", b.addr, fmt.Append(nil, i))
 	}
@@ -87,10 +87,10 @@
 
 // Strangers, other fleets and other keys are told nothing, and counted.
 func TestStrangers(t *testing.T) {
-	a := open(t, "a", "f", keys, Usual())
-	open(t, "b", "g", keys, Usual()).Send("a", a.addr, []byte("x"))
+	a := open(t, "a", "f", keys, DefaultBounds())
+	open(t, "b", "g", keys, DefaultBounds()).Send("a", a.addr, []byte("x"))
 	eventually(t, "another fleet is not counted", func() bool { return a.foreign.Load() == 1 })
-	open(t, "c", "f", other, Usual()).Send("a", a.addr, []byte("x"))
+	open(t, "c", "f", other, DefaultBounds()).Send("a", a.addr, []byte("x"))
 	eventually(t, "another key is not counted", func() bool { return a.forged.Load() == 1 })
 	conn, err := net.Dial("tcp", a.addr)
 	if err != nil {
@@ -106,8 +106,8 @@
 
 // One that does not read, one that is not there, and more peers than there may be: nothing waits, all is bounded.
 func TestBounds(t *testing.T) {
-	b := Usual()
-	b.Peers, b.Queue, b.Bytes, b.Dial, b.Write, b.Idle = 4, 8, 4000, 100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
+	b := DefaultBounds()
+	b.MaxPeers, b.QueueMessages, b.QueueBytes, b.DialTimeout, b.WriteTimeout, b.IdleTimeout = 4, 8, 4000, 100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
 	a := open(t, "a", "f", keys, b)
 	deaf, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and says nothing
 	if err != nil {
@@ -128,7 +128,7 @@
 	a.mu.Lock()
 	n := len(a.peers)
 	a.mu.Unlock()
-	if n > b.Peers || a.dropped.Load() < 1900 {
+	if n > b.MaxPeers || a.dropped.Load() < 1900 {
 		t.Errorf("%d peers, %d dropped", n, a.dropped.Load())
 	}
 	eventually(t, "idle peers are kept", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.peers) == 0 })
@@ -137,10 +137,10 @@
 // A later connection of one ends the earlier ones; no more than a bound come in; closing leaves no goroutine.
 func TestIncoming(t *testing.T) {
 	before := runtime.NumGoroutine()
-	b := Usual()
-	b.Incoming = 3
+	b := DefaultBounds()
+	b.MaxIncoming = 3
 	a := open(t, "a", "f", keys, b)
-	first, second := open(t, "b", "f", keys, Usual()), open(t, "b", "f", keys, Usual())
+	first, second := open(t, "b", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
 	first.Send("a", a.addr, []byte("first"))
 	a.hears(t, "first")
 	second.Send("a", a.addr, []byte("second"))
@@ -216,8 +216,8 @@
 // A length that is changed on its way has the connection end within the time for writing a message, though messages go on
 // to come behind it; those after that get through on another connection.
 func TestChangedLength(t *testing.T) {
-	b := Usual()
-	b.Write, b.Again = 300*time.Millisecond, 10*time.Millisecond
+	b := DefaultBounds()
+	b.WriteTimeout, b.RetryInterval = 300*time.Millisecond, 10*time.Millisecond
 	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
 	through := lengthChanger(t, receiver.addr)
 	began := time.Now()
@@ -231,13 +231,13 @@
 			t.Fatalf("of %d messages %d came", n, receiver.received.Load())
 		}
 	}
-	if took := time.Since(began); took < b.Write {
+	if took := time.Since(began); took < b.WriteTimeout {
 		t.Errorf("the connection ended after %v: no length was changed", took)
 	}
 }
 
 // slowly passes on what one writes to another, some bytes at a time.
-func slowly(t *testing.T, to string, bytes int, each time.Duration) (addr string) {
+func slowly(t *testing.T, to string, size int, each time.Duration) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -259,7 +259,7 @@
 			go func() {
 				defer far.Close()
 				for {
-					if _, err := io.CopyN(far, conn, int64(bytes)); err != nil {
+					if _, err := io.CopyN(far, conn, int64(size)); err != nil {
 						return
 					}
 					time.Sleep(each)
@@ -272,8 +272,8 @@
 
 // A large message that a slow network takes longer for than a sender has to write it gets through.
 func TestSlowNetwork(t *testing.T) {
-	b := Usual()
-	b.Write = 100 * time.Millisecond
+	b := DefaultBounds()
+	b.WriteTimeout = 100 * time.Millisecond
 	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
 	const size, each, pause = 64 << 10, 2 << 10, 20 * time.Millisecond // 100 KB/s: 0.64 s
 	through := slowly(t, receiver.addr, each, pause)
@@ -291,11 +291,11 @@
 
 // A frame that claims much and hardly comes has its connection end after the longest time for a frame, whatever it claims.
 func TestLongestFrame(t *testing.T) {
-	b := Usual()
-	b.Write, b.Idle, b.LeastRate = 50*time.Millisecond, 200*time.Millisecond, 1000
-	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, Usual())
+	b := DefaultBounds()
+	b.WriteTimeout, b.IdleTimeout, b.MinFrameRate = 50*time.Millisecond, 200*time.Millisecond, 1000
+	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, DefaultBounds())
 	through := slowly(t, receiver.addr, 256, 10*time.Millisecond) // 25 KB/s: 40 s
-	sender.Send("a", through, make([]byte, frames.FrameBytes))
+	sender.Send("a", through, make([]byte, frames.MaxPayloadBytes))
 	incoming := func() int {
 		receiver.mu.Lock()
 		defer receiver.mu.Unlock()
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -15,19 +15,19 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// peer is a controller that messages are sent to.
+// peer is a controller to which messages are sent.
 type peer struct {
-	id    members.ID
-	addr  string
-	queue chan []byte
-	bytes atomic.Int64
-	used  time.Time
-	end   context.CancelFunc
+	id          members.ID
+	addr        string
+	queue       chan []byte
+	queuedBytes atomic.Int64
+	usedAt      time.Time // of the last Send; guarded by Links.mu
+	cancel      context.CancelFunc
 }
 
-// Send has a message sent to one, at an address. It never waits; what finds no room is dropped.
+// Send enqueues a message to a controller at an address. It never waits; a message that finds no room is dropped.
 func (l *Links) Send(to members.ID, addr string, payload []byte) {
-	if addr == "" || l.ctx.Err() != nil || len(payload) > frames.FrameBytes {
+	if addr == "" || l.ctx.Err() != nil || len(payload) > frames.MaxPayloadBytes {
 		l.dropped.Add(1)
 		return
 	}
@@ -35,48 +35,62 @@
 	defer l.mu.Unlock()
 	p := l.peers[to]
 	if p != nil && p.addr != addr { // it has moved
-		p.end()
+		p.cancel()
 		delete(l.peers, to)
 		p = nil
 	}
 	if p == nil {
-		if len(l.peers) >= l.bounds.Peers {
-			l.yield()
-		}
-		ctx, end := context.WithCancel(l.ctx)
-		p = &peer{id: to, addr: addr, queue: make(chan []byte, l.bounds.Queue), end: end}
-		l.peers[to] = p
-		l.group.Go(func() { l.carry(ctx, p) })
-	}
-	p.used = time.Now()
-	if p.bytes.Add(int64(len(payload))) > int64(l.bounds.Bytes) {
-		p.bytes.Add(-int64(len(payload)))
-		l.dropped.Add(1)
-		return
+		p = l.addPeer(to, addr)
 	}
-	select {
-	case p.queue <- payload:
-	default:
-		p.bytes.Add(-int64(len(payload)))
+	p.usedAt = time.Now()
+	if !p.enqueue(payload, l.bounds.QueueBytes) {
 		l.dropped.Add(1)
 	}
 }
 
-// yield ends the peer that was used the longest time ago; mu is held.
-func (l *Links) yield() {
+// addPeer begins to write to a controller. mu is held.
+func (l *Links) addPeer(id members.ID, addr string) *peer {
+	if len(l.peers) >= l.bounds.MaxPeers {
+		l.evictPeer()
+	}
+	ctx, cancel := context.WithCancel(l.ctx)
+	p := &peer{id: id, addr: addr, queue: make(chan []byte, l.bounds.QueueMessages), cancel: cancel}
+	l.peers[id] = p
+	l.group.Go(func() { l.carry(ctx, p) })
+	return p
+}
+
+// evictPeer closes the peer that was sent nothing for the longest time. mu is held.
+func (l *Links) evictPeer() {
 	var oldest *peer
 	for _, p := range l.peers {
-		if oldest == nil || p.used.Before(oldest.used) {
+		if oldest == nil || p.usedAt.Before(oldest.usedAt) {
 			oldest = p
 		}
 	}
 	if oldest != nil {
-		oldest.end()
+		oldest.cancel()
 		delete(l.peers, oldest.id)
 	}
 }
 
-// forget takes a peer that ended out of the table.
+// enqueue is false where there is no room for the message.
+func (p *peer) enqueue(payload []byte, maxBytes int) bool {
+	size := int64(len(payload))
+	if p.queuedBytes.Add(size) > int64(maxBytes) {
+		p.queuedBytes.Add(-size)
+		return false
+	}
+	select {
+	case p.queue <- payload:
+		return true
+	default:
+		p.queuedBytes.Add(-size)
+		return false
+	}
+}
+
+// forget takes a peer that ended out of the table, unless another one of its name is in it.
 func (l *Links) forget(p *peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,29 +101,30 @@
 
 // outgoing is an open connection to a peer. Nothing comes back on it but its end.
 type outgoing struct {
-	conn   net.Conn
-	writer *frames.Writer
-	opened time.Time
-	ended  chan struct{} // closed once the peer has ended it
+	conn     net.Conn
+	writer   *frames.Writer
+	openedAt time.Time
+	ended    chan struct{} // closed once the peer has ended it
 }
 
-// carrier writes what is queued for one peer. It is for one goroutine.
+// carrier writes what is queued for one peer. It belongs to the goroutine of carry.
 type carrier struct {
 	links       *Links
 	peer        *peer
 	connection  *outgoing // nil: none
-	retryAt     time.Time // before which none is opened
+	retryAt     time.Time // before which no connection is opened
 	refusals    int       // in a row
 	endedAtOnce bool      // the peer ended the last connection right after its beginning
 }
 
-// carry writes what is queued for one peer until it has been idle for a while, or the context ends. When a connection
-// fails, what is enqueued behind it is old: it is dropped, and the next message tries anew.
+// carry writes what is queued for one peer until the peer has been idle for a while, or the context ends. A message that
+// finds no connection, as the last attempt to connect failed a moment ago, is dropped: by the time of the next
+// attempt it would be old.
 func (l *Links) carry(ctx context.Context, p *peer) {
 	defer l.forget(p)
 	c := &carrier{links: l, peer: p}
 	defer c.disconnect()
-	idle := time.NewTimer(l.bounds.Idle)
+	idle := time.NewTimer(l.bounds.IdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -120,8 +135,8 @@
 		case <-c.connectionEnded():
 			c.dropEnded()
 		case payload := <-p.queue:
-			p.bytes.Add(-int64(len(payload)))
-			idle.Reset(l.bounds.Idle)
+			p.queuedBytes.Add(-int64(len(payload)))
+			idle.Reset(l.bounds.IdleTimeout)
 			c.write(ctx, payload)
 		}
 	}
@@ -135,17 +150,15 @@
 	return c.connection.ended
 }
 
-// dropEnded closes the connection that the peer has ended. One that a peer ends right after its beginning for the second
-// time, as it takes this controller for none of its fleet, is not opened anew at once.
+// dropEnded closes the connection that the peer has ended. If a peer ends connections right after their beginning, as one
+// does that does not accept this controller's hello, the second and further ones are not replaced at once.
 func (c *carrier) dropEnded() {
 	c.links.ended.Add(1)
-	if time.Since(c.connection.opened) >= c.links.bounds.Again {
-		c.endedAtOnce = false
-	} else if c.endedAtOnce {
-		c.retryAt = time.Now().Add(c.links.bounds.Again)
-	} else {
-		c.endedAtOnce = true
+	atOnce := time.Since(c.connection.openedAt) < c.links.bounds.RetryInterval
+	if atOnce && c.endedAtOnce {
+		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
 	}
+	c.endedAtOnce = atOnce
 	c.disconnect()
 }
 
@@ -168,10 +181,10 @@
 		return
 	}
 	now := time.Now()
-	c.connection.conn.SetWriteDeadline(now.Add(c.links.bounds.Write))
-	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.Idle)) // it is closed as idle before
+	c.connection.conn.SetWriteDeadline(now.Add(c.links.bounds.WriteTimeout))
+	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.IdleTimeout)) // carry closes an idle one before
 	if err := c.connection.writer.Write(payload); err != nil {
-		c.retryAt = time.Now().Add(c.links.bounds.Again)
+		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
 		c.links.failed.Add(1)
 		c.disconnect()
 		return
@@ -192,7 +205,7 @@
 		c.refusals = 0
 	}
 	if err != nil {
-		c.retryAt = time.Now().Add(c.links.bounds.retryWait(c.refusals))
+		c.retryAt = time.Now().Add(c.links.bounds.retryBackoff(c.refusals))
 		c.links.failed.Add(1)
 		return false
 	}
@@ -200,32 +213,32 @@
 	return true
 }
 
-// retryWait is how long no connection is opened after one that failed. A peer that has no room is asked less often with
-// each refusal in a row, by a draw, so that all that want to reach it do not come back at once.
-func (b Bounds) retryWait(refusals int) time.Duration {
+// retryBackoff is for how long no connection is opened after one that failed. It grows with each refusal in a row by a peer
+// that has no room, and is drawn then, so that the controllers that were refused do not come back all at once.
+func (b Bounds) retryBackoff(refusals int) time.Duration {
 	if refusals == 0 {
-		return b.Again
+		return b.RetryInterval
 	}
-	wait := b.Again
-	for n := 1; n < refusals && wait < b.Busy; n++ {
+	wait := b.RetryInterval
+	for n := 1; n < refusals && wait < b.MaxRetryInterval; n++ {
 		wait *= 2
 	}
-	wait = min(wait, b.Busy)
+	wait = min(wait, b.MaxRetryInterval)
 	return wait/2 + rand.N(wait)
 }
 
-// errRefused is of a peer that closed a connection before it said anything, as one does that has no room.
+// errRefused is that a peer closed a connection before the challenge, as one does that has no room.
 var errRefused = errors.New("the peer has no room for a connection")
 
 // open opens a connection to a peer; it is closed when the context ends.
 func (l *Links) open(ctx context.Context, p *peer) (*outgoing, error) {
-	dialing, cancel := context.WithTimeout(ctx, l.bounds.Dial)
+	dialContext, cancel := context.WithTimeout(ctx, l.bounds.DialTimeout)
 	defer cancel()
-	conn, err := l.dial(dialing, p.addr)
+	conn, err := l.dial(dialContext, p.addr)
 	if err != nil {
 		return nil, err
 	}
-	deadline, _ := dialing.Deadline()
+	deadline, _ := dialContext.Deadline()
 	conn.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	hello := l.self
@@ -239,11 +252,11 @@
 		}
 		return nil, err
 	}
-	connection := &outgoing{conn: conn, writer: writer, opened: time.Now(), ended: make(chan struct{})}
+	connection := &outgoing{conn: conn, writer: writer, openedAt: time.Now(), ended: make(chan struct{})}
 	l.group.Go(func() {
 		defer stop()
 		defer close(connection.ended)
-		conn.Read(make([]byte, 1)) // the peer says nothing: whatever comes is its end
+		conn.Read(make([]byte, 1)) // the peer sends nothing more: whatever comes is the end
 	})
 	return connection, nil
 }
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := open(t, "a", "f", keys, Usual()), serve(t, listener, "b", "f", keys, Usual())
+	a, b := open(t, "a", "f", keys, DefaultBounds()), serve(t, listener, "b", "f", keys, DefaultBounds())
 	a.Send("b", b.addr, []byte("before"))
 	b.hears(t, "before")
-	b = b.openAgain(t, listener, Usual())
+	b = b.openAgain(t, listener, DefaultBounds())
 	eventually(t, "the end of the connection is not noticed", func() bool { return a.ended.Load() == 1 })
 	a.Send("b", b.addr, []byte("after"))
 	b.hears(t, "after")
@@ -45,14 +45,14 @@
 
 // Waits after refusals double up to the bound and are drawn; after a failure of another kind it is always the same one.
 func TestRetryWait(t *testing.T) {
-	b := Bounds{Again: 200 * time.Millisecond, Busy: time.Second}
+	b := Bounds{RetryInterval: 200 * time.Millisecond, MaxRetryInterval: time.Second}
 	for refusals, middle := range []time.Duration{0, 200, 400, 800, 1000, 1000} {
 		middle *= time.Millisecond
 		drawn := map[time.Duration]bool{}
 		for range 200 {
-			wait := b.retryWait(refusals)
+			wait := b.retryBackoff(refusals)
 			drawn[wait] = true
-			if refusals > 0 && (wait < middle/2 || wait >= middle*3/2) || refusals == 0 && wait != b.Again {
+			if refusals > 0 && (wait < middle/2 || wait >= middle*3/2) || refusals == 0 && wait != b.RetryInterval {
 				t.Errorf("%v after %d refusals", wait, refusals)
 			}
 		}
@@ -60,7 +60,7 @@
 			t.Errorf("%d waits of 200 differ after %d refusals", len(drawn), refusals)
 		}
 	}
-	if wait := b.retryWait(1 << 40); wait > b.Busy*3/2 {
+	if wait := b.retryBackoff(1 << 40); wait > b.MaxRetryInterval*3/2 {
 		t.Errorf("%v after very many refusals", wait)
 	}
 }
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a, b := open(t, "a", "f", keys, Usual()), open(t, "b", "f", keys, Usual())
+	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
 	connect := func(c *carrier) bool {
 		c.retryAt = time.Time{}
 		return c.connect(context.Background())
@@ -85,7 +85,7 @@
 				conn.Close()
 			}
 		}()
-		if connect(full) || full.refusals != refusals || time.Until(full.retryAt) > 2*Usual().Busy {
+		if connect(full) || full.refusals != refusals || time.Until(full.retryAt) > 2*DefaultBounds().MaxRetryInterval {
 			t.Errorf("%d refusals are counted, not %d", full.refusals, refusals)
 		}
 	}
@@ -103,9 +103,9 @@
 // Connections that the peer ends right after their beginning, as it is of another fleet, are not opened anew at once from
 // the second one on.
 func TestEndedAtOnce(t *testing.T) {
-	b := Usual()
-	b.Again = time.Minute // "right after" on a slow machine too
-	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, Usual())
+	b := DefaultBounds()
+	b.RetryInterval = time.Minute // "right after" on a slow machine too
+	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, DefaultBounds())
 	c := &carrier{links: a.Links, peer: &peer{id: "b", addr: stranger.addr}}
 	for ends := 1; ends < 4; ends++ {
 		c.retryAt = time.Time{}
@@ -114,7 +114,7 @@
 		}
 		<-c.connectionEnded()
 		c.dropEnded()
-		if waits := time.Until(c.retryAt) > b.Again/2; waits != (ends > 1) {
+		if waits := time.Until(c.retryAt) > b.RetryInterval/2; waits != (ends > 1) {
 			t.Errorf("waits after %d such ends: %t", ends, waits)
 		}
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -116,7 +116,7 @@
 // connect begins to accept and open connections to other controllers.
 func (s *Service) connect(keys frames.Keys, run uint64) {
 	hello := frames.Hello{Fleet: s.block.Name, Generation: s.block.Generation, From: s.self, Run: run}
-	s.links = links.New(hello, keys, links.Usual(), s.receive, s.log)
+	s.links = links.New(hello, keys, links.DefaultBounds(), s.receive, s.log)
 	if s.block.Dial != nil {
 		s.links.SetDial(s.block.Dial)
 	}
--- a/internal/lab/scale/membership/wire.go
+++ b/internal/lab/scale/membership/wire.go
@@ -74,7 +74,7 @@
 type peerTable map[members.ID]*connection
 
 // idle is for how long a connection stays open without a message, in ms.
-func idle() float64 { return float64(links.Usual().Idle) / 1e6 }
+func idle() float64 { return float64(links.DefaultBounds().IdleTimeout) / 1e6 }
 
 // reuse is the connection that is open to a peer, nil if there is none.
 func (p peerTable) reuse(to members.ID, now float64) *connection {
@@ -88,7 +88,7 @@
 // opened takes in a new connection; the one unused for the longest time yields to it.
 func (p peerTable) opened(to members.ID, c *connection) {
 	delete(p, to)
-	if len(p) >= links.Usual().Peers {
+	if len(p) >= links.DefaultBounds().MaxPeers {
 		var oldest members.ID
 		for id, other := range p {
 			if oldest == "" || other.used < p[oldest].used || other.used == p[oldest].used && id < oldest {
