--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -37,26 +37,28 @@
 
 // Executor runs functions on the goroutine of the service's session.
 type Executor interface {
-	// Execute has a function called with the session, and returns once the call has begun. After an error it was not
-	// called, and will not be.
+	// Execute has a function called with the session, and returns once the call has begun. After an error it
+	// was not called, and will not be.
 	Execute(f func(*Session)) error
 	// Done is closed when no function is called any more.
 	Done() <-chan struct{}
 }
 
-// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine but the session's may
-// call them.
+// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine but the
+// session's may call them.
 type Client struct {
 	manager  *Manager
 	executor Executor
 }
 
-// NewClient returns a client; the manager is nil where the fleet has no say in this controller's configuration.
+// NewClient returns a client; the manager is nil where the fleet has no say in this controller's
+// configuration.
 func NewClient(manager *Manager, executor Executor) *Client {
 	return &Client{manager: manager, executor: executor}
 }
 
-// Do carries out an operator's request. The error is ErrOff where the fleet has no say in this controller's configuration.
+// Do carries out an operator's request. The error is ErrOff where the fleet has no say in this controller's
+// configuration.
 func (c *Client) Do(request *Request) (Answer, error) {
 	if c.manager == nil {
 		return Answer{}, ErrOff
@@ -137,7 +139,12 @@
 
 // propose has a document that was checked agreed on, if the newest version is still the one expected.
 func (c *Client) propose(request *Request, document []byte, expect, rollbackOf uint64) (Answer, error) {
-	v := config.Version{Author: request.Author, Reason: request.Reason, Time: time.Now().UnixMilli(), RollbackOf: rollbackOf}
+	v := config.Version{
+		Author:     request.Author,
+		Reason:     request.Reason,
+		Time:       time.Now().UnixMilli(),
+		RollbackOf: rollbackOf,
+	}
 	reply, err := c.Call(proposeTimeout, func(now float64, ref uint64, replica *config.Replica) {
 		replica.Propose(now, ref, document, expect, v)
 	})
@@ -174,7 +181,9 @@
 
 // query asks the leader. The error is ErrNoLeader if it does not answer in time.
 func (c *Client) query(kind config.QueryKind) (*config.QueryResult, error) {
-	reply, err := c.Call(QueryTimeout, func(now float64, ref uint64, replica *config.Replica) { replica.Query(now, ref, kind) })
+	reply, err := c.Call(QueryTimeout, func(now float64, ref uint64, replica *config.Replica) {
+		replica.Query(now, ref, kind)
+	})
 	if errors.Is(err, errTimeout) {
 		err = ErrNoLeader
 	}
@@ -207,7 +216,8 @@
 		}
 		return Answer{Version: &v, Document: reply.document.Document, From: history.From}, nil
 	}
-	return Answer{}, fmt.Errorf("version %d is not remembered: the quorum has the last %d", number, config.MaxHistory)
+	return Answer{}, fmt.Errorf(
+		"version %d is not remembered: the quorum has the last %d", number, config.MaxHistory)
 }
 
 // newest is the number of the last version; 0: there is none.
@@ -218,6 +228,9 @@
 	return versions[len(versions)-1].Number
 }
 
+// ReplicaRequest puts a request to the replica, under the number ref; now is in ms.
+type ReplicaRequest func(now float64, ref uint64, replica *config.Replica)
+
 // Reply is the replica's answer to a request; one of its fields is set.
 type Reply struct {
 	proposal *config.ProposalResult
@@ -226,12 +239,15 @@
 	err      error
 }
 
-// Call has a function put a request to the replica, under the number ref, and waits for the reply. The session ends the
-// wait after the timeout. Unless hadNoEffect tells otherwise, the request may have had its effect after an error.
-func (c *Client) Call(timeout time.Duration, request func(now float64, ref uint64, replica *config.Replica)) (Reply, error) {
+// Call has a function put a request to the replica, under the number ref, and waits for the reply. The
+// session ends the wait after the timeout. Unless hadNoEffect tells otherwise, the request may have had its
+// effect after an error.
+func (c *Client) Call(timeout time.Duration, request ReplicaRequest) (Reply, error) {
 	reply := make(chan Reply, 1)
 	ref := c.manager.lastRef.Add(1)
-	err := c.executor.Execute(func(session *Session) { session.begin(ref, waiter{reply: reply}, timeout, request) })
+	err := c.executor.Execute(func(session *Session) {
+		session.begin(ref, waiter{reply: reply}, timeout, request)
+	})
 	if err != nil {
 		return Reply{}, &notBegunError{err}
 	}
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -15,7 +15,8 @@
 // FolderName is the name of the folder of configuration versions within the fleet's folder.
 const FolderName = "config"
 
-// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes nothing in its first minute.
+// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes nothing
+// in its first minute.
 var folderBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256, Bytes: 4 * config.MaxStored}
 
 // currentRecord is what the folder's record holds: the version to be in force at a start.
@@ -127,7 +128,8 @@
 	return f.folder.ClearCurrent()
 }
 
-// remove lets documents go. One that can't be removed is tried again with the next request, unless it was stored again.
+// remove lets documents go. One that can't be removed is tried again with the next request, unless it was
+// stored again.
 func (f *Folder) remove(request *config.StoreRequest) {
 	hashes := slices.Concat(f.unremoved, request.Remove)
 	f.unremoved = nil
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -36,7 +36,8 @@
 	Document   []byte
 }
 
-// Manager has documents checked, and versions taken into use, by the program. It outlives sessions; any goroutine may call it.
+// Manager has documents checked, and versions taken into use, by the program. It outlives sessions; any
+// goroutine may call it.
 type Manager struct {
 	host      *Host
 	disk      disk.Disk               // of the folder of versions
@@ -83,8 +84,8 @@
 	return text[:min(len(text), maxProblemBytes)]
 }
 
-// Apply has the host take a version into use, unless that or a later one of the generation is (ErrOlder, ErrOther). One
-// call is made at a time.
+// Apply has the host take a version into use, unless that or a later one of the generation is (ErrOlder,
+// ErrOther). One call is made at a time.
 func (m *Manager) Apply(ctx context.Context, next Applied) (err error) {
 	if !m.reserveApply(ctx) {
 		return context.Cause(ctx)
@@ -127,8 +128,8 @@
 
 func (m *Manager) releaseApply() { <-m.applying }
 
-// Close waits for a call of Host.Apply, for a bounded time, as it may wait for whoever closes the service. No call is made
-// after it. A nil Manager has nothing to close.
+// Close waits for a call of Host.Apply, for a bounded time, as it may wait for whoever closes the service.
+// No call is made after it. A nil Manager has nothing to close.
 func (m *Manager) Close() {
 	if m == nil {
 		return
@@ -138,8 +139,8 @@
 	m.reserveApply(ctx)
 }
 
-// Readiness tells which version is in force here, and whether it is known to be the latest. It is zero for a nil
-// Manager: the fleet has no say in this controller's configuration.
+// Readiness tells which version is in force here, and whether it is known to be the latest. It is zero for
+// a nil Manager: the fleet has no say in this controller's configuration.
 func (m *Manager) Readiness() config.Readiness {
 	if m == nil {
 		return config.Readiness{}
@@ -157,8 +158,8 @@
 	m.readiness.Store(&last)
 }
 
-// Wait waits until the latest version is known to be in force here, the context ends or done is closed, and tells which
-// is in force. It returns at once for a nil Manager.
+// Wait waits until the latest version is known to be in force here, the context ends or done is closed, and
+// tells which is in force. It returns at once for a nil Manager.
 func (m *Manager) Wait(ctx context.Context, done <-chan struct{}) config.Readiness {
 	if m == nil {
 		return config.Readiness{}
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -15,10 +15,13 @@
 	storedRetryBackoff = 200 * time.Millisecond // between two of them
 )
 
-// OpenSession reads the folder, has the version that is to be in force at a start applied, and tells what the core begins
-// with. It waits for the disk and for Host.Apply, until the context ends. For a nil Manager the session and the facts are
-// nil. A session that was opened must be closed, also if the core does not start.
-func (m *Manager) OpenSession(ctx context.Context, environment Environment) (*Session, *node.FleetConfig, error) {
+// OpenSession reads the folder, has the version that is to be in force at a start applied, and tells what
+// the core begins with. It waits for the disk and for Host.Apply, until the context ends. For a nil Manager
+// the session and the facts are nil. A session that was opened must be closed, also if the core does not
+// start.
+func (m *Manager) OpenSession(
+	ctx context.Context, environment Environment,
+) (*Session, *node.FleetConfig, error) {
 	if m == nil {
 		return nil, nil, nil
 	}
@@ -87,8 +90,8 @@
 	}
 }
 
-// applyStored applies the version that the folder has. Where that fails what is in force stays: the replica takes the
-// version again, or refuses it, once it has heard of it.
+// applyStored applies the version that the folder has. Where that fails what is in force stays: the replica
+// takes the version again, or refuses it, once it has heard of it.
 func (s *Session) applyStored(contents Contents) {
 	if contents.record == nil {
 		return
@@ -108,8 +111,8 @@
 		case err == nil || errors.Is(err, ErrOlder):
 			return
 		case !errors.Is(err, ErrRetryable) || attempt == storedAttempts:
-			s.Log.Error("fleet: the stored version of the configuration can't be used", "version", record.Version.Number,
-				"generation", record.Generation, "why", problemText(err))
+			s.Log.Error("fleet: the stored version of the configuration can't be used",
+				"version", record.Version.Number, "generation", record.Generation, "why", problemText(err))
 			return
 		}
 		select {
@@ -120,8 +123,8 @@
 	}
 }
 
-// storedState is what the replica begins with: what is in force here, which an earlier session may have applied after its
-// folder failed; then it is stored first. Versions of another generation do not count.
+// storedState is what the replica begins with: what is in force here, which an earlier session may have
+// applied after its folder failed; then it is stored first. Versions of another generation do not count.
 func (s *Session) storedState(contents Contents) (config.StoredState, error) {
 	state := config.StoredState{Documents: contents.documents}
 	inForce := s.manager.applied.Load()
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -5,8 +5,9 @@
 	"mintkeel/internal/fleet/maintenance"
 )
 
-// Status is what a controller knows of its fleet. What it can't know it does not report as known: Members are what it
-// believes, and Leases are what the quorum agreed on only if Own is set, and may be late otherwise.
+// Status is what a controller knows of its fleet. What it can't know it does not report as known: Members
+// are what it believes, and Leases are what the quorum agreed on only if Own is set, and may be late
+// otherwise.
 type Status struct {
 	Fleet      string         `json:"fleet"`
 	Generation uint64         `json:"generation"`
--- a/internal/fleet/faultinjection/rig.go
+++ b/internal/fleet/faultinjection/rig.go
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Dial opens a connection. Where the rig names a switch it goes there, and begins with the address that was meant: its
-// length in one byte, and the text.
+// Dial opens a connection. Where the rig names a switch it goes there, and begins with the address that was
+// meant: its length in one byte, and the text.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	by := os.Getenv("MINTKEEL_LAB_SWITCH")
 	if by == "" {
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -79,10 +79,12 @@
 	return &Writer{w: rw, mac: hmac.New(sha256.New, framesKey(key, nonce, payload))}, nil
 }
 
-// Accept reads the hello that answers a challenge with this nonce. Its errors are ErrForged for a sender without one of
-// the keys, ErrForeign for one of another fleet or generation or that means another controller, ErrMalformed
-// and ErrTooLong.
-func Accept(r io.Reader, nonce []byte, keys Keys, fleet string, generation uint64, self members.ID) (*Reader, error) {
+// Accept reads the hello that answers a challenge with this nonce. Its errors are ErrForged for a sender
+// without one of the keys, ErrForeign for one of another fleet or generation or that means another
+// controller, ErrMalformed and ErrTooLong.
+func Accept(
+	r io.Reader, nonce []byte, keys Keys, fleet string, generation uint64, self members.ID,
+) (*Reader, error) {
 	buffered := bufio.NewReaderSize(r, readBuffer)
 	payload, code, err := readFrame(buffered, MaxHelloBytes)
 	if err != nil {
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -9,11 +9,12 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors may be used up.
+// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors may be
+// used up.
 const acceptBackoff = 50 * time.Millisecond
 
-// greetingShare bounds the connections that are not authenticated yet and may take the place of idle ones: one in so many of
-// MaxIncoming. So strangers can't displace more controllers than that.
+// greetingShare bounds the connections that are not authenticated yet and may take the place of idle ones:
+// one in so many of MaxIncoming. So strangers can't displace more controllers than that.
 const greetingShare = 4
 
 // maxRateWait bounds how long a connection is not read as its sender is over its rate.
@@ -55,8 +56,8 @@
 	}
 }
 
-// admit finds room for a connection; false: there is none. The sender of an idle connection that is evicted for it notices
-// that, and opens another one for its next message.
+// admit finds room for a connection; false: there is none. The sender of an idle connection that is evicted
+// for it notices that, and opens another one for its next message.
 func (l *Links) admit(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,8 @@
 	return true
 }
 
-// evictIncoming closes the connection that has been idle for the longest time, if that is long enough. mu is held.
+// evictIncoming closes the connection that has been idle for the longest time, if that is long enough. mu
+// is held.
 func (l *Links) evictIncoming() bool {
 	var longestIdle net.Conn
 	greeting := 0
@@ -153,8 +155,8 @@
 	return min(max(0, ahead), maxRateWait)
 }
 
-// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same sender is closed: what a
-// former incarnation still has on its way does not count any more.
+// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same sender
+// is closed: what a former incarnation still has on its way does not count any more.
 func (l *Links) greet(conn net.Conn) (*frames.Reader, error) {
 	conn.SetDeadline(time.Now().Add(l.bounds.DialTimeout))
 	challenge, err := frames.Challenge(conn)
@@ -190,9 +192,9 @@
 	return true
 }
 
-// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its length: with a length that
-// was changed on its way the messages behind it would otherwise be read as its payload, and the sender would
-// not notice. The deadline leaves a slow network the time for a large frame.
+// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its length:
+// with a length that was changed on its way the messages behind it would otherwise be read as its payload,
+// and the sender would not notice. The deadline leaves a slow network the time for a large frame.
 func (l *Links) readFrame(conn net.Conn, reader *frames.Reader) ([]byte, error) {
 	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection before
 	conn.SetReadDeadline(time.Now().Add(maxWait))
@@ -208,11 +210,14 @@
 // logRejected counts and logs a connection that is not of this fleet. Others that end are no fault.
 func (l *Links) logRejected(conn net.Conn, err error) {
 	switch {
-	case errors.Is(err, frames.ErrForged), errors.Is(err, frames.ErrTooLong), errors.Is(err, frames.ErrMalformed):
+	case errors.Is(err, frames.ErrForged),
+		errors.Is(err, frames.ErrTooLong),
+		errors.Is(err, frames.ErrMalformed):
 		l.forged.Add(1)
 		l.log.Warn("fleet: a connection is not authentic", "from", conn.RemoteAddr().String(), "why", err)
 	case errors.Is(err, frames.ErrForeign):
 		l.foreign.Add(1)
-		l.log.Warn("fleet: a connection of another fleet or generation", "from", conn.RemoteAddr().String(), "why", err)
+		l.log.Warn("fleet: a connection of another fleet or generation",
+			"from", conn.RemoteAddr().String(), "why", err)
 	}
 }
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -20,20 +20,21 @@
 	QueueMessages int // that wait for one peer
 	QueueBytes    int // that wait for one peer
 
-	EvictAfter       time.Duration // without a message, after which an incoming connection makes room for another where there is none
+	EvictAfter       time.Duration // without a message, after which an incoming connection may be evicted
 	DialTimeout      time.Duration // to be connected and authenticated
 	WriteTimeout     time.Duration // to write a message
 	IdleTimeout      time.Duration // without a message, after which a connection is closed
 	RetryInterval    time.Duration // between two attempts to connect to one peer, at least
-	MaxRetryInterval time.Duration // the longest wait before a peer that has no room is asked again, half as long to half as long again
+	MaxRetryInterval time.Duration // longest wait for a peer that has no room, give or take a half
 
 	ReceiveRate  int // bytes a second that one sender may send; it is slowed to that
-	MinFrameRate int // bytes a second at which a frame that has begun has to come, beside the time of WriteTimeout
+	MinFrameRate int // bytes a second at which a frame that has begun has to come, after WriteTimeout
 }
 
-// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a second, helps some others and
-// writes to the quorum has some ten connections at a time. A leader's heartbeats come more often than a connection is
-// evicted; a neighbour pings each ten seconds, and opens another one where its connection was.
+// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a second,
+// helps some others and writes to the quorum has some ten connections at a time. A leader's heartbeats come
+// more often than a connection is evicted; a neighbour pings each ten seconds, and opens another one where
+// its connection was.
 func DefaultBounds() Bounds {
 	return Bounds{
 		MaxPeers:         64,
@@ -95,8 +96,8 @@
 	evicted  atomic.Int64 // idle incoming connections that were closed to make room
 }
 
-// New returns links of a controller that says hello as self. They call receive with each message that comes in; it must not
-// wait long, as it holds up one connection.
+// New returns links of a controller that says hello as self. They call receive with each message that comes
+// in; it must not wait long, as it holds up one connection.
 func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Links{
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -28,7 +28,7 @@
 	announceInterval     = 1000.0 // between two announcements of the engines to hold, to each controller
 	confirmationLifetime = 5000.0 // a controller repeats its confirmation with each announcement
 	proposalTimeout      = 2000.0 // after which the agreed state is read again in place of awaiting a proposal
-	lostEngineTime       = 3600e3 // for which a missing engine that nobody took out counts as lost: after that it has left for good
+	lostEngineTime       = 3600e3 // after which a missing engine that nobody took out has left for good
 )
 
 // Timeouts of the job's own goroutines.
@@ -118,7 +118,8 @@
 	return j
 }
 
-// SetBlock has the programs and times of another block used from now on. A program that runs goes on as it began.
+// SetBlock has the programs and times of another block used from now on. A program that runs goes on as it
+// began.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
 // Began takes in that this controller holds the lease. It reads the agreed state before it does anything.
@@ -177,8 +178,8 @@
 	j.advance(jobContext)
 }
 
-// retryState reads the agreed state again once a proposal, or the state, has not come back in time. One of the messages
-// was lost, and the state tells which.
+// retryState reads the agreed state again once a proposal, or the state, has not come back in time. One of
+// the messages was lost, and the state tells which.
 func (j *Job) retryState(jobContext job.Context, now float64) {
 	if now <= j.proposedAt+proposalTimeout {
 		return
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -17,9 +17,9 @@
 type agreedState struct {
 	Plans   []core.Plan       `cbor:"1,keyasint"`
 	Tasks   []core.Task       `cbor:"2,keyasint"`
-	Without []members.ID      `cbor:"3,keyasint,omitempty"` // controllers whose confirmation an operator does without
+	Without []members.ID      `cbor:"3,keyasint,omitempty"` // controllers that an operator does without
 	Known   []core.EngineID   `cbor:"5,keyasint,omitempty"` // the engines that there should be
-	Hooked  map[string]uint64 `cbor:"6,keyasint,omitempty"` // by hookKey: the sequence number of the task for which a person has done a program's part
+	Hooked  map[string]uint64 `cbor:"6,keyasint,omitempty"` // by hookKey: the task whose work a person has done
 }
 
 // holdEffect is the effect that lists, to every controller, the engines to which it may send nothing new.
@@ -31,8 +31,8 @@
 // messageKind tells a message from those of other jobs.
 const messageKind = "maintenance"
 
-// message is one between the jobs of two controllers: a request, its answer, or a confirmation of what is held. It is
-// encoded by the order of its fields.
+// message is one between the jobs of two controllers: a request, its answer, or a confirmation of what is
+// held. It is encoded by the order of its fields.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    string
@@ -90,7 +90,7 @@
 	Plan         string   `json:"plan"`
 	Step         string   `json:"step"`
 	SinceMS      int64    `json:"since_ms"`                // ms since the step began
-	NotConfirmed []string `json:"not_confirmed,omitempty"` // controllers that may still send to it, as far as is known
+	NotConfirmed []string `json:"not_confirmed,omitempty"` // controllers that may still send to it
 	Waits        string   `json:"waits,omitempty"`         // what the step waits for
 }
 
@@ -116,7 +116,11 @@
 	case received.Answer != nil:
 		j.receiveAnswer(received.Answer)
 	case j.holdsLease && received.Token == uint64(j.grant.Token):
-		j.confirmations[from] = confirmation{serial: received.Serial, stopped: received.Stopped, at: jobContext.Now()}
+		j.confirmations[from] = confirmation{
+			serial:  received.Serial,
+			stopped: received.Stopped,
+			at:      jobContext.Now(),
+		}
 	}
 	return true
 }
--- a/internal/fleet/maintenance/planfile.go
+++ b/internal/fleet/maintenance/planfile.go
@@ -25,8 +25,8 @@
 
 var planName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with the file itself; whether
-// the plans can be carried out is for the lease holder to check.
+// ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with the file
+// itself; whether the plans can be carried out is for the lease holder to check.
 func ReadPlans(path string, text []byte) ([]core.Plan, error) {
 	diagnostics := block.NewDiagnostics(text)
 	if len(text) > maxPlanFileBytes {
@@ -66,7 +66,8 @@
 
 // readPlan reads one plan. The names of its fields are those of the operators.
 func readPlan(b *hcl.Block, diagnostics *block.Diagnostics) core.Plan {
-	open := block.Open(b, diagnostics, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep", "at_once", "person")
+	open := block.Open(b, diagnostics, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep",
+		"at_once", "person")
 	plan := core.Plan{
 		ID:             core.PlanID(b.Labels[0]),
 		MaxUnavailable: open.Int("at_once", 1, 1, maxAtOnce),
@@ -136,15 +137,16 @@
 	for _, text := range open.Strings("keep", maxMinAvailable) {
 		keep, ok := parseMinAvailable(text)
 		if !ok {
-			open.AddProblem("keep", fmt.Sprintf("%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
+			open.AddProblem("keep", fmt.Sprintf(
+				"%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
 		}
 		list = append(list, keep)
 	}
 	return list
 }
 
-// parseMinAvailable parses a count or a share of engines, with a kind and a zone where they are given, such as
-// "3 c16 in hall-a".
+// parseMinAvailable parses a count or a share of engines, with a kind and a zone where they are given, such
+// as "3 c16 in hall-a".
 func parseMinAvailable(text string) (keep core.MinAvailable, ok bool) {
 	words := strings.Fields(text)
 	if len(words) == 0 || !parseCountOrShare(words[0], &keep) {
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -35,8 +35,9 @@
 	expectedWarmTime  = 30000.0
 )
 
-// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the returned channel, which has
-// room for it, or is lost: the caller waits for a bounded time. The error is ErrNoHolder where there is none.
+// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the returned
+// channel, which has room for it, or is lost: the caller waits for a bounded time. The error is ErrNoHolder
+// where there is none.
 func (j *Job) SendRequest(jobContext job.Context, holder members.ID, request Request) (chan Status, error) {
 	if holder == "" {
 		return nil, ErrNoHolder
@@ -60,7 +61,9 @@
 	var request Request
 	able := j.holdsLease && j.known && len(j.requests) < maxPendingRequests
 	if !able || json.Unmarshal(encoded.JSON, &request) != nil {
-		j.reply(jobContext, from, encoded.Ref, Status{Error: "this controller does not conduct maintenance now: ask again"})
+		j.reply(jobContext, from, encoded.Ref, Status{
+			Error: "this controller does not conduct maintenance now: ask again",
+		})
 		return
 	}
 	j.requests = append(j.requests, pendingRequest{from: from, ref: encoded.Ref, Request: request})
@@ -132,7 +135,8 @@
 		r.state.Plans = append(r.state.Plans, p)
 	}
 	if len(r.state.Plans) > maxPlans {
-		r.status.Problems = append(r.status.Problems, fmt.Sprintf("there would be over %d plans: withdraw some", maxPlans))
+		r.status.Problems = append(r.status.Problems,
+			fmt.Sprintf("there would be over %d plans: withdraw some", maxPlans))
 	}
 	r.changed = commit && r.status.Problems == nil
 	if commit && r.status.Problems != nil {
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -104,14 +104,20 @@
 	return nil
 }
 
-// maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where this controller has it.
+// errNoAnswer is that a request was passed on to the holder of the maintenance lease and not answered.
+var errNoAnswer = errors.New(
+	"who conducts maintenance did not answer in time: whether it was done is not known")
+
+// maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where this
+// controller has it.
 type maintenanceJob interface {
 	job.Job
 	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned channel.
 	SendRequest(c job.Context, holder members.ID, request maintenance.Request) (chan maintenance.Status, error)
 }
 
-// askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits for the answer.
+// askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits for the
+// answer.
 func (s *Service) askMaintenance(request *maintenance.Request) (control.Status, error) {
 	if request == nil {
 		return control.Status{}, errors.New("nothing is asked for")
@@ -136,7 +142,7 @@
 		}
 		return control.Status{Maintenance: &answer}, err
 	case <-timer.C:
-		return control.Status{}, errors.New("who conducts maintenance did not answer in time: whether it was done is not known")
+		return control.Status{}, errNoAnswer
 	case <-s.done:
 		return control.Status{}, errEnding
 	}
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying one out may lead to
-// another.
+// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying one out
+// may lead to another.
 const maxOutputs = 8
 
 // carryOut does what the core asks for.
@@ -67,8 +67,8 @@
 func (s *session) logMembers(changes []members.Change) {
 	for _, c := range changes {
 		if c.Member.State != c.Previous || c.New {
-			s.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(), "was", c.Previous.String(),
-				"new", c.New)
+			s.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(),
+				"was", c.Previous.String(), "new", c.New)
 		}
 	}
 }
@@ -103,14 +103,15 @@
 	}
 }
 
-// persist has the quorum's next record written beside the loop. Where a batch has none the core goes on at once, and
-// advanced is true: it may have more outputs.
+// persist has the quorum's next record written beside the loop. Where a batch has none the core goes on at
+// once, and advanced is true: it may have more outputs.
 func (s *session) persist(out node.Output) (advanced bool, err error) {
 	switch {
 	case out.Compaction != nil:
 		return false, s.storage.begin(writeRequest{replace: true, compaction: out.Compaction}, out.Compaction)
 	case out.Ready != nil && out.Ready.Record != nil:
-		return false, s.storage.begin(writeRequest{replace: out.Ready.Record.Full, batch: out.Ready}, out.Ready.Record)
+		record := out.Ready.Record
+		return false, s.storage.begin(writeRequest{replace: record.Full, batch: out.Ready}, record)
 	case out.Ready != nil:
 		s.core.Advance(s.Now(), out.Ready)
 		return true, nil
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -87,6 +87,7 @@
 	}
 	j.wanting = false
 	digest.ShiftTimes(&statistics, j.clock()-received.Now)
-	j.host.Log.Info("fleet: begins with what the fleet knows", "records", statistics.Len(), "token", received.Token)
+	j.host.Log.Info("fleet: begins with what the fleet knows",
+		"records", statistics.Len(), "token", received.Token)
 	j.host.Remember(statistics)
 }
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -36,7 +36,7 @@
 
 // Bounds.
 const (
-	gatherPeers      = 4    // controllers asked in a round: of a thousand some sixty are heard within two minutes
+	gatherPeers      = 4    // controllers asked in a round: some sixty are heard within two minutes
 	newcomerPeers    = 2    // voters that a newcomer asks at a time
 	partRecords      = 1000 // taken out of the loop at once
 	maxRecords       = 6000 // sent by one controller
@@ -185,7 +185,9 @@
 }
 
 // drawPeers draws some other members that are alive and eligible.
-func (j *Job) drawPeers(jobContext job.Context, count int, eligible func(members.Member) bool) (peers []members.ID) {
+func (j *Job) drawPeers(
+	jobContext job.Context, count int, eligible func(members.Member) bool,
+) (peers []members.ID) {
 	for _, m := range jobContext.Members() {
 		if m.State == members.Alive && m.ID != jobContext.Self() && eligible(m) {
 			peers = append(peers, m.ID)
