--- a/internal/fleet/configcheck_test.go
+++ b/internal/fleet/config_check_test.go
@@ -15,9 +15,9 @@
 // checkAnswerWithin bounds an operator's command at a controller that checks a document.
 const checkAnswerWithin = 5 * time.Second
 
-// TestConfigCheckBeside has the leader, and then one that does not vote, take long to check a document: meanwhile it
-// goes on with its part in the fleet, and when the check has ended the version is in force everywhere.
-func TestConfigCheckBeside(t *testing.T) {
+// The leader, and then a controller that does not vote, takes long to check a document. Meanwhile it must
+// go on with its part in the fleet, and once the check has ended the version is in force everywhere.
+func TestSlowCheckDoesNotHoldUpTheService(t *testing.T) {
 	t.Parallel()
 	for name, leads := range map[string]bool{"the leader": true, "no voter": false} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,8 @@
 			})
 			agreed := make(chan config.Version, 1)
 			go func() {
-				answer, err := f.order(author, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"), Author: "a", Reason: "r"})
+				answer, err := f.order(author, configuration.Request{Action: configuration.ActionPut,
+					Document: []byte("two"), Author: "a", Reason: "r"})
 				if err != nil || answer.Version == nil {
 					t.Errorf("put: %+v, %v", answer, err)
 					answer.Version = &config.Version{}
--- a/internal/fleet/configstore_test.go
+++ b/internal/fleet/config_folder_test.go
@@ -14,9 +14,9 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// TestConfigFolder has a controller start after its folder was emptied, or put back to an older copy: it catches up, and
-// takes no older version after a newer one.
-func TestConfigFolder(t *testing.T) {
+// A controller starts after its folder was emptied, or put back to an older copy. It catches up, and never
+// has an older version in force after a newer one.
+func TestEmptiedOrOlderFolderCatchesUp(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
@@ -50,8 +50,8 @@
 	f.neverOlder()
 }
 
-// TestConfigDamagedFolder has a controller start with files that are damaged: they are counted, and fetched anew.
-func TestConfigDamagedFolder(t *testing.T) {
+// A controller starts with damaged files. They are counted and dropped, and their documents fetched again.
+func TestDamagedConfigurationFilesAreDropped(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	v := f.put(0, []byte("one"))
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestConfigFullDisk has one controller's disk be full: it says so and keeps the version before, and takes the new one
-// when there is room.
-func TestConfigFullDisk(t *testing.T) {
+// The disk of one controller is full. The controller reports that, keeps the version before, and takes the
+// new one once there is room.
+func TestFullDiskKeepsTheVersionInForce(t *testing.T) {
 	t.Parallel()
 	full := disktest.New()
 	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = full })
@@ -88,9 +88,10 @@
 	two := f.put(0, []byte("two"))
 	f.inForce(two, []byte("two"), 0, 1, 2)
 	f.statusIs(0, "not stored at one", func(s *config.Status) bool {
-		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Rejected), func(r config.ControllerReport) bool {
-			return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
-		})
+		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Rejected),
+			func(r config.ControllerReport) bool {
+				return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
+			})
 	})
 	if !f.hosts[3].uses(one.Number, []byte("one")) || f.services[3].config.StoreFailures() == 0 {
 		t.Error("the version before is not in force, or the failure is not counted")
@@ -112,9 +113,9 @@
 	return d.Disk.Make()
 }
 
-// TestConfigHangingDisk has one controller's disk hang: its part in the fleet goes on, closing does not wait for it, and
-// nobody else has the folder before it is well.
-func TestConfigHangingDisk(t *testing.T) {
+// The disk of one controller hangs. Its part in the fleet goes on, Close does not wait for the disk, and no
+// other process gets the folder before it works again.
+func TestHangingDiskHoldsUpNothingElse(t *testing.T) {
 	t.Parallel()
 	hanging := &openedDisk{Disk: disktest.New(), opened: make(chan struct{}, 100)}
 	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = hanging })
@@ -124,7 +125,8 @@
 	release := hanging.Hang()
 	two := f.put(3, []byte("two"))
 	f.inForce(two, []byte("two"), 0, 1, 2)
-	if s, err := control.Call(context.Background(), f.folder(3), control.Request{Action: "status"}); err != nil || len(s.Members) != 4 {
+	if s, err := control.Call(context.Background(), f.folder(3),
+		control.Request{Action: "status"}); err != nil || len(s.Members) != 4 {
 		t.Errorf("while the disk hangs: %+v, %v", s, err)
 	}
 	if !f.hosts[3].uses(one.Number, []byte("one")) {
--- a/internal/fleet/configfleet_test.go
+++ b/internal/fleet/config_helpers_test.go
@@ -117,7 +117,8 @@
 // startConfigFleet starts services; prepare may change what they start with.
 func startConfigFleet(t *testing.T, count int, prepare func(*configFleet)) *configFleet {
 	t.Helper()
-	f := &configFleet{t: t, dir: t.TempDir(), log: quiet, disks: make([]disk.Disk, count), services: make([]*Service, count)}
+	f := &configFleet{t: t, dir: t.TempDir(), log: quiet, disks: make([]disk.Disk, count),
+		services: make([]*Service, count)}
 	for range count {
 		f.addrs = append(f.addrs, reserveAddress(t))
 		f.hosts = append(f.hosts, &fakeHost{})
@@ -189,10 +190,12 @@
 	var answer configuration.Answer
 	var err error
 	f.eventually("put is answered", func() bool { // a quorum without a leader proposes nothing
-		answer, err = f.order(i, configuration.Request{Action: configuration.ActionPut, Document: document, Author: "a", Reason: "r"})
+		answer, err = f.order(i, configuration.Request{Action: configuration.ActionPut, Document: document,
+			Author: "a", Reason: "r"})
 		return err == nil
 	})
-	if answer.Result != configuration.ResultAgreed || answer.Version == nil || answer.Version.Hash != config.HashOf(document) {
+	if answer.Result != configuration.ResultAgreed || answer.Version == nil ||
+		answer.Version.Hash != config.HashOf(document) {
 		f.t.Fatalf("put: %+v", answer)
 	}
 	return *answer.Version
@@ -271,7 +274,8 @@
 	time.Sleep(30 * time.Second)
 	seconds := time.Since(began).Seconds()
 	f.t.Logf("%s: %+v, of all three: %.0f bytes and %.2f ms of processor time a second", what, cost,
-		float64(f.bytesOut()-bytesBefore)/seconds, float64((processorTime(f.t)-processorBefore).Microseconds())/1000/seconds)
+		float64(f.bytesOut()-bytesBefore)/seconds,
+		float64((processorTime(f.t)-processorBefore).Microseconds())/1000/seconds)
 }
 
 // processorTime is that of this process.
--- a/internal/fleet/configcontrol_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -17,12 +17,17 @@
 	"mintkeel/internal/fleet/control"
 )
 
-// TestConfigPut has documents of all sizes be in force at all, told by status, history and show.
-func TestConfigPut(t *testing.T) {
+// Documents of all sizes are put. Each comes into force at every controller, and status, history and show
+// report it.
+func TestPutIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 5, nil)
 	all := []int{0, 1, 2, 3, 4}
-	documents := [][]byte{[]byte("x"), bytes.Repeat([]byte("y"), 64<<10), bytes.Repeat([]byte("z"), config.MaxDocument)}
+	documents := [][]byte{
+		[]byte("x"),
+		bytes.Repeat([]byte("y"), 64<<10),
+		bytes.Repeat([]byte("z"), config.MaxDocument),
+	}
 	for n, document := range documents {
 		v := f.put(n+2, document)
 		if v.Number != uint64(n+1) || v.Author != "a" || v.Reason != "r" || v.Size != len(document) || v.Time == 0 {
@@ -34,7 +39,10 @@
 		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.ByVersion[3] == 5
 	})
 	tooBig := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
-	for size, want := range map[int]string{config.MaxDocument + 1: tooBig.RefuseTooBig().Reason, 0: "the document is empty"} {
+	for size, want := range map[int]string{
+		config.MaxDocument + 1: tooBig.RefuseTooBig().Reason,
+		0:                      "the document is empty",
+	} {
 		order := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
 		answer, err := f.order(1, order)
 		if err != nil || answer.Result != configuration.ResultRefused || answer.Reason != want {
@@ -49,7 +57,9 @@
 	if err != nil || len(history.Versions) != 3 || history.From == "" || history.Local.Number != 3 {
 		t.Errorf("history: %+v, %v", history, err)
 	}
-	for number, want := range map[uint64][]byte{0: documents[2], 1: documents[0], 2: documents[1], 3: documents[2]} {
+	for number, want := range map[uint64][]byte{
+		0: documents[2], 1: documents[0], 2: documents[1], 3: documents[2],
+	} {
 		shown, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: number})
 		if err != nil || !bytes.Equal(shown.Document, want) {
 			t.Errorf("show %d: %d bytes, %v", number, len(shown.Document), err)
@@ -58,21 +68,24 @@
 	if _, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
 		t.Error("a version that was never agreed on is shown")
 	}
-	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed || local != f.services[4].ConfigReadiness() {
+	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed ||
+		local != f.services[4].ConfigReadiness() {
 		t.Errorf("local: %+v", local)
 	}
 	f.neverOlder()
 }
 
-// TestConfigRace has two operators put at once: one wins, the other is told of the version that did.
-func TestConfigRace(t *testing.T) {
+// Two operators put at once, both on top of the same version. One wins, and the other is given the version
+// that did.
+func TestOneOfTwoPutsAtOnceWins(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	first := f.put(0, []byte("first"))
 	answers := make(chan configuration.Answer, 2)
 	for i := range 2 {
 		go func() {
-			answer, err := f.order(i, configuration.Request{Action: configuration.ActionPut, Document: fmt.Append(nil, "by ", i), Expect: &first.Number})
+			answer, err := f.order(i, configuration.Request{Action: configuration.ActionPut, Document: fmt.Append(nil,
+				"by ", i), Expect: &first.Number})
 			if err != nil {
 				t.Error(err)
 			}
@@ -83,18 +96,21 @@
 	if a.Result == configuration.ResultLost {
 		a, b = b, a
 	}
-	if a.Result != configuration.ResultAgreed || b.Result != configuration.ResultLost || b.Version == nil || b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
+	if a.Result != configuration.ResultAgreed || b.Result != configuration.ResultLost || b.Version == nil ||
+		b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
 		t.Fatalf("%+v and %+v", a, b)
 	}
-	stale, err := f.order(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"), Expect: &first.Number})
+	stale, err := f.order(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"),
+		Expect: &first.Number})
 	if err != nil || stale.Result != configuration.ResultLost {
 		t.Errorf("one that has seen no newer version than the first: %+v, %v", stale, err)
 	}
 	f.neverOlder()
 }
 
-// TestConfigRefusedHere has documents that the controller asked can't use be refused at once, with its problems.
-func TestConfigRefusedHere(t *testing.T) {
+// An operator puts a document that the controller asked can't use, or whose check panics. It is refused at
+// once, with its problems, and nothing is proposed.
+func TestUnusableDocumentIsRefusedByTheControllerAsked(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
 	f.hosts[0].setCheck(func(document []byte) error {
@@ -107,7 +123,8 @@
 		return errors.New("line 4: what is this?")
 	})
 	for document, want := range map[string]string{"bad": "line 4", "panic": "the parser is broken"} {
-		answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte(document)})
+		answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut,
+			Document: []byte(document)})
 		if err != nil || answer.Result != configuration.ResultRefused || !strings.Contains(answer.Reason, want) {
 			t.Errorf("%s: %+v, %v", document, answer, err)
 		}
@@ -123,20 +140,24 @@
 	}
 }
 
-// TestConfigRollback has an earlier document be a new version.
+// A rollback makes an earlier document a new version. One that expects an older version than the newest
+// loses, and one to a version that never was fails.
 func TestConfigRollback(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	f.put(0, []byte("one"))
 	f.put(1, []byte("two"))
-	answer, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 1, Author: "b", Reason: "two is bad"})
-	if err != nil || answer.Result != configuration.ResultAgreed || answer.Version.Number != 3 || answer.Version.RollbackOf != 1 ||
+	answer, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 1,
+		Author: "b", Reason: "two is bad"})
+	if err != nil || answer.Result != configuration.ResultAgreed || answer.Version.Number != 3 ||
+		answer.Version.RollbackOf != 1 ||
 		answer.Version.Reason != "two is bad" {
 		t.Fatalf("%+v, %v", answer, err)
 	}
 	f.inForce(*answer.Version, []byte("one"), 0, 1, 2, 3)
 	seen := uint64(2)
-	if late, err := f.order(2, configuration.Request{Action: configuration.ActionRollback, Number: 2, Expect: &seen}); err != nil || late.Result != configuration.ResultLost {
+	if late, err := f.order(2, configuration.Request{Action: configuration.ActionRollback, Number: 2,
+		Expect: &seen}); err != nil || late.Result != configuration.ResultLost {
 		t.Errorf("one that has not seen the rollback: %+v, %v", late, err)
 	}
 	if _, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 8}); err == nil {
@@ -145,8 +166,9 @@
 	f.neverOlder()
 }
 
-// TestConfigOff has a service without a host be what it was: no folder, no goroutine, no count, no answer.
-func TestConfigOff(t *testing.T) {
+// A service without a host for configuration has no folder and no counts for it, and answers
+// requests about it with an error.
+func TestServiceWithoutConfigurationHost(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	s, err := Start(blockOf(t, dir, 0, []string{"127.0.0.1:0"}), "n0", nil, nil, quiet)
@@ -154,18 +176,22 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "status"}); err != nil {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"),
+		control.Request{Action: "status"}); err != nil {
 		t.Error(err)
 	}
-	if local := s.WaitConfig(context.Background()); local != (config.Readiness{}) || s.ConfigReadiness() != local {
+	if local := s.WaitConfig(context.Background()); local != (config.Readiness{}) ||
+		s.ConfigReadiness() != local {
 		t.Errorf("it tells %+v", local)
 	}
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config", Config: &configuration.Request{Action: configuration.ActionStatus}}); err == nil ||
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
+		Config: &configuration.Request{Action: configuration.ActionStatus}}); err == nil ||
 		!strings.Contains(err.Error(), configuration.ErrOff.Error()) {
 		t.Errorf("an order is answered: %v", err)
 	}
 	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxBytes)}
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config", Config: &long}); err == nil ||
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
+		Config: &long}); err == nil ||
 		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
 		t.Errorf("a long order is read: %v", err)
 	}
@@ -177,13 +203,16 @@
 	}
 }
 
-// TestConfigRequests has requests that are too long, or make no sense, be told so.
-func TestConfigRequests(t *testing.T) {
+// Requests that are too long, empty or unknown get an error, and an author or reason that is too long is
+// refused.
+func TestConfigurationRequestsBeyondBoundsAreRefused(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
 	long := strings.Repeat("x", control.MaxBytes)
 	for name, r := range map[string]control.Request{
-		"longer than any may be":     {Action: "config", Config: &configuration.Request{Action: configuration.ActionPut, Reason: strings.Repeat("x", configuration.MaxRequestBytes)}},
+		"longer than any may be": {Action: "config",
+			Config: &configuration.Request{Action: configuration.ActionPut, Reason: strings.Repeat("x",
+				configuration.MaxRequestBytes)}},
 		"no order":                   {Action: "config"},
 		"an order that is not known": {Action: "config", Config: &configuration.Request{Action: "jump"}},
 	} {
@@ -191,23 +220,28 @@
 			t.Errorf("%s: done", name)
 		}
 	}
-	if _, err := control.Call(context.Background(), f.folder(0), control.Request{Action: "status", Lease: long}); err == nil ||
+	if _, err := control.Call(context.Background(), f.folder(0), control.Request{Action: "status",
+		Lease: long}); err == nil ||
 		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
 		t.Errorf("a long request of another kind: %v", err)
 	}
 	f.put(0, []byte("x"))
 	for name, o := range map[string]configuration.Request{
-		"an author too long": {Action: configuration.ActionPut, Document: []byte("y"), Author: strings.Repeat("a", config.MaxAuthor+1)},
-		"a reason too long":  {Action: configuration.ActionPut, Document: []byte("y"), Reason: strings.Repeat("a", config.MaxReason+1)},
+		"an author too long": {Action: configuration.ActionPut, Document: []byte("y"), Author: strings.Repeat("a",
+			config.MaxAuthor+1)},
+		"a reason too long": {Action: configuration.ActionPut, Document: []byte("y"), Reason: strings.Repeat("a",
+			config.MaxReason+1)},
 	} {
-		if answer, err := f.order(0, o); err != nil || answer.Result != configuration.ResultRefused || answer.Reason == "" {
+		if answer, err := f.order(0, o); err != nil || answer.Result != configuration.ResultRefused ||
+			answer.Reason == "" {
 			t.Errorf("%s: %+v, %v", name, answer, err)
 		}
 	}
 }
 
-// TestConfigWithoutMajority has a put where no majority is to be heard be told so, in time.
-func TestConfigWithoutMajority(t *testing.T) {
+// Two of three voters are down. A put is answered in time with a result that says that the outcome is
+// unknown, and the last version stays in force.
+func TestPutWithoutMajorityIsUnknown(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	one := f.put(0, []byte("one"))
@@ -218,7 +252,8 @@
 		_, err := f.order(0, configuration.Request{Action: configuration.ActionHistory})
 		return err != nil && strings.Contains(err.Error(), configuration.ErrNoLeader.Error())
 	})
-	answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"), Expect: &one.Number})
+	answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"),
+		Expect: &one.Number})
 	if err != nil || answer.Result != configuration.ResultUnknown || answer.Local.Number != one.Number {
 		t.Errorf("put: %+v, %v", answer, err)
 	}
@@ -227,9 +262,10 @@
 	}
 }
 
-// TestConfigLeaderStops has the leader stop while a put is under way: the put is answered by what was agreed on, which is
-// in force at the others, and at the one that stopped once it is back. Never are two documents of one number agreed on.
-func TestConfigLeaderStops(t *testing.T) {
+// The leader stops while a put is under way. The put is answered with the version that was agreed on. That
+// comes into force at the others, and at the former leader once it is back. Two documents of one number are
+// never agreed on.
+func TestPutIsAnsweredThoughTheLeaderStops(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(3, []byte("one"))
@@ -245,7 +281,8 @@
 	document := bytes.Repeat([]byte("two"), 200<<10)
 	answered := make(chan configuration.Answer, 1)
 	go func() {
-		answer, err := f.order(3, configuration.Request{Action: configuration.ActionPut, Document: document, Expect: &one.Number})
+		answer, err := f.order(3, configuration.Request{Action: configuration.ActionPut, Document: document,
+			Expect: &one.Number})
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/fleet/configservice_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -26,17 +26,27 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// TestConfigRefusedThere has one controller be unable to use a version, by its check, its apply or a panic of either: it
-// keeps the version before and says so, and takes the next one.
-func TestConfigRefusedThere(t *testing.T) {
+// One controller can't use a version: its check or its apply fails or panics. It keeps the version before,
+// reports the refusal, and takes the next version.
+func TestVersionRefusedByOneControllerIsReported(t *testing.T) {
 	t.Parallel()
 	for name, spoil := range map[string]func(*fakeHost){
-		"check":       func(h *fakeHost) { h.setCheck(func(d []byte) error { return refuse(d, errors.New("can't use this")) }) },
+		"check": func(h *fakeHost) {
+			h.setCheck(func(d []byte) error {
+				return refuse(d,
+					errors.New("can't use this"))
+			})
+		},
 		"check panic": func(h *fakeHost) { h.setCheck(func(d []byte) error { return refuse(d, nil) }) },
 		"apply": func(h *fakeHost) {
 			h.setApply(func(_ config.Version, d []byte) error { return refuse(d, errors.New("can't use this")) })
 		},
-		"apply panic": func(h *fakeHost) { h.setApply(func(_ config.Version, d []byte) error { return refuse(d, nil) }) },
+		"apply panic": func(h *fakeHost) {
+			h.setApply(func(_ config.Version, d []byte) error {
+				return refuse(d,
+					nil)
+			})
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -48,7 +58,8 @@
 			bad := f.put(0, []byte("bad"))
 			f.inForce(bad, []byte("bad"), 0, 1, 2)
 			f.statusIs(1, "refused at one", func(s *config.Status) bool {
-				return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == before.Number &&
+				return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" &&
+					s.Rejected[0].Applied == before.Number &&
 					strings.Contains(s.Rejected[0].Reason, "can't use this")
 			})
 			if !f.hosts[3].uses(before.Number, []byte("good")) {
@@ -80,8 +91,9 @@
 	return err
 }
 
-// TestConfigRetry has a host be unable to take a version for a while.
-func TestConfigRetry(t *testing.T) {
+// The program can't take a version into use for a while and says that it may be tried again. The version
+// comes into force once it can.
+func TestRetryableApplyIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
 	busy := fmt.Errorf("busy: %w", configuration.ErrRetryable)
@@ -92,9 +104,9 @@
 	f.inForce(v, []byte("x"), 0)
 }
 
-// TestConfigRestart has one controller restart with what its folder holds: that is in force before WaitConfig returns,
-// also with nobody to be heard, and what was agreed on meanwhile follows.
-func TestConfigRestart(t *testing.T) {
+// A controller restarts with a version in its folder. That is in force before WaitConfig returns, also if
+// no other controller can be reached, and versions agreed on meanwhile follow.
+func TestRestartBeginsWithTheStoredVersion(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
@@ -124,15 +136,18 @@
 	f.neverOlder()
 }
 
-// TestConfigKeptUnusable has a controller start with a version that it can't use any more: it goes on without, says so,
-// and takes the next one.
-func TestConfigKeptUnusable(t *testing.T) {
+// A controller starts with a stored version that it can't use any more. It goes on without, reports it, and
+// takes the next version.
+func TestUnusableStoredVersionIsTakenAgainLater(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	bad := f.put(0, []byte("bad"))
 	f.inForce(bad, []byte("bad"), 0, 1, 2, 3)
 	f.stop(3)
-	f.hosts[3] = &fakeHost{apply: func(_ config.Version, d []byte) error { return refuse(d, errors.New("can't use this")) }}
+	f.hosts[3] = &fakeHost{apply: func(_ config.Version, d []byte) error {
+		return refuse(d,
+			errors.New("can't use this"))
+	}}
 	f.start(3)
 	f.statusIs(0, "refused at one", func(s *config.Status) bool {
 		return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == 0
@@ -144,9 +159,9 @@
 	f.inForce(next, []byte("better"), 0, 1, 2, 3)
 }
 
-// TestConfigGeneration has a controller start in a new generation: what it had stays in force until there is a version of
-// the new one, whose numbers begin anew.
-func TestConfigGeneration(t *testing.T) {
+// A fleet is rebuilt as a new generation. The versions of the former one stay in force until there is one
+// of the new generation, whose numbers begin anew.
+func TestNewGenerationNumbersVersionsAnew(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	f.put(0, []byte("one"))
@@ -183,9 +198,10 @@
 	f.inForce(next, []byte("three"), 0, 1, 2)
 }
 
-// TestConfigSessionRestart has a service's part in the fleet end and begin anew, also with its folder emptied meanwhile:
-// what is in force stays, is not applied again, and is what the next start begins with; requests that wait are told.
-func TestConfigSessionRestart(t *testing.T) {
+// The session of a service ends by a failure and another begins, once with its folder emptied meanwhile.
+// The version in force stays, is not applied again, and is what the next start begins with. Requests that
+// wait get an error.
+func TestVersionInForceOutlivesTheSession(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
@@ -228,8 +244,9 @@
 	f.neverOlder()
 }
 
-// TestConfigNeverOlder has the last check before a version is applied refuse what the core should never ask for.
-func TestConfigNeverOlder(t *testing.T) {
+// The core should never ask for an older version than the one in force, or for another document of its
+// number. If it does, the last check before Host.Apply refuses it.
+func TestApplyRefusesOlderAndOtherVersions(t *testing.T) {
 	t.Parallel()
 	h := &fakeHost{}
 	c := configuration.NewManager(h.host(), disktest.New())
@@ -266,9 +283,9 @@
 	}
 }
 
-// TestConfigSlowApply has a host that takes long: one call is made at a time, the service goes on, and closing waits a
-// bounded time.
-func TestConfigSlowApply(t *testing.T) {
+// The program takes long to take a version into use. One call is made at a time, the service goes on, and
+// Close waits for a bounded time.
+func TestSlowApplyIsCalledOnceAndCloseIsBounded(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	release := make(chan struct{})
@@ -295,8 +312,9 @@
 	}
 }
 
-// TestConfigStrangers has frames of another key, another fleet and another generation change nothing.
-func TestConfigStrangers(t *testing.T) {
+// Another key, another fleet or another generation sends frames that tell of a later version. They change
+// nothing.
+func TestForeignFramesDoNotChangeConfiguration(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	one := f.put(0, []byte("one"))
@@ -307,7 +325,8 @@
 	}
 	forged := config.Summary{Number: 99, Hash: config.HashOf([]byte("forged")), Size: 6}
 	payload, err := cbor.Marshal(node.Message{Config: &config.Message{Summary: &forged,
-		ProposeReply: &config.ProposeReply{Result: config.Committed, Version: config.Version{Number: 99, Hash: forged.Hash, Size: 6}}}})
+		ProposeReply: &config.ProposeReply{Result: config.Committed, Version: config.Version{Number: 99,
+			Hash: forged.Hash, Size: 6}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,8 +382,8 @@
 	return restingCost{runtime.NumGoroutine(), len(open)}
 }
 
-// TestConfigAtRest has a fleet with a version in force need no more goroutines and descriptors at rest than one that does
-// not use configuration, but for the lock of each folder.
+// A fleet with a version in force needs no more goroutines and descriptors at rest than one that does not
+// use configuration, but for the lock of each folder.
 func TestConfigAtRest(t *testing.T) {
 	var off restingCost
 	t.Run("off", func(t *testing.T) {
@@ -372,7 +391,8 @@
 		f.eventually("all know each other", func() bool { return f.acquainted() })
 		for range 100 { // connections come and go: the most within a while
 			now := measureRest(t)
-			off.goroutines, off.descriptors = max(off.goroutines, now.goroutines), max(off.descriptors, now.descriptors)
+			off.goroutines, off.descriptors = max(off.goroutines, now.goroutines), max(off.descriptors,
+				now.descriptors)
 			time.Sleep(20 * time.Millisecond)
 		}
 		f.logRest("off", off)
--- a/internal/fleet/configuration/folder_test.go
+++ b/internal/fleet/configuration/folder_test.go
@@ -19,7 +19,8 @@
 // storedVersion is the n-th version of a folder that is tested by itself.
 func storedVersion(n int) (config.Version, []byte) {
 	document := fmt.Append(nil, "document ", n)
-	return config.Version{Number: uint64(n), Hash: config.HashOf(document), Size: len(document), Author: "a"}, document
+	return config.Version{Number: uint64(n), Hash: config.HashOf(document), Size: len(document), Author: "a"},
+		document
 }
 
 // storeVersion has the n-th version be current, and the one before the last be removed.
@@ -51,15 +52,16 @@
 		return 0
 	}
 	v, document := storedVersion(int(contents.record.Version.Number))
-	if contents.record.Version != v || !bytes.Equal(contents.document, document) || !bytes.Equal(contents.documents[v.Hash], document) {
+	if contents.record.Version != v || !bytes.Equal(contents.document, document) ||
+		!bytes.Equal(contents.documents[v.Hash], document) {
 		t.Fatalf("%+v with %q", contents.record, contents.document)
 	}
 	return v.Number
 }
 
-// TestConfigFolderStops has the process be killed at each operation of a request: the version before or the new one is
-// found, whole; once the request is answered, the new one.
-func TestConfigFolderStops(t *testing.T) {
+// The process is killed at each operation of a request. The folder then has the version before or the new
+// one, complete; once the request was answered, the new one.
+func TestFolderAfterStopAtEachOperation(t *testing.T) {
 	t.Parallel()
 	points := 0
 	for _, how := range disktest.CrashModes() {
@@ -88,9 +90,9 @@
 	}
 }
 
-// TestConfigFolderGenerations has the record of another generation be found, be replaced by a version of this one, and be
-// back where that is not to be in force at a start.
-func TestConfigFolderGenerations(t *testing.T) {
+// A folder has the record of another generation. It is replaced by a version of this one, and is back when
+// none of this one is to be in force at a start.
+func TestFolderOfAnotherGeneration(t *testing.T) {
 	t.Parallel()
 	d := disktest.New()
 	f, _ := openTestFolder(t, d, 1)
@@ -99,7 +101,8 @@
 	}
 	f.Close()
 	f, contents := openTestFolder(t, d, 2)
-	if contents.record == nil || contents.record.Generation != 1 || contents.record.atLeast(2, config.Version{Number: 1}) {
+	if contents.record == nil || contents.record.Generation != 1 || contents.record.atLeast(2,
+		config.Version{Number: 1}) {
 		t.Errorf("found %+v", contents.record)
 	}
 	none := config.StoreRequest{Current: &config.Version{}}
@@ -111,7 +114,8 @@
 		{"a version of this generation", func() error { return storeVersion(f, 1) }, 1},
 		{"none of this generation", func() error { return f.Store(&none) }, 7},
 		{"again one", func() error { return storeVersion(f, 2) }, 2},
-		{"the other's document removed", func() error { return f.folder.Remove(documents.Hash(contents.record.Version.Hash)) }, 2},
+		{"the other's document removed",
+			func() error { return f.folder.Remove(documents.Hash(contents.record.Version.Hash)) }, 2},
 		{"none of either", func() error { return f.Store(&none) }, 0},
 		{"and again one", func() error { return storeVersion(f, 2) }, 2},
 	} {
@@ -124,9 +128,9 @@
 	}
 }
 
-// TestConfigFolderRemoval has a removal that fails be tried again with the next request, unless its document was stored
-// again.
-func TestConfigFolderRemoval(t *testing.T) {
+// A document can't be removed. The removal is tried again with the next request, unless the document was
+// stored again meanwhile.
+func TestRemovalThatFailedIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	d := disktest.New()
 	f, _ := openTestFolder(t, d, 1)
@@ -150,7 +154,8 @@
 	if contents.documents[one.Hash] == nil {
 		t.Error("a document that was stored again is gone")
 	}
-	if err := f.Store(&config.StoreRequest{Remove: []config.Hash{one.Hash, two.Hash}}); err != nil { // two is current
+	if err := f.Store(&config.StoreRequest{Remove: []config.Hash{one.Hash,
+		two.Hash}}); err != nil { // two is current
 		t.Fatal(err)
 	}
 	if err := storeVersion(f, 3); err != nil {
@@ -165,8 +170,8 @@
 	}
 }
 
-// TestConfigFolderRecords has a record that is whole but makes no sense be dropped and counted.
-func TestConfigFolderRecords(t *testing.T) {
+// A record is complete but can't be one of ours. It is dropped and counted, and the folder is usable.
+func TestUnusableRecordsAreDropped(t *testing.T) {
 	t.Parallel()
 	v, document := storedVersion(1)
 	other, _ := storedVersion(2)
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -41,7 +41,7 @@
 type Request struct {
 	Action   Action  `json:"action"`
 	Document []byte  `json:"document,omitempty"` // of ActionPut
-	Expect   *uint64 `json:"expect,omitempty"`   // the newest version that the author has seen; nil: whatever is newest
+	Expect   *uint64 `json:"expect,omitempty"`   // the newest version that the author has seen; nil: any
 	Number   uint64  `json:"number,omitempty"`   // of ActionShow and ActionRollback
 	Author   string  `json:"author,omitempty"`
 	Reason   string  `json:"reason,omitempty"`
--- a/internal/fleet/configuration/stored_test.go
+++ b/internal/fleet/configuration/stored_test.go
@@ -1,7 +1,7 @@
 package configuration
 
-// A rename or a reordering of fields can change what a controller stores of the fleet's configuration. It shows only with a
-// folder of an earlier build. This test compares with what an earlier build wrote.
+// A rename or a reordering of fields can change what a controller stores of the fleet's configuration. It
+// shows only with a folder of an earlier build. This test compares with what an earlier build wrote.
 
 import (
 	"crypto/sha256"
@@ -21,8 +21,8 @@
 		ID: config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11}}
 }
 
-// TestStoredConfigFolderIsReadable reads a folder of configuration versions of an earlier build, and writes the same
-// versions to the same files.
+// A folder of configuration versions of an earlier build is read, and the same versions are written to the
+// same files.
 func TestStoredConfigFolderIsReadable(t *testing.T) {
 	const generation = 3
 	document := []byte("log {\n  level = \"warn\"\n}\n")
--- a/internal/fleet/control/stored_test.go
+++ b/internal/fleet/control/stored_test.go
@@ -1,7 +1,7 @@
 package control
 
-// A rename of fields can change what operators' scripts read and write. It shows only beside a program of an earlier
-// build. This test compares with what an earlier build wrote.
+// A rename of fields can change what operators' scripts read and write. It shows only beside a program of
+// an earlier build. This test compares with what an earlier build wrote.
 
 import (
 	"crypto/sha256"
@@ -49,15 +49,17 @@
 		"maintenance": {Action: "maintenance", Lease: "digest", To: "n2", Old: "n1",
 			Maintenance: &maintenance.Request{Action: "plan", Plans: []core.Plan{storedPlan()}, Name: "kernel"}},
 		"config": {Action: "config", Lease: "digest", To: "n2", Old: "n1",
-			Config: &configuration.Request{Action: configuration.ActionPut, Document: []byte("log {\n}\n"), Expect: &expect, Number: 5,
+			Config: &configuration.Request{Action: configuration.ActionPut, Document: []byte("log {\n}\n"),
+				Expect: &expect, Number: 5,
 				Author: "ann", Reason: "more room"}},
 	}
 }
 
 func storedMaintenanceStatus() *maintenance.Status {
 	return &maintenance.Status{Holder: "n1", Token: 19, Serial: 18, Plans: []core.Plan{storedPlan()},
-		Tasks: []maintenance.TaskStatus{{Engine: "e1", Plan: "kernel", Step: "working", SinceMS: 1234, NotConfirmed: []string{"n3"},
-			Waits: "for a person"}},
+		Tasks: []maintenance.TaskStatus{{Engine: "e1", Plan: "kernel", Step: "working", SinceMS: 1234,
+			NotConfirmed: []string{"n3"},
+			Waits:        "for a person"}},
 		Reasons: []string{"e2: too few remain"},
 		Forecasts: []maintenance.ForecastStatus{{Plan: "kernel", After: time.UnixMilli(1_700_000_000_000).UTC(),
 			Before: time.UnixMilli(1_700_000_900_000).UTC()}},
@@ -68,8 +70,9 @@
 	document := []byte("log {\n}\n")
 	version := versionOfDocument(document)
 	report := config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
-	return &configuration.Answer{Result: configuration.ResultLost, Reason: "another was first", Version: &version,
-		Local: config.Readiness{Confirmed: true, Number: 6, Latest: 7},
+	return &configuration.Answer{Result: configuration.ResultLost, Reason: "another was first",
+		Version: &version,
+		Local:   config.Readiness{Confirmed: true, Number: 6, Latest: 7},
 		Status: &config.Status{Latest: version, Members: 9, InForce: 8, ByVersion: map[uint64]int{6: 1, 7: 8},
 			Rejected: []config.ControllerReport{report}, Behind: []config.ControllerReport{report},
 			Unreachable: []config.ControllerReport{report}, Omitted: 2, CollectedFor: 60_000.5},
@@ -87,8 +90,8 @@
 		Error: "an error", Maintenance: storedMaintenanceStatus(), Config: storedConfigAnswer()}
 }
 
-// checkJSON compares the JSON of a value with the stored one, and the stored one's value with this one. The structs in
-// it that have no json tags are encoded under the names of their Go fields.
+// checkJSON compares the JSON of a value with the stored one, and the stored one's value with this one. The
+// structs in it that have no json tags are encoded under the names of their Go fields.
 func checkJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	golden.AllSet(t, value)
--- a/internal/fleet/frames/encoding_test.go
+++ b/internal/fleet/frames/encoding_test.go
@@ -1,7 +1,7 @@
 package frames
 
-// A change of the hello or of the frames around messages shows only beside a controller of an earlier build, which ends
-// the connection. These tests compare with what an earlier build sent, and read it.
+// A change of the hello or of the frames around messages shows only beside a controller of an earlier
+// build, which ends the connection. These tests compare with what an earlier build sent, and read it.
 
 import (
 	"bytes"
@@ -28,7 +28,8 @@
 	return Hello{Fleet: "east", Generation: 3, From: "n1", Run: 77, To: "n2", Nonce: nonce}
 }
 
-// challenged is a connection on which the challenge of a listener has come; what is written to it is gathered.
+// challenged is a connection on which the challenge of a listener has come; what is written to it is
+// gathered.
 type challenged struct {
 	io.Reader
 	written bytes.Buffer
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -54,7 +54,9 @@
 
 var challenge = bytes.Repeat([]byte{9}, nonceSize)
 
-func TestFrames(t *testing.T) {
+// A listener reads the frames of a controller with one of its keys. It closes a connection with another
+// key, fleet, generation, receiver or challenge, or with a name that can't be one.
+func TestFramesAreReadFromMembersOfTheFleetOnly(t *testing.T) {
 	b := written(t, key, mine, challenge, "one", "", "three")
 	got, err := heard(b, challenge, Keys{key})
 	if err != io.EOF || len(got) != 3 || got[0] != "one" || got[2] != "three" {
@@ -70,23 +72,25 @@
 		challenge []byte
 		want      error
 	}{
-		"another key":        {other, mine, challenge, ErrForged},
-		"another fleet":      {key, Hello{Fleet: "g", Generation: 2, From: "a"}, challenge, ErrForeign},
-		"an old generation":  {key, Hello{Fleet: "f", Generation: 1, From: "a"}, challenge, ErrForeign},
-		"meant for another":  {key, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, challenge, ErrForeign},
-		"nobody":             {key, Hello{Fleet: "f", Generation: 2}, challenge, ErrMalformed},
-		"said to another":    {key, mine, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
-		"a name without end": {key, Hello{Fleet: "f", Generation: 2, From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrMalformed},
+		"another key":       {other, mine, challenge, ErrForged},
+		"another fleet":     {key, Hello{Fleet: "g", Generation: 2, From: "a"}, challenge, ErrForeign},
+		"an old generation": {key, Hello{Fleet: "f", Generation: 1, From: "a"}, challenge, ErrForeign},
+		"meant for another": {key, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, challenge, ErrForeign},
+		"nobody":            {key, Hello{Fleet: "f", Generation: 2}, challenge, ErrMalformed},
+		"said to another":   {key, mine, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
+		"a name without end": {key, Hello{Fleet: "f", Generation: 2,
+			From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrMalformed},
 	} {
-		if _, err := heard(written(t, c.key, c.hello, c.challenge, "x"), challenge, Keys{key}); !errors.Is(err, c.want) {
+		if _, err := heard(written(t, c.key, c.hello, c.challenge, "x"), challenge, Keys{key}); !errors.Is(err,
+			c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Cut at each byte, changed at each byte, a frame repeated, two changed over, one left out: nothing is taken but what was
-// said, in its order.
-func TestHostile(t *testing.T) {
+// Somebody on the network cuts a connection at any byte, changes any byte, or repeats, swaps or leaves out
+// frames. The listener accepts nothing but what was sent, in its order, up to the change.
+func TestChangedFramesAreRejected(t *testing.T) {
 	b := written(t, key, mine, challenge, "one", "two", "three")
 	want := []string{"one", "two", "three"}
 	prefix := func(got []string) bool {
@@ -113,7 +117,8 @@
 		n := 4 + int(binary.BigEndian.Uint32(rest)) + macSize
 		parts, rest = append(parts, rest[:n]), rest[n:]
 	}
-	for name, order := range map[string][]int{"repeated": {0, 1, 1, 2, 3}, "changed over": {0, 2, 1, 3}, "left out": {0, 2, 3},
+	for name, order := range map[string][]int{"repeated": {0, 1, 1, 2, 3}, "changed over": {0, 2, 1, 3},
+		"left out":      {0, 2, 3},
 		"a hello again": {0, 0, 1}} {
 		var all []byte
 		for _, i := range order {
@@ -125,8 +130,9 @@
 	}
 }
 
-// A length of 1 GB, and one within the bound of which nothing follows, take no memory to speak of.
-func TestClaims(t *testing.T) {
+// A frame claims a length of 1 GB, or the longest that is allowed, and nothing follows. The reader must not
+// allocate memory for it.
+func TestClaimedLengthsTakeNoMemory(t *testing.T) {
 	hello := written(t, key, mine, challenge)
 	for _, claim := range []uint32{1 << 30, 1<<32 - 1, MaxPayloadBytes} {
 		var before, after runtime.MemStats
@@ -138,13 +144,15 @@
 		}
 	}
 	w := written(t, key, mine, challenge)
-	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)), challenge, Keys{key}, "f", 2,
+	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)),
+		challenge, Keys{key}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long hello: %v", err)
 	}
 }
 
-func TestOverSockets(t *testing.T) {
+// A challenge, a hello and frames pass over a connection whose two ends run at once.
+func TestFramesOverAPipe(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -22,8 +22,9 @@
 	return address
 }
 
-// The leases of a fleet change while it runs: what is new gets a holder, what is not wanted any more is held by nobody.
-func TestSetLeases(t *testing.T) {
+// The leases of a fleet change while it runs. A new one gets a holder, and one that is not wanted any more
+// has none.
+func TestSetLeasesCountsWhileRunning(t *testing.T) {
 	dir := t.TempDir()
 	addr := reserveAddress(t)
 	s, err := Start(blockOf(t, dir, 0, []string{addr}), "n0", nil, nil, quiet)
@@ -34,7 +35,8 @@
 	await := func(want ...string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			status, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "status"})
+			status, err := control.Call(context.Background(), filepath.Join(dir, "n0"),
+				control.Request{Action: "status"})
 			var listed []string
 			for _, w := range status.Leases {
 				listed = append(listed, w.Lease)
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -29,9 +29,9 @@
 	to.hears(t, message)
 }
 
-// Where all room is taken, the connection that has been idle for the longest time yields to a new one. Its sender sees
-// that: its next message goes over another connection and arrives.
-func TestIdleConnectionYields(t *testing.T) {
+// All room for incoming connections is taken. The one that has been idle for the longest time makes room
+// for a new one. Its sender notices, and its next message arrives over another connection.
+func TestIdleConnectionIsEvicted(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Nanosecond
 	a := open(t, "a", "f", keys, b)
@@ -49,7 +49,8 @@
 	}
 }
 
-// A connection that was used within the time does not yield: the new one is refused, and comes in once there is room.
+// All room is taken by connections that were used a moment ago. A new one is refused, and is accepted once
+// there is room.
 func TestBusyConnectionsStay(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Hour
@@ -73,7 +74,8 @@
 	}
 }
 
-// Connections that prove nothing displace no more than a share of the controllers that are idle.
+// Strangers open connections and prove nothing. They may displace no more than a share of the idle
+// controllers.
 func TestStrangersDisplaceFew(t *testing.T) {
 	const room = 8
 	b := DefaultBounds()
@@ -106,9 +108,9 @@
 	return g.Conn.Write(b)
 }
 
-// What has been read ahead of a connection that a later one of the same sender ends is void: it may be of a former
-// incarnation.
-func TestFramesReadAhead(t *testing.T) {
+// A controller restarts and connects again while frames of its former incarnation have been read and not
+// handed over. These must be dropped.
+func TestFramesReadAheadOfAnEndedConnectionAreDropped(t *testing.T) {
 	first, release, got := make(chan bool), make(chan bool), make(chan string, 10)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -40,7 +40,8 @@
 // serve is links of a controller that takes connections from a listener.
 func serve(t *testing.T, listener net.Listener, name members.ID, fleet string, k frames.Keys, b Bounds) *end {
 	e := &end{addr: listener.Addr().String(), got: make(chan Received, 100000)}
-	e.Links = New(frames.Hello{Fleet: fleet, Generation: 1, From: name, Run: 7}, k, b, func(r Received) { e.got <- r }, quiet)
+	e.Links = New(frames.Hello{Fleet: fleet, Generation: 1, From: name, Run: 7}, k, b,
+		func(r Received) { e.got <- r }, quiet)
 	e.Serve(listener)
 	t.Cleanup(e.Close)
 	return e
@@ -68,7 +69,9 @@
 	}
 }
 
-func TestBothWays(t *testing.T) {
+// Two controllers send to each other. Messages arrive in order, also while one has changed to a key that
+// the other does not know yet.
+func TestMessagesArriveInOrderBothWays(t *testing.T) {
 	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
 	for i := range 100 {
 		a.Send("b", b.addr, fmt.Append(nil, i))
@@ -85,8 +88,9 @@
 	b.hears(t, "on a connection that is up")
 }
 
-// Strangers, other fleets and other keys are told nothing, and counted.
-func TestStrangers(t *testing.T) {
+// Another fleet, another key and a stranger connect. None gets an answer, each is counted, and nothing of
+// theirs is handed over.
+func TestForeignAndForgedConnectionsAreCounted(t *testing.T) {
 	a := open(t, "a", "f", keys, DefaultBounds())
 	open(t, "b", "g", keys, DefaultBounds()).Send("a", a.addr, []byte("x"))
 	eventually(t, "another fleet is not counted", func() bool { return a.foreign.Load() == 1 })
@@ -104,10 +108,12 @@
 	}
 }
 
-// One that does not read, one that is not there, and more peers than there may be: nothing waits, all is bounded.
-func TestBounds(t *testing.T) {
+// One peer does not read, one can't be reached, and there are more peers than bounds allow. Send never
+// waits, and queues and peers stay within their bounds.
+func TestSendNeverWaitsAndIsBounded(t *testing.T) {
 	b := DefaultBounds()
-	b.MaxPeers, b.QueueMessages, b.QueueBytes, b.DialTimeout, b.WriteTimeout, b.IdleTimeout = 4, 8, 4000, 100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
+	b.MaxPeers, b.QueueMessages, b.QueueBytes, b.DialTimeout, b.WriteTimeout, b.IdleTimeout = 4, 8, 4000,
+		100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
 	a := open(t, "a", "f", keys, b)
 	deaf, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and says nothing
 	if err != nil {
@@ -131,11 +137,13 @@
 	if n > b.MaxPeers || a.dropped.Load() < 1900 {
 		t.Errorf("%d peers, %d dropped", n, a.dropped.Load())
 	}
-	eventually(t, "idle peers are kept", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.peers) == 0 })
+	eventually(t, "idle peers are kept",
+		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.peers) == 0 })
 }
 
-// A later connection of one ends the earlier ones; no more than a bound come in; closing leaves no goroutine.
-func TestIncoming(t *testing.T) {
+// A controller connects twice: the earlier connection ends. No more connections than the bound are
+// accepted, and Close leaves no goroutine.
+func TestLaterConnectionEndsEarlierOnesOfItsSender(t *testing.T) {
 	before := runtime.NumGoroutine()
 	b := DefaultBounds()
 	b.MaxIncoming = 3
@@ -145,7 +153,8 @@
 	a.hears(t, "first")
 	second.Send("a", a.addr, []byte("second"))
 	a.hears(t, "second")
-	eventually(t, "the earlier connection stays", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.incoming) == 1 })
+	eventually(t, "the earlier connection stays",
+		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.incoming) == 1 })
 	for range 5 {
 		conn, err := net.Dial("tcp", a.addr)
 		if err != nil {
@@ -160,7 +169,8 @@
 	eventually(t, "goroutines stay", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
-// lengthChanger passes on what one writes to another, and changes the length of the second frame after the hello.
+// lengthChanger passes on what one writes to another, and changes the length of the second frame after the
+// hello.
 func lengthChanger(t *testing.T, to string) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -213,9 +223,9 @@
 	return frame, err
 }
 
-// A length that is changed on its way has the connection end within the time for writing a message, though messages go on
-// to come behind it; those after that get through on another connection.
-func TestChangedLength(t *testing.T) {
+// The length of a frame is changed on its way, so that the messages behind it look like its payload. The
+// connection ends within the time for writing a message, and later messages arrive over another one.
+func TestChangedLengthEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.RetryInterval = 300*time.Millisecond, 10*time.Millisecond
 	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
@@ -270,8 +280,8 @@
 	return listener.Addr().String()
 }
 
-// A large message that a slow network takes longer for than a sender has to write it gets through.
-func TestSlowNetwork(t *testing.T) {
+// The network takes longer for a large message than the sender has to write it. The message arrives.
+func TestLargeMessageOverASlowNetwork(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout = 100 * time.Millisecond
 	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
@@ -289,8 +299,9 @@
 	}
 }
 
-// A frame that claims much and hardly comes has its connection end after the longest time for a frame, whatever it claims.
-func TestLongestFrame(t *testing.T) {
+// A frame claims the longest length and hardly comes. Its connection ends after the longest time for a
+// frame, whatever it claims.
+func TestSlowFrameEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.IdleTimeout, b.MinFrameRate = 50*time.Millisecond, 200*time.Millisecond, 1000
 	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, DefaultBounds())
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// openAgain is links of a controller that takes over the listener of a former incarnation, which ends. The port is held
-// throughout, so that no other program gets it.
+// openAgain is links of a controller that takes over the listener of a former incarnation, which ends. The
+// port is held throughout, so that no other program gets it.
 func (e *end) openAgain(t *testing.T, listener net.Listener, b Bounds) *end {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
@@ -24,8 +24,8 @@
 	return serve(t, again, e.self.From, e.self.Fleet, keys, b)
 }
 
-// The first message after a peer has restarted goes over a connection to its new incarnation: it is not written into the
-// one that the former incarnation left behind.
+// A peer restarts. The first message after that goes over a connection to the new incarnation, and is not
+// lost in the one to the former.
 func TestPeerRestarts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,8 +43,9 @@
 	}
 }
 
-// Waits after refusals double up to the bound and are drawn; after a failure of another kind it is always the same one.
-func TestRetryWait(t *testing.T) {
+// A peer has no room several times in a row. The waits double up to their bound and are drawn, so that
+// senders do not return at once. After another failure the wait is always the same.
+func TestRetryBackoffDoublesUpToItsBound(t *testing.T) {
 	b := Bounds{RetryInterval: 200 * time.Millisecond, MaxRetryInterval: time.Second}
 	for refusals, middle := range []time.Duration{0, 200, 400, 800, 1000, 1000} {
 		middle *= time.Millisecond
@@ -65,9 +66,9 @@
 	}
 }
 
-// A peer that closes connections unread counts as full, one that is not there does not, and one that lets this controller
-// in ends the count.
-func TestRefusals(t *testing.T) {
+// A peer that closes connections before its challenge counts as full, one that can't be reached does not,
+// and one that accepts ends the count.
+func TestRefusalsInARowAreCounted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +86,8 @@
 				conn.Close()
 			}
 		}()
-		if connect(full) || full.refusals != refusals || time.Until(full.retryAt) > 2*DefaultBounds().MaxRetryInterval {
+		if connect(full) || full.refusals != refusals ||
+			time.Until(full.retryAt) > 2*DefaultBounds().MaxRetryInterval {
 			t.Errorf("%d refusals are counted, not %d", full.refusals, refusals)
 		}
 	}
@@ -100,9 +102,9 @@
 	}
 }
 
-// Connections that the peer ends right after their beginning, as it is of another fleet, are not opened anew at once from
-// the second one on.
-func TestEndedAtOnce(t *testing.T) {
+// A peer of another fleet ends each connection right after its beginning. From the second one on no other
+// is opened at once.
+func TestConnectionsThatThePeerEndsAtOnceAreDelayed(t *testing.T) {
 	b := DefaultBounds()
 	b.RetryInterval = time.Minute // "right after" on a slow machine too
 	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, DefaultBounds())
--- a/internal/fleet/maintenance/block_test.go
+++ b/internal/fleet/maintenance/block_test.go
@@ -10,8 +10,9 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// Another block maintenance counts from the next step on.
-func TestSetBlock(t *testing.T) {
+// A reload names a program for the work while a task waits for a person. The program is run with the next
+// step.
+func TestSetBlockCountsFromTheNextStepOn(t *testing.T) {
 	mark := filepath.Join(t.TempDir(), "mark")
 	script := mark + ".sh"
 	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $3\" > "+mark+"\n"), 0o700); err != nil {
--- a/internal/fleet/maintenance/planfile_test.go
+++ b/internal/fleet/maintenance/planfile_test.go
@@ -8,7 +8,8 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-func TestReadPlans(t *testing.T) {
+// A file of plans is read with all its fields, and each mistake in one is reported with its place.
+func TestReadPlansAndTheirProblems(t *testing.T) {
 	plans, err := ReadPlans("p.hcl", []byte(`plan "kernel" {
   kinds   = ["c16"]
   zones   = ["hall-a"]
@@ -29,7 +30,9 @@
 		t.Fatal(plans, err)
 	}
 	p := plans[0]
-	if p.WorkTime != 1200000 || p.MaxUnavailable != 2 || !p.ConfirmWork || p.BlockedHours[0] != (core.Hours{From: 660, To: 840}) || p.Deadline-p.Select.StartedBefore != 2.25*24*3600*1000 {
+	if p.WorkTime != 1200000 || p.MaxUnavailable != 2 || !p.ConfirmWork ||
+		p.BlockedHours[0] != (core.Hours{From: 660, To: 840}) ||
+		p.Deadline-p.Select.StartedBefore != 2.25*24*3600*1000 {
 		t.Errorf("%+v", p)
 	}
 	if got := fmt.Sprint(p.MinAvailable); got != "[50% of the engines in hall-a 3 engines of kind c16 4 engines 2 engines of kind c12 in hall-b]" {
--- a/internal/fleet/maintenance/stored_test.go
+++ b/internal/fleet/maintenance/stored_test.go
@@ -1,7 +1,8 @@
 package maintenance
 
-// A rename or a reordering of fields can change what lease holders hand on and what jobs send each other. It shows only
-// beside a controller of an earlier build. These tests compare with what an earlier build wrote.
+// A rename or a reordering of fields can change what lease holders hand on and what jobs send each other.
+// It shows only beside a controller of an earlier build. These tests compare with what an earlier build
+// wrote.
 
 import (
 	"os"
@@ -34,8 +35,9 @@
 }
 
 func storedTask() core.Task {
-	return core.Task{Engine: "e1", Plan: "kernel", Step: core.Working, StepStartedAt: 1_700_000_000_001.25, Sequence: 17,
-		Zone: "east", Kind: "c16", Cores: 16, EngineStartedAt: 1_699_000_000_000, ChosenAt: 1_700_000_000_000.25}
+	return core.Task{Engine: "e1", Plan: "kernel", Step: core.Working, StepStartedAt: 1_700_000_000_001.25,
+		Sequence: 17,
+		Zone:     "east", Kind: "c16", Cores: 16, EngineStartedAt: 1_699_000_000_000, ChosenAt: 1_700_000_000_000.25}
 }
 
 func storedMaintenance() agreedState {
@@ -69,7 +71,8 @@
 	}
 }
 
-// TestProgramArgumentsAreStable pins what the programs of an installation are given, which read it by position.
+// TestProgramArgumentsAreStable pins what the programs of an installation are given, which read it by
+// position.
 func TestProgramArgumentsAreStable(t *testing.T) {
 	folder := t.TempDir()
 	program, given := filepath.Join(folder, "program"), filepath.Join(folder, "given")
--- a/internal/fleet/service_test.go
+++ b/internal/fleet/service_test.go
@@ -23,7 +23,8 @@
 	if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b := &Block{Name: "t", Generation: 1, Listen: addrs[i], Advertise: addrs[i], KeyFile: key, Folder: filepath.Join(dir, fmt.Sprint("n", i)),
+	b := &Block{Name: "t", Generation: 1, Listen: addrs[i], Advertise: addrs[i], KeyFile: key,
+		Folder: filepath.Join(dir, fmt.Sprint("n", i)),
 		Voters: map[members.ID]string{}, Leases: []lease.Name{"w"}, Lease: time.Second, Willing: true}
 	for j, addr := range addrs {
 		b.Voters[members.ID(fmt.Sprint("n", j))] = addr
@@ -33,9 +34,9 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// Three services in one process find each other, agree on an owner, hand the work over by the operators' socket, and go on
-// when one ends.
-func TestServices(t *testing.T) {
+// Three services in one process find each other and agree on the holder of a lease. An operator hands it
+// over, requests that make no sense fail, and another controller takes it when the holder shuts down.
+func TestServicesAgreeOnAHolderAndHandOver(t *testing.T) {
 	dir := t.TempDir()
 	var addrs []string
 	for range 3 {
@@ -62,7 +63,8 @@
 			if closed[s] {
 				continue
 			}
-			st, err := control.Call(context.Background(), filepath.Join(dir, fmt.Sprint("n", i)), control.Request{Action: "status"})
+			st, err := control.Call(context.Background(), filepath.Join(dir, fmt.Sprint("n", i)),
+				control.Request{Action: "status"})
 			if err == nil && len(st.Holds) > 0 {
 				return st.Self
 			}
@@ -83,11 +85,13 @@
 	if first == to {
 		to = "n1"
 	}
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), control.Request{Action: "handover", Lease: "w", To: to}); err != nil {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"),
+		control.Request{Action: "handover", Lease: "w", To: to}); err != nil {
 		t.Fatal(err)
 	}
 	wait("not handed over", func(o string) bool { return o == to })
-	for _, bad := range []control.Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover", Lease: "w", To: "z"}, {Action: "trust"}, {Action: "jump"}, {Action: "replace", Old: "z"}} {
+	for _, bad := range []control.Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover",
+		Lease: "w", To: "z"}, {Action: "trust"}, {Action: "jump"}, {Action: "replace", Old: "z"}} {
 		if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), bad); err == nil {
 			t.Errorf("%+v is done", bad)
 		}
@@ -105,8 +109,9 @@
 	}
 }
 
-// What an operator has to mend is told at the start.
-func TestStartProblems(t *testing.T) {
+// A service can't start for the lack of a key, a folder or an address, or with a name that can't be one.
+// The error names the field.
+func TestStartReportsWhatAnOperatorHasToMend(t *testing.T) {
 	dir := t.TempDir()
 	good := func() *Block { return blockOf(t, dir, 0, []string{"127.0.0.1:0"}) }
 	for what, change := range map[string]func(*Block){
@@ -128,8 +133,8 @@
 	}
 }
 
-// The agreement's own end is not the daemon's.
-func TestSafely(t *testing.T) {
+// The consensus library panics where its state is broken. That must end the session, and not the daemon.
+func TestSafelyTurnsPanicsIntoErrors(t *testing.T) {
 	if err := safely(func() error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "broken") {
 		t.Error(err)
 	}
--- a/internal/fleet/sharedstatistics/stored_test.go
+++ b/internal/fleet/sharedstatistics/stored_test.go
@@ -1,7 +1,7 @@
 package sharedstatistics
 
-// A rename or a reordering of fields can change what jobs send each other, which shows only beside a controller of an
-// earlier build. This test compares with what an earlier build wrote.
+// A rename or a reordering of fields can change what jobs send each other, which shows only beside a
+// controller of an earlier build. This test compares with what an earlier build wrote.
 
 import (
 	"testing"
@@ -17,6 +17,7 @@
 	golden.AllSet(t, statistics)
 	golden.CBOR(t, table, "digest-gather", message{Digest: true, Gather: true}, frames.Decoder.Unmarshal)
 	golden.CBOR(t, table, "digest-want", message{Digest: true, Want: true}, frames.Decoder.Unmarshal)
-	golden.CBOR(t, table, "digest-snapshot", message{Digest: true, Snapshot: statistics}, frames.Decoder.Unmarshal)
+	golden.CBOR(t, table, "digest-snapshot", message{Digest: true, Snapshot: statistics},
+		frames.Decoder.Unmarshal)
 	golden.CBOR(t, table, "digest-effect", *statistics, frames.Decoder.Unmarshal)
 }
