--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -57,18 +57,18 @@
 	return &Client{manager: manager, executor: executor}
 }
 
-// Do carries out an operator's request. The error is ErrOff where the fleet has no say in this controller's
-// configuration.
-func (c *Client) Do(request *Request) (Answer, error) {
+// Do carries out an operator's request. Other errors than ErrOff (the fleet has no say in this controller's
+// configuration) and that of a nil request come with an answer, which has the version in force here.
+func (c *Client) Do(request *Request) (*Answer, error) {
 	if c.manager == nil {
-		return Answer{}, ErrOff
+		return nil, ErrOff
 	}
 	if request == nil {
-		return Answer{}, errors.New("nothing is asked for")
+		return nil, errors.New("nothing is asked for")
 	}
 	answer, err := c.dispatch(request)
 	answer.Local = c.manager.Readiness()
-	return answer, err
+	return &answer, err
 }
 
 func (c *Client) dispatch(request *Request) (Answer, error) {
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -31,7 +31,7 @@
 		return s.askMaintenance(r.Maintenance)
 	case control.ActionConfig:
 		answer, err := s.client.Do(r.Config)
-		return control.Status{Config: &answer}, err
+		return control.Status{Config: answer}, err
 	}
 	type outcome struct {
 		status control.Status
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -92,20 +92,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: listen: %w", err)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	s := &Service{
-		block:    *b,
-		self:     members.ID(self),
-		log:      log,
-		jobs:     append(slices.Clone(jobs), faultinjection.Jobs(b.Folder)...),
-		listener: listener,
-		config:   manager,
-		inbox:    make(chan func(*session), inboxSize),
-		ctx:      ctx,
-		end:      end,
-		done:     make(chan struct{}),
-	}
-	s.client = configuration.NewClient(manager, configExecutor{s})
+	s := newService(b, members.ID(self), jobs, manager, log)
+	s.listener = listener
 	s.control, err = control.Listen(b.Folder)
 	if err != nil {
 		log.Warn("fleet: no socket for operators", "why", err)
@@ -119,6 +107,26 @@
 	return s, nil
 }
 
+// newService returns a service that does nothing yet.
+func newService(
+	b *Block, self members.ID, jobs []job.Job, manager *configuration.Manager, log *slog.Logger,
+) *Service {
+	ctx, end := context.WithCancel(context.Background())
+	s := &Service{
+		block:  *b,
+		self:   self,
+		log:    log,
+		jobs:   append(slices.Clone(jobs), faultinjection.Jobs(b.Folder)...),
+		config: manager,
+		inbox:  make(chan func(*session), inboxSize),
+		ctx:    ctx,
+		end:    end,
+		done:   make(chan struct{}),
+	}
+	s.client = configuration.NewClient(manager, configExecutor{s})
+	return s
+}
+
 // connect begins to accept and open connections to other controllers.
 func (s *Service) connect(keys frames.Keys, run uint64) {
 	hello := frames.Hello{Fleet: s.block.Name, Generation: s.block.Generation, From: s.self, Run: run}
