--- a/internal/fleet/config_folder_test.go
+++ b/internal/fleet/config_folder_test.go
@@ -71,7 +71,8 @@
 	f.hosts[3] = &fakeHost{}
 	f.start(3)
 	f.inForce(v, []byte("one"), 3)
-	if n := f.services[3].config.DamagedFiles(); n != 2 { // the document, and the record that is worth nothing without it
+	// The document is damaged, and the record counts for nothing without it.
+	if n := f.services[3].config.DamagedFiles(); n != 2 {
 		t.Errorf("%d files are counted", n)
 	}
 }
@@ -107,7 +108,7 @@
 	opened chan struct{}
 }
 
-// Make is the first operation of who opens the folder.
+// Make is the first operation on a folder that is opened.
 func (d *openedDisk) Make() error {
 	d.opened <- struct{}{}
 	return d.Disk.Make()
--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -84,8 +84,11 @@
 	answers := make(chan configuration.Answer, 2)
 	for i := range 2 {
 		go func() {
-			answer, err := f.order(i, configuration.Request{Action: configuration.ActionPut, Document: fmt.Append(nil,
-				"by ", i), Expect: &first.Number})
+			answer, err := f.order(i, configuration.Request{
+				Action:   configuration.ActionPut,
+				Document: fmt.Append(nil, "by ", i),
+				Expect:   &first.Number,
+			})
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/fleet/config_versions_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -33,8 +33,7 @@
 	for name, spoil := range map[string]func(*fakeHost){
 		"check": func(h *fakeHost) {
 			h.setCheck(func(d []byte) error {
-				return refuse(d,
-					errors.New("can't use this"))
+				return refuse(d, errors.New("can't use this"))
 			})
 		},
 		"check panic": func(h *fakeHost) { h.setCheck(func(d []byte) error { return refuse(d, nil) }) },
@@ -43,8 +42,7 @@
 		},
 		"apply panic": func(h *fakeHost) {
 			h.setApply(func(_ config.Version, d []byte) error {
-				return refuse(d,
-					nil)
+				return refuse(d, nil)
 			})
 		},
 	} {
@@ -145,8 +143,7 @@
 	f.inForce(bad, []byte("bad"), 0, 1, 2, 3)
 	f.stop(3)
 	f.hosts[3] = &fakeHost{apply: func(_ config.Version, d []byte) error {
-		return refuse(d,
-			errors.New("can't use this"))
+		return refuse(d, errors.New("can't use this"))
 	}}
 	f.start(3)
 	f.statusIs(0, "refused at one", func(s *config.Status) bool {
@@ -344,7 +341,7 @@
 			stranger.Send(members.ID(fmt.Sprint("n", i)), addr, payload)
 		}
 		for _, s := range f.services {
-			f.eventually(name+" is turned away", func() bool { return turnedAway(s) > 0 })
+			f.eventually(name+" is turned away", func() bool { return rejectedConnections(s) > 0 })
 		}
 		stranger.Close()
 	}
@@ -360,8 +357,8 @@
 	}
 }
 
-// turnedAway is how many connections were told to be foreign or forged.
-func turnedAway(s *Service) (n int64) {
+// rejectedConnections counts connections that were foreign or forged.
+func rejectedConnections(s *Service) (n int64) {
 	for _, a := range s.links.LogValue().Group() {
 		if a.Key == "forged" || a.Key == "foreign" {
 			n += a.Value.Int64()
--- a/internal/fleet/configuration/folder_test.go
+++ b/internal/fleet/configuration/folder_test.go
@@ -101,8 +101,8 @@
 	}
 	f.Close()
 	f, contents := openTestFolder(t, d, 2)
-	if contents.record == nil || contents.record.Generation != 1 || contents.record.atLeast(2,
-		config.Version{Number: 1}) {
+	if contents.record == nil || contents.record.Generation != 1 ||
+		contents.record.atLeast(2, config.Version{Number: 1}) {
 		t.Errorf("found %+v", contents.record)
 	}
 	none := config.StoreRequest{Current: &config.Version{}}
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -18,8 +18,8 @@
 	mine = Hello{Fleet: "f", Generation: 2, From: "a", Run: 5, To: "b"}
 )
 
-// written is what an opener wrote for a challenge: a hello and some frames.
-func written(t *testing.T, k Key, h Hello, challenge []byte, payloads ...string) []byte {
+// writeFrames returns what an opener writes for a challenge: a hello and some frames.
+func writeFrames(t *testing.T, k Key, h Hello, challenge []byte, payloads ...string) []byte {
 	t.Helper()
 	out := &bytes.Buffer{}
 	w, err := Open(struct {
@@ -37,8 +37,8 @@
 	return out.Bytes()
 }
 
-// heard is what a listener takes of it: the payloads up to what ended it.
-func heard(b, challenge []byte, keys Keys) (payloads []string, err error) {
+// readPayloads returns what a listener reads of a connection: the payloads up to the error that ended it.
+func readPayloads(b, challenge []byte, keys Keys) (payloads []string, err error) {
 	r, err := Accept(bytes.NewReader(b), challenge, keys, "f", 2, "b")
 	if err != nil {
 		return nil, err
@@ -57,13 +57,13 @@
 // A listener reads the frames of a controller with one of its keys. It closes a connection with another
 // key, fleet, generation, receiver or challenge, or with a name that can't be one.
 func TestFramesAreReadFromMembersOfTheFleetOnly(t *testing.T) {
-	b := written(t, key, mine, challenge, "one", "", "three")
-	got, err := heard(b, challenge, Keys{key})
+	b := writeFrames(t, key, mine, challenge, "one", "", "three")
+	got, err := readPayloads(b, challenge, Keys{key})
 	if err != io.EOF || len(got) != 3 || got[0] != "one" || got[2] != "three" {
 		t.Fatalf("%q, %v", got, err)
 	}
 	other := Key(bytes.Repeat([]byte{8}, 32))
-	if got, _ := heard(b, challenge, Keys{other, key}); len(got) != 3 {
+	if got, _ := readPayloads(b, challenge, Keys{other, key}); len(got) != 3 {
 		t.Error("the second of two keys is not taken")
 	}
 	for name, c := range map[string]struct {
@@ -81,8 +81,8 @@
 		"a name without end": {key, Hello{Fleet: "f", Generation: 2,
 			From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrMalformed},
 	} {
-		if _, err := heard(written(t, c.key, c.hello, c.challenge, "x"), challenge, Keys{key}); !errors.Is(err,
-			c.want) {
+		sent := writeFrames(t, c.key, c.hello, c.challenge, "x")
+		if _, err := readPayloads(sent, challenge, Keys{key}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -91,7 +91,7 @@
 // Somebody on the network cuts a connection at any byte, changes any byte, or repeats, swaps or leaves out
 // frames. The listener accepts nothing but what was sent, in its order, up to the change.
 func TestChangedFramesAreRejected(t *testing.T) {
-	b := written(t, key, mine, challenge, "one", "two", "three")
+	b := writeFrames(t, key, mine, challenge, "one", "two", "three")
 	want := []string{"one", "two", "three"}
 	prefix := func(got []string) bool {
 		for i := range got {
@@ -102,13 +102,13 @@
 		return true
 	}
 	for i := range b {
-		got, err := heard(b[:i], challenge, Keys{key})
+		got, err := readPayloads(b[:i], challenge, Keys{key})
 		if err == nil || !prefix(got) || len(got) == 3 {
 			t.Fatalf("cut at %d: %q, %v", i, got, err)
 		}
 		bad := bytes.Clone(b)
 		bad[i] ^= 1 << (i % 8)
-		if got, err := heard(bad, challenge, Keys{key}); err == nil || !prefix(got) || len(got) == 3 {
+		if got, err := readPayloads(bad, challenge, Keys{key}); err == nil || !prefix(got) || len(got) == 3 {
 			t.Fatalf("changed at %d: %q, %v", i, got, err)
 		}
 	}
@@ -124,7 +124,7 @@
 		for _, i := range order {
 			all = append(all, parts[i]...)
 		}
-		if got, err := heard(all, challenge, Keys{key}); !errors.Is(err, ErrForged) || !prefix(got) {
+		if got, err := readPayloads(all, challenge, Keys{key}); !errors.Is(err, ErrForged) || !prefix(got) {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
 	}
@@ -133,17 +133,17 @@
 // A frame claims a length of 1 GB, or the longest that is allowed, and nothing follows. The reader must not
 // allocate memory for it.
 func TestClaimedLengthsTakeNoMemory(t *testing.T) {
-	hello := written(t, key, mine, challenge)
+	hello := writeFrames(t, key, mine, challenge)
 	for _, claim := range []uint32{1 << 30, 1<<32 - 1, MaxPayloadBytes} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := heard(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), challenge, Keys{key})
+		_, err := readPayloads(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), challenge, Keys{key})
 		runtime.ReadMemStats(&after)
 		if grown := after.TotalAlloc - before.TotalAlloc; err == nil || grown > 64<<10 {
 			t.Errorf("%d: %v, %d bytes taken", claim, err, grown)
 		}
 	}
-	w := written(t, key, mine, challenge)
+	w := writeFrames(t, key, mine, challenge)
 	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)),
 		challenge, Keys{key}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -12,9 +12,9 @@
 )
 
 // fill has so many controllers connect to one, in order, and returns them.
-func fill(t *testing.T, to *end, count int) []*end {
+func fill(t *testing.T, to *testLinks, count int) []*testLinks {
 	t.Helper()
-	senders := make([]*end, count)
+	senders := make([]*testLinks, count)
 	for i := range senders {
 		senders[i] = open(t, members.ID(fmt.Sprint("n", i)), "f", keys, DefaultBounds())
 		senders[i].sendTo(t, to, fmt.Sprint("first of ", i))
@@ -23,10 +23,10 @@
 }
 
 // sendTo sends a message, which has to arrive.
-func (e *end) sendTo(t *testing.T, to *end, message string) {
+func (e *testLinks) sendTo(t *testing.T, to *testLinks, message string) {
 	t.Helper()
 	e.Send("a", to.addr, []byte(message))
-	to.hears(t, message)
+	to.expect(t, message)
 }
 
 // All room for incoming connections is taken. The one that has been idle for the longest time makes room
@@ -95,15 +95,15 @@
 	}
 }
 
-// gatherer is a connection whose writes are gathered, so that they go out as one.
-type gatherer struct {
+// bufferedConn is a connection whose writes are buffered, so that they go out as one.
+type bufferedConn struct {
 	net.Conn
-	gathered *bytes.Buffer // nil: they go out at once
+	buffer *bytes.Buffer // nil: they go out at once
 }
 
-func (g *gatherer) Write(b []byte) (int, error) {
-	if g.gathered != nil {
-		return g.gathered.Write(b)
+func (g *bufferedConn) Write(b []byte) (int, error) {
+	if g.buffer != nil {
+		return g.buffer.Write(b)
 	}
 	return g.Conn.Write(b)
 }
@@ -131,15 +131,15 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	g := &gatherer{Conn: conn}
+	g := &bufferedConn{Conn: conn}
 	writer, err := frames.Open(g, keys[0], frames.Hello{Fleet: "f", Generation: 1, From: "b", Run: 7, To: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.gathered = &bytes.Buffer{}
+	g.buffer = &bytes.Buffer{}
 	writer.Write([]byte("one"))
 	writer.Write([]byte("two")) // is read with the first one
-	conn.Write(g.gathered.Bytes())
+	conn.Write(g.buffer.Bytes())
 	<-first
 	again := open(t, "b", "f", keys, DefaultBounds())
 	again.Send("a", listener.Addr().String(), []byte("again"))
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -22,13 +22,14 @@
 	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
-type end struct {
+// testLinks are links of one controller of a test, with what they receive.
+type testLinks struct {
 	*Links
 	addr string
 	got  chan Received
 }
 
-func open(t *testing.T, name members.ID, fleet string, k frames.Keys, b Bounds) *end {
+func open(t *testing.T, name members.ID, fleet string, k frames.Keys, b Bounds) *testLinks {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,8 +39,10 @@
 }
 
 // serve is links of a controller that takes connections from a listener.
-func serve(t *testing.T, listener net.Listener, name members.ID, fleet string, k frames.Keys, b Bounds) *end {
-	e := &end{addr: listener.Addr().String(), got: make(chan Received, 100000)}
+func serve(
+	t *testing.T, listener net.Listener, name members.ID, fleet string, k frames.Keys, b Bounds,
+) *testLinks {
+	e := &testLinks{addr: listener.Addr().String(), got: make(chan Received, 100000)}
 	e.Links = New(frames.Hello{Fleet: fleet, Generation: 1, From: name, Run: 7}, k, b,
 		func(r Received) { e.got <- r }, quiet)
 	e.Serve(listener)
@@ -47,15 +50,15 @@
 	return e
 }
 
-func (e *end) hears(t *testing.T, want string) {
+func (e *testLinks) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case r := <-e.got:
 		if string(r.Payload) != want || r.Run != 7 {
-			t.Errorf("heard %q of run %d, want %q", r.Payload, r.Run, want)
+			t.Errorf("received %q of run %d, want %q", r.Payload, r.Run, want)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("did not hear %q", want)
+		t.Fatalf("%q did not arrive", want)
 	}
 }
 
@@ -77,15 +80,15 @@
 		a.Send("b", b.addr, fmt.Append(nil, i))
 	}
 	for i := range 100 {
-		b.hears(t, fmt.Sprint(i))
+		b.expect(t, fmt.Sprint(i))
 	}
 	b.Send("a", a.addr, []byte("back"))
-	a.hears(t, "back")
+	a.expect(t, "back")
 	a.SetKeys(append(frames.Keys{other[0]}, keys...)) // a changes over, b does not know the new key yet
 	b.Send("a", a.addr, []byte("under the old key"))
-	a.hears(t, "under the old key")
+	a.expect(t, "under the old key")
 	a.Send("b", b.addr, []byte("on a connection that is up"))
-	b.hears(t, "on a connection that is up")
+	b.expect(t, "on a connection that is up")
 }
 
 // Another fleet, another key and a stranger connect. None gets an answer, each is counted, and nothing of
@@ -150,9 +153,9 @@
 	a := open(t, "a", "f", keys, b)
 	first, second := open(t, "b", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
 	first.Send("a", a.addr, []byte("first"))
-	a.hears(t, "first")
+	a.expect(t, "first")
 	second.Send("a", a.addr, []byte("second"))
-	a.hears(t, "second")
+	a.expect(t, "second")
 	eventually(t, "the earlier connection stays",
 		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.incoming) == 1 })
 	for range 5 {
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -9,7 +9,7 @@
 
 // openAgain is links of a controller that takes over the listener of a former incarnation, which ends. The
 // port is held throughout, so that no other program gets it.
-func (e *end) openAgain(t *testing.T, listener net.Listener, b Bounds) *end {
+func (e *testLinks) openAgain(t *testing.T, listener net.Listener, b Bounds) *testLinks {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
@@ -33,11 +33,11 @@
 	}
 	a, b := open(t, "a", "f", keys, DefaultBounds()), serve(t, listener, "b", "f", keys, DefaultBounds())
 	a.Send("b", b.addr, []byte("before"))
-	b.hears(t, "before")
+	b.expect(t, "before")
 	b = b.openAgain(t, listener, DefaultBounds())
 	eventually(t, "the end of the connection is not noticed", func() bool { return a.ended.Load() == 1 })
 	a.Send("b", b.addr, []byte("after"))
-	b.hears(t, "after")
+	b.expect(t, "after")
 	if failed, dropped := a.failed.Load(), a.dropped.Load(); failed+dropped > 0 {
 		t.Errorf("%d connections failed, %d messages were dropped", failed, dropped)
 	}
--- a/internal/fleet/maintenance/planfile_test.go
+++ b/internal/fleet/maintenance/planfile_test.go
@@ -35,7 +35,8 @@
 		p.Deadline-p.Select.StartedBefore != 2.25*24*3600*1000 {
 		t.Errorf("%+v", p)
 	}
-	if got := fmt.Sprint(p.MinAvailable); got != "[50% of the engines in hall-a 3 engines of kind c16 4 engines 2 engines of kind c12 in hall-b]" {
+	want := "[50% of the engines in hall-a 3 engines of kind c16 4 engines 2 engines of kind c12 in hall-b]"
+	if got := fmt.Sprint(p.MinAvailable); got != want {
 		t.Errorf("keeps %s", got)
 	}
 	for text, want := range map[string]string{
--- a/internal/fleet/maintenance/stored_test.go
+++ b/internal/fleet/maintenance/stored_test.go
@@ -35,9 +35,18 @@
 }
 
 func storedTask() core.Task {
-	return core.Task{Engine: "e1", Plan: "kernel", Step: core.Working, StepStartedAt: 1_700_000_000_001.25,
-		Sequence: 17,
-		Zone:     "east", Kind: "c16", Cores: 16, EngineStartedAt: 1_699_000_000_000, ChosenAt: 1_700_000_000_000.25}
+	return core.Task{
+		Engine:          "e1",
+		Plan:            "kernel",
+		Step:            core.Working,
+		StepStartedAt:   1_700_000_000_001.25,
+		Sequence:        17,
+		Zone:            "east",
+		Kind:            "c16",
+		Cores:           16,
+		EngineStartedAt: 1_699_000_000_000,
+		ChosenAt:        1_700_000_000_000.25,
+	}
 }
 
 func storedMaintenance() agreedState {
