--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -20,6 +20,8 @@
 	"mintkeel/internal/discovery"
 	"mintkeel/internal/engines"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/limits"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
@@ -77,7 +79,7 @@
 	fleet           *fleet.Service // nil: off
 	agreed          *agreedConfig  // nil: the fleet has no say in this controller's configuration
 
-	conductor *fleet.MaintenanceJob // nil: maintenance is off
+	conductor *maintenance.Job // nil: maintenance is off
 
 	remembers bool // its own folder held something to begin with
 }
@@ -157,7 +159,7 @@
 
 // joinFleet begins to take part in the fleet.
 func (d *daemon) joinFleet() (err error) {
-	var host *fleet.ConfigHost
+	var host *configuration.Host
 	if d.agreed != nil {
 		host = d.agreed.host()
 	}
--- /dev/null
+++ b/internal/fleet/config_folder_test.go
@@ -0,0 +1,174 @@
+package fleet
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/fleet/control"
+	"mintkeel/internal/store/disk/disktest"
+)
+
+// A controller starts after its folder was emptied, or put back to an older copy. It catches up, and never
+// has an older version in force after a newer one.
+func TestEmptiedOrOlderFolderCatchesUp(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 4, nil)
+	one := f.put(0, []byte("one"))
+	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	f.stop(3)
+	older := filepath.Join(f.dir, "older")
+	if err := os.CopyFS(older, os.DirFS(f.configFolder(3))); err != nil {
+		t.Fatal(err)
+	}
+	f.start(3)
+	two := f.put(0, []byte("two"))
+	f.inForce(two, []byte("two"), 0, 1, 2, 3)
+	for name, prepare := range map[string]func() error{
+		"emptied":  func() error { return nil },
+		"an older": func() error { return os.CopyFS(f.configFolder(3), os.DirFS(older)) },
+	} {
+		f.stop(3)
+		if err := os.RemoveAll(f.configFolder(3)); err != nil {
+			t.Fatal(err)
+		}
+		if err := prepare(); err != nil {
+			t.Fatal(err)
+		}
+		f.hosts[3] = &fakeHost{}
+		f.start(3)
+		if local := f.services[3].WaitConfig(context.Background()); local.Number != 2 {
+			t.Errorf("%s: started as %+v", name, local)
+		}
+		f.inForce(two, []byte("two"), 3)
+	}
+	f.neverOlder()
+}
+
+// A controller starts with damaged files. They are counted and dropped, and their documents fetched again.
+func TestDamagedConfigurationFilesAreDropped(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 4, nil)
+	v := f.put(0, []byte("one"))
+	f.inForce(v, []byte("one"), 0, 1, 2, 3)
+	f.stop(3)
+	files, err := os.ReadDir(f.configFolder(3))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if strings.HasPrefix(file.Name(), "document-") {
+			if err := os.WriteFile(filepath.Join(f.configFolder(3), file.Name()), []byte("two"), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	f.hosts[3] = &fakeHost{}
+	f.start(3)
+	f.inForce(v, []byte("one"), 3)
+	// The document is damaged, and the record counts for nothing without it.
+	if n := f.services[3].config.DamagedFiles(); n != 2 {
+		t.Errorf("%d files are counted", n)
+	}
+}
+
+// The disk of one controller is full. The controller reports that, keeps the version before, and takes the
+// new one once there is room.
+func TestFullDiskKeepsTheVersionInForce(t *testing.T) {
+	t.Parallel()
+	full := disktest.New()
+	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = full })
+	one := f.put(0, []byte("one"))
+	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	full.Fill(0)
+	two := f.put(0, []byte("two"))
+	f.inForce(two, []byte("two"), 0, 1, 2)
+	f.statusIs(0, "not stored at one", func(s *config.Status) bool {
+		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Rejected),
+			func(r config.ControllerReport) bool {
+				return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
+			})
+	})
+	if !f.hosts[3].uses(one.Number, []byte("one")) || f.services[3].config.StoreFailures() == 0 {
+		t.Error("the version before is not in force, or the failure is not counted")
+	}
+	full.Fill(-1)
+	f.inForce(two, []byte("two"), 3)
+	f.neverOlder()
+}
+
+// openedDisk tells when it is about to be opened.
+type openedDisk struct {
+	*disktest.Disk
+	opened chan struct{}
+}
+
+// Make is the first operation on a folder that is opened.
+func (d *openedDisk) Make() error {
+	d.opened <- struct{}{}
+	return d.Disk.Make()
+}
+
+// The disk of one controller hangs. Its part in the fleet goes on, Close does not wait for the disk, and no
+// other process gets the folder before it works again.
+func TestHangingDiskHoldsUpNothingElse(t *testing.T) {
+	t.Parallel()
+	hanging := &openedDisk{Disk: disktest.New(), opened: make(chan struct{}, 100)}
+	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = hanging })
+	<-hanging.opened
+	one := f.put(0, []byte("one"))
+	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	release := hanging.Hang()
+	two := f.put(3, []byte("two"))
+	f.inForce(two, []byte("two"), 0, 1, 2)
+	if s, err := control.Call(context.Background(), f.folder(3),
+		control.Request{Action: "status"}); err != nil || len(s.Members) != 4 {
+		t.Errorf("while the disk hangs: %+v, %v", s, err)
+	}
+	if !f.hosts[3].uses(one.Number, []byte("one")) {
+		t.Error("a version is in force that is not durable")
+	}
+	closed := make(chan struct{})
+	go func() { f.stop(3); close(closed) }()
+	select {
+	case <-closed:
+	case <-time.After(5 * time.Second):
+		t.Error("closing waits for the disk")
+	}
+	f.start(3)
+	<-hanging.opened
+	began := time.Now()
+	f.stop(3) // while it opens the folder
+	if took := time.Since(began); took > 5*time.Second {
+		t.Errorf("closing took %v", took)
+	}
+	f.start(3) // by another process, it may be; the folder is locked, or does not answer
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
+	if local := f.services[3].WaitConfig(ctx); local != (config.Readiness{}) {
+		t.Errorf("with a disk that hangs it tells %+v", local)
+	}
+	release()
+	f.inForce(two, []byte("two"), 3)
+	f.neverOlder()
+}
+
+// configFiles are a folder's files but for the lock.
+func configFiles(t *testing.T, folder string) (names []string) {
+	t.Helper()
+	files, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if file.Name() != "lock" {
+			names = append(names, file.Name())
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/fleet/config_requests_test.go
@@ -0,0 +1,314 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/control"
+)
+
+// Documents of all sizes are put. Each comes into force at every controller, and status, history and show
+// report it.
+func TestPutIsInForceEverywhere(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 5, nil)
+	all := []int{0, 1, 2, 3, 4}
+	documents := [][]byte{
+		[]byte("x"),
+		bytes.Repeat([]byte("y"), 64<<10),
+		bytes.Repeat([]byte("z"), config.MaxDocument),
+	}
+	for n, document := range documents {
+		v := f.put(n+2, document)
+		if v.Number != uint64(n+1) || v.Author != "a" || v.Reason != "r" || v.Size != len(document) || v.Time == 0 {
+			t.Errorf("agreed on %+v", v)
+		}
+		f.inForce(v, document, all...)
+	}
+	f.statusIs(4, "in force at all", func(s *config.Status) bool {
+		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.ByVersion[3] == 5
+	})
+	tooBig := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
+	for size, want := range map[int]string{
+		config.MaxDocument + 1: tooBig.RefuseTooBig().Reason,
+		0:                      "the document is empty",
+	} {
+		order := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
+		answer, err := f.order(1, order)
+		if err != nil || answer.Result != configuration.ResultRefused || answer.Reason != want {
+			t.Errorf("%d bytes: %+v, %v", size, answer, err)
+		}
+		status, err := f.services[1].Ask(control.Request{Action: "config", Config: &order})
+		if err != nil || status.Config.Result != configuration.ResultRefused || status.Config.Reason != want {
+			t.Errorf("%d bytes, past the bound of the client: %+v, %v", size, status.Config, err)
+		}
+	}
+	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
+	if err != nil || len(history.Versions) != 3 || history.From == "" || history.Local.Number != 3 {
+		t.Errorf("history: %+v, %v", history, err)
+	}
+	for number, want := range map[uint64][]byte{
+		0: documents[2], 1: documents[0], 2: documents[1], 3: documents[2],
+	} {
+		shown, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: number})
+		if err != nil || !bytes.Equal(shown.Document, want) {
+			t.Errorf("show %d: %d bytes, %v", number, len(shown.Document), err)
+		}
+	}
+	if _, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
+		t.Error("a version that was never agreed on is shown")
+	}
+	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed ||
+		local != f.services[4].ConfigReadiness() {
+		t.Errorf("local: %+v", local)
+	}
+	f.neverOlder()
+}
+
+// Two operators put at once, both on top of the same version. One wins, and the other is given the version
+// that did.
+func TestOneOfTwoPutsAtOnceWins(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 3, nil)
+	first := f.put(0, []byte("first"))
+	answers := make(chan configuration.Answer, 2)
+	for i := range 2 {
+		go func() {
+			answer, err := f.order(i, configuration.Request{
+				Action:   configuration.ActionPut,
+				Document: fmt.Append(nil, "by ", i),
+				Expect:   &first.Number,
+			})
+			if err != nil {
+				t.Error(err)
+			}
+			answers <- answer
+		}()
+	}
+	a, b := <-answers, <-answers
+	if a.Result == configuration.ResultLost {
+		a, b = b, a
+	}
+	if a.Result != configuration.ResultAgreed || b.Result != configuration.ResultLost || b.Version == nil ||
+		b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
+		t.Fatalf("%+v and %+v", a, b)
+	}
+	stale, err := f.order(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"),
+		Expect: &first.Number})
+	if err != nil || stale.Result != configuration.ResultLost {
+		t.Errorf("one that has seen no newer version than the first: %+v, %v", stale, err)
+	}
+	f.neverOlder()
+}
+
+// An operator puts a document that the controller asked can't use, or whose check panics. It is refused at
+// once, with its problems, and nothing is proposed.
+func TestUnusableDocumentIsRefusedByTheControllerAsked(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 1, nil)
+	f.hosts[0].setCheck(func(document []byte) error {
+		switch string(document) {
+		case "good":
+			return nil
+		case "panic":
+			panic("the parser is broken")
+		}
+		return errors.New("line 4: what is this?")
+	})
+	for document, want := range map[string]string{"bad": "line 4", "panic": "the parser is broken"} {
+		answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut,
+			Document: []byte(document)})
+		if err != nil || answer.Result != configuration.ResultRefused || !strings.Contains(answer.Reason, want) {
+			t.Errorf("%s: %+v, %v", document, answer, err)
+		}
+	}
+	v := f.put(0, []byte("good"))
+	if v.Number != 1 {
+		t.Errorf("agreed on %+v", v)
+	}
+	f.hosts[0].setCheck(func([]byte) error { return errors.New("no longer") })
+	rollback, err := f.order(0, configuration.Request{Action: configuration.ActionRollback, Number: 1})
+	if err != nil || rollback.Result != configuration.ResultRefused {
+		t.Errorf("rollback to what can't be used any more: %+v, %v", rollback, err)
+	}
+}
+
+// A rollback makes an earlier document a new version. One that expects an older version than the newest
+// loses, and one to a version that never was fails.
+func TestConfigRollback(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 4, nil)
+	f.put(0, []byte("one"))
+	f.put(1, []byte("two"))
+	answer, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 1,
+		Author: "b", Reason: "two is bad"})
+	if err != nil || answer.Result != configuration.ResultAgreed || answer.Version.Number != 3 ||
+		answer.Version.RollbackOf != 1 ||
+		answer.Version.Reason != "two is bad" {
+		t.Fatalf("%+v, %v", answer, err)
+	}
+	f.inForce(*answer.Version, []byte("one"), 0, 1, 2, 3)
+	seen := uint64(2)
+	if late, err := f.order(2, configuration.Request{Action: configuration.ActionRollback, Number: 2,
+		Expect: &seen}); err != nil || late.Result != configuration.ResultLost {
+		t.Errorf("one that has not seen the rollback: %+v, %v", late, err)
+	}
+	if _, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 8}); err == nil {
+		t.Error("rolled back to a version that was never agreed on")
+	}
+	f.neverOlder()
+}
+
+// A service without a host for configuration has no folder and no counts for it, and answers
+// requests about it with an error.
+func TestServiceWithoutConfigurationHost(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	s, err := Start(blockOf(t, dir, 0, []string{"127.0.0.1:0"}), "n0", nil, nil, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"),
+		control.Request{Action: "status"}); err != nil {
+		t.Error(err)
+	}
+	if local := s.WaitConfig(context.Background()); local != (config.Readiness{}) ||
+		s.ConfigReadiness() != local {
+		t.Errorf("it tells %+v", local)
+	}
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
+		Config: &configuration.Request{Action: configuration.ActionStatus}}); err == nil ||
+		!strings.Contains(err.Error(), configuration.ErrOff.Error()) {
+		t.Errorf("an order is answered: %v", err)
+	}
+	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxBytes)}
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
+		Config: &long}); err == nil ||
+		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
+		t.Errorf("a long order is read: %v", err)
+	}
+	if _, err := os.Stat(filepath.Join(dir, "n0", configuration.FolderName)); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("there is a folder: %v", err)
+	}
+	if slices.ContainsFunc(s.LogValue().Group(), func(a slog.Attr) bool { return a.Key == "config" }) {
+		t.Error("there are counts")
+	}
+}
+
+// Requests that are too long, empty or unknown get an error, and an author or reason that is too long is
+// refused.
+func TestConfigurationRequestsBeyondBoundsAreRefused(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 1, nil)
+	long := strings.Repeat("x", control.MaxBytes)
+	for name, r := range map[string]control.Request{
+		"longer than any may be": {Action: "config",
+			Config: &configuration.Request{Action: configuration.ActionPut, Reason: strings.Repeat("x",
+				configuration.MaxRequestBytes)}},
+		"no order":                   {Action: "config"},
+		"an order that is not known": {Action: "config", Config: &configuration.Request{Action: "jump"}},
+	} {
+		if _, err := control.Call(context.Background(), f.folder(0), r); err == nil {
+			t.Errorf("%s: done", name)
+		}
+	}
+	if _, err := control.Call(context.Background(), f.folder(0), control.Request{Action: "status",
+		Lease: long}); err == nil ||
+		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
+		t.Errorf("a long request of another kind: %v", err)
+	}
+	f.put(0, []byte("x"))
+	for name, o := range map[string]configuration.Request{
+		"an author too long": {Action: configuration.ActionPut, Document: []byte("y"), Author: strings.Repeat("a",
+			config.MaxAuthor+1)},
+		"a reason too long": {Action: configuration.ActionPut, Document: []byte("y"), Reason: strings.Repeat("a",
+			config.MaxReason+1)},
+	} {
+		if answer, err := f.order(0, o); err != nil || answer.Result != configuration.ResultRefused ||
+			answer.Reason == "" {
+			t.Errorf("%s: %+v, %v", name, answer, err)
+		}
+	}
+}
+
+// Two of three voters are down. A put is answered in time with a result that says that the outcome is
+// unknown, and the last version stays in force.
+func TestPutWithoutMajorityIsUnknown(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 3, nil)
+	one := f.put(0, []byte("one"))
+	f.inForce(one, []byte("one"), 0, 1, 2)
+	f.stop(1)
+	f.stop(2)
+	f.eventually("there is no leader", func() bool {
+		_, err := f.order(0, configuration.Request{Action: configuration.ActionHistory})
+		return err != nil && strings.Contains(err.Error(), configuration.ErrNoLeader.Error())
+	})
+	answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"),
+		Expect: &one.Number})
+	if err != nil || answer.Result != configuration.ResultUnknown || answer.Local.Number != one.Number {
+		t.Errorf("put: %+v, %v", answer, err)
+	}
+	if !f.hosts[0].uses(one.Number, []byte("one")) {
+		t.Error("the last version is not in force")
+	}
+}
+
+// The leader stops while a put is under way. The put is answered with the version that was agreed on. That
+// comes into force at the others, and at the former leader once it is back. Two documents of one number are
+// never agreed on.
+func TestPutIsAnsweredThoughTheLeaderStops(t *testing.T) {
+	t.Parallel()
+	f := startConfigFleet(t, 4, nil)
+	one := f.put(3, []byte("one"))
+	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
+	if err != nil {
+		t.Fatal(err)
+	}
+	leader := slices.Index([]string{"n0", "n1", "n2"}, history.From)
+	if leader < 0 {
+		t.Fatalf("%q leads", history.From)
+	}
+	document := bytes.Repeat([]byte("two"), 200<<10)
+	answered := make(chan configuration.Answer, 1)
+	go func() {
+		answer, err := f.order(3, configuration.Request{Action: configuration.ActionPut, Document: document,
+			Expect: &one.Number})
+		if err != nil {
+			t.Error(err)
+		}
+		answered <- answer
+	}()
+	f.eventually("the leader has the proposal, or has had it agreed on", func() bool {
+		n, err := ask(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
+		return err == nil && n > 0 || len(answered) > 0
+	})
+	f.stop(leader)
+	answer := <-answered
+	if answer.Result != configuration.ResultAgreed || answer.Version.Number != one.Number+1 {
+		t.Fatalf("%+v", answer)
+	}
+	others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == leader })
+	f.inForce(*answer.Version, document, others...)
+	f.start(leader)
+	f.inForce(*answer.Version, document, leader)
+	for i := range f.services {
+		history, err := f.order(i, configuration.Request{Action: configuration.ActionHistory})
+		if err != nil || len(history.Versions) != 2 || history.Versions[1] != *answer.Version {
+			t.Errorf("n%d: %+v, %v", i, history, err)
+		}
+	}
+	f.neverOlder()
+}
--- /dev/null
+++ b/internal/fleet/maintenance/steps.go
@@ -0,0 +1,120 @@
+package maintenance
+
+import (
+	"fmt"
+	"time"
+
+	core "mintkeel/internal/core/fleet/maintenance"
+	"mintkeel/internal/fleet/job"
+	"mintkeel/router"
+)
+
+// namesShown is how many names a reason lists.
+const namesShown = 5
+
+// advance makes the next step, if there is one, and has it agreed on.
+func (j *Job) advance(jobContext job.Context) {
+	v := j.view(jobContext)
+	for _, task := range j.agreed.Tasks {
+		if move := j.step(jobContext, task); move != nil {
+			j.move(jobContext, v, *move)
+			return
+		}
+	}
+	limits := core.DefaultLimits()
+	limits.PrepareTimeout = float64(j.block.Load().Prepare) / float64(time.Millisecond)
+	move, reasons := core.Decide(v, limits)
+	j.reasons = reasons
+	if move != nil {
+		j.move(jobContext, v, *move)
+	}
+}
+
+// step is the next move of a task that follows from programs, confirmations and operators; nil: the task
+// waits, for what waits has, or its next move is for core.Decide.
+func (j *Job) step(jobContext job.Context, task core.Task) *core.Move {
+	to, reason := j.nextStep(jobContext, task)
+	if reason != "" {
+		j.waits[task.Engine] = reason
+		return nil
+	}
+	delete(j.waits, task.Engine)
+	if to == task.Step {
+		return nil
+	}
+	return &core.Move{Engine: task.Engine, Plan: task.Plan, From: task.Step, To: to}
+}
+
+// nextStep is the step after that of a task, or why the task waits. A step that core.Decide ends is its own
+// next.
+func (j *Job) nextStep(jobContext job.Context, task core.Task) (next core.Step, reason string) {
+	block := j.block.Load()
+	switch task.Step {
+	case core.Draining:
+		return core.Free, j.drainReason(jobContext, block, task)
+	case core.Free:
+		return core.Working, ""
+	case core.Working:
+		return core.Returning, j.workReason(block, task)
+	case core.Returning:
+		_, reason := j.runHook(backHook, block.Back, task)
+		return task.Step, reason
+	default:
+		return task.Step, ""
+	}
+}
+
+// drainReason is why an engine is not free yet; empty: it is. Its program has ended, each controller has
+// confirmed, and the endpoint list does not offer it to a controller that starts now.
+func (j *Job) drainReason(jobContext job.Context, block *Block, task core.Task) string {
+	if done, reason := j.runHook(drainHook, block.Drain, task); !done {
+		return reason
+	}
+	if names := j.unconfirmed(jobContext, task.Engine); len(names) > 0 {
+		return "not confirmed by " + firstNames(names)
+	}
+	if block.List && j.listedState(task.Engine) == router.Ready {
+		return "the list still tells that it is there for work: a controller that starts now would send to it"
+	}
+	return ""
+}
+
+// workReason is why the work on an engine is not done; empty: it is. Without a program a person does it and
+// says so.
+func (j *Job) workReason(block *Block, task core.Task) string {
+	if block.Work != "" {
+		_, reason := j.runHook(workHook, block.Work, task)
+		return reason
+	}
+	if j.agreed.Hooked[hookKey(workHook, task.Engine)] != task.Sequence {
+		return "a person's word that the work is done"
+	}
+	return ""
+}
+
+// firstNames lists the first names, and how many there are besides.
+func firstNames(names []string) string {
+	if len(names) > namesShown {
+		return fmt.Sprintf("%v and %d more", names[:namesShown], len(names)-namesShown)
+	}
+	return fmt.Sprint(names)
+}
+
+// move proposes the state after a move.
+func (j *Job) move(jobContext job.Context, v core.View, move core.Move) {
+	engine := core.Engine{ID: move.Engine}
+	for _, e := range v.Engines {
+		if e.ID == move.Engine {
+			engine = e
+		}
+	}
+	tasks, ok := core.Apply(j.agreed.Tasks, move, engine, v.Now)
+	if !ok {
+		return
+	}
+	state := j.agreed
+	state.Tasks = tasks
+	state.Known = j.knownEngines(v)
+	j.host.Log.Info("maintenance: step", "engine", string(move.Engine), "to", move.To.String())
+	j.propose(jobContext, state)
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,6 +13,8 @@
 	"mintkeel/internal/core/fleet/lease"
 	"mintkeel/internal/core/rules"
 	"mintkeel/internal/fleet"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/fleet/maintenance"
 	"mintkeel/internal/logs"
 	"mintkeel/internal/memory"
 	"mintkeel/internal/operator/block"
@@ -54,9 +56,9 @@
 	// Fleet is nil if the controller belongs to no fleet.
 	Fleet *fleet.Block
 	// Maintenance is nil if the controller takes no part in scheduled maintenance.
-	Maintenance *fleet.MaintenanceBlock
+	Maintenance *maintenance.Block
 	// Config is nil if the controller does not take its configuration from the fleet.
-	Config *fleet.ConfigBlock
+	Config *configuration.Block
 }
 
 // Read reads an operator's file for a controller with these settings; an empty path means that
@@ -151,9 +153,9 @@
 	case blockFleet:
 		f.Fleet = fleet.ReadBlock(b, diagnostics)
 	case blockMaintenance:
-		f.Maintenance = fleet.ReadMaintenance(b, diagnostics)
+		f.Maintenance = maintenance.ReadBlock(b, diagnostics)
 	case blockConfig:
-		f.Config = fleet.ReadConfig(b, diagnostics)
+		f.Config = configuration.ReadBlock(b, diagnostics)
 	}
 }
 
@@ -185,11 +187,11 @@
 }
 
 // withMaintenance adds the lease of scheduled maintenance to others, if that is on.
-func withMaintenance(names []lease.Name, maintenance *fleet.MaintenanceBlock) []lease.Name {
-	if maintenance == nil || slices.Contains(names, fleet.Maintenance) {
+func withMaintenance(names []lease.Name, maintenanceBlock *maintenance.Block) []lease.Name {
+	if maintenanceBlock == nil || slices.Contains(names, maintenance.Lease) {
 		return names
 	}
-	names = append(names, fleet.Maintenance)
+	names = append(names, maintenance.Lease)
 	slices.Sort(names)
 	return names
 }
