--- a/router/admission.go
+++ b/router/admission.go
@@ -123,6 +123,31 @@
 	return ahead > 0 && r.now+ahead > r.latestStart(q)
 }
 
+// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries run lately:
+// the longest of all its queues. A sum is not taken much further than past limit (ms), so that a long queue
+// costs no time. Queries of unknown run time count as 0.
+func (r *Router) waitAhead(q *query, limit float64) float64 {
+	longest := 0.0
+	for _, queue := range q.queues {
+		longest = max(longest, r.waitAheadIn(queue, q, limit))
+	}
+	return longest
+}
+
+// waitAheadIn is waitAhead for one queue.
+func (r *Router) waitAheadIn(queue *orderingQueue, q *query, limit float64) float64 {
+	sum := 0.0
+	for _, other := range queue.queries {
+		if other == q || sum > limit {
+			break
+		}
+		if other.class.bestUnitTime > 0 || other.estimatedWork > 0 {
+			sum += other.class.expectedRunTime(other, r.now)
+		}
+	}
+	return sum
+}
+
 // whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one. In
 // overload these make room: the ones that can only be late, those over their tenant's quota, and the
 // largest of a class. It guards against overload, queries that cost many times the usual, tenants that
--- a/router/doc.go
+++ b/router/doc.go
@@ -54,11 +54,12 @@
 //	trafficshare.go  which share of all traffic passes through this controller?
 //	estimates.go     how long does a query run, and how much memory does it need?
 //	periodic.go      what is done by time and not by events?
+//	restore.go       what of an earlier run's statistics counts, and what follows from it?
 //
 // reasons.go lists all reasons for which a query is rejected, failed or kept waiting.
 //
 // State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go, ordering.go, queue.go;
-// search.go and candidates.go (bounds by which a selection looks at few engines of many), shedwatch.go and worthcache.go
-// (bounds by which few queued queries are looked at), statistics.go, restore.go and status.go (what is learned, taken
-// out and put back), decay.go, window.go, backoff.go, heap.go, sort.go.
+// search.go and candidates.go (bounds by which a selection looks at few engines of many), shedwatch.go and
+// worthcache.go (bounds by which few queued queries are looked at), statistics.go and status.go (what is learned,
+// exported), decay.go, window.go, backoff.go, heap.go, sort.go.
 package router
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -97,6 +97,12 @@
 	return true
 }
 
+// cooldownEnd is the time until which an ordering key rests from now on, after an attempt that may still be
+// running: the configured time, and one event interval, as the outcome may have been that late.
+func (r *Router) cooldownEnd() float64 {
+	return r.now + r.limits.OrderingCooldown + r.limits.EventInterval
+}
+
 // answerBy is the time by which q has its final answer (rule 1): before its client timeout, and before a
 // planned shutdown, so that a client whose query can't be done by then is told at once and can turn to
 // another controller.
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -84,31 +84,6 @@
 	}
 }
 
-// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries run lately:
-// the longest of all its queues. A sum is not taken much further than past limit (ms), so that a long queue
-// costs no time. Queries of unknown run time count as 0.
-func (r *Router) waitAhead(q *query, limit float64) float64 {
-	longest := 0.0
-	for _, queue := range q.queues {
-		longest = max(longest, r.waitAheadIn(queue, q, limit))
-	}
-	return longest
-}
-
-// waitAheadIn is waitAhead for one queue.
-func (r *Router) waitAheadIn(queue *orderingQueue, q *query, limit float64) float64 {
-	sum := 0.0
-	for _, other := range queue.queries {
-		if other == q || sum > limit {
-			break
-		}
-		if other.class.bestUnitTime > 0 || other.estimatedWork > 0 {
-			sum += other.class.expectedRunTime(other, r.now)
-		}
-	}
-	return sum
-}
-
 // forgetOrderingQueues drops the empty queues that are in cooldown no longer.
 func (r *Router) forgetOrderingQueues() {
 	r.ordering.cooling = slices.DeleteFunc(r.ordering.cooling, func(key OrderingKey) bool {
--- a/router/query.go
+++ b/router/query.go
@@ -167,7 +167,7 @@
 	})
 	q.outstanding++
 	r.takeCapacity(q, e)
-	if r.now < e.startedAt+r.limits.SlowStartTime+r.limits.SlowStartWindow {
+	if r.countsForSlowStart(e) {
 		e.slowStartWork.add(r.now, slowStartCost)
 	}
 	r.updateBounds(e)
@@ -225,7 +225,7 @@
 		q.markUnresolved(a)
 	}
 	if ev.Outcome.MayRunOn() {
-		q.cooldownUntil = r.now + r.limits.OrderingCooldown + r.limits.EventInterval
+		q.cooldownUntil = r.cooldownEnd()
 	}
 	for _, queue := range q.queues {
 		queue.cooldownUntil = max(queue.cooldownUntil, q.cooldownUntil)
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -57,6 +57,12 @@
 	return whole / math.Ceil(r.controllers/groups)
 }
 
+// countsForSlowStart reports whether the work of an attempt on e is recorded: while e warms up, and for one
+// window more, so that no window of the rule misses any of it.
+func (r *Router) countsForSlowStart(e *engine) bool {
+	return r.now < e.startedAt+r.limits.SlowStartTime+r.limits.SlowStartWindow
+}
+
 // slowStartCapacityAt is the share of its full capacity that e is taken to have at some time: it grows evenly
 // from the configured start to 1.
 func (r *Router) slowStartCapacityAt(e *engine, at float64) float64 {
