--- a/cmd/mintkeel-lab/fleet.go
+++ b/cmd/mintkeel-lab/fleet.go
@@ -278,7 +278,7 @@
 					pauses bool
 				}{{"none", 0, false}, {"a tenth of all messages lost", 0.1, false}, {"each second one pauses for 0.2 to 3 s", 0, true}} {
 					m := fleet.MeasureMembers(seed, n, t.loss, t.pauses, float64(long)/1e6)
-					fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", n, t.name, m.Bytes, m.Wakes, m.False, m.Gone, m.Known/1e3)
+					fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", n, t.name, m.BytesPerSecond, m.TicksPerSecond, m.FalseSuspicionsPerHour, m.FalseDeathsPerHour, m.DetectionMS/1e3)
 				}
 			}
 			return nil
--- a/internal/core/fleet/config/download.go
+++ b/internal/core/fleet/config/download.go
@@ -6,16 +6,16 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// purpose is a set of what a document is fetched for.
+// purpose is a set of the purposes for which a document is fetched.
 type purpose uint8
 
 // The purposes of a fetch.
 const (
-	forApplication purpose = 1 << iota
-	forProposal
-	forHold
-	forLookup
-	forHistory
+	forApplication purpose = 1 << iota // to be applied here
+	forProposal                        // to be checked as a proposal, by the leader
+	forHold                            // to be stored as a voter, before the version is agreed on
+	forLookup                          // for an operator's command
+	forHistory                         // to have the last versions, as a voter
 )
 
 // chunkRequest is a chunk that was requested.
@@ -33,32 +33,33 @@
 	received       int // how many chunks are here
 	sources        []members.ID
 	source         members.ID   // that is asked now; empty: none
-	slowSource     members.ID   // that last did not answer in time
+	slowSource     members.ID   // the last that did not answer in time, or sent what could not be used
 	requestedFrom  []members.ID // all that were asked: chunks of others are ignored
 	contributors   []members.ID // those whose chunks are here
 	requests       []chunkRequest
 	missingUntil   map[members.ID]float64 // members that did not have it, and until when they are not asked
-	chooseSourceAt float64                // while there is no source
-	progressAt     float64                // when the last chunk came
-	rotation       int                    // the voter with which the search for a source begins
+	chooseSourceAt float64                // ms, while there is no source
+	progressAt     float64                // ms, when it began, or the last new chunk came, or a source was changed for its silence
+	rotation       int                    // offset into the voters, with which the search for a source begins
 }
 
 // chunkCount returns how many chunks a document has.
 func chunkCount(size int) int { return (size + ChunkBytes - 1) / ChunkBytes }
 
-// addSource adds a member that has the document, and tells whether it is new.
+// addSource adds a member that has the document, and reports whether it was added: not if it is known
+// already, or if there are maxSources.
 func (d *download) addSource(id members.ID) bool {
 	if slices.Contains(d.sources, id) || len(d.sources) >= maxSources {
 		return false
 	}
 	d.sources = append(d.sources, id)
 	d.chooseSourceAt = 0
-	delete(d.missingUntil, id) // it has the document by now
+	delete(d.missingUntil, id) // a new source has the document by now
 	return true
 }
 
-// setSize sets the size of the document. It allocates no memory for the bytes: these come with the
-// chunks.
+// setSize sets the size of the document and drops all chunks. It allocates no memory for the bytes: these
+// come with the chunks.
 func (d *download) setSize(size int) {
 	d.size = size
 	d.chunks = make([][]byte, chunkCount(size))
@@ -70,7 +71,8 @@
 	return slices.ContainsFunc(d.requests, func(q chunkRequest) bool { return q.index == index })
 }
 
-// changeSource has another source chosen; the one before is tried last from now on.
+// changeSource clears the source, so that runDownload chooses another. The one before becomes the last of the
+// sources, and is passed over while there is another.
 func (d *download) changeSource() {
 	d.slowSource = d.source
 	if i := slices.Index(d.sources, d.source); i >= 0 {
@@ -82,7 +84,8 @@
 	d.requests = d.requests[:0]
 }
 
-// fits tells whether a chunk can be one of the document.
+// fits reports whether a chunk has a valid offset and length for the document. Its content is checked with
+// the hash of the whole.
 func (d *download) fits(c *Chunk) bool {
 	if c.Total < 1 || c.Total > MaxDocument || d.size != 0 && c.Total != d.size {
 		return false
--- a/internal/core/fleet/members/reconnect.go
+++ b/internal/core/fleet/members/reconnect.go
@@ -1,7 +1,8 @@
 package members
 
-// reconnect pings a dead member, drawn: if a network partition has healed, it hears that it is
-// believed dead, and refutes.
+// reconnect pings one dead member, chosen at random. After a network partition has healed, that member
+// learns from the ping that it is believed dead, and refutes; a seed that was never heard from is reached
+// this way too.
 func (t *Table) reconnect() {
 	t.reconnectAt = t.now + t.jittered(t.config.ReconnectInterval)
 	for _, e := range t.pick(1, t.index.dead, nil) {
@@ -9,7 +10,7 @@
 	}
 }
 
-// reclaim removes the members that have been dead or have left for long.
+// reclaim removes the members that have been dead or have left for longer than Config.ReclaimTime.
 func (t *Table) reclaim() {
 	var old []*entry
 	for _, e := range t.index.absent {
--- a/internal/core/fleet/quorum/snapshot.go
+++ b/internal/core/fleet/quorum/snapshot.go
@@ -14,12 +14,13 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// snapshot is the agreed state, which is the same on all members. It is encoded by the keys of its
-// fields.
+// snapshot is the agreed state, which is the same on all members that have applied the same index. It is
+// encoded as CBOR by the integer keys of its fields.
 type snapshot struct {
 	Leases       []lease.Lease `cbor:"1,keyasint"`
 	Incarnations []Incarnation `cbor:"2,keyasint"`
-	Retired      []Incarnation `cbor:"3,keyasint"`
+	// Retired are incarnations that have ended, as their disk was lost or put back.
+	Retired []Incarnation `cbor:"3,keyasint"`
 	// Removed are the members removed by an operator's command.
 	Removed []members.ID `cbor:"4,keyasint,omitempty"`
 	// Config is nil if no version has been agreed on.
@@ -64,9 +65,9 @@
 	return nil
 }
 
-// Compact returns a record that replaces all earlier ones, if the log has grown long; nil: there is
-// none to write. The caller makes it durable with no Ready out, passes it to Compacted, and may
-// then delete the earlier records.
+// Compact returns a record that replaces all earlier ones, if the log has grown long or a learner was
+// added; nil: there is none to write. The caller makes it durable while no Ready waits for Advance, passes
+// it to Compacted, and may then delete the earlier records.
 func (r *Replica) Compact() *Record {
 	if !r.snapshotWanted || r.readyPending || r.node == nil || r.newIncarnation {
 		return nil
@@ -106,5 +107,5 @@
 	return rec
 }
 
-// Compacted continues after a record of Compact became durable.
+// Compacted takes over the serial number of a record of Compact that became durable.
 func (r *Replica) Compacted(rec *Record) { r.serial = rec.Serial }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -8,7 +8,7 @@
 // and waits for no I/O.
 //
 // The updates are numbered. A connection is opened with the number of the last update that is known, and
-// carries what comes after it; an unchanged list is said again about once a second. A connection that
+// carries what comes after it; an unchanged list is repeated about once a second. A connection that
 // breaks, falls silent, is malformed or skips a number is opened again from the last update,
 // DiscoveryRetryDelay after it was opened at the earliest.
 //
--- a/internal/engines/doc.go
+++ b/internal/engines/doc.go
@@ -28,7 +28,7 @@
 //	                 the attempt though it had reported progress
 //	ConnectFailed    the connection did not come up, or was lost before the last byte was taken
 //	ConnectionReset  the connection was lost after that, or was closed for an answer that is malformed
-//	TimedOut         its deadline passed, and the engine has confirmed to know or was given the time to
+//	TimedOut         its deadline passed, and the engine has confirmed that it knows, or PingTimeout has passed
 //	Cancelled        the same after CancelAttempt, unless the engine ended it first in another way
 //
 // A query's id goes over one connection at most once, so that a late answer to an attempt that was given up
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -5,17 +5,17 @@
 	"mintkeel/internal/fleet/maintenance"
 )
 
-// Status is what a controller knows of its fleet. What it can't know it does not report as known: Members
-// are what it believes, and Leases are what the quorum agreed on only if Own is set, and may be late
-// otherwise.
+// Status answers a request. To a request about the fleet it is how the fleet stands as this controller
+// knows it; Maintenance and Config answer requests about these; Error says why a request failed. The names
+// in JSON are those that operators' tools read: doc.go says more.
 type Status struct {
 	Fleet      string         `json:"fleet"`
 	Generation uint64         `json:"generation"`
 	Self       string         `json:"self"`
-	Slow       int            `json:"slow"` // health score of this controller itself; 0: it keeps up
+	Slow       int            `json:"slow"` // health score of this controller itself, from 0 (it keeps up) to 8
 	Members    []MemberStatus `json:"members"`
 	Leases     []LeaseStatus  `json:"works"`
-	Own        bool           `json:"own"`   // Leases are what the quorum agreed on
+	Own        bool           `json:"own"`   // this controller votes: Leases are what it has applied of the agreed log; else a leader's view
 	Holds      []string       `json:"holds"` // leases that this controller holds
 	Quorum     QuorumStatus   `json:"council"`
 	Error      string         `json:"error,omitempty"`
@@ -28,19 +28,19 @@
 type MemberStatus struct {
 	ID          string `json:"id"`
 	Addr        string `json:"addr"`
-	State       string `json:"state"`
-	Incarnation uint64 `json:"incarnation"`
-	Willing     bool   `json:"willing"` // takes on leases
-	Run         string `json:"run"`     // hexadecimal
+	State       string `json:"state"`       // alive, suspect, gone or left
+	Incarnation uint64 `json:"incarnation"` // by which it refutes suspicions
+	Willing     bool   `json:"willing"`     // offers to hold leases
+	Run         string `json:"run"`         // number drawn at each start of the process, hexadecimal
 }
 
 // LeaseStatus is one lease.
 type LeaseStatus struct {
 	Lease     string `json:"work"`
 	Token     uint64 `json:"epoch"`
-	Holder    string `json:"owner"`         // empty: none
-	Run       string `json:"run,omitempty"` // of the holder, hexadecimal
-	Preferred string `json:"wanted,omitempty"`
+	Holder    string `json:"owner"`            // empty: none
+	Run       string `json:"run,omitempty"`    // of the holder, hexadecimal
+	Preferred string `json:"wanted,omitempty"` // next holder by an operator's command; empty: none
 }
 
 // QuorumStatus is the quorum, as this controller knows it.
@@ -49,13 +49,13 @@
 	Reason  string              `json:"why,omitempty"`
 	Leader  string              `json:"leader"` // empty: none is known
 	Term    uint64              `json:"term"`
-	Record  uint64              `json:"record"` // last durable record
+	Record  uint64              `json:"record"` // serial number of the last durable record
 	Members []IncarnationStatus `json:"members"`
 }
 
-// IncarnationStatus is a member of the quorum with its disk.
+// IncarnationStatus is a member of the quorum, as one that has kept all its promises on one disk.
 type IncarnationStatus struct {
 	Name  string `json:"name"`
-	Disk  string `json:"disk"` // hexadecimal
-	Votes bool   `json:"votes"`
+	Disk  string `json:"disk"`  // number drawn when the disk was first used, hexadecimal
+	Votes bool   `json:"votes"` // else it is a learner
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -30,7 +30,7 @@
 //
 // The core hands out a batch with a record; its messages that promise something are handed out by
 // Advance, which is called once the record is durable. So a disk that hangs holds up the quorum's
-// part of this controller, and nothing else. Checkpoints replace the log in the same way
+// part of this controller, and nothing else. Compactions replace the log in the same way
 // (Compacted). A folder is locked by the process that has it open. A write that hangs at the end of
 // a session keeps the lock, so that nobody else writes to the folder.
 //
--- a/internal/lab/fleet/virtual_measure.go
+++ b/internal/lab/fleet/virtual_measure.go
@@ -4,17 +4,19 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Costs are what membership costs a controller, and how often it is wrong.
-type Costs struct {
-	Bytes, Wakes float64 // a second, sent by one controller; wake-ups of its clock
-	False        float64 // suspicions of one that ran, an hour, of the whole fleet
-	Gone         float64 // the same, taken to be gone
-	Known        float64 // ms until all knew that one had been killed
+// MembershipMeasurements are what membership costs a controller, and how often it is wrong.
+type MembershipMeasurements struct {
+	BytesPerSecond         float64 // sent by one controller, on average
+	TicksPerSecond         float64 // calls of Tick at one controller, on average
+	FalseSuspicionsPerHour float64 // of members that ran, as one controller hears of them
+	FalseDeathsPerHour     float64 // the same, declared dead
+	DetectionMS            float64 // until all knew of a death, in steps of 250; 300,000 if not all did by then
 }
 
-// MeasureMembers runs a fleet in virtual time: some seconds to find itself, then so many ms at rest or under loss and
-// pauses, then one is killed.
-func MeasureMembers(seed int64, nodes int, loss float64, pauses bool, long float64) (c Costs) {
+// MeasureMembers runs a fleet in virtual time: 20 s and 20 ms for each node to converge, then long ms at rest, or with
+// a share of the messages lost (0 to 1) and with pauses, each second one node for 0.2 to 3 s; then 60 s of rest, and
+// one node is killed.
+func MeasureMembers(seed int64, nodes int, loss float64, pauses bool, long float64) (c MembershipMeasurements) {
 	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Lease: 10000, Pace: members.DefaultConfig()}
 	w := NewWorld(p)
 	warm := 20000 + 20*float64(nodes)
@@ -30,26 +32,26 @@
 	w.TalkBytes, w.Wakes, w.False, w.FalseGone = 0, 0, 0, 0
 	w.Run(warm + long)
 	seconds := long / 1000
-	c = Costs{Bytes: float64(w.TalkBytes) / seconds / float64(nodes), Wakes: float64(w.Wakes) / seconds / float64(nodes),
-		False: float64(w.False) / seconds * 3600, Gone: float64(w.FalseGone) / seconds * 3600}
+	c = MembershipMeasurements{BytesPerSecond: float64(w.TalkBytes) / seconds / float64(nodes), TicksPerSecond: float64(w.Wakes) / seconds / float64(nodes),
+		FalseSuspicionsPerHour: float64(w.False) / seconds * 3600, FalseDeathsPerHour: float64(w.FalseGone) / seconds * 3600}
 	w.Run(w.now + 60000)
 	dead := w.nodes[nodes-1]
 	w.stop(dead)
 	began := w.now
 	for w.now < began+300000 {
 		w.Run(w.now + 250)
-		unknowing := 0
+		unaware := 0
 		for _, m := range w.nodes {
 			if m.core != nil {
 				if about, ok := m.core.Table().Lookup(dead.id); ok && about.State <= members.Suspect {
-					unknowing++
+					unaware++
 				}
 			}
 		}
-		if unknowing == 0 {
+		if unaware == 0 {
 			break
 		}
 	}
-	c.Known = w.now - began
+	c.DetectionMS = w.now - began
 	return c
 }
--- a/match/pattern.go
+++ b/match/pattern.go
@@ -2,13 +2,14 @@
 
 import "strings"
 
-// pattern is a glob: * stands for any bytes, ? for one, and \ takes the next byte as it is. Matching goes
-// back to the last star alone, so it costs at most a text's length times the pattern's.
+// pattern is a glob over bytes: * matches any number of bytes, also none, ? exactly one (so it does not
+// match a character of several bytes), and \ takes the next byte as it is. Matching backtracks only to the
+// last star, so it compares at most len(s) times len(pattern) bytes.
 type pattern struct {
 	source         string
-	text           string
-	isStar         []bool // by byte of text
-	isQuestionMark []bool // by byte of text
+	text           string // the pattern with its escapes taken out
+	isStar         []bool // by index in text
+	isQuestionMark []bool // by index in text
 }
 
 func newPattern(source string) *pattern {
@@ -27,7 +28,7 @@
 			i++
 			add(source[i], false, false)
 		case c == '*' && afterStar:
-			// Two stars are one.
+			// Adjacent stars equal one.
 		default:
 			add(c, c == '*', c == '?')
 		}
@@ -36,11 +37,11 @@
 	return p
 }
 
-// matches reports whether the pattern stands for the whole of a text.
+// matches reports whether the pattern matches all of s.
 func (p *pattern) matches(s string) bool {
 	at := 0        // in the pattern
 	lastStar := -1 // in the pattern; -1: there was none
-	starEnd := 0   // in s: where what the last star stands for ends
+	starEnd := 0   // in s: where the last star's match ends
 	for i := 0; i < len(s); {
 		switch {
 		case at < len(p.text) && p.isStar[at]:
@@ -50,7 +51,7 @@
 		case at < len(p.text) && (p.isQuestionMark[at] || p.text[at] == s[i]):
 			at++
 			i++
-		case lastStar >= 0: // the star has to stand for one byte more
+		case lastStar >= 0: // the star has to match one byte more
 			starEnd++
 			at = lastStar + 1
 			i = starEnd
