--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -41,7 +41,7 @@
 	l.queries[query.RouterID] = q
 	l.clientIDs[query.ID] = query.RouterID
 	l.counts.Accepted++
-	inboxWait := time.Since(query.ReadAt)
+	arrivalWait := time.Since(query.ReadAt)
 	clientQueueTime := time.Duration(0)
 	if query.OrderingKey != "" {
 		clientQueueTime = l.clientQueues.Wait(query.OrderingKey, query.ReadAt, query.FirstOnConnection,
@@ -54,8 +54,8 @@
 		Tables:            query.Tables,
 		Key:               key,
 		MoreKeys:          moreKeys,
-		TimeLeft:          milliseconds(query.TimeLeft - inboxWait),
-		InboxWait:         milliseconds(inboxWait),
+		TimeLeft:          milliseconds(query.TimeLeft - arrivalWait),
+		ArrivalWait:       milliseconds(arrivalWait),
 		ClientQueueTime:   milliseconds(clientQueueTime),
 		EstimatedWork:     query.EstimatedWork,
 		EstimateCap:       query.EstimateCap,
--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -162,7 +162,7 @@
 	c.add(queryOfTenant, ev.Tenant >= 0)
 	c.add(queryWithEstimate, ev.EstimatedWork > 0)
 	c.add(queryWithCappedEstimate, ev.EstimateCap > 0)
-	c.add(queryWaited, ev.InboxWait > 0)
+	c.add(queryWaited, ev.ArrivalWait > 0)
 	c.add(queryLined, ev.ClientQueueTime > 0)
 	c.add(queryNarrowed, ev.Kinds != nil || ev.Zones != nil)
 	c.add(queryHot, ev.Hot)
--- a/internal/lab/simulation/queries.go
+++ b/internal/lab/simulation/queries.go
@@ -100,7 +100,7 @@
 		}
 	}
 	if sim.Pressed {
-		ev.InboxWait = 40 * sim.rng.ExpFloat64()
+		ev.ArrivalWait = 40 * sim.rng.ExpFloat64()
 	}
 	if sim.Lined && sim.rng.Intn(2) == 0 {
 		ev.ClientQueueTime = sim.rng.Float64() * 0.7 * left
--- a/internal/lab/steps/pressed.go
+++ b/internal/lab/steps/pressed.go
@@ -157,7 +157,7 @@
 		waited := r.now - c.came
 		event := router.QueryArrived{ID: c.id, Tenant: -1, TimeLeft: pressedTimeout - waited, EstimatedWork: pressedWork}
 		if !r.Blind {
-			event.InboxWait = waited
+			event.ArrivalWait = waited
 		}
 		r.open[c.id] = c
 		events = append(events, event)
--- a/router/admission.go
+++ b/router/admission.go
@@ -6,7 +6,7 @@
 	sizeLimit       float64     // the largest query taken, as a multiple of the usual work of its class
 	objectiveMissed bool        // a latency objective was missed since the size limit was last adjusted
 	overloadedUntil float64     // ms; overload is assumed until then
-	inboxWait       decayedMean // ms that queries waited until a step took them in
+	arrivalWait     decayedMean // ms that queries waited until a step took them in
 	rejectShare     float64     // share of the arriving queries that is rejected at once
 	rejectShareAt   float64     // ms, when that share was last adjusted
 }
@@ -27,14 +27,15 @@
 )
 
 const (
-	maxInboxWait       = 20.0   // ms, on average, that queries may wait until a step takes them in
-	inboxWaitHalfLife  = 50.0   // ms
-	rejectShareRamp    = 2500.0 // ms in which the rejected share grows to 1 at twice the allowed wait
-	maxRejectShareStep = 20.0   // ms since the last query, at most, that count for one adjustment
-	maxRejectShare     = 0.98   // so that waits are still seen
+	maxArrivalWait      = 20.0   // ms, on average, that queries may wait until a step takes them in
+	arrivalWaitHalfLife = 50.0   // ms
+	rejectShareRamp     = 2500.0 // ms in which the rejected share grows to 1 at twice the allowed wait
+	maxRejectShareStep  = 20.0   // ms since the last query, at most, that count for one adjustment
+	maxRejectShare      = 0.98   // so that waits are still seen
 )
 
-// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in time.
+// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in time, or
+// belongs to the share that is rejected while queries wait too long to be looked at.
 func (r *Router) queryArrived(ev QueryArrived) {
 	class := r.classes[ev.Class]
 	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // clients may claim any time
@@ -42,11 +43,11 @@
 	q.deadline -= min(ev.ClientQueueTime, maxClientQueueShare*ev.TimeLeft)
 	r.healthChecks.credit = min(maxHealthCheckCredit, r.healthChecks.credit+healthChecksPerQuery)
 	class.recognizeRetry(q, ev.TimeLeft)
-	q.overQuota = r.overQuota(q)
+	q.overQuota = r.drawOverQuota(q)
 	r.noteHotTables(q, ev.Hot)
 	demand := min(class.unloadedTime(q, r.now), class.ClientTimeout) * class.Threads
 	q.tables.demand.add(r.now, demand, 1)
-	if reason := r.whyRejectOnArrival(q, ev.InboxWait); reason != noReason {
+	if reason := r.whyRejectOnArrival(q, ev.ArrivalWait); reason != noReason {
 		r.rejectOrFail(q, reason)
 		return
 	}
@@ -63,9 +64,9 @@
 	}
 }
 
-// overQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks for more than
-// this controller's share of its quota, as many as are over it, by chance.
-func (r *Router) overQuota(q *query) bool {
+// drawOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks for more
+// than this controller's share of its quota, as many as are over it, by chance.
+func (r *Router) drawOverQuota(q *query) bool {
 	tenant := q.tenant
 	if tenant == nil || tenant.QueriesPerSecond <= 0 {
 		return false
@@ -84,8 +85,8 @@
 }
 
 // whyRejectOnArrival is the reason for which an arriving query is rejected or failed at once.
-func (r *Router) whyRejectOnArrival(q *query, inboxWait float64) answerReason {
-	if reason := r.whyShedForInbox(q, inboxWait); reason != noReason {
+func (r *Router) whyRejectOnArrival(q *query, arrivalWait float64) answerReason {
+	if reason := r.whyRejectForArrivalWait(q, arrivalWait); reason != noReason {
 		return reason
 	}
 	if r.cannotReachHeadInTime(q) {
@@ -94,23 +95,23 @@
 	return noReason
 }
 
-// whyShedForInbox sheds load when this controller can't decide as fast as queries come: waits for a step grow
-// without end, and in the end every query would be late. Queries that can't be in time after such a wait are
-// rejected first, then a share of all that grows until waits are short again. After a single pause of the
-// process a few queries are rejected that could have run.
-func (r *Router) whyShedForInbox(q *query, inboxWait float64) answerReason {
+// whyRejectForArrivalWait sheds load when this controller can't decide as fast as queries come: waits for a
+// step grow without end, and in the end every query would be late. Queries that can't be in time after such
+// a wait are rejected first, then a share of all that grows until waits are short again. After a single
+// pause of the process a few queries are rejected that could have run.
+func (r *Router) whyRejectForArrivalWait(q *query, arrivalWait float64) answerReason {
 	state := &r.admission
-	state.inboxWait.add(r.now, inboxWait, 1)
-	wait := state.inboxWait.mean(r.now, 0, 1)
+	state.arrivalWait.add(r.now, arrivalWait, 1)
+	wait := state.arrivalWait.mean(r.now, 0, 1)
 	since := min(maxRejectShareStep, r.now-state.rejectShareAt)
-	share := state.rejectShare + (wait/maxInboxWait-1)*since/rejectShareRamp
+	share := state.rejectShare + (wait/maxArrivalWait-1)*since/rejectShareRamp
 	state.rejectShare = min(maxRejectShare, max(0, share))
 	state.rejectShareAt = r.now
-	if wait > maxInboxWait && r.now+wait > r.latestStart(q) {
-		return reasonInboxTooSlow
+	if wait > maxArrivalWait && r.now+wait > r.latestStart(q) {
+		return reasonArrivalsTooSlow
 	}
 	if state.rejectShare > 0 && r.rng.Float64() < state.rejectShare {
-		return reasonInboxShare
+		return reasonArrivalsShare
 	}
 	return noReason
 }
--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -8,23 +8,23 @@
 func TestSlowInboxRejectsQueries(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		inboxWait   float64
+		arrivalWait float64
 		timeLeft    float64 // ms, of 5000
 		least, most int     // of 400 queries that are rejected
 	}{
 		{"no wait", 0, 5000, 0, 0},
-		{"as long as is allowed", maxInboxWait, 5000, 0, 0},
-		{"longer", 3 * maxInboxWait, 5000, 40, 300},
-		{"far longer", 30 * maxInboxWait, 5000, 300, 400},
-		{"those that can't be in time go first", 3 * maxInboxWait, 150, 390, 400},
+		{"as long as is allowed", maxArrivalWait, 5000, 0, 0},
+		{"longer", 3 * maxArrivalWait, 5000, 40, 300},
+		{"far longer", 30 * maxArrivalWait, 5000, 300, 400},
+		{"those that can't be in time go first", 3 * maxArrivalWait, 150, 390, 400},
 	} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 		rejected := 0
 		id := QueryID(0)
-		arrive := func(inboxWait float64) {
+		arrive := func(arrivalWait float64) {
 			id++
 			ev := newQuery(id)
-			ev.InboxWait = inboxWait
+			ev.ArrivalWait = arrivalWait
 			ev.TimeLeft = c.timeLeft
 			actions := tr.step(ev)
 			rejections, failures := finalAnswers(actions, id)
@@ -36,7 +36,7 @@
 			}
 		}
 		for range 400 {
-			arrive(c.inboxWait)
+			arrive(c.arrivalWait)
 		}
 		if rejected < c.least || rejected > c.most {
 			t.Errorf("%s: %d of 400 were rejected", c.name, rejected)
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -9,10 +9,11 @@
 	// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of a kind
 	// are assigned, so that it takes some milliseconds at most.
 	maxAssignmentPairs = 500000
-	// maxEnginesSortedWhole is up to how many engines are sorted whole, so that engines of equal affinity go
-	// to the pools in the order that earlier pools left them in.
+	// maxEnginesSortedWhole is the largest number of engines that are sorted whole, so that engines of equal
+	// affinity go to the pools in the order that earlier pools left them in.
 	maxEnginesSortedWhole = 256
-	// maxPicksByScan is up to how many of more engines are found one by one, which costs less than a heap.
+	// maxPicksByScan is the largest number of picks, from more engines than that, which are found one by one:
+	// it costs less than a heap.
 	maxPicksByScan = 8
 )
 
@@ -23,11 +24,11 @@
 	free := r.readyEngines(kind)
 	r.allocateCounts(pools, len(free))
 	growth := func(pool *enginePool) int { return pool.targetCount - len(pool.engines) }
-	turns := slices.Clone(pools)
-	slices.SortStableFunc(turns, func(a, b *enginePool) int { return growth(a) - growth(b) })
-	for _, pool := range turns {
+	poolsInOrder := slices.Clone(pools)
+	slices.SortStableFunc(poolsInOrder, func(a, b *enginePool) int { return growth(a) - growth(b) })
+	for _, pool := range poolsInOrder {
 		r.unmarkPool() // the pool of the last turn has other engines now
-		r.scoreAffinity(kind, pool, free, len(turns))
+		r.scoreAffinity(kind, pool, free, len(poolsInOrder))
 		for _, g := range pool.tableGroups() {
 			g.pools[kind] = pool
 		}
@@ -42,11 +43,11 @@
 
 // scoreAffinity computes how well each free engine suits a pool: for each of its table groups, by demand, the
 // rendezvous affinity and whether the group's present pool has the engine.
-func (r *Router) scoreAffinity(kind int, pool *enginePool, free []*engine, turns int) {
+func (r *Router) scoreAffinity(kind int, pool *enginePool, free []*engine, poolCount int) {
 	for _, e := range free {
 		e.affinity = 0
 	}
-	for _, g := range r.heaviestGroups(pool.tableGroups(), len(free)*turns) {
+	for _, g := range r.heaviestGroups(pool.tableGroups(), len(free)*poolCount) {
 		weight := g.demand.rate(r.now) + negligibleDemand
 		present := g.pools[kind]
 		r.markPool(present)
@@ -60,7 +61,7 @@
 }
 
 // allocateCounts makes the target counts of all pools sum to the number of engines, one at least each, by
-// the demand that is left for each engine.
+// demand for each engine.
 func (r *Router) allocateCounts(pools []*enginePool, engines int) {
 	r.updateDemands(pools)
 	for _, pool := range pools {
@@ -129,7 +130,7 @@
 }
 
 // heaviestGroups are all table groups of a pool or, where there are too many pairs with engines, those with
-// the most demand, one at least. Each group takes part in so many pairs.
+// the most demand, one at least. Each group takes part in pairsEach pairs.
 func (r *Router) heaviestGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
 	most := max(1, maxAssignmentPairs/max(1, pairsEach))
 	if len(groups) <= most {
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -35,8 +35,8 @@
 	b.until = startedAt + b.wait
 }
 
-// startTrial takes in that a try starts: it is the only one until the wait is over or it succeeds.
-func (b *backoff) startTrial(now float64) {
+// noteStart takes in that a try starts: it is the only one until the wait is over or it succeeds.
+func (b *backoff) noteStart(now float64) {
 	if b.wait > 0 {
 		b.until = now + b.wait
 	}
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -7,10 +7,10 @@
 
 // concurrency is what this controller has in flight, over all engines.
 type concurrency struct {
-	attempts    int
-	threads     float64 // of these attempts
-	threadLimit float64 // on all engines together
-	readyCores  float64 // cores of the engines that are ready
+	attempts          int
+	threads           float64 // of these attempts
+	pooledThreadLimit float64 // on all engines together
+	readyCores        float64 // cores of the engines that are ready
 }
 
 const (
@@ -22,10 +22,10 @@
 	widenStep             = 0.5   // threads that an answer adds to the limit
 	widenFromShare        = 0.7   // of the limit; it widens only while at least this much of it is used
 	limitCutFactor        = 0.85  // of the limit, is left by a cut
-	limitCutInterval      = 400.0 // ms between cuts
+	limitCutInterval      = 400.0 // ms between cuts for slowness; a rejection cuts at once
 	poolOverhang          = 3.0   // threads over the pooled limit that may start where reports tell of capacity
 	threadsPerOtherQuery  = 1.2   // threads that a query of another controller is taken to use
-	maxMemoryGranted      = 0.9   // share of an engine's memory; it gets nothing new while it reports more
+	maxMemoryGranted      = 0.9   // share of an engine's memory; past it a busy controller sends nothing new
 )
 
 // threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's own,
@@ -34,8 +34,9 @@
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run nearly
-// as fast as on an idle engine and the limit is in use, and is cut when they run much slower.
+// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run at most
+// widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is cut when they run
+// more than cutAboveSlowdown times as long.
 func (r *Router) adjustThreadLimit(e *engine, threads float64) {
 	slowdown := e.slowdown.mean(r.now, 1, 1)
 	limit := r.threadLimit(e)
@@ -62,10 +63,11 @@
 // engines. The last attempt may overhang either, and one may always run on an engine that has none. The
 // pooled limit is passed a little where a report tells that e has capacity, as a controller's share is
 // coarse; it does not count for a warming engine whose part is below one thread, as slowStartAllows guards
-// that one. Nothing starts where a report tells that memory is used up.
+// that one. Nothing starts where a report tells that memory is used up (hasCapacity does not ask while
+// nothing is in flight).
 func (r *Router) withinThreadLimits(e *engine, share float64) bool {
 	reported := r.now-e.reportedAt < reportMaxAge
-	pooledLimit := r.concurrency.threadLimit
+	pooledLimit := r.concurrency.pooledThreadLimit
 	limit := share * r.threadLimit(e)
 	if limit < 1 && !math.IsInf(r.slowStartAllowance(e), 1) {
 		pooledLimit = math.Inf(1)
@@ -81,7 +83,7 @@
 // refreshEngines computes the pooled concurrency limit anew and checks the health of the engines that are
 // due. A warming engine from which no class may get anything adds nothing to the limit.
 func (r *Router) refreshEngines() {
-	r.concurrency.threadLimit = 0
+	r.concurrency.pooledThreadLimit = 0
 	r.concurrency.readyCores = 0
 	for _, e := range r.engineList {
 		e.slowdown.halfLife = r.slowdownHalfLife()
@@ -89,8 +91,8 @@
 			continue
 		}
 		r.concurrency.readyCores += e.cores
-		if r.usableByAnyClass(e) {
-			r.concurrency.threadLimit += r.threadLimit(e)
+		if r.usualQueryFits(e) {
+			r.concurrency.pooledThreadLimit += r.threadLimit(e)
 		}
 		if r.now >= e.healthCheckAt && r.healthChecks.credit > maxHealthCheckCredit/2 {
 			r.checkHealth(e)
@@ -98,8 +100,8 @@
 	}
 }
 
-// usableByAnyClass reports whether a usual query of some class fits into what e may get while it warms up.
-func (r *Router) usableByAnyClass(e *engine) bool {
+// usualQueryFits reports whether a usual query of some class fits into what e may get while it warms up.
+func (r *Router) usualQueryFits(e *engine) bool {
 	return slices.ContainsFunc(r.classes, func(class *queryClass) bool {
 		return class.usualWork(r.now) < r.slowStartAllowance(e)
 	})
--- a/router/concurrency_test.go
+++ b/router/concurrency_test.go
@@ -81,13 +81,13 @@
 func TestWarmingEngineAddsNoPooledLimit(t *testing.T) {
 	for _, c := range []struct{ controllers, more int }{{1, 1}, {100, 0}} {
 		tr := newTestRouterInFleet(t, cancelCapabilities, c.controllers, 2)
-		before := tr.r.concurrency.threadLimit
+		before := tr.r.concurrency.pooledThreadLimit
 		warming := readyEndpoint("x", 0, "z", 9)
 		warming.StartedAt = tr.now
 		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
-		if tr.wait(periodicInterval); (tr.r.concurrency.threadLimit > before) != (c.more > 0) {
+		if tr.wait(periodicInterval); (tr.r.concurrency.pooledThreadLimit > before) != (c.more > 0) {
 			t.Errorf("%d controllers: the pooled limit went from %g to %g", c.controllers, before,
-				tr.r.concurrency.threadLimit)
+				tr.r.concurrency.pooledThreadLimit)
 		}
 	}
 }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -32,10 +32,10 @@
 		return
 	}
 	e := r.selectEngine(q)
-	if e == nil || r.needsFreshReport(e) {
+	if e == nil || r.waitForFreshReport(e) {
 		return
 	}
-	e.classBackoff(q.class).startTrial(r.now)
+	e.classBackoff(q.class).noteStart(r.now)
 	r.setAlarm(r.now+r.silenceLimit(), q)
 	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, 3)
 	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
--- a/router/doc.go
+++ b/router/doc.go
@@ -21,7 +21,8 @@
 //
 // Each is kept by what this controller knows alone, and by one place that every attempt or answer passes:
 //
-//  1. Every query gets one final answer, before its client timeout: answerBy, rejectOrFail, collectActions.
+//  1. Every query gets one final answer, before its client timeout: answerBy, rejectOrFail, collectActions. Once a
+//     response has started (ResponseStarted) the module answers no more, and the caller has to end the response.
 //  2. No effect happens twice: eligible, attemptsExhausted, repeatDeadline, attemptStartBy; mayReject for the answer.
 //  3. Draining engines get nothing new: eligible, endpointTrusted, attemptStartBy.
 //  4. Warming engines are not overloaded: slowStartAllows (slowstart.go).
@@ -56,7 +57,8 @@
 //	periodic.go      what is done by time and not by events?
 //	restore.go       what of an earlier run's statistics counts, and what follows from it?
 //
-// reasons.go lists all reasons for which a query is rejected, failed or kept waiting.
+// reasons.go lists the reasons for which a query is rejected or failed, and those for which no engine may take it now.
+// That single engines may not (capacity, backoff, slow start, placement) is decided engine by engine, in selection.go.
 //
 // State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go, ordering.go, queue.go;
 // search.go and candidates.go (bounds by which a selection looks at few engines of many), shedwatch.go and
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -12,13 +12,12 @@
 	windowSlack = 60.0
 	// answerLeadIntervals is how many event intervals before its client timeout a query has its final answer.
 	answerLeadIntervals = 2.0
-	// answerLead is the further time in ms that the answer has for its way.
+	// answerLead is the extra time in ms for the answer to reach the client.
 	answerLead = 5.0
 )
 
 // eligible reports whether an attempt of q may start on e now. Every attempt passes it, first or retry, and
-// so it keeps rule 1 (no attempt for an answered query), 2 (repeats), 3 (drains), 4 (slow start), 5
-// (order), 6 (placement) and 7 (retry budget).
+// so it keeps rules 2 (repeats), 3 (drains), 4 (slow start), 5 (order), 6 (placement) and 7 (retry budget).
 func (r *Router) eligible(q *query, e *engine) bool {
 	return e.state == Ready &&
 		r.endpointTrusted(e) &&
@@ -72,8 +71,8 @@
 // endpointTrusted is rule 3 while the endpoint list has expired: e may have begun to drain without notice.
 // It is trusted all the same if it has answered an attempt that started so recently that no later drain
 // counts as notified, because a draining engine rejects new work. Not if a connection to it was lost since
-// the last update: its process may have been replaced by one that is warming up, or another engine may have
-// its address.
+// the last update and since its last answer: its process may have been replaced by one that is warming up,
+// or another engine may have its address.
 func (r *Router) endpointTrusted(e *engine) bool {
 	if r.endpoints.expiredFor == 0 {
 		return true
@@ -83,8 +82,8 @@
 
 // headOfQueues is rule 5: it reports whether q is at the head of the queue of each of its ordering keys,
 // and none of them is in cooldown. All queues are ordered by arrival, so the query that arrived first is at
-// the head of all of its own: no queries can wait for each other in a circle. A retry does not wait for the
-// cooldown that its own attempt began.
+// the head of all of its own: no queries can wait for each other in a circle. A retry waits for no
+// cooldown: that of its keys began with its own attempt, but for a key that was added since.
 func (r *Router) headOfQueues(q *query) bool {
 	for _, queue := range q.queues {
 		if queue.queries[0] != q || queue.followerOutstanding() {
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// updateEngine takes in one endpoint. What was learned of an earlier process of the engine is forgotten.
+// updateEngine takes in one endpoint. The statistics of an earlier process of the engine are forgotten;
+// when it last answered, and when a connection to it was lost, are kept.
 func (r *Router) updateEngine(endpoint Endpoint) {
 	startedAt := endpoint.StartedAt
 	if startedAt == 0 {
--- a/router/events.go
+++ b/router/events.go
@@ -9,8 +9,8 @@
 		Complete bool // the list is whole: engines that it does not name are gone
 		Cached   bool // it was stored before this start, and is not confirmed
 		Failed   bool // the poll failed or the watch broke; the list stands as it was
-		// ExpiredFor, in ms, says that there was no update for longer than the rules allow: an engine may be
-		// draining since as long. 0: the list is current.
+		// ExpiredFor above 0 says that there was no update for longer than the rules allow. It is the time in ms
+		// within which an engine has to have answered an attempt to be trusted. 0: the list is current.
 		ExpiredFor float64
 		Endpoints  []Endpoint
 	}
@@ -23,8 +23,8 @@
 		Key      OrderingKey
 		MoreKeys []OrderingKey // further keys in whose order it stands, as other rules would key it
 		TimeLeft float64       // ms until the client gives up
-		// InboxWait is the time in ms since the query was read: so long was the controller busy with others.
-		InboxWait float64
+		// ArrivalWait is the time in ms since the query was read: so long was the controller busy with others.
+		ArrivalWait float64
 		// ClientQueueTime is the time in ms, at most, that the query waited in its client's own queue. It is part
 		// of what the client counts as its timeout.
 		ClientQueueTime   float64
@@ -79,7 +79,7 @@
 	// ShutdownStarted says that the controller will end within this many ms: queries without an answer by then
 	// would have none.
 	ShutdownStarted struct{ Within float64 }
-	// TimerFired says that the time of a SetTimer has come.
+	// TimerFired asks for a step: the time of a SetTimer has come, or the caller wants the next step at once.
 	TimerFired struct{}
 )
 
@@ -113,7 +113,8 @@
 	ConnectionReset
 	// Cancelled follows CancelAttempt; it may still be running.
 	Cancelled
-	// NotSent says that the attempt was never sent, for a reason that lies with its engine.
+	// NotSent says that the attempt never ran, as it could not be sent in time or its engine had no use for it
+	// any more. It counts as a rejection by the engine.
 	NotSent
 	// Withdrawn says that the attempt was never sent, for a reason that says nothing about its engine.
 	Withdrawn
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -30,9 +30,9 @@
 	return true
 }
 
-// needsFreshReport reports whether an attempt on e has to wait for a health check, which is asked for if none
+// waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for one if none
 // runs. If none is to be had the attempt goes without.
-func (r *Router) needsFreshReport(e *engine) bool {
+func (r *Router) waitForFreshReport(e *engine) bool {
 	if r.now-e.reportedAt <= reportRefreshAge {
 		return false
 	}
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -5,8 +5,8 @@
 const (
 	outlierWindow       = 8      // last outcomes by which an engine counts as healthy or not
 	outlierMinSuccesses = 3      // of these; with fewer successes it is not healthy
-	minTrialWait        = 250.0  // ms until an unhealthy engine gets a trial attempt, after its first failure
-	maxTrialWait        = 2000.0 // ms; each further failure doubles the wait up to this
+	minTrialWait        = 250.0  // ms of wait for a trial attempt after the first of a row of failures
+	maxTrialWait        = 2000.0 // ms; each further failure doubles the wait up to this, healthy or not
 	recentSuccessFor    = 5000.0 // ms for which a class's own success counts on an unhealthy engine
 )
 
--- a/router/pools.go
+++ b/router/pools.go
@@ -63,7 +63,7 @@
 // rebalance is the design's step for one kind. The busiest pool gets an engine of the pool whose load would
 // then be the lowest, if its own load is moveMargin times that; after a sharp swing all counts are solved
 // at once. A pool of several packs on one engine is divided first. Otherwise two pools that underuse their
-// only engines are merged.
+// only engines are merged, and the engine that is freed goes to the busiest pool.
 func (r *Router) rebalance(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := len(r.readyEngines(kind))
--- a/router/query.go
+++ b/router/query.go
@@ -125,8 +125,8 @@
 	if ev.Tenant >= 0 {
 		q.tenant = r.tenants[ev.Tenant]
 	}
-	r.arrivals++
-	q.arrivalOrder = r.arrivals
+	r.arrivalCount++
+	q.arrivalOrder = r.arrivalCount
 	r.queries[q.id] = q
 	r.countArrival(q)
 	r.joinOrderingQueue(q, ev.Key)
--- a/router/reasons.go
+++ b/router/reasons.go
@@ -6,10 +6,11 @@
 const (
 	// noReason: the query is not rejected or failed.
 	noReason answerReason = iota
-	// reasonInboxTooSlow: queries wait too long until a step takes them in, and this one could not be in time.
-	reasonInboxTooSlow
-	// reasonInboxShare: the same, and this one belongs to the share that is rejected to shorten the waits.
-	reasonInboxShare
+	// reasonArrivalsTooSlow: queries wait too long until a step takes them in, and this one could not be in
+	// time.
+	reasonArrivalsTooSlow
+	// reasonArrivalsShare: the same, and this one belongs to the share that is rejected to shorten the waits.
+	reasonArrivalsShare
 	// reasonOrderingQueueTooLong: those ahead of it in the queue of its ordering key take too long.
 	reasonOrderingQueueTooLong
 	// reasonOverQuota: there is overload, and its tenant is over its quota.
@@ -30,8 +31,8 @@
 
 var answerReasonNames = [...]string{
 	noReason:                   "none",
-	reasonInboxTooSlow:         "inbox too slow",
-	reasonInboxShare:           "inbox too slow, share rejected",
+	reasonArrivalsTooSlow:      "arrivals too slow",
+	reasonArrivalsShare:        "arrivals too slow, share rejected",
 	reasonOrderingQueueTooLong: "ordering queue too long",
 	reasonOverQuota:            "tenant over quota in overload",
 	reasonLateInOverload:       "late in overload",
--- a/router/retry.go
+++ b/router/retry.go
@@ -133,14 +133,15 @@
 			return
 		}
 		if a.outstanding && !a.abandoned && !a.cancelled {
-			r.checkAttempt(q, a)
+			r.handleSilentAttempt(q, a)
 		}
 	}
 }
 
-// checkAttempt replaces an attempt of q that has gone silent: it is cancelled where that is possible, else
-// abandoned where a hedged attempt may run beside it. The retry goes through the queue as any other.
-func (r *Router) checkAttempt(q *query, a *attempt) {
+// handleSilentAttempt counts a silent attempt of q as failed (its later outcome counts too) and replaces
+// it: it is cancelled where that is possible, else abandoned where a hedged attempt may run beside it. The
+// retry goes through the queue as any other.
+func (r *Router) handleSilentAttempt(q *query, a *attempt) {
 	silentAt := a.lastHeardAt + r.silenceLimit()
 	if r.now < silentAt {
 		r.setAlarm(silentAt, q)
--- a/router/router.go
+++ b/router/router.go
@@ -5,8 +5,8 @@
 	"math/rand"
 )
 
-// Router is the decision module of one controller. One goroutine owns it; Step is its only way in while it
-// runs.
+// Router is the decision module of one controller. One goroutine owns it; Step is the only way to change it
+// while it runs (Statistics and EngineStatuses read).
 type Router struct {
 	rng          *rand.Rand
 	controllers  float64 // that serve the same engines, this one among them
@@ -24,12 +24,12 @@
 	stepCount    uint64
 	timers       timers
 
-	queries   map[QueryID]*query // all that are owed an answer or have an attempt without an outcome
-	arrivals  uint64             // queries taken so far, which orders them
-	changed   []*query           // in this step: collectActions looks at them
-	queue     queryQueue         // queries that wait for an engine
-	ordering  ordering
-	admission admission
+	queries      map[QueryID]*query // all that are owed an answer or have an attempt without an outcome
+	arrivalCount uint64             // queries taken so far, which orders them
+	changed      []*query           // in this step: collectActions looks at them
+	queue        queryQueue         // queries that wait for an engine
+	ordering     ordering
+	admission    admission
 
 	engines         map[EngineID]*engine
 	engineList      []*engine // the same, by id
@@ -76,7 +76,7 @@
 		queries:      map[QueryID]*query{},
 		queue:        queryQueue{firstAttempts: newDeadlineTree(), retries: newDeadlineTree()},
 		ordering:     ordering{queues: map[OrderingKey]*orderingQueue{}},
-		admission:    admission{sizeLimit: maxSizeLimit, inboxWait: decayedMean{halfLife: inboxWaitHalfLife}},
+		admission:    admission{sizeLimit: maxSizeLimit, arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife}},
 		engines:      map[EngineID]*engine{},
 		traffic: traffic{
 			share:         decayedMean{halfLife: shareHalfLife},
--- a/router/search.go
+++ b/router/search.go
@@ -164,7 +164,7 @@
 func (r *Router) capacityBound(share, trafficShare float64) capacityBound {
 	return capacityBound{
 		nothingInFlight:   r.concurrency.attempts == 0,
-		withinPooledLimit: r.concurrency.threads <= r.concurrency.threadLimit,
+		withinPooledLimit: r.concurrency.threads <= r.concurrency.pooledThreadLimit,
 		limitShare:        share * trafficShare,
 	}
 }
@@ -291,11 +291,11 @@
 // pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass it.
 func (r *Router) pooledLimitExceeded() bool {
 	pooled := &r.concurrency
-	if pooled.attempts == 0 || pooled.threads <= pooled.threadLimit {
+	if pooled.attempts == 0 || pooled.threads <= pooled.pooledThreadLimit {
 		return false
 	}
 	if r.search.exemptEngines == 0 {
 		return true
 	}
-	return r.search.warmingEngines == 0 && pooled.threads > pooled.threadLimit+poolOverhang
+	return r.search.warmingEngines == 0 && pooled.threads > pooled.pooledThreadLimit+poolOverhang
 }
--- a/router/selection.go
+++ b/router/selection.go
@@ -4,10 +4,10 @@
 
 const (
 	spillShare        = 0.75    // of its thread limit, up to which an engine takes queries of other pools
-	affinityWeight    = 1.0     // threads a core, as which the least affinity counts
-	tableLockPenalty  = 4.0     // threads a core, as which a lock on the query's tables counts
+	affinityWeight    = 1.0     // penalty, in threads a core, for the lowest affinity
+	tableLockPenalty  = 4.0     // penalty, in threads a core, for a lock on the query's tables
 	tableLockNoteLife = 1500.0  // ms for which a progress message that tells of a table lock counts
-	widelyLockedShare = 2.0 / 3 // of the healthy engines; where a group is locked on as many, further loads join
+	widelyLockedShare = 2.0 / 3 // of the healthy engines; past it, queries that lock a group join others
 	priorReportWeight = 0.5     // reports that the mean of all engines weighs as much as, for one engine's load
 )
 
@@ -53,7 +53,7 @@
 	if r.knownFull(candidates, q.class) {
 		return
 	}
-	firstSearch := s.best.engine == nil
+	nothingFoundYet := s.best.engine == nil
 	s.best.index = -1 // a best engine of an earlier list comes before all of this one
 	search := listSearch{
 		q:          q,
@@ -74,14 +74,15 @@
 			s.best = bestCandidate{engine: e, score: score, index: index}
 		}
 	})
-	if firstSearch && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
+	if nothingFoundYet && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
 		r.markFull(candidates, q.class)
 	}
 }
 
-// placementScore ranks engines for a query, lowest first: how full the engine would be, times how slow it
-// is, plus what q would wait for there, plus the affinity of its table group. Queries that lock their
-// tables have no affinity: they would meet on one engine and wait for each other.
+// placementScore ranks engines for a query, lowest first: how full the engine would be, times its slowdown
+// past widenBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of affinity of its
+// table group. Queries that lock their tables have no affinity: they would meet on one engine and wait for
+// each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
 	score := fill * max(1, e.slowdown.mean(r.now, 1, 1)/widenBelowSlowdown)
--- a/router/shedding.go
+++ b/router/shedding.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// rejectOrFail gives q its final answer at once, for the reason named. A query that was given up is never
-// held back to keep its client from retrying. It is rejected if a retry is harmless, else failed; attempts
-// that run are cancelled.
+// rejectOrFail decides the final answer of q, which leaves with the actions of this step, for the reason
+// named. A query that was given up is never held back to keep its client from retrying. It is rejected if a
+// retry is harmless, else failed; attempts that run are cancelled.
 func (r *Router) rejectOrFail(q *query, reason answerReason) {
 	if q.done || q.responseStarted || q.answer != unanswered {
 		return
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// slowStartShareUsed is the share of what rule 4 allows a warming engine that all controllers together use.
+	// slowStartShareUsed is the share of what rule 4 allows that all controllers together use at most.
 	slowStartShareUsed = 0.6
 	// slowStartTurnsPerWindow is how many turns controllers take in one window of the rule.
 	slowStartTurnsPerWindow = 2.0
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -169,7 +169,7 @@
 		tr.r.updateAllBounds()
 	}
 	tr.r.concurrency.attempts = 30
-	tr.r.concurrency.threads = tr.r.concurrency.threadLimit + poolOverhang + 1
+	tr.r.concurrency.threads = tr.r.concurrency.pooledThreadLimit + poolOverhang + 1
 	e.attempts = 2
 	e.threads = 2
 	turn(true)
