--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -187,11 +187,14 @@
 		s.ConfigReadiness() != local {
 		t.Errorf("it tells %+v", local)
 	}
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
-		Config: &configuration.Request{Action: configuration.ActionStatus}}); err == nil ||
-		!strings.Contains(err.Error(), configuration.ErrOff.Error()) {
+	status, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
+		Config: &configuration.Request{Action: configuration.ActionStatus}})
+	if err == nil || !strings.Contains(err.Error(), configuration.ErrOff.Error()) {
 		t.Errorf("an order is answered: %v", err)
 	}
+	if status.Config != nil {
+		t.Errorf("the answer has a part about the configuration: %+v", status.Config)
+	}
 	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxBytes)}
 	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
 		Config: &long}); err == nil ||
