--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -49,7 +49,7 @@
 		hidden.Use, hidden.Hidden = old, true
 		return &hidden
 	}
-	one := func(use, short string, args int, request func(args []string) control.Request, print func(io.Writer, control.Status)) *cobra.Command {
+	one := func(use, short string, args int, request func(args []string) control.Request, printText func(io.Writer, control.Status)) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(c *cobra.Command, args []string) error {
 			s, err := asked.call(c.Context(), request(args))
 			if err != nil {
@@ -58,7 +58,7 @@
 			if asked.json {
 				return printJSON(c, s)
 			}
-			print(c.OutOrStdout(), s)
+			printText(c.OutOrStdout(), s)
 			return nil
 		}}
 	}
--- a/cmd/mintkeel/fleetconfig_test.go
+++ b/cmd/mintkeel/fleetconfig_test.go
@@ -91,8 +91,14 @@
 }
 
 // statusOf is a status of a leader that has collected for long.
-func statusOf(number uint64, members, inForce int, change func(*config.Status)) configuration.Answer {
-	s := &config.Status{Latest: *versionOf(number), Members: members, InForce: inForce, ByVersion: map[uint64]int{number: inForce}, CollectedFor: 60_000}
+func statusOf(number uint64, memberCount, inForce int, change func(*config.Status)) configuration.Answer {
+	s := &config.Status{
+		Latest:       *versionOf(number),
+		Members:      memberCount,
+		InForce:      inForce,
+		ByVersion:    map[uint64]int{number: inForce},
+		CollectedFor: 60_000,
+	}
 	if change != nil {
 		change(s)
 	}
--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -699,11 +699,11 @@
 // split is a command line's arguments; what stands behind a bar is one.
 func split(line string) []string {
 	words, last, found := strings.Cut(line, "|")
-	if args := strings.Fields(words); !found {
+	args := strings.Fields(words)
+	if !found {
 		return args
-	} else {
-		return append(args, last)
 	}
+	return append(args, last)
 }
 
 // orderly is a stand-in for an engine that takes 2 ms for a command and notes those of one store that are out at once.
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -54,7 +54,7 @@
 // maintenancePrinter prints an answer for a person.
 type maintenancePrinter func(io.Writer, *maintenance.Status)
 
-func (m *maintenanceCaller) call(c *cobra.Command, request maintenance.Request, print maintenancePrinter) error {
+func (m *maintenanceCaller) call(c *cobra.Command, request maintenance.Request, printText maintenancePrinter) error {
 	if m.folder == "" {
 		return errors.New("no folder: set --folder or MINTKEEL_FLEET")
 	}
@@ -69,25 +69,25 @@
 		fmt.Fprintln(c.OutOrStdout(), problem)
 	}
 	if err == nil {
-		print(c.OutOrStdout(), s.Maintenance)
+		printText(c.OutOrStdout(), s.Maintenance)
 	}
 	return err
 }
 
 // ofName is a command for what its argument names, or for all where its use has none.
-func (m *maintenanceCaller) ofName(use, short, action string, print maintenancePrinter) *cobra.Command {
+func (m *maintenanceCaller) ofName(use, short, action string, printText maintenancePrinter) *cobra.Command {
 	count := strings.Count(use, " ")
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: func(c *cobra.Command, args []string) error {
 		request := maintenance.Request{Action: action}
 		if len(args) > 0 {
 			request.Name = args[0]
 		}
-		return m.call(c, request, print)
+		return m.call(c, request, printText)
 	}}
 }
 
 // ofFile is a command for the plans of a file.
-func (m *maintenanceCaller) ofFile(use, short, action string, print maintenancePrinter) *cobra.Command {
+func (m *maintenanceCaller) ofFile(use, short, action string, printText maintenancePrinter) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
@@ -100,7 +100,7 @@
 		if len(plans) == 0 {
 			return fmt.Errorf("%s: holds no plan", args[0])
 		}
-		return m.call(c, maintenance.Request{Action: action, Plans: plans}, print)
+		return m.call(c, maintenance.Request{Action: action, Plans: plans}, printText)
 	}}
 }
 
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -39,8 +39,8 @@
 	if err := json.Compact(&status, text); err != nil {
 		t.Fatal(err)
 	}
-	control := &storedControl{folder: t.TempDir(), status: append(status.Bytes(), '\n'), requests: make(chan string, 8)}
-	listener, err := net.Listen("unix", filepath.Join(control.folder, "control.sock"))
+	server := &storedControl{folder: t.TempDir(), status: append(status.Bytes(), '\n'), requests: make(chan string, 8)}
+	listener, err := net.Listen("unix", filepath.Join(server.folder, "control.sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,20 +52,20 @@
 				return
 			}
 			line, _ := bufio.NewReader(conn).ReadString('\n')
-			control.requests <- line
-			conn.Write(control.status)
+			server.requests <- line
+			conn.Write(server.status)
 			conn.Close()
 		}
 	}()
-	return control
+	return server
 }
 
 // run runs a command against the socket. It returns the requests that it sent and what it printed.
-func (control *storedControl) run(args ...string) (requests, out string) {
+func (server *storedControl) run(args ...string) (requests, out string) {
 	var printed, errs strings.Builder
-	code := execute(append(args, "--folder", control.folder, "--json"), &printed, &errs)
-	for len(control.requests) > 0 {
-		requests += <-control.requests
+	code := execute(append(args, "--folder", server.folder, "--json"), &printed, &errs)
+	for len(server.requests) > 0 {
+		requests += <-server.requests
 	}
 	return requests, fmt.Sprintf("%s%scode %d\n", printed.String(), errs.String(), code)
 }
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -210,10 +210,10 @@
 	}
 	playPuts(t, all)
 	playRestarts(t, all)
-	playRollback(t, all)
+	playRollback(all)
 	playUnusable(t, all)
 	playAtOnce(t, all)
-	playSizes(t, all)
+	playSizes(all)
 	for _, p := range all {
 		if err := p.end(syscall.SIGTERM); err != nil {
 			t.Error(err)
@@ -281,7 +281,7 @@
 }
 
 // playRollback puts the first version back, and looks at what is remembered.
-func playRollback(t *testing.T, all []*process) {
+func playRollback(all []*process) {
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	n4.awaitLeader()
 	n4.expect(0, "version 3 in force at 4 of 4", "rollback", "1", "--reason", "two was bad")
@@ -327,7 +327,7 @@
 }
 
 // playSizes puts documents of the least and the largest size, and of one too large.
-func playSizes(t *testing.T, all []*process) {
+func playSizes(all []*process) {
 	n2 := all[1]
 	for i, size := range []int{1, 64 << 10, 1 << 20} {
 		text := ruleRefusing(fmt.Sprint("size ", size))
