--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -2,42 +2,15 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
-	"os"
-	"runtime/debug"
 
 	"github.com/spf13/cobra"
 
 	"mintkeel/internal/operator"
 )
 
-// sources are where a controller's settings stand.
-type sources struct{ config, operator string }
-
-// flags adds the flags that name them; the platform's variables are their defaults.
-func (s *sources) flags(c *cobra.Command) {
-	c.Flags().StringVar(&s.config, "config", os.Getenv("PROXY_CONFIG"),
-		"`file` with what the platform tells, as JSON (PROXY_CONFIG)")
-	c.Flags().StringVar(&s.operator, "operator", os.Getenv("MINTKEEL_OPERATOR"),
-		"`file` with the operator's own settings, as HCL (MINTKEEL_OPERATOR); none: all is off")
-}
-
-// read reads both.
-func (s *sources) read() (*start, *operator.File, error) {
-	if s.config == "" {
-		return nil, nil, fmt.Errorf("no configuration: set --config or PROXY_CONFIG")
-	}
-	told, err := readStart(s.config)
-	if err != nil {
-		return nil, nil, err
-	}
-	file, err := operator.Read(s.operator, told.facts)
-	return told, file, err
-}
-
 func checkCommand() *cobra.Command {
-	var from sources
+	var from configSources
 	var document string
 	var asJSON bool
 	c := &cobra.Command{
@@ -60,9 +33,9 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
-				cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants), len(s.facts.MachineKinds), s.Known.Number)
-			if from.operator != "" && document == "" {
-				fmt.Fprintf(c.OutOrStdout(), "%s: memory %s, %d rules, fleet %s\n", from.operator, onOff(file.Memory != nil), ruleCount(file),
+				cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants), len(s.facts.MachineKinds), s.InitialEndpoints.Number)
+			if from.operatorPath != "" && document == "" {
+				fmt.Fprintf(c.OutOrStdout(), "%s: memory %s, %d rules, fleet %s\n", from.operatorPath, onOff(file.Memory != nil), ruleCount(file),
 					onOff(file.Fleet != nil))
 			}
 			if document != "" {
@@ -71,15 +44,15 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	c.Flags().StringVar(&document, "document", "", "`file` to be checked as the fleet's document")
 	c.Flags().BoolVar(&asJSON, "json", false, "print what was found as JSON")
 	return c
 }
 
-// checkDocument reads a document as the controller with this configuration and operator's file would, and returns the whole
-// that it would run with.
-func checkDocument(path string, s *start, own *operator.File) (*operator.File, error) {
+// checkDocument parses a document for the fleet as the controller with this configuration and operator's file would, and
+// returns the merged file.
+func checkDocument(path string, s *controllerConfig, own *operator.File) (*operator.File, error) {
 	text, err := readDocument(path)
 	if err != nil {
 		return nil, err
@@ -87,22 +60,8 @@
 	return operator.ParseDocument(path, text, operator.Local{Name: s.Name, File: own}, s.facts)
 }
 
-func ruleCount(f *operator.File) int {
-	if f.Rules == nil {
-		return 0
-	}
-	return f.Rules.Len()
-}
-
-func onOff(on bool) string {
-	if on {
-		return "on"
-	}
-	return "off"
-}
-
-// checkJSON prints what a check found, for programs; the exit code is the same.
-func checkJSON(c *cobra.Command, s *start, file *operator.File, err error) error {
+// checkJSON prints the result of a check as JSON. It returns the error of the check.
+func checkJSON(c *cobra.Command, s *controllerConfig, file *operator.File, err error) error {
 	type problem struct {
 		File   string `json:"file,omitempty"`
 		Line   int    `json:"line,omitempty"`
@@ -127,70 +86,8 @@
 		found.Problems = append(found.Problems, problem{p.File, p.Line, p.Column, p.Field, p.Why})
 	}
 	if err != nil && len(found.Problems) == 0 {
-		found.Problems = append(found.Problems, problem{Why: err.Error(), Field: fieldOf(err)})
+		found.Problems = append(found.Problems, problem{Why: err.Error(), Field: errorField(err)})
 	}
 	printed := printJSON(c, found)
 	return cmp.Or(err, printed)
 }
-
-func printJSON(c *cobra.Command, what any) error {
-	encoder := json.NewEncoder(c.OutOrStdout())
-	encoder.SetIndent("", "  ")
-	return encoder.Encode(what)
-}
-
-func versionCommand() *cobra.Command {
-	var asJSON bool
-	c := &cobra.Command{
-		Use:   "version",
-		Short: "Print what was built",
-		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			b := built()
-			if asJSON {
-				return printJSON(c, b)
-			}
-			_, err := fmt.Fprintln(c.OutOrStdout(), "mintkeel", b)
-			return err
-		},
-	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
-	return c
-}
-
-// build is what was built, from what.
-type build struct {
-	Version  string `json:"version"`
-	Go       string `json:"go"`
-	Revision string `json:"revision,omitempty"`
-	Modified bool   `json:"modified"`
-}
-
-func built() (b build) {
-	b.Version = "unknown build"
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return b
-	}
-	b.Version, b.Go = info.Main.Version, info.GoVersion
-	for _, s := range info.Settings {
-		switch s.Key {
-		case "vcs.revision":
-			b.Revision = s.Value
-		case "vcs.modified":
-			b.Modified = s.Value == "true"
-		}
-	}
-	return b
-}
-
-func (b build) String() string {
-	text := b.Version + " " + b.Go
-	if b.Revision != "" {
-		text += " vcs.revision=" + b.Revision
-	}
-	if b.Modified {
-		text += " vcs.modified=true"
-	}
-	return text
-}
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -2,45 +2,39 @@
 
 import (
 	"cmp"
-	"encoding/hex"
 	"errors"
 	"fmt"
-	"io"
-	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 	"unicode"
 
-	"github.com/spf13/cobra"
-
 	"mintkeel/internal/core/fleet/config"
-	"mintkeel/internal/fleet/configuration"
 )
 
 const (
-	// collectTime is how long a new leader takes to hear of all controllers: before it, one that was not heard tells nothing.
-	collectTime = 15 * time.Second
-	mostNamed   = 8 // controllers named in a line; --json has more
+	// collectionTime is how long a new leader takes to collect the reports of all controllers. Until then a controller
+	// without a report may well be reachable.
+	collectionTime      = 15 * time.Second
+	maxNamedControllers = 8 // controllers named in a line; --json has more
 )
 
-// configStatus is where versions are in force, as the leader told it, or why that is not known.
+// configStatus is the leader's status of versions at all controllers, or the error by which it is not known.
 type configStatus struct {
 	status *config.Status // nil: not known
 	from   string
 	err    error
 }
 
-// unheard is how many controllers are not heard of. The lists of a status may be cut, its counts by version are not.
-func (s configStatus) unheard() int {
+// unreachable is the number of controllers without a recent report. Lists of a status may be cut, its counts are not.
+func (s configStatus) unreachable() int {
 	if s.status.Omitted == 0 {
 		return len(s.status.Unreachable)
 	}
-	return max(0, s.status.Members-s.counted(0))
+	return max(0, s.status.Members-s.countFrom(0))
 }
 
-// counted is how many controllers have a version from this number on in force.
-func (s configStatus) counted(from uint64) (n int) {
+// countFrom is the number of controllers that have this version or a later one in force, by the counts of the status.
+func (s configStatus) countFrom(from uint64) (n int) {
 	for number, count := range s.status.ByVersion {
 		if number >= from {
 			n += count
@@ -54,68 +48,68 @@
 	if number == s.status.Latest.Number {
 		return s.status.InForce
 	}
-	return s.counted(number)
+	return s.countFrom(number)
 }
 
-// young tells that the leader has collected for too short a time to say much of controllers that it has not heard.
-func (s configStatus) young() bool {
-	return s.unheard() > 0 && s.status.CollectedFor < float64(collectTime/time.Millisecond)
+// collectedTooShort reports whether the leader has collected reports for less than collectionTime and lacks some.
+func (s configStatus) collectedTooShort() bool {
+	return s.unreachable() > 0 && s.status.CollectedFor < float64(collectionTime/time.Millisecond)
 }
 
-// everywhereHeard tells that the version, or a later one, is in force at all controllers that are heard.
-func (s configStatus) everywhereHeard(number uint64) bool {
-	if s.status == nil || s.status.Latest.Number < number || s.young() {
+// inForceAtReachable reports whether the version or a later one is in force at all reachable controllers.
+func (s configStatus) inForceAtReachable(number uint64) bool {
+	if s.status == nil || s.status.Latest.Number < number || s.collectedTooShort() {
 		return false
 	}
-	heard := s.status.Members - s.unheard()
+	heard := s.status.Members - s.unreachable()
 	return heard > 0 && s.inForce(number) == heard
 }
 
-// settled tells that waiting longer changes nothing: each controller that is heard has the version in force, or refused it.
+// settled reports whether waiting longer changes nothing: each reachable controller has applied the version or rejected it.
 func (s configStatus) settled(number uint64) bool {
-	if s.everywhereHeard(number) {
+	if s.inForceAtReachable(number) {
 		return true
 	}
-	if s.status == nil || s.status.Latest.Number != number || s.young() || s.status.Omitted > 0 || len(s.status.Rejected) == 0 {
+	if s.status == nil || s.status.Latest.Number != number || s.collectedTooShort() || s.status.Omitted > 0 || len(s.status.Rejected) == 0 {
 		return false
 	}
-	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unheard()
+	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unreachable()
 }
 
-// verdict is nil if the version is in force at all controllers that are heard, else an error with its exit code.
-func (s configStatus) verdict(number uint64, wait time.Duration) error {
-	if s.everywhereHeard(number) {
+// resultError is nil if the version is in force at all reachable controllers, else an error with exitPartial.
+func (s configStatus) resultError(number uint64, wait time.Duration) error {
+	if s.inForceAtReachable(number) {
 		return nil
 	}
 	if s.status == nil {
 		err := fmt.Errorf("version %d is agreed; where it is in force is not known: no leader told it within %v", number, wait)
 		return &exitError{exitPartial, errors.Join(err, s.err)}
 	}
-	if s.young() && s.inForce(number) == s.status.Members-s.unheard() {
+	if s.collectedTooShort() && s.inForce(number) == s.status.Members-s.unreachable() {
 		return &exitError{exitPartial, fmt.Errorf("version %d: %d controllers are not heard, and the leader has collected for %v only", number,
-			s.unheard(), since(s.status))}
+			s.unreachable(), collectedFor(s.status))}
 	}
 	return &exitError{exitPartial, fmt.Errorf("version %d is agreed and not in force at all controllers that are heard", number)}
 }
 
-func since(s *config.Status) time.Duration {
+func collectedFor(s *config.Status) time.Duration {
 	return (time.Duration(s.CollectedFor) * time.Millisecond).Round(time.Second)
 }
 
-// line is a status in one line.
-func (s configStatus) line(now time.Time) string {
+// summary formats a status in one line.
+func (s configStatus) summary(now time.Time) string {
 	st := s.status
 	if st.Latest.Number == 0 {
 		return fmt.Sprintf("no version is agreed yet: each of %d controllers runs by its own file", st.Members)
 	}
 	parts := []string{fmt.Sprintf("version %d in force at %d of %d", st.Latest.Number, st.InForce, st.Members)}
 	if n := len(st.Rejected); n > 0 {
-		parts = append(parts, fmt.Sprintf("%d refused: %s", n, named(st.Rejected, func(r config.ControllerReport) string {
+		parts = append(parts, fmt.Sprintf("%d refused: %s", n, listControllers(st.Rejected, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s (%s)", r.ID, cmp.Or(oneLine(r.Reason), "no reason told"))
 		})))
 	}
 	if n := len(st.Behind); n > 0 {
-		parts = append(parts, fmt.Sprintf("%d behind: %s", n, named(st.Behind, func(r config.ControllerReport) string {
+		parts = append(parts, fmt.Sprintf("%d behind: %s", n, listControllers(st.Behind, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s (version %d)", r.ID, r.Applied)
 		})))
 	}
@@ -123,7 +117,7 @@
 	case n == 1:
 		parts = append(parts, fmt.Sprintf("1 not heard %s: %s", lastHeard(st.Unreachable[0], now), st.Unreachable[0].ID))
 	case n > 1:
-		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, named(st.Unreachable, func(r config.ControllerReport) string {
+		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, listControllers(st.Unreachable, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s %s", r.ID, lastHeard(r, now))
 		})))
 	}
@@ -133,11 +127,11 @@
 	return strings.Join(parts, "; ")
 }
 
-// named lists the first few controllers.
-func named(reports []config.ControllerReport, text func(config.ControllerReport) string) string {
+// listControllers lists the first maxNamedControllers controllers.
+func listControllers(reports []config.ControllerReport, text func(config.ControllerReport) string) string {
 	var texts []string
 	for i, r := range reports {
-		if i == mostNamed {
+		if i == maxNamedControllers {
 			texts = append(texts, fmt.Sprintf("%d more", len(reports)-i))
 			break
 		}
@@ -146,7 +140,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// lastHeard tells since when a controller was not heard.
+// lastHeard formats the time of a controller's last report.
 func lastHeard(r config.ControllerReport, now time.Time) string {
 	at, ok := heardAt(r, now)
 	switch {
@@ -165,7 +159,7 @@
 	return now.Add(-time.Duration(r.Age * float64(time.Millisecond))), true
 }
 
-// oneLine is a text from another controller without what could disturb a terminal.
+// oneLine replaces characters of a text from another controller that could disturb a terminal.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -174,177 +168,3 @@
 		return r
 	}, text)
 }
-
-// printStatus prints a status; its error holds the exit code.
-func (cc *configCommands) printStatus(c *cobra.Command, local config.Readiness, found configStatus) error {
-	now, out := cc.now(), c.OutOrStdout()
-	if found.status == nil {
-		err := errors.New("where versions are in force is not known: no leader told it")
-		if cc.flags.json {
-			return cmp.Or(errors.Join(err, found.err), printJSON(c, statusView{Local: localViewOf(local)}))
-		}
-		fmt.Fprintf(out, "the controller asked: %s\n", readiness(local))
-		return errors.Join(err, found.err)
-	}
-	latest := found.status.Latest.Number
-	var err error
-	if latest > 0 {
-		err = found.verdict(latest, 0)
-	}
-	if cc.flags.json {
-		return cmp.Or(printJSON(c, statusViewOf(found, localViewOf(local), now)), err)
-	}
-	fmt.Fprintln(out, found.line(now))
-	if found.young() {
-		fmt.Fprintf(out, "the leader has collected for %v only: who is not heard may not have reported to it yet\n", since(found.status))
-	}
-	fmt.Fprintf(out, "the controller asked: %s\n", readiness(local))
-	return err
-}
-
-// readiness tells what a controller says of itself.
-func readiness(r config.Readiness) string {
-	text := fmt.Sprintf("version %d in force", r.Number)
-	if r.Number == 0 {
-		text = "no version in force, by its own file"
-	}
-	if r.Latest > r.Number {
-		text += fmt.Sprintf(", version %d heard of", r.Latest)
-	}
-	if !r.Confirmed {
-		text += ", not confirmed as the latest"
-	}
-	return text
-}
-
-func printHistory(out io.Writer, versions []config.Version) error {
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "version\tagreed\tauthor\tbytes\thash\treason")
-	for _, v := range slices.Backward(versions) {
-		reason := oneLine(v.Reason)
-		if v.RollbackOf > 0 {
-			reason = fmt.Sprintf("rollback to %d: %s", v.RollbackOf, reason)
-		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%.12s\t%s\n", v.Number, time.UnixMilli(v.Time).Format(time.DateTime), oneLine(v.Author), v.Size, v.Hash,
-			reason)
-	}
-	return t.Flush()
-}
-
-// versionView is a version as programs read it.
-type versionView struct {
-	Number     uint64 `json:"number"`
-	Hash       string `json:"hash"`
-	Size       int    `json:"size"`
-	Author     string `json:"author"`
-	Reason     string `json:"reason"`
-	Time       string `json:"time"`
-	RollbackOf uint64 `json:"rollback_of,omitempty"`
-}
-
-func viewOf(v *config.Version) *versionView {
-	if v == nil {
-		return nil
-	}
-	return &versionView{Number: v.Number, Hash: hex.EncodeToString(v.Hash[:]), Size: v.Size, Author: v.Author, Reason: v.Reason,
-		Time: time.UnixMilli(v.Time).UTC().Format(time.RFC3339Nano), RollbackOf: v.RollbackOf}
-}
-
-// localView is what the controller asked says of itself.
-type localView struct {
-	Version   uint64 `json:"version"`
-	Latest    uint64 `json:"latest"`
-	Confirmed bool   `json:"confirmed"`
-}
-
-func localViewOf(r config.Readiness) *localView { return &localView{r.Number, r.Latest, r.Confirmed} }
-
-// reportView is one controller.
-type reportView struct {
-	Controller string `json:"controller"`
-	Version    uint64 `json:"version"`
-	Reason     string `json:"reason,omitempty"`
-	LastHeard  string `json:"last_heard,omitempty"` // absent: never by this leader
-}
-
-func reportViews(reports []config.ControllerReport, now time.Time) []reportView {
-	views := []reportView{}
-	for _, r := range reports {
-		v := reportView{Controller: string(r.ID), Version: r.Applied, Reason: r.Reason}
-		if at, ever := heardAt(r, now); ever {
-			v.LastHeard = at.UTC().Format(time.RFC3339)
-		}
-		views = append(views, v)
-	}
-	return views
-}
-
-// statusView is a status as programs read it.
-type statusView struct {
-	Local       *localView     `json:"local,omitempty"` // of the controller asked
-	Known       bool           `json:"known"`           // the rest is: a leader told it
-	From        string         `json:"from,omitempty"`
-	Latest      *versionView   `json:"latest,omitempty"`
-	Controllers int            `json:"controllers"`
-	InForce     int            `json:"in_force"`
-	Everywhere  bool           `json:"in_force_at_all_heard"`
-	Counts      map[uint64]int `json:"by_version,omitempty"`
-	Refused     []reportView   `json:"refused,omitempty"`
-	Behind      []reportView   `json:"behind,omitempty"`
-	NotHeard    []reportView   `json:"not_heard,omitempty"`
-	More        int            `json:"more"`
-	CollectedMS int64          `json:"collected_ms"`
-	TooShort    bool           `json:"collected_too_short"`
-}
-
-func statusViewOf(found configStatus, local *localView, now time.Time) statusView {
-	s := found.status
-	return statusView{Local: local, Known: true, From: found.from, Latest: viewOf(&s.Latest), Controllers: s.Members,
-		InForce: s.InForce, Everywhere: found.everywhereHeard(s.Latest.Number), Counts: s.ByVersion, Refused: reportViews(s.Rejected, now),
-		Behind: reportViews(s.Behind, now), NotHeard: reportViews(s.Unreachable, now), More: s.Omitted, CollectedMS: int64(s.CollectedFor),
-		TooShort: found.young()}
-}
-
-// changeOutcome is how put and rollback ended, as programs read it.
-type changeOutcome struct {
-	Result  string       `json:"result"`
-	Reason  string       `json:"reason,omitempty"`
-	Version *versionView `json:"version,omitempty"`
-	Status  *statusView  `json:"status,omitempty"`
-
-	line string
-}
-
-func (o *changeOutcome) setStatus(found configStatus, now time.Time) {
-	if found.status == nil {
-		return
-	}
-	view := statusViewOf(found, nil, now)
-	o.Status, o.line = &view, found.line(now)
-}
-
-// historyView, documentView and diffView are what history, show and diff print for programs.
-type historyView struct {
-	From     string         `json:"from,omitempty"`
-	Versions []*versionView `json:"versions"`
-}
-
-func historyViewOf(a *configuration.Answer) historyView {
-	view := historyView{From: a.From, Versions: []*versionView{}}
-	for i := range a.Versions {
-		view.Versions = append(view.Versions, viewOf(&a.Versions[i]))
-	}
-	return view
-}
-
-type documentView struct {
-	Number   uint64       `json:"number"`
-	Version  *versionView `json:"version,omitempty"`
-	Document string       `json:"document"`
-}
-
-type diffView struct {
-	From uint64 `json:"from"`
-	To   uint64 `json:"to"`
-	Diff string `json:"diff"`
-}
--- /dev/null
+++ b/cmd/mintkeel/fleetversions.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mintkeel/internal/core/fleet/config"
+	"mintkeel/internal/fleet/configuration"
+	"mintkeel/internal/operator"
+	"mintkeel/internal/settings"
+)
+
+// applyTimeout is how long a version waits for the main goroutine to apply it, which takes milliseconds unless the process
+// gets no processor time.
+const applyTimeout = 5 * time.Second
+
+// fleetConfig is the daemon's side of the fleet's configuration. The fleet's service checks documents and offers versions on
+// goroutines of its own; the daemon's main goroutine applies them one by one.
+type fleetConfig struct {
+	name     string
+	facts    *settings.Facts
+	local    atomic.Pointer[operator.File]  // this controller's own file
+	parsed   atomic.Pointer[parsedDocument] // the last document without errors
+	requests chan versionRequest
+	version  config.Version // in force, Number 0: none yet; owned by the main goroutine
+
+	serving        chan struct{} // closed once clients are served
+	hasOwnSnapshot bool          // its own folder held something; to be read once serving is closed
+	stopped        chan struct{} // closed when no further version is applied
+	stop           sync.Once
+
+	counts struct{ taken, refused, later atomic.Int64 }
+}
+
+// versionRequest asks the main goroutine to apply a version.
+type versionRequest struct {
+	version config.Version
+	file    *operator.File
+	reply   chan error // has room for the answer
+}
+
+func newFleetConfig(s *controllerConfig, own *operator.File) *fleetConfig {
+	a := &fleetConfig{name: s.Name, facts: s.facts, requests: make(chan versionRequest), serving: make(chan struct{}),
+		stopped: make(chan struct{})}
+	a.local.Store(own)
+	return a
+}
+
+// host returns the functions that the fleet's service calls.
+func (a *fleetConfig) host() *configuration.Host {
+	return &configuration.Host{Check: a.check, Apply: a.apply}
+}
+
+// setLocal sets the controller's own file after a reload.
+func (a *fleetConfig) setLocal(own *operator.File) { a.local.Store(own) }
+
+// versionRequests returns the versions to be applied. It is nil, on which a receive blocks forever, without a block config.
+func (a *fleetConfig) versionRequests() <-chan versionRequest {
+	if a == nil {
+		return nil
+	}
+	return a.requests
+}
+
+// beginServing marks that clients are served, and whether this controller has a snapshot of its own.
+func (a *fleetConfig) beginServing(remembers bool) {
+	a.hasOwnSnapshot = remembers
+	close(a.serving)
+}
+
+// needsSharedStatistics waits until clients are served, and reports whether this controller lacks a snapshot of its own.
+func (a *fleetConfig) needsSharedStatistics() bool {
+	select {
+	case <-a.serving:
+		return !a.hasOwnSnapshot
+	case <-a.stopped:
+		return false
+	}
+}
+
+// stopApplying makes all further versions fail with errStopping.
+func (a *fleetConfig) stopApplying() { a.stop.Do(func() { close(a.stopped) }) }
+
+// parsedDocument caches the last parsed document: each is parsed to be checked and again to be applied, and a large one takes
+// a second.
+type parsedDocument struct {
+	hash  [sha256.Size]byte
+	local *operator.File // beside which it was read
+	file  *operator.File // is never changed
+}
+
+// parse parses a document by the same code as mintkeel check.
+func (a *fleetConfig) parse(document []byte) (*operator.File, error) {
+	hash, local := sha256.Sum256(document), a.local.Load()
+	if last := a.parsed.Load(); last != nil && last.hash == hash && last.local == local {
+		return last.file, nil
+	}
+	file, err := operator.ParseDocument("", document, operator.Local{Name: a.name, File: local}, a.facts)
+	if err != nil {
+		return nil, &documentError{err}
+	}
+	a.parsed.Store(&parsedDocument{hash: hash, local: local, file: file})
+	return file, nil
+}
+
+// check returns an error if this controller could not use the document.
+func (a *fleetConfig) check(document []byte) error {
+	_, err := a.parse(document)
+	return err
+}
+
+// Errors of versions that were not applied; a later try may succeed.
+var (
+	errApplyTimeout = fmt.Errorf("the controller did not take it over in time: %w", configuration.ErrRetryable)
+	errStopping     = fmt.Errorf("the controller is ending: %w", configuration.ErrRetryable)
+)
+
+// apply has the main goroutine apply a version, waits for the result and counts it.
+func (a *fleetConfig) apply(v config.Version, document []byte) error {
+	err := a.requestApply(v, document)
+	switch {
+	case err == nil:
+		a.counts.taken.Add(1)
+	case errors.Is(err, configuration.ErrRetryable):
+		a.counts.later.Add(1)
+	default: // logged by the fleet's service
+		a.counts.refused.Add(1)
+	}
+	return err
+}
+
+// requestApply parses a document and hands it to the main goroutine, within applyTimeout.
+func (a *fleetConfig) requestApply(v config.Version, document []byte) error {
+	file, err := a.parse(document)
+	if err != nil {
+		return err
+	}
+	r := versionRequest{version: v, file: file, reply: make(chan error, 1)}
+	timer := time.NewTimer(applyTimeout)
+	defer timer.Stop()
+	select {
+	case a.requests <- r:
+	case <-timer.C:
+		return errApplyTimeout
+	case <-a.stopped:
+		return errStopping
+	}
+	select {
+	case err := <-r.reply:
+		return err
+	case <-timer.C:
+		return errApplyTimeout
+	case <-a.stopped:
+		return errStopping
+	}
+}
+
+// LogValue prints the version in force and the counts.
+func (a *fleetConfig) LogValue() slog.Value {
+	return slog.GroupValue(slog.Uint64("version", a.version.Number), slog.String("hash", shortHash(a.version)),
+		slog.Int64("taken", a.counts.taken.Load()), slog.Int64("refused", a.counts.refused.Load()),
+		slog.Int64("tried_again", a.counts.later.Load()))
+}
+
+// versionAttributes are the attributes of a version in log lines.
+func versionAttributes(v config.Version) []any {
+	return []any{"version", v.Number, "hash", shortHash(v), "author", v.Author, "reason", v.Reason}
+}
+
+// shortHash is enough of a hash to tell documents apart by eye.
+func shortHash(v config.Version) string { return v.Hash.String()[:12] }
--- a/cmd/mintkeel/agreed_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	feed, engine, hangs := feedAndEngine(t)
 	h = found(t, text, feed, engine, "")
-	h.put(h.from.operator, configFleet(t, h.dir, "100ms"))
+	h.put(h.from.operatorPath, configFleet(t, h.dir, "100ms"))
 	return h, h.serve(), hangs
 }
 
@@ -72,7 +72,9 @@
 			t.Errorf("query %d: %q, not %q", id, said, want)
 		}
 	}
-	apply := func(number uint64, document string) error { return d.agreed.apply(numbered(number), []byte(document)) }
+	apply := func(number uint64, document string) error {
+		return d.fleetConfig.apply(numbered(number), []byte(document))
+	}
 	serves(1, "own")
 	if err := apply(2, ruleRefusing("two")); err != nil {
 		t.Error(err)
@@ -129,7 +131,7 @@
 func TestTakeVersionLater(t *testing.T) {
 	h, d, hangs := takingDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
 	defer h.stop()
-	err := d.agreed.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
+	err := d.fleetConfig.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,12 +139,12 @@
 	c.query(1, "hang") // is open under the keys of that time
 	<-hangs
 	for n := uint64(2); n < 100 && err == nil; n++ {
-		err = d.agreed.apply(numbered(n), []byte("rule \"k\" {\n key = \"'"+strings.Repeat("k", int(n))+"'\"\n}\n"))
+		err = d.fleetConfig.apply(numbered(n), []byte("rule \"k\" {\n key = \"'"+strings.Repeat("k", int(n))+"'\"\n}\n"))
 	}
-	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRules) {
+	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRulesBusy) {
 		t.Errorf("ended by %v", err)
 	}
-	if d.agreed.counts.later.Load() != 1 || d.agreed.counts.refused.Load() != 0 {
+	if d.fleetConfig.counts.later.Load() != 1 || d.fleetConfig.counts.refused.Load() != 0 {
 		t.Error("counted as refused")
 	}
 }
@@ -150,19 +152,19 @@
 // Whoever offers a version while nobody takes it is not left waiting: not past the time for it, and not past an end.
 func TestOfferUntaken(t *testing.T) {
 	own := &operator.File{Log: logs.DefaultBlock()}
-	a := newAgreedConfig(&start{Name: "n1"}, own)
+	a := newFleetConfig(&controllerConfig{Name: "n1"}, own)
 	ended := make(chan error, 2)
 	for range 2 { // one that is not taken, and one that is taken and not answered
 		go func() { ended <- a.apply(numbered(1), nil) }()
 	}
 	<-a.requests
-	a.stopTaking()
+	a.stopApplying()
 	for range 2 {
 		if err := <-ended; !errors.Is(err, errStopping) || !errors.Is(err, configuration.ErrRetryable) {
 			t.Error(err)
 		}
 	}
-	if a.wantsDigest() {
+	if a.needsSharedStatistics() {
 		t.Error("the digest is wanted after the end")
 	}
 	if a.counts.later.Load() != 2 {
@@ -172,7 +174,7 @@
 
 // A document is read once, unless the controller's own file was read again since; what can't be used is not remembered.
 func TestParseOnce(t *testing.T) {
-	a := newAgreedConfig(&start{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
+	a := newFleetConfig(&controllerConfig{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
 	parse := func(text string) *operator.File {
 		t.Helper()
 		file, err := a.parse([]byte(text))
@@ -202,17 +204,17 @@
 func awaiting(t *testing.T, wait string) *daemon {
 	t.Helper()
 	dir := t.TempDir()
-	h := &house{t: t, dir: dir, from: sources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
-	h.put(h.from.config, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
-	h.put(h.from.operator, configFleet(t, dir, wait))
+	h := &house{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
+	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
+	h.put(h.from.operatorPath, configFleet(t, dir, wait))
 	s, file, err := h.from.read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{from: h.from, start: s, file: file, limits: limits.For(1024, 192, 0, 0, 0), lines: logs.New(h.log, file.Log)}
-	d.log = d.lines.Logger()
-	d.agreed = newAgreedConfig(s, file)
-	t.Cleanup(d.agreed.stopTaking)
+	d := &daemon{sources: h.from, config: s, file: file, limits: limits.For(1024, 192, 0, 0, 0), logOutput: logs.New(h.log, file.Log)}
+	d.log = d.logOutput.Logger()
+	d.fleetConfig = newFleetConfig(s, file)
+	t.Cleanup(d.fleetConfig.stopApplying)
 	return d
 }
 
@@ -229,8 +231,8 @@
 		}
 	}
 	ended := make(chan pendingSignals, 1)
-	go func() { ended <- d.awaitConfig(context.Background(), signals, wait) }()
-	if err := d.agreed.apply(numbered(7), []byte("log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\n")); err != nil {
+	go func() { ended <- d.awaitLatestVersion(context.Background(), signals, wait) }()
+	if err := d.fleetConfig.apply(numbered(7), []byte("log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\n")); err != nil {
 		t.Error(err)
 	}
 	signals <- syscall.SIGUSR1
@@ -239,16 +241,16 @@
 	if pending := <-ended; pending != (pendingSignals{reload: true}) {
 		t.Errorf("pending %+v", pending)
 	}
-	if d.file.Memory == nil || d.file.Memory.Folder != "/m/n1" || d.file.Rules != nil || d.file.Fleet.Name != "e" || d.agreed.version.Number != 7 {
+	if d.file.Memory == nil || d.file.Memory.Folder != "/m/n1" || d.file.Rules != nil || d.file.Fleet.Name != "e" || d.fleetConfig.version.Number != 7 {
 		t.Errorf("in force: %+v", d.file)
 	}
-	go func() { ended <- d.awaitConfig(context.Background(), signals, wait) }()
+	go func() { ended <- d.awaitLatestVersion(context.Background(), signals, wait) }()
 	signals <- syscall.SIGTERM
 	if pending := <-ended; !pending.stop {
 		t.Errorf("pending %+v", pending)
 	}
 	d.file.Config.Wait = 10 * time.Millisecond
-	if pending := d.awaitConfig(context.Background(), signals, wait); pending != (pendingSignals{}) {
+	if pending := d.awaitLatestVersion(context.Background(), signals, wait); pending != (pendingSignals{}) {
 		t.Errorf("pending %+v", pending)
 	}
 }
@@ -264,7 +266,7 @@
 			if !on {
 				own = strings.Replace(own, "config {\n wait = \"8s\"\n}\n", "", 1)
 			}
-			h.put(h.from.operator, own)
+			h.put(h.from.operatorPath, own)
 			looked, served := make(chan struct{}), make(chan struct{})
 			go func() { // looks while the latest version may be waited for
 				defer close(looked)
@@ -293,7 +295,7 @@
 				t.Error("at a start the latest version is waited for, or is not, against the file")
 			}
 			defer h.stop()
-			if (d.agreed != nil) != on {
+			if (d.fleetConfig != nil) != on {
 				t.Error("the daemon's side of it")
 			}
 			if _, err := os.Stat(filepath.Join(h.dir, "fleet", "config")); (err == nil) != on {
--- a/cmd/mintkeel/main.go
+++ b/cmd/mintkeel/main.go
@@ -1,5 +1,3 @@
-// Command mintkeel is one controller of the gateway: it takes clients' commands on a socket, has the decision module
-// say what runs where, and answers. Here are arguments and wiring only.
 package main
 
 import (
@@ -14,13 +12,13 @@
 
 // Exit codes.
 const (
-	exitFailed  = 1 // it can't be done: a configuration that can't be used, a memory that can't be trusted
-	exitUsage   = 2 // it was not understood
-	exitPartial = 3 // a version was agreed, and is not known to be in force at each controller that is heard
-	exitLost    = 4 // another version was agreed first
+	exitFailed  = 1 // the command failed, for example on a configuration that can't be used or a corrupt snapshot
+	exitUsage   = 2 // the command line was not understood
+	exitPartial = 3 // a version was committed, and is not known to be in force at all reachable controllers
+	exitLost    = 4 // another version was committed first
 )
 
-// exitError is an error of a command that ends with a code of its own.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	code int
 	err  error
@@ -49,10 +47,11 @@
 		SilenceErrors:    true,
 		SilenceUsage:     true,
 	}
-	root.AddCommand(serveCommand(), checkCommand(), versionCommand(), memoryCommand(), rulesCommand(), fleetCommand(), maintenanceCommand())
+	root.AddCommand(serveCommand(), checkCommand(), versionCommand(), memoryCommand(), rulesCommand(), fleetCommand(),
+		maintenanceCommand())
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.SetArgs(dashes(args))
+	root.SetArgs(normalizeFlags(args))
 	if err := root.Execute(); err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
 			fmt.Fprintln(errs, "mintkeel:", line)
@@ -69,8 +68,8 @@
 	return 0
 }
 
-// dashes takes the flags of earlier versions, which had one dash, as the same with two.
-func dashes(args []string) []string {
+// normalizeFlags adds a dash to -config: flags of earlier versions had one dash.
+func normalizeFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, arg := range args {
 		if out[i] = arg; arg == "-config" || strings.HasPrefix(arg, "-config=") {
--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -57,7 +57,7 @@
 		if c.from == `"%FEED%"` {
 			text = strings.Replace(good, c.from, c.to, 1)
 		}
-		if _, err := parseStart([]byte(text)); (err == nil) != (c.says == "") ||
+		if _, err := parseControllerConfig([]byte(text)); (err == nil) != (c.says == "") ||
 			err != nil && !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.to, err)
 		}
@@ -172,15 +172,15 @@
 		}
 	}
 	configure(good, feed)
-	s, err := readStart(path)
+	s, err := readControllerConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
 	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, patience, 100*time.Millisecond
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	d := &daemon{from: sources{config: path}, start: s, file: &operator.File{}, limits: l,
-		lines: logs.New(io.Discard, logs.DefaultBlock())}
+	d := &daemon{sources: configSources{configPath: path}, config: s, file: &operator.File{}, limits: l,
+		logOutput: logs.New(io.Discard, logs.DefaultBlock())}
 	go func() { ended <- d.run(signals) }()
 	dial := func() *client {
 		for deadline := time.Now().Add(patience); ; {
@@ -210,8 +210,8 @@
 	}
 	defer moved.Close()
 	configure("no configuration", "")
-	if r := d.reread(); r.againErr == nil || r.fileErr != nil {
-		t.Errorf("a bad file is read as %+v, %v", r.again, r.fileErr)
+	if r := d.readFiles(); r.configErr == nil || r.fileErr != nil {
+		t.Errorf("a bad file is read as %+v, %v", r.config, r.fileErr)
 	}
 	signals <- syscall.SIGHUP
 	configure(strings.Replace(good, "192", "64", 1), moved.Addr().String())
@@ -259,7 +259,7 @@
 	t       *testing.T
 	dir     string
 	addr    string
-	from    sources
+	from    configSources
 	log     *lines
 	early   []os.Signal // that come before it serves
 	change  func(*limits.Limits)
@@ -271,9 +271,9 @@
 func found(t *testing.T, text, feed, engine, hcl string) *house {
 	t.Helper()
 	h := &house{t: t, dir: t.TempDir(), addr: reserveAddress(t)}
-	h.from = sources{filepath.Join(h.dir, "config.json"), filepath.Join(h.dir, "operator.hcl")}
-	h.put(h.from.config, strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", h.addr).Replace(text))
-	h.put(h.from.operator, hcl)
+	h.from = configSources{filepath.Join(h.dir, "config.json"), filepath.Join(h.dir, "operator.hcl")}
+	h.put(h.from.configPath, strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", h.addr).Replace(text))
+	h.put(h.from.operatorPath, hcl)
 	return h
 }
 
@@ -300,7 +300,7 @@
 	for _, sig := range h.early {
 		h.signals <- sig
 	}
-	d := &daemon{from: h.from, start: s, file: file, limits: l, lines: logs.New(h.log, file.Log)}
+	d := &daemon{sources: h.from, config: s, file: file, limits: l, logOutput: logs.New(h.log, file.Log)}
 	go func(ended chan error, signals chan os.Signal) { ended <- d.run(signals) }(h.ended, h.signals)
 	h.log.wait(h.t, "serving")
 	return d
@@ -324,7 +324,7 @@
 // reload has another operator's file read, and waits for a word of the log.
 func (h *house) reload(text, word string) {
 	h.t.Helper()
-	h.put(h.from.operator, text)
+	h.put(h.from.operatorPath, text)
 	seen := h.log.count(word)
 	h.signals <- syscall.SIGHUP
 	h.log.more(h.t, word, seen)
@@ -334,11 +334,11 @@
 func (h *house) hangingReload() *os.File {
 	h.t.Helper()
 	pipe := filepath.Join(h.dir, "pipe")
-	if err := errors.Join(syscall.Mkfifo(pipe, 0o600), os.Rename(pipe, h.from.config)); err != nil {
+	if err := errors.Join(syscall.Mkfifo(pipe, 0o600), os.Rename(pipe, h.from.configPath)); err != nil {
 		h.t.Fatal(err)
 	}
 	h.signals <- syscall.SIGHUP
-	end, err := os.OpenFile(h.from.config, os.O_WRONLY, 0) // opens once it is being read
+	end, err := os.OpenFile(h.from.configPath, os.O_WRONLY, 0) // opens once it is being read
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -365,7 +365,7 @@
 	block := func(folder, pace string) string {
 		return fmt.Sprintf("memory {\n folder = %q\n pace = %q\n}\n", filepath.Join(h.dir, folder), pace)
 	}
-	h.put(h.from.operator, block("a", "100ms"))
+	h.put(h.from.operatorPath, block("a", "100ms"))
 	h.serve()
 	stop, stopped := make(chan bool), make(chan int)
 	go func() {
@@ -401,7 +401,7 @@
 			t.Errorf("folder %s: code %d", folder, code)
 		}
 	}
-	h.put(h.from.operator, block("a", "1h"))
+	h.put(h.from.operatorPath, block("a", "1h"))
 	h.serve()
 	h.stop()
 	if text := h.log.String(); !strings.Contains(text, "believed=") || strings.Contains(text, "believed=0") {
@@ -415,7 +415,7 @@
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := inTime(10*time.Millisecond, func() (*operator.File, error) { return operator.Read(pipe, nil) }); err == nil {
+	if _, err := readWithTimeout(10*time.Millisecond, func() (*operator.File, error) { return operator.Read(pipe, nil) }); err == nil {
 		t.Error("a pipe that nobody writes to is read")
 	}
 	end, err := os.OpenFile(pipe, os.O_WRONLY, 0) // lets its goroutine end
@@ -423,7 +423,7 @@
 		t.Fatal(err)
 	}
 	end.Close()
-	if x, err := inTime(patience, func() (int, error) { return 7, nil }); x != 7 || err != nil {
+	if x, err := readWithTimeout(patience, func() (int, error) { return 7, nil }); x != 7 || err != nil {
 		t.Error(x, err)
 	}
 }
@@ -453,7 +453,7 @@
 		<-hangs
 		h.signals <- syscall.SIGTERM
 		h.log.wait(t, "told to stop")
-		h.put(h.from.config, "no configuration")
+		h.put(h.from.configPath, "no configuration")
 		h.signals <- syscall.SIGHUP
 		if said := open.hears(); said != "EZ" {
 			t.Errorf("what hangs: %s", said)
@@ -533,7 +533,7 @@
 	feed, engine, _ := feedAndEngine(t)
 	moved, _, _ := feedAndEngine(t)
 	h := found(t, good, feed, engine, "")
-	text, err := os.ReadFile(h.from.config)
+	text, err := os.ReadFile(h.from.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -544,7 +544,7 @@
 	h.log.wait(t, "counts") // so the second has been heard
 	next := filepath.Join(h.dir, "next")
 	h.put(next, strings.ReplaceAll(string(text), feed, moved))
-	if err := os.Rename(next, h.from.config); err != nil {
+	if err := os.Rename(next, h.from.configPath); err != nil {
 		t.Fatal(err)
 	}
 	first.Write(text)
@@ -800,7 +800,7 @@
 		if i%4 == 0 {
 			text, word = "rule \"bad\" {\n key = \"label('store')\"\n}\n", refused
 		}
-		h.put(h.from.operator, text)
+		h.put(h.from.operatorPath, text)
 		const soon = "changed too often"
 		seen, early := h.log.count(word), h.log.count(soon)
 		h.signals <- syscall.SIGHUP
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -45,13 +45,13 @@
 	return c
 }
 
-// maintenanceCaller asks a controller for maintenance and prints what it answers.
+// maintenanceCaller sends maintenance requests to a controller and prints the answers.
 type maintenanceCaller struct {
 	folder string
 	asJSON bool
 }
 
-// maintenancePrinter prints an answer for a person.
+// maintenancePrinter prints an answer as text.
 type maintenancePrinter func(io.Writer, *maintenance.Status)
 
 func (m *maintenanceCaller) call(c *cobra.Command, request maintenance.Request, printText maintenancePrinter) error {
@@ -74,7 +74,7 @@
 	return err
 }
 
-// ofName is a command for what its argument names, or for all where its use has none.
+// ofName makes a command with the argument of its use, or without one.
 func (m *maintenanceCaller) ofName(use, short, action string, printText maintenancePrinter) *cobra.Command {
 	count := strings.Count(use, " ")
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: func(c *cobra.Command, args []string) error {
@@ -86,7 +86,7 @@
 	}}
 }
 
-// ofFile is a command for the plans of a file.
+// ofFile makes a command that sends the plans of a file.
 func (m *maintenanceCaller) ofFile(use, short, action string, printText maintenancePrinter) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
@@ -111,13 +111,6 @@
 	}
 }
 
-func errorIf(is bool, text string) error {
-	if is {
-		return errors.New(text)
-	}
-	return nil
-}
-
 func printMaintenance(out io.Writer, s *maintenance.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintf(t, "conducted by %s, token %d, state %d\nplan\tat once\tis\n", s.Holder, s.Token, s.Serial)
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -27,8 +25,8 @@
 	return c
 }
 
-// usualLimits serve commands that run beside a controller, without what the platform grants.
-func usualLimits() *limits.Limits { return limits.For(64, 256, 0, 0, 0) }
+// offlineLimits are the limits of commands that run without the platform's configuration.
+func offlineLimits() *limits.Limits { return limits.For(64, 256, 0, 0, 0) }
 
 func memoryShow() *cobra.Command {
 	var asJSON, all bool
@@ -37,7 +35,7 @@
 		Short: "Tell what is kept in a folder, how old it is, and what it would weigh now",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			kept, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(usualLimits()))
+			kept, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -45,7 +43,7 @@
 			if asJSON {
 				return printJSON(c, shown)
 			}
-			return printShown(c.OutOrStdout(), shown, all)
+			return printReport(c.OutOrStdout(), shown, all)
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print all records as JSON")
@@ -53,57 +51,6 @@
 	return c
 }
 
-// fewShown are printed of each kind unless all are asked for.
-const fewShown = 20
-
-func printShown(out io.Writer, s *memory.Report, all bool) error {
-	fmt.Fprintf(out, "%s of %s, number %d, %s old, written by %s\n", s.File, s.Name, s.Serial,
-		(time.Duration(s.AgeMS) * time.Millisecond).Round(time.Millisecond), s.Build)
-	if !s.Complete {
-		fmt.Fprintln(out, "some of its sections could not be used and are left out")
-	}
-	fmt.Fprintf(out, "%d records: %d believed now, %d too old, %d from the future, %d with figures that can't be\n",
-		s.Records, s.Restorable, s.Expired, s.FromFuture, s.Invalid)
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	table := func(title, head string, n int, line func(i int)) {
-		if n == 0 {
-			return
-		}
-		fmt.Fprintf(t, "\n%s\n%s\n", title, head)
-		for i := range n {
-			if i == fewShown && !all {
-				fmt.Fprintf(t, "... %d more\n", n-i)
-				break
-			}
-			line(i)
-		}
-	}
-	table("Engines", "id\tage\tweighs\tpace\twidth\toutcomes\tshares with", len(s.Engines), func(i int) {
-		e := s.Engines[i]
-		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS), e.RemainingWeight, e.Slowdown, e.ThreadsPerCore,
-			e.Outcomes, e.PoolLeader)
-	})
-	table("Table groups", "id\tage\tweighs\tasks for\tat", len(s.Tables), func(i int) {
-		g := s.Tables[i]
-		fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%v\n", g.Tables, ms(g.AgeMS), g.RemainingWeight, g.Demand, g.PoolLeaders)
-	})
-	table("Profiles", "place\tage\tweighs\talone\twork over estimate\tmemory over estimate", len(s.Classes),
-		func(i int) {
-			p := s.Classes[i]
-			fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%.3g\t%.3g\n", p.Class, ms(p.AgeMS), p.RemainingWeight, p.UnloadedTime, p.WorkScale,
-				p.MemoryScale)
-		})
-	table("Part of the traffic", "age\tweighs\tpart", len(s.Traffic), func(i int) {
-		p := s.Traffic[i]
-		fmt.Fprintf(t, "%s\t%.2f\t%.3f\n", ms(p.AgeMS), p.RemainingWeight, p.Share)
-	})
-	return t.Flush()
-}
-
-func ms(x int64) time.Duration {
-	return (time.Duration(x) * time.Millisecond).Round(time.Millisecond)
-}
-
 // errUntrusted ends verify with code 1.
 var errUntrusted = errors.New("can't be trusted whole")
 
@@ -114,7 +61,7 @@
 		Short: "Tell whether what is kept in a folder can be trusted; exit code 1 if a file can't",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			checks, err := memory.Verify(disk.Folder(args[0]), memory.FileBounds(usualLimits()))
+			checks, err := memory.Verify(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -162,7 +109,7 @@
 			if !what.All && len(what.Engines)+len(what.Tables) == 0 {
 				return errors.New("name what to forget: --engine, --tables or --all")
 			}
-			n, err := memory.Prune(disk.Folder(args[0]), memory.FileBounds(usualLimits()), what)
+			n, err := memory.Prune(disk.Folder(args[0]), memory.FileBounds(offlineLimits()), what)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- /dev/null
+++ b/cmd/mintkeel/output.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/operator"
+)
+
+// printJSON prints a value, indented, for programs.
+func printJSON(c *cobra.Command, value any) error {
+	encoder := json.NewEncoder(c.OutOrStdout())
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
+
+func ruleCount(f *operator.File) int {
+	if f.Rules == nil {
+		return 0
+	}
+	return f.Rules.Len()
+}
+
+func onOff(on bool) string {
+	if on {
+		return "on"
+	}
+	return "off"
+}
+
+func yesNo(yes bool) string {
+	if yes {
+		return "yes"
+	}
+	return "no"
+}
+
+// errorIf is an error with a text where a condition holds, and else nil.
+func errorIf(is bool, text string) error {
+	if is {
+		return errors.New(text)
+	}
+	return nil
+}
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -178,7 +178,7 @@
 }
 
 func TestVersionOutputIsStable(t *testing.T) {
-	value := build{Version: "v1.2.3", Go: "go1.26", Revision: "abc", Modified: true}
+	value := buildInfo{Version: "v1.2.3", Go: "go1.26", Revision: "abc", Modified: true}
 	golden.AllSet(t, value)
 	golden.File(t, filepath.Join("output", "version.txt"), printed(t, value))
 }
@@ -190,14 +190,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := parseStart(text)
+	s, err := parseControllerConfig(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var p strings.Builder
 	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", s.Name,
-		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.Number, len(s.facts.Classes))
-	for _, update := range s.news {
+		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Discovery, s.InitialEndpoints.Number, len(s.facts.Classes))
+	for _, update := range s.endpointUpdates {
 		fmt.Fprintf(&p, "update %d, whole %v\n", update.Number, update.Complete)
 		for _, e := range update.Endpoints {
 			fmt.Fprintf(&p, "  engine %s at %s, state %d, zone %s, kind %d, cell %d, since %v\n", e.Engine, e.Address, int(e.State), e.Zone,
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -11,27 +11,30 @@
 	"mintkeel/internal/operator"
 )
 
-// reloaded is what was read again at a SIGHUP.
-type reloaded struct {
-	file     *operator.File
-	fileErr  error
-	again    *start
-	againErr error
+// reloadResult is what was read at a SIGHUP, or why it could not be read.
+type reloadResult struct {
+	file      *operator.File
+	fileErr   error
+	config    *controllerConfig
+	configErr error
 }
 
-// reread reads the operator's file and the configuration again, each within a bound. It changes nothing.
-func (d *daemon) reread() (r reloaded) {
-	r.file, r.fileErr = inTime(d.limits.ConfigReadTimeout, func() (*operator.File, error) {
-		return operator.Read(d.from.operator, d.start.facts)
+// readFiles reads the operator's file and the configuration, each within limits.ConfigReadTimeout. It changes nothing and
+// runs on a goroutine of its own.
+func (d *daemon) readFiles() (r reloadResult) {
+	r.file, r.fileErr = readWithTimeout(d.limits.ConfigReadTimeout, func() (*operator.File, error) {
+		return operator.Read(d.sources.operatorPath, d.config.facts)
+	})
+	r.config, r.configErr = readWithTimeout(d.limits.ConfigReadTimeout, func() (*controllerConfig, error) {
+		return readControllerConfig(d.sources.configPath)
 	})
-	r.again, r.againErr = inTime(d.limits.ConfigReadTimeout, func() (*start, error) { return readStart(d.from.config) })
 	return r
 }
 
-// takeOver puts what was read in force, the operator's file and the configuration each as a whole, as far as it may
-// change while running, or not at all; neither ends a controller that serves.
-func (d *daemon) takeOver(r reloaded) {
-	if err := d.takeFile(r.file, r.fileErr); err != nil {
+// applyReload puts in force what may change while running. The operator's file and the configuration are each applied whole
+// or not at all; an error is logged and the controller goes on serving.
+func (d *daemon) applyReload(r reloadResult) {
+	if err := d.applyOperatorFile(r.file, r.fileErr); err != nil {
 		problems := operator.Problems(err)
 		for _, p := range problems {
 			d.log.Error("new operator's file not used", "why", p.Error())
@@ -40,54 +43,56 @@
 			d.log.Error("new operator's file not used", "why", err)
 		}
 	}
-	if r.againErr != nil {
-		d.log.Error("new configuration not used", "why", r.againErr)
+	if r.configErr != nil {
+		d.log.Error("new configuration not used", "why", r.configErr)
 		return
 	}
-	d.start.compare(r.again, d.log)
-	d.feed.SetAddress(r.again.Feed)
+	d.config.logFixedFields(r.config, d.log)
+	d.discovery.SetAddress(r.config.Discovery)
 }
 
-// takeFile takes over the controller's own file as it was read again.
-func (d *daemon) takeFile(own *operator.File, err error) error {
+// applyOperatorFile puts the controller's own file in force, merged with the fleet's document.
+func (d *daemon) applyOperatorFile(own *operator.File, err error) error {
 	if err != nil {
 		return err
 	}
-	whole := d.wholeOf(own)
-	if err := d.enforce(whole); err != nil {
+	merged := d.mergeFleetDocument(own)
+	if err := d.applyFile(merged); err != nil {
 		return err
 	}
-	d.refleet(own.Fleet)
-	if d.agreed != nil {
-		d.agreed.setLocal(own)
+	d.updateFleetMembership(own.Fleet)
+	if d.fleetConfig != nil {
+		d.fleetConfig.setLocal(own)
 	}
-	if d.from.operator != "" {
-		d.log.Info("operator's file read again", "memory", onOff(whole.Memory != nil), "rules", ruleCount(whole))
+	if d.sources.operatorPath != "" {
+		d.log.Info("operator's file read again", "memory", onOff(merged.Memory != nil), "rules", ruleCount(merged))
 	}
-	if d.agreed != nil && d.agreed.version.Number > 0 {
-		d.log.Info("configuration version stays in force", versionAttributes(d.agreed.version)...)
+	if d.fleetConfig != nil && d.fleetConfig.version.Number > 0 {
+		d.log.Info("configuration version stays in force", versionAttributes(d.fleetConfig.version)...)
 	}
 	return nil
 }
 
-// wholeOf is the file to be in force once a controller's own file was read again: with the document that the fleet agreed
-// on, if there is one. What may not change while running is told, and stays as it was.
-func (d *daemon) wholeOf(own *operator.File) *operator.File {
-	d.keepFields(own)
-	if d.agreed == nil || d.agreed.version.Number == 0 {
+// mergeFleetDocument returns the controller's own file merged with the version of the fleet's document that is in force, if
+// there is one. Fields that can't change while running are logged and keep their values.
+func (d *daemon) mergeFleetDocument(own *operator.File) *operator.File {
+	d.resetFixedFields(own)
+	if d.fleetConfig == nil || d.fleetConfig.version.Number == 0 {
 		return own
 	}
-	whole, block := *d.file, *own.Fleet
+	merged := *d.file
+	block := *own.Fleet
 	block.Leases = d.file.Fleet.Leases
-	whole.Fleet, whole.Config = &block, own.Config
-	return &whole
+	merged.Fleet = &block
+	merged.Config = own.Config
+	return &merged
 }
 
-// keepFields sets what may not change while running to what it was.
-func (d *daemon) keepFields(own *operator.File) {
+// resetFixedFields logs fields that can't change while running, and sets them to the values in force.
+func (d *daemon) resetFixedFields(own *operator.File) {
 	before := d.file
-	if d.agreed != nil {
-		before = d.agreed.local.Load()
+	if d.fleetConfig != nil {
+		before = d.fleetConfig.local.Load()
 	}
 	kept := func(field string) { d.log.Warn("field can't change while running", "field", field) }
 	if !own.Fleet.Same(before.Fleet) {
@@ -104,32 +109,33 @@
 	}
 }
 
-// enforce puts a whole file in force in place of the one before, in one step, or changes nothing.
-func (d *daemon) enforce(file *operator.File) error {
+// applyFile puts a file in force in place of the one before. It fails with errRulesBusy, and changes nothing, if the event
+// loop takes no rules at the moment.
+func (d *daemon) applyFile(file *operator.File) error {
 	if !d.loop.SetRules(file.Rules) {
-		return errRules
+		return errRulesBusy
 	}
-	d.lines.Configure(file.Log)
+	d.logOutput.Configure(file.Log)
 	d.forgetStoppedWriters()
 	d.replaceSnapshotWriter(d.file.Memory, file.Memory)
-	d.server.SetRules(file.Rules)
-	d.tellFleet(file)
+	d.clients.SetRules(file.Rules)
+	d.updateFleetSettings(file)
 	d.file = file
 	return nil
 }
 
-// tellFleet has this controller's part in the fleet go by the leases of a file, and by its block maintenance.
-func (d *daemon) tellFleet(file *operator.File) {
-	if d.conductor != nil && file.Maintenance != nil {
-		d.conductor.SetBlock(*file.Maintenance)
+// updateFleetSettings hands the leases and the block maintenance of a file to the fleet's service.
+func (d *daemon) updateFleetSettings(file *operator.File) {
+	if d.maintenanceJob != nil && file.Maintenance != nil {
+		d.maintenanceJob.SetBlock(*file.Maintenance)
 	}
-	if d.agreed != nil && d.fleet != nil {
+	if d.fleetConfig != nil && d.fleet != nil {
 		d.fleet.SetLeases(file.Fleet.Leases)
 	}
 }
 
-// refleet takes over what may change of the block fleet while running.
-func (d *daemon) refleet(block *fleet.Block) {
+// updateFleetMembership applies what may change of the block fleet while running: willing and keys.
+func (d *daemon) updateFleetMembership(block *fleet.Block) {
 	if d.fleet == nil {
 		return
 	}
@@ -139,35 +145,35 @@
 	}
 }
 
-// inTime reads something that may hang: a disk that is gone must not keep a controller from hearing that it is to stop.
-// What is read too late is dropped, with its goroutine.
-func inTime[T any](within time.Duration, read func() (T, error)) (T, error) {
-	type found struct {
-		what T
-		err  error
-	}
-	reply := make(chan found, 1)
+// readWithTimeout bounds a read that may hang, as on a disk that is gone. A result that comes too late is dropped; the
+// goroutine ends with the read.
+func readWithTimeout[T any](within time.Duration, read func() (T, error)) (T, error) {
+	type result struct {
+		value T
+		err   error
+	}
+	reply := make(chan result, 1)
 	go func() {
-		what, err := read()
-		reply <- found{what, err}
+		value, err := read()
+		reply <- result{value, err}
 	}()
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	select {
-	case f := <-reply:
-		return f.what, f.err
+	case r := <-reply:
+		return r.value, r.err
 	case <-timer.C:
 		var none T
 		return none, fmt.Errorf("not read within %v", within)
 	}
 }
 
-// errRules is that of rules that can't change just now.
-var errRules = errors.New("rules have changed too often within the last seconds, or too many commands are held: try again")
+// errRulesBusy means that the event loop takes no new rules at the moment; a later try may succeed.
+var errRulesBusy = errors.New("rules have changed too often within the last seconds, or too many commands are held: try again")
 
-// compare logs by field what a new configuration would change beside the feed's address, which alone may change while
-// running.
-func (s *start) compare(again *start, log *slog.Logger) {
+// logFixedFields logs the fields of a new configuration that differ and are not applied: only the address of discovery may
+// change while running.
+func (s *controllerConfig) logFixedFields(again *controllerConfig, log *slog.Logger) {
 	for _, kept := range []struct {
 		field string
 		same  bool
@@ -177,5 +183,5 @@
 			log.Warn("field can't change while running", "field", kept.field)
 		}
 	}
-	log.Info("configuration read again", "bulletin", again.Feed)
+	log.Info("configuration read again", "bulletin", again.Discovery)
 }
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -26,26 +26,26 @@
 	return c
 }
 
-// ruled reads the rules that a command is about.
-func (s *sources) ruled() (*rules.Set, *settings.Facts, error) {
-	told, file, err := s.read()
+// readRules reads the operator's rules; it is an error if there are none.
+func (s *configSources) readRules() (*rules.Set, *settings.Facts, error) {
+	config, file, err := s.read()
 	if err != nil {
 		return nil, nil, err
 	}
 	if file.Rules == nil {
 		return nil, nil, errors.New("there are no rules: name a file with --operator")
 	}
-	return file.Rules, told.facts, nil
+	return file.Rules, config.facts, nil
 }
 
 func rulesCheck() *cobra.Command {
-	var from sources
+	var from configSources
 	c := &cobra.Command{
 		Use:   "check",
 		Short: "Tell what is wrong with the rules, or what each may cost",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			set, _, err := from.ruled()
+			set, _, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -57,19 +57,19 @@
 			return t.Flush()
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	return c
 }
 
 func rulesExplain() *cobra.Command {
-	var from sources
+	var from configSources
 	var application, listener string
 	c := &cobra.Command{
 		Use:   "explain QUERY",
 		Short: "Tell which rules match a query as a client would write it, and why",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -95,20 +95,20 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	c.Flags().StringVar(&application, "application", "", "the client's application_name")
 	c.Flags().StringVar(&listener, "listener", "", "the address that the client came to")
 	return c
 }
 
 func rulesTest() *cobra.Command {
-	var from sources
+	var from configSources
 	c := &cobra.Command{
 		Use:   "test CASES",
 		Short: "Try the rules on a file of cases with expected effects; exit code 1 if one is otherwise",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -133,19 +133,19 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	return c
 }
 
 func rulesBench() *cobra.Command {
-	var from sources
+	var from configSources
 	long := time.Second
 	c := &cobra.Command{
 		Use:   "bench QUERY",
 		Short: "Tell what the rules cost on a query, beside a set of one rule that never matches",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -173,7 +173,7 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	c.Flags().DurationVar(&long, "for", long, "how long to look")
 	return c
 }
--- a/cmd/mintkeel/restore.go
+++ b/cmd/mintkeel/snapshots.go
@@ -15,7 +15,7 @@
 // identity is what this controller's snapshots are marked with. Those of another identity are not
 // restored.
 func (d *daemon) identity() restore.Identity {
-	return restore.Identity{Name: d.start.Name, Settings: settings.Flatten(d.start.Settings).Hash()}
+	return restore.Identity{Name: d.config.Name, Settings: settings.Flatten(d.config.Settings).Hash()}
 }
 
 // restoreSnapshot reads the statistics of an earlier run and hands them to the event loop, which
@@ -25,7 +25,7 @@
 	if stored == nil {
 		return
 	}
-	d.remembers = true
+	d.hasOwnSnapshot = true
 	d.loop.RestoreOnFirstEndpoints(func(endpoints []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
 		statistics, counts := restore.Select(
@@ -59,7 +59,7 @@
 	}
 	if to != nil {
 		d.snapshotWriter = memory.StartSnapshotWriter(
-			disk.Folder(to.Folder), to.Interval, d.identity(), built().String(), d.loop, d.limits, d.log)
+			disk.Folder(to.Folder), to.Interval, d.identity(), readBuildInfo().String(), d.loop, d.limits, d.log)
 	}
 }
 
