--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -15,8 +15,8 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Read a configuration and the operator's file, and tell what is wrong with them",
-		Long: `Read a configuration and the operator's file, and tell what is wrong with them.
+		Short: "Validate the configuration and the operator's file",
+		Long: `Validate the configuration and the operator's file, and print what is wrong.
 
 With --document also read a document for the whole fleet, as a controller with
 this configuration and operator's file would: docs/config.md.`,
@@ -32,14 +32,15 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
-				cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants), len(s.facts.MachineKinds), s.InitialEndpoints.Number)
+			out := c.OutOrStdout()
+			fmt.Fprintf(out, "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n", cmp.Or(s.Name, "unnamed"),
+				len(s.facts.Classes), len(s.facts.Tenants), len(s.facts.MachineKinds), s.InitialEndpoints.Number)
 			if from.operatorPath != "" && document == "" {
-				fmt.Fprintf(c.OutOrStdout(), "%s: memory %s, %d rules, fleet %s\n", from.operatorPath, onOff(file.Memory != nil), ruleCount(file),
-					onOff(file.Fleet != nil))
+				fmt.Fprintf(out, "%s: memory %s, %d rules, fleet %s\n", from.operatorPath, onOff(file.Memory != nil),
+					ruleCount(file), onOff(file.Fleet != nil))
 			}
 			if document != "" {
-				fmt.Fprintf(c.OutOrStdout(), "%s: can be used; memory %s, %d rules\n", document, onOff(file.Memory != nil), ruleCount(file))
+				fmt.Fprintf(out, "%s: can be used; memory %s, %d rules\n", document, onOff(file.Memory != nil), ruleCount(file))
 			}
 			return nil
 		},
@@ -50,8 +51,8 @@
 	return c
 }
 
-// checkDocument parses a document for the fleet as the controller with this configuration and operator's file would, and
-// returns the merged file.
+// checkDocument parses a document for the fleet as the controller with this configuration and operator's
+// file would, and returns the merged file.
 func checkDocument(path string, s *controllerConfig, own *operator.File) (*operator.File, error) {
 	text, err := readDocument(path)
 	if err != nil {
--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -14,7 +14,8 @@
 	"mintkeel/internal/settings"
 )
 
-// controllerConfig is the platform's configuration of a controller, read at its start. Names of its JSON are mapped by tags.
+// controllerConfig is the platform's configuration of a controller, read at its start. Names of its JSON
+// are mapped by tags.
 type controllerConfig struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
--- a/cmd/mintkeel/configchange.go
+++ b/cmd/mintkeel/configchange.go
@@ -69,7 +69,7 @@
 	var flags changeFlags
 	c := &cobra.Command{
 		Use:   "put FILE",
-		Short: "Have a file agreed as the next version, and wait until it is in force",
+		Short: "Propose a file as the next version, and wait until it is in force",
 		Args: func(c *cobra.Command, args []string) error {
 			return cmp.Or(cobra.ExactArgs(1)(c, args), flags.check())
 		},
@@ -92,7 +92,7 @@
 	var number uint64
 	c := &cobra.Command{
 		Use:   "rollback N",
-		Short: "Have the document of an earlier version agreed as a new one, and wait until it is in force",
+		Short: "Propose the document of an earlier version as a new one, and wait until it is in force",
 		Args: func(c *cobra.Command, args []string) error {
 			return cmp.Or(versionArgs(&number)(c, args), flags.check())
 		},
@@ -128,8 +128,8 @@
 	return cc.printOutcome(c, outcome, found.resultError(number, wait))
 }
 
-// noAnswerError is the error of a request without an answer. Unless no controller was reached, the request may have been
-// carried out.
+// noAnswerError is the error of a request without an answer. Unless no controller was reached, the request
+// may have been carried out.
 func (cc *configCommands) noAnswerError(err error) error {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "dial" || cc.flags.folder == "" {
 		return err
--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -35,12 +35,12 @@
 	commands := &configCommands{flags: flags, now: time.Now}
 	c := &cobra.Command{
 		Use:   "config",
-		Short: "Put the fleet's configuration in force, and tell where it is",
-		Long: `Put the fleet's configuration in force, and tell where it is: docs/config.md.
+		Short: "Change the fleet's configuration, and show where it is in force",
+		Long: `Change the fleet's configuration, and show where it is in force: docs/config.md.
 
-Any controller of the fleet passes the order on. Exit codes: 0 in force at all
-controllers that are heard, 3 agreed and not in force at some of them within the
-time, 4 another version was agreed first, 1 refused, failed or not known, 2 the
+Any controller of the fleet forwards the request. Exit codes: 0 in force at all
+reachable controllers, 3 agreed and not in force at some of them in time,
+4 another version was agreed first, 1 refused, failed or not known, 2 the
 command line was not understood.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
@@ -98,7 +98,7 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Tell where the latest version is in force, who refused it, and who is not heard",
+		Short: "Show where the latest version is in force, who refused it, and who is unreachable",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			answer, err := cc.call(c.Context(), configuration.Request{Action: configuration.ActionStatus})
@@ -119,7 +119,7 @@
 func (cc *configCommands) history() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "List the versions that the fleet remembers",
+		Short: "List the versions that the fleet keeps",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			answer, err := cc.call(c.Context(), configuration.Request{Action: configuration.ActionHistory})
--- a/cmd/mintkeel/configcommands_test.go
+++ b/cmd/mintkeel/configcommands_test.go
@@ -83,7 +83,9 @@
 	return order
 }
 
-func told(a configuration.Answer) *control.Status { return &control.Status{Self: "n1", Config: &a} }
+func answerStatus(a configuration.Answer) *control.Status {
+	return &control.Status{Self: "n1", Config: &a}
+}
 
 func versionOf(number uint64) *config.Version {
 	return &config.Version{Number: number, Hash: config.Hash{byte(number), 0xab}, Size: 9, Author: "anna", Reason: "why\x1b[2J",
@@ -105,7 +107,7 @@
 	return configuration.Answer{Status: s, From: "n1", Local: config.Readiness{Confirmed: true, Number: number, Latest: number}}
 }
 
-// reports are controllers of these names, heard an age ago.
+// reports makes reports of controllers with these names and this age.
 func reports(age float64, applied uint64, reason string, names ...members.ID) (list []config.ControllerReport) {
 	for _, name := range names {
 		list = append(list, config.ControllerReport{ID: name, Applied: applied, Reason: reason, Age: age})
@@ -113,16 +115,17 @@
 	return list
 }
 
-// Each way in which put and rollback end has its exit code and says what is known, and no more.
-func TestConfigChange(t *testing.T) {
+// A script that puts a version decides by the exit code. Each outcome of put and rollback has its code, and the text says no
+// more than is known.
+func TestConfigChangeExitCodes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "doc.hcl")
 	if err := os.WriteFile(file, []byte("log {\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	agreed := told(configuration.Answer{Result: "agreed", Version: versionOf(12)})
+	agreed := answerStatus(configuration.Answer{Result: "agreed", Version: versionOf(12)})
 	state := func(a ...configuration.Answer) (list []*control.Status) {
 		for _, one := range a {
-			list = append(list, told(one))
+			list = append(list, answerStatus(one))
 		}
 		return list
 	}
@@ -159,11 +162,11 @@
 			[]string{"version 12 in force at 400 of 600; 100 more that are refused, behind or not heard"}, []string{"not in force"}},
 		{"no status", agreed, state(configuration.Answer{}), "300ms", 3, []string{"version 12 is agreed\n"}, []string{"is not known"}},
 		{"no answer to status", agreed, []*control.Status{nil}, "300ms", 3, nil, []string{"is not known", "EOF"}},
-		{"lost", told(configuration.Answer{Result: "lost", Version: versionOf(13)}), nil, "9s", 4, nil,
+		{"lost", answerStatus(configuration.Answer{Result: "lost", Version: versionOf(13)}), nil, "9s", 4, nil,
 			[]string{"version 13 by anna (why [2J) was agreed first"}},
-		{"refused", told(configuration.Answer{Result: "refused", Reason: "line 2: field log.level: no"}), nil, "9s", 1, nil,
+		{"refused", answerStatus(configuration.Answer{Result: "refused", Reason: "line 2: field log.level: no"}), nil, "9s", 1, nil,
 			[]string{"refused", "line 2: field log.level"}},
-		{"unknown", told(configuration.Answer{Result: "unknown", Reason: "the leader did not answer"}), nil, "9s", 1, nil,
+		{"unknown", answerStatus(configuration.Answer{Result: "unknown", Reason: "the leader did not answer"}), nil, "9s", 1, nil,
 			[]string{"not known whether it was agreed", "fleet config history"}},
 		{"no word at all", nil, nil, "9s", 1, nil, []string{"it may have been agreed", "fleet config history"}},
 		{"an error", &control.Status{Error: "the controller does not answer in time"}, nil, "9s", 1, nil,
@@ -198,8 +201,9 @@
 	return true
 }
 
-// What the commands that only look print, and what is refused before anything is asked.
-func TestConfigCommands(t *testing.T) {
+// Commands that change nothing print the answer of the controller; arguments that can't be used are rejected before any
+// request is sent.
+func TestConfigCommandsOutput(t *testing.T) {
 	dir := t.TempDir()
 	small, large, empty := filepath.Join(dir, "doc.hcl"), filepath.Join(dir, "large.hcl"), filepath.Join(dir, "empty.hcl")
 	for path, text := range map[string]string{small: "log {\n}\n", large: strings.Repeat("#", config.MaxDocument+1), empty: ""} {
@@ -213,7 +217,7 @@
 		s.ByVersion[11], s.Rejected = 1, reports(1, 11, "line 4: no", "n17")
 		s.Unreachable = reports(60_000, 11, "", "n40")
 	})
-	documents := []*control.Status{told(configuration.Answer{Document: []byte("a\nb\nc\n")}), told(configuration.Answer{Document: []byte("a\nx\nc\n")})}
+	documents := []*control.Status{answerStatus(configuration.Answer{Document: []byte("a\nb\nc\n")}), answerStatus(configuration.Answer{Document: []byte("a\nx\nc\n")})}
 	put := "put --reason r " + small
 	for _, c := range []struct {
 		args      string
@@ -236,37 +240,37 @@
 		{"rollback --reason r 0", "", nil, 2, nil, []string{"no number of a version"}},
 		{"show", "", nil, 2, nil, []string{"arg"}},
 		{"diff 1", "", nil, 2, nil, []string{"arg"}},
-		{"status", configuration.ActionStatus, []*control.Status{told(statusOf(12, 3, 3, nil))}, 0,
+		{"status", configuration.ActionStatus, []*control.Status{answerStatus(statusOf(12, 3, 3, nil))}, 0,
 			[]string{"version 12 in force at 3 of 3\n", "the controller asked: version 12 in force\n"}, nil},
-		{"status", configuration.ActionStatus, []*control.Status{told(refusedAt)}, 3,
+		{"status", configuration.ActionStatus, []*control.Status{answerStatus(refusedAt)}, 3,
 			[]string{"version 12 in force at 668 of 670; 1 refused: n17 (line 4: no); 1 not heard since ", ": n40\n"}, []string{"not in force at all"}},
-		{"status --json", configuration.ActionStatus, []*control.Status{told(refusedAt)}, 3, []string{`"in_force": 668`, `"in_force_at_all_heard": false`,
+		{"status --json", configuration.ActionStatus, []*control.Status{answerStatus(refusedAt)}, 3, []string{`"in_force": 668`, `"in_force_at_all_heard": false`,
 			`"controller": "n17"`, `"reason": "line 4: no"`, `"last_heard": "`, `"hash": "0cab00`, `"known": true`}, []string{"not in force"}},
-		{"status --wait 5s", configuration.ActionStatus, []*control.Status{told(statusOf(12, 3, 1, func(s *config.Status) {
+		{"status --wait 5s", configuration.ActionStatus, []*control.Status{answerStatus(statusOf(12, 3, 1, func(s *config.Status) {
 			s.ByVersion[11], s.Behind = 2, reports(1, 11, "", "n2", "n3")
-		})), told(statusOf(12, 3, 3, nil))}, 0, []string{"version 12 in force at 3 of 3"}, nil},
-		{"status", configuration.ActionStatus, []*control.Status{told(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
+		})), answerStatus(statusOf(12, 3, 3, nil))}, 0, []string{"version 12 in force at 3 of 3"}, nil},
+		{"status", configuration.ActionStatus, []*control.Status{answerStatus(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
 			[]string{"the controller asked: version 4 in force, version 5 heard of, not confirmed"}, []string{"is not known: no leader"}},
 		{"status", configuration.ActionStatus, []*control.Status{{Error: "the leader does not answer", Config: &configuration.Answer{}}}, 1,
 			[]string{"no version in force, by its own file, not confirmed"}, []string{"is not known: no leader told it", "the leader does not answer"}},
-		{"status --json", configuration.ActionStatus, []*control.Status{told(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
+		{"status --json", configuration.ActionStatus, []*control.Status{answerStatus(configuration.Answer{Local: config.Readiness{Number: 4, Latest: 5}})}, 1,
 			[]string{`"known": false`, `"version": 4`}, []string{"is not known"}},
-		{"status", configuration.ActionStatus, []*control.Status{told(statusOf(0, 3, 0, nil))}, 0, []string{"no version is agreed yet: each of 3"}, nil},
-		{"history", configuration.ActionHistory, []*control.Status{told(configuration.Answer{Versions: []config.Version{*versionOf(2), *again}})}, 0,
+		{"status", configuration.ActionStatus, []*control.Status{answerStatus(statusOf(0, 3, 0, nil))}, 0, []string{"no version is agreed yet: each of 3"}, nil},
+		{"history", configuration.ActionHistory, []*control.Status{answerStatus(configuration.Answer{Versions: []config.Version{*versionOf(2), *again}})}, 0,
 			[]string{"3        ", "rollback to 1: why [2J", "anna", "03ab00000000  "}, nil},
-		{"history --json", configuration.ActionHistory, []*control.Status{told(configuration.Answer{Versions: []config.Version{*again}})}, 0,
+		{"history --json", configuration.ActionHistory, []*control.Status{answerStatus(configuration.Answer{Versions: []config.Version{*again}})}, 0,
 			[]string{`"number": 3`, `"rollback_of": 1`, `"time": "2026-12-02T05:06:07Z"`}, nil},
 		{"history", configuration.ActionHistory, []*control.Status{{Error: "no leader is known"}}, 1, nil, []string{"no leader is known"}},
 		{"show 1", configuration.ActionShow, documents[:1], 0, []string{"a\nb\nc\n"}, nil},
 		{"show 1 --json", configuration.ActionShow, documents[:1], 0, []string{`"document": "a\nb\nc\n"`}, nil},
-		{"show 9", configuration.ActionShow, []*control.Status{told(configuration.Answer{Reason: "it is not kept any more"})}, 1, nil,
+		{"show 9", configuration.ActionShow, []*control.Status{answerStatus(configuration.Answer{Reason: "it is not kept any more"})}, 1, nil,
 			[]string{"version 9: it is not kept any more"}},
 		{"diff 1 2", configuration.ActionShow, documents, 0, []string{"--- version 1\n+++ version 2\n", " a\n-b\n+x\n c\n"}, nil},
 		{"diff 1 2 --json", configuration.ActionShow, documents, 0, []string{`"from": 1`, `"diff": "--- version 1`}, nil},
 		{"diff 1 1", configuration.ActionShow, documents[:1], 0, nil, nil},
-		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{told(configuration.Answer{Result: "lost", Version: versionOf(13)})}, 4,
+		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{answerStatus(configuration.Answer{Result: "lost", Version: versionOf(13)})}, 4,
 			[]string{`"result": "lost"`, `"number": 13`}, []string{"was agreed first"}},
-		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{told(configuration.Answer{Result: "agreed", Version: versionOf(13)})}, 3,
+		{put + " --json --wait 0s", configuration.ActionPut, []*control.Status{answerStatus(configuration.Answer{Result: "agreed", Version: versionOf(13)})}, 3,
 			[]string{`"result": "agreed"`}, []string{"is not known"}},
 	} {
 		fake := newFakeControl(t, map[configuration.Action][]*control.Status{c.action: slices.Clone(c.answers)})
@@ -279,13 +283,13 @@
 	}
 }
 
-// What the flags say is what is asked for; the author is the user if nobody is named, and no controller is an error by itself.
-func TestConfigOrder(t *testing.T) {
+// The request holds what the flags say. The author is the user if none is named; without a controller the command fails.
+func TestConfigRequestFollowsFlags(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "doc.hcl")
 	if err := os.WriteFile(file, []byte("#"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	fake := newFakeControl(t, map[configuration.Action][]*control.Status{configuration.ActionPut: {told(configuration.Answer{Result: "refused"})}})
+	fake := newFakeControl(t, map[configuration.Action][]*control.Status{configuration.ActionPut: {answerStatus(configuration.Answer{Result: "refused"})}})
 	t.Setenv("MINTKEEL_FLEET", fake.folder)
 	var out, errs strings.Builder
 	execute([]string{"fleet", "config", "put", file, "--reason", "r", "--expect", "0"}, &out, &errs)
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// collectionTime is how long a new leader takes to collect the reports of all controllers. Until then a controller
-	// without a report may well be reachable.
+	// collectionTime is how long a new leader takes to collect the reports of all controllers. Until then a
+	// controller without a report may well be reachable.
 	collectionTime      = 15 * time.Second
 	maxNamedControllers = 8 // controllers named in a line; --json has more
 )
@@ -25,7 +25,8 @@
 	err    error
 }
 
-// unreachable is the number of controllers without a recent report. Lists of a status may be cut, its counts are not.
+// unreachable is the number of controllers without a recent report. Lists of a status may be cut, its
+// counts are not.
 func (s configStatus) unreachable() int {
 	if s.status.Omitted == 0 {
 		return len(s.status.Unreachable)
@@ -33,7 +34,8 @@
 	return max(0, s.status.Members-s.countFrom(0))
 }
 
-// countFrom is the number of controllers that have this version or a later one in force, by the counts of the status.
+// countFrom is the number of controllers that have this version or a later one in force, by the counts of
+// the status.
 func (s configStatus) countFrom(from uint64) (n int) {
 	for number, count := range s.status.ByVersion {
 		if number >= from {
@@ -51,7 +53,8 @@
 	return s.countFrom(number)
 }
 
-// collectedTooShort reports whether the leader has collected reports for less than collectionTime and lacks some.
+// collectedTooShort reports whether the leader has collected reports for less than collectionTime and lacks
+// some.
 func (s configStatus) collectedTooShort() bool {
 	return s.unreachable() > 0 && s.status.CollectedFor < float64(collectionTime/time.Millisecond)
 }
@@ -65,7 +68,8 @@
 	return heard > 0 && s.inForce(number) == heard
 }
 
-// settled reports whether waiting longer changes nothing: each reachable controller has applied the version or rejected it.
+// settled reports whether waiting longer changes nothing: each reachable controller has applied the version
+// or rejected it.
 func (s configStatus) settled(number uint64) bool {
 	if s.inForceAtReachable(number) {
 		return true
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -18,8 +18,9 @@
 	"mintkeel/internal/operator"
 )
 
-// daemon is a running controller with all its parts. The main goroutine, which calls run, owns all its fields: no other
-// writes them. Fields marked shared are set before the goroutines that read them start, and do not change afterwards.
+// daemon is a running controller with all its parts. The main goroutine, which calls run, owns all its
+// fields: no other writes them. Fields marked shared are set before the goroutines that read them start,
+// and do not change afterwards.
 type daemon struct {
 	sources   configSources     // shared
 	config    *controllerConfig // as read at the start; shared
@@ -42,8 +43,9 @@
 	maintenanceJob *maintenance.Job // nil: no block maintenance
 }
 
-// run starts the parts, serves until it is asked to stop, and shuts down. With a block config the version in force is
-// learned before clients are served; without one the fleet is joined afterwards, so that no client waits for it.
+// run starts the parts, serves until it is asked to stop, and shuts down. With a block config the version
+// in force is learned before clients are served; without one the fleet is joined afterwards, so that no
+// client waits for it.
 func (d *daemon) run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -86,8 +88,8 @@
 	reload bool
 }
 
-// handleEvents handles signals and versions of the fleet's configuration until a signal asks to stop. A reload reads its
-// files on another goroutine: a disk that hangs would else delay the shutdown.
+// handleEvents handles signals and versions of the fleet's configuration until a signal asks to stop. A
+// reload reads its files on another goroutine: a disk that hangs would else delay the shutdown.
 func (d *daemon) handleEvents(signals <-chan os.Signal, pending pendingSignals) {
 	reading := false
 	requested := pending.reload
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -28,13 +28,13 @@
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "Look at the fleet as one of its controllers knows it, and hand leases over",
-		Long: `Look at the fleet as one of its controllers knows it, and hand leases over.
+		Short: "Show the fleet as one of its controllers knows it, and hand over leases",
+		Long: `Show the fleet as one of its controllers knows it, and hand over leases.
 
-Each command speaks to the controller whose folder is named: the folder of the
-block fleet in its operator's file. Members are what that controller believes;
-leases are the quorum's word where it is a voter, and else what it
-was told last.`,
+Each command asks the controller whose folder is named: the folder of the block
+fleet in its operator's file. Members are listed as that controller sees them.
+Leases are the quorum's state as far as a voter has heard of it; a controller
+that is no voter lists what it heard last.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -61,19 +61,19 @@
 	}
 	status := func([]string) control.Request { return control.Request{Action: "status"} }
 	leases := one("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
-	quorum := one("quorum", "Tell which controllers vote on leases, which leads, and what this one is", 0, status, printQuorum)
+	quorum := one("quorum", "Show the voters, the leader, and the role of this controller", 0, status, printQuorum)
 	c.AddCommand(
-		one("members", "List the controllers of the fleet and what is believed of each", 0, status, printMembers),
+		one("members", "List the controllers of the fleet and their states", 0, status, printMembers),
 		leases, renamed("works", leases),
 		quorum, renamed("council", quorum),
-		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; done when leases tells so", 2, func(args []string) control.Request {
+		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; complete when leases lists the new holder", 2, func(args []string) control.Request {
 			return control.Request{Action: "handover", Lease: args[0], To: args[1]}
 		}, printLeases),
-		one("replace OLD NEW", "Replace a voter by another controller; done when quorum tells so", 2,
+		one("replace OLD NEW", "Replace a voter by another controller; complete when quorum lists the new voter", 2,
 			func(args []string) control.Request {
 				return control.Request{Action: "replace", Old: args[0], To: args[1]}
 			}, printQuorum),
-		one("trust", "Say that this voter's folder is the latest there is, where not all others can vouch for it", 0,
+		one("trust", "Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
 			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
 		fleetConfigCommand(&asked),
 	)
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -15,12 +15,12 @@
 	"mintkeel/internal/settings"
 )
 
-// applyTimeout is how long a version waits for the main goroutine to apply it, which takes milliseconds unless the process
-// gets no processor time.
+// applyTimeout is how long a version waits for the main goroutine to apply it, which takes milliseconds
+// unless the process gets no processor time.
 const applyTimeout = 5 * time.Second
 
-// fleetConfig is the daemon's side of the fleet's configuration. The fleet's service checks documents and offers versions on
-// goroutines of its own; the daemon's main goroutine applies them one by one.
+// fleetConfig is the daemon's side of the fleet's configuration. The fleet's service checks documents and
+// offers versions on goroutines of its own; the daemon's main goroutine applies them one by one.
 type fleetConfig struct {
 	name     string
 	facts    *settings.Facts
@@ -59,7 +59,8 @@
 // setLocal sets the controller's own file after a reload.
 func (a *fleetConfig) setLocal(own *operator.File) { a.local.Store(own) }
 
-// versionRequests returns the versions to be applied. It is nil, on which a receive blocks forever, without a block config.
+// versionRequests returns the versions to be applied. It is nil, on which a receive blocks forever, without
+// a block config.
 func (a *fleetConfig) versionRequests() <-chan versionRequest {
 	if a == nil {
 		return nil
@@ -73,7 +74,8 @@
 	close(a.serving)
 }
 
-// needsSharedStatistics waits until clients are served, and reports whether this controller lacks a snapshot of its own.
+// needsSharedStatistics waits until clients are served, and reports whether this controller lacks a
+// snapshot of its own.
 func (a *fleetConfig) needsSharedStatistics() bool {
 	select {
 	case <-a.serving:
@@ -86,8 +88,8 @@
 // stopApplying makes all further versions fail with errStopping.
 func (a *fleetConfig) stopApplying() { a.stop.Do(func() { close(a.stopped) }) }
 
-// parsedDocument caches the last parsed document: each is parsed to be checked and again to be applied, and a large one takes
-// a second.
+// parsedDocument caches the last parsed document: each is parsed to be checked and again to be applied, and
+// a large one takes a second.
 type parsedDocument struct {
 	hash  [sha256.Size]byte
 	local *operator.File // beside which it was read
--- a/cmd/mintkeel/fleetversions_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -49,19 +49,20 @@
 	return config.Version{Number: n, Author: "anna", Reason: "why"}
 }
 
-// takingDaemon is a daemon with the block config that serves, and whose fleet has agreed on nothing: what its service would call is called
-// by the test.
-func takingDaemon(t *testing.T, text string) (h *house, d *daemon, hangs chan bool) {
+// startConfigDaemon starts a daemon with a block config whose fleet has no version yet. The test makes the calls of the
+// fleet's service.
+func startConfigDaemon(t *testing.T, text string) (h *testDaemon, d *daemon, hangs chan bool) {
 	t.Helper()
 	feed, engine, hangs := feedAndEngine(t)
-	h = found(t, text, feed, engine, "")
+	h = newTestDaemon(t, text, feed, engine, "")
 	h.put(h.from.operatorPath, configFleet(t, h.dir, "100ms"))
 	return h, h.serve(), hangs
 }
 
-// A version is put in force in one step through the same code as a reload; what can't be used changes nothing; a reload keeps it in force, and takes the controller's own blocks over beside it.
-func TestTakeVersion(t *testing.T) {
-	h, d, _ := takingDaemon(t, good)
+// A version of the fleet's document is applied in one step by the code of a reload; a document that can't be used changes
+// nothing. A reload keeps the version in force, and applies the controller's own blocks beside it.
+func TestVersionIsAppliedInOneStepAndSurvivesReload(t *testing.T) {
+	h, d, _ := startConfigDaemon(t, good)
 	c := h.dial()
 	serves := func(id int, want string) {
 		t.Helper()
@@ -127,9 +128,10 @@
 	}
 }
 
-// Too many changes of keys within a short time are tried again later, and change nothing until then.
-func TestTakeVersionLater(t *testing.T) {
-	h, d, hangs := takingDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
+// Rules that change ordering keys too often within a short time are not applied by the event loop. The version then fails
+// with a retryable error and changes nothing until a later try.
+func TestVersionIsRetriedWhileRulesChangeTooOften(t *testing.T) {
+	h, d, hangs := startConfigDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
 	defer h.stop()
 	err := d.fleetConfig.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
 	if err != nil {
@@ -149,8 +151,9 @@
 	}
 }
 
-// Whoever offers a version while nobody takes it is not left waiting: not past the time for it, and not past an end.
-func TestOfferUntaken(t *testing.T) {
+// The fleet's service offers a version and the main goroutine does not apply it. The service does not wait longer than
+// applyTimeout, nor past a shutdown.
+func TestUnappliedVersionEndsByTimeoutOrShutdown(t *testing.T) {
 	own := &operator.File{Log: logs.DefaultBlock()}
 	a := newFleetConfig(&controllerConfig{Name: "n1"}, own)
 	ended := make(chan error, 2)
@@ -172,8 +175,9 @@
 	}
 }
 
-// A document is read once, unless the controller's own file was read again since; what can't be used is not remembered.
-func TestParseOnce(t *testing.T) {
+// A document is parsed once to be checked and applied, unless the controller's own file was reloaded in between. A document
+// with errors is not cached.
+func TestDocumentIsParsedOnce(t *testing.T) {
 	a := newFleetConfig(&controllerConfig{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
 	parse := func(text string) *operator.File {
 		t.Helper()
@@ -200,11 +204,11 @@
 	}
 }
 
-// awaiting is a daemon that has not begun to serve clients, in its wait for the latest version.
-func awaiting(t *testing.T, wait string) *daemon {
+// newWaitingDaemon is a daemon that has not begun to serve clients, in its wait for the latest version.
+func newWaitingDaemon(t *testing.T, wait string) *daemon {
 	t.Helper()
 	dir := t.TempDir()
-	h := &house{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
+	h := &testDaemon{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
 	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
 	h.put(h.from.operatorPath, configFleet(t, dir, wait))
 	s, file, err := h.from.read()
@@ -218,9 +222,10 @@
 	return d
 }
 
-// While the latest version is waited for, versions are taken over without serving by them, and signals are kept.
-func TestAwaitConfig(t *testing.T) {
-	d := awaiting(t, "8s")
+// A controller starts and waits for the latest version. Versions that arrive are applied before clients are served, and
+// signals that arrive are kept until they can be handled.
+func TestVersionsAreAppliedWhileLatestIsAwaited(t *testing.T) {
+	d := newWaitingDaemon(t, "8s")
 	signals, readiness := make(chan os.Signal), make(chan config.Readiness)
 	wait := func(ctx context.Context) config.Readiness {
 		select {
@@ -255,13 +260,13 @@
 	}
 }
 
-// Without the block config there is nothing of it: no goroutine, descriptor or folder, and operators are told so. With it
-// there is, so that the same looks would tell.
-func TestConfigOff(t *testing.T) {
+// Without a block config no goroutine, descriptor or folder of it exists, and commands say so. The same checks find them
+// with the block.
+func TestNoConfigBlockStartsNothing(t *testing.T) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		t.Run(name, func(t *testing.T) {
 			feed, engine, _ := feedAndEngine(t)
-			h := found(t, good, feed, engine, "")
+			h := newTestDaemon(t, good, feed, engine, "")
 			own := configFleet(t, h.dir, "8s")
 			if !on {
 				own = strings.Replace(own, "config {\n wait = \"8s\"\n}\n", "", 1)
--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// feedAndEngine is a stand-in for the feed and one engine, which answers each send at once, or with hang tells hangs alone.
+// feedAndEngine is a fake discovery and a fake engine. The engine answers each attempt at once; one with hang in its text is
+// only reported on hangs.
 func feedAndEngine(t *testing.T) (feed, engine string, hangs chan bool) {
 	hangs = make(chan bool, 10)
 	serve := func(handle func(net.Conn)) string {
@@ -159,8 +160,8 @@
 	}
 }
 
-// The daemon with all its parts: it answers, takes over a new configuration and stays with the old one if that is bad,
-// goes on while told to stop, gives up in time what hangs, and ends.
+// The daemon with all its parts answers queries, applies a new configuration and keeps the former one if the new one is
+// invalid. Asked to stop, it answers open queries, gives up in time on those whose engine hangs, and ends.
 func TestServe(t *testing.T) {
 	feed, engine, hangs := feedAndEngine(t)
 	addr := reserveAddress(t)
@@ -254,8 +255,8 @@
 	}
 }
 
-// house is a daemon under test with what it reads, on an address of its own.
-type house struct {
+// testDaemon is a daemon under test with its files and an address of its own.
+type testDaemon struct {
 	t       *testing.T
 	dir     string
 	addr    string
@@ -267,17 +268,17 @@
 	ended   chan error
 }
 
-// found writes a configuration for a feed and an engine, and an operator's file.
-func found(t *testing.T, text, feed, engine, hcl string) *house {
+// newTestDaemon writes a configuration for a discovery and an engine, and an operator's file.
+func newTestDaemon(t *testing.T, text, feed, engine, hcl string) *testDaemon {
 	t.Helper()
-	h := &house{t: t, dir: t.TempDir(), addr: reserveAddress(t)}
+	h := &testDaemon{t: t, dir: t.TempDir(), addr: reserveAddress(t)}
 	h.from = configSources{filepath.Join(h.dir, "config.json"), filepath.Join(h.dir, "operator.hcl")}
 	h.put(h.from.configPath, strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", h.addr).Replace(text))
 	h.put(h.from.operatorPath, hcl)
 	return h
 }
 
-func (h *house) put(path, text string) {
+func (h *testDaemon) put(path, text string) {
 	h.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		h.t.Fatal(err)
@@ -285,7 +286,7 @@
 }
 
 // serve starts the daemon and waits until it serves.
-func (h *house) serve() *daemon {
+func (h *testDaemon) serve() *daemon {
 	h.t.Helper()
 	s, file, err := h.from.read()
 	if err != nil {
@@ -307,7 +308,7 @@
 }
 
 // dial opens a session. It may be called by any goroutine.
-func (h *house) dial() *client {
+func (h *testDaemon) dial() *client {
 	conn, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		h.t.Error(err)
@@ -322,7 +323,7 @@
 }
 
 // reload has another operator's file read, and waits for a word of the log.
-func (h *house) reload(text, word string) {
+func (h *testDaemon) reload(text, word string) {
 	h.t.Helper()
 	h.put(h.from.operatorPath, text)
 	seen := h.log.count(word)
@@ -331,7 +332,7 @@
 }
 
 // hangingReload has the configuration read from a pipe, and returns that when it is being read.
-func (h *house) hangingReload() *os.File {
+func (h *testDaemon) hangingReload() *os.File {
 	h.t.Helper()
 	pipe := filepath.Join(h.dir, "pipe")
 	if err := errors.Join(syscall.Mkfifo(pipe, 0o600), os.Rename(pipe, h.from.configPath)); err != nil {
@@ -346,7 +347,7 @@
 }
 
 // stop ends the daemon as planned.
-func (h *house) stop() {
+func (h *testDaemon) stop() {
 	h.t.Helper()
 	h.signals <- syscall.SIGTERM
 	if err := <-h.ended; err != nil {
@@ -357,11 +358,11 @@
 // Words of the log at a reload.
 const again, refused = "operator's file read again", "operator's file not used"
 
-// The daemon with memory under load, through reloads that turn it on, off and to other folders, and through a bad file;
-// commands go on being answered, and what is kept at the end is whole.
-func TestMemoryUnderLoad(t *testing.T) {
+// Under load, reloads turn snapshots on, off and to other folders, and one file is invalid. Queries go on being answered, and
+// the snapshots at the end are complete.
+func TestSnapshotsSurviveReloadsUnderLoad(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
-	h := found(t, good, feed, engine, "")
+	h := newTestDaemon(t, good, feed, engine, "")
 	block := func(folder, pace string) string {
 		return fmt.Sprintf("memory {\n folder = %q\n pace = %q\n}\n", filepath.Join(h.dir, folder), pace)
 	}
@@ -409,8 +410,9 @@
 	}
 }
 
-// What hangs is not waited for.
-func TestInTime(t *testing.T) {
+// A file on a disk that is gone hangs on read. The read is given up after its timeout; one that returns in time is not
+// affected.
+func TestHangingReadTimesOut(t *testing.T) {
 	pipe := filepath.Join(t.TempDir(), "pipe")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -428,12 +430,12 @@
 	}
 }
 
-// Crossings of SIGTERM: it comes before anything is served, twice, with a reload behind it, and while a reload hangs. In
-// each case what is open is answered, who rests has an orderly end and is not sent on, and the controller ends, once.
+// SIGTERM comes before clients are served, twice, with a reload behind it, or while a reload hangs. In each case open queries
+// are answered, idle sessions are closed in order, and the controller shuts down once.
 func TestStopCrossings(t *testing.T) {
 	t.Run("during the start", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := found(t, good, feed, engine, "")
+		h := newTestDaemon(t, good, feed, engine, "")
 		h.early = []os.Signal{syscall.SIGTERM, syscall.SIGTERM}
 		h.serve()
 		if err := <-h.ended; err != nil {
@@ -442,7 +444,7 @@
 	})
 	t.Run("twice, and a reload behind it", func(t *testing.T) {
 		feed, engine, hangs := feedAndEngine(t)
-		h := found(t, good, feed, engine, "")
+		h := newTestDaemon(t, good, feed, engine, "")
 		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = patience }
 		h.serve()
 		rests, open := h.dial(), h.dial()
@@ -480,7 +482,7 @@
 	})
 	t.Run("and clients that ask to the last", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := found(t, good, feed, engine, "")
+		h := newTestDaemon(t, good, feed, engine, "")
 		h.change = func(l *limits.Limits) {
 			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = patience, patience-time.Second, patience
 		}
@@ -517,7 +519,7 @@
 	})
 	t.Run("while a reload hangs", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := found(t, good, feed, engine, "")
+		h := newTestDaemon(t, good, feed, engine, "")
 		h.serve()
 		defer h.hangingReload().Close()
 		began := time.Now()
@@ -528,11 +530,11 @@
 	})
 }
 
-// A reload that is asked for while files are read for another: they are read once more, and the last state counts.
+// SIGHUP comes while files are read for an earlier one. They are read once more, and the last state counts.
 func TestReloadMeetsReload(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
 	moved, _, _ := feedAndEngine(t)
-	h := found(t, good, feed, engine, "")
+	h := newTestDaemon(t, good, feed, engine, "")
 	text, err := os.ReadFile(h.from.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -585,7 +587,7 @@
 	}
 }
 
-// The command line: what is understood, what it prints, and its exit codes.
+// Command lines, what they print, and their exit codes.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	config, badHCL := filepath.Join(dir, "c.json"), filepath.Join(dir, "bad.hcl")
@@ -665,11 +667,11 @@
 	}
 }
 
-// Rules stand in front of the loop: they refuse with their text, and change at a reload as a whole or not at all.
-func TestRules(t *testing.T) {
+// Rules are applied before the event loop: they reject queries with their text, and a reload changes all of them or none.
+func TestRulesRejectAndReload(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
 	const no = "rule \"no\" {\n when = \"table_name == 't'\"\n refuse = \"not now\"\n}\n"
-	h := found(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
+	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
 	h.serve()
 	c := h.dial()
 	for i, step := range []struct{ text, word, says string }{
@@ -696,7 +698,7 @@
 	}
 }
 
-// split is a command line's arguments; what stands behind a bar is one.
+// split returns the arguments of a command line; the text behind a bar is one argument.
 func split(line string) []string {
 	words, last, found := strings.Cut(line, "|")
 	args := strings.Fields(words)
@@ -706,15 +708,15 @@
 	return append(args, last)
 }
 
-// orderly is a stand-in for an engine that takes 2 ms for a command and notes those of one store that are out at once.
-type orderly struct {
+// orderCheckingEngine is a fake engine that takes 2 ms for a query and counts queries of one store that run at once.
+type orderCheckingEngine struct {
 	mu    sync.Mutex
 	out   map[string]int
 	both  int
 	taken int
 }
 
-func (o *orderly) serve(conn net.Conn) {
+func (o *orderCheckingEngine) serve(conn net.Conn) {
 	var writing sync.Mutex
 	for r := bufio.NewReader(conn); ; {
 		line, err := r.ReadString('\n')
@@ -749,11 +751,11 @@
 	}
 }
 
-// Good and bad rules in turn, many times a second, under loads of few stores: every set gives a store's loads one key,
-// each set another, and no two loads of a store are ever out at once.
-func TestRulesUnderLoad(t *testing.T) {
+// Valid and invalid rules alternate many times a second under load on few stores. Each set gives a store's loads one ordering
+// key, and each set another key. Even so no two loads of a store ever run at once.
+func TestOrderingHoldsWhileRulesChangeUnderLoad(t *testing.T) {
 	feed, _, _ := feedAndEngine(t)
-	engine := &orderly{out: map[string]int{}}
+	engine := &orderCheckingEngine{out: map[string]int{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -772,7 +774,7 @@
 		// Each reload is awaited by its line, so none may be dropped.
 		return fmt.Sprintf("log {\n burst = 1000\n}\nrule %q {\n key = \"'%s/' + label('store')\"\n}\n", name, name)
 	}
-	h := found(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
+	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
 	h.serve()
 	var group sync.WaitGroup
 	stop := make(chan bool)
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -18,13 +18,13 @@
 func maintenanceCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "maintenance",
-		Short: "Have engines taken out for work, in an order that the controllers settle among themselves",
-		Long: `Have engines taken out for work, in an order that the controllers settle among
-themselves.
+		Short: "Take engines out of service for maintenance, in an order that the controllers plan",
+		Long: `Take engines out of service for maintenance, in an order that the controllers
+plan.
 
-Each command speaks to the controller whose folder is named: the folder of the
-block fleet in its operator's file, which has to have a block maintenance. It
-passes the order on to whoever conducts.`,
+Each command asks the controller whose folder is named: the folder of the block
+fleet in its operator's file, which has to have a block maintenance. It forwards
+the request to the holder of the maintenance lease.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -32,15 +32,17 @@
 	c.PersistentFlags().StringVar(&m.folder, "folder", os.Getenv("MINTKEEL_FLEET"), "the controller's `folder` (MINTKEEL_FLEET)")
 	c.PersistentFlags().BoolVar(&m.asJSON, "json", false, "print the whole answer as JSON")
 	c.AddCommand(
-		m.ofFile("plan FILE", "Take over the plans of a file, all or none; those of the same names are replaced", "plan", printMaintenance),
-		m.ofFile("check FILE", "Tell whether the plans of a file can be done and, if not, why and what would do", "check", printCheck),
-		m.ofName("status", "Tell plans, and how far the work on each engine is", "status", printMaintenance),
-		m.ofName("explain", "Tell why an engine was chosen, and why others wait", "status", printReasons),
-		m.ofName("halt PLAN", "Take no further engine for a plan; who is out comes back", "halt", printMaintenance),
-		m.ofName("resume PLAN", "Go on with a plan that was halted", "resume", printMaintenance),
-		m.ofName("withdraw PLAN", "End a plan; who is out comes back", "withdraw", printMaintenance),
-		m.ofName("done ENGINE", "Say that the work on an engine is done", "done", printMaintenance),
-		m.ofName("without CONTROLLER", "Do without the confirmation of a controller: your word that it sends to no engine any more", "without", printMaintenance),
+		m.ofFile("plan FILE", "Submit the plans of a file, all or none; those of the same names are replaced", "plan",
+			printMaintenance),
+		m.ofFile("check FILE", "Check whether the plans of a file are feasible and, if not, why and what would be", "check", printCheck),
+		m.ofName("status", "Show the plans and the step of the work on each engine", "status", printMaintenance),
+		m.ofName("explain", "Explain why an engine was chosen, and why others wait", "status", printReasons),
+		m.ofName("halt PLAN", "Take no further engines out for a plan; those that are out return", "halt", printMaintenance),
+		m.ofName("resume PLAN", "Resume a halted plan", "resume", printMaintenance),
+		m.ofName("withdraw PLAN", "End a plan; engines that are out return", "withdraw", printMaintenance),
+		m.ofName("done ENGINE", "Mark the work on an engine as done", "done", printMaintenance),
+		m.ofName("without CONTROLLER", "Go on without the confirmation of a controller: you vouch that it uses no engine any more",
+			"without", printMaintenance),
 	)
 	return c
 }
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -17,7 +17,7 @@
 func memoryCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "memory",
-		Short: "Look at, verify or prune what controllers keep past a restart",
+		Short: "Show, verify or prune snapshots of statistics",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -32,7 +32,7 @@
 	var asJSON, all bool
 	c := &cobra.Command{
 		Use:   "show FOLDER",
-		Short: "Tell what is kept in a folder, how old it is, and what it would weigh now",
+		Short: "Show the newest snapshot of a folder, its age, and what a restore would take of it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			kept, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
@@ -58,7 +58,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "verify FOLDER",
-		Short: "Tell whether what is kept in a folder can be trusted; exit code 1 if a file can't",
+		Short: "Verify the snapshots of a folder; exit code 1 if one is damaged",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			checks, err := memory.Verify(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
@@ -97,7 +97,7 @@
 	var tables []int64
 	c := &cobra.Command{
 		Use:   "prune FOLDER",
-		Short: "Have an engine, a table group or all forgotten; no controller may have the folder",
+		Short: "Delete the statistics of an engine, a table group or all; no controller may use the folder",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, e := range engines {
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -18,7 +18,7 @@
 func rulesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "rules",
-		Short: "Check, explain, test or time the operator's rules",
+		Short: "Check, explain, test or benchmark the operator's rules",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -42,7 +42,7 @@
 	var from configSources
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Tell what is wrong with the rules, or what each may cost",
+		Short: "Validate the rules, and print the most steps that each may take",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			set, _, err := from.readRules()
@@ -66,7 +66,7 @@
 	var application, listener string
 	c := &cobra.Command{
 		Use:   "explain QUERY",
-		Short: "Tell which rules match a query as a client would write it, and why",
+		Short: "Show which rules match a query as a client would write it, and why",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, facts, err := from.readRules()
@@ -105,7 +105,7 @@
 	var from configSources
 	c := &cobra.Command{
 		Use:   "test CASES",
-		Short: "Try the rules on a file of cases with expected effects; exit code 1 if one is otherwise",
+		Short: "Run a file of test cases against the rules; exit code 1 if one fails",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, facts, err := from.readRules()
@@ -142,7 +142,7 @@
 	long := time.Second
 	c := &cobra.Command{
 		Use:   "bench QUERY",
-		Short: "Tell what the rules cost on a query, beside a set of one rule that never matches",
+		Short: "Measure the cost of the rules on a query, relative to one rule that never matches",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, facts, err := from.readRules()
--- a/cmd/mintkeel/version.go
+++ b/cmd/mintkeel/version.go
@@ -11,7 +11,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "version",
-		Short: "Print what was built",
+		Short: "Print the version and the build",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			b := readBuildInfo()
