--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -66,25 +66,16 @@
 		}
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	for _, address := range []struct{ field, value string }{{"listen", s.Listen}, {"bulletin", s.Discovery}} {
-		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return nil, fieldError(address.field, fmt.Sprintf("%q is no address", address.value))
-		}
+	if err := s.checkAddresses(); err != nil {
+		return nil, err
 	}
 	seed, err := strconv.ParseUint(s.Seed, 16, 64)
 	if err != nil {
 		return nil, fieldError("seed", fmt.Sprintf("%q is no hexadecimal number", s.Seed))
 	}
 	s.seed = int64(seed)
-	g := &s.Grants
-	for _, grant := range []struct {
-		field       string
-		value, from float64
-	}{{"limits.cores", g.Cores, 0}, {"limits.memory_mb", float64(g.MemoryMB), 32}, {"limits.sockets",
-		float64(g.Descriptors), 64}} {
-		if !(grant.value > 0) || grant.value < grant.from || math.IsInf(grant.value, 0) {
-			return nil, fieldError(grant.field, fmt.Sprintf("%v is too little", grant.value))
-		}
+	if err := s.checkGrants(); err != nil {
+		return nil, err
 	}
 	if s.Settings == nil {
 		return nil, fieldError("settings", "is missing")
@@ -99,3 +90,35 @@
 	}
 	return s, nil
 }
+
+func (s *controllerConfig) checkAddresses() error {
+	for _, address := range []struct{ field, value string }{{"listen", s.Listen}, {"bulletin", s.Discovery}} {
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return fieldError(address.field, fmt.Sprintf("%q is no address", address.value))
+		}
+	}
+	return nil
+}
+
+// The least that a controller can run with.
+const (
+	minMemoryMB    = 32
+	minDescriptors = 64
+)
+
+func (s *controllerConfig) checkGrants() error {
+	for _, grant := range []struct {
+		field string
+		value float64
+		least float64
+	}{
+		{"limits.cores", s.Grants.Cores, 0},
+		{"limits.memory_mb", float64(s.Grants.MemoryMB), minMemoryMB},
+		{"limits.sockets", float64(s.Grants.Descriptors), minDescriptors},
+	} {
+		if !(grant.value > 0) || grant.value < grant.least || math.IsInf(grant.value, 0) {
+			return fieldError(grant.field, fmt.Sprintf("%v is too little", grant.value))
+		}
+	}
+	return nil
+}
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -74,7 +74,10 @@
 	if s.inForceAtReachable(number) {
 		return true
 	}
-	if s.status == nil || s.status.Latest.Number != number || s.collectedTooShort() || s.status.Omitted > 0 || len(s.status.Rejected) == 0 {
+	if s.status == nil || s.status.Latest.Number != number || s.collectedTooShort() {
+		return false
+	}
+	if s.status.Omitted > 0 || len(s.status.Rejected) == 0 {
 		return false
 	}
 	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unreachable()
--- a/cmd/mintkeel/configviews.go
+++ b/cmd/mintkeel/configviews.go
@@ -76,10 +76,22 @@
 
 func statusViewOf(found configStatus, local *localView, now time.Time) statusView {
 	s := found.status
-	return statusView{Local: local, Known: true, From: found.from, Latest: viewOf(&s.Latest), Controllers: s.Members,
-		InForce: s.InForce, Everywhere: found.inForceAtReachable(s.Latest.Number), Counts: s.ByVersion, Refused: reportViews(s.Rejected, now),
-		Behind: reportViews(s.Behind, now), NotHeard: reportViews(s.Unreachable, now), More: s.Omitted, CollectedMS: int64(s.CollectedFor),
-		TooShort: found.collectedTooShort()}
+	return statusView{
+		Local:       local,
+		Known:       true,
+		From:        found.from,
+		Latest:      viewOf(&s.Latest),
+		Controllers: s.Members,
+		InForce:     s.InForce,
+		Everywhere:  found.inForceAtReachable(s.Latest.Number),
+		Counts:      s.ByVersion,
+		Refused:     reportViews(s.Rejected, now),
+		Behind:      reportViews(s.Behind, now),
+		NotHeard:    reportViews(s.Unreachable, now),
+		More:        s.Omitted,
+		CollectedMS: int64(s.CollectedFor),
+		TooShort:    found.collectedTooShort(),
+	}
 }
 
 // changeOutcome is how put and rollback ended, as printed with --json.
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -38,44 +38,54 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	var asked fleetFlags
-	c.PersistentFlags().StringVar(&asked.folder, "folder", os.Getenv("MINTKEEL_FLEET"), "the controller's `folder` (MINTKEEL_FLEET)")
-	c.PersistentFlags().BoolVar(&asked.json, "json", false, "print the whole answer as JSON")
-	renamed := func(old string, c *cobra.Command) *cobra.Command { // the name of an earlier version, for one version more
-		hidden := *c
-		hidden.Use, hidden.Hidden = old, true
-		return &hidden
-	}
-	one := func(use, short string, args int, request func(args []string) control.Request, printText func(io.Writer, control.Status)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(c *cobra.Command, args []string) error {
-			s, err := asked.call(c.Context(), request(args))
-			if err != nil {
-				return err
-			}
-			if asked.json {
-				return printJSON(c, s)
-			}
-			printText(c.OutOrStdout(), s)
-			return nil
-		}}
-	}
+	var flags fleetFlags
+	c.PersistentFlags().StringVar(&flags.folder, "folder", os.Getenv("MINTKEEL_FLEET"),
+		"the controller's `folder` (MINTKEEL_FLEET)")
+	c.PersistentFlags().BoolVar(&flags.json, "json", false, "print the whole answer as JSON")
 	status := func([]string) control.Request { return control.Request{Action: "status"} }
-	leases := one("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
-	quorum := one("quorum", "Show the voters, the leader, and the role of this controller", 0, status, printQuorum)
+	leases := flags.command("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
+	quorum := flags.command("quorum", "Show the voters, the leader, and the role of this controller", 0, status, printQuorum)
 	c.AddCommand(
-		one("members", "List the controllers of the fleet and their states", 0, status, printMembers),
-		leases, renamed("works", leases),
-		quorum, renamed("council", quorum),
-		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; complete when leases lists the new holder", 2, func(args []string) control.Request {
-			return control.Request{Action: "handover", Lease: args[0], To: args[1]}
-		}, printLeases),
-		one("replace OLD NEW", "Replace a voter by another controller; complete when quorum lists the new voter", 2,
+		flags.command("members", "List the controllers of the fleet and their states", 0, status, printMembers),
+		leases, hiddenAlias("works", leases),
+		quorum, hiddenAlias("council", quorum),
+		flags.command("handover LEASE CONTROLLER",
+			"Hand a lease over to another controller; complete when leases lists the new holder", 2,
+			func(args []string) control.Request {
+				return control.Request{Action: "handover", Lease: args[0], To: args[1]}
+			}, printLeases),
+		flags.command("replace OLD NEW", "Replace a voter by another controller; complete when quorum lists the new voter", 2,
 			func(args []string) control.Request {
 				return control.Request{Action: "replace", Old: args[0], To: args[1]}
 			}, printQuorum),
-		one("trust", "Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
+		flags.command("trust", "Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
 			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
-		fleetConfigCommand(&asked),
+		fleetConfigCommand(&flags),
 	)
 	return c
 }
+
+// command makes a command that sends one request with its arguments and prints the answer.
+func (f *fleetFlags) command(use, short string, argCount int, request func(args []string) control.Request,
+	printText func(io.Writer, control.Status)) *cobra.Command {
+	run := func(c *cobra.Command, args []string) error {
+		answer, err := f.call(c.Context(), request(args))
+		if err != nil {
+			return err
+		}
+		if f.json {
+			return printJSON(c, answer)
+		}
+		printText(c.OutOrStdout(), answer)
+		return nil
+	}
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(argCount), RunE: run}
+}
+
+// hiddenAlias is a hidden copy of a command with its name of earlier versions.
+func hiddenAlias(formerName string, c *cobra.Command) *cobra.Command {
+	hidden := *c
+	hidden.Use = formerName
+	hidden.Hidden = true
+	return &hidden
+}
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -30,7 +30,7 @@
 	version  config.Version // in force, Number 0: none yet; owned by the main goroutine
 
 	serving        chan struct{} // closed once clients are served
-	hasOwnSnapshot bool          // its own folder held something; to be read once serving is closed
+	hasOwnSnapshot bool          // a snapshot of an earlier run was found; read once serving is closed
 	stopped        chan struct{} // closed when no further version is applied
 	stop           sync.Once
 
@@ -45,8 +45,13 @@
 }
 
 func newFleetConfig(s *controllerConfig, own *operator.File) *fleetConfig {
-	a := &fleetConfig{name: s.Name, facts: s.facts, requests: make(chan versionRequest), serving: make(chan struct{}),
-		stopped: make(chan struct{})}
+	a := &fleetConfig{
+		name:     s.Name,
+		facts:    s.facts,
+		requests: make(chan versionRequest),
+		serving:  make(chan struct{}),
+		stopped:  make(chan struct{}),
+	}
 	a.local.Store(own)
 	return a
 }
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -35,15 +35,15 @@
 		Short: "Show the newest snapshot of a folder, its age, and what a restore would take of it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			kept, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
+			snapshot, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			shown := memory.NewReport(kept, float64(time.Now().UnixMilli()), restore.DefaultHalfLives())
+			report := memory.NewReport(snapshot, float64(time.Now().UnixMilli()), restore.DefaultHalfLives())
 			if asJSON {
-				return printJSON(c, shown)
+				return printJSON(c, report)
 			}
-			return printReport(c.OutOrStdout(), shown, all)
+			return printReport(c.OutOrStdout(), report, all)
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print all records as JSON")
@@ -65,9 +65,10 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			bad := false
+			damaged := false
 			for _, check := range checks {
-				if bad = bad || !check.Complete; asJSON {
+				damaged = damaged || !check.Complete
+				if asJSON {
 					continue
 				}
 				if check.Complete {
@@ -81,7 +82,7 @@
 					return err
 				}
 			}
-			if bad || len(checks) == 0 {
+			if damaged || len(checks) == 0 {
 				return fmt.Errorf("%s: %w", args[0], errUntrusted)
 			}
 			return nil
--- /dev/null
+++ b/cmd/mintkeel/reload_test.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mintkeel/internal/operator"
+)
+
+// Words of the log at a reload.
+const again, refused = "operator's file read again", "operator's file not used"
+
+// Under load, reloads turn snapshots on, off and to other folders, and one file is invalid. Queries go on being answered, and
+// the snapshots at the end are complete.
+func TestSnapshotsSurviveReloadsUnderLoad(t *testing.T) {
+	feed, engine, _ := feedAndEngine(t)
+	h := newTestDaemon(t, good, feed, engine, "")
+	block := func(folder, pace string) string {
+		return fmt.Sprintf("memory {\n folder = %q\n pace = %q\n}\n", filepath.Join(h.dir, folder), pace)
+	}
+	h.put(h.from.operatorPath, block("a", "100ms"))
+	h.serve()
+	stop, stopped := make(chan bool), make(chan int)
+	go func() {
+		n := 0
+		defer func() { stopped <- n }()
+		for c := h.dial(); ; n++ {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			if c.query(n, "1"); c.hears() != "TDCZ" {
+				t.Errorf("command %d is not answered", n)
+				return
+			}
+		}
+	}()
+	for range 3 {
+		h.reload(block("b", "100ms"), again)
+		h.reload("memory {\n", refused)
+		h.reload(block("b", "200ms"), again)
+		h.reload("", again)
+		h.reload(block("a", "100ms"), again)
+	}
+	h.reload("memory {\n folder = 3\n}\nx = 1\n", refused)
+	close(stop)
+	if n := <-stopped; n < 20 {
+		t.Errorf("%d commands answered", n)
+	}
+	h.stop()
+	for _, folder := range []string{"a", "b"} {
+		if code := execute([]string{"memory", "verify", filepath.Join(h.dir, folder)}, io.Discard, io.Discard); code != 0 {
+			t.Errorf("folder %s: code %d", folder, code)
+		}
+	}
+	h.put(h.from.operatorPath, block("a", "1h"))
+	h.serve()
+	h.stop()
+	if text := h.log.String(); !strings.Contains(text, "believed=") || strings.Contains(text, "believed=0") {
+		t.Errorf("nothing is believed after a restart: %s", text)
+	}
+}
+
+// A file on a disk that is gone hangs on read. The read is given up after its timeout; one that returns in time is not
+// affected.
+func TestHangingReadTimesOut(t *testing.T) {
+	pipe := filepath.Join(t.TempDir(), "pipe")
+	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := readWithTimeout(10*time.Millisecond, func() (*operator.File, error) { return operator.Read(pipe, nil) }); err == nil {
+		t.Error("a pipe that nobody writes to is read")
+	}
+	end, err := os.OpenFile(pipe, os.O_WRONLY, 0) // lets its goroutine end
+	if err != nil {
+		t.Fatal(err)
+	}
+	end.Close()
+	if x, err := readWithTimeout(patience, func() (int, error) { return 7, nil }); x != 7 || err != nil {
+		t.Error(x, err)
+	}
+}
+
+// SIGHUP comes while files are read for an earlier one. They are read once more, and the last state counts.
+func TestReloadMeetsReload(t *testing.T) {
+	feed, engine, _ := feedAndEngine(t)
+	moved, _, _ := feedAndEngine(t)
+	h := newTestDaemon(t, good, feed, engine, "")
+	text, err := os.ReadFile(h.from.configPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.serve()
+	first := h.hangingReload()
+	h.signals <- syscall.SIGHUP
+	h.signals <- syscall.SIGUSR1
+	h.log.wait(t, "counts") // so the second has been heard
+	next := filepath.Join(h.dir, "next")
+	h.put(next, strings.ReplaceAll(string(text), feed, moved))
+	if err := os.Rename(next, h.from.configPath); err != nil {
+		t.Fatal(err)
+	}
+	first.Write(text)
+	first.Close()
+	h.log.wait(t, "bulletin="+feed)
+	h.log.wait(t, "bulletin="+moved)
+	h.stop()
+}
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -73,12 +73,12 @@
 			if err != nil {
 				return err
 			}
-			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, application, listener)
+			query, err := clients.RuleInput([]byte(args[0]), &facts.Names, application, listener)
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
-			v, tried := set.Explain(&command)
+			v, tried := set.Explain(&query)
 			for _, t := range tried {
 				fmt.Fprintf(out, "%s: %s\n", t.Name, map[bool]string{true: "matches", false: "does not match"}[t.Matched])
 				for _, s := range t.Steps {
@@ -139,7 +139,7 @@
 
 func rulesBench() *cobra.Command {
 	var from configSources
-	long := time.Second
+	duration := time.Second
 	c := &cobra.Command{
 		Use:   "bench QUERY",
 		Short: "Measure the cost of the rules on a query, relative to one rule that never matches",
@@ -149,7 +149,7 @@
 			if err != nil {
 				return err
 			}
-			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, "", "")
+			query, err := clients.RuleInput([]byte(args[0]), &facts.Names, "", "")
 			if err != nil {
 				return err
 			}
@@ -158,22 +158,27 @@
 			if problems != nil {
 				return problems[0]
 			}
-			cost := func(s *rules.Set) float64 {
-				var scratch rules.Scratch
-				n, began := 0, time.Now()
-				for ; time.Since(began) < long/2; n += 100 {
-					for range 100 {
-						s.Apply(&command, &scratch)
-					}
-				}
-				return float64(time.Since(began).Nanoseconds()) / float64(n)
-			}
-			base, own := cost(one), cost(set)
+			base := measureRules(one, &query, duration/2)
+			own := measureRules(set, &query, duration/2)
 			fmt.Fprintf(c.OutOrStdout(), "%d rules cost %.1f times a rule that never matches\n", set.Len(), own/base)
 			return nil
 		},
 	}
 	from.addFlags(c)
-	c.Flags().DurationVar(&long, "for", long, "how long to look")
+	c.Flags().DurationVar(&duration, "for", duration, "how long to look")
 	return c
 }
+
+// measureRules returns the mean time in ns in which the rules are applied to a query, measured for a duration.
+func measureRules(set *rules.Set, query *rules.Query, duration time.Duration) float64 {
+	const batch = 100 // applications between two looks at the clock
+	var scratch rules.Scratch
+	count := 0
+	began := time.Now()
+	for ; time.Since(began) < duration; count += batch {
+		for range batch {
+			set.Apply(query, &scratch)
+		}
+	}
+	return float64(time.Since(began).Nanoseconds()) / float64(count)
+}
--- /dev/null
+++ b/cmd/mintkeel/rules_test.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Rules are applied before the event loop: they reject queries with their text, and a reload changes all of them or none.
+func TestRulesRejectAndReload(t *testing.T) {
+	feed, engine, _ := feedAndEngine(t)
+	const no = "rule \"no\" {\n when = \"table_name == 't'\"\n refuse = \"not now\"\n}\n"
+	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
+	h.serve()
+	c := h.dial()
+	for i, step := range []struct{ text, word, says string }{
+		{"", "", "EZ"},
+		{"rule \"no\" {\n when = \"table_name == 'u'\"\n refuse = \"not now\"\n}\n", again, "TDCZ"},
+		{no, again, "EZ"},
+		{"rule \"no\" {\n when = \"table_name = 't'\"\n}\n", refused, "EZ"},
+		{"rule \"k\" {\n key = \"'k' + tenant\"\n}\n", again, "TDCZ"},
+		{"log {\n}\n", again, "TDCZ"},
+	} {
+		if step.word != "" {
+			h.reload(step.text, step.word)
+		}
+		if c.query(i, "1"); c.hears() != step.says {
+			t.Errorf("step %d: not %s", i, step.says)
+		}
+	}
+	h.reload(no, again)
+	c.query(99, "1")
+	c.hears()
+	h.stop()
+	if text := h.log.String(); !strings.Contains(text, "rules.refused=1") || !strings.Contains(text, "bad_queries=0") {
+		t.Error(text)
+	}
+}
+
+// orderCheckingEngine is a fake engine that takes 2 ms for a query and counts queries of one store that run at once.
+type orderCheckingEngine struct {
+	mu    sync.Mutex
+	out   map[string]int
+	both  int
+	taken int
+}
+
+func (o *orderCheckingEngine) serve(conn net.Conn) {
+	var writing sync.Mutex
+	for r := bufio.NewReader(conn); ; {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		reply := func(text string) {
+			writing.Lock()
+			defer writing.Unlock()
+			io.WriteString(conn, words[1]+text)
+		}
+		switch words[0] {
+		case "ping":
+			reply(" READY - 0\r\n\r\n")
+		case "do":
+			statement, _ := r.ReadString('\n')
+			store, _, _ := strings.Cut(statement[strings.Index(statement, "store_"):], " ")
+			o.mu.Lock()
+			if o.taken++; o.out[store] > 0 {
+				o.both++
+			}
+			o.out[store]++
+			o.mu.Unlock()
+			time.AfterFunc(2*time.Millisecond, func() {
+				o.mu.Lock()
+				o.out[store]--
+				o.mu.Unlock()
+				reply(" ACK parts=1 6\r\na\tb\tc\n\r\n")
+			})
+		}
+	}
+}
+
+// Valid and invalid rules alternate many times a second under load on few stores. Each set gives a store's loads one ordering
+// key, and each set another key. Even so no two loads of a store ever run at once.
+func TestOrderingHoldsWhileRulesChangeUnderLoad(t *testing.T) {
+	feed, _, _ := feedAndEngine(t)
+	engine := &orderCheckingEngine{out: map[string]int{}}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go engine.serve(conn)
+		}
+	}()
+	rule := func(name string) string {
+		// Each reload is awaited by its line, so none may be dropped.
+		return fmt.Sprintf("log {\n burst = 1000\n}\nrule %q {\n key = \"'%s/' + label('store')\"\n}\n", name, name)
+	}
+	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
+	h.serve()
+	var group sync.WaitGroup
+	stop := make(chan bool)
+	for n := range 12 {
+		group.Go(func() {
+			c := h.dial()
+			for i := 0; ; i++ {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				store := fmt.Sprint("store_", (n+i)%3)
+				body := fmt.Sprintf("/* verb=lookup,txn=%08x%08x,limit=5000,store=%s */ SELECT 1 FROM s_1.%s WHERE x\x00", n, i, store, store)
+				fmt.Fprintf(c, "Q%s%s", binary.BigEndian.AppendUint32(nil, uint32(4+len(body))), body)
+				if said := c.hears(); said != "TDCZ" {
+					t.Errorf("client %d, command %d: %s", n, i, said)
+					return
+				}
+			}
+		})
+	}
+	for i := 1; i <= 40; i++ {
+		text, word := rule(fmt.Sprint("r", i)), again
+		if i%4 == 0 {
+			text, word = "rule \"bad\" {\n key = \"label('store')\"\n}\n", refused
+		}
+		h.put(h.from.operatorPath, text)
+		const soon = "changed too often"
+		seen, early := h.log.count(word), h.log.count(soon)
+		h.signals <- syscall.SIGHUP
+		taken := func() int {
+			engine.mu.Lock()
+			defer engine.mu.Unlock()
+			return engine.taken
+		}
+		for end := time.Now().Add(patience); h.log.count(word) <= seen && h.log.count(soon) <= early || taken() < 4*i; {
+			if time.Sleep(time.Millisecond); time.Now().After(end) {
+				t.Fatalf("no %q: %s", word, h.log)
+			}
+		}
+	}
+	close(stop)
+	group.Wait()
+	h.stop()
+	engine.mu.Lock()
+	defer engine.mu.Unlock()
+	if engine.both > 0 || engine.taken < 160 {
+		t.Errorf("%d of %d loads were out beside one of their store", engine.both, engine.taken)
+	}
+}
--- /dev/null
+++ b/cmd/mintkeel/serve_test.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+	"mintkeel/internal/logs"
+	"mintkeel/internal/operator"
+)
+
+// The daemon with all its parts answers queries, applies a new configuration and keeps the former one if the new one is
+// invalid. Asked to stop, it answers open queries, gives up in time on those whose engine hangs, and ends.
+func TestServe(t *testing.T) {
+	feed, engine, hangs := feedAndEngine(t)
+	addr := reserveAddress(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	configure := func(text, feed string) {
+		text = strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", addr).Replace(text)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	configure(good, feed)
+	s, err := readControllerConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := limits.For(1024, 192, time.Second, time.Minute, 0)
+	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, patience, 100*time.Millisecond
+	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
+	d := &daemon{sources: configSources{configPath: path}, config: s, file: &operator.File{}, limits: l,
+		logOutput: logs.New(io.Discard, logs.DefaultBlock())}
+	go func() { ended <- d.run(signals) }()
+	dial := func() *client {
+		for deadline := time.Now().Add(patience); ; {
+			conn, err := net.Dial("tcp", addr)
+			if err == nil {
+				conn.SetDeadline(time.Now().Add(patience))
+				t.Cleanup(func() { conn.Close() })
+				io.WriteString(conn, hello)
+				c := &client{t, conn}
+				c.hears()
+				return c
+			}
+			if time.Now().After(deadline) {
+				t.Fatal(err)
+			}
+		}
+	}
+	one, two := dial(), dial()
+	for i := range 3 {
+		if one.query(i, "1"); one.hears() != "TDCZ" {
+			t.Fatal("not answered")
+		}
+	}
+	moved, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer moved.Close()
+	configure("no configuration", "")
+	if r := d.readFiles(); r.configErr == nil || r.fileErr != nil {
+		t.Errorf("a bad file is read as %+v, %v", r.config, r.fileErr)
+	}
+	signals <- syscall.SIGHUP
+	configure(strings.Replace(good, "192", "64", 1), moved.Addr().String())
+	signals <- syscall.SIGHUP
+	moved.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	conn, err := moved.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	last := make([]byte, 8)
+	if _, err := io.ReadFull(conn, last); err != nil || last[7] != 1 {
+		t.Errorf("the feed is asked for what follows %v, %v", last, err)
+	}
+	two.query(10, "hang")
+	<-hangs
+	one.query(10, "1") // an id that is open, which engines could not tell apart
+	if said := one.hears(); said != "EZ" {
+		t.Errorf("an open id: %s", said)
+	}
+	signals <- syscall.SIGUSR1
+	signals <- syscall.SIGTERM
+	if one.query(11, "1"); one.hears() != "TDCZ" {
+		t.Error("not answered while stopping")
+	}
+	three := dial()
+	if three.query(12, "1"); three.hears() != "TDCZ" {
+		t.Error("a new connection not answered while stopping")
+	}
+	if said := two.hears(); said != "EZ" {
+		t.Errorf("what hangs: %s", said)
+	}
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(patience):
+		t.Error("goes on for ever")
+	}
+}
--- /dev/null
+++ b/cmd/mintkeel/shutdown_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"io"
+	"os"
+	"regexp"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"mintkeel/internal/limits"
+)
+
+// SIGTERM comes before clients are served, twice, with a reload behind it, or while a reload hangs. In each case open queries
+// are answered, idle sessions are closed in order, and the controller shuts down once.
+func TestStopCrossings(t *testing.T) {
+	t.Run("during the start", func(t *testing.T) {
+		feed, engine, _ := feedAndEngine(t)
+		h := newTestDaemon(t, good, feed, engine, "")
+		h.early = []os.Signal{syscall.SIGTERM, syscall.SIGTERM}
+		h.serve()
+		if err := <-h.ended; err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("twice, and a reload behind it", func(t *testing.T) {
+		feed, engine, hangs := feedAndEngine(t)
+		h := newTestDaemon(t, good, feed, engine, "")
+		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = patience }
+		h.serve()
+		rests, open := h.dial(), h.dial()
+		if rests.query(1, "1"); rests.hears() != "TDCZ" {
+			t.Error("not answered")
+		}
+		open.query(2, "hang")
+		<-hangs
+		h.signals <- syscall.SIGTERM
+		h.log.wait(t, "told to stop")
+		h.put(h.from.configPath, "no configuration")
+		h.signals <- syscall.SIGHUP
+		if said := open.hears(); said != "EZ" {
+			t.Errorf("what hangs: %s", said)
+		}
+		if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("who rests finds %v", err)
+		}
+		for id := 3; id < 500; id++ { // cross the end; a closed socket would answer the first by a reset, which the next meets
+			if err := rests.query(id, "hang"); err != nil {
+				t.Fatalf("query %d that crosses the end: %v", id, err)
+			}
+		}
+		rests.Close()
+		if _, err := open.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("who was answered finds %v", err)
+		}
+		open.Close()
+		if err := <-h.ended; err != nil || len(hangs) > 0 {
+			t.Errorf("ended by %v, %d sent on past the end", err, len(hangs))
+		}
+		if n := h.log.count("told to stop"); n != 1 {
+			t.Errorf("told to stop %d times", n)
+		}
+	})
+	t.Run("and clients that ask to the last", func(t *testing.T) {
+		feed, engine, _ := feedAndEngine(t)
+		h := newTestDaemon(t, good, feed, engine, "")
+		h.change = func(l *limits.Limits) {
+			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = patience, patience-time.Second, patience
+		}
+		h.serve()
+		rests, asks := h.dial(), h.dial()
+		h.signals <- syscall.SIGTERM
+		for id := 1; ; id++ {
+			if err := asks.query(id, "1"); err != nil {
+				t.Fatalf("query %d: %v", id, err)
+			}
+			if said, err := asks.heard(); err == io.EOF && said == "" {
+				break // it crossed the end
+			} else if err != nil || said != "TDCZ" && said != "EZ" { // shed once there is no time left
+				t.Fatalf("query %d: said %q, %v", id, said, err)
+			}
+		}
+		if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("who rests finds %v", err)
+		}
+		rests.Close()
+		asks.Close()
+		if err := <-h.ended; err != nil {
+			t.Error(err)
+		}
+		count := func(name string) (n int) {
+			for _, m := range regexp.MustCompile(`commands\.`+name+`=(\d+)`).FindAllStringSubmatch(h.log.String(), 1) {
+				n, _ = strconv.Atoi(m[1])
+			}
+			return n
+		}
+		if n := count("taken"); n == 0 || n != count("answered")+count("shed") {
+			t.Errorf("%d taken, %d answered, %d shed", n, count("answered"), count("shed"))
+		}
+	})
+	t.Run("while a reload hangs", func(t *testing.T) {
+		feed, engine, _ := feedAndEngine(t)
+		h := newTestDaemon(t, good, feed, engine, "")
+		h.serve()
+		defer h.hangingReload().Close()
+		began := time.Now()
+		h.signals <- syscall.SIGTERM
+		if err := <-h.ended; err != nil || time.Since(began) > patience/2 {
+			t.Errorf("ended by %v after %v", err, time.Since(began))
+		}
+	})
+}
