--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -1,13 +1,10 @@
 package main
 
 import (
-	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"os"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -20,7 +17,7 @@
 	json   bool
 }
 
-// call asks the controller whose folder is named.
+// call sends a request to the controller of the folder.
 func (f *fleetFlags) call(ctx context.Context, request control.Request) (control.Status, error) {
 	if f.folder == "" {
 		return control.Status{}, errors.New("no folder: set --folder or MINTKEEL_FLEET")
@@ -31,100 +28,64 @@
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "Look at the fleet as one of its controllers knows it, and hand leases over",
-		Long: `Look at the fleet as one of its controllers knows it, and hand leases over.
+		Short: "Show the fleet as one of its controllers knows it, and hand over leases",
+		Long: `Show the fleet as one of its controllers knows it, and hand over leases.
 
-Each command speaks to the controller whose folder is named: the folder of the
-block fleet in its operator's file. Members are what that controller believes;
-leases are the quorum's word where it is a voter, and else what it
-was told last.`,
+Each command asks the controller whose folder is named: the folder of the block
+fleet in its operator's file. Members are listed as that controller sees them.
+Leases are the quorum's state as far as a voter has heard of it; a controller
+that is no voter lists what it heard last.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	var asked fleetFlags
-	c.PersistentFlags().StringVar(&asked.folder, "folder", os.Getenv("MINTKEEL_FLEET"), "the controller's `folder` (MINTKEEL_FLEET)")
-	c.PersistentFlags().BoolVar(&asked.json, "json", false, "print the whole answer as JSON")
-	renamed := func(old string, c *cobra.Command) *cobra.Command { // the name of an earlier version, for one version more
-		hidden := *c
-		hidden.Use, hidden.Hidden = old, true
-		return &hidden
-	}
-	one := func(use, short string, args int, request func(args []string) control.Request, print func(io.Writer, control.Status)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(c *cobra.Command, args []string) error {
-			s, err := asked.call(c.Context(), request(args))
-			if err != nil {
-				return err
-			}
-			if asked.json {
-				return printJSON(c, s)
-			}
-			print(c.OutOrStdout(), s)
-			return nil
-		}}
-	}
+	var flags fleetFlags
+	c.PersistentFlags().StringVar(&flags.folder, "folder", os.Getenv("MINTKEEL_FLEET"),
+		"the controller's `folder` (MINTKEEL_FLEET)")
+	c.PersistentFlags().BoolVar(&flags.json, "json", false, "print the whole answer as JSON")
 	status := func([]string) control.Request { return control.Request{Action: "status"} }
-	leases := one("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
-	quorum := one("quorum", "Tell which controllers vote on leases, which leads, and what this one is", 0, status, printQuorum)
+	leases := flags.command("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
+	quorum := flags.command("quorum", "Show the voters, the leader, and the role of this controller", 0, status, printQuorum)
 	c.AddCommand(
-		one("members", "List the controllers of the fleet and what is believed of each", 0, status, printMembers),
-		leases, renamed("works", leases),
-		quorum, renamed("council", quorum),
-		one("handover LEASE CONTROLLER", "Hand a lease over to another controller; done when leases tells so", 2, func(args []string) control.Request {
-			return control.Request{Action: "handover", Lease: args[0], To: args[1]}
-		}, printLeases),
-		one("replace OLD NEW", "Replace a voter by another controller; done when quorum tells so", 2,
+		flags.command("members", "List the controllers of the fleet and their states", 0, status, printMembers),
+		leases, hiddenAlias("works", leases),
+		quorum, hiddenAlias("council", quorum),
+		flags.command("handover LEASE CONTROLLER",
+			"Hand a lease over to another controller; complete when leases lists the new holder", 2,
+			func(args []string) control.Request {
+				return control.Request{Action: "handover", Lease: args[0], To: args[1]}
+			}, printLeases),
+		flags.command("replace OLD NEW", "Replace a voter by another controller; complete when quorum lists the new voter", 2,
 			func(args []string) control.Request {
 				return control.Request{Action: "replace", Old: args[0], To: args[1]}
 			}, printQuorum),
-		one("trust", "Say that this voter's folder is the latest there is, where not all others can vouch for it", 0,
+		flags.command("trust", "Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
 			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
-		fleetConfigCommand(&asked),
+		fleetConfigCommand(&flags),
 	)
 	return c
 }
 
-func printMembers(out io.Writer, s control.Status) {
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "fleet %s, generation %d, as %s believes\n", s.Fleet, s.Generation, s.Self)
-	fmt.Fprintln(t, "controller\tis\taddress\ttakes leases\trun")
-	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", m.ID, m.State, m.Addr, yesNo(m.Willing), m.Run)
-	}
-	t.Flush()
-}
-
-func printLeases(out io.Writer, s control.Status) {
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	whose := "as " + s.Self + " was told"
-	if s.Own {
-		whose = "as the quorum agreed, as far as " + s.Self + " has heard"
-	}
-	fmt.Fprintf(t, "%d leases, %s\nlease\ttoken\tholder\tis to go to\n", len(s.Leases), whose)
-	for _, w := range s.Leases {
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\n", w.Lease, w.Token, cmp.Or(w.Holder, "nobody"), w.Preferred)
+// command makes a command that sends one request with its arguments and prints the answer.
+func (f *fleetFlags) command(use, short string, argCount int, request func(args []string) control.Request,
+	printText func(io.Writer, control.Status)) *cobra.Command {
+	run := func(c *cobra.Command, args []string) error {
+		answer, err := f.call(c.Context(), request(args))
+		if err != nil {
+			return err
+		}
+		if f.json {
+			return printJSON(c, answer)
+		}
+		printText(c.OutOrStdout(), answer)
+		return nil
 	}
-	t.Flush()
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(argCount), RunE: run}
 }
 
-func printQuorum(out io.Writer, s control.Status) {
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "%s is %s", s.Self, s.Quorum.Role)
-	if s.Quorum.Reason != "" {
-		fmt.Fprintf(t, ": %s", s.Quorum.Reason)
-	}
-	fmt.Fprintf(t, "\nleader %s, term %d, record %d\n", cmp.Or(s.Quorum.Leader, "not known"), s.Quorum.Term, s.Quorum.Record)
-	if len(s.Quorum.Members) > 0 {
-		fmt.Fprintln(t, "member\tdisk\tvotes")
-	}
-	for _, m := range s.Quorum.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", m.Name, m.Disk, yesNo(m.Votes))
-	}
-	t.Flush()
-}
-
-func yesNo(yes bool) string {
-	if yes {
-		return "yes"
-	}
-	return "no"
+// hiddenAlias is a hidden copy of a command with its name of earlier versions.
+func hiddenAlias(formerName string, c *cobra.Command) *cobra.Command {
+	hidden := *c
+	hidden.Use = formerName
+	hidden.Hidden = true
+	return &hidden
 }
--- a/cmd/mintkeel/agreed_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -49,19 +49,20 @@
 	return config.Version{Number: n, Author: "anna", Reason: "why"}
 }
 
-// takingDaemon is a daemon with the block config that serves, and whose fleet has agreed on nothing: what its service would call is called
-// by the test.
-func takingDaemon(t *testing.T, text string) (h *house, d *daemon, hangs chan bool) {
+// startConfigDaemon starts a daemon with a block config whose fleet has no version yet. The test makes the calls of the
+// fleet's service.
+func startConfigDaemon(t *testing.T, text string) (h *testDaemon, d *daemon, hangs chan bool) {
 	t.Helper()
 	feed, engine, hangs := feedAndEngine(t)
-	h = found(t, text, feed, engine, "")
-	h.put(h.from.operator, configFleet(t, h.dir, "100ms"))
+	h = newTestDaemon(t, text, feed, engine, "")
+	h.put(h.from.operatorPath, configFleet(t, h.dir, "100ms"))
 	return h, h.serve(), hangs
 }
 
-// A version is put in force in one step through the same code as a reload; what can't be used changes nothing; a reload keeps it in force, and takes the controller's own blocks over beside it.
-func TestTakeVersion(t *testing.T) {
-	h, d, _ := takingDaemon(t, good)
+// A version of the fleet's document is applied in one step by the code of a reload; a document that can't be used changes
+// nothing. A reload keeps the version in force, and applies the controller's own blocks beside it.
+func TestVersionIsAppliedInOneStepAndSurvivesReload(t *testing.T) {
+	h, d, _ := startConfigDaemon(t, good)
 	c := h.dial()
 	serves := func(id int, want string) {
 		t.Helper()
@@ -72,7 +73,9 @@
 			t.Errorf("query %d: %q, not %q", id, said, want)
 		}
 	}
-	apply := func(number uint64, document string) error { return d.agreed.apply(numbered(number), []byte(document)) }
+	apply := func(number uint64, document string) error {
+		return d.fleetConfig.apply(numbered(number), []byte(document))
+	}
 	serves(1, "own")
 	if err := apply(2, ruleRefusing("two")); err != nil {
 		t.Error(err)
@@ -125,11 +128,12 @@
 	}
 }
 
-// Too many changes of keys within a short time are tried again later, and change nothing until then.
-func TestTakeVersionLater(t *testing.T) {
-	h, d, hangs := takingDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
+// Rules that change ordering keys too often within a short time are not applied by the event loop. The version then fails
+// with a retryable error and changes nothing until a later try.
+func TestVersionIsRetriedWhileRulesChangeTooOften(t *testing.T) {
+	h, d, hangs := startConfigDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
 	defer h.stop()
-	err := d.agreed.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
+	err := d.fleetConfig.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,32 +141,33 @@
 	c.query(1, "hang") // is open under the keys of that time
 	<-hangs
 	for n := uint64(2); n < 100 && err == nil; n++ {
-		err = d.agreed.apply(numbered(n), []byte("rule \"k\" {\n key = \"'"+strings.Repeat("k", int(n))+"'\"\n}\n"))
+		err = d.fleetConfig.apply(numbered(n), []byte("rule \"k\" {\n key = \"'"+strings.Repeat("k", int(n))+"'\"\n}\n"))
 	}
-	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRules) {
+	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRulesBusy) {
 		t.Errorf("ended by %v", err)
 	}
-	if d.agreed.counts.later.Load() != 1 || d.agreed.counts.refused.Load() != 0 {
+	if d.fleetConfig.counts.later.Load() != 1 || d.fleetConfig.counts.refused.Load() != 0 {
 		t.Error("counted as refused")
 	}
 }
 
-// Whoever offers a version while nobody takes it is not left waiting: not past the time for it, and not past an end.
-func TestOfferUntaken(t *testing.T) {
+// The fleet's service offers a version and the main goroutine does not apply it. The service does not wait longer than
+// applyTimeout, nor past a shutdown.
+func TestUnappliedVersionEndsByTimeoutOrShutdown(t *testing.T) {
 	own := &operator.File{Log: logs.DefaultBlock()}
-	a := newAgreedConfig(&start{Name: "n1"}, own)
+	a := newFleetConfig(&controllerConfig{Name: "n1"}, own)
 	ended := make(chan error, 2)
 	for range 2 { // one that is not taken, and one that is taken and not answered
 		go func() { ended <- a.apply(numbered(1), nil) }()
 	}
 	<-a.requests
-	a.stopTaking()
+	a.stopApplying()
 	for range 2 {
 		if err := <-ended; !errors.Is(err, errStopping) || !errors.Is(err, configuration.ErrRetryable) {
 			t.Error(err)
 		}
 	}
-	if a.wantsDigest() {
+	if a.needsSharedStatistics() {
 		t.Error("the digest is wanted after the end")
 	}
 	if a.counts.later.Load() != 2 {
@@ -170,9 +175,10 @@
 	}
 }
 
-// A document is read once, unless the controller's own file was read again since; what can't be used is not remembered.
-func TestParseOnce(t *testing.T) {
-	a := newAgreedConfig(&start{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
+// A document is parsed once to be checked and applied, unless the controller's own file was reloaded in between. A document
+// with errors is not cached.
+func TestDocumentIsParsedOnce(t *testing.T) {
+	a := newFleetConfig(&controllerConfig{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
 	parse := func(text string) *operator.File {
 		t.Helper()
 		file, err := a.parse([]byte(text))
@@ -198,27 +204,28 @@
 	}
 }
 
-// awaiting is a daemon that has not begun to serve clients, in its wait for the latest version.
-func awaiting(t *testing.T, wait string) *daemon {
+// newWaitingDaemon is a daemon that has not begun to serve clients, in its wait for the latest version.
+func newWaitingDaemon(t *testing.T, wait string) *daemon {
 	t.Helper()
 	dir := t.TempDir()
-	h := &house{t: t, dir: dir, from: sources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
-	h.put(h.from.config, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
-	h.put(h.from.operator, configFleet(t, dir, wait))
+	h := &testDaemon{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
+	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
+	h.put(h.from.operatorPath, configFleet(t, dir, wait))
 	s, file, err := h.from.read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{from: h.from, start: s, file: file, limits: limits.For(1024, 192, 0, 0, 0), lines: logs.New(h.log, file.Log)}
-	d.log = d.lines.Logger()
-	d.agreed = newAgreedConfig(s, file)
-	t.Cleanup(d.agreed.stopTaking)
+	d := &daemon{sources: h.from, config: s, file: file, limits: limits.For(1024, 192, 0, 0, 0), logOutput: logs.New(h.log, file.Log)}
+	d.log = d.logOutput.Logger()
+	d.fleetConfig = newFleetConfig(s, file)
+	t.Cleanup(d.fleetConfig.stopApplying)
 	return d
 }
 
-// While the latest version is waited for, versions are taken over without serving by them, and signals are kept.
-func TestAwaitConfig(t *testing.T) {
-	d := awaiting(t, "8s")
+// A controller starts and waits for the latest version. Versions that arrive are applied before clients are served, and
+// signals that arrive are kept until they can be handled.
+func TestVersionsAreAppliedWhileLatestIsAwaited(t *testing.T) {
+	d := newWaitingDaemon(t, "8s")
 	signals, readiness := make(chan os.Signal), make(chan config.Readiness)
 	wait := func(ctx context.Context) config.Readiness {
 		select {
@@ -229,8 +236,8 @@
 		}
 	}
 	ended := make(chan pendingSignals, 1)
-	go func() { ended <- d.awaitConfig(context.Background(), signals, wait) }()
-	if err := d.agreed.apply(numbered(7), []byte("log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\n")); err != nil {
+	go func() { ended <- d.awaitLatestVersion(context.Background(), signals, wait) }()
+	if err := d.fleetConfig.apply(numbered(7), []byte("log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\n")); err != nil {
 		t.Error(err)
 	}
 	signals <- syscall.SIGUSR1
@@ -239,32 +246,32 @@
 	if pending := <-ended; pending != (pendingSignals{reload: true}) {
 		t.Errorf("pending %+v", pending)
 	}
-	if d.file.Memory == nil || d.file.Memory.Folder != "/m/n1" || d.file.Rules != nil || d.file.Fleet.Name != "e" || d.agreed.version.Number != 7 {
+	if d.file.Memory == nil || d.file.Memory.Folder != "/m/n1" || d.file.Rules != nil || d.file.Fleet.Name != "e" || d.fleetConfig.version.Number != 7 {
 		t.Errorf("in force: %+v", d.file)
 	}
-	go func() { ended <- d.awaitConfig(context.Background(), signals, wait) }()
+	go func() { ended <- d.awaitLatestVersion(context.Background(), signals, wait) }()
 	signals <- syscall.SIGTERM
 	if pending := <-ended; !pending.stop {
 		t.Errorf("pending %+v", pending)
 	}
 	d.file.Config.Wait = 10 * time.Millisecond
-	if pending := d.awaitConfig(context.Background(), signals, wait); pending != (pendingSignals{}) {
+	if pending := d.awaitLatestVersion(context.Background(), signals, wait); pending != (pendingSignals{}) {
 		t.Errorf("pending %+v", pending)
 	}
 }
 
-// Without the block config there is nothing of it: no goroutine, descriptor or folder, and operators are told so. With it
-// there is, so that the same looks would tell.
-func TestConfigOff(t *testing.T) {
+// Without a block config no goroutine, descriptor or folder of it exists, and commands say so. The same checks find them
+// with the block.
+func TestNoConfigBlockStartsNothing(t *testing.T) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		t.Run(name, func(t *testing.T) {
 			feed, engine, _ := feedAndEngine(t)
-			h := found(t, good, feed, engine, "")
+			h := newTestDaemon(t, good, feed, engine, "")
 			own := configFleet(t, h.dir, "8s")
 			if !on {
 				own = strings.Replace(own, "config {\n wait = \"8s\"\n}\n", "", 1)
 			}
-			h.put(h.from.operator, own)
+			h.put(h.from.operatorPath, own)
 			looked, served := make(chan struct{}), make(chan struct{})
 			go func() { // looks while the latest version may be waited for
 				defer close(looked)
@@ -293,7 +300,7 @@
 				t.Error("at a start the latest version is waited for, or is not, against the file")
 			}
 			defer h.stop()
-			if (d.agreed != nil) != on {
+			if (d.fleetConfig != nil) != on {
 				t.Error("the daemon's side of it")
 			}
 			if _, err := os.Stat(filepath.Join(h.dir, "fleet", "config")); (err == nil) != on {
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -39,8 +39,8 @@
 	if err := json.Compact(&status, text); err != nil {
 		t.Fatal(err)
 	}
-	control := &storedControl{folder: t.TempDir(), status: append(status.Bytes(), '\n'), requests: make(chan string, 8)}
-	listener, err := net.Listen("unix", filepath.Join(control.folder, "control.sock"))
+	server := &storedControl{folder: t.TempDir(), status: append(status.Bytes(), '\n'), requests: make(chan string, 8)}
+	listener, err := net.Listen("unix", filepath.Join(server.folder, "control.sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,20 +52,20 @@
 				return
 			}
 			line, _ := bufio.NewReader(conn).ReadString('\n')
-			control.requests <- line
-			conn.Write(control.status)
+			server.requests <- line
+			conn.Write(server.status)
 			conn.Close()
 		}
 	}()
-	return control
+	return server
 }
 
 // run runs a command against the socket. It returns the requests that it sent and what it printed.
-func (control *storedControl) run(args ...string) (requests, out string) {
+func (server *storedControl) run(args ...string) (requests, out string) {
 	var printed, errs strings.Builder
-	code := execute(append(args, "--folder", control.folder, "--json"), &printed, &errs)
-	for len(control.requests) > 0 {
-		requests += <-control.requests
+	code := execute(append(args, "--folder", server.folder, "--json"), &printed, &errs)
+	for len(server.requests) > 0 {
+		requests += <-server.requests
 	}
 	return requests, fmt.Sprintf("%s%scode %d\n", printed.String(), errs.String(), code)
 }
@@ -178,7 +178,7 @@
 }
 
 func TestVersionOutputIsStable(t *testing.T) {
-	value := build{Version: "v1.2.3", Go: "go1.26", Revision: "abc", Modified: true}
+	value := buildInfo{Version: "v1.2.3", Go: "go1.26", Revision: "abc", Modified: true}
 	golden.AllSet(t, value)
 	golden.File(t, filepath.Join("output", "version.txt"), printed(t, value))
 }
@@ -190,14 +190,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := parseStart(text)
+	s, err := parseControllerConfig(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var p strings.Builder
 	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", s.Name,
-		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Feed, s.Known.Number, len(s.facts.Classes))
-	for _, update := range s.news {
+		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Discovery, s.InitialEndpoints.Number, len(s.facts.Classes))
+	for _, update := range s.endpointUpdates {
 		fmt.Fprintf(&p, "update %d, whole %v\n", update.Number, update.Complete)
 		for _, e := range update.Endpoints {
 			fmt.Fprintf(&p, "  engine %s at %s, state %d, zone %s, kind %d, cell %d, since %v\n", e.Engine, e.Address, int(e.State), e.Zone,
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -200,20 +200,20 @@
 	return filepath.Join(p.dir, "document.hcl")
 }
 
-// Four daemons as processes: a version is put in force at each; a document that can't be used, and one whose author has not
-// seen the newest version, change nothing; a reload and restarts keep the version in force; an earlier one is put back; of two at
-// once one wins.
-func TestConfigProcesses(t *testing.T) {
+// Four daemons run as processes. A version is put in force at each; a document that can't be used, and one whose author has
+// not seen the newest version, change nothing; reloads and restarts keep the version in force; a rollback puts an earlier
+// one back; of two puts at once one wins.
+func TestConfigVersionsAcrossProcesses(t *testing.T) {
 	all := configProcesses(t, 4)
 	for _, p := range all {
 		p.launch()
 	}
 	playPuts(t, all)
 	playRestarts(t, all)
-	playRollback(t, all)
+	playRollback(all)
 	playUnusable(t, all)
 	playAtOnce(t, all)
-	playSizes(t, all)
+	playSizes(all)
 	for _, p := range all {
 		if err := p.end(syscall.SIGTERM); err != nil {
 			t.Error(err)
@@ -281,7 +281,7 @@
 }
 
 // playRollback puts the first version back, and looks at what is remembered.
-func playRollback(t *testing.T, all []*process) {
+func playRollback(all []*process) {
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	n4.awaitLeader()
 	n4.expect(0, "version 3 in force at 4 of 4", "rollback", "1", "--reason", "two was bad")
@@ -327,7 +327,7 @@
 }
 
 // playSizes puts documents of the least and the largest size, and of one too large.
-func playSizes(t *testing.T, all []*process) {
+func playSizes(all []*process) {
 	n2 := all[1]
 	for i, size := range []int{1, 64 << 10, 1 << 20} {
 		text := ruleRefusing(fmt.Sprint("size ", size))
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -18,7 +18,7 @@
 func rulesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "rules",
-		Short: "Check, explain, test or time the operator's rules",
+		Short: "Check, explain, test or benchmark the operator's rules",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -26,26 +26,26 @@
 	return c
 }
 
-// ruled reads the rules that a command is about.
-func (s *sources) ruled() (*rules.Set, *settings.Facts, error) {
-	told, file, err := s.read()
+// readRules reads the operator's rules; it is an error if there are none.
+func (s *configSources) readRules() (*rules.Set, *settings.Facts, error) {
+	config, file, err := s.read()
 	if err != nil {
 		return nil, nil, err
 	}
 	if file.Rules == nil {
 		return nil, nil, errors.New("there are no rules: name a file with --operator")
 	}
-	return file.Rules, told.facts, nil
+	return file.Rules, config.facts, nil
 }
 
 func rulesCheck() *cobra.Command {
-	var from sources
+	var from configSources
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Tell what is wrong with the rules, or what each may cost",
+		Short: "Validate the rules, and print the most steps that each may take",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			set, _, err := from.ruled()
+			set, _, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -57,28 +57,28 @@
 			return t.Flush()
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	return c
 }
 
 func rulesExplain() *cobra.Command {
-	var from sources
+	var from configSources
 	var application, listener string
 	c := &cobra.Command{
 		Use:   "explain QUERY",
-		Short: "Tell which rules match a query as a client would write it, and why",
+		Short: "Show which rules match a query as a client would write it, and why",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
-			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, application, listener)
+			query, err := clients.RuleInput([]byte(args[0]), &facts.Names, application, listener)
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
-			v, tried := set.Explain(&command)
+			v, tried := set.Explain(&query)
 			for _, t := range tried {
 				fmt.Fprintf(out, "%s: %s\n", t.Name, map[bool]string{true: "matches", false: "does not match"}[t.Matched])
 				for _, s := range t.Steps {
@@ -95,20 +95,20 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	c.Flags().StringVar(&application, "application", "", "the client's application_name")
 	c.Flags().StringVar(&listener, "listener", "", "the address that the client came to")
 	return c
 }
 
 func rulesTest() *cobra.Command {
-	var from sources
+	var from configSources
 	c := &cobra.Command{
 		Use:   "test CASES",
-		Short: "Try the rules on a file of cases with expected effects; exit code 1 if one is otherwise",
+		Short: "Run a file of test cases against the rules; exit code 1 if one fails",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
@@ -133,23 +133,23 @@
 			return nil
 		},
 	}
-	from.flags(c)
+	from.addFlags(c)
 	return c
 }
 
 func rulesBench() *cobra.Command {
-	var from sources
-	long := time.Second
+	var from configSources
+	duration := time.Second
 	c := &cobra.Command{
 		Use:   "bench QUERY",
-		Short: "Tell what the rules cost on a query, beside a set of one rule that never matches",
+		Short: "Measure the cost of the rules on a query, relative to one rule that never matches",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			set, facts, err := from.ruled()
+			set, facts, err := from.readRules()
 			if err != nil {
 				return err
 			}
-			command, err := clients.RuleInput([]byte(args[0]), &facts.Names, "", "")
+			query, err := clients.RuleInput([]byte(args[0]), &facts.Names, "", "")
 			if err != nil {
 				return err
 			}
@@ -158,22 +158,27 @@
 			if problems != nil {
 				return problems[0]
 			}
-			cost := func(s *rules.Set) float64 {
-				var scratch rules.Scratch
-				n, began := 0, time.Now()
-				for ; time.Since(began) < long/2; n += 100 {
-					for range 100 {
-						s.Apply(&command, &scratch)
-					}
-				}
-				return float64(time.Since(began).Nanoseconds()) / float64(n)
-			}
-			base, own := cost(one), cost(set)
+			base := measureRules(one, &query, duration/2)
+			own := measureRules(set, &query, duration/2)
 			fmt.Fprintf(c.OutOrStdout(), "%d rules cost %.1f times a rule that never matches\n", set.Len(), own/base)
 			return nil
 		},
 	}
-	from.flags(c)
-	c.Flags().DurationVar(&long, "for", long, "how long to look")
+	from.addFlags(c)
+	c.Flags().DurationVar(&duration, "for", duration, "how long to look")
 	return c
 }
+
+// measureRules returns the mean time in ns in which the rules are applied to a query, measured for a duration.
+func measureRules(set *rules.Set, query *rules.Query, duration time.Duration) float64 {
+	const batch = 100 // applications between two looks at the clock
+	var scratch rules.Scratch
+	count := 0
+	began := time.Now()
+	for ; time.Since(began) < duration; count += batch {
+		for range batch {
+			set.Apply(query, &scratch)
+		}
+	}
+	return float64(time.Since(began).Nanoseconds()) / float64(count)
+}
