--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -63,7 +63,7 @@
 			return err
 		}
 		if pending = d.awaitLatestVersion(ctx, signals, d.fleet.WaitConfig); pending.stop {
-			d.log.Info("told to stop before clients were served")
+			d.log.Info("shutdown started before clients were served")
 			return nil
 		}
 	}
--- a/cmd/mintkeel/shutdown.go
+++ b/cmd/mintkeel/shutdown.go
@@ -11,7 +11,7 @@
 // final snapshot is begun first, so that both happen while queries are still answered.
 func (d *daemon) shutdown(listener net.Listener) {
 	l := d.limits
-	d.log.Info("told to stop")
+	d.log.Info("shutdown started")
 	end := time.Now().Add(l.ShutdownTimeout)
 	d.loop.StartShutdown(l.DrainTimeout)
 	if d.fleetConfig != nil {
--- a/cmd/mintkeel/shutdown_test.go
+++ b/cmd/mintkeel/shutdown_test.go
@@ -36,7 +36,7 @@
 		open.query(2, "hang")
 		<-hangs
 		h.signals <- syscall.SIGTERM
-		h.log.wait(t, "told to stop")
+		h.log.wait(t, "shutdown started")
 		h.put(h.from.configPath, "no configuration")
 		h.signals <- syscall.SIGHUP
 		if said := open.hears(); said != "EZ" {
@@ -58,8 +58,8 @@
 		if err := <-h.ended; err != nil || len(hangs) > 0 {
 			t.Errorf("ended by %v, %d sent on past the end", err, len(hangs))
 		}
-		if n := h.log.count("told to stop"); n != 1 {
-			t.Errorf("told to stop %d times", n)
+		if n := h.log.count("shutdown started"); n != 1 {
+			t.Errorf("the shutdown started %d times", n)
 		}
 	})
 	t.Run("and clients that ask to the last", func(t *testing.T) {
