--- a/cmd/mintkeel/config_test.go
+++ b/cmd/mintkeel/config_test.go
@@ -23,9 +23,9 @@
 		{`"name"`, `name`, "configuration"},
 	} {
 		text := strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(
-			strings.Replace(good, c.from, c.to, 1))
+			strings.Replace(validConfig, c.from, c.to, 1))
 		if c.from == `"%FEED%"` {
-			text = strings.Replace(good, c.from, c.to, 1)
+			text = strings.Replace(validConfig, c.from, c.to, 1)
 		}
 		if _, err := parseControllerConfig([]byte(text)); (err == nil) != (c.says == "") ||
 			err != nil && !strings.Contains(err.Error(), c.says) {
--- a/cmd/mintkeel/configchange.go
+++ b/cmd/mintkeel/configchange.go
@@ -26,7 +26,8 @@
 func (f *changeFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.reason, "reason", "", "why; kept with the version")
 	c.Flags().StringVar(&f.author, "author", "", "who; kept with the version (the user)")
-	c.Flags().Uint64Var(&f.expect, "expect", 0, "the newest version that you have seen, 0: none; with a newer one nothing is done")
+	c.Flags().Uint64Var(&f.expect, "expect", 0,
+		"the newest version that you have seen, 0: none; with a newer one nothing is done")
 	c.Flags().DurationVar(&f.wait, "wait", defaultConfigWait, "how long to wait until it is in force everywhere")
 }
 
@@ -150,7 +151,8 @@
 		return errors.Join(errors.New("refused"), errorIf(answer.Reason != "", answer.Reason), err)
 	}
 	why := cmp.Or(answer.Reason, "no answer in time")
-	return errors.Join(fmt.Errorf("not known whether it was agreed: %s\nsee mintkeel fleet config history", why), err)
+	unknown := fmt.Errorf("not known whether it was agreed: %s\nsee mintkeel fleet config history", why)
+	return errors.Join(unknown, err)
 }
 
 // awaitInForce polls the status until a version is settled or the wait is over.
--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -45,7 +45,8 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(commands.put(), commands.rollback(), commands.status(), commands.history(), commands.show(), commands.diff())
+	c.AddCommand(commands.put(), commands.rollback(), commands.status())
+	c.AddCommand(commands.history(), commands.show(), commands.diff())
 	return c
 }
 
@@ -158,7 +159,11 @@
 				return err
 			}
 			if cc.flags.json {
-				return printJSON(c, documentView{Number: number, Version: viewOf(answer.Version), Document: string(answer.Document)})
+				return printJSON(c, documentView{
+					Number:   number,
+					Version:  viewOf(answer.Version),
+					Document: string(answer.Document),
+				})
 			}
 			_, err = c.OutOrStdout().Write(answer.Document)
 			return err
@@ -181,7 +186,8 @@
 			if err != nil {
 				return err
 			}
-			text := udiff.Unified(fmt.Sprint("version ", older), fmt.Sprint("version ", newer), string(from.Document), string(to.Document))
+			text := udiff.Unified(fmt.Sprint("version ", older), fmt.Sprint("version ", newer),
+				string(from.Document), string(to.Document))
 			if cc.flags.json {
 				return printJSON(c, diffView{From: older, To: newer, Diff: text})
 			}
--- a/cmd/mintkeel/configcommands_test.go
+++ b/cmd/mintkeel/configcommands_test.go
@@ -19,7 +19,7 @@
 )
 
 // fakeControl is a controller's socket for operators, with answers by action; an action asked more often than it has
-// answers hears the last one again. An answer of nil closes the connection without a word.
+// answers gets the last one again. A nil answer closes the connection.
 type fakeControl struct {
 	folder  string
 	answers map[configuration.Action][]*control.Status
@@ -71,7 +71,7 @@
 	json.NewEncoder(conn).Encode(left[0])
 }
 
-// last is the last order of an action.
+// last returns the last request of an action.
 func (f *fakeControl) last(action configuration.Action) (order configuration.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +92,7 @@
 		Time: time.Date(2026, 12, 2, 5, 6, 7, 0, time.UTC).UnixMilli()}
 }
 
-// statusOf is a status of a leader that has collected for long.
+// statusOf is a status of a leader that has collected reports for a minute.
 func statusOf(number uint64, memberCount, inForce int, change func(*config.Status)) configuration.Answer {
 	s := &config.Status{
 		Latest:       *versionOf(number),
--- a/cmd/mintkeel/configprint.go
+++ b/cmd/mintkeel/configprint.go
@@ -35,7 +35,8 @@
 	}
 	fmt.Fprintln(out, found.summary(now))
 	if found.collectedTooShort() {
-		fmt.Fprintf(out, "the leader has collected for %v only: who is not heard may not have reported to it yet\n", collectedFor(found.status))
+		fmt.Fprintf(out, "the leader has collected for %v only: who is not heard may not have reported to it yet\n",
+			collectedFor(found.status))
 	}
 	fmt.Fprintf(out, "the controller asked: %s\n", formatReadiness(local))
 	return err
@@ -64,8 +65,8 @@
 		if v.RollbackOf > 0 {
 			reason = fmt.Sprintf("rollback to %d: %s", v.RollbackOf, reason)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%.12s\t%s\n", v.Number, time.UnixMilli(v.Time).Format(time.DateTime), oneLine(v.Author), v.Size, v.Hash,
-			reason)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%.12s\t%s\n", v.Number, time.UnixMilli(v.Time).Format(time.DateTime),
+			oneLine(v.Author), v.Size, v.Hash, reason)
 	}
 	return t.Flush()
 }
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -89,14 +89,17 @@
 		return nil
 	}
 	if s.status == nil {
-		err := fmt.Errorf("version %d is agreed; where it is in force is not known: no leader told it within %v", number, wait)
+		err := fmt.Errorf("version %d is agreed; where it is in force is not known: no leader told it within %v",
+			number, wait)
 		return &exitError{exitPartial, errors.Join(err, s.err)}
 	}
 	if s.collectedTooShort() && s.inForce(number) == s.status.Members-s.unreachable() {
-		return &exitError{exitPartial, fmt.Errorf("version %d: %d controllers are not heard, and the leader has collected for %v only", number,
-			s.unreachable(), collectedFor(s.status))}
+		err := fmt.Errorf("version %d: %d controllers are not heard, and the leader has collected for %v only",
+			number, s.unreachable(), collectedFor(s.status))
+		return &exitError{exitPartial, err}
 	}
-	return &exitError{exitPartial, fmt.Errorf("version %d is agreed and not in force at all controllers that are heard", number)}
+	err := fmt.Errorf("version %d is agreed and not in force at all controllers that are heard", number)
+	return &exitError{exitPartial, err}
 }
 
 func collectedFor(s *config.Status) time.Duration {
@@ -111,22 +114,26 @@
 	}
 	parts := []string{fmt.Sprintf("version %d in force at %d of %d", st.Latest.Number, st.InForce, st.Members)}
 	if n := len(st.Rejected); n > 0 {
-		parts = append(parts, fmt.Sprintf("%d refused: %s", n, listControllers(st.Rejected, func(r config.ControllerReport) string {
+		names := listControllers(st.Rejected, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s (%s)", r.ID, cmp.Or(oneLine(r.Reason), "no reason told"))
-		})))
+		})
+		parts = append(parts, fmt.Sprintf("%d refused: %s", n, names))
 	}
 	if n := len(st.Behind); n > 0 {
-		parts = append(parts, fmt.Sprintf("%d behind: %s", n, listControllers(st.Behind, func(r config.ControllerReport) string {
+		names := listControllers(st.Behind, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s (version %d)", r.ID, r.Applied)
-		})))
+		})
+		parts = append(parts, fmt.Sprintf("%d behind: %s", n, names))
 	}
 	switch n := len(st.Unreachable); {
 	case n == 1:
-		parts = append(parts, fmt.Sprintf("1 not heard %s: %s", lastHeard(st.Unreachable[0], now), st.Unreachable[0].ID))
+		only := st.Unreachable[0]
+		parts = append(parts, fmt.Sprintf("1 not heard %s: %s", lastHeard(only, now), only.ID))
 	case n > 1:
-		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, listControllers(st.Unreachable, func(r config.ControllerReport) string {
+		names := listControllers(st.Unreachable, func(r config.ControllerReport) string {
 			return fmt.Sprintf("%s %s", r.ID, lastHeard(r, now))
-		})))
+		})
+		parts = append(parts, fmt.Sprintf("%d not heard: %s", n, names))
 	}
 	if st.Omitted > 0 {
 		parts = append(parts, fmt.Sprintf("%d more that are refused, behind or not heard", st.Omitted))
--- a/cmd/mintkeel/configviews.go
+++ b/cmd/mintkeel/configviews.go
@@ -23,8 +23,15 @@
 	if v == nil {
 		return nil
 	}
-	return &versionView{Number: v.Number, Hash: hex.EncodeToString(v.Hash[:]), Size: v.Size, Author: v.Author, Reason: v.Reason,
-		Time: time.UnixMilli(v.Time).UTC().Format(time.RFC3339Nano), RollbackOf: v.RollbackOf}
+	return &versionView{
+		Number:     v.Number,
+		Hash:       hex.EncodeToString(v.Hash[:]),
+		Size:       v.Size,
+		Author:     v.Author,
+		Reason:     v.Reason,
+		Time:       time.UnixMilli(v.Time).UTC().Format(time.RFC3339Nano),
+		RollbackOf: v.RollbackOf,
+	}
 }
 
 // localView is what the controller asked says of itself.
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -50,10 +50,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.log = d.logOutput.Logger()
-	safety := d.config.facts.SafetyLimits
-	d.loop = controller.New(d.config.facts.NewRouter(d.config.seed), controller.SystemClock(), d.limits.EventQueueLength,
-		safety.OrderingCooldown+safety.EventInterval)
-	d.engines = engines.New(d.limits, d.config.facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
+	facts := d.config.facts
+	d.loop = controller.New(facts.NewRouter(d.config.seed), controller.SystemClock(), d.limits.EventQueueLength,
+		facts.SafetyLimits.OrderingCooldown+facts.SafetyLimits.EventInterval)
+	d.engines = engines.New(d.limits, facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.engines)
 	defer d.leaveFleet()
 	var pending pendingSignals
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -44,7 +44,8 @@
 	c.PersistentFlags().BoolVar(&flags.json, "json", false, "print the whole answer as JSON")
 	status := func([]string) control.Request { return control.Request{Action: "status"} }
 	leases := flags.command("leases", "List the leases, their holders and fencing tokens", 0, status, printLeases)
-	quorum := flags.command("quorum", "Show the voters, the leader, and the role of this controller", 0, status, printQuorum)
+	quorum := flags.command("quorum", "Show the voters, the leader, and the role of this controller", 0, status,
+		printQuorum)
 	c.AddCommand(
 		flags.command("members", "List the controllers of the fleet and their states", 0, status, printMembers),
 		leases, hiddenAlias("works", leases),
@@ -54,11 +55,13 @@
 			func(args []string) control.Request {
 				return control.Request{Action: "handover", Lease: args[0], To: args[1]}
 			}, printLeases),
-		flags.command("replace OLD NEW", "Replace a voter by another controller; complete when quorum lists the new voter", 2,
+		flags.command("replace OLD NEW",
+			"Replace a voter by another controller; complete when quorum lists the new voter", 2,
 			func(args []string) control.Request {
 				return control.Request{Action: "replace", Old: args[0], To: args[1]}
 			}, printQuorum),
-		flags.command("trust", "Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
+		flags.command("trust",
+			"Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
 			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
 		fleetConfigCommand(&flags),
 	)
--- a/cmd/mintkeel/fleetjobs.go
+++ b/cmd/mintkeel/fleetjobs.go
@@ -57,8 +57,12 @@
 		now := float64(time.Now().UnixMicro()) / 1e3
 		snapshot := restore.Snapshot{Owner: d.identity(), Statistics: learned}
 		restored, counts := restore.Select(&snapshot, d.identity(), list, now, restore.DefaultHalfLives())
-		d.log.Info("fleet: the digest", "believed", counts.Restored, "aged", counts.Expired, "future", counts.FromFuture,
-			"unknown", counts.UnknownEngines, "wrong", counts.Invalid)
+		d.log.Info("fleet: the digest",
+			"believed", counts.Restored,
+			"aged", counts.Expired,
+			"future", counts.FromFuture,
+			"unknown", counts.UnknownEngines,
+			"wrong", counts.Invalid)
 		return restored
 	})
 }
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -34,7 +34,7 @@
 	stopped        chan struct{} // closed when no further version is applied
 	stop           sync.Once
 
-	counts struct{ taken, refused, later atomic.Int64 }
+	counts struct{ applied, rejected, retried atomic.Int64 }
 }
 
 // versionRequest asks the main goroutine to apply a version.
@@ -132,11 +132,11 @@
 	err := a.requestApply(v, document)
 	switch {
 	case err == nil:
-		a.counts.taken.Add(1)
+		a.counts.applied.Add(1)
 	case errors.Is(err, configuration.ErrRetryable):
-		a.counts.later.Add(1)
+		a.counts.retried.Add(1)
 	default: // logged by the fleet's service
-		a.counts.refused.Add(1)
+		a.counts.rejected.Add(1)
 	}
 	return err
 }
@@ -167,11 +167,11 @@
 	}
 }
 
-// LogValue prints the version in force and the counts.
+// LogValue returns the version in force and the counts. Log lines call them taken, refused and tried_again.
 func (a *fleetConfig) LogValue() slog.Value {
 	return slog.GroupValue(slog.Uint64("version", a.version.Number), slog.String("hash", shortHash(a.version)),
-		slog.Int64("taken", a.counts.taken.Load()), slog.Int64("refused", a.counts.refused.Load()),
-		slog.Int64("tried_again", a.counts.later.Load()))
+		slog.Int64("taken", a.counts.applied.Load()), slog.Int64("refused", a.counts.rejected.Load()),
+		slog.Int64("tried_again", a.counts.retried.Load()))
 }
 
 // versionAttributes are the attributes of a version in log lines.
--- a/cmd/mintkeel/fleetversions_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -37,11 +37,11 @@
 config {
  wait = "WAIT"
 }
-`) + ruleRefusing("own")
+`) + ruleRejectingAll("own")
 }
 
-// ruleRefusing is a rule that refuses all queries with a text.
-func ruleRefusing(text string) string {
+// ruleRejectingAll is a rule that rejects all queries with a text.
+func ruleRejectingAll(text string) string {
 	return "rule \"" + text + "\" {\n refuse = \"" + text + "\"\n}\n"
 }
 
@@ -62,14 +62,14 @@
 // A version of the fleet's document is applied in one step by the code of a reload; a document that can't be used changes
 // nothing. A reload keeps the version in force, and applies the controller's own blocks beside it.
 func TestVersionIsAppliedInOneStepAndSurvivesReload(t *testing.T) {
-	h, d, _ := startConfigDaemon(t, good)
+	h, d, _ := startConfigDaemon(t, validConfig)
 	c := h.dial()
 	serves := func(id int, want string) {
 		t.Helper()
 		if err := c.query(id, "1"); err != nil {
 			t.Fatal(err)
 		}
-		if said := c.message(); !strings.Contains(said, want) {
+		if said := c.readMessageText(); !strings.Contains(said, want) {
 			t.Errorf("query %d: %q, not %q", id, said, want)
 		}
 	}
@@ -77,7 +77,7 @@
 		return d.fleetConfig.apply(numbered(number), []byte(document))
 	}
 	serves(1, "own")
-	if err := apply(2, ruleRefusing("two")); err != nil {
+	if err := apply(2, ruleRejectingAll("two")); err != nil {
 		t.Error(err)
 	}
 	serves(2, "two")
@@ -86,12 +86,12 @@
 		t.Errorf("a bad document: %v", err)
 	}
 	serves(3, "two")
-	if err := apply(1, ruleRefusing("one")); err != nil { // of a new generation
+	if err := apply(1, ruleRejectingAll("one")); err != nil { // of a new generation
 		t.Error(err)
 	}
 	serves(9, "one")
 	for range 2 { // the same again, too
-		if err := apply(2, ruleRefusing("two")); err != nil {
+		if err := apply(2, ruleRejectingAll("two")); err != nil {
 			t.Error(err)
 		}
 	}
@@ -131,7 +131,7 @@
 // Rules that change ordering keys too often within a short time are not applied by the event loop. The version then fails
 // with a retryable error and changes nothing until a later try.
 func TestVersionIsRetriedWhileRulesChangeTooOften(t *testing.T) {
-	h, d, hangs := startConfigDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
+	h, d, hangs := startConfigDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1))
 	defer h.stop()
 	err := d.fleetConfig.apply(numbered(1), []byte("#")) // without the controller's own rule, which refuses all
 	if err != nil {
@@ -146,7 +146,7 @@
 	if !errors.Is(err, configuration.ErrRetryable) || !errors.Is(err, errRulesBusy) {
 		t.Errorf("ended by %v", err)
 	}
-	if d.fleetConfig.counts.later.Load() != 1 || d.fleetConfig.counts.refused.Load() != 0 {
+	if d.fleetConfig.counts.retried.Load() != 1 || d.fleetConfig.counts.rejected.Load() != 0 {
 		t.Error("counted as refused")
 	}
 }
@@ -170,8 +170,8 @@
 	if a.needsSharedStatistics() {
 		t.Error("the digest is wanted after the end")
 	}
-	if a.counts.later.Load() != 2 {
-		t.Errorf("%d tried again", a.counts.later.Load())
+	if a.counts.retried.Load() != 2 {
+		t.Errorf("%d tried again", a.counts.retried.Load())
 	}
 }
 
@@ -208,8 +208,8 @@
 func newWaitingDaemon(t *testing.T, wait string) *daemon {
 	t.Helper()
 	dir := t.TempDir()
-	h := &testDaemon{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &lines{}}
-	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good))
+	h := &testDaemon{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &logBuffer{}}
+	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(validConfig))
 	h.put(h.from.operatorPath, configFleet(t, dir, wait))
 	s, file, err := h.from.read()
 	if err != nil {
@@ -266,7 +266,7 @@
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		t.Run(name, func(t *testing.T) {
 			feed, engine, _ := feedAndEngine(t)
-			h := newTestDaemon(t, good, feed, engine, "")
+			h := newTestDaemon(t, validConfig, feed, engine, "")
 			own := configFleet(t, h.dir, "8s")
 			if !on {
 				own = strings.Replace(own, "config {\n wait = \"8s\"\n}\n", "", 1)
@@ -322,13 +322,13 @@
 	}
 }
 
-// stacks are those of all goroutines of this process.
+// stacks returns the stacks of all goroutines of this process.
 func stacks() string {
 	text := make([]byte, 1<<20)
 	return string(text[:runtime.Stack(text, true)])
 }
 
-// descriptors are what this process has open.
+// descriptors lists the open descriptors of this process.
 func descriptors(t *testing.T) (names []string) {
 	t.Helper()
 	const folder = "/proc/self/fd"
--- a/cmd/mintkeel/main.go
+++ b/cmd/mintkeel/main.go
@@ -47,8 +47,8 @@
 		SilenceErrors:    true,
 		SilenceUsage:     true,
 	}
-	root.AddCommand(serveCommand(), checkCommand(), versionCommand(), memoryCommand(), rulesCommand(), fleetCommand(),
-		maintenanceCommand())
+	root.AddCommand(serveCommand(), checkCommand(), versionCommand())
+	root.AddCommand(memoryCommand(), rulesCommand(), fleetCommand(), maintenanceCommand())
 	root.SetOut(out)
 	root.SetErr(errs)
 	root.SetArgs(normalizeFlags(args))
--- a/cmd/mintkeel/main_test.go
+++ b/cmd/mintkeel/main_test.go
@@ -12,7 +12,7 @@
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	config, badHCL := filepath.Join(dir, "c.json"), filepath.Join(dir, "bad.hcl")
-	text := strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good)
+	text := strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(validConfig)
 	own, leases := filepath.Join(dir, "own.hcl"), filepath.Join(dir, "leases.hcl")
 	ruled, cases, badCases := filepath.Join(dir, "rules.hcl"), filepath.Join(dir, "cases.hcl"), filepath.Join(dir, "bad_cases.hcl")
 	const query = "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=1500,store=12-east */ SELECT 1 FROM menu_17.items"
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -29,19 +29,23 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	m := &maintenanceCaller{}
-	c.PersistentFlags().StringVar(&m.folder, "folder", os.Getenv("MINTKEEL_FLEET"), "the controller's `folder` (MINTKEEL_FLEET)")
+	c.PersistentFlags().StringVar(&m.folder, "folder", os.Getenv("MINTKEEL_FLEET"),
+		"the controller's `folder` (MINTKEEL_FLEET)")
 	c.PersistentFlags().BoolVar(&m.asJSON, "json", false, "print the whole answer as JSON")
 	c.AddCommand(
 		m.ofFile("plan FILE", "Submit the plans of a file, all or none; those of the same names are replaced", "plan",
 			printMaintenance),
-		m.ofFile("check FILE", "Check whether the plans of a file are feasible and, if not, why and what would be", "check", printCheck),
+		m.ofFile("check FILE", "Check whether the plans of a file are feasible and, if not, why and what would be", "check",
+			printCheck),
 		m.ofName("status", "Show the plans and the step of the work on each engine", "status", printMaintenance),
 		m.ofName("explain", "Explain why an engine was chosen, and why others wait", "status", printReasons),
-		m.ofName("halt PLAN", "Take no further engines out for a plan; those that are out return", "halt", printMaintenance),
+		m.ofName("halt PLAN", "Take no further engines out for a plan; those that are out return", "halt",
+			printMaintenance),
 		m.ofName("resume PLAN", "Resume a halted plan", "resume", printMaintenance),
 		m.ofName("withdraw PLAN", "End a plan; engines that are out return", "withdraw", printMaintenance),
 		m.ofName("done ENGINE", "Mark the work on an engine as done", "done", printMaintenance),
-		m.ofName("without CONTROLLER", "Go on without the confirmation of a controller: you vouch that it uses no engine any more",
+		m.ofName("without CONTROLLER",
+			"Go on without the confirmation of a controller: you vouch that it uses no engine any more",
 			"without", printMaintenance),
 	)
 	return c
@@ -79,18 +83,19 @@
 // ofName makes a command with the argument of its use, or without one.
 func (m *maintenanceCaller) ofName(use, short, action string, printText maintenancePrinter) *cobra.Command {
 	count := strings.Count(use, " ")
-	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: func(c *cobra.Command, args []string) error {
+	run := func(c *cobra.Command, args []string) error {
 		request := maintenance.Request{Action: action}
 		if len(args) > 0 {
 			request.Name = args[0]
 		}
 		return m.call(c, request, printText)
-	}}
+	}
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: run}
 }
 
 // ofFile makes a command that sends the plans of a file.
 func (m *maintenanceCaller) ofFile(use, short, action string, printText maintenancePrinter) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+	run := func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
 			return err
@@ -103,7 +108,8 @@
 			return fmt.Errorf("%s: holds no plan", args[0])
 		}
 		return m.call(c, maintenance.Request{Action: action, Plans: plans}, printText)
-	}}
+	}
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: run}
 }
 
 // printCheck tells that plans can be done; problems have been printed before.
@@ -127,11 +133,13 @@
 	}
 	fmt.Fprintln(t, "engine\tplan\tis\tfor\twaits for")
 	for _, x := range s.Tasks {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", x.Engine, x.Plan, x.Step, (time.Duration(x.SinceMS) * time.Millisecond).Round(time.Second), x.Waits)
+		since := (time.Duration(x.SinceMS) * time.Millisecond).Round(time.Second)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", x.Engine, x.Plan, x.Step, since, x.Waits)
 	}
 	t.Flush()
 	for _, f := range s.Forecasts {
-		fmt.Fprintf(out, "%s will be done between %s and %s, in nine of ten cases\n", f.Plan, f.After.Format(time.RFC3339), f.Before.Format(time.RFC3339))
+		fmt.Fprintf(out, "%s will be done between %s and %s, in nine of ten cases\n", f.Plan,
+			f.After.Format(time.RFC3339), f.Before.Format(time.RFC3339))
 	}
 }
 
--- a/cmd/mintkeel/memoryprint.go
+++ b/cmd/mintkeel/memoryprint.go
@@ -36,8 +36,8 @@
 	}
 	table("Engines", "id\tage\tweighs\tpace\twidth\toutcomes\tshares with", len(s.Engines), func(i int) {
 		e := s.Engines[i]
-		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS), e.RemainingWeight, e.Slowdown, e.ThreadsPerCore,
-			e.Outcomes, e.PoolLeader)
+		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS), e.RemainingWeight, e.Slowdown,
+			e.ThreadsPerCore, e.Outcomes, e.PoolLeader)
 	})
 	table("Table groups", "id\tage\tweighs\tasks for\tat", len(s.Tables), func(i int) {
 		g := s.Tables[i]
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -163,7 +163,7 @@
 func TestCheckOutputIsStable(t *testing.T) {
 	dir := t.TempDir()
 	file, bad := filepath.Join(dir, "config.json"), filepath.Join(dir, "bad.hcl")
-	text := strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(good)
+	text := strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(validConfig)
 	golden.Write(t, file, []byte(text))
 	golden.Write(t, bad, []byte("log {\n level = 1\n}\nx = 1\n"))
 	for name, args := range map[string][]string{
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -23,7 +23,7 @@
 	dir    string
 	addr   string // for clients
 	fleet  string // for the fleet
-	log    *lines
+	log    *logBuffer
 	cmd    *exec.Cmd
 	ended  chan error
 	query  int
@@ -39,7 +39,7 @@
 	return binary
 }
 
-// reserveAddress is a loopback address that nothing listens on, and that no other caller is given.
+// reserveAddress returns a loopback address that nothing listens on, another one for each caller.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.Reserve()
@@ -49,7 +49,7 @@
 	return address
 }
 
-// configProcesses are controllers n1 to nN of one fleet with the block config, not started. The first three vote. The
+// configProcesses makes controllers n1 to nN of one fleet with the block config, not started. The first three vote. The
 // last one has another kind of engine than the others.
 func configProcesses(t *testing.T, count int) []*process {
 	t.Helper()
@@ -71,13 +71,13 @@
 		}
 	}
 	for i, p := range all {
-		text := strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", p.addr, `"name":"n1"`, fmt.Sprintf(`"name":%q`, p.name)).Replace(good)
+		text := strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", p.addr, `"name":"n1"`, fmt.Sprintf(`"name":%q`, p.name)).Replace(validConfig)
 		if i == 3 {
 			text = strings.ReplaceAll(text, `"std"`, `"big"`)
 		}
 		p.write("config.json", text)
 		p.write("operator.hcl", fmt.Sprintf("fleet {\n name = \"e\"\n listen = %q\n key_file = %q\n folder = %q\n council = { %s }\n lease = \"1s\"\n}\n"+
-			"config {\n wait = \"2s\"\n}\n", p.fleet, filepath.Join(dir, "fleet.key"), p.folder(), strings.Join(council, ", "))+ruleRefusing("own"))
+			"config {\n wait = \"2s\"\n}\n", p.fleet, filepath.Join(dir, "fleet.key"), p.folder(), strings.Join(council, ", "))+ruleRejectingAll("own"))
 	}
 	return all
 }
@@ -101,7 +101,7 @@
 // launch starts the daemon.
 func (p *process) launch() {
 	p.t.Helper()
-	p.log, p.ended = &lines{}, make(chan error, 1)
+	p.log, p.ended = &logBuffer{}, make(chan error, 1)
 	p.cmd = exec.Command(p.binary, "serve", "--config", filepath.Join(p.dir, "config.json"), "--operator", filepath.Join(p.dir, "operator.hcl"))
 	p.cmd.Stderr = p.log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -113,7 +113,7 @@
 	p.t.Cleanup(func() { cmd.Process.Kill() })
 }
 
-// end has the daemon end by a signal, and returns how it did.
+// end sends the daemon a signal and returns its exit error.
 func (p *process) end(sig syscall.Signal) error {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(sig); err != nil {
@@ -122,13 +122,13 @@
 	select {
 	case err := <-p.ended:
 		return err
-	case <-time.After(2 * patience):
+	case <-time.After(2 * testTimeout):
 		p.t.Fatalf("%s does not end: %s", p.name, p.log)
 		return nil
 	}
 }
 
-// serves checks what a query is answered.
+// serves checks the answer to a query.
 func (p *process) serves(want string) {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -136,15 +136,15 @@
 		p.t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, hello)
 	c := &client{p.t, conn}
-	c.hears()
+	c.awaitMessageKinds()
 	p.query++
 	if err := c.query(p.query, "1"); err != nil {
 		p.t.Fatal(err)
 	}
-	if said := c.message(); !strings.Contains(said, want) {
+	if said := c.readMessageText(); !strings.Contains(said, want) {
 		p.t.Errorf("%s serves %q, not %q: %s", p.name, said, want, p.log)
 	}
 }
@@ -168,7 +168,7 @@
 // awaitLeader waits until the quorum answers.
 func (p *process) awaitLeader() {
 	p.t.Helper()
-	for end := time.Now().Add(2 * patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(2 * testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		code, out, errs := p.config("history")
 		if code == 0 {
 			return
@@ -182,7 +182,7 @@
 // await asks for the status until it begins with a line.
 func (p *process) await(line string) {
 	p.t.Helper()
-	for end := time.Now().Add(2 * patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(2 * testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		_, out, errs := p.config("status")
 		if strings.HasPrefix(out, line) {
 			return
@@ -208,12 +208,12 @@
 	for _, p := range all {
 		p.launch()
 	}
-	playPuts(t, all)
-	playRestarts(t, all)
-	playRollback(all)
-	playUnusable(t, all)
-	playAtOnce(t, all)
-	playSizes(all)
+	checkPuts(t, all)
+	checkRestarts(t, all)
+	checkRollback(all)
+	checkUnusableDocument(t, all)
+	checkConcurrentPuts(t, all)
+	checkDocumentSizes(all)
 	for _, p := range all {
 		if err := p.end(syscall.SIGTERM); err != nil {
 			t.Error(err)
@@ -221,8 +221,8 @@
 	}
 }
 
-// playPuts puts two versions in force, and tries what can't be agreed on.
-func playPuts(t *testing.T, all []*process) {
+// checkPuts puts two versions in force, and tries documents that can't be agreed on.
+func checkPuts(t *testing.T, all []*process) {
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	for _, p := range all {
 		p.log.wait(t, "serving")
@@ -230,24 +230,24 @@
 	}
 	n1.awaitLeader()
 	n1.expect(0, "no version is agreed yet", "status")
-	n1.expect(0, "version 1 in force at 4 of 4", "put", "--reason", "first", "--expect", "0", "--author", "anna", n1.file(ruleRefusing("one")))
+	n1.expect(0, "version 1 in force at 4 of 4", "put", "--reason", "first", "--expect", "0", "--author", "anna", n1.file(ruleRejectingAll("one")))
 	for _, p := range all {
 		p.serves("one")
 		p.log.wait(t, "configuration version in force author=anna") // at those that don't vote too
 	}
 	n4.expect(1, "line 2, column 9: field log.level", "put", "--reason", "bad", n4.file("log {\nlevel = \"loud\"\n}\n"))
 	n2.expect(1, "field fleet.name is each controller's own", "put", "--reason", "bad", n2.file("fleet {\n name = \"x\"\n}\n"))
-	n3.expect(4, "version 1 by anna (first) was agreed first", "put", "--reason", "late", "--expect", "0", n3.file(ruleRefusing("late")))
+	n3.expect(4, "version 1 by anna (first) was agreed first", "put", "--reason", "late", "--expect", "0", n3.file(ruleRejectingAll("late")))
 	n2.expect(0, "version 1 in force at 4 of 4", "status")
-	two := ruleRefusing("two") + "memory {\n folder = \"" + filepath.Dir(n1.dir) + "/memory-${name}\"\n}\n"
+	two := ruleRejectingAll("two") + "memory {\n folder = \"" + filepath.Dir(n1.dir) + "/memory-${name}\"\n}\n"
 	n4.expect(0, "version 2 in force at 4 of 4", "put", "--reason", "second", "--expect", "1", n4.file(two))
 	for _, p := range all {
 		p.serves("two")
 	}
 }
 
-// playRestarts has the version in force outlast a reload, a restart, and the death of all, after which one begins alone.
-func playRestarts(t *testing.T, all []*process) {
+// checkRestarts: the version in force survives a reload, a restart, and a crash of all, after which one starts alone.
+func checkRestarts(t *testing.T, all []*process) {
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	n2.cmd.Process.Signal(syscall.SIGHUP)
 	n2.log.wait(t, "configuration version stays in force")
@@ -270,7 +270,7 @@
 	n3.start() // no majority of voters: by what the folder kept
 	n3.log.wait(t, "configuration version not confirmed as the latest")
 	n3.serves("two")
-	n3.expect(1, "the leader of the quorum does not answer", "put", "--reason", "alone", n3.file(ruleRefusing("alone")))
+	n3.expect(1, "the leader of the quorum does not answer", "put", "--reason", "alone", n3.file(ruleRejectingAll("alone")))
 	for _, p := range []*process{n1, n2, n4} {
 		p.launch()
 	}
@@ -280,8 +280,8 @@
 	}
 }
 
-// playRollback puts the first version back, and looks at what is remembered.
-func playRollback(all []*process) {
+// checkRollback puts the first version back, and reads the history.
+func checkRollback(all []*process) {
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	n4.awaitLeader()
 	n4.expect(0, "version 3 in force at 4 of 4", "rollback", "1", "--reason", "two was bad")
@@ -290,12 +290,13 @@
 	}
 	n1.expect(0, "rollback to 1: two was bad", "history")
 	n2.expect(0, "+rule \"two\" {", "diff", "1", "2")
-	n3.expect(0, ruleRefusing("one"), "show", "3")
+	n3.expect(0, ruleRejectingAll("one"), "show", "3")
 	n3.expect(1, "version 9", "show", "9")
 }
 
-// playUnusable puts a version that one can't use: it is in force at the others, and that one keeps the version before.
-func playUnusable(t *testing.T, all []*process) {
+// checkUnusableDocument puts a version that one controller can't use: it is in force at the others, and that one keeps the
+// version before.
+func checkUnusableDocument(t *testing.T, all []*process) {
 	n1, n2, n4 := all[0], all[1], all[3]
 	n1.expect(3, "version 4 in force at 3 of 4; 1 refused: n4 (line 3, column 10: field rule \"four\".kinds", "put", "--reason", "fourth",
 		n1.file("rule \"four\" {\n refuse = \"four\"\n kinds = [\"std\"]\n}\n"))
@@ -311,11 +312,11 @@
 	n2.await("version 4 in force at 3 of 4; 1 refused: n4 (line 3")
 }
 
-// playAtOnce puts two versions at once: one wins, the other is told so.
-func playAtOnce(t *testing.T, all []*process) {
+// checkConcurrentPuts puts two versions at once: one wins, the other gets the exit code for lost.
+func checkConcurrentPuts(t *testing.T, all []*process) {
 	codes := make(chan int, 2)
 	for _, p := range []*process{all[0], all[2]} {
-		path := p.file(ruleRefusing("from " + p.name))
+		path := p.file(ruleRejectingAll("from " + p.name))
 		go func() {
 			code, _, _ := p.config("put", "--reason", "at once", "--expect", "4", path)
 			codes <- code
@@ -326,11 +327,11 @@
 	}
 }
 
-// playSizes puts documents of the least and the largest size, and of one too large.
-func playSizes(all []*process) {
+// checkDocumentSizes puts documents of the least and the largest size, and one that is too large.
+func checkDocumentSizes(all []*process) {
 	n2 := all[1]
 	for i, size := range []int{1, 64 << 10, 1 << 20} {
-		text := ruleRefusing(fmt.Sprint("size ", size))
+		text := ruleRejectingAll(fmt.Sprint("size ", size))
 		text = strings.Repeat("#", max(1, size-len(text)-1)) + "\n" + text
 		n2.expect(0, fmt.Sprintf("version %d in force at 4 of 4", 6+i), "put", "--reason", "size", n2.file(text[:size]))
 	}
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -169,7 +169,8 @@
 }
 
 // errRulesBusy means that the event loop takes no new rules at the moment; a later try may succeed.
-var errRulesBusy = errors.New("rules have changed too often within the last seconds, or too many commands are held: try again")
+var errRulesBusy = errors.New(
+	"rules have changed too often within the last seconds, or too many commands are held: try again")
 
 // logFixedFields logs the fields of a new configuration that differ and are not applied: only the address
 // of discovery may change while running.
--- a/cmd/mintkeel/reload_test.go
+++ b/cmd/mintkeel/reload_test.go
@@ -20,7 +20,7 @@
 // the snapshots at the end are complete.
 func TestSnapshotsSurviveReloadsUnderLoad(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
-	h := newTestDaemon(t, good, feed, engine, "")
+	h := newTestDaemon(t, validConfig, feed, engine, "")
 	block := func(folder, pace string) string {
 		return fmt.Sprintf("memory {\n folder = %q\n pace = %q\n}\n", filepath.Join(h.dir, folder), pace)
 	}
@@ -36,7 +36,7 @@
 				return
 			default:
 			}
-			if c.query(n, "1"); c.hears() != "TDCZ" {
+			if c.query(n, "1"); c.awaitMessageKinds() != "TDCZ" {
 				t.Errorf("command %d is not answered", n)
 				return
 			}
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	end.Close()
-	if x, err := readWithTimeout(patience, func() (int, error) { return 7, nil }); x != 7 || err != nil {
+	if x, err := readWithTimeout(testTimeout, func() (int, error) { return 7, nil }); x != 7 || err != nil {
 		t.Error(x, err)
 	}
 }
@@ -92,7 +92,7 @@
 func TestReloadMeetsReload(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
 	moved, _, _ := feedAndEngine(t)
-	h := newTestDaemon(t, good, feed, engine, "")
+	h := newTestDaemon(t, validConfig, feed, engine, "")
 	text, err := os.ReadFile(h.from.configPath)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/mintkeel/rules_test.go
+++ b/cmd/mintkeel/rules_test.go
@@ -17,7 +17,7 @@
 func TestRulesRejectAndReload(t *testing.T) {
 	feed, engine, _ := feedAndEngine(t)
 	const no = "rule \"no\" {\n when = \"table_name == 't'\"\n refuse = \"not now\"\n}\n"
-	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
+	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
 	h.serve()
 	c := h.dial()
 	for i, step := range []struct{ text, word, says string }{
@@ -31,13 +31,13 @@
 		if step.word != "" {
 			h.reload(step.text, step.word)
 		}
-		if c.query(i, "1"); c.hears() != step.says {
+		if c.query(i, "1"); c.awaitMessageKinds() != step.says {
 			t.Errorf("step %d: not %s", i, step.says)
 		}
 	}
 	h.reload(no, again)
 	c.query(99, "1")
-	c.hears()
+	c.awaitMessageKinds()
 	h.stop()
 	if text := h.log.String(); !strings.Contains(text, "rules.refused=1") || !strings.Contains(text, "bad_queries=0") {
 		t.Error(text)
@@ -110,7 +110,7 @@
 		// Each reload is awaited by its line, so none may be dropped.
 		return fmt.Sprintf("log {\n burst = 1000\n}\nrule %q {\n key = \"'%s/' + label('store')\"\n}\n", name, name)
 	}
-	h := newTestDaemon(t, strings.Replace(good, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
+	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
 	h.serve()
 	var group sync.WaitGroup
 	stop := make(chan bool)
@@ -126,7 +126,7 @@
 				store := fmt.Sprint("store_", (n+i)%3)
 				body := fmt.Sprintf("/* verb=lookup,txn=%08x%08x,limit=5000,store=%s */ SELECT 1 FROM s_1.%s WHERE x\x00", n, i, store, store)
 				fmt.Fprintf(c, "Q%s%s", binary.BigEndian.AppendUint32(nil, uint32(4+len(body))), body)
-				if said := c.hears(); said != "TDCZ" {
+				if said := c.awaitMessageKinds(); said != "TDCZ" {
 					t.Errorf("client %d, command %d: %s", n, i, said)
 					return
 				}
@@ -147,7 +147,7 @@
 			defer engine.mu.Unlock()
 			return engine.taken
 		}
-		for end := time.Now().Add(patience); h.log.count(word) <= seen && h.log.count(soon) <= early || taken() < 4*i; {
+		for end := time.Now().Add(testTimeout); h.log.count(word) <= seen && h.log.count(soon) <= early || taken() < 4*i; {
 			if time.Sleep(time.Millisecond); time.Now().After(end) {
 				t.Fatalf("no %q: %s", word, h.log)
 			}
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -59,6 +59,6 @@
 		longestMS = max(longestMS, class.ClientTimeout)
 	}
 	connections := config.facts.Connections
-	return limits.For(config.Grants.Descriptors, config.Grants.MemoryMB, connections.ConnectTimeout, connections.IdleTimeout,
-		time.Duration(longestMS*float64(time.Millisecond)))
+	return limits.For(config.Grants.Descriptors, config.Grants.MemoryMB, connections.ConnectTimeout,
+		connections.IdleTimeout, time.Duration(longestMS*float64(time.Millisecond)))
 }
--- a/cmd/mintkeel/serve_test.go
+++ b/cmd/mintkeel/serve_test.go
@@ -27,26 +27,26 @@
 			t.Fatal(err)
 		}
 	}
-	configure(good, feed)
+	configure(validConfig, feed)
 	s, err := readControllerConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
-	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, patience, 100*time.Millisecond
+	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, testTimeout, 100*time.Millisecond
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	d := &daemon{sources: configSources{configPath: path}, config: s, file: &operator.File{}, limits: l,
 		logOutput: logs.New(io.Discard, logs.DefaultBlock())}
 	go func() { ended <- d.run(signals) }()
 	dial := func() *client {
-		for deadline := time.Now().Add(patience); ; {
+		for deadline := time.Now().Add(testTimeout); ; {
 			conn, err := net.Dial("tcp", addr)
 			if err == nil {
-				conn.SetDeadline(time.Now().Add(patience))
+				conn.SetDeadline(time.Now().Add(testTimeout))
 				t.Cleanup(func() { conn.Close() })
 				io.WriteString(conn, hello)
 				c := &client{t, conn}
-				c.hears()
+				c.awaitMessageKinds()
 				return c
 			}
 			if time.Now().After(deadline) {
@@ -56,7 +56,7 @@
 	}
 	one, two := dial(), dial()
 	for i := range 3 {
-		if one.query(i, "1"); one.hears() != "TDCZ" {
+		if one.query(i, "1"); one.awaitMessageKinds() != "TDCZ" {
 			t.Fatal("not answered")
 		}
 	}
@@ -70,9 +70,9 @@
 		t.Errorf("a bad file is read as %+v, %v", r.config, r.fileErr)
 	}
 	signals <- syscall.SIGHUP
-	configure(strings.Replace(good, "192", "64", 1), moved.Addr().String())
+	configure(strings.Replace(validConfig, "192", "64", 1), moved.Addr().String())
 	signals <- syscall.SIGHUP
-	moved.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	moved.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	conn, err := moved.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -85,19 +85,19 @@
 	two.query(10, "hang")
 	<-hangs
 	one.query(10, "1") // an id that is open, which engines could not tell apart
-	if said := one.hears(); said != "EZ" {
+	if said := one.awaitMessageKinds(); said != "EZ" {
 		t.Errorf("an open id: %s", said)
 	}
 	signals <- syscall.SIGUSR1
 	signals <- syscall.SIGTERM
-	if one.query(11, "1"); one.hears() != "TDCZ" {
+	if one.query(11, "1"); one.awaitMessageKinds() != "TDCZ" {
 		t.Error("not answered while stopping")
 	}
 	three := dial()
-	if three.query(12, "1"); three.hears() != "TDCZ" {
+	if three.query(12, "1"); three.awaitMessageKinds() != "TDCZ" {
 		t.Error("a new connection not answered while stopping")
 	}
-	if said := two.hears(); said != "EZ" {
+	if said := two.awaitMessageKinds(); said != "EZ" {
 		t.Errorf("what hangs: %s", said)
 	}
 	select {
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("goes on for ever")
 	}
 }
--- a/cmd/mintkeel/shutdown_test.go
+++ b/cmd/mintkeel/shutdown_test.go
@@ -17,7 +17,7 @@
 func TestStopCrossings(t *testing.T) {
 	t.Run("during the start", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, good, feed, engine, "")
+		h := newTestDaemon(t, validConfig, feed, engine, "")
 		h.early = []os.Signal{syscall.SIGTERM, syscall.SIGTERM}
 		h.serve()
 		if err := <-h.ended; err != nil {
@@ -26,11 +26,11 @@
 	})
 	t.Run("twice, and a reload behind it", func(t *testing.T) {
 		feed, engine, hangs := feedAndEngine(t)
-		h := newTestDaemon(t, good, feed, engine, "")
-		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = patience }
+		h := newTestDaemon(t, validConfig, feed, engine, "")
+		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = testTimeout }
 		h.serve()
 		rests, open := h.dial(), h.dial()
-		if rests.query(1, "1"); rests.hears() != "TDCZ" {
+		if rests.query(1, "1"); rests.awaitMessageKinds() != "TDCZ" {
 			t.Error("not answered")
 		}
 		open.query(2, "hang")
@@ -39,7 +39,7 @@
 		h.log.wait(t, "told to stop")
 		h.put(h.from.configPath, "no configuration")
 		h.signals <- syscall.SIGHUP
-		if said := open.hears(); said != "EZ" {
+		if said := open.awaitMessageKinds(); said != "EZ" {
 			t.Errorf("what hangs: %s", said)
 		}
 		if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
@@ -64,9 +64,9 @@
 	})
 	t.Run("and clients that ask to the last", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, good, feed, engine, "")
+		h := newTestDaemon(t, validConfig, feed, engine, "")
 		h.change = func(l *limits.Limits) {
-			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = patience, patience-time.Second, patience
+			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = testTimeout, testTimeout-time.Second, testTimeout
 		}
 		h.serve()
 		rests, asks := h.dial(), h.dial()
@@ -75,7 +75,7 @@
 			if err := asks.query(id, "1"); err != nil {
 				t.Fatalf("query %d: %v", id, err)
 			}
-			if said, err := asks.heard(); err == io.EOF && said == "" {
+			if said, err := asks.readMessageKinds(); err == io.EOF && said == "" {
 				break // it crossed the end
 			} else if err != nil || said != "TDCZ" && said != "EZ" { // shed once there is no time left
 				t.Fatalf("query %d: said %q, %v", id, said, err)
@@ -101,12 +101,12 @@
 	})
 	t.Run("while a reload hangs", func(t *testing.T) {
 		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, good, feed, engine, "")
+		h := newTestDaemon(t, validConfig, feed, engine, "")
 		h.serve()
 		defer h.hangingReload().Close()
 		began := time.Now()
 		h.signals <- syscall.SIGTERM
-		if err := <-h.ended; err != nil || time.Since(began) > patience/2 {
+		if err := <-h.ended; err != nil || time.Since(began) > testTimeout/2 {
 			t.Errorf("ended by %v after %v", err, time.Since(began))
 		}
 	})
--- a/cmd/mintkeel/start.go
+++ b/cmd/mintkeel/start.go
@@ -35,11 +35,12 @@
 	retryAfter := func() time.Duration {
 		return time.Duration(facts.Capabilities.RetryAfterDelay(rand.Float64()) * float64(time.Millisecond))
 	}
-	d.clients = clients.New(d.limits, &facts.Names, facts.Classes, d.loop.Offer, retryAfter, d.loop.PostClientEvent, d.log)
+	d.clients = clients.New(d.limits, &facts.Names, facts.Classes, d.loop.Offer, retryAfter,
+		d.loop.PostClientEvent, d.log)
 	go d.loop.Run(ctx)
 	d.loop.SetRules(d.file.Rules)
-	d.discovery = discovery.NewWatcher(d.config.Discovery, lastUpdate, &facts.Names, d.limits, d.loop.PostEndpoints,
-		d.log)
+	d.discovery = discovery.NewWatcher(d.config.Discovery, lastUpdate, &facts.Names, d.limits,
+		d.loop.PostEndpoints, d.log)
 	go d.discovery.Follow(ctx)
 	if d.sources.operatorPath != "" {
 		d.clients.ExpectRules()
--- a/cmd/mintkeel/testdaemon_test.go
+++ b/cmd/mintkeel/testdaemon_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	patience = 10 * time.Second // for what must come
-	hello    = "\x00\x00\x00\x12\x00\x03\x00\x00user\x00app\x00\x00"
-	good     = `{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
+	testTimeout = 10 * time.Second // for what must come
+	hello       = "\x00\x00\x00\x12\x00\x03\x00\x00user\x00app\x00\x00"
+	validConfig = `{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
  "sockets":1024},"bulletin":"%FEED%","known":{"no":1,"items":[{"no":1,"roster":{"seq":1,"whole":true,"hosts":[
  {"host":"s-00000001","dial":"%ENGINE%","site":"east","class":"std","block":0,"health":"active","share":1,
  "born_ms":0}]}}]},"settings":{"n_instances":1,"round_ns":5000000,"zone":"east","failure_domains":["east"],
@@ -87,18 +87,18 @@
 	return err
 }
 
-// hears is the kinds of the messages up to the next ReadyForQuery.
-func (c *client) hears() string {
+// awaitMessageKinds reads the kinds of the messages up to the next ReadyForQuery.
+func (c *client) awaitMessageKinds() string {
 	c.t.Helper()
-	said, err := c.heard()
+	said, err := c.readMessageKinds()
 	if err != nil {
 		c.t.Fatalf("after %q: %v", said, err)
 	}
 	return said
 }
 
-// heard is the same, or how the session ended.
-func (c *client) heard() (said string, err error) {
+// readMessageKinds does the same, and returns the error with which the session ended.
+func (c *client) readMessageKinds() (said string, err error) {
 	for !strings.HasSuffix(said, "Z") {
 		head := make([]byte, 5)
 		if _, err := io.ReadFull(c, head); err != nil {
@@ -110,8 +110,8 @@
 	return said, nil
 }
 
-// message is what the messages up to the next ReadyForQuery hold, as it stands on the wire.
-func (c *client) message() (text string) {
+// readMessageText returns the content of the messages up to the next ReadyForQuery, as it is on the wire.
+func (c *client) readMessageText() (text string) {
 	c.t.Helper()
 	for {
 		head := make([]byte, 5)
@@ -134,7 +134,7 @@
 	dir     string
 	addr    string
 	from    configSources
-	log     *lines
+	log     *logBuffer
 	early   []os.Signal // that come before it serves
 	change  func(*limits.Limits)
 	signals chan os.Signal
@@ -166,11 +166,11 @@
 		h.t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
-	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod, l.ConfigReadTimeout = 300*time.Millisecond, patience, 50*time.Millisecond, patience
+	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod, l.ConfigReadTimeout = 300*time.Millisecond, testTimeout, 50*time.Millisecond, testTimeout
 	if h.change != nil {
 		h.change(l)
 	}
-	h.log, h.signals, h.ended = &lines{}, make(chan os.Signal, 1+len(h.early)), make(chan error, 1)
+	h.log, h.signals, h.ended = &logBuffer{}, make(chan os.Signal, 1+len(h.early)), make(chan error, 1)
 	for _, sig := range h.early {
 		h.signals <- sig
 	}
@@ -188,14 +188,14 @@
 		runtime.Goexit()
 	}
 	h.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, hello)
 	c := &client{h.t, conn}
-	c.hears()
+	c.awaitMessageKinds()
 	return c
 }
 
-// reload has another operator's file read, and waits for a word of the log.
+// reload writes another operator's file, sends SIGHUP and waits for a text in the log.
 func (h *testDaemon) reload(text, word string) {
 	h.t.Helper()
 	h.put(h.from.operatorPath, text)
@@ -204,7 +204,7 @@
 	h.log.more(h.t, word, seen)
 }
 
-// hangingReload has the configuration read from a pipe, and returns that when it is being read.
+// hangingReload makes a reload read the configuration from a pipe, and returns the pipe once it is being read.
 func (h *testDaemon) hangingReload() *os.File {
 	h.t.Helper()
 	pipe := filepath.Join(h.dir, "pipe")
@@ -228,31 +228,31 @@
 	}
 }
 
-// lines is a log that can be waited on.
-type lines struct {
+// logBuffer holds the log of a daemon; tests can wait for a text in it.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func (l *lines) count(word string) int { return strings.Count(l.String(), word) }
+func (l *logBuffer) count(word string) int { return strings.Count(l.String(), word) }
 
-func (l *lines) wait(t *testing.T, word string) { t.Helper(); l.more(t, word, 0) }
+func (l *logBuffer) wait(t *testing.T, word string) { t.Helper(); l.more(t, word, 0) }
 
-func (l *lines) more(t *testing.T, word string, than int) {
+func (l *logBuffer) more(t *testing.T, word string, than int) {
 	t.Helper()
-	for end := time.Now().Add(patience); l.count(word) <= than; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); l.count(word) <= than; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %q: %s", word, l)
 		}
