--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -29,7 +29,7 @@
 	logOutput *logs.Log         // where log writes; its level and rate limit change with the file
 	log       *slog.Logger      // shared
 
-	loop      *controller.Loop   // event loop of the decision module; has its own goroutine
+	loop      *controller.Loop   // event loop of the decision module, with its own goroutine; shared
 	engines   *engines.Pool      // connections to engines
 	discovery *discovery.Watcher // watch of the endpoint list; has its own goroutine
 	clients   *clients.Server    // clients' sessions; nil until clients are served
