--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -29,7 +29,7 @@
 	logOutput *logs.Log         // where log writes; its level and rate limit change with the file
 	log       *slog.Logger      // shared
 
-	loop      *controller.Loop   // event loop of the decision module; has its own goroutine
+	loop      *controller.Loop   // event loop of the decision module, with its own goroutine; shared
 	engines   *engines.Pool      // connections to engines
 	discovery *discovery.Watcher // watch of the endpoint list; has its own goroutine
 	clients   *clients.Server    // clients' sessions; nil until clients are served
@@ -50,10 +50,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.log = d.logOutput.Logger()
-	safety := d.config.facts.SafetyLimits
-	d.loop = controller.New(d.config.facts.NewRouter(d.config.seed), controller.SystemClock(), d.limits.EventQueueLength,
-		safety.OrderingCooldown+safety.EventInterval)
-	d.engines = engines.New(d.limits, d.config.facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
+	facts := d.config.facts
+	d.loop = controller.New(facts.NewRouter(d.config.seed), controller.SystemClock(), d.limits.EventQueueLength,
+		facts.SafetyLimits.OrderingCooldown+facts.SafetyLimits.EventInterval)
+	d.engines = engines.New(d.limits, facts.Connections.AttemptsPerConnection, d.loop.PostEngineEvent, d.log)
 	d.loop.SetEngines(d.engines)
 	defer d.leaveFleet()
 	var pending pendingSignals
