--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -41,7 +41,7 @@
 	block   chan struct{} // nil: it answers at once
 }
 
-func (p *fakeSource) Statistics(ctx context.Context, from router.Cursor, most int) (Part, error) {
+func (p *fakeSource) Statistics(ctx context.Context, _ router.Cursor, _ int) (Part, error) {
 	p.asked.Add(1)
 	if p.block != nil {
 		select {
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -41,12 +41,12 @@
 	return err
 }
 
-func read(d disk.Disk, name string) (all []Section, serial uint64, err error) {
-	serial, err = Read(d, name, small, func(s Section) error {
+func read(d disk.Disk, name string) (all []Section, err error) {
+	_, err = Read(d, name, small, func(s Section) error {
 		all = append(all, Section{s.Kind, slices.Clone(s.Payload)})
 		return nil
 	})
-	return all, serial, err
+	return all, err
 }
 
 func same(a, b []Section) bool {
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		if got, _, err := read(d, f.Name); err == nil {
+		if got, err := read(d, f.Name); err == nil {
 			for serial := range 10 {
 				if same(got, content(serial)) {
 					return serial
@@ -164,7 +164,7 @@
 	try := func(what string, file []byte) {
 		t.Helper()
 		d.Put(name, file)
-		got, _, err := read(d, name)
+		got, err := read(d, name)
 		if err == nil {
 			t.Errorf("%s: taken for whole", what)
 		}
@@ -188,7 +188,7 @@
 	flipped := slices.Clone(whole)
 	flipped[headerBytes+sectionHeaderBytes+3] ^= 1
 	d.Put(name, flipped)
-	if got, _, _ := read(d, name); !same(got, content(1)[1:]) {
+	if got, _ := read(d, name); !same(got, content(1)[1:]) {
 		t.Errorf("one section damaged: %d are left", len(got))
 	}
 	other := content(1)
@@ -226,7 +226,7 @@
 	} {
 		d := disktest.New()
 		d.Put("snapshot-0000000000000001", c.file)
-		if _, _, err := read(d, "snapshot-0000000000000001"); !errors.Is(err, c.want) {
+		if _, err := read(d, "snapshot-0000000000000001"); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if f := open(t, d); write(f, content(2)) != nil || newest(t, d) != 2 {
@@ -240,13 +240,13 @@
 	}
 	big.Truncate(1 << 30)
 	big.Close()
-	if _, _, err := read(disk.Folder(path), "snapshot-00000000000000ff"); !errors.Is(err, ErrTooLarge) {
+	if _, err := read(disk.Folder(path), "snapshot-00000000000000ff"); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a file of 1 GB: %v", err)
 	}
 	if err := os.Mkdir(filepath.Join(path, "snapshot-00000000000000fe"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := read(disk.Folder(path), "snapshot-00000000000000fe"); err == nil {
+	if _, err := read(disk.Folder(path), "snapshot-00000000000000fe"); err == nil {
 		t.Error("a folder is read as a file")
 	}
 	for _, name := range []string{"", ".", "..", "../x", "a/b"} {
