--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -85,8 +85,11 @@
 		Problems []problem `json:"problems"`
 	}{OK: err == nil, Problems: []problem{}}
 	if err == nil {
-		found.Name, found.Profiles, found.Tenants = s.Name, len(s.facts.Classes), len(s.facts.Tenants)
-		found.Kinds, found.Memory = len(s.facts.MachineKinds), file.Memory != nil
+		found.Name = s.Name
+		found.Profiles = len(s.facts.Classes)
+		found.Tenants = len(s.facts.Tenants)
+		found.Kinds = len(s.facts.MachineKinds)
+		found.Memory = file.Memory != nil
 	}
 	for _, p := range operator.Problems(err) {
 		found.Problems = append(found.Problems, problem{p.File, p.Line, p.Column, p.Field, p.Why})
--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -85,7 +85,8 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s.facts = facts
-	if s.endpointUpdates, err = s.InitialEndpoints.Read(&facts.Names); err != nil {
+	s.endpointUpdates, err = s.InitialEndpoints.Read(&facts.Names)
+	if err != nil {
 		return nil, err
 	}
 	return s, nil
--- a/cmd/mintkeel/configprint.go
+++ b/cmd/mintkeel/configprint.go
@@ -16,7 +16,8 @@
 
 // printStatus prints a status; its error holds the exit code.
 func (cc *configCommands) printStatus(c *cobra.Command, local config.Readiness, found configStatus) error {
-	now, out := cc.now(), c.OutOrStdout()
+	now := cc.now()
+	out := c.OutOrStdout()
 	if found.status == nil {
 		err := errors.New("where versions are in force is not known: no leader told it")
 		if cc.flags.json {
--- a/cmd/mintkeel/configviews.go
+++ b/cmd/mintkeel/configviews.go
@@ -116,7 +116,8 @@
 		return
 	}
 	view := statusViewOf(found, nil, now)
-	o.Status, o.line = &view, found.summary(now)
+	o.Status = &view
+	o.line = found.summary(now)
 }
 
 // historyView, documentView and diffView are what history, show and diff print for programs.
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -62,7 +62,8 @@
 		if err := d.joinFleet(); err != nil {
 			return err
 		}
-		if pending = d.awaitLatestVersion(ctx, signals, d.fleet.WaitConfig); pending.stop {
+		pending = d.awaitLatestVersion(ctx, signals, d.fleet.WaitConfig)
+		if pending.stop {
 			d.log.Info("shutdown started before clients were served")
 			return nil
 		}
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -103,7 +103,8 @@
 
 // parse parses a document by the same code as mintkeel check.
 func (a *fleetConfig) parse(document []byte) (*operator.File, error) {
-	hash, local := sha256.Sum256(document), a.local.Load()
+	hash := sha256.Sum256(document)
+	local := a.local.Load()
 	if last := a.parsed.Load(); last != nil && last.hash == hash && last.local == local {
 		return last.file, nil
 	}
--- a/cmd/mintkeel/main.go
+++ b/cmd/mintkeel/main.go
@@ -72,7 +72,8 @@
 func normalizeFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, arg := range args {
-		if out[i] = arg; arg == "-config" || strings.HasPrefix(arg, "-config=") {
+		out[i] = arg
+		if arg == "-config" || strings.HasPrefix(arg, "-config=") {
 			out[i] = "-" + arg
 		}
 	}
--- a/cmd/mintkeel/version.go
+++ b/cmd/mintkeel/version.go
@@ -40,7 +40,8 @@
 	if !ok {
 		return b
 	}
-	b.Version, b.Go = info.Main.Version, info.GoVersion
+	b.Version = info.Main.Version
+	b.Go = info.GoVersion
 	for _, s := range info.Settings {
 		switch s.Key {
 		case "vcs.revision":
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -166,7 +166,8 @@
 		ses.reader = ses.smallReader // so that clients that are idle don't keep large buffers
 	}
 	ses.setReadTimeout(l.ClientIdleTimeout)
-	if _, err = ses.reader.Peek(1); err != nil {
+	_, err = ses.reader.Peek(1)
+	if err != nil {
 		return 0, nil, 0, err
 	}
 	ses.setReadTimeout(l.ClientMessageTimeout)
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -10,7 +10,8 @@
 // checkEnded tells whether the check of a document has ended, and with which error. If it has not
 // been requested it is, unless another check is out.
 func (r *Replica) checkEnded(h Hash) (ended bool, err error) {
-	if err, ended = r.checks.results[h]; ended {
+	err, ended = r.checks.results[h]
+	if ended {
 		return true, err
 	}
 	if r.checks.pending == nil {
--- a/internal/core/fleet/maintenance/decide.go
+++ b/internal/core/fleet/maintenance/decide.go
@@ -38,7 +38,8 @@
 
 // continueTask returns the next move of a task; nil: it waits, or its next step is the caller's.
 func (d *decision) continueTask(t Task) *Move {
-	v, l := d.view, d.limits
+	v := d.view
+	l := d.limits
 	e, listed := findEngine(v.Engines, t.Engine)
 	ready := listed && e.Ready
 	isBack := ready && (v.DrainsListed || e.StartedAt > t.EngineStartedAt)
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -81,7 +81,8 @@
 		contents.damaged++
 		return f, contents, nil
 	}
-	contents.record, contents.document = &record, stored.Documents[stored.Current.Document]
+	contents.record = &record
+	contents.document = stored.Documents[stored.Current.Document]
 	if record.Generation != generation {
 		f.earlier = stored.Current
 	}
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -188,7 +188,8 @@
 
 // LogValue prints the counts.
 func (m *Manager) LogValue() slog.Value {
-	last, counts := m.Readiness(), config.Counters{}
+	last := m.Readiness()
+	var counts config.Counters
 	if counted := m.counters.Load(); counted != nil {
 		counts = *counted
 	}
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -180,7 +180,8 @@
 		return
 	}
 	s.core.WithConfig(s.Now(), func(r *config.Replica) {
-		readiness, counters := r.Readiness(), r.Counters()
+		readiness := r.Readiness()
+		counters := r.Counters()
 		s.manager.readiness.Store(&readiness)
 		s.manager.counters.Store(&counters)
 		s.logRefused(r)
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -140,7 +140,8 @@
 // LogValue prints the counts.
 func (l *Links) LogValue() slog.Value {
 	l.mu.Lock()
-	peers, incoming := len(l.peers), len(l.incoming)
+	peers := len(l.peers)
+	incoming := len(l.incoming)
 	l.mu.Unlock()
 	return slog.GroupValue(
 		slog.Int("peers", peers),
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -130,7 +130,8 @@
 		reply, err := session.sendMaintenance(*request)
 		return sent{reply, err}
 	})
-	if err = cmp.Or(err, found.err); err != nil {
+	err = cmp.Or(err, found.err)
+	if err != nil {
 		return control.Status{}, err
 	}
 	timer := time.NewTimer(control.Timeout)
--- a/internal/fleet/sharedstatistics/collect.go
+++ b/internal/fleet/sharedstatistics/collect.go
@@ -70,7 +70,8 @@
 // sendCollected sends statistics that were taken out to the controller that asked for them.
 func (j *Job) sendCollected(jobContext job.Context) {
 	j.mu.Lock()
-	data, requester := j.collected, j.requester
+	data := j.collected
+	requester := j.requester
 	j.collected = nil
 	j.mu.Unlock()
 	if data == nil {
--- a/match/compile.go
+++ b/match/compile.go
@@ -21,7 +21,8 @@
 		i := n.index
 		return func(ev *evaluation) bool { return ev.value(i).Present }
 	case opHasLabel:
-		name, bounds := n.name, n.bounds
+		name := n.name
+		bounds := n.bounds
 		return func(ev *evaluation) bool { _, has := ev.label(name, bounds); return has }
 	case opNot, opAnd, opOr, opIf:
 		return n.compileLogic()
@@ -78,7 +79,8 @@
 
 // compileComparison compiles comparisons of two values of one type.
 func (n *node) compileComparison() func(*evaluation) bool {
-	negated, equal := n.negated, n.op == opEqual
+	negated := n.negated
+	equal := n.op == opEqual
 	switch n.args[0].valueType {
 	case Bool:
 		a, b := n.args[0].compileBool(), n.args[1].compileBool()
@@ -175,10 +177,12 @@
 		s := n.literal.Text
 		return func(*evaluation) string { return s }
 	case opField:
-		i, maxBytes := n.index, n.field.MaxBytes
+		i := n.index
+		maxBytes := n.field.MaxBytes
 		return func(ev *evaluation) string { return truncate(ev.value(i).Text, maxBytes) }
 	case opLabel:
-		name, bounds := n.name, n.bounds
+		name := n.name
+		bounds := n.bounds
 		return func(ev *evaluation) string { s, _ := ev.label(name, bounds); return s }
 	case opIf:
 		c, a, b := n.args[0].compileBool(), n.args[1].compileText(), n.args[2].compileText()
@@ -195,7 +199,9 @@
 		a := n.args[0].compileText()
 		return func(ev *evaluation) string { return ev.changeCase(a(ev), 'a', 'z') }
 	case opPart:
-		a, separator, b := n.args[0].compileText(), n.args[1].literal.Text, n.args[2].compileNumber()
+		a := n.args[0].compileText()
+		separator := n.args[1].literal.Text
+		b := n.args[2].compileNumber()
 		return func(ev *evaluation) string { return part(a(ev), separator, b(ev)) }
 	}
 	var parts []func(*evaluation) string
--- a/router/pools.go
+++ b/router/pools.go
@@ -76,7 +76,8 @@
 	donor := slices.MinFunc(pools, func(a, b *enginePool) int {
 		return cmp.Compare(r.futureLoad(a), r.futureLoad(b))
 	})
-	load, futureLoad := r.poolLoad(busiest), r.futureLoad(donor)
+	load := r.poolLoad(busiest)
+	futureLoad := r.futureLoad(donor)
 	move := donor != busiest && load >= moveMargin*futureLoad
 	solve := donor != busiest && load >= solveMargin*futureLoad
 	underused := r.underusedPools(pools, busiest)
