--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -9,7 +9,8 @@
 	"mintkeel/internal/core/fleet/config"
 )
 
-// replyGrace is how much longer than its time a request is waited for: the session ends the wait before.
+// replyGrace is how much longer than its time a request is waited for: the session ends the wait
+// before.
 const replyGrace = 3 * time.Second
 
 // Errors of requests.
@@ -37,15 +38,15 @@
 
 // Executor runs functions on the goroutine of the service's session.
 type Executor interface {
-	// Execute has a function called with the session, and returns once the call has begun. After an error it
-	// was not called, and will not be.
+	// Execute has a function called with the session, and returns once the call has begun. After an
+	// error it was not called, and will not be.
 	Execute(f func(*Session)) error
 	// Done is closed when no function is called any more.
 	Done() <-chan struct{}
 }
 
-// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine but the
-// session's may call them.
+// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine
+// but the session's may call them.
 type Client struct {
 	manager  *Manager
 	executor Executor
@@ -57,8 +58,9 @@
 	return &Client{manager: manager, executor: executor}
 }
 
-// Do carries out an operator's request. Other errors than ErrOff (the fleet has no say in this controller's
-// configuration) and that of a nil request come with an answer, which has the version in force here.
+// Do carries out an operator's request. Other errors than ErrOff (the fleet has no say in this
+// controller's configuration) and that of a nil request come with an answer, which has the version
+// in force here.
 func (c *Client) Do(request *Request) (*Answer, error) {
 	if c.manager == nil {
 		return nil, ErrOff
@@ -137,8 +139,10 @@
 	return ""
 }
 
-// propose has a document that was checked agreed on, if the newest version is still the one expected.
-func (c *Client) propose(request *Request, document []byte, expect, rollbackOf uint64) (Answer, error) {
+// propose has a document that was checked agreed on, if the newest version is still the one
+// expected.
+func (c *Client) propose(request *Request, document []byte, expect,
+	rollbackOf uint64) (Answer, error) {
 	v := config.Version{
 		Author:     request.Author,
 		Reason:     request.Reason,
@@ -239,9 +243,9 @@
 	err      error
 }
 
-// Call has a function put a request to the replica, under the number ref, and waits for the reply. The
-// session ends the wait after the timeout. Unless hadNoEffect tells otherwise, the request may have had its
-// effect after an error.
+// Call has a function put a request to the replica, under the number ref, and waits for the reply.
+// The session ends the wait after the timeout. Unless hadNoEffect tells otherwise, the request may
+// have had its effect after an error.
 func (c *Client) Call(timeout time.Duration, request ReplicaRequest) (Reply, error) {
 	reply := make(chan Reply, 1)
 	ref := c.manager.lastRef.Add(1)
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -15,9 +15,10 @@
 // FolderName is the name of the folder of configuration versions within the fleet's folder.
 const FolderName = "config"
 
-// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes nothing
-// in its first minute.
-var folderBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256, Bytes: 4 * config.MaxStored}
+// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes
+// nothing in its first minute.
+var folderBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256,
+	Bytes: 4 * config.MaxStored}
 
 // currentRecord is what the folder's record holds: the version to be in force at a start.
 type currentRecord struct {
@@ -25,7 +26,8 @@
 	Version    config.Version `cbor:"2,keyasint"`
 }
 
-// atLeast tells whether a record is of this version or of a later one of the generation; none is not.
+// atLeast tells whether a record is of this version or of a later one of the generation; none is
+// not.
 func (r *currentRecord) atLeast(generation uint64, v config.Version) bool {
 	if r == nil || r.Generation != generation {
 		return false
@@ -45,9 +47,10 @@
 // Folder stores versions. It is used by one goroutine at a time.
 type Folder struct {
 	folder     *documents.Folder
-	generation uint64             // of the fleet
-	earlier    *documents.Current // of another generation: it counts at a start until a version of this one does
-	unremoved  []config.Hash      // documents that could not be removed yet
+	generation uint64 // of the fleet
+	// of another generation: it counts at a start until a version of this one does
+	earlier   *documents.Current
+	unremoved []config.Hash // documents that could not be removed yet
 }
 
 // Contents is what a folder held when it was opened.
@@ -77,7 +80,8 @@
 	}
 	var record currentRecord
 	err = recordDecoder.Unmarshal(stored.Current.Record, &record)
-	if err != nil || record.Version.Number == 0 || record.Version.Hash != config.Hash(stored.Current.Document) {
+	if err != nil || record.Version.Number == 0 ||
+		record.Version.Hash != config.Hash(stored.Current.Document) {
 		contents.damaged++
 		return f, contents, nil
 	}
@@ -108,7 +112,8 @@
 	return nil
 }
 
-// setCurrent has a version be the one to be in force at a start. One of number 0 is none of this generation.
+// setCurrent has a version be the one to be in force at a start. One of number 0 is none of this
+// generation.
 func (f *Folder) setCurrent(v config.Version) error {
 	if v.Number == 0 {
 		return f.clearCurrent()
@@ -129,8 +134,8 @@
 	return f.folder.ClearCurrent()
 }
 
-// remove lets documents go. One that can't be removed is tried again with the next request, unless it was
-// stored again.
+// remove lets documents go. One that can't be removed is tried again with the next request, unless
+// it was stored again.
 func (f *Folder) remove(request *config.StoreRequest) {
 	hashes := slices.Concat(f.unremoved, request.Remove)
 	f.unremoved = nil
@@ -138,7 +143,8 @@
 		if hash == request.Hash {
 			continue
 		}
-		if err := f.folder.Remove(documents.Hash(hash)); err != nil && !slices.Contains(f.unremoved, hash) {
+		if err := f.folder.Remove(documents.Hash(hash)); err != nil &&
+			!slices.Contains(f.unremoved, hash) {
 			f.unremoved = append(f.unremoved, hash)
 		}
 	}
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -36,8 +36,8 @@
 	Document   []byte
 }
 
-// Manager has documents checked, and versions taken into use, by the program. It outlives sessions; any
-// goroutine may call it.
+// Manager has documents checked, and versions taken into use, by the program. It outlives sessions;
+// any goroutine may call it.
 type Manager struct {
 	host      *Host
 	disk      disk.Disk               // of the folder of versions
@@ -66,7 +66,8 @@
 	return NewManager(host, disk.Folder(filepath.Join(folder, FolderName)))
 }
 
-// check tells whether a document could be used here. A parser that panics ends no more than the check.
+// check tells whether a document could be used here. A parser that panics ends no more than the
+// check.
 func (m *Manager) check(document []byte) (err error) {
 	m.checking.Lock()
 	defer m.checking.Unlock()
@@ -84,8 +85,8 @@
 	return text[:min(len(text), maxProblemBytes)]
 }
 
-// Apply has the host take a version into use, unless that or a later one of the generation is (ErrOlder,
-// ErrOther). One call is made at a time.
+// Apply has the host take a version into use, unless that or a later one of the generation is
+// (ErrOlder, ErrOther). One call is made at a time.
 func (m *Manager) Apply(ctx context.Context, next Applied) (err error) {
 	if !m.reserveApply(ctx) {
 		return context.Cause(ctx)
@@ -113,7 +114,8 @@
 	return nil
 }
 
-// reserveApply waits until no call of Host.Apply is under way. It is false if the context ends before.
+// reserveApply waits until no call of Host.Apply is under way. It is false if the context ends
+// before.
 func (m *Manager) reserveApply(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -128,8 +130,8 @@
 
 func (m *Manager) releaseApply() { <-m.applying }
 
-// Close waits for a call of Host.Apply, for a bounded time, as it may wait for whoever closes the service.
-// No call is made after it. A nil Manager has nothing to close.
+// Close waits for a call of Host.Apply, for a bounded time, as it may wait for whoever closes the
+// service. No call is made after it. A nil Manager has nothing to close.
 func (m *Manager) Close() {
 	if m == nil {
 		return
@@ -139,8 +141,8 @@
 	m.reserveApply(ctx)
 }
 
-// Readiness tells which version is in force here, and whether it is known to be the latest. It is zero for
-// a nil Manager: the fleet has no say in this controller's configuration.
+// Readiness tells which version is in force here, and whether it is known to be the latest. It is
+// zero for a nil Manager: the fleet has no say in this controller's configuration.
 func (m *Manager) Readiness() config.Readiness {
 	if m == nil {
 		return config.Readiness{}
@@ -158,8 +160,8 @@
 	m.readiness.Store(&last)
 }
 
-// Wait waits until the latest version is known to be in force here, the context ends or done is closed, and
-// tells which is in force. It returns at once for a nil Manager.
+// Wait waits until the latest version is known to be in force here, the context ends or done is
+// closed, and tells which is in force. It returns at once for a nil Manager.
 func (m *Manager) Wait(ctx context.Context, done <-chan struct{}) config.Readiness {
 	if m == nil {
 		return config.Readiness{}
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -15,10 +15,10 @@
 	storedRetryBackoff = 200 * time.Millisecond // between two of them
 )
 
-// OpenSession reads the folder, has the version that is to be in force at a start applied, and tells what
-// the core begins with. It waits for the disk and for Host.Apply, until the context ends. For a nil Manager
-// the session and the facts are nil. A session that was opened must be closed, also if the core does not
-// start.
+// OpenSession reads the folder, has the version that is to be in force at a start applied, and
+// tells what the core begins with. It waits for the disk and for Host.Apply, until the context
+// ends. For a nil Manager the session and the facts are nil. A session that was opened must be
+// closed, also if the core does not start.
 func (m *Manager) OpenSession(
 	ctx context.Context, environment Environment,
 ) (*Session, *node.FleetConfig, error) {
@@ -56,11 +56,13 @@
 	if err != nil {
 		return stored, err
 	}
-	s.manager.readiness.Store(&config.Readiness{Number: stored.Current.Number, Latest: stored.Current.Number})
+	s.manager.readiness.Store(&config.Readiness{Number: stored.Current.Number,
+		Latest: stored.Current.Number})
 	return stored, nil
 }
 
-// openFolder opens the folder, unless the service ends first: a disk that hangs is left to the system.
+// openFolder opens the folder, unless the service ends first: a disk that hangs is left to the
+// system.
 func (s *Session) openFolder() (Contents, error) {
 	type opened struct {
 		folder   *Folder
@@ -90,14 +92,15 @@
 	}
 }
 
-// applyStored applies the version that the folder has. Where that fails what is in force stays: the replica
-// takes the version again, or refuses it, once it has heard of it.
+// applyStored applies the version that the folder has. Where that fails what is in force stays: the
+// replica takes the version again, or refuses it, once it has heard of it.
 func (s *Session) applyStored(contents Contents) {
 	if contents.record == nil {
 		return
 	}
 	record := *contents.record
-	next := Applied{Generation: record.Generation, Version: record.Version, Document: contents.document}
+	next := Applied{Generation: record.Generation, Version: record.Version,
+		Document: contents.document}
 	for attempt := 1; ; attempt++ {
 		result := make(chan error, 1)
 		go func() { result <- s.manager.Apply(s.ctx, next) }()
@@ -123,8 +126,9 @@
 	}
 }
 
-// storedState is what the replica begins with: what is in force here, which an earlier session may have
-// applied after its folder failed; then it is stored first. Versions of another generation do not count.
+// storedState is what the replica begins with: what is in force here, which an earlier session may
+// have applied after its folder failed; then it is stored first. Versions of another generation do
+// not count.
 func (s *Session) storedState(contents Contents) (config.StoredState, error) {
 	state := config.StoredState{Documents: contents.documents}
 	inForce := s.manager.applied.Load()
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -27,24 +27,27 @@
 	ResultUnknown = "unknown" // it may be agreed on, or not
 )
 
-// Longest waits for the replica's answer to a request: a little longer than the replica waits itself.
+// Longest waits for the replica's answer to a request: a little longer than the replica waits
+// itself.
 const (
 	QueryTimeout   = 6 * time.Second  // to query the leader
 	fetchTimeout   = 11 * time.Second // to find a document
 	proposeTimeout = 16 * time.Second // to have a version agreed on
 )
 
-// MaxRequestBytes bounds the JSON of a request with a document of config.MaxDocument bytes, in base64.
+// MaxRequestBytes bounds the JSON of a request with a document of config.MaxDocument bytes, in
+// base64.
 const MaxRequestBytes = 2 << 20
 
 // Request is an operator's request.
 type Request struct {
-	Action   Action  `json:"action"`
-	Document []byte  `json:"document,omitempty"` // of ActionPut
-	Expect   *uint64 `json:"expect,omitempty"`   // the newest version that the author has seen; nil: any
-	Number   uint64  `json:"number,omitempty"`   // of ActionShow and ActionRollback
-	Author   string  `json:"author,omitempty"`
-	Reason   string  `json:"reason,omitempty"`
+	Action   Action `json:"action"`
+	Document []byte `json:"document,omitempty"` // of ActionPut
+	// the newest version that the author has seen; nil: any
+	Expect *uint64 `json:"expect,omitempty"`
+	Number uint64  `json:"number,omitempty"` // of ActionShow and ActionRollback
+	Author string  `json:"author,omitempty"`
+	Reason string  `json:"reason,omitempty"`
 }
 
 // Answer answers a Request.
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -16,8 +16,8 @@
 	hashShown  = 12          // digits of a hash in the log
 )
 
-// Core is what a session needs of the core: to call a function with the configuration's replica, and to
-// carry out what follows from it.
+// Core is what a session needs of the core: to call a function with the configuration's replica,
+// and to carry out what follows from it.
 type Core interface {
 	WithConfig(now float64, use func(*config.Replica))
 }
@@ -30,9 +30,9 @@
 	Log         *slog.Logger
 }
 
-// Session is the part of one run of the core. It belongs to the goroutine of the service's session. A nil
-// Session is that of a controller in whose configuration the fleet has no say: its methods do nothing and
-// its channels deliver nothing.
+// Session is the part of one run of the core. It belongs to the goroutine of the service's session.
+// A nil Session is that of a controller in whose configuration the fleet has no say: its methods do
+// nothing and its channels deliver nothing.
 type Session struct {
 	Environment
 	manager *Manager
@@ -123,8 +123,8 @@
 	}
 }
 
-// beginCheck checks a document that this controller is to take, or to have agreed on, beside the core,
-// which has one CheckRequest out at a time.
+// beginCheck checks a document that this controller is to take, or to have agreed on, beside the
+// core, which has one CheckRequest out at a time.
 func (s *Session) beginCheck(request *config.CheckRequest) {
 	go func() { s.checked <- Check{request.Hash, s.manager.check(request.Document)} }()
 }
@@ -173,8 +173,8 @@
 	s.Observe()
 }
 
-// Observe notes the state of the replica for reports, and ends waits that took too long. It is called with
-// each tick.
+// Observe notes the state of the replica for reports, and ends waits that took too long. It is
+// called with each tick.
 func (s *Session) Observe() {
 	if s == nil {
 		return
@@ -200,8 +200,8 @@
 		return
 	}
 	s.refused = v
-	s.Log.Error("configuration version refused", "version", v.Number, "hash", v.Hash.String()[:hashShown],
-		"author", v.Author, "reason", v.Reason, "why", reason)
+	s.Log.Error("configuration version refused", "version", v.Number, "hash",
+		v.Hash.String()[:hashShown], "author", v.Author, "reason", v.Reason, "why", reason)
 }
 
 // begin puts a request to the replica.
@@ -223,9 +223,9 @@
 	}
 }
 
-// Close ends what operators wait for, and lets the folder go once the last write is over. It waits for a
-// write, but not for a disk that hangs: then the folder stays locked by this process. What is in force
-// stays; whether it is the latest is not known any more.
+// Close ends what operators wait for, and lets the folder go once the last write is over. It waits
+// for a write, but not for a disk that hangs: then the folder stays locked by this process. What is
+// in force stays; whether it is the latest is not known any more.
 func (s *Session) Close() {
 	if s == nil {
 		return
@@ -243,8 +243,8 @@
 	}
 }
 
-// closeAfterWrite closes the folder once the write that is under way has ended, and waits for that for a
-// bounded time.
+// closeAfterWrite closes the folder once the write that is under way has ended, and waits for that
+// for a bounded time.
 func (s *Session) closeAfterWrite() {
 	written := make(chan struct{})
 	go func() {
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -29,8 +29,8 @@
 // ErrTooLong is that a request is longer than its kind may be.
 var ErrTooLong = errors.New("the request is too long")
 
-// Handler answers requests. It is called by the goroutines of connections, several at once, and may wait
-// for as long as the request may take.
+// Handler answers requests. It is called by the goroutines of connections, several at once, and may
+// wait for as long as the request may take.
 type Handler interface {
 	// Ask does what a request asks, and tells how things stand after it.
 	Ask(r Request) (Status, error)
@@ -47,8 +47,8 @@
 	return net.Listen("unix", path)
 }
 
-// Serve answers requests until the listener is closed, and returns once all connections have ended. The
-// context's end closes the connections.
+// Serve answers requests until the listener is closed, and returns once all connections have ended.
+// The context's end closes the connections.
 func Serve(ctx context.Context, listener net.Listener, handler Handler) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -72,7 +72,8 @@
 	}
 }
 
-// answer reads the request of a connection and answers it. A connection that ends early gets no answer.
+// answer reads the request of a connection and answers it. A connection that ends early gets no
+// answer.
 func answer(conn net.Conn, handler Handler) {
 	conn.SetDeadline(time.Now().Add(socketTimeout))
 	limit := max(MaxBytes, handler.MaxConfigBytes())
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -5,20 +5,22 @@
 	"mintkeel/internal/fleet/maintenance"
 )
 
-// Status answers a request. To a request about the fleet it is how the fleet stands as this controller
-// knows it; Maintenance and Config answer requests about these; Error says why a request failed. The names
-// in JSON are those that operators' tools read: doc.go says more.
+// Status answers a request. To a request about the fleet it is how the fleet stands as this
+// controller knows it; Maintenance and Config answer requests about these; Error says why a request
+// failed. The names in JSON are those that operators' tools read: doc.go says more.
 type Status struct {
-	Fleet      string         `json:"fleet"`
-	Generation uint64         `json:"generation"`
-	Self       string         `json:"self"`
-	Slow       int            `json:"slow"` // health score of this controller itself, from 0 (it keeps up) to 8
-	Members    []MemberStatus `json:"members"`
-	Leases     []LeaseStatus  `json:"works"`
-	Own        bool           `json:"own"`   // this controller votes: Leases are what it has applied of the agreed log; else a leader's view
-	Holds      []string       `json:"holds"` // leases that this controller holds
-	Quorum     QuorumStatus   `json:"council"`
-	Error      string         `json:"error,omitempty"`
+	Fleet      string `json:"fleet"`
+	Generation uint64 `json:"generation"`
+	Self       string `json:"self"`
+	// health score of this controller itself, from 0 (it keeps up) to 8
+	Slow    int            `json:"slow"`
+	Members []MemberStatus `json:"members"`
+	Leases  []LeaseStatus  `json:"works"`
+	// this controller votes: Leases are what it has applied of the agreed log; else a leader's view
+	Own    bool         `json:"own"`
+	Holds  []string     `json:"holds"` // leases that this controller holds
+	Quorum QuorumStatus `json:"council"`
+	Error  string       `json:"error,omitempty"`
 
 	Maintenance *maintenance.Status   `json:"maintenance,omitempty"`
 	Config      *configuration.Answer `json:"config,omitempty"`
--- a/internal/fleet/faultinjection/faultinjection.go
+++ b/internal/fleet/faultinjection/faultinjection.go
@@ -1,9 +1,10 @@
-// Package faultinjection is where the fleet service meets the machine: the steady clock, new connections,
-// the time before a write. The daemon injects no faults (system.go). Only builds with the tag mintkeel_lab,
-// which the rig of internal/lab/fleet makes, do (rig.go, job.go): the clock runs at a rate from a file,
-// writes take long or fail, connections go through a switch, and a job produces effects that the rig
-// checks. The environment names the file, the switch and the endpoint. It is the one package of the fleet
-// that the tag changes, and both builds export the same functions.
+// Package faultinjection is where the fleet service meets the machine: the steady clock, new
+// connections, the time before a write. The daemon injects no faults (system.go). Only builds with
+// the tag mintkeel_lab, which the rig of internal/lab/fleet makes, do (rig.go, job.go): the clock
+// runs at a rate from a file, writes take long or fail, connections go through a switch, and a job
+// produces effects that the rig checks. The environment names the file, the switch and the
+// endpoint. It is the one package of the fleet that the tag changes, and both builds export the
+// same functions.
 package faultinjection
 
 import (
--- a/internal/fleet/faultinjection/job.go
+++ b/internal/fleet/faultinjection/job.go
@@ -24,9 +24,9 @@
 	endpointTimeout  = time.Second
 )
 
-// effectJob does the work of a rig's leases: an effect each 50 ms at an endpoint outside, and one at
-// another controller, which writes down what it accepted. Between its check of the lease and the effect the
-// rig may stop the process for any time.
+// effectJob does the work of a rig's leases: an effect each 50 ms at an endpoint outside, and one
+// at another controller, which writes down what it accepted. Between its check of the lease and the
+// effect the rig may stop the process for any time.
 type effectJob struct {
 	endpoint string
 	accepted *os.File // one line for each effect that passed the fencing check
@@ -94,7 +94,8 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	grant := effect.Grant
-	fmt.Fprintf(j.accepted, "%d %s %d %d %s\n", time.Now().UnixNano(), grant.Name, grant.Token, effect.ID, from)
+	fmt.Fprintf(j.accepted, "%d %s %d %d %s\n", time.Now().UnixNano(), grant.Name, grant.Token,
+		effect.ID, from)
 }
 
 // sendEffects sends effects to the endpoint, in order, on one connection while it lasts.
@@ -110,8 +111,8 @@
 	}
 }
 
-// sendEffect sends one effect and awaits the answer. It returns the connection for the next one; nil: it
-// failed.
+// sendEffect sends one effect and awaits the answer. It returns the connection for the next one;
+// nil: it failed.
 func (j *effectJob) sendEffect(conn net.Conn, line string) net.Conn {
 	if conn == nil {
 		opened, err := net.DialTimeout("tcp", j.endpoint, endpointTimeout)
--- a/internal/fleet/faultinjection/rig.go
+++ b/internal/fleet/faultinjection/rig.go
@@ -20,7 +20,8 @@
 	clockPoll       = 20.0 // ms between two reads of the rate
 )
 
-// clock is the steady clock at the rig's rate: base at the steady time from, and rate ms for each ms since.
+// clock is the steady clock at the rig's rate: base at the steady time from, and rate ms for each
+// ms since.
 var clock = struct {
 	sync.Mutex
 	file   *os.File // nil: the rig names none
@@ -59,7 +60,8 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(b)), n == len(b)
 }
 
-// BeforeSave takes as long as the rig has the disk take, and fails as a full disk does if the rig says so.
+// BeforeSave takes as long as the rig has the disk take, and fails as a full disk does if the rig
+// says so.
 func BeforeSave() error {
 	if clock.file == nil {
 		return nil
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// Dial opens a connection. Where the rig names a switch it goes there, and begins with the address that was
-// meant: its length in one byte, and the text.
+// Dial opens a connection. Where the rig names a switch it goes there, and begins with the address
+// that was meant: its length in one byte, and the text.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	by := os.Getenv("MINTKEEL_LAB_SWITCH")
 	if by == "" {
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -79,9 +79,9 @@
 	return &Writer{w: rw, mac: hmac.New(sha256.New, framesKey(key, nonce, payload))}, nil
 }
 
-// Accept reads the hello that answers a challenge with this nonce. Its errors are ErrForged for a sender
-// without one of the keys, ErrForeign for one of another fleet or generation or that means another
-// controller, ErrMalformed and ErrTooLong.
+// Accept reads the hello that answers a challenge with this nonce. Its errors are ErrForged for a
+// sender without one of the keys, ErrForeign for one of another fleet or generation or that means
+// another controller, ErrMalformed and ErrTooLong.
 func Accept(
 	r io.Reader, nonce []byte, keys Keys, fleet string, generation uint64, self members.ID,
 ) (*Reader, error) {
@@ -100,7 +100,8 @@
 			return nil, ErrMalformed
 		}
 		if hello.Fleet != fleet || hello.Generation != generation || hello.To != "" && hello.To != self {
-			return nil, fmt.Errorf("%w: it is of %q, generation %d", ErrForeign, hello.Fleet, hello.Generation)
+			return nil, fmt.Errorf("%w: it is of %q, generation %d", ErrForeign, hello.Fleet,
+				hello.Generation)
 		}
 		return &Reader{
 			r:     buffered,
@@ -123,9 +124,12 @@
 }
 
 // framesKey is the key of the frames after a hello.
-func framesKey(key Key, nonce, hello []byte) []byte { return derive(key, framesLabel, nonce, hello) }
+func framesKey(key Key, nonce, hello []byte) []byte {
+	return derive(key, framesLabel, nonce, hello)
+}
 
-// derive is the HMAC of a label, the listener's nonce and the hello, each with its length before it.
+// derive is the HMAC of a label, the listener's nonce and the hello, each with its length before
+// it.
 func derive(key Key, label string, nonce, hello []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(label), nonce, hello} {
--- a/internal/fleet/frames/keys.go
+++ b/internal/fleet/frames/keys.go
@@ -18,11 +18,12 @@
 // Key is a secret that all controllers of a fleet have.
 type Key []byte
 
-// Keys are those of a file. The first one is used to send; frames made with any are accepted, so that keys
-// can be changed while the fleet runs.
+// Keys are those of a file. The first one is used to send; frames made with any are accepted, so
+// that keys can be changed while the fleet runs.
 type Keys []Key
 
-// ReadKeys reads a file of keys, one a line, in hexadecimal digits. Lines that begin with # are comments.
+// ReadKeys reads a file of keys, one a line, in hexadecimal digits. Lines that begin with # are
+// comments.
 func ReadKeys(path string) (Keys, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/fleet/inbox.go
+++ b/internal/fleet/inbox.go
@@ -15,8 +15,8 @@
 	errEnding = errors.New("the controller is ending")
 )
 
-// post has a function called by the session's goroutine. It does not wait: with a full inbox the function
-// is dropped.
+// post has a function called by the session's goroutine. It does not wait: with a full inbox the
+// function is dropped.
 func (s *Service) post(f func(*session)) {
 	select {
 	case s.inbox <- f:
@@ -25,8 +25,8 @@
 	}
 }
 
-// ask has a function called by the session's goroutine, and returns its result. After errBusy or errEnding
-// it may have been called, or be called yet.
+// ask has a function called by the session's goroutine, and returns its result. After errBusy or
+// errEnding it may have been called, or be called yet.
 func ask[T any](s *Service, timeout time.Duration, f func(*session) T) (T, error) {
 	reply := make(chan T, 1)
 	var none T
@@ -55,9 +55,9 @@
 // Done is closed when no session runs any more.
 func (e configExecutor) Done() <-chan struct{} { return e.service.done }
 
-// Execute has a function called by the session's goroutine, and returns once the call has begun. Both claim
-// the function first, so that after an error it is not called later, when its caller has reported that
-// nothing was done.
+// Execute has a function called by the session's goroutine, and returns once the call has begun.
+// Both claim the function first, so that after an error it is not called later, when its caller has
+// reported that nothing was done.
 func (e configExecutor) Execute(f func(*configuration.Session)) error {
 	begun := make(chan struct{})
 	var claimed atomic.Bool // by the session, which calls, or by this goroutine, which gives up
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -6,7 +6,8 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Job does the work of a lease. Every job is called for every lease, and ignores those of other jobs.
+// Job does the work of a lease. Every job is called for every lease, and ignores those of other
+// jobs.
 type Job interface {
 	// Began reports a lease that this controller holds from now on.
 	Began(c Context, grant lease.Grant)
@@ -18,10 +19,11 @@
 	EffectReceived(c Context, from members.ID, effect node.Effect)
 	// VerdictReceived reports whether the receiver accepted an effect of this controller.
 	VerdictReceived(response node.EffectResponse)
-	// MessageReceived takes in a message of another controller's job. It is false for a message of another
-	// kind of job, which is then offered to the next one.
+	// MessageReceived takes in a message of another controller's job. It is false for a message of
+	// another kind of job, which is then offered to the next one.
 	MessageReceived(c Context, from members.ID, data []byte) bool
-	// StateReceived reports the state that the holders of a lease hand on, after ProposeState or RequestState.
+	// StateReceived reports the state that the holders of a lease hand on, after ProposeState or
+	// RequestState.
 	StateReceived(c Context, state node.Checkpoint)
 	// Close ends the job's goroutines and waits for them. The session has ended before.
 	Close()
@@ -31,8 +33,8 @@
 type Context interface {
 	// Self is this controller.
 	Self() members.ID
-	// TryEffect sends an effect of a lease to a controller. It is false where the lease is not held: nothing
-	// was sent.
+	// TryEffect sends an effect of a lease to a controller. It is false where the lease is not held:
+	// nothing was sent.
 	TryEffect(name lease.Name, to members.ID, id uint64, data []byte) bool
 	// SendMessage sends a message to another controller's job. It may be lost.
 	SendMessage(to members.ID, data []byte)
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -6,8 +6,8 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// SetLeases sets which leases the fleet is to have, in place of those of the block. It counts while this
-// controller leads the quorum, and from the next tick on.
+// SetLeases sets which leases the fleet is to have, in place of those of the block. It counts while
+// this controller leads the quorum, and from the next tick on.
 func (s *Service) SetLeases(names []lease.Name) {
 	names = slices.Clone(names)
 	s.leases.Store(&names)
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -9,12 +9,12 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors may be
-// used up.
+// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors
+// may be used up.
 const acceptBackoff = 50 * time.Millisecond
 
-// greetingShare bounds the connections that are not authenticated yet and may take the place of idle ones:
-// one in so many of MaxIncoming. So strangers can't displace more controllers than that.
+// greetingShare bounds the connections that are not authenticated yet and may take the place of
+// idle ones: one in so many of MaxIncoming. So strangers can't displace more controllers than that.
 const greetingShare = 4
 
 // maxRateWait bounds how long a connection is not read as its sender is over its rate.
@@ -56,8 +56,8 @@
 	}
 }
 
-// admit finds room for a connection; false: there is none. The sender of an idle connection that is evicted
-// for it notices that, and opens another one for its next message.
+// admit finds room for a connection; false: there is none. The sender of an idle connection that is
+// evicted for it notices that, and opens another one for its next message.
 func (l *Links) admit(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +72,8 @@
 	return true
 }
 
-// evictIncoming closes the connection that has been idle for the longest time, if that is long enough. mu
-// is held.
+// evictIncoming closes the connection that has been idle for the longest time, if that is long
+// enough. mu is held.
 func (l *Links) evictIncoming() bool {
 	var longestIdle net.Conn
 	greeting := 0
@@ -94,7 +94,8 @@
 	return true
 }
 
-// endIncoming closes a connection. What was read from it and not handed over yet is dropped. mu is held.
+// endIncoming closes a connection. What was read from it and not handed over yet is dropped. mu is
+// held.
 func (l *Links) endIncoming(conn net.Conn) {
 	delete(l.incoming, conn)
 	conn.Close()
@@ -155,15 +156,16 @@
 	return min(max(0, ahead), maxRateWait)
 }
 
-// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same sender
-// is closed: what a former incarnation still has on its way does not count any more.
+// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same
+// sender is closed: what a former incarnation still has on its way does not count any more.
 func (l *Links) greet(conn net.Conn) (*frames.Reader, error) {
 	conn.SetDeadline(time.Now().Add(l.bounds.DialTimeout))
 	challenge, err := frames.Challenge(conn)
 	if err != nil {
 		return nil, err
 	}
-	reader, err := frames.Accept(conn, challenge, *l.keys.Load(), l.self.Fleet, l.self.Generation, l.self.From)
+	reader, err := frames.Accept(conn, challenge, *l.keys.Load(), l.self.Fleet, l.self.Generation,
+		l.self.From)
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +182,8 @@
 	return reader, nil
 }
 
-// touch notes that a connection has brought a message. It is false if the connection was closed meanwhile.
+// touch notes that a connection has brought a message. It is false if the connection was closed
+// meanwhile.
 func (l *Links) touch(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,9 +195,10 @@
 	return true
 }
 
-// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its length:
-// with a length that was changed on its way the messages behind it would otherwise be read as its payload,
-// and the sender would not notice. The deadline leaves a slow network the time for a large frame.
+// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its
+// length: with a length that was changed on its way the messages behind it would otherwise be read
+// as its payload, and the sender would not notice. The deadline leaves a slow network the time for
+// a large frame.
 func (l *Links) readFrame(conn net.Conn, reader *frames.Reader) ([]byte, error) {
 	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection before
 	conn.SetReadDeadline(time.Now().Add(maxWait))
@@ -202,7 +206,8 @@
 	if err != nil {
 		return nil, err
 	}
-	frameTime := l.bounds.WriteTimeout + time.Duration(length)*time.Second/time.Duration(l.bounds.MinFrameRate)
+	frameTime := l.bounds.WriteTimeout +
+		time.Duration(length)*time.Second/time.Duration(l.bounds.MinFrameRate)
 	conn.SetReadDeadline(time.Now().Add(min(maxWait, frameTime)))
 	return reader.Read()
 }
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -20,7 +20,8 @@
 	QueueMessages int // that wait for one peer
 	QueueBytes    int // that wait for one peer
 
-	EvictAfter       time.Duration // without a message, after which an incoming connection may be evicted
+	// without a message, after which an incoming connection may be evicted
+	EvictAfter       time.Duration
 	DialTimeout      time.Duration // to be connected and authenticated
 	WriteTimeout     time.Duration // to write a message
 	IdleTimeout      time.Duration // without a message, after which a connection is closed
@@ -31,10 +32,10 @@
 	MinFrameRate int // bytes a second at which a frame that has begun has to come, after WriteTimeout
 }
 
-// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a second,
-// helps some others and writes to the quorum has some ten connections at a time. A leader's heartbeats come
-// more often than a connection is evicted; a neighbour pings each ten seconds, and opens another one where
-// its connection was.
+// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a
+// second, helps some others and writes to the quorum has some ten connections at a time. A leader's
+// heartbeats come more often than a connection is evicted; a neighbour pings each ten seconds, and
+// opens another one where its connection was.
 func DefaultBounds() Bounds {
 	return Bounds{
 		MaxPeers:         64,
@@ -96,9 +97,10 @@
 	evicted  atomic.Int64 // idle incoming connections that were closed to make room
 }
 
-// New returns links of a controller that says hello as self. They call receive with each message that comes
-// in; it must not wait long, as it holds up one connection.
-func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger) *Links {
+// New returns links of a controller that says hello as self. They call receive with each message
+// that comes in; it must not wait long, as it holds up one connection.
+func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received),
+	log *slog.Logger) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Links{
 		self:     self,
@@ -115,7 +117,8 @@
 	return l
 }
 
-// SetDial has connections opened in another way than the system's. It is called before the first Send.
+// SetDial has connections opened in another way than the system's. It is called before the first
+// Send.
 func (l *Links) SetDial(dial Dial) { l.dial = dial }
 
 // SetKeys sets the keys of connections that are opened from now on.
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -25,8 +25,8 @@
 	cancel      context.CancelFunc
 }
 
-// Send enqueues a message to a controller at an address. It never waits; a message that finds no room is
-// dropped.
+// Send enqueues a message to a controller at an address. It never waits; a message that finds no
+// room is dropped.
 func (l *Links) Send(to members.ID, addr string, payload []byte) {
 	if addr == "" || l.ctx.Err() != nil || len(payload) > frames.MaxPayloadBytes {
 		l.dropped.Add(1)
@@ -118,9 +118,9 @@
 	endedAtOnce bool      // the peer ended the last connection right after its beginning
 }
 
-// carry writes what is queued for one peer until the peer has been idle for a while, or the context ends. A
-// message that finds no connection, as the last attempt to connect failed a moment ago, is dropped: by the
-// time of the next attempt it would be old.
+// carry writes what is queued for one peer until the peer has been idle for a while, or the context
+// ends. A message that finds no connection, as the last attempt to connect failed a moment ago, is
+// dropped: by the time of the next attempt it would be old.
 func (l *Links) carry(ctx context.Context, p *peer) {
 	defer l.forget(p)
 	c := &carrier{links: l, peer: p}
@@ -151,9 +151,9 @@
 	return c.connection.ended
 }
 
-// dropEnded closes the connection that the peer has ended. If a peer ends connections right after their
-// beginning, as one does that does not accept this controller's hello, the second and further ones are not
-// replaced at once.
+// dropEnded closes the connection that the peer has ended. If a peer ends connections right after
+// their beginning, as one does that does not accept this controller's hello, the second and further
+// ones are not replaced at once.
 func (c *carrier) dropEnded() {
 	c.links.ended.Add(1)
 	atOnce := time.Since(c.connection.openedAt) < c.links.bounds.RetryInterval
@@ -184,7 +184,8 @@
 	}
 	now := time.Now()
 	c.connection.conn.SetWriteDeadline(now.Add(c.links.bounds.WriteTimeout))
-	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.IdleTimeout)) // carry closes an idle one before
+	// carry closes an idle one before
+	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.IdleTimeout))
 	if err := c.connection.writer.Write(payload); err != nil {
 		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
 		c.links.failed.Add(1)
@@ -215,9 +216,9 @@
 	return true
 }
 
-// retryBackoff is for how long no connection is opened after one that failed. It grows with each refusal in
-// a row by a peer that has no room, and is drawn then, so that the controllers that were refused do not
-// come back all at once.
+// retryBackoff is for how long no connection is opened after one that failed. It grows with each
+// refusal in a row by a peer that has no room, and is drawn then, so that the controllers that were
+// refused do not come back all at once.
 func (b Bounds) retryBackoff(refusals int) time.Duration {
 	if refusals == 0 {
 		return b.RetryInterval
@@ -255,7 +256,8 @@
 		}
 		return nil, err
 	}
-	connection := &outgoing{conn: conn, writer: writer, openedAt: time.Now(), ended: make(chan struct{})}
+	connection := &outgoing{conn: conn, writer: writer, openedAt: time.Now(),
+		ended: make(chan struct{})}
 	l.group.Go(func() {
 		defer stop()
 		defer close(connection.ended)
--- a/internal/fleet/maintenance/engines.go
+++ b/internal/fleet/maintenance/engines.go
@@ -6,8 +6,8 @@
 	"mintkeel/router"
 )
 
-// refreshEngines asks the loop what it knows of the engines, in a goroutine of its own. A change of what is
-// to be held goes to the loop first, so that its answer is of the time after it.
+// refreshEngines asks the loop what it knows of the engines, in a goroutine of its own. A change of
+// what is to be held goes to the loop first, so that its answer is of the time after it.
 func (j *Job) refreshEngines() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -35,8 +35,8 @@
 	})
 }
 
-// currentEngines is what the loop last said of the engines; nil: nothing since the last change of what is
-// held.
+// currentEngines is what the loop last said of the engines; nil: nothing since the last change of
+// what is held.
 func (j *Job) currentEngines() []router.EngineStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -31,9 +31,9 @@
 	return engines
 }
 
-// announce sends every controller the engines to hold. It is repeated, so that a controller that missed an
-// announcement, or starts, gets the next. A member that is believed dead may be cut off in one direction
-// alone and gets it too.
+// announce sends every controller the engines to hold. It is repeated, so that a controller that
+// missed an announcement, or starts, gets the next. A member that is believed dead may be cut off
+// in one direction alone and gets it too.
 func (j *Job) announce(jobContext job.Context) {
 	data, err := cbor.Marshal(holdEffect{Serial: j.serial, Engines: j.enginesToHold()})
 	if err != nil {
@@ -71,8 +71,8 @@
 	j.refreshEngines()
 }
 
-// setToHold notes engines that the loop is to hold. What it said of the engines before does not count any
-// more.
+// setToHold notes engines that the loop is to hold. What it said of the engines before does not
+// count any more.
 func (j *Job) setToHold(engines []router.EngineID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -81,8 +81,9 @@
 	j.engines = nil
 }
 
-// confirm tells the holder of the lease on which of the held engines nothing of this controller's own runs
-// any more. It has something to tell only once the loop has answered after the last change of what is held.
+// confirm tells the holder of the lease on which of the held engines nothing of this controller's
+// own runs any more. It has something to tell only once the loop has answered after the last change
+// of what is held.
 func (j *Job) confirm(jobContext job.Context) {
 	j.mu.Lock()
 	changed := j.holdChanges != j.appliedHold
@@ -111,8 +112,9 @@
 	sendMessage(jobContext, j.heldFrom, m)
 }
 
-// unconfirmed are the controllers that may still send to an engine, as far as the lease holder knows: each
-// member that it ever heard of, but for those that shut down and those that an operator does without.
+// unconfirmed are the controllers that may still send to an engine, as far as the lease holder
+// knows: each member that it ever heard of, but for those that shut down and those that an operator
+// does without.
 func (j *Job) unconfirmed(jobContext job.Context, engine core.EngineID) (controllers []string) {
 	for _, m := range jobContext.Members() {
 		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Without, m.ID) {
--- a/internal/fleet/maintenance/hooks.go
+++ b/internal/fleet/maintenance/hooks.go
@@ -10,8 +10,8 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// Names of the steps for which the installation may have a program: its first argument, and the first word
-// of the keys of agreedState.Hooked.
+// Names of the steps for which the installation may have a program: its first argument, and the
+// first word of the keys of agreedState.Hooked.
 const (
 	drainHook = "drain"
 	workHook  = "work"
@@ -30,9 +30,9 @@
 // hookKey names the program of a step for an engine.
 func hookKey(step string, engine core.EngineID) string { return step + " " + string(engine) }
 
-// runHook has a program of the installation do its part, once for each sequence number of a task. Its
-// reason tells what is waited for. If a lease holder died meanwhile, the next one runs the program again,
-// with the same number.
+// runHook has a program of the installation do its part, once for each sequence number of a task.
+// Its reason tells what is waited for. If a lease holder died meanwhile, the next one runs the
+// program again, with the same number.
 func (j *Job) runHook(step, path string, task core.Task) (done bool, reason string) {
 	if path == "" {
 		return true, ""
@@ -68,12 +68,13 @@
 	}
 }
 
-// execute runs a program to its end, or until its time is up. The program is given the step, the engine and
-// the sequence number of the task.
+// execute runs a program to its end, or until its time is up. The program is given the step, the
+// engine and the sequence number of the task.
 func (j *Job) execute(path, step string, task core.Task, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	command := exec.CommandContext(ctx, path, step, string(task.Engine), strconv.FormatUint(task.Sequence, 10))
+	command := exec.CommandContext(ctx, path, step, string(task.Engine),
+		strconv.FormatUint(task.Sequence, 10))
 	command.WaitDelay = hookWaitDelay
 	err := command.Run()
 	if ctx.Err() != nil {
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -24,11 +24,14 @@
 
 // Intervals and timeouts of the session's goroutine, in ms of the steady clock.
 const (
-	stepInterval         = 500.0  // between two steps of the holder
-	announceInterval     = 1000.0 // between two announcements of the engines to hold, to each controller
+	stepInterval = 500.0 // between two steps of the holder
+	// between two announcements of the engines to hold, to each controller
+	announceInterval     = 1000.0
 	confirmationLifetime = 5000.0 // a controller repeats its confirmation with each announcement
-	proposalTimeout      = 2000.0 // after which the agreed state is read again in place of awaiting a proposal
-	lostEngineTime       = 3600e3 // after which a missing engine that nobody took out has left for good
+	// after which the agreed state is read again in place of awaiting a proposal
+	proposalTimeout = 2000.0
+	// after which a missing engine that nobody took out has left for good
+	lostEngineTime = 3600e3
 )
 
 // Timeouts of the job's own goroutines.
@@ -38,7 +41,8 @@
 	hookWaitDelay = time.Second      // for a program's output after its end
 )
 
-// Bounds of what is kept. What would go beyond is rejected (requests, plans) or left out (the rest).
+// Bounds of what is kept. What would go beyond is rejected (requests, plans) or left out (the
+// rest).
 const (
 	maxPendingRequests = 64
 	maxPlans           = 32
@@ -47,13 +51,15 @@
 	maxReasons         = 100
 )
 
-// Host is what maintenance needs of its controller. Its functions are called from goroutines of the job.
+// Host is what maintenance needs of its controller. Its functions are called from goroutines of the
+// job.
 type Host struct {
 	Engines func(ctx context.Context) ([]router.EngineStatus, error)
 	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
 	Kinds   []string                // names of machine kinds, by number
-	Bounds  [][]router.KindID       // for each query class that is bound to some machine kinds, these kinds
-	Log     *slog.Logger
+	// for each query class that is bound to some machine kinds, these kinds
+	Bounds [][]router.KindID
+	Log    *slog.Logger
 }
 
 // Job is the job of the maintenance lease.
@@ -110,19 +116,21 @@
 		engineLostFrom: map[core.EngineID]float64{},
 		replies:        map[uint64]chan Status{},
 		hooks:          map[string]hookRun{},
-		lastRequest:    rand.Uint64() >> 1, // an answer to an earlier process of this controller finds no request
-		ctx:            ctx,
-		end:            end,
+		// an answer to an earlier process of this controller finds no request
+		lastRequest: rand.Uint64() >> 1,
+		ctx:         ctx,
+		end:         end,
 	}
 	j.block.Store(&b)
 	return j
 }
 
-// SetBlock has the programs and times of another block used from now on. A program that runs goes on as it
-// began.
+// SetBlock has the programs and times of another block used from now on. A program that runs goes
+// on as it began.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// Began takes in that this controller holds the lease. It reads the agreed state before it does anything.
+// Began takes in that this controller holds the lease. It reads the agreed state before it does
+// anything.
 func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
@@ -178,8 +186,8 @@
 	j.advance(jobContext)
 }
 
-// retryState reads the agreed state again once a proposal, or the state, has not come back in time. One of
-// the messages was lost, and the state tells which.
+// retryState reads the agreed state again once a proposal, or the state, has not come back in time.
+// One of the messages was lost, and the state tells which.
 func (j *Job) retryState(jobContext job.Context, now float64) {
 	if now <= j.proposedAt+proposalTimeout {
 		return
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -13,16 +13,20 @@
 	"mintkeel/router"
 )
 
-// agreedState is what is agreed on through the quorum, and what a lease holder hands on to the next.
+// agreedState is what is agreed on through the quorum, and what a lease holder hands on to the
+// next.
 type agreedState struct {
-	Plans   []core.Plan       `cbor:"1,keyasint"`
-	Tasks   []core.Task       `cbor:"2,keyasint"`
-	Without []members.ID      `cbor:"3,keyasint,omitempty"` // controllers that an operator does without
-	Known   []core.EngineID   `cbor:"5,keyasint,omitempty"` // the engines that there should be
-	Hooked  map[string]uint64 `cbor:"6,keyasint,omitempty"` // by hookKey: the task whose work a person has done
+	Plans []core.Plan `cbor:"1,keyasint"`
+	Tasks []core.Task `cbor:"2,keyasint"`
+	// controllers that an operator does without
+	Without []members.ID    `cbor:"3,keyasint,omitempty"`
+	Known   []core.EngineID `cbor:"5,keyasint,omitempty"` // the engines that there should be
+	// by hookKey: the task whose work a person has done
+	Hooked map[string]uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// holdEffect is the effect that lists, to every controller, the engines to which it may send nothing new.
+// holdEffect is the effect that lists, to every controller, the engines to which it may send
+// nothing new.
 type holdEffect struct {
 	Serial  uint64            `cbor:"1,keyasint"` // of the agreed state
 	Engines []router.EngineID `cbor:"2,keyasint"` // sorted
@@ -31,8 +35,8 @@
 // messageKind tells a message from those of other jobs.
 const messageKind = "maintenance"
 
-// message is one between the jobs of two controllers: a request, its answer, or a confirmation of what is
-// held. It is encoded by the order of its fields.
+// message is one between the jobs of two controllers: a request, its answer, or a confirmation of
+// what is held. It is encoded by the order of its fields.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    string
@@ -59,12 +63,14 @@
 
 // Request is what an operator asks of the holder of the maintenance lease.
 type Request struct {
-	Action string      `json:"do"` // "status", "plan", "check", "halt", "resume", "withdraw", "done", "without"
+	// "status", "plan", "check", "halt", "resume", "withdraw", "done", "without"
+	Action string      `json:"do"`
 	Plans  []core.Plan `json:"plans,omitempty"`
 	Name   string      `json:"name,omitempty"` // of a plan, an engine or a controller
 }
 
-// Status is the state of maintenance as its lease holder sees it. The JSON names are those of its operators.
+// Status is the state of maintenance as its lease holder sees it. The JSON names are those of its
+// operators.
 type Status struct {
 	Holder    string           `json:"conductor"`
 	Token     uint64           `json:"epoch"` // fencing token of the lease
@@ -104,7 +110,8 @@
 	jobContext.SendMessage(to, data)
 }
 
-// MessageReceived takes in a request, an answer or a confirmation; it is false for a message of another job.
+// MessageReceived takes in a request, an answer or a confirmation; it is false for a message of
+// another job.
 func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
 	var received message
 	if err := frames.Decoder.Unmarshal(data, &received); err != nil || received.Kind != messageKind {
--- a/internal/fleet/maintenance/planfile.go
+++ b/internal/fleet/maintenance/planfile.go
@@ -25,8 +25,8 @@
 
 var planName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with the file
-// itself; whether the plans can be carried out is for the lease holder to check.
+// ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with
+// the file itself; whether the plans can be carried out is for the lease holder to check.
 func ReadPlans(path string, text []byte) ([]core.Plan, error) {
 	diagnostics := block.NewDiagnostics(text)
 	if len(text) > maxPlanFileBytes {
@@ -66,13 +66,14 @@
 
 // readPlan reads one plan. The names of its fields are those of the operators.
 func readPlan(b *hcl.Block, diagnostics *block.Diagnostics) core.Plan {
-	open := block.Open(b, diagnostics, "engines", "zones", "kinds", "before", "needs", "by", "not", "keep",
-		"at_once", "person")
+	open := block.Open(b, diagnostics, "engines", "zones", "kinds", "before", "needs", "by", "not",
+		"keep", "at_once", "person")
 	plan := core.Plan{
 		ID:             core.PlanID(b.Labels[0]),
 		MaxUnavailable: open.Int("at_once", 1, 1, maxAtOnce),
 		ConfirmWork:    open.Bool("person", false),
-		WorkTime:       float64(open.Duration("needs", 10*time.Minute, time.Second, 7*24*time.Hour)) / 1e6,
+		WorkTime: float64(open.Duration("needs", 10*time.Minute, time.Second,
+			7*24*time.Hour)) / 1e6,
 	}
 	if !planName.MatchString(b.Labels[0]) {
 		diagnostics.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
@@ -112,7 +113,8 @@
 	for _, text := range open.Strings("not", maxBlockedHours) {
 		hours, ok := parseHours(text)
 		if !ok {
-			open.AddProblem("not", fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
+			open.AddProblem("not",
+				fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
 		}
 		list = append(list, hours)
 	}
@@ -145,8 +147,8 @@
 	return list
 }
 
-// parseMinAvailable parses a count or a share of engines, with a kind and a zone where they are given, such
-// as "3 c16 in hall-a".
+// parseMinAvailable parses a count or a share of engines, with a kind and a zone where they are
+// given, such as "3 c16 in hall-a".
 func parseMinAvailable(text string) (keep core.MinAvailable, ok bool) {
 	words := strings.Fields(text)
 	if len(words) == 0 || !parseCountOrShare(words[0], &keep) {
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -19,7 +19,8 @@
 	Request
 }
 
-// requestRun is a request that is being carried out: the state that it would have agreed on, and its answer.
+// requestRun is a request that is being carried out: the state that it would have agreed on, and
+// its answer.
 type requestRun struct {
 	state   agreedState
 	changed bool // the state is to be agreed on
@@ -29,16 +30,18 @@
 // ErrNoHolder is that no controller holds the maintenance lease, as far as this one knows.
 var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
 
-// Durations that plans are checked with: of the steps that end by the installation's own pace, in ms.
+// Durations that plans are checked with: of the steps that end by the installation's own pace, in
+// ms.
 const (
 	expectedDrainTime = 10000.0
 	expectedWarmTime  = 30000.0
 )
 
-// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the returned
-// channel, which has room for it, or is lost: the caller waits for a bounded time. The error is ErrNoHolder
-// where there is none.
-func (j *Job) SendRequest(jobContext job.Context, holder members.ID, request Request) (chan Status, error) {
+// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the
+// returned channel, which has room for it, or is lost: the caller waits for a bounded time. The
+// error is ErrNoHolder where there is none.
+func (j *Job) SendRequest(jobContext job.Context, holder members.ID,
+	request Request) (chan Status, error) {
 	if holder == "" {
 		return nil, ErrNoHolder
 	}
@@ -123,12 +126,14 @@
 	return nil
 }
 
-// takePlans checks plans and takes them into the state; commit tells whether they are to be agreed on.
+// takePlans checks plans and takes them into the state; commit tells whether they are to be agreed
+// on.
 func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
 	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
 	for _, p := range plans {
 		p.Version = version
-		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, durations) {
+		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now,
+			durations) {
 			r.status.Problems = append(r.status.Problems, fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
 		}
 		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
@@ -144,7 +149,8 @@
 	}
 }
 
-// withdraw ends a plan: the engines on which its work has begun are brought back, the others are left alone.
+// withdraw ends a plan: the engines on which its work has begun are brought back, the others are
+// left alone.
 func (r *requestRun) withdraw(name string) {
 	p := r.findPlan(name)
 	if p == nil {
--- a/internal/fleet/maintenance/steps.go
+++ b/internal/fleet/maintenance/steps.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// step is the next move of a task that follows from programs, confirmations and operators; nil: the task
-// waits, for what waits has, or its next move is for core.Decide.
+// step is the next move of a task that follows from programs, confirmations and operators; nil: the
+// task waits, for what waits has, or its next move is for core.Decide.
 func (j *Job) step(jobContext job.Context, task core.Task) *core.Move {
 	to, reason := j.nextStep(jobContext, task)
 	if reason != "" {
@@ -45,8 +45,8 @@
 	return &core.Move{Engine: task.Engine, Plan: task.Plan, From: task.Step, To: to}
 }
 
-// nextStep is the step after that of a task, or why the task waits. A step that core.Decide ends is its own
-// next.
+// nextStep is the step after that of a task, or why the task waits. A step that core.Decide ends is
+// its own next.
 func (j *Job) nextStep(jobContext job.Context, task core.Task) (next core.Step, reason string) {
 	block := j.block.Load()
 	switch task.Step {
@@ -64,8 +64,9 @@
 	}
 }
 
-// drainReason is why an engine is not free yet; empty: it is. Its program has ended, each controller has
-// confirmed, and the endpoint list does not offer it to a controller that starts now.
+// drainReason is why an engine is not free yet; empty: it is. Its program has ended, each
+// controller has confirmed, and the endpoint list does not offer it to a controller that starts
+// now.
 func (j *Job) drainReason(jobContext job.Context, block *Block, task core.Task) string {
 	if done, reason := j.runHook(drainHook, block.Drain, task); !done {
 		return reason
@@ -74,13 +75,14 @@
 		return "not confirmed by " + firstNames(names)
 	}
 	if block.List && j.listedState(task.Engine) == router.Ready {
-		return "the list still tells that it is there for work: a controller that starts now would send to it"
+		return "the list still tells that it is there for work: " +
+			"a controller that starts now would send to it"
 	}
 	return ""
 }
 
-// workReason is why the work on an engine is not done; empty: it is. Without a program a person does it and
-// says so.
+// workReason is why the work on an engine is not done; empty: it is. Without a program a person
+// does it and says so.
 func (j *Job) workReason(block *Block, task core.Task) string {
 	if block.Work != "" {
 		_, reason := j.runHook(workHook, block.Work, task)
--- a/internal/fleet/maintenance/view.go
+++ b/internal/fleet/maintenance/view.go
@@ -46,8 +46,8 @@
 	return j.host.Kinds[kind]
 }
 
-// viewEngine is an engine as decisions see it. One that maintenance itself holds is ready again once the
-// endpoint list has it so, as the loop has it drain for as long as it is held.
+// viewEngine is an engine as decisions see it. One that maintenance itself holds is ready again
+// once the endpoint list has it so, as the loop has it drain for as long as it is held.
 func (j *Job) viewEngine(e router.EngineStatus) core.Engine {
 	viewed := core.Engine{
 		ID:        core.EngineID(e.Engine),
@@ -72,8 +72,8 @@
 	return viewed
 }
 
-// lostEngines are the known engines that are missing and that nobody took out, until they count as left for
-// good.
+// lostEngines are the known engines that are missing and that nobody took out, until they count as
+// left for good.
 func (j *Job) lostEngines(v core.View) (lost []core.Engine) {
 	for _, id := range j.agreed.Known {
 		ready := slices.ContainsFunc(v.Engines, func(e core.Engine) bool { return e.ID == id && e.Ready })
@@ -94,13 +94,14 @@
 	return lost
 }
 
-// leftForGood tells whether an engine has been missing for so long that it does not count as lost any more.
+// leftForGood tells whether an engine has been missing for so long that it does not count as lost
+// any more.
 func (j *Job) leftForGood(id core.EngineID, now float64) bool {
 	return j.engineLostFrom[id] > 0 && now >= j.engineLostFrom[id]+lostEngineTime
 }
 
-// knownEngines are the engines that there should be: all that were ever ready while there were plans, but
-// for those that left for good.
+// knownEngines are the engines that there should be: all that were ever ready while there were
+// plans, but for those that left for good.
 func (j *Job) knownEngines(v core.View) []core.EngineID {
 	known := slices.DeleteFunc(slices.Clone(j.agreed.Known), func(id core.EngineID) bool {
 		return j.leftForGood(id, v.Now)
@@ -114,8 +115,8 @@
 	return known
 }
 
-// requirement is the capacity that query classes need which run on some machine kinds alone: all that is in
-// use there may be theirs.
+// requirement is the capacity that query classes need which run on some machine kinds alone: all
+// that is in use there may be theirs.
 func (j *Job) requirement(kinds []router.KindID, engines []core.Engine) core.Requirement {
 	required := core.Requirement{}
 	for _, kind := range kinds {
@@ -131,7 +132,8 @@
 	return required
 }
 
-// listedState is the state that the endpoint list gives an engine, whether or not this controller holds it.
+// listedState is the state that the endpoint list gives an engine, whether or not this controller
+// holds it.
 func (j *Job) listedState(id core.EngineID) router.EngineState {
 	for _, e := range j.currentEngines() {
 		if core.EngineID(e.Engine) == id {
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -98,26 +98,30 @@
 // trustDisk has the quorum's records of this controller count, though they may not be all.
 func (s *session) trustDisk() error {
 	if !s.core.TrustDisk(s.Now()) {
-		return errors.New("there is nothing to trust: this controller is no voter whose folder is doubted")
+		return errors.New("there is nothing to trust: " +
+			"this controller is no voter whose folder is doubted")
 	}
 	s.log.Warn("fleet: the folder is trusted by an operator's command")
 	return nil
 }
 
-// errNoAnswer is that a request was passed on to the holder of the maintenance lease and not answered.
+// errNoAnswer is that a request was passed on to the holder of the maintenance lease and not
+// answered.
 var errNoAnswer = errors.New(
 	"who conducts maintenance did not answer in time: whether it was done is not known")
 
-// maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where this
-// controller has it.
+// maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where
+// this controller has it.
 type maintenanceJob interface {
 	job.Job
-	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned channel.
-	SendRequest(c job.Context, holder members.ID, request maintenance.Request) (chan maintenance.Status, error)
+	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned
+	// channel.
+	SendRequest(c job.Context, holder members.ID,
+		request maintenance.Request) (chan maintenance.Status, error)
 }
 
-// askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits for the
-// answer.
+// askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits
+// for the answer.
 func (s *Service) askMaintenance(request *maintenance.Request) (control.Status, error) {
 	if request == nil {
 		return control.Status{}, errors.New("nothing is asked for")
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying one out
-// may lead to another.
+// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying
+// one out may lead to another.
 const maxOutputs = 8
 
 // carryOut does what the core asks for.
@@ -26,7 +26,9 @@
 		if err != nil {
 			return err
 		}
-		notified := len(out.Began)+len(out.Ended)+len(out.Effects)+len(out.JobMessages)+len(out.Checkpoints) > 0
+		notifications := len(out.Began) + len(out.Ended) + len(out.Effects) +
+			len(out.JobMessages) + len(out.Checkpoints)
+		notified := notifications > 0
 		if !notified && !advanced {
 			break
 		}
@@ -47,7 +49,8 @@
 	s.links.Send(envelope.To, addr, payload)
 }
 
-// notifyLeases tells the jobs which leases this controller came to hold, and which it holds no more.
+// notifyLeases tells the jobs which leases this controller came to hold, and which it holds no
+// more.
 func (s *session) notifyLeases(out node.Output) {
 	for _, grant := range out.Began {
 		s.log.Info("fleet: holds a lease", "lease", string(grant.Name), "token", uint64(grant.Token))
@@ -103,12 +106,13 @@
 	}
 }
 
-// persist has the quorum's next record written beside the loop. Where a batch has none the core goes on at
-// once, and advanced is true: it may have more outputs.
+// persist has the quorum's next record written beside the loop. Where a batch has none the core
+// goes on at once, and advanced is true: it may have more outputs.
 func (s *session) persist(out node.Output) (advanced bool, err error) {
 	switch {
 	case out.Compaction != nil:
-		return false, s.storage.begin(writeRequest{replace: true, compaction: out.Compaction}, out.Compaction)
+		return false, s.storage.begin(writeRequest{replace: true, compaction: out.Compaction},
+			out.Compaction)
 	case out.Ready != nil && out.Ready.Record != nil:
 		record := out.Ready.Record
 		return false, s.storage.begin(writeRequest{replace: record.Full, batch: out.Ready}, record)
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -32,8 +32,8 @@
 	stableSession     = time.Minute      // after which the backoff begins anew
 )
 
-// Service is one controller's part in a fleet. It runs from Start until Close. Its methods may be called by
-// any goroutine.
+// Service is one controller's part in a fleet. It runs from Start until Close. Its methods may be
+// called by any goroutine.
 type Service struct {
 	block    Block
 	self     members.ID
@@ -66,8 +66,9 @@
 	rejected atomic.Int64 // effects of this controller that did not pass it
 }
 
-// Start begins to take part; host is nil where the fleet has no say in this controller's configuration. Its
-// error is of what an operator has to mend: the key's file, the address, the folder.
+// Start begins to take part; host is nil where the fleet has no say in this controller's
+// configuration. Its error is of what an operator has to mend: the key's file, the address, the
+// folder.
 func Start(
 	b *Block, self string, jobs []job.Job, host *configuration.Host, log *slog.Logger,
 ) (*Service, error) {
@@ -169,16 +170,18 @@
 	s.post(func(session *session) { session.core.SetWilling(session.Now(), willing) })
 }
 
-// ConfigReadiness tells which version of the fleet's configuration is in force here, and whether it is
-// known to be the latest.
+// ConfigReadiness tells which version of the fleet's configuration is in force here, and whether it
+// is known to be the latest.
 func (s *Service) ConfigReadiness() config.Readiness { return s.config.Readiness() }
 
-// WaitConfig waits until the latest version is known to be in force here, or the context ends, and tells
-// which is. It returns at once where the fleet has no say in this controller's configuration.
-func (s *Service) WaitConfig(ctx context.Context) config.Readiness { return s.config.Wait(ctx, s.done) }
+// WaitConfig waits until the latest version is known to be in force here, or the context ends, and
+// tells which is. It returns at once where the fleet has no say in this controller's configuration.
+func (s *Service) WaitConfig(ctx context.Context) config.Readiness {
+	return s.config.Wait(ctx, s.done)
+}
 
-// Stop gives up the leases that this controller holds and says that it leaves. It goes on answering until
-// Close.
+// Stop gives up the leases that this controller holds and says that it leaves. It goes on answering
+// until Close.
 func (s *Service) Stop() {
 	s.stop.Store(true)
 	s.post(func(session *session) { session.core.Stop(session.Now()) })
@@ -199,8 +202,8 @@
 	}
 }
 
-// run takes part, and begins a new session when one ends by a failure: a controller whose disk failed must
-// not promise anything by it, and begins with what the disk has.
+// run takes part, and begins a new session when one ends by a failure: a controller whose disk
+// failed must not promise anything by it, and begins with what the disk has.
 func (s *Service) run(run uint64) {
 	defer close(s.done)
 	backoff := restartBackoff
@@ -223,8 +226,8 @@
 	}
 }
 
-// discardInbox empties the inbox without effect for a time, as no session runs. It is false if the service
-// ends.
+// discardInbox empties the inbox without effect for a time, as no session runs. It is false if the
+// service ends.
 func (s *Service) discardInbox(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -59,8 +59,8 @@
 	}
 	session.config.Start(session.core)
 	role, reason := session.core.Quorum().Role()
-	s.log.Info("fleet: taking part", "fleet", s.block.Name, "generation", s.block.Generation, "run", run,
-		"quorum", role.String(), "why", reason)
+	s.log.Info("fleet: taking part", "fleet", s.block.Name, "generation", s.block.Generation, "run",
+		run, "quorum", role.String(), "why", reason)
 	if s.stop.Load() {
 		session.core.Stop(session.Now())
 	}
@@ -69,11 +69,12 @@
 	return err
 }
 
-// coreConfig is what a core begins with, but for the fleet's configuration. The founders are the voters of
-// the block, in the same order at each controller.
+// coreConfig is what a core begins with, but for the fleet's configuration. The founders are the
+// voters of the block, in the same order at each controller.
 func (s *Service) coreConfig(run uint64) node.Config {
 	c := node.Config{
-		Self:        members.Member{ID: s.self, Addr: s.block.Advertise, Willing: s.block.Willing, Run: run},
+		Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: s.block.Willing,
+			Run: run},
 		Leases:      s.wantedLeases(),
 		LeaseTiming: lease.Timing{Duration: float64(s.block.Lease) / float64(time.Millisecond)},
 		Membership:  members.DefaultConfig(),
@@ -90,9 +91,9 @@
 	return c
 }
 
-// safely runs a part of the core. The consensus library panics where it finds its state broken, which it
-// may be by a disk or a peer: that ends this controller's part in the fleet for a while, and must not end
-// the serving of clients.
+// safely runs a part of the core. The consensus library panics where it finds its state broken,
+// which it may be by a disk or a peer: that ends this controller's part in the fleet for a while,
+// and must not end the serving of clients.
 func safely(f func() error) (err error) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -150,8 +151,8 @@
 	return s.carryOut()
 }
 
-// writeEnded has the core go on after a record became durable. A record that could not be written ends the
-// session.
+// writeEnded has the core go on after a record became durable. A record that could not be written
+// ends the session.
 func (s *session) writeEnded(result writeResult) error {
 	s.storage.saving = false
 	if result.err != nil {
--- a/internal/fleet/sharedstatistics/collect.go
+++ b/internal/fleet/sharedstatistics/collect.go
@@ -11,8 +11,8 @@
 	"mintkeel/router"
 )
 
-// collect takes out the controller's own statistics for a requester, in a goroutine. A request that comes
-// before the last one's statistics were sent is dropped.
+// collect takes out the controller's own statistics for a requester, in a goroutine. A request that
+// comes before the last one's statistics were sent is dropped.
 func (j *Job) collect(requester members.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -30,8 +30,8 @@
 	})
 }
 
-// readSource reads the controller's statistics, a part at a time so that the loop goes on serving, and
-// encodes them. It returns nil where they can't be had in time.
+// readSource reads the controller's statistics, a part at a time so that the loop goes on serving,
+// and encodes them. It returns nil where they can't be had in time.
 func (j *Job) readSource() []byte {
 	ctx, cancel := context.WithTimeout(j.ctx, collectTimeout)
 	defer cancel()
@@ -48,8 +48,8 @@
 	return encodeWithin(&all, maxSnapshotBytes)
 }
 
-// encodeWithin encodes statistics in a number of bytes at most: table groups with the least demand are left
-// out, and some engines. It sorts and shortens the lists of the statistics.
+// encodeWithin encodes statistics in a number of bytes at most: table groups with the least demand
+// are left out, and some engines. It sorts and shortens the lists of the statistics.
 func encodeWithin(statistics *router.Statistics, maxBytes int) []byte {
 	slices.SortStableFunc(statistics.Tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(b.Demand, a.Demand)
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -28,7 +28,8 @@
 	newcomerInterval = 500.0    // between two requests of a newcomer for the digest
 	newcomerWindow   = 15000.0  // after its start, in which a newcomer asks
 	digestLifetime   = 120000.0 // for which a voter gives a digest to newcomers
-	giveInterval     = 100.0    // between two digests that one voter gives: newcomers spread over the voters
+	// between two digests that one voter gives: newcomers spread over the voters
+	giveInterval = 100.0
 )
 
 // collectTimeout bounds how long the controller's own statistics are taken out.
@@ -45,9 +46,11 @@
 
 // Host is what the job needs of its controller.
 type Host struct {
-	Source   memory.StatisticsSource // nil: this controller has no statistics to send
-	Settings uint64                  // only controllers with the same have the same classes and machine kinds
-	Remember func(router.Statistics) // takes over the fleet's statistics; nil: this controller has its own
+	Source memory.StatisticsSource // nil: this controller has no statistics to send
+	// only controllers with the same have the same classes and machine kinds
+	Settings uint64
+	// takes over the fleet's statistics; nil: this controller has its own
+	Remember func(router.Statistics)
 	Log      *slog.Logger
 }
 
@@ -127,7 +130,8 @@
 	j.group.Wait()
 }
 
-// Tick sends what is due: statistics that were taken out, a round of the lease holder, a newcomer's request.
+// Tick sends what is due: statistics that were taken out, a round of the lease holder, a newcomer's
+// request.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	if j.startedAt == 0 {
 		j.startedAt = now
--- a/internal/fleet/sharedstatistics/messages.go
+++ b/internal/fleet/sharedstatistics/messages.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// message is one between the jobs of two controllers; besides Digest one of its fields is set. It is
-// encoded by the order of its fields.
+// message is one between the jobs of two controllers; besides Digest one of its fields is set. It
+// is encoded by the order of its fields.
 type message struct {
 	_        struct{} `cbor:",toarray"`
 	Digest   bool     // tells it from messages of other jobs
@@ -17,8 +17,8 @@
 	Snapshot *snapshot
 }
 
-// snapshot has the statistics of one controller, or of the fleet. As the effect of the lease it is encoded
-// by the order of its fields.
+// snapshot has the statistics of one controller, or of the fleet. As the effect of the lease it is
+// encoded by the order of its fields.
 type snapshot struct {
 	_        struct{} `cbor:",toarray"`
 	Settings uint64   // identifies the sender's settings
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -42,8 +42,8 @@
 	return list
 }
 
-// leaseStatuses are the leases that the fleet has; agreed tells that the quorum agreed on them, as far as
-// is known.
+// leaseStatuses are the leases that the fleet has; agreed tells that the quorum agreed on them, as
+// far as is known.
 func (s *session) leaseStatuses() (list []control.LeaseStatus, agreed bool) {
 	grants, agreed := s.core.Leases()
 	list = []control.LeaseStatus{}
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -12,9 +12,9 @@
 	"mintkeel/internal/store/records"
 )
 
-// storage has the quorum's records of a session. It belongs to the session's goroutine; one goroutine of
-// its own writes, so that a disk that hangs keeps the quorum's part of this controller from sending, and
-// nothing else.
+// storage has the quorum's records of a session. It belongs to the session's goroutine; one
+// goroutine of its own writes, so that a disk that hangs keeps the quorum's part of this controller
+// from sending, and nothing else.
 type storage struct {
 	log     *records.Log
 	writes  chan writeRequest // has room for the one write that is out at a time
@@ -36,8 +36,8 @@
 	err error
 }
 
-// recordDecoder reads what this controller wrote itself; a record that replaces the log may have thousands
-// of entries.
+// recordDecoder reads what this controller wrote itself; a record that replaces the log may have
+// thousands of entries.
 var recordDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
@@ -46,16 +46,17 @@
 	return mode
 }()
 
-// openStorage takes the folder for this process and reads the records from the last that replaced the
-// others on. A damaged log counts as a lost one: the quorum then finds out what this controller had
-// promised.
+// openStorage takes the folder for this process and reads the records from the last that replaced
+// the others on. A damaged log counts as a lost one: the quorum then finds out what this controller
+// had promised.
 func openStorage(folder disk.Disk, log *slog.Logger) (*storage, []quorum.Record, error) {
 	stored, recovered, err := records.Open(folder, records.DefaultBounds())
 	if stored == nil {
 		return nil, nil, fmt.Errorf("folder: %w", err)
 	}
 	if err != nil {
-		log.Error("fleet: what the quorum kept here can't be read: taking part as one that lost it", "why", err)
+		log.Error("fleet: what the quorum kept here can't be read: taking part as one that lost it",
+			"why", err)
 	}
 	if recovered.TornTail {
 		log.Info("fleet: the last record was not written whole, and nothing was said on it")
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// close lets the folder go once the last write is over. A write that hangs is left to the system: the
-// folder stays locked by this process, so nobody takes it meanwhile.
+// close lets the folder go once the last write is over. A write that hangs is left to the system:
+// the folder stays locked by this process, so nobody takes it meanwhile.
 func (s *storage) close() {
 	close(s.writes)
 	if !s.saving {
--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -133,7 +133,8 @@
 }
 
 func (l *Limits) setEngineLimits(descriptors, memory int, connect, idle time.Duration) {
-	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares, memory/4/sessionBytes)
+	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares,
+		memory/4/sessionBytes)
 	l.AnswerHeaderBytes = answerHeaderBytes
 	l.PageBytes = pageBytes
 	l.ResultPages = resultPages
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -9,7 +9,8 @@
 type Limits struct {
 	// Client connections.
 
-	// ClientConnections is the number of client connections, with those that have not sent a query yet.
+	// ClientConnections is the number of client connections, with those that have not sent a query
+	// yet.
 	ClientConnections int
 	// ClosingConnections is the number of connections above ClientConnections whose clients are
 	// being told that they end.
@@ -18,8 +19,8 @@
 	ClientMessageBytes int
 	// ClientReadBufferBytes is the size of a connection's read buffer until a message needs more.
 	ClientReadBufferBytes int
-	// ClientDrainBytes is how much a rejected client may still send, so that it gets to read the error,
-	// before it is closed.
+	// ClientDrainBytes is how much a rejected client may still send, so that it gets to read the
+	// error, before it is closed.
 	ClientDrainBytes int64
 	// AcceptRetryDelay is the time after an accept failed until the next one: descriptors may be short
 	// for a moment.
@@ -29,11 +30,11 @@
 	FirstQueryTimeout time.Duration
 	// ClientMessageTimeout is the time for the rest of a message whose first bytes have been read.
 	ClientMessageTimeout time.Duration
-	// ClientIdleTimeout is the time between two queries. Clients close their idle connections themselves
-	// after 4 s.
+	// ClientIdleTimeout is the time between two queries. Clients close their idle connections
+	// themselves after 4 s.
 	ClientIdleTimeout time.Duration
-	// NewConnectionGrace is the age below which a connection is not closed to make room for another one.
-	// Zero spares none.
+	// NewConnectionGrace is the age below which a connection is not closed to make room for another
+	// one. Zero spares none.
 	NewConnectionGrace time.Duration
 	// ClientWriteTimeout is the time for a client to take an answer.
 	ClientWriteTimeout time.Duration
@@ -69,10 +70,12 @@
 	// engine's own: an attempt that crosses the engine's close would count as one that may have
 	// run.
 	EngineIdleTimeout time.Duration
-	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed for another
-	// engine's sake, so that two engines don't take it from each other in turn. Zero spares none.
+	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed for
+	// another engine's sake, so that two engines don't take it from each other in turn. Zero spares
+	// none.
 	MinIdleBeforeEviction time.Duration
-	// PingTimeout is the time for an engine to answer a ping. One is sent behind each cancelled attempt.
+	// PingTimeout is the time for an engine to answer a ping. One is sent behind each cancelled
+	// attempt.
 	PingTimeout time.Duration
 	// PingAfter is the silence of an engine that owes an answer after which it is pinged.
 	PingAfter time.Duration
@@ -108,7 +111,8 @@
 	// LogInterval is the least time between two log lines about the same engine or the same trouble.
 	// Zero logs each.
 	LogInterval time.Duration
-	// DrainTimeout is the time from the start of a graceful shutdown until every query must be answered.
+	// DrainTimeout is the time from the start of a graceful shutdown until every query must be
+	// answered.
 	DrainTimeout time.Duration
 	// ShutdownTimeout is the time from the start of a graceful shutdown until the process ends,
 	// whatever is unanswered.
@@ -139,6 +143,7 @@
 	SnapshotSectionBytes int
 	// SnapshotSections is the number of sections of a file.
 	SnapshotSections int
-	// SnapshotFileBytes is the size of a file, which takes several times as much memory when it is read.
+	// SnapshotFileBytes is the size of a file, which takes several times as much memory when it is
+	// read.
 	SnapshotFileBytes int64
 }
--- a/internal/logs/block.go
+++ b/internal/logs/block.go
@@ -45,7 +45,8 @@
 	return Block{Format: formatText, Level: slog.LevelInfo, Burst: defaultBurst, Every: defaultEvery}
 }
 
-// ReadBlock reads the block "log". What can't be used is noted in the diagnostics and has its default.
+// ReadBlock reads the block "log". What can't be used is noted in the diagnostics and has its
+// default.
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) Block {
 	read := DefaultBlock()
 	open := block.Open(b, diagnostics, "format", "level", "burst", "every")
--- a/internal/memory/report.go
+++ b/internal/memory/report.go
@@ -30,7 +30,8 @@
 // RecordReport is what all records have.
 type RecordReport struct {
 	AgeMS int64 `json:"age_ms"`
-	// RemainingWeight is the share of its weight that the record still has; 0: it would not be restored.
+	// RemainingWeight is the share of its weight that the record still has; 0: it would not be
+	// restored.
 	RemainingWeight float64 `json:"weighs"`
 }
 
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// Stop makes the writer write a final snapshot and release the directory. It does not wait for that.
+// Stop makes the writer write a final snapshot and release the directory. It does not wait for
+// that.
 func (w *SnapshotWriter) Stop() {
 	w.stopOnce.Do(func() { close(w.stopRequested) })
 }
@@ -175,7 +176,8 @@
 // gone is tried as long as the process lives.
 func (w *SnapshotWriter) nextDelay(failures int, size int64) time.Duration {
 	interval := time.Duration(w.interval.Load())
-	bySize := time.Duration(float64(size) / float64(w.limits.SnapshotBytesPerSecond) * float64(time.Second))
+	bySize := time.Duration(float64(size) / float64(w.limits.SnapshotBytesPerSecond) *
+		float64(time.Second))
 	delay := max(interval, bySize)
 	if failures == 0 {
 		return delay
--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -30,7 +30,8 @@
 	}
 	content, found := b.Body.Content(schema)
 	diagnostics.AddHCL(found, b.Type)
-	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: diagnostics, variables: diagnostics.variables}
+	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: diagnostics,
+		variables: diagnostics.variables}
 	if content != nil {
 		open.fields = content.Attributes
 	}
@@ -49,8 +50,8 @@
 // Has tells whether a field is present.
 func (b *Block) Has(field string) bool { return b.fields[field] != nil }
 
-// String reads a string of at most maxBytes bytes. If it is required, its absence or an empty string
-// is a problem.
+// String reads a string of at most maxBytes bytes. If it is required, its absence or an empty
+// string is a problem.
 func (b *Block) String(field, fallback string, required bool, maxBytes int) string {
 	value, ok := b.value(field, cty.String, "text in quotes")
 	if !ok {
--- a/internal/operator/block/lists.go
+++ b/internal/operator/block/lists.go
@@ -6,8 +6,8 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Strings reads a list of strings of at most maxBytes bytes each; nil if it is absent. An empty list
-// is not nil.
+// Strings reads a list of strings of at most maxBytes bytes each; nil if it is absent. An empty
+// list is not nil.
 func (b *Block) Strings(field string, maxBytes int) []string {
 	if !b.Has(field) {
 		return nil
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -75,7 +75,8 @@
 
 func readCase(b *hcl.Block, facts *settings.Facts, diagnostics *block.Diagnostics) Case {
 	open := block.Open(b, diagnostics,
-		"query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile", "refuse")
+		"query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile",
+		"refuse")
 	query := open.String("query", "", true, maxTextBytes)
 	application := open.String("application", "", false, maxNameBytes)
 	listener := open.String("listener", "", false, maxNameBytes)
--- a/internal/operator/complexity.go
+++ b/internal/operator/complexity.go
@@ -52,7 +52,8 @@
 	case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen,
 		hclsyntax.TokenTemplateInterp, hclsyntax.TokenTemplateControl:
 		return 1
-	case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
+	case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen,
+		hclsyntax.TokenTemplateSeqEnd:
 		return -1
 	}
 	return 0
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,7 +21,8 @@
 	"mintkeel/internal/settings"
 )
 
-// maxFileBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of memory.
+// maxFileBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of
+// memory.
 const maxFileBytes = 1 << 20
 
 // Names of the blocks of an operator's file.
@@ -165,7 +166,8 @@
 	case blockMaintenance:
 		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
 	case blockConfig:
-		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: its controllers agree on the configuration")
+		diagnostics.Add(b.DefRange, b.Type,
+			"needs a block fleet: its controllers agree on the configuration")
 	}
 }
 
--- a/internal/pgwire/answers.go
+++ b/internal/pgwire/answers.go
@@ -37,8 +37,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// beginMessage writes a message's type and leaves room for its length, which endMessage fills in at the place
-// returned.
+// beginMessage writes a message's type and leaves room for its length, which endMessage fills in at
+// the place returned.
 func beginMessage(b []byte, kind byte) (all []byte, lengthAt int) {
 	return append(b, kind, 0, 0, 0, 0), len(b) + 1
 }
@@ -87,8 +87,8 @@
 	return endMessage(append(b, 0), at)
 }
 
-// AppendRejected writes the error that allows the client to retry, after a while if that is above 0. Clients
-// read the words.
+// AppendRejected writes the error that allows the client to retry, after a while if that is above
+// 0. Clients read the words.
 func AppendRejected(b []byte, retryAfter time.Duration) []byte {
 	message := "shed: trying again is harmless"
 	if ms := retryAfter.Milliseconds(); ms > 0 {
@@ -118,8 +118,8 @@
 	return endMessage(b, at)
 }
 
-// AppendRows writes the rows of a page and returns their number. In a page, columns are separated by tabs and
-// each row ends in a line feed.
+// AppendRows writes the rows of a page and returns their number. In a page, columns are separated
+// by tabs and each row ends in a line feed.
 func AppendRows(b, page []byte) (all []byte, rows int) {
 	for len(page) > 0 {
 		line, rest, _ := bytes.Cut(page, []byte{'\n'})
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -12,8 +12,8 @@
 	ErrMalformed = errors.New("malformed message")
 )
 
-// Codes of errors (SQLSTATE), with the conditions that PostgreSQL has under them. Clients tell by the code
-// what they may do.
+// Codes of errors (SQLSTATE), with the conditions that PostgreSQL has under them. Clients tell by
+// the code what they may do.
 const (
 	CodeNoResources = "53000" // insufficient_resources: the query was rejected, and may be retried
 	CodeTooMany     = "53300" // too_many_connections
--- a/internal/pgwire/fields.go
+++ b/internal/pgwire/fields.go
@@ -54,7 +54,8 @@
 	return &FieldError{Field: field, Why: why, Missing: true}
 }
 
-// Fields are what stands in the comment ahead of a statement. Numbers that are absent are 0, texts empty.
+// Fields are what stands in the comment ahead of a statement. Numbers that are absent are 0, texts
+// empty.
 type Fields struct {
 	ClassName         string
 	ID                string
@@ -71,7 +72,8 @@
 // Label is a field with a name that the protocol does not know. Operators' rules may read it.
 type Label struct{ Name, Value string }
 
-// ParseQuery takes a query's fields from the comment that it begins with. Its error is a *FieldError.
+// ParseQuery takes a query's fields from the comment that it begins with. Its error is a
+// *FieldError.
 func ParseQuery(query []byte) (Fields, error) {
 	rest := bytes.TrimLeft(query, blanks)
 	if !bytes.HasPrefix(rest, []byte("/*")) {
@@ -107,8 +109,8 @@
 	return f, nil
 }
 
-// set reads one field. A name that is not known makes a label, so that a client may be newer than its
-// gateway.
+// set reads one field. A name that is not known makes a label, so that a client may be newer than
+// its gateway.
 func (f *Fields) set(name, value string) (err error) {
 	switch name {
 	case fieldClassName:
@@ -144,7 +146,8 @@
 // checkWord checks that a value can go on in an engine's list of fields.
 func checkWord(name, value string, mayBeEmpty bool) error {
 	isSeparator := func(c rune) bool { return c <= ' ' || c >= 0x7f || c == ',' || c == '=' }
-	if len(value) > maxWordBytes || strings.IndexFunc(value, isSeparator) >= 0 || value == "" && !mayBeEmpty {
+	if len(value) > maxWordBytes || strings.IndexFunc(value, isSeparator) >= 0 ||
+		value == "" && !mayBeEmpty {
 		return invalid(name, "is no word")
 	}
 	return nil
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -26,8 +26,9 @@
 // headBytes is the size of a message's type and length. The length counts itself, but not the type.
 const headBytes = 5
 
-// PeekMessage returns the type and body of the next message, of maxBytes at most, without taking it; size is
-// what to discard, also with ErrBuffer. The body is good until the reader is used again.
+// PeekMessage returns the type and body of the next message, of maxBytes at most, without taking
+// it; size is what to discard, also with ErrBuffer. The body is good until the reader is used
+// again.
 func PeekMessage(r *bufio.Reader, maxBytes int) (kind byte, body []byte, size int, err error) {
 	head, err := r.Peek(headBytes)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return kind, message[headBytes:], size, nil
 }
 
-// QueryText returns the text of a query message, which ends in a zero, and whether that is the whole of its
-// body.
+// QueryText returns the text of a query message, which ends in a zero, and whether that is the
+// whole of its body.
 func QueryText(body []byte) (text []byte, whole bool) {
 	end := bytes.IndexByte(body, 0)
 	return body[:max(0, end)], end >= 0 && end == len(body)-1
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -20,7 +20,8 @@
 	cancelBytes      = 16 // with a cancel key
 )
 
-// maxClaimedBytes is the largest length that counts as one: past it the bytes are of another protocol.
+// maxClaimedBytes is the largest length that counts as one: past it the bytes are of another
+// protocol.
 const maxClaimedBytes = 1 << 30
 
 // applicationParameter is the parameter by which clients name themselves.
@@ -37,8 +38,8 @@
 	StartSession StartKind = iota
 	// StartCancel asks to cancel the open query of a session, and nothing else follows.
 	StartCancel
-	// StartEncryption asks for encryption. It is answered by EncryptionRefused, and another start-up message
-	// follows.
+	// StartEncryption asks for encryption. It is answered by EncryptionRefused, and another start-up
+	// message follows.
 	StartEncryption
 )
 
@@ -49,8 +50,8 @@
 	Application string    // of StartSession: the client's name for itself
 }
 
-// ReadStartUp takes the first message of a connection. It must fit the reader's buffer, or the error is
-// ErrTooLong.
+// ReadStartUp takes the first message of a connection. It must fit the reader's buffer, or the
+// error is ErrTooLong.
 func ReadStartUp(r *bufio.Reader) (StartUp, error) {
 	head, err := r.Peek(startUpHeadBytes)
 	if err != nil {
@@ -77,7 +78,8 @@
 	body := message[startUpHeadBytes:]
 	switch {
 	case code == cancelCode && len(message) == cancelBytes:
-		key := CancelKey{SessionID: binary.BigEndian.Uint32(body), Secret: binary.BigEndian.Uint32(body[4:])}
+		key := CancelKey{SessionID: binary.BigEndian.Uint32(body),
+			Secret: binary.BigEndian.Uint32(body[4:])}
 		return StartUp{Kind: StartCancel, CancelKey: key}, nil
 	case (code == sslCode || code == gssCode) && len(body) == 0:
 		return StartUp{Kind: StartEncryption}, nil
@@ -87,8 +89,8 @@
 	return StartUp{}, ErrMalformed
 }
 
-// parameter returns one of a start-up message's parameters, which are names and values that end in a zero;
-// empty: it is not there.
+// parameter returns one of a start-up message's parameters, which are names and values that end in
+// a zero; empty: it is not there.
 func parameter(body []byte, name string) string {
 	for len(body) > 0 {
 		next, rest, ok := bytes.Cut(body, []byte{0})
--- a/internal/pgwire/table.go
+++ b/internal/pgwire/table.go
@@ -27,8 +27,9 @@
 	Schema, Name string
 }
 
-// FindTable returns the table of a statement: the first qualified name with a table group that stands where a
-// table's name does, or if there is none the first elsewhere, which could be a column's.
+// FindTable returns the table of a statement: the first qualified name with a table group that
+// stands where a table's name does, or if there is none the first elsewhere, which could be a
+// column's.
 func FindTable(statement []byte) (table Table, found bool) {
 	tokens := tokenize(statement)
 	for i := 0; i+2 < len(tokens); i++ {
--- a/internal/pgwire/tokens.go
+++ b/internal/pgwire/tokens.go
@@ -11,7 +11,8 @@
 	textNumber = "0"
 )
 
-// token is a name, perhaps quoted, or a single sign. A string is the sign textString, a number textNumber.
+// token is a name, perhaps quoted, or a single sign. A string is the sign textString, a number
+// textNumber.
 type token struct {
 	text   string // of a name: in the case that it stands for
 	isName bool
@@ -25,8 +26,8 @@
 	tokens []token
 }
 
-// tokenize splits a statement into tokens, without comments and without what its strings hold: a name there
-// is not one of the statement. What has no end reaches to the end of the statement.
+// tokenize splits a statement into tokens, without comments and without what its strings hold: a
+// name there is not one of the statement. What has no end reaches to the end of the statement.
 func tokenize(statement []byte) []token {
 	t := &tokenizer{source: statement}
 	for t.at < len(t.source) {
@@ -101,8 +102,8 @@
 	t.add(token{text: strings.ReplaceAll(inner, `""`, `"`), isName: true, quoted: true})
 }
 
-// skipQuoted passes what stands in quotes, in which a doubled quote stands for one, and a backslash before
-// any byte for that byte if escapes is set.
+// skipQuoted passes what stands in quotes, in which a doubled quote stands for one, and a backslash
+// before any byte for that byte if escapes is set.
 func (t *tokenizer) skipQuoted(quote byte, escapes bool) {
 	for t.at++; t.at < len(t.source); t.at++ {
 		c := t.source[t.at]
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,9 +1,10 @@
-// Package request holds a query in flight: the one object that the clients' side and the engines' side share.
-// The clients' side fills it and waits for its answer, the controller's loop finishes it, and the engines'
-// side reads its statement.
+// Package request holds a query in flight: the one object that the clients' side and the engines'
+// side share. The clients' side fills it and waits for its answer, the controller's loop finishes
+// it, and the engines' side reads its statement.
 //
-// The exported fields of Query don't change once it is handed to the loop, but for RouterID, which the loop
-// sets before it hands the query on. Its answer is guarded by a mutex, which is held for no I/O.
+// The exported fields of Query don't change once it is handed to the loop, but for RouterID, which
+// the loop sets before it hands the query on. Its answer is guarded by a mutex, which is held for
+// no I/O.
 package request
 
 import (
@@ -52,16 +53,19 @@
 	Tables            router.TableGroup
 	Kinds             []router.KindID // by the operator's rules; nil: not narrowed
 	Zones             []router.Zone   // by the operator's rules; nil: not narrowed
-	Hot               bool            // by the operator's rules: its tables are to be on several engines at once
-	Statement         []byte          // which engines get
+	// by the operator's rules: its tables are to be on several engines at once
+	Hot       bool
+	Statement []byte // which engines get
 
 	// RuleInput is the query as the operator's rules see it; nil where there can be none.
 	RuleInput *rules.Query
 
-	FirstOnConnection bool          // no query came before it on its connection
-	ReadAt            time.Time     // when its last byte was read
-	TimeLeft          time.Duration // from ReadAt until it must be answered, a little before its client gives up
-	// ClientTimeout is how long clients wait for a query of this class, from when they want it, by the settings.
+	FirstOnConnection bool      // no query came before it on its connection
+	ReadAt            time.Time // when its last byte was read
+	// from ReadAt until it must be answered, a little before its client gives up
+	TimeLeft time.Duration
+	// ClientTimeout is how long clients wait for a query of this class, from when they want it, by the
+	// settings.
 	ClientTimeout time.Duration
 
 	mu       sync.Mutex
@@ -69,17 +73,17 @@
 	onAnswer func() // nil: nobody waits yet
 }
 
-// OnAnswer has a function called when the final answer is there, once. It must not block, and must be set
-// before the query is handed to the loop.
+// OnAnswer has a function called when the final answer is there, once. It must not block, and must
+// be set before the query is handed to the loop.
 func (q *Query) OnAnswer(notify func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.onAnswer = notify
 }
 
-// Finish gives the final answer and reports whether it is the first. No later one takes effect: a client's
-// leaving, the end of an attempt and a timeout may come at the same moment, and the client must not get two
-// answers.
+// Finish gives the final answer and reports whether it is the first. No later one takes effect: a
+// client's leaving, the end of an attempt and a timeout may come at the same moment, and the client
+// must not get two answers.
 func (q *Query) Finish(answer Answer) bool {
 	q.mu.Lock()
 	first := q.answer.Verdict == Unanswered
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,7 +52,8 @@
 
 // NewRouter returns the decision module of a controller with these settings.
 func (f *Facts) NewRouter(seed int64) *router.Router {
-	return router.New(seed, f.Identity, f.MachineKinds, f.Classes, f.Tenants, f.Capabilities, f.SafetyLimits)
+	return router.New(seed, f.Identity, f.MachineKinds, f.Classes, f.Tenants, f.Capabilities,
+		f.SafetyLimits)
 }
 
 // Read reads settings. The error is a *FieldError of the first value that can't be used, in the
--- a/internal/simwire/parse.go
+++ b/internal/simwire/parse.go
@@ -6,8 +6,9 @@
 	"strconv"
 )
 
-// parsers read the fields of messages, by their names on the wire. Fields stand in a fixed order; those whose
-// values nothing has a use for are read all the same, so that a malformed line is noticed.
+// parsers read the fields of messages, by their names on the wire. Fields stand in a fixed order;
+// those whose values nothing has a use for are read all the same, so that a malformed line is
+// noticed.
 var parsers = map[string]func(*Reader, *fields) Body{
 	"up":          parseStart,
 	"retire":      func(_ *Reader, f *fields) Body { return Stop{f.controller()} },
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -38,8 +38,8 @@
 // NewReader reads batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, bufferBytes)} }
 
-// Read returns the next batch, or io.EOF at the end of input. Other errors of the input's form are a
-// *FieldError.
+// Read returns the next batch, or io.EOF at the end of input. Other errors of the input's form are
+// a *FieldError.
 func (r *Reader) Read() (*Batch, error) {
 	name, f, err := r.nextLine()
 	if err != nil {
--- a/internal/store/documents/folder.go
+++ b/internal/store/documents/folder.go
@@ -120,7 +120,8 @@
 	return f.disk.Sync()
 }
 
-// writeTemporary writes a file and syncs it. One that an earlier write could not remove is replaced.
+// writeTemporary writes a file and syncs it. One that an earlier write could not remove is
+// replaced.
 func (f *Folder) writeTemporary(name string, content []byte) (err error) {
 	out, err := f.disk.Create(name)
 	if errors.Is(err, fs.ErrExist) {
--- a/internal/store/fenced/format.go
+++ b/internal/store/fenced/format.go
@@ -63,7 +63,8 @@
 // parseVersion is the version of a value that a file holds by its name; not ok for other files.
 func parseVersion(file, name string) (v version, ok bool) {
 	parts := strings.Split(file, ".")
-	if len(parts) != 3 || parts[0] != name || len(parts[1]) != numberDigits || len(parts[2]) != numberDigits {
+	if len(parts) != 3 || parts[0] != name || len(parts[1]) != numberDigits ||
+		len(parts[2]) != numberDigits {
 		return version{}, false
 	}
 	token, tokenErr := strconv.ParseUint(parts[1], 16, 64)
@@ -88,11 +89,12 @@
 }
 
 func isValidName(name string) bool {
-	return len(name) > 0 && len(name) <= maxNameLength && !strings.ContainsFunc(name, func(r rune) bool {
-		isLetter := r >= 'a' && r <= 'z'
-		isDigit := r >= '0' && r <= '9'
-		return !isLetter && !isDigit && r != '-'
-	})
+	return len(name) > 0 && len(name) <= maxNameLength &&
+		!strings.ContainsFunc(name, func(r rune) bool {
+			isLetter := r >= 'a' && r <= 'z'
+			isDigit := r >= '0' && r <= '9'
+			return !isLetter && !isDigit && r != '-'
+		})
 }
 
 func encode(value []byte) []byte {
--- a/internal/store/records/doc.go
+++ b/internal/store/records/doc.go
@@ -36,6 +36,7 @@
 //	checksum   8, xxHash64 of the 16 bytes before
 //	records, each:
 //	  length   4, of the payload
-//	  checksum 8, xxHash64 of the file's number, the record's index in the file, its length and payload
+//	  checksum 8, xxHash64 of the file's number, the record's index in the file, its length and
+//	           its payload
 //	  payload
 package records
--- a/internal/store/records/format.go
+++ b/internal/store/records/format.go
@@ -63,7 +63,9 @@
 func (e *FileError) Unwrap() error { return e.Err }
 
 // fileName is the name of the file with a number.
-func fileName(number uint64) string { return fmt.Sprintf("%s%0*x", filePrefix, numberDigits, number) }
+func fileName(number uint64) string {
+	return fmt.Sprintf("%s%0*x", filePrefix, numberDigits, number)
+}
 
 // numberOf is the number in the name of a file of the log; not ok for other names.
 func numberOf(name string) (number uint64, ok bool) {
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -41,7 +41,8 @@
 	if *bytesLeft < 0 {
 		return nil, false, &FileError{file.name, noRecord, ErrTooLarge}
 	}
-	r := &reader{in: bufio.NewReader(io.LimitReader(in, size)), file: file, size: size, maxRecord: b.Record}
+	r := &reader{in: bufio.NewReader(io.LimitReader(in, size)), file: file, size: size,
+		maxRecord: b.Record}
 	err = r.readHeader()
 	for err == nil {
 		var payload []byte
@@ -90,7 +91,8 @@
 	return &FileError{r.file.name, noRecord, fmt.Errorf("head %w", ErrDamaged)}
 }
 
-// readRecord returns the payload of the next record, errEndOfFile, errTornTail or an error of the file.
+// readRecord returns the payload of the next record, errEndOfFile, errTornTail or an error of the
+// file.
 func (r *reader) readRecord() ([]byte, error) {
 	header := make([]byte, recordHeaderBytes)
 	_, err := io.ReadFull(r.in, header)
--- a/internal/store/snapshots/format.go
+++ b/internal/store/snapshots/format.go
@@ -51,7 +51,9 @@
 }
 
 // fileName is the final name of the snapshot with a serial number.
-func fileName(serial uint64) string { return fmt.Sprintf("%s%0*x", filePrefix, serialDigits, serial) }
+func fileName(serial uint64) string {
+	return fmt.Sprintf("%s%0*x", filePrefix, serialDigits, serial)
+}
 
 func appendHeader(b []byte, serial uint64) []byte {
 	b = append(b, magic...)
--- a/match/compile.go
+++ b/match/compile.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// A tree is compiled into closures by type, so that no value is boxed and nothing is allocated. They call
-// each other as deep as the tree goes, which parsing bounds.
+// A tree is compiled into closures by type, so that no value is boxed and nothing is allocated.
+// They call each other as deep as the tree goes, which parsing bounds.
 
 // compileBool compiles a truth value.
 func (n *node) compileBool() func(*evaluation) bool {
--- a/match/cost.go
+++ b/match/cost.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Costs in steps of some nanoseconds. A text is looked at a word at a time where it is compared, and a byte
-// at a time where it is changed or matched.
+// Costs in steps of some nanoseconds. A text is looked at a word at a time where it is compared,
+// and a byte at a time where it is changed or matched.
 const (
 	wordBytes      = 8
 	lookupSteps    = 2
@@ -102,8 +102,8 @@
 	return halves * (2 + min(n.args[0].maxTextBytes(s), longest)/wordBytes)
 }
 
-// cost is the most that one evaluation may take, and the bytes of scratch that it may need. Of a choice the
-// dearer side counts for steps, and both for scratch.
+// cost is the most that one evaluation may take, and the bytes of scratch that it may need. Of a
+// choice the dearer side counts for steps, and both for scratch.
 func (n *node) cost(s *Schema) (steps, scratchBytes int) {
 	steps, scratchBytes = n.ownCost(s)
 	if n.op == opIf {
--- a/match/eval.go
+++ b/match/eval.go
@@ -6,15 +6,16 @@
 	"unsafe"
 )
 
-// Scratch is what an evaluation writes texts into. The texts that come out are good until the next evaluation
-// with it. The zero value is ready for use: it grows to what the expressions need, and then no evaluation
-// allocates. One goroutine uses it.
+// Scratch is what an evaluation writes texts into. The texts that come out are good until the next
+// evaluation with it. The zero value is ready for use: it grows to what the expressions need, and
+// then no evaluation allocates. One goroutine uses it.
 type Scratch struct{ evaluation evaluation }
 
 // evaluation is one evaluation of an expression.
 type evaluation struct {
-	row     Row
-	scratch []byte // texts that were written so far; it never grows beyond its capacity within an evaluation
+	row Row
+	// texts that were written so far; it never grows beyond its capacity within an evaluation
+	scratch []byte
 }
 
 // labelBounds are the schema's bounds of labels.
@@ -51,8 +52,8 @@
 	return "", false
 }
 
-// scratchText is what was written into the scratch from a place on, as a text. It is not copied: what is
-// written stays until the next evaluation, as the scratch never grows within one.
+// scratchText is what was written into the scratch from a place on, as a text. It is not copied:
+// what is written stays until the next evaluation, as the scratch never grows within one.
 func (ev *evaluation) scratchText(from int) string {
 	if from == len(ev.scratch) {
 		return ""
@@ -73,8 +74,8 @@
 	return ev.scratchText(from)
 }
 
-// concat writes texts one after the other. They are all evaluated first, as a part may write into the scratch
-// itself.
+// concat writes texts one after the other. They are all evaluated first, as a part may write into
+// the scratch itself.
 func (ev *evaluation) concat(parts []func(*evaluation) string) string {
 	var texts [maxArguments]string
 	for i, part := range parts {
@@ -116,11 +117,12 @@
 	return finite(a / b)
 }
 
-// maxQuotient is how often a divisor may go into a number for a remainder to mean anything: past it all
-// digits are lost. It also bounds the cost, which is a subtraction for each bit.
+// maxQuotient is how often a divisor may go into a number for a remainder to mean anything: past it
+// all digits are lost. It also bounds the cost, which is a subtraction for each bit.
 const maxQuotient = 1 << 53
 
-// remainder is what is left of a division towards zero; over zero, or where all digits are lost, zero.
+// remainder is what is left of a division towards zero; over zero, or where all digits are lost,
+// zero.
 func remainder(a, b float64) float64 {
 	if b == 0 || !(math.Abs(a/b) < maxQuotient) {
 		return 0
@@ -136,8 +138,8 @@
 	maxBuckets = 1 << 32
 )
 
-// bucket is a text's place among n, from 0: its hash by FNV-1a, folded. It is the same everywhere and must
-// stay so. Of no places it is 0.
+// bucket is a text's place among n, from 0: its hash by FNV-1a, folded. It is the same everywhere
+// and must stay so. Of no places it is 0.
 func bucket(s string, n float64) float64 {
 	if !(n >= 1) {
 		return 0
@@ -150,8 +152,8 @@
 	return float64(h % uint64(min(n, maxBuckets)))
 }
 
-// part is the n-th part of a text between separators, from 0, or from the end if n is below 0: -1 is the
-// last. It is empty if there is none such.
+// part is the n-th part of a text between separators, from 0, or from the end if n is below 0: -1
+// is the last. It is empty if there is none such.
 func part(s, separator string, n float64) string {
 	if n < 0 {
 		return partFromEnd(s, separator, -n)
@@ -191,7 +193,8 @@
 // maxDigits bytes of a text are read as a number.
 const maxDigits = 32
 
-// parseNumberPrefix is the number that a text begins with, without exponent; 0 if it begins with none.
+// parseNumberPrefix is the number that a text begins with, without exponent; 0 if it begins with
+// none.
 func parseNumberPrefix(s string) float64 {
 	s = truncate(s, maxDigits)
 	sign := 1.0
--- a/match/explain.go
+++ b/match/explain.go
@@ -16,8 +16,8 @@
 	Value string
 }
 
-// Explain evaluates an expression part by part: conditions down to what they compare, and the two sides of
-// each comparison. Parts that an evaluation would skip are there too.
+// Explain evaluates an expression part by part: conditions down to what they compare, and the two
+// sides of each comparison. Parts that an evaluation would skip are there too.
 func (e *Expr) Explain(row Row) (steps []Step) {
 	var s Scratch
 	var explain func(n *node, depth int)
--- a/match/expr.go
+++ b/match/expr.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Expr is a compiled expression. Several goroutines may evaluate it at once, each with a Scratch of its own.
+// Expr is a compiled expression. Several goroutines may evaluate it at once, each with a Scratch of
+// its own.
 type Expr struct {
 	source       string
 	valueType    Type
--- a/match/functions.go
+++ b/match/functions.go
@@ -35,8 +35,9 @@
 	}
 	f, known := functions[name.text]
 	if !known {
-		return nil, p.fail(name.offset, "%.40q is no function: there are bucket, concat, has, label, length, lower, "+
-			"max, min, number, part, upper", name.text)
+		return nil, p.fail(name.offset,
+			"%.40q is no function: there are bucket, concat, has, label, length, lower, "+
+				"max, min, number, part, upper", name.text)
 	}
 	n := &node{op: f.op, valueType: f.result, offset: name.offset}
 	for !p.nextIs(")") {
--- a/match/lexer.go
+++ b/match/lexer.go
@@ -25,7 +25,8 @@
 	number float64 // of a number, or of a duration in ms
 }
 
-// lexer splits a source into tokens. It does not recurse, and looks at each byte a bounded number of times.
+// lexer splits a source into tokens. It does not recurse, and looks at each byte a bounded number
+// of times.
 type lexer struct {
 	source string
 	offset int // of the next byte
@@ -118,8 +119,8 @@
 	return token{kind: tokenDuration, offset: from, number: x * factor}, nil
 }
 
-// quoted takes a text in quotes, with the escapes \n, \t, \\, \" and \'. Other backslashes stand for
-// themselves, so that regular expressions need not double theirs.
+// quoted takes a text in quotes, with the escapes \n, \t, \\, \" and \'. Other backslashes stand
+// for themselves, so that regular expressions need not double theirs.
 func (l *lexer) quoted(quote byte) (token, error) {
 	from := l.offset
 	var b strings.Builder
--- a/match/literals.go
+++ b/match/literals.go
@@ -10,7 +10,8 @@
 const (
 	// maxListItems bounds a list of literals. It is searched by halves, so its length costs little.
 	maxListItems = 2000
-	// maxProgramLength bounds the instructions of a regular expression: each may be looked at for each byte.
+	// maxProgramLength bounds the instructions of a regular expression: each may be looked at for each
+	// byte.
 	maxProgramLength = 500
 )
 
@@ -32,7 +33,8 @@
 			return nil, err
 		}
 		if item.valueType != left.valueType || item.valueType == Bool {
-			return nil, p.fail(itemOffset, "is a %v, what is looked for a %v", item.valueType, left.valueType)
+			return nil, p.fail(itemOffset, "is a %v, what is looked for a %v", item.valueType,
+				left.valueType)
 		}
 		n.set = append(n.set, item.literal)
 		if len(n.set) > maxListItems {
--- a/match/parser.go
+++ b/match/parser.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// parser is a recursive descent of bounded depth. Each method that parses returns a tree whose types are
-// checked.
+// parser is a recursive descent of bounded depth. Each method that parses returns a tree whose
+// types are checked.
 type parser struct {
 	lexer  lexer
 	schema *Schema
@@ -90,7 +90,8 @@
 		return nil, err
 	}
 	if condition.valueType != Bool {
-		return nil, p.fail(condition.offset, "stands before ? and is a %v, not a truth value", condition.valueType)
+		return nil, p.fail(condition.offset, "stands before ? and is a %v, not a truth value",
+			condition.valueType)
 	}
 	yes, err := p.expression()
 	if err == nil {
@@ -106,11 +107,12 @@
 	if yes.valueType != no.valueType {
 		return nil, p.fail(no.offset, "is a %v, the other choice a %v", no.valueType, yes.valueType)
 	}
-	return &node{op: opIf, valueType: yes.valueType, offset: offset, args: []*node{condition, yes, no}}, nil
+	return &node{op: opIf, valueType: yes.valueType, offset: offset,
+		args: []*node{condition, yes, no}}, nil
 }
 
-// operatorLevels are the binary operators, those that bind least first. Those of one level associate to the
-// left.
+// operatorLevels are the binary operators, those that bind least first. Those of one level
+// associate to the left.
 var operatorLevels = [][]string{
 	{"||"},
 	{"&&"},
@@ -122,8 +124,8 @@
 // comparisonLevel is the level whose operators can't follow each other.
 const comparisonLevel = 2
 
-// binary parses the operators of a level and those that bind more. A chain of operators counts as deep as it
-// is long, as evaluation goes down its left side.
+// binary parses the operators of a level and those that bind more. A chain of operators counts as
+// deep as it is long, as evaluation goes down its left side.
 func (p *parser) binary(level int) (*node, error) {
 	if level == len(operatorLevels) {
 		return p.unary()
@@ -225,7 +227,9 @@
 	}
 	field, index := p.schema.findField(name.text)
 	if field == nil {
-		return nil, p.fail(name.offset, "%.40q is no field: there are %s", name.text, p.schema.fieldNames())
+		return nil, p.fail(name.offset, "%.40q is no field: there are %s", name.text,
+			p.schema.fieldNames())
 	}
-	return &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index}, nil
+	return &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index},
+		nil
 }
--- a/match/pattern.go
+++ b/match/pattern.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// pattern is a glob over bytes: * matches any number of bytes, also none, ? exactly one (so it does not
-// match a character of several bytes), and \ takes the next byte as it is. Matching backtracks only to the
-// last star, so it compares at most len(s) times len(pattern) bytes.
+// pattern is a glob over bytes: * matches any number of bytes, also none, ? exactly one (so it does
+// not match a character of several bytes), and \ takes the next byte as it is. Matching backtracks
+// only to the last star, so it compares at most len(s) times len(pattern) bytes.
 type pattern struct {
 	source         string
 	text           string // the pattern with its escapes taken out
--- a/match/requirements.go
+++ b/match/requirements.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Requirement is something that holds of every row on which a condition does: a field has one of some values,
-// or begins with a text.
+// Requirement is something that holds of every row on which a condition does: a field has one of
+// some values, or begins with a text.
 type Requirement struct {
 	Field  string
 	Equal  []Value // one of these; nil: it begins with Prefix
 	Prefix string
 }
 
-// Requires returns what the outermost conjunction of a condition requires, without evaluating it. There may
-// be nothing.
+// Requires returns what the outermost conjunction of a condition requires, without evaluating it.
+// There may be nothing.
 func (e *Expr) Requires() []Requirement { return e.tree.requirements(nil) }
 
 // requirements appends those of a condition.
@@ -46,7 +46,8 @@
 	return all
 }
 
-// NeverEmpty reports whether it can be shown that a text is never empty, where these fields never are.
+// NeverEmpty reports whether it can be shown that a text is never empty, where these fields never
+// are.
 func (e *Expr) NeverEmpty(filled ...string) bool { return e.tree.neverEmpty(filled) }
 
 func (n *node) neverEmpty(filled []string) bool {
--- a/match/schema.go
+++ b/match/schema.go
@@ -28,8 +28,8 @@
 	MaxBytes int // of a text: longer ones are cut before they are matched
 }
 
-// Schema is the fields that there are, in the order of a Row's values, and the bounds of labels. Labels are
-// texts whose names are not known beforehand: label("store").
+// Schema is the fields that there are, in the order of a Row's values, and the bounds of labels.
+// Labels are texts whose names are not known beforehand: label("store").
 type Schema struct {
 	Fields        []Field
 	MaxLabels     int // of a row; 0: there is no function label
@@ -55,7 +55,8 @@
 	return nil, 0
 }
 
-// Value is a field's value in a row. The zero value is that of an absent field: false, 0 or empty text.
+// Value is a field's value in a row. The zero value is that of an absent field: false, 0 or empty
+// text.
 type Value struct {
 	Number  float64 // of a number or duration; 1 for true
 	Text    string
@@ -79,8 +80,8 @@
 // Label is one label of a row.
 type Label struct{ Name, Value string }
 
-// Row is what expressions are evaluated on: values in the schema's order, and labels. What is past the
-// schema's bounds is cut: texts that are too long, labels past their number.
+// Row is what expressions are evaluated on: values in the schema's order, and labels. What is past
+// the schema's bounds is cut: texts that are too long, labels past their number.
 type Row struct {
 	Values []Value
 	Labels []Label
--- a/match/types.go
+++ b/match/types.go
@@ -9,8 +9,8 @@
 	"%": opRemainder,
 }
 
-// combine checks the types of the two sides of a binary operator, and returns its node. Operators that differ
-// by a negation or by the order of their sides share an op.
+// combine checks the types of the two sides of a binary operator, and returns its node. Operators
+// that differ by a negation or by the order of their sides share an op.
 func (p *parser) combine(left, right *node, sign string, offset int) (*node, error) {
 	n := &node{valueType: Bool, offset: offset, args: []*node{left, right}}
 	sameType := left.valueType == right.valueType
@@ -36,19 +36,21 @@
 		n.args[0], n.args[1] = right, left
 		fits = sameType && left.valueType != Bool
 	case "startswith", "endswith", "contains":
-		n.op = map[string]op{"startswith": opStartsWith, "endswith": opEndsWith, "contains": opContains}[sign]
+		n.op = map[string]op{"startswith": opStartsWith, "endswith": opEndsWith,
+			"contains": opContains}[sign]
 		fits = sameType && left.valueType == Text
 	default:
 		return p.combineArithmetic(left, right, sign, offset)
 	}
 	if !fits {
-		return nil, p.fail(offset, "%s does not go with a %v and a %v", sign, left.valueType, right.valueType)
+		return nil, p.fail(offset, "%s does not go with a %v and a %v", sign, left.valueType,
+			right.valueType)
 	}
 	return n, nil
 }
 
-// combineArithmetic is combine for arithmetic: durations add to durations, and are multiplied and divided by
-// numbers; a duration over a duration is a number. Texts are joined by +.
+// combineArithmetic is combine for arithmetic: durations add to durations, and are multiplied and
+// divided by numbers; a duration over a duration is a number. Texts are joined by +.
 func (p *parser) combineArithmetic(left, right *node, sign string, offset int) (*node, error) {
 	n := &node{op: arithmeticOps[sign], offset: offset, args: []*node{left, right}}
 	a, b := left.valueType, right.valueType
--- a/router/actions.go
+++ b/router/actions.go
@@ -9,8 +9,8 @@
 		ID       QueryID
 		Engine   EngineID
 		Deadline float64 // ms; when the attempt is given up, as TimedOut
-		// StartBy, in ms: an attempt that has not been sent by then must not be sent any more, and ends as NotSent
-		// or Withdrawn. 0: there is no such time.
+		// StartBy, in ms: an attempt that has not been sent by then must not be sent any more, and ends
+		// as NotSent or Withdrawn. 0: there is no such time.
 		StartBy float64
 	}
 	// CancelAttempt asks for an attempt to be stopped. Its outcome still comes.
@@ -18,15 +18,16 @@
 		ID      QueryID
 		Attempt AttemptID
 	}
-	// Reject is the final answer that promises that the query had no effect or may run again: the client may
-	// retry.
+	// Reject is the final answer that promises that the query had no effect or may run again: the
+	// client may retry.
 	Reject struct {
 		ID         QueryID
 		RetryAfter float64 // ms that the client should wait; 0: not told
 	}
 	// Fail is the final answer that promises nothing.
 	Fail struct{ ID QueryID }
-	// SetTimer asks for a step after this many ms, with a TimerFired event. It replaces the timer set before.
+	// SetTimer asks for a step after this many ms, with a TimerFired event. It replaces the timer set
+	// before.
 	SetTimer struct{ After float64 }
 	// CheckHealth asks an engine for its health and load.
 	CheckHealth struct{ Engine EngineID }
--- a/router/admission.go
+++ b/router/admission.go
@@ -1,10 +1,12 @@
 package router
 
-// admission is the state of admission control: which queries are taken while there is more to do than
-// capacity for it.
+// admission is the state of admission control: which queries are taken while there is more to do
+// than capacity for it.
 type admission struct {
-	sizeLimit       float64     // the largest query taken, as a multiple of the usual work of its class
-	objectiveMissed bool        // a latency objective was missed since the size limit was last adjusted
+	// the largest query taken, as a multiple of the usual work of its class
+	sizeLimit float64
+	// a latency objective was missed since the size limit was last adjusted
+	objectiveMissed bool
 	overloadedUntil float64     // ms; overload is assumed until then
 	arrivalWait     decayedMean // ms that queries waited until a step took them in
 	rejectShare     float64     // share of the arriving queries that is rejected at once
@@ -12,9 +14,11 @@
 }
 
 const (
-	maxSizeLimit    = 64.0  // times the usual work of its class that a query may need, when nothing is late
-	minSizeLimit    = 4.0   // the same in the worst overload
-	sizeLimitCut    = 0.9   // is left of the limit, each periodicInterval in which an objective was missed
+	// times the usual work of its class that a query may need, when nothing is late
+	maxSizeLimit = 64.0
+	minSizeLimit = 4.0 // the same in the worst overload
+	// is left of the limit, each periodicInterval in which an objective was missed
+	sizeLimitCut    = 0.9
 	sizeLimitGrowth = 1.005 // growth of the limit, each periodicInterval
 )
 
@@ -23,7 +27,8 @@
 	overloadDuration     = 1000.0 // ms for which overload is assumed after a query was queued too long
 	firstTryTimeoutDecay = 0.997  // with each query, of the longest time left that was seen
 	retryTimeoutShare    = 0.95   // of that; a query with less time left is taken for a client's retry
-	maxClientQueueShare  = 0.75   // of a query's time left that can have passed in its client's own queue
+	// of a query's time left that can have passed in its client's own queue
+	maxClientQueueShare = 0.75
 )
 
 const (
@@ -34,8 +39,8 @@
 	maxRejectShare      = 0.98   // so that waits are still seen
 )
 
-// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in time, or
-// belongs to the share that is rejected while queries wait too long to be looked at.
+// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in
+// time, or belongs to the share that is rejected while queries wait too long to be looked at.
 func (r *Router) queryArrived(ev QueryArrived) {
 	class := r.classes[ev.Class]
 	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // clients may claim any time
@@ -55,8 +60,8 @@
 	r.enqueue(q)
 }
 
-// recognizeRetry takes q for a client's retry if it leaves clearly less time than first tries do. The latency
-// objective then counts from when its client first tried.
+// recognizeRetry takes q for a client's retry if it leaves clearly less time than first tries do.
+// The latency objective then counts from when its client first tried.
 func (class *queryClass) recognizeRetry(q *query, timeLeft float64) {
 	class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, timeLeft)
 	if timeLeft < class.firstTryTimeout*retryTimeoutShare {
@@ -64,8 +69,8 @@
 	}
 }
 
-// drawOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks for more
-// than this controller's share of its quota, as many as are over it, by chance.
+// drawOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks
+// for more than this controller's share of its quota, as many as are over it, by chance.
 func (r *Router) drawOverQuota(q *query) bool {
 	tenant := q.tenant
 	if tenant == nil || tenant.QueriesPerSecond <= 0 {
@@ -75,8 +80,8 @@
 	return r.rng.Float64()*tenant.queries.rate(r.now) > quota
 }
 
-// noteHotTables has the pools packed anew if a rule marks the query's table group as hot for the first time.
-// Groups of which no query was ever answered don't count: any client can name one.
+// noteHotTables has the pools packed anew if a rule marks the query's table group as hot for the
+// first time. Groups of which no query was ever answered don't count: any client can name one.
 func (r *Router) noteHotTables(q *query, hot bool) {
 	if hot && q.tables.confirmed && !q.tables.hot {
 		q.tables.hot = true
@@ -95,10 +100,10 @@
 	return noReason
 }
 
-// whyRejectForArrivalWait sheds load when this controller can't decide as fast as queries come: waits for a
-// step grow without end, and in the end every query would be late. Queries that can't be in time after such
-// a wait are rejected first, then a share of all that grows until waits are short again. After a single
-// pause of the process a few queries are rejected that could have run.
+// whyRejectForArrivalWait sheds load when this controller can't decide as fast as queries come:
+// waits for a step grow without end, and in the end every query would be late. Queries that can't
+// be in time after such a wait are rejected first, then a share of all that grows until waits are
+// short again. After a single pause of the process a few queries are rejected that could have run.
 func (r *Router) whyRejectForArrivalWait(q *query, arrivalWait float64) answerReason {
 	state := &r.admission
 	state.arrivalWait.add(r.now, arrivalWait, 1)
@@ -116,17 +121,17 @@
 	return noReason
 }
 
-// cannotReachHeadInTime reports whether those ahead of q in the queue of an ordering key take longer than
-// it can wait. In a burst on one key its client then knows at once and can turn elsewhere. Some of these
-// queries could have run in the end.
+// cannotReachHeadInTime reports whether those ahead of q in the queue of an ordering key take
+// longer than it can wait. In a burst on one key its client then knows at once and can turn
+// elsewhere. Some of these queries could have run in the end.
 func (r *Router) cannotReachHeadInTime(q *query) bool {
 	ahead := r.waitAhead(q, r.latestStart(q)-r.now)
 	return ahead > 0 && r.now+ahead > r.latestStart(q)
 }
 
-// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries run lately:
-// the longest of all its queues. A sum is not taken much further than past limit (ms), so that a long queue
-// costs no time. Queries of unknown run time count as 0.
+// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries
+// run lately: the longest of all its queues. A sum is not taken much further than past limit (ms),
+// so that a long queue costs no time. Queries of unknown run time count as 0.
 func (r *Router) waitAhead(q *query, limit float64) float64 {
 	longest := 0.0
 	for _, queue := range q.queues {
@@ -149,11 +154,11 @@
 	return sum
 }
 
-// whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one. In
-// overload these make room: the ones that can only be late, those over their tenant's quota, and the
-// largest of a class. It guards against overload, queries that cost many times the usual, tenants that
-// surge, and client retries, which would crowd out first tries as they have the shorter timeouts. A few are
-// shed that could have run.
+// whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one.
+// In overload these make room: the ones that can only be late, those over their tenant's quota, and
+// the largest of a class. It guards against overload, queries that cost many times the usual,
+// tenants that surge, and client retries, which would crowd out first tries as they have the
+// shorter timeouts. A few are shed that could have run.
 func (r *Router) whyNotWorthRunning(q *query) answerReason {
 	if len(q.attempts) > 0 {
 		return noReason
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of a kind
-	// are assigned, so that it takes some milliseconds at most.
+	// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of
+	// a kind are assigned, so that it takes some milliseconds at most.
 	maxAssignmentPairs = 500000
-	// maxEnginesSortedWhole is the largest number of engines that are sorted whole, so that engines of equal
-	// affinity go to the pools in the order that earlier pools left them in.
+	// maxEnginesSortedWhole is the largest number of engines that are sorted whole, so that engines of
+	// equal affinity go to the pools in the order that earlier pools left them in.
 	maxEnginesSortedWhole = 256
-	// maxPicksByScan is the largest number of picks, from more engines than that, which are found one by one:
-	// it costs less than a heap.
+	// maxPicksByScan is the largest number of picks, from more engines than that, which are found one
+	// by one: it costs less than a heap.
 	maxPicksByScan = 8
 )
 
-// assignEngines gives the pools of a kind as many engines as they are to have. An engine stays with the
-// pool that it is in, whose tables it has in memory; otherwise it goes by rendezvous affinity. Pools that
-// give up engines choose first, so that a move of one engine moves no other.
+// assignEngines gives the pools of a kind as many engines as they are to have. An engine stays with
+// the pool that it is in, whose tables it has in memory; otherwise it goes by rendezvous affinity.
+// Pools that give up engines choose first, so that a move of one engine moves no other.
 func (r *Router) assignEngines(kind int, pools []*enginePool) {
 	free := r.readyEngines(kind)
 	r.allocateCounts(pools, len(free))
@@ -41,8 +41,8 @@
 	r.topologyVersion++
 }
 
-// scoreAffinity computes how well each free engine suits a pool: for each of its table groups, by demand, the
-// rendezvous affinity and whether the group's present pool has the engine.
+// scoreAffinity computes how well each free engine suits a pool: for each of its table groups, by
+// demand, the rendezvous affinity and whether the group's present pool has the engine.
 func (r *Router) scoreAffinity(kind int, pool *enginePool, free []*engine, poolCount int) {
 	for _, e := range free {
 		e.affinity = 0
@@ -60,8 +60,8 @@
 	}
 }
 
-// allocateCounts makes the target counts of all pools sum to the number of engines, one at least each, by
-// demand for each engine.
+// allocateCounts makes the target counts of all pools sum to the number of engines, one at least
+// each, by demand for each engine.
 func (r *Router) allocateCounts(pools []*enginePool, engines int) {
 	r.updateDemands(pools)
 	for _, pool := range pools {
@@ -70,7 +70,9 @@
 	}
 	giveByDemand(pools, engines)
 	for ; engines < 0; engines++ {
-		demandWithLess := func(pool *enginePool) float64 { return pool.demand / (float64(pool.targetCount) - 1) }
+		demandWithLess := func(pool *enginePool) float64 {
+			return pool.demand / (float64(pool.targetCount) - 1)
+		}
 		donor := slices.MinFunc(pools, func(a, b *enginePool) int {
 			return cmp.Compare(demandWithLess(a), demandWithLess(b))
 		})
@@ -84,11 +86,12 @@
 	index           int // of the pool
 }
 
-// giveByDemand gives engines out one at a time, each to the pool with the most demand for each engine, the
-// first of several.
+// giveByDemand gives engines out one at a time, each to the pool with the most demand for each
+// engine, the first of several.
 func giveByDemand(pools []*enginePool, engines int) {
 	neediest := heap[poolNeed]{less: func(a, b *poolNeed) bool {
-		return a.demandPerEngine > b.demandPerEngine || a.demandPerEngine == b.demandPerEngine && a.index < b.index
+		return a.demandPerEngine > b.demandPerEngine ||
+			a.demandPerEngine == b.demandPerEngine && a.index < b.index
 	}}
 	for i, pool := range pools {
 		neediest.push(poolNeed{demandPerEngine: pool.demandPerEngine(), index: i})
@@ -129,8 +132,8 @@
 	r.pools.markedEngines = r.pools.markedEngines[:0]
 }
 
-// heaviestGroups are all table groups of a pool or, where there are too many pairs with engines, those with
-// the most demand, one at least. Each group takes part in pairsEach pairs.
+// heaviestGroups are all table groups of a pool or, where there are too many pairs with engines,
+// those with the most demand, one at least. Each group takes part in pairsEach pairs.
 func (r *Router) heaviestGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
 	most := max(1, maxAssignmentPairs/max(1, pairsEach))
 	if len(groups) <= most {
@@ -142,12 +145,14 @@
 	return groups[:most]
 }
 
-// splitByAffinity divides engines into the count with the most affinity, those first, and the rest; of two
-// alike the earlier comes first.
+// splitByAffinity divides engines into the count with the most affinity, those first, and the rest;
+// of two alike the earlier comes first.
 func splitByAffinity(engines []*engine, count int) (best, rest []*engine) {
 	switch {
 	case len(engines) <= maxEnginesSortedWhole:
-		slices.SortStableFunc(engines, func(a, b *engine) int { return cmp.Compare(b.affinity, a.affinity) })
+		slices.SortStableFunc(engines, func(a, b *engine) int {
+			return cmp.Compare(b.affinity, a.affinity)
+		})
 		return slices.Clone(engines[:count]), engines[count:]
 	case count <= maxPicksByScan:
 		return splitByScan(engines, count)
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -1,8 +1,8 @@
 package router
 
-// backoff is an exponential backoff: the wait between tries doubles with each failure and halves with each
-// success. A try that started before the last change of the wait does not change it again, so that many tries
-// that fail together count once.
+// backoff is an exponential backoff: the wait between tries doubles with each failure and halves
+// with each success. A try that started before the last change of the wait does not change it
+// again, so that many tries that fail together count once.
 type backoff struct {
 	changedAt   float64 // ms, of the last change of wait
 	until       float64 // ms, before which nothing is tried
@@ -21,7 +21,8 @@
 	b.until = now + b.wait
 }
 
-// decrease takes in the success of a try that started at some time. A wait below minWait becomes none.
+// decrease takes in the success of a try that started at some time. A wait below minWait becomes
+// none.
 func (b *backoff) decrease(now, startedAt, minWait float64) {
 	b.succeededAt = now
 	if b.wait <= 0 || startedAt < b.changedAt {
@@ -43,4 +44,6 @@
 }
 
 // succeededSince reports whether the last try succeeded, after some time.
-func (b *backoff) succeededSince(since float64) bool { return !b.lastFailed && b.succeededAt > since }
+func (b *backoff) succeededSince(since float64) bool {
+	return !b.lastFailed && b.succeededAt > since
+}
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// candidateList remembers, for one list of engines, what searches for many queries would find again: which
-// engines may have capacity, for the rest of the step, and the order of engines by affinity, while the list
-// is the same.
+// candidateList remembers, for one list of engines, what searches for many queries would find
+// again: which engines may have capacity, for the rest of the step, and the order of engines by
+// affinity, while the list is the same.
 type candidateList struct {
-	step       uint64    // in which engines was made
-	engines    []*engine // that may have capacity
-	fullAtStep []uint64  // by class index: the last step in which no engine of the list had capacity for it
+	step    uint64    // in which engines was made
+	engines []*engine // that may have capacity
+	// by class index: the last step in which no engine of the list had capacity for it
+	fullAtStep []uint64
 
 	topologyVersion int // for which affinityOrders were made
 	affinityOrders  map[*tableGroup]*affinityOrder
@@ -25,22 +26,24 @@
 }
 
 const (
-	// minQueuedForList is the number of queued queries from which a list of the engines that may have capacity
-	// is made: it pays only if several queries use it in one step.
+	// minQueuedForList is the number of queued queries from which a list of the engines that may have
+	// capacity is made: it pays only if several queries use it in one step.
 	minQueuedForList = 4
 	// minEnginesForAffinityOrder is the number of engines from which an order by affinity is made.
 	minEnginesForAffinityOrder = 64
-	// minUsesForAffinityOrder is how many searches for a table group come before an order is made for it.
+	// minUsesForAffinityOrder is how many searches for a table group come before an order is made for
+	// it.
 	minUsesForAffinityOrder = 8
-	// maxAffinityEntries is the size of affinityOrders, in entries of 4 bytes, above which all are dropped.
+	// maxAffinityEntries is the size of affinityOrders, in entries of 4 bytes, above which all are
+	// dropped.
 	maxAffinityEntries = 200000
-	// affinityEntriesPerGroup is what a table group counts for without its order. Clients can name any number
-	// of groups that don't exist, so the mere count of searches must be limited too.
+	// affinityEntriesPerGroup is what a table group counts for without its order. Clients can name any
+	// number of groups that don't exist, so the mere count of searches must be limited too.
 	affinityEntriesPerGroup = 64
 )
 
-// withCapacity narrows the engines of a search to those that may have capacity. The narrowed list serves all
-// searches of the step: while queries are started, capacity only shrinks.
+// withCapacity narrows the engines of a search to those that may have capacity. The narrowed list
+// serves all searches of the step: while queries are started, capacity only shrinks.
 func (r *Router) withCapacity(s *listSearch) []*engine {
 	if r.queue.length < minQueuedForList {
 		return s.engines
@@ -59,8 +62,8 @@
 	return list.engines
 }
 
-// knownFull reports whether a search of this step has found that no engine of the list has capacity for a
-// class.
+// knownFull reports whether a search of this step has found that no engine of the list has capacity
+// for a class.
 func (r *Router) knownFull(list *candidateList, class *queryClass) bool {
 	return class.index < len(list.fullAtStep) && list.fullAtStep[class.index] == r.stepCount
 }
@@ -73,23 +76,24 @@
 	list.fullAtStep[class.index] = r.stepCount
 }
 
-// knownFullFor reports whether searches of this step have found that no engine at all has capacity for the
-// class of q, neither in the pools of its table group nor elsewhere.
+// knownFullFor reports whether searches of this step have found that no engine at all has capacity
+// for the class of q, neither in the pools of its table group nor elsewhere.
 func (r *Router) knownFullFor(q *query) bool {
 	if !r.knownFull(&r.search.candidates, q.class) {
 		return false
 	}
 	for kind, pool := range q.tables.pools {
-		if pool != nil && permits(q.class.Kinds, KindID(kind)) && !r.knownFull(&pool.candidates, q.class) {
+		if pool != nil && permits(q.class.Kinds, KindID(kind)) &&
+			!r.knownFull(&pool.candidates, q.class) {
 			return false
 		}
 	}
 	return true
 }
 
-// unrestricted reports whether nothing but its class and table group limits the engines of q: only then does
-// a search in vain for q say something about other queries. A query with an estimate above the usual may be
-// too large for a warming engine that takes others.
+// unrestricted reports whether nothing but its class and table group limits the engines of q: only
+// then does a search in vain for q say something about other queries. A query with an estimate
+// above the usual may be too large for a warming engine that takes others.
 func (r *Router) unrestricted(q *query) bool {
 	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.usualWork(r.now) {
 		return false
@@ -100,8 +104,8 @@
 	return q.unresolved == nil || q.class.Effect == Idempotent
 }
 
-// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: it is not worth
-// to be kept, as there are few engines or searches for the group.
+// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: it is
+// not worth to be kept, as there are few engines or searches for the group.
 func (r *Router) affinityOrderOf(list *candidateList, g *tableGroup, engines []*engine) []int32 {
 	if len(engines) < minEnginesForAffinityOrder {
 		return nil
--- a/router/class.go
+++ b/router/class.go
@@ -3,9 +3,11 @@
 // queryClass is a configured QueryClass with what was learned of its queries.
 type queryClass struct {
 	QueryClass
-	index           int     // its ClassID
-	firstTryTimeout float64 // ms that a first try leaves until its client gives up: slowly decaying maximum
-	bestUnitTime    float64 // ms per unit on an idle engine: least recent mean of unitTime; 0: not known
+	index int // its ClassID
+	// ms that a first try leaves until its client gives up: slowly decaying maximum
+	firstTryTimeout float64
+	// ms per unit on an idle engine: least recent mean of unitTime; 0: not known
+	bestUnitTime float64
 
 	unitTime    decayedMean // ms per unit of work, see workUnits
 	logSlowdown decayedMean // natural logarithm of the run time over the time on an idle engine
@@ -13,8 +15,8 @@
 	workScale   decayedMean // true work over estimated work
 	memoryScale decayedMean // true memory over estimated memory
 
-	// unconfirmedSince, in ms, is when bestUnitTime and the scales were restored from an earlier run or, if
-	// later, when the last answer came; 0: they are this run's own.
+	// unconfirmedSince, in ms, is when bestUnitTime and the scales were restored from an earlier run
+	// or, if later, when the last answer came; 0: they are this run's own.
 	unconfirmedSince float64
 
 	shedWatch  shedWatch
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -17,26 +17,30 @@
 	initialThreadsPerCore = 2.0
 	minThreadsPerCore     = 1.5
 	maxThreadsPerCore     = 2.5
-	widenBelowSlowdown    = 1.8   // slowdown of an engine below which its limit widens
-	cutAboveSlowdown      = 3.0   // slowdown of an engine above which its limit is cut
-	widenStep             = 0.5   // threads that an answer adds to the limit
-	widenFromShare        = 0.7   // of the limit; it widens only while at least this much of it is used
-	limitCutFactor        = 0.85  // of the limit, is left by a cut
-	limitCutInterval      = 400.0 // ms between cuts for slowness; a rejection cuts at once
-	poolOverhang          = 3.0   // threads over the pooled limit that may start where reports tell of capacity
-	threadsPerOtherQuery  = 1.2   // threads that a query of another controller is taken to use
-	maxMemoryGranted      = 0.9   // share of an engine's memory; past it a busy controller sends nothing new
+	widenBelowSlowdown    = 1.8 // slowdown of an engine below which its limit widens
+	cutAboveSlowdown      = 3.0 // slowdown of an engine above which its limit is cut
+	widenStep             = 0.5 // threads that an answer adds to the limit
+	// of the limit; it widens only while at least this much of it is used
+	widenFromShare   = 0.7
+	limitCutFactor   = 0.85  // of the limit, is left by a cut
+	limitCutInterval = 400.0 // ms between cuts for slowness; a rejection cuts at once
+	// threads over the pooled limit that may start where reports tell of capacity
+	poolOverhang         = 3.0
+	threadsPerOtherQuery = 1.2 // threads that a query of another controller is taken to use
+	// share of an engine's memory; past it a busy controller sends nothing new
+	maxMemoryGranted = 0.9
 )
 
-// threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's own,
-// times the capacity that it has while it warms up, times this controller's share of the traffic.
+// threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's
+// own, times the capacity that it has while it warms up, times this controller's share of the
+// traffic.
 func (r *Router) threadLimit(e *engine) float64 {
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run at most
-// widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is cut when they run
-// more than cutAboveSlowdown times as long.
+// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run
+// at most widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is cut
+// when they run more than cutAboveSlowdown times as long.
 func (r *Router) adjustThreadLimit(e *engine, threads float64) {
 	slowdown := e.slowdown.mean(r.now, 1, 1)
 	limit := r.threadLimit(e)
@@ -49,9 +53,9 @@
 	}
 }
 
-// hasCapacity reports whether e may take q now, up to a share of its thread limit. A controller with
-// nothing in flight may always start one attempt: a small controller's part of the engines is less than one
-// query.
+// hasCapacity reports whether e may take q now, up to a share of its thread limit. A controller
+// with nothing in flight may always start one attempt: a small controller's part of the engines is
+// less than one query.
 func (r *Router) hasCapacity(q *query, e *engine, share float64) bool {
 	if r.now < e.classBackoff(q.class).until || !r.usable(q.class, e) {
 		return false
@@ -59,12 +63,12 @@
 	return r.concurrency.attempts == 0 || r.withinThreadLimits(e, share)
 }
 
-// withinThreadLimits reports whether the threads in flight are within the limits, on e and pooled over all
-// engines. The last attempt may overhang either, and one may always run on an engine that has none. The
-// pooled limit is passed a little where a report tells that e has capacity, as a controller's share is
-// coarse; it does not count for a warming engine whose part is below one thread, as slowStartAllows guards
-// that one. Nothing starts where a report tells that memory is used up (hasCapacity does not ask while
-// nothing is in flight).
+// withinThreadLimits reports whether the threads in flight are within the limits, on e and pooled
+// over all engines. The last attempt may overhang either, and one may always run on an engine that
+// has none. The pooled limit is passed a little where a report tells that e has capacity, as a
+// controller's share is coarse; it does not count for a warming engine whose part is below one
+// thread, as slowStartAllows guards that one. Nothing starts where a report tells that memory is
+// used up (hasCapacity does not ask while nothing is in flight).
 func (r *Router) withinThreadLimits(e *engine, share float64) bool {
 	reported := r.now-e.reportedAt < reportMaxAge
 	pooledLimit := r.concurrency.pooledThreadLimit
@@ -80,8 +84,8 @@
 		(!reported || e.memoryGranted <= maxMemoryGranted)
 }
 
-// refreshEngines computes the pooled concurrency limit anew and checks the health of the engines that are
-// due. A warming engine from which no class may get anything adds nothing to the limit.
+// refreshEngines computes the pooled concurrency limit anew and checks the health of the engines
+// that are due. A warming engine from which no class may get anything adds nothing to the limit.
 func (r *Router) refreshEngines() {
 	r.concurrency.pooledThreadLimit = 0
 	r.concurrency.readyCores = 0
@@ -100,7 +104,8 @@
 	}
 }
 
-// usualQueryFits reports whether a usual query of some class fits into what e may get while it warms up.
+// usualQueryFits reports whether a usual query of some class fits into what e may get while it
+// warms up.
 func (r *Router) usualQueryFits(e *engine) bool {
 	return slices.ContainsFunc(r.classes, func(class *queryClass) bool {
 		return class.usualWork(r.now) < r.slowStartAllowance(e)
--- a/router/decay.go
+++ b/router/decay.go
@@ -2,21 +2,23 @@
 
 import "math"
 
-// decayedMean is an exponentially decayed mean: a sum and its weight, which both halve in every halfLife (ms)
-// without additions. Only additions change it. Reading does not, so a figure is the same to the last bit
-// however often, and at whatever times, it was read before.
+// decayedMean is an exponentially decayed mean: a sum and its weight, which both halve in every
+// halfLife (ms) without additions. Only additions change it. Reading does not, so a figure is the
+// same to the last bit however often, and at whatever times, it was read before.
 type decayedMean struct {
 	halfLife  float64 // ms
 	updatedAt float64 // ms, for which sum and weight hold
 	sum       float64 // of what was added, each times its weight
 	weight    float64 // of what was added
 
-	// The last result of decayFactor and the time (ms) that it is for, as many reads ask for the same time.
+	// The last result of decayFactor and the time (ms) that it is for, as many reads ask for the same
+	// time.
 	factorAt float64
 	factor   float64
 }
 
-// negligibleWeight is the weight below which a mean says nothing. It keeps a division from one by 0.
+// negligibleWeight is the weight below which a mean says nothing. It keeps a division from one by
+// 0.
 const negligibleWeight = 1e-9
 
 // decayFactor is what is left at a time (ms) of a sum of 1.
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -3,7 +3,8 @@
 // maxTriedPerStep is how many queued queries one step tries to start, so that a step stays short.
 const maxTriedPerStep = 100
 
-// dispatch starts queued queries, the earliest client timeout first, as far as engines have capacity.
+// dispatch starts queued queries, the earliest client timeout first, as far as engines have
+// capacity.
 func (r *Router) dispatch() {
 	r.dequeueAnswered()
 	if r.traffic.othersPerCore.mean(r.now, 0, 1) < r.search.minOthersPerCore {
@@ -20,8 +21,8 @@
 	})
 }
 
-// tryToStart starts an attempt of a startable query if an engine has capacity for it, gives the query up if
-// it is not worth an attempt any more, and else leaves it in the queue.
+// tryToStart starts an attempt of a startable query if an engine has capacity for it, gives the
+// query up if it is not worth an attempt any more, and else leaves it in the queue.
 func (r *Router) tryToStart(q *query) {
 	if r.noCapacityAnywhere(q) && r.knownWorthRunning(q) {
 		return
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,32 +1,39 @@
-// Package router is the decision module of a controller: it decides which query runs when, on which engine and with
-// what concurrency, and what is rejected. It is a pure state machine in the manner of a consensus core: events and
-// the time go in, actions come out. It has no clock, goroutine, I/O or log.
+// Package router is the decision module of a controller: it decides which query runs when, on which
+// engine and with what concurrency, and what is rejected. It is a pure state machine in the manner
+// of a consensus core: events and the time go in, actions come out. It has no clock, goroutine, I/O
+// or log.
 //
 // # Contract with the caller
 //
-//   - One goroutine owns a Router. It calls Step with a time in milliseconds that never goes back and all events since
-//     the last step, and carries out the returned actions in order. The attempts of one query are numbered by the
-//     order of their StartAttempt actions, from 0.
-//   - After SetTimer the caller calls Step again when that time has passed, with a TimerFired event if there is none
-//     else.
-//   - Each StartAttempt is answered by exactly one AttemptEnded, whatever happens to the connection. An outcome for
-//     which Outcome.NeverRan is true promises that the engine did not and will not run the attempt.
-//   - AttemptEnded with QueryDone, Reject, Fail and ClientDisconnected end a query: nothing is started for it
-//     afterwards. Its id may be used again when all its attempts have ended.
+//   - One goroutine owns a Router. It calls Step with a time in milliseconds that never goes back
+//     and all events since the last step, and carries out the returned actions in order. The
+//     attempts of one query are numbered by the order of their StartAttempt actions, from 0.
+//   - After SetTimer the caller calls Step again when that time has passed, with a TimerFired event
+//     if there is none else.
+//   - Each StartAttempt is answered by exactly one AttemptEnded, whatever happens to the
+//     connection. An outcome for which Outcome.NeverRan is true promises that the engine did not
+//     and will not run the attempt.
+//   - AttemptEnded with QueryDone, Reject, Fail and ClientDisconnected end a query: nothing is
+//     started for it afterwards. Its id may be used again when all its attempts have ended.
 //   - The same seed and the same steps give the same actions.
 //
-// All times are milliseconds; memory is megabytes; work is milliseconds on one thread of an idle engine.
+// All times are milliseconds; memory is megabytes; work is milliseconds on one thread of an idle
+// engine.
 //
 // # The rules that always hold
 //
-// Each is kept by what this controller knows alone, and by one place that every attempt or answer passes:
+// Each is kept by what this controller knows alone, and by one place that every attempt or answer
+// passes:
 //
-//  1. Every query gets one final answer, before its client timeout: answerBy, rejectOrFail, collectActions. Once a
-//     response has started (ResponseStarted) the module answers no more, and the caller has to end the response.
-//  2. No effect happens twice: eligible, attemptsExhausted, repeatDeadline, attemptStartBy; mayReject for the answer.
+//  1. Every query gets one final answer, before its client timeout: answerBy, rejectOrFail,
+//     collectActions. Once a response has started (ResponseStarted) the module answers no more, and
+//     the caller has to end the response.
+//  2. No effect happens twice: eligible, attemptsExhausted, repeatDeadline, attemptStartBy;
+//     mayReject for the answer.
 //  3. Draining engines get nothing new: eligible, endpointTrusted, attemptStartBy.
 //  4. Warming engines are not overloaded: slowStartAllows (slowstart.go).
-//  5. Queries with the same ordering key run one at a time, in order: headOfQueues (ordering.go has the queues).
+//  5. Queries with the same ordering key run one at a time, in order: headOfQueues (ordering.go has
+//     the queues).
 //  6. Queries stay on the machine kinds and zones that are configured for them: placementAllows.
 //  7. Retries stay within their budget: retryBudgetAllows (retrybudget.go).
 //
@@ -57,11 +64,13 @@
 //	periodic.go      what is done by time and not by events?
 //	restore.go       what of an earlier run's statistics counts, and what follows from it?
 //
-// reasons.go lists the reasons for which a query is rejected or failed, and those for which no engine may take it now.
-// That single engines may not (capacity, backoff, slow start, placement) is decided engine by engine, in selection.go.
+// reasons.go lists the reasons for which a query is rejected or failed, and those for which no
+// engine may take it now. That single engines may not (capacity, backoff, slow start, placement) is
+// decided engine by engine, in selection.go.
 //
-// State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go, ordering.go, queue.go;
-// search.go and candidates.go (bounds by which a selection looks at few engines of many), shedwatch.go and
-// worthcache.go (bounds by which few queued queries are looked at), statistics.go and status.go (what is learned,
-// exported), decay.go, window.go, backoff.go, heap.go, sort.go.
+// State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go,
+// ordering.go, queue.go; search.go and candidates.go (bounds by which a selection looks at few
+// engines of many), shedwatch.go and worthcache.go (bounds by which few queued queries are looked
+// at), statistics.go and status.go (what is learned, exported), decay.go, window.go, backoff.go,
+// heap.go, sort.go.
 package router
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// windowSlack is the time in ms by which the windows of the rules are kept wider than configured, or
-	// narrower where that is the safe side: engines' clocks differ from this controller's, and messages take
-	// time.
+	// windowSlack is the time in ms by which the windows of the rules are kept wider than configured,
+	// or narrower where that is the safe side: engines' clocks differ from this controller's, and
+	// messages take time.
 	windowSlack = 60.0
-	// answerLeadIntervals is how many event intervals before its client timeout a query has its final answer.
+	// answerLeadIntervals is how many event intervals before its client timeout a query has its final
+	// answer.
 	answerLeadIntervals = 2.0
 	// answerLead is the extra time in ms for the answer to reach the client.
 	answerLead = 5.0
 )
 
-// eligible reports whether an attempt of q may start on e now. Every attempt passes it, first or retry, and
-// so it keeps rules 2 (repeats), 3 (drains), 4 (slow start), 5 (order), 6 (placement) and 7 (retry budget).
+// eligible reports whether an attempt of q may start on e now. Every attempt passes it, first or
+// retry, and so it keeps rules 2 (repeats), 3 (drains), 4 (slow start), 5 (order), 6 (placement)
+// and 7 (retry budget).
 func (r *Router) eligible(q *query, e *engine) bool {
 	return e.state == Ready &&
 		r.endpointTrusted(e) &&
@@ -50,16 +52,16 @@
 	}
 }
 
-// repeatAllowedOn is rule 2 for one engine: a query with an attempt that may have run may be repeated only
-// if it is idempotent, or on an engine that would recognize the repeat and drop it.
+// repeatAllowedOn is rule 2 for one engine: a query with an attempt that may have run may be
+// repeated only if it is idempotent, or on an engine that would recognize the repeat and drop it.
 func (q *query) repeatAllowedOn(e *engine) bool {
 	return q.unresolved == nil ||
 		q.class.Effect == Idempotent ||
 		q.class.Scope.covers(q.unresolved, e)
 }
 
-// placementAllows is rule 6: it reports whether q may run on engines of a kind in a zone, by its class and
-// by what an operator's rule has narrowed that to.
+// placementAllows is rule 6: it reports whether q may run on engines of a kind in a zone, by its
+// class and by what an operator's rule has narrowed that to.
 func (q *query) placementAllows(kind KindID, zone Zone) bool {
 	return permits(q.class.Kinds, kind) && permits(q.class.Zones, zone) &&
 		permits(q.kinds, kind) && permits(q.zones, zone)
@@ -68,22 +70,24 @@
 // permits reports whether a list of what is allowed has x; a nil list allows all.
 func permits[T comparable](list []T, x T) bool { return list == nil || slices.Contains(list, x) }
 
-// endpointTrusted is rule 3 while the endpoint list has expired: e may have begun to drain without notice.
-// It is trusted all the same if it has answered an attempt that started so recently that no later drain
-// counts as notified, because a draining engine rejects new work. Not if a connection to it was lost since
-// the last update and since its last answer: its process may have been replaced by one that is warming up,
-// or another engine may have its address.
+// endpointTrusted is rule 3 while the endpoint list has expired: e may have begun to drain without
+// notice. It is trusted all the same if it has answered an attempt that started so recently that no
+// later drain counts as notified, because a draining engine rejects new work. Not if a connection
+// to it was lost since the last update and since its last answer: its process may have been
+// replaced by one that is warming up, or another engine may have its address.
 func (r *Router) endpointTrusted(e *engine) bool {
 	if r.endpoints.expiredFor == 0 {
 		return true
 	}
-	return e.connectionLostAt < r.endpoints.updatedAt && r.now-e.answeredStartAt < r.endpoints.expiredFor
+	return e.connectionLostAt < r.endpoints.updatedAt &&
+		r.now-e.answeredStartAt < r.endpoints.expiredFor
 }
 
-// headOfQueues is rule 5: it reports whether q is at the head of the queue of each of its ordering keys,
-// and none of them is in cooldown. All queues are ordered by arrival, so the query that arrived first is at
-// the head of all of its own: no queries can wait for each other in a circle. A retry waits for no
-// cooldown: that of its keys began with its own attempt, but for a key that was added since.
+// headOfQueues is rule 5: it reports whether q is at the head of the queue of each of its ordering
+// keys, and none of them is in cooldown. All queues are ordered by arrival, so the query that
+// arrived first is at the head of all of its own: no queries can wait for each other in a circle. A
+// retry waits for no cooldown: that of its keys began with its own attempt, but for a key that was
+// added since.
 func (r *Router) headOfQueues(q *query) bool {
 	for _, queue := range q.queues {
 		if queue.queries[0] != q || queue.followerOutstanding() {
@@ -96,21 +100,22 @@
 	return true
 }
 
-// cooldownEnd is the time until which an ordering key rests from now on, after an attempt that may still be
-// running: the configured time, and one event interval, as the outcome may have been that late.
+// cooldownEnd is the time until which an ordering key rests from now on, after an attempt that may
+// still be running: the configured time, and one event interval, as the outcome may have been that
+// late.
 func (r *Router) cooldownEnd() float64 {
 	return r.now + r.limits.OrderingCooldown + r.limits.EventInterval
 }
 
-// answerBy is the time by which q has its final answer (rule 1): before its client timeout, and before a
-// planned shutdown, so that a client whose query can't be done by then is told at once and can turn to
-// another controller.
+// answerBy is the time by which q has its final answer (rule 1): before its client timeout, and
+// before a planned shutdown, so that a client whose query can't be done by then is told at once and
+// can turn to another controller.
 func (r *Router) answerBy(q *query) float64 {
 	return min(q.deadline, r.shutdownAt) - answerLeadIntervals*r.limits.EventInterval - answerLead
 }
 
-// attemptsExhausted reports that no further attempt of q can ever be allowed: its number is used up, or an
-// attempt may have run and rule 2 forbids to repeat it anywhere.
+// attemptsExhausted reports that no further attempt of q can ever be allowed: its number is used
+// up, or an attempt may have run and rule 2 forbids to repeat it anywhere.
 func (r *Router) attemptsExhausted(q *query) bool {
 	if len(q.attempts) >= r.capabilities.MaxAttempts {
 		return true
@@ -128,17 +133,17 @@
 	}
 }
 
-// repeatDeadline is the latest time at which a repeat may be sent of a deduplicated query that was first
-// sent at some time: later, engines may have forgotten its idempotency key.
+// repeatDeadline is the latest time at which a repeat may be sent of a deduplicated query that was
+// first sent at some time: later, engines may have forgotten its idempotency key.
 func (class *queryClass) repeatDeadline(firstSent float64) float64 {
 	return firstSent + class.DeduplicationWindow - windowSlack
 }
 
 // attemptStartBy is the time by which an attempt of q on e must have been sent; 0: there is none. A
-// connection may come up late, and what was eligible when it was decided may not be any more when it is
-// sent: a repeat could be past its deduplication window, a drain could count as notified, an attempt on a
-// warming engine or a retry could fall into the next window of its limit. Some attempts that would have
-// gone well are withdrawn for it and decided anew.
+// connection may come up late, and what was eligible when it was decided may not be any more when
+// it is sent: a repeat could be past its deduplication window, a drain could count as notified, an
+// attempt on a warming engine or a retry could fall into the next window of its limit. Some
+// attempts that would have gone well are withdrawn for it and decided anew.
 func (r *Router) attemptStartBy(q *query, e *engine) float64 {
 	by := math.Inf(1)
 	if q.unresolved != nil && q.class.Effect == Deduplicated {
@@ -158,8 +163,9 @@
 	return by
 }
 
-// mayReject is rule 2 for the answer: it reports whether the client may be told that a retry is harmless,
-// because no attempt may have run or because a repeat has no further effect on any engine.
+// mayReject is rule 2 for the answer: it reports whether the client may be told that a retry is
+// harmless, because no attempt may have run or because a repeat has no further effect on any
+// engine.
 func (r *Router) mayReject(q *query) bool {
 	mayHaveRun := q.unresolved != nil || q.awaited > 0
 	if !mayHaveRun || q.class.Effect == Idempotent {
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -4,21 +4,23 @@
 
 // endpointWatch is what is known of the endpoint list's own freshness.
 type endpointWatch struct {
-	updatedAt       float64 // ms, when there was last an update
-	expiredFor      float64 // ms; an engine may be draining since as long without notice. 0: the list is current
+	updatedAt float64 // ms, when there was last an update
+	// ms; an engine may be draining since as long without notice. 0: the list is current
+	expiredFor      float64
 	subscribed      bool
 	subscribeWanted bool    // to be asked for at the end of this step
 	pollAt          float64 // ms, before which the list is not asked for again
 }
 
 const (
-	pollRetryInterval = 1000.0 // ms until the endpoint list is asked for again; up to twice that by chance
-	pollShare         = 3.0    // polls within the time that the rules allow between two
-	defaultCores      = 8.0    // of an engine whose machine kind is not configured
+	// ms until the endpoint list is asked for again; up to twice that by chance
+	pollRetryInterval = 1000.0
+	pollShare         = 3.0 // polls within the time that the rules allow between two
+	defaultCores      = 8.0 // of an engine whose machine kind is not configured
 )
 
-// endpointsUpdated takes in an update of the endpoint list and gives each pool its engines anew. After a
-// failed poll the list stands as it was and is asked for again, before it expires.
+// endpointsUpdated takes in an update of the endpoint list and gives each pool its engines anew.
+// After a failed poll the list stands as it was and is asked for again, before it expires.
 func (r *Router) endpointsUpdated(ev EndpointsUpdated) {
 	if ev.Failed {
 		r.endpoints.subscribed = false
@@ -32,7 +34,8 @@
 	}
 }
 
-// updateEngines takes in the endpoints of an update. Engines that a complete list does not name are gone.
+// updateEngines takes in the endpoints of an update. Engines that a complete list does not name are
+// gone.
 func (r *Router) updateEngines(ev EndpointsUpdated) {
 	r.topologyVersion++
 	r.endpoints.expiredFor = ev.ExpiredFor
@@ -55,8 +58,8 @@
 	}
 }
 
-// updateEngine takes in one endpoint. The statistics of an earlier process of the engine are forgotten;
-// when it last answered, and when a connection to it was lost, are kept.
+// updateEngine takes in one endpoint. The statistics of an earlier process of the engine are
+// forgotten; when it last answered, and when a connection to it was lost, are kept.
 func (r *Router) updateEngine(endpoint Endpoint) {
 	startedAt := endpoint.StartedAt
 	if startedAt == 0 {
--- a/router/engine.go
+++ b/router/engine.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// engine is an engine of the endpoint list, or one that has left it while the outcome of an attempt or of a
-// health check is waited for.
+// engine is an engine of the endpoint list, or one that has left it while the outcome of an attempt
+// or of a health check is waited for.
 type engine struct {
 	// What a search over engines reads first, so that it lies close together.
 	idHash   uint64 // of id
@@ -40,10 +40,11 @@
 	slowdown       decayedMean // run time over the time on an idle engine
 	threadsPerCore float64     // concurrency limit of all controllers together, as this one sees it
 	limitCutAt     float64     // ms, when that limit was last cut because the engine was slow
-	outcomes       uint64      // of attempts and health checks, a bit each, the last one lowest; 1: success
-	succeededAt    float64     // ms, of the last success of any class
-	classBackoffs  []backoff   // by class index
-	slowStartWork  slidingWindow
+	// of attempts and health checks, a bit each, the last one lowest; 1: success
+	outcomes      uint64
+	succeededAt   float64   // ms, of the last success of any class
+	classBackoffs []backoff // by class index
+	slowStartWork slidingWindow
 
 	// Trials while it is not healthy, and health checks.
 	trialAt        float64 // ms, from which it may get a trial attempt
@@ -52,8 +53,9 @@
 	healthCheckAt  float64 // ms, when the next health check is due
 
 	// What rule 3 goes by while the endpoint list has expired.
-	answeredStartAt  float64 // ms, the latest start of an attempt that it answered
-	connectionLostAt float64 // ms, when a connection was last lost or failed; -Inf: none since its last answer
+	answeredStartAt float64 // ms, the latest start of an attempt that it answered
+	// ms, when a connection was last lost or failed; -Inf: none since its last answer
+	connectionLostAt float64
 
 	pool *enginePool // that it is in; nil: none
 
@@ -95,8 +97,8 @@
 	clear(e.classBackoffs)
 }
 
-// tableLocksHeld is how many attempts are known to lock a table group on e: this controller's, and one more
-// if a progress message of a lock has come lately.
+// tableLocksHeld is how many attempts are known to lock a table group on e: this controller's, and
+// one more if a progress message of a lock has come lately.
 func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
 	if len(g.lockHolders) == 0 {
 		return 0
@@ -124,8 +126,8 @@
 	return list
 }
 
-// forgetEngines drops the engines that have left the endpoint list, once no outcome of an attempt or of a
-// health check is waited for.
+// forgetEngines drops the engines that have left the endpoint list, once no outcome of an attempt
+// or of a health check is waited for.
 func (r *Router) forgetEngines() {
 	r.engineList = slices.DeleteFunc(r.engineList, func(e *engine) bool {
 		if e.state != Gone || e.attempts != 0 || e.checkingHealth {
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -14,16 +14,20 @@
 )
 
 const (
-	minAnswersForBest       = 25.0    // answers after which a class's best unit time counts
-	bestUnitTimeDrift       = 1.0001  // growth of the best unit time with each answer: it follows slower work
-	maxSlowdownSample       = 20.0    // slowdown that one answer may count as, at most
-	restoredMaxAge          = 10000.0 // ms without an answer after which restored estimates are discarded
-	answersToRefuteRestored = 5.0     // answers after which restored estimates can be refuted
-	refuteRatio             = 3.0     // between learned and restored unit time, from which they are refuted
+	minAnswersForBest = 25.0 // answers after which a class's best unit time counts
+	// growth of the best unit time with each answer: it follows slower work
+	bestUnitTimeDrift = 1.0001
+	maxSlowdownSample = 20.0 // slowdown that one answer may count as, at most
+	// ms without an answer after which restored estimates are discarded
+	restoredMaxAge          = 10000.0
+	answersToRefuteRestored = 5.0 // answers after which restored estimates can be refuted
+	// between learned and restored unit time, from which they are refuted
+	refuteRatio = 3.0
 )
 
-// workUnits is the size of q for its class: its estimated time in ms on an idle engine, corrected by how true
-// the estimates of the class were. Without an estimate all queries of a class are of the same size, 1.
+// workUnits is the size of q for its class: its estimated time in ms on an idle engine, corrected
+// by how true the estimates of the class were. Without an estimate all queries of a class are of
+// the same size, 1.
 func (class *queryClass) workUnits(q *query, now float64) float64 {
 	if q.estimatedWork <= 0 {
 		return 1
@@ -31,8 +35,8 @@
 	return max(1, q.estimatedWork*class.workScale.mean(now, 1, 2)/class.Threads)
 }
 
-// unloadedTime is the time in ms that q would take on an idle engine, as far as is known: half of its latency
-// objective if nothing is.
+// unloadedTime is the time in ms that q would take on an idle engine, as far as is known: half of
+// its latency objective if nothing is.
 func (class *queryClass) unloadedTime(q *query, now float64) float64 {
 	if class.bestUnitTime == 0 && q.estimatedWork <= 0 {
 		return class.LatencyObjective / 2
@@ -45,14 +49,14 @@
 	return math.Exp(class.logSlowdown.mean(now, 0, 1)) * class.unloadedTime(q, now)
 }
 
-// usualWork is the mean work in ms of a class. It is high while little is known, as it guards warming
-// engines: too low a guess would break rule 4.
+// usualWork is the mean work in ms of a class. It is high while little is known, as it guards
+// warming engines: too low a guess would break rule 4.
 func (class *queryClass) usualWork(now float64) float64 {
 	return class.work.mean(now, class.ClientTimeout/3, 1)
 }
 
-// learnFromSuccess takes in how long a successful attempt of q took on e: for the estimates of its class, the
-// slowdown of the engine, and its concurrency limit.
+// learnFromSuccess takes in how long a successful attempt of q took on e: for the estimates of its
+// class, the slowdown of the engine, and its concurrency limit.
 func (r *Router) learnFromSuccess(q *query, e *engine, ev AttemptEnded) {
 	class := q.class
 	units := class.workUnits(q, r.now)
@@ -71,8 +75,8 @@
 	r.updateBounds(e)
 }
 
-// updateBestUnitTime keeps the least mean of the unit time, once enough answers are known. Until then a
-// restored value stands, unless answers show that the class's queries have become others.
+// updateBestUnitTime keeps the least mean of the unit time, once enough answers are known. Until
+// then a restored value stands, unless answers show that the class's queries have become others.
 func (class *queryClass) updateBestUnitTime(now float64) {
 	answers := class.unitTime.weight
 	mean := class.unitTime.mean(now, 0, 0)
@@ -89,8 +93,8 @@
 	}
 }
 
-// recordMeasuredCost takes in the true work and memory of an answered query, and reports whether the work is
-// known beside an estimate.
+// recordMeasuredCost takes in the true work and memory of an answered query, and reports whether
+// the work is known beside an estimate.
 func (class *queryClass) recordMeasuredCost(now float64, q *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && q.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/q.estimatedMemoryMB, 1)
@@ -110,8 +114,9 @@
 	class.memoryScale = decayedMean{halfLife: scaleHalfLife}
 }
 
-// discardUnconfirmed drops restored estimates that no answer has confirmed for long. An estimate that is
-// too long would have every query of its class shed, and so would never be corrected by an answer.
+// discardUnconfirmed drops restored estimates that no answer has confirmed for long. An estimate
+// that is too long would have every query of its class shed, and so would never be corrected by an
+// answer.
 func (r *Router) discardUnconfirmed() {
 	for _, class := range r.classes {
 		if class.unconfirmedSince > 0 && r.now > class.unconfirmedSince+restoredMaxAge {
--- a/router/events.go
+++ b/router/events.go
@@ -9,8 +9,9 @@
 		Complete bool // the list is whole: engines that it does not name are gone
 		Cached   bool // it was stored before this start, and is not confirmed
 		Failed   bool // the poll failed or the watch broke; the list stands as it was
-		// ExpiredFor above 0 says that there was no update for longer than the rules allow. It is the time in ms
-		// within which an engine has to have answered an attempt to be trusted. 0: the list is current.
+		// ExpiredFor above 0 says that there was no update for longer than the rules allow. It is the
+		// time in ms within which an engine has to have answered an attempt to be trusted. 0: the list is
+		// current.
 		ExpiredFor float64
 		Endpoints  []Endpoint
 	}
@@ -23,10 +24,11 @@
 		Key      OrderingKey
 		MoreKeys []OrderingKey // further keys in whose order it stands, as other rules would key it
 		TimeLeft float64       // ms until the client gives up
-		// ArrivalWait is the time in ms since the query was read: so long was the controller busy with others.
+		// ArrivalWait is the time in ms since the query was read: so long was the controller busy with
+		// others.
 		ArrivalWait float64
-		// ClientQueueTime is the time in ms, at most, that the query waited in its client's own queue. It is part
-		// of what the client counts as its timeout.
+		// ClientQueueTime is the time in ms, at most, that the query waited in its client's own queue. It
+		// is part of what the client counts as its timeout.
 		ClientQueueTime   float64
 		EstimatedWork     float64  // ms on one thread; 0: no estimate
 		EstimateCap       float64  // ms; a larger EstimatedWork counts as this. 0: no cap
@@ -35,8 +37,8 @@
 		Zones             []Zone   // narrows the class's zones; nil: does not
 		Hot               bool     // its table group is to be served by more engines from the start
 	}
-	// OrderingKeyAdded puts a query into the order of one more key, at the place of its arrival: the rules
-	// that give keys have changed while it is queued or runs.
+	// OrderingKeyAdded puts a query into the order of one more key, at the place of its arrival: the
+	// rules that give keys have changed while it is queued or runs.
 	OrderingKeyAdded struct {
 		ID  QueryID
 		Key OrderingKey
@@ -72,14 +74,15 @@
 		Outcome Outcome
 		Load    *LoadReport // nil: none came with it
 	}
-	// StatisticsRestored brings what an earlier run of this controller learned, as far as it is still valid.
-	// It comes with or after the first endpoint list, as engines are known by it. Whatever it says, the rules
-	// hold as without it.
+	// StatisticsRestored brings what an earlier run of this controller learned, as far as it is still
+	// valid. It comes with or after the first endpoint list, as engines are known by it. Whatever it
+	// says, the rules hold as without it.
 	StatisticsRestored struct{ Statistics Statistics }
-	// ShutdownStarted says that the controller will end within this many ms: queries without an answer by then
-	// would have none.
+	// ShutdownStarted says that the controller will end within this many ms: queries without an answer
+	// by then would have none.
 	ShutdownStarted struct{ Within float64 }
-	// TimerFired asks for a step: the time of a SetTimer has come, or the caller wants the next step at once.
+	// TimerFired asks for a step: the time of a SetTimer has come, or the caller wants the next step
+	// at once.
 	TimerFired struct{}
 )
 
@@ -107,14 +110,16 @@
 	EngineFull
 	// TimedOut says that the attempt's deadline passed without an answer; it may still be running.
 	TimedOut
-	// ConnectFailed says that there was no connection to be had, or it was lost before the query was sent whole.
+	// ConnectFailed says that there was no connection to be had, or it was lost before the query was
+	// sent whole.
 	ConnectFailed
-	// ConnectionReset says that the connection was lost after the query was sent; it may still be running.
+	// ConnectionReset says that the connection was lost after the query was sent; it may still be
+	// running.
 	ConnectionReset
 	// Cancelled follows CancelAttempt; it may still be running.
 	Cancelled
-	// NotSent says that the attempt never ran, as it could not be sent in time or its engine had no use for it
-	// any more. It counts as a rejection by the engine.
+	// NotSent says that the attempt never ran, as it could not be sent in time or its engine had no
+	// use for it any more. It counts as a rejection by the engine.
 	NotSent
 	// Withdrawn says that the attempt was never sent, for a reason that says nothing about its engine.
 	Withdrawn
@@ -130,7 +135,8 @@
 	return o == TimedOut || o == ConnectionReset || o == Cancelled
 }
 
-// LoadReport is what an engine reports of its load; a negative value is one that the report does not hold.
+// LoadReport is what an engine reports of its load; a negative value is one that the report does
+// not hold.
 type LoadReport struct {
 	Inflight    float64 // queries, of all controllers
 	Utilization float64 // busy cores over all cores
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -1,7 +1,7 @@
 package router
 
-// healthChecks are those that this controller makes. They are paid for by a credit that queries bring,
-// because hundreds of controllers that check by time alone would keep the engines busy.
+// healthChecks are those that this controller makes. They are paid for by a credit that queries
+// bring, because hundreds of controllers that check by time alone would keep the engines busy.
 type healthChecks struct {
 	wanted []*engine // to be checked at the end of this step
 	credit float64   // checks that may be made
@@ -11,13 +11,14 @@
 	healthCheckInterval    = 400.0  // ms between checks of an engine, by all controllers together
 	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller, at most
 	healthCheckJitter      = 0.2    // share of the interval by which it varies
-	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt starts on its engine
-	healthChecksPerQuery   = 1.0    // credit that a query brings
-	maxHealthCheckCredit   = 10.0   // half of it is kept for refreshing reports
+	// ms; an older report is refreshed before an attempt starts on its engine
+	reportRefreshAge     = 1200.0
+	healthChecksPerQuery = 1.0  // credit that a query brings
+	maxHealthCheckCredit = 10.0 // half of it is kept for refreshing reports
 )
 
-// checkHealth asks an engine for its health and load, and reports whether it does: not where checks are not
-// allowed, none is paid for, or one runs.
+// checkHealth asks an engine for its health and load, and reports whether it does: not where checks
+// are not allowed, none is paid for, or one runs.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthChecks.credit < 1 {
 		return false
@@ -30,8 +31,8 @@
 	return true
 }
 
-// waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for one if none
-// runs. If none is to be had the attempt goes without.
+// waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for
+// one if none runs. If none is to be had the attempt goes without.
 func (r *Router) waitForFreshReport(e *engine) bool {
 	if r.now-e.reportedAt <= reportRefreshAge {
 		return false
--- a/router/heap.go
+++ b/router/heap.go
@@ -1,7 +1,8 @@
 package router
 
-// heap is a binary heap. Its least member by less is list[0]. Where less finds no two members equal, the
-// order in which they are taken out does not depend on the order in which they were put in.
+// heap is a binary heap. Its least member by less is list[0]. Where less finds no two members
+// equal, the order in which they are taken out does not depend on the order in which they were put
+// in.
 type heap[T any] struct {
 	list []T
 	less func(a, b *T) bool
--- a/router/load.go
+++ b/router/load.go
@@ -1,16 +1,18 @@
 package router
 
 const (
-	reportHalfLife      = 1000.0  // ms, of reported utilization
-	othersHalfLife      = 5000.0  // ms, of what other controllers have in flight on an engine
-	reportMaxAge        = 4000.0  // ms after which a load report no longer counts
-	maxUtilization      = 2.0     // busy cores over all cores; a report of more is not believed
-	maxInflightPerCore  = 100.0   // queries; a report of more is not believed
-	slowdownLifeFactor  = 4.0     // half-life of an engine's slowdown, in mean times between own queries for it
+	reportHalfLife     = 1000.0 // ms, of reported utilization
+	othersHalfLife     = 5000.0 // ms, of what other controllers have in flight on an engine
+	reportMaxAge       = 4000.0 // ms after which a load report no longer counts
+	maxUtilization     = 2.0    // busy cores over all cores; a report of more is not believed
+	maxInflightPerCore = 100.0  // queries; a report of more is not believed
+	// half-life of an engine's slowdown, in mean times between own queries for it
+	slowdownLifeFactor  = 4.0
 	maxSlowdownHalfLife = 10000.0 // ms
 )
 
-// plausible reports whether an engine can mean this. A report of figures that can't be changes nothing.
+// plausible reports whether an engine can mean this. A report of figures that can't be changes
+// nothing.
 func (l *LoadReport) plausible(e *engine) bool {
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
 }
@@ -34,8 +36,8 @@
 	r.updateBounds(e)
 }
 
-// recordInflight takes in how many queries of all controllers an engine has in flight: the part of the
-// others is its load, and the part of this controller its share of the traffic.
+// recordInflight takes in how many queries of all controllers an engine has in flight: the part of
+// the others is its load, and the part of this controller its share of the traffic.
 func (r *Router) recordInflight(e *engine, inflight float64) {
 	others := max(0, inflight-float64(e.attempts))
 	e.othersInflight.capWeight(r.now, 1)
@@ -47,9 +49,9 @@
 	}
 }
 
-// engineLoad is the design's load of an engine: the larger of its reported utilization and disk use;
-// without these the queries in flight for each core; without any recent report what this controller's own
-// attempts and its share of the traffic tell.
+// engineLoad is the design's load of an engine: the larger of its reported utilization and disk
+// use; without these the queries in flight for each core; without any recent report what this
+// controller's own attempts and its share of the traffic tell.
 func (r *Router) engineLoad(e *engine) float64 {
 	if e.reportedAt == 0 || r.now-e.reportedAt > reportMaxAge {
 		return float64(e.attempts) / e.cores / r.trafficShare()
@@ -60,8 +62,8 @@
 	return (float64(e.attempts) + e.othersInflight.mean(r.now, 0, 0)) / e.cores
 }
 
-// slowdownHalfLife is the half-life in ms of an engine's slowdown: as long as it takes for some own queries
-// to come to each engine, within bounds.
+// slowdownHalfLife is the half-life in ms of an engine's slowdown: as long as it takes for some own
+// queries to come to each engine, within bounds.
 func (r *Router) slowdownHalfLife() float64 {
 	queryRate := r.traffic.queryRate.rate(r.now) + 1e-9
 	wanted := slowdownLifeFactor * float64(len(r.engineList)) / queryRate
