--- a/router/ordering.go
+++ b/router/ordering.go
@@ -10,15 +10,16 @@
 	cooling []OrderingKey // keys of empty queues that are kept until their cooldown is over
 }
 
-// orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the ones that
-// run stand in it too.
+// orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the
+// ones that run stand in it too.
 type orderingQueue struct {
-	key           OrderingKey
-	queries       []*query // by arrival
-	cooldownUntil float64  // ms, before which no first attempt starts: an earlier one may still be running
+	key     OrderingKey
+	queries []*query // by arrival
+	// ms, before which no first attempt starts: an earlier one may still be running
+	cooldownUntil float64
 
-	// joinedLate says that a query came to it which had arrived before its last one or had an attempt already:
-	// only then one behind the head can have an attempt outstanding.
+	// joinedLate says that a query came to it which had arrived before its last one or had an attempt
+	// already: only then one behind the head can have an attempt outstanding.
 	joinedLate bool
 }
 
@@ -28,8 +29,8 @@
 		slices.ContainsFunc(queue.queries[1:], func(q *query) bool { return q.outstanding > 0 })
 }
 
-// joinOrderingQueue puts q into the queue of an ordering key at the place of its arrival, if its class is
-// ordered. It does nothing if q is in it already.
+// joinOrderingQueue puts q into the queue of an ordering key at the place of its arrival, if its
+// class is ordered. It does nothing if q is in it already.
 func (r *Router) joinOrderingQueue(q *query, key OrderingKey) {
 	if !q.class.Ordered || key == "" {
 		return
@@ -56,8 +57,8 @@
 	return count > 0 && byArrival(q, queue.queries[count-1]) < 0
 }
 
-// leaveOrderingQueue takes q out of a queue. The query that is at the head now may be startable by it. A
-// queue that is left empty is kept until its cooldown is over.
+// leaveOrderingQueue takes q out of a queue. The query that is at the head now may be startable by
+// it. A queue that is left empty is kept until its cooldown is over.
 func (r *Router) leaveOrderingQueue(q *query, queue *orderingQueue) {
 	queue.remove(q)
 	if len(queue.queries) == 0 {
--- a/router/packing.go
+++ b/router/packing.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	memoryReserve    = 0.1     // share of an engine's memory that packing leaves free
-	blindMemoryShare = 0.5     // share of it that all groups together are taken to use while nothing is known
+	memoryReserve = 0.1 // share of an engine's memory that packing leaves free
+	// share of it that all groups together are taken to use while nothing is known
+	blindMemoryShare = 0.5
 	demandHalfLife   = 10000.0 // ms, of the demand and the footprints of table groups
 )
 
-// footprints are the memory in MB that each table group needs on the engines of a kind: mean memory times
-// the queries that run at once, over all controllers, and the kind's part of all engines. By Little's law
-// that is the memory times the time of its attempts, for each ms. While nothing is known all groups are
-// alike.
+// footprints are the memory in MB that each table group needs on the engines of a kind: mean memory
+// times the queries that run at once, over all controllers, and the kind's part of all engines. By
+// Little's law that is the memory times the time of its attempts, for each ms. While nothing is
+// known all groups are alike.
 func (r *Router) footprints(kind int) map[*tableGroup]float64 {
 	total := 0.0
 	for _, g := range r.groupList {
@@ -34,11 +35,15 @@
 	return sizes
 }
 
-// bestFitDecreasing packs table groups into bins of one size by Best Fit Decreasing: the largest first,
-// each into the bin that it fills best. A group that is larger than a bin has one of its own.
-func bestFitDecreasing(groups []*tableGroup, sizes map[*tableGroup]float64, binSize float64) [][]*tableGroup {
+// bestFitDecreasing packs table groups into bins of one size by Best Fit Decreasing: the largest
+// first, each into the bin that it fills best. A group that is larger than a bin has one of its
+// own.
+func bestFitDecreasing(groups []*tableGroup, sizes map[*tableGroup]float64,
+	binSize float64) [][]*tableGroup {
 	sorted := slices.Clone(groups)
-	slices.SortStableFunc(sorted, func(a, b *tableGroup) int { return cmp.Compare(sizes[b], sizes[a]) })
+	slices.SortStableFunc(sorted, func(a, b *tableGroup) int {
+		return cmp.Compare(sizes[b], sizes[a])
+	})
 	var packs [][]*tableGroup
 	index := newBinIndex()
 	for _, g := range sorted {
@@ -74,8 +79,8 @@
 
 func (index binIndex) put(b bin) { index.byFree.Set(b) }
 
-// takeBestFit takes out the bin with the least memory left that is enough, the first of several; ok reports
-// whether there is one.
+// takeBestFit takes out the bin with the least memory left that is enough, the first of several; ok
+// reports whether there is one.
 func (index binIndex) takeBestFit(size float64) (best bin, ok bool) {
 	index.byFree.Ascend(bin{free: size, pack: -1}, func(b bin) bool {
 		best = b
--- a/router/pools.go
+++ b/router/pools.go
@@ -12,13 +12,14 @@
 	packed      bool            // by learned footprints
 	rebalanceAt float64         // ms, when engines may move between pools again
 
-	// marked is the pool whose engines have it as their markedPool, while engines are assigned; nil: none.
+	// marked is the pool whose engines have it as their markedPool, while engines are assigned; nil:
+	// none.
 	marked        *enginePool
 	markedEngines []*engine
 }
 
-// enginePool is the engines of one kind that serve a pack of table groups, or several packs that share them
-// as merged.
+// enginePool is the engines of one kind that serve a pack of table groups, or several packs that
+// share them as merged.
 type enginePool struct {
 	packs       [][]*tableGroup
 	engines     []*engine
@@ -35,8 +36,9 @@
 }
 
 const (
-	rebalanceInterval = 2000.0  // ms between moves of engines
-	moveMargin        = 1.25    // busiest pool's load over the donor's future load, from which an engine moves
+	rebalanceInterval = 2000.0 // ms between moves of engines
+	// busiest pool's load over the donor's future load, from which an engine moves
+	moveMargin        = 1.25
 	solveMargin       = 2.5     // the same, from which all counts are solved at once
 	underusedLoad     = 0.25    // load below which a pool of one engine may be merged with another
 	hotDemandFactor   = 3.0     // weight of the demand of a table group that a rule marks as hot
@@ -44,8 +46,8 @@
 	negligibleDemand  = 1e-9    // so that no demand or load is a divisor of 0
 )
 
-// rebalanceAll is the design's period: table groups that nobody uses are forgotten, the pools of each kind
-// are packed once demand is known, and engines move between them.
+// rebalanceAll is the design's period: table groups that nobody uses are forgotten, the pools of
+// each kind are packed once demand is known, and engines move between them.
 func (r *Router) rebalanceAll() {
 	r.pools.rebalanceAt = r.now + rebalanceInterval
 	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
@@ -60,10 +62,11 @@
 	}
 }
 
-// rebalance is the design's step for one kind. The busiest pool gets an engine of the pool whose load would
-// then be the lowest, if its own load is moveMargin times that; after a sharp swing all counts are solved
-// at once. A pool of several packs on one engine is divided first. Otherwise two pools that underuse their
-// only engines are merged, and the engine that is freed goes to the busiest pool.
+// rebalance is the design's step for one kind. The busiest pool gets an engine of the pool whose
+// load would then be the lowest, if its own load is moveMargin times that; after a sharp swing all
+// counts are solved at once. A pool of several packs on one engine is divided first. Otherwise two
+// pools that underuse their only engines are merged, and the engine that is freed goes to the
+// busiest pool.
 func (r *Router) rebalance(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := len(r.readyEngines(kind))
@@ -113,7 +116,8 @@
 	return underused
 }
 
-// solveCounts sets the counts for which all loads would be equal, rounded towards the present counts.
+// solveCounts sets the counts for which all loads would be equal, rounded towards the present
+// counts.
 func (r *Router) solveCounts(pools []*enginePool, ready int) {
 	total := negligibleDemand
 	for _, pool := range pools {
@@ -126,7 +130,8 @@
 	}
 }
 
-// futureLoad is the load that a pool would have with one engine less; +Inf if it has no engine to give.
+// futureLoad is the load that a pool would have with one engine less; +Inf if it has no engine to
+// give.
 func (r *Router) futureLoad(pool *enginePool) float64 {
 	count := float64(len(pool.engines))
 	if count <= 1 {
@@ -193,9 +198,9 @@
 	}
 }
 
-// reassign gives each pool of a kind engines after engines or table groups have changed. Pools keep the
-// engines that they have, as these have their tables in memory. While there are fewer engines than pools
-// the lightest are merged.
+// reassign gives each pool of a kind engines after engines or table groups have changed. Pools keep
+// the engines that they have, as these have their tables in memory. While there are fewer engines
+// than pools the lightest are merged.
 func (r *Router) reassign(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := r.readyEngines(kind)
@@ -206,7 +211,9 @@
 		pools = r.mergeLightest(pools, len(ready))
 	}
 	for _, pool := range pools {
-		pool.engines = slices.DeleteFunc(pool.engines, func(e *engine) bool { return !e.readyOfKind(kind) })
+		pool.engines = slices.DeleteFunc(pool.engines, func(e *engine) bool {
+			return !e.readyOfKind(kind)
+		})
 		pool.targetCount = len(pool.engines)
 	}
 	r.assignEngines(kind, pools)
@@ -218,7 +225,9 @@
 	for _, pool := range pools {
 		demand[pool] = r.poolDemand(pool)
 	}
-	slices.SortStableFunc(pools, func(a, b *enginePool) int { return cmp.Compare(demand[b], demand[a]) })
+	slices.SortStableFunc(pools, func(a, b *enginePool) int {
+		return cmp.Compare(demand[b], demand[a])
+	})
 	for len(pools) > count {
 		last := len(pools) - 1
 		// The pool that was merged into last may be out of order by now.
--- a/router/query.go
+++ b/router/query.go
@@ -32,14 +32,15 @@
 
 // query is one that is owed a final answer or has an attempt without an outcome.
 type query struct {
-	id                QueryID
-	class             *queryClass
-	tables            *tableGroup
-	tenant            *tenant  // nil: none
-	overQuota         bool     // it is over its tenant's quota, as drawn when it arrived
-	arrivalOrder      uint64   // its number by arrival, from 1
-	arrivedAt         float64  // ms
-	firstTriedAt      float64  // ms, when its client first tried; before arrivedAt if this is the client's retry
+	id           QueryID
+	class        *queryClass
+	tables       *tableGroup
+	tenant       *tenant // nil: none
+	overQuota    bool    // it is over its tenant's quota, as drawn when it arrived
+	arrivalOrder uint64  // its number by arrival, from 1
+	arrivedAt    float64 // ms
+	// ms, when its client first tried; before arrivedAt if this is the client's retry
+	firstTriedAt      float64
 	deadline          float64  // ms, when its client gives up
 	estimatedWork     float64  // ms on one thread, as capped by an operator's rule; 0: no estimate
 	uncappedEstimate  float64  // ms on one thread, before that cap
@@ -47,9 +48,9 @@
 	kinds             []KindID // further limit on the machine kinds of its class; nil: none
 	zones             []Zone   // further limit on the zones of its class; nil: none
 
-	// Its attempts, by number. unresolved is the engine of the first one that may have run without an answer,
-	// nil if there is none, and unresolvedAt (ms) when that one was started: rule 2 decides by them whether the
-	// query may be repeated.
+	// Its attempts, by number. unresolved is the engine of the first one that may have run without an
+	// answer, nil if there is none, and unresolvedAt (ms) when that one was started: rule 2 decides by
+	// them whether the query may be repeated.
 	attempts        []attempt
 	awaited         int // attempts with an outcome that is waited for
 	outstanding     int // attempts without an outcome, the abandoned ones among them
@@ -58,8 +59,8 @@
 	responseStarted bool // its client has got a part of the response
 	done            bool // no final answer is owed any more
 
-	// The queues of its ordering keys. cooldownUntil (ms) is when the next query may start in each of them,
-	// as far as attempts of this one may still be running.
+	// The queues of its ordering keys. cooldownUntil (ms) is when the next query may start in each of
+	// them, as far as attempts of this one may still be running.
 	queues        []*orderingQueue
 	cooldownUntil float64
 
@@ -101,7 +102,8 @@
 // byArrival orders queries by arrival.
 func byArrival(a, b *query) int { return cmp.Compare(a.arrivalOrder, b.arrivalOrder) }
 
-// addQuery takes up the state of an arriving query, and puts it into the queues of its ordering keys.
+// addQuery takes up the state of an arriving query, and puts it into the queues of its ordering
+// keys.
 func (r *Router) addQuery(ev QueryArrived) *query {
 	g := r.tableGroupOf(ev.Tables)
 	g.lastQueryAt = r.now
@@ -150,9 +152,10 @@
 	}
 }
 
-// recordStart takes in that an attempt of q starts on e, before the action for it is returned: all further
-// decisions of the same step count it. memoryMB is its estimated memory, slowStartCost (ms of work) what it
-// counts for on a warming engine, startBy (ms) when it must have been sent; 0: at any time.
+// recordStart takes in that an attempt of q starts on e, before the action for it is returned: all
+// further decisions of the same step count it. memoryMB is its estimated memory, slowStartCost (ms
+// of work) what it counts for on a warming engine, startBy (ms) when it must have been sent; 0: at
+// any time.
 func (r *Router) recordStart(q *query, e *engine, memoryMB, slowStartCost, startBy float64) {
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retryBudget.retries.add(r.now, 1)
@@ -206,8 +209,8 @@
 	r.updateBounds(e)
 }
 
-// recordEnd takes in the outcome of an attempt of q, as far as the rules need it: what may have run, what the
-// outcome proves about the engine, and how long its ordering keys are in cooldown.
+// recordEnd takes in the outcome of an attempt of q, as far as the rules need it: what may have
+// run, what the outcome proves about the engine, and how long its ordering keys are in cooldown.
 func (r *Router) recordEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
@@ -238,8 +241,9 @@
 	return o == Errored || o == ConnectionReset || o == TimedOut || o == ConnectFailed
 }
 
-// recordConnection takes in what the outcome of an attempt proves about the process that has the address of
-// an engine: an answer shows that it is still the same, a lost connection that it may be another.
+// recordConnection takes in what the outcome of an attempt proves about the process that has the
+// address of an engine: an answer shows that it is still the same, a lost connection that it may be
+// another.
 func (e *engine) recordConnection(now float64, a *attempt, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
@@ -250,8 +254,8 @@
 	}
 }
 
-// markUnresolved takes in that an attempt of q may have run. The first such attempt is what rule 2 goes by,
-// as the deduplication window of a query begins with it.
+// markUnresolved takes in that an attempt of q may have run. The first such attempt is what rule 2
+// goes by, as the deduplication window of a query begins with it.
 func (q *query) markUnresolved(a *attempt) {
 	if q.unresolved == nil {
 		q.unresolved = a.engine
@@ -266,16 +270,16 @@
 	q.markUnresolved(a)
 }
 
-// responseStarted takes in that the client has got a part of the response: no attempt may start any more,
-// and no other answer may be given.
+// responseStarted takes in that the client has got a part of the response: no attempt may start any
+// more, and no other answer may be given.
 func (r *Router) responseStarted(id QueryID) {
 	if q := r.queries[id]; q != nil {
 		q.responseStarted = true
 	}
 }
 
-// clientDisconnected takes in that the client has gone: no answer is owed any more, and its attempts are
-// cancelled.
+// clientDisconnected takes in that the client has gone: no answer is owed any more, and its
+// attempts are cancelled.
 func (r *Router) clientDisconnected(id QueryID) {
 	q := r.queries[id]
 	if q == nil {
@@ -286,8 +290,8 @@
 	r.markChanged(q)
 }
 
-// outstandingAttempt finds an attempt that has no outcome yet, with its query; nil, nil: there is no such
-// attempt.
+// outstandingAttempt finds an attempt that has no outcome yet, with its query; nil, nil: there is
+// no such attempt.
 func (r *Router) outstandingAttempt(id QueryID, number AttemptID) (*query, *attempt) {
 	q := r.queries[id]
 	if q == nil || number < 0 || int(number) >= len(q.attempts) || !q.attempts[number].outstanding {
--- a/router/queue.go
+++ b/router/queue.go
@@ -17,9 +17,10 @@
 		btree.Options{NoLocks: true, Degree: treeDegree})
 }
 
-// queryQueue holds the queries that wait for an engine. Those that are not at the head of all their ordering
-// queues are blocked: they are in neither tree until they are. Retries have a tree of their own, because none
-// of them may start while the retry budget is used up, and passing over many of them would cost time.
+// queryQueue holds the queries that wait for an engine. Those that are not at the head of all their
+// ordering queues are blocked: they are in neither tree until they are. Retries have a tree of
+// their own, because none of them may start while the retry budget is used up, and passing over
+// many of them would cost time.
 type queryQueue struct {
 	length        int // queued queries, the blocked ones among them
 	firstAttempts *deadlineTree
@@ -36,8 +37,8 @@
 	return queue.retries
 }
 
-// enqueue puts q into the queue, and has it looked at when it may have to be shed. It does nothing if q is
-// queued already.
+// enqueue puts q into the queue, and has it looked at when it may have to be shed. It does nothing
+// if q is queued already.
 func (r *Router) enqueue(q *query) {
 	if q.queued {
 		return
@@ -51,17 +52,19 @@
 	}
 }
 
-// insertUnlessBlocked puts a queued query into its tree if it is at the head of all its ordering queues. If
-// not, leaveOrderingQueue calls this again when it gets to the head of one.
+// insertUnlessBlocked puts a queued query into its tree if it is at the head of all its ordering
+// queues. If not, leaveOrderingQueue calls this again when it gets to the head of one.
 func (r *Router) insertUnlessBlocked(q *query) {
-	q.blocked = slices.ContainsFunc(q.queues, func(queue *orderingQueue) bool { return queue.queries[0] != q })
+	q.blocked = slices.ContainsFunc(q.queues, func(queue *orderingQueue) bool {
+		return queue.queries[0] != q
+	})
 	if !q.blocked {
 		r.queue.treeOf(q).Set(q)
 	}
 }
 
-// dequeue takes q out of the queue if it is queued. It comes before an attempt is added to q, as the number
-// of attempts tells which tree holds it.
+// dequeue takes q out of the queue if it is queued. It comes before an attempt is added to q, as
+// the number of attempts tells which tree holds it.
 func (r *Router) dequeue(q *query) {
 	if !q.queued {
 		return
@@ -83,9 +86,9 @@
 	}
 }
 
-// eachUnblocked calls visit for the queued queries that are not blocked, by client timeout, until it returns
-// false. visit may take the query that it is called for out of the queue. Retries are left out if the retry
-// budget is used up: an attempt that starts meanwhile makes it no larger.
+// eachUnblocked calls visit for the queued queries that are not blocked, by client timeout, until
+// it returns false. visit may take the query that it is called for out of the queue. Retries are
+// left out if the retry budget is used up: an attempt that starts meanwhile makes it no larger.
 func (r *Router) eachUnblocked(visit func(q *query) bool) {
 	firstAttempts, retries := r.queue.firstAttempts, r.queue.retries
 	if retries.Len() == 0 || !r.retryBudgetAllows() {
@@ -108,8 +111,8 @@
 	}
 }
 
-// after is the query that follows q in a tree, whether or not q is still in it; the first one for nil, and
-// nil if none follows.
+// after is the query that follows q in a tree, whether or not q is still in it; the first one for
+// nil, and nil if none follows.
 func after(tree *deadlineTree, q *query) *query {
 	if q == nil {
 		first, _ := tree.Min()
@@ -125,15 +128,15 @@
 	return next
 }
 
-// Sizes of the batches, in queries, that eachInBatches reads. They start small: a step that stops early must
-// not have read many.
+// Sizes of the batches, in queries, that eachInBatches reads. They start small: a step that stops
+// early must not have read many.
 const (
 	minBatch = 4
 	maxBatch = 64
 )
 
-// eachInBatches calls visit for the queries of one tree, in order, until it returns false. It reads ahead in
-// batches, as visit may change the tree.
+// eachInBatches calls visit for the queries of one tree, in order, until it returns false. It reads
+// ahead in batches, as visit may change the tree.
 func (r *Router) eachInBatches(tree *deadlineTree, visit func(q *query) bool) {
 	var last *query
 	for size := minBatch; ; size = min(maxBatch, 2*size) {
--- a/router/reasons.go
+++ b/router/reasons.go
@@ -6,10 +6,11 @@
 const (
 	// noReason: the query is not rejected or failed.
 	noReason answerReason = iota
-	// reasonArrivalsTooSlow: queries wait too long until a step takes them in, and this one could not be in
-	// time.
+	// reasonArrivalsTooSlow: queries wait too long until a step takes them in, and this one could not
+	// be in time.
 	reasonArrivalsTooSlow
-	// reasonArrivalsShare: the same, and this one belongs to the share that is rejected to shorten the waits.
+	// reasonArrivalsShare: the same, and this one belongs to the share that is rejected to shorten the
+	// waits.
 	reasonArrivalsShare
 	// reasonOrderingQueueTooLong: those ahead of it in the queue of its ordering key take too long.
 	reasonOrderingQueueTooLong
@@ -45,14 +46,15 @@
 
 func (reason answerReason) String() string { return answerReasonNames[reason] }
 
-// waitReason says why a queued query may not start an attempt on any engine just now. That no engine has
-// capacity for it is not among these: selectEngine finds that out.
+// waitReason says why a queued query may not start an attempt on any engine just now. That no
+// engine has capacity for it is not among these: selectEngine finds that out.
 type waitReason int
 
 const (
 	// notWaiting: an attempt may start, if an engine is found.
 	notWaiting waitReason = iota
-	// waitOrdering: it is not at the head of the queue of each of its ordering keys, or a key is in cooldown.
+	// waitOrdering: it is not at the head of the queue of each of its ordering keys, or a key is in
+	// cooldown.
 	waitOrdering
 	// waitAnswered: it has its answer or has begun to get it.
 	waitAnswered
--- a/router/restore.go
+++ b/router/restore.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// The bounds of restored figures. Beyond them no figure can be true; within them none can shut out a class or
-// an engine for long.
+// The bounds of restored figures. Beyond them no figure can be true; within them none can shut out
+// a class or an engine for long.
 const (
 	maxRestoredWeight   = 1000.0 // additions
 	maxRestoredSlowdown = 20.0   // times the time on an idle engine
@@ -19,7 +19,8 @@
 	return min(x, most)
 }
 
-// restored is a decayed mean as it would be if it had been learned just now. Its mean is clamped to bounds.
+// restored is a decayed mean as it would be if it had been learned just now. Its mean is clamped to
+// bounds.
 func (m WeightedMean) restored(halfLife, now, least, most float64) decayedMean {
 	weight := clamp(m.Weight, 0, maxRestoredWeight)
 	return decayedMean{
@@ -30,9 +31,9 @@
 	}
 }
 
-// statisticsRestored imports what an earlier run of this controller exported. If it knows table groups, the
-// pools are packed anew by them, and the next rebalance waits for a whole interval: all loads are still
-// unknown, and pools of one engine would be merged as idle.
+// statisticsRestored imports what an earlier run of this controller exported. If it knows table
+// groups, the pools are packed anew by them, and the next rebalance waits for a whole interval: all
+// loads are still unknown, and pools of one engine would be merged as idle.
 func (r *Router) statisticsRestored(s Statistics) {
 	r.restore(s)
 	if len(s.Tables) == 0 {
@@ -44,9 +45,9 @@
 	}
 }
 
-// restore imports statistics, which may hold any figures. What this run has learned itself stands; figures
-// are clamped to their bounds; records of engines and classes that don't exist are passed over, as are
-// those of engines that have another process now.
+// restore imports statistics, which may hold any figures. What this run has learned itself stands;
+// figures are clamped to their bounds; records of engines and classes that don't exist are passed
+// over, as are those of engines that have another process now.
 func (r *Router) restore(s Statistics) {
 	pools := restoredPools{}
 	for _, record := range s.Engines {
@@ -63,9 +64,9 @@
 	}
 }
 
-// restoredPools are the pools of the earlier run, by their leader, with those of their engines that still
-// have the same process. They stand in for the pools of table groups until repack, which gives the pools
-// that it makes the engines of those that their table groups had.
+// restoredPools are the pools of the earlier run, by their leader, with those of their engines that
+// still have the same process. They stand in for the pools of table groups until repack, which
+// gives the pools that it makes the engines of those that their table groups had.
 type restoredPools map[EngineID]*enginePool
 
 // add puts an engine into the pool of a leader.
@@ -78,7 +79,8 @@
 	pool.engines = append(pool.engines, e)
 }
 
-// restoreEngine imports the record of an engine, if it is ready and has the process that the record is of.
+// restoreEngine imports the record of an engine, if it is ready and has the process that the record
+// is of.
 func (r *Router) restoreEngine(record EngineStatistics, pools restoredPools) {
 	e := r.engines[record.Engine]
 	if e == nil || e.state != Ready || max(e.startedAt, 0) != record.StartedAt {
@@ -97,7 +99,8 @@
 
 // untried reports whether this run has learned nothing of an engine.
 func (e *engine) untried() bool {
-	return e.slowdown.weight == 0 && e.outcomes == allSucceeded && e.threadsPerCore == initialThreadsPerCore
+	return e.slowdown.weight == 0 && e.outcomes == allSucceeded &&
+		e.threadsPerCore == initialThreadsPerCore
 }
 
 // restoreClass imports the record of a query class, if this run has no answer of its queries yet.
@@ -113,8 +116,10 @@
 	class.firstTryTimeout = max(class.firstTryTimeout, firstTryTimeout)
 	class.bestUnitTime = clamp(record.UnloadedTime, 0, class.ClientTimeout)
 	class.unconfirmedSince = r.now
-	class.workScale = record.WorkScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
-	class.memoryScale = record.MemoryScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
+	class.workScale = record.WorkScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale,
+		maxRestoredScale)
+	class.memoryScale = record.MemoryScale.restored(scaleHalfLife, r.now, 1/maxRestoredScale,
+		maxRestoredScale)
 }
 
 // restoreTraffic imports the share of the traffic, if this run knows nothing of it.
--- a/router/retry.go
+++ b/router/retry.go
@@ -1,15 +1,18 @@
 package router
 
 const (
-	silenceIntervals = 1.6  // progress intervals without a message after which an attempt counts as silent
-	progressWeight   = 0.5  // weight of a first progress message in an engine's slowdown; an answer's is 1
+	// progress intervals without a message after which an attempt counts as silent
+	silenceIntervals = 1.6
+	// weight of a first progress message in an engine's slowdown; an answer's is 1
+	progressWeight   = 0.5
 	minProgressShare = 0.01 // share of the work that a progress message counts as, at least
 	badPlanFactor    = 4.0  // times the expected time from which the plan of an attempt counts as bad
 	badPlanRemaining = 1.5  // expected times that such an attempt must have left for a retry to pay
 )
 
-// attemptEnded takes in the outcome of an attempt. A query without an answer goes back into the queue,
-// where it waits for another engine, or gets its final answer if no further attempt is allowed.
+// attemptEnded takes in the outcome of an attempt. A query without an answer goes back into the
+// queue, where it waits for another engine, or gets its final answer if no further attempt is
+// allowed.
 func (r *Router) attemptEnded(ev AttemptEnded) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -38,8 +41,8 @@
 	}
 }
 
-// attemptSucceeded learns from an answer. An error of the same query on another engine was that engine's
-// fault, as this one could answer it.
+// attemptSucceeded learns from an answer. An error of the same query on another engine was that
+// engine's fault, as this one could answer it.
 func (r *Router) attemptSucceeded(q *query, a *attempt, ev AttemptEnded) {
 	r.recordAttemptOutcome(q, a, true)
 	for i := range q.attempts {
@@ -49,15 +52,17 @@
 		}
 	}
 	class := q.class
-	if r.now > q.firstTriedAt+class.LatencyObjective+class.ObjectivePerWork*class.unloadedTime(q, r.now) {
+	objectiveAt := q.firstTriedAt + class.LatencyObjective +
+		class.ObjectivePerWork*class.unloadedTime(q, r.now)
+	if r.now > objectiveAt {
 		r.admission.objectiveMissed = true
 	}
 	r.learnFromSuccess(q, a.engine, ev)
 }
 
-// attemptRejected keeps the class away from an engine that was full for a while and cuts the engine's
-// concurrency limit. Attempts that went on there would be rejected too, and queries would use up their
-// attempts.
+// attemptRejected keeps the class away from an engine that was full for a while and cuts the
+// engine's concurrency limit. Attempts that went on there would be rejected too, and queries would
+// use up their attempts.
 func (r *Router) attemptRejected(q *query, a *attempt) {
 	e := a.engine
 	r.backOff(q, a)
@@ -65,8 +70,9 @@
 	r.updateBounds(e)
 }
 
-// attemptFailed takes in a failure of the engine. An error may be the query's own fault: it counts against
-// the engine only if another one answers the query, or if the query may not be tried anywhere else.
+// attemptFailed takes in a failure of the engine. An error may be the query's own fault: it counts
+// against the engine only if another one answers the query, or if the query may not be tried
+// anywhere else.
 func (r *Router) attemptFailed(q *query, a *attempt, outcome Outcome) {
 	a.endedInError = outcome == Errored && q.class.Effect != NonIdempotent
 	if !a.endedInError {
@@ -74,10 +80,10 @@
 	}
 }
 
-// attemptProgress takes in a progress message: it tells of table locks and of how slow the engine is, and
-// has an attempt cancelled whose plan is bad or whose engine has all but stopped, if a retry is expected to
-// end sooner. The work that is cancelled is lost; a query that is truly large would be cancelled again and
-// again, so this acts only on queries with an estimate.
+// attemptProgress takes in a progress message: it tells of table locks and of how slow the engine
+// is, and has an attempt cancelled whose plan is bad or whose engine has all but stopped, if a
+// retry is expected to end sooner. The work that is cancelled is lost; a query that is truly large
+// would be cancelled again and again, so this acts only on queries with an estimate.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -114,15 +120,16 @@
 		!r.attemptsExhausted(q) && r.retryBudgetAllows()
 }
 
-// silenceLimit is the time in ms without a message after which an attempt counts as silent; +Inf where
-// engines send no progress messages.
+// silenceLimit is the time in ms without a message after which an attempt counts as silent; +Inf
+// where engines send no progress messages.
 func (r *Router) silenceLimit() float64 {
 	return silenceIntervals*r.capabilities.ProgressInterval + windowSlack
 }
 
-// checkQuery is what an alarm of q asks for: its final answer if that is due, and a retry for each attempt
-// that has gone silent. It guards against answers that get lost and against engines that hang though they
-// still answer health checks. If only progress messages were lost the query runs twice.
+// checkQuery is what an alarm of q asks for: its final answer if that is due, and a retry for each
+// attempt that has gone silent. It guards against answers that get lost and against engines that
+// hang though they still answer health checks. If only progress messages were lost the query runs
+// twice.
 func (r *Router) checkQuery(q *query) {
 	if r.now >= r.answerBy(q) {
 		r.rejectOrFail(q, reasonAnswerDue)
@@ -138,9 +145,9 @@
 	}
 }
 
-// handleSilentAttempt counts a silent attempt of q as failed (its later outcome counts too) and replaces
-// it: it is cancelled where that is possible, else abandoned where a hedged attempt may run beside it. The
-// retry goes through the queue as any other.
+// handleSilentAttempt counts a silent attempt of q as failed (its later outcome counts too) and
+// replaces it: it is cancelled where that is possible, else abandoned where a hedged attempt may
+// run beside it. The retry goes through the queue as any other.
 func (r *Router) handleSilentAttempt(q *query, a *attempt) {
 	silentAt := a.lastHeardAt + r.silenceLimit()
 	if r.now < silentAt {
--- a/router/retrybudget.go
+++ b/router/retrybudget.go
@@ -6,9 +6,9 @@
 	queries slidingWindow // queries taken
 }
 
-// retryBudgetAllows is rule 7: it reports whether one more retry stays within the budget in every window
-// that ends now. Retries are counted over a little more than the window and queries over a little less, so
-// that the rule holds by clocks that differ by up to windowSlack.
+// retryBudgetAllows is rule 7: it reports whether one more retry stays within the budget in every
+// window that ends now. Retries are counted over a little more than the window and queries over a
+// little less, so that the rule holds by clocks that differ by up to windowSlack.
 func (r *Router) retryBudgetAllows() bool {
 	limits := &r.limits
 	if !limits.RetryBudgeted {
--- a/router/router.go
+++ b/router/router.go
@@ -5,8 +5,8 @@
 	"math/rand"
 )
 
-// Router is the decision module of one controller. One goroutine owns it; Step is the only way to change it
-// while it runs (Statistics and EngineStatuses read).
+// Router is the decision module of one controller. One goroutine owns it; Step is the only way to
+// change it while it runs (Statistics and EngineStatuses read).
 type Router struct {
 	rng          *rand.Rand
 	controllers  float64 // that serve the same engines, this one among them
@@ -24,10 +24,11 @@
 	stepCount    uint64
 	timers       timers
 
-	queries      map[QueryID]*query // all that are owed an answer or have an attempt without an outcome
-	arrivalCount uint64             // queries taken so far, which orders them
-	changed      []*query           // in this step: collectActions looks at them
-	queue        queryQueue         // queries that wait for an engine
+	// all that are owed an answer or have an attempt without an outcome
+	queries      map[QueryID]*query
+	arrivalCount uint64     // queries taken so far, which orders them
+	changed      []*query   // in this step: collectActions looks at them
+	queue        queryQueue // queries that wait for an engine
 	ordering     ordering
 	admission    admission
 
@@ -56,8 +57,8 @@
 	timerAt    float64     // ms, for which the caller was last asked to set its timer
 }
 
-// New returns the module of a controller that has just started. The seed feeds its only source of chance:
-// the same seed and the same events give the same actions.
+// New returns the module of a controller that has just started. The seed feeds its only source of
+// chance: the same seed and the same events give the same actions.
 func New(seed int64, identity Identity, kinds []MachineKind, classes []QueryClass, tenants []Tenant,
 	capabilities Capabilities, limits SafetyLimits) *Router {
 	if capabilities.ProgressInterval == 0 {
@@ -76,8 +77,9 @@
 		queries:      map[QueryID]*query{},
 		queue:        queryQueue{firstAttempts: newDeadlineTree(), retries: newDeadlineTree()},
 		ordering:     ordering{queues: map[OrderingKey]*orderingQueue{}},
-		admission:    admission{sizeLimit: maxSizeLimit, arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife}},
-		engines:      map[EngineID]*engine{},
+		admission: admission{sizeLimit: maxSizeLimit,
+			arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife}},
+		engines: map[EngineID]*engine{},
 		traffic: traffic{
 			share:         decayedMean{halfLife: shareHalfLife},
 			queryRate:     decayedMean{halfLife: shareHalfLife},
@@ -95,8 +97,8 @@
 	return r
 }
 
-// Step takes in all events up to now, in their order, and returns what to do, in the order in which it is
-// to be done. now is in ms and never goes back.
+// Step takes in all events up to now, in their order, and returns what to do, in the order in which
+// it is to be done. now is in ms and never goes back.
 func (r *Router) Step(now float64, events []Event) []Action {
 	r.now = now
 	if r.startedAt < 0 {
@@ -146,7 +148,8 @@
 	}
 }
 
-// startShutdown has every query looked at by the time that it must have its answer, which is earlier now.
+// startShutdown has every query looked at by the time that it must have its answer, which is
+// earlier now.
 func (r *Router) startShutdown(within float64) {
 	r.shutdownAt = r.now + within
 	for _, q := range r.queries { // in any order: the heap of alarms brings its own
@@ -186,9 +189,9 @@
 	}
 }
 
-// collectActions turns what this step wants into actions. Decisions set the fields startOn, answer and
-// cancelWanted of queries, and the wanted lists; nothing else returns actions, so a query never gets two
-// final answers.
+// collectActions turns what this step wants into actions. Decisions set the fields startOn, answer
+// and cancelWanted of queries, and the wanted lists; nothing else returns actions, so a query never
+// gets two final answers.
 func (r *Router) collectActions() []Action {
 	var actions []Action
 	for _, q := range r.changed {
@@ -210,7 +213,8 @@
 // queryActions appends what is to be done for q, and forgets it if nothing is left of it.
 func (r *Router) queryActions(actions []Action, q *query) []Action {
 	if q.startOn != nil {
-		actions = append(actions, StartAttempt{ID: q.id, Engine: q.startOn.id, Deadline: q.deadline, StartBy: q.startBy})
+		actions = append(actions,
+			StartAttempt{ID: q.id, Engine: q.startOn.id, Deadline: q.deadline, StartBy: q.startBy})
 		q.startOn = nil
 	}
 	if !q.done {
--- a/router/search.go
+++ b/router/search.go
@@ -2,33 +2,36 @@
 
 import "math"
 
-// This file is a branch-and-bound search: it finds the engine that selectEngine would find by an exact look
-// at every engine, while it looks exactly at few of them. Each engine has bounds that are cheap to compare.
+// This file is a branch-and-bound search: it finds the engine that selectEngine would find by an
+// exact look at every engine, while it looks exactly at few of them. Each engine has bounds that
+// are cheap to compare.
 //
-// The invariant is that a bound never excludes an engine that the exact figures would select: a lower bound
-// of the placement score is at most the exact score, and an engine counts as without capacity only if
-// hasCapacity says so too. A bound that is too weak costs time; one that is wrong would change what is
-// selected.
+// The invariant is that a bound never excludes an engine that the exact figures would select: a
+// lower bound of the placement score is at most the exact score, and an engine counts as without
+// capacity only if hasCapacity says so too. A bound that is too weak costs time; one that is wrong
+// would change what is selected.
 //
-// It holds in floating point, to the last bit. A bound is computed by the same operations, in the same order,
-// as the exact figure, from operands that are not larger (under a division or a subtraction: not smaller).
-// Rounding is monotone, so after each operation the bound is still not larger. Where a bound takes operations
-// in another order, roundingSlack covers the difference.
+// It holds in floating point, to the last bit. A bound is computed by the same operations, in the
+// same order, as the exact figure, from operands that are not larger (under a division or a
+// subtraction: not smaller). Rounding is monotone, so after each operation the bound is still not
+// larger. Where a bound takes operations in another order, roundingSlack covers the difference.
 //
-// The bounds of an engine hold for all times until the next runPeriodic, which computes them anew with
-// updateAllBounds. Whatever changes an engine in between calls updateBounds for it. dispatch calls
-// updateAllBounds early if the mean load of the other controllers falls below what the bounds assume.
+// The bounds of an engine hold for all times until the next runPeriodic, which computes them anew
+// with updateAllBounds. Whatever changes an engine in between calls updateBounds for it. dispatch
+// calls updateAllBounds early if the mean load of the other controllers falls below what the bounds
+// assume.
 
 // searchState is what is kept for the searches over engines.
 type searchState struct {
-	candidates       candidateList // of engineList, for queries that leave their pools
-	exemptEngines    int           // engines with bounds.exemptFromPool
-	warmingEngines   int           // more than 0 if an engine may be warming up; counts some engines repeatedly
-	minFill          float64       // threads per core; lower bound over all engines
-	maxCapacity      float64       // cores; upper bound over all engines
-	minOthersPerCore float64       // lower bound of the mean of traffic.othersPerCore
-	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
-	boundsExamined   int           // engines whose bounds were examined since the start; read by tests
+	candidates    candidateList // of engineList, for queries that leave their pools
+	exemptEngines int           // engines with bounds.exemptFromPool
+	// more than 0 if an engine may be warming up; counts some engines repeatedly
+	warmingEngines   int
+	minFill          float64   // threads per core; lower bound over all engines
+	maxCapacity      float64   // cores; upper bound over all engines
+	minOthersPerCore float64   // lower bound of the mean of traffic.othersPerCore
+	scoreBuffer      []float64 // kept for its memory: scoreLowerBounds
+	boundsExamined   int       // engines whose bounds were examined since the start; read by tests
 }
 
 // searchBounds are the bounds of one engine.
@@ -43,16 +46,17 @@
 }
 
 const (
-	// roundingSlack is a relative difference, larger than rounding can make between two ways to compute a
-	// figure of a few operations.
+	// roundingSlack is a relative difference, larger than rounding can make between two ways to
+	// compute a figure of a few operations.
 	roundingSlack = 1e-12
-	// othersPerCoreSlack is how far the mean load of the other controllers may fall, as a share of itself,
-	// before all bounds are computed anew.
+	// othersPerCoreSlack is how far the mean load of the other controllers may fall, as a share of
+	// itself, before all bounds are computed anew.
 	othersPerCoreSlack = 0.1
 )
 
-// meanLowerBound is a lower bound of mean for all times from now until another, and for a prior that is not
-// smaller. Without additions the mean moves towards the prior, so it is least at one of the two times.
+// meanLowerBound is a lower bound of mean for all times from now until another, and for a prior
+// that is not smaller. Without additions the mean moves towards the prior, so it is least at one of
+// the two times.
 func (d *decayedMean) meanLowerBound(now, until, prior, priorWeight float64) float64 {
 	if d.weight == 0 && d.sum == 0 {
 		return prior
@@ -79,7 +83,8 @@
 	r.updateExempt(b)
 }
 
-// fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must hold already.
+// fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must hold
+// already.
 func (r *Router) fillLowerBound(e *engine, until float64) float64 {
 	minMean := e.cores * r.search.minOthersPerCore
 	minOthers := max(0, e.othersInflight.meanLowerBound(r.now, until, minMean, priorReportWeight))
@@ -105,9 +110,9 @@
 	}
 }
 
-// updateExempt sets exemptFromPool by the other bounds of the engine, and keeps the count of such engines.
-// The two cases are those in which withinThreadLimits lets an engine pass the pooled limit: it is warming
-// up, or its reports tell of capacity.
+// updateExempt sets exemptFromPool by the other bounds of the engine, and keeps the count of such
+// engines. The two cases are those in which withinThreadLimits lets an engine pass the pooled
+// limit: it is warming up, or its reports tell of capacity.
 func (r *Router) updateExempt(b *searchBounds) {
 	exempt := b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)
 	switch {
@@ -130,14 +135,15 @@
 	}
 }
 
-// fillScoreLowerBound is a lower bound of the part of the placement score of q on e that comes from how full
-// and how slow e is.
+// fillScoreLowerBound is a lower bound of the part of the placement score of q on e that comes from
+// how full and how slow e is.
 func (q *query) fillScoreLowerBound(e *engine) float64 {
 	b := &e.bounds
 	return (b.minFill + q.class.Threads/b.maxCapacity) * b.minSlowdown
 }
 
-// affinityScore is the part of the placement score of q on e that comes from the affinity of its table group.
+// affinityScore is the part of the placement score of q on e that comes from the affinity of its
+// table group.
 func (q *query) affinityScore(e *engine) float64 {
 	return affinityWeight * (1 - rendezvousAffinity(q.tables, e))
 }
@@ -151,16 +157,17 @@
 	return bound
 }
 
-// capacityBound is what is the same for all engines of a list when it is asked whether they may have
-// capacity.
+// capacityBound is what is the same for all engines of a list when it is asked whether they may
+// have capacity.
 type capacityBound struct {
-	nothingInFlight   bool    // this controller has no attempt
-	withinPooledLimit bool    // the pooled thread limit is not used up
-	limitShare        float64 // of an engine's thread limit of all controllers, up to which this one may fill it
+	nothingInFlight   bool // this controller has no attempt
+	withinPooledLimit bool // the pooled thread limit is not used up
+	// of an engine's thread limit of all controllers, up to which this one may fill it
+	limitShare float64
 }
 
-// capacityBound returns the bound for a list of engines that are filled up to a share of this controller's
-// thread limit on them.
+// capacityBound returns the bound for a list of engines that are filled up to a share of this
+// controller's thread limit on them.
 func (r *Router) capacityBound(share, trafficShare float64) capacityBound {
 	return capacityBound{
 		nothingInFlight:   r.concurrency.attempts == 0,
@@ -169,7 +176,8 @@
 	}
 }
 
-// mayHold reports whether e may have capacity. If it says no, hasCapacity does so too, for every class.
+// mayHold reports whether e may have capacity. If it says no, hasCapacity does so too, for every
+// class.
 func (c *capacityBound) mayHold(e *engine) bool {
 	b := &e.bounds
 	if !b.maybeHealthy || c.nothingInFlight {
@@ -179,10 +187,12 @@
 		(e.attempts == 0 || b.maybeWarming || e.threads <= c.limitShare*b.maxThreadLimit)
 }
 
-// scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The bound is
-// +Inf where the engine has no capacity, else a lower bound of the placement score of q on it. The affinity
-// is left out of it where the engine can't be the least anyway: hashes are the dearer part.
-func (r *Router) scoreLowerBounds(q *query, engines []*engine, capacity capacityBound) ([]float64, int) {
+// scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The
+// bound is +Inf where the engine has no capacity, else a lower bound of the placement score of q on
+// it. The affinity is left out of it where the engine can't be the least anyway: hashes are the
+// dearer part.
+func (r *Router) scoreLowerBounds(q *query, engines []*engine,
+	capacity capacityBound) ([]float64, int) {
 	bounds := r.scoreBuffer(len(engines))
 	r.search.boundsExamined += len(engines)
 	least := math.Inf(1)
@@ -219,7 +229,8 @@
 	index  int     // in the list that is searched; -1: it comes from an earlier list
 }
 
-// beatenBy reports whether an engine with this score at this index is better: of two alike the first is.
+// beatenBy reports whether an engine with this score at this index is better: of two alike the
+// first is.
 func (best *bestCandidate) beatenBy(score float64, index int) bool {
 	return score < best.score || score == best.score && index < best.index
 }
@@ -233,8 +244,9 @@
 	best       *bestCandidate
 }
 
-// tryEngine looks at one engine of the list exactly, and makes it the best one if it is. It is handed on
-// beside the listSearch, as the closure would be allocated anew for each search if it were part of it.
+// tryEngine looks at one engine of the list exactly, and makes it the best one if it is. It is
+// handed on beside the listSearch, as the closure would be allocated anew for each search if it
+// were part of it.
 type tryEngine func(e *engine, index int)
 
 // eachPossibleBest calls try for the engines of a list that their bounds don't exclude.
@@ -248,9 +260,9 @@
 	r.searchByBounds(s, try)
 }
 
-// searchByAffinity tries engines in the order of their affinity. The score is at least the affinity's part
-// and what the least filled engine would have, so the search ends as soon as that is worse than the best:
-// the engines that follow have less affinity.
+// searchByAffinity tries engines in the order of their affinity. The score is at least the
+// affinity's part and what the least filled engine would have, so the search ends as soon as that
+// is worse than the best: the engines that follow have less affinity.
 func (r *Router) searchByAffinity(s *listSearch, order []int32, try tryEngine) {
 	minFillScore := r.search.minFill + s.q.class.Threads/r.search.maxCapacity
 	for _, index := range order {
@@ -264,8 +276,8 @@
 	}
 }
 
-// searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then those
-// with a bound that is better than its score.
+// searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then
+// those with a bound that is better than its score.
 func (r *Router) searchByBounds(s *listSearch, try tryEngine) {
 	engines := r.withCapacity(s)
 	bounds, first := r.scoreLowerBounds(s.q, engines, s.capacity)
@@ -282,13 +294,14 @@
 	}
 }
 
-// noCapacityAnywhere reports that no engine has capacity for q, as far as that is known without a search. It
-// may be false although none has.
+// noCapacityAnywhere reports that no engine has capacity for q, as far as that is known without a
+// search. It may be false although none has.
 func (r *Router) noCapacityAnywhere(q *query) bool {
 	return r.pooledLimitExceeded() || r.knownFullFor(q)
 }
 
-// pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass it.
+// pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass
+// it.
 func (r *Router) pooledLimitExceeded() bool {
 	pooled := &r.concurrency
 	if pooled.attempts == 0 || pooled.threads <= pooled.pooledThreadLimit {
--- a/router/selection.go
+++ b/router/selection.go
@@ -3,12 +3,15 @@
 import "math"
 
 const (
-	spillShare        = 0.75    // of its thread limit, up to which an engine takes queries of other pools
-	affinityWeight    = 1.0     // penalty, in threads a core, for the lowest affinity
-	tableLockPenalty  = 4.0     // penalty, in threads a core, for a lock on the query's tables
-	tableLockNoteLife = 1500.0  // ms for which a progress message that tells of a table lock counts
-	widelyLockedShare = 2.0 / 3 // of the healthy engines; past it, queries that lock a group join others
-	priorReportWeight = 0.5     // reports that the mean of all engines weighs as much as, for one engine's load
+	// of its thread limit, up to which an engine takes queries of other pools
+	spillShare        = 0.75
+	affinityWeight    = 1.0    // penalty, in threads a core, for the lowest affinity
+	tableLockPenalty  = 4.0    // penalty, in threads a core, for a lock on the query's tables
+	tableLockNoteLife = 1500.0 // ms for which a progress message that tells of a table lock counts
+	// of the healthy engines; past it, queries that lock a group join others
+	widelyLockedShare = 2.0 / 3
+	// reports that the mean of all engines weighs as much as, for one engine's load
+	priorReportWeight = 0.5
 )
 
 // selection is one search for the engine of a query.
@@ -19,10 +22,10 @@
 	best         bestCandidate
 }
 
-// selectEngine finds the engine for q: the one with the lowest placement score among those of its table
-// group's pools that have capacity. If none has, or q would meet a lock or its own failure there, it spills
-// to any engine that is not too full. Of two alike the first in the list wins. nil: no engine may take it
-// now.
+// selectEngine finds the engine for q: the one with the lowest placement score among those of its
+// table group's pools that have capacity. If none has, or q would meet a lock or its own failure
+// there, it spills to any engine that is not too full. Of two alike the first in the list wins.
+// nil: no engine may take it now.
 func (r *Router) selectEngine(q *query) *engine {
 	if r.noCapacityAnywhere(q) {
 		return nil
@@ -44,11 +47,12 @@
 	return s.best.engine
 }
 
-// searchIn looks for a better engine in a list, each filled up to a share of its thread limit. The bounds
-// of search.go leave out those that can't be better. If no engine of the list has capacity, and nothing but
-// its class and table group narrows the choice of q, that is remembered for the others of its class in this
-// step.
-func (r *Router) searchIn(s *selection, candidates *candidateList, engines []*engine, share float64) {
+// searchIn looks for a better engine in a list, each filled up to a share of its thread limit. The
+// bounds of search.go leave out those that can't be better. If no engine of the list has capacity,
+// and nothing but its class and table group narrows the choice of q, that is remembered for the
+// others of its class in this step.
+func (r *Router) searchIn(s *selection, candidates *candidateList, engines []*engine,
+	share float64) {
 	q := s.q
 	if r.knownFull(candidates, q.class) {
 		return
@@ -79,10 +83,10 @@
 	}
 }
 
-// placementScore ranks engines for a query, lowest first: how full the engine would be, times its slowdown
-// past widenBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of affinity of its
-// table group. Queries that lock their tables have no affinity: they would meet on one engine and wait for
-// each other.
+// placementScore ranks engines for a query, lowest first: how full the engine would be, times its
+// slowdown past widenBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of
+// affinity of its table group. Queries that lock their tables have no affinity: they would meet on
+// one engine and wait for each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
 	score := fill * max(1, e.slowdown.mean(r.now, 1, 1)/widenBelowSlowdown)
@@ -93,16 +97,16 @@
 	return score
 }
 
-// fill is how many threads a core an engine is taken to run: own attempts, and those of other controllers
-// by its reports, or by the mean of all engines' while it has not reported.
+// fill is how many threads a core an engine is taken to run: own attempts, and those of other
+// controllers by its reports, or by the mean of all engines' while it has not reported.
 func (r *Router) fill(e *engine) float64 {
 	mean := e.cores * r.traffic.othersPerCore.mean(r.now, 0, 1)
 	others := e.othersInflight.mean(r.now, mean, priorReportWeight)
 	return (e.threads + threadsPerOtherQuery*others) / (e.cores * r.slowStartCapacity(e))
 }
 
-// contention counts what is known to speak against q on e: locks on its tables that it would wait for, and
-// its own attempts that failed there.
+// contention counts what is known to speak against q on e: locks on its tables that it would wait
+// for, and its own attempts that failed there.
 func (r *Router) contention(q *query, e *engine) float64 {
 	failed := q.failedAttemptsOn(e)
 	if q.class.LocksTables || q.class.WaitsForTables {
@@ -111,10 +115,10 @@
 	return failed
 }
 
-// tablesLockedWidely reports whether the tables of q, which will lock them too, are locked on so many
-// engines that q has to join one of these. It waits there, and queries that wait for the tables find
-// engines where they need not. It guards against traffic that meets on few tables, whose locks would
-// otherwise spread to all engines. Loads queue up, and more of them are late.
+// tablesLockedWidely reports whether the tables of q, which will lock them too, are locked on so
+// many engines that q has to join one of these. It waits there, and queries that wait for the
+// tables find engines where they need not. It guards against traffic that meets on few tables,
+// whose locks would otherwise spread to all engines. Loads queue up, and more of them are late.
 func (r *Router) tablesLockedWidely(q *query) bool {
 	if !q.class.LocksTables || len(q.tables.lockHolders) == 0 {
 		return false
@@ -146,8 +150,8 @@
 	return count
 }
 
-// rendezvousAffinity is a hash of a table group and an engine, from 0 to 1: the same at every controller,
-// so that they all prefer the same engines for a group without any talk.
+// rendezvousAffinity is a hash of a table group and an engine, from 0 to 1: the same at every
+// controller, so that they all prefer the same engines for a group without any talk.
 func rendezvousAffinity(g *tableGroup, e *engine) float64 {
 	x := e.idHash ^ uint64(g.id)*0x9e3779b97f4a7c15
 	x ^= x >> 31
--- a/router/settings.go
+++ b/router/settings.go
@@ -30,8 +30,8 @@
 const (
 	// Idempotent queries may run again.
 	Idempotent RepeatEffect = iota
-	// Deduplicated queries carry an idempotency key: engines of one DeduplicationScope drop a repeat, for the
-	// DeduplicationWindow.
+	// Deduplicated queries carry an idempotency key: engines of one DeduplicationScope drop a repeat,
+	// for the DeduplicationWindow.
 	Deduplicated
 	// NonIdempotent queries must never run twice.
 	NonIdempotent
@@ -62,8 +62,8 @@
 	Ordered bool
 	Kinds   []KindID // the only machine kinds that may run it; nil: any
 	Zones   []Zone   // the only zones that may run it; nil: any
-	// LatencyObjective is the time in ms within which a client wants the answer, and ObjectivePerWork what is
-	// added to it for each ms of work over threads.
+	// LatencyObjective is the time in ms within which a client wants the answer, and ObjectivePerWork
+	// what is added to it for each ms of work over threads.
 	LatencyObjective float64
 	ObjectivePerWork float64
 	ClientTimeout    float64 // ms after which a client gives up
@@ -107,15 +107,17 @@
 type SafetyLimits struct {
 	EventInterval float64 // ms; a caller may take this long to hand over an event
 
-	// A warming engine starts with at least SlowStartCapacity, a share of its full capacity, and has all of it
-	// after SlowStartTime (ms). It collapses when it is sent more than SlowStartOverload times what it can do
-	// at that moment for SlowStartWindow (ms). SlowStartOverload 0: no such limit.
+	// A warming engine starts with at least SlowStartCapacity, a share of its full capacity, and has
+	// all of it after SlowStartTime (ms). It collapses when it is sent more than SlowStartOverload
+	// times what it can do at that moment for SlowStartWindow (ms). SlowStartOverload 0: no such
+	// limit.
 	SlowStartCapacity float64
 	SlowStartTime     float64
 	SlowStartOverload float64
 	SlowStartWindow   float64
 
-	// OrderingCooldown (ms) is how long an ordering key rests after an attempt that may still be running.
+	// OrderingCooldown (ms) is how long an ordering key rests after an attempt that may still be
+	// running.
 	OrderingCooldown float64
 
 	// Where RetryBudgeted, in any RetryBudgetWindow (ms) there are at most RetryBudgetMin retries, and
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -6,14 +6,15 @@
 	"slices"
 )
 
-// This file finds the queued queries that are past their shedDeadline without a look at all of them. That
-// time depends on the run times of the class, which change with every answer.
+// This file finds the queued queries that are past their shedDeadline without a look at all of
+// them. That time depends on the run times of the class, which change with every answer.
 //
-// Each queued query has an alarm at its earliestShed: a time that is not after its shedDeadline, whatever
-// the run times do within the tolerances below. So a query is not overdue before its alarm is due, and
-// then it is looked at exactly. When a class leaves the tolerances, all its alarms come forward at once by
-// as much as any of them could have to (shedWatch.offset), and each is set anew when it is looked at. As
-// with the bounds of search.go, an alarm that comes too early costs time only.
+// Each queued query has an alarm at its earliestShed: a time that is not after its shedDeadline,
+// whatever the run times do within the tolerances below. So a query is not overdue before its alarm
+// is due, and then it is looked at exactly. When a class leaves the tolerances, all its alarms come
+// forward at once by as much as any of them could have to (shedWatch.offset), and each is set anew
+// when it is looked at. As with the bounds of search.go, an alarm that comes too early costs time
+// only.
 
 // timeModel is what the run time of a query follows from, besides its own estimate.
 type timeModel struct {
@@ -40,15 +41,15 @@
 }
 
 const (
-	// unitTimeTolerance, workScaleTolerance and slowdownTolerance are the ratios by which the values of a
-	// timeModel may change, up or down, before the alarms are brought forward.
+	// unitTimeTolerance, workScaleTolerance and slowdownTolerance are the ratios by which the values
+	// of a timeModel may change, up or down, before the alarms are brought forward.
 	unitTimeTolerance  = 1.25
 	workScaleTolerance = 1.25
 	slowdownTolerance  = 2.5
 	// unloadedTolerance is the ratio by which unloadedTime changes at most within these.
 	unloadedTolerance = unitTimeTolerance * workScaleTolerance
-	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970: as float64 these are
-	// about 0.0002 ms apart.
+	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970: as float64
+	// these are about 0.0002 ms apart.
 	timeRoundingSlack = 0.01
 )
 
@@ -69,8 +70,9 @@
 	watch.alarms.push(alarm{r.earliestShed(q) + watch.offset, q})
 }
 
-// refreshShedWatch takes over the present model of the class if it has left the tolerances, and brings all
-// alarms forward: by as much as the old model and the new one, together, can move any of them.
+// refreshShedWatch takes over the present model of the class if it has left the tolerances, and
+// brings all alarms forward: by as much as the old model and the new one, together, can move any of
+// them.
 func (class *queryClass) refreshShedWatch(now float64) {
 	watch := &class.shedWatch
 	model := class.timeModel(now)
@@ -88,8 +90,8 @@
 	watch.offset += shift
 }
 
-// maxShedShift is the time in ms by which a model, within its tolerances, moves earliestShed at most: it is
-// the largest for the query with the largest estimate or for one without any.
+// maxShedShift is the time in ms by which a model, within its tolerances, moves earliestShed at
+// most: it is the largest for the query with the largest estimate or for one without any.
 func (class *queryClass) maxShedShift(model timeModel) float64 {
 	largestEstimate := max(class.shedWatch.largestEstimate, 1)
 	longest := max(class.unloadedTimeBy(0, model), class.unloadedTimeBy(largestEstimate, model))
@@ -99,7 +101,8 @@
 	return shifts * unloadedTolerance * longest
 }
 
-// rebuildShedWatches sets all alarms anew. It is for a change of answerBy, on which they depend too.
+// rebuildShedWatches sets all alarms anew. It is for a change of answerBy, on which they depend
+// too.
 func (r *Router) rebuildShedWatches() {
 	for _, class := range r.classes {
 		class.worthCache.epoch++
@@ -133,7 +136,8 @@
 	return overdue
 }
 
-// takeDue takes out the alarms that are due at a time (ms), and appends the queries that are still queued.
+// takeDue takes out the alarms that are due at a time (ms), and appends the queries that are still
+// queued.
 func (watch *shedWatch) takeDue(now float64, queued []*query) []*query {
 	alarms := &watch.alarms
 	for len(alarms.list) > 0 && alarms.list[0].at-watch.offset < now {
@@ -147,15 +151,16 @@
 	return queued
 }
 
-// watchAgain sets the alarm of a query that was looked at. An overdue one gets an alarm too: it stays
-// queued if it can't be given an answer, as its response has begun.
+// watchAgain sets the alarm of a query that was looked at. An overdue one gets an alarm too: it
+// stays queued if it can't be given an answer, as its response has begun.
 func (r *Router) watchAgain(q *query) {
 	watch := &q.class.shedWatch
 	watch.alarms.push(alarm{max(r.now, r.earliestShed(q)) + watch.offset, q})
 }
 
-// earliestShed is a lower bound in ms of the shedDeadline of q, for all run times within the tolerances of
-// the watch's model. It is shedDeadline with its least latestStart, and the most that is taken off it.
+// earliestShed is a lower bound in ms of the shedDeadline of q, for all run times within the
+// tolerances of the watch's model. It is shedDeadline with its least latestStart, and the most that
+// is taken off it.
 func (r *Router) earliestShed(q *query) float64 {
 	class := q.class
 	model := class.shedWatch.model
@@ -166,9 +171,9 @@
 	return shed - timeRoundingSlack
 }
 
-// latestStartLowerBound is a lower bound in ms of the latestStart of q, for all run times within the
-// tolerances. latestStart is a sum of terms that grow or fall evenly with the unloaded time, so each is
-// least at one of the ends of its range.
+// latestStartLowerBound is a lower bound in ms of the latestStart of q, for all run times within
+// the tolerances. latestStart is a sum of terms that grow or fall evenly with the unloaded time, so
+// each is least at one of the ends of its range.
 func (r *Router) latestStartLowerBound(q *query) float64 {
 	class := q.class
 	unloaded := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model)
--- a/router/statistics.go
+++ b/router/statistics.go
@@ -12,10 +12,10 @@
 	Weight float64 // in additions of weight 1
 }
 
-// Statistics is what a controller has learned, or a part of it. Each record has in At the time, in ms, at
-// which it was exported. What a rule rests on is not in it: what was started on warming engines and the
-// usual work that guards them, cooldowns of ordering keys, attempts that may have run, the retry budget,
-// and which engines answered since the endpoint list was last updated.
+// Statistics is what a controller has learned, or a part of it. Each record has in At the time, in
+// ms, at which it was exported. What a rule rests on is not in it: what was started on warming
+// engines and the usual work that guards them, cooldowns of ordering keys, attempts that may have
+// run, the retry budget, and which engines answered since the endpoint list was last updated.
 type Statistics struct {
 	Engines []EngineStatistics
 	Tables  []TableStatistics
@@ -30,17 +30,20 @@
 	StartedAt      float64      // ms, when that process started; 0: long ago
 	Slowdown       WeightedMean // run time over the time on an idle engine
 	ThreadsPerCore float64      // concurrency limit of all controllers together
-	Outcomes       uint8        // of attempts and health checks, a bit each, the last one lowest; 1: success
-	PoolLeader     EngineID     // the first engine of its pool, by which the pool is named; empty: it is in none
+	// of attempts and health checks, a bit each, the last one lowest; 1: success
+	Outcomes uint8
+	// the first engine of its pool, by which the pool is named; empty: it is in none
+	PoolLeader EngineID
 }
 
 // TableStatistics is what is known of a table group.
 type TableStatistics struct {
-	At          float64 // ms
-	Tables      TableGroup
-	Demand      float64    // ms of work on one thread for each ms
-	MemoryTime  float64    // megabytes times ms of its attempts, for each ms
-	PoolLeaders []EngineID // by machine kind: the PoolLeader of the pool that serves it; empty: none does
+	At         float64 // ms
+	Tables     TableGroup
+	Demand     float64 // ms of work on one thread for each ms
+	MemoryTime float64 // megabytes times ms of its attempts, for each ms
+	// by machine kind: the PoolLeader of the pool that serves it; empty: none does
+	PoolLeaders []EngineID
 }
 
 // ClassStatistics is how the queries of a class run.
@@ -72,8 +75,8 @@
 	s.Traffic = append(s.Traffic, part.Traffic...)
 }
 
-// Cursor is where the next part of an export begins; its zero value is the beginning. It stays valid while
-// engines and table groups come and go, as it names the next ones by id.
+// Cursor is where the next part of an export begins; its zero value is the beginning. It stays
+// valid while engines and table groups come and go, as it names the next ones by id.
 type Cursor struct {
 	stage  exportStage
 	engine EngineID   // least id that was not examined yet
@@ -92,10 +95,10 @@
 	stageDone
 )
 
-// Statistics exports a part of what was learned, and returns where the next part begins; more is false after
-// the last one. It examines limit records at most, and returns those of them that say something, so that a
-// part takes little time. It changes nothing, not even the last bit of a decayed sum: the same events lead to
-// the same actions whether or not anyone exports.
+// Statistics exports a part of what was learned, and returns where the next part begins; more is
+// false after the last one. It examines limit records at most, and returns those of them that say
+// something, so that a part takes little time. It changes nothing, not even the last bit of a
+// decayed sum: the same events lead to the same actions whether or not anyone exports.
 func (r *Router) Statistics(from Cursor, limit int) (part Statistics, next Cursor, more bool) {
 	export := statisticsExport{router: r, now: r.now, cursor: from, left: limit}
 	for export.left > 0 && export.cursor.stage < stageDone {
@@ -169,9 +172,10 @@
 // exportTables exports the table groups, from the cursor on.
 func (export *statisticsExport) exportTables() {
 	all := export.router.groupList
-	at, _ := slices.BinarySearchFunc(all, export.cursor.tables, func(g *tableGroup, id TableGroup) int {
-		return cmp.Compare(g.id, id)
-	})
+	at, _ := slices.BinarySearchFunc(all, export.cursor.tables,
+		func(g *tableGroup, id TableGroup) int {
+			return cmp.Compare(g.id, id)
+		})
 	for ; at < len(all) && export.left > 0; at++ {
 		export.left--
 		g := all[at]
@@ -225,7 +229,8 @@
 	}
 }
 
-// exportedStart is the start of an engine's process (ms) as it is exported: -Inf, long ago, becomes 0.
+// exportedStart is the start of an engine's process (ms) as it is exported: -Inf, long ago, becomes
+// 0.
 func exportedStart(startedAt float64) float64 {
 	if math.IsInf(startedAt, -1) {
 		return 0
@@ -250,8 +255,8 @@
 	return record
 }
 
-// leader is the first engine of a pool, by which an export names the pool; empty: there is no pool or no
-// engine in it.
+// leader is the first engine of a pool, by which an export names the pool; empty: there is no pool
+// or no engine in it.
 func (pool *enginePool) leader() EngineID {
 	if pool == nil || len(pool.engines) == 0 {
 		return ""
--- a/router/status.go
+++ b/router/status.go
@@ -1,7 +1,7 @@
 package router
 
-// EngineStatus is what a controller knows of an engine just now, for capacity planning and for operators.
-// Nothing is decided by it.
+// EngineStatus is what a controller knows of an engine just now, for capacity planning and for
+// operators. Nothing is decided by it.
 type EngineStatus struct {
 	Engine      EngineID
 	State       EngineState // as the controller treats it
@@ -18,9 +18,10 @@
 
 // TableStatus is a table group that an engine's pool serves.
 type TableStatus struct {
-	Tables       TableGroup
-	Demand       float64 // ms of work on one thread for each ms, of this controller, per engine of the pool
-	OtherEngines int     // of the pool
+	Tables TableGroup
+	// ms of work on one thread for each ms, of this controller, per engine of the pool
+	Demand       float64
+	OtherEngines int // of the pool
 }
 
 // EngineStatuses returns the status of all engines by id. It changes nothing.
@@ -56,7 +57,8 @@
 	return status
 }
 
-// tableStatuses lists the table groups that a pool serves, as the status of one of its engines has them.
+// tableStatuses lists the table groups that a pool serves, as the status of one of its engines has
+// them.
 func (pool *enginePool) tableStatuses(now float64) []TableStatus {
 	var list []TableStatus
 	engines := len(pool.engines)
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -9,12 +9,13 @@
 // tableGroup is a group of tables with the demand for it.
 type tableGroup struct {
 	id          TableGroup
-	lastQueryAt float64       // ms, when a query last named it
-	openQueries int           // queries that name it and are not forgotten yet
-	hot         bool          // an operator's rule marked it as hot
-	confirmed   bool          // a query on it was answered; until then a client may have made it up
-	demand      decayedMean   // its rate is ms of work on one thread for each ms
-	memoryTime  decayedMean   // megabytes times ms of this controller's attempts; its rate is megabytes in use
+	lastQueryAt float64     // ms, when a query last named it
+	openQueries int         // queries that name it and are not forgotten yet
+	hot         bool        // an operator's rule marked it as hot
+	confirmed   bool        // a query on it was answered; until then a client may have made it up
+	demand      decayedMean // its rate is ms of work on one thread for each ms
+	// megabytes times ms of this controller's attempts; its rate is megabytes in use
+	memoryTime  decayedMean
 	pools       []*enginePool // that serve it, by machine kind; nil: none
 	lockHolders []*engine     // all engines on which it may be locked
 }
@@ -48,8 +49,8 @@
 	}
 }
 
-// dropReleasedLocks forgets the engines on which the table group is no longer locked, those that are gone
-// among them.
+// dropReleasedLocks forgets the engines on which the table group is no longer locked, those that
+// are gone among them.
 func (g *tableGroup) dropReleasedLocks(now float64) {
 	if len(g.lockHolders) == 0 {
 		return
@@ -59,9 +60,10 @@
 	})
 }
 
-// forgetTableGroups drops table groups that have no open query and that no query has named since idleSince
-// (ms) or, if no query on them was ever answered, since unconfirmedSince (ms). The second time is the later
-// one: clients can name any number of groups that don't exist, and memory would grow with them.
+// forgetTableGroups drops table groups that have no open query and that no query has named since
+// idleSince (ms) or, if no query on them was ever answered, since unconfirmedSince (ms). The second
+// time is the later one: clients can name any number of groups that don't exist, and memory would
+// grow with them.
 func (r *Router) forgetTableGroups(idleSince, unconfirmedSince float64) {
 	r.dropTableLocks()
 	unused := func(g *tableGroup) bool {
@@ -79,11 +81,13 @@
 	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return unused(g) })
 }
 
-// dropTableLocks forgets the table locks that count no longer. They would keep dropped table groups in
-// memory.
+// dropTableLocks forgets the table locks that count no longer. They would keep dropped table groups
+// in memory.
 func (r *Router) dropTableLocks() {
 	for _, e := range r.engineList {
-		maps.DeleteFunc(e.tablesLockedUntil, func(_ *tableGroup, until float64) bool { return r.now >= until })
+		maps.DeleteFunc(e.tablesLockedUntil, func(_ *tableGroup, until float64) bool {
+			return r.now >= until
+		})
 	}
 	for _, g := range r.groupList {
 		g.dropReleasedLocks(r.now)
--- a/router/trafficshare.go
+++ b/router/trafficshare.go
@@ -13,14 +13,15 @@
 }
 
 const (
-	shareHalfLife    = 5000.0 // ms, of the traffic share and the rates beside it
-	tenantHalfLife   = 2000.0 // ms, of the rate of a tenant's queries
-	equalShareWeight = 200.0  // reported queries that the assumption of an equal share weighs as much as
-	minShare         = 0.2    // of an equal share; a controller takes no less for its own
+	shareHalfLife  = 5000.0 // ms, of the traffic share and the rates beside it
+	tenantHalfLife = 2000.0 // ms, of the rate of a tenant's queries
+	// reported queries that the assumption of an equal share weighs as much as
+	equalShareWeight = 200.0
+	minShare         = 0.2 // of an equal share; a controller takes no less for its own
 )
 
-// trafficShare is the share of all traffic that passes through this controller, from 0 to 1. It is learned
-// from what engines report to have in flight, and starts as an equal share.
+// trafficShare is the share of all traffic that passes through this controller, from 0 to 1. It is
+// learned from what engines report to have in flight, and starts as an equal share.
 func (r *Router) trafficShare() float64 {
 	if r.controllers == 1 {
 		return 1
--- a/router/window.go
+++ b/router/window.go
@@ -14,8 +14,8 @@
 	w.total += amount
 }
 
-// sumSince is the sum of the amounts from a time (ms) on. It drops the earlier ones, so a later call with an
-// earlier time does not find them again.
+// sumSince is the sum of the amounts from a time (ms) on. It drops the earlier ones, so a later
+// call with an earlier time does not find them again.
 func (w *slidingWindow) sumSince(from float64) float64 {
 	for len(w.times) > 0 && w.times[0] < from {
 		w.total -= w.amounts[0]
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -2,18 +2,20 @@
 
 import "math"
 
-// worthCache makes it cheap to ask again and again, while no engine has capacity, whether a queued query is
-// still worth running: whyNotWorthRunning is asked once, and its answer is remembered for the query until a
-// time before which nothing can change it, in the epoch in which it was given. An epoch ends when the run
-// times of the class or the size limit of admission control leave their tolerances, or when a shutdown is
-// planned.
+// worthCache makes it cheap to ask again and again, while no engine has capacity, whether a queued
+// query is still worth running: whyNotWorthRunning is asked once, and its answer is remembered for
+// the query until a time before which nothing can change it, in the epoch in which it was given. An
+// epoch ends when the run times of the class or the size limit of admission control leave their
+// tolerances, or when a shutdown is planned.
 type worthCache struct {
-	step        uint64  // in which it was last refreshed
-	epoch       int     // its number
-	allowedWork float64 // ms on one thread that a query may need, by the size limit, when the epoch began
+	step  uint64 // in which it was last refreshed
+	epoch int    // its number
+	// ms on one thread that a query may need, by the size limit, when the epoch began
+	allowedWork float64
 }
 
-// sizeLimitTolerance is the ratio by which the allowed work may change, up or down, within an epoch.
+// sizeLimitTolerance is the ratio by which the allowed work may change, up or down, within an
+// epoch.
 const sizeLimitTolerance = 1.3
 
 // refreshWorthCache begins another epoch of a class if its model, or the allowed work, has left the
@@ -27,16 +29,17 @@
 	model := class.shedWatch.model
 	class.refreshShedWatch(r.now)
 	allowedWork := r.admission.sizeLimit * class.usualWork(r.now)
-	if model != class.shedWatch.model || !withinRatio(allowedWork, cache.allowedWork, sizeLimitTolerance) {
+	if model != class.shedWatch.model ||
+		!withinRatio(allowedWork, cache.allowedWork, sizeLimitTolerance) {
 		cache.epoch++
 		cache.allowedWork = allowedWork
 	}
 }
 
-// knownWorthRunning reports that q is worth running, from the cache where that holds, else by asking. A
-// cached yes is always true: of the reasons in whyNotWorthRunning, the tenant's quota is asked for anew,
-// the two that come with time can't come before worthUntil, and the size is within the limit for the whole
-// epoch.
+// knownWorthRunning reports that q is worth running, from the cache where that holds, else by
+// asking. A cached yes is always true: of the reasons in whyNotWorthRunning, the tenant's quota is
+// asked for anew, the two that come with time can't come before worthUntil, and the size is within
+// the limit for the whole epoch.
 func (r *Router) knownWorthRunning(q *query) bool {
 	if len(q.attempts) > 0 {
 		return true
@@ -56,8 +59,8 @@
 	return true
 }
 
-// worthUntilLowerBound is a time in ms until which q, which is worth running now, stays so in this epoch;
-// -Inf: it is so near to the size limit that it may be too large before the epoch ends.
+// worthUntilLowerBound is a time in ms until which q, which is worth running now, stays so in this
+// epoch; -Inf: it is so near to the size limit that it may be too large before the epoch ends.
 func (r *Router) worthUntilLowerBound(q *query) float64 {
 	if q.mayExceed(q.class.worthCache.allowedWork) {
 		return math.Inf(-1)
@@ -67,8 +70,8 @@
 	return min(r.answerBy(q)-longest, r.latestStartLowerBound(q)) - timeRoundingSlack
 }
 
-// mayExceed reports whether q may need more than is allowed, at some time in an epoch that began with this
-// allowed work (ms on one thread).
+// mayExceed reports whether q may need more than is allowed, at some time in an epoch that began
+// with this allowed work (ms on one thread).
 func (q *query) mayExceed(allowedWork float64) bool {
 	if q.estimatedWork <= 0 {
 		return false
