--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden compares what tests produce with files under testdata, which hold it as an earlier build wrote it. The
-// files are rewritten only by `go test PACKAGE -update`; CI never sets that flag.
+// Package golden compares what tests produce with files under testdata, which hold it as an earlier
+// build wrote it. The files are rewritten only by `go test PACKAGE -update`; CI never sets that
+// flag.
 package golden
 
 import (
@@ -62,10 +63,12 @@
 	used   map[string]bool
 }
 
-// Open reads the table testdata/name. At the end of the test each of its lines must have been compared.
+// Open reads the table testdata/name. At the end of the test each of its lines must have been
+// compared.
 func Open(t *testing.T, name string) *Table {
 	t.Helper()
-	table := &Table{t: t, path: filepath.Join("testdata", name), stored: map[string]string{}, used: map[string]bool{}}
+	table := &Table{t: t, path: filepath.Join("testdata", name), stored: map[string]string{},
+		used: map[string]bool{}}
 	if !*update {
 		text, err := os.ReadFile(table.path)
 		if err != nil {
@@ -117,8 +120,8 @@
 	return stored
 }
 
-// CBOR compares the encoding of a value with the stored one, and the stored one's value with this one. Decode is the
-// function that reads such values in service.
+// CBOR compares the encoding of a value with the stored one, and the stored one's value with this
+// one. Decode is the function that reads such values in service.
 func CBOR[T any](t *testing.T, table *Table, name string, value T, decode func([]byte, any) error) {
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
@@ -135,7 +138,8 @@
 	}
 }
 
-// AllSet checks that no exported field of a value has its zero value, so that an encoding of it shows all fields.
+// AllSet checks that no exported field of a value has its zero value, so that an encoding of it
+// shows all fields.
 func AllSet(t *testing.T, value any) {
 	t.Helper()
 	allSet(t, fmt.Sprintf("%T", value), reflect.ValueOf(value))
--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -6,7 +6,7 @@
 type feature int
 
 const (
-	listWhole feature = iota
+	listComplete feature = iota
 	listCached
 	listChanged
 	listFailed
@@ -21,41 +21,41 @@
 	queryWithEstimate
 	queryWithCappedEstimate
 	queryWaited
-	queryLined
+	queryQueuedAtClient
 	queryNarrowed
 	queryHot
 	keyAdded
-	answerBegan
-	attemptNoted
+	responseStarted
+	attemptProgressed
 	attemptEnded
 	attemptAnswered
 	attemptErrored
-	attemptFull
+	attemptEngineFull
 	attemptTimedOut
-	attemptRefused
+	attemptConnectFailed
 	attemptReset
 	attemptEndedCancelled
 	attemptNotSent
 	attemptWithdrawn
-	clientLeft
-	probeEnded
-	statisticsRecalled
-	stopPlanned
+	clientDisconnected
+	healthCheckEnded
+	statisticsRestored
+	shutdownStarted
 	timerFired
 	attemptStarted
-	attemptWithLatestBegin
+	attemptWithStartBy
 	retry
-	secondCopy
+	hedgedRequest
 	attemptCancelled
-	queryShed
-	queryShedWithWait
+	queryRejected
+	queryRejectedWithRetryAfter
 	queryFailed
 	timerSet
-	engineProbed
+	healthCheckStarted
 	listSubscribed
 	sceneWithManyEngines
 	sceneWithRetryBudget
-	sceneWithMustAsk
+	sceneWithPolledEndpoints
 	sceneWithSlowStart
 	sceneWithAbsurdReports
 	sceneWithHostileStatistics
@@ -64,17 +64,21 @@
 
 // featureNames are the names in reports, in the order of the constants.
 var featureNames = [features]string{
-	"whole lists", "cached lists", "list changes", "list failures", "expired lists",
+	"complete lists", "cached lists", "list changes", "list failures", "expired lists",
 	"draining engines", "gone engines", "started engines",
 	"queries", "queries with an ordering key", "queries with further keys", "queries of a tenant",
-	"queries with an estimate", "queries with a capped estimate", "queries that waited", "queries from a client's line",
+	"queries with an estimate", "queries with a capped estimate", "queries that waited",
+	"queries queued at their client",
 	"queries narrowed to kinds or zones", "queries of hot tables",
-	"added keys", "streamed answers", "notes", "ended attempts",
-	"answered", "errored", "full", "timed out", "refused", "reset", "cancelled", "not sent", "withdrawn",
-	"clients that left", "ended probes", "recalled statistics", "planned stops", "timers that fired",
-	"attempts", "attempts with a latest begin", "retries", "second copies", "cancels",
-	"rejected queries", "rejected queries with a wait", "failed queries", "timers", "probes", "subscriptions",
-	"scenes with many engines", "scenes with a retry budget", "scenes that must ask for the list",
+	"added keys", "started responses", "progress messages", "ended attempts",
+	"succeeded", "errored", "engine full", "timed out", "connect failed", "connection reset",
+	"cancelled", "not sent", "withdrawn",
+	"disconnected clients", "ended health checks", "restored statistics", "started shutdowns",
+	"timers that fired",
+	"attempts", "attempts with a latest start", "retries", "hedged requests", "cancels",
+	"rejected queries", "rejected queries with a Retry-After", "failed queries", "timers",
+	"health checks", "subscriptions",
+	"scenes with many engines", "scenes with a retry budget", "scenes that poll the endpoint list",
 	"scenes with slow start", "scenes with absurd reports", "scenes with hostile statistics",
 }
 
@@ -82,9 +86,9 @@
 var outcomeFeatures = map[router.Outcome]feature{
 	router.Succeeded:       attemptAnswered,
 	router.Errored:         attemptErrored,
-	router.EngineFull:      attemptFull,
+	router.EngineFull:      attemptEngineFull,
 	router.TimedOut:        attemptTimedOut,
-	router.ConnectFailed:   attemptRefused,
+	router.ConnectFailed:   attemptConnectFailed,
 	router.ConnectionReset: attemptReset,
 	router.Cancelled:       attemptEndedCancelled,
 	router.NotSent:         attemptNotSent,
@@ -118,9 +122,9 @@
 		case router.OrderingKeyAdded:
 			c.add(keyAdded, true)
 		case router.ResponseStarted:
-			c.add(answerBegan, true)
+			c.add(responseStarted, true)
 		case router.AttemptProgress:
-			c.add(attemptNoted, true)
+			c.add(attemptProgressed, true)
 		case router.AttemptEnded:
 			c.add(attemptEnded, true)
 			c.add(outcomeFeatures[ev.Outcome], true)
@@ -129,13 +133,13 @@
 				m.attempts[ev.ID] = n
 			}
 		case router.ClientDisconnected:
-			c.add(clientLeft, true)
+			c.add(clientDisconnected, true)
 		case router.HealthCheckEnded:
-			c.add(probeEnded, true)
+			c.add(healthCheckEnded, true)
 		case router.StatisticsRestored:
-			c.add(statisticsRecalled, true)
+			c.add(statisticsRestored, true)
 		case router.ShutdownStarted:
-			c.add(stopPlanned, true)
+			c.add(shutdownStarted, true)
 		case router.TimerFired:
 			c.add(timerFired, true)
 		}
@@ -143,7 +147,7 @@
 }
 
 func (c *coverage) countList(ev router.EndpointsUpdated) {
-	c.add(listWhole, ev.Complete)
+	c.add(listComplete, ev.Complete)
 	c.add(listCached, ev.Cached)
 	c.add(listFailed, ev.Failed)
 	c.add(listExpired, ev.ExpiredFor > 0)
@@ -163,7 +167,7 @@
 	c.add(queryWithEstimate, ev.EstimatedWork > 0)
 	c.add(queryWithCappedEstimate, ev.EstimateCap > 0)
 	c.add(queryWaited, ev.ArrivalWait > 0)
-	c.add(queryLined, ev.ClientQueueTime > 0)
+	c.add(queryQueuedAtClient, ev.ClientQueueTime > 0)
 	c.add(queryNarrowed, ev.Kinds != nil || ev.Zones != nil)
 	c.add(queryHot, ev.Hot)
 }
--- a/internal/lab/recorded/encoder_test.go
+++ b/internal/lab/recorded/encoder_test.go
@@ -11,16 +11,16 @@
 
 // Tags of the encoded records. The recorded hashes depend on them: they must not change.
 const (
-	tagSend      byte = 1
-	tagCancel    byte = 2
-	tagShed      byte = 3
-	tagFail      byte = 4
-	tagWake      byte = 5
-	tagProbe     byte = 6
-	tagSubscribe byte = 7
-	tagStep      byte = 20
-	tagLearned   byte = 21
-	tagEngines   byte = 22
+	tagStartAttempt  byte = 1
+	tagCancelAttempt byte = 2
+	tagReject        byte = 3
+	tagFail          byte = 4
+	tagSetTimer      byte = 5
+	tagCheckHealth   byte = 6
+	tagSubscribe     byte = 7
+	tagStep          byte = 20
+	tagStatistics    byte = 21
+	tagEngines       byte = 22
 )
 
 // encoder hashes steps in a form that holds values alone and names no type and no field.
@@ -75,27 +75,27 @@
 func (e *encoder) action(action router.Action) {
 	switch a := action.(type) {
 	case router.StartAttempt:
-		e.tag(tagSend)
+		e.tag(tagStartAttempt)
 		e.integer(int64(a.ID))
 		e.text(string(a.Engine))
 		e.number(a.Deadline)
 		e.number(a.StartBy)
 	case router.CancelAttempt:
-		e.tag(tagCancel)
+		e.tag(tagCancelAttempt)
 		e.integer(int64(a.ID))
 		e.integer(int64(a.Attempt))
 	case router.Reject:
-		e.tag(tagShed)
+		e.tag(tagReject)
 		e.integer(int64(a.ID))
 		e.number(a.RetryAfter)
 	case router.Fail:
 		e.tag(tagFail)
 		e.integer(int64(a.ID))
 	case router.SetTimer:
-		e.tag(tagWake)
+		e.tag(tagSetTimer)
 		e.number(a.After)
 	case router.CheckHealth:
-		e.tag(tagProbe)
+		e.tag(tagCheckHealth)
 		e.text(string(a.Engine))
 	case router.Subscribe:
 		e.tag(tagSubscribe)
@@ -109,9 +109,9 @@
 	e.number(w.Weight)
 }
 
-// learned encodes what a controller has learned.
-func (e *encoder) learned(l router.Statistics) {
-	e.tag(tagLearned)
+// statistics encodes the statistics of a controller.
+func (e *encoder) statistics(l router.Statistics) {
+	e.tag(tagStatistics)
 	e.integer(int64(len(l.Engines)))
 	for _, x := range l.Engines {
 		e.number(x.At)
@@ -129,8 +129,8 @@
 		e.number(x.Demand)
 		e.number(x.MemoryTime)
 		e.integer(int64(len(x.PoolLeaders)))
-		for _, home := range x.PoolLeaders {
-			e.text(string(home))
+		for _, leader := range x.PoolLeaders {
+			e.text(string(leader))
 		}
 	}
 	e.integer(int64(len(l.Classes)))
@@ -175,29 +175,30 @@
 	e.flush()
 }
 
-// countActions counts the kinds of actions, and the attempts that are retries or run beside another.
+// countActions counts the kinds of actions, and the attempts that are retries or run beside
+// another.
 func (m *module) countActions(actions []router.Action) {
 	c := &m.recording.counts
 	for _, action := range actions {
 		switch a := action.(type) {
 		case router.StartAttempt:
 			c.add(attemptStarted, true)
-			c.add(attemptWithLatestBegin, a.StartBy > 0)
+			c.add(attemptWithStartBy, a.StartBy > 0)
 			n := m.attempts[a.ID]
 			c.add(retry, n.started > 0)
-			c.add(secondCopy, n.running > 0)
+			c.add(hedgedRequest, n.running > 0)
 			m.attempts[a.ID] = attempts{started: n.started + 1, running: n.running + 1}
 		case router.CancelAttempt:
 			c.add(attemptCancelled, true)
 		case router.Reject:
-			c.add(queryShed, true)
-			c.add(queryShedWithWait, a.RetryAfter > 0)
+			c.add(queryRejected, true)
+			c.add(queryRejectedWithRetryAfter, a.RetryAfter > 0)
 		case router.Fail:
 			c.add(queryFailed, true)
 		case router.SetTimer:
 			c.add(timerSet, true)
 		case router.CheckHealth:
-			c.add(engineProbed, true)
+			c.add(healthCheckStarted, true)
 		case router.Subscribe:
 			c.add(listSubscribed, true)
 		}
--- a/internal/lab/recorded/recorded_test.go
+++ b/internal/lab/recorded/recorded_test.go
@@ -41,11 +41,12 @@
 	return recordings
 })
 
-// The module is refactored, and by mistake a decision changes in a rare situation. All actions of the module, and what it
-// reports of its statistics and engines, must be those recorded before the refactoring, bit by bit.
+// The module is refactored, and by mistake a decision changes in a rare situation. All actions of
+// the module, and what it reports of its statistics and engines, must be those recorded before the
+// refactoring, bit by bit.
 //
-// The hashes were recorded on amd64. Elsewhere the compiler may fuse a multiplication with an addition and round once: the
-// test then fails, and says so.
+// The hashes were recorded on amd64. Elsewhere the compiler may fuse a multiplication with an
+// addition and round once: the test then fails, and says so.
 func TestActionsAreAsRecorded(t *testing.T) {
 	if *update {
 		rewrite(t)
@@ -70,11 +71,13 @@
 		}
 	}
 	if differ > 0 {
-		t.Errorf("%d of %d scenes differ on %s (recorded on amd64); the first: %s", differ, played, runtime.GOARCH, first)
+		t.Errorf("%d of %d scenes differ on %s (recorded on amd64); the first: %s", differ, played,
+			runtime.GOARCH, first)
 	}
 }
 
-// rewrite writes the file and fails the test: a run that rewrites it proves nothing. CI never rewrites it.
+// rewrite writes the file and fails the test: a run that rewrites it proves nothing. CI never
+// rewrites it.
 func rewrite(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CI") != "" || sceneStride != 1 {
@@ -91,7 +94,8 @@
 	t.Fatalf("%s is rewritten; run again without -update-recorded", recordsPath)
 }
 
-// Scenes that stay quiet would prove nothing. Together they have every kind of event and action, many times over.
+// Scenes that stay quiet would prove nothing. Together they have every kind of event and action,
+// many times over.
 func TestScenesReachEveryFeature(t *testing.T) {
 	var counts coverage
 	steps, actions := 0, 0
@@ -114,13 +118,14 @@
 	}
 }
 
-// A recording notices each single change of an action: another kind, value, order, time or number of them.
+// A recording notices each single change of an action: another kind, value, order, time or number
+// of them.
 func TestEncoderTellsActionsApart(t *testing.T) {
-	send := router.StartAttempt{ID: 1, Engine: "a", Deadline: 2, StartBy: 3}
+	attempt := router.StartAttempt{ID: 1, Engine: "a", Deadline: 2, StartBy: 3}
 	steps := [][]router.Action{
 		nil,
-		{send},
-		{send, send},
+		{attempt},
+		{attempt, attempt},
 		{router.StartAttempt{ID: 2, Engine: "a", Deadline: 2, StartBy: 3}},
 		{router.StartAttempt{ID: 1, Engine: "b", Deadline: 2, StartBy: 3}},
 		{router.StartAttempt{ID: 1, Engine: "a", Deadline: 2.0000000000000004, StartBy: 3}},
--- a/internal/lab/recorded/recorder_test.go
+++ b/internal/lab/recorded/recorder_test.go
@@ -12,11 +12,12 @@
 	"mintkeel/router"
 )
 
-// readInterval is the number of steps between two readings of what a module has learned and knows of its engines.
+// readInterval is the number of steps between two readings of the statistics of a module and of the
+// states of its engines.
 const readInterval = 64
 
-// learnedPart is the number of records that are taken out at once.
-const learnedPart = 20
+// statisticsPart is the number of records that are exported at once.
+const statisticsPart = 20
 
 // checkpoints is the largest number of hashes of a scene before its last step.
 const checkpoints = 16
@@ -44,10 +45,11 @@
 type attempts struct{ started, running int }
 
 // module makes a recorded module.
-func (r *recording) module(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass,
-	tenants []router.Tenant, allowed router.Capabilities, guards router.SafetyLimits) *module {
+func (r *recording) module(seed int64, place router.Identity, kinds []router.MachineKind,
+	classes []router.QueryClass,
+	tenants []router.Tenant, capabilities router.Capabilities, limits router.SafetyLimits) *module {
 	return &module{
-		Router:    router.New(seed, place, kinds, profiles, tenants, allowed, guards),
+		Router:    router.New(seed, place, kinds, classes, tenants, capabilities, limits),
 		recording: r,
 		number:    place.Index,
 		attempts:  map[router.QueryID]attempts{},
@@ -64,7 +66,7 @@
 	r := m.recording
 	r.encoder.step(m.number, now, actions)
 	if len(r.running)%readInterval == 0 {
-		r.encoder.learned(m.takeOut())
+		r.encoder.statistics(m.allStatistics())
 		r.encoder.engines(m.EngineStatuses())
 	}
 	r.actions += len(actions)
@@ -72,11 +74,11 @@
 	return actions
 }
 
-// takeOut is all that the module has learned.
-func (m *module) takeOut() (all router.Statistics) {
+// allStatistics returns the statistics of the module, part by part.
+func (m *module) allStatistics() (all router.Statistics) {
 	for from, more := (router.Cursor{}), true; more; {
 		var part router.Statistics
-		part, from, more = m.Statistics(from, learnedPart)
+		part, from, more = m.Statistics(from, statisticsPart)
 		all.Add(part)
 	}
 	return all
@@ -111,7 +113,8 @@
 
 // record is the recording's record.
 func (r *recording) record(name string) record {
-	made := record{name: name, steps: len(r.running), actions: r.actions, hash: fmt.Sprintf("%016x", r.encoder.sum())}
+	made := record{name: name, steps: len(r.running), actions: r.actions,
+		hash: fmt.Sprintf("%016x", r.encoder.sum())}
 	for at := made.interval(); at <= len(r.running); at += made.interval() {
 		made.checkpoints = append(made.checkpoints, fmt.Sprintf("%04x", r.running[at-1]))
 	}
@@ -138,7 +141,8 @@
 }
 
 func (r record) String() string {
-	return fmt.Sprintf("%s %d %d %s %s", r.name, r.steps, r.actions, r.hash, strings.Join(r.checkpoints, ","))
+	return fmt.Sprintf("%s %d %d %s %s", r.name, r.steps, r.actions, r.hash,
+		strings.Join(r.checkpoints, ","))
 }
 
 // readRecords reads the file, in its order.
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -25,21 +25,26 @@
 // scenes are all scenes. Their names and order are those of the file.
 func scenes() (all []scene) {
 	for seed := range simulations {
-		all = append(all, scene{name: fmt.Sprintf("simulation-%03d", seed), play: func(r *recording) { simulate(r, seed) }})
+		all = append(all, scene{name: fmt.Sprintf("simulation-%03d", seed),
+			play: func(r *recording) { simulate(r, seed) }})
 	}
 	for i, s := range stepScenes() {
-		all = append(all, scene{name: fmt.Sprintf("steps-%02d", i), play: func(r *recording) { rig(r, s) }})
+		all = append(all, scene{name: fmt.Sprintf("steps-%02d", i),
+			play: func(r *recording) { rig(r, s) }})
 	}
 	for i, p := range pressedScenes() {
-		all = append(all, scene{name: fmt.Sprintf("pressed-%02d", i), play: func(r *recording) { pressed(r, p) }})
+		all = append(all, scene{name: fmt.Sprintf("pressed-%02d", i),
+			play: func(r *recording) { pressed(r, p) }})
 	}
 	for seed := range int64(20) {
-		all = append(all, scene{name: fmt.Sprintf("any-events-%02d", seed), play: func(r *recording) { anyEvents(r, seed) }})
+		all = append(all, scene{name: fmt.Sprintf("any-events-%02d", seed),
+			play: func(r *recording) { anyEvents(r, seed) }})
 	}
 	return all
 }
 
-// simulate plays a random fleet; some are larger, some have tenants with shares, and some have second copies.
+// simulate plays a random fleet; some are larger, some have tenants with shares, and some hedge
+// requests.
 func simulate(r *recording, seed int) {
 	s := simulation.FromSeed(seed)
 	if seed%12 == 3 {
@@ -52,11 +57,11 @@
 		tenants = tenantsOf(s.Rate)
 	}
 	if seed%6 == 4 {
-		allowSecondCopies(f)
+		allowHedging(f)
 	}
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
 	r.counts.add(sceneWithRetryBudget, f.Guards.RetryBudgeted)
-	r.counts.add(sceneWithMustAsk, f.Allowed.PollEndpoints)
+	r.counts.add(sceneWithPolledEndpoints, f.Allowed.PollEndpoints)
 	r.counts.add(sceneWithSlowStart, s.Young)
 	r.counts.add(sceneWithAbsurdReports, s.Absurd)
 	r.counts.add(sceneWithHostileStatistics, s.Memory == simulation.Hostile)
@@ -65,8 +70,9 @@
 	})
 }
 
-// allowSecondCopies has attempts report progress often, and one that stops to do so runs on beside a second copy.
-func allowSecondCopies(f *checker.Facts) {
+// allowHedging has attempts report progress often, and one that stops to do so runs on beside a
+// hedged request.
+func allowHedging(f *checker.Facts) {
 	f.Allowed.Hedging, f.Allowed.Cancel = true, false
 	f.Allowed.ProgressInterval = 60
 	f.Allowed.MaxAttempts = max(3, f.Allowed.MaxAttempts)
@@ -74,7 +80,8 @@
 	f.Profiles[0].ClientTimeout = max(3000, f.Profiles[0].ClientTimeout)
 }
 
-// tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the shares.
+// tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the
+// shares.
 func tenantsOf(rate float64) []router.Tenant {
 	return []router.Tenant{{}, {QueriesPerSecond: rate / 10}, {QueriesPerSecond: rate / 5}}
 }
@@ -97,7 +104,8 @@
 	}
 }
 
-// rig takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more than their shares.
+// rig takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more
+// than their shares.
 func rig(r *recording, s steps.Scene) {
 	const taken = 400
 	var tenants []router.Tenant
@@ -105,9 +113,10 @@
 		tenants = tenantsOf(500)
 	}
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
-	steps.New(s, func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, _ []router.Tenant,
-		allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
-		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
+	steps.New(s, func(seed int64, place router.Identity, kinds []router.MachineKind,
+		classes []router.QueryClass, _ []router.Tenant,
+		capabilities router.Capabilities, limits router.SafetyLimits) steps.Module {
+		return r.module(seed, place, kinds, classes, tenants, capabilities, limits)
 	}).Run(taken)
 }
 
@@ -122,13 +131,15 @@
 }
 
 func pressed(r *recording, p steps.Pressed) {
-	p.Play(func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-		allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
-		return r.module(seed, place, kinds, profiles, tenants, allowed, guards)
+	p.Play(func(seed int64, place router.Identity, kinds []router.MachineKind,
+		classes []router.QueryClass, tenants []router.Tenant,
+		capabilities router.Capabilities, limits router.SafetyLimits) steps.Module {
+		return r.module(seed, place, kinds, classes, tenants, capabilities, limits)
 	})
 }
 
-// anyEventsRun is a module that gets events of any kind in any order, also of queries and engines that it doesn't know.
+// anyEventsRun is a module that gets events of any kind in any order, also of queries and engines
+// that it doesn't know.
 type anyEventsRun struct {
 	rng    *rand.Rand
 	now    float64 // ms
@@ -139,15 +150,20 @@
 func anyEvents(r *recording, seed int64) {
 	const taken = 400
 	run := &anyEventsRun{rng: rand.New(rand.NewSource(seed)), now: 1e6}
-	allowed := router.Capabilities{Cancel: true, HealthChecks: true, Hedging: true, RetryAfter: true, MaxAttempts: 4,
+	capabilities := router.Capabilities{Cancel: true, HealthChecks: true, Hedging: true,
+		RetryAfter: true, MaxAttempts: 4,
 		MaxRetryAfter: 300, ProgressInterval: 50, PollEndpoints: seed%2 == 1}
-	guards := router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4, SlowStartWindow: 1000, OrderingCooldown: 100, RetryBudgeted: true,
-		RetryBudgetMin: 3, RetryBudgetRatio: 0.2, RetryBudgetWindow: 1000, PollWithin: 7000, OverQuotaBenefit: 0.2}
-	r.counts.add(sceneWithRetryBudget, guards.RetryBudgeted)
-	r.counts.add(sceneWithMustAsk, allowed.PollEndpoints)
-	m := r.module(seed, router.Identity{Controllers: 1}, []router.MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
-		steps.Profiles(2000), tenantsOf(200), allowed, guards)
-	m.Step(run.now, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: run.entries(16, router.Ready)}})
+	limits := router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4,
+		SlowStartWindow: 1000, OrderingCooldown: 100, RetryBudgeted: true,
+		RetryBudgetMin: 3, RetryBudgetRatio: 0.2, RetryBudgetWindow: 1000, PollWithin: 7000,
+		OverQuotaBenefit: 0.2}
+	r.counts.add(sceneWithRetryBudget, limits.RetryBudgeted)
+	r.counts.add(sceneWithPolledEndpoints, capabilities.PollEndpoints)
+	m := r.module(seed, router.Identity{Controllers: 1},
+		[]router.MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
+		steps.Profiles(2000), tenantsOf(200), capabilities, limits)
+	m.Step(run.now, []router.Event{router.EndpointsUpdated{Complete: true,
+		Endpoints: run.entries(16, router.Ready)}})
 	for range taken {
 		run.now += 10 * run.rng.Float64()
 		var events []router.Event
@@ -167,7 +183,8 @@
 		if run.rng.Intn(4) == 0 {
 			since = run.now - 100*run.rng.Float64()
 		}
-		list = append(list, router.Endpoint{Engine: engineID(i), State: state, Zone: "z", Kind: router.KindID(i % 2), StartedAt: since})
+		list = append(list, router.Endpoint{Engine: engineID(i), State: state, Zone: "z",
+			Kind: router.KindID(i % 2), StartedAt: since})
 	}
 	return list
 }
@@ -186,7 +203,7 @@
 // event draws an event.
 func (run *anyEventsRun) event() router.Event {
 	rng := run.rng
-	send := router.AttemptID(rng.Intn(2) * rng.Intn(3))
+	attempt := router.AttemptID(rng.Intn(2) * rng.Intn(3))
 	switch x := rng.Intn(100); {
 	case x < 45:
 		return run.arrival()
@@ -195,21 +212,25 @@
 		if rng.Intn(3) == 0 {
 			outcome = router.Outcome(rng.Intn(int(router.Withdrawn) + 1))
 		}
-		return router.AttemptEnded{ID: run.recent(), Attempt: send, Outcome: outcome, QueryDone: outcome == router.Succeeded,
-			Elapsed: 50 * rng.Float64(), Work: 30 * rng.Float64(), Load: run.load()}
+		return router.AttemptEnded{ID: run.recent(), Attempt: attempt, Outcome: outcome,
+			QueryDone: outcome == router.Succeeded,
+			Elapsed:   50 * rng.Float64(), Work: 30 * rng.Float64(), Load: run.load()}
 	case x < 84:
-		return router.AttemptProgress{ID: run.recent(), Attempt: send, Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()}
+		return router.AttemptProgress{ID: run.recent(), Attempt: attempt,
+			Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()}
 	case x < 87:
 		return router.ClientDisconnected{ID: run.recent()}
 	case x < 89:
 		return router.OrderingKeyAdded{ID: run.recent(), Key: run.key()}
 	case x < 91:
-		return router.ResponseStarted{ID: run.recent(), Attempt: send}
+		return router.ResponseStarted{ID: run.recent(), Attempt: attempt}
 	case x < 94:
-		return router.HealthCheckEnded{Engine: engineID(rng.Intn(20)), Outcome: router.Outcome(4 * rng.Intn(2)), Load: run.load()}
+		return router.HealthCheckEnded{Engine: engineID(rng.Intn(20)),
+			Outcome: router.Outcome(4 * rng.Intn(2)), Load: run.load()}
 	case x < 98:
 		states := []router.EngineState{router.Ready, router.Ready, router.Draining, router.Gone}
-		return router.EndpointsUpdated{Endpoints: run.entries(1+rng.Intn(12), states[rng.Intn(len(states))])}
+		return router.EndpointsUpdated{Endpoints: run.entries(1+rng.Intn(12),
+			states[rng.Intn(len(states))])}
 	case x < 99:
 		return router.EndpointsUpdated{Failed: true}
 	default:
@@ -222,7 +243,8 @@
 	rng := run.rng
 	run.serial++
 	ev := router.QueryArrived{ID: run.serial, Tenant: -1, Class: router.ClassID(rng.Intn(4)),
-		Tables: router.TableGroup(rng.Intn(12)), TimeLeft: 300 + 1700*rng.Float64(), EstimatedWork: 60 * rng.Float64(),
+		Tables: router.TableGroup(rng.Intn(12)), TimeLeft: 300 + 1700*rng.Float64(),
+		EstimatedWork:     60 * rng.Float64(),
 		EstimatedMemoryMB: 2000 * rng.Float64(), Hot: rng.Intn(20) == 0}
 	if rng.Intn(2) == 0 {
 		ev.Key = run.key()
@@ -239,5 +261,6 @@
 	if rng.Intn(2) == 0 {
 		return nil
 	}
-	return &router.LoadReport{Inflight: 10 * rng.Float64(), Utilization: rng.Float64(), Memory: rng.Float64(), Disk: rng.Float64()}
+	return &router.LoadReport{Inflight: 10 * rng.Float64(), Utilization: rng.Float64(),
+		Memory: rng.Float64(), Disk: rng.Float64()}
 }
