--- a/cmd/mintkeel-lab/rules.go
+++ b/cmd/mintkeel-lab/rules.go
@@ -51,8 +51,8 @@
 				s := simulation.FromSeed(at)
 				r := simulation.Play(s, s.Module)
 				mu.Lock()
-				commands, sends, further = commands+r.Commands, sends+r.Sends, further+r.Further
-				cold, restarts, steps, played = cold+r.ColdSends, restarts+r.Restarts, steps+r.Steps, played+1
+				commands, sends, further = commands+r.Queries, sends+r.Attempts, further+r.Retries
+				cold, restarts, steps, played = cold+r.SlowStartAttempts, restarts+r.Restarts, steps+r.Steps, played+1
 				if len(r.Breaches()) > 0 {
 					broken++
 					tell(at, r)
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -50,34 +50,34 @@
 	if seed%12 == 3 {
 		s = s.Larger()
 	}
-	f := &s.Facts
+	f := &s.Settings
 	var tenants []router.Tenant
 	if seed%4 == 1 {
-		f.Guards.OverQuotaBenefit = 0.2
+		f.Limits.OverQuotaBenefit = 0.2
 		tenants = tenantsOf(s.Rate)
 	}
 	if seed%6 == 4 {
 		allowHedging(f)
 	}
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
-	r.counts.add(sceneWithRetryBudget, f.Guards.RetryBudgeted)
-	r.counts.add(sceneWithPolledEndpoints, f.Allowed.PollEndpoints)
+	r.counts.add(sceneWithRetryBudget, f.Limits.RetryBudgeted)
+	r.counts.add(sceneWithPolledEndpoints, f.Capabilities.PollEndpoints)
 	r.counts.add(sceneWithSlowStart, s.Young)
 	r.counts.add(sceneWithAbsurdReports, s.Absurd)
 	r.counts.add(sceneWithHostileStatistics, s.Memory == simulation.Hostile)
 	simulation.Play(s, func(seed int64, place router.Identity) simulation.Controller {
-		return r.module(seed, place, f.Kinds, f.Profiles, tenants, f.Allowed, f.Guards)
+		return r.module(seed, place, f.Kinds, f.Classes, tenants, f.Capabilities, f.Limits)
 	})
 }
 
 // allowHedging has attempts report progress often, and one that stops to do so runs on beside a
 // hedged request.
-func allowHedging(f *checker.Facts) {
-	f.Allowed.Hedging, f.Allowed.Cancel = true, false
-	f.Allowed.ProgressInterval = 60
-	f.Allowed.MaxAttempts = max(3, f.Allowed.MaxAttempts)
-	f.Profiles[0].Effect = router.Idempotent
-	f.Profiles[0].ClientTimeout = max(3000, f.Profiles[0].ClientTimeout)
+func allowHedging(f *checker.Settings) {
+	f.Capabilities.Hedging, f.Capabilities.Cancel = true, false
+	f.Capabilities.ProgressInterval = 60
+	f.Capabilities.MaxAttempts = max(3, f.Capabilities.MaxAttempts)
+	f.Classes[0].Effect = router.Idempotent
+	f.Classes[0].ClientTimeout = max(3000, f.Classes[0].ClientTimeout)
 }
 
 // tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the
--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -33,9 +33,9 @@
 	c.up, c.stopping, c.cutOff, c.expired = true, false, false, false
 	c.queries, c.events, c.missed = map[router.QueryID]*query{}, nil, nil
 	c.listed, c.process = map[router.EngineID]router.Endpoint{}, map[router.EngineID]int{}
-	c.listener = !sim.Facts.Allowed.PollEndpoints
+	c.listener = !sim.Settings.Capabilities.PollEndpoints
 	c.module = sim.make(sim.rng.Int63(), router.Identity{Controllers: sim.Controllers, Index: c.number, Zone: "z0"})
-	sim.checker.Up(c.number, sim.now)
+	sim.checker.ControllerStarted(c.number, sim.now)
 	var entries []router.Endpoint
 	for _, e := range sim.order {
 		if !e.gone {
@@ -59,7 +59,7 @@
 	if !c.up {
 		return
 	}
-	sim.checker.Killed(c.number)
+	sim.checker.ControllerKilled(c.number)
 	sim.takeDown(c)
 }
 
@@ -83,8 +83,8 @@
 	c.stopping = true
 	within := 100 + sim.rng.Float64()*2000
 	sim.deliver(c, router.ShutdownStarted{Within: within})
-	sim.afterFor(c, within+2*sim.Facts.Guards.EventInterval+10, func() {
-		sim.checker.Ended(c.number, sim.now)
+	sim.afterFor(c, within+2*sim.Settings.Limits.EventInterval+10, func() {
+		sim.checker.ControllerStopped(c.number, sim.now)
 		sim.takeDown(c)
 	})
 }
@@ -116,7 +116,7 @@
 	}
 	c.due = true
 	at := sim.now
-	if round := sim.Facts.Guards.EventInterval; sim.Ticks && round > 0 {
+	if round := sim.Settings.Limits.EventInterval; sim.Ticks && round > 0 {
 		at = math.Ceil(sim.now/round) * round
 	}
 	sim.at(at, func() {
@@ -131,9 +131,9 @@
 	events := c.events
 	c.events = nil
 	sim.result.Steps++
-	sim.checker.Told(c.number, sim.now, events, func(id router.QueryID) float64 { return sim.works[id] })
+	sim.checker.EventsDelivered(c.number, sim.now, events, func(id router.QueryID) float64 { return sim.works[id] })
 	actions := c.module.Step(sim.now, events)
-	sim.checker.Ordered(c.number, sim.now, actions)
+	sim.checker.ActionsTaken(c.number, sim.now, actions)
 	for _, action := range actions {
 		sim.carryOut(c, action)
 	}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -58,7 +58,7 @@
 		c.cutOff = false
 		missed := c.missed
 		c.missed = nil
-		if sim.Facts.Allowed.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription broke
+		if sim.Settings.Capabilities.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription broke
 			c.listener = false
 			c.missed = missed
 			sim.deliver(c, router.EndpointsUpdated{Failed: true})
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -62,25 +62,25 @@
 		Rekeyed:     flag("rekeyed"),
 		Memory:      rapid.SampledFrom([]Memory{Nothing, Persisted, Hostile}).Draw(t, "memory"),
 	}
-	f := &s.Facts
+	f := &s.Settings
 	for i := range whole("kinds", 1, 3) {
 		f.Kinds = append(f.Kinds, router.MachineKind{Cores: number(fmt.Sprint("cores", i), 1, 32),
 			MemoryMB: number(fmt.Sprint("memory", i), 100, 64000)})
 	}
 	for i := range whole("profiles", 1, 4) {
 		p, work := profile(t, i, len(f.Kinds), s.Zones)
-		f.Profiles, s.Work = append(f.Profiles, p), append(s.Work, work)
+		f.Classes, s.Work = append(f.Classes, p), append(s.Work, work)
 	}
-	f.Allowed = router.Capabilities{Cancel: flag("cancel"), HealthChecks: flag("probes"), Hedging: flag("copies"),
+	f.Capabilities = router.Capabilities{Cancel: flag("cancel"), HealthChecks: flag("probes"), Hedging: flag("copies"),
 		RetryAfter: flag("retry after"), MaxAttempts: whole("most sends", 1, 6),
 		PollEndpoints: flag("must ask")}
 	if flag("notes") {
-		f.Allowed.ProgressInterval = number("note pace", 50, 800)
+		f.Capabilities.ProgressInterval = number("note pace", 50, 800)
 	}
-	if f.Allowed.RetryAfter {
-		f.Allowed.MaxRetryAfter = number("longest wait", 0, 1000)
+	if f.Capabilities.RetryAfter {
+		f.Capabilities.MaxRetryAfter = number("longest wait", 0, 1000)
 	}
-	f.Guards = router.SafetyLimits{EventInterval: rate("round", 10), SlowStartCapacity: number("cold share", 0.05, 0.9),
+	f.Limits = router.SafetyLimits{EventInterval: rate("round", 10), SlowStartCapacity: number("cold share", 0.05, 0.9),
 		SlowStartTime: number("cold time", 200, 6000), SlowStartOverload: number("cold multiple", 0.5, 6),
 		SlowStartWindow: number("cold window", 100, 2000), OrderingCooldown: rate("order rest", 500),
 		RetryBudgeted: flag("budgeted"), RetryBudgetMin: float64(whole("free resends", 0, 5)),
--- a/internal/lab/simulation/engines.go
+++ b/internal/lab/simulation/engines.go
@@ -26,7 +26,7 @@
 
 // addEngine adds an engine to the fleet; since is 0 for one that was always there.
 func (sim *simulation) addEngine(since float64) {
-	kind := router.KindID(sim.rng.Intn(len(sim.Facts.Kinds)))
+	kind := router.KindID(sim.rng.Intn(len(sim.Settings.Kinds)))
 	if sim.rng.Intn(20) == 0 {
 		kind = -1
 	}
@@ -53,7 +53,7 @@
 	case 1:
 		e.errorFactor = 6 * sim.rng.Float64()
 	}
-	sim.checker.Began(e.Engine, sim.now)
+	sim.checker.EngineStarted(e.Engine, sim.now)
 }
 
 // restartEngine brings an engine back under its old id.
@@ -69,7 +69,7 @@
 		return
 	}
 	e.State = router.Draining
-	sim.checker.Drained(e.Engine, sim.now)
+	sim.checker.EngineDraining(e.Engine, sim.now)
 	sim.publish(e)
 	serial := e.serial
 	sim.after(sim.rng.Float64()*3000, func() {
@@ -85,7 +85,7 @@
 		return
 	}
 	if e.State == router.Ready {
-		sim.checker.Drained(e.Engine, sim.now)
+		sim.checker.EngineDraining(e.Engine, sim.now)
 	}
 	e.gone, e.State = true, router.Gone
 	for _, c := range sim.controllers {
--- a/internal/lab/simulation/hostile.go
+++ b/internal/lab/simulation/hostile.go
@@ -40,7 +40,7 @@
 	}
 	for range sim.rng.Intn(4) {
 		l.Classes = append(l.Classes, router.ClassStatistics{At: odd(),
-			Class: router.ClassID(sim.rng.Intn(len(sim.Facts.Profiles)+2) - 1), FirstTryTimeout: odd(), UnloadedTime: odd(),
+			Class: router.ClassID(sim.rng.Intn(len(sim.Settings.Classes)+2) - 1), FirstTryTimeout: odd(), UnloadedTime: odd(),
 			WorkScale: weighed(), MemoryScale: weighed()})
 	}
 	for range sim.rng.Intn(3) {
--- a/internal/lab/simulation/queries.go
+++ b/internal/lab/simulation/queries.go
@@ -49,7 +49,7 @@
 	if !c.up {
 		return
 	}
-	class := router.ClassID(sim.rng.Intn(len(sim.Facts.Profiles)))
+	class := router.ClassID(sim.rng.Intn(len(sim.Settings.Classes)))
 	sim.serial++
 	q := &query{id: sim.serial, class: class, work: sim.Work[class] * (0.75 + 0.5*sim.rng.Float64())}
 	ev, left := sim.drawArrival(q)
@@ -74,12 +74,12 @@
 
 // drawArrival draws what a controller is told of a query, and the time, in ms, until its client gives up.
 func (sim *simulation) drawArrival(q *query) (ev router.QueryArrived, left float64) {
-	f := &sim.Facts
-	left = f.Profiles[q.class].ClientTimeout * (0.2 + 0.8*sim.rng.Float64())
+	f := &sim.Settings
+	left = f.Classes[q.class].ClientTimeout * (0.2 + 0.8*sim.rng.Float64())
 	if sim.rng.Intn(4) > 0 {
-		left = f.Profiles[q.class].ClientTimeout
+		left = f.Classes[q.class].ClientTimeout
 	}
-	left = max(left, 2*f.Guards.EventInterval+10)
+	left = max(left, 2*f.Limits.EventInterval+10)
 	tables := router.TableGroup(sim.rng.Intn(sim.Tables))
 	ev = router.QueryArrived{ID: q.id, Tenant: -1, Class: q.class, Tables: tables, TimeLeft: left}
 	if sim.rng.Intn(2) == 0 {
@@ -143,7 +143,7 @@
 		sim.scheduleOutcome(c, q, n, latency, router.EngineFull)
 		return
 	}
-	took := q.work / sim.Facts.Profiles[q.class].Threads * e.slowness * (1 + sim.rng.ExpFloat64()*0.3)
+	took := q.work / sim.Settings.Classes[q.class].Threads * e.slowness * (1 + sim.rng.ExpFloat64()*0.3)
 	outcome := router.Succeeded
 	if sim.rng.Float64() < sim.Bad*e.errorFactor {
 		outcome = []router.Outcome{router.Errored, router.EngineFull, router.TimedOut, router.ConnectFailed, router.ConnectionReset,
@@ -161,7 +161,7 @@
 	} else {
 		sim.scheduleOutcome(c, q, n, latency+took, outcome)
 	}
-	if interval := sim.Facts.Allowed.ProgressInterval; interval > 0 && sim.rng.Intn(4) > 0 {
+	if interval := sim.Settings.Capabilities.ProgressInterval; interval > 0 && sim.rng.Intn(4) > 0 {
 		sim.scheduleProgress(c, q, n, interval)
 	}
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -36,7 +36,7 @@
 	Unequal     float64 // 0: all controllers get as much; 1: most get next to nothing
 	Keys        int
 	Tables      int
-	Facts       checker.Facts
+	Settings    checker.Settings
 	Zones       int
 	Cells       int
 	Work        []float64 // by profile: mean work on one thread
@@ -69,7 +69,7 @@
 		Spec:    s,
 		rng:     rand.New(rand.NewSource(s.Seed)),
 		make:    start,
-		checker: checker.New(s.Facts),
+		checker: checker.New(s.Settings),
 		engines: map[router.EngineID]*engine{},
 		works:   map[router.QueryID]float64{},
 		result:  &Result{},
@@ -86,6 +86,6 @@
 
 // Module makes controllers of the module as it is.
 func (s Spec) Module(seed int64, place router.Identity) Controller {
-	f := s.Facts
-	return router.New(seed, place, f.Kinds, f.Profiles, nil, f.Allowed, f.Guards)
+	f := s.Settings
+	return router.New(seed, place, f.Kinds, f.Classes, nil, f.Capabilities, f.Limits)
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -55,8 +55,8 @@
 	})
 	var further, cold, sheds, fails, restarts int
 	for _, r := range results {
-		further, cold, sheds = further+r.Further, cold+r.ColdSends, sheds+r.Sheds
-		fails, restarts = fails+r.Fails, restarts+r.Restarts
+		further, cold, sheds = further+r.Retries, cold+r.SlowStartAttempts, sheds+r.Rejections
+		fails, restarts = fails+r.Failures, restarts+r.Restarts
 	}
 	if worlds < 100 { // a few may be quiet ones
 		return
@@ -130,10 +130,10 @@
 		rule   checker.Rule
 		change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
 	}{
-		{"sheds nothing", checker.Answered, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"sheds nothing", checker.FinalAnswer, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			return drop(a, isShed)
 		}},
-		{"sheds twice", checker.Answered, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"sheds twice", checker.FinalAnswer, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			for _, action := range a {
 				if isShed(action) {
 					return append(a, action)
@@ -141,7 +141,7 @@
 			}
 			return a
 		}},
-		{"sheds what is out", checker.Once, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"sheds what is out", checker.SingleEffect, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			for _, action := range a {
 				if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
 					return append(a, router.Reject{ID: s.ID})
@@ -149,7 +149,7 @@
 			}
 			return a
 		}},
-		{"sends all that it sends anew at once", checker.Once,
+		{"sends all that it sends anew at once", checker.SingleEffect,
 			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok {
@@ -158,7 +158,7 @@
 				}
 				return a
 			}},
-		{"sends to engines that left", checker.Drains,
+		{"sends to engines that left", checker.Draining,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
@@ -175,7 +175,7 @@
 			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				return b.aim(a, "e00")
 			}},
-		{"knows nothing of cold engines", checker.Cold,
+		{"knows nothing of cold engines", checker.SlowStart,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
@@ -188,7 +188,7 @@
 				}
 				return b.aim(a, b.listed)
 			}},
-		{"sends what is ahead of its turn", checker.Order,
+		{"sends what is ahead of its turn", checker.Ordering,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if arrived, ok := ev.(router.QueryArrived); ok && b.listed != "" {
@@ -202,7 +202,7 @@
 				}
 				return a
 			}},
-		{"sends as often as it likes", checker.Budget,
+		{"sends as often as it likes", checker.RetryBudget,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" && !e.QueryDone {
@@ -216,7 +216,7 @@
 				}
 				return a
 			}},
-		{"names what it has not", checker.Form, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+		{"names what it has not", checker.Contract, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 			if b.n == 100 {
 				return append(a, router.Fail{ID: 1 << 30})
 			}
--- a/internal/lab/simulation/steps.go
+++ b/internal/lab/simulation/steps.go
@@ -81,7 +81,7 @@
 	for range sim.Engines {
 		since := 0.0
 		if sim.Young {
-			since = sim.now - sim.rng.Float64()*sim.Facts.Guards.SlowStartTime/2
+			since = sim.now - sim.rng.Float64()*sim.Settings.Limits.SlowStartTime/2
 		}
 		sim.addEngine(since)
 	}
--- a/internal/lab/simulation/twin_test.go
+++ b/internal/lab/simulation/twin_test.go
@@ -33,8 +33,8 @@
 // twin makes controllers of the module beside the reference.
 func (s Spec) twin(differs func(step int, now float64, module, old []router.Action)) func(int64, router.Identity) Controller {
 	return func(seed int64, place router.Identity) Controller {
-		f := s.Facts
-		t := reference.NewTwin(seed, place, f.Kinds, f.Profiles, nil, f.Allowed, f.Guards)
+		f := s.Settings
+		t := reference.NewTwin(seed, place, f.Kinds, f.Classes, nil, f.Capabilities, f.Limits)
 		t.Differs = func(step int, now float64, _ []router.Event, module, old []router.Action) {
 			differs(step, now, module, old)
 		}
