--- a/internal/lab/layout/layout_test.go
+++ b/internal/lab/layout/layout_test.go
@@ -15,7 +15,6 @@
 var longTables = map[string]int{
 	"internal/lab/exprs/exprs.go boolean":  92, // kinds of expression
 	"internal/lab/exprs/exprs.go number":   69, // kinds of expression
-	"internal/lab/simulation/draw.go draw": 66, // settings
 }
 
 // readAll reads all sources but the former decision module that today's is compared with.
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -62,8 +62,8 @@
 	r.counts.add(sceneWithManyEngines, s.Engines >= manyEngines)
 	r.counts.add(sceneWithRetryBudget, f.Limits.RetryBudgeted)
 	r.counts.add(sceneWithPolledEndpoints, f.Capabilities.PollEndpoints)
-	r.counts.add(sceneWithSlowStart, s.Young)
-	r.counts.add(sceneWithAbsurdReports, s.Absurd)
+	r.counts.add(sceneWithSlowStart, s.AllWarming)
+	r.counts.add(sceneWithAbsurdReports, s.ImpossibleReports)
 	r.counts.add(sceneWithHostileStatistics, s.Memory == simulation.Hostile)
 	simulation.Play(s, func(seed int64, place router.Identity) simulation.Controller {
 		return r.module(seed, place, f.Kinds, f.Classes, tenants, f.Capabilities, f.Limits)
--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -7,34 +7,37 @@
 	"mintkeel/router"
 )
 
-// controller is a module with what its host does for it: events, wake-ups, queries, the endpoint list.
+// controller is a module with what its host does for it: events, timers, queries, the endpoint
+// list.
 type controller struct {
-	number      int
-	incarnation int
-	module      Controller
-	up          bool
-	stopping    bool
-	events      []router.Event
-	due         bool // a step is scheduled
-	wake        int  // number of the last wake-up; earlier ones are void
-	queries     map[router.QueryID]*query
-	listed      map[router.EngineID]router.Endpoint // as far as it has received the list
-	process     map[router.EngineID]int             // of each engine it talked to last
-	cutOff      bool                                // it receives nothing of the list
-	missed      []router.Endpoint
-	expired     bool
-	listener    bool // it has asked for the list, or need not
-	saved       router.Statistics
+	number          int
+	incarnation     int
+	module          Controller
+	up              bool
+	stopping        bool
+	events          []router.Event
+	due             bool // a step is scheduled
+	timerNumber     int  // of the last timer that was set; earlier ones are void
+	queries         map[router.QueryID]*query
+	listed          map[router.EngineID]router.Endpoint // as far as it has received the list
+	process         map[router.EngineID]int             // of each engine it talked to last
+	cutOff          bool                                // it receives nothing of the list
+	missed          []router.Endpoint
+	expired         bool
+	subscribed      bool // it gets the list without polling
+	savedStatistics router.Statistics
 }
 
-// startController starts a controller: it receives the list, and what its earlier incarnation had learned.
+// startController starts a controller: it receives the list, and the statistics of its earlier
+// incarnation.
 func (sim *simulation) startController(c *controller) {
 	c.incarnation++
 	c.up, c.stopping, c.cutOff, c.expired = true, false, false, false
 	c.queries, c.events, c.missed = map[router.QueryID]*query{}, nil, nil
 	c.listed, c.process = map[router.EngineID]router.Endpoint{}, map[router.EngineID]int{}
-	c.listener = !sim.Settings.Capabilities.PollEndpoints
-	c.module = sim.make(sim.rng.Int63(), router.Identity{Controllers: sim.Controllers, Index: c.number, Zone: "z0"})
+	c.subscribed = !sim.Settings.Capabilities.PollEndpoints
+	c.module = sim.make(sim.rng.Int63(),
+		router.Identity{Controllers: sim.Controllers, Index: c.number, Zone: "z0"})
 	sim.checker.ControllerStarted(c.number, sim.now)
 	var entries []router.Endpoint
 	for _, e := range sim.order {
@@ -45,12 +48,12 @@
 	}
 	sim.deliver(c, router.EndpointsUpdated{Complete: true, Cached: true, Endpoints: entries})
 	if sim.Memory == Persisted && c.incarnation > 1 {
-		m := &restore.Snapshot{Statistics: c.saved}
+		m := &restore.Snapshot{Statistics: c.savedStatistics}
 		learned, _ := restore.Select(m, restore.Identity{}, entries, sim.now, restore.DefaultHalfLives())
 		sim.deliver(c, router.StatisticsRestored{Statistics: learned})
 	}
 	if sim.Memory == Hostile {
-		sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileLearned()})
+		sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileStatistics()})
 	}
 }
 
@@ -89,8 +92,8 @@
 	})
 }
 
-// saveLearned takes out what the controllers have learned, again and again.
-func (sim *simulation) saveLearned() {
+// saveStatistics exports the statistics of the controllers again and again.
+func (sim *simulation) saveStatistics() {
 	sim.after(300, func() {
 		for _, c := range sim.controllers {
 			if !c.up {
@@ -102,9 +105,9 @@
 				part, from, more = c.module.Statistics(from, 1+sim.rng.Intn(50))
 				all.Add(part)
 			}
-			c.saved = all
+			c.savedStatistics = all
 		}
-		sim.saveLearned()
+		sim.saveStatistics()
 	})
 }
 
@@ -116,7 +119,7 @@
 	}
 	c.due = true
 	at := sim.now
-	if round := sim.Settings.Limits.EventInterval; sim.Ticks && round > 0 {
+	if round := sim.Settings.Limits.EventInterval; sim.StepOnTicks && round > 0 {
 		at = math.Ceil(sim.now/round) * round
 	}
 	sim.at(at, func() {
@@ -131,7 +134,9 @@
 	events := c.events
 	c.events = nil
 	sim.result.Steps++
-	sim.checker.EventsDelivered(c.number, sim.now, events, func(id router.QueryID) float64 { return sim.works[id] })
+	sim.checker.EventsDelivered(c.number, sim.now, events, func(id router.QueryID) float64 {
+		return sim.workOf[id]
+	})
 	actions := c.module.Step(sim.now, events)
 	sim.checker.ActionsTaken(c.number, sim.now, actions)
 	for _, action := range actions {
@@ -139,7 +144,7 @@
 	}
 }
 
-// carryOut does what a controller ordered.
+// carryOut carries out an action of a controller.
 func (sim *simulation) carryOut(c *controller, action router.Action) {
 	switch a := action.(type) {
 	case router.StartAttempt:
@@ -147,7 +152,8 @@
 			sim.startAttempt(c, q, a)
 		}
 	case router.CancelAttempt:
-		if q := c.queries[a.ID]; q != nil && int(a.Attempt) < len(q.attempts) && !q.attempts[a.Attempt].ended {
+		if q := c.queries[a.ID]; q != nil && int(a.Attempt) < len(q.attempts) &&
+			!q.attempts[a.Attempt].ended {
 			sim.scheduleOutcome(c, q, int(a.Attempt), 1+sim.rng.Float64()*20, router.Cancelled)
 		}
 	case router.Reject:
@@ -155,16 +161,16 @@
 	case router.Fail:
 		sim.finish(c, a.ID)
 	case router.CheckHealth:
-		sim.probe(c, a.Engine)
+		sim.checkHealth(c, a.Engine)
 	case router.SetTimer:
-		sim.scheduleWake(c, a.After)
+		sim.setTimer(c, a.After)
 	case router.Subscribe:
 		sim.subscribe(c)
 	}
 }
 
-// probe has a probe of an engine end after a while, well or not.
-func (sim *simulation) probe(c *controller, id router.EngineID) {
+// checkHealth has a checkHealth of an engine end after a while, well or not.
+func (sim *simulation) checkHealth(c *controller, id router.EngineID) {
 	e := sim.engines[id]
 	sim.afterFor(c, 1+sim.rng.Float64()*5, func() {
 		probed := router.HealthCheckEnded{Engine: id, Outcome: router.Succeeded, Load: sim.loadReport(e)}
@@ -175,12 +181,12 @@
 	})
 }
 
-// scheduleWake wakes a controller after a delay, in ms, unless it orders another wake-up before.
-func (sim *simulation) scheduleWake(c *controller, delay float64) {
-	c.wake++
-	wake := c.wake
+// setTimer wakes a controller after a delay, in ms, unless it sets another timer before.
+func (sim *simulation) setTimer(c *controller, delay float64) {
+	c.timerNumber++
+	wake := c.timerNumber
 	sim.afterFor(c, delay, func() {
-		if c.wake == wake {
+		if c.timerNumber == wake {
 			sim.deliver(c, router.TimerFired{})
 		}
 	})
@@ -193,7 +199,7 @@
 			sim.deliver(c, router.EndpointsUpdated{Failed: true})
 			return
 		}
-		c.listener = true
+		c.subscribed = true
 		missed := c.missed
 		c.missed = nil
 		sim.receiveEntries(c, missed...)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -6,13 +6,13 @@
 	"mintkeel/router"
 )
 
-// publish has every controller receive the entry of an engine, each with a lag of its own. An entry that overtakes a newer
-// one is ignored by receiveEntries.
+// publish has every controller receive the entry of an engine, each with a lag of its own. An entry
+// that overtakes a newer one is ignored by receiveEntries.
 func (sim *simulation) publish(e *engine) {
 	entry := e.Endpoint
 	for _, c := range sim.controllers {
-		sim.afterFor(c, sim.rng.Float64()*sim.ListLag, func() {
-			if c.cutOff || !c.listener {
+		sim.afterFor(c, sim.rng.Float64()*sim.MaxListLag, func() {
+			if c.cutOff || !c.subscribed {
 				c.missed = append(c.missed, entry)
 				return
 			}
@@ -36,7 +36,8 @@
 
 // newer tells whether b is no older entry of an engine than a.
 func newer(a, b router.Endpoint) bool {
-	return a.Engine == "" || cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(b.State, a.State)) >= 0
+	return a.Engine == "" ||
+		cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(b.State, a.State)) >= 0
 }
 
 // expiry is for how long, in ms, a controller is cut off from the list until what it has expires.
@@ -59,7 +60,7 @@
 		missed := c.missed
 		c.missed = nil
 		if sim.Settings.Capabilities.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription broke
-			c.listener = false
+			c.subscribed = false
 			c.missed = missed
 			sim.deliver(c, router.EndpointsUpdated{Failed: true})
 			return
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,14 +8,15 @@
 	"mintkeel/router"
 )
 
-// Drawn draws worlds with legal settings, up to hostile ones. It shrinks towards few controllers, engines and
-// troubles.
-func Drawn() *rapid.Generator[Spec] { return rapid.Custom(draw) }
+// Generator draws worlds with legal settings, up to hostile ones. It shrinks towards few
+// controllers, engines and faults.
+func Generator() *rapid.Generator[Spec] { return rapid.Custom(draw) }
 
-// FromSeed is the world that a seed stands for.
-func FromSeed(seed int) Spec { return Drawn().Example(seed) }
+// FromSeed is the simulation that a seed stands for.
+func FromSeed(seed int) Spec { return Generator().Example(seed) }
 
-// Larger is the same fleet with more of all: engines, queries, tables, keys and engine changes, in a shorter time.
+// Larger is the same fleet with more of all: engines, queries, tables, keys and engine changes, in
+// a shorter time.
 func (s Spec) Larger() Spec {
 	s.Engines, s.Rate, s.Tables, s.Keys = 6*s.Engines, 4*s.Rate, 3*s.Tables, 10*s.Keys
 	s.Controllers = min(s.Controllers, 5)
@@ -24,78 +25,118 @@
 	return s
 }
 
-func draw(t *rapid.T) Spec {
-	number := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
-	whole := func(name string, least, most int) int { return rapid.IntRange(least, most).Draw(t, name) }
-	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	// rate is zero half of the time, so that troubles come alone too.
-	rate := func(name string, most float64) float64 {
-		if flag(name + "?") {
-			return number(name, 0, most)
-		}
-		return 0
+// drawer draws values. Their names are printed where a failing simulation is shrunk.
+type drawer struct{ *rapid.T }
+
+func (d drawer) number(name string, least, most float64) float64 {
+	return rapid.Float64Range(least, most).Draw(d.T, name)
+}
+
+func (d drawer) count(name string, least, most int) int {
+	return rapid.IntRange(least, most).Draw(d.T, name)
+}
+
+func (d drawer) flag(name string) bool { return rapid.Bool().Draw(d.T, name) }
+
+// rate is zero half of the time, so that faults come alone too.
+func (d drawer) rate(name string, most float64) float64 {
+	if d.flag(name + "?") {
+		return d.number(name, 0, most)
 	}
+	return 0
+}
+
+// oneInFour is true a quarter of the time.
+func (d drawer) oneInFour(name string) bool { return d.count(name, 0, 3) == 3 }
+
+// draw draws a simulation. A seed stands for the values in the order of their draws: new ones come
+// last, so that earlier simulations stay what they were.
+func draw(t *rapid.T) Spec {
+	d := drawer{t}
 	s := Spec{
-		Seed:        rapid.Int64().Draw(t, "seed"),
-		Controllers: rapid.SampledFrom([]int{1, 1, 2, 3, 5, 20, 60, 300}).Draw(t, "controllers"),
-		Engines:     whole("engines", 1, 12),
-		Length:      number("length", 2000, 9000),
-		Rate:        number("rate", 20, 400),
-		Unequal:     rate("unequal", 1),
-		Keys:        whole("keys", 1, 20),
-		Tables:      whole("tables", 1, 30),
-		Zones:       whole("zones", 1, 3),
-		Cells:       whole("cells", 1, 4),
-		Ticks:       flag("ticks"),
-		Kills:       rate("kills", 1),
-		Stops:       rate("stops", 0.5),
-		Drains:      rate("drains", 1),
-		Deaths:      rate("deaths", 1),
-		Starts:      rate("starts", 2),
-		Outages:     rate("outages", 1),
-		Leaves:      rate("leaves", 0.5),
-		ListLag:     rate("list lag", 1500),
-		Bad:         rate("bad", 0.9),
-		Young:       flag("young"),
-		Absurd:      flag("absurd"),
-		Narrowed:    flag("narrowed"),
-		Rekeyed:     flag("rekeyed"),
-		Memory:      rapid.SampledFrom([]Memory{Nothing, Persisted, Hostile}).Draw(t, "memory"),
+		Seed:              rapid.Int64().Draw(t, "seed"),
+		Controllers:       rapid.SampledFrom([]int{1, 1, 2, 3, 5, 20, 60, 300}).Draw(t, "controllers"),
+		Engines:           d.count("engines", 1, 12),
+		Length:            d.number("length", 2000, 9000),
+		Rate:              d.number("rate", 20, 400),
+		Imbalance:         d.rate("unequal", 1),
+		Keys:              d.count("keys", 1, 20),
+		Tables:            d.count("tables", 1, 30),
+		Zones:             d.count("zones", 1, 3),
+		Cells:             d.count("cells", 1, 4),
+		StepOnTicks:       d.flag("ticks"),
+		Kills:             d.rate("kills", 1),
+		Stops:             d.rate("stops", 0.5),
+		Drains:            d.rate("drains", 1),
+		Deaths:            d.rate("deaths", 1),
+		Starts:            d.rate("starts", 2),
+		Outages:           d.rate("outages", 1),
+		DisconnectShare:   d.rate("leaves", 0.5),
+		MaxListLag:        d.rate("list lag", 1500),
+		FailureShare:      d.rate("bad", 0.9),
+		AllWarming:        d.flag("young"),
+		ImpossibleReports: d.flag("absurd"),
+		NarrowedQueries:   d.flag("narrowed"),
+		ExtraKeys:         d.flag("rekeyed"),
+		Memory:            rapid.SampledFrom([]Memory{Nothing, Persisted, Hostile}).Draw(t, "memory"),
 	}
-	f := &s.Settings
-	for i := range whole("kinds", 1, 3) {
-		f.Kinds = append(f.Kinds, router.MachineKind{Cores: number(fmt.Sprint("cores", i), 1, 32),
-			MemoryMB: number(fmt.Sprint("memory", i), 100, 64000)})
+	d.drawSettings(&s)
+	s.ArrivalWaits = d.oneInFour("pressed")
+	s.ClientQueues = d.oneInFour("lined")
+	return s
+}
+
+// drawSettings draws the settings of the deployment.
+func (d drawer) drawSettings(s *Spec) {
+	settings := &s.Settings
+	for i := range d.count("kinds", 1, 3) {
+		settings.Kinds = append(settings.Kinds, router.MachineKind{
+			Cores:    d.number(fmt.Sprint("cores", i), 1, 32),
+			MemoryMB: d.number(fmt.Sprint("memory", i), 100, 64000),
+		})
 	}
-	for i := range whole("profiles", 1, 4) {
-		p, work := profile(t, i, len(f.Kinds), s.Zones)
-		f.Classes, s.Work = append(f.Classes, p), append(s.Work, work)
+	for i := range d.count("profiles", 1, 4) {
+		class, work := drawClass(d.T, i, len(settings.Kinds), s.Zones)
+		settings.Classes = append(settings.Classes, class)
+		s.MeanWork = append(s.MeanWork, work)
 	}
-	f.Capabilities = router.Capabilities{Cancel: flag("cancel"), HealthChecks: flag("probes"), Hedging: flag("copies"),
-		RetryAfter: flag("retry after"), MaxAttempts: whole("most sends", 1, 6),
-		PollEndpoints: flag("must ask")}
-	if flag("notes") {
-		f.Capabilities.ProgressInterval = number("note pace", 50, 800)
+	settings.Capabilities = router.Capabilities{
+		Cancel:        d.flag("cancel"),
+		HealthChecks:  d.flag("probes"),
+		Hedging:       d.flag("copies"),
+		RetryAfter:    d.flag("retry after"),
+		MaxAttempts:   d.count("most sends", 1, 6),
+		PollEndpoints: d.flag("must ask"),
 	}
-	if f.Capabilities.RetryAfter {
-		f.Capabilities.MaxRetryAfter = number("longest wait", 0, 1000)
+	if d.flag("notes") {
+		settings.Capabilities.ProgressInterval = d.number("note pace", 50, 800)
+	}
+	if settings.Capabilities.RetryAfter {
+		settings.Capabilities.MaxRetryAfter = d.number("longest wait", 0, 1000)
+	}
+	settings.Limits = router.SafetyLimits{
+		EventInterval:     d.rate("round", 10),
+		SlowStartCapacity: d.number("cold share", 0.05, 0.9),
+		SlowStartTime:     d.number("cold time", 200, 6000),
+		SlowStartOverload: d.number("cold multiple", 0.5, 6),
+		SlowStartWindow:   d.number("cold window", 100, 2000),
+		OrderingCooldown:  d.rate("order rest", 500),
+		RetryBudgeted:     d.flag("budgeted"),
+		RetryBudgetMin:    float64(d.count("free resends", 0, 5)),
+		RetryBudgetRatio:  d.number("resend share", 0, 1),
+		RetryBudgetWindow: d.number("resend window", 300, 4000),
+		PollWithin:        d.number("ask within", 7000, 20000),
 	}
-	f.Limits = router.SafetyLimits{EventInterval: rate("round", 10), SlowStartCapacity: number("cold share", 0.05, 0.9),
-		SlowStartTime: number("cold time", 200, 6000), SlowStartOverload: number("cold multiple", 0.5, 6),
-		SlowStartWindow: number("cold window", 100, 2000), OrderingCooldown: rate("order rest", 500),
-		RetryBudgeted: flag("budgeted"), RetryBudgetMin: float64(whole("free resends", 0, 5)),
-		RetryBudgetRatio: number("resend share", 0, 1), RetryBudgetWindow: number("resend window", 300, 4000),
-		PollWithin: number("ask within", 7000, 20000)}
-	s.Pressed = rapid.IntRange(0, 3).Draw(t, "pressed") == 3 // last, so that earlier worlds stay what they were
-	s.Lined = rapid.IntRange(0, 3).Draw(t, "lined") == 3
-	return s
 }
 
-func profile(t *rapid.T, i, kinds, zones int) (router.QueryClass, float64) {
+// drawClass draws a query class, and its mean work in ms on one thread.
+func drawClass(t *rapid.T, i, kinds, zones int) (router.QueryClass, float64) {
 	name := func(of string) string { return fmt.Sprint("profile ", i, " ", of) }
 	p := router.QueryClass{
-		Effect:         rapid.SampledFrom([]router.RepeatEffect{router.Idempotent, router.Deduplicated, router.NonIdempotent}).Draw(t, name("effect")),
-		Scope:          rapid.SampledFrom([]router.DeduplicationScope{router.ScopeAll, router.ScopeZone, router.ScopeCell}).Draw(t, name("scope")),
+		Effect: rapid.SampledFrom([]router.RepeatEffect{router.Idempotent, router.Deduplicated,
+			router.NonIdempotent}).Draw(t, name("effect")),
+		Scope: rapid.SampledFrom([]router.DeduplicationScope{router.ScopeAll, router.ScopeZone,
+			router.ScopeCell}).Draw(t, name("scope")),
 		Ordered:        rapid.Bool().Draw(t, name("in order")),
 		ClientTimeout:  rapid.Float64Range(200, 4000).Draw(t, name("timeout")),
 		Threads:        rapid.Float64Range(1, 4).Draw(t, name("threads")),
--- a/internal/lab/simulation/engines.go
+++ b/internal/lab/simulation/engines.go
@@ -79,7 +79,8 @@
 	})
 }
 
-// endEngine ends a process: attempts there get no answer any more. The list says so, sooner or later.
+// endEngine ends a process: attempts there get no answer any more. The list says so, sooner or
+// later.
 func (sim *simulation) endEngine(e *engine) {
 	if e == nil || e.gone {
 		return
@@ -100,16 +101,17 @@
 	sim.publish(e)
 }
 
-// loadReport is the report that comes with an answer, at times an absurd one; nil: there is none.
+// loadReport is the report that comes with an answer, at times an impossible one; nil: there is
+// none.
 func (sim *simulation) loadReport(e *engine) *router.LoadReport {
 	if e == nil || sim.rng.Intn(3) == 0 {
 		return nil
 	}
-	if sim.Absurd && sim.rng.Intn(2) == 0 {
+	if sim.ImpossibleReports && sim.rng.Intn(2) == 0 {
 		x := []float64{0, -1, 1e12, math.Inf(1), math.NaN()}
-		return &router.LoadReport{Inflight: x[sim.rng.Intn(5)], Utilization: x[sim.rng.Intn(5)], Memory: x[sim.rng.Intn(5)],
-			Disk: x[sim.rng.Intn(5)]}
+		return &router.LoadReport{Inflight: x[sim.rng.Intn(5)], Utilization: x[sim.rng.Intn(5)],
+			Memory: x[sim.rng.Intn(5)], Disk: x[sim.rng.Intn(5)]}
 	}
-	return &router.LoadReport{Inflight: sim.rng.Float64() * 20, Utilization: sim.rng.Float64(), Memory: sim.rng.Float64(),
-		Disk: sim.rng.Float64()}
+	return &router.LoadReport{Inflight: sim.rng.Float64() * 20, Utilization: sim.rng.Float64(),
+		Memory: sim.rng.Float64(), Disk: sim.rng.Float64()}
 }
--- a/internal/lab/simulation/hostile.go
+++ b/internal/lab/simulation/hostile.go
@@ -7,10 +7,11 @@
 	"mintkeel/router"
 )
 
-// hostileLearned is a restored state that no controller can have learned.
-func (sim *simulation) hostileLearned() (l router.Statistics) {
+// hostileStatistics is a restored state that no controller can have exported.
+func (sim *simulation) hostileStatistics() (l router.Statistics) {
 	odd := func() float64 {
-		x := []float64{0, -1, 1, 1e-300, 1e300, math.Inf(1), math.Inf(-1), math.NaN(), sim.now, sim.rng.Float64()}
+		x := []float64{0, -1, 1, 1e-300, 1e300, math.Inf(1), math.Inf(-1), math.NaN(), sim.now,
+			sim.rng.Float64()}
 		return x[sim.rng.Intn(len(x))]
 	}
 	weighed := func() router.WeightedMean { return router.WeightedMean{Mean: odd(), Weight: odd()} }
@@ -21,8 +22,8 @@
 		return router.EngineID(fmt.Sprint("x", sim.rng.Intn(3)))
 	}
 	for range sim.rng.Intn(12) {
-		m := router.EngineStatistics{At: odd(), Engine: engineID(), Slowdown: weighed(), ThreadsPerCore: odd(),
-			Outcomes: uint8(sim.rng.Intn(256)), PoolLeader: engineID()}
+		m := router.EngineStatistics{At: odd(), Engine: engineID(), Slowdown: weighed(),
+			ThreadsPerCore: odd(), Outcomes: uint8(sim.rng.Intn(256)), PoolLeader: engineID()}
 		if e := sim.engines[m.Engine]; e != nil && sim.rng.Intn(3) > 0 {
 			m.StartedAt = e.StartedAt
 		} else {
@@ -31,7 +32,8 @@
 		l.Engines = append(l.Engines, m)
 	}
 	for range sim.rng.Intn(12) {
-		m := router.TableStatistics{At: odd(), Tables: router.TableGroup(sim.rng.Intn(2*sim.Tables) - 2), Demand: odd(),
+		m := router.TableStatistics{At: odd(), Tables: router.TableGroup(sim.rng.Intn(2*sim.Tables) - 2),
+			Demand:     odd(),
 			MemoryTime: odd()}
 		for range sim.rng.Intn(5) {
 			m.PoolLeaders = append(m.PoolLeaders, engineID())
@@ -40,8 +42,8 @@
 	}
 	for range sim.rng.Intn(4) {
 		l.Classes = append(l.Classes, router.ClassStatistics{At: odd(),
-			Class: router.ClassID(sim.rng.Intn(len(sim.Settings.Classes)+2) - 1), FirstTryTimeout: odd(), UnloadedTime: odd(),
-			WorkScale: weighed(), MemoryScale: weighed()})
+			Class: router.ClassID(sim.rng.Intn(len(sim.Settings.Classes)+2) - 1), FirstTryTimeout: odd(),
+			UnloadedTime: odd(), WorkScale: weighed(), MemoryScale: weighed()})
 	}
 	for range sim.rng.Intn(3) {
 		l.Traffic = append(l.Traffic, router.TrafficStatistics{At: odd(), Share: weighed()})
--- a/internal/lab/simulation/norace_test.go
+++ b/internal/lab/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const worldsPlayed = 240
+const simulationsPlayed = 240
--- a/internal/lab/simulation/queries.go
+++ b/internal/lab/simulation/queries.go
@@ -11,14 +11,14 @@
 
 // query is one that a controller owes an answer, or that has an attempt without an outcome.
 type query struct {
-	id       router.QueryID
-	class    router.ClassID
-	work     float64 // ms on one thread, in truth
-	over     bool    // its client has an answer, or has left
-	began    bool    // its answer has begun
-	attempts []*attempt
-	needMB   float64 // as estimated
-	estimate float64 // of its work; 0: none
+	id              router.QueryID
+	class           router.ClassID
+	work            float64 // ms on one thread, in truth
+	done            bool    // its client has an answer, or has left
+	responseStarted bool    // its response has started
+	attempts        []*attempt
+	needMB          float64 // as estimated
+	estimate        float64 // of its work; 0: none
 }
 
 // attempt is one attempt of a query at an engine.
@@ -38,7 +38,7 @@
 	return list
 }
 
-// randomKey draws an order key.
+// randomKey draws an ordering key.
 func (sim *simulation) randomKey() router.OrderingKey {
 	return router.OrderingKey(fmt.Sprint("k", sim.rng.Intn(sim.Keys)))
 }
@@ -51,28 +51,30 @@
 	}
 	class := router.ClassID(sim.rng.Intn(len(sim.Settings.Classes)))
 	sim.serial++
-	q := &query{id: sim.serial, class: class, work: sim.Work[class] * (0.75 + 0.5*sim.rng.Float64())}
+	q := &query{id: sim.serial, class: class,
+		work: sim.MeanWork[class] * (0.75 + 0.5*sim.rng.Float64())}
 	ev, left := sim.drawArrival(q)
 	q.estimate, q.needMB = ev.EstimatedWork, ev.EstimatedMemoryMB
-	if sim.Rekeyed && sim.rng.Intn(3) == 0 {
+	if sim.ExtraKeys && sim.rng.Intn(3) == 0 {
 		ev.MoreKeys = []router.OrderingKey{sim.randomKey()}
 	}
-	c.queries[q.id], sim.works[q.id] = q, q.work
+	c.queries[q.id], sim.workOf[q.id] = q, q.work
 	sim.deliver(c, ev)
-	if sim.rng.Float64() >= sim.Leaves {
+	if sim.rng.Float64() >= sim.DisconnectShare {
 		return
 	}
 	sim.afterFor(c, sim.rng.Float64()*left, func() {
-		if q.over {
+		if q.done {
 			return
 		}
-		q.over = true
+		q.done = true
 		sim.deliver(c, router.ClientDisconnected{ID: q.id})
 		sim.forgetIfDone(c, q)
 	})
 }
 
-// drawArrival draws what a controller is told of a query, and the time, in ms, until its client gives up.
+// drawArrival draws what a controller learns of a query, and the time, in ms, until its client
+// gives up.
 func (sim *simulation) drawArrival(q *query) (ev router.QueryArrived, left float64) {
 	f := &sim.Settings
 	left = f.Classes[q.class].ClientTimeout * (0.2 + 0.8*sim.rng.Float64())
@@ -88,28 +90,30 @@
 	if sim.rng.Intn(2) == 0 {
 		ev.EstimatedWork = q.work * (0.85 + 0.3*sim.rng.Float64())
 		ev.EstimatedMemoryMB = 10 + sim.rng.Float64()*100
-		if sim.Absurd && sim.rng.Intn(3) == 0 {
-			ev.EstimatedWork, ev.EstimatedMemoryMB = q.work*math.Exp(3*sim.rng.Float64()), sim.rng.Float64()*1e6
+		if sim.ImpossibleReports && sim.rng.Intn(3) == 0 {
+			ev.EstimatedWork, ev.EstimatedMemoryMB = q.work*math.Exp(3*sim.rng.Float64()),
+				sim.rng.Float64()*1e6
 		}
 	}
-	if sim.Narrowed && sim.rng.Intn(3) == 0 { // as an operator's rules may
+	if sim.NarrowedQueries && sim.rng.Intn(3) == 0 { // as an operator's rules may
 		ev.EstimateCap = q.work * sim.rng.Float64() / 20
-		ev.Hot, ev.Kinds = sim.rng.Intn(2) == 0, []router.KindID{router.KindID(sim.rng.Intn(len(f.Kinds)))}
+		ev.Hot, ev.Kinds = sim.rng.Intn(2) == 0,
+			[]router.KindID{router.KindID(sim.rng.Intn(len(f.Kinds)))}
 		if sim.rng.Intn(3) == 0 {
 			ev.Kinds, ev.Zones = nil, []router.Zone{router.Zone(fmt.Sprint("z", sim.rng.Intn(sim.Zones)))}
 		}
 	}
-	if sim.Pressed {
+	if sim.ArrivalWaits {
 		ev.ArrivalWait = 40 * sim.rng.ExpFloat64()
 	}
-	if sim.Lined && sim.rng.Intn(2) == 0 {
+	if sim.ClientQueues && sim.rng.Intn(2) == 0 {
 		ev.ClientQueueTime = sim.rng.Float64() * 0.7 * left
 		left -= ev.ClientQueueTime * sim.rng.Float64()
 	}
 	return ev, left
 }
 
-// addKeys gives most open queries of a controller one more order key each.
+// addKeys gives most open queries of a controller one more ordering key each.
 func (sim *simulation) addKeys() {
 	c := sim.randomController()
 	if !c.up {
@@ -122,7 +126,7 @@
 	}
 }
 
-// startAttempt sends a query to an engine, and schedules what becomes of it.
+// startAttempt starts an attempt on an engine, and schedules what becomes of it.
 func (sim *simulation) startAttempt(c *controller, q *query, a router.StartAttempt) {
 	e := sim.engines[a.Engine]
 	q.attempts = append(q.attempts, &attempt{engine: e, at: sim.now})
@@ -130,7 +134,8 @@
 	latency := 0.2 + sim.rng.Float64()*2
 	known, talked := c.process[e.Engine]
 	switch {
-	case c.expired && (!talked || known != e.serial): // no connection may be opened then, and none is up
+	// no connection may be opened then, and none is up
+	case c.expired && (!talked || known != e.serial):
 		sim.scheduleOutcome(c, q, n, latency, router.NotSent)
 		return
 	case e.gone:
@@ -143,10 +148,12 @@
 		sim.scheduleOutcome(c, q, n, latency, router.EngineFull)
 		return
 	}
-	took := q.work / sim.Settings.Classes[q.class].Threads * e.slowness * (1 + sim.rng.ExpFloat64()*0.3)
+	took := q.work / sim.Settings.Classes[q.class].Threads * e.slowness *
+		(1 + sim.rng.ExpFloat64()*0.3)
 	outcome := router.Succeeded
-	if sim.rng.Float64() < sim.Bad*e.errorFactor {
-		outcome = []router.Outcome{router.Errored, router.EngineFull, router.TimedOut, router.ConnectFailed, router.ConnectionReset,
+	if sim.rng.Float64() < sim.FailureShare*e.errorFactor {
+		outcome = []router.Outcome{router.Errored, router.EngineFull, router.TimedOut,
+			router.ConnectFailed, router.ConnectionReset,
 			router.NotSent}[sim.rng.Intn(6)]
 		took *= sim.rng.Float64() * 2
 	}
@@ -154,7 +161,7 @@
 		took = math.Inf(1)
 	}
 	if sim.rng.Intn(20) == 0 {
-		sim.scheduleBegin(c, q, n, latency+min(took, a.Deadline-sim.now)*sim.rng.Float64())
+		sim.scheduleResponseStart(c, q, n, latency+min(took, a.Deadline-sim.now)*sim.rng.Float64())
 	}
 	if late := a.Deadline - sim.now; latency+took > late {
 		sim.scheduleOutcome(c, q, n, max(0, late), router.TimedOut)
@@ -166,12 +173,12 @@
 	}
 }
 
-// scheduleBegin has the answer of an attempt begin after a delay, in ms, if the query is still open and has no other
-// attempt: no other one may be made then.
-func (sim *simulation) scheduleBegin(c *controller, q *query, n int, delay float64) {
+// scheduleResponseStart has the response of an attempt start after a delay, in ms, if the query is
+// still open and has no other attempt: no other one may be made then.
+func (sim *simulation) scheduleResponseStart(c *controller, q *query, n int, delay float64) {
 	sim.afterFor(c, delay, func() {
-		if !q.over && !q.attempts[n].ended && len(q.attempts) == 1 && !q.began {
-			q.began = true
+		if !q.done && !q.attempts[n].ended && len(q.attempts) == 1 && !q.responseStarted {
+			q.responseStarted = true
 			sim.deliver(c, router.ResponseStarted{ID: q.id, Attempt: router.AttemptID(n)})
 		}
 	})
@@ -184,30 +191,34 @@
 			return
 		}
 		what, level := router.ProgressKind(sim.rng.Intn(5)), sim.rng.Float64()
-		if sim.Absurd {
+		if sim.ImpossibleReports {
 			level = []float64{level, -1, 1e9, 0, 1e-9}[sim.rng.Intn(5)]
 		}
-		sim.deliver(c, router.AttemptProgress{ID: q.id, Attempt: router.AttemptID(n), Kind: what, Value: level})
+		sim.deliver(c, router.AttemptProgress{ID: q.id, Attempt: router.AttemptID(n), Kind: what,
+			Value: level})
 		sim.scheduleProgress(c, q, n, interval)
 	})
 }
 
 // scheduleOutcome gives an attempt its outcome after a delay, in ms, unless it has one by then.
-func (sim *simulation) scheduleOutcome(c *controller, q *query, n int, delay float64, outcome router.Outcome) {
+func (sim *simulation) scheduleOutcome(c *controller, q *query, n int, delay float64,
+	outcome router.Outcome) {
 	sim.afterFor(c, delay, func() {
 		a := q.attempts[n]
 		if a.ended {
 			return
 		}
-		if outcome == router.TimedOut && q.began { // an answer that has begun has no timeout
-			sim.scheduleOutcome(c, q, n, sim.rng.Float64()*1000, []router.Outcome{router.Succeeded, router.ConnectionReset}[sim.rng.Intn(2)])
+		if outcome == router.TimedOut && q.responseStarted { // a response that has started has no timeout
+			sim.scheduleOutcome(c, q, n, sim.rng.Float64()*1000,
+				[]router.Outcome{router.Succeeded, router.ConnectionReset}[sim.rng.Intn(2)])
 			return
 		}
 		a.ended = true
-		if outcome == router.Succeeded || q.began {
-			q.over = true // the answer went to the client, or broke off on its way
+		if outcome == router.Succeeded || q.responseStarted {
+			q.done = true // the answer went to the client, or broke off on its way
 		}
-		ev := router.AttemptEnded{ID: q.id, Attempt: router.AttemptID(n), Outcome: outcome, QueryDone: q.over, Elapsed: sim.now - a.at}
+		ev := router.AttemptEnded{ID: q.id, Attempt: router.AttemptID(n), Outcome: outcome,
+			QueryDone: q.done, Elapsed: sim.now - a.at}
 		if sim.rng.Intn(2) == 0 {
 			ev.Load = sim.loadReport(a.engine)
 		}
@@ -222,14 +233,14 @@
 // finish takes in that a controller has given the final answer.
 func (sim *simulation) finish(c *controller, id router.QueryID) {
 	if q := c.queries[id]; q != nil {
-		q.over = true
+		q.done = true
 		sim.forgetIfDone(c, q)
 	}
 }
 
 // forgetIfDone drops a query that is answered and has no attempt without an outcome.
 func (sim *simulation) forgetIfDone(c *controller, q *query) {
-	if q.over && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.ended }) {
+	if q.done && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(c.queries, q.id)
 	}
 }
--- a/internal/lab/simulation/race_test.go
+++ b/internal/lab/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// The detector makes worlds ten times as dear, and a world has one goroutine.
-const worldsPlayed = 24
+// The race detector makes a simulation ten times as expensive, and one runs on one goroutine.
+const simulationsPlayed = 24
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,6 +1,7 @@
-// Package simulation simulates random fleets in virtual time: several controllers at once on one fleet, with the module driven
-// by its interface alone, through troubles that no bench draws together. It asks for no quality, only for the rules,
-// which internal/lab/checker checks. One spec is one history: the same spec gives the same breaches.
+// Package simulation simulates random fleets in virtual time: several controllers at once with one
+// set of engines, the module driven by its interface alone, through faults that no bench combines.
+// It asks for no quality, only for the rules, which internal/lab/checker checks. One spec is one
+// history: the same spec gives the same breaches.
 package simulation
 
 import (
@@ -22,8 +23,8 @@
 // What there may be to restore.
 const (
 	Nothing   Memory = iota
-	Persisted        // what the earlier incarnation had learned, aged as in service
-	Hostile          // anything, at any time
+	Persisted        // the statistics of the earlier incarnation, aged as in service
+	Hostile          // any values, at any time
 )
 
 // Spec is a simulation by its settings. Times are ms, rates are for each second.
@@ -33,28 +34,30 @@
 	Engines     int
 	Length      float64
 	Rate        float64 // queries of all controllers together
-	Unequal     float64 // 0: all controllers get as much; 1: most get next to nothing
+	Imbalance   float64 // 0: all controllers get as much; 1: most get next to nothing
 	Keys        int
 	Tables      int
 	Settings    checker.Settings
 	Zones       int
 	Cells       int
-	Work        []float64 // by profile: mean work on one thread
-	Ticks       bool      // steps come on the ticks of a round, as in the simulator, else as things happen
+	MeanWork    []float64 // by class: mean work in ms on one thread
+	// steps come at multiples of the event interval, as in the simulator, else as things happen
+	StepOnTicks bool
 
 	Kills, Stops           float64 // of controllers
 	Drains, Deaths, Starts float64 // of engines; starts of new ones, or anew under an old id
 	Outages                float64 // of the list, at one controller
-	Leaves                 float64 // share of queries whose client leaves
-	ListLag                float64 // the longest until a controller receives a change
-	Bad                    float64 // share of attempts that fail
-	Young                  bool    // all engines have just started
-	Narrowed               bool    // queries come narrowed to kinds or zones, or said to be hot
-	Rekeyed                bool    // queries have several order keys, and are given more
-	Pressed                bool    // queries have waited before a controller looks at them
-	Lined                  bool    // or in a line at their client, which eats of the time that they name
-	Absurd                 bool    // reports, notes and estimates that can't be
-	Memory                 Memory
+	DisconnectShare        float64 // share of queries whose client leaves
+	MaxListLag             float64 // the longest until a controller receives a change
+	FailureShare           float64 // share of attempts that fail
+	AllWarming             bool    // all engines have just started
+	NarrowedQueries        bool    // queries come narrowed to kinds or zones, or said to be hot
+	ExtraKeys              bool    // queries have several ordering keys, and are given more
+	ArrivalWaits           bool    // queries have waited before a controller looks at them
+	// or in a queue at their client, which takes part of the time that they name
+	ClientQueues      bool
+	ImpossibleReports bool // reports, progress and estimates that can't be true
+	Memory            Memory
 }
 
 // Result is what came of a simulation.
@@ -71,7 +74,7 @@
 		make:    start,
 		checker: checker.New(s.Settings),
 		engines: map[router.EngineID]*engine{},
-		works:   map[router.QueryID]float64{},
+		workOf:  map[router.QueryID]float64{},
 		result:  &Result{},
 	}
 	sim.result.Checker = sim.checker
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -19,55 +19,60 @@
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.nofailfile", "true")
-	if worldsPlayed < 100 {
+	if simulationsPlayed < 100 {
 		flag.Set("rapid.checks", "10")
 	}
 	os.Exit(m.Run())
 }
 
-// The seven rules hold in any world, with any memory; what breaks one is shrunk.
+// The seven rules hold in any simulation, with any restored statistics; what breaks one is shrunk.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Drawn().Draw(t, "world")
+		s := Generator().Draw(t, "world")
 		for _, b := range Play(s, s.Module).Breaches() {
 			t.Errorf("%v", b)
 		}
 	})
 }
 
-// The same over many worlds, several at a time. Together they must do what rules are about, or they show nothing.
-func TestManyWorlds(t *testing.T) {
-	const worlds, parts = worldsPlayed, 8
-	var results [worlds]*Result
-	t.Run("worlds", func(t *testing.T) {
+// The same over many simulations, several at a time. Together they must reach what the rules are
+// about, or they show nothing.
+func TestManySimulations(t *testing.T) {
+	const simulations, parts = simulationsPlayed, 8
+	var results [simulations]*Result
+	t.Run("simulations", func(t *testing.T) {
 		for part := range parts {
 			t.Run(fmt.Sprint(part), func(t *testing.T) {
 				t.Parallel()
-				for seed := part; seed < worlds; seed += parts {
+				for seed := part; seed < simulations; seed += parts {
 					s := FromSeed(seed)
 					results[seed] = Play(s, s.Module)
 					for _, b := range results[seed].Breaches() {
-						t.Errorf("world %d: %v", seed, b)
+						t.Errorf("simulation %d: %v", seed, b)
 					}
 				}
 			})
 		}
 	})
-	var further, cold, sheds, fails, restarts int
+	var retries, slowStart, rejected, failed, restarts int
 	for _, r := range results {
-		further, cold, sheds = further+r.Retries, cold+r.SlowStartAttempts, sheds+r.Rejections
-		fails, restarts = fails+r.Failures, restarts+r.Restarts
+		retries += r.Retries
+		slowStart += r.SlowStartAttempts
+		rejected += r.Rejections
+		failed += r.Failures
+		restarts += r.Restarts
 	}
-	if worlds < 100 { // a few may be quiet ones
+	if simulations < 100 { // a few may be quiet ones
 		return
 	}
-	if further < 300 || cold < 300 || sheds < 10000 || fails < 100 || restarts < 40 {
-		t.Errorf("too little happens: %d further sends, %d to cold engines, %d shed, %d failed, %d restarts", further,
-			cold, sheds, fails, restarts)
+	if retries < 300 || slowStart < 300 || rejected < 10000 || failed < 100 || restarts < 40 {
+		t.Errorf("too little happens: %d retries, %d attempts on warming engines, %d rejected, %d failed, "+
+			"%d restarts",
+			retries, slowStart, rejected, failed, restarts)
 	}
 }
 
-// One spec is one history, and whether anyone takes out what was learned changes nothing.
+// One spec is one history, and whether its statistics are exported changes nothing.
 func TestSameActions(t *testing.T) {
 	for _, seed := range []int{2, 3, 7, 19} {
 		s := FromSeed(seed)
@@ -75,26 +80,26 @@
 		var logs [2][]string
 		for i := range logs {
 			Play(s, func(seed int64, place router.Identity) Controller {
-				return &scribe{Controller: s.Module(seed, place), log: &logs[i], takes: i == 1}
+				return &scribe{Controller: s.Module(seed, place), log: &logs[i], exports: i == 1}
 			})
 		}
 		if len(logs[0]) < 100 || !slices.Equal(logs[0], logs[1]) {
-			t.Errorf("world %d: %d and %d steps, or other actions", seed, len(logs[0]), len(logs[1]))
+			t.Errorf("simulation %d: %d and %d steps, or other actions", seed, len(logs[0]), len(logs[1]))
 		}
 	}
 }
 
-// scribe writes down what a controller does.
+// scribe logs the actions of a controller.
 type scribe struct {
 	Controller
-	log   *[]string
-	takes bool
+	log     *[]string
+	exports bool
 }
 
 func (s *scribe) Step(now float64, events []router.Event) []router.Action {
 	actions := s.Controller.Step(now, events)
 	*s.log = append(*s.log, fmt.Sprint(now, actions))
-	if s.takes {
+	if s.exports {
 		s.Statistics(router.Cursor{}, 1000)
 	}
 	return actions
@@ -119,37 +124,42 @@
 	return slices.DeleteFunc(slices.Clone(actions), fits)
 }
 
-// Each rule is missed when a controller is made to break it.
+// Each rule is found broken when a controller is made to break it.
 func TestBrokenControllers(t *testing.T) {
-	if worldsPlayed < 100 || testing.Short() {
-		t.Skip("one goroutine, and too slow under the race detector; tells of the worlds, not of the module")
+	if simulationsPlayed < 100 || testing.Short() {
+		t.Skip("one goroutine, and too slow under the race detector; " +
+			"is about the simulations, not about the module")
 	}
-	isShed := func(a router.Action) bool { _, ok := a.(router.Reject); return ok }
+	isRejection := func(a router.Action) bool { _, ok := a.(router.Reject); return ok }
 	for _, c := range []struct {
 		name   string
 		rule   checker.Rule
-		change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
+		change func(b *broken, now float64, events []router.Event,
+			actions []router.Action) []router.Action
 	}{
-		{"sheds nothing", checker.FinalAnswer, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-			return drop(a, isShed)
-		}},
-		{"sheds twice", checker.FinalAnswer, func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-			for _, action := range a {
-				if isShed(action) {
-					return append(a, action)
+		{"rejects nothing", checker.FinalAnswer,
+			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				return drop(a, isRejection)
+			}},
+		{"rejects twice", checker.FinalAnswer,
+			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				for _, action := range a {
+					if isRejection(action) {
+						return append(a, action)
+					}
 				}
-			}
-			return a
-		}},
-		{"sheds what is out", checker.SingleEffect, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-			for _, action := range a {
-				if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
-					return append(a, router.Reject{ID: s.ID})
+				return a
+			}},
+		{"rejects a query with an attempt", checker.SingleEffect,
+			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				for _, action := range a {
+					if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
+						return append(a, router.Reject{ID: s.ID})
+					}
 				}
-			}
-			return a
-		}},
-		{"sends all that it sends anew at once", checker.SingleEffect,
+				return a
+			}},
+		{"starts each attempt twice at once", checker.SingleEffect,
 			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok {
@@ -158,7 +168,7 @@
 				}
 				return a
 			}},
-		{"sends to engines that left", checker.Draining,
+		{"uses engines that drain or are gone", checker.Draining,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
@@ -171,11 +181,11 @@
 				}
 				return b.aim(a, b.listed)
 			}},
-		{"sends all to one engine", checker.Placement,
+		{"uses one engine for all", checker.Placement,
 			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				return b.aim(a, "e00")
 			}},
-		{"knows nothing of cold engines", checker.SlowStart,
+		{"ignores slow start", checker.SlowStart,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
@@ -188,11 +198,12 @@
 				}
 				return b.aim(a, b.listed)
 			}},
-		{"sends what is ahead of its turn", checker.Ordering,
+		{"starts a query before its turn", checker.Ordering,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if arrived, ok := ev.(router.QueryArrived); ok && b.listed != "" {
-						return append(a, router.StartAttempt{ID: arrived.ID, Engine: b.listed, Deadline: arrived.TimeLeft})
+						return append(a, router.StartAttempt{ID: arrived.ID, Engine: b.listed,
+							Deadline: arrived.TimeLeft})
 					}
 				}
 				for _, action := range a {
@@ -202,10 +213,11 @@
 				}
 				return a
 			}},
-		{"sends as often as it likes", checker.RetryBudget,
+		{"ignores the retry budget", checker.RetryBudget,
 			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
-					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" && !e.QueryDone {
+					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" &&
+						!e.QueryDone {
 						a = append(a, router.StartAttempt{ID: e.ID, Engine: b.sent[e.ID]})
 					}
 				}
@@ -216,12 +228,13 @@
 				}
 				return a
 			}},
-		{"names what it has not", checker.Contract, func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-			if b.n == 100 {
-				return append(a, router.Fail{ID: 1 << 30})
-			}
-			return a
-		}},
+		{"names an unknown query", checker.Contract,
+			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				if b.n == 100 {
+					return append(a, router.Fail{ID: 1 << 30})
+				}
+				return a
+			}},
 	} {
 		found := 0
 		for seed := range 120 {
@@ -240,12 +253,12 @@
 			}
 		}
 		if found < 3 {
-			t.Errorf("%s: %d worlds find rule %v broken", c.name, found, c.rule)
+			t.Errorf("%s: %d simulations find rule %v broken", c.name, found, c.rule)
 		}
 	}
 }
 
-// aim sends all to one engine, whatever the module chose.
+// aim starts all on one engine, whatever the module chose.
 func (b *broken) aim(actions []router.Action, to router.EngineID) []router.Action {
 	out := slices.Clone(actions)
 	for i, action := range out {
@@ -257,7 +270,7 @@
 	return out
 }
 
-// A world is drawn the same by the same seed.
+// The same seed draws the same simulation.
 func TestFromSeed(t *testing.T) {
 	if a, b := FromSeed(5), FromSeed(5); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
--- a/internal/lab/simulation/steps.go
+++ b/internal/lab/simulation/steps.go
@@ -9,7 +9,8 @@
 	"mintkeel/router"
 )
 
-// simulation is a Spec that is being played. All is drawn from one generator, in the order of virtual time.
+// simulation is a Spec that is being played. All is drawn from one generator, in the order of
+// virtual time.
 type simulation struct {
 	Spec
 	rng         *rand.Rand
@@ -22,7 +23,7 @@
 	controllers []*controller
 	weights     []float64 // of controllers, in arrivals
 	serial      router.QueryID
-	works       map[router.QueryID]float64
+	workOf      map[router.QueryID]float64
 	result      *Result
 }
 
@@ -34,8 +35,8 @@
 // after schedules an event after a delay, in ms.
 func (sim *simulation) after(delay float64, do func()) { sim.at(sim.now+delay, do) }
 
-// afterFor schedules an event of a controller after a delay, in ms. It is void if the controller is another incarnation by
-// then, or down.
+// afterFor schedules an event of a controller after a delay, in ms. It is void if the controller is
+// another incarnation by then, or down.
 func (sim *simulation) afterFor(c *controller, delay float64, do func()) {
 	incarnation := c.incarnation
 	sim.after(delay, func() {
@@ -80,7 +81,7 @@
 	sim.now = start
 	for range sim.Engines {
 		since := 0.0
-		if sim.Young {
+		if sim.AllWarming {
 			since = sim.now - sim.rng.Float64()*sim.Settings.Limits.SlowStartTime/2
 		}
 		sim.addEngine(since)
@@ -88,10 +89,10 @@
 	for n := range sim.Controllers {
 		c := &controller{number: n}
 		sim.controllers = append(sim.controllers, c)
-		sim.weights = append(sim.weights, math.Exp(-sim.Unequal*8*float64(n)/float64(sim.Controllers)))
+		sim.weights = append(sim.weights, math.Exp(-sim.Imbalance*8*float64(n)/float64(sim.Controllers)))
 		sim.startController(c)
 	}
-	sim.scheduleTroubles()
+	sim.scheduleFaults()
 }
 
 // randomController draws a controller.
@@ -99,8 +100,8 @@
 	return sim.controllers[sim.rng.Intn(sim.Controllers)]
 }
 
-// scheduleTroubles schedules queries and troubles at the rates of the Spec.
-func (sim *simulation) scheduleTroubles() {
+// scheduleFaults schedules queries and faults at the rates of the Spec.
+func (sim *simulation) scheduleFaults() {
 	sim.poisson(sim.Rate, sim.arriveQuery)
 	sim.poisson(sim.Kills, func() { sim.killController(sim.randomController()) })
 	sim.poisson(sim.Stops, func() { sim.stopController(sim.randomController()) })
@@ -114,16 +115,16 @@
 		}
 	})
 	sim.poisson(sim.Outages, func() { sim.interruptDiscovery(sim.randomController()) })
-	if sim.Rekeyed { // as when rules change
+	if sim.ExtraKeys { // as when rules change
 		sim.poisson(3, sim.addKeys)
 	}
 	if sim.Memory == Persisted {
-		sim.saveLearned()
+		sim.saveStatistics()
 	}
 	if sim.Memory == Hostile {
 		sim.poisson(2, func() {
 			if c := sim.randomController(); c.up {
-				sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileLearned()})
+				sim.deliver(c, router.StatisticsRestored{Statistics: sim.hostileStatistics()})
 			}
 		})
 	}
--- a/internal/lab/simulation/twin_test.go
+++ b/internal/lab/simulation/twin_test.go
@@ -8,19 +8,20 @@
 	"mintkeel/router"
 )
 
-// The module orders what it did before its structures for a thousand engines, event by event: in every world, and in
-// some made larger, where all is full, queues are long and engines come and go by the dozen.
+// The module takes the actions that it took before its structures for a thousand engines, event by
+// event: in every simulation, and in some made larger, where all is full, queues are long and
+// engines come and go by the dozen.
 func TestAsReference(t *testing.T) {
-	const worlds, parts = worldsPlayed, 8
+	const simulations, parts = simulationsPlayed, 8
 	for part := range parts {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
-			for seed := part; seed < worlds; seed += parts {
+			for seed := part; seed < simulations; seed += parts {
 				s := FromSeed(seed)
-				s.Pressed = false // the reference knows nothing of waits
-				name := "world"
+				s.ArrivalWaits = false // the reference has no admission by waits
+				name := "simulation"
 				if seed%12 == 3 {
-					s, name = s.Larger(), "larger world"
+					s, name = s.Larger(), "larger simulation"
 				}
 				Play(s, s.twin(func(step int, now float64, module, old []router.Action) {
 					t.Errorf("%s %d, step %d at %v: %s", name, seed, step, now, reference.Difference(module, old))
@@ -31,7 +32,8 @@
 }
 
 // twin makes controllers of the module beside the reference.
-func (s Spec) twin(differs func(step int, now float64, module, old []router.Action)) func(int64, router.Identity) Controller {
+func (s Spec) twin(differs func(step int, now float64, module,
+	old []router.Action)) func(int64, router.Identity) Controller {
 	return func(seed int64, place router.Identity) Controller {
 		f := s.Settings
 		t := reference.NewTwin(seed, place, f.Kinds, f.Classes, nil, f.Capabilities, f.Limits)
