--- a/internal/lab/layout/layout_test.go
+++ b/internal/lab/layout/layout_test.go
@@ -13,8 +13,8 @@
 // longTables are functions that are longer than a function may be, with their lengths: they are tables, read from top to
 // bottom, and may only become shorter.
 var longTables = map[string]int{
-	"internal/lab/exprs/exprs.go boolean":  92, // kinds of expression
-	"internal/lab/exprs/exprs.go number":   69, // kinds of expression
+	"internal/lab/exprs/exprs.go boolean": 92, // kinds of expression
+	"internal/lab/exprs/exprs.go number":  69, // kinds of expression
 }
 
 // readAll reads all sources but the former decision module that today's is compared with.
