--- a/internal/core/fleet/config/alive.go
+++ b/internal/core/fleet/config/alive.go
@@ -11,7 +11,7 @@
 
 // aliveMembers is the list of alive members, this controller among them, as of a short time ago.
 type aliveMembers struct {
-	refreshedAt float64
+	refreshedAt float64      // ms
 	ids         []members.ID // sorted
 	relays      []members.ID // those of ids that collect reports
 }
@@ -34,7 +34,7 @@
 	r.alive.relays = relaysOf(r.alive.ids)
 }
 
-// drawAlive draws a number of alive members other than this controller.
+// drawAlive draws count alive members other than this controller, or all if there are fewer.
 func (r *Replica) drawAlive(count int) (picked []members.ID) {
 	r.refreshAlive()
 	ids := r.alive.ids
--- a/internal/core/fleet/config/announce.go
+++ b/internal/core/fleet/config/announce.go
@@ -20,7 +20,7 @@
 type announcement struct {
 	summary    Summary
 	pushesLeft int
-	nextPushAt float64
+	nextPushAt float64 // ms
 }
 
 // next returns when the next push is due.
@@ -48,8 +48,11 @@
 	if r.votes() && r.env.State().Newest() < r.newest.Number {
 		return // a voter announces only what its own state has, as that has the author and reason
 	}
-	r.announcement = announcement{summary: r.newest.summary(), pushesLeft: maxPushes,
-		nextPushAt: r.now}
+	r.announcement = announcement{
+		summary:    r.newest.summary(),
+		pushesLeft: maxPushes,
+		nextPushAt: r.now,
+	}
 	r.sendPushes()
 }
 
@@ -67,8 +70,8 @@
 	}
 }
 
-// handleSummary handles which version a member has, and tells whether that is news. A lower number,
-// or the same again, is none.
+// handleSummary handles the newest version that a member announces, and reports whether anything
+// changed by it. A lower number, or the same again, changes nothing.
 func (r *Replica) handleSummary(from members.ID, s Summary) bool {
 	switch {
 	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
@@ -88,7 +91,7 @@
 	return true
 }
 
-// contradicts tells whether another document is known here by the same number.
+// contradicts reports whether another document is known here by the same number.
 func (r *Replica) contradicts(s Summary) bool {
 	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
 		if v.Number == s.Number && v.summary() != s {
--- a/internal/core/fleet/config/apply.go
+++ b/internal/core/fleet/config/apply.go
@@ -16,30 +16,30 @@
 	current     Version  // in force
 	persisted   Version  // durably to be in force at a start
 	passedCheck Version  // the last one that passed the check
-	applying    *Version // an ApplyRequest is out
-	retryAt     float64  // of applying
+	applying    *Version // of the ApplyRequest that is not answered yet
+	retryAt     float64  // ms, when applying is tried again
 
 	rejected   Version  // the latest that can't be used here
-	reason     string   // why
+	reason     string   // why rejected can't be used
 	rejections []uint64 // the last numbers that can't be used here
 
 	stuck       Version // a later one that could not be stored or applied yet
-	stuckReason string  // why
+	stuckReason string  // why stuck is not in force
 }
 
 // handled returns the highest number that is in force or rejected here.
 func (a *application) handled() uint64 { return max(a.current.Number, a.rejected.Number) }
 
-// isApplicable tells whether a version is later than the one in force and not rejected.
+// isApplicable reports whether a version is later than the one in force and not rejected.
 func (a *application) isApplicable(v Version) bool {
 	return v.Number > a.current.Number && !slices.Contains(a.rejections, v.Number)
 }
 
-// hasPassed tells whether a version passed the check here.
+// hasPassed reports whether a version passed the check here.
 func (a *application) hasPassed(v Version) bool { return a.passedCheck.summary() == v.summary() }
 
-// nextVersion returns the version to be applied next: the newest whose document is here or, if that
-// is rejected, the one before it; false: there is none.
+// nextVersion returns the version to be applied next: the newest one that has its document here or,
+// if that is rejected, the one before it; false: there is none.
 func (r *Replica) nextVersion() (Version, bool) {
 	if r.application.isApplicable(r.newest) {
 		return r.newest, true
@@ -147,12 +147,3 @@
 	}
 	return next
 }
-
-// Readiness tells whether this controller has the latest version.
-func (r *Replica) Readiness() Readiness {
-	return Readiness{
-		Confirmed: r.startup.confirmed,
-		Number:    r.application.current.Number,
-		Latest:    max(r.target.Number, r.application.current.Number, r.startup.latest),
-	}
-}
--- a/internal/core/fleet/config/apply_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -10,10 +10,7 @@
 // A controller is killed after a version was stored as the current one and before it was applied.
 // It has the version in force at its next start.
 func TestKilledBetweenStoredAndApplied(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[7], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 7)
 	victim := f.all[6]
 	f.onStored = func(c *controller, request *StoreRequest) {
 		if c == victim && request.Current != nil {
@@ -38,10 +35,7 @@
 // A controller is killed while it stores the document. It starts with the version before, and
 // catches up.
 func TestKilledWhileStoringDocument(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[7], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 7)
 	victim := f.all[6]
 	f.put(f.all[7], randomDocument(100000, 1), 1)
 	f.runUntil(5000, func() bool { return victim.storing })
@@ -115,10 +109,7 @@
 
 // A controller starts on an older copy of its folder. It catches up, and never goes back within a run.
 func TestOlderCopyOfFolderCatchesUp(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[7], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 7)
 	copies := map[*controller]*folder{}
 	for _, c := range []*controller{f.all[1], f.all[6]} {
 		copies[c] = c.folder.copy()
@@ -140,10 +131,7 @@
 // A newcomer reaches one member alone, which has an older version. It applies that, is not
 // confirmed, and catches up when it reaches the others.
 func TestNewcomerWithOldPeerIsNotConfirmed(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[7], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 7)
 	old := f.all[6]
 	f.cut([]*controller{old}, 1)
 	f.putAgreed(f.all[7], []byte("two"), 1)
@@ -186,10 +174,7 @@
 // One in ten controllers can't use a document. They keep the version before and report it, serve
 // the document all the same, and apply the next version.
 func TestOneInTenRejectsVersion(t *testing.T) {
-	f := newFleet(t, 1, 60, 5)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 60, 5, 0)
 	var rest []*controller
 	for i, c := range f.all {
 		if i%10 == 9 {
@@ -241,10 +226,7 @@
 
 // Two versions come at once, the later of which can't be used here. The earlier one comes into force.
 func TestEarlierVersionAppliesIfLaterIsRejected(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 0)
 	c := f.all[7]
 	c.refuses = func(document []byte) error {
 		if string(document) == "three" {
@@ -269,10 +251,7 @@
 // TestApplyErrorIsRetriedOrRejects: a retryable error of applying a version is tried again, any
 // other rejects the version for good.
 func TestApplyErrorIsRetriedOrRejects(t *testing.T) {
-	f := newFleet(t, 1, 8, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 8, 3, 0)
 	retries, forGood := f.all[6], f.all[7]
 	tries := 0
 	retries.applyErr = func(Version) (error, bool) {
@@ -390,10 +369,7 @@
 
 // A member announces a version whose document nobody has. It must not keep real versions from coming.
 func TestForgedVersionIsAbandoned(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	for _, c := range f.all[1:] {
 		forged := &Summary{Number: 99, Hash: HashOf([]byte("phantom")), Size: 7}
 		c.replica.Receive(f.now, "n002", &Message{Summary: forged})
--- a/internal/core/fleet/config/relay.go
+++ b/internal/core/fleet/config/batches.go
@@ -11,7 +11,7 @@
 	sequence uint64
 	to       members.ID
 	ids      []members.ID
-	sentAt   float64
+	sentAt   float64 // ms
 }
 
 // markDirty has a report sent to the leader, unless this controller leads.
@@ -24,7 +24,7 @@
 	r.reports.flushAt = min(r.reports.flushAt, r.now+relayDelay)
 }
 
-// markDirtySince has all reports sent that were heard within a time.
+// markDirtySince has all reports sent that were heard within the last so many ms.
 func (r *Replica) markDirtySince(within float64) {
 	for _, h := range r.reports.known {
 		if h.heardAt > r.now-within {
@@ -122,7 +122,7 @@
 	s := &r.reports
 	if s.awaitedSequence != 0 && reply.Sequence == s.awaitedSequence && from == s.awaitedFrom {
 		s.awaitedSequence = 0
-		s.tries = 0
+		s.failedRelays = 0
 	}
 	acknowledged := func(b batch) bool { return b.sequence == reply.Sequence && b.to == from }
 	s.batches = slices.DeleteFunc(s.batches, acknowledged)
--- a/internal/core/fleet/config/candidate.go
+++ b/internal/core/fleet/config/candidate.go
@@ -18,7 +18,8 @@
 	// proposeRetry is the time in ms after which a proposal that the quorum did not accept is
 	// repeated.
 	proposeRetry = 200.0
-	// commitTimeout is the same for a proposal that was accepted and not agreed on.
+	// commitTimeout is the time in ms after which a proposal that the quorum accepted and has not
+	// agreed on is repeated.
 	commitTimeout = 2000.0
 )
 
@@ -31,12 +32,12 @@
 type candidate struct {
 	proposal  Proposal
 	origin    members.ID
-	arrivedAt float64
-	startedAt float64      // when it came to the head of the queue; 0: it waits
+	arrivedAt float64      // ms
+	startedAt float64      // ms, when it came to the head of the queue; 0: it waits
 	checked   bool         // its document passed the check here
 	heldBy    []members.ID // voters that have stored the document durably
-	holdAt    float64      // when the next HoldRequests are sent
-	proposeAt float64      // when it is proposed to the quorum next
+	holdAt    float64      // ms, when the next HoldRequests are sent
+	proposeAt float64      // ms, when it is proposed to the quorum next
 }
 
 // handlePropose handles another controller's proposal. A member that does not lead does not answer:
@@ -71,7 +72,7 @@
 	r.candidates = append(r.candidates, &candidate{proposal: p, origin: origin, arrivedAt: r.now})
 }
 
-// answerDecided answers a proposal if the agreed state shows how it ended, and tells whether it
+// answerDecided answers a proposal if the agreed state shows how it ended, and reports whether it
 // did. Once another version than the expected one is the newest, no entry of the log can make the
 // proposal a version.
 func (r *Replica) answerDecided(origin members.ID, p Proposal) bool {
@@ -102,8 +103,8 @@
 	r.send(to, Message{ProposeReply: &reply})
 }
 
-// advanceCandidates works on the first candidate whose document is here. A controller that does not
-// lead drops all: their origins send them to the next leader.
+// advanceCandidates works on the first candidate that has its document here. A controller that does
+// not lead drops all: their origins send them to the next leader.
 func (r *Replica) advanceCandidates() {
 	if !r.env.Leads() || !r.votes() {
 		for _, c := range r.candidates {
@@ -126,9 +127,9 @@
 	}
 }
 
-// fetchProposed has the documents of all candidates fetched, so that one whose document does not
-// come holds up no other. It drops a candidate whose document has not come in time: its origin may
-// have given it up.
+// fetchProposed has the documents of all candidates fetched, so that one without its document holds
+// up no other. It drops a candidate if its document has not come in time: its origin may have given
+// it up.
 func (r *Replica) fetchProposed() {
 	r.candidates = slices.DeleteFunc(r.candidates, func(c *candidate) bool {
 		v := &c.proposal.Version
@@ -145,8 +146,8 @@
 	r.runDownloads()
 }
 
-// selectCandidate moves the first candidate whose document is here to the head of the queue, and
-// returns the head.
+// selectCandidate moves the first candidate that has its document here to the head of the queue,
+// and returns the head.
 func (r *Replica) selectCandidate() *candidate {
 	hasDocument := func(c *candidate) bool { return r.documents.get(c.proposal.Version.Hash) != nil }
 	i := slices.IndexFunc(r.candidates, hasDocument)
@@ -157,7 +158,7 @@
 	return r.candidates[0]
 }
 
-// advanceCandidate does the next step of a candidate, and tells whether it has ended.
+// advanceCandidate does the next step of a candidate, and reports whether it has ended.
 func (r *Replica) advanceCandidate(c *candidate) bool {
 	if r.answerDecided(c.origin, c.proposal) {
 		return true
@@ -191,8 +192,8 @@
 }
 
 // awaitExpected handles a candidate that expects a version which this leader does not know, and
-// tells whether it has ended. A new leader may not have applied all yet, and the proposal may even
-// be agreed on already. Later there is no such version.
+// reports whether it has ended. A new leader may not have applied all yet, and the proposal may
+// even be agreed on already. Later there is no such version.
 func (r *Replica) awaitExpected(c *candidate) bool {
 	if r.now < r.leadsChangedAt+catchUpTime {
 		return false
@@ -205,8 +206,8 @@
 	return true
 }
 
-// checkCandidate tells whether the check of a candidate's document has ended, and why the document
-// can't be used.
+// checkCandidate reports whether the check of a candidate's document has ended, and why the
+// document can't be used.
 func (r *Replica) checkCandidate(v *Version, data []byte) (ended bool, err error) {
 	if len(data) != v.Size {
 		return true, errSize
@@ -241,8 +242,8 @@
 	}
 }
 
-// heldByMajority tells whether a majority of the voters has stored the document durably: each later
-// majority has one of them.
+// heldByMajority reports whether a majority of the voters has stored the document durably. Then
+// each later majority includes a voter that has it.
 func (r *Replica) heldByMajority(c *candidate) bool {
 	voters := r.env.Voters()
 	held := 0
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -7,8 +7,8 @@
 	results map[Hash]error // of checks that ended; a nil error: the document can be used
 }
 
-// checkEnded tells whether the check of a document has ended, and with which error. If it has not
-// been requested it is, unless another check is out.
+// checkEnded reports whether the check of a document has ended, and with which error. It requests a
+// check that has not ended, unless one is pending.
 func (r *Replica) checkEnded(h Hash) (ended bool, err error) {
 	err, ended = r.checks.results[h]
 	if ended {
@@ -41,7 +41,7 @@
 	}
 }
 
-// needsCheckResult tells whether the result of a check is still needed.
+// needsCheckResult reports whether the result of a check is still needed.
 func (r *Replica) needsCheckResult(h Hash) bool {
 	for _, c := range r.candidates {
 		if !c.checked && c.proposal.Version.Hash == h {
--- a/internal/core/fleet/config/describe.go
+++ b/internal/core/fleet/config/describe.go
@@ -1,9 +1,9 @@
 package config
 
-// isDescribed tells whether the author or reason of a version is known.
+// isDescribed reports whether the author or reason of a version is known.
 func (v *Version) isDescribed() bool { return v.Author+v.Reason != "" }
 
-// hasBoundedText tells whether the texts of a version that a member sent are within their bounds.
+// hasBoundedText reports whether the texts of a version that a member sent are within their bounds.
 func (v *Version) hasBoundedText() bool {
 	return len(v.Author) <= MaxAuthor && len(v.Reason) <= MaxReason && len(v.ID.Origin) <= maxIDBytes
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// addDescription adds what a member says of a version. It is for operators alone: nothing is
-// decided by it.
+// addDescription adds the description of a version that a member sent. It is for operators alone:
+// nothing is decided by it.
 func (r *Replica) addDescription(description *Version) {
 	if description == nil || !description.hasBoundedText() {
 		return
--- a/internal/core/fleet/config/doc.go
+++ b/internal/core/fleet/config/doc.go
@@ -22,7 +22,7 @@
 //     that restarts goes on with it.
 //   - Messages may be sent at once, and may be lost.
 //
-// At most one of each of Check, Store and Apply is out. [Replica.Tick] is called when
+// At most one of each of Check, Store and Apply is pending. [Replica.Tick] is called when
 // [Replica.Next] is reached, and [Replica.QuorumChanged] when the quorum's state, its leader or
 // this controller's role in it may have changed. Times are in ms of a steady clock that only the
 // caller reads. Random draws come from Options.Seed.
@@ -38,9 +38,10 @@
 // # Files
 //
 // Types: version.go, messages.go, output.go, environment.go, state.go, describe.go, limits.go. The
-// replica: replica.go, target.go (which version is aimed at), announce.go (summaries), download.go,
+// replica: replica.go, target.go (the version to be fetched), announce.go (summaries), download.go,
 // fetch.go and sources.go (getting documents), documents.go and retention.go (keeping them),
 // checks.go, apply.go, storage.go. Proposals: propose.go (at the origin), candidate.go (at the
-// leader), hold.go, serve.go and history.go (at voters). Reports: reports.go, relay.go, status.go.
-// Queries: query.go, startup.go, lookup.go. Members: alive.go, relays.go, leader.go.
+// leader), hold.go, serve.go and history.go (at voters). Reports: reports.go, batches.go (from
+// relays to the leader), status.go. Queries: query.go, startup.go, lookup.go. Members: alive.go,
+// relays.go (which members are relays), leader.go.
 package config
--- a/internal/core/fleet/config/documents.go
+++ b/internal/core/fleet/config/documents.go
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// isStored tells whether a document is here durably.
+// isStored reports whether a document is here durably.
 func (s *documentStore) isStored(h Hash) bool {
 	d := s.documents[h]
 	return d != nil && d.stored
 }
 
-// put adds a document whose hash was verified.
+// put adds a document after its hash was verified.
 func (s *documentStore) put(h Hash, data []byte) {
 	if s.documents[h] == nil {
 		s.documents[h] = &document{data: data}
@@ -72,7 +72,7 @@
 	maps.DeleteFunc(s.documents, func(h Hash, d *document) bool { return !d.stored && !needed[h] })
 }
 
-// hasUnstored tells whether a document is in memory alone.
+// hasUnstored reports whether a document is in memory alone.
 func (s *documentStore) hasUnstored() bool {
 	for _, d := range s.documents {
 		if !d.stored {
--- a/internal/core/fleet/config/download.go
+++ b/internal/core/fleet/config/download.go
@@ -21,7 +21,7 @@
 // chunkRequest is a chunk that was requested.
 type chunkRequest struct {
 	index  int
-	sentAt float64
+	sentAt float64 // ms
 }
 
 // download is a document that is being fetched. The chunks that came stay when its source changes.
@@ -32,18 +32,19 @@
 	chunks        [][]byte
 	received      int // how many chunks are here
 	sources       []members.ID
-	source        members.ID   // that is asked now; empty: none
+	source        members.ID   // the one that is asked now; empty: none
 	slowSource    members.ID   // the last that did not answer in time, or sent what could not be used
 	requestedFrom []members.ID // all that were asked: chunks of others are ignored
-	contributors  []members.ID // those whose chunks are here
+	contributors  []members.ID // those that sent the chunks here
 	requests      []chunkRequest
-	// members that did not have it, and until when they are not asked
-	missingUntil   map[members.ID]float64
-	chooseSourceAt float64 // ms, while there is no source
-	// ms, when it began, or the last new chunk came, or a source was changed for its silence
+	rotation      int // offset into the voters at which the search for a source begins
+
+	// missingUntil has the members that lacked the document, and until when (ms) they are not asked.
+	missingUntil map[members.ID]float64
+	// chooseSourceAt is when the next source is searched for (ms), while there is none.
+	chooseSourceAt float64
+	// progressAt is when the download began, a new chunk came, or a stall was handled (ms).
 	progressAt float64
-	// offset into the voters, with which the search for a source begins
-	rotation int
 }
 
 // chunkCount returns how many chunks a document has.
@@ -69,7 +70,7 @@
 	d.received = 0
 }
 
-// requested tells whether a chunk is requested already.
+// requested reports whether a chunk is requested already.
 func (d *download) requested(index int) bool {
 	return slices.ContainsFunc(d.requests, func(q chunkRequest) bool { return q.index == index })
 }
--- a/internal/core/fleet/config/environment.go
+++ b/internal/core/fleet/config/environment.go
@@ -25,9 +25,9 @@
 	Voters() []members.ID
 	// Leader returns the quorum's leader; empty: not known.
 	Leader() members.ID
-	// Leads tells whether this controller leads the quorum.
+	// Leads reports whether this controller leads the quorum.
 	Leads() bool
-	// Voting tells whether this controller is a voter whose State counts.
+	// Voting reports whether this controller is a voter and its State counts.
 	Voting() bool
 	// State returns what the quorum agreed on, if Voting.
 	State() *State
--- a/internal/core/fleet/config/fetch.go
+++ b/internal/core/fleet/config/fetch.go
@@ -19,7 +19,8 @@
 	missingTime = 1000.0
 	// avoidTime is for how long in ms a member that sent wrong bytes is not asked.
 	avoidTime = 10000.0
-	// avoidOnlySourceTime is the same if no other member has the document.
+	// avoidOnlySourceTime is for how long in ms such a member is not asked if no other has the
+	// document.
 	avoidOnlySourceTime = 1000.0
 	// maxSources bounds the sources of a document.
 	maxSources = 16
--- a/internal/core/fleet/config/history.go
+++ b/internal/core/fleet/config/history.go
@@ -2,9 +2,9 @@
 
 // Documents of older versions.
 const (
-	// historyInterval is the time in ms between two looks for older documents that a voter lacks.
+	// historyInterval is the time in ms between two searches for older documents that a voter lacks.
 	historyInterval = 5000.0
-	// historyRetry is the same after no member had one.
+	// historyRetry is the time in ms until the next search after no member sent the document.
 	historyRetry = 60000.0
 	// historyStartDelay is the time in ms after the start before which none is fetched.
 	historyStartDelay = 5000.0
@@ -13,8 +13,8 @@
 // historyFetch is how far a voter is with documents of older versions that it lacks, as one that
 // joined late does.
 type historyFetch struct {
-	nextAt        float64 // when it looks next
-	checkedNewest uint64  // the newest number at the last look
+	nextAt        float64 // ms, when it searches next
+	checkedNewest uint64  // the newest number at the last search
 	complete      bool    // no document was missing then
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// nextHistory returns when this voter looks for older documents next.
+// nextHistory returns when this voter searches for older documents next.
 func (r *Replica) nextHistory() float64 {
 	if !r.votes() || r.history.complete && r.history.checkedNewest == r.env.State().Newest() {
 		return never
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// voterMayGo tells whether a majority of the voters remains without one.
+// voterMayGo reports whether a majority of the voters remains without one.
 func (h *drawnHistory) voterMayGo(c *controller) bool {
 	up := 0
 	for _, id := range h.fleet.voters {
--- a/internal/core/fleet/config/hold.go
+++ b/internal/core/fleet/config/hold.go
@@ -10,8 +10,8 @@
 const (
 	// holdInterval is the time in ms between two requests of a leader.
 	holdInterval = 500.0
-	// holdTime is for how long in ms after the last request a document is held whose version was
-	// not agreed on: the quorum may agree on it late.
+	// holdTime is for how long in ms after the last request a document is held if its version was not
+	// agreed on: the quorum may agree on it late.
 	holdTime = 3600000.0
 	// maxHolds bounds the documents held at a time.
 	maxHolds = 4
@@ -21,7 +21,7 @@
 type hold struct {
 	hash        Hash
 	from        members.ID // the leader
-	requestedAt float64    // when it was last requested
+	requestedAt float64    // ms, when it was last requested
 	replied     bool       // the leader was sent a HoldReply
 	version     *Version   // the proposed one, if the leader sent it
 }
@@ -86,7 +86,7 @@
 	r.fetchHistory()
 }
 
-// isRetained tells whether a document is one that this voter keeps for its versions.
+// isRetained reports whether a document is one that this voter keeps for its versions.
 func (r *Replica) isRetained(hash Hash) bool {
 	return slices.ContainsFunc(r.retainedVersions(), func(v Version) bool { return v.Hash == hash })
 }
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -55,7 +55,7 @@
 
 func (e *fakeEnvironment) Propose(Proposal) bool { return true }
 
-// check tells whether a document can be used here.
+// check reports whether a document can be used here.
 func (e *fakeEnvironment) check(document []byte) error {
 	if bytes.HasPrefix(document, []byte("bad")) {
 		return errors.New("bad")
--- a/internal/core/fleet/config/leader.go
+++ b/internal/core/fleet/config/leader.go
@@ -9,7 +9,7 @@
 // goes on naming the leader that it replaces.
 type leaderHint struct {
 	leader   members.ID
-	until    float64
+	until    float64 // ms
 	replaces members.ID
 }
 
@@ -25,7 +25,7 @@
 	return believed
 }
 
-// hintLeader handles the leader that a member named which was asked and does not lead.
+// hintLeader handles the leader named by a member that was asked as the leader and does not lead.
 func (r *Replica) hintLeader(from, leader members.ID) {
 	if leader == "" || leader == from || leader == r.options.Self || from != r.leader() {
 		return
--- a/internal/core/fleet/config/limits.go
+++ b/internal/core/fleet/config/limits.go
@@ -17,7 +17,7 @@
 	MaxReason = 256
 	// ChunkBytes is the size of a document's chunks.
 	ChunkBytes = 32 << 10
-	// MaxReports bounds the controllers whose reports are remembered.
+	// MaxReports bounds the controllers with a report that is remembered.
 	MaxReports = 4096
 	// MaxProposals bounds the proposals that wait at an origin, or beside the current one at the
 	// leader.
--- a/internal/core/fleet/config/lookup.go
+++ b/internal/core/fleet/config/lookup.go
@@ -16,7 +16,7 @@
 type lookup struct {
 	ref      uint64 // the caller's number of it
 	hash     Hash
-	deadline float64
+	deadline float64      // ms
 	without  []members.ID // voters that don't have it
 }
 
--- a/internal/core/fleet/config/messages.go
+++ b/internal/core/fleet/config/messages.go
@@ -17,7 +17,7 @@
 	Answer       *Answer         `cbor:"11,keyasint,omitempty"`
 }
 
-// Summary names the newest version whose document the sender has. It accompanies membership
+// Summary names the newest version that the sender has the document of. It accompanies membership
 // messages, and is pushed to some members at once when it changes.
 type Summary struct {
 	Number uint64 `cbor:"1,keyasint"`
@@ -114,7 +114,7 @@
 	Leader   members.ID `cbor:"2,keyasint,omitempty"`
 }
 
-// QueryKind tells queries apart.
+// QueryKind is what a Query asks for.
 type QueryKind uint8
 
 // The kinds of queries.
@@ -136,7 +136,7 @@
 // Answer answers a Query.
 type Answer struct {
 	Ref uint64 `cbor:"1,keyasint"`
-	// Voting: the sender is a voter whose state counts.
+	// Voting: the sender is a voter and its state counts.
 	Voting bool `cbor:"2,keyasint"`
 	// Leads: the sender leads the quorum. Status and Versions come from a leader alone.
 	Leads    bool       `cbor:"3,keyasint"`
--- a/internal/core/fleet/config/output.go
+++ b/internal/core/fleet/config/output.go
@@ -64,8 +64,8 @@
 	Document []byte
 }
 
-// Readiness tells whether a controller that starts has the latest version. It is shown to operators
-// as JSON by the names of its fields.
+// Readiness is whether a controller that starts has the latest version. It is shown to operators as
+// JSON by the names of its fields.
 type Readiness struct {
 	// Confirmed: the leader or a majority of the voters has answered, and their latest version is
 	// in force or rejected here.
--- a/internal/core/fleet/config/propose.go
+++ b/internal/core/fleet/config/propose.go
@@ -18,8 +18,8 @@
 type ownProposal struct {
 	ref      uint64 // the caller's number of it
 	proposal Proposal
-	deadline float64
-	nextAt   float64      // when it is sent again
+	deadline float64      // ms
+	nextAt   float64      // ms, when it is sent again
 	sentTo   []members.ID // only these may answer it
 }
 
@@ -85,8 +85,8 @@
 	r.send(leader, Message{Propose: &ProposeRequest{Proposal: p.proposal}})
 }
 
-// handleProposeReply handles how a proposal of this controller ended. Only members that it was sent
-// to can tell.
+// handleProposeReply handles how a proposal of this controller ended. A reply is accepted only from
+// a member that the proposal was sent to.
 func (r *Replica) handleProposeReply(from members.ID, reply *ProposeReply) {
 	i := slices.IndexFunc(r.proposals, func(p *ownProposal) bool {
 		return p.proposal.Version.ID == reply.ID
--- a/internal/core/fleet/config/propose_test.go
+++ b/internal/core/fleet/config/propose_test.go
@@ -94,10 +94,7 @@
 // A proposal whose origin is partitioned from the leader ends as unknown in time, and a leader
 // without a majority commits nothing.
 func TestPartitionedProposalIsUnknown(t *testing.T) {
-	f := newFleet(t, 1, 10, 5)
-	f.runFor(1000)
-	f.putAgreed(f.all[9], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 10, 5, 9)
 	f.cut([]*controller{f.all[0], f.all[1], f.all[9]}, 1) // the leader of before and one voter
 	a, b := f.put(f.all[9], []byte("two"), 1), f.put(f.all[0], []byte("three"), 1)
 	began := f.now
--- a/internal/core/fleet/config/query.go
+++ b/internal/core/fleet/config/query.go
@@ -21,11 +21,11 @@
 	ref      uint64 // the caller's number of it
 	wireRef  uint64 // its number in messages
 	kind     QueryKind
-	nextAt   float64 // when it is sent again
-	deadline float64
+	nextAt   float64 // ms, when it is sent again
+	deadline float64 // ms
 }
 
-// valid tells whether the kind is known.
+// valid reports whether the kind is known.
 func (k QueryKind) valid() bool { return k >= QueryLatest && k <= QueryHistory }
 
 // Query sends a query to the leader or to voters. Its answer comes within queryTimeout, or never.
@@ -117,7 +117,7 @@
 	return a
 }
 
-// valid tells whether an answer keeps its bounds.
+// valid reports whether an answer keeps its bounds.
 func (a *Answer) valid() bool {
 	if len(a.Leader) > maxIDBytes || len(a.Versions) > MaxHistory {
 		return false
@@ -125,7 +125,7 @@
 	return a.Status == nil || a.Status.valid()
 }
 
-// valid tells whether a status keeps its bounds.
+// valid reports whether a status keeps its bounds.
 func (s *Status) valid() bool {
 	return len(s.ByVersion) <= MaxReports &&
 		len(s.Rejected) <= MaxListed &&
--- a/internal/core/fleet/config/relays.go
+++ b/internal/core/fleet/config/relays.go
@@ -28,8 +28,8 @@
 	hash uint64
 }
 
-// highestHashes returns the members whose names, mixed with a salt, have the highest hashes; the
-// highest first.
+// highestHashes returns the members that have the highest hashes of name and salt; the highest
+// first.
 func highestHashes(ids []members.ID, salt members.ID, count int) []members.ID {
 	list := make([]hashedMember, len(ids))
 	for i, id := range ids {
@@ -46,8 +46,8 @@
 	return top
 }
 
-// mixedHash returns a hash of two names. FNV alone gives names that differ in their last byte
-// hashes that are close to each other.
+// mixedHash returns a hash of two names. With FNV alone, names that differ in their last byte would
+// have hashes that are close to each other.
 func mixedHash(id, salt members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(salt))
--- a/internal/core/fleet/config/replica.go
+++ b/internal/core/fleet/config/replica.go
@@ -19,21 +19,20 @@
 	options   Options
 	env       Environment
 	rng       *rand.Rand
-	now       float64 // the latest time passed in
-	startedAt float64
+	now       float64 // ms, the latest time passed in
+	startedAt float64 // ms
 	out       Output
 	counters  Counters
 	documents documentStore
 
 	target   Version // the newest version known of
-	newest   Version // the newest whose document is here
-	previous Version // the one before newest whose document is here
+	newest   Version // the newest that has its document here
+	previous Version // the one before newest that has its document here
 
 	announcement announcement
 	abandoned    abandonedVersion
 	downloads    []*download
-	// members that sent wrong bytes, and until when they are not asked
-	avoidedUntil map[members.ID]float64
+	avoidedUntil map[members.ID]float64 // ms; members that sent wrong bytes are not asked till then
 	served       servedBytes
 	checks       checks
 	application  application
@@ -43,7 +42,7 @@
 	candidates []*candidate   // at this leader; the first one is worked on
 	holds      []*hold        // at this voter
 	history    historyFetch
-	retained   retainedVersions
+	retained   retainedCache
 
 	reports     reports
 	queries     []*pendingQuery
@@ -53,8 +52,8 @@
 
 	alive          aliveMembers
 	hint           leaderHint
-	leads          bool // as of the last look
-	leadsChangedAt float64
+	leads          bool    // as of the last updateLeader
+	leadsChangedAt float64 // ms
 }
 
 // New returns a replica that goes on from what its folder holds. The caller has applied
@@ -218,8 +217,8 @@
 	}
 }
 
-// votes tells whether this controller votes and its state counts.
+// votes reports whether this controller votes and its state counts.
 func (r *Replica) votes() bool { return r.env.Voting() && r.env.State() != nil }
 
-// isVoter tells whether this controller is one of the voters, as far as it knows.
+// isVoter reports whether this controller is one of the voters, as far as it knows.
 func (r *Replica) isVoter() bool { return slices.Contains(r.env.Voters(), r.options.Self) }
--- a/internal/core/fleet/config/reports.go
+++ b/internal/core/fleet/config/reports.go
@@ -29,40 +29,41 @@
 	maxReportsAccepted = 1024
 	// maxBatches bounds the messages to the leader that are not answered.
 	maxBatches = 32
-	// relayTries is how many relays are tried before the first one again.
-	relayTries = 4
+	// maxRelayAttempts is how many relays are tried before the first one again.
+	maxRelayAttempts = 4
 )
 
 // heardReport is a report and when it was heard.
 type heardReport struct {
 	Report
-	heardAt float64
-	dirty   bool // it is to be sent to the leader
+	heardAt float64 // ms
+	dirty   bool    // it is to be sent to the leader
 }
 
-// reports is the part of a controller in collecting reports: its own, those for which it is a
-// relay, and all if it leads.
+// reports is what a controller knows of reports: its own, those for which it is a relay, and all if
+// it leads.
 type reports struct {
 	own       Report
-	changed   bool // own has changed since it was sent
-	sendOwnAt float64
-	sequence  uint64 // of the last message
+	changed   bool    // own has changed since it was sent
+	sendOwnAt float64 // ms
+	sequence  uint64  // of the last message
 
 	// The message with own that is not answered yet.
 	awaitedSequence uint64 // 0: none
 	awaitedFrom     members.ID
-	awaitedUntil    float64
-	tries           int // relays that did not answer
+	awaitedUntil    float64 // ms
+	failedRelays    int     // relays that did not answer
 
 	known      map[members.ID]*heardReport
 	dirtyCount int
-	flushAt    float64 // when dirty reports are sent
-	resendAt   float64 // when all fresh reports are sent again
-	purgeAt    float64
+	flushAt    float64 // ms, when dirty reports are sent
+	resendAt   float64 // ms, when all fresh reports are sent again
+	purgeAt    float64 // ms, when old reports may be forgotten again
 	batches    []batch
 	leader     members.ID // that the reports are sent to
 }
 
+// newReports returns the state at a start: the own report is due at once.
 func newReports(now float64) reports {
 	return reports{
 		sendOwnAt: now,
@@ -105,8 +106,8 @@
 	s := &r.reports
 	if s.awaitedSequence != 0 && r.now >= s.awaitedUntil {
 		s.awaitedSequence = 0
-		s.tries++
-		if s.tries < relayTries {
+		s.failedRelays++
+		if s.failedRelays < maxRelayAttempts {
 			s.sendOwnAt = r.now
 		}
 	}
@@ -129,22 +130,22 @@
 	s := &r.reports
 	if s.changed {
 		s.changed = false
-		s.tries = 0
+		s.failedRelays = 0
 	}
 	s.sendOwnAt = r.now + reportInterval*(1-reportIntervalJitter+reportIntervalJitter*r.rng.Float64())
-	if s.tries >= relayTries {
-		s.tries = 0
+	if s.failedRelays >= maxRelayAttempts {
+		s.failedRelays = 0
 	}
 	relays := r.relaysInOrder()
-	if r.env.Leads() || len(relays) == 0 || relays[s.tries%len(relays)] == r.options.Self {
-		s.tries = 0
+	if r.env.Leads() || len(relays) == 0 || relays[s.failedRelays%len(relays)] == r.options.Self {
+		s.failedRelays = 0
 		r.mergeReport(s.own, r.now)
 		return
 	}
 	s.sequence++
 	s.awaitedSequence = s.sequence
 	s.awaitedUntil = r.now + reportTimeout
-	s.awaitedFrom = relays[s.tries%len(relays)]
+	s.awaitedFrom = relays[s.failedRelays%len(relays)]
 	r.send(s.awaitedFrom, Message{Reports: &Reports{Sequence: s.sequence, List: []Report{s.own}}})
 }
 
@@ -161,14 +162,15 @@
 	r.send(from, Message{ReportsReply: &ReportsReply{Sequence: m.Sequence, Leader: r.leader()}})
 }
 
-// valid tells whether a report keeps its bounds.
+// valid reports whether a report keeps its bounds.
 func (report *Report) valid() bool {
 	validID := report.ID != "" && len(report.ID) <= maxIDBytes
 	validAge := report.Age >= 0 && !math.IsInf(report.Age, 1)
 	return validID && validAge && len(report.Reason) <= MaxReason
 }
 
-// mergeReport merges a report, in whatever order and however often it comes.
+// mergeReport merges a report that was heard at a time in ms. Reports may come repeatedly and in
+// any order.
 func (r *Replica) mergeReport(report Report, at float64) {
 	s := &r.reports
 	report.Age = 0
@@ -199,7 +201,7 @@
 	r.markDirty(h)
 }
 
-// isLaterRun tells whether a report is of a later run of a controller than the one before. Runs
+// isLaterRun reports whether a report is of a later run of a controller than the one before. Runs
 // have no order: the run that membership believes in counts, else the one heard last.
 func (r *Replica) isLaterRun(before *heardReport, report Report, at float64) bool {
 	if m, ok := r.env.Member(report.ID); ok && m.Run != 0 {
@@ -214,7 +216,7 @@
 }
 
 // purgeReports forgets old reports. A leader keeps those of members that it knows and that have not
-// left, so that it can tell when each was last heard from.
+// left, so that a Status shows when each was last heard from.
 func (r *Replica) purgeReports() {
 	s := &r.reports
 	if r.now < s.purgeAt {
--- a/internal/core/fleet/config/retention.go
+++ b/internal/core/fleet/config/retention.go
@@ -43,21 +43,21 @@
 	}
 }
 
-// retainedVersions are the versions whose documents a voter keeps, computed for a newest version.
-type retainedVersions struct {
+// retainedCache is the cached result of Replica.retainedVersions, as of a newest version.
+type retainedCache struct {
 	newest Version
 	list   []Version
 }
 
-// retainedVersions returns the versions whose documents this voter keeps, newest first; none if it
-// does not vote.
+// retainedVersions returns the versions of which this voter keeps the documents, newest first; none
+// if it does not vote.
 func (r *Replica) retainedVersions() []Version {
 	if !r.votes() {
 		return nil
 	}
 	state := r.env.State()
 	if latest := state.Latest(); r.retained.newest != latest {
-		r.retained = retainedVersions{newest: latest, list: selectRetained(state.Versions)}
+		r.retained = retainedCache{newest: latest, list: selectRetained(state.Versions)}
 	}
 	return r.retained.list
 }
@@ -81,10 +81,10 @@
 	return retained
 }
 
-// documentsToRemove returns the durable documents that are not needed any more. A voter whose state
-// does not count yet removes none, as it does not know which are. They count as not durable from
-// now on, whenever the caller removes them.
-func (r *Replica) documentsToRemove() []Hash {
+// takeDocumentsToRemove takes the durable documents that are not needed any more: they count as not
+// durable from now on, whenever the caller removes them. A voter removes none while its state does
+// not count yet, as it does not know which are needed.
+func (r *Replica) takeDocumentsToRemove() []Hash {
 	if r.now < r.startedAt+removeAfter || r.isVoter() && !r.votes() {
 		return nil
 	}
--- /dev/null
+++ b/internal/core/fleet/config/scenario_test.go
@@ -0,0 +1,105 @@
+package config
+
+import (
+	"math/rand"
+	"testing"
+
+	"mintkeel/internal/core/fleet/members"
+)
+
+// What tests do with a simulated fleet, and expect of it.
+
+// newFleetWithVersion returns a fleet, drawn by seed 1, in which version 1 is in force everywhere.
+// Its document is "one", proposed at the controller with the index proposer.
+func newFleetWithVersion(t testing.TB, size, voters, proposer int) *fleet {
+	t.Helper()
+	f := newFleet(t, 1, size, voters)
+	f.runFor(1000)
+	f.putAgreed(f.all[proposer], []byte("one"), 0)
+	f.everywhere(1, 5000)
+	return f
+}
+
+// randomDocument returns a document of a size, different for each seed.
+func randomDocument(size int, seed int64) []byte {
+	data := make([]byte, size)
+	rand.New(rand.NewSource(seed)).Read(data)
+	return data
+}
+
+// put proposes a document at a controller and returns the reference.
+func (f *fleet) put(c *controller, document []byte, expect uint64) uint64 {
+	f.ref++
+	v := Version{Author: "operator", Reason: "test", Time: int64(f.now)}
+	c.replica.Propose(c.clock(), f.ref, document, expect, v)
+	f.settle(c)
+	return f.ref
+}
+
+// outcome waits for the result of a proposal.
+func (f *fleet) outcome(c *controller, ref uint64) ProposalResult {
+	f.t.Helper()
+	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.outcomes[ref]; return ok })
+	o, ok := c.outcomes[ref]
+	if !ok {
+		f.t.Fatalf("proposal %d has no outcome", ref)
+	}
+	return o
+}
+
+// putAgreed proposes a document and expects it to be committed.
+func (f *fleet) putAgreed(c *controller, document []byte, expect uint64) Version {
+	f.t.Helper()
+	o := f.outcome(c, f.put(c, document, expect))
+	if o.Result != Committed || o.Version.Number != expect+1 || o.Version.Hash != HashOf(document) {
+		f.t.Fatalf("proposal after %d: %+v", expect, o)
+	}
+	return o.Version
+}
+
+// inForce reports whether a version, or a later one, is in force at all of some controllers that
+// are up.
+func inForce(number uint64, controllers []*controller) bool {
+	for _, c := range controllers {
+		if c.up && !c.left && c.replica.Current().Number < number {
+			return false
+		}
+	}
+	return true
+}
+
+// everywhere waits until a version is in force at all controllers, and returns how long that took.
+func (f *fleet) everywhere(number uint64, limit float64) float64 {
+	f.t.Helper()
+	took := f.runUntil(limit, func() bool { return inForce(number, f.all) })
+	if took < 0 {
+		behind := []members.ID{}
+		for _, c := range f.all {
+			if c.up && c.replica.Current().Number < number {
+				behind = append(behind, c.id)
+			}
+		}
+		f.t.Fatalf("version %d is not in force after %.0f ms at %d: %v",
+			number, limit, len(behind), behind[:min(8, len(behind))])
+	}
+	return took
+}
+
+// ask sends a query and waits for its answer.
+func (f *fleet) ask(c *controller, kind QueryKind) (Answer, bool) {
+	f.ref++
+	ref := f.ref
+	c.replica.Query(c.clock(), ref, kind)
+	f.settle(c)
+	f.runUntil(queryTimeout+100, func() bool { _, ok := c.answers[ref]; return ok })
+	a, ok := c.answers[ref]
+	return a.Answer, ok
+}
+
+func (f *fleet) bytesSent() (total, most int64) {
+	for _, c := range f.all {
+		total += c.sentBytes
+		most = max(most, c.sentBytes)
+	}
+	return total, most
+}
--- a/internal/core/fleet/config/serve.go
+++ b/internal/core/fleet/config/serve.go
@@ -2,8 +2,8 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// maxServedBytes bounds the bytes of documents that are sent in serveWindow. A member whose fetch
-// is not answered asks another one.
+// maxServedBytes bounds the bytes of documents that are sent in serveWindow. A member that gets no
+// answer to a Fetch asks another one.
 const maxServedBytes = 8 << 20
 
 // serveWindow is the time in ms in which maxServedBytes may be sent.
@@ -11,7 +11,7 @@
 
 // servedBytes counts the bytes sent since the start of a window.
 type servedBytes struct {
-	windowStart float64
+	windowStart float64 // ms
 	bytes       int
 }
 
--- a/internal/core/fleet/config/sources.go
+++ b/internal/core/fleet/config/sources.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// excluded tells whether a member is not to be asked for a document now.
+// excluded reports whether a member is not to be asked for a document now.
 func (r *Replica) excluded(d *download, id members.ID) bool {
 	return id == r.options.Self || r.now < d.missingUntil[id] || r.now < r.avoidedUntil[id]
 }
--- a/internal/core/fleet/config/startup.go
+++ b/internal/core/fleet/config/startup.go
@@ -8,10 +8,10 @@
 
 // Queries for the latest version at a start.
 const (
-	// latestInterval is the time in ms between the first two queries. It grows with the time since
-	// the start up to maxLatestInterval, so that hundreds of controllers that start together don't
-	// keep the voters busy.
-	latestInterval    = 300.0
+	// latestInterval is the time in ms between the first two queries. It grows with the time since the
+	// start, so that many controllers that start together don't keep the voters busy.
+	latestInterval = 300.0
+	// maxLatestInterval bounds that time.
 	maxLatestInterval = 2000.0
 	// latestVoters is how many voters are asked at a time.
 	latestVoters = 2
@@ -19,7 +19,7 @@
 
 // startup is how far a controller that starts is with finding the latest version.
 type startup struct {
-	nextAt         float64 // when the next queries are sent
+	nextAt         float64 // ms, when the next queries are sent
 	wireRef        uint64
 	latestOf       map[members.ID]uint64 // the voters that answered, with their latest number
 	leaderAnswered bool
@@ -27,7 +27,7 @@
 	confirmed      bool   // see Readiness
 }
 
-// answered tells whether the leader, or a majority of the voters, has answered. This controller
+// answered reports whether the leader, or a majority of the voters, has answered. This controller
 // counts if it votes.
 func (s *startup) answered(r *Replica) bool {
 	if s.leaderAnswered {
@@ -113,6 +113,15 @@
 	s.confirmed = s.answered(r) && r.application.handled() >= s.latest
 }
 
+// Readiness returns the version in force here, and whether it is confirmed to be the latest.
+func (r *Replica) Readiness() Readiness {
+	return Readiness{
+		Confirmed: r.startup.confirmed,
+		Number:    r.application.current.Number,
+		Latest:    max(r.target.Number, r.application.current.Number, r.startup.latest),
+	}
+}
+
 // nextStartup returns when the next queries of the start are due.
 func (r *Replica) nextStartup() float64 {
 	if r.startup.confirmed {
--- a/internal/core/fleet/config/status_test.go
+++ b/internal/core/fleet/config/status_test.go
@@ -50,10 +50,7 @@
 // A controller is killed, another is restarted, a third leaves. The first is listed as unreachable,
 // the second does not count by the report of its earlier run, the third is not counted at all.
 func TestStatusOfKilledRestartedAndLeft(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	f.runFor(2000)
 	dead, gone := f.all[10], f.all[11]
 	f.kill(dead)
@@ -84,10 +81,7 @@
 // A report of an earlier run is still under way when the controller has restarted. It must not
 // count for the new run.
 func TestLateReportOfEarlierRunIsIgnored(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	f.runFor(2000)
 	c, before := f.all[10], f.all[10].run
 	f.kill(c)
@@ -112,10 +106,7 @@
 // A partitioned controller has the version in force, but the leader does not hear from it: it does
 // not count.
 func TestPartitionedControllerIsNotInForce(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	f.cut(f.all[15:], 1)
 	f.runFor(reportFreshTime + relayedReportTime)
 	s := f.status(t, f.all[0])
@@ -131,10 +122,7 @@
 // The age of a report counts from when it was sent, also over relays: an old report must not count
 // as a new one.
 func TestReportAgeIncludesRelays(t *testing.T) {
-	f := newFleet(t, 1, 5, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 5, 3, 0)
 	leader, c := f.all[0].replica, f.all[4]
 	f.runFor(2000)
 	f.onMessage = func(from, _ *controller, m *Message) bool {
@@ -189,10 +177,7 @@
 
 // A new leader knows no reports. It has those of all controllers within seconds.
 func TestNewLeaderCollectsReportsSoon(t *testing.T) {
-	f := newFleet(t, 1, 100, 7)
-	f.runFor(1000)
-	f.putAgreed(f.all[50], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 100, 7, 50)
 	f.runFor(2000)
 	f.kill(f.all[0])
 	f.runFor(1000)
@@ -211,10 +196,7 @@
 // TestReportsMergeInAnyOrder: however often and in whatever order reports come, each controller
 // counts once.
 func TestReportsMergeInAnyOrder(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	f.runFor(2000)
 	leader := f.all[0].replica
 	var list []Report
@@ -314,10 +296,7 @@
 // A status is of the moment of the query: a controller that has restarted meanwhile does not count
 // by its former run.
 func TestStatusIsOfTheQuery(t *testing.T) {
-	f := newFleet(t, 1, 20, 3)
-	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f := newFleetWithVersion(t, 20, 3, 0)
 	f.runFor(2000)
 	if s := f.status(t, f.all[0]); s.InForce != 20 {
 		t.Fatalf("%+v", s)
--- a/internal/core/fleet/config/storage.go
+++ b/internal/core/fleet/config/storage.go
@@ -5,27 +5,27 @@
 	// storeRetryFirst is the time in ms after which a failed StoreRequest is tried again, doubled
 	// up to maxStoreRetry.
 	storeRetryFirst = 5000.0
-	// maxStoreRetry bounds that time: a version is in force within 19 s after there is space again.
+	// maxStoreRetry bounds that time, and so how long a version waits when there is space again.
 	maxStoreRetry = 10000.0
-	// maxRemoveAgain bounds the documents whose removal is tried again.
+	// maxRemoveAgain bounds the documents of which the removal is tried again.
 	maxRemoveAgain = 64
 )
 
 // storage is how far this controller is with making things durable.
 type storage struct {
 	pending     *StoreRequest // not answered yet
-	retryAt     float64       // after a failure
-	delay       float64       // until the next retry; 0: the last request succeeded
+	retryAt     float64       // ms, after a failure
+	delay       float64       // ms, until the next retry; 0: the last request succeeded
 	removeAgain []Hash        // documents that may not have been removed, as a request failed
 }
 
-// storesCurrent tells whether a StoreRequest is out that changes the version to be in force at a
+// storesCurrent reports whether a pending StoreRequest changes the version to be in force at a
 // start.
 func (r *Replica) storesCurrent() bool {
 	return r.storage.pending != nil && r.storage.pending.Current != nil
 }
 
-// advanceStorage sends the next StoreRequest, if none is out.
+// advanceStorage sends the next StoreRequest, if none is pending.
 func (r *Replica) advanceStorage() {
 	if r.storage.pending != nil || r.now < r.storage.retryAt {
 		return
@@ -35,7 +35,7 @@
 		return
 	}
 	r.storage.pending = request
-	request.Remove = r.documentsToRemove()
+	request.Remove = r.takeDocumentsToRemove()
 	r.out.Store = request
 }
 
--- a/internal/core/fleet/config/target.go
+++ b/internal/core/fleet/config/target.go
@@ -12,10 +12,10 @@
 	abandonTime = 10000.0
 )
 
-// abandonedVersion is a version that was announced and whose document no member sent.
+// abandonedVersion is a version that was announced, but no member sent its document.
 type abandonedVersion struct {
 	summary Summary
-	until   float64
+	until   float64 // ms
 	sources []members.ID
 }
 
@@ -25,7 +25,7 @@
 	return d != nil && d.addSource(from)
 }
 
-// setTarget aims at a version: a fetch of the target before ends.
+// setTarget makes a version the one to be fetched. A fetch of the target before it ends.
 func (r *Replica) setTarget(v Version, sources ...members.ID) {
 	if r.target.Hash != v.Hash {
 		r.releaseFetch(r.target.Hash, forApplication)
@@ -37,8 +37,8 @@
 	}
 }
 
-// followQuorum aims at the newest version that the quorum agreed on, if this controller votes. Its
-// own state overrides what was announced under a number that the state has.
+// followQuorum makes the newest version that the quorum agreed on the target, if this controller
+// votes. Its own state overrides what was announced under a number that the state has.
 func (r *Replica) followQuorum() {
 	if !r.votes() {
 		return
@@ -83,16 +83,19 @@
 	r.newest = r.target
 }
 
-// abandon gives a version up whose document no member sends, so that one before it can be fetched.
-// A version that this voter's state has is not given up.
+// abandon gives up the target if no member sends its document, so that a version before it can be
+// fetched. A version that this voter's state has is not given up.
 func (r *Replica) abandon(sources []members.ID) {
 	if r.votes() {
 		if v, ok := r.env.State().Find(r.target.Number); ok && v.Hash == r.target.Hash {
 			return
 		}
 	}
-	r.abandoned = abandonedVersion{summary: r.target.summary(), until: r.now + abandonTime,
-		sources: sources}
+	r.abandoned = abandonedVersion{
+		summary: r.target.summary(),
+		until:   r.now + abandonTime,
+		sources: sources,
+	}
 	r.releaseFetch(r.target.Hash, forApplication)
 	r.target = r.newest
 	if r.application.current.Number > r.target.Number {
