--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -177,7 +177,7 @@
 	r.start(name)
 }
 
-// leads tells whether one of these leads.
+// leads reports whether one of these leads.
 func (r *cluster) leads(names ...members.ID) bool {
 	return slices.ContainsFunc(names, func(name members.ID) bool { return r.members[name].Leads() })
 }
--- a/internal/core/fleet/quorum/consensus.go
+++ b/internal/core/fleet/quorum/consensus.go
@@ -172,9 +172,10 @@
 	}
 }
 
-// dependsOnRecord tells whether a message promises what must be durable: a vote, entries, or that
+// dependsOnRecord reports whether a message promises what must be durable: a vote, entries, or that
 // entries were accepted. Heartbeats promise nothing. If they carried a serial, each side would
-// persist a record for each heartbeat, whose serial its own messages would carry, without end.
+// persist a record for each heartbeat, and its own heartbeats would carry that record's serial,
+// without end.
 func dependsOnRecord(m *raftMessage) bool {
 	switch m.GetType() {
 	case pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgPreVote, pb.MsgPreVoteResp:
--- a/internal/core/fleet/quorum/doc.go
+++ b/internal/core/fleet/quorum/doc.go
@@ -15,11 +15,11 @@
 //   - takes a [Ready] and makes its Record durable, if it has one. Nothing else of the Ready may
 //     have an effect before: a message sent earlier could promise a vote or an entry that a crash
 //     then loses. After that the caller passes the Ready to [Replica.Advance]. Only one Ready is
-//     out at a time.
+//     pending at a time.
 //   - takes the messages to be sent ([Replica.TakeMessages]) and the commands that were agreed on
 //     ([Replica.TakeApplied]). Both may be used at once: what they depend on is durable.
 //   - takes a record that replaces all earlier ones ([Replica.Compact]) when the log has grown
-//     long, makes it durable with no Ready out, and passes it to [Replica.Compacted].
+//     long, makes it durable while no Ready is pending, and passes it to [Replica.Compacted].
 //   - calls [Replica.Tick] when [Replica.Next] is reached.
 //
 // Messages may be lost, duplicated and reordered. All queues and what is remembered of peers are
--- a/internal/core/fleet/quorum/incarnation.go
+++ b/internal/core/fleet/quorum/incarnation.go
@@ -8,8 +8,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Incarnation is a member together with one disk. A member whose disk was lost, or replaced by an
-// old copy, is another incarnation of the same name.
+// Incarnation is a member together with one disk. After its disk was lost, or replaced by an old
+// copy, a member is another incarnation of the same name.
 type Incarnation struct {
 	Name members.ID `cbor:"1,keyasint"`
 	// Disk is 0 for the first incarnation, a random number for later ones.
@@ -31,9 +31,10 @@
 const (
 	// NonMember takes no part in the quorum.
 	NonMember Role = iota
-	// Unverified is a member whose disk the others have not vouched for yet. It promises nothing.
+	// Unverified is a member with a disk that the others have not vouched for yet. It promises
+	// nothing.
 	Unverified
-	// Joining is a member whose former incarnation has ended, and that requests to be taken in again.
+	// Joining is a member that requests to be taken in again, as its former incarnation has ended.
 	Joining
 	// Learner has been taken in and does not vote until it has caught up.
 	Learner
--- a/internal/core/fleet/quorum/join.go
+++ b/internal/core/fleet/quorum/join.go
@@ -8,7 +8,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// requestJoin has a member whose former incarnation has ended request to be taken in.
+// requestJoin requests that this member be taken in, as its former incarnation has ended.
 func (r *Replica) requestJoin() {
 	if r.now < r.nextRequestAt || r.newIncarnation {
 		return
@@ -56,8 +56,8 @@
 	}
 }
 
-// redirect tells a member that requests to join which member leads: it may know the founders alone,
-// and since then others may have become voters.
+// redirect answers a member that requests to join with the leader's name: the member may know the
+// founders alone, and since then others may have become voters.
 func (r *Replica) redirect(m *Message) {
 	leader := r.Leader()
 	if r.role == Voter && leader != "" && leader != m.From.Name {
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleRedirect handles which member leads.
+// handleRedirect records the leader that another member named.
 func (r *Replica) handleRedirect(redirect *Redirect) {
 	if len(redirect.Leader) <= maxNameBytes {
 		r.leaderHint = redirect.Leader
@@ -93,8 +93,8 @@
 	}
 }
 
-// beginIncarnation returns the Ready whose record begins the folder anew. It must be durable before
-// any message of the new incarnation is sent.
+// beginIncarnation returns the Ready with the record that begins the folder anew. The record must
+// be durable before any message of the new incarnation is sent.
 func (r *Replica) beginIncarnation() *Ready {
 	incarnation := r.nextIncarnation()
 	record := &Record{
@@ -115,9 +115,9 @@
 	r.endIncarnation("taken in as another incarnation, as not all others could vouch for its disk")
 }
 
-// keepsVote tells whether this incarnation stays although a leader writes to the next one: its disk
-// was vouched for meanwhile, and it votes. If it hears from no leader for a while, the quorum goes
-// on without it.
+// keepsVote reports whether this incarnation stays although a leader writes to the next one: its
+// disk was vouched for meanwhile, and it votes. It ends when it has heard from no leader for
+// settleTime, as the quorum then goes on without it.
 func (r *Replica) keepsVote() bool {
 	if r.role != Voter || r.node == nil {
 		return false
--- a/internal/core/fleet/quorum/members.go
+++ b/internal/core/fleet/quorum/members.go
@@ -14,19 +14,19 @@
 // fields.
 type memberChange struct {
 	Incarnation Incarnation `cbor:"1,keyasint"`
-	// Removed: by an operator's command.
+	// Removed: the change was an operator's command.
 	Removed bool `cbor:"2,keyasint,omitempty"`
 }
 
-// isMember tells whether this incarnation is a member.
+// isMember reports whether this incarnation is a member.
 func (r *Replica) isMember() bool { return r.incarnations[r.incarnation.Number()] == r.incarnation }
 
-// isVoter tells whether this incarnation has a vote.
+// isVoter reports whether this incarnation has a vote.
 func (r *Replica) isVoter() bool {
 	return r.votes(r.incarnation)
 }
 
-// votes tells whether an incarnation has a vote.
+// votes reports whether an incarnation has a vote.
 func (r *Replica) votes(incarnation Incarnation) bool {
 	return slices.Contains(r.voters.GetVoters(), incarnation.Number())
 }
@@ -49,7 +49,7 @@
 	return names
 }
 
-// hasMember tells whether an incarnation of a name is a member.
+// hasMember reports whether an incarnation of a name is a member.
 func (r *Replica) hasMember(name members.ID) bool {
 	for _, incarnation := range r.incarnations {
 		if incarnation.Name == name {
@@ -59,8 +59,8 @@
 	return false
 }
 
-// hasVote tells whether a name has exactly one incarnation, and that votes. If there are two, the
-// one that votes has ended.
+// hasVote reports whether a name has exactly one incarnation and that incarnation votes. If there
+// are two, the one that votes has ended.
 func (r *Replica) hasVote(name members.ID) bool {
 	all := 0
 	voting := 0
@@ -167,15 +167,17 @@
 	})
 }
 
-// changedVoters returns the voters and learners after a change, while the raft library does not
-// run, which would compute them: at a start.
+// changedVoters returns the voters and learners after a change. The raft library computes them
+// while it runs; this is for the replay at a start, when it does not run yet.
 func changedVoters(before *pb.ConfState, change *pb.ConfChange) *pb.ConfState {
 	id := change.GetNodeId()
 	without := func(ids []uint64) []uint64 {
 		return slices.DeleteFunc(slices.Clone(ids), func(x uint64) bool { return x == id })
 	}
-	after := &pb.ConfState{Voters: without(before.GetVoters()),
-		Learners: without(before.GetLearners())}
+	after := &pb.ConfState{
+		Voters:   without(before.GetVoters()),
+		Learners: without(before.GetLearners()),
+	}
 	switch change.GetType() {
 	case pb.ConfChangeAddNode:
 		after.Voters = append(after.Voters, id)
--- a/internal/core/fleet/quorum/membership.go
+++ b/internal/core/fleet/quorum/membership.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// joinRequest is of an incarnation that requested this leader to be taken in.
+// joinRequest is the request of an incarnation to be taken in.
 type joinRequest struct {
 	incarnation Incarnation
 	at          float64 // ms, when it was last repeated
@@ -59,7 +59,7 @@
 	return true
 }
 
-// invited tells whether a controller that is no member was invited to join.
+// invited reports whether a controller that is no member was invited to join.
 func (r *Replica) invited(name members.ID) bool {
 	named := func(p replacement) bool { return p.successor == name }
 	return slices.ContainsFunc(r.membership.replacements, named)
@@ -94,16 +94,16 @@
 	})
 }
 
-// isResponsive tells whether a member has responded to this leader lately. One that was just added
-// counts for a while.
+// isResponsive reports whether a member has responded to this leader lately. One that was just
+// added counts for a while.
 func (r *Replica) isResponsive(incarnation Incarnation) bool {
 	at, ever := r.membership.respondedAt[incarnation.Number()]
 	return incarnation == r.incarnation || ever && r.now < at+settleTime
 }
 
-// takeInJoining proposes the next change that a request to join needs, and tells whether there was
-// one. A request is not carried out while a former incarnation of the member goes on to vote: its
-// disk was vouched for after all.
+// takeInJoining proposes the next change that a request to join needs, and reports whether there
+// was one. A request is not carried out while a former incarnation of the member goes on to vote:
+// its disk was vouched for after all.
 func (r *Replica) takeInJoining() bool {
 	for _, name := range slices.Sorted(maps.Keys(r.membership.joins)) {
 		request := r.membership.joins[name]
@@ -130,8 +130,8 @@
 	return false
 }
 
-// dropUnusedLearner proposes to remove a learner that does not respond and whose former incarnation
-// goes on to vote, and tells whether there was one.
+// dropUnusedLearner proposes to remove a learner that does not respond while its former incarnation
+// goes on to vote, and reports whether there was one.
 func (r *Replica) dropUnusedLearner() bool {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		learner := r.incarnations[number]
@@ -147,7 +147,7 @@
 }
 
 // promoteLearner proposes a vote for a learner that has caught up, after the removal of its former
-// incarnation, and tells whether there was one.
+// incarnation, and reports whether there was one.
 func (r *Replica) promoteLearner() bool {
 	last, _ := r.storage.LastIndex()
 	var promoted Incarnation
--- a/internal/core/fleet/quorum/messages.go
+++ b/internal/core/fleet/quorum/messages.go
@@ -38,7 +38,7 @@
 	Retired bool `cbor:"3,keyasint,omitempty"`
 	// HasLeader: the quorum has a leader other than the requester.
 	HasLeader bool `cbor:"4,keyasint,omitempty"`
-	// Members are the quorum's as of Index. A requester whose disk is older must ask them too.
+	// Members are the quorum's as of Index. A requester with an older disk must ask them too.
 	Members []members.ID `cbor:"5,keyasint,omitempty"`
 	// Index is that of the last entry that the sender has applied.
 	Index uint64 `cbor:"6,keyasint,omitempty"`
@@ -57,8 +57,8 @@
 	Leader members.ID `cbor:"1,keyasint"`
 }
 
-// Receive handles a message. The transport must have authenticated from. A message whose names
-// don't fit its sender or this member is ignored.
+// Receive handles a message. The transport must have authenticated from. A message is ignored if
+// its names don't fit its sender or this member.
 func (r *Replica) Receive(now float64, from members.ID, m *Message) {
 	r.now = max(r.now, now)
 	if m.From.Name != from || m.To.Name != r.cfg.Self || from == r.cfg.Self {
--- a/internal/core/fleet/quorum/propose.go
+++ b/internal/core/fleet/quorum/propose.go
@@ -18,6 +18,7 @@
 	Config *config.Proposal `cbor:"4,keyasint,omitempty"`
 }
 
+// encodeProposal returns the data of the log entry of a proposal.
 func encodeProposal(p proposal) ([]byte, error) { return cbor.Marshal(p) }
 
 // Request is a command to be proposed.
--- a/internal/core/fleet/quorum/ready.go
+++ b/internal/core/fleet/quorum/ready.go
@@ -13,7 +13,7 @@
 	Record *Record // nil: nothing has to be durable
 
 	raft            *raftReady
-	receivedSerials map[Incarnation]uint64 // that Record makes durable
+	receivedSerials map[Incarnation]uint64 // those that Record makes durable
 	waiting         []*raftMessage         // messages that waited for receivedSerials
 	newIncarnation  bool                   // Record begins a new incarnation, and raft is nil
 }
@@ -26,7 +26,7 @@
 	Ref      uint64 // the proposer's number of the command
 }
 
-// Ready returns the next step; nil: there is none, or one is out.
+// Ready returns the next step; nil: there is none, or one is pending.
 func (r *Replica) Ready() *Ready {
 	if r.readyPending {
 		return nil
@@ -64,7 +64,7 @@
 	r.waiting = nil
 }
 
-// Advance continues after a Ready whose record is durable: its messages may now be sent, its
+// Advance continues after a Ready when its record is durable: its messages may now be sent, its
 // committed entries are applied, and the messages that waited for its record are used.
 func (r *Replica) Advance(now float64, ready *Ready) {
 	r.now = max(r.now, now)
--- a/internal/core/fleet/quorum/records.go
+++ b/internal/core/fleet/quorum/records.go
@@ -30,7 +30,7 @@
 	Full bool `cbor:"7,keyasint,omitempty"`
 }
 
-// empty tells whether nothing in the record has to be durable.
+// empty reports whether nothing in the record has to be durable.
 func (rec *Record) empty() bool {
 	return rec.HardState == nil && rec.Entries == nil && rec.Snapshot == nil &&
 		rec.ReceivedSerials == nil
@@ -53,7 +53,7 @@
 	}
 }
 
-// changesMembers tells whether one of the entries is a change of the members.
+// changesMembers reports whether one of the entries is a change of the members.
 func changesMembers(committed []*pb.Entry) bool {
 	isChange := func(entry *pb.Entry) bool { return entry.GetType() == pb.EntryConfChange }
 	return slices.ContainsFunc(committed, isChange)
--- a/internal/core/fleet/quorum/replica.go
+++ b/internal/core/fleet/quorum/replica.go
@@ -48,10 +48,10 @@
 	// What is durable, and what waits for it.
 	serial          uint64                 // of the last durable record
 	receivedSerials map[Incarnation]uint64 // the highest durable ones of other incarnations
-	inflightSerials map[Incarnation]uint64 // that the Ready which is out makes durable
+	inflightSerials map[Incarnation]uint64 // that the pending Ready makes durable
 	waitingSerials  map[Incarnation]uint64 // that the next Ready makes durable
 	waiting         []*raftMessage         // messages that wait for waitingSerials
-	readyPending    bool                   // a Ready is out
+	readyPending    bool                   // a Ready waits for Advance
 	newIncarnation  bool                   // the next Ready begins another incarnation
 
 	// Verification of this disk, and joining as another incarnation.
@@ -59,13 +59,13 @@
 	nextRequestAt float64     // ms, when the next request to vouch or to join is due
 	joinContact   Incarnation // a member that wrote to this one while it knew none
 	leaderHint    members.ID  // the leader that another member named when this one requested to join
-	// ms, since when a leader writes to the next incarnation and none to this one
-	supersededSince float64
+
+	// A leader writes to the next incarnation, and none to this one (handleSuperseded).
+	supersededSince float64 // ms, when that began
 	supersededAt    float64 // ms, when a leader last did so
 
-	// Other members' starts.
-	// the run that last requested vouching: earlier runs are ignored
-	requestingRuns map[Incarnation]uint64
+	// Other members.
+	requestingRuns map[Incarnation]uint64 // the run that last requested vouching; others are over
 	unknownSenders map[uint64]Incarnation // senders that are no members as far as this one knows
 
 	membership membershipChanges // of the leader
@@ -74,8 +74,8 @@
 	outgoing []Message // since the last TakeMessages
 }
 
-// New returns a replica that goes on from the records of its folder; none: the folder is new.
-// It fails if the records are not in order (ErrRecordOrder) or can't be decoded.
+// New returns a replica that goes on from the records of its folder; none: the folder is new. It
+// fails if the records are not in order (ErrRecordOrder) or can't be decoded.
 func New(cfg Config, records []Record, now float64) (*Replica, error) {
 	r := &Replica{
 		cfg:             cfg,
@@ -110,6 +110,7 @@
 	return r, nil
 }
 
+// setRole sets the role, and why this member does not vote; empty for a voter.
 func (r *Replica) setRole(role Role, reason string) {
 	r.role = role
 	r.roleReason = reason
@@ -169,11 +170,11 @@
 // their holders; renewals don't raise it. After a restore it is the snapshot's index.
 func (r *Replica) ChangedIndex() uint64 { return r.changedIndex }
 
-// Leads tells whether this member leads, as far as it knows.
+// Leads reports whether this member leads, as far as it knows.
 func (r *Replica) Leads() bool { return r.isLeader }
 
-// LeadsCaughtUp tells whether this member leads and has applied an entry of its own term. Only then
-// does its state hold all that was agreed on before, and it can answer for the quorum.
+// LeadsCaughtUp reports whether this member leads and has applied an entry of its own term. Only
+// then does its state hold all that was agreed on before, and it can answer for the quorum.
 func (r *Replica) LeadsCaughtUp() bool { return r.isLeader && r.appliedTerm == r.Term() }
 
 // Leader returns the member that leads, as far as this one knows; empty: none.
--- a/internal/core/fleet/quorum/snapshot.go
+++ b/internal/core/fleet/quorum/snapshot.go
@@ -19,7 +19,7 @@
 type snapshot struct {
 	Leases       []lease.Lease `cbor:"1,keyasint"`
 	Incarnations []Incarnation `cbor:"2,keyasint"`
-	// Retired are incarnations that have ended, as their disk was lost or put back.
+	// Retired are incarnations that have ended, as their disk was lost or restored.
 	Retired []Incarnation `cbor:"3,keyasint"`
 	// Removed are the members removed by an operator's command.
 	Removed []members.ID `cbor:"4,keyasint,omitempty"`
--- a/internal/core/fleet/quorum/storage.go
+++ b/internal/core/fleet/quorum/storage.go
@@ -18,7 +18,8 @@
 // ErrRecordOrder is returned by New if the serials of the records don't follow each other.
 var ErrRecordOrder = errors.New("records are not in order")
 
-// reset replaces the agreed state by what the founders have alike, and stops the raft library.
+// reset replaces the agreed state by that at the foundation, the same on all founders, and stops
+// the raft library.
 func (r *Replica) reset() {
 	r.node = nil
 	r.storage = raft.NewMemoryStorage()
@@ -75,8 +76,11 @@
 		return err
 	}
 	if hard.GetCommit() < r.appliedIndex { // a commit index alone is not stored
-		hard = &pb.HardState{Term: new(hard.GetTerm()), Vote: new(hard.GetVote()),
-			Commit: new(r.appliedIndex)}
+		hard = &pb.HardState{
+			Term:   new(hard.GetTerm()),
+			Vote:   new(hard.GetVote()),
+			Commit: new(r.appliedIndex),
+		}
 		if err := r.storage.SetHardState(hard); err != nil {
 			return err
 		}
@@ -116,6 +120,7 @@
 	return r.storage.SetHardState(hard)
 }
 
+// decodeEntries returns the entries of a record.
 func decodeEntries(encoded [][]byte) (entries []*pb.Entry, err error) {
 	for _, data := range encoded {
 		entry := &pb.Entry{}
--- a/internal/core/fleet/quorum/verification.go
+++ b/internal/core/fleet/quorum/verification.go
@@ -11,15 +11,16 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// verification is the state of an unverified member, whose disk the others have to vouch for.
+// verification is the state of an unverified member while the others have to vouch for its disk.
 type verification struct {
 	startedAt        float64             // ms
 	vouched          map[members.ID]bool // the members that have vouched for this disk
 	extraVouchers    map[members.ID]bool // members that the others know of, and that have to vouch too
 	othersHaveLeader bool                // the others have a leader without this one
-	joinRequested    bool                // it requests to join as another incarnation, beside
+	joinRequested    bool                // it also requests to join as another incarnation
 }
 
+// newVerification returns the state at a start.
 func newVerification(now float64) verification {
 	return verification{
 		startedAt:     now,
