--- a/internal/core/fleet/members/doc.go
+++ b/internal/core/fleet/members/doc.go
@@ -24,6 +24,6 @@
 //
 // The files by concern: probe.go (failure detection by direct and indirect pings), relays.go (pings
 // on behalf of others), suspicion.go (timeouts of suspects), merge.go (which update wins,
-// refutation), gossip.go and updates.go (dissemination), sync.go (anti-entropy), overlay.go (who
-// pings whom), reconnect.go (dead members), index.go (sorted lists).
+// refutation), gossip.go and updates.go (dissemination), sync.go (anti-entropy), overlay.go (which
+// members are probed), reconnect.go (dead members), index.go (sorted lists).
 package members
--- a/internal/core/fleet/members/index.go
+++ b/internal/core/fleet/members/index.go
@@ -67,17 +67,20 @@
 	})
 }
 
+// hasEntry reports whether a sorted list has the entry of an ID.
 func hasEntry(list []*entry, id ID) bool {
 	_, found := findEntry(list, id)
 	return found
 }
 
+// insertEntry inserts an entry into a sorted list, unless it is there.
 func insertEntry(list *[]*entry, e *entry) {
 	if i, found := findEntry(*list, e.ID); !found {
 		*list = slices.Insert(*list, i, e)
 	}
 }
 
+// removeEntry removes the entry of an ID from a sorted list, if it is there.
 func removeEntry(list *[]*entry, id ID) {
 	if i, found := findEntry(*list, id); found {
 		*list = slices.Delete(*list, i, i+1)
--- a/internal/core/fleet/members/member.go
+++ b/internal/core/fleet/members/member.go
@@ -33,7 +33,7 @@
 	return "unknown"
 }
 
-// active tells whether a member in this state counts as a part of the fleet and is probed.
+// active reports whether a member in this state counts as a part of the fleet and is probed.
 func (s State) active() bool { return s <= Suspect }
 
 // Member is an update about a member: what its sender believes. It is encoded by the keys of its
@@ -43,16 +43,16 @@
 	Addr        string      `cbor:"2,keyasint"`
 	State       State       `cbor:"3,keyasint"`
 	Incarnation Incarnation `cbor:"4,keyasint"`
-	// Willing tells whether the member would take on leases.
+	// Willing: the member would take on leases.
 	Willing bool `cbor:"5,keyasint,omitempty"`
 	// Run is a random number drawn when the process starts; 0: a seed that was never heard from.
 	Run uint64 `cbor:"6,keyasint,omitempty"`
-	// Suspector is the member whose own probe failed, if the state is Suspect.
+	// Suspector is the member that failed to reach this one by its own probe, if the state is Suspect.
 	Suspector ID `cbor:"7,keyasint,omitempty"`
 }
 
-// overrides tells whether update a replaces belief b: by a higher incarnation, or by a worse state
-// of the same one.
+// overrides reports whether update a replaces belief b: by a higher incarnation, or by a worse
+// state of the same one.
 func (a Member) overrides(b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
--- a/internal/core/fleet/members/members_test.go
+++ b/internal/core/fleet/members/members_test.go
@@ -185,6 +185,11 @@
 	}
 }
 
+// deadAt returns when a suspect is declared dead, in ms.
+func (t *Table) deadAt(e *entry) float64 {
+	return e.suspectedAt + t.suspicionTimeouts()[e.confirmations()]
+}
+
 // If each member that passes a suspicion on confirmed it, gossip alone would shorten the suspect's
 // time to refute. Only members that suspect it by a probe of their own do.
 func TestOnlyOtherSuspectorsConfirmSuspicion(t *testing.T) {
--- a/internal/core/fleet/members/merge.go
+++ b/internal/core/fleet/members/merge.go
@@ -3,7 +3,7 @@
 // applyUpdates merges the updates of a message.
 func (t *Table) applyUpdates(from ID, m Message) {
 	if m.Kind == Sync && len(m.Checksums) == 0 {
-		// It carries members that differ, which others learn by their own syncs too.
+		// The message carries members that differ, which others learn by their own syncs too.
 		t.initialTransmits = min(syncedUpdateTransmits, t.transmitLimit()/2)
 	}
 	for _, update := range m.Updates {
@@ -58,7 +58,7 @@
 	t.resetSuspicion(e)
 	t.updates.add(e, t.initialTransmits)
 	t.changes = append(t.changes, Change{Member: update, Previous: update.State, New: true})
-	// else it may not be one of the members that this controller probes
+	// With more members than rings, the new one may not be one that this controller probes.
 	if len(t.index.active) <= rings {
 		t.insertIntoRound(update.ID)
 	}
@@ -87,8 +87,8 @@
 	t.sendPing(e)
 }
 
-// refute answers an update about this controller by a higher incarnation, if it says something else
-// than is true. That it was suspected shows that this controller was slow to answer.
+// refute answers a false update about this controller by a higher incarnation. If the update says
+// that it is suspect or dead, this controller was slow to answer, and its health score worsens.
 func (t *Table) refute(update Member) {
 	if t.leaving {
 		if update.State != Left && update.Incarnation >= t.self.Incarnation {
@@ -106,7 +106,7 @@
 	t.announceAbove(update.Incarnation)
 }
 
-// isOwnState tells whether an update says of this controller what it announces itself.
+// isOwnState reports whether an update about this controller has what it announces itself.
 func (t *Table) isOwnState(update Member) bool {
 	return update.Incarnation == t.self.Incarnation &&
 		update.Run == t.self.Run &&
--- a/internal/core/fleet/members/message.go
+++ b/internal/core/fleet/members/message.go
@@ -12,8 +12,8 @@
 	PingRequest
 	// Ack answers a Ping, or a PingRequest if Target is set.
 	Ack
-	// Nack answers a PingRequest whose target has not answered in time. It shows that the requester
-	// can be heard.
+	// Nack answers a PingRequest if Target has not answered in time. It shows that the requester can
+	// be heard.
 	Nack
 	// Sync compares the sender's view with the receiver's by Checksums, or carries the members of
 	// the buckets that differ, in parts.
--- a/internal/core/fleet/members/overlay_test.go
+++ b/internal/core/fleet/members/overlay_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// sends tells whether a message is sent to a member, whatever its updates are.
+// sends reports whether a message is sent to a member, whatever its updates are.
 func sends(outs []Envelope, to ID, want Message) bool {
 	for _, out := range outs {
 		m := out.Message
--- a/internal/core/fleet/members/probe.go
+++ b/internal/core/fleet/members/probe.go
@@ -1,21 +1,19 @@
 package members
 
-import (
-	"slices"
-)
+import "slices"
 
 // probe is the failure detection of one member during one probe interval. The zero value is no
 // probe.
 type probe struct {
-	target        ID // empty: none
-	sentAt        float64
-	indirect      bool // other members have been asked to ping the target
+	target        ID      // empty: none
+	sentAt        float64 // ms
+	indirect      bool    // other members have been asked to ping the target
 	acked         bool
-	nacks         int
-	expectedNacks int // from the members that were asked
+	nacks         int // received from the members that were asked
+	expectedNacks int // how many members were asked
 }
 
-// awaitsAck tells whether the target has not answered yet.
+// awaitsAck reports whether the target has not answered yet.
 func (p probe) awaitsAck() bool { return p.target != "" && !p.acked }
 
 // probeDeadline returns when other members are asked to ping the target, in ms.
@@ -23,8 +21,8 @@
 	return t.probe.sentAt + t.config.ProbeTimeout*t.stretch()
 }
 
-// HealthScore returns Lifeguard's local health: 0 if this controller keeps up, up to 8 if its own
-// probes and refutations show that it is slow or badly connected itself.
+// HealthScore returns Lifeguard's local health: 0 if this controller keeps up, up to maxHealthScore
+// if its own probes and refutations show that it is slow or badly connected itself.
 func (t *Table) HealthScore() int { return t.healthScore }
 
 // addHealthPenalty worsens the health score, or improves it by a negative penalty.
@@ -32,8 +30,8 @@
 	t.healthScore = max(0, min(maxHealthScore, t.healthScore+penalty))
 }
 
-// stretch is the factor by which this controller's own intervals are longer because of its health
-// score.
+// stretch returns the factor by which this controller's own intervals are longer because of its
+// health score.
 func (t *Table) stretch() float64 { return float64(1 + t.healthScore) }
 
 // beginProbe pings the next member of the round. Each member is probed once in a round, in an order
@@ -90,8 +88,8 @@
 	}
 }
 
-// aliveProbeTargets are the members that can be asked to ping another one: those that are probed
-// anyway, because a connection to them is open.
+// aliveProbeTargets returns the members that can be asked to ping another one: those that are
+// probed anyway, because a connection to them is open.
 func (t *Table) aliveProbeTargets() (list []*entry) {
 	for _, e := range t.probeTargets() {
 		if e.State == Alive {
@@ -126,7 +124,7 @@
 		t.addHealthPenalty(-1)
 		return
 	}
-	// Members that were asked and send not even a nack: it may be this controller that is not heard.
+	// Asked members that send not even a nack may not hear this controller.
 	if missed := t.probe.expectedNacks - t.probe.nacks; missed > 0 {
 		t.addHealthPenalty(missed)
 	}
@@ -144,6 +142,7 @@
 	t.send(e, Message{Kind: Ping, Seq: t.nextSeq()})
 }
 
+// nextSeq returns the sequence number of the next ping.
 func (t *Table) nextSeq() uint32 {
 	t.seq++
 	return t.seq
--- a/internal/core/fleet/members/relays.go
+++ b/internal/core/fleet/members/relays.go
@@ -19,13 +19,14 @@
 	nacked  []relay // the nack was sent; a late ack is still passed on until the deadline
 }
 
+// len returns how many pings are relayed now.
 func (r *relays) len() int { return len(r.waiting) + len(r.nacked) }
 
 // takeAnswered removes and returns the relay that an ack from a target answers.
 func (r *relays) takeAnswered(pingSeq uint32, target ID) (answered relay, found bool) {
 	for _, list := range []*[]relay{&r.waiting, &r.nacked} {
-		i := slices.IndexFunc(*list, func(r relay) bool {
-			return r.pingSeq == pingSeq && r.target == target
+		i := slices.IndexFunc(*list, func(sent relay) bool {
+			return sent.pingSeq == pingSeq && sent.target == target
 		})
 		if i >= 0 {
 			answered = (*list)[i]
@@ -36,8 +37,8 @@
 	return relay{}, false
 }
 
-// takeOverdue returns the relays whose requesters are due a nack, and keeps them for extension ms
-// more for a late ack.
+// takeOverdue returns the relays for which a nack is due, and keeps them for extension ms more for
+// a late ack.
 func (r *relays) takeOverdue(now, extension float64) (overdue []relay) {
 	for len(r.nacked) > 0 && now >= r.nacked[0].deadline {
 		r.nacked = r.nacked[1:]
@@ -70,7 +71,7 @@
 	t.send(target, Message{Kind: Ping, Seq: seq})
 }
 
-// sendNacks answers the requesters whose targets have not answered in time.
+// sendNacks sends a nack to the requester of each ping that was not answered in time.
 func (t *Table) sendNacks() {
 	extension := t.config.ProbeInterval - t.config.ProbeTimeout
 	for _, r := range t.relays.takeOverdue(t.now, extension) {
--- a/internal/core/fleet/members/suspicion.go
+++ b/internal/core/fleet/members/suspicion.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// deadAt returns when a suspect is declared dead, in ms: late while nobody else suspects it, as the
-// fault may be on this controller's side.
-func (t *Table) deadAt(e *entry) float64 {
-	return e.suspectedAt + t.suspicionTimeouts()[e.confirmations()]
+// deadAt returns when a suspect is declared dead, in ms, by the suspicion timeouts: late while no
+// other member suspects it, as the fault may be on this controller's side.
+func (e *entry) deadAt(timeouts [maxSuspicionConfirmations + 1]float64) float64 {
+	return e.suspectedAt + timeouts[e.confirmations()]
 }
 
 // confirmations counts how many members other than the first suspector have failed to reach a
@@ -26,6 +26,7 @@
 	return timeouts
 }
 
+// logSize returns the decimal logarithm of the fleet's size, at least 1.
 func (t *Table) logSize() float64 { return max(1, math.Log10(float64(t.Size()))) }
 
 // firstExpiry returns when the first suspect is declared dead, in ms; infinite: there is none.
@@ -38,7 +39,7 @@
 	if len(t.index.suspects) > 0 {
 		timeouts := t.suspicionTimeouts()
 		for _, e := range t.index.suspects {
-			t.expiry = min(t.expiry, e.suspectedAt+timeouts[e.confirmations()])
+			t.expiry = min(t.expiry, e.deadAt(timeouts))
 		}
 	}
 	return t.expiry
@@ -53,14 +54,14 @@
 	}
 }
 
-// expiredSuspects returns the suspects whose timeout is over, by ID.
+// expiredSuspects returns the suspects that did not refute within their timeouts, by ID.
 func (t *Table) expiredSuspects() (expired []*entry) {
 	if t.now < t.firstExpiry() {
 		return nil
 	}
 	timeouts := t.suspicionTimeouts()
 	for _, e := range t.index.suspects {
-		if t.now >= e.suspectedAt+timeouts[e.confirmations()] {
+		if t.now >= e.deadAt(timeouts) {
 			expired = append(expired, e)
 		}
 	}
--- a/internal/core/fleet/members/sync.go
+++ b/internal/core/fleet/members/sync.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendDifferences sends all members of the buckets whose checksums differ, in parts of whole
+// sendDifferences sends all members of the buckets with different checksums, in parts of whole
 // buckets as far as they fit, and asks in each part for what is missing here in these buckets.
 func (t *Table) sendDifferences(to *entry, theirs Checksums) {
 	buckets := t.membersByBucket()
--- a/internal/core/fleet/members/table.go
+++ b/internal/core/fleet/members/table.go
@@ -1,8 +1,6 @@
 package members
 
-import (
-	"math/rand"
-)
+import "math/rand"
 
 // entry is what a Table holds of a member.
 type entry struct {
@@ -11,7 +9,7 @@
 	changedAt float64 // ms, when its state or incarnation last changed
 
 	suspectedAt float64     // ms, when it became a suspect
-	suspectors  map[ID]bool // members whose own probe of it failed; nil unless it is a suspect
+	suspectors  map[ID]bool // members that failed to reach it by their own probes; nil: no suspect
 
 	// mustBeNotified: the member said something of itself that does not override what is believed
 	// here (it restarted). The next message to it carries the belief, which it then refutes.
@@ -22,6 +20,7 @@
 	transmits int  // how often the queued update was sent
 }
 
+// newEntry returns the entry of a member that was learned of at a time in ms.
 func newEntry(m Member, now float64) *entry {
 	return &entry{Member: m, ringHash: ringHash(m.ID), changedAt: now}
 }
@@ -66,8 +65,12 @@
 
 // New returns the view of a controller that knows no member yet, but the addresses of the seeds.
 func New(self Member, seeds []Member, config Config, seed int64, now float64) *Table {
-	t := &Table{config: config, rng: rand.New(rand.NewSource(seed)), now: now,
-		entries: map[ID]*entry{}}
+	t := &Table{
+		config:  config,
+		rng:     rand.New(rand.NewSource(seed)),
+		now:     now,
+		entries: map[ID]*entry{},
+	}
 	self.State = Alive
 	t.self = newEntry(self, now)
 	t.entries[self.ID] = t.self
@@ -194,8 +197,8 @@
 }
 
 // recoverFromPause handles that this process did not run for longer than a probe interval. It could
-// not receive acks and refutations then, so it blames no one: the probe is dropped and the suspects
-// get the time added.
+// not receive acks and refutations then, so it suspects no member: the probe is dropped and the
+// suspects get the time added.
 func (t *Table) recoverFromPause(late float64) {
 	t.addHealthPenalty(pauseHealthPenalty)
 	t.probe = probe{}
--- a/internal/core/fleet/members/updates.go
+++ b/internal/core/fleet/members/updates.go
@@ -5,13 +5,12 @@
 	"slices"
 )
 
-// updates is the queue of the entries whose state is gossiped, those that were sent least often
-// first.
+// updates is the queue of the entries to be gossiped, those that were sent least often first.
 type updates struct {
 	queue []*entry // sorted by transmits
 }
 
-// add enqueues an entry behind those that were sent as often as it counts as sent.
+// add enqueues an entry that counts as sent transmits times, behind those that were sent as often.
 func (u *updates) add(e *entry, transmits int) {
 	u.remove(e)
 	e.queued = true
@@ -30,7 +29,7 @@
 	}
 }
 
-// indexAfter returns the first index, not before from, whose entry was sent more often than
+// indexAfter returns the index, not before from, of the first entry that was sent more often than
 // transmits.
 func (u *updates) indexAfter(from, transmits int) int {
 	compare := func(e *entry, transmits int) int { return cmp.Compare(e.transmits, transmits) }
