--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// CanAct tells whether this controller may begin an effect under a lease now, with which fencing
+// CanAct reports whether this controller may begin an effect under a lease now, with which fencing
 // token, and until when, in ms, the effect has to be done.
 func (c *Client) CanAct(now float64, name Name) (token Token, until float64, ok bool) {
 	lease := c.held[name]
--- a/internal/core/fleet/lease/command.go
+++ b/internal/core/fleet/lease/command.go
@@ -14,7 +14,7 @@
 	LoadState  *LoadState  `cbor:"7,keyasint,omitempty"`
 }
 
-// ChangesHolders tells whether the command may change which leases there are, their holders or
+// ChangesHolders reports whether the command may change which leases there are, their holders or
 // their preferred holders.
 func (c Command) ChangesHolders() bool {
 	return c.Declare != nil || c.Assign != nil || c.Release != nil || c.Prefer != nil
--- a/internal/core/fleet/lease/lease.go
+++ b/internal/core/fleet/lease/lease.go
@@ -34,7 +34,7 @@
 	State []byte `cbor:"8,keyasint,omitempty"`
 }
 
-// Held tells whether the lease has a holder.
+// Held reports whether the lease has a holder.
 func (l Lease) Held() bool { return l.Holder.ID != "" }
 
 // Grant is a lease with the fencing token under which it is held.
--- a/internal/core/fleet/lease/manager.go
+++ b/internal/core/fleet/lease/manager.go
@@ -16,9 +16,10 @@
 	Willing bool // it takes on leases
 }
 
-// Manager is the leader's side: it counts the leases by the leader's clock and decides on
-// assignments. A controller makes a new one whenever it becomes leader, and counts all leases from
-// then, as it does not know what the former leader counted. It is for one goroutine.
+// Manager is the leader's side: it measures by the leader's clock when each lease was last renewed,
+// and decides on assignments. A controller makes a new one whenever it becomes leader. All leases
+// then run from that time, as it does not know when the former leader saw them renewed. It is for
+// one goroutine.
 type Manager struct {
 	timing       Timing
 	startedAt    float64                 // ms
@@ -55,7 +56,7 @@
 // Applied handles an agreed command and the leases that it changed or renewed.
 func (m *Manager) Applied(now float64, c Command, changed []Name) {
 	if c.StoreState != nil || c.LoadState != nil || c.Prefer != nil {
-		return // these extend no lease: its holder counts by renewals alone, and so must the leader
+		return // these extend no lease: holder and leader measure it from renewals alone
 	}
 	for _, name := range changed {
 		m.renewedAt[name] = now
@@ -81,14 +82,14 @@
 	m.backoffUntil[leaseMember{r.Grant.Name, r.Holder.ID}] = now + backoff
 }
 
-// RecentlyRenewed tells whether a lease was renewed within two renew intervals. If not, its holder
-// may not know of it, or has dropped it, and takes it up again if it is offered.
+// RecentlyRenewed reports whether a lease was renewed within two renew intervals. If not, its
+// holder may not know of it, or has dropped it, and takes it up again if it is offered.
 func (m *Manager) RecentlyRenewed(now float64, name Name) bool {
 	at, ever := m.renewedAt[name]
 	return ever && !m.unconfirmed[name] && now < at+2*m.timing.RenewInterval()
 }
 
-// Confirmed tells whether the holders of all these grants have renewed them before.
+// Confirmed reports whether the holders of all these grants have renewed them before.
 func (m *Manager) Confirmed(grants []Grant) bool {
 	return !slices.ContainsFunc(grants, func(g Grant) bool {
 		_, ever := m.renewedAt[g.Name]
@@ -124,7 +125,7 @@
 		if !m.mayAssign(now, lease) {
 			continue
 		}
-		// it never renewed: it is dead, or another run than was believed
+		// The holder never renewed: it is dead, or another run than was believed.
 		if lease.Held() && m.unconfirmed[name] {
 			m.backoffUntil[leaseMember{name, lease.Holder.ID}] = now + unconfirmedBackoff
 		}
@@ -151,7 +152,7 @@
 	return holding
 }
 
-// mayAssign tells whether a lease is free or has run out, and no assignment of it is pending.
+// mayAssign reports whether a lease is free or has run out, and no assignment of it is pending.
 func (m *Manager) mayAssign(now float64, lease *Lease) bool {
 	pending, ok := m.pending[lease.Name]
 	if ok && pending.revision == lease.Revision && now < pending.deadline {
@@ -178,7 +179,7 @@
 	}
 	var best Candidate
 	for _, c := range candidates {
-		// it did not renew in time: any other comes first
+		// The former holder did not renew in time: any other candidate comes first.
 		expired := c.Holder == lease.Holder && lease.Held()
 		backingOff := now < m.backoffUntil[leaseMember{lease.Name, c.Holder.ID}]
 		if !c.Willing || backingOff || expired && len(candidates) > 1 {
@@ -192,7 +193,7 @@
 	return best.Holder, found
 }
 
-// betterCandidate tells whether a is to get a lease rather than b.
+// betterCandidate reports whether a is to get a lease rather than b.
 func betterCandidate(name Name, a, b Candidate, holding map[members.ID]int) bool {
 	if a.Avoid != b.Avoid {
 		return b.Avoid
--- a/internal/core/fleet/lease/state.go
+++ b/internal/core/fleet/lease/state.go
@@ -91,6 +91,7 @@
 	return changed
 }
 
+// assign assigns a lease to a holder, with the next fencing token.
 func (s *State) assign(c *Assign) []Name {
 	lease := s.Leases[c.Name]
 	if lease == nil || lease.Retired || lease.Revision != c.Revision || c.To.ID == "" {
@@ -105,6 +106,7 @@
 	return []Name{lease.Name}
 }
 
+// renew renews the grants that the holder still holds.
 func (s *State) renew(c *Renew) (renewed []Name) {
 	for _, grant := range c.Grants {
 		if lease := s.heldBy(c.Holder, grant); lease != nil {
@@ -115,6 +117,7 @@
 	return renewed
 }
 
+// release ends the grant of a holder, if it still holds it.
 func (s *State) release(c *Release) []Name {
 	lease := s.heldBy(c.Holder, c.Grant)
 	if lease == nil {
@@ -125,6 +128,7 @@
 	return []Name{lease.Name}
 }
 
+// storeState replaces the state that the holders of a lease hand on.
 func (s *State) storeState(c *StoreState) []Name {
 	lease := s.heldBy(c.Holder, c.Grant)
 	if lease == nil || c.Serial != lease.Serial+1 || len(c.Data) > MaxStateBytes {
@@ -135,6 +139,7 @@
 	return []Name{lease.Name}
 }
 
+// prefer sets the preferred next holder, unless that holds the lease already.
 func (s *State) prefer(c *Prefer) []Name {
 	lease := s.Leases[c.Name]
 	if lease == nil || lease.Retired || lease.Holder.ID == c.To || len(c.To) > maxNameBytes {
--- a/internal/core/fleet/lease/timing.go
+++ b/internal/core/fleet/lease/timing.go
@@ -11,14 +11,14 @@
 //
 // A holder stops holdShare after it sent the renewal that was granted; the leader assigns the lease
 // to another reassignShare after the renewal was applied, which is later. The margin between the
-// two covers clocks whose rates differ by 40%, or a pause of half a lease between a holder's check
+// two covers clocks that differ in rate by 40%, or a pause of half a lease between a holder's check
 // of its clock and the end of the effect it then began. If a holder breaks the margin, two
 // controllers act at a time, and receivers reject the older fencing token.
 const (
-	holdShare         = 0.7
-	reassignShare     = 1.5
-	renewShare        = 0.2
-	renewalBatchShare = 0.05
+	holdShare         = 0.7  // see HoldTime
+	reassignShare     = 1.5  // see ReassignAfter
+	renewShare        = 0.2  // see RenewInterval
+	renewalBatchShare = 0.05 // see RenewalBatchTime
 )
 
 // HoldTime returns how long after sending a renewal a holder may begin an effect, in ms.
@@ -38,10 +38,10 @@
 const (
 	// failureBackoff is for how long a member that failed at a lease does not get it again.
 	failureBackoff = 60000.0
-	// unconfirmedBackoff is the same for a member that was assigned a lease and never renewed it,
-	// or released it.
+	// unconfirmedBackoff is for how long a member that was assigned a lease and never renewed it, or
+	// that released it, does not get it again.
 	unconfirmedBackoff = 15000.0
-	// proposalTimeout is after which time an assignment that was not agreed on is proposed again.
+	// proposalTimeout is the time after which an assignment that was not agreed on is proposed again.
 	proposalTimeout = 3000.0
 	// preferredWait is how long a free lease waits at most for the member that an operator prefers.
 	preferredWait = 60000.0
