--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -9,10 +9,10 @@
 
 // Config is what a node is given when its process starts.
 type Config struct {
-	Self        members.Member // Run is that of this process
+	Self        members.Member // with the Run of this process
 	Seeds       []members.Member
 	Founders    []members.ID // of the quorum
-	Leases      []lease.Name // that are to be declared, if this node leads the quorum
+	Leases      []lease.Name // to be declared, if this node leads the quorum
 	LeaseTiming lease.Timing
 	Membership  members.Config
 	NextDisk    uint64       // see quorum.Config
@@ -47,20 +47,20 @@
 
 // Intervals and timeouts in ms.
 const (
-	// offerInterval is the time between two offers of a lease to a holder that does not renew it, and
-	// at most between two looks of a leader at the leases.
+	// offerInterval is the time between two offers of a lease to a holder that does not renew it. A
+	// leader checks the leases at least that often.
 	offerInterval = 1000.0
-	// minManageInterval is the time at least between two looks of a leader at the leases.
+	// minManageInterval is the shortest time between two checks of the leases by a leader.
 	minManageInterval = 50.0
 	// releaseInterval is the time between two messages about a release.
 	releaseInterval = 300.0
-	// releaseTimeout is after which time a release that was not confirmed is given up: the quorum
+	// releaseTimeout is the time after which a release that was not confirmed is given up: the quorum
 	// then waits for the lease to expire.
 	releaseTimeout = 10000.0
 	// preferInterval is the time between two messages about an operator's preference.
 	preferInterval = 1000.0
-	// preferTimeout is after which time a preference that does not show in the agreed state is given
-	// up.
+	// preferTimeout is the time after which a preference that does not show in the agreed state is
+	// given up.
 	preferTimeout = 10000.0
 )
 
@@ -74,22 +74,22 @@
 	maxUnanswered = 4096
 	// maxRenewals bounds the renewals that a leader gathers; with so many they are proposed at once.
 	maxRenewals = 256
-	// maxProcessRounds bounds how often the parts of a node answer each other in one call.
+	// maxProcessRounds bounds how often the parts of a node handle each other's output in one call.
 	maxProcessRounds = 4
 	// maxLocalRounds bounds how often the configuration's messages to itself are delivered in one
 	// call.
 	maxLocalRounds = 16
-	// leaderTimeoutRenewals is the number of renew intervals without a word of the leader after
+	// leaderTimeoutRenewals is the number of renew intervals without a message of the leader after
 	// which another member is asked which one leads.
 	leaderTimeoutRenewals = 2
 )
 
 // Requests for the quorum's view by a controller that is no member.
 const (
-	// viewInterval is the time between two requests at least, in ms.
+	// viewInterval is the shortest usual interval between two requests, in ms.
 	viewInterval = 5000.0
-	// viewIntervalPerMember is the same for each member of the fleet, in ms, so that the whole
-	// fleet sends at most ten requests a second.
+	// viewIntervalPerMember times the members of the fleet is the interval in a large fleet, in ms, so
+	// that the whole fleet sends at most ten requests a second.
 	viewIntervalPerMember = 100.0
 	// currentViewFactor multiplies the interval while nothing has changed since the last view.
 	currentViewFactor = 10.0
--- a/internal/core/fleet/node/effects.go
+++ b/internal/core/fleet/node/effects.go
@@ -10,11 +10,10 @@
 // process pauses in between, the receiver's fencing check rejects the effect.
 func (n *Node) TryEffect(now float64, name lease.Name, to members.ID, id uint64, data []byte) bool {
 	n.now = max(n.now, now)
-	token, _, ok := n.leaseClient.CanAct(n.now, name)
-	if !ok {
+	grant, held := n.currentGrant(name)
+	if !held {
 		return false
 	}
-	grant := lease.Grant{Name: name, Token: token}
 	n.send(to, Message{Effect: &Effect{Grant: grant, ID: id, Data: data}})
 	return true
 }
--- a/internal/core/fleet/node/fleetconfig.go
+++ b/internal/core/fleet/node/fleetconfig.go
@@ -26,10 +26,10 @@
 // Leader returns the quorum's leader; empty: not known.
 func (e configEnvironment) Leader() members.ID { return e.node.Leader() }
 
-// Leads tells whether this controller leads the quorum and has applied all that was agreed on.
+// Leads reports whether this controller leads the quorum and has applied all that was agreed on.
 func (e configEnvironment) Leads() bool { return e.node.quorum.LeadsCaughtUp() }
 
-// Voting tells whether this controller is a voter.
+// Voting reports whether this controller is a voter.
 func (e configEnvironment) Voting() bool {
 	role, _ := e.node.quorum.Role()
 	return role == quorum.Voter
@@ -59,8 +59,11 @@
 	if n.cfg.FleetConfig == nil {
 		return
 	}
-	options := config.Options{Self: n.cfg.Self.ID, Run: n.cfg.Self.Run,
-		Seed: n.cfg.Seed + configSeedOffset}
+	options := config.Options{
+		Self: n.cfg.Self.ID,
+		Run:  n.cfg.Self.Run,
+		Seed: n.cfg.Seed + configSeedOffset,
+	}
 	n.config = config.New(options, configEnvironment{n}, n.cfg.FleetConfig.Stored, n.now)
 }
 
@@ -77,7 +80,8 @@
 	return &config.Message{Summary: summary}
 }
 
-// quorumState is what the configuration's replica is notified of.
+// quorumState is the part of the quorum's state of which the configuration's replica is notified
+// when it changes.
 type quorumState struct {
 	newestVersion uint64
 	leads         bool
--- a/internal/core/fleet/node/holder.go
+++ b/internal/core/fleet/node/holder.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// handleOffer handles the offer of a lease, and tells whether it was to this run and accepted.
+// handleOffer handles the offer of a lease, and reports whether it was to this run and accepted.
 func (n *Node) handleOffer(o *Offer) bool {
 	if o.To != n.holder() || n.stopping {
 		return false
@@ -30,7 +30,7 @@
 	if r.To != n.holder() {
 		return
 	}
-	n.leader.hear(r.Leader, n.now)
+	n.leader.recordContact(r.Leader, n.now)
 	n.leaseClient.ConfirmRenewal(n.now, r.Sequence, r.Valid)
 	for _, grant := range r.Invalid {
 		n.leaseClient.Revoke(grant)
@@ -45,12 +45,19 @@
 // Held returns the grants under which this controller may act now.
 func (n *Node) Held(now float64) []lease.Grant { return n.leaseClient.Held(now) }
 
-// CanAct tells whether this controller may begin an effect under a lease now, with which fencing
+// CanAct reports whether this controller may begin an effect under a lease now, with which fencing
 // token, and until when, in ms, the effect has to be done.
 func (n *Node) CanAct(now float64, name lease.Name) (token lease.Token, until float64, ok bool) {
 	return n.leaseClient.CanAct(now, name)
 }
 
+// currentGrant returns the grant under which this controller may begin an effect of a lease now,
+// and whether there is one.
+func (n *Node) currentGrant(name lease.Name) (grant lease.Grant, held bool) {
+	token, _, held := n.leaseClient.CanAct(n.now, name)
+	return lease.Grant{Name: name, Token: token}, held
+}
+
 // unconfirmedRelease is the release of a lease that the quorum may not know of yet.
 type unconfirmedRelease struct {
 	release  *lease.Release
@@ -94,13 +101,13 @@
 // caller repeats it with the same serial.
 func (n *Node) ProposeState(now float64, name lease.Name, serial uint64, data []byte) bool {
 	n.now = max(n.now, now)
-	token, _, ok := n.leaseClient.CanAct(n.now, name)
-	if !ok {
+	grant, held := n.currentGrant(name)
+	if !held {
 		return false
 	}
 	n.sendToLeader(Message{StoreState: &lease.StoreState{
 		Holder: n.holder(),
-		Grant:  lease.Grant{Name: name, Token: token},
+		Grant:  grant,
 		Serial: serial,
 		Data:   data,
 	}})
@@ -111,21 +118,18 @@
 // does not. The state comes as a Checkpoint. The request may be lost.
 func (n *Node) RequestState(now float64, name lease.Name) bool {
 	n.now = max(n.now, now)
-	token, _, ok := n.leaseClient.CanAct(n.now, name)
-	if !ok {
+	grant, held := n.currentGrant(name)
+	if !held {
 		return false
 	}
-	n.sendToLeader(Message{LoadState: &lease.LoadState{
-		Holder: n.holder(),
-		Grant:  lease.Grant{Name: name, Token: token},
-	}})
+	n.sendToLeader(Message{LoadState: &lease.LoadState{Holder: n.holder(), Grant: grant}})
 	return true
 }
 
 // handleCheckpoint handles the state of a lease that this run holds.
 func (n *Node) handleCheckpoint(c *Checkpoint) {
-	token, _, ok := n.leaseClient.CanAct(n.now, c.Grant.Name)
-	if c.To == n.holder() && ok && token == c.Grant.Token {
+	grant, held := n.currentGrant(c.Grant.Name)
+	if c.To == n.holder() && held && grant == c.Grant {
 		n.out.Checkpoints = append(n.out.Checkpoints, *c)
 	}
 }
--- a/internal/core/fleet/node/leader.go
+++ b/internal/core/fleet/node/leader.go
@@ -9,7 +9,8 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// SetLeases sets which leases are to be declared. It counts where this controller leads the quorum.
+// SetLeases sets which leases are to be declared. It has an effect while this controller leads the
+// quorum.
 func (n *Node) SetLeases(now float64, names []lease.Name) {
 	n.now = max(n.now, now)
 	n.cfg.Leases = slices.Clone(names)
@@ -18,8 +19,8 @@
 }
 
 // leadQuorum does what is due of the quorum's leader: it declares the leases, assigns those that
-// are free, and repeats offers. A controller that stops leading forgets what it counted of the
-// leases.
+// are free, and repeats offers. A controller that stops leading forgets when the leases were
+// renewed.
 func (n *Node) leadQuorum() {
 	if !n.quorum.Leads() {
 		n.leaseManager = nil
@@ -48,7 +49,7 @@
 	n.manageAt = min(n.now+offerInterval, next)
 }
 
-// declares tells whether the leases of a state are those declared.
+// declares reports whether the leases of a state are those declared.
 func declares(s *lease.State, declared []lease.Name) bool {
 	count := 0
 	for name, l := range s.Leases {
@@ -63,8 +64,8 @@
 	return count == len(declared)
 }
 
-// candidates returns the active members. This controller comes last: if it ended, the leader's
-// count of the leases would end with it.
+// candidates returns the active members. This controller comes last, as it leads: if it failed, the
+// next leader would let its leases run from the change of leader, and reassign them later.
 func (n *Node) candidates() (list []lease.Candidate) {
 	for _, m := range n.members.Members() {
 		if m.State <= members.Suspect && m.Run != 0 {
@@ -97,7 +98,7 @@
 	n.send(l.Holder.ID, Message{Offer: &Offer{To: l.Holder, Grant: grant}})
 }
 
-// handleApplied handles the commands that the quorum agreed on since the last call, and tells
+// handleApplied handles the commands that the quorum agreed on since the last call, and reports
 // whether there were some.
 func (n *Node) handleApplied() bool {
 	list := n.quorum.TakeApplied()
@@ -122,7 +123,7 @@
 	return len(list) > 0
 }
 
-// answer answers the holder whose command was applied.
+// answer answers the holder that proposed an applied command.
 func (n *Node) answer(a quorum.Applied) {
 	if renew := a.Command.Renew; renew != nil {
 		n.answerRenewal(a, renew)
@@ -160,8 +161,8 @@
 	n.send(renew.Holder.ID, Message{RenewResponse: response})
 }
 
-// answerState sends a holder the agreed state of its lease. By the serial the holder tells whether
-// its own StoreState was applied.
+// answerState sends a holder the agreed state of its lease. The serial shows the holder whether its
+// own StoreState was applied.
 func (n *Node) answerState(holder lease.Holder, grant lease.Grant) {
 	l := n.quorum.State().Leases[grant.Name]
 	if l == nil || l.Holder != holder || l.Token != grant.Token {
--- a/internal/core/fleet/node/leaderhint.go
+++ b/internal/core/fleet/node/leaderhint.go
@@ -1,6 +1,7 @@
 package node
 
-// leaderHint returns what this controller knows of the leader; nil: nothing.
+// leaderHint returns what this controller knows of the leader, after taking in what its own replica
+// of the quorum knows; nil: nothing.
 func (n *Node) leaderHint() *LeaderHint {
 	if leader := n.quorum.Leader(); leader != "" {
 		n.leader.id = leader
@@ -13,9 +14,9 @@
 	return &LeaderHint{ID: n.leader.id, Term: n.leader.term, Changed: n.view.latestIndex}
 }
 
-// handleLeaderHint handles which controller leads. A term has one leader, and a lower term is over.
-// If the quorum's view has changed, it is requested after a random part of the usual interval: all
-// controllers hear of the change at about the same time.
+// handleLeaderHint handles the leader that another controller knows of. A term has one leader, and
+// a lower term is over. If the quorum's view has changed, it is requested after a random part of
+// the usual interval: all controllers hear of the change at about the same time.
 func (n *Node) handleLeaderHint(hint *LeaderHint) {
 	if hint == nil || hint.ID == "" || hint.Term < n.leader.term {
 		return
--- a/internal/core/fleet/node/messages.go
+++ b/internal/core/fleet/node/messages.go
@@ -8,27 +8,27 @@
 )
 
 // Message is a message between controllers, encoded by the keys of its fields. One field is set;
-// Config and Leader may accompany a Members message.
+// Config and Leader may accompany a Members message. JobMessage is from the job of a lease to the
+// same job at another controller.
 type Message struct {
-	Members        *members.Message `cbor:"1,keyasint,omitempty"`
-	Quorum         *quorum.Message  `cbor:"2,keyasint,omitempty"`
-	Renew          *lease.Renew     `cbor:"3,keyasint,omitempty"`
-	RenewResponse  *RenewResponse   `cbor:"4,keyasint,omitempty"`
-	Offer          *Offer           `cbor:"5,keyasint,omitempty"`
-	Release        *lease.Release   `cbor:"6,keyasint,omitempty"`
-	Prefer         *lease.Prefer    `cbor:"7,keyasint,omitempty"`
-	ViewRequest    *ViewRequest     `cbor:"8,keyasint,omitempty"`
-	View           *View            `cbor:"9,keyasint,omitempty"`
-	Effect         *Effect          `cbor:"10,keyasint,omitempty"`
-	EffectResponse *EffectResponse  `cbor:"11,keyasint,omitempty"`
-	Replace        *Replace         `cbor:"12,keyasint,omitempty"`
-	// from a job to another controller's
-	JobMessage []byte            `cbor:"13,keyasint,omitempty"`
-	StoreState *lease.StoreState `cbor:"14,keyasint,omitempty"`
-	LoadState  *lease.LoadState  `cbor:"15,keyasint,omitempty"`
-	Checkpoint *Checkpoint       `cbor:"16,keyasint,omitempty"`
-	Config     *config.Message   `cbor:"17,keyasint,omitempty"`
-	Leader     *LeaderHint       `cbor:"18,keyasint,omitempty"`
+	Members        *members.Message  `cbor:"1,keyasint,omitempty"`
+	Quorum         *quorum.Message   `cbor:"2,keyasint,omitempty"`
+	Renew          *lease.Renew      `cbor:"3,keyasint,omitempty"`
+	RenewResponse  *RenewResponse    `cbor:"4,keyasint,omitempty"`
+	Offer          *Offer            `cbor:"5,keyasint,omitempty"`
+	Release        *lease.Release    `cbor:"6,keyasint,omitempty"`
+	Prefer         *lease.Prefer     `cbor:"7,keyasint,omitempty"`
+	ViewRequest    *ViewRequest      `cbor:"8,keyasint,omitempty"`
+	View           *View             `cbor:"9,keyasint,omitempty"`
+	Effect         *Effect           `cbor:"10,keyasint,omitempty"`
+	EffectResponse *EffectResponse   `cbor:"11,keyasint,omitempty"`
+	Replace        *Replace          `cbor:"12,keyasint,omitempty"`
+	JobMessage     []byte            `cbor:"13,keyasint,omitempty"`
+	StoreState     *lease.StoreState `cbor:"14,keyasint,omitempty"`
+	LoadState      *lease.LoadState  `cbor:"15,keyasint,omitempty"`
+	Checkpoint     *Checkpoint       `cbor:"16,keyasint,omitempty"`
+	Config         *config.Message   `cbor:"17,keyasint,omitempty"`
+	Leader         *LeaderHint       `cbor:"18,keyasint,omitempty"`
 }
 
 // Checkpoint is the state that the holders of a lease hand on, as agreed on by a StoreState or
@@ -69,11 +69,11 @@
 	Leader members.ID    `cbor:"1,keyasint"`
 	Voters []members.ID  `cbor:"2,keyasint"`
 	Leases []lease.Lease `cbor:"3,keyasint"`
-	// Changed is the quorum's ChangedIndex as of this view; 0: its sender does not tell.
+	// Changed is the quorum's ChangedIndex as of this view; 0: unknown.
 	Changed uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Effect is what a holder of a lease does at another controller.
+// Effect is an action that a holder of a lease asks another controller to carry out.
 type Effect struct {
 	Grant lease.Grant `cbor:"1,keyasint"`
 	ID    uint64      `cbor:"2,keyasint"` // the sender's number of the effect
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -29,10 +29,10 @@
 	view   quorumView
 
 	// As the leader.
-	manageAt       float64 // ms, when it looks at the leases next
-	offerAt        float64 // ms, when it repeats offers next
-	lastRef        uint64  // of this controller's proposals
-	unansweredRefs map[uint64]bool
+	manageAt       float64         // ms, when it checks the leases next
+	offerAt        float64         // ms, when it repeats offers next
+	lastRef        uint64          // of this controller's proposals
+	unansweredRefs map[uint64]bool // proposals to be answered when they are applied
 	renewals       renewalBatch
 
 	// As a holder.
@@ -44,26 +44,27 @@
 	pendingPreferences []pendingPreference
 	sendPreferencesAt  float64 // ms
 
-	compactionPending bool        // a Compaction is out
+	compactionPending bool        // a Compaction waits for Compacted
 	lastQuorumState   quorumState // as last notified to config
 }
 
 // New returns a node that goes on from the quorum's records of its folder, and from the fencing
 // tokens that were stored; nil: none. It fails if quorum.New fails.
-func New(cfg Config, records []quorum.Record, tokens map[lease.Name]lease.Token,
-	now float64) (*Node, error) {
+func New(
+	cfg Config, records []quorum.Record, tokens map[lease.Name]lease.Token, now float64,
+) (*Node, error) {
 	replica, err := quorum.New(cfg.quorumConfig(), records, now)
 	if err != nil {
 		return nil, err
 	}
+	self := lease.Holder{ID: cfg.Self.ID, Run: cfg.Self.Run}
 	n := &Node{
-		cfg:     cfg,
-		now:     now,
-		rng:     rand.New(rand.NewSource(cfg.Seed + viewSeedOffset)),
-		members: members.New(cfg.Self, cfg.Seeds, cfg.Membership, cfg.Seed, now),
-		quorum:  replica,
-		leaseClient: lease.NewClient(lease.Holder{ID: cfg.Self.ID, Run: cfg.Self.Run},
-			cfg.LeaseTiming),
+		cfg:            cfg,
+		now:            now,
+		rng:            rand.New(rand.NewSource(cfg.Seed + viewSeedOffset)),
+		members:        members.New(cfg.Self, cfg.Seeds, cfg.Membership, cfg.Seed, now),
+		quorum:         replica,
+		leaseClient:    lease.NewClient(self, cfg.LeaseTiming),
 		fencing:        lease.NewFencingCheck(tokens),
 		view:           quorumView{voters: slices.Clone(cfg.Founders), requestAt: now},
 		lastRef:        uint64(rand.New(rand.NewSource(cfg.Seed + refSeedOffset)).Int63()),
@@ -103,7 +104,7 @@
 		n.handleRenewResponse(m.RenewResponse)
 	case m.Offer != nil:
 		if n.handleOffer(m.Offer) {
-			n.leader.hear(from, n.now) // only a leader sends offers
+			n.leader.recordContact(from, n.now) // only a leader sends offers
 		}
 	case m.Release != nil:
 		n.proposeOrForward(from, m, lease.Command{Release: m.Release})
@@ -165,7 +166,7 @@
 	return max(next, n.now)
 }
 
-// Advance continues after a Ready whose record is durable.
+// Advance continues after a Ready when its record is durable.
 func (n *Node) Advance(now float64, ready *quorum.Ready) {
 	n.now = max(n.now, now)
 	n.quorum.Advance(n.now, ready)
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -47,7 +47,7 @@
 }
 
 // Take returns what is to be carried out since the last call. At most one of Ready and Compaction
-// is out at a time.
+// is pending at a time.
 func (n *Node) Take() Output {
 	if n.out.Ready == nil && !n.compactionPending {
 		if record := n.quorum.Compact(); record != nil {
--- a/internal/core/fleet/node/renewals.go
+++ b/internal/core/fleet/node/renewals.go
@@ -20,8 +20,8 @@
 	renew *lease.Renew
 }
 
-// handleRenew gathers a holder's renewal if this controller leads; else it tells the holder which
-// one does. The first renewal of a lease is proposed at once, as its holder may not act before.
+// handleRenew gathers a holder's renewal if this controller leads; else it answers with its view of
+// the leader. The first renewal of a lease is proposed at once, as its holder may not act before.
 func (n *Node) handleRenew(from members.ID, renew *lease.Renew) {
 	if !n.quorum.Leads() {
 		n.send(from, Message{View: n.ownView()})
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -18,7 +18,7 @@
 	n.out.Messages = append(n.out.Messages, Envelope{To: to, Addr: addr, Message: m})
 }
 
-// receiveLocal handles a message of this controller to itself, which is holder and leader at once.
+// receiveLocal handles a message of this controller to itself, as it is holder and leader at once.
 func (n *Node) receiveLocal(m Message) {
 	self := n.cfg.Self.ID
 	switch {
@@ -75,7 +75,7 @@
 }
 
 // forward forwards a message to the leader, if that is neither this controller nor the sender, and
-// tells whether it did.
+// reports whether it did.
 func (n *Node) forward(from members.ID, m *Message) bool {
 	leader := n.quorum.Leader()
 	if n.quorum.Leads() || leader == "" || leader == n.cfg.Self.ID || leader == from {
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -10,11 +10,11 @@
 type knownLeader struct {
 	id      members.ID // empty: none
 	term    uint64     // of the quorum, in which id leads
-	heardAt float64    // ms, when the leader, or a member's view of it, was last heard
+	heardAt float64    // ms, when the last message of it, or view that names it, came
 }
 
-// hear records that a leader was heard.
-func (l *knownLeader) hear(id members.ID, now float64) {
+// recordContact records a message of the leader, or a member's view that names it.
+func (l *knownLeader) recordContact(id members.ID, now float64) {
 	l.id = id
 	l.heardAt = now
 }
@@ -24,7 +24,7 @@
 	voters       []members.ID
 	leases       []lease.Lease
 	changedIndex uint64  // the quorum's ChangedIndex as of leases
-	latestIndex  uint64  // the highest ChangedIndex heard of
+	latestIndex  uint64  // the highest known ChangedIndex
 	requestAt    float64 // ms, when the view is requested next
 	nextVoter    int     // counts the members asked in turn
 }
@@ -53,7 +53,7 @@
 		if n.leader.id != v.Leader { // the last renewal went to a controller that does not lead
 			n.leaseClient.RenewNow(n.now)
 		}
-		n.leader.hear(v.Leader, n.now)
+		n.leader.recordContact(v.Leader, n.now)
 	}
 	if len(v.Voters) > 0 {
 		n.view.voters = v.Voters
@@ -77,7 +77,7 @@
 	}
 }
 
-// viewIsCurrent tells whether nothing has changed since the view that this controller has, as far
+// viewIsCurrent reports whether nothing has changed since the view that this controller has, as far
 // as it has heard.
 func (n *Node) viewIsCurrent() bool {
 	return n.view.changedIndex > 0 && n.view.changedIndex >= n.view.latestIndex
