--- a/internal/core/fleet/digest/collector.go
+++ b/internal/core/fleet/digest/collector.go
@@ -19,7 +19,7 @@
 	MaxEngines = 4000
 	// maxReports bounds the reports of a Collector; the oldest are dropped.
 	maxReports = 64
-	// maxReportAge is after which time in ms a report is no longer merged.
+	// maxReportAge is the time in ms after which a report is no longer merged.
 	maxReportAge = 120000.0
 )
 
@@ -75,7 +75,7 @@
 // Merge returns the digest of the reports: each figure is a mean weighted by the weights and ages
 // of the reported ones, and an engine's health is that of the newest record. Which engines are in a
 // pool together is taken from one report alone, as pool leaders of different reports would not fit
-// together: from the one with the most demand, whose assignment rests on the most queries.
+// together: from the one with the most demand, as its assignment rests on the most queries.
 func (c *Collector) Merge(now float64, halfLives restore.HalfLives) router.Statistics {
 	reports := c.fresh(now)
 	pools := mostDemanded(reports)
--- a/internal/core/fleet/digest/doc.go
+++ b/internal/core/fleet/digest/doc.go
@@ -2,7 +2,7 @@
 // without any can begin with.
 //
 // The package has no I/O, no clock and no goroutine. A [Collector] belongs to the goroutine of the
-// fleet service, whose digest job, on the holder of the lease "digest", adds the reports of
+// fleet service. The digest job there, on the holder of the lease "digest", adds the reports of
 // controllers and merges them. Nothing has to be durable: a new holder collects anew.
 //
 // A digest only steers: package core/restore decides which of its figures are believed, and no rule
--- a/internal/core/fleet/digest/merge.go
+++ b/internal/core/fleet/digest/merge.go
@@ -32,12 +32,19 @@
 	return m.sum / m.weight
 }
 
-// engineProcess is one run of an engine's process: after a restart its figures are another's.
+// weighted returns the mean, or a fallback, with the weight of all figures.
+func (m *weightedMean) weighted(fallback float64) router.WeightedMean {
+	return router.WeightedMean{Mean: m.mean(fallback), Weight: m.weight}
+}
+
+// engineProcess is one run of an engine's process. Figures from before a restart are those of
+// another process.
 type engineProcess struct {
 	engine    router.EngineID
 	startedAt float64 // ms; 0: long ago
 }
 
+// compareProcesses orders processes by engine and start.
 func compareProcesses(a, b engineProcess) int {
 	return cmp.Or(cmp.Compare(a.engine, b.engine), cmp.Compare(a.startedAt, b.startedAt))
 }
@@ -68,9 +75,10 @@
 				sums[process] = sum
 			}
 			age := now - e.At
-			sum.slowdown.add(e.Slowdown.Mean,
-				e.Slowdown.Weight*restore.RemainingWeight(age, halfLives.Slowdown))
-			sum.threadsPerCore.add(e.ThreadsPerCore, restore.RemainingWeight(age, halfLives.ThreadsPerCore))
+			slowdownWeight := e.Slowdown.Weight * restore.RemainingWeight(age, halfLives.Slowdown)
+			sum.slowdown.add(e.Slowdown.Mean, slowdownWeight)
+			threadsWeight := restore.RemainingWeight(age, halfLives.ThreadsPerCore)
+			sum.threadsPerCore.add(e.ThreadsPerCore, threadsWeight)
 			if e.At > sum.newest.At {
 				sum.newest = e
 			}
@@ -82,7 +90,7 @@
 	for _, process := range slices.SortedFunc(maps.Keys(sums), compareProcesses) {
 		sum := sums[process]
 		e := sum.newest
-		e.Slowdown = router.WeightedMean{Mean: sum.slowdown.mean(1), Weight: sum.slowdown.weight}
+		e.Slowdown = sum.slowdown.weighted(1)
 		e.ThreadsPerCore = sum.threadsPerCore.mean(e.ThreadsPerCore)
 		e.PoolLeader = sum.poolLeader
 		merged = append(merged, e)
@@ -140,7 +148,8 @@
 	return mostDemandedTables(merged)
 }
 
-// validTables tells whether the figures of a table group are neither negative nor infinite nor NaN.
+// validTables reports whether the figures of a table group are neither negative nor infinite nor
+// NaN.
 func validTables(t router.TableStatistics) bool {
 	return t.Demand >= 0 && t.MemoryTime >= 0 && !math.IsInf(t.Demand+t.MemoryTime, 0)
 }
@@ -198,9 +207,8 @@
 			Class:           id,
 			FirstTryTimeout: sum.firstTryTimeout,
 			UnloadedTime:    sum.unloadedTime.mean(0),
-			WorkScale:       router.WeightedMean{Mean: sum.workScale.mean(1), Weight: sum.workScale.weight},
-			MemoryScale: router.WeightedMean{Mean: sum.memoryScale.mean(1),
-				Weight: sum.memoryScale.weight},
+			WorkScale:       sum.workScale.weighted(1),
+			MemoryScale:     sum.memoryScale.weighted(1),
 		})
 	}
 	return merged
