--- a/internal/core/fleet/maintenance/blocked.go
+++ b/internal/core/fleet/maintenance/blocked.go
@@ -8,9 +8,9 @@
 // msOfMinute is a minute in ms.
 const msOfMinute = 60000
 
-// blocked tells why an engine may not be taken out now; empty: it may. Begun says that it is being
-// prepared already.
-func (v View) blocked(id EngineID, l Limits, begun bool) string {
+// blockReason returns why an engine may not be taken out now, as operators read it; empty: it may.
+// Begun says that the engine is being prepared already.
+func (v View) blockReason(id EngineID, l Limits, begun bool) string {
 	e, ok := findEngine(v.Engines, id)
 	if !ok {
 		return "it is not in the list"
@@ -22,7 +22,7 @@
 	if v.StaleReason != "" {
 		return v.StaleReason
 	}
-	if reason := v.blockedByHour(plan); reason != "" {
+	if reason := v.hourBlockReason(plan); reason != "" {
 		return reason
 	}
 	if v.ReconnectStorm {
@@ -32,21 +32,21 @@
 	if len(unavailable) >= plan.MaxUnavailable {
 		return fmt.Sprintf("%d are out or lost, and %d may be", len(unavailable), plan.MaxUnavailable)
 	}
-	if reason := v.blockedByTasks(id, l, begun); reason != "" {
+	if reason := v.taskBlockReason(id, l, begun); reason != "" {
 		return reason
 	}
 	r := remaining{view: v, engine: e, unavailable: unavailable}
-	if reason := r.lacksMinAvailable(plan); reason != "" {
+	if reason := r.minAvailableBlockReason(plan); reason != "" {
 		return reason
 	}
-	if reason := r.lacksRequiredCores(l); reason != "" {
+	if reason := r.requiredCoresBlockReason(l); reason != "" {
 		return reason
 	}
-	return r.overloaded(l)
+	return r.loadBlockReason(l)
 }
 
-// blockedByHour tells whether the hour of the day is blocked; empty: it is not.
-func (v View) blockedByHour(plan Plan) string {
+// hourBlockReason returns why the hour of the day is blocked; empty: it is not.
+func (v View) hourBlockReason(plan Plan) string {
 	for _, h := range plan.BlockedHours {
 		if left, ok := h.within(int(v.Now/msOfMinute) % dayMinutes); ok {
 			return fmt.Sprintf("none is taken in these hours, for %d min more", left)
@@ -55,8 +55,8 @@
 	return ""
 }
 
-// blockedByTasks tells which other engine's step has to end first; empty: none.
-func (v View) blockedByTasks(id EngineID, l Limits, begun bool) string {
+// taskBlockReason returns which other engine's step has to end first; empty: none.
+func (v View) taskBlockReason(id EngineID, l Limits, begun bool) string {
 	for _, t := range v.Tasks {
 		if t.Engine == id {
 			continue
@@ -74,21 +74,20 @@
 // remaining is the fleet without one engine, and without those that are unavailable already.
 type remaining struct {
 	view        View
-	engine      Engine // that would be taken out
+	engine      Engine // the one that would be taken out
 	unavailable []Engine
 }
 
-// staysReady tells whether an engine would go on serving.
+// staysReady reports whether an engine would go on serving.
 func (r remaining) staysReady(e Engine) bool {
 	isUnavailable := func(u Engine) bool { return u.ID == e.ID }
 	return e.ID != r.engine.ID && e.Ready && !slices.ContainsFunc(r.unavailable, isUnavailable)
 }
 
-// staysWarm tells whether an engine would go on serving with warm caches.
+// staysWarm reports whether an engine would go on serving with warm caches.
 func (r remaining) staysWarm(e Engine) bool { return r.staysReady(e) && r.view.Now >= e.WarmAt }
 
-// all returns the engines of the endpoint list, and those that are unavailable, which may have left
-// it.
+// all returns the engines of the endpoint list, and the unavailable ones, which may have left it.
 func (r remaining) all() []Engine {
 	all := slices.Clone(r.view.Engines)
 	for _, e := range r.unavailable {
@@ -99,8 +98,8 @@
 	return all
 }
 
-// lacksMinAvailable tells which rule of the plan would be broken; empty: none.
-func (r remaining) lacksMinAvailable(plan Plan) string {
+// minAvailableBlockReason returns which rule of the plan would be broken; empty: none.
+func (r remaining) minAvailableBlockReason(plan Plan) string {
 	all := r.all()
 	for _, rule := range plan.MinAvailable {
 		if !rule.matches(r.engine) {
@@ -119,9 +118,9 @@
 	return ""
 }
 
-// lacksRequiredCores tells which kinds would have fewer cores than query classes need that run on
-// them alone; empty: none.
-func (r remaining) lacksRequiredCores(l Limits) string {
+// requiredCoresBlockReason returns which kinds would have too few cores for the query classes that
+// run on them alone; empty: none.
+func (r remaining) requiredCoresBlockReason(l Limits) string {
 	for _, requirement := range r.view.Requirements {
 		if !slices.Contains(requirement.Kinds, r.engine.Kind) {
 			continue
@@ -141,8 +140,8 @@
 	return ""
 }
 
-// overloaded tells whether the remaining engines could not bear the load; empty: they could.
-func (r remaining) overloaded(l Limits) string {
+// loadBlockReason returns why the remaining engines could not bear the load; empty: they could.
+func (r remaining) loadBlockReason(l Limits) string {
 	used := 0.0
 	cores := 0.0
 	for _, e := range r.view.Engines {
--- a/internal/core/fleet/maintenance/check.go
+++ b/internal/core/fleet/maintenance/check.go
@@ -70,6 +70,7 @@
 	problems []Problem
 }
 
+// add adds a problem with a field; remedy is empty if none is known.
 func (c *planCheck) add(field, remedy, format string, args ...any) {
 	c.problems = append(c.problems,
 		Problem{Field: field, Reason: fmt.Sprintf(format, args...), Remedy: remedy})
@@ -151,7 +152,7 @@
 	return maxOut
 }
 
-// checkRequirements checks that the kinds which some query classes need have enough cores without
+// checkRequirements checks that the kinds that some query classes need have enough cores without
 // their largest selected engine.
 func (c *planCheck) checkRequirements(requirements []Requirement) {
 	const remedy = "add engines of those kinds first, or take them out when less is asked"
@@ -210,7 +211,7 @@
 }
 
 // nextAllowed returns when an engine may be taken out by the plan's hours, at a time or later, in
-// ms since 1970. If the hours block the whole day, it gives up after some tries.
+// ms since 1970. If the hours block the whole day, it gives up after maxHourSteps.
 func nextAllowed(p Plan, at float64) float64 {
 	for range maxHourSteps {
 		moved := false
--- a/internal/core/fleet/maintenance/cost.go
+++ b/internal/core/fleet/maintenance/cost.go
@@ -4,7 +4,7 @@
 const (
 	// noReplicaCost is for each core of demand for a table group that no other engine has warm.
 	noReplicaCost = 1.0
-	// oneReplicaCost is the same if one other engine has it warm.
+	// oneReplicaCost is for each core of demand for a table group that one other engine has warm.
 	oneReplicaCost = 0.3
 	// sameZoneCost is for each core in use, for each engine that is unavailable in the same zone.
 	sameZoneCost = 0.5
--- a/internal/core/fleet/maintenance/decide.go
+++ b/internal/core/fleet/maintenance/decide.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Reason tells why an engine was chosen, or why none is taken out now.
+// Reason is why an engine was chosen, or why none is taken out now.
 type Reason struct {
 	Engine EngineID // empty: all
 	Text   string   // as operators read it
@@ -18,13 +18,14 @@
 	reasons []Reason
 }
 
+// explain adds a reason.
 func (d *decision) explain(engine EngineID, format string, args ...any) {
 	d.reasons = append(d.reasons, Reason{Engine: engine, Text: fmt.Sprintf(format, args...)})
 }
 
-// Decide returns the next move, nil if there is none, and the reasons. It is one move at a time, as
-// each changes the view. Tasks that are under way come before engines that wait. The steps that
-// depend on confirmations and on programs are the caller's.
+// Decide returns the next move, nil if there is none, and the reasons. It returns one move at a
+// time, as each changes the view. Tasks that are under way come before engines that wait. The steps
+// that depend on confirmations and on programs are the caller's.
 func Decide(v View, l Limits) (*Move, []Reason) {
 	d := &decision{view: v, limits: l}
 	for _, t := range v.Tasks {
@@ -46,8 +47,8 @@
 	move := &Move{Engine: t.Engine, Plan: t.Plan, From: t.Step}
 	switch {
 	case t.Step == Preparing && (hasWarmReplicas(e) || v.Now >= t.StepStartedAt+l.PrepareTimeout):
-		if blocked := v.blocked(t.Engine, l, true); blocked != "" {
-			d.explain(t.Engine, "is prepared, and waits: %s", blocked)
+		if reason := v.blockReason(t.Engine, l, true); reason != "" {
+			d.explain(t.Engine, "is prepared, and waits: %s", reason)
 			return nil
 		}
 		d.explain(t.Engine, "goes: its table groups have other warm homes, or %0.f s were spent on that",
@@ -68,8 +69,8 @@
 	return move
 }
 
-// chooseNext returns the move that takes the next engine out: of those that may go, the one whose
-// removal costs least. Nil: none may go.
+// chooseNext returns the move that takes the next engine out: of those that may go, the one with
+// the lowest removal cost. Nil: none may go.
 func (d *decision) chooseNext() *Move {
 	var next *Move
 	least := math.Inf(1)
@@ -80,8 +81,8 @@
 			continue
 		}
 		waiting++
-		if blocked := d.view.blocked(e.ID, d.limits, false); blocked != "" {
-			d.explain(e.ID, "waits: %s", blocked)
+		if reason := d.view.blockReason(e.ID, d.limits, false); reason != "" {
+			d.explain(e.ID, "waits: %s", reason)
 			continue
 		}
 		cost := d.view.removalCost(e)
--- a/internal/core/fleet/maintenance/doc.go
+++ b/internal/core/fleet/maintenance/doc.go
@@ -13,6 +13,6 @@
 // fleet; the caller makes those that depend on confirmations and on programs of the installation
 // (Draining to Returning).
 //
-// Times are in ms since 1970, durations in ms. [Check] tells what is wrong with a plan before it is
-// accepted, [Forecast] when one will be done.
+// Times are in ms since 1970, durations in ms. [Check] returns what is wrong with a plan before it
+// is accepted, [Forecast] when one will be done.
 package maintenance
--- a/internal/core/fleet/maintenance/engine.go
+++ b/internal/core/fleet/maintenance/engine.go
@@ -39,7 +39,8 @@
 	WarmReplicas int     // other engines, ready and warm, that have it cached
 }
 
-// Requirement is the capacity that query classes need which may run on some kinds of engines alone.
+// Requirement is the capacity that is needed by query classes that may run on some kinds of engines
+// alone.
 type Requirement struct {
 	Kinds []Kind
 	Cores float64
@@ -62,7 +63,7 @@
 	return Engine{}, false
 }
 
-// hasWarmReplicas tells whether all table groups of an engine are warm on another engine too.
+// hasWarmReplicas reports whether all table groups of an engine are warm on another engine too.
 func hasWarmReplicas(e Engine) bool {
 	alone := func(g HostedGroup) bool { return g.WarmReplicas == 0 }
 	return !slices.ContainsFunc(e.Groups, alone)
--- a/internal/core/fleet/maintenance/forecast.go
+++ b/internal/core/fleet/maintenance/forecast.go
@@ -33,14 +33,14 @@
 	mean, deviation := intervals(first, ends)
 	n := float64(left)
 	spread := max(minForecastSpread*mean, deviation)
-	// The variance of n intervals to come, and that of the mean, which is known from few.
+	// The variance of n intervals to come, and that of n times the mean, an estimate from few.
 	half := forecastDeviations*spread*math.Sqrt(n+n*n/float64(len(ends))) + minForecastSpread*n*mean
 	at := v.Now - min(v.Now-last, mean) + n*mean
 	return max(v.Now, at-half), at + half, true
 }
 
 // planProgress returns when engines of a plan were done, how many are left, and when the first was
-// chosen.
+// chosen; times in ms since 1970.
 func planProgress(v View, p Plan) (ends []float64, left int, first float64) {
 	first = math.Inf(1)
 	for _, t := range v.Tasks {
--- a/internal/core/fleet/maintenance/plan.go
+++ b/internal/core/fleet/maintenance/plan.go
@@ -30,7 +30,7 @@
 	ConfirmWork bool `cbor:"11,keyasint,omitempty" json:"Person"`
 }
 
-// Selection tells which engines a plan is for: those that are named, and those that match all of
+// Selection is which engines a plan is for: those that are named, and those that match all of
 // Zones, Kinds and StartedBefore that are given.
 type Selection struct {
 	Engines []EngineID `cbor:"1,keyasint,omitempty"`
@@ -40,12 +40,12 @@
 	StartedBefore float64 `cbor:"4,keyasint,omitempty" json:"Before"`
 }
 
-// empty tells whether nothing is selected.
+// empty reports whether nothing is selected.
 func (s Selection) empty() bool {
 	return len(s.Engines)+len(s.Zones)+len(s.Kinds) == 0 && s.StartedBefore == 0
 }
 
-// matches tells whether an engine is selected.
+// matches reports whether an engine is selected.
 func (s Selection) matches(e Engine) bool {
 	if slices.Contains(s.Engines, e.ID) {
 		return true
@@ -83,14 +83,18 @@
 	return fmt.Sprintf("%d %s", k.Count, what)
 }
 
-// matches tells whether an engine counts for the rule.
+// matches reports whether an engine counts for the rule.
 func (k MinAvailable) matches(e Engine) bool {
 	return (k.Kind == "" || k.Kind == e.Kind) && (k.Zone == "" || k.Zone == e.Zone)
 }
 
+// roundUp is added before a conversion to int to round up. It is a little less than 1, so that a
+// product that is whole but for a rounding error is not raised by one.
+const roundUp = 0.999999
+
 // required returns how many of a number of engines must remain.
 func (k MinAvailable) required(all int) int {
-	byShare := int(k.Share*float64(all) + 0.999999) // rounded up
+	byShare := int(k.Share*float64(all) + roundUp)
 	return min(max(k.Count, byShare), max(k.Count, all))
 }
 
@@ -113,7 +117,7 @@
 	To   int `cbor:"2,keyasint"`
 }
 
-// within tells whether a minute of a day lies in the hours, and for how many minutes more.
+// within reports whether a minute of a day lies in the hours, and for how many minutes more.
 func (h Hours) within(minute int) (left int, ok bool) {
 	length := (h.To - h.From + dayMinutes) % dayMinutes
 	since := (minute - h.From + dayMinutes) % dayMinutes
--- a/internal/core/fleet/maintenance/task.go
+++ b/internal/core/fleet/maintenance/task.go
@@ -34,7 +34,7 @@
 // String returns the step's name as operators see it.
 func (s Step) String() string { return stepNames[s] }
 
-// reducesCapacity tells whether an engine in this step is missing from the capacity, or soon will
+// reducesCapacity reports whether an engine in this step is missing from the capacity, or soon will
 // be.
 func (s Step) reducesCapacity() bool { return s <= Warming || s == Missing }
 
@@ -48,12 +48,12 @@
 	StepStartedAt float64 `cbor:"4,keyasint"`
 	// Sequence rises with each step of any task: an action for an older one is rejected.
 	Sequence uint64 `cbor:"5,keyasint"`
-	// Zone, Kind and Cores are the engine's, which may leave the endpoint list.
+	// Zone, Kind and Cores are those of the engine, which may leave the endpoint list.
 	Zone  Zone    `cbor:"6,keyasint"`
 	Kind  Kind    `cbor:"7,keyasint"`
 	Cores float64 `cbor:"8,keyasint"`
-	// EngineStartedAt is when the engine's process had started before it was taken out, in ms since
-	// 1970: one that is back has started since.
+	// EngineStartedAt is when the engine's process started that is taken out, in ms since 1970. An
+	// engine that is back has started later.
 	EngineStartedAt float64 `cbor:"9,keyasint,omitempty"`
 	// ChosenAt is when the engine was chosen, in ms since 1970.
 	ChosenAt float64 `cbor:"10,keyasint,omitempty"`
--- a/internal/core/fleet/maintenance/view.go
+++ b/internal/core/fleet/maintenance/view.go
@@ -6,11 +6,12 @@
 type View struct {
 	Now          float64 // ms since 1970
 	Engines      []Engine
-	Lost         []Engine // that should be there, are not, and were not taken out
+	Lost         []Engine // missing from the endpoint list without having been taken out
 	Tasks        []Task
 	Plans        []Plan
 	Requirements []Requirement
-	// ReconnectStorm: clients reconnect, or controllers are coming back.
+	// ReconnectStorm: many clients are reconnecting, or controllers are coming back. No caller sets it
+	// yet.
 	ReconnectStorm bool
 	// DrainsListed: the endpoint list shows engines that are taken out as draining, so one that it
 	// shows as ready is back.
@@ -37,7 +38,7 @@
 	WaitForWarm bool
 }
 
-// DefaultLimits returns the limits in use.
+// DefaultLimits returns the defaults of Limits.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxLoad:        0.75,
@@ -48,7 +49,7 @@
 	}
 }
 
-// hasTask tells whether an engine has a task, or had one by this version of a plan.
+// hasTask reports whether an engine has a task, or had one by this version of a plan.
 func (v View) hasTask(id EngineID, p Plan) bool {
 	return slices.ContainsFunc(v.Tasks, func(t Task) bool {
 		doneByPlan := t.Plan == p.ID && t.Sequence >= uint64(p.Version)
