--- a/internal/core/fleet/digest/collector.go
+++ b/internal/core/fleet/digest/collector.go
@@ -78,10 +78,10 @@
 // together: from the one with the most demand, as its assignment rests on the most queries.
 func (c *Collector) Merge(now float64, halfLives restore.HalfLives) router.Statistics {
 	reports := c.fresh(now)
-	pools := mostDemanded(reports)
+	poolReport := mostDemanded(reports)
 	return router.Statistics{
-		Engines: mergeEngines(reports, pools, now, halfLives),
-		Tables:  mergeTables(reports, pools, now, halfLives),
+		Engines: mergeEngines(reports, poolReport, now, halfLives),
+		Tables:  mergeTables(reports, poolReport, now, halfLives),
 		Classes: mergeClasses(reports, now, halfLives),
 	}
 }
--- a/internal/core/fleet/digest/merge.go
+++ b/internal/core/fleet/digest/merge.go
@@ -57,10 +57,10 @@
 	poolLeader     router.EngineID
 }
 
-// mergeEngines merges the engines of all reports, and takes their pools from the report at an
-// index.
+// mergeEngines merges the engines of all reports, and takes their pools from the report with the
+// index poolReport.
 func mergeEngines(
-	reports []Report, pools int, now float64, halfLives restore.HalfLives,
+	reports []Report, poolReport int, now float64, halfLives restore.HalfLives,
 ) (merged []router.EngineStatistics) {
 	sums := map[engineProcess]*engineSum{}
 	for i, report := range reports {
@@ -82,7 +82,7 @@
 			if e.At > sum.newest.At {
 				sum.newest = e
 			}
-			if i == pools {
+			if i == poolReport {
 				sum.poolLeader = e.PoolLeader
 			}
 		}
@@ -106,10 +106,11 @@
 	poolLeaders []router.EngineID
 }
 
-// mergeTables merges the table groups of all reports, and takes their pools from the report at an
-// index. A group's demand is the mean of all reports, also of those without demand for it.
+// mergeTables merges the table groups of all reports, and takes their pools from the report with
+// the index poolReport. A group's demand is the mean of all reports, also of those without demand
+// for it.
 func mergeTables(
-	reports []Report, pools int, now float64, halfLives restore.HalfLives,
+	reports []Report, poolReport int, now float64, halfLives restore.HalfLives,
 ) (merged []router.TableStatistics) {
 	sums := map[router.TableGroup]*tableSum{}
 	weights := 0.0
@@ -130,7 +131,7 @@
 			if t.At > sum.newest.At {
 				sum.newest = t
 			}
-			if i == pools {
+			if i == poolReport {
 				sum.poolLeaders = t.PoolLeaders
 			}
 		}
