--- a/internal/core/fleet/config/apply_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -367,7 +367,8 @@
 	}
 }
 
-// A member announces a version whose document nobody has. It must not keep real versions from coming.
+// A member announces a version, and nobody has its document. It must not keep real versions from
+// coming.
 func TestForgedVersionIsAbandoned(t *testing.T) {
 	f := newFleetWithVersion(t, 20, 3, 0)
 	for _, c := range f.all[1:] {
--- a/internal/core/fleet/config/checks_test.go
+++ b/internal/core/fleet/config/checks_test.go
@@ -144,8 +144,9 @@
 	}
 }
 
-// Many proposals arrive whose origins end before the leader has their documents, as after a pause
-// of the leader. They must hold up no proposal whose document comes, and are dropped in time.
+// Many proposals arrive, and their origins end before the leader has their documents, as after a
+// pause of the leader. They must hold up no proposal that has its document, and are dropped in
+// time.
 func TestCandidatesWithoutDocumentHoldUpNoOther(t *testing.T) {
 	f := newFleet(t, 3, 12, 3)
 	f.runFor(3000)
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -74,7 +74,7 @@
 	sent       int64
 }
 
-// clock is the time that this controller is told.
+// clock returns the time by this controller's clock.
 func (c *controller) clock() float64 { return c.fleet.now + c.ahead }
 
 // fleet is a simulation in virtual time.
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// fakeEnvironment is the environment of a replica whose messages all come from the test.
+// fakeEnvironment is the environment of a replica that gets all its messages from the test.
 type fakeEnvironment struct {
 	self   members.ID
 	leads  bool
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// nonsense returns messages whose fields are out of bounds.
+// nonsense returns messages with fields that are out of bounds.
 func nonsense() []Message {
 	propose := func(v Version) *ProposeRequest {
 		return &ProposeRequest{Proposal: Proposal{Expect: 1, Version: v}}
--- a/internal/core/fleet/config/propose_test.go
+++ b/internal/core/fleet/config/propose_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// A proposal whose origin is partitioned from the leader ends as unknown in time, and a leader
-// without a majority commits nothing.
+// A proposal with an origin that is partitioned from the leader ends as unknown in time, and a
+// leader without a majority commits nothing.
 func TestPartitionedProposalIsUnknown(t *testing.T) {
 	f := newFleetWithVersion(t, 10, 5, 9)
 	f.cut([]*controller{f.all[0], f.all[1], f.all[9]}, 1) // the leader of before and one voter
@@ -158,8 +158,8 @@
 	}
 }
 
-// If a version were agreed on whose document a minority holds, it could be lost. The quorum is
-// asked only when a majority holds it durably: a voter whose disk is full does not count.
+// If a version were agreed on while a minority holds its document, the document could be lost. The
+// quorum is asked only when a majority holds it durably: a voter with a full disk does not count.
 func TestProposedOnlyWhenMajorityHoldsDocument(t *testing.T) {
 	f := newFleet(t, 1, 8, 5)
 	f.runFor(1000)
--- a/internal/core/fleet/config/replica_test.go
+++ b/internal/core/fleet/config/replica_test.go
@@ -133,8 +133,8 @@
 	return x.answerCheck(t).Store
 }
 
-// A leader has a voter hold a document whose removal is under way. The document does not count as
-// held, whether or not the removal succeeds, and is stored again.
+// A leader has a voter hold a document while its removal is under way. The document does not count
+// as held, whether or not the removal succeeds, and is stored again.
 func TestDocumentBeingRemovedIsNotHeld(t *testing.T) {
 	x := newWithUnneeded(&fakeEnvironment{self: "n2", voting: true})
 	request := x.getSecond(t)
--- a/internal/core/fleet/members/index_test.go
+++ b/internal/core/fleet/members/index_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// lossyNet runs a network that loses messages and whose members restart and leave, all by a seed.
+// lossyNet runs a network that loses messages, with members that restart and leave, all by a seed.
 // It returns all messages that were sent.
 func lossyNet(seed int64, until float64, inspect func(*net)) (sent []Message) {
 	ids := []ID{"a", "b", "c", "d", "e", "f", "g", "h"}
--- a/internal/core/fleet/members/members_test.go
+++ b/internal/core/fleet/members/members_test.go
@@ -126,7 +126,7 @@
 }
 
 // A process is stopped for some seconds and receives no ack meanwhile. When it runs again it must
-// not declare the members dead whose acks it missed.
+// not declare dead the members that sent the acks it missed.
 func TestPausedProcessSuspectsNobody(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
@@ -149,8 +149,8 @@
 	}
 }
 
-// A member whose incarnation was high restarts, and begins at incarnation 0, which overrides
-// nothing. It is notified of what the others believe, refutes, and all know its new run soon.
+// A member with a high incarnation restarts, and begins at incarnation 0, which overrides nothing.
+// It is notified of what the others believe, refutes, and all know its new run soon.
 func TestRestartedMemberIsKnownByItsNewRun(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -46,7 +46,7 @@
 	return config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
 }
 
-// checkMessage compares a message whose only part is sent, which must have all its fields set.
+// checkMessage compares a message of one part, which must have all its fields set.
 func checkMessage(t *testing.T, table *golden.Table, name string, part any, message Message) {
 	t.Helper()
 	golden.AllSet(t, part)
--- a/internal/core/fleet/node/leaderhint_test.go
+++ b/internal/core/fleet/node/leaderhint_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// A controller whose view is current requests it a tenth as often, and soon after a change. If a
+// A controller with a current view requests it a tenth as often, and soon after a change. If a
 // voter that is late answers it after a change, it goes on at the usual interval, or it would keep
 // an old view for long.
 func TestViewIsRequestedAfterChange(t *testing.T) {
--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -24,7 +24,7 @@
 	applied  map[members.ID][]string // by member, in order
 }
 
-// newCluster starts a cluster whose founders are all members.
+// newCluster starts a cluster with all members as founders.
 func newCluster(t *testing.T, names ...members.ID) *cluster {
 	r := &cluster{
 		t:        t,
--- a/internal/core/fleet/quorum/config_test.go
+++ b/internal/core/fleet/quorum/config_test.go
@@ -9,7 +9,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// proposalOf returns a proposal about the configuration that expects a version and is told apart by ref.
+// proposalOf returns a proposal about the configuration that expects a version; ref distinguishes
+// it from others.
 func proposalOf(expect, ref uint64) config.Proposal {
 	return config.Proposal{
 		Expect: expect,
--- a/internal/core/fleet/quorum/quorum_test.go
+++ b/internal/core/fleet/quorum/quorum_test.go
@@ -14,8 +14,9 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Heartbeats that carried the serial of a record would have each side store a record for each,
-// whose serial its own heartbeats would carry, without end. An idle quorum stores nothing.
+// Heartbeats that carried the serial of a record would have each side store a record for each, and
+// carry the serial of that record in its own heartbeats, without end. An idle quorum stores
+// nothing.
 func TestIdleQuorumStoresNothing(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
--- a/internal/core/fleet/quorum/recovery_test.go
+++ b/internal/core/fleet/quorum/recovery_test.go
@@ -436,8 +436,8 @@
 	}
 }
 
-// A learner whose former incarnation goes on to vote is removed only once it does not respond. What
-// a leader knows of responses ends with its leadership.
+// While its former incarnation goes on to vote, a learner is removed only once it does not respond.
+// What a leader knows of responses ends with its leadership.
 func TestResponsiveLearnerIsNotRemoved(t *testing.T) {
 	r, _, others := withNewcomer(t)
 	leader := r.leader()
