--- a/internal/core/fleet/config/alive.go
+++ b/internal/core/fleet/config/alive.go
@@ -16,7 +16,7 @@
 	relays      []members.ID // those of ids that collect reports
 }
 
-// refreshAlive looks at all members, at most once in aliveInterval.
+// refreshAlive lists the alive members again, at most once in aliveInterval.
 func (r *Replica) refreshAlive() {
 	if r.now < r.alive.refreshedAt+aliveInterval {
 		return
--- a/internal/core/fleet/config/output.go
+++ b/internal/core/fleet/config/output.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Output is what the caller has to carry out; the package page says how.
+// Output is what the caller has to carry out, as the package comment describes.
 type Output struct {
 	Messages        []Envelope
 	Check           *CheckRequest
@@ -71,7 +71,7 @@
 	// in force or rejected here.
 	Confirmed bool
 	Number    uint64 // the version in force
-	Latest    uint64 // the highest number heard of
+	Latest    uint64 // the highest known number
 }
 
 // Counters are for operators and measurements; all count since the start.
--- a/internal/core/fleet/config/status.go
+++ b/internal/core/fleet/config/status.go
@@ -21,7 +21,7 @@
 	// Omitted is how many controllers the lists have no room for.
 	Omitted int `cbor:"8,keyasint,omitempty" json:"More"`
 	// CollectedFor is for how long the leader has collected, in ms: after a change of leader all
-	// reports come anew.
+	// reports are sent again.
 	CollectedFor float64 `cbor:"9,keyasint" json:"Since"`
 }
 
--- a/internal/core/fleet/maintenance/doc.go
+++ b/internal/core/fleet/maintenance/doc.go
@@ -1,5 +1,5 @@
 // Package maintenance decides in which order engines are taken out of service for maintenance work,
-// and when each may go, so that enough capacity remains whatever fails meanwhile.
+// and when each may go, so that enough capacity remains whatever fails in that time.
 //
 // The package has no I/O, no clock, no goroutine and no state. [Decide] is given a [View] (the
 // plans, the tasks under way, the engines of the endpoint list, what is lost) and returns at most
--- a/internal/core/fleet/maintenance/plan.go
+++ b/internal/core/fleet/maintenance/plan.go
@@ -24,7 +24,7 @@
 	Version int `cbor:"8,keyasint,omitempty"`
 	// Halted: no further engine is taken out; those that are out come back.
 	Halted bool `cbor:"9,keyasint,omitempty"`
-	// Withdrawn: as Halted, for good.
+	// Withdrawn: as Halted, and it can't be resumed.
 	Withdrawn bool `cbor:"10,keyasint,omitempty" json:"Over"`
 	// ConfirmWork: each task waits until a person confirms that the work is done.
 	ConfirmWork bool `cbor:"11,keyasint,omitempty" json:"Person"`
--- a/internal/core/fleet/maintenance/view.go
+++ b/internal/core/fleet/maintenance/view.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// View is all that Decide goes by.
+// View is all that a decision depends on.
 type View struct {
 	Now          float64 // ms since 1970
 	Engines      []Engine
--- a/internal/core/fleet/node/leaderhint.go
+++ b/internal/core/fleet/node/leaderhint.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendMembership hands out the messages of the membership, together with what this controller knows
-// of the configuration and of the leader.
+// sendMembership sends the messages of the membership, together with what this controller knows of
+// the configuration and of the leader.
 func (n *Node) sendMembership() {
 	envelopes := n.members.TakeMessages()
 	if len(envelopes) == 0 {
--- a/internal/core/fleet/node/messages.go
+++ b/internal/core/fleet/node/messages.go
@@ -51,7 +51,7 @@
 	// longer declared.
 	Yield  []lease.Name `cbor:"4,keyasint,omitempty"`
 	Leader members.ID   `cbor:"5,keyasint"`
-	// To is the holder's run: the sequences of another run begin anew.
+	// To is the holder's run: the sequences of another run start from 1 again.
 	To lease.Holder `cbor:"6,keyasint"`
 }
 
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Output is what the caller has to carry out; the package page says in which order.
+// Output is what the caller has to carry out, in the order that the package comment describes.
 type Output struct {
 	Messages   []Envelope
 	Ready      *quorum.Ready  // its record is to be made durable, then passed to Advance
--- a/internal/core/fleet/quorum/consensus.go
+++ b/internal/core/fleet/quorum/consensus.go
@@ -72,8 +72,8 @@
 		if r.isLeader {
 			r.node.Tick()
 		} else {
-			// It must not campaign: the campaigns go by this member's own draws, as the library's
-			// have no seed.
+			// A quiesced tick starts no campaign: Tick of this Replica starts them by its own draws, as
+			// those of the library have no seed.
 			r.node.TickQuiesced()
 		}
 	}
--- a/internal/core/fleet/quorum/join.go
+++ b/internal/core/fleet/quorum/join.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// beginIncarnation returns the Ready with the record that begins the folder anew. The record must
-// be durable before any message of the new incarnation is sent.
+// beginIncarnation returns the Ready with the record that begins a new incarnation in the folder.
+// The record must be durable before any message of the new incarnation is sent.
 func (r *Replica) beginIncarnation() *Ready {
 	incarnation := r.nextIncarnation()
 	record := &Record{
