--- a/internal/core/fleet/maintenance/doc.go
+++ b/internal/core/fleet/maintenance/doc.go
@@ -1,5 +1,5 @@
 // Package maintenance decides in which order engines are taken out of service for maintenance work,
-// and when each may go, so that enough capacity remains whatever fails meanwhile.
+// and when each may go, so that enough capacity remains whatever fails in that time.
 //
 // The package has no I/O, no clock, no goroutine and no state. [Decide] is given a [View] (the
 // plans, the tasks under way, the engines of the endpoint list, what is lost) and returns at most
@@ -13,6 +13,6 @@
 // fleet; the caller makes those that depend on confirmations and on programs of the installation
 // (Draining to Returning).
 //
-// Times are in ms since 1970, durations in ms. [Check] tells what is wrong with a plan before it is
-// accepted, [Forecast] when one will be done.
+// Times are in ms since 1970, durations in ms. [Check] returns what is wrong with a plan before it
+// is accepted, [Forecast] when one will be done.
 package maintenance
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Output is what the caller has to carry out; the package page says in which order.
+// Output is what the caller has to carry out, in the order that the package comment describes.
 type Output struct {
 	Messages   []Envelope
 	Ready      *quorum.Ready  // its record is to be made durable, then passed to Advance
@@ -47,7 +47,7 @@
 }
 
 // Take returns what is to be carried out since the last call. At most one of Ready and Compaction
-// is out at a time.
+// is pending at a time.
 func (n *Node) Take() Output {
 	if n.out.Ready == nil && !n.compactionPending {
 		if record := n.quorum.Compact(); record != nil {
--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -24,7 +24,7 @@
 	applied  map[members.ID][]string // by member, in order
 }
 
-// newCluster starts a cluster whose founders are all members.
+// newCluster starts a cluster with all members as founders.
 func newCluster(t *testing.T, names ...members.ID) *cluster {
 	r := &cluster{
 		t:        t,
@@ -177,7 +177,7 @@
 	r.start(name)
 }
 
-// leads tells whether one of these leads.
+// leads reports whether one of these leads.
 func (r *cluster) leads(names ...members.ID) bool {
 	return slices.ContainsFunc(names, func(name members.ID) bool { return r.members[name].Leads() })
 }
--- a/internal/core/fleet/quorum/consensus.go
+++ b/internal/core/fleet/quorum/consensus.go
@@ -72,8 +72,8 @@
 		if r.isLeader {
 			r.node.Tick()
 		} else {
-			// It must not campaign: the campaigns go by this member's own draws, as the library's
-			// have no seed.
+			// A quiesced tick starts no campaign: Tick of this Replica starts them by its own draws, as
+			// those of the library have no seed.
 			r.node.TickQuiesced()
 		}
 	}
@@ -172,9 +172,10 @@
 	}
 }
 
-// dependsOnRecord tells whether a message promises what must be durable: a vote, entries, or that
+// dependsOnRecord reports whether a message promises what must be durable: a vote, entries, or that
 // entries were accepted. Heartbeats promise nothing. If they carried a serial, each side would
-// persist a record for each heartbeat, whose serial its own messages would carry, without end.
+// persist a record for each heartbeat, and its own heartbeats would carry that record's serial,
+// without end.
 func dependsOnRecord(m *raftMessage) bool {
 	switch m.GetType() {
 	case pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgPreVote, pb.MsgPreVoteResp:
