--- a/router/actions.go
+++ b/router/actions.go
@@ -22,7 +22,7 @@
 	// client may retry.
 	Reject struct {
 		ID         QueryID
-		RetryAfter float64 // ms that the client should wait; 0: not told
+		RetryAfter float64 // ms that the client should wait; 0: unspecified
 	}
 	// Fail is the final answer that promises nothing.
 	Fail struct{ ID QueryID }
--- a/router/admission.go
+++ b/router/admission.go
@@ -3,10 +3,8 @@
 // admission is the state of admission control: which queries are taken while there is more to do
 // than capacity for it.
 type admission struct {
-	// the largest query taken, as a multiple of the usual work of its class
-	sizeLimit float64
-	// a latency objective was missed since the size limit was last adjusted
-	objectiveMissed bool
+	sizeLimit       float64     // times the usual work of its class that a query may need
+	objectiveMissed bool        // a latency objective was missed since sizeLimit was last adjusted
 	overloadedUntil float64     // ms; overload is assumed until then
 	arrivalWait     decayedMean // ms that queries waited until a step took them in
 	rejectShare     float64     // share of the arriving queries that is rejected at once
@@ -14,21 +12,18 @@
 }
 
 const (
-	// times the usual work of its class that a query may need, when nothing is late
-	maxSizeLimit = 64.0
-	minSizeLimit = 4.0 // the same in the worst overload
-	// is left of the limit, each periodicInterval in which an objective was missed
-	sizeLimitCut    = 0.9
-	sizeLimitGrowth = 1.005 // growth of the limit, each periodicInterval
+	maxSizeLimit    = 64.0  // sizeLimit when nothing is late
+	minSizeLimit    = 4.0   // sizeLimit in the worst overload
+	sizeLimitGrowth = 1.005 // factor on sizeLimit, each periodicInterval
+	sizeLimitCut    = 0.9   // further factor, if a latency objective was missed in the interval
 )
 
 const (
 	quotaTolerance       = 1.2    // times a tenant's quota up to which its queries count as within it
 	overloadDuration     = 1000.0 // ms for which overload is assumed after a query was queued too long
-	firstTryTimeoutDecay = 0.997  // with each query, of the longest time left that was seen
-	retryTimeoutShare    = 0.95   // of that; a query with less time left is taken for a client's retry
-	// of a query's time left that can have passed in its client's own queue
-	maxClientQueueShare = 0.75
+	firstTryTimeoutDecay = 0.997  // factor, with each query, on queryClass.firstTryTimeout
+	retryTimeoutShare    = 0.95   // of firstTryTimeout; a query with less counts as a client's retry
+	maxClientQueueShare  = 0.75   // of a query's time left that its client's own queue may have used
 )
 
 const (
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -18,8 +18,9 @@
 )
 
 // assignEngines gives the pools of a kind as many engines as they are to have. An engine stays with
-// the pool that it is in, whose tables it has in memory; otherwise it goes by rendezvous affinity.
-// Pools that give up engines choose first, so that a move of one engine moves no other.
+// the pool that it is in, as it has the tables of that pool in memory; otherwise it goes by
+// rendezvous affinity. Pools that give up engines choose first, so that a move of one engine moves
+// no other.
 func (r *Router) assignEngines(kind int, pools []*enginePool) {
 	free := r.readyEngines(kind)
 	r.allocateCounts(pools, len(free))
@@ -27,7 +28,7 @@
 	poolsInOrder := slices.Clone(pools)
 	slices.SortStableFunc(poolsInOrder, func(a, b *enginePool) int { return growth(a) - growth(b) })
 	for _, pool := range poolsInOrder {
-		r.unmarkPool() // the pool of the last turn has other engines now
+		r.unmarkPool() // the engines of the pool marked last have changed
 		r.scoreAffinity(kind, pool, free, len(poolsInOrder))
 		for _, g := range pool.tableGroups() {
 			g.pools[kind] = pool
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -9,10 +9,9 @@
 // again: which engines may have capacity, for the rest of the step, and the order of engines by
 // affinity, while the list is the same.
 type candidateList struct {
-	step    uint64    // in which engines was made
-	engines []*engine // that may have capacity
-	// by class index: the last step in which no engine of the list had capacity for it
-	fullAtStep []uint64
+	step       uint64    // in which engines was made
+	engines    []*engine // that may have capacity
+	fullAtStep []uint64  // by class index: the last step in which no engine had capacity for it
 
 	topologyVersion int // for which affinityOrders were made
 	affinityOrders  map[*tableGroup]*affinityOrder
@@ -104,8 +103,8 @@
 	return q.unresolved == nil || q.class.Effect == Idempotent
 }
 
-// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: it is
-// not worth to be kept, as there are few engines or searches for the group.
+// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: there
+// are too few engines, or searches for the group, for an order to be cached.
 func (r *Router) affinityOrderOf(list *candidateList, g *tableGroup, engines []*engine) []int32 {
 	if len(engines) < minEnginesForAffinityOrder {
 		return nil
--- a/router/class.go
+++ b/router/class.go
@@ -4,9 +4,13 @@
 type queryClass struct {
 	QueryClass
 	index int // its ClassID
-	// ms that a first try leaves until its client gives up: slowly decaying maximum
+
+	// firstTryTimeout is the time in ms that a first try leaves until its client gives up: a slowly
+	// decaying maximum.
 	firstTryTimeout float64
-	// ms per unit on an idle engine: least recent mean of unitTime; 0: not known
+
+	// bestUnitTime is the time in ms per unit of work on an idle engine: the least recent mean of
+	// unitTime. 0: not known.
 	bestUnitTime float64
 
 	unitTime    decayedMean // ms per unit of work, see workUnits
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -13,22 +13,23 @@
 	readyCores        float64 // cores of the engines that are ready
 }
 
+// The concurrency limit of an engine, and how it changes.
 const (
 	initialThreadsPerCore = 2.0
 	minThreadsPerCore     = 1.5
 	maxThreadsPerCore     = 2.5
-	widenBelowSlowdown    = 1.8 // slowdown of an engine below which its limit widens
-	cutAboveSlowdown      = 3.0 // slowdown of an engine above which its limit is cut
-	widenStep             = 0.5 // threads that an answer adds to the limit
-	// of the limit; it widens only while at least this much of it is used
-	widenFromShare   = 0.7
-	limitCutFactor   = 0.85  // of the limit, is left by a cut
-	limitCutInterval = 400.0 // ms between cuts for slowness; a rejection cuts at once
-	// threads over the pooled limit that may start where reports tell of capacity
-	poolOverhang         = 3.0
+	widenBelowSlowdown    = 1.8   // slowdown of an engine below which its limit widens
+	cutAboveSlowdown      = 3.0   // slowdown of an engine above which its limit is cut
+	widenStep             = 0.5   // threads that an answer adds to the limit
+	widenFromShare        = 0.7   // share of the limit that must be in use for it to widen
+	limitCutFactor        = 0.85  // factor of a cut on the limit
+	limitCutInterval      = 400.0 // ms between cuts for slowness; a rejection cuts at once
+)
+
+const (
+	poolOverhang         = 3.0 // threads past the pooled limit, on engines that report capacity
 	threadsPerOtherQuery = 1.2 // threads that a query of another controller is taken to use
-	// share of an engine's memory; past it a busy controller sends nothing new
-	maxMemoryGranted = 0.9
+	maxMemoryGranted     = 0.9 // of an engine's memory; past it a busy controller starts nothing there
 )
 
 // threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's
@@ -38,11 +39,12 @@
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// adjustThreadLimit is the design's concurrency bound after an answer: it widens while queries run
-// at most widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is cut
-// when they run more than cutAboveSlowdown times as long.
+// adjustThreadLimit adjusts the concurrency limit of e after an answer to an attempt that used some
+// threads, by additive increase and multiplicative decrease. The limit widens while queries run
+// less than widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is
+// cut when they run more than cutAboveSlowdown times as long.
 func (r *Router) adjustThreadLimit(e *engine, threads float64) {
-	slowdown := e.slowdown.mean(r.now, 1, 1)
+	slowdown := e.meanSlowdown(r.now)
 	limit := r.threadLimit(e)
 	switch {
 	case slowdown < widenBelowSlowdown && e.threads+threads >= widenFromShare*limit:
@@ -65,9 +67,9 @@
 
 // withinThreadLimits reports whether the threads in flight are within the limits, on e and pooled
 // over all engines. The last attempt may overhang either, and one may always run on an engine that
-// has none. The pooled limit is passed a little where a report tells that e has capacity, as a
-// controller's share is coarse; it does not count for a warming engine whose part is below one
-// thread, as slowStartAllows guards that one. Nothing starts where a report tells that memory is
+// has none. The pooled limit may be passed a little on an engine that reports capacity, as a
+// controller's share is coarse. It does not count for a warming engine with a part below one
+// thread, as slowStartAllows guards that. Nothing starts on an engine that reports its memory as
 // used up (hasCapacity does not ask while nothing is in flight).
 func (r *Router) withinThreadLimits(e *engine, share float64) bool {
 	reported := r.now-e.reportedAt < reportMaxAge
--- a/router/concurrency_test.go
+++ b/router/concurrency_test.go
@@ -60,7 +60,7 @@
 }
 
 // Seen on the deployment trapani-sosta-later: engines out of memory ran at a sixth of their speed and were
-// given more queries. Nothing starts on an engine while a recent report tells that its memory is used up.
+// given more queries. Nothing starts on an engine while it has lately reported its memory as used up.
 func TestNothingStartsWhereMemoryIsUsedUp(t *testing.T) {
 	for _, c := range []struct {
 		memory, age float64
--- a/router/decay.go
+++ b/router/decay.go
@@ -42,7 +42,7 @@
 	d.sum *= factor
 	d.weight *= factor
 	d.updatedAt = now
-	d.factorAt = 0 // the factor was reckoned from the earlier updatedAt
+	d.factorAt = 0 // the factor was computed from the earlier updatedAt
 }
 
 // add takes in an amount with a weight.
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -38,6 +38,6 @@
 	}
 	e.classBackoff(q.class).noteStart(r.now)
 	r.setAlarm(r.now+r.silenceLimit(), q)
-	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, 3)
+	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, memoryScalePriorWeight)
 	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
 }
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -100,16 +100,16 @@
 	return true
 }
 
-// cooldownEnd is the time until which an ordering key rests from now on, after an attempt that may
-// still be running: the configured time, and one event interval, as the outcome may have been that
-// late.
+// cooldownEnd is the end of the cooldown of an ordering key that begins now, after an attempt that
+// may still be running: the configured time, and one event interval, as the outcome may have been
+// that late.
 func (r *Router) cooldownEnd() float64 {
 	return r.now + r.limits.OrderingCooldown + r.limits.EventInterval
 }
 
 // answerBy is the time by which q has its final answer (rule 1): before its client timeout, and
-// before a planned shutdown, so that a client whose query can't be done by then is told at once and
-// can turn to another controller.
+// before a planned shutdown, so that a client learns at once that its query can't be done by then,
+// and can turn to another controller.
 func (r *Router) answerBy(q *query) float64 {
 	return min(q.deadline, r.shutdownAt) - answerLeadIntervals*r.limits.EventInterval - answerLead
 }
@@ -163,7 +163,7 @@
 	return by
 }
 
-// mayReject is rule 2 for the answer: it reports whether the client may be told that a retry is
+// mayReject is rule 2 for the answer: it reports whether the answer may promise that a retry is
 // harmless, because no attempt may have run or because a repeat has no further effect on any
 // engine.
 func (r *Router) mayReject(q *query) bool {
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -4,19 +4,21 @@
 
 // endpointWatch is what is known of the endpoint list's own freshness.
 type endpointWatch struct {
-	updatedAt float64 // ms, when there was last an update
-	// ms; an engine may be draining since as long without notice. 0: the list is current
-	expiredFor      float64
+	updatedAt float64 // ms, of the last update
+
+	// expiredFor is the time in ms for which an engine may have been draining without notice. 0: the
+	// list is current.
+	expiredFor float64
+
 	subscribed      bool
 	subscribeWanted bool    // to be asked for at the end of this step
 	pollAt          float64 // ms, before which the list is not asked for again
 }
 
 const (
-	// ms until the endpoint list is asked for again; up to twice that by chance
-	pollRetryInterval = 1000.0
-	pollShare         = 3.0 // polls within the time that the rules allow between two
-	defaultCores      = 8.0 // of an engine whose machine kind is not configured
+	pollRetryInterval = 1000.0 // ms between polls, at least; up to twice that after a failed one
+	pollShare         = 3.0    // polls within the time that the rules allow between two
+	defaultCores      = 8.0    // of an engine with a machine kind that is not configured
 )
 
 // endpointsUpdated takes in an update of the endpoint list and gives each pool its engines anew.
--- a/router/engine.go
+++ b/router/engine.go
@@ -40,11 +40,10 @@
 	slowdown       decayedMean // run time over the time on an idle engine
 	threadsPerCore float64     // concurrency limit of all controllers together, as this one sees it
 	limitCutAt     float64     // ms, when that limit was last cut because the engine was slow
-	// of attempts and health checks, a bit each, the last one lowest; 1: success
-	outcomes      uint64
-	succeededAt   float64   // ms, of the last success of any class
-	classBackoffs []backoff // by class index
-	slowStartWork slidingWindow
+	outcomes       uint64      // a bit for each attempt and health check, the last lowest; 1: success
+	succeededAt    float64     // ms, of the last success of any class
+	classBackoffs  []backoff   // by class index
+	slowStartWork  slidingWindow
 
 	// Trials while it is not healthy, and health checks.
 	trialAt        float64 // ms, from which it may get a trial attempt
@@ -53,9 +52,8 @@
 	healthCheckAt  float64 // ms, when the next health check is due
 
 	// What rule 3 goes by while the endpoint list has expired.
-	answeredStartAt float64 // ms, the latest start of an attempt that it answered
-	// ms, when a connection was last lost or failed; -Inf: none since its last answer
-	connectionLostAt float64
+	answeredStartAt  float64 // ms, the latest start of an attempt that it answered
+	connectionLostAt float64 // ms, of the last connection failure; -Inf: none since its last answer
 
 	pool *enginePool // that it is in; nil: none
 
@@ -112,6 +110,9 @@
 // readyOfKind reports whether an engine is ready and of a machine kind.
 func (e *engine) readyOfKind(kind int) bool { return e.state == Ready && int(e.kind) == kind }
 
+// meanSlowdown is the slowdown of an engine by the recent answers, 1 while there are none.
+func (e *engine) meanSlowdown(now float64) float64 { return e.slowdown.mean(now, 1, 1) }
+
 // byEngineID orders engines by id.
 func byEngineID(a, b *engine) int { return cmp.Compare(a.id, b.id) }
 
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -14,25 +14,39 @@
 )
 
 const (
-	minAnswersForBest = 25.0 // answers after which a class's best unit time counts
-	// growth of the best unit time with each answer: it follows slower work
-	bestUnitTimeDrift = 1.0001
-	maxSlowdownSample = 20.0 // slowdown that one answer may count as, at most
-	// ms without an answer after which restored estimates are discarded
-	restoredMaxAge          = 10000.0
-	answersToRefuteRestored = 5.0 // answers after which restored estimates can be refuted
-	// between learned and restored unit time, from which they are refuted
-	refuteRatio = 3.0
+	minAnswersForBest      = 25.0   // answers of a class after which its bestUnitTime counts
+	bestUnitTimeDrift      = 1.0001 // growth of bestUnitTime with each answer: it follows slower work
+	maxSlowdownSample      = 20.0   // slowdown that one answer may count as, at most
+	workScalePriorWeight   = 2.0    // answers that an unscaled estimate of the work counts as
+	memoryScalePriorWeight = 3.0    // answers that an unscaled estimate of the memory counts as
+)
+
+// When estimates that were restored from an earlier run are discarded.
+const (
+	restoredMaxAge          = 10000.0 // ms without an answer after which they are
+	answersToRefuteRestored = 5.0     // answers after which they can be refuted
+	refuteRatio             = 3.0     // of learned and restored unit time, from which they are refuted
 )
 
 // workUnits is the size of q for its class: its estimated time in ms on an idle engine, corrected
-// by how true the estimates of the class were. Without an estimate all queries of a class are of
-// the same size, 1.
+// by the class's workScale. Without an estimate all queries of a class are of the same size, 1.
 func (class *queryClass) workUnits(q *query, now float64) float64 {
 	if q.estimatedWork <= 0 {
 		return 1
 	}
-	return max(1, q.estimatedWork*class.workScale.mean(now, 1, 2)/class.Threads)
+	return max(1, q.estimatedWork*class.meanWorkScale(now)/class.Threads)
+}
+
+// meanWorkScale is the ratio of true to estimated work by the recent answers, 1 while there are
+// none.
+func (class *queryClass) meanWorkScale(now float64) float64 {
+	return class.workScale.mean(now, 1, workScalePriorWeight)
+}
+
+// meanSlowdown is the ratio by which the class's queries run longer than on an idle engine: the
+// geometric mean of the recent answers.
+func (class *queryClass) meanSlowdown(now float64) float64 {
+	return math.Exp(class.logSlowdown.mean(now, 0, 1))
 }
 
 // unloadedTime is the time in ms that q would take on an idle engine, as far as is known: half of
@@ -46,7 +60,7 @@
 
 // expectedRunTime is the time in ms that q would take as such queries run lately.
 func (class *queryClass) expectedRunTime(q *query, now float64) float64 {
-	return math.Exp(class.logSlowdown.mean(now, 0, 1)) * class.unloadedTime(q, now)
+	return class.meanSlowdown(now) * class.unloadedTime(q, now)
 }
 
 // usualWork is the mean work in ms of a class. It is high while little is known, as it guards
--- a/router/events.go
+++ b/router/events.go
@@ -22,9 +22,9 @@
 		Class    ClassID
 		Tables   TableGroup
 		Key      OrderingKey
-		MoreKeys []OrderingKey // further keys in whose order it stands, as other rules would key it
+		MoreKeys []OrderingKey // further ordering keys, which earlier sets of rules give it
 		TimeLeft float64       // ms until the client gives up
-		// ArrivalWait is the time in ms since the query was read: so long was the controller busy with
+		// ArrivalWait is the time in ms since the query was read, in which the controller was busy with
 		// others.
 		ArrivalWait float64
 		// ClientQueueTime is the time in ms, at most, that the query waited in its client's own queue. It
@@ -53,7 +53,7 @@
 		ID      QueryID
 		Attempt AttemptID
 		Kind    ProgressKind
-		Value   float64 // its meaning is told by the kind
+		Value   float64 // what it means depends on Kind
 	}
 	// AttemptEnded is the outcome of an attempt; there is one for each.
 	AttemptEnded struct {
@@ -166,7 +166,7 @@
 	StartedAt float64 // ms, when its process started; 0: long ago
 }
 
-// ProgressKind is what a progress message tells.
+// ProgressKind is what a progress message says.
 type ProgressKind int
 
 const (
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -11,10 +11,9 @@
 	healthCheckInterval    = 400.0  // ms between checks of an engine, by all controllers together
 	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller, at most
 	healthCheckJitter      = 0.2    // share of the interval by which it varies
-	// ms; an older report is refreshed before an attempt starts on its engine
-	reportRefreshAge     = 1200.0
-	healthChecksPerQuery = 1.0  // credit that a query brings
-	maxHealthCheckCredit = 10.0 // half of it is kept for refreshing reports
+	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt on its engine
+	healthChecksPerQuery   = 1.0    // credit that a query brings
+	maxHealthCheckCredit   = 10.0   // half of it is kept for refreshing reports
 )
 
 // checkHealth asks an engine for its health and load, and reports whether it does: not where checks
--- a/router/load.go
+++ b/router/load.go
@@ -1,17 +1,17 @@
 package router
 
 const (
-	reportHalfLife     = 1000.0 // ms, of reported utilization
-	othersHalfLife     = 5000.0 // ms, of what other controllers have in flight on an engine
-	reportMaxAge       = 4000.0 // ms after which a load report no longer counts
-	maxUtilization     = 2.0    // busy cores over all cores; a report of more is not believed
-	maxInflightPerCore = 100.0  // queries; a report of more is not believed
-	// half-life of an engine's slowdown, in mean times between own queries for it
-	slowdownLifeFactor  = 4.0
+	reportHalfLife      = 1000.0  // ms, of reported utilization
+	othersHalfLife      = 5000.0  // ms, of what other controllers have in flight on an engine
+	reportMaxAge        = 4000.0  // ms after which a load report no longer counts
+	maxUtilization      = 2.0     // busy cores over all cores; a report of more is not believed
+	maxInflightPerCore  = 100.0   // queries; a report of more is not believed
+	slowdownLifeFactor  = 4.0     // slowdownHalfLife in mean times between own queries for an engine
 	maxSlowdownHalfLife = 10000.0 // ms
+	negligibleQueryRate = 1e-9    // queries per ms, so that no rate is a divisor of 0
 )
 
-// plausible reports whether an engine can mean this. A report of figures that can't be changes
+// plausible reports whether an engine can have this load. A report that is not plausible changes
 // nothing.
 func (l *LoadReport) plausible(e *engine) bool {
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
@@ -49,9 +49,9 @@
 	}
 }
 
-// engineLoad is the design's load of an engine: the larger of its reported utilization and disk
-// use; without these the queries in flight for each core; without any recent report what this
-// controller's own attempts and its share of the traffic tell.
+// engineLoad is the load of an engine: the larger of its reported utilization and disk use; without
+// these the queries in flight for each core; without any recent report an estimate of these, by
+// this controller's own attempts and its share of the traffic.
 func (r *Router) engineLoad(e *engine) float64 {
 	if e.reportedAt == 0 || r.now-e.reportedAt > reportMaxAge {
 		return float64(e.attempts) / e.cores / r.trafficShare()
@@ -65,7 +65,7 @@
 // slowdownHalfLife is the half-life in ms of an engine's slowdown: as long as it takes for some own
 // queries to come to each engine, within bounds.
 func (r *Router) slowdownHalfLife() float64 {
-	queryRate := r.traffic.queryRate.rate(r.now) + 1e-9
+	queryRate := r.traffic.queryRate.rate(r.now) + negligibleQueryRate
 	wanted := slowdownLifeFactor * float64(len(r.engineList)) / queryRate
 	return min(maxSlowdownHalfLife, max(reportHalfLife, wanted))
 }
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -1,8 +1,6 @@
 package router
 
-import (
-	"slices"
-)
+import "slices"
 
 // ordering is the state of all ordering keys.
 type ordering struct {
@@ -13,13 +11,12 @@
 // orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the
 // ones that run stand in it too.
 type orderingQueue struct {
-	key     OrderingKey
-	queries []*query // by arrival
-	// ms, before which no first attempt starts: an earlier one may still be running
-	cooldownUntil float64
+	key           OrderingKey
+	queries       []*query // by arrival
+	cooldownUntil float64  // ms, before which no first attempt starts: an earlier one may still run
 
-	// joinedLate says that a query came to it which had arrived before its last one or had an attempt
-	// already: only then one behind the head can have an attempt outstanding.
+	// joinedLate says that a query was added that had arrived before the last one of the queue, or had
+	// an attempt already: only then a query behind the head can have an attempt outstanding.
 	joinedLate bool
 }
 
@@ -57,8 +54,8 @@
 	return count > 0 && byArrival(q, queue.queries[count-1]) < 0
 }
 
-// leaveOrderingQueue takes q out of a queue. The query that is at the head now may be startable by
-// it. A queue that is left empty is kept until its cooldown is over.
+// leaveOrderingQueue takes q out of a queue. The query that is at the head now may have become
+// startable. A queue that is left empty is kept until its cooldown is over.
 func (r *Router) leaveOrderingQueue(q *query, queue *orderingQueue) {
 	queue.remove(q)
 	if len(queue.queries) == 0 {
--- a/router/ordering_test.go
+++ b/router/ordering_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// Rule 5: an attempt whose outcome is no longer waited for may still be running. It holds its ordering key
+// Rule 5: an attempt may still be running when its outcome is no longer waited for. It holds its ordering key
 // until its outcome is known, but counts no longer as in flight.
 func TestAbandonedAttemptHoldsItsOrderingKey(t *testing.T) {
 	class := lookupClass
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -3,17 +3,15 @@
 import "math/bits"
 
 const (
-	outlierWindow       = 8     // last outcomes by which an engine counts as healthy or not
-	outlierMinSuccesses = 3     // of these; with fewer successes it is not healthy
-	minTrialWait        = 250.0 // ms of wait for a trial attempt after the first of a row of failures
-	// ms; each further failure doubles the wait up to this, healthy or not
-	maxTrialWait     = 2000.0
-	recentSuccessFor = 5000.0 // ms for which a class's own success counts on an unhealthy engine
+	outlierWindow       = 8      // last outcomes by which an engine counts as healthy or not
+	outlierMinSuccesses = 3      // of these; with fewer successes it is not healthy
+	minTrialWait        = 250.0  // ms until a trial attempt, after the first of a row of failures
+	maxTrialWait        = 2000.0 // ms; each further failure doubles the wait up to this
+	recentSuccessFor    = 5000.0 // ms for which a class's own success counts on an unhealthy engine
 )
 
 const (
-	// ms for which a class stays away from an engine after two failures or a rejection
-	minClassBackoff = 200.0
+	minClassBackoff = 200.0  // ms that a class avoids an engine after two failures or a rejection
 	maxClassBackoff = 1000.0 // ms; each further one doubles the wait up to this
 )
 
--- a/router/packing.go
+++ b/router/packing.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	memoryReserve = 0.1 // share of an engine's memory that packing leaves free
-	// share of it that all groups together are taken to use while nothing is known
-	blindMemoryShare = 0.5
+	memoryReserve    = 0.1     // share of an engine's memory that packing leaves free
+	blindMemoryShare = 0.5     // share of it that all groups are taken to use while nothing is known
 	demandHalfLife   = 10000.0 // ms, of the demand and the footprints of table groups
 )
 
--- a/router/pools.go
+++ b/router/pools.go
@@ -12,7 +12,7 @@
 	packed      bool            // by learned footprints
 	rebalanceAt float64         // ms, when engines may move between pools again
 
-	// marked is the pool whose engines have it as their markedPool, while engines are assigned; nil:
+	// marked is the pool to which markedPool of its engines points while engines are assigned; nil:
 	// none.
 	marked        *enginePool
 	markedEngines []*engine
@@ -24,7 +24,7 @@
 	packs       [][]*tableGroup
 	engines     []*engine
 	targetCount int     // engines that it is to have
-	demand      float64 // poolDemand, when engines were last counted out
+	demand      float64 // poolDemand, when engines were last allocated
 	candidates  candidateList
 }
 
@@ -36,9 +36,8 @@
 }
 
 const (
-	rebalanceInterval = 2000.0 // ms between moves of engines
-	// busiest pool's load over the donor's future load, from which an engine moves
-	moveMargin        = 1.25
+	rebalanceInterval = 2000.0  // ms between moves of engines
+	moveMargin        = 1.25    // busiest pool's load over the donor's future load, to move an engine
 	solveMargin       = 2.5     // the same, from which all counts are solved at once
 	underusedLoad     = 0.25    // load below which a pool of one engine may be merged with another
 	hotDemandFactor   = 3.0     // weight of the demand of a table group that a rule marks as hot
@@ -46,8 +45,8 @@
 	negligibleDemand  = 1e-9    // so that no demand or load is a divisor of 0
 )
 
-// rebalanceAll is the design's period: table groups that nobody uses are forgotten, the pools of
-// each kind are packed once demand is known, and engines move between them.
+// rebalanceAll forgets unused table groups, packs the pools of each kind once demand is known, and
+// moves engines between them.
 func (r *Router) rebalanceAll() {
 	r.pools.rebalanceAt = r.now + rebalanceInterval
 	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
@@ -62,11 +61,11 @@
 	}
 }
 
-// rebalance is the design's step for one kind. The busiest pool gets an engine of the pool whose
-// load would then be the lowest, if its own load is moveMargin times that; after a sharp swing all
-// counts are solved at once. A pool of several packs on one engine is divided first. Otherwise two
-// pools that underuse their only engines are merged, and the engine that is freed goes to the
-// busiest pool.
+// rebalance moves engines between the pools of one kind. The donor is the pool that would have the
+// lowest load with one engine less. It gives one to the busiest pool if the load of that is
+// moveMargin times the donor's future load; after a sharp swing all counts are solved at once. A
+// busiest pool of several packs on one engine is divided first. If no engine moves, two pools that
+// underuse their only engines are merged, and the engine that is freed goes to the busiest pool.
 func (r *Router) rebalance(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := len(r.readyEngines(kind))
@@ -105,7 +104,7 @@
 	r.assignEngines(kind, pools)
 }
 
-// underusedPools are those, but the busiest, with one engine whose load is low.
+// underusedPools are the pools of one engine with a low load, without the busiest pool.
 func (r *Router) underusedPools(pools []*enginePool, busiest *enginePool) []*enginePool {
 	var underused []*enginePool
 	for _, pool := range pools {
--- a/router/query.go
+++ b/router/query.go
@@ -39,9 +39,9 @@
 	overQuota    bool    // it is over its tenant's quota, as drawn when it arrived
 	arrivalOrder uint64  // its number by arrival, from 1
 	arrivedAt    float64 // ms
-	// ms, when its client first tried; before arrivedAt if this is the client's retry
-	firstTriedAt      float64
-	deadline          float64  // ms, when its client gives up
+	firstTriedAt float64 // ms, of its client's first try; before arrivedAt if this is a client's retry
+	deadline     float64 // ms, when its client gives up
+
 	estimatedWork     float64  // ms on one thread, as capped by an operator's rule; 0: no estimate
 	uncappedEstimate  float64  // ms on one thread, before that cap
 	estimatedMemoryMB float64  // 0: no estimate
@@ -160,7 +160,7 @@
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retryBudget.retries.add(r.now, 1)
 	}
-	r.dequeue(q) // while the number of its attempts still tells which tree holds it
+	r.dequeue(q) // before the number of its attempts changes, by which treeOf finds its tree
 	q.attempts = append(q.attempts, attempt{
 		engine:      e,
 		startedAt:   r.now,
--- a/router/queue.go
+++ b/router/queue.go
@@ -64,7 +64,7 @@
 }
 
 // dequeue takes q out of the queue if it is queued. It comes before an attempt is added to q, as
-// the number of attempts tells which tree holds it.
+// treeOf goes by the number of attempts.
 func (r *Router) dequeue(q *query) {
 	if !q.queued {
 		return
--- a/router/reasons.go
+++ b/router/reasons.go
@@ -58,7 +58,7 @@
 	waitOrdering
 	// waitAnswered: it has its answer or has begun to get it.
 	waitAnswered
-	// waitOutcome: an attempt runs whose outcome is waited for.
+	// waitOutcome: the outcome of an attempt is waited for.
 	waitOutcome
 	// waitAnswerDue: there is no time left for an attempt.
 	waitAnswerDue
--- a/router/reasons_test.go
+++ b/router/reasons_test.go
@@ -110,7 +110,7 @@
 	want    answerReason
 	class   QueryClass
 	engines []Endpoint
-	// prepare sets up the router, and returns the event in whose step query 1 has its answer.
+	// prepare sets up the router, and returns the event of the step in which query 1 has its answer.
 	prepare func(tr *testRouter) Event
 }
 
--- a/router/restore.go
+++ b/router/restore.go
@@ -139,7 +139,7 @@
 	g.lastQueryAt = r.now
 	demand := clamp(record.Demand, 0, maxRestoredRate)
 	memoryTime := clamp(record.MemoryTime, 0, maxRestoredRate*maxRestoredRate)
-	g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1) // rate, turned round
+	g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1) // the reverse of rate
 	g.memoryTime.add(r.now, memoryTime*demandHalfLife/math.Ln2, 1)
 	for kind, leader := range record.PoolLeaders {
 		if pool := pools[leader]; pool != nil && kind < len(g.pools) {
--- a/router/retry.go
+++ b/router/retry.go
@@ -1,10 +1,8 @@
 package router
 
 const (
-	// progress intervals without a message after which an attempt counts as silent
-	silenceIntervals = 1.6
-	// weight of a first progress message in an engine's slowdown; an answer's is 1
-	progressWeight   = 0.5
+	silenceIntervals = 1.6  // progress intervals without a message until an attempt counts as silent
+	progressWeight   = 0.5  // of a first progress message in an engine's slowdown; an answer's is 1
 	minProgressShare = 0.01 // share of the work that a progress message counts as, at least
 	badPlanFactor    = 4.0  // times the expected time from which the plan of an attempt counts as bad
 	badPlanRemaining = 1.5  // expected times that such an attempt must have left for a retry to pay
@@ -80,10 +78,10 @@
 	}
 }
 
-// attemptProgress takes in a progress message: it tells of table locks and of how slow the engine
-// is, and has an attempt cancelled whose plan is bad or whose engine has all but stopped, if a
-// retry is expected to end sooner. The work that is cancelled is lost; a query that is truly large
-// would be cancelled again and again, so this acts only on queries with an estimate.
+// attemptProgress takes in a progress message, which reports a table lock or how slow the engine
+// is. An attempt with a bad plan, or on an engine that has all but stopped, is cancelled if a retry
+// is expected to end sooner. The work that is cancelled is lost. A query that is truly large would
+// be cancelled again and again, so only queries with an estimate are.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -92,7 +90,7 @@
 	firstMessage := a.lastHeardAt == a.startedAt
 	a.lastHeardAt = r.now
 	if ev.Kind == ProgressWaitsForTables {
-		a.engine.tablesLockedUntil[q.tables] = r.now + tableLockNoteLife
+		a.engine.tablesLockedUntil[q.tables] = r.now + tableLockMessageAge
 		q.tables.addLockHolder(a.engine)
 	}
 	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 {
@@ -101,7 +99,7 @@
 	unloaded := q.class.unloadedTime(q, r.now)
 	elapsed := r.now - a.startedAt
 	total := elapsed / max(ev.Value, minProgressShare)
-	expected := unloaded * max(1, a.engine.slowdown.mean(r.now, 1, 1))
+	expected := unloaded * max(1, a.engine.meanSlowdown(r.now))
 	if firstMessage && q.class.bestUnitTime > 0 {
 		slowdown := min(maxSlowdownSample, total/unloaded)
 		a.engine.slowdown.add(r.now, progressWeight*slowdown, progressWeight)
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A query whose plan is bad, by its progress and its estimate, is cancelled and retried. One that is truly
+// A query with a bad plan, by its progress and its estimate, is cancelled and retried. One that is truly
 // large, nearly done or without an estimate runs on.
 func TestBadPlanIsCancelled(t *testing.T) {
 	for _, c := range []struct {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Seen on large deployments: attempts whose answer was lost were waited for until the client timeout. An
+// Seen on large deployments: attempts with a lost answer were waited for until the client timeout. An
 // attempt without progress messages is cancelled, or gets a hedged attempt beside it, if the query may be
 // repeated.
 func TestSilentAttemptIsReplaced(t *testing.T) {
@@ -196,7 +196,7 @@
 	}
 }
 
-// Seen in a simulation: a query whose response had begun was retried when its progress messages stopped, and
+// Seen in a simulation: a query with a response that had begun was retried when its progress messages stopped, and
 // its client would have got parts of two responses.
 func TestStartedResponseIsLeftAlone(t *testing.T) {
 	for _, capabilities := range []Capabilities{{MaxAttempts: 6, Hedging: true, ProgressInterval: 500},
--- a/router/router.go
+++ b/router/router.go
@@ -24,11 +24,10 @@
 	stepCount    uint64
 	timers       timers
 
-	// all that are owed an answer or have an attempt without an outcome
-	queries      map[QueryID]*query
-	arrivalCount uint64     // queries taken so far, which orders them
-	changed      []*query   // in this step: collectActions looks at them
-	queue        queryQueue // queries that wait for an engine
+	queries      map[QueryID]*query // owed an answer, or with an attempt without an outcome
+	arrivalCount uint64             // queries taken so far, which orders them
+	changed      []*query           // in this step: collectActions looks at them
+	queue        queryQueue         // queries that wait for an engine
 	ordering     ordering
 	admission    admission
 
@@ -77,8 +76,10 @@
 		queries:      map[QueryID]*query{},
 		queue:        queryQueue{firstAttempts: newDeadlineTree(), retries: newDeadlineTree()},
 		ordering:     ordering{queues: map[OrderingKey]*orderingQueue{}},
-		admission: admission{sizeLimit: maxSizeLimit,
-			arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife}},
+		admission: admission{
+			sizeLimit:   maxSizeLimit,
+			arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife},
+		},
 		engines: map[EngineID]*engine{},
 		traffic: traffic{
 			share:         decayedMean{halfLife: shareHalfLife},
@@ -165,7 +166,7 @@
 	}
 }
 
-// nextDue takes out the next query whose alarm is due; nil: there is none.
+// nextDue takes out the next query with an alarm that is due; nil: there is none.
 func (r *Router) nextDue() *query {
 	if r.nextAlarmAt() > r.now {
 		return nil
--- a/router/search.go
+++ b/router/search.go
@@ -23,15 +23,14 @@
 
 // searchState is what is kept for the searches over engines.
 type searchState struct {
-	candidates    candidateList // of engineList, for queries that leave their pools
-	exemptEngines int           // engines with bounds.exemptFromPool
-	// more than 0 if an engine may be warming up; counts some engines repeatedly
-	warmingEngines   int
-	minFill          float64   // threads per core; lower bound over all engines
-	maxCapacity      float64   // cores; upper bound over all engines
-	minOthersPerCore float64   // lower bound of the mean of traffic.othersPerCore
-	scoreBuffer      []float64 // kept for its memory: scoreLowerBounds
-	boundsExamined   int       // engines whose bounds were examined since the start; read by tests
+	candidates       candidateList // of engineList, for queries that leave their pools
+	exemptEngines    int           // engines with bounds.exemptFromPool
+	warmingEngines   int           // above 0 if an engine may be warming; counts some repeatedly
+	minFill          float64       // threads per core; lower bound over all engines
+	maxCapacity      float64       // cores; upper bound over all engines
+	minOthersPerCore float64       // lower bound of the mean of traffic.othersPerCore
+	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
+	boundsExamined   int           // bounds of engines examined since the start; read by tests
 }
 
 // searchBounds are the bounds of one engine.
@@ -162,7 +161,9 @@
 type capacityBound struct {
 	nothingInFlight   bool // this controller has no attempt
 	withinPooledLimit bool // the pooled thread limit is not used up
-	// of an engine's thread limit of all controllers, up to which this one may fill it
+
+	// limitShare is the share of the thread limit of all controllers on an engine up to which this one
+	// may fill it.
 	limitShare float64
 }
 
@@ -190,9 +191,10 @@
 // scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The
 // bound is +Inf where the engine has no capacity, else a lower bound of the placement score of q on
 // it. The affinity is left out of it where the engine can't be the least anyway: hashes are the
-// dearer part.
-func (r *Router) scoreLowerBounds(q *query, engines []*engine,
-	capacity capacityBound) ([]float64, int) {
+// more expensive part.
+func (r *Router) scoreLowerBounds(
+	q *query, engines []*engine, capacity capacityBound,
+) ([]float64, int) {
 	bounds := r.scoreBuffer(len(engines))
 	r.search.boundsExamined += len(engines)
 	least := math.Inf(1)
--- a/router/selection.go
+++ b/router/selection.go
@@ -3,15 +3,12 @@
 import "math"
 
 const (
-	// of its thread limit, up to which an engine takes queries of other pools
-	spillShare        = 0.75
-	affinityWeight    = 1.0    // penalty, in threads a core, for the lowest affinity
-	tableLockPenalty  = 4.0    // penalty, in threads a core, for a lock on the query's tables
-	tableLockNoteLife = 1500.0 // ms for which a progress message that tells of a table lock counts
-	// of the healthy engines; past it, queries that lock a group join others
-	widelyLockedShare = 2.0 / 3
-	// reports that the mean of all engines weighs as much as, for one engine's load
-	priorReportWeight = 0.5
+	spillShare          = 0.75    // of the thread limit, up to which other pools' queries are taken
+	affinityWeight      = 1.0     // penalty, in threads a core, for the lowest affinity
+	tableLockPenalty    = 4.0     // penalty, in threads a core, for a lock on the query's tables
+	tableLockMessageAge = 1500.0  // ms for which a progress message of a table lock counts
+	widelyLockedShare   = 2.0 / 3 // of the healthy engines, see tablesLockedWidely
+	priorReportWeight   = 0.5     // reports; weight of the mean of all engines in the load of one
 )
 
 // selection is one search for the engine of a query.
@@ -51,8 +48,9 @@
 // bounds of search.go leave out those that can't be better. If no engine of the list has capacity,
 // and nothing but its class and table group narrows the choice of q, that is remembered for the
 // others of its class in this step.
-func (r *Router) searchIn(s *selection, candidates *candidateList, engines []*engine,
-	share float64) {
+func (r *Router) searchIn(
+	s *selection, candidates *candidateList, engines []*engine, share float64,
+) {
 	q := s.q
 	if r.knownFull(candidates, q.class) {
 		return
@@ -89,7 +87,7 @@
 // one engine and wait for each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
-	score := fill * max(1, e.slowdown.mean(r.now, 1, 1)/widenBelowSlowdown)
+	score := fill * max(1, e.meanSlowdown(r.now)/widenBelowSlowdown)
 	score += tableLockPenalty * r.contention(q, e)
 	if !q.class.LocksTables {
 		score += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
@@ -117,8 +115,9 @@
 
 // tablesLockedWidely reports whether the tables of q, which will lock them too, are locked on so
 // many engines that q has to join one of these. It waits there, and queries that wait for the
-// tables find engines where they need not. It guards against traffic that meets on few tables,
-// whose locks would otherwise spread to all engines. Loads queue up, and more of them are late.
+// tables find engines where they need not. It guards against traffic on few tables: their locks
+// would otherwise spread to all engines. Queries that lock queue up for it, and more of them are
+// late.
 func (r *Router) tablesLockedWidely(q *query) bool {
 	if !q.class.LocksTables || len(q.tables.lockHolders) == 0 {
 		return false
@@ -151,7 +150,8 @@
 }
 
 // rendezvousAffinity is a hash of a table group and an engine, from 0 to 1: the same at every
-// controller, so that they all prefer the same engines for a group without any talk.
+// controller, so that they all prefer the same engines for a group without communication. The
+// multipliers are those of SplitMix64.
 func rendezvousAffinity(g *tableGroup, e *engine) float64 {
 	x := e.idHash ^ uint64(g.id)*0x9e3779b97f4a7c15
 	x ^= x >> 31
--- a/router/selection_test.go
+++ b/router/selection_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Seen on a recorded day of the deployment tacoma-east, whose traffic met on two table groups: queries
+// Seen on a recorded day of the deployment tacoma-east, with its traffic on two table groups: queries
 // locked them on every engine, and queries that wait for the tables stood still everywhere. Once a group is
 // locked on two thirds of the engines, further locks join these.
 func TestTableLocksLeaveEnginesFree(t *testing.T) {
--- a/router/settings.go
+++ b/router/settings.go
@@ -55,22 +55,25 @@
 // QueryClass is what is configured for one class of queries.
 type QueryClass struct {
 	Effect RepeatEffect
+
 	// Scope and DeduplicationWindow (ms) count for Deduplicated queries alone.
 	Scope               DeduplicationScope
 	DeduplicationWindow float64
-	// Ordered says that queries with the same OrderingKey run one at a time, as they arrived.
-	Ordered bool
+
+	Ordered bool     // queries with the same OrderingKey run one at a time, as they arrived
 	Kinds   []KindID // the only machine kinds that may run it; nil: any
 	Zones   []Zone   // the only zones that may run it; nil: any
+
 	// LatencyObjective is the time in ms within which a client wants the answer, and ObjectivePerWork
 	// what is added to it for each ms of work over threads.
 	LatencyObjective float64
 	ObjectivePerWork float64
-	ClientTimeout    float64 // ms after which a client gives up
-	LateBenefit      float64 // share of the benefit that an answer keeps after the latency objective
-	Threads          float64 // that a query uses
-	LocksTables      bool    // it locks its table group on its engine while it runs
-	WaitsForTables   bool    // it waits while its table group is locked on its engine
+
+	ClientTimeout  float64 // ms after which a client gives up
+	LateBenefit    float64 // share of the benefit that an answer keeps after the latency objective
+	Threads        float64 // that a query uses
+	LocksTables    bool    // it locks its table group on its engine while it runs
+	WaitsForTables bool    // it waits while its table group is locked on its engine
 }
 
 // MachineKind is a kind of machine that engines run on.
@@ -116,8 +119,8 @@
 	SlowStartOverload float64
 	SlowStartWindow   float64
 
-	// OrderingCooldown (ms) is how long an ordering key rests after an attempt that may still be
-	// running.
+	// OrderingCooldown (ms) is how long an ordering key is in cooldown after an attempt that may still
+	// be running.
 	OrderingCooldown float64
 
 	// Where RetryBudgeted, in any RetryBudgetWindow (ms) there are at most RetryBudgetMin retries, and
--- a/router/shedding.go
+++ b/router/shedding.go
@@ -1,13 +1,10 @@
 package router
 
 const (
-	// on the expected run time, when it is decided how long a query may be queued
-	runTimeMargin = 1.2
-	// of the latency objective, for which a query is queued whatever is expected
-	minQueueShare = 0.5
-	// benefit when late, from which a class is queued past its latency objective
-	lateBenefitThreshold = 0.5
-	lateRunTimeMargin    = 1.5 // on the unloaded time of such a class
+	runTimeMargin        = 1.2 // factor on the expected run time in shedDeadline
+	minQueueShare        = 0.5 // of the latency objective, for which a query is queued in any case
+	lateBenefitThreshold = 0.5 // LateBenefit from which a query is queued past its latency objective
+	lateRunTimeMargin    = 1.5 // factor on the unloaded time of queries with such a benefit
 )
 
 // latestStart is the latest time at which q can start and be worth its work, if it runs as on an
@@ -63,9 +60,9 @@
 	r.markChanged(q)
 }
 
-// RetryAfterDelay is the time in ms that a rejected client should wait before it retries; 0 if it
-// is not told. chance, from 0 to 1, spreads the retries over the second half of the longest wait
-// allowed.
+// RetryAfterDelay is the time in ms that a rejected client should wait before it retries; 0 if
+// rejections don't say. chance, from 0 to 1, spreads the retries over the second half of the
+// longest wait allowed.
 func (c Capabilities) RetryAfterDelay(chance float64) float64 {
 	if !c.RetryAfter {
 		return 0
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -27,8 +26,8 @@
 func (class *queryClass) timeModel(now float64) timeModel {
 	return timeModel{
 		unitTime:  class.bestUnitTime,
-		workScale: class.workScale.mean(now, 1, 2),
-		slowdown:  math.Exp(class.logSlowdown.mean(now, 0, 1)),
+		workScale: class.meanWorkScale(now),
+		slowdown:  class.meanSlowdown(now),
 	}
 }
 
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -32,9 +32,9 @@
 // it starts with until it is warm.
 //
 // Where an equal part would be too small for any query, controllers take turns: in each turn some
-// of them have a larger part and the others none. Who has a turn follows from its index, the engine
-// and the time since the engine's start, which all controllers know alike. The size of the parts
-// changes from turn to turn, so that large queries get their turn too.
+// of them have a larger part and the others none. Which controllers have a turn follows from their
+// indexes, the engine and the time since the engine's start, which all controllers know alike. The
+// size of the parts changes from turn to turn, so that large queries get their turn too.
 func (r *Router) slowStartAllowance(e *engine) float64 {
 	limits := &r.limits
 	warm := r.now > e.startedAt+limits.SlowStartTime+windowSlack
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -93,7 +93,7 @@
 // window overlaps are within what the rule allows, and that there are parts of several sizes.
 func checkSlowStartTurns(t *testing.T) {
 	t.Helper()
-	// all controllers whose turns overlap a window use all of their parts
+	// all controllers with turns that overlap a window use all of their parts
 	for _, controllers := range []int{60, 150, 300, 1000} {
 		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = float64(controllers)
--- a/router/statistics.go
+++ b/router/statistics.go
@@ -30,10 +30,8 @@
 	StartedAt      float64      // ms, when that process started; 0: long ago
 	Slowdown       WeightedMean // run time over the time on an idle engine
 	ThreadsPerCore float64      // concurrency limit of all controllers together
-	// of attempts and health checks, a bit each, the last one lowest; 1: success
-	Outcomes uint8
-	// the first engine of its pool, by which the pool is named; empty: it is in none
-	PoolLeader EngineID
+	Outcomes       uint8        // a bit for each attempt and health check, the last lowest; 1: success
+	PoolLeader     EngineID     // first engine of its pool, which names the pool; empty: none
 }
 
 // TableStatistics is what is known of a table group.
@@ -42,7 +40,8 @@
 	Tables     TableGroup
 	Demand     float64 // ms of work on one thread for each ms
 	MemoryTime float64 // megabytes times ms of its attempts, for each ms
-	// by machine kind: the PoolLeader of the pool that serves it; empty: none does
+
+	// PoolLeaders has, by machine kind, the PoolLeader of the pool that serves it; empty: none does.
 	PoolLeaders []EngineID
 }
 
--- a/router/status.go
+++ b/router/status.go
@@ -18,10 +18,9 @@
 
 // TableStatus is a table group that an engine's pool serves.
 type TableStatus struct {
-	Tables TableGroup
-	// ms of work on one thread for each ms, of this controller, per engine of the pool
-	Demand       float64
-	OtherEngines int // of the pool
+	Tables       TableGroup
+	Demand       float64 // of this controller, per engine of the pool: ms on one thread for each ms
+	OtherEngines int     // of the pool
 }
 
 // EngineStatuses returns the status of all engines by id. It changes nothing.
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -9,13 +9,12 @@
 // tableGroup is a group of tables with the demand for it.
 type tableGroup struct {
 	id          TableGroup
-	lastQueryAt float64     // ms, when a query last named it
-	openQueries int         // queries that name it and are not forgotten yet
-	hot         bool        // an operator's rule marked it as hot
-	confirmed   bool        // a query on it was answered; until then a client may have made it up
-	demand      decayedMean // its rate is ms of work on one thread for each ms
-	// megabytes times ms of this controller's attempts; its rate is megabytes in use
-	memoryTime  decayedMean
+	lastQueryAt float64       // ms, when a query last named it
+	openQueries int           // queries that name it and are not forgotten yet
+	hot         bool          // an operator's rule marked it as hot
+	confirmed   bool          // a query on it was answered; until then a client may have made it up
+	demand      decayedMean   // its rate is ms of work on one thread for each ms
+	memoryTime  decayedMean   // its rate is megabytes that this controller's attempts use
 	pools       []*enginePool // that serve it, by machine kind; nil: none
 	lockHolders []*engine     // all engines on which it may be locked
 }
--- a/router/trafficshare.go
+++ b/router/trafficshare.go
@@ -13,11 +13,10 @@
 }
 
 const (
-	shareHalfLife  = 5000.0 // ms, of the traffic share and the rates beside it
-	tenantHalfLife = 2000.0 // ms, of the rate of a tenant's queries
-	// reported queries that the assumption of an equal share weighs as much as
-	equalShareWeight = 200.0
-	minShare         = 0.2 // of an equal share; a controller takes no less for its own
+	shareHalfLife    = 5000.0 // ms, of the traffic share and the rates beside it
+	tenantHalfLife   = 2000.0 // ms, of the rate of a tenant's queries
+	equalShareWeight = 200.0  // weight of an equal share, as the prior, in reported queries
+	minShare         = 0.2    // of an equal share; a controller takes no less for its own
 )
 
 // trafficShare is the share of all traffic that passes through this controller, from 0 to 1. It is
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -8,10 +8,9 @@
 // epoch ends when the run times of the class or the size limit of admission control leave their
 // tolerances, or when a shutdown is planned.
 type worthCache struct {
-	step  uint64 // in which it was last refreshed
-	epoch int    // its number
-	// ms on one thread that a query may need, by the size limit, when the epoch began
-	allowedWork float64
+	step        uint64  // in which it was last refreshed
+	epoch       int     // its number
+	allowedWork float64 // ms on one thread that the size limit allowed a query when the epoch began
 }
 
 // sizeLimitTolerance is the ratio by which the allowed work may change, up or down, within an
