--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -84,7 +84,7 @@
 
 // notDeciding are the files of the module that hold its interface, its state and its search structures, and decide nothing.
 var notDeciding = []string{
-	"actions.go", "backoff.go", "candidates.go", "class.go", "decay.go", "doc.go", "engine.go", "events.go", "heap.go",
+	"actions.go", "alarms.go", "backoff.go", "candidates.go", "class.go", "decay.go", "doc.go", "engine.go", "events.go", "heap.go",
 	"ordering.go", "query.go", "queue.go", "reasons.go", "router.go", "search.go", "settings.go", "shedwatch.go",
 	"sort.go", "statistics.go", "status.go", "tablegroup.go", "window.go", "worthcache.go",
 }
--- a/router/doc.go
+++ b/router/doc.go
@@ -69,8 +69,8 @@
 // decided engine by engine, in selection.go.
 //
 // State and structures, which decide nothing: query.go, class.go, engine.go, tablegroup.go,
-// ordering.go, queue.go; search.go and candidates.go (bounds by which a selection looks at few
-// engines of many), shedwatch.go and worthcache.go (bounds by which few queued queries are looked
-// at), statistics.go and status.go (what is learned, exported), decay.go, window.go, backoff.go,
-// heap.go, sort.go.
+// ordering.go, queue.go, alarms.go; search.go and candidates.go (bounds by which a selection looks
+// at few engines of many), shedwatch.go and worthcache.go (bounds by which few queued queries are
+// looked at), statistics.go and status.go (what is learned, exported), decay.go, window.go,
+// backoff.go, heap.go, sort.go.
 package router
--- a/router/heap.go
+++ b/router/heap.go
@@ -61,14 +61,3 @@
 		h.sink(i)
 	}
 }
-
-// alarm is a time at which a query must be looked at.
-type alarm struct {
-	at    float64 // ms
-	query *query
-}
-
-// byAlarmTime orders alarms by time, and by query id where that is the same.
-func byAlarmTime(a, b *alarm) bool {
-	return a.at < b.at || a.at == b.at && a.query.id < b.query.id
-}
--- a/router/router.go
+++ b/router/router.go
@@ -46,16 +46,6 @@
 	pools       poolState
 }
 
-// minTimer is the shortest time in ms that a timer is set to.
-const minTimer = 0.001
-
-// timers are the times at which the module has something to do without an event.
-type timers struct {
-	alarms     heap[alarm] // of single queries
-	periodicAt float64     // ms, when runPeriodic is due
-	timerAt    float64     // ms, for which the caller was last asked to set its timer
-}
-
 // New returns the module of a controller that has just started. The seed feeds its only source of
 // chance: the same seed and the same events give the same actions.
 func New(seed int64, identity Identity, kinds []MachineKind, classes []QueryClass, tenants []Tenant,
@@ -159,29 +149,6 @@
 	r.rebuildShedWatches()
 }
 
-// setAlarm has checkQuery look at q at some time; +Inf: never.
-func (r *Router) setAlarm(at float64, q *query) {
-	if !math.IsInf(at, 1) {
-		r.timers.alarms.push(alarm{at, q})
-	}
-}
-
-// nextDue takes out the next query with an alarm that is due; nil: there is none.
-func (r *Router) nextDue() *query {
-	if r.nextAlarmAt() > r.now {
-		return nil
-	}
-	return r.timers.alarms.pop().query
-}
-
-// nextAlarmAt is the time of the earliest alarm; +Inf: there is none.
-func (r *Router) nextAlarmAt() float64 {
-	if len(r.timers.alarms.list) == 0 {
-		return math.Inf(1)
-	}
-	return r.timers.alarms.list[0].at
-}
-
 // markChanged has collectActions look at q at the end of this step.
 func (r *Router) markChanged(q *query) {
 	if !q.changed {
@@ -249,13 +216,3 @@
 	}
 	return actions
 }
-
-// appendTimer asks for the next step if the timer that was set last has fired or is too late.
-func (r *Router) appendTimer(actions []Action) []Action {
-	at := min(r.timers.periodicAt, r.nextAlarmAt())
-	if r.timers.timerAt > r.now && at >= r.timers.timerAt {
-		return actions
-	}
-	r.timers.timerAt = at
-	return append(actions, SetTimer{After: max(minTimer, at-r.now)})
-}
