--- a/match/cost.go
+++ b/match/cost.go
@@ -8,11 +8,11 @@
 	wordBytes      = 8
 	lookupSteps    = 2
 	literalSteps   = 1
-	regexSteps     = 20 // of a regular expression, beside those for each byte and instruction
-	regexByteSteps = 2  // for each byte, beside those for each instruction
+	regexSteps     = 20 // of a regular expression, beside those for each byte
+	regexByteSteps = 2  // of a regular expression for each byte, beside one for each instruction
 	callSteps      = 4  // of a function on a text, beside those for each byte
 	divideSteps    = 4
-	remainderSteps = 300 // it is a division by hand, a bit at a time
+	remainderSteps = 300 // math.Mod divides in software, a bit at a time
 )
 
 // maxTextBytes is how many bytes a text may have.
@@ -103,7 +103,7 @@
 }
 
 // cost is the most that one evaluation may take, and the bytes of scratch that it may need. Of a
-// choice the dearer side counts for steps, and both for scratch.
+// choice the more expensive side counts for steps, and both for scratch.
 func (n *node) cost(s *Schema) (steps, scratchBytes int) {
 	steps, scratchBytes = n.ownCost(s)
 	if n.op == opIf {
--- a/match/error.go
+++ b/match/error.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// maxCaretBytes is how much of a line is shown before and behind a place.
+// maxCaretBytes is how many bytes of a line are shown before a place, and after it.
 const maxCaretBytes = 120
 
 // Error is what is wrong with an expression.
--- a/match/eval.go
+++ b/match/eval.go
@@ -88,7 +88,7 @@
 	return ev.scratchText(from)
 }
 
-// truncate keeps a text within its bound: a row may come from a stranger.
+// truncate cuts a text to a length in bytes: a row may hold whatever a client has sent.
 func truncate(s string, maxBytes int) string {
 	if len(s) > maxBytes {
 		return s[:maxBytes]
@@ -96,7 +96,7 @@
 	return s
 }
 
-// finite keeps numbers such that they compare: not a number is 0, and infinity the largest number.
+// finite makes all numbers comparable: NaN becomes 0, and an infinity the largest finite number.
 func finite(x float64) float64 {
 	switch {
 	case x != x:
@@ -131,11 +131,9 @@
 }
 
 const (
-	// The offset and the prime of FNV-1a with 64 bits.
-	fnvOffset = uint64(14695981039346656037)
-	fnvPrime  = 1099511628211
-	// maxBuckets is the largest number of buckets.
-	maxBuckets = 1 << 32
+	fnvOffset  = uint64(14695981039346656037) // offset basis of FNV-1a with 64 bits
+	fnvPrime   = 1099511628211                // its prime
+	maxBuckets = 1 << 32                      // the largest number of buckets
 )
 
 // bucket is a text's place among n, from 0: its hash by FNV-1a, folded. It is the same everywhere
@@ -153,7 +151,7 @@
 }
 
 // part is the n-th part of a text between separators, from 0, or from the end if n is below 0: -1
-// is the last. It is empty if there is none such.
+// is the last. It is empty if there is no such part.
 func part(s, separator string, n float64) string {
 	if n < 0 {
 		return partFromEnd(s, separator, -n)
@@ -190,7 +188,7 @@
 	}
 }
 
-// maxDigits bytes of a text are read as a number.
+// maxDigits is how many bytes of a text are read as a number, at most.
 const maxDigits = 32
 
 // parseNumberPrefix is the number that a text begins with, without exponent; 0 if it begins with
--- a/match/explain.go
+++ b/match/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxItemsShown of a list are written out.
+// maxItemsShown is how many items of a list are written out.
 const maxItemsShown = 8
 
 // Step is one part of an expression with its value, for people.
--- a/match/lexer.go
+++ b/match/lexer.go
@@ -17,7 +17,7 @@
 	tokenSign
 )
 
-// token is one of a source.
+// token is a lexical token of a source.
 type token struct {
 	kind   tokenKind
 	offset int
@@ -32,7 +32,7 @@
 	offset int // of the next byte
 }
 
-// signs are all signs; one that begins as another stands before it.
+// signs are the operators and punctuation. A sign stands before those that it begins with.
 var signs = []string{"&&", "||", "==", "!=", "<=", ">=", "<", ">", "!", "+", "-", "*", "/", "%",
 	"(", ")", "[", "]", ",", "?", ":"}
 
@@ -56,7 +56,7 @@
 	return l.source[from:l.offset]
 }
 
-// skipBlanks passes blanks, and remarks, which begin with # and go to the end of the line.
+// skipBlanks skips blanks, and comments, which go from # to the end of the line.
 func (l *lexer) skipBlanks() {
 	for l.offset < len(l.source) {
 		switch c := l.source[l.offset]; {
--- a/match/literals.go
+++ b/match/literals.go
@@ -33,8 +33,8 @@
 			return nil, err
 		}
 		if item.valueType != left.valueType || item.valueType == Bool {
-			return nil, p.fail(itemOffset, "is a %v, what is looked for a %v", item.valueType,
-				left.valueType)
+			return nil, p.fail(itemOffset, "is a %v, what is looked for a %v",
+				item.valueType, left.valueType)
 		}
 		n.set = append(n.set, item.literal)
 		if len(n.set) > maxListItems {
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -19,7 +19,7 @@
 	Labels: []match.Label{{Name: "store", Value: "store-12-east"}}}
 
 // What expressions evaluate to: each operator and function, with absent fields and odd values.
-func TestMeaning(t *testing.T) {
+func TestOperatorsAndFunctionsEvaluate(t *testing.T) {
 	for source, want := range map[string]any{
 		`true`: true, `!true`: false, `!!true`: true, `urgent`: false, `has(urgent)`: false, `has(profile)`: true,
 		`true || urgent && false`: true, `(true || urgent) && false`: false,
@@ -74,7 +74,7 @@
 		if e.Source() != source || e.Type() != typ || e.Steps() < 1 {
 			t.Errorf("%s: %v of %d steps", e.Source(), e.Type(), e.Steps())
 		}
-		// an empty row is a command without any field
+		// an empty row is a query without any field
 		switch typ {
 		case match.Bool:
 			e.Bool(match.Row{}, &s)
@@ -87,7 +87,7 @@
 }
 
 // Whatever is wrong with an expression is reported when it is compiled, with its place.
-func TestErrors(t *testing.T) {
+func TestCompileErrorsNameThePlace(t *testing.T) {
 	deep := func(opening, closing string, n int) string {
 		return strings.Repeat(opening, n) + "true" + strings.Repeat(closing, n)
 	}
@@ -169,7 +169,7 @@
 }
 
 // A caret stands under the place, also behind tabs and in long lines.
-func TestCaret(t *testing.T) {
+func TestCaretStandsUnderThePlaceBehindTabs(t *testing.T) {
 	_, err := match.Compile("true &&\n\tprfile", match.Bool, schema, match.DefaultBounds())
 	var e *match.Error
 	if errors.As(err, &e); e.Caret() != "\tprfile\n\t^" {
@@ -179,7 +179,7 @@
 
 // Random expressions, well-typed and broken, compiled and walked: the same verdicts, no failure, within the
 // bound, and nothing allocated.
-func TestRandom(t *testing.T) {
+func TestRandomExpressionsEvaluateAsDrawn(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	n := 20000
 	if testing.Short() {
@@ -227,7 +227,7 @@
 }
 
 // No evaluation allocates.
-func TestAllocations(t *testing.T) {
+func TestEvaluationAllocatesNothing(t *testing.T) {
 	for _, source := range []string{
 		`profile == "load" && table_name startswith "menu_" && tenant in ["acme", "b", "c"]`,
 		`table_name like "m*_1?" || lower(tenant) + upper(profile) == "x"`,
@@ -267,7 +267,7 @@
 }
 
 // Fields are those that an expression reads.
-func TestFields(t *testing.T) {
+func TestFieldsListsEachFieldOnce(t *testing.T) {
 	e, err := match.Compile(`has(urgent) || profile == tenant || profile == "x"`, match.Bool, schema, match.DefaultBounds())
 	if err != nil || fmt.Sprint(e.Fields()) != "[profile tenant urgent]" {
 		t.Errorf("%v, %v", e.Fields(), err)
--- a/match/parser.go
+++ b/match/parser.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// parser is a recursive descent of bounded depth. Each method that parses returns a tree whose
-// types are checked.
+// parser is a recursive descent of bounded depth. Each method that parses returns a tree with
+// checked types.
 type parser struct {
 	lexer  lexer
 	schema *Schema
@@ -66,7 +66,8 @@
 	return p.advance()
 }
 
-// nested guards each recursion.
+// nested calls a method that parses one level deeper, and fails past the depth allowed. Each
+// recursion goes through it, so that no source exhausts the stack.
 func (p *parser) nested(parse func() (*node, error)) (*node, error) {
 	p.depth++
 	if p.depth > p.bounds.Depth {
@@ -107,8 +108,8 @@
 	if yes.valueType != no.valueType {
 		return nil, p.fail(no.offset, "is a %v, the other choice a %v", no.valueType, yes.valueType)
 	}
-	return &node{op: opIf, valueType: yes.valueType, offset: offset,
-		args: []*node{condition, yes, no}}, nil
+	args := []*node{condition, yes, no}
+	return &node{op: opIf, valueType: yes.valueType, offset: offset, args: args}, nil
 }
 
 // operatorLevels are the binary operators, those that bind least first. Those of one level
@@ -121,7 +122,7 @@
 	{"*", "/", "%"},
 }
 
-// comparisonLevel is the level whose operators can't follow each other.
+// comparisonLevel is the level of the comparisons, which can't follow each other.
 const comparisonLevel = 2
 
 // binary parses the operators of a level and those that bind more. A chain of operators counts as
@@ -227,9 +228,9 @@
 	}
 	field, index := p.schema.findField(name.text)
 	if field == nil {
-		return nil, p.fail(name.offset, "%.40q is no field: there are %s", name.text,
-			p.schema.fieldNames())
+		return nil, p.fail(name.offset, "%.40q is no field: there are %s",
+			name.text, p.schema.fieldNames())
 	}
-	return &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index},
-		nil
+	n := &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index}
+	return n, nil
 }
--- a/match/requirements.go
+++ b/match/requirements.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Requirement is something that holds of every row on which a condition does: a field has one of
-// some values, or begins with a text.
+// Requirement is what holds for every row on which a condition holds: a field has one of some
+// values, or begins with a text.
 type Requirement struct {
 	Field  string
 	Equal  []Value // one of these; nil: it begins with Prefix
@@ -14,7 +14,7 @@
 // There may be nothing.
 func (e *Expr) Requires() []Requirement { return e.tree.requirements(nil) }
 
-// requirements appends those of a condition.
+// requirements appends the requirements of a condition.
 func (n *node) requirements(all []Requirement) []Requirement {
 	if n.op == opAnd {
 		return n.args[1].requirements(n.args[0].requirements(all))
@@ -46,8 +46,8 @@
 	return all
 }
 
-// NeverEmpty reports whether it can be shown that a text is never empty, where these fields never
-// are.
+// NeverEmpty reports whether it can be shown that a text is never empty, provided that the fields
+// named are never empty.
 func (e *Expr) NeverEmpty(filled ...string) bool { return e.tree.neverEmpty(filled) }
 
 func (n *node) neverEmpty(filled []string) bool {
--- a/match/schema.go
+++ b/match/schema.go
@@ -29,7 +29,7 @@
 }
 
 // Schema is the fields that there are, in the order of a Row's values, and the bounds of labels.
-// Labels are texts whose names are not known beforehand: label("store").
+// Labels are texts with names that are not known beforehand: label("store").
 type Schema struct {
 	Fields        []Field
 	MaxLabels     int // of a row; 0: there is no function label
--- a/match/tree.go
+++ b/match/tree.go
@@ -40,7 +40,7 @@
 	opNumber // that a text begins with
 )
 
-// node is one of an expression's tree. Which of the fields below args count depends on op.
+// node is a node of an expression's tree. Which of the fields below args count depends on op.
 type node struct {
 	op        op
 	valueType Type
--- a/match/types.go
+++ b/match/types.go
@@ -9,6 +9,13 @@
 	"%": opRemainder,
 }
 
+// textOps are the operators that compare the bytes of two texts.
+var textOps = map[string]op{
+	"startswith": opStartsWith,
+	"endswith":   opEndsWith,
+	"contains":   opContains,
+}
+
 // combine checks the types of the two sides of a binary operator, and returns its node. Operators
 // that differ by a negation or by the order of their sides share an op.
 func (p *parser) combine(left, right *node, sign string, offset int) (*node, error) {
@@ -36,15 +43,14 @@
 		n.args[0], n.args[1] = right, left
 		fits = sameType && left.valueType != Bool
 	case "startswith", "endswith", "contains":
-		n.op = map[string]op{"startswith": opStartsWith, "endswith": opEndsWith,
-			"contains": opContains}[sign]
+		n.op = textOps[sign]
 		fits = sameType && left.valueType == Text
 	default:
 		return p.combineArithmetic(left, right, sign, offset)
 	}
 	if !fits {
-		return nil, p.fail(offset, "%s does not go with a %v and a %v", sign, left.valueType,
-			right.valueType)
+		return nil, p.fail(offset, "%s does not go with a %v and a %v",
+			sign, left.valueType, right.valueType)
 	}
 	return n, nil
 }
