--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -88,8 +88,8 @@
 			}
 			fmt.Fprintf(out, "%d of %d rules were tried; the others require something that it has not\n",
 				len(tried), set.Len())
-			if v.Refusal != "" {
-				fmt.Fprintf(out, "refused: %s\n", v.Refusal)
+			if v.Rejection != "" {
+				fmt.Fprintf(out, "refused: %s\n", v.Rejection)
 				return nil
 			}
 			fmt.Fprintf(out, "profile %s, key %q, hot %t, kinds %v, zones %v, "+
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -76,9 +76,9 @@
 		}
 	}
 	verdict := r.set.Apply(&input, scratch)
-	if verdict.Refusal != "" {
+	if verdict.Rejection != "" {
 		r.refused.Add(1)
-		return verdict.Refusal
+		return verdict.Rejection
 	}
 	query.Class = verdict.Class
 	query.OrderingKey = verdict.OrderingKey
--- a/internal/core/restore/doc.go
+++ b/internal/core/restore/doc.go
@@ -3,10 +3,10 @@
 //
 // It is asked once, when the first endpoint list has come. Every record is weighed by its age with
 // the half-life of its kind; records that are too old, come from the future, belong to another
-// controller, other settings or another process of an engine, or hold values that can't be, are
+// controller, other settings or another process of an engine, or hold impossible values, are
 // dropped and counted. Weights and numbers are bounded, so that answers of this run soon outweigh
 // what was restored.
 //
-// What is let through steers decisions only: the decision module uses none of it where the safety
+// What is restored influences decisions only: the decision module uses none of it where the safety
 // of a query depends on it.
 package restore
--- a/internal/core/restore/engines.go
+++ b/internal/core/restore/engines.go
@@ -37,8 +37,8 @@
 	return selected
 }
 
-// ageEngine returns a record with each of its values aged by its own half-life. Not ok if all have
-// expired.
+// ageEngine returns a record with each of its values aged by its own half-life. ok is false if all
+// have expired.
 func (s *selector) ageEngine(e router.EngineStatistics) (aged router.EngineStatistics, ok bool) {
 	lives := s.halfLives
 	longest := max(lives.Slowdown, lives.Outcomes, lives.ThreadsPerCore, lives.Pools)
--- a/internal/core/restore/restore.go
+++ b/internal/core/restore/restore.go
@@ -16,8 +16,8 @@
 	maxClasses = 20_000
 	maxTables  = 20_000
 
-	// maxTableEnginePairs bounds table groups times engines, each of which the decision module
-	// weighs in the one step that takes them in.
+	// maxTableEnginePairs bounds the pairs of table group and engine: the decision module looks at
+	// each pair in the one step that takes them in.
 	maxTableEnginePairs = 300_000
 
 	maxSlowdownWeight = 4.0   // answers
@@ -51,9 +51,8 @@
 	Expired        int // too old
 	FromFuture     int // their time has not come, so their age is unknown
 	UnknownEngines int // the engine is not listed as ready, or is another process by now
-	// values that can't be, second records of one thing, or more than the bounds allow
-	Invalid int
-	Foreign int // all records, as the owner is another one
+	Invalid        int // impossible values, repeated records, or more of them than the bounds allow
+	Foreign        int // all records, as the owner is another one
 }
 
 // Select returns the statistics of a snapshot that still count for the controller owner, with these
@@ -83,8 +82,8 @@
 	counts    Counts
 }
 
-// remainingWeight is that of a record of a time. Not ok if it has too little left, which is then
-// counted.
+// remainingWeight is the weight that a record of a time (ms) still has. If that is too little, ok
+// is false and the record is counted as dropped.
 func (s *selector) remainingWeight(at, halfLife float64) (weight float64, ok bool) {
 	age := s.now - at
 	weight = RemainingWeight(age, halfLife)
@@ -99,8 +98,8 @@
 	return 0, false
 }
 
-// uniqueByID returns a copy of the records ordered by id, the first of each id and at most so many.
-// All others are counted as invalid.
+// uniqueByID returns a copy of the records ordered by id: the first of each id, up to a number of
+// them. All others are counted as invalid.
 func uniqueByID[T any, K cmp.Ordered](s *selector, records []T, id func(*T) K, most int) []T {
 	unique := slices.Clone(records)
 	slices.SortStableFunc(unique, func(a, b T) int { return cmp.Compare(id(&a), id(&b)) })
@@ -112,7 +111,7 @@
 	return unique
 }
 
-// allValid tells whether all values are finite and none is negative.
+// allValid reports whether all values are finite and none is negative.
 func allValid(values ...float64) bool {
 	return !slices.ContainsFunc(values, func(x float64) bool {
 		return math.IsNaN(x) || math.IsInf(x, 0) || x < 0
--- a/internal/core/rules/apply.go
+++ b/internal/core/rules/apply.go
@@ -9,7 +9,7 @@
 
 // Verdict is what the rules come to for a query.
 type Verdict struct {
-	Refusal     string // not empty: the query is refused with this text, and the rest does not count
+	Rejection   string // not empty: the query is rejected with this text, and the rest does not count
 	Class       router.ClassID
 	OrderingKey router.OrderingKey
 	Hot         bool
@@ -22,7 +22,7 @@
 // Scratch is what one goroutine needs to apply rules without allocating. The zero value is ready
 // for use.
 type Scratch struct {
-	// Trace is called for each rule that is tried; nil: nobody asks.
+	// Trace is called for each rule that is tried; nil: there is no trace.
 	Trace func(rule int, matched bool)
 
 	match      match.Scratch
@@ -36,7 +36,7 @@
 // row is the query as expressions see it, with what rules have changed so far.
 func (s *Scratch) row() match.Row { return match.Row{Values: s.values[:], Labels: s.labels} }
 
-// setLabel sets a label; past the number of labels it is dropped.
+// setLabel sets a label. A new one past maxLabels is dropped.
 func (s *Scratch) setLabel(name, text string) {
 	for i := range s.labels {
 		if s.labels[i].Name == name {
@@ -83,8 +83,8 @@
 		if !matched {
 			continue
 		}
-		if r.Refusal != "" {
-			v.Refusal = r.Refusal
+		if r.Rejection != "" {
+			v.Rejection = r.Rejection
 			return v
 		}
 		s.applyEffects(r, &v, scratch)
@@ -125,7 +125,8 @@
 	return router.OrderingKey(strings.Clone(s[:min(len(s), maxKeyBytes)]))
 }
 
-// narrow is what is left of a list, of which nil is all; never nil.
+// narrow is what is left of a list that is narrowed to another; nil stands for all. It is never
+// nil.
 func narrow[T comparable](have, to []T) []T {
 	if have == nil {
 		return to
--- a/internal/core/rules/compile.go
+++ b/internal/core/rules/compile.go
@@ -24,7 +24,7 @@
 	fieldNameClass       = "profile"
 	fieldNameLabels      = "labels"
 	fieldNameEstimateCap = "most_estimate"
-	fieldNameRefusal     = "refuse"
+	fieldNameRejection   = "refuse"
 )
 
 // compiler gathers the problems of a set of rules, and what is known ahead of the rule that is
@@ -67,15 +67,14 @@
 		return nil, c.problems
 	}
 	set.index = newIndex(set.rules)
-	var dearest int
-	set.maxSteps, dearest = set.index.maxSteps(set.rules)
+	var costliest int
+	set.maxSteps, costliest = set.index.maxSteps(set.rules)
 	if set.maxSteps > maxSteps {
-		c.rule = dearest
+		c.rule = costliest
 		c.addProblem(fieldNameWhen,
 			"rules tried on one command may take %d steps together, of %d allowed; "+
-				"this one is among the dearest. Rules that require a field to equal or begin with a text "+
-				"are tried only "+
-				"where it does",
+				"this one is among the dearest. Rules that require a field to equal or "+
+				"begin with a text are tried only where it does",
 			set.maxSteps, maxSteps)
 		return nil, c.problems
 	}
@@ -83,8 +82,8 @@
 }
 
 func (c *compiler) addProblem(field, format string, args ...any) {
-	c.problems = append(c.problems,
-		Problem{Rule: c.rule, Field: field, Reason: fmt.Sprintf(format, args...)})
+	reason := fmt.Sprintf(format, args...)
+	c.problems = append(c.problems, Problem{Rule: c.rule, Field: field, Reason: reason})
 }
 
 // checkName checks a rule's name; seen has those of the rules before, with their numbers.
@@ -108,8 +107,8 @@
 		c.addProblem(fieldNameWhen, "no command can have this profile here")
 	}
 	isControl := func(x rune) bool { return x < ' ' }
-	if len(rule.Refusal) > maxTextBytes || strings.ContainsFunc(rule.Refusal, isControl) {
-		c.addProblem(fieldNameRefusal, "is no line of %d bytes at the most", maxTextBytes)
+	if len(rule.Rejection) > maxTextBytes || strings.ContainsFunc(rule.Rejection, isControl) {
+		c.addProblem(fieldNameRejection, "is no line of %d bytes at the most", maxTextBytes)
 	}
 	if rule.EstimateCap < 0 || math.IsNaN(rule.EstimateCap) {
 		c.addProblem(fieldNameEstimateCap, "is below zero")
@@ -141,11 +140,12 @@
 	return e
 }
 
+// compileLabels compiles the expressions of a rule's labels, ordered by label.
 func (c *compiler) compileLabels(r *compiledRule) {
 	if len(r.Labels) > maxLabels {
 		c.addProblem(fieldNameLabels, "there are over %d", maxLabels)
 	}
-	// sorted, so that problems come in the same order
+	// Sorted, so that problems always come in the same order.
 	for _, name := range slices.Sorted(maps.Keys(r.Labels)) {
 		if name == "" || len(name) > maxNameBytes {
 			c.addProblem(fieldNameLabels, "a name has not 1 to %d bytes", maxNameBytes)
@@ -226,7 +226,7 @@
 	}
 }
 
-// kindNames lists machine kinds, of which nil is all.
+// kindNames lists the names of machine kinds; nil stands for all.
 func (c *compiler) kindNames(kinds []router.KindID) string {
 	var names []string
 	for name, kind := range c.facts.Kinds {
@@ -238,7 +238,8 @@
 	return strings.Join(names, ", ")
 }
 
-// compileClass checks that a query may count as one of another class: that must allow nothing more.
+// compileClass checks that a query may count as one of another class, which must allow nothing
+// more.
 func (c *compiler) compileClass(r *compiledRule, states []state) {
 	if r.Class == "" {
 		return
--- a/internal/core/rules/doc.go
+++ b/internal/core/rules/doc.go
@@ -10,7 +10,8 @@
 // (index.go).
 //
 // A Set never changes, and several goroutines may apply it at once, each with a Scratch of its own.
-// Apply never fails: what could fail is refused by Compile.
+// Apply never fails: what could fail is a problem for Compile.
 //
-// Epochs, for the loop's goroutine, give the ordering keys while the rules change.
+// Epochs give the ordering keys while the rules change. They belong to the goroutine of the
+// controller's loop.
 package rules
--- a/internal/core/rules/epochs.go
+++ b/internal/core/rules/epochs.go
@@ -3,8 +3,8 @@
 import "mintkeel/router"
 
 const (
-	// maxEpochs bounds the sets that are followed at once. Queries end at their client timeouts, so a
-	// set is done with within seconds; rules that change faster than that have to wait.
+	// maxEpochs bounds the sets that are followed at once. Queries end at their client timeouts, so no
+	// set is followed for more than seconds; rules that change faster than that have to wait.
 	maxEpochs = 4
 	// maxRekeySteps bounds the steps that giving new ordering keys to all queries in flight may take:
 	// some 20 ms of the loop.
@@ -26,16 +26,16 @@
 	scratch          Scratch
 }
 
-// epoch is the time for which a set was in force.
+// epoch is a set that is followed, with its queries.
 type epoch struct {
 	set       *Set    // nil: no rules
 	open      int     // queries in flight that arrived under it
-	runsUntil float64 // ms: by then what was given up of them runs no more
+	runsUntil float64 // ms: by then no attempt of theirs that was given up still runs
 }
 
-// PutInForce puts a set in force while so many queries are in flight. inForce is false if too many
-// older ones are followed, or too many queries would have to get new keys. addKeys says that the
-// queries in flight must get their keys under the new set.
+// PutInForce puts a set in force while a number of queries are in flight. inForce is false if too
+// many older sets are followed, or too many queries would have to get new keys; the set before then
+// stays in force. addKeys says that the queries in flight must get their keys under the new set.
 func (e *Epochs) PutInForce(now float64, set *Set, inFlight int) (inForce, addKeys bool) {
 	e.dropFinished(now)
 	if len(e.sets) == 0 {
@@ -67,10 +67,11 @@
 	}
 }
 
-// QueryArrived counts a query in, under the set in force, and returns its keys: that under the set
-// in force, and further ones under older sets.
+// QueryArrived counts an arriving query under the set in force. It returns the number of that set,
+// the query's key under it, and its further keys under older sets.
 func (e *Epochs) QueryArrived(now float64, q *Query) (
-	number Epoch, key router.OrderingKey, moreKeys []router.OrderingKey) {
+	number Epoch, key router.OrderingKey, moreKeys []router.OrderingKey,
+) {
 	if len(e.sets) == 0 {
 		e.sets = append(e.sets, epoch{})
 	}
@@ -94,8 +95,8 @@
 	return e.sets[len(e.sets)-1].set.Key(q, &e.scratch)
 }
 
-// QueryEnded counts a query out that has its final answer and no attempt without an outcome. What
-// it left may run on for the cooldown of its key.
+// QueryEnded takes a query off the count of its set, once it has its final answer and no attempt
+// without an outcome. An attempt that was given up may run on for the cooldown of its key.
 func (e *Epochs) QueryEnded(now float64, number Epoch) {
 	i := int(number) - e.first
 	if i < 0 || i >= len(e.sets) {
--- a/internal/core/rules/epochs_test.go
+++ b/internal/core/rules/epochs_test.go
@@ -60,7 +60,7 @@
 
 // Sets without keys replace each other in one epoch, and too many queries in flight do not get new keys in
 // one step.
-func TestPutInForce(t *testing.T) {
+func TestOnlySetsWithKeysBeginAnEpoch(t *testing.T) {
 	e := Epochs{}
 	hot := compile(t, Rule{Name: "a", Hot: true})
 	for range 3 * maxEpochs {
--- a/internal/core/rules/index.go
+++ b/internal/core/rules/index.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// maxIndexedValues of a list are indexed one by one; a rule with more is always tried.
+	// maxIndexedValues is the longest list of values that is indexed; a rule with a longer one is
+	// always tried.
 	maxIndexedValues = 64
-	// prefixWeight is over that of any list; longer prefixes have less on top of it.
+	// prefixWeight, over the length of a prefix, is added to the weight of the longest list: so
+	// prefixes come after lists, and short prefixes after longer ones.
 	prefixWeight = 100
-	// classWeight is added for the class, of which there are few values.
+	// classWeight is added for the class, as it has few values and each lets many queries through.
 	classWeight = 8
 )
 
-// index finds the rules worth trying on a query: those whose condition requires something of a
-// field that the query has, and those that require nothing. It looks only at fields that no rule
-// changes. Rules are numbered in their order.
+// index finds the rules worth trying on a query: those that require a value of a field which the
+// query has, and those that require none. It looks only at fields that no rule changes. Rules are
+// numbered in their order.
 type index struct {
 	always       []int32
 	equal        [fieldCount]map[string][]int32 // by texts
 	numbers      [fieldCount]map[uint64][]int32 // by numberKey
 	prefixes     [fieldCount]*trie
-	descriptions []string // for people: what each rule is found by
+	descriptions []string // by rule: see Set.FoundBy
 }
 
-// newIndex puts each rule under the requirement that lets through least, as far as can be told: an
+// newIndex puts each rule under the requirement that probably lets through the fewest queries: an
 // equality before a list, a list before a prefix.
 func newIndex(rules []compiledRule) (x index) {
 	classChanges := slices.ContainsFunc(rules, func(r compiledRule) bool {
@@ -42,8 +44,8 @@
 	return x
 }
 
-// bestRequirement is the requirement of a condition that lets through least; the zero value: there
-// is none.
+// bestRequirement is the requirement of a condition that newIndex takes; the zero value: there is
+// none.
 func bestRequirement(when *match.Expr, classChanges bool) match.Requirement {
 	var best match.Requirement
 	if when == nil {
@@ -168,9 +170,9 @@
 	}
 }
 
-// maxSteps is what the rules tried on one query may cost together, and the number of one of the
-// dearest.
-func (x *index) maxSteps(rules []compiledRule) (steps, dearest int) {
+// maxSteps is what the rules tried on one query may cost together at most, and the number of a rule
+// that costs most alone.
+func (x *index) maxSteps(rules []compiledRule) (steps, costliest int) {
 	most := 0
 	sum := func(list []int32) (n int) {
 		for _, i := range list {
@@ -178,7 +180,7 @@
 			n += own
 			if own > most {
 				most = own
-				dearest = int(i)
+				costliest = int(i)
 			}
 		}
 		return n
@@ -194,7 +196,7 @@
 		}
 		steps += longest + x.prefixes[i].maxSteps(sum)
 	}
-	return steps, dearest
+	return steps, costliest
 }
 
 // trie finds the prefixes of a text, byte by byte.
@@ -216,7 +218,7 @@
 	t.rules = append(t.rules, rule)
 }
 
-// maxSteps is the cost of the dearest way down.
+// maxSteps is the most that the rules on one path from here down cost.
 func (t *trie) maxSteps(sum func([]int32) int) int {
 	if t == nil {
 		return 0
--- a/internal/core/rules/lists.go
+++ b/internal/core/rules/lists.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// isSubset reports whether a list, of which nil is all, lies within another.
+// isSubset reports whether all members of a list are in another. A nil list stands for all, and is
+// in none.
 func isSubset[T comparable](list, of []T) bool {
 	return list != nil && !slices.ContainsFunc(list, func(x T) bool { return !slices.Contains(of, x) })
 }
 
-// intersect is what two lists share, of which nil is all. It is nil only if both are.
+// intersect is what two lists share; nil stands for all. It is nil only if both are.
 func intersect[T comparable](a, b []T) []T {
 	if a == nil {
 		return b
--- a/internal/core/rules/query.go
+++ b/internal/core/rules/query.go
@@ -17,7 +17,7 @@
 	TimeLeft          float64            // ms until the client gives up
 	Protocol          string             // by which it came
 	Application       string             // the client's name for itself
-	Listener          string             // the address that it came to
+	Listener          string             // the address of the controller that it came to
 	Labels            []match.Label
 }
 
--- a/internal/core/rules/reachable.go
+++ b/internal/core/rules/reachable.go
@@ -9,11 +9,11 @@
 	"mintkeel/router"
 )
 
-// maxStates bounds the states that are followed: past it nothing could be shown, so the rules are
-// refused.
+// maxStates bounds the states that are followed. Past it Compile could not show what rules allow,
+// so it reports a problem.
 const maxStates = 1000
 
-// state is what a query may be ahead of a rule.
+// state is what a query may have become ahead of a rule.
 type state struct {
 	original router.ClassID  // of its client
 	class    router.ClassID  // that it counts as
@@ -21,7 +21,8 @@
 	zones    []router.Zone   // that are left at least; nil: all
 }
 
-// reachable is all states that queries may be in, whatever the conditions so far came to.
+// reachable is the set of states that queries may be in ahead of a rule, whichever of the rules
+// before it matched.
 type reachable struct {
 	facts  Facts
 	states []state
@@ -37,7 +38,7 @@
 	return r
 }
 
-// add has a state followed, once.
+// add adds a state, unless it is there already.
 func (r *reachable) add(s state) {
 	key := fmt.Sprintf("%#v", s)
 	if !r.known[key] {
@@ -72,8 +73,8 @@
 	return slices.ContainsFunc(q.Equal, func(v match.Value) bool { return v.Text == text })
 }
 
-// apply adds the states that a rule leads to from others, and reports whether all can be followed.
-// Those it came from stay, as the condition may not hold.
+// apply adds the states that a rule leads to from others, and reports whether they are few enough
+// to be followed. The states that it leads from stay, as its condition may not hold.
 func (r *reachable) apply(by *compiledRule, from []state) bool {
 	if by.kinds == nil && by.zones == nil && by.class == unchanged {
 		return true
@@ -92,8 +93,8 @@
 	return len(r.states) <= maxStates
 }
 
-// whyWider says in what a class allows more than another does, or promises less; empty: in nothing.
-// s is the state of a query of the class from.
+// whyWider says in what the class to allows more than the class from does, or promises less; empty:
+// in nothing. s is the state of a query of the class from.
 func whyWider(from router.QueryClass, s state, to router.QueryClass) string {
 	deduplicated := to.Effect == router.Deduplicated
 	switch {
--- a/internal/core/rules/retrystable.go
+++ b/internal/core/rules/retrystable.go
@@ -12,8 +12,7 @@
 type retryStability struct {
 	unstableLabels map[string]bool
 	unstableClass  bool
-	// an earlier rule may be the last one by something that a retry need not repeat
-	unstableFlow bool
+	unstableFlow   bool // an earlier rule may end the rules for the query and not for its retry
 }
 
 // unstablePart names what of an expression may differ between a query and its retry; empty: nothing
@@ -35,7 +34,7 @@
 	return ""
 }
 
-// record takes in what a rule may change otherwise for a retry.
+// record takes in what a rule may change for a query and not for its retry.
 func (s *retryStability) record(r *compiledRule) {
 	unstable := s.unstableFlow || s.unstablePart(r.when) != ""
 	for _, l := range r.labels {
--- a/internal/core/rules/rule.go
+++ b/internal/core/rules/rule.go
@@ -11,14 +11,14 @@
 const (
 	maxRules      = 10000
 	maxNameBytes  = 64
-	maxTextBytes  = 200 // of a refusal and of a label's value
+	maxTextBytes  = 200 // of a rejection and of a label's value
 	maxLabels     = 16
 	maxKeyBytes   = 128   // of an ordering key
 	maxSteps      = 10000 // that all rules tried on one query may take together: some 50 microseconds
 	maxFieldBytes = 64    // of most fields
 )
 
-// Rule is one rule as it was written; an empty effect is none.
+// Rule is one rule as it was written. A field with its zero value has no effect.
 type Rule struct {
 	Name        string
 	When        string            // the condition; empty: always
@@ -29,7 +29,7 @@
 	Class       string            // the query class that it counts as from here on
 	Labels      map[string]string // expressions of text by label, which later rules see
 	EstimateCap float64           // ms: a larger estimate counts as this; 0: no cap
-	Refusal     string            // the query is refused with this text
+	Rejection   string            // the query is rejected with this text; empty: it is not
 	Last        bool              // no later rule is tried
 }
 
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("rule %d, field %s: %s", p.Rule, p.Field, p.Reason)
 }
 
-// Facts are what the settings say of that which rules name.
+// Facts are what the settings say of the names in rules.
 type Facts struct {
 	ClassNames []string            // by ClassID
 	Classes    []router.QueryClass // by ClassID
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -114,7 +114,7 @@
 		{"a key for what keeps no order",
 			[]Rule{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
 		{"a key that is no text", []Rule{{Name: "a", Key: `1`}}, "key", "number"},
-		{"a refusal of two lines", []Rule{{Name: "a", Refusal: "no\nmore"}}, "refuse", "no line"},
+		{"a rejection of two lines", []Rule{{Name: "a", Rejection: "no\nmore"}}, "refuse", "no line"},
 		{"a label that is no text",
 			[]Rule{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
 		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "below zero"},
@@ -184,7 +184,7 @@
 }
 
 // What rules come to for a query, in their order.
-func TestApply(t *testing.T) {
+func TestRulesApplyInOrder(t *testing.T) {
 	set := compile(t,
 		Rule{Name: "team", When: `tenant == "acme"`, Labels: map[string]string{"team": `"partner/" + tenant`}},
 		Rule{Name: "hot", When: `table_name startswith "menu_" && label("team") startswith "partner"`, Hot: true},
@@ -193,7 +193,7 @@
 			Zones: []string{"east"}},
 		Rule{Name: "less", When: `profile == "lookup"`, Kinds: []string{"c16"}, EstimateCap: 500},
 		Rule{Name: "heavy", When: `profile == "lookup" && estimate > 100ms`, Class: "report", Last: true},
-		Rule{Name: "no", When: `profile == "report" && tenant == "evil"`, Refusal: "ask for less"},
+		Rule{Name: "no", When: `profile == "report" && tenant == "evil"`, Rejection: "ask for less"},
 	)
 	var s Scratch
 	for _, c := range []struct {
@@ -212,7 +212,7 @@
 				Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
 		{"the last one ends it", Query{EstimatedWork: 900, Tenant: "evil"}, Verdict{Class: 1, EstimateCap: 500,
 			Kinds: []router.KindID{1}, Zones: []router.Zone{"east"}}},
-		{"refused", Query{Class: 1, Tenant: "evil"}, Verdict{Class: 1, Refusal: "ask for less"}},
+		{"rejected", Query{Class: 1, Tenant: "evil"}, Verdict{Class: 1, Rejection: "ask for less"}},
 	} {
 		got := set.Apply(&c.query, &s)
 		if len(got.Labels) == 0 {
@@ -224,7 +224,7 @@
 	}
 }
 
-// drawn are random rules over few values, so that many match, and of all kinds that the index tells apart.
+// drawn are random rules over few values, so that many match, and of all kinds that the index distinguishes.
 func drawn(rng *rand.Rand, n int) []Rule {
 	text := func() string { return fmt.Sprintf("%q", []string{"a", "b", "ab", "abc", "", "menu_1"}[rng.Intn(6)]) }
 	conjunct := func() string {
@@ -324,7 +324,7 @@
 }
 
 // Applying rules allocates nothing where none gives a key or a label.
-func TestAllocations(t *testing.T) {
+func TestApplyAllocatesNothing(t *testing.T) {
 	set := compile(t, Rule{Name: "a", When: `tenant == "acme"`, Hot: true}, Rule{Name: "b", When: `table_name startswith "m"`,
 		Kinds: []string{"c16"}}, Rule{Name: "c", When: `estimate > 5ms`, EstimateCap: 3})
 	var s Scratch
--- a/internal/core/rules/set.go
+++ b/internal/core/rules/set.go
@@ -30,11 +30,10 @@
 	return s.rules[i].when.Steps()
 }
 
-// FoundBy says, for people, on which queries a rule is tried.
+// FoundBy describes, for operators, on which queries a rule is tried.
 func (s *Set) FoundBy(i int) string { return s.index.descriptions[i] }
 
-// Key returns the ordering key that the rules give a query; the client's where there are none, or
-// they give none.
+// Key returns the ordering key that the rules give a query, or the client's if they give none.
 func (s *Set) Key(q *Query, scratch *Scratch) router.OrderingKey {
 	if !s.GivesKeys() {
 		return q.OrderingKey
@@ -49,10 +48,10 @@
 
 // Same reports whether two sets, of which either may be nil, do the same to each query: they were
 // written the same.
-func (s *Set) Same(o *Set) bool {
-	if s == nil || o == nil {
-		return s == o
+func (s *Set) Same(other *Set) bool {
+	if s == nil || other == nil {
+		return s == other
 	}
 	same := func(a, b compiledRule) bool { return reflect.DeepEqual(a.Rule, b.Rule) }
-	return slices.EqualFunc(s.rules, o.rules, same)
+	return slices.EqualFunc(s.rules, other.rules, same)
 }
--- a/internal/core/spacing/spacing.go
+++ b/internal/core/spacing/spacing.go
@@ -32,10 +32,8 @@
 const unseenShare = 0.3
 
 const (
-	// minSweep is the least number of keys at which those that are over are looked for.
-	minSweep = 64
-	// maxKeys bounds the keys that are kept.
-	maxKeys = 4096
+	minSweep = 64   // keys; with fewer, bursts that are over are not looked for
+	maxKeys  = 4096 // keys that are followed at once
 )
 
 // burst is a run of queries of one key, each of which may have waited for the one before it.
@@ -50,20 +48,22 @@
 type ClientQueues struct {
 	bursts  map[router.OrderingKey]burst
 	sweepAt int // number of bursts at which those that are over are dropped
-	// incompleteUntil is until when there may be keys that came lately and are not in bursts: they
-	// came before the start, or past maxKeys.
+
+	// incompleteUntil is the time until which there may be keys that came lately and are not in
+	// bursts: they came before the start, or past maxKeys.
 	incompleteUntil time.Time
 }
 
 // Wait takes in a query of a key that was read at some time, and returns how long it may have
-// waited at its client at most. first says that it was the first on its connection, and
-// clientTimeout is how long clients wait for such a query from when they want it.
+// waited at its client at most. first says that it was the first on its connection. clientTimeout
+// is how long clients wait for such a query, from when they would like to send it.
 //
 // The wait is since the first of its burst, which came when the queue was empty, as queues keep
 // their order; or a share of the timeout, in a queue that this controller does not see, where the
 // key came lately. Memory is bounded by the keys of one timeout, and by maxKeys.
-func (q *ClientQueues) Wait(key router.OrderingKey, readAt time.Time, first bool,
-	clientTimeout time.Duration) time.Duration {
+func (q *ClientQueues) Wait(
+	key router.OrderingKey, readAt time.Time, first bool, clientTimeout time.Duration,
+) time.Duration {
 	if q.bursts == nil {
 		q.bursts = map[router.OrderingKey]burst{}
 		q.sweepAt = minSweep
@@ -87,8 +87,8 @@
 	return max(unseen, readAt.Sub(b.firstAt), 0)
 }
 
-// extend has a burst last as long as a query in it makes it. What was read earlier may be told
-// later, so it never gets shorter.
+// extend makes a burst last for a query in it. Queries need not come in the order in which they
+// were read, so a burst never gets shorter.
 func (b *burst) extend(readAt time.Time, first bool, clientTimeout time.Duration) {
 	interval := queryInterval
 	if first {
--- a/internal/core/spacing/spacing_test.go
+++ b/internal/core/spacing/spacing_test.go
@@ -17,27 +17,27 @@
 
 // What a query may have waited for the queries of its key that this controller saw: nothing after a gap, else
 // since the first of its burst.
-func TestWait(t *testing.T) {
+func TestWaitIsSinceTheFirstOfTheBurst(t *testing.T) {
 	type came struct {
 		at    int
 		first bool
 		want  int
 	}
 	for name, list := range map[string][]came{
-		"alone":                          {{0, true, 0}},
-		"far apart":                      {{0, false, 0}, {500, false, 0}},
-		"on the clients' pace":           {{0, false, 0}, {60, false, 60}, {120, false, 120}},
-		"after a new connection":         {{0, true, 0}, {250, false, 250}, {310, false, 310}},
-		"a gap on a connection in use":   {{0, false, 0}, {60, false, 60}, {240, false, 0}},
-		"the same gap after a new one":   {{0, false, 0}, {60, true, 60}, {300, false, 300}},
-		"read late by a controller":      {{0, false, 0}, {110, false, 110}, {120, false, 120}},
-		"told out of the order of reads": {{0, false, 0}, {60, true, 60}, {40, false, 40}, {310, false, 310}},
-		"told before the first":          {{100, false, 0}, {90, false, 0}},
+		"alone":                        {{0, true, 0}},
+		"far apart":                    {{0, false, 0}, {500, false, 0}},
+		"at the clients' interval":     {{0, false, 0}, {60, false, 60}, {120, false, 120}},
+		"after a new connection":       {{0, true, 0}, {250, false, 250}, {310, false, 310}},
+		"a gap on a connection in use": {{0, false, 0}, {60, false, 60}, {240, false, 0}},
+		"the same gap after a new one": {{0, false, 0}, {60, true, 60}, {300, false, 300}},
+		"read late by a controller":    {{0, false, 0}, {110, false, 110}, {120, false, 120}},
+		"not in the order of reads":    {{0, false, 0}, {60, true, 60}, {40, false, 40}, {310, false, 310}},
+		"read before the first":        {{100, false, 0}, {90, false, 0}},
 	} {
 		var queues ClientQueues
 		for i, c := range list {
 			if got := queues.Wait("k", ms(c.at), c.first, 0); got != time.Duration(c.want)*time.Millisecond {
-				t.Errorf("%s: command %d waited %v at most, want %d ms", name, i, got, c.want)
+				t.Errorf("%s: query %d waited %v at most, want %d ms", name, i, got, c.want)
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 		rng := rand.New(rand.NewSource(seed))
 		var queues ClientQueues
 		due, free := 0.0, 0.0
-		rate := 20 + 400*rng.Float64() // ms between commands
+		rate := 20 + 400*rng.Float64() // ms between queries
 		for range 300 {
 			due += rng.ExpFloat64() * rate
 			sent := max(due, free)
@@ -60,8 +60,8 @@
 			}
 			read := sent + 40*rng.Float64()
 			got := float64(queues.Wait("k", zero.Add(time.Duration(read*1e6)), first, 0)) / 1e6
-			if waited := sent - due; got < waited-41 { // the first of the train may have been read late itself
-				t.Fatalf("seed %d: it waited %.0f ms, and was told to have waited %.0f at most", seed, waited, got)
+			if waited := sent - due; got < waited-41 { // the first of the burst may have been read late itself
+				t.Fatalf("seed %d: it waited %.0f ms, and %.0f at most by the estimate", seed, waited, got)
 			}
 		}
 	}
@@ -69,9 +69,9 @@
 
 // Of a queue at a client each controller sees a part. A key that came within the client timeout may stand in
 // one; a key that comes for the first time does not, but for right after the start.
-func TestUnseenQueue(t *testing.T) {
-	const patience = 8 * time.Second
-	share := time.Duration(unseenShare * float64(patience))
+func TestKeyOfTheLastTimeoutMayBeInAnUnseenQueue(t *testing.T) {
+	const clientTimeout = 8 * time.Second
+	share := time.Duration(unseenShare * float64(clientTimeout))
 	var queues ClientQueues
 	for _, c := range []struct {
 		name string
@@ -82,12 +82,12 @@
 		{"the first after the start", "a", 0, share},
 		{"another right after the start", "b", 7000, share},
 		{"the first of a key", "c", 9000, 0},
-		{"its second, later than the pace of a line", "c", 10200, share},
-		{"its third, within its patience", "c", 18000, share},
+		{"its second, after a longer interval", "c", 10200, share},
+		{"its third, within the client timeout", "c", 18000, share},
 		{"its fourth, past it", "c", 26100, 0},
-		{"one that follows at the pace", "c", 26160, share},
+		{"one that follows at the interval", "c", 26160, share},
 	} {
-		if got := queues.Wait(c.key, ms(c.at), false, patience); got != c.want {
+		if got := queues.Wait(c.key, ms(c.at), false, clientTimeout); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -111,6 +111,6 @@
 		t.Errorf("%d keys are kept", n)
 	}
 	if got := queues.Wait("one that may not have been kept", ms(100), false, time.Minute); got == 0 {
-		t.Error("a key that may have come before is told to have waited for nothing")
+		t.Error("a query of a key that may have come before counts as not having waited")
 	}
 }
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -98,7 +98,7 @@
 		{"key", open.String("key", "", false, maxKeyBytes),
 			func(v rules.Verdict, _ []string) any { return string(v.OrderingKey) }},
 		{"refuse", open.String("refuse", "", false, maxTextBytes),
-			func(v rules.Verdict, _ []string) any { return v.Refusal }},
+			func(v rules.Verdict, _ []string) any { return v.Rejection }},
 		{"profile", open.String("profile", "", false, maxNameBytes),
 			func(v rules.Verdict, _ []string) any { return classNames[v.Class] }},
 		{"kinds", sorted(open.Strings("kinds", maxNameBytes)),
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -63,7 +63,7 @@
 		Class:       open.String("profile", "", false, maxNameBytes),
 		Labels:      open.StringMap("labels", maxTextBytes),
 		EstimateCap: milliseconds(open.Duration("most_estimate", 0, minEstimate, maxEstimate)),
-		Refusal:     open.String("refuse", "", false, maxTextBytes),
+		Rejection:   open.String("refuse", "", false, maxTextBytes),
 		Last:        open.Bool("last", false),
 	}
 }
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -67,7 +67,7 @@
 // rulesOn prints what the rules do to a command.
 func (p *printer) rulesOn(name string, set *rules.Set, command rules.Query) {
 	verdict := set.Apply(&command, &rules.Scratch{})
-	p.line(name+" refused", verdict.Refusal)
+	p.line(name+" refused", verdict.Rejection)
 	p.line(name+" profile", int(verdict.Class))
 	p.line(name+" key", verdict.OrderingKey)
 	p.line(name+" hot", verdict.Hot)
--- a/internal/settings/class.go
+++ b/internal/settings/class.go
@@ -17,7 +17,7 @@
 	}
 )
 
-// class reads the i-th query class, whose keys begin with prefix.
+// class reads the i-th query class, which has keys that begin with prefix.
 func (p *parser) class(prefix string, i int, names *Names) router.QueryClass {
 	effect, scope := p.repeat(prefix)
 	return router.QueryClass{
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxListItems bounds a list of objects, whose length is itself a value.
+// maxListItems bounds a list of objects: its length is itself a value, and may be any number.
 const maxListItems = 1_000_000
 
 // FieldError is a setting that can't be used.
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -34,7 +34,7 @@
 	return values
 }
 
-// flatten sets the values of an item whose key is at.
+// flatten sets the values of an item under the key at.
 func (v Values) flatten(at string, item any) {
 	switch item := item.(type) {
 	case map[string]any:
