--- a/internal/core/rules/compile.go
+++ b/internal/core/rules/compile.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// compile compiles a rule, and takes in what it may change for those after it.
+// compile compiles a rule, and records what it may change for those after it.
 func (c *compiler) compile(rule Rule) compiledRule {
 	r := compiledRule{Rule: rule, class: unchanged}
 	if rule.When != "" {
--- a/internal/core/rules/retrystable.go
+++ b/internal/core/rules/retrystable.go
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// record takes in what a rule may change for a query and not for its retry.
+// record adds what a rule may change for a query and not for its retry.
 func (s *retryStability) record(r *compiledRule) {
 	unstable := s.unstableFlow || s.unstablePart(r.when) != ""
 	for _, l := range r.labels {
--- a/internal/core/spacing/spacing.go
+++ b/internal/core/spacing/spacing.go
@@ -54,9 +54,9 @@
 	incompleteUntil time.Time
 }
 
-// Wait takes in a query of a key that was read at some time, and returns how long it may have
-// waited at its client at most. first says that it was the first on its connection. clientTimeout
-// is how long clients wait for such a query, from when they would like to send it.
+// Wait records a query of a key that was read at some time, and returns how long it may have waited
+// at its client at most. first says that it was the first on its connection. clientTimeout is how
+// long clients wait for such a query, from when they would like to send it.
 //
 // The wait is since the first of its burst, which came when the queue was empty, as queues keep
 // their order; or a share of the timeout, in a queue that this controller does not see, where the
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -11,7 +11,7 @@
 	succeededAt float64 // ms, of the last success
 }
 
-// increase takes in the failure of a try that started at some time.
+// increase records the failure of a try that started at some time.
 func (b *backoff) increase(now, startedAt, minWait, maxWait float64) {
 	if startedAt < b.changedAt {
 		return
@@ -21,7 +21,7 @@
 	b.until = now + b.wait
 }
 
-// decrease takes in the success of a try that started at some time. A wait below minWait becomes
+// decrease records the success of a try that started at some time. A wait below minWait becomes
 // none.
 func (b *backoff) decrease(now, startedAt, minWait float64) {
 	b.succeededAt = now
@@ -36,7 +36,7 @@
 	b.until = startedAt + b.wait
 }
 
-// noteStart takes in that a try starts: it is the only one until the wait is over or it succeeds.
+// noteStart records that a try starts: it is the only one until the wait is over or it succeeds.
 func (b *backoff) noteStart(now float64) {
 	if b.wait > 0 {
 		b.until = now + b.wait
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -100,7 +100,7 @@
 		if r.usualQueryFits(e) {
 			r.concurrency.pooledThreadLimit += r.threadLimit(e)
 		}
-		if r.now >= e.healthCheckAt && r.healthChecks.credit > maxHealthCheckCredit/2 {
+		if r.now >= e.healthCheckAt && r.healthChecks.credit > refreshCredit {
 			r.checkHealth(e)
 		}
 	}
--- a/router/decay.go
+++ b/router/decay.go
@@ -45,7 +45,7 @@
 	d.factorAt = 0 // the factor was computed from the earlier updatedAt
 }
 
-// add takes in an amount with a weight.
+// add adds an amount with a weight.
 func (d *decayedMean) add(now, amount, weight float64) {
 	d.advance(now)
 	d.sum += amount
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -7,7 +7,7 @@
 // capacity.
 func (r *Router) dispatch() {
 	r.dequeueAnswered()
-	if r.traffic.othersPerCore.mean(r.now, 0, 1) < r.search.minOthersPerCore {
+	if r.meanOthersPerCore() < r.search.minOthersPerCore {
 		r.updateAllBounds()
 	}
 	tried := 0
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -21,7 +21,7 @@
 	defaultCores      = 8.0    // of an engine with a machine kind that is not configured
 )
 
-// endpointsUpdated takes in an update of the endpoint list and gives each pool its engines anew.
+// endpointsUpdated handles an update of the endpoint list and gives each pool its engines anew.
 // After a failed poll the list stands as it was and is asked for again, before it expires.
 func (r *Router) endpointsUpdated(ev EndpointsUpdated) {
 	if ev.Failed {
@@ -36,7 +36,7 @@
 	}
 }
 
-// updateEngines takes in the endpoints of an update. Engines that a complete list does not name are
+// updateEngines applies the endpoints of an update. Engines that a complete list does not name are
 // gone.
 func (r *Router) updateEngines(ev EndpointsUpdated) {
 	r.topologyVersion++
@@ -60,7 +60,7 @@
 	}
 }
 
-// updateEngine takes in one endpoint. The statistics of an earlier process of the engine are
+// updateEngine applies one endpoint. The statistics of an earlier process of the engine are
 // forgotten; when it last answered, and when a connection to it was lost, are kept.
 func (r *Router) updateEngine(endpoint Endpoint) {
 	startedAt := endpoint.StartedAt
--- a/router/engine.go
+++ b/router/engine.go
@@ -111,7 +111,9 @@
 func (e *engine) readyOfKind(kind int) bool { return e.state == Ready && int(e.kind) == kind }
 
 // meanSlowdown is the slowdown of an engine by the recent answers, 1 while there are none.
-func (e *engine) meanSlowdown(now float64) float64 { return e.slowdown.mean(now, 1, 1) }
+func (e *engine) meanSlowdown(now float64) float64 {
+	return e.slowdown.mean(now, 1, slowdownPriorWeight)
+}
 
 // byEngineID orders engines by id.
 func byEngineID(a, b *engine) int { return cmp.Compare(a.id, b.id) }
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -17,8 +17,11 @@
 	minAnswersForBest      = 25.0   // answers of a class after which its bestUnitTime counts
 	bestUnitTimeDrift      = 1.0001 // growth of bestUnitTime with each answer: it follows slower work
 	maxSlowdownSample      = 20.0   // slowdown that one answer may count as, at most
+	slowdownPriorWeight    = 1.0    // answers that a slowdown of 1 counts as
 	workScalePriorWeight   = 2.0    // answers that an unscaled estimate of the work counts as
 	memoryScalePriorWeight = 3.0    // answers that an unscaled estimate of the memory counts as
+	unknownWorkDivisor     = 3.0    // of the client timeout: the usual work while little is known
+	unknownTimeDivisor     = 2.0    // of the latency objective: the unloaded time while not known
 )
 
 // When estimates that were restored from an earlier run are discarded.
@@ -34,7 +37,12 @@
 	if q.estimatedWork <= 0 {
 		return 1
 	}
-	return max(1, q.estimatedWork*class.meanWorkScale(now)/class.Threads)
+	return class.estimatedUnits(q.estimatedWork, class.meanWorkScale(now))
+}
+
+// estimatedUnits is the size of a query with an estimate of its work (ms on one thread).
+func (class *queryClass) estimatedUnits(estimatedWork, workScale float64) float64 {
+	return max(1, estimatedWork*workScale/class.Threads)
 }
 
 // meanWorkScale is the ratio of true to estimated work by the recent answers, 1 while there are
@@ -46,14 +54,14 @@
 // meanSlowdown is the ratio by which the class's queries run longer than on an idle engine: the
 // geometric mean of the recent answers.
 func (class *queryClass) meanSlowdown(now float64) float64 {
-	return math.Exp(class.logSlowdown.mean(now, 0, 1))
+	return math.Exp(class.logSlowdown.mean(now, 0, slowdownPriorWeight))
 }
 
-// unloadedTime is the time in ms that q would take on an idle engine, as far as is known: half of
+// unloadedTime is the time in ms that q would take on an idle engine, as far as is known; a part of
 // its latency objective if nothing is.
 func (class *queryClass) unloadedTime(q *query, now float64) float64 {
 	if class.bestUnitTime == 0 && q.estimatedWork <= 0 {
-		return class.LatencyObjective / 2
+		return class.LatencyObjective / unknownTimeDivisor
 	}
 	return cmp.Or(class.bestUnitTime, 1) * class.workUnits(q, now)
 }
@@ -66,10 +74,10 @@
 // usualWork is the mean work in ms of a class. It is high while little is known, as it guards
 // warming engines: too low a guess would break rule 4.
 func (class *queryClass) usualWork(now float64) float64 {
-	return class.work.mean(now, class.ClientTimeout/3, 1)
+	return class.work.mean(now, class.ClientTimeout/unknownWorkDivisor, 1)
 }
 
-// learnFromSuccess takes in how long a successful attempt of q took on e: for the estimates of its
+// learnFromSuccess records how long a successful attempt of q took on e: for the estimates of its
 // class, the slowdown of the engine, and its concurrency limit.
 func (r *Router) learnFromSuccess(q *query, e *engine, ev AttemptEnded) {
 	class := q.class
@@ -107,8 +115,8 @@
 	}
 }
 
-// recordMeasuredCost takes in the true work and memory of an answered query, and reports whether
-// the work is known beside an estimate.
+// recordMeasuredCost records the true work and memory of an answered query, and reports whether the
+// work is known beside an estimate.
 func (class *queryClass) recordMeasuredCost(now float64, q *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && q.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/q.estimatedMemoryMB, 1)
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -13,7 +13,8 @@
 	healthCheckJitter      = 0.2    // share of the interval by which it varies
 	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt on its engine
 	healthChecksPerQuery   = 1.0    // credit that a query brings
-	maxHealthCheckCredit   = 10.0   // half of it is kept for refreshing reports
+	maxHealthCheckCredit   = 10.0   // credit that is saved at most
+	refreshCredit          = 5.0    // part of it that is kept for refreshing reports
 )
 
 // checkHealth asks an engine for its health and load, and reports whether it does: not where checks
@@ -42,7 +43,7 @@
 	return r.now > e.healthCheckAt && r.checkHealth(e)
 }
 
-// healthCheckEnded takes in the result of a health check.
+// healthCheckEnded handles the result of a health check.
 func (r *Router) healthCheckEnded(ev HealthCheckEnded) {
 	e := r.engines[ev.Engine]
 	if e == nil {
--- a/router/load.go
+++ b/router/load.go
@@ -17,7 +17,7 @@
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
 }
 
-// recordReport takes in an engine's load report; nil: there is none.
+// recordReport records an engine's load report; nil: there is none.
 func (r *Router) recordReport(e *engine, report *LoadReport) {
 	if report == nil || !report.plausible(e) {
 		return
@@ -36,7 +36,7 @@
 	r.updateBounds(e)
 }
 
-// recordInflight takes in how many queries of all controllers an engine has in flight: the part of
+// recordInflight records how many queries of all controllers an engine has in flight: the part of
 // the others is its load, and the part of this controller its share of the traffic.
 func (r *Router) recordInflight(e *engine, inflight float64) {
 	others := max(0, inflight-float64(e.attempts))
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -22,7 +22,7 @@
 	return bits.OnesCount64(e.outcomes<<(64-outlierWindow)) >= outlierMinSuccesses
 }
 
-// recordOutcome takes in the outcome of an attempt or a health check.
+// recordOutcome records the outcome of an attempt or a health check.
 func (e *engine) recordOutcome(now float64, success bool) {
 	e.outcomes <<= 1
 	if success {
@@ -42,7 +42,7 @@
 		e.attempts == 0 && r.now >= e.trialAt
 }
 
-// recordAttemptOutcome takes in how an attempt did, for its engine and for its class there. Two
+// recordAttemptOutcome records how an attempt did, for its engine and for its class there. Two
 // failures of a class in a row keep that class away from the engine, and its success lets it stay
 // where others fail: an engine that fails one class alone would else be ejected for all, or for
 // none.
--- a/router/query.go
+++ b/router/query.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// recordStart takes in that an attempt of q starts on e, before the action for it is returned: all
+// recordStart records that an attempt of q starts on e, before the action for it is returned: all
 // further decisions of the same step count it. memoryMB is its estimated memory, slowStartCost (ms
 // of work) what it counts for on a warming engine, startBy (ms) when it must have been sent; 0: at
 // any time.
@@ -209,8 +209,8 @@
 	r.updateBounds(e)
 }
 
-// recordEnd takes in the outcome of an attempt of q, as far as the rules need it: what may have
-// run, what the outcome proves about the engine, and how long its ordering keys are in cooldown.
+// recordEnd records the outcome of an attempt of q, as far as the rules need it: what may have run,
+// what the outcome proves about the engine, and how long its ordering keys are in cooldown.
 func (r *Router) recordEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
@@ -241,7 +241,7 @@
 	return o == Errored || o == ConnectionReset || o == TimedOut || o == ConnectFailed
 }
 
-// recordConnection takes in what the outcome of an attempt proves about the process that has the
+// recordConnection records what the outcome of an attempt proves about the process that has the
 // address of an engine: an answer shows that it is still the same, a lost connection that it may be
 // another.
 func (e *engine) recordConnection(now float64, a *attempt, outcome Outcome) {
@@ -254,7 +254,7 @@
 	}
 }
 
-// markUnresolved takes in that an attempt of q may have run. The first such attempt is what rule 2
+// markUnresolved records that an attempt of q may have run. The first such attempt is what rule 2
 // goes by, as the deduplication window of a query begins with it.
 func (q *query) markUnresolved(a *attempt) {
 	if q.unresolved == nil {
@@ -263,14 +263,14 @@
 	}
 }
 
-// abandonAttempt takes in that the outcome of an attempt is no longer waited for; it may have run.
+// abandonAttempt records that the outcome of an attempt is no longer waited for; it may have run.
 func (r *Router) abandonAttempt(q *query, a *attempt) {
 	a.abandoned = true
 	r.releaseCapacity(q, a)
 	q.markUnresolved(a)
 }
 
-// responseStarted takes in that the client has got a part of the response: no attempt may start any
+// responseStarted records that the client has got a part of the response: no attempt may start any
 // more, and no other answer may be given.
 func (r *Router) responseStarted(id QueryID) {
 	if q := r.queries[id]; q != nil {
@@ -278,8 +278,8 @@
 	}
 }
 
-// clientDisconnected takes in that the client has gone: no answer is owed any more, and its
-// attempts are cancelled.
+// clientDisconnected records that the client has gone: no answer is owed any more, and its attempts
+// are cancelled.
 func (r *Router) clientDisconnected(id QueryID) {
 	q := r.queries[id]
 	if q == nil {
--- a/router/retry.go
+++ b/router/retry.go
@@ -8,7 +8,7 @@
 	badPlanRemaining = 1.5  // expected times that such an attempt must have left for a retry to pay
 )
 
-// attemptEnded takes in the outcome of an attempt. A query without an answer goes back into the
+// attemptEnded handles the outcome of an attempt. A query without an answer goes back into the
 // queue, where it waits for another engine, or gets its final answer if no further attempt is
 // allowed.
 func (r *Router) attemptEnded(ev AttemptEnded) {
@@ -68,7 +68,7 @@
 	r.updateBounds(e)
 }
 
-// attemptFailed takes in a failure of the engine. An error may be the query's own fault: it counts
+// attemptFailed handles a failure of the engine. An error may be the query's own fault: it counts
 // against the engine only if another one answers the query, or if the query may not be tried
 // anywhere else.
 func (r *Router) attemptFailed(q *query, a *attempt, outcome Outcome) {
@@ -78,10 +78,10 @@
 	}
 }
 
-// attemptProgress takes in a progress message, which reports a table lock or how slow the engine
-// is. An attempt with a bad plan, or on an engine that has all but stopped, is cancelled if a retry
-// is expected to end sooner. The work that is cancelled is lost. A query that is truly large would
-// be cancelled again and again, so only queries with an estimate are.
+// attemptProgress handles a progress message, which reports a table lock or how slow the engine is.
+// An attempt with a bad plan, or on an engine that has all but stopped, is cancelled if a retry is
+// expected to end sooner. The work that is cancelled is lost. A query that is truly large would be
+// cancelled again and again, so only queries with an estimate are.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
--- a/router/router.go
+++ b/router/router.go
@@ -88,7 +88,7 @@
 	return r
 }
 
-// Step takes in all events up to now, in their order, and returns what to do, in the order in which
+// Step handles all events up to now, in their order, and returns what to do, in the order in which
 // it is to be done. now is in ms and never goes back.
 func (r *Router) Step(now float64, events []Event) []Action {
 	r.now = now
@@ -109,7 +109,7 @@
 	return r.collectActions()
 }
 
-// handle takes in one event.
+// handle calls the handler of one event.
 func (r *Router) handle(event Event) {
 	switch ev := event.(type) {
 	case EndpointsUpdated:
--- a/router/search.go
+++ b/router/search.go
@@ -28,7 +28,7 @@
 	warmingEngines   int           // above 0 if an engine may be warming; counts some repeatedly
 	minFill          float64       // threads per core; lower bound over all engines
 	maxCapacity      float64       // cores; upper bound over all engines
-	minOthersPerCore float64       // lower bound of the mean of traffic.othersPerCore
+	minOthersPerCore float64       // lower bound of meanOthersPerCore
 	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
 	boundsExamined   int           // bounds of engines examined since the start; read by tests
 }
@@ -95,7 +95,7 @@
 	if e.slowdown.sum <= e.slowdown.weight {
 		return 1
 	}
-	return max(1, e.slowdown.meanLowerBound(now, until, 1, 1)/widenBelowSlowdown)
+	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/widenBelowSlowdown)
 }
 
 // includeInSearchBounds widens the bounds over all engines to those of one.
@@ -125,7 +125,7 @@
 
 // updateAllBounds computes the bounds of all engines anew.
 func (r *Router) updateAllBounds() {
-	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.traffic.othersPerCore.mean(r.now, 0, 1)
+	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.meanOthersPerCore()
 	r.search.minFill = math.Inf(1)
 	r.search.maxCapacity = 0
 	r.search.warmingEngines = 0
--- a/router/selection.go
+++ b/router/selection.go
@@ -98,7 +98,7 @@
 // fill is how many threads a core an engine is taken to run: own attempts, and those of other
 // controllers by its reports, or by the mean of all engines' while it has not reported.
 func (r *Router) fill(e *engine) float64 {
-	mean := e.cores * r.traffic.othersPerCore.mean(r.now, 0, 1)
+	mean := e.cores * r.meanOthersPerCore()
 	others := e.othersInflight.mean(r.now, mean, priorReportWeight)
 	return (e.threads + threadsPerOtherQuery*others) / (e.cores * r.slowStartCapacity(e))
 }
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -188,11 +188,11 @@
 // unloadedTimeBy is unloadedTime by a model, for a query with this estimate of its work.
 func (class *queryClass) unloadedTimeBy(estimatedWork float64, model timeModel) float64 {
 	if model.unitTime == 0 && estimatedWork <= 0 {
-		return class.LatencyObjective / 2
+		return class.LatencyObjective / unknownTimeDivisor
 	}
 	units := 1.0
 	if estimatedWork > 0 {
-		units = max(1, estimatedWork*model.workScale/class.Threads)
+		units = class.estimatedUnits(estimatedWork, model.workScale)
 	}
 	return cmp.Or(model.unitTime, 1) * units
 }
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -41,7 +41,7 @@
 	return g
 }
 
-// addLockHolder takes in that the table group may be locked on e.
+// addLockHolder records that the table group may be locked on e.
 func (g *tableGroup) addLockHolder(e *engine) {
 	if !slices.Contains(g.lockHolders, e) {
 		g.lockHolders = append(g.lockHolders, e)
--- a/router/trafficshare.go
+++ b/router/trafficshare.go
@@ -34,3 +34,6 @@
 	}
 	return state.cachedShare
 }
+
+// meanOthersPerCore is how many queries of other controllers run for each core, over all engines.
+func (r *Router) meanOthersPerCore() float64 { return r.traffic.othersPerCore.mean(r.now, 0, 1) }
--- a/router/window.go
+++ b/router/window.go
@@ -7,7 +7,7 @@
 	total   float64   // of amounts
 }
 
-// add takes in an amount at a time (ms) that is not before the last one.
+// add adds an amount at a time (ms) that is not before the last one.
 func (w *slidingWindow) add(at, amount float64) {
 	w.times = append(w.times, at)
 	w.amounts = append(w.amounts, amount)
