--- a/internal/core/rules/doc.go
+++ b/internal/core/rules/doc.go
@@ -1,5 +1,5 @@
-// Package rules applies an operator's rules to a query before the loop takes it: named rules, in
-// order, each with a condition and effects. It is free of I/O and clocks.
+// Package rules applies an operator's rules to a query before the controller's loop takes it: named
+// rules, in order, each with a condition and effects. It is free of I/O and clocks.
 //
 // # Contract
 //
@@ -10,8 +10,7 @@
 // (index.go).
 //
 // A Set never changes, and several goroutines may apply it at once, each with a Scratch of its own.
-// Apply never fails: what could fail is a problem for Compile.
+// Apply never fails: Compile reports whatever could.
 //
-// Epochs give the ordering keys while the rules change. They belong to the goroutine of the
-// controller's loop.
+// Epochs give the ordering keys while the rules change. They belong to the goroutine of the loop.
 package rules
--- a/router/admission.go
+++ b/router/admission.go
@@ -65,7 +65,7 @@
 }
 
 // drawOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks
-// for more than this controller's share of its quota, as many as are over it, by chance.
+// for more than this controller's share of its quota, as many as are over it, drawn at random.
 func (r *Router) drawOverQuota(q *query) bool {
 	tenant := q.tenant
 	if tenant == nil || tenant.QueriesPerSecond <= 0 {
@@ -150,10 +150,10 @@
 }
 
 // whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one.
-// In overload these make room: the ones that can only be late, those over their tenant's quota, and
-// the largest of a class. It guards against overload, queries that cost many times the usual,
-// tenants that surge, and client retries, which would crowd out first tries as they have the
-// shorter timeouts. A few are shed that could have run.
+// In overload these queries make room for others: the ones that can only be late, those over their
+// tenant's quota, and the largest of a class. It guards against overload, queries that cost many
+// times the usual, tenants that surge, and client retries, which would crowd out first tries as
+// they have the shorter timeouts. A few are shed that could have run.
 func (r *Router) whyNotWorthRunning(q *query) answerReason {
 	if len(q.attempts) > 0 {
 		return noReason
--- a/router/eligibility.go
+++ b/router/eligibility.go
@@ -72,9 +72,9 @@
 
 // endpointTrusted is rule 3 while the endpoint list has expired: e may have begun to drain without
 // notice. It is trusted all the same if it has answered an attempt that started so recently that no
-// later drain counts as notified, because a draining engine rejects new work. Not if a connection
-// to it was lost since the last update and since its last answer: its process may have been
-// replaced by one that is warming up, or another engine may have its address.
+// later drain counts as notified, because a draining engine rejects new work. It is not if a
+// connection to it was lost since the last update and since its last answer: its process may have
+// been replaced by one that is warming up, or another engine may have its address.
 func (r *Router) endpointTrusted(e *engine) bool {
 	if r.endpoints.expiredFor == 0 {
 		return true
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -116,7 +116,7 @@
 }
 
 // recordMeasuredCost records the true work and memory of an answered query, and reports whether the
-// work is known beside an estimate.
+// work was both estimated and measured.
 func (class *queryClass) recordMeasuredCost(now float64, q *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && q.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/q.estimatedMemoryMB, 1)
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -1,6 +1,6 @@
 package router
 
-// healthChecks are those that this controller makes. They are paid for by a credit that queries
+// healthChecks are the checks that this controller makes. Each takes from a credit that queries
 // bring, because hundreds of controllers that check by time alone would keep the engines busy.
 type healthChecks struct {
 	wanted []*engine // to be checked at the end of this step
@@ -17,8 +17,8 @@
 	refreshCredit          = 5.0    // part of it that is kept for refreshing reports
 )
 
-// checkHealth asks an engine for its health and load, and reports whether it does: not where checks
-// are not allowed, none is paid for, or one runs.
+// checkHealth asks an engine for its health and load, and reports whether it does. It does not
+// where checks are not allowed, the credit is used up, or a check of the engine runs.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthChecks.credit < 1 {
 		return false
@@ -32,7 +32,7 @@
 }
 
 // waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for
-// one if none runs. If none is to be had the attempt goes without.
+// one if none runs. If no check can be made the attempt need not wait.
 func (r *Router) waitForFreshReport(e *engine) bool {
 	if r.now-e.reportedAt <= reportRefreshAge {
 		return false
--- a/router/router.go
+++ b/router/router.go
@@ -47,7 +47,7 @@
 }
 
 // New returns the module of a controller that has just started. The seed feeds its only source of
-// chance: the same seed and the same events give the same actions.
+// randomness: the same seed and the same events give the same actions.
 func New(seed int64, identity Identity, kinds []MachineKind, classes []QueryClass, tenants []Tenant,
 	capabilities Capabilities, limits SafetyLimits) *Router {
 	if capabilities.ProgressInterval == 0 {
--- a/router/search.go
+++ b/router/search.go
@@ -156,8 +156,7 @@
 	return bound
 }
 
-// capacityBound is what is the same for all engines of a list when it is asked whether they may
-// have capacity.
+// capacityBound is the part of mayHold that is the same for all engines of a list.
 type capacityBound struct {
 	nothingInFlight   bool // this controller has no attempt
 	withinPooledLimit bool // the pooled thread limit is not used up
