--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -7,7 +7,7 @@
 // capacity.
 func (r *Router) dispatch() {
 	r.dequeueAnswered()
-	if r.traffic.othersPerCore.mean(r.now, 0, 1) < r.search.minOthersPerCore {
+	if r.meanOthersPerCore() < r.search.minOthersPerCore {
 		r.updateAllBounds()
 	}
 	tried := 0
@@ -38,6 +38,6 @@
 	}
 	e.classBackoff(q.class).noteStart(r.now)
 	r.setAlarm(r.now+r.silenceLimit(), q)
-	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, 3)
+	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, memoryScalePriorWeight)
 	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
 }
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -1,6 +1,6 @@
 package router
 
-// healthChecks are those that this controller makes. They are paid for by a credit that queries
+// healthChecks are the checks that this controller makes. Each takes from a credit that queries
 // bring, because hundreds of controllers that check by time alone would keep the engines busy.
 type healthChecks struct {
 	wanted []*engine // to be checked at the end of this step
@@ -11,14 +11,14 @@
 	healthCheckInterval    = 400.0  // ms between checks of an engine, by all controllers together
 	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller, at most
 	healthCheckJitter      = 0.2    // share of the interval by which it varies
-	// ms; an older report is refreshed before an attempt starts on its engine
-	reportRefreshAge     = 1200.0
-	healthChecksPerQuery = 1.0  // credit that a query brings
-	maxHealthCheckCredit = 10.0 // half of it is kept for refreshing reports
+	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt on its engine
+	healthChecksPerQuery   = 1.0    // credit that a query brings
+	maxHealthCheckCredit   = 10.0   // credit that is saved at most
+	refreshCredit          = 5.0    // part of it that is kept for refreshing reports
 )
 
-// checkHealth asks an engine for its health and load, and reports whether it does: not where checks
-// are not allowed, none is paid for, or one runs.
+// checkHealth asks an engine for its health and load, and reports whether it does. It does not
+// where checks are not allowed, the credit is used up, or a check of the engine runs.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthChecks.credit < 1 {
 		return false
@@ -32,7 +32,7 @@
 }
 
 // waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for
-// one if none runs. If none is to be had the attempt goes without.
+// one if none runs. If no check can be made the attempt need not wait.
 func (r *Router) waitForFreshReport(e *engine) bool {
 	if r.now-e.reportedAt <= reportRefreshAge {
 		return false
@@ -43,7 +43,7 @@
 	return r.now > e.healthCheckAt && r.checkHealth(e)
 }
 
-// healthCheckEnded takes in the result of a health check.
+// healthCheckEnded handles the result of a health check.
 func (r *Router) healthCheckEnded(ev HealthCheckEnded) {
 	e := r.engines[ev.Engine]
 	if e == nil {
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -3,17 +3,15 @@
 import "math/bits"
 
 const (
-	outlierWindow       = 8     // last outcomes by which an engine counts as healthy or not
-	outlierMinSuccesses = 3     // of these; with fewer successes it is not healthy
-	minTrialWait        = 250.0 // ms of wait for a trial attempt after the first of a row of failures
-	// ms; each further failure doubles the wait up to this, healthy or not
-	maxTrialWait     = 2000.0
-	recentSuccessFor = 5000.0 // ms for which a class's own success counts on an unhealthy engine
+	outlierWindow       = 8      // last outcomes by which an engine counts as healthy or not
+	outlierMinSuccesses = 3      // of these; with fewer successes it is not healthy
+	minTrialWait        = 250.0  // ms until a trial attempt, after the first of a row of failures
+	maxTrialWait        = 2000.0 // ms; each further failure doubles the wait up to this
+	recentSuccessFor    = 5000.0 // ms for which a class's own success counts on an unhealthy engine
 )
 
 const (
-	// ms for which a class stays away from an engine after two failures or a rejection
-	minClassBackoff = 200.0
+	minClassBackoff = 200.0  // ms that a class avoids an engine after two failures or a rejection
 	maxClassBackoff = 1000.0 // ms; each further one doubles the wait up to this
 )
 
@@ -24,7 +22,7 @@
 	return bits.OnesCount64(e.outcomes<<(64-outlierWindow)) >= outlierMinSuccesses
 }
 
-// recordOutcome takes in the outcome of an attempt or a health check.
+// recordOutcome records the outcome of an attempt or a health check.
 func (e *engine) recordOutcome(now float64, success bool) {
 	e.outcomes <<= 1
 	if success {
@@ -44,7 +42,7 @@
 		e.attempts == 0 && r.now >= e.trialAt
 }
 
-// recordAttemptOutcome takes in how an attempt did, for its engine and for its class there. Two
+// recordAttemptOutcome records how an attempt did, for its engine and for its class there. Two
 // failures of a class in a row keep that class away from the engine, and its success lets it stay
 // where others fail: an engine that fails one class alone would else be ejected for all, or for
 // none.
--- a/router/router.go
+++ b/router/router.go
@@ -24,11 +24,10 @@
 	stepCount    uint64
 	timers       timers
 
-	// all that are owed an answer or have an attempt without an outcome
-	queries      map[QueryID]*query
-	arrivalCount uint64     // queries taken so far, which orders them
-	changed      []*query   // in this step: collectActions looks at them
-	queue        queryQueue // queries that wait for an engine
+	queries      map[QueryID]*query // owed an answer, or with an attempt without an outcome
+	arrivalCount uint64             // queries taken so far, which orders them
+	changed      []*query           // in this step: collectActions looks at them
+	queue        queryQueue         // queries that wait for an engine
 	ordering     ordering
 	admission    admission
 
@@ -47,18 +46,8 @@
 	pools       poolState
 }
 
-// minTimer is the shortest time in ms that a timer is set to.
-const minTimer = 0.001
-
-// timers are the times at which the module has something to do without an event.
-type timers struct {
-	alarms     heap[alarm] // of single queries
-	periodicAt float64     // ms, when runPeriodic is due
-	timerAt    float64     // ms, for which the caller was last asked to set its timer
-}
-
 // New returns the module of a controller that has just started. The seed feeds its only source of
-// chance: the same seed and the same events give the same actions.
+// randomness: the same seed and the same events give the same actions.
 func New(seed int64, identity Identity, kinds []MachineKind, classes []QueryClass, tenants []Tenant,
 	capabilities Capabilities, limits SafetyLimits) *Router {
 	if capabilities.ProgressInterval == 0 {
@@ -77,8 +66,10 @@
 		queries:      map[QueryID]*query{},
 		queue:        queryQueue{firstAttempts: newDeadlineTree(), retries: newDeadlineTree()},
 		ordering:     ordering{queues: map[OrderingKey]*orderingQueue{}},
-		admission: admission{sizeLimit: maxSizeLimit,
-			arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife}},
+		admission: admission{
+			sizeLimit:   maxSizeLimit,
+			arrivalWait: decayedMean{halfLife: arrivalWaitHalfLife},
+		},
 		engines: map[EngineID]*engine{},
 		traffic: traffic{
 			share:         decayedMean{halfLife: shareHalfLife},
@@ -97,7 +88,7 @@
 	return r
 }
 
-// Step takes in all events up to now, in their order, and returns what to do, in the order in which
+// Step handles all events up to now, in their order, and returns what to do, in the order in which
 // it is to be done. now is in ms and never goes back.
 func (r *Router) Step(now float64, events []Event) []Action {
 	r.now = now
@@ -118,7 +109,7 @@
 	return r.collectActions()
 }
 
-// handle takes in one event.
+// handle calls the handler of one event.
 func (r *Router) handle(event Event) {
 	switch ev := event.(type) {
 	case EndpointsUpdated:
@@ -158,29 +149,6 @@
 	r.rebuildShedWatches()
 }
 
-// setAlarm has checkQuery look at q at some time; +Inf: never.
-func (r *Router) setAlarm(at float64, q *query) {
-	if !math.IsInf(at, 1) {
-		r.timers.alarms.push(alarm{at, q})
-	}
-}
-
-// nextDue takes out the next query whose alarm is due; nil: there is none.
-func (r *Router) nextDue() *query {
-	if r.nextAlarmAt() > r.now {
-		return nil
-	}
-	return r.timers.alarms.pop().query
-}
-
-// nextAlarmAt is the time of the earliest alarm; +Inf: there is none.
-func (r *Router) nextAlarmAt() float64 {
-	if len(r.timers.alarms.list) == 0 {
-		return math.Inf(1)
-	}
-	return r.timers.alarms.list[0].at
-}
-
 // markChanged has collectActions look at q at the end of this step.
 func (r *Router) markChanged(q *query) {
 	if !q.changed {
@@ -248,13 +216,3 @@
 	}
 	return actions
 }
-
-// appendTimer asks for the next step if the timer that was set last has fired or is too late.
-func (r *Router) appendTimer(actions []Action) []Action {
-	at := min(r.timers.periodicAt, r.nextAlarmAt())
-	if r.timers.timerAt > r.now && at >= r.timers.timerAt {
-		return actions
-	}
-	r.timers.timerAt = at
-	return append(actions, SetTimer{After: max(minTimer, at-r.now)})
-}
--- a/router/search.go
+++ b/router/search.go
@@ -23,15 +23,14 @@
 
 // searchState is what is kept for the searches over engines.
 type searchState struct {
-	candidates    candidateList // of engineList, for queries that leave their pools
-	exemptEngines int           // engines with bounds.exemptFromPool
-	// more than 0 if an engine may be warming up; counts some engines repeatedly
-	warmingEngines   int
-	minFill          float64   // threads per core; lower bound over all engines
-	maxCapacity      float64   // cores; upper bound over all engines
-	minOthersPerCore float64   // lower bound of the mean of traffic.othersPerCore
-	scoreBuffer      []float64 // kept for its memory: scoreLowerBounds
-	boundsExamined   int       // engines whose bounds were examined since the start; read by tests
+	candidates       candidateList // of engineList, for queries that leave their pools
+	exemptEngines    int           // engines with bounds.exemptFromPool
+	warmingEngines   int           // above 0 if an engine may be warming; counts some repeatedly
+	minFill          float64       // threads per core; lower bound over all engines
+	maxCapacity      float64       // cores; upper bound over all engines
+	minOthersPerCore float64       // lower bound of meanOthersPerCore
+	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
+	boundsExamined   int           // bounds of engines examined since the start; read by tests
 }
 
 // searchBounds are the bounds of one engine.
@@ -96,7 +95,7 @@
 	if e.slowdown.sum <= e.slowdown.weight {
 		return 1
 	}
-	return max(1, e.slowdown.meanLowerBound(now, until, 1, 1)/widenBelowSlowdown)
+	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/widenBelowSlowdown)
 }
 
 // includeInSearchBounds widens the bounds over all engines to those of one.
@@ -126,7 +125,7 @@
 
 // updateAllBounds computes the bounds of all engines anew.
 func (r *Router) updateAllBounds() {
-	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.traffic.othersPerCore.mean(r.now, 0, 1)
+	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.meanOthersPerCore()
 	r.search.minFill = math.Inf(1)
 	r.search.maxCapacity = 0
 	r.search.warmingEngines = 0
@@ -157,12 +156,13 @@
 	return bound
 }
 
-// capacityBound is what is the same for all engines of a list when it is asked whether they may
-// have capacity.
+// capacityBound is the part of mayHold that is the same for all engines of a list.
 type capacityBound struct {
 	nothingInFlight   bool // this controller has no attempt
 	withinPooledLimit bool // the pooled thread limit is not used up
-	// of an engine's thread limit of all controllers, up to which this one may fill it
+
+	// limitShare is the share of the thread limit of all controllers on an engine up to which this one
+	// may fill it.
 	limitShare float64
 }
 
@@ -190,9 +190,10 @@
 // scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The
 // bound is +Inf where the engine has no capacity, else a lower bound of the placement score of q on
 // it. The affinity is left out of it where the engine can't be the least anyway: hashes are the
-// dearer part.
-func (r *Router) scoreLowerBounds(q *query, engines []*engine,
-	capacity capacityBound) ([]float64, int) {
+// more expensive part.
+func (r *Router) scoreLowerBounds(
+	q *query, engines []*engine, capacity capacityBound,
+) ([]float64, int) {
 	bounds := r.scoreBuffer(len(engines))
 	r.search.boundsExamined += len(engines)
 	least := math.Inf(1)
