--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -15,8 +15,8 @@
 	case router.CancelAttempt:
 		l.cancelAttempt(a)
 	case router.Reject:
-		l.answerFinally(a.ID,
-			request.Answer{Verdict: request.Rejected, RetryAfter: duration(a.RetryAfter)})
+		rejection := request.Answer{Verdict: request.Rejected, RetryAfter: duration(a.RetryAfter)}
+		l.answerFinally(a.ID, rejection)
 	case router.Fail:
 		l.answerFinally(a.ID, request.Answer{Verdict: request.Failed})
 	case router.CheckHealth:
@@ -29,8 +29,8 @@
 	}
 }
 
-// startAttempt starts the next attempt of a query. The module names only queries that it was given
-// and has not ended.
+// startAttempt starts the next attempt of a query. The module starts attempts only of queries that
+// it was given and has not ended.
 func (l *Loop) startAttempt(a router.StartAttempt, now float64) {
 	q := l.queries[a.ID]
 	attempt := router.AttemptID(len(q.attempts))
@@ -55,8 +55,8 @@
 	l.engines.CancelAttempt(q.Query, a.Attempt, q.attempts[a.Attempt])
 }
 
-// answerFinally gives a query the module's final answer. The query is kept until its attempts have
-// their outcomes, and actions that follow in the same step may still name it.
+// answerFinally gives a query the module's final answer. Its state is kept until all of its
+// attempts have an outcome, as later actions may still cancel them.
 func (l *Loop) answerFinally(id router.QueryID, answer request.Answer) {
 	if q := l.queries[id]; q != nil && !q.answered {
 		l.answerQuery(q, answer)
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -9,12 +9,12 @@
 // Counts are what the loop has seen and done since its start.
 type Counts struct {
 	Accepted        int64 // queries handed to the module
-	Answered        int64 // with the result of an attempt
-	Rejected        int64 // by the module
-	Failed          int64 // by the module
-	Disconnected    int64 // queries whose client went before the answer
+	Answered        int64 // queries answered with the result of an attempt
+	Rejected        int64 // queries rejected by the module
+	Failed          int64 // queries failed by the module
+	Disconnected    int64 // queries that lost their client before the answer
 	Duplicates      int64 // queries failed as their id was in flight; not in Accepted
-	QueueFull       int64 // queries rejected as too many waited to be looked at; not in Accepted
+	QueueFull       int64 // queries rejected as the arrivals were full; not in Accepted
 	Open            int64 // queries without a final answer, now
 	Attempts        int64
 	Cancels         int64 // of attempts
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -10,20 +10,19 @@
 // Close wait for Run's answer and so need it to be running.
 //
 // Ownership: all state of the Loop belongs to the goroutine of Run, but for the two channels and
-// one atomic counter. Nobody else calls the module, nor the Engines that are handed over.
+// one atomic counter. No other goroutine calls the module or the Engines.
 //
 // Two ways lead in, so that answers and timeouts never wait behind new queries:
 //
 //   - The inbox takes what engines, clients and discovery report, and requests. It holds a fixed
 //     number of messages; when it is full the poster waits, which slows down that poster's
-//     connection alone. The loop's goroutine never posts to it, as it would wait for itself.
-//   - The arrivals take new queries, as many at most. Offer never waits: when they are full the
-//     query is not accepted, and its client is told so at once.
-//
-// One step takes in all that stands in the inbox and a bounded number of arrivals
-// (maxQueriesPerStep), then calls the module once. The loop waits in one place only, in Run: for a
-// message, an arrival, its timer or the end of its context. Nothing that it calls to carry out an
-// action blocks.
+//     connection alone. The loop's goroutine never posts to it, as that could deadlock.
+//   - The arrivals take new queries, up to the same number. Offer never waits: when they are full
+//     the query is not accepted, and its client gets a rejection at once.
+//
+// One step handles all messages in the inbox and a bounded number of arrivals (maxQueriesPerStep),
+// then calls the module once. The loop waits in one place only, in Run: for a message, an arrival,
+// its timer or the end of its context. Nothing that it calls to carry out an action blocks.
 //
 // # A query in flight
 //
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -16,10 +16,10 @@
 	l.addresses = map[router.EngineID]string{}
 }
 
-// UpdateEndpoints takes in an update of the endpoint list: the engines' side gets it first, so that
-// the module's actions find the engines that the module knows. cached says that the update was
-// stored before this start and is not confirmed. It is called before Run, and later by the loop's
-// goroutine alone; others call PostEndpoints.
+// UpdateEndpoints handles an update of the endpoint list: the engines' side gets it before the
+// module does, so that it knows each engine that the module's actions name. cached says that the
+// update was stored before this start and is not confirmed. It is called before Run, and later by
+// the loop's goroutine alone; others call PostEndpoints.
 func (l *Loop) UpdateEndpoints(update discovery.Update, cached bool) {
 	l.counts.EndpointUpdates++
 	event := router.EndpointsUpdated{
@@ -67,13 +67,13 @@
 }
 
 // HoldEngines has these engines, and no others, treated as draining whatever the endpoint list says
-// of them: maintenance is about to take them out, or has. From when the loop takes it in they get
-// no new attempts, as with any engine that drains. It needs KeepEndpoints, and waits while the
+// of them: maintenance is about to take them out, or has. Once the loop has handled the call they
+// get no new attempts, like any engine that drains. It needs KeepEndpoints, and waits while the
 // inbox is full.
 func (l *Loop) HoldEngines(held []router.EngineID) { l.post(holdMessage{held}) }
 
-// hold replaces the held engines, and tells the module and the engines' side of those whose state
-// changes by that.
+// hold replaces the held engines, and updates the module and the engines' side on those that change
+// state by that.
 func (l *Loop) hold(wanted []router.EngineID) {
 	held := map[router.EngineID]bool{}
 	for _, id := range wanted {
--- a/internal/controller/mailbox.go
+++ b/internal/controller/inbox.go
@@ -11,9 +11,9 @@
 	"mintkeel/router"
 )
 
-// message is something for the loop to take in, in the order in which it was posted: one of the
-// types below. A request has a channel for its reply with room for it, so that the loop never waits
-// for a requester.
+// message is what the inbox holds: one of the types below. The loop handles messages in the order
+// in which they were posted. A request brings a channel with room for its reply, so that the loop
+// never waits for the requester.
 type message interface{ message() }
 
 type (
@@ -35,7 +35,7 @@
 	countsRequest struct{ reply chan Counts }
 	// engineStatusesRequest asks for the state of all engines.
 	engineStatusesRequest struct{ reply chan []router.EngineStatus }
-	// rulesRequest asks to put rules in force; the reply tells whether they are.
+	// rulesRequest asks to put rules in force; the reply says whether they are.
 	rulesRequest struct {
 		rules *rules.Set
 		reply chan bool
@@ -73,8 +73,8 @@
 // PostEndpoints hands over an update of the endpoint list. It waits while the inbox is full.
 func (l *Loop) PostEndpoints(update discovery.Update) { l.post(endpointsMessage{update}) }
 
-// Offer hands over a new query, or reports that too many wait already: then it was not accepted,
-// and its client may be told so at once. It never blocks.
+// Offer hands over a new query, or reports that the arrivals are full: then it was not accepted,
+// and its client may get a rejection at once. It never blocks.
 func (l *Loop) Offer(arrived clients.QueryArrived) bool {
 	select {
 	case l.arrivals <- arrived:
@@ -89,17 +89,17 @@
 // inbox is full.
 func (l *Loop) StartShutdown(within time.Duration) { l.post(shutdownMessage{within}) }
 
-// Close ends all connections to engines. The loop's own goroutine does it, as an update of the
-// endpoint list may be under way in that moment. The loop goes on, so that it can still be asked
-// for its counts.
+// Close ends all connections to engines and waits for that. The loop's own goroutine does it, as an
+// update of the endpoint list may be under way at that moment. The loop goes on, so that it still
+// replies with its counts.
 func (l *Loop) Close() {
 	done := make(chan struct{})
 	l.post(closeRequest{done})
 	<-done
 }
 
-// handle takes in one message: events go to the module with the next step, requests are answered at
-// once.
+// handle handles one message: events go to the module with the next step, requests get their reply
+// at once.
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
 	case engineMessage:
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleEngineEvent takes in an event of the engines' side.
+// handleEngineEvent handles an event of the engines' side.
 func (l *Loop) handleEngineEvent(event engines.Event) {
 	switch ev := event.(type) {
 	case engines.AttemptEnded:
@@ -141,7 +141,7 @@
 	}
 }
 
-// handleClientEvent takes in an event of the clients' side.
+// handleClientEvent handles an event of the clients' side.
 func (l *Loop) handleClientEvent(event clients.Event) {
 	switch ev := event.(type) {
 	case clients.QueryArrived:
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// maxQueriesPerStep bounds the queries that one step takes in: to look at so many takes some
-	// milliseconds.
+	// maxQueriesPerStep bounds the queries that one step hands to the module, which needs some
+	// milliseconds for so many.
 	maxQueriesPerStep = 512
 	// manyAttempts is how many attempts a step has to start for the next step to follow at once,
 	// without new queries. The module may have more to start then, and should do so before it is given
 	// new queries: those that can't be decided in time stay in the arrivals, where the module sees how
 	// long they waited.
 	manyAttempts = 64
-	// idleTimer is what the timer is set to until the module first sets it.
+	// idleTimer is the time that the timer runs for until the module first sets it.
 	idleTimer = time.Hour
 )
 
-// Engines carries out what concerns engines. The loop's goroutine alone calls its methods, and none
-// of them blocks.
+// Engines sends attempts and health checks to engines. The loop's goroutine alone calls its
+// methods, and none of them blocks.
 type Engines interface {
-	// UpdateEndpoints takes in where engines are. If complete, engines that are not named are gone.
+	// UpdateEndpoints sets addresses and states of engines. If complete, engines that are not named
+	// are gone.
 	UpdateEndpoints(endpoints []engines.Endpoint, complete bool)
 	// SetExpired says whether the endpoint list is out of date: engines may have moved unnoticed.
 	SetExpired(expired bool)
@@ -62,28 +63,30 @@
 	timer  *time.Timer    // fires when the module has asked for a step
 	counts Counts
 
-	// without final answer, or with an attempt without outcome
-	queries   map[router.QueryID]*queryState
-	clientIDs map[string]router.QueryID // of the same, by the clients' ids
-	lastID    router.QueryID            // given to a query
+	// queries are those in flight: without a final answer, or with an attempt without an outcome.
+	queries map[router.QueryID]*queryState
+
+	clientIDs map[string]router.QueryID // ids of the queries in flight, by their clients' ids
+	lastID    router.QueryID            // the last id that was given to a query
+
+	ruleEpochs   rules.Epochs         // give the ordering keys
+	clientQueues spacing.ClientQueues // estimate how long queries waited at their clients
 
-	ruleEpochs rules.Epochs // give the ordering keys
 	// orderingKeyFreed says that in this step the last attempt of an answered query ended, so that the
 	// next query of its ordering keys may start.
 	orderingKeyFreed bool
-	clientQueues     spacing.ClientQueues // estimate how long queries waited at their clients
 
-	// the list as received; nil: not kept, see KeepEndpoints
-	endpoints   map[router.EngineID]router.Endpoint
+	// endpoints is the endpoint list as received; nil: it is not kept, see KeepEndpoints.
+	endpoints map[router.EngineID]router.Endpoint
+
 	addresses   map[router.EngineID]string // of the engines in endpoints
 	heldEngines map[router.EngineID]bool   // treated as draining, whatever the list says
-	// nil: there is nothing to restore, or it was restored
-	restore restoreFunc
+	restore     restoreFunc                // nil: there is nothing to restore, or it was restored
 }
 
 // New returns a loop around the module. SetEngines must be called before Run. inboxSize bounds the
-// messages in the inbox, and as many queries may wait in the arrivals. orderingCooldown, in ms, is
-// how long an ordering key rests after an attempt that may still be running.
+// messages in the inbox, and also the queries in the arrivals. orderingCooldown, in ms, is how long
+// an ordering key rests after an attempt that may still be running.
 func New(module *router.Router, clock Clock, inboxSize int, orderingCooldown float64) *Loop {
 	return &Loop{
 		module:     module,
@@ -101,7 +104,7 @@
 // to the loop.
 func (l *Loop) SetEngines(e Engines) { l.engines = e }
 
-// Run takes in messages and has the module decide until ctx ends.
+// Run handles messages and has the module decide until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	for { // the first step needs no event
 		if stepAgain := l.step(); stepAgain {
@@ -127,8 +130,8 @@
 	}
 }
 
-// drainInbox takes in what stands in the inbox, for the same step. It takes no more than the inbox
-// holds, so that posters can't keep it here.
+// drainInbox handles the messages in the inbox, for the same step. It handles no more than the
+// inbox holds, so that goroutines that go on posting can't keep it here.
 func (l *Loop) drainInbox() {
 	for range cap(l.inbox) {
 		select {
@@ -140,8 +143,8 @@
 	}
 }
 
-// drainArrivals takes in queries for the same step, but not all that wait: answers and timeouts
-// must not wait until the module has looked at every one.
+// drainArrivals handles queries for the same step, but not all that wait: answers and timeouts must
+// not wait until the module has looked at every one.
 func (l *Loop) drainArrivals() {
 	for range maxQueriesPerStep {
 		select {
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -19,9 +19,9 @@
 	outstanding int               // attempts without an outcome
 }
 
-// queryArrived hands a new query to the module. One whose client id is in flight already fails at
-// once, as engines could not tell the two apart. One whose client has gone before it came here is
-// dropped.
+// queryArrived hands a new query to the module. If its client id is in flight already it fails at
+// once, as engines could not distinguish the two queries. If its client has gone before it came
+// here it is dropped.
 func (l *Loop) queryArrived(query *request.Query) {
 	if _, inFlight := l.clientIDs[query.ID]; inFlight {
 		l.counts.Duplicates++
@@ -45,8 +45,8 @@
 	arrivalWait := time.Since(query.ReadAt)
 	clientQueueTime := time.Duration(0)
 	if query.OrderingKey != "" {
-		clientQueueTime = l.clientQueues.Wait(query.OrderingKey, query.ReadAt, query.FirstOnConnection,
-			query.ClientTimeout)
+		clientQueueTime = l.clientQueues.Wait(
+			query.OrderingKey, query.ReadAt, query.FirstOnConnection, query.ClientTimeout)
 	}
 	l.events = append(l.events, router.QueryArrived{
 		ID:                query.RouterID,
@@ -67,8 +67,7 @@
 	})
 }
 
-// newQueryID returns the next id, which wraps around, that no query in flight has. 0 is never
-// given.
+// newQueryID returns the next id that no query in flight has. Ids wrap around; 0 is never returned.
 func (l *Loop) newQueryID() router.QueryID {
 	l.lastID++
 	for l.lastID == 0 || l.queries[l.lastID] != nil {
@@ -77,8 +76,8 @@
 	return l.lastID
 }
 
-// clientDisconnected ends a query that is owed no answer any more. Its outstanding attempts still
-// get their outcomes.
+// clientDisconnected ends a query that needs no answer any more. Its outstanding attempts still get
+// their outcomes.
 func (l *Loop) clientDisconnected(query *request.Query) {
 	q := l.queries[query.RouterID]
 	if q == nil || q.Query != query {
@@ -90,7 +89,7 @@
 	l.forget(q)
 }
 
-// attemptEnded takes in the outcome of an attempt, and answers its query if it succeeded.
+// attemptEnded handles the outcome of an attempt, and answers its query if it succeeded.
 func (l *Loop) attemptEnded(ev engines.AttemptEnded) {
 	q := l.queries[ev.Query.RouterID]
 	if q == nil || int(ev.Attempt) >= len(q.attempts) {
@@ -115,7 +114,7 @@
 	l.forget(q)
 }
 
-// attemptProgress takes in a progress message of an attempt.
+// attemptProgress hands a progress message of an attempt to the module.
 func (l *Loop) attemptProgress(ev engines.AttemptProgress) {
 	if l.queries[ev.Query.RouterID] == nil {
 		return
--- a/internal/controller/rules.go
+++ b/internal/controller/rules.go
@@ -8,9 +8,9 @@
 	"mintkeel/router"
 )
 
-// SetRules has these rules give the ordering keys from now on, and reports whether they do: not
-// while too many earlier rules still have queries in flight. It waits for the loop's reply and must
-// not be called before Run.
+// SetRules has these rules give the ordering keys from now on, and reports whether they do: not if
+// queries of too many earlier sets of rules may still run, or too many queries in flight would have
+// to get new keys. It waits for the loop's reply and must not be called before Run.
 func (l *Loop) SetRules(set *rules.Set) bool {
 	reply := make(chan bool, 1)
 	l.post(rulesRequest{set, reply})
--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -32,16 +32,16 @@
 	l.events = append(l.events, router.StatisticsRestored{Statistics: restore(endpoints)})
 }
 
-// Statistics returns a part of what the module has learned, of at most maxRecords records: that
-// bounds the time for which the loop is kept from its queries. The error is that of ctx, also if
-// the loop has ended.
-func (l *Loop) Statistics(ctx context.Context, from router.Cursor,
-	maxRecords int) (memory.Part, error) {
+// Statistics returns a part of the module's statistics, of at most maxRecords records: that bounds
+// how long queries wait for the copy. The error is that of ctx, also if the loop has ended.
+func (l *Loop) Statistics(
+	ctx context.Context, from router.Cursor, maxRecords int,
+) (memory.Part, error) {
 	reply := make(chan memory.Part, 1)
 	return ask(ctx, l, statisticsRequest{from, maxRecords, reply}, reply)
 }
 
-// statistics takes a part out of the module.
+// statistics copies a part of the module's statistics.
 func (l *Loop) statistics(from router.Cursor, maxRecords int) memory.Part {
 	var part memory.Part
 	part.Statistics, part.Next, part.More = l.module.Statistics(from, maxRecords)
