--- a/internal/engines/attempt.go
+++ b/internal/engines/attempt.go
@@ -13,7 +13,7 @@
 //
 // It is waiting until written is set, then running at its engine. givenUp may follow either: an
 // attempt that was not written is then Withdrawn, one that was is kept until the engine has
-// confirmed to know, or giveUpBy.
+// confirmed the cancel, or until giveUpBy.
 type attempt struct {
 	query     *request.Query
 	id        router.AttemptID
@@ -25,31 +25,28 @@
 	progressed    bool           // the engine has reported progress
 	givenUp       bool           // it was cancelled or timed out
 	giveUpOutcome router.Outcome // of one given up, unless the engine ends it first
-	// of one given up: when it gets that outcome without the engine's confirmation
-	giveUpBy time.Time
+	giveUpBy      time.Time      // when it gets giveUpOutcome without the engine's confirmation
 
-	// of the result; nil until the first is in, with nil for those that are missing
-	pages        [][]byte
-	missingPages int
-	resultBytes  int
+	pages        [][]byte           // of the result, nil for missing ones; nil until one has come
+	missingPages int                // of pages
+	resultBytes  int                // of the pages that have come
 	load         *router.LoadReport // the last one that came with an answer; nil: none came
 }
 
-// tooLate reports that it must not be written any more. Between the decision to start it and its
-// first byte lies the time of dialling: in the meantime its query may have been answered or left by
-// its client, and the time to start it may have passed.
+// tooLate reports whether it must not be written any more. While a connection was dialled for it,
+// its query may have been answered or lost its client, and the time to start it may have passed.
 func (a *attempt) tooLate(now time.Time) bool {
 	return !a.startBy.IsZero() && now.After(a.startBy) ||
 		a.query.Answer().Verdict != request.Unanswered
 }
 
-// outgoing is something to be written whole.
+// outgoing is what has to be written in one piece: an attempt, or lines that start none.
 type outgoing struct {
 	parts   net.Buffers
 	attempt *attempt // that it starts; nil: none
 }
 
-// size is the number of its bytes.
+// size is the number of bytes to be written.
 func (o outgoing) size() (n int) {
 	for _, part := range o.parts {
 		n += len(part)
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -13,20 +13,23 @@
 
 // Reasons for which a connection ends that are no errors of the network or the protocol.
 var (
-	errIdle           = errors.New("idle")
-	errPartialAnswer  = errors.New("the rest of an answer") // did not come within AnswerTimeout
-	errPingUnanswered = errors.New("no answer to a ping")   // within PingTimeout
+	// errIdle means that it was not used for EngineIdleTimeout.
+	errIdle = errors.New("idle")
+	// errPartialAnswer means that the rest of an answer did not come within AnswerTimeout.
+	errPartialAnswer = errors.New("the rest of an answer")
+	// errPingUnanswered means that the engine sent nothing for PingTimeout after a ping.
+	errPingUnanswered = errors.New("no answer to a ping")
 )
 
-// errClosedByEngine says that the engine ended the connection before an attempt was written.
+// errClosedByEngine means that the engine closed the connection before an attempt was written.
 var errClosedByEngine = errors.New("ended by the engine")
 
-// minSweep is the least number of used ids at which those that may be forgotten are looked for.
+// minSweep is the least number of used ids at which those past their time are dropped.
 const minSweep = 64
 
 // conn is one connection. Its goroutine dials, then reads, and is woken from its read to write (see
-// wake). The loop's goroutine puts things into it. What stands below mu is shared by the two and
-// guarded by it; no event is reported while it is held, as reporting may block.
+// wake). The loop's goroutine gives it attempts and health checks. The fields below mu are shared
+// by the two and guarded by it; no event is reported while it is held, as reporting may block.
 //
 // A connection is usable from newConn on, also while it is dialled, until close or its end.
 type conn struct {
@@ -41,7 +44,7 @@
 	queue        []outgoing           // to be written
 	queuedBytes  int                  // in queue
 	attempts     map[string]*attempt  // without an outcome, by the query's id
-	usedIDs      map[string]time.Time // of queries that it carried, until their clients have given up
+	usedIDs      map[string]time.Time // ids of queries that it carried, and until when they count
 	sweepAt      int                  // length of usedIDs at which those past their time are dropped
 	healthChecks map[string]time.Time // deadlines of health checks, by the tags of their pings
 	lastUsed     time.Time            // when an attempt or a health check last ended
@@ -49,7 +52,7 @@
 	pingedAt     time.Time            // of the first ping since then; zero: there was none
 	ended        bool                 // nothing may be put on it any more
 
-	// Copies for the loop, which asks often and should not wait for the mutex:
+	// Copies for the loop, which reads them often and should not wait for the mutex:
 	hasEnded     atomic.Bool  // of ended
 	attemptCount atomic.Int32 // of len(attempts)
 
@@ -75,8 +78,7 @@
 // longAgo is a deadline that has passed: it ends a read.
 var longAgo = time.Unix(1, 0)
 
-// wake ends the read in which a connection's goroutine waits, so that it looks at what there is to
-// do.
+// wake ends the read in which a connection's goroutine waits, so that it does what is due.
 func wake(c net.Conn) {
 	if c != nil {
 		c.SetReadDeadline(longAgo)
@@ -106,8 +108,7 @@
 	return c.usable() && c.netConn != nil
 }
 
-// idleSince returns when the connection was last used, and whether it is up and nothing waits for
-// it.
+// idleSince returns when the connection was last used, and whether it is up and carries nothing.
 func (c *conn) idleSince() (since time.Time, idle bool) {
 	if c.load() > 0 {
 		return time.Time{}, false
@@ -117,10 +118,10 @@
 	return c.lastUsed, c.usable() && c.netConn != nil && c.idle()
 }
 
-// idle reports whether nothing waits for the connection. mu is held.
+// idle reports whether the connection carries nothing and has nothing to write. mu is held.
 func (c *conn) idle() bool { return len(c.attempts)+len(c.healthChecks)+len(c.queue) == 0 }
 
-// close ends the connection; its attempts end by what has become of them.
+// close ends the connection. Its attempts get their outcomes by end.
 func (c *conn) close() {
 	c.cancel()
 	c.mu.Lock()
@@ -128,8 +129,8 @@
 	wake(c.netConn)
 }
 
-// closeIfUnused ends the connection for another to take its place, unless it carries an attempt by
-// now.
+// closeIfUnused ends the connection so that another can take its place, and reports whether it did:
+// not if it carries an attempt by now.
 func (c *conn) closeIfUnused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +143,7 @@
 	return true
 }
 
-// uncount has it no longer count as open.
+// uncount takes the connection out of the count of open ones, once.
 func (c *conn) uncount() { c.uncountOnce.Do(func() { c.pool.openConns.Add(-1) }) }
 
 // report hands events over, and may block. mu must not be held.
@@ -152,8 +153,8 @@
 	}
 }
 
-// end ends all that is left on the connection: attempts that were not written never ran, and those
-// that were end as ofWritten.
+// end ends all attempts and health checks that are left on the connection: attempts that were not
+// written never ran, and those that were end as ofWritten. Its goroutine calls it last.
 func (c *conn) end(err error, ofWritten router.Outcome) {
 	c.mu.Lock()
 	c.markEnded()
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -14,11 +14,11 @@
 // minAttemptMS is the least time in ms that an attempt is given: engines take no shorter one.
 const minAttemptMS = 1
 
-// lineEnd ends a statement.
+// lineEnd follows a statement.
 var lineEnd = []byte("\r\n")
 
-// add takes an attempt on and reports whether it did: not if the connection has ended, carries
-// maxAttempts, has carried the query before or has too much to write.
+// add puts an attempt on the connection and reports whether it did: not if the connection has
+// ended, carries maxAttempts, has carried the query before or has too much to write.
 func (c *conn) add(a *attempt, maxAttempts int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +41,7 @@
 	return true
 }
 
-// sweepUsedIDs forgets ids whose clients have given up, once there are many. mu is held.
+// sweepUsedIDs drops ids that count no longer, once there are many. mu is held.
 func (c *conn) sweepUsedIDs() {
 	if len(c.usedIDs) < c.sweepAt {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// giveUp tells the engine that an attempt is given up, and pings it behind that: until the engine
-// has answered the query may not be sent again, or two of its attempts could run at once. An
+// giveUp cancels an attempt at its engine and sends a ping behind the cancel: until the engine has
+// answered the ping the query may not be sent again, or two of its attempts could run at once. An
 // attempt that was not written needs neither and is Withdrawn. mu is held.
 func (c *conn) giveUp(a *attempt, outcome router.Outcome) {
 	if a.givenUp {
@@ -84,7 +84,7 @@
 }
 
 // withdrawUnsent ends the attempts that were not written, and the connection if its engine has gone
-// and it carries no other.
+// and it carries no others.
 func (c *conn) withdrawUnsent(engineGone bool) {
 	c.mu.Lock()
 	var events []Event
@@ -103,7 +103,7 @@
 	}
 }
 
-// finish takes an attempt off the connection and returns its end. mu is held.
+// finish takes an attempt off the connection and returns its AttemptEnded. mu is held.
 func (c *conn) finish(a *attempt, outcome router.Outcome) Event {
 	delete(c.attempts, a.query.ID)
 	c.attemptCount.Store(int32(len(c.attempts)))
--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -12,10 +12,9 @@
 
 // dueWork is what a connection's goroutine has to do before it reads on.
 type dueWork struct {
-	events []Event // to be reported first
-	// then to be written; empty: the read deadline is set to when something else is due
-	write []outgoing
-	err   error // not nil: the connection must end, and the other fields are empty
+	events []Event    // to be reported first
+	write  []outgoing // to be written then
+	err    error      // not nil: the connection must end, and the other fields are empty
 }
 
 // alarm finds the earliest of the times at which something is due.
@@ -24,20 +23,25 @@
 	next time.Time // the earliest of those that have not passed
 }
 
-// passed reports whether a time has come. If not, the alarm rings by then.
+// setFor has the alarm go off at a time at the latest.
+func (a *alarm) setFor(at time.Time) {
+	if at.Before(a.next) {
+		a.next = at
+	}
+}
+
+// passed reports whether a time has come. If not, the alarm is set for it.
 func (a *alarm) passed(at time.Time) bool {
 	if !a.now.Before(at) {
 		return true
 	}
-	if at.Before(a.next) {
-		a.next = at
-	}
+	a.setFor(at)
 	return false
 }
 
-// takeDue ends what has had its time and takes out what is to be written. If there is nothing to
-// write, it lets the next read wait until something else is due. partialSince is since when there
-// is a part of an answer; zero: there is none.
+// takeDue ends what is past its time and takes out what is to be written. If there is nothing to
+// write, it sets the read deadline to when something else is due. partialSince is the time since
+// which the reader holds a part of an answer; zero: it holds none.
 func (c *conn) takeDue(now time.Time, netConn net.Conn, partialSince time.Time) dueWork {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +49,7 @@
 	if c.idle() {
 		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
 		if now.After(alarm.next) {
-			// under the mutex, so that an attempt comes before it or goes over another connection
+			// Under the mutex, so that an attempt is either added before or goes over another connection.
 			c.markEnded()
 			return dueWork{err: errIdle}
 		}
@@ -61,9 +65,9 @@
 	return dueWork{events: append(events, withdrawn...), write: write}
 }
 
-// checkAlive returns why the connection counts as dead, if it does: an engine that is cut off says
-// nothing, and its attempts would be missed only at their deadlines. It pings an engine that has
-// been silent for PingAfter while it owes something. mu is held.
+// checkAlive returns an error if the connection counts as dead. An engine that is cut off sends
+// nothing, not even a close, and without this its attempts would end only at their deadlines. An
+// engine that has been silent for PingAfter while it owes something is pinged. mu is held.
 func (c *conn) checkAlive(alarm *alarm, partialSince time.Time) error {
 	l := c.pool.limits
 	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.AnswerTimeout)) {
@@ -78,8 +82,8 @@
 	return nil
 }
 
-// endOverdue gives up attempts past their deadline, and ends those that were given up and health
-// checks whose time is over. mu is held.
+// endOverdue gives up attempts past their deadline, and ends health checks and given-up attempts
+// that have waited for the engine for too long. mu is held.
 func (c *conn) endOverdue(alarm *alarm) []Event {
 	var events []Event
 	for _, a := range c.attempts {
@@ -87,7 +91,7 @@
 			c.giveUp(a, router.TimedOut)
 		}
 		if !a.givenUp {
-			alarm.passed(a.deadline)
+			alarm.setFor(a.deadline)
 		} else if alarm.passed(a.giveUpBy) {
 			events = append(events, c.finish(a, a.giveUpOutcome))
 		}
@@ -101,8 +105,8 @@
 	return events
 }
 
-// takeQueue takes out what is to be written, and withdraws attempts that it is too late for. The
-// others count as written from here on: their last byte may be taken at any moment. mu is held.
+// takeQueue takes out what is to be written, and withdraws attempts that are too late. The others
+// count as written from here on: their last byte may be taken at any moment. mu is held.
 func (c *conn) takeQueue(now time.Time) (write []outgoing, withdrawn []Event) {
 	queue := c.queue
 	c.queue = nil
--- a/internal/engines/conn_ping.go
+++ b/internal/engines/conn_ping.go
@@ -8,18 +8,18 @@
 	"mintkeel/router"
 )
 
-// The tag of a ping, which its answer repeats, tells what it is for. None begins as another.
+// Tags of pings, by their purpose. The answer repeats the tag. No two begin alike.
 const (
 	// healthCheckTag begins the tag of a health check; a number is the rest.
 	healthCheckTag = "p"
 	// giveUpTag begins the tag of the ping that follows an undo; the query's id is the rest.
 	giveUpTag = "u"
-	// keepaliveTag asks no more than whether a silent connection still works.
+	// keepaliveTag is the tag of a ping that only checks whether a silent connection still works.
 	keepaliveTag = "k"
 )
 
-// checkHealth begins a health check, unless the connection has ended. It ends as TimedOut after
-// PingTimeout.
+// checkHealth begins a health check and reports whether it did: not if the connection has ended. It
+// ends as TimedOut after PingTimeout.
 func (c *conn) checkHealth(tag string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	c.enqueueLine(enginewire.AppendPing(b, tag))
 }
 
-// handlePong takes in the answer to a ping: the engine has read all that was written before it. mu
+// handlePong handles the answer to a ping: the engine has read all that was written before it. mu
 // is held.
 func (c *conn) handlePong(tag string, load *router.LoadReport) []Event {
 	if _, found := c.healthChecks[tag]; found {
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -34,8 +34,8 @@
 
 // serve writes what there is to write and reads answers, one after the other, until the connection
 // ends. A read waits until something is due, and is ended early when there is something to write
-// (see wake). An answer is taken from the buffer only when it is whole, so a read that is broken
-// off loses nothing.
+// (see wake). An answer is taken from the buffer only when it is whole, so a read that is ended
+// early loses nothing.
 func (c *conn) serve(from *lookaheadConn) error {
 	l := c.pool.limits
 	r := bufio.NewReaderSize(from, l.AnswerHeaderBytes+l.PageBytes+len(lineEnd))
@@ -55,7 +55,7 @@
 			if !errors.Is(err, errClosedByEngine) {
 				return err
 			}
-			// Answers that came ahead of the end still count: they are read, and then the end is.
+			// Answers that came before the close still count: they are read first, then the close is.
 		}
 		answer, size, err := enginewire.PeekAnswer(r, l.AnswerHeaderBytes, l.PageBytes)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -78,8 +78,8 @@
 	return c.ctx.Err()
 }
 
-// handleAnswer takes in one answer. One for an id that is not running here crossed the end of its
-// attempt and says nothing. An error ends the connection.
+// handleAnswer handles one answer. An answer for an id without an attempt is ignored: the attempt
+// ended while the answer was on its way. An error ends the connection.
 func (c *conn) handleAnswer(answer enginewire.Answer) ([]Event, error) {
 	load, err := loadReport(answer)
 	if err != nil {
@@ -123,8 +123,9 @@
 	return load, err
 }
 
-// handleNeverRan takes in that the engine did not run an attempt. It is not believed of one that
-// has reported progress: that may have had its effect. After a page it makes no sense. mu is held.
+// handleNeverRan handles the answer that the engine did not run an attempt. An attempt that has
+// reported progress may have had its effect in spite of that, and ends as Errored. After a page the
+// answer is malformed. mu is held.
 func (c *conn) handleNeverRan(a *attempt, outcome router.Outcome) ([]Event, error) {
 	if a.pages != nil {
 		return nil, enginewire.ErrMalformed
@@ -135,7 +136,7 @@
 	return []Event{c.finish(a, outcome)}, nil
 }
 
-// handleProgress takes in a progress message. mu is held.
+// handleProgress handles a progress message. mu is held.
 func (c *conn) handleProgress(a *attempt, answer enginewire.Answer) []Event {
 	kind, known := progressKind(answer)
 	if !known {
--- a/internal/engines/conn_write.go
+++ b/internal/engines/conn_write.go
@@ -15,10 +15,12 @@
 // enqueueLine has the connection's goroutine write lines that start no attempt. mu is held.
 func (c *conn) enqueueLine(b []byte) { c.enqueue(outgoing{parts: net.Buffers{b}}) }
 
-// flush writes a batch by a deadline. If that fails, an attempt whose last byte was not taken
-// counts as not written again: it never ran, as engines run what they have received whole. So
-// nothing is written where an attempt is in the batch and the engine has closed the connection
-// already, as it may close an idle one at any moment.
+// flush writes a batch by a deadline. If that fails, an attempt that was not taken whole counts as
+// not written again: it never ran, as engines only run what they have received whole.
+//
+// An engine may close an idle connection at any moment. If it has, a batch with an attempt is not
+// written at all: the closed connection might still take its bytes, and the attempt would count as
+// one that may have run.
 func (c *conn) flush(batch []outgoing, to *lookaheadConn, deadline time.Time) error {
 	var parts net.Buffers
 	startsAttempt := false
@@ -40,8 +42,8 @@
 	return err
 }
 
-// markUnwritten has the attempts of a batch of which only some bytes were taken count as not
-// written.
+// markUnwritten marks the attempts of a batch that were not written whole, after so many bytes of
+// the batch were taken.
 func (c *conn) markUnwritten(batch []outgoing, taken int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/engines/doc.go
+++ b/internal/engines/doc.go
@@ -29,14 +29,14 @@
 //	ConnectFailed    the connection did not come up, or was lost before the last byte was taken
 //	ConnectionReset  the connection was lost after that, or was closed for an answer that is
 //	                 malformed
-//	TimedOut         its deadline passed, and the engine has confirmed that it knows, or PingTimeout
-//	                 has passed
+//	TimedOut         its deadline passed, and the engine has confirmed the cancel, or PingTimeout has
+//	                 passed
 //	Cancelled        the same after CancelAttempt, unless the engine ended it first in another way
 //
 // A query's id goes over one connection at most once, so that a late answer to an attempt that was
 // given up can't pass for that of the next one. The outcome of an attempt that is given up comes
-// only when the engine has answered a ping that follows the undo, or had PingTimeout to. So a retry
-// can't reach its engine before the undo has reached the other one.
+// only when the engine has answered a ping that follows the cancel, or PingTimeout has passed. So a
+// retry can't reach its engine before the cancel has reached the other one.
 //
 // # Bounds
 //
--- a/internal/engines/endpoints.go
+++ b/internal/engines/endpoints.go
@@ -12,13 +12,13 @@
 // engine is an engine of the endpoint list with its connections. It stays, as Gone, until its last
 // connection ends.
 type engine struct {
-	Endpoint         // with an empty Address while another engine has it
-	conns    []*conn // that have not been found ended
+	Endpoint         // Address is empty while another engine has it
+	conns    []*conn // may hold some that have ended; see liveConns
 }
 
-// UpdateEndpoints takes in where engines are; if complete, those that are not named are gone.
-// Attempts that wait for a connection to an engine that drains or is gone are withdrawn, as they
-// would be sent after the list has said so. Those that were sent may end.
+// UpdateEndpoints sets addresses and states of engines; if complete, those that are not named are
+// gone. Attempts that wait for a connection to an engine that drains or is gone are withdrawn, as
+// they would be sent after the list has said so. Those that were sent may end.
 func (p *Pool) UpdateEndpoints(endpoints []Endpoint, complete bool) {
 	named := map[router.EngineID]bool{}
 	readyAt := map[string]bool{} // addresses
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateEndpoint takes in one endpoint and reports whether it is ready.
+// updateEndpoint updates or adds one engine and reports whether it is ready.
 func (p *Pool) updateEndpoint(endpoint Endpoint) (ready bool) {
 	e := p.engines[endpoint.Engine]
 	if e == nil {
@@ -54,7 +54,7 @@
 		p.engines[endpoint.Engine] = e
 	}
 	if endpoint.State != router.Ready {
-		// Its address may not be named any more. The old one stays, as attempts that were sent there may
+		// The update may leave out its address. The old one stays, as attempts that were sent there may
 		// still end.
 		e.State = endpoint.State
 		e.withdrawUnsent()
@@ -69,9 +69,9 @@
 	return true
 }
 
-// updateUnnamed takes in an update that does not name the engine: it is gone if the update is
-// complete, and has lost its address if another engine is there now. That one must not get what is
-// meant for this.
+// updateUnnamed handles an update that does not name the engine: it is gone if the update is
+// complete, and has lost its address if another engine has it now, which must not get attempts that
+// are meant for this one.
 func (e *engine) updateUnnamed(complete bool, readyAt map[string]bool) {
 	if complete {
 		e.State = router.Gone
@@ -87,8 +87,8 @@
 // only beside one that is up, which shows that the same process is still there: another engine may
 // listen at the address of one that has gone, or the same one may have restarted and be warming up.
 //
-// An attempt that waits for a connection as the list expires is withdrawn, as it was decided by a
-// list that was valid.
+// An attempt that waits for a connection when the list expires is withdrawn: the decision to start
+// it relied on a list that was valid.
 func (p *Pool) SetExpired(expired bool) {
 	if expired && !p.listExpired {
 		for _, e := range p.engines {
--- a/internal/engines/events.go
+++ b/internal/engines/events.go
@@ -26,7 +26,7 @@
 		Query   *request.Query
 		Attempt router.AttemptID
 		Kind    router.ProgressKind
-		Value   float64 // its meaning is told by the kind
+		Value   float64 // its meaning depends on Kind
 	}
 	// HealthCheckEnded is the result of a health check.
 	HealthCheckEnded struct {
--- a/internal/engines/lookahead.go
+++ b/internal/engines/lookahead.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// lookaheadBytes is how much a look reads at most.
+	// lookaheadBytes is the most that closedByPeer reads ahead.
 	lookaheadBytes = 512
-	// maxWakeups bounds how often a look is begun again because the loop woke the goroutine.
+	// maxWakeups bounds how often closedByPeer reads again because the loop woke the goroutine.
 	maxWakeups = 3
 )
 
-// lookaheadConn is a connection that can tell, without waiting, whether its other end has closed
-// it. A goroutine that is woken to write would not know of an end that came at that moment, and its
+// lookaheadConn is a connection that can report, without waiting, whether its other end has closed
+// it. A goroutine that is woken to write would not see a close that came at that moment, and its
 // attempt would count as one that may have run. One goroutine reads from it.
 type lookaheadConn struct {
 	net.Conn
-	raw   syscall.RawConn      // nil: it can't be told
-	ahead []byte               // was read by a look, and is still to be handed on by Read
-	err   error                // what came after that; nil: nothing yet
-	buf   [lookaheadBytes]byte // of ahead
+	raw   syscall.RawConn      // nil: Conn has none, and a close is seen only by Read
+	ahead []byte               // read by closedByPeer, and not yet returned by Read
+	err   error                // that follows ahead; nil: none yet
+	buf   [lookaheadBytes]byte // holds ahead
 }
 
 func newLookaheadConn(conn net.Conn) (*lookaheadConn, error) {
@@ -39,7 +39,7 @@
 	return c, err
 }
 
-// Read hands on what was read ahead first.
+// Read returns what was read ahead first.
 func (c *lookaheadConn) Read(b []byte) (int, error) {
 	if len(c.ahead) > 0 {
 		n := copy(b, c.ahead)
@@ -52,8 +52,8 @@
 	return c.Conn.Read(b)
 }
 
-// closedByPeer returns the error that the connection has ended with, as far as has come by now. It
-// is nil while the connection is open, and where more has come than is looked at.
+// closedByPeer returns the error that the connection has ended with, io.EOF for a close. It is nil
+// if no end has come yet, or if more bytes came before it than are read ahead.
 func (c *lookaheadConn) closedByPeer() error {
 	if c.raw == nil || len(c.ahead) > 0 || c.err != nil {
 		return c.err
--- a/internal/engines/placement.go
+++ b/internal/engines/placement.go
@@ -9,8 +9,9 @@
 )
 
 // place gives an attempt to a connection of its engine: an idle one, else a new one, else the one
-// that carries the fewest attempts. A connection that breaks or gets one malformed answer takes all
-// its attempts with it, so they share one only where there may be no other.
+// that carries the fewest attempts. It reports whether one took it. A connection that breaks or
+// gets one malformed answer takes all its attempts with it, so they share one only where no other
+// may be opened.
 func (p *Pool) place(a *attempt, e *engine) bool {
 	conns := e.liveConns()
 	first := len(conns) == 0
@@ -80,8 +81,8 @@
 }
 
 // connectionShare is how many connections an engine may have so that each of its attempts has its
-// own. A quarter is kept back, for engines that come new and for queries that all connections have
-// carried.
+// own. A quarter of all is kept back, for new engines and for queries that all connections of their
+// engine have carried.
 func (p *Pool) connectionShare() int {
 	return max(1, p.limits.EngineConnections*3/4/max(1, p.readyEngines))
 }
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -28,19 +28,18 @@
 
 	// Owned by the loop's goroutine:
 	engines      map[router.EngineID]*engine
-	readyEngines int    // that may get attempts
+	readyEngines int    // number of those that may get attempts
 	listExpired  bool   // engines may have moved unnoticed
 	lastPing     uint64 // number of the last health check's ping
 
 	// Counts that any goroutine changes:
 	openConns    atomic.Int64 // up or being dialled
 	dialledConns atomic.Int64 // so far
-	lostConns    atomic.Int64 // that ended, but for being idle or being closed
+	lostConns    atomic.Int64 // that ended, except idle ones and those that the pool closed
 	evictedConns atomic.Int64 // closed while idle, to make room for others
 
-	logMu sync.Mutex
-	// when the end of a connection was last logged; guarded by logMu
-	lastLogged map[router.EngineID]time.Time
+	logMu      sync.Mutex                    // guards lastLogged
+	lastLogged map[router.EngineID]time.Time // when the end of a connection was last logged
 }
 
 // New returns a pool without engines, which reports what happens. report may block its caller.
@@ -76,8 +75,8 @@
 	go p.report(AttemptEnded{Query: query, Attempt: id, Outcome: router.NotSent})
 }
 
-// CancelAttempt gives an attempt up. Its AttemptEnded still comes: when the engine has confirmed to
-// know, or had time to.
+// CancelAttempt gives an attempt up. Its AttemptEnded still comes: when the engine has confirmed
+// the cancel, or PingTimeout has passed.
 func (p *Pool) CancelAttempt(query *request.Query, id router.AttemptID, to router.EngineID) {
 	e := p.engines[to]
 	if e == nil {
@@ -88,8 +87,8 @@
 	}
 }
 
-// CheckHealth pings an engine. It is answered by one HealthCheckEnded, which tells no more than
-// that a connection works, and the load report that came with it.
+// CheckHealth pings an engine. It is answered by one HealthCheckEnded. Success means only that a
+// connection works; a load report may come with it.
 func (p *Pool) CheckHealth(id router.EngineID) {
 	p.lastPing++
 	tag := healthCheckTag + strconv.FormatUint(p.lastPing, 10)
@@ -112,7 +111,7 @@
 }
 
 // logConnectionEnd counts a connection that ended, and logs it unless one of the same engine was
-// logged just now. ended is how many attempts and health checks ended with it.
+// logged within LogInterval. ended is how many attempts and health checks ended with it.
 func (p *Pool) logConnectionEnd(id router.EngineID, err error, ended int) {
 	p.lostConns.Add(1)
 	p.logMu.Lock()
--- a/internal/engines/progress.go
+++ b/internal/engines/progress.go
@@ -5,18 +5,18 @@
 	"mintkeel/router"
 )
 
-// Remarks of progress messages, as engines write them.
+// Remarks of progress messages on the wire.
 const (
 	remarkProgress = "progress"
 	remarkSpilling = "spill_mb"
 	remarkBlocked  = "blocked"
 )
 
-// blockedByTables is the value of remarkBlocked that says that the attempt waits for its tables;
-// others say that it waits for memory.
+// blockedByTables is the value with remarkBlocked for an attempt that waits for locked tables.
+// Other values mean that it waits for memory.
 const blockedByTables = 2
 
-// progressKind maps a remark to the module's term; known is false of an answer that has none.
+// progressKind maps a remark to the module's term; known is false if the answer has no remark.
 func progressKind(answer enginewire.Answer) (kind router.ProgressKind, known bool) {
 	switch string(answer.Remark) {
 	case "":
--- a/internal/engines/result.go
+++ b/internal/engines/result.go
@@ -7,16 +7,15 @@
 	"mintkeel/router"
 )
 
-// handlePage takes in a page of a result. The first one tells how many there are, and the others
-// are asked for together. The attempt succeeds when all are in, in whatever order they come. mu is
-// held.
+// handlePage handles a page of a result. The first one has the number of pages, and the others are
+// asked for together. The attempt succeeds when all have come, in whatever order. mu is held.
 func (c *conn) handlePage(a *attempt, answer enginewire.Answer) ([]Event, error) {
 	number := answer.PageNumber
 	if answer.Kind == enginewire.FirstPage {
 		number = 0
 	}
 	if number < len(a.pages) && a.pages[number] != nil && bytes.Equal(a.pages[number], answer.Body) {
-		// The same page again says nothing, and is no reason to end what else the connection carries.
+		// A repeated page is harmless, and no reason to end the other attempts of the connection.
 		return nil, nil
 	}
 	if answer.Kind == enginewire.FirstPage {
@@ -26,7 +25,7 @@
 		a.pages = make([][]byte, max(1, answer.PageCount))
 		a.missingPages = len(a.pages)
 		if a.givenUp && a.missingPages > 1 {
-			// After an undo the engine no longer has further pages, so only a whole result counts.
+			// After a cancel the engine no longer has further pages, so only a whole result counts.
 			return []Event{c.finish(a, a.giveUpOutcome)}, nil
 		}
 		c.requestPages(a)
@@ -34,7 +33,7 @@
 	return c.storePage(a, number, answer.Body)
 }
 
-// requestPages asks for all pages but the first, which is in. mu is held.
+// requestPages asks for all pages but the first, which has come. mu is held.
 func (c *conn) requestPages(a *attempt) {
 	var b []byte
 	for number := 1; number < len(a.pages); number++ {
@@ -51,7 +50,7 @@
 		a.resultBytes+len(body) > c.pool.limits.ResultBytes {
 		return nil, enginewire.ErrMalformed
 	}
-	// never nil, though it may be empty
+	// An empty page must not be nil, which stands for a missing one.
 	a.pages[number] = append(make([]byte, 0, max(1, len(body))), body...)
 	a.resultBytes += len(body)
 	a.missingPages--
