--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -15,9 +15,9 @@
 const (
 	// admitted connections are served.
 	admitted admission = iota
-	// rejected connections are told that there are too many, and may cancel a query.
+	// rejected connections get an error that there are too many, but may still cancel a query.
 	rejected
-	// dropped connections are closed at once: there is no room even to tell them.
+	// dropped connections are closed at once: there is no room even to write them an error.
 	dropped
 )
 
@@ -27,13 +27,14 @@
 	idleClosing = iota
 	// idleNoQuery sessions have not sent a query yet.
 	idleNoQuery
-	// idleBetweenQueries sessions have.
+	// idleBetweenQueries sessions have sent a query, and have its answer.
 	idleBetweenQueries
+	// idleKinds is the number of kinds.
 	idleKinds
 )
 
-// admit takes a connection into the sessions, if there is room or room can be made, and gives it
-// its cancel key. While the server drains there is none.
+// admit decides on a new connection, which gets a cancel key and counts as a session unless it is
+// dropped. It is admitted if there is room or room can be made, and never while the server drains.
 func (s *Server) admit(ses *session) admission {
 	var secret [4]byte
 	rand.Read(secret[:])
@@ -56,7 +57,7 @@
 	return result
 }
 
-// evictIdle makes room for a connection, if all are taken, and reports whether there is room then.
+// evictIdle makes room for a connection, if there is none, and reports whether there is room then.
 // It closes the session that has been idle for the longest time: of those that are being closed
 // first, then of those that never sent a query, then of the others. So hundreds of connections that
 // send nothing, or that sent one query and stay, can't keep others out. Sessions younger than
@@ -91,7 +92,7 @@
 	ses.idleElement = s.idle[kind].PushBack(ses)
 }
 
-// unmarkIdle takes a session off those that are owed nothing. mu is held.
+// unmarkIdle takes a session from those that are owed nothing. mu is held.
 func (s *Server) unmarkIdle(ses *session) {
 	if ses.idleElement != nil {
 		s.idle[ses.idleKind].Remove(ses.idleElement)
@@ -99,8 +100,8 @@
 	}
 }
 
-// beginMessage says that a session has read a message and is owed something, and reports whether it
-// may go on: not if it is being closed.
+// beginMessage records that a session has read a message and so is owed something. It reports
+// whether the session may go on: not if it is being closed.
 func (s *Server) beginMessage(ses *session, isQuery bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +117,8 @@
 	return true
 }
 
-// endMessage says that a session is owed nothing any more. If the server drains it is closed,
-// unless another query came while it was open.
+// endMessage records that a session is owed nothing any more. If the server drains the session is
+// closed, unless its client has sent another query meanwhile.
 func (s *Server) endMessage(ses *session, isQuery bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,9 +139,9 @@
 	}
 }
 
-// beginClose has a session that is owed nothing end: from here on nothing that it sends becomes a
-// query, and its client reads the end. Its goroutine reads on to the client's end, or within a
-// bound (leave). mu is held.
+// beginClose starts to close a session that is owed nothing: from here on nothing that it sends
+// becomes a query, and its client reads the end. The session's goroutine reads on, within bounds,
+// until the client closes too (leave). mu is held.
 func (s *Server) beginClose(ses *session) {
 	if ses.closing.Swap(true) {
 		return
--- a/internal/clients/doc.go
+++ b/internal/clients/doc.go
@@ -4,10 +4,10 @@
 //
 // # Contract
 //
-// Serve accepts connections, each served by a goroutine of its own, which owns its session but for
-// the fields whose comments name a mutex. A query is handed over by offer, which never blocks; if
-// it is not accepted the client is told at once to retry. That a client is gone is handed over by
-// report, which may block the session's goroutine and nobody else.
+// Serve accepts connections, each served by a goroutine of its own, which owns its session except
+// for the fields that are marked as guarded by a mutex. A query is handed over by offer, which
+// never blocks; if it is not accepted the client gets a rejection at once. That a client has gone
+// is handed over by report, which may block the session's goroutine and no other.
 //
 // While a query is open its session goes on reading, so that it notices if its client disconnects.
 // The answer ends that read by moving the read deadline into the past. What the client has sent
@@ -22,10 +22,10 @@
 //
 // There are at most ClientConnections sessions. Past that the one that has been idle for the
 // longest time is closed. If none is idle, a new connection is read as far as its start-up message,
-// so that a client may still cancel, and is told that there are too many; of those, and of sessions
-// that are being closed, there are ClosingConnections at most, and what comes past that is closed
-// at once. A message and what is sent behind an open query hold ClientMessageBytes at most; past
-// that the session ends with an error. Each wait for a client has a time in limits.Limits.
+// so that a client may still cancel, and then gets an error. Of such connections, and of sessions
+// that are being closed, there are ClosingConnections at most; further ones are closed at once. A
+// message, and what is sent behind an open query, hold ClientMessageBytes at most; past that the
+// session ends with an error. Each wait for a client is bounded by a time in limits.Limits.
 //
 // # The end of a session
 //
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Quiet is how long no client has sent a query; 0 while an answer is owed or not written yet.
+// Quiet returns for how long no client has sent a query; 0 while an answer is not written yet.
 func (s *Server) Quiet() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -12,8 +12,8 @@
 	return time.Since(s.lastQueryAt)
 }
 
-// queryRead says that a client has sent a query behind an open one.
-func (s *Server) queryRead(now time.Time) {
+// recordPipelinedQuery records when a client sent a query behind an open one.
+func (s *Server) recordPipelinedQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastQueryAt = now
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -12,7 +12,7 @@
 	"mintkeel/internal/request"
 )
 
-// errPipelineFull is of a client that has sent more behind an open query than is held.
+// errPipelineFull ends the session of a client that sent more behind an open query than is kept.
 var errPipelineFull = errors.New("too much behind an open command")
 
 // execute hands a query over, waits for its answer and writes it. An error ends the session.
@@ -47,24 +47,24 @@
 	if writeErr := ses.writeAnswer(query.Answer()); writeErr != nil || !pipelineFull {
 		return writeErr
 	}
-	ses.endWithError(pgwire.CodeTooLong,
-		fmt.Sprintf("behind an open command: holds %d bytes at most",
-			ses.server.limits.ClientMessageBytes))
+	why := fmt.Sprintf("behind an open command: holds %d bytes at most",
+		ses.server.limits.ClientMessageBytes)
+	ses.endWithError(pgwire.CodeTooLong, why)
 	return err
 }
 
-// watchForDisconnect reads on while a query is open, to notice that its client disconnects, also
-// behind what it has sent ahead. That is kept, with the time at which it came, up to
-// ClientMessageBytes; past that it is dropped and the session has to end. The error is
-// os.ErrDeadlineExceeded when the answer is there, errPipelineFull if there also was too much, and
-// any other one when the client has disconnected.
+// watchForDisconnect reads on while a query is open, to notice that its client disconnects. What
+// the client sends ahead is kept, with the time at which it came, up to ClientMessageBytes; past
+// that it is dropped and the session has to end. The error is os.ErrDeadlineExceeded when the
+// answer has come, errPipelineFull if too much was sent before that, and any other when the client
+// has disconnected.
 func (ses *session) watchForDisconnect() error {
 	maxBytes := ses.server.limits.ClientMessageBytes
 	for {
 		have := ses.reader.Buffered()
 		if have > 0 && ses.pipelinedAt.IsZero() {
 			ses.pipelinedAt = time.Now()
-			ses.server.queryRead(ses.pipelinedAt)
+			ses.server.recordPipelinedQuery(ses.pipelinedAt)
 		}
 		if have >= maxBytes {
 			break
@@ -86,9 +86,9 @@
 	return net.ErrClosed
 }
 
-// abandonQuery says that the client no longer waits for the open query. If none is open and the
-// client may be about to send it (cancelRequest), the next query is abandoned, for
-// EarlyCancelWindow.
+// abandonQuery gives up the open query, as its client no longer waits for it. If none is open and a
+// cancel request asks for it, the next query is given up if it comes within EarlyCancelWindow: the
+// request may have overtaken it.
 func (ses *session) abandonQuery(cancelRequest bool) {
 	ses.mu.Lock()
 	query := ses.openQuery
@@ -101,7 +101,7 @@
 	}
 }
 
-// writeAnswer writes a query's answer, and that the next query may come.
+// writeAnswer writes a query's answer, and that the session is ready for the next query.
 func (ses *session) writeAnswer(answer request.Answer) error {
 	switch answer.Verdict {
 	case request.Rejected:
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -7,15 +7,19 @@
 
 	"mintkeel/internal/pgwire"
 	"mintkeel/internal/request"
+	"mintkeel/internal/settings"
 	"mintkeel/router"
 )
 
 // noTenant is the tenant of a query that names none.
 const noTenant router.TenantID = -1
 
-// queryError is why a query can't be used, as its client is told.
+// maxAllowanceFraction bounds limits.AnswerAllowance for short timeouts: to an eighth of them.
+const maxAllowanceFraction = 8
+
+// queryError is why a query can't be used, as its client gets it.
 type queryError struct {
-	code    string // of package pgwire
+	code    string // one of the Code... of package pgwire
 	message string
 }
 
@@ -61,21 +65,16 @@
 		return nil, fieldError(err)
 	}
 	names := ses.server.names
-	class, known := names.Classes[f.ClassName]
-	if !known {
-		return nil, &queryError{pgwire.CodeField,
-			fmt.Sprintf("field verb: %.60q is no profile", f.ClassName)}
+	class, err := findClass(names, f.ClassName)
+	if err != nil {
+		return nil, fieldError(err)
 	}
-	tenant, known := names.Tenants[f.Tenant]
-	if !known {
-		if f.Tenant != "" && len(names.Tenants) > 0 {
-			return nil, &queryError{pgwire.CodeField,
-				fmt.Sprintf("field team: %.60q is no tenant", f.Tenant)}
-		}
-		tenant = noTenant
+	tenant, err := findTenant(names, f.Tenant)
+	if err != nil {
+		return nil, fieldError(err)
 	}
-	settings := ses.server.classes[class]
-	if settings.Effect == router.Deduplicated && f.IdempotencyKey == "" {
+	classSettings := ses.server.classes[class]
+	if classSettings.Effect == router.Deduplicated && f.IdempotencyKey == "" {
 		return nil, &queryError{pgwire.CodeMissing, "field unique: is missing"}
 	}
 	table, found := pgwire.FindTable(f.Statement)
@@ -95,7 +94,7 @@
 		FirstOnConnection: !ses.hadQuery,
 		ReadAt:            readAt,
 		TimeLeft:          ses.answerWithin(f.TimeoutMS),
-		ClientTimeout:     milliseconds(settings.ClientTimeout),
+		ClientTimeout:     duration(classSettings.ClientTimeout),
 	}
 	if ses.server.rulesPossible {
 		input := ruleInput(f, class, table, ses.application, ses.conn.LocalAddr().String())
@@ -109,6 +108,29 @@
 	return query, nil
 }
 
+// findClass returns the query class of a name. Its error is a *pgwire.FieldError.
+func findClass(names *settings.Names, name string) (router.ClassID, error) {
+	class, known := names.Classes[name]
+	if !known {
+		why := fmt.Sprintf("%.60q is no profile", name)
+		return 0, &pgwire.FieldError{Field: "verb", Why: why}
+	}
+	return class, nil
+}
+
+// findTenant returns the tenant of a name; noTenant if there is no name, or the settings have no
+// tenants. Its error is a *pgwire.FieldError.
+func findTenant(names *settings.Names, name string) (router.TenantID, error) {
+	tenant, known := names.Tenants[name]
+	switch {
+	case known:
+		return tenant, nil
+	case name == "" || len(names.Tenants) == 0:
+		return noTenant, nil
+	}
+	return 0, &pgwire.FieldError{Field: "team", Why: fmt.Sprintf("%.60q is no tenant", name)}
+}
+
 // fieldError is the answer to a field that can't be used.
 func fieldError(err error) *queryError {
 	code := pgwire.CodeField
@@ -120,11 +142,12 @@
 }
 
 // answerWithin is how long after its reading a query must be answered at the latest, by its
-// client's timeout in ms. The answer still has to arrive: on a busy machine some that were written
-// ahead of the timeout came too late.
+// client's timeout in ms. Some of the timeout is left for the answer to reach the client: an answer
+// that is written just before the timeout would come too late.
 func (ses *session) answerWithin(timeoutMS float64) time.Duration {
-	timeout := milliseconds(timeoutMS)
-	return timeout - min(ses.server.limits.AnswerAllowance, timeout/8)
+	timeout := duration(timeoutMS)
+	return timeout - min(ses.server.limits.AnswerAllowance, timeout/maxAllowanceFraction)
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// duration converts a time in ms.
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -1,7 +1,6 @@
 package clients
 
 import (
-	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -26,11 +25,11 @@
 }
 
 // ExpectRules says, before Serve, that there may be rules: queries then carry what rules see of
-// them. The loop needs that to find their ordering keys, as rules may change while a query is on
-// its way.
+// them (request.Query.RuleInput). The loop needs that to find their ordering keys, as rules may
+// change while a query is on its way.
 func (s *Server) ExpectRules() { s.rulesPossible = true }
 
-// SetRules has queries that are read from now on go by these rules; nil: by none.
+// SetRules applies these rules to queries that are read from now on; nil: none.
 func (s *Server) SetRules(set *rules.Set) {
 	if set == nil || set.Len() == 0 {
 		s.ruleSet.Store(nil)
@@ -61,8 +60,8 @@
 	return slog.GroupValue(counts...)
 }
 
-// applyRules has the operator's rules change a query that is not handed over yet. refusal is the
-// text that they refuse it with; empty: they don't.
+// applyRules has the operator's rules change a query that is not handed over yet. If they refuse
+// it, refusal is their text; empty: they don't.
 func (s *Server) applyRules(query *request.Query, input rules.Query) (refusal string) {
 	r := s.ruleSet.Load()
 	if r == nil {
@@ -114,16 +113,16 @@
 
 // RuleInput returns a query as rules see it, to try rules without a controller. Its error is a
 // *pgwire.FieldError, which names the field that can't be used.
-func RuleInput(query []byte, names *settings.Names, application,
-	listener string) (rules.Query, error) {
+func RuleInput(
+	query []byte, names *settings.Names, application, listener string,
+) (rules.Query, error) {
 	f, err := pgwire.ParseQuery(query)
 	if err != nil {
 		return rules.Query{}, err
 	}
-	class, known := names.Classes[f.ClassName]
-	if !known {
-		why := fmt.Sprintf("%.60q is no profile", f.ClassName)
-		return rules.Query{}, &pgwire.FieldError{Field: "verb", Why: why}
+	class, err := findClass(names, f.ClassName)
+	if err != nil {
+		return rules.Query{}, err
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -33,10 +33,12 @@
 
 	mu       sync.Mutex          // guards all below; it is held for no I/O that waits
 	sessions map[uint32]*session // all that are connected, by the number in their cancel keys
-	lastID   uint32              // given to a session
-	// sessions that are owed nothing, by kind, the longest idle first
-	idle         [idleKinds]list.List
-	busySessions int           // sessions with a query whose answer is not written yet
+	lastID   uint32              // the last number that was given to a session
+
+	// idle are the sessions that are owed nothing, by kind, with the longest idle first.
+	idle [idleKinds]list.List
+
+	busySessions int           // sessions with an answer that is not written yet
 	lastQueryAt  time.Time     // when a client last sent a query
 	draining     bool          // Shutdown or Close was called
 	drained      chan struct{} // closed when no session is left after Shutdown has begun
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -17,8 +17,8 @@
 	"mintkeel/internal/request"
 )
 
-// session is one client's connection. Its goroutine runs it and owns the fields whose comments say
-// nothing else.
+// session is one client's connection. Its goroutine runs it and owns the fields that are not marked
+// otherwise.
 type session struct {
 	server      *Server
 	conn        net.Conn
@@ -39,8 +39,9 @@
 
 	closing atomic.Bool // nothing that it sends becomes a query any more; set under the server's mutex
 
-	// guards the following, which cancel requests reach from other sessions
-	mu            sync.Mutex
+	// Cancel requests reach the following from other sessions.
+
+	mu            sync.Mutex     // guards all below
 	openQuery     *request.Query // nil: none
 	earlyCancelAt time.Time      // of a cancel request that came while no query was open
 }
@@ -86,7 +87,8 @@
 	}
 }
 
-// reject tells a client that there is no room for it. One that came to cancel a query needs none.
+// reject writes a client the error that there is no room for it. One that came to cancel a query
+// needs no session, and is served.
 func (ses *session) reject() {
 	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.ClientCloseTimeout))
 	if ses.readStartUp() {
@@ -117,7 +119,7 @@
 	}
 }
 
-// errTerminated ends the session of a client that has said so.
+// errTerminated ends the session of a client that has sent a Terminate message.
 var errTerminated = errors.New("terminated by the client")
 
 // handleMessage handles one whole message and takes it from the buffer. An error ends the session.
@@ -180,9 +182,9 @@
 	return kind, body, size, err
 }
 
-// setReadTimeout sets by when the next reads must be done. A session that is being closed has
-// ClientCloseTimeout: beginClose sets the flag and then its deadline, and this the deadline and
-// then looks at the flag, so one of the two sees the other.
+// setReadTimeout sets the deadline of the next reads. A session that is being closed has
+// ClientCloseTimeout: beginClose sets the flag closing and then a deadline, while this sets a
+// deadline and then reads the flag, so whichever comes first the close's deadline is the last set.
 func (ses *session) setReadTimeout(timeout time.Duration) {
 	l := ses.server.limits
 	deadline := time.Now().Add(timeout)
@@ -195,17 +197,17 @@
 	}
 }
 
-// enlargeBuffer puts a larger buffer in place of the small one, with what that holds.
+// enlargeBuffer replaces the read buffer by a larger one, with the bytes that it holds.
 func (ses *session) enlargeBuffer(size int) {
 	have, _ := ses.reader.Peek(ses.reader.Buffered())
-	ses.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(have)), ses.conn),
-		size)
+	rest := io.MultiReader(bytes.NewReader(bytes.Clone(have)), ses.conn)
+	ses.reader = bufio.NewReaderSize(rest, size)
 	ses.reader.Peek(len(have))
 	ses.smallReader.Reset(ses.conn)
 }
 
-// failRead tells a client why its session ends, by the error of a read; what names what was read.
-// One that has gone, or was idle for too long, is told nothing.
+// failRead writes a client the error that ends its session, by the error of a read; what names what
+// was read. A client that has gone, or was idle for too long, gets none.
 func (ses *session) failRead(err error, what string) {
 	c := &ses.server.counts
 	switch {
@@ -223,7 +225,7 @@
 	}
 }
 
-// endWithError tells the client why its session ends.
+// endWithError logs why a session ends, and writes it to the client as a fatal error.
 func (ses *session) endWithError(code, why string) {
 	ses.server.logBadClient(ses, why)
 	ses.write(pgwire.AppendError(nil, true, code, why))
