--- a/internal/discovery/expiry.go
+++ b/internal/discovery/expiry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// expireWithin has the list expire after this time, unless it does so earlier. mu is held.
+// expireWithin has the list expire after this time, unless it expires earlier already. mu is held.
 func (w *Watcher) expireWithin(d time.Duration) {
 	if at := time.Now().Add(d); at.Before(w.expiresAt) {
 		w.expiresAt = at
@@ -23,8 +23,8 @@
 	w.report(Update{ExpiredFor: w.limits.EndpointListExpiryDisconnected})
 }
 
-// readDeadline is until when nothing may be received: no longer than a silent connection is trusted
-// and, until the list has expired, not past that.
+// readDeadline is until when a connection may be silent: for DiscoverySilenceTimeout, but not past
+// the time at which the list expires, so that the expiry is reported in time.
 func (w *Watcher) readDeadline() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,8 +35,8 @@
 	return deadline
 }
 
-// received puts the expiry off, as something was received, and reports whether that counts: not if
-// the address has changed since, as there may be more at the new one.
+// received postpones the expiry, as something was received, and reports whether that counts: not if
+// the address has changed since, as the new one may have later updates.
 func (w *Watcher) received() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// ErrMalformed is wrapped by the errors of frames that have no valid form.
+// ErrMalformed is wrapped by the errors of malformed frames.
 var ErrMalformed = errors.New("malformed frame")
 
 // A frame is, in network byte order: the length of what follows (4 bytes), the number of an update
@@ -25,12 +25,12 @@
 
 // Kinds of frames.
 const (
-	frameUnchanged = 0 // the list is that of the update with this number; there are no records
-	frameComplete  = 1 // the records are all engines
-	frameChanges   = 2 // the records are those that have changed
+	frameUnchanged = 0 // nothing has changed since the update with this number; no records follow
+	frameComplete  = 1 // the records are those of all engines
+	frameChanges   = 2 // the records are those of engines that have changed
 )
 
-// A record is, in network byte order, the fields that begin at these bytes.
+// A record has, in network byte order, the fields that begin at these bytes.
 const (
 	recordEngine    = 0  // 4 bytes: the engine's number
 	recordIP        = 4  // 4 bytes
@@ -43,10 +43,11 @@
 	recordBytes     = 27
 )
 
-// ReadFrame reads one frame of at most maxBytes after its length. changed is false if it holds no
-// update.
-func ReadFrame(r *bufio.Reader, maxBytes int, names *settings.Names) (
-	update Update, changed bool, err error) {
+// ReadFrame reads one frame, of at most maxBytes after its length. changed is false if the frame
+// says that nothing has changed; update then has a number only.
+func ReadFrame(
+	r *bufio.Reader, maxBytes int, names *settings.Names,
+) (update Update, changed bool, err error) {
 	head, err := r.Peek(frameHeadBytes)
 	if err != nil {
 		return Update{}, false, err
@@ -75,8 +76,8 @@
 	return update, kind != frameUnchanged, nil
 }
 
-// parseRecord reads one engine. A zone or kind that the settings don't know is given a value that
-// no query class is bound to.
+// parseRecord reads one engine. A zone or machine kind that the settings don't know is given a
+// value that no query class is bound to.
 func parseRecord(b []byte, names *settings.Names) (Endpoint, error) {
 	state := b[recordState]
 	if state > byte(router.Gone) {
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -16,10 +16,10 @@
 	Updates []InitialItem `json:"items"`
 }
 
-// InitialItem is one entry of the configuration's list of news.
+// InitialItem is one item of the configuration's list of updates.
 type InitialItem struct {
 	Number uint64         `json:"no"`
-	List   *InitialUpdate `json:"roster"` // nil: the entry is of something else
+	List   *InitialUpdate `json:"roster"` // nil: the item is not about the endpoint list
 }
 
 // InitialUpdate is an update of the endpoint list in a configuration.
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -9,8 +9,8 @@
 // minDialTimeout is the least time that a dial is given, also when the list is about to expire.
 const minDialTimeout = time.Millisecond
 
-// Follow keeps a connection open until ctx ends, and reports what comes after the last update, in
-// order and once.
+// Follow keeps a connection open until ctx ends, and reports each update after the last known one,
+// in order and once.
 func (w *Watcher) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		connectedAt := time.Now()
@@ -24,7 +24,7 @@
 	}
 }
 
-// logConnectionEnd logs that a connection ended, unless one was logged just now.
+// logConnectionEnd logs that a connection ended, unless one was logged within LogInterval.
 func (w *Watcher) logConnectionEnd(err error) {
 	now := time.Now()
 	if now.Sub(w.lastLogged) >= w.limits.LogInterval {
@@ -33,8 +33,9 @@
 	}
 }
 
-// backOff waits until DiscoveryRetryDelay has passed since the last connection was begun: not at
-// all after one that lasted. The wait does not grow, as the list soon expires without a connection.
+// backOff waits until DiscoveryRetryDelay has passed since the last connection was begun, which is
+// no wait after one that lasted longer. The delay does not grow with further failures, as the list
+// soon expires without a connection.
 func (w *Watcher) backOff(ctx context.Context, connectedAt time.Time) {
 	select {
 	case <-ctx.Done():
@@ -42,7 +43,7 @@
 	}
 }
 
-// dial opens a connection to the current address, which SetAddress closes if that changes.
+// dial opens a connection to the current address. SetAddress closes it if the address changes.
 func (w *Watcher) dial(ctx context.Context) (net.Conn, error) {
 	w.mu.Lock()
 	address := w.address
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,10 +22,10 @@
 	return w.disconnect(conn, err)
 }
 
-// readUpdates asks for all updates after the last one, and reports them until the connection ends,
-// which it returns the reason of.
+// readUpdates asks for all updates after the last one, and reports them until the connection ends.
+// The error is why it ended.
 func (w *Watcher) readUpdates(conn net.Conn) error {
-	w.expireIfDue() // it may have become due while dialling; that does not cost the connection
+	w.expireIfDue() // it may have become due while dialling, which is no reason to drop the connection
 	conn.SetWriteDeadline(time.Now().Add(w.limits.DiscoverySilenceTimeout))
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, w.lastNumber)); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	}
 }
 
-// handle takes in one frame. Its error ends the connection: an update was skipped, or the address
+// handle handles one frame. Its error ends the connection: an update was skipped, or the address
 // has changed.
 func (w *Watcher) handle(update Update, changed bool) error {
 	next := w.lastNumber + 1
@@ -51,8 +51,8 @@
 		return fmt.Errorf("%w: number %d after %d", ErrMalformed, update.Number, w.lastNumber)
 	}
 	if update.Number < w.lastNumber {
-		// Older than what is known: it does not say that what is known still holds, so it does not end an
-		// expiry.
+		// The frame is older than the last update: it does not confirm that update, and so does not end
+		// an expiry.
 		return nil
 	}
 	if !w.received() {
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// disconnect closes a connection that ended with err, and returns why it did. A break brings the
-// expiry of the list nearer; silence does not, as that is what EndpointListExpiry is about.
+// disconnect closes a connection that ended with err, and returns why it did. After a break the
+// list expires within EndpointListExpiryDisconnected; silence is covered by EndpointListExpiry
+// alone.
 func (w *Watcher) disconnect(conn net.Conn, err error) error {
 	conn.Close()
 	w.mu.Lock()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,13 +15,14 @@
 // errAddressChanged ends a connection to an address at which the list is not watched any more.
 var errAddressChanged = errors.New("discovery has another address now")
 
-// Watcher follows the endpoint list.
+// Watcher watches the endpoint list.
 type Watcher struct {
 	names  *settings.Names
 	limits *limits.Limits
 	report func(Update) // may block
 	log    *slog.Logger
-	// dialContext is a net.Dialer's, but in tests.
+
+	// dialContext is the method of a net.Dialer; tests replace it.
 	dialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
 	// Owned by the goroutine of Follow:
@@ -52,7 +53,7 @@
 }
 
 // SetAddress has the list watched at another address, from the last update. The connection to the
-// old one ends at once, as nothing more is said there.
+// old address is closed at once, as no more updates come from there.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -35,10 +35,10 @@
 type Answer struct {
 	Verdict    Verdict
 	Pages      [][]byte      // of Succeeded: rows as the engine sent them
-	RetryAfter time.Duration // of Rejected: how long the client should wait; 0: it is not told
+	RetryAfter time.Duration // of Rejected: how long the client should wait; 0: it gets no hint
 }
 
-// Query is one that a client has sent whole.
+// Query is a query that a client has sent whole.
 type Query struct {
 	RouterID          router.QueryID     // set by the loop; 0 until then
 	ID                string             // the client's own, which engines get
@@ -53,28 +53,29 @@
 	Tables            router.TableGroup
 	Kinds             []router.KindID // by the operator's rules; nil: not narrowed
 	Zones             []router.Zone   // by the operator's rules; nil: not narrowed
-	// by the operator's rules: its tables are to be on several engines at once
-	Hot       bool
-	Statement []byte // which engines get
+	Hot               bool            // by the operator's rules: its tables get several engines
+	Statement         []byte          // which engines get
 
 	// RuleInput is the query as the operator's rules see it; nil where there can be none.
 	RuleInput *rules.Query
 
 	FirstOnConnection bool      // no query came before it on its connection
 	ReadAt            time.Time // when its last byte was read
-	// from ReadAt until it must be answered, a little before its client gives up
+
+	// TimeLeft is the time from ReadAt until the query must be answered, a little before its client
+	// gives up.
 	TimeLeft time.Duration
-	// ClientTimeout is how long clients wait for a query of this class, from when they want it, by the
-	// settings.
+	// ClientTimeout is how long clients wait for a query of this class, by the settings. It counts
+	// from when they want the answer, which may be before they can send the query.
 	ClientTimeout time.Duration
 
 	mu       sync.Mutex
 	answer   Answer
-	onAnswer func() // nil: nobody waits yet
+	onAnswer func() // nil: not set yet
 }
 
-// OnAnswer has a function called when the final answer is there, once. It must not block, and must
-// be set before the query is handed to the loop.
+// OnAnswer has notify called once, when there is a final answer. notify must not block, and must be
+// set before the query is handed to the loop.
 func (q *Query) OnAnswer(notify func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,8 +83,8 @@
 }
 
 // Finish gives the final answer and reports whether it is the first. No later one takes effect: a
-// client's leaving, the end of an attempt and a timeout may come at the same moment, and the client
-// must not get two answers.
+// disconnect, the end of an attempt and a timeout may come at the same moment, and the client must
+// not get two answers.
 func (q *Query) Finish(answer Answer) bool {
 	q.mu.Lock()
 	first := q.answer.Verdict == Unanswered
