--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -75,7 +75,9 @@
 	}
 	classSettings := ses.server.classes[class]
 	if classSettings.Effect == router.Deduplicated && f.IdempotencyKey == "" {
-		return nil, &queryError{pgwire.CodeMissing, "field unique: is missing"}
+		missing := &pgwire.FieldError{
+			Field: pgwire.FieldIdempotencyKey, Why: "is missing", Missing: true}
+		return nil, fieldError(missing)
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
@@ -113,7 +115,7 @@
 	class, known := names.Classes[name]
 	if !known {
 		why := fmt.Sprintf("%.60q is no profile", name)
-		return 0, &pgwire.FieldError{Field: "verb", Why: why}
+		return 0, &pgwire.FieldError{Field: pgwire.FieldClassName, Why: why}
 	}
 	return class, nil
 }
@@ -128,7 +130,8 @@
 	case name == "" || len(names.Tenants) == 0:
 		return noTenant, nil
 	}
-	return 0, &pgwire.FieldError{Field: "team", Why: fmt.Sprintf("%.60q is no tenant", name)}
+	why := fmt.Sprintf("%.60q is no tenant", name)
+	return 0, &pgwire.FieldError{Field: pgwire.FieldTenant, Why: why}
 }
 
 // fieldError is the answer to a field that can't be used.
--- a/internal/enginewire/answer.go
+++ b/internal/enginewire/answer.go
@@ -9,13 +9,13 @@
 	"strconv"
 )
 
-// ErrMalformed is wrapped by the errors of bytes that are no answer.
+// ErrMalformed is wrapped by the errors of malformed answers.
 var ErrMalformed = errors.New("malformed answer")
 
 // lineEnd ends a line, and the body of an answer.
 const lineEnd = "\r\n"
 
-// Kind is what an answer says. All but Pong are about the attempt of a query.
+// Kind is the kind of an answer. All but Pong are about the attempt of a query.
 type Kind int
 
 const (
@@ -46,7 +46,7 @@
 	"BLOCK": FurtherPage,
 }
 
-// Fields of answers on the wire. Others are passed over, so that an engine may be newer than its
+// Fields of answers on the wire. Others are ignored, so that an engine may be newer than its
 // controller.
 const (
 	fieldPageCount  = "parts"
@@ -68,8 +68,8 @@
 	Body       []byte  // of a page: its rows
 }
 
-// PeekAnswer parses the next answer without taking it; size is what to discard. The answer must fit
-// the reader's buffer.
+// PeekAnswer parses the next answer without taking it; size is the number of bytes to discard
+// afterwards. An answer that exceeds a bound or the reader's buffer is malformed.
 func PeekAnswer(r *bufio.Reader, maxLineBytes, maxBodyBytes int) (a Answer, size int, err error) {
 	line, err := peekLine(r, maxLineBytes)
 	if err != nil {
@@ -185,7 +185,8 @@
 // columns is the number of a row's columns.
 const columns = 3
 
-// WholeRows reports whether a page holds whole rows: columns separated by tabs, and a line feed.
+// WholeRows reports whether a page holds whole rows. Tabs separate a row's columns, and a line feed
+// ends it.
 func WholeRows(page []byte) bool {
 	for len(page) > 0 {
 		row, rest, ended := bytes.Cut(page, []byte{'\n'})
--- a/internal/enginewire/request.go
+++ b/internal/enginewire/request.go
@@ -38,8 +38,8 @@
 // AppendDropPages says that no more pages of a query's result are wanted.
 func AppendDropPages(b []byte, id string) []byte { return appendLine(b, requestDropPages, id) }
 
-// AppendPing asks for an answer with the same tag, which comes when all that was written before has
-// been read.
+// AppendPing asks for an answer with the same tag, which comes when the engine has read all that
+// was written before.
 func AppendPing(b []byte, tag string) []byte { return appendLine(b, requestPing, tag) }
 
 // AppendPageRequest asks for a page of a query's result, numbered from 0.
--- a/internal/pgwire/answers.go
+++ b/internal/pgwire/answers.go
@@ -27,7 +27,7 @@
 // EncryptionRefused answers a request for encryption.
 var EncryptionRefused = []byte{'N'}
 
-// sessionParameters are told to a client when its session opens; drivers read them.
+// sessionParameters are sent to a client when its session opens; drivers read them.
 var sessionParameters = [...]struct{ name, value string }{
 	{"server_version", "16.0"},
 	{"server_encoding", "UTF8"},
@@ -37,18 +37,19 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// beginMessage writes a message's type and leaves room for its length, which endMessage fills in at
-// the place returned.
+// beginMessage appends a message's type and room for its length, which endMessage fills in at
+// lengthAt.
 func beginMessage(b []byte, kind byte) (all []byte, lengthAt int) {
 	return append(b, kind, 0, 0, 0, 0), len(b) + 1
 }
 
+// endMessage fills in the length of the message that ends here.
 func endMessage(b []byte, lengthAt int) []byte {
 	binary.BigEndian.PutUint32(b[lengthAt:], uint32(len(b)-lengthAt))
 	return b
 }
 
-// appendStrings writes texts that end in a zero.
+// appendStrings writes texts, each with a zero byte behind it.
 func appendStrings(b []byte, texts ...string) []byte {
 	for _, s := range texts {
 		b = append(append(b, s...), 0)
@@ -87,8 +88,8 @@
 	return endMessage(append(b, 0), at)
 }
 
-// AppendRejected writes the error that allows the client to retry, after a while if that is above
-// 0. Clients read the words.
+// AppendRejected writes the error that allows the client to retry, after retryAfter if that is
+// above 0. Clients parse the message, so its words stay.
 func AppendRejected(b []byte, retryAfter time.Duration) []byte {
 	message := "shed: trying again is harmless"
 	if ms := retryAfter.Milliseconds(); ms > 0 {
--- a/internal/pgwire/codes.go
+++ b/internal/pgwire/codes.go
@@ -4,16 +4,16 @@
 
 // Errors of messages, checked with errors.Is.
 var (
-	// ErrTooLong is of a message longer than is accepted.
+	// ErrTooLong means that a message is longer than is accepted.
 	ErrTooLong = errors.New("message too long")
-	// ErrBuffer is of a message longer than the reader's buffer, but not too long.
+	// ErrBuffer means that a message is longer than the reader's buffer, but not too long.
 	ErrBuffer = errors.New("message longer than the buffer")
-	// ErrMalformed is of bytes that are no message of the protocol.
+	// ErrMalformed means that the bytes are no message of the protocol.
 	ErrMalformed = errors.New("malformed message")
 )
 
-// Codes of errors (SQLSTATE), with the conditions that PostgreSQL has under them. Clients tell by
-// the code what they may do.
+// Codes of errors (SQLSTATE), with PostgreSQL's names of the conditions. Clients decide by the code
+// whether to retry.
 const (
 	CodeNoResources = "53000" // insufficient_resources: the query was rejected, and may be retried
 	CodeTooMany     = "53300" // too_many_connections
--- a/internal/pgwire/doc.go
+++ b/internal/pgwire/doc.go
@@ -3,8 +3,8 @@
 // no state and does no I/O beyond a bufio.Reader.
 //
 // Parsers work on bytes that the reader holds and take nothing until a message is whole, so a read
-// that is broken off can go on later. What they return is good until the reader is used again, but
-// for strings.
+// that is ended early can go on later. Slices that they return are good until the reader is used
+// again.
 //
 // The names on the wire are mapped to the field's terms here alone: error codes in codes.go, types
 // of messages in message.go, the fields of a query in fields.go.
--- a/internal/pgwire/fields.go
+++ b/internal/pgwire/fields.go
@@ -10,27 +10,31 @@
 
 // Names of the fields on the wire, as clients write them into the comment ahead of a statement.
 const (
-	fieldClassName         = "verb"
+	FieldClassName         = "verb"
 	fieldID                = "txn"
-	fieldTenant            = "team"
-	fieldIdempotencyKey    = "unique"
+	FieldTenant            = "team"
+	FieldIdempotencyKey    = "unique"
 	fieldOrderingKey       = "item"
 	fieldTimeout           = "limit"  // ms
 	fieldEstimatedWork     = "cpu"    // ms
 	fieldEstimatedMemoryMB = "est_mb" // MB
+
 	// Errors name these as fields too.
+
 	fieldComment   = "comment"
-	fieldStatement = "statement"
+	FieldStatement = "statement"
 )
 
 const (
-	// maxMilliseconds and maxMegabytes are past what any query means: eleven days, ten terabytes.
+	// maxMilliseconds is the largest time in a field, over eleven days.
 	maxMilliseconds = 1e9
-	maxMegabytes    = 1e7
-	// maxLabels of a query are kept, with names and values of up to maxLabelBytes.
-	maxLabels     = 16
+	// maxMegabytes is the largest size in a field, ten terabytes.
+	maxMegabytes = 1e7
+	// maxLabels is how many labels of a query are kept.
+	maxLabels = 16
+	// maxLabelBytes is the length of the longest name or value of a label; longer ones are dropped.
 	maxLabelBytes = 128
-	// maxWordBytes is the length of a value that goes on to engines.
+	// maxWordBytes is the length of the longest value that goes on to engines.
 	maxWordBytes = 128
 	// idDigits is the length of a query's id, in hexadecimal digits.
 	idDigits = 16
@@ -39,11 +43,11 @@
 // blanks may stand around the comment and the statement.
 const blanks = " \t\r\n"
 
-// FieldError is of a field of a query that can't be used, by the name that it has on the wire.
+// FieldError says that a field of a query can't be used.
 type FieldError struct {
-	Field   string
+	Field   string // its name on the wire
 	Why     string
-	Missing bool // it is not there
+	Missing bool // the field is not there
 }
 
 // Error names the field and what is wrong with it.
@@ -85,7 +89,7 @@
 	}
 	f := Fields{Statement: bytes.TrimLeft(statement, blanks)}
 	if len(bytes.TrimRight(f.Statement, blanks+";")) == 0 {
-		return f, missing(fieldStatement, "is empty")
+		return f, missing(FieldStatement, "is empty")
 	}
 	seen := map[string]bool{}
 	for pair := range strings.SplitSeq(strings.TrimSpace(string(comment)), ",") {
@@ -100,7 +104,7 @@
 	}
 	switch {
 	case f.ClassName == "":
-		return f, missing(fieldClassName, "is missing")
+		return f, missing(FieldClassName, "is missing")
 	case f.ID == "":
 		return f, missing(fieldID, "is missing")
 	case !seen[fieldTimeout]:
@@ -109,11 +113,11 @@
 	return f, nil
 }
 
-// set reads one field. A name that is not known makes a label, so that a client may be newer than
-// its gateway.
+// set reads one field. A field with an unknown name becomes a label, so that a client may be newer
+// than its gateway.
 func (f *Fields) set(name, value string) (err error) {
 	switch name {
-	case fieldClassName:
+	case FieldClassName:
 		f.ClassName = value
 		err = checkWord(name, value, true)
 	case fieldID:
@@ -121,9 +125,9 @@
 		if len(value) != idDigits || strings.Trim(value, "0123456789abcdefABCDEF") != "" {
 			err = invalid(name, "is not of 16 hex digits")
 		}
-	case fieldTenant:
+	case FieldTenant:
 		f.Tenant = value
-	case fieldIdempotencyKey:
+	case FieldIdempotencyKey:
 		f.IdempotencyKey = value
 		err = checkWord(name, value, false)
 	case fieldOrderingKey:
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -27,8 +27,8 @@
 const headBytes = 5
 
 // PeekMessage returns the type and body of the next message, of maxBytes at most, without taking
-// it; size is what to discard, also with ErrBuffer. The body is good until the reader is used
-// again.
+// it. size is the number of bytes to discard afterwards; with ErrBuffer it is the size of buffer
+// that the message needs. The body is good until the reader is used again.
 func PeekMessage(r *bufio.Reader, maxBytes int) (kind byte, body []byte, size int, err error) {
 	head, err := r.Peek(headBytes)
 	if err != nil {
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -20,14 +20,14 @@
 	cancelBytes      = 16 // with a cancel key
 )
 
-// maxClaimedBytes is the largest length that counts as one: past it the bytes are of another
+// maxClaimedBytes is the largest length that a message may claim: past it the bytes are of another
 // protocol.
 const maxClaimedBytes = 1 << 30
 
 // applicationParameter is the parameter by which clients name themselves.
 const applicationParameter = "application_name"
 
-// CancelKey names a session to a cancel request.
+// CancelKey is what a cancel request has to send to name a session.
 type CancelKey struct{ SessionID, Secret uint32 }
 
 // StartKind is what a connection begins with.
@@ -78,8 +78,10 @@
 	body := message[startUpHeadBytes:]
 	switch {
 	case code == cancelCode && len(message) == cancelBytes:
-		key := CancelKey{SessionID: binary.BigEndian.Uint32(body),
-			Secret: binary.BigEndian.Uint32(body[4:])}
+		key := CancelKey{
+			SessionID: binary.BigEndian.Uint32(body),
+			Secret:    binary.BigEndian.Uint32(body[4:]),
+		}
 		return StartUp{Kind: StartCancel, CancelKey: key}, nil
 	case (code == sslCode || code == gssCode) && len(body) == 0:
 		return StartUp{Kind: StartEncryption}, nil
--- a/internal/pgwire/table.go
+++ b/internal/pgwire/table.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// stagingSchema, with a number behind it, names a schema whose number is no table group.
+// stagingSchema begins the names of schemas of which the number is no table group.
 const stagingSchema = "staging"
 
-// beforeTable are the words that the name of a table follows.
+// beforeTable are the keywords that the name of a table may follow.
 var beforeTable = map[string]bool{
 	"from":     true,
 	"join":     true,
@@ -28,8 +28,8 @@
 }
 
 // FindTable returns the table of a statement: the first qualified name with a table group that
-// stands where a table's name does, or if there is none the first elsewhere, which could be a
-// column's.
+// follows a keyword of beforeTable or, if there is none, the first one anywhere, which could be the
+// name of a column.
 func FindTable(statement []byte) (table Table, found bool) {
 	tokens := tokenize(statement)
 	for i := 0; i+2 < len(tokens); i++ {
--- a/internal/pgwire/tokens.go
+++ b/internal/pgwire/tokens.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Texts of tokens whose own text does not matter.
+// Texts that stand for any string and any number.
 const (
 	textString = "'"
 	textNumber = "0"
 )
 
-// token is a name, perhaps quoted, or a single sign. A string is the sign textString, a number
-// textNumber.
+// token is a name, perhaps quoted, or a single character. A string has the text textString, a
+// number textNumber.
 type token struct {
-	text   string // of a name: in the case that it stands for
+	text   string // of a name that is not quoted: in lower case
 	isName bool
 	quoted bool // of a name
 }
@@ -26,8 +26,9 @@
 	tokens []token
 }
 
-// tokenize splits a statement into tokens, without comments and without what its strings hold: a
-// name there is not one of the statement. What has no end reaches to the end of the statement.
+// tokenize splits a statement into tokens. Comments and the contents of strings are left out, as a
+// name in them is not one of the statement. A string or comment without an end reaches to the end
+// of the statement.
 func tokenize(statement []byte) []token {
 	t := &tokenizer{source: statement}
 	for t.at < len(t.source) {
@@ -36,7 +37,7 @@
 	return t.tokens
 }
 
-// next takes the next token, or passes a comment or a blank.
+// next takes the next token, or skips a comment or a blank.
 func (t *tokenizer) next() {
 	c := t.source[t.at]
 	switch {
@@ -69,7 +70,7 @@
 
 func (t *tokenizer) add(token token) { t.tokens = append(t.tokens, token) }
 
-// peek is the byte behind the next one; 0 past the end.
+// peek is the byte after the next one; 0 past the end.
 func (t *tokenizer) peek() byte {
 	if t.at+1 >= len(t.source) {
 		return 0
@@ -77,15 +78,15 @@
 	return t.source[t.at+1]
 }
 
-// skipWhile passes bytes for which a condition holds.
+// skipWhile skips bytes for which a condition holds.
 func (t *tokenizer) skipWhile(holds func(byte) bool) {
 	for t.at < len(t.source) && holds(t.source[t.at]) {
 		t.at++
 	}
 }
 
-// afterEscapeMark reports whether the string that begins here has an E right before it, which gives
-// backslashes a meaning in it.
+// afterEscapeMark reports whether the string that begins here has an E right before it, so that a
+// backslash in it is an escape.
 func (t *tokenizer) afterEscapeMark() bool {
 	if len(t.tokens) == 0 || t.at == 0 {
 		return false
@@ -102,8 +103,8 @@
 	t.add(token{text: strings.ReplaceAll(inner, `""`, `"`), isName: true, quoted: true})
 }
 
-// skipQuoted passes what stands in quotes, in which a doubled quote stands for one, and a backslash
-// before any byte for that byte if escapes is set.
+// skipQuoted skips what stands in quotes. In it a doubled quote stands for one and, if escapes is
+// set, a backslash and a byte for that byte.
 func (t *tokenizer) skipQuoted(quote byte, escapes bool) {
 	for t.at++; t.at < len(t.source); t.at++ {
 		c := t.source[t.at]
@@ -120,7 +121,7 @@
 	t.at = len(t.source) // an escape may have led past it
 }
 
-// skipComment passes a comment, which may hold others.
+// skipComment skips a comment, which may hold others.
 func (t *tokenizer) skipComment() {
 	depth := 0
 	for ; t.at < len(t.source); t.at++ {
@@ -140,7 +141,7 @@
 	t.at = len(t.source)
 }
 
-// skipDollarQuoted passes a string between two marks such as $$ or $tag$.
+// skipDollarQuoted skips a string between two marks such as $$ or $tag$.
 func (t *tokenizer) skipDollarQuoted() {
 	length := dollarTagLength(t.source[t.at:])
 	mark := t.source[t.at : t.at+length]
