--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -2,27 +2,36 @@
 
 import "time"
 
-// Shares of what the platform grants.
+// Shares of the memory that the platform grants.
 const (
-	// memoryPercent of the granted memory is what the garbage collector works towards. Half of that
-	// is for client connections, a quarter for connections to engines, a twelfth for a snapshot's
-	// file.
+	// memoryPercent of the granted memory is what the garbage collector works towards.
 	memoryPercent = 60
+	// A half of that is for client connections, a quarter for connections to engines, and a twelfth
+	// for the file of a snapshot.
+	clientMemoryDivisor   = 2
+	engineMemoryDivisor   = 4
+	snapshotMemoryDivisor = 12
 
 	// sessionBytes is the memory of one connection between queries: its goroutine, buffer and
-	// bookkeeping. Results are held by few connections at a time: those whose pages have arrived
-	// and whose client is reading.
+	// state. Few connections hold a result at a time: only those that have one to write to a client
+	// that is reading it.
 	sessionBytes = 24 << 10
+)
 
-	// Of descriptorShares parts of the descriptors, clients have 21, closing connections 1, engines
-	// 12. The rest is for discovery, the listener, the log and files.
+// Shares of the descriptors that the platform grants, of descriptorShares. The rest is for
+// discovery, the listener, the log and files.
+const (
 	descriptorShares         = 40
 	clientShares             = 21
 	closingConnectionsShares = 1
 	engineConnectionsShares  = 12
 )
 
-// Sizes in bytes, and counts.
+// engineIdleDivisor is the part of the engines' own idle timeout after which a connection is
+// closed.
+const engineIdleDivisor = 2
+
+// Sizes in bytes, and counts. The field of Limits with the same name says what each bounds.
 const (
 	clientMessageBytes    = 32 << 10
 	clientReadBufferBytes = 2 << 10
@@ -44,18 +53,25 @@
 	maxSnapshotFileBytes   = 8 << 20 // ten thousand table groups take 0.4 MB
 )
 
-// Times.
+// Times that depend on the settings.
 const (
-	// defaultConnect and defaultIdle hold where the settings have none.
+	// defaultConnect is the connect timeout of settings without one.
 	defaultConnect = 250 * time.Millisecond
-	defaultIdle    = 10 * time.Second
+	// defaultIdle is the engines' idle timeout of settings without one.
+	defaultIdle = 10 * time.Second
 
 	// maxDrain is how long a graceful shutdown waits for queries at most, whatever their clients'
-	// timeouts. After it, or the longest timeout, the last answers and the end of the process have
-	// a margin.
-	maxDrain         = 3 * time.Second
-	answerMargin     = 300 * time.Millisecond
-	endMargin        = 600 * time.Millisecond
+	// timeouts.
+	maxDrain = 3 * time.Second
+	// answerMargin is the time for the last answers, after the longest timeout or maxDrain.
+	answerMargin = 300 * time.Millisecond
+	// endMargin is the time until the process ends, after the longest timeout or maxDrain.
+	endMargin = 600 * time.Millisecond
+)
+
+// Times that are the same for all settings. The field of Limits with the same name says what each
+// is for.
+const (
 	drainQuietPeriod = 800 * time.Millisecond
 
 	acceptRetryDelay     = 5 * time.Millisecond
@@ -85,9 +101,10 @@
 )
 
 // For returns the limits of a controller that is granted so many descriptors and so much memory in
-// MiB. The times are those of the settings, each with a default for 0: how long connecting to an
-// engine may take (250 ms), after which time engines close idle connections (10 s), and the longest
-// timeout of a client (3 s, which is also the most that is waited for).
+// MiB. The times are those of the settings, each with a default for 0: connect is how long
+// connecting to an engine may take (250 ms), idle the time after which engines close idle
+// connections (10 s), and longest the longest timeout of a client (3 s, which is also the most that
+// is waited for).
 func For(descriptors, memoryMB int, connect, idle, longest time.Duration) *Limits {
 	if connect <= 0 {
 		connect = defaultConnect
@@ -116,7 +133,8 @@
 }
 
 func (l *Limits) setClientLimits(descriptors, memory int) {
-	l.ClientConnections = min(descriptors*clientShares/descriptorShares, memory/2/sessionBytes)
+	l.ClientConnections = min(descriptors*clientShares/descriptorShares,
+		memory/clientMemoryDivisor/sessionBytes)
 	l.ClosingConnections = descriptors * closingConnectionsShares / descriptorShares
 	l.ClientMessageBytes = clientMessageBytes
 	l.ClientReadBufferBytes = clientReadBufferBytes
@@ -134,7 +152,7 @@
 
 func (l *Limits) setEngineLimits(descriptors, memory int, connect, idle time.Duration) {
 	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares,
-		memory/4/sessionBytes)
+		memory/engineMemoryDivisor/sessionBytes)
 	l.AnswerHeaderBytes = answerHeaderBytes
 	l.PageBytes = pageBytes
 	l.ResultPages = resultPages
@@ -142,7 +160,7 @@
 	l.EngineQueueBytes = engineQueueBytes
 	l.EngineWriteTimeout = engineWriteTimeout
 	l.ConnectTimeout = connect
-	l.EngineIdleTimeout = idle / 2
+	l.EngineIdleTimeout = idle / engineIdleDivisor
 	l.MinIdleBeforeEviction = connect
 	l.PingTimeout = connect
 	l.PingAfter = connect
@@ -166,5 +184,5 @@
 	l.SnapshotReadTimeout = snapshotReadTimeout
 	l.SnapshotSectionBytes = snapshotSectionBytes
 	l.SnapshotSections = snapshotSections
-	l.SnapshotFileBytes = min(maxSnapshotFileBytes, int64(memory/12))
+	l.SnapshotFileBytes = min(maxSnapshotFileBytes, int64(memory/snapshotMemoryDivisor))
 }
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,4 +1,4 @@
 // Package limits holds the sizes, counts and times of the network code in one type. For fills it at
-// start from what the platform grants; it is then handed down and only read. Values that decisions
-// rest on are not here but in package router.
+// start from what the platform grants; after that it is only read. Values on which decisions depend
+// are not here but in package router.
 package limits
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -4,16 +4,16 @@
 
 // Limits bounds what the network code holds and how long it waits.
 //
-// For sets every field. The effect of zero, which only tests use: a size or count of zero admits
-// nothing; a time of zero is over when it begins. Fields for which this does not hold say so.
+// For sets every field. Only tests use zero: a size or count of zero admits nothing, and a time of
+// zero is over when it begins. Fields for which this does not hold say so.
 type Limits struct {
 	// Client connections.
 
 	// ClientConnections is the number of client connections, with those that have not sent a query
 	// yet.
 	ClientConnections int
-	// ClosingConnections is the number of connections above ClientConnections whose clients are
-	// being told that they end.
+	// ClosingConnections is the number of connections above ClientConnections that are being
+	// rejected or closed.
 	ClosingConnections int
 	// ClientMessageBytes is the size of a client's longest message.
 	ClientMessageBytes int
@@ -22,13 +22,13 @@
 	// ClientDrainBytes is how much a rejected client may still send, so that it gets to read the
 	// error, before it is closed.
 	ClientDrainBytes int64
-	// AcceptRetryDelay is the time after an accept failed until the next one: descriptors may be short
-	// for a moment.
+	// AcceptRetryDelay is the time from a failed accept to the next one: the process may be out of
+	// descriptors for a moment.
 	AcceptRetryDelay time.Duration
 	// FirstQueryTimeout is the time from connecting to the first whole query. A client without one
 	// must be rejected or closed in 3 s.
 	FirstQueryTimeout time.Duration
-	// ClientMessageTimeout is the time for the rest of a message whose first bytes have been read.
+	// ClientMessageTimeout is the time for the rest of a message once its first bytes were read.
 	ClientMessageTimeout time.Duration
 	// ClientIdleTimeout is the time between two queries. Clients close their idle connections
 	// themselves after 4 s.
@@ -38,8 +38,8 @@
 	NewConnectionGrace time.Duration
 	// ClientWriteTimeout is the time for a client to take an answer.
 	ClientWriteTimeout time.Duration
-	// AnswerAllowance is taken off a client's timeout, at most an eighth of it: the query has to be
-	// read, and the answer to arrive.
+	// AnswerAllowance is taken off a client's timeout, at most an eighth of it, because the answer
+	// still has to reach the client.
 	AnswerAllowance time.Duration
 	// ClientCloseTimeout is the time for a client to read that its connection ends.
 	ClientCloseTimeout time.Duration
@@ -70,16 +70,16 @@
 	// engine's own: an attempt that crosses the engine's close would count as one that may have
 	// run.
 	EngineIdleTimeout time.Duration
-	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed for
-	// another engine's sake, so that two engines don't take it from each other in turn. Zero spares
-	// none.
+	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed to make
+	// room for one to another engine, so that two engines don't evict each other in turn. Zero
+	// spares none.
 	MinIdleBeforeEviction time.Duration
 	// PingTimeout is the time for an engine to answer a ping. One is sent behind each cancelled
 	// attempt.
 	PingTimeout time.Duration
 	// PingAfter is the silence of an engine that owes an answer after which it is pinged.
 	PingAfter time.Duration
-	// AnswerTimeout is the time for the rest of an answer whose first bytes have been read.
+	// AnswerTimeout is the time for the rest of an answer once its first bytes were read.
 	AnswerTimeout time.Duration
 	// QueryIDReuseDelay is the time past its client's timeout during which a query's id is not used
 	// again on a connection.
@@ -95,12 +95,13 @@
 	// EndpointListExpiry is the time since the stream's last frame, or since its address changed,
 	// after which the endpoint list counts as expired.
 	EndpointListExpiry time.Duration
-	// EndpointListExpiryDisconnected is the same since the stream's connection broke.
+	// EndpointListExpiryDisconnected is the time since the stream's connection broke after which the
+	// endpoint list counts as expired.
 	EndpointListExpiryDisconnected time.Duration
 	// DiscoveryRetryDelay is the least time between two attempts to connect to discovery.
 	DiscoveryRetryDelay time.Duration
-	// EventQueueLength is the number of events that wait for the event loop; senders wait when it
-	// is full.
+	// EventQueueLength is the number of events, and of new queries, that may wait for the event loop.
+	// Senders of events wait when it is reached, new queries are rejected.
 	EventQueueLength int
 
 	// The process.
@@ -108,7 +109,7 @@
 	// ConfigReadTimeout is the time for a changed configuration to be read. No other signal is
 	// handled meanwhile.
 	ConfigReadTimeout time.Duration
-	// LogInterval is the least time between two log lines about the same engine or the same trouble.
+	// LogInterval is the least time between two log lines about the same engine or the same fault.
 	// Zero logs each.
 	LogInterval time.Duration
 	// DrainTimeout is the time from the start of a graceful shutdown until every query must be
@@ -124,7 +125,7 @@
 	// often (debug.SetMemoryLimit). It is no hard limit.
 	RuntimeMemoryBytes int64
 
-	// Snapshots of statistics, if the operator names a folder for them.
+	// Snapshots of statistics, if the operator names a directory for them.
 
 	// SnapshotPartRecords is the number of records that the event loop copies at a time.
 	SnapshotPartRecords int
@@ -136,7 +137,7 @@
 	// SnapshotMaxRetryDelay is the longest time between two attempts to write a snapshot while they
 	// fail.
 	SnapshotMaxRetryDelay time.Duration
-	// SnapshotReadTimeout is the time for the folder to be read at start. Clients wait for it.
+	// SnapshotReadTimeout is the time for the directory to be read at start. Clients wait for it.
 	SnapshotReadTimeout time.Duration
 	// SnapshotSectionBytes is the size of a section of a snapshot's file. One copy of
 	// SnapshotPartRecords records fits, whatever the length of their ids.
--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -3,10 +3,10 @@
 // runs, by Configure.
 //
 // Lines are rate-limited by kind, that is by level and message, so that an outage that repeats one
-// message a thousand times does not hide the one line that tells its cause. Dropped lines are
+// message a thousand times does not hide the one line that names its cause. Dropped lines are
 // counted, and the next line of their kind has the count in the attribute "dropped"; the count is
-// lost if there is none. Past a bound on the kinds that are told apart, further ones share one
-// limit.
+// lost if there is none. The number of kinds with a limit of their own is bounded; further kinds
+// share one limit.
 //
 // A failed write is ignored, as there is nowhere to report it. All functions may be called from any
 // goroutine.
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -19,7 +19,7 @@
 	attrs []slog.Attr
 }
 
-// Enabled tells whether lines of a level are written.
+// Enabled reports whether lines of a level are written.
 func (h *handler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= h.log.config.Load().block.Level
 }
@@ -39,8 +39,8 @@
 	return config.handler.Handle(ctx, line)
 }
 
-// scoped returns the attributes of a record together with those of the handler, each in the group
-// in which it was set.
+// scoped returns the attributes of a record and of the handler, each in the group in which it was
+// set.
 func (h *handler) scoped(r slog.Record) []slog.Attr {
 	var attrs []slog.Attr
 	r.Attrs(func(a slog.Attr) bool {
--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// timeFormat has milliseconds, because cause and effect lie that close together here.
+// timeFormat has milliseconds, as many events of one fault are less than a second apart.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // zerolog has one time format for the process, without fractions of a second by default.
@@ -23,7 +23,7 @@
 	config  atomic.Pointer[config]
 }
 
-// config is what a block says, with zerolog's handler for it.
+// config is the block in force, with zerolog's handler for it.
 type config struct {
 	block   Block
 	handler slog.Handler
--- a/internal/logs/ratelimit.go
+++ b/internal/logs/ratelimit.go
@@ -7,7 +7,7 @@
 )
 
 // maxKinds bounds the memory of the rate limiter in case a message holds something that varies.
-// Further kinds share one.
+// Further kinds share one window.
 const maxKinds = 256
 
 // otherKinds is the kind of lines past maxKinds.
@@ -35,15 +35,16 @@
 	windows map[kind]*window
 }
 
-// allow tells whether a line may be written now, and how many lines of its kind were dropped since
-// the last one.
+// allow reports whether a line may be written now, and how many lines of its kind were dropped
+// since the last one that was written.
 func (r *rateLimiter) allow(k kind, b Block) (dropped int, ok bool) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.windowOf(k, now)
 	elapsed := now.Sub(w.start)
-	clockSetBack := elapsed < 0 // without this, the kind would be silent until the clock has caught up
+	// Without this check the kind would be silent until a clock that was set back has caught up.
+	clockSetBack := elapsed < 0
 	if elapsed >= b.Every || clockSetBack {
 		w.start = now
 		w.written = 0
--- a/internal/memory/doc.go
+++ b/internal/memory/doc.go
@@ -1,6 +1,6 @@
 // Package memory stores the statistics of the decision module in snapshots on disk, so that a
-// controller that restarts need not gather them again at its clients' cost. Package core/restore
-// decides what of a snapshot still counts.
+// controller that restarts need not gather them again while its clients get slower answers. Package
+// core/restore decides which records of a snapshot are still valid.
 //
 // # Writing
 //
@@ -16,16 +16,17 @@
 // and nothing else: whatever the point of the crash, the directory has the snapshot before or the
 // new one, whole, and perhaps a temporary file that no reader opens.
 //
-// Statistics only steer decisions. Nothing that an answer to a client rests on is stored here, so a
+// Statistics only influence decisions. No answer to a client depends on what is stored here, so a
 // lost or old snapshot costs speed and never correctness.
 //
 // # Reading
 //
 // Load takes the newest file that is whole. If none is, because of a torn write, a bad checksum or
 // sections that this program can't decode, it takes what can be used of the newest. A file without
-// its header is not used at all, as nobody could tell which controller it belongs to. At start the
-// reading is bounded in time, too: see LoadWithTimeout.
+// its header is not used at all, as it does not name the controller that it belongs to. At start
+// the reading is bounded in time, too: see LoadWithTimeout.
 //
-// Bounded are bytes of a section and a file and the number of sections (FileBounds), records and
-// bytes of names in a section, records of a file, and the number of files that are looked at.
+// There are bounds on the bytes of a section and of a file and the number of sections (FileBounds),
+// on the records and the bytes of names in a section, on the records of a file, and on the number
+// of files that are read.
 package memory
--- a/internal/memory/encode.go
+++ b/internal/memory/encode.go
@@ -13,7 +13,7 @@
 	return add(sectionHeader, payload)
 }
 
-// encodeRecords adds all records, as few sections as possible for each kind.
+// encodeRecords adds all records, in as few sections as possible for each kind.
 func encodeRecords(s *router.Statistics, add snapshots.AddFunc) error {
 	if err := addRecords(sectionEngines, s.Engines, newEngineForm, add); err != nil {
 		return err
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -11,15 +11,15 @@
 	"mintkeel/router"
 )
 
-// Bounds on what is decoded, beside those of the file.
+// Bounds on the records that are decoded; see FileBounds for those of a file.
 const (
-	maxSectionRecords = 1024 // records of a section; also what is written to one at most
+	maxSectionRecords = 1024 // records of a section, read or written
 	maxPoolLeaders    = 64   // of a table group, which has one for each kind of engine
 	maxTextBytes      = 256  // bytes of a name or id
 )
 
-// errForeignContent means that a section has a good checksum and a content that this program does
-// not write.
+// errForeignContent means that a section has a good checksum but content that this program does not
+// write.
 var errForeignContent = errors.New("holds what this program did not write")
 
 // Kinds of sections.
@@ -35,7 +35,7 @@
 // CBOR array of its fields in this order: a change of any of them needs a new snapshots.Version.
 // Some fields keep older terms; the functions new...Form and record are the one place that maps
 // these to the terms of package router. Times are whole ms since 1970, except for an engine's
-// start, which has to compare equal with what discovery says.
+// start, which has to be equal to that in the endpoint list.
 type (
 	headerForm struct {
 		_        struct{} `cbor:",toarray"`
--- a/internal/memory/inspect.go
+++ b/internal/memory/inspect.go
@@ -8,7 +8,7 @@
 	"mintkeel/router"
 )
 
-// retainedSnapshots is how many snapshots a folder keeps: see package snapshots.
+// retainedSnapshots is how many snapshots a directory keeps: see package snapshots.
 const retainedSnapshots = 2
 
 // FileCheck is the state of one file. The JSON keys are those of mintkeel memory verify --json.
@@ -44,13 +44,13 @@
 
 // PruneSelection is which records to remove.
 type PruneSelection struct {
-	All     bool // the others don't count then
+	All     bool // every record; Engines and Tables are ignored
 	Engines []router.EngineID
 	Tables  []router.TableGroup
 }
 
-// Prune removes records from the stored snapshots and returns how many. The error is disk.ErrLocked
-// while a controller uses the directory.
+// Prune removes records from the stored snapshots and returns how many. While a controller uses the
+// directory the error is disk.ErrLocked.
 func Prune(d disk.Disk, b snapshots.Bounds, selection PruneSelection) (removed int, err error) {
 	if selection.All {
 		return removeAll(d, b)
@@ -68,7 +68,7 @@
 	return removed, err
 }
 
-// removeAll removes all files and returns how many records could be used of them.
+// removeAll removes all files and returns how many records Load could have used.
 func removeAll(d disk.Disk, b snapshots.Bounds) (removed int, err error) {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return removed, folder.Clear()
 }
 
-// RewriteNewest replaces all snapshots of a directory by the newest one with changed records. Times
-// stay, so that the records don't look younger.
+// RewriteNewest replaces all snapshots of a directory by the newest one after change. The times of
+// the records stay, so that they don't look younger.
 func RewriteNewest(d disk.Disk, b snapshots.Bounds, change func(*router.Statistics)) error {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
@@ -95,7 +95,7 @@
 		return err
 	}
 	change(&stored.Snapshot.Statistics)
-	// It is written as often as files are retained, so that no file has what was removed.
+	// It is written as often as files are retained, so that no older file is left.
 	for range retainedSnapshots {
 		_, err = folder.Write(stored.writeSections)
 		if err != nil {
--- a/internal/memory/load.go
+++ b/internal/memory/load.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxFilesRead bounds how many files of a directory are tried. A writer leaves two; one that
-	// was filled by somebody else must not delay a start.
+	// maxFilesRead bounds how many files of a directory are tried. A writer leaves two, but a
+	// directory with many other files must not delay a start.
 	maxFilesRead = 8
 
 	// maxFileRecords bounds the records of a file, which then take a few MB of memory.
@@ -35,7 +35,7 @@
 	hasHeader bool
 }
 
-// ReadResult is what became of one file.
+// ReadResult is the result of reading one file.
 type ReadResult struct {
 	File string // name in the directory
 	Err  error  // nil: the file is whole
@@ -80,10 +80,10 @@
 }
 
 // readFile reads one file. With an error it may return what could be used of the file. It returns
-// nothing of a file without header, which does not tell the controller that it belongs to.
+// nil for a file without a header, which would name the controller that it belongs to.
 func readFile(d disk.Disk, file snapshots.File, b snapshots.Bounds) (*StoredSnapshot, error) {
 	stored := &StoredSnapshot{File: file.Name}
-	var decodeErr error // the first one; the sections behind are still used
+	var decodeErr error // the first one; later sections are still used
 	serial, err := snapshots.Read(d, file.Name, b, func(s snapshots.Section) error {
 		if stored.Snapshot.Statistics.Len() > maxFileRecords {
 			return errTooManyRecords
@@ -117,7 +117,7 @@
 		err     error
 	}
 	reply := make(chan loaded, 1)
-	go func() { // ends when the disk answers; the reply has room, so it never waits for the receiver
+	go func() { // ends when the disk answers; reply has room, so it never waits for the receiver
 		stored, results, err := Load(d, FileBounds(l))
 		reply <- loaded{stored, results, err}
 	}()
--- a/internal/memory/report.go
+++ b/internal/memory/report.go
@@ -19,15 +19,15 @@
 	Records    int             `json:"records"`
 	Restorable int             `json:"believed"` // records
 	Expired    int             `json:"aged"`     // records that are too old
-	FromFuture int             `json:"future"`   // records whose time has not come
-	Invalid    int             `json:"wrong"`    // records with values that can't be
+	FromFuture int             `json:"future"`   // records with a time in the future
+	Invalid    int             `json:"wrong"`    // records with impossible values
 	Engines    []EngineReport  `json:"engines"`
 	Tables     []TableReport   `json:"tables"`
 	Classes    []ClassReport   `json:"profiles"`
 	Traffic    []TrafficReport `json:"traffic"`
 }
 
-// RecordReport is what all records have.
+// RecordReport has the fields that the reports of all records have.
 type RecordReport struct {
 	AgeMS int64 `json:"age_ms"`
 	// RemainingWeight is the share of its weight that the record still has; 0: it would not be
@@ -131,8 +131,8 @@
 	}
 }
 
-// newRecordReport is that of a record of an age in ms. Its weight is that of the part with the
-// longest half-life.
+// newRecordReport returns the report of a record of an age in ms. Its weight is that of the part
+// with the longest half-life.
 func newRecordReport(age float64, halfLives ...float64) RecordReport {
 	report := RecordReport{AgeMS: int64(age)}
 	for _, halfLife := range halfLives {
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -16,13 +16,14 @@
 	"mintkeel/router"
 )
 
-// maxBackoffDoublings bounds how often the delay is doubled while writes fail.
+// maxBackoffDoublings bounds how often the delay is doubled while writes fail, so that it does not
+// overflow.
 const maxBackoffDoublings = 10
 
 // StatisticsSource is where statistics are copied from.
 type StatisticsSource interface {
-	// Statistics copies a part of most records at most. It fails with the error of ctx only.
-	Statistics(ctx context.Context, from router.Cursor, most int) (Part, error)
+	// Statistics copies a part of at most maxRecords records. The only error is that of ctx.
+	Statistics(ctx context.Context, from router.Cursor, maxRecords int) (Part, error)
 }
 
 // Part is a part of the statistics.
@@ -42,16 +43,16 @@
 	log    *slog.Logger
 
 	interval        atomic.Int64  // ns
-	intervalChanged chan struct{} // has room for one
+	intervalChanged chan struct{} // has room for one signal
 	stopOnce        sync.Once
 	stopRequested   chan struct{} // closed by Stop: write a final snapshot and end
 	done            chan struct{} // closed once the directory is released
 
-	// ctx ends what is being written, at the latest by Wait.
+	// ctx aborts a snapshot that is being written; Wait ends it at the latest.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// These belong to the goroutine run.
+	// Owned by the goroutine of run:
 	folder   *snapshots.Folder // nil: not open
 	failures int               // in a row
 	lastSize int64             // bytes of the last snapshot; 0 after a failure
@@ -66,7 +67,7 @@
 }
 
 // StartSnapshotWriter starts to write the source's statistics to a directory, as snapshots of the
-// controller owner. The first is written after an interval.
+// controller owner. The first is written after one interval.
 func StartSnapshotWriter(
 	d disk.Disk, interval time.Duration, owner restore.Identity, build string,
 	source StatisticsSource, l *limits.Limits, log *slog.Logger,
@@ -106,8 +107,8 @@
 }
 
 // Wait waits until the directory is released. If ctx ends first, Wait returns its error, and a
-// snapshot that is being written is given up. A write that hangs in the kernel can't be
-// interrupted: the goroutine ends with it, or with the process.
+// snapshot that is being written is aborted. A write that hangs in the kernel can't be interrupted:
+// the writer's goroutine ends after it, or with the process.
 func (w *SnapshotWriter) Wait(ctx context.Context) error {
 	defer w.cancel()
 	select {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Stopped tells whether the directory has been released.
+// Stopped reports whether the directory has been released.
 func (w *SnapshotWriter) Stopped() bool {
 	select {
 	case <-w.done:
@@ -128,7 +129,7 @@
 	}
 }
 
-// LogValue is the counts, which docs/memory.md explains.
+// LogValue prints the counts, which docs/memory.md explains.
 func (w *SnapshotWriter) LogValue() slog.Value {
 	age := int64(-1)
 	if at := w.writtenAt.Load(); at > 0 {
@@ -144,7 +145,7 @@
 	)
 }
 
-// run writes snapshots until the writer is stopped or given up.
+// run writes snapshots until the writer is stopped or ctx ends.
 func (w *SnapshotWriter) run() {
 	defer close(w.done)
 	defer w.closeFolder()
@@ -172,12 +173,12 @@
 
 // nextDelay is the time until the next snapshot, after so many failures in a row and a snapshot of
 // so many bytes. A large snapshot makes it longer, so that no more than SnapshotBytesPerSecond is
-// written on average. Each failure doubles it up to SnapshotMaxRetryDelay: a disk that is full or
-// gone is tried as long as the process lives.
+// written on average. Each failure doubles it up to SnapshotMaxRetryDelay. There is no last retry,
+// as a disk that was full or gone may come back.
 func (w *SnapshotWriter) nextDelay(failures int, size int64) time.Duration {
 	interval := time.Duration(w.interval.Load())
-	bySize := time.Duration(float64(size) / float64(w.limits.SnapshotBytesPerSecond) *
-		float64(time.Second))
+	seconds := float64(size) / float64(w.limits.SnapshotBytesPerSecond)
+	bySize := time.Duration(seconds * float64(time.Second))
 	delay := max(interval, bySize)
 	if failures == 0 {
 		return delay
@@ -186,7 +187,7 @@
 	return max(interval, min(backoff, w.limits.SnapshotMaxRetryDelay))
 }
 
-// writeSnapshot writes a snapshot and logs if that fails, or succeeds after failures.
+// writeSnapshot writes a snapshot, and logs a failure or the first success after failures.
 func (w *SnapshotWriter) writeSnapshot() {
 	size, err := w.tryWrite()
 	w.lastSize = size
@@ -198,8 +199,8 @@
 		return
 	}
 	w.failures++
-	wasGivenUp := w.ctx.Err() != nil
-	if wasGivenUp {
+	wasAborted := w.ctx.Err() != nil
+	if wasAborted {
 		return
 	}
 	w.failed.Add(1)
