--- a/internal/controller/clock.go
+++ b/internal/controller/clock.go
@@ -5,8 +5,7 @@
 // Clock returns the time in milliseconds since 1970. It never goes back.
 type Clock func() float64
 
-// SystemClock returns a clock that begins with the system's time and goes on by the monotonic
-// clock.
+// SystemClock returns a clock that starts at the system's time and runs by the monotonic clock.
 func SystemClock() Clock {
 	start := time.Now()
 	base := float64(start.UnixNano()) / 1e6
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,7 +1,6 @@
 // Package controller is the loop of the daemon: one goroutine that owns the decision module
 // (package router). It turns messages of the clients' side, the engines' side and discovery into
-// the module's events, and carries out the module's actions in their order. It decides nothing
-// itself.
+// events of the module, and carries out the module's actions in order. It decides nothing itself.
 //
 // # Contract
 //
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -29,10 +29,7 @@
 	}
 	var addresses []engines.Endpoint
 	for _, entry := range update.Endpoints {
-		endpoint := entry.Endpoint
-		if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
-			endpoint.State = router.Draining
-		}
+		endpoint := l.drainIfHeld(entry.Endpoint)
 		event.Endpoints = append(event.Endpoints, endpoint)
 		addresses = append(addresses,
 			engines.Endpoint{Engine: endpoint.Engine, Address: entry.Address, State: endpoint.State})
@@ -49,6 +46,15 @@
 	}
 }
 
+// drainIfHeld returns an endpoint of the list as the module and the engines' side get it: a ready
+// engine that is held is draining.
+func (l *Loop) drainIfHeld(endpoint router.Endpoint) router.Endpoint {
+	if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
+		endpoint.State = router.Draining
+	}
+	return endpoint
+}
+
 // keepEndpoints updates the kept list, which has the engines' states as received, held or not.
 func (l *Loop) keepEndpoints(update discovery.Update) {
 	if update.Complete {
@@ -75,25 +81,23 @@
 // hold replaces the held engines, and updates the module and the engines' side on those that change
 // state by that.
 func (l *Loop) hold(wanted []router.EngineID) {
-	held := map[router.EngineID]bool{}
+	heldBefore := l.heldEngines
+	l.heldEngines = map[router.EngineID]bool{}
 	for _, id := range wanted {
-		held[id] = true
+		l.heldEngines[id] = true
 	}
 	var changed []router.Endpoint
 	var addresses []engines.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
 		endpoint := l.endpoints[id]
-		if held[id] == l.heldEngines[id] || endpoint.State != router.Ready {
+		if l.heldEngines[id] == heldBefore[id] || endpoint.State != router.Ready {
 			continue
 		}
-		if held[id] {
-			endpoint.State = router.Draining
-		}
+		endpoint = l.drainIfHeld(endpoint)
 		changed = append(changed, endpoint)
 		addresses = append(addresses,
 			engines.Endpoint{Engine: id, Address: l.addresses[id], State: endpoint.State})
 	}
-	l.heldEngines = held
 	if len(changed) == 0 {
 		return
 	}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -41,8 +41,7 @@
 		within, startWithin time.Duration)
 	// CancelAttempt gives an attempt up. Its outcome still comes.
 	CancelAttempt(query *request.Query, attempt router.AttemptID, engine router.EngineID)
-	// CheckHealth asks an engine for its health and load. The result comes as an
-	// engines.HealthCheckEnded.
+	// CheckHealth starts a health check of an engine, which ends by an engines.HealthCheckEnded.
 	CheckHealth(engine router.EngineID)
 	// Close ends all connections.
 	Close()
