--- a/cmd/mintkeel-sim/events.go
+++ b/cmd/mintkeel-sim/events.go
@@ -14,8 +14,8 @@
 // milliseconds converts a time to the module's unit.
 func milliseconds(ns int64) float64 { return float64(ns) / nsPerMS }
 
-// event returns the module's event of a message; nil if the module has none for it. The error is a
-// *simwire.FieldError.
+// event returns the module's event of a message; nil if the module has none for it. Its error, a
+// *simwire.FieldError, names the field that can't be used.
 func (n *names) event(m simwire.Message) (router.Event, error) {
 	switch b := m.Body.(type) {
 	case simwire.EndpointsUpdated:
@@ -38,7 +38,7 @@
 	return nil, nil
 }
 
-// unknownValue is the error of a field whose value is not known; the field is named as on the wire.
+// unknownValue is the error of a field with an unknown value; field is its name on the wire.
 func unknownValue(line int, field, value string) error {
 	return &simwire.FieldError{Line: line, Field: field, Why: fmt.Sprintf("%q is not known", value)}
 }
--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -109,8 +109,7 @@
 	return &instance{names: names(facts.Names), module: facts.NewRouter(int64(m.Seed))}, nil
 }
 
-// step has a controller's module decide, and writes its actions; a panic is reported in their
-// place.
+// step has a controller's module decide and writes its actions, or reports its panic instead.
 func (inst *instance) step(w *simwire.Writer, number int, now float64) {
 	defer func() {
 		if failure := recover(); failure != nil {
--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -15,7 +15,7 @@
 	3: router.Gone,
 }
 
-// progressKinds are the kinds of progress messages, by their numbers. Other numbers stand for
+// progressKinds are the kinds of progress messages, by their numbers. All other numbers are of
 // router.ProgressOther.
 var progressKinds = map[int64]router.ProgressKind{
 	1:               router.ProgressDone,
--- a/internal/clients/connections_test.go
+++ b/internal/clients/connections_test.go
@@ -12,7 +12,7 @@
 
 // All connections are taken, and more come. Room is made of the sessions that have no open query: first of
 // those that never sent one, then of those that have been idle for longest. If all have one open, a new
-// connection is told so, but it may still cancel.
+// connection is rejected, but it may still cancel.
 func TestConnectionLimit(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientConnections, l.NewConnectionGrace = 3, 0 })
 	answer := func(conn net.Conn) {
@@ -28,7 +28,7 @@
 	open := st.connect(startMessage, queryMessage(queryText))
 	query := st.nextQuery()
 	silent := st.connect()
-	for range 2 { // of the second, whose first message is on its way when the third comes
+	for range 2 { // the first message of the second is on its way when the third comes
 		st.readUntil(st.connect(startMessage, message('X', "")), "")
 	}
 	if said, _ := st.readUntil(silent, ""); said != "$" {
--- a/internal/clients/doc.go
+++ b/internal/clients/doc.go
@@ -11,12 +11,11 @@
 //
 // While a query is open its session goes on reading, so that it notices if its client disconnects.
 // The answer ends that read by moving the read deadline into the past. What the client has sent
-// ahead (pipelined) stays in the buffer, with the time at which it came, and is handled after the
-// answer.
+// ahead (pipelined) stays in the buffer and is handled after the answer; the time at which it came
+// is recorded.
 //
 // A query is read, open from execute until its answer is written, and then forgotten. It gets
-// exactly one answer unless its client disconnects first, in which case ClientDisconnected is
-// reported.
+// exactly one answer; if its client disconnects first, ClientDisconnected is reported instead.
 //
 // # Bounds
 //
@@ -30,7 +29,7 @@
 // # The end of a session
 //
 // All sessions end in one way (beginClose, leave): the write side is closed, what still comes is
-// read and dropped within ClientCloseTimeout and ClientDrainBytes, then the connection is closed. A
-// close over unread bytes would be a reset, which can cost a client an answer that it has not read
-// yet.
+// read and dropped within ClientCloseTimeout and ClientDrainBytes, then the connection is closed.
+// Closing it with unread bytes would reset it, and a client could lose an answer that it has not
+// read yet.
 package clients
--- a/internal/clients/draining_test.go
+++ b/internal/clients/draining_test.go
@@ -11,9 +11,9 @@
 	"mintkeel/internal/request"
 )
 
-// The server shuts down. Who is owed an answer has it, also for a query that came behind, and then finds an
-// orderly end. Half a query is not waited for, nothing that comes later is handed over, and new connections
-// are told. Shutdown returns when all that is done.
+// The server shuts down. Clients with an open query get its answer, also to a query that they sent behind it,
+// and then their connection is closed in order. The server does not wait for the rest of half a query, hands
+// over nothing that comes later, and rejects new connections. Shutdown returns when all that is done.
 func TestShutdown(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientCloseTimeout, l.ClientIdleTimeout = testTimeout, 2*testTimeout })
 	owed := st.connect(startMessage, queryMessage(queryText))
--- a/internal/clients/execute_test.go
+++ b/internal/clients/execute_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// A client sends more behind an open query than is held. It has its answer, and is told why its session ends
-// then.
+// A client sends more behind an open query than is kept. It gets its answer, and then the error that ends its
+// session.
 func TestTooMuchPipelined(t *testing.T) {
 	st := newServerTest(t, nil)
 	conn := st.connect(startMessage, queryMessage(queryText))
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// maxRulesShown bounds the rules whose counts are printed: the first that matched.
+// maxRulesShown is how many rules have their counts printed: the first ones that matched.
 const maxRulesShown = 50
 
 // ruleSet is the operator's rules with counts of how often each matched. Sessions share it.
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -144,7 +144,7 @@
 }
 
 // LogValue prints the server's counts. The keys are those that docs/oncall.md explains and
-// operators' tools read; they are mapped to the field's terms here alone.
+// operators' tools read; they are mapped to the glossary's terms here alone.
 func (s *Server) LogValue() slog.Value {
 	s.mu.Lock()
 	open := len(s.sessions)
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -102,7 +102,7 @@
 	return conn
 }
 
-// readUntil reads messages until one whose type is in until, or the end ("$"). It returns the types, with the
+// readUntil reads messages until one of a type in until, or the end ("$"). It returns the types, with the
 // codes of errors, and the session's cancel key if it came.
 func (st *serverTest) readUntil(conn net.Conn, until string) (said string, key []byte) {
 	st.t.Helper()
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -17,8 +17,7 @@
 	"mintkeel/internal/request"
 )
 
-// session is one client's connection. Its goroutine runs it and owns the fields that are not marked
-// otherwise.
+// session is one client's connection. Its goroutine owns all fields that are not marked otherwise.
 type session struct {
 	server      *Server
 	conn        net.Conn
--- a/internal/clients/session_test.go
+++ b/internal/clients/session_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Clients that send nothing, or half a message, are told and closed in time; so are those that sent a query
-// and stay.
+// Clients that send nothing, or half a message, get an error and are closed in time. Those that sent a query
+// and stay are closed too.
 func TestSilentClient(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) {
 		l.FirstQueryTimeout = 40 * time.Millisecond
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -37,7 +37,7 @@
 }
 
 // LogValue prints the counts. The keys are those that docs/oncall.md explains and operators' tools
-// read; they are mapped to the field's terms here alone.
+// read; they are mapped to the glossary's terms here alone.
 func (c Counts) LogValue() slog.Value {
 	var outcomes []slog.Attr
 	for outcome, n := range c.Outcomes {
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// Engines can't tell two queries with one id apart, so the second fails while the first is in flight. And a
+// Engines can't distinguish two queries with one id, so the second fails while the first is in flight. And a
 // client may disconnect before its query reaches the loop: nothing must be started for it.
 func TestQueryNotAccepted(t *testing.T) {
 	l, recorder := newLoop(t)
--- a/internal/controller/statistics_test.go
+++ b/internal/controller/statistics_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/router"
 )
 
-// Statistics are taken out in parts through the loop, and nobody waits for a loop that has ended. Stored
+// Statistics are copied in parts through the loop, and no copy waits for a loop that has ended. Stored
 // statistics are restored once, with the first update that names engines.
 func TestStatistics(t *testing.T) {
 	l, _ := newLoop(t)
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -9,8 +9,8 @@
 )
 
 // InitialList is what a configuration holds of the endpoint list: the updates up to its number. The
-// names of the platform's configuration are mapped to the field's terms here alone, by the tags and
-// by stateNames.
+// names of the platform's configuration are mapped to the glossary's terms here alone, by the tags
+// and by stateNames.
 type InitialList struct {
 	Number  uint64        `json:"no"`
 	Updates []InitialItem `json:"items"`
--- a/internal/engines/answers_test.go
+++ b/internal/engines/answers_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// An engine reports progress, and then that the attempt never ran. That is not believed: it may have had its
-// effect.
+// An engine reports progress, and then that the attempt never ran. The attempt ends as Errored, as
+// it may have had its effect.
 func TestRejectedAfterProgress(t *testing.T) {
 	for _, word := range []string{"AGAIN", "STALE"} {
 		pt := newPoolTest(t, nil)
--- a/internal/engines/endpoints_test.go
+++ b/internal/engines/endpoints_test.go
@@ -65,9 +65,9 @@
 	pt.expectEnd(3, router.NotSent)
 }
 
-// An engine takes the address of another whose end is not in the endpoint list yet. It must get nothing that
-// is meant for the other; what runs there may end, and the other gets attempts again when it is listed with
-// its address.
+// An engine takes the address of another, and the endpoint list does not say yet that the other has gone. It
+// must get no attempt that is meant for the other; what runs there may end, and the other gets attempts again
+// when it is listed with its address.
 func TestAddressReused(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	pt.start(newQuery("c1"), 1)
--- a/internal/engines/events.go
+++ b/internal/engines/events.go
@@ -11,8 +11,7 @@
 type Event interface{ event() }
 
 type (
-	// AttemptEnded is the outcome of an attempt. There is exactly one for each attempt that was
-	// started.
+	// AttemptEnded is the outcome of an attempt. Each attempt that is started gets exactly one.
 	AttemptEnded struct {
 		Query   *request.Query
 		Attempt router.AttemptID
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -14,8 +14,7 @@
 	"mintkeel/router"
 )
 
-// defaultMaxPerConn is how many attempts a connection carries at once where the settings say
-// nothing.
+// defaultMaxPerConn is how many attempts a connection carries at once if the settings don't say.
 const defaultMaxPerConn = 100
 
 // Pool is the connections to all engines. One goroutine, the loop's, calls its methods; none of
--- a/internal/enginewire/answer.go
+++ b/internal/enginewire/answer.go
@@ -46,8 +46,7 @@
 	"BLOCK": FurtherPage,
 }
 
-// Fields of answers on the wire. Others are ignored, so that an engine may be newer than its
-// controller.
+// Fields of answers on the wire. Others are ignored, as an engine may be newer than its controller.
 const (
 	fieldPageCount  = "parts"
 	fieldPageNumber = "part_no"
--- a/internal/enginewire/doc.go
+++ b/internal/enginewire/doc.go
@@ -6,6 +6,6 @@
 // CR LF. An answer is taken from its reader's buffer only when it is whole, so that a read that is
 // ended early can go on later.
 //
-// The words on the wire are mapped to the field's terms here alone, by the tables in answer.go and
-// request.go.
+// The words on the wire are mapped to the glossary's terms here alone, by the tables in answer.go
+// and request.go.
 package enginewire
--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -6,12 +6,12 @@
 const (
 	// memoryPercent of the granted memory is what the garbage collector works towards.
 	memoryPercent = 60
-	// A half of that is for client connections, a quarter for connections to engines, and a twelfth
-	// for the file of a snapshot.
-	clientMemoryDivisor   = 2
-	engineMemoryDivisor   = 4
+	// clientMemoryDivisor gives half of that to client connections.
+	clientMemoryDivisor = 2
+	// engineMemoryDivisor gives a quarter of it to connections to engines.
+	engineMemoryDivisor = 4
+	// snapshotMemoryDivisor gives a twelfth of it to the file of a snapshot.
 	snapshotMemoryDivisor = 12
-
 	// sessionBytes is the memory of one connection between queries: its goroutine, buffer and
 	// state. Few connections hold a result at a time: only those that have one to write to a client
 	// that is reading it.
@@ -27,8 +27,7 @@
 	engineConnectionsShares  = 12
 )
 
-// engineIdleDivisor is the part of the engines' own idle timeout after which a connection is
-// closed.
+// engineIdleDivisor has connections closed after half of the engines' own idle timeout.
 const engineIdleDivisor = 2
 
 // Sizes in bytes, and counts. The field of Limits with the same name says what each bounds.
@@ -60,8 +59,7 @@
 	// defaultIdle is the engines' idle timeout of settings without one.
 	defaultIdle = 10 * time.Second
 
-	// maxDrain is how long a graceful shutdown waits for queries at most, whatever their clients'
-	// timeouts.
+	// maxDrain is how long a graceful shutdown waits for queries at most, whatever their timeouts.
 	maxDrain = 3 * time.Second
 	// answerMargin is the time for the last answers, after the longest timeout or maxDrain.
 	answerMargin = 300 * time.Millisecond
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -9,8 +9,7 @@
 type Limits struct {
 	// Client connections.
 
-	// ClientConnections is the number of client connections, with those that have not sent a query
-	// yet.
+	// ClientConnections is the number of client connections, with or without a query so far.
 	ClientConnections int
 	// ClosingConnections is the number of connections above ClientConnections that are being
 	// rejected or closed.
@@ -67,15 +66,13 @@
 	// is no limit for engines.
 	ConnectTimeout time.Duration
 	// EngineIdleTimeout is the time after which an unused connection is closed. It is shorter than the
-	// engine's own: an attempt that crosses the engine's close would count as one that may have
-	// run.
+	// engine's own: an attempt that crosses the engine's close would count as possibly run.
 	EngineIdleTimeout time.Duration
 	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed to make
 	// room for one to another engine, so that two engines don't evict each other in turn. Zero
 	// spares none.
 	MinIdleBeforeEviction time.Duration
-	// PingTimeout is the time for an engine to answer a ping. One is sent behind each cancelled
-	// attempt.
+	// PingTimeout is the time for an engine to answer a ping. Each cancel is followed by one.
 	PingTimeout time.Duration
 	// PingAfter is the silence of an engine that owes an answer after which it is pinged.
 	PingAfter time.Duration
@@ -112,8 +109,7 @@
 	// LogInterval is the least time between two log lines about the same engine or the same fault.
 	// Zero logs each.
 	LogInterval time.Duration
-	// DrainTimeout is the time from the start of a graceful shutdown until every query must be
-	// answered.
+	// DrainTimeout is the time for every query to be answered, from the start of a graceful shutdown.
 	DrainTimeout time.Duration
 	// ShutdownTimeout is the time from the start of a graceful shutdown until the process ends,
 	// whatever is unanswered.
@@ -134,8 +130,7 @@
 	// SnapshotBytesPerSecond is how many bytes a second are written on average: larger snapshots
 	// are written less often. It must not be zero.
 	SnapshotBytesPerSecond int
-	// SnapshotMaxRetryDelay is the longest time between two attempts to write a snapshot while they
-	// fail.
+	// SnapshotMaxRetryDelay is the longest time between two attempts to write a snapshot that fail.
 	SnapshotMaxRetryDelay time.Duration
 	// SnapshotReadTimeout is the time for the directory to be read at start. Clients wait for it.
 	SnapshotReadTimeout time.Duration
@@ -144,7 +139,6 @@
 	SnapshotSectionBytes int
 	// SnapshotSections is the number of sections of a file.
 	SnapshotSections int
-	// SnapshotFileBytes is the size of a file, which takes several times as much memory when it is
-	// read.
+	// SnapshotFileBytes is the size of a file. Reading it takes several times as much memory.
 	SnapshotFileBytes int64
 }
--- a/internal/logs/block.go
+++ b/internal/logs/block.go
@@ -32,11 +32,10 @@
 	// Level is the lowest level that is written. Default: info.
 	Level slog.Level
 	// Burst is how many lines of one kind are written within Every; further ones are counted and
-	// dropped. From 1 to 1,000,000, default 20. Zero would drop all lines and can't be set in the
-	// file.
+	// dropped. From 1 to 1,000,000, default 20. Zero would drop all lines; the file can't set it.
 	Burst int
-	// Every is the window of the rate limit. From 10 ms to 1 h, default 1 s. Zero would be no limit
-	// and can't be set in the file.
+	// Every is the window of the rate limit. From 10 ms to 1 h, default 1 s. Zero would be no limit;
+	// the file can't set it.
 	Every time.Duration
 }
 
@@ -45,8 +44,7 @@
 	return Block{Format: formatText, Level: slog.LevelInfo, Burst: defaultBurst, Every: defaultEvery}
 }
 
-// ReadBlock reads the block "log". What can't be used is noted in the diagnostics and has its
-// default.
+// ReadBlock reads the block "log". A field that can't be used gets a diagnostic and its default.
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) Block {
 	read := DefaultBlock()
 	open := block.Open(b, diagnostics, "format", "level", "burst", "every")
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newTestLog returns a log whose clock stands still until it is moved.
+// newTestLog returns a log with a clock that stands still until it is moved.
 func newTestLog(b Block) (*Log, *bytes.Buffer, *time.Time) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -30,7 +30,7 @@
 	return l, list
 }
 
-// newRouter returns a router that has taken in statistics.
+// newRouter returns a router with restored statistics.
 func newRouter(l router.Statistics, list []router.Endpoint) *router.Router {
 	r := router.New(1, router.Identity{}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Capabilities{}, router.SafetyLimits{})
 	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: list}, router.StatisticsRestored{Statistics: l}})
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkTakeIn is the step in which the router takes in all statistics at once.
+// BenchmarkTakeIn measures the step in which the router restores all statistics at once.
 func BenchmarkTakeIn(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -18,8 +18,8 @@
 	maxTextBytes      = 256  // bytes of a name or id
 )
 
-// errForeignContent means that a section has a good checksum but content that this program does not
-// write.
+// errForeignContent means that a section with a good checksum has content that this program does
+// not write.
 var errForeignContent = errors.New("holds what this program did not write")
 
 // Kinds of sections.
--- a/internal/memory/report.go
+++ b/internal/memory/report.go
@@ -30,8 +30,7 @@
 // RecordReport has the fields that the reports of all records have.
 type RecordReport struct {
 	AgeMS int64 `json:"age_ms"`
-	// RemainingWeight is the share of its weight that the record still has; 0: it would not be
-	// restored.
+	// RemainingWeight is the share of its weight that the record still has; 0: it is not restored.
 	RemainingWeight float64 `json:"weighs"`
 }
 
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -16,7 +16,7 @@
 	"mintkeel/router"
 )
 
-// maxBackoffDoublings bounds how often the delay is doubled while writes fail, so that it does not
+// maxBackoffDoublings bounds how often the delay is doubled while writes fail: it must not
 // overflow.
 const maxBackoffDoublings = 10
 
@@ -100,8 +100,7 @@
 	}
 }
 
-// Stop makes the writer write a final snapshot and release the directory. It does not wait for
-// that.
+// Stop makes the writer write a final snapshot and release the directory, but does not wait for it.
 func (w *SnapshotWriter) Stop() {
 	w.stopOnce.Do(func() { close(w.stopRequested) })
 }
--- a/internal/pgwire/doc.go
+++ b/internal/pgwire/doc.go
@@ -6,6 +6,6 @@
 // that is ended early can go on later. Slices that they return are good until the reader is used
 // again.
 //
-// The names on the wire are mapped to the field's terms here alone: error codes in codes.go, types
-// of messages in message.go, the fields of a query in fields.go.
+// The names on the wire are mapped to the glossary's terms here alone: error codes in codes.go,
+// types of messages in message.go and answers.go, and the fields of a query in fields.go.
 package pgwire
--- a/internal/pgwire/fields.go
+++ b/internal/pgwire/fields.go
@@ -58,8 +58,7 @@
 	return &FieldError{Field: field, Why: why, Missing: true}
 }
 
-// Fields are what stands in the comment ahead of a statement. Numbers that are absent are 0, texts
-// empty.
+// Fields are the fields in the comment ahead of a statement. Absent numbers are 0, texts are empty.
 type Fields struct {
 	ClassName         string
 	ID                string
@@ -76,8 +75,7 @@
 // Label is a field with a name that the protocol does not know. Operators' rules may read it.
 type Label struct{ Name, Value string }
 
-// ParseQuery takes a query's fields from the comment that it begins with. Its error is a
-// *FieldError.
+// ParseQuery reads a query's fields from the comment that it begins with, or returns a *FieldError.
 func ParseQuery(query []byte) (Fields, error) {
 	rest := bytes.TrimLeft(query, blanks)
 	if !bytes.HasPrefix(rest, []byte("/*")) {
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -20,8 +20,8 @@
 	cancelBytes      = 16 // with a cancel key
 )
 
-// maxClaimedBytes is the largest length that a message may claim: past it the bytes are of another
-// protocol.
+// maxClaimedBytes is the largest length that a message may claim. Bytes that claim more are of
+// another protocol.
 const maxClaimedBytes = 1 << 30
 
 // applicationParameter is the parameter by which clients name themselves.
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -37,8 +37,7 @@
 // NewReader returns a reader of batches from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, bufferBytes)} }
 
-// Read returns the next batch, or io.EOF at the end of input. The error of malformed input is a
-// *FieldError.
+// Read returns the next batch, or io.EOF at the end of input, or a *FieldError if it is malformed.
 func (r *Reader) Read() (*Batch, error) {
 	name, f, err := r.nextLine()
 	if err != nil {
