--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -1,6 +1,6 @@
-// Command mintkeel-sim runs the decision module behind the simulator's wire: it keeps a module for
-// each controller, turns lines into the module's events and its actions into lines. It decides
-// nothing.
+// Command mintkeel-sim runs the decision module behind the simulator's wire. It keeps a module for
+// each controller, and turns lines into the module's events and its actions into lines. It decides
+// nothing itself.
 //
 // It reads batches of messages from standard input and answers each on standard output. After a
 // malformed line it exits with code 1, with the line's number and field on standard error. A panic
--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -15,8 +15,8 @@
 	3: router.Gone,
 }
 
-// progressKinds are the kinds of progress messages, by their numbers. All other numbers are of
-// router.ProgressOther.
+// progressKinds are the kinds of progress messages, by their numbers. Of any other number the kind
+// is router.ProgressOther.
 var progressKinds = map[int64]router.ProgressKind{
 	1:               router.ProgressDone,
 	2:               router.ProgressSpilling,
--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -21,10 +21,13 @@
 	dropped
 )
 
-// Kinds of sessions that are owed nothing, in the order in which they are closed to make room.
+// idleKind is a kind of idle sessions, in the order in which they are closed to make room. A
+// session is idle while none of its messages is handled: no answer to it is missing.
+type idleKind int
+
 const (
 	// idleClosing sessions are being closed: nothing that they send becomes a query any more.
-	idleClosing = iota
+	idleClosing idleKind = iota
 	// idleNoQuery sessions have not sent a query yet.
 	idleNoQuery
 	// idleBetweenQueries sessions have sent a query, and have its answer.
@@ -63,7 +66,7 @@
 // send nothing, or that sent one query and stay, can't keep others out. Sessions younger than
 // NewConnectionGrace are spared, as their first message may be on its way. mu is held.
 func (s *Server) evictIdle(now time.Time) bool {
-	for kind := range s.idle {
+	for kind := range idleKinds {
 		for len(s.sessions) >= s.limits.ClientConnections {
 			front := s.idle[kind].Front()
 			if front == nil {
@@ -86,13 +89,13 @@
 	return len(s.sessions) < s.limits.ClientConnections
 }
 
-// markIdle puts a session among those that are owed nothing. mu is held.
-func (s *Server) markIdle(ses *session, kind int) {
+// markIdle puts a session among the idle ones. mu is held.
+func (s *Server) markIdle(ses *session, kind idleKind) {
 	ses.idleKind = kind
 	ses.idleElement = s.idle[kind].PushBack(ses)
 }
 
-// unmarkIdle takes a session from those that are owed nothing. mu is held.
+// unmarkIdle takes a session from the idle ones, if it is one. mu is held.
 func (s *Server) unmarkIdle(ses *session) {
 	if ses.idleElement != nil {
 		s.idle[ses.idleKind].Remove(ses.idleElement)
@@ -100,8 +103,8 @@
 	}
 }
 
-// beginMessage records that a session has read a message and so is owed something. It reports
-// whether the session may go on: not if it is being closed.
+// beginMessage records that a session handles a message and so is not idle. It reports whether the
+// session may go on: not if it is being closed.
 func (s *Server) beginMessage(ses *session, isQuery bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +120,8 @@
 	return true
 }
 
-// endMessage records that a session is owed nothing any more. If the server drains the session is
-// closed, unless its client has sent another query meanwhile.
+// endMessage records that a session has handled its message and is idle. If the server drains the
+// session is closed, unless its client has sent another query meanwhile.
 func (s *Server) endMessage(ses *session, isQuery bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,9 +142,9 @@
 	}
 }
 
-// beginClose starts to close a session that is owed nothing: from here on nothing that it sends
-// becomes a query, and its client reads the end. The session's goroutine reads on, within bounds,
-// until the client closes too (leave). mu is held.
+// beginClose starts to close an idle session: from here on nothing that it sends becomes a query,
+// and its client reads the end. The session's goroutine reads on, within bounds, until the client
+// closes too (leave). mu is held.
 func (s *Server) beginClose(ses *session) {
 	if ses.closing.Swap(true) {
 		return
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -19,10 +19,10 @@
 	s.lastQueryAt = now
 }
 
-// Shutdown closes every session as soon as nothing is owed to it, and returns when none is left or
-// the time has come. A query that came before its session was closed is answered; what is read
-// after that is dropped, so that no query is sent to an engine and lost. It must be called once at
-// most, and before Close.
+// Shutdown closes every session as soon as it is idle, and returns when none is left or the time
+// has come. A query that came before its session was closed is answered; what is read after that is
+// dropped, so that no query is sent to an engine and lost. It must be called once at most, and
+// before Close.
 func (s *Server) Shutdown(until time.Time) {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/clients/events.go
+++ b/internal/clients/events.go
@@ -8,8 +8,8 @@
 type (
 	// QueryArrived is a query that a client has sent.
 	QueryArrived struct{ Query *request.Query }
-	// ClientDisconnected says that a query's client has gone, or has cancelled it: no answer is owed
-	// any more.
+	// ClientDisconnected says that a query's client has gone, or has cancelled the query. It needs no
+	// answer any more.
 	ClientDisconnected struct{ Query *request.Query }
 )
 
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -75,9 +75,11 @@
 	}
 	classSettings := ses.server.classes[class]
 	if classSettings.Effect == router.Deduplicated && f.IdempotencyKey == "" {
-		missing := &pgwire.FieldError{
-			Field: pgwire.FieldIdempotencyKey, Why: "is missing", Missing: true}
-		return nil, fieldError(missing)
+		return nil, fieldError(&pgwire.FieldError{
+			Field:   pgwire.FieldIdempotencyKey,
+			Why:     "is missing",
+			Missing: true,
+		})
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -126,8 +126,8 @@
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
-		return rules.Query{}, &pgwire.FieldError{
-			Field: pgwire.FieldStatement, Why: "names no group of tables"}
+		why := "names no group of tables"
+		return rules.Query{}, &pgwire.FieldError{Field: pgwire.FieldStatement, Why: why}
 	}
 	return ruleInput(f, class, table, application, listener), nil
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -35,10 +35,10 @@
 	sessions map[uint32]*session // all that are connected, by the number in their cancel keys
 	lastID   uint32              // the last number that was given to a session
 
-	// idle are the sessions that are owed nothing, by kind, with the longest idle first.
+	// idle are the idle sessions, by kind, with the longest idle first.
 	idle [idleKinds]list.List
 
-	busySessions int           // sessions with an answer that is not written yet
+	busySessions int           // sessions with a query that has no written answer yet
 	lastQueryAt  time.Time     // when a client last sent a query
 	draining     bool          // Shutdown or Close was called
 	drained      chan struct{} // closed when no session is left after Shutdown has begun
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -32,9 +32,9 @@
 	queried     bool      // it has sent a query; written under the server's mutex
 
 	// Guarded by the server's mutex:
-	idleSince   time.Time     // when it was last owed something
-	idleElement *list.Element // its place among the server's idle sessions; nil: it is owed something
-	idleKind    int           // of idleElement
+	idleSince   time.Time     // when it last became idle
+	idleElement *list.Element // its place among the server's idle sessions; nil: it is not idle
+	idleKind    idleKind      // of idleElement
 
 	closing atomic.Bool // nothing that it sends becomes a query any more; set under the server's mutex
 
--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -13,9 +13,8 @@
 // restoreFunc returns what is still valid of stored statistics, for the engines that there are now.
 type restoreFunc = func(endpoints []router.Endpoint) router.Statistics
 
-// RestoreOnFirstEndpoints has statistics of an earlier run restored when the first update that
-// names engines comes: restore is called with them. It must be called before UpdateEndpoints and
-// Run.
+// RestoreOnFirstEndpoints has statistics of an earlier run restored at the first update that names
+// engines: restore is called with them. It must be called before UpdateEndpoints and Run.
 func (l *Loop) RestoreOnFirstEndpoints(restore restoreFunc) { l.restore = restore }
 
 // RestoreStatistics has statistics restored that became known while this controller runs. restore
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -15,11 +15,12 @@
 // Update is a change of the endpoint list, the complete list, or the start or end of its expiry. An
 // update without endpoints and with ExpiredFor 0 ends an expiry.
 type Update struct {
-	Number    uint64 // 0 if ExpiredFor is set
-	Complete  bool   // engines that are not named are gone
-	Endpoints []Endpoint
+	Number   uint64 // 0 if ExpiredFor is set
+	Complete bool   // engines that are not named are gone
 
 	// ExpiredFor is above 0 if the list has expired: an engine may have been draining for so long
 	// without notice. 0: the list is current.
 	ExpiredFor time.Duration
+
+	Endpoints []Endpoint // those that have changed or, if Complete, all
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -70,8 +70,8 @@
 }
 
 // disconnect closes a connection that ended with err, and returns why it did. After a break the
-// list expires within EndpointListExpiryDisconnected; silence is covered by EndpointListExpiry
-// alone.
+// list expires within EndpointListExpiryDisconnected. After silence it does not, as that is what
+// EndpointListExpiry is for.
 func (w *Watcher) disconnect(conn net.Conn, err error) error {
 	conn.Close()
 	w.mu.Lock()
--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -8,6 +8,6 @@
 // lost if there is none. The number of kinds with a limit of their own is bounded; further kinds
 // share one limit.
 //
-// A failed write is ignored, as there is nowhere to report it. All functions may be called from any
-// goroutine.
+// A failed write is ignored, as there is nowhere to report it. Any goroutine may call all
+// functions.
 package logs
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -39,8 +39,7 @@
 	return config.handler.Handle(ctx, line)
 }
 
-// scoped returns the attributes of a record and of the handler, each in the group in which it was
-// set.
+// scoped returns the attributes of a record and of the handler, each in the group it was set in.
 func (h *handler) scoped(r slog.Record) []slog.Attr {
 	var attrs []slog.Attr
 	r.Attrs(func(a slog.Attr) bool {
--- a/internal/memory/decode.go
+++ b/internal/memory/decode.go
@@ -13,8 +13,8 @@
 	record() (r R, ok bool)
 }
 
-// decodeSection adds the content of one section to a snapshot. It ignores sections of unknown
-// kinds.
+// decodeSection adds the content of one section to a snapshot, or ignores it if its kind is
+// unknown.
 func decodeSection(section snapshots.Section, into *StoredSnapshot) error {
 	statistics := &into.Snapshot.Statistics
 	switch section.Kind {
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -16,8 +16,8 @@
 	"mintkeel/router"
 )
 
-// maxBackoffDoublings bounds how often the delay is doubled while writes fail: it must not
-// overflow.
+// maxBackoffDoublings bounds how often the delay is doubled while writes fail. A delay of an hour
+// does not overflow by it.
 const maxBackoffDoublings = 10
 
 // StatisticsSource is where statistics are copied from.
--- a/internal/pgwire/answers.go
+++ b/internal/pgwire/answers.go
@@ -37,13 +37,12 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// beginMessage appends a message's type and room for its length, which endMessage fills in at
-// lengthAt.
+// beginMessage appends a message's type and room for its length, for endMessage to fill in.
 func beginMessage(b []byte, kind byte) (all []byte, lengthAt int) {
 	return append(b, kind, 0, 0, 0, 0), len(b) + 1
 }
 
-// endMessage fills in the length of the message that ends here.
+// endMessage fills in the length of a message that ends here, at the place from beginMessage.
 func endMessage(b []byte, lengthAt int) []byte {
 	binary.BigEndian.PutUint32(b[lengthAt:], uint32(len(b)-lengthAt))
 	return b
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -27,7 +27,7 @@
 	Rejected
 	// Failed queries may have had their effect or not: nothing is promised.
 	Failed
-	// Disconnected queries are owed no answer: their client has gone, or has cancelled them.
+	// Disconnected queries need no answer: their client has gone, or has cancelled them.
 	Disconnected
 )
 
