--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -89,8 +89,9 @@
 }
 
 // ruleInput is a query as rules see it.
-func ruleInput(f pgwire.Fields, class router.ClassID, table pgwire.Table,
-	application, listener string) rules.Query {
+func ruleInput(
+	f pgwire.Fields, class router.ClassID, table pgwire.Table, application, listener string,
+) rules.Query {
 	input := rules.Query{
 		Class:             class,
 		Tenant:            f.Tenant,
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -62,9 +62,11 @@
 // New returns a server. Queries are handed to offer; one that it does not accept is rejected, with
 // the time that retryAfter returns. Other events are handed to report, which may block its caller.
 // classes are those of the settings, by names.Classes.
-func New(l *limits.Limits, names *settings.Names, classes []router.QueryClass,
+func New(
+	l *limits.Limits, names *settings.Names, classes []router.QueryClass,
 	offer func(QueryArrived) bool, retryAfter func() time.Duration, report func(Event),
-	log *slog.Logger) *Server {
+	log *slog.Logger,
+) *Server {
 	return &Server{
 		limits:      l,
 		names:       names,
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -37,8 +37,10 @@
 	// StartAttempt sends a query to an engine. It is given up as TimedOut after within. If startWithin
 	// is above 0 and the attempt was not sent within that time, it must not be sent any more. Its
 	// outcome comes as an engines.AttemptEnded.
-	StartAttempt(query *request.Query, attempt router.AttemptID, engine router.EngineID,
-		within, startWithin time.Duration)
+	StartAttempt(
+		query *request.Query, attempt router.AttemptID, engine router.EngineID,
+		within, startWithin time.Duration,
+	)
 	// CancelAttempt gives an attempt up. Its outcome still comes.
 	CancelAttempt(query *request.Query, attempt router.AttemptID, engine router.EngineID)
 	// CheckHealth starts a health check of an engine, which ends by an engines.HealthCheckEnded.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -37,9 +37,12 @@
 	expiresAt      time.Time // when the list expires, unless something is received
 }
 
-// NewWatcher returns a watcher that knows all updates up to lastNumber.
-func NewWatcher(address string, lastNumber uint64, names *settings.Names, l *limits.Limits,
-	report func(Update), log *slog.Logger) *Watcher {
+// NewWatcher returns a watcher that knows all updates up to lastNumber. Updates are handed to
+// report, which may block its caller.
+func NewWatcher(
+	address string, lastNumber uint64, names *settings.Names, l *limits.Limits,
+	report func(Update), log *slog.Logger,
+) *Watcher {
 	return &Watcher{
 		names:       names,
 		limits:      l,
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -60,15 +60,18 @@
 // StartAttempt sends a query to an engine, over a connection that has not carried it. It is given
 // up as TimedOut after within. If startWithin is above 0 and it was not written within that time,
 // it is not written any more. It is answered by one AttemptEnded.
-func (p *Pool) StartAttempt(query *request.Query, id router.AttemptID, to router.EngineID,
-	within, startWithin time.Duration) {
+func (p *Pool) StartAttempt(
+	query *request.Query, id router.AttemptID, to router.EngineID,
+	within, startWithin time.Duration,
+) {
 	now := time.Now()
 	a := &attempt{query: query, id: id, startedAt: now, deadline: now.Add(within)}
 	if startWithin > 0 {
 		a.startBy = now.Add(startWithin)
 	}
 	e := p.engines[to]
-	if e != nil && e.State == router.Ready && within > 0 && e.Address != "" && p.place(a, e) {
+	mayStart := e != nil && e.State == router.Ready && e.Address != "" && within > 0
+	if mayStart && p.place(a, e) {
 		return
 	}
 	go p.report(AttemptEnded{Query: query, Attempt: id, Outcome: router.NotSent})
--- a/internal/enginewire/request.go
+++ b/internal/enginewire/request.go
@@ -20,8 +20,9 @@
 
 // AppendStart writes the line that starts an attempt of a query. Its statement, of statementBytes,
 // and a line end have to follow. An empty idempotencyKey is left out.
-func AppendStart(b []byte, id, class string, timeoutMS int64, idempotencyKey string,
-	statementBytes int) []byte {
+func AppendStart(
+	b []byte, id, class string, timeoutMS int64, idempotencyKey string, statementBytes int,
+) []byte {
 	b = append(append(b, requestStart...), id...)
 	b = append(append(b, fieldClass...), class...)
 	b = strconv.AppendInt(append(b, fieldTimeout...), timeoutMS, 10)
