--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -46,7 +46,7 @@
 	result := admitted
 	if s.draining || !s.evictIdle(ses.idleSince) {
 		result = rejected
-		if len(s.sessions) >= s.limits.ClientConnections+s.limits.ClosingConnections {
+		if !s.hasRoomForClosing() {
 			return dropped
 		}
 	}
@@ -77,8 +77,7 @@
 				break
 			}
 			s.counts.evicted.Add(1)
-			if kind != idleClosing &&
-				len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections {
+			if kind != idleClosing && s.hasRoomForClosing() {
 				s.beginClose(ses)
 				return true
 			}
@@ -89,6 +88,12 @@
 	return len(s.sessions) < s.limits.ClientConnections
 }
 
+// hasRoomForClosing reports whether there is room for a session that is being closed or rejected,
+// beside as many sessions as are served. mu is held.
+func (s *Server) hasRoomForClosing() bool {
+	return len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections
+}
+
 // markIdle puts a session among the idle ones. mu is held.
 func (s *Server) markIdle(ses *session, kind idleKind) {
 	ses.idleKind = kind
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -16,8 +16,7 @@
 	"mintkeel/router"
 )
 
-// maxBackoffDoublings bounds how often the delay is doubled while writes fail. A delay of an hour
-// does not overflow by it.
+// maxBackoffDoublings bounds how often the delay is doubled while writes fail: it can't overflow.
 const maxBackoffDoublings = 10
 
 // StatisticsSource is where statistics are copied from.
