--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -15,25 +15,29 @@
 const (
 	// admitted connections are served.
 	admitted admission = iota
-	// rejected connections are told that there are too many, and may cancel a query.
+	// rejected connections get an error that there are too many, but may still cancel a query.
 	rejected
-	// dropped connections are closed at once: there is no room even to tell them.
+	// dropped connections are closed at once: there is no room even to write them an error.
 	dropped
 )
 
-// Kinds of sessions that are owed nothing, in the order in which they are closed to make room.
+// idleKind is a kind of idle sessions, in the order in which they are closed to make room. A
+// session is idle while none of its messages is handled: no answer to it is missing.
+type idleKind int
+
 const (
 	// idleClosing sessions are being closed: nothing that they send becomes a query any more.
-	idleClosing = iota
+	idleClosing idleKind = iota
 	// idleNoQuery sessions have not sent a query yet.
 	idleNoQuery
-	// idleBetweenQueries sessions have.
+	// idleBetweenQueries sessions have sent a query, and have its answer.
 	idleBetweenQueries
+	// idleKinds is the number of kinds.
 	idleKinds
 )
 
-// admit takes a connection into the sessions, if there is room or room can be made, and gives it
-// its cancel key. While the server drains there is none.
+// admit decides on a new connection, which gets a cancel key and counts as a session unless it is
+// dropped. It is admitted if there is room or room can be made, and never while the server drains.
 func (s *Server) admit(ses *session) admission {
 	var secret [4]byte
 	rand.Read(secret[:])
@@ -42,7 +46,7 @@
 	result := admitted
 	if s.draining || !s.evictIdle(ses.idleSince) {
 		result = rejected
-		if len(s.sessions) >= s.limits.ClientConnections+s.limits.ClosingConnections {
+		if !s.hasRoomForClosing() {
 			return dropped
 		}
 	}
@@ -56,13 +60,13 @@
 	return result
 }
 
-// evictIdle makes room for a connection, if all are taken, and reports whether there is room then.
+// evictIdle makes room for a connection, if there is none, and reports whether there is room then.
 // It closes the session that has been idle for the longest time: of those that are being closed
 // first, then of those that never sent a query, then of the others. So hundreds of connections that
 // send nothing, or that sent one query and stay, can't keep others out. Sessions younger than
 // NewConnectionGrace are spared, as their first message may be on its way. mu is held.
 func (s *Server) evictIdle(now time.Time) bool {
-	for kind := range s.idle {
+	for kind := range idleKinds {
 		for len(s.sessions) >= s.limits.ClientConnections {
 			front := s.idle[kind].Front()
 			if front == nil {
@@ -73,8 +77,7 @@
 				break
 			}
 			s.counts.evicted.Add(1)
-			if kind != idleClosing &&
-				len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections {
+			if kind != idleClosing && s.hasRoomForClosing() {
 				s.beginClose(ses)
 				return true
 			}
@@ -85,13 +88,19 @@
 	return len(s.sessions) < s.limits.ClientConnections
 }
 
-// markIdle puts a session among those that are owed nothing. mu is held.
-func (s *Server) markIdle(ses *session, kind int) {
+// hasRoomForClosing reports whether there is room for a session that is being closed or rejected,
+// beside as many sessions as are served. mu is held.
+func (s *Server) hasRoomForClosing() bool {
+	return len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections
+}
+
+// markIdle puts a session among the idle ones. mu is held.
+func (s *Server) markIdle(ses *session, kind idleKind) {
 	ses.idleKind = kind
 	ses.idleElement = s.idle[kind].PushBack(ses)
 }
 
-// unmarkIdle takes a session off those that are owed nothing. mu is held.
+// unmarkIdle takes a session from the idle ones, if it is one. mu is held.
 func (s *Server) unmarkIdle(ses *session) {
 	if ses.idleElement != nil {
 		s.idle[ses.idleKind].Remove(ses.idleElement)
@@ -99,8 +108,8 @@
 	}
 }
 
-// beginMessage says that a session has read a message and is owed something, and reports whether it
-// may go on: not if it is being closed.
+// beginMessage records that a session handles a message and so is not idle. It reports whether the
+// session may go on: not if it is being closed.
 func (s *Server) beginMessage(ses *session, isQuery bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +125,8 @@
 	return true
 }
 
-// endMessage says that a session is owed nothing any more. If the server drains it is closed,
-// unless another query came while it was open.
+// endMessage records that a session has handled its message and is idle. If the server drains the
+// session is closed, unless its client has sent another query meanwhile.
 func (s *Server) endMessage(ses *session, isQuery bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,9 +147,9 @@
 	}
 }
 
-// beginClose has a session that is owed nothing end: from here on nothing that it sends becomes a
-// query, and its client reads the end. Its goroutine reads on to the client's end, or within a
-// bound (leave). mu is held.
+// beginClose starts to close an idle session: from here on nothing that it sends becomes a query,
+// and its client reads the end. The session's goroutine reads on, within bounds, until the client
+// closes too (leave). mu is held.
 func (s *Server) beginClose(ses *session) {
 	if ses.closing.Swap(true) {
 		return
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Quiet is how long no client has sent a query; 0 while an answer is owed or not written yet.
+// Quiet returns for how long no client has sent a query; 0 while an answer is not written yet.
 func (s *Server) Quiet() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -12,17 +12,17 @@
 	return time.Since(s.lastQueryAt)
 }
 
-// queryRead says that a client has sent a query behind an open one.
-func (s *Server) queryRead(now time.Time) {
+// recordPipelinedQuery records when a client sent a query behind an open one.
+func (s *Server) recordPipelinedQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastQueryAt = now
 }
 
-// Shutdown closes every session as soon as nothing is owed to it, and returns when none is left or
-// the time has come. A query that came before its session was closed is answered; what is read
-// after that is dropped, so that no query is sent to an engine and lost. It must be called once at
-// most, and before Close.
+// Shutdown closes every session as soon as it is idle, and returns when none is left or the time
+// has come. A query that came before its session was closed is answered; what is read after that is
+// dropped, so that no query is sent to an engine and lost. It must be called once at most, and
+// before Close.
 func (s *Server) Shutdown(until time.Time) {
 	s.mu.Lock()
 	s.draining = true
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -33,10 +33,12 @@
 
 	mu       sync.Mutex          // guards all below; it is held for no I/O that waits
 	sessions map[uint32]*session // all that are connected, by the number in their cancel keys
-	lastID   uint32              // given to a session
-	// sessions that are owed nothing, by kind, the longest idle first
-	idle         [idleKinds]list.List
-	busySessions int           // sessions with a query whose answer is not written yet
+	lastID   uint32              // the last number that was given to a session
+
+	// idle are the idle sessions, by kind, with the longest idle first.
+	idle [idleKinds]list.List
+
+	busySessions int           // sessions with a query that has no written answer yet
 	lastQueryAt  time.Time     // when a client last sent a query
 	draining     bool          // Shutdown or Close was called
 	drained      chan struct{} // closed when no session is left after Shutdown has begun
@@ -60,9 +62,11 @@
 // New returns a server. Queries are handed to offer; one that it does not accept is rejected, with
 // the time that retryAfter returns. Other events are handed to report, which may block its caller.
 // classes are those of the settings, by names.Classes.
-func New(l *limits.Limits, names *settings.Names, classes []router.QueryClass,
+func New(
+	l *limits.Limits, names *settings.Names, classes []router.QueryClass,
 	offer func(QueryArrived) bool, retryAfter func() time.Duration, report func(Event),
-	log *slog.Logger) *Server {
+	log *slog.Logger,
+) *Server {
 	return &Server{
 		limits:      l,
 		names:       names,
@@ -142,7 +146,7 @@
 }
 
 // LogValue prints the server's counts. The keys are those that docs/oncall.md explains and
-// operators' tools read; they are mapped to the field's terms here alone.
+// operators' tools read; they are mapped to the glossary's terms here alone.
 func (s *Server) LogValue() slog.Value {
 	s.mu.Lock()
 	open := len(s.sessions)
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -16,10 +16,10 @@
 	l.addresses = map[router.EngineID]string{}
 }
 
-// UpdateEndpoints takes in an update of the endpoint list: the engines' side gets it first, so that
-// the module's actions find the engines that the module knows. cached says that the update was
-// stored before this start and is not confirmed. It is called before Run, and later by the loop's
-// goroutine alone; others call PostEndpoints.
+// UpdateEndpoints handles an update of the endpoint list: the engines' side gets it before the
+// module does, so that it knows each engine that the module's actions name. cached says that the
+// update was stored before this start and is not confirmed. It is called before Run, and later by
+// the loop's goroutine alone; others call PostEndpoints.
 func (l *Loop) UpdateEndpoints(update discovery.Update, cached bool) {
 	l.counts.EndpointUpdates++
 	event := router.EndpointsUpdated{
@@ -29,10 +29,7 @@
 	}
 	var addresses []engines.Endpoint
 	for _, entry := range update.Endpoints {
-		endpoint := entry.Endpoint
-		if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
-			endpoint.State = router.Draining
-		}
+		endpoint := l.drainIfHeld(entry.Endpoint)
 		event.Endpoints = append(event.Endpoints, endpoint)
 		addresses = append(addresses,
 			engines.Endpoint{Engine: endpoint.Engine, Address: entry.Address, State: endpoint.State})
@@ -49,6 +46,15 @@
 	}
 }
 
+// drainIfHeld returns an endpoint of the list as the module and the engines' side get it: a ready
+// engine that is held is draining.
+func (l *Loop) drainIfHeld(endpoint router.Endpoint) router.Endpoint {
+	if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
+		endpoint.State = router.Draining
+	}
+	return endpoint
+}
+
 // keepEndpoints updates the kept list, which has the engines' states as received, held or not.
 func (l *Loop) keepEndpoints(update discovery.Update) {
 	if update.Complete {
@@ -67,33 +73,31 @@
 }
 
 // HoldEngines has these engines, and no others, treated as draining whatever the endpoint list says
-// of them: maintenance is about to take them out, or has. From when the loop takes it in they get
-// no new attempts, as with any engine that drains. It needs KeepEndpoints, and waits while the
+// of them: maintenance is about to take them out, or has. Once the loop has handled the call they
+// get no new attempts, like any engine that drains. It needs KeepEndpoints, and waits while the
 // inbox is full.
 func (l *Loop) HoldEngines(held []router.EngineID) { l.post(holdMessage{held}) }
 
-// hold replaces the held engines, and tells the module and the engines' side of those whose state
-// changes by that.
+// hold replaces the held engines, and updates the module and the engines' side on those that change
+// state by that.
 func (l *Loop) hold(wanted []router.EngineID) {
-	held := map[router.EngineID]bool{}
+	heldBefore := l.heldEngines
+	l.heldEngines = map[router.EngineID]bool{}
 	for _, id := range wanted {
-		held[id] = true
+		l.heldEngines[id] = true
 	}
 	var changed []router.Endpoint
 	var addresses []engines.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
 		endpoint := l.endpoints[id]
-		if held[id] == l.heldEngines[id] || endpoint.State != router.Ready {
+		if l.heldEngines[id] == heldBefore[id] || endpoint.State != router.Ready {
 			continue
 		}
-		if held[id] {
-			endpoint.State = router.Draining
-		}
+		endpoint = l.drainIfHeld(endpoint)
 		changed = append(changed, endpoint)
 		addresses = append(addresses,
 			engines.Endpoint{Engine: id, Address: l.addresses[id], State: endpoint.State})
 	}
-	l.heldEngines = held
 	if len(changed) == 0 {
 		return
 	}
--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -13,9 +13,8 @@
 // restoreFunc returns what is still valid of stored statistics, for the engines that there are now.
 type restoreFunc = func(endpoints []router.Endpoint) router.Statistics
 
-// RestoreOnFirstEndpoints has statistics of an earlier run restored with the first update that
-// names engines, which restore is called with. It must be called before Run and before
-// UpdateEndpoints.
+// RestoreOnFirstEndpoints has statistics of an earlier run restored at the first update that names
+// engines: restore is called with them. It must be called before UpdateEndpoints and Run.
 func (l *Loop) RestoreOnFirstEndpoints(restore restoreFunc) { l.restore = restore }
 
 // RestoreStatistics has statistics restored that became known while this controller runs. restore
@@ -32,16 +31,16 @@
 	l.events = append(l.events, router.StatisticsRestored{Statistics: restore(endpoints)})
 }
 
-// Statistics returns a part of what the module has learned, of at most maxRecords records: that
-// bounds the time for which the loop is kept from its queries. The error is that of ctx, also if
-// the loop has ended.
-func (l *Loop) Statistics(ctx context.Context, from router.Cursor,
-	maxRecords int) (memory.Part, error) {
+// Statistics returns a part of the module's statistics, of at most maxRecords records: that bounds
+// how long queries wait for the copy. The error is that of ctx, also if the loop has ended.
+func (l *Loop) Statistics(
+	ctx context.Context, from router.Cursor, maxRecords int,
+) (memory.Part, error) {
 	reply := make(chan memory.Part, 1)
 	return ask(ctx, l, statisticsRequest{from, maxRecords, reply}, reply)
 }
 
-// statistics takes a part out of the module.
+// statistics copies a part of the module's statistics.
 func (l *Loop) statistics(from router.Cursor, maxRecords int) memory.Part {
 	var part memory.Part
 	part.Statistics, part.Next, part.More = l.module.Statistics(from, maxRecords)
--- a/internal/discovery/initial.go
+++ b/internal/discovery/initial.go
@@ -9,17 +9,17 @@
 )
 
 // InitialList is what a configuration holds of the endpoint list: the updates up to its number. The
-// names of the platform's configuration are mapped to the field's terms here alone, by the tags and
-// by stateNames.
+// names of the platform's configuration are mapped to the glossary's terms here alone, by the tags
+// and by stateNames.
 type InitialList struct {
 	Number  uint64        `json:"no"`
 	Updates []InitialItem `json:"items"`
 }
 
-// InitialItem is one entry of the configuration's list of news.
+// InitialItem is one item of the configuration's list of updates.
 type InitialItem struct {
 	Number uint64         `json:"no"`
-	List   *InitialUpdate `json:"roster"` // nil: the entry is of something else
+	List   *InitialUpdate `json:"roster"` // nil: the item is not about the endpoint list
 }
 
 // InitialUpdate is an update of the endpoint list in a configuration.
--- a/internal/engines/events.go
+++ b/internal/engines/events.go
@@ -11,8 +11,7 @@
 type Event interface{ event() }
 
 type (
-	// AttemptEnded is the outcome of an attempt. There is exactly one for each attempt that was
-	// started.
+	// AttemptEnded is the outcome of an attempt. Each attempt that is started gets exactly one.
 	AttemptEnded struct {
 		Query   *request.Query
 		Attempt router.AttemptID
@@ -26,7 +25,7 @@
 		Query   *request.Query
 		Attempt router.AttemptID
 		Kind    router.ProgressKind
-		Value   float64 // its meaning is told by the kind
+		Value   float64 // its meaning depends on Kind
 	}
 	// HealthCheckEnded is the result of a health check.
 	HealthCheckEnded struct {
