--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -52,9 +52,11 @@
 
 // call sends a request to the controller. The answer may come with an error; it is nil only with
 // one.
-func (cc *configCommands) call(ctx context.Context,
-	request configuration.Request) (*configuration.Answer, error) {
-	status, err := cc.flags.call(ctx, control.Request{Action: "config", Config: &request})
+func (cc *configCommands) call(
+	ctx context.Context, request configuration.Request,
+) (*configuration.Answer, error) {
+	status, err := cc.flags.call(ctx,
+		control.Request{Action: control.ActionConfig, Config: &request})
 	if status.Config == nil && err == nil {
 		err = errors.New("the controller told nothing of the fleet's configuration: " +
 			"is there a block config in its file?")
@@ -139,10 +141,11 @@
 }
 
 // document asks for the document of a version.
-func (cc *configCommands) document(ctx context.Context,
-	number uint64) (*configuration.Answer, error) {
-	answer, err := cc.call(ctx,
-		configuration.Request{Action: configuration.ActionShow, Number: number})
+func (cc *configCommands) document(
+	ctx context.Context, number uint64,
+) (*configuration.Answer, error) {
+	request := configuration.Request{Action: configuration.ActionShow, Number: number}
+	answer, err := cc.call(ctx, request)
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", number, err)
 	}
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -42,7 +42,10 @@
 	c.PersistentFlags().StringVar(&flags.folder, "folder", os.Getenv("MINTKEEL_FLEET"),
 		"the controller's `folder` (MINTKEEL_FLEET)")
 	c.PersistentFlags().BoolVar(&flags.json, "json", false, "print the whole answer as JSON")
-	status := func([]string) control.Request { return control.Request{Action: "status"} }
+	status := func([]string) control.Request {
+		return control.Request{Action: control.ActionStatus}
+	}
+	trust := func([]string) control.Request { return control.Request{Action: control.ActionTrust} }
 	leases := flags.command("leases", "List the leases, their holders and fencing tokens", 0, status,
 		printLeases)
 	quorum := flags.command("quorum", "Show the voters, the leader, and the role of this controller",
@@ -55,25 +58,26 @@
 		flags.command("handover LEASE CONTROLLER",
 			"Hand a lease over to another controller; complete when leases lists the new holder", 2,
 			func(args []string) control.Request {
-				return control.Request{Action: "handover", Lease: args[0], To: args[1]}
+				return control.Request{Action: control.ActionHandOver, Lease: args[0], To: args[1]}
 			}, printLeases),
 		flags.command("replace OLD NEW",
 			"Replace a voter by another controller; complete when quorum lists the new voter", 2,
 			func(args []string) control.Request {
-				return control.Request{Action: "replace", Old: args[0], To: args[1]}
+				return control.Request{Action: control.ActionReplace, Old: args[0], To: args[1]}
 			}, printQuorum),
 		flags.command("trust",
-			"Accept this voter's stored state as the latest when not all other voters can confirm it", 0,
-			func([]string) control.Request { return control.Request{Action: "trust"} }, printQuorum),
+			"Accept this voter's stored state as the latest when not all other voters can confirm it",
+			0, trust, printQuorum),
 		fleetConfigCommand(&flags),
 	)
 	return c
 }
 
 // command makes a command that sends one request with its arguments and prints the answer.
-func (f *fleetFlags) command(use, short string, argCount int,
-	request func(args []string) control.Request,
-	printText func(io.Writer, control.Status)) *cobra.Command {
+func (f *fleetFlags) command(
+	use, short string, argCount int, request func(args []string) control.Request,
+	printText func(io.Writer, control.Status),
+) *cobra.Command {
 	run := func(c *cobra.Command, args []string) error {
 		answer, err := f.call(c.Context(), request(args))
 		if err != nil {
--- a/cmd/mintkeel/fleetprint.go
+++ b/cmd/mintkeel/fleetprint.go
@@ -21,11 +21,11 @@
 
 func printLeases(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	whose := "as " + s.Self + " was told"
-	if s.Own {
-		whose = "as the quorum agreed, as far as " + s.Self + " has heard"
+	source := "as " + s.Self + " was told"
+	if s.Agreed {
+		source = "as the quorum agreed, as far as " + s.Self + " has heard"
 	}
-	fmt.Fprintf(t, "%d leases, %s\nlease\ttoken\tholder\tis to go to\n", len(s.Leases), whose)
+	fmt.Fprintf(t, "%d leases, %s\nlease\ttoken\tholder\tis to go to\n", len(s.Leases), source)
 	for _, w := range s.Leases {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\n", w.Lease, w.Token, cmp.Or(w.Holder, "nobody"), w.Preferred)
 	}
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -34,24 +34,32 @@
 	c.PersistentFlags().BoolVar(&m.asJSON, "json", false, "print the whole answer as JSON")
 	c.AddCommand(
 		m.ofFile("plan FILE",
-			"Submit the plans of a file, all or none; those of the same names are replaced", "plan",
-			printMaintenance),
+			"Submit the plans of a file, all or none; those of the same names are replaced",
+			maintenance.ActionPlan, printMaintenance),
 		m.ofFile("check FILE",
-			"Check whether the plans of a file are feasible and, if not, why and what would be", "check",
-			printCheck),
-		m.ofName("status", "Show the plans and the step of the work on each engine", "status",
-			printMaintenance),
-		m.ofName("explain", "Explain why an engine was chosen, and why others wait", "status",
-			printReasons),
-		m.ofName("halt PLAN", "Take no further engines out for a plan; those that are out return", "halt",
-			printMaintenance),
-		m.ofName("resume PLAN", "Resume a halted plan", "resume", printMaintenance),
-		m.ofName("withdraw PLAN", "End a plan; engines that are out return", "withdraw",
-			printMaintenance),
-		m.ofName("done ENGINE", "Mark the work on an engine as done", "done", printMaintenance),
+			"Check whether the plans of a file are feasible and, if not, why and what would be",
+			maintenance.ActionCheck, printCheck),
+		m.ofName("status",
+			"Show the plans and the step of the work on each engine",
+			maintenance.ActionStatus, printMaintenance),
+		m.ofName("explain",
+			"Explain why an engine was chosen, and why others wait",
+			maintenance.ActionStatus, printReasons),
+		m.ofName("halt PLAN",
+			"Take no further engines out for a plan; those that are out return",
+			maintenance.ActionHalt, printMaintenance),
+		m.ofName("resume PLAN",
+			"Resume a halted plan",
+			maintenance.ActionResume, printMaintenance),
+		m.ofName("withdraw PLAN",
+			"End a plan; engines that are out return",
+			maintenance.ActionWithdraw, printMaintenance),
+		m.ofName("done ENGINE",
+			"Mark the work on an engine as done",
+			maintenance.ActionDone, printMaintenance),
 		m.ofName("without CONTROLLER",
 			"Go on without the confirmation of a controller: you vouch that it uses no engine any more",
-			"without", printMaintenance),
+			maintenance.ActionWithout, printMaintenance),
 	)
 	return c
 }
@@ -65,13 +73,15 @@
 // maintenancePrinter prints an answer as text.
 type maintenancePrinter func(io.Writer, *maintenance.Status)
 
-func (m *maintenanceCaller) call(c *cobra.Command, request maintenance.Request,
-	printText maintenancePrinter) error {
+// call sends a request and prints the answer.
+func (m *maintenanceCaller) call(
+	c *cobra.Command, request maintenance.Request, printText maintenancePrinter,
+) error {
 	if m.folder == "" {
 		return errors.New("no folder: set --folder or MINTKEEL_FLEET")
 	}
 	s, err := control.Call(c.Context(), m.folder,
-		control.Request{Action: "maintenance", Maintenance: &request})
+		control.Request{Action: control.ActionMaintenance, Maintenance: &request})
 	if s.Maintenance == nil {
 		return errors.Join(err, errorIf(err == nil, "the controller told nothing of maintenance"))
 	}
@@ -88,8 +98,9 @@
 }
 
 // ofName makes a command with the argument of its use, or without one.
-func (m *maintenanceCaller) ofName(use, short, action string,
-	printText maintenancePrinter) *cobra.Command {
+func (m *maintenanceCaller) ofName(
+	use, short, action string, printText maintenancePrinter,
+) *cobra.Command {
 	count := strings.Count(use, " ")
 	run := func(c *cobra.Command, args []string) error {
 		request := maintenance.Request{Action: action}
@@ -102,8 +113,9 @@
 }
 
 // ofFile makes a command that sends the plans of a file.
-func (m *maintenanceCaller) ofFile(use, short, action string,
-	printText maintenancePrinter) *cobra.Command {
+func (m *maintenanceCaller) ofFile(
+	use, short, action string, printText maintenancePrinter,
+) *cobra.Command {
 	run := func(c *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
@@ -121,7 +133,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: run}
 }
 
-// printCheck tells that plans can be done; problems have been printed before.
+// printCheck prints that plans can be done; problems have been printed before.
 func printCheck(out io.Writer, s *maintenance.Status) {
 	if len(s.Problems) == 0 {
 		fmt.Fprintln(out, "can be done, as far as can be foreseen")
--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -21,7 +21,7 @@
 // Block is the block fleet of the operator's file.
 type Block struct {
 	Name       string                // of the fleet
-	Generation uint64                // tells a rebuilt fleet from the one before
+	Generation uint64                // keeps a rebuilt fleet apart from the one before
 	Listen     string                // address and port for other controllers
 	Advertise  string                // address and port at which others reach it
 	KeyFile    string                // absolute path
@@ -31,9 +31,8 @@
 	Lease      time.Duration         // of a lease that is not renewed
 	Willing    bool                  // it takes on leases
 
-	// Dial opens connections to other controllers; nil: the system does. No file sets it. Controllers
-	// that share a machine in a measurement have addresses of their own by it, and their bytes
-	// counted.
+	// Dial opens connections to other controllers; nil: the system does. No file sets it: measurements
+	// do, so that controllers on one machine have addresses of their own and their bytes are counted.
 	Dial links.Dial
 }
 
@@ -164,8 +163,8 @@
 	return ""
 }
 
-// Same tells whether two blocks mean the same fleet in the same way, but for what may change while
-// running: the keys and whether this controller takes on leases.
+// Same reports whether two blocks differ at most in what may change while running: the keys, and
+// whether this controller takes on leases.
 func (b *Block) Same(other *Block) bool {
 	if b == nil || other == nil {
 		return b == other
--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -24,13 +24,13 @@
 	errEnding  = errors.New("the controller is ending")
 )
 
-// notBegunError is that the session's goroutine did not take a request, and never will.
+// notBegunError means that the session's goroutine did not take a request, and never will.
 type notBegunError struct{ cause error }
 
 func (e *notBegunError) Error() string { return e.cause.Error() }
 func (e *notBegunError) Unwrap() error { return e.cause }
 
-// hadNoEffect tells whether an error of a request means that the replica was not asked.
+// hadNoEffect reports whether an error of a request means that the replica was not asked.
 func hadNoEffect(err error) bool {
 	var notBegun *notBegunError
 	return errors.As(err, &notBegun) || errors.Is(err, errTooMany)
@@ -52,15 +52,13 @@
 	executor Executor
 }
 
-// NewClient returns a client; the manager is nil where the fleet has no say in this controller's
-// configuration.
+// NewClient returns a client; the manager is nil without a block config.
 func NewClient(manager *Manager, executor Executor) *Client {
 	return &Client{manager: manager, executor: executor}
 }
 
-// Do carries out an operator's request. Other errors than ErrOff (the fleet has no say in this
-// controller's configuration) and that of a nil request come with an answer, which has the version
-// in force here.
+// Do carries out an operator's request. Other errors than ErrOff and that of a nil request come
+// with an answer, which has the version in force here.
 func (c *Client) Do(request *Request) (*Answer, error) {
 	if c.manager == nil {
 		return nil, ErrOff
@@ -125,7 +123,7 @@
 	return c.propose(request, shown.Document, expect, request.Number)
 }
 
-// unusable tells why a document is not proposed; empty: it may be.
+// unusable is why a document is not proposed; empty: it may be.
 func (c *Client) unusable(document []byte) string {
 	switch {
 	case len(document) == 0:
@@ -141,8 +139,9 @@
 
 // propose has a document that was checked agreed on, if the newest version is still the one
 // expected.
-func (c *Client) propose(request *Request, document []byte, expect,
-	rollbackOf uint64) (Answer, error) {
+func (c *Client) propose(
+	request *Request, document []byte, expect, rollbackOf uint64,
+) (Answer, error) {
 	v := config.Version{
 		Author:     request.Author,
 		Reason:     request.Reason,
@@ -244,8 +243,8 @@
 }
 
 // Call has a function put a request to the replica, under the number ref, and waits for the reply.
-// The session ends the wait after the timeout. Unless hadNoEffect tells otherwise, the request may
-// have had its effect after an error.
+// The session ends the wait after the timeout. After an error for which hadNoEffect is false the
+// request may have had its effect.
 func (c *Client) Call(timeout time.Duration, request ReplicaRequest) (Reply, error) {
 	reply := make(chan Reply, 1)
 	ref := c.manager.lastRef.Add(1)
--- a/internal/fleet/configuration/doc.go
+++ b/internal/fleet/configuration/doc.go
@@ -11,22 +11,22 @@
 // A Session belongs to the goroutine of the service's session, and none of its methods waits, but
 // OpenSession and Close: these run before and after the core, and wait for the disk and the program
 // within bounds, or until the service ends. Checks, writes and calls of Host.Apply run in
-// goroutines, one of each kind at a time, whose results the session's goroutine reads from Checked,
-// Stored and Applied and passes to CheckEnded, StoreEnded and ApplyEnded. A Client is called by the
-// goroutines of operators' connections, and waits there; the replica is used by the session's
-// goroutine alone (Executor).
+// goroutines, one of each kind at a time. The session's goroutine reads their results from Checked,
+// Stored and Applied and passes them to CheckEnded, StoreEnded and ApplyEnded. A Client is called
+// by the goroutines of operators' connections, and waits there; the replica is used by the
+// session's goroutine alone (Executor).
 //
 // Host.Check and Host.Apply are each called once at a time. A panic of either counts as an error.
 //
 // # Durability
 //
 // The replica asks for a version to be applied once its document and the record that names it are
-// durable, and the replica tells other controllers of a version in force once Host.Apply has
+// durable, and the replica reports a version in force to other controllers once Host.Apply has
 // returned. A record names a document that is durable, as the document is written first; documents
 // are removed last. At a start the version of the record is applied before the core runs, so a
-// controller never serves by an older version than it had, whoever it can reach. Versions of
-// another generation of the fleet stay in use until one of this generation is applied, and don't
-// count as this generation's.
+// controller never serves by an older version than it had, also when it can reach no other. A
+// version of another generation of the fleet stays in use until one of this generation is applied,
+// and doesn't count as this generation's.
 //
 // # Failures and bounds
 //
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -17,8 +17,11 @@
 
 // folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes
 // nothing in its first minute.
-var folderBounds = documents.Bounds{Document: config.MaxDocument, Documents: 256,
-	Bytes: 4 * config.MaxStored}
+var folderBounds = documents.Bounds{
+	Document:  config.MaxDocument,
+	Documents: 256,
+	Bytes:     4 * config.MaxStored,
+}
 
 // currentRecord is what the folder's record holds: the version to be in force at a start.
 type currentRecord struct {
@@ -26,8 +29,8 @@
 	Version    config.Version `cbor:"2,keyasint"`
 }
 
-// atLeast tells whether a record is of this version or of a later one of the generation; none is
-// not.
+// atLeast reports whether a record is of this version or of a later one of the generation. It is
+// false for no record (nil).
 func (r *currentRecord) atLeast(generation uint64, v config.Version) bool {
 	if r == nil || r.Generation != generation {
 		return false
@@ -48,8 +51,11 @@
 type Folder struct {
 	folder     *documents.Folder
 	generation uint64 // of the fleet
-	// of another generation: it counts at a start until a version of this one does
-	earlier   *documents.Current
+
+	// earlier is the record of another generation, if the folder had one: it is put back while there
+	// is no version of this generation.
+	earlier *documents.Current
+
 	unremoved []config.Hash // documents that could not be removed yet
 }
 
--- a/internal/fleet/configuration/host.go
+++ b/internal/fleet/configuration/host.go
@@ -13,7 +13,7 @@
 // Block is the block config of the operator's file: this controller takes its rules, log, memory,
 // maintenance and leases from the versions that the fleet agrees on.
 type Block struct {
-	// at a start, the longest time to look for the latest version before clients are served
+	// Wait is the longest time to look for the latest version, at a start, before clients are served.
 	Wait time.Duration
 }
 
@@ -23,11 +23,12 @@
 	return &Block{Wait: open.Duration("wait", 3*time.Second, 100*time.Millisecond, 8*time.Second)}
 }
 
-// Host is the program that uses the fleet's configuration: the daemon, or a hollow controller of a
-// rig.
+// Host is the program that uses the fleet's configuration: the daemon, or a stand-in for it in
+// measurements.
 type Host struct {
-	// Check tells whether a document could be used here, by the same code as `mintkeel check`. It has
-	// no effects, is called from goroutines of the service, one call at a time, and must be quick.
+	// Check returns why a document can't be used here, by the same code as `mintkeel check`; nil: it
+	// can. It has no effects, is called from goroutines of the service, one call at a time, and must
+	// be quick.
 	Check func(document []byte) error
 	// Apply takes a version into use. It is called from a goroutine of its own, one call at a time,
 	// and may wait a bounded time. An error that wraps ErrRetryable is tried again.
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -66,8 +66,8 @@
 	return NewManager(host, disk.Folder(filepath.Join(folder, FolderName)))
 }
 
-// check tells whether a document could be used here. A parser that panics ends no more than the
-// check.
+// check returns why a document can't be used here; nil: it can. A parser that panics ends no more
+// than the check.
 func (m *Manager) check(document []byte) (err error) {
 	m.checking.Lock()
 	defer m.checking.Unlock()
@@ -130,8 +130,8 @@
 
 func (m *Manager) releaseApply() { <-m.applying }
 
-// Close waits for a call of Host.Apply, for a bounded time, as it may wait for whoever closes the
-// service. No call is made after it. A nil Manager has nothing to close.
+// Close waits for a call of Host.Apply, for a bounded time, as that call may wait for the goroutine
+// that closes the service. No call is made after it. A nil Manager has nothing to close.
 func (m *Manager) Close() {
 	if m == nil {
 		return
@@ -141,8 +141,8 @@
 	m.reserveApply(ctx)
 }
 
-// Readiness tells which version is in force here, and whether it is known to be the latest. It is
-// zero for a nil Manager: the fleet has no say in this controller's configuration.
+// Readiness returns which version is in force here, and whether it is known to be the latest. It is
+// zero for a nil Manager: there is no block config.
 func (m *Manager) Readiness() config.Readiness {
 	if m == nil {
 		return config.Readiness{}
@@ -161,7 +161,7 @@
 }
 
 // Wait waits until the latest version is known to be in force here, the context ends or done is
-// closed, and tells which is in force. It returns at once for a nil Manager.
+// closed, and returns which is in force. It returns at once for a nil Manager.
 func (m *Manager) Wait(ctx context.Context, done <-chan struct{}) config.Readiness {
 	if m == nil {
 		return config.Readiness{}
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -16,9 +16,9 @@
 )
 
 // OpenSession reads the folder, has the version that is to be in force at a start applied, and
-// tells what the core begins with. It waits for the disk and for Host.Apply, until the context
-// ends. For a nil Manager the session and the facts are nil. A session that was opened must be
-// closed, also if the core does not start.
+// returns what the core begins with. It waits for the disk and for Host.Apply, until the context
+// ends. For a nil Manager all results are nil. A session that was opened must be closed, also if
+// the core does not start.
 func (m *Manager) OpenSession(
 	ctx context.Context, environment Environment,
 ) (*Session, *node.FleetConfig, error) {
@@ -56,8 +56,10 @@
 	if err != nil {
 		return stored, err
 	}
-	s.manager.readiness.Store(&config.Readiness{Number: stored.Current.Number,
-		Latest: stored.Current.Number})
+	s.manager.readiness.Store(&config.Readiness{
+		Number: stored.Current.Number,
+		Latest: stored.Current.Number,
+	})
 	return stored, nil
 }
 
@@ -99,8 +101,11 @@
 		return
 	}
 	record := *contents.record
-	next := Applied{Generation: record.Generation, Version: record.Version,
-		Document: contents.document}
+	next := Applied{
+		Generation: record.Generation,
+		Version:    record.Version,
+		Document:   contents.document,
+	}
 	for attempt := 1; ; attempt++ {
 		result := make(chan error, 1)
 		go func() { result <- s.manager.Apply(s.ctx, next) }()
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -41,13 +41,12 @@
 
 // Request is an operator's request.
 type Request struct {
-	Action   Action `json:"action"`
-	Document []byte `json:"document,omitempty"` // of ActionPut
-	// the newest version that the author has seen; nil: any
-	Expect *uint64 `json:"expect,omitempty"`
-	Number uint64  `json:"number,omitempty"` // of ActionShow and ActionRollback
-	Author string  `json:"author,omitempty"`
-	Reason string  `json:"reason,omitempty"`
+	Action   Action  `json:"action"`
+	Document []byte  `json:"document,omitempty"` // of ActionPut
+	Expect   *uint64 `json:"expect,omitempty"`   // newest version that the author has seen; nil: any
+	Number   uint64  `json:"number,omitempty"`   // of ActionShow and ActionRollback
+	Author   string  `json:"author,omitempty"`
+	Reason   string  `json:"reason,omitempty"`
 }
 
 // Answer answers a Request.
@@ -76,7 +75,7 @@
 	}
 }
 
-// RefuseTooBig answers a request whose document is too big to be sent; nil: it is not.
+// RefuseTooBig answers a request with a document that is too big to be sent; nil: it is not.
 func (r *Request) RefuseTooBig() *Answer {
 	if len(r.Document) <= config.MaxDocument {
 		return nil
--- a/internal/fleet/context.go
+++ b/internal/fleet/context.go
@@ -19,7 +19,7 @@
 // SendMessage sends a message to another controller's job.
 func (s *session) SendMessage(to members.ID, data []byte) { s.core.SendMessage(s.Now(), to, data) }
 
-// CanAct tells whether this controller holds a lease now.
+// CanAct reports whether this controller holds a lease now, and its fencing token.
 func (s *session) CanAct(name lease.Name) (lease.Token, bool) {
 	token, _, ok := s.core.CanAct(s.Now(), name)
 	return token, ok
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -14,8 +14,8 @@
 // maxAnswerBytes bounds what a command reads of an answer.
 const maxAnswerBytes = 16 << 20
 
-// Call asks the controller whose folder this is. The error may be one of the controller; then the
-// status is set as well, as far as the controller told it.
+// Call asks the controller that has this folder. The error may be one that the controller reports;
+// then the status is set too, as far as it was answered.
 func Call(ctx context.Context, folder string, r Request) (Status, error) {
 	if r.Config != nil {
 		if refused := r.Config.RefuseTooBig(); refused != nil {
@@ -28,7 +28,7 @@
 		return Status{}, fmt.Errorf("no controller answers in %s: %w", folder, err)
 	}
 	defer conn.Close()
-	// later than the controller's own
+	// The controller's own deadline is earlier, so that its error is heard.
 	deadline := time.Now().Add(r.maxDuration() + socketTimeout + Timeout)
 	conn.SetDeadline(deadline)
 	if err := json.NewEncoder(conn).Encode(r); err != nil {
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -26,13 +26,13 @@
 	maxConnections = 8              // at once
 )
 
-// ErrTooLong is that a request is longer than its kind may be.
+// ErrTooLong means that a request is longer than its kind may be.
 var ErrTooLong = errors.New("the request is too long")
 
 // Handler answers requests. It is called by the goroutines of connections, several at once, and may
 // wait for as long as the request may take.
 type Handler interface {
-	// Ask does what a request asks, and tells how things stand after it.
+	// Ask does what a request asks, and returns the state after it.
 	Ask(r Request) (Status, error)
 	// MaxConfigBytes bounds a request about configuration.
 	MaxConfigBytes() int64
--- a/internal/fleet/control/status.go
+++ b/internal/fleet/control/status.go
@@ -12,12 +12,17 @@
 	Fleet      string `json:"fleet"`
 	Generation uint64 `json:"generation"`
 	Self       string `json:"self"`
-	// health score of this controller itself, from 0 (it keeps up) to 8
-	Slow    int            `json:"slow"`
+
+	// HealthScore is that of this controller itself, from 0 (it keeps up) to 8.
+	HealthScore int `json:"slow"`
+
 	Members []MemberStatus `json:"members"`
 	Leases  []LeaseStatus  `json:"works"`
-	// this controller votes: Leases are what it has applied of the agreed log; else a leader's view
-	Own    bool         `json:"own"`
+
+	// Agreed: this controller votes, and Leases are what it has applied of the agreed log. Else they
+	// are what it last heard from a leader.
+	Agreed bool `json:"own"`
+
 	Holds  []string     `json:"holds"` // leases that this controller holds
 	Quorum QuorumStatus `json:"council"`
 	Error  string       `json:"error,omitempty"`
--- a/internal/fleet/control/stored_test.go
+++ b/internal/fleet/control/stored_test.go
@@ -80,11 +80,11 @@
 }
 
 func storedStatus() Status {
-	return Status{Fleet: "east", Generation: 3, Self: "n1", Slow: 2,
+	return Status{Fleet: "east", Generation: 3, Self: "n1", HealthScore: 2,
 		Members: []MemberStatus{{ID: "n2", Addr: "10.0.0.2:9443", State: "suspect", Incarnation: 5, Willing: true,
 			Run: "1f"}},
 		Leases: []LeaseStatus{{Lease: "digest", Token: 9, Holder: "n1", Run: "4d", Preferred: "n2"}},
-		Own:    true, Holds: []string{"digest"},
+		Agreed: true, Holds: []string{"digest"},
 		Quorum: QuorumStatus{Role: "voting", Reason: "a reason", Leader: "n1", Term: 6, Record: 21,
 			Members: []IncarnationStatus{{Name: "n1", Disk: "65", Votes: true}}},
 		Error: "an error", Maintenance: storedMaintenanceStatus(), Config: storedConfigAnswer()}
--- a/internal/fleet/faultinjection/faultinjection.go
+++ b/internal/fleet/faultinjection/faultinjection.go
@@ -1,10 +1,10 @@
-// Package faultinjection is where the fleet service meets the machine: the steady clock, new
-// connections, the time before a write. The daemon injects no faults (system.go). Only builds with
-// the tag mintkeel_lab, which the rig of internal/lab/fleet makes, do (rig.go, job.go): the clock
-// runs at a rate from a file, writes take long or fail, connections go through a switch, and a job
-// produces effects that the rig checks. The environment names the file, the switch and the
-// endpoint. It is the one package of the fleet that the tag changes, and both builds export the
-// same functions.
+// Package faultinjection has what the fleet service takes from the machine and a rig replaces: the
+// steady clock, new connections, the time before a write. The daemon injects no faults (system.go).
+// Only builds with the tag mintkeel_lab, which the rig of internal/lab/fleet makes, do (rig.go,
+// job.go): the clock runs at a rate from a file, writes take long or fail, connections go through a
+// switch, and a job produces effects that the rig checks. Environment variables name the file, the
+// switch and the endpoint. It is the one package of the fleet that the tag changes, and both builds
+// export the same functions.
 package faultinjection
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// began is where the steady clock has 0.
+// began is when the steady clock was at 0.
 var began = time.Now()
 
 // steadyNow is the time in ms by the system's steady clock.
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -57,7 +57,7 @@
 	return nonce, err
 }
 
-// Open reads the challenge and answers it with a hello, whose nonce it draws.
+// Open reads the challenge and answers it with the hello and a new nonce.
 func Open(rw io.ReadWriter, key Key, hello Hello) (*Writer, error) {
 	challenge := make([]byte, len(magic)+nonceSize)
 	if _, err := io.ReadFull(rw, challenge); err != nil {
--- a/internal/fleet/job/doc.go
+++ b/internal/fleet/job/doc.go
@@ -16,8 +16,8 @@
 // # Fencing
 //
 // A job checks with CanAct, or by the result of TryEffect and ProposeState, that the lease is held
-// before each effect; it does not remember the answer. Began and Ended tell when the lease changes
-// hands, but a lease may run out between two calls. Each effect carries the fencing token of the
+// before each effect; it does not remember the answer. Began and Ended report a change of the
+// holder, but a lease may run out between two calls. Each effect carries the fencing token of the
 // lease, and a receiver drops one with an older token than it has seen.
 //
 // # Durability and loss
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -40,7 +40,7 @@
 	SendMessage(to members.ID, data []byte)
 	// CanAct reports whether this controller holds a lease now, and its fencing token.
 	CanAct(name lease.Name) (lease.Token, bool)
-	// Release gives a lease up to another controller; failed tells that this one can't do its job.
+	// Release gives a lease up to another controller; failed: this one can't do its job.
 	Release(name lease.Name, failed bool)
 	// ProposeState has the state of a lease agreed on. It is false where the lease is not held.
 	ProposeState(name lease.Name, serial uint64, data []byte) bool
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -13,8 +13,9 @@
 // may be used up.
 const acceptBackoff = 50 * time.Millisecond
 
-// greetingShare bounds the connections that are not authenticated yet and may take the place of
-// idle ones: one in so many of MaxIncoming. So strangers can't displace more controllers than that.
+// greetingShare is a bound on connections that are not authenticated yet: idle ones are evicted for
+// them only while they are less than one in so many of MaxIncoming. So strangers can't displace
+// more controllers than that.
 const greetingShare = 4
 
 // maxRateWait bounds how long a connection is not read as its sender is over its rate.
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -20,8 +20,7 @@
 	QueueMessages int // that wait for one peer
 	QueueBytes    int // that wait for one peer
 
-	// without a message, after which an incoming connection may be evicted
-	EvictAfter       time.Duration
+	EvictAfter       time.Duration // without a message, after which an incoming one may be evicted
 	DialTimeout      time.Duration // to be connected and authenticated
 	WriteTimeout     time.Duration // to write a message
 	IdleTimeout      time.Duration // without a message, after which a connection is closed
@@ -99,8 +98,9 @@
 
 // New returns links of a controller that says hello as self. They call receive with each message
 // that comes in; it must not wait long, as it holds up one connection.
-func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received),
-	log *slog.Logger) *Links {
+func New(
+	self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger,
+) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Links{
 		self:     self,
@@ -131,7 +131,7 @@
 	l.group.Wait()
 }
 
-// closeIncoming closes the incoming connections, whose goroutines then end.
+// closeIncoming closes the incoming connections, which ends their goroutines.
 func (l *Links) closeIncoming() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -184,7 +184,7 @@
 	}
 	now := time.Now()
 	c.connection.conn.SetWriteDeadline(now.Add(c.links.bounds.WriteTimeout))
-	// carry closes an idle one before
+	// The read waits for the peer to end the connection; carry closes an idle one well before.
 	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.IdleTimeout))
 	if err := c.connection.writer.Write(payload); err != nil {
 		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
@@ -217,8 +217,8 @@
 }
 
 // retryBackoff is for how long no connection is opened after one that failed. It grows with each
-// refusal in a row by a peer that has no room, and is drawn then, so that the controllers that were
-// refused do not come back all at once.
+// refusal in a row by a peer that has no room, and has jitter then, so that the controllers that
+// were refused do not come back all at once.
 func (b Bounds) retryBackoff(refusals int) time.Duration {
 	if refusals == 0 {
 		return b.RetryInterval
@@ -231,7 +231,8 @@
 	return wait/2 + rand.N(wait)
 }
 
-// errRefused is that a peer closed a connection before the challenge, as one does that has no room.
+// errRefused means that a peer closed a connection before the challenge, as it does when it has no
+// room.
 var errRefused = errors.New("the peer has no room for a connection")
 
 // open opens a connection to a peer; it is closed when the context ends.
@@ -256,8 +257,12 @@
 		}
 		return nil, err
 	}
-	connection := &outgoing{conn: conn, writer: writer, openedAt: time.Now(),
-		ended: make(chan struct{})}
+	connection := &outgoing{
+		conn:     conn,
+		writer:   writer,
+		openedAt: time.Now(),
+		ended:    make(chan struct{}),
+	}
 	l.group.Go(func() {
 		defer stop()
 		defer close(connection.ended)
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -81,9 +81,9 @@
 	j.engines = nil
 }
 
-// confirm tells the holder of the lease on which of the held engines nothing of this controller's
-// own runs any more. It has something to tell only once the loop has answered after the last change
-// of what is held.
+// confirm reports to the holder of the lease on which of the held engines nothing of this
+// controller's own runs any more. It sends nothing before the loop has answered after the last
+// change of what is held.
 func (j *Job) confirm(jobContext job.Context) {
 	j.mu.Lock()
 	changed := j.holdChanges != j.appliedHold
@@ -114,7 +114,7 @@
 
 // unconfirmed are the controllers that may still send to an engine, as far as the lease holder
 // knows: each member that it ever heard of, but for those that shut down and those that an operator
-// does without.
+// had it wait for no more.
 func (j *Job) unconfirmed(jobContext job.Context, engine core.EngineID) (controllers []string) {
 	for _, m := range jobContext.Members() {
 		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Without, m.ID) {
--- a/internal/fleet/maintenance/hooks.go
+++ b/internal/fleet/maintenance/hooks.go
@@ -31,8 +31,8 @@
 func hookKey(step string, engine core.EngineID) string { return step + " " + string(engine) }
 
 // runHook has a program of the installation do its part, once for each sequence number of a task.
-// Its reason tells what is waited for. If a lease holder died meanwhile, the next one runs the
-// program again, with the same number.
+// Until it is done, reason is what is waited for. If a lease holder died meanwhile, the next one
+// runs the program again, with the same number.
 func (j *Job) runHook(step, path string, task core.Task) (done bool, reason string) {
 	if path == "" {
 		return true, ""
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -19,24 +19,21 @@
 	"mintkeel/router"
 )
 
-// Lease is the name of the lease whose holder carries out maintenance.
+// Lease is the name of the lease for carrying out maintenance.
 const Lease lease.Name = "maintenance"
 
 // Intervals and timeouts of the session's goroutine, in ms of the steady clock.
 const (
-	stepInterval = 500.0 // between two steps of the holder
-	// between two announcements of the engines to hold, to each controller
-	announceInterval     = 1000.0
-	confirmationLifetime = 5000.0 // a controller repeats its confirmation with each announcement
-	// after which the agreed state is read again in place of awaiting a proposal
-	proposalTimeout = 2000.0
-	// after which a missing engine that nobody took out has left for good
-	lostEngineTime = 3600e3
+	stepInterval         = 500.0  // between two steps of the holder
+	announceInterval     = 1000.0 // between two announcements of the engines to hold
+	confirmationLifetime = 5000.0 // for which a confirmation counts, unless it is repeated
+	proposalTimeout      = 2000.0 // for a proposal to be agreed on; then the state is read again
+	lostEngineTime       = 3600e3 // after which an engine that nobody took out has left for good
 )
 
 // Timeouts of the job's own goroutines.
 const (
-	engineTimeout = 2 * time.Second  // for the loop to tell what it knows of the engines
+	engineTimeout = 2 * time.Second  // for the loop to answer what it knows of the engines
 	hookBackoff   = 10 * time.Second // until a program that failed is run again
 	hookWaitDelay = time.Second      // for a program's output after its end
 )
@@ -57,9 +54,8 @@
 	Engines func(ctx context.Context) ([]router.EngineStatus, error)
 	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
 	Kinds   []string                // names of machine kinds, by number
-	// for each query class that is bound to some machine kinds, these kinds
-	Bounds [][]router.KindID
-	Log    *slog.Logger
+	Bounds  [][]router.KindID       // kinds of each query class that is bound to some kinds
+	Log     *slog.Logger
 }
 
 // Job is the job of the maintenance lease.
@@ -96,9 +92,9 @@
 	mu          sync.Mutex            // guards the fields up to hooks
 	engines     []router.EngineStatus // nil: not known since the last change of what is held
 	asking      bool
-	holdChanges int               // how often what is to be held has changed
-	toHold      []router.EngineID // and what it is now
-	appliedHold int               // up to which change the loop knows it
+	holdChanges int               // how often toHold has changed
+	toHold      []router.EngineID // engines that the loop is to hold
+	appliedHold int               // value of holdChanges when the loop was last given toHold
 	hooks       map[string]hookRun
 	ctx         context.Context
 	end         context.CancelFunc
@@ -187,7 +183,7 @@
 }
 
 // retryState reads the agreed state again once a proposal, or the state, has not come back in time.
-// One of the messages was lost, and the state tells which.
+// A message was lost: by the state the holder sees whether the proposal was agreed on.
 func (j *Job) retryState(jobContext job.Context, now float64) {
 	if now <= j.proposedAt+proposalTimeout {
 		return
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -16,12 +16,12 @@
 // agreedState is what is agreed on through the quorum, and what a lease holder hands on to the
 // next.
 type agreedState struct {
-	Plans []core.Plan `cbor:"1,keyasint"`
-	Tasks []core.Task `cbor:"2,keyasint"`
-	// controllers that an operator does without
-	Without []members.ID    `cbor:"3,keyasint,omitempty"`
+	Plans   []core.Plan     `cbor:"1,keyasint"`
+	Tasks   []core.Task     `cbor:"2,keyasint"`
+	Without []members.ID    `cbor:"3,keyasint,omitempty"` // controllers not waited for any more
 	Known   []core.EngineID `cbor:"5,keyasint,omitempty"` // the engines that there should be
-	// by hookKey: the task whose work a person has done
+
+	// Hooked is, by hookKey, the sequence number of the task that a person has done the work of.
 	Hooked map[string]uint64 `cbor:"6,keyasint,omitempty"`
 }
 
@@ -32,7 +32,7 @@
 	Engines []router.EngineID `cbor:"2,keyasint"` // sorted
 }
 
-// messageKind tells a message from those of other jobs.
+// messageKind is message.Kind of all messages of this job.
 const messageKind = "maintenance"
 
 // message is one between the jobs of two controllers: a request, its answer, or a confirmation of
@@ -61,12 +61,23 @@
 	JSON []byte
 }
 
+// Actions of requests.
+const (
+	ActionStatus   = "status"
+	ActionPlan     = "plan"     // take plans over
+	ActionCheck    = "check"    // check plans without taking them over
+	ActionHalt     = "halt"     // take no further engine for a plan
+	ActionResume   = "resume"   // go on with a halted plan
+	ActionWithdraw = "withdraw" // end a plan
+	ActionDone     = "done"     // a person has done the work on an engine
+	ActionWithout  = "without"  // wait for a controller's confirmations no more
+)
+
 // Request is what an operator asks of the holder of the maintenance lease.
 type Request struct {
-	// "status", "plan", "check", "halt", "resume", "withdraw", "done", "without"
-	Action string      `json:"do"`
-	Plans  []core.Plan `json:"plans,omitempty"`
-	Name   string      `json:"name,omitempty"` // of a plan, an engine or a controller
+	Action string      `json:"do"`              // one of the actions
+	Plans  []core.Plan `json:"plans,omitempty"` // of ActionPlan and ActionCheck
+	Name   string      `json:"name,omitempty"`  // of a plan, an engine or a controller
 }
 
 // Status is the state of maintenance as its lease holder sees it. The JSON names are those of its
--- a/internal/fleet/maintenance/planfile.go
+++ b/internal/fleet/maintenance/planfile.go
@@ -21,6 +21,8 @@
 	maxBlockedHours  = 32
 	maxMinAvailable  = 128
 	maxAtOnce        = 1000
+	maxWorkTime      = 7 * 24 * time.Hour
+	maxTimeBytes     = 64 // of a time as text
 )
 
 var planName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
@@ -72,9 +74,9 @@
 		ID:             core.PlanID(b.Labels[0]),
 		MaxUnavailable: open.Int("at_once", 1, 1, maxAtOnce),
 		ConfirmWork:    open.Bool("person", false),
-		WorkTime: float64(open.Duration("needs", 10*time.Minute, time.Second,
-			7*24*time.Hour)) / 1e6,
 	}
+	workTime := open.Duration("needs", 10*time.Minute, time.Second, maxWorkTime)
+	plan.WorkTime = float64(workTime) / float64(time.Millisecond)
 	if !planName.MatchString(b.Labels[0]) {
 		diagnostics.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
 	}
@@ -96,7 +98,7 @@
 
 // readTime reads a field with a time, in ms since 1970; 0: there is none.
 func readTime(open *block.Block, field string) float64 {
-	text := open.String(field, "", false, 64)
+	text := open.String(field, "", false, maxTimeBytes)
 	if text == "" {
 		return 0
 	}
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -27,7 +27,7 @@
 	status  Status
 }
 
-// ErrNoHolder is that no controller holds the maintenance lease, as far as this one knows.
+// ErrNoHolder means that no controller holds the maintenance lease, as far as this one knows.
 var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
 
 // Durations that plans are checked with: of the steps that end by the installation's own pace, in
@@ -40,8 +40,9 @@
 // SendRequest passes an operator's request on to the holder of the lease. The answer comes on the
 // returned channel, which has room for it, or is lost: the caller waits for a bounded time. The
 // error is ErrNoHolder where there is none.
-func (j *Job) SendRequest(jobContext job.Context, holder members.ID,
-	request Request) (chan Status, error) {
+func (j *Job) SendRequest(
+	jobContext job.Context, holder members.ID, request Request,
+) (chan Status, error) {
 	if holder == "" {
 		return nil, ErrNoHolder
 	}
@@ -86,16 +87,16 @@
 	run.state.Without = slices.Clone(run.state.Without)
 	v := j.view(jobContext)
 	switch request.Action {
-	case "status":
-	case "plan", "check":
-		run.takePlans(request.Plans, v, int(j.serial+1), request.Action == "plan")
-	case "halt", "resume":
-		run.setHalted(request.Name, request.Action == "halt")
-	case "withdraw":
+	case ActionStatus:
+	case ActionPlan, ActionCheck:
+		run.takePlans(request.Plans, v, int(j.serial+1), request.Action == ActionPlan)
+	case ActionHalt, ActionResume:
+		run.setHalted(request.Name, request.Action == ActionHalt)
+	case ActionWithdraw:
 		run.withdraw(request.Name)
-	case "done":
+	case ActionDone:
 		run.markDone(request.Name)
-	case "without":
+	case ActionWithout:
 		run.doWithout(members.ID(request.Name))
 	default:
 		run.status.Error = fmt.Sprintf("%.64q is not known", request.Action)
@@ -126,15 +127,16 @@
 	return nil
 }
 
-// takePlans checks plans and takes them into the state; commit tells whether they are to be agreed
-// on.
+// takePlans checks plans and takes them into the state; commit: it is to be agreed on if they have
+// no problems.
 func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
 	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
 	for _, p := range plans {
 		p.Version = version
-		for _, problem := range core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now,
-			durations) {
-			r.status.Problems = append(r.status.Problems, fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
+		problems := core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, durations)
+		for _, problem := range problems {
+			r.status.Problems = append(r.status.Problems,
+				fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
 		}
 		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
 		r.state.Plans = append(r.state.Plans, p)
--- a/internal/fleet/maintenance/steps.go
+++ b/internal/fleet/maintenance/steps.go
@@ -31,7 +31,7 @@
 }
 
 // step is the next move of a task that follows from programs, confirmations and operators; nil: the
-// task waits, for what waits has, or its next move is for core.Decide.
+// task waits, for the reason in j.waits, or its next move is for core.Decide.
 func (j *Job) step(jobContext job.Context, task core.Task) *core.Move {
 	to, reason := j.nextStep(jobContext, task)
 	if reason != "" {
--- a/internal/fleet/maintenance/view.go
+++ b/internal/fleet/maintenance/view.go
@@ -94,7 +94,7 @@
 	return lost
 }
 
-// leftForGood tells whether an engine has been missing for so long that it does not count as lost
+// leftForGood reports whether an engine has been missing for so long that it does not count as lost
 // any more.
 func (j *Job) leftForGood(id core.EngineID, now float64) bool {
 	return j.engineLostFrom[id] > 0 && now >= j.engineLostFrom[id]+lostEngineTime
@@ -115,8 +115,8 @@
 	return known
 }
 
-// requirement is the capacity that query classes need which run on some machine kinds alone: all
-// that is in use there may be theirs.
+// requirement is the capacity that a query class bound to these machine kinds may need: all that is
+// in use there, as it is not known which class uses it.
 func (j *Job) requirement(kinds []router.KindID, engines []core.Engine) core.Requirement {
 	required := core.Requirement{}
 	for _, kind := range kinds {
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -24,7 +24,7 @@
 	return configuration.MaxRequestBytes
 }
 
-// Ask does what an operator asks, and tells how things stand after it.
+// Ask does what an operator asks, and returns the state after it.
 func (s *Service) Ask(r control.Request) (control.Status, error) {
 	switch r.Action {
 	case control.ActionMaintenance:
@@ -63,7 +63,7 @@
 	}
 }
 
-// isMember tells whether this controller knows of a member.
+// isMember reports whether this controller knows of a member.
 func (s *session) isMember(id members.ID) bool {
 	_, ok := s.core.Table().Lookup(id)
 	return ok
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// errNoAnswer is that a request was passed on to the holder of the maintenance lease and not
+// errNoAnswer means that a request was passed on to the holder of the maintenance lease and not
 // answered.
 var errNoAnswer = errors.New(
 	"who conducts maintenance did not answer in time: whether it was done is not known")
@@ -116,8 +116,9 @@
 	job.Job
 	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned
 	// channel.
-	SendRequest(c job.Context, holder members.ID,
-		request maintenance.Request) (chan maintenance.Status, error)
+	SendRequest(
+		c job.Context, holder members.ID, request maintenance.Request,
+	) (chan maintenance.Status, error)
 }
 
 // askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits
@@ -156,8 +157,8 @@
 // sendMaintenance has the maintenance job pass a request on.
 func (s *session) sendMaintenance(request maintenance.Request) (chan maintenance.Status, error) {
 	for _, j := range s.jobs {
-		if conductor, ok := j.(maintenanceJob); ok {
-			return conductor.SendRequest(s, s.holder(maintenance.Lease), request)
+		if sender, ok := j.(maintenanceJob); ok {
+			return sender.SendRequest(s, s.holder(maintenance.Lease), request)
 		}
 	}
 	return nil, errors.New("there is no block maintenance in this controller's file")
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -28,15 +28,15 @@
 		}
 		notifications := len(out.Began) + len(out.Ended) + len(out.Effects) +
 			len(out.JobMessages) + len(out.Checkpoints)
-		notified := notifications > 0
-		if !notified && !advanced {
+		if notifications == 0 && !advanced {
 			break
 		}
 	}
 	return nil
 }
 
-// send sends a message of the core. To a voter whose address is not known yet it goes by the block.
+// send sends a message of the core. The address of a voter that is not known yet is taken from the
+// block.
 func (s *session) send(envelope node.Envelope) {
 	payload, err := cbor.Marshal(envelope.Message)
 	if err != nil {
@@ -49,8 +49,8 @@
 	s.links.Send(envelope.To, addr, payload)
 }
 
-// notifyLeases tells the jobs which leases this controller came to hold, and which it holds no
-// more.
+// notifyLeases notifies the jobs of leases that this controller came to hold, and of those that it
+// holds no more.
 func (s *session) notifyLeases(out node.Output) {
 	for _, grant := range out.Began {
 		s.log.Info("fleet: holds a lease", "lease", string(grant.Name), "token", uint64(grant.Token))
@@ -66,7 +66,7 @@
 	}
 }
 
-// logMembers logs members that are new, or whose state has changed.
+// logMembers logs members that are new or in another state.
 func (s *session) logMembers(changes []members.Change) {
 	for _, c := range changes {
 		if c.Member.State != c.Previous || c.New {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -42,7 +42,7 @@
 	links    *links.Links
 	listener net.Listener
 	control  net.Listener           // nil: there is no socket for operators
-	config   *configuration.Manager // nil: the fleet has no say in this controller's configuration
+	config   *configuration.Manager // nil: no block config
 	client   *configuration.Client
 
 	inbox  chan func(*session) // what others have the session's goroutine do
@@ -66,9 +66,8 @@
 	rejected atomic.Int64 // effects of this controller that did not pass it
 }
 
-// Start begins to take part; host is nil where the fleet has no say in this controller's
-// configuration. Its error is of what an operator has to mend: the key's file, the address, the
-// folder.
+// Start begins to take part; host is nil without a block config. It fails on what an operator has
+// to mend: the file of keys, the address, the folder.
 func Start(
 	b *Block, self string, jobs []job.Job, host *configuration.Host, log *slog.Logger,
 ) (*Service, error) {
@@ -170,12 +169,12 @@
 	s.post(func(session *session) { session.core.SetWilling(session.Now(), willing) })
 }
 
-// ConfigReadiness tells which version of the fleet's configuration is in force here, and whether it
-// is known to be the latest.
+// ConfigReadiness returns which version of the fleet's configuration is in force here, and whether
+// it is known to be the latest.
 func (s *Service) ConfigReadiness() config.Readiness { return s.config.Readiness() }
 
 // WaitConfig waits until the latest version is known to be in force here, or the context ends, and
-// tells which is. It returns at once where the fleet has no say in this controller's configuration.
+// returns which is. Without a block config it returns at once.
 func (s *Service) WaitConfig(ctx context.Context) config.Readiness {
 	return s.config.Wait(ctx, s.done)
 }
@@ -202,8 +201,9 @@
 	}
 }
 
-// run takes part, and begins a new session when one ends by a failure: a controller whose disk
-// failed must not promise anything by it, and begins with what the disk has.
+// run takes part, and begins a new session when one ends by a failure. After a failure of the disk
+// it is not known which records are durable, so nothing may be promised on them: the new session
+// reads what the disk has.
 func (s *Service) run(run uint64) {
 	defer close(s.done)
 	backoff := restartBackoff
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -23,8 +23,8 @@
 	*Service
 	core        *node.Node
 	storage     *storage
-	config      *configuration.Session // nil: the fleet has no say in this controller's configuration
-	knownLeases *[]lease.Name          // that the core was given by SetLeases; nil: those of the block
+	config      *configuration.Session // nil: no block config
+	knownLeases *[]lease.Name          // last passed to the core; nil: those of the block
 	nextTick    float64                // ms, when jobs and configuration are called again
 }
 
@@ -59,8 +59,8 @@
 	}
 	session.config.Start(session.core)
 	role, reason := session.core.Quorum().Role()
-	s.log.Info("fleet: taking part", "fleet", s.block.Name, "generation", s.block.Generation, "run",
-		run, "quorum", role.String(), "why", reason)
+	s.log.Info("fleet: taking part", "fleet", s.block.Name, "generation", s.block.Generation,
+		"run", run, "quorum", role.String(), "why", reason)
 	if s.stop.Load() {
 		session.core.Stop(session.Now())
 	}
@@ -73,8 +73,12 @@
 // voters of the block, in the same order at each controller.
 func (s *Service) coreConfig(run uint64) node.Config {
 	c := node.Config{
-		Self: members.Member{ID: s.self, Addr: s.block.Advertise, Willing: s.block.Willing,
-			Run: run},
+		Self: members.Member{
+			ID:      s.self,
+			Addr:    s.block.Advertise,
+			Willing: s.block.Willing,
+			Run:     run,
+		},
 		Leases:      s.wantedLeases(),
 		LeaseTiming: lease.Timing{Duration: float64(s.block.Lease) / float64(time.Millisecond)},
 		Membership:  members.DefaultConfig(),
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// endLeases tells the jobs that this controller holds no lease any more.
+// endLeases notifies the jobs that this controller holds no lease any more.
 func (s *session) endLeases() {
 	for _, grant := range s.core.Held(s.Now()) {
 		for _, j := range s.jobs {
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -15,8 +15,8 @@
 // gather asks some controllers, and this one, for their statistics.
 func (j *Job) gather(jobContext job.Context) {
 	j.collect(jobContext.Self())
-	for _, peer := range j.drawPeers(jobContext, gatherPeers,
-		func(members.Member) bool { return true }) {
+	anyMember := func(members.Member) bool { return true }
+	for _, peer := range j.drawPeers(jobContext, gatherPeers, anyMember) {
 		sendMessage(jobContext, peer, message{Gather: true})
 	}
 }
@@ -65,7 +65,7 @@
 	}
 	j.giveAt = jobContext.Now() + giveInterval
 	given := *j.kept
-	// the receiver takes the records to be as old as they are
+	// Moved on by the digest's age here, or the receiver would take its records for younger.
 	given.Now += float64(age.Microseconds()) / 1e3
 	sendMessage(jobContext, newcomer, message{Snapshot: &given})
 }
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -18,7 +18,7 @@
 	"mintkeel/router"
 )
 
-// Lease is the name of the lease whose holder gathers and publishes statistics.
+// Lease is the name of the lease for gathering and publishing statistics.
 const Lease lease.Name = "digest"
 
 // Intervals of the session's goroutine, in ms of the steady clock.
@@ -28,8 +28,7 @@
 	newcomerInterval = 500.0    // between two requests of a newcomer for the digest
 	newcomerWindow   = 15000.0  // after its start, in which a newcomer asks
 	digestLifetime   = 120000.0 // for which a voter gives a digest to newcomers
-	// between two digests that one voter gives: newcomers spread over the voters
-	giveInterval = 100.0
+	giveInterval     = 100.0    // between two digests that one voter gives to newcomers
 )
 
 // collectTimeout bounds how long the controller's own statistics are taken out.
@@ -37,7 +36,7 @@
 
 // Bounds.
 const (
-	gatherPeers      = 4    // controllers asked in a round: some sixty are heard within two minutes
+	gatherPeers      = 4    // controllers asked in a round
 	newcomerPeers    = 2    // voters that a newcomer asks at a time
 	partRecords      = 1000 // taken out of the loop at once
 	maxRecords       = 6000 // sent by one controller
@@ -46,11 +45,9 @@
 
 // Host is what the job needs of its controller.
 type Host struct {
-	Source memory.StatisticsSource // nil: this controller has no statistics to send
-	// only controllers with the same have the same classes and machine kinds
-	Settings uint64
-	// takes over the fleet's statistics; nil: this controller has its own
-	Remember func(router.Statistics)
+	Source   memory.StatisticsSource // nil: this controller has no statistics to send
+	Settings uint64                  // hash of the settings: classes and machine kinds go by them
+	Remember func(router.Statistics) // takes over the fleet's; nil: this controller has its own
 	Log      *slog.Logger
 }
 
@@ -201,7 +198,7 @@
 	return peers[:min(count, len(peers))]
 }
 
-// isVoter returns whether a member is one of the quorum's.
+// isVoter returns a function that reports whether a member is a voter.
 func isVoter(jobContext job.Context) func(members.Member) bool {
 	voters := jobContext.Voters()
 	return func(m members.Member) bool { return slices.Contains(voters, m.ID) }
--- a/internal/fleet/sharedstatistics/messages.go
+++ b/internal/fleet/sharedstatistics/messages.go
@@ -11,7 +11,7 @@
 // is encoded by the order of its fields.
 type message struct {
 	_        struct{} `cbor:",toarray"`
-	Digest   bool     // tells it from messages of other jobs
+	Digest   bool     // always true: messages of other jobs have something else in this place
 	Gather   bool     // asks for the statistics of the receiver
 	Want     bool     // asks for the digest: the sender has no statistics
 	Snapshot *snapshot
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -9,17 +9,17 @@
 
 // status is how things stand, as this controller knows.
 func (s *session) status() control.Status {
-	leases, own := s.leaseStatuses()
+	leases, agreed := s.leaseStatuses()
 	status := control.Status{
-		Fleet:      s.block.Name,
-		Generation: s.block.Generation,
-		Self:       string(s.self),
-		Slow:       s.core.Table().HealthScore(),
-		Members:    s.memberStatuses(),
-		Leases:     leases,
-		Own:        own,
-		Holds:      []string{}, // encoded as an empty list
-		Quorum:     s.quorumStatus(),
+		Fleet:       s.block.Name,
+		Generation:  s.block.Generation,
+		Self:        string(s.self),
+		HealthScore: s.core.Table().HealthScore(),
+		Members:     s.memberStatuses(),
+		Leases:      leases,
+		Agreed:      agreed,
+		Holds:       []string{}, // encoded as an empty list
+		Quorum:      s.quorumStatus(),
 	}
 	for _, grant := range s.core.Held(s.Now()) {
 		status.Holds = append(status.Holds, string(grant.Name))
@@ -42,8 +42,8 @@
 	return list
 }
 
-// leaseStatuses are the leases that the fleet has; agreed tells that the quorum agreed on them, as
-// far as is known.
+// leaseStatuses are the leases that the fleet has; agreed: the quorum agreed on them, as far as
+// this controller has heard.
 func (s *session) leaseStatuses() (list []control.LeaseStatus, agreed bool) {
 	grants, agreed := s.core.Leases()
 	list = []control.LeaseStatus{}
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -12,9 +12,9 @@
 	"mintkeel/internal/store/records"
 )
 
-// storage has the quorum's records of a session. It belongs to the session's goroutine; one
-// goroutine of its own writes, so that a disk that hangs keeps the quorum's part of this controller
-// from sending, and nothing else.
+// storage stores the quorum's records of a session. It belongs to the session's goroutine; one
+// goroutine of its own writes, so that a disk that hangs holds up the quorum's part of this
+// controller, and nothing else.
 type storage struct {
 	log     *records.Log
 	writes  chan writeRequest // has room for the one write that is out at a time
