--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -23,7 +23,7 @@
 	Names() ([]string, error)
 	// Sync makes the creates, renames and removes so far durable.
 	Sync() error
-	// Lock takes an exclusive lock that ends with Close or with the process; ErrLocked if another
+	// Lock takes an exclusive lock, which ends with Close or with the process; ErrLocked if another
 	// process has it.
 	Lock(name string) (io.Closer, error)
 }
--- a/internal/store/disk/disktest/crash.go
+++ b/internal/store/disk/disktest/crash.go
@@ -51,7 +51,7 @@
 	return after
 }
 
-// keepsName tells whether the i-th unsynced change of names survives.
+// keepsName reports whether the i-th unsynced change of names survives.
 func (mode CrashMode) keepsName(i int, rng *rand.Rand) bool {
 	switch mode {
 	case KeepUnsynced, KeepNamesOnly, TearLastWrite, LoseFirstWrite:
--- a/internal/store/disk/disktest/disk.go
+++ b/internal/store/disk/disktest/disk.go
@@ -92,7 +92,7 @@
 	return err
 }
 
-// Create creates an empty file, whose name is not durable before Sync.
+// Create creates an empty file. Its name is not durable before Sync.
 func (d *Disk) Create(name string) (disk.File, error) {
 	err := d.begin()
 	defer d.mu.Unlock()
@@ -108,7 +108,7 @@
 	return &file{disk: d, node: node}, nil
 }
 
-// Open opens a file at its begin.
+// Open opens a file for reading from its start.
 func (d *Disk) Open(name string) (disk.File, error) {
 	err := d.begin()
 	defer d.mu.Unlock()
--- a/internal/store/disk/disktest/doc.go
+++ b/internal/store/disk/disktest/doc.go
@@ -1,5 +1,5 @@
 // Package disktest is a model of a disk for tests of stores. It implements disk.Disk in memory, can
-// be made full, failing or hanging, and tells what a crash at any operation would leave: each
+// be made full, failing or hanging, and shows what a crash at any operation would leave: each
 // CrashMode treats what was not synced in another way that real file systems have shown (lost,
 // torn, out of order).
 //
--- a/internal/store/disk/disktest/faults.go
+++ b/internal/store/disk/disktest/faults.go
@@ -15,7 +15,7 @@
 }
 
 // FailFrom makes operations fail with err from the n-th on, counted from now. The returned function
-// ends that and tells whether any operation failed.
+// ends that and reports whether any operation failed.
 func (d *Disk) FailFrom(n int, err error) (reached func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/store/disk/doc.go
+++ b/internal/store/disk/doc.go
@@ -10,8 +10,8 @@
 //   - Disk.Sync (fsync of the directory) makes every create, rename and remove so far durable.
 //     Before it, a crash may undo any of them, each for itself.
 //   - Rename replaces its target atomically: a reader finds the old file or the new one. A file
-//     whose content must be whole under its final name is therefore written under another name,
-//     synced, renamed, and the directory is synced.
+//     that must be whole under its final name is therefore written under another name, synced,
+//     renamed, and the directory is synced. ReplaceFile does that for a content in memory.
 //
 // The package computes no checksums: each store has its own and detects what a crash or a bad disk
 // has left. A directory listing is bounded (see Folder.Names); the size of files is bounded by the
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -10,8 +10,7 @@
 )
 
 const (
-	// folderMode and fileMode give access to this user alone: the statistics tell of a customer's
-	// traffic.
+	// folderMode and fileMode give access to this user alone: statistics reveal a customer's traffic.
 	folderMode = 0o700
 	fileMode   = 0o600
 
@@ -22,8 +21,8 @@
 // Folder is a directory of the operating system's file system, by its path.
 type Folder string
 
-// Make creates the directory, but not its parents: a path whose parent is missing may be that of a
-// disk which is not mounted yet.
+// Make creates the directory, but not its parents: if the parent is missing, a disk may not be
+// mounted yet.
 func (d Folder) Make() error {
 	err := os.Mkdir(string(d), folderMode)
 	if errors.Is(err, os.ErrExist) {
--- a/internal/store/documents/folder.go
+++ b/internal/store/documents/folder.go
@@ -100,49 +100,14 @@
 	f.bytes += int64(size)
 }
 
-// hasRoom tells whether a document of so many bytes is within the bounds of the directory.
+// hasRoom reports whether a document of so many bytes is within the bounds of the directory.
 func (f *Folder) hasRoom(size int) bool {
 	return len(f.sizes) < f.bounds.Documents && f.bytes+int64(size) <= f.bounds.Bytes
 }
 
-// writeFile replaces a file by one with this content, durably. After an error of anything but the
-// last sync the file that was there is untouched.
+// writeFile replaces a file by one with this content, durably, as disk.ReplaceFile does.
 func (f *Folder) writeFile(name string, content []byte) error {
-	temporary := name + temporarySuffix
-	err := f.writeTemporary(temporary, content)
-	if err == nil {
-		err = f.disk.Rename(temporary, name)
-	}
-	if err != nil {
-		f.disk.Remove(temporary)
-		return err
-	}
-	return f.disk.Sync()
-}
-
-// writeTemporary writes a file and syncs it. One that an earlier write could not remove is
-// replaced.
-func (f *Folder) writeTemporary(name string, content []byte) (err error) {
-	out, err := f.disk.Create(name)
-	if errors.Is(err, fs.ErrExist) {
-		if err := f.disk.Remove(name); err != nil {
-			return err
-		}
-		out, err = f.disk.Create(name)
-	}
-	if err != nil {
-		return err
-	}
-	defer func() {
-		closeErr := out.Close()
-		if err == nil {
-			err = closeErr
-		}
-	}()
-	if _, err := out.Write(content); err != nil {
-		return err
-	}
-	return out.Sync()
+	return disk.ReplaceFile(f.disk, name, name+temporarySuffix, content)
 }
 
 // removeFile removes a file; one that is not there is no error.
--- a/internal/store/documents/format.go
+++ b/internal/store/documents/format.go
@@ -41,7 +41,7 @@
 	ErrTooLarge = errors.New("is too big")
 	// ErrFull means that the directory has as many documents or bytes as the bounds allow.
 	ErrFull = errors.New("finds no room within the bounds")
-	// ErrHashMismatch means that a document has another hash than was said.
+	// ErrHashMismatch means that a document does not have the hash that it was to be stored under.
 	ErrHashMismatch = errors.New("has another hash")
 	// ErrNotFound means that a document is not stored.
 	ErrNotFound = errors.New("is not stored")
@@ -104,7 +104,7 @@
 	return digest.Sum64()
 }
 
-// isUnusable tells an error of a file's content from one of the disk.
+// isUnusable reports whether an error is one of a file's content, and not one of the disk.
 func isUnusable(err error) bool {
 	return errors.Is(err, errDamaged) || errors.Is(err, ErrTooLarge)
 }
--- a/internal/store/documents/open.go
+++ b/internal/store/documents/open.go
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// isTemporary tells whether a name is one that this package writes a file under before its rename.
+// isTemporary reports whether a name is one that this package writes a file under before its
+// rename.
 func isTemporary(name string) bool {
 	final, ok := strings.CutSuffix(name, temporarySuffix)
 	if !ok {
--- a/internal/store/fenced/write.go
+++ b/internal/store/fenced/write.go
@@ -1,11 +1,6 @@
 package fenced
 
-import (
-	"errors"
-	"io/fs"
-
-	"mintkeel/internal/store/disk"
-)
+import "mintkeel/internal/store/disk"
 
 // Write stores a value under a token, which no other process may use. The value is durable when
 // Write returns nil. ErrSuperseded means that there is a higher token; it may come before or after
@@ -25,7 +20,8 @@
 	if err != nil {
 		return err
 	}
-	if err := writeFile(d, next.file, value); err != nil {
+	err = disk.ReplaceFile(d, next.file, next.file+temporarySuffix, encode(value))
+	if err != nil {
 		return err
 	}
 	// Only earlier versions are removed: a writer that was late must not remove a file with a
@@ -59,42 +55,3 @@
 	}
 	return newVersion(name, token, serial), nil
 }
-
-// writeFile writes a file under its final name, durably.
-func writeFile(d disk.Disk, file string, value []byte) error {
-	temporary := file + temporarySuffix
-	err := writeTemporary(d, temporary, value)
-	if err == nil {
-		err = d.Rename(temporary, file)
-	}
-	if err != nil {
-		d.Remove(temporary)
-		return err
-	}
-	return d.Sync()
-}
-
-// writeTemporary writes a file and syncs it. It replaces one that a process with the same token
-// left when it ended within a write.
-func writeTemporary(d disk.Disk, file string, value []byte) (err error) {
-	out, err := d.Create(file)
-	if errors.Is(err, fs.ErrExist) {
-		if err := d.Remove(file); err != nil {
-			return err
-		}
-		out, err = d.Create(file)
-	}
-	if err != nil {
-		return err
-	}
-	defer func() {
-		closeErr := out.Close()
-		if err == nil {
-			err = closeErr
-		}
-	}()
-	if _, err := out.Write(encode(value)); err != nil {
-		return err
-	}
-	return out.Sync()
-}
--- a/internal/store/records/doc.go
+++ b/internal/store/records/doc.go
@@ -1,6 +1,6 @@
-// Package records stores a log of records in a directory: a write-ahead log without meaning of its
-// own. Unlike a snapshot, whose loss costs some statistics, an appended record must not be lost:
-// its writer has promised something to others that rests on it.
+// Package records stores a log of records in a directory: a write-ahead log that knows nothing of
+// what its records mean. The loss of a snapshot costs some statistics, but an appended record must
+// not be lost: its writer has promised something to others that rests on it.
 //
 // # Durability
 //
--- a/internal/store/records/log.go
+++ b/internal/store/records/log.go
@@ -26,8 +26,8 @@
 type Recovered struct {
 	// Records are in the order in which they were appended.
 	Records [][]byte
-	// TornTail tells that a file ended in a record that was not whole. It is dropped: its Append
-	// had not returned.
+	// TornTail is set if a file ended in a record that was not whole. That record is dropped: its
+	// Append had not returned.
 	TornTail bool
 }
 
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -23,8 +23,8 @@
 	number uint64
 }
 
-// readFile reads the records of a file. tornTail tells that the last one is not whole. The file's
-// size is taken off bytesLeft, which must not get below 0.
+// readFile reads the records of a file; tornTail: the last one is not whole and is left out. The
+// file's size is taken off bytesLeft, which must not get below 0.
 func readFile(
 	d disk.Disk, file logFile, b Bounds, bytesLeft *int64,
 ) (records [][]byte, tornTail bool, err error) {
@@ -41,8 +41,12 @@
 	if *bytesLeft < 0 {
 		return nil, false, &FileError{file.name, noRecord, ErrTooLarge}
 	}
-	r := &reader{in: bufio.NewReader(io.LimitReader(in, size)), file: file, size: size,
-		maxRecord: b.Record}
+	r := &reader{
+		in:        bufio.NewReader(io.LimitReader(in, size)),
+		file:      file,
+		size:      size,
+		maxRecord: b.Record,
+	}
 	err = r.readHeader()
 	for err == nil {
 		var payload []byte
@@ -125,9 +129,9 @@
 	return payload, nil
 }
 
-// classifyMismatch tells a torn write from later damage, for a record whose checksum is wrong: a
-// torn write has nothing behind it, or zeros all over, which a file system leaves where it had
-// allocated blocks for a write that it lost.
+// classifyMismatch returns the error of a record with a wrong checksum: errTornTail for a torn
+// write, else that of a damaged file. A torn write has nothing behind it, or zeros all over, which
+// a file system leaves where it had allocated blocks for a write that it lost.
 func (r *reader) classifyMismatch(header, payload []byte) error {
 	rest, err := io.ReadAll(r.in) // bounded by the file's size
 	if err != nil {
@@ -144,7 +148,7 @@
 
 func isZeros(b []byte) bool { return len(bytes.Trim(b, "\x00")) == 0 }
 
-// isTruncation tells whether a read failed because the file is too short.
+// isTruncation reports whether a read failed because the file is too short.
 func isTruncation(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -11,14 +11,14 @@
 )
 
 // The machine crashes at some operation in the life of a log, and what was not synced is lost, torn
-// or reordered. A new Open then returns every record whose Append or Replace had returned, in
+// or reordered. A new Open then returns every record for which Append or Replace had returned, in
 // order, and besides at most the one that was being written.
 func TestCrashAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := range int64(20) {
 		rng := rand.New(rand.NewSource(seed))
 		d := disktest.New()
-		var durable []string // records whose Append or Replace has returned
+		var durable []string // records for which Append or Replace has returned
 		next, writing := 0, ""
 		checkCrash := func(int) {
 			for _, mode := range disktest.CrashModes() {
--- a/internal/store/snapshots/doc.go
+++ b/internal/store/snapshots/doc.go
@@ -20,7 +20,7 @@
 // sections, so that a torn write, a flipped bit or a missing section shows when the file is read.
 //
 // Reading: Files lists the snapshots, the newest first. Read hands out the sections of one of them,
-// and passes over those whose checksum is wrong. Two files are retained, so that the one before can
+// and passes over those with a wrong checksum. Two files are retained, so that the one before can
 // be used if the newest can't be read.
 //
 // Bounds limits bytes of a section, sections of a file and bytes of a file. It holds when writing,
@@ -44,5 +44,5 @@
 //	  length   4, of the payload
 //	  checksum 8, xxHash64 of the serial, kind, length and payload
 //	  payload
-//	an end: a section of kind 0 whose payload is the number of the other sections, 4 bytes
+//	an end: a section of kind 0; its payload is the number of the other sections, 4 bytes
 package snapshots
--- a/internal/store/snapshots/format.go
+++ b/internal/store/snapshots/format.go
@@ -32,7 +32,8 @@
 	retainedFiles = 2
 )
 
-// SectionKind tells sections apart. 0 is reserved for the end of a file.
+// SectionKind is what a section holds, by a number of the caller. 0 is reserved for the end of a
+// file.
 type SectionKind uint16
 
 const kindEnd SectionKind = 0
--- a/internal/store/snapshots/read.go
+++ b/internal/store/snapshots/read.go
@@ -48,7 +48,7 @@
 	serial       uint64 // by the header
 	payload      []byte // of the last section that was read; its memory is used again for the next one
 	sections     int    // read so far
-	damaged      int    // of these, sections whose checksum is wrong
+	damaged      int    // of these, sections with a wrong checksum
 	firstDamaged int    // index of the first of those
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-// readSection reads a section into r.payload and tells whether its checksum is right.
+// readSection reads a section into r.payload; good: its checksum is right.
 func (r *reader) readSection() (header sectionHeader, good bool, err error) {
 	encoded := make([]byte, sectionHeaderBytes)
 	if _, err := io.ReadFull(r.in, encoded); err != nil {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// isTruncation tells whether a read failed because the file is too short.
+// isTruncation reports whether a read failed because the file is too short.
 func isTruncation(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/store/snapshots/write.go
+++ b/internal/store/snapshots/write.go
@@ -40,8 +40,9 @@
 }
 
 // writeFile writes a whole file and syncs it. It returns the bytes of the file.
-func (f *Folder) writeFile(name string, serial uint64,
-	fill func(add AddFunc) error) (size int64, err error) {
+func (f *Folder) writeFile(
+	name string, serial uint64, fill func(add AddFunc) error,
+) (size int64, err error) {
 	out, err := f.disk.Create(name)
 	if err != nil {
 		return 0, err
