--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"maps"
 	"net"
-	"path/filepath"
+
 	"regexp"
 	"slices"
 	"time"
@@ -42,7 +42,6 @@
 	maxLeases       = 64
 	maxNameBytes    = 64
 	maxAddressBytes = 256
-	maxPathBytes    = 4096
 )
 
 // nameForm is the form of names of fleets, controllers and leases.
@@ -56,8 +55,8 @@
 		Name:       open.String("name", "", true, maxNameBytes),
 		Generation: uint64(open.Int("generation", 1, 1, 1_000_000_000)),
 		Listen:     open.String("listen", "", true, maxAddressBytes),
-		KeyFile:    open.String("key_file", "", true, maxPathBytes),
-		Folder:     open.String("folder", "", true, maxPathBytes),
+		KeyFile:    open.AbsolutePath("key_file", true),
+		Folder:     open.AbsolutePath("folder", true),
 		Lease:      open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
 		Willing:    open.Bool("willing", true),
 	}
@@ -67,8 +66,7 @@
 	}
 	checkAddress(open, "listen", read.Listen)
 	checkAddress(open, "advertise", read.Advertise)
-	checkPath(open, "key_file", read.KeyFile)
-	checkPath(open, "folder", read.Folder)
+
 	read.Voters = readVoters(open)
 	read.Leases = ReadLeases(open)
 	return read
@@ -84,13 +82,6 @@
 	}
 }
 
-// checkPath notes a path that is not absolute.
-func checkPath(open *block.Block, field, path string) {
-	if path != "" && !filepath.IsAbs(path) {
-		open.AddProblem(field, "is no absolute path")
-	}
-}
-
 // readVoters reads the field council: the voters of the quorum and their addresses.
 func readVoters(open *block.Block) map[members.ID]string {
 	council := open.StringMap("council", maxAddressBytes)
--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -111,7 +111,7 @@
 	f.neverOlder()
 }
 
-// An operator puts a document that the controller asked can't use, or whose check panics. It is refused at
+// An operator puts a document that the controller asked can't use, or that makes its check panic. It is refused at
 // once, with its problems, and nothing is proposed.
 func TestUnusableDocumentIsRefusedByTheControllerAsked(t *testing.T) {
 	t.Parallel()
--- a/internal/fleet/config_versions_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -157,7 +157,7 @@
 }
 
 // A fleet is rebuilt as a new generation. The versions of the former one stay in force until there is one
-// of the new generation, whose numbers begin anew.
+// of the new generation, in which numbers begin anew.
 func TestNewGenerationNumbersVersionsAnew(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// A challenge, a hello and frames pass over a connection whose two ends run at once.
+// A challenge, a hello and frames pass over a connection. Its two ends run at once.
 func TestFramesOverAPipe(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// bufferedConn is a connection whose writes are buffered, so that they go out as one.
+// bufferedConn is a connection with buffered writes, so that they go out as one.
 type bufferedConn struct {
 	net.Conn
 	buffer *bytes.Buffer // nil: they go out at once
--- a/internal/fleet/maintenance/block.go
+++ b/internal/fleet/maintenance/block.go
@@ -1,7 +1,6 @@
 package maintenance
 
 import (
-	"path/filepath"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
@@ -19,27 +18,15 @@
 	List    bool          // an engine is free only once the endpoint list has it as draining or gone
 }
 
-// maxPathBytes bounds the path of a program.
-const maxPathBytes = 4096
-
 // ReadBlock reads the block maintenance. Problems go to the diagnostics.
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) *Block {
 	open := block.Open(b, diagnostics, "drain", "work", "back", "within", "prepare", "list")
 	return &Block{
-		Drain:   readProgram(open, "drain"),
-		Work:    readProgram(open, "work"),
-		Back:    readProgram(open, "back"),
+		Drain:   open.AbsolutePath("drain", false),
+		Work:    open.AbsolutePath("work", false),
+		Back:    open.AbsolutePath("back", false),
 		Within:  open.Duration("within", 10*time.Minute, time.Second, 24*time.Hour),
 		Prepare: open.Duration("prepare", 30*time.Second, 0, time.Hour),
 		List:    open.Bool("list", true),
 	}
 }
-
-// readProgram reads a field with the absolute path of a program.
-func readProgram(open *block.Block, field string) string {
-	path := open.String(field, "", false, maxPathBytes)
-	if path != "" && !filepath.IsAbs(path) {
-		open.AddProblem(field, "is no absolute path")
-	}
-	return path
-}
--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"path/filepath"
 	"slices"
 	"strings"
 	"time"
@@ -11,6 +12,9 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
+// maxPathBytes bounds a path: Linux takes no longer ones.
+const maxPathBytes = 4096
+
 // Block is an open block. Its methods read one field each. They return the fallback if the field is
 // absent or can't be used; in the latter case a problem is noted.
 type Block struct {
@@ -30,8 +34,12 @@
 	}
 	content, found := b.Body.Content(schema)
 	diagnostics.AddHCL(found, b.Type)
-	open := &Block{Name: b.Type, At: b.DefRange, diagnostics: diagnostics,
-		variables: diagnostics.variables}
+	open := &Block{
+		Name:        b.Type,
+		At:          b.DefRange,
+		diagnostics: diagnostics,
+		variables:   diagnostics.variables,
+	}
 	if content != nil {
 		open.fields = content.Attributes
 	}
@@ -47,7 +55,7 @@
 	b.diagnostics.Add(at, join(b.Name, field), why)
 }
 
-// Has tells whether a field is present.
+// Has reports whether a field is present.
 func (b *Block) Has(field string) bool { return b.fields[field] != nil }
 
 // String reads a string of at most maxBytes bytes. If it is required, its absence or an empty
@@ -74,6 +82,17 @@
 	return fallback
 }
 
+// AbsolutePath reads an absolute path; "" if it is absent or can't be used. If it is required, its
+// absence is a problem.
+func (b *Block) AbsolutePath(field string, required bool) string {
+	path := b.String(field, "", required, maxPathBytes)
+	if path != "" && !filepath.IsAbs(path) {
+		b.AddProblem(field, "is no absolute path")
+		return ""
+	}
+	return path
+}
+
 // Choice reads one of a few words.
 func (b *Block) Choice(field, fallback string, words ...string) string {
 	value, ok := b.value(field, cty.String, "text in quotes")
--- a/internal/operator/block/diagnostics.go
+++ b/internal/operator/block/diagnostics.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// AddHCL adds what the HCL library found when it read a block or field, whose name is within.
+// AddHCL adds what the HCL library found when it read the block or field within.
 func (d *Diagnostics) AddHCL(found hcl.Diagnostics, within string) {
 	for _, diagnostic := range found {
 		d.addHCL(diagnostic, within)
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -17,7 +17,7 @@
 // Case is a query together with what the rules are expected to do to it.
 type Case struct {
 	Name         string
-	Command      rules.Query
+	Query        rules.Query
 	expectations []expectation
 }
 
@@ -77,14 +77,14 @@
 	open := block.Open(b, diagnostics,
 		"query", "application", "listener", "matches", "hot", "key", "kinds", "zones", "profile",
 		"refuse")
-	query := open.String("query", "", true, maxTextBytes)
+	text := open.String("query", "", true, maxTextBytes)
 	application := open.String("application", "", false, maxNameBytes)
 	listener := open.String("listener", "", false, maxNameBytes)
-	command, err := clients.RuleInput([]byte(query), &facts.Names, application, listener)
+	query, err := clients.RuleInput([]byte(text), &facts.Names, application, listener)
 	if err != nil {
 		open.AddProblem("query", err.Error())
 	}
-	return Case{Name: b.Labels[0], Command: command, expectations: readExpectations(open, facts)}
+	return Case{Name: b.Labels[0], Query: query, expectations: readExpectations(open, facts)}
 }
 
 // readExpectations reads the fields of a case that say what is expected.
@@ -130,7 +130,7 @@
 
 // Run applies the rules to the query and returns what is not as expected; nothing if all is.
 func (c *Case) Run(set *rules.Set) []string {
-	verdict, tried := set.Explain(&c.Command)
+	verdict, tried := set.Explain(&c.Query)
 	matched := []string{}
 	for _, rule := range tried {
 		if rule.Matched {
--- a/internal/operator/complexity.go
+++ b/internal/operator/complexity.go
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// isOperator tells whether a token is one that the parser recurses for.
+// isOperator reports whether a token is one that the parser recurses for.
 func isOperator(token hclsyntax.TokenType) bool {
 	switch token {
 	case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion, hclsyntax.TokenPlus,
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: settings of an installation, in HCL, apart from what
-// the platform tells a controller. A controller needs no such file, and what the file does not name
-// is off.
+// Package operator reads the operator's file: settings of an installation, in HCL, beside the
+// configuration that the platform gives a controller. A controller needs no such file, and what the
+// file does not name is off.
 //
 // Each block is read and checked by the package that uses it; this package knows which blocks there
 // are, the rules and their test cases, and the document that a fleet agrees on in place of its
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -41,8 +41,8 @@
 // used in problems only; the error is a block.Problems. ParseDocument has no effects.
 func ParseDocument(path string, text []byte, local Local, facts *settings.Facts) (*File, error) {
 	if len(text) > config.MaxDocument {
-		return nil, block.Problems{{File: path,
-			Why: fmt.Sprintf("has over %d bytes", config.MaxDocument)}}
+		why := fmt.Sprintf("has over %d bytes", config.MaxDocument)
+		return nil, block.Problems{{File: path, Why: why}}
 	}
 	file := &File{Log: logs.DefaultBlock(), Fleet: local.File.Fleet, Config: local.File.Config}
 	err := parse(path, text, func(parsed *hcl.File, diagnostics *block.Diagnostics) {
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -17,7 +17,7 @@
 	"mintkeel/internal/memory"
 )
 
-// localOf is a controller whose own file has the blocks fleet and config, some of its own defaults,
+// localOf is a controller with the blocks fleet and config in its own file, some of its own defaults,
 // and perhaps maintenance.
 func localOf(maintained *maintenance.Block, leases ...lease.Name) Local {
 	return Local{Name: "n7", File: &File{Log: logs.DefaultBlock(), Memory: &memory.Block{Folder: "/own", Interval: time.Second},
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -28,8 +28,9 @@
 
 // readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
 // Problems within an expression are noted at its field, with their place in the expression.
-func readRules(blocks hcl.Blocks, facts *settings.Facts,
-	diagnostics *block.Diagnostics) *rules.Set {
+func readRules(
+	blocks hcl.Blocks, facts *settings.Facts, diagnostics *block.Diagnostics,
+) *rules.Set {
 	if len(blocks) == 0 {
 		return nil
 	}
