--- a/cmd/mintkeel/applyversion.go
+++ b/cmd/mintkeel/applyversion.go
@@ -15,7 +15,6 @@
 // reload is. It does not compare version numbers, which begin anew in a new generation of the
 // fleet: the fleet's service orders versions.
 func (d *daemon) applyVersion(r versionRequest) error {
-	a := d.fleetConfig
 	if d.clients == nil { // clients are not served yet: serveClients applies the rest
 		d.logOutput.Configure(r.file.Log)
 		d.updateFleetSettings(r.file)
@@ -23,15 +22,16 @@
 	} else if err := d.applyFile(r.file); err != nil {
 		return fmt.Errorf("%w: %w", err, configuration.ErrRetryable)
 	}
-	a.version = r.version
+	d.fleetConfig.version = r.version
 	d.log.Info("configuration version in force", versionAttributes(r.version)...)
 	return nil
 }
 
 // awaitLatestVersion applies versions until wait returns: the latest is in force, or config.wait is
 // over. Signals that come meanwhile are returned; one that asks to stop ends the wait.
-func (d *daemon) awaitLatestVersion(ctx context.Context, signals <-chan os.Signal,
-	wait func(context.Context) config.Readiness) (pending pendingSignals) {
+func (d *daemon) awaitLatestVersion(
+	ctx context.Context, signals <-chan os.Signal, wait func(context.Context) config.Readiness,
+) (pending pendingSignals) {
 	ctx, cancel := context.WithTimeout(ctx, d.file.Config.Wait)
 	defer cancel()
 	began := time.Now()
--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -45,8 +45,9 @@
 
 // printCheckResult prints in a line each what the configuration and the operator's file, or the
 // document, hold.
-func printCheckResult(out io.Writer, operatorPath, document string, s *controllerConfig,
-	file *operator.File) {
+func printCheckResult(
+	out io.Writer, operatorPath, document string, s *controllerConfig, file *operator.File,
+) {
 	fmt.Fprintf(out, "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
 		cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants),
 		len(s.facts.MachineKinds), s.InitialEndpoints.Number)
--- a/cmd/mintkeel/configchange.go
+++ b/cmd/mintkeel/configchange.go
@@ -109,18 +109,22 @@
 }
 
 // change requests a new version, waits until it is in force, and prints the outcome.
-func (cc *configCommands) change(c *cobra.Command, request configuration.Request,
-	wait time.Duration) error {
+func (cc *configCommands) change(
+	c *cobra.Command, request configuration.Request, wait time.Duration,
+) error {
 	answer, err := cc.call(c.Context(), request)
 	switch {
 	case err != nil && answer == nil:
 		return cc.noAnswerError(err)
-	case err != nil && answer.Result == "": // the controller tells that nothing was done, and why
+	case err != nil && answer.Result == "": // nothing was done, and the error says why
 		return err
 	}
-	outcome := changeOutcome{Result: answer.Result, Reason: answer.Reason,
-		Version: viewOf(answer.Version)}
-	if answer.Result != "agreed" || answer.Version == nil {
+	outcome := changeOutcome{
+		Result:  answer.Result,
+		Reason:  answer.Reason,
+		Version: viewOf(answer.Version),
+	}
+	if answer.Result != configuration.ResultAgreed || answer.Version == nil {
 		return cc.printOutcome(c, outcome, rejectionError(answer, err))
 	}
 	number := answer.Version.Number
@@ -145,13 +149,13 @@
 // rejectionError is the error of a change that was not committed, or not known to be.
 func rejectionError(answer *configuration.Answer, err error) error {
 	switch answer.Result {
-	case "lost":
+	case configuration.ResultLost:
 		newest := "a newer version"
 		if v := answer.Version; v != nil {
 			newest = fmt.Sprintf("version %d by %s (%s)", v.Number, oneLine(v.Author), oneLine(v.Reason))
 		}
 		return &exitError{exitLost, fmt.Errorf("nothing was done: %s was agreed first", newest)}
-	case "refused":
+	case configuration.ResultRefused:
 		return errors.Join(errors.New("refused"), errorIf(answer.Reason != "", answer.Reason), err)
 	}
 	why := cmp.Or(answer.Reason, "no answer in time")
@@ -161,8 +165,9 @@
 }
 
 // awaitInForce polls the status until a version is settled or the wait is over.
-func (cc *configCommands) awaitInForce(ctx context.Context, number uint64,
-	wait time.Duration) configStatus {
+func (cc *configCommands) awaitInForce(
+	ctx context.Context, number uint64, wait time.Duration,
+) configStatus {
 	end := cc.now().Add(wait)
 	var found configStatus
 	for {
--- a/cmd/mintkeel/configprint.go
+++ b/cmd/mintkeel/configprint.go
@@ -15,8 +15,9 @@
 )
 
 // printStatus prints a status; its error holds the exit code.
-func (cc *configCommands) printStatus(c *cobra.Command, local config.Readiness,
-	found configStatus) error {
+func (cc *configCommands) printStatus(
+	c *cobra.Command, local config.Readiness, found configStatus,
+) error {
 	now := cc.now()
 	out := c.OutOrStdout()
 	if found.status == nil {
@@ -38,8 +39,7 @@
 	fmt.Fprintln(out, found.summary(now))
 	if found.collectedTooShort() {
 		fmt.Fprintf(out, "the leader has collected for %v only: "+
-			"who is not heard may not have reported to it yet\n",
-			collectedFor(found.status))
+			"who is not heard may not have reported to it yet\n", collectedFor(found.status))
 	}
 	fmt.Fprintf(out, "the controller asked: %s\n", formatReadiness(local))
 	return err
@@ -68,9 +68,8 @@
 		if v.RollbackOf > 0 {
 			reason = fmt.Sprintf("rollback to %d: %s", v.RollbackOf, reason)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%.12s\t%s\n", v.Number,
-			time.UnixMilli(v.Time).Format(time.DateTime),
-			oneLine(v.Author), v.Size, v.Hash, reason)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\t%s\n", v.Number,
+			time.UnixMilli(v.Time).Format(time.DateTime), oneLine(v.Author), v.Size, shortHash(v), reason)
 	}
 	return t.Flush()
 }
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -93,14 +93,12 @@
 	}
 	if s.status == nil {
 		err := fmt.Errorf("version %d is agreed; where it is in force is not known: "+
-			"no leader told it within %v",
-			number, wait)
+			"no leader told it within %v", number, wait)
 		return &exitError{exitPartial, errors.Join(err, s.err)}
 	}
 	if s.collectedTooShort() && s.inForce(number) == s.status.Members-s.unreachable() {
 		err := fmt.Errorf("version %d: %d controllers are not heard, "+
-			"and the leader has collected for %v only",
-			number, s.unreachable(), collectedFor(s.status))
+			"and the leader has collected for %v only", number, s.unreachable(), collectedFor(s.status))
 		return &exitError{exitPartial, err}
 	}
 	err := fmt.Errorf("version %d is agreed and not in force at all controllers that are heard",
@@ -150,8 +148,9 @@
 }
 
 // listControllers lists the first maxNamedControllers controllers.
-func listControllers(reports []config.ControllerReport,
-	text func(config.ControllerReport) string) string {
+func listControllers(
+	reports []config.ControllerReport, text func(config.ControllerReport) string,
+) string {
 	var texts []string
 	for i, r := range reports {
 		if i == maxNamedControllers {
--- a/cmd/mintkeel/configviews.go
+++ b/cmd/mintkeel/configviews.go
@@ -42,8 +42,7 @@
 }
 
 func localViewOf(r config.Readiness) *localView {
-	return &localView{r.Number, r.Latest,
-		r.Confirmed}
+	return &localView{Version: r.Number, Latest: r.Latest, Confirmed: r.Confirmed}
 }
 
 // reportView is one controller.
@@ -111,7 +110,7 @@
 	Version *versionView `json:"version,omitempty"`
 	Status  *statusView  `json:"status,omitempty"`
 
-	line string
+	line string // summary of Status, as text
 }
 
 func (o *changeOutcome) setStatus(found configStatus, now time.Time) {
@@ -123,7 +122,7 @@
 	o.line = found.summary(now)
 }
 
-// historyView, documentView and diffView are what history, show and diff print for programs.
+// historyView is what history prints with --json.
 type historyView struct {
 	From     string         `json:"from,omitempty"`
 	Versions []*versionView `json:"versions"`
@@ -137,12 +136,14 @@
 	return view
 }
 
+// documentView is what show prints with --json.
 type documentView struct {
 	Number   uint64       `json:"number"`
 	Version  *versionView `json:"version,omitempty"`
 	Document string       `json:"document"`
 }
 
+// diffView is what diff prints with --json.
 type diffView struct {
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -22,13 +22,12 @@
 // its fields: no other writes them. Fields marked shared are set before the goroutines that read
 // them start, and do not change afterwards.
 type daemon struct {
-	sources configSources     // shared
-	config  *controllerConfig // as read at the start; shared
-	// the operator's file in force, with the fleet's document if there is one
-	file      *operator.File
-	limits    *limits.Limits // shared
-	logOutput *logs.Log      // where log writes; its level and rate limit change with the file
-	log       *slog.Logger   // shared
+	sources   configSources     // shared
+	config    *controllerConfig // as read at the start; shared
+	file      *operator.File    // in force: the operator's, with the fleet's document if there is one
+	limits    *limits.Limits    // shared
+	logOutput *logs.Log         // where log writes; its level and rate limit change with the file
+	log       *slog.Logger      // shared
 
 	loop      *controller.Loop   // event loop of the decision module, with its own goroutine; shared
 	engines   *engines.Pool      // connections to engines
--- a/cmd/mintkeel/fleetjobs.go
+++ b/cmd/mintkeel/fleetjobs.go
@@ -40,23 +40,23 @@
 // sharedStatisticsHost gives the job of shared statistics access to this controller. A controller
 // with a snapshot of its own restores nothing from others.
 func (d *daemon) sharedStatisticsHost() sharedstatistics.Host {
-	l := sharedstatistics.Host{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
+	host := sharedstatistics.Host{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
 	if !d.hasOwnSnapshot {
-		l.Remember = func(learned router.Statistics) { go d.restoreSharedStatistics(learned) }
+		host.Remember = func(shared router.Statistics) { go d.restoreSharedStatistics(shared) }
 	}
-	return l
+	return host
 }
 
 // restoreSharedStatistics restores the statistics that the fleet shares. With a block config it
 // waits until clients are served: only then is it known whether this controller has a snapshot of
 // its own.
-func (d *daemon) restoreSharedStatistics(learned router.Statistics) {
+func (d *daemon) restoreSharedStatistics(shared router.Statistics) {
 	if d.fleetConfig != nil && !d.fleetConfig.needsSharedStatistics() {
 		return
 	}
 	d.loop.RestoreStatistics(func(list []router.Endpoint) router.Statistics {
 		now := float64(time.Now().UnixMicro()) / 1e3
-		snapshot := restore.Snapshot{Owner: d.identity(), Statistics: learned}
+		snapshot := restore.Snapshot{Owner: d.identity(), Statistics: shared}
 		restored, counts := restore.Select(&snapshot, d.identity(), list, now, restore.DefaultHalfLives())
 		d.log.Info("fleet: the digest",
 			"believed", counts.Restored,
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -26,7 +26,7 @@
 	name     string
 	facts    *settings.Facts
 	local    atomic.Pointer[operator.File]  // this controller's own file
-	parsed   atomic.Pointer[parsedDocument] // the last document without errors
+	parsed   atomic.Pointer[parsedDocument] // the last document without errors; nil: none
 	requests chan versionRequest
 	version  config.Version // in force, Number 0: none yet; owned by the main goroutine
 
@@ -46,54 +46,54 @@
 }
 
 func newFleetConfig(s *controllerConfig, own *operator.File) *fleetConfig {
-	a := &fleetConfig{
+	c := &fleetConfig{
 		name:     s.Name,
 		facts:    s.facts,
 		requests: make(chan versionRequest),
 		serving:  make(chan struct{}),
 		stopped:  make(chan struct{}),
 	}
-	a.local.Store(own)
-	return a
+	c.local.Store(own)
+	return c
 }
 
 // host returns the functions that the fleet's service calls.
-func (a *fleetConfig) host() *configuration.Host {
-	return &configuration.Host{Check: a.check, Apply: a.apply}
+func (c *fleetConfig) host() *configuration.Host {
+	return &configuration.Host{Check: c.check, Apply: c.apply}
 }
 
 // setLocal sets the controller's own file after a reload.
-func (a *fleetConfig) setLocal(own *operator.File) { a.local.Store(own) }
+func (c *fleetConfig) setLocal(own *operator.File) { c.local.Store(own) }
 
 // versionRequests returns the versions to be applied. It is nil, on which a receive blocks forever,
 // without a block config.
-func (a *fleetConfig) versionRequests() <-chan versionRequest {
-	if a == nil {
+func (c *fleetConfig) versionRequests() <-chan versionRequest {
+	if c == nil {
 		return nil
 	}
-	return a.requests
+	return c.requests
 }
 
 // beginServing marks that clients are served, and whether this controller has a snapshot of its
 // own.
-func (a *fleetConfig) beginServing(remembers bool) {
-	a.hasOwnSnapshot = remembers
-	close(a.serving)
+func (c *fleetConfig) beginServing(hasOwnSnapshot bool) {
+	c.hasOwnSnapshot = hasOwnSnapshot
+	close(c.serving)
 }
 
 // needsSharedStatistics waits until clients are served, and reports whether this controller lacks a
 // snapshot of its own.
-func (a *fleetConfig) needsSharedStatistics() bool {
+func (c *fleetConfig) needsSharedStatistics() bool {
 	select {
-	case <-a.serving:
-		return !a.hasOwnSnapshot
-	case <-a.stopped:
+	case <-c.serving:
+		return !c.hasOwnSnapshot
+	case <-c.stopped:
 		return false
 	}
 }
 
 // stopApplying makes all further versions fail with errStopping.
-func (a *fleetConfig) stopApplying() { a.stop.Do(func() { close(a.stopped) }) }
+func (c *fleetConfig) stopApplying() { c.stop.Do(func() { close(c.stopped) }) }
 
 // parsedDocument caches the last parsed document: each is parsed to be checked and again to be
 // applied, and a large one takes a second.
@@ -104,28 +104,28 @@
 }
 
 // parse parses a document by the same code as mintkeel check.
-func (a *fleetConfig) parse(document []byte) (*operator.File, error) {
+func (c *fleetConfig) parse(document []byte) (*operator.File, error) {
 	hash := sha256.Sum256(document)
-	local := a.local.Load()
-	if last := a.parsed.Load(); last != nil && last.hash == hash && last.local == local {
+	local := c.local.Load()
+	if last := c.parsed.Load(); last != nil && last.hash == hash && last.local == local {
 		return last.file, nil
 	}
-	file, err := operator.ParseDocument("", document, operator.Local{Name: a.name, File: local},
-		a.facts)
+	file, err := operator.ParseDocument("", document, operator.Local{Name: c.name, File: local},
+		c.facts)
 	if err != nil {
 		return nil, &documentError{err}
 	}
-	a.parsed.Store(&parsedDocument{hash: hash, local: local, file: file})
+	c.parsed.Store(&parsedDocument{hash: hash, local: local, file: file})
 	return file, nil
 }
 
 // check returns an error if this controller could not use the document.
-func (a *fleetConfig) check(document []byte) error {
-	_, err := a.parse(document)
+func (c *fleetConfig) check(document []byte) error {
+	_, err := c.parse(document)
 	return err
 }
 
-// Errors of versions that were not applied; a later try may succeed.
+// Errors of versions that were not applied; a retry may succeed.
 var (
 	errApplyTimeout = fmt.Errorf("the controller did not take it over in time: %w",
 		configuration.ErrRetryable)
@@ -133,22 +133,22 @@
 )
 
 // apply has the main goroutine apply a version, waits for the result and counts it.
-func (a *fleetConfig) apply(v config.Version, document []byte) error {
-	err := a.requestApply(v, document)
+func (c *fleetConfig) apply(v config.Version, document []byte) error {
+	err := c.requestApply(v, document)
 	switch {
 	case err == nil:
-		a.counts.applied.Add(1)
+		c.counts.applied.Add(1)
 	case errors.Is(err, configuration.ErrRetryable):
-		a.counts.retried.Add(1)
+		c.counts.retried.Add(1)
 	default: // logged by the fleet's service
-		a.counts.rejected.Add(1)
+		c.counts.rejected.Add(1)
 	}
 	return err
 }
 
 // requestApply parses a document and hands it to the main goroutine, within applyTimeout.
-func (a *fleetConfig) requestApply(v config.Version, document []byte) error {
-	file, err := a.parse(document)
+func (c *fleetConfig) requestApply(v config.Version, document []byte) error {
+	file, err := c.parse(document)
 	if err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 	timer := time.NewTimer(applyTimeout)
 	defer timer.Stop()
 	select {
-	case a.requests <- r:
+	case c.requests <- r:
 	case <-timer.C:
 		return errApplyTimeout
-	case <-a.stopped:
+	case <-c.stopped:
 		return errStopping
 	}
 	select {
@@ -167,18 +167,21 @@
 		return err
 	case <-timer.C:
 		return errApplyTimeout
-	case <-a.stopped:
+	case <-c.stopped:
 		return errStopping
 	}
 }
 
 // LogValue returns the version in force and the counts. Log lines call them taken, refused and
 // tried_again.
-func (a *fleetConfig) LogValue() slog.Value {
-	return slog.GroupValue(slog.Uint64("version", a.version.Number),
-		slog.String("hash", shortHash(a.version)),
-		slog.Int64("taken", a.counts.applied.Load()), slog.Int64("refused", a.counts.rejected.Load()),
-		slog.Int64("tried_again", a.counts.retried.Load()))
+func (c *fleetConfig) LogValue() slog.Value {
+	return slog.GroupValue(
+		slog.Uint64("version", c.version.Number),
+		slog.String("hash", shortHash(c.version)),
+		slog.Int64("taken", c.counts.applied.Load()),
+		slog.Int64("refused", c.counts.rejected.Load()),
+		slog.Int64("tried_again", c.counts.retried.Load()),
+	)
 }
 
 // versionAttributes are the attributes of a version in log lines.
@@ -186,5 +189,8 @@
 	return []any{"version", v.Number, "hash", shortHash(v), "author", v.Author, "reason", v.Reason}
 }
 
-// shortHash is enough of a hash to tell documents apart by eye.
-func shortHash(v config.Version) string { return v.Hash.String()[:12] }
+// hashDigits is how many digits of a hash are shown: enough to tell documents apart by eye.
+const hashDigits = 12
+
+// shortHash is the first digits of a version's hash.
+func shortHash(v config.Version) string { return v.Hash.String()[:hashDigits] }
--- a/cmd/mintkeel/fleetversions_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -49,7 +49,7 @@
 	return config.Version{Number: n, Author: "anna", Reason: "why"}
 }
 
-// startConfigDaemon starts a daemon with a block config whose fleet has no version yet. The test makes the calls of the
+// startConfigDaemon starts a daemon with a block config in a fleet without a version. The test makes the calls of the
 // fleet's service.
 func startConfigDaemon(t *testing.T, text string) (h *testDaemon, d *daemon, hangs chan bool) {
 	t.Helper()
--- a/cmd/mintkeel/main.go
+++ b/cmd/mintkeel/main.go
@@ -12,11 +12,9 @@
 
 // Exit codes.
 const (
-	// the command failed, for example on a configuration that can't be used or a corrupt snapshot
-	exitFailed = 1
-	exitUsage  = 2 // the command line was not understood
-	// a version was committed, and is not known to be in force at all reachable controllers
-	exitPartial = 3
+	exitFailed  = 1 // the command failed, for example on a corrupt snapshot
+	exitUsage   = 2 // the command line was not understood
+	exitPartial = 3 // a version was committed, not known to be in force at all reachable controllers
 	exitLost    = 4 // another version was committed first
 )
 
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -25,8 +25,17 @@
 	return c
 }
 
-// offlineLimits are the limits of commands that run without the platform's configuration.
-func offlineLimits() *limits.Limits { return limits.For(64, 256, 0, 0, 0) }
+// What commands take as granted that run without the platform's configuration.
+const (
+	offlineDescriptors = 64
+	offlineMemoryMB    = 256
+)
+
+// offlineLimits are the limits of commands that run without the platform's configuration, and
+// without connections.
+func offlineLimits() *limits.Limits {
+	return limits.For(offlineDescriptors, offlineMemoryMB, 0, 0, 0)
+}
 
 func memoryShow() *cobra.Command {
 	var asJSON, all bool
--- a/cmd/mintkeel/memoryprint.go
+++ b/cmd/mintkeel/memoryprint.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/memory"
 )
 
-// defaultRecordLimit are printed of each kind unless all are asked for.
+// defaultRecordLimit is how many records of each kind are printed unless all are asked for.
 const defaultRecordLimit = 20
 
 func printReport(out io.Writer, s *memory.Report, all bool) error {
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -124,7 +124,7 @@
 	return out.Bytes()
 }
 
-// TestOutputOfAllFieldsIsStable has the outputs whose fields no single answer sets.
+// TestOutputOfAllFieldsIsStable has the outputs with fields that no single answer sets.
 func TestOutputOfAllFieldsIsStable(t *testing.T) {
 	version := &versionView{Number: 7, Hash: "a1", Size: 8, Author: "ann", Reason: "more room", Time: "2026-12-02T05:06:07Z",
 		RollbackOf: 5}
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// errRulesBusy means that the event loop takes no new rules at the moment; a later try may succeed.
+// errRulesBusy means that the event loop takes no new rules at the moment; a retry may succeed.
 var errRulesBusy = errors.New(
 	"rules have changed too often within the last seconds, or too many commands are held: try again")
 
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -80,8 +80,11 @@
 			out := c.OutOrStdout()
 			v, tried := set.Explain(&query)
 			for _, t := range tried {
-				fmt.Fprintf(out, "%s: %s\n", t.Name,
-					map[bool]string{true: "matches", false: "does not match"}[t.Matched])
+				outcome := "does not match"
+				if t.Matched {
+					outcome = "matches"
+				}
+				fmt.Fprintf(out, "%s: %s\n", t.Name, outcome)
 				for _, s := range t.Steps {
 					fmt.Fprintf(out, "%s%s = %s\n", strings.Repeat("  ", s.Depth+1), s.Text, s.Value)
 				}
--- a/cmd/mintkeel/serve_test.go
+++ b/cmd/mintkeel/serve_test.go
@@ -16,7 +16,7 @@
 )
 
 // The daemon with all its parts answers queries, applies a new configuration and keeps the former one if the new one is
-// invalid. Asked to stop, it answers open queries, gives up in time on those whose engine hangs, and ends.
+// invalid. Asked to stop, it answers open queries, gives up in time on those of an engine that hangs, and ends.
 func TestServe(t *testing.T) {
 	feed, engine, hangs := feedAndEngine(t)
 	addr := reserveAddress(t)
