--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -50,8 +50,7 @@
 	return c
 }
 
-// call sends a request to the controller. The answer may come with an error; it is nil only with
-// one.
+// call sends a request to the controller. The answer may come with an error, and is nil only then.
 func (cc *configCommands) call(
 	ctx context.Context, request configuration.Request,
 ) (*configuration.Answer, error) {
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -60,8 +60,7 @@
 	return s.unreachable() > 0 && s.status.CollectedFor < float64(collectionTime/time.Millisecond)
 }
 
-// inForceAtReachable reports whether the version or a later one is in force at all reachable
-// controllers.
+// inForceAtReachable reports whether all reachable controllers have a version, or a later one.
 func (s configStatus) inForceAtReachable(number uint64) bool {
 	if s.status == nil || s.status.Latest.Number < number || s.collectedTooShort() {
 		return false
@@ -85,8 +84,7 @@
 	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unreachable()
 }
 
-// resultError is nil if the version is in force at all reachable controllers, else an error with
-// exitPartial.
+// resultError has exitPartial; nil if the version is in force at all reachable controllers.
 func (s configStatus) resultError(number uint64, wait time.Duration) error {
 	if s.inForceAtReachable(number) {
 		return nil
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -92,8 +92,8 @@
 }
 
 // handleEvents handles signals and versions of the fleet's configuration until a signal asks to
-// stop. A reload reads its files on another goroutine: a disk that hangs would else delay the
-// shutdown.
+// stop. A reload reads its files on another goroutine, so that a disk that hangs does not hold up
+// the shutdown.
 func (d *daemon) handleEvents(signals <-chan os.Signal, pending pendingSignals) {
 	reading := false
 	requested := pending.reload
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -74,8 +74,7 @@
 	return c.requests
 }
 
-// beginServing marks that clients are served, and whether this controller has a snapshot of its
-// own.
+// beginServing notes that clients are served, and whether this controller has its own snapshot.
 func (c *fleetConfig) beginServing(hasOwnSnapshot bool) {
 	c.hasOwnSnapshot = hasOwnSnapshot
 	close(c.serving)
@@ -172,8 +171,7 @@
 	}
 }
 
-// LogValue returns the version in force and the counts. Log lines call them taken, refused and
-// tried_again.
+// LogValue returns the version in force and the counts: in log lines taken, refused, tried_again.
 func (c *fleetConfig) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Uint64("version", c.version.Number),
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -183,7 +183,7 @@
 	golden.File(t, filepath.Join("output", "version.txt"), printed(t, value))
 }
 
-// TestStoredStartIsReadAsBefore pins the names in what the platform tells a controller at its start. A renamed one is read
+// TestStoredStartIsReadAsBefore pins the names in the configuration that the platform gives a controller. A renamed one is read
 // as its zero value.
 func TestStoredStartIsReadAsBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/start.json")
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -200,9 +200,9 @@
 	return filepath.Join(p.dir, "document.hcl")
 }
 
-// Four daemons run as processes. A version is put in force at each; a document that can't be used, and one whose author has
-// not seen the newest version, change nothing; reloads and restarts keep the version in force; a rollback puts an earlier
-// one back; of two puts at once one wins.
+// Four daemons run as processes. A version is put in force at each; a document that can't be used, and one of an author who
+// has not seen the newest version, change nothing; reloads and restarts keep the version in force; a rollback puts an
+// earlier one back; of two puts at once one wins.
 func TestConfigVersionsAcrossProcesses(t *testing.T) {
 	all := configProcesses(t, 4)
 	for _, p := range all {
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -33,8 +33,7 @@
 }
 
 // applyReload puts in force what may change while running. The operator's file and the
-// configuration are each applied whole or not at all; an error is logged and the controller goes on
-// serving.
+// configuration are each applied whole or not at all; an error is logged, and serving goes on.
 func (d *daemon) applyReload(r reloadResult) {
 	if err := d.applyOperatorFile(r.file, r.fileErr); err != nil {
 		problems := operator.Problems(err)
@@ -92,8 +91,7 @@
 	return &merged
 }
 
-// resetFixedFields logs fields that can't change while running, and sets them to the values in
-// force.
+// resetFixedFields logs fields that can't change while running, and sets them to those in force.
 func (d *daemon) resetFixedFields(own *operator.File) {
 	before := d.file
 	if d.fleetConfig != nil {
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -53,8 +53,7 @@
 	return d.run(signals)
 }
 
-// limitsFor derives the limits of a process from what it is granted and from the longest client
-// timeout.
+// limitsFor derives the limits of a process from its grants and the longest client timeout.
 func limitsFor(config *controllerConfig) *limits.Limits {
 	longestMS := 0.0
 	for _, class := range config.facts.Classes {
--- a/cmd/mintkeel/snapshots.go
+++ b/cmd/mintkeel/snapshots.go
@@ -12,8 +12,7 @@
 	"mintkeel/router"
 )
 
-// identity is what this controller's snapshots are marked with. Those of another identity are not
-// restored.
+// identity marks this controller's snapshots. Those of another identity are not restored.
 func (d *daemon) identity() restore.Identity {
 	return restore.Identity{Name: d.config.Name, Settings: settings.Flatten(d.config.Settings).Hash()}
 }
@@ -83,8 +82,7 @@
 // while a disk hangs.
 const maxStoppingWriters = 8
 
-// forgetStoppedWriters drops writers that have stopped and, past maxStoppingWriters, gives up the
-// oldest.
+// forgetStoppedWriters drops writers that have stopped and, from maxStoppingWriters on, the oldest.
 func (d *daemon) forgetStoppedWriters() {
 	d.stoppingWriters = slices.DeleteFunc(d.stoppingWriters, (*memory.SnapshotWriter).Stopped)
 	expired, cancel := context.WithCancel(context.Background())
--- a/internal/fleet/config_folder_test.go
+++ b/internal/fleet/config_folder_test.go
@@ -102,7 +102,7 @@
 	f.neverOlder()
 }
 
-// openedDisk tells when it is about to be opened.
+// openedDisk signals when it is about to be opened.
 type openedDisk struct {
 	*disktest.Disk
 	opened chan struct{}
--- a/internal/fleet/config_helpers_test.go
+++ b/internal/fleet/config_helpers_test.go
@@ -83,7 +83,7 @@
 	return list
 }
 
-// uses tells whether this version is in use, with this document.
+// uses reports whether this version is in use, with this document.
 func (h *fakeHost) uses(number uint64, document []byte) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// statusIs waits until the status, as the i-th controller tells it, is as wanted.
+// statusIs waits until the status, as the i-th controller answers it, is as wanted.
 func (f *configFleet) statusIs(i int, what string, is func(*config.Status) bool) {
 	f.t.Helper()
 	var last *config.Status
@@ -249,7 +249,7 @@
 	}
 }
 
-// acquainted tells whether each knows all to be alive, and one leads.
+// acquainted reports whether each knows all to be alive, and one leads.
 func (f *configFleet) acquainted() bool {
 	for i := range f.services {
 		s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "status"})
--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/config"
 )
 
-// replyGrace is how much longer than its time a request is waited for: the session ends the wait
-// before.
+// replyGrace is how much longer than its timeout a request is waited for. It is a backstop: the
+// session ends the wait before.
 const replyGrace = 3 * time.Second
 
 // Errors of requests.
@@ -137,8 +137,7 @@
 	return ""
 }
 
-// propose has a document that was checked agreed on, if the newest version is still the one
-// expected.
+// propose has a checked document agreed on, if the newest version is still the one expected.
 func (c *Client) propose(
 	request *Request, document []byte, expect, rollbackOf uint64,
 ) (Answer, error) {
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -118,8 +118,7 @@
 	return nil
 }
 
-// setCurrent has a version be the one to be in force at a start. One of number 0 is none of this
-// generation.
+// setCurrent has a version be the one in force at a start. Number 0 is none of this generation.
 func (f *Folder) setCurrent(v config.Version) error {
 	if v.Number == 0 {
 		return f.clearCurrent()
--- a/internal/fleet/configuration/host.go
+++ b/internal/fleet/configuration/host.go
@@ -23,8 +23,7 @@
 	return &Block{Wait: open.Duration("wait", 3*time.Second, 100*time.Millisecond, 8*time.Second)}
 }
 
-// Host is the program that uses the fleet's configuration: the daemon, or a stand-in for it in
-// measurements.
+// Host is the program that uses the fleet's configuration: the daemon, or a stand-in of the lab.
 type Host struct {
 	// Check returns why a document can't be used here, by the same code as `mintkeel check`; nil: it
 	// can. It has no effects, is called from goroutines of the service, one call at a time, and must
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -114,8 +114,7 @@
 	return nil
 }
 
-// reserveApply waits until no call of Host.Apply is under way. It is false if the context ends
-// before.
+// reserveApply waits until no call of Host.Apply is under way; false if the context ends before.
 func (m *Manager) reserveApply(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -63,8 +63,8 @@
 	return stored, nil
 }
 
-// openFolder opens the folder, unless the service ends first: a disk that hangs is left to the
-// system.
+// openFolder opens the folder, unless the service ends first: it does not wait for a disk that
+// hangs then, and closes the folder if it opens after all.
 func (s *Session) openFolder() (Contents, error) {
 	type opened struct {
 		folder   *Folder
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -27,16 +27,15 @@
 	ResultUnknown = "unknown" // it may be agreed on, or not
 )
 
-// Longest waits for the replica's answer to a request: a little longer than the replica waits
-// itself.
+// Longest waits for the replica's answer to a request: a little longer than its own waits.
 const (
 	QueryTimeout   = 6 * time.Second  // to query the leader
 	fetchTimeout   = 11 * time.Second // to find a document
 	proposeTimeout = 16 * time.Second // to have a version agreed on
 )
 
-// MaxRequestBytes bounds the JSON of a request with a document of config.MaxDocument bytes, in
-// base64.
+// MaxRequestBytes bounds the JSON of a request: a document, in base64, has config.MaxDocument bytes
+// at most before that.
 const MaxRequestBytes = 2 << 20
 
 // Request is an operator's request.
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -31,8 +31,7 @@
 }
 
 // Session is the part of one run of the core. It belongs to the goroutine of the service's session.
-// Without a block config the Session is nil: its methods do nothing and its channels deliver
-// nothing.
+// Without a block config the Session is nil: its methods do nothing, its channels deliver nothing.
 type Session struct {
 	Environment
 	manager *Manager
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -72,8 +72,7 @@
 	}
 }
 
-// answer reads the request of a connection and answers it. A connection that ends early gets no
-// answer.
+// answer reads the request of a connection and answers it, unless the connection ends before.
 func answer(conn net.Conn, handler Handler) {
 	conn.SetDeadline(time.Now().Add(socketTimeout))
 	limit := max(MaxBytes, handler.MaxConfigBytes())
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -18,8 +18,8 @@
 // part of the configuration. Others reach it through the service's inbox: connections with messages
 // (which are dropped if the inbox is full, as if the network had lost them), operators' requests
 // (which wait for Timeout at most), and the daemon (SetWilling, Stop). The goroutine never waits:
-// one other goroutine writes the quorum's records, one after another; the configuration has its
-// own.
+// one other goroutine writes the quorum's records, one after another; the configuration has
+// goroutines of its own.
 //
 // Service outlives sessions. When a disk fails, or the core panics as the consensus library does
 // where it finds its state broken, the session ends, the jobs lose their leases, and run begins
--- a/internal/fleet/frames/doc.go
+++ b/internal/fleet/frames/doc.go
@@ -1,8 +1,7 @@
 // Package frames is the form of what controllers of one fleet send each other on a connection:
 // length-framed CBOR, each frame authenticated with a key from a file and bound to the fleet, its
 // generation, the sender's run and the frame's place on this connection. A connection carries
-// messages one way, from the controller that opened it; in the other direction goes the challenge
-// alone.
+// messages one way, from the controller that opened it; only the challenge goes the other way.
 //
 //	listener:  "MKFLEET1", nonce of 32 bytes (the challenge)
 //	opener:    a hello, then frames, each:
@@ -17,6 +16,5 @@
 //
 // Writer and Reader have no goroutines and no deadlines; those are the caller's. A reader allocates
 // memory only as fast as bytes arrive, whatever length a frame claims, and no payload is over
-// MaxPayloadBytes. After an error the connection is to be closed, as the place in the stream is
-// lost.
+// MaxPayloadBytes. After an error the place in the stream is lost: the connection is to be closed.
 package frames
--- a/internal/fleet/frames/frames.go
+++ b/internal/fleet/frames/frames.go
@@ -74,8 +74,7 @@
 	return int(binary.BigEndian.Uint32(head)), nil
 }
 
-// Read returns the next payload. Its errors are ErrForged and ErrTooLong, beside those of the
-// connection.
+// Read returns the next payload. Its errors are ErrForged, ErrTooLong and those of the connection.
 func (r *Reader) Read() ([]byte, error) {
 	payload, code, err := readFrame(r.r, MaxPayloadBytes)
 	if err != nil {
@@ -102,8 +101,8 @@
 	return append(to, code...)
 }
 
-// readFrame reads a frame as it comes: a length that claims much takes memory only as fast as bytes
-// arrive.
+// readFrame reads a frame as it comes: whatever length it claims, it takes memory only as fast as
+// bytes arrive.
 func readFrame(r *bufio.Reader, maxPayload int) (payload, code []byte, err error) {
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(r, head); err != nil {
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -128,8 +128,7 @@
 	return derive(key, framesLabel, nonce, hello)
 }
 
-// derive is the HMAC of a label, the listener's nonce and the hello, each with its length before
-// it.
+// derive is the HMAC of a label, the listener's nonce and the hello, each after its length.
 func derive(key Key, label string, nonce, hello []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(label), nonce, hello} {
--- a/internal/fleet/frames/keys.go
+++ b/internal/fleet/frames/keys.go
@@ -22,8 +22,7 @@
 // that keys can be changed while the fleet runs.
 type Keys []Key
 
-// ReadKeys reads a file of keys, one a line, in hexadecimal digits. Lines that begin with # are
-// comments.
+// ReadKeys reads a file of keys, one a line, in hexadecimal digits. Lines with # are comments.
 func ReadKeys(path string) (Keys, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -6,8 +6,7 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Job does the work of a lease. Every job is called for every lease, and ignores those of other
-// jobs.
+// Job does the work of a lease. Every job is called for every lease, and ignores all but its own.
 type Job interface {
 	// Began reports a lease that this controller holds from now on.
 	Began(c Context, grant lease.Grant)
@@ -22,8 +21,7 @@
 	// MessageReceived takes in a message of another controller's job. It is false for a message of
 	// another kind of job, which is then offered to the next one.
 	MessageReceived(c Context, from members.ID, data []byte) bool
-	// StateReceived reports the state that the holders of a lease hand on, after ProposeState or
-	// RequestState.
+	// StateReceived reports the agreed state of a lease, after ProposeState or RequestState.
 	StateReceived(c Context, state node.Checkpoint)
 	// Close ends the job's goroutines and waits for them. The session has ended before.
 	Close()
--- a/internal/fleet/links/doc.go
+++ b/internal/fleet/links/doc.go
@@ -1,6 +1,5 @@
-// Package links carries messages between the controllers of a fleet: a connection for each
-// controller that something is sent to, one way, opened when it is needed and closed when it is
-// not.
+// Package links carries messages between the controllers of a fleet: one way, over a connection to
+// each controller that something is sent to, which is open only while it is needed.
 //
 // It promises nothing: a message that does not go within its time is dropped, which the protocols
 // above take as loss. Messages to one controller that arrive do so in the order of Send.
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -95,8 +95,7 @@
 	return true
 }
 
-// endIncoming closes a connection. What was read from it and not handed over yet is dropped. mu is
-// held.
+// endIncoming closes a connection. mu is held. What was read and not handed over yet is dropped.
 func (l *Links) endIncoming(conn net.Conn) {
 	delete(l.incoming, conn)
 	conn.Close()
@@ -183,8 +182,7 @@
 	return reader, nil
 }
 
-// touch notes that a connection has brought a message. It is false if the connection was closed
-// meanwhile.
+// touch notes that a connection has brought a message; false if it was closed meanwhile.
 func (l *Links) touch(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -117,8 +117,7 @@
 	return l
 }
 
-// SetDial has connections opened in another way than the system's. It is called before the first
-// Send.
+// SetDial has connections opened in another way than the system's. Call it before the first Send.
 func (l *Links) SetDial(dial Dial) { l.dial = dial }
 
 // SetKeys sets the keys of connections that are opened from now on.
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -231,8 +231,7 @@
 	return wait/2 + rand.N(wait)
 }
 
-// errRefused means that a peer closed a connection before the challenge, as it does when it has no
-// room.
+// errRefused means that a peer closed a connection before the challenge, as one without room does.
 var errRefused = errors.New("the peer has no room for a connection")
 
 // open opens a connection to a peer; it is closed when the context ends.
--- a/internal/fleet/maintenance/doc.go
+++ b/internal/fleet/maintenance/doc.go
@@ -29,6 +29,5 @@
 //
 // Requests of operators wait for the holder's next step, maxPendingRequests at most: one more is
 // answered at once with an error. A controller that has as many requests without an answer drops
-// them, as their callers have given up. A state over lease.MaxStateBytes is not proposed, and
-// logged.
+// them, as their callers have given up. A state over lease.MaxStateBytes is logged, not proposed.
 package maintenance
--- a/internal/fleet/maintenance/hooks.go
+++ b/internal/fleet/maintenance/hooks.go
@@ -50,7 +50,8 @@
 	case run.running:
 		return false, step + " is under way"
 	case run.err != nil && time.Since(run.endedAt) < hookBackoff:
-		return false, fmt.Sprintf("%s: %v; tried again after 10 s", step, run.err)
+		return false, fmt.Sprintf("%s: %v; tried again after %v s", step, run.err,
+			hookBackoff.Seconds())
 	}
 	run.running = true
 	j.hooks[key] = run
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -38,8 +38,7 @@
 	hookWaitDelay = time.Second      // for a program's output after its end
 )
 
-// Bounds of what is kept. What would go beyond is rejected (requests, plans) or left out (the
-// rest).
+// Bounds of what is kept. What goes beyond is rejected (requests, plans) or left out (the others).
 const (
 	maxPendingRequests = 64
 	maxPlans           = 32
@@ -48,8 +47,7 @@
 	maxReasons         = 100
 )
 
-// Host is what maintenance needs of its controller. Its functions are called from goroutines of the
-// job.
+// Host is what maintenance needs of its controller. Goroutines of the job call its functions.
 type Host struct {
 	Engines func(ctx context.Context) ([]router.EngineStatus, error)
 	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
@@ -125,8 +123,7 @@
 // on as it began.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// Began takes in that this controller holds the lease. It reads the agreed state before it does
-// anything.
+// Began takes in that this controller holds the lease. It reads the agreed state before all else.
 func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -13,8 +13,7 @@
 	"mintkeel/router"
 )
 
-// agreedState is what is agreed on through the quorum, and what a lease holder hands on to the
-// next.
+// agreedState is what is agreed on through the quorum: the next lease holder goes on from it.
 type agreedState struct {
 	Plans   []core.Plan     `cbor:"1,keyasint"`
 	Tasks   []core.Task     `cbor:"2,keyasint"`
@@ -80,8 +79,8 @@
 	Name   string      `json:"name,omitempty"`  // of a plan, an engine or a controller
 }
 
-// Status is the state of maintenance as its lease holder sees it. The JSON names are those of its
-// operators.
+// Status is the state of maintenance as its lease holder sees it. The JSON names stay as they are
+// for operators' scripts.
 type Status struct {
 	Holder    string           `json:"conductor"`
 	Token     uint64           `json:"epoch"` // fencing token of the lease
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -30,8 +30,7 @@
 // ErrNoHolder means that no controller holds the maintenance lease, as far as this one knows.
 var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
 
-// Durations that plans are checked with: of the steps that end by the installation's own pace, in
-// ms.
+// Durations in ms that plans are checked with, of steps that end when the installation is ready.
 const (
 	expectedDrainTime = 10000.0
 	expectedWarmTime  = 30000.0
--- a/internal/fleet/maintenance/steps.go
+++ b/internal/fleet/maintenance/steps.go
@@ -64,9 +64,8 @@
 	}
 }
 
-// drainReason is why an engine is not free yet; empty: it is. Its program has ended, each
-// controller has confirmed, and the endpoint list does not offer it to a controller that starts
-// now.
+// drainReason is why an engine is not free yet; empty: it is. For that its program has ended, each
+// controller has confirmed, and the endpoint list offers it to no controller that starts now.
 func (j *Job) drainReason(jobContext job.Context, block *Block, task core.Task) string {
 	if done, reason := j.runHook(drainHook, block.Drain, task); !done {
 		return reason
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -105,8 +105,7 @@
 	return nil
 }
 
-// errNoAnswer means that a request was passed on to the holder of the maintenance lease and not
-// answered.
+// errNoAnswer means that the holder of the maintenance lease did not answer a request.
 var errNoAnswer = errors.New(
 	"who conducts maintenance did not answer in time: whether it was done is not known")
 
@@ -114,14 +113,13 @@
 // this controller has it.
 type maintenanceJob interface {
 	job.Job
-	// SendRequest passes a request on to the holder of the lease; the answer comes on the returned
-	// channel.
+	// SendRequest forwards a request to the holder of the lease; the channel delivers the answer.
 	SendRequest(
 		c job.Context, holder members.ID, request maintenance.Request,
 	) (chan maintenance.Status, error)
 }
 
-// askMaintenance passes an operator's request on to the holder of the maintenance lease, and waits
+// askMaintenance forwards an operator's request to the holder of the maintenance lease, and waits
 // for the answer.
 func (s *Service) askMaintenance(request *maintenance.Request) (control.Status, error) {
 	if request == nil {
@@ -154,7 +152,7 @@
 	}
 }
 
-// sendMaintenance has the maintenance job pass a request on.
+// sendMaintenance has the maintenance job forward a request.
 func (s *session) sendMaintenance(request maintenance.Request) (chan maintenance.Status, error) {
 	for _, j := range s.jobs {
 		if sender, ok := j.(maintenanceJob); ok {
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -35,8 +35,7 @@
 	return nil
 }
 
-// send sends a message of the core. The address of a voter that is not known yet is taken from the
-// block.
+// send sends a message of the core. As long as a voter's address is not known, it is the block's.
 func (s *session) send(envelope node.Envelope) {
 	payload, err := cbor.Marshal(envelope.Message)
 	if err != nil {
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -127,8 +127,8 @@
 	j.group.Wait()
 }
 
-// Tick sends what is due: statistics that were taken out, a round of the lease holder, a newcomer's
-// request.
+// Tick sends what is due: statistics that were taken out, the requests and the digest of a lease
+// holder, a newcomer's request.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	if j.startedAt == 0 {
 		j.startedAt = now
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -21,8 +21,7 @@
 	expectations []expectation
 }
 
-// expectation is one field of a case that stands in the file; what the file does not name is not
-// checked.
+// expectation is one field of a case. Fields that the file does not name are not checked.
 type expectation struct {
 	field string
 	want  any
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// samePlaces tells whether each problem is the one wanted; the same field may have more than one.
+// samePlaces reports whether each problem is the one wanted; the same field may have more than one.
 func samePlaces(got, want []string) bool {
 	return slices.Equal(slices.Compact(got), want)
 }
@@ -169,7 +169,7 @@
 	})
 }
 
-// BenchmarkParseDocument tells what a document costs to check, by its size: rules of 90 bytes, up
+// BenchmarkParseDocument measures what a document costs to check, by its size: rules of 90 bytes, up
 // to the most there may be.
 func BenchmarkParseDocument(b *testing.B) {
 	for _, rules := range []int{10, 100, 1000, 10_000} {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,8 +21,7 @@
 	"mintkeel/internal/settings"
 )
 
-// maxFileBytes bounds a file, and with it what reading it costs: a controller may have 32 MB of
-// memory.
+// maxFileBytes bounds a file, and with it the memory to read it: a controller may have only 32 MB.
 const maxFileBytes = 1 << 20
 
 // Names of the blocks of an operator's file.
@@ -81,8 +80,8 @@
 	return Parse(path, text, facts)
 }
 
-// Parse reads the text of an operator's file. The path is used in problems only; the error is a
-// block.Problems.
+// Parse reads the text of an operator's file. The error is a block.Problems, in which alone the
+// path is used.
 func Parse(path string, text []byte, facts *settings.Facts) (*File, error) {
 	if len(text) > maxFileBytes {
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", maxFileBytes)}}
@@ -97,8 +96,8 @@
 	return file, nil
 }
 
-// parse parses HCL and calls read with the result, unless the syntax is wrong. The error is a
-// block.Problems.
+// parse parses HCL and calls read with the result, unless the syntax is wrong. All problems, also
+// those of read, are in the error, a block.Problems.
 func parse(path string, text []byte, read func(*hcl.File, *block.Diagnostics)) error {
 	if problem := checkComplexity(path, text); problem != nil {
 		return block.Problems{*problem}
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -51,8 +51,7 @@
 	return set
 }
 
-// readRule reads the fields of one rule. Their meaning, with what an absent one does, stands at
-// rules.Rule.
+// readRule reads the fields of one rule. rules.Rule says what each means, and what an absent one.
 func readRule(name string, open *block.Block) rules.Rule {
 	return rules.Rule{
 		Name:        name,
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -5,9 +5,9 @@
 	"io"
 )
 
-// Disk is one directory. Names are plain file names, without separators. Errors are those of the
-// operating system (fs.ErrNotExist, fs.ErrExist and others), ErrLocked, ErrInvalidName or
-// ErrNotRegular.
+// Disk is one directory. Names are plain file names, without separators. Errors are ErrLocked,
+// ErrInvalidName, ErrNotRegular and those of the operating system (fs.ErrNotExist, fs.ErrExist and
+// others).
 type Disk interface {
 	// Make creates the directory itself, unless it exists. Its parent must exist.
 	Make() error
--- a/internal/store/disk/disktest/doc.go
+++ b/internal/store/disk/disktest/doc.go
@@ -3,6 +3,6 @@
 // CrashMode treats what was not synced in another way that real file systems have shown (lost,
 // torn, out of order).
 //
-// A test of a crash at every point calls OnOperation with a function that reopens the store on
-// AfterCrash.
+// A test of a crash at every point passes OnOperation a function that opens the store anew on the
+// disk that AfterCrash returns.
 package disktest
--- a/internal/store/disk/doc.go
+++ b/internal/store/disk/doc.go
@@ -14,6 +14,5 @@
 //     renamed, and the directory is synced. ReplaceFile does that for a content in memory.
 //
 // The package computes no checksums: each store has its own and detects what a crash or a bad disk
-// has left. A directory listing is bounded (see Folder.Names); the size of files is bounded by the
-// stores.
+// has left. A directory listing is bounded (see Folder.Names); the stores bound the size of files.
 package disk
--- a/internal/store/documents/doc.go
+++ b/internal/store/documents/doc.go
@@ -1,6 +1,5 @@
 // Package documents stores whole documents in a directory, each under the SHA-256 of its content,
-// and one record that names the current document. What documents and the record mean is left to the
-// caller.
+// and one record that names the current document. It knows nothing of what they mean.
 //
 // # Durability
 //
@@ -17,7 +16,7 @@
 //
 // Open reads everything back. Each document is checked against its hash, and the record against its
 // checksum, so that a torn write or later damage shows. Files that don't match or exceed the bounds
-// are removed and counted; a record whose document can't be used is removed with it. An error of
+// are removed and counted; a record of a document that can't be used is removed too. An error of
 // the disk is no damage: Open returns it and removes nothing, unless it concerns a document that is
 // not current.
 //
--- a/internal/store/documents/open.go
+++ b/internal/store/documents/open.go
@@ -23,8 +23,7 @@
 }
 
 // Open locks a directory for this process and reads it; disk.ErrLocked if another process has it.
-// Files that are damaged are no error. Any other error is one of the disk, with which no folder is
-// returned.
+// Files that are damaged are no error. Any other error is one of the disk; the folder is nil then.
 func Open(d disk.Disk, b Bounds) (*Folder, Contents, error) {
 	lock, err := d.Lock(lockName)
 	if err != nil {
@@ -99,8 +98,7 @@
 	return nil
 }
 
-// isTemporary reports whether a name is one that this package writes a file under before its
-// rename.
+// isTemporary reports whether this package writes files under a name before they are renamed.
 func isTemporary(name string) bool {
 	final, ok := strings.CutSuffix(name, temporarySuffix)
 	if !ok {
--- a/internal/store/fenced/write.go
+++ b/internal/store/fenced/write.go
@@ -40,8 +40,7 @@
 	return nil
 }
 
-// nextVersion is the version to be written after those found; ErrSuperseded if one has a higher
-// token.
+// nextVersion is the one to be written after those found; ErrSuperseded if one has a higher token.
 func nextVersion(found []version, name string, token uint64) (version, error) {
 	serial := uint64(1)
 	if len(found) > 0 {
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -95,8 +95,7 @@
 	return &FileError{r.file.name, noRecord, fmt.Errorf("head %w", ErrDamaged)}
 }
 
-// readRecord returns the payload of the next record, errEndOfFile, errTornTail or an error of the
-// file.
+// readRecord returns the next record's payload, or errEndOfFile, errTornTail or another error.
 func (r *reader) readRecord() ([]byte, error) {
 	header := make([]byte, recordHeaderBytes)
 	_, err := io.ReadFull(r.in, header)
--- a/internal/store/snapshots/folder.go
+++ b/internal/store/snapshots/folder.go
@@ -19,8 +19,7 @@
 	names  []string // of the snapshots in the directory
 }
 
-// Open locks a directory for this process; disk.ErrLocked if another one has it. The directory must
-// exist.
+// Open locks a directory, which must exist, for this process; disk.ErrLocked if another one has it.
 func Open(d disk.Disk, b Bounds) (*Folder, error) {
 	lock, err := d.Lock(lockName)
 	if err != nil {
--- a/internal/store/snapshots/format.go
+++ b/internal/store/snapshots/format.go
@@ -32,8 +32,7 @@
 	retainedFiles = 2
 )
 
-// SectionKind is what a section holds, by a number of the caller. 0 is reserved for the end of a
-// file.
+// SectionKind is what a section holds, by a number of the caller. 0 is reserved: a file's end.
 type SectionKind uint16
 
 const kindEnd SectionKind = 0
@@ -101,9 +100,8 @@
 	}
 }
 
-// sectionChecksum covers a section's kind, length and payload. It includes the file's serial
-// number: where a lost write leaves blocks of an older file, their sections are whole but don't
-// match.
+// sectionChecksum covers a section's kind, length and payload, and the file's serial number: where
+// a lost write leaves blocks of an older file, their sections are whole but don't match.
 func sectionChecksum(serial uint64, kindAndLength, payload []byte) uint64 {
 	digest := xxhash.New()
 	digest.Write(binary.BigEndian.AppendUint64(nil, serial))
