--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -77,28 +78,7 @@
 			if err != nil {
 				return err
 			}
-			out := c.OutOrStdout()
-			v, tried := set.Explain(&query)
-			for _, t := range tried {
-				outcome := "does not match"
-				if t.Matched {
-					outcome = "matches"
-				}
-				fmt.Fprintf(out, "%s: %s\n", t.Name, outcome)
-				for _, s := range t.Steps {
-					fmt.Fprintf(out, "%s%s = %s\n", strings.Repeat("  ", s.Depth+1), s.Text, s.Value)
-				}
-			}
-			fmt.Fprintf(out, "%d of %d rules were tried; the others require something that it has not\n",
-				len(tried), set.Len())
-			if v.Refusal != "" {
-				fmt.Fprintf(out, "refused: %s\n", v.Refusal)
-				return nil
-			}
-			fmt.Fprintf(out, "profile %s, key %q, hot %t, kinds %v, zones %v, "+
-				"estimate at the most %gms, labels %v\n",
-				operator.RuleFacts(facts).ClassNames[v.Class], v.OrderingKey, v.Hot, v.Kinds, v.Zones,
-				v.EstimateCap, v.Labels)
+			printExplanation(c.OutOrStdout(), set, &query, facts)
 			return nil
 		},
 	}
@@ -108,6 +88,34 @@
 	return c
 }
 
+// printExplanation prints the rules that were tried on a query, with the steps of each, and what
+// they decided.
+func printExplanation(
+	out io.Writer, set *rules.Set, query *rules.Query, facts *settings.Facts,
+) {
+	verdict, tried := set.Explain(query)
+	for _, rule := range tried {
+		outcome := "does not match"
+		if rule.Matched {
+			outcome = "matches"
+		}
+		fmt.Fprintf(out, "%s: %s\n", rule.Name, outcome)
+		for _, step := range rule.Steps {
+			fmt.Fprintf(out, "%s%s = %s\n", strings.Repeat("  ", step.Depth+1), step.Text, step.Value)
+		}
+	}
+	fmt.Fprintf(out, "%d of %d rules were tried; the others require something that it has not\n",
+		len(tried), set.Len())
+	if verdict.Refusal != "" {
+		fmt.Fprintf(out, "refused: %s\n", verdict.Refusal)
+		return
+	}
+	fmt.Fprintf(out, "profile %s, key %q, hot %t, kinds %v, zones %v, "+
+		"estimate at the most %gms, labels %v\n",
+		operator.RuleFacts(facts).ClassNames[verdict.Class], verdict.OrderingKey, verdict.Hot,
+		verdict.Kinds, verdict.Zones, verdict.EstimateCap, verdict.Labels)
+}
+
 func rulesTest() *cobra.Command {
 	var from configSources
 	c := &cobra.Command{
