--- a/cmd/mintkeel/fleetjobs.go
+++ b/cmd/mintkeel/fleetjobs.go
@@ -42,7 +42,7 @@
 func (d *daemon) sharedStatisticsHost() sharedstatistics.Host {
 	host := sharedstatistics.Host{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
 	if !d.hasOwnSnapshot {
-		host.Remember = func(shared router.Statistics) { go d.restoreSharedStatistics(shared) }
+		host.Restore = func(shared router.Statistics) { go d.restoreSharedStatistics(shared) }
 	}
 	return host
 }
--- a/internal/fleet/links/doc.go
+++ b/internal/fleet/links/doc.go
@@ -7,7 +7,7 @@
 // # Goroutines
 //
 // Send never waits and is for one goroutine. A peer has a goroutine that connects and writes
-// (carry), and one that waits for the end of its connection. Each incoming connection has a
+// (writeQueued), and one that waits for the end of its connection. Each incoming connection has a
 // goroutine that reads and calls the function given to New, which must not wait long: it holds up
 // this one connection. The table of peers and of incoming connections is guarded by Links.mu. Every
 // goroutine ends with its connection, and every connection with a deadline or with Close, which
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -13,10 +13,10 @@
 // may be used up.
 const acceptBackoff = 50 * time.Millisecond
 
-// greetingShare is a bound on connections that are not authenticated yet: idle ones are evicted for
-// them only while they are less than one in so many of MaxIncoming. So strangers can't displace
-// more controllers than that.
-const greetingShare = 4
+// unauthenticatedShare is a bound on connections that are not authenticated yet: idle ones are
+// evicted for them only while they are less than one in so many of MaxIncoming. So strangers can't
+// displace more controllers than that.
+const unauthenticatedShare = 4
 
 // maxRateWait bounds how long a connection is not read as its sender is over its rate.
 const maxRateWait = time.Second
@@ -77,17 +77,17 @@
 // enough. mu is held.
 func (l *Links) evictIncoming() bool {
 	var longestIdle net.Conn
-	greeting := 0
+	unauthenticated := 0
 	usedAt := time.Now().Add(-l.bounds.EvictAfter)
 	for conn, candidate := range l.incoming {
 		if candidate.from == "" {
-			greeting++
+			unauthenticated++
 		} else if candidate.usedAt.Before(usedAt) {
 			longestIdle = conn
 			usedAt = candidate.usedAt
 		}
 	}
-	if longestIdle == nil || greeting >= max(1, l.bounds.MaxIncoming/greetingShare) {
+	if longestIdle == nil || unauthenticated >= max(1, l.bounds.MaxIncoming/unauthenticatedShare) {
 		return false
 	}
 	l.evicted.Add(1)
@@ -108,7 +108,7 @@
 		defer l.mu.Unlock()
 		l.endIncoming(conn)
 	}()
-	reader, err := l.greet(conn)
+	reader, err := l.authenticate(conn)
 	if err != nil {
 		l.logRejected(conn, err)
 		return
@@ -156,9 +156,9 @@
 	return min(max(0, ahead), maxRateWait)
 }
 
-// greet has a connection's sender prove that it is of the fleet. An earlier connection of the same
-// sender is closed: what a former incarnation still has on its way does not count any more.
-func (l *Links) greet(conn net.Conn) (*frames.Reader, error) {
+// authenticate has a connection's sender prove that it is of the fleet. An earlier connection of
+// the same sender is closed: what a former incarnation still has on its way is not handed over.
+func (l *Links) authenticate(conn net.Conn) (*frames.Reader, error) {
 	conn.SetDeadline(time.Now().Add(l.bounds.DialTimeout))
 	challenge, err := frames.Challenge(conn)
 	if err != nil {
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -90,7 +90,7 @@
 		defer conn.Close()
 	}
 	eventually(t, "strangers are not refused", func() bool { return a.evicted.Load()+a.refused.Load() == room })
-	if evicted := a.evicted.Load(); evicted != room/greetingShare {
+	if evicted := a.evicted.Load(); evicted != room/unauthenticatedShare {
 		t.Errorf("%d of %d strangers displaced controllers", evicted, room)
 	}
 }
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	p := &peer{id: id, addr: addr, queue: make(chan []byte, l.bounds.QueueMessages), cancel: cancel}
 	l.peers[id] = p
-	l.group.Go(func() { l.carry(ctx, p) })
+	l.group.Go(func() { l.writeQueued(ctx, p) })
 	return p
 }
 
@@ -108,8 +108,8 @@
 	ended    chan struct{} // closed once the peer has ended it
 }
 
-// carrier writes what is queued for one peer. It belongs to the goroutine of carry.
-type carrier struct {
+// peerWriter writes what is queued for one peer. It belongs to the goroutine of writeQueued.
+type peerWriter struct {
 	links       *Links
 	peer        *peer
 	connection  *outgoing // nil: none
@@ -118,13 +118,13 @@
 	endedAtOnce bool      // the peer ended the last connection right after its beginning
 }
 
-// carry writes what is queued for one peer until the peer has been idle for a while, or the context
-// ends. A message that finds no connection, as the last attempt to connect failed a moment ago, is
-// dropped: by the time of the next attempt it would be old.
-func (l *Links) carry(ctx context.Context, p *peer) {
+// writeQueued writes what is queued for one peer until the peer has been idle for a while, or the
+// context ends. A message that finds no connection, as the last attempt to connect failed a moment
+// ago, is dropped: by the time of the next attempt it would be old.
+func (l *Links) writeQueued(ctx context.Context, p *peer) {
 	defer l.forget(p)
-	c := &carrier{links: l, peer: p}
-	defer c.disconnect()
+	w := &peerWriter{links: l, peer: p}
+	defer w.disconnect()
 	idle := time.NewTimer(l.bounds.IdleTimeout)
 	defer idle.Stop()
 	for {
@@ -133,86 +133,86 @@
 			return
 		case <-idle.C:
 			return
-		case <-c.connectionEnded():
-			c.dropEnded()
+		case <-w.connectionEnded():
+			w.dropEnded()
 		case payload := <-p.queue:
 			p.queuedBytes.Add(-int64(len(payload)))
 			idle.Reset(l.bounds.IdleTimeout)
-			c.write(ctx, payload)
+			w.write(ctx, payload)
 		}
 	}
 }
 
 // connectionEnded is closed once the peer has ended the connection; nil without one.
-func (c *carrier) connectionEnded() <-chan struct{} {
-	if c.connection == nil {
+func (w *peerWriter) connectionEnded() <-chan struct{} {
+	if w.connection == nil {
 		return nil
 	}
-	return c.connection.ended
+	return w.connection.ended
 }
 
 // dropEnded closes the connection that the peer has ended. If a peer ends connections right after
 // their beginning, as one does that does not accept this controller's hello, the second and further
 // ones are not replaced at once.
-func (c *carrier) dropEnded() {
-	c.links.ended.Add(1)
-	atOnce := time.Since(c.connection.openedAt) < c.links.bounds.RetryInterval
-	if atOnce && c.endedAtOnce {
-		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
+func (w *peerWriter) dropEnded() {
+	w.links.ended.Add(1)
+	atOnce := time.Since(w.connection.openedAt) < w.links.bounds.RetryInterval
+	if atOnce && w.endedAtOnce {
+		w.retryAt = time.Now().Add(w.links.bounds.RetryInterval)
 	}
-	c.endedAtOnce = atOnce
-	c.disconnect()
+	w.endedAtOnce = atOnce
+	w.disconnect()
 }
 
-func (c *carrier) disconnect() {
-	if c.connection != nil {
-		c.connection.conn.Close()
-		c.connection = nil
+func (w *peerWriter) disconnect() {
+	if w.connection != nil {
+		w.connection.conn.Close()
+		w.connection = nil
 	}
 }
 
 // write writes one message, on a new connection if there is none or the peer has ended it.
-func (c *carrier) write(ctx context.Context, payload []byte) {
+func (w *peerWriter) write(ctx context.Context, payload []byte) {
 	select {
-	case <-c.connectionEnded():
-		c.dropEnded()
+	case <-w.connectionEnded():
+		w.dropEnded()
 	default:
 	}
-	if c.connection == nil && !c.connect(ctx) {
-		c.links.dropped.Add(1)
+	if w.connection == nil && !w.connect(ctx) {
+		w.links.dropped.Add(1)
 		return
 	}
 	now := time.Now()
-	c.connection.conn.SetWriteDeadline(now.Add(c.links.bounds.WriteTimeout))
-	// The read waits for the peer to end the connection; carry closes an idle one well before.
-	c.connection.conn.SetReadDeadline(now.Add(2 * c.links.bounds.IdleTimeout))
-	if err := c.connection.writer.Write(payload); err != nil {
-		c.retryAt = time.Now().Add(c.links.bounds.RetryInterval)
-		c.links.failed.Add(1)
-		c.disconnect()
+	w.connection.conn.SetWriteDeadline(now.Add(w.links.bounds.WriteTimeout))
+	// The read waits for the peer to end the connection; writeQueued closes an idle one well before.
+	w.connection.conn.SetReadDeadline(now.Add(2 * w.links.bounds.IdleTimeout))
+	if err := w.connection.writer.Write(payload); err != nil {
+		w.retryAt = time.Now().Add(w.links.bounds.RetryInterval)
+		w.links.failed.Add(1)
+		w.disconnect()
 		return
 	}
-	c.links.sent.Add(1)
-	c.links.bytesOut.Add(int64(len(payload)) + frames.Overhead)
+	w.links.sent.Add(1)
+	w.links.bytesOut.Add(int64(len(payload)) + frames.Overhead)
 }
 
 // connect opens a connection, unless the last one failed a moment ago.
-func (c *carrier) connect(ctx context.Context) bool {
-	if time.Now().Before(c.retryAt) {
+func (w *peerWriter) connect(ctx context.Context) bool {
+	if time.Now().Before(w.retryAt) {
 		return false
 	}
-	connection, err := c.links.open(ctx, c.peer)
+	connection, err := w.links.open(ctx, w.peer)
 	if errors.Is(err, errRefused) {
-		c.refusals++
+		w.refusals++
 	} else {
-		c.refusals = 0
+		w.refusals = 0
 	}
 	if err != nil {
-		c.retryAt = time.Now().Add(c.links.bounds.retryBackoff(c.refusals))
-		c.links.failed.Add(1)
+		w.retryAt = time.Now().Add(w.links.bounds.retryBackoff(w.refusals))
+		w.links.failed.Add(1)
 		return false
 	}
-	c.connection = connection
+	w.connection = connection
 	return true
 }
 
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -75,11 +75,11 @@
 	}
 	defer listener.Close()
 	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
-	connect := func(c *carrier) bool {
+	connect := func(c *peerWriter) bool {
 		c.retryAt = time.Time{}
 		return c.connect(context.Background())
 	}
-	full := &carrier{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
+	full := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
 	for refusals := 1; refusals < 4; refusals++ {
 		go func() {
 			if conn, err := listener.Accept(); err == nil {
@@ -108,7 +108,7 @@
 	b := DefaultBounds()
 	b.RetryInterval = time.Minute // "right after" on a slow machine too
 	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, DefaultBounds())
-	c := &carrier{links: a.Links, peer: &peer{id: "b", addr: stranger.addr}}
+	c := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: stranger.addr}}
 	for ends := 1; ends < 4; ends++ {
 		c.retryAt = time.Time{}
 		if !c.connect(context.Background()) {
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -65,7 +65,7 @@
 	// State of the lease holder, owned by the session's goroutine.
 	holdsLease     bool
 	grant          lease.Grant
-	known          bool // the agreed state has been read
+	stateRead      bool // the agreed state has been read
 	agreed         agreedState
 	serial         uint64 // of the agreed state
 	proposing      bool
@@ -130,7 +130,7 @@
 	}
 	j.holdsLease = true
 	j.grant = grant
-	j.known = false
+	j.stateRead = false
 	j.proposing = false
 	j.stepAt = jobContext.Now()
 	j.confirmations = map[members.ID]confirmation{}
@@ -141,7 +141,7 @@
 func (j *Job) Ended(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
-		j.known = false
+		j.stateRead = false
 	}
 }
 
@@ -162,7 +162,7 @@
 	}
 	j.stepAt = now + stepInterval
 	j.refreshEngines()
-	if !j.known || j.proposing {
+	if !j.stateRead || j.proposing {
 		j.retryState(jobContext, now)
 		return
 	}
@@ -187,7 +187,7 @@
 	}
 	j.proposedAt = now
 	j.proposing = false
-	j.known = false
+	j.stateRead = false
 	jobContext.RequestState(Lease)
 }
 
@@ -196,7 +196,7 @@
 	if s.Grant != j.grant || !j.holdsLease {
 		return
 	}
-	if j.known && s.Serial <= j.serial {
+	if j.stateRead && s.Serial <= j.serial {
 		j.proposing = j.proposing && s.Serial < j.serial
 		return
 	}
@@ -213,7 +213,7 @@
 	}
 	j.agreed = agreed
 	j.serial = s.Serial
-	j.known = true
+	j.stateRead = true
 	j.proposing = false
 }
 
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -62,7 +62,7 @@
 // receiveRequest enqueues a request where this controller holds the lease.
 func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
 	var request Request
-	able := j.holdsLease && j.known && len(j.requests) < maxPendingRequests
+	able := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
 	if !able || json.Unmarshal(encoded.JSON, &request) != nil {
 		j.reply(jobContext, from, encoded.Ref, Status{
 			Error: "this controller does not conduct maintenance now: ask again",
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -17,7 +17,7 @@
 	j.collect(jobContext.Self())
 	anyMember := func(members.Member) bool { return true }
 	for _, peer := range j.drawPeers(jobContext, gatherPeers, anyMember) {
-		sendMessage(jobContext, peer, message{Gather: true})
+		sendMessage(jobContext, peer, message{RequestStatistics: true})
 	}
 }
 
@@ -54,17 +54,17 @@
 	}
 }
 
-// giveDigest sends the kept digest to a newcomer, unless it is too old or one was just given.
+// giveDigest sends the latest digest to a newcomer, unless it is too old or one was just given.
 func (j *Job) giveDigest(jobContext job.Context, newcomer members.ID) {
-	if j.kept == nil || jobContext.Now() < j.giveAt {
+	if j.latestDigest == nil || jobContext.Now() < j.nextGiveAt {
 		return
 	}
-	age := time.Since(j.keptAt)
+	age := time.Since(j.digestReceivedAt)
 	if float64(age.Milliseconds()) >= digestLifetime {
 		return
 	}
-	j.giveAt = jobContext.Now() + giveInterval
-	given := *j.kept
+	j.nextGiveAt = jobContext.Now() + giveInterval
+	given := *j.latestDigest
 	// Moved on by the digest's age here, or the receiver would take its records for younger.
 	given.Now += float64(age.Microseconds()) / 1e3
 	sendMessage(jobContext, newcomer, message{Snapshot: &given})
@@ -73,13 +73,13 @@
 // requestDigest asks some voters for the digest.
 func (j *Job) requestDigest(jobContext job.Context) {
 	for _, voter := range j.drawPeers(jobContext, newcomerPeers, isVoter(jobContext)) {
-		sendMessage(jobContext, voter, message{Want: true})
+		sendMessage(jobContext, voter, message{RequestDigest: true})
 	}
 }
 
 // takeOver has a newcomer begin with the digest; only the first one counts.
 func (j *Job) takeOver(received *snapshot) {
-	if !j.wanting || received.Settings != j.host.Settings {
+	if !j.needsDigest || received.Settings != j.host.Settings {
 		return
 	}
 	statistics, err := memory.DecodeStatistics(received.Data)
@@ -87,9 +87,9 @@
 		j.host.Log.Warn("fleet: a digest can't be used", "why", err)
 		return
 	}
-	j.wanting = false
+	j.needsDigest = false
 	digest.ShiftTimes(&statistics, j.clock()-received.Now)
 	j.host.Log.Info("fleet: begins with what the fleet knows",
 		"records", statistics.Len(), "token", received.Token)
-	j.host.Remember(statistics)
+	j.host.Restore(statistics)
 }
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -47,7 +47,7 @@
 type Host struct {
 	Source   memory.StatisticsSource // nil: this controller has no statistics to send
 	Settings uint64                  // hash of the settings: classes and machine kinds go by them
-	Remember func(router.Statistics) // takes over the fleet's; nil: this controller has its own
+	Restore  func(router.Statistics) // takes over the fleet's; nil: this controller has its own
 	Log      *slog.Logger
 }
 
@@ -65,14 +65,14 @@
 	effectID   uint64  // of the last digest sent
 
 	// State of a voter, owned by the session's goroutine.
-	kept   *snapshot // the latest digest; nil: none was received
-	keptAt time.Time // when it was received
-	giveAt float64   // ms, from when the digest is given again
+	latestDigest     *snapshot // nil: none was received
+	digestReceivedAt time.Time // when it was received
+	nextGiveAt       float64   // ms, from when the digest is given again
 
 	// State of a newcomer, owned by the session's goroutine.
-	wanting   bool    // it has no statistics yet, and asks
-	startedAt float64 // ms, of the first Tick
-	wantAt    float64 // ms, when the next request is due
+	needsDigest bool    // it has no statistics yet, and asks
+	startedAt   float64 // ms, of the first Tick
+	requestAt   float64 // ms, when the next request is due
 
 	mu         sync.Mutex // guards the fields up to requester
 	collecting bool
@@ -88,12 +88,12 @@
 func NewJob(host Host) *Job {
 	ctx, end := context.WithCancel(context.Background())
 	return &Job{
-		host:    host,
-		rng:     rand.New(rand.NewSource(rand.Int63())),
-		clock:   func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
-		wanting: host.Remember != nil,
-		ctx:     ctx,
-		end:     end,
+		host:        host,
+		rng:         rand.New(rand.NewSource(rand.Int63())),
+		clock:       func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
+		needsDigest: host.Restore != nil,
+		ctx:         ctx,
+		end:         end,
 	}
 }
 
@@ -142,10 +142,10 @@
 		j.publishAt = now + publishInterval
 		j.publish(jobContext)
 	}
-	if j.wanting && now >= j.wantAt {
-		j.wantAt = now + newcomerInterval
-		j.wanting = now < j.startedAt+newcomerWindow
-		if j.wanting {
+	if j.needsDigest && now >= j.requestAt {
+		j.requestAt = now + newcomerInterval
+		j.needsDigest = now < j.startedAt+newcomerWindow
+		if j.needsDigest {
 			j.requestDigest(jobContext)
 		}
 	}
@@ -162,8 +162,8 @@
 		return
 	}
 	received.Token = uint64(effect.Grant.Token)
-	j.kept = &received
-	j.keptAt = time.Now()
+	j.latestDigest = &received
+	j.digestReceivedAt = time.Now()
 }
 
 // MessageReceived takes in a request or statistics; it is false for a message of another job.
@@ -173,9 +173,9 @@
 		return false
 	}
 	switch {
-	case received.Gather:
+	case received.RequestStatistics:
 		j.collect(from)
-	case received.Want:
+	case received.RequestDigest:
 		j.giveDigest(jobContext, from)
 	case received.Snapshot != nil && received.Snapshot.Whole:
 		j.takeOver(received.Snapshot)
--- a/internal/fleet/sharedstatistics/messages.go
+++ b/internal/fleet/sharedstatistics/messages.go
@@ -10,11 +10,11 @@
 // message is one between the jobs of two controllers; besides Digest one of its fields is set. It
 // is encoded by the order of its fields.
 type message struct {
-	_        struct{} `cbor:",toarray"`
-	Digest   bool     // always true: messages of other jobs have something else in this place
-	Gather   bool     // asks for the statistics of the receiver
-	Want     bool     // asks for the digest: the sender has no statistics
-	Snapshot *snapshot
+	_                 struct{} `cbor:",toarray"`
+	Digest            bool     // always true: other jobs' messages have another value here
+	RequestStatistics bool     // asks for the statistics of the receiver
+	RequestDigest     bool     // asks for the digest: the sender has no statistics
+	Snapshot          *snapshot
 }
 
 // snapshot has the statistics of one controller, or of the fleet. As the effect of the lease it is
