--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -60,8 +60,7 @@
 	return s.unreachable() > 0 && s.status.CollectedFor < float64(collectionTime/time.Millisecond)
 }
 
-// inForceAtReachable reports whether the version or a later one is in force at all reachable
-// controllers.
+// inForceAtReachable reports whether all reachable controllers have a version, or a later one.
 func (s configStatus) inForceAtReachable(number uint64) bool {
 	if s.status == nil || s.status.Latest.Number < number || s.collectedTooShort() {
 		return false
@@ -85,22 +84,19 @@
 	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unreachable()
 }
 
-// resultError is nil if the version is in force at all reachable controllers, else an error with
-// exitPartial.
+// resultError has exitPartial; nil if the version is in force at all reachable controllers.
 func (s configStatus) resultError(number uint64, wait time.Duration) error {
 	if s.inForceAtReachable(number) {
 		return nil
 	}
 	if s.status == nil {
 		err := fmt.Errorf("version %d is agreed; where it is in force is not known: "+
-			"no leader told it within %v",
-			number, wait)
+			"no leader told it within %v", number, wait)
 		return &exitError{exitPartial, errors.Join(err, s.err)}
 	}
 	if s.collectedTooShort() && s.inForce(number) == s.status.Members-s.unreachable() {
 		err := fmt.Errorf("version %d: %d controllers are not heard, "+
-			"and the leader has collected for %v only",
-			number, s.unreachable(), collectedFor(s.status))
+			"and the leader has collected for %v only", number, s.unreachable(), collectedFor(s.status))
 		return &exitError{exitPartial, err}
 	}
 	err := fmt.Errorf("version %d is agreed and not in force at all controllers that are heard",
@@ -150,8 +146,9 @@
 }
 
 // listControllers lists the first maxNamedControllers controllers.
-func listControllers(reports []config.ControllerReport,
-	text func(config.ControllerReport) string) string {
+func listControllers(
+	reports []config.ControllerReport, text func(config.ControllerReport) string,
+) string {
 	var texts []string
 	for i, r := range reports {
 		if i == maxNamedControllers {
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -124,7 +124,7 @@
 	return out.Bytes()
 }
 
-// TestOutputOfAllFieldsIsStable has the outputs whose fields no single answer sets.
+// TestOutputOfAllFieldsIsStable has the outputs with fields that no single answer sets.
 func TestOutputOfAllFieldsIsStable(t *testing.T) {
 	version := &versionView{Number: 7, Hash: "a1", Size: 8, Author: "ann", Reason: "more room", Time: "2026-12-02T05:06:07Z",
 		RollbackOf: 5}
@@ -183,7 +183,7 @@
 	golden.File(t, filepath.Join("output", "version.txt"), printed(t, value))
 }
 
-// TestStoredStartIsReadAsBefore pins the names in what the platform tells a controller at its start. A renamed one is read
+// TestStoredStartIsReadAsBefore pins the names in the configuration that the platform gives a controller. A renamed one is read
 // as its zero value.
 func TestStoredStartIsReadAsBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/start.json")
--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"maps"
 	"net"
-	"path/filepath"
+
 	"regexp"
 	"slices"
 	"time"
@@ -21,7 +21,7 @@
 // Block is the block fleet of the operator's file.
 type Block struct {
 	Name       string                // of the fleet
-	Generation uint64                // tells a rebuilt fleet from the one before
+	Generation uint64                // keeps a rebuilt fleet apart from the one before
 	Listen     string                // address and port for other controllers
 	Advertise  string                // address and port at which others reach it
 	KeyFile    string                // absolute path
@@ -31,9 +31,8 @@
 	Lease      time.Duration         // of a lease that is not renewed
 	Willing    bool                  // it takes on leases
 
-	// Dial opens connections to other controllers; nil: the system does. No file sets it. Controllers
-	// that share a machine in a measurement have addresses of their own by it, and their bytes
-	// counted.
+	// Dial opens connections to other controllers; nil: the system does. No file sets it: measurements
+	// do, so that controllers on one machine have addresses of their own and their bytes are counted.
 	Dial links.Dial
 }
 
@@ -43,7 +42,6 @@
 	maxLeases       = 64
 	maxNameBytes    = 64
 	maxAddressBytes = 256
-	maxPathBytes    = 4096
 )
 
 // nameForm is the form of names of fleets, controllers and leases.
@@ -57,8 +55,8 @@
 		Name:       open.String("name", "", true, maxNameBytes),
 		Generation: uint64(open.Int("generation", 1, 1, 1_000_000_000)),
 		Listen:     open.String("listen", "", true, maxAddressBytes),
-		KeyFile:    open.String("key_file", "", true, maxPathBytes),
-		Folder:     open.String("folder", "", true, maxPathBytes),
+		KeyFile:    open.AbsolutePath("key_file", true),
+		Folder:     open.AbsolutePath("folder", true),
 		Lease:      open.Duration("lease", 10*time.Second, time.Second, 10*time.Minute),
 		Willing:    open.Bool("willing", true),
 	}
@@ -68,8 +66,7 @@
 	}
 	checkAddress(open, "listen", read.Listen)
 	checkAddress(open, "advertise", read.Advertise)
-	checkPath(open, "key_file", read.KeyFile)
-	checkPath(open, "folder", read.Folder)
+
 	read.Voters = readVoters(open)
 	read.Leases = ReadLeases(open)
 	return read
@@ -85,13 +82,6 @@
 	}
 }
 
-// checkPath notes a path that is not absolute.
-func checkPath(open *block.Block, field, path string) {
-	if path != "" && !filepath.IsAbs(path) {
-		open.AddProblem(field, "is no absolute path")
-	}
-}
-
 // readVoters reads the field council: the voters of the quorum and their addresses.
 func readVoters(open *block.Block) map[members.ID]string {
 	council := open.StringMap("council", maxAddressBytes)
@@ -164,8 +154,8 @@
 	return ""
 }
 
-// Same tells whether two blocks mean the same fleet in the same way, but for what may change while
-// running: the keys and whether this controller takes on leases.
+// Same reports whether two blocks differ at most in what may change while running: the keys, and
+// whether this controller takes on leases.
 func (b *Block) Same(other *Block) bool {
 	if b == nil || other == nil {
 		return b == other
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -57,7 +57,7 @@
 	return nonce, err
 }
 
-// Open reads the challenge and answers it with a hello, whose nonce it draws.
+// Open reads the challenge and answers it with the hello and a new nonce.
 func Open(rw io.ReadWriter, key Key, hello Hello) (*Writer, error) {
 	challenge := make([]byte, len(magic)+nonceSize)
 	if _, err := io.ReadFull(rw, challenge); err != nil {
@@ -128,8 +128,7 @@
 	return derive(key, framesLabel, nonce, hello)
 }
 
-// derive is the HMAC of a label, the listener's nonce and the hello, each with its length before
-// it.
+// derive is the HMAC of a label, the listener's nonce and the hello, each after its length.
 func derive(key Key, label string, nonce, hello []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(label), nonce, hello} {
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -6,8 +6,7 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Job does the work of a lease. Every job is called for every lease, and ignores those of other
-// jobs.
+// Job does the work of a lease. Every job is called for every lease, and ignores all but its own.
 type Job interface {
 	// Began reports a lease that this controller holds from now on.
 	Began(c Context, grant lease.Grant)
@@ -22,8 +21,7 @@
 	// MessageReceived takes in a message of another controller's job. It is false for a message of
 	// another kind of job, which is then offered to the next one.
 	MessageReceived(c Context, from members.ID, data []byte) bool
-	// StateReceived reports the state that the holders of a lease hand on, after ProposeState or
-	// RequestState.
+	// StateReceived reports the agreed state of a lease, after ProposeState or RequestState.
 	StateReceived(c Context, state node.Checkpoint)
 	// Close ends the job's goroutines and waits for them. The session has ended before.
 	Close()
@@ -40,7 +38,7 @@
 	SendMessage(to members.ID, data []byte)
 	// CanAct reports whether this controller holds a lease now, and its fencing token.
 	CanAct(name lease.Name) (lease.Token, bool)
-	// Release gives a lease up to another controller; failed tells that this one can't do its job.
+	// Release gives a lease up to another controller; failed: this one can't do its job.
 	Release(name lease.Name, failed bool)
 	// ProposeState has the state of a lease agreed on. It is false where the lease is not held.
 	ProposeState(name lease.Name, serial uint64, data []byte) bool
--- a/internal/fleet/links/doc.go
+++ b/internal/fleet/links/doc.go
@@ -1,6 +1,5 @@
-// Package links carries messages between the controllers of a fleet: a connection for each
-// controller that something is sent to, one way, opened when it is needed and closed when it is
-// not.
+// Package links carries messages between the controllers of a fleet: one way, over a connection to
+// each controller that something is sent to, which is open only while it is needed.
 //
 // It promises nothing: a message that does not go within its time is dropped, which the protocols
 // above take as loss. Messages to one controller that arrive do so in the order of Send.
@@ -8,7 +7,7 @@
 // # Goroutines
 //
 // Send never waits and is for one goroutine. A peer has a goroutine that connects and writes
-// (carry), and one that waits for the end of its connection. Each incoming connection has a
+// (writeQueued), and one that waits for the end of its connection. Each incoming connection has a
 // goroutine that reads and calls the function given to New, which must not wait long: it holds up
 // this one connection. The table of peers and of incoming connections is guarded by Links.mu. Every
 // goroutine ends with its connection, and every connection with a deadline or with Close, which
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -20,8 +20,7 @@
 	QueueMessages int // that wait for one peer
 	QueueBytes    int // that wait for one peer
 
-	// without a message, after which an incoming connection may be evicted
-	EvictAfter       time.Duration
+	EvictAfter       time.Duration // without a message, after which an incoming one may be evicted
 	DialTimeout      time.Duration // to be connected and authenticated
 	WriteTimeout     time.Duration // to write a message
 	IdleTimeout      time.Duration // without a message, after which a connection is closed
@@ -99,8 +98,9 @@
 
 // New returns links of a controller that says hello as self. They call receive with each message
 // that comes in; it must not wait long, as it holds up one connection.
-func New(self frames.Hello, keys frames.Keys, b Bounds, receive func(Received),
-	log *slog.Logger) *Links {
+func New(
+	self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger,
+) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Links{
 		self:     self,
@@ -117,8 +117,7 @@
 	return l
 }
 
-// SetDial has connections opened in another way than the system's. It is called before the first
-// Send.
+// SetDial has connections opened in another way than the system's. Call it before the first Send.
 func (l *Links) SetDial(dial Dial) { l.dial = dial }
 
 // SetKeys sets the keys of connections that are opened from now on.
@@ -131,7 +130,7 @@
 	l.group.Wait()
 }
 
-// closeIncoming closes the incoming connections, whose goroutines then end.
+// closeIncoming closes the incoming connections, which ends their goroutines.
 func (l *Links) closeIncoming() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -19,30 +19,26 @@
 	"mintkeel/router"
 )
 
-// Lease is the name of the lease whose holder carries out maintenance.
+// Lease is the name of the lease for carrying out maintenance.
 const Lease lease.Name = "maintenance"
 
 // Intervals and timeouts of the session's goroutine, in ms of the steady clock.
 const (
-	stepInterval = 500.0 // between two steps of the holder
-	// between two announcements of the engines to hold, to each controller
-	announceInterval     = 1000.0
-	confirmationLifetime = 5000.0 // a controller repeats its confirmation with each announcement
-	// after which the agreed state is read again in place of awaiting a proposal
-	proposalTimeout = 2000.0
-	// after which a missing engine that nobody took out has left for good
-	lostEngineTime = 3600e3
+	stepInterval         = 500.0  // between two steps of the holder
+	announceInterval     = 1000.0 // between two announcements of the engines to hold
+	confirmationLifetime = 5000.0 // for which a confirmation counts, unless it is repeated
+	proposalTimeout      = 2000.0 // for a proposal to be agreed on; then the state is read again
+	lostEngineTime       = 3600e3 // after which an engine that nobody took out has left for good
 )
 
 // Timeouts of the job's own goroutines.
 const (
-	engineTimeout = 2 * time.Second  // for the loop to tell what it knows of the engines
+	engineTimeout = 2 * time.Second  // for the loop to answer what it knows of the engines
 	hookBackoff   = 10 * time.Second // until a program that failed is run again
 	hookWaitDelay = time.Second      // for a program's output after its end
 )
 
-// Bounds of what is kept. What would go beyond is rejected (requests, plans) or left out (the
-// rest).
+// Bounds of what is kept. What goes beyond is rejected (requests, plans) or left out (the others).
 const (
 	maxPendingRequests = 64
 	maxPlans           = 32
@@ -51,15 +47,13 @@
 	maxReasons         = 100
 )
 
-// Host is what maintenance needs of its controller. Its functions are called from goroutines of the
-// job.
+// Host is what maintenance needs of its controller. Goroutines of the job call its functions.
 type Host struct {
 	Engines func(ctx context.Context) ([]router.EngineStatus, error)
 	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
 	Kinds   []string                // names of machine kinds, by number
-	// for each query class that is bound to some machine kinds, these kinds
-	Bounds [][]router.KindID
-	Log    *slog.Logger
+	Bounds  [][]router.KindID       // kinds of each query class that is bound to some kinds
+	Log     *slog.Logger
 }
 
 // Job is the job of the maintenance lease.
@@ -71,7 +65,7 @@
 	// State of the lease holder, owned by the session's goroutine.
 	holdsLease     bool
 	grant          lease.Grant
-	known          bool // the agreed state has been read
+	stateRead      bool // the agreed state has been read
 	agreed         agreedState
 	serial         uint64 // of the agreed state
 	proposing      bool
@@ -96,9 +90,9 @@
 	mu          sync.Mutex            // guards the fields up to hooks
 	engines     []router.EngineStatus // nil: not known since the last change of what is held
 	asking      bool
-	holdChanges int               // how often what is to be held has changed
-	toHold      []router.EngineID // and what it is now
-	appliedHold int               // up to which change the loop knows it
+	holdChanges int               // how often toHold has changed
+	toHold      []router.EngineID // engines that the loop is to hold
+	appliedHold int               // value of holdChanges when the loop was last given toHold
 	hooks       map[string]hookRun
 	ctx         context.Context
 	end         context.CancelFunc
@@ -129,15 +123,14 @@
 // on as it began.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// Began takes in that this controller holds the lease. It reads the agreed state before it does
-// anything.
+// Began takes in that this controller holds the lease. It reads the agreed state before all else.
 func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
 	}
 	j.holdsLease = true
 	j.grant = grant
-	j.known = false
+	j.stateRead = false
 	j.proposing = false
 	j.stepAt = jobContext.Now()
 	j.confirmations = map[members.ID]confirmation{}
@@ -148,7 +141,7 @@
 func (j *Job) Ended(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
-		j.known = false
+		j.stateRead = false
 	}
 }
 
@@ -169,7 +162,7 @@
 	}
 	j.stepAt = now + stepInterval
 	j.refreshEngines()
-	if !j.known || j.proposing {
+	if !j.stateRead || j.proposing {
 		j.retryState(jobContext, now)
 		return
 	}
@@ -187,14 +180,14 @@
 }
 
 // retryState reads the agreed state again once a proposal, or the state, has not come back in time.
-// One of the messages was lost, and the state tells which.
+// A message was lost: by the state the holder sees whether the proposal was agreed on.
 func (j *Job) retryState(jobContext job.Context, now float64) {
 	if now <= j.proposedAt+proposalTimeout {
 		return
 	}
 	j.proposedAt = now
 	j.proposing = false
-	j.known = false
+	j.stateRead = false
 	jobContext.RequestState(Lease)
 }
 
@@ -203,7 +196,7 @@
 	if s.Grant != j.grant || !j.holdsLease {
 		return
 	}
-	if j.known && s.Serial <= j.serial {
+	if j.stateRead && s.Serial <= j.serial {
 		j.proposing = j.proposing && s.Serial < j.serial
 		return
 	}
@@ -220,7 +213,7 @@
 	}
 	j.agreed = agreed
 	j.serial = s.Serial
-	j.known = true
+	j.stateRead = true
 	j.proposing = false
 }
 
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -18,7 +18,7 @@
 	"mintkeel/router"
 )
 
-// Lease is the name of the lease whose holder gathers and publishes statistics.
+// Lease is the name of the lease for gathering and publishing statistics.
 const Lease lease.Name = "digest"
 
 // Intervals of the session's goroutine, in ms of the steady clock.
@@ -28,8 +28,7 @@
 	newcomerInterval = 500.0    // between two requests of a newcomer for the digest
 	newcomerWindow   = 15000.0  // after its start, in which a newcomer asks
 	digestLifetime   = 120000.0 // for which a voter gives a digest to newcomers
-	// between two digests that one voter gives: newcomers spread over the voters
-	giveInterval = 100.0
+	giveInterval     = 100.0    // between two digests that one voter gives to newcomers
 )
 
 // collectTimeout bounds how long the controller's own statistics are taken out.
@@ -37,7 +36,7 @@
 
 // Bounds.
 const (
-	gatherPeers      = 4    // controllers asked in a round: some sixty are heard within two minutes
+	gatherPeers      = 4    // controllers asked in a round
 	newcomerPeers    = 2    // voters that a newcomer asks at a time
 	partRecords      = 1000 // taken out of the loop at once
 	maxRecords       = 6000 // sent by one controller
@@ -46,11 +45,9 @@
 
 // Host is what the job needs of its controller.
 type Host struct {
-	Source memory.StatisticsSource // nil: this controller has no statistics to send
-	// only controllers with the same have the same classes and machine kinds
-	Settings uint64
-	// takes over the fleet's statistics; nil: this controller has its own
-	Remember func(router.Statistics)
+	Source   memory.StatisticsSource // nil: this controller has no statistics to send
+	Settings uint64                  // hash of the settings: classes and machine kinds go by them
+	Restore  func(router.Statistics) // takes over the fleet's; nil: this controller has its own
 	Log      *slog.Logger
 }
 
@@ -68,14 +65,14 @@
 	effectID   uint64  // of the last digest sent
 
 	// State of a voter, owned by the session's goroutine.
-	kept   *snapshot // the latest digest; nil: none was received
-	keptAt time.Time // when it was received
-	giveAt float64   // ms, from when the digest is given again
+	latestDigest     *snapshot // nil: none was received
+	digestReceivedAt time.Time // when it was received
+	nextGiveAt       float64   // ms, from when the digest is given again
 
 	// State of a newcomer, owned by the session's goroutine.
-	wanting   bool    // it has no statistics yet, and asks
-	startedAt float64 // ms, of the first Tick
-	wantAt    float64 // ms, when the next request is due
+	needsDigest bool    // it has no statistics yet, and asks
+	startedAt   float64 // ms, of the first Tick
+	requestAt   float64 // ms, when the next request is due
 
 	mu         sync.Mutex // guards the fields up to requester
 	collecting bool
@@ -91,12 +88,12 @@
 func NewJob(host Host) *Job {
 	ctx, end := context.WithCancel(context.Background())
 	return &Job{
-		host:    host,
-		rng:     rand.New(rand.NewSource(rand.Int63())),
-		clock:   func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
-		wanting: host.Remember != nil,
-		ctx:     ctx,
-		end:     end,
+		host:        host,
+		rng:         rand.New(rand.NewSource(rand.Int63())),
+		clock:       func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
+		needsDigest: host.Restore != nil,
+		ctx:         ctx,
+		end:         end,
 	}
 }
 
@@ -130,8 +127,8 @@
 	j.group.Wait()
 }
 
-// Tick sends what is due: statistics that were taken out, a round of the lease holder, a newcomer's
-// request.
+// Tick sends what is due: statistics that were taken out, the requests and the digest of a lease
+// holder, a newcomer's request.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	if j.startedAt == 0 {
 		j.startedAt = now
@@ -145,10 +142,10 @@
 		j.publishAt = now + publishInterval
 		j.publish(jobContext)
 	}
-	if j.wanting && now >= j.wantAt {
-		j.wantAt = now + newcomerInterval
-		j.wanting = now < j.startedAt+newcomerWindow
-		if j.wanting {
+	if j.needsDigest && now >= j.requestAt {
+		j.requestAt = now + newcomerInterval
+		j.needsDigest = now < j.startedAt+newcomerWindow
+		if j.needsDigest {
 			j.requestDigest(jobContext)
 		}
 	}
@@ -165,8 +162,8 @@
 		return
 	}
 	received.Token = uint64(effect.Grant.Token)
-	j.kept = &received
-	j.keptAt = time.Now()
+	j.latestDigest = &received
+	j.digestReceivedAt = time.Now()
 }
 
 // MessageReceived takes in a request or statistics; it is false for a message of another job.
@@ -176,9 +173,9 @@
 		return false
 	}
 	switch {
-	case received.Gather:
+	case received.RequestStatistics:
 		j.collect(from)
-	case received.Want:
+	case received.RequestDigest:
 		j.giveDigest(jobContext, from)
 	case received.Snapshot != nil && received.Snapshot.Whole:
 		j.takeOver(received.Snapshot)
@@ -201,7 +198,7 @@
 	return peers[:min(count, len(peers))]
 }
 
-// isVoter returns whether a member is one of the quorum's.
+// isVoter returns a function that reports whether a member is a voter.
 func isVoter(jobContext job.Context) func(members.Member) bool {
 	voters := jobContext.Voters()
 	return func(m members.Member) bool { return slices.Contains(voters, m.ID) }
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -28,8 +28,9 @@
 
 // readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
 // Problems within an expression are noted at its field, with their place in the expression.
-func readRules(blocks hcl.Blocks, facts *settings.Facts,
-	diagnostics *block.Diagnostics) *rules.Set {
+func readRules(
+	blocks hcl.Blocks, facts *settings.Facts, diagnostics *block.Diagnostics,
+) *rules.Set {
 	if len(blocks) == 0 {
 		return nil
 	}
@@ -50,8 +51,7 @@
 	return set
 }
 
-// readRule reads the fields of one rule. Their meaning, with what an absent one does, stands at
-// rules.Rule.
+// readRule reads the fields of one rule. rules.Rule says what each means, and what an absent one.
 func readRule(name string, open *block.Block) rules.Rule {
 	return rules.Rule{
 		Name:        name,
