--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -103,8 +103,8 @@
 	if ses.server.rulesPossible {
 		input := ruleInput(f, class, table, ses.application, ses.conn.LocalAddr().String())
 		query.RuleInput = &input
-		if refusal := ses.server.applyRules(query, input); refusal != "" {
-			return nil, &queryError{pgwire.CodeRule, refusal}
+		if rejection := ses.server.applyRules(query, input); rejection != "" {
+			return nil, &queryError{pgwire.CodeRule, rejection}
 		}
 	}
 	query.Statement = append([]byte(nil), f.Statement...)
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -61,8 +61,8 @@
 }
 
 // applyRules has the operator's rules change a query that is not handed over yet. If they refuse
-// it, refusal is their text; empty: they don't.
-func (s *Server) applyRules(query *request.Query, input rules.Query) (refusal string) {
+// it, rejection is their text; empty: they don't.
+func (s *Server) applyRules(query *request.Query, input rules.Query) (rejection string) {
 	r := s.ruleSet.Load()
 	if r == nil {
 		return ""
--- a/internal/lab/checker/events.go
+++ b/internal/lab/checker/events.go
@@ -72,7 +72,7 @@
 		}
 		q.done = true
 	}
-	if ev.Outcome.MayRunOn() {
+	if ev.Outcome.MayStillRun() {
 		q.cooldownUntil = max(q.cooldownUntil, now+limits.OrderingCooldown)
 	}
 	for _, key := range q.keys {
--- a/internal/lab/reference/state.go
+++ b/internal/lab/reference/state.go
@@ -500,7 +500,7 @@
 	if !ev.Outcome.NeverRan() && c.doubt == nil {
 		c.doubtAt, c.doubt = s.at, s.engine
 	}
-	if ev.Outcome.MayRunOn() {
+	if ev.Outcome.MayStillRun() {
 		c.rest = r.now + r.guards.OrderingCooldown + r.guards.EventInterval
 	}
 	for _, l := range c.lines {
--- a/internal/memory/block.go
+++ b/internal/memory/block.go
@@ -1,7 +1,6 @@
 package memory
 
 import (
-	"path/filepath"
 	"time"
 
 	"github.com/hashicorp/hcl/v2"
@@ -11,8 +10,6 @@
 
 // Default and bounds of the fields of the block "memory".
 const (
-	maxFolderBytes = 4096
-
 	defaultInterval = 5 * time.Second
 	minInterval     = 100 * time.Millisecond
 	maxInterval     = time.Hour
@@ -32,12 +29,8 @@
 // ReadBlock reads the block "memory".
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) *Block {
 	open := block.Open(b, diagnostics, "folder", "pace")
-	read := &Block{
-		Folder:   open.String("folder", "", true, maxFolderBytes),
+	return &Block{
+		Folder:   open.AbsolutePath("folder", true),
 		Interval: open.Duration("pace", defaultInterval, minInterval, maxInterval),
 	}
-	if read.Folder != "" && !filepath.IsAbs(read.Folder) {
-		open.AddProblem("folder", "is no absolute path")
-	}
-	return read
 }
--- a/router/events.go
+++ b/router/events.go
@@ -130,8 +130,8 @@
 	return o == EngineFull || o == ConnectFailed || o == NotSent || o == Withdrawn
 }
 
-// MayRunOn reports whether an attempt with this outcome may still be running.
-func (o Outcome) MayRunOn() bool {
+// MayStillRun reports whether an attempt with this outcome may still be running.
+func (o Outcome) MayStillRun() bool {
 	return o == TimedOut || o == ConnectionReset || o == Cancelled
 }
 
--- a/router/query.go
+++ b/router/query.go
@@ -227,7 +227,7 @@
 	if !ev.Outcome.NeverRan() {
 		q.markUnresolved(a)
 	}
-	if ev.Outcome.MayRunOn() {
+	if ev.Outcome.MayStillRun() {
 		q.cooldownUntil = r.cooldownEnd()
 	}
 	for _, queue := range q.queues {
