--- a/cmd/mintkeel-lab/behind.go
+++ b/cmd/mintkeel-lab/behind.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"context"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
@@ -9,42 +11,82 @@
 	"mintkeel/internal/lab/steps"
 )
 
+// overloadMeasurement plays a controller that gets more queries than it has processor time to
+// decide, in virtual time.
+type overloadMeasurement struct {
+	seeds         int
+	loads         []float64 // queries that arrive, over those that can be decided
+	decisionTimes []float64 // ms of processor time that an attempt takes
+}
+
+// overloadResult is what became of the queries of all seeds at one load.
+type overloadResult struct {
+	inTime []float64 // by seed: answered in time, over those that could have been answered
+	late   []float64 // by seed: answered late, over the same
+	missed int       // no final answer before the client timeout
+}
+
 func behindCommand() *cobra.Command {
-	seeds, times, decide := 5, []float64{0.9, 1, 1.2, 2, 5, 20}, []float64{0.05, 0.2}
+	m := &overloadMeasurement{
+		seeds:         5,
+		loads:         []float64{0.9, 1, 1.2, 2, 5, 20},
+		decisionTimes: []float64{0.05, 0.2},
+	}
 	c := &cobra.Command{
 		Use:   "behind",
-		Short: "Measure, in virtual time, what becomes of commands when more come than can be decided",
-		Long: `Measure, in virtual time, what becomes of commands when more come than can be decided. A send takes the processor so many ms,
-a command that is turned away a tenth of that, one that finds the queue full a fiftieth. Beside it the module that is not told
-how long commands waited.`,
+		Short: "Measure, in virtual time, what becomes of queries when more come than can be decided",
+		Long: `Measure, in virtual time, what becomes of queries when more come than can be
+decided. An attempt takes the processor so many ms, a query that is rejected a
+tenth of that, one that finds the queue full a fiftieth. Beside it the module
+that is not told how long queries waited.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			out := c.OutOrStdout()
-			fmt.Fprintln(out, "| a send takes | comes, over what can be decided | in time, of what could be | late | missed | not told: in time | late | missed |")
-			fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
-			for _, d := range decide {
-				for _, x := range times {
-					var in, late [2][]float64
-					var missed [2]int
-					for seed := range int64(seeds) {
-						p := steps.Pressed{Seed: seed, Times: x, Decide: d, Away: d / 10, Refused: d / 50, Length: d * 20000}
-						for i := range 2 {
-							p.Blind = i == 1
-							o := p.Play(newModule)
-							could := min(float64(o.Commands), p.Length/d)
-							in[i], late[i] = append(in[i], float64(o.InTime)/could), append(late[i], float64(o.Late)/could)
-							missed[i] += o.Missed
-						}
-					}
-					fmt.Fprintf(out, "| %g ms | %g | %.2f | %.2f | %d | %.2f | %.2f | %d |\n", d, x, restart.Median(in[0]), restart.Median(late[0]),
-						missed[0], restart.Median(in[1]), restart.Median(late[1]), missed[1])
-				}
-			}
-			return c.Context().Err()
+			return m.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", seeds, "how many; medians are told")
-	c.Flags().Float64SliceVar(&times, "times", times, "what comes, over what can be decided")
-	c.Flags().Float64SliceVar(&decide, "decide", decide, "ms of processor time that a send takes")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many; medians are printed")
+	c.Flags().Float64SliceVar(&m.loads, "times", m.loads, "what comes, over what can be decided")
+	c.Flags().Float64SliceVar(&m.decisionTimes, "decide", m.decisionTimes,
+		"ms of processor time that an attempt takes")
 	return c
 }
+
+func (m *overloadMeasurement) run(ctx context.Context, out io.Writer) error {
+	fmt.Fprintln(out, "| a send takes | comes, over what can be decided | in time, of what could be "+
+		"| late | missed | not told: in time | late | missed |")
+	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, decisionTime := range m.decisionTimes {
+		for _, load := range m.loads {
+			informed := m.play(decisionTime, load, false)
+			blind := m.play(decisionTime, load, true)
+			fmt.Fprintf(out, "| %g ms | %g | %.2f | %.2f | %d | %.2f | %.2f | %d |\n", decisionTime, load,
+				restart.Median(informed.inTime), restart.Median(informed.late), informed.missed,
+				restart.Median(blind.inTime), restart.Median(blind.late), blind.missed)
+		}
+	}
+	return ctx.Err()
+}
+
+// play plays all seeds at one load. A blind module is not given the time that queries waited
+// before it saw them.
+func (m *overloadMeasurement) play(decisionTime, load float64, blind bool) overloadResult {
+	const decisionsOfRun = 20000 // attempts that there is time to decide in one run
+	var result overloadResult
+	for seed := range int64(m.seeds) {
+		run := steps.Pressed{
+			Seed:    seed,
+			Times:   load,
+			Decide:  decisionTime,
+			Away:    decisionTime / 10,
+			Refused: decisionTime / 50,
+			Length:  decisionTime * decisionsOfRun,
+			Blind:   blind,
+		}
+		outcome := run.Play(newModule)
+		answerable := min(float64(outcome.Commands), run.Length/decisionTime)
+		result.inTime = append(result.inTime, float64(outcome.InTime)/answerable)
+		result.late = append(result.late, float64(outcome.Late)/answerable)
+		result.missed += outcome.Missed
+	}
+	return result
+}
--- a/cmd/mintkeel-lab/daemon.go
+++ b/cmd/mintkeel-lab/daemon.go
@@ -4,93 +4,87 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
-	"path/filepath"
-	"runtime"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"mintkeel/internal/lab/relay"
 	"mintkeel/internal/lab/restart"
-	"mintkeel/internal/limits"
 )
 
-func relayCommand() *cobra.Command {
-	var listen, engine string
-	c := &cobra.Command{
-		Use:    "relay",
-		Short:  "Pass commands to one engine without deciding: what a controller is measured against",
-		Args:   cobra.NoArgs,
-		Hidden: true,
-		RunE: func(c *cobra.Command, _ []string) error {
-			runtime.GOMAXPROCS(1)
-			listener, err := net.Listen("tcp", listen)
-			if err != nil {
-				return err
-			}
-			return relay.Serve(c.Context(), listener, engine, []string{"lookup", "report"}, limits.For(16000, 2048, 0, 0, 0))
-		},
-	}
-	c.Flags().StringVar(&listen, "listen", "", "where clients come")
-	c.Flags().StringVar(&engine, "engine", "", "where all commands go")
-	return c
+const (
+	daemonDescriptors = 16000 // that the daemon and the relay may have
+
+	// mostFullEngines is how many engines queries of some tenths of a second can keep full.
+	mostFullEngines = 20
+)
+
+// daemonMeasurement measures the processor time of a query on the daemon beside a relay.
+type daemonMeasurement struct {
+	scene   restart.Scene
+	engines []int
+	turns   int
+	seed    int64  // of the first turn
+	old     string // path of another build; empty: none
 }
 
-// mostFull is how many engines can be kept full by commands that may take tenths of a second each.
-const mostFull = 20
+// daemonRatios are what the turns of one row gave, one value a turn.
+type daemonRatios struct {
+	// of processor time
+	overRelay, oldOverRelay, oldOverNew []float64
+	// shares of the benefit
+	inTime, oldInTime []float64
+}
 
 func daemonCommand() *cobra.Command {
-	m := &daemonMeasurement{scene: restart.Usual(), turns: 3, seed: 1, engines: []int{10, 100, 1000}}
+	m := &daemonMeasurement{
+		scene:   restart.Usual(),
+		engines: []int{10, 100, 1000},
+		turns:   3,
+		seed:    1,
+	}
 	scene := &m.scene
-	scene.Learn, scene.Measure, scene.Slow, scene.Rate, scene.Sockets, scene.Hot = 3*time.Second, 6*time.Second, 1, 1000, 16000, 0.05
+	scene.Learn = 3 * time.Second
+	scene.Measure = 6 * time.Second
+	scene.Slow = 1
+	scene.Rate = 1000
+	scene.Sockets = daemonDescriptors
+	scene.Hot = 0.05
 	c := &cobra.Command{
-		Use:   "daemon",
-		Short: "Measure the processor time of a command on the whole daemon, by engines, beside a relay and another build",
-		Long: `Measure the processor time of a command on the whole daemon against stand-in engines on loopback, as ratios to a relay
-that decides nothing and, with --old, to another build of the daemon, in one turn each. Calm is a tenth of what the engines
-can do, or the rate; full is the rate with engines that can do only a part of it, so that commands are held.`,
+		Use: "daemon",
+		Short: "Measure the processor time of a query on the whole daemon, by engines, " +
+			"beside a relay and another build",
+		Long: `Measure the processor time of a query on the whole daemon against stand-in
+engines on loopback, as ratios to a relay that decides nothing and, with --old,
+to another build of the daemon, in one turn each. Calm is a tenth of what the
+engines can do, or the rate; full is the rate with engines that can do only a
+part of it, so that queries are held.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return m.run(c.Context(), c.OutOrStdout()) },
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
 	c.Flags().StringVar(&m.old, "old", "", "another build of it to compare with")
-	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each is measured; medians are told")
+	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each is measured; medians are printed")
 	c.Flags().Int64Var(&m.seed, "seed", m.seed, "of the first turn")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "commands a second")
-	c.Flags().IntVar(&scene.Clients, "clients", scene.Clients, "connections of clients that are open at least")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
+	c.Flags().IntVar(&scene.Clients, "clients", scene.Clients,
+		"connections of clients that are open at least")
 	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "how many")
 	return c
 }
 
-// daemonMeasurement measures the daemon beside a relay.
-type daemonMeasurement struct {
-	scene   restart.Scene
-	engines []int
-	turns   int
-	seed    int64
-	old     string // path of another build; empty: none
-}
-
-// daemonRatios are what the turns of one row gave.
-type daemonRatios struct {
-	overRelay, oldOverRelay, oldOverNew []float64 // of processor time
-	inTime, oldInTime                   []float64 // shares
-}
-
 func (m *daemonMeasurement) run(ctx context.Context, out io.Writer) error {
-	var err error
-	if m.scene.Mintkeel, err = filepath.Abs(m.scene.Mintkeel); err != nil {
+	if err := makeDaemonPathAbsolute(&m.scene); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "| engines | state | over the relay | old over the relay | old over new | answered in time, new | old |")
+	fmt.Fprintln(out, "| engines | state | over the relay | old over the relay | old over new "+
+		"| answered in time, new | old |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, engines := range m.engines {
 		for _, full := range []bool{false, true} {
-			if full && engines > mostFull {
+			if full && engines > mostFullEngines {
 				continue
 			}
-			if err := m.row(ctx, out, engines, full); err != nil {
+			if err := m.printRow(ctx, out, engines, full); err != nil {
 				return err
 			}
 		}
@@ -98,13 +92,16 @@
 	return nil
 }
 
-// row measures the daemon before so many engines, and prints what it costs.
-func (m *daemonMeasurement) row(ctx context.Context, out io.Writer, engines int, full bool) error {
+// printRow measures the daemon in front of some engines and prints its row.
+func (m *daemonMeasurement) printRow(ctx context.Context, out io.Writer, engines int,
+	full bool) error {
 	var ratios daemonRatios
 	for turn := range m.turns {
 		scene := m.scene
-		scene.Engines, scene.Seed, scene.Work = engines, m.seed+int64(turn), workOf(scene, engines, full)
-		if err := m.turn(ctx, scene, &ratios); err != nil {
+		scene.Engines = engines
+		scene.Seed = m.seed + int64(turn)
+		scene.Work = workOfQuery(scene.Rate, engines, full)
+		if err := m.measureTurn(ctx, scene, &ratios); err != nil {
 			return err
 		}
 	}
@@ -112,46 +109,57 @@
 	if full {
 		state = "full"
 	}
-	fmt.Fprintf(out, "| %d | %s | %.2f | %.2f | %.2f | %.3f | %.3f |\n", engines, state, restart.Median(ratios.overRelay),
-		restart.Median(ratios.oldOverRelay), restart.Median(ratios.oldOverNew), restart.Median(ratios.inTime), restart.Median(ratios.oldInTime))
+	fmt.Fprintf(out, "| %d | %s | %.2f | %.2f | %.2f | %.3f | %.3f |\n", engines, state,
+		restart.Median(ratios.overRelay), restart.Median(ratios.oldOverRelay),
+		restart.Median(ratios.oldOverNew), restart.Median(ratios.inTime),
+		restart.Median(ratios.oldInTime))
 	return nil
 }
 
-// workOf is the work of a command in ms: where engines are to be full, what they can do together is a part of what is
-// asked for.
-func workOf(scene restart.Scene, engines int, full bool) float64 {
-	const calmShare, mostCalm, cores = 0.1, 20, 4
-	canDo := float64(engines) * cores * 1000 / scene.Rate
+// workOfQuery is the work of a query in ms on one core, at a rate in queries a second. At calm
+// engines the queries ask for a tenth of what the engines can do, or less; at full ones for all
+// of it, on average, so that some queries are held.
+func workOfQuery(rate float64, engines int, full bool) float64 {
+	const (
+		calmShare    = 0.1 // of what the engines can do
+		mostCalmWork = 20  // ms
+		cores        = 4   // of an engine
+	)
+	capacity := float64(engines) * cores * 1000 / rate
 	if full {
-		return canDo
+		return capacity
 	}
-	return min(mostCalm, calmShare*canDo)
+	return min(mostCalmWork, calmShare*capacity)
 }
 
-// turn measures the relay, the daemon and the other build one after the other.
-func (m *daemonMeasurement) turn(ctx context.Context, scene restart.Scene, into *daemonRatios) error {
+// measureTurn measures the relay, the daemon and the other build one after the other, as they
+// would take each other's processors.
+func (m *daemonMeasurement) measureTurn(ctx context.Context, scene restart.Scene,
+	ratios *daemonRatios) error {
 	relayScene := scene
-	relayScene.Relay, relayScene.Engines, relayScene.Mintkeel = true, 1, ""
-	base, err := restart.Path(ctx, relayScene, "")
+	relayScene.Relay = true
+	relayScene.Engines = 1
+	relayScene.Mintkeel = ""
+	relay, err := restart.Path(ctx, relayScene, "")
 	if err != nil {
 		return err
 	}
-	cost, err := restart.Path(ctx, scene, "")
+	daemon, err := restart.Path(ctx, scene, "")
 	if err != nil {
 		return err
 	}
-	into.overRelay = append(into.overRelay, cost.Processor/base.Processor)
-	into.inTime = append(into.inTime, cost.Benefit)
+	ratios.overRelay = append(ratios.overRelay, daemon.Processor/relay.Processor)
+	ratios.inTime = append(ratios.inTime, daemon.Benefit)
 	if m.old == "" {
 		return nil
 	}
 	scene.Mintkeel = m.old
-	before, err := restart.Path(ctx, scene, "")
+	old, err := restart.Path(ctx, scene, "")
 	if err != nil {
 		return err
 	}
-	into.oldOverRelay = append(into.oldOverRelay, before.Processor/base.Processor)
-	into.oldInTime = append(into.oldInTime, before.Benefit)
-	into.oldOverNew = append(into.oldOverNew, before.Processor/cost.Processor)
+	ratios.oldOverRelay = append(ratios.oldOverRelay, old.Processor/relay.Processor)
+	ratios.oldInTime = append(ratios.oldInTime, old.Benefit)
+	ratios.oldOverNew = append(ratios.oldOverNew, old.Processor/daemon.Processor)
 	return nil
 }
--- /dev/null
+++ b/cmd/mintkeel-lab/fleetconfigprocesses.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"sync"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/fleet"
+)
+
+// configurationProcessTotals sum up histories of the configuration of fleets of processes.
+type configurationProcessTotals struct {
+	fleet.Report           // the sums of its counts; no other field is set
+	catchUps     []float64 // ms from when all was whole until the newest version was in force
+	afterPut     []float64 // ms from a put after that until its version was in force
+}
+
+// playConfigurationProcesses plays histories of a fleet's configuration with daemons as
+// processes. The totals are printed also if the histories ended early.
+func (r *fleetRun) playConfigurationProcesses(c *cobra.Command) error {
+	daemon, remove, err := labDaemon(c.Context(), r.daemon)
+	if err != nil {
+		return err
+	}
+	defer remove()
+	var mu sync.Mutex
+	var totals configurationProcessTotals
+	failures := failureLog{keepGoing: r.keepGoing, out: c.ErrOrStderr()}
+	err = r.play(c.Context(), func(seed int64) error {
+		controllers := r.controllersOf(seed, fleetSizes)
+		scene := fleet.ConfigurationScene(daemon, seed, controllers, r.faults)
+		report, err := r.playScene(c, scene)
+		mu.Lock()
+		defer mu.Unlock()
+		if broken, ok := errors.AsType[*brokenHistoryError](err); ok {
+			return failures.add(broken)
+		}
+		if err != nil {
+			return err
+		}
+		totals.add(&report)
+		return nil
+	})
+	totals.print(c.OutOrStdout(), failures.count)
+	return failures.result(err, r.count)
+}
+
+func (t *configurationProcessTotals) add(report *fleet.Report) {
+	t.ConfigProposals += report.ConfigProposals
+	t.ConfigAgreed += report.ConfigAgreed
+	t.ConfigApplied += report.ConfigApplied
+	t.ConfigRefused += report.ConfigRefused
+	t.ConfigStatuses += report.ConfigStatuses
+	t.catchUps = append(t.catchUps, milliseconds(report.ConfigCatchUp))
+	t.afterPut = append(t.afterPut, milliseconds(report.ConfigAfterPut))
+}
+
+func (t *configurationProcessTotals) print(out io.Writer, failed int) {
+	fmt.Fprintf(out, "%d histories of a configuration with processes passed, %d failed\n",
+		len(t.catchUps), failed)
+	fmt.Fprintf(out, "%d proposals, %d agreed; %d versions applied, "+
+		"%d refused by one that can't use them; %d statuses\n",
+		t.ConfigProposals, t.ConfigAgreed, t.ConfigApplied, t.ConfigRefused, t.ConfigStatuses)
+	fmt.Fprintf(out, "newest in force once all was whole: %s ms\na put after that in force: %s ms\n",
+		distribution(t.catchUps), distribution(t.afterPut))
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/fleetorders.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"math"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/fleet"
+	"mintkeel/internal/lab/restart"
+)
+
+// orderMeasurement measures what taking all engines out of service once costs, by the order.
+type orderMeasurement struct {
+	sizes []int   // engines of a fleet
+	seeds int     // fleets of each size
+	load  float64 // share of all cores that is asked for
+}
+
+// orderCosts are the costs of one policy.
+type orderCosts struct {
+	lost      []float64 // by seed: share of the benefit that was lost
+	durations []float64 // by seed: s until all engines were back and warm; infinite if they never were
+	mostOut   int       // engines out at once
+}
+
+func fleetOrdersCommand() *cobra.Command {
+	m := &orderMeasurement{sizes: []int{10, 80, 300}, seeds: 20, load: 0.6}
+	c := &cobra.Command{
+		Use: "orders",
+		Short: "Measure what taking all engines out once costs, by order and size of the fleet, " +
+			"in virtual time",
+		Args: cobra.NoArgs,
+		Run: func(c *cobra.Command, _ []string) {
+			m.measurePolicies(c.OutOrStdout())
+			m.measureBestOrder(c.OutOrStdout())
+		},
+	}
+	c.Flags().IntSliceVar(&m.sizes, "sizes", m.sizes, "engines")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "fleets of each size")
+	c.Flags().Float64Var(&m.load, "load", m.load, "share of all cores that is asked for")
+	return c
+}
+
+// measurePolicies prints a row for each size of a fleet and each policy, compared with the
+// policy that the daemon has, seed by seed.
+func (m *orderMeasurement) measurePolicies(out io.Writer) {
+	const secondsPerEngine = 120 // that there are to take an engine out and back
+	fmt.Fprintln(out, "| engines | order | benefit lost | over the settled order "+
+		"| until all were back and warm | out at once |\n| --- | --- | --- | --- | --- | --- |")
+	for _, engines := range m.sizes {
+		atOnce := max(1, engines/10)
+		horizon := float64(engines) * secondsPerEngine / float64(atOnce)
+		var settled orderCosts // of the daemon's policy, which is the first of all
+		for _, policy := range fleet.Policies() {
+			costs := m.measurePolicy(policy, engines, atOnce, horizon)
+			if policy == fleet.Ours {
+				settled = costs
+			}
+			var over []float64
+			for seed, lost := range costs.lost {
+				over = append(over, lost-settled.lost[seed])
+			}
+			lost, _ := restart.Around(costs.lost)
+			mean, half := restart.Around(over)
+			fmt.Fprintf(out, "| %d | %v | %.4f | %+.4f ±%.4f | %s | %d |\n", engines, policy, lost, mean,
+				half, meanDuration(costs.durations, horizon), costs.mostOut)
+		}
+	}
+}
+
+// measurePolicy takes all engines out once in a fleet of each seed, at most atOnce at a time,
+// within a horizon of some s.
+func (m *orderMeasurement) measurePolicy(policy fleet.Policy, engines, atOnce int,
+	horizon float64) orderCosts {
+	var costs orderCosts
+	for seed := range int64(m.seeds) {
+		lost, took, mostOut := fleet.TakeAll(seed, engines, m.load, policy, atOnce, horizon)
+		costs.lost = append(costs.lost, lost)
+		costs.durations = append(costs.durations, took)
+		costs.mostOut = max(costs.mostOut, mostOut)
+	}
+	return costs
+}
+
+// meanDuration writes the mean of durations in s, or that one did not end within the horizon.
+func meanDuration(durations []float64, horizon float64) string {
+	mean, _ := restart.Around(durations)
+	if math.IsInf(mean, 1) {
+		return fmt.Sprintf("not in %.0f s", horizon)
+	}
+	return fmt.Sprintf("%.0f s", mean)
+}
+
+// measureBestOrder compares the daemon's policy with the best of all orders, in fleets so small
+// that all orders can be tried.
+func (m *orderMeasurement) measureBestOrder(out io.Writer) {
+	const engines = 5
+	var best, over []float64
+	for seed := range int64(m.seeds) {
+		lostByBest, lostBySettled := fleet.BestOrder(seed, engines, m.load)
+		best = append(best, lostByBest)
+		over = append(over, lostBySettled-lostByBest)
+	}
+	meanBest, _ := restart.Around(best)
+	meanOver, half := restart.Around(over)
+	fmt.Fprintf(out, "\nFive engines, one at a time: the best of all orders loses %.4f, "+
+		"the settled one %+.4f ±%.4f more\n", meanBest, meanOver, half)
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/fleetprocesses.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"sync"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/fleet"
+)
+
+// maintainedEngines are the engines of a history with the maintenance script.
+const maintainedEngines = 6
+
+// processTotals sum up histories of fleets of processes.
+type processTotals struct {
+	fleet.Report           // the sums of its counts; no other field is set
+	recoveries   []float64 // ms from the last fault until all was whole again
+	unheld       []float64 // ms between the effects of two holders of a lease
+	maintained   []float64 // ms from when all was whole until all engines were back
+}
+
+// playProcesses plays histories of leases with daemons as processes.
+func (r *fleetRun) playProcesses(c *cobra.Command) error {
+	daemon, remove, err := labDaemon(c.Context(), r.daemon)
+	if err != nil {
+		return err
+	}
+	defer remove()
+	var mu sync.Mutex
+	var totals processTotals
+	err = r.play(c.Context(), func(seed int64) error {
+		scene := fleet.UsualScene(daemon, seed, r.controllersOf(seed, fleetSizes), r.faults)
+		if r.script == maintenanceScript {
+			scene.Engines = maintainedEngines
+			scene.AtOnce = 1 + int(seed%2)
+		}
+		report, err := r.playScene(c, scene)
+		if err != nil {
+			return err
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		totals.add(&report)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	totals.print(c.OutOrStdout(), r.count)
+	if r.script == maintenanceScript {
+		totals.printMaintenance(c.OutOrStdout())
+	}
+	return nil
+}
+
+// brokenHistoryError is a history of processes in which something was found broken.
+type brokenHistoryError struct {
+	scene  fleet.Scene
+	broken string // what was found
+	events string // of the history, one a line
+}
+
+func (e *brokenHistoryError) Error() string {
+	return fmt.Sprintf("seed %d, %d controllers, %d of them voters: %s\n%v\n%s", e.scene.Seed,
+		e.scene.Nodes, e.scene.Voters, e.broken, e.scene.Script, e.events)
+}
+
+// playScene plays one history with processes. The error is a brokenHistoryError if something was
+// found broken, and another one if the history could not be played.
+func (r *fleetRun) playScene(c *cobra.Command, scene fleet.Scene) (fleet.Report, error) {
+	events := r.newEventLog(c.ErrOrStderr())
+	scene.Tell = events.add
+	report, err := fleet.PlayProcesses(c.Context(), scene)
+	if err != nil {
+		return report, fmt.Errorf("seed %d: %w", scene.Seed, err)
+	}
+	if report.Broken != "" {
+		return report, &brokenHistoryError{scene, report.Broken, events.String()}
+	}
+	return report, nil
+}
+
+func (t *processTotals) add(report *fleet.Report) {
+	t.Effects += report.Effects
+	t.Refused += report.Refused
+	t.Taken += report.Taken
+	t.Commands += report.Commands
+	t.Answered += report.Answered
+	t.Shed += report.Shed
+	t.Failed += report.Failed
+	t.Back += report.Back
+	if report.Maintained > 0 {
+		t.maintained = append(t.maintained, milliseconds(report.Maintained))
+	}
+	t.recoveries = append(t.recoveries, milliseconds(report.Whole))
+	for _, unheld := range report.Free {
+		t.unheld = append(t.unheld, milliseconds(unheld))
+	}
+}
+
+func (t *processTotals) print(out io.Writer, histories int) {
+	fmt.Fprintf(out, "%d histories with processes, none broke\n", histories)
+	fmt.Fprintf(out, "%d effects taken by the endpoint, %d refused there by their token, "+
+		"%d taken by controllers\n",
+		t.Effects, t.Refused, t.Taken)
+	fmt.Fprintf(out, "%d commands: %d answered, %d shed, %d failed, none lost\n",
+		t.Commands, t.Answered, t.Shed, t.Failed)
+	fmt.Fprintf(out, "whole after the last fault: %s ms\nbetween two owners' effects: %s ms\n",
+		distribution(t.recoveries), distribution(t.unheld))
+}
+
+func (t *processTotals) printMaintenance(out io.Writer) {
+	fmt.Fprintf(out, "%d engines were taken out once and are back, none while too many were out, "+
+		"no command at one that was told free; after all was whole: %s ms\n",
+		t.Back, distribution(t.maintained))
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/fleetvirtual.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"sync"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/fleet"
+)
+
+const (
+	fleetSizes    = 7 // sizes of fleets that are drawn: 3 to 9 controllers
+	virtualLeases = 3 // of a fleet in virtual time
+)
+
+// virtualTotals sum up histories of leases in virtual time.
+type virtualTotals struct {
+	recoveries []float64 // ms from the last fault until all was whole again
+	unheld     []float64 // ms for which a lease had no holder
+	effects    int       // of holders of leases, at their receivers
+	overlaps   int       // times that a holder began while another still acted
+	late       int       // effects that came after their holder had stopped
+}
+
+// playVirtual plays histories of leases in virtual time.
+func (r *fleetRun) playVirtual(c *cobra.Command) error {
+	var mu sync.Mutex
+	var totals virtualTotals
+	began := time.Now()
+	err := r.play(c.Context(), func(seed int64) error {
+		plan := fleet.UsualPlan(seed, r.controllersOf(seed, fleetSizes), virtualLeases, r.faults)
+		world := fleet.NewWorld(plan)
+		if world.Play() != "" {
+			shortest, broken := fleet.Shrink(plan)
+			return fmt.Errorf("seed %d, %d controllers, %d of them voters: %s\n%v", seed, plan.Nodes,
+				plan.Voters, broken, shortest.Script)
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		totals.add(world)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	totals.print(c.OutOrStdout(), r.count, time.Since(began))
+	return nil
+}
+
+func (t *virtualTotals) add(world *fleet.World) {
+	t.recoveries = append(t.recoveries, world.Whole)
+	for _, unheld := range world.Checker.Free {
+		t.unheld = append(t.unheld, unheld...)
+	}
+	t.effects += world.Checker.Effects
+	t.overlaps += world.Checker.Overlap
+	t.late += world.Checker.Late
+}
+
+func (t *virtualTotals) print(out io.Writer, histories int, took time.Duration) {
+	fmt.Fprintf(out, "%d histories in virtual time, none broke (%v)\n", histories,
+		took.Round(time.Second))
+	fmt.Fprintf(out, "%d effects taken; %d times another began while one still acted; "+
+		"%d effects that were late\n", t.effects, t.overlaps, t.late)
+	fmt.Fprintf(out, "whole after the last fault: %s ms\nwithout an owner: %s ms\n",
+		distribution(t.recoveries), distribution(t.unheld))
+}
--- a/cmd/mintkeel-lab/kills.go
+++ b/cmd/mintkeel-lab/kills.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"runtime"
@@ -16,47 +18,57 @@
 )
 
 func killsCommand() *cobra.Command {
-	n, seed, child := 1000, int64(1), ""
+	count := 1000
+	seed := int64(1)
+	childFolder := ""
 	c := &cobra.Command{
-		Use:   "kills",
-		Short: "Kill processes that write memory all the time, and see whether what they left can be trusted",
-		Args:  cobra.NoArgs,
+		Use: "kills",
+		Short: "Kill processes that write snapshots all the time, " +
+			"and see whether what they left can be trusted",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if child != "" {
-				return kills.Child(child, os.Stdout)
+			if childFolder != "" {
+				return kills.Child(childFolder, os.Stdout)
 			}
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			workers := max(1, runtime.NumCPU()/2)
-			var mu sync.Mutex
-			var group sync.WaitGroup
-			var sum kills.Tally
-			var failed error
-			for w := range workers {
-				group.Go(func() {
-					t, err := kills.Run(c.Context(), (n+w)/workers, seed+int64(w), func(folder string) *exec.Cmd {
-						return exec.Command(self, "kills", "--child", folder)
-					}, memory.FileBounds(limits.For(64, 64, 0, 0, 0)))
-					mu.Lock()
-					defer mu.Unlock()
-					if sum.Add(t); err != nil {
-						failed = err
-					}
-				})
-			}
-			group.Wait()
-			fmt.Fprintln(c.OutOrStdout(), sum)
-			if failed == nil && sum.Bad() {
-				failed = errors.New("what was left can't be trusted")
-			}
-			return failed
+			return killWriters(c.Context(), c.OutOrStdout(), count, seed)
 		},
 	}
-	c.Flags().IntVar(&n, "kills", n, "how many")
+	c.Flags().IntVar(&count, "kills", count, "how many")
 	c.Flags().Int64Var(&seed, "seed", seed, "of the moments at which they come")
-	c.Flags().StringVar(&child, "child", "", "be the process that is killed, in this folder")
+	c.Flags().StringVar(&childFolder, "child", "", "be the process that is killed, in this folder")
 	c.Flags().MarkHidden("child")
 	return c
 }
+
+// killWriters kills child processes of this program, on half of the processors, and prints what
+// their folders held.
+func killWriters(ctx context.Context, out io.Writer, count int, seed int64) error {
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	child := func(folder string) *exec.Cmd { return exec.Command(self, "kills", "--child", folder) }
+	bounds := memory.FileBounds(limits.For(64, 64, 0, 0, 0))
+	workers := max(1, runtime.NumCPU()/2)
+	var mu sync.Mutex
+	var group sync.WaitGroup
+	var total kills.Tally
+	var failed error
+	for worker := range workers {
+		group.Go(func() {
+			tally, err := kills.Run(ctx, (count+worker)/workers, seed+int64(worker), child, bounds)
+			mu.Lock()
+			defer mu.Unlock()
+			total.Add(tally)
+			if err != nil {
+				failed = err
+			}
+		})
+	}
+	group.Wait()
+	fmt.Fprintln(out, total)
+	if failed == nil && total.Bad() {
+		failed = errors.New("what was left can't be trusted")
+	}
+	return failed
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/mutants.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"slices"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/mutants"
+)
+
+// mutationTest changes a source file in one place at a time and runs the tests on each change.
+type mutationTest struct {
+	count    int    // changes that are drawn
+	seed     int64  // by which they are drawn
+	file     string // that is changed
+	funcs    []string
+	packages []string      // of which the tests are run
+	workers  int           // changes that are tested at a time
+	within   time.Duration // for the tests of one change
+	checks   bool          // leave out one check at a time, in place of changing operators
+}
+
+func mutantsCommand() *cobra.Command {
+	t := &mutationTest{
+		count:    90,
+		seed:     1,
+		file:     "router/eligibility.go",
+		packages: []string{"./router", "./internal/lab/simulation"},
+		workers:  max(1, runtime.NumCPU()/2),
+		within:   time.Minute,
+	}
+	c := &cobra.Command{
+		Use: "mutants",
+		Short: "Change one operator of the module at a time and see whether a test notices; " +
+			"run at the repository's root",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return t.run(c.Context(), c.OutOrStdout())
+		},
+	}
+	c.Flags().IntVar(&t.count, "n", t.count, "how many")
+	c.Flags().Int64Var(&t.seed, "seed", t.seed, "by which they are drawn")
+	c.Flags().IntVar(&t.workers, "workers", t.workers, "tests that run at once")
+	c.Flags().StringVar(&t.file, "file", t.file, "source file to be changed")
+	c.Flags().DurationVar(&t.within, "within", t.within, "for the tests of one change")
+	c.Flags().StringSliceVar(&t.funcs, "func", nil, "functions to be changed; all if none is named")
+	c.Flags().BoolVar(&t.checks, "checks", false,
+		"leave out one check at a time, in place of changing operators")
+	c.Flags().StringSliceVar(&t.packages, "packages", t.packages,
+		"packages of which the tests are run")
+	return c
+}
+
+func (t *mutationTest) run(ctx context.Context, out io.Writer) error {
+	drawn, err := t.draw()
+	if err != nil {
+		return err
+	}
+	counts := map[mutants.Verdict]int{}
+	var passed []mutants.Mutant
+	err = mutants.Try(ctx, ".", drawn, t.packages, t.workers, t.within,
+		func(m mutants.Mutant, verdict mutants.Verdict, _ string) {
+			counts[verdict]++
+			if verdict == mutants.Passed {
+				passed = append(passed, m)
+			}
+		})
+	slices.SortFunc(passed, func(a, b mutants.Mutant) int { return cmp.Compare(a.Line, b.Line) })
+	for _, m := range passed {
+		fmt.Fprintln(out, m)
+	}
+	fmt.Fprintf(out, "%d of %d changes of %s pass every test; noticed %d, hung %d, invalid %d\n",
+		counts[mutants.Passed], len(drawn), t.file, counts[mutants.Noticed], counts[mutants.TimedOut],
+		counts[mutants.Invalid])
+	return err
+}
+
+// draw chooses the changes to be tested.
+func (t *mutationTest) draw() ([]mutants.Mutant, error) {
+	list := mutants.All
+	if t.checks {
+		list = mutants.Checks
+	}
+	all, err := list(t.file)
+	if err != nil {
+		return nil, err
+	}
+	if len(t.funcs) > 0 {
+		all = slices.DeleteFunc(all, func(m mutants.Mutant) bool {
+			return !slices.Contains(t.funcs, m.Func)
+		})
+	}
+	drawn := mutants.Some(all, t.count, t.seed)
+	if len(drawn) == 0 {
+		return nil, errors.New("no operator to be changed")
+	}
+	return drawn, nil
+}
--- a/cmd/mintkeel-lab/restart.go
+++ b/cmd/mintkeel-lab/restart.go
@@ -1,8 +1,9 @@
 package main
 
 import (
+	"context"
 	"fmt"
-	"path/filepath"
+	"io"
 	"sync"
 	"time"
 
@@ -13,58 +14,82 @@
 	"mintkeel/internal/memory"
 )
 
+// restartMeasurement measures what restored statistics are worth at a restart.
+type restartMeasurement struct {
+	scene restart.Scene
+	seeds int
+	seed  int64 // the first
+}
+
 func restartCommand() *cobra.Command {
-	scene, seeds, seed := restart.Usual(), 6, int64(1)
+	m := &restartMeasurement{scene: restart.Usual(), seeds: 6, seed: 1}
+	scene := &m.scene
 	c := &cobra.Command{
-		Use:   "restart",
-		Short: "Measure what memory is worth at a restart, with real daemons and stand-in engines on loopback",
-		Args:  cobra.NoArgs,
+		Use: "restart",
+		Short: "Measure what restored statistics are worth at a restart, " +
+			"with real daemons and stand-in engines on loopback",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var err error
-			if scene.Mintkeel, err = filepath.Abs(scene.Mintkeel); err != nil {
-				return err
-			}
-			scene.Bounds = memory.FileBounds(limits.For(64, 64, 0, 0, 0))
-			var all []map[restart.Variant]restart.Outcome
-			for i := range seeds { // a seed's variants run beside each other, so that noise of the machine meets all
-				scene := scene
-				scene.Seed = seed + int64(i)
-				by := map[restart.Variant]restart.Outcome{}
-				var mu sync.Mutex
-				var group sync.WaitGroup
-				var failed error
-				for _, v := range restart.Variants() {
-					group.Go(func() {
-						out, err := restart.Run(c.Context(), scene, v)
-						mu.Lock()
-						defer mu.Unlock()
-						if by[v] = out; err != nil {
-							failed = fmt.Errorf("%v: %w", v, err)
-						}
-					})
-				}
-				group.Wait()
-				if failed != nil {
-					return failed
-				}
-				fmt.Fprintf(c.ErrOrStderr(), "seed %d:", scene.Seed)
-				for _, v := range restart.Variants() {
-					fmt.Fprintf(c.ErrOrStderr(), " %v %.3f (%.3f)", v, by[v].Benefit, by[v].First)
-				}
-				fmt.Fprintln(c.ErrOrStderr())
-				all = append(all, by)
-			}
-			fmt.Fprint(c.OutOrStdout(), restart.Table(restart.Summarize(all)))
-			return nil
+			return m.run(c.Context(), c.OutOrStdout(), c.ErrOrStderr())
 		},
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().IntVar(&seeds, "seeds", seeds, "how many")
-	c.Flags().Int64Var(&seed, "seed", seed, "the first")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "commands a second")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many")
+	c.Flags().Int64Var(&m.seed, "seed", m.seed, "the first")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
 	c.Flags().Float64Var(&scene.Slow, "slow", scene.Slow, "times the usual time at the slow engine")
-	c.Flags().Float64Var(&scene.Cold, "cold", scene.Cold, "times the work of a command whose tables are not warm")
+	c.Flags().Float64Var(&scene.Cold, "cold", scene.Cold,
+		"times the work of a query with tables that are not warm")
 	c.Flags().DurationVar(&scene.Learn, "learn", scene.Learn, "time ahead of the restart")
 	c.Flags().DurationVar(&scene.Measure, "measure", 10*time.Second, "time after it")
 	return c
 }
+
+// run measures each seed, prints its figures to progress and in the end the table to out.
+func (m *restartMeasurement) run(ctx context.Context, out, progress io.Writer) error {
+	if err := makeDaemonPathAbsolute(&m.scene); err != nil {
+		return err
+	}
+	m.scene.Bounds = memory.FileBounds(limits.For(64, 64, 0, 0, 0))
+	var all []map[restart.Variant]restart.Outcome
+	for i := range m.seeds {
+		scene := m.scene
+		scene.Seed = m.seed + int64(i)
+		outcomes, err := playRestartVariants(ctx, scene)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(progress, "seed %d:", scene.Seed)
+		for _, variant := range restart.Variants() {
+			outcome := outcomes[variant]
+			fmt.Fprintf(progress, " %v %.3f (%.3f)", variant, outcome.Benefit, outcome.First)
+		}
+		fmt.Fprintln(progress)
+		all = append(all, outcomes)
+	}
+	fmt.Fprint(out, restart.Table(restart.Summarize(all)))
+	return nil
+}
+
+// playRestartVariants plays all variants of a scene beside each other, so that noise of the
+// machine affects all of them alike.
+func playRestartVariants(ctx context.Context, scene restart.Scene) (
+	map[restart.Variant]restart.Outcome, error) {
+	outcomes := map[restart.Variant]restart.Outcome{}
+	var mu sync.Mutex
+	var group sync.WaitGroup
+	var failed error
+	for _, variant := range restart.Variants() {
+		group.Go(func() {
+			outcome, err := restart.Run(ctx, scene, variant)
+			mu.Lock()
+			defer mu.Unlock()
+			outcomes[variant] = outcome
+			if err != nil {
+				failed = fmt.Errorf("%v: %w", variant, err)
+			}
+		})
+	}
+	group.Wait()
+	return outcomes, failed
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/rulespath.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/restart"
+)
+
+// rulesMeasurement measures what the operator's rules cost on the daemon's whole path.
+type rulesMeasurement struct {
+	scene  restart.Scene
+	counts []int // of rules; the first is what the others are compared with
+	turns  int
+	seed   int64 // of the first turn
+}
+
+func rulesPathCommand() *cobra.Command {
+	m := &rulesMeasurement{
+		scene:  restart.Usual(),
+		counts: []int{0, 1, 10, 100, 1000, 10000},
+		turns:  5,
+		seed:   1,
+	}
+	scene := &m.scene
+	scene.Learn = 3 * time.Second
+	scene.Measure = 8 * time.Second
+	scene.Slow = 1
+	scene.Rate = 500
+	scene.Engines = 12
+	c := &cobra.Command{
+		Use: "rules-path",
+		Short: "Measure what rules cost on the daemon's whole path, by their number, " +
+			"as ratios to none in the same turn",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return m.run(c.Context(), c.OutOrStdout())
+		},
+	}
+	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
+	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each number is measured")
+	c.Flags().Int64Var(&m.seed, "seed", m.seed, "of the first turn")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
+	c.Flags().IntSliceVar(&m.counts, "rules", m.counts,
+		"how many; the first is what the others are compared with")
+	return c
+}
+
+func (m *rulesMeasurement) run(ctx context.Context, out io.Writer) error {
+	if err := makeDaemonPathAbsolute(&m.scene); err != nil {
+		return err
+	}
+	// By the place of the count in m.counts, one value a turn.
+	ratios := make([][]float64, len(m.counts))
+	benefits := make([][]float64, len(m.counts))
+	for turn := range m.turns {
+		m.scene.Seed = m.seed + int64(turn)
+		base := 0.0                      // ms of processor time with the first number of rules
+		for i, count := range m.counts { // one at a time: they would take each other's processors
+			cost, err := restart.Path(ctx, m.scene, restart.Ruled(count, m.scene.Groups))
+			if err != nil {
+				return err
+			}
+			if i == 0 {
+				base = cost.Processor
+			}
+			ratios[i] = append(ratios[i], cost.Processor/base)
+			benefits[i] = append(benefits[i], cost.Benefit)
+		}
+	}
+	fmt.Fprintln(out, "| rules | processor time of a command, over none | benefit |\n"+
+		"| --- | --- | --- |")
+	for i, count := range m.counts {
+		mean, half := restart.Around(ratios[i])
+		fmt.Fprintf(out, "| %d | %.2f ±%.2f | %.3f |\n", count, mean, half, restart.Median(benefits[i]))
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/scaleshare.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/exec"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/scale/hollow"
+)
+
+// scaleShareProcess is a process of this program that runs a share of a hollow fleet. It has one
+// core, as a controller does.
+func scaleShareProcess(ctx context.Context) *exec.Cmd {
+	path, err := os.Executable()
+	if err != nil {
+		path = os.Args[0]
+	}
+	command := exec.CommandContext(ctx, path, "scale", "share")
+	command.Env = append(os.Environ(), "GOMAXPROCS=1")
+	return command
+}
+
+func scaleShareCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:    "share",
+		Short:  "Run a share of a hollow fleet as told on the standard input, until it ends",
+		Args:   cobra.NoArgs,
+		Hidden: true,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return hollow.ServeChild(c.Context(), os.Stdin, c.OutOrStdout())
+		},
+	}
+}
--- /dev/null
+++ b/cmd/mintkeel-lab/simulate.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"runtime"
+	"sync"
+
+	"github.com/spf13/cobra"
+
+	"mintkeel/internal/lab/simulation"
+)
+
+// simulationTotals sums up random simulations.
+type simulationTotals struct {
+	played       int
+	queries      int
+	attempts     int
+	retries      int
+	coldAttempts int // at engines that were still warming up
+	restarts     int // of controllers
+	steps        int
+	broken       int // simulations that broke a rule
+}
+
+func simulateCommand() *cobra.Command {
+	count := 1000
+	seed := 0
+	c := &cobra.Command{
+		Use:     "simulate",
+		Aliases: []string{"worlds"}, // the name of an earlier version, for one version more
+		Short: "Play random fleets in virtual time and check the seven rules; " +
+			"exit code 1 if one is broken",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			totals, err := playSimulations(c.Context(), c.OutOrStdout(), count, seed)
+			totals.print(c.OutOrStdout())
+			if err == nil && totals.broken > 0 {
+				err = fmt.Errorf("%d simulations broke a rule", totals.broken)
+			}
+			return err
+		},
+	}
+	c.Flags().IntVar(&count, "n", count, "how many")
+	c.Flags().IntVar(&seed, "seed", seed, "of the first; the others follow")
+	return c
+}
+
+// playSimulations plays simulations on all processors and prints each broken rule as it is
+// found. If the context ends early, the totals are those of the simulations played until then.
+func playSimulations(ctx context.Context, out io.Writer, count, firstSeed int) (
+	simulationTotals, error) {
+	var mu sync.Mutex
+	var group sync.WaitGroup
+	var totals simulationTotals
+	seeds := make(chan int)
+	for range runtime.NumCPU() {
+		group.Go(func() {
+			for seed := range seeds {
+				spec := simulation.FromSeed(seed)
+				result := simulation.Play(spec, spec.Module)
+				mu.Lock()
+				totals.add(result)
+				for _, breach := range result.Breaches() {
+					fmt.Fprintf(out, "world %d: %v\n", seed, breach)
+				}
+				mu.Unlock()
+			}
+		})
+	}
+	for i := range count {
+		if ctx.Err() != nil {
+			break
+		}
+		seeds <- firstSeed + i
+	}
+	close(seeds)
+	group.Wait()
+	return totals, ctx.Err()
+}
+
+func (t *simulationTotals) add(result *simulation.Result) {
+	t.played++
+	t.queries += result.Commands
+	t.attempts += result.Sends
+	t.retries += result.Further
+	t.coldAttempts += result.ColdSends
+	t.restarts += result.Restarts
+	t.steps += result.Steps
+	if len(result.Breaches()) > 0 {
+		t.broken++
+	}
+}
+
+func (t *simulationTotals) print(out io.Writer) {
+	fmt.Fprintf(out, "%d simulations: %d queries, %d attempts, %d retries, "+
+		"%d attempts at cold engines, %d restarts, %d steps; %d broke a rule\n",
+		t.played, t.queries, t.attempts, t.retries, t.coldAttempts, t.restarts, t.steps, t.broken)
+}
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -1,77 +1,103 @@
 package main
 
 import (
+	"context"
 	"fmt"
+	"io"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"mintkeel/internal/lab/reference"
 	"mintkeel/internal/lab/steps"
-	"mintkeel/router"
 )
 
+// stepMeasurement measures what a step of the decision module costs.
+type stepMeasurement struct {
+	engines       []int
+	held          []int // queries held, where all engines are full
+	tableGroups   []int
+	steps         int           // of each row, at most
+	within        time.Duration // for the steps of a row
+	withReference bool          // measure the reference too
+	orderingKeys  int           // 0: none
+	controllers   int
+}
+
 func stepsCommand() *cobra.Command {
-	engines, held, tables := []int{10, 100, 1000}, []int{10, 1000, 100000}, []int{10, 1000}
-	n, within, old, keys, controllers := 2000, 3*time.Second, true, 0, 1
+	m := &stepMeasurement{
+		engines:       []int{10, 100, 1000},
+		held:          []int{10, 1000, 100000},
+		tableGroups:   []int{10, 1000},
+		steps:         2000,
+		within:        3 * time.Second,
+		withReference: true,
+		controllers:   1,
+	}
 	c := &cobra.Command{
-		Use:   "steps",
-		Short: "Measure what a step of the module costs, by engines, held commands and table groups, beside the reference",
-		Args:  cobra.NoArgs,
+		Use: "steps",
+		Short: "Measure what a step of the module costs, by engines, held queries and table groups, " +
+			"beside the reference",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			out := c.OutOrStdout()
-			fmt.Fprintln(out, "| fleet | engines | held | table groups | median µs | 99th | longest | over median | allocations | bytes a held command | longest at start | reference median | 99th | longest | old over new | longest at start |")
-			fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-			row := func(s steps.Scene) {
-				s.Keys, s.Controllers = keys, controllers
-				a := measure(s, newModule, n, within)
-				fmt.Fprintf(out, "| %v | %d | %d | %d | %.1f | %.1f | %.0f | %.0f | %.1f | %.0f | %.0f |", s.Busy, s.Engines, a.Held, s.Tables, a.Median,
-					a.P99, a.Longest, a.Longest/a.Median, a.Allocations, a.Bytes, a.Start)
-				if old {
-					b := measure(s, oldModule, n, within)
-					fmt.Fprintf(out, " %.1f | %.1f | %.0f | %.2f | %.0f |", b.Median, b.P99, b.Longest, b.Median/a.Median, b.Start)
-				}
-				fmt.Fprintln(out)
-			}
-			for _, t := range tables {
-				for _, e := range engines {
-					row(steps.Scene{Engines: e, Tables: t, Busy: steps.Idle})
-					row(steps.Scene{Engines: e, Tables: t, Busy: steps.Half})
-					for _, h := range held {
-						row(steps.Scene{Engines: e, Tables: t, Busy: steps.Full, Held: h})
-					}
-				}
-			}
-			return c.Context().Err()
+			return m.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().IntSliceVar(&engines, "engines", engines, "how many")
-	c.Flags().IntSliceVar(&held, "held", held, "commands held, where all engines are full")
-	c.Flags().IntSliceVar(&tables, "tables", tables, "table groups")
-	c.Flags().IntVar(&n, "n", n, "steps of each row, at the most")
-	c.Flags().DurationVar(&within, "within", within, "for the steps of a row")
-	c.Flags().BoolVar(&old, "reference", old, "measure the reference too")
-	c.Flags().IntVar(&keys, "keys", keys, "order keys; 0: none")
-	c.Flags().IntVar(&controllers, "controllers", controllers, "side by side")
+	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "how many")
+	c.Flags().IntSliceVar(&m.held, "held", m.held, "queries held, where all engines are full")
+	c.Flags().IntSliceVar(&m.tableGroups, "tables", m.tableGroups, "table groups")
+	c.Flags().IntVar(&m.steps, "n", m.steps, "steps of each row, at the most")
+	c.Flags().DurationVar(&m.within, "within", m.within, "for the steps of a row")
+	c.Flags().BoolVar(&m.withReference, "reference", m.withReference, "measure the reference too")
+	c.Flags().IntVar(&m.orderingKeys, "keys", m.orderingKeys, "ordering keys; 0: none")
+	c.Flags().IntVar(&m.controllers, "controllers", m.controllers, "side by side")
 	return c
 }
 
-func newModule(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-	allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
-	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
+func (m *stepMeasurement) run(ctx context.Context, out io.Writer) error {
+	fmt.Fprintln(out, "| fleet | engines | held | table groups | median µs | 99th | longest "+
+		"| over median | allocations | bytes a held command | longest at start "+
+		"| reference median | 99th | longest | old over new | longest at start |")
+	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- "+
+		"| --- | --- | --- | --- | --- |")
+	for _, tables := range m.tableGroups {
+		for _, engines := range m.engines {
+			m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Idle})
+			m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Half})
+			for _, held := range m.held {
+				m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Full, Held: held})
+			}
+		}
+	}
+	return ctx.Err()
 }
 
-func oldModule(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-	allowed router.Capabilities, guards router.SafetyLimits) steps.Module {
-	return reference.New(seed, place, kinds, profiles, tenants, allowed, guards)
+// printRow measures one scene and prints its row.
+func (m *stepMeasurement) printRow(out io.Writer, scene steps.Scene) {
+	scene.Keys = m.orderingKeys
+	scene.Controllers = m.controllers
+	costs := m.measure(scene, newModule)
+	fmt.Fprintf(out, "| %v | %d | %d | %d | %.1f | %.1f | %.0f | %.0f | %.1f | %.0f | %.0f |",
+		scene.Busy, scene.Engines, costs.Held, scene.Tables, costs.Median, costs.P99, costs.Longest,
+		costs.Longest/costs.Median, costs.Allocations, costs.Bytes, costs.Start)
+	if m.withReference {
+		former := m.measure(scene, newReference)
+		fmt.Fprintf(out, " %.1f | %.1f | %.0f | %.2f | %.0f |",
+			former.Median, former.P99, former.Longest, former.Median/costs.Median, former.Start)
+	}
+	fmt.Fprintln(out)
 }
 
-// measure takes a few steps first, and then as many as there is time for.
-func measure(s steps.Scene, newModule steps.Make, n int, within time.Duration) steps.Costs {
-	g := steps.New(s, newModule)
-	few := g.Run(20)
-	if most := int(within.Seconds() * 1e6 / max(0.1, few.Median)); most < n {
-		n = max(20, most)
+// measure runs a few steps to learn how long one takes, and then as many as there is time for.
+func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Make) steps.Costs {
+	const (
+		fewest       = 20  // steps that are run in any case
+		shortestStep = 0.1 // µs that a step is taken to last at least
+	)
+	rig := steps.New(scene, newModule)
+	first := rig.Run(fewest)
+	affordable := int(m.within.Seconds() * 1e6 / max(shortestStep, first.Median))
+	if affordable < m.steps {
+		return rig.Run(max(fewest, affordable))
 	}
-	return g.Run(n)
+	return rig.Run(m.steps)
 }
