--- a/cmd/mintkeel-lab/behind.go
+++ b/cmd/mintkeel-lab/behind.go
@@ -73,17 +73,17 @@
 	const decisionsOfRun = 20000 // attempts that there is time to decide in one run
 	var result overloadResult
 	for seed := range int64(m.seeds) {
-		run := steps.Pressed{
-			Seed:    seed,
-			Times:   load,
-			Decide:  decisionTime,
-			Away:    decisionTime / 10,
-			Refused: decisionTime / 50,
-			Length:  decisionTime * decisionsOfRun,
-			Blind:   blind,
+		run := steps.Overload{
+			Seed:               seed,
+			LoadFactor:         load,
+			AttemptTime:        decisionTime,
+			RejectionTime:      decisionTime / 10,
+			RefusalTime:        decisionTime / 50,
+			Length:             decisionTime * decisionsOfRun,
+			WithoutArrivalWait: blind,
 		}
 		outcome := run.Play(newModule)
-		answerable := min(float64(outcome.Commands), run.Length/decisionTime)
+		answerable := min(float64(outcome.Queries), run.Length/decisionTime)
 		result.inTime = append(result.inTime, float64(outcome.InTime)/answerable)
 		result.late = append(result.late, float64(outcome.Late)/answerable)
 		result.missed += outcome.Missed
--- a/cmd/mintkeel-lab/simulate.go
+++ b/cmd/mintkeel-lab/simulate.go
@@ -14,14 +14,14 @@
 
 // simulationTotals sums up random simulations.
 type simulationTotals struct {
-	played       int
-	queries      int
-	attempts     int
-	retries      int
+	played            int
+	queries           int
+	attempts          int
+	retries           int
 	slowStartAttempts int // at engines that were still warming up
-	restarts     int // of controllers
-	steps        int
-	broken       int // simulations that broke a rule
+	restarts          int // of controllers
+	steps             int
+	broken            int // simulations that broke a rule
 }
 
 func simulateCommand() *cobra.Command {
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -64,7 +64,7 @@
 			m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Idle})
 			m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Half})
 			for _, held := range m.held {
-				m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Full, Held: held})
+				m.printRow(out, steps.Scene{Engines: engines, Tables: tables, Busy: steps.Full, Queued: held})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	scene.Controllers = m.controllers
 	costs := m.measure(scene, newModule)
 	fmt.Fprintf(out, "| %v | %d | %d | %d | %.1f | %.1f | %.0f | %.0f | %.1f | %.0f | %.0f |",
-		scene.Busy, scene.Engines, costs.Held, scene.Tables, costs.Median, costs.P99, costs.Longest,
+		scene.Busy, scene.Engines, costs.Queued, scene.Tables, costs.Median, costs.P99, costs.Longest,
 		costs.Longest/costs.Median, costs.Allocations, costs.Bytes, costs.Start)
 	if m.withReference {
 		former := m.measure(scene, newReference)
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -89,15 +89,15 @@
 // stepScenes are fleets that are kept idle, busy or full.
 func stepScenes() []steps.Scene {
 	return []steps.Scene{
-		{Engines: 10, Held: 400, Tables: 10, Busy: steps.Full},
-		{Engines: 60, Held: 200, Tables: 30, Busy: steps.Full, Keys: 20},
-		{Engines: 40, Held: 200, Tables: 5, Busy: steps.Full, Controllers: 5},
+		{Engines: 10, Queued: 400, Tables: 10, Busy: steps.Full},
+		{Engines: 60, Queued: 200, Tables: 30, Busy: steps.Full, Keys: 20},
+		{Engines: 40, Queued: 200, Tables: 5, Busy: steps.Full, Controllers: 5},
 		{Engines: 60, Tables: 20, Busy: steps.Half, Keys: 5},
 		{Engines: 120, Tables: 3, Busy: steps.Idle},
 		{Engines: 200, Tables: 2, Busy: steps.Idle, Controllers: 3},
 		{Engines: 300, Tables: 4, Busy: steps.Half},
-		{Engines: 20, Held: 1000, Tables: 50, Busy: steps.Full, Keys: 100, Seed: 1},
-		{Engines: 100, Held: 100, Tables: 8, Busy: steps.Full, Keys: 3, Seed: 2},
+		{Engines: 20, Queued: 1000, Tables: 50, Busy: steps.Full, Keys: 100, Seed: 1},
+		{Engines: 100, Queued: 100, Tables: 8, Busy: steps.Full, Keys: 3, Seed: 2},
 		{Engines: 100, Tables: 60, Busy: steps.Half, Keys: 40, Controllers: 2, Seed: 3},
 		{Engines: 500, Tables: 20, Busy: steps.Idle, Keys: 10, Seed: 4},
 		{Engines: 1000, Tables: 5, Busy: steps.Idle, Seed: 5},
@@ -121,16 +121,16 @@
 }
 
 // pressedScenes are controllers that get more queries than they can decide on.
-func pressedScenes() []steps.Pressed {
-	return []steps.Pressed{
-		{Seed: 1, Times: 0.5, Decide: 0.05, Away: 0.005, Refused: 0.001, Length: 300},
-		{Seed: 2, Times: 2, Decide: 0.05, Away: 0.005, Refused: 0.001, Length: 300},
-		{Seed: 3, Times: 1.2, Decide: 0.2, Away: 0.02, Refused: 0.004, Length: 1500},
-		{Seed: 4, Times: 5, Decide: 0.2, Away: 0.02, Refused: 0.004, Length: 1000},
+func pressedScenes() []steps.Overload {
+	return []steps.Overload{
+		{Seed: 1, LoadFactor: 0.5, AttemptTime: 0.05, RejectionTime: 0.005, RefusalTime: 0.001, Length: 300},
+		{Seed: 2, LoadFactor: 2, AttemptTime: 0.05, RejectionTime: 0.005, RefusalTime: 0.001, Length: 300},
+		{Seed: 3, LoadFactor: 1.2, AttemptTime: 0.2, RejectionTime: 0.02, RefusalTime: 0.004, Length: 1500},
+		{Seed: 4, LoadFactor: 5, AttemptTime: 0.2, RejectionTime: 0.02, RefusalTime: 0.004, Length: 1000},
 	}
 }
 
-func pressed(r *recording, p steps.Pressed) {
+func pressed(r *recording, p steps.Overload) {
 	p.Play(func(seed int64, place router.Identity, kinds []router.MachineKind,
 		classes []router.QueryClass, tenants []router.Tenant,
 		capabilities router.Capabilities, limits router.SafetyLimits) steps.Module {
@@ -161,7 +161,7 @@
 	r.counts.add(sceneWithPolledEndpoints, capabilities.PollEndpoints)
 	m := r.module(seed, router.Identity{Controllers: 1},
 		[]router.MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 16, MemoryMB: 64000}},
-		steps.Profiles(2000), tenantsOf(200), capabilities, limits)
+		steps.Classes(2000), tenantsOf(200), capabilities, limits)
 	m.Step(run.now, []router.Event{router.EndpointsUpdated{Complete: true,
 		Endpoints: run.entries(16, router.Ready)}})
 	for range taken {
--- a/internal/lab/scale/datapath/decision.go
+++ b/internal/lab/scale/datapath/decision.go
@@ -45,7 +45,7 @@
 func (b *bench) stepsOf(ctx context.Context, engines int, busy steps.Busy) stepCosts {
 	scene := steps.Scene{Engines: engines, Tables: stepTables, Busy: busy, Seed: b.seed}
 	if busy == steps.Full {
-		scene.Held = stepHeld
+		scene.Queued = stepHeld
 	}
 	rig := steps.New(scene, newModule)
 	rig.Run(fewSteps)
@@ -55,7 +55,7 @@
 			break
 		}
 		rig.Advance()
-		costs = append(costs, rig.One())
+		costs = append(costs, rig.StepOnce())
 	}
 	return summarizeSteps(costs)
 }
--- /dev/null
+++ b/internal/lab/steps/overload.go
@@ -0,0 +1,228 @@
+package steps
+
+import (
+	"math"
+	"math/rand"
+
+	"mintkeel/router"
+)
+
+// Overload is a controller with a processor that can decide only so many queries, in virtual time:
+// more come, wait in a bounded queue, and are taken in steps as the loop takes them.
+type Overload struct {
+	Seed               int64
+	LoadFactor         float64 // queries that come, over those that can be decided
+	AttemptTime        float64 // ms of processor time of a query with an attempt
+	RejectionTime      float64 // and of a rejected one
+	RefusalTime        float64 // and of one that finds the queue full
+	Length             float64 // ms
+	WithoutArrivalWait bool    // the module does not learn how long queries waited: the baseline
+}
+
+// OverloadResult is what became of the queries.
+type OverloadResult struct {
+	Queries       int
+	InTime        int // answered within the latency objective
+	Late          int // answered after it
+	Rejected      int // by the module
+	Refused       int // as the queue was full
+	Failed        int
+	Missed        int     // without a final answer before the client timeout
+	LongestWait   float64 // ms until a final answer
+	RejectedAfter float64 // ms until a rejection, on average
+	AnsweredAfter float64 // ms until an answer, on average
+}
+
+const (
+	overloadObjective = 150.0  // ms, latency objective
+	overloadTimeout   = 1000.0 // ms, client timeout
+	overloadWork      = 20.0   // ms from the start of an attempt to its end
+
+	// These are the loop's (internal/controller).
+	overloadQueue      = 1024 // queries that wait for the loop at most
+	overloadPerStep    = 512  // queries that the module learns of in one step at most
+	overloadYieldAfter = 64   // attempts of a step from which the next one takes in no query
+)
+
+// pendingQuery is a query that has arrived.
+type pendingQuery struct {
+	id        router.QueryID
+	arrivedAt float64 // ms
+	startedAt float64 // ms, of its attempt
+	done      bool    // it has its final answer
+}
+
+// overloadRun is one run.
+type overloadRun struct {
+	Overload
+	out             OverloadResult
+	rng             *rand.Rand
+	module          Module
+	now             float64 // ms
+	end             float64 // ms, after which no query comes
+	nextArrival     float64 // ms, when the next query comes
+	timerAt         float64 // ms, for which the module set its timer
+	serial          router.QueryID
+	queue           []*pendingQuery
+	running         []*pendingQuery // with an attempt, in the order of its end, as all take as long
+	open            map[router.QueryID]*pendingQuery
+	attemptsStarted int     // in the last step
+	busy            float64 // ms of processor time in this turn
+	answeredWait    float64 // ms, sum over answered queries
+	rejectedWait    float64 // ms, sum over rejected queries
+}
+
+// Play runs it to the end. newModule makes the module.
+func (p Overload) Play(newModule Make) OverloadResult {
+	r := p.start(newModule)
+	for r.now < r.end || len(r.queue) > 0 || len(r.open) > 0 {
+		r.passIdleTime()
+		r.busy = 0
+		r.takeArrivals()
+		events := append(r.endAttempts(), r.dequeue()...)
+		if r.timerAt <= r.now {
+			r.timerAt = math.Inf(1)
+		}
+		for _, action := range r.module.Step(r.now, events) {
+			r.carryOut(action)
+		}
+		r.now += r.busy
+	}
+	r.out.AnsweredAfter = r.answeredWait / float64(max(1, r.out.InTime+r.out.Late))
+	r.out.RejectedAfter = r.rejectedWait / float64(max(1, r.out.Rejected))
+	return r.out
+}
+
+func (p Overload) start(newModule Make) *overloadRun {
+	const began, engines = 1e6, 50
+	class := router.QueryClass{Effect: router.Idempotent, LatencyObjective: overloadObjective,
+		ClientTimeout: overloadTimeout, Threads: 1, LateBenefit: 0.3}
+	r := &overloadRun{Overload: p, rng: rand.New(rand.NewSource(p.Seed)), now: began,
+		nextArrival: began, end: began + p.Length, timerAt: math.Inf(1), open: map[router.QueryID]*pendingQuery{}}
+	r.module = newModule(p.Seed, router.Identity{Controllers: 1},
+		[]router.MachineKind{{Cores: 64, MemoryMB: memory}}, []router.QueryClass{class}, nil,
+		router.Capabilities{Cancel: true, MaxAttempts: 3},
+		router.SafetyLimits{EventInterval: 1, SlowStartCapacity: 1, SlowStartOverload: 0})
+	var entries []router.Endpoint
+	for i := range engines {
+		entries = append(entries, router.Endpoint{Engine: router.EngineID(rune('A' + i)), Zone: "z"})
+	}
+	r.module.Step(r.now, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: entries}})
+	return r
+}
+
+// passIdleTime advances the time to the next event, if there is nothing to do now.
+func (r *overloadRun) passIdleTime() {
+	idle := math.Inf(1)
+	if r.nextArrival < r.end {
+		idle = r.nextArrival
+	}
+	if len(r.running) > 0 {
+		idle = min(idle, r.running[0].startedAt+overloadWork)
+	}
+	idle = min(idle, r.timerAt)
+	nothingToDo := len(r.queue) == 0 && r.attemptsStarted < overloadYieldAfter
+	if idle > r.now && nothingToDo {
+		r.now = idle
+	}
+}
+
+// takeArrivals puts the queries that have come into the queue.
+func (r *overloadRun) takeArrivals() {
+	spacing := r.AttemptTime / r.LoadFactor
+	for r.nextArrival <= r.now && r.nextArrival < r.end {
+		r.serial++
+		r.out.Queries++
+		if len(r.queue) >= overloadQueue {
+			r.out.Refused++
+			r.busy += r.RefusalTime
+		} else {
+			r.queue = append(r.queue, &pendingQuery{id: r.serial, arrivedAt: r.nextArrival})
+		}
+		r.nextArrival += r.rng.ExpFloat64() * spacing
+	}
+}
+
+// endAttempts are the events of attempts that engines have answered.
+func (r *overloadRun) endAttempts() (events []router.Event) {
+	for len(r.running) > 0 && r.running[0].startedAt+overloadWork <= r.now {
+		c := r.running[0]
+		r.running = r.running[1:]
+		event := router.AttemptEnded{ID: c.id, Elapsed: overloadWork, QueryDone: true}
+		if c.done { // it has its final answer already
+			event.Outcome = router.Cancelled
+		} else {
+			r.countAnswer(c)
+		}
+		events = append(events, event)
+	}
+	return events
+}
+
+// countAnswer answers a query with the result of its attempt.
+func (r *overloadRun) countAnswer(c *pendingQuery) {
+	r.answeredWait += r.finish(c, r.now)
+	if r.now-c.arrivedAt <= overloadObjective {
+		r.out.InTime++
+	} else {
+		r.out.Late++
+	}
+}
+
+// dequeue are the events of queries that the module learns of in this step.
+func (r *overloadRun) dequeue() (events []router.Event) {
+	room := overloadPerStep
+	if r.attemptsStarted >= overloadYieldAfter { // the module has more attempts to start first
+		room = 0
+	}
+	r.attemptsStarted = 0
+	for range min(room, len(r.queue)) {
+		c := r.queue[0]
+		r.queue = r.queue[1:]
+		waited := r.now - c.arrivedAt
+		event := router.QueryArrived{ID: c.id, Tenant: -1, TimeLeft: overloadTimeout - waited,
+			EstimatedWork: overloadWork}
+		if !r.WithoutArrivalWait {
+			event.ArrivalWait = waited
+		}
+		r.open[c.id] = c
+		events = append(events, event)
+	}
+	return events
+}
+
+func (r *overloadRun) carryOut(action router.Action) {
+	switch a := action.(type) {
+	case router.StartAttempt:
+		r.busy += r.AttemptTime
+		r.attemptsStarted++
+		if c := r.open[a.ID]; c != nil {
+			c.startedAt = r.now + r.busy
+			r.running = append(r.running, c)
+		}
+	case router.Reject:
+		r.busy += r.RejectionTime
+		if c := r.open[a.ID]; c != nil {
+			r.out.Rejected++
+			r.rejectedWait += r.finish(c, r.now+r.busy)
+		}
+	case router.Fail:
+		if c := r.open[a.ID]; c != nil {
+			r.out.Failed++
+			r.finish(c, r.now+r.busy)
+		}
+	case router.SetTimer:
+		r.timerAt = r.now + a.After
+	}
+}
+
+// finish gives a query its final answer, and returns how long it took, in ms.
+func (r *overloadRun) finish(c *pendingQuery, at float64) float64 {
+	c.done = true
+	delete(r.open, c.id)
+	if at > c.arrivedAt+overloadTimeout {
+		r.out.Missed++
+	}
+	r.out.LongestWait = max(r.out.LongestWait, at-c.arrivedAt)
+	return at - c.arrivedAt
+}
--- a/internal/lab/steps/ways_test.go
+++ b/internal/lab/steps/queue_test.go
@@ -11,7 +11,7 @@
 	tbtree "github.com/tidwall/btree"
 )
 
-// item stands for a held command.
+// item stands for a queued query.
 type item struct {
 	at float64
 	id uint32
@@ -20,8 +20,8 @@
 
 func order(a, b *item) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) }
 
-// held is what the module asks of its held commands.
-type held interface {
+// queue is what the module asks of its queued queries.
+type queue interface {
 	insert(*item)
 	remove(*item)
 	first(n int, visit func(*item))
@@ -60,14 +60,15 @@
 	s.t.Scan(func(x *item) bool { visit(x); n--; return n > 0 })
 }
 
-// What holding commands in order costs: one comes, one of the first goes, the first hundred are looked at.
-func BenchmarkHeld(b *testing.B) {
+// What a queue of queries in order costs: one comes, one of the first goes, the first hundred are
+// visited.
+func BenchmarkQueue(b *testing.B) {
 	less := func(x, y *item) bool { return order(x, y) < 0 }
 	for _, n := range []int{10, 1000, 100000} {
-		for name, newHeld := range map[string]func() held{
-			"slice":  func() held { return &asSlice{} },
-			"google": func() held { return &asGoogle{gbtree.NewG(32, less)} },
-			"tidwall": func() held {
+		for name, newHeld := range map[string]func() queue{
+			"slice":  func() queue { return &asSlice{} },
+			"google": func() queue { return &asGoogle{gbtree.NewG(32, less)} },
+			"tidwall": func() queue {
 				return &asTidwall{tbtree.NewBTreeGOptions(less, tbtree.Options{NoLocks: true, Degree: 32})}
 			},
 		} {
--- /dev/null
+++ b/internal/lab/steps/scenarios_test.go
@@ -0,0 +1,279 @@
+package steps
+
+import (
+	"fmt"
+	"math/rand"
+	"slices"
+	"testing"
+
+	"mintkeel/router"
+)
+
+// driver drives a module, and records its actions.
+type driver struct {
+	t           *testing.T
+	module      Module
+	now         float64
+	serial      router.QueryID
+	outstanding map[router.QueryID]router.EngineID // by its only attempt
+	finals      map[router.QueryID]int
+	attempts    []router.StartAttempt // in order
+}
+
+func newDriver(t *testing.T, newModule Make, classes []router.QueryClass,
+	limits router.SafetyLimits) *driver {
+	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
+	return &driver{t: t, now: 1e6, outstanding: map[router.QueryID]router.EngineID{},
+		finals: map[router.QueryID]int{},
+		module: newModule(1, router.Identity{Controllers: 1}, kinds, classes, nil,
+			router.Capabilities{Cancel: true, MaxAttempts: 3, RetryAfter: true,
+				MaxRetryAfter: 100}, limits)}
+}
+
+func (f *driver) step(after float64, events ...router.Event) {
+	f.now += after
+	for _, action := range f.module.Step(f.now, events) {
+		switch a := action.(type) {
+		case router.StartAttempt:
+			f.outstanding[a.ID] = a.Engine
+			f.attempts = append(f.attempts, a)
+		case router.Reject:
+			f.finals[a.ID]++
+		case router.Fail:
+			f.finals[a.ID]++
+		}
+	}
+}
+
+// answer ends an attempt with an answer.
+func (f *driver) answer(id router.QueryID) router.AttemptEnded {
+	delete(f.outstanding, id)
+	f.finals[id]++
+	return router.AttemptEnded{ID: id, QueryDone: true, Elapsed: 30,
+		Load: &router.LoadReport{Inflight: 3, Utilization: 0.4, Memory: 0.3, Disk: 0.1}}
+}
+
+func (f *driver) newQuery(p router.ClassID, tables int, left float64,
+	key string) router.QueryArrived {
+	f.serial++
+	return router.QueryArrived{ID: f.serial, Tenant: -1, Class: p, Tables: router.TableGroup(tables),
+		TimeLeft: left, EstimatedWork: 20,
+		Key: router.OrderingKey(key)}
+}
+
+// checkAnsweredOnce checks that each query had one final answer, and no more.
+func (f *driver) checkAnsweredOnce() {
+	f.t.Helper()
+	wrong := 0
+	for id := router.QueryID(1); id <= f.serial; id++ {
+		if f.finals[id] != 1 {
+			wrong++
+		}
+	}
+	if wrong > 0 {
+		f.t.Errorf("%d of %d queries did not get one final answer", wrong, f.serial)
+	}
+}
+
+// newEndpoints are n engines of two machine kinds.
+func newEndpoints(prefix string, n int, since float64,
+	state router.EngineState) (l []router.Endpoint) {
+	for i := range n {
+		l = append(l, router.Endpoint{Engine: router.EngineID(fmt.Sprintf("%s%04d", prefix, i)),
+			Zone: "z", Kind: router.KindID(i % 2),
+			StartedAt: since, State: state})
+	}
+	return l
+}
+
+var limits = router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4,
+	SlowStartWindow: 1000, OrderingCooldown: 100}
+
+// All engines drain at once and come back under new ids, warming up, while many queries are queued.
+// Before and after, module and reference take the same actions, nothing new starts on a draining
+// engine, and each query is answered once.
+func TestAllEnginesRestart(t *testing.T) {
+	const engines, queued = 60, 4000
+	f := newDriver(t, twin(t), Classes(3000), limits)
+	f.step(0, router.EndpointsUpdated{Complete: true,
+		Endpoints: newEndpoints("a", engines, 0, router.Ready)})
+	for range queued / 50 {
+		var events []router.Event
+		for i := range 50 {
+			events = append(events, f.newQuery(router.ClassID(i%4), i%20, 3000, ""))
+		}
+		f.step(2, events...)
+	}
+	f.step(1, router.EndpointsUpdated{Endpoints: newEndpoints("a", engines, 0, router.Draining)})
+	before := len(f.attempts)
+	f.step(200, router.EndpointsUpdated{Endpoints: newEndpoints("b", engines, f.now, router.Ready)})
+	for len(f.finals) < int(f.serial) && f.now < 1.02e6 {
+		var events []router.Event
+		for _, s := range f.attempts[max(0, len(f.attempts)-300):] { // the latest are answered
+			if _, out := f.outstanding[s.ID]; out && f.finals[s.ID] == 0 {
+				events = append(events, f.answer(s.ID))
+			}
+		}
+		f.step(20, events...)
+		for id, e := range f.outstanding { // attempts on drained engines never end: they are given up
+			if e[0] == 'a' && f.finals[id] == 1 {
+				delete(f.outstanding, id)
+			}
+		}
+	}
+	for _, s := range f.attempts[before:] {
+		if s.Engine[0] != 'b' {
+			t.Fatalf("%v started on a draining engine", s)
+		}
+	}
+	if len(f.attempts) == before {
+		t.Error("nothing started on the new engines")
+	}
+	f.checkAnsweredOnce()
+}
+
+// Many keys with an ordering queue each, and one key with a long queue: the order is kept, and the
+// queries in the queues are not searched at each step.
+func TestLongOrderingQueues(t *testing.T) {
+	for _, c := range []struct {
+		keys, queries, steps int
+		newModule            Make
+	}{{300, 1500, 400, twin(t)}, {1, 400, 400, twin(t)}, {20000, 20000, 300, module},
+		{1, 20000, 300, module}} {
+		classes := []router.QueryClass{{Effect: router.Idempotent, LatencyObjective: 1e6,
+			ClientTimeout: 1e6, Threads: 1, LateBenefit: 1, Ordered: true}}
+		f := newDriver(t, c.newModule, classes, limits)
+		f.step(0, router.EndpointsUpdated{Complete: true,
+			Endpoints: newEndpoints("a", 20, 0, router.Ready)})
+		keyOf := map[router.QueryID]int{}
+		for n := 0; n < c.queries; {
+			var events []router.Event
+			for range min(100, c.queries-n) {
+				key := n % c.keys
+				events = append(events, f.newQuery(0, n%7, 1e6, fmt.Sprint("k", key)))
+				keyOf[f.serial] = key
+				n++
+			}
+			f.step(1, events...)
+		}
+		last := map[int]router.QueryID{}
+		check := func(s router.StartAttempt) {
+			if key := keyOf[s.ID]; s.ID < last[key] {
+				t.Fatalf("%+v: %d of key %d started after %d", c, s.ID, key, last[key])
+			} else {
+				last[key] = s.ID
+			}
+		}
+		seen, rng := 0, rand.New(rand.NewSource(1))
+		for range c.steps {
+			for ; seen < len(f.attempts); seen++ {
+				check(f.attempts[seen])
+			}
+			running := map[int]bool{}
+			var ids []router.QueryID
+			for id := range f.outstanding {
+				if running[keyOf[id]] {
+					t.Fatalf("%+v: two of key %d are outstanding", c, keyOf[id])
+				}
+				running[keyOf[id]] = true
+				ids = append(ids, id)
+			}
+			slices.Sort(ids)
+			if len(ids) > 0 {
+				f.step(1, f.answer(ids[rng.Intn(len(ids))]))
+			}
+			f.step(1) // the next in a queue starts once the one before is forgotten
+		}
+		if len(f.attempts) < c.steps {
+			t.Errorf("%+v: %d attempts", c, len(f.attempts))
+		}
+	}
+}
+
+// Queries that no engine may run, with the earliest client timeouts, keep no others from being
+// started.
+func TestUnplaceableQueriesBlockNoOthers(t *testing.T) {
+	classes := Classes(5000)
+	classes[1].Kinds = []router.KindID{1}
+	f := newDriver(t, twin(t), classes, limits)
+	only := newEndpoints("a", 20, 0, router.Ready)
+	for i := range only {
+		only[i].Kind = 0
+	}
+	f.step(0, router.EndpointsUpdated{Complete: true, Endpoints: only})
+	for range 40 {
+		f.step(1, f.newQuery(1, 0, 1000, ""), f.newQuery(1, 1, 1000, ""))
+	}
+	for range 300 {
+		c := f.newQuery(0, int(f.serial)%5, 5000, "")
+		f.step(1, c)
+		if _, out := f.outstanding[c.ID]; !out {
+			t.Fatalf("%d was queued behind queries that no engine may run", c.ID)
+		}
+		f.step(1, f.answer(c.ID))
+	}
+	f.step(5000)
+	f.step(100)
+	f.checkAnsweredOnce()
+}
+
+// A hundred thousand client timeouts in one moment, with no engine there: all are answered in the
+// step that is due.
+func TestManyTimeouts(t *testing.T) {
+	f := newDriver(t, module, Classes(2000), limits)
+	for range 100 {
+		var events []router.Event
+		for i := range 1000 {
+			events = append(events,
+				f.newQuery(router.ClassID(i%4), i%50, 2000-(f.now-1e6), fmt.Sprint("k", i%100)))
+		}
+		f.step(0.1, events...)
+	}
+	f.step(2000 - (f.now - 1e6) - 4) // the last moment before a client gives up
+	f.checkAnsweredOnce()
+}
+
+// All kinds of events in one step, in any order: the same as the reference, and as another of the
+// same order.
+func TestAnyOrder(t *testing.T) {
+	play := func(newModule Make, seed int64) (all []router.StartAttempt) {
+		rng := rand.New(rand.NewSource(seed))
+		f := newDriver(t, newModule, Classes(4000), limits)
+		f.step(0, router.EndpointsUpdated{Complete: true,
+			Endpoints: newEndpoints("a", 30, 0, router.Ready)})
+		for range 40 {
+			var events []router.Event
+			for i := range rng.Intn(60) {
+				events = append(events,
+					f.newQuery(router.ClassID(rng.Intn(4)), rng.Intn(12), 500+3500*rng.Float64(),
+						fmt.Sprint("k", i%9)))
+			}
+			for id := range router.QueryID(300) { // also of some without an attempt
+				id = f.serial - id
+				if _, out := f.outstanding[id]; out && rng.Intn(3) == 0 {
+					events = append(events, f.answer(id))
+				} else if rng.Intn(40) == 0 {
+					events = append(events,
+						router.AttemptProgress{ID: id, Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()})
+				} else if rng.Intn(200) == 0 && f.finals[id] == 0 {
+					events = append(events, router.ClientDisconnected{ID: id})
+					f.finals[id]++
+					delete(f.outstanding, id)
+				}
+			}
+			if rng.Intn(3) == 0 {
+				states := []router.EngineState{router.Ready, router.Draining, router.Gone}
+				events = append(events,
+					router.EndpointsUpdated{Endpoints: newEndpoints("a", rng.Intn(30), 0, states[rng.Intn(3)])})
+			}
+			rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
+			f.step(10*rng.Float64(), events...)
+		}
+		return f.attempts
+	}
+	for seed := range int64(20) {
+		if a, b := play(twin(t), seed), play(module, seed); !slices.Equal(a, b) {
+			t.Errorf("seed %d: not the same twice", seed)
+		}
+	}
+}
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -1,6 +1,7 @@
-// Package steps measures what a step of the module costs by the size of what it decides on: engines, held commands,
-// table groups. It drives a module through its interface alone, in virtual time, and takes the processor's time of each
-// step. Figures are for ratios within one run.
+// Package steps measures what a step of the module costs by the size of what it decides on:
+// engines, queued queries, table groups. It drives a module through its interface alone, in virtual
+// time, and measures the processor time of each step. Figures are for ratios within one run.
+// overload.go measures a controller that gets more queries than it can decide on.
 package steps
 
 import (
@@ -20,94 +21,105 @@
 }
 
 // Make makes a module.
-type Make func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-	allowed router.Capabilities, guards router.SafetyLimits) Module
+type Make func(seed int64, place router.Identity, kinds []router.MachineKind,
+	classes []router.QueryClass, tenants []router.Tenant,
+	capabilities router.Capabilities, limits router.SafetyLimits) Module
 
 // Busy is how full the fleet is kept.
 type Busy int
 
 // How full the fleet may be kept.
 const (
-	Idle Busy = iota // one command out for every engine of ten
-	Half             // half of what engines take
-	Full             // all that they take, and commands held
+	Idle Busy = iota // one attempt in flight for every ten engines
+	Half             // half of what engines accept
+	Full             // all that they accept, and queries queued
 )
 
 func (b Busy) String() string { return [...]string{"idle", "busy", "full"}[b] }
 
 // Scene is what a module is put into.
 type Scene struct {
-	Engines, Held, Tables int
-	Busy                  Busy
-	Controllers           int // 0: one
-	Keys                  int // of commands in order; 0: none is
-	Seed                  int64
+	Engines, Queued, Tables int
+	Busy                    Busy
+	Controllers             int // 0: one
+	Keys                    int // ordering keys; 0: no query has one
+	Seed                    int64
 }
 
 // Costs are those of the steps of a scene, in microseconds.
 type Costs struct {
 	Median, P99, Longest float64
 	Allocations          float64 // for each step
-	Held                 int     // really
-	Bytes                float64 // of memory for each held command, with the books of the rig
-	Start                float64 // the longest step of a start with a full list
+	Queued               int     // queries queued in fact
+	Bytes                float64 // of memory for each queued query, with the state of the rig
+	Start                float64 // the longest step of a start with a complete endpoint list
 }
 
 const (
 	cores, memory = 16.0, 64000.0
-	spacing       = 2.0 // ms between steps: 500 commands a second
+	spacing       = 2.0 // ms between steps: 500 queries a second
 )
 
-// Profiles are those of a scene: lookups, reports that one kind alone takes, loads in order that hold their tables.
-func Profiles(longest float64) []router.QueryClass {
+// Classes are those of a scene: lookups, reports that one machine kind alone runs, ordered loads
+// that lock their tables, lookups that wait for locked tables. ClientTimeout is in ms.
+func Classes(longest float64) []router.QueryClass {
 	return []router.QueryClass{
-		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1, LateBenefit: 1},
-		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 4, LateBenefit: 1, Kinds: []router.KindID{1}},
-		{Effect: router.Deduplicated, DeduplicationWindow: 60000, LatencyObjective: 2000, ClientTimeout: longest, Threads: 2, LateBenefit: 1, Ordered: true,
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1,
+			LateBenefit: 1},
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 4,
+			LateBenefit: 1, Kinds: []router.KindID{1}},
+		{Effect: router.Deduplicated, DeduplicationWindow: 60000, LatencyObjective: 2000,
+			ClientTimeout: longest, Threads: 2, LateBenefit: 1, Ordered: true,
 			LocksTables: true},
-		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1, LateBenefit: 1, WaitsForTables: true}}
+		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1,
+			LateBenefit: 1, WaitsForTables: true}}
 }
 
-// Rig is a module in a scene, with the world's side of it.
+// Rig is a module in a scene, with the state of its engines and queries.
 type Rig struct {
 	Scene
-	m              Module
-	rng            *rand.Rand
-	now            float64
-	serial         router.QueryID
-	out            []sent
-	held           map[router.QueryID]bool
-	sends          map[router.QueryID]int
-	loads          map[router.EngineID]int
-	wake           float64
-	events         []router.Event
-	longest, start float64 // step so far, and until the fleet had been listed, all table groups met and packs made
-	empty          uint64  // bytes of memory before commands were held
+	module        Module
+	rng           *rand.Rand
+	now           float64
+	serial        router.QueryID
+	outstanding   []attempt
+	queued        map[router.QueryID]bool
+	attemptCounts map[router.QueryID]int
+	inFlight      map[router.EngineID]int
+	timerAt       float64
+	events        []router.Event
+	// step so far; and until all engines were listed and all table groups packed
+	longest, longestAtStart float64
+	emptyHeap               uint64 // bytes of heap before queries were queued
 }
 
-type sent struct {
+type attempt struct {
 	id     router.QueryID
-	send   router.AttemptID
+	number router.AttemptID
 	engine router.EngineID
 }
 
 // New fills a scene.
 func New(s Scene, newModule Make) *Rig {
 	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
-	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6, held: map[router.QueryID]bool{},
-		sends: map[router.QueryID]int{}, loads: map[router.EngineID]int{}, wake: math.Inf(1)}
-	g.m = newModule(s.Seed, router.Identity{Controllers: max(1, s.Controllers)}, kinds, Profiles(1e7), nil,
+	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6,
+		queued:        map[router.QueryID]bool{},
+		attemptCounts: map[router.QueryID]int{}, inFlight: map[router.EngineID]int{},
+		timerAt: math.Inf(1)}
+	g.module = newModule(s.Seed, router.Identity{Controllers: max(1, s.Controllers)}, kinds,
+		Classes(1e7), nil,
 		router.Capabilities{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 500},
-		router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4, SlowStartWindow: 1500, OrderingCooldown: 300})
-	g.step(router.EndpointsUpdated{Complete: true, Endpoints: g.entries()})
-	for t := range s.Tables { // all are known before anything is packed
+		router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4,
+			SlowStartWindow: 1500, OrderingCooldown: 300})
+	g.step(router.EndpointsUpdated{Complete: true, Endpoints: g.endpoints()})
+	for t := range s.Tables { // all are known before they are packed
 		g.arrive(router.TableGroup(t))
 		if t%64 == 63 {
-			g.settle(1)
+			g.pass(1)
 		}
 	}
-	g.settle(2200)
-	g.start = g.longest
+	g.pass(2200)
+	g.longestAtStart = g.longest
 	want := s.Engines / 10
 	switch s.Busy {
 	case Half:
@@ -118,33 +130,36 @@
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	g.empty = before.HeapAlloc
-	for range 20 { // what is held goes when engines are found to bear more
-		if g.enough(want) {
+	g.emptyHeap = before.HeapAlloc
+	for range 20 { // queued queries start when engines are found to bear more
+		if g.isFull(want) {
 			break
 		}
-		for n := 0; !g.enough(want) && n < 64*s.Engines+2*s.Held; n++ { // with others beside it, it may never be allowed as much
+		// beside other controllers it may never be capabilities as much
+		for n := 0; !g.isFull(want) && n < 64*s.Engines+2*s.Queued; n++ {
 			g.arrive(-1)
 			if g.serial%16 == 0 {
-				g.settle(0.01)
+				g.pass(0.01)
 			}
 		}
-		g.settle(60)
+		g.pass(60)
 	}
 	return g
 }
 
-// enough tells whether so many are out or, where all engines are to be full, enough are held.
-func (g *Rig) enough(want int) bool {
+// isFull reports whether so many attempts are in flight or, in a full fleet, enough queries are
+// queued.
+func (g *Rig) isFull(want int) bool {
 	if g.Busy == Full {
-		return len(g.held) >= g.Held
+		return len(g.queued) >= g.Queued
 	}
-	return len(g.out) >= want
+	return len(g.outstanding) >= want
 }
 
-func (g *Rig) entries() (list []router.Endpoint) {
+func (g *Rig) endpoints() (list []router.Endpoint) {
 	for i := range g.Engines {
-		list = append(list, router.Endpoint{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Zone: "z", Kind: router.KindID(i % 2)})
+		list = append(list, router.Endpoint{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Zone: "z",
+			Kind: router.KindID(i % 2)})
 	}
 	return list
 }
@@ -163,50 +178,55 @@
 	case x < 7:
 		p = 3
 	}
-	ev := router.QueryArrived{ID: g.serial, Tenant: -1, Class: p, Tables: tables, TimeLeft: 1e7 - g.rng.Float64()*1e6,
+	ev := router.QueryArrived{ID: g.serial, Tenant: -1, Class: p, Tables: tables,
+		TimeLeft:      1e7 - g.rng.Float64()*1e6,
 		EstimatedWork: 20 + 60*g.rng.Float64(), EstimatedMemoryMB: 10 + 50*g.rng.Float64()}
 	if g.Keys > 0 {
 		ev.Key = router.OrderingKey(fmt.Sprint("k", g.rng.Intn(g.Keys)))
 	}
-	g.held[g.serial] = true
+	g.queued[g.serial] = true
 	g.events = append(g.events, ev)
 }
 
-// end has a command that is out answered, with a report.
-func (g *Rig) end() {
-	if len(g.out) == 0 {
+// answerOne ends a random attempt in flight with an answer and a load report.
+func (g *Rig) answerOne() {
+	if len(g.outstanding) == 0 {
 		return
 	}
-	i := g.rng.Intn(len(g.out))
-	s := g.out[i]
-	g.out[i] = g.out[len(g.out)-1]
-	g.out = g.out[:len(g.out)-1]
-	g.loads[s.engine]--
-	delete(g.sends, s.id)
-	g.events = append(g.events, router.AttemptEnded{ID: s.id, Attempt: s.send, QueryDone: true, Elapsed: 20 + 40*g.rng.Float64(),
-		Load: &router.LoadReport{Inflight: float64(g.loads[s.engine]), Utilization: min(1, float64(g.loads[s.engine])/cores), Memory: 0.5, Disk: 0.1}})
+	i := g.rng.Intn(len(g.outstanding))
+	s := g.outstanding[i]
+	g.outstanding[i] = g.outstanding[len(g.outstanding)-1]
+	g.outstanding = g.outstanding[:len(g.outstanding)-1]
+	g.inFlight[s.engine]--
+	delete(g.attemptCounts, s.id)
+	g.events = append(g.events,
+		router.AttemptEnded{ID: s.id, Attempt: s.number, QueryDone: true,
+			Elapsed: 20 + 40*g.rng.Float64(),
+			Load: &router.LoadReport{Inflight: float64(g.inFlight[s.engine]),
+				Utilization: min(1, float64(g.inFlight[s.engine])/cores), Memory: 0.5, Disk: 0.1}})
 }
 
-// step hands events over and returns what the step cost, in microseconds.
+// step has the module decide on events, and returns the duration in microseconds.
 func (g *Rig) step(events ...router.Event) float64 {
 	g.events = append(g.events, events...)
 	began := time.Now()
-	actions := g.m.Step(g.now, g.events)
+	actions := g.module.Step(g.now, g.events)
 	took := time.Since(began)
 	g.events = g.events[:0]
 	for _, action := range actions {
 		switch a := action.(type) {
 		case router.StartAttempt:
-			g.out = append(g.out, sent{a.ID, router.AttemptID(g.sends[a.ID]), a.Engine})
-			g.sends[a.ID]++
-			g.loads[a.Engine]++
-			delete(g.held, a.ID)
+			g.outstanding = append(g.outstanding,
+				attempt{a.ID, router.AttemptID(g.attemptCounts[a.ID]), a.Engine})
+			g.attemptCounts[a.ID]++
+			g.inFlight[a.Engine]++
+			delete(g.queued, a.ID)
 		case router.Reject:
-			delete(g.held, a.ID)
+			delete(g.queued, a.ID)
 		case router.Fail:
-			delete(g.held, a.ID)
+			delete(g.queued, a.ID)
 		case router.SetTimer:
-			g.wake = g.now + a.After
+			g.timerAt = g.now + a.After
 		}
 	}
 	cost := float64(took) / 1e3
@@ -214,40 +234,42 @@
 	return cost
 }
 
-// settle lets time pass, with the steps that the module asks for.
-func (g *Rig) settle(ms float64) {
+// pass lets some ms pass, with the steps that the module sets its timer for.
+func (g *Rig) pass(ms float64) {
 	for end := g.now + ms; g.now < end; {
-		g.now = min(end, max(g.now+0.001, g.wake))
-		g.wake = math.Inf(1)
+		g.now = min(end, max(g.now+0.001, g.timerAt))
+		g.timerAt = math.Inf(1)
 		g.step()
 	}
 }
 
-// Run takes n steps, of one arrival and one answer each, and tells their costs.
+// Run takes n steps, of one arrival and one answer each, and returns their costs.
 func (g *Rig) Run(n int) Costs {
 	costs := make([]float64, 0, n)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	bytes := float64(before.HeapAlloc-min(before.HeapAlloc, g.empty)) / float64(max(1, len(g.held)))
+	bytes := float64(before.HeapAlloc-min(before.HeapAlloc, g.emptyHeap)) / float64(max(1,
+		len(g.queued)))
 	for range n {
 		g.Advance()
-		costs = append(costs, g.One())
+		costs = append(costs, g.StepOnce())
 	}
 	runtime.ReadMemStats(&after)
 	slices.Sort(costs)
 	return Costs{Median: costs[n/2], P99: costs[n*99/100], Longest: costs[n-1],
-		Allocations: float64(after.Mallocs-before.Mallocs) / float64(n), Held: len(g.held), Bytes: bytes, Start: g.start}
+		Allocations: float64(after.Mallocs-before.Mallocs) / float64(n), Queued: len(g.queued),
+		Bytes: bytes, Start: g.longestAtStart}
 }
 
 // Advance lets the usual time between two steps pass.
 func (g *Rig) Advance() { g.now += spacing }
 
-// One is one step of one arrival and one answer.
-func (g *Rig) One() float64 {
-	g.end()
+// StepOnce takes one step, of one arrival and one answer, and returns its duration in microseconds.
+func (g *Rig) StepOnce() float64 {
+	g.answerOne()
 	g.arrive(-1)
-	if g.Busy == Full && len(g.held) <= g.Held { // engines bear more by now
+	if g.Busy == Full && len(g.queued) <= g.Queued { // engines run more by now
 		g.arrive(-1)
 	}
 	return g.step()
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -8,25 +8,26 @@
 	"mintkeel/router"
 )
 
-func module(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-	allowed router.Capabilities, guards router.SafetyLimits) Module {
-	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
+func module(seed int64, place router.Identity, kinds []router.MachineKind,
+	classes []router.QueryClass, tenants []router.Tenant,
+	capabilities router.Capabilities, limits router.SafetyLimits) Module {
+	return router.New(seed, place, kinds, classes, tenants, capabilities, limits)
 }
 
 // A step by the size of what it decides on.
 func BenchmarkStep(b *testing.B) {
 	for _, busy := range []Busy{Idle, Half, Full} {
 		for _, engines := range []int{10, 100, 1000} {
-			for _, held := range []int{10, 1000, 100000} {
-				if busy != Full && held > 10 {
+			for _, queued := range []int{10, 1000, 100000} {
+				if busy != Full && queued > 10 {
 					continue
 				}
-				b.Run(fmt.Sprintf("%v/engines=%d/held=%d", busy, engines, held), func(b *testing.B) {
-					g := New(Scene{Engines: engines, Held: held, Tables: 10, Busy: busy}, module)
+				b.Run(fmt.Sprintf("%v/engines=%d/queued=%d", busy, engines, queued), func(b *testing.B) {
+					g := New(Scene{Engines: engines, Queued: queued, Tables: 10, Busy: busy}, module)
 					b.ReportAllocs()
 					for b.Loop() {
 						g.now += spacing
-						g.One()
+						g.StepOnce()
 					}
 				})
 			}
@@ -34,11 +35,12 @@
 	}
 }
 
-// twin steps module and reference, and tells where they part.
+// twin steps module and reference, and reports where they differ.
 func twin(t *testing.T) Make {
-	return func(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-		allowed router.Capabilities, guards router.SafetyLimits) Module {
-		m := reference.NewTwin(seed, place, kinds, profiles, tenants, allowed, guards)
+	return func(seed int64, place router.Identity, kinds []router.MachineKind,
+		classes []router.QueryClass, tenants []router.Tenant,
+		capabilities router.Capabilities, limits router.SafetyLimits) Module {
+		m := reference.NewTwin(seed, place, kinds, classes, tenants, capabilities, limits)
 		m.Differs = func(step int, now float64, _ []router.Event, module, old []router.Action) {
 			t.Errorf("step %d at %v: %s", step, now, reference.Difference(module, old))
 		}
@@ -46,12 +48,13 @@
 	}
 }
 
-// In full fleets the module orders what the reference does: with few engines and many, with keys, beside others.
+// In full fleets the module takes the actions of the reference: with few engines and many, with
+// ordering keys, beside other controllers.
 func TestAsReference(t *testing.T) {
 	for _, s := range []Scene{
-		{Engines: 10, Held: 400, Tables: 10, Busy: Full},
-		{Engines: 60, Held: 200, Tables: 30, Busy: Full, Keys: 20},
-		{Engines: 40, Held: 200, Tables: 5, Busy: Full, Controllers: 5},
+		{Engines: 10, Queued: 400, Tables: 10, Busy: Full},
+		{Engines: 60, Queued: 200, Tables: 30, Busy: Full, Keys: 20},
+		{Engines: 40, Queued: 200, Tables: 5, Busy: Full, Controllers: 5},
 		{Engines: 60, Tables: 20, Busy: Half, Keys: 5},
 		{Engines: 120, Tables: 3, Busy: Idle},
 		{Engines: 200, Tables: 2, Busy: Idle, Controllers: 3},
@@ -64,22 +67,26 @@
 	}
 }
 
-// However much more comes than can be decided, each command that was taken is answered before its client gives up, and
-// most of what can be decided is answered in time. A module that is not told of the waits answers late.
-func TestPressed(t *testing.T) {
-	for _, c := range []struct{ times, decide, least, blind float64 }{ // of what could be answered, without refusing any
-		{0.5, 0.05, 1, 1}, {1, 0.05, 0.99, 1}, {2, 0.05, 0.85, 1}, {5, 0.05, 0.75, 1}, {20, 0.05, 0.45, 1},
+// However many more queries come than can be decided, each accepted one is answered before its
+// client timeout, and most of what can be decided is answered in time. A module that does not learn
+// of the waits answers late.
+func TestOverload(t *testing.T) {
+	// shares of what could be answered
+	for _, c := range []struct{ times, decide, least, blind float64 }{
+		{0.5, 0.05, 1, 1}, {1, 0.05, 0.99, 1}, {2, 0.05, 0.85, 1}, {5, 0.05, 0.75, 1},
+		{20, 0.05, 0.45, 1},
 		{1.2, 0.2, 0.75, 0.3}, {2, 0.2, 0.6, 0.2}, {5, 0.2, 0.4, 0.2},
 	} {
-		p := Pressed{Seed: 1, Times: c.times, Decide: c.decide, Away: c.decide / 10, Refused: c.decide / 50, Length: c.decide * 20000}
+		p := Overload{Seed: 1, LoadFactor: c.times, AttemptTime: c.decide, RejectionTime: c.decide / 10,
+			RefusalTime: c.decide / 50, Length: c.decide * 20000}
 		out := p.Play(module)
-		could := min(float64(out.Commands), p.Length/p.Decide)
+		could := min(float64(out.Queries), p.Length/p.AttemptTime)
 		if out.Missed > 0 || out.Failed > 0 || float64(out.InTime) < c.least*could {
 			t.Errorf("%+v: %+v, of %g", c, out, could)
 		}
-		p.Blind = true
+		p.WithoutArrivalWait = true
 		if out := p.Play(module); float64(out.InTime) > c.blind*could*1.05 {
-			t.Errorf("%+v, not told of waits: %+v, of %g", c, out, could)
+			t.Errorf("%+v, without arrival waits: %+v, of %g", c, out, could)
 		}
 	}
 }
