--- a/router/assignment.go
+++ b/router/assignment.go
@@ -102,7 +102,7 @@
 		pool := pools[top.index]
 		pool.targetCount++
 		top.demandPerEngine = pool.demandPerEngine()
-		neediest.sink(0)
+		neediest.siftDown(0)
 	}
 }
 
--- a/router/periodic.go
+++ b/router/periodic.go
@@ -16,6 +16,6 @@
 	r.pollEndpoints()
 	r.refreshEngines()
 	r.updateAllBounds()
-	r.forgetOrderingQueues()
-	r.forgetEngines()
+	r.removeIdleOrderingQueues()
+	r.removeGoneEngines()
 }
--- a/router/statistics_test.go
+++ b/router/statistics_test.go
@@ -55,8 +55,8 @@
 		t.Fatalf("%+v", whole)
 	}
 	for _, limit := range []int{1, 2, 3, 7} {
-		if some, parts := exportAll(tr.r, limit); fmt.Sprint(some) != fmt.Sprint(whole) || parts < 13/limit {
-			t.Errorf("in %d parts of %d: %+v", parts, limit, some)
+		if inParts, parts := exportAll(tr.r, limit); fmt.Sprint(inParts) != fmt.Sprint(whole) || parts < 13/limit {
+			t.Errorf("in %d parts of %d: %+v", parts, limit, inParts)
 		}
 	}
 	for _, e := range whole.Engines {
