--- a/router/alarms.go
+++ b/router/alarms.go
@@ -2,35 +2,35 @@
 
 import "math"
 
-// minTimer is the shortest time in ms that a timer is set to.
+// minTimer is the shortest delay, in ms, of a SetTimer action.
 const minTimer = 0.001
 
-// timers are the times at which the module has something to do without an event.
+// timers holds the times at which the module has work to do without an event.
 type timers struct {
 	alarms     heap[alarm] // of single queries
 	periodicAt float64     // ms, when runPeriodic is due
-	timerAt    float64     // ms, for which the caller was last asked to set its timer
+	timerAt    float64     // ms, when the timer of the last SetTimer fires
 }
 
-// alarm is a time at which a query must be looked at.
+// alarm is a time at which a query must be examined.
 type alarm struct {
 	at    float64 // ms
 	query *query
 }
 
-// byAlarmTime orders alarms by time, and by query id where that is the same.
+// byAlarmTime orders alarms by time, and alarms of equal time by query id.
 func byAlarmTime(a, b *alarm) bool {
 	return a.at < b.at || a.at == b.at && a.query.id < b.query.id
 }
 
-// setAlarm has checkQuery look at q at some time; +Inf: never.
+// setAlarm schedules a checkQuery of q for a time (ms); +Inf: never.
 func (r *Router) setAlarm(at float64, q *query) {
 	if !math.IsInf(at, 1) {
 		r.timers.alarms.push(alarm{at, q})
 	}
 }
 
-// popDueQuery takes out the next query with an alarm that is due; nil: there is none.
+// popDueQuery removes the earliest alarm if it is due, and returns its query; nil: no alarm is due.
 func (r *Router) popDueQuery() *query {
 	if r.nextAlarmAt() > r.now {
 		return nil
@@ -46,7 +46,8 @@
 	return r.timers.alarms.list[0].at
 }
 
-// appendTimer asks for the next step if the timer that was set last has fired or is too late.
+// appendTimer appends a SetTimer for the next step if the last timer has fired or would fire too
+// late.
 func (r *Router) appendTimer(actions []Action) []Action {
 	at := min(r.timers.periodicAt, r.nextAlarmAt())
 	if r.timers.timerAt > r.now && at >= r.timers.timerAt {
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -2,16 +2,16 @@
 
 // backoff is an exponential backoff: the wait between tries doubles with each failure and halves
 // with each success. A try that started before the last change of the wait does not change it
-// again, so that many tries that fail together count once.
+// again, so concurrent tries that fail together count once.
 type backoff struct {
 	changedAt   float64 // ms, of the last change of wait
-	until       float64 // ms, before which nothing is tried
-	wait        float64 // ms; 0: there is none
+	until       float64 // ms, the earliest time of the next try
+	wait        float64 // ms; 0: no backoff
 	lastFailed  bool    // the last try failed
 	succeededAt float64 // ms, of the last success
 }
 
-// increase records the failure of a try that started at some time.
+// increase records the failure of a try that started at startedAt (ms).
 func (b *backoff) increase(now, startedAt, minWait, maxWait float64) {
 	if startedAt < b.changedAt {
 		return
@@ -21,8 +21,8 @@
 	b.until = now + b.wait
 }
 
-// decrease records the success of a try that started at some time. A wait below minWait becomes
-// none.
+// decrease records the success of a try that started at startedAt (ms). A wait that falls below
+// minWait ends the backoff.
 func (b *backoff) decrease(now, startedAt, minWait float64) {
 	b.succeededAt = now
 	if b.wait <= 0 || startedAt < b.changedAt {
@@ -36,14 +36,15 @@
 	b.until = startedAt + b.wait
 }
 
-// recordStart records that a try starts: it is the only one until the wait is over or it succeeds.
+// recordStart records that a try starts, and blocks further ones until the wait is over or this one
+// succeeds.
 func (b *backoff) recordStart(now float64) {
 	if b.wait > 0 {
 		b.until = now + b.wait
 	}
 }
 
-// succeededSince reports whether the last try succeeded, after some time.
+// succeededSince reports whether the last try succeeded, and did so after a time (ms).
 func (b *backoff) succeededSince(since float64) bool {
 	return !b.lastFailed && b.succeededAt > since
 }
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -5,39 +5,41 @@
 	"slices"
 )
 
-// candidateList remembers, for one list of engines, what searches for many queries would find
-// again: which engines may have capacity, for the rest of the step, and the order of engines by
-// affinity, while the list is the same.
+// candidateList caches, for one list of engines, what searches for different queries have in
+// common: which engines may have capacity, for the rest of the step, and the order of the engines
+// by affinity, until the topology changes.
 type candidateList struct {
-	step             uint64    // in which engines was made
+	step             uint64    // in which engines was computed
 	engines          []*engine // that may have capacity
 	noCapacityAtStep []uint64  // by class index: the last step in which no engine had capacity for it
 
-	topologyVersion int // for which affinityOrders were made
+	topologyVersion int // for which affinityOrders was computed
 	affinityOrders  map[*tableGroup]*affinityOrder
-	affinityEntries int // size of affinityOrders, in entries
+	affinityEntries int // estimated size of affinityOrders, in entries of 4 bytes
 }
 
 // affinityOrder is the order of a list's engines by their affinity for one table group.
 type affinityOrder struct {
-	uses  int     // searches for the group
-	order []int32 // indexes of the engines, most affinity first; nil: not made yet
+	uses  int     // number of searches for the group
+	order []int32 // indexes of the engines, highest affinity first; nil: not computed yet
 }
 
 const (
-	// minQueuedForList is the number of queued queries from which a list of the engines that may have
-	// capacity is made: it pays only if several queries use it in one step.
+	// minQueuedForList is the number of queued queries from which the list of engines that may have
+	// capacity is computed. The list pays off only if several queries use it in one step.
 	minQueuedForList = 4
-	// minEnginesForAffinityOrder is the number of engines from which an order by affinity is made.
+	// minEnginesForAffinityOrder is the number of engines from which their order by affinity is
+	// cached.
 	minEnginesForAffinityOrder = 64
-	// minUsesForAffinityOrder is how many searches for a table group come before an order is made for
-	// it.
+	// minUsesForAffinityOrder is the number of searches for a table group from which its order is
+	// computed.
 	minUsesForAffinityOrder = 8
-	// maxAffinityEntries is the size of affinityOrders, in entries of 4 bytes, above which all are
-	// dropped.
+	// maxAffinityEntries is the size of affinityOrders, in entries of 4 bytes, above which the whole
+	// cache is dropped.
 	maxAffinityEntries = 200000
-	// affinityEntriesPerGroup is what a table group counts for without its order. Clients can name any
-	// number of groups that don't exist, so the mere count of searches must be limited too.
+	// affinityEntriesPerGroup is the number of entries that a table group counts as, besides its
+	// order. Clients can name any number of groups that don't exist, so groups that have only a count
+	// of searches must be bounded too.
 	affinityEntriesPerGroup = 64
 )
 
@@ -61,14 +63,14 @@
 	return list.engines
 }
 
-// knownWithoutCapacity reports whether a search of this step has found that no engine of the list
-// has capacity for a class.
+// knownWithoutCapacity reports whether a search in this step has found no engine of the list with
+// capacity for a class.
 func (r *Router) knownWithoutCapacity(list *candidateList, class *queryClass) bool {
 	return class.index < len(list.noCapacityAtStep) &&
 		list.noCapacityAtStep[class.index] == r.stepCount
 }
 
-// markWithoutCapacity remembers for this step that no engine of the list has capacity for a class.
+// markWithoutCapacity records for this step that no engine of the list has capacity for a class.
 func (r *Router) markWithoutCapacity(list *candidateList, class *queryClass) {
 	if list.noCapacityAtStep == nil {
 		list.noCapacityAtStep = make([]uint64, len(r.classes))
@@ -76,8 +78,8 @@
 	list.noCapacityAtStep[class.index] = r.stepCount
 }
 
-// knownWithoutCapacityFor reports whether searches of this step have found that no engine at all
-// has capacity for the class of q, neither in the pools of its table group nor elsewhere.
+// knownWithoutCapacityFor reports whether searches in this step have found no engine with capacity
+// for the class of q, neither in the pools of its table group nor elsewhere.
 func (r *Router) knownWithoutCapacityFor(q *query) bool {
 	if !r.knownWithoutCapacity(&r.search.candidates, q.class) {
 		return false
@@ -91,9 +93,10 @@
 	return true
 }
 
-// unrestricted reports whether nothing but its class and table group limits the engines of q: only
-// then does a search in vain for q say something about other queries. A query with an estimate
-// above the usual may be too large for a warming engine that takes others.
+// unrestricted reports whether only its class and table group limit the engines of q: only then
+// does the result of a search that finds no engine hold for other queries of its class too. A query
+// with an estimate above the usual work of its class may be too large for a warming engine that
+// still takes others.
 func (r *Router) unrestricted(q *query) bool {
 	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.usualWork(r.now) {
 		return false
@@ -104,8 +107,8 @@
 	return q.unresolved == nil || q.class.Effect == Idempotent
 }
 
-// affinityOrderOf is the order of a list's engines by their affinity for a table group; nil: there
-// are too few engines, or searches for the group, for an order to be cached.
+// affinityOrderOf returns the order of a list's engines by their affinity for a table group; nil:
+// there are too few engines, or too few searches for the group, to cache one.
 func (r *Router) affinityOrderOf(list *candidateList, g *tableGroup, engines []*engine) []int32 {
 	if len(engines) < minEnginesForAffinityOrder {
 		return nil
@@ -133,7 +136,8 @@
 	return entry.order
 }
 
-// orderByAffinity returns the indexes of engines by their affinity for a table group, most first.
+// orderByAffinity returns the indexes of engines by their affinity for a table group, highest
+// first.
 func orderByAffinity(g *tableGroup, engines []*engine) []int32 {
 	order := make([]int32, 0, len(engines))
 	for i := range engines {
--- a/router/class.go
+++ b/router/class.go
@@ -1,16 +1,16 @@
 package router
 
-// queryClass is a configured QueryClass with what was learned of its queries.
+// queryClass is a configured QueryClass with the statistics of its queries.
 type queryClass struct {
 	QueryClass
 	index int // its ClassID
 
-	// firstTryTimeout is the time in ms that a first try leaves until its client gives up: a slowly
-	// decaying maximum.
+	// firstTryTimeout is the time in ms that clients allow for a first try, as a slowly decaying
+	// maximum.
 	firstTryTimeout float64
 
-	// bestUnitTime is the time in ms per unit of work on an idle engine: the least recent mean of
-	// unitTime. 0: not known.
+	// bestUnitTime is the time in ms per unit of work on an idle engine: the lowest mean that unitTime
+	// has had, raised a little with each answer (bestUnitTimeDrift). 0: not known.
 	bestUnitTime float64
 
 	unitTime    decayedMean // ms per unit of work, see workUnits
@@ -19,15 +19,15 @@
 	workScale   decayedMean // true work over estimated work
 	memoryScale decayedMean // true memory over estimated memory
 
-	// unconfirmedSince, in ms, is when bestUnitTime and the scales were restored from an earlier run
-	// or, if later, when the last answer came; 0: they are this run's own.
+	// unconfirmedSince (ms) is when bestUnitTime and the scales were restored from an earlier run or,
+	// if later, when the last answer came; 0: no restored values are in use.
 	unconfirmedSince float64
 
 	shedWatch  shedWatch
 	worthCache worthCache
 }
 
-// newQueryClass returns the state of the class at an index of the list given to New.
+// newQueryClass returns the initial state of the class at an index of the list given to New.
 func newQueryClass(index int, class QueryClass) *queryClass {
 	return &queryClass{
 		QueryClass:  class,
@@ -41,7 +41,7 @@
 	}
 }
 
-// tenant is a configured Tenant with the queries that it sends here.
+// tenant is a configured Tenant with the rate of queries that it sends to this controller.
 type tenant struct {
 	Tenant
 	queries decayedMean // its rate is queries per ms
--- a/router/engine.go
+++ b/router/engine.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// engine is an engine of the endpoint list, or one that has left it while the outcome of an attempt
-// or of a health check is waited for.
+// engine is an engine of the endpoint list, or one that has left the list while it has an awaited
+// attempt or an outstanding health check.
 type engine struct {
-	// What a search over engines reads first, so that it lies close together.
+	// Fields that a search over engines reads first, adjacent in memory for the cache.
 	idHash   uint64 // of id
 	bounds   searchBounds
-	attempts int     // of this controller, with an outcome that is waited for
-	threads  float64 // that these attempts use
+	attempts int     // awaited attempts of this controller
+	threads  float64 // threads that these attempts use
 
-	// What the endpoint list says of it.
+	// From the endpoint list.
 	id        EngineID
 	state     EngineState
 	zone      Zone
@@ -25,47 +25,47 @@
 	startedAt float64 // ms, of its process; -Inf: long ago
 	cores     float64
 
-	// Table locks on it.
+	// Table locks on the engine.
 	tableLocks        map[*tableGroup]int     // attempts of this controller that lock the group
-	tablesLockedUntil map[*tableGroup]float64 // ms, until which a progress message of a lock counts
+	tablesLockedUntil map[*tableGroup]float64 // ms, until which a reported lock counts as held
 
-	// What its load reports say.
+	// From its load reports.
 	othersInflight decayedMean // queries of other controllers in flight
 	utilization    decayedMean // busy cores over all cores
 	disk           decayedMean // share of its disks that is busy
-	memoryGranted  float64     // share of its memory that is granted, by the last report
-	reportedAt     float64     // ms, of the last report; 0: there is none
+	memoryGranted  float64     // granted share of its memory in the last report
+	reportedAt     float64     // ms, of the last report; 0: none has come
 
-	// How attempts of this controller do on it.
+	// Learned from this controller's attempts on it.
 	slowdown       decayedMean // run time over the time on an idle engine
-	threadsPerCore float64     // concurrency limit of all controllers together, as this one sees it
-	limitCutAt     float64     // ms, when that limit was last cut because the engine was slow
-	outcomes       uint64      // a bit for each attempt and health check, the last lowest; 1: success
+	threadsPerCore float64     // concurrency limit of all controllers together, as estimated here
+	limitCutAt     float64     // ms, when that limit was last cut for slowness
+	outcomes       uint64      // a bit per attempt and health check, the latest lowest; 1: success
 	succeededAt    float64     // ms, of the last success of any class
 	classBackoffs  []backoff   // by class index
 	slowStartWork  slidingWindow
 
-	// Trials while it is not healthy, and health checks.
-	trialAt        float64 // ms, from which it may get a trial attempt
-	trialWait      float64 // ms, from the next failure until a trial
-	checkingHealth bool    // a health check is outstanding
+	// Trial attempts while it is unhealthy, and health checks.
+	trialAt        float64 // ms, the earliest time of the next trial attempt
+	trialWait      float64 // ms, from the next failure to the trial after it
+	checkingHealth bool    // a health check has no result yet
 	healthCheckAt  float64 // ms, when the next health check is due
 
-	// What rule 3 goes by while the endpoint list has expired.
-	answeredStartAt  float64 // ms, the latest start of an attempt that it answered
-	connectionLostAt float64 // ms, of the last connection failure; -Inf: none since its last answer
+	// Evidence for rule 3 while the endpoint list has expired.
+	answeredStartAt  float64 // ms, the latest start among the attempts that succeeded on it
+	connectionLostAt float64 // ms, of the last connection failure; 0, or -Inf after a success: none
 
-	pool *enginePool // that it is in; nil: none
+	pool *enginePool // the pool it belongs to; nil: none
 
-	// Scratch values while engines are assigned to pools.
-	markedPool *enginePool // the pool that is marked, if this engine is in it
-	affinity   float64     // to the pool that gets engines
+	// Scratch values for the assignment of engines to pools.
+	markedPool *enginePool // the marked pool, if this engine is in it
+	affinity   float64     // to the pool that engines are chosen for
 }
 
-// allSucceeded are the outcomes that a new engine starts with.
+// allSucceeded is the initial engine.outcomes: a new engine counts as healthy.
 const allSucceeded = math.MaxUint64
 
-// newEngine returns an engine of which nothing is known yet, for a number of query classes.
+// newEngine returns an engine without statistics, for a number of query classes.
 func newEngine(id EngineID, classes int) *engine {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
@@ -80,7 +80,7 @@
 	return e
 }
 
-// resetStatistics forgets what was learned of an engine's earlier process.
+// resetStatistics drops what was learned of an earlier process of the engine.
 func (e *engine) resetStatistics() {
 	e.outcomes = allSucceeded
 	e.trialWait = minTrialWait
@@ -95,8 +95,8 @@
 	clear(e.classBackoffs)
 }
 
-// tableLocksHeld is how many attempts are known to lock a table group on e: this controller's, and
-// one more if a progress message of a lock has come lately.
+// tableLocksHeld is the number of attempts known to lock a table group on e: those of this
+// controller, plus one if a progress message has lately reported a lock.
 func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
 	if len(g.lockHolders) == 0 {
 		return 0
@@ -110,7 +110,7 @@
 // readyOfKind reports whether an engine is ready and of a machine kind.
 func (e *engine) readyOfKind(kind int) bool { return e.state == Ready && int(e.kind) == kind }
 
-// meanSlowdown is the slowdown of an engine by the recent answers, 1 while there are none.
+// meanSlowdown is the mean slowdown of the recent answers of an engine, 1 without any.
 func (e *engine) meanSlowdown(now float64) float64 {
 	return e.slowdown.mean(now, 1, slowdownPriorWeight)
 }
@@ -118,7 +118,7 @@
 // byEngineID orders engines by id.
 func byEngineID(a, b *engine) int { return cmp.Compare(a.id, b.id) }
 
-// readyEngines lists the ready engines of a machine kind by id.
+// readyEngines lists the ready engines of a machine kind, ordered by id.
 func (r *Router) readyEngines(kind int) []*engine {
 	var list []*engine
 	for _, e := range r.engineList {
@@ -129,8 +129,8 @@
 	return list
 }
 
-// removeGoneEngines drops the engines that have left the endpoint list, once no outcome of an
-// attempt or of a health check is waited for.
+// removeGoneEngines removes the engines that have left the endpoint list and have no awaited
+// attempt and no outstanding health check.
 func (r *Router) removeGoneEngines() {
 	r.engineList = slices.DeleteFunc(r.engineList, func(e *engine) bool {
 		if e.state != Gone || e.attempts != 0 || e.checkingHealth {
--- a/router/events.go
+++ b/router/events.go
@@ -1,17 +1,17 @@
 package router
 
-// Event is something that has happened: one of the types below that has the method event.
+// Event reports to the Router what has happened: one of the types below that has the method event.
 type Event interface{ event() }
 
 type (
 	// EndpointsUpdated is an update of the endpoint list.
 	EndpointsUpdated struct {
-		Complete bool // the list is whole: engines that it does not name are gone
-		Cached   bool // it was stored before this start, and is not confirmed
-		Failed   bool // the poll failed or the watch broke; the list stands as it was
-		// ExpiredFor above 0 says that there was no update for longer than the rules allow. It is the
-		// time in ms within which an engine has to have answered an attempt to be trusted. 0: the list is
-		// current.
+		Complete bool // the list is complete: engines that it does not name are gone
+		Cached   bool // it was stored before this start, and is not confirmed yet
+		Failed   bool // the poll failed or the watch ended; the previous list stays in force
+		// ExpiredFor above 0 means that there has been no update for longer than the rules allow: only
+		// engines that have answered an attempt that started within this time (ms) are trusted. 0: the
+		// list is current.
 		ExpiredFor float64
 		Endpoints  []Endpoint
 	}
@@ -22,28 +22,28 @@
 		Class    ClassID
 		Tables   TableGroup
 		Key      OrderingKey
-		MoreKeys []OrderingKey // further ordering keys, which earlier sets of rules give it
+		MoreKeys []OrderingKey // further ordering keys, assigned by earlier versions of the rules
 		TimeLeft float64       // ms until the client gives up
-		// ArrivalWait is the time in ms since the query was read, in which the controller was busy with
-		// others.
+		// ArrivalWait is the time in ms from the reading of the query to this event, while the controller
+		// was busy with other queries.
 		ArrivalWait float64
-		// ClientQueueTime is the time in ms, at most, that the query waited in its client's own queue. It
-		// is part of what the client counts as its timeout.
+		// ClientQueueTime is an upper bound, in ms, of the time that the query waited in its client's own
+		// queue. The client counts this time towards its timeout.
 		ClientQueueTime   float64
 		EstimatedWork     float64  // ms on one thread; 0: no estimate
-		EstimateCap       float64  // ms; a larger EstimatedWork counts as this. 0: no cap
+		EstimateCap       float64  // ms; upper limit on EstimatedWork. 0: no cap
 		EstimatedMemoryMB float64  // 0: no estimate
-		Kinds             []KindID // narrows the class's kinds; nil: does not
-		Zones             []Zone   // narrows the class's zones; nil: does not
-		Hot               bool     // its table group is to be served by more engines from the start
+		Kinds             []KindID // further limit on the machine kinds of the class; nil: none
+		Zones             []Zone   // further limit on the zones of the class; nil: none
+		Hot               bool     // by an operator's rule, more engines serve its table group
 	}
-	// OrderingKeyAdded puts a query into the order of one more key, at the place of its arrival: the
-	// rules that give keys have changed while it is queued or runs.
+	// OrderingKeyAdded adds an ordering key to a query that is queued or running, because the rules
+	// that assign the keys have changed. The query takes its place by arrival in the queue of the key.
 	OrderingKeyAdded struct {
 		ID  QueryID
 		Key OrderingKey
 	}
-	// ResponseStarted says that the client has got the first part of a streamed response.
+	// ResponseStarted reports that the client has received the first part of a streamed response.
 	ResponseStarted struct {
 		ID      QueryID
 		Attempt AttemptID
@@ -53,20 +53,20 @@
 		ID      QueryID
 		Attempt AttemptID
 		Kind    ProgressKind
-		Value   float64 // what it means depends on Kind
+		Value   float64 // its meaning depends on Kind
 	}
-	// AttemptEnded is the outcome of an attempt; there is one for each.
+	// AttemptEnded is the outcome of an attempt. Each attempt has exactly one.
 	AttemptEnded struct {
 		ID        QueryID
 		Attempt   AttemptID
 		Outcome   Outcome
 		QueryDone bool        // the query has its final answer
 		Elapsed   float64     // ms since the attempt was started
-		Work      float64     // of a success, its true work: ms on one thread; 0: not reported
-		MemoryMB  float64     // of a success, its true memory; 0: not reported
+		Work      float64     // measured work of a success, ms on one thread; 0: not reported
+		MemoryMB  float64     // measured memory of a success; 0: not reported
 		Load      *LoadReport // nil: none came with it
 	}
-	// ClientDisconnected says that the client has gone: no answer is owed any more.
+	// ClientDisconnected reports that the client has disconnected: the query needs no final answer.
 	ClientDisconnected struct{ ID QueryID }
 	// HealthCheckEnded is the result of a health check.
 	HealthCheckEnded struct {
@@ -74,15 +74,15 @@
 		Outcome Outcome
 		Load    *LoadReport // nil: none came with it
 	}
-	// StatisticsRestored brings what an earlier run of this controller learned, as far as it is still
-	// valid. It comes with or after the first endpoint list, as engines are known by it. Whatever it
-	// says, the rules hold as without it.
+	// StatisticsRestored holds the statistics of an earlier run of this controller that are still
+	// valid. It comes with or after the first endpoint list, because records of unlisted engines can't
+	// be used. The rules that always hold don't depend on its content.
 	StatisticsRestored struct{ Statistics Statistics }
-	// ShutdownStarted says that the controller will end within this many ms: queries without an answer
-	// by then would have none.
+	// ShutdownStarted reports that the controller will stop within this many ms. Every query has to
+	// get its final answer by then.
 	ShutdownStarted struct{ Within float64 }
-	// TimerFired asks for a step: the time of a SetTimer has come, or the caller wants the next step
-	// at once.
+	// TimerFired requests a step without another event: the time of a SetTimer has come, or the caller
+	// wants the next step at once.
 	TimerFired struct{}
 )
 
@@ -98,30 +98,31 @@
 func (ShutdownStarted) event()    {}
 func (TimerFired) event()         {}
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the outcome of an attempt or of a health check.
 type Outcome int
 
 const (
-	// Succeeded is a whole answer.
+	// Succeeded is a complete answer.
 	Succeeded Outcome = iota
-	// Errored is an error that the engine answered. The query may have had its effect.
+	// Errored is an error answer of the engine. The query may have had its effect.
 	Errored
-	// EngineFull is a rejection by the engine before it ran anything.
+	// EngineFull is a rejection by the engine, which ran nothing of the attempt.
 	EngineFull
-	// TimedOut says that the attempt's deadline passed without an answer; it may still be running.
+	// TimedOut means that the deadline of the attempt passed without an answer. It may still be
+	// running.
 	TimedOut
-	// ConnectFailed says that there was no connection to be had, or it was lost before the query was
-	// sent whole.
+	// ConnectFailed means that no connection could be established, or that it was lost before the
+	// whole query was sent.
 	ConnectFailed
-	// ConnectionReset says that the connection was lost after the query was sent; it may still be
-	// running.
+	// ConnectionReset means that the connection was lost after the query was sent. The attempt may
+	// still be running.
 	ConnectionReset
-	// Cancelled follows CancelAttempt; it may still be running.
+	// Cancelled follows CancelAttempt. The attempt may still be running.
 	Cancelled
-	// NotSent says that the attempt never ran, as it could not be sent in time or its engine had no
-	// use for it any more. It counts as a rejection by the engine.
+	// NotSent means that the attempt never ran, because it could not be sent in time or had already
+	// been ended at the engine when it came. It counts as a rejection by the engine.
 	NotSent
-	// Withdrawn says that the attempt was never sent, for a reason that says nothing about its engine.
+	// Withdrawn means that the attempt was never sent, for a reason unrelated to its engine.
 	Withdrawn
 )
 
@@ -135,22 +136,21 @@
 	return o == TimedOut || o == ConnectionReset || o == Cancelled
 }
 
-// LoadReport is what an engine reports of its load; a negative value is one that the report does
-// not hold.
+// LoadReport is the load that an engine reports. A negative value is missing from the report.
 type LoadReport struct {
 	Inflight    float64 // queries, of all controllers
 	Utilization float64 // busy cores over all cores
-	Memory      float64 // share of its memory that is granted
-	Disk        float64 // share of its disks that is busy
+	Memory      float64 // granted share of its memory
+	Disk        float64 // busy share of its disks
 }
 
 // EngineState is an engine's state in the endpoint list.
 type EngineState int
 
 const (
-	// Ready engines take queries.
+	// Ready engines accept queries.
 	Ready EngineState = iota
-	// Draining engines finish what they run and must get nothing new.
+	// Draining engines finish their attempts and must get no new ones.
 	Draining
 	// Gone engines have left the list.
 	Gone
@@ -166,18 +166,19 @@
 	StartedAt float64 // ms, when its process started; 0: long ago
 }
 
-// ProgressKind is what a progress message says.
+// ProgressKind is the kind of a progress message.
 type ProgressKind int
 
 const (
-	// ProgressDone has in Value the share of the work that is done, from 0 to 1.
+	// ProgressDone gives in Value the completed share of the work, from 0 to 1.
 	ProgressDone ProgressKind = iota
-	// ProgressSpilling has in Value the megabytes of memory that are missing.
+	// ProgressSpilling means that the attempt spills to disk; Value is the memory it lacks, in
+	// megabytes.
 	ProgressSpilling
-	// ProgressWaitsForMemory says that the attempt waits for memory on its engine.
+	// ProgressWaitsForMemory means that the attempt waits for memory on its engine.
 	ProgressWaitsForMemory
-	// ProgressWaitsForTables says that the attempt waits for a lock on its table group.
+	// ProgressWaitsForTables means that the attempt waits because its table group is locked.
 	ProgressWaitsForTables
-	// ProgressOther is any other message: the attempt is alive.
+	// ProgressOther is any other message. It shows that the attempt is alive.
 	ProgressOther
 )
--- a/router/heap.go
+++ b/router/heap.go
@@ -1,32 +1,31 @@
 package router
 
-// heap is a binary heap. Its least member by less is list[0]. Where less finds no two members
-// equal, the order in which they are taken out does not depend on the order in which they were put
-// in.
+// heap is a binary heap with the least element by less at list[0]. If no two elements are equal by
+// less, the order of pops does not depend on the order of pushes.
 type heap[T any] struct {
 	list []T
 	less func(a, b *T) bool
 }
 
-// push puts in a member.
+// push adds an element.
 func (h *heap[T]) push(x T) {
 	h.list = append(h.list, x)
 	h.siftUp(len(h.list) - 1)
 }
 
-// pop takes out the least member; there must be one.
+// pop removes and returns the least element. The heap must not be empty.
 func (h *heap[T]) pop() T {
 	top := h.list[0]
 	last := len(h.list) - 1
 	h.list[0] = h.list[last]
 	var zero T
-	h.list[last] = zero // so that the slice does not keep it in memory
+	h.list[last] = zero // releases what the element refers to
 	h.list = h.list[:last]
 	h.siftDown(0)
 	return top
 }
 
-// siftUp moves the member at an index up to its place.
+// siftUp moves the element at index i up until its parent is not greater.
 func (h *heap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -38,7 +37,7 @@
 	}
 }
 
-// siftDown moves the member at an index down to its place.
+// siftDown moves the element at index i down until no child is less.
 func (h *heap[T]) siftDown(i int) {
 	for {
 		least := i
@@ -55,7 +54,7 @@
 	}
 }
 
-// heapify makes a heap of a list in any order.
+// heapify restores the heap order of a list in any order.
 func (h *heap[T]) heapify() {
 	for i := len(h.list)/2 - 1; i >= 0; i-- {
 		h.siftDown(i)
--- a/router/heap_test.go
+++ b/router/heap_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Members come out in order, whether they were pushed one by one or put in order at once.
+// Elements are popped in order, whether they were pushed one by one or ordered by heapify.
 func TestHeap(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	h := heap[float64]{less: func(a, b *float64) bool { return *a < *b }}
@@ -22,7 +22,7 @@
 		}
 		slices.Sort(want)
 		if x := h.pop(); x != want[0] {
-			t.Fatalf("%v came first, not %v", x, want[0])
+			t.Fatalf("pop returned %v, want %v", x, want[0])
 		}
 		want = want[1:]
 	}
@@ -33,7 +33,7 @@
 	for last := -1.0; len(h.list) > 0; {
 		x := h.pop()
 		if x < last {
-			t.Fatal(fmt.Sprint(x, " came after ", last))
+			t.Fatal(fmt.Sprint(x, " was popped after ", last))
 		}
 		last = x
 	}
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testRouter is a Router with a clock of its own, for tests that step it by events.
+// testRouter is a Router with its own clock, for tests that drive it by events.
 type testRouter struct {
 	t   *testing.T
 	r   *Router
@@ -16,7 +16,7 @@
 // twoKinds are a large and a small machine kind.
 var twoKinds = []MachineKind{{Cores: 8, MemoryMB: 16000}, {Cores: 4, MemoryMB: 8000}}
 
-// lookupClass is a class of small queries that may be repeated anywhere.
+// lookupClass is a class of small idempotent queries.
 var lookupClass = QueryClass{
 	LatencyObjective: 1000,
 	ObjectivePerWork: 2,
@@ -24,7 +24,7 @@
 	Threads:          1,
 }
 
-// orderedClass is a class of queries with an idempotency key that run in the order of their ordering key.
+// orderedClass is a class of queries with an idempotency key, which run one at a time by ordering key.
 var orderedClass = QueryClass{
 	Effect:              Deduplicated,
 	DeduplicationWindow: 12000,
@@ -36,10 +36,11 @@
 	Threads:             2,
 }
 
-// cancelCapabilities let attempts be cancelled, and nothing else.
+// cancelCapabilities allow cancelling attempts, and nothing else.
 var cancelCapabilities = Capabilities{Cancel: true, MaxAttempts: 6}
 
-// slowStartLimits limit what warming engines are sent; retries have no budget and ordering keys no cooldown.
+// slowStartLimits limit the work sent to warming engines. Retries have no budget and ordering keys no
+// cooldown.
 var slowStartLimits = SafetyLimits{
 	EventInterval:     5,
 	SlowStartCapacity: 0.3,
@@ -48,7 +49,7 @@
 	SlowStartWindow:   1500,
 }
 
-// newTestRouter returns the only controller of some engines, with one query class.
+// newTestRouter returns a single controller with these endpoints and one query class.
 func newTestRouter(t *testing.T, class QueryClass, capabilities Capabilities, limits SafetyLimits,
 	endpoints ...Endpoint) *testRouter {
 	r := New(1, Identity{Controllers: 1}, twoKinds, []QueryClass{class}, nil, capabilities, limits)
@@ -81,13 +82,13 @@
 	}
 }
 
-// step has events happen 1 ms after the last step.
+// step steps the router with these events 1 ms after the last step.
 func (tr *testRouter) step(events ...Event) []Action {
 	tr.now++
 	return tr.r.Step(tr.now, events)
 }
 
-// wait steps once, without an event, after a time in ms.
+// wait lets a time (ms) pass and then steps once, with no event but TimerFired.
 func (tr *testRouter) wait(ms float64) []Action {
 	tr.now += ms
 	return tr.step(TimerFired{})
@@ -98,7 +99,7 @@
 	return Endpoint{Engine: id, Kind: kind, Zone: zone, Cell: cell}
 }
 
-// newQuery is a query of the first class without tenant, estimate or ordering key.
+// newQuery is the arrival of a query of the first class without tenant, estimate or ordering key.
 func newQuery(id QueryID) QueryArrived {
 	return QueryArrived{ID: id, Tenant: -1, TimeLeft: 5000, Tables: 7}
 }
@@ -114,7 +115,7 @@
 	}
 }
 
-// startedOn is the engine on which actions start an attempt of a query; empty: they start none.
+// startedOn returns the engine on which actions start an attempt of a query; empty: they start none.
 func startedOn(actions []Action, id QueryID) EngineID {
 	var engine EngineID
 	for _, action := range actions {
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -5,29 +5,29 @@
 // ordering is the state of all ordering keys.
 type ordering struct {
 	queues   map[OrderingKey]*orderingQueue
-	idleKeys []OrderingKey // keys of empty queues that are kept until their cooldown is over
+	idleKeys []OrderingKey // of empty queues, which are kept until their cooldown is over
 }
 
-// orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the
-// ones that run stand in it too.
+// orderingQueue is the queue of one ordering key. A query stays in it until removeQuery, so it also
+// holds the running ones.
 type orderingQueue struct {
 	key           OrderingKey
 	queries       []*query // by arrival
-	cooldownUntil float64  // ms, before which no first attempt starts: an earlier one may still run
+	cooldownUntil float64  // ms, until which no first attempt starts: an earlier attempt may still run
 
-	// joinedLate says that a query was added that had arrived before the last one of the queue, or had
-	// an attempt already: only then a query behind the head can have an attempt outstanding.
+	// joinedLate records that a query was added that arrived before the last one of the queue, or that
+	// had an outstanding attempt. Only then can a query behind the head have an outstanding attempt.
 	joinedLate bool
 }
 
-// followerOutstanding reports whether a query behind the head has an attempt outstanding.
+// followerOutstanding reports whether a query behind the head has an outstanding attempt.
 func (queue *orderingQueue) followerOutstanding() bool {
 	return queue.joinedLate &&
 		slices.ContainsFunc(queue.queries[1:], func(q *query) bool { return q.outstanding > 0 })
 }
 
-// joinOrderingQueue puts q into the queue of an ordering key at the place of its arrival, if its
-// class is ordered. It does nothing if q is in it already.
+// joinOrderingQueue inserts q into the queue of an ordering key, in order of arrival, if its class
+// is ordered. It does nothing if q is already in that queue.
 func (r *Router) joinOrderingQueue(q *query, key OrderingKey) {
 	if !q.class.Ordered || key == "" {
 		return
@@ -54,8 +54,8 @@
 	return count > 0 && byArrival(q, queue.queries[count-1]) < 0
 }
 
-// leaveOrderingQueue takes q out of a queue. The query that is at the head now may have become
-// startable. A queue that is left empty is kept until its cooldown is over.
+// leaveOrderingQueue removes q from a queue. The new head of the queue may become unblocked. An
+// empty queue is kept until its cooldown is over.
 func (r *Router) leaveOrderingQueue(q *query, queue *orderingQueue) {
 	queue.remove(q)
 	if len(queue.queries) == 0 {
@@ -70,10 +70,10 @@
 	}
 }
 
-// remove takes q out of the queue. It is nearly always the head, for which no other is moved.
+// remove removes q from the queue. Nearly always q is the head, whose removal moves no other query.
 func (queue *orderingQueue) remove(q *query) {
 	if queue.queries[0] == q {
-		queue.queries[0] = nil // so that the slice does not keep q in memory
+		queue.queries[0] = nil // releases the reference to q in the backing array
 		queue.queries = queue.queries[1:]
 		return
 	}
@@ -82,12 +82,12 @@
 	}
 }
 
-// removeIdleOrderingQueues drops the empty queues that are in cooldown no longer.
+// removeIdleOrderingQueues removes the empty queues whose cooldown is over.
 func (r *Router) removeIdleOrderingQueues() {
 	r.ordering.idleKeys = slices.DeleteFunc(r.ordering.idleKeys, func(key OrderingKey) bool {
 		queue := r.ordering.queues[key]
 		if queue == nil || len(queue.queries) > 0 {
-			return true // it was dropped, or is in use again and will be listed anew
+			return true // already removed, or in use again: leaveOrderingQueue lists it again
 		}
 		if r.now < queue.cooldownUntil {
 			return false
--- a/router/ordering_test.go
+++ b/router/ordering_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// In a burst on one ordering key the last ones can't reach the head of the queue in time. They are rejected
-// on arrival; those that can be in time wait, and so do all while the run time is not known.
+// In a burst on one ordering key the last queries can't reach the head of the queue before they time out.
+// They are rejected on arrival. Queries that can be in time are queued, and so are all while the run time is
+// unknown.
 func TestTooFarBackInOrderingQueue(t *testing.T) {
 	const runTime = 1000.0 // by the estimate, on two threads
 	for name, c := range map[string]struct {
@@ -32,7 +33,7 @@
 			if rejections, failures := finalAnswers(tr.step(ev), id); rejections+failures == 0 {
 				taken++
 			} else if failures > 0 {
-				t.Errorf("%s: query %d failed, though it never ran", name, id)
+				t.Errorf("%s: query %d got Fail, want Reject: it never ran", name, id)
 			}
 		}
 		if taken < c.want-1 || taken > c.want+1 {
@@ -55,24 +56,24 @@
 		tr := newTestRouter(t, class, Capabilities{MaxAttempts: 1}, limits, readyEndpoint("a", 0, "z", 1))
 		withKey := func(id QueryID) QueryArrived { ev := newQuery(id); ev.Key = "k"; return ev }
 		if to := startedOn(tr.step(withKey(1), withKey(2), newQuery(3)), 2); to != "" {
-			t.Errorf("%d: the second of a key was started beside the first", c.outcome)
+			t.Errorf("outcome %d: the second query of the key started while the first was in flight", c.outcome)
 		}
 		now := tr.step(attemptEnded(1, 0, c.outcome))
 		if inCooldown := startedOn(now, 2) == "" && startedOn(tr.wait(250), 2) == ""; inCooldown != c.cooldown {
-			t.Errorf("outcome %d: key in cooldown: %v", c.outcome, inCooldown)
+			t.Errorf("outcome %d: key in cooldown: %v, want the opposite", c.outcome, inCooldown)
 		}
 		if later := tr.wait(100); c.cooldown && startedOn(later, 2) == "" {
-			t.Errorf("outcome %d: the key is in cooldown for ever", c.outcome)
+			t.Errorf("outcome %d: the key is still in cooldown after OrderingCooldown", c.outcome)
 		}
 		tr.step(attemptEnded(2, 0, Succeeded), attemptEnded(3, 0, Succeeded))
 		if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.idleKeys) > 0 {
-			t.Errorf("outcome %d: the ordering queue was not forgotten", c.outcome)
+			t.Errorf("outcome %d: the empty ordering queue was not removed", c.outcome)
 		}
 	}
 }
 
-// Rule 5 for queries with several ordering keys: each waits for all that arrived before it under any of its
-// keys, also if a key is added while it is queued or runs, and none waits for ever.
+// Rule 5 for queries with several ordering keys: each waits for all queries that arrived before it under any
+// of its keys, also if a key is added while it is queued or runs. None waits indefinitely.
 func TestSeveralOrderingKeys(t *testing.T) {
 	class := lookupClass
 	class.Ordered = true
@@ -94,7 +95,7 @@
 	expect := func(what string, actions []Action, want ...QueryID) {
 		t.Helper()
 		if got := started(append(actions, tr.wait(periodicInterval)...)); !slices.Equal(got, want) {
-			t.Errorf("%s: started %v, not %v", what, got, want)
+			t.Errorf("%s: started %v, want %v", what, got, want)
 		}
 	}
 	expect("old keys", tr.step(withKeys(1, "x"), withKeys(2, "y")), 1, 2)
@@ -105,19 +106,19 @@
 	expect("next under the new key", tr.step(attemptEnded(3, 0, Succeeded)), 4)
 	expect("next under the old key", tr.step(attemptEnded(4, 0, Succeeded)), 5)
 	tr.step(attemptEnded(5, 0, Succeeded))
-	// a key is added to one in flight: one that arrived before waits for it
+	// A key is added to query 8, which is in flight: query 7 arrived earlier and waits for it all the same.
 	expect("two keys", tr.step(withKeys(6, "p"), withKeys(7, "p"), withKeys(8, "q")), 6, 8)
 	expect("8 is in flight under p too", tr.step(OrderingKeyAdded{7, "q"}, OrderingKeyAdded{8, "p"},
 		attemptEnded(6, 0, Succeeded)))
 	expect("nothing is in flight any more", tr.step(attemptEnded(8, 0, Succeeded)), 7)
 	tr.step(attemptEnded(7, 0, Succeeded))
 	if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.idleKeys) > 0 || len(tr.r.queries) > 0 {
-		t.Errorf("%d ordering queues are left", len(tr.r.ordering.queues))
+		t.Errorf("%d ordering queues are left, or idle keys or queries; want none", len(tr.r.ordering.queues))
 	}
 }
 
 // Rule 5: a query gets another ordering key after an attempt that may still be running. The added key is in
-// cooldown too, as that attempt could run beside the next query of the key.
+// cooldown too, because that attempt could run concurrently with the next query of the key.
 func TestCooldownExtendsToAnAddedKey(t *testing.T) {
 	class := lookupClass
 	limits := slowStartLimits
@@ -133,15 +134,15 @@
 	ev.ID = 2
 	ev.Key = "y"
 	if startedOn(append(tr.step(ev), tr.wait(periodicInterval)...), 2) != "" {
-		t.Error("started while an attempt that was reset may still run under its key")
+		t.Error("the next query of the added key started while an attempt that was reset may still be running")
 	}
 	if startedOn(tr.wait(400), 2) == "" {
-		t.Error("the key is in cooldown for ever")
+		t.Error("the added key is still in cooldown after OrderingCooldown")
 	}
 }
 
-// Rule 5: an attempt may still be running when its outcome is no longer waited for. It holds its ordering key
-// until its outcome is known, but counts no longer as in flight.
+// Rule 5: an abandoned attempt, whose outcome is no longer awaited, may still be running. It holds its
+// ordering key until its outcome is known, but no longer counts as in flight.
 func TestAbandonedAttemptHoldsItsOrderingKey(t *testing.T) {
 	class := lookupClass
 	capabilities := Capabilities{MaxAttempts: 6, Hedging: true, ProgressInterval: 500}
@@ -153,11 +154,12 @@
 	tr.step(withKey(1), withKey(2))
 	tr.wait(900)
 	if actions := append(tr.step(attemptEnded(1, 1, Succeeded)), tr.wait(500)...); startedOn(actions, 2) != "" {
-		t.Error("the next of the key was started while a lost attempt had no outcome")
+		t.Error("the next query of the key started while an abandoned attempt had no outcome")
 	}
 	actions := append(tr.step(attemptEnded(1, 0, TimedOut)), tr.wait(500)...)
 	if startedOn(actions, 2) == "" || tr.r.concurrency.threads != 1 || tr.r.concurrency.attempts != 1 {
-		t.Errorf("%g threads of %d attempts are counted, not the next of the key alone", tr.r.concurrency.threads,
+		t.Errorf("in flight: %g threads of %d attempts, want only those of the next query of the key",
+			tr.r.concurrency.threads,
 			tr.r.concurrency.attempts)
 	}
 }
--- a/router/query.go
+++ b/router/query.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// finalAnswer is the final answer that this controller itself gives to a query.
+// finalAnswer is a final answer to a query that this controller decides itself.
 type finalAnswer int
 
 const (
-	// unanswered: this controller has decided on no answer.
+	// unanswered: this controller has not decided on an answer.
 	unanswered finalAnswer = iota
 	// rejected: the client gets an error that is safe to retry.
 	rejected
@@ -21,69 +21,69 @@
 type attempt struct {
 	engine       *engine
 	startedAt    float64 // ms
-	lastHeardAt  float64 // ms, of the last progress message; startedAt before the first
+	lastHeardAt  float64 // ms, of the last progress message; before the first it is startedAt
 	memoryMB     float64 // estimate
-	outstanding  bool    // it has no outcome yet
+	outstanding  bool    // its outcome has not come yet
 	cancelled    bool    // CancelAttempt was returned for it
-	abandoned    bool    // its outcome is no longer waited for, and it holds no capacity
-	failed       bool    // by its outcome, or because it has gone silent
+	abandoned    bool    // its outcome is no longer awaited, and it holds no capacity
+	failed       bool    // by its outcome, or because it went silent
 	endedInError bool    // it ended in an error that may be the query's own fault
 }
 
-// query is one that is owed a final answer or has an attempt without an outcome.
+// query is a query without a final answer or with an outstanding attempt.
 type query struct {
 	id           QueryID
 	class        *queryClass
 	tables       *tableGroup
 	tenant       *tenant // nil: none
-	overQuota    bool    // it is over its tenant's quota, as drawn when it arrived
-	arrivalOrder uint64  // its number by arrival, from 1
+	overQuota    bool    // it is over its tenant's quota, by a random draw on arrival
+	arrivalOrder uint64  // number by arrival, from 1
 	arrivedAt    float64 // ms
-	firstTriedAt float64 // ms, of its client's first try; before arrivedAt if this is a client's retry
+	firstTriedAt float64 // ms, of its client's first try; before arrivedAt for a client's retry
 	deadline     float64 // ms, when its client gives up
 
-	estimatedWork     float64  // ms on one thread, as capped by an operator's rule; 0: no estimate
+	estimatedWork     float64  // ms on one thread, capped by an operator's rule; 0: no estimate
 	uncappedEstimate  float64  // ms on one thread, before that cap
 	estimatedMemoryMB float64  // 0: no estimate
 	kinds             []KindID // further limit on the machine kinds of its class; nil: none
 	zones             []Zone   // further limit on the zones of its class; nil: none
 
-	// Its attempts, by number. unresolved is the engine of the first one that may have run without an
-	// answer, nil if there is none, and unresolvedAt (ms) when that one was started: rule 2 decides by
-	// them whether the query may be repeated.
+	// Its attempts, by number. unresolved is the engine of the first attempt that may have run without
+	// an answer, nil if there is none, and unresolvedAt (ms) is when that attempt started. By these
+	// two, rule 2 decides whether the query may be repeated.
 	attempts        []attempt
-	awaited         int // attempts with an outcome that is waited for
-	outstanding     int // attempts without an outcome, the abandoned ones among them
+	awaited         int // outstanding attempts that are not abandoned
+	outstanding     int // attempts without an outcome, including the abandoned ones
 	unresolved      *engine
 	unresolvedAt    float64
-	responseStarted bool // its client has got a part of the response
-	done            bool // no final answer is owed any more
+	responseStarted bool // its client has received a part of the response
+	done            bool // it needs no final answer any more
 
-	// The queues of its ordering keys. cooldownUntil (ms) is when the next query may start in each of
-	// them, as far as attempts of this one may still be running.
+	// The queues of its ordering keys. Until cooldownUntil (ms) these keys are in cooldown, because an
+	// attempt of this query may still be running.
 	queues        []*orderingQueue
 	cooldownUntil float64
 
-	// What collectActions turns into actions at the end of the step.
-	startOn      *engine // on which an attempt starts; nil: none does
-	startBy      float64 // ms, by which that attempt must have been sent; 0: at any time
+	// Decisions that collectActions turns into actions at the end of the step.
+	startOn      *engine // on which an attempt starts; nil: none
+	startBy      float64 // ms, the latest time to send that attempt; 0: no limit
 	answer       finalAnswer
 	reason       answerReason // of the answer
-	cancelWanted bool         // its outstanding attempts are cancelled
+	cancelWanted bool         // its outstanding attempts are to be cancelled
 	changed      bool         // it is in Router.changed
 
-	// Its place in the queue of queries that wait for an engine.
+	// Its state in the queue of queries that wait for an engine.
 	queued  bool // it waits for an engine
 	blocked bool // it is queued, but not at the head of all its ordering queues
-	watched bool // it is in the shedWatch of its class
+	watched bool // it has an alarm in the shedWatch of its class
 
-	// In the epoch of its class's worthCache that is named here it is known to be worth running until
-	// worthUntil (ms).
+	// Cached answer of the worthCache of its class: in the epoch worthEpoch, the query is worth
+	// running until worthUntil (ms).
 	worthEpoch int
 	worthUntil float64
 }
 
-// failedAttemptsOn counts the attempts of q that failed on an engine.
+// failedAttemptsOn counts the failed attempts of q on an engine.
 func (q *query) failedAttemptsOn(e *engine) float64 {
 	count := 0.0
 	for _, a := range q.attempts {
@@ -94,7 +94,7 @@
 	return count
 }
 
-// byDeadline orders queries by client timeout, and by id where that is the same.
+// byDeadline orders queries by client timeout, and queries of equal timeout by id.
 func byDeadline(a, b *query) int {
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 }
@@ -102,8 +102,7 @@
 // byArrival orders queries by arrival.
 func byArrival(a, b *query) int { return cmp.Compare(a.arrivalOrder, b.arrivalOrder) }
 
-// addQuery takes up the state of an arriving query, and puts it into the queues of its ordering
-// keys.
+// addQuery creates the state of an arriving query, and adds it to the queues of its ordering keys.
 func (r *Router) addQuery(ev QueryArrived) *query {
 	g := r.tableGroupOf(ev.Tables)
 	g.lastQueryAt = r.now
@@ -138,7 +137,7 @@
 	return q
 }
 
-// countArrival counts an arriving query for the rates that are learned and for the retry budget.
+// countArrival counts an arriving query in the learned rates and in the retry budget.
 func (r *Router) countArrival(q *query) {
 	r.traffic.queryRate.add(r.now, 1, 0)
 	if q.tenant != nil {
@@ -152,15 +151,15 @@
 	}
 }
 
-// recordAttemptStart records that an attempt of q starts on e, before the action for it is
-// returned: all further decisions of the same step count it. memoryMB is its estimated memory,
-// slowStartCost (ms of work) what it counts for on a warming engine, startBy (ms) when it must have
-// been sent; 0: at any time.
+// recordAttemptStart records that an attempt of q starts on e. It does so before the action is
+// returned, so that later decisions of the same step take the attempt into account. memoryMB is its
+// estimated memory, slowStartCost its work (ms) for the limit of a warming engine, and startBy (ms)
+// the latest time to send it; 0: no limit.
 func (r *Router) recordAttemptStart(q *query, e *engine, memoryMB, slowStartCost, startBy float64) {
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retryBudget.retries.add(r.now, 1)
 	}
-	r.dequeue(q) // before the number of its attempts changes, by which treeOf finds its tree
+	r.dequeue(q) // before the number of attempts changes, as treeOf depends on it
 	q.attempts = append(q.attempts, attempt{
 		engine:      e,
 		startedAt:   r.now,
@@ -179,7 +178,8 @@
 	r.markChanged(q)
 }
 
-// takeCapacity counts an attempt of q on e that starts. The caller updates the bounds of e.
+// takeCapacity counts a starting attempt of q on e as in flight. The caller updates the bounds of
+// e.
 func (r *Router) takeCapacity(q *query, e *engine) {
 	q.awaited++
 	e.attempts++
@@ -192,7 +192,7 @@
 	}
 }
 
-// releaseCapacity is the reverse of takeCapacity, for an attempt that has ended or is abandoned.
+// releaseCapacity reverses takeCapacity for an attempt that has ended or is abandoned.
 func (r *Router) releaseCapacity(q *query, a *attempt) {
 	e := a.engine
 	q.awaited--
@@ -209,9 +209,9 @@
 	r.updateBounds(e)
 }
 
-// recordAttemptEnd records the outcome of an attempt of q, as far as the rules need it: what may
-// have run, what the outcome proves about the engine, and how long its ordering keys are in
-// cooldown.
+// recordAttemptEnd records what the rules need of the outcome of an attempt of q: whether it may
+// have run, what the outcome shows about the process of the engine, and how long the ordering keys
+// of q are in cooldown.
 func (r *Router) recordAttemptEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
@@ -237,13 +237,14 @@
 	r.markChanged(q)
 }
 
-// isFailure reports whether an attempt with this outcome was taken on and has failed.
+// isFailure reports whether an attempt with this outcome failed. Rejections, cancellations and
+// attempts that were never sent are no failures.
 func (o Outcome) isFailure() bool {
 	return o == Errored || o == ConnectionReset || o == TimedOut || o == ConnectFailed
 }
 
-// recordConnectionOutcome records what the outcome of an attempt proves about the process that has
-// the address of an engine: an answer shows that it is still the same, a lost connection that it
+// recordConnectionOutcome records what the outcome of an attempt shows about the process at the
+// address of an engine: after a success it is still the same process, after a connection failure it
 // may be another.
 func (e *engine) recordConnectionOutcome(now float64, a *attempt, outcome Outcome) {
 	switch outcome {
@@ -255,8 +256,8 @@
 	}
 }
 
-// markUnresolved records that an attempt of q may have run. The first such attempt is what rule 2
-// goes by, as the deduplication window of a query begins with it.
+// markUnresolved records that an attempt of q may have run. Rule 2 depends on the first such
+// attempt, because the deduplication window of the query begins with it.
 func (q *query) markUnresolved(a *attempt) {
 	if q.unresolved == nil {
 		q.unresolved = a.engine
@@ -264,23 +265,23 @@
 	}
 }
 
-// abandonAttempt records that the outcome of an attempt is no longer waited for; it may have run.
+// abandonAttempt records that the outcome of an attempt is no longer awaited; it may have run.
 func (r *Router) abandonAttempt(q *query, a *attempt) {
 	a.abandoned = true
 	r.releaseCapacity(q, a)
 	q.markUnresolved(a)
 }
 
-// responseStarted records that the client has got a part of the response: no attempt may start any
-// more, and no other answer may be given.
+// responseStarted records that the client has received a part of the response: no further attempt
+// may start, and no other answer may be given.
 func (r *Router) responseStarted(id QueryID) {
 	if q := r.queries[id]; q != nil {
 		q.responseStarted = true
 	}
 }
 
-// clientDisconnected records that the client has gone: no answer is owed any more, and its attempts
-// are cancelled.
+// clientDisconnected handles a client that has disconnected: its query needs no final answer any
+// more, and the attempts of the query are cancelled.
 func (r *Router) clientDisconnected(id QueryID) {
 	q := r.queries[id]
 	if q == nil {
@@ -291,8 +292,8 @@
 	r.markChanged(q)
 }
 
-// outstandingAttempt finds an attempt that has no outcome yet, with its query; nil, nil: there is
-// no such attempt.
+// outstandingAttempt finds an attempt that has no outcome yet, and its query; nil, nil: there is
+// none.
 func (r *Router) outstandingAttempt(id QueryID, number AttemptID) (*query, *attempt) {
 	q := r.queries[id]
 	if q == nil || number < 0 || int(number) >= len(q.attempts) || !q.attempts[number].outstanding {
@@ -301,7 +302,7 @@
 	return q, &q.attempts[number]
 }
 
-// removeQuery drops a query that has its answer and no attempt without an outcome.
+// removeQuery removes a query that needs no answer and has no outstanding attempt.
 func (r *Router) removeQuery(q *query) {
 	delete(r.queries, q.id)
 	q.tables.openQueries--
--- a/router/queue.go
+++ b/router/queue.go
@@ -6,10 +6,10 @@
 	"github.com/tidwall/btree"
 )
 
-// deadlineTree holds queries by client timeout.
+// deadlineTree holds queries in order of their client timeouts.
 type deadlineTree = btree.BTreeG[*query]
 
-// treeDegree is the degree of the trees of queued queries.
+// treeDegree is the degree of the B-trees of queued queries.
 const treeDegree = 32
 
 func newDeadlineTree() *deadlineTree {
@@ -17,19 +17,18 @@
 		btree.Options{NoLocks: true, Degree: treeDegree})
 }
 
-// queryQueue holds the queries that wait for an engine. Those that are not at the head of all their
-// ordering queues are blocked: they are in neither tree until they are. Retries have a tree of
-// their own, because none of them may start while the retry budget is used up, and passing over
-// many of them would cost time.
+// queryQueue holds the queries that wait for an engine. A query that is not at the head of all its
+// ordering queues is blocked, and is in neither tree. Retries have their own tree, because none of
+// them may start while the retry budget is exhausted, and skipping many of them would take time.
 type queryQueue struct {
-	length        int // queued queries, the blocked ones among them
+	length        int // queued queries, including the blocked ones
 	firstAttempts *deadlineTree
 	retries       *deadlineTree
-	scanBuffer    []*query // kept for its memory: eachInBatches, overdueQueries
-	overdueBuffer []*query // kept for its memory: overdueQueries
+	scanBuffer    []*query // reused by eachInBatches and overdueQueries
+	overdueBuffer []*query // reused by overdueQueries
 }
 
-// treeOf is the tree that a queued query is in unless it is blocked.
+// treeOf returns the tree that holds a queued query unless it is blocked.
 func (queue *queryQueue) treeOf(q *query) *deadlineTree {
 	if len(q.attempts) == 0 {
 		return queue.firstAttempts
@@ -37,8 +36,8 @@
 	return queue.retries
 }
 
-// enqueue puts q into the queue, and has it looked at when it may have to be shed. It does nothing
-// if q is queued already.
+// enqueue adds q to the queue and to the shedWatch of its class. It does nothing if q is already
+// queued.
 func (r *Router) enqueue(q *query) {
 	if q.queued {
 		return
@@ -52,8 +51,9 @@
 	}
 }
 
-// insertUnlessBlocked puts a queued query into its tree if it is at the head of all its ordering
-// queues. If not, leaveOrderingQueue calls this again when it gets to the head of one.
+// insertUnlessBlocked inserts a queued query into its tree if it is at the head of all its ordering
+// queues. If it is not, leaveOrderingQueue calls insertUnlessBlocked again when the query reaches
+// the head of one of them.
 func (r *Router) insertUnlessBlocked(q *query) {
 	q.blocked = slices.ContainsFunc(q.queues, func(queue *orderingQueue) bool {
 		return queue.queries[0] != q
@@ -63,8 +63,8 @@
 	}
 }
 
-// dequeue takes q out of the queue if it is queued. It comes before an attempt is added to q, as
-// treeOf goes by the number of attempts.
+// dequeue removes q from the queue if it is queued. It must be called before an attempt is added to
+// q, because treeOf depends on the number of attempts.
 func (r *Router) dequeue(q *query) {
 	if !q.queued {
 		return
@@ -77,7 +77,7 @@
 	r.queue.length--
 }
 
-// dequeueAnswered takes out of the queue the queries that got their answer in this step.
+// dequeueAnswered removes from the queue the queries that were answered in this step.
 func (r *Router) dequeueAnswered() {
 	for _, q := range r.changed {
 		if q.done || q.answer != unanswered {
@@ -86,9 +86,10 @@
 	}
 }
 
-// eachUnblocked calls visit for the queued queries that are not blocked, by client timeout, until
-// it returns false. visit may take the query that it is called for out of the queue. Retries are
-// left out if the retry budget is used up: an attempt that starts meanwhile makes it no larger.
+// eachUnblocked calls visit for the queued queries that are not blocked, in order of client
+// timeout, until visit returns false. visit may remove the query it is called for from the queue.
+// Retries are skipped if the retry budget is exhausted at the start, as the attempts that visit
+// starts can't raise it.
 func (r *Router) eachUnblocked(visit func(q *query) bool) {
 	firstAttempts, retries := r.queue.firstAttempts, r.queue.retries
 	if retries.Len() == 0 || !r.retryBudgetAllows() {
@@ -111,8 +112,8 @@
 	}
 }
 
-// nextAfter is the query that follows q in a tree, whether or not q is still in it; the first one
-// for nil, and nil if none follows.
+// nextAfter returns the query that follows q in a tree, even if q is no longer in it; nil: none
+// follows. For a nil q it returns the first query.
 func nextAfter(tree *deadlineTree, q *query) *query {
 	if q == nil {
 		first, _ := tree.Min()
@@ -128,15 +129,15 @@
 	return next
 }
 
-// Sizes of the batches, in queries, that eachInBatches reads. They start small: a step that stops
-// early must not have read many.
+// Sizes, in queries, of the batches that eachInBatches reads. The first batches are small, so that
+// a step that stops early has read few queries.
 const (
 	minBatchSize = 4
 	maxBatchSize = 64
 )
 
-// eachInBatches calls visit for the queries of one tree, in order, until it returns false. It reads
-// ahead in batches, as visit may change the tree.
+// eachInBatches calls visit for the queries of one tree, in order, until visit returns false. It
+// reads ahead in batches, because visit may change the tree.
 func (r *Router) eachInBatches(tree *deadlineTree, visit func(q *query) bool) {
 	var last *query
 	for size := minBatchSize; ; size = min(maxBatchSize, 2*size) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// nextBatch reads as many queries as size after last (nil: from the first) into the scan buffer.
+// nextBatch reads up to size queries that follow last (nil: from the first) into the scan buffer.
 func (r *Router) nextBatch(tree *deadlineTree, last *query, size int) []*query {
 	batch := r.queue.scanBuffer[:0]
 	take := func(q *query) bool {
--- a/router/router.go
+++ b/router/router.go
@@ -5,35 +5,35 @@
 	"math/rand"
 )
 
-// Router is the decision module of one controller. One goroutine owns it; Step is the only way to
-// change it while it runs (Statistics and EngineStatuses read).
+// Router is the decision module of one controller. One goroutine owns it. Only Step changes its
+// state; Statistics and EngineStatuses only read it.
 type Router struct {
 	rng          *rand.Rand
-	controllers  float64 // that serve the same engines, this one among them
-	index        int     // its own place among them, from 0
+	controllers  float64 // number of controllers of the same engines, including this one
+	index        int     // index of this controller among them, from 0
 	kinds        []MachineKind
 	classes      []*queryClass
 	tenants      []*tenant
 	capabilities Capabilities
 	limits       SafetyLimits
 
-	now          float64 // ms, of the step that runs
-	startedAt    float64 // ms, of the first step; -1: there was none yet
-	firstQueryAt float64 // ms; 0: no query has come yet
-	shutdownAt   float64 // ms, when this controller ends; +Inf: no end is planned
+	now          float64 // ms, of the current step
+	startedAt    float64 // ms, of the first step; -1: none has run yet
+	firstQueryAt float64 // ms, of the first arrival; 0: none yet
+	shutdownAt   float64 // ms, of the planned shutdown; +Inf: none is planned
 	stepCount    uint64
 	timers       timers
 
-	queries      map[QueryID]*query // owed an answer, or with an attempt without an outcome
-	arrivalCount uint64             // queries taken so far, which orders them
-	changed      []*query           // in this step: collectActions looks at them
+	queries      map[QueryID]*query // those without a final answer or with an outstanding attempt
+	arrivalCount uint64             // queries so far; source of query.arrivalOrder
+	changed      []*query           // changed in this step, for collectActions
 	queue        queryQueue         // queries that wait for an engine
 	ordering     ordering
 	admission    admission
 
 	engines         map[EngineID]*engine
-	engineList      []*engine // the same, by id
-	topologyVersion int       // grows with each change of the engines or of their pools
+	engineList      []*engine // the same, ordered by id
+	topologyVersion int       // incremented with each change of the engines or their pools
 	endpoints       endpointWatch
 	healthChecks    healthChecks
 	concurrency     concurrency
@@ -42,12 +42,12 @@
 	search          searchState
 
 	tableGroups map[TableGroup]*tableGroup
-	groupList   []*tableGroup // the same, by id
+	groupList   []*tableGroup // the same, ordered by id
 	pools       poolState
 }
 
-// New returns the module of a controller that has just started. The seed feeds its only source of
-// randomness: the same seed and the same events give the same actions.
+// New returns the Router of a controller that has just started. The seed initializes its only
+// source of randomness: the same seed and the same steps give the same actions.
 func New(seed int64, identity Identity, kinds []MachineKind, classes []QueryClass, tenants []Tenant,
 	capabilities Capabilities, limits SafetyLimits) *Router {
 	if capabilities.ProgressInterval == 0 {
@@ -88,8 +88,8 @@
 	return r
 }
 
-// Step handles all events up to now, in their order, and returns what to do, in the order in which
-// it is to be done. now is in ms and never goes back.
+// Step handles all events up to now, in order, and returns the actions for the caller to carry out,
+// in order. now is in ms and never goes back.
 func (r *Router) Step(now float64, events []Event) []Action {
 	r.now = now
 	if r.startedAt < 0 {
@@ -135,21 +135,21 @@
 	case ShutdownStarted:
 		r.startShutdown(ev.Within)
 	case TimerFired:
-		// A step is all that it asks for.
+		// Step runs without further handling.
 	}
 }
 
-// startShutdown has every query looked at by the time that it must have its answer, which is
-// earlier now.
+// startShutdown sets an alarm for each query at its answerBy, which the shutdown may have moved to
+// an earlier time, and rebuilds the shed watches for the same reason.
 func (r *Router) startShutdown(within float64) {
 	r.shutdownAt = r.now + within
-	for _, q := range r.queries { // in any order: the heap of alarms brings its own
+	for _, q := range r.queries { // in any order, as the heap of alarms defines its own
 		r.setAlarm(r.answerBy(q), q)
 	}
 	r.rebuildShedWatches()
 }
 
-// markChanged has collectActions look at q at the end of this step.
+// markChanged marks q for collectActions at the end of this step.
 func (r *Router) markChanged(q *query) {
 	if !q.changed {
 		q.changed = true
@@ -157,9 +157,10 @@
 	}
 }
 
-// collectActions turns what this step wants into actions. Decisions set the fields startOn, answer
-// and cancelWanted of queries, and the wanted lists; nothing else returns actions, so a query never
-// gets two final answers.
+// collectActions turns the decisions of this step into actions. Decisions only set the fields
+// startOn, answer and cancelWanted of queries, and healthChecks.wanted and
+// endpoints.subscribeWanted. As actions are created here alone, a query never gets two final
+// answers.
 func (r *Router) collectActions() []Action {
 	var actions []Action
 	for _, q := range r.changed {
@@ -178,7 +179,8 @@
 	return r.appendTimer(actions)
 }
 
-// queryActions appends what is to be done for q, and forgets it if nothing is left of it.
+// queryActions appends the actions for q, and removes q if it has its answer and no outstanding
+// attempt.
 func (r *Router) queryActions(actions []Action, q *query) []Action {
 	if q.startOn != nil {
 		actions = append(actions,
@@ -205,7 +207,7 @@
 	return actions
 }
 
-// appendCancels cancels the attempts of q that are outstanding, once each.
+// appendCancels appends a cancellation for each outstanding attempt of q that has none yet.
 func (q *query) appendCancels(actions []Action) []Action {
 	for i := range q.attempts {
 		a := &q.attempts[i]
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Engines and queries come and go without end. Nothing that is kept of them grows.
+// Engines and queries come and go indefinitely. The state kept for them stays bounded.
 func TestStateOfGoneEnginesAndQueriesIsForgotten(t *testing.T) {
 	waits := lookupClass
 	waits.WaitsForTables = true
@@ -27,19 +27,20 @@
 	if g := tr.r.tableGroups[7]; len(tr.r.engineList) > 2 || len(tr.r.queries) > 0 || tr.r.queue.length > 0 ||
 		watched > 0 ||
 		len(tr.r.timers.alarms.list) > 0 || g != nil && len(g.lockHolders) > 0 {
-		t.Errorf("%d engines, %d queries, %d queued, %d watched, %d alarms, %+v", len(tr.r.engineList),
+		t.Errorf("state is left: %d engines, %d queries, %d queued, %d watched, %d alarms, %+v",
+			len(tr.r.engineList),
 			len(tr.r.queries), tr.r.queue.length,
 			watched, len(tr.r.timers.alarms.list), g)
 	}
 }
 
-// A client disconnects in the very step in which an attempt of its query would start, in either order of the
-// events. Nothing is started, and what is in flight is cancelled.
+// A client disconnects in the same step in which an attempt of its query would start, in either order of the
+// events. No attempt starts, and an attempt in flight is cancelled.
 func TestClientDisconnectsInTheSameStep(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		events   []Event
-		inFlight bool // an attempt is in flight when they come
+		inFlight bool // an attempt is in flight before these events
 	}{
 		{"as it arrives", []Event{newQuery(1), ClientDisconnected{1}}, false},
 		{"as its attempt ends without being sent", []Event{attemptEnded(1, 0, NotSent), ClientDisconnected{1}},
@@ -51,21 +52,22 @@
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1),
 			readyEndpoint("b", 0, "z", 1))
 		if c.inFlight && startedOn(tr.step(newQuery(1)), 1) == "" {
-			t.Fatalf("%s: not started", c.name)
+			t.Fatalf("%s: the first attempt was not started", c.name)
 		}
 		actions := append(tr.step(c.events...), tr.wait(1000)...)
 		if s, f := finalAnswers(actions, 1); startedOn(actions, 1) != "" || s+f > 0 || len(tr.r.queries) > 0 {
-			t.Errorf("%s: %+v, and %d queries are kept", c.name, actions, len(tr.r.queries))
+			t.Errorf("%s: got actions %+v and %d queries left, want no start, no answer and no query", c.name, actions,
+				len(tr.r.queries))
 		}
 	}
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 	tr.step(newQuery(1))
 	if !hasCancel(tr.step(ClientDisconnected{1})) {
-		t.Error("what is in flight is not cancelled")
+		t.Error("the attempt in flight was not cancelled")
 	}
 }
 
-// Odd but legal events do no harm, and the same events give the same actions.
+// Unusual but legal events cause no panic, and the same events give the same actions.
 func TestOddEventsAreDeterministic(t *testing.T) {
 	run := func() string {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1),
@@ -84,29 +86,29 @@
 		return log
 	}
 	if first, again := run(), run(); first != again {
-		t.Errorf("the same events led to other actions:\n%s\n%s", first, again)
+		t.Errorf("the same events led to different actions:\n%s\n%s", first, again)
 	}
 }
 
-// Rule 1 at a planned shutdown: all queries are answered by then, and a query that can't be done by then is
+// Rule 1 at a planned shutdown: all queries are answered by then, and a query that can't end by then is
 // rejected at once.
 func TestShutdownAnswersAllQueries(t *testing.T) {
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 	if to := startedOn(tr.step(newQuery(1)), 1); to != "a" {
-		t.Fatal("not started")
+		t.Fatal("the query was not started on a")
 	}
 	if s, f := finalAnswers(tr.step(ShutdownStarted{Within: 1000}), 1); s+f != 0 {
-		t.Fatal("answered when the shutdown is planned, though there is time")
+		t.Fatal("the query was answered as soon as the shutdown was planned, though there is time")
 	}
 	late := newQuery(2)
 	late.EstimatedWork = 2000
 	if s, _ := finalAnswers(append(tr.step(late), tr.wait(periodicInterval)...), 2); s != 1 {
-		t.Error("a query that can't be done by then is not rejected at once")
+		t.Error("a query that can't end by the shutdown was not rejected at once")
 	}
 	if s, _ := finalAnswers(tr.wait(900), 1); s != 0 {
-		t.Error("rejected too early")
+		t.Error("the query was rejected well before the shutdown")
 	}
 	if s, _ := finalAnswers(tr.wait(50), 1); s != 1 {
-		t.Error("not answered by the shutdown")
+		t.Error("the query was not rejected by the time of the shutdown")
 	}
 }
--- a/router/search.go
+++ b/router/search.go
@@ -2,35 +2,34 @@
 
 import "math"
 
-// This file is a branch-and-bound search: it finds the engine that selectEngine would find by an
-// exact look at every engine, while it looks exactly at few of them. Each engine has bounds that
-// are cheap to compare.
+// This file is a branch-and-bound search: it finds the engine that selectEngine would find with the
+// exact figures of every engine, while it computes them for few engines only. Each engine has
+// bounds that are cheap to compare.
 //
 // The invariant is that a bound never excludes an engine that the exact figures would select: a
 // lower bound of the placement score is at most the exact score, and an engine counts as without
 // capacity only if hasCapacity says so too. A bound that is too weak costs time; one that is wrong
 // would change what is selected.
 //
-// It holds in floating point, to the last bit. A bound is computed by the same operations, in the
-// same order, as the exact figure, from operands that are not larger (under a division or a
-// subtraction: not smaller). Rounding is monotone, so after each operation the bound is still not
-// larger. Where a bound takes operations in another order, roundingSlack covers the difference.
+// It holds in floating point, to the last bit. A lower bound is computed by the same operations, in
+// the same order, as the exact figure, from operands that are not larger (not smaller for divisors
+// and subtrahends). Rounding is monotone, so after each operation the bound is still not larger.
+// Where a bound needs operations in another order, roundingSlack covers the difference.
 //
-// The bounds of an engine hold for all times until the next runPeriodic, which computes them anew
-// with updateAllBounds. Whatever changes an engine in between calls updateBounds for it. dispatch
-// calls updateAllBounds early if the mean load of the other controllers falls below what the bounds
-// assume.
+// The bounds of an engine hold until the next runPeriodic, which recomputes them with
+// updateAllBounds. Code that changes an engine in between calls updateBounds for it. dispatch calls
+// updateAllBounds early if the mean load from other controllers falls below what the bounds assume.
 
-// searchState is what is kept for the searches over engines.
+// searchState is the state of the searches over engines.
 type searchState struct {
-	candidates       candidateList // of engineList, for queries that leave their pools
-	exemptEngines    int           // engines with bounds.exemptFromPooledLimit
-	warmingEngines   int           // above 0 if an engine may be warming; counts some repeatedly
+	candidates       candidateList // of engineList, for queries that spill from their pools
+	exemptEngines    int           // number of engines with bounds.exemptFromPooledLimit
+	warmingEngines   int           // above 0 if any may be warming; may count an engine repeatedly
 	minFill          float64       // threads per core; lower bound over all engines
 	maxCapacity      float64       // cores; upper bound over all engines
 	minOthersPerCore float64       // lower bound of meanOthersPerCore
-	scoreBuffer      []float64     // kept for its memory: scoreLowerBounds
-	boundsExamined   int           // bounds of engines examined since the start; read by tests
+	scoreBuffer      []float64     // reused by scoreLowerBounds
+	boundsExamined   int           // number of engine bounds examined since the start; for tests
 }
 
 // searchBounds are the bounds of one engine.
@@ -38,24 +37,24 @@
 	minFill               float64 // threads per core; lower bound of fill
 	maxCapacity           float64 // cores; upper bound of cores times slowStartCapacity
 	minSlowdown           float64 // lower bound of the factor of its slowdown in the placement score
-	maxThreadLimit        float64 // threads; upper bound of the thread limit, all controllers together
-	maybeHealthy          bool    // false: it is usable for no class
-	maybeWarming          bool    // false: it is warm
-	exemptFromPooledLimit bool    // false: it has no capacity once the pooled thread limit is used up
+	maxThreadLimit        float64 // threads; upper bound of the limit of all controllers together
+	maybeHealthy          bool    // false: no class can use it
+	maybeWarming          bool    // false: it is certainly warm
+	exemptFromPooledLimit bool    // false: it has no capacity once the pooled limit is exceeded
 }
 
 const (
-	// roundingSlack is a relative difference, larger than rounding can make between two ways to
-	// compute a figure of a few operations.
+	// roundingSlack is a relative difference larger than the rounding error between two ways to
+	// compute a figure with a few operations.
 	roundingSlack = 1e-12
-	// othersPerCoreSlack is how far the mean load of the other controllers may fall, as a share of
-	// itself, before all bounds are computed anew.
+	// othersPerCoreSlack is the share by which the mean load from other controllers may fall before
+	// all bounds are recomputed.
 	othersPerCoreSlack = 0.1
 )
 
-// meanLowerBound is a lower bound of mean for all times from now until another, and for a prior
-// that is not smaller. Without additions the mean moves towards the prior, so it is least at one of
-// the two times.
+// meanLowerBound is a lower bound of mean for all times from now to until (ms), and for any prior
+// that is not smaller. Without additions the mean moves towards the prior, so it is lowest at one
+// of these two times.
 func (d *decayedMean) meanLowerBound(now, until, prior, priorWeight float64) float64 {
 	if d.weight == 0 && d.sum == 0 {
 		return prior
@@ -67,7 +66,7 @@
 	return d.mean(leastAt, prior, priorWeight) * (1 - roundingSlack)
 }
 
-// updateBounds computes the bounds of an engine anew, for the time until the next runPeriodic.
+// updateBounds recomputes the bounds of an engine, for the time until the next runPeriodic.
 func (r *Router) updateBounds(e *engine) {
 	until := max(r.now, r.timers.periodicAt)
 	b := &e.bounds
@@ -82,8 +81,8 @@
 	r.updatePooledLimitExemption(b)
 }
 
-// fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must hold
-// already.
+// fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must be up to
+// date.
 func (r *Router) fillLowerBound(e *engine, until float64) float64 {
 	minMean := e.cores * r.search.minOthersPerCore
 	minOthers := max(0, e.othersInflight.meanLowerBound(r.now, until, minMean, priorReportWeight))
@@ -98,7 +97,7 @@
 	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/widenBelowSlowdown)
 }
 
-// widenSearchBounds widens the bounds over all engines to those of one.
+// widenSearchBounds extends the bounds over all engines to include those of one.
 func (r *Router) widenSearchBounds(b *searchBounds) {
 	if b.maybeHealthy {
 		r.search.minFill = min(r.search.minFill, b.minFill)
@@ -109,9 +108,9 @@
 	}
 }
 
-// updatePooledLimitExemption sets exemptFromPooledLimit by the other bounds of the engine, and
-// keeps the count of such engines. The two cases are those in which withinThreadLimits lets an
-// engine pass the pooled limit: it is warming up, or its reports tell of capacity.
+// updatePooledLimitExemption sets exemptFromPooledLimit from the other bounds of the engine, and
+// updates the count of such engines. The two cases are those in which withinThreadLimits lets an
+// engine exceed the pooled limit: it is warming up, or its load reports show capacity.
 func (r *Router) updatePooledLimitExemption(b *searchBounds) {
 	exempt := b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)
 	switch {
@@ -123,7 +122,7 @@
 	b.exemptFromPooledLimit = exempt
 }
 
-// updateAllBounds computes the bounds of all engines anew.
+// updateAllBounds recomputes the bounds of all engines.
 func (r *Router) updateAllBounds() {
 	r.search.minOthersPerCore = (1 - othersPerCoreSlack) * r.meanOthersPerCore()
 	r.search.minFill = math.Inf(1)
@@ -135,7 +134,7 @@
 }
 
 // fillScoreLowerBound is a lower bound of the part of the placement score of q on e that comes from
-// how full and how slow e is.
+// the fill and the slowdown of e.
 func (q *query) fillScoreLowerBound(e *engine) float64 {
 	b := &e.bounds
 	return (b.minFill + q.class.Threads/b.maxCapacity) * b.minSlowdown
@@ -156,18 +155,18 @@
 	return bound
 }
 
-// capacityBound is the part of mayHaveCapacity that is the same for all engines of a list.
+// capacityBound holds the inputs of mayHaveCapacity that are the same for all engines of a list.
 type capacityBound struct {
-	nothingInFlight   bool // this controller has no attempt
-	withinPooledLimit bool // the pooled thread limit is not used up
+	nothingInFlight   bool // this controller has no attempt in flight
+	withinPooledLimit bool // the pooled thread limit is not exceeded
 
-	// limitShare is the share of the thread limit of all controllers on an engine up to which this one
-	// may fill it.
+	// limitShare is the share of an engine's thread limit, of all controllers together, that this
+	// controller may use.
 	limitShare float64
 }
 
-// capacityBound returns the bound for a list of engines that are filled up to a share of this
-// controller's thread limit on them.
+// capacityBound returns the bound for a list of engines on which the search may use a share of this
+// controller's thread limit.
 func (r *Router) capacityBound(share, trafficShare float64) capacityBound {
 	return capacityBound{
 		nothingInFlight:   r.concurrency.attempts == 0,
@@ -176,8 +175,8 @@
 	}
 }
 
-// mayHaveCapacity reports whether e may have capacity. If it says no, hasCapacity does so too, for
-// every class.
+// mayHaveCapacity reports whether e may have capacity. If it returns false, so does hasCapacity,
+// for every class.
 func (c *capacityBound) mayHaveCapacity(e *engine) bool {
 	b := &e.bounds
 	if !b.maybeHealthy || c.nothingInFlight {
@@ -187,10 +186,10 @@
 		(e.attempts == 0 || b.maybeWarming || e.threads <= c.limitShare*b.maxThreadLimit)
 }
 
-// scoreLowerBounds returns a bound for each of some engines, and the index of the least one. The
-// bound is +Inf where the engine has no capacity, else a lower bound of the placement score of q on
-// it. The affinity is left out of it where the engine can't be the least anyway: hashes are the
-// more expensive part.
+// scoreLowerBounds returns a bound for each engine of a list, and the index of the lowest one. The
+// bound is +Inf if the engine has no capacity, else a lower bound of the placement score of q on
+// it. The bound omits the affinity where it can't be the lowest even without it, because hashes are
+// the more expensive part.
 func (r *Router) scoreLowerBounds(
 	q *query, engines []*engine, capacity capacityBound,
 ) ([]float64, int) {
@@ -215,7 +214,8 @@
 	return bounds, leastIndex
 }
 
-// scoreBuffer returns memory for the scores of a number of engines, which the next call uses again.
+// scoreBuffer returns a slice for the scores of a number of engines. The next call reuses its
+// memory.
 func (r *Router) scoreBuffer(length int) []float64 {
 	if cap(r.search.scoreBuffer) < length {
 		r.search.scoreBuffer = make([]float64, length+length/2)
@@ -226,12 +226,12 @@
 // bestCandidate is the best engine that a search has found so far.
 type bestCandidate struct {
 	engine *engine // nil: none
-	score  float64 // placement score; +Inf: there is none
-	index  int     // in the list that is searched; -1: it comes from an earlier list
+	score  float64 // placement score; +Inf: no engine
+	index  int     // in the list being searched; -1: found in an earlier list
 }
 
-// beatenBy reports whether an engine with this score at this index is better: of two alike the
-// first is.
+// beatenBy reports whether an engine with this score at this index is better. Of equal scores the
+// lower index wins.
 func (best *bestCandidate) beatenBy(score float64, index int) bool {
 	return score < best.score || score == best.score && index < best.index
 }
@@ -245,12 +245,12 @@
 	best       *bestCandidate
 }
 
-// tryEngine looks at one engine of the list exactly, and makes it the best one if it is. It is
-// handed on beside the listSearch, as the closure would be allocated anew for each search if it
-// were part of it.
+// tryEngine compares one engine of the list by its exact figures, and makes it the best one if it
+// is better. It is not a field of listSearch, because the closure would then be allocated for each
+// search.
 type tryEngine func(e *engine, index int)
 
-// eachPossibleBest calls try for the engines of a list that their bounds don't exclude.
+// eachPossibleBest calls try for the engines of a list that are not excluded by their bounds.
 func (r *Router) eachPossibleBest(s *listSearch, try tryEngine) {
 	if r.queue.length < minQueuedForList && !s.q.class.LocksTables {
 		if order := r.affinityOrderOf(s.candidates, s.q.tables, s.engines); order != nil {
@@ -261,9 +261,9 @@
 	r.searchByBounds(s, try)
 }
 
-// searchByAffinity tries engines in the order of their affinity. The score is at least the
-// affinity's part and what the least filled engine would have, so the search ends as soon as that
-// is worse than the best: the engines that follow have less affinity.
+// searchByAffinity tries engines in order of decreasing affinity. The score of an engine is at
+// least its affinity score plus the lowest fill score of any engine. The search ends once that sum
+// exceeds the best score, because the engines that follow have less affinity.
 func (r *Router) searchByAffinity(s *listSearch, order []int32, try tryEngine) {
 	minFillScore := r.search.minFill + s.q.class.Threads/r.search.maxCapacity
 	for _, index := range order {
@@ -277,8 +277,8 @@
 	}
 }
 
-// searchByBounds tries the engine with the least bound first, as it will hardly be beaten, and then
-// those with a bound that is better than its score.
+// searchByBounds first tries the engine with the lowest bound, which is most likely the best, and
+// then those whose bounds are better than the best score.
 func (r *Router) searchByBounds(s *listSearch, try tryEngine) {
 	engines := r.withCapacity(s)
 	bounds, first := r.scoreLowerBounds(s.q, engines, s.capacity)
@@ -295,14 +295,14 @@
 	}
 }
 
-// noCapacityAnywhere reports that no engine has capacity for q, as far as that is known without a
-// search. It may be false although none has.
+// noCapacityAnywhere reports whether it is known without a search that no engine has capacity for
+// q. False does not mean that one has.
 func (r *Router) noCapacityAnywhere(q *query) bool {
 	return r.pooledLimitExceeded() || r.knownWithoutCapacityFor(q)
 }
 
-// pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass
-// it.
+// pooledLimitExceeded reports whether the pooled thread limit is exceeded and no engine is exempt
+// from it.
 func (r *Router) pooledLimitExceeded() bool {
 	pooled := &r.concurrency
 	if pooled.attempts == 0 || pooled.threads <= pooled.pooledThreadLimit {
--- a/router/search_test.go
+++ b/router/search_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// However many queries are queued and however many engines are full, a step examines few engines. The cost
-// is asserted by a count, as times belong to benchmarks.
+// A step examines few engines, however many queries are queued and engines are full. The test counts examined
+// engines; times are measured by benchmarks.
 func TestStepExaminesFewEngines(t *testing.T) {
 	for _, c := range []struct {
 		engines, queued, most int
-		memory                float64 // granted: 0.95 keeps queries away though threads are free
+		memory                float64 // granted share: 0.95 keeps queries away though threads are free
 	}{{10, 2000, 200, 0}, {300, 2000, 1500, 0}, {300, 100, 1500, 0}, {300, 2000, 1500, 0.95}} {
 		tr := newTestRouterInFleet(t, cancelCapabilities, 1, c.engines)
 		tr.step(newQuery(1))
@@ -40,13 +40,13 @@
 			tr.step(ev)
 		}
 		if examined := (tr.r.search.boundsExamined - before) / steps; examined > c.most {
-			t.Errorf("%+v: a step examined %d engines", c, examined)
+			t.Errorf("%+v: a step examined %d engines, more than allowed", c, examined)
 		}
 	}
 }
 
-// Random events happen. Until the next periodic run no exact figure passes its bound: no score is below its
-// lower bound, and no engine that counts as full has capacity.
+// Under random events, bounds hold until the next periodic run: no score is below its lower bound, and no
+// engine that is bounded as full has capacity.
 func TestSearchBoundsHold(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -94,11 +94,11 @@
 				score := tr.r.placementScore(q, e)
 				hasCapacity := tr.r.hasCapacity(q, e, 1) && e.state == Ready
 				if full := math.IsInf(bounds[i], 1); !full && bounds[i] > score || full && hasCapacity {
-					t.Fatalf("seed %d, %s: has score %v, with bound %v, capacity: %v", seed, e.id,
+					t.Fatalf("seed %d, %s: score %v violates bound %v (capacity: %v)", seed, e.id,
 						score, bounds[i], hasCapacity)
 				}
 				if bounds[i] < bounds[least] {
-					t.Fatalf("seed %d: the least bound is not that of %d", seed, least)
+					t.Fatalf("seed %d: the bound at the returned index %d is not the lowest", seed, least)
 				}
 			}
 		}
--- a/router/settings.go
+++ b/router/settings.go
@@ -1,71 +1,72 @@
 package router
 
-// Ids are distinct types so that one can't stand where another is meant.
+// Ids have distinct types so that one can't be used in place of another.
 type (
 	// QueryID numbers a query within one controller.
 	QueryID uint32
-	// EngineID names an engine. It outlives the engine's process: see Endpoint.StartedAt.
+	// EngineID names an engine. It stays the same when the engine's process is replaced: see
+	// Endpoint.StartedAt.
 	EngineID string
-	// OrderingKey groups queries that run one at a time; empty: the query is in no order.
+	// OrderingKey groups queries that run one at a time; empty: the query is not ordered.
 	OrderingKey string
 	// Zone names a zone.
 	Zone string
-	// CellID numbers a group of engines that share the record of what they have run.
+	// CellID numbers a group of engines that share one record of the queries they have run.
 	CellID int
-	// KindID is an index into the machine kinds given to New; -1: a kind that is not among them.
+	// KindID is an index into the machine kinds given to New; -1: a kind that is not configured.
 	KindID int
 	// ClassID is an index into the query classes given to New.
 	ClassID int
 	// TenantID is an index into the tenants given to New; -1: none.
 	TenantID int
-	// TableGroup numbers a group of tables that queries read together.
+	// TableGroup numbers a group of tables that are queried together.
 	TableGroup int64
 	// AttemptID numbers the attempts of one query, from 0.
 	AttemptID int
 )
 
-// RepeatEffect says what a second run of a query would do.
+// RepeatEffect is the effect of running a query a second time.
 type RepeatEffect int
 
 const (
 	// Idempotent queries may run again.
 	Idempotent RepeatEffect = iota
-	// Deduplicated queries carry an idempotency key: engines of one DeduplicationScope drop a repeat,
-	// for the DeduplicationWindow.
+	// Deduplicated queries carry an idempotency key: within the DeduplicationWindow, engines of one
+	// DeduplicationScope drop a repeat.
 	Deduplicated
 	// NonIdempotent queries must never run twice.
 	NonIdempotent
 )
 
-// DeduplicationScope says which engines know of each other's deduplicated queries.
+// DeduplicationScope defines which engines know each other's idempotency keys.
 type DeduplicationScope int
 
-// The scopes.
+// Engines share idempotency keys with all engines, those of their zone or those of their cell.
 const (
 	ScopeAll DeduplicationScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// covers reports whether two engines drop each other's repeats.
+// covers reports whether each of two engines drops repeats of queries that the other has run.
 func (s DeduplicationScope) covers(a, b *engine) bool {
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
-// QueryClass is what is configured for one class of queries.
+// QueryClass is the configuration of a query class.
 type QueryClass struct {
 	Effect RepeatEffect
 
-	// Scope and DeduplicationWindow (ms) count for Deduplicated queries alone.
+	// Scope and DeduplicationWindow (ms) apply only to Deduplicated queries.
 	Scope               DeduplicationScope
 	DeduplicationWindow float64
 
-	Ordered bool     // queries with the same OrderingKey run one at a time, as they arrived
+	Ordered bool     // queries with the same OrderingKey run one at a time, in order of arrival
 	Kinds   []KindID // the only machine kinds that may run it; nil: any
 	Zones   []Zone   // the only zones that may run it; nil: any
 
-	// LatencyObjective is the time in ms within which a client wants the answer, and ObjectivePerWork
-	// what is added to it for each ms of work over threads.
+	// LatencyObjective is the time in ms within which a client wants the answer. ObjectivePerWork is
+	// added to it for each ms of the query's work divided by its threads.
 	LatencyObjective float64
 	ObjectivePerWork float64
 
@@ -82,57 +83,57 @@
 	MemoryMB float64
 }
 
-// Tenant is one that shares the engines with others.
+// Tenant is the configuration of one of the tenants that share the engines.
 type Tenant struct {
 	QueriesPerSecond float64 // quota, over all controllers; 0: none is configured
 }
 
-// Identity is a controller's place among those that serve the same engines.
+// Identity identifies a controller among those that serve the same engines.
 type Identity struct {
-	Controllers int // how many there are; 0 counts as 1
-	Index       int // its own number, from 0
+	Controllers int // number of controllers; 0 counts as 1
+	Index       int // index of this controller, from 0
 	Zone        Zone
 }
 
-// Capabilities says what the deployment lets a controller do.
+// Capabilities defines what a controller can do in its deployment.
 type Capabilities struct {
 	Cancel           bool    // attempts can be cancelled
 	HealthChecks     bool    // engines can be asked for their health and load
-	Hedging          bool    // a second attempt may run beside the first
-	RetryAfter       bool    // a rejection may say when to come back
-	PollEndpoints    bool    // the endpoint list comes only when it is asked for
+	Hedging          bool    // a second attempt may run concurrently with the first
+	RetryAfter       bool    // a rejection may tell the client when to retry
+	PollEndpoints    bool    // the endpoint list comes only when it is polled
 	MaxAttempts      int     // of one query
 	MaxRetryAfter    float64 // ms
-	ProgressInterval float64 // ms between progress messages of a running attempt; 0: there are none
+	ProgressInterval float64 // ms between progress messages of a running attempt; 0: none
 }
 
-// SafetyLimits are the figures of the rules that always hold.
+// SafetyLimits holds the parameters of the rules that always hold (see the package comment).
 type SafetyLimits struct {
-	EventInterval float64 // ms; a caller may take this long to hand over an event
+	EventInterval float64 // ms; the longest time a caller takes to pass an event to Step
 
-	// A warming engine starts with at least SlowStartCapacity, a share of its full capacity, and has
-	// all of it after SlowStartTime (ms). It collapses when it is sent more than SlowStartOverload
-	// times what it can do at that moment for SlowStartWindow (ms). SlowStartOverload 0: no such
+	// A warming engine starts with at least SlowStartCapacity, a share of its full capacity, and
+	// reaches full capacity after SlowStartTime (ms). It collapses if for SlowStartWindow (ms) it is
+	// sent more than SlowStartOverload times its capacity at that moment. SlowStartOverload 0: no such
 	// limit.
 	SlowStartCapacity float64
 	SlowStartTime     float64
 	SlowStartOverload float64
 	SlowStartWindow   float64
 
-	// OrderingCooldown (ms) is how long an ordering key is in cooldown after an attempt that may still
-	// be running.
+	// OrderingCooldown (ms) is the cooldown of an ordering key after an attempt that may still be
+	// running.
 	OrderingCooldown float64
 
-	// Where RetryBudgeted, in any RetryBudgetWindow (ms) there are at most RetryBudgetMin retries, and
-	// RetryBudgetRatio for each query taken in it.
+	// If RetryBudgeted is set, the number of retries in any RetryBudgetWindow (ms) is at most
+	// RetryBudgetMin plus RetryBudgetRatio times the queries that arrived in it.
 	RetryBudgeted     bool
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
 	RetryBudgetWindow float64
 
-	// PollWithin (ms) is how old the last poll of the endpoint list may become, where
-	// Capabilities.PollEndpoints.
+	// PollWithin (ms) is the maximum age of the last poll of the endpoint list, if
+	// Capabilities.PollEndpoints is set.
 	PollWithin float64
-	// OverQuotaBenefit is the share of the benefit that is left of a tenant's queries over its quota.
+	// OverQuotaBenefit is the share of their benefit that queries over their tenant's quota keep.
 	OverQuotaBenefit float64
 }
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// This file finds the queued queries that are past their shedDeadline without a look at all of
-// them. That time depends on the run times of the class, which change with every answer.
+// This file finds the queued queries that are past their shedDeadline without examining all of
+// them. That deadline depends on the run times of the class, which change with every answer.
 //
 // Each queued query has an alarm at its shedDeadlineLowerBound: a time that is not after its
-// shedDeadline, whatever the run times do within the tolerances below. So a query is not overdue
-// before its alarm is due, and then it is looked at exactly. When a class leaves the tolerances,
-// all its alarms come forward at once by as much as any of them could have to (shedWatch.offset),
-// and each is set anew when it is looked at. As with the bounds of search.go, an alarm that comes
-// too early costs time only.
-
-// timeModel is what the run time of a query follows from, besides its own estimate.
+// shedDeadline while the run times change within the tolerances below. So a query is not overdue
+// before its alarm is due, and only then is its exact shedDeadline computed. When a class leaves
+// the tolerances, all its alarms are moved earlier at once, by the most that any of them may have
+// to move (shedWatch.offset), and each is set again when its query is examined. As with the bounds
+// of search.go, an alarm that is too early only costs time.
+
+// timeModel holds the values from which, together with the estimate of a query, its run time is
+// computed.
 type timeModel struct {
 	unitTime  float64 // queryClass.bestUnitTime, ms
 	workScale float64 // mean of queryClass.workScale
@@ -31,47 +32,46 @@
 	}
 }
 
-// shedWatch has an alarm for each queued query of a class, and for some that are queued no longer.
+// shedWatch has an alarm for each queued query of a class, and for some that are no longer queued.
 type shedWatch struct {
-	alarms          heap[alarm] // at shedDeadlineLowerBound plus the offset when they were set
-	offset          float64     // ms; an alarm is due at its time less this
-	model           timeModel   // for which shedDeadlineLowerBound holds, within the tolerances
-	largestEstimate float64     // ms on one thread, of the queries that are or were watched
+	alarms          heap[alarm] // at shedDeadlineLowerBound plus the offset when each was set
+	offset          float64     // ms; an alarm is due this long before its time
+	model           timeModel   // of shedDeadlineLowerBound, which holds within the tolerances
+	largestEstimate float64     // ms on one thread, over the queries that are or were watched
 }
 
 const (
 	// unitTimeTolerance, workScaleTolerance and slowdownTolerance are the ratios by which the values
-	// of a timeModel may change, up or down, before the alarms are brought forward.
+	// of a timeModel may change, up or down, before the alarms are moved earlier.
 	unitTimeTolerance  = 1.25
 	workScaleTolerance = 1.25
 	slowdownTolerance  = 2.5
-	// unloadedTolerance is the ratio by which unloadedTime changes at most within these.
+	// unloadedTolerance is the largest ratio by which unloadedTime changes within these tolerances.
 	unloadedTolerance = unitTimeTolerance * workScaleTolerance
-	// timeRoundingSlack, in ms, is more than rounding makes of a sum of times since 1970: as float64
-	// these are about 0.0002 ms apart.
+	// timeRoundingSlack, in ms, is more than the rounding error of a sum of times since 1970:
+	// neighbouring float64 values of such times are about 0.0002 ms apart.
 	timeRoundingSlack = 0.01
 )
 
 // withinRatio reports whether neither of two values is more than a ratio times the other.
 func withinRatio(a, b, ratio float64) bool { return a <= b*ratio && b <= a*ratio }
 
-// withinTolerances reports whether a model is within the tolerances of another.
+// withinTolerances reports whether m is within the tolerances of another model.
 func (m timeModel) withinTolerances(other timeModel) bool {
 	return withinRatio(m.unitTime, other.unitTime, unitTimeTolerance) &&
 		withinRatio(m.workScale, other.workScale, workScaleTolerance) &&
 		withinRatio(m.slowdown, other.slowdown, slowdownTolerance)
 }
 
-// watchForShedding sets the alarm of a queued query.
+// watchForShedding adds the alarm of a queued query to the shedWatch of its class.
 func (r *Router) watchForShedding(q *query) {
 	watch := &q.class.shedWatch
 	watch.largestEstimate = max(watch.largestEstimate, q.estimatedWork)
 	watch.alarms.push(alarm{r.shedDeadlineLowerBound(q) + watch.offset, q})
 }
 
-// refreshShedWatch takes over the present model of the class if it has left the tolerances, and
-// brings all alarms forward: by as much as the old model and the new one, together, can move any of
-// them.
+// refreshShedWatch adopts the current model of the class if it has left the tolerances, and moves
+// all alarms earlier, by the largest shift that the old and the new model together can cause.
 func (class *queryClass) refreshShedWatch(now float64) {
 	watch := &class.shedWatch
 	model := class.timeModel(now)
@@ -89,23 +89,22 @@
 	watch.offset += shift
 }
 
-// maxShedShift is the time in ms by which a model, within its tolerances, moves
-// shedDeadlineLowerBound at most: it is the largest for the query with the largest estimate or for
-// one without any.
+// maxShedShift is the longest time in ms by which a model, within its tolerances, moves
+// shedDeadlineLowerBound. The shift is largest for the query with the largest estimate or for one
+// without an estimate.
 func (class *queryClass) maxShedShift(model timeModel) float64 {
 	largestEstimate := max(class.shedWatch.largestEstimate, 1)
 	longest := max(
 		class.unloadedTimeForModel(0, model),
 		class.unloadedTimeForModel(largestEstimate, model),
 	)
-	// Of the unloaded time, by latestStart and by what shedDeadline takes off it.
+	// In unloaded times: the shift of latestStart, and that of what shedDeadline subtracts from it.
 	shifts := max(lateRunTimeMargin, class.ObjectivePerWork, 1) +
 		max(0, runTimeMargin*model.slowdown*slowdownTolerance-1)
 	return shifts * unloadedTolerance * longest
 }
 
-// rebuildShedWatches sets all alarms anew. It is for a change of answerBy, on which they depend
-// too.
+// rebuildShedWatches sets all alarms again after a change of answerBy, on which they also depend.
 func (r *Router) rebuildShedWatches() {
 	for _, class := range r.classes {
 		class.worthCache.epoch++
@@ -118,7 +117,8 @@
 	}
 }
 
-// overdueQueries lists the queued queries that are past their shedDeadline, by client timeout.
+// overdueQueries lists the queued queries that are past their shedDeadline, ordered by client
+// timeout.
 func (r *Router) overdueQueries() []*query {
 	overdue := r.queue.overdueBuffer[:0]
 	examined := r.queue.scanBuffer[:0]
@@ -139,8 +139,8 @@
 	return overdue
 }
 
-// popDue takes out the alarms that are due at a time (ms), and appends the queries that are still
-// queued.
+// popDue removes the alarms that are due at a time (ms), and appends to queued their queries that
+// are still in the queue.
 func (watch *shedWatch) popDue(now float64, queued []*query) []*query {
 	alarms := &watch.alarms
 	for len(alarms.list) > 0 && alarms.list[0].at-watch.offset < now {
@@ -154,16 +154,16 @@
 	return queued
 }
 
-// resetShedAlarm sets the alarm of a query that was looked at. An overdue one gets an alarm too: it
-// stays queued if it can't be given an answer, as its response has begun.
+// resetShedAlarm sets the alarm of a query again after it was examined. An overdue query gets one
+// too, because it stays queued if its response has started and it can get no other answer.
 func (r *Router) resetShedAlarm(q *query) {
 	watch := &q.class.shedWatch
 	watch.alarms.push(alarm{max(r.now, r.shedDeadlineLowerBound(q)) + watch.offset, q})
 }
 
 // shedDeadlineLowerBound is a lower bound in ms of the shedDeadline of q, for all run times within
-// the tolerances of the watch's model. It is shedDeadline with its least latestStart, and the most
-// that is taken off it.
+// the tolerances of the watch's model. It is computed like shedDeadline, from the lowest
+// latestStart and the largest amount subtracted from it.
 func (r *Router) shedDeadlineLowerBound(q *query) float64 {
 	class := q.class
 	model := class.shedWatch.model
@@ -175,8 +175,8 @@
 }
 
 // latestStartLowerBound is a lower bound in ms of the latestStart of q, for all run times within
-// the tolerances. latestStart is a sum of terms that grow or fall evenly with the unloaded time, so
-// each is least at one of the ends of its range.
+// the tolerances. latestStart is a minimum of terms that are linear in the unloaded time, so each
+// is lowest at one end of the range of that time.
 func (r *Router) latestStartLowerBound(q *query) float64 {
 	class := q.class
 	unloaded := class.unloadedTimeForModel(q.estimatedWork, class.shedWatch.model)
@@ -189,7 +189,8 @@
 	return min(q.firstTriedAt+class.LatencyObjective+added, r.answerBy(q)-longest)
 }
 
-// unloadedTimeForModel is unloadedTime by a model, for a query with this estimate of its work.
+// unloadedTimeForModel is unloadedTime computed from a model, for a query with this estimate of its
+// work.
 func (class *queryClass) unloadedTimeForModel(estimatedWork float64, model timeModel) float64 {
 	if model.unitTime == 0 && estimatedWork <= 0 {
 		return class.LatencyObjective / unknownTimeDivisor
--- a/router/shedwatch_test.go
+++ b/router/shedwatch_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A class's run times change in any way while queries are queued. The alarms of the shed watch find exactly
-// those queries that are past their shed deadline.
+// The run times of a class change at random while queries are queued. The alarms of the shed watch find
+// exactly the queries that are past their shed deadline.
 func TestShedWatchFindsTheOverdue(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -25,7 +25,7 @@
 			q.bestUnitTime = []float64{0, q.bestUnitTime, 2 * rng.Float64(), 50 * rng.Float64()}[rng.Intn(4)]
 			q.logSlowdown.add(r.now, 3*rng.Float64(), 1)
 			q.workScale.add(r.now, 2*rng.Float64(), 1)
-			r.now++ // no query is examined twice at one time
+			r.now++ // so that no query is examined twice at the same time
 			var want []QueryID
 			for _, q := range r.queries {
 				if q.queued && r.now > r.shedDeadline(q) {
@@ -39,7 +39,7 @@
 			slices.Sort(want)
 			slices.Sort(got)
 			if !slices.Equal(got, want) {
-				t.Fatalf("seed %d, at %v: %v is overdue, not %v", seed, r.now, got, want)
+				t.Fatalf("seed %d, at %v ms: overdue queries %v, want %v", seed, r.now, got, want)
 			}
 			r.now += 60 * rng.Float64()
 			tr.now = max(tr.now, r.now)
--- a/router/sort.go
+++ b/router/sort.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// insertSorted inserts x into a list that is in the order of compare, which finds no two of its
-// members equal.
+// insertSorted inserts x into a list that is sorted by compare. No two elements may be equal by it.
 func insertSorted[T any](list []T, x T, compare func(a, b T) int) []T {
 	at, _ := slices.BinarySearchFunc(list, x, compare)
 	return slices.Insert(list, at, x)
--- a/router/statistics.go
+++ b/router/statistics.go
@@ -12,10 +12,11 @@
 	Weight float64 // in additions of weight 1
 }
 
-// Statistics is what a controller has learned, or a part of it. Each record has in At the time, in
-// ms, at which it was exported. What a rule rests on is not in it: what was started on warming
-// engines and the usual work that guards them, cooldowns of ordering keys, attempts that may have
-// run, the retry budget, and which engines answered since the endpoint list was last updated.
+// Statistics is what a controller has learned, or a part of it. Each record holds in At the time
+// (ms) of its export. State that the rules depend on is not included: the work started on warming
+// engines and the usual work that protects them, cooldowns of ordering keys, attempts that may have
+// run, the retry budget, and which engines have answered since the last update of the endpoint
+// list.
 type Statistics struct {
 	Engines []EngineStatistics
 	Tables  []TableStatistics
@@ -23,34 +24,35 @@
 	Traffic []TrafficStatistics // at most one
 }
 
-// EngineStatistics is what is known of one process of an engine.
+// EngineStatistics holds what was learned of one process of an engine.
 type EngineStatistics struct {
 	At             float64 // ms
 	Engine         EngineID
 	StartedAt      float64      // ms, when that process started; 0: long ago
 	Slowdown       WeightedMean // run time over the time on an idle engine
 	ThreadsPerCore float64      // concurrency limit of all controllers together
-	Outcomes       uint8        // a bit for each attempt and health check, the last lowest; 1: success
-	PoolLeader     EngineID     // first engine of its pool, which names the pool; empty: none
+	Outcomes       uint8        // a bit per attempt and health check, the latest lowest; 1: success
+	PoolLeader     EngineID     // first engine of its pool, which identifies the pool; empty: none
 }
 
-// TableStatistics is what is known of a table group.
+// TableStatistics holds what was learned of a table group.
 type TableStatistics struct {
 	At         float64 // ms
 	Tables     TableGroup
-	Demand     float64 // ms of work on one thread for each ms
-	MemoryTime float64 // megabytes times ms of its attempts, for each ms
+	Demand     float64 // ms of work on one thread per ms
+	MemoryTime float64 // megabytes times ms of its attempts, per ms
 
-	// PoolLeaders has, by machine kind, the PoolLeader of the pool that serves it; empty: none does.
+	// PoolLeaders holds, by machine kind, the PoolLeader of the pool that serves the group; empty:
+	// none.
 	PoolLeaders []EngineID
 }
 
-// ClassStatistics is how the queries of a class run.
+// ClassStatistics holds what was learned of the run times and the memory of a class of queries.
 type ClassStatistics struct {
 	At              float64 // ms
 	Class           ClassID
-	FirstTryTimeout float64      // ms that a first try leaves until its client gives up
-	UnloadedTime    float64      // ms per unit of work on an idle engine; 0: not known
+	FirstTryTimeout float64      // ms that clients allow for a first try
+	UnloadedTime    float64      // ms per unit of work on an idle engine; 0: unknown
 	WorkScale       WeightedMean // true work over estimated work
 	MemoryScale     WeightedMean // true memory over estimated memory
 }
@@ -74,19 +76,19 @@
 	s.Traffic = append(s.Traffic, part.Traffic...)
 }
 
-// Cursor is where the next part of an export begins; its zero value is the beginning. It stays
-// valid while engines and table groups come and go, as it names the next ones by id.
+// Cursor is the position at which the next part of an export begins; the zero value is the
+// beginning. It refers to engines and table groups by id, so it stays valid while they come and go.
 type Cursor struct {
 	stage  exportStage
-	engine EngineID   // least id that was not examined yet
-	tables TableGroup // the same
-	class  int        // the same, an index
+	engine EngineID   // lowest id not examined yet
+	tables TableGroup // lowest id not examined yet
+	class  int        // lowest index not examined yet
 }
 
-// exportStage is the kind of records that an export has come to.
+// exportStage is the kind of records that an export has reached.
 type exportStage int
 
-const ( // in the order of the export
+const ( // in export order
 	stageTraffic exportStage = iota
 	stageClasses
 	stageEngines
@@ -94,10 +96,10 @@
 	stageDone
 )
 
-// Statistics exports a part of what was learned, and returns where the next part begins; more is
-// false after the last one. It examines limit records at most, and returns those of them that say
-// something, so that a part takes little time. It changes nothing, not even the last bit of a
-// decayed sum: the same events lead to the same actions whether or not anyone exports.
+// Statistics exports a part of what was learned, and returns the cursor of the next part; more is
+// false after the last one. It examines at most limit records, so that a call is short, and omits
+// those without information. It changes nothing, not even the last bit of a decayed sum: an export
+// does not affect which actions follow from the same events.
 func (r *Router) Statistics(from Cursor, limit int) (part Statistics, next Cursor, more bool) {
 	export := statisticsExport{router: r, now: r.now, cursor: from, remaining: limit}
 	for export.remaining > 0 && export.cursor.stage < stageDone {
@@ -160,7 +162,7 @@
 		if e.state != Gone {
 			export.part.Engines = append(export.part.Engines, e.statistics(export.now))
 		}
-		export.cursor.engine = e.id + "\x00" // the least id that follows
+		export.cursor.engine = e.id + "\x00" // the lowest id that follows
 	}
 	if at == len(all) {
 		export.cursor.stage = stageTables
@@ -191,10 +193,11 @@
 	}
 }
 
-// negligibleExportWeight is the weight below which a mean is exported as not known.
+// negligibleExportWeight is the weight below which a mean is exported as unknown.
 const negligibleExportWeight = 1e-6
 
-// weightedMean reads a mean at a time (ms). It works on a copy, as an export must change nothing.
+// weightedMean reads a mean at a time (ms). It works on a copy, because an export must change
+// nothing.
 func weightedMean(d decayedMean, now float64) WeightedMean {
 	d.advance(now)
 	if d.weight < negligibleExportWeight {
@@ -228,8 +231,7 @@
 	}
 }
 
-// exportedStart is the start of an engine's process (ms) as it is exported: -Inf, long ago, becomes
-// 0.
+// exportedStart is the exported start time (ms) of an engine's process: -Inf, long ago, becomes 0.
 func exportedStart(startedAt float64) float64 {
 	if math.IsInf(startedAt, -1) {
 		return 0
@@ -239,7 +241,7 @@
 
 // statistics exports a table group.
 func (g *tableGroup) statistics(now float64) TableStatistics {
-	demand := g.demand // copies, as an export must change nothing
+	demand := g.demand // copies, because an export must change nothing
 	memoryTime := g.memoryTime
 	record := TableStatistics{
 		At:          now,
@@ -254,8 +256,8 @@
 	return record
 }
 
-// leader is the first engine of a pool, by which an export names the pool; empty: there is no pool
-// or no engine in it.
+// leader is the first engine of a pool, which identifies the pool in an export; empty: there is no
+// pool, or it has no engine.
 func (pool *enginePool) leader() EngineID {
 	if pool == nil || len(pool.engines) == 0 {
 		return ""
--- a/router/statistics_test.go
+++ b/router/statistics_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newTrainedRouter returns a controller that has learned of six engines, one of which is slow, of five table
-// groups and of a class.
+// newTrainedRouter returns a controller with statistics of six engines, one of which is slow, five table
+// groups and a class.
 func newTrainedRouter(t *testing.T) (tr *testRouter, slow EngineID) {
 	var endpoints []Endpoint
 	for i := range 6 {
@@ -47,29 +47,29 @@
 	return all, parts
 }
 
-// An export is the same in parts of any size, and it changes nothing.
+// An export in parts of any size holds the same records, and changes nothing.
 func TestExportInParts(t *testing.T) {
 	tr, slow := newTrainedRouter(t)
 	whole, _ := exportAll(tr.r, 1000)
 	if len(whole.Engines) != 6 || len(whole.Tables) != 5 || len(whole.Classes) != 1 || len(whole.Traffic) != 1 {
-		t.Fatalf("%+v", whole)
+		t.Fatalf("got %+v, want 6 engines, 5 table groups, 1 class and 1 traffic record", whole)
 	}
 	for _, limit := range []int{1, 2, 3, 7} {
 		if inParts, parts := exportAll(tr.r, limit); fmt.Sprint(inParts) != fmt.Sprint(whole) || parts < 13/limit {
-			t.Errorf("in %d parts of %d: %+v", parts, limit, inParts)
+			t.Errorf("export in %d parts of at most %d records differs from the whole one: %+v", parts, limit, inParts)
 		}
 	}
 	for _, e := range whole.Engines {
 		if (e.Engine == slow) != (e.Slowdown.Mean > 2) {
-			t.Errorf("%s is nine times slower: %+v", slow, e)
+			t.Errorf("only %s is slow, by a factor of nine, but the export has %+v", slow, e)
 		}
 	}
 	if p := whole.Classes[0]; p.UnloadedTime < 50 || p.UnloadedTime > 200 || p.FirstTryTimeout < 4000 {
-		t.Errorf("%+v", p)
+		t.Errorf("got %+v, want UnloadedTime from 50 to 200 and FirstTryTimeout of at least 4000", p)
 	}
 }
 
-// The cursor of an export goes on behind what it has returned while engines and table groups come and go.
+// An export continues after the last record that it returned while engines come and go.
 func TestCursorSurvivesChanges(t *testing.T) {
 	tr, _ := newTrainedRouter(t)
 	seen := map[EngineID]int{}
@@ -84,6 +84,6 @@
 		}
 	}
 	if len(seen) != 5 || seen["e4"] != 0 || seen["e3"] != 1 || seen["e5"] != 1 {
-		t.Errorf("seen %v", seen)
+		t.Errorf("exported engines %v, want 5 with e3 and e5 once and without e4", seen)
 	}
 }
--- a/router/status.go
+++ b/router/status.go
@@ -1,29 +1,29 @@
 package router
 
-// EngineStatus is what a controller knows of an engine just now, for capacity planning and for
-// operators. Nothing is decided by it.
+// EngineStatus is the current view that a controller has of an engine, for capacity planning and
+// operators. No decision depends on it.
 type EngineStatus struct {
 	Engine      EngineID
-	State       EngineState // as the controller treats it
-	ListedState EngineState // as the endpoint list has it, if an override is in force
+	State       EngineState // as the controller uses it
+	ListedState EngineState // in the endpoint list; differs from State if an override is in force
 	Zone        Zone
 	Kind        KindID
 	StartedAt   float64 // ms, of its process; -Inf: long ago
-	WarmAt      float64 // ms, from which it counts as warm; 0: it started long ago
+	WarmAt      float64 // ms, from when it counts as warm; 0: it started long ago
 	Cores       float64
-	Load        float64 // its load by its reports, see engineLoad; 0 if there is no recent report
-	Attempts    int     // of this controller, with an outcome that is waited for
+	Load        float64 // by its load reports, see engineLoad; 0: no recent report
+	Attempts    int     // awaited attempts of this controller
 	Tables      []TableStatus
 }
 
 // TableStatus is a table group that an engine's pool serves.
 type TableStatus struct {
 	Tables       TableGroup
-	Demand       float64 // of this controller, per engine of the pool: ms on one thread for each ms
-	OtherEngines int     // of the pool
+	Demand       float64 // at this controller, per engine of the pool: ms on one thread per ms
+	OtherEngines int     // number of other engines of the pool
 }
 
-// EngineStatuses returns the status of all engines by id. It changes nothing.
+// EngineStatuses returns the status of all engines, ordered by id. It changes nothing.
 func (r *Router) EngineStatuses() []EngineStatus {
 	list := make([]EngineStatus, 0, len(r.engineList))
 	for _, e := range r.engineList {
@@ -32,7 +32,7 @@
 	return list
 }
 
-// engineStatus is the status of one engine.
+// engineStatus returns the status of one engine.
 func (r *Router) engineStatus(e *engine) EngineStatus {
 	status := EngineStatus{
 		Engine:      e.id,
@@ -56,8 +56,7 @@
 	return status
 }
 
-// tableStatuses lists the table groups that a pool serves, as the status of one of its engines has
-// them.
+// tableStatuses lists the table groups that a pool serves, for the status of one of its engines.
 func (pool *enginePool) tableStatuses(now float64) []TableStatus {
 	var list []TableStatus
 	engines := len(pool.engines)
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// tableGroup is a group of tables with the demand for it.
+// tableGroup is a group of tables with the demand for it and the engines that serve it.
 type tableGroup struct {
 	id          TableGroup
-	lastQueryAt float64       // ms, when a query last named it
-	openQueries int           // queries that name it and are not forgotten yet
+	lastQueryAt float64       // ms, of the last query on it
+	openQueries int           // queries on it that are not removed yet
 	hot         bool          // an operator's rule marked it as hot
-	confirmed   bool          // a query on it was answered; until then a client may have made it up
-	demand      decayedMean   // its rate is ms of work on one thread for each ms
-	memoryTime  decayedMean   // its rate is megabytes that this controller's attempts use
-	pools       []*enginePool // that serve it, by machine kind; nil: none
+	confirmed   bool          // a query on it succeeded; until then it may not exist
+	demand      decayedMean   // its rate is ms of work on one thread per ms
+	memoryTime  decayedMean   // its rate is the megabytes that this controller's attempts use
+	pools       []*enginePool // pools that serve it, by machine kind; nil: none
 	lockHolders []*engine     // all engines on which it may be locked
 }
 
 // byGroupID orders table groups by id.
 func byGroupID(a, b *tableGroup) int { return cmp.Compare(a.id, b.id) }
 
-// tableGroupOf returns the table group of an id. A new one is added to a pool of each machine kind.
+// tableGroupOf returns the table group with an id. A new one is added to a pool of each machine
+// kind.
 func (r *Router) tableGroupOf(id TableGroup) *tableGroup {
 	if g := r.tableGroups[id]; g != nil {
 		return g
@@ -48,8 +49,8 @@
 	}
 }
 
-// dropReleasedLocks forgets the engines on which the table group is no longer locked, those that
-// are gone among them.
+// dropReleasedLocks removes the engines on which the table group is no longer locked, including
+// those that are gone.
 func (g *tableGroup) dropReleasedLocks(now float64) {
 	if len(g.lockHolders) == 0 {
 		return
@@ -59,8 +60,8 @@
 	})
 }
 
-// removeIdleTableGroups drops table groups that have no open query and that no query has named
-// since idleSince (ms) or, if no query on them was ever answered, since unconfirmedSince (ms). The
+// removeIdleTableGroups removes the table groups that have no open query and have had none arrive
+// since idleSince (ms) or, if no query on them has ever succeeded, since unconfirmedSince (ms). The
 // second time is the later one: clients can name any number of groups that don't exist, and memory
 // would grow with them.
 func (r *Router) removeIdleTableGroups(idleSince, unconfirmedSince float64) {
@@ -80,7 +81,7 @@
 	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return unused(g) })
 }
 
-// dropStaleTableLocks forgets the table locks that count no longer. They would keep dropped table
+// dropStaleTableLocks removes the table locks that no longer count. They would keep removed table
 // groups in memory.
 func (r *Router) dropStaleTableLocks() {
 	for _, e := range r.engineList {
--- a/router/tablegroup_test.go
+++ b/router/tablegroup_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Table groups are forgotten when no query names them any more, those on which no query was ever answered
-// soon: clients can name any number of them.
+// Table groups are removed when they get no more queries. Those on which no query ever succeeded are removed
+// soon, because clients can name any number of them.
 func TestUnusedTableGroupsAreForgotten(t *testing.T) {
 	locks := lookupClass
 	locks.LocksTables = true
@@ -30,11 +30,12 @@
 		}
 		if n := len(tr.r.tableGroups); n < c.least || c.after > 0 && n > c.least || len(tr.r.groupList) != n ||
 			packed != n {
-			t.Errorf("after %g ms: %d groups, %d in order, %d packed", c.after, n, len(tr.r.groupList), packed)
+			t.Errorf("after %g ms: %d groups, %d in groupList, %d in pools; want the same count without unused ones",
+				c.after, n, len(tr.r.groupList), packed)
 		}
 	}
 	if e := tr.r.engines["a"]; len(e.tablesLockedUntil)+len(e.tableLocks) > 0 || len(tr.r.queries) > 0 {
-		t.Errorf("%d noted locks, %d own locks and %d queries are kept", len(e.tablesLockedUntil),
+		t.Errorf("%d reported locks, %d own locks and %d queries are left, want none", len(e.tablesLockedUntil),
 			len(e.tableLocks), len(tr.r.queries))
 	}
 }
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// worthCache makes it cheap to ask again and again, while no engine has capacity, whether a queued
-// query is still worth running: whyNotWorthRunning is asked once, and its answer is remembered for
-// the query until a time before which nothing can change it, in the epoch in which it was given. An
+// worthCache makes it cheap to check repeatedly, while no engine has capacity, whether a queued
+// query is still worth running. If whyNotWorthRunning finds no reason against it, that result is
+// cached in the query, with a time before which nothing can change it within the current epoch. An
 // epoch ends when the run times of the class or the size limit of admission control leave their
 // tolerances, or when a shutdown is planned.
 type worthCache struct {
-	step        uint64  // in which it was last refreshed
-	epoch       int     // its number
-	allowedWork float64 // ms on one thread that the size limit allowed a query when the epoch began
+	step        uint64  // of the last refresh
+	epoch       int     // number of the current epoch
+	allowedWork float64 // ms on one thread that the size limit allowed per query when the epoch began
 }
 
 // sizeLimitTolerance is the ratio by which the allowed work may change, up or down, within an
 // epoch.
 const sizeLimitTolerance = 1.3
 
-// refreshWorthCache begins another epoch of a class if its model, or the allowed work, has left the
-// tolerances. It does so once in a step.
+// refreshWorthCache begins a new epoch of a class if its model or the allowed work has left the
+// tolerances. It checks once per step.
 func (r *Router) refreshWorthCache(class *queryClass) {
 	cache := &class.worthCache
 	if cache.step == r.stepCount {
@@ -35,10 +35,10 @@
 	}
 }
 
-// knownWorthRunning reports that q is worth running, from the cache where that holds, else by
-// asking. A cached yes is always true: of the reasons in whyNotWorthRunning, the tenant's quota is
-// asked for anew, the two that come with time can't come before worthUntil, and the size is within
-// the limit for the whole epoch.
+// knownWorthRunning reports whether q is worth running, from the cache if it is valid, else by
+// whyNotWorthRunning. A cached yes is always right: of the reasons in whyNotWorthRunning, the
+// tenant's quota is checked on each call, the two that depend on time can't apply before
+// worthUntil, and the size stays within the limit for the whole epoch.
 func (r *Router) knownWorthRunning(q *query) bool {
 	if len(q.attempts) > 0 {
 		return true
@@ -59,7 +59,7 @@
 }
 
 // worthUntilLowerBound is a time in ms until which q, which is worth running now, stays so in this
-// epoch; -Inf: it is so near to the size limit that it may be too large before the epoch ends.
+// epoch; -Inf: q is so close to the size limit that it may exceed it before the epoch ends.
 func (r *Router) worthUntilLowerBound(q *query) float64 {
 	if q.mayExceed(q.class.worthCache.allowedWork) {
 		return math.Inf(-1)
@@ -69,8 +69,8 @@
 	return min(r.answerBy(q)-longest, r.latestStartLowerBound(q)) - timeRoundingSlack
 }
 
-// mayExceed reports whether q may need more than is allowed, at some time in an epoch that began
-// with this allowed work (ms on one thread).
+// mayExceed reports whether q may need more than the allowed work at some time in an epoch that
+// began with this allowed work (ms on one thread).
 func (q *query) mayExceed(allowedWork float64) bool {
 	if q.estimatedWork <= 0 {
 		return false
