--- a/cmd/mintkeel-sim/encoding_test.go
+++ b/cmd/mintkeel-sim/encoding_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("the script has no %s", message)
 		}
 	}
-	out, err := play(string(input))
+	out, err := runScript(string(input))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// instance is one controller.
-type instance struct {
+// controller is one controller.
+type controller struct {
 	names  names          // of its settings
 	module *router.Router // that decides for it
 	events []router.Event // for its next step
@@ -36,7 +36,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	writer := simwire.NewWriter(out)
-	instances := map[int]*instance{} // by number
+	controllers := map[int]*controller{} // by number
 	for {
 		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) {
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(writer, instances, batch); err != nil {
+		if err := answer(writer, controllers, batch); err != nil {
 			return err
 		}
 	}
@@ -53,11 +53,11 @@
 
 // answer delivers the messages of a batch, then has each controller that got one do a step, in the
 // order of their first messages, and ends the answer.
-func answer(w *simwire.Writer, instances map[int]*instance, batch *simwire.Batch) error {
+func answer(w *simwire.Writer, controllers map[int]*controller, batch *simwire.Batch) error {
 	var numbers []int
 	seen := map[int]bool{}
 	for _, m := range batch.Messages {
-		if err := deliver(instances, m); err != nil {
+		if err := deliver(controllers, m); err != nil {
 			return err
 		}
 		number := m.Body.ControllerNumber()
@@ -67,56 +67,56 @@
 		}
 	}
 	for _, number := range numbers {
-		if inst := instances[number]; inst != nil { // else it was stopped
-			inst.step(w, number, milliseconds(batch.Now))
+		if c := controllers[number]; c != nil { // else it was stopped
+			c.step(w, number, milliseconds(batch.Now))
 		}
 	}
 	return w.End(batch.Number)
 }
 
 // deliver starts or stops a controller, or adds the event of a message to its next step.
-func deliver(instances map[int]*instance, m simwire.Message) error {
+func deliver(controllers map[int]*controller, m simwire.Message) error {
 	number := m.Body.ControllerNumber()
 	switch body := m.Body.(type) {
 	case simwire.Start:
-		inst, err := start(m.Line, body)
-		instances[number] = inst
+		c, err := start(m.Line, body)
+		controllers[number] = c
 		return err
 	case simwire.Stop:
-		delete(instances, number)
+		delete(controllers, number)
 		return nil
 	}
-	inst := instances[number]
-	if inst == nil {
+	c := controllers[number]
+	if c == nil {
 		why := fmt.Sprintf("%d is not up", number)
 		return &simwire.FieldError{Line: m.Line, Field: "controller", Why: why}
 	}
-	event, err := inst.names.event(m)
+	event, err := c.names.event(m)
 	if event != nil {
-		inst.events = append(inst.events, event)
+		c.events = append(c.events, event)
 	}
 	return err
 }
 
 // start returns a new controller with the settings of a message. The error of settings that can't
 // be used is a *simwire.FieldError.
-func start(line int, m simwire.Start) (*instance, error) {
+func start(line int, m simwire.Start) (*controller, error) {
 	facts, err := settings.Read(settings.Values(m.Options))
 	var field *settings.FieldError
 	if errors.As(err, &field) {
 		return nil, &simwire.FieldError{Line: line, Field: field.Field, Why: field.Why}
 	}
-	return &instance{names: names(facts.Names), module: facts.NewRouter(int64(m.Seed))}, nil
+	return &controller{names: names(facts.Names), module: facts.NewRouter(int64(m.Seed))}, nil
 }
 
 // step has a controller's module decide and writes its actions, or reports its panic instead.
-func (inst *instance) step(w *simwire.Writer, number int, now float64) {
+func (c *controller) step(w *simwire.Writer, number int, now float64) {
 	defer func() {
 		if failure := recover(); failure != nil {
 			w.Line(reportPanic, number, fmt.Sprint(failure))
 		}
 	}()
-	actions := inst.module.Step(now, inst.events)
-	inst.events = inst.events[:0]
+	actions := c.module.Step(now, c.events)
+	c.events = c.events[:0]
 	writeActions(w, number, actions)
 }
--- a/cmd/mintkeel-sim/main_test.go
+++ b/cmd/mintkeel-sim/main_test.go
@@ -8,13 +8,13 @@
 	"mintkeel/router"
 )
 
-// up starts controller 3.
-const up = "up\t3\t5\tbounds.send_cap=2\tservices.count=1\tservices.0.name=lookup\tservices.0.effect=free\t" +
+// startMessage starts controller 3.
+const startMessage = "up\t3\t5\tbounds.send_cap=2\tservices.count=1\tservices.0.name=lookup\tservices.0.effect=free\t" +
 	"services.0.dedup_scope=all\tservices.0.promise_ns=1000000000\tservices.0.hard_limit_ns=5000000000\t" +
 	"kinds=k\tfamily_info.size_cores=8\tfamily_info.size_mb=1000\tn_instances=1\tround_ns=5000000\tnew.key=1\n"
 
-// play is the answer to an input.
-func play(in string) (string, error) {
+// runScript is the answer to an input.
+func runScript(in string) (string, error) {
 	var out strings.Builder
 	err := serve(strings.NewReader(in), &out)
 	return out.String(), err
@@ -30,16 +30,16 @@
 	incoming := "incoming\t3\t9\t-\t0\tlookup\t1\t-\t5000000000\t0\t-\n"
 	for _, c := range []struct{ name, in, has, lacks string }{
 		{"an empty batch", begin("1"), "end\t1\n", "\t3\t"},
-		{"an attempt", begin("1", up, list("a:1"), "view\t3\t1\t2\t0\n", incoming),
+		{"an attempt", begin("1", startMessage, list("a:1"), "view\t3\t1\t2\t0\n", incoming),
 			"submit_to\t3\t9\ta:1\t501", "bug"},
 		{"a list number used again in the batch",
-			begin("1", up, list("a:1"), list("b:2"), "view\t3\t1\t2\t0\n", incoming),
+			begin("1", startMessage, list("a:1"), list("b:2"), "view\t3\t1\t2\t0\n", incoming),
 			"submit_to\t3\t9\tb:2", "a:1"},
-		{"retired and up in one batch", begin("1", up) + begin("2", list("a:1"), "view\t3\t1\t2\t0\n", incoming,
-			"retire\t3\n", up), "end\t2\n", "submit_to"},
-		{"a failed list", begin("1", up, "view\t3\t1\t3\t-\n", incoming), "end\t1\n", "submit_to"},
+		{"retired and up in one batch", begin("1", startMessage) + begin("2", list("a:1"), "view\t3\t1\t2\t0\n", incoming,
+			"retire\t3\n", startMessage), "end\t2\n", "submit_to"},
+		{"a failed list", begin("1", startMessage, "view\t3\t1\t3\t-\n", incoming), "end\t1\n", "submit_to"},
 	} {
-		out, err := play(c.in)
+		out, err := runScript(c.in)
 		if err != nil || !strings.Contains(out, c.has) || strings.Contains(out, c.lacks) {
 			t.Errorf("%s: %v\n%s", c.name, err, out)
 		}
@@ -48,8 +48,8 @@
 
 // A malformed line ends the program with the line's number and field.
 func TestMalformed(t *testing.T) {
-	head := "begin_batch\t1\t1\n" + up
-	for _, c := range []struct{ in, says string }{
+	head := "begin_batch\t1\t1\n" + startMessage
+	for _, c := range []struct{ in, want string }{
 		{"begin_batch\tx\t1", "line 1: field clock"},
 		{"hello", "line 1: field message"},
 		{head + "bell\tx\t1", "line 3: field controller"},
@@ -64,8 +64,8 @@
 		{"begin_batch\t1\t1\nup\t3\t1\tround_ns=x", "line 2: field round_ns"},
 		{"begin_batch\t1\t1\nup\t3\t1\tservices.count=1", "line 2: field services.0.effect"},
 	} {
-		if _, err := play(c.in + "\nover_to_you\n"); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%q: %v, not %q", c.in, err, c.says)
+		if _, err := runScript(c.in + "\nover_to_you\n"); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: %v, not %q", c.in, err, c.want)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	w := simwire.NewWriter(&out)
 	writeActions(w, 3, []router.Action{router.SetTimer{After: 0.0000011},
 		router.StartAttempt{ID: 1, Engine: "a", Deadline: 1.9999999}})
-	(&instance{}).step(w, 4, 0)
+	(&controller{}).step(w, 4, 0)
 	w.End("1")
 	want := "set_timer\t3\t2\t0\nsubmit_to\t3\t1\ta\t1999999\nbug\t4\t"
 	if !strings.HasPrefix(out.String(), want) {
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -41,7 +41,8 @@
 	if failed == nil {
 		return ses.execute(query)
 	}
-	if failed.code != pgwire.CodeRule { // the operator's rules count and name what they refuse
+	// The operator's rules count and name what they refuse.
+	if failed.code != pgwire.CodeRejectedByRule {
 		ses.server.counts.badQueries.Add(1)
 		ses.server.logBadClient(ses, failed.message)
 	}
@@ -83,7 +84,7 @@
 	}
 	table, found := pgwire.FindTable(f.Statement)
 	if !found {
-		return nil, &queryError{pgwire.CodeField, "the statement names no group of tables"}
+		return nil, &queryError{pgwire.CodeInvalidField, "the statement names no group of tables"}
 	}
 	query := &request.Query{
 		ID:                f.ID,
@@ -104,7 +105,7 @@
 		input := ruleInput(f, class, table, ses.application, ses.conn.LocalAddr().String())
 		query.RuleInput = &input
 		if rejection := ses.server.applyRules(query, input); rejection != "" {
-			return nil, &queryError{pgwire.CodeRule, rejection}
+			return nil, &queryError{pgwire.CodeRejectedByRule, rejection}
 		}
 	}
 	query.Statement = append([]byte(nil), f.Statement...)
@@ -138,10 +139,10 @@
 
 // fieldError is the answer to a field that can't be used.
 func fieldError(err error) *queryError {
-	code := pgwire.CodeField
+	code := pgwire.CodeInvalidField
 	var field *pgwire.FieldError
 	if errors.As(err, &field) && field.Missing {
-		code = pgwire.CodeMissing
+		code = pgwire.CodeMissingField
 	}
 	return &queryError{code, err.Error()}
 }
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -92,7 +92,7 @@
 	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.ClientCloseTimeout))
 	if ses.readStartUp() {
 		ses.server.counts.rejected.Add(1)
-		ses.write(pgwire.AppendError(nil, true, pgwire.CodeTooMany, "too many connections"))
+		ses.write(pgwire.AppendError(nil, true, pgwire.CodeTooManyConnections, "too many connections"))
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	ses.setReadTimeout(l.ClientMessageTimeout)
 	kind, body, size, err = pgwire.PeekMessage(ses.reader, l.ClientMessageBytes)
-	if errors.Is(err, pgwire.ErrBuffer) {
+	if errors.Is(err, pgwire.ErrBufferTooSmall) {
 		ses.enlargeBuffer(size)
 		kind, body, size, err = pgwire.PeekMessage(ses.reader, l.ClientMessageBytes)
 	}
--- a/internal/engines/answers_test.go
+++ b/internal/engines/answers_test.go
@@ -13,38 +13,38 @@
 // Every way in which an engine may end an attempt, and every malformed answer, gives one outcome.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name, says string
+		name, sent string
 		hangUp     bool
 		want       router.Outcome
 		pages      string
 	}{
-		{name: "one page", says: "c1 ACK parts=1,report=inflight:7;util:0.5 6\r\na\tb\tc\n\r\n", pages: "a\tb\tc\n"},
-		{name: "no rows", says: "c1 ACK - 0\r\n\r\n"},
-		{name: "full", says: "c1 AGAIN - 0\r\n\r\n", want: router.EngineFull},
-		{name: "over already", says: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
-		{name: "error", says: "c1 EIO - 4\r\nsome\r\n", want: router.Errored},
+		{name: "one page", sent: "c1 ACK parts=1,report=inflight:7;util:0.5 6\r\na\tb\tc\n\r\n", pages: "a\tb\tc\n"},
+		{name: "no rows", sent: "c1 ACK - 0\r\n\r\n"},
+		{name: "full", sent: "c1 AGAIN - 0\r\n\r\n", want: router.EngineFull},
+		{name: "over already", sent: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
+		{name: "error", sent: "c1 EIO - 4\r\nsome\r\n", want: router.Errored},
 		{name: "reset", hangUp: true, want: router.ConnectionReset},
-		{name: "half a line, then the end", says: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
-		{name: "not a word", says: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
-		{name: "no length", says: "c1 ACK - x\r\n\r\n", want: router.ConnectionReset},
-		{name: "no line end after the body", says: "c1 ACK - 0\r\nxx", want: router.ConnectionReset},
-		{name: "a bare line feed", says: "c1 ACK - 0\n", want: router.ConnectionReset},
-		{name: "a field without a value", says: "c1 ACK parts 0\r\n\r\n", want: router.ConnectionReset},
-		{name: "a report of no numbers", says: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
-		{name: "a row of two columns", says: "c1 ACK - 4\r\na\tb\n\r\n", want: router.ConnectionReset},
-		{name: "a row without an end", says: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.ConnectionReset},
-		{name: "a page too long", says: "c1 ACK - 6001\r\n", want: router.ConnectionReset},
-		{name: "a line too long", says: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.ConnectionReset},
-		{name: "too many pages", says: "c1 ACK parts=1000000 0\r\n\r\n", want: router.ConnectionReset},
-		{name: "a page before the first", says: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.ConnectionReset},
-		{name: "a note, then nothing", says: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
+		{name: "half a line, then the end", sent: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
+		{name: "not a word", sent: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "no length", sent: "c1 ACK - x\r\n\r\n", want: router.ConnectionReset},
+		{name: "no line end after the body", sent: "c1 ACK - 0\r\nxx", want: router.ConnectionReset},
+		{name: "a bare line feed", sent: "c1 ACK - 0\n", want: router.ConnectionReset},
+		{name: "a field without a value", sent: "c1 ACK parts 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a report of no numbers", sent: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a row of two columns", sent: "c1 ACK - 4\r\na\tb\n\r\n", want: router.ConnectionReset},
+		{name: "a row without an end", sent: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.ConnectionReset},
+		{name: "a page too long", sent: "c1 ACK - 6001\r\n", want: router.ConnectionReset},
+		{name: "a line too long", sent: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.ConnectionReset},
+		{name: "too many pages", sent: "c1 ACK parts=1000000 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a page before the first", sent: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.ConnectionReset},
+		{name: "a note, then nothing", sent: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
 	} {
 		pt := newPoolTest(t, nil)
 		query := newQuery("c1")
 		pt.start(query, 0)
 		engine := pt.accept()
 		engine.expectQuery("c1")
-		if engine.write("%s", c.says); c.hangUp {
+		if engine.write("%s", c.sent); c.hangUp {
 			engine.Close()
 		}
 		t.Log(c.name)
@@ -72,7 +72,7 @@
 func TestPages(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		says []string
+		sent []string
 		want router.Outcome
 	}{
 		{"out of order", []string{"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n"},
@@ -96,7 +96,7 @@
 		engine.answer("c1", "ACK", "parts=3", "1\t1\t1\n")
 		engine.expect("page c1 1\r\n")
 		engine.expect("page c1 2\r\n")
-		for _, s := range c.says {
+		for _, s := range c.sent {
 			engine.write("%s", s)
 		}
 		t.Log(c.name)
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -48,7 +48,7 @@
 	sweepAt      int                  // length of usedIDs at which those past their time are dropped
 	healthChecks map[string]time.Time // deadlines of health checks, by the tags of their pings
 	lastUsed     time.Time            // when an attempt or a health check last ended
-	heardAt      time.Time            // when the engine last sent anything, or came to owe something
+	silentSince  time.Time            // when the engine last sent anything, or came to owe something
 	pingedAt     time.Time            // of the first ping since then; zero: there was none
 	ended        bool                 // nothing may be put on it any more
 
@@ -98,8 +98,8 @@
 	c.hasEnded.Store(true)
 }
 
-// load is the number of its attempts without an outcome.
-func (c *conn) load() int { return int(c.attemptCount.Load()) }
+// openAttempts is the number of its attempts without an outcome.
+func (c *conn) openAttempts() int { return int(c.attemptCount.Load()) }
 
 // connected reports whether the connection is up, as far as is known.
 func (c *conn) connected() bool {
@@ -110,7 +110,7 @@
 
 // idleSince returns when the connection was last used, and whether it is up and carries nothing.
 func (c *conn) idleSince() (since time.Time, idle bool) {
-	if c.load() > 0 {
+	if c.openAttempts() > 0 {
 		return time.Time{}, false
 	}
 	c.mu.Lock()
@@ -154,13 +154,13 @@
 }
 
 // end ends all attempts and health checks that are left on the connection: attempts that were not
-// written never ran, and those that were end as ofWritten. Its goroutine calls it last.
-func (c *conn) end(err error, ofWritten router.Outcome) {
+// written never ran, and those that were end as writtenOutcome. Its goroutine calls it last.
+func (c *conn) end(err error, writtenOutcome router.Outcome) {
 	c.mu.Lock()
 	c.markEnded()
 	var events []Event
 	for _, a := range c.attempts {
-		outcome := ofWritten
+		outcome := writtenOutcome
 		switch {
 		case a.givenUp && a.written:
 			outcome = a.giveUpOutcome
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -29,7 +29,7 @@
 	}
 	c.sweepUsedIDs()
 	if len(c.attempts) == 0 {
-		c.heardAt = time.Now()
+		c.silentSince = time.Now()
 	}
 	c.usedIDs[query.ID] = query.ReadAt.Add(query.TimeLeft + c.pool.limits.QueryIDReuseDelay)
 	c.attempts[query.ID] = a
--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -17,25 +17,25 @@
 	err    error      // not nil: the connection must end, and the other fields are empty
 }
 
-// alarm finds the earliest of the times at which something is due.
-type alarm struct {
+// deadlineTracker finds the earliest of the times at which something is due.
+type deadlineTracker struct {
 	now  time.Time
 	next time.Time // the earliest of those that have not passed
 }
 
-// setFor has the alarm go off at a time at the latest.
-func (a *alarm) setFor(at time.Time) {
+// add has the alarm go off at a time at the latest.
+func (a *deadlineTracker) add(at time.Time) {
 	if at.Before(a.next) {
 		a.next = at
 	}
 }
 
 // passed reports whether a time has come. If not, the alarm is set for it.
-func (a *alarm) passed(at time.Time) bool {
+func (a *deadlineTracker) passed(at time.Time) bool {
 	if !a.now.Before(at) {
 		return true
 	}
-	a.setFor(at)
+	a.add(at)
 	return false
 }
 
@@ -45,22 +45,22 @@
 func (c *conn) takeDue(now time.Time, netConn net.Conn, partialSince time.Time) dueWork {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	alarm := alarm{now: now, next: now.Add(maxReadWait)}
+	deadlines := deadlineTracker{now: now, next: now.Add(maxReadWait)}
 	if c.idle() {
-		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
-		if now.After(alarm.next) {
+		deadlines.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
+		if now.After(deadlines.next) {
 			// Under the mutex, so that an attempt is either added before or goes over another connection.
 			c.markEnded()
 			return dueWork{err: errIdle}
 		}
 	}
-	if err := c.checkAlive(&alarm, partialSince); err != nil {
+	if err := c.checkAlive(&deadlines, partialSince); err != nil {
 		return dueWork{err: err}
 	}
-	events := c.endOverdue(&alarm)
+	events := c.endOverdue(&deadlines)
 	write, withdrawn := c.takeQueue(now)
 	if len(write) == 0 {
-		netConn.SetReadDeadline(alarm.next)
+		netConn.SetReadDeadline(deadlines.next)
 	}
 	return dueWork{events: append(events, withdrawn...), write: write}
 }
@@ -68,15 +68,15 @@
 // checkAlive returns an error if the connection counts as dead. An engine that is cut off sends
 // nothing, not even a close, and without this its attempts would end only at their deadlines. An
 // engine that has been silent for PingAfter while it owes something is pinged. mu is held.
-func (c *conn) checkAlive(alarm *alarm, partialSince time.Time) error {
+func (c *conn) checkAlive(deadlines *deadlineTracker, partialSince time.Time) error {
 	l := c.pool.limits
-	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.AnswerTimeout)) {
+	if !partialSince.IsZero() && deadlines.passed(partialSince.Add(l.AnswerTimeout)) {
 		return errPartialAnswer
 	}
-	if len(c.attempts) > 0 && c.pingedAt.IsZero() && alarm.passed(c.heardAt.Add(l.PingAfter)) {
+	if len(c.attempts) > 0 && c.pingedAt.IsZero() && deadlines.passed(c.silentSince.Add(l.PingAfter)) {
 		c.ping(nil, keepaliveTag)
 	}
-	if !c.pingedAt.IsZero() && alarm.passed(c.pingedAt.Add(l.PingTimeout)) {
+	if !c.pingedAt.IsZero() && deadlines.passed(c.pingedAt.Add(l.PingTimeout)) {
 		return errPingUnanswered
 	}
 	return nil
@@ -84,20 +84,20 @@
 
 // endOverdue gives up attempts past their deadline, and ends health checks and given-up attempts
 // that have waited for the engine for too long. mu is held.
-func (c *conn) endOverdue(alarm *alarm) []Event {
+func (c *conn) endOverdue(deadlines *deadlineTracker) []Event {
 	var events []Event
 	for _, a := range c.attempts {
-		if !a.givenUp && !alarm.now.Before(a.deadline) {
+		if !a.givenUp && !deadlines.now.Before(a.deadline) {
 			c.giveUp(a, router.TimedOut)
 		}
 		if !a.givenUp {
-			alarm.setFor(a.deadline)
-		} else if alarm.passed(a.giveUpBy) {
+			deadlines.add(a.deadline)
+		} else if deadlines.passed(a.giveUpBy) {
 			events = append(events, c.finish(a, a.giveUpOutcome))
 		}
 	}
 	for tag, deadline := range c.healthChecks {
-		if alarm.passed(deadline) {
+		if deadlines.passed(deadline) {
 			delete(c.healthChecks, tag)
 			events = append(events, HealthCheckEnded{Engine: c.engine, Outcome: router.TimedOut})
 		}
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -22,11 +22,11 @@
 	}
 	c.mu.Lock()
 	c.netConn = netConn
-	c.heardAt = time.Now()
+	c.silentSince = time.Now()
 	c.mu.Unlock()
-	from, err := newLookaheadConn(netConn)
+	lookahead, err := newLookaheadConn(netConn)
 	if err == nil {
-		err = c.serve(from)
+		err = c.serve(lookahead)
 	}
 	netConn.Close()
 	c.end(err, router.ConnectionReset)
@@ -36,19 +36,19 @@
 // ends. A read waits until something is due, and is ended early when there is something to write
 // (see wake). An answer is taken from the buffer only when it is whole, so a read that is ended
 // early loses nothing.
-func (c *conn) serve(from *lookaheadConn) error {
+func (c *conn) serve(netConn *lookaheadConn) error {
 	l := c.pool.limits
-	r := bufio.NewReaderSize(from, l.AnswerHeaderBytes+l.PageBytes+len(lineEnd))
+	r := bufio.NewReaderSize(netConn, l.AnswerHeaderBytes+l.PageBytes+len(lineEnd))
 	var partialSince time.Time // since when the buffer holds a part of an answer; zero: it holds none
 	for c.ctx.Err() == nil {
 		now := time.Now()
-		due := c.takeDue(now, from, partialSince)
+		due := c.takeDue(now, netConn, partialSince)
 		c.report(due.events)
 		if due.err != nil {
 			return due.err
 		}
 		if len(due.write) > 0 {
-			err := c.flush(due.write, from, now.Add(l.EngineWriteTimeout))
+			err := c.flush(due.write, netConn, now.Add(l.EngineWriteTimeout))
 			if err == nil {
 				continue
 			}
@@ -87,7 +87,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heardAt = time.Now()
+	c.silentSince = time.Now()
 	c.pingedAt = time.Time{}
 	if answer.Kind == enginewire.Pong {
 		return c.handlePong(string(answer.ID), load), nil
--- a/internal/engines/conn_write.go
+++ b/internal/engines/conn_write.go
@@ -21,7 +21,7 @@
 // An engine may close an idle connection at any moment. If it has, a batch with an attempt is not
 // written at all: the closed connection might still take its bytes, and the attempt would count as
 // one that may have run.
-func (c *conn) flush(batch []outgoing, to *lookaheadConn, deadline time.Time) error {
+func (c *conn) flush(batch []outgoing, netConn *lookaheadConn, deadline time.Time) error {
 	var parts net.Buffers
 	startsAttempt := false
 	for _, o := range batch {
@@ -30,11 +30,11 @@
 	}
 	var taken int64 // bytes
 	var err error
-	if startsAttempt && to.closedByPeer() != nil {
+	if startsAttempt && netConn.closedByPeer() != nil {
 		err = errClosedByEngine
 	} else {
-		to.SetWriteDeadline(deadline)
-		taken, err = parts.WriteTo(to.Conn)
+		netConn.SetWriteDeadline(deadline)
+		taken, err = parts.WriteTo(netConn.Conn)
 	}
 	if err != nil {
 		c.markUnwritten(batch, taken)
--- a/internal/engines/endpoints.go
+++ b/internal/engines/endpoints.go
@@ -21,17 +21,17 @@
 // they would be sent after the list has said so. Those that were sent may end.
 func (p *Pool) UpdateEndpoints(endpoints []Endpoint, complete bool) {
 	named := map[router.EngineID]bool{}
-	readyAt := map[string]bool{} // addresses
+	readyAddresses := map[string]bool{} // addresses
 	for _, endpoint := range endpoints {
 		named[endpoint.Engine] = true
 		if p.updateEndpoint(endpoint) {
-			readyAt[endpoint.Address] = true
+			readyAddresses[endpoint.Address] = true
 		}
 	}
 	p.readyEngines = 0
 	for id, e := range p.engines {
 		if !named[id] {
-			e.updateUnnamed(complete, readyAt)
+			e.updateUnnamed(complete, readyAddresses)
 		}
 		conns := e.liveConns()
 		switch {
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, e := range p.engines {
-		p.trim(e)
+		p.closeSurplusConns(e)
 	}
 }
 
@@ -72,12 +72,12 @@
 // updateUnnamed handles an update that does not name the engine: it is gone if the update is
 // complete, and has lost its address if another engine has it now, which must not get attempts that
 // are meant for this one.
-func (e *engine) updateUnnamed(complete bool, readyAt map[string]bool) {
+func (e *engine) updateUnnamed(complete bool, readyAddresses map[string]bool) {
 	if complete {
 		e.State = router.Gone
 		e.withdrawUnsent()
 	}
-	if e.Address != "" && readyAt[e.Address] {
+	if e.Address != "" && readyAddresses[e.Address] {
 		e.Address = ""
 		e.withdrawUnsent()
 	}
--- a/internal/engines/endpoints_test.go
+++ b/internal/engines/endpoints_test.go
@@ -45,12 +45,12 @@
 	pt.start(again, 1)
 	first := pt.accept()
 	first.expectQuery("c2")
-	waits := newConn(pt.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
-	pt.pool.engines["e"].conns = append(pt.pool.engines["e"].conns, waits)
-	waits.mustAdd(t, "c9", 9)
+	dialling := newConn(pt.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
+	pt.pool.engines["e"].conns = append(pt.pool.engines["e"].conns, dialling)
+	dialling.mustAdd(t, "c9", 9)
 	pt.pool.SetExpired(true)
 	pt.expectEnd(9, router.Withdrawn)
-	waits.end(errIdle, router.ConnectFailed)
+	dialling.end(errIdle, router.ConnectFailed)
 	pt.start(again, 2)
 	second := pt.accept()
 	second.expectQuery("c2")
@@ -73,9 +73,9 @@
 	pt.start(newQuery("c1"), 1)
 	old := pt.accept()
 	old.expectQuery("c1")
-	waits := newConn(pt.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
-	pt.pool.engines["e"].conns = append(pt.pool.engines["e"].conns, waits)
-	waits.mustAdd(t, "c2", 2)
+	dialling := newConn(pt.pool, "e", "127.0.0.1:1") // never run: it stays as while being dialled
+	pt.pool.engines["e"].conns = append(pt.pool.engines["e"].conns, dialling)
+	dialling.mustAdd(t, "c2", 2)
 	pt.pool.UpdateEndpoints([]Endpoint{{Engine: "f", Address: pt.listener.Addr().String()}}, false)
 	pt.expectEnd(2, router.Withdrawn)
 	pt.start(newQuery("c3"), 3)
--- a/internal/engines/keepalive_test.go
+++ b/internal/engines/keepalive_test.go
@@ -31,7 +31,7 @@
 // A connection falls silent while it owes something, perhaps within an answer. It is pinged, and as nothing
 // comes its attempts end, long before their deadlines.
 func TestDeadConnection(t *testing.T) {
-	for _, says := range []string{"", "c1 ACK parts=1 6\r\na\tb", "c1 ACK par"} {
+	for _, sent := range []string{"", "c1 ACK parts=1 6\r\na\tb", "c1 ACK par"} {
 		pt := newPoolTest(t, func(l *limits.Limits) {
 			l.EngineConnections = 1
 			l.PingAfter = 20 * time.Millisecond
@@ -43,7 +43,7 @@
 		engine := pt.accept()
 		engine.expectQuery("c1")
 		engine.expectQuery("c2")
-		engine.write("%s", says)
+		engine.write("%s", sent)
 		engine.expect("ping k\r\n")
 		pt.expectEnd(1, router.ConnectionReset)
 		pt.expectEnd(1, router.ConnectionReset)
--- a/internal/engines/placement.go
+++ b/internal/engines/placement.go
@@ -17,7 +17,7 @@
 	first := len(conns) == 0
 	add := func(c *conn) bool { return c.add(a, p.maxPerConn) }
 	for _, c := range conns {
-		if c.load() == 0 && add(c) {
+		if c.openAttempts() == 0 && add(c) {
 			return true
 		}
 	}
@@ -25,7 +25,9 @@
 		return true
 	}
 	byLoad := slices.Clone(conns)
-	slices.SortStableFunc(byLoad, func(a, b *conn) int { return cmp.Compare(a.load(), b.load()) })
+	slices.SortStableFunc(byLoad, func(a, b *conn) int {
+		return cmp.Compare(a.openAttempts(), b.openAttempts())
+	})
 	if slices.ContainsFunc(byLoad, add) {
 		return true
 	}
@@ -87,15 +89,15 @@
 	return max(1, p.limits.EngineConnections*3/4/max(1, p.readyEngines))
 }
 
-// trim closes idle connections above an engine's share, which falls as engines come, and all idle
-// ones of an engine that gets no attempts.
-func (p *Pool) trim(e *engine) {
+// closeSurplusConns closes idle connections above an engine's share, which shrinks as engines join,
+// and all idle connections of an engine that gets no attempts.
+func (p *Pool) closeSurplusConns(e *engine) {
 	surplus := len(e.conns)
 	if e.State == router.Ready {
 		surplus -= p.connectionShare()
 	}
 	for _, c := range e.conns {
-		if surplus > 0 && c.load() == 0 {
+		if surplus > 0 && c.openAttempts() == 0 {
 			c.close()
 			surplus--
 		}
--- a/internal/engines/placement_test.go
+++ b/internal/engines/placement_test.go
@@ -52,8 +52,8 @@
 		engine.answer(head[1], "ACK", "-", "")
 		<-pt.events
 	}
-	dial := pt.listener.Addr().String()
-	pt.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: dial}, {Engine: "new", Address: dial}}, true)
+	address := pt.listener.Addr().String()
+	pt.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: address}, {Engine: "new", Address: address}}, true)
 	pt.pool.StartAttempt(newQuery("d"), 0, "new", time.Minute, 0)
 	pt.accept().expectQuery("d")
 	for len(pt.pool.engines["e"].liveConns()) > 3 {
@@ -66,10 +66,10 @@
 // now, and none while the endpoint list has expired.
 func TestMoreEnginesThanConnections(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections, l.MinIdleBeforeEviction = 4, 0 })
-	dial := pt.listener.Addr().String()
+	address := pt.listener.Addr().String()
 	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Endpoint{Engine: router.EngineID(fmt.Sprint("e", i)), Address: dial})
+		list = append(list, Endpoint{Engine: router.EngineID(fmt.Sprint("e", i)), Address: address})
 	}
 	pt.pool.UpdateEndpoints(list, true)
 	reach := func(i int) *fakeEngine {
@@ -79,11 +79,11 @@
 		engine.expectQuery(fmt.Sprint("c", i))
 		return engine
 	}
-	busy, asked := reach(0), reach(1)
-	asked.answer("c1", "ACK", "-", "")
+	busy, pinged := reach(0), reach(1)
+	pinged.answer("c1", "ACK", "-", "")
 	pt.expectEnd(1, router.Succeeded)
 	pt.pool.CheckHealth("e1")
-	asked.expect("ping ")
+	pinged.expect("ping ")
 	for i := 2; i < 12; i++ {
 		engine := reach(i)
 		if open := pt.pool.openConns.Load(); open > 4 {
--- a/internal/engines/pool_test.go
+++ b/internal/engines/pool_test.go
@@ -92,22 +92,22 @@
 	}
 }
 
-// idleConn is a connection of the pool that no goroutine runs, so that a test can take its steps in the order
+// detachedConn is a connection of the pool that no goroutine runs, so that a test can take its steps in the order
 // that it is about.
-func (pt *poolTest) idleConn() (*conn, *lookaheadConn, *fakeEngine) {
+func (pt *poolTest) detachedConn() (*conn, *lookaheadConn, *fakeEngine) {
 	pt.t.Helper()
 	netConn, err := net.Dial("tcp", pt.listener.Addr().String())
 	if err != nil {
 		pt.t.Fatal(err)
 	}
 	pt.t.Cleanup(func() { netConn.Close() })
-	from, err := newLookaheadConn(netConn)
+	lookahead, err := newLookaheadConn(netConn)
 	if err != nil {
 		pt.t.Fatal(err)
 	}
 	c := newConn(pt.pool, "e", pt.listener.Addr().String())
 	c.netConn = netConn
-	return c, from, pt.accept()
+	return c, lookahead, pt.accept()
 }
 
 // mustAdd puts a new query's attempt on the connection.
--- a/internal/engines/write_test.go
+++ b/internal/engines/write_test.go
@@ -18,21 +18,21 @@
 // answered ahead of the end counts.
 func TestEngineClosesBeforeWrite(t *testing.T) {
 	pt := newPoolTest(t, nil)
-	c, from, engine := pt.idleConn()
+	c, lookahead, engine := pt.detachedConn()
 	c.mustAdd(t, "c1", 1)
-	due := c.takeDue(time.Now(), from, time.Time{})
-	err := errors.Join(due.err, c.flush(due.write, from, time.Now().Add(testTimeout)))
+	due := c.takeDue(time.Now(), lookahead, time.Time{})
+	err := errors.Join(due.err, c.flush(due.write, lookahead, time.Now().Add(testTimeout)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	engine.expectQuery("c1")
 	engine.answer("c1", "ACK", "parts=1", "1\t1\t1\n")
 	engine.Close()
-	for from.closedByPeer() == nil { // until its end has come
+	for lookahead.closedByPeer() == nil { // until its end has come
 		runtime.Gosched()
 	}
 	c.mustAdd(t, "c2", 2)
-	c.end(c.serve(from), router.ConnectionReset)
+	c.end(c.serve(lookahead), router.ConnectionReset)
 	pt.expectEnd(1, router.Succeeded)
 	pt.expectEnd(2, router.ConnectFailed)
 }
@@ -56,9 +56,9 @@
 func TestConnectionBreaksDuringWrite(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	for _, c := range []struct {
-		name  string
-		taken func(first, both int) int
-		ends  map[router.AttemptID]router.Outcome
+		name     string
+		taken    func(first, both int) int
+		outcomes map[router.AttemptID]router.Outcome
 	}{
 		{"before", func(int, int) int { return 0 },
 			map[router.AttemptID]router.Outcome{1: router.ConnectFailed, 2: router.ConnectFailed}},
@@ -78,13 +78,13 @@
 			conn.mustAdd(t, fmt.Sprint("c", number), number+1)
 		}
 		first, both := conn.queue[0].size(), conn.queuedBytes
-		from, err := newLookaheadConn(&failingConn{Conn: ours, bytesLeft: c.taken(first, both)})
+		lookahead, err := newLookaheadConn(&failingConn{Conn: ours, bytesLeft: c.taken(first, both)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.end(conn.serve(from), router.ConnectionReset)
+		conn.end(conn.serve(lookahead), router.ConnectionReset)
 		for range 2 {
-			if end := (<-pt.events).(AttemptEnded); end.Outcome != c.ends[end.Attempt] {
+			if end := (<-pt.events).(AttemptEnded); end.Outcome != c.outcomes[end.Attempt] {
 				t.Errorf("%s: send %d ended as %v", c.name, end.Attempt, end.Outcome)
 			}
 		}
@@ -95,8 +95,8 @@
 // passes. Nothing of it is written when the connection comes up.
 func TestConnectionUpTooLate(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		over func(c *conn, query *request.Query)
+		name         string
+		whileDialled func(c *conn, query *request.Query)
 	}{
 		{"its client has gone", func(_ *conn, query *request.Query) {
 			query.Finish(request.Answer{Verdict: request.Disconnected})
@@ -114,7 +114,7 @@
 		pt := newPoolTest(t, nil)
 		conn := newConn(pt.pool, "e", pt.listener.Addr().String())
 		a := conn.mustAdd(t, "c1", 1)
-		c.over(conn, a.query)
+		c.whileDialled(conn, a.query)
 		conn.mustAdd(t, "c2", 2)
 		go conn.run()
 		t.Log(c.name)
@@ -132,14 +132,14 @@
 func TestIdleCloseRacesNewAttempt(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	for _, first := range []string{"put", "idle"} {
-		c, from, _ := pt.idleConn()
+		c, lookahead, _ := pt.detachedConn()
 		a := &attempt{query: newQuery("c1"), deadline: time.Now().Add(time.Minute)}
 		taken := true
 		c.lastUsed = time.Now().Add(-2 * pt.pool.limits.EngineIdleTimeout)
 		if first == "put" {
 			taken = c.add(a, 100)
 		}
-		due := c.takeDue(time.Now(), from, time.Time{})
+		due := c.takeDue(time.Now(), lookahead, time.Time{})
 		if first == "idle" {
 			taken = c.add(a, 100)
 		}
--- a/internal/enginewire/encoding_test.go
+++ b/internal/enginewire/encoding_test.go
@@ -33,16 +33,16 @@
 		"a5 READY report=x0:0.5;x1:0.25 0\r\n\r\n" +
 		"a6 EVENT remark=progress,value=0.5 0\r\n\r\n" +
 		"a7 BLOCK part_no=1 6\r\nd\te\tf\n\r\n"
-	words := map[Kind]string{FirstPage: "ok", EngineFull: "full", Failed: "error", AlreadyEnded: "stale", Pong: "ready",
+	kindNames := map[Kind]string{FirstPage: "ok", EngineFull: "full", Failed: "error", AlreadyEnded: "stale", Pong: "ready",
 		Progress: "note", FurtherPage: "page"}
 	r := bufio.NewReader(strings.NewReader(answers))
 	var printed bytes.Buffer
-	for range len(words) {
+	for range len(kindNames) {
 		a, size, err := PeekAnswer(r, 128, 128)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&printed, "%s %s, pages %d, page %d, remark %q, value %v, report %q, body %q\n", a.ID, words[a.Kind], a.PageCount,
+		fmt.Fprintf(&printed, "%s %s, pages %d, page %d, remark %q, value %v, report %q, body %q\n", a.ID, kindNames[a.Kind], a.PageCount,
 			a.PageNumber, a.Remark, a.Value, a.LoadReport, a.Body)
 		if err := ParseLoadReport(a.LoadReport, func(name string, x float64) { fmt.Fprintf(&printed, "  %s: %v\n", name, x) }); err != nil {
 			t.Error(err)
--- a/internal/pgwire/encoding_test.go
+++ b/internal/pgwire/encoding_test.go
@@ -27,7 +27,7 @@
 		{"welcome", AppendSessionStart(nil, CancelKey{SessionID: 0x01020304, Secret: 0x05060708})},
 		{"ready", AppendReady(nil)},
 		{"empty", AppendEmptyQuery(nil)},
-		{"error", AppendError(nil, false, CodeField, "field limit: is missing")},
+		{"error", AppendError(nil, false, CodeInvalidField, "field limit: is missing")},
 		{"fatal", AppendError(nil, true, CodeProtocol, "malformed message")},
 		{"shed", AppendRejected(nil, 0)},
 		{"shed-later", AppendRejected(nil, 250*time.Millisecond)},
@@ -40,8 +40,8 @@
 }
 
 func TestErrorCodesAreStable(t *testing.T) {
-	codes := []string{CodeNoResources, CodeTooMany, CodeProtocol, CodeUnsupported, CodeField, CodeMissing, CodeTooLong,
-		CodeCancelled, CodeFailed, CodeDuplicate, CodeRule}
+	codes := []string{CodeNoResources, CodeTooManyConnections, CodeProtocol, CodeUnsupported, CodeInvalidField, CodeMissingField, CodeTooLong,
+		CodeCancelled, CodeFailed, CodeDuplicate, CodeRejectedByRule}
 	golden.File(t, "codes.golden", fmt.Appendln(nil, codes))
 }
 
--- a/internal/pgwire/fields.go
+++ b/internal/pgwire/fields.go
@@ -40,8 +40,8 @@
 	idDigits = 16
 )
 
-// blanks may stand around the comment and the statement.
-const blanks = " \t\r\n"
+// whitespace may stand around the comment and the statement.
+const whitespace = " \t\r\n"
 
 // FieldError says that a field of a query can't be used.
 type FieldError struct {
@@ -77,7 +77,7 @@
 
 // ParseQuery reads a query's fields from the comment that it begins with, or returns a *FieldError.
 func ParseQuery(query []byte) (Fields, error) {
-	rest := bytes.TrimLeft(query, blanks)
+	rest := bytes.TrimLeft(query, whitespace)
 	if !bytes.HasPrefix(rest, []byte("/*")) {
 		return Fields{}, missing(fieldComment, "the query does not begin with its fields")
 	}
@@ -85,8 +85,8 @@
 	if !closed {
 		return Fields{}, invalid(fieldComment, "has no end")
 	}
-	f := Fields{Statement: bytes.TrimLeft(statement, blanks)}
-	if len(bytes.TrimRight(f.Statement, blanks+";")) == 0 {
+	f := Fields{Statement: bytes.TrimLeft(statement, whitespace)}
+	if len(bytes.TrimRight(f.Statement, whitespace+";")) == 0 {
 		return f, missing(FieldStatement, "is empty")
 	}
 	seen := map[string]bool{}
@@ -156,10 +156,10 @@
 }
 
 // parseNumber reads a number from 0 to a bound.
-func parseNumber(name, value string, most float64) (float64, error) {
+func parseNumber(name, value string, maximum float64) (float64, error) {
 	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || math.IsNaN(x) || x < 0 || x > most {
-		return 0, invalid(name, fmt.Sprintf("%.40q is no number from 0 to %g", value, most))
+	if err != nil || math.IsNaN(x) || x < 0 || x > maximum {
+		return 0, invalid(name, fmt.Sprintf("%.40q is no number from 0 to %g", value, maximum))
 	}
 	return x, nil
 }
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -26,9 +26,9 @@
 // headBytes is the size of a message's type and length. The length counts itself, but not the type.
 const headBytes = 5
 
-// PeekMessage returns the type and body of the next message, of maxBytes at most, without taking
-// it. size is the number of bytes to discard afterwards; with ErrBuffer it is the size of buffer
-// that the message needs. The body is good until the reader is used again.
+// PeekMessage returns the type and body of the next message, of at most maxBytes, without consuming
+// it. size is the number of bytes to discard afterwards; with ErrBufferTooSmall it is the buffer
+// size that the message needs. The body is valid until the next call on the reader.
 func PeekMessage(r *bufio.Reader, maxBytes int) (kind byte, body []byte, size int, err error) {
 	head, err := r.Peek(headBytes)
 	if err != nil {
@@ -37,12 +37,12 @@
 	kind = head[0]
 	size = int(binary.BigEndian.Uint32(head[1:])) + 1
 	switch {
-	case size < headBytes || size > maxClaimedBytes:
+	case size < headBytes || size > maxDeclaredBytes:
 		return kind, nil, size, ErrMalformed
 	case size > maxBytes:
 		return kind, nil, size, ErrTooLong
 	case size > r.Size():
-		return kind, nil, size, ErrBuffer
+		return kind, nil, size, ErrBufferTooSmall
 	}
 	message, err := r.Peek(size)
 	if err != nil {
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -20,9 +20,9 @@
 	cancelBytes      = 16 // with a cancel key
 )
 
-// maxClaimedBytes is the largest length that a message may claim. Bytes that claim more are of
+// maxDeclaredBytes is the largest length that a message may claim. Bytes that claim more are of
 // another protocol.
-const maxClaimedBytes = 1 << 30
+const maxDeclaredBytes = 1 << 30
 
 // applicationParameter is the parameter by which clients name themselves.
 const applicationParameter = "application_name"
@@ -58,7 +58,7 @@
 		return StartUp{}, err
 	}
 	size := int(binary.BigEndian.Uint32(head))
-	if size < startUpHeadBytes || size > maxClaimedBytes {
+	if size < startUpHeadBytes || size > maxDeclaredBytes {
 		return StartUp{}, ErrMalformed
 	}
 	if size > r.Size() {
--- a/internal/pgwire/table.go
+++ b/internal/pgwire/table.go
@@ -8,8 +8,8 @@
 // stagingSchema begins the names of schemas of which the number is no table group.
 const stagingSchema = "staging"
 
-// beforeTable are the keywords that the name of a table may follow.
-var beforeTable = map[string]bool{
+// tableKeywords are the keywords that the name of a table may follow.
+var tableKeywords = map[string]bool{
 	"from":     true,
 	"join":     true,
 	"into":     true,
@@ -28,7 +28,7 @@
 }
 
 // FindTable returns the table of a statement: the first qualified name with a table group that
-// follows a keyword of beforeTable or, if there is none, the first one anywhere, which could be the
+// follows one of tableKeywords or, if there is none, the first one anywhere, which could be the
 // name of a column.
 func FindTable(statement []byte) (table Table, found bool) {
 	tokens := tokenize(statement)
@@ -45,7 +45,7 @@
 			continue
 		}
 		candidate := Table{Group: group, Schema: schema.text, Name: name.text}
-		if i > 0 && tokens[i-1].isName && !tokens[i-1].quoted && beforeTable[tokens[i-1].text] {
+		if i > 0 && tokens[i-1].isName && !tokens[i-1].quoted && tableKeywords[tokens[i-1].text] {
 			return candidate, true
 		}
 		if !found {
--- a/internal/pgwire/tokens.go
+++ b/internal/pgwire/tokens.go
@@ -7,12 +7,12 @@
 
 // Texts that stand for any string and any number.
 const (
-	textString = "'"
-	textNumber = "0"
+	stringPlaceholder = "'"
+	numberPlaceholder = "0"
 )
 
-// token is a name, perhaps quoted, or a single character. A string has the text textString, a
-// number textNumber.
+// token is a name, perhaps quoted, or a single character. A string literal has the text
+// stringPlaceholder, a numeric literal numberPlaceholder.
 type token struct {
 	text   string // of a name that is not quoted: in lower case
 	isName bool
@@ -42,24 +42,24 @@
 	c := t.source[t.at]
 	switch {
 	case c == '\'':
-		t.skipQuoted('\'', t.afterEscapeMark())
-		t.add(token{text: textString})
+		t.skipQuoted('\'', t.hasEscapePrefix())
+		t.add(token{text: stringPlaceholder})
 	case c == '"':
-		t.quotedName()
+		t.addQuotedName()
 	case c == '-' && t.peek() == '-':
 		t.skipWhile(func(c byte) bool { return c != '\n' })
 	case c == '/' && t.peek() == '*':
 		t.skipComment()
 	case c == '$' && dollarTagLength(t.source[t.at:]) > 0:
 		t.skipDollarQuoted()
-		t.add(token{text: textString})
+		t.add(token{text: stringPlaceholder})
 	case isLetter(c):
 		from := t.at
 		t.skipWhile(func(c byte) bool { return isLetter(c) || isDigit(c) || c == '$' })
 		t.add(token{text: strings.ToLower(string(t.source[from:t.at])), isName: true})
 	case isDigit(c):
 		t.skipWhile(func(c byte) bool { return isLetter(c) || isDigit(c) || c == '.' })
-		t.add(token{text: textNumber})
+		t.add(token{text: numberPlaceholder})
 	default:
 		t.at++
 		if c > ' ' {
@@ -85,9 +85,9 @@
 	}
 }
 
-// afterEscapeMark reports whether the string that begins here has an E right before it, so that a
+// hasEscapePrefix reports whether the string that begins here has an E right before it, so that a
 // backslash in it is an escape.
-func (t *tokenizer) afterEscapeMark() bool {
+func (t *tokenizer) hasEscapePrefix() bool {
 	if len(t.tokens) == 0 || t.at == 0 {
 		return false
 	}
@@ -95,8 +95,8 @@
 	return last.isName && last.text == "e" && t.source[t.at-1]|0x20 == 'e'
 }
 
-// quotedName takes a name in double quotes; a doubled quote in it stands for one.
-func (t *tokenizer) quotedName() {
+// addQuotedName takes a name in double quotes; a doubled quote in it stands for one.
+func (t *tokenizer) addQuotedName() {
 	from := t.at + 1
 	t.skipQuoted('"', false)
 	inner := string(t.source[from:max(from, t.at-1)])
@@ -144,9 +144,9 @@
 // skipDollarQuoted skips a string between two marks such as $$ or $tag$.
 func (t *tokenizer) skipDollarQuoted() {
 	length := dollarTagLength(t.source[t.at:])
-	mark := t.source[t.at : t.at+length]
+	tag := t.source[t.at : t.at+length]
 	body := t.source[t.at+length:]
-	end := bytes.Index(body, mark)
+	end := bytes.Index(body, tag)
 	if end < 0 {
 		t.at = len(t.source)
 		return
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -29,9 +29,9 @@
 
 // fields reads the fields of a line in their order, and keeps the first error.
 type fields struct {
-	parts []string // the fields that were not read yet
-	line  int      // from 1
-	err   error    // nil: none yet
+	unread []string // the fields that were not read yet
+	line   int      // from 1
+	err    error    // nil: none yet
 }
 
 func (f *fields) fail(name, why string) {
@@ -42,20 +42,20 @@
 
 // text reads the next field; empty: it has no value.
 func (f *fields) text(name string) string {
-	if len(f.parts) == 0 {
+	if len(f.unread) == 0 {
 		f.fail(name, "is missing")
 		return ""
 	}
-	part := f.parts[0]
-	f.parts = f.parts[1:]
+	part := f.unread[0]
+	f.unread = f.unread[1:]
 	if part == absent {
 		return ""
 	}
 	return part
 }
 
-// needed reads the next field, which must have a value.
-func (f *fields) needed(name string) string {
+// required reads the next field, which must have a value.
+func (f *fields) required(name string) string {
 	s := f.text(name)
 	if s == "" {
 		f.fail(name, "is absent")
@@ -77,14 +77,14 @@
 }
 
 // natural reads a whole number from 0 to most, which must be there.
-func (f *fields) natural(name string, most int64) int64 {
-	s := f.needed(name)
+func (f *fields) natural(name string, maximum int64) int64 {
+	s := f.required(name)
 	if s == "" {
 		return 0
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
-	if err != nil || n < 0 || n > most {
-		f.fail(name, fmt.Sprintf("%q is no whole number from 0 to %d", s, most))
+	if err != nil || n < 0 || n > maximum {
+		f.fail(name, fmt.Sprintf("%q is no whole number from 0 to %d", s, maximum))
 	}
 	return n
 }
@@ -143,8 +143,8 @@
 
 // options reads all fields that are left, as key=value.
 func (f *fields) options() Options {
-	o := make(Options, len(f.parts))
-	for _, pair := range f.parts {
+	o := make(Options, len(f.unread))
+	for _, pair := range f.unread {
 		name, value, found := strings.Cut(pair, "=")
 		if !found {
 			f.fail("options", fmt.Sprintf("%q has no =", pair))
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -28,13 +28,13 @@
 
 // Endpoint is an engine in the endpoint list.
 type Endpoint struct {
-	StartedAt   int64 // ns
-	Zone        string
-	MachineKind string
-	Nominal     float64 // capacity; not used, as the module measures it
-	Cell        int64
-	Engine      string
-	State       int64
+	StartedAt       int64 // ns
+	Zone            string
+	MachineKind     string
+	NominalCapacity float64 // capacity; not used, as the module measures it
+	Cell            int64
+	Engine          string
+	State           int64
 }
 
 // Messages that come in. Times are nanoseconds.
--- a/internal/simwire/parse.go
+++ b/internal/simwire/parse.go
@@ -27,16 +27,16 @@
 	e.StartedAt = f.time("since_ns")
 	e.Zone = f.text("zone")
 	e.MachineKind = f.text("shape")
-	e.Nominal = f.float("nominal")
+	e.NominalCapacity = f.float("nominal")
 	e.Cell = f.int("cluster")
-	e.Engine = f.needed("executor")
+	e.Engine = f.required("executor")
 	e.State = f.natural("state", maxIndex)
 	return e
 }
 
 func parseStart(_ *Reader, f *fields) Body {
 	m := Start{Controller: f.controller()}
-	seed := f.needed("nonce64")
+	seed := f.required("nonce64")
 	var err error
 	m.Seed, err = strconv.ParseUint(seed, 10, 64)
 	if err != nil {
@@ -50,15 +50,15 @@
 	m := EndpointsUpdated{Controller: f.controller()}
 	f.int("version")
 	m.Scope = EndpointScope(f.natural("scope", int64(ScopeFailed)))
-	sheet := f.int("sheet")
+	listIndex := f.int("sheet")
 	if m.Scope == ScopeFailed {
 		return m
 	}
-	if sheet < 0 || sheet >= sheetCount {
+	if listIndex < 0 || listIndex >= endpointListCount {
 		f.fail("sheet", "is not from 0 to 15")
 		return m
 	}
-	m.Endpoints = r.sheets[sheet]
+	m.Endpoints = r.endpointLists[listIndex]
 	return m
 }
 
@@ -67,7 +67,7 @@
 	m.ID = f.id()
 	m.Tenant = f.text("project")
 	m.Flags = f.int("flags")
-	m.Class = f.needed("band")
+	m.Class = f.required("band")
 	m.TableGroup = f.int("table_group")
 	m.EstimatedWork = f.time("estimate_ns")
 	m.TimeLeft = f.int("patience_left_ns")
@@ -97,7 +97,7 @@
 	m := AttemptEnded{Controller: f.controller()}
 	m.ID = f.id()
 	m.Elapsed = f.int("cost_time_ns")
-	m.Outcome = f.needed("reason")
+	m.Outcome = f.required("reason")
 	m.QueryDone = f.bool("over")
 	f.text("executor")
 	m.Cost = f.int("true_cost")
@@ -114,8 +114,8 @@
 
 func parseHealthCheckEnded(_ *Reader, f *fields) Body {
 	m := HealthCheckEnded{Controller: f.controller()}
-	m.Engine = f.needed("executor")
-	m.Outcome = f.needed("reason")
+	m.Engine = f.required("executor")
+	m.Outcome = f.required("reason")
 	f.int("cost_time_ns")
 	m.LoadReport = f.floats("feedback")
 	return m
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -13,10 +13,10 @@
 const (
 	// bufferBytes is the size of the buffers of a Reader and a Writer.
 	bufferBytes = 1 << 20
-	// sheetCount is the number of endpoint lists that a Reader keeps for the simulator.
-	sheetCount = 16
-	// maxRows is the largest number of engines in one of them.
-	maxRows = 1 << 24
+	// endpointListCount is the number of endpoint lists that a Reader keeps for the simulator.
+	endpointListCount = 16
+	// maxListEndpoints is the largest number of engines in one of them.
+	maxListEndpoints = 1 << 24
 )
 
 // Names of the lines that frame messages.
@@ -29,9 +29,9 @@
 
 // Reader reads batches.
 type Reader struct {
-	in     *bufio.Reader
-	line   int                    // number of the last line that was read
-	sheets [sheetCount][]Endpoint // the endpoint lists as they came last
+	in            *bufio.Reader
+	line          int                           // number of the last line that was read
+	endpointLists [endpointListCount][]Endpoint // the endpoint lists as they came last
 }
 
 // NewReader returns a reader of batches from in.
@@ -85,7 +85,7 @@
 	}
 	r.line++
 	parts := strings.Split(strings.TrimSuffix(text, "\n"), "\t")
-	return parts[0], &fields{parts: parts[1:], line: r.line}, nil
+	return parts[0], &fields{unread: parts[1:], line: r.line}, nil
 }
 
 // readMessage adds a message to a batch.
@@ -104,13 +104,13 @@
 
 // readList reads an endpoint list, which replaces that of its sheet.
 func (r *Reader) readList(f *fields) error {
-	sheet := f.natural("sheet", sheetCount-1)
-	rows := f.natural("rows_in", maxRows)
+	listIndex := f.natural("sheet", endpointListCount-1)
+	endpointCount := f.natural("rows_in", maxListEndpoints)
 	if f.err != nil {
 		return f.err
 	}
 	var list []Endpoint
-	for range rows {
+	for range endpointCount {
 		name, f, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
 			return &FieldError{r.line, "rows_in", "the input ends within a list"}
@@ -127,6 +127,6 @@
 		}
 		list = append(list, endpoint)
 	}
-	r.sheets[sheet] = list
+	r.endpointLists[listIndex] = list
 	return nil
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -11,8 +11,8 @@
 // lineEndAnswer ends the answer to a batch.
 const lineEndAnswer = "end"
 
-// oneLine replaces the characters that would end a field or a line.
-var oneLine = strings.NewReplacer("\t", " ", "\n", " | ")
+// lineSanitizer replaces the characters that would end a field or a line.
+var lineSanitizer = strings.NewReplacer("\t", " ", "\n", " | ")
 
 // Writer writes answers.
 type Writer struct{ out *bufio.Writer }
@@ -41,7 +41,7 @@
 	case float64:
 		w.out.WriteString(strconv.FormatFloat(v, 'g', -1, 64))
 	case string:
-		w.out.WriteString(oneLine.Replace(v))
+		w.out.WriteString(lineSanitizer.Replace(v))
 	default:
 		fmt.Fprint(w.out, v)
 	}
