--- a/cmd/mintkeel-sim/actions.go
+++ b/cmd/mintkeel-sim/actions.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// writeActions writes the module's actions for a controller. Times are rounded so that a timer is
-// never early and a deadline never late.
+// writeActions writes the actions that a controller's module has returned. Times are rounded so
+// that a timer never fires early and a deadline is never late.
 func writeActions(w *simwire.Writer, controller int, actions []router.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/cmd/mintkeel-sim/encoding_test.go
+++ b/cmd/mintkeel-sim/encoding_test.go
@@ -1,9 +1,9 @@
 package main
 
-// The simulator is not built with this project: a change of its wire shows only in a run with it. This test
-// plays a script with each kind of message, and compares all that is answered with what an earlier build
-// answered. The answers rest on the module's decisions too: a change that is meant to decide otherwise comes
-// with a new golden file.
+// The simulator is not built with this project, so an accidental change of its wire would show only in a run
+// with it. This test feeds a script with every kind of message to the command and compares the whole output
+// with that of an earlier build. The output also depends on the module's decisions: an intended change of a
+// decision needs a new golden file.
 
 import (
 	"os"
@@ -22,7 +22,7 @@
 		"vanished",
 		"bell", "probed", "memo"} {
 		if !strings.Contains(string(input), "\n"+message+"\t") {
-			t.Errorf("the script has no %s", message)
+			t.Errorf("testdata/input.tsv has no %q message", message)
 		}
 	}
 	out, err := runScript(string(input))
--- a/cmd/mintkeel-sim/events.go
+++ b/cmd/mintkeel-sim/events.go
@@ -8,14 +8,14 @@
 	"mintkeel/router"
 )
 
-// nsPerMS converts between the simulator's times, in ns, and the module's, in ms.
+// nsPerMS converts between the simulator's time unit, ns, and the module's, ms.
 const nsPerMS = 1e6
 
-// milliseconds converts a time to the module's unit.
+// milliseconds converts a simulator time to the module's unit.
 func milliseconds(ns int64) float64 { return float64(ns) / nsPerMS }
 
-// event returns the module's event of a message; nil if the module has none for it. Its error, a
-// *simwire.FieldError, names the field that can't be used.
+// event converts a message to the module's event; nil if the module has no event for it. The error
+// is a *simwire.FieldError that names the invalid field.
 func (n *names) event(m simwire.Message) (router.Event, error) {
 	switch b := m.Body.(type) {
 	case simwire.EndpointsUpdated:
@@ -38,9 +38,10 @@
 	return nil, nil
 }
 
-// unknownValue is the error of a field with an unknown value; field is its name on the wire.
+// unknownValue returns the error for an unknown value of a field, which is given by its name on the
+// wire.
 func unknownValue(line int, field, value string) error {
-	return &simwire.FieldError{Line: line, Field: field, Why: fmt.Sprintf("%q is not known", value)}
+	return &simwire.FieldError{Line: line, Field: field, Why: fmt.Sprintf("unknown value %q", value)}
 }
 
 func (n *names) endpointsUpdated(line int, m simwire.EndpointsUpdated) (router.Event, error) {
--- a/cmd/mintkeel-sim/main.go
+++ b/cmd/mintkeel-sim/main.go
@@ -1,10 +1,10 @@
-// Command mintkeel-sim runs the decision module behind the simulator's wire. It keeps a module for
-// each controller, and turns lines into the module's events and its actions into lines. It decides
-// nothing itself.
+// Command mintkeel-sim runs the decision module behind the simulator's wire. It keeps one module
+// for each simulated controller, and converts input lines to the module's events and the module's
+// actions to output lines. It makes no decisions itself.
 //
-// It reads batches of messages from standard input and answers each on standard output. After a
-// malformed line it exits with code 1, with the line's number and field on standard error. A panic
-// of the module is reported to the simulator as a line, and the command goes on.
+// It reads batches of messages from standard input and answers each on standard output. On a
+// malformed line it exits with code 1 and names the line and the field on standard error. A panic
+// of the module is reported to the simulator as a line, and the command continues.
 package main
 
 import (
@@ -25,11 +25,11 @@
 	}
 }
 
-// controller is one controller.
+// controller is a simulated controller that is running.
 type controller struct {
 	names  names          // of its settings
-	module *router.Router // that decides for it
-	events []router.Event // for its next step
+	module *router.Router // makes its decisions
+	events []router.Event // input of the next step
 }
 
 // serve answers batches until the end of input.
@@ -51,8 +51,8 @@
 	}
 }
 
-// answer delivers the messages of a batch, then has each controller that got one do a step, in the
-// order of their first messages, and ends the answer.
+// answer delivers the messages of a batch, then runs one step of each controller that got a
+// message, in the order of their first messages, and ends the answer.
 func answer(w *simwire.Writer, controllers map[int]*controller, batch *simwire.Batch) error {
 	var numbers []int
 	seen := map[int]bool{}
@@ -67,14 +67,14 @@
 		}
 	}
 	for _, number := range numbers {
-		if c := controllers[number]; c != nil { // else it was stopped
+		if c := controllers[number]; c != nil { // nil: the batch stopped it
 			c.step(w, number, milliseconds(batch.Now))
 		}
 	}
 	return w.End(batch.Number)
 }
 
-// deliver starts or stops a controller, or adds the event of a message to its next step.
+// deliver starts or stops a controller, or queues a message's event for the controller's next step.
 func deliver(controllers map[int]*controller, m simwire.Message) error {
 	number := m.Body.ControllerNumber()
 	switch body := m.Body.(type) {
@@ -88,7 +88,7 @@
 	}
 	c := controllers[number]
 	if c == nil {
-		why := fmt.Sprintf("%d is not up", number)
+		why := fmt.Sprintf("controller %d is not running", number)
 		return &simwire.FieldError{Line: m.Line, Field: "controller", Why: why}
 	}
 	event, err := c.names.event(m)
@@ -98,8 +98,8 @@
 	return err
 }
 
-// start returns a new controller with the settings of a message. The error of settings that can't
-// be used is a *simwire.FieldError.
+// start returns a new controller with the settings of a message. Invalid settings give a
+// *simwire.FieldError.
 func start(line int, m simwire.Start) (*controller, error) {
 	facts, err := settings.Read(settings.Values(m.Options))
 	var field *settings.FieldError
@@ -109,7 +109,8 @@
 	return &controller{names: names(facts.Names), module: facts.NewRouter(int64(m.Seed))}, nil
 }
 
-// step has a controller's module decide and writes its actions, or reports its panic instead.
+// step passes the queued events to the controller's module and writes the resulting actions. A
+// panic of the module is reported in their place.
 func (c *controller) step(w *simwire.Writer, number int, now float64) {
 	defer func() {
 		if failure := recover(); failure != nil {
--- a/cmd/mintkeel-sim/main_test.go
+++ b/cmd/mintkeel-sim/main_test.go
@@ -13,15 +13,15 @@
 	"services.0.dedup_scope=all\tservices.0.promise_ns=1000000000\tservices.0.hard_limit_ns=5000000000\t" +
 	"kinds=k\tfamily_info.size_cores=8\tfamily_info.size_mb=1000\tn_instances=1\tround_ns=5000000\tnew.key=1\n"
 
-// runScript is the answer to an input.
+// runScript serves an input and returns the whole output.
 func runScript(in string) (string, error) {
 	var out strings.Builder
 	err := serve(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
-// Whole batches and what has to be in their answers, among them an endpoint list that is replaced within a
-// batch and a controller that is stopped and started in one.
+// Checks what the answers to whole batches contain, for example if an endpoint list is replaced within a batch,
+// or a controller is stopped and started again in one.
 func TestServe(t *testing.T) {
 	begin := func(n string, lines ...string) string {
 		return "begin_batch\t1000000" + n + "\t" + n + "\n" + strings.Join(lines, "") + "over_to_you\n"
@@ -41,19 +41,19 @@
 	} {
 		out, err := runScript(c.in)
 		if err != nil || !strings.Contains(out, c.has) || strings.Contains(out, c.lacks) {
-			t.Errorf("%s: %v\n%s", c.name, err, out)
+			t.Errorf("%s: got error %v and output\n%s\nwant output with %q and without %q", c.name, err, out, c.has, c.lacks)
 		}
 	}
 }
 
-// A malformed line ends the program with the line's number and field.
+// A malformed line ends the program with an error that names the line and the field.
 func TestMalformed(t *testing.T) {
 	head := "begin_batch\t1\t1\n" + startMessage
 	for _, c := range []struct{ in, want string }{
 		{"begin_batch\tx\t1", "line 1: field clock"},
 		{"hello", "line 1: field message"},
 		{head + "bell\tx\t1", "line 3: field controller"},
-		{head + "bell\t4\t1", "line 3: field controller: 4 is not up"},
+		{head + "bell\t4\t1", "line 3: field controller: controller 4 is not running"},
 		{head + "incoming\t3\t9\t-\t0\tnone\t1\t-\t5\t0\t-", "line 3: field band"},
 		{head + "incoming\t3\t9\t-\t0\tlookup\t1\t-", "line 3: field patience_left_ns: is missing"},
 		{head + "attempt_end\t3\t9\t1\twhat\t0\ta:1\t-\t0\t-", "line 3: field reason"},
@@ -65,13 +65,13 @@
 		{"begin_batch\t1\t1\nup\t3\t1\tservices.count=1", "line 2: field services.0.effect"},
 	} {
 		if _, err := runScript(c.in + "\nover_to_you\n"); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, not %q", c.in, err, c.want)
+			t.Errorf("%q: got error %v, want one with %q", c.in, err, c.want)
 		}
 	}
 }
 
-// Times are rounded so that a timer is never early and an attempt's deadline never late; a panic of the
-// module is reported.
+// Times are rounded so that a timer never fires early and an attempt's deadline is never late. A panic of the
+// module is reported as a line.
 func TestActionTimesAndPanics(t *testing.T) {
 	var out strings.Builder
 	w := simwire.NewWriter(&out)
@@ -81,6 +81,6 @@
 	w.End("1")
 	want := "set_timer\t3\t2\t0\nsubmit_to\t3\t1\ta\t1999999\nbug\t4\t"
 	if !strings.HasPrefix(out.String(), want) {
-		t.Errorf("wrote %q", out.String())
+		t.Errorf("output is %q, want prefix %q", out.String(), want)
 	}
 }
--- a/cmd/mintkeel-sim/names.go
+++ b/cmd/mintkeel-sim/names.go
@@ -5,18 +5,18 @@
 	"mintkeel/router"
 )
 
-// The simulator's words for values and actions are mapped to the module's terms in this file alone;
-// the names of its messages and their fields are mapped in internal/simwire.
+// This file alone maps the simulator's names of values and actions to the module's terms. The names
+// of messages and their fields are mapped in internal/simwire.
 
-// engineStates are the states of an engine, by their numbers.
+// engineStates maps an engine's state on the wire to the module's.
 var engineStates = map[int64]router.EngineState{
 	0: router.Draining,
 	2: router.Ready,
 	3: router.Gone,
 }
 
-// progressKinds are the kinds of progress messages, by their numbers. Of any other number the kind
-// is router.ProgressOther.
+// progressKinds maps the kind of a progress message on the wire to the module's. Any other number
+// stands for router.ProgressOther.
 var progressKinds = map[int64]router.ProgressKind{
 	1:               router.ProgressDone,
 	2:               router.ProgressSpilling,
@@ -24,14 +24,14 @@
 }
 
 const (
-	// progressBlocked is the kind of a message that an attempt waits.
+	// progressBlocked is the kind of a message which reports that an attempt is blocked.
 	progressBlocked = 3
-	// blockedByTables is the value with progressBlocked of an attempt that waits for locked tables.
-	// With other values it waits for memory.
+	// blockedByTables is the value of a progressBlocked message if the attempt waits for locked
+	// tables. Any other value means that it waits for memory.
 	blockedByTables = 2
 )
 
-// outcomes are the outcomes of attempts and health checks.
+// outcomes maps the outcomes of attempts and health checks on the wire to the module's.
 var outcomes = map[string]router.Outcome{
 	"done":         router.Succeeded,
 	"err":          router.Errored,
@@ -43,7 +43,7 @@
 	"skipped":      router.NotSent,
 }
 
-// Names of the actions.
+// Names of the actions on the wire.
 const (
 	actionStartAttempt  = "submit_to"
 	actionCancelAttempt = "recall"
@@ -56,30 +56,31 @@
 	reportPanic = "bug"
 )
 
-// The cost of a success is one number: work * costMemoryUnits + memory / costMemoryMB.
+// The cost of a successful attempt is packed into one number:
+// work * costMemoryUnits + memory / costMemoryMB.
 const (
-	costMemoryUnits = 4096 // number of values that the memory can have
-	costMemoryMB    = 4    // MB of a unit of memory
+	costMemoryUnits = 4096 // number of distinct memory values
+	costMemoryMB    = 4    // MB in a unit of memory
 )
 
-// unpackCost returns the work, in ms on one thread, and the memory of a success.
+// unpackCost returns the work, in ms on one thread, and the memory of a successful attempt.
 func unpackCost(cost int64) (work, memoryMB float64) {
 	return float64(cost / costMemoryUnits), float64(cost%costMemoryUnits) * costMemoryMB
 }
 
-// noTenant is the tenant of a query that names none of the settings' tenants.
+// noTenant is the tenant of a query that names no tenant of the settings.
 const noTenant router.TenantID = -1
 
-// names map the names of the settings to the module's ids.
+// names maps the names in the settings to the module's ids.
 type names settings.Names
 
-// machineKind is the id of a machine kind; -1: it is not among the settings.
+// machineKind returns the id of a machine kind; -1 if the settings don't have it.
 func (n *names) machineKind(name string) router.KindID {
 	return (*settings.Names)(n).MachineKind(name)
 }
 
-// loadReport returns the load report of values that stand in the order of the settings; nil: there
-// is none.
+// loadReport returns the load report with the given values, which are in the order of the settings'
+// report fields; nil without values.
 func (n *names) loadReport(values []float64) *router.LoadReport {
 	if values == nil {
 		return nil
