--- a/internal/engines/answers_test.go
+++ b/internal/engines/answers_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/router"
 )
 
-// Every way in which an engine may end an attempt, and every malformed answer, gives one outcome.
+// Each way in which an engine can end an attempt, and each kind of malformed answer, gives one outcome.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, sent string
@@ -21,23 +21,23 @@
 		{name: "one page", sent: "c1 ACK parts=1,report=inflight:7;util:0.5 6\r\na\tb\tc\n\r\n", pages: "a\tb\tc\n"},
 		{name: "no rows", sent: "c1 ACK - 0\r\n\r\n"},
 		{name: "full", sent: "c1 AGAIN - 0\r\n\r\n", want: router.EngineFull},
-		{name: "over already", sent: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
+		{name: "already ended", sent: "c1 STALE - 0\r\n\r\n", want: router.NotSent},
 		{name: "error", sent: "c1 EIO - 4\r\nsome\r\n", want: router.Errored},
 		{name: "reset", hangUp: true, want: router.ConnectionReset},
-		{name: "half a line, then the end", sent: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
-		{name: "not a word", sent: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "half a line, then a close", sent: "c1 ACK parts=1 6\r", hangUp: true, want: router.ConnectionReset},
+		{name: "unknown word", sent: "c1 WHAT - 0\r\n\r\n", want: router.ConnectionReset},
 		{name: "no length", sent: "c1 ACK - x\r\n\r\n", want: router.ConnectionReset},
 		{name: "no line end after the body", sent: "c1 ACK - 0\r\nxx", want: router.ConnectionReset},
 		{name: "a bare line feed", sent: "c1 ACK - 0\n", want: router.ConnectionReset},
 		{name: "a field without a value", sent: "c1 ACK parts 0\r\n\r\n", want: router.ConnectionReset},
-		{name: "a report of no numbers", sent: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
+		{name: "a report with a value that is not a number", sent: "c1 ACK report=util:x 0\r\n\r\n", want: router.ConnectionReset},
 		{name: "a row of two columns", sent: "c1 ACK - 4\r\na\tb\n\r\n", want: router.ConnectionReset},
 		{name: "a row without an end", sent: "c1 ACK - 5\r\na\tb\tc\r\n", want: router.ConnectionReset},
 		{name: "a page too long", sent: "c1 ACK - 6001\r\n", want: router.ConnectionReset},
 		{name: "a line too long", sent: "c1 ACK x=" + strings.Repeat("y", 4000), want: router.ConnectionReset},
 		{name: "too many pages", sent: "c1 ACK parts=1000000 0\r\n\r\n", want: router.ConnectionReset},
 		{name: "a page before the first", sent: "c1 BLOCK part_no=1 6\r\na\tb\tc\n\r\n", want: router.ConnectionReset},
-		{name: "a note, then nothing", sent: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
+		{name: "a progress message for another id, then a close", sent: "c9 EVENT remark=x 0\r\n\r\n", hangUp: true, want: router.ConnectionReset},
 	} {
 		pt := newPoolTest(t, nil)
 		query := newQuery("c1")
@@ -50,16 +50,16 @@
 		t.Log(c.name)
 		end := pt.expectEnd(0, c.want)
 		if got := string(joinPages(end.Pages)); got != c.pages {
-			t.Errorf("%s: pages %q", c.name, got)
+			t.Errorf("%s: got pages %q, want %q", c.name, got, c.pages)
 		}
 		if load := end.Load; c.pages != "" &&
 			(load == nil || load.Inflight != 7 || load.Utilization != 0.5 || load.Disk != -1) {
-			t.Errorf("%s: load %+v", c.name, load)
+			t.Errorf("%s: got load report %+v, want 7 in flight, utilization 0.5 and disk -1", c.name, load)
 		}
 	}
 }
 
-// joinPages is a result as one text.
+// joinPages returns the concatenated pages of a result.
 func joinPages(pages [][]byte) (all []byte) {
 	for _, page := range pages {
 		all = append(all, page...)
@@ -67,8 +67,8 @@
 	return all
 }
 
-// A result counts when all its pages are in, in whatever order they come. A page may come twice, but not with
-// other content; one that is lost makes the attempt fail.
+// An attempt succeeds when all pages of its result were received, in any order. A page may be received twice,
+// but not with different content. If the engine has lost a page, the attempt fails.
 func TestPages(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -80,13 +80,13 @@
 		{"one lost", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 EIO - 0\r\n\r\n"}, router.Errored},
 		{"one twice", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
 			"c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
-		{"one twice, but otherwise", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
+		{"one twice, with different content", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
 			"c1 BLOCK part_no=1 6\r\n2\t2\t9\n\r\n"}, router.ConnectionReset},
-		{"one not asked for", []string{"c1 BLOCK part_no=3 6\r\n2\t2\t2\n\r\n"}, router.ConnectionReset},
+		{"one that was not requested", []string{"c1 BLOCK part_no=3 6\r\n2\t2\t2\n\r\n"}, router.ConnectionReset},
 		{"the first again", []string{"c1 ACK parts=3 6\r\n1\t1\t1\n\r\n", "c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\n",
 			"c9 ACK parts=1 0\r\n\r\n", "c1 BLOCK part_no=2 6\r\n3\t3\t3\n\r\n"}, router.Succeeded},
-		{"the first again, but otherwise", []string{"c1 ACK parts=3 6\r\n1\t1\t9\n\r\n"}, router.ConnectionReset},
-		{"more than a result holds", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\nc1 BLOCK part_no=2 39\r\n" +
+		{"the first again, with different content", []string{"c1 ACK parts=3 6\r\n1\t1\t9\n\r\n"}, router.ConnectionReset},
+		{"result too large", []string{"c1 BLOCK part_no=1 6\r\n2\t2\t2\n\r\nc1 BLOCK part_no=2 39\r\n" +
 			strings.Repeat("long", 9) + "\t\t\n\r\n"}, router.ConnectionReset},
 	} {
 		pt := newPoolTest(t, func(l *limits.Limits) { l.ResultBytes = 48 })
@@ -102,7 +102,7 @@
 		t.Log(c.name)
 		end := pt.expectEnd(0, c.want)
 		if got := string(joinPages(end.Pages)); c.want == router.Succeeded && got != "1\t1\t1\n2\t2\t2\n3\t3\t3\n" {
-			t.Errorf("%s: pages %q", c.name, got)
+			t.Errorf("%s: got pages %q, want three rows in order", c.name, got)
 		}
 		if c.want == router.Succeeded {
 			engine.expect("forget c1\r\n")
@@ -126,16 +126,16 @@
 		{"remark=blocked,value=1", AttemptProgress{query, 3, router.ProgressWaitsForMemory, 1}},
 		{"remark=blocked,value=2", AttemptProgress{query, 3, router.ProgressWaitsForTables, 2}},
 	} {
-		engine.answer("c1", "EVENT", "-", "") // not yet over, and no note
+		engine.answer("c1", "EVENT", "-", "") // without a remark: ignored
 		engine.answer("c1", "EVENT", c.fields, "")
 		if got := <-pt.events; got != any(c.want) {
-			t.Errorf("%s: %+v", c.fields, got)
+			t.Errorf("%s: got event %+v, want %+v", c.fields, got, c.want)
 		}
 	}
 }
 
-// An engine answers an attempt again some milliseconds later, in the same way or in another. That must not
-// spoil what follows on the connection.
+// An engine repeats its answer to an attempt some milliseconds later, unchanged or changed. The duplicates must
+// not affect later attempts on the connection.
 func TestDuplicateAnswer(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 1 })
 	pt.start(newQuery("c1"), 1)
@@ -150,12 +150,12 @@
 	engine.answer("c1", "BLOCK", "part_no=3", "1\t1\t1\n")
 	engine.answer("c2", "ACK", "parts=1", "2\t2\t2\n")
 	if end := pt.expectEnd(2, router.Succeeded); string(joinPages(end.Pages)) != "2\t2\t2\n" {
-		t.Errorf("pages %q", end.Pages)
+		t.Errorf("got pages %q, want those of c2", end.Pages)
 	}
 }
 
-// An engine reports progress, and then that the attempt never ran. The attempt ends as Errored, as
-// it may have had its effect.
+// An engine reports progress and then answers that it did not run the attempt. The attempt ends as Errored, as
+// it may have taken effect.
 func TestRejectedAfterProgress(t *testing.T) {
 	for _, word := range []string{"AGAIN", "STALE"} {
 		pt := newPoolTest(t, nil)
@@ -169,7 +169,7 @@
 	}
 }
 
-// An engine resets a connection after an answer. The answer counts, and what follows goes over another
+// An engine resets a connection after an answer. The answer counts, and the next attempt goes over another
 // connection.
 func TestResetAfterAnswer(t *testing.T) {
 	pt := newPoolTest(t, nil)
@@ -180,7 +180,7 @@
 	pt.expectEnd(1, router.Succeeded)
 	engine.Conn.(*net.TCPConn).SetLinger(0)
 	engine.Close()
-	for len(pt.pool.engines["e"].liveConns()) > 0 { // until it is seen
+	for len(pt.pool.engines["e"].liveConns()) > 0 { // until the pool has noticed the reset
 		runtime.Gosched()
 	}
 	pt.start(newQuery("c2"), 2)
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -11,50 +11,52 @@
 	"mintkeel/router"
 )
 
-// Reasons for which a connection ends that are no errors of the network or the protocol.
+// Reasons to end a connection that are not errors of the network or of the protocol.
 var (
-	// errIdle means that it was not used for EngineIdleTimeout.
+	// errIdle means that the connection was not used for EngineIdleTimeout.
 	errIdle = errors.New("idle")
-	// errPartialAnswer means that the rest of an answer did not come within AnswerTimeout.
-	errPartialAnswer = errors.New("the rest of an answer")
+	// errPartialAnswer means that the rest of an answer was not received within AnswerTimeout.
+	errPartialAnswer = errors.New("rest of an answer not received in time")
 	// errPingUnanswered means that the engine sent nothing for PingTimeout after a ping.
-	errPingUnanswered = errors.New("no answer to a ping")
+	errPingUnanswered = errors.New("ping not answered in time")
 )
 
 // errClosedByEngine means that the engine closed the connection before an attempt was written.
-var errClosedByEngine = errors.New("ended by the engine")
+var errClosedByEngine = errors.New("connection closed by the engine")
 
-// minSweep is the least number of used ids at which those past their time are dropped.
+// minSweep is the smallest number of used ids at which the expired ones are removed.
 const minSweep = 64
 
-// conn is one connection. Its goroutine dials, then reads, and is woken from its read to write (see
-// wake). The loop's goroutine gives it attempts and health checks. The fields below mu are shared
-// by the two and guarded by it; no event is reported while it is held, as reporting may block.
+// conn is a connection to an engine. Its goroutine dials, then reads answers, and is woken from a
+// blocked read to write (see wake). The loop's goroutine adds attempts and health checks. mu guards
+// the fields below it, which both goroutines use. No event is reported while mu is held, as
+// reporting may block.
 //
-// A connection is usable from newConn on, also while it is dialled, until close or its end.
+// Attempts and health checks can be added from newConn on, also while the connection is dialled,
+// until it is closed or has ended.
 type conn struct {
 	pool    *Pool
 	engine  router.EngineID
 	address string
-	ctx     context.Context // ends by close
+	ctx     context.Context // cancelled by close
 	cancel  context.CancelFunc
 
 	mu           sync.Mutex
-	netConn      net.Conn             // nil until it is up
-	queue        []outgoing           // to be written
-	queuedBytes  int                  // in queue
-	attempts     map[string]*attempt  // without an outcome, by the query's id
-	usedIDs      map[string]time.Time // ids of queries that it carried, and until when they count
-	sweepAt      int                  // length of usedIDs at which those past their time are dropped
-	healthChecks map[string]time.Time // deadlines of health checks, by the tags of their pings
+	netConn      net.Conn             // nil until it is established
+	queue        []outgoing           // waits to be written
+	queuedBytes  int                  // added to queue since it was last taken
+	attempts     map[string]*attempt  // without an outcome, by query id
+	usedIDs      map[string]time.Time // ids of queries that it has carried, with their expiry times
+	sweepAt      int                  // length of usedIDs at which expired ids are removed
+	healthChecks map[string]time.Time // deadlines of health checks, by the tag of their ping
 	lastUsed     time.Time            // when an attempt or a health check last ended
-	silentSince  time.Time            // when the engine last sent anything, or came to owe something
-	pingedAt     time.Time            // of the first ping since then; zero: there was none
-	ended        bool                 // nothing may be put on it any more
+	silentSince  time.Time            // latest of: last answer, connect, first open attempt
+	pingedAt     time.Time            // when the first ping after silentSince was sent; zero: none was
+	ended        bool                 // nothing more may be added
 
 	// Copies for the loop, which reads them often and should not wait for the mutex:
-	hasEnded     atomic.Bool  // of ended
-	attemptCount atomic.Int32 // of len(attempts)
+	hasEnded     atomic.Bool  // copy of ended
+	attemptCount atomic.Int32 // copy of len(attempts)
 
 	uncountOnce sync.Once
 }
@@ -75,40 +77,40 @@
 	}
 }
 
-// longAgo is a deadline that has passed: it ends a read.
+// longAgo is a read deadline in the past, which interrupts a blocked read.
 var longAgo = time.Unix(1, 0)
 
-// wake ends the read in which a connection's goroutine waits, so that it does what is due.
+// wake interrupts the read in which a connection's goroutine blocks, so that it does what is due.
 func wake(c net.Conn) {
 	if c != nil {
 		c.SetReadDeadline(longAgo)
 	}
 }
 
-// usable reports whether something may be put on the connection, which is up or being dialled. mu
-// is held.
+// usable reports whether attempts and health checks may be added to the connection, which is
+// established or being dialled. mu is held.
 func (c *conn) usable() bool { return !c.ended && c.ctx.Err() == nil }
 
 // isEnded reports whether the connection has ended.
 func (c *conn) isEnded() bool { return c.hasEnded.Load() }
 
-// markEnded has nothing put on the connection any more. mu is held.
+// markEnded prevents that anything more is added to the connection. mu is held.
 func (c *conn) markEnded() {
 	c.ended = true
 	c.hasEnded.Store(true)
 }
 
-// openAttempts is the number of its attempts without an outcome.
+// openAttempts returns the number of attempts on the connection that have no outcome.
 func (c *conn) openAttempts() int { return int(c.attemptCount.Load()) }
 
-// connected reports whether the connection is up, as far as is known.
+// connected reports whether the connection is established and not known to have ended.
 func (c *conn) connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.usable() && c.netConn != nil
 }
 
-// idleSince returns when the connection was last used, and whether it is up and carries nothing.
+// idleSince returns when the connection was last used, and whether it is established and idle.
 func (c *conn) idleSince() (since time.Time, idle bool) {
 	if c.openAttempts() > 0 {
 		return time.Time{}, false
@@ -118,10 +120,11 @@
 	return c.lastUsed, c.usable() && c.netConn != nil && c.idle()
 }
 
-// idle reports whether the connection carries nothing and has nothing to write. mu is held.
+// idle reports whether the connection has no attempts, no health checks and nothing to write. mu is
+// held.
 func (c *conn) idle() bool { return len(c.attempts)+len(c.healthChecks)+len(c.queue) == 0 }
 
-// close ends the connection. Its attempts get their outcomes by end.
+// close has the connection's goroutine end the connection. Its attempts get their outcomes in end.
 func (c *conn) close() {
 	c.cancel()
 	c.mu.Lock()
@@ -129,8 +132,8 @@
 	wake(c.netConn)
 }
 
-// closeIfUnused ends the connection so that another can take its place, and reports whether it did:
-// not if it carries an attempt by now.
+// closeIfUnused closes the connection to make room for another, unless it has got an attempt in the
+// meantime or has ended. It reports whether it closed the connection.
 func (c *conn) closeIfUnused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,18 +146,19 @@
 	return true
 }
 
-// uncount takes the connection out of the count of open ones, once.
+// uncount removes the connection from the count of open connections, once.
 func (c *conn) uncount() { c.uncountOnce.Do(func() { c.pool.openConns.Add(-1) }) }
 
-// report hands events over, and may block. mu must not be held.
+// report passes events to the pool's report function, which may block. mu must not be held.
 func (c *conn) report(events []Event) {
 	for _, ev := range events {
 		c.pool.report(ev)
 	}
 }
 
-// end ends all attempts and health checks that are left on the connection: attempts that were not
-// written never ran, and those that were end as writtenOutcome. Its goroutine calls it last.
+// end ends the attempts and health checks that are left on the connection. Attempts that were not
+// written never ran and end as ConnectFailed; written ones end as writtenOutcome, or with their own
+// outcome if they were given up. The connection's goroutine calls it last.
 func (c *conn) end(err error, writtenOutcome router.Outcome) {
 	c.mu.Lock()
 	c.markEnded()
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -11,14 +11,14 @@
 	"mintkeel/router"
 )
 
-// minAttemptMS is the least time in ms that an attempt is given: engines take no shorter one.
+// minAttemptMS is the shortest timeout of an attempt in ms: engines accept no shorter one.
 const minAttemptMS = 1
 
-// lineEnd follows a statement.
+// lineEnd terminates a statement.
 var lineEnd = []byte("\r\n")
 
-// add puts an attempt on the connection and reports whether it did: not if the connection has
-// ended, carries maxAttempts, has carried the query before or has too much to write.
+// add queues an attempt on the connection and reports whether it did. It does not if the connection
+// has ended, has maxAttempts open attempts, has carried the query before or has too much to write.
 func (c *conn) add(a *attempt, maxAttempts int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +41,7 @@
 	return true
 }
 
-// sweepUsedIDs drops ids that count no longer, once there are many. mu is held.
+// sweepUsedIDs removes expired ids once there are sweepAt ids. mu is held.
 func (c *conn) sweepUsedIDs() {
 	if len(c.usedIDs) < c.sweepAt {
 		return
@@ -60,9 +60,9 @@
 	}
 }
 
-// giveUp cancels an attempt at its engine and sends a ping behind the cancel: until the engine has
-// answered the ping the query may not be sent again, or two of its attempts could run at once. An
-// attempt that was not written needs neither and is Withdrawn. mu is held.
+// giveUp cancels an attempt at its engine and sends a ping after the cancel. Until the engine has
+// answered the ping the query must not be sent again, or two of its attempts could run at once. An
+// attempt that was not written needs neither and ends as Withdrawn. mu is held.
 func (c *conn) giveUp(a *attempt, outcome router.Outcome) {
 	if a.givenUp {
 		return
@@ -83,8 +83,8 @@
 	c.ping(b, giveUpTag+a.query.ID)
 }
 
-// withdrawUnsent ends the attempts that were not written, and the connection if its engine has gone
-// and it carries no others.
+// withdrawUnsent ends the attempts that were not written as Withdrawn. It closes the connection if
+// its engine is gone and no attempts are left.
 func (c *conn) withdrawUnsent(engineGone bool) {
 	c.mu.Lock()
 	var events []Event
@@ -99,11 +99,11 @@
 	}
 	c.mu.Unlock()
 	if len(events) > 0 {
-		go c.report(events) // the caller is the loop, which must not wait
+		go c.report(events) // the caller is the loop, which must not block
 	}
 }
 
-// finish takes an attempt off the connection and returns its AttemptEnded. mu is held.
+// finish removes an attempt from the connection and returns its AttemptEnded. mu is held.
 func (c *conn) finish(a *attempt, outcome router.Outcome) Event {
 	delete(c.attempts, a.query.ID)
 	c.attemptCount.Store(int32(len(c.attempts)))
--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -7,30 +7,30 @@
 	"mintkeel/router"
 )
 
-// maxReadWait is the longest that a read waits on a connection that carries something.
+// maxReadWait bounds the wait of a read on a connection that is not idle.
 const maxReadWait = time.Minute
 
-// dueWork is what a connection's goroutine has to do before it reads on.
+// dueWork is what a connection's goroutine has to do before its next read.
 type dueWork struct {
-	events []Event    // to be reported first
-	write  []outgoing // to be written then
-	err    error      // not nil: the connection must end, and the other fields are empty
+	events []Event    // to be reported before the write
+	write  []outgoing // to be written
+	err    error      // if not nil, the connection must end, and the other fields are empty
 }
 
-// deadlineTracker finds the earliest of the times at which something is due.
+// deadlineTracker finds the earliest of a connection's deadlines that have not passed.
 type deadlineTracker struct {
 	now  time.Time
-	next time.Time // the earliest of those that have not passed
+	next time.Time // the earliest deadline so far
 }
 
-// add has the alarm go off at a time at the latest.
+// add tracks a deadline.
 func (a *deadlineTracker) add(at time.Time) {
 	if at.Before(a.next) {
 		a.next = at
 	}
 }
 
-// passed reports whether a time has come. If not, the alarm is set for it.
+// passed reports whether a deadline has passed. If it has not, the deadline is tracked.
 func (a *deadlineTracker) passed(at time.Time) bool {
 	if !a.now.Before(at) {
 		return true
@@ -39,9 +39,9 @@
 	return false
 }
 
-// takeDue ends what is past its time and takes out what is to be written. If there is nothing to
-// write, it sets the read deadline to when something else is due. partialSince is the time since
-// which the reader holds a part of an answer; zero: it holds none.
+// takeDue ends attempts and health checks that are overdue and takes the write queue. If that is
+// empty, it sets the read deadline to the next time at which something is due. partialSince is the
+// time since which the reader's buffer holds an incomplete answer; zero: it holds none.
 func (c *conn) takeDue(now time.Time, netConn net.Conn, partialSince time.Time) dueWork {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,8 @@
 	if c.idle() {
 		deadlines.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
 		if now.After(deadlines.next) {
-			// Under the mutex, so that an attempt is either added before or goes over another connection.
+			// Under the mutex, so that an attempt is either added before this or goes over another
+			// connection.
 			c.markEnded()
 			return dueWork{err: errIdle}
 		}
@@ -65,9 +66,9 @@
 	return dueWork{events: append(events, withdrawn...), write: write}
 }
 
-// checkAlive returns an error if the connection counts as dead. An engine that is cut off sends
-// nothing, not even a close, and without this its attempts would end only at their deadlines. An
-// engine that has been silent for PingAfter while it owes something is pinged. mu is held.
+// checkAlive returns an error if the connection is considered dead: an engine behind a network
+// partition sends nothing, not even a close, and its attempts would otherwise end only at their
+// deadlines. It pings an engine that has open attempts and was silent for PingAfter. mu is held.
 func (c *conn) checkAlive(deadlines *deadlineTracker, partialSince time.Time) error {
 	l := c.pool.limits
 	if !partialSince.IsZero() && deadlines.passed(partialSince.Add(l.AnswerTimeout)) {
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// endOverdue gives up attempts past their deadline, and ends health checks and given-up attempts
-// that have waited for the engine for too long. mu is held.
+// endOverdue gives up attempts past their deadline, and ends the health checks and given-up
+// attempts that the engine has not answered in time. mu is held.
 func (c *conn) endOverdue(deadlines *deadlineTracker) []Event {
 	var events []Event
 	for _, a := range c.attempts {
@@ -105,8 +106,9 @@
 	return events
 }
 
-// takeQueue takes out what is to be written, and withdraws attempts that are too late. The others
-// count as written from here on: their last byte may be taken at any moment. mu is held.
+// takeQueue empties the write queue and returns its entries, except the attempts that are too late,
+// which it withdraws. The other attempts count as written from now on, as the connection may accept
+// their last byte at any moment. mu is held.
 func (c *conn) takeQueue(now time.Time) (write []outgoing, withdrawn []Event) {
 	queue := c.queue
 	c.queue = nil
--- a/internal/engines/conn_ping.go
+++ b/internal/engines/conn_ping.go
@@ -8,18 +8,19 @@
 	"mintkeel/router"
 )
 
-// Tags of pings, by their purpose. The answer repeats the tag. No two begin alike.
+// Tags of pings, which identify the purpose. The answer to a ping repeats its tag. The first
+// letters differ, so no tag can be taken for one of another purpose.
 const (
-	// healthCheckTag begins the tag of a health check; a number is the rest.
+	// healthCheckTag is the prefix of a health check's tag; a number follows.
 	healthCheckTag = "p"
-	// giveUpTag begins the tag of the ping that follows an undo; the query's id is the rest.
+	// giveUpTag is the prefix of the tag of the ping after a cancel; the query's id follows.
 	giveUpTag = "u"
-	// keepaliveTag is the tag of a ping that only checks whether a silent connection still works.
+	// keepaliveTag is the tag of a ping that checks whether a silent connection still works.
 	keepaliveTag = "k"
 )
 
-// checkHealth begins a health check and reports whether it did: not if the connection has ended. It
-// ends as TimedOut after PingTimeout.
+// checkHealth starts a health check, unless the connection has ended, and reports whether it did. A
+// check that is not answered ends as TimedOut after PingTimeout.
 func (c *conn) checkHealth(tag string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,8 +32,8 @@
 	return true
 }
 
-// ping writes a ping behind b. If the engine sends nothing for PingTimeout after it, the connection
-// ends. mu is held.
+// ping queues the lines in b and a ping after them. If the engine sends nothing for PingTimeout,
+// the connection ends. mu is held.
 func (c *conn) ping(b []byte, tag string) {
 	if c.pingedAt.IsZero() {
 		c.pingedAt = time.Now()
@@ -40,8 +41,8 @@
 	c.enqueueLine(enginewire.AppendPing(b, tag))
 }
 
-// handlePong handles the answer to a ping: the engine has read all that was written before it. mu
-// is held.
+// handlePong handles the answer to a ping, which shows that the engine has read everything written
+// before the ping. mu is held.
 func (c *conn) handlePong(tag string, load *router.LoadReport) []Event {
 	if _, found := c.healthChecks[tag]; found {
 		delete(c.healthChecks, tag)
--- a/internal/engines/conn_read.go
+++ b/internal/engines/conn_read.go
@@ -32,14 +32,14 @@
 	c.end(err, router.ConnectionReset)
 }
 
-// serve writes what there is to write and reads answers, one after the other, until the connection
-// ends. A read waits until something is due, and is ended early when there is something to write
-// (see wake). An answer is taken from the buffer only when it is whole, so a read that is ended
-// early loses nothing.
+// serve alternates between writing the queue and reading an answer until the connection ends. A
+// read blocks until something is due and is interrupted when there is something to write (see
+// wake). An answer is removed from the buffer only when it is complete, so an interrupted read
+// loses nothing.
 func (c *conn) serve(netConn *lookaheadConn) error {
 	l := c.pool.limits
 	r := bufio.NewReaderSize(netConn, l.AnswerHeaderBytes+l.PageBytes+len(lineEnd))
-	var partialSince time.Time // since when the buffer holds a part of an answer; zero: it holds none
+	var partialSince time.Time // see takeDue
 	for c.ctx.Err() == nil {
 		now := time.Now()
 		due := c.takeDue(now, netConn, partialSince)
@@ -55,7 +55,7 @@
 			if !errors.Is(err, errClosedByEngine) {
 				return err
 			}
-			// Answers that came before the close still count: they are read first, then the close is.
+			// Answers received before the close still count: they are read before the close is.
 		}
 		answer, size, err := enginewire.PeekAnswer(r, l.AnswerHeaderBytes, l.PageBytes)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -79,7 +79,8 @@
 }
 
 // handleAnswer handles one answer. An answer for an id without an attempt is ignored: the attempt
-// ended while the answer was on its way. An error ends the connection.
+// ended while the answer was in transit, or the answer is a duplicate. An error ends the
+// connection.
 func (c *conn) handleAnswer(answer enginewire.Answer) ([]Event, error) {
 	load, err := loadReport(answer)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return c.handlePage(a, answer)
 }
 
-// loadReport is the load report of an answer; nil if there is none.
+// loadReport returns the load report of an answer; nil if it has none.
 func loadReport(answer enginewire.Answer) (*router.LoadReport, error) {
 	if answer.LoadReport == nil {
 		return nil, nil
@@ -123,9 +124,9 @@
 	return load, err
 }
 
-// handleNeverRan handles the answer that the engine did not run an attempt. An attempt that has
-// reported progress may have had its effect in spite of that, and ends as Errored. After a page the
-// answer is malformed. mu is held.
+// handleNeverRan handles an answer which says that the engine did not run the attempt. If the
+// engine has reported progress before, the attempt may have taken effect all the same, and ends as
+// Errored. After a page of the result such an answer is malformed. mu is held.
 func (c *conn) handleNeverRan(a *attempt, outcome router.Outcome) ([]Event, error) {
 	if a.pages != nil {
 		return nil, enginewire.ErrMalformed
--- a/internal/engines/conn_write.go
+++ b/internal/engines/conn_write.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// enqueue has the connection's goroutine write something. mu is held.
+// enqueue adds an entry to the write queue and wakes the connection's goroutine. mu is held.
 func (c *conn) enqueue(o outgoing) {
 	c.queuedBytes += o.size()
 	c.queue = append(c.queue, o)
 	wake(c.netConn)
 }
 
-// enqueueLine has the connection's goroutine write lines that start no attempt. mu is held.
+// enqueueLine adds lines that start no attempt to the write queue. mu is held.
 func (c *conn) enqueueLine(b []byte) { c.enqueue(outgoing{parts: net.Buffers{b}}) }
 
-// flush writes a batch by a deadline. If that fails, an attempt that was not taken whole counts as
-// not written again: it never ran, as engines only run what they have received whole.
+// flush writes a batch by a deadline. If that fails, attempts that the connection did not accept to
+// the last byte are marked as not written again: they never ran, as engines run only complete
+// requests.
 //
 // An engine may close an idle connection at any moment. If it has, a batch with an attempt is not
-// written at all: the closed connection might still take its bytes, and the attempt would count as
-// one that may have run.
+// written at all: the closed connection might still accept the bytes, and the attempt would count
+// as one that may have run.
 func (c *conn) flush(batch []outgoing, netConn *lookaheadConn, deadline time.Time) error {
 	var parts net.Buffers
 	startsAttempt := false
@@ -28,7 +29,7 @@
 		parts = append(parts, o.parts...)
 		startsAttempt = startsAttempt || o.attempt != nil
 	}
-	var taken int64 // bytes
+	var taken int64 // bytes that the connection has accepted
 	var err error
 	if startsAttempt && netConn.closedByPeer() != nil {
 		err = errClosedByEngine
@@ -42,8 +43,8 @@
 	return err
 }
 
-// markUnwritten marks the attempts of a batch that were not written whole, after so many bytes of
-// the batch were taken.
+// markUnwritten marks the attempts of a batch of which the connection has not accepted the last
+// byte. taken is the number of bytes of the batch that it has accepted.
 func (c *conn) markUnwritten(batch []outgoing, taken int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/engines/endpoints.go
+++ b/internal/engines/endpoints.go
@@ -2,26 +2,26 @@
 
 import "mintkeel/router"
 
-// Endpoint is where an engine listens, and whether it may get attempts.
+// Endpoint is an engine's address and state. Only an engine that is router.Ready gets attempts.
 type Endpoint struct {
 	Engine  router.EngineID
 	Address string // host:port
 	State   router.EngineState
 }
 
-// engine is an engine of the endpoint list with its connections. It stays, as Gone, until its last
-// connection ends.
+// engine is an engine of the endpoint list with its connections. An engine that is gone is kept
+// until its last connection has ended.
 type engine struct {
-	Endpoint         // Address is empty while another engine has it
-	conns    []*conn // may hold some that have ended; see liveConns
+	Endpoint         // Address is empty while another engine uses it
+	conns    []*conn // may include ended ones; see liveConns
 }
 
-// UpdateEndpoints sets addresses and states of engines; if complete, those that are not named are
-// gone. Attempts that wait for a connection to an engine that drains or is gone are withdrawn, as
-// they would be sent after the list has said so. Those that were sent may end.
+// UpdateEndpoints sets addresses and states of engines. If the update is complete, engines that it
+// does not name are gone. Unsent attempts to an engine that drains or is gone are withdrawn, as
+// they would be sent after discovery has reported its state. Attempts that were sent may finish.
 func (p *Pool) UpdateEndpoints(endpoints []Endpoint, complete bool) {
 	named := map[router.EngineID]bool{}
-	readyAddresses := map[string]bool{} // addresses
+	readyAddresses := map[string]bool{}
 	for _, endpoint := range endpoints {
 		named[endpoint.Engine] = true
 		if p.updateEndpoint(endpoint) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateEndpoint updates or adds one engine and reports whether it is ready.
+// updateEndpoint updates or adds an engine and reports whether it is ready.
 func (p *Pool) updateEndpoint(endpoint Endpoint) (ready bool) {
 	e := p.engines[endpoint.Engine]
 	if e == nil {
@@ -54,8 +54,8 @@
 		p.engines[endpoint.Engine] = e
 	}
 	if endpoint.State != router.Ready {
-		// The update may leave out its address. The old one stays, as attempts that were sent there may
-		// still end.
+		// The update may omit the address. The old one stays, as attempts that were sent there may still
+		// finish.
 		e.State = endpoint.State
 		e.withdrawUnsent()
 		return false
@@ -69,9 +69,9 @@
 	return true
 }
 
-// updateUnnamed handles an update that does not name the engine: it is gone if the update is
-// complete, and has lost its address if another engine has it now, which must not get attempts that
-// are meant for this one.
+// updateUnnamed handles an update that does not name the engine. If the update is complete, the
+// engine is gone. If another engine has its address now, the address is cleared, as the other
+// engine must not get attempts that are meant for this one.
 func (e *engine) updateUnnamed(complete bool, readyAddresses map[string]bool) {
 	if complete {
 		e.State = router.Gone
@@ -83,12 +83,13 @@
 	}
 }
 
-// SetExpired says whether the endpoint list is out of date. While it is, a connection is dialled
-// only beside one that is up, which shows that the same process is still there: another engine may
-// listen at the address of one that has gone, or the same one may have restarted and be warming up.
+// SetExpired sets whether the endpoint list has expired. While it has, an engine is dialled only if
+// it has an established connection, which shows that the same process still runs: without one,
+// another engine may listen at the address of an engine that is gone, or the engine may have
+// restarted and be warming up.
 //
-// An attempt that waits for a connection when the list expires is withdrawn: the decision to start
-// it relied on a list that was valid.
+// Unsent attempts are withdrawn when the list expires, as the decision to start them relied on a
+// valid list.
 func (p *Pool) SetExpired(expired bool) {
 	if expired && !p.listExpired {
 		for _, e := range p.engines {
@@ -98,7 +99,7 @@
 	p.listExpired = expired
 }
 
-// liveConns drops the connections that have ended, and returns the others.
+// liveConns removes the connections that have ended, and returns the others.
 func (e *engine) liveConns() []*conn {
 	kept := e.conns[:0]
 	for _, c := range e.conns {
@@ -111,7 +112,7 @@
 	return kept
 }
 
-// withdrawUnsent ends the attempts that were not written yet.
+// withdrawUnsent withdraws the attempts that were not written.
 func (e *engine) withdrawUnsent() {
 	for _, c := range e.liveConns() {
 		c.withdrawUnsent(e.State == router.Gone)
--- a/internal/engines/events.go
+++ b/internal/engines/events.go
@@ -7,18 +7,18 @@
 	"mintkeel/router"
 )
 
-// Event is something that the pool reports: one of the types below that has the method event.
+// Event is an event that the pool reports: one of the types below.
 type Event interface{ event() }
 
 type (
-	// AttemptEnded is the outcome of an attempt. Each attempt that is started gets exactly one.
+	// AttemptEnded is the outcome of an attempt. Exactly one follows each StartAttempt.
 	AttemptEnded struct {
 		Query   *request.Query
 		Attempt router.AttemptID
 		Outcome router.Outcome
 		Elapsed time.Duration      // since StartAttempt
-		Pages   [][]byte           // the result, whole; nil unless Outcome is router.Succeeded
-		Load    *router.LoadReport // nil: none came with it
+		Pages   [][]byte           // the complete result; nil unless Outcome is router.Succeeded
+		Load    *router.LoadReport // nil: none was received
 	}
 	// AttemptProgress is a progress message of an attempt that is running.
 	AttemptProgress struct {
@@ -31,7 +31,7 @@
 	HealthCheckEnded struct {
 		Engine  router.EngineID
 		Outcome router.Outcome
-		Load    *router.LoadReport // nil: none came with it
+		Load    *router.LoadReport // nil: none was received
 	}
 )
 
--- a/internal/engines/keepalive_test.go
+++ b/internal/engines/keepalive_test.go
@@ -8,9 +8,9 @@
 	"mintkeel/router"
 )
 
-// An engine is cut off and says nothing any more. A cancelled attempt there ends all the same, the next one
-// goes over a new connection, and as that does not come up it never ran. When the engine speaks again its
-// connection is used again.
+// An engine is unreachable and sends nothing. A cancelled attempt ends all the same. The next attempt goes over
+// a new connection and ends as ConnectFailed, as that can't be established. Once the engine has sent something,
+// its first connection is used again.
 func TestSilentEngine(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.PingTimeout = 20 * time.Millisecond })
 	query := newQuery("c1")
@@ -22,14 +22,14 @@
 	pt.listener.Close()
 	pt.start(newQuery("c2"), 0)
 	pt.expectEnd(0, router.ConnectFailed)
-	engine.answer("any", "READY", "-", "") // it is back
+	engine.answer("any", "READY", "-", "") // the engine is reachable again
 	pt.pool.CheckHealth("e")
 	engine.expect("undo")
 	engine.expect("ping")
 }
 
-// A connection falls silent while it owes something, perhaps within an answer. It is pinged, and as nothing
-// comes its attempts end, long before their deadlines.
+// An engine stops sending while it has open attempts, possibly in the middle of an answer. It is pinged, and as
+// it does not answer, the attempts end long before their deadlines.
 func TestDeadConnection(t *testing.T) {
 	for _, sent := range []string{"", "c1 ACK parts=1 6\r\na\tb", "c1 ACK par"} {
 		pt := newPoolTest(t, func(l *limits.Limits) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// An engine that answers pings keeps its connection, however long its attempts take.
+// The connection to an engine that answers pings is kept, however long its attempts take.
 func TestSlowEngineAnswersPings(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.PingAfter = time.Millisecond })
 	pt.start(newQuery("c1"), 1)
--- a/internal/engines/lookahead.go
+++ b/internal/engines/lookahead.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// lookaheadBytes is the most that closedByPeer reads ahead.
+	// lookaheadBytes is the size of the buffer into which closedByPeer reads ahead.
 	lookaheadBytes = 512
-	// maxWakeups bounds how often closedByPeer reads again because the loop woke the goroutine.
+	// maxWakeups bounds how often closedByPeer retries a read that was interrupted by wake.
 	maxWakeups = 3
 )
 
-// lookaheadConn is a connection that can report, without waiting, whether its other end has closed
-// it. A goroutine that is woken to write would not see a close that came at that moment, and its
-// attempt would count as one that may have run. One goroutine reads from it.
+// lookaheadConn is a connection that can report without blocking whether its peer has closed it. A
+// goroutine whose read is interrupted so that it writes would otherwise miss a close that arrives
+// at that moment, and its attempt would count as one that may have run. Only one goroutine reads
+// from it.
 type lookaheadConn struct {
 	net.Conn
-	raw   syscall.RawConn      // nil: Conn has none, and a close is seen only by Read
-	ahead []byte               // read by closedByPeer, and not yet returned by Read
-	err   error                // that follows ahead; nil: none yet
-	buf   [lookaheadBytes]byte // holds ahead
+	raw   syscall.RawConn      // nil: Conn has none, and only Read detects a close
+	ahead []byte               // read by closedByPeer but not yet returned by Read
+	err   error                // after the bytes in ahead; nil: none yet
+	buf   [lookaheadBytes]byte // backs ahead
 }
 
 func newLookaheadConn(conn net.Conn) (*lookaheadConn, error) {
@@ -39,7 +40,7 @@
 	return c, err
 }
 
-// Read returns what was read ahead first.
+// Read returns the bytes that were read ahead before it reads from the connection.
 func (c *lookaheadConn) Read(b []byte) (int, error) {
 	if len(c.ahead) > 0 {
 		n := copy(b, c.ahead)
@@ -52,8 +53,8 @@
 	return c.Conn.Read(b)
 }
 
-// closedByPeer returns the error that the connection has ended with, io.EOF for a close. It is nil
-// if no end has come yet, or if more bytes came before it than are read ahead.
+// closedByPeer returns the error that the connection has ended with, io.EOF for a close. It returns
+// nil if the connection has not ended, or if more bytes precede the end than are read ahead.
 func (c *lookaheadConn) closedByPeer() error {
 	if c.raw == nil || len(c.ahead) > 0 || c.err != nil {
 		return c.err
@@ -62,7 +63,7 @@
 	wakeups := 0
 	for have < len(c.buf) && c.err == nil {
 		n, err := c.readNow(c.buf[have:])
-		if errors.Is(err, os.ErrDeadlineExceeded) { // the loop woke the goroutine just now
+		if errors.Is(err, os.ErrDeadlineExceeded) { // interrupted by wake
 			wakeups++
 			if wakeups > maxWakeups {
 				break
@@ -72,7 +73,7 @@
 		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
-		if errors.Is(err, syscall.EAGAIN) { // there is no more yet
+		if errors.Is(err, syscall.EAGAIN) { // no more bytes available
 			break
 		}
 		switch {
@@ -88,13 +89,13 @@
 	return c.err
 }
 
-// readNow reads once, without waiting.
+// readNow reads once without blocking.
 func (c *lookaheadConn) readNow(b []byte) (n int, err error) {
 	c.SetReadDeadline(time.Time{})
 	var readErr error
 	err = c.raw.Read(func(fd uintptr) bool {
 		n, readErr = syscall.Read(int(fd), b)
-		return true // done, also if there was nothing to read
+		return true // done, even if there was nothing to read
 	})
 	return n, cmp.Or(err, readErr)
 }
--- a/internal/engines/placement.go
+++ b/internal/engines/placement.go
@@ -8,10 +8,10 @@
 	"mintkeel/router"
 )
 
-// place gives an attempt to a connection of its engine: an idle one, else a new one, else the one
-// that carries the fewest attempts. It reports whether one took it. A connection that breaks or
-// gets one malformed answer takes all its attempts with it, so they share one only where no other
-// may be opened.
+// place adds an attempt to a connection of its engine: to one without attempts, else to a new one,
+// else to the one with the fewest attempts. It reports whether the attempt was added. A connection
+// that breaks or receives a malformed answer ends all its attempts, so attempts share one only if
+// no other may be opened.
 func (p *Pool) place(a *attempt, e *engine) bool {
 	conns := e.liveConns()
 	first := len(conns) == 0
@@ -31,12 +31,13 @@
 	if slices.ContainsFunc(byLoad, add) {
 		return true
 	}
-	// All of them are full, or have carried the query before.
+	// All connections are full or have carried the query before.
 	return p.mayDial(e, false) && add(p.dial(e))
 }
 
-// mayDial reports whether a connection to an engine may be dialled; first says that it has none. At
-// the bound, an idle connection is evicted for the first one of an engine.
+// mayDial reports whether a connection to an engine may be dialled; first means that the engine has
+// no connection. At the limit of EngineConnections an idle connection is evicted for the first one
+// of an engine.
 func (p *Pool) mayDial(e *engine, first bool) bool {
 	if p.listExpired && !slices.ContainsFunc(e.conns, (*conn).connected) {
 		return false
@@ -44,7 +45,7 @@
 	return int(p.openConns.Load()) < p.limits.EngineConnections || first && p.evictIdle()
 }
 
-// dial begins a connection, which a goroutine of its own runs.
+// dial adds a connection to an engine and starts the goroutine that establishes and serves it.
 func (p *Pool) dial(e *engine) *conn {
 	c := newConn(p, e.Engine, e.Address)
 	e.conns = append(e.conns, c)
@@ -57,11 +58,11 @@
 	return c
 }
 
-// evictIdle ends the connection that has been idle for the longest time, so that an engine without
-// one can be reached though there are more engines than connections. Connections that carry an
-// attempt, wait for the answer to a ping or were used within MinIdleBeforeEviction stay. While the
-// endpoint list has expired none is evicted, by mayDial: an open connection is what shows that the
-// same process is still there.
+// evictIdle closes the connection that has been idle for the longest time, so that an engine
+// without a connection can be reached although there are more engines than connections. Connections
+// that carry an attempt, wait for the answer to a health check or were used within
+// MinIdleBeforeEviction are kept. While the endpoint list has expired mayDial evicts none, because
+// an open connection is the evidence that the same process still runs.
 func (p *Pool) evictIdle() bool {
 	var longest *conn
 	var longestSince time.Time
@@ -82,15 +83,15 @@
 	return true
 }
 
-// connectionShare is how many connections an engine may have so that each of its attempts has its
-// own. A quarter of all is kept back, for new engines and for queries that all connections of their
-// engine have carried.
+// connectionShare returns the number of connections that an engine may have before its attempts
+// share them. A quarter of EngineConnections is reserved for new engines and for queries that all
+// connections of their engine have carried before.
 func (p *Pool) connectionShare() int {
 	return max(1, p.limits.EngineConnections*3/4/max(1, p.readyEngines))
 }
 
-// closeSurplusConns closes idle connections above an engine's share, which shrinks as engines join,
-// and all idle connections of an engine that gets no attempts.
+// closeSurplusConns closes connections without attempts above an engine's share, which shrinks as
+// engines join, and all such connections of an engine that is not ready.
 func (p *Pool) closeSurplusConns(e *engine) {
 	surplus := len(e.conns)
 	if e.State == router.Ready {
--- a/internal/engines/placement_test.go
+++ b/internal/engines/placement_test.go
@@ -11,10 +11,10 @@
 	"mintkeel/router"
 )
 
-// One malformed answer ends all attempts of its connection, so they share one only where there may be no
-// other.
+// A malformed answer ends all attempts of its connection, so attempts share a connection only if no other may be
+// opened.
 func TestAttemptsShareConnectionsOnlyAtLimit(t *testing.T) {
-	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 3 }) // of which one is kept back
+	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 3 }) // one of which is reserved
 	var peers []*fakeEngine
 	for i := range 2 {
 		id := fmt.Sprint("c", i)
@@ -29,17 +29,17 @@
 	shared.write("c2 ACK - x\r\n")
 	for range 2 {
 		if end := (<-pt.events).(AttemptEnded); end.Outcome != router.ConnectionReset || end.Attempt == 1 {
-			t.Errorf("told %+v", end)
+			t.Errorf("got %+v, want ConnectionReset of attempts 0 and 2", end)
 		}
 	}
 	alone.answer("c1", "ACK", "-", "")
 	pt.expectEnd(1, router.Succeeded)
-	pt.start(newQuery("c3"), 3) // on the idle one
+	pt.start(newQuery("c3"), 3) // over the idle connection
 	alone.expectQuery("c3")
 }
 
-// An engine joins while another holds all connections that there may be. The idle ones above the other's
-// share are closed, and the new engine gets its own.
+// An engine joins while another has all connections that the limit allows. The other's idle connections above its
+// share are closed, and the new engine gets a connection.
 func TestNewEngineGetsConnections(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 8 })
 	for i := range 8 {
@@ -61,9 +61,9 @@
 	}
 }
 
-// With more engines than connections each engine is reached: the connection that has been idle for the
-// longest time is closed. Never one that carries an attempt, waits for the answer to a ping or was used just
-// now, and none while the endpoint list has expired.
+// With more engines than connections each engine can be reached, as the connection that has been idle for the
+// longest time is closed. A connection that carries an attempt, waits for the answer to a health check or was
+// used just now is kept, and so are all while the endpoint list has expired.
 func TestMoreEnginesThanConnections(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections, l.MinIdleBeforeEviction = 4, 0 })
 	address := pt.listener.Addr().String()
@@ -87,17 +87,17 @@
 	for i := 2; i < 12; i++ {
 		engine := reach(i)
 		if open := pt.pool.openConns.Load(); open > 4 {
-			t.Errorf("%d connections are open", open)
+			t.Errorf("%d connections are open, want at most 4", open)
 		}
 		engine.answer(fmt.Sprint("c", i), "ACK", "-", "")
 		pt.expectEnd(router.AttemptID(i), router.Succeeded)
 	}
 	if n := pt.pool.evictedConns.Load(); n != 8 {
-		t.Errorf("%d connections made room", n)
+		t.Errorf("%d connections were evicted, want 8", n)
 	}
 	busy.answer("c0", "ACK", "-", "")
 	pt.expectEnd(0, router.Succeeded)
-	pt.pool.limits.MinIdleBeforeEviction = time.Hour // all were of use just now
+	pt.pool.limits.MinIdleBeforeEviction = time.Hour // all were used within it
 	pt.pool.StartAttempt(newQuery("d"), 20, "e2", time.Minute, 0)
 	pt.expectEnd(20, router.NotSent)
 	pt.pool.limits.MinIdleBeforeEviction = 0
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -14,35 +14,36 @@
 	"mintkeel/router"
 )
 
-// defaultMaxPerConn is how many attempts a connection carries at once if the settings don't say.
+// defaultMaxPerConn is the number of attempts that a connection carries at once if the settings
+// don't limit it.
 const defaultMaxPerConn = 100
 
-// Pool is the connections to all engines. One goroutine, the loop's, calls its methods; none of
-// them blocks.
+// Pool manages the connections to all engines. One goroutine, the loop's, calls its methods; none
+// of them blocks.
 type Pool struct {
 	limits     *limits.Limits
-	maxPerConn int         // attempts that one connection carries at once
-	report     func(Event) // may block, so it is never called by the loop's goroutine
+	maxPerConn int         // maximum of open attempts on a connection
+	report     func(Event) // may block, so the loop's goroutine never calls it
 	log        *slog.Logger
 
 	// Owned by the loop's goroutine:
 	engines      map[router.EngineID]*engine
-	readyEngines int    // number of those that may get attempts
-	listExpired  bool   // engines may have moved unnoticed
-	lastPing     uint64 // number of the last health check's ping
+	readyEngines int    // number of engines in the state router.Ready
+	listExpired  bool   // the endpoint list has expired; see SetExpired
+	lastPing     uint64 // number of the last health check, part of its ping's tag
 
-	// Counts that any goroutine changes:
-	openConns    atomic.Int64 // up or being dialled
-	dialledConns atomic.Int64 // so far
-	lostConns    atomic.Int64 // that ended, except idle ones and those that the pool closed
-	evictedConns atomic.Int64 // closed while idle, to make room for others
+	// Updated by any goroutine:
+	openConns    atomic.Int64 // established or being dialled
+	dialledConns atomic.Int64 // total dialled
+	lostConns    atomic.Int64 // total ended, except those that were idle or that the pool closed
+	evictedConns atomic.Int64 // total closed while idle to make room for others
 
 	logMu      sync.Mutex                    // guards lastLogged
-	lastLogged map[router.EngineID]time.Time // when the end of a connection was last logged
+	lastLogged map[router.EngineID]time.Time // when the end of an engine's connection was last logged
 }
 
-// New returns a pool without engines, which reports what happens. report may block its caller.
-// maxPerConn bounds the attempts that one connection carries at once; 0 or less stands for 100.
+// New returns a pool without engines. It passes events to report, which may block. maxPerConn
+// bounds the attempts that a connection carries at once; 0 or less stands for 100.
 func New(l *limits.Limits, maxPerConn int, report func(Event), log *slog.Logger) *Pool {
 	if maxPerConn <= 0 {
 		maxPerConn = defaultMaxPerConn
@@ -57,9 +58,9 @@
 	}
 }
 
-// StartAttempt sends a query to an engine, over a connection that has not carried it. It is given
-// up as TimedOut after within. If startWithin is above 0 and it was not written within that time,
-// it is not written any more. It is answered by one AttemptEnded.
+// StartAttempt sends a query to an engine, over a connection that has not carried it before. The
+// attempt is given up as TimedOut after within. If startWithin is above 0 and the attempt was not
+// written within that time, it is withdrawn. Exactly one AttemptEnded follows.
 func (p *Pool) StartAttempt(
 	query *request.Query, id router.AttemptID, to router.EngineID,
 	within, startWithin time.Duration,
@@ -77,8 +78,8 @@
 	go p.report(AttemptEnded{Query: query, Attempt: id, Outcome: router.NotSent})
 }
 
-// CancelAttempt gives an attempt up. Its AttemptEnded still comes: when the engine has confirmed
-// the cancel, or PingTimeout has passed.
+// CancelAttempt gives an attempt up. Its AttemptEnded still follows, once the engine has confirmed
+// the cancel or PingTimeout has passed.
 func (p *Pool) CancelAttempt(query *request.Query, id router.AttemptID, to router.EngineID) {
 	e := p.engines[to]
 	if e == nil {
@@ -89,8 +90,8 @@
 	}
 }
 
-// CheckHealth pings an engine. It is answered by one HealthCheckEnded. Success means only that a
-// connection works; a load report may come with it.
+// CheckHealth pings an engine. Exactly one HealthCheckEnded follows. Success means only that a
+// connection works; a load report may be part of it.
 func (p *Pool) CheckHealth(id router.EngineID) {
 	p.lastPing++
 	tag := healthCheckTag + strconv.FormatUint(p.lastPing, 10)
@@ -103,7 +104,7 @@
 	go p.report(HealthCheckEnded{Engine: id, Outcome: router.NotSent})
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	for _, e := range p.engines {
 		for _, c := range e.conns {
@@ -112,8 +113,8 @@
 	}
 }
 
-// logConnectionEnd counts a connection that ended, and logs it unless one of the same engine was
-// logged within LogInterval. ended is how many attempts and health checks ended with it.
+// logConnectionEnd counts a lost connection, and logs it unless one of the same engine was logged
+// within LogInterval. ended is the number of attempts and health checks that ended with it.
 func (p *Pool) logConnectionEnd(id router.EngineID, err error, ended int) {
 	p.lostConns.Add(1)
 	p.logMu.Lock()
@@ -131,8 +132,8 @@
 	}
 }
 
-// LogValue prints the pool's counts. The keys are those that docs/oncall.md explains and operators'
-// tools read.
+// LogValue returns the pool's counts. Their keys are documented in docs/oncall.md and read by
+// operators' tools.
 func (p *Pool) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int64("connections", p.dialledConns.Load()),
--- a/internal/engines/pool_test.go
+++ b/internal/engines/pool_test.go
@@ -15,10 +15,10 @@
 	"mintkeel/router"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an expected event or message.
 const testTimeout = 10 * time.Second
 
-// poolTest is a pool with one engine, "e", that a test plays.
+// poolTest is a pool with one engine, "e", whose side of the connections the test plays.
 type poolTest struct {
 	t        *testing.T
 	pool     *Pool
@@ -52,7 +52,7 @@
 	return pt
 }
 
-// setState updates the endpoint list by the engine's state.
+// setState updates the endpoint list with the engine's state.
 func (pt *poolTest) setState(state router.EngineState) {
 	pt.pool.UpdateEndpoints([]Endpoint{{Engine: "e", Address: pt.listener.Addr().String(), State: state}}, true)
 }
@@ -71,29 +71,29 @@
 		pt.t.Cleanup(func() { conn.Close() })
 		return &fakeEngine{pt.t, conn, bufio.NewReader(conn)}
 	case <-time.After(testTimeout):
-		pt.t.Fatal("no connection came")
+		pt.t.Fatal("the pool opened no connection in time")
 		return nil
 	}
 }
 
-// expectEnd checks that the next event is the end of an attempt.
+// expectEnd checks that the next event is the given attempt's AttemptEnded with an outcome.
 func (pt *poolTest) expectEnd(number router.AttemptID, want router.Outcome) AttemptEnded {
 	pt.t.Helper()
 	select {
 	case ev := <-pt.events:
 		end, ok := ev.(AttemptEnded)
 		if !ok || end.Attempt != number || end.Outcome != want {
-			pt.t.Fatalf("told %+v, not the end of %d by %v", ev, number, want)
+			pt.t.Fatalf("got event %+v, want AttemptEnded of attempt %d with outcome %v", ev, number, want)
 		}
 		return end
 	case <-time.After(testTimeout):
-		pt.t.Fatalf("not told the end of %d by %v", number, want)
+		pt.t.Fatalf("got no event in time, want AttemptEnded of attempt %d with outcome %v", number, want)
 		return AttemptEnded{}
 	}
 }
 
-// detachedConn is a connection of the pool that no goroutine runs, so that a test can take its steps in the order
-// that it is about.
+// detachedConn returns a connection to the engine that has no goroutine, so that a test can run its steps in a
+// chosen order.
 func (pt *poolTest) detachedConn() (*conn, *lookaheadConn, *fakeEngine) {
 	pt.t.Helper()
 	netConn, err := net.Dial("tcp", pt.listener.Addr().String())
@@ -110,49 +110,49 @@
 	return c, lookahead, pt.accept()
 }
 
-// mustAdd puts a new query's attempt on the connection.
+// mustAdd adds an attempt of a new query to the connection.
 func (c *conn) mustAdd(t *testing.T, id string, number router.AttemptID) *attempt {
 	t.Helper()
 	a := &attempt{query: newQuery(id), id: number, deadline: time.Now().Add(time.Minute)}
 	if !c.add(a, 100) {
-		t.Fatal("not taken on")
+		t.Fatal("the connection did not accept the attempt")
 	}
 	return a
 }
 
-// fakeEngine is the engine's side of a connection, which the test plays.
+// fakeEngine is the engine's side of a connection.
 type fakeEngine struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// expect checks the next line, which may be given by its beginning, and returns it.
+// expect checks that the next line begins with want, and returns the line.
 func (engine *fakeEngine) expect(want string) string {
 	engine.t.Helper()
 	line, err := engine.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, want) {
-		engine.t.Fatalf("heard %q, %v, not %q", line, err, want)
+		engine.t.Fatalf("the engine received line %q, error %v, want a line that begins with %q", line, err, want)
 	}
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// expectQuery checks that an attempt of a query comes.
+// expectQuery checks that the engine receives an attempt of a query.
 func (engine *fakeEngine) expectQuery(id string) {
 	engine.t.Helper()
 	engine.expect("do " + id + " profile=report,max=")
 	engine.expect("SELECT 1 FROM s_1.t\r\n")
 }
 
-// write sends text as it is.
+// write sends formatted text to the pool.
 func (engine *fakeEngine) write(format string, args ...any) { fmt.Fprintf(engine, format, args...) }
 
-// answer sends an answer: a head line and a body.
+// answer sends an answer, which is a head line and a body, to the pool.
 func (engine *fakeEngine) answer(id, word, fields, body string) {
 	engine.write("%s %s %s %d\r\n%s\r\n", id, word, fields, len(body), body)
 }
 
-// newQuery returns a query that was read just now.
+// newQuery returns a query that was received just now.
 func newQuery(id string) *request.Query {
 	return &request.Query{
 		ID:        id,
@@ -163,7 +163,7 @@
 	}
 }
 
-// An attempt past its deadline is given up, and ends as TimedOut when the engine has confirmed the undo.
+// An attempt past its deadline is given up, and ends as TimedOut when the engine has confirmed the cancel.
 func TestAttemptTimesOut(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	pt.pool.StartAttempt(newQuery("c1"), 0, "e", 30*time.Millisecond, 0)
@@ -174,7 +174,7 @@
 	pt.expectEnd(0, router.TimedOut)
 }
 
-// At a limit of connections or of bytes an attempt ends as one that was never sent.
+// An attempt that would exceed the limit of connections or of queued bytes ends as NotSent.
 func TestAttemptNotSentAtLimits(t *testing.T) {
 	pt := newPoolTest(t, func(l *limits.Limits) { l.EngineConnections = 1 })
 	query := newQuery("c1")
@@ -188,8 +188,8 @@
 	pt.expectEnd(2, router.NotSent)
 }
 
-// The ids that a connection has carried are forgotten, or they would grow without bound, but not while their
-// clients may still wait.
+// A connection forgets the ids of queries that it has carried, as their number would grow without bound, but not
+// while the client of a query may still wait.
 func TestUsedIDs(t *testing.T) {
 	c := newConn(newPoolTest(t, nil).pool, "e", "")
 	live := newQuery("live")
@@ -200,6 +200,6 @@
 		c.add(&attempt{query: old}, 1e6)
 	}
 	if len(c.usedIDs) > 2*minSweep || c.add(&attempt{query: live}, 1e6) {
-		t.Errorf("%d ids kept", len(c.usedIDs))
+		t.Errorf("%d used ids are kept, want at most %d; or the id of a live query was forgotten", len(c.usedIDs), 2*minSweep)
 	}
 }
--- a/internal/engines/progress.go
+++ b/internal/engines/progress.go
@@ -5,18 +5,19 @@
 	"mintkeel/router"
 )
 
-// Remarks of progress messages on the wire.
+// Values of a progress message's remark field on the wire.
 const (
 	remarkProgress = "progress"
 	remarkSpilling = "spill_mb"
 	remarkBlocked  = "blocked"
 )
 
-// blockedByTables is the value with remarkBlocked for an attempt that waits for locked tables.
-// Other values mean that it waits for memory.
+// blockedByTables is the value of a remarkBlocked message if the attempt waits for locked tables.
+// Any other value means that it waits for memory.
 const blockedByTables = 2
 
-// progressKind maps a remark to the module's term; known is false if the answer has no remark.
+// progressKind maps the remark of an answer to the module's kind; known is false if the answer has
+// no remark.
 func progressKind(answer enginewire.Answer) (kind router.ProgressKind, known bool) {
 	switch string(answer.Remark) {
 	case "":
--- a/internal/engines/write_test.go
+++ b/internal/engines/write_test.go
@@ -14,8 +14,8 @@
 )
 
 // An engine closes a connection at the moment at which an attempt is to be written to it. Nothing is written,
-// so the attempt never ran, and its query may be retried even if it is not idempotent. What the engine
-// answered ahead of the end counts.
+// so the attempt never ran, and its query may be retried even if it is not idempotent. Answers that the engine
+// sent before the close count.
 func TestEngineClosesBeforeWrite(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	c, lookahead, engine := pt.detachedConn()
@@ -28,7 +28,7 @@
 	engine.expectQuery("c1")
 	engine.answer("c1", "ACK", "parts=1", "1\t1\t1\n")
 	engine.Close()
-	for lookahead.closedByPeer() == nil { // until its end has come
+	for lookahead.closedByPeer() == nil { // until the close has arrived
 		runtime.Gosched()
 	}
 	c.mustAdd(t, "c2", 2)
@@ -37,7 +37,7 @@
 	pt.expectEnd(2, router.ConnectFailed)
 }
 
-// failingConn takes some bytes and then fails.
+// failingConn accepts bytesLeft bytes, then its writes fail.
 type failingConn struct {
 	net.Conn
 	bytesLeft int
@@ -51,8 +51,8 @@
 	return n, nil
 }
 
-// A connection breaks before, during and after the write of two attempts. One may have run if its last byte
-// was taken, and never ran if not.
+// A connection breaks before, during or after the write of two attempts. An attempt may have run if the
+// connection accepted its last byte, and never ran otherwise.
 func TestConnectionBreaksDuringWrite(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	for _, c := range []struct {
@@ -85,20 +85,20 @@
 		conn.end(conn.serve(lookahead), router.ConnectionReset)
 		for range 2 {
 			if end := (<-pt.events).(AttemptEnded); end.Outcome != c.outcomes[end.Attempt] {
-				t.Errorf("%s: send %d ended as %v", c.name, end.Attempt, end.Outcome)
+				t.Errorf("%s: attempt %d ended as %v, want %v", c.name, end.Attempt, end.Outcome, c.outcomes[end.Attempt])
 			}
 		}
 	}
 }
 
-// While a connection is dialled, its query is answered, left by its client or given up, or the time to start
-// passes. Nothing of it is written when the connection comes up.
+// While a connection is dialled for an attempt, its query is answered, its client disconnects, its time to start
+// passes or it is given up. The attempt must not be written once the connection is established.
 func TestConnectionUpTooLate(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		whileDialled func(c *conn, query *request.Query)
 	}{
-		{"its client has gone", func(_ *conn, query *request.Query) {
+		{"its client has disconnected", func(_ *conn, query *request.Query) {
 			query.Finish(request.Answer{Verdict: request.Disconnected})
 		}},
 		{"answered", func(_ *conn, query *request.Query) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// A connection reaches its idle time at the moment at which an attempt is put on it. Whichever comes first,
-// either the attempt is written, or another connection takes it.
+// A connection reaches its idle timeout at the moment at which an attempt is added to it. Either the attempt is
+// written, or the connection refuses it, so that another can carry it; never both or neither.
 func TestIdleCloseRacesNewAttempt(t *testing.T) {
 	pt := newPoolTest(t, nil)
 	for _, first := range []string{"put", "idle"} {
@@ -145,7 +145,7 @@
 		}
 		written := len(due.write) > 0
 		if written != (first == "put") || taken != written || errors.Is(due.err, errIdle) == written {
-			t.Errorf("%s first: taken on %t, %d written, %v", first, taken, len(due.write), due.err)
+			t.Errorf("%s first: attempt accepted: %t, entries to write: %d, error: %v", first, taken, len(due.write), due.err)
 		}
 	}
 }
