--- a/internal/enginewire/answer.go
+++ b/internal/enginewire/answer.go
@@ -9,33 +9,33 @@
 	"strconv"
 )
 
-// ErrMalformed is wrapped by the errors of malformed answers.
+// ErrMalformed is wrapped by all errors about malformed answers.
 var ErrMalformed = errors.New("malformed answer")
 
-// lineEnd ends a line, and the body of an answer.
+// lineEnd terminates a line, and the body of an answer.
 const lineEnd = "\r\n"
 
-// Kind is the kind of an answer. All but Pong are about the attempt of a query.
+// Kind is the kind of an answer. Every kind except Pong concerns the attempt of a query.
 type Kind int
 
 const (
-	// FirstPage has page 0 of the result, and the number of its pages.
+	// FirstPage carries page 0 of the result and the number of pages.
 	FirstPage Kind = iota
-	// EngineFull says that the engine has no capacity: the attempt did not run.
+	// EngineFull means that the engine has no capacity: it did not run the attempt.
 	EngineFull
-	// Failed says that the attempt failed; it may have had its effect.
+	// Failed means that the attempt failed; it may have taken effect.
 	Failed
-	// AlreadyEnded says that the attempt's time was over when it came: it did not run.
+	// AlreadyEnded means that the attempt's time was over on arrival: the engine did not run it.
 	AlreadyEnded
 	// Pong answers a ping.
 	Pong
-	// Progress is a message of an attempt that is running.
+	// Progress reports on an attempt that is running.
 	Progress
-	// FurtherPage has a page that was asked for.
+	// FurtherPage carries a page that was requested.
 	FurtherPage
 )
 
-// kinds are the words of answers on the wire.
+// kinds maps the words of answers on the wire to their kinds.
 var kinds = map[string]Kind{
 	"ACK":   FirstPage,
 	"AGAIN": EngineFull,
@@ -46,7 +46,8 @@
 	"BLOCK": FurtherPage,
 }
 
-// Fields of answers on the wire. Others are ignored, as an engine may be newer than its controller.
+// Names of an answer's fields on the wire. Other fields are ignored, as an engine may be newer than
+// its controller.
 const (
 	fieldPageCount  = "parts"
 	fieldPageNumber = "part_no"
@@ -55,20 +56,20 @@
 	fieldLoadReport = "report"
 )
 
-// Answer is one answer. Its bytes are good until the reader is used again.
+// Answer is a parsed answer. Its byte slices are valid until the next call on the reader.
 type Answer struct {
-	ID         []byte // of the query; of Pong: the ping's tag
+	ID         []byte // the query's id; for Pong the ping's tag
 	Kind       Kind
-	PageCount  int     // of FirstPage: pages in all
+	PageCount  int     // of FirstPage: number of pages in the result
 	PageNumber int     // of FurtherPage
-	Remark     []byte  // of Progress: what it is about; empty: nothing
+	Remark     []byte  // of Progress: what Value measures; empty: nothing
 	Value      float64 // of Progress
-	LoadReport []byte  // see ParseLoadReport; nil: none
-	Body       []byte  // of a page: its rows
+	LoadReport []byte  // for ParseLoadReport; nil: none
+	Body       []byte  // the rows of a page
 }
 
-// PeekAnswer parses the next answer without taking it; size is the number of bytes to discard
-// afterwards. An answer that exceeds a bound or the reader's buffer is malformed.
+// PeekAnswer parses the next answer without consuming it; size is the number of bytes to discard
+// afterwards. An answer that exceeds a limit or the reader's buffer is malformed.
 func PeekAnswer(r *bufio.Reader, maxLineBytes, maxBodyBytes int) (a Answer, size int, err error) {
 	line, err := peekLine(r, maxLineBytes)
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 	size = lineBytes + bodyBytes + len(lineEnd)
 	if bodyBytes > maxBodyBytes || size > r.Size() {
-		return a, 0, fmt.Errorf("%w: length %d", ErrMalformed, bodyBytes)
+		return a, 0, fmt.Errorf("%w: body of %d bytes is too long", ErrMalformed, bodyBytes)
 	}
 	all, err := r.Peek(size)
 	if err != nil {
@@ -90,12 +91,13 @@
 	if string(all[size-len(lineEnd):]) != lineEnd {
 		return a, 0, fmt.Errorf("%w: no line end after the body", ErrMalformed)
 	}
-	_, err = a.parseLine(all[:lineBytes-len(lineEnd)]) // again, as the buffer may have moved
+	// Again, as the second Peek may have moved the content of the buffer.
+	_, err = a.parseLine(all[:lineBytes-len(lineEnd)])
 	a.Body = all[lineBytes : size-len(lineEnd)]
 	return a, size, err
 }
 
-// peekLine waits for a whole line and returns it with its end.
+// peekLine waits for a complete line and returns it with its terminator.
 func peekLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	need := 1
 	for {
@@ -116,7 +118,8 @@
 	}
 }
 
-// parseLine reads ID WORD FIELDS LENGTH, in place, and returns the length of the body.
+// parseLine parses a line ID WORD FIELDS LENGTH into a, whose slices point into the line, and
+// returns the length of the body.
 func (a *Answer) parseLine(line []byte) (bodyBytes int, err error) {
 	*a = Answer{}
 	id, rest, ok1 := bytes.Cut(line, []byte{' '})
@@ -124,7 +127,7 @@
 	fields, length, ok3 := bytes.Cut(rest, []byte{' '})
 	kind, known := kinds[string(word)]
 	if !ok1 || !ok2 || !ok3 || !known || len(id) == 0 {
-		return 0, fmt.Errorf("%w: head %.60q", ErrMalformed, line)
+		return 0, fmt.Errorf("%w: invalid line %.60q", ErrMalformed, line)
 	}
 	a.ID = id
 	a.Kind = kind
@@ -135,7 +138,7 @@
 	return bodyBytes, a.parseFields(fields)
 }
 
-// parseFields reads name=value,name=value, or "-" for none.
+// parseFields parses name=value,name=value or, for no fields, "-".
 func (a *Answer) parseFields(fields []byte) (err error) {
 	if len(fields) == 1 && fields[0] == '-' {
 		return nil
@@ -145,7 +148,7 @@
 		pair, fields, _ = bytes.Cut(fields, []byte{','})
 		name, value, found := bytes.Cut(pair, []byte{'='})
 		if !found {
-			return fmt.Errorf("%w: field %.40q", ErrMalformed, pair)
+			return fmt.Errorf("%w: field %.40q has no value", ErrMalformed, pair)
 		}
 		switch string(name) {
 		case fieldPageCount:
@@ -163,29 +166,29 @@
 	return err
 }
 
-// parseNatural reads a whole number from 0 that fits 31 bits.
+// parseNatural parses an integer from 0 to the maximum of 31 bits.
 func parseNatural(text []byte) (int, error) {
 	n, err := strconv.ParseUint(string(text), 10, 31)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %.40q is no whole number", ErrMalformed, text)
+		return 0, fmt.Errorf("%w: %.40q is not an integer from 0 to 2147483647", ErrMalformed, text)
 	}
 	return int(n), nil
 }
 
-// parseNumber reads a finite number.
+// parseNumber parses a finite number.
 func parseNumber(text []byte) (float64, error) {
 	x, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		return 0, fmt.Errorf("%w: %.40q is no number", ErrMalformed, text)
+		return 0, fmt.Errorf("%w: %.40q is not a finite number", ErrMalformed, text)
 	}
 	return x, nil
 }
 
-// columns is the number of a row's columns.
+// columns is the number of columns in a row.
 const columns = 3
 
-// WholeRows reports whether a page holds whole rows. Tabs separate a row's columns, and a line feed
-// ends it.
+// WholeRows reports whether a page consists of complete rows. Tabs separate the columns of a row,
+// and a line feed terminates it.
 func WholeRows(page []byte) bool {
 	for len(page) > 0 {
 		row, rest, ended := bytes.Cut(page, []byte{'\n'})
@@ -197,7 +200,7 @@
 	return true
 }
 
-// ParseLoadReport hands the values of a load report, which is name:value;name:value, to set.
+// ParseLoadReport parses a load report, name:value;name:value, and calls set for each value.
 func ParseLoadReport(report []byte, set func(name string, x float64)) error {
 	for len(report) > 0 {
 		var pair []byte
@@ -205,7 +208,7 @@
 		name, value, found := bytes.Cut(pair, []byte{':'})
 		x, err := parseNumber(value)
 		if !found || err != nil {
-			return fmt.Errorf("%w: report %.40q", ErrMalformed, pair)
+			return fmt.Errorf("%w: invalid load report value %.40q", ErrMalformed, pair)
 		}
 		set(string(name), x)
 	}
--- a/internal/enginewire/encoding_test.go
+++ b/internal/enginewire/encoding_test.go
@@ -1,7 +1,7 @@
 package enginewire
 
-// Engines are not built with this project: a change of the wire shows only beside a real one. These tests pin
-// what is written to engines and read from them.
+// Engines are not built with this project, so an accidental change of the wire would show only with a real
+// engine. These tests pin the encoding of requests and the parsing of answers.
 
 import (
 	"bufio"
--- a/internal/enginewire/enginewire_test.go
+++ b/internal/enginewire/enginewire_test.go
@@ -9,8 +9,8 @@
 	"testing/iotest"
 )
 
-// Whatever an engine says, in whatever pieces, it is an answer within its bounds or an error; and the pieces
-// make no difference.
+// Any input parses as an answer within the limits or gives an error, and the result does not depend on the
+// pieces in which the input is read.
 func FuzzPeek(f *testing.F) {
 	f.Add([]byte("9b1f03aa5c7e2d41 ACK parts=2,report=inflight:7;util:0.61 6\r\na\tb\tc\n\r\n"))
 	f.Add([]byte("c EVENT remark=progress,value=0.5 0\r\n\r\n"))
@@ -24,16 +24,16 @@
 			a, size, err := PeekAnswer(whole, line, body)
 			b, size2, err2 := PeekAnswer(pieces, line, body)
 			if (err == nil) != (err2 == nil) || err == nil && (size != size2 || !bytes.Equal(a.Body, b.Body)) {
-				t.Fatalf("%+v, %v in one, %+v, %v in pieces", a, err, b, err2)
+				t.Fatalf("read at once: %+v, error %v; read in pieces: %+v, error %v; want the same", a, err, b, err2)
 			}
 			if err != nil {
 				if !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) {
-					t.Fatal(err)
+					t.Fatalf("got error %v, want ErrMalformed or io.EOF", err)
 				}
 				return
 			}
 			if len(a.Body) > body || len(a.ID) == 0 || size > whole.Buffered() {
-				t.Fatalf("%+v of %d bytes", a, size)
+				t.Fatalf("answer %+v of %d bytes exceeds a limit or has no id", a, size)
 			}
 			ParseLoadReport(a.LoadReport, func(string, float64) {})
 			WholeRows(a.Body)
--- a/internal/enginewire/request.go
+++ b/internal/enginewire/request.go
@@ -2,24 +2,24 @@
 
 import "strconv"
 
-// Words of requests on the wire.
+// Words of requests on the wire, with the separator.
 const (
-	requestStart     = "do "     // start an attempt
-	requestGiveUp    = "undo "   // give an attempt up
-	requestDropPages = "forget " // no further pages are wanted
+	requestStart     = "do "     // starts an attempt
+	requestGiveUp    = "undo "   // cancels an attempt
+	requestDropPages = "forget " // drops the rest of a result
 	requestPing      = "ping "
 	requestPage      = "page "
 )
 
-// Fields of a request that starts an attempt, with what separates them.
+// Fields of a request that starts an attempt, with their separators.
 const (
 	fieldClass          = " profile="
 	fieldTimeout        = ",max=" // ms
 	fieldIdempotencyKey = ",replay="
 )
 
-// AppendStart writes the line that starts an attempt of a query. Its statement, of statementBytes,
-// and a line end have to follow. An empty idempotencyKey is left out.
+// AppendStart appends the line that starts an attempt of a query. The caller has to write the
+// statement, of statementBytes, and CR LF after it. An empty idempotencyKey is omitted.
 func AppendStart(
 	b []byte, id, class string, timeoutMS int64, idempotencyKey string, statementBytes int,
 ) []byte {
@@ -33,17 +33,17 @@
 	return append(b, lineEnd...)
 }
 
-// AppendGiveUp gives up the attempt of a query.
+// AppendGiveUp appends a request to cancel the attempt of a query.
 func AppendGiveUp(b []byte, id string) []byte { return appendLine(b, requestGiveUp, id) }
 
-// AppendDropPages says that no more pages of a query's result are wanted.
+// AppendDropPages appends the message that no more pages of a query's result will be requested.
 func AppendDropPages(b []byte, id string) []byte { return appendLine(b, requestDropPages, id) }
 
-// AppendPing asks for an answer with the same tag, which comes when the engine has read all that
-// was written before.
+// AppendPing appends a request for an answer with the same tag. The engine sends it after it has
+// read everything that was written before the ping.
 func AppendPing(b []byte, tag string) []byte { return appendLine(b, requestPing, tag) }
 
-// AppendPageRequest asks for a page of a query's result, numbered from 0.
+// AppendPageRequest appends a request for a page of a query's result. Pages are numbered from 0.
 func AppendPageRequest(b []byte, id string, number int) []byte {
 	b = append(append(append(b, requestPage...), id...), ' ')
 	return append(strconv.AppendInt(b, int64(number), 10), lineEnd...)
