--- a/internal/pgwire/answers.go
+++ b/internal/pgwire/answers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Types of the messages that are written.
+// Types of the messages that the gateway sends.
 const (
 	messageAuthentication  = 'R'
 	messageParameterStatus = 'S'
@@ -27,7 +27,7 @@
 // EncryptionRefused answers a request for encryption.
 var EncryptionRefused = []byte{'N'}
 
-// sessionParameters are sent to a client when its session opens; drivers read them.
+// sessionParameters are reported to the client when its session starts; drivers read them.
 var sessionParameters = [...]struct{ name, value string }{
 	{"server_version", "16.0"},
 	{"server_encoding", "UTF8"},
@@ -37,18 +37,19 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// beginMessage appends a message's type and room for its length, for endMessage to fill in.
+// beginMessage appends a message's type and a placeholder for its length, at lengthAt, which
+// endMessage fills in.
 func beginMessage(b []byte, kind byte) (all []byte, lengthAt int) {
 	return append(b, kind, 0, 0, 0, 0), len(b) + 1
 }
 
-// endMessage fills in the length of a message that ends here, at the place from beginMessage.
+// endMessage fills in the length of the message that ends b; lengthAt is from beginMessage.
 func endMessage(b []byte, lengthAt int) []byte {
 	binary.BigEndian.PutUint32(b[lengthAt:], uint32(len(b)-lengthAt))
 	return b
 }
 
-// appendStrings writes texts, each with a zero byte behind it.
+// appendStrings appends texts, each terminated by a zero byte.
 func appendStrings(b []byte, texts ...string) []byte {
 	for _, s := range texts {
 		b = append(append(b, s...), 0)
@@ -56,7 +57,7 @@
 	return b
 }
 
-// AppendSessionStart opens a session, without asking for a password.
+// AppendSessionStart appends the messages that start a session, without authentication.
 func AppendSessionStart(b []byte, key CancelKey) []byte {
 	b, at := beginMessage(b, messageAuthentication)
 	b = endMessage(append(b, 0, 0, 0, 0), at) // AuthenticationOk
@@ -70,13 +71,13 @@
 	return AppendReady(b)
 }
 
-// AppendReady says that the next query may come.
+// AppendReady appends the message that the session is ready for the next query.
 func AppendReady(b []byte) []byte { return append(b, messageReadyForQuery, 0, 0, 0, 5, statusIdle) }
 
-// AppendEmptyQuery answers an empty query.
+// AppendEmptyQuery appends the answer to an empty query.
 func AppendEmptyQuery(b []byte) []byte { return append(b, messageEmptyQuery, 0, 0, 0, 4) }
 
-// AppendError writes an error; a fatal one ends the session.
+// AppendError appends an error; a fatal one ends the session.
 func AppendError(b []byte, fatal bool, code, message string) []byte {
 	severity := "ERROR"
 	if fatal {
@@ -87,8 +88,8 @@
 	return endMessage(append(b, 0), at)
 }
 
-// AppendRejected writes the error that allows the client to retry, after retryAfter if that is
-// above 0. Clients parse the message, so its words stay.
+// AppendRejected appends the error that tells the client that a retry is safe, after retryAfter if
+// that is above 0. Clients parse the message, so its text must not change.
 func AppendRejected(b []byte, retryAfter time.Duration) []byte {
 	message := "shed: trying again is harmless"
 	if ms := retryAfter.Milliseconds(); ms > 0 {
@@ -97,29 +98,29 @@
 	return AppendError(b, false, CodeNoResources, message)
 }
 
-// Columns is the number of a result's columns, which are all text.
+// Columns is the number of columns of a result. All have the type text.
 const Columns = 3
 
 var columnNames = [Columns]string{"column1", "column2", "column3"}
 
-// textOID is PostgreSQL's number of the type text.
+// textOID is the object id of PostgreSQL's type text.
 const textOID = 25
 
-// AppendRowDescription announces the columns.
+// AppendRowDescription appends the description of the columns.
 func AppendRowDescription(b []byte) []byte {
 	b, at := beginMessage(b, messageRowDescription)
 	b = binary.BigEndian.AppendUint16(b, Columns)
 	for _, name := range columnNames {
 		b = appendStrings(b, name)
-		b = append(b, 0, 0, 0, 0, 0, 0) // of no table
+		b = append(b, 0, 0, 0, 0, 0, 0) // of no table: table id and column number 0
 		b = binary.BigEndian.AppendUint32(b, textOID)
-		b = append(b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0) // of any length, as text
+		b = append(b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0) // any length, no type modifier, as text
 	}
 	return endMessage(b, at)
 }
 
-// AppendRows writes the rows of a page and returns their number. In a page, columns are separated
-// by tabs and each row ends in a line feed.
+// AppendRows appends the rows of a page and returns their number. In a page, tabs separate the
+// columns of a row, and a line feed terminates it.
 func AppendRows(b, page []byte) (all []byte, rows int) {
 	for len(page) > 0 {
 		line, rest, _ := bytes.Cut(page, []byte{'\n'})
@@ -137,7 +138,7 @@
 	return b, rows
 }
 
-// AppendComplete ends a result.
+// AppendComplete appends the message that ends a result of rows.
 func AppendComplete(b []byte, rows int) []byte {
 	b, at := beginMessage(b, messageCommandComplete)
 	return endMessage(appendStrings(b, "SELECT "+strconv.Itoa(rows)), at)
--- a/internal/pgwire/encoding_test.go
+++ b/internal/pgwire/encoding_test.go
@@ -1,7 +1,7 @@
 package pgwire
 
-// Clients are not built with this project: a change of the wire shows only beside a real one. These tests pin
-// what is written to clients and read from them.
+// Clients are not built with this project, so an accidental change of the wire would show only with a real
+// client. These tests pin the encoding of answers and the parsing of messages.
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	table := golden.Open(t, "answers.golden")
 	rows, count := AppendRows(nil, []byte("a\tb\tc\nd\t\tf\n"))
 	if count != 2 {
-		t.Errorf("%d rows", count)
+		t.Errorf("AppendRows counted %d rows, want 2", count)
 	}
 	for _, c := range []struct {
 		name    string
@@ -47,10 +47,10 @@
 
 func TestStartUpIsReadAsBefore(t *testing.T) {
 	var in bytes.Buffer
-	in.WriteString("\x00\x00\x00\x08\x04\xd2\x16\x2f")                                 // asks for encryption
-	in.WriteString("\x00\x00\x00\x08\x04\xd2\x16\x30")                                 // the same, by GSS
-	in.WriteString("\x00\x00\x00\x10\x04\xd2\x16\x2e\x01\x02\x03\x04\x05\x06\x07\x08") // cancels
-	in.WriteString("\x00\x00\x00\x1f\x00\x03\x00\x00application_name\x00psql\x00\x00") // starts
+	in.WriteString("\x00\x00\x00\x08\x04\xd2\x16\x2f")                                 // encryption request (SSL)
+	in.WriteString("\x00\x00\x00\x08\x04\xd2\x16\x30")                                 // encryption request (GSS)
+	in.WriteString("\x00\x00\x00\x10\x04\xd2\x16\x2e\x01\x02\x03\x04\x05\x06\x07\x08") // cancel request
+	in.WriteString("\x00\x00\x00\x1f\x00\x03\x00\x00application_name\x00psql\x00\x00") // session start
 	r := bufio.NewReader(&in)
 	for _, want := range []StartUp{
 		{Kind: StartEncryption},
@@ -59,7 +59,7 @@
 		{Kind: StartSession, Application: "psql"},
 	} {
 		if got, err := ReadStartUp(r); got != want || err != nil {
-			t.Errorf("%+v, %v, not %+v", got, err, want)
+			t.Errorf("got %+v, error %v, want %+v", got, err, want)
 		}
 	}
 }
--- a/internal/pgwire/fields.go
+++ b/internal/pgwire/fields.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Names of the fields on the wire, as clients write them into the comment ahead of a statement.
+// Names of the fields on the wire, as clients write them into the comment before a statement.
 const (
 	FieldClassName         = "verb"
 	fieldID                = "txn"
@@ -19,38 +19,38 @@
 	fieldEstimatedWork     = "cpu"    // ms
 	fieldEstimatedMemoryMB = "est_mb" // MB
 
-	// Errors name these as fields too.
+	// Used in errors only:
 
 	fieldComment   = "comment"
 	FieldStatement = "statement"
 )
 
 const (
-	// maxMilliseconds is the largest time in a field, over eleven days.
+	// maxMilliseconds is the largest value of a field in ms, over eleven days.
 	maxMilliseconds = 1e9
-	// maxMegabytes is the largest size in a field, ten terabytes.
+	// maxMegabytes is the largest value of a field in MB, ten terabytes.
 	maxMegabytes = 1e7
-	// maxLabels is how many labels of a query are kept.
+	// maxLabels is the number of labels of a query that are kept.
 	maxLabels = 16
-	// maxLabelBytes is the length of the longest name or value of a label; longer ones are dropped.
+	// maxLabelBytes bounds the name and the value of a label; a label that exceeds it is dropped.
 	maxLabelBytes = 128
-	// maxWordBytes is the length of the longest value that goes on to engines.
+	// maxWordBytes bounds a value that is forwarded to engines.
 	maxWordBytes = 128
-	// idDigits is the length of a query's id, in hexadecimal digits.
+	// idDigits is the number of hexadecimal digits of a query's id.
 	idDigits = 16
 )
 
-// whitespace may stand around the comment and the statement.
+// whitespace may surround the comment and the statement.
 const whitespace = " \t\r\n"
 
-// FieldError says that a field of a query can't be used.
+// FieldError is the error of a query with an invalid or missing field.
 type FieldError struct {
-	Field   string // its name on the wire
+	Field   string // name on the wire
 	Why     string
-	Missing bool // the field is not there
+	Missing bool // the field is missing
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the name of the field and the reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Why) }
 
 func invalid(field, why string) *FieldError { return &FieldError{Field: field, Why: why} }
@@ -58,24 +58,26 @@
 	return &FieldError{Field: field, Why: why, Missing: true}
 }
 
-// Fields are the fields in the comment ahead of a statement. Absent numbers are 0, texts are empty.
+// Fields are the fields in the comment before a statement. Absent numbers are 0, absent texts
+// empty.
 type Fields struct {
 	ClassName         string
 	ID                string
 	Tenant            string
 	IdempotencyKey    string
 	OrderingKey       string
-	TimeoutMS         float64 // the client's
+	TimeoutMS         float64 // the client's timeout
 	EstimatedWorkMS   float64 // on one thread
 	EstimatedMemoryMB float64
-	Statement         []byte  // what follows the comment, in the query's bytes
-	Labels            []Label // in their order
+	Statement         []byte  // the text after the comment, a slice of the query
+	Labels            []Label // in the order of the comment
 }
 
-// Label is a field with a name that the protocol does not know. Operators' rules may read it.
+// Label is a field whose name the protocol does not define. Operators' rules may read it.
 type Label struct{ Name, Value string }
 
-// ParseQuery reads a query's fields from the comment that it begins with, or returns a *FieldError.
+// ParseQuery parses the fields in the comment at the beginning of a query. Its error is a
+// *FieldError.
 func ParseQuery(query []byte) (Fields, error) {
 	rest := bytes.TrimLeft(query, whitespace)
 	if !bytes.HasPrefix(rest, []byte("/*")) {
@@ -111,7 +113,7 @@
 	return f, nil
 }
 
-// set reads one field. A field with an unknown name becomes a label, so that a client may be newer
+// set parses one field. A field with an unknown name becomes a label, so that a client may be newer
 // than its gateway.
 func (f *Fields) set(name, value string) (err error) {
 	switch name {
@@ -145,7 +147,8 @@
 	return err
 }
 
-// checkWord checks that a value can go on in an engine's list of fields.
+// checkWord checks that a value can be forwarded in the list of fields of a request to an engine:
+// it must not contain a separator of that list, a blank, a control character or one outside ASCII.
 func checkWord(name, value string, mayBeEmpty bool) error {
 	isSeparator := func(c rune) bool { return c <= ' ' || c >= 0x7f || c == ',' || c == '=' }
 	if len(value) > maxWordBytes || strings.IndexFunc(value, isSeparator) >= 0 ||
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// parseNumber reads a number from 0 to a bound.
+// parseNumber parses a number from 0 to maximum.
 func parseNumber(name, value string, maximum float64) (float64, error) {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(x) || x < 0 || x > maximum {
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -23,7 +23,8 @@
 	MessageCopyFail     = 'f'
 )
 
-// headBytes is the size of a message's type and length. The length counts itself, but not the type.
+// headBytes is the size of a message's type and length. The length includes its own four bytes, but
+// not the type.
 const headBytes = 5
 
 // PeekMessage returns the type and body of the next message, of at most maxBytes, without consuming
@@ -51,8 +52,8 @@
 	return kind, message[headBytes:], size, nil
 }
 
-// QueryText returns the text of a query message, which ends in a zero, and whether that is the
-// whole of its body.
+// QueryText returns the text of a query message up to its terminating zero byte, and whether that
+// byte is there and ends the body.
 func QueryText(body []byte) (text []byte, whole bool) {
 	end := bytes.IndexByte(body, 0)
 	return body[:max(0, end)], end >= 0 && end == len(body)-1
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -6,52 +6,52 @@
 	"encoding/binary"
 )
 
-// Codes of start-up messages.
+// Codes of start-up messages, as PostgreSQL defines them.
 const (
-	majorVersion = 3 // in the upper half of the code of a message that starts a session
+	majorVersion = 3 // protocol version, in the upper 16 bits of the code that starts a session
 	cancelCode   = 80877102
 	sslCode      = 80877103
 	gssCode      = 80877104
 )
 
-// Sizes of start-up messages in bytes, the length included.
+// Sizes of start-up messages in bytes, including the length field.
 const (
 	startUpHeadBytes = 8  // length and code
 	cancelBytes      = 16 // with a cancel key
 )
 
-// maxDeclaredBytes is the largest length that a message may claim. Bytes that claim more are of
-// another protocol.
+// maxDeclaredBytes is the largest length that a message may declare. A larger value shows that the
+// peer uses another protocol.
 const maxDeclaredBytes = 1 << 30
 
-// applicationParameter is the parameter by which clients name themselves.
+// applicationParameter is the parameter with the name of the client's application.
 const applicationParameter = "application_name"
 
-// CancelKey is what a cancel request has to send to name a session.
+// CancelKey identifies a session in a cancel request and authorizes the request.
 type CancelKey struct{ SessionID, Secret uint32 }
 
-// StartKind is what a connection begins with.
+// StartKind is the kind of a start-up message.
 type StartKind int
 
 const (
-	// StartSession opens a session.
+	// StartSession starts a session.
 	StartSession StartKind = iota
-	// StartCancel asks to cancel the open query of a session, and nothing else follows.
+	// StartCancel requests to cancel the open query of a session. No message follows it.
 	StartCancel
-	// StartEncryption asks for encryption. It is answered by EncryptionRefused, and another start-up
+	// StartEncryption requests encryption. It is answered by EncryptionRefused, and another start-up
 	// message follows.
 	StartEncryption
 )
 
-// StartUp is the first message of a connection.
+// StartUp is a parsed start-up message.
 type StartUp struct {
 	Kind        StartKind
 	CancelKey   CancelKey // of StartCancel
-	Application string    // of StartSession: the client's name for itself
+	Application string    // of StartSession: the application's name; empty: none
 }
 
-// ReadStartUp takes the first message of a connection. It must fit the reader's buffer, or the
-// error is ErrTooLong.
+// ReadStartUp consumes and parses a start-up message. The error is ErrTooLong if the message does
+// not fit the reader's buffer.
 func ReadStartUp(r *bufio.Reader) (StartUp, error) {
 	head, err := r.Peek(startUpHeadBytes)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return parseStartUp(message)
 }
 
-// parseStartUp reads a whole start-up message.
+// parseStartUp parses a complete start-up message.
 func parseStartUp(message []byte) (StartUp, error) {
 	code := binary.BigEndian.Uint32(message[4:])
 	body := message[startUpHeadBytes:]
@@ -91,8 +91,8 @@
 	return StartUp{}, ErrMalformed
 }
 
-// parameter returns one of a start-up message's parameters, which are names and values that end in
-// a zero; empty: it is not there.
+// parameter returns the value of a start-up message's parameter; empty if it has none of this name.
+// The body is a list of names and values, each terminated by a zero byte.
 func parameter(body []byte, name string) string {
 	for len(body) > 0 {
 		next, rest, ok := bytes.Cut(body, []byte{0})
--- a/internal/pgwire/table.go
+++ b/internal/pgwire/table.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// stagingSchema begins the names of schemas of which the number is no table group.
+// stagingSchema is the name, without the number, of schemas whose number is not a table group.
 const stagingSchema = "staging"
 
-// tableKeywords are the keywords that the name of a table may follow.
+// tableKeywords are the keywords that may precede the name of a table.
 var tableKeywords = map[string]bool{
 	"from":     true,
 	"join":     true,
@@ -21,9 +21,9 @@
 	"truncate": true,
 }
 
-// Table is what a statement reads or writes.
+// Table is a table that a statement reads or writes.
 type Table struct {
-	Group        int64 // the number behind the underscore in the schema's name
+	Group        int64 // the number after the last underscore in the schema's name
 	Schema, Name string
 }
 
@@ -56,7 +56,7 @@
 	return table, found
 }
 
-// tableGroup is the number behind the last underscore in a schema's name.
+// tableGroup returns the number after the last underscore in a schema's name.
 func tableGroup(schema string) (group int64, ok bool) {
 	at := strings.LastIndexByte(schema, '_')
 	if at < 1 || schema[:at] == stagingSchema {
--- a/internal/pgwire/table_test.go
+++ b/internal/pgwire/table_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The table group of a statement is that of the table that it reads or writes, whatever names stand in its
-// strings and comments.
+// The table group of a statement is that of the table that it reads or writes. Names in its strings and comments
+// don't count.
 func TestTableGroup(t *testing.T) {
 	for _, c := range []struct {
 		statement string
@@ -31,7 +31,7 @@
 		{"SELECT 1 FROM c_99999999999999999999.d", 0, false},
 	} {
 		if group, found := FindTable([]byte(c.statement)); group.Group != c.group || found != c.found {
-			t.Errorf("%s: %d, %t", c.statement, group.Group, found)
+			t.Errorf("%s: got group %d, found %t, want %d, %t", c.statement, group.Group, found, c.group, c.found)
 		}
 	}
 }
--- a/internal/pgwire/tokens.go
+++ b/internal/pgwire/tokens.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Texts that stand for any string and any number.
+// Texts of the tokens of string literals and of numeric literals.
 const (
 	stringPlaceholder = "'"
 	numberPlaceholder = "0"
@@ -14,21 +14,21 @@
 // token is a name, perhaps quoted, or a single character. A string literal has the text
 // stringPlaceholder, a numeric literal numberPlaceholder.
 type token struct {
-	text   string // of a name that is not quoted: in lower case
+	text   string // in lower case if it is an unquoted name
 	isName bool
-	quoted bool // of a name
+	quoted bool // the name is in double quotes
 }
 
-// tokenizer splits a statement.
+// tokenizer splits a statement into tokens.
 type tokenizer struct {
 	source []byte
-	at     int // of the next byte
+	at     int // offset of the next byte
 	tokens []token
 }
 
-// tokenize splits a statement into tokens. Comments and the contents of strings are left out, as a
-// name in them is not one of the statement. A string or comment without an end reaches to the end
-// of the statement.
+// tokenize splits a statement into tokens. It omits comments and the contents of strings, as names
+// in them don't refer to tables. An unterminated string or comment extends to the end of the
+// statement.
 func tokenize(statement []byte) []token {
 	t := &tokenizer{source: statement}
 	for t.at < len(t.source) {
@@ -37,7 +37,7 @@
 	return t.tokens
 }
 
-// next takes the next token, or skips a comment or a blank.
+// next adds the next token, or skips a comment or a blank.
 func (t *tokenizer) next() {
 	c := t.source[t.at]
 	switch {
@@ -70,7 +70,7 @@
 
 func (t *tokenizer) add(token token) { t.tokens = append(t.tokens, token) }
 
-// peek is the byte after the next one; 0 past the end.
+// peek returns the byte after the next one; 0 past the end.
 func (t *tokenizer) peek() byte {
 	if t.at+1 >= len(t.source) {
 		return 0
@@ -85,8 +85,8 @@
 	}
 }
 
-// hasEscapePrefix reports whether the string that begins here has an E right before it, so that a
-// backslash in it is an escape.
+// hasEscapePrefix reports whether the string that begins here is immediately preceded by an E, so
+// that backslashes in it are escapes.
 func (t *tokenizer) hasEscapePrefix() bool {
 	if len(t.tokens) == 0 || t.at == 0 {
 		return false
@@ -95,7 +95,7 @@
 	return last.isName && last.text == "e" && t.source[t.at-1]|0x20 == 'e'
 }
 
-// addQuotedName takes a name in double quotes; a doubled quote in it stands for one.
+// addQuotedName adds a name in double quotes; a doubled quote in it stands for one.
 func (t *tokenizer) addQuotedName() {
 	from := t.at + 1
 	t.skipQuoted('"', false)
@@ -103,8 +103,8 @@
 	t.add(token{text: strings.ReplaceAll(inner, `""`, `"`), isName: true, quoted: true})
 }
 
-// skipQuoted skips what stands in quotes. In it a doubled quote stands for one and, if escapes is
-// set, a backslash and a byte for that byte.
+// skipQuoted skips a quoted string or name. A doubled quote in it does not end it, nor does a quote
+// after a backslash if escapes is set.
 func (t *tokenizer) skipQuoted(quote byte, escapes bool) {
 	for t.at++; t.at < len(t.source); t.at++ {
 		c := t.source[t.at]
@@ -118,10 +118,10 @@
 			return
 		}
 	}
-	t.at = len(t.source) // an escape may have led past it
+	t.at = len(t.source) // an escape may have moved at past the end
 }
 
-// skipComment skips a comment, which may hold others.
+// skipComment skips a block comment, which may contain others.
 func (t *tokenizer) skipComment() {
 	depth := 0
 	for ; t.at < len(t.source); t.at++ {
@@ -141,7 +141,8 @@
 	t.at = len(t.source)
 }
 
-// skipDollarQuoted skips a string between two marks such as $$ or $tag$.
+// skipDollarQuoted skips a dollar-quoted string, which is delimited by two tags such as $$ or
+// $tag$.
 func (t *tokenizer) skipDollarQuoted() {
 	length := dollarTagLength(t.source[t.at:])
 	tag := t.source[t.at : t.at+length]
@@ -154,7 +155,8 @@
 	t.at += end + 2*length
 }
 
-// dollarTagLength is the length of the mark that opens a dollar-quoted string; 0: there is none.
+// dollarTagLength returns the length of the tag that opens a dollar-quoted string; 0 if s does not
+// begin with one.
 func dollarTagLength(s []byte) int {
 	for i := 1; i < len(s); i++ {
 		if s[i] == '$' {
