--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -15,23 +15,23 @@
 	maxFloat = 1e300
 )
 
-// FieldError says that a line is malformed.
+// FieldError is the error of a malformed line.
 type FieldError struct {
-	Line  int // from 1
+	Line  int // counted from 1
 	Field string
 	Why   string
 }
 
-// Error names the line and the field.
+// Error returns the line, the field and the reason.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Why)
 }
 
-// fields reads the fields of a line in their order, and keeps the first error.
+// fields parses the fields of a line in order and keeps the first error.
 type fields struct {
-	unread []string // the fields that were not read yet
-	line   int      // from 1
-	err    error    // nil: none yet
+	unread []string // fields that were not parsed yet
+	line   int      // counted from 1
+	err    error    // the first error; nil: none
 }
 
 func (f *fields) fail(name, why string) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// text reads the next field; empty: it has no value.
+// text returns the next field; empty if it has no value.
 func (f *fields) text(name string) string {
 	if len(f.unread) == 0 {
 		f.fail(name, "is missing")
@@ -54,16 +54,16 @@
 	return part
 }
 
-// required reads the next field, which must have a value.
+// required returns the next field, which must have a value.
 func (f *fields) required(name string) string {
 	s := f.text(name)
 	if s == "" {
-		f.fail(name, "is absent")
+		f.fail(name, "has no value")
 	}
 	return s
 }
 
-// int reads a whole number; 0 without a value.
+// int parses an integer; 0 without a value.
 func (f *fields) int(name string) int64 {
 	s := f.text(name)
 	if s == "" {
@@ -71,12 +71,12 @@
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(name, fmt.Sprintf("%q is no whole number", s))
+		f.fail(name, fmt.Sprintf("%q is not an integer", s))
 	}
 	return n
 }
 
-// natural reads a whole number from 0 to most, which must be there.
+// natural parses an integer from 0 to maximum. The field must have a value.
 func (f *fields) natural(name string, maximum int64) int64 {
 	s := f.required(name)
 	if s == "" {
@@ -84,7 +84,7 @@
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n < 0 || n > maximum {
-		f.fail(name, fmt.Sprintf("%q is no whole number from 0 to %d", s, maximum))
+		f.fail(name, fmt.Sprintf("%q is not an integer from 0 to %d", s, maximum))
 	}
 	return n
 }
@@ -93,16 +93,16 @@
 func (f *fields) id() uint32             { return uint32(f.natural("msg_id", 1<<32-1)) }
 func (f *fields) attempt() int           { return int(f.natural("go", maxIndex)) }
 
-// time reads a time in ns, not below 0; 0 without a value.
+// time parses a time in ns, which must not be negative; 0 without a value.
 func (f *fields) time(name string) int64 {
 	n := f.int(name)
 	if n < 0 {
-		f.fail(name, "is below 0")
+		f.fail(name, "is negative")
 	}
 	return n
 }
 
-// float reads a number; 0 without a value.
+// float parses a number of at most maxFloat in magnitude; 0 without a value.
 func (f *fields) float(name string) float64 {
 	s := f.text(name)
 	if s == "" {
@@ -110,12 +110,12 @@
 	}
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || x != x || x > maxFloat || x < -maxFloat {
-		f.fail(name, fmt.Sprintf("%q is no number", s))
+		f.fail(name, fmt.Sprintf("%q is not a number from -1e300 to 1e300", s))
 	}
 	return x
 }
 
-// bool reads 0 or 1; false without a value.
+// bool parses 0 or 1; false without a value.
 func (f *fields) bool(name string) bool {
 	s := f.text(name)
 	if s != "" && s != "0" && s != "1" {
@@ -124,7 +124,7 @@
 	return s == "1"
 }
 
-// floats reads numbers separated by commas; nil without a value.
+// floats parses numbers separated by commas; nil without a value.
 func (f *fields) floats(name string) []float64 {
 	s := f.text(name)
 	if s == "" {
@@ -134,14 +134,14 @@
 	for part := range strings.SplitSeq(s, ",") {
 		x, err := strconv.ParseFloat(part, 64)
 		if err != nil || x != x {
-			f.fail(name, fmt.Sprintf("%q is no list of numbers", s))
+			f.fail(name, fmt.Sprintf("%q is not a list of numbers", s))
 		}
 		row = append(row, x)
 	}
 	return row
 }
 
-// options reads all fields that are left, as key=value.
+// options parses all remaining fields as key=value.
 func (f *fields) options() Options {
 	o := make(Options, len(f.unread))
 	for _, pair := range f.unread {
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -3,41 +3,42 @@
 // Controller is the number of the controller that a message is for.
 type Controller int
 
-// ControllerNumber returns the number. Messages have it by embedding a Controller.
+// ControllerNumber returns the controller's number. Messages inherit the method from an embedded
+// Controller.
 func (c Controller) ControllerNumber() int { return int(c) }
 
 // Body is the content of a message: one of the types below.
 type Body interface{ ControllerNumber() int }
 
-// Options are the settings of a controller, by their keys.
+// Options are the settings of a controller by key.
 type Options map[string]string
 
-// EndpointScope is what an update of the endpoint list holds.
+// EndpointScope is the scope of an update of the endpoint list.
 type EndpointScope int64
 
 const (
-	// ScopeChanges has the engines that have changed.
+	// ScopeChanges means that the update has the engines that have changed.
 	ScopeChanges EndpointScope = iota
-	// ScopeComplete has all engines.
+	// ScopeComplete means that the update has all engines.
 	ScopeComplete
-	// ScopeCached has all engines as they were cached before the controller started.
+	// ScopeCached means that the update has all engines as cached before the controller started.
 	ScopeCached
-	// ScopeFailed has nothing: discovery failed.
+	// ScopeFailed means that discovery failed; the update has no engines.
 	ScopeFailed
 )
 
-// Endpoint is an engine in the endpoint list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	StartedAt       int64 // ns
 	Zone            string
 	MachineKind     string
-	NominalCapacity float64 // capacity; not used, as the module measures it
+	NominalCapacity float64 // not used, as the module measures the capacity
 	Cell            int64
 	Engine          string
 	State           int64
 }
 
-// Messages that come in. Times are nanoseconds.
+// Messages from the simulator. Times are in nanoseconds.
 type (
 	// Start starts a controller.
 	Start struct {
@@ -45,13 +46,13 @@
 		Seed    uint64
 		Options Options
 	}
-	// Stop ends a controller at once; its state goes with it.
+	// Stop stops a controller immediately. Its state is lost.
 	Stop struct{ Controller }
 	// EndpointsUpdated is an update of the endpoint list.
 	EndpointsUpdated struct {
 		Controller
 		Scope     EndpointScope
-		Endpoints []Endpoint // nil with ScopeFailed
+		Endpoints []Endpoint // nil if Scope is ScopeFailed
 	}
 	// QueryArrived is a query that a client has sent.
 	QueryArrived struct {
@@ -61,12 +62,12 @@
 		Flags             int64  // FlagEstimated
 		Class             string
 		TableGroup        int64
-		EstimatedWork     int64 // valid with FlagEstimated
+		EstimatedWork     int64 // valid only with FlagEstimated
 		TimeLeft          int64 // until the client gives up
 		EstimatedMemoryMB float64
 		OrderingKey       string // empty: none
 	}
-	// ResponseStarted says that the client has got the first part of a response.
+	// ResponseStarted reports that the client has received the first part of a response.
 	ResponseStarted struct {
 		Controller
 		ID      uint32
@@ -91,12 +92,12 @@
 		Attempt    int
 		LoadReport []float64 // nil: none
 	}
-	// ClientDisconnected says that a query's client has gone.
+	// ClientDisconnected reports that the client of a query has disconnected.
 	ClientDisconnected struct {
 		Controller
 		ID uint32
 	}
-	// TimerFired says that a controller's timer has fired.
+	// TimerFired reports that a controller's timer has fired.
 	TimerFired struct{ Controller }
 	// HealthCheckEnded is the result of a health check.
 	HealthCheckEnded struct {
@@ -105,22 +106,22 @@
 		Outcome    string
 		LoadReport []float64 // nil: none
 	}
-	// PeerMessage is a message of another controller. It is not used.
+	// PeerMessage is a message from another controller. It is not used.
 	PeerMessage struct{ Controller }
 )
 
-// FlagEstimated says that a query has an estimate.
+// FlagEstimated is the bit of QueryArrived.Flags that is set if EstimatedWork is valid.
 const FlagEstimated = 1
 
-// Message is a body with the line that it was read from.
+// Message is a message with the number of the line that it was read from.
 type Message struct {
-	Line int // from 1
+	Line int // counted from 1
 	Body Body
 }
 
-// Batch has all messages of one clock time.
+// Batch is the messages of one clock time.
 type Batch struct {
 	Now      int64  // ns
-	Number   string // the answer has to repeat it
+	Number   string // repeated in the answer's end line
 	Messages []Message
 }
--- a/internal/simwire/parse.go
+++ b/internal/simwire/parse.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// parsers read the fields of messages, by the names of the messages on the wire. Fields stand in a
-// fixed order. Those that nothing uses are read all the same, so that a malformed line is noticed.
+// parsers maps the names of messages on the wire to the functions that parse their fields. The
+// order of fields is fixed. Unused fields are parsed too, so that malformed lines are detected.
 var parsers = map[string]func(*Reader, *fields) Body{
 	"up":          parseStart,
 	"retire":      func(_ *Reader, f *fields) Body { return Stop{f.controller()} },
@@ -40,7 +40,7 @@
 	var err error
 	m.Seed, err = strconv.ParseUint(seed, 10, 64)
 	if err != nil {
-		f.fail("nonce64", fmt.Sprintf("%q is no whole number", seed))
+		f.fail("nonce64", fmt.Sprintf("%q is not an unsigned integer", seed))
 	}
 	m.Options = f.options()
 	return m
@@ -125,7 +125,7 @@
 	m := PeerMessage{f.controller()}
 	f.text("by")
 	if _, err := base64.StdEncoding.DecodeString(f.text("msg")); err != nil {
-		f.fail("msg", "is no base64")
+		f.fail("msg", "is not base64")
 	}
 	return m
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// bufferBytes is the size of the buffers of a Reader and a Writer.
+	// bufferBytes is the buffer size of a Reader and of a Writer.
 	bufferBytes = 1 << 20
-	// endpointListCount is the number of endpoint lists that a Reader keeps for the simulator.
+	// endpointListCount is the number of endpoint lists that a Reader stores.
 	endpointListCount = 16
-	// maxListEndpoints is the largest number of engines in one of them.
+	// maxListEndpoints is the largest number of engines in an endpoint list.
 	maxListEndpoints = 1 << 24
 )
 
-// Names of the lines that frame messages.
+// Names of the lines that are not messages.
 const (
 	lineBeginBatch = "begin_batch"
 	lineEndBatch   = "over_to_you"
-	lineList       = "list" // begins an endpoint list, which messages name by its sheet
-	lineItem       = "item" // an engine of it
+	lineList       = "list" // starts an endpoint list, which messages refer to by its number ("sheet")
+	lineItem       = "item" // an engine of an endpoint list
 )
 
-// Reader reads batches.
+// Reader reads batches of messages.
 type Reader struct {
 	in            *bufio.Reader
 	line          int                           // number of the last line that was read
-	endpointLists [endpointListCount][]Endpoint // the endpoint lists as they came last
+	endpointLists [endpointListCount][]Endpoint // the latest of each number
 }
 
-// NewReader returns a reader of batches from in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, bufferBytes)} }
 
-// Read returns the next batch, or io.EOF at the end of input, or a *FieldError if it is malformed.
+// Read returns the next batch. The error is io.EOF at the end of input, a *FieldError if the batch
+// is malformed, and otherwise that of the input.
 func (r *Reader) Read() (*Batch, error) {
 	name, f, err := r.nextLine()
 	if err != nil {
 		return nil, err
 	}
 	if name != lineBeginBatch {
-		why := fmt.Sprintf("%q stands where %s should", name, lineBeginBatch)
+		why := fmt.Sprintf("got %q, want %s", name, lineBeginBatch)
 		return nil, &FieldError{r.line, "message", why}
 	}
 	b := &Batch{Now: f.natural("clock", math.MaxInt64)}
@@ -55,7 +56,7 @@
 	for {
 		name, f, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return nil, &FieldError{r.line, "message", "the input ends within a batch"}
+			return nil, &FieldError{r.line, "message", "input ends in the middle of a batch"}
 		}
 		if err != nil {
 			return nil, err
@@ -79,7 +80,7 @@
 	text, err := r.in.ReadString('\n')
 	if err != nil {
 		if errors.Is(err, io.EOF) && text != "" {
-			return "", nil, &FieldError{r.line + 1, "line", "has no end"}
+			return "", nil, &FieldError{r.line + 1, "line", "does not end in a line feed"}
 		}
 		return "", nil, err
 	}
@@ -92,7 +93,7 @@
 func (r *Reader) readMessage(b *Batch, name string, f *fields) error {
 	parse, known := parsers[name]
 	if !known {
-		return &FieldError{f.line, "message", fmt.Sprintf("%q is not known", name)}
+		return &FieldError{f.line, "message", fmt.Sprintf("unknown message %q", name)}
 	}
 	body := parse(r, f)
 	if f.err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// readList reads an endpoint list, which replaces that of its sheet.
+// readList reads an endpoint list, which replaces the previous one of the same number.
 func (r *Reader) readList(f *fields) error {
 	listIndex := f.natural("sheet", endpointListCount-1)
 	endpointCount := f.natural("rows_in", maxListEndpoints)
@@ -113,13 +114,13 @@
 	for range endpointCount {
 		name, f, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
-			return &FieldError{r.line, "rows_in", "the input ends within a list"}
+			return &FieldError{r.line, "rows_in", "input ends in the middle of an endpoint list"}
 		}
 		if err != nil {
 			return err
 		}
 		if name != lineItem {
-			return &FieldError{r.line, "rows_in", fmt.Sprintf("%q stands where an item should", name)}
+			return &FieldError{r.line, "rows_in", fmt.Sprintf("got %q, want item", name)}
 		}
 		endpoint := parseEndpoint(f)
 		if f.err != nil {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -11,16 +11,16 @@
 // lineEndAnswer ends the answer to a batch.
 const lineEndAnswer = "end"
 
-// lineSanitizer replaces the characters that would end a field or a line.
+// lineSanitizer replaces the characters that separate fields and lines.
 var lineSanitizer = strings.NewReplacer("\t", " ", "\n", " | ")
 
-// Writer writes answers.
+// Writer writes answers to batches.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a writer of answers to out. They are buffered until End.
+// NewWriter returns a Writer to out. Its output is buffered until End.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, bufferBytes)} }
 
-// Line writes one action: its name and its values in order.
+// Line writes a line: a name and values in order.
 func (w *Writer) Line(name string, values ...any) {
 	w.out.WriteString(name)
 	for _, v := range values {
@@ -47,7 +47,7 @@
 	}
 }
 
-// End ends the answer to the batch of this number and flushes it.
+// End writes the end line of the answer to the numbered batch and flushes the output.
 func (w *Writer) End(number string) error {
 	w.Line(lineEndAnswer, number)
 	return w.out.Flush()
