--- a/cmd/mintkeel-sim/main_test.go
+++ b/cmd/mintkeel-sim/main_test.go
@@ -41,7 +41,7 @@
 	} {
 		out, err := runScript(c.in)
 		if err != nil || !strings.Contains(out, c.has) || strings.Contains(out, c.lacks) {
-			t.Errorf("%s: got error %v and output\n%s\nwant output with %q and without %q", c.name, err, out, c.has, c.lacks)
+			t.Errorf("%s: got error %v and an output that differs from the case's has and lacks:\n%s", c.name, err, out)
 		}
 	}
 }
@@ -81,6 +81,6 @@
 	w.End("1")
 	want := "set_timer\t3\t2\t0\nsubmit_to\t3\t1\ta\t1999999\nbug\t4\t"
 	if !strings.HasPrefix(out.String(), want) {
-		t.Errorf("output is %q, want prefix %q", out.String(), want)
+		t.Errorf("got output %q, want a timer of 2 ns, a deadline of 1999999 ns and a panic of controller 4", out.String())
 	}
 }
--- a/internal/engines/answers_test.go
+++ b/internal/engines/answers_test.go
@@ -50,7 +50,7 @@
 		t.Log(c.name)
 		end := pt.expectEnd(0, c.want)
 		if got := string(joinPages(end.Pages)); got != c.pages {
-			t.Errorf("%s: got pages %q, want %q", c.name, got, c.pages)
+			t.Errorf("%s: got pages %q, want those of the case", c.name, got)
 		}
 		if load := end.Load; c.pages != "" &&
 			(load == nil || load.Inflight != 7 || load.Utilization != 0.5 || load.Disk != -1) {
@@ -129,7 +129,7 @@
 		engine.answer("c1", "EVENT", "-", "") // without a remark: ignored
 		engine.answer("c1", "EVENT", c.fields, "")
 		if got := <-pt.events; got != any(c.want) {
-			t.Errorf("%s: got event %+v, want %+v", c.fields, got, c.want)
+			t.Errorf("%s: got event %+v, want the AttemptProgress of the case", c.fields, got)
 		}
 	}
 }
--- a/internal/engines/giveup_test.go
+++ b/internal/engines/giveup_test.go
@@ -36,7 +36,7 @@
 	first.expectQuery("c2")
 	first.answer("c2", "ACK", "parts=1", "2\t2\t2\n")
 	if end := pt.expectEnd(0, router.Succeeded); end.Query != other {
-		t.Fatalf("got the end of query %s, want that of %s", end.Query.ID, other.ID)
+		t.Fatalf("got AttemptEnded of query %s, want that of c2", end.Query.ID)
 	}
 	second.answer("c1", "ACK", "parts=1", "new\tnew\tnew\n")
 	if end := pt.expectEnd(1, router.Succeeded); string(joinPages(end.Pages)) != "new\tnew\tnew\n" {
--- a/internal/engines/pool_test.go
+++ b/internal/engines/pool_test.go
@@ -200,6 +200,6 @@
 		c.add(&attempt{query: old}, 1e6)
 	}
 	if len(c.usedIDs) > 2*minSweep || c.add(&attempt{query: live}, 1e6) {
-		t.Errorf("%d used ids are kept, want at most %d; or the id of a live query was forgotten", len(c.usedIDs), 2*minSweep)
+		t.Errorf("%d used ids are kept, want at most 2*minSweep with that of the live query", len(c.usedIDs))
 	}
 }
--- a/internal/engines/write_test.go
+++ b/internal/engines/write_test.go
@@ -85,7 +85,7 @@
 		conn.end(conn.serve(lookahead), router.ConnectionReset)
 		for range 2 {
 			if end := (<-pt.events).(AttemptEnded); end.Outcome != c.outcomes[end.Attempt] {
-				t.Errorf("%s: attempt %d ended as %v, want %v", c.name, end.Attempt, end.Outcome, c.outcomes[end.Attempt])
+				t.Errorf("%s: attempt %d ended as %v, want the outcome of the case", c.name, end.Attempt, end.Outcome)
 			}
 		}
 	}
--- a/internal/enginewire/enginewire_test.go
+++ b/internal/enginewire/enginewire_test.go
@@ -28,7 +28,7 @@
 			}
 			if err != nil {
 				if !errors.Is(err, ErrMalformed) && !errors.Is(err, io.EOF) {
-					t.Fatalf("got error %v, want ErrMalformed or io.EOF", err)
+					t.Fatal(err)
 				}
 				return
 			}
--- a/internal/pgwire/table_test.go
+++ b/internal/pgwire/table_test.go
@@ -31,7 +31,7 @@
 		{"SELECT 1 FROM c_99999999999999999999.d", 0, false},
 	} {
 		if group, found := FindTable([]byte(c.statement)); group.Group != c.group || found != c.found {
-			t.Errorf("%s: got group %d, found %t, want %d, %t", c.statement, group.Group, found, c.group, c.found)
+			t.Errorf("%s: got group %d, found: %t, want those of the case", c.statement, group.Group, found)
 		}
 	}
 }
