--- a/cmd/mintkeel-sim/main_test.go
+++ b/cmd/mintkeel-sim/main_test.go
@@ -41,7 +41,7 @@
 	} {
 		out, err := runScript(c.in)
 		if err != nil || !strings.Contains(out, c.has) || strings.Contains(out, c.lacks) {
-			t.Errorf("%s: got error %v and an output that differs from the case's has and lacks:\n%s", c.name, err, out)
+			t.Errorf("%s: got error %v, want none; or the output misses the case's has or contains its lacks:\n%s", c.name, err, out)
 		}
 	}
 }
--- a/internal/engines/conn.go
+++ b/internal/engines/conn.go
@@ -94,7 +94,7 @@
 // isEnded reports whether the connection has ended.
 func (c *conn) isEnded() bool { return c.hasEnded.Load() }
 
-// markEnded prevents that anything more is added to the connection. mu is held.
+// markEnded marks the connection as ended, so that nothing more is added to it. mu is held.
 func (c *conn) markEnded() {
 	c.ended = true
 	c.hasEnded.Store(true)
--- a/internal/engines/conn_attempts.go
+++ b/internal/engines/conn_attempts.go
@@ -83,8 +83,8 @@
 	c.ping(b, giveUpTag+a.query.ID)
 }
 
-// withdrawUnsent ends the attempts that were not written as Withdrawn. It closes the connection if
-// its engine is gone and no attempts are left.
+// withdrawUnsent ends the attempts that were not written; their outcome is Withdrawn. It closes the
+// connection if its engine is gone and no attempts are left.
 func (c *conn) withdrawUnsent(engineGone bool) {
 	c.mu.Lock()
 	var events []Event
--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -66,9 +66,10 @@
 	return dueWork{events: append(events, withdrawn...), write: write}
 }
 
-// checkAlive returns an error if the connection is considered dead: an engine behind a network
-// partition sends nothing, not even a close, and its attempts would otherwise end only at their
-// deadlines. It pings an engine that has open attempts and was silent for PingAfter. mu is held.
+// checkAlive returns an error if the connection is considered dead, as the rest of an answer or any
+// reply to a ping is overdue. Without it, the attempts of an unreachable engine, which sends
+// nothing, not even a close, would end only at their deadlines. It pings an engine that has open
+// attempts and was silent for PingAfter. mu is held.
 func (c *conn) checkAlive(deadlines *deadlineTracker, partialSince time.Time) error {
 	l := c.pool.limits
 	if !partialSince.IsZero() && deadlines.passed(partialSince.Add(l.AnswerTimeout)) {
