--- a/internal/engines/conn_due.go
+++ b/internal/engines/conn_due.go
@@ -7,97 +7,99 @@
 	"mintkeel/router"
 )
 
-// maxReadWait is the longest that a read waits on a connection that carries something.
+// maxReadWait bounds the wait of a read on a connection that is not idle.
 const maxReadWait = time.Minute
 
-// dueWork is what a connection's goroutine has to do before it reads on.
+// dueWork is what a connection's goroutine has to do before its next read.
 type dueWork struct {
-	events []Event    // to be reported first
-	write  []outgoing // to be written then
-	err    error      // not nil: the connection must end, and the other fields are empty
+	events []Event    // to be reported before the write
+	write  []outgoing // to be written
+	err    error      // if not nil, the connection must end, and the other fields are empty
 }
 
-// alarm finds the earliest of the times at which something is due.
-type alarm struct {
+// deadlineTracker finds the earliest of a connection's deadlines that have not passed.
+type deadlineTracker struct {
 	now  time.Time
-	next time.Time // the earliest of those that have not passed
+	next time.Time // the earliest deadline so far
 }
 
-// setFor has the alarm go off at a time at the latest.
-func (a *alarm) setFor(at time.Time) {
+// add tracks a deadline.
+func (a *deadlineTracker) add(at time.Time) {
 	if at.Before(a.next) {
 		a.next = at
 	}
 }
 
-// passed reports whether a time has come. If not, the alarm is set for it.
-func (a *alarm) passed(at time.Time) bool {
+// passed reports whether a deadline has passed. If it has not, the deadline is tracked.
+func (a *deadlineTracker) passed(at time.Time) bool {
 	if !a.now.Before(at) {
 		return true
 	}
-	a.setFor(at)
+	a.add(at)
 	return false
 }
 
-// takeDue ends what is past its time and takes out what is to be written. If there is nothing to
-// write, it sets the read deadline to when something else is due. partialSince is the time since
-// which the reader holds a part of an answer; zero: it holds none.
+// takeDue ends attempts and health checks that are overdue and takes the write queue. If that is
+// empty, it sets the read deadline to the next time at which something is due. partialSince is the
+// time since which the reader's buffer holds an incomplete answer; zero: it holds none.
 func (c *conn) takeDue(now time.Time, netConn net.Conn, partialSince time.Time) dueWork {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	alarm := alarm{now: now, next: now.Add(maxReadWait)}
+	deadlines := deadlineTracker{now: now, next: now.Add(maxReadWait)}
 	if c.idle() {
-		alarm.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
-		if now.After(alarm.next) {
-			// Under the mutex, so that an attempt is either added before or goes over another connection.
+		deadlines.next = c.lastUsed.Add(c.pool.limits.EngineIdleTimeout)
+		if now.After(deadlines.next) {
+			// Under the mutex, so that an attempt is either added before this or goes over another
+			// connection.
 			c.markEnded()
 			return dueWork{err: errIdle}
 		}
 	}
-	if err := c.checkAlive(&alarm, partialSince); err != nil {
+	if err := c.checkAlive(&deadlines, partialSince); err != nil {
 		return dueWork{err: err}
 	}
-	events := c.endOverdue(&alarm)
+	events := c.endOverdue(&deadlines)
 	write, withdrawn := c.takeQueue(now)
 	if len(write) == 0 {
-		netConn.SetReadDeadline(alarm.next)
+		netConn.SetReadDeadline(deadlines.next)
 	}
 	return dueWork{events: append(events, withdrawn...), write: write}
 }
 
-// checkAlive returns an error if the connection counts as dead. An engine that is cut off sends
-// nothing, not even a close, and without this its attempts would end only at their deadlines. An
-// engine that has been silent for PingAfter while it owes something is pinged. mu is held.
-func (c *conn) checkAlive(alarm *alarm, partialSince time.Time) error {
+// checkAlive returns an error if the connection is considered dead, as the rest of an answer or any
+// reply to a ping is overdue. Without it, the attempts of an unreachable engine, which sends
+// nothing, not even a close, would end only at their deadlines. It pings an engine that has open
+// attempts and was silent for PingAfter. mu is held.
+func (c *conn) checkAlive(deadlines *deadlineTracker, partialSince time.Time) error {
 	l := c.pool.limits
-	if !partialSince.IsZero() && alarm.passed(partialSince.Add(l.AnswerTimeout)) {
+	if !partialSince.IsZero() && deadlines.passed(partialSince.Add(l.AnswerTimeout)) {
 		return errPartialAnswer
 	}
-	if len(c.attempts) > 0 && c.pingedAt.IsZero() && alarm.passed(c.heardAt.Add(l.PingAfter)) {
+	if len(c.attempts) > 0 && c.pingedAt.IsZero() && deadlines.passed(c.silentSince.Add(l.PingAfter)) {
 		c.ping(nil, keepaliveTag)
 	}
-	if !c.pingedAt.IsZero() && alarm.passed(c.pingedAt.Add(l.PingTimeout)) {
+	if !c.pingedAt.IsZero() && deadlines.passed(c.pingedAt.Add(l.PingTimeout)) {
 		return errPingUnanswered
 	}
 	return nil
 }
 
-// endOverdue gives up attempts past their deadline, and ends health checks and given-up attempts
-// that have waited for the engine for too long. mu is held.
-func (c *conn) endOverdue(alarm *alarm) []Event {
+// endOverdue gives up attempts past their deadline, and ends the health checks and given-up
+// attempts that the engine has not answered in time. mu is held.
+func (c *conn) endOverdue(deadlines *deadlineTracker) []Event {
 	var events []Event
 	for _, a := range c.attempts {
-		if !a.givenUp && !alarm.now.Before(a.deadline) {
+		if !a.givenUp && !deadlines.now.Before(a.deadline) {
 			c.giveUp(a, router.TimedOut)
 		}
 		if !a.givenUp {
-			alarm.setFor(a.deadline)
-		} else if alarm.passed(a.giveUpBy) {
+			deadlines.add(a.deadline)
+		} else if deadlines.passed(a.giveUpBy) {
 			events = append(events, c.finish(a, a.giveUpOutcome))
 		}
 	}
 	for tag, deadline := range c.healthChecks {
-		if alarm.passed(deadline) {
+		if deadlines.passed(deadline) {
 			delete(c.healthChecks, tag)
 			events = append(events, HealthCheckEnded{Engine: c.engine, Outcome: router.TimedOut})
 		}
@@ -105,8 +107,9 @@
 	return events
 }
 
-// takeQueue takes out what is to be written, and withdraws attempts that are too late. The others
-// count as written from here on: their last byte may be taken at any moment. mu is held.
+// takeQueue empties the write queue and returns its entries, except the attempts that are too late,
+// which it withdraws. The other attempts count as written from now on, as the connection may accept
+// their last byte at any moment. mu is held.
 func (c *conn) takeQueue(now time.Time) (write []outgoing, withdrawn []Event) {
 	queue := c.queue
 	c.queue = nil
--- a/internal/pgwire/table.go
+++ b/internal/pgwire/table.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// stagingSchema begins the names of schemas of which the number is no table group.
+// stagingSchema is the name, without the number, of schemas whose number is not a table group.
 const stagingSchema = "staging"
 
-// beforeTable are the keywords that the name of a table may follow.
-var beforeTable = map[string]bool{
+// tableKeywords are the keywords that may precede the name of a table.
+var tableKeywords = map[string]bool{
 	"from":     true,
 	"join":     true,
 	"into":     true,
@@ -21,14 +21,14 @@
 	"truncate": true,
 }
 
-// Table is what a statement reads or writes.
+// Table is a table that a statement reads or writes.
 type Table struct {
-	Group        int64 // the number behind the underscore in the schema's name
+	Group        int64 // the number after the last underscore in the schema's name
 	Schema, Name string
 }
 
 // FindTable returns the table of a statement: the first qualified name with a table group that
-// follows a keyword of beforeTable or, if there is none, the first one anywhere, which could be the
+// follows one of tableKeywords or, if there is none, the first one anywhere, which could be the
 // name of a column.
 func FindTable(statement []byte) (table Table, found bool) {
 	tokens := tokenize(statement)
@@ -45,7 +45,7 @@
 			continue
 		}
 		candidate := Table{Group: group, Schema: schema.text, Name: name.text}
-		if i > 0 && tokens[i-1].isName && !tokens[i-1].quoted && beforeTable[tokens[i-1].text] {
+		if i > 0 && tokens[i-1].isName && !tokens[i-1].quoted && tableKeywords[tokens[i-1].text] {
 			return candidate, true
 		}
 		if !found {
@@ -56,7 +56,7 @@
 	return table, found
 }
 
-// tableGroup is the number behind the last underscore in a schema's name.
+// tableGroup returns the number after the last underscore in a schema's name.
 func tableGroup(schema string) (group int64, ok bool) {
 	at := strings.LastIndexByte(schema, '_')
 	if at < 1 || schema[:at] == stagingSchema {
--- a/internal/simwire/parse.go
+++ b/internal/simwire/parse.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// parsers read the fields of messages, by the names of the messages on the wire. Fields stand in a
-// fixed order. Those that nothing uses are read all the same, so that a malformed line is noticed.
+// parsers maps the names of messages on the wire to the functions that parse their fields. The
+// order of fields is fixed. Unused fields are parsed too, so that malformed lines are detected.
 var parsers = map[string]func(*Reader, *fields) Body{
 	"up":          parseStart,
 	"retire":      func(_ *Reader, f *fields) Body { return Stop{f.controller()} },
@@ -27,20 +27,20 @@
 	e.StartedAt = f.time("since_ns")
 	e.Zone = f.text("zone")
 	e.MachineKind = f.text("shape")
-	e.Nominal = f.float("nominal")
+	e.NominalCapacity = f.float("nominal")
 	e.Cell = f.int("cluster")
-	e.Engine = f.needed("executor")
+	e.Engine = f.required("executor")
 	e.State = f.natural("state", maxIndex)
 	return e
 }
 
 func parseStart(_ *Reader, f *fields) Body {
 	m := Start{Controller: f.controller()}
-	seed := f.needed("nonce64")
+	seed := f.required("nonce64")
 	var err error
 	m.Seed, err = strconv.ParseUint(seed, 10, 64)
 	if err != nil {
-		f.fail("nonce64", fmt.Sprintf("%q is no whole number", seed))
+		f.fail("nonce64", fmt.Sprintf("%q is not an unsigned integer", seed))
 	}
 	m.Options = f.options()
 	return m
@@ -50,15 +50,15 @@
 	m := EndpointsUpdated{Controller: f.controller()}
 	f.int("version")
 	m.Scope = EndpointScope(f.natural("scope", int64(ScopeFailed)))
-	sheet := f.int("sheet")
+	listIndex := f.int("sheet")
 	if m.Scope == ScopeFailed {
 		return m
 	}
-	if sheet < 0 || sheet >= sheetCount {
+	if listIndex < 0 || listIndex >= endpointListCount {
 		f.fail("sheet", "is not from 0 to 15")
 		return m
 	}
-	m.Endpoints = r.sheets[sheet]
+	m.Endpoints = r.endpointLists[listIndex]
 	return m
 }
 
@@ -67,7 +67,7 @@
 	m.ID = f.id()
 	m.Tenant = f.text("project")
 	m.Flags = f.int("flags")
-	m.Class = f.needed("band")
+	m.Class = f.required("band")
 	m.TableGroup = f.int("table_group")
 	m.EstimatedWork = f.time("estimate_ns")
 	m.TimeLeft = f.int("patience_left_ns")
@@ -97,7 +97,7 @@
 	m := AttemptEnded{Controller: f.controller()}
 	m.ID = f.id()
 	m.Elapsed = f.int("cost_time_ns")
-	m.Outcome = f.needed("reason")
+	m.Outcome = f.required("reason")
 	m.QueryDone = f.bool("over")
 	f.text("executor")
 	m.Cost = f.int("true_cost")
@@ -114,8 +114,8 @@
 
 func parseHealthCheckEnded(_ *Reader, f *fields) Body {
 	m := HealthCheckEnded{Controller: f.controller()}
-	m.Engine = f.needed("executor")
-	m.Outcome = f.needed("reason")
+	m.Engine = f.required("executor")
+	m.Outcome = f.required("reason")
 	f.int("cost_time_ns")
 	m.LoadReport = f.floats("feedback")
 	return m
@@ -125,7 +125,7 @@
 	m := PeerMessage{f.controller()}
 	f.text("by")
 	if _, err := base64.StdEncoding.DecodeString(f.text("msg")); err != nil {
-		f.fail("msg", "is no base64")
+		f.fail("msg", "is not base64")
 	}
 	return m
 }
