--- a/cmd/mintkeel/shutdown.go
+++ b/cmd/mintkeel/shutdown.go
@@ -40,7 +40,7 @@
 	defer end.Stop()
 	poll := time.NewTicker(quiet / 20)
 	defer poll.Stop()
-	for server.Quiet() < quiet {
+	for server.QuietTime() < quiet {
 		select {
 		case <-end.C:
 			return
--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -118,7 +118,7 @@
 	}
 	s.unmarkIdle(ses)
 	if isQuery {
-		ses.queried = true
+		ses.sentQuery = true
 		s.busySessions++
 		s.lastQueryAt = time.Now()
 	}
@@ -138,7 +138,7 @@
 		return
 	}
 	kind := idleNoQuery
-	if ses.queried {
+	if ses.sentQuery {
 		kind = idleBetweenQueries
 	}
 	s.markIdle(ses, kind)
@@ -163,8 +163,8 @@
 	ses.conn.SetReadDeadline(ses.idleSince.Add(s.limits.ClientCloseTimeout))
 }
 
-// leave ends a session, whatever ended it: its goroutine calls it last.
-func (s *Server) leave(ses *session) {
+// endSession ends a session, whatever ended it: its goroutine calls it last.
+func (s *Server) endSession(ses *session) {
 	s.mu.Lock()
 	s.beginClose(ses)
 	s.mu.Unlock()
--- a/internal/clients/connections_test.go
+++ b/internal/clients/connections_test.go
@@ -15,42 +15,42 @@
 // connection is rejected, but it may still cancel.
 func TestConnectionLimit(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientConnections, l.NewConnectionGrace = 3, 0 })
-	answer := func(conn net.Conn) {
+	rejectQuery := func(conn net.Conn) {
 		st.nextQuery().Finish(request.Answer{Verdict: request.Rejected})
 		st.readUntil(conn, "E")
 		st.readUntil(conn, "Z")
-		for st.server.Quiet() == 0 { // until the session is idle
+		for st.server.QuietTime() == 0 { // until the session is idle
 			runtime.Gosched()
 		}
 	}
-	stays := st.connect(startMessage, queryMessage(queryText))
-	answer(stays)
-	open := st.connect(startMessage, queryMessage(queryText))
+	idle := st.connect(startMessage, queryMessage(queryText))
+	rejectQuery(idle)
+	busy := st.connect(startMessage, queryMessage(queryText))
 	query := st.nextQuery()
 	silent := st.connect()
 	for range 2 { // the first message of the second is on its way when the third comes
 		st.readUntil(st.connect(startMessage, message('X', "")), "")
 	}
-	if said, _ := st.readUntil(silent, ""); said != "$" {
-		t.Errorf("the one that sent nothing: %s", said)
+	if got, _ := st.readUntil(silent, ""); got != "$" {
+		t.Errorf("the one that sent nothing: %s", got)
 	}
 	next := st.connect(startMessage, queryMessage(queryText))
 	st.nextQuery()
 	last := st.connect(startMessage, queryMessage(queryText))
 	st.nextQuery()
-	if said, _ := st.readUntil(stays, ""); said != "$" {
-		t.Errorf("the one that sent a query and stayed: %s", said)
+	if got, _ := st.readUntil(idle, ""); got != "$" {
+		t.Errorf("the one that sent a query and stayed: %s", got)
 	}
-	if said, _ := st.readUntil(st.connect(startMessage), ""); said != "E53300$" {
-		t.Errorf("a new one while all have a query open: %s", said)
+	if got, _ := st.readUntil(st.connect(startMessage), ""); got != "E53300$" {
+		t.Errorf("a new one while all have a query open: %s", got)
 	}
 	query.Finish(request.Answer{Verdict: request.Succeeded})
-	if said, _ := st.readUntil(open, "C"); said != welcomeKinds+"TC" {
-		t.Errorf("the one with a query open: %s", said)
+	if got, _ := st.readUntil(busy, "C"); got != sessionStartTypes+"TC" {
+		t.Errorf("the one with a query open: %s", got)
 	}
-	said, key := st.readUntil(next, "Z")
-	if also, _ := st.readUntil(last, "Z"); said != welcomeKinds || also != welcomeKinds {
-		t.Errorf("others with a query open: %s, %s", said, also)
+	got, key := st.readUntil(next, "Z")
+	if gotLast, _ := st.readUntil(last, "Z"); got != sessionStartTypes || gotLast != sessionStartTypes {
+		t.Errorf("others with a query open: %s, %s", got, gotLast)
 	}
 	st.waitUntil("the answered session is idle", func() bool {
 		st.server.mu.Lock()
@@ -60,8 +60,8 @@
 	st.connect(startMessage, queryMessage(queryText)) // in its place
 	st.nextQuery()
 	st.connect(startUpMessage(cancelCode, string(key)))
-	if said, _ := st.readUntil(next, "Z"); said != "E57014Z" {
-		t.Errorf("a cancel request while all are taken: %s", said)
+	if got, _ := st.readUntil(next, "Z"); got != "E57014Z" {
+		t.Errorf("a cancel request while all are taken: %s", got)
 	}
 }
 
@@ -90,10 +90,10 @@
 		st.nextQuery().Finish(request.Answer{Verdict: request.Failed})
 		st.readUntil(conn, "Z")
 		st.readUntil(conn, "Z")
-		st.waitUntil("the session is idle", func() bool { return st.server.Quiet() > 0 })
+		st.waitUntil("the session is idle", func() bool { return st.server.QuietTime() > 0 })
 		c.end(st)
-		if said, orderly := st.readToEnd(conn); said != "$" || !orderly {
-			t.Errorf("%s: said %s, orderly %t", c.name, said, orderly)
+		if got, orderly := st.readToEnd(conn); got != "$" || !orderly {
+			t.Errorf("%s: said %s, orderly %t", c.name, got, orderly)
 		}
 		for range 2000 { // a closed socket would answer the first by a reset, which the next meets
 			if _, err := conn.Write(queryMessage(queryText)); err != nil {
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Quiet returns for how long no client has sent a query; 0 while an answer is not written yet.
-func (s *Server) Quiet() time.Duration {
+// QuietTime returns for how long no client has sent a query; 0 while an answer is not written yet.
+func (s *Server) QuietTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busySessions > 0 {
@@ -23,7 +23,7 @@
 // has come. A query that came before its session was closed is answered; what is read after that is
 // dropped, so that no query is sent to an engine and lost. It must be called once at most, and
 // before Close.
-func (s *Server) Shutdown(until time.Time) {
+func (s *Server) Shutdown(deadline time.Time) {
 	s.mu.Lock()
 	s.draining = true
 	if len(s.sessions) == 0 {
@@ -35,7 +35,7 @@
 		}
 	}
 	s.mu.Unlock()
-	timeout := time.NewTimer(time.Until(until))
+	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
 	select {
 	case <-s.drained:
--- a/internal/clients/draining_test.go
+++ b/internal/clients/draining_test.go
@@ -16,42 +16,42 @@
 // over nothing that comes later, and rejects new connections. Shutdown returns when all that is done.
 func TestShutdown(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientCloseTimeout, l.ClientIdleTimeout = testTimeout, 2*testTimeout })
-	owed := st.connect(startMessage, queryMessage(queryText))
+	busy := st.connect(startMessage, queryMessage(queryText))
 	first := st.nextQuery()
-	st.readUntil(owed, "Z")
-	half := st.connect(startMessage, queryMessage(queryText)[:12])
-	st.readUntil(half, "Z")
-	over := make(chan bool)
-	go func() { st.server.Shutdown(time.Now().Add(testTimeout)); close(over) }()
-	if said, orderly := st.readToEnd(half); said != "$" || !orderly {
-		t.Errorf("half a query: said %s, orderly %t", said, orderly)
+	st.readUntil(busy, "Z")
+	incomplete := st.connect(startMessage, queryMessage(queryText)[:12])
+	st.readUntil(incomplete, "Z")
+	shutdownDone := make(chan bool)
+	go func() { st.server.Shutdown(time.Now().Add(testTimeout)); close(shutdownDone) }()
+	if got, orderly := st.readToEnd(incomplete); got != "$" || !orderly {
+		t.Errorf("half a query: said %s, orderly %t", got, orderly)
 	}
-	half.Write(queryMessage(queryText)[12:])
-	half.Close()
+	incomplete.Write(queryMessage(queryText)[12:])
+	incomplete.Close()
 	late := st.connect(startMessage)
-	if said, orderly := st.readToEnd(late); said != "E53300$" || !orderly {
-		t.Errorf("new connection: said %s, orderly %t", said, orderly)
+	if got, orderly := st.readToEnd(late); got != "E53300$" || !orderly {
+		t.Errorf("new connection: said %s, orderly %t", got, orderly)
 	}
 	late.Close()
 	before := time.Now()
-	owed.Write(queryMessage(queryText))
+	busy.Write(queryMessage(queryText))
 	st.waitUntil("the second query is read", func() bool {
 		st.server.mu.Lock()
 		defer st.server.mu.Unlock()
 		return st.server.lastQueryAt.After(before)
 	})
 	select {
-	case <-over:
+	case <-shutdownDone:
 		t.Error("over with an answer owed")
 	default:
 	}
 	first.Finish(request.Answer{Verdict: request.Succeeded})
 	pages := slices.Repeat([][]byte{bytes.Repeat([]byte("one\ttwo\tthree\n"), 400)}, 8)
 	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded, Pages: pages})
-	if said, orderly := st.readToEnd(owed); said != "TCZT"+strings.Repeat("D", 8*400)+"CZ$" || !orderly {
-		t.Errorf("owed two answers: said %s, orderly %t", said, orderly)
+	if got, orderly := st.readToEnd(busy); got != "TCZT"+strings.Repeat("D", 8*400)+"CZ$" || !orderly {
+		t.Errorf("owed two answers: said %s, orderly %t", got, orderly)
 	}
-	owed.Close()
-	<-over
+	busy.Close()
+	<-shutdownDone
 	st.expectNoEvent("after the end")
 }
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -25,7 +25,7 @@
 	ses.conn.SetReadDeadline(time.Time{})
 	query.OnAnswer(func() {
 		// Before answered is closed: after that the next read has a deadline of its own.
-		ses.conn.SetReadDeadline(longAgo)
+		ses.conn.SetReadDeadline(pastDeadline)
 		close(answered)
 	})
 	switch {
@@ -61,25 +61,25 @@
 func (ses *session) watchForDisconnect() error {
 	maxBytes := ses.server.limits.ClientMessageBytes
 	for {
-		have := ses.reader.Buffered()
-		if have > 0 && ses.pipelinedAt.IsZero() {
+		buffered := ses.reader.Buffered()
+		if buffered > 0 && ses.pipelinedAt.IsZero() {
 			ses.pipelinedAt = time.Now()
 			ses.server.recordPipelinedQuery(ses.pipelinedAt)
 		}
-		if have >= maxBytes {
+		if buffered >= maxBytes {
 			break
 		}
-		if have == ses.reader.Size() {
-			ses.enlargeBuffer(min(2*have, maxBytes))
+		if buffered == ses.reader.Size() {
+			ses.enlargeBuffer(min(2*buffered, maxBytes))
 		}
-		if _, err := ses.reader.Peek(have + 1); err != nil {
+		if _, err := ses.reader.Peek(buffered + 1); err != nil {
 			return err
 		}
 		if kind, _ := ses.reader.Peek(1); kind[0] == pgwire.MessageTerminate {
 			return errTerminated
 		}
 	}
-	ses.server.counts.flooded.Add(1)
+	ses.server.counts.pipelineFull.Add(1)
 	if _, err := io.Copy(io.Discard, ses.conn); errors.Is(err, os.ErrDeadlineExceeded) {
 		return errPipelineFull
 	}
--- a/internal/clients/execute_test.go
+++ b/internal/clients/execute_test.go
@@ -15,9 +15,9 @@
 // answer dropped. A cancel request with a wrong key does nothing.
 func TestClientDisconnects(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		leave func(st *serverTest, conn net.Conn, key []byte)
-		said  string
+		name       string
+		disconnect func(st *serverTest, conn net.Conn, key []byte)
+		want       string
 	}{
 		{"cancel", func(st *serverTest, _ net.Conn, key []byte) {
 			st.connect(startUpMessage(cancelCode, string(key)))
@@ -38,18 +38,18 @@
 		_, key := st.readUntil(conn, "Z")
 		conn.Write(queryMessage(queryText))
 		query := st.nextQuery()
-		wrong := append(bytes.Clone(key[:4]), key[4]^1, key[5], key[6], key[7])
+		wrongKey := append(bytes.Clone(key[:4]), key[4]^1, key[5], key[6], key[7])
 		// Until it is closed, so has been read.
-		st.readUntil(st.connect(startUpMessage(cancelCode, string(wrong))), "")
-		c.leave(st, conn, key)
+		st.readUntil(st.connect(startUpMessage(cancelCode, string(wrongKey))), "")
+		c.disconnect(st, conn, key)
 		if ev := <-st.events; ev != any(ClientDisconnected{query}) {
 			t.Errorf("%s: told %+v", c.name, ev)
 		}
 		if query.Finish(request.Answer{Verdict: request.Succeeded}) {
 			t.Errorf("%s: answered after its client had left", c.name)
 		}
-		if said, _ := st.readUntil(conn, "Z"); said != c.said {
-			t.Errorf("%s: said %s", c.name, said)
+		if got, _ := st.readUntil(conn, "Z"); got != c.want {
+			t.Errorf("%s: said %s", c.name, got)
 		}
 	}
 }
@@ -60,14 +60,14 @@
 	st := newServerTest(t, nil)
 	conn := st.connect(startMessage, queryMessage(queryText))
 	first := st.nextQuery()
-	heard := func() time.Time {
+	lastQueryAt := func() time.Time {
 		st.server.mu.Lock()
 		defer st.server.mu.Unlock()
 		return st.server.lastQueryAt
 	}
-	before := heard()
+	before := lastQueryAt()
 	conn.Write(queryMessage(queryText))
-	for heard() == before { // until the second has been read
+	for lastQueryAt() == before { // until the second has been read
 		runtime.Gosched()
 	}
 	if len(st.events) > 0 {
@@ -84,17 +84,17 @@
 // another.
 func TestManyPipelinedQueries(t *testing.T) {
 	st := newServerTest(t, nil)
-	const all = 100
+	const count = 100
 	conn := st.connect(startMessage, queryMessage(queryText))
 	first := st.nextQuery()
 	st.readUntil(conn, "Z")
-	conn.Write(bytes.Repeat(queryMessage(queryText), all))
+	conn.Write(bytes.Repeat(queryMessage(queryText), count))
 	first.Finish(request.Answer{Verdict: request.Failed})
-	for range all {
+	for range count {
 		st.readUntil(conn, "Z")
 		st.nextQuery().Finish(request.Answer{Verdict: request.Failed})
 	}
-	if n := st.server.counts.flooded.Load(); n != 0 {
+	if n := st.server.counts.pipelineFull.Load(); n != 0 {
 		t.Errorf("%d times too much", n)
 	}
 }
@@ -107,10 +107,10 @@
 	query := st.nextQuery()
 	st.readUntil(conn, "Z")
 	conn.Write(bytes.Repeat(queryMessage(queryText), 4000))
-	st.waitUntil("it is too much", func() bool { return st.server.counts.flooded.Load() == 1 })
+	st.waitUntil("it is too much", func() bool { return st.server.counts.pipelineFull.Load() == 1 })
 	query.Finish(request.Answer{Verdict: request.Succeeded})
-	if said, orderly := st.readToEnd(conn); said != "TCZE54000$" || !orderly {
-		t.Errorf("said %s, orderly %t", said, orderly)
+	if got, orderly := st.readToEnd(conn); got != "TCZE54000$" || !orderly {
+		t.Errorf("said %s, orderly %t", got, orderly)
 	}
 	st.expectNoEvent("of what it wrote ahead")
 }
@@ -118,20 +118,20 @@
 // A client sends queries ahead and disconnects. That is noticed at once, also behind more than is held of
 // what it sent, and nothing of that is handed over.
 func TestDisconnectBehindPipelinedQueries(t *testing.T) {
-	for _, ahead := range []int{1, 20, 400, 4000} {
+	for _, pipelined := range []int{1, 20, 400, 4000} {
 		st := newServerTest(t, nil)
 		conn := st.connect(startMessage, queryMessage(queryText))
 		query := st.nextQuery()
 		st.readUntil(conn, "Z")
-		conn.Write(bytes.Repeat(queryMessage(queryText), ahead))
+		conn.Write(bytes.Repeat(queryMessage(queryText), pipelined))
 		conn.Close()
 		select {
 		case ev := <-st.events:
 			if ev != any(ClientDisconnected{query}) {
-				t.Errorf("%d queries ahead: told %+v", ahead, ev)
+				t.Errorf("%d queries ahead: told %+v", pipelined, ev)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("%d queries ahead: not noticed", ahead)
+			t.Fatalf("%d queries ahead: not noticed", pipelined)
 		}
 		st.waitUntil("it has gone", func() bool {
 			st.server.mu.Lock()
@@ -146,20 +146,20 @@
 // came long before.
 func TestCancelOvertakesQuery(t *testing.T) {
 	for _, c := range []struct {
-		within time.Duration
-		said   string
+		window time.Duration
+		want   string
 	}{{testTimeout, "E57014Z"}, {0, "TCZ"}} {
-		st := newServerTest(t, func(l *limits.Limits) { l.EarlyCancelWindow = c.within })
+		st := newServerTest(t, func(l *limits.Limits) { l.EarlyCancelWindow = c.window })
 		conn := st.connect(startMessage)
 		_, key := st.readUntil(conn, "Z")
 		// Until it is closed, so has taken effect.
 		st.readUntil(st.connect(startUpMessage(cancelCode, string(key))), "")
 		conn.Write(queryMessage(queryText))
-		if c.within == 0 {
+		if c.window == 0 {
 			st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded})
 		}
-		if said, _ := st.readUntil(conn, "Z"); said != c.said {
-			t.Errorf("within %v: said %s", c.within, said)
+		if got, _ := st.readUntil(conn, "Z"); got != c.want {
+			t.Errorf("within %v: said %s", c.window, got)
 		}
 		st.expectNoEvent("of a query whose cancel came ahead")
 	}
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -27,8 +27,8 @@
 
 // handleQuery answers a query message, by running the query if it can be used.
 func (ses *session) handleQuery(body []byte, size int, readAt time.Time) error {
-	text, whole := pgwire.QueryText(body)
-	if !whole {
+	text, wellFormed := pgwire.QueryText(body)
+	if !wellFormed {
 		return pgwire.ErrMalformed
 	}
 	ses.server.counts.queries.Add(1)
@@ -36,16 +36,16 @@
 		ses.reader.Discard(size)
 		return ses.write(pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 	}
-	query, failed := ses.parseQuery(text, readAt)
+	query, queryErr := ses.parseQuery(text, readAt)
 	ses.reader.Discard(size) // only now, as text is in the buffer
-	if failed == nil {
+	if queryErr == nil {
 		return ses.execute(query)
 	}
-	if failed.code != pgwire.CodeRule { // the operator's rules count and name what they refuse
+	if queryErr.code != pgwire.CodeRule { // the operator's rules count and name what they refuse
 		ses.server.counts.badQueries.Add(1)
-		ses.server.logBadClient(ses, failed.message)
+		ses.server.logBadClient(ses, queryErr.message)
 	}
-	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, failed.code, failed.message)))
+	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, queryErr.code, queryErr.message)))
 }
 
 // isBlank reports whether a text holds no statement.
@@ -95,7 +95,7 @@
 		EstimatedWork:     f.EstimatedWorkMS,
 		EstimatedMemoryMB: f.EstimatedMemoryMB,
 		Tables:            router.TableGroup(table.Group),
-		FirstOnConnection: !ses.hadQuery,
+		FirstOnConnection: !ses.sentValidQuery,
 		ReadAt:            readAt,
 		TimeLeft:          ses.answerWithin(f.TimeoutMS),
 		ClientTimeout:     duration(classSettings.ClientTimeout),
@@ -108,7 +108,7 @@
 		}
 	}
 	query.Statement = append([]byte(nil), f.Statement...)
-	ses.hadQuery = true
+	ses.sentValidQuery = true
 	return query, nil
 }
 
--- a/internal/clients/query_test.go
+++ b/internal/clients/query_test.go
@@ -26,8 +26,8 @@
 	}
 	conn.Write(queryMessage(queryText))
 	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded})
-	if said, _ := st.readUntil(conn, "Z"); said != "TCZ" {
-		t.Errorf("then said %s", said)
+	if types, _ := st.readUntil(conn, "Z"); types != "TCZ" {
+		t.Errorf("then said %s", types)
 	}
 }
 
@@ -35,9 +35,9 @@
 func TestAnswerWithin(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.AnswerAllowance = 50 * time.Millisecond })
 	ses := newSession(st.server, nil)
-	for _, c := range []struct{ limitMS, want float64 }{{6000, 5950}, {400, 350}, {80, 70}, {0, 0}} {
-		if got := ses.answerWithin(c.limitMS); got != time.Duration(c.want*1e6) {
-			t.Errorf("of %v ms: %v", c.limitMS, got)
+	for _, c := range []struct{ timeoutMS, want float64 }{{6000, 5950}, {400, 350}, {80, 70}, {0, 0}} {
+		if got := ses.answerWithin(c.timeoutMS); got != time.Duration(c.want*1e6) {
+			t.Errorf("of %v ms: %v", c.timeoutMS, got)
 		}
 	}
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -47,16 +47,16 @@
 
 // counts are what the server has seen since its start.
 type counts struct {
-	connections atomic.Int64
-	rejected    atomic.Int64 // connections for which there was no room
-	evicted     atomic.Int64 // connections closed to make room for others
-	timedOut    atomic.Int64 // clients that did not send a whole message in time
-	malformed   atomic.Int64 // messages that the protocol does not know
-	tooLong     atomic.Int64 // messages
-	flooded     atomic.Int64 // clients that sent too much behind an open query
-	queries     atomic.Int64
-	badQueries  atomic.Int64 // queries with a field that can't be used
-	cancels     atomic.Int64 // cancel requests
+	connections  atomic.Int64
+	rejected     atomic.Int64 // connections for which there was no room
+	evicted      atomic.Int64 // connections closed to make room for others
+	timedOut     atomic.Int64 // clients that did not send a whole message in time
+	malformed    atomic.Int64 // messages that the protocol does not know
+	tooLong      atomic.Int64 // messages
+	pipelineFull atomic.Int64 // clients that sent too much behind an open query
+	queries      atomic.Int64
+	badQueries   atomic.Int64 // queries with a field that can't be used
+	cancels      atomic.Int64 // cancel requests
 }
 
 // New returns a server. Queries are handed to offer; one that it does not accept is rejected, with
@@ -105,12 +105,12 @@
 	switch s.admit(ses) {
 	case admitted:
 		go func() {
-			defer s.leave(ses)
+			defer s.endSession(ses)
 			ses.run()
 		}()
 	case rejected:
 		go func() {
-			defer s.leave(ses)
+			defer s.endSession(ses)
 			ses.reject()
 		}()
 	case dropped:
@@ -160,7 +160,7 @@
 		slog.Int64("silent", c.timedOut.Load()),
 		slog.Int64("malformed", c.malformed.Load()),
 		slog.Int64("too_long", c.tooLong.Load()),
-		slog.Int64("flooded", c.flooded.Load()),
+		slog.Int64("flooded", c.pipelineFull.Load()),
 		slog.Int64("queries", c.queries.Load()),
 		slog.Int64("bad_queries", c.badQueries.Load()),
 		slog.Int64("cancels", c.cancels.Load()),
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -45,8 +45,8 @@
 // startMessage opens a session.
 var startMessage = startUpMessage(3<<16, "user\x00app\x00database\x00core\x00\x00")
 
-// welcomeKinds are the types of the messages that open a session.
-const welcomeKinds = "RSSSSSSKZ"
+// sessionStartTypes are the types of the messages that open a session.
+const sessionStartTypes = "RSSSSSSKZ"
 
 // serverTest is a running server. The test takes the place of the loop and of the clients.
 type serverTest struct {
@@ -104,34 +104,34 @@
 
 // readUntil reads messages until one of a type in until, or the end ("$"). It returns the types, with the
 // codes of errors, and the session's cancel key if it came.
-func (st *serverTest) readUntil(conn net.Conn, until string) (said string, key []byte) {
+func (st *serverTest) readUntil(conn net.Conn, until string) (types string, key []byte) {
 	st.t.Helper()
 	for {
 		head := make([]byte, 5)
 		if _, err := io.ReadFull(conn, head); err != nil {
-			return said + "$", key
+			return types + "$", key
 		}
 		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
 		io.ReadFull(conn, body)
-		switch said += string(head[:1]); head[0] {
+		switch types += string(head[:1]); head[0] {
 		case 'E':
 			_, code, _ := bytes.Cut(body, []byte("\x00C"))
-			said += string(code[:5])
+			types += string(code[:5])
 		case 'K':
 			key = body
 		}
 		if strings.Contains(until, string(head[:1])) {
-			return said, key
+			return types, key
 		}
 	}
 }
 
 // readToEnd reads to the end of a connection, and reports whether that was an orderly one and no reset.
-func (st *serverTest) readToEnd(conn net.Conn) (said string, orderly bool) {
+func (st *serverTest) readToEnd(conn net.Conn) (types string, orderly bool) {
 	st.t.Helper()
-	said, _ = st.readUntil(conn, "")
+	types, _ = st.readUntil(conn, "")
 	_, err := conn.Read(make([]byte, 1))
-	return said, err == io.EOF
+	return types, err == io.EOF
 }
 
 // nextQuery returns the next query that is handed over.
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -19,17 +19,17 @@
 
 // session is one client's connection. Its goroutine owns all fields that are not marked otherwise.
 type session struct {
-	server      *Server
-	conn        net.Conn
-	smallReader *bufio.Reader    // of the size that most messages need
-	reader      *bufio.Reader    // smallReader, or a larger one for a while
-	key         pgwire.CancelKey // set by admit
-	application string           // the client's name for itself
-	connectedAt time.Time
-	pipelinedAt time.Time // when the next message came, if that was while a query was open; else zero
-	hadQuery    bool      // it has sent a query that could be used
-	skipToSync  bool      // messages of the extended protocol are dropped until a Sync
-	queried     bool      // it has sent a query; written under the server's mutex
+	server         *Server
+	conn           net.Conn
+	smallReader    *bufio.Reader    // of the size that most messages need
+	reader         *bufio.Reader    // smallReader, or a larger one for a while
+	key            pgwire.CancelKey // set by admit
+	application    string           // the client's name for itself
+	connectedAt    time.Time
+	pipelinedAt    time.Time // when the next message came, if that was while a query was open; else zero
+	sentValidQuery bool      // it has sent a query that could be used
+	skipToSync     bool      // messages of the extended protocol are dropped until a Sync
+	sentQuery      bool      // it has sent a query; written under the server's mutex
 
 	// Guarded by the server's mutex:
 	idleSince   time.Time     // when it last became idle
@@ -51,8 +51,8 @@
 	return &session{server: s, conn: conn, smallReader: r, reader: r, connectedAt: now, idleSince: now}
 }
 
-// longAgo is a deadline that has passed: it ends a read.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed: it ends a read.
+var pastDeadline = time.Unix(1, 0)
 
 // run serves the session until it ends.
 func (ses *session) run() {
@@ -187,8 +187,8 @@
 func (ses *session) setReadTimeout(timeout time.Duration) {
 	l := ses.server.limits
 	deadline := time.Now().Add(timeout)
-	if first := ses.connectedAt.Add(l.FirstQueryTimeout); !ses.queried && first.Before(deadline) {
-		deadline = first
+	if firstQueryDeadline := ses.connectedAt.Add(l.FirstQueryTimeout); !ses.sentQuery && firstQueryDeadline.Before(deadline) {
+		deadline = firstQueryDeadline
 	}
 	ses.conn.SetReadDeadline(deadline)
 	if ses.closing.Load() {
@@ -198,10 +198,10 @@
 
 // enlargeBuffer replaces the read buffer by a larger one, with the bytes that it holds.
 func (ses *session) enlargeBuffer(size int) {
-	have, _ := ses.reader.Peek(ses.reader.Buffered())
-	rest := io.MultiReader(bytes.NewReader(bytes.Clone(have)), ses.conn)
+	buffered, _ := ses.reader.Peek(ses.reader.Buffered())
+	rest := io.MultiReader(bytes.NewReader(bytes.Clone(buffered)), ses.conn)
 	ses.reader = bufio.NewReaderSize(rest, size)
-	ses.reader.Peek(len(have))
+	ses.reader.Peek(len(buffered))
 	ses.smallReader.Reset(ses.conn)
 }
 
@@ -218,7 +218,7 @@
 		c.tooLong.Add(1)
 		ses.endWithError(pgwire.CodeTooLong,
 			fmt.Sprintf("%s: holds %d bytes at most", what, ses.server.limits.ClientMessageBytes))
-	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.reader.Buffered() > 0 || !ses.queried):
+	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.reader.Buffered() > 0 || !ses.sentQuery):
 		c.timedOut.Add(1) // with half a message or, if it never sent a query, with none
 		ses.endWithError(pgwire.CodeProtocol, what+": not whole in time")
 	}
--- a/internal/clients/session_test.go
+++ b/internal/clients/session_test.go
@@ -23,14 +23,14 @@
 func TestAnswers(t *testing.T) {
 	st := newServerTest(t, nil)
 	conn := st.connect(startUpMessage(sslCode, ""))
-	one := make([]byte, 1)
-	if io.ReadFull(conn, one); one[0] != 'N' {
-		t.Fatalf("encryption answered by %q", one)
+	reply := make([]byte, 1)
+	if io.ReadFull(conn, reply); reply[0] != 'N' {
+		t.Fatalf("encryption answered by %q", reply)
 	}
 	conn.Write(append(startMessage, queryMessage(queryText)...))
 	for _, c := range []struct {
 		answer request.Answer
-		said   string
+		want   string
 	}{
 		{request.Answer{Verdict: request.Succeeded,
 			Pages: [][]byte{[]byte("a\tb\tc\nd\te\tf\n"), []byte("\t\t\n")}}, "TDDDCZ"},
@@ -47,12 +47,12 @@
 		if !query.Finish(c.answer) || query.Finish(request.Answer{Verdict: request.Failed}) {
 			t.Error("not one final answer")
 		}
-		said, _ := st.readUntil(conn, "Z")
-		if said == welcomeKinds {
-			said, _ = st.readUntil(conn, "Z")
+		got, _ := st.readUntil(conn, "Z")
+		if got == sessionStartTypes {
+			got, _ = st.readUntil(conn, "Z")
 		}
-		if said != c.said {
-			t.Errorf("%+v: said %s", c.answer, said)
+		if got != c.want {
+			t.Errorf("%+v: said %s", c.answer, got)
 		}
 		conn.Write(queryMessage(queryText))
 	}
@@ -75,38 +75,38 @@
 
 // Whatever a client should not send gets a proper error, and nothing of it is handed over.
 func TestBadInput(t *testing.T) {
-	load := strings.Replace(queryText, "report", "load", 1)
-	with := func(from, to string) []byte { return queryMessage(strings.Replace(queryText, from, to, 1)) }
+	loadQuery := strings.Replace(queryText, "report", "load", 1)
+	replacing := func(from, to string) []byte { return queryMessage(strings.Replace(queryText, from, to, 1)) }
 	st := newServerTest(t, nil)
 	for _, c := range []struct {
 		name  string
 		bytes []byte
-		said  string
+		want  string
 	}{
 		{"empty query", queryMessage(""), "IZ"},
 		{"blanks alone", queryMessage(" ;\n"), "IZ"},
 		{"no fields", queryMessage("SELECT 1 FROM sales_17.orders"), "E22004Z"},
 		{"comment without end", queryMessage("/* verb=report"), "E22023Z"},
 		{"no statement", queryMessage(queryFields), "E22004Z"},
-		{"no profile", with("verb=report,", ""), "E22004Z"},
-		{"another profile", with("report", "what"), "E22023Z"},
-		{"profile that is no word", with("report", "re port"), "E22023Z"},
-		{"no id", with("txn=9b1f03aa5c7e2d41,", ""), "E22004Z"},
-		{"short id", with("9b1f", "9b1"), "E22023Z"},
-		{"id of no hex", with("9b1f", "9b1g"), "E22023Z"},
-		{"no limit", with(",limit=1500", ""), "E22004Z"},
-		{"limit of no number", with("1500", "soon"), "E22023Z"},
-		{"negative limit", with("1500", "-1"), "E22023Z"},
-		{"infinite limit", with("1500", "+Inf"), "E22023Z"},
-		{"limit of a year", with("1500", "31536000000"), "E22023Z"},
-		{"estimate of no number", with("1500", "1500,cpu=NaN"), "E22023Z"},
-		{"memory that nobody has", with("1500", "1500,est_mb=1e8"), "E22023Z"},
-		{"field twice", with("limit=1500", "limit=1,limit=2"), "E22023Z"},
-		{"field without value", with("limit=1500", "limit=1500,cpu"), "E22023Z"},
-		{"another tenant", with("limit", "team=none,limit"), "E22023Z"},
-		{"mark that is no word", with("limit", "unique=a b,limit"), "E22023Z"},
-		{"uniqued without mark", queryMessage(load), "E22004Z"},
-		{"no tables", with("sales_17", "staging"), "E22023Z"},
+		{"no profile", replacing("verb=report,", ""), "E22004Z"},
+		{"another profile", replacing("report", "what"), "E22023Z"},
+		{"profile that is no word", replacing("report", "re port"), "E22023Z"},
+		{"no id", replacing("txn=9b1f03aa5c7e2d41,", ""), "E22004Z"},
+		{"short id", replacing("9b1f", "9b1"), "E22023Z"},
+		{"id of no hex", replacing("9b1f", "9b1g"), "E22023Z"},
+		{"no limit", replacing(",limit=1500", ""), "E22004Z"},
+		{"limit of no number", replacing("1500", "soon"), "E22023Z"},
+		{"negative limit", replacing("1500", "-1"), "E22023Z"},
+		{"infinite limit", replacing("1500", "+Inf"), "E22023Z"},
+		{"limit of a year", replacing("1500", "31536000000"), "E22023Z"},
+		{"estimate of no number", replacing("1500", "1500,cpu=NaN"), "E22023Z"},
+		{"memory that nobody has", replacing("1500", "1500,est_mb=1e8"), "E22023Z"},
+		{"field twice", replacing("limit=1500", "limit=1,limit=2"), "E22023Z"},
+		{"field without value", replacing("limit=1500", "limit=1500,cpu"), "E22023Z"},
+		{"another tenant", replacing("limit", "team=none,limit"), "E22023Z"},
+		{"mark that is no word", replacing("limit", "unique=a b,limit"), "E22023Z"},
+		{"uniqued without mark", queryMessage(loadQuery), "E22004Z"},
+		{"no tables", replacing("sales_17", "staging"), "E22023Z"},
 		{"extended query", slices.Concat(message('P', "\x00x\x00\x00\x00"), message('D', "S\x00"),
 			message('S', "")), "E0A000Z"},
 		{"function call", message('F', ""), "E0A000Z"},
@@ -121,15 +121,15 @@
 		conn := st.connect(startMessage)
 		st.readUntil(conn, "Z")
 		conn.Write(c.bytes)
-		if said, _ := st.readUntil(conn, "Z"); said != c.said {
-			t.Errorf("%s: said %s", c.name, said)
+		if got, _ := st.readUntil(conn, "Z"); got != c.want {
+			t.Errorf("%s: said %s", c.name, got)
 		}
 	}
 	for _, start := range [][]byte{startUpMessage(2<<16, ""), startUpMessage(3<<16, "user"),
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
 		{0, 0, 0, 4, 0, 0, 0, 0}, startUpMessage(cancelCode, "short")} {
-		if said, _ := st.readUntil(st.connect(start), "Z"); said != "E08P01$" {
-			t.Errorf("start %q: said %s", start, said)
+		if got, _ := st.readUntil(st.connect(start), "Z"); got != "E08P01$" {
+			t.Errorf("start %q: said %s", start, got)
 		}
 	}
 	if len(st.events) > 0 {
@@ -149,20 +149,20 @@
 	for _, c := range []struct {
 		name  string
 		bytes [][]byte
-		said  string
+		want  string
 	}{
 		{"nothing", nil, "E08P01$"},
 		{"half a start-up message", [][]byte{startMessage[:9]}, "E08P01$"},
-		{"a start-up message alone", [][]byte{startMessage}, welcomeKinds + "E08P01$"},
-		{"half a query", [][]byte{startMessage, queryMessage(queryText)[:20]}, welcomeKinds + "E08P01$"},
+		{"a start-up message alone", [][]byte{startMessage}, sessionStartTypes + "E08P01$"},
+		{"half a query", [][]byte{startMessage, queryMessage(queryText)[:20]}, sessionStartTypes + "E08P01$"},
 		{"a query without end", [][]byte{startMessage, {'Q', 0, 0, 0x40, 0}, make([]byte, 8000)},
-			welcomeKinds + "E08P01$"},
-		{"an empty query, then nothing", [][]byte{startMessage, queryMessage("")}, welcomeKinds + "IZ$"},
+			sessionStartTypes + "E08P01$"},
+		{"an empty query, then nothing", [][]byte{startMessage, queryMessage("")}, sessionStartTypes + "IZ$"},
 		{"an empty query, then half of one", [][]byte{startMessage, queryMessage(""), queryMessage(queryText)[:9]},
-			welcomeKinds + "IZE08P01$"},
+			sessionStartTypes + "IZE08P01$"},
 	} {
-		if said, _ := st.readUntil(st.connect(c.bytes...), ""); said != c.said {
-			t.Errorf("%s: said %s", c.name, said)
+		if got, _ := st.readUntil(st.connect(c.bytes...), ""); got != c.want {
+			t.Errorf("%s: said %s", c.name, got)
 		}
 	}
 }
@@ -201,9 +201,9 @@
 			return true
 		}, nil, func(Event) {}, slog.Default())
 	f.Fuzz(func(_ *testing.T, in []byte) {
-		ours, theirs := net.Pipe()
-		go func() { theirs.Write(in); theirs.Close() }()
-		go io.Copy(io.Discard, theirs)
-		newSession(server, ours).run()
+		serverEnd, clientEnd := net.Pipe()
+		go func() { clientEnd.Write(in); clientEnd.Close() }()
+		go io.Copy(io.Discard, clientEnd)
+		newSession(server, serverEnd).run()
 	})
 }
