--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -16,9 +16,9 @@
 		l.cancelAttempt(a)
 	case router.Reject:
 		rejection := request.Answer{Verdict: request.Rejected, RetryAfter: duration(a.RetryAfter)}
-		l.answerFinally(a.ID, rejection)
+		l.finishQuery(a.ID, rejection)
 	case router.Fail:
-		l.answerFinally(a.ID, request.Answer{Verdict: request.Failed})
+		l.finishQuery(a.ID, request.Answer{Verdict: request.Failed})
 	case router.CheckHealth:
 		l.counts.HealthChecks++
 		l.engines.CheckHealth(a.Engine)
@@ -55,11 +55,11 @@
 	l.engines.CancelAttempt(q.Query, a.Attempt, q.attempts[a.Attempt])
 }
 
-// answerFinally gives a query the module's final answer. Its state is kept until all of its
+// finishQuery gives a query the module's final answer. Its state is kept until all of its
 // attempts have an outcome, as later actions may still cancel them.
-func (l *Loop) answerFinally(id router.QueryID, answer request.Answer) {
+func (l *Loop) finishQuery(id router.QueryID, answer request.Answer) {
 	if q := l.queries[id]; q != nil && !q.answered {
 		l.answerQuery(q, answer)
-		l.forget(q)
+		l.removeIfDone(q)
 	}
 }
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -38,14 +38,14 @@
 		endpoint := router.Endpoint{Engine: id, State: state, StartedAt: startedAt}
 		return discovery.Update{Endpoints: []discovery.Endpoint{{Endpoint: endpoint, Address: address}}}
 	}
-	status := func(id router.EngineID) (now router.EngineStatus) {
+	status := func(id router.EngineID) (found router.EngineStatus) {
 		l.step()
 		for _, e := range module.EngineStatuses() {
 			if e.Engine == id {
-				now = e
+				found = e
 			}
 		}
-		return now
+		return found
 	}
 	l.UpdateEndpoints(update("a", router.Ready, 0, "there"), true)
 	l.UpdateEndpoints(update("b", router.Ready, 0, "elsewhere"), true)
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -17,13 +17,13 @@
 	// maxQueriesPerStep bounds the queries that one step hands to the module, which needs some
 	// milliseconds for so many.
 	maxQueriesPerStep = 512
-	// manyAttempts is how many attempts a step has to start for the next step to follow at once,
+	// minAttemptsToStepAgain is how many attempts a step has to start for the next step to follow at once,
 	// without new queries. The module may have more to start then, and should do so before it is given
 	// new queries: those that can't be decided in time stay in the arrivals, where the module sees how
 	// long they waited.
-	manyAttempts = 64
-	// idleTimer is the time that the timer runs for until the module first sets it.
-	idleTimer = time.Hour
+	minAttemptsToStepAgain = 64
+	// initialTimerDelay is the time that the timer runs for until the module first sets it.
+	initialTimerDelay = time.Hour
 )
 
 // Engines sends attempts and health checks to engines. The loop's goroutine alone calls its
@@ -94,7 +94,7 @@
 		clock:      clock,
 		inbox:      make(chan message, inboxSize),
 		arrivals:   make(chan clients.QueryArrived, inboxSize),
-		timer:      time.NewTimer(idleTimer),
+		timer:      time.NewTimer(initialTimerDelay),
 		queries:    map[router.QueryID]*queryState{},
 		clientIDs:  map[string]router.QueryID{},
 		ruleEpochs: rules.Epochs{OrderingCooldown: orderingCooldown},
@@ -174,5 +174,5 @@
 		}
 		l.perform(action, now)
 	}
-	return stepAgain || started >= manyAttempts
+	return stepAgain || started >= minAttemptsToStepAgain
 }
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -144,9 +144,9 @@
 	// Posted before the loop runs, so that however slow the machine is, it waits for one step at most.
 	l.post(countsRequest{counts})
 	go l.Run(ctx)
-	first := <-counts
-	if accepted != 1000 || first.QueueFull != 200 || first.Accepted > maxQueriesPerStep {
-		t.Errorf("%d were accepted, counts %+v", accepted, first)
+	got := <-counts
+	if accepted != 1000 || got.QueueFull != 200 || got.Accepted > maxQueriesPerStep {
+		t.Errorf("%d were accepted, counts %+v", accepted, got)
 	}
 	for range accepted {
 		select {
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -86,7 +86,7 @@
 	l.counts.Disconnected++
 	q.answered = true
 	l.events = append(l.events, router.ClientDisconnected{ID: q.RouterID})
-	l.forget(q)
+	l.removeIfDone(q)
 }
 
 // attemptEnded handles the outcome of an attempt, and answers its query if it succeeded.
@@ -111,7 +111,7 @@
 	if q.answered && q.outstanding == 0 && q.ordered {
 		l.orderingKeyFreed = true
 	}
-	l.forget(q)
+	l.removeIfDone(q)
 }
 
 // attemptProgress hands a progress message of an attempt to the module.
@@ -143,8 +143,8 @@
 	}
 }
 
-// forget drops a query that is answered and has no attempt without an outcome.
-func (l *Loop) forget(q *queryState) {
+// removeIfDone drops a query that is answered and has no attempt without an outcome.
+func (l *Loop) removeIfDone(q *queryState) {
 	if !q.answered || q.outstanding > 0 {
 		return
 	}
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -59,7 +59,7 @@
 		query.TimeLeft = time.Minute
 		l.Offer(clients.QueryArrived{Query: query})
 	}
-	began := time.Now()
+	start := time.Now()
 	for i := range 200 {
 		query := <-recorder.started
 		if query.ID != fmt.Sprint("c", i) {
@@ -67,7 +67,7 @@
 		}
 		l.PostEngineEvent(engines.AttemptEnded{Query: query})
 	}
-	if took := time.Since(began); took > 5*time.Second {
+	if took := time.Since(start); took > 5*time.Second {
 		t.Errorf("took %v", took)
 	}
 }
@@ -88,9 +88,9 @@
 	const timeLeft = 2000 * time.Millisecond
 	const interval = 50 * time.Millisecond
 	now := time.Now()
-	since := func() float64 { return float64(time.Since(now)) / 1e6 }
+	clock := func() float64 { return float64(time.Since(now)) / 1e6 }
 	recorder := newEngineRecorder(100)
-	l := New(module, since, 100, 0)
+	l := New(module, clock, 100, 0)
 	l.SetEngines(recorder)
 	l.UpdateEndpoints(engineList("e"), true)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -37,7 +37,7 @@
 	ctx context.Context, from router.Cursor, maxRecords int,
 ) (memory.Part, error) {
 	reply := make(chan memory.Part, 1)
-	return ask(ctx, l, statisticsRequest{from, maxRecords, reply}, reply)
+	return call(ctx, l, statisticsRequest{from, maxRecords, reply}, reply)
 }
 
 // statistics copies a part of the module's statistics.
@@ -51,7 +51,7 @@
 // loop has ended.
 func (l *Loop) EngineStatuses(ctx context.Context) ([]router.EngineStatus, error) {
 	reply := make(chan []router.EngineStatus, 1)
-	return ask(ctx, l, engineStatusesRequest{reply}, reply)
+	return call(ctx, l, engineStatusesRequest{reply}, reply)
 }
 
 // engineStatuses adds to the module's state what the endpoint list itself says of the engines,
@@ -66,18 +66,18 @@
 	return statuses
 }
 
-// ask posts a request and waits for its reply, each no longer than ctx allows.
-func ask[T any](ctx context.Context, l *Loop, request message, reply <-chan T) (T, error) {
-	var none T
+// call posts a request and waits for its reply, each no longer than ctx allows.
+func call[T any](ctx context.Context, l *Loop, request message, reply <-chan T) (T, error) {
+	var zero T
 	select {
 	case l.inbox <- request:
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	select {
-	case answer := <-reply:
-		return answer, nil
+	case value := <-reply:
+		return value, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
--- a/internal/controller/statistics_test.go
+++ b/internal/controller/statistics_test.go
@@ -27,10 +27,10 @@
 	if engines != 1 || parts < 3 {
 		t.Errorf("%d engines in %d parts", engines, parts)
 	}
-	ended := New(nil, SystemClock(), 0, 0)
-	soon, stop := context.WithTimeout(context.Background(), 10*time.Millisecond)
-	defer stop()
-	if _, err := ended.Statistics(soon, router.Cursor{}, 1); err == nil {
+	notRunning := New(nil, SystemClock(), 0, 0)
+	shortCtx, cancelShort := context.WithTimeout(context.Background(), 10*time.Millisecond)
+	defer cancelShort()
+	if _, err := notRunning.Statistics(shortCtx, router.Cursor{}, 1); err == nil {
 		t.Error("a loop that does not run has answered")
 	}
 	module := router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{})
