--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -22,7 +22,7 @@
 // discovery, the listener, the log and files.
 const (
 	descriptorShares         = 40
-	clientShares             = 21
+	clientConnectionsShares  = 21
 	closingConnectionsShares = 1
 	engineConnectionsShares  = 12
 )
@@ -54,17 +54,17 @@
 
 // Times that depend on the settings.
 const (
-	// defaultConnect is the connect timeout of settings without one.
-	defaultConnect = 250 * time.Millisecond
-	// defaultIdle is the engines' idle timeout of settings without one.
-	defaultIdle = 10 * time.Second
-
-	// maxDrain is how long a graceful shutdown waits for queries at most, whatever their timeouts.
-	maxDrain = 3 * time.Second
-	// answerMargin is the time for the last answers, after the longest timeout or maxDrain.
+	// defaultConnectTimeout is the connect timeout of settings without one.
+	defaultConnectTimeout = 250 * time.Millisecond
+	// defaultEngineIdleTimeout is the engines' idle timeout of settings without one.
+	defaultEngineIdleTimeout = 10 * time.Second
+
+	// maxDrainTimeout is how long a graceful shutdown waits for queries at most, whatever their timeouts.
+	maxDrainTimeout = 3 * time.Second
+	// answerMargin is the time for the last answers, after the longest timeout or maxDrainTimeout.
 	answerMargin = 300 * time.Millisecond
-	// endMargin is the time until the process ends, after the longest timeout or maxDrain.
-	endMargin = 600 * time.Millisecond
+	// shutdownMargin is the time until the process ends, after the longest timeout or maxDrainTimeout.
+	shutdownMargin = 600 * time.Millisecond
 )
 
 // Times that are the same for all settings. The field of Limits with the same name says what each
@@ -103,35 +103,35 @@
 // connecting to an engine may take (250 ms), idle the time after which engines close idle
 // connections (10 s), and longest the longest timeout of a client (3 s, which is also the most that
 // is waited for).
-func For(descriptors, memoryMB int, connect, idle, longest time.Duration) *Limits {
-	if connect <= 0 {
-		connect = defaultConnect
+func For(descriptors, memoryMB int, connectTimeout, engineIdleTimeout, longestClientTimeout time.Duration) *Limits {
+	if connectTimeout <= 0 {
+		connectTimeout = defaultConnectTimeout
 	}
-	if idle <= 0 {
-		idle = defaultIdle
+	if engineIdleTimeout <= 0 {
+		engineIdleTimeout = defaultEngineIdleTimeout
 	}
-	if longest <= 0 || longest > maxDrain {
-		longest = maxDrain
+	if longestClientTimeout <= 0 || longestClientTimeout > maxDrainTimeout {
+		longestClientTimeout = maxDrainTimeout
 	}
 	memory := memoryMB << 20 * memoryPercent / 100
 	l := &Limits{
 		EventQueueLength:   eventQueueLength,
 		ConfigReadTimeout:  configReadTimeout,
 		LogInterval:        logInterval,
-		DrainTimeout:       longest + answerMargin,
-		ShutdownTimeout:    longest + endMargin,
+		DrainTimeout:       longestClientTimeout + answerMargin,
+		ShutdownTimeout:    longestClientTimeout + shutdownMargin,
 		DrainQuietPeriod:   drainQuietPeriod,
 		RuntimeMemoryBytes: int64(memory),
 	}
 	l.setClientLimits(descriptors, memory)
-	l.setEngineLimits(descriptors, memory, connect, idle)
+	l.setEngineLimits(descriptors, memory, connectTimeout, engineIdleTimeout)
 	l.setDiscoveryLimits()
 	l.setSnapshotLimits(memory)
 	return l
 }
 
 func (l *Limits) setClientLimits(descriptors, memory int) {
-	l.ClientConnections = min(descriptors*clientShares/descriptorShares,
+	l.ClientConnections = min(descriptors*clientConnectionsShares/descriptorShares,
 		memory/clientMemoryDivisor/sessionBytes)
 	l.ClosingConnections = descriptors * closingConnectionsShares / descriptorShares
 	l.ClientMessageBytes = clientMessageBytes
@@ -148,7 +148,7 @@
 	l.EarlyCancelWindow = earlyCancelWindow
 }
 
-func (l *Limits) setEngineLimits(descriptors, memory int, connect, idle time.Duration) {
+func (l *Limits) setEngineLimits(descriptors, memory int, connectTimeout, engineIdleTimeout time.Duration) {
 	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares,
 		memory/engineMemoryDivisor/sessionBytes)
 	l.AnswerHeaderBytes = answerHeaderBytes
@@ -157,12 +157,12 @@
 	l.ResultBytes = resultBytes
 	l.EngineQueueBytes = engineQueueBytes
 	l.EngineWriteTimeout = engineWriteTimeout
-	l.ConnectTimeout = connect
-	l.EngineIdleTimeout = idle / engineIdleDivisor
-	l.MinIdleBeforeEviction = connect
-	l.PingTimeout = connect
-	l.PingAfter = connect
-	l.AnswerTimeout = connect
+	l.ConnectTimeout = connectTimeout
+	l.EngineIdleTimeout = engineIdleTimeout / engineIdleDivisor
+	l.MinIdleBeforeEviction = connectTimeout
+	l.PingTimeout = connectTimeout
+	l.PingAfter = connectTimeout
+	l.AnswerTimeout = connectTimeout
 	l.QueryIDReuseDelay = queryIDReuseDelay
 }
 
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -8,12 +8,12 @@
 func TestPartsAddUp(t *testing.T) {
 	// Standard streams, the poller's two, listener, discovery, a file, its folder, and a connection
 	// being accepted.
-	const own = 10
+	const reserved = 10
 	for descriptors := 64; descriptors <= 1<<16; descriptors += descriptors/7 + 1 {
 		for _, memoryMB := range []int{32, 192, 4096} {
 			l := For(descriptors, memoryMB, 0, 0, 0)
-			if held := l.ClientConnections + l.ClosingConnections + l.EngineConnections; descriptors-held < own {
-				t.Errorf("of %d descriptors %d are handed out", descriptors, held)
+			if allotted := l.ClientConnections + l.ClosingConnections + l.EngineConnections; descriptors-allotted < reserved {
+				t.Errorf("of %d descriptors %d are handed out", descriptors, allotted)
 			}
 			if l.ClientConnections <= descriptors/3 && memoryMB == 4096 {
 				t.Errorf("of %d descriptors %d for clients, who may hold a third", descriptors, l.ClientConnections)
