--- a/internal/discovery/expiry.go
+++ b/internal/discovery/expiry.go
@@ -35,9 +35,9 @@
 	return deadline
 }
 
-// received postpones the expiry, as something was received, and reports whether that counts: not if
+// postponeExpiry postpones the expiry, as something was received, and reports whether that counts: not if
 // the address has changed since, as the new one may have later updates.
-func (w *Watcher) received() bool {
+func (w *Watcher) postponeExpiry() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.addressChanged {
--- a/internal/discovery/frame.go
+++ b/internal/discovery/frame.go
@@ -83,21 +83,21 @@
 	if state > byte(router.Gone) {
 		return Endpoint{}, fmt.Errorf("%w: state %d", ErrMalformed, state)
 	}
-	var e Endpoint
-	e.Engine = router.EngineID(fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b[recordEngine:])))
+	var endpoint Endpoint
+	endpoint.Engine = router.EngineID(fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b[recordEngine:])))
 	port := strconv.Itoa(int(binary.BigEndian.Uint16(b[recordPort:])))
-	e.Address = net.JoinHostPort(net.IP(b[recordIP:recordPort]).String(), port)
-	e.State = router.EngineState(state)
-	e.Kind = -1
+	endpoint.Address = net.JoinHostPort(net.IP(b[recordIP:recordPort]).String(), port)
+	endpoint.State = router.EngineState(state)
+	endpoint.Kind = -1
 	if kind := int(b[recordKind]); kind < len(names.MachineKindAt) {
-		e.Kind = router.KindID(kind)
+		endpoint.Kind = router.KindID(kind)
 	}
 	zone := int(b[recordZone])
-	e.Zone = router.Zone(fmt.Sprint("#", zone))
+	endpoint.Zone = router.Zone(fmt.Sprint("#", zone))
 	if zone < len(names.ZoneAt) {
-		e.Zone = router.Zone(names.ZoneAt[zone])
+		endpoint.Zone = router.Zone(names.ZoneAt[zone])
 	}
-	e.Cell = router.CellID(binary.BigEndian.Uint16(b[recordCell:]))
-	e.StartedAt = float64(binary.BigEndian.Uint64(b[recordStartedAt:]))
-	return e, nil
+	endpoint.Cell = router.CellID(binary.BigEndian.Uint16(b[recordCell:]))
+	endpoint.StartedAt = float64(binary.BigEndian.Uint64(b[recordStartedAt:]))
+	return endpoint, nil
 }
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -19,10 +19,10 @@
 }
 
 // frame is a frame of records.
-func frame(no uint64, kind byte, records ...[]byte) []byte {
+func frame(number uint64, kind byte, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
-	return append(append(binary.BigEndian.AppendUint64(b, no), kind), payload...)
+	return append(append(binary.BigEndian.AppendUint64(b, number), kind), payload...)
 }
 
 // record is an engine, at 10.1.0.9:8443 in cell 2.
@@ -36,7 +36,7 @@
 var (
 	testEndpoint = Endpoint{Address: "10.1.0.9:8443",
 		Endpoint: router.Endpoint{Engine: "s-00c41f7a", Zone: "east", Cell: 2, StartedAt: 1700000000123}}
-	wholeFrame = frame(1, 1, record(0xc41f7a, 0, 0, 0))
+	completeFrame = frame(1, 1, record(0xc41f7a, 0, 0, 0))
 )
 
 // Each kind of frame gives its update. A zone or kind that the settings do not know gets a value of its own,
@@ -46,39 +46,39 @@
 	draining.State = router.Draining
 	draining.Zone = "west"
 	draining.Kind = 1
-	strange := testEndpoint
-	strange.Kind = -1
-	strange.Zone = "#5"
+	unknown := testEndpoint
+	unknown.Kind = -1
+	unknown.Zone = "#5"
 	for _, c := range []struct {
-		name  string
-		bytes []byte
-		want  []Endpoint
-		fresh bool
-		bad   bool
+		name      string
+		bytes     []byte
+		want      []Endpoint
+		changed   bool
+		malformed bool
 	}{
 		{"nothing new", frame(3, 0), nil, false, false},
-		{"whole", wholeFrame, []Endpoint{testEndpoint}, true, false},
+		{"whole", completeFrame, []Endpoint{testEndpoint}, true, false},
 		{"changes", frame(2, 2, record(0xc41f7a, 1, 1, 1), record(0xc41f7a, 0, 5, 9)),
-			[]Endpoint{draining, strange}, true, false},
+			[]Endpoint{draining, unknown}, true, false},
 		{"an empty change", frame(2, 2), nil, true, false},
 		{"another kind", frame(2, 3), nil, false, true},
 		{"another state", frame(2, 2, record(1, 3, 0, 0)), nil, false, true},
 		{"half a record", frame(2, 2, record(1, 0, 0, 0)[:20]), nil, false, true},
 		{"nothing new, with a record", frame(2, 0, record(1, 0, 0, 0)), nil, false, true},
 		{"too short", []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1, 0}, nil, false, true},
-		{"far too long", append([]byte{0xff, 0xff, 0xff, 0xff}, wholeFrame[4:]...), nil, false, true},
-		{"cut", wholeFrame[:30], nil, false, true},
+		{"far too long", append([]byte{0xff, 0xff, 0xff, 0xff}, completeFrame[4:]...), nil, false, true},
+		{"cut", completeFrame[:30], nil, false, true},
 	} {
-		update, fresh, err := ReadFrame(bufio.NewReader(bytes.NewReader(c.bytes)), 1000, names)
-		if c.bad != (err != nil) || !c.bad && (fresh != c.fresh || !reflect.DeepEqual(update.Endpoints, c.want)) {
-			t.Errorf("%s: %+v, %t, %v", c.name, update, fresh, err)
+		update, changed, err := ReadFrame(bufio.NewReader(bytes.NewReader(c.bytes)), 1000, names)
+		if c.malformed != (err != nil) || !c.malformed && (changed != c.changed || !reflect.DeepEqual(update.Endpoints, c.want)) {
+			t.Errorf("%s: %+v, %t, %v", c.name, update, changed, err)
 		}
 	}
 }
 
 // No bytes make ReadFrame fail otherwise than by an error, or return more endpoints than they hold.
 func FuzzFrame(f *testing.F) {
-	f.Add(wholeFrame)
+	f.Add(completeFrame)
 	f.Add(frame(2, 2, record(1, 3, 0, 0)))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		for r := bufio.NewReader(bytes.NewReader(in)); ; {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -37,15 +37,15 @@
 		if err != nil {
 			return err
 		}
-		if err := w.handle(update, changed); err != nil {
+		if err := w.handleFrame(update, changed); err != nil {
 			return err
 		}
 	}
 }
 
-// handle handles one frame. Its error ends the connection: an update was skipped, or the address
+// handleFrame handles one frame. Its error ends the connection: an update was skipped, or the address
 // has changed.
-func (w *Watcher) handle(update Update, changed bool) error {
+func (w *Watcher) handleFrame(update Update, changed bool) error {
 	next := w.lastNumber + 1
 	if update.Number > next && !update.Complete || update.Number == next && !changed {
 		return fmt.Errorf("%w: number %d after %d", ErrMalformed, update.Number, w.lastNumber)
@@ -55,7 +55,7 @@
 		// an expiry.
 		return nil
 	}
-	if !w.received() {
+	if !w.postponeExpiry() {
 		return errAddressChanged
 	}
 	switch {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -25,54 +25,54 @@
 
 // fakeNetwork is a network of pipes, for use within a synctest bubble.
 type fakeNetwork struct {
-	listening map[string]chan request
-	late      bool // a dial succeeds at the moment its time is up
+	listeners map[string]chan watchRequest
+	slowDial  bool // a dial succeeds at the moment its time is up
 }
 
-// request is a connection from a watcher, and the number of the update that it knows: that is read ahead of
+// watchRequest is a connection from a watcher, and the number of the update that it knows: that is read ahead of
 // the connection's acceptance, as a socket's buffer would take it.
-type request struct {
+type watchRequest struct {
 	conn net.Conn
 	last uint64
 	err  error
 }
 
 func newFakeNetwork(addresses ...string) *fakeNetwork {
-	n := &fakeNetwork{listening: map[string]chan request{}}
+	n := &fakeNetwork{listeners: map[string]chan watchRequest{}}
 	for _, address := range addresses {
-		n.listening[address] = make(chan request, maxPending)
+		n.listeners[address] = make(chan watchRequest, maxPending)
 	}
 	return n
 }
 
 func (n *fakeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	if n.late {
+	if n.slowDial {
 		<-ctx.Done()
 	}
-	listener, known := n.listening[address]
+	listener, known := n.listeners[address]
 	if !known {
 		return nil, errRefused
 	}
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	go func() {
-		b := make([]byte, 8)
-		_, err := io.ReadFull(far, b)
-		listener <- request{conn: far, last: binary.BigEndian.Uint64(b), err: err}
+		numberBytes := make([]byte, 8)
+		_, err := io.ReadFull(serverEnd, numberBytes)
+		listener <- watchRequest{conn: serverEnd, last: binary.BigEndian.Uint64(numberBytes), err: err}
 	}()
-	return near, nil
+	return clientEnd, nil
 }
 
 // accept takes the next connection to an address, which must ask for what comes after an update.
 func (n *fakeNetwork) accept(t *testing.T, address string, last uint64) net.Conn {
 	t.Helper()
 	select {
-	case got := <-n.listening[address]:
-		t.Cleanup(func() { got.conn.Close() })
-		if got.err != nil || got.last != last {
-			t.Fatalf("asked from %d, not %d: %v", got.last, last, got.err)
+	case request := <-n.listeners[address]:
+		t.Cleanup(func() { request.conn.Close() })
+		if request.err != nil || request.last != last {
+			t.Fatalf("asked from %d, not %d: %v", request.last, last, request.err)
 		}
-		got.conn.SetDeadline(time.Now().Add(testTimeout))
-		return got.conn
+		request.conn.SetDeadline(time.Now().Add(testTimeout))
+		return request.conn
 	case <-time.After(testTimeout):
 		t.Fatal("no connection")
 		return nil
@@ -103,8 +103,8 @@
 	return watcher, updates
 }
 
-// expect checks the next update, but for its endpoints.
-func expect(t *testing.T, updates <-chan Update, want Update) {
+// expectUpdate checks the next update, but for its endpoints.
+func expectUpdate(t *testing.T, updates <-chan Update, want Update) {
 	t.Helper()
 	select {
 	case got := <-updates:
@@ -116,8 +116,8 @@
 	}
 }
 
-// change is a frame that changes an engine.
-func change(no uint64) []byte { return frame(no, frameChanges, record(0xc41f7a, 0, 0, 0)) }
+// changeFrame is a frame that changes an engine.
+func changeFrame(number uint64) []byte { return frame(number, frameChanges, record(0xc41f7a, 0, 0, 0)) }
 
 // Discovery breaks the connection, skips an update, sends what is malformed and falls silent. Each time the
 // list is asked for again from the last update, and what comes twice is reported once. The silence lasts
@@ -137,25 +137,25 @@
 			frames  [][]byte
 			updates []Update
 		}{
-			{"breaks after two", 4, [][]byte{change(5), frame(5, 0), change(6)}, []Update{{Number: 5}, {Number: 6}}},
-			{"the same again", 6, [][]byte{change(5), change(6), change(7)}, []Update{{Number: 7}}},
-			{"skips one", 7, [][]byte{change(9)}, nil},
-			{"nothing new, but one that did not come", 7, [][]byte{frame(8, 0), change(8)}, nil},
-			{"nothing new, but several", 7, [][]byte{frame(9, 0), change(8)}, nil},
+			{"breaks after two", 4, [][]byte{changeFrame(5), frame(5, 0), changeFrame(6)}, []Update{{Number: 5}, {Number: 6}}},
+			{"the same again", 6, [][]byte{changeFrame(5), changeFrame(6), changeFrame(7)}, []Update{{Number: 7}}},
+			{"skips one", 7, [][]byte{changeFrame(9)}, nil},
+			{"nothing new, but one that did not come", 7, [][]byte{frame(8, 0), changeFrame(8)}, nil},
+			{"nothing new, but several", 7, [][]byte{frame(9, 0), changeFrame(8)}, nil},
 			{"skips to a complete list", 7, [][]byte{frame(9, 1, record(1, 0, 0, 0))},
 				[]Update{{Number: 9, Complete: true}}},
-			{"malformed", 9, [][]byte{change(10), {0, 0, 0, 1}, change(11)}, []Update{{Number: 10}}},
+			{"malformed", 9, [][]byte{changeFrame(10), {0, 0, 0, 1}, changeFrame(11)}, []Update{{Number: 10}}},
 		} {
 			t.Log(c.name)
 			conn := network.accept(t, "feed", c.last)
 			conn.Write(bytes.Join(c.frames, nil))
 			for _, update := range c.updates {
-				expect(t, updates, update)
+				expectUpdate(t, updates, update)
 			}
 			conn.Close()
 		}
 		network.accept(t, "feed", 10) // and those after it stay unanswered
-		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
+		expectUpdate(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			conn.Write(frame(10, 0))
@@ -163,7 +163,7 @@
 				t.Fatal("the watcher said more than its last update")
 			}
 		}
-		expect(t, updates, Update{Number: 10})
+		expectUpdate(t, updates, Update{Number: 10})
 	})
 }
 
@@ -178,13 +178,13 @@
 		l.EndpointListExpiryDisconnected = 110 * time.Millisecond
 		_, updates := network.follow(t, "feed", 4, l)
 		first := network.accept(t, "feed", 4)
-		network.late = true
+		network.slowDial = true
 		first.Close()
 		conn := network.accept(t, "feed", 4)
-		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
-		conn.Write(change(5))
-		expect(t, updates, Update{Number: 5})
-		if len(network.listening["feed"]) > 0 {
+		expectUpdate(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
+		conn.Write(changeFrame(5))
+		expectUpdate(t, updates, Update{Number: 5})
+		if len(network.listeners["feed"]) > 0 {
 			t.Error("the list was asked for once more")
 		}
 	})
@@ -200,7 +200,7 @@
 		l.EndpointListExpiry = testTimeout
 		_, updates := network.follow(t, "feed", 4, l)
 		silent := network.accept(t, "feed", 4)
-		silent.Write(change(5))
+		silent.Write(changeFrame(5))
 		if got := <-updates; got.Number != 5 || got.Endpoints[0].State != router.Ready {
 			t.Fatalf("told %+v", got)
 		}
@@ -226,14 +226,14 @@
 		l.DiscoverySilenceTimeout = testTimeout
 		_, updates := network.follow(t, "feed", 10, l)
 		network.accept(t, "feed", 10).Close() // down
-		expect(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
+		expectUpdate(t, updates, Update{ExpiredFor: l.EndpointListExpiryDisconnected})
 		for len(updates) == 0 {
 			conn := network.accept(t, "feed", 10)
 			older := append(frame(9, frameUnchanged), frame(9, frameComplete, record(1, 0, 0, 0))...)
 			conn.Write(append(older, frame(11, frameChanges, record(2, 0, 0, 0))...))
 			conn.Read(make([]byte, 1))
 		}
-		expect(t, updates, Update{Number: 11})
+		expectUpdate(t, updates, Update{Number: 11})
 	})
 }
 
@@ -244,15 +244,15 @@
 		network := newFakeNetwork("first", "second", "third")
 		watcher, updates := network.follow(t, "first", 4, limits.For(1024, 192, time.Second, 0, 0))
 		old := network.accept(t, "first", 4)
-		old.Write(change(5))
-		expect(t, updates, Update{Number: 5})
+		old.Write(changeFrame(5))
+		expectUpdate(t, updates, Update{Number: 5})
 		watcher.SetAddress("second")
-		at := network.accept(t, "second", 5)
-		old.Write(change(6)) // crosses the move
-		at.Write(append(change(6), change(7)...))
-		expect(t, updates, Update{Number: 6})
-		expect(t, updates, Update{Number: 7})
-		at.Close()
+		current := network.accept(t, "second", 5)
+		old.Write(changeFrame(6)) // crosses the move
+		current.Write(append(changeFrame(6), changeFrame(7)...))
+		expectUpdate(t, updates, Update{Number: 6})
+		expectUpdate(t, updates, Update{Number: 7})
+		current.Close()
 		watcher.SetAddress("nobody there")
 		watcher.SetAddress("third")
 		network.accept(t, "third", 7)
