--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -9,35 +9,37 @@
 	"mintkeel/internal/pgwire"
 )
 
-// admission is what becomes of a new connection.
+// admission is the decision on a new connection.
 type admission int
 
 const (
 	// admitted connections are served.
 	admitted admission = iota
-	// rejected connections get an error that there are too many, but may still cancel a query.
+	// rejected connections get the error "too many connections", but may still cancel a query.
 	rejected
-	// dropped connections are closed at once: there is no room even to write them an error.
+	// dropped connections are closed at once: the limit of connections being closed is reached, so
+	// not even an error is written.
 	dropped
 )
 
-// idleKind is a kind of idle sessions, in the order in which they are closed to make room. A
-// session is idle while none of its messages is handled: no answer to it is missing.
+// idleKind is a kind of idle session; the kinds are in the order of eviction. A session is idle
+// while none of its messages is being handled, so that it waits for no answer.
 type idleKind int
 
 const (
-	// idleClosing sessions are being closed: nothing that they send becomes a query any more.
+	// idleClosing sessions are being closed: their input is discarded.
 	idleClosing idleKind = iota
 	// idleNoQuery sessions have not sent a query yet.
 	idleNoQuery
-	// idleBetweenQueries sessions have sent a query, and have its answer.
+	// idleBetweenQueries sessions have sent a query and received its answer.
 	idleBetweenQueries
 	// idleKinds is the number of kinds.
 	idleKinds
 )
 
-// admit decides on a new connection, which gets a cancel key and counts as a session unless it is
-// dropped. It is admitted if there is room or room can be made, and never while the server drains.
+// admit decides on a new connection. Unless it is dropped, the connection gets a cancel key and is
+// registered as a session. It is admitted if the number of sessions is below the limit or an idle
+// session can be evicted, and never while the server drains.
 func (s *Server) admit(ses *session) admission {
 	var secret [4]byte
 	rand.Read(secret[:])
@@ -60,11 +62,12 @@
 	return result
 }
 
-// evictIdle makes room for a connection, if there is none, and reports whether there is room then.
-// It closes the session that has been idle for the longest time: of those that are being closed
-// first, then of those that never sent a query, then of the others. So hundreds of connections that
-// send nothing, or that sent one query and stay, can't keep others out. Sessions younger than
-// NewConnectionGrace are spared, as their first message may be on its way. mu is held.
+// evictIdle evicts idle sessions if the limit of connections is reached, and reports whether
+// another connection fits. It evicts the session that has been idle for the longest time: first
+// among those that are being closed, then among those that never sent a query, then among the
+// others. Hundreds of connections that send nothing, or that sent one query and stay open,
+// therefore can't block others. Sessions that became idle less than NewConnectionGrace ago are not
+// evicted, as their next message may be in transit. mu is held.
 func (s *Server) evictIdle(now time.Time) bool {
 	for kind := range idleKinds {
 		for len(s.sessions) >= s.limits.ClientConnections {
@@ -88,19 +91,19 @@
 	return len(s.sessions) < s.limits.ClientConnections
 }
 
-// hasRoomForClosing reports whether there is room for a session that is being closed or rejected,
-// beside as many sessions as are served. mu is held.
+// hasRoomForClosing reports whether another session may be closed gracefully or rejected, on top of
+// the ClientConnections that are served. mu is held.
 func (s *Server) hasRoomForClosing() bool {
 	return len(s.sessions) < s.limits.ClientConnections+s.limits.ClosingConnections
 }
 
-// markIdle puts a session among the idle ones. mu is held.
+// markIdle adds a session to the idle sessions of a kind. mu is held.
 func (s *Server) markIdle(ses *session, kind idleKind) {
 	ses.idleKind = kind
 	ses.idleElement = s.idle[kind].PushBack(ses)
 }
 
-// unmarkIdle takes a session from the idle ones, if it is one. mu is held.
+// unmarkIdle removes a session from the idle sessions, if it is idle. mu is held.
 func (s *Server) unmarkIdle(ses *session) {
 	if ses.idleElement != nil {
 		s.idle[ses.idleKind].Remove(ses.idleElement)
@@ -109,7 +112,7 @@
 }
 
 // beginMessage records that a session handles a message and so is not idle. It reports whether the
-// session may go on: not if it is being closed.
+// session may handle it, which is false if the session is being closed.
 func (s *Server) beginMessage(ses *session, isQuery bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +128,8 @@
 	return true
 }
 
-// endMessage records that a session has handled its message and is idle. If the server drains the
-// session is closed, unless its client has sent another query meanwhile.
+// endMessage records that a session has handled its message and is idle. If the server is draining,
+// the session is closed, unless its client has pipelined another query.
 func (s *Server) endMessage(ses *session, isQuery bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,9 +150,9 @@
 	}
 }
 
-// beginClose starts to close an idle session: from here on nothing that it sends becomes a query,
-// and its client reads the end. The session's goroutine reads on, within bounds, until the client
-// closes too (leave). mu is held.
+// beginClose starts to close a session: from here on its input is discarded, and its client reads
+// the end of the stream. The session's goroutine keeps reading, within bounds, until the client
+// closes its side as well (endSession). mu is held.
 func (s *Server) beginClose(ses *session) {
 	if ses.closing.Swap(true) {
 		return
@@ -163,7 +166,8 @@
 	ses.conn.SetReadDeadline(ses.idleSince.Add(s.limits.ClientCloseTimeout))
 }
 
-// endSession ends a session, whatever ended it: its goroutine calls it last.
+// endSession closes the connection and removes the session, for whatever reason it ends. The
+// session's goroutine calls it last.
 func (s *Server) endSession(ses *session) {
 	s.mu.Lock()
 	s.beginClose(ses)
@@ -175,7 +179,7 @@
 	s.remove(ses)
 }
 
-// remove takes a session out of the sessions. mu is held.
+// remove unregisters a session, and ends the drain if it was the last one. mu is held.
 func (s *Server) remove(ses *session) {
 	ses.closing.Store(true)
 	s.unmarkIdle(ses)
@@ -184,7 +188,7 @@
 		return
 	}
 	select {
-	case <-s.drained: // a session may be removed twice
+	case <-s.drained: // closed already: sessions may be removed twice, or rejected during a drain
 	default:
 		close(s.drained)
 	}
--- a/internal/clients/connections_test.go
+++ b/internal/clients/connections_test.go
@@ -10,9 +10,9 @@
 	"mintkeel/internal/request"
 )
 
-// All connections are taken, and more come. Room is made of the sessions that have no open query: first of
-// those that never sent one, then of those that have been idle for longest. If all have one open, a new
-// connection is rejected, but it may still cancel.
+// More clients connect than the limit allows. Sessions without an open query are evicted: first those that
+// never sent one, then those that have been idle for longest. If every session has an open query, a new
+// connection is rejected, but it may still cancel a query.
 func TestConnectionLimit(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientConnections, l.NewConnectionGrace = 3, 0 })
 	rejectQuery := func(conn net.Conn) {
@@ -28,45 +28,45 @@
 	busy := st.connect(startMessage, queryMessage(queryText))
 	query := st.nextQuery()
 	silent := st.connect()
-	for range 2 { // the first message of the second is on its way when the third comes
+	for range 2 { // the first message of the second is in transit when the third connects
 		st.readUntil(st.connect(startMessage, message('X', "")), "")
 	}
 	if got, _ := st.readUntil(silent, ""); got != "$" {
-		t.Errorf("the one that sent nothing: %s", got)
+		t.Errorf("session that sent nothing: got %s, want it closed", got)
 	}
 	next := st.connect(startMessage, queryMessage(queryText))
 	st.nextQuery()
 	last := st.connect(startMessage, queryMessage(queryText))
 	st.nextQuery()
 	if got, _ := st.readUntil(idle, ""); got != "$" {
-		t.Errorf("the one that sent a query and stayed: %s", got)
+		t.Errorf("idle session after a query: got %s, want it closed", got)
 	}
 	if got, _ := st.readUntil(st.connect(startMessage), ""); got != "E53300$" {
-		t.Errorf("a new one while all have a query open: %s", got)
+		t.Errorf("new connection while every session has an open query: got %s, want E53300$", got)
 	}
 	query.Finish(request.Answer{Verdict: request.Succeeded})
 	if got, _ := st.readUntil(busy, "C"); got != sessionStartTypes+"TC" {
-		t.Errorf("the one with a query open: %s", got)
+		t.Errorf("session with an open query: got %s, want its answer", got)
 	}
 	got, key := st.readUntil(next, "Z")
 	if gotLast, _ := st.readUntil(last, "Z"); got != sessionStartTypes || gotLast != sessionStartTypes {
-		t.Errorf("others with a query open: %s, %s", got, gotLast)
+		t.Errorf("new sessions with an open query: got %s and %s, want the session start", got, gotLast)
 	}
 	st.waitUntil("the answered session is idle", func() bool {
 		st.server.mu.Lock()
 		defer st.server.mu.Unlock()
 		return st.server.idle[idleBetweenQueries].Len() == 1
 	})
-	st.connect(startMessage, queryMessage(queryText)) // in its place
+	st.connect(startMessage, queryMessage(queryText)) // evicts the idle session
 	st.nextQuery()
 	st.connect(startUpMessage(cancelCode, string(key)))
 	if got, _ := st.readUntil(next, "Z"); got != "E57014Z" {
-		t.Errorf("a cancel request while all are taken: %s", got)
+		t.Errorf("cancel request while no session can be evicted: got %s, want E57014Z", got)
 	}
 }
 
-// A session is closed while a query is on its way to it. The query is read and dropped, and the client finds
-// an orderly end. A close over unread bytes would be a reset.
+// A session is closed while a query is in transit to it. The query is read and discarded, and the client reads
+// an orderly end of the stream. Closing the connection with unread input would reset it.
 func TestQueryCrossesClose(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -81,7 +81,7 @@
 	} {
 		st := newServerTest(t, func(l *limits.Limits) {
 			l.ClientCloseTimeout = testTimeout
-			l.FirstQueryTimeout = 2 * testTimeout // new connections stay to the end of the test
+			l.FirstQueryTimeout = 2 * testTimeout // new connections outlive the test
 			if c.change != nil {
 				c.change(l)
 			}
@@ -93,15 +93,15 @@
 		st.waitUntil("the session is idle", func() bool { return st.server.QuietTime() > 0 })
 		c.end(st)
 		if got, orderly := st.readToEnd(conn); got != "$" || !orderly {
-			t.Errorf("%s: said %s, orderly %t", c.name, got, orderly)
+			t.Errorf("%s: got %s, orderly %t, want an orderly end", c.name, got, orderly)
 		}
-		for range 2000 { // a closed socket would answer the first by a reset, which the next meets
+		for range 2000 { // a closed socket would answer the first write with a reset, which fails the next
 			if _, err := conn.Write(queryMessage(queryText)); err != nil {
-				t.Fatalf("%s: reset under a query that crossed it: %v", c.name, err)
+				t.Fatalf("%s: the connection was reset while a query was in transit: %v", c.name, err)
 			}
 		}
 		conn.Close()
-		st.waitUntil("it is closed", func() bool {
+		st.waitUntil("the session is closed", func() bool {
 			st.server.mu.Lock()
 			defer st.server.mu.Unlock()
 			return st.server.idle[idleClosing].Len() == 0
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// QuietTime returns for how long no client has sent a query; 0 while an answer is not written yet.
+// QuietTime returns the time since a client last sent a query; 0 while an answer is not written
+// yet.
 func (s *Server) QuietTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -12,17 +13,17 @@
 	return time.Since(s.lastQueryAt)
 }
 
-// recordPipelinedQuery records when a client sent a query behind an open one.
+// recordPipelinedQuery records the time at which a client sent data behind an open query.
 func (s *Server) recordPipelinedQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastQueryAt = now
 }
 
-// Shutdown closes every session as soon as it is idle, and returns when none is left or the time
-// has come. A query that came before its session was closed is answered; what is read after that is
-// dropped, so that no query is sent to an engine and lost. It must be called once at most, and
-// before Close.
+// Shutdown closes every session as soon as it is idle, and returns when none is left or the
+// deadline has passed. A query that arrived before its session began to close is answered. Input
+// that is read after that is discarded, so that no query is sent to an engine whose answer would be
+// lost. Shutdown must be called at most once, and before Close.
 func (s *Server) Shutdown(deadline time.Time) {
 	s.mu.Lock()
 	s.draining = true
@@ -43,7 +44,7 @@
 	}
 }
 
-// Close closes all connections at once.
+// Close closes all connections at once, without waiting for open queries.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clients/draining_test.go
+++ b/internal/clients/draining_test.go
@@ -11,9 +11,10 @@
 	"mintkeel/internal/request"
 )
 
-// The server shuts down. Clients with an open query get its answer, also to a query that they sent behind it,
-// and then their connection is closed in order. The server does not wait for the rest of half a query, hands
-// over nothing that comes later, and rejects new connections. Shutdown returns when all that is done.
+// The server shuts down. A client with an open query gets its answer, and the answer to a query pipelined
+// behind it, before its connection is closed gracefully. The server does not wait for the rest of an
+// incomplete query, passes on nothing that arrives later, and rejects new connections. Shutdown returns after
+// the last session has ended.
 func TestShutdown(t *testing.T) {
 	st := newServerTest(t, func(l *limits.Limits) { l.ClientCloseTimeout, l.ClientIdleTimeout = testTimeout, 2*testTimeout })
 	busy := st.connect(startMessage, queryMessage(queryText))
@@ -24,13 +25,13 @@
 	shutdownDone := make(chan bool)
 	go func() { st.server.Shutdown(time.Now().Add(testTimeout)); close(shutdownDone) }()
 	if got, orderly := st.readToEnd(incomplete); got != "$" || !orderly {
-		t.Errorf("half a query: said %s, orderly %t", got, orderly)
+		t.Errorf("incomplete query: got %s, orderly %t, want an orderly end", got, orderly)
 	}
 	incomplete.Write(queryMessage(queryText)[12:])
 	incomplete.Close()
 	late := st.connect(startMessage)
 	if got, orderly := st.readToEnd(late); got != "E53300$" || !orderly {
-		t.Errorf("new connection: said %s, orderly %t", got, orderly)
+		t.Errorf("new connection: got %s, orderly %t, want E53300$ and an orderly end", got, orderly)
 	}
 	late.Close()
 	before := time.Now()
@@ -42,16 +43,16 @@
 	})
 	select {
 	case <-shutdownDone:
-		t.Error("over with an answer owed")
+		t.Error("Shutdown returned while a query was open")
 	default:
 	}
 	first.Finish(request.Answer{Verdict: request.Succeeded})
 	pages := slices.Repeat([][]byte{bytes.Repeat([]byte("one\ttwo\tthree\n"), 400)}, 8)
 	st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded, Pages: pages})
 	if got, orderly := st.readToEnd(busy); got != "TCZT"+strings.Repeat("D", 8*400)+"CZ$" || !orderly {
-		t.Errorf("owed two answers: said %s, orderly %t", got, orderly)
+		t.Errorf("two open queries: got %s, orderly %t, want two answers and an orderly end", got, orderly)
 	}
 	busy.Close()
 	<-shutdownDone
-	st.expectNoEvent("after the end")
+	st.expectNoEvent("after the shutdown")
 }
--- a/internal/clients/events.go
+++ b/internal/clients/events.go
@@ -2,14 +2,14 @@
 
 import "mintkeel/internal/request"
 
-// Event is something that the server reports: one of the types below that has the method event.
+// Event is an event that the server reports: one of the types below.
 type Event interface{ event() }
 
 type (
-	// QueryArrived is a query that a client has sent.
+	// QueryArrived carries a query that a client has sent.
 	QueryArrived struct{ Query *request.Query }
-	// ClientDisconnected says that a query's client has gone, or has cancelled the query. It needs no
-	// answer any more.
+	// ClientDisconnected says that the client of an open query has disconnected or has cancelled the
+	// query, which needs no answer any more.
 	ClientDisconnected struct{ Query *request.Query }
 )
 
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -12,10 +12,11 @@
 	"mintkeel/internal/request"
 )
 
-// errPipelineFull ends the session of a client that sent more behind an open query than is kept.
-var errPipelineFull = errors.New("too much behind an open command")
+// errPipelineFull ends the session of a client that pipelined more than ClientMessageBytes behind
+// an open query.
+var errPipelineFull = errors.New("too many bytes pipelined behind an open query")
 
-// execute hands a query over, waits for its answer and writes it. An error ends the session.
+// execute passes a query on, waits for its answer and writes it. An error ends the session.
 func (ses *session) execute(query *request.Query) error {
 	ses.mu.Lock()
 	ses.openQuery = query
@@ -24,7 +25,7 @@
 	answered := make(chan struct{})
 	ses.conn.SetReadDeadline(time.Time{})
 	query.OnAnswer(func() {
-		// Before answered is closed: after that the next read has a deadline of its own.
+		// Set before answered is closed: after that the next read sets a deadline of its own.
 		ses.conn.SetReadDeadline(pastDeadline)
 		close(answered)
 	})
@@ -53,11 +54,11 @@
 	return err
 }
 
-// watchForDisconnect reads on while a query is open, to notice that its client disconnects. What
-// the client sends ahead is kept, with the time at which it came, up to ClientMessageBytes; past
-// that it is dropped and the session has to end. The error is os.ErrDeadlineExceeded when the
-// answer has come, errPipelineFull if too much was sent before that, and any other when the client
-// has disconnected.
+// watchForDisconnect keeps reading while a query is open, to detect that its client disconnects.
+// Pipelined data is buffered up to ClientMessageBytes, and the time at which it arrived is
+// recorded; beyond that it is discarded and the session must end. The error is
+// os.ErrDeadlineExceeded when the answer is there, errPipelineFull if too much was pipelined before
+// the answer, and any other error if the client has disconnected.
 func (ses *session) watchForDisconnect() error {
 	maxBytes := ses.server.limits.ClientMessageBytes
 	for {
@@ -86,9 +87,9 @@
 	return net.ErrClosed
 }
 
-// abandonQuery gives up the open query, as its client no longer waits for it. If none is open and a
-// cancel request asks for it, the next query is given up if it comes within EarlyCancelWindow: the
-// request may have overtaken it.
+// abandonQuery cancels the open query, as its client no longer waits for the answer. If no query is
+// open and a cancel request is the cause, the next query is cancelled if it arrives within
+// EarlyCancelWindow: the request may have overtaken it.
 func (ses *session) abandonQuery(cancelRequest bool) {
 	ses.mu.Lock()
 	query := ses.openQuery
@@ -101,7 +102,7 @@
 	}
 }
 
-// writeAnswer writes a query's answer, and that the session is ready for the next query.
+// writeAnswer writes the answer of a query, followed by ReadyForQuery.
 func (ses *session) writeAnswer(answer request.Answer) error {
 	switch answer.Verdict {
 	case request.Rejected:
@@ -122,7 +123,7 @@
 	return ses.write(parts...)
 }
 
-// writeError answers a query with an error; the session goes on.
+// writeError answers a query with an error that does not end the session.
 func (ses *session) writeError(code, message string) error {
 	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, code, message)))
 }
--- a/internal/clients/execute_test.go
+++ b/internal/clients/execute_test.go
@@ -11,8 +11,8 @@
 	"mintkeel/internal/request"
 )
 
-// A client goes while its query is open, in each way in which clients go. The query is abandoned and its
-// answer dropped. A cancel request with a wrong key does nothing.
+// A client cancels its open query or disconnects, in each possible way. The query is abandoned and its answer
+// discarded. A cancel request with a wrong key has no effect.
 func TestClientDisconnects(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -23,12 +23,12 @@
 			st.connect(startUpMessage(cancelCode, string(key)))
 		}, "E57014Z"},
 		{"close", func(_ *serverTest, conn net.Conn, _ []byte) { conn.Close() }, "$"},
-		{"good bye", func(_ *serverTest, conn net.Conn, _ []byte) { conn.Write(message('X', "")) }, "$"},
+		{"terminate", func(_ *serverTest, conn net.Conn, _ []byte) { conn.Write(message('X', "")) }, "$"},
 		{"reset", func(_ *serverTest, conn net.Conn, _ []byte) {
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 		}, "$"},
-		{"cut within the next query", func(_ *serverTest, conn net.Conn, _ []byte) {
+		{"end of stream within the next query", func(_ *serverTest, conn net.Conn, _ []byte) {
 			conn.Write(queryMessage(queryText)[:9])
 			conn.(*net.TCPConn).CloseWrite()
 		}, "$"},
@@ -39,23 +39,23 @@
 		conn.Write(queryMessage(queryText))
 		query := st.nextQuery()
 		wrongKey := append(bytes.Clone(key[:4]), key[4]^1, key[5], key[6], key[7])
-		// Until it is closed, so has been read.
+		// The end of the connection shows that the cancel request was handled.
 		st.readUntil(st.connect(startUpMessage(cancelCode, string(wrongKey))), "")
 		c.disconnect(st, conn, key)
 		if ev := <-st.events; ev != any(ClientDisconnected{query}) {
-			t.Errorf("%s: told %+v", c.name, ev)
+			t.Errorf("%s: got event %+v, want ClientDisconnected", c.name, ev)
 		}
 		if query.Finish(request.Answer{Verdict: request.Succeeded}) {
-			t.Errorf("%s: answered after its client had left", c.name)
+			t.Errorf("%s: Finish took effect after the client had disconnected", c.name)
 		}
 		if got, _ := st.readUntil(conn, "Z"); got != c.want {
-			t.Errorf("%s: said %s", c.name, got)
+			t.Errorf("%s: got unexpected messages %s", c.name, got)
 		}
 	}
 }
 
-// A client sends a query before the answer to the last one. It is handed over after that answer, but its time
-// counts from when it came.
+// A client sends a query before the answer to its last one. The query is passed on after that answer, but its
+// timeout counts from when it arrived.
 func TestPipelinedQuery(t *testing.T) {
 	st := newServerTest(t, nil)
 	conn := st.connect(startMessage, queryMessage(queryText))
@@ -71,16 +71,16 @@
 		runtime.Gosched()
 	}
 	if len(st.events) > 0 {
-		t.Error("taken before the first was answered")
+		t.Error("the second query was passed on before the first was answered")
 	}
 	answeredAt := time.Now()
 	first.Finish(request.Answer{Verdict: request.Rejected})
 	if second := st.nextQuery(); !second.ReadAt.Before(answeredAt) {
-		t.Error("its time counts from its turn")
+		t.Error("ReadAt of the second query is after the answer to the first, want when it arrived")
 	}
 }
 
-// Queries sent ahead that are more than the usual buffer holds, but not too many, are handled one after
+// Pipelined queries that exceed the small read buffer, but not ClientMessageBytes, are handled one after
 // another.
 func TestManyPipelinedQueries(t *testing.T) {
 	st := newServerTest(t, nil)
@@ -95,28 +95,28 @@
 		st.nextQuery().Finish(request.Answer{Verdict: request.Failed})
 	}
 	if n := st.server.counts.pipelineFull.Load(); n != 0 {
-		t.Errorf("%d times too much", n)
+		t.Errorf("%d clients counted as pipelining too much, want 0", n)
 	}
 }
 
-// A client sends more behind an open query than is kept. It gets its answer, and then the error that ends its
-// session.
+// A client pipelines more than ClientMessageBytes behind an open query. It gets its answer, and then the error
+// that ends its session.
 func TestTooMuchPipelined(t *testing.T) {
 	st := newServerTest(t, nil)
 	conn := st.connect(startMessage, queryMessage(queryText))
 	query := st.nextQuery()
 	st.readUntil(conn, "Z")
 	conn.Write(bytes.Repeat(queryMessage(queryText), 4000))
-	st.waitUntil("it is too much", func() bool { return st.server.counts.pipelineFull.Load() == 1 })
+	st.waitUntil("too much is pipelined", func() bool { return st.server.counts.pipelineFull.Load() == 1 })
 	query.Finish(request.Answer{Verdict: request.Succeeded})
 	if got, orderly := st.readToEnd(conn); got != "TCZE54000$" || !orderly {
-		t.Errorf("said %s, orderly %t", got, orderly)
+		t.Errorf("got %s, orderly %t, want the answer, E54000 and an orderly end", got, orderly)
 	}
 	st.expectNoEvent("of what it wrote ahead")
 }
 
-// A client sends queries ahead and disconnects. That is noticed at once, also behind more than is held of
-// what it sent, and nothing of that is handed over.
+// A client pipelines queries and disconnects. The disconnect is detected at once, even behind more data than
+// is buffered, and no pipelined query is passed on.
 func TestDisconnectBehindPipelinedQueries(t *testing.T) {
 	for _, pipelined := range []int{1, 20, 400, 4000} {
 		st := newServerTest(t, nil)
@@ -128,12 +128,12 @@
 		select {
 		case ev := <-st.events:
 			if ev != any(ClientDisconnected{query}) {
-				t.Errorf("%d queries ahead: told %+v", pipelined, ev)
+				t.Errorf("%d pipelined queries: got event %+v, want ClientDisconnected", pipelined, ev)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("%d queries ahead: not noticed", pipelined)
+			t.Fatalf("%d pipelined queries: the disconnect was not reported", pipelined)
 		}
-		st.waitUntil("it has gone", func() bool {
+		st.waitUntil("the session has ended", func() bool {
 			st.server.mu.Lock()
 			defer st.server.mu.Unlock()
 			return len(st.server.sessions) == 0
@@ -142,8 +142,8 @@
 	}
 }
 
-// A cancel request overtakes its query, as they come on two connections. It applies to the query, unless it
-// came long before.
+// A cancel request overtakes its query, as the two use different connections. It applies to the query, unless
+// it arrived more than EarlyCancelWindow before.
 func TestCancelOvertakesQuery(t *testing.T) {
 	for _, c := range []struct {
 		window time.Duration
@@ -152,15 +152,15 @@
 		st := newServerTest(t, func(l *limits.Limits) { l.EarlyCancelWindow = c.window })
 		conn := st.connect(startMessage)
 		_, key := st.readUntil(conn, "Z")
-		// Until it is closed, so has taken effect.
+		// The end of the connection shows that the cancel request has taken effect.
 		st.readUntil(st.connect(startUpMessage(cancelCode, string(key))), "")
 		conn.Write(queryMessage(queryText))
 		if c.window == 0 {
 			st.nextQuery().Finish(request.Answer{Verdict: request.Succeeded})
 		}
 		if got, _ := st.readUntil(conn, "Z"); got != c.want {
-			t.Errorf("within %v: said %s", c.window, got)
+			t.Errorf("window %v: got unexpected messages %s", c.window, got)
 		}
-		st.expectNoEvent("of a query whose cancel came ahead")
+		st.expectNoEvent("query that was cancelled early")
 	}
 }
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -11,13 +11,14 @@
 	"mintkeel/router"
 )
 
-// noTenant is the tenant of a query that names none.
+// noTenant is the tenant of a query without a tenant.
 const noTenant router.TenantID = -1
 
-// maxAllowanceFraction bounds limits.AnswerAllowance for short timeouts: to an eighth of them.
+// maxAllowanceFraction bounds limits.AnswerAllowance to an eighth of the client's timeout, which
+// matters for short timeouts.
 const maxAllowanceFraction = 8
 
-// queryError is why a query can't be used, as its client gets it.
+// queryError is the error that is returned to the client of an invalid query.
 type queryError struct {
 	code    string // one of the Code... of package pgwire
 	message string
@@ -25,7 +26,7 @@
 
 func (e *queryError) Error() string { return e.message }
 
-// handleQuery answers a query message, by running the query if it can be used.
+// handleQuery handles a query message: it runs a valid query and answers others with an error.
 func (ses *session) handleQuery(body []byte, size int, readAt time.Time) error {
 	text, wellFormed := pgwire.QueryText(body)
 	if !wellFormed {
@@ -37,18 +38,19 @@
 		return ses.write(pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 	}
 	query, queryErr := ses.parseQuery(text, readAt)
-	ses.reader.Discard(size) // only now, as text is in the buffer
+	ses.reader.Discard(size) // after parsing, as text refers to the buffer
 	if queryErr == nil {
 		return ses.execute(query)
 	}
-	if queryErr.code != pgwire.CodeRule { // the operator's rules count and name what they refuse
+	if queryErr.code != pgwire.CodeRule { // applyRules counts rejections, by rule
 		ses.server.counts.badQueries.Add(1)
 		ses.server.logBadClient(ses, queryErr.message)
 	}
-	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, queryErr.code, queryErr.message)))
+	return ses.write(pgwire.AppendReady(
+		pgwire.AppendError(nil, false, queryErr.code, queryErr.message)))
 }
 
-// isBlank reports whether a text holds no statement.
+// isBlank reports whether a text contains no statement: white space and semicolons only.
 func isBlank(text []byte) bool {
 	for _, c := range text {
 		if c != ' ' && c != '\t' && c != '\r' && c != '\n' && c != ';' {
@@ -58,7 +60,7 @@
 	return true
 }
 
-// parseQuery makes a query of a text, and has the operator's rules change it.
+// parseQuery parses the text of a query and applies the operator's rules to the query.
 func (ses *session) parseQuery(text []byte, readAt time.Time) (*request.Query, *queryError) {
 	f, err := pgwire.ParseQuery(text)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return query, nil
 }
 
-// findClass returns the query class of a name. Its error is a *pgwire.FieldError.
+// findClass returns the query class with a name. Its error is a *pgwire.FieldError.
 func findClass(names *settings.Names, name string) (router.ClassID, error) {
 	class, known := names.Classes[name]
 	if !known {
@@ -122,8 +124,8 @@
 	return class, nil
 }
 
-// findTenant returns the tenant of a name; noTenant if there is no name, or the settings have no
-// tenants. Its error is a *pgwire.FieldError.
+// findTenant returns the tenant with a name, or noTenant if the name is empty or the settings
+// define no tenants. Its error is a *pgwire.FieldError.
 func findTenant(names *settings.Names, name string) (router.TenantID, error) {
 	tenant, known := names.Tenants[name]
 	switch {
@@ -136,7 +138,7 @@
 	return 0, &pgwire.FieldError{Field: pgwire.FieldTenant, Why: why}
 }
 
-// fieldError is the answer to a field that can't be used.
+// fieldError converts the error of a missing or invalid field into the error for the client.
 func fieldError(err error) *queryError {
 	code := pgwire.CodeField
 	var field *pgwire.FieldError
@@ -146,13 +148,13 @@
 	return &queryError{code, err.Error()}
 }
 
-// answerWithin is how long after its reading a query must be answered at the latest, by its
-// client's timeout in ms. Some of the timeout is left for the answer to reach the client: an answer
-// that is written just before the timeout would come too late.
+// answerWithin returns the time, from when a query was read, within which it must be answered,
+// given its client's timeout in ms. It is shorter than the timeout, as the answer still has to
+// reach the client: one that is written just before the timeout would arrive too late.
 func (ses *session) answerWithin(timeoutMS float64) time.Duration {
 	timeout := duration(timeoutMS)
 	return timeout - min(ses.server.limits.AnswerAllowance, timeout/maxAllowanceFraction)
 }
 
-// duration converts a time in ms.
+// duration converts a number of milliseconds.
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/clients/rules.go
+++ b/internal/clients/rules.go
@@ -13,23 +13,23 @@
 	"mintkeel/router"
 )
 
-// maxRulesShown is how many rules have their counts printed: the first ones that matched.
+// maxRulesShown bounds the rules in RuleCounts, which has the first ones that have matched.
 const maxRulesShown = 50
 
-// ruleSet is the operator's rules with counts of how often each matched. Sessions share it.
+// ruleSet holds the operator's rules and the match count of each. All sessions share it.
 type ruleSet struct {
 	set     *rules.Set
-	matched []atomic.Int64 // by rule
-	refused atomic.Int64   // queries
-	scratch sync.Pool      // of *rules.Scratch: one for each query that is being matched
+	matched []atomic.Int64 // matches, by rule
+	refused atomic.Int64   // queries that a rule rejected
+	scratch sync.Pool      // of *rules.Scratch, one for each query that is being matched
 }
 
-// ExpectRules says, before Serve, that there may be rules: queries then carry what rules see of
-// them (request.Query.RuleInput). The loop needs that to find their ordering keys, as rules may
-// change while a query is on its way.
+// ExpectRules declares that rules may be set: queries then carry their input to the rules
+// (request.Query.RuleInput). The event loop needs it to compute their ordering keys, as rules may
+// change while a query is in flight. ExpectRules must be called before Serve.
 func (s *Server) ExpectRules() { s.rulesPossible = true }
 
-// SetRules applies these rules to queries that are read from now on; nil: none.
+// SetRules replaces the rules that are applied to queries read from now on; nil removes all rules.
 func (s *Server) SetRules(set *rules.Set) {
 	if set == nil || set.Len() == 0 {
 		s.ruleSet.Store(nil)
@@ -42,7 +42,7 @@
 	})
 }
 
-// RuleCounts prints how often each rule matched since the rules were set.
+// RuleCounts returns, for the log, how often each rule matched since the rules were set.
 func (s *Server) RuleCounts() slog.Value {
 	r := s.ruleSet.Load()
 	if r == nil {
@@ -60,8 +60,8 @@
 	return slog.GroupValue(counts...)
 }
 
-// applyRules has the operator's rules change a query that is not handed over yet. If they refuse
-// it, rejection is their text; empty: they don't.
+// applyRules applies the operator's rules to a query before it is passed on. rejection is the
+// message of the rule that rejects the query; empty if none does.
 func (s *Server) applyRules(query *request.Query, input rules.Query) (rejection string) {
 	r := s.ruleSet.Load()
 	if r == nil {
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// ruleInput is a query as rules see it.
+// ruleInput returns the input of a query to the rules.
 func ruleInput(
 	f pgwire.Fields, class router.ClassID, table pgwire.Table, application, listener string,
 ) rules.Query {
@@ -112,8 +112,8 @@
 	return input
 }
 
-// RuleInput returns a query as rules see it, to try rules without a controller. Its error is a
-// *pgwire.FieldError, which names the field that can't be used.
+// RuleInput parses a query into its input to the rules, so that rules can be tested without a
+// controller. Its error is a *pgwire.FieldError, which names the invalid field.
 func RuleInput(
 	query []byte, names *settings.Names, application, listener string,
 ) (rules.Query, error) {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -15,7 +15,7 @@
 	"mintkeel/router"
 )
 
-// Server is the sessions of all clients.
+// Server accepts client connections and holds their sessions.
 type Server struct {
 	// Set by New and not changed:
 	limits     *limits.Limits
@@ -23,7 +23,7 @@
 	classes    []router.QueryClass
 	report     func(Event)             // may block
 	offer      func(QueryArrived) bool // never blocks
-	retryAfter func() time.Duration    // for a query that was not accepted
+	retryAfter func() time.Duration    // the retry delay for a query that offer did not accept
 	log        *slog.Logger
 
 	rulesPossible bool                    // set before Serve
@@ -31,37 +31,37 @@
 
 	counts counts
 
-	mu       sync.Mutex          // guards all below; it is held for no I/O that waits
-	sessions map[uint32]*session // all that are connected, by the number in their cancel keys
-	lastID   uint32              // the last number that was given to a session
+	mu       sync.Mutex          // guards all below; never held during blocking I/O
+	sessions map[uint32]*session // all sessions, by the session id of their cancel keys
+	lastID   uint32              // the last session id that was assigned
 
-	// idle are the idle sessions, by kind, with the longest idle first.
+	// idle holds the idle sessions by kind, each list with the longest idle session first.
 	idle [idleKinds]list.List
 
-	busySessions int           // sessions with a query that has no written answer yet
+	busySessions int           // sessions with a query whose answer is not written yet
 	lastQueryAt  time.Time     // when a client last sent a query
 	draining     bool          // Shutdown or Close was called
 	drained      chan struct{} // closed when no session is left after Shutdown has begun
-	lastLogged   time.Time     // when a bad client was last logged
+	lastLogged   time.Time     // when a client error was last logged
 }
 
-// counts are what the server has seen since its start.
+// counts holds the server's counters since its start.
 type counts struct {
 	connections  atomic.Int64
-	rejected     atomic.Int64 // connections for which there was no room
-	evicted      atomic.Int64 // connections closed to make room for others
-	timedOut     atomic.Int64 // clients that did not send a whole message in time
-	malformed    atomic.Int64 // messages that the protocol does not know
-	tooLong      atomic.Int64 // messages
-	pipelineFull atomic.Int64 // clients that sent too much behind an open query
+	rejected     atomic.Int64 // connections rejected or dropped
+	evicted      atomic.Int64 // idle connections closed in favor of new ones
+	timedOut     atomic.Int64 // clients that did not send a complete message in time
+	malformed    atomic.Int64 // messages that violate the protocol
+	tooLong      atomic.Int64 // messages longer than ClientMessageBytes
+	pipelineFull atomic.Int64 // clients that pipelined too much behind an open query
 	queries      atomic.Int64
-	badQueries   atomic.Int64 // queries with a field that can't be used
+	badQueries   atomic.Int64 // queries with a missing or invalid field
 	cancels      atomic.Int64 // cancel requests
 }
 
-// New returns a server. Queries are handed to offer; one that it does not accept is rejected, with
-// the time that retryAfter returns. Other events are handed to report, which may block its caller.
-// classes are those of the settings, by names.Classes.
+// New returns a server. Queries are passed to offer; a query that it does not accept is rejected
+// with the retry delay that retryAfter returns. Other events are passed to report, which may block
+// its caller. classes holds the query classes of the settings, indexed by the ids in names.Classes.
 func New(
 	l *limits.Limits, names *settings.Names, classes []router.QueryClass,
 	offer func(QueryArrived) bool, retryAfter func() time.Duration, report func(Event),
@@ -81,7 +81,7 @@
 	}
 }
 
-// Serve accepts connections until the listener is closed, and serves each by a goroutine of its
+// Serve accepts connections until the listener is closed, and serves each on a goroutine of its
 // own. It returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
@@ -89,7 +89,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // descriptors may be short, for as long as it takes until some are closed
+		if err != nil { // the process may be out of descriptors until some are closed
 			s.log.Warn("accept failed", "why", err)
 			time.Sleep(s.limits.AcceptRetryDelay)
 			continue
@@ -99,7 +99,7 @@
 	}
 }
 
-// serveConn serves a connection as far as there is room for it. It does not wait.
+// serveConn starts to serve, or to reject, a new connection. It does not block.
 func (s *Server) serveConn(conn net.Conn) {
 	ses := newSession(s, conn)
 	switch s.admit(ses) {
@@ -119,8 +119,8 @@
 	}
 }
 
-// cancel gives up the query that the session of a key has open, or is about to have: a cancel
-// request can overtake its query, as they come on two connections.
+// cancel cancels the open query of the session with this key, or the query that arrives next: a
+// cancel request can overtake its query, as the two use different connections.
 func (s *Server) cancel(key pgwire.CancelKey) {
 	s.counts.cancels.Add(1)
 	s.mu.Lock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// logBadClient logs what a client did wrong, unless another was logged just now.
+// logBadClient logs why a client's input is invalid, at most once per LogInterval for all clients.
 func (s *Server) logBadClient(ses *session, why string) {
 	s.mu.Lock()
 	now := time.Now()
@@ -141,12 +141,12 @@
 	}
 	s.mu.Unlock()
 	if due {
-		s.log.Info("bad client", "from", ses.conn.RemoteAddr(), "why", why)
+		s.log.Info("invalid client input", "from", ses.conn.RemoteAddr(), "why", why)
 	}
 }
 
-// LogValue prints the server's counts. The keys are those that docs/oncall.md explains and
-// operators' tools read; they are mapped to the glossary's terms here alone.
+// LogValue returns the server's counters for the log. docs/oncall.md documents the keys and
+// operators' tools parse them; they are mapped to the glossary's terms only here.
 func (s *Server) LogValue() slog.Value {
 	s.mu.Lock()
 	open := len(s.sessions)
--- a/internal/clients/server_test.go
+++ b/internal/clients/server_test.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	// testTimeout is how long a test waits for what must come.
+	// testTimeout is how long a test waits for an expected event.
 	testTimeout = 10 * time.Second
-	// queryFields are the fields of queryText, which a query message may hold.
+	// queryFields is the comment with the fields of queryText, the text of a valid query.
 	queryFields = "/* verb=report,txn=9b1f03aa5c7e2d41,limit=1500 */ "
 	queryText   = queryFields + "SELECT 1 FROM sales_17.orders"
-	// cancelCode begins a cancel request, and sslCode a request for encryption.
+	// cancelCode is the code of a cancel request, and sslCode that of a request for encryption.
 	cancelCode = 80877102
 	sslCode    = 80877103
 )
 
-// startUpMessage is a connection's first message, of a code and what follows it.
+// startUpMessage returns the first message of a connection: a code and its payload.
 func startUpMessage(code uint32, rest string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(rest)))
 	return append(binary.BigEndian.AppendUint32(b, code), rest...)
 }
 
-// message is a message of a type.
+// message returns a message of a type.
 func message(kind byte, body string) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, uint32(4+len(body))), body...)
 }
 
-// queryMessage is a simple query.
+// queryMessage returns the message of a simple query.
 func queryMessage(text string) []byte { return message('Q', text+"\x00") }
 
 // startMessage opens a session.
 var startMessage = startUpMessage(3<<16, "user\x00app\x00database\x00core\x00\x00")
 
-// sessionStartTypes are the types of the messages that open a session.
+// sessionStartTypes are the types of the messages that the server opens a session with.
 const sessionStartTypes = "RSSSSSSKZ"
 
-// serverTest is a running server. The test takes the place of the loop and of the clients.
+// serverTest is a running server. The test acts as the event loop and as the clients.
 type serverTest struct {
 	t          *testing.T
 	server     *Server
 	address    string
 	events     chan any
-	rejectNext chan bool // with something in it: the next query is not accepted
+	rejectNext chan bool // if it holds a value, the next query is not accepted
 }
 
 func newServerTest(t *testing.T, change func(*limits.Limits)) *serverTest {
@@ -87,7 +87,7 @@
 	return st
 }
 
-// connect opens a connection and sends messages on it.
+// connect opens a connection and writes messages to it.
 func (st *serverTest) connect(messages ...[]byte) net.Conn {
 	st.t.Helper()
 	conn, err := net.Dial("tcp", st.address)
@@ -102,8 +102,8 @@
 	return conn
 }
 
-// readUntil reads messages until one of a type in until, or the end ("$"). It returns the types, with the
-// codes of errors, and the session's cancel key if it came.
+// readUntil reads messages until one has a type in until, or until the end of the stream ("$"). It returns the
+// types, each error with its code, and the session's cancel key if there was one.
 func (st *serverTest) readUntil(conn net.Conn, until string) (types string, key []byte) {
 	st.t.Helper()
 	for {
@@ -126,7 +126,7 @@
 	}
 }
 
-// readToEnd reads to the end of a connection, and reports whether that was an orderly one and no reset.
+// readToEnd reads to the end of a connection, and reports whether it ended in order, without a reset.
 func (st *serverTest) readToEnd(conn net.Conn) (types string, orderly bool) {
 	st.t.Helper()
 	types, _ = st.readUntil(conn, "")
@@ -134,7 +134,7 @@
 	return types, err == io.EOF
 }
 
-// nextQuery returns the next query that is handed over.
+// nextQuery returns the next query that the server passes on.
 func (st *serverTest) nextQuery() *request.Query {
 	st.t.Helper()
 	select {
@@ -142,27 +142,27 @@
 		if arrived, ok := ev.(QueryArrived); ok {
 			return arrived.Query
 		}
-		st.t.Fatalf("handed over %+v", ev)
+		st.t.Fatalf("got event %+v, want QueryArrived", ev)
 	case <-time.After(testTimeout):
-		st.t.Fatal("no query was handed over")
+		st.t.Fatal("no query was passed on in time")
 	}
 	return nil
 }
 
-// expectNoEvent checks that nothing was handed over.
+// expectNoEvent checks that the server has reported no event.
 func (st *serverTest) expectNoEvent(what string) {
 	st.t.Helper()
 	if len(st.events) > 0 {
-		st.t.Errorf("%s: handed over %+v", what, <-st.events)
+		st.t.Errorf("%s: got event %+v, want none", what, <-st.events)
 	}
 }
 
-// waitUntil waits for what another goroutine brings about.
+// waitUntil waits for a condition that another goroutine brings about.
 func (st *serverTest) waitUntil(what string, done func() bool) {
 	st.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !done(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			st.t.Fatalf("never: %s", what)
+			st.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -17,32 +17,32 @@
 	"mintkeel/internal/request"
 )
 
-// session is one client's connection. Its goroutine owns all fields that are not marked otherwise.
+// session is a client connection. Its goroutine owns all fields that are not marked otherwise.
 type session struct {
 	server         *Server
 	conn           net.Conn
-	smallReader    *bufio.Reader    // of the size that most messages need
-	reader         *bufio.Reader    // smallReader, or a larger one for a while
+	smallReader    *bufio.Reader    // large enough for most messages
+	reader         *bufio.Reader    // smallReader, or a larger one while a message needs it
 	key            pgwire.CancelKey // set by admit
-	application    string           // the client's name for itself
+	application    string           // the application name from the start-up message
 	connectedAt    time.Time
-	pipelinedAt    time.Time // when the next message came, if that was while a query was open; else zero
-	sentValidQuery bool      // it has sent a query that could be used
-	skipToSync     bool      // messages of the extended protocol are dropped until a Sync
-	sentQuery      bool      // it has sent a query; written under the server's mutex
+	pipelinedAt    time.Time // when the first data pipelined behind an open query arrived; else zero
+	sentValidQuery bool      // it has sent a valid query
+	skipToSync     bool      // messages of the extended protocol are discarded until a Sync
+	sentQuery      bool      // it has sent a query message; written under the server's mutex
 
 	// Guarded by the server's mutex:
 	idleSince   time.Time     // when it last became idle
-	idleElement *list.Element // its place among the server's idle sessions; nil: it is not idle
+	idleElement *list.Element // its element in the server's list of idle sessions; nil: it is not idle
 	idleKind    idleKind      // of idleElement
 
-	closing atomic.Bool // nothing that it sends becomes a query any more; set under the server's mutex
+	closing atomic.Bool // input is discarded from now on; set under the server's mutex
 
-	// Cancel requests reach the following from other sessions.
+	// Accessed also by other sessions, for cancel requests:
 
 	mu            sync.Mutex     // guards all below
 	openQuery     *request.Query // nil: none
-	earlyCancelAt time.Time      // of a cancel request that came while no query was open
+	earlyCancelAt time.Time      // when a cancel request came while no query was open
 }
 
 func newSession(s *Server, conn net.Conn) *session {
@@ -51,7 +51,7 @@
 	return &session{server: s, conn: conn, smallReader: r, reader: r, connectedAt: now, idleSince: now}
 }
 
-// pastDeadline is a deadline that has passed: it ends a read.
+// pastDeadline is a deadline in the past, which ends a pending read.
 var pastDeadline = time.Unix(1, 0)
 
 // run serves the session until it ends.
@@ -86,8 +86,8 @@
 	}
 }
 
-// reject writes a client the error that there is no room for it. One that came to cancel a query
-// needs no session, and is served.
+// reject answers a new connection with the error "too many connections". A cancel request needs no
+// session and is still served.
 func (ses *session) reject() {
 	ses.conn.SetReadDeadline(ses.connectedAt.Add(ses.server.limits.ClientCloseTimeout))
 	if ses.readStartUp() {
@@ -121,7 +121,8 @@
 // errTerminated ends the session of a client that has sent a Terminate message.
 var errTerminated = errors.New("terminated by the client")
 
-// handleMessage handles one whole message and takes it from the buffer. An error ends the session.
+// handleMessage handles one complete message and removes it from the buffer. An error ends the
+// session.
 func (ses *session) handleMessage(kind byte, body []byte, size int, readAt time.Time) error {
 	switch kind {
 	case pgwire.MessageTerminate:
@@ -133,7 +134,7 @@
 		ses.skipToSync = false
 		return ses.write(pgwire.AppendReady(nil))
 	case pgwire.MessageCopyData, pgwire.MessageCopyDone, pgwire.MessageCopyFail:
-		ses.reader.Discard(size) // clients may still send it after an error
+		ses.reader.Discard(size) // clients may still send these after an error
 		return nil
 	case pgwire.MessageParse, pgwire.MessageBind, pgwire.MessageExecute, pgwire.MessageDescribe,
 		pgwire.MessageClose, pgwire.MessageFlush, pgwire.MessageFunctionCall:
@@ -144,8 +145,8 @@
 }
 
 // refuseUnsupported answers a message of the extended protocol, or a function call, with an error.
-// As the protocol has it, what follows is dropped up to the next Sync, but not after a function
-// call, which is answered on its own.
+// As the protocol requires, messages after one of the extended protocol are discarded up to the
+// next Sync; a function call has an answer of its own and does not affect later messages.
 func (ses *session) refuseUnsupported(kind byte) error {
 	if ses.skipToSync {
 		return nil
@@ -159,13 +160,13 @@
 	return ses.write(reply)
 }
 
-// nextMessage waits for a whole message, which stays in the buffer. A client that has never sent a
-// query has FirstQueryTimeout for all that it does; one that has begun a message has
-// ClientMessageTimeout for the rest of it, and one between two queries has ClientIdleTimeout.
+// nextMessage waits for a complete message, which stays in the buffer. A client must send its first
+// query within FirstQueryTimeout of connecting, the rest of a message within ClientMessageTimeout
+// of its first byte, and its next message within ClientIdleTimeout.
 func (ses *session) nextMessage() (kind byte, body []byte, size int, err error) {
 	l := ses.server.limits
 	if ses.reader != ses.smallReader && ses.reader.Buffered() == 0 {
-		ses.reader = ses.smallReader // so that clients that are idle don't keep large buffers
+		ses.reader = ses.smallReader // idle clients must not keep large buffers
 	}
 	ses.setReadTimeout(l.ClientIdleTimeout)
 	_, err = ses.reader.Peek(1)
@@ -181,13 +182,15 @@
 	return kind, body, size, err
 }
 
-// setReadTimeout sets the deadline of the next reads. A session that is being closed has
-// ClientCloseTimeout: beginClose sets the flag closing and then a deadline, while this sets a
-// deadline and then reads the flag, so whichever comes first the close's deadline is the last set.
+// setReadTimeout sets the deadline of the next reads. For a session that is being closed it is
+// ClientCloseTimeout: beginClose sets the closing flag and then the deadline, while setReadTimeout
+// sets the deadline and then reads the flag, so in either order the deadline of the close is set
+// last.
 func (ses *session) setReadTimeout(timeout time.Duration) {
 	l := ses.server.limits
 	deadline := time.Now().Add(timeout)
-	if firstQueryDeadline := ses.connectedAt.Add(l.FirstQueryTimeout); !ses.sentQuery && firstQueryDeadline.Before(deadline) {
+	if firstQueryDeadline := ses.connectedAt.Add(l.FirstQueryTimeout); !ses.sentQuery &&
+		firstQueryDeadline.Before(deadline) {
 		deadline = firstQueryDeadline
 	}
 	ses.conn.SetReadDeadline(deadline)
@@ -196,7 +199,7 @@
 	}
 }
 
-// enlargeBuffer replaces the read buffer by a larger one, with the bytes that it holds.
+// enlargeBuffer replaces the read buffer with a larger one and keeps the buffered bytes.
 func (ses *session) enlargeBuffer(size int) {
 	buffered, _ := ses.reader.Peek(ses.reader.Buffered())
 	rest := io.MultiReader(bytes.NewReader(bytes.Clone(buffered)), ses.conn)
@@ -205,8 +208,8 @@
 	ses.smallReader.Reset(ses.conn)
 }
 
-// failRead writes a client the error that ends its session, by the error of a read; what names what
-// was read. A client that has gone, or was idle for too long, gets none.
+// failRead writes the error that ends a session after a failed read; what names what was being
+// read. A client that has disconnected, or was idle between queries for too long, gets no error.
 func (ses *session) failRead(err error, what string) {
 	c := &ses.server.counts
 	switch {
@@ -219,18 +222,18 @@
 		ses.endWithError(pgwire.CodeTooLong,
 			fmt.Sprintf("%s: holds %d bytes at most", what, ses.server.limits.ClientMessageBytes))
 	case errors.Is(err, os.ErrDeadlineExceeded) && (ses.reader.Buffered() > 0 || !ses.sentQuery):
-		c.timedOut.Add(1) // with half a message or, if it never sent a query, with none
+		c.timedOut.Add(1) // within a message, or before the first query
 		ses.endWithError(pgwire.CodeProtocol, what+": not whole in time")
 	}
 }
 
-// endWithError logs why a session ends, and writes it to the client as a fatal error.
+// endWithError logs why a session ends and writes the reason to the client as a fatal error.
 func (ses *session) endWithError(code, why string) {
 	ses.server.logBadClient(ses, why)
 	ses.write(pgwire.AppendError(nil, true, code, why))
 }
 
-// write writes all parts at once, within ClientWriteTimeout.
+// write writes all parts in one call, within ClientWriteTimeout.
 func (ses *session) write(parts ...[]byte) error {
 	ses.conn.SetWriteDeadline(time.Now().Add(ses.server.limits.ClientWriteTimeout))
 	buffers := net.Buffers(parts)
