--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -7,7 +7,7 @@
 	"mintkeel/router"
 )
 
-// perform carries out one action of the step at now (ms).
+// perform carries out one action of the step at the time now, in ms.
 func (l *Loop) perform(action router.Action, now float64) {
 	switch a := action.(type) {
 	case router.StartAttempt:
@@ -25,12 +25,12 @@
 	case router.SetTimer:
 		l.timer.Reset(max(0, duration(a.After)))
 	case router.Subscribe:
-		// Discovery is watched at all times.
+		// Nothing to do: the discovery watcher always runs.
 	}
 }
 
-// startAttempt starts the next attempt of a query. The module starts attempts only of queries that
-// it was given and has not ended.
+// startAttempt starts the next attempt of a query. The module starts attempts only for queries that
+// are in flight.
 func (l *Loop) startAttempt(a router.StartAttempt, now float64) {
 	q := l.queries[a.ID]
 	attempt := router.AttemptID(len(q.attempts))
@@ -39,13 +39,13 @@
 	l.counts.Attempts++
 	startWithin := time.Duration(0) // no limit
 	if a.StartBy > 0 {
-		// A time that has passed must stay a limit, and not become 0.
+		// A time in the past must remain a limit; 0 would mean none.
 		startWithin = max(1, duration(a.StartBy-now))
 	}
 	l.engines.StartAttempt(q.Query, attempt, a.Engine, duration(a.Deadline-now), startWithin)
 }
 
-// cancelAttempt cancels an attempt, if it is known.
+// cancelAttempt cancels an attempt, unless its query is no longer in flight.
 func (l *Loop) cancelAttempt(a router.CancelAttempt) {
 	q := l.queries[a.ID]
 	if q == nil || int(a.Attempt) >= len(q.attempts) {
@@ -55,8 +55,8 @@
 	l.engines.CancelAttempt(q.Query, a.Attempt, q.attempts[a.Attempt])
 }
 
-// finishQuery gives a query the module's final answer. Its state is kept until all of its
-// attempts have an outcome, as later actions may still cancel them.
+// finishQuery gives a query the module's final answer. Its state is kept until all of its attempts
+// have an outcome, as later actions may still cancel them.
 func (l *Loop) finishQuery(id router.QueryID, answer request.Answer) {
 	if q := l.queries[id]; q != nil && !q.answered {
 		l.answerQuery(q, answer)
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -6,16 +6,16 @@
 	"mintkeel/router"
 )
 
-// Counts are what the loop has seen and done since its start.
+// Counts holds the loop's counters since its start.
 type Counts struct {
 	Accepted        int64 // queries handed to the module
 	Answered        int64 // queries answered with the result of an attempt
 	Rejected        int64 // queries rejected by the module
 	Failed          int64 // queries failed by the module
-	Disconnected    int64 // queries that lost their client before the answer
-	Duplicates      int64 // queries failed as their id was in flight; not in Accepted
+	Disconnected    int64 // queries whose client disconnected before the answer
+	Duplicates      int64 // queries failed as their id was in flight already; not in Accepted
 	QueueFull       int64 // queries rejected as the arrivals were full; not in Accepted
-	Open            int64 // queries without a final answer, now
+	Open            int64 // queries without a final answer at this time
 	Attempts        int64
 	Cancels         int64 // of attempts
 	HealthChecks    int64
@@ -23,7 +23,7 @@
 	Outcomes        [router.Withdrawn + 1]int64 // of attempts
 }
 
-// outcomeNames are the outcomes as they are printed. Operators' tools read them, so the words stay.
+// outcomeNames maps outcomes to their log keys. Operators' tools parse them, so they are stable.
 var outcomeNames = [router.Withdrawn + 1]string{
 	router.Succeeded:       "answered",
 	router.Errored:         "errored",
@@ -36,8 +36,8 @@
 	router.Withdrawn:       "withdrawn",
 }
 
-// LogValue prints the counts. The keys are those that docs/oncall.md explains and operators' tools
-// read; they are mapped to the glossary's terms here alone.
+// LogValue returns the counters for the log. docs/oncall.md documents the keys and operators' tools
+// parse them; they are mapped to the glossary's terms only here.
 func (c Counts) LogValue() slog.Value {
 	var outcomes []slog.Attr
 	for outcome, n := range c.Outcomes {
@@ -60,14 +60,14 @@
 	)
 }
 
-// Counts asks the loop for its counts and waits for them.
+// Counts requests the counters from the loop and waits for them.
 func (l *Loop) Counts() Counts {
 	reply := make(chan Counts, 1)
 	l.post(countsRequest{reply})
 	return <-reply
 }
 
-// currentCounts adds to the running counts those that are counted elsewhere.
+// currentCounts returns the counters, completed by those that are not kept in l.counts.
 func (l *Loop) currentCounts() Counts {
 	counts := l.counts
 	counts.QueueFull = l.queueFull.Load()
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,36 +1,37 @@
-// Package controller is the loop of the daemon: one goroutine that owns the decision module
-// (package router). It turns messages of the clients' side, the engines' side and discovery into
-// events of the module, and carries out the module's actions in order. It decides nothing itself.
+// Package controller is the event loop of the daemon: one goroutine that owns the decision module
+// (package router). It converts the messages of packages clients, engines and discovery into events
+// of the module and carries out the module's actions in order. It makes no decisions itself.
 //
 // # Contract
 //
-// Setting up: New, SetEngines, then KeepEndpoints, RestoreOnFirstEndpoints and UpdateEndpoints as
-// needed, then Run on a goroutine of its own. SetRules, Statistics, EngineStatuses, Counts and
-// Close wait for Run's answer and so need it to be running.
+// To set up a loop, call New and SetEngines, then KeepEndpoints, RestoreOnFirstEndpoints and
+// UpdateEndpoints as needed, and then Run on a goroutine of its own. SetRules, Statistics,
+// EngineStatuses, Counts and Close wait for a reply from Run and so must be called while it runs.
 //
-// Ownership: all state of the Loop belongs to the goroutine of Run, but for the two channels and
-// one atomic counter. No other goroutine calls the module or the Engines.
+// All state of the Loop belongs to the goroutine of Run, except for its two channels and one atomic
+// counter. No other goroutine calls the module or the Engines.
 //
-// Two ways lead in, so that answers and timeouts never wait behind new queries:
+// Messages reach the loop by two queues, so that answers and timeouts never wait behind new
+// queries:
 //
-//   - The inbox takes what engines, clients and discovery report, and requests. It holds a fixed
-//     number of messages; when it is full the poster waits, which slows down that poster's
-//     connection alone. The loop's goroutine never posts to it, as that could deadlock.
-//   - The arrivals take new queries, up to the same number. Offer never waits: when they are full
-//     the query is not accepted, and its client gets a rejection at once.
+//   - The inbox takes events of engines, clients and discovery, and requests. Its capacity is
+//     fixed; when it is full the poster waits, which slows down the poster's own connection only.
+//     The loop's goroutine never posts to the inbox, as that could deadlock.
+//   - The arrivals take new queries and have the same capacity. Offer never waits: when the
+//     arrivals are full, the query is not accepted and its client gets a rejection at once.
 //
-// One step handles all messages in the inbox and a bounded number of arrivals (maxQueriesPerStep),
-// then calls the module once. The loop waits in one place only, in Run: for a message, an arrival,
-// its timer or the end of its context. Nothing that it calls to carry out an action blocks.
+// One step handles the messages in the inbox and a bounded number of arrivals (maxQueriesPerStep),
+// then calls the module once. The loop waits only in Run: for a message, an arrival, its timer or
+// the end of its context. Nothing that it calls to carry out an action blocks.
 //
 // # A query in flight
 //
-// The loop holds a queryState from acceptance until the query has its final answer and every
-// attempt has its outcome:
+// The loop holds a queryState from the acceptance of a query until the query has its final answer
+// and every attempt has its outcome:
 //
-//	waiting          no attempt is outstanding; the module has it queued, or decides about a retry
-//	outstanding > 0  attempts were started and their outcomes have not come
-//	answered         it has its final answer, or its client has gone; nothing is started for it any
-//	                 more. Its outstanding attempts still need their outcomes: until then its ids are
-//	                 not used again, and queries with the same ordering key may have to wait for it.
+//	waiting          no attempt is outstanding; the module has it queued, or decides on a retry
+//	outstanding > 0  attempts were started that have no outcome yet
+//	answered         it has its final answer or its client has disconnected; no further attempt is
+//	                 started. Until its outstanding attempts have their outcomes, its ids are not
+//	                 reused, and queries with the same ordering key may have to wait for it.
 package controller
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -9,17 +9,17 @@
 	"mintkeel/router"
 )
 
-// KeepEndpoints has the loop keep the endpoint list, which HoldEngines and RestoreStatistics need.
-// It must be called before Run and before UpdateEndpoints.
+// KeepEndpoints makes the loop keep the endpoint list, which HoldEngines and RestoreStatistics
+// need. It must be called before Run and before UpdateEndpoints.
 func (l *Loop) KeepEndpoints() {
 	l.endpoints = map[router.EngineID]router.Endpoint{}
 	l.addresses = map[router.EngineID]string{}
 }
 
-// UpdateEndpoints handles an update of the endpoint list: the engines' side gets it before the
-// module does, so that it knows each engine that the module's actions name. cached says that the
-// update was stored before this start and is not confirmed. It is called before Run, and later by
-// the loop's goroutine alone; others call PostEndpoints.
+// UpdateEndpoints handles an update of the endpoint list. The Engines get it before the module
+// does, so that they know every engine that the module's actions name. cached means that the update
+// was stored before this start and is not confirmed. UpdateEndpoints is called before Run, and
+// later only by the loop's goroutine; other goroutines call PostEndpoints.
 func (l *Loop) UpdateEndpoints(update discovery.Update, cached bool) {
 	l.counts.EndpointUpdates++
 	event := router.EndpointsUpdated{
@@ -46,8 +46,8 @@
 	}
 }
 
-// drainIfHeld returns an endpoint of the list as the module and the engines' side get it: a ready
-// engine that is held is draining.
+// drainIfHeld returns an endpoint as it is passed to the module and the Engines: if its engine is
+// held and ready, its state becomes draining.
 func (l *Loop) drainIfHeld(endpoint router.Endpoint) router.Endpoint {
 	if l.heldEngines[endpoint.Engine] && endpoint.State == router.Ready {
 		endpoint.State = router.Draining
@@ -55,7 +55,8 @@
 	return endpoint
 }
 
-// keepEndpoints updates the kept list, which has the engines' states as received, held or not.
+// keepEndpoints updates the kept endpoint list, which has the states as received, whether or not an
+// engine is held.
 func (l *Loop) keepEndpoints(update discovery.Update) {
 	if update.Complete {
 		clear(l.endpoints)
@@ -72,14 +73,14 @@
 	}
 }
 
-// HoldEngines has these engines, and no others, treated as draining whatever the endpoint list says
-// of them: maintenance is about to take them out, or has. Once the loop has handled the call they
-// get no new attempts, like any engine that drains. It needs KeepEndpoints, and waits while the
-// inbox is full.
+// HoldEngines replaces the set of engines that are treated as draining even while the endpoint list
+// has them as ready, as maintenance takes them out of service. Once the loop has handled the call,
+// these engines get no new attempts, like any draining engine. HoldEngines needs KeepEndpoints, and
+// waits while the inbox is full.
 func (l *Loop) HoldEngines(held []router.EngineID) { l.post(holdMessage{held}) }
 
-// hold replaces the held engines, and updates the module and the engines' side on those that change
-// state by that.
+// hold replaces the set of held engines, and passes each engine whose state changes by that to the
+// module and the Engines.
 func (l *Loop) hold(wanted []router.EngineID) {
 	heldBefore := l.heldEngines
 	l.heldEngines = map[router.EngineID]bool{}
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -8,7 +8,7 @@
 	"mintkeel/router"
 )
 
-// endpointRecorder also records where engines are and in which state.
+// endpointRecorder also records the last address and state of each engine.
 type endpointRecorder struct {
 	*engineRecorder
 	endpoints map[router.EngineID]engines.Endpoint
@@ -20,9 +20,9 @@
 	}
 }
 
-// Maintenance holds an engine, and discovery goes on listing it as ready, drains it and brings it back
-// elsewhere. As long as it is held it drains, for the module as for the engines' side. Once it is released it
-// is as the list has it by then.
+// Maintenance holds an engine, and discovery keeps listing it as ready, drains it and lists it as ready at
+// another address. While it is held it is draining, for the module and for the Engines. Once it is released, it
+// has the state of the endpoint list at that time.
 func TestHoldEngines(t *testing.T) {
 	module := newModule(router.QueryClass{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1},
 		router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{})
@@ -52,22 +52,22 @@
 	l.handle(holdMessage{[]router.EngineID{"a"}})
 	if status("a").State != router.Draining || recorder.endpoints["a"].State != router.Draining ||
 		status("b").State != router.Ready {
-		t.Error("the engine is not held, or another is")
+		t.Error("held engine a is not draining, or b, which is not held, is not ready")
 	}
 	l.UpdateEndpoints(update("a", router.Draining, 0, "there"), false)
 	l.UpdateEndpoints(update("a", router.Ready, 77, "a new place"), false) // it has restarted, and is still held
 	if status("a").State != router.Draining || recorder.endpoints["a"].State != router.Draining {
-		t.Error("the endpoint list releases it")
+		t.Error("an endpoint update released a held engine")
 	}
 	l.handle(holdMessage{[]router.EngineID{"a", "b"}})
 	l.handle(holdMessage{[]router.EngineID{"b"}})
 	wanted := engines.Endpoint{Engine: "a", Address: "a new place", State: router.Ready}
 	if e := status("a"); e.State != router.Ready || e.StartedAt != 77 || recorder.endpoints["a"] != wanted {
-		t.Errorf("released: %+v, %+v", e, recorder.endpoints["a"])
+		t.Errorf("released engine: got %+v, %+v, want it ready at the new address, started at 77", e, recorder.endpoints["a"])
 	}
 	l.UpdateEndpoints(update("b", router.Gone, 0, "elsewhere"), false)
 	l.handle(holdMessage{nil})
 	if status("b").State == router.Ready || recorder.endpoints["b"].State == router.Ready {
-		t.Error("an engine that is gone is released and ready")
+		t.Error("an engine that is gone became ready when it was released")
 	}
 }
--- a/internal/controller/inbox.go
+++ b/internal/controller/inbox.go
@@ -11,36 +11,37 @@
 	"mintkeel/router"
 )
 
-// message is what the inbox holds: one of the types below. The loop handles messages in the order
-// in which they were posted. A request brings a channel with room for its reply, so that the loop
+// message is a message in the inbox: one of the types below. The loop handles messages in the order
+// in which they were posted. A request carries a buffered channel for its reply, so that the loop
 // never waits for the requester.
 type message interface{ message() }
 
 type (
-	// engineMessage is an event of the engines' side.
+	// engineMessage carries an event of package engines.
 	engineMessage struct{ event engines.Event }
-	// clientMessage is an event of the clients' side.
+	// clientMessage carries an event of package clients.
 	clientMessage struct{ event clients.Event }
-	// endpointsMessage is an update of the endpoint list.
+	// endpointsMessage carries an update of the endpoint list.
 	endpointsMessage struct{ update discovery.Update }
-	// holdMessage replaces the engines that are treated as draining.
+	// holdMessage replaces the set of held engines; see HoldEngines.
 	holdMessage struct{ engines []router.EngineID }
-	// restoreMessage brings statistics of an earlier run or of other controllers.
+	// restoreMessage carries a function that returns statistics of an earlier run or of other
+	// controllers.
 	restoreMessage struct{ restore restoreFunc }
-	// shutdownMessage says that all queries must be answered within this time.
+	// shutdownMessage starts a shutdown, in which all queries must be answered within this time.
 	shutdownMessage struct{ within time.Duration }
-	// closeRequest asks for the end of all connections to engines; done is closed after it.
+	// closeRequest requests that all connections to engines are closed; done is closed after that.
 	closeRequest struct{ done chan struct{} }
-	// countsRequest asks for the counts.
+	// countsRequest requests the counters.
 	countsRequest struct{ reply chan Counts }
-	// engineStatusesRequest asks for the state of all engines.
+	// engineStatusesRequest requests the state of all engines.
 	engineStatusesRequest struct{ reply chan []router.EngineStatus }
-	// rulesRequest asks to put rules in force; the reply says whether they are.
+	// rulesRequest requests that rules are put in force; the reply says whether they are.
 	rulesRequest struct {
 		rules *rules.Set
 		reply chan bool
 	}
-	// statisticsRequest asks for the part of the module's statistics that begins at a cursor.
+	// statisticsRequest requests the part of the module's statistics that begins at a cursor.
 	statisticsRequest struct {
 		from       router.Cursor
 		maxRecords int
@@ -60,21 +61,21 @@
 func (rulesRequest) message()          {}
 func (statisticsRequest) message()     {}
 
-// post puts a message into the inbox. It waits while the inbox is full, and so slows down its
-// caller alone. The loop's own goroutine must not call it.
+// post puts a message into the inbox. It waits while the inbox is full, which slows down only its
+// caller. The loop's own goroutine must not call it.
 func (l *Loop) post(m message) { l.inbox <- m }
 
-// PostEngineEvent hands over an event of the engines' side. It waits while the inbox is full.
+// PostEngineEvent posts an event of package engines. It waits while the inbox is full.
 func (l *Loop) PostEngineEvent(event engines.Event) { l.post(engineMessage{event}) }
 
-// PostClientEvent hands over an event of the clients' side. It waits while the inbox is full.
+// PostClientEvent posts an event of package clients. It waits while the inbox is full.
 func (l *Loop) PostClientEvent(event clients.Event) { l.post(clientMessage{event}) }
 
-// PostEndpoints hands over an update of the endpoint list. It waits while the inbox is full.
+// PostEndpoints posts an update of the endpoint list. It waits while the inbox is full.
 func (l *Loop) PostEndpoints(update discovery.Update) { l.post(endpointsMessage{update}) }
 
-// Offer hands over a new query, or reports that the arrivals are full: then it was not accepted,
-// and its client may get a rejection at once. It never blocks.
+// Offer adds a new query to the arrivals and reports whether it was accepted. It is not accepted if
+// the arrivals are full; its client may then get a rejection at once. Offer never blocks.
 func (l *Loop) Offer(arrived clients.QueryArrived) bool {
 	select {
 	case l.arrivals <- arrived:
@@ -85,21 +86,21 @@
 	}
 }
 
-// StartShutdown says that every query must have its answer within this time. It waits while the
-// inbox is full.
+// StartShutdown starts a shutdown, in which every query must have its answer within this time. It
+// waits while the inbox is full.
 func (l *Loop) StartShutdown(within time.Duration) { l.post(shutdownMessage{within}) }
 
-// Close ends all connections to engines and waits for that. The loop's own goroutine does it, as an
-// update of the endpoint list may be under way at that moment. The loop goes on, so that it still
-// replies with its counts.
+// Close closes all connections to engines and waits until that is done. The loop's goroutine closes
+// them, as it may be handling an update of the endpoint list at the same time. The loop keeps
+// running, so that it still replies to Counts.
 func (l *Loop) Close() {
 	done := make(chan struct{})
 	l.post(closeRequest{done})
 	<-done
 }
 
-// handle handles one message: events go to the module with the next step, requests get their reply
-// at once.
+// handle handles one message. Events are passed to the module in the next step; requests get their
+// reply at once.
 func (l *Loop) handle(m message) {
 	switch m := m.(type) {
 	case engineMessage:
@@ -128,7 +129,7 @@
 	}
 }
 
-// handleEngineEvent handles an event of the engines' side.
+// handleEngineEvent handles an event of package engines.
 func (l *Loop) handleEngineEvent(event engines.Event) {
 	switch ev := event.(type) {
 	case engines.AttemptEnded:
@@ -141,7 +142,7 @@
 	}
 }
 
-// handleClientEvent handles an event of the clients' side.
+// handleClientEvent handles an event of package clients.
 func (l *Loop) handleClientEvent(event clients.Event) {
 	switch ev := event.(type) {
 	case clients.QueryArrived:
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	// maxQueriesPerStep bounds the queries that one step hands to the module, which needs some
-	// milliseconds for so many.
+	// maxQueriesPerStep bounds the new queries that one step passes to the module, which takes a few
+	// milliseconds for that many.
 	maxQueriesPerStep = 512
-	// minAttemptsToStepAgain is how many attempts a step has to start for the next step to follow at once,
-	// without new queries. The module may have more to start then, and should do so before it is given
-	// new queries: those that can't be decided in time stay in the arrivals, where the module sees how
-	// long they waited.
+	// minAttemptsToStepAgain is the number of attempts started by a step from which the next step
+	// follows at once, without new queries. The module may have more attempts to start, and should
+	// start them before it gets new queries: queries that it can't decide on in time stay in the
+	// arrivals, and the module learns how long they waited there (ArrivalWait).
 	minAttemptsToStepAgain = 64
-	// initialTimerDelay is the time that the timer runs for until the module first sets it.
+	// initialTimerDelay is the delay of the timer until the module first sets it.
 	initialTimerDelay = time.Hour
 )
 
-// Engines sends attempts and health checks to engines. The loop's goroutine alone calls its
-// methods, and none of them blocks.
+// Engines sends attempts and health checks to engines. Only the loop's goroutine calls its methods,
+// and none of them blocks.
 type Engines interface {
-	// UpdateEndpoints sets addresses and states of engines. If complete, engines that are not named
-	// are gone.
+	// UpdateEndpoints sets addresses and states of engines. If complete is set, engines that are not
+	// named are gone.
 	UpdateEndpoints(endpoints []engines.Endpoint, complete bool)
-	// SetExpired says whether the endpoint list is out of date: engines may have moved unnoticed.
+	// SetExpired sets whether the endpoint list has expired: engines may have moved unnoticed.
 	SetExpired(expired bool)
-	// StartAttempt sends a query to an engine. It is given up as TimedOut after within. If startWithin
-	// is above 0 and the attempt was not sent within that time, it must not be sent any more. Its
-	// outcome comes as an engines.AttemptEnded.
+	// StartAttempt sends a query to an engine. The attempt ends as TimedOut after within. If
+	// startWithin is above 0 and the attempt could not be sent within that time, it must not be sent
+	// any more. Its outcome is reported by an engines.AttemptEnded.
 	StartAttempt(
 		query *request.Query, attempt router.AttemptID, engine router.EngineID,
 		within, startWithin time.Duration,
 	)
-	// CancelAttempt gives an attempt up. Its outcome still comes.
+	// CancelAttempt cancels an attempt, whose outcome is still reported.
 	CancelAttempt(query *request.Query, attempt router.AttemptID, engine router.EngineID)
-	// CheckHealth starts a health check of an engine, which ends by an engines.HealthCheckEnded.
+	// CheckHealth starts a health check of an engine. Its result is reported by an
+	// engines.HealthCheckEnded.
 	CheckHealth(engine router.EngineID)
-	// Close ends all connections.
+	// Close closes all connections.
 	Close()
 }
 
-// Loop is the state of the loop. Where a field's comment says nothing else, the goroutine of Run
-// owns the field from the call of Run on, and before that the goroutine that sets the loop up.
+// Loop is the event loop. Unless its comment says otherwise, a field belongs to the goroutine of
+// Run once Run is called, and before that to the goroutine that sets the loop up.
 type Loop struct {
 	module  *router.Router
 	engines Engines
@@ -61,33 +62,33 @@
 	queueFull atomic.Int64              // shared: queries that Offer did not accept
 
 	events []router.Event // for the next step
-	timer  *time.Timer    // fires when the module has asked for a step
+	timer  *time.Timer    // fires when the module has requested a step
 	counts Counts
 
 	// queries are those in flight: without a final answer, or with an attempt without an outcome.
 	queries map[router.QueryID]*queryState
 
-	clientIDs map[string]router.QueryID // ids of the queries in flight, by their clients' ids
-	lastID    router.QueryID            // the last id that was given to a query
+	clientIDs map[string]router.QueryID // ids of the queries in flight, by their client ids
+	lastID    router.QueryID            // the last router id that was assigned
 
-	ruleEpochs   rules.Epochs         // give the ordering keys
-	clientQueues spacing.ClientQueues // estimate how long queries waited at their clients
+	ruleEpochs   rules.Epochs         // compute the ordering keys
+	clientQueues spacing.ClientQueues // estimates how long queries waited at their clients
 
-	// orderingKeyFreed says that in this step the last attempt of an answered query ended, so that the
-	// next query of its ordering keys may start.
+	// orderingKeyFreed is set if the last attempt of an answered query has ended since the last step,
+	// so that the next query with its ordering keys may start.
 	orderingKeyFreed bool
 
-	// endpoints is the endpoint list as received; nil: it is not kept, see KeepEndpoints.
+	// endpoints is the endpoint list as received; nil if it is not kept, see KeepEndpoints.
 	endpoints map[router.EngineID]router.Endpoint
 
 	addresses   map[router.EngineID]string // of the engines in endpoints
-	heldEngines map[router.EngineID]bool   // treated as draining, whatever the list says
-	restore     restoreFunc                // nil: there is nothing to restore, or it was restored
+	heldEngines map[router.EngineID]bool   // treated as draining while the list has them as ready
+	restore     restoreFunc                // nil: nothing to restore, or restored already
 }
 
-// New returns a loop around the module. SetEngines must be called before Run. inboxSize bounds the
-// messages in the inbox, and also the queries in the arrivals. orderingCooldown, in ms, is how long
-// an ordering key rests after an attempt that may still be running.
+// New returns a loop that runs the module. SetEngines must be called before Run. inboxSize is the
+// capacity of the inbox and of the arrivals. orderingCooldown, in ms, is how long an ordering key
+// stays blocked after an attempt that may still be running.
 func New(module *router.Router, clock Clock, inboxSize int, orderingCooldown float64) *Loop {
 	return &Loop{
 		module:     module,
@@ -101,11 +102,11 @@
 	}
 }
 
-// SetEngines sets what carries out actions, before Run. It is apart from New because engines post
-// to the loop.
+// SetEngines sets the Engines that carry out actions; it must be called before Run. It is separate
+// from New because the Engines need the loop to post their events to.
 func (l *Loop) SetEngines(e Engines) { l.engines = e }
 
-// Run handles messages and has the module decide until ctx ends.
+// Run handles messages and runs the module until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	for { // the first step needs no event
 		if stepAgain := l.step(); stepAgain {
@@ -131,8 +132,8 @@
 	}
 }
 
-// drainInbox handles the messages in the inbox, for the same step. It handles no more than the
-// inbox holds, so that goroutines that go on posting can't keep it here.
+// drainInbox handles the messages in the inbox in the current step. It handles at most as many as
+// the inbox can hold, so that goroutines that keep posting can't delay the step forever.
 func (l *Loop) drainInbox() {
 	for range cap(l.inbox) {
 		select {
@@ -144,8 +145,8 @@
 	}
 }
 
-// drainArrivals handles queries for the same step, but not all that wait: answers and timeouts must
-// not wait until the module has looked at every one.
+// drainArrivals handles a bounded number of new queries in the current step: answers and timeouts
+// must not wait until the module has handled every query that arrived.
 func (l *Loop) drainArrivals() {
 	for range maxQueriesPerStep {
 		select {
@@ -157,9 +158,9 @@
 	}
 }
 
-// step has the module decide and carries its actions out in order. It reports whether the next step
-// should follow at once: many attempts were started, or an ordering key is free for its next query,
-// which the module sees at its next step.
+// step passes the events to the module and carries out its actions in order. It reports whether the
+// next step should follow at once: if many attempts were started, or if an ordering key was freed,
+// whose next query the module starts in its next step.
 func (l *Loop) step() (stepAgain bool) {
 	now := l.clock()
 	actions := l.module.Step(now, l.events)
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// engineRecorder stands in for the engines' side and records what it is asked to do.
+// engineRecorder is a fake of Engines that records its calls.
 type engineRecorder struct {
 	started      chan *request.Query
 	cancelled    chan router.AttemptID
@@ -42,8 +42,8 @@
 func (r *engineRecorder) CheckHealth(router.EngineID) {}
 func (r *engineRecorder) Close()                      {}
 
-// singleOwnerEngines may be used by one goroutine only, as package engines. The race detector notices other
-// uses.
+// singleOwnerEngines may be used by one goroutine only, like package engines. The race detector reports any
+// other use.
 type singleOwnerEngines struct {
 	*engineRecorder
 	uses int
@@ -62,7 +62,7 @@
 		[]router.QueryClass{class}, nil, capabilities, limits)
 }
 
-// engineList is a complete endpoint list of these engines, all ready.
+// engineList returns a complete endpoint list of these engines, all ready.
 func engineList(ids ...router.EngineID) discovery.Update {
 	update := discovery.Update{Complete: true}
 	for _, id := range ids {
@@ -92,9 +92,9 @@
 	return &request.Query{ID: id, Tenant: -1, ReadAt: time.Now(), TimeLeft: 5 * time.Second}
 }
 
-// The daemon closes the connections to engines while discovery posts an update. Done by the caller of Close,
-// the two would use the engines' side at once. Both are done by the loop's goroutine; the race detector shows
-// if they are not.
+// The daemon closes the connections to engines while discovery posts an update. If the caller of Close closed
+// them itself, two goroutines would use the Engines at once. The loop's goroutine must do both; the race
+// detector reports it if not.
 func TestCloseDuringEndpointUpdates(_ *testing.T) {
 	module := router.New(1, router.Identity{Controllers: 1}, nil, nil, nil, router.Capabilities{},
 		router.SafetyLimits{})
@@ -114,12 +114,12 @@
 	}()
 	<-halfPosted
 	l.Close()
-	l.Counts() // the loop goes on
+	l.Counts() // the loop still replies
 }
 
-// More queries arrive than one step may look at and than may wait. Were they all in one queue, answers and
-// requests would wait behind them. Those past the bound are not accepted, a request is answered after one
-// step, and every query that was accepted has its answer.
+// More queries arrive than one step handles and than the arrivals hold. If they shared a queue with answers and
+// requests, these would wait behind them. Queries beyond the capacity are not accepted, a request gets its
+// reply after one step, and every accepted query gets its answer.
 func TestManyArrivals(t *testing.T) {
 	module := newModule(router.QueryClass{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1},
 		router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{EventInterval: 5})
@@ -139,20 +139,21 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l.StartShutdown(time.Hour) // posted after a thousand queries, but it waits for none of them
+	l.StartShutdown(time.Hour) // posted after a thousand queries, but handled before them
 	counts := make(chan Counts, 1)
-	// Posted before the loop runs, so that however slow the machine is, it waits for one step at most.
+	// Posted before the loop runs, so that it waits for at most one step, however slow the machine is.
 	l.post(countsRequest{counts})
 	go l.Run(ctx)
 	got := <-counts
 	if accepted != 1000 || got.QueueFull != 200 || got.Accepted > maxQueriesPerStep {
-		t.Errorf("%d were accepted, counts %+v", accepted, got)
+		t.Errorf("%d queries accepted, counts %+v, want 1000 accepted, 200 not, at most maxQueriesPerStep in a step",
+			accepted, got)
 	}
 	for range accepted {
 		select {
 		case <-answers:
 		case <-time.After(10 * time.Second):
-			t.Fatalf("an answer is missing: %+v", l.Counts())
+			t.Fatalf("an accepted query got no answer in time: %+v", l.Counts())
 		}
 	}
 }
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -9,19 +9,19 @@
 	"mintkeel/router"
 )
 
-// queryState is a query in flight, as the package comment describes its states.
+// queryState is a query in flight. The package comment describes its states.
 type queryState struct {
 	*request.Query
-	ruleEpoch   rules.Epoch       // the rules that it arrived under
+	ruleEpoch   rules.Epoch       // the rules in force when it arrived
 	ordered     bool              // it has an ordering key
-	answered    bool              // it has its final answer, or its client has gone
-	attempts    []router.EngineID // where each attempt went, by AttemptID
+	answered    bool              // it has its final answer, or its client has disconnected
+	attempts    []router.EngineID // the engine of each attempt, by AttemptID
 	outstanding int               // attempts without an outcome
 }
 
-// queryArrived hands a new query to the module. If its client id is in flight already it fails at
-// once, as engines could not distinguish the two queries. If its client has gone before it came
-// here it is dropped.
+// queryArrived passes a new query to the module. If another query in flight has the same client id,
+// the new one fails at once, as engines could not distinguish the two. If its client has
+// disconnected before it reached the loop, it is dropped.
 func (l *Loop) queryArrived(query *request.Query) {
 	if _, inFlight := l.clientIDs[query.ID]; inFlight {
 		l.counts.Duplicates++
@@ -67,7 +67,7 @@
 	})
 }
 
-// newQueryID returns the next id that no query in flight has. Ids wrap around; 0 is never returned.
+// newQueryID returns the next id that no query in flight has. Ids wrap around; 0 is not assigned.
 func (l *Loop) newQueryID() router.QueryID {
 	l.lastID++
 	for l.lastID == 0 || l.queries[l.lastID] != nil {
@@ -76,8 +76,8 @@
 	return l.lastID
 }
 
-// clientDisconnected ends a query that needs no answer any more. Its outstanding attempts still get
-// their outcomes.
+// clientDisconnected ends a query whose client needs no answer any more. Outcomes of its
+// outstanding attempts are still handled.
 func (l *Loop) clientDisconnected(query *request.Query) {
 	q := l.queries[query.RouterID]
 	if q == nil || q.Query != query {
@@ -114,7 +114,7 @@
 	l.removeIfDone(q)
 }
 
-// attemptProgress hands a progress message of an attempt to the module.
+// attemptProgress passes a progress message of an attempt to the module.
 func (l *Loop) attemptProgress(ev engines.AttemptProgress) {
 	if l.queries[ev.Query.RouterID] == nil {
 		return
@@ -127,7 +127,7 @@
 	})
 }
 
-// answerQuery gives a query its final answer, and counts it unless the client had gone first.
+// answerQuery gives a query its final answer, and counts it unless its client disconnected first.
 func (l *Loop) answerQuery(q *queryState, answer request.Answer) {
 	q.answered = true
 	if !q.Finish(answer) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// removeIfDone drops a query that is answered and has no attempt without an outcome.
+// removeIfDone removes a query that is answered and has no outstanding attempt.
 func (l *Loop) removeIfDone(q *queryState) {
 	if !q.answered || q.outstanding > 0 {
 		return
--- a/internal/controller/queries_test.go
+++ b/internal/controller/queries_test.go
@@ -13,8 +13,8 @@
 	"mintkeel/router"
 )
 
-// The time by which an attempt must have been sent is handed on: none for the first attempt; for a repeat of
-// one that may have run, the time for which engines recognize its idempotency key.
+// The Engines get the time within which an attempt must be sent: no limit for the first attempt; for a retry
+// after one that may have run, the time for which engines recognize the idempotency key.
 func TestStartWithin(t *testing.T) {
 	class := router.QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1,
 		Effect: router.Deduplicated, DeduplicationWindow: 3600e3}
@@ -31,17 +31,17 @@
 	query.TimeLeft = time.Minute
 	l.Offer(clients.QueryArrived{Query: query})
 	if within := <-recorder.startWithins; within != 0 {
-		t.Errorf("the first attempt must start within %v", within)
+		t.Errorf("first attempt: startWithin is %v, want 0", within)
 	}
 	<-recorder.started
 	l.PostEngineEvent(engines.AttemptEnded{Query: query, Outcome: router.ConnectionReset})
 	if within := <-recorder.startWithins; within <= 50*time.Minute || within >= time.Hour {
-		t.Errorf("the repeat must start within %v", within)
+		t.Errorf("retry: startWithin is %v, want 50 to 60 minutes", within)
 	}
 }
 
-// 200 queries of one ordering key are each answered at once. Each must start as soon as the one before has
-// ended: were the next left until the module's own timer, they would take ten seconds.
+// 200 queries with one ordering key are each answered at once. Each must start as soon as the one before has
+// ended: if the next waited for the module's timer, all together would take ten seconds.
 func TestNextOfOrderingKeyStartsAtOnce(t *testing.T) {
 	class := router.QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, Ordered: true,
 		LateBenefit: 1}
@@ -63,21 +63,21 @@
 	for i := range 200 {
 		query := <-recorder.started
 		if query.ID != fmt.Sprint("c", i) {
-			t.Fatalf("%s was started as number %d", query.ID, i)
+			t.Fatalf("%s was started as query number %d, want the order of arrival", query.ID, i)
 		}
 		l.PostEngineEvent(engines.AttemptEnded{Query: query})
 	}
 	if took := time.Since(start); took > 5*time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("200 queries took %v, want 5 s at most", took)
 	}
 }
 
-// Queries of one ordering key that arrive as close as clients send them may have waited for one another at
-// their client, while each goes on naming the whole timeout. Answered by that timeout alone, the last would
-// find its client gone. It must have its answer as much earlier as it arrived after the first.
+// Queries with one ordering key that arrive in close succession may have waited for one another at their
+// client, while each still names the full timeout. By that timeout alone, the last would be answered after its
+// client has given up. Its answer must come earlier, by the time that it arrived after the first.
 //
-// It plays in virtual time: on a machine with three busy processes a core the test's own goroutine was woken
-// up to 33 ms late, past the 15 ms by which the answer is ahead.
+// The test runs in virtual time: on a machine with three busy processes per core, its goroutine was woken up
+// to 33 ms late, which exceeds the 15 ms that the answer comes early.
 func TestClientSideQueueing(t *testing.T) { synctest.Test(t, testClientSideQueueing) }
 
 func testClientSideQueueing(t *testing.T) {
@@ -96,7 +96,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	answered := make(chan time.Duration, 1)
-	for i := range 20 { // all but the last count as read earlier
+	for i := range 20 { // all but the last have a ReadAt in the past
 		query := newQuery(fmt.Sprint("c", i))
 		query.OrderingKey = "k"
 		query.EstimatedWork = 1
@@ -109,15 +109,15 @@
 	}
 	go l.Run(ctx)
 	if took := <-answered; took > timeLeft-19*interval || took < timeLeft-19*interval-200*time.Millisecond {
-		t.Errorf("the last had its answer after %v, want just before %v", took, timeLeft-19*interval)
+		t.Errorf("the last query was answered after %v, want just before %v", took, timeLeft-19*interval)
 	}
 }
 
-// A query's life as the loop sees it, for each way in which it may end: it is answered once and then
-// forgotten, so that its id may be used again.
+// For each way in which a query can end, it is answered once and then removed, so that its id can be used
+// again.
 //
-// It plays in virtual time: a query is given up half a second after it came, and on a machine that pauses the test for
-// longer between two attempts there would be no third, for which the test would wait without end.
+// The test runs in virtual time: a query times out half a second after it arrived, and on a machine that pauses
+// the test for longer between two attempts there would be no third, for which the test would wait forever.
 func TestQueryEnds(t *testing.T) { synctest.Test(t, testQueryEnds) }
 
 func testQueryEnds(t *testing.T) {
@@ -150,7 +150,7 @@
 			l.PostClientEvent(clients.ClientDisconnected{Query: query})
 			<-recorder.cancelled
 			l.PostEngineEvent(engines.AttemptEnded{Query: query, Outcome: router.Cancelled})
-			l.PostEngineEvent(engines.AttemptEnded{Query: query, Pages: rows}) // unknown by now
+			l.PostEngineEvent(engines.AttemptEnded{Query: query, Pages: rows}) // no longer in flight
 		}, request.Disconnected, Counts{Accepted: 1, Disconnected: 1, Attempts: 1, Cancels: 1}},
 		{"its client disconnected as the answer came", func(l *Loop, _ *engineRecorder, query *request.Query) {
 			query.Finish(request.Answer{Verdict: request.Disconnected})
@@ -175,18 +175,18 @@
 		got.Outcomes = [router.Withdrawn + 1]int64{}
 		got.EndpointUpdates = 0
 		if got != c.counts || query.Answer().Verdict != c.want {
-			t.Errorf("%s: %+v, verdict %d", c.name, got, query.Answer().Verdict)
+			t.Errorf("%s: got unexpected counts %+v or verdict %d", c.name, got, query.Answer().Verdict)
 		}
-		again := newQuery("c") // with the id of the one that has ended
+		again := newQuery("c") // with the id of the query that has ended
 		l.PostClientEvent(clients.QueryArrived{Query: again})
 		if accepted := l.Counts().Accepted; accepted != 2 {
-			t.Errorf("%s: the query is not forgotten", c.name)
+			t.Errorf("%s: another query with the same id is not accepted", c.name)
 		}
 	}
 }
 
-// Engines can't distinguish two queries with one id, so the second fails while the first is in flight. And a
-// client may disconnect before its query reaches the loop: nothing must be started for it.
+// Engines can't distinguish two queries with the same id, so the second fails while the first is in flight. And
+// if a client disconnects before its query reaches the loop, no attempt must be started for the query.
 func TestQueryNotAccepted(t *testing.T) {
 	l, recorder := newLoop(t)
 	l.PostClientEvent(clients.QueryArrived{Query: newQuery("c")})
@@ -200,6 +200,6 @@
 	c := l.Counts()
 	if c.Accepted != 1 || c.Duplicates != 1 || second.Answer().Verdict != request.Failed ||
 		len(recorder.started) > 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("got counts %+v, want 1 accepted, 1 duplicate that failed, and no attempt for either later query", c)
 	}
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -19,8 +19,8 @@
 // orderingCooldown is the time in ms for which a query may run on after a lost connection.
 const orderingCooldown = 20
 
-// rulesSimulation plays random rules, queries and outcomes against a loop, and checks each attempt that is
-// started.
+// rulesSimulation feeds random rules, queries and outcomes to a loop, and checks each attempt that the loop
+// starts.
 type rulesSimulation struct {
 	t              *testing.T
 	seed           int64
@@ -28,16 +28,16 @@
 	now            float64 // ms
 	loop           *Loop
 	recorder       *engineRecorder
-	sets           []*rules.Set               // all that were in force, in their order
-	setIndex       map[*request.Query]int     // index into sets of those in force when the query arrived
-	open           []*request.Query           // without an answer, as they arrived
-	running        []*request.Query           // of these, with an outstanding attempt
+	sets           []*rules.Set               // all that have been in force, in order
+	setIndex       map[*request.Query]int     // index into sets of the rules in force when the query arrived
+	open           []*request.Query           // without an answer, in order of arrival
+	running        []*request.Query           // those of open with an outstanding attempt
 	mayStillRun    []*request.Query           // answered, with an attempt that may still run
-	mayRunUntil    map[*request.Query]float64 // ms, until when it may
+	mayRunUntil    map[*request.Query]float64 // ms, until when queries in mayStillRun may run
 	scratch        rules.Scratch
 	attempts       int
-	sharedKeyPairs int // pairs of queries with a common key that were checked
-	rejectedSets   int // rules that were not put in force
+	sharedKeyPairs int // checked pairs of queries with a common key
+	rejectedSets   int // sets that were not put in force
 }
 
 func newRulesSimulation(t *testing.T, seed int64) *rulesSimulation {
@@ -62,23 +62,23 @@
 	return h
 }
 
-// key is the query's ordering key under a set of rules.
+// key returns the query's ordering key under a set of rules.
 func (h *rulesSimulation) key(set *rules.Set, query *request.Query) router.OrderingKey {
 	return set.Key(query.RuleInput, &h.scratch)
 }
 
-// checkStart fails the test if a query is started that shares a key with one that must be over first.
+// checkStart fails the test if the started query shares a key with a query that must end first.
 func (h *rulesSimulation) checkStart(query *request.Query) {
 	h.attempts++
 	h.mayStillRun = slices.DeleteFunc(h.mayStillRun, func(q *request.Query) bool { return h.now >= h.mayRunUntil[q] })
-	oldest := len(h.sets) - 1 // index of the oldest set that a query is still under
+	oldest := len(h.sets) - 1 // index of the oldest set of an unfinished query
 	for _, other := range slices.Concat(h.open, h.mayStillRun) {
 		oldest = min(oldest, h.setIndex[other])
 	}
 	for _, other := range h.mayStillRun {
 		for _, set := range h.sets[h.setIndex[other]:] {
 			if key := h.key(set, query); key == h.key(set, other) && key != "" {
-				h.t.Fatalf("seed %d: %s is started while %s may still run under key %q", h.seed, query.ID, other.ID, key)
+				h.t.Fatalf("seed %d: %s is started while %s may still run with the same key %q", h.seed, query.ID, other.ID, key)
 			}
 		}
 	}
@@ -95,14 +95,14 @@
 			}
 			h.sharedKeyPairs++
 			if arrivedBefore || slices.Contains(h.running, other) {
-				h.t.Fatalf("seed %d: %s is started, and %s shares key %q", h.seed, query.ID, other.ID, key)
+				h.t.Fatalf("seed %d: %s is started before %s has ended, which shares key %q", h.seed, query.ID, other.ID, key)
 			}
 		}
 	}
 	h.running = append(h.running, query)
 }
 
-// step lets some time pass, has the loop do a step, and checks what it started.
+// step advances the time, runs a step of the loop and checks the attempts that it starts.
 func (h *rulesSimulation) step() {
 	h.now += float64(h.rng.Intn(30))
 	h.loop.step()
@@ -111,7 +111,7 @@
 	}
 }
 
-// addQuery has a random query arrive.
+// addQuery makes a random query arrive.
 func (h *rulesSimulation) addQuery(number int) {
 	store := fmt.Sprintf("%d-%d", h.rng.Intn(2), h.rng.Intn(3))
 	brand := fmt.Sprint(h.rng.Intn(3))
@@ -127,7 +127,7 @@
 	h.loop.handle(clientMessage{clients.QueryArrived{Query: query}})
 }
 
-// endAttempt ends a running query's only attempt, with a random outcome.
+// endAttempt ends the only attempt of a running query with a random outcome.
 func (h *rulesSimulation) endAttempt(index int) {
 	query := h.running[index]
 	h.running = slices.Delete(h.running, index, index+1)
@@ -139,12 +139,12 @@
 		h.mayRunUntil[query] = h.now + orderingCooldown
 	}
 	h.open = slices.DeleteFunc(h.open, func(q *request.Query) bool { return q == query })
-	if query.Answer().Verdict == request.Unanswered { // its answer comes with the next step
+	if query.Answer().Verdict == request.Unanswered { // the next step answers it
 		h.now++
 	}
 }
 
-// changeRules offers the loop one of the rules, by its source; empty: none.
+// changeRules passes the loop a set of one rule with this source, or no rules if it is empty.
 func (h *rulesSimulation) changeRules(source string) {
 	facts := rules.Facts{ClassNames: []string{"load"}, Classes: []router.QueryClass{{Ordered: true}}}
 	var set *rules.Set
@@ -162,7 +162,8 @@
 	}
 }
 
-// run runs the history, then ends all that is left and checks that the loop has forgotten it.
+// run feeds 300 random events to the loop, then ends all queries that are left and checks that the loop has
+// removed them.
 func (h *rulesSimulation) run() {
 	sources := []string{"", `"s/" + label("store")`, `"b/" + label("brand")`, `"one" + profile`,
 		`"x/" + part(label("store"), "-", 0)`}
@@ -186,15 +187,15 @@
 	h.now += 100
 	h.loop.setRules(nil)
 	if len(h.open) > 0 || len(h.loop.queries) > 0 || h.loop.ruleEpochs.Count() != 1 {
-		h.t.Fatalf("seed %d: %d queries are left, %d sets are followed", h.seed, len(h.open),
+		h.t.Fatalf("seed %d: %d queries without an answer and %d rule epochs are left, want 0 and 1", h.seed, len(h.open),
 			h.loop.ruleEpochs.Count())
 	}
 }
 
 // The operator's rules change while queries are in flight, and with them the ordering keys. Two queries that
-// share a key under rules of which either still has something in flight must not run at once, or they would
-// write in the wrong order. Random rules, reloads, queries and outcomes: no query is started before one that
-// arrived earlier, or while one may run, with which it shares a key; and all are started in the end.
+// share a key, under any rules that still have a query in flight, must not run at once, or they would write in
+// the wrong order. With random rules, reloads, queries and outcomes, no query is started while an earlier one
+// with a common key is open or while one may still run, and in the end all are answered.
 func TestRulesChangeInFlight(t *testing.T) {
 	attempts, sharedKeyPairs, rejectedSets := 0, 0, 0
 	for seed := range int64(24) {
@@ -205,6 +206,7 @@
 		rejectedSets += simulation.rejectedSets
 	}
 	if attempts < 2000 || sharedKeyPairs < 50 {
-		t.Errorf("%d attempts, %d shared keys, %d reloads refused", attempts, sharedKeyPairs, rejectedSets)
+		t.Errorf("%d attempts, %d pairs with a shared key, %d sets rejected, want at least 2000 attempts and 50 pairs",
+			attempts, sharedKeyPairs, rejectedSets)
 	}
 }
--- a/internal/controller/statistics.go
+++ b/internal/controller/statistics.go
@@ -10,19 +10,20 @@
 	"mintkeel/router"
 )
 
-// restoreFunc returns what is still valid of stored statistics, for the engines that there are now.
+// restoreFunc returns the part of stored statistics that is valid for the current endpoints.
 type restoreFunc = func(endpoints []router.Endpoint) router.Statistics
 
-// RestoreOnFirstEndpoints has statistics of an earlier run restored at the first update that names
-// engines: restore is called with them. It must be called before UpdateEndpoints and Run.
+// RestoreOnFirstEndpoints restores statistics of an earlier run at the first endpoint update that
+// names engines: restore is called with these endpoints. It must be called before UpdateEndpoints
+// and Run.
 func (l *Loop) RestoreOnFirstEndpoints(restore restoreFunc) { l.restore = restore }
 
-// RestoreStatistics has statistics restored that became known while this controller runs. restore
-// is called by the loop's goroutine with the endpoint list of that moment, by engine; it needs
-// KeepEndpoints. RestoreStatistics waits while the inbox is full.
+// RestoreStatistics restores statistics that were received while this controller runs. restore is
+// called by the loop's goroutine with the current endpoint list, sorted by engine.
+// RestoreStatistics needs KeepEndpoints, and waits while the inbox is full.
 func (l *Loop) RestoreStatistics(restore restoreFunc) { l.post(restoreMessage{restore}) }
 
-// restoreStatistics hands the module what is valid by the kept endpoint list.
+// restoreStatistics passes the statistics that are valid for the kept endpoint list to the module.
 func (l *Loop) restoreStatistics(restore restoreFunc) {
 	endpoints := slices.Collect(maps.Values(l.endpoints))
 	slices.SortFunc(endpoints, func(a, b router.Endpoint) int {
@@ -31,8 +32,8 @@
 	l.events = append(l.events, router.StatisticsRestored{Statistics: restore(endpoints)})
 }
 
-// Statistics returns a part of the module's statistics, of at most maxRecords records: that bounds
-// how long queries wait for the copy. The error is that of ctx, also if the loop has ended.
+// Statistics returns a part of the module's statistics. It has at most maxRecords records, which
+// bounds how long the copy delays queries. The error is that of ctx, even if the loop has ended.
 func (l *Loop) Statistics(
 	ctx context.Context, from router.Cursor, maxRecords int,
 ) (memory.Part, error) {
@@ -47,15 +48,15 @@
 	return part
 }
 
-// EngineStatuses returns the module's state of all engines. The error is that of ctx, also if the
+// EngineStatuses returns the module's state of all engines. The error is that of ctx, even if the
 // loop has ended.
 func (l *Loop) EngineStatuses(ctx context.Context) ([]router.EngineStatus, error) {
 	reply := make(chan []router.EngineStatus, 1)
 	return call(ctx, l, engineStatusesRequest{reply}, reply)
 }
 
-// engineStatuses adds to the module's state what the endpoint list itself says of the engines,
-// which differs for those that are held.
+// engineStatuses returns the module's state of all engines together with their states in the
+// endpoint list, which differ for held engines.
 func (l *Loop) engineStatuses() []router.EngineStatus {
 	statuses := l.module.EngineStatuses()
 	for i := range statuses {
@@ -66,7 +67,7 @@
 	return statuses
 }
 
-// call posts a request and waits for its reply, each no longer than ctx allows.
+// call posts a request and waits for its reply, until ctx ends.
 func call[T any](ctx context.Context, l *Loop, request message, reply <-chan T) (T, error) {
 	var zero T
 	select {
--- a/internal/controller/statistics_test.go
+++ b/internal/controller/statistics_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/router"
 )
 
-// Statistics are copied in parts through the loop, and no copy waits for a loop that has ended. Stored
+// The loop copies statistics in parts, and a copy does not wait forever for a loop that is not running. Stored
 // statistics are restored once, with the first update that names engines.
 func TestStatistics(t *testing.T) {
 	l, _ := newLoop(t)
@@ -25,13 +25,13 @@
 		engines += len(part.Statistics.Engines)
 	}
 	if engines != 1 || parts < 3 {
-		t.Errorf("%d engines in %d parts", engines, parts)
+		t.Errorf("got %d engines in %d parts, want 1 in at least 3", engines, parts)
 	}
 	notRunning := New(nil, SystemClock(), 0, 0)
 	shortCtx, cancelShort := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancelShort()
 	if _, err := notRunning.Statistics(shortCtx, router.Cursor{}, 1); err == nil {
-		t.Error("a loop that does not run has answered")
+		t.Error("Statistics of a loop that does not run returned no error")
 	}
 	module := router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{})
 	fresh := New(module, SystemClock(), 1, 0)
@@ -40,7 +40,7 @@
 	fresh.RestoreOnFirstEndpoints(func(list []router.Endpoint) router.Statistics {
 		restores++
 		if len(list) != 1 {
-			t.Errorf("restored with %d engines", len(list))
+			t.Errorf("restore was called with %d endpoints, want 1", len(list))
 		}
 		return router.Statistics{}
 	})
@@ -49,6 +49,6 @@
 	}
 	_, restored := fresh.events[2].(router.StatisticsRestored)
 	if restores != 1 || len(fresh.events) != 4 || !restored {
-		t.Errorf("restored %d times: %v", restores, fresh.events)
+		t.Errorf("restored %d times, events %v, want once and as the third of four events", restores, fresh.events)
 	}
 }
