--- a/internal/limits/defaults.go
+++ b/internal/limits/defaults.go
@@ -4,21 +4,21 @@
 
 // Shares of the memory that the platform grants.
 const (
-	// memoryPercent of the granted memory is what the garbage collector works towards.
+	// memoryPercent is the share of the granted memory that the garbage collector aims for.
 	memoryPercent = 60
-	// clientMemoryDivisor gives half of that to client connections.
+	// clientMemoryDivisor assigns half of that to client connections.
 	clientMemoryDivisor = 2
-	// engineMemoryDivisor gives a quarter of it to connections to engines.
+	// engineMemoryDivisor assigns a quarter of it to connections to engines.
 	engineMemoryDivisor = 4
-	// snapshotMemoryDivisor gives a twelfth of it to the file of a snapshot.
+	// snapshotMemoryDivisor bounds the file of a snapshot to a twelfth of it.
 	snapshotMemoryDivisor = 12
 	// sessionBytes is the memory of one connection between queries: its goroutine, buffer and
-	// state. Few connections hold a result at a time: only those that have one to write to a client
-	// that is reading it.
+	// state. Results are left out, as few connections hold one at a time: only those that are
+	// writing it to a client.
 	sessionBytes = 24 << 10
 )
 
-// Shares of the descriptors that the platform grants, of descriptorShares. The rest is for
+// Shares, out of descriptorShares, of the descriptors that the platform grants. The rest is for
 // discovery, the listener, the log and files.
 const (
 	descriptorShares         = 40
@@ -27,10 +27,11 @@
 	engineConnectionsShares  = 12
 )
 
-// engineIdleDivisor has connections closed after half of the engines' own idle timeout.
+// engineIdleDivisor makes the idle timeout of connections half of the engines' own, so that the
+// controller closes them first.
 const engineIdleDivisor = 2
 
-// Sizes in bytes, and counts. The field of Limits with the same name says what each bounds.
+// Sizes in bytes, and counts. The field of Limits with the same name documents each.
 const (
 	clientMessageBytes    = 32 << 10
 	clientReadBufferBytes = 2 << 10
@@ -52,23 +53,25 @@
 	maxSnapshotFileBytes   = 8 << 20 // ten thousand table groups take 0.4 MB
 )
 
-// Times that depend on the settings.
+// Durations that depend on the settings.
 const (
 	// defaultConnectTimeout is the connect timeout of settings without one.
 	defaultConnectTimeout = 250 * time.Millisecond
 	// defaultEngineIdleTimeout is the engines' idle timeout of settings without one.
 	defaultEngineIdleTimeout = 10 * time.Second
 
-	// maxDrainTimeout is how long a graceful shutdown waits for queries at most, whatever their timeouts.
+	// maxDrainTimeout bounds how long a graceful shutdown waits for queries, whatever their timeouts.
 	maxDrainTimeout = 3 * time.Second
-	// answerMargin is the time for the last answers, after the longest timeout or maxDrainTimeout.
+	// answerMargin is the time for writing the last answers, after the longest client timeout or
+	// maxDrainTimeout.
 	answerMargin = 300 * time.Millisecond
-	// shutdownMargin is the time until the process ends, after the longest timeout or maxDrainTimeout.
+	// shutdownMargin is the time until the process exits, after the longest client timeout or
+	// maxDrainTimeout.
 	shutdownMargin = 600 * time.Millisecond
 )
 
-// Times that are the same for all settings. The field of Limits with the same name says what each
-// is for.
+// Durations that don't depend on the settings. The field of Limits with the same name documents
+// each.
 const (
 	drainQuietPeriod = 800 * time.Millisecond
 
@@ -98,12 +101,14 @@
 	snapshotReadTimeout   = 500 * time.Millisecond
 )
 
-// For returns the limits of a controller that is granted so many descriptors and so much memory in
-// MiB. The times are those of the settings, each with a default for 0: connect is how long
-// connecting to an engine may take (250 ms), idle the time after which engines close idle
-// connections (10 s), and longest the longest timeout of a client (3 s, which is also the most that
-// is waited for).
-func For(descriptors, memoryMB int, connectTimeout, engineIdleTimeout, longestClientTimeout time.Duration) *Limits {
+// For returns the limits of a controller that is granted this number of descriptors and this memory
+// in MiB. The timeouts are those of the settings, each with a default that replaces 0:
+// connectTimeout, for connecting to an engine (250 ms); engineIdleTimeout, after which engines
+// close idle connections (10 s); and longestClientTimeout (3 s, which is also its maximum).
+func For(
+	descriptors, memoryMB int,
+	connectTimeout, engineIdleTimeout, longestClientTimeout time.Duration,
+) *Limits {
 	if connectTimeout <= 0 {
 		connectTimeout = defaultConnectTimeout
 	}
@@ -148,7 +153,9 @@
 	l.EarlyCancelWindow = earlyCancelWindow
 }
 
-func (l *Limits) setEngineLimits(descriptors, memory int, connectTimeout, engineIdleTimeout time.Duration) {
+func (l *Limits) setEngineLimits(
+	descriptors, memory int, connectTimeout, engineIdleTimeout time.Duration,
+) {
 	l.EngineConnections = min(descriptors*engineConnectionsShares/descriptorShares,
 		memory/engineMemoryDivisor/sessionBytes)
 	l.AnswerHeaderBytes = answerHeaderBytes
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,4 +1,4 @@
-// Package limits holds the sizes, counts and times of the network code in one type. For fills it at
-// start from what the platform grants; after that it is only read. Values on which decisions depend
-// are not here but in package router.
+// Package limits holds the sizes, counts and durations that bound the network code, in one type.
+// For computes it at start from the resources that the platform grants; after that it is read-only.
+// Values on which routing decisions depend are not here but in package router.
 package limits
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -2,143 +2,148 @@
 
 import "time"
 
-// Limits bounds what the network code holds and how long it waits.
+// Limits bounds the resources that the network code holds and how long it waits.
 //
-// For sets every field. Only tests use zero: a size or count of zero admits nothing, and a time of
-// zero is over when it begins. Fields for which this does not hold say so.
+// For sets every field. Only tests use zero: a size or count of zero admits nothing, and a duration
+// of zero ends at once. Fields for which zero has another meaning document it.
 type Limits struct {
 	// Client connections.
 
-	// ClientConnections is the number of client connections, with or without a query so far.
+	// ClientConnections is the maximum number of client connections, whether or not they have sent a
+	// query.
 	ClientConnections int
-	// ClosingConnections is the number of connections above ClientConnections that are being
-	// rejected or closed.
+	// ClosingConnections is the maximum number of connections, on top of ClientConnections, that are
+	// being rejected or closed.
 	ClosingConnections int
-	// ClientMessageBytes is the size of a client's longest message.
+	// ClientMessageBytes is the maximum size of a client's message, and of what a client may pipeline
+	// behind an open query.
 	ClientMessageBytes int
 	// ClientReadBufferBytes is the size of a connection's read buffer until a message needs more.
 	ClientReadBufferBytes int
-	// ClientDrainBytes is how much a rejected client may still send, so that it gets to read the
-	// error, before it is closed.
+	// ClientDrainBytes is the maximum that is read and discarded from a client whose connection is
+	// being closed, so that the client can still read the last answer or error.
 	ClientDrainBytes int64
-	// AcceptRetryDelay is the time from a failed accept to the next one: the process may be out of
-	// descriptors for a moment.
+	// AcceptRetryDelay is the delay after a failed accept: the process may be out of descriptors for a
+	// moment.
 	AcceptRetryDelay time.Duration
-	// FirstQueryTimeout is the time from connecting to the first whole query. A client without one
-	// must be rejected or closed in 3 s.
+	// FirstQueryTimeout is the time from connecting to the first complete query. A client that sends
+	// none must be rejected or closed within 3 s.
 	FirstQueryTimeout time.Duration
-	// ClientMessageTimeout is the time for the rest of a message once its first bytes were read.
+	// ClientMessageTimeout is the time for the rest of a message once its first byte was read.
 	ClientMessageTimeout time.Duration
 	// ClientIdleTimeout is the time between two queries. Clients close their idle connections
 	// themselves after 4 s.
 	ClientIdleTimeout time.Duration
-	// NewConnectionGrace is the age below which a connection is not closed to make room for another
-	// one. Zero spares none.
+	// NewConnectionGrace is how long a connection must have been idle, or new, before it may be
+	// evicted for another one. With zero, every idle connection may be evicted.
 	NewConnectionGrace time.Duration
-	// ClientWriteTimeout is the time for a client to take an answer.
+	// ClientWriteTimeout is the time for writing an answer to a client.
 	ClientWriteTimeout time.Duration
-	// AnswerAllowance is taken off a client's timeout, at most an eighth of it, because the answer
+	// AnswerAllowance is subtracted from a client's timeout, up to an eighth of it, because the answer
 	// still has to reach the client.
 	AnswerAllowance time.Duration
-	// ClientCloseTimeout is the time for a client to read that its connection ends.
+	// ClientCloseTimeout is the time for a client to close its side of a connection that is being
+	// closed, and for the start-up message of a connection that is being rejected.
 	ClientCloseTimeout time.Duration
-	// EarlyCancelWindow is how long ahead of its query a cancel request may arrive and still apply
-	// to it.
+	// EarlyCancelWindow is how long before its query a cancel request may arrive and still apply to
+	// it.
 	EarlyCancelWindow time.Duration
 
 	// Connections to engines.
 
-	// EngineConnections is the number of connections to all engines together.
+	// EngineConnections is the maximum number of connections to all engines together.
 	EngineConnections int
-	// AnswerHeaderBytes is the size of the longest header of an engine's answer.
+	// AnswerHeaderBytes is the maximum size of the header of an engine's answer.
 	AnswerHeaderBytes int
-	// PageBytes is the size of the longest page of a result.
+	// PageBytes is the maximum size of a page of a result.
 	PageBytes int
-	// ResultPages is the number of pages of a result.
+	// ResultPages is the maximum number of pages of a result.
 	ResultPages int
-	// ResultBytes is the size of the longest result.
+	// ResultBytes is the maximum size of a result.
 	ResultBytes int
-	// EngineQueueBytes is how much may wait to be written to one connection.
+	// EngineQueueBytes is the maximum number of bytes that wait to be written to one connection.
 	EngineQueueBytes int
-	// EngineWriteTimeout is the time for an engine to take what is written to it.
+	// EngineWriteTimeout is the time for a write to an engine.
 	EngineWriteTimeout time.Duration
-	// ConnectTimeout is the time for a connection to an engine or to discovery to be established. Zero
-	// is no limit for engines.
+	// ConnectTimeout is the time for connecting to an engine or to discovery. Zero is no limit for
+	// engines.
 	ConnectTimeout time.Duration
 	// EngineIdleTimeout is the time after which an unused connection is closed. It is shorter than the
-	// engine's own: an attempt that crosses the engine's close would count as possibly run.
+	// engine's own: an attempt sent while the engine closes the connection would count as possibly
+	// run.
 	EngineIdleTimeout time.Duration
-	// MinIdleBeforeEviction is how long a connection must be unused before it may be closed to make
-	// room for one to another engine, so that two engines don't evict each other in turn. Zero
-	// spares none.
+	// MinIdleBeforeEviction is how long a connection must be unused before it may be evicted for one
+	// to another engine, so that two engines don't evict each other in turn. With zero, every unused
+	// connection may be evicted.
 	MinIdleBeforeEviction time.Duration
 	// PingTimeout is the time for an engine to answer a ping. Each cancel is followed by one.
 	PingTimeout time.Duration
-	// PingAfter is the silence of an engine that owes an answer after which it is pinged.
+	// PingAfter is how long an engine with an open attempt may be silent before it is pinged.
 	PingAfter time.Duration
 	// AnswerTimeout is the time for the rest of an answer once its first bytes were read.
 	AnswerTimeout time.Duration
-	// QueryIDReuseDelay is the time past its client's timeout during which a query's id is not used
-	// again on a connection.
+	// QueryIDReuseDelay is how long after its client's timeout the id of a query is not reused on a
+	// connection.
 	QueryIDReuseDelay time.Duration
 
 	// Discovery and the event loop.
 
-	// DiscoveryFrameBytes is the size of the longest frame of the discovery stream.
+	// DiscoveryFrameBytes is the maximum size of a frame of the discovery stream.
 	DiscoveryFrameBytes int
-	// DiscoverySilenceTimeout is the silence after which the stream counts as dead. The server
-	// sends once a second.
+	// DiscoverySilenceTimeout is the time without a frame after which the connection is replaced.
+	// Discovery sends a frame once a second.
 	DiscoverySilenceTimeout time.Duration
-	// EndpointListExpiry is the time since the stream's last frame, or since its address changed,
-	// after which the endpoint list counts as expired.
+	// EndpointListExpiry is the time since the last frame, or since the address of discovery changed,
+	// after which the endpoint list expires.
 	EndpointListExpiry time.Duration
-	// EndpointListExpiryDisconnected is the time since the stream's connection broke after which the
-	// endpoint list counts as expired.
+	// EndpointListExpiryDisconnected is the time since the connection to discovery broke after which
+	// the endpoint list expires.
 	EndpointListExpiryDisconnected time.Duration
-	// DiscoveryRetryDelay is the least time between two attempts to connect to discovery.
+	// DiscoveryRetryDelay is the minimum time between two connection attempts to discovery.
 	DiscoveryRetryDelay time.Duration
-	// EventQueueLength is the number of events, and of new queries, that may wait for the event loop.
-	// Senders of events wait when it is reached, new queries are rejected.
+	// EventQueueLength is the maximum number of events, and of new queries, that wait for the event
+	// loop. When it is reached, senders of events wait and new queries are rejected.
 	EventQueueLength int
 
 	// The process.
 
-	// ConfigReadTimeout is the time for a changed configuration to be read. No other signal is
-	// handled meanwhile.
+	// ConfigReadTimeout is the time for reading a changed configuration. No other signal is handled
+	// meanwhile.
 	ConfigReadTimeout time.Duration
-	// LogInterval is the least time between two log lines about the same engine or the same fault.
-	// Zero logs each.
+	// LogInterval is the minimum time between two log lines about the same engine or the same fault.
+	// With zero, each is logged.
 	LogInterval time.Duration
 	// DrainTimeout is the time for every query to be answered, from the start of a graceful shutdown.
 	DrainTimeout time.Duration
-	// ShutdownTimeout is the time from the start of a graceful shutdown until the process ends,
-	// whatever is unanswered.
+	// ShutdownTimeout is the time from the start of a graceful shutdown until the process exits, even
+	// if queries are unanswered.
 	ShutdownTimeout time.Duration
 	// DrainQuietPeriod is the time without a new query after which a controller that shuts down may
-	// end early.
+	// exit early.
 	DrainQuietPeriod time.Duration
-	// RuntimeMemoryBytes is the memory of the Go runtime from which the garbage collector runs more
-	// often (debug.SetMemoryLimit). It is no hard limit.
+	// RuntimeMemoryBytes is the memory limit of the Go runtime (debug.SetMemoryLimit), near which the
+	// garbage collector runs more often. It is a soft limit.
 	RuntimeMemoryBytes int64
 
-	// Snapshots of statistics, if the operator names a directory for them.
+	// Snapshots of statistics, which are written if the operator configures a directory for them.
 
-	// SnapshotPartRecords is the number of records that the event loop copies at a time.
+	// SnapshotPartRecords is the maximum number of records that the event loop copies at a time.
 	SnapshotPartRecords int
 	// SnapshotPartPause is the pause between two such copies. Zero is no pause.
 	SnapshotPartPause time.Duration
-	// SnapshotBytesPerSecond is how many bytes a second are written on average: larger snapshots
-	// are written less often. It must not be zero.
+	// SnapshotBytesPerSecond bounds the bytes written per second on average: larger snapshots are
+	// written less often. It must not be zero.
 	SnapshotBytesPerSecond int
-	// SnapshotMaxRetryDelay is the longest time between two attempts to write a snapshot that fail.
+	// SnapshotMaxRetryDelay is the maximum delay between failed attempts to write a snapshot.
 	SnapshotMaxRetryDelay time.Duration
-	// SnapshotReadTimeout is the time for the directory to be read at start. Clients wait for it.
+	// SnapshotReadTimeout is the time for reading the directory at start, during which clients wait.
 	SnapshotReadTimeout time.Duration
-	// SnapshotSectionBytes is the size of a section of a snapshot's file. One copy of
+	// SnapshotSectionBytes is the maximum size of a section of a snapshot file. A copy of
 	// SnapshotPartRecords records fits, whatever the length of their ids.
 	SnapshotSectionBytes int
-	// SnapshotSections is the number of sections of a file.
+	// SnapshotSections is the maximum number of sections of a snapshot file.
 	SnapshotSections int
-	// SnapshotFileBytes is the size of a file. Reading it takes several times as much memory.
+	// SnapshotFileBytes is the maximum size of a snapshot file. Reading one takes several times as
+	// much memory.
 	SnapshotFileBytes int64
 }
