--- a/internal/clients/doc.go
+++ b/internal/clients/doc.go
@@ -11,8 +11,8 @@
 //
 // While a query is open its session keeps reading, to detect that the client disconnects. The
 // answer ends that read by moving the read deadline into the past. Messages that the client has
-// pipelined stay in the buffer and are handled after the answer; the time at which they arrived is
-// recorded.
+// pipelined stay in the buffer and are handled after the answer; the next one counts as read at the
+// time when data was first seen behind the open query.
 //
 // A query is parsed, is open from the call of execute until its answer is written, and is released
 // after that. It gets exactly one answer; if its client disconnects first, ClientDisconnected is
--- a/internal/clients/draining.go
+++ b/internal/clients/draining.go
@@ -13,7 +13,7 @@
 	return time.Since(s.lastQueryAt)
 }
 
-// recordPipelinedQuery records the time at which a client sent data behind an open query.
+// recordPipelinedQuery records that data of a client was seen behind an open query.
 func (s *Server) recordPipelinedQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -55,7 +55,7 @@
 }
 
 // watchForDisconnect keeps reading while a query is open, to detect that its client disconnects.
-// Pipelined data is buffered up to ClientMessageBytes, and the time at which it arrived is
+// Pipelined data is buffered up to ClientMessageBytes, and the time at which it was first seen is
 // recorded; beyond that it is discarded and the session must end. The error is
 // os.ErrDeadlineExceeded when the answer is there, errPipelineFull if too much was pipelined before
 // the answer, and any other error if the client has disconnected.
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -26,8 +26,8 @@
 	key            pgwire.CancelKey // set by admit
 	application    string           // the application name from the start-up message
 	connectedAt    time.Time
-	pipelinedAt    time.Time // when the first data pipelined behind an open query arrived; else zero
-	sentValidQuery bool      // it has sent a valid query
+	pipelinedAt    time.Time // when data was first seen behind an open query; zero if there is none
+	sentValidQuery bool      // it has sent a valid query that no rule rejected
 	skipToSync     bool      // messages of the extended protocol are discarded until a Sync
 	sentQuery      bool      // it has sent a query message; written under the server's mutex
 
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,10 +1,10 @@
-// Package request holds a query in flight: the one object that the clients' side and the engines'
-// side share. The clients' side fills it and waits for its answer, the controller's loop finishes
-// it, and the engines' side reads its statement.
+// Package request defines a query in flight, the one object that packages clients, controller and
+// engines share. Package clients fills it in and waits for its answer, the event loop of package
+// controller finishes it, and package engines reads its statement.
 //
-// The exported fields of Query don't change once it is handed to the loop, but for RouterID, which
-// the loop sets before it hands the query on. Its answer is guarded by a mutex, which is held for
-// no I/O.
+// The exported fields of Query don't change once it is passed to the event loop, except for
+// RouterID, which the loop sets before it passes the query on. The answer is guarded by a mutex,
+// which is never held during I/O.
 package request
 
 import (
@@ -15,7 +15,7 @@
 	"mintkeel/router"
 )
 
-// Verdict is how a query was answered.
+// Verdict is the kind of a query's answer.
 type Verdict int
 
 const (
@@ -23,11 +23,11 @@
 	Unanswered Verdict = iota
 	// Succeeded queries have rows.
 	Succeeded
-	// Rejected queries had no effect or may run again: the client may retry.
+	// Rejected queries had no effect, or may run again: the client may retry them.
 	Rejected
-	// Failed queries may have had their effect or not: nothing is promised.
+	// Failed queries may or may not have had their effect; the client can't assume either.
 	Failed
-	// Disconnected queries need no answer: their client has gone, or has cancelled them.
+	// Disconnected queries need no result: their client has disconnected, or has cancelled them.
 	Disconnected
 )
 
@@ -35,56 +35,56 @@
 type Answer struct {
 	Verdict    Verdict
 	Pages      [][]byte      // of Succeeded: rows as the engine sent them
-	RetryAfter time.Duration // of Rejected: how long the client should wait; 0: it gets no hint
+	RetryAfter time.Duration // of Rejected: how long the client should wait; 0: not specified
 }
 
-// Query is a query that a client has sent whole.
+// Query is a query that was read completely from its client.
 type Query struct {
-	RouterID          router.QueryID     // set by the loop; 0 until then
-	ID                string             // the client's own, which engines get
-	Class             router.ClassID     // of the settings
-	ClassName         string             // of Class, which engines get
+	RouterID          router.QueryID     // set by the event loop; 0 until then
+	ID                string             // assigned by the client, and sent to engines
+	Class             router.ClassID     // the client's, or that of the operator's rules
+	ClassName         string             // as sent by the client, and sent to engines
 	Tenant            router.TenantID    // -1: none
-	IdempotencyKey    string             // engines drop a repeat with the same key; empty: none
-	OrderingKey       router.OrderingKey // as the client gave it; empty: none
+	IdempotencyKey    string             // engines discard a repeat with the same key; empty: none
+	OrderingKey       router.OrderingKey // as sent by the client, or by the rules; empty: none
 	EstimatedWork     float64            // ms on one thread; 0: no estimate
 	EstimateCap       float64            // ms, by the operator's rules; 0: none
 	EstimatedMemoryMB float64            // 0: no estimate
 	Tables            router.TableGroup
 	Kinds             []router.KindID // by the operator's rules; nil: not narrowed
 	Zones             []router.Zone   // by the operator's rules; nil: not narrowed
-	Hot               bool            // by the operator's rules: its tables get several engines
-	Statement         []byte          // which engines get
+	Hot               bool            // by the operator's rules: its table group gets more engines
+	Statement         []byte          // sent to engines
 
-	// RuleInput is the query as the operator's rules see it; nil where there can be none.
+	// RuleInput is the input of the query to the operator's rules; nil if rules can't be set.
 	RuleInput *rules.Query
 
-	FirstOnConnection bool      // no query came before it on its connection
-	ReadAt            time.Time // when its last byte was read
+	FirstOnConnection bool      // no query was executed before it on its connection
+	ReadAt            time.Time // when it was read completely or, if pipelined, first seen
 
-	// TimeLeft is the time from ReadAt until the query must be answered, a little before its client
-	// gives up.
+	// TimeLeft is the time from ReadAt until the query must be answered, which is a little before the
+	// client's own timeout.
 	TimeLeft time.Duration
 	// ClientTimeout is how long clients wait for a query of this class, by the settings. It counts
-	// from when they want the answer, which may be before they can send the query.
+	// from when the client issues the query, which it may queue before sending it.
 	ClientTimeout time.Duration
 
 	mu       sync.Mutex
 	answer   Answer
-	onAnswer func() // nil: not set yet
+	onAnswer func() // nil: not set
 }
 
-// OnAnswer has notify called once, when there is a final answer. notify must not block, and must be
-// set before the query is handed to the loop.
+// OnAnswer sets a function that is called once, when there is a final answer. It must not block,
+// and must be set before the query is passed to the event loop.
 func (q *Query) OnAnswer(notify func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.onAnswer = notify
 }
 
-// Finish gives the final answer and reports whether it is the first. No later one takes effect: a
-// disconnect, the end of an attempt and a timeout may come at the same moment, and the client must
-// not get two answers.
+// Finish sets the final answer and reports whether it is the first one. A later answer has no
+// effect: a disconnect, the end of an attempt and a timeout may coincide, and the client must not
+// get two answers.
 func (q *Query) Finish(answer Answer) bool {
 	q.mu.Lock()
 	first := q.answer.Verdict == Unanswered
