--- a/internal/clients/connections.go
+++ b/internal/clients/connections.go
@@ -63,7 +63,7 @@
 }
 
 // evictIdle evicts idle sessions if the limit of connections is reached, and reports whether
-// another connection fits. It evicts the session that has been idle for the longest time: first
+// another connection fits. It evicts those that have been idle for the longest time: first
 // among those that are being closed, then among those that never sent a query, then among the
 // others. Hundreds of connections that send nothing, or that sent one query and stay open,
 // therefore can't block others. Sessions that became idle less than NewConnectionGrace ago are not
--- a/internal/clients/execute.go
+++ b/internal/clients/execute.go
@@ -88,8 +88,8 @@
 }
 
 // abandonQuery cancels the open query, as its client no longer waits for the answer. If no query is
-// open and a cancel request is the cause, the next query is cancelled if it arrives within
-// EarlyCancelWindow: the request may have overtaken it.
+// open and a cancel request is the cause, a query that is executed within EarlyCancelWindow is
+// cancelled instead: the request may have overtaken it.
 func (ses *session) abandonQuery(cancelRequest bool) {
 	ses.mu.Lock()
 	query := ses.openQuery
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// cancel cancels the open query of the session with this key, or the query that arrives next: a
-// cancel request can overtake its query, as the two use different connections.
+// cancel cancels the open query of the session with this key, or one that the session executes
+// within EarlyCancelWindow: a cancel request can overtake its query, as the two use different
+// connections.
 func (s *Server) cancel(key pgwire.CancelKey) {
 	s.counts.cancels.Add(1)
 	s.mu.Lock()
--- a/internal/clients/session.go
+++ b/internal/clients/session.go
@@ -145,8 +145,8 @@
 }
 
 // refuseUnsupported answers a message of the extended protocol, or a function call, with an error.
-// As the protocol requires, messages after one of the extended protocol are discarded up to the
-// next Sync; a function call has an answer of its own and does not affect later messages.
+// As the protocol requires, such messages are then discarded up to the next Sync, except after a
+// function call, which is answered on its own.
 func (ses *session) refuseUnsupported(kind byte) error {
 	if ses.skipToSync {
 		return nil
--- a/internal/clients/session_test.go
+++ b/internal/clients/session_test.go
@@ -152,13 +152,13 @@
 		want  string
 	}{
 		{"nothing", nil, "E08P01$"},
-		{"half a start-up message", [][]byte{startMessage[:9]}, "E08P01$"},
+		{"incomplete start-up message", [][]byte{startMessage[:9]}, "E08P01$"},
 		{"a start-up message alone", [][]byte{startMessage}, sessionStartTypes + "E08P01$"},
-		{"half a query", [][]byte{startMessage, queryMessage(queryText)[:20]}, sessionStartTypes + "E08P01$"},
-		{"a query without end", [][]byte{startMessage, {'Q', 0, 0, 0x40, 0}, make([]byte, 8000)},
+		{"incomplete query", [][]byte{startMessage, queryMessage(queryText)[:20]}, sessionStartTypes + "E08P01$"},
+		{"query shorter than its length", [][]byte{startMessage, {'Q', 0, 0, 0x40, 0}, make([]byte, 8000)},
 			sessionStartTypes + "E08P01$"},
 		{"an empty query, then nothing", [][]byte{startMessage, queryMessage("")}, sessionStartTypes + "IZ$"},
-		{"an empty query, then half of one", [][]byte{startMessage, queryMessage(""), queryMessage(queryText)[:9]},
+		{"an empty query, then an incomplete one", [][]byte{startMessage, queryMessage(""), queryMessage(queryText)[:9]},
 			sessionStartTypes + "IZE08P01$"},
 	} {
 		if got, _ := st.readUntil(st.connect(c.bytes...), ""); got != c.want {
--- a/internal/controller/counts.go
+++ b/internal/controller/counts.go
@@ -8,7 +8,7 @@
 
 // Counts holds the loop's counters since its start.
 type Counts struct {
-	Accepted        int64 // queries handed to the module
+	Accepted        int64 // queries passed to the module
 	Answered        int64 // queries answered with the result of an attempt
 	Rejected        int64 // queries rejected by the module
 	Failed          int64 // queries failed by the module
--- a/internal/discovery/frame_test.go
+++ b/internal/discovery/frame_test.go
@@ -63,7 +63,7 @@
 		{"changes of no engine", frame(2, 2), nil, true, false},
 		{"unknown kind", frame(2, 3), nil, false, true},
 		{"unknown state", frame(2, 2, record(1, 3, 0, 0)), nil, false, true},
-		{"half a record", frame(2, 2, record(1, 0, 0, 0)[:20]), nil, false, true},
+		{"incomplete record", frame(2, 2, record(1, 0, 0, 0)[:20]), nil, false, true},
 		{"unchanged, with a record", frame(2, 0, record(1, 0, 0, 0)), nil, false, true},
 		{"too short", []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1, 0}, nil, false, true},
 		{"far too long", append([]byte{0xff, 0xff, 0xff, 0xff}, completeFrame[4:]...), nil, false, true},
