--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -11,13 +11,14 @@
 	"mintkeel/router"
 )
 
-// noTenant is the tenant of a query that names none.
+// noTenant is the tenant of a query without a tenant.
 const noTenant router.TenantID = -1
 
-// maxAllowanceFraction bounds limits.AnswerAllowance for short timeouts: to an eighth of them.
+// maxAllowanceFraction bounds limits.AnswerAllowance to an eighth of the client's timeout, which
+// matters for short timeouts.
 const maxAllowanceFraction = 8
 
-// queryError is why a query can't be used, as its client gets it.
+// queryError is the error that is returned to the client of an invalid query.
 type queryError struct {
 	code    string // one of the Code... of package pgwire
 	message string
@@ -25,10 +26,10 @@
 
 func (e *queryError) Error() string { return e.message }
 
-// handleQuery answers a query message, by running the query if it can be used.
+// handleQuery handles a query message: it runs a valid query and answers others with an error.
 func (ses *session) handleQuery(body []byte, size int, readAt time.Time) error {
-	text, whole := pgwire.QueryText(body)
-	if !whole {
+	text, wellFormed := pgwire.QueryText(body)
+	if !wellFormed {
 		return pgwire.ErrMalformed
 	}
 	ses.server.counts.queries.Add(1)
@@ -36,20 +37,20 @@
 		ses.reader.Discard(size)
 		return ses.write(pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 	}
-	query, failed := ses.parseQuery(text, readAt)
-	ses.reader.Discard(size) // only now, as text is in the buffer
-	if failed == nil {
+	query, queryErr := ses.parseQuery(text, readAt)
+	ses.reader.Discard(size) // after parsing, as text refers to the buffer
+	if queryErr == nil {
 		return ses.execute(query)
 	}
-	// The operator's rules count and name what they refuse.
-	if failed.code != pgwire.CodeRejectedByRule {
+	if queryErr.code != pgwire.CodeRejectedByRule { // applyRules counts rejections, by rule
 		ses.server.counts.badQueries.Add(1)
-		ses.server.logBadClient(ses, failed.message)
+		ses.server.logBadClient(ses, queryErr.message)
 	}
-	return ses.write(pgwire.AppendReady(pgwire.AppendError(nil, false, failed.code, failed.message)))
+	return ses.write(pgwire.AppendReady(
+		pgwire.AppendError(nil, false, queryErr.code, queryErr.message)))
 }
 
-// isBlank reports whether a text holds no statement.
+// isBlank reports whether a text contains no statement: white space and semicolons only.
 func isBlank(text []byte) bool {
 	for _, c := range text {
 		if c != ' ' && c != '\t' && c != '\r' && c != '\n' && c != ';' {
@@ -59,7 +60,7 @@
 	return true
 }
 
-// parseQuery makes a query of a text, and has the operator's rules change it.
+// parseQuery parses the text of a query and applies the operator's rules to the query.
 func (ses *session) parseQuery(text []byte, readAt time.Time) (*request.Query, *queryError) {
 	f, err := pgwire.ParseQuery(text)
 	if err != nil {
@@ -96,7 +97,7 @@
 		EstimatedWork:     f.EstimatedWorkMS,
 		EstimatedMemoryMB: f.EstimatedMemoryMB,
 		Tables:            router.TableGroup(table.Group),
-		FirstOnConnection: !ses.hadQuery,
+		FirstOnConnection: !ses.sentValidQuery,
 		ReadAt:            readAt,
 		TimeLeft:          ses.answerWithin(f.TimeoutMS),
 		ClientTimeout:     duration(classSettings.ClientTimeout),
@@ -109,11 +110,11 @@
 		}
 	}
 	query.Statement = append([]byte(nil), f.Statement...)
-	ses.hadQuery = true
+	ses.sentValidQuery = true
 	return query, nil
 }
 
-// findClass returns the query class of a name. Its error is a *pgwire.FieldError.
+// findClass returns the query class with a name. Its error is a *pgwire.FieldError.
 func findClass(names *settings.Names, name string) (router.ClassID, error) {
 	class, known := names.Classes[name]
 	if !known {
@@ -123,8 +124,8 @@
 	return class, nil
 }
 
-// findTenant returns the tenant of a name; noTenant if there is no name, or the settings have no
-// tenants. Its error is a *pgwire.FieldError.
+// findTenant returns the tenant with a name, or noTenant if the name is empty or the settings
+// define no tenants. Its error is a *pgwire.FieldError.
 func findTenant(names *settings.Names, name string) (router.TenantID, error) {
 	tenant, known := names.Tenants[name]
 	switch {
@@ -137,7 +138,7 @@
 	return 0, &pgwire.FieldError{Field: pgwire.FieldTenant, Why: why}
 }
 
-// fieldError is the answer to a field that can't be used.
+// fieldError converts the error of a missing or invalid field into the error for the client.
 func fieldError(err error) *queryError {
 	code := pgwire.CodeInvalidField
 	var field *pgwire.FieldError
@@ -147,13 +148,13 @@
 	return &queryError{code, err.Error()}
 }
 
-// answerWithin is how long after its reading a query must be answered at the latest, by its
-// client's timeout in ms. Some of the timeout is left for the answer to reach the client: an answer
-// that is written just before the timeout would come too late.
+// answerWithin returns the time, from when a query was read, within which it must be answered,
+// given its client's timeout in ms. It is shorter than the timeout, as the answer still has to
+// reach the client: one that is written just before the timeout would arrive too late.
 func (ses *session) answerWithin(timeoutMS float64) time.Duration {
 	timeout := duration(timeoutMS)
 	return timeout - min(ses.server.limits.AnswerAllowance, timeout/maxAllowanceFraction)
 }
 
-// duration converts a time in ms.
+// duration converts a number of milliseconds.
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
