--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -24,7 +24,7 @@
 type heldLease struct {
 	token     Token
 	expiresAt float64 // ms, before which it may begin an effect; 0: no renewal was confirmed yet
-	reported  bool    // TakeChanges reported, or will report, that it began
+	began     bool    // TakeChanges reported, or will report, that it began
 }
 
 // NewClient returns the client of one run of a controller, which holds nothing.
@@ -41,7 +41,7 @@
 		return
 	}
 	if lease != nil {
-		c.drop(grant.Name)
+		c.endGrant(grant.Name)
 	}
 	c.held[grant.Name] = &heldLease{token: grant.Token}
 	c.renewAt = now
@@ -87,8 +87,8 @@
 			continue
 		}
 		lease.expiresAt = max(lease.expiresAt, sentAt+c.timing.HoldTime())
-		if !lease.reported && now < lease.expiresAt {
-			lease.reported = true
+		if !lease.began && now < lease.expiresAt {
+			lease.began = true
 			c.began = append(c.began, grant)
 		}
 	}
@@ -97,7 +97,7 @@
 // Revoke ends a grant that is no longer valid.
 func (c *Client) Revoke(grant Grant) {
 	if lease := c.held[grant.Name]; lease != nil && lease.token == grant.Token {
-		c.drop(grant.Name)
+		c.endGrant(grant.Name)
 	}
 }
 
@@ -119,7 +119,7 @@
 		return nil
 	}
 	grant := Grant{name, lease.token}
-	c.drop(name)
+	c.endGrant(name)
 	return &Release{Holder: c.self, Grant: grant, Failed: failed}
 }
 
@@ -148,7 +148,7 @@
 	}
 	next := max(now, c.renewAt)
 	for _, lease := range c.held {
-		if lease.reported {
+		if lease.began {
 			next = min(next, max(now, lease.expiresAt))
 		}
 	}
@@ -159,17 +159,17 @@
 // stays: the quorum may be unavailable and confirm a later renewal.
 func (c *Client) expire(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
-		if lease := c.held[name]; lease.reported && now >= lease.expiresAt {
-			c.drop(name)
+		if lease := c.held[name]; lease.began && now >= lease.expiresAt {
+			c.endGrant(name)
 		}
 	}
 }
 
-// drop ends a lease.
-func (c *Client) drop(name Name) {
+// endGrant ends a lease.
+func (c *Client) endGrant(name Name) {
 	lease := c.held[name]
 	delete(c.held, name)
-	if lease.reported {
+	if lease.began {
 		c.ended = append(c.ended, Grant{name, lease.token})
 	}
 }
--- a/internal/core/fleet/lease/manager.go
+++ b/internal/core/fleet/lease/manager.go
@@ -99,11 +99,11 @@
 
 // ReassignableAt returns when a lease may be assigned to another at the earliest, in ms.
 func (m *Manager) ReassignableAt(name Name) float64 {
-	return m.countedFrom(name) + m.timing.ReassignAfter()
+	return m.lastRenewedAt(name) + m.timing.ReassignAfter()
 }
 
-// countedFrom returns from when the lease runs by this manager's clock, in ms.
-func (m *Manager) countedFrom(name Name) float64 { return max(m.startedAt, m.renewedAt[name]) }
+// lastRenewedAt returns from when the lease runs by this manager's clock, in ms.
+func (m *Manager) lastRenewedAt(name Name) float64 { return max(m.startedAt, m.renewedAt[name]) }
 
 // Next returns when Decide is to be called at the latest, in ms.
 func (m *Manager) Next(now float64, state *State) float64 {
@@ -129,7 +129,7 @@
 		if lease.Held() && m.unconfirmed[name] {
 			m.backoffUntil[leaseMember{name, lease.Holder.ID}] = now + unconfirmedBackoff
 		}
-		to, ok := m.choose(now, lease, candidates, holding)
+		to, ok := m.chooseHolder(now, lease, candidates, holding)
 		if !ok {
 			continue
 		}
@@ -161,10 +161,10 @@
 	return !lease.Retired && (!lease.Held() || now >= m.ReassignableAt(lease.Name))
 }
 
-// choose returns the next holder of a free lease: the one that an operator prefers, if it is there
+// chooseHolder returns the next holder of a free lease: the one that an operator prefers, if it is there
 // within a time; else the candidate with the fewest leases, and among equals by a hash that differs
 // by lease, so that leases spread.
-func (m *Manager) choose(
+func (m *Manager) chooseHolder(
 	now float64, lease *Lease, candidates []Candidate, holding map[members.ID]int,
 ) (holder Holder, found bool) {
 	if lease.Preferred != "" {
@@ -173,7 +173,7 @@
 				return c.Holder, true
 			}
 		}
-		if now < m.countedFrom(lease.Name)+min(preferredWait, m.timing.Duration) {
+		if now < m.lastRenewedAt(lease.Name)+min(preferredWait, m.timing.Duration) {
 			return Holder{}, false
 		}
 	}
--- a/internal/core/fleet/lease/modelcheck.go
+++ b/internal/core/fleet/lease/modelcheck.go
@@ -49,7 +49,7 @@
 	b = fmt.Append(b, c.self.Run, c.renewAt)
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
 		lease := c.held[name]
-		b = fmt.Append(b, name, lease.token, lease.expiresAt, lease.reported)
+		b = fmt.Append(b, name, lease.token, lease.expiresAt, lease.began)
 	}
 	return b
 }
