--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Client is a holder's side: which leases this controller may act under, by its own steady clock.
-// It is for one goroutine.
+// Client tracks the leases offered to this controller, and until when it may act under each by its
+// own steady clock. It is for one goroutine.
 type Client struct {
 	self     Holder
 	timing   Timing
@@ -15,7 +15,7 @@
 	sentAt   map[uint64]float64 // ms, when a renewal was sent, by its sequence
 	renewAt  float64            // ms
 
-	// The grants that began and ended since the last TakeChanges.
+	// Grants that began and ended since the last TakeChanges.
 	began []Grant
 	ended []Grant
 }
@@ -24,7 +24,7 @@
 type heldLease struct {
 	token     Token
 	expiresAt float64 // ms, before which it may begin an effect; 0: no renewal was confirmed yet
-	began     bool    // TakeChanges reported, or will report, that it began
+	began     bool    // a renewal was confirmed in time; TakeChanges has reported the start, or will
 }
 
 // NewClient returns the client of one run of a controller, which holds nothing.
@@ -33,8 +33,8 @@
 }
 
 // AcceptOffer handles a leader's message that this controller was assigned a lease. The controller
-// may not act yet, as it does not know how long the message took: it requests a renewal and counts
-// from when it sent that.
+// may not act yet, as it does not know how long the message took: it requests a renewal, and its
+// hold time counts from when it sent that request.
 func (c *Client) AcceptOffer(now float64, grant Grant) {
 	lease := c.held[grant.Name]
 	if lease != nil && lease.token >= grant.Token || lease == nil && len(c.held) >= maxLeases {
@@ -47,7 +47,7 @@
 	c.renewAt = now
 }
 
-// Renewal returns the renewal that is due now; nil: none.
+// Renewal returns the renewal to send if one is due, else nil.
 func (c *Client) Renewal(now float64) *Renew {
 	c.expire(now)
 	if len(c.held) == 0 || now < c.renewAt {
@@ -68,13 +68,13 @@
 	return renewal
 }
 
-// RenewNow makes the next renewal due at once: the last one was sent to a controller that does not
-// lead.
+// RenewNow makes the next renewal due at once. It is called if the last one was sent to a
+// controller that does not lead.
 func (c *Client) RenewNow(now float64) { c.renewAt = min(c.renewAt, now) }
 
-// ConfirmRenewal handles what the quorum agreed on about a renewal: the grants that are valid. The
+// ConfirmRenewal handles the answer to a renewal, with the grants that the quorum found valid. The
 // holder may act for the hold time from when it sent the renewal, however late the answer comes.
-// The grants of the renewal that are not valid are passed to Revoke.
+// The caller passes the grants that are not valid to Revoke.
 func (c *Client) ConfirmRenewal(now float64, sequence uint64, valid []Grant) {
 	sentAt, ok := c.sentAt[sequence]
 	if !ok {
@@ -101,8 +101,8 @@
 	}
 }
 
-// CanAct reports whether this controller may begin an effect under a lease now, with which fencing
-// token, and until when, in ms, the effect has to be done.
+// CanAct reports whether this controller may begin an effect under a lease now. It returns the
+// fencing token, and the time in ms by which the effect has to be done.
 func (c *Client) CanAct(now float64, name Name) (token Token, until float64, ok bool) {
 	lease := c.held[name]
 	if lease == nil || now >= lease.expiresAt {
@@ -111,8 +111,8 @@
 	return lease.token, lease.expiresAt, true
 }
 
-// Release ends a lease at once and returns the release to be sent; nil: the lease is not held.
-// Failed says that the controller could not run the lease's job.
+// Release ends a lease at once and returns the release to send, or nil if the lease is not held.
+// Failed is set if the controller could not run the lease's job.
 func (c *Client) Release(name Name, failed bool) *Release {
 	lease := c.held[name]
 	if lease == nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// endGrant ends a lease.
+// endGrant removes a lease and, if it began, reports its grant as ended.
 func (c *Client) endGrant(name Name) {
 	lease := c.held[name]
 	delete(c.held, name)
--- a/internal/core/fleet/lease/command.go
+++ b/internal/core/fleet/lease/command.go
@@ -20,15 +20,15 @@
 	return c.Declare != nil || c.Assign != nil || c.Release != nil || c.Prefer != nil
 }
 
-// Declare sets which leases there are. Others are retired.
+// Declare sets which leases exist. All others are retired.
 type Declare struct {
 	Names []Name `cbor:"1,keyasint"`
 }
 
-// Assign assigns a lease to a holder, if the lease has not changed since the leader decided on it.
+// Assign assigns a lease to a holder, unless the lease has changed since the leader's decision.
 type Assign struct {
 	Name     Name   `cbor:"1,keyasint"`
-	Revision uint64 `cbor:"2,keyasint"` // of the lease when the leader decided
+	Revision uint64 `cbor:"2,keyasint"` // of the lease at the leader's decision
 	To       Holder `cbor:"3,keyasint"`
 }
 
@@ -39,7 +39,7 @@
 	Sequence uint64  `cbor:"3,keyasint"` // the holder's number of this renewal
 }
 
-// Release ends a holder's lease: the holder has stopped and begins no effect of the grant any more.
+// Release ends a holder's lease: the holder has stopped and begins no more effects under the grant.
 type Release struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
@@ -52,17 +52,17 @@
 	To   members.ID `cbor:"2,keyasint"`
 }
 
-// StoreState replaces the state that a lease's holder hands on to the next one. It is applied if
-// the holder still holds the lease and has read the state before.
+// StoreState replaces the job's state that is stored with a lease. It is applied only if the holder
+// still holds the lease and Serial follows the stored one, which shows that it has read that state.
 type StoreState struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
-	Serial uint64 `cbor:"3,keyasint"` // one more than that of the state before
+	Serial uint64 `cbor:"3,keyasint"` // one more than that of the state it replaces
 	Data   []byte `cbor:"4,keyasint"`
 }
 
-// LoadState reads the state of a lease at its own index of the log: a new holder reads all that
-// earlier ones stored.
+// LoadState reads the state of a lease at this command's index of the log, so that a new holder
+// reads all that earlier holders stored.
 type LoadState struct {
 	Holder Holder `cbor:"1,keyasint"`
 	Grant  Grant  `cbor:"2,keyasint"`
--- a/internal/core/fleet/lease/fencing_test.go
+++ b/internal/core/fleet/lease/fencing_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A message of a former holder arrives after an effect of the next holder. Its token is lower, and the
-// receiver rejects it.
+// A message of a former holder arrives after an effect of the next holder. Its token is lower, and
+// the receiver rejects it.
 func TestFencingCheckRejectsOlderTokens(t *testing.T) {
 	check := NewFencingCheck(map[Name]Token{"stored": 5})
 	for i, c := range []struct {
@@ -25,22 +25,22 @@
 		{"stored", 5, true, false},
 	} {
 		if ok, isNew := check.Admit(c.name, c.token); ok != c.ok || isNew != c.isNew {
-			t.Errorf("%d: %v, %v", i, ok, isNew)
+			t.Errorf("case %d: Admit(%q, %d) = %v, %v, want %v, %v", i, c.name, c.token, ok, isNew, c.ok, c.isNew)
 		}
 	}
 	check.Raise("x", 9)
 	if check.Seen()["x"] != 9 {
-		t.Error("not raised")
+		t.Errorf("highest token after Raise to 9 is %d, want 9", check.Seen()["x"])
 	}
 	check.Raise("x", 4)
 	if check.Seen()["x"] != 9 {
-		t.Error("lowered")
+		t.Errorf("highest token after Raise to 4 is %d, want still 9", check.Seen()["x"])
 	}
 	for i := range 2 * maxLeases {
 		check.Admit(Name(fmt.Sprint(i)), 1)
 		check.Raise(Name(fmt.Sprint("r", i)), 1)
 	}
 	if len(check.Seen()) > maxLeases {
-		t.Errorf("%d leases are remembered", len(check.Seen()))
+		t.Errorf("the check remembers %d leases, want at most %d", len(check.Seen()), maxLeases)
 	}
 }
--- a/internal/core/fleet/lease/lease.go
+++ b/internal/core/fleet/lease/lease.go
@@ -9,28 +9,28 @@
 // fleet.
 type Token uint64
 
-// Holder is one run of a controller's process: after a restart it is another holder.
+// Holder identifies one run of a controller's process: after a restart it is another holder.
 type Holder struct {
 	ID  members.ID `cbor:"1,keyasint"`
 	Run uint64     `cbor:"2,keyasint"`
 }
 
-// Lease is what the quorum has agreed on about one lease. It is encoded by the keys of its fields.
+// Lease is the replicated state of one lease. It is encoded by the keys of its fields.
 type Lease struct {
 	Name  Name  `cbor:"1,keyasint"`
 	Token Token `cbor:"2,keyasint"`
 	// Holder is the zero value if nobody holds the lease.
 	Holder Holder `cbor:"3,keyasint"`
-	// Revision rises with each assignment, renewal and release. An Assign names the one it was
-	// decided on.
+	// Revision rises with each assignment, renewal and release. An Assign names the revision that
+	// the leader's decision was based on.
 	Revision uint64 `cbor:"4,keyasint"`
-	// Preferred is the next holder by an operator's command; empty: none.
+	// Preferred is the next holder that an operator asked for; empty: none.
 	Preferred members.ID `cbor:"5,keyasint"`
-	// Retired: it is no longer declared, and is kept for its fencing token alone.
+	// Retired is set if the lease is no longer declared; it is kept only for its fencing token.
 	Retired bool `cbor:"6,keyasint"`
 	// Serial is the version of State.
 	Serial uint64 `cbor:"7,keyasint,omitempty"`
-	// State is the state that a holder hands on to the next one.
+	// State is the job's state, which a holder stores for the next holder.
 	State []byte `cbor:"8,keyasint,omitempty"`
 }
 
@@ -43,9 +43,9 @@
 	Token Token `cbor:"2,keyasint"`
 }
 
-// Bounds on what is agreed on and remembered, whatever is proposed.
+// Limits on leases and their state, whatever a peer proposes or sends.
 const (
-	// MaxStateBytes bounds the state that the holders of a lease hand on.
+	// MaxStateBytes bounds the job's state that a holder stores with its lease.
 	MaxStateBytes = 128 << 10
 	// maxLeases bounds the leases, retired ones among them, of a State, a Client and a FencingCheck.
 	maxLeases = 256
--- a/internal/core/fleet/lease/manager.go
+++ b/internal/core/fleet/lease/manager.go
@@ -12,20 +12,20 @@
 // Candidate is a controller that a lease can be assigned to.
 type Candidate struct {
 	Holder  Holder
-	Avoid   bool // it is suspect, or leads the quorum: others come first
-	Willing bool // it takes on leases
+	Avoid   bool // it is suspect, or leads the quorum: other candidates come first
+	Willing bool // it accepts leases
 }
 
-// Manager is the leader's side: it measures by the leader's clock when each lease was last renewed,
-// and decides on assignments. A controller makes a new one whenever it becomes leader. All leases
-// then run from that time, as it does not know when the former leader saw them renewed. It is for
+// Manager decides on the leader which leases to assign, from when each was last renewed by the
+// leader's clock. A controller creates a new one whenever it becomes leader. All leases then count
+// as renewed at that time, as it does not know when the former leader saw them renewed. It is for
 // one goroutine.
 type Manager struct {
 	timing       Timing
 	startedAt    float64                 // ms
 	renewedAt    map[Name]float64        // ms, when an applied command last changed or renewed it
 	backoffUntil map[leaseMember]float64 // ms, before which a member does not get a lease
-	pending      map[Name]assignment     // proposed and not agreed on yet
+	pending      map[Name]assignment     // proposed and not committed yet
 	unconfirmed  map[Name]bool           // assigned and not renewed yet
 }
 
@@ -53,10 +53,10 @@
 	}
 }
 
-// Applied handles an agreed command and the leases that it changed or renewed.
+// Applied handles a committed command and the leases that it changed or renewed.
 func (m *Manager) Applied(now float64, c Command, changed []Name) {
 	if c.StoreState != nil || c.LoadState != nil || c.Prefer != nil {
-		return // these extend no lease: holder and leader measure it from renewals alone
+		return // these extend no lease: holder and leader count from renewals alone
 	}
 	for _, name := range changed {
 		m.renewedAt[name] = now
@@ -72,8 +72,7 @@
 	}
 }
 
-// backOff keeps a lease from the member that released it, for a while: the member may be shutting
-// down.
+// backOff keeps a lease for a time from the member that released it, which may be shutting down.
 func (m *Manager) backOff(now float64, r *Release) {
 	backoff := unconfirmedBackoff
 	if r.Failed {
@@ -83,13 +82,13 @@
 }
 
 // RecentlyRenewed reports whether a lease was renewed within two renew intervals. If not, its
-// holder may not know of it, or has dropped it, and takes it up again if it is offered.
+// holder may not know of it or may have dropped it, and resumes it when it is offered again.
 func (m *Manager) RecentlyRenewed(now float64, name Name) bool {
 	at, ever := m.renewedAt[name]
 	return ever && !m.unconfirmed[name] && now < at+2*m.timing.RenewInterval()
 }
 
-// Confirmed reports whether the holders of all these grants have renewed them before.
+// Confirmed reports whether each of these grants has been renewed by its holder.
 func (m *Manager) Confirmed(grants []Grant) bool {
 	return !slices.ContainsFunc(grants, func(g Grant) bool {
 		_, ever := m.renewedAt[g.Name]
@@ -97,15 +96,17 @@
 	})
 }
 
-// ReassignableAt returns when a lease may be assigned to another at the earliest, in ms.
+// ReassignableAt returns the earliest time at which a lease may be assigned to another holder, in
+// ms.
 func (m *Manager) ReassignableAt(name Name) float64 {
 	return m.lastRenewedAt(name) + m.timing.ReassignAfter()
 }
 
-// lastRenewedAt returns from when the lease runs by this manager's clock, in ms.
+// lastRenewedAt returns when the lease was last changed or renewed by this manager's clock, in ms;
+// at the earliest when the manager was created.
 func (m *Manager) lastRenewedAt(name Name) float64 { return max(m.startedAt, m.renewedAt[name]) }
 
-// Next returns when Decide is to be called at the latest, in ms.
+// Next returns the latest time at which Decide has to be called, in ms.
 func (m *Manager) Next(now float64, state *State) float64 {
 	next := now + m.timing.Duration
 	for name, lease := range state.Leases {
@@ -116,8 +117,8 @@
 	return next
 }
 
-// Decide returns the commands that are to be proposed now. A lease stays with its holder as long as
-// that renews it: a better candidate gets the next lease that becomes free.
+// Decide returns the commands to propose now. A lease stays with its holder as long as the holder
+// renews it: a better candidate gets the next lease that becomes free.
 func (m *Manager) Decide(now float64, state *State, candidates []Candidate) (commands []Command) {
 	holding := leasesByHolder(state)
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
@@ -125,7 +126,7 @@
 		if !m.mayAssign(now, lease) {
 			continue
 		}
-		// The holder never renewed: it is dead, or another run than was believed.
+		// The holder never renewed: it is dead, or runs under another Run than the leader knew.
 		if lease.Held() && m.unconfirmed[name] {
 			m.backoffUntil[leaseMember{name, lease.Holder.ID}] = now + unconfirmedBackoff
 		}
@@ -152,7 +153,7 @@
 	return holding
 }
 
-// mayAssign reports whether a lease is free or has run out, and no assignment of it is pending.
+// mayAssign reports whether a lease is free or has expired, and no assignment of it is pending.
 func (m *Manager) mayAssign(now float64, lease *Lease) bool {
 	pending, ok := m.pending[lease.Name]
 	if ok && pending.revision == lease.Revision && now < pending.deadline {
@@ -161,9 +162,9 @@
 	return !lease.Retired && (!lease.Held() || now >= m.ReassignableAt(lease.Name))
 }
 
-// chooseHolder returns the next holder of a free lease: the one that an operator prefers, if it is there
-// within a time; else the candidate with the fewest leases, and among equals by a hash that differs
-// by lease, so that leases spread.
+// chooseHolder returns the next holder of a free lease: the member that an operator prefers, if it
+// becomes a candidate within preferredWait, or else the candidate with the fewest leases. A hash
+// that differs by lease breaks ties, so that leases spread over the candidates.
 func (m *Manager) chooseHolder(
 	now float64, lease *Lease, candidates []Candidate, holding map[members.ID]int,
 ) (holder Holder, found bool) {
@@ -193,7 +194,7 @@
 	return best.Holder, found
 }
 
-// betterCandidate reports whether a is to get a lease rather than b.
+// betterCandidate reports whether a comes before b for a lease.
 func betterCandidate(name Name, a, b Candidate, holding map[members.ID]int) bool {
 	if a.Avoid != b.Avoid {
 		return b.Avoid
--- a/internal/core/fleet/lease/manager_test.go
+++ b/internal/core/fleet/lease/manager_test.go
@@ -24,7 +24,9 @@
 	return text
 }
 
-// TestManagerAssignsFreeAndExpiredLeases: which leases the leader assigns when, and to whom.
+// TestManagerAssignsFreeAndExpiredLeases: a lease must be assigned as soon as it is free or
+// expired, not before, and not to a member that backs off, is unwilling, or comes after a better
+// candidate.
 func TestManagerAssignsFreeAndExpiredLeases(t *testing.T) {
 	timing := Timing{Duration: 1000}
 	s := stateWithHolders(a) // y is free
@@ -53,7 +55,8 @@
 		t.Errorf("when its lease has expired: %q", got)
 	}
 	if manager.Next(2000, stateWithHolders()) > 3000 || manager.Next(2000, s) != 2900 {
-		t.Error("Next is too late")
+		t.Errorf("Next at 2000: %g with free leases, %g until x expires, want at most 3000 and exactly 2900",
+			manager.Next(2000, stateWithHolders()), manager.Next(2000, s))
 	}
 
 	manager = NewManager(timing, 0)
--- a/internal/core/fleet/lease/modelcheck.go
+++ b/internal/core/fleet/lease/modelcheck.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// This file is for the model checker (internal/lab/fleet), which explores all orders of events:
-// copies to branch on, and keys by which it recognizes a state that it has visited.
+// This file supports the model checker (internal/lab/fleet), which explores all orders of events:
+// it copies a state to branch on, and derives keys by which a visited state is recognized.
 
 // Copy returns a deep copy.
 func (m *Manager) Copy() *Manager {
@@ -40,11 +40,12 @@
 	return &copied
 }
 
-// SentAt returns when the renewal of a sequence was sent, in ms; 0: no answer to it is expected.
+// SentAt returns when the renewal with a sequence number was sent, in ms; 0: it was answered, is
+// unknown, or is too old.
 func (c *Client) SentAt(sequence uint64) float64 { return c.sentAt[sequence] }
 
-// AppendKey appends all that this client's actions depend on, but for the renewals under way: two
-// clients with the same key and the same renewals under way act alike.
+// AppendKey appends all that this client's actions depend on, except its unanswered renewals: two
+// clients with the same key and the same unanswered renewals act alike.
 func (c *Client) AppendKey(b []byte) []byte {
 	b = fmt.Append(b, c.self.Run, c.renewAt)
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
--- a/internal/core/fleet/lease/mutation_test.go
+++ b/internal/core/fleet/lease/mutation_test.go
@@ -6,14 +6,15 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Cases that mutation testing found untested: each was wrong in a mutant that passed all other tests.
+// Cases that mutation testing found: in each of them a mutant of the package passed all other
+// tests.
 func TestCasesFoundByMutationTesting(t *testing.T) {
 	timing := Timing{Duration: 1000}
 	s := stateWithHolders(a)
 	s.Apply(preferredHolder("b"))
 	s.Apply(assign("x", 1, b))
 	if s.Leases["x"].Preferred != "" {
-		t.Error("a preference stays after it was met")
+		t.Errorf("preferred holder after its assignment is %q, want none", s.Leases["x"].Preferred)
 	}
 
 	s = stateWithHolders(a)
@@ -21,7 +22,7 @@
 	failed := Command{Release: &Release{Holder: a, Grant: Grant{"x", 1}, Failed: true}}
 	manager.Applied(100, failed, s.Apply(failed))
 	if got := assignments(manager.Decide(101+unconfirmedBackoff, s, candidates("a"))); got != "y:a " {
-		t.Errorf("a failure backs off no longer than a release: %q", got)
+		t.Errorf("after the backoff of a release, but not of a failure, Decide assigns %q, want y:a alone", got)
 	}
 
 	s = &State{} // the candidate with the fewest leases gets the next, whatever the hash says
@@ -31,7 +32,7 @@
 		got[c.Assign.To.ID]++
 	}
 	if got["a"] != 2 || got["b"] != 2 || got["c"] != 2 {
-		t.Errorf("six leases go to %v", got)
+		t.Errorf("six leases for three candidates: %v, want two each", got)
 	}
 	s = &State{} // leases that are held already count too
 	s.Apply(declare("p", "q", "r"))
@@ -39,7 +40,7 @@
 	s.Apply(assign("q", 0, b))
 	s.Apply(renew(a, "p", 1))
 	if got := assignments(NewManager(timing, 0).Decide(0, s, candidates("a", "b", "c"))); got != "r:c " {
-		t.Errorf("two candidates hold one each: %q", got)
+		t.Errorf("a and b hold one lease each: Decide assigns %q, want r:c", got)
 	}
 
 	s = &State{} // two holders in turn never renew: the third gets it, not the first again
@@ -49,14 +50,14 @@
 	for i, now := 0, 0.0; i < 3; i, now = i+1, now+1500 {
 		for _, c := range manager.Decide(now, s, candidates("a", "b", "c")) {
 			if assigned[c.Assign.To.ID] {
-				t.Errorf("%s is assigned the lease again", c.Assign.To.ID)
+				t.Errorf("%s never renewed and is assigned the lease again, want another candidate", c.Assign.To.ID)
 			}
 			assigned[c.Assign.To.ID] = true
 			manager.Applied(now, c, s.Apply(c))
 		}
 	}
 	if len(assigned) != 3 {
-		t.Errorf("it went to %v", assigned)
+		t.Errorf("the lease was assigned to %v, want to all three candidates in turn", assigned)
 	}
 
 	client := NewClient(a, timing)
@@ -64,28 +65,28 @@
 	r := client.Renewal(0)
 	client.ConfirmRenewal(1, r.Sequence, r.Grants)
 	if n := client.Next(1); n != 200 {
-		t.Errorf("next at %g", n)
+		t.Errorf("Next = %g, want 200, when a renewal is due", n)
 	}
 	client.renewAt = 900 // later than the end of the lease, which must not be missed
 	if n := client.Next(1); n != timing.HoldTime() {
-		t.Errorf("next at %g, its grant ends at %g", n, timing.HoldTime())
+		t.Errorf("Next = %g, want %g, when the grant ends", n, timing.HoldTime())
 	}
 	client.TakeChanges(1)
 	client.AcceptOffer(2, Grant{"x", 2})
 	if _, ended := client.TakeChanges(2); len(ended) != 1 || ended[0] != (Grant{"x", 1}) {
-		t.Errorf("offered another token of the lease it holds, it reports as ended %v", ended)
+		t.Errorf("grants that ended by an offer with a newer token: %v, want x with token 1 alone", ended)
 	}
 	if held := client.Held(2); held != nil {
-		t.Errorf("it acts for %v", held)
+		t.Errorf("after an offer with a newer token the client holds %v, want none before a renewal", held)
 	}
 	if n := NewClient(a, timing).Next(7); n != 1007 {
-		t.Errorf("next of a client that holds nothing at %g", n)
+		t.Errorf("Next of a client that holds nothing = %g, want 1007", n)
 	}
 	for i := range 10000 {
 		client.RenewNow(float64(i))
 		client.Renewal(float64(i))
 	}
 	if len(client.sentAt) > 1100 {
-		t.Errorf("%d renewals are remembered", len(client.sentAt))
+		t.Errorf("the client remembers %d renewals, want at most 1100", len(client.sentAt))
 	}
 }
--- a/internal/core/fleet/lease/state.go
+++ b/internal/core/fleet/lease/state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// State is what the quorum has agreed on about the leases. The zero value has none. It is for one
+// State is the replicated state of all leases. The zero value has no leases. It is for one
 // goroutine.
 type State struct {
 	Leases map[Name]*Lease
@@ -21,7 +21,7 @@
 	return copied
 }
 
-// List returns all leases by name.
+// List returns all leases, sorted by name.
 func (s *State) List() []Lease {
 	list := make([]Lease, 0, len(s.Leases))
 	for _, name := range slices.Sorted(maps.Keys(s.Leases)) {
@@ -30,7 +30,7 @@
 	return list
 }
 
-// Restore replaces the state by a list of leases, as of a snapshot.
+// Restore replaces the state by the leases of a snapshot.
 func (s *State) Restore(list []Lease) {
 	s.Leases = make(map[Name]*Lease, len(list))
 	for _, lease := range list {
@@ -38,9 +38,9 @@
 	}
 }
 
-// Apply applies an agreed command, and returns the leases that it changed, renewed or read. It is
+// Apply applies a committed command, and returns the leases that it changed, renewed or read. It is
 // deterministic: the same commands in the same order give the same state on all voters. A command
-// that no longer fits the state changes nothing.
+// whose conditions no longer hold changes nothing.
 func (s *State) Apply(c Command) (changed []Name) {
 	switch {
 	case c.Declare != nil:
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// declare sets which leases there are. One that is no longer declared is retired and keeps its
-// fencing token: if it is declared again, its token goes on from there, and effects of its former
+// declare sets which leases exist. A lease that is no longer declared is retired and keeps its
+// fencing token: if it is declared again, its token rises from there, and effects of its former
 // holders stay fenced.
 func (s *State) declare(declared []Name) (changed []Name) {
 	if s.Leases == nil {
@@ -117,7 +117,7 @@
 	return renewed
 }
 
-// release ends the grant of a holder, if it still holds it.
+// release ends a holder's grant, if the holder still holds it.
 func (s *State) release(c *Release) []Name {
 	lease := s.heldBy(c.Holder, c.Grant)
 	if lease == nil {
@@ -128,7 +128,8 @@
 	return []Name{lease.Name}
 }
 
-// storeState replaces the state that the holders of a lease hand on.
+// storeState replaces the job's state that is stored with a lease, if the holder still holds the
+// lease and the serial follows the stored one.
 func (s *State) storeState(c *StoreState) []Name {
 	lease := s.heldBy(c.Holder, c.Grant)
 	if lease == nil || c.Serial != lease.Serial+1 || len(c.Data) > MaxStateBytes {
@@ -139,7 +140,7 @@
 	return []Name{lease.Name}
 }
 
-// prefer sets the preferred next holder, unless that holds the lease already.
+// prefer sets the preferred next holder, unless that member already holds the lease.
 func (s *State) prefer(c *Prefer) []Name {
 	lease := s.Leases[c.Name]
 	if lease == nil || lease.Retired || lease.Holder.ID == c.To || len(c.To) > maxNameBytes {
@@ -149,7 +150,7 @@
 	return []Name{lease.Name}
 }
 
-// heldBy returns the lease that a holder holds under a grant; nil: it does not hold it.
+// heldBy returns the lease of a grant if the holder holds it under the grant's token, else nil.
 func (s *State) heldBy(holder Holder, grant Grant) *Lease {
 	lease := s.Leases[grant.Name]
 	if lease == nil || lease.Holder != holder || lease.Token != grant.Token || holder.ID == "" {
--- a/internal/core/fleet/lease/state_test.go
+++ b/internal/core/fleet/lease/state_test.go
@@ -31,7 +31,7 @@
 	return Command{Release: &Release{Holder: holder, Grant: Grant{name, token}}}
 }
 
-// preferredHolder is the command that prefers a holder for lease x.
+// preferredHolder returns the command that sets the preferred holder of lease x.
 func preferredHolder(to members.ID) Command {
 	return Command{Prefer: &Prefer{Name: "x", To: to}}
 }
@@ -77,38 +77,39 @@
 		changed := c.state.Apply(c.command)
 		g := c.state.Leases["x"]
 		if len(changed) != c.changed || g.Token != c.token || g.Holder != c.holder {
-			t.Errorf("%s: %v, %+v", name, changed, *g)
+			t.Errorf("%s: changed %v and gave %+v, want %d changed, token %d, holder %v",
+				name, changed, *g, c.changed, c.token, c.holder)
 		}
 		raisesRevision := c.command.Assign != nil || c.command.Renew != nil || c.command.Release != nil
 		if raisesRevision && (g.Revision > before) != (c.changed > 0) {
-			t.Errorf("%s: revision %d after %d", name, g.Revision, before)
+			t.Errorf("%s: revision %d after %d, want it raised: %v", name, g.Revision, before, c.changed > 0)
 		}
 	}
 	s := heldByB()
 	s.Apply(declare("y"))
 	if s.Apply(assign("x", 2, c)) != nil || s.Apply(preferredHolder("c")) != nil {
-		t.Error("a retired lease is assigned or gets a preference")
+		t.Error("a retired lease is assigned or gets a preferred holder, want neither")
 	}
 	s.Apply(declare("x", "y"))
 	if s.Leases["x"].Retired || s.Leases["x"].Token != 2 {
-		t.Errorf("declared again: %+v", *s.Leases["x"])
+		t.Errorf("after it is declared again x is %+v, want not retired, with token 2", *s.Leases["x"])
 	}
 	restored := &State{}
 	restored.Restore(s.List())
 	if fmt.Sprint(restored.List()) != fmt.Sprint(s.List()) {
-		t.Error("a restored snapshot differs")
+		t.Errorf("a restored snapshot gives %v, want %v", restored.List(), s.List())
 	}
 	for i := range 2 * maxLeases {
 		s.Apply(declare(Name(fmt.Sprint("w", i))))
 	}
 	if len(s.Leases) > maxLeases {
-		t.Errorf("%d leases", len(s.Leases))
+		t.Errorf("the state has %d leases, want at most %d", len(s.Leases), maxLeases)
 	}
 }
 
-// The state that holders hand on is written by the current holder alone, on top of the version that
-// it read. If a former holder, or one that has not read the last version, could write, the next
-// holder would lose what was stored.
+// Only the current holder may replace the state that is stored with a lease, and only the version
+// that it has read. If a former holder, or one that has not read the last version, could write, the
+// next holder would lose what was stored.
 func TestOnlyHolderStoresAndLoadsState(t *testing.T) {
 	s := stateWithHolders(a)
 	store := func(h Holder, token Token, serial uint64, data string) bool {
@@ -129,25 +130,26 @@
 		{a, 1, 2, true},
 	} {
 		if store(c.holder, c.token, c.serial, fmt.Sprint(i)) != c.ok {
-			t.Errorf("%d: %v", i, !c.ok)
+			t.Errorf("case %d: StoreState by %v, token %d, serial %d applied: %v, want %v",
+				i, c.holder, c.token, c.serial, !c.ok, c.ok)
 		}
 	}
 	s.Apply(assign("x", 1, b))
 	if store(a, 1, 3, "late") || store(a, 2, 3, "late") || string(s.Leases["x"].State) != "5" {
-		t.Errorf("a former holder stores: %q", s.Leases["x"].State)
+		t.Errorf("after writes of a former holder the state is %q, want \"5\"", s.Leases["x"].State)
 	}
 	load := func(h Holder, token Token) Command {
 		return Command{LoadState: &LoadState{Holder: h, Grant: Grant{"x", token}}}
 	}
 	if s.Apply(load(a, 1)) != nil || s.Apply(load(b, 2)) == nil {
-		t.Error("the holder can't load, or another can")
+		t.Error("a former holder can load the state, or the current holder can't")
 	}
 	if !store(b, 2, 3, "next") || store(b, 2, 4, string(make([]byte, MaxStateBytes+1))) {
-		t.Error("the next holder can't store, or can store too much")
+		t.Errorf("the next holder can't store, or can store more than %d bytes", MaxStateBytes)
 	}
 	restored := &State{}
 	restored.Restore(s.List())
 	if restored.Leases["x"].Serial != 3 || string(restored.Leases["x"].State) != "next" {
-		t.Errorf("after a snapshot: %+v", restored.Leases["x"])
+		t.Errorf("after a snapshot x is %+v, want serial 3 and state \"next\"", restored.Leases["x"])
 	}
 }
--- a/internal/core/fleet/lease/timing_test.go
+++ b/internal/core/fleet/lease/timing_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The holder's clock is slow and the leader's is fast, 40% apart. If the holder still acted when the
-// leader reassigns, two controllers would act at a time.
+// The holder's clock is slow and the leader's is fast, 40% apart. If the holder still acted when
+// the leader reassigns the lease, two controllers would act at once.
 func TestHolderStopsBeforeReassignmentWithSkewedClocks(t *testing.T) {
 	timing := Timing{Duration: 1000}
 	const holderRate, leaderRate = 0.82, 1.18
@@ -14,6 +14,7 @@
 			timing.HoldTime()/holderRate, timing.ReassignAfter()/leaderRate)
 	}
 	if 3*timing.RenewInterval() >= timing.HoldTime() {
-		t.Error("two lost renewals end a lease")
+		t.Errorf("two lost renewals end a lease: 3 renew intervals are %.0f ms, want less than the hold time of %.0f ms",
+			3*timing.RenewInterval(), timing.HoldTime())
 	}
 }
