--- a/internal/core/fleet/members/merge.go
+++ b/internal/core/fleet/members/merge.go
@@ -32,7 +32,7 @@
 	}
 	firstContact := e.Run == 0 && update.Run != 0 // a seed of which only the address was known
 	if !update.overrides(e.Member) && !firstContact {
-		t.noteStaleUpdate(e, update, from)
+		t.handleStaleUpdate(e, update, from)
 		return
 	}
 	previous := e.State
@@ -64,9 +64,9 @@
 	}
 }
 
-// noteStaleUpdate handles an update that does not override what is believed. If the member said it
+// handleStaleUpdate handles an update that does not override what is believed. If the member said it
 // of itself, it restarted and does not know what the others believe: it is notified, and refutes.
-func (t *Table) noteStaleUpdate(e *entry, update Member, from ID) {
+func (t *Table) handleStaleUpdate(e *entry, update Member, from ID) {
 	if from == update.ID && (update.Run != e.Run || update.State < e.State) {
 		e.mustBeNotified = true
 	}
@@ -92,7 +92,7 @@
 func (t *Table) refute(update Member) {
 	if t.leaving {
 		if update.State != Left && update.Incarnation >= t.self.Incarnation {
-			t.announceAbove(update.Incarnation)
+			t.announceHigherIncarnation(update.Incarnation)
 		}
 		return
 	}
@@ -103,7 +103,7 @@
 		t.refutations++
 		t.addHealthPenalty(1)
 	}
-	t.announceAbove(update.Incarnation)
+	t.announceHigherIncarnation(update.Incarnation)
 }
 
 // isOwnState reports whether an update about this controller has what it announces itself.
@@ -114,8 +114,8 @@
 		update.Addr == t.self.Addr
 }
 
-// announceAbove announces this controller's own state with an incarnation that overrides another.
-func (t *Table) announceAbove(incarnation Incarnation) {
+// announceHigherIncarnation announces this controller's own state with an incarnation that overrides another.
+func (t *Table) announceHigherIncarnation(incarnation Incarnation) {
 	t.self.Incarnation = incarnation + 1
 	t.updates.add(t.self, 0)
 }
--- a/internal/core/fleet/members/overlay_test.go
+++ b/internal/core/fleet/members/overlay_test.go
@@ -6,10 +6,10 @@
 )
 
 // tableOfSize returns the table of controller n<self> that knows all others of a fleet, all alive.
-func tableOfSize(self int, size int, p Config) *Table {
+func tableOfSize(self int, size int, config Config) *Table {
 	id := func(i int) ID { return ID(fmt.Sprintf("n%d", i)) }
-	p.MaxMembers = max(p.MaxMembers, size)
-	table := New(Member{ID: id(self), Addr: "x", Run: uint64(self + 1)}, nil, p, int64(self), 0)
+	config.MaxMembers = max(config.MaxMembers, size)
+	table := New(Member{ID: id(self), Addr: "x", Run: uint64(self + 1)}, nil, config, int64(self), 0)
 	for i := range size {
 		if i != self {
 			table.applyUpdate(Member{ID: id(i), Addr: "x", Run: uint64(i + 1)}, id(i))
--- a/internal/core/fleet/members/probe.go
+++ b/internal/core/fleet/members/probe.go
@@ -18,7 +18,7 @@
 
 // probeDeadline returns when other members are asked to ping the target, in ms.
 func (t *Table) probeDeadline() float64 {
-	return t.probe.sentAt + t.config.ProbeTimeout*t.stretch()
+	return t.probe.sentAt + t.config.ProbeTimeout*t.healthMultiplier()
 }
 
 // HealthScore returns Lifeguard's local health: 0 if this controller keeps up, up to maxHealthScore
@@ -30,14 +30,14 @@
 	t.healthScore = max(0, min(maxHealthScore, t.healthScore+penalty))
 }
 
-// stretch returns the factor by which this controller's own intervals are longer because of its
+// healthMultiplier returns the factor by which this controller's own intervals are longer because of its
 // health score.
-func (t *Table) stretch() float64 { return float64(1 + t.healthScore) }
+func (t *Table) healthMultiplier() float64 { return float64(1 + t.healthScore) }
 
 // beginProbe pings the next member of the round. Each member is probed once in a round, in an order
 // drawn for it.
 func (t *Table) beginProbe() {
-	t.probeAt = t.now + t.config.ProbeInterval*t.stretch()
+	t.probeAt = t.now + t.config.ProbeInterval*t.healthMultiplier()
 	t.probe = probe{}
 	for range len(t.round) + 1 {
 		if t.roundNext >= len(t.round) {
--- a/internal/core/fleet/members/reconnect.go
+++ b/internal/core/fleet/members/reconnect.go
@@ -4,7 +4,7 @@
 // member learns from the ping that it is believed dead, and refutes; a seed that was never heard
 // from is reached this way too.
 func (t *Table) reconnect() {
-	t.reconnectAt = t.now + t.jittered(t.config.ReconnectInterval)
+	t.reconnectAt = t.now + t.withJitter(t.config.ReconnectInterval)
 	for _, e := range t.pick(1, t.index.dead, nil) {
 		t.sendPing(e)
 	}
--- a/internal/core/fleet/members/sync.go
+++ b/internal/core/fleet/members/sync.go
@@ -48,7 +48,7 @@
 // syncWithRandomMember starts an anti-entropy exchange with an active member, or with a seed while
 // no member is known.
 func (t *Table) syncWithRandomMember() {
-	t.syncAt = t.now + t.jittered(t.config.SyncInterval)
+	t.syncAt = t.now + t.withJitter(t.config.SyncInterval)
 	if picked := t.pick(1, t.index.active, nil); len(picked) > 0 {
 		t.startSync(picked[0])
 		return
@@ -85,11 +85,11 @@
 
 // sendDifferences sends all members of the buckets with different checksums, in parts of whole
 // buckets as far as they fit, and asks in each part for what is missing here in these buckets.
-func (t *Table) sendDifferences(to *entry, theirs Checksums) {
+func (t *Table) sendDifferences(to *entry, remote Checksums) {
 	buckets := t.membersByBucket()
 	part := Message{Kind: Sync, WantReply: true}
 	for bucket, sum := range t.checksums() {
-		if sum == theirs[bucket] {
+		if sum == remote[bucket] {
 			continue
 		}
 		if len(part.Updates) > 0 && len(part.Updates)+len(buckets[bucket]) > t.config.MaxSyncMembers {
@@ -125,16 +125,16 @@
 // sendNewer answers a part with the members of its buckets that the part lacks, or has in an older
 // state.
 func (t *Table) sendNewer(to *entry, part Message) {
-	theirs := make(map[ID]Member, len(part.Updates))
+	remote := make(map[ID]Member, len(part.Updates))
 	for _, m := range part.Updates {
-		theirs[m.ID] = m
+		remote[m.ID] = m
 	}
 	answer := Message{Kind: Sync}
 	for _, e := range t.index.all {
 		if e.Run == 0 || part.Buckets&(1<<e.bucket()) == 0 {
 			continue
 		}
-		m, known := theirs[e.ID]
+		m, known := remote[e.ID]
 		missing := !known && e.State.active()
 		newer := known && e.overrides(m)
 		if missing || newer {
--- a/internal/core/fleet/members/table.go
+++ b/internal/core/fleet/members/table.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// jittered draws a time around an interval.
-func (t *Table) jittered(interval float64) float64 {
+// withJitter draws a time around an interval.
+func (t *Table) withJitter(interval float64) float64 {
 	return interval * (1 - intervalJitter + 2*intervalJitter*t.rng.Float64())
 }
