--- a/internal/core/fleet/members/gossip.go
+++ b/internal/core/fleet/members/gossip.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// transmitLimit returns how often an update is sent before it is dropped from the queue.
+// transmitLimit returns how often an update is sent before it is removed from the queue.
 func (t *Table) transmitLimit() int {
 	return int(retransmitMult*math.Log2(float64(t.Size())+1)) + 1
 }
 
-// send sends a message with updates. A member that is suspect or dead, or that restarted, is sent
-// what is believed of it first, so that it can refute.
+// send sends a message with updates. For a member that is suspect or dead, or that restarted, the
+// first update is what this controller believes of it, so that it can refute.
 func (t *Table) send(to *entry, m Message) {
 	deadSeenAlive := to.State == Dead && to.Run != 0 // not a seed that was never heard from
 	if to.State == Suspect || deadSeenAlive || to.mustBeNotified {
@@ -16,7 +16,8 @@
 		to.mustBeNotified = false
 	}
 	if m.Kind == Ping {
-		// A receiver that does not know this controller could not answer, and would be suspected for it.
+		// A receiver that does not know this controller's address could not answer, and would be
+		// suspected.
 		m.Updates = append(m.Updates, t.self.Member)
 	}
 	sentAlready := func(about *entry) bool { return about == to || m.Kind == Ping && about == t.self }
@@ -24,7 +25,7 @@
 	t.enqueue(to, m)
 }
 
-// enqueue hands a message out as it is.
+// enqueue adds a message to the output unchanged.
 func (t *Table) enqueue(to *entry, m Message) {
 	t.outgoing = append(t.outgoing, Envelope{To: to.ID, Addr: to.Addr, Message: m})
 }
--- a/internal/core/fleet/members/index.go
+++ b/internal/core/fleet/members/index.go
@@ -6,8 +6,8 @@
 )
 
 // index holds the entries of a Table in lists sorted by ID, so that no event scans or sorts the
-// whole table. A map alone has no order, and the same inputs must give the same messages. This
-// controller's own entry is in all and in no other list.
+// whole table. A map would not do, as it has no order and the same inputs must give the same
+// messages. This controller's own entry is in the list all and in no other.
 type index struct {
 	all      []*entry
 	active   []*entry // alive or suspect
@@ -60,27 +60,28 @@
 	}
 }
 
-// findEntry returns the index of an ID in a sorted list, or where it would be inserted.
+// findEntry returns the index of an ID in a sorted list, or the index at which to insert it, and
+// whether it was found.
 func findEntry(list []*entry, id ID) (int, bool) {
 	return slices.BinarySearchFunc(list, id, func(e *entry, id ID) int {
 		return cmp.Compare(e.ID, id)
 	})
 }
 
-// hasEntry reports whether a sorted list has the entry of an ID.
+// hasEntry reports whether a sorted list contains the entry of an ID.
 func hasEntry(list []*entry, id ID) bool {
 	_, found := findEntry(list, id)
 	return found
 }
 
-// insertEntry inserts an entry into a sorted list, unless it is there.
+// insertEntry inserts an entry into a sorted list, unless the list already has one of its ID.
 func insertEntry(list *[]*entry, e *entry) {
 	if i, found := findEntry(*list, e.ID); !found {
 		*list = slices.Insert(*list, i, e)
 	}
 }
 
-// removeEntry removes the entry of an ID from a sorted list, if it is there.
+// removeEntry removes the entry of an ID from a sorted list, if there is one.
 func removeEntry(list *[]*entry, id ID) {
 	if i, found := findEntry(*list, id); found {
 		*list = slices.Delete(*list, i, i+1)
--- a/internal/core/fleet/members/index_test.go
+++ b/internal/core/fleet/members/index_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// lossyNet runs a network that loses messages, with members that restart and leave, all by a seed.
-// It returns all messages that were sent.
+// lossyNet runs a network that loses messages, with members that restart and leave, all determined
+// by a seed. It calls inspect after each event, and returns all messages that were sent.
 func lossyNet(seed int64, until float64, inspect func(*net)) (sent []Message) {
 	ids := []ID{"a", "b", "c", "d", "e", "f", "g", "h"}
 	n := newNet(ids...)
@@ -36,17 +36,19 @@
 }
 
 // TestIndexEqualsScan compares the sorted lists, the first expiry and the update queue with a scan
-// of the table, while members of a lossy network restart and leave.
+// of the table, while members of a lossy network restart and leave: an entry that is missing from a
+// list would no longer be probed, declared dead or gossiped.
 func TestIndexEqualsScan(t *testing.T) {
 	lossyNet(1, 200_000, func(n *net) {
 		for id, table := range n.tables {
 			if err := checkIndex(table); err != nil {
-				t.Fatalf("%s at %v: %v", id, n.now, err)
+				t.Fatalf("index of %s at %v ms: %v", id, n.now, err)
 			}
 		}
 	})
 }
 
+// checkIndex returns an error if a table's index differs from a scan of its entries.
 func checkIndex(table *Table) error {
 	scan := func(which func(*entry) bool) (list []*entry) {
 		for _, id := range slices.Sorted(maps.Keys(table.entries)) {
@@ -65,11 +67,11 @@
 		"active":   {x.active, other(func(s State) bool { return s <= Suspect })},
 		"alive":    {x.alive, other(func(s State) bool { return s == Alive })},
 		"suspects": {x.suspects, other(func(s State) bool { return s == Suspect })},
-		"gone":     {x.dead, other(func(s State) bool { return s == Dead })},
+		"dead":     {x.dead, other(func(s State) bool { return s == Dead })},
 		"absent":   {x.absent, other(func(s State) bool { return s >= Dead })},
 	} {
 		if !slices.Equal(lists[0], lists[1]) {
-			return fmt.Errorf("%s has %d entries, a scan finds %d", name, len(lists[0]), len(lists[1]))
+			return fmt.Errorf("list %s has %d entries, want the %d that a scan finds", name, len(lists[0]), len(lists[1]))
 		}
 	}
 	expiry := math.Inf(1)
@@ -77,31 +79,31 @@
 		expiry = min(expiry, table.deadAt(e))
 	}
 	if got := table.firstExpiry(); got != expiry {
-		return fmt.Errorf("first expiry %v, a scan finds %v", got, expiry)
+		return fmt.Errorf("first expiry at %v ms, want %v ms as a scan finds", got, expiry)
 	}
 	if !slices.IsSortedFunc(table.updates.queue, func(a, b *entry) int { return a.transmits - b.transmits }) {
-		return fmt.Errorf("the update queue is not sorted")
+		return fmt.Errorf("the update queue is not sorted by transmits")
 	}
 	for _, e := range table.updates.queue {
 		if !e.queued || table.entries[e.ID] != e {
-			return fmt.Errorf("%s is in the update queue and not marked as queued or not known", e.ID)
+			return fmt.Errorf("%s is in the update queue but not marked as queued, or not the table's entry", e.ID)
 		}
 	}
 	return nil
 }
 
-// TestSameSeedSendsSameMessages: simulations can be replayed only if the same inputs give the same
-// messages.
+// TestSameSeedSendsSameMessages: simulations can be replayed only if the same seed and events give
+// the same messages.
 func TestSameSeedSendsSameMessages(t *testing.T) {
 	once := lossyNet(7, 100_000, func(*net) {})
 	again := lossyNet(7, 100_000, func(*net) {})
 	if !reflect.DeepEqual(once, again) {
-		t.Error("the same seed and events led to other messages")
+		t.Errorf("two runs with the same seed and events sent different messages (%d and %d), want the same", len(once), len(again))
 	}
 }
 
-// A controller that left goes on answering for as long as its caller lets it. It reclaims others
-// that left long ago, and must not reclaim its own entry.
+// A controller that left continues to answer until its caller stops it. It reclaims members that
+// left long ago, and must not reclaim its own entry, which is in state Left too.
 func TestLeavingMemberReclaimsOthersNotItself(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	table.Receive(0, "b", Message{Kind: Ping, Updates: []Member{{ID: "b", Addr: "b", Run: 2, State: Left}}})
@@ -110,9 +112,9 @@
 		table.Tick(now)
 	}
 	if _, known := table.Lookup("b"); known {
-		t.Error("a member that left long ago is not reclaimed")
+		t.Error("b, which left longer than ReclaimTime ago, is still known, want it reclaimed")
 	}
 	if m, known := table.Lookup("a"); !known || m.State != Left {
-		t.Errorf("it reclaimed itself, or believes itself to be %v", m.State)
+		t.Errorf("the leaving controller knows itself: %v, in state %v, want true and left", known, m.State)
 	}
 }
--- a/internal/core/fleet/members/member.go
+++ b/internal/core/fleet/members/member.go
@@ -7,7 +7,7 @@
 // refute what others gossip about it or to announce a change.
 type Incarnation uint64
 
-// State is what a controller believes of a member.
+// State is a member's state as a controller believes it to be.
 type State uint8
 
 // The states, in the order in which one overrides another of the same incarnation.
@@ -43,16 +43,16 @@
 	Addr        string      `cbor:"2,keyasint"`
 	State       State       `cbor:"3,keyasint"`
 	Incarnation Incarnation `cbor:"4,keyasint"`
-	// Willing: the member would take on leases.
+	// Willing is set if the member accepts leases.
 	Willing bool `cbor:"5,keyasint,omitempty"`
 	// Run is a random number drawn when the process starts; 0: a seed that was never heard from.
 	Run uint64 `cbor:"6,keyasint,omitempty"`
-	// Suspector is the member that failed to reach this one by its own probe, if the state is Suspect.
+	// Suspector is the member whose own probe of this one failed, if the state is Suspect.
 	Suspector ID `cbor:"7,keyasint,omitempty"`
 }
 
-// overrides reports whether update a replaces belief b: by a higher incarnation, or by a worse
-// state of the same one.
+// overrides reports whether update a replaces belief b: it has a higher incarnation, or a worse
+// state of the same incarnation.
 func (a Member) overrides(b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -63,7 +63,7 @@
 // Change reports that a member is new, or that its state has changed.
 type Change struct {
 	Member Member
-	// Previous is the state before; that of Member if the member is new.
+	// Previous is the state before the change; if the member is new, it is the state of Member.
 	Previous State
 	New      bool
 }
--- a/internal/core/fleet/members/members_test.go
+++ b/internal/core/fleet/members/members_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testConfig has few members and a short time to reclaim dead ones.
+// testConfig allows few members and reclaims dead ones after a short time.
 var testConfig = Config{
 	ProbeInterval:     1000,
 	ProbeTimeout:      400,
@@ -21,14 +21,14 @@
 	MaxMembers:        100,
 }
 
-// net delivers messages between tables in virtual time.
+// net is a simulated network that delivers messages between tables in virtual time.
 type net struct {
 	tables map[ID]*Table
 	now    float64                           // ms
 	lost   func(from, to ID, m Message) bool // nil: no message is lost
 }
 
-// newNet returns controllers that all have each other as seeds.
+// newNet returns a network of controllers that all have each other as seeds.
 func newNet(ids ...ID) *net {
 	n := &net{tables: map[ID]*Table{}}
 	var seeds []Member
@@ -61,7 +61,7 @@
 	}
 }
 
-// stateUnknown is no State: the member is not known.
+// stateUnknown is no valid State: it stands for a member that is not known.
 const stateUnknown State = 99
 
 // state returns what one controller believes of another.
@@ -73,45 +73,47 @@
 	return m.State
 }
 
-// TestMembersDiscoverEachOther: controllers that know seeds come to believe each other alive, and
-// to know when one leaves.
+// TestMembersDiscoverEachOther: controllers that start from seeds must come to believe each other
+// alive, and learn when one leaves.
 func TestMembersDiscoverEachOther(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
 	for _, at := range []ID{"a", "b", "c"} {
 		for _, of := range []ID{"a", "b", "c"} {
 			if n.state(at, of) != Alive {
-				t.Errorf("%s believes %s to be %v", at, of, n.state(at, of))
+				t.Errorf("%s believes %s to be %v, want alive", at, of, n.state(at, of))
 			}
 		}
 	}
 	n.tables["c"].Leave(n.now)
 	n.run(n.now + 5000)
 	if n.state("a", "c") != Left || n.state("b", "c") != Left {
-		t.Error("a member that left is not believed to have left")
+		t.Errorf("a and b believe c, which left, to be %v and %v, want left", n.state("a", "c"), n.state("b", "c"))
 	}
 }
 
-// A network fault between two members alone must not lead to a suspicion, as others reach both by
-// indirect probes. A member that nobody reaches is suspected, then dead; when the partition heals
-// it refutes, and all are alive again.
+// A network fault between only two members must not lead to a suspicion, as others reach both by
+// indirect probes. A member that nobody reaches must be suspected, then declared dead; when the
+// partition heals it refutes, and all must be alive again.
 func TestSilentMemberIsSuspectedThenDead(t *testing.T) {
 	n := newNet("a", "b", "c", "d")
 	n.run(10000)
 	n.lost = func(from, to ID, _ Message) bool { return from == "a" && to == "d" || from == "d" && to == "a" }
 	n.run(60000)
 	if n.state("a", "d") != Alive || n.tables["d"].Refutations() > 0 {
-		t.Errorf("a can't reach d, others can, and a believes d to be %v", n.state("a", "d"))
+		t.Errorf("a can't reach d, others can: a believes d to be %v after %d refutations, want alive after none",
+			n.state("a", "d"), n.tables["d"].Refutations())
 	}
 	n.lost = func(from, to ID, _ Message) bool { return from == "d" || to == "d" }
 	n.run(67000)
 	if n.state("a", "d") != Suspect && n.state("b", "d") != Suspect {
-		t.Error("nobody suspects a silent member")
+		t.Errorf("a and b believe a silent member to be %v and %v, want one of them to suspect it",
+			n.state("a", "d"), n.state("b", "d"))
 	}
 	n.run(120000)
 	for _, at := range []ID{"a", "b", "c"} {
 		if n.state(at, "d") != Dead {
-			t.Errorf("%s believes a partitioned member to be %v", at, n.state(at, "d"))
+			t.Errorf("%s believes a partitioned member to be %v, want gone", at, n.state(at, "d"))
 		}
 	}
 	n.lost = nil
@@ -119,7 +121,7 @@
 	for _, at := range []ID{"a", "b", "c", "d"} {
 		for _, of := range []ID{"a", "b", "c", "d"} {
 			if n.state(at, of) != Alive {
-				t.Errorf("after the partition %s believes %s to be %v", at, of, n.state(at, of))
+				t.Errorf("after the partition %s believes %s to be %v, want alive", at, of, n.state(at, of))
 			}
 		}
 	}
@@ -136,21 +138,23 @@
 	n.tables["a"] = paused
 	paused.Tick(n.now)
 	if paused.HealthScore() == 0 {
-		t.Error("the paused process did not worsen its health score")
+		t.Error("the health score after a pause is 0, want it above 0")
 	}
 	for _, of := range []ID{"b", "c"} {
 		if n.state("a", of) != Alive {
-			t.Errorf("the paused process believes %s to be %v", of, n.state("a", of))
+			t.Errorf("after its pause a believes %s to be %v, want alive", of, n.state("a", of))
 		}
 	}
 	n.run(60000)
 	if paused.HealthScore() != 0 || n.state("b", "a") != Alive {
-		t.Errorf("later its health score is %d, b believes it to be %v", paused.HealthScore(), n.state("b", "a"))
+		t.Errorf("46 s after the pause the health score is %d and b believes a to be %v, want 0 and alive",
+			paused.HealthScore(), n.state("b", "a"))
 	}
 }
 
 // A member with a high incarnation restarts, and begins at incarnation 0, which overrides nothing.
-// It is notified of what the others believe, refutes, and all know its new run soon.
+// It must be notified of what the others believe and refute, so that all know its new run within
+// seconds.
 func TestRestartedMemberIsKnownByItsNewRun(t *testing.T) {
 	n := newNet("a", "b", "c")
 	n.run(10000)
@@ -161,12 +165,13 @@
 	n.run(25000)
 	for _, at := range []ID{"b", "c"} {
 		if m, _ := n.tables[at].Lookup("a"); m.Run != 77 || m.State != Alive || !m.Willing {
-			t.Errorf("%s knows %+v", at, m)
+			t.Errorf("%s knows the restarted member as %+v, want run 77, alive and willing", at, m)
 		}
 	}
 }
 
-// TestHigherIncarnationThenWorseStateOverrides: the order in which updates override each other.
+// TestHigherIncarnationThenWorseStateOverrides: if two controllers ordered updates differently, their
+// views would never agree.
 func TestHigherIncarnationThenWorseStateOverrides(t *testing.T) {
 	for _, c := range []struct {
 		a, b Member
@@ -180,7 +185,7 @@
 		{Member{}, Member{}, false},
 	} {
 		if c.a.overrides(c.b) != c.want {
-			t.Errorf("%v over %v: %v", c.a, c.b, !c.want)
+			t.Errorf("%+v overrides %+v: %v, want %v", c.a, c.b, !c.want, c.want)
 		}
 	}
 }
@@ -191,7 +196,7 @@
 }
 
 // If each member that passes a suspicion on confirmed it, gossip alone would shorten the suspect's
-// time to refute. Only members that suspect it by a probe of their own do.
+// time to refute. Only members whose own probe of the suspect failed may confirm.
 func TestOnlyOtherSuspectorsConfirmSuspicion(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	for _, id := range []ID{"b", "c", "d", "e"} {
@@ -203,18 +208,19 @@
 	table.applyUpdate(suspect, "c")
 	table.applyUpdate(suspect, "d")
 	if table.deadAt(table.entries["e"]) != unconfirmed {
-		t.Error("a member that passes the suspicion on confirms it")
+		t.Errorf("after two members passed the suspicion on, e is dead at %v ms, want %v ms as before",
+			table.deadAt(table.entries["e"]), unconfirmed)
 	}
 	suspect.Suspector = "c"
 	table.applyUpdate(suspect, "c")
 	if at := table.deadAt(table.entries["e"]); at >= unconfirmed {
-		t.Error("a second suspector does not confirm the suspicion")
+		t.Errorf("after a second suspector e is dead at %v ms, want it before %v ms", at, unconfirmed)
 	}
 }
 
-// A faulty or hostile peer sends too many updates at once, more members than a table holds, and
-// updates without an ID or address or with an unknown state. The table stays bounded and takes in
-// none of the invalid ones.
+// A faulty or hostile peer sends too many updates at once, more members than a table may hold, and
+// updates without an ID or address or with an unknown state. The table must stay bounded and accept
+// none of the invalid updates.
 func TestHostileUpdatesAreBoundedAndValidated(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
 	updates := make([]Member, 1000)
@@ -225,20 +231,20 @@
 	invalid := []Member{{ID: "", Addr: "x"}, {ID: "z"}, {ID: "y", Addr: "y", State: 9}}
 	table.Receive(1, "b", Message{Kind: Ping, Updates: invalid})
 	if n := len(table.Members()); n > testConfig.MaxMembers {
-		t.Errorf("%d members", n)
+		t.Errorf("the table holds %d members, want at most %d", n, testConfig.MaxMembers)
 	}
 	for _, id := range []ID{"", "y", "z"} {
 		if _, known := table.Lookup(id); known {
-			t.Errorf("%q is known", id)
+			t.Errorf("the member %q of an invalid update is known, want it rejected", id)
 		}
 	}
 	if table.Receive(2, "a", Message{Kind: Ping}); len(table.TakeMessages()) != 0 {
-		t.Error("a message from itself is answered")
+		t.Error("a ping that names the controller itself as sender is answered, want it ignored")
 	}
 }
 
-// A controller probes a member that others suspect already, and gets no ack. That is a
-// confirmation: the suspect's timeout gets shorter, and the controller gossips itself as a
+// A controller probes a member that another one suspects already, and gets no ack. That is a
+// confirmation: the suspect's timeout must get shorter, and the controller must gossip itself as a
 // suspector.
 func TestFailedProbeOfSuspectConfirmsSuspicion(t *testing.T) {
 	table := New(Member{ID: "a", Addr: "a", Run: 1}, nil, testConfig, 1, 0)
@@ -260,16 +266,18 @@
 		}
 	}
 	if table.deadAt(table.entries["c"]) >= unconfirmed {
-		t.Error("a failed probe of a suspect does not confirm the suspicion")
+		t.Errorf("after a failed probe of a suspect it is dead at %v ms, want it before %v ms",
+			table.deadAt(table.entries["c"]), unconfirmed)
 	}
 	if !gossiped {
-		t.Error("the confirmation is not gossiped")
+		t.Error("no message names a as a suspector of c, want the confirmation gossiped")
 	}
 }
 
-// A member restarted with the incarnation it had before, so some know its former run and some its
-// new one, and neither update overrides the other. A controller that hears of the other run pings
-// the member, even if it would not probe it, and the member refutes: all come to know the new run.
+// A member restarted with the incarnation that it had before, so some controllers know its former
+// run and some its new one, and neither update overrides the other. A controller that receives the
+// other run must ping the member, even if that is none of its probe targets. The member refutes, and
+// the controller learns the new run.
 func TestConflictingRunsAreResolved(t *testing.T) {
 	former := Member{ID: "b", Addr: "b", Run: 1}
 	restarted := Member{ID: "b", Addr: "b", Run: 2}
@@ -280,19 +288,19 @@
 	survivor.Receive(2, "c", Message{Kind: Ack, Updates: []Member{restarted}})
 	outs := survivor.TakeMessages()
 	if len(outs) != 1 || outs[0].To != "b" || !slices.Contains(outs[0].Message.Updates, former) {
-		t.Fatalf("the member is not pinged: %+v", outs)
+		t.Fatalf("messages after the update of another run: %+v, want one to b with the former run", outs)
 	}
 	survivor.Receive(3, "c", Message{Kind: Ack, Updates: []Member{restarted}})
 	if outs := survivor.TakeMessages(); len(outs) != 0 {
-		t.Errorf("it is pinged again within a probe interval: %+v", outs)
+		t.Errorf("messages after the same update within a probe interval: %+v, want none", outs)
 	}
 	member := New(restarted, []Member{other}, testConfig, 2, 0)
 	member.Receive(4, "a", outs[0].Message)
 	if self := member.Self(); self.Incarnation != 1 || self.Run != 2 {
-		t.Errorf("the member does not refute: %+v", self)
+		t.Errorf("the restarted member announces %+v, want incarnation 1 of run 2", self)
 	}
 	survivor.Receive(5, "c", Message{Kind: Ack, Updates: []Member{member.Self()}})
 	if about, _ := survivor.Lookup("b"); about.Run != 2 {
-		t.Errorf("the former run is still believed: %+v", about)
+		t.Errorf("after the refutation the member is known as %+v, want run 2", about)
 	}
 }
--- a/internal/core/fleet/members/merge.go
+++ b/internal/core/fleet/members/merge.go
@@ -3,7 +3,7 @@
 // applyUpdates merges the updates of a message.
 func (t *Table) applyUpdates(from ID, m Message) {
 	if m.Kind == Sync && len(m.Checksums) == 0 {
-		// The message carries members that differ, which others learn by their own syncs too.
+		// The message carries differing members, which other controllers learn by their own syncs too.
 		t.initialTransmits = min(syncedUpdateTransmits, t.transmitLimit()/2)
 	}
 	for _, update := range m.Updates {
@@ -12,7 +12,8 @@
 	t.initialTransmits = 0
 }
 
-// applyUpdate merges what a member, or this controller's failure detection, says of a member.
+// applyUpdate merges one update, which is from another member or from this controller's own failure
+// detection.
 func (t *Table) applyUpdate(update Member, from ID) {
 	if update.ID == "" || update.State > Left {
 		return
@@ -30,7 +31,7 @@
 		t.confirmSuspicion(e, update.Suspector)
 		return
 	}
-	firstContact := e.Run == 0 && update.Run != 0 // a seed of which only the address was known
+	firstContact := e.Run == 0 && update.Run != 0 // only the address of this seed was known
 	if !update.overrides(e.Member) && !firstContact {
 		t.handleStaleUpdate(e, update, from)
 		return
@@ -46,8 +47,8 @@
 	}
 }
 
-// addMember takes in a member that was not known. One that is dead or has left is not taken in:
-// controllers reclaim it at different times, and would gossip it to each other for ever.
+// addMember adds a member that was not known. One that is dead or has left is not added:
+// controllers reclaim it at different times, and would gossip it to each other forever.
 func (t *Table) addMember(update Member) {
 	if len(t.entries) >= t.config.MaxMembers || update.Addr == "" || !update.State.active() {
 		return
@@ -58,14 +59,15 @@
 	t.resetSuspicion(e)
 	t.updates.add(e, t.initialTransmits)
 	t.changes = append(t.changes, Change{Member: update, Previous: update.State, New: true})
-	// With more members than rings, the new one may not be one that this controller probes.
+	// If there are more members than rings, this controller may not have to probe the new one.
 	if len(t.index.active) <= rings {
 		t.insertIntoRound(update.ID)
 	}
 }
 
-// handleStaleUpdate handles an update that does not override what is believed. If the member said it
-// of itself, it restarted and does not know what the others believe: it is notified, and refutes.
+// handleStaleUpdate handles an update that does not override what is believed. If it came from the
+// member itself, the member restarted and does not know what the others believe: it is notified,
+// and refutes.
 func (t *Table) handleStaleUpdate(e *entry, update Member, from ID) {
 	if from == update.ID && (update.Run != e.Run || update.State < e.State) {
 		e.mustBeNotified = true
@@ -73,9 +75,9 @@
 	t.pingOnRunConflict(e, update)
 }
 
-// pingOnRunConflict pings a member that is known here and elsewhere by two runs of the same
-// incarnation, of which neither overrides the other. The ping carries the belief of here, and the
-// member ends the conflict by a higher incarnation.
+// pingOnRunConflict pings a member of which this controller and another know two different runs
+// with the same incarnation, so that neither update overrides the other. The ping carries what this
+// controller believes, and the member ends the conflict by a higher incarnation.
 func (t *Table) pingOnRunConflict(e *entry, update Member) {
 	conflict := update.Run != 0 && update.Run != e.Run && update.Incarnation == e.Incarnation &&
 		e.State.active()
@@ -88,7 +90,8 @@
 }
 
 // refute answers a false update about this controller by a higher incarnation. If the update says
-// that it is suspect or dead, this controller was slow to answer, and its health score worsens.
+// that the current run is not alive, this controller was slow to answer, and its health score
+// worsens.
 func (t *Table) refute(update Member) {
 	if t.leaving {
 		if update.State != Left && update.Incarnation >= t.self.Incarnation {
@@ -106,7 +109,7 @@
 	t.announceHigherIncarnation(update.Incarnation)
 }
 
-// isOwnState reports whether an update about this controller has what it announces itself.
+// isOwnState reports whether an update about this controller equals what it announces itself.
 func (t *Table) isOwnState(update Member) bool {
 	return update.Incarnation == t.self.Incarnation &&
 		update.Run == t.self.Run &&
@@ -114,7 +117,8 @@
 		update.Addr == t.self.Addr
 }
 
-// announceHigherIncarnation announces this controller's own state with an incarnation that overrides another.
+// announceHigherIncarnation announces this controller's own state with the incarnation after a
+// given one, which it overrides.
 func (t *Table) announceHigherIncarnation(incarnation Incarnation) {
 	t.self.Incarnation = incarnation + 1
 	t.updates.add(t.self, 0)
--- a/internal/core/fleet/members/message.go
+++ b/internal/core/fleet/members/message.go
@@ -12,11 +12,11 @@
 	PingRequest
 	// Ack answers a Ping, or a PingRequest if Target is set.
 	Ack
-	// Nack answers a PingRequest if Target has not answered in time. It shows that the requester can
-	// be heard.
+	// Nack answers a PingRequest if Target has not answered in time. It shows the requester that its
+	// own messages arrive.
 	Nack
-	// Sync compares the sender's view with the receiver's by Checksums, or carries the members of
-	// the buckets that differ, in parts.
+	// Sync starts a comparison of the sender's view with the receiver's by Checksums, or carries the
+	// members of the buckets that differ, in parts.
 	Sync
 )
 
@@ -27,17 +27,18 @@
 	Seq uint32 `cbor:"2,keyasint,omitempty"`
 	// Target is the member that a PingRequest, or its answer, is about.
 	Target ID `cbor:"3,keyasint,omitempty"`
-	// WantReply asks, in a Sync, for what the receiver knows and the sender does not.
+	// WantReply requests, in a Sync, what the receiver knows and the sender does not.
 	WantReply bool `cbor:"4,keyasint,omitempty"`
-	// Updates are gossip; in a Sync the members of Buckets.
+	// Updates are gossip; in a Sync with Buckets they are the members of these.
 	Updates []Member `cbor:"5,keyasint,omitempty"`
 	// Checksums are those of the sender's view: the receiver answers with the buckets that differ.
 	Checksums Checksums `cbor:"6,keyasint,omitempty"`
-	// Buckets is a bit set of the buckets of which Updates holds all that the sender knows.
+	// Buckets is a bit set of the buckets whose members Updates holds, as far as the sender knows
+	// them.
 	Buckets uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Envelope is a message to be sent to a member at an address.
+// Envelope is a message to send to a member at an address.
 type Envelope struct {
 	To      ID
 	Addr    string
--- a/internal/core/fleet/members/overlay.go
+++ b/internal/core/fleet/members/overlay.go
@@ -2,15 +2,15 @@
 
 import "hash/fnv"
 
-// rings is the number of rings in which the members are ordered, each by another hash of their IDs.
-// Each controller probes its successor on every ring, so each member is probed by about ten
-// controllers, which together are a random subset of the fleet, and the graph of probes is an
-// expander: gossip spreads over it about as fast as with probes of all members. The edges are few
-// and stable, so their connections stay open and an ack takes one round trip instead of several.
-// The topology is that of Rapid (USENIX ATC 2018).
+// rings is the number of rings on which the members are ordered, each by a different hash of their
+// IDs. Each controller probes its successor on every ring. Each member is thus probed by about ten
+// controllers, a random subset of the fleet, and the graph of probes is an expander: gossip spreads
+// over it about as fast as with probes of all members. The edges are few and stable, so their
+// connections stay open and an ack takes one round trip instead of several. The topology is that of
+// Rapid (USENIX ATC 2018).
 const rings = 10
 
-// ringHash returns the hash of an ID from which its positions on all rings follow.
+// ringHash returns the hash of an ID from which its positions on all rings are derived.
 func ringHash(id ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id)) // never fails
@@ -26,8 +26,8 @@
 	return x ^ x>>31
 }
 
-// probeTargets returns the members that this controller probes, by ID: its successors on all rings,
-// or all active members if there are no more of them than rings.
+// probeTargets returns the members that this controller probes, sorted by ID: its successors on all
+// rings, or all active members if there are no more of them than rings.
 func (t *Table) probeTargets() []*entry {
 	if len(t.index.active) <= rings {
 		return t.index.active
@@ -42,7 +42,8 @@
 	return list
 }
 
-// successor returns the active member that follows this controller on a ring. There must be one.
+// successor returns the active member that follows this controller on a ring. There must be at
+// least one other active member.
 func (t *Table) successor(ring int) *entry {
 	own := t.self.ringPosition(ring)
 	next := t.index.active[0]
--- a/internal/core/fleet/members/overlay_test.go
+++ b/internal/core/fleet/members/overlay_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// tableOfSize returns the table of controller n<self> that knows all others of a fleet, all alive.
+// tableOfSize returns the table of controller n<self> in a fleet n0 to n<size-1>, all of whose
+// members it knows as alive.
 func tableOfSize(self int, size int, config Config) *Table {
 	id := func(i int) ID { return ID(fmt.Sprintf("n%d", i)) }
 	config.MaxMembers = max(config.MaxMembers, size)
@@ -18,8 +19,8 @@
 	return table
 }
 
-// TestProbeTargetsFormConnectedOverlay: in a large fleet each controller probes few others, each is
-// probed by several, and all are reached over these edges in few steps.
+// TestProbeTargetsFormConnectedOverlay: in a large fleet each controller must probe few others, each
+// must be probed by several, and gossip must reach all over these edges in a few steps.
 func TestProbeTargetsFormConnectedOverlay(t *testing.T) {
 	const size = 200
 	probedBy := map[ID]int{}
@@ -28,7 +29,7 @@
 		table := tableOfSize(i, size, DefaultConfig())
 		targets := table.probeTargets()
 		if len(targets) < rings-4 || len(targets) > rings {
-			t.Errorf("n%d probes %d others", i, len(targets))
+			t.Errorf("n%d probes %d others, want %d to %d", i, len(targets), rings-4, rings)
 		}
 		for _, e := range targets {
 			probedBy[e.ID]++
@@ -37,14 +38,14 @@
 	}
 	for i := range size {
 		if n := probedBy[ID(fmt.Sprintf("n%d", i))]; n < rings-5 {
-			t.Errorf("n%d is probed by %d others", i, n)
+			t.Errorf("n%d is probed by %d others, want at least %d", i, n, rings-5)
 		}
 	}
 	reached := map[ID]bool{"n0": true}
 	frontier := []ID{"n0"}
 	for steps := 0; len(frontier) > 0; steps++ {
 		if steps > 5 {
-			t.Errorf("more than %d steps to reach all", steps)
+			t.Errorf("step %d from n0 still reaches new members, want all reached within 5 steps", steps)
 			break
 		}
 		var next []ID
@@ -59,15 +60,15 @@
 		frontier = next
 	}
 	if len(reached) != size {
-		t.Errorf("%d of %d are reached", len(reached), size)
+		t.Errorf("%d members are reached from n0, want all %d", len(reached), size)
 	}
 	if n := len(tableOfSize(0, rings+1, DefaultConfig()).probeTargets()); n != rings {
-		t.Errorf("in a fleet of %d a controller probes %d", rings+1, n)
+		t.Errorf("in a fleet of %d a controller probes %d others, want %d", rings+1, n, rings)
 	}
 }
 
-// TestLargeFleetProbesSameFewMembers: the connections to the probed members stay open only if they
-// are the same in each round. The first round may hold the members that were heard from first.
+// TestLargeFleetProbesSameFewMembers: the connections to the probed members stay open only if these
+// are the same in each round. The first round may have those members that were known first.
 func TestLargeFleetProbesSameFewMembers(t *testing.T) {
 	table := tableOfSize(0, 200, DefaultConfig())
 	peers := map[ID]int{}
@@ -83,18 +84,17 @@
 		}
 	}
 	if len(peers) > rings {
-		t.Errorf("pings went to %d others", len(peers))
+		t.Errorf("after the first round %d members were pinged, want at most %d", len(peers), rings)
 	}
 	for id, n := range peers {
 		if n < 8 {
-			t.Errorf("%s was pinged %d times in 100 s", id, n)
+			t.Errorf("%s was pinged %d times in 100 s, want at least 8", id, n)
 		}
 	}
 }
 
 // Over a new connection to a distant member an ack takes several round trips, and comes after the
-// nack was sent. It is passed on all the same, once, or the member would be suspected by the
-// requester.
+// nack was sent. It must still be passed on, once, or the requester would suspect the member.
 func TestLateAckIsPassedOnAfterNack(t *testing.T) {
 	table := tableOfSize(0, 3, testConfig)
 	table.Tick(1)
@@ -102,28 +102,28 @@
 	table.Receive(10, "n1", Message{Kind: PingRequest, Seq: 77, Target: "n2"})
 	relayed := table.TakeMessages()
 	if len(relayed) != 1 || relayed[0].To != "n2" || relayed[0].Message.Kind != Ping {
-		t.Fatalf("upon a PingRequest it sends %+v", relayed)
+		t.Fatalf("messages after a PingRequest: %+v, want one Ping to n2", relayed)
 	}
 	table.Tick(10 + testConfig.ProbeTimeout)
 	if !sends(table.TakeMessages(), "n1", Message{Kind: Nack, Seq: 77, Target: "n2"}) {
-		t.Error("no Nack when the ack is late")
+		t.Error("no Nack is sent to n1 after the probe timeout, want one")
 	}
 	table.Tick(10 + testConfig.ProbeTimeout + 50)
 	table.TakeMessages()
 	table.Receive(10+testConfig.ProbeTimeout+100, "n2", Message{Kind: Ack, Seq: relayed[0].Message.Seq})
 	if !sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
-		t.Error("the late ack is not passed on")
+		t.Error("the late ack is not passed on to n1, want it passed on")
 	}
 	table.Receive(10+testConfig.ProbeTimeout+200, "n2", Message{Kind: Ack, Seq: relayed[0].Message.Seq})
 	if sends(table.TakeMessages(), "n1", Message{Kind: Ack, Seq: 77, Target: "n2"}) {
-		t.Error("one ack is passed on twice")
+		t.Error("a duplicate ack is passed on to n1 again, want it passed on once")
 	}
 	if table.relays.len() != 0 {
-		t.Errorf("%d relays are left", table.relays.len())
+		t.Errorf("%d relays are left, want none", table.relays.len())
 	}
 }
 
-// sends reports whether a message is sent to a member, whatever its updates are.
+// sends reports whether a message to a member, with any updates, is among the envelopes.
 func sends(outs []Envelope, to ID, want Message) bool {
 	for _, out := range outs {
 		m := out.Message
@@ -134,8 +134,8 @@
 	return false
 }
 
-// A ping or its ack is lost. Beside the members that are asked to ping the target, the controller
-// pings it again itself.
+// A ping or its ack is lost. The controller must ask other members to ping the target, and also ping
+// it again itself.
 func TestUnansweredTargetIsPingedAgain(t *testing.T) {
 	table := tableOfSize(0, 4, testConfig)
 	table.Tick(table.probeAt)
@@ -152,6 +152,7 @@
 		}
 	}
 	if pings != 1 || requests != testConfig.IndirectProbes {
-		t.Errorf("%d pings and %d requests", pings, requests)
+		t.Errorf("after the probe timeout: %d pings and %d ping requests, want 1 and %d",
+			pings, requests, testConfig.IndirectProbes)
 	}
 }
--- a/internal/core/fleet/members/probe.go
+++ b/internal/core/fleet/members/probe.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// probe is the failure detection of one member during one probe interval. The zero value is no
+// probe is the state of the probe of one member during one probe interval. The zero value is no
 // probe.
 type probe struct {
 	target        ID      // empty: none
@@ -21,21 +21,21 @@
 	return t.probe.sentAt + t.config.ProbeTimeout*t.healthMultiplier()
 }
 
-// HealthScore returns Lifeguard's local health: 0 if this controller keeps up, up to maxHealthScore
-// if its own probes and refutations show that it is slow or badly connected itself.
+// HealthScore returns Lifeguard's local health score: 0 if this controller is healthy, up to
+// maxHealthScore if its own probes and refutations show that it is slow or badly connected itself.
 func (t *Table) HealthScore() int { return t.healthScore }
 
-// addHealthPenalty worsens the health score, or improves it by a negative penalty.
+// addHealthPenalty adds a penalty to the health score; a negative penalty improves the score.
 func (t *Table) addHealthPenalty(penalty int) {
 	t.healthScore = max(0, min(maxHealthScore, t.healthScore+penalty))
 }
 
-// healthMultiplier returns the factor by which this controller's own intervals are longer because of its
-// health score.
+// healthMultiplier returns the factor by which this controller's probe interval and timeout are
+// longer because of its health score.
 func (t *Table) healthMultiplier() float64 { return float64(1 + t.healthScore) }
 
-// beginProbe pings the next member of the round. Each member is probed once in a round, in an order
-// drawn for it.
+// beginProbe pings the next member of the round. Each probe target is probed once in a round, in a
+// random order.
 func (t *Table) beginProbe() {
 	t.probeAt = t.now + t.config.ProbeInterval*t.healthMultiplier()
 	t.probe = probe{}
@@ -56,7 +56,7 @@
 	}
 }
 
-// beginRound draws the order of the next round.
+// beginRound chooses the random order of the next round.
 func (t *Table) beginRound() {
 	t.round = t.round[:0]
 	for _, e := range t.probeTargets() {
@@ -66,16 +66,16 @@
 	t.roundNext = 0
 }
 
-// insertIntoRound puts a new member at a random place in the rest of the round, so that it need not
-// wait for the next one.
+// insertIntoRound inserts a new member at a random position in the rest of the round, so that it is
+// probed before the next round.
 func (t *Table) insertIntoRound(id ID) {
 	i := t.roundNext + t.rng.Intn(len(t.round)-t.roundNext+1)
 	t.round = slices.Insert(t.round, i, id)
 }
 
-// sendIndirectProbes has other members ping the target, which has not answered in time: the path
-// from here may be broken. It also pings the target again itself, as the ping or the ack may have
-// been lost.
+// sendIndirectProbes asks other members to ping the target, which has not answered in time: only
+// the network path from this controller may be broken. It also pings the target again itself, as
+// the ping or the ack may have been lost.
 func (t *Table) sendIndirectProbes() {
 	t.probe.indirect = true
 	target := t.entries[t.probe.target]
@@ -88,8 +88,8 @@
 	}
 }
 
-// aliveProbeTargets returns the members that can be asked to ping another one: those that are
-// probed anyway, because a connection to them is open.
+// aliveProbeTargets returns the members that can be asked to ping another one. They are probe
+// targets, because connections to those are open already.
 func (t *Table) aliveProbeTargets() (list []*entry) {
 	for _, e := range t.probeTargets() {
 		if e.State == Alive {
@@ -124,12 +124,12 @@
 		t.addHealthPenalty(-1)
 		return
 	}
-	// Asked members that send not even a nack may not hear this controller.
+	// Members that were asked and did not even send a nack may not receive this controller's messages.
 	if missed := t.probe.expectedNacks - t.probe.nacks; missed > 0 {
 		t.addHealthPenalty(missed)
 	}
 	if e.State.active() {
-		// For a member that is suspected already this is a confirmation, which shortens its timeout.
+		// If the member is suspected already, this is a confirmation, which shortens its timeout.
 		suspect := e.Member
 		suspect.State = Suspect
 		suspect.Suspector = t.self.ID
@@ -148,9 +148,10 @@
 	return t.seq
 }
 
-// pick draws n entries of a sorted list, without the excluded one, which may be nil.
+// pick returns up to n distinct random entries of a sorted list, without the excluded one, which
+// may be nil.
 func (t *Table) pick(n int, list []*entry, exclude *entry) (picked []*entry) {
-	var taken []int // indexes that are not drawn any more, sorted
+	var taken []int // indexes that are picked or excluded, sorted
 	if exclude != nil {
 		if i, found := findEntry(list, exclude.ID); found {
 			taken = append(taken, i)
--- a/internal/core/fleet/members/reconnect.go
+++ b/internal/core/fleet/members/reconnect.go
@@ -1,8 +1,8 @@
 package members
 
 // reconnect pings one dead member, chosen at random. After a network partition has healed, that
-// member learns from the ping that it is believed dead, and refutes; a seed that was never heard
-// from is reached this way too.
+// member learns from the ping that it is believed dead, and refutes. Seeds that were never heard
+// from are contacted this way too.
 func (t *Table) reconnect() {
 	t.reconnectAt = t.now + t.withJitter(t.config.ReconnectInterval)
 	for _, e := range t.pick(1, t.index.dead, nil) {
--- a/internal/core/fleet/members/relays.go
+++ b/internal/core/fleet/members/relays.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// relay is a ping sent on behalf of another member, which could not reach the target itself.
+// relay is a ping sent on behalf of a requester, a member that could not reach the target itself.
 type relay struct {
 	pingSeq    uint32 // of the ping sent to the target
 	requester  ID
@@ -11,18 +11,18 @@
 	deadline   float64 // ms
 }
 
-// relays are the pings sent on behalf of others, both lists by deadline. An ack that comes after
-// the nack is passed on all the same: over a new connection to a distant member it takes several
-// round trips.
+// relays are the pings sent on behalf of others; both lists are sorted by deadline. An ack that
+// comes after the nack was sent is still passed on: over a new connection to a distant member an
+// ack takes several round trips.
 type relays struct {
 	waiting []relay // until a nack is due
 	nacked  []relay // the nack was sent; a late ack is still passed on until the deadline
 }
 
-// len returns how many pings are relayed now.
+// len returns the number of relays in both lists.
 func (r *relays) len() int { return len(r.waiting) + len(r.nacked) }
 
-// takeAnswered removes and returns the relay that an ack from a target answers.
+// takeAnswered removes and returns the relay whose ping an ack from a target answers.
 func (r *relays) takeAnswered(pingSeq uint32, target ID) (answered relay, found bool) {
 	for _, list := range []*[]relay{&r.waiting, &r.nacked} {
 		i := slices.IndexFunc(*list, func(sent relay) bool {
@@ -37,8 +37,8 @@
 	return relay{}, false
 }
 
-// takeOverdue returns the relays for which a nack is due, and keeps them for extension ms more for
-// a late ack.
+// takeOverdue returns the relays for which a nack is due. It keeps them for extension ms longer, in
+// case of a late ack.
 func (r *relays) takeOverdue(now, extension float64) (overdue []relay) {
 	for len(r.nacked) > 0 && now >= r.nacked[0].deadline {
 		r.nacked = r.nacked[1:]
--- a/internal/core/fleet/members/stored_test.go
+++ b/internal/core/fleet/members/stored_test.go
@@ -1,8 +1,9 @@
 package members
 
-// Controllers compare their views by checksums: were they formed in another way than in an earlier
-// build, all members would be sent with each comparison within an update of a fleet. These tests
-// pin the checksums, and the names of states as operators and their programs read them.
+// Controllers compare their views by checksums. If a build computed them in another way than an
+// earlier one, controllers of both would send each other all members at each comparison while a
+// fleet is updated. These tests pin the checksums, and the names of states as operators and their
+// programs read them.
 
 import (
 	"fmt"
@@ -25,6 +26,6 @@
 
 func TestStateNamesAreStable(t *testing.T) {
 	if names := fmt.Sprint(Alive, Suspect, Dead, Left); names != "alive suspect gone left" {
-		t.Error(names)
+		t.Errorf("the names of the states are %q, want \"alive suspect gone left\"", names)
 	}
 }
--- a/internal/core/fleet/members/suspicion.go
+++ b/internal/core/fleet/members/suspicion.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// deadAt returns when a suspect is declared dead, in ms, by the suspicion timeouts: late while no
-// other member suspects it, as the fault may be on this controller's side.
+// deadAt returns when a suspect is declared dead, in ms, given the suspicion timeouts by number of
+// confirmations. Without confirmations that is late, as the fault may be on the side of the only
+// suspector.
 func (e *entry) deadAt(timeouts [maxSuspicionConfirmations + 1]float64) float64 {
 	return e.suspectedAt + timeouts[e.confirmations()]
 }
 
-// confirmations counts how many members other than the first suspector have failed to reach a
-// suspect themselves.
+// confirmations returns how many members besides the first suspector have failed to reach a suspect
+// by their own probes, at most maxSuspicionConfirmations.
 func (e *entry) confirmations() int {
 	return max(0, min(maxSuspicionConfirmations, len(e.suspectors)-1))
 }
 
-// suspicionTimeouts returns how long a member stays a suspect, in ms, by the number of
+// suspicionTimeouts returns how long a member stays a suspect, in ms, indexed by the number of
 // confirmations.
 func (t *Table) suspicionTimeouts() (timeouts [maxSuspicionConfirmations + 1]float64) {
 	shortest := t.config.SuspicionMult * t.logSize() * t.config.ProbeInterval
@@ -29,7 +30,7 @@
 // logSize returns the decimal logarithm of the fleet's size, at least 1.
 func (t *Table) logSize() float64 { return max(1, math.Log10(float64(t.Size()))) }
 
-// firstExpiry returns when the first suspect is declared dead, in ms; infinite: there is none.
+// firstExpiry returns when the first suspect is declared dead, in ms; infinity if there is none.
 func (t *Table) firstExpiry() float64 {
 	if t.expiryKnown {
 		return t.expiry
@@ -54,7 +55,7 @@
 	}
 }
 
-// expiredSuspects returns the suspects that did not refute within their timeouts, by ID.
+// expiredSuspects returns the suspects that did not refute within their timeouts, sorted by ID.
 func (t *Table) expiredSuspects() (expired []*entry) {
 	if t.now < t.firstExpiry() {
 		return nil
@@ -68,7 +69,8 @@
 	return expired
 }
 
-// resetSuspicion starts the suspicion of an entry that is new or has changed, or ends it.
+// resetSuspicion starts or ends the suspicion of an entry that is new or has changed, according to
+// its state.
 func (t *Table) resetSuspicion(e *entry) {
 	t.expiryKnown = false // the timeouts depend on the size of the fleet too
 	e.suspectors = nil
@@ -78,8 +80,8 @@
 	}
 }
 
-// confirmSuspicion counts a suspector that found out itself that a suspect does not answer. A
-// member that only passes the suspicion on names the same suspector and confirms nothing.
+// confirmSuspicion counts a suspector whose own probe of a suspect failed. A member that only
+// passes the suspicion on names the same suspector and confirms nothing.
 func (t *Table) confirmSuspicion(e *entry, suspector ID) {
 	if len(e.suspectors) > maxSuspicionConfirmations || suspector == "" || e.suspectors[suspector] {
 		return
--- a/internal/core/fleet/members/sync.go
+++ b/internal/core/fleet/members/sync.go
@@ -6,14 +6,14 @@
 )
 
 // syncBuckets is the number of buckets into which the members are divided by the hash of their IDs.
-// Two controllers compare a checksum of each bucket and exchange only the members of the buckets
+// Two controllers compare a checksum of each bucket and exchange the members of only those buckets
 // that differ.
 const syncBuckets = 64
 
 // bucket returns the bucket that an entry is in.
 func (e *entry) bucket() int { return int(e.ringHash % syncBuckets) }
 
-// checksum covers what two controllers must agree on about a member.
+// checksum returns a checksum of the fields of a member on which two controllers must agree.
 func (e *entry) checksum() uint32 {
 	var numbers [18]byte
 	binary.LittleEndian.PutUint64(numbers[0:], uint64(e.Incarnation))
@@ -30,11 +30,12 @@
 	return uint32(h.Sum64() >> 16)
 }
 
-// Checksums are those of a controller's view, one for each bucket. Empty: the message carries none.
+// Checksums are the checksums of a controller's view, one for each bucket. If it is empty, the
+// message carries none.
 type Checksums []uint32
 
-// checksums returns the checksums of the active members. Dead members don't count: controllers
-// reclaim them at different times.
+// checksums returns the checksums of the active members. Dead and left members are excluded, as
+// controllers reclaim them at different times.
 func (t *Table) checksums() Checksums {
 	sums := make(Checksums, syncBuckets)
 	for _, e := range t.index.all {
@@ -45,8 +46,8 @@
 	return sums
 }
 
-// syncWithRandomMember starts an anti-entropy exchange with an active member, or with a seed while
-// no member is known.
+// syncWithRandomMember starts an anti-entropy exchange with a random active member. While there is
+// none, it tries any known one, such as a seed, once in a probe interval.
 func (t *Table) syncWithRandomMember() {
 	t.syncAt = t.now + t.withJitter(t.config.SyncInterval)
 	if picked := t.pick(1, t.index.active, nil); len(picked) > 0 {
@@ -59,8 +60,9 @@
 	}
 }
 
-// startSync sends a member the checksums of this view, and asks for what differs. It carries this
-// controller's own member, without which a receiver that does not know it could not answer.
+// startSync sends a member the checksums of this view, and requests what differs. The message
+// carries this controller's own member, as a receiver that does not know its address could not
+// answer.
 func (t *Table) startSync(e *entry) {
 	t.enqueue(e, Message{
 		Kind:      Sync,
@@ -71,20 +73,20 @@
 }
 
 // receiveSync answers checksums with the buckets that differ, and the members of buckets with those
-// that are newer here.
+// of which this controller knows a newer state.
 func (t *Table) receiveSync(sender *entry, m Message) {
 	switch {
 	case len(m.Checksums) == syncBuckets:
 		t.sendDifferences(sender, m.Checksums)
 	case m.WantReply && m.Buckets != 0:
 		t.sendNewer(sender, m)
-	case m.WantReply: // a controller of an earlier version sent its whole view, and asks for this one
+	case m.WantReply: // a controller of an earlier version sent its whole view, and requests this one
 		t.sendAll(sender)
 	}
 }
 
-// sendDifferences sends all members of the buckets with different checksums, in parts of whole
-// buckets as far as they fit, and asks in each part for what is missing here in these buckets.
+// sendDifferences sends all members of the buckets with different checksums, in parts of as many
+// whole buckets as fit. Each part requests what this controller lacks in its buckets.
 func (t *Table) sendDifferences(to *entry, remote Checksums) {
 	buckets := t.membersByBucket()
 	part := Message{Kind: Sync, WantReply: true}
@@ -104,7 +106,7 @@
 	}
 }
 
-// membersByBucket returns all members that were heard from, by bucket.
+// membersByBucket returns all members with a known run, by bucket.
 func (t *Table) membersByBucket() (buckets [syncBuckets][]Member) {
 	for _, e := range t.index.all {
 		if e.Run != 0 {
@@ -114,7 +116,7 @@
 	return buckets
 }
 
-// sendPart sends a part, without the members above the bound: the next exchange finds them.
+// sendPart sends a part, truncated to MaxSyncMembers: a later exchange finds the other members.
 func (t *Table) sendPart(to *entry, part Message) {
 	if len(part.Updates) > t.config.MaxSyncMembers {
 		part.Updates = part.Updates[:t.config.MaxSyncMembers]
@@ -122,8 +124,8 @@
 	t.enqueue(to, part)
 }
 
-// sendNewer answers a part with the members of its buckets that the part lacks, or has in an older
-// state.
+// sendNewer answers a part with those members of its buckets that the part lacks, or has in a state
+// that this controller's view overrides.
 func (t *Table) sendNewer(to *entry, part Message) {
 	remote := make(map[ID]Member, len(part.Updates))
 	for _, m := range part.Updates {
@@ -146,7 +148,7 @@
 	}
 }
 
-// sendAll sends all members that were heard from, in parts.
+// sendAll sends all members with a known run, in parts.
 func (t *Table) sendAll(to *entry) {
 	part := Message{Kind: Sync}
 	for _, e := range t.index.all {
--- a/internal/core/fleet/members/sync_test.go
+++ b/internal/core/fleet/members/sync_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// exchange runs an anti-entropy exchange that a starts with b, without messages of other kinds.
+// exchange runs an anti-entropy exchange that a starts with b, and returns its messages. Messages of
+// other kinds are not delivered.
 func exchange(a, b *Table) (sent []Message) {
 	tables := map[ID]*Table{a.self.ID: a, b.self.ID: b}
 	a.startSync(a.entries[b.self.ID])
@@ -32,16 +33,16 @@
 	return n
 }
 
-// TestSyncOfEqualViewsIsOneMessage: equal checksums need no answer.
+// TestSyncOfEqualViewsIsOneMessage: equal views must not be sent, so equal checksums get no answer.
 func TestSyncOfEqualViewsIsOneMessage(t *testing.T) {
 	a, b := tableOfSize(0, 300, DefaultConfig()), tableOfSize(1, 300, DefaultConfig())
 	if sent := exchange(a, b); len(sent) != 1 || updatesIn(sent) != 1 {
-		t.Errorf("%d messages with %d members", len(sent), updatesIn(sent))
+		t.Errorf("a sync of equal views took %d messages with %d members, want 1 with 1", len(sent), updatesIn(sent))
 	}
 }
 
-// TestSyncExchangesDifferingBucketsOnly: what either view lacks, or has in an older state, is
-// exchanged with the buckets concerned alone.
+// TestSyncExchangesDifferingBucketsOnly: a sync must give both views what either lacks or has in an
+// older state, and send only the buckets that differ.
 func TestSyncExchangesDifferingBucketsOnly(t *testing.T) {
 	a, b := tableOfSize(0, 300, DefaultConfig()), tableOfSize(1, 300, DefaultConfig())
 	a.applyUpdate(Member{ID: "only-a", Addr: "x", Run: 9}, "only-a")
@@ -50,7 +51,7 @@
 	b.applyUpdate(Member{ID: "n8", Addr: "x", Run: 9, Incarnation: 3, Willing: true}, "n8")
 	sent := exchange(a, b)
 	if n := updatesIn(sent); n > 60 {
-		t.Errorf("%d members were sent for four differences", n)
+		t.Errorf("%d members were sent for four differences, want at most 60", n)
 	}
 	for _, table := range []*Table{a, b} {
 		for id, want := range map[ID]Member{
@@ -61,39 +62,40 @@
 		} {
 			m, known := table.Lookup(id)
 			if !known || m.State != want.State || m.Incarnation != want.Incarnation {
-				t.Errorf("%s knows of %s %+v", table.self.ID, id, m)
+				t.Errorf("%s knows %s as %+v (known: %v), want state %v and incarnation %d",
+					table.self.ID, id, m, known, want.State, want.Incarnation)
 			}
 		}
 	}
 	if !slices.Equal(a.checksums(), b.checksums()) {
-		t.Error("the views differ after the exchange")
+		t.Error("the checksums of the two views differ after the exchange, want them equal")
 	}
 }
 
-// TestSyncGivesNewcomerAllMembersInParts: a newcomer that knows one address gets all members in
-// bounded parts, and is known itself.
+// TestSyncGivesNewcomerAllMembersInParts: a new controller that knows one address must get all
+// members in parts of bounded size, and become known itself.
 func TestSyncGivesNewcomerAllMembersInParts(t *testing.T) {
 	old := tableOfSize(1, 900, DefaultConfig())
 	newcomer := New(Member{ID: "new", Addr: "x", Run: 5}, []Member{{ID: "n1", Addr: "x"}}, DefaultConfig(), 1, 0)
 	sent := exchange(newcomer, old)
 	if n := len(newcomer.Members()); n != 901 {
-		t.Errorf("the newcomer knows %d members", n)
+		t.Errorf("the new controller knows %d members, want 901", n)
 	}
 	if m, known := old.Lookup("new"); !known || m.State != Alive {
-		t.Errorf("the newcomer is known as %+v", m)
+		t.Errorf("the new controller is known as %+v (known: %v), want it alive", m, known)
 	}
 	if n := updatesIn(sent); n > 910 {
-		t.Errorf("%d members were sent", n)
+		t.Errorf("%d members were sent, want at most 910", n)
 	}
 	for _, m := range sent {
 		if len(m.Updates) > DefaultConfig().MaxSyncMembers {
-			t.Errorf("a part carries %d members", len(m.Updates))
+			t.Errorf("a part carries %d members, want at most %d", len(m.Updates), DefaultConfig().MaxSyncMembers)
 		}
 	}
 }
 
-// TestSyncOfEarlierVersion: a controller of an earlier version sends its whole view, and gets the
-// whole view.
+// TestSyncOfEarlierVersion: a controller of an earlier version sends its whole view without
+// checksums, and must get the whole view in return.
 func TestSyncOfEarlierVersion(t *testing.T) {
 	table := tableOfSize(0, 300, DefaultConfig())
 	wholeView := []Member{{ID: "n1", Addr: "x", Run: 2}}
@@ -103,57 +105,58 @@
 	for _, out := range outs {
 		n += len(out.Message.Updates)
 		if out.Message.WantReply {
-			t.Error("the answer wants a reply")
+			t.Error("the answer to a whole view requests a reply, want none requested")
 		}
 	}
 	if n != 300 || len(outs) != 2 {
-		t.Errorf("%d members in %d messages", n, len(outs))
+		t.Errorf("the answer has %d members in %d messages, want 300 in 2", n, len(outs))
 	}
 }
 
-// A faulty or hostile peer sends checksums of a wrong length, and asks for all buckets with an
-// empty part. The answers are bounded, and ask for nothing themselves.
+// A faulty or hostile peer sends checksums of a wrong length, and requests all buckets with an empty
+// part. The answers must be bounded and request no reply.
 func TestHostileSyncIsBounded(t *testing.T) {
 	table := tableOfSize(0, 300, DefaultConfig())
 	table.Receive(1, "n1", Message{Kind: Sync, Checksums: make(Checksums, 3)})
 	if outs := table.TakeMessages(); len(outs) != 0 {
-		t.Errorf("checksums of a wrong length are answered: %d messages", len(outs))
+		t.Errorf("checksums of a wrong length are answered with %d messages, want none", len(outs))
 	}
 	table.Receive(1, "n1", Message{Kind: Sync, WantReply: true, Buckets: 1<<64 - 1})
 	for _, out := range table.TakeMessages() {
 		if len(out.Message.Updates) > DefaultConfig().MaxSyncMembers || out.Message.WantReply {
-			t.Errorf("an answer of %d members that wants a reply: %v", len(out.Message.Updates), out.Message.WantReply)
+			t.Errorf("an answer has %d members and requests a reply: %v, want at most %d and none requested",
+				len(out.Message.Updates), out.Message.WantReply, DefaultConfig().MaxSyncMembers)
 		}
 	}
 }
 
-// Controllers reclaim a dead member at different times. If one that has reclaimed it took it in
-// again from the gossip of one that has not, it would be gossiped for ever.
+// Controllers reclaim a dead member at different times. If one that has reclaimed it added it again
+// from the gossip of one that has not, the member would be gossiped forever.
 func TestUnknownDeadMemberIsNotTakenIn(t *testing.T) {
 	table := tableOfSize(0, 3, testConfig)
 	for _, state := range []State{Dead, Left} {
 		stranger := Member{ID: "stranger", Addr: "x", Run: 9, State: state}
 		table.Receive(1, "n1", Message{Kind: Ping, Updates: []Member{stranger}})
 		if m, known := table.Lookup("stranger"); known {
-			t.Errorf("a stranger is taken in as %v", m.State)
+			t.Errorf("an unknown member in state %v is added, want it ignored", m.State)
 		}
 	}
 }
 
-// A member ends. All controllers reclaim it in the end, though they do so at different times and go
-// on exchanging views.
+// A member stops for good. All controllers must eventually reclaim it, though they do so at
+// different times and continue to exchange views.
 func TestDeadMemberIsReclaimedByAll(t *testing.T) {
 	n := newNet("a", "b", "c", "d")
 	n.run(10000)
 	delete(n.tables, "d")
 	n.run(n.now + 60000)
 	if n.state("a", "d") != Dead {
-		t.Fatalf("a stopped member is believed to be %v", n.state("a", "d"))
+		t.Fatalf("a believes a stopped member to be %v, want gone", n.state("a", "d"))
 	}
 	n.run(n.now + 2*testConfig.ReclaimTime)
 	for _, at := range []ID{"a", "b", "c"} {
 		if _, known := n.tables[at].Lookup("d"); known {
-			t.Errorf("%s has not reclaimed a member that is dead for long", at)
+			t.Errorf("%s still knows a member that died more than ReclaimTime ago, want it reclaimed", at)
 		}
 	}
 }
--- a/internal/core/fleet/members/table.go
+++ b/internal/core/fleet/members/table.go
@@ -2,25 +2,26 @@
 
 import "math/rand"
 
-// entry is what a Table holds of a member.
+// entry is the state that a Table holds about a member.
 type entry struct {
 	Member
-	ringHash  uint64  // hash of the ID, from which its positions on the rings follow
+	ringHash  uint64  // hash of the ID, from which its positions on the rings are derived
 	changedAt float64 // ms, when its state or incarnation last changed
 
 	suspectedAt float64     // ms, when it became a suspect
 	suspectors  map[ID]bool // members that failed to reach it by their own probes; nil: no suspect
 
-	// mustBeNotified: the member said something of itself that does not override what is believed
-	// here (it restarted). The next message to it carries the belief, which it then refutes.
+	// mustBeNotified is set if the member sent an update about itself that does not override what
+	// this controller believes, as it restarted. The next message to it carries that belief, which it
+	// then refutes.
 	mustBeNotified bool
-	conflictPingAt float64 // ms, before which no other ping is sent because of two runs
+	conflictPingAt float64 // ms, before which no other ping is sent because of a run conflict
 
 	queued    bool // it is in the update queue
 	transmits int  // how often the queued update was sent
 }
 
-// newEntry returns the entry of a member that was learned of at a time in ms.
+// newEntry returns the entry of a member that this controller learned of at now, in ms.
 func newEntry(m Member, now float64) *entry {
 	return &entry{Member: m, ringHash: ringHash(m.ID), changedAt: now}
 }
@@ -49,7 +50,7 @@
 
 	// Dissemination.
 	updates          updates
-	initialTransmits int // how often the updates of the message being received count as sent
+	initialTransmits int // how often the updates of the message being handled count as sent
 
 	// Anti-entropy and reconnects.
 	syncAt      float64 // ms
@@ -63,7 +64,7 @@
 	expiryKnown bool
 }
 
-// New returns the view of a controller that knows no member yet, but the addresses of the seeds.
+// New returns the view of a controller that starts: it knows only the addresses of the seeds.
 func New(self Member, seeds []Member, config Config, seed int64, now float64) *Table {
 	t := &Table{
 		config:  config,
@@ -77,7 +78,7 @@
 	insertEntry(&t.index.all, t.self)
 	for _, s := range seeds {
 		if s.ID != self.ID && t.entries[s.ID] == nil {
-			s.State = Dead // until it is heard from: a reconnect or the first sync reaches it
+			s.State = Dead // until it is heard from; a reconnect or the first sync contacts it
 			s.Incarnation = 0
 			t.entries[s.ID] = newEntry(s, now)
 			t.index.add(t.entries[s.ID])
@@ -90,7 +91,7 @@
 	return t
 }
 
-// TakeMessages returns the messages to be sent since the last call.
+// TakeMessages returns the messages to send that were enqueued since the last call.
 func (t *Table) TakeMessages() []Envelope {
 	outgoing := t.outgoing
 	t.outgoing = nil
@@ -104,7 +105,7 @@
 	return changes
 }
 
-// Next returns when Tick is to be called at the latest, in ms.
+// Next returns the latest time at which Tick has to be called, in ms.
 func (t *Table) Next() float64 {
 	next := min(t.probeAt, t.syncAt, t.reconnectAt)
 	if t.probe.awaitsAck() && !t.probe.indirect {
@@ -116,7 +117,7 @@
 	return min(next, t.firstExpiry())
 }
 
-// Members returns all known members, this controller among them, by ID.
+// Members returns all known members including this controller, sorted by ID.
 func (t *Table) Members() []Member {
 	list := make([]Member, 0, len(t.index.all))
 	for _, e := range t.index.all {
@@ -136,7 +137,7 @@
 // Self returns this controller's own member, as it announces it.
 func (t *Table) Self() Member { return t.self.Member }
 
-// Size returns how many members are alive or suspect, this controller among them unless it left.
+// Size returns how many members are alive or suspect, including this controller unless it left.
 func (t *Table) Size() int {
 	n := len(t.index.active)
 	if t.self.State.active() {
@@ -148,7 +149,7 @@
 // Refutations returns how often this controller had to refute that it is suspect or dead.
 func (t *Table) Refutations() int { return t.refutations }
 
-// SetWilling announces whether this controller would take on leases.
+// SetWilling sets and announces whether this controller accepts leases.
 func (t *Table) SetWilling(now float64, willing bool) {
 	t.now = max(t.now, now)
 	if t.self.Willing == willing {
@@ -159,7 +160,8 @@
 	t.updates.add(t.self, 0)
 }
 
-// Leave announces that this controller shuts down. It goes on answering until the caller stops it.
+// Leave announces that this controller shuts down. It continues to answer messages until the caller
+// stops it.
 func (t *Table) Leave(now float64) {
 	t.now = max(t.now, now)
 	t.leaving = true
@@ -171,7 +173,7 @@
 	}
 }
 
-// Tick advances the time and does what is due.
+// Tick advances the time and carries out what is due.
 func (t *Table) Tick(now float64) {
 	late := now - t.probeAt
 	t.now = max(t.now, now)
@@ -196,9 +198,9 @@
 	}
 }
 
-// recoverFromPause handles that this process did not run for longer than a probe interval. It could
-// not receive acks and refutations then, so it suspects no member: the probe is dropped and the
-// suspects get the time added.
+// recoverFromPause handles a pause of this process of more than a probe interval. It could not
+// receive acks and refutations meanwhile, so it suspects no member: the current probe is abandoned
+// and the timeouts of suspects are extended by the delay.
 func (t *Table) recoverFromPause(late float64) {
 	t.addHealthPenalty(pauseHealthPenalty)
 	t.probe = probe{}
@@ -218,7 +220,7 @@
 	t.applyUpdates(from, m)
 	sender := t.entries[from]
 	if sender == nil {
-		return // its address is not known, so it can't be answered
+		return // without the sender's address no answer can be sent
 	}
 	switch m.Kind {
 	case Ping:
@@ -236,7 +238,7 @@
 	}
 }
 
-// withJitter draws a time around an interval.
+// withJitter returns an interval that is randomly shorter or longer by at most intervalJitter.
 func (t *Table) withJitter(interval float64) float64 {
 	return interval * (1 - intervalJitter + 2*intervalJitter*t.rng.Float64())
 }
--- a/internal/core/fleet/members/updates.go
+++ b/internal/core/fleet/members/updates.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// updates is the queue of the entries to be gossiped, those that were sent least often first.
+// updates is the queue of the entries to gossip, those that were sent least often first.
 type updates struct {
 	queue []*entry // sorted by transmits
 }
 
-// add enqueues an entry that counts as sent transmits times, behind those that were sent as often.
+// add enqueues an entry that counts as sent transmits times, behind those that were sent equally
+// often. An entry that is queued already is moved.
 func (u *updates) add(e *entry, transmits int) {
 	u.remove(e)
 	e.queued = true
@@ -18,7 +19,7 @@
 	u.queue = slices.Insert(u.queue, u.indexAfter(0, transmits), e)
 }
 
-// remove takes an entry out of the queue, if it is in it.
+// remove removes an entry from the queue, if it is queued.
 func (u *updates) remove(e *entry) {
 	if !e.queued {
 		return
@@ -29,7 +30,7 @@
 	}
 }
 
-// indexAfter returns the index, not before from, of the first entry that was sent more often than
+// indexAfter returns the index of the first entry at or after from that was sent more often than
 // transmits.
 func (u *updates) indexAfter(from, transmits int) int {
 	compare := func(e *entry, transmits int) int { return cmp.Compare(e.transmits, transmits) }
@@ -37,8 +38,9 @@
 	return from + i
 }
 
-// take appends updates to a list until it has capacity entries, and counts them as sent. Entries
-// that were sent limit times leave the queue.
+// take appends queued updates to a list until the list has capacity entries, and counts them as
+// sent. Entries for which skip returns true stay queued; those that were sent limit times are
+// removed.
 func (u *updates) take(list []Member, capacity, limit int, skip func(*entry) bool) []Member {
 	var taken []int
 	for i, e := range u.queue {
@@ -60,8 +62,8 @@
 	return list
 }
 
-// countTransmit counts the entry at an index as sent once more, and moves it ahead of those that
-// were sent as often.
+// countTransmit counts the entry at an index as sent once more, and moves it behind all entries
+// that were sent as often as it was before.
 func (u *updates) countTransmit(i int) {
 	e := u.queue[i]
 	end := u.indexAfter(i, e.transmits)
--- a/internal/core/fleet/members/updates_test.go
+++ b/internal/core/fleet/members/updates_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// A controller learns hundreds of members at once by an anti-entropy exchange, as others do by
-// theirs. A fresh update that comes by gossip must not wait behind them: it goes out with the next
-// messages.
+// A controller learns hundreds of members at once by an anti-entropy exchange, as the others do by
+// theirs. An update that it then learns by gossip must not wait behind them: the next messages carry
+// it.
 func TestFreshUpdateGoesBeforeSyncedOnes(t *testing.T) {
 	table := tableOfSize(0, 100, DefaultConfig())
-	for _, e := range slices.Clone(table.updates.queue) { // as if sent often enough
+	for _, e := range slices.Clone(table.updates.queue) { // as if sent transmitLimit times
 		table.updates.remove(e)
 	}
 	for part := range 3 {
@@ -27,7 +27,7 @@
 		table.Receive(3, "n1", Message{Kind: Ping, Seq: uint32(i)})
 		updates := table.TakeMessages()[0].Message.Updates
 		if !slices.ContainsFunc(updates, func(m Member) bool { return m.ID == "fresh" }) {
-			t.Fatalf("message %d does not carry the fresh update", i)
+			t.Fatalf("message %d after the update by gossip carries %v, want the update of \"fresh\" among them", i, updates)
 		}
 	}
 }
