--- a/internal/core/fleet/node/config.go
+++ b/internal/core/fleet/node/config.go
@@ -72,8 +72,8 @@
 	maxPreferences = 256
 	// maxUnanswered bounds the proposals that are to be answered when they are agreed on.
 	maxUnanswered = 4096
-	// maxRenewals bounds the renewals that a leader gathers; with so many they are proposed at once.
-	maxRenewals = 256
+	// maxBatchedRenewals bounds the renewals that a leader gathers; with so many they are proposed at once.
+	maxBatchedRenewals = 256
 	// maxProcessRounds bounds how often the parts of a node handle each other's output in one call.
 	maxProcessRounds = 4
 	// maxLocalRounds bounds how often the configuration's messages to itself are delivered in one
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -68,12 +68,12 @@
 	from, to := quorum.Incarnation{Name: "n1", Disk: 101}, quorum.Incarnation{Name: "n2", Disk: 102}
 	raft := &quorum.Message{From: from, To: to, Raft: []byte{1, 2, 3}, Serial: 21, Run: 77}
 	golden.CBOR(t, table, "raft", Message{Quorum: raft}, frames.Decoder.Unmarshal)
-	ask := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
-	checkMessage(t, table, "ask", ask.VouchRequest, Message{Quorum: ask})
-	answer := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78,
+	vouchRequest := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
+	checkMessage(t, table, "ask", vouchRequest.VouchRequest, Message{Quorum: vouchRequest})
+	vouchResponse := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78,
 		ReceivedSerial: 22, Retired: true, HasLeader: true, Members: []members.ID{"n1", "n2"}, Index: 40,
 		PendingMembers: []members.ID{"n3"}}}
-	checkMessage(t, table, "answer", answer.VouchResponse, Message{Quorum: answer})
+	checkMessage(t, table, "answer", vouchResponse.VouchResponse, Message{Quorum: vouchResponse})
 	join := &quorum.Message{From: from, To: to, Join: &quorum.Join{Run: 77}, Run: 77}
 	checkMessage(t, table, "join", join.Join, Message{Quorum: join})
 	invite := &quorum.Message{From: from, To: to, Run: 77, Invite: true}
@@ -86,10 +86,10 @@
 	table := golden.Open(t, "lease.golden")
 	renew := &lease.Renew{Holder: sentHolder(), Grants: []lease.Grant{sentGrant()}, Sequence: 13}
 	checkMessage(t, table, "renew", renew, Message{Renew: renew})
-	granted := &RenewResponse{Sequence: 13, Valid: []lease.Grant{sentGrant()},
+	response := &RenewResponse{Sequence: 13, Valid: []lease.Grant{sentGrant()},
 		Invalid: []lease.Grant{{Name: "maintenance", Token: 2}},
 		Yield:   []lease.Name{"digest"}, Leader: "n2", To: sentHolder()}
-	checkMessage(t, table, "granted", granted, Message{RenewResponse: granted})
+	checkMessage(t, table, "granted", response, Message{RenewResponse: response})
 	offer := &Offer{To: sentHolder(), Grant: sentGrant()}
 	checkMessage(t, table, "offer", offer, Message{Offer: offer})
 	release := &lease.Release{Holder: sentHolder(), Grant: sentGrant(), Failed: true}
@@ -111,8 +111,8 @@
 	checkMessage(t, table, "view", view, Message{View: view})
 	effect := &Effect{Grant: sentGrant(), ID: 61, Data: []byte{9}}
 	checkMessage(t, table, "effect", effect, Message{Effect: effect})
-	verdict := &EffectResponse{Lease: "digest", ID: 61, HighestToken: 10, Accepted: true}
-	checkMessage(t, table, "verdict", verdict, Message{EffectResponse: verdict})
+	response := &EffectResponse{Lease: "digest", ID: 61, HighestToken: 10, Accepted: true}
+	checkMessage(t, table, "verdict", response, Message{EffectResponse: response})
 	replace := &Replace{Old: "n1", Successor: "n4"}
 	checkMessage(t, table, "replace", replace, Message{Replace: replace})
 	golden.CBOR(t, table, "job-message", Message{JobMessage: []byte{10, 11}}, frames.Decoder.Unmarshal)
--- a/internal/core/fleet/node/leader.go
+++ b/internal/core/fleet/node/leader.go
@@ -18,10 +18,10 @@
 	n.process()
 }
 
-// leadQuorum does what is due of the quorum's leader: it declares the leases, assigns those that
+// manageLeases does what is due of the quorum's leader: it declares the leases, assigns those that
 // are free, and repeats offers. A controller that stops leading forgets when the leases were
 // renewed.
-func (n *Node) leadQuorum() {
+func (n *Node) manageLeases() {
 	if !n.quorum.Leads() {
 		n.leaseManager = nil
 		return
@@ -35,7 +35,7 @@
 		return
 	}
 	state := n.quorum.State()
-	if declared := n.cfg.Leases; !declares(state, declared) {
+	if declared := n.cfg.Leases; !matchesDeclared(state, declared) {
 		n.propose(n.cfg.Self.ID, lease.Command{Declare: &lease.Declare{Names: declared}})
 	}
 	for _, command := range n.leaseManager.Decide(n.now, state, n.candidates()) {
@@ -49,8 +49,8 @@
 	n.manageAt = min(n.now+offerInterval, next)
 }
 
-// declares reports whether the leases of a state are those declared.
-func declares(s *lease.State, declared []lease.Name) bool {
+// matchesDeclared reports whether the leases of a state are those declared.
+func matchesDeclared(s *lease.State, declared []lease.Name) bool {
 	count := 0
 	for name, l := range s.Leases {
 		if l.Retired {
@@ -117,14 +117,14 @@
 		}
 		if n.unansweredRefs[a.Ref] {
 			delete(n.unansweredRefs, a.Ref)
-			n.answer(a)
+			n.answerProposer(a)
 		}
 	}
 	return len(list) > 0
 }
 
-// answer answers the holder that proposed an applied command.
-func (n *Node) answer(a quorum.Applied) {
+// answerProposer answers the holder that proposed an applied command.
+func (n *Node) answerProposer(a quorum.Applied) {
 	if renew := a.Command.Renew; renew != nil {
 		n.answerRenewal(a, renew)
 	}
--- a/internal/core/fleet/node/leaderhint.go
+++ b/internal/core/fleet/node/leaderhint.go
@@ -25,7 +25,7 @@
 	n.leader.term = hint.Term
 	if hint.Changed > n.view.latestIndex {
 		n.view.latestIndex = hint.Changed
-		n.view.requestAt = min(n.view.requestAt, n.now+n.viewWait()*n.rng.Float64())
+		n.view.requestAt = min(n.view.requestAt, n.now+n.viewRequestInterval()*n.rng.Float64())
 	}
 }
 
--- a/internal/core/fleet/node/leaderhint_test.go
+++ b/internal/core/fleet/node/leaderhint_test.go
@@ -71,7 +71,7 @@
 		n := nonMemberNode(t, c.size)
 		n.leader.id = c.leader
 		for range 100 {
-			if wait := n.nextView() - n.now; wait < c.least || wait > c.most {
+			if wait := n.nextViewRequestAt() - n.now; wait < c.least || wait > c.most {
 				t.Fatalf("%d members, leader %q: asks after %v ms", c.size, c.leader, wait)
 			}
 		}
@@ -88,7 +88,7 @@
 	for range size {
 		n.now = 0
 		for range rounds {
-			n.now = n.nextView()
+			n.now = n.nextViewRequestAt()
 			requests[int(n.now/bucket)]++
 		}
 	}
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -201,7 +201,7 @@
 // process lets each part do what is due, and collects what there is to send and report.
 func (n *Node) process() {
 	for range maxProcessRounds { // what one part sends to another of this node is handled at once
-		n.leadQuorum()
+		n.manageLeases()
 		n.renewLeases()
 		n.proposeRenewals()
 		n.sendReleases()
--- a/internal/core/fleet/node/renewals.go
+++ b/internal/core/fleet/node/renewals.go
@@ -32,7 +32,7 @@
 	}
 	n.renewals.list = append(n.renewals.list, pendingRenewal{from: from, renew: renew})
 	first := n.leaseManager == nil || !n.leaseManager.Confirmed(renew.Grants)
-	if first || len(n.renewals.list) >= maxRenewals {
+	if first || len(n.renewals.list) >= maxBatchedRenewals {
 		n.renewals.proposeAt = n.now
 	}
 	n.proposeRenewals()
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -65,13 +65,13 @@
 	n.view.changedIndex = max(n.view.changedIndex, v.Changed)
 	n.view.latestIndex = max(n.view.latestIndex, v.Changed)
 	if n.viewIsCurrent() {
-		n.view.requestAt = n.nextView()
+		n.view.requestAt = n.nextViewRequestAt()
 	}
 }
 
 // requestView requests the quorum's view, unless this controller leads it.
 func (n *Node) requestView() {
-	n.view.requestAt = n.nextView()
+	n.view.requestAt = n.nextViewRequestAt()
 	if !n.quorum.Leads() {
 		n.sendToLeader(Message{ViewRequest: &ViewRequest{}})
 	}
@@ -83,17 +83,17 @@
 	return n.view.changedIndex > 0 && n.view.changedIndex >= n.view.latestIndex
 }
 
-// viewWait returns the usual interval between two requests for the view, in ms.
-func (n *Node) viewWait() float64 {
+// viewRequestInterval returns the usual interval between two requests for the view, in ms.
+func (n *Node) viewRequestInterval() float64 {
 	if n.leader.id == "" {
 		return viewInterval
 	}
 	return max(viewInterval, viewIntervalPerMember*float64(n.members.Size()))
 }
 
-// nextView returns when the view is to be requested next, in ms.
-func (n *Node) nextView() float64 {
-	interval := n.viewWait()
+// nextViewRequestAt returns when the view is to be requested next, in ms.
+func (n *Node) nextViewRequestAt() float64 {
+	interval := n.viewRequestInterval()
 	if n.leader.id != "" && n.viewIsCurrent() {
 		interval *= currentViewFactor
 	}
