--- a/internal/core/fleet/node/driver_test.go
+++ b/internal/core/fleet/node/driver_test.go
@@ -7,7 +7,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// driver runs a node without a disk and a network: records are durable at once.
+// driver runs a node without a disk or a network: records are durable at once, and messages are
+// collected.
 type driver struct {
 	t        *testing.T
 	node     *Node
@@ -16,7 +17,7 @@
 	messages []Envelope
 }
 
-// settle carries out all outputs.
+// settle carries out the node's outputs until there are none.
 func (d *driver) settle() {
 	for {
 		out := d.node.Take()
@@ -35,7 +36,7 @@
 	}
 }
 
-// advance advances the time.
+// advance advances the time by a duration in ms.
 func (d *driver) advance(duration float64) {
 	for end := d.now + duration; d.now < end; {
 		d.now = min(end, max(d.now+1, d.node.Next()))
@@ -44,6 +45,7 @@
 	}
 }
 
+// receive passes a message to the node, and carries out its outputs.
 func (d *driver) receive(from members.ID, m Message) {
 	d.node.Receive(d.now, from, &m)
 	d.settle()
@@ -80,8 +82,8 @@
 // testLease is the duration of leases in ms.
 const testLease = 10000.0
 
-// leaderWithTwoHolders returns the only voter of a quorum, and the grants of h1 and h2, which hold
-// a lease each and have renewed it once.
+// leaderWithTwoHolders returns a driver of the only voter of a quorum, and the grants of h1 and h2,
+// each of which holds a lease and has renewed it once.
 func leaderWithTwoHolders(t *testing.T) (d *driver, held map[members.ID]lease.Grant) {
 	t.Helper()
 	membership := members.DefaultConfig()
@@ -107,7 +109,7 @@
 	held = map[members.ID]lease.Grant{}
 	for ; len(held) < 2; d.advance(100) {
 		if d.now > testLease {
-			t.Fatalf("%d leases are offered", len(held))
+			t.Fatalf("leases were offered to %d holders within a lease's duration, want 2", len(held))
 		}
 		for _, s := range d.takeMessages() {
 			if s.Message.Offer != nil {
@@ -118,7 +120,7 @@
 	for id, grant := range held {
 		d.receive(id, renewal(id, grant, 1))
 		if answer := d.takeRenewResponses()[id]; answer == nil || len(answer.Valid) != 1 {
-			t.Fatalf("the first renewal of %s is not answered at once: %+v", id, answer)
+			t.Fatalf("immediate answer to the first renewal of %s: %+v, want one valid grant", id, answer)
 		}
 	}
 	return d, held
--- a/internal/core/fleet/node/effects.go
+++ b/internal/core/fleet/node/effects.go
@@ -5,9 +5,10 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// TryEffect sends an effect under a lease that this controller holds; it returns false, and sends
-// nothing, if it does not. The clock is checked here and the message goes out after that: if the
-// process pauses in between, the receiver's fencing check rejects the effect.
+// TryEffect sends an effect under a lease that this controller holds. It returns false, and sends
+// nothing, if the controller does not hold the lease. The hold time is checked here and the message
+// is sent later: if the process pauses in between and another holder has acted meanwhile, the
+// receiver's fencing check rejects the effect.
 func (n *Node) TryEffect(now float64, name lease.Name, to members.ID, id uint64, data []byte) bool {
 	n.now = max(n.now, now)
 	grant, held := n.currentGrant(name)
@@ -34,8 +35,8 @@
 	}})
 }
 
-// raiseTokens records which fencing tokens are in use: a controller that restarted without its
-// stored tokens learns them again.
+// raiseTokens records which fencing tokens are in use. A controller that restarted without stored
+// tokens learns them again this way.
 func (n *Node) raiseTokens(leases []lease.Lease) {
 	before := n.fencing.Seen()
 	for _, l := range leases {
@@ -46,7 +47,8 @@
 	}
 }
 
-// FencingTokens returns the highest fencing token seen of each lease, which is to be durable.
+// FencingTokens returns the highest fencing token seen of each lease. The caller makes them durable
+// if effects outlive a restart.
 func (n *Node) FencingTokens() map[lease.Name]lease.Token { return n.fencing.Seen() }
 
 // SendMessage sends a message of a job to the same job at another controller. It may be lost.
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -1,9 +1,9 @@
 package node
 
-// A rename or a reordering of fields can change the messages among controllers. Controllers of one
-// build agree with each other whatever it is; it shows only beside controllers of an earlier one,
-// within an update of a fleet. These tests compare each kind of message with what an earlier build
-// sent.
+// A rename or a reordering of fields can change the encoding of messages between controllers.
+// Controllers of one build understand each other in any encoding; a change breaks them only beside
+// controllers of an earlier build, while a fleet is updated. These tests compare each kind of message
+// with the encoding of an earlier build.
 
 import (
 	"testing"
@@ -16,7 +16,7 @@
 	"mintkeel/internal/lab/golden"
 )
 
-// Values that messages are made of, with every field set.
+// The functions below return values for messages, with every field set.
 
 func sentHolder() lease.Holder { return lease.Holder{ID: "n1", Run: 77} }
 
@@ -46,7 +46,8 @@
 	return config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
 }
 
-// checkMessage compares a message of one part, which must have all its fields set.
+// checkMessage compares the encoding of a message that contains a part, all of whose fields must be
+// set, with the golden table.
 func checkMessage(t *testing.T, table *golden.Table, name string, part any, message Message) {
 	t.Helper()
 	golden.AllSet(t, part)
@@ -160,7 +161,8 @@
 	check("answer", answer, config.Message{Answer: answer})
 }
 
-// TestPiggybackedMessageEncodingIsStable has a message with the parts that ride on one of membership.
+// TestPiggybackedMessageEncodingIsStable checks a membership message with the parts that accompany
+// it.
 func TestPiggybackedMessageEncodingIsStable(t *testing.T) {
 	table := golden.Open(t, "piggybacked.golden")
 	message := Message{Members: &members.Message{Kind: members.Ping, Seq: 41},
@@ -169,7 +171,7 @@
 	golden.CBOR(t, table, "piggybacked", message, frames.Decoder.Unmarshal)
 }
 
-// TestKindNumbersAreStable pins the numbers by which kinds, states and results stand in messages.
+// TestKindNumbersAreStable pins the numbers that encode kinds, states and results in messages.
 func TestKindNumbersAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -185,7 +187,7 @@
 		{"ask history", int(config.QueryHistory), 3},
 	} {
 		if c.number != c.was {
-			t.Errorf("%s is sent as %d, and was as %d", c.name, c.number, c.was)
+			t.Errorf("%s is encoded as %d, want %d as in earlier builds", c.name, c.number, c.was)
 		}
 	}
 }
--- a/internal/core/fleet/node/fleetconfig.go
+++ b/internal/core/fleet/node/fleetconfig.go
@@ -6,13 +6,13 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// configEnvironment is what the configuration's replica sees of its node. It implements
+// configEnvironment gives the configuration replica access to its node. It implements
 // config.Environment.
 type configEnvironment struct {
 	node *Node
 }
 
-// Members returns all known members, this controller among them.
+// Members returns all known members, including this controller.
 func (e configEnvironment) Members() []members.Member { return e.node.members.Members() }
 
 // Member returns what is believed of a member, and whether it is known.
@@ -26,7 +26,8 @@
 // Leader returns the quorum's leader; empty: not known.
 func (e configEnvironment) Leader() members.ID { return e.node.Leader() }
 
-// Leads reports whether this controller leads the quorum and has applied all that was agreed on.
+// Leads reports whether this controller leads the quorum and has applied all that was committed
+// before its term.
 func (e configEnvironment) Leads() bool { return e.node.quorum.LeadsCaughtUp() }
 
 // Voting reports whether this controller is a voter.
@@ -35,7 +36,7 @@
 	return role == quorum.Voter
 }
 
-// State returns what the quorum agreed on.
+// State returns the quorum's replicated state of the configuration.
 func (e configEnvironment) State() *config.State { return e.node.quorum.ConfigState() }
 
 // Propose proposes to the quorum, if this controller leads it.
@@ -43,8 +44,8 @@
 	return e.node.quorum.ProposeConfig(e.node.cfg.Self.ID, p)
 }
 
-// WithConfig calls a function with the configuration's replica, and carries out what follows from
-// it. It does nothing if the fleet does not agree on configuration.
+// WithConfig calls a function with the configuration replica, then processes the replica's output.
+// It does nothing if the fleet has no replicated configuration.
 func (n *Node) WithConfig(now float64, use func(*config.Replica)) {
 	if n.config == nil {
 		return
@@ -54,7 +55,7 @@
 	n.process()
 }
 
-// startConfig starts the replica of the configuration from what the folder holds.
+// startConfig starts the configuration replica from its stored state.
 func (n *Node) startConfig() {
 	if n.cfg.FleetConfig == nil {
 		return
@@ -67,8 +68,8 @@
 	n.config = config.New(options, configEnvironment{n}, n.cfg.FleetConfig.Stored, n.now)
 }
 
-// configSummary returns the summary of the configuration that accompanies membership messages; nil:
-// there is none.
+// configSummary returns the summary of the configuration that accompanies membership messages, or
+// nil if there is none.
 func (n *Node) configSummary() *config.Message {
 	if n.config == nil {
 		return nil
@@ -80,8 +81,8 @@
 	return &config.Message{Summary: summary}
 }
 
-// quorumState is the part of the quorum's state of which the configuration's replica is notified
-// when it changes.
+// quorumState is the part of the quorum's state whose changes the configuration replica is notified
+// of.
 type quorumState struct {
 	newestVersion uint64
 	leads         bool
@@ -89,8 +90,8 @@
 	leader        members.ID
 }
 
-// notifyConfig notifies the replica when the newest agreed version, the leader or this controller's
-// role has changed.
+// notifyConfig notifies the configuration replica if the newest committed version, the leader or
+// this controller's role has changed.
 func (n *Node) notifyConfig() {
 	state := quorumState{
 		newestVersion: n.quorum.ConfigState().Newest(),
@@ -105,7 +106,8 @@
 	n.config.QuorumChanged(n.now)
 }
 
-// processConfig lets the replica do what is due. Its messages to itself are delivered at once.
+// processConfig notifies the configuration replica and takes its output. The replica's messages to
+// itself are delivered at once.
 func (n *Node) processConfig() {
 	if n.config == nil {
 		return
@@ -123,8 +125,8 @@
 	}
 }
 
-// collectConfig adds an output of the replica to the node's, and returns the messages that it sends
-// to itself.
+// collectConfig adds an output of the configuration replica to the node's output, and returns the
+// messages that the replica sends to itself.
 func (n *Node) collectConfig(out config.Output) (local []config.Message) {
 	for _, s := range out.Messages {
 		if s.To == n.cfg.Self.ID {
--- a/internal/core/fleet/node/holder.go
+++ b/internal/core/fleet/node/holder.go
@@ -6,7 +6,8 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// handleOffer handles the offer of a lease, and reports whether it was to this run and accepted.
+// handleOffer handles the offer of a lease. It reports whether the offer was to this run of the
+// controller and the controller is not stopping.
 func (n *Node) handleOffer(o *Offer) bool {
 	if o.To != n.holder() || n.stopping {
 		return false
@@ -15,7 +16,7 @@
 	return true
 }
 
-// renewLeases sends the renewal of the leases that this controller holds, if it is due.
+// renewLeases sends the renewal of this controller's leases, if it is due.
 func (n *Node) renewLeases() {
 	if n.stopping {
 		return
@@ -25,7 +26,7 @@
 	}
 }
 
-// handleRenewResponse handles what was agreed on about a renewal or release of this run.
+// handleRenewResponse handles the leader's answer to a renewal or release of this run.
 func (n *Node) handleRenewResponse(r *RenewResponse) {
 	if r.To != n.holder() {
 		return
@@ -45,8 +46,8 @@
 // Held returns the grants under which this controller may act now.
 func (n *Node) Held(now float64) []lease.Grant { return n.leaseClient.Held(now) }
 
-// CanAct reports whether this controller may begin an effect under a lease now, with which fencing
-// token, and until when, in ms, the effect has to be done.
+// CanAct reports whether this controller may begin an effect under a lease now. It returns the
+// fencing token, and the time in ms by which the effect has to be done.
 func (n *Node) CanAct(now float64, name lease.Name) (token lease.Token, until float64, ok bool) {
 	return n.leaseClient.CanAct(now, name)
 }
@@ -58,14 +59,14 @@
 	return lease.Grant{Name: name, Token: token}, held
 }
 
-// unconfirmedRelease is the release of a lease that the quorum may not know of yet.
+// unconfirmedRelease is the release of a lease that the quorum may not have received yet.
 type unconfirmedRelease struct {
 	release  *lease.Release
-	deadline float64 // ms, after which it is not sent any more
+	deadline float64 // ms, after which it is no longer sent
 }
 
 // Release ends a lease that this controller holds and notifies the quorum, so that another
-// controller can have it at once. Failed says that this controller could not run the lease's job.
+// controller can get it at once. Failed is set if this controller could not run the lease's job.
 func (n *Node) Release(now float64, name lease.Name, failed bool) {
 	n.now = max(n.now, now)
 	release := n.leaseClient.Release(name, failed)
@@ -96,9 +97,9 @@
 	}
 }
 
-// ProposeState proposes the state to be handed on of a lease that this controller holds; it returns
-// false if it does not. What was agreed on comes as a Checkpoint. The proposal may be lost: the
-// caller repeats it with the same serial.
+// ProposeState proposes to replace the job's state that is stored with a lease. It returns false if
+// this controller does not hold the lease. The stored state then arrives as a Checkpoint. The
+// proposal may be lost: the caller repeats it with the same serial.
 func (n *Node) ProposeState(now float64, name lease.Name, serial uint64, data []byte) bool {
 	n.now = max(n.now, now)
 	grant, held := n.currentGrant(name)
@@ -114,8 +115,8 @@
 	return true
 }
 
-// RequestState requests the state of a lease that this controller holds; it returns false if it
-// does not. The state comes as a Checkpoint. The request may be lost.
+// RequestState requests the job's state that is stored with a lease. It returns false if this
+// controller does not hold the lease. The state arrives as a Checkpoint. The request may be lost.
 func (n *Node) RequestState(now float64, name lease.Name) bool {
 	n.now = max(n.now, now)
 	grant, held := n.currentGrant(name)
@@ -126,7 +127,8 @@
 	return true
 }
 
-// handleCheckpoint handles the state of a lease that this run holds.
+// handleCheckpoint passes the stored state of a lease to the caller, if this run still holds the
+// lease.
 func (n *Node) handleCheckpoint(c *Checkpoint) {
 	grant, held := n.currentGrant(c.Grant.Name)
 	if c.To == n.holder() && held && grant == c.Grant {
--- a/internal/core/fleet/node/leader.go
+++ b/internal/core/fleet/node/leader.go
@@ -9,8 +9,7 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// SetLeases sets which leases are to be declared. It has an effect while this controller leads the
-// quorum.
+// SetLeases sets which leases this controller declares while it leads the quorum.
 func (n *Node) SetLeases(now float64, names []lease.Name) {
 	n.now = max(n.now, now)
 	n.cfg.Leases = slices.Clone(names)
@@ -18,9 +17,9 @@
 	n.process()
 }
 
-// manageLeases does what is due of the quorum's leader: it declares the leases, assigns those that
-// are free, and repeats offers. A controller that stops leading forgets when the leases were
-// renewed.
+// manageLeases carries out the leader's duties that are due: it declares the leases, assigns those
+// that are free or have expired, and repeats offers. A controller that stops leading discards its
+// manager, and with it the times of renewals.
 func (n *Node) manageLeases() {
 	if !n.quorum.Leads() {
 		n.leaseManager = nil
@@ -49,7 +48,7 @@
 	n.manageAt = min(n.now+offerInterval, next)
 }
 
-// matchesDeclared reports whether the leases of a state are those declared.
+// matchesDeclared reports whether the leases of a state that are not retired are those declared.
 func matchesDeclared(s *lease.State, declared []lease.Name) bool {
 	count := 0
 	for name, l := range s.Leases {
@@ -64,8 +63,9 @@
 	return count == len(declared)
 }
 
-// candidates returns the active members. This controller comes last, as it leads: if it failed, the
-// next leader would let its leases run from the change of leader, and reassign them later.
+// candidates returns the active members as candidates for leases. This controller is to be avoided,
+// as it leads: if it failed, the next leader would count its leases as renewed when leadership
+// changed, and so reassign them later than if another member had failed.
 func (n *Node) candidates() (list []lease.Candidate) {
 	for _, m := range n.members.Members() {
 		if m.State <= members.Suspect && m.Run != 0 {
@@ -79,7 +79,7 @@
 	return list
 }
 
-// repeatOffers offers the leases again that are not renewed: an offer may be lost.
+// repeatOffers offers those leases again that are not renewed, as an offer may be lost.
 func (n *Node) repeatOffers(state *lease.State) {
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
 		if !n.leaseManager.RecentlyRenewed(n.now, name) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// offer notifies the holder of a lease that it was assigned it.
+// offer notifies the holder of a lease of its assignment.
 func (n *Node) offer(name lease.Name) {
 	l := n.quorum.State().Leases[name]
 	if l == nil || !l.Held() {
@@ -98,8 +98,8 @@
 	n.send(l.Holder.ID, Message{Offer: &Offer{To: l.Holder, Grant: grant}})
 }
 
-// handleApplied handles the commands that the quorum agreed on since the last call, and reports
-// whether there were some.
+// handleApplied handles the commands that were applied since the last call, and reports whether
+// there were any.
 func (n *Node) handleApplied() bool {
 	list := n.quorum.TakeApplied()
 	for _, a := range list {
@@ -123,7 +123,7 @@
 	return len(list) > 0
 }
 
-// answerProposer answers the holder that proposed an applied command.
+// answerProposer answers the holder from which an applied command came.
 func (n *Node) answerProposer(a quorum.Applied) {
 	if renew := a.Command.Renew; renew != nil {
 		n.answerRenewal(a, renew)
@@ -161,8 +161,8 @@
 	n.send(renew.Holder.ID, Message{RenewResponse: response})
 }
 
-// answerState sends a holder the agreed state of its lease. The serial shows the holder whether its
-// own StoreState was applied.
+// answerState sends a holder the job's state that is stored with its lease. The serial shows the
+// holder whether its own StoreState was applied.
 func (n *Node) answerState(holder lease.Holder, grant lease.Grant) {
 	l := n.quorum.State().Leases[grant.Name]
 	if l == nil || l.Holder != holder || l.Token != grant.Token {
--- a/internal/core/fleet/node/leaderhint.go
+++ b/internal/core/fleet/node/leaderhint.go
@@ -1,7 +1,7 @@
 package node
 
-// leaderHint returns what this controller knows of the leader, after taking in what its own replica
-// of the quorum knows; nil: nothing.
+// leaderHint returns what this controller knows of the leader, or nil if it knows none. First it
+// updates that from its own replica of the quorum.
 func (n *Node) leaderHint() *LeaderHint {
 	if leader := n.quorum.Leader(); leader != "" {
 		n.leader.id = leader
@@ -14,9 +14,9 @@
 	return &LeaderHint{ID: n.leader.id, Term: n.leader.term, Changed: n.view.latestIndex}
 }
 
-// handleLeaderHint handles the leader that another controller knows of. A term has one leader, and
-// a lower term is over. If the quorum's view has changed, it is requested after a random part of
-// the usual interval: all controllers hear of the change at about the same time.
+// handleLeaderHint handles the leader that another controller names. A term has at most one leader,
+// and a lower term has ended. If the quorum's view has changed, it is requested after a random part
+// of the usual interval, as all controllers learn of the change at about the same time.
 func (n *Node) handleLeaderHint(hint *LeaderHint) {
 	if hint == nil || hint.ID == "" || hint.Term < n.leader.term {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendMembership sends the messages of the membership, together with what this controller knows of
-// the configuration and of the leader.
+// sendMembership sends the membership messages. Each carries the summary of the configuration and
+// the leader as this controller knows them.
 func (n *Node) sendMembership() {
 	envelopes := n.members.TakeMessages()
 	if len(envelopes) == 0 {
--- a/internal/core/fleet/node/leaderhint_test.go
+++ b/internal/core/fleet/node/leaderhint_test.go
@@ -8,8 +8,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// nonMemberNode returns a controller x that is no member of the quorum a, b, c and knows a fleet of
-// a size.
+// nonMemberNode returns a controller x that is no member of the quorum a, b, c and knows the members
+// of a fleet of a size.
 func nonMemberNode(t *testing.T, size int) *Node {
 	t.Helper()
 	n, err := New(Config{
@@ -37,7 +37,7 @@
 	return n
 }
 
-// pingWithHint returns a ping that carries a hint.
+// pingWithHint returns a ping that carries a leader hint.
 func pingWithHint(hint LeaderHint) *Message {
 	return &Message{Members: &members.Message{Kind: members.Ping, Seq: 1}, Leader: &hint}
 }
@@ -55,8 +55,8 @@
 	return count
 }
 
-// If each of hundreds of controllers requested the view each few seconds, the voters could not
-// answer. All of a fleet together send at most ten requests a second.
+// If each of hundreds of controllers requested the view every few seconds, the voters could not
+// answer all of them. The whole fleet must send at most ten requests a second.
 func TestViewIntervalGrowsWithFleet(t *testing.T) {
 	for _, c := range []struct {
 		size        int
@@ -66,20 +66,21 @@
 		{3, "a", 2500, 7500},
 		{50, "a", 2500, 7500},
 		{670, "a", 33500, 100500},
-		{670, "", 2500, 7500}, // a controller that knows no leader goes on asking
+		{670, "", 2500, 7500}, // a controller that knows no leader must not wait long for one
 	} {
 		n := nonMemberNode(t, c.size)
 		n.leader.id = c.leader
 		for range 100 {
 			if wait := n.nextViewRequestAt() - n.now; wait < c.least || wait > c.most {
-				t.Fatalf("%d members, leader %q: asks after %v ms", c.size, c.leader, wait)
+				t.Fatalf("%d members, leader %q: the next request is due in %v ms, want %v to %v ms",
+					c.size, c.leader, wait, c.least, c.most)
 			}
 		}
 	}
 }
 
-// Controllers that start together would request the view together. From the second round on their
-// requests are apart: no ten seconds see many more than the mean.
+// Controllers that start together request the view together at first. From the second round on their
+// requests must be spread over time, so that each ten seconds have about the mean number.
 func TestViewRequestsSpreadOverTime(t *testing.T) {
 	const size, bucket, rounds = 670, 10000.0, 8
 	n := nonMemberNode(t, size)
@@ -95,13 +96,14 @@
 	mean := bucket / viewIntervalPerMember
 	for at := 15; at < 35; at++ { // from the second round to the fifth
 		if got := float64(requests[at]); got > 1.4*mean || got < 0.6*mean {
-			t.Errorf("%v requests from %v s on, where %v are the mean", got, float64(at)*bucket/1000, mean)
+			t.Errorf("%v requests in the ten seconds from %v s on, want within 40%% of the mean of %v",
+				got, float64(at)*bucket/1000, mean)
 		}
 	}
 }
 
-// TestLeaderHintSpreadsByGossip: a controller that is no member learns of the leader by membership
-// messages, passes it on, and ignores hints of lower terms.
+// TestLeaderHintSpreadsByGossip: a controller that is no member must learn the leader from membership
+// messages and pass it on, and must ignore hints of lower terms or without a leader.
 func TestLeaderHintSpreadsByGossip(t *testing.T) {
 	n := nonMemberNode(t, 3)
 	receiveHint := func(id members.ID, term uint64) {
@@ -121,7 +123,7 @@
 		n.Take()
 		receiveHint(c.id, c.term)
 		if n.Leader() != c.want {
-			t.Errorf("after %q in term %d: %q leads", c.id, c.term, n.Leader())
+			t.Errorf("leader after a hint of %q in term %d is %q, want %q", c.id, c.term, n.Leader(), c.want)
 		}
 		passedOn := false
 		for _, s := range n.Take().Messages {
@@ -130,14 +132,14 @@
 			}
 		}
 		if !passedOn {
-			t.Errorf("after %q in term %d: its answer does not name %q", c.id, c.term, c.want)
+			t.Errorf("the answer to a hint of %q in term %d does not name %q as leader, want it named", c.id, c.term, c.want)
 		}
 	}
 }
 
-// A controller with a current view requests it a tenth as often, and soon after a change. If a
-// voter that is late answers it after a change, it goes on at the usual interval, or it would keep
-// an old view for long.
+// A controller whose view is current must request it a tenth as often, and soon after a change. If a
+// voter that lags behind answers it after a change, it must continue at the usual interval, or it
+// would keep an old view for long.
 func TestViewIsRequestedAfterChange(t *testing.T) {
 	const usual = viewInterval * (1 + viewJitterShare)
 	n := nonMemberNode(t, 3)
@@ -152,46 +154,46 @@
 	hint(5)
 	answer(5)
 	if count := viewRequests(n, currentViewFactor*viewInterval*(1-viewJitterShare)-2); count > 0 {
-		t.Errorf("%d requests for a view that is current", count)
+		t.Errorf("%d requests within the shortest interval of a current view, want none", count)
 	}
 	if count := viewRequests(n, currentViewFactor*usual); count == 0 {
-		t.Error("a view that is current is never requested again")
+		t.Error("no request within the longest interval of a current view, want at least one")
 	}
 	answer(5)
 	hint(6)
 	if count := viewRequests(n, viewInterval+2); count == 0 {
-		t.Error("not requested after a change")
+		t.Error("no request within the usual interval after a change, want at least one")
 	}
 	answer(5)
 	if count := viewRequests(n, 4*usual); count < 4 {
-		t.Errorf("%d requests within four intervals after a late answer", count)
+		t.Errorf("%d requests within four usual intervals after an outdated answer, want at least 4", count)
 	}
 	answer(6)
-	hint(4) // an old hint
+	hint(4) // an outdated hint
 	if count := viewRequests(n, usual); count > 0 {
-		t.Errorf("%d requests after an old hint", count)
+		t.Errorf("%d requests after an outdated hint, want none", count)
 	}
 }
 
-// The quorum's view changes with holders and with the leases that there are, not with renewals:
-// else all controllers would request it all the time.
+// Renewals must not count as changes of the quorum's view, or all controllers would request it all
+// the time. Changes of holders must.
 func TestRenewalsDoNotChangeView(t *testing.T) {
 	d, held := leaderWithTwoHolders(t)
 	before := d.node.quorum.ChangedIndex()
 	if before == 0 {
-		t.Error("the index is 0 after leases were assigned")
+		t.Error("the changed index is 0 after leases were assigned, want it above 0")
 	}
 	d.receive("h1", renewal("h1", held["h1"], 2))
 	d.advance(1000)
 	if now := d.node.quorum.ChangedIndex(); now != before {
-		t.Errorf("a renewal changes it from %d to %d", before, now)
+		t.Errorf("the changed index is %d after a renewal, want %d as before", now, before)
 	}
 	d.receive("h2", Message{Release: &lease.Release{Holder: lease.Holder{ID: "h2", Run: 1}, Grant: held["h2"]}})
 	d.advance(10)
 	if now := d.node.quorum.ChangedIndex(); now <= before {
-		t.Errorf("it stays at %d after a release", now)
+		t.Errorf("the changed index is %d after a release, want it above %d", now, before)
 	}
 	if hint := d.node.leaderHint(); hint == nil || hint.Changed != d.node.quorum.ChangedIndex() {
-		t.Errorf("the hint is %+v", hint)
+		t.Errorf("the leader hint is %+v, want the changed index %d", hint, d.node.quorum.ChangedIndex())
 	}
 }
--- a/internal/core/fleet/node/messages.go
+++ b/internal/core/fleet/node/messages.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Message is a message between controllers, encoded by the keys of its fields. One field is set;
-// Config and Leader may accompany a Members message. JobMessage is from the job of a lease to the
+// Message is a message between controllers, encoded by the keys of its fields. One field is set,
+// except that Config and Leader may accompany Members. JobMessage is from the job of a lease to the
 // same job at another controller.
 type Message struct {
 	Members        *members.Message  `cbor:"1,keyasint,omitempty"`
@@ -31,8 +31,8 @@
 	Leader         *LeaderHint       `cbor:"18,keyasint,omitempty"`
 }
 
-// Checkpoint is the state that the holders of a lease hand on, as agreed on by a StoreState or
-// LoadState of its holder.
+// Checkpoint carries the job's state that is stored with a lease. It answers a StoreState or
+// LoadState of the lease's holder.
 type Checkpoint struct {
 	To     lease.Holder `cbor:"1,keyasint"`
 	Grant  lease.Grant  `cbor:"2,keyasint"`
@@ -40,18 +40,18 @@
 	Data   []byte       `cbor:"4,keyasint"`
 }
 
-// RenewResponse answers a Renew, when the quorum has agreed on it.
+// RenewResponse answers a Renew when it is committed and applied. It also confirms a Release.
 type RenewResponse struct {
 	// Sequence is that of the renewal; 0 if the response is to a Release.
 	Sequence uint64 `cbor:"1,keyasint"`
 	// Valid are the grants that are renewed, Invalid those that the holder no longer holds.
 	Valid   []lease.Grant `cbor:"2,keyasint"`
 	Invalid []lease.Grant `cbor:"3,keyasint,omitempty"`
-	// Yield are the leases to be released: an operator prefers another holder, or they are no
-	// longer declared.
+	// Yield are the leases that the holder has to release: an operator prefers another holder, or
+	// they are no longer declared.
 	Yield  []lease.Name `cbor:"4,keyasint,omitempty"`
 	Leader members.ID   `cbor:"5,keyasint"`
-	// To is the holder's run: the sequences of another run start from 1 again.
+	// To identifies the holder's run, as the sequence numbers of each run start from 1.
 	To lease.Holder `cbor:"6,keyasint"`
 }
 
@@ -61,10 +61,11 @@
 	Grant lease.Grant  `cbor:"2,keyasint"`
 }
 
-// ViewRequest asks a member of the quorum for its view.
+// ViewRequest requests the view of a member of the quorum.
 type ViewRequest struct{}
 
-// View is what a member of the quorum knows. It may be stale. Leader is empty if it knows none.
+// View describes the quorum as a controller, usually one of its members, knows it. It may be stale.
+// Leader is empty if none is known.
 type View struct {
 	Leader members.ID    `cbor:"1,keyasint"`
 	Voters []members.ID  `cbor:"2,keyasint"`
@@ -84,20 +85,21 @@
 type EffectResponse struct {
 	Lease lease.Name `cbor:"1,keyasint"`
 	ID    uint64     `cbor:"2,keyasint"`
-	// HighestToken is the highest fencing token seen of the lease; lower ones are rejected.
+	// HighestToken is the highest fencing token that the receiver has seen of the lease; lower ones
+	// are rejected.
 	HighestToken lease.Token `cbor:"3,keyasint"`
 	Accepted     bool        `cbor:"4,keyasint"`
 }
 
-// Replace is an operator's command to replace a voter; Successor is empty if it is to be removed.
+// Replace is an operator's command to replace a voter, or to remove it if Successor is empty.
 type Replace struct {
 	Old       members.ID `cbor:"1,keyasint"`
 	Successor members.ID `cbor:"2,keyasint"`
 }
 
-// LeaderHint names the quorum's leader of a term, and how far the quorum's view has changed. It
-// accompanies membership messages, so that a controller that is no voter learns of both by gossip.
-// In a fleet of hundreds the voters could not answer all controllers each few seconds.
+// LeaderHint names the quorum's leader of a term, and the index of the quorum's last change. It
+// accompanies membership messages, so that a controller that is no voter learns both by gossip. In
+// a fleet of hundreds the voters could not answer requests of all controllers every few seconds.
 type LeaderHint struct {
 	ID   members.ID `cbor:"1,keyasint"`
 	Term uint64     `cbor:"2,keyasint"`
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -19,23 +19,23 @@
 
 	members      *members.Table
 	quorum       *quorum.Replica
-	leaseManager *lease.Manager // nil: this controller does not lead
+	leaseManager *lease.Manager // nil if this controller does not lead
 	leaseClient  *lease.Client
 	fencing      *lease.FencingCheck
-	config       *config.Replica // nil: the fleet does not agree on configuration
+	config       *config.Replica // nil if the fleet has no replicated configuration
 
-	// What this controller knows of the quorum by messages, if it is no member.
+	// What this controller knows of the quorum from messages, if it is no member of it.
 	leader knownLeader
 	view   quorumView
 
-	// As the leader.
-	manageAt       float64         // ms, when it checks the leases next
-	offerAt        float64         // ms, when it repeats offers next
-	lastRef        uint64          // of this controller's proposals
-	unansweredRefs map[uint64]bool // proposals to be answered when they are applied
+	// State as the leader.
+	manageAt       float64         // ms, when it next checks the leases
+	offerAt        float64         // ms, when it next repeats offers
+	lastRef        uint64          // number of this controller's last proposal
+	unansweredRefs map[uint64]bool // proposals to answer when they are applied
 	renewals       renewalBatch
 
-	// As a holder.
+	// State as a holder.
 	stopping            bool // Stop was called
 	unconfirmedReleases []unconfirmedRelease
 	sendReleasesAt      float64 // ms
@@ -45,11 +45,11 @@
 	sendPreferencesAt  float64 // ms
 
 	compactionPending bool        // a Compaction waits for Compacted
-	lastQuorumState   quorumState // as last notified to config
+	lastQuorumState   quorumState // of which config was last notified
 }
 
-// New returns a node that goes on from the quorum's records of its folder, and from the fencing
-// tokens that were stored; nil: none. It fails if quorum.New fails.
+// New returns a node that continues from the quorum's records of its folder, and from the stored
+// fencing tokens, which may be nil. It fails if quorum.New fails.
 func New(
 	cfg Config, records []quorum.Record, tokens map[lease.Name]lease.Token, now float64,
 ) (*Node, error) {
@@ -70,7 +70,7 @@
 		lastRef:        uint64(rand.New(rand.NewSource(cfg.Seed + refSeedOffset)).Int63()),
 		unansweredRefs: map[uint64]bool{},
 	}
-	if len(cfg.Founders) > 0 { // controllers that start together begin with different voters
+	if len(cfg.Founders) > 0 { // controllers that start together contact different voters first
 		n.view.nextVoter = n.rng.Intn(len(cfg.Founders))
 	}
 	n.startConfig()
@@ -89,7 +89,7 @@
 	n.process()
 }
 
-// dispatch passes a message of another controller to its handler.
+// dispatch passes a message from another controller to its handler.
 func (n *Node) dispatch(from members.ID, m *Message) {
 	switch {
 	case m.Members != nil:
@@ -133,7 +133,7 @@
 	}
 }
 
-// Tick advances the time and does what is due.
+// Tick advances the time and carries out what is due.
 func (n *Node) Tick(now float64) {
 	n.now = max(n.now, now)
 	n.members.Tick(n.now)
@@ -144,7 +144,7 @@
 	n.process()
 }
 
-// Next returns when Tick is to be called at the latest, in ms.
+// Next returns the latest time at which Tick has to be called, in ms.
 func (n *Node) Next() float64 {
 	next := min(n.members.Next(), n.quorum.Next(), n.leaseClient.Next(n.now))
 	if n.leaseManager != nil {
@@ -166,7 +166,7 @@
 	return max(next, n.now)
 }
 
-// Advance continues after a Ready when its record is durable.
+// Advance continues after the record of a Ready became durable.
 func (n *Node) Advance(now float64, ready *quorum.Ready) {
 	n.now = max(n.now, now)
 	n.quorum.Advance(n.now, ready)
@@ -181,8 +181,8 @@
 	n.process()
 }
 
-// Stop releases all leases and announces that this controller shuts down. It takes on no lease from
-// then on.
+// Stop releases all leases and announces that this controller shuts down. From then on the
+// controller accepts no lease.
 func (n *Node) Stop(now float64) {
 	n.now = max(n.now, now)
 	n.stopping = true
@@ -193,14 +193,15 @@
 	n.process()
 }
 
-// SetWilling sets whether this controller would take on leases.
+// SetWilling sets whether this controller accepts leases.
 func (n *Node) SetWilling(now float64, willing bool) {
 	n.members.SetWilling(now, willing && !n.stopping)
 }
 
-// process lets each part do what is due, and collects what there is to send and report.
+// process carries out what is due in each part of the node, and collects their messages and changes
+// in the output.
 func (n *Node) process() {
-	for range maxProcessRounds { // what one part sends to another of this node is handled at once
+	for range maxProcessRounds { // what one part of this node sends to another is handled at once
 		n.manageLeases()
 		n.renewLeases()
 		n.proposeRenewals()
@@ -229,11 +230,11 @@
 	return lease.Holder{ID: n.cfg.Self.ID, Run: n.cfg.Self.Run}
 }
 
-// Members returns all members that this controller knows, itself among them.
+// Members returns all members that this controller knows, including itself.
 func (n *Node) Members() []members.Member { return n.members.Members() }
 
-// Quorum returns this controller's replica in the quorum, to be read.
+// Quorum returns this controller's replica in the quorum. The caller must only read it.
 func (n *Node) Quorum() *quorum.Replica { return n.quorum }
 
-// Table returns this controller's view of the membership, to be read.
+// Table returns this controller's view of the membership. The caller must only read it.
 func (n *Node) Table() *members.Table { return n.members }
--- a/internal/core/fleet/node/operator.go
+++ b/internal/core/fleet/node/operator.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// HandOver carries out an operator's command to hand a lease over to another controller.
+// HandOver carries out an operator's command to transfer a lease to another controller.
 func (n *Node) HandOver(now float64, name lease.Name, to members.ID) {
 	n.now = max(n.now, now)
 	ofLease := func(p pendingPreference) bool { return p.prefer.Name == name }
@@ -26,11 +26,11 @@
 // pendingPreference is an operator's command that the quorum may not have received yet.
 type pendingPreference struct {
 	prefer   *lease.Prefer
-	deadline float64 // ms, after which it is given up
+	deadline float64 // ms, after which it is no longer sent
 }
 
-// sendPreferences repeats operators' commands until they show in the agreed state: the first
-// message may be lost, or reach a controller that knows no leader.
+// sendPreferences repeats operators' commands until their effect is part of the replicated state as
+// this controller knows it: a message may be lost, or reach a controller that knows no leader.
 func (n *Node) sendPreferences() {
 	leases, _ := n.Leases()
 	n.pendingPreferences = slices.DeleteFunc(n.pendingPreferences, func(p pendingPreference) bool {
@@ -49,15 +49,16 @@
 	n.view.requestAt = min(n.view.requestAt, n.now+preferInterval/2)
 }
 
-// ReplaceVoter carries out an operator's command to replace a voter; an empty successor removes it.
+// ReplaceVoter carries out an operator's command to replace a voter, or to remove it if the
+// successor is empty.
 func (n *Node) ReplaceVoter(now float64, old, successor members.ID) {
 	n.now = max(n.now, now)
 	n.sendToLeader(Message{Replace: &Replace{Old: old, Successor: successor}})
 	n.process()
 }
 
-// TrustDisk carries out an operator's command that says that this voter's folder is the latest. It
-// returns false if the folder is not unverified.
+// TrustDisk carries out an operator's command which asserts that this voter's folder is the latest.
+// It returns false if the voter is not Unverified.
 func (n *Node) TrustDisk(now float64) bool {
 	n.now = max(n.now, now)
 	ok := n.quorum.TrustDisk()
--- a/internal/core/fleet/node/output.go
+++ b/internal/core/fleet/node/output.go
@@ -10,24 +10,24 @@
 // Output is what the caller has to carry out, in the order that the package comment describes.
 type Output struct {
 	Messages   []Envelope
-	Ready      *quorum.Ready  // its record is to be made durable, then passed to Advance
-	Compaction *quorum.Record // to be made durable, then passed to Compacted
+	Ready      *quorum.Ready  // to pass to Advance when its record is durable
+	Compaction *quorum.Record // to pass to Compacted when it is durable
 
-	Began       []lease.Grant // this controller holds these leases from now on
-	Ended       []lease.Grant // and no longer these
-	Checkpoints []Checkpoint  // states of leases that it holds
+	Began       []lease.Grant // grants under which this controller may now act
+	Ended       []lease.Grant // grants under which it may no longer act
+	Checkpoints []Checkpoint  // stored states of leases that it holds
 	JobMessages []JobMessage
 
 	Changes []members.Change
 
-	TokensRaised    bool // FencingTokens has a higher token than before
+	TokensRaised    bool // FencingTokens returns a higher token than before
 	Effects         []AcceptedEffect
 	EffectResponses []EffectResponse
 
 	Config config.Output // its messages are among Messages
 }
 
-// Envelope is a message to be sent to a controller at an address; empty: the address is not known.
+// Envelope is a message to send to a controller. Addr is empty if the address is not known.
 type Envelope struct {
 	To      members.ID
 	Addr    string
@@ -46,8 +46,8 @@
 	Data []byte
 }
 
-// Take returns what is to be carried out since the last call. At most one of Ready and Compaction
-// is pending at a time.
+// Take returns the output since the last call, which the caller has to carry out. At most one of
+// Ready and Compaction is pending at a time.
 func (n *Node) Take() Output {
 	if n.out.Ready == nil && !n.compactionPending {
 		if record := n.quorum.Compact(); record != nil {
--- a/internal/core/fleet/node/renewals.go
+++ b/internal/core/fleet/node/renewals.go
@@ -6,22 +6,23 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// renewalBatch is the renewals that a leader has gathered. Each agreement costs messages to and
-// from all voters and a write of each, however many commands it has: the renewals of all holders
-// within a while share one.
+// renewalBatch holds the renewals that a leader will propose together. Each proposal costs messages
+// to and from all voters and a write on each, however many commands it has. The renewals that all
+// holders send within a short time therefore share one.
 type renewalBatch struct {
 	list      []pendingRenewal
-	proposeAt float64 // ms, if the list is not empty
+	proposeAt float64 // ms, valid if the list is not empty
 }
 
-// pendingRenewal is a renewal that is not proposed yet.
+// pendingRenewal is a renewal that has not been proposed yet.
 type pendingRenewal struct {
 	from  members.ID
 	renew *lease.Renew
 }
 
-// handleRenew gathers a holder's renewal if this controller leads; else it answers with its view of
-// the leader. The first renewal of a lease is proposed at once, as its holder may not act before.
+// handleRenew adds a holder's renewal to the batch if this controller leads; else it answers with
+// its view of the quorum. The first renewal of a lease is proposed at once, as the holder may not
+// act before it is confirmed.
 func (n *Node) handleRenew(from members.ID, renew *lease.Renew) {
 	if !n.quorum.Leads() {
 		n.send(from, Message{View: n.ownView()})
@@ -38,9 +39,9 @@
 	n.proposeRenewals()
 }
 
-// proposeRenewals proposes the gathered renewals when they are due. If this controller no longer
-// leads, or too much is pending, the holders get its view of the leader and send their renewals
-// again.
+// proposeRenewals proposes the batch of renewals when it is due. If this controller no longer
+// leads, or too many proposals are pending, it sends the holders its view of the quorum, and they
+// send their renewals again.
 func (n *Node) proposeRenewals() {
 	if len(n.renewals.list) == 0 || n.now < n.renewals.proposeAt {
 		return
--- a/internal/core/fleet/node/routing.go
+++ b/internal/core/fleet/node/routing.go
@@ -5,7 +5,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// send hands a message out, or handles it at once if it is to this controller itself.
+// send adds a message to the output, or handles it at once if it is to this controller itself.
 func (n *Node) send(to members.ID, m Message) {
 	if to == n.cfg.Self.ID {
 		n.receiveLocal(m)
@@ -18,7 +18,7 @@
 	n.out.Messages = append(n.out.Messages, Envelope{To: to, Addr: addr, Message: m})
 }
 
-// receiveLocal handles a message of this controller to itself, as it is holder and leader at once.
+// receiveLocal handles a message of this controller to itself, which may be both holder and leader.
 func (n *Node) receiveLocal(m Message) {
 	self := n.cfg.Self.ID
 	switch {
@@ -50,8 +50,8 @@
 }
 
 // propose proposes a command to the quorum, if this controller leads it. The proposer is answered
-// when the command is applied. What a leader applies again after a restart was not proposed by this
-// run, may be of any age, and is not answered.
+// when the command is applied. Commands that are applied again after a restart were not proposed by
+// this run and may be of any age; they are not answered.
 func (n *Node) propose(by members.ID, c lease.Command) {
 	n.lastRef++
 	if n.quorum.Propose(by, n.lastRef, c) {
@@ -59,23 +59,24 @@
 	}
 }
 
-// expectAnswer records that a proposal is to be answered when it is applied.
+// expectAnswer records that a proposal has to be answered when it is applied.
 func (n *Node) expectAnswer(ref uint64) {
 	if len(n.unansweredRefs) >= maxUnanswered {
-		clear(n.unansweredRefs) // their senders repeat what is not answered
+		clear(n.unansweredRefs) // the senders repeat what is not answered
 	}
 	n.unansweredRefs[ref] = true
 }
 
-// proposeOrForward proposes a command, or forwards its message to the leader.
+// proposeOrForward forwards the message of a command to the leader; if it can't, it proposes the
+// command.
 func (n *Node) proposeOrForward(from members.ID, m *Message, c lease.Command) {
 	if !n.forward(from, m) {
 		n.propose(from, c)
 	}
 }
 
-// forward forwards a message to the leader, if that is neither this controller nor the sender, and
-// reports whether it did.
+// forward forwards a message to the leader, if there is one that is neither this controller nor the
+// sender, and reports whether it did.
 func (n *Node) forward(from members.ID, m *Message) bool {
 	leader := n.quorum.Leader()
 	if n.quorum.Leads() || leader == "" || leader == n.cfg.Self.ID || leader == from {
@@ -85,9 +86,9 @@
 	return true
 }
 
-// sendToLeader sends a message to the leader. If no leader is known, or none was heard from for
-// some time, it goes to the members of the quorum in turn: one that does not lead forwards it, or
-// answers with its view.
+// sendToLeader sends a message to the leader. If none is known, or it was not heard from for
+// leaderTimeoutRenewals renew intervals, the message goes to the members of the quorum in turn: one
+// that does not lead forwards it, or answers with its view.
 func (n *Node) sendToLeader(m Message) {
 	if n.quorum.Leads() {
 		n.receiveLocal(m)
--- a/internal/core/fleet/node/view.go
+++ b/internal/core/fleet/node/view.go
@@ -6,30 +6,31 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// knownLeader is the quorum's leader as this controller knows it by messages.
+// knownLeader is the quorum's leader as this controller knows it from messages.
 type knownLeader struct {
 	id      members.ID // empty: none
-	term    uint64     // of the quorum, in which id leads
-	heardAt float64    // ms, when the last message of it, or view that names it, came
+	term    uint64     // the raft term in which id leads
+	heardAt float64    // ms, when a message from it, or a view that names it, last arrived
 }
 
-// recordContact records a message of the leader, or a member's view that names it.
+// recordContact records the arrival of a message from the leader, or of a view that names it.
 func (l *knownLeader) recordContact(id members.ID, now float64) {
 	l.id = id
 	l.heardAt = now
 }
 
-// quorumView is the quorum as its members have described it to this controller, which is no member.
+// quorumView is the quorum's view as received from its members. It is used by a controller that is
+// no member itself.
 type quorumView struct {
 	voters       []members.ID
 	leases       []lease.Lease
 	changedIndex uint64  // the quorum's ChangedIndex as of leases
 	latestIndex  uint64  // the highest known ChangedIndex
-	requestAt    float64 // ms, when the view is requested next
-	nextVoter    int     // counts the members asked in turn
+	requestAt    float64 // ms, when the view is next requested
+	nextVoter    int     // counter by which the members are contacted in turn
 }
 
-// ownView returns what this controller knows of the quorum, to be sent.
+// ownView returns the quorum's view as this controller knows it, to send to others.
 func (n *Node) ownView() *View {
 	role, _ := n.quorum.Role()
 	if role == quorum.NonMember {
@@ -42,7 +43,7 @@
 		Changed: n.quorum.ChangedIndex(),
 	}
 	for i := range v.Leases {
-		v.Leases[i].State = nil // the state of a lease is for its holders alone
+		v.Leases[i].State = nil // only holders of the lease need the job's state
 	}
 	return v
 }
@@ -50,7 +51,7 @@
 // handleView handles a member's view of the quorum.
 func (n *Node) handleView(v *View) {
 	if v.Leader != "" {
-		if n.leader.id != v.Leader { // the last renewal went to a controller that does not lead
+		if n.leader.id != v.Leader { // the last renewal was sent to a controller that does not lead
 			n.leaseClient.RenewNow(n.now)
 		}
 		n.leader.recordContact(v.Leader, n.now)
@@ -77,13 +78,13 @@
 	}
 }
 
-// viewIsCurrent reports whether nothing has changed since the view that this controller has, as far
-// as it has heard.
+// viewIsCurrent reports whether this controller's view includes the last change that it knows of.
 func (n *Node) viewIsCurrent() bool {
 	return n.view.changedIndex > 0 && n.view.changedIndex >= n.view.latestIndex
 }
 
-// viewRequestInterval returns the usual interval between two requests for the view, in ms.
+// viewRequestInterval returns the usual interval between two requests for the view, in ms. It grows
+// with the fleet, unless no leader is known.
 func (n *Node) viewRequestInterval() float64 {
 	if n.leader.id == "" {
 		return viewInterval
@@ -91,7 +92,8 @@
 	return max(viewInterval, viewIntervalPerMember*float64(n.members.Size()))
 }
 
-// nextViewRequestAt returns when the view is to be requested next, in ms.
+// nextViewRequestAt returns when to request the view next, in ms, if it was requested or received
+// now.
 func (n *Node) nextViewRequestAt() float64 {
 	interval := n.viewRequestInterval()
 	if n.leader.id != "" && n.viewIsCurrent() {
@@ -100,8 +102,8 @@
 	return n.now + interval*(1-viewJitterShare+2*viewJitterShare*n.rng.Float64())
 }
 
-// Leases returns the leases as this controller knows them, and whether it votes itself: else they
-// may be stale.
+// Leases returns the leases as this controller knows them, and whether they are from its own
+// replica as a voter. If not, they are from the last view that it received.
 func (n *Node) Leases() (list []lease.Lease, own bool) {
 	if role, _ := n.quorum.Role(); role == quorum.Voter {
 		return n.quorum.State().List(), true
@@ -117,7 +119,7 @@
 	return n.view.voters
 }
 
-// Leader returns the quorum's leader, as far as this controller knows; empty: none.
+// Leader returns the quorum's leader as far as this controller knows, or empty if it knows none.
 func (n *Node) Leader() members.ID {
 	if leader := n.quorum.Leader(); leader != "" {
 		return leader
