--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -182,8 +182,8 @@
 	return slices.ContainsFunc(names, func(name members.ID) bool { return r.members[name].Leads() })
 }
 
-// countTrue counts the members that vote.
-func countTrue(list []bool) (n int) {
+// countVoters counts the members that vote.
+func countVoters(list []bool) (n int) {
 	for _, x := range list {
 		if x {
 			n++
--- a/internal/core/fleet/quorum/consensus.go
+++ b/internal/core/fleet/quorum/consensus.go
@@ -39,7 +39,7 @@
 		CheckQuorum:               true,
 		PreVote:                   true,
 		DisableProposalForwarding: true,
-		Logger:                    quietLogger{},
+		Logger:                    discardLogger{},
 	})
 	if err != nil {
 		r.stopConsensus(err)
@@ -100,7 +100,7 @@
 	if inner.GetFrom() != m.From.Number() || inner.GetTo() != r.incarnation.Number() {
 		return
 	}
-	r.rememberSender(m.From)
+	r.recordSender(m.From)
 	if m.Serial <= r.receivedSerials[m.From] {
 		r.stepConsensus(inner)
 		return
@@ -111,10 +111,10 @@
 	}
 }
 
-// rememberSender has a sender answered that is no member as far as this one knows. The members may
+// recordSender has a sender answered that is no member as far as this one knows. The members may
 // have changed while this one was partitioned: without its answer a new voter is not elected, and a
 // new leader does not learn which entries it lacks.
-func (r *Replica) rememberSender(from Incarnation) {
+func (r *Replica) recordSender(from Incarnation) {
 	if r.incarnations[from.Number()] == from {
 		return
 	}
--- a/internal/core/fleet/quorum/membership.go
+++ b/internal/core/fleet/quorum/membership.go
@@ -78,10 +78,10 @@
 	if r.now < r.leaderChangedAt+settleTime {
 		return
 	}
-	if r.takeInJoining() || r.dropUnusedLearner() || r.promoteLearner() {
+	if r.addJoining() || r.removeUnusedLearner() || r.promoteLearner() {
 		return
 	}
-	r.carryOutReplacements()
+	r.continueReplacements()
 }
 
 // recordResponses records which members have responded to this leader since the raft library last
@@ -101,10 +101,10 @@
 	return incarnation == r.incarnation || ever && r.now < at+settleTime
 }
 
-// takeInJoining proposes the next change that a request to join needs, and reports whether there
+// addJoining proposes the next change that a request to join needs, and reports whether there
 // was one. A request is not carried out while a former incarnation of the member goes on to vote:
 // its disk was vouched for after all.
-func (r *Replica) takeInJoining() bool {
+func (r *Replica) addJoining() bool {
 	for _, name := range slices.Sorted(maps.Keys(r.membership.joins)) {
 		request := r.membership.joins[name]
 		if r.now > request.at+joinTimeout {
@@ -130,9 +130,9 @@
 	return false
 }
 
-// dropUnusedLearner proposes to remove a learner that does not respond while its former incarnation
+// removeUnusedLearner proposes to remove a learner that does not respond while its former incarnation
 // goes on to vote, and reports whether there was one.
-func (r *Replica) dropUnusedLearner() bool {
+func (r *Replica) removeUnusedLearner() bool {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		learner := r.incarnations[number]
 		if r.votes(learner) || r.isResponsive(learner) {
@@ -169,9 +169,9 @@
 	return true
 }
 
-// carryOutReplacements continues the operators' replacements: it invites the successor until that
+// continueReplacements continues the operators' replacements: it invites the successor until that
 // votes, then proposes to remove the old member.
-func (r *Replica) carryOutReplacements() {
+func (r *Replica) continueReplacements() {
 	done := func(p replacement) bool { return r.now > p.deadline || !r.hasMember(p.old) }
 	r.membership.replacements = slices.DeleteFunc(r.membership.replacements, done)
 	for i := range r.membership.replacements {
--- a/internal/core/fleet/quorum/ready.go
+++ b/internal/core/fleet/quorum/ready.go
@@ -42,7 +42,7 @@
 	if r.node != nil && r.node.HasReady() {
 		raftReady := r.node.Ready()
 		ready.raft = &raftReady
-		ready.Record.fill(&raftReady, r.node.BasicStatus().HardState)
+		ready.Record.setRaftState(&raftReady, r.node.BasicStatus().HardState)
 	}
 	if ready.raft == nil && ready.waiting == nil {
 		return nil
--- a/internal/core/fleet/quorum/records.go
+++ b/internal/core/fleet/quorum/records.go
@@ -36,11 +36,11 @@
 		rec.ReceivedSerials == nil
 }
 
-// fill takes over what the raft library wants to be durable. Current is its hard state. A commit
+// setRaftState takes over what the raft library wants to be durable. Current is its hard state. A commit
 // index alone needs not be durable, as a restarted member learns it again. That of a change of the
 // members must be: a member that restarts has to know which members it may elect, or be elected by,
 // before it hears from a leader.
-func (rec *Record) fill(ready *raftReady, current *pb.HardState) {
+func (rec *Record) setRaftState(ready *raftReady, current *pb.HardState) {
 	switch {
 	case changesMembers(ready.CommittedEntries):
 		rec.HardState, _ = proto.Marshal(current)
--- a/internal/core/fleet/quorum/recovery_test.go
+++ b/internal/core/fleet/quorum/recovery_test.go
@@ -44,12 +44,12 @@
 	r.run(3000)
 	a := r.members["a"]
 	for disk := range uint64(10 * maxRemembered) {
-		a.rememberSender(Incarnation{Name: "x", Disk: disk + 1})
+		a.recordSender(Incarnation{Name: "x", Disk: disk + 1})
 	}
 	if len(a.unknownSenders) > maxRemembered {
 		t.Errorf("%d unknown senders are remembered", len(a.unknownSenders))
 	}
-	a.rememberSender(Incarnation{Name: "b"})
+	a.recordSender(Incarnation{Name: "b"})
 	if _, remembered := a.unknownSenders[Incarnation{Name: "b"}.Number()]; remembered {
 		t.Error("a member counts as an unknown sender")
 	}
@@ -108,13 +108,13 @@
 	r.loseDisk(lost)
 	r.lost = func(from, to members.ID) bool { return from == leader && to == lost }
 	r.run(15000)
-	if _, votes := r.leader().Members(); countTrue(votes) != 3 || !r.leader().votes(former) {
-		t.Errorf("of the quorum %d vote, and the former incarnation does not", countTrue(votes))
+	if _, votes := r.leader().Members(); countVoters(votes) != 3 || !r.leader().votes(former) {
+		t.Errorf("of the quorum %d vote, and the former incarnation does not", countVoters(votes))
 	}
 	r.lost = nil
 	r.run(15000)
 	r.expectRole(lost, Voter)
-	if list, votes := r.leader().Members(); len(list) != 3 || countTrue(votes) != 3 {
+	if list, votes := r.leader().Members(); len(list) != 3 || countVoters(votes) != 3 {
 		t.Errorf("the quorum is %v, %v", list, votes)
 	}
 }
@@ -137,7 +137,7 @@
 	r.start(others[1])
 	r.start("d")
 	r.run(1)
-	if list, votes := r.members["d"].Members(); len(list) != 3 || countTrue(votes) != 3 {
+	if list, votes := r.members["d"].Members(); len(list) != 3 || countVoters(votes) != 3 {
 		t.Errorf("after its restart the newcomer knows %v, %v", list, votes)
 	}
 	r.run(40000)
@@ -154,7 +154,7 @@
 // incarnation. The newcomer, which the copy does not know, has received records that it lacks, and
 // must be asked too.
 func TestUnknownNewcomerHasToVouch(t *testing.T) {
-	for what, age := range map[string]func(old, now []Record) []Record{
+	for what, restore := range map[string]func(old, now []Record) []Record{
 		"the first record of an incarnation": func(_, now []Record) []Record { return now[:1] },
 		"from before the newcomer":           func(old, _ []Record) []Record { return old },
 	} {
@@ -181,7 +181,7 @@
 				r.propose(ref)
 			}
 			before := r.members[lost].Incarnation()
-			r.records[lost] = slices.Clone(age(old, r.records[lost]))
+			r.records[lost] = slices.Clone(restore(old, r.records[lost]))
 			r.start(lost)
 			r.run(30000)
 			r.expectRole(lost, Voter)
@@ -210,8 +210,8 @@
 			t.Fatal("not removed")
 		}
 	}
-	if _, votes := r.members["d"].Members(); countTrue(votes) != 4 {
-		t.Fatalf("%d vote as far as the others know", countTrue(votes))
+	if _, votes := r.members["d"].Members(); countVoters(votes) != 4 {
+		t.Fatalf("%d vote as far as the others know", countVoters(votes))
 	}
 	r.run(500)
 	r.loseDisk(others[0])
@@ -413,7 +413,7 @@
 	r.lost = nil
 	r.run(20000)
 	r.expectRole(lost, Voter)
-	if list, votes := r.leader().Members(); len(list) != 3 || countTrue(votes) != 3 {
+	if list, votes := r.leader().Members(); len(list) != 3 || countVoters(votes) != 3 {
 		t.Errorf("the quorum is %v, %v", list, votes)
 	}
 }
@@ -445,11 +445,11 @@
 	leader.addMember(learner)
 	leader.membership.respondedAt[former.Number()] = leader.now
 	leader.membership.respondedAt[learner.Number()] = leader.now
-	if leader.dropUnusedLearner() {
+	if leader.removeUnusedLearner() {
 		t.Error("a learner that responds is removed")
 	}
 	leader.membership.respondedAt[learner.Number()] = leader.now - settleTime
-	if !leader.dropUnusedLearner() {
+	if !leader.removeUnusedLearner() {
 		t.Error("a learner that does not respond stays beside a voter that does")
 	}
 	leader.setLeading(false)
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func storedAgreed() snapshot {
+func storedSnapshot() snapshot {
 	return snapshot{
 		Leases:       storedLeases(),
 		Incarnations: []Incarnation{{Name: "n1", Disk: 101}, {Name: "n2", Disk: 102}, {Name: "n3", Disk: 103}},
@@ -73,7 +73,7 @@
 // serials and a hard state.
 func storedRecord(t *testing.T) Record {
 	t.Helper()
-	agreed, err := cbor.Marshal(storedAgreed())
+	agreed, err := cbor.Marshal(storedSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	var voters []uint64
-	for _, incarnation := range storedAgreed().Incarnations {
+	for _, incarnation := range storedSnapshot().Incarnations {
 		voters = append(voters, incarnation.Number())
 	}
 	slices.Sort(voters)
@@ -104,7 +104,7 @@
 	record := storedRecord(t)
 	golden.AllSet(t, record)
 	golden.CBOR(t, table, "record", record, cbor.Unmarshal)
-	agreed := storedAgreed()
+	agreed := storedSnapshot()
 	golden.AllSet(t, agreed)
 	golden.CBOR(t, table, "agreed-state", agreed, cbor.Unmarshal)
 	change := memberChange{Incarnation: Incarnation{Name: "n4", Disk: 104}, Removed: true}
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := storedAgreed()
+	want := storedSnapshot()
 	if got := replica.leases.List(); !reflect.DeepEqual(got, want.Leases) {
 		t.Errorf("leases: %+v", got)
 	}
