--- a/internal/core/fleet/quorum/cluster_test.go
+++ b/internal/core/fleet/quorum/cluster_test.go
@@ -12,16 +12,17 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// cluster is a set of replicas with their stored records, and the network between them, in virtual time.
+// cluster is a set of replicas with their durable records, and the network between them, in virtual
+// time.
 type cluster struct {
 	t        *testing.T
 	now      float64 // ms
 	members  map[members.ID]*Replica
-	records  map[members.ID][]Record // that are durable
-	runs     uint64
+	records  map[members.ID][]Record        // durable records
+	runs     uint64                         // number of starts, the Run of the last one
 	lost     func(from, to members.ID) bool // nil: no message is lost
 	founders []members.ID
-	applied  map[members.ID][]string // by member, in order
+	applied  map[members.ID][]string // commands by member, in the order of their application
 }
 
 // newCluster starts a cluster with all members as founders.
@@ -59,7 +60,7 @@
 	return c
 }
 
-// save makes a record durable, through its encoding.
+// save makes a record durable, encoded and decoded as in a folder.
 func (r *cluster) save(name members.ID, rec *Record) {
 	if rec == nil {
 		return
@@ -112,30 +113,30 @@
 			return c
 		}
 	}
-	r.t.Fatal("no leader")
+	r.t.Fatal("no member leads, want a leader")
 	return nil
 }
 
-// propose has a lease declared, and waits for it to be agreed on.
+// propose proposes to declare the lease w<ref>, and runs the cluster until the command is applied.
 func (r *cluster) propose(ref uint64) {
 	r.t.Helper()
 	names := []lease.Name{lease.Name(fmt.Sprint("w", ref))}
 	if !r.leader().Propose("x", ref, lease.Command{Declare: &lease.Declare{Names: names}}) {
-		r.t.Fatal("not proposed")
+		r.t.Fatalf("the leader rejects the declaration of %s, want it proposed", names)
 	}
 	r.run(500)
 }
 
-// expectRole fails the test if a member has another role.
+// expectRole fails the test if a member's role is not want.
 func (r *cluster) expectRole(name members.ID, want Role) {
 	r.t.Helper()
 	if s, reason := r.members[name].Role(); s != want {
-		r.t.Errorf("%s is %v (%s), want %v", name, s, reason, want)
+		r.t.Errorf("role of %s is %v (%s), want %v", name, s, reason, want)
 	}
 }
 
-// withNewcomer returns a cluster of three voters, its leader and the others, and with a controller
-// d that is no member.
+// withNewcomer returns a cluster of three voters with the names of its leader and of the others. The
+// cluster also has a controller d that is no member of the quorum.
 func withNewcomer(t *testing.T) (r *cluster, leader members.ID, others []members.ID) {
 	t.Helper()
 	r = newCluster(t, "a", "b", "c")
@@ -154,7 +155,7 @@
 	return r, leader, others
 }
 
-// elect partitions the leader, again and again, until another member leads.
+// elect partitions the leader for a time, repeatedly, until the named member leads.
 func (r *cluster) elect(name members.ID) {
 	r.t.Helper()
 	for range 20 {
@@ -167,7 +168,7 @@
 		r.lost = nil
 		r.run(5000)
 	}
-	r.t.Fatalf("%s does not lead", name)
+	r.t.Fatalf("%s does not lead after 20 elections, want it elected", name)
 }
 
 // loseDisk restarts a member with an empty folder.
@@ -177,12 +178,12 @@
 	r.start(name)
 }
 
-// leads reports whether one of these leads.
+// leads reports whether one of the named members leads.
 func (r *cluster) leads(names ...members.ID) bool {
 	return slices.ContainsFunc(names, func(name members.ID) bool { return r.members[name].Leads() })
 }
 
-// countVoters counts the members that vote.
+// countVoters counts the members with a vote in the second result of Replica.Members.
 func countVoters(list []bool) (n int) {
 	for _, x := range list {
 		if x {
--- a/internal/core/fleet/quorum/config_test.go
+++ b/internal/core/fleet/quorum/config_test.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// proposalOf returns a proposal about the configuration that expects a version; ref distinguishes
-// it from others.
+// proposalOf returns a proposal of a version of the configuration that expects the number of the
+// latest one. The ref distinguishes it from other proposals.
 func proposalOf(expect, ref uint64) config.Proposal {
 	return config.Proposal{
 		Expect: expect,
@@ -24,19 +24,20 @@
 	}
 }
 
-// TestConfigVersionsOutlastSnapshotsAndRestarts: versions are agreed on one for each number, and
-// are the same on all members after snapshots of the log, restarts and the loss of a disk.
+// TestConfigVersionsOutlastSnapshotsAndRestarts: one version must be committed for each number, and
+// all members must have the same versions after snapshots of the log, restarts and the loss of a
+// disk.
 func TestConfigVersionsOutlastSnapshotsAndRestarts(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	propose := func(expect, ref uint64) {
 		t.Helper()
 		if !r.leader().ProposeConfig("x", proposalOf(expect, ref)) {
-			t.Fatal("not proposed")
+			t.Fatalf("the leader rejects proposal %d, want it proposed", ref)
 		}
 	}
 	propose(0, 1)
-	propose(0, 2) // expects the same version: it comes too late
+	propose(0, 2) // expects the same version as the proposal before: a conflict
 	r.run(500)
 	propose(1, 3)
 	propose(1, 3) // sent again
@@ -48,12 +49,12 @@
 		var refs []uint64
 		for i, v := range r.members[name].ConfigState().Versions {
 			if v.Number != uint64(i+1) {
-				t.Errorf("%s: number %d at place %d", name, v.Number, i)
+				t.Errorf("%s: version at index %d has number %d, want %d", name, i, v.Number, i+1)
 			}
 			refs = append(refs, v.ID.Ref)
 		}
 		if got := fmt.Sprint(refs); got != want {
-			t.Errorf("%s agreed on %s, want %s", name, got, want)
+			t.Errorf("%s has the versions of proposals %s, want %s", name, got, want)
 		}
 	}
 	for _, name := range r.founders {
@@ -71,33 +72,33 @@
 		r.expectRole(name, Voter)
 		check(name)
 	}
-	r.records["b"] = nil // its disk is lost: the leader sends the new incarnation everything
+	r.records["b"] = nil // its disk is lost: the leader sends the new incarnation the whole state
 	r.start("b")
 	r.run(20000)
 	r.expectRole("b", Voter)
 	check("b")
 }
 
-// TestOnlyLeaderProposesConfig: a proposal of a follower is rejected.
+// TestOnlyLeaderProposesConfig: the leader must accept a proposal, and a follower must reject it.
 func TestOnlyLeaderProposesConfig(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	for _, name := range r.founders {
 		if c := r.members[name]; c.Leads() == !c.ProposeConfig("x", proposalOf(0, 1)) {
-			t.Errorf("%s leads %v and proposed otherwise", name, c.Leads())
+			t.Errorf("%s leads: %v, and accepts a proposal: %v, want the same", name, c.Leads(), !c.Leads())
 		}
 	}
 }
 
-// A new leader may hold agreed entries in its log that it has not applied yet. If it answered for
-// the quorum then, it would deny a version that was agreed on. It answers only once it has applied
-// an entry of its own term.
+// A new leader may hold committed entries in its log that it has not applied yet. If it answered for
+// the quorum then, it would deny a version that was committed. LeadsCaughtUp must be false until it
+// has applied an entry of its own term.
 func TestNewLeaderAnswersOnlyWhenCaughtUp(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	before := r.leader()
 	if !before.LeadsCaughtUp() {
-		t.Fatal("an idle leader has not caught up")
+		t.Fatal("an idle leader is not caught up, want it caught up")
 	}
 	before.ProposeConfig("x", proposalOf(0, 1))
 	name := before.Incarnation().Name
@@ -113,16 +114,16 @@
 			}
 			behind = behind || !c.LeadsCaughtUp()
 			if c.LeadsCaughtUp() && c.ConfigState().Newest() != 1 {
-				t.Fatalf("%s answers for the quorum and does not know its version", other)
+				t.Fatalf("%s leads, is caught up, and its newest version is %d, want 1", other, c.ConfigState().Newest())
 			}
 		}
 	}
 	if !behind {
-		t.Error("no leader was seen before it had caught up: the test shows nothing")
+		t.Error("no new leader was observed before it was caught up, want one, or the test shows nothing")
 	}
 	for _, c := range r.members {
 		if !c.Leads() && c.LeadsCaughtUp() {
-			t.Error("a follower answers for the quorum")
+			t.Error("LeadsCaughtUp of a follower is true, want false")
 		}
 	}
 }
--- a/internal/core/fleet/quorum/consensus.go
+++ b/internal/core/fleet/quorum/consensus.go
@@ -17,8 +17,8 @@
 	raftProgress = tracker.Progress
 )
 
-// startConsensus starts the raft library from the last snapshot. It knows the members of that
-// alone, and learns of later changes by applying their entries again.
+// startConsensus starts the raft library from the last snapshot. The library knows only the members
+// of that snapshot, and learns later changes when their entries are applied again.
 func (r *Replica) startConsensus() {
 	if snap, err := r.storage.Snapshot(); err == nil && !raft.IsEmptySnap(snap) {
 		if err := r.restore(snap); err != nil {
@@ -49,20 +49,20 @@
 	r.postponeCampaign()
 }
 
-// stopConsensus stops this member's part after an error of its storage. Operators see the error as
-// the reason of its role.
+// stopConsensus stops the raft library after an error of the storage. Operators see the error as
+// the reason of this member's role.
 func (r *Replica) stopConsensus(err error) {
 	r.node = nil
 	r.roleReason = err.Error()
 }
 
-// postponeCampaign sets the next election timeout by a random draw, so that not all members
+// postponeCampaign restarts the election timeout with a random length, so that not all members
 // campaign at once.
 func (r *Replica) postponeCampaign() {
 	r.campaignAt = r.now + electionTimeout*(1+r.rng.Float64())
 }
 
-// tickConsensus gives the raft library the ticks that are due.
+// tickConsensus passes the ticks that are due to the raft library.
 func (r *Replica) tickConsensus() {
 	for n := 0; r.tickAt <= r.now; n++ {
 		r.tickAt += tickInterval
@@ -72,15 +72,15 @@
 		if r.isLeader {
 			r.node.Tick()
 		} else {
-			// A quiesced tick starts no campaign: Tick of this Replica starts them by its own draws, as
-			// those of the library have no seed.
+			// A quiesced tick starts no campaign. Replica.Tick starts campaigns after random timeouts of
+			// its own, as those of the library can't be seeded.
 			r.node.TickQuiesced()
 		}
 	}
 }
 
-// handleRaft handles a message of the raft library: at once, or when the serial that it carries is
-// durable here.
+// handleRaft handles a message of the raft library. It passes the message on at once, or when the
+// serial that it carries is durable on this member.
 func (r *Replica) handleRaft(m *Message) {
 	if run, ok := r.requestingRuns[m.From]; ok && run != m.Run {
 		return
@@ -111,18 +111,18 @@
 	}
 }
 
-// recordSender has a sender answered that is no member as far as this one knows. The members may
-// have changed while this one was partitioned: without its answer a new voter is not elected, and a
-// new leader does not learn which entries it lacks.
+// recordSender records a sender that this member does not know as a member, so that it can be
+// answered. The members may have changed while this one was partitioned: without its answer a new
+// voter might not be elected, and a new leader would not learn which entries this one lacks.
 func (r *Replica) recordSender(from Incarnation) {
 	if r.incarnations[from.Number()] == from {
 		return
 	}
 	if len(r.unknownSenders) >= maxRemembered {
-		clear(r.unknownSenders) // members of the quorum write again
+		clear(r.unknownSenders) // members of the quorum will send again
 	}
 	r.unknownSenders[from.Number()] = from
-	// a member that is being taken in knows only the one that writes to it
+	// A member that is being added knows only the member that sends to it.
 	if len(r.incarnations) == 0 {
 		r.joinContact = from
 	}
@@ -134,13 +134,13 @@
 	case pb.MsgHeartbeat, pb.MsgApp, pb.MsgSnap:
 		r.postponeCampaign()
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgTransferLeader:
-		return // no member asks another for these
+		return // members don't send these to each other
 	}
-	r.node.Step(m) // the error is of a message that the library ignores
+	r.node.Step(m) // on an error the library has ignored the message
 }
 
-// setLeading records whether this member leads. A former leader forgets what it was asked for: the
-// members and operators ask the next leader again.
+// setLeading records whether this member leads. A change discards the pending changes of members:
+// members and operators repeat their requests to the next leader.
 func (r *Replica) setLeading(leading bool) {
 	if leading == r.isLeader {
 		return
@@ -150,8 +150,8 @@
 	r.membership = newMembershipChanges()
 }
 
-// sendRaft enqueues a message of the raft library, with the serial of the last durable record if it
-// depends on one.
+// sendRaft enqueues a message of the raft library. If the message depends on a record, it carries
+// the serial of the last durable one.
 func (r *Replica) sendRaft(m *raftMessage) {
 	to, ok := r.incarnations[m.GetTo()]
 	if !ok {
@@ -167,15 +167,15 @@
 		}
 		r.send(to, Message{Raft: data, Serial: serial})
 	}
-	if m.GetType() == pb.MsgSnap { // reported as received, or a lost one would hold up the next
+	if m.GetType() == pb.MsgSnap { // reported as received, as a lost one would block the next
 		r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// dependsOnRecord reports whether a message promises what must be durable: a vote, entries, or that
-// entries were accepted. Heartbeats promise nothing. If they carried a serial, each side would
-// persist a record for each heartbeat, and its own heartbeats would carry that record's serial,
-// without end.
+// dependsOnRecord reports whether a message promises something that must be durable: a vote,
+// entries, or that entries were accepted. Heartbeats promise nothing. If they carried a serial,
+// each side would persist a record for each heartbeat of the other, and its own next heartbeat
+// would carry that record's serial, without end.
 func dependsOnRecord(m *raftMessage) bool {
 	switch m.GetType() {
 	case pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgPreVote, pb.MsgPreVoteResp:
@@ -186,7 +186,7 @@
 	return true
 }
 
-// apply applies an entry that was agreed on.
+// apply applies a committed entry.
 func (r *Replica) apply(entry *pb.Entry) {
 	if entry.GetIndex() <= r.appliedIndex {
 		return
@@ -206,8 +206,8 @@
 	}
 }
 
-// applyProposal applies a command, or a proposal about the fleet's configuration. A new leader's
-// first entry is empty.
+// applyProposal applies a command, or a proposal about the fleet's configuration. It ignores empty
+// entries, such as the first of a new leader.
 func (r *Replica) applyProposal(entry *pb.Entry) {
 	var p proposal
 	if len(entry.GetData()) == 0 || cbor.Unmarshal(entry.GetData(), &p) != nil {
--- a/internal/core/fleet/quorum/join.go
+++ b/internal/core/fleet/quorum/join.go
@@ -8,7 +8,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// requestJoin requests that this member be taken in, as its former incarnation has ended.
+// requestJoin requests to join the quorum as this incarnation.
 func (r *Replica) requestJoin() {
 	if r.now < r.nextRequestAt || r.newIncarnation {
 		return
@@ -19,8 +19,8 @@
 	}
 }
 
-// joinTargets returns the members that are asked to take this one in: those it knows, the one that
-// wrote to it, and the leader that one of them named.
+// joinTargets returns the members to which requests to join are sent: those that this controller
+// knows, the one that sent it a message, and the leader that one of them named.
 func (r *Replica) joinTargets() []members.ID {
 	targets := r.others()
 	for _, name := range []members.ID{r.joinContact.Name, r.leaderHint} {
@@ -31,17 +31,18 @@
 	return targets
 }
 
-// handleInvite has a controller that is no member request to join.
+// handleInvite makes a controller that is no member request to join.
 func (r *Replica) handleInvite(m *Message) {
 	if r.role != NonMember || r.newIncarnation {
 		return
 	}
 	r.joinContact = m.From
-	r.endIncarnation("asked to join the quorum")
+	r.endIncarnation("invited to join the quorum")
 }
 
-// handleJoin handles a request to join, from a member, a founder that was not removed, or a
-// controller that was invited.
+// handleJoin records a request to join for changeMembers, if it is from a controller that was
+// invited, or from a member or founder that was not removed. A member that does not lead redirects
+// the requester.
 func (r *Replica) handleJoin(from members.ID, m *Message) {
 	if !r.isLeader {
 		r.redirect(m)
@@ -56,8 +57,8 @@
 	}
 }
 
-// redirect answers a member that requests to join with the leader's name: the member may know the
-// founders alone, and since then others may have become voters.
+// redirect answers a request to join with the leader's name. The requester may know only the
+// founders, and others may have become voters since.
 func (r *Replica) redirect(m *Message) {
 	leader := r.Leader()
 	if r.role == Voter && leader != "" && leader != m.From.Name {
@@ -72,13 +73,14 @@
 	}
 }
 
-// nextIncarnation returns the incarnation as which this controller would come back.
+// nextIncarnation returns the incarnation as which this controller would join if the current one
+// ended.
 func (r *Replica) nextIncarnation() Incarnation {
 	return Incarnation{Name: r.cfg.Self, Disk: r.cfg.NextDisk}
 }
 
-// endIncarnation ends this incarnation: nothing that its disk holds counts as promised by it, and
-// it comes back as another.
+// endIncarnation ends this incarnation for a reason that operators see. The controller takes no
+// part in the quorum under it any more, and requests to join as the next one.
 func (r *Replica) endIncarnation(reason string) {
 	r.setRole(Joining, reason)
 	r.node = nil
@@ -88,13 +90,13 @@
 	r.waitingSerials = map[Incarnation]uint64{}
 	r.nextRequestAt = r.now
 	r.verification.joinRequested = false
-	if r.incarnation == r.nextIncarnation() { // the second one that ends in this process
+	if r.incarnation == r.nextIncarnation() { // NextDisk was used by an earlier end in this process
 		r.cfg.NextDisk = max(1, r.rng.Uint64())
 	}
 }
 
-// beginIncarnation returns the Ready with the record that begins a new incarnation in the folder.
-// The record must be durable before any message of the new incarnation is sent.
+// beginIncarnation returns a Ready with the record that begins a new incarnation in the folder. The
+// record must be durable before any message of the new incarnation is sent.
 func (r *Replica) beginIncarnation() *Ready {
 	incarnation := r.nextIncarnation()
 	record := &Record{
@@ -106,18 +108,18 @@
 	return &Ready{Record: record, newIncarnation: true}
 }
 
-// handleSuperseded handles that a leader writes to the incarnation as which this member requested
-// to join: it was taken in, and this incarnation ends.
+// handleSuperseded handles a message to the incarnation as which this member requested to join.
+// That incarnation has been added to the members, and this one ends unless it keeps its vote.
 func (r *Replica) handleSuperseded() {
 	if r.keepsVote() {
 		return
 	}
-	r.endIncarnation("taken in as another incarnation, as not all others could vouch for its disk")
+	r.endIncarnation("added as another incarnation, as not all others could vouch for its disk")
 }
 
-// keepsVote reports whether this incarnation stays although a leader writes to the next one: its
-// disk was vouched for meanwhile, and it votes. It ends when it has heard from no leader for
-// settleTime, as the quorum then goes on without it.
+// keepsVote reports whether this incarnation continues although a leader sends messages to the next
+// one: its disk was vouched for meanwhile, and it votes. If such messages continue for settleTime
+// while it has no leader, it does not continue, as the quorum works without it.
 func (r *Replica) keepsVote() bool {
 	if r.role != Voter || r.node == nil {
 		return false
--- a/internal/core/fleet/quorum/logger.go
+++ b/internal/core/fleet/quorum/logger.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// discardLogger discards the raft library's log, which has a line for each vote; what operators are
-// to see is in the replica's role and its reason. The library's panics stay: it must not go on
-// where it finds itself broken, and the caller ends the process.
+// discardLogger discards the raft library's log, which has a line for each vote; operators see the
+// replica's role and its reason instead. Fatal and Panic still panic: the library must not continue
+// after it has detected an inconsistency, and the process has to end.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/core/fleet/quorum/members.go
+++ b/internal/core/fleet/quorum/members.go
@@ -10,11 +10,11 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// memberChange is the context of a change of the members in the log, encoded by the keys of its
-// fields.
+// memberChange is the context of a log entry that changes the members. It is encoded by the keys of
+// its fields.
 type memberChange struct {
 	Incarnation Incarnation `cbor:"1,keyasint"`
-	// Removed: the change was an operator's command.
+	// Removed is set if the change is a removal by an operator's command.
 	Removed bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -31,7 +31,8 @@
 	return slices.Contains(r.voters.GetVoters(), incarnation.Number())
 }
 
-// others returns the names of the other members as this one knows them, sorted.
+// others returns the names of the other members as this controller knows them, sorted. If it knows
+// none, they are the founders.
 func (r *Replica) others() (names []members.ID) {
 	for _, incarnation := range r.incarnations {
 		if incarnation.Name != r.cfg.Self && !slices.Contains(names, incarnation.Name) {
@@ -59,8 +60,8 @@
 	return false
 }
 
-// hasVote reports whether a name has exactly one incarnation and that incarnation votes. If there
-// are two, the one that votes has ended.
+// hasVote reports whether a name has exactly one incarnation and that incarnation has a vote. If
+// there are two, the one with the vote is the former one, which may have ended.
 func (r *Replica) hasVote(name members.ID) bool {
 	all := 0
 	voting := 0
@@ -76,8 +77,8 @@
 	return all == 1 && voting == 1
 }
 
-// formerIncarnation returns another incarnation of the same name that is a member, one without a
-// vote first.
+// formerIncarnation returns another incarnation of the same name that is a member. It prefers one
+// without a vote.
 func (r *Replica) formerIncarnation(of Incarnation) (former Incarnation, found bool) {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		incarnation := r.incarnations[number]
@@ -93,7 +94,7 @@
 	return former, found
 }
 
-// updateRole sets the role by the members that are agreed on.
+// updateRole sets the role according to the committed changes of members.
 func (r *Replica) updateRole() {
 	if r.role == NonMember || r.role == Unverified {
 		return
@@ -103,21 +104,21 @@
 	case r.isVoter():
 		r.setRole(Voter, "")
 	case r.isMember():
-		r.setRole(Learner, "it has not caught up yet")
+		r.setRole(Learner, "its log has not caught up yet")
 	case removed && r.isLeader && r.now < r.stepDownAt():
 	case removed:
-		r.setRole(NonMember, "taken out of the quorum by an operator's command")
+		r.setRole(NonMember, "removed from the quorum by an operator's command")
 		r.node = nil
 		r.isLeader = false
 		r.removedAt = 0
 	case r.role != Joining:
-		r.endIncarnation("the quorum goes on without it")
+		r.endIncarnation("the quorum continues without it")
 	}
 }
 
-// stepDownAt returns until when a leader that was removed goes on leading, in ms: its heartbeats
-// let the others commit its removal. If it stopped at once, they would still count it as a voter,
-// which does not answer, and might not be able to elect a leader.
+// stepDownAt returns until when a leader that was removed continues to lead, in ms. Its heartbeats
+// tell the others that its removal is committed. If it stopped at once, they would still count it
+// as a voter, which does not answer, and might not be able to elect a leader.
 func (r *Replica) stepDownAt() float64 {
 	if r.removedAt == 0 {
 		r.removedAt = r.now
@@ -125,7 +126,7 @@
 	return r.removedAt + stepDownDelay
 }
 
-// applyChange applies a change of the members that was agreed on.
+// applyChange applies a committed change of the members.
 func (r *Replica) applyChange(change *pb.ConfChange) {
 	var c memberChange
 	if cbor.Unmarshal(change.GetContext(), &c) == nil && c.Incarnation.Number() == change.GetNodeId() {
@@ -135,7 +136,7 @@
 			r.addMember(c.Incarnation)
 		}
 		if change.GetType() == pb.ConfChangeAddLearnerNode {
-			r.snapshotWanted = true // a learner accepts no snapshot that does not name it
+			r.snapshotWanted = true // a learner rejects snapshots that don't list it as a member
 		}
 	}
 	r.membership.changePending = false
@@ -146,7 +147,8 @@
 	}
 }
 
-// removeMember retires an incarnation.
+// removeMember removes and retires an incarnation. If an operator removed it, its name is recorded
+// too, so that it can't join by itself.
 func (r *Replica) removeMember(c memberChange) {
 	delete(r.incarnations, c.Incarnation.Number())
 	if c.Removed && !slices.Contains(r.removed, c.Incarnation.Name) && len(r.removed) < maxRemembered {
@@ -158,8 +160,8 @@
 	}
 }
 
-// addMember adds an incarnation. One that an operator removed before may be added by an operator
-// again.
+// addMember adds an incarnation. Its name no longer counts as removed: an operator may add a member
+// again that was removed before.
 func (r *Replica) addMember(incarnation Incarnation) {
 	r.incarnations[incarnation.Number()] = incarnation
 	r.removed = slices.DeleteFunc(r.removed, func(id members.ID) bool {
@@ -167,8 +169,8 @@
 	})
 }
 
-// changedVoters returns the voters and learners after a change. The raft library computes them
-// while it runs; this is for the replay at a start, when it does not run yet.
+// changedVoters returns the voters and learners after a change. It is used for the replay at a
+// start; while the raft library runs, the library computes them.
 func changedVoters(before *pb.ConfState, change *pb.ConfChange) *pb.ConfState {
 	id := change.GetNodeId()
 	without := func(ids []uint64) []uint64 {
--- a/internal/core/fleet/quorum/membership.go
+++ b/internal/core/fleet/quorum/membership.go
@@ -11,8 +11,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// membershipChanges is what a leader knows of the changes of the members that it was asked for and
-// carries out.
+// membershipChanges is a leader's state of the changes of members that were requested from it.
 type membershipChanges struct {
 	respondedAt      map[uint64]float64 // ms, when members last responded, by their number
 	joins            map[members.ID]joinRequest
@@ -28,24 +27,25 @@
 	}
 }
 
-// joinRequest is the request of an incarnation to be taken in.
+// joinRequest is the request of an incarnation to join.
 type joinRequest struct {
 	incarnation Incarnation
 	at          float64 // ms, when it was last repeated
 }
 
-// replacement is an operator's command: old is removed once successor, unless it is empty, has a
-// vote.
+// replacement is an operator's command to remove old once successor has a vote, or at once if
+// successor is empty.
 type replacement struct {
 	old       members.ID
 	successor members.ID
-	deadline  float64 // ms, after which it is forgotten
+	deadline  float64 // ms, after which it is discarded
 	inviteAt  float64 // ms, when the next invitation of successor is due
 }
 
-// Replace removes a member by an operator's command, after its successor, unless that is empty, has
-// joined and has a vote. It returns false if this member does not lead, or the old one is no
-// member.
+// Replace starts to replace a member by an operator's command. The old member is removed after its
+// successor has joined and has a vote, or at once if successor is empty. Replace returns false if
+// this member does not lead, the old one is no member or its own successor, or too many
+// replacements are pending.
 func (r *Replica) Replace(old, successor members.ID) bool {
 	if !r.isLeader || !r.hasMember(old) || old == successor ||
 		len(r.membership.replacements) >= maxRemembered {
@@ -65,10 +65,10 @@
 	return slices.ContainsFunc(r.membership.replacements, named)
 }
 
-// changeMembers proposes the next change of the members that is needed, one at a time. A member
-// that came back as another incarnation is added as a learner. Its former incarnation keeps its
-// vote until the learner has caught up and is promoted: if the quorum were smaller meanwhile, one
-// more failure could leave it without a majority.
+// changeMembers proposes the next change of members that is needed, one at a time. A member that
+// joins as another incarnation is added as a learner. Its former incarnation keeps its vote until
+// the learner has caught up and is promoted: if the quorum were smaller meanwhile, one more failure
+// could leave it without a majority.
 func (r *Replica) changeMembers() {
 	r.recordResponses()
 	if r.membership.changePending && r.now < r.membership.changeProposedAt+changeTimeout {
@@ -85,7 +85,7 @@
 }
 
 // recordResponses records which members have responded to this leader since the raft library last
-// looked, which it does once in an election timeout.
+// cleared its activity flags, which it does once per election timeout.
 func (r *Replica) recordResponses() {
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, progress raftProgress) {
 		if progress.RecentActive {
@@ -94,15 +94,15 @@
 	})
 }
 
-// isResponsive reports whether a member has responded to this leader lately. One that was just
-// added counts for a while.
+// isResponsive reports whether a member has responded to this leader within settleTime. A member
+// that was just added counts as responsive, as the raft library considers it active.
 func (r *Replica) isResponsive(incarnation Incarnation) bool {
 	at, ever := r.membership.respondedAt[incarnation.Number()]
 	return incarnation == r.incarnation || ever && r.now < at+settleTime
 }
 
-// addJoining proposes the next change that a request to join needs, and reports whether there
-// was one. A request is not carried out while a former incarnation of the member goes on to vote:
+// addJoining proposes the next change that a request to join needs, and reports whether there was
+// one. A request has no effect while a former incarnation of the member has a vote and responds:
 // its disk was vouched for after all.
 func (r *Replica) addJoining() bool {
 	for _, name := range slices.Sorted(maps.Keys(r.membership.joins)) {
@@ -130,8 +130,8 @@
 	return false
 }
 
-// removeUnusedLearner proposes to remove a learner that does not respond while its former incarnation
-// goes on to vote, and reports whether there was one.
+// removeUnusedLearner proposes to remove a learner that does not respond while its former
+// incarnation has a vote and responds. It reports whether there was one.
 func (r *Replica) removeUnusedLearner() bool {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		learner := r.incarnations[number]
@@ -146,14 +146,15 @@
 	return false
 }
 
-// promoteLearner proposes a vote for a learner that has caught up, after the removal of its former
-// incarnation, and reports whether there was one.
+// promoteLearner proposes to promote a learner that has caught up to voter. If its former
+// incarnation is still a member, it proposes the removal of that one first. It reports whether
+// there was such a learner.
 func (r *Replica) promoteLearner() bool {
 	last, _ := r.storage.LastIndex()
 	var promoted Incarnation
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, progress raftProgress) {
 		learner, ok := r.incarnations[id]
-		answered := progress.RecentActive && progress.Match > 0 // one that was just added is active, too
+		answered := progress.RecentActive && progress.Match > 0 // a learner is active when it is added
 		if ok && progress.IsLearner && answered && progress.Match+promotionDistance > last {
 			promoted = learner
 		}
@@ -169,8 +170,8 @@
 	return true
 }
 
-// continueReplacements continues the operators' replacements: it invites the successor until that
-// votes, then proposes to remove the old member.
+// continueReplacements continues the operators' replacements: it invites each successor until it
+// has a vote, then proposes to remove the old member.
 func (r *Replica) continueReplacements() {
 	done := func(p replacement) bool { return r.now > p.deadline || !r.hasMember(p.old) }
 	r.membership.replacements = slices.DeleteFunc(r.membership.replacements, done)
@@ -189,7 +190,7 @@
 	}
 }
 
-// invite asks a successor to request to join, once in an interval.
+// invite sends a successor an invitation to request to join, at most once in joinInterval.
 func (r *Replica) invite(p *replacement) {
 	if r.now < p.inviteAt {
 		return
@@ -198,7 +199,7 @@
 	r.send(Incarnation{Name: p.successor}, Message{Invite: true})
 }
 
-// proposeChange proposes one change of the members.
+// proposeChange proposes one change of members to the raft library.
 func (r *Replica) proposeChange(kind pb.ConfChangeType, change memberChange) {
 	context, err := cbor.Marshal(change)
 	if err != nil {
--- a/internal/core/fleet/quorum/messages.go
+++ b/internal/core/fleet/quorum/messages.go
@@ -7,47 +7,48 @@
 type Message struct {
 	From Incarnation `cbor:"1,keyasint"`
 	To   Incarnation `cbor:"2,keyasint"`
-	// Raft is a message of the raft library.
+	// Raft is a message of the raft library, in its protobuf encoding.
 	Raft []byte `cbor:"3,keyasint,omitempty"`
-	// Serial is that of the sender's record that Raft depends on; 0: it depends on none.
+	// Serial is the serial of the sender's record that Raft depends on; 0: it depends on none.
 	Serial        uint64         `cbor:"4,keyasint,omitempty"`
 	VouchRequest  *VouchRequest  `cbor:"5,keyasint,omitempty"`
 	VouchResponse *VouchResponse `cbor:"6,keyasint,omitempty"`
 	Join          *Join          `cbor:"7,keyasint,omitempty"`
-	// Run is that of the sender's process.
+	// Run identifies the sender's process.
 	Run uint64 `cbor:"8,keyasint,omitempty"`
-	// Invite asks a controller that is no member to request to join.
+	// Invite is an invitation to a controller that is no member to request to join.
 	Invite   bool      `cbor:"9,keyasint,omitempty"`
 	Redirect *Redirect `cbor:"10,keyasint,omitempty"`
 }
 
-// VouchRequest is sent by an unverified member: what is the highest serial that the receiver got
-// from this incarnation?
+// VouchRequest is sent by an unverified member. It requests the highest serial that the receiver
+// got from this incarnation.
 type VouchRequest struct {
 	Run uint64 `cbor:"1,keyasint"`
 }
 
 // VouchResponse answers a VouchRequest.
 type VouchResponse struct {
-	// Run is that of the request.
+	// Run is the Run of the request.
 	Run uint64 `cbor:"1,keyasint"`
 	// ReceivedSerial is the highest serial that the sender got from the requesting incarnation; 0:
 	// none.
 	ReceivedSerial uint64 `cbor:"2,keyasint"`
-	// Retired: the requesting incarnation has ended.
+	// Retired is set if the requesting incarnation has ended.
 	Retired bool `cbor:"3,keyasint,omitempty"`
-	// HasLeader: the quorum has a leader other than the requester.
+	// HasLeader is set if the quorum has a leader other than the requester.
 	HasLeader bool `cbor:"4,keyasint,omitempty"`
-	// Members are the quorum's as of Index. A requester with an older disk must ask them too.
+	// Members are the quorum's other members as of Index. A requester whose disk is older needs their
+	// responses too.
 	Members []members.ID `cbor:"5,keyasint,omitempty"`
-	// Index is that of the last entry that the sender has applied.
+	// Index is the index of the last entry that the sender has applied.
 	Index uint64 `cbor:"6,keyasint,omitempty"`
-	// PendingMembers are added by later entries, which may not be agreed on yet. The requester must
-	// ask them in any case.
+	// PendingMembers are added by later entries, which may not be committed yet. The requester needs
+	// their responses in any case.
 	PendingMembers []members.ID `cbor:"7,keyasint,omitempty"`
 }
 
-// Join requests to be taken in as a new incarnation.
+// Join requests to join as the incarnation that sends it.
 type Join struct {
 	Run uint64 `cbor:"1,keyasint"`
 }
@@ -58,7 +59,7 @@
 }
 
 // Receive handles a message. The transport must have authenticated from. A message is ignored if
-// its names don't fit its sender or this member.
+// its names don't match its sender and this member.
 func (r *Replica) Receive(now float64, from members.ID, m *Message) {
 	r.now = max(r.now, now)
 	if m.From.Name != from || m.To.Name != r.cfg.Self || from == r.cfg.Self {
@@ -80,7 +81,7 @@
 	}
 }
 
-// TakeMessages returns the messages to be sent since the last call.
+// TakeMessages returns the messages to send that were enqueued since the last call.
 func (r *Replica) TakeMessages() []Message {
 	out := r.outgoing
 	r.outgoing = nil
--- a/internal/core/fleet/quorum/propose.go
+++ b/internal/core/fleet/quorum/propose.go
@@ -21,10 +21,10 @@
 // encodeProposal returns the data of the log entry of a proposal.
 func encodeProposal(p proposal) ([]byte, error) { return cbor.Marshal(p) }
 
-// Request is a command to be proposed.
+// Request is a command to propose.
 type Request struct {
-	Proposer members.ID // the member that asks for it
-	Ref      uint64     // its number of the command
+	Proposer members.ID // the controller from which the command came
+	Ref      uint64     // number by which the caller recognizes the command when it is applied
 	Command  lease.Command
 }
 
@@ -37,8 +37,8 @@
 	return err == nil && r.node.Propose(data) == nil
 }
 
-// ProposeAll proposes several commands in their order, with one message to each member. It returns
-// false, and proposes none, if this member does not lead or too much is pending.
+// ProposeAll proposes several commands in the given order, with one message to each member. It
+// returns false, and proposes none, if this member does not lead or too much is pending.
 func (r *Replica) ProposeAll(requests []Request) bool {
 	if !r.isLeader || r.node == nil {
 		return false
--- a/internal/core/fleet/quorum/quorum_test.go
+++ b/internal/core/fleet/quorum/quorum_test.go
@@ -14,21 +14,21 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Heartbeats that carried the serial of a record would have each side store a record for each, and
-// carry the serial of that record in its own heartbeats, without end. An idle quorum stores
-// nothing.
+// If heartbeats carried the serial of a record, each side would store a record for each heartbeat of
+// the other, and carry that record's serial in its own heartbeats, without end. An idle quorum must
+// store nothing.
 func TestIdleQuorumStoresNothing(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	before := len(r.records["a"]) + len(r.records["b"]) + len(r.records["c"])
 	r.run(60000)
 	if after := len(r.records["a"]) + len(r.records["b"]) + len(r.records["c"]); after != before {
-		t.Errorf("%d records stored in an idle minute", after-before)
+		t.Errorf("%d records stored in an idle minute, want none", after-before)
 	}
 }
 
-// TestAllMembersApplySameCommands: all members apply the same commands in the same order, and store
-// a bounded number of records.
+// TestAllMembersApplySameCommands: all members must apply the same commands in the same order, and
+// store a bounded number of records. A follower must reject proposals.
 func TestAllMembersApplySameCommands(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -40,10 +40,10 @@
 	for _, name := range r.founders {
 		r.expectRole(name, Voter)
 		if got := len(r.applied[name]); got != 600 || fmt.Sprint(r.applied[name]) != fmt.Sprint(r.applied["a"]) {
-			t.Errorf("%s applied %d", name, got)
+			t.Errorf("%s applied %d commands, want the same 600 as a", name, got)
 		}
 		if n := len(r.records[name]); n > 3*snapshotEntries {
-			t.Errorf("%s stores %d records", name, n)
+			t.Errorf("%s stores %d records, want at most %d", name, n, 3*snapshotEntries)
 		}
 	}
 	follower := r.founders[0]
@@ -51,12 +51,13 @@
 		follower = "b"
 	}
 	if r.members[follower].Propose("x", 1, lease.Command{}) {
-		t.Error("a follower accepts a proposal")
+		t.Error("a follower accepts a proposal, want it rejected")
 	}
 }
 
-// TestRestartedMemberIsVerifiedAndGoesOn: a member that restarts with all its records is vouched
-// for and goes on as the same incarnation, with what was agreed on; also if all restart at once.
+// TestRestartedMemberIsVerifiedAndGoesOn: a member that restarts with all its records must be
+// vouched for and continue as the same incarnation with the committed state, also if all members
+// restart at once.
 func TestRestartedMemberIsVerifiedAndGoesOn(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -65,12 +66,12 @@
 		c := r.start(name)
 		r.expectRole(name, Unverified)
 		if c.Leads() {
-			t.Error("an unverified member leads")
+			t.Errorf("%s leads while it is unverified, want it not to lead", name)
 		}
 		r.run(4000)
 		r.expectRole(name, Voter)
 		if c.Incarnation().Disk != 0 {
-			t.Errorf("%s has come back as another incarnation", name)
+			t.Errorf("%s continues as another incarnation, %v, want the first", name, c.Incarnation())
 		}
 	}
 	for _, name := range r.founders { // all at once
@@ -80,14 +81,14 @@
 	for _, name := range r.founders {
 		r.expectRole(name, Voter)
 		if r.members[name].State().Leases["w1"] == nil {
-			t.Errorf("%s does not know what was agreed on", name)
+			t.Errorf("%s does not know lease w1, want the committed state", name)
 		}
 	}
 }
 
-// A member's disk is lost, or replaced by an old copy, or lacks the last entries. If it voted as
-// itself it could break what it promised. It comes back as another incarnation, votes again, and
-// restarts as that one.
+// A member's disk is lost, or replaced by an old copy, or lacks the last entries. If it voted as the
+// same incarnation, it could break what that one promised. It must rejoin as another incarnation,
+// vote again, and restart as that one.
 func TestMemberWithLostRecordsRejoins(t *testing.T) {
 	for what, change := range map[string]func(old, now []Record) []Record{
 		"empty":       func(_, _ []Record) []Record { return nil },
@@ -109,33 +110,33 @@
 		c := r.start("b")
 		r.run(500)
 		if s, _ := c.Role(); s == Voter && c.Incarnation().Disk == 0 {
-			t.Errorf("%s: it votes as itself", what)
+			t.Errorf("%s: b votes as the same incarnation, want it unverified or another", what)
 		}
 		r.run(10000)
 		r.expectRole("b", Voter)
 		if c.Incarnation().Disk == 0 {
-			t.Errorf("%s: it is the same incarnation", what)
+			t.Errorf("%s: b is the same incarnation, want another", what)
 		}
 		incarnations, votes := r.leader().Members()
 		if len(incarnations) != 3 || slices.Contains(votes, false) {
-			t.Errorf("%s: the quorum is %v, %v", what, incarnations, votes)
+			t.Errorf("%s: the members are %v with votes %v, want 3 voters", what, incarnations, votes)
 		}
 		r.propose(9)
 		if c.State().Leases["w9"] == nil {
-			t.Errorf("%s: it does not learn what is agreed on", what)
+			t.Errorf("%s: b does not know lease w9, want the committed state", what)
 		}
-		c = r.start("b") // the new incarnation restarts as itself
+		c = r.start("b") // the new incarnation must continue after a restart
 		r.run(4000)
 		r.expectRole("b", Voter)
 		ofB := slices.IndexFunc(incarnations, func(i Incarnation) bool { return i.Name == "b" })
 		if c.Incarnation() != incarnations[ofB] {
-			t.Errorf("%s: another incarnation again", what)
+			t.Errorf("%s: after another restart b is %v, want %v", what, c.Incarnation(), incarnations[ofB])
 		}
 	}
 }
 
-// The folder of a later incarnation is put back to before that was taken in. It is an old copy as
-// any other, and that incarnation ends too.
+// The folder of a later incarnation is replaced by a copy from before the incarnation was added. It
+// is an old copy like any other, and must end that incarnation too.
 func TestOldCopyOfLaterIncarnationEndsIt(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -151,13 +152,13 @@
 	r.run(10000)
 	r.expectRole("b", Voter)
 	if b.Incarnation() == second || b.Incarnation().Disk == 0 {
-		t.Errorf("it votes as %v", b.Incarnation())
+		t.Errorf("b votes as %v, want neither the first incarnation nor %v", b.Incarnation(), second)
 	}
 	r.propose(2)
 }
 
-// The process of a retired incarnation runs on with its memory, and campaigns again and again. No
-// member follows it, and the term does not rise.
+// The process of a retired incarnation continues to run with its state in memory, and campaigns
+// repeatedly. No member may vote for it, and the term must not rise.
 func TestRetiredIncarnationIsIgnored(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -184,12 +185,14 @@
 		r.run(25)
 	}
 	if retired.Leads() || r.leader().Term() != before {
-		t.Errorf("the retired incarnation leads: %v; term %d after %d", retired.Leads(), r.leader().Term(), before)
+		t.Errorf("the retired incarnation leads: %v, and the term is %d, want false and term %d",
+			retired.Leads(), r.leader().Term(), before)
 	}
 }
 
-// One of three members is lost for good and another restarts. The third can't vouch alone, so the
-// quorum stands still until an operator says that the disk is the latest.
+// One of three members is lost for good and another restarts. The third one's answer alone does not
+// verify its disk, so the quorum is unavailable until an operator asserts that the disk is the
+// latest.
 func TestOperatorTrustsDisk(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -199,18 +202,18 @@
 	r.run(20000)
 	r.expectRole("b", Unverified)
 	if !b.TrustDisk() {
-		t.Fatal("the disk is not unverified")
+		t.Fatal("TrustDisk of an unverified member returns false, want true")
 	}
 	r.run(5000)
 	r.expectRole("b", Voter)
 	if b.TrustDisk() {
-		t.Error("trusted twice")
+		t.Error("TrustDisk of a voter returns true, want false")
 	}
 	r.propose(2)
 }
 
-// Of five members one is lost for good and another restarts: not all can vouch for it. The others
-// have a leader, and it comes back as another incarnation.
+// Of five members one is lost for good and another restarts: not all others can vouch for its disk.
+// As the others have a leader, it must join as another incarnation.
 func TestRestartWithoutAllVouchers(t *testing.T) {
 	r := newCluster(t, "a", "b", "c", "d", "e")
 	r.run(5000)
@@ -224,12 +227,12 @@
 	r.run(15000)
 	r.expectRole("b", Voter)
 	if b.Incarnation().Disk == 0 {
-		t.Error("it was not vouched for by all, and votes as itself")
+		t.Error("b votes as the same incarnation without the answer of e, want another incarnation")
 	}
 }
 
-// TestReplaceMember: an operator removes a member, which does not come back by itself, and replaces
-// one by another controller.
+// TestReplaceMember: a member that an operator removed must not join again by itself, and one that
+// an operator replaced must leave after its successor has joined.
 func TestReplaceMember(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -238,24 +241,24 @@
 		out = "a"
 	}
 	if r.members[out].Replace(out, "") {
-		t.Error("a follower replaces a member")
+		t.Error("a follower accepts a replacement, want it rejected")
 	}
 	if r.leader().Replace("z", "") {
-		t.Error("a controller that is no member is removed")
+		t.Error("the leader accepts the removal of a controller that is no member, want it rejected")
 	}
 	if !r.leader().Replace(out, "") {
-		t.Fatal("not removed")
+		t.Fatalf("the leader rejects the removal of %s, want it accepted", out)
 	}
 	r.run(3000)
 	if incarnations, _ := r.leader().Members(); len(incarnations) != 2 {
-		t.Errorf("the quorum is %v", incarnations)
+		t.Errorf("after a removal the members are %v, want 2", incarnations)
 	}
 	r.expectRole(out, NonMember)
 	r.propose(3)
-	r.start(out) // it must not come back by itself
+	r.start(out) // it must not join again by itself
 	r.run(20000)
 	if incarnations, _ := r.leader().Members(); len(incarnations) != 2 {
-		t.Errorf("a removed member is back: %v", incarnations)
+		t.Errorf("after a restart of the removed member the members are %v, want 2", incarnations)
 	}
 
 	r = newCluster(t, "a", "b", "c")
@@ -276,20 +279,20 @@
 	r.expectRole(out, NonMember)
 	incarnations, votes := r.leader().Members()
 	if len(incarnations) != 3 || slices.Contains(votes, false) || d.State() == nil {
-		t.Errorf("the quorum is %v, %v", incarnations, votes)
+		t.Errorf("after a replacement the members are %v with votes %v, want 3 voters", incarnations, votes)
 	}
 	r.propose(4)
 	if d.State().Leases["w4"] == nil {
-		t.Error("the new member does not learn what is agreed on")
+		t.Error("the new member does not know lease w4, want the committed state")
 	}
-	r.start("d") // and restarts as itself
+	r.start("d") // must continue after a restart
 	r.run(5000)
 	r.expectRole("d", Voter)
 }
 
-// TestInvalidMessagesAndRecordsAreRejected: messages of another name than their sender, without a
-// valid encoding, to another incarnation or without content change nothing, and records out of
-// order are an error.
+// TestInvalidMessagesAndRecordsAreRejected: messages with another name than their sender's, without
+// a valid encoding, to another member, from an unknown incarnation or without content must change
+// nothing, and records out of order must be an error.
 func TestInvalidMessagesAndRecordsAreRejected(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -306,16 +309,16 @@
 	}
 	r.run(3000)
 	if r.leader().Term() != before {
-		t.Errorf("term %d after %d", r.leader().Term(), before)
+		t.Errorf("term after invalid messages is %d, want %d as before", r.leader().Term(), before)
 	}
 	_, err := New(Config{Self: "a", Founders: r.founders}, []Record{{Serial: 1}, {Serial: 3}}, 0)
 	if !errors.Is(err, ErrRecordOrder) || !strings.Contains(err.Error(), "order") {
-		t.Errorf("records out of order: %v", err)
+		t.Errorf("error for records out of order: %v, want %v", err, ErrRecordOrder)
 	}
 }
 
-// A member votes and restarts, with or without a compaction of its log in between. If it had
-// forgotten its vote, it could vote for another in the same term, and two would lead.
+// A member votes and restarts, with or without a compaction of its log in between. If its vote were
+// lost, it could vote for another candidate in the same term, and two members would lead.
 func TestVoteOutlastsRestart(t *testing.T) {
 	for _, proposals := range []uint64{0, 600} {
 		r := newCluster(t, "a", "b", "c")
@@ -331,25 +334,25 @@
 			c := r.start(name)
 			after, _, _ := c.storage.InitialState()
 			if before.GetTerm() != after.GetTerm() || before.GetVote() != after.GetVote() {
-				t.Errorf("%s: term %d and vote %x, was %d and %x", name,
+				t.Errorf("%s: term %d and vote %x after a restart, want %d and %x", name,
 					after.GetTerm(), after.GetVote(), before.GetTerm(), before.GetVote())
 			}
 			if before.GetVote() != 0 {
 				voted++
 			}
 			if last, _ := c.storage.LastIndex(); last < applied {
-				t.Errorf("%s: the log ends at %d, %d had been agreed on", name, last, applied)
+				t.Errorf("%s: the log ends at %d after a restart, want at least %d, which was applied", name, last, applied)
 			}
 		}
 		if voted < 2 {
-			t.Errorf("%d voted", voted)
+			t.Errorf("%d members have stored a vote, want at least 2", voted)
 		}
 	}
 }
 
-// A message of an earlier run of a member is still under way when its next run asks for the highest
+// A message of an earlier run of a member is still in transit when its next run requests the highest
 // serial received. If the message were used after the answer, the answer would be wrong. Answers to
-// an earlier run vouch for nothing either.
+// an earlier run must not count for the next one either.
 func TestMessagesOfEarlierRunsAreIgnored(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -375,11 +378,11 @@
 	}
 	receive(2)
 	if len(a.waiting) != waiting {
-		t.Error("a message of an earlier run is used after a later one asked")
+		t.Errorf("%d messages wait after one of an earlier run, want %d: it must be ignored", len(a.waiting), waiting)
 	}
 	receive(b.run)
 	if len(a.waiting) != waiting+1 {
-		t.Error("a message of the run that asked is not used")
+		t.Errorf("%d messages wait after one of the requesting run, want %d", len(a.waiting), waiting+1)
 	}
 	respond := func(to *Replica, by, from members.ID, response VouchResponse) {
 		to.Receive(r.now, by, &Message{
@@ -420,8 +423,8 @@
 	return data
 }
 
-// TestSingleVoterAndNonMember: a quorum of one agrees by itself and goes on after a restart; a
-// controller that is no founder takes no part.
+// TestSingleVoterAndNonMember: a quorum of one member must commit commands by itself and continue
+// after a restart; a controller that is no founder must take no part.
 func TestSingleVoterAndNonMember(t *testing.T) {
 	r := newCluster(t, "a")
 	r.run(5000)
@@ -431,19 +434,19 @@
 	r.run(5000)
 	r.expectRole("a", Voter)
 	if r.members["a"].State().Leases["w1"] == nil {
-		t.Error("what was agreed on is lost")
+		t.Error("after a restart lease w1 is not known, want the committed state")
 	}
 	c, err := New(Config{Self: "z", Founders: r.founders, Run: 9}, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s, _ := c.Role(); s != NonMember || c.Ready() != nil || c.Next() < 1000 {
-		t.Error("a controller that is no member takes part")
+		t.Errorf("a controller that is no founder is %v, with a Ready or a tick due before 1000 ms, want it outside with neither", s)
 	}
 }
 
-// All processes are paused for minutes. If they made up for the ticks that they missed, each would
-// call several elections at once.
+// All processes are paused for minutes. If they ran all the ticks that they missed, each would start
+// several elections at once.
 func TestPausedMemberSkipsMissedTicks(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -451,12 +454,12 @@
 	r.now += 600000
 	r.run(10000)
 	if got := r.leader().Term(); got > term+3 {
-		t.Errorf("term %d after %d", got, term)
+		t.Errorf("term after a pause of all members is %d, want at most %d", got, term+3)
 	}
 }
 
-// A member requests to join as another incarnation and is vouched for at the same time. It must go
-// on as the incarnation that the quorum has.
+// A member requests to join as another incarnation and is vouched for at the same time. It must
+// continue as the incarnation that is a member of the quorum.
 func TestVouchedForWhileJoining(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -465,11 +468,11 @@
 		out = "a"
 	}
 	c := r.start(out)
-	r.lost = func(_, to members.ID) bool { return to == out } // it sends and receives nothing
+	r.lost = func(_, to members.ID) bool { return to == out } // it sends, and receives nothing
 	c.verification.othersHaveLeader = true
 	c.verification.startedAt = r.now - vouchTimeout - 1
 	r.run(3000)
-	for _, other := range c.others() { // sent before it was taken in
+	for _, other := range c.others() { // answers that were sent before it was added
 		c.Receive(r.now, other, &Message{
 			From:          Incarnation{other, 0},
 			To:            Incarnation{out, 0},
@@ -477,18 +480,18 @@
 		})
 	}
 	if c.Incarnation().Disk != 0 {
-		t.Fatal("it has begun another incarnation by itself")
+		t.Fatalf("%s is %v before the quorum's messages reach it, want its first incarnation", out, c.Incarnation())
 	}
 	r.lost = nil
 	r.run(10000)
 	r.expectRole(out, Voter)
 	if incarnations, _ := r.leader().Members(); !slices.Contains(incarnations, c.Incarnation()) {
-		t.Errorf("it is %v, the quorum has %v", c.Incarnation(), incarnations)
+		t.Errorf("%s is %v, want one of the members %v", out, c.Incarnation(), incarnations)
 	}
 }
 
-// A voter that lost its disk knows the founders alone. One of them was replaced, and its successor
-// leads. The voter has to learn of the successor to be taken in again.
+// A voter that lost its disk knows only the founders. One of them was replaced, and its successor
+// leads. The voter must learn the successor's name from another member to join again.
 func TestLostFounderRejoinsUnderReplacement(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	newcomer, err := New(Config{Self: "d", Founders: r.founders, Run: 50, NextDisk: 51, Seed: 50}, nil, 0)
@@ -502,7 +505,7 @@
 		out = "a"
 	}
 	if !r.leader().Replace(out, "d") {
-		t.Fatal("not replaced")
+		t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", out)
 	}
 	r.run(20000)
 	r.expectRole("d", Voter)
--- a/internal/core/fleet/quorum/ready.go
+++ b/internal/core/fleet/quorum/ready.go
@@ -7,10 +7,10 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Ready is the next step of a replica: first Record is made durable, if there is one; then the
-// Ready is passed to Advance.
+// Ready is the next step of a replica. The caller first makes Record durable, if there is one, and
+// then passes the Ready to Advance.
 type Ready struct {
-	Record *Record // nil: nothing has to be durable
+	Record *Record // nil if nothing has to be durable
 
 	raft            *raftReady
 	receivedSerials map[Incarnation]uint64 // those that Record makes durable
@@ -18,15 +18,15 @@
 	newIncarnation  bool                   // Record begins a new incarnation, and raft is nil
 }
 
-// Applied is a command that was agreed on and applied.
+// Applied is a command that was committed and applied.
 type Applied struct {
 	Command  lease.Command
 	Changed  []lease.Name // the leases that it changed, renewed or read
 	Proposer members.ID
-	Ref      uint64 // the proposer's number of the command
+	Ref      uint64 // as proposed
 }
 
-// Ready returns the next step; nil: there is none, or one is pending.
+// Ready returns the next step, or nil if there is none or one is pending.
 func (r *Replica) Ready() *Ready {
 	if r.readyPending {
 		return nil
@@ -54,7 +54,8 @@
 	return ready
 }
 
-// moveWaiting moves the messages that wait for durable serials, and these serials, to a Ready.
+// moveWaiting moves the waiting messages and their serials to a Ready, whose record makes the
+// serials durable.
 func (r *Replica) moveWaiting(ready *Ready) {
 	ready.receivedSerials = r.waitingSerials
 	ready.waiting = r.waiting
@@ -64,8 +65,9 @@
 	r.waiting = nil
 }
 
-// Advance continues after a Ready when its record is durable: its messages may now be sent, its
-// committed entries are applied, and the messages that waited for its record are used.
+// Advance continues after the record of a Ready became durable: the messages of the Ready may now
+// be sent, its committed entries are applied, and the received messages that waited for its record
+// are passed to the raft library.
 func (r *Replica) Advance(now float64, ready *Ready) {
 	r.now = max(r.now, now)
 	r.readyPending = false
@@ -94,7 +96,7 @@
 	}
 }
 
-// applyReady carries out what the raft library asked for, after its record became durable.
+// applyReady carries out a Ready of the raft library, after its record became durable.
 func (r *Replica) applyReady(ready *Ready) {
 	if ready.Record != nil {
 		if err := r.store(ready.Record); err != nil {
@@ -118,7 +120,7 @@
 	}
 }
 
-// TakeApplied returns the commands that have been agreed on and applied since the last call.
+// TakeApplied returns the commands that were applied since the last call.
 func (r *Replica) TakeApplied() []Applied {
 	applied := r.applied
 	r.applied = nil
--- a/internal/core/fleet/quorum/records.go
+++ b/internal/core/fleet/quorum/records.go
@@ -15,18 +15,19 @@
 	Serial      uint64      `cbor:"2,keyasint"`
 }
 
-// Record is what must be durable before the rest of its Ready has an effect. Records are stored in
-// order; a later one overrides what earlier ones hold. It is encoded by the keys of its fields.
+// Record is the data that must be durable before the rest of its Ready takes effect. Records are
+// stored in order; later ones override earlier ones. A record is encoded by the keys of its fields.
 type Record struct {
 	Serial uint64 `cbor:"1,keyasint"`
-	// Incarnation is set if an incarnation begins: all records before are void.
+	// Incarnation is set if the record begins an incarnation, or repeats it in a full record. The raft
+	// state of earlier records is then void.
 	Incarnation *Incarnation `cbor:"2,keyasint,omitempty"`
 	// HardState, Entries and Snapshot are the raft library's, in its protobuf encoding.
 	HardState       []byte           `cbor:"3,keyasint,omitempty"`
 	Entries         [][]byte         `cbor:"4,keyasint,omitempty"`
 	Snapshot        []byte           `cbor:"5,keyasint,omitempty"`
 	ReceivedSerials []ReceivedSerial `cbor:"6,keyasint,omitempty"`
-	// Full: the record holds all, and the records before it are not needed.
+	// Full is set if the record holds the complete state, so that earlier records are not needed.
 	Full bool `cbor:"7,keyasint,omitempty"`
 }
 
@@ -36,10 +37,10 @@
 		rec.ReceivedSerials == nil
 }
 
-// setRaftState takes over what the raft library wants to be durable. Current is its hard state. A commit
-// index alone needs not be durable, as a restarted member learns it again. That of a change of the
-// members must be: a member that restarts has to know which members it may elect, or be elected by,
-// before it hears from a leader.
+// setRaftState sets what the raft library needs to be durable; current is the library's hard state.
+// A commit index alone need not be durable, as a restarted member learns it again. The commit index
+// of a change of the members must be durable: a member that restarts has to know which members it
+// may elect, or be elected by, before it hears from a leader.
 func (rec *Record) setRaftState(ready *raftReady, current *pb.HardState) {
 	switch {
 	case changesMembers(ready.CommittedEntries):
@@ -59,7 +60,7 @@
 	return slices.ContainsFunc(committed, isChange)
 }
 
-// addEntries appends entries in their encoding.
+// addEntries appends log entries in their protobuf encoding.
 func (rec *Record) addEntries(entries []*pb.Entry) {
 	for _, entry := range entries {
 		data, _ := proto.Marshal(entry)
@@ -67,8 +68,8 @@
 	}
 }
 
-// sortedSerials returns the serials in the order of the incarnations' numbers, so that equal maps
-// give equal records.
+// sortedSerials returns the serials sorted by the incarnations' numbers, so that equal maps give
+// equal records.
 func sortedSerials(serials map[Incarnation]uint64) (sorted []ReceivedSerial) {
 	for incarnation, serial := range serials {
 		sorted = append(sorted, ReceivedSerial{Incarnation: incarnation, Serial: serial})
--- a/internal/core/fleet/quorum/recovery_test.go
+++ b/internal/core/fleet/quorum/recovery_test.go
@@ -9,14 +9,15 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// A voter is partitioned while another is replaced, and the third one ends. The late voter does not
-// know the newcomer as a member, and must answer it all the same, or no leader is ever elected.
+// A voter is partitioned while another is replaced, and the third one stops for good. The
+// partitioned voter does not know the newcomer as a member. It must still answer the newcomer, or no
+// leader is ever elected.
 func TestLateVoterElectsNewcomer(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	late, ended := others[0], others[1]
 	r.lost = func(from, to members.ID) bool { return from == late || to == late }
 	if !r.leader().Replace(leader, "d") {
-		t.Fatal("not replaced")
+		t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", leader)
 	}
 	r.run(20000)
 	r.expectRole("d", Voter)
@@ -24,21 +25,21 @@
 	delete(r.members, ended)
 	r.run(5000)
 	if r.members[late].hasMember("d") {
-		t.Fatal("the partitioned voter knows the newcomer")
+		t.Fatalf("%s knows d as a member while it is partitioned, want it unknown", late)
 	}
 	r.lost = nil
 	r.run(20000)
 	if !r.leads(late, "d") {
-		t.Fatal("no leader")
+		t.Fatalf("neither %s nor d leads after the heal, want a leader", late)
 	}
 	r.propose(7)
 	if r.members[late].State().Leases["w7"] == nil || !r.members[late].hasMember("d") {
-		t.Error("the partitioned voter does not learn what is agreed on")
+		t.Errorf("%s does not know lease w7 or the member d after the heal, want the committed state", late)
 	}
 }
 
-// Many senders that are no members write. No more than a bound are remembered, and members are not
-// among them.
+// Many senders that are no members send messages. The number that is recorded must be bounded, and
+// must not include members.
 func TestUnknownSendersBounded(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(3000)
@@ -47,18 +48,18 @@
 		a.recordSender(Incarnation{Name: "x", Disk: disk + 1})
 	}
 	if len(a.unknownSenders) > maxRemembered {
-		t.Errorf("%d unknown senders are remembered", len(a.unknownSenders))
+		t.Errorf("%d unknown senders are recorded, want at most %d", len(a.unknownSenders), maxRemembered)
 	}
 	a.recordSender(Incarnation{Name: "b"})
 	if _, remembered := a.unknownSenders[Incarnation{Name: "b"}.Number()]; remembered {
-		t.Error("a member counts as an unknown sender")
+		t.Error("the member b is recorded as an unknown sender, want it not recorded")
 	}
 }
 
 // A voter restarts and is partitioned from one other, so that it requests to join as another
-// incarnation. Then the leader's disk is replaced by an older copy, and the partition heals. The
-// two that hold all that was agreed on must go on: the voter must not give up its vote for the
-// learner that it requested to be.
+// incarnation. Then the leader's disk is replaced by an older copy, and the partition heals. The two
+// members that hold all committed entries must elect a leader: the voter must not give up its vote
+// to become the learner that it requested to be.
 func TestVouchedVoterKeepsVote(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	restarted, third := others[0], others[1]
@@ -72,29 +73,29 @@
 	r.start(restarted)
 	for end := r.now + 60000; !r.members[restarted].verification.joinRequested; {
 		if r.run(25); r.now > end {
-			t.Fatal("it does not request to join")
+			t.Fatalf("%s does not request to join within 60 s, want a request", restarted)
 		}
 	}
 	r.records[leader] = old
 	r.start(leader)
 	r.run(5000)
 	if r.leads("a", "b", "c") {
-		t.Fatal("a member leads without a majority")
+		t.Fatal("a member leads without a majority, want no leader")
 	}
 	r.lost = nil
 	r.run(40000)
 	if !r.leads("a", "b", "c") {
-		t.Fatal("no leader")
+		t.Fatal("none of a, b and c leads after the heal, want a leader")
 	}
 	for _, name := range r.founders {
 		r.expectRole(name, Voter)
 	}
 	if list, votes := r.leader().Members(); len(list) != 3 || slices.Contains(votes, false) {
-		t.Errorf("the quorum is %v, %v", list, votes)
+		t.Errorf("the members are %v with votes %v, want 3 voters", list, votes)
 	}
 	for _, name := range r.founders {
 		if r.members[name].State().Leases["w2"] == nil {
-			t.Errorf("%s does not know what was agreed on", name)
+			t.Errorf("%s does not know lease w2, want the committed state", name)
 		}
 	}
 }
@@ -109,50 +110,51 @@
 	r.lost = func(from, to members.ID) bool { return from == leader && to == lost }
 	r.run(15000)
 	if _, votes := r.leader().Members(); countVoters(votes) != 3 || !r.leader().votes(former) {
-		t.Errorf("of the quorum %d vote, and the former incarnation does not", countVoters(votes))
+		t.Errorf("%d members vote, and the former incarnation of %s votes: %v, want 3 and true",
+			countVoters(votes), lost, r.leader().votes(former))
 	}
 	r.lost = nil
 	r.run(15000)
 	r.expectRole(lost, Voter)
 	if list, votes := r.leader().Members(); len(list) != 3 || countVoters(votes) != 3 {
-		t.Errorf("the quorum is %v, %v", list, votes)
+		t.Errorf("after the heal the members are %v with votes %v, want 3 voters", list, votes)
 	}
 }
 
 // A voter is replaced, then the leader loses its disk while the other two restart. These must know
-// at once which members vote, to elect one of them.
+// from their disks which members vote, to elect one of them.
 func TestMembersKnownAtRestart(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	if !r.leader().Replace(others[0], "d") {
-		t.Fatal("not replaced")
+		t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", others[0])
 	}
 	for end := r.now + 30000; r.members[others[0]].role != NonMember; {
 		if r.run(25); r.now > end {
-			t.Fatal("not replaced in time")
+			t.Fatalf("%s is still a member 30 s after its replacement was requested", others[0])
 		}
 	}
-	r.run(1000) // the change is known to all, and nothing else is agreed on
+	r.run(1000) // until all have applied the change; nothing else is committed
 	delete(r.members, others[0])
 	r.loseDisk(leader)
 	r.start(others[1])
 	r.start("d")
 	r.run(1)
 	if list, votes := r.members["d"].Members(); len(list) != 3 || countVoters(votes) != 3 {
-		t.Errorf("after its restart the newcomer knows %v, %v", list, votes)
+		t.Errorf("after its restart d knows the members %v with votes %v, want 3 voters", list, votes)
 	}
 	r.run(40000)
 	if !r.leads(leader, others[1], "d") {
-		t.Fatal("no leader")
+		t.Fatalf("none of %s, %s and d leads, want a leader", leader, others[1])
 	}
 	for _, name := range []members.ID{leader, others[1], "d"} {
 		r.expectRole(name, Voter)
 	}
 }
 
-// A voter loses its disk and is taken in as another incarnation by a newcomer that leads; then its
-// disk is replaced by a copy from right after that. The founders have received nothing from this
-// incarnation. The newcomer, which the copy does not know, has received records that it lacks, and
-// must be asked too.
+// A voter loses its disk and is added as another incarnation by a newcomer that leads; then its disk
+// is replaced by a copy from right after that. The founders have received nothing from this
+// incarnation. The newcomer, which the copy does not know as a member, has received serials of
+// records that the copy lacks, so it must be asked to vouch too.
 func TestUnknownNewcomerHasToVouch(t *testing.T) {
 	for what, restore := range map[string]func(old, now []Record) []Record{
 		"the first record of an incarnation": func(_, now []Record) []Record { return now[:1] },
@@ -163,7 +165,7 @@
 			old := slices.Clone(r.records[others[0]])
 			r.run(1000)
 			if !r.leader().Replace(leader, "d") {
-				t.Fatal("not replaced")
+				t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", leader)
 			}
 			r.run(20000)
 			r.expectRole("d", Voter)
@@ -174,7 +176,7 @@
 				r.run(20000)
 				r.expectRole(lost, Voter)
 				if r.members[lost].Incarnation().Disk == 0 {
-					t.Fatal("it came back as itself")
+					t.Fatalf("%s votes as its first incarnation after the loss of its disk, want another", lost)
 				}
 			}
 			for ref := range uint64(3) {
@@ -186,19 +188,19 @@
 			r.run(30000)
 			r.expectRole(lost, Voter)
 			if after := r.members[lost].Incarnation(); after == before {
-				t.Errorf("it votes as %v, whose folder lacks what it promised", after)
+				t.Errorf("%s votes as %v, whose folder lacks records, want another incarnation", lost, after)
 			}
 		})
 	}
 }
 
-// The leader is replaced, its messages are lost for a moment when it learns that it was removed,
-// and another voter loses its disk. The others must learn of the removal all the same, and elect
-// one of them.
+// The leader is replaced, its messages are lost for a short time when it learns that it was removed,
+// and another voter loses its disk. The others must still learn of the removal, and elect one of
+// them.
 func TestRemovedLeaderLeadsUntilOthersKnow(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	if !r.leader().Replace(leader, "d") {
-		t.Fatal("not replaced")
+		t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", leader)
 	}
 	const lost = 100.0 // ms in which the leader's messages are lost
 	r.lost = func(from, _ members.ID) bool {
@@ -207,31 +209,31 @@
 	}
 	for end := r.now + 60000; r.members[leader].removedAt == 0; {
 		if r.run(25); r.now > end {
-			t.Fatal("not removed")
+			t.Fatalf("%s has not learned of its removal within 60 s", leader)
 		}
 	}
 	if _, votes := r.members["d"].Members(); countVoters(votes) != 4 {
-		t.Fatalf("%d vote as far as the others know", countVoters(votes))
+		t.Fatalf("as far as d knows %d members vote, want 4, as the removal is not known yet", countVoters(votes))
 	}
 	r.run(500)
 	r.loseDisk(others[0])
 	r.run(40000)
 	r.expectRole(leader, NonMember)
 	if at := r.members[leader].removedAt; at != 0 {
-		t.Errorf("it would step down at once if it came back and was removed again: %g", at)
+		t.Errorf("removedAt of the removed leader is %g, want 0, or it would step down at once if it were added and removed again", at)
 	}
 	if !r.leads(others[0], others[1], "d") {
-		t.Fatal("no leader")
+		t.Fatalf("none of %s, %s and d leads, want a leader", others[0], others[1])
 	}
 	for _, name := range []members.ID{others[0], others[1], "d"} {
 		r.expectRole(name, Voter)
 	}
 }
 
-// Messages come to the incarnation as which a voter once requested to join. The voter stays while
-// it hears from a leader, and for a while without one, as such a message may come before the first
-// heartbeat of a new leader. If they go on and it hears from no leader, the quorum goes on without
-// it.
+// A voter receives messages to the incarnation as which it once requested to join. It must keep its
+// vote while it has a leader, and for settleTime without one, as such a message may arrive before
+// the first heartbeat of a new leader. If the messages continue and it has no leader, the quorum
+// works without it, and its incarnation must end.
 func TestVoterStaysUnlessLeaderless(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
@@ -251,7 +253,7 @@
 	r.lost = partitioned
 	r.run(5000)
 	if b.Leader() != "" {
-		t.Fatal("it has a leader while it is partitioned")
+		t.Fatalf("the leader that b knows while it is partitioned is %s, want none", b.Leader())
 	}
 	writeToNext()
 	r.expectRole("b", Voter)
@@ -261,7 +263,7 @@
 	r.lost = nil
 	r.run(5000)
 	if b.Leader() == "" {
-		t.Fatal("it has no leader after the heal")
+		t.Fatal("b has no leader after the heal, want one")
 	}
 	writeToNext()
 	r.expectRole("b", Voter)
@@ -273,14 +275,15 @@
 	r.expectRole("b", Joining)
 }
 
-// A voter is partitioned while another is replaced, then all restart at once. The late voter names
-// the removed member, which the others know to be removed: they must not wait for its answer.
+// A voter is partitioned while another is replaced, then all restart at once. The voter that was
+// partitioned names the removed member, which the others know to be removed: they must not wait for
+// its answer.
 func TestRemovedMemberNeedNotVouch(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	late, removed := others[0], others[1]
 	r.lost = func(from, to members.ID) bool { return from == late || to == late }
 	if !r.leader().Replace(removed, "d") {
-		t.Fatal("not replaced")
+		t.Fatalf("the leader rejects the replacement of %s by d, want it accepted", removed)
 	}
 	r.run(20000)
 	r.expectRole("d", Voter)
@@ -292,15 +295,16 @@
 	r.lost = nil
 	r.run(40000)
 	if !r.leads(leader, late, "d") {
-		t.Fatal("no leader")
+		t.Fatalf("none of %s, %s and d leads, want a leader", leader, late)
 	}
 	for _, name := range []members.ID{leader, late, "d"} {
 		r.expectRole(name, Voter)
 	}
 }
 
-// Responses name members: of changes that may not be agreed on yet, which must vouch; as of a later
-// entry than the disk's, likewise; and as of an earlier entry, which need not.
+// A response names members. Those that are added by changes which may not be committed yet must
+// vouch, and so must the members as of a later entry than the disk's last. The members as of the
+// same or an earlier entry need not.
 func TestWhichMembersVouch(t *testing.T) {
 	for name, c := range map[string]struct {
 		response func(applied uint64) VouchResponse
@@ -331,34 +335,34 @@
 		b.handleVouchResponse("a", &response)
 		b.handleVouchResponse("c", &VouchResponse{Run: b.run})
 		if role, _ := b.Role(); (role == Unverified) != c.awaited {
-			t.Errorf("%s: it is %v", name, role)
+			t.Errorf("%s: before the response of d the role is %v, want it unverified: %v", name, role, c.awaited)
 		}
 		b.handleVouchResponse("d", &VouchResponse{Run: b.run})
 		if b.role != Voter {
-			t.Errorf("%s: with all responses it is %v", name, b.role)
+			t.Errorf("%s: with all responses the role is %v, want %v", name, b.role, Voter)
 		}
 	}
 }
 
-// A partitioned leader stores a change of the members, which may be agreed on later. It names the
-// member that would be added.
+// A partitioned leader stores a change of the members, which may be committed later. Its pending
+// members must include the one that the change would add.
 func TestPendingMembers(t *testing.T) {
 	r := newCluster(t, "a", "b", "c")
 	r.run(5000)
 	leader := r.leader()
 	if names := leader.pendingMembers(); len(names) != 0 {
-		t.Errorf("pending are %v", names)
+		t.Errorf("pending members of an idle leader are %v, want none", names)
 	}
 	r.lost = func(members.ID, members.ID) bool { return true }
 	leader.proposeChange(pb.ConfChangeAddLearnerNode, memberChange{Incarnation: Incarnation{Name: "d", Disk: 1}})
 	r.run(100)
 	if names := leader.pendingMembers(); !slices.Equal(names, []members.ID{"d"}) {
-		t.Errorf("pending are %v", names)
+		t.Errorf("pending members after a proposed change are %v, want d alone", names)
 	}
 }
 
-// A voter that responds requests to join as another incarnation: its disk was vouched for after
-// all. No learner is added beside it.
+// A voter that responds has requested to join as another incarnation: its disk was vouched for after
+// all. No learner may be added beside it.
 func TestNoLearnerBesideResponsiveVoter(t *testing.T) {
 	r, _, others := withNewcomer(t)
 	leader := r.leader()
@@ -366,19 +370,19 @@
 		other := Incarnation{Name: others[0], Disk: 99}
 		leader.membership.joins[others[0]] = joinRequest{incarnation: other, at: r.now}
 		if list, _ := leader.Members(); len(list) != 3 {
-			t.Fatalf("the members are %v", list)
+			t.Fatalf("the members are %v, want 3", list)
 		}
 	}
 }
 
-// A new leader is requested to take another incarnation of a member in. It first learns whether the
-// former one responds.
+// A new leader gets a request to join from another incarnation of a member. It must first observe
+// whether the former incarnation responds.
 func TestNewLeaderWaitsForResponses(t *testing.T) {
 	r, former, others := withNewcomer(t)
 	delete(r.members, former)
 	for end := r.now + 20000; !r.leads(others...); {
 		if r.run(25); r.now > end {
-			t.Fatal("no leader")
+			t.Fatalf("none of %v leads within 20 s, want a leader", others)
 		}
 	}
 	leader := r.leader()
@@ -390,15 +394,15 @@
 		return len(list)
 	}
 	if n := requestJoin(settleTime / 2); n != 3 {
-		t.Errorf("%d are members soon after an election", n)
+		t.Errorf("%d incarnations are members soon after an election, want 3", n)
 	}
 	if n := requestJoin(2 * settleTime); n != 4 {
-		t.Errorf("%d are members after a while", n)
+		t.Errorf("%d incarnations are members more than settleTime after an election, want 4", n)
 	}
 }
 
-// A voter loses its disk again and again before it has caught up. Each unused learner must be
-// removed before the next one is added.
+// A voter loses its disk repeatedly before it has caught up. Each unused learner must be removed
+// before the next one is added.
 func TestUnusedLearnersAreRemoved(t *testing.T) {
 	r, leader, others := withNewcomer(t)
 	lost := others[0]
@@ -407,37 +411,39 @@
 		r.loseDisk(lost)
 		r.run(12000)
 		if list, _ := r.leader().Members(); len(list) > 4 {
-			t.Fatalf("the members are %v", list)
+			t.Fatalf("the members are %v, want at most 4", list)
 		}
 	}
 	r.lost = nil
 	r.run(20000)
 	r.expectRole(lost, Voter)
 	if list, votes := r.leader().Members(); len(list) != 3 || countVoters(votes) != 3 {
-		t.Errorf("the quorum is %v, %v", list, votes)
+		t.Errorf("the members are %v with votes %v, want 3 voters", list, votes)
 	}
 }
 
-// A voter comes back as another incarnation that does not vote yet. Its name does not count as a voter.
+// A voter joins as another incarnation that does not vote yet. Its name must not count as a voter, or
+// a replacement would remove a member too early.
 func TestHasVote(t *testing.T) {
 	r, _, others := withNewcomer(t)
 	leader, name := r.leader(), others[0]
 	if !leader.hasVote(name) || leader.hasVote("d") {
-		t.Error("a voter does not count, or a controller that is no member does")
+		t.Errorf("hasVote of the voter %s is %v and of d, which is no member, %v, want true and false",
+			name, leader.hasVote(name), leader.hasVote("d"))
 	}
 	learner := Incarnation{Name: name, Disk: 99}
 	leader.addMember(learner)
 	if leader.hasVote(name) {
-		t.Error("a learner counts by its former incarnation's vote")
+		t.Error("hasVote of a learner whose former incarnation votes is true, want false")
 	}
 	delete(leader.incarnations, Incarnation{Name: name}.Number())
 	if leader.hasVote(name) {
-		t.Error("a learner counts")
+		t.Error("hasVote of a learner alone is true, want false")
 	}
 }
 
-// While its former incarnation goes on to vote, a learner is removed only once it does not respond.
-// What a leader knows of responses ends with its leadership.
+// A learner whose former incarnation has a vote and responds must be removed only if it does not
+// respond itself. A leader must discard the times of responses when it stops leading.
 func TestResponsiveLearnerIsNotRemoved(t *testing.T) {
 	r, _, others := withNewcomer(t)
 	leader := r.leader()
@@ -446,14 +452,14 @@
 	leader.membership.respondedAt[former.Number()] = leader.now
 	leader.membership.respondedAt[learner.Number()] = leader.now
 	if leader.removeUnusedLearner() {
-		t.Error("a learner that responds is removed")
+		t.Error("a learner that responds is removed, want it kept")
 	}
 	leader.membership.respondedAt[learner.Number()] = leader.now - settleTime
 	if !leader.removeUnusedLearner() {
-		t.Error("a learner that does not respond stays beside a voter that does")
+		t.Error("a learner that does not respond is kept beside a voter that does, want it removed")
 	}
 	leader.setLeading(false)
 	if len(leader.membership.respondedAt) > 0 {
-		t.Errorf("a follower knows of %d responses", len(leader.membership.respondedAt))
+		t.Errorf("a former leader has the times of %d responses, want none", len(leader.membership.respondedAt))
 	}
 }
--- a/internal/core/fleet/quorum/replica.go
+++ b/internal/core/fleet/quorum/replica.go
@@ -21,22 +21,22 @@
 	incarnation Incarnation
 	run         uint64
 	role        Role
-	roleReason  string // why it does not vote; empty for a voter
+	roleReason  string // why this member does not vote; empty for a voter
 
 	// The raft library.
-	node            *raft.RawNode // nil: it does not run
+	node            *raft.RawNode // nil if the library does not run
 	storage         *raft.MemoryStorage
 	isLeader        bool
 	leaderChangedAt float64 // ms, when isLeader last changed
 	tickAt          float64 // ms, when the library's next tick is due
 	campaignAt      float64 // ms, when this voter campaigns unless it hears from a leader
 
-	// What has been agreed on, as far as this member has applied it.
+	// The replicated state, as far as this member has applied the log.
 	voters         *pb.ConfState
 	leases         lease.State
 	config         config.State
 	incarnations   map[uint64]Incarnation // the members by their number
-	retired        []Incarnation          // that have ended: their messages are ignored
+	retired        []Incarnation          // incarnations that have ended: their messages are ignored
 	removed        []members.ID           // by an operator's command: they can't join by themselves
 	appliedIndex   uint64
 	appliedTerm    uint64 // of the entry at appliedIndex
@@ -45,36 +45,36 @@
 	snapshotWanted bool
 	applied        []Applied // since the last TakeApplied
 
-	// What is durable, and what waits for it.
+	// Durable serials, and messages that wait for serials to become durable.
 	serial          uint64                 // of the last durable record
-	receivedSerials map[Incarnation]uint64 // the highest durable ones of other incarnations
-	inflightSerials map[Incarnation]uint64 // that the pending Ready makes durable
-	waitingSerials  map[Incarnation]uint64 // that the next Ready makes durable
-	waiting         []*raftMessage         // messages that wait for waitingSerials
+	receivedSerials map[Incarnation]uint64 // the highest durable serials of other incarnations
+	inflightSerials map[Incarnation]uint64 // serials that the pending Ready makes durable
+	waitingSerials  map[Incarnation]uint64 // serials that the next Ready makes durable
+	waiting         []*raftMessage         // received messages that wait for waitingSerials
 	readyPending    bool                   // a Ready waits for Advance
 	newIncarnation  bool                   // the next Ready begins another incarnation
 
 	// Verification of this disk, and joining as another incarnation.
 	verification  verification
 	nextRequestAt float64     // ms, when the next request to vouch or to join is due
-	joinContact   Incarnation // a member that wrote to this one while it knew none
-	leaderHint    members.ID  // the leader that another member named when this one requested to join
+	joinContact   Incarnation // a member that sent to this controller while it knew no members
+	leaderHint    members.ID  // the leader that another member named in a Redirect
 
-	// A leader writes to the next incarnation, and none to this one (handleSuperseded).
-	supersededSince float64 // ms, when that began
-	supersededAt    float64 // ms, when a leader last did so
+	// Messages to the next incarnation while this one has no leader (keepsVote).
+	supersededSince float64 // ms, since when they have arrived
+	supersededAt    float64 // ms, when one last arrived
 
 	// Other members.
-	requestingRuns map[Incarnation]uint64 // the run that last requested vouching; others are over
-	unknownSenders map[uint64]Incarnation // senders that are no members as far as this one knows
+	requestingRuns map[Incarnation]uint64 // the last run that sent a VouchRequest; others have ended
+	unknownSenders map[uint64]Incarnation // senders that this controller does not know as members
 
-	membership membershipChanges // of the leader
+	membership membershipChanges // used while this member leads
 	removedAt  float64           // ms, when this leader learned that it was removed; 0: it was not
 
 	outgoing []Message // since the last TakeMessages
 }
 
-// New returns a replica that goes on from the records of its folder; none: the folder is new. It
+// New returns a replica that continues from the records of its folder; a new folder has none. It
 // fails if the records are not in order (ErrRecordOrder) or can't be decoded.
 func New(cfg Config, records []Record, now float64) (*Replica, error) {
 	r := &Replica{
@@ -98,11 +98,11 @@
 		return nil, err
 	}
 	if r.incarnation.Disk == 0 && !slices.Contains(cfg.Founders, cfg.Self) && len(records) == 0 {
-		r.setRole(NonMember, "not one of the quorum")
+		r.setRole(NonMember, "not a member of the quorum")
 		return r, nil
 	}
-	// A later incarnation is unverified too: a copy of its folder from before it was taken in looks
-	// like one that was never taken in.
+	// A later incarnation is unverified too: a copy of its folder from before it was added looks like
+	// the folder of one that was never added.
 	r.setRole(Unverified, "its disk has not been vouched for yet")
 	if len(r.others()) == 0 {
 		r.participate()
@@ -110,13 +110,13 @@
 	return r, nil
 }
 
-// setRole sets the role, and why this member does not vote; empty for a voter.
+// setRole sets the role, and the reason why this member does not vote, which is empty for a voter.
 func (r *Replica) setRole(role Role, reason string) {
 	r.role = role
 	r.roleReason = reason
 }
 
-// Tick advances the time and does what is due.
+// Tick advances the time and carries out what is due.
 func (r *Replica) Tick(now float64) {
 	r.now = max(r.now, now)
 	switch r.role {
@@ -139,12 +139,12 @@
 	if r.isLeader {
 		r.changeMembers()
 	}
-	if r.removedAt > 0 { // it steps down when its time to lead is over
+	if r.removedAt > 0 { // a removed leader steps down after stepDownDelay
 		r.updateRole()
 	}
 }
 
-// Next returns when Tick is to be called at the latest, in ms.
+// Next returns the latest time at which Tick has to be called, in ms.
 func (r *Replica) Next() float64 {
 	if r.role == NonMember {
 		return r.now + nonMemberInterval
@@ -155,29 +155,29 @@
 	return r.tickAt
 }
 
-// State returns the agreed leases, as far as this member has applied them. It may be stale unless
-// this member leads.
+// State returns the replicated state of the leases, as far as this member has applied the log. It
+// may be stale unless this member leads.
 func (r *Replica) State() *lease.State { return &r.leases }
 
-// ConfigState returns what is agreed on about the fleet's configuration, as far as this member has
-// applied it.
+// ConfigState returns the replicated state of the fleet's configuration, as far as this member has
+// applied the log.
 func (r *Replica) ConfigState() *config.State { return &r.config }
 
 // AppliedIndex returns the log index of the last entry that this member has applied.
 func (r *Replica) AppliedIndex() uint64 { return r.appliedIndex }
 
 // ChangedIndex returns the log index of the last entry that changed the members, the leases or
-// their holders; renewals don't raise it. After a restore it is the snapshot's index.
+// their holders; renewals don't raise it. After a snapshot was restored it is the snapshot's index.
 func (r *Replica) ChangedIndex() uint64 { return r.changedIndex }
 
 // Leads reports whether this member leads, as far as it knows.
 func (r *Replica) Leads() bool { return r.isLeader }
 
 // LeadsCaughtUp reports whether this member leads and has applied an entry of its own term. Only
-// then does its state hold all that was agreed on before, and it can answer for the quorum.
+// then does its state include all that was committed before, so that it can answer for the quorum.
 func (r *Replica) LeadsCaughtUp() bool { return r.isLeader && r.appliedTerm == r.Term() }
 
-// Leader returns the member that leads, as far as this one knows; empty: none.
+// Leader returns the leader as far as this member knows, or empty if it knows none.
 func (r *Replica) Leader() members.ID {
 	if r.node == nil {
 		return ""
@@ -185,10 +185,10 @@
 	return r.incarnations[r.node.BasicStatus().Lead].Name
 }
 
-// Role returns what this controller is in the quorum, and why it does not vote.
+// Role returns this controller's role, and the reason why it does not vote.
 func (r *Replica) Role() (Role, string) { return r.role, r.roleReason }
 
-// Members returns the quorum's incarnations, and whether each votes.
+// Members returns the incarnations that are members of the quorum, and whether each has a vote.
 func (r *Replica) Members() (list []Incarnation, votes []bool) {
 	for _, number := range slices.Sorted(maps.Keys(r.incarnations)) {
 		list = append(list, r.incarnations[number])
--- a/internal/core/fleet/quorum/snapshot.go
+++ b/internal/core/fleet/quorum/snapshot.go
@@ -14,20 +14,21 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// snapshot is the agreed state, which is the same on all members that have applied the same index.
-// It is encoded as CBOR by the integer keys of its fields.
+// snapshot is the replicated state, which is the same on all members that have applied the same
+// index. It is encoded as CBOR by the integer keys of its fields.
 type snapshot struct {
 	Leases       []lease.Lease `cbor:"1,keyasint"`
 	Incarnations []Incarnation `cbor:"2,keyasint"`
-	// Retired are incarnations that have ended, as their disk was lost or restored.
+	// Retired are incarnations that have ended: they were removed, or another incarnation took their
+	// place after their disk was lost or restored.
 	Retired []Incarnation `cbor:"3,keyasint"`
 	// Removed are the members removed by an operator's command.
 	Removed []members.ID `cbor:"4,keyasint,omitempty"`
-	// Config is nil if no version has been agreed on.
+	// Config is nil if no version has been committed.
 	Config *config.State `cbor:"5,keyasint,omitempty"`
 }
 
-// snapshot returns the agreed state as this member has applied it.
+// snapshot returns the replicated state as of the last entry that this member has applied.
 func (r *Replica) snapshot() snapshot {
 	s := snapshot{Leases: r.leases.List(), Retired: r.retired, Removed: r.removed}
 	if len(r.config.Versions) > 0 {
@@ -39,11 +40,11 @@
 	return s
 }
 
-// restore replaces the agreed state by that of a snapshot.
+// restore replaces the replicated state by that of a snapshot.
 func (r *Replica) restore(snap *pb.Snapshot) error {
 	var s snapshot
 	if err := cbor.Unmarshal(snap.GetData(), &s); err != nil {
-		return fmt.Errorf("agreed state: %w", err)
+		return fmt.Errorf("decode replicated state: %w", err)
 	}
 	r.leases.Restore(s.Leases)
 	r.retired = s.Retired
@@ -66,8 +67,8 @@
 }
 
 // Compact returns a record that replaces all earlier ones, if the log has grown long or a learner
-// was added; nil: there is none to write. The caller makes it durable while no Ready waits for
-// Advance, passes it to Compacted, and may then delete the earlier records.
+// was added, or else nil. The caller makes the record durable while no Ready waits for Advance,
+// passes it to Compacted, and may then delete the earlier records.
 func (r *Replica) Compact() *Record {
 	if !r.snapshotWanted || r.readyPending || r.node == nil || r.newIncarnation {
 		return nil
@@ -86,7 +87,7 @@
 	return r.fullRecord(snap)
 }
 
-// fullRecord returns a record that holds all that the records so far do.
+// fullRecord returns a record that replaces all records so far.
 func (r *Replica) fullRecord(snap *pb.Snapshot) *Record {
 	incarnation := r.incarnation
 	rec := &Record{
@@ -107,5 +108,5 @@
 	return rec
 }
 
-// Compacted takes over the serial number of a record of Compact that became durable.
+// Compacted continues after a record of Compact became durable.
 func (r *Replica) Compacted(rec *Record) { r.serial = rec.Serial }
--- a/internal/core/fleet/quorum/storage.go
+++ b/internal/core/fleet/quorum/storage.go
@@ -15,11 +15,11 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// ErrRecordOrder is returned by New if the serials of the records don't follow each other.
+// ErrRecordOrder is returned by New if the serials of the records are not consecutive.
 var ErrRecordOrder = errors.New("records are not in order")
 
-// reset replaces the agreed state by that at the foundation, the same on all founders, and stops
-// the raft library.
+// reset stops the raft library and replaces the replicated state by the initial one, which is the
+// same on all founders.
 func (r *Replica) reset() {
 	r.node = nil
 	r.storage = raft.NewMemoryStorage()
@@ -32,7 +32,7 @@
 	r.removed = nil
 	r.voters = &pb.ConfState{}
 	if r.incarnation.Disk != 0 {
-		return // the leader sends a later incarnation everything
+		return // a later incarnation gets the whole state from the leader
 	}
 	for _, name := range r.cfg.Founders {
 		founder := Incarnation{Name: name}
@@ -46,7 +46,8 @@
 	r.snapshotIndex = 1
 }
 
-// replay takes in the records of a folder, and applies the entries that they show to be committed.
+// replay loads the records of a folder into the storage, and applies the entries that are known to
+// be committed.
 func (r *Replica) replay(records []Record) error {
 	for i, rec := range records {
 		if i > 0 && rec.Serial != r.serial+1 || rec.Serial == 0 {
@@ -68,14 +69,14 @@
 	return r.replayCommitted()
 }
 
-// replayCommitted applies the stored entries that are known to be committed: they show which
-// incarnations are in the quorum. Later entries are agreed on again.
+// replayCommitted applies the stored entries that are known to be committed, which determine the
+// members of the quorum. Whether later entries are committed is learned again from a leader.
 func (r *Replica) replayCommitted() error {
 	hard, _, err := r.storage.InitialState()
 	if err != nil || hard == nil {
 		return err
 	}
-	if hard.GetCommit() < r.appliedIndex { // a commit index alone is not stored
+	if hard.GetCommit() < r.appliedIndex { // a change of the commit index alone is not stored
 		hard = &pb.HardState{
 			Term:   new(hard.GetTerm()),
 			Vote:   new(hard.GetVote()),
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// store takes a record into the storage that the raft library reads.
+// store adds a record to the storage that the raft library reads.
 func (r *Replica) store(rec *Record) error {
 	if rec.Snapshot != nil {
 		if err := r.storeSnapshot(rec.Snapshot); err != nil {
@@ -115,28 +116,28 @@
 	}
 	hard := &pb.HardState{}
 	if err := proto.Unmarshal(rec.HardState, hard); err != nil {
-		return fmt.Errorf("hard state: %w", err)
+		return fmt.Errorf("decode hard state: %w", err)
 	}
 	return r.storage.SetHardState(hard)
 }
 
-// decodeEntries returns the entries of a record.
+// decodeEntries decodes the log entries of a record.
 func decodeEntries(encoded [][]byte) (entries []*pb.Entry, err error) {
 	for _, data := range encoded {
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal(data, entry); err != nil {
-			return nil, fmt.Errorf("entry: %w", err)
+			return nil, fmt.Errorf("decode log entry: %w", err)
 		}
 		entries = append(entries, entry)
 	}
 	return entries, nil
 }
 
-// storeSnapshot takes a snapshot into the storage and restores the agreed state from it.
+// storeSnapshot adds a snapshot to the storage and restores the replicated state from it.
 func (r *Replica) storeSnapshot(data []byte) error {
 	snap := &pb.Snapshot{}
 	if err := proto.Unmarshal(data, snap); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
 	if err := r.storage.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return err
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -1,8 +1,8 @@
 package quorum
 
-// A rename or a reordering of fields can change what a quorum member stores: it shows only when a
-// controller starts with a folder that an earlier build wrote. These tests read records and agreed
-// state as an earlier build encoded them.
+// A rename or a reordering of fields can change the encoding of what a quorum member stores. The
+// fault would appear only when a controller starts with a folder that an earlier build wrote. These
+// tests compare records and replicated state with the encoding of an earlier build.
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"mintkeel/internal/lab/golden"
 )
 
-// protoBytes encodes a message of the consensus library in one order of its fields.
+// protoBytes encodes a message of the raft library, with its fields in a fixed order.
 func protoBytes(t *testing.T, message proto.Message) []byte {
 	t.Helper()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -54,7 +54,7 @@
 	}
 }
 
-// storedCommands has each command of the quorum's log, with every field set.
+// storedCommands returns each lease command of the quorum's log, with every field set.
 func storedCommands() map[string]lease.Command {
 	holder := lease.Holder{ID: "n1", Run: 77}
 	grant := lease.Grant{Name: "digest", Token: 9}
@@ -69,8 +69,8 @@
 	}
 }
 
-// storedRecord is a full record: a snapshot of the agreed state, an entry after it, received
-// serials and a hard state.
+// storedRecord returns a full record: a snapshot of the replicated state, an entry after it,
+// received serials and a hard state.
 func storedRecord(t *testing.T) Record {
 	t.Helper()
 	agreed, err := cbor.Marshal(storedSnapshot())
@@ -127,8 +127,8 @@
 	golden.CBOR(t, table, "config", proposal{Proposer: "n1", Ref: 16, Config: proposed}, cbor.Unmarshal)
 }
 
-// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote: it has the
-// agreed state, and the record that it would write to replace all is the same again.
+// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote. The replica
+// must have the stored state, and its full record must equal the stored one.
 func TestStoredRecordIsReadable(t *testing.T) {
 	stored := golden.Open(t, "replay.golden").Bytes(t, "record", mustEncode(t, storedRecord(t)))
 	var record Record
@@ -142,26 +142,27 @@
 	}
 	want := storedSnapshot()
 	if got := replica.leases.List(); !reflect.DeepEqual(got, want.Leases) {
-		t.Errorf("leases: %+v", got)
+		t.Errorf("leases: %+v, want %+v", got, want.Leases)
 	}
 	if got := replica.snapshot(); !reflect.DeepEqual(got.Retired, want.Retired) ||
 		!reflect.DeepEqual(got.Removed, want.Removed) || !reflect.DeepEqual(got.Config, want.Config) ||
 		len(got.Incarnations) != len(want.Incarnations) {
-		t.Errorf("agreed state: %+v", got)
+		t.Errorf("replicated state: %+v, want %+v", got, want)
 	}
 	if replica.incarnation != *record.Incarnation || replica.serial != record.Serial ||
 		replica.receivedSerials[record.ReceivedSerials[0].Incarnation] != record.ReceivedSerials[0].Serial || replica.appliedIndex != 41 {
-		t.Errorf("incarnation %+v, serial %d, marks %v, applied %d", replica.incarnation, replica.serial, replica.receivedSerials,
-			replica.appliedIndex)
+		t.Errorf("incarnation %+v, serial %d, received serials %v, applied index %d, want %+v, %d, %v, 41",
+			replica.incarnation, replica.serial, replica.receivedSerials, replica.appliedIndex,
+			*record.Incarnation, record.Serial, record.ReceivedSerials)
 	}
 	snap, err := replica.storage.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := replica.fullRecord(snap)
-	full.Serial = record.Serial // the next one's is one more
+	full.Serial = record.Serial // a new record has the next serial
 	if rewritten := mustEncode(t, *full); !bytes.Equal(rewritten, stored) {
-		t.Errorf("written again:\n%x\nstored:\n%x", rewritten, stored)
+		t.Errorf("full record of the replica:\n%x\nwant the stored one:\n%x", rewritten, stored)
 	}
 }
 
@@ -170,7 +171,7 @@
 		Voter: "voting"}
 	for role, name := range names {
 		if role.String() != name {
-			t.Errorf("%q, and was %q", role, name)
+			t.Errorf("name of role %d is %q, want %q as in earlier builds", uint8(role), role, name)
 		}
 	}
 }
--- a/internal/core/fleet/quorum/verification.go
+++ b/internal/core/fleet/quorum/verification.go
@@ -11,16 +11,16 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// verification is the state of an unverified member while the others have to vouch for its disk.
+// verification is the state of an unverified member until the others have vouched for its disk.
 type verification struct {
 	startedAt        float64             // ms
 	vouched          map[members.ID]bool // the members that have vouched for this disk
-	extraVouchers    map[members.ID]bool // members that the others know of, and that have to vouch too
-	othersHaveLeader bool                // the others have a leader without this one
+	extraVouchers    map[members.ID]bool // members named by others that have to vouch too
+	othersHaveLeader bool                // another member has reported a leader
 	joinRequested    bool                // it also requests to join as another incarnation
 }
 
-// newVerification returns the state at a start.
+// newVerification returns the state at the start of a process.
 func newVerification(now float64) verification {
 	return verification{
 		startedAt:     now,
@@ -29,8 +29,8 @@
 	}
 }
 
-// TrustDisk carries out an operator's command that says that this folder is the latest there is. It
-// returns false if the disk is not unverified.
+// TrustDisk carries out an operator's command which asserts that this folder is the latest there
+// is. It returns false if this member is not Unverified.
 func (r *Replica) TrustDisk() bool {
 	if r.role != Unverified {
 		return false
@@ -39,7 +39,8 @@
 	return true
 }
 
-// participate begins to take part: this disk holds all that this incarnation ever promised.
+// participate begins to take part in the quorum. It is called when this disk is known to hold all
+// that this incarnation ever promised.
 func (r *Replica) participate() {
 	if r.incarnation.Disk != 0 && !r.isMember() {
 		r.setRole(Joining, "its former incarnation has ended")
@@ -51,9 +52,9 @@
 	r.updateRole()
 }
 
-// requestVouching asks the others for the highest serial that they received from this member. If
-// they have a leader and not all answer, it also requests to join as another incarnation: whichever
-// succeeds first counts.
+// requestVouching requests from the others the highest serial that they received from this member.
+// If they have a leader and not all have answered within vouchTimeout, it also requests to join as
+// another incarnation: whichever succeeds first takes effect.
 func (r *Replica) requestVouching() {
 	if r.now < r.nextRequestAt {
 		return
@@ -68,7 +69,7 @@
 		return
 	}
 	r.roleReason = "not all others can vouch for its disk; " +
-		"asking to be taken in as another incarnation"
+		"requesting to join as another incarnation"
 	for _, name := range r.joinTargets() {
 		r.outgoing = append(r.outgoing, Message{
 			From: r.nextIncarnation(),
@@ -80,9 +81,9 @@
 }
 
 // handleVouchRequest answers a member that starts with the highest serial that was received from
-// it. Those of messages that still wait to be durable here count, as these messages will be used.
-// Messages of the member's earlier runs that are still under way are ignored from now on, or one
-// could be used after its serial was denied.
+// it. Serials that are not durable yet count, as the messages that wait for them will be used.
+// Messages of the member's earlier runs that arrive from now on are ignored, or one could be used
+// although the answer did not include its serial.
 func (r *Replica) handleVouchRequest(m *Message) {
 	if m.VouchRequest.Run != m.Run || r.newIncarnation {
 		return
@@ -107,10 +108,10 @@
 	r.send(m.From, Message{VouchResponse: response})
 }
 
-// pendingMembers returns the names of the members that are added by entries which this one has
-// stored and does not know to be agreed on. Each change that was agreed on is stored by a majority
-// of the members before it, so the answers of all of them name every member that a change may have
-// added.
+// pendingMembers returns the names of the members that are added by entries which this member has
+// stored and does not know to be committed. Each committed change is stored by a majority of the
+// members before it, so the answers of all of them together name every member that a change may
+// have added.
 func (r *Replica) pendingMembers() (names []members.ID) {
 	first, _ := r.storage.FirstIndex()
 	last, _ := r.storage.LastIndex()
@@ -128,7 +129,7 @@
 	return names
 }
 
-// addedMember returns the member that an entry adds; empty: none.
+// addedMember returns the member that an entry adds, or empty if it adds none.
 func addedMember(entry *pb.Entry) members.ID {
 	change := &pb.ConfChange{}
 	if entry.GetType() != pb.EntryConfChange || proto.Unmarshal(entry.GetData(), change) != nil ||
@@ -142,9 +143,9 @@
 	return c.Incarnation.Name
 }
 
-// vouchers returns the names of all that have to vouch for this disk: the members that it knows of,
-// and those that they know of. An older copy of a folder does not know the members that came later,
-// which may have received the highest serials from it.
+// vouchers returns the names of all that have to vouch for this disk: the members that this one
+// knows, and those that they name. An older copy of a folder does not know members that were added
+// later, which may have received the highest serials.
 func (r *Replica) vouchers() []members.ID {
 	names := r.others()
 	for name := range r.verification.extraVouchers {
@@ -166,13 +167,13 @@
 	}
 }
 
-// handleVouchResponse handles what another member knows of this incarnation.
+// handleVouchResponse handles the answer of another member to a VouchRequest.
 func (r *Replica) handleVouchResponse(from members.ID, response *VouchResponse) {
 	if r.role != Unverified || response.Run != r.run {
 		return
 	}
 	if response.Retired {
-		r.endIncarnation(fmt.Sprintf("%s says that this incarnation has ended", from))
+		r.endIncarnation(fmt.Sprintf("%s reports that this incarnation has ended", from))
 		return
 	}
 	if response.ReceivedSerial > r.serial {
@@ -183,7 +184,7 @@
 	r.verification.othersHaveLeader = r.verification.othersHaveLeader || response.HasLeader
 	r.verification.vouched[from] = true
 	r.addExtraVouchers(response.PendingMembers)
-	if response.Index > r.appliedIndex { // an older view names no member that this disk does not know
+	if response.Index > r.appliedIndex { // an older list has no member that this disk does not know
 		r.addExtraVouchers(response.Members)
 	}
 	for _, name := range r.vouchers() {
