--- a/internal/core/fleet/node/operator.go
+++ b/internal/core/fleet/node/operator.go
@@ -34,10 +34,10 @@
 func (n *Node) sendPreferences() {
 	leases, _ := n.Leases()
 	n.pendingPreferences = slices.DeleteFunc(n.pendingPreferences, func(p pendingPreference) bool {
-		agreed := func(l lease.Lease) bool {
+		committed := func(l lease.Lease) bool {
 			return l.Name == p.prefer.Name && (l.Preferred == p.prefer.To || l.Holder.ID == p.prefer.To)
 		}
-		return n.now > p.deadline || slices.ContainsFunc(leases, agreed)
+		return n.now > p.deadline || slices.ContainsFunc(leases, committed)
 	})
 	if len(n.pendingPreferences) == 0 || n.now < n.sendPreferencesAt {
 		return
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -73,7 +73,7 @@
 // received serials and a hard state.
 func storedRecord(t *testing.T) Record {
 	t.Helper()
-	agreed, err := cbor.Marshal(storedSnapshot())
+	state, err := cbor.Marshal(storedSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		HardState:   protoBytes(t, &pb.HardState{Term: new(uint64(6)), Vote: new(voters[0]), Commit: new(uint64(41))}),
 		Entries: [][]byte{protoBytes(t, &pb.Entry{Type: pb.EntryNormal.Enum(), Term: new(uint64(6)), Index: new(uint64(41)),
 			Data: entry})},
-		Snapshot: protoBytes(t, &pb.Snapshot{Data: agreed, Metadata: &pb.SnapshotMetadata{
+		Snapshot: protoBytes(t, &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{
 			ConfState: &pb.ConfState{Voters: voters, AutoLeave: new(false)}, Index: new(uint64(40)), Term: new(uint64(5))}}),
 		ReceivedSerials: []ReceivedSerial{{Incarnation: Incarnation{Name: "n2", Disk: 102}, Serial: 33}},
 		Full:            true,
@@ -104,9 +104,9 @@
 	record := storedRecord(t)
 	golden.AllSet(t, record)
 	golden.CBOR(t, table, "record", record, cbor.Unmarshal)
-	agreed := storedSnapshot()
-	golden.AllSet(t, agreed)
-	golden.CBOR(t, table, "agreed-state", agreed, cbor.Unmarshal)
+	state := storedSnapshot()
+	golden.AllSet(t, state)
+	golden.CBOR(t, table, "agreed-state", state, cbor.Unmarshal)
 	change := memberChange{Incarnation: Incarnation{Name: "n4", Disk: 104}, Removed: true}
 	golden.AllSet(t, change)
 	golden.CBOR(t, table, "member-change", change, cbor.Unmarshal)
