--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -6,7 +6,7 @@
 )
 
 // Client tracks the leases offered to this controller, and until when it may act under each by its
-// own steady clock. It is for one goroutine.
+// own steady clock. It is not safe for concurrent use.
 type Client struct {
 	self     Holder
 	timing   Timing
@@ -123,7 +123,7 @@
 	return &Release{Holder: c.self, Grant: grant, Failed: failed}
 }
 
-// Held returns the grants under which this controller may act now, by name.
+// Held returns the grants under which this controller may act now, sorted by name.
 func (c *Client) Held(now float64) (held []Grant) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
 		if token, _, ok := c.CanAct(now, name); ok {
@@ -141,7 +141,7 @@
 	return began, ended
 }
 
-// Next returns when Renewal or TakeChanges is to be called at the latest, in ms.
+// Next returns the latest time at which Renewal or TakeChanges has to be called, in ms.
 func (c *Client) Next(now float64) float64 {
 	if len(c.held) == 0 {
 		return now + c.timing.Duration
--- a/internal/core/fleet/lease/command.go
+++ b/internal/core/fleet/lease/command.go
@@ -14,7 +14,7 @@
 	LoadState  *LoadState  `cbor:"7,keyasint,omitempty"`
 }
 
-// ChangesHolders reports whether the command may change which leases there are, their holders or
+// ChangesHolders reports whether the command may change which leases exist, their holders or
 // their preferred holders.
 func (c Command) ChangesHolders() bool {
 	return c.Declare != nil || c.Assign != nil || c.Release != nil || c.Prefer != nil
@@ -36,7 +36,7 @@
 type Renew struct {
 	Holder   Holder  `cbor:"1,keyasint"`
 	Grants   []Grant `cbor:"2,keyasint"`
-	Sequence uint64  `cbor:"3,keyasint"` // the holder's number of this renewal
+	Sequence uint64  `cbor:"3,keyasint"` // number that the holder gave this renewal
 }
 
 // Release ends a holder's lease: the holder has stopped and begins no more effects under the grant.
--- a/internal/core/fleet/lease/lease.go
+++ b/internal/core/fleet/lease/lease.go
@@ -47,7 +47,7 @@
 const (
 	// MaxStateBytes bounds the job's state that a holder stores with its lease.
 	MaxStateBytes = 128 << 10
-	// maxLeases bounds the leases, retired ones among them, of a State, a Client and a FencingCheck.
+	// maxLeases bounds the leases, including retired ones, of a State, a Client and a FencingCheck.
 	maxLeases = 256
 	// maxNameBytes bounds the names of leases and of preferred holders.
 	maxNameBytes = 64
--- a/internal/core/fleet/lease/manager.go
+++ b/internal/core/fleet/lease/manager.go
@@ -18,8 +18,8 @@
 
 // Manager decides on the leader which leases to assign, from when each was last renewed by the
 // leader's clock. A controller creates a new one whenever it becomes leader. All leases then count
-// as renewed at that time, as it does not know when the former leader saw them renewed. It is for
-// one goroutine.
+// as renewed at that time, as it does not know when the former leader saw them renewed. A Manager
+// is not safe for concurrent use.
 type Manager struct {
 	timing       Timing
 	startedAt    float64                 // ms
@@ -38,10 +38,10 @@
 // assignment is an Assign that was proposed.
 type assignment struct {
 	revision uint64
-	deadline float64 // ms, from which on it is proposed again
+	deadline float64 // ms, after which it is proposed again
 }
 
-// NewManager returns the manager of a controller that has become leader now.
+// NewManager returns the manager of a controller that became leader at now, in ms.
 func NewManager(t Timing, now float64) *Manager {
 	return &Manager{
 		timing:       t,
@@ -142,7 +142,7 @@
 	return commands
 }
 
-// leasesByHolder counts the leases of each holder.
+// leasesByHolder counts the leases that each member holds, without retired ones.
 func leasesByHolder(state *State) map[members.ID]int {
 	holding := map[members.ID]int{}
 	for _, lease := range state.Leases {
@@ -208,7 +208,7 @@
 // hashMultiplier spreads the hash's low bits to its high ones (2^64 divided by the golden ratio).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// spreadHash orders the members differently for each lease.
+// spreadHash returns a hash that orders the members differently for each lease.
 func spreadHash(name Name, id members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/core/fleet/lease/state.go
+++ b/internal/core/fleet/lease/state.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// State is the replicated state of all leases. The zero value has no leases. It is for one
-// goroutine.
+// State is the replicated state of all leases. The zero value has no leases. It is not safe
+// for concurrent use.
 type State struct {
 	Leases map[Name]*Lease
 }
--- a/internal/core/fleet/lease/timing.go
+++ b/internal/core/fleet/lease/timing.go
@@ -7,7 +7,7 @@
 	Duration float64
 }
 
-// Shares of a lease's duration.
+// Times as shares of a lease's duration.
 //
 // A holder stops holdShare after it sent the last confirmed renewal; the leader assigns the lease
 // to another holder reassignShare after that renewal was applied, which is later. The margin
@@ -43,6 +43,7 @@
 	unconfirmedBackoff = 15000.0
 	// proposalTimeout is the time after which an assignment that was not committed is proposed again.
 	proposalTimeout = 3000.0
-	// preferredWait is how long a free lease waits at most for the member that an operator prefers.
+	// preferredWait is the longest time that a free lease waits for the member that an operator
+	// prefers.
 	preferredWait = 60000.0
 )
--- a/internal/core/fleet/members/doc.go
+++ b/internal/core/fleet/members/doc.go
@@ -17,7 +17,7 @@
 // lost, duplicated and reordered.
 //
 // The states [Suspect] and [Dead] are this controller's belief. They never decide which controller
-// may act: that is the fencing token of a lease (package lease).
+// may act: that is decided by the fencing token of a lease (package lease).
 //
 // [Config] bounds the memory that a peer can make a Table use: the number of members, of relayed
 // pings, and of members in a message.
--- a/internal/core/fleet/members/table.go
+++ b/internal/core/fleet/members/table.go
@@ -26,7 +26,7 @@
 	return &entry{Member: m, ringHash: ringHash(m.ID), changedAt: now}
 }
 
-// Table is one controller's view of the membership. It is for one goroutine.
+// Table is one controller's view of the membership. It is not safe for concurrent use.
 type Table struct {
 	config  Config
 	rng     *rand.Rand
@@ -35,7 +35,7 @@
 	entries map[ID]*entry
 	index   index // the entries in sorted lists
 
-	// Outputs since the last TakeMessages and TakeChanges.
+	// Outputs since the last calls of TakeMessages and TakeChanges.
 	outgoing []Envelope
 	changes  []Change
 
--- a/internal/core/fleet/node/effects.go
+++ b/internal/core/fleet/node/effects.go
@@ -7,8 +7,8 @@
 
 // TryEffect sends an effect under a lease that this controller holds. It returns false, and sends
 // nothing, if the controller does not hold the lease. The hold time is checked here and the message
-// is sent later: if the process pauses in between and another holder has acted meanwhile, the
-// receiver's fencing check rejects the effect.
+// is sent later: if the process pauses in between, and the receiver has seen the next holder's
+// token meanwhile, its fencing check rejects the effect.
 func (n *Node) TryEffect(now float64, name lease.Name, to members.ID, id uint64, data []byte) bool {
 	n.now = max(n.now, now)
 	grant, held := n.currentGrant(name)
--- a/internal/core/fleet/node/fleetconfig.go
+++ b/internal/core/fleet/node/fleetconfig.go
@@ -23,7 +23,7 @@
 // Voters returns the quorum's members, as far as this controller knows.
 func (e configEnvironment) Voters() []members.ID { return e.node.Voters() }
 
-// Leader returns the quorum's leader; empty: not known.
+// Leader returns the quorum's leader, or empty if this controller knows none.
 func (e configEnvironment) Leader() members.ID { return e.node.Leader() }
 
 // Leads reports whether this controller leads the quorum and has applied all that was committed
@@ -39,7 +39,8 @@
 // State returns the quorum's replicated state of the configuration.
 func (e configEnvironment) State() *config.State { return e.node.quorum.ConfigState() }
 
-// Propose proposes to the quorum, if this controller leads it.
+// Propose proposes a version to the quorum. It returns false if this controller does not lead or
+// too much is pending.
 func (e configEnvironment) Propose(p config.Proposal) bool {
 	return e.node.quorum.ProposeConfig(e.node.cfg.Self.ID, p)
 }
--- a/internal/core/fleet/node/messages.go
+++ b/internal/core/fleet/node/messages.go
@@ -42,7 +42,7 @@
 
 // RenewResponse answers a Renew when it is committed and applied. It also confirms a Release.
 type RenewResponse struct {
-	// Sequence is that of the renewal; 0 if the response is to a Release.
+	// Sequence is the Sequence of the renewal; 0 if the response is to a Release.
 	Sequence uint64 `cbor:"1,keyasint"`
 	// Valid are the grants that are renewed, Invalid those that the holder no longer holds.
 	Valid   []lease.Grant `cbor:"2,keyasint"`
@@ -61,7 +61,7 @@
 	Grant lease.Grant  `cbor:"2,keyasint"`
 }
 
-// ViewRequest requests the view of a member of the quorum.
+// ViewRequest requests the quorum's view from one of its members.
 type ViewRequest struct{}
 
 // View describes the quorum as a controller, usually one of its members, knows it. It may be stale.
@@ -77,7 +77,7 @@
 // Effect is an action that a holder of a lease asks another controller to carry out.
 type Effect struct {
 	Grant lease.Grant `cbor:"1,keyasint"`
-	ID    uint64      `cbor:"2,keyasint"` // the sender's number of the effect
+	ID    uint64      `cbor:"2,keyasint"` // number that the sender gave the effect
 	Data  []byte      `cbor:"3,keyasint"`
 }
 
--- a/internal/core/fleet/node/node.go
+++ b/internal/core/fleet/node/node.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// Node is one controller of a fleet. It is for one goroutine.
+// Node is one controller of a fleet. It is not safe for concurrent use.
 type Node struct {
 	cfg Config
 	rng *rand.Rand
--- a/internal/core/fleet/quorum/members.go
+++ b/internal/core/fleet/quorum/members.go
@@ -50,7 +50,7 @@
 	return names
 }
 
-// hasMember reports whether an incarnation of a name is a member.
+// hasMember reports whether any incarnation of a name is a member.
 func (r *Replica) hasMember(name members.ID) bool {
 	for _, incarnation := range r.incarnations {
 		if incarnation.Name == name {
--- a/internal/core/fleet/quorum/quorum_test.go
+++ b/internal/core/fleet/quorum/quorum_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%s continues as another incarnation after a restart, want the same", name)
 		}
 	}
-	for _, name := range r.founders { // all at once
+	for _, name := range r.founders { // all members at once
 		r.start(name)
 	}
 	r.run(6000)
--- a/internal/core/fleet/quorum/replica.go
+++ b/internal/core/fleet/quorum/replica.go
@@ -13,7 +13,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Replica is one controller's part in the quorum. It is for one goroutine.
+// Replica is one controller's part in the quorum. It is not safe for concurrent use.
 type Replica struct {
 	cfg         Config
 	rng         *rand.Rand
