--- a/internal/core/fleet/lease/client.go
+++ b/internal/core/fleet/lease/client.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Client is a holder's side: which leases this controller may act under, by its own steady clock.
-// It is for one goroutine.
+// Client tracks the leases offered to this controller, and until when it may act under each by its
+// own steady clock. It is not safe for concurrent use.
 type Client struct {
 	self     Holder
 	timing   Timing
@@ -15,7 +15,7 @@
 	sentAt   map[uint64]float64 // ms, when a renewal was sent, by its sequence
 	renewAt  float64            // ms
 
-	// The grants that began and ended since the last TakeChanges.
+	// Grants that began and ended since the last TakeChanges.
 	began []Grant
 	ended []Grant
 }
@@ -24,7 +24,7 @@
 type heldLease struct {
 	token     Token
 	expiresAt float64 // ms, before which it may begin an effect; 0: no renewal was confirmed yet
-	reported  bool    // TakeChanges reported, or will report, that it began
+	began     bool    // a renewal was confirmed in time; TakeChanges has reported the start, or will
 }
 
 // NewClient returns the client of one run of a controller, which holds nothing.
@@ -33,21 +33,21 @@
 }
 
 // AcceptOffer handles a leader's message that this controller was assigned a lease. The controller
-// may not act yet, as it does not know how long the message took: it requests a renewal and counts
-// from when it sent that.
+// may not act yet, as it does not know how long the message took: it requests a renewal, and its
+// hold time counts from when it sent that request.
 func (c *Client) AcceptOffer(now float64, grant Grant) {
 	lease := c.held[grant.Name]
 	if lease != nil && lease.token >= grant.Token || lease == nil && len(c.held) >= maxLeases {
 		return
 	}
 	if lease != nil {
-		c.drop(grant.Name)
+		c.endGrant(grant.Name)
 	}
 	c.held[grant.Name] = &heldLease{token: grant.Token}
 	c.renewAt = now
 }
 
-// Renewal returns the renewal that is due now; nil: none.
+// Renewal returns the renewal to send if one is due, else nil.
 func (c *Client) Renewal(now float64) *Renew {
 	c.expire(now)
 	if len(c.held) == 0 || now < c.renewAt {
@@ -68,13 +68,13 @@
 	return renewal
 }
 
-// RenewNow makes the next renewal due at once: the last one was sent to a controller that does not
-// lead.
+// RenewNow makes the next renewal due at once. It is called if the last one was sent to a
+// controller that does not lead.
 func (c *Client) RenewNow(now float64) { c.renewAt = min(c.renewAt, now) }
 
-// ConfirmRenewal handles what the quorum agreed on about a renewal: the grants that are valid. The
+// ConfirmRenewal handles the answer to a renewal, with the grants that the quorum found valid. The
 // holder may act for the hold time from when it sent the renewal, however late the answer comes.
-// The grants of the renewal that are not valid are passed to Revoke.
+// The caller passes the grants that are not valid to Revoke.
 func (c *Client) ConfirmRenewal(now float64, sequence uint64, valid []Grant) {
 	sentAt, ok := c.sentAt[sequence]
 	if !ok {
@@ -87,8 +87,8 @@
 			continue
 		}
 		lease.expiresAt = max(lease.expiresAt, sentAt+c.timing.HoldTime())
-		if !lease.reported && now < lease.expiresAt {
-			lease.reported = true
+		if !lease.began && now < lease.expiresAt {
+			lease.began = true
 			c.began = append(c.began, grant)
 		}
 	}
@@ -97,12 +97,12 @@
 // Revoke ends a grant that is no longer valid.
 func (c *Client) Revoke(grant Grant) {
 	if lease := c.held[grant.Name]; lease != nil && lease.token == grant.Token {
-		c.drop(grant.Name)
+		c.endGrant(grant.Name)
 	}
 }
 
-// CanAct reports whether this controller may begin an effect under a lease now, with which fencing
-// token, and until when, in ms, the effect has to be done.
+// CanAct reports whether this controller may begin an effect under a lease now. It returns the
+// fencing token, and the time in ms by which the effect has to be done.
 func (c *Client) CanAct(now float64, name Name) (token Token, until float64, ok bool) {
 	lease := c.held[name]
 	if lease == nil || now >= lease.expiresAt {
@@ -111,19 +111,19 @@
 	return lease.token, lease.expiresAt, true
 }
 
-// Release ends a lease at once and returns the release to be sent; nil: the lease is not held.
-// Failed says that the controller could not run the lease's job.
+// Release ends a lease at once and returns the release to send, or nil if the lease is not held.
+// Failed is set if the controller could not run the lease's job.
 func (c *Client) Release(name Name, failed bool) *Release {
 	lease := c.held[name]
 	if lease == nil {
 		return nil
 	}
 	grant := Grant{name, lease.token}
-	c.drop(name)
+	c.endGrant(name)
 	return &Release{Holder: c.self, Grant: grant, Failed: failed}
 }
 
-// Held returns the grants under which this controller may act now, by name.
+// Held returns the grants under which this controller may act now, sorted by name.
 func (c *Client) Held(now float64) (held []Grant) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
 		if token, _, ok := c.CanAct(now, name); ok {
@@ -141,14 +141,14 @@
 	return began, ended
 }
 
-// Next returns when Renewal or TakeChanges is to be called at the latest, in ms.
+// Next returns the latest time at which Renewal or TakeChanges has to be called, in ms.
 func (c *Client) Next(now float64) float64 {
 	if len(c.held) == 0 {
 		return now + c.timing.Duration
 	}
 	next := max(now, c.renewAt)
 	for _, lease := range c.held {
-		if lease.reported {
+		if lease.began {
 			next = min(next, max(now, lease.expiresAt))
 		}
 	}
@@ -159,17 +159,17 @@
 // stays: the quorum may be unavailable and confirm a later renewal.
 func (c *Client) expire(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(c.held)) {
-		if lease := c.held[name]; lease.reported && now >= lease.expiresAt {
-			c.drop(name)
+		if lease := c.held[name]; lease.began && now >= lease.expiresAt {
+			c.endGrant(name)
 		}
 	}
 }
 
-// drop ends a lease.
-func (c *Client) drop(name Name) {
+// endGrant removes a lease and, if it began, reports its grant as ended.
+func (c *Client) endGrant(name Name) {
 	lease := c.held[name]
 	delete(c.held, name)
-	if lease.reported {
+	if lease.began {
 		c.ended = append(c.ended, Grant{name, lease.token})
 	}
 }
--- a/internal/core/fleet/node/encoding_test.go
+++ b/internal/core/fleet/node/encoding_test.go
@@ -1,9 +1,9 @@
 package node
 
-// A rename or a reordering of fields can change the messages among controllers. Controllers of one
-// build agree with each other whatever it is; it shows only beside controllers of an earlier one,
-// within an update of a fleet. These tests compare each kind of message with what an earlier build
-// sent.
+// A rename or a reordering of fields can change the encoding of messages between controllers.
+// Controllers of one build understand each other in any encoding; a change breaks them only beside
+// controllers of an earlier build, while a fleet is updated. These tests compare each kind of message
+// with the encoding of an earlier build.
 
 import (
 	"testing"
@@ -16,7 +16,7 @@
 	"mintkeel/internal/lab/golden"
 )
 
-// Values that messages are made of, with every field set.
+// The functions below return values for messages, with every field set.
 
 func sentHolder() lease.Holder { return lease.Holder{ID: "n1", Run: 77} }
 
@@ -46,7 +46,8 @@
 	return config.ControllerReport{ID: "n4", Run: 31, Applied: 6, Reason: "no space left", Age: 250.5}
 }
 
-// checkMessage compares a message of one part, which must have all its fields set.
+// checkMessage compares the encoding of a message that contains a part, all of whose fields must be
+// set, with the golden table.
 func checkMessage(t *testing.T, table *golden.Table, name string, part any, message Message) {
 	t.Helper()
 	golden.AllSet(t, part)
@@ -68,12 +69,12 @@
 	from, to := quorum.Incarnation{Name: "n1", Disk: 101}, quorum.Incarnation{Name: "n2", Disk: 102}
 	raft := &quorum.Message{From: from, To: to, Raft: []byte{1, 2, 3}, Serial: 21, Run: 77}
 	golden.CBOR(t, table, "raft", Message{Quorum: raft}, frames.Decoder.Unmarshal)
-	ask := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
-	checkMessage(t, table, "ask", ask.VouchRequest, Message{Quorum: ask})
-	answer := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78,
+	vouchRequest := &quorum.Message{From: from, To: to, VouchRequest: &quorum.VouchRequest{Run: 77}, Run: 77}
+	checkMessage(t, table, "ask", vouchRequest.VouchRequest, Message{Quorum: vouchRequest})
+	vouchResponse := &quorum.Message{From: from, To: to, Run: 77, VouchResponse: &quorum.VouchResponse{Run: 78,
 		ReceivedSerial: 22, Retired: true, HasLeader: true, Members: []members.ID{"n1", "n2"}, Index: 40,
 		PendingMembers: []members.ID{"n3"}}}
-	checkMessage(t, table, "answer", answer.VouchResponse, Message{Quorum: answer})
+	checkMessage(t, table, "answer", vouchResponse.VouchResponse, Message{Quorum: vouchResponse})
 	join := &quorum.Message{From: from, To: to, Join: &quorum.Join{Run: 77}, Run: 77}
 	checkMessage(t, table, "join", join.Join, Message{Quorum: join})
 	invite := &quorum.Message{From: from, To: to, Run: 77, Invite: true}
@@ -86,10 +87,10 @@
 	table := golden.Open(t, "lease.golden")
 	renew := &lease.Renew{Holder: sentHolder(), Grants: []lease.Grant{sentGrant()}, Sequence: 13}
 	checkMessage(t, table, "renew", renew, Message{Renew: renew})
-	granted := &RenewResponse{Sequence: 13, Valid: []lease.Grant{sentGrant()},
+	response := &RenewResponse{Sequence: 13, Valid: []lease.Grant{sentGrant()},
 		Invalid: []lease.Grant{{Name: "maintenance", Token: 2}},
 		Yield:   []lease.Name{"digest"}, Leader: "n2", To: sentHolder()}
-	checkMessage(t, table, "granted", granted, Message{RenewResponse: granted})
+	checkMessage(t, table, "granted", response, Message{RenewResponse: response})
 	offer := &Offer{To: sentHolder(), Grant: sentGrant()}
 	checkMessage(t, table, "offer", offer, Message{Offer: offer})
 	release := &lease.Release{Holder: sentHolder(), Grant: sentGrant(), Failed: true}
@@ -111,8 +112,8 @@
 	checkMessage(t, table, "view", view, Message{View: view})
 	effect := &Effect{Grant: sentGrant(), ID: 61, Data: []byte{9}}
 	checkMessage(t, table, "effect", effect, Message{Effect: effect})
-	verdict := &EffectResponse{Lease: "digest", ID: 61, HighestToken: 10, Accepted: true}
-	checkMessage(t, table, "verdict", verdict, Message{EffectResponse: verdict})
+	response := &EffectResponse{Lease: "digest", ID: 61, HighestToken: 10, Accepted: true}
+	checkMessage(t, table, "verdict", response, Message{EffectResponse: response})
 	replace := &Replace{Old: "n1", Successor: "n4"}
 	checkMessage(t, table, "replace", replace, Message{Replace: replace})
 	golden.CBOR(t, table, "job-message", Message{JobMessage: []byte{10, 11}}, frames.Decoder.Unmarshal)
@@ -160,7 +161,8 @@
 	check("answer", answer, config.Message{Answer: answer})
 }
 
-// TestPiggybackedMessageEncodingIsStable has a message with the parts that ride on one of membership.
+// TestPiggybackedMessageEncodingIsStable checks a membership message with the parts that accompany
+// it.
 func TestPiggybackedMessageEncodingIsStable(t *testing.T) {
 	table := golden.Open(t, "piggybacked.golden")
 	message := Message{Members: &members.Message{Kind: members.Ping, Seq: 41},
@@ -169,7 +171,7 @@
 	golden.CBOR(t, table, "piggybacked", message, frames.Decoder.Unmarshal)
 }
 
-// TestKindNumbersAreStable pins the numbers by which kinds, states and results stand in messages.
+// TestKindNumbersAreStable pins the numbers that encode kinds, states and results in messages.
 func TestKindNumbersAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -185,7 +187,7 @@
 		{"ask history", int(config.QueryHistory), 3},
 	} {
 		if c.number != c.was {
-			t.Errorf("%s is sent as %d, and was as %d", c.name, c.number, c.was)
+			t.Errorf("%s is encoded as %d, want %d as in earlier builds", c.name, c.number, c.was)
 		}
 	}
 }
--- a/internal/core/fleet/quorum/stored_test.go
+++ b/internal/core/fleet/quorum/stored_test.go
@@ -1,8 +1,8 @@
 package quorum
 
-// A rename or a reordering of fields can change what a quorum member stores: it shows only when a
-// controller starts with a folder that an earlier build wrote. These tests read records and agreed
-// state as an earlier build encoded them.
+// A rename or a reordering of fields can change the encoding of what a quorum member stores. The
+// fault would appear only when a controller starts with a folder that an earlier build wrote. These
+// tests compare records and replicated state with the encoding of an earlier build.
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"mintkeel/internal/lab/golden"
 )
 
-// protoBytes encodes a message of the consensus library in one order of its fields.
+// protoBytes encodes a message of the raft library, with its fields in a fixed order.
 func protoBytes(t *testing.T, message proto.Message) []byte {
 	t.Helper()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -44,7 +44,7 @@
 	}
 }
 
-func storedAgreed() snapshot {
+func storedSnapshot() snapshot {
 	return snapshot{
 		Leases:       storedLeases(),
 		Incarnations: []Incarnation{{Name: "n1", Disk: 101}, {Name: "n2", Disk: 102}, {Name: "n3", Disk: 103}},
@@ -54,7 +54,7 @@
 	}
 }
 
-// storedCommands has each command of the quorum's log, with every field set.
+// storedCommands returns each lease command of the quorum's log, with every field set.
 func storedCommands() map[string]lease.Command {
 	holder := lease.Holder{ID: "n1", Run: 77}
 	grant := lease.Grant{Name: "digest", Token: 9}
@@ -69,11 +69,11 @@
 	}
 }
 
-// storedRecord is a full record: a snapshot of the agreed state, an entry after it, received
-// serials and a hard state.
+// storedRecord returns a full record: a snapshot of the replicated state, an entry after it,
+// received serials and a hard state.
 func storedRecord(t *testing.T) Record {
 	t.Helper()
-	agreed, err := cbor.Marshal(storedAgreed())
+	state, err := cbor.Marshal(storedSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	var voters []uint64
-	for _, incarnation := range storedAgreed().Incarnations {
+	for _, incarnation := range storedSnapshot().Incarnations {
 		voters = append(voters, incarnation.Number())
 	}
 	slices.Sort(voters)
@@ -92,7 +92,7 @@
 		HardState:   protoBytes(t, &pb.HardState{Term: new(uint64(6)), Vote: new(voters[0]), Commit: new(uint64(41))}),
 		Entries: [][]byte{protoBytes(t, &pb.Entry{Type: pb.EntryNormal.Enum(), Term: new(uint64(6)), Index: new(uint64(41)),
 			Data: entry})},
-		Snapshot: protoBytes(t, &pb.Snapshot{Data: agreed, Metadata: &pb.SnapshotMetadata{
+		Snapshot: protoBytes(t, &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{
 			ConfState: &pb.ConfState{Voters: voters, AutoLeave: new(false)}, Index: new(uint64(40)), Term: new(uint64(5))}}),
 		ReceivedSerials: []ReceivedSerial{{Incarnation: Incarnation{Name: "n2", Disk: 102}, Serial: 33}},
 		Full:            true,
@@ -104,9 +104,9 @@
 	record := storedRecord(t)
 	golden.AllSet(t, record)
 	golden.CBOR(t, table, "record", record, cbor.Unmarshal)
-	agreed := storedAgreed()
-	golden.AllSet(t, agreed)
-	golden.CBOR(t, table, "agreed-state", agreed, cbor.Unmarshal)
+	state := storedSnapshot()
+	golden.AllSet(t, state)
+	golden.CBOR(t, table, "agreed-state", state, cbor.Unmarshal)
 	change := memberChange{Incarnation: Incarnation{Name: "n4", Disk: 104}, Removed: true}
 	golden.AllSet(t, change)
 	golden.CBOR(t, table, "member-change", change, cbor.Unmarshal)
@@ -127,8 +127,8 @@
 	golden.CBOR(t, table, "config", proposal{Proposer: "n1", Ref: 16, Config: proposed}, cbor.Unmarshal)
 }
 
-// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote: it has the
-// agreed state, and the record that it would write to replace all is the same again.
+// TestStoredRecordIsReadable starts a replica with a record that an earlier build wrote. The replica
+// must have the stored state, and its full record must equal the stored one.
 func TestStoredRecordIsReadable(t *testing.T) {
 	stored := golden.Open(t, "replay.golden").Bytes(t, "record", mustEncode(t, storedRecord(t)))
 	var record Record
@@ -140,28 +140,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := storedAgreed()
+	want := storedSnapshot()
 	if got := replica.leases.List(); !reflect.DeepEqual(got, want.Leases) {
-		t.Errorf("leases: %+v", got)
+		t.Errorf("leases: %+v, want those of the stored record", got)
 	}
 	if got := replica.snapshot(); !reflect.DeepEqual(got.Retired, want.Retired) ||
 		!reflect.DeepEqual(got.Removed, want.Removed) || !reflect.DeepEqual(got.Config, want.Config) ||
 		len(got.Incarnations) != len(want.Incarnations) {
-		t.Errorf("agreed state: %+v", got)
+		t.Errorf("replicated state: %+v, want that of the stored record", got)
 	}
 	if replica.incarnation != *record.Incarnation || replica.serial != record.Serial ||
 		replica.receivedSerials[record.ReceivedSerials[0].Incarnation] != record.ReceivedSerials[0].Serial || replica.appliedIndex != 41 {
-		t.Errorf("incarnation %+v, serial %d, marks %v, applied %d", replica.incarnation, replica.serial, replica.receivedSerials,
-			replica.appliedIndex)
+		t.Errorf("incarnation %+v, serial %d, received serials %v, applied index %d, want those of the stored record and index 41", replica.incarnation, replica.serial, replica.receivedSerials, replica.appliedIndex)
 	}
 	snap, err := replica.storage.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	full := replica.fullRecord(snap)
-	full.Serial = record.Serial // the next one's is one more
+	full.Serial = record.Serial // a new record has the next serial
 	if rewritten := mustEncode(t, *full); !bytes.Equal(rewritten, stored) {
-		t.Errorf("written again:\n%x\nstored:\n%x", rewritten, stored)
+		t.Errorf("full record of the replica:\n%x\nwant the stored one:\n%x", rewritten, stored)
 	}
 }
 
@@ -170,7 +169,7 @@
 		Voter: "voting"}
 	for role, name := range names {
 		if role.String() != name {
-			t.Errorf("%q, and was %q", role, name)
+			t.Errorf("the name of a role is %q, want %q as in earlier builds", role, name)
 		}
 	}
 }
