--- a/router/candidates.go
+++ b/router/candidates.go
@@ -98,7 +98,7 @@
 // with an estimate above the usual work of its class may be too large for a warming engine that
 // still takes others.
 func (r *Router) unrestricted(q *query) bool {
-	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.usualWork(r.now) {
+	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.meanWork(r.now) {
 		return false
 	}
 	if q.kinds != nil || q.zones != nil {
--- a/router/engine.go
+++ b/router/engine.go
@@ -37,13 +37,13 @@
 	reportedAt     float64     // ms, of the last report; 0: none has come
 
 	// Learned from this controller's attempts on it.
-	slowdown       decayedMean // run time over the time on an idle engine
-	threadsPerCore float64     // concurrency limit of all controllers together, as estimated here
-	limitCutAt     float64     // ms, when that limit was last cut for slowness
-	outcomes       uint64      // a bit per attempt and health check, the latest lowest; 1: success
-	succeededAt    float64     // ms, of the last success of any class
-	classBackoffs  []backoff   // by class index
-	slowStartWork  slidingWindow
+	slowdown         decayedMean // run time over the time on an idle engine
+	threadsPerCore   float64     // concurrency limit of all controllers together, as estimated here
+	limitDecreasedAt float64     // ms, when that limit was last cut for slowness
+	outcomes         uint64      // a bit per attempt and health check, the latest lowest; 1: success
+	succeededAt      float64     // ms, of the last success of any class
+	classBackoffs    []backoff   // by class index
+	slowStartWork    slidingWindow
 
 	// Trial attempts while it is unhealthy, and health checks.
 	trialAt        float64 // ms, the earliest time of the next trial attempt
