--- a/router/admission.go
+++ b/router/admission.go
@@ -12,10 +12,10 @@
 }
 
 const (
-	maxSizeLimit    = 64.0  // sizeLimit when nothing is late
-	minSizeLimit    = 4.0   // sizeLimit in the worst overload
-	sizeLimitGrowth = 1.005 // factor on sizeLimit, each periodicInterval
-	sizeLimitCut    = 0.9   // further factor, if a latency objective was missed in the interval
+	maxSizeLimit            = 64.0  // sizeLimit when nothing is late
+	minSizeLimit            = 4.0   // sizeLimit in the worst overload
+	sizeLimitGrowthFactor   = 1.005 // factor on sizeLimit, each periodicInterval
+	sizeLimitDecreaseFactor = 0.9   // further factor, if a latency objective was missed in the interval
 )
 
 const (
@@ -42,9 +42,9 @@
 	q := r.addQuery(ev)
 	q.deadline -= min(ev.ClientQueueTime, maxClientQueueShare*ev.TimeLeft)
 	r.healthChecks.credit = min(maxHealthCheckCredit, r.healthChecks.credit+healthChecksPerQuery)
-	class.recognizeRetry(q, ev.TimeLeft)
-	q.overQuota = r.drawOverQuota(q)
-	r.noteHotTables(q, ev.Hot)
+	class.detectClientRetry(q, ev.TimeLeft)
+	q.overQuota = r.sampleOverQuota(q)
+	r.markHotTables(q, ev.Hot)
 	demand := min(class.unloadedTime(q, r.now), class.ClientTimeout) * class.Threads
 	q.tables.demand.add(r.now, demand, 1)
 	if reason := r.whyRejectOnArrival(q, ev.ArrivalWait); reason != noReason {
@@ -55,18 +55,18 @@
 	r.enqueue(q)
 }
 
-// recognizeRetry takes q for a client's retry if it leaves clearly less time than first tries do.
+// detectClientRetry takes q for a client's retry if it leaves clearly less time than first tries do.
 // The latency objective then counts from when its client first tried.
-func (class *queryClass) recognizeRetry(q *query, timeLeft float64) {
+func (class *queryClass) detectClientRetry(q *query, timeLeft float64) {
 	class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, timeLeft)
 	if timeLeft < class.firstTryTimeout*retryTimeoutShare {
 		q.firstTriedAt -= max(0, class.ClientTimeout-timeLeft)
 	}
 }
 
-// drawOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks
+// sampleOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks
 // for more than this controller's share of its quota, as many as are over it, drawn at random.
-func (r *Router) drawOverQuota(q *query) bool {
+func (r *Router) sampleOverQuota(q *query) bool {
 	tenant := q.tenant
 	if tenant == nil || tenant.QueriesPerSecond <= 0 {
 		return false
@@ -75,9 +75,9 @@
 	return r.rng.Float64()*tenant.queries.rate(r.now) > quota
 }
 
-// noteHotTables has the pools packed anew if a rule marks the query's table group as hot for the
+// markHotTables has the pools packed anew if a rule marks the query's table group as hot for the
 // first time. Groups of which no query was ever answered don't count: any client can name one.
-func (r *Router) noteHotTables(q *query, hot bool) {
+func (r *Router) markHotTables(q *query, hot bool) {
 	if hot && q.tables.confirmed && !q.tables.hot {
 		q.tables.hot = true
 		r.pools.packed = false
@@ -108,10 +108,10 @@
 	state.rejectShare = min(maxRejectShare, max(0, share))
 	state.rejectShareAt = r.now
 	if wait > maxArrivalWait && r.now+wait > r.latestStart(q) {
-		return reasonArrivalsTooSlow
+		return reasonArrivalWaitTooLong
 	}
 	if state.rejectShare > 0 && r.rng.Float64() < state.rejectShare {
-		return reasonArrivalsShare
+		return reasonArrivalWaitShare
 	}
 	return noReason
 }
@@ -173,7 +173,7 @@
 	if r.now > r.answerBy(q)-class.unloadedTime(q, r.now) {
 		return reasonCannotFinish
 	}
-	if class.workUnits(q, r.now)*class.Threads > r.admission.sizeLimit*class.usualWork(r.now) {
+	if class.workUnits(q, r.now)*class.Threads > r.admission.sizeLimit*class.meanWork(r.now) {
 		return reasonTooLarge
 	}
 	return noReason
@@ -182,9 +182,9 @@
 // adjustSizeLimit lets the size limit grow, and cuts it when latency objectives were missed.
 func (r *Router) adjustSizeLimit() {
 	state := &r.admission
-	state.sizeLimit = min(maxSizeLimit, state.sizeLimit*sizeLimitGrowth)
+	state.sizeLimit = min(maxSizeLimit, state.sizeLimit*sizeLimitGrowthFactor)
 	if state.objectiveMissed {
-		state.sizeLimit = max(minSizeLimit, state.sizeLimit*sizeLimitCut)
+		state.sizeLimit = max(minSizeLimit, state.sizeLimit*sizeLimitDecreaseFactor)
 		state.objectiveMissed = false
 	}
 }
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -48,7 +48,7 @@
 	for _, e := range free {
 		e.affinity = 0
 	}
-	for _, g := range r.heaviestGroups(pool.tableGroups(), len(free)*poolCount) {
+	for _, g := range r.highestDemandGroups(pool.tableGroups(), len(free)*poolCount) {
 		weight := g.demand.rate(r.now) + negligibleDemand
 		present := g.pools[kind]
 		r.markPool(present)
@@ -69,40 +69,40 @@
 		pool.targetCount = max(1, pool.targetCount)
 		engines -= pool.targetCount
 	}
-	giveByDemand(pools, engines)
+	allocateByDemand(pools, engines)
 	for ; engines < 0; engines++ {
-		demandWithLess := func(pool *enginePool) float64 {
+		demandWithOneLess := func(pool *enginePool) float64 {
 			return pool.demand / (float64(pool.targetCount) - 1)
 		}
 		donor := slices.MinFunc(pools, func(a, b *enginePool) int {
-			return cmp.Compare(demandWithLess(a), demandWithLess(b))
+			return cmp.Compare(demandWithOneLess(a), demandWithOneLess(b))
 		})
 		donor.targetCount--
 	}
 }
 
-// poolNeed is what a pool asks for each engine that it is to have.
-type poolNeed struct {
+// poolDemandEntry is what a pool asks for each engine that it is to have.
+type poolDemandEntry struct {
 	demandPerEngine float64
 	index           int // of the pool
 }
 
-// giveByDemand gives engines out one at a time, each to the pool with the most demand for each
+// allocateByDemand gives engines out one at a time, each to the pool with the most demand for each
 // engine, the first of several.
-func giveByDemand(pools []*enginePool, engines int) {
-	neediest := heap[poolNeed]{less: func(a, b *poolNeed) bool {
+func allocateByDemand(pools []*enginePool, engines int) {
+	byDemand := heap[poolDemandEntry]{less: func(a, b *poolDemandEntry) bool {
 		return a.demandPerEngine > b.demandPerEngine ||
 			a.demandPerEngine == b.demandPerEngine && a.index < b.index
 	}}
 	for i, pool := range pools {
-		neediest.push(poolNeed{demandPerEngine: pool.demandPerEngine(), index: i})
+		byDemand.push(poolDemandEntry{demandPerEngine: pool.demandPerEngine(), index: i})
 	}
 	for range engines {
-		top := &neediest.list[0]
+		top := &byDemand.list[0]
 		pool := pools[top.index]
 		pool.targetCount++
 		top.demandPerEngine = pool.demandPerEngine()
-		neediest.sink(0)
+		byDemand.sink(0)
 	}
 }
 
@@ -133,17 +133,17 @@
 	r.pools.markedEngines = r.pools.markedEngines[:0]
 }
 
-// heaviestGroups are all table groups of a pool or, where there are too many pairs with engines,
+// highestDemandGroups are all table groups of a pool or, where there are too many pairs with engines,
 // those with the most demand, one at least. Each group takes part in pairsEach pairs.
-func (r *Router) heaviestGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
-	most := max(1, maxAssignmentPairs/max(1, pairsEach))
-	if len(groups) <= most {
+func (r *Router) highestDemandGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
+	maxGroups := max(1, maxAssignmentPairs/max(1, pairsEach))
+	if len(groups) <= maxGroups {
 		return groups
 	}
 	slices.SortStableFunc(groups, func(a, b *tableGroup) int {
 		return cmp.Compare(b.demand.rate(r.now), a.demand.rate(r.now))
 	})
-	return groups[:most]
+	return groups[:maxGroups]
 }
 
 // splitByAffinity divides engines into the count with the most affinity, those first, and the rest;
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -94,7 +94,7 @@
 // then does a search in vain for q say something about other queries. A query with an estimate
 // above the usual may be too large for a warming engine that takes others.
 func (r *Router) unrestricted(q *query) bool {
-	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.usualWork(r.now) {
+	if r.search.warmingEngines > 0 && q.uncappedEstimate > q.class.meanWork(r.now) {
 		return false
 	}
 	if q.kinds != nil || q.zones != nil {
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -18,16 +18,16 @@
 	initialThreadsPerCore = 2.0
 	minThreadsPerCore     = 1.5
 	maxThreadsPerCore     = 2.5
-	widenBelowSlowdown    = 1.8   // slowdown of an engine below which its limit widens
-	cutAboveSlowdown      = 3.0   // slowdown of an engine above which its limit is cut
-	widenStep             = 0.5   // threads that an answer adds to the limit
-	widenFromShare        = 0.7   // share of the limit that must be in use for it to widen
-	limitCutFactor        = 0.85  // factor of a cut on the limit
-	limitCutInterval      = 400.0 // ms between cuts for slowness; a rejection cuts at once
+	increaseBelowSlowdown = 1.8   // slowdown of an engine below which its limit widens
+	decreaseAboveSlowdown = 3.0   // slowdown of an engine above which its limit is cut
+	limitIncreaseStep     = 0.5   // threads that an answer adds to the limit
+	limitIncreaseMinUse   = 0.7   // share of the limit that must be in use for it to widen
+	limitDecreaseFactor   = 0.85  // factor of a cut on the limit
+	limitDecreaseInterval = 400.0 // ms between cuts for slowness; a rejection cuts at once
 )
 
 const (
-	poolOverhang         = 3.0 // threads past the pooled limit, on engines that report capacity
+	pooledLimitTolerance = 3.0 // threads past the pooled limit, on engines that report capacity
 	threadsPerOtherQuery = 1.2 // threads that a query of another controller is taken to use
 	maxMemoryGranted     = 0.9 // of an engine's memory; past it a busy controller starts nothing there
 )
@@ -41,17 +41,17 @@
 
 // adjustThreadLimit adjusts the concurrency limit of e after an answer to an attempt that used some
 // threads, by additive increase and multiplicative decrease. The limit widens while queries run
-// less than widenBelowSlowdown times as long as on an idle engine and the limit is in use, and is
-// cut when they run more than cutAboveSlowdown times as long.
+// less than increaseBelowSlowdown times as long as on an idle engine and the limit is in use, and is
+// cut when they run more than decreaseAboveSlowdown times as long.
 func (r *Router) adjustThreadLimit(e *engine, threads float64) {
 	slowdown := e.meanSlowdown(r.now)
 	limit := r.threadLimit(e)
 	switch {
-	case slowdown < widenBelowSlowdown && e.threads+threads >= widenFromShare*limit:
-		e.threadsPerCore = min(maxThreadsPerCore, e.threadsPerCore*(1+widenStep/max(1, limit)))
-	case slowdown > cutAboveSlowdown && r.now-e.limitCutAt > limitCutInterval:
-		e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitCutFactor)
-		e.limitCutAt = r.now
+	case slowdown < increaseBelowSlowdown && e.threads+threads >= limitIncreaseMinUse*limit:
+		e.threadsPerCore = min(maxThreadsPerCore, e.threadsPerCore*(1+limitIncreaseStep/max(1, limit)))
+	case slowdown > decreaseAboveSlowdown && r.now-e.limitDecreasedAt > limitDecreaseInterval:
+		e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitDecreaseFactor)
+		e.limitDecreasedAt = r.now
 	}
 }
 
@@ -79,7 +79,7 @@
 		pooledLimit = math.Inf(1)
 		limit /= r.trafficShare()
 	} else if reported && r.fill(e) < spillShare*initialThreadsPerCore {
-		pooledLimit += poolOverhang
+		pooledLimit += pooledLimitTolerance
 	}
 	return r.concurrency.threads <= pooledLimit &&
 		(e.attempts == 0 || e.threads <= limit) &&
@@ -97,19 +97,19 @@
 			continue
 		}
 		r.concurrency.readyCores += e.cores
-		if r.usualQueryFits(e) {
+		if r.averageQueryFits(e) {
 			r.concurrency.pooledThreadLimit += r.threadLimit(e)
 		}
-		if r.now >= e.healthCheckAt && r.healthChecks.credit > refreshCredit {
+		if r.now >= e.healthCheckAt && r.healthChecks.credit > reservedCredit {
 			r.checkHealth(e)
 		}
 	}
 }
 
-// usualQueryFits reports whether a usual query of some class fits into what e may get while it
+// averageQueryFits reports whether a usual query of some class fits into what e may get while it
 // warms up.
-func (r *Router) usualQueryFits(e *engine) bool {
+func (r *Router) averageQueryFits(e *engine) bool {
 	return slices.ContainsFunc(r.classes, func(class *queryClass) bool {
-		return class.usualWork(r.now) < r.slowStartAllowance(e)
+		return class.meanWork(r.now) < r.slowStartAllowance(e)
 	})
 }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -37,7 +37,7 @@
 		return
 	}
 	e.classBackoff(q.class).noteStart(r.now)
-	r.setAlarm(r.now+r.silenceLimit(), q)
+	r.setAlarm(r.now+r.progressTimeout(), q)
 	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, memoryScalePriorWeight)
 	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
 }
--- a/router/engine.go
+++ b/router/engine.go
@@ -37,13 +37,13 @@
 	reportedAt     float64     // ms, of the last report; 0: there is none
 
 	// How attempts of this controller do on it.
-	slowdown       decayedMean // run time over the time on an idle engine
-	threadsPerCore float64     // concurrency limit of all controllers together, as this one sees it
-	limitCutAt     float64     // ms, when that limit was last cut because the engine was slow
-	outcomes       uint64      // a bit for each attempt and health check, the last lowest; 1: success
-	succeededAt    float64     // ms, of the last success of any class
-	classBackoffs  []backoff   // by class index
-	slowStartWork  slidingWindow
+	slowdown         decayedMean // run time over the time on an idle engine
+	threadsPerCore   float64     // concurrency limit of all controllers together, as this one sees it
+	limitDecreasedAt float64     // ms, when that limit was last cut because the engine was slow
+	outcomes         uint64      // a bit for each attempt and health check, the last lowest; 1: success
+	succeededAt      float64     // ms, of the last success of any class
+	classBackoffs    []backoff   // by class index
+	slowStartWork    slidingWindow
 
 	// Trials while it is not healthy, and health checks.
 	trialAt        float64 // ms, from which it may get a trial attempt
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -71,9 +71,9 @@
 	return class.meanSlowdown(now) * class.unloadedTime(q, now)
 }
 
-// usualWork is the mean work in ms of a class. It is high while little is known, as it guards
+// meanWork is the mean work in ms of a class. It is high while little is known, as it guards
 // warming engines: too low a guess would break rule 4.
-func (class *queryClass) usualWork(now float64) float64 {
+func (class *queryClass) meanWork(now float64) float64 {
 	return class.work.mean(now, class.ClientTimeout/unknownWorkDivisor, 1)
 }
 
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -14,7 +14,7 @@
 	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt on its engine
 	healthChecksPerQuery   = 1.0    // credit that a query brings
 	maxHealthCheckCredit   = 10.0   // credit that is saved at most
-	refreshCredit          = 5.0    // part of it that is kept for refreshing reports
+	reservedCredit         = 5.0    // part of it that is kept for refreshing reports
 )
 
 // checkHealth asks an engine for its health and load, and reports whether it does. It does not
--- a/router/packing.go
+++ b/router/packing.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	memoryReserve    = 0.1     // share of an engine's memory that packing leaves free
-	blindMemoryShare = 0.5     // share of it that all groups are taken to use while nothing is known
-	demandHalfLife   = 10000.0 // ms, of the demand and the footprints of table groups
+	memoryReserve      = 0.1     // share of an engine's memory that packing leaves free
+	assumedMemoryShare = 0.5     // share of it that all groups are taken to use while nothing is known
+	demandHalfLife     = 10000.0 // ms, of the demand and the footprints of table groups
 )
 
 // footprints are the memory in MB that each table group needs on the engines of a kind: mean memory
@@ -26,7 +26,7 @@
 	engines := float64(len(r.readyEngines(kind)))
 	for _, g := range r.groupList {
 		if total == 0 {
-			sizes[g] = blindMemoryShare * r.kinds[kind].MemoryMB * engines / float64(len(r.groupList))
+			sizes[g] = assumedMemoryShare * r.kinds[kind].MemoryMB * engines / float64(len(r.groupList))
 			continue
 		}
 		sizes[g] = g.memoryTime.rate(r.now) / r.trafficShare() * engines / float64(len(r.engineList))
--- a/router/pools.go
+++ b/router/pools.go
@@ -38,7 +38,7 @@
 const (
 	rebalanceInterval = 2000.0  // ms between moves of engines
 	moveMargin        = 1.25    // busiest pool's load over the donor's future load, to move an engine
-	solveMargin       = 2.5     // the same, from which all counts are solved at once
+	recomputeMargin   = 2.5     // the same, from which all counts are solved at once
 	underusedLoad     = 0.25    // load below which a pool of one engine may be merged with another
 	hotDemandFactor   = 3.0     // weight of the demand of a table group that a rule marks as hot
 	tableGroupMaxIdle = 60000.0 // ms after its last query for which a table group is kept
@@ -81,15 +81,15 @@
 	load := r.poolLoad(busiest)
 	futureLoad := r.futureLoad(donor)
 	move := donor != busiest && load >= moveMargin*futureLoad
-	solve := donor != busiest && load >= solveMargin*futureLoad
+	recompute := donor != busiest && load >= recomputeMargin*futureLoad
 	underused := r.underusedPools(pools, busiest)
 	switch {
 	case move && len(busiest.packs) > 1 && len(busiest.engines) == 1:
 		pools = append(pools, &enginePool{packs: busiest.packs[:1:1], targetCount: 1})
 		busiest.packs = busiest.packs[1:]
 		donor.targetCount--
-	case solve:
-		r.solveCounts(pools, ready)
+	case recompute:
+		r.recomputeCounts(pools, ready)
 	case move:
 		donor.targetCount--
 		busiest.targetCount++
@@ -115,9 +115,9 @@
 	return underused
 }
 
-// solveCounts sets the counts for which all loads would be equal, rounded towards the present
+// recomputeCounts sets the counts for which all loads would be equal, rounded towards the present
 // counts.
-func (r *Router) solveCounts(pools []*enginePool, ready int) {
+func (r *Router) recomputeCounts(pools []*enginePool, ready int) {
 	total := negligibleDemand
 	for _, pool := range pools {
 		total += r.poolLoad(pool) * float64(len(pool.engines))
--- a/router/reasons.go
+++ b/router/reasons.go
@@ -6,12 +6,12 @@
 const (
 	// noReason: the query is not rejected or failed.
 	noReason answerReason = iota
-	// reasonArrivalsTooSlow: queries wait too long until a step takes them in, and this one could not
+	// reasonArrivalWaitTooLong: queries wait too long until a step takes them in, and this one could not
 	// be in time.
-	reasonArrivalsTooSlow
-	// reasonArrivalsShare: the same, and this one belongs to the share that is rejected to shorten the
+	reasonArrivalWaitTooLong
+	// reasonArrivalWaitShare: the same, and this one belongs to the share that is rejected to shorten the
 	// waits.
-	reasonArrivalsShare
+	reasonArrivalWaitShare
 	// reasonOrderingQueueTooLong: those ahead of it in the queue of its ordering key take too long.
 	reasonOrderingQueueTooLong
 	// reasonOverQuota: there is overload, and its tenant is over its quota.
@@ -32,8 +32,8 @@
 
 var answerReasonNames = [...]string{
 	noReason:                   "none",
-	reasonArrivalsTooSlow:      "arrivals too slow",
-	reasonArrivalsShare:        "arrivals too slow, share rejected",
+	reasonArrivalWaitTooLong:   "arrivals too slow",
+	reasonArrivalWaitShare:     "arrivals too slow, share rejected",
 	reasonOrderingQueueTooLong: "ordering queue too long",
 	reasonOverQuota:            "tenant over quota in overload",
 	reasonLateInOverload:       "late in overload",
--- a/router/reasons_test.go
+++ b/router/reasons_test.go
@@ -28,13 +28,13 @@
 	ready := []Endpoint{readyEndpoint("a", 0, "z", 1)}
 	for _, c := range []answerReasonCase{
 		{noReason, lookupClass, ready, func(*testRouter) Event { return newQuery(1) }},
-		{reasonArrivalsTooSlow, lookupClass, ready, func(*testRouter) Event {
+		{reasonArrivalWaitTooLong, lookupClass, ready, func(*testRouter) Event {
 			ev := newQuery(1)
 			ev.ArrivalWait = 10 * maxArrivalWait
 			ev.TimeLeft = 5 * maxArrivalWait
 			return ev
 		}},
-		{reasonArrivalsShare, lookupClass, ready, func(tr *testRouter) Event {
+		{reasonArrivalWaitShare, lookupClass, ready, func(tr *testRouter) Event {
 			tr.r.admission.rejectShare = maxRejectShare
 			return newQuery(1)
 		}},
--- a/router/restore.go
+++ b/router/restore.go
@@ -86,7 +86,7 @@
 	if e == nil || e.state != Ready || max(e.startedAt, 0) != record.StartedAt {
 		return
 	}
-	if e.untried() {
+	if e.unobserved() {
 		e.slowdown = record.Slowdown.restored(e.slowdown.halfLife, r.now, 0, maxRestoredSlowdown)
 		e.outcomes = allSucceeded&^math.MaxUint8 | uint64(record.Outcomes)
 		e.threadsPerCore = clamp(record.ThreadsPerCore, minThreadsPerCore, maxThreadsPerCore)
@@ -97,8 +97,8 @@
 	}
 }
 
-// untried reports whether this run has learned nothing of an engine.
-func (e *engine) untried() bool {
+// unobserved reports whether this run has learned nothing of an engine.
+func (e *engine) unobserved() bool {
 	return e.slowdown.weight == 0 && e.outcomes == allSucceeded &&
 		e.threadsPerCore == initialThreadsPerCore
 }
--- a/router/retry.go
+++ b/router/retry.go
@@ -1,11 +1,11 @@
 package router
 
 const (
-	silenceIntervals = 1.6  // progress intervals without a message until an attempt counts as silent
-	progressWeight   = 0.5  // of a first progress message in an engine's slowdown; an answer's is 1
-	minProgressShare = 0.01 // share of the work that a progress message counts as, at least
-	badPlanFactor    = 4.0  // times the expected time from which the plan of an attempt counts as bad
-	badPlanRemaining = 1.5  // expected times that such an attempt must have left for a retry to pay
+	progressTimeoutIntervals = 1.6  // progress intervals without a message until an attempt counts as silent
+	progressWeight           = 0.5  // of a first progress message in an engine's slowdown; an answer's is 1
+	minProgressShare         = 0.01 // share of the work that a progress message counts as, at least
+	badPlanFactor            = 4.0  // times the expected time from which the plan of an attempt counts as bad
+	badPlanRemaining         = 1.5  // expected times that such an attempt must have left for a retry to pay
 )
 
 // attemptEnded handles the outcome of an attempt. A query without an answer goes back into the
@@ -64,7 +64,7 @@
 func (r *Router) attemptRejected(q *query, a *attempt) {
 	e := a.engine
 	r.backOff(q, a)
-	e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitCutFactor)
+	e.threadsPerCore = max(minThreadsPerCore, e.threadsPerCore*limitDecreaseFactor)
 	r.updateBounds(e)
 }
 
@@ -106,22 +106,22 @@
 		r.updateBounds(a.engine)
 	}
 	badPlan := total > badPlanFactor*expected && total-elapsed > badPlanRemaining*expected
-	if badPlan && r.mayRetryInstead(q) {
+	if badPlan && r.mayCancelToRetry(q) {
 		q.cancelWanted = true
 		r.markChanged(q)
 	}
 }
 
-// mayRetryInstead reports whether q may be cancelled in order to be retried.
-func (r *Router) mayRetryInstead(q *query) bool {
+// mayCancelToRetry reports whether q may be cancelled in order to be retried.
+func (r *Router) mayCancelToRetry(q *query) bool {
 	return q.estimatedWork > 0 && !q.done && q.class.Effect == Idempotent &&
 		!r.attemptsExhausted(q) && r.retryBudgetAllows()
 }
 
-// silenceLimit is the time in ms without a message after which an attempt counts as silent; +Inf
+// progressTimeout is the time in ms without a message after which an attempt counts as silent; +Inf
 // where engines send no progress messages.
-func (r *Router) silenceLimit() float64 {
-	return silenceIntervals*r.capabilities.ProgressInterval + windowSlack
+func (r *Router) progressTimeout() float64 {
+	return progressTimeoutIntervals*r.capabilities.ProgressInterval + windowSlack
 }
 
 // checkQuery is what an alarm of q asks for: its final answer if that is due, and a retry for each
@@ -147,7 +147,7 @@
 // replaces it: it is cancelled where that is possible, else abandoned where a hedged attempt may
 // run beside it. The retry goes through the queue as any other.
 func (r *Router) handleSilentAttempt(q *query, a *attempt) {
-	silentAt := a.lastHeardAt + r.silenceLimit()
+	silentAt := a.lastHeardAt + r.progressTimeout()
 	if r.now < silentAt {
 		r.setAlarm(silentAt, q)
 		return
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -35,7 +35,7 @@
 		tr := newTestRouter(t, class, capabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1),
 			readyEndpoint("b", 0, "z", 1))
 		tr.step(newQuery(1))
-		actions := tr.wait(tr.r.silenceLimit() + 5)
+		actions := tr.wait(tr.r.progressTimeout() + 5)
 		if (startedOn(actions, 1) != "") != c.repeated {
 			t.Errorf("window %g: retried on %q", c.window, startedOn(actions, 1))
 		}
@@ -105,8 +105,8 @@
 	class                QueryClass
 	limits               SafetyLimits
 	outcome              Outcome
-	after                float64    // ms
-	others               []Endpoint // that are there when the attempt ends
+	delay                float64    // ms
+	otherEndpoints       []Endpoint // that are there when the attempt ends
 	retried              bool
 	rejections, failures int
 }
@@ -123,8 +123,8 @@
 	}
 	draining := first
 	draining.State = Draining
-	tr.step(EndpointsUpdated{Endpoints: append([]Endpoint{draining}, c.others...)})
-	tr.now += c.after
+	tr.step(EndpointsUpdated{Endpoints: append([]Endpoint{draining}, c.otherEndpoints...)})
+	tr.now += c.delay
 	actions := tr.step(attemptEnded(1, 0, c.outcome))
 	actions = append(actions, tr.wait(60)...)
 	if to := startedOn(actions, 1); (to != "") != c.retried {
--- a/router/search.go
+++ b/router/search.go
@@ -95,7 +95,7 @@
 	if e.slowdown.sum <= e.slowdown.weight {
 		return 1
 	}
-	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/widenBelowSlowdown)
+	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/increaseBelowSlowdown)
 }
 
 // includeInSearchBounds widens the bounds over all engines to those of one.
@@ -311,5 +311,5 @@
 	if r.search.exemptEngines == 0 {
 		return true
 	}
-	return r.search.warmingEngines == 0 && pooled.threads > pooled.pooledThreadLimit+poolOverhang
+	return r.search.warmingEngines == 0 && pooled.threads > pooled.pooledThreadLimit+pooledLimitTolerance
 }
--- a/router/selection.go
+++ b/router/selection.go
@@ -82,12 +82,12 @@
 }
 
 // placementScore ranks engines for a query, lowest first: how full the engine would be, times its
-// slowdown past widenBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of
+// slowdown past increaseBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of
 // affinity of its table group. Queries that lock their tables have no affinity: they would meet on
 // one engine and wait for each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
-	score := fill * max(1, e.meanSlowdown(r.now)/widenBelowSlowdown)
+	score := fill * max(1, e.meanSlowdown(r.now)/increaseBelowSlowdown)
 	score += tableLockPenalty * r.contention(q, e)
 	if !q.class.LocksTables {
 		score += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -41,21 +41,21 @@
 	if warm || limits.SlowStartOverload <= 0 {
 		return math.Inf(1)
 	}
-	whole := slowStartShareUsed * limits.SlowStartOverload * limits.SlowStartCapacity *
+	totalAllowance := slowStartShareUsed * limits.SlowStartOverload * limits.SlowStartCapacity *
 		e.cores * limits.SlowStartWindow
-	if whole >= slowStartPartSizes[0]*r.controllers {
-		return whole / r.controllers
+	if totalAllowance >= slowStartPartSizes[0]*r.controllers {
+		return totalAllowance / r.controllers
 	}
-	whole /= slowStartTurnsPerWindow + 1 // a window overlaps this many turns
+	totalAllowance /= slowStartTurnsPerWindow + 1 // a window overlaps this many turns
 	const sizes = uint64(len(slowStartPartSizes))
 	window := limits.SlowStartWindow + 2*windowSlack
 	turn := uint64(max(0, r.now-e.startedAt) * slowStartTurnsPerWindow / window)
-	partsAtOnce := max(1, math.Floor(whole/slowStartPartSizes[turn%sizes]))
+	partsAtOnce := max(1, math.Floor(totalAllowance/slowStartPartSizes[turn%sizes]))
 	groups := math.Ceil(r.controllers / partsAtOnce)
 	if (e.idHash+uint64(r.index)+turn/sizes)%uint64(groups) != 0 {
 		return 0
 	}
-	return whole / math.Ceil(r.controllers/groups)
+	return totalAllowance / math.Ceil(r.controllers/groups)
 }
 
 // countsForSlowStart reports whether the work of an attempt on e is recorded: while e warms up, and
@@ -68,8 +68,8 @@
 // grows evenly from the configured start to 1.
 func (r *Router) slowStartCapacityAt(e *engine, at float64) float64 {
 	limits := &r.limits
-	warmth := min(1, max(0, at-e.startedAt)/max(1, limits.SlowStartTime))
-	return limits.SlowStartCapacity + (1-limits.SlowStartCapacity)*warmth
+	warmUpProgress := min(1, max(0, at-e.startedAt)/max(1, limits.SlowStartTime))
+	return limits.SlowStartCapacity + (1-limits.SlowStartCapacity)*warmUpProgress
 }
 
 // slowStartCapacity is slowStartCapacityAt now.
@@ -79,5 +79,5 @@
 // class, or its own estimate if that is larger. A cap on the estimate does not count here: too low
 // a guess would break rule 4.
 func (q *query) slowStartCost(now float64) float64 {
-	return max(q.class.usualWork(now), q.uncappedEstimate)
+	return max(q.class.meanWork(now), q.uncappedEstimate)
 }
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -98,7 +98,7 @@
 		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = float64(controllers)
 		e := tr.r.engines["a"]
-		whole := usedSlowStartWork()
+		totalAllowance := usedSlowStartWork()
 		length := (slowStartLimits.SlowStartWindow + 2*windowSlack) / slowStartTurnsPerWindow
 		sizes := map[float64]bool{}
 		var sums []float64 // by turn
@@ -119,8 +119,8 @@
 			sums = append(sums, sum)
 		}
 		for i := 2; i < len(sums); i++ { // a window, and clocks that differ by the slack, overlap three turns
-			if together := sums[i-2] + sums[i-1] + sums[i]; together > whole*1.001 || together < whole/3 {
-				t.Errorf("%d controllers: %g ms of %g are handed out in a window", controllers, together, whole)
+			if together := sums[i-2] + sums[i-1] + sums[i]; together > totalAllowance*1.001 || together < totalAllowance/3 {
+				t.Errorf("%d controllers: %g ms of %g are handed out in a window", controllers, together, totalAllowance)
 			}
 		}
 		if len(sizes) < 3 { // none, small and large
@@ -136,15 +136,15 @@
 	for _, controllers := range []float64{1, 7, 20, 30, 60} { // all parts of a turn together
 		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = controllers
-		whole := usedSlowStartWork()
+		totalAllowance := usedSlowStartWork()
 		sum := 0.0
 		for n := range int(controllers) {
 			tr.r.index = n
 			tr.r.now = warming.StartedAt + 100
 			sum += tr.r.slowStartAllowance(tr.r.engines["a"])
 		}
-		if sum > whole*1.001 || controllers < 10 && sum < whole*0.999 {
-			t.Errorf("%g controllers: %g ms of %g are handed out", controllers, sum, whole)
+		if sum > totalAllowance*1.001 || controllers < 10 && sum < totalAllowance*0.999 {
+			t.Errorf("%g controllers: %g ms of %g are handed out", controllers, sum, totalAllowance)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		tr.r.updateAllBounds()
 	}
 	tr.r.concurrency.attempts = 30
-	tr.r.concurrency.threads = tr.r.concurrency.pooledThreadLimit + poolOverhang + 1
+	tr.r.concurrency.threads = tr.r.concurrency.pooledThreadLimit + pooledLimitTolerance + 1
 	e.attempts = 2
 	e.threads = 2
 	turn(true)
@@ -198,17 +198,17 @@
 // stay under N.
 func TestSlowStartSumOverControllers(t *testing.T) {
 	class := QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, LateBenefit: 1}
-	const usual, stepMS, each = 300.0, 10.0, 3
+	const meanWork, stepMS, arrivalsPerStep = 300.0, 10.0, 3
 	for _, controllers := range []int{3, 20, 30} {
 		rng := rand.New(rand.NewSource(int64(controllers)))
 		warming := Endpoint{Engine: "a", StartedAt: 100000}
-		type out struct {
+		type scheduledEnd struct {
 			ended AttemptEnded
 			at    float64
 		}
-		fleet := newFleet(controllers, class, warming, usual)
+		fleet := newFleet(controllers, class, warming, meanWork)
 		var starts []float64 // ms, in order
-		pending := make([][]out, controllers)
+		pending := make([][]scheduledEnd, controllers)
 		work := map[QueryID]float64{}
 		id := QueryID(0)
 		for now := warming.StartedAt; now < warming.StartedAt+slowStartLimits.SlowStartTime; now += stepMS {
@@ -218,22 +218,22 @@
 					events = append(events, pending[n][0].ended)
 					pending[n] = pending[n][1:]
 				}
-				for range each * (1 + rng.Intn(2)) / 3 {
+				for range arrivalsPerStep * (1 + rng.Intn(2)) / 3 {
 					id++
-					work[id] = usual * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
+					work[id] = meanWork * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
 					events = append(events, QueryArrived{ID: id, Tenant: -1, TimeLeft: 60000, Tables: 7,
 						EstimatedWork: work[id]})
 				}
 				for _, a := range r.Step(now, events) {
 					if s, ok := a.(StartAttempt); ok {
 						starts = append(starts, now)
-						pending[n] = append(pending[n], out{AttemptEnded{ID: s.ID, QueryDone: true, Elapsed: 50}, now + 50})
+						pending[n] = append(pending[n], scheduledEnd{AttemptEnded{ID: s.ID, QueryDone: true, Elapsed: 50}, now + 50})
 					}
 				}
 			}
 		}
 		allowed := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
-			slowStartLimits.SlowStartWindow / usual
+			slowStartLimits.SlowStartWindow / meanWork
 		most := mostWithin(starts, slowStartLimits.SlowStartWindow)
 		if float64(most) > allowed {
 			t.Errorf("%d controllers: %d queries in a window, of %.0f, where chance may add %.0f", controllers, most,
@@ -250,13 +250,13 @@
 // Rule 4: what a warming engine is sent within a window stays under this controller's part, and a controller
 // that has just started starts it nothing.
 func TestWarmingEngineGetsItsPartAtMost(t *testing.T) {
-	for _, c := range []struct{ controllers, born, least, most float64 }{
+	for _, c := range []struct{ controllers, uptime, least, most float64 }{
 		{1, 5000, 1, 20}, {4, 5000, 0, 5}, {1, 500, 0, 0},
 	} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
 		tr.r.controllers = c.controllers
 		tr.r.classes[0].work.add(tr.now, 100*1000, 100)
-		tr.now += c.born
+		tr.now += c.uptime
 		warming := readyEndpoint("a", 0, "z", 1)
 		warming.StartedAt = tr.now
 		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
@@ -267,11 +267,11 @@
 				tr.step(attemptEnded(id, 0, Succeeded))
 			}
 		}
-		if whole := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
-			slowStartLimits.SlowStartWindow / c.controllers; n*1000 > whole ||
+		if totalAllowance := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+			slowStartLimits.SlowStartWindow / c.controllers; n*1000 > totalAllowance ||
 			n < c.least || n > c.most {
 			t.Errorf("%g controllers, up for %g ms: %g queries of 1000 ms to a warming engine", c.controllers,
-				c.born, n)
+				c.uptime, n)
 		}
 	}
 }
@@ -286,7 +286,7 @@
 		tr.step(ev)
 		tr.step(attemptEnded(id, 0, Succeeded))
 	}
-	if w := tr.r.classes[0].usualWork(tr.now); w < 300 {
+	if w := tr.r.classes[0].meanWork(tr.now); w < 300 {
 		t.Errorf("queries of 400 ms are taken to need %g", w)
 	}
 }
@@ -296,7 +296,7 @@
 func TestSlowStartTurnsStayWithinTheLimit(t *testing.T) {
 	const controllers = 150
 	var parts [controllers][]float64 // of each controller, every 10 ms
-	whole := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
+	totalAllowance := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
 		slowStartLimits.SlowStartWindow
 	tr := newTestRouterInFleet(t, cancelCapabilities, controllers, 1)
 	e := tr.r.engineList[0]
@@ -315,12 +315,12 @@
 		for n := range controllers { // each may use its part once within a window, and again in a later turn
 			sum += slices.Max(parts[n][from : from+window])
 		}
-		if used = max(used, sum); sum > slowStartShareUsed*whole*1.001 {
-			t.Fatalf("%g ms of work may be sent within a window, of %g", sum, slowStartShareUsed*whole)
+		if used = max(used, sum); sum > slowStartShareUsed*totalAllowance*1.001 {
+			t.Fatalf("%g ms of work may be sent within a window, of %g", sum, slowStartShareUsed*totalAllowance)
 		}
 	}
-	if used < whole/4 {
-		t.Errorf("only %g ms of work of %g may be sent", used, whole)
+	if used < totalAllowance/4 {
+		t.Errorf("only %g ms of work of %g may be sent", used, totalAllowance)
 	}
 }
 
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -27,7 +27,7 @@
 	cache.step = r.stepCount
 	model := class.shedWatch.model
 	class.refreshShedWatch(r.now)
-	allowedWork := r.admission.sizeLimit * class.usualWork(r.now)
+	allowedWork := r.admission.sizeLimit * class.meanWork(r.now)
 	if model != class.shedWatch.model ||
 		!withinRatio(allowedWork, cache.allowedWork, sizeLimitTolerance) {
 		cache.epoch++
