--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -17,7 +17,7 @@
 
 const (
 	pollRetryInterval = 1000.0 // ms between polls, at least; up to twice that after a failed one
-	pollShare         = 3.0    // polls within the time that the rules allow between two
+	pollsPerLimit     = 3.0    // polls within the time that the rules allow between two
 	defaultCores      = 8.0    // of an engine with a machine kind that is not configured
 )
 
@@ -92,6 +92,6 @@
 	if !r.capabilities.PollEndpoints || r.endpoints.subscribed || r.now < r.endpoints.pollAt {
 		return
 	}
-	r.endpoints.pollAt = r.now + max(pollRetryInterval, r.limits.PollWithin/pollShare)
+	r.endpoints.pollAt = r.now + max(pollRetryInterval, r.limits.PollWithin/pollsPerLimit)
 	r.endpoints.subscribeWanted = true
 }
