--- a/router/admission.go
+++ b/router/admission.go
@@ -1,44 +1,44 @@
 package router
 
-// admission is the state of admission control: which queries are taken while there is more to do
-// than capacity for it.
+// admission is the state of admission control, which decides which queries are accepted while there
+// is more work than capacity.
 type admission struct {
-	sizeLimit       float64     // times the usual work of its class that a query may need
+	sizeLimit       float64     // largest work of a query, as a multiple of its class's meanWork
 	objectiveMissed bool        // a latency objective was missed since sizeLimit was last adjusted
 	overloadedUntil float64     // ms; overload is assumed until then
-	arrivalWait     decayedMean // ms that queries waited until a step took them in
+	arrivalWait     decayedMean // mean time in ms from a query's arrival to the step that handles it
 	rejectShare     float64     // share of the arriving queries that is rejected at once
-	rejectShareAt   float64     // ms, when that share was last adjusted
+	rejectShareAt   float64     // ms, of the last adjustment of rejectShare
 }
 
 const (
-	maxSizeLimit            = 64.0  // sizeLimit when nothing is late
-	minSizeLimit            = 4.0   // sizeLimit in the worst overload
-	sizeLimitGrowthFactor   = 1.005 // factor on sizeLimit, each periodicInterval
-	sizeLimitDecreaseFactor = 0.9   // further factor, if a latency objective was missed in the interval
+	maxSizeLimit            = 64.0  // sizeLimit while latency objectives are met
+	minSizeLimit            = 4.0   // lower bound of sizeLimit in overload
+	sizeLimitGrowthFactor   = 1.005 // applied to sizeLimit every periodicInterval
+	sizeLimitDecreaseFactor = 0.9   // applied as well if a latency objective was missed since
 )
 
 const (
-	quotaTolerance       = 1.2    // times a tenant's quota up to which its queries count as within it
-	overloadDuration     = 1000.0 // ms for which overload is assumed after a query was queued too long
-	firstTryTimeoutDecay = 0.997  // factor, with each query, on queryClass.firstTryTimeout
-	retryTimeoutShare    = 0.95   // of firstTryTimeout; a query with less counts as a client's retry
-	maxClientQueueShare  = 0.75   // of a query's time left that its client's own queue may have used
+	quotaTolerance       = 1.2    // times a tenant's quota up to which its queries are within it
+	overloadDuration     = 1000.0 // ms that overload is assumed after a first try was shed
+	firstTryTimeoutDecay = 0.997  // factor on queryClass.firstTryTimeout, for each query
+	retryTimeoutShare    = 0.95   // of firstTryTimeout; with less time left it is a client's retry
+	maxClientQueueShare  = 0.75   // of a query's time left that its ClientQueueTime may use up
 )
 
 const (
-	maxArrivalWait      = 20.0   // ms, on average, that queries may wait until a step takes them in
+	maxArrivalWait      = 20.0   // ms; mean arrival wait above which queries are rejected
 	arrivalWaitHalfLife = 50.0   // ms
-	rejectShareRamp     = 2500.0 // ms in which the rejected share grows to 1 at twice the allowed wait
-	maxRejectShareStep  = 20.0   // ms since the last query, at most, that count for one adjustment
-	maxRejectShare      = 0.98   // so that waits are still seen
+	rejectShareRamp     = 2500.0 // ms in which rejectShare grows from 0 to 1 at twice maxArrivalWait
+	maxRejectShareStep  = 20.0   // ms since the last query, at most, for which rejectShare is adjusted
+	maxRejectShare      = 0.98   // below 1, so that waits of accepted queries are still observed
 )
 
-// queryArrived takes a query in: it is queued, or gets its final answer at once if it can't be in
-// time, or belongs to the share that is rejected while queries wait too long to be looked at.
+// queryArrived puts a query into the queue, or gives it its final answer at once: if it can't be in
+// time, or if it belongs to the share that is rejected while arrival waits are too long.
 func (r *Router) queryArrived(ev QueryArrived) {
 	class := r.classes[ev.Class]
-	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // clients may claim any time
+	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // a client may claim any time
 	q := r.addQuery(ev)
 	q.deadline -= min(ev.ClientQueueTime, maxClientQueueShare*ev.TimeLeft)
 	r.healthChecks.credit = min(maxHealthCheckCredit, r.healthChecks.credit+healthChecksPerQuery)
@@ -55,8 +55,8 @@
 	r.enqueue(q)
 }
 
-// detectClientRetry takes q for a client's retry if it leaves clearly less time than first tries do.
-// The latency objective then counts from when its client first tried.
+// detectClientRetry treats q as a client's retry if it leaves clearly less time than first tries of
+// its class do. Its latency objective then counts from the client's first try.
 func (class *queryClass) detectClientRetry(q *query, timeLeft float64) {
 	class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, timeLeft)
 	if timeLeft < class.firstTryTimeout*retryTimeoutShare {
@@ -64,8 +64,9 @@
 	}
 }
 
-// sampleOverQuota reports whether q is over its tenant's quota: of the queries of a tenant that asks
-// for more than this controller's share of its quota, as many as are over it, drawn at random.
+// sampleOverQuota reports whether q counts as over its tenant's quota. If the tenant sends more
+// than this controller's share of the quota, its queries are drawn at random, so that on average
+// the rest is within the quota.
 func (r *Router) sampleOverQuota(q *query) bool {
 	tenant := q.tenant
 	if tenant == nil || tenant.QueriesPerSecond <= 0 {
@@ -75,8 +76,9 @@
 	return r.rng.Float64()*tenant.queries.rate(r.now) > quota
 }
 
-// markHotTables has the pools packed anew if a rule marks the query's table group as hot for the
-// first time. Groups of which no query was ever answered don't count: any client can name one.
+// markHotTables marks the table group of the query as hot when an operator's rule does so for the
+// first time, and has the pools packed anew. Table groups without an answered query are excluded,
+// because clients can name any number of groups that don't exist.
 func (r *Router) markHotTables(q *query, hot bool) {
 	if hot && q.tables.confirmed && !q.tables.hot {
 		q.tables.hot = true
@@ -84,7 +86,7 @@
 	}
 }
 
-// whyRejectOnArrival is the reason for which an arriving query is rejected or failed at once.
+// whyRejectOnArrival returns the reason to reject or fail an arriving query at once, or noReason.
 func (r *Router) whyRejectOnArrival(q *query, arrivalWait float64) answerReason {
 	if reason := r.whyRejectForArrivalWait(q, arrivalWait); reason != noReason {
 		return reason
@@ -95,10 +97,10 @@
 	return noReason
 }
 
-// whyRejectForArrivalWait sheds load when this controller can't decide as fast as queries come:
-// waits for a step grow without end, and in the end every query would be late. Queries that can't
-// be in time after such a wait are rejected first, then a share of all that grows until waits are
-// short again. After a single pause of the process a few queries are rejected that could have run.
+// whyRejectForArrivalWait sheds load when queries arrive faster than this controller handles them:
+// arrival waits would grow without bound until every query is late. It rejects the queries that
+// can't be in time after such a wait, and of the others a share that grows until waits are short
+// again. After a single pause of the process it also rejects a few queries that could have run.
 func (r *Router) whyRejectForArrivalWait(q *query, arrivalWait float64) answerReason {
 	state := &r.admission
 	state.arrivalWait.add(r.now, arrivalWait, 1)
@@ -116,17 +118,17 @@
 	return noReason
 }
 
-// cannotReachHeadInTime reports whether those ahead of q in the queue of an ordering key take
-// longer than it can wait. In a burst on one key its client then knows at once and can turn
-// elsewhere. Some of these queries could have run in the end.
+// cannotReachHeadInTime reports whether the queries ahead of q in an ordering queue take longer
+// than q can wait. In a burst on one ordering key clients then learn at once that they should try
+// elsewhere. Some of the queries rejected for it could have run in the end.
 func (r *Router) cannotReachHeadInTime(q *query) bool {
 	ahead := r.waitAhead(q, r.latestStart(q)-r.now)
 	return ahead > 0 && r.now+ahead > r.latestStart(q)
 }
 
-// waitAhead is the time in ms that the queries ahead of q take one after another, as such queries
-// run lately: the longest of all its queues. A sum is not taken much further than past limit (ms),
-// so that a long queue costs no time. Queries of unknown run time count as 0.
+// waitAhead estimates the time in ms that the queries ahead of q take one after another at their
+// recent run times, as the maximum over q's ordering queues. Sums stop soon after limit (ms), so
+// that a long queue costs no time. Queries of unknown run time count as 0.
 func (r *Router) waitAhead(q *query, limit float64) float64 {
 	longest := 0.0
 	for _, queue := range q.queues {
@@ -135,7 +137,7 @@
 	return longest
 }
 
-// waitAheadIn is waitAhead for one queue.
+// waitAheadIn is waitAhead for one ordering queue.
 func (r *Router) waitAheadIn(queue *orderingQueue, q *query, limit float64) float64 {
 	sum := 0.0
 	for _, other := range queue.queries {
@@ -149,11 +151,12 @@
 	return sum
 }
 
-// whyNotWorthRunning is the reason for which a query that has had no attempt yet is not worth one.
-// In overload these queries make room for others: the ones that can only be late, those over their
-// tenant's quota, and the largest of a class. It guards against overload, queries that cost many
-// times the usual, tenants that surge, and client retries, which would crowd out first tries as
-// they have the shorter timeouts. A few are shed that could have run.
+// whyNotWorthRunning returns the reason to give up a query that has had no attempt yet, or
+// noReason. In overload it gives up queries over their tenant's quota and those that can only be
+// late; at any time, those that can't finish before their client timeout and those that exceed the
+// size limit of their class. This guards against overload, queries that cost many times the usual,
+// surges of single tenants, and client retries, which have the shorter timeouts and would displace
+// first tries. A few of these queries could have run.
 func (r *Router) whyNotWorthRunning(q *query) answerReason {
 	if len(q.attempts) > 0 {
 		return noReason
@@ -179,7 +182,8 @@
 	return noReason
 }
 
-// adjustSizeLimit lets the size limit grow, and cuts it when latency objectives were missed.
+// adjustSizeLimit increases the size limit, and decreases it if latency objectives were missed
+// since the last adjustment.
 func (r *Router) adjustSizeLimit() {
 	state := &r.admission
 	state.sizeLimit = min(maxSizeLimit, state.sizeLimit*sizeLimitGrowthFactor)
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// maxAssignmentPairs is how many pairs of table group and engine are looked at when the engines of
-	// a kind are assigned, so that it takes some milliseconds at most.
+	// maxAssignmentPairs limits the pairs of table group and engine that are examined when the engines
+	// of a kind are assigned, which then takes some milliseconds at most.
 	maxAssignmentPairs = 500000
-	// maxEnginesSortedWhole is the largest number of engines that are sorted whole, so that engines of
-	// equal affinity go to the pools in the order that earlier pools left them in.
+	// maxEnginesSortedWhole is the largest number of engines that are sorted completely. The sort is
+	// stable, so engines of equal affinity stay in the order in which earlier pools left them.
 	maxEnginesSortedWhole = 256
-	// maxPicksByScan is the largest number of picks, from more engines than that, which are found one
-	// by one: it costs less than a heap.
+	// maxPicksByScan is the largest number of engines that are picked from a longer list by one scan
+	// each, which costs less than a heap for so few.
 	maxPicksByScan = 8
 )
 
-// assignEngines gives the pools of a kind as many engines as they are to have. An engine stays with
-// the pool that it is in, as it has the tables of that pool in memory; otherwise it goes by
-// rendezvous affinity. Pools that give up engines choose first, so that a move of one engine moves
-// no other.
+// assignEngines distributes the ready engines of a kind over its pools by their target counts. An
+// engine preferably stays in its pool, because it has the pool's tables in memory; otherwise
+// rendezvous affinity decides. Pools that give up engines choose first, so that moving one engine
+// moves no other.
 func (r *Router) assignEngines(kind int, pools []*enginePool) {
 	free := r.readyEngines(kind)
 	r.allocateCounts(pools, len(free))
@@ -28,7 +28,7 @@
 	poolsInOrder := slices.Clone(pools)
 	slices.SortStableFunc(poolsInOrder, func(a, b *enginePool) int { return growth(a) - growth(b) })
 	for _, pool := range poolsInOrder {
-		r.unmarkPool() // the engines of the pool marked last have changed
+		r.unmarkPool() // the marked pool may have other engines since the last iteration
 		r.scoreAffinity(kind, pool, free, len(poolsInOrder))
 		for _, g := range pool.tableGroups() {
 			g.pools[kind] = pool
@@ -42,8 +42,9 @@
 	r.topologyVersion++
 }
 
-// scoreAffinity computes how well each free engine suits a pool: for each of its table groups, by
-// demand, the rendezvous affinity and whether the group's present pool has the engine.
+// scoreAffinity computes the affinity of each free engine to a pool: the sum over its table groups,
+// weighted by demand, of the rendezvous affinity, plus 1 if the engine is in the present pool of
+// the group.
 func (r *Router) scoreAffinity(kind int, pool *enginePool, free []*engine, poolCount int) {
 	for _, e := range free {
 		e.affinity = 0
@@ -61,8 +62,9 @@
 	}
 }
 
-// allocateCounts makes the target counts of all pools sum to the number of engines, one at least
-// each, by demand for each engine.
+// allocateCounts adjusts the target counts of all pools, at least one each, so that they add up to
+// the number of engines. Spare engines go to the pools with the highest demand per engine; missing
+// ones come from the pools that have the lowest with one engine less.
 func (r *Router) allocateCounts(pools []*enginePool, engines int) {
 	r.updateDemands(pools)
 	for _, pool := range pools {
@@ -81,14 +83,14 @@
 	}
 }
 
-// poolDemandEntry is what a pool asks for each engine that it is to have.
+// poolDemandEntry is the demand per engine of a pool, as an entry of a heap.
 type poolDemandEntry struct {
 	demandPerEngine float64
 	index           int // of the pool
 }
 
-// allocateByDemand gives engines out one at a time, each to the pool with the most demand for each
-// engine, the first of several.
+// allocateByDemand hands out engines one at a time, each to the pool with the highest demand per
+// engine. Ties go to the first pool.
 func allocateByDemand(pools []*enginePool, engines int) {
 	byDemand := heap[poolDemandEntry]{less: func(a, b *poolDemandEntry) bool {
 		return a.demandPerEngine > b.demandPerEngine ||
@@ -106,7 +108,8 @@
 	}
 }
 
-// markPool marks the engines of a pool, and no others.
+// markPool sets markedPool on the engines of a pool and clears it on all others; nil changes
+// nothing.
 func (r *Router) markPool(pool *enginePool) {
 	if pool == nil || r.pools.marked == pool {
 		return
@@ -123,7 +126,7 @@
 	}
 }
 
-// unmarkPool takes all marks back.
+// unmarkPool clears markedPool on all engines.
 func (r *Router) unmarkPool() {
 	for _, e := range r.pools.markedEngines {
 		e.markedPool = nil
@@ -133,8 +136,8 @@
 	r.pools.markedEngines = r.pools.markedEngines[:0]
 }
 
-// highestDemandGroups are all table groups of a pool or, where there are too many pairs with engines,
-// those with the most demand, one at least. Each group takes part in pairsEach pairs.
+// highestDemandGroups returns all table groups of a pool or, if these make too many pairs with
+// engines, those with the highest demand, at least one. Each group makes pairsEach pairs.
 func (r *Router) highestDemandGroups(groups []*tableGroup, pairsEach int) []*tableGroup {
 	maxGroups := max(1, maxAssignmentPairs/max(1, pairsEach))
 	if len(groups) <= maxGroups {
@@ -146,8 +149,8 @@
 	return groups[:maxGroups]
 }
 
-// splitByAffinity divides engines into the count with the most affinity, those first, and the rest;
-// of two alike the earlier comes first.
+// splitByAffinity divides engines into the count with the highest affinity, in descending order,
+// and the rest. Ties go to the earlier engine.
 func splitByAffinity(engines []*engine, count int) (best, rest []*engine) {
 	switch {
 	case len(engines) <= maxEnginesSortedWhole:
@@ -162,7 +165,7 @@
 	}
 }
 
-// splitByScan is splitByAffinity by one pass for each engine picked.
+// splitByScan is splitByAffinity with one scan for each engine picked.
 func splitByScan(engines []*engine, count int) (best, rest []*engine) {
 	for range count {
 		top := 0
@@ -177,7 +180,7 @@
 	return best, engines
 }
 
-// splitByHeap is splitByAffinity by a heap of all engines.
+// splitByHeap is splitByAffinity with a heap of all engines.
 func splitByHeap(engines []*engine, count int) (best, rest []*engine) {
 	type indexed struct {
 		e     *engine
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -5,44 +5,44 @@
 	"slices"
 )
 
-// concurrency is what this controller has in flight, over all engines.
+// concurrency counts what this controller has in flight on all engines together.
 type concurrency struct {
 	attempts          int
-	threads           float64 // of these attempts
-	pooledThreadLimit float64 // on all engines together
+	threads           float64 // used by these attempts
+	pooledThreadLimit float64 // limit on threads, over all engines
 	readyCores        float64 // cores of the engines that are ready
 }
 
-// The concurrency limit of an engine, and how it changes.
+// The concurrency limit of an engine and its adjustment.
 const (
 	initialThreadsPerCore = 2.0
 	minThreadsPerCore     = 1.5
 	maxThreadsPerCore     = 2.5
-	increaseBelowSlowdown = 1.8   // slowdown of an engine below which its limit widens
-	decreaseAboveSlowdown = 3.0   // slowdown of an engine above which its limit is cut
+	increaseBelowSlowdown = 1.8   // slowdown of an engine below which its limit is increased
+	decreaseAboveSlowdown = 3.0   // slowdown of an engine above which its limit is decreased
 	limitIncreaseStep     = 0.5   // threads that an answer adds to the limit
-	limitIncreaseMinUse   = 0.7   // share of the limit that must be in use for it to widen
-	limitDecreaseFactor   = 0.85  // factor of a cut on the limit
-	limitDecreaseInterval = 400.0 // ms between cuts for slowness; a rejection cuts at once
+	limitIncreaseMinUse   = 0.7   // share of the limit that must be in use for an increase
+	limitDecreaseFactor   = 0.85  // applied to the limit in each decrease
+	limitDecreaseInterval = 400.0 // ms between decreases for slowness; a rejection decreases at once
 )
 
 const (
-	pooledLimitTolerance = 3.0 // threads past the pooled limit, on engines that report capacity
-	threadsPerOtherQuery = 1.2 // threads that a query of another controller is taken to use
-	maxMemoryGranted     = 0.9 // of an engine's memory; past it a busy controller starts nothing there
+	pooledLimitTolerance = 3.0 // threads over the pooled limit, on engines that report spare capacity
+	threadsPerOtherQuery = 1.2 // threads that a query of another controller is assumed to use
+	maxMemoryGranted     = 0.9 // of an engine's memory; above it, a busy controller starts nothing
 )
 
-// threadLimit is the concurrency limit of this controller on one engine, in threads: the engine's
-// own, times the capacity that it has while it warms up, times this controller's share of the
+// threadLimit is the concurrency limit in threads of this controller on one engine: the limit of
+// the engine, scaled by its capacity while it warms up and by this controller's share of the
 // traffic.
 func (r *Router) threadLimit(e *engine) float64 {
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// adjustThreadLimit adjusts the concurrency limit of e after an answer to an attempt that used some
-// threads, by additive increase and multiplicative decrease. The limit widens while queries run
-// less than increaseBelowSlowdown times as long as on an idle engine and the limit is in use, and is
-// cut when they run more than decreaseAboveSlowdown times as long.
+// adjustThreadLimit adjusts the concurrency limit of e by additive increase and multiplicative
+// decrease, after an answer to an attempt that used the given threads. The limit is increased while
+// it is in use and queries run less than increaseBelowSlowdown times as long as on an idle engine,
+// and decreased when they run more than decreaseAboveSlowdown times as long.
 func (r *Router) adjustThreadLimit(e *engine, threads float64) {
 	slowdown := e.meanSlowdown(r.now)
 	limit := r.threadLimit(e)
@@ -55,9 +55,9 @@
 	}
 }
 
-// hasCapacity reports whether e may take q now, up to a share of its thread limit. A controller
-// with nothing in flight may always start one attempt: a small controller's part of the engines is
-// less than one query.
+// hasCapacity reports whether e may take q now, with up to the given share of its thread limit in
+// use. A controller with nothing in flight may always start one attempt, because a small
+// controller's share of an engine can be less than one query.
 func (r *Router) hasCapacity(q *query, e *engine, share float64) bool {
 	if r.now < e.classBackoff(q.class).until || !r.usable(q.class, e) {
 		return false
@@ -65,12 +65,15 @@
 	return r.concurrency.attempts == 0 || r.withinThreadLimits(e, share)
 }
 
-// withinThreadLimits reports whether the threads in flight are within the limits, on e and pooled
-// over all engines. The last attempt may overhang either, and one may always run on an engine that
-// has none. The pooled limit may be passed a little on an engine that reports capacity, as a
-// controller's share is coarse. It does not count for a warming engine with a part below one
-// thread, as slowStartAllows guards that. Nothing starts on an engine that reports its memory as
-// used up (hasCapacity does not ask while nothing is in flight).
+// withinThreadLimits reports whether the threads in flight are within the limit of e and within the
+// limit pooled over all engines. The attempt to be started is not counted, so the last one may
+// exceed either limit, and the limit of e does not apply while e has no attempts.
+//
+// On an engine that reports spare capacity the pooled limit may be exceeded by
+// pooledLimitTolerance, because a controller's share is a coarse estimate. It does not apply to a
+// warming engine on which this controller's limit is below one thread; slowStartAllows guards that
+// one. Nothing starts on an engine that reports its memory as used up, but hasCapacity does not ask
+// while this controller has nothing in flight.
 func (r *Router) withinThreadLimits(e *engine, share float64) bool {
 	reported := r.now-e.reportedAt < reportMaxAge
 	pooledLimit := r.concurrency.pooledThreadLimit
@@ -86,8 +89,9 @@
 		(!reported || e.memoryGranted <= maxMemoryGranted)
 }
 
-// refreshEngines computes the pooled concurrency limit anew and checks the health of the engines
-// that are due. A warming engine from which no class may get anything adds nothing to the limit.
+// refreshEngines recomputes the pooled concurrency limit and requests the health checks that are
+// due. A warming engine that may not be sent an average query of any class adds nothing to the
+// limit.
 func (r *Router) refreshEngines() {
 	r.concurrency.pooledThreadLimit = 0
 	r.concurrency.readyCores = 0
@@ -106,8 +110,8 @@
 	}
 }
 
-// averageQueryFits reports whether a usual query of some class fits into what e may get while it
-// warms up.
+// averageQueryFits reports whether, for at least one class, a query of average work fits into what
+// this controller may send to e while it warms up.
 func (r *Router) averageQueryFits(e *engine) bool {
 	return slices.ContainsFunc(r.classes, func(class *queryClass) bool {
 		return class.meanWork(r.now) < r.slowStartAllowance(e)
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -1,10 +1,10 @@
 package router
 
-// maxTriedPerStep is how many queued queries one step tries to start, so that a step stays short.
+// maxTriedPerStep limits the queued queries that one step tries to start, to keep steps short.
 const maxTriedPerStep = 100
 
-// dispatch starts queued queries, the earliest client timeout first, as far as engines have
-// capacity.
+// dispatch starts queued queries in the order of their client timeouts, the earliest first, as far
+// as engines have capacity.
 func (r *Router) dispatch() {
 	r.dequeueAnswered()
 	if r.meanOthersPerCore() < r.search.minOthersPerCore {
@@ -22,7 +22,7 @@
 }
 
 // tryToStart starts an attempt of a startable query if an engine has capacity for it, gives the
-// query up if it is not worth an attempt any more, and else leaves it in the queue.
+// query up if it is no longer worth an attempt, and otherwise leaves it in the queue.
 func (r *Router) tryToStart(q *query) {
 	if r.noCapacityAnywhere(q) && r.knownWorthRunning(q) {
 		return
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// endpointWatch is what is known of the endpoint list's own freshness.
+// endpointWatch is the state of the subscription to the endpoint list, and how current the list is.
 type endpointWatch struct {
-	updatedAt float64 // ms, of the last update
+	updatedAt float64 // ms, of the last update with a current list
 
 	// expiredFor is the time in ms for which an engine may have been draining without notice. 0: the
 	// list is current.
 	expiredFor float64
 
 	subscribed      bool
-	subscribeWanted bool    // to be asked for at the end of this step
-	pollAt          float64 // ms, before which the list is not asked for again
+	subscribeWanted bool    // Subscribe is returned at the end of this step
+	pollAt          float64 // ms, before which the list is not polled again
 }
 
 const (
-	pollRetryInterval = 1000.0 // ms between polls, at least; up to twice that after a failed one
-	pollsPerLimit     = 3.0    // polls within the time that the rules allow between two
-	defaultCores      = 8.0    // of an engine with a machine kind that is not configured
+	pollRetryInterval = 1000.0 // ms between polls, at least; up to twice that after a failed poll
+	pollsPerLimit     = 3.0    // polls within SafetyLimits.PollWithin
+	defaultCores      = 8.0    // of an engine whose machine kind is not configured
 )
 
-// endpointsUpdated handles an update of the endpoint list and gives each pool its engines anew.
-// After a failed poll the list stands as it was and is asked for again, before it expires.
+// endpointsUpdated applies an update of the endpoint list and reassigns engines to the pools. After
+// a failed poll the list stands as it was and is polled again before it expires.
 func (r *Router) endpointsUpdated(ev EndpointsUpdated) {
 	if ev.Failed {
 		r.endpoints.subscribed = false
@@ -36,8 +36,8 @@
 	}
 }
 
-// updateEngines applies the endpoints of an update. Engines that a complete list does not name are
-// gone.
+// updateEngines applies the endpoints of an update. Engines that a complete list does not contain
+// are marked as gone.
 func (r *Router) updateEngines(ev EndpointsUpdated) {
 	r.topologyVersion++
 	r.endpoints.expiredFor = ev.ExpiredFor
@@ -60,8 +60,8 @@
 	}
 }
 
-// updateEngine applies one endpoint. The statistics of an earlier process of the engine are
-// forgotten; when it last answered, and when a connection to it was lost, are kept.
+// updateEngine applies one endpoint. If the engine has a new process, the statistics of the earlier
+// one are reset; the times of its last answer and of its last lost connection are kept.
 func (r *Router) updateEngine(endpoint Endpoint) {
 	startedAt := endpoint.StartedAt
 	if startedAt == 0 {
@@ -87,7 +87,8 @@
 	r.updateBounds(e)
 }
 
-// pollEndpoints asks for the endpoint list where it comes only when it is asked for.
+// pollEndpoints requests the endpoint list if the deployment requires polling and there is no
+// subscription.
 func (r *Router) pollEndpoints() {
 	if !r.capabilities.PollEndpoints || r.endpoints.subscribed || r.now < r.endpoints.pollAt {
 		return
--- a/router/engine.go
+++ b/router/engine.go
@@ -40,7 +40,7 @@
 	slowdown         decayedMean // run time over the time on an idle engine
 	threadsPerCore   float64     // concurrency limit of all controllers together, as this one sees it
 	limitDecreasedAt float64     // ms, when that limit was last cut because the engine was slow
-	outcomes         uint64      // a bit for each attempt and health check, the last lowest; 1: success
+	outcomes         uint64      // a bit per attempt and health check, the last lowest; 1: success
 	succeededAt      float64     // ms, of the last success of any class
 	classBackoffs    []backoff   // by class index
 	slowStartWork    slidingWindow
--- a/router/estimates.go
+++ b/router/estimates.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Half-lives, in ms, of what is learned of a class.
+// Half-lives in ms of the statistics of a query class.
 const (
 	unitTimeHalfLife    = 10000.0
 	logSlowdownHalfLife = 1000.0
@@ -14,25 +14,25 @@
 )
 
 const (
-	minAnswersForBest      = 25.0   // answers of a class after which its bestUnitTime counts
-	bestUnitTimeDrift      = 1.0001 // growth of bestUnitTime with each answer: it follows slower work
-	maxSlowdownSample      = 20.0   // slowdown that one answer may count as, at most
-	slowdownPriorWeight    = 1.0    // answers that a slowdown of 1 counts as
-	workScalePriorWeight   = 2.0    // answers that an unscaled estimate of the work counts as
-	memoryScalePriorWeight = 3.0    // answers that an unscaled estimate of the memory counts as
-	unknownWorkDivisor     = 3.0    // of the client timeout: the usual work while little is known
-	unknownTimeDivisor     = 2.0    // of the latency objective: the unloaded time while not known
+	minAnswersForBest      = 25.0   // answers of a class from which its bestUnitTime is learned
+	bestUnitTimeDrift      = 1.0001 // growth of bestUnitTime per answer; it follows slower work
+	maxSlowdownSample      = 20.0   // upper bound of the slowdown that one answer counts as
+	slowdownPriorWeight    = 1.0    // weight of the prior slowdown, 1, in answers
+	workScalePriorWeight   = 2.0    // weight of the prior work scale, 1, in answers
+	memoryScalePriorWeight = 3.0    // weight of the prior memory scale, 1, in answers
+	unknownWorkDivisor     = 3.0    // of the client timeout, for the mean work while little is known
+	unknownTimeDivisor     = 2.0    // of the latency objective, for an unknown unloaded time
 )
 
 // When estimates that were restored from an earlier run are discarded.
 const (
-	restoredMaxAge          = 10000.0 // ms without an answer after which they are
-	answersToRefuteRestored = 5.0     // answers after which they can be refuted
-	refuteRatio             = 3.0     // of learned and restored unit time, from which they are refuted
+	restoredMaxAge          = 10000.0 // ms without an answer after which they are discarded
+	answersToRefuteRestored = 5.0     // answers above which they can be refuted
+	refuteRatio             = 3.0     // of learned and restored unit time, either way, to refute them
 )
 
 // workUnits is the size of q for its class: its estimated time in ms on an idle engine, corrected
-// by the class's workScale. Without an estimate all queries of a class are of the same size, 1.
+// by the class's workScale. Without an estimate, all queries of a class have size 1.
 func (class *queryClass) workUnits(q *query, now float64) float64 {
 	if q.estimatedWork <= 0 {
 		return 1
@@ -45,20 +45,19 @@
 	return max(1, estimatedWork*workScale/class.Threads)
 }
 
-// meanWorkScale is the ratio of true to estimated work by the recent answers, 1 while there are
-// none.
+// meanWorkScale is the mean ratio of true to estimated work over the recent answers; 1 without any.
 func (class *queryClass) meanWorkScale(now float64) float64 {
 	return class.workScale.mean(now, 1, workScalePriorWeight)
 }
 
-// meanSlowdown is the ratio by which the class's queries run longer than on an idle engine: the
-// geometric mean of the recent answers.
+// meanSlowdown is the geometric mean, over the recent answers of the class, of the run time over
+// the time on an idle engine.
 func (class *queryClass) meanSlowdown(now float64) float64 {
 	return math.Exp(class.logSlowdown.mean(now, 0, slowdownPriorWeight))
 }
 
-// unloadedTime is the time in ms that q would take on an idle engine, as far as is known; a part of
-// its latency objective if nothing is.
+// unloadedTime is the estimated run time in ms of q on an idle engine. With neither an estimate of
+// q nor a learned unit time, it is a fraction of the latency objective.
 func (class *queryClass) unloadedTime(q *query, now float64) float64 {
 	if class.bestUnitTime == 0 && q.estimatedWork <= 0 {
 		return class.LatencyObjective / unknownTimeDivisor
@@ -66,19 +65,19 @@
 	return cmp.Or(class.bestUnitTime, 1) * class.workUnits(q, now)
 }
 
-// expectedRunTime is the time in ms that q would take as such queries run lately.
+// expectedRunTime is the estimated run time in ms of q at the recent slowdown of its class.
 func (class *queryClass) expectedRunTime(q *query, now float64) float64 {
 	return class.meanSlowdown(now) * class.unloadedTime(q, now)
 }
 
-// meanWork is the mean work in ms of a class. It is high while little is known, as it guards
-// warming engines: too low a guess would break rule 4.
+// meanWork is the mean work in ms of the queries of a class. The prior is high, because slow start
+// relies on this value: too low a value would break rule 4.
 func (class *queryClass) meanWork(now float64) float64 {
 	return class.work.mean(now, class.ClientTimeout/unknownWorkDivisor, 1)
 }
 
-// learnFromSuccess records how long a successful attempt of q took on e: for the estimates of its
-// class, the slowdown of the engine, and its concurrency limit.
+// learnFromSuccess records the run time and cost of a successful attempt of q on e, for the
+// estimates of the class and for the slowdown and the concurrency limit of the engine.
 func (r *Router) learnFromSuccess(q *query, e *engine, ev AttemptEnded) {
 	class := q.class
 	units := class.workUnits(q, r.now)
@@ -97,8 +96,8 @@
 	r.updateBounds(e)
 }
 
-// updateBestUnitTime keeps the least mean of the unit time, once enough answers are known. Until
-// then a restored value stands, unless answers show that the class's queries have become others.
+// updateBestUnitTime tracks the minimum of the mean unit time, once enough answers are known. Until
+// then a restored value stands, unless answers show that the queries of the class have changed.
 func (class *queryClass) updateBestUnitTime(now float64) {
 	answers := class.unitTime.weight
 	mean := class.unitTime.mean(now, 0, 0)
@@ -115,8 +114,8 @@
 	}
 }
 
-// recordMeasuredCost records the true work and memory of an answered query, and reports whether the
-// work was both estimated and measured.
+// recordMeasuredCost records the true work and memory of an answered query against its estimates,
+// and reports whether the work was both estimated and measured.
 func (class *queryClass) recordMeasuredCost(now float64, q *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && q.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/q.estimatedMemoryMB, 1)
@@ -128,7 +127,7 @@
 	return true
 }
 
-// discardRestored forgets the estimates that were restored from an earlier run.
+// discardRestored resets the estimates that were restored from an earlier run.
 func (class *queryClass) discardRestored() {
 	class.bestUnitTime = 0
 	class.unconfirmedSince = 0
@@ -136,9 +135,9 @@
 	class.memoryScale = decayedMean{halfLife: scaleHalfLife}
 }
 
-// discardUnconfirmed drops restored estimates that no answer has confirmed for long. An estimate
-// that is too long would have every query of its class shed, and so would never be corrected by an
-// answer.
+// discardUnconfirmed discards restored estimates that no answer has confirmed for restoredMaxAge.
+// Too long an estimate would have every query of its class shed, so that no answer could ever
+// correct it.
 func (r *Router) discardUnconfirmed() {
 	for _, class := range r.classes {
 		if class.unconfirmedSince > 0 && r.now > class.unconfirmedSince+restoredMaxAge {
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -1,24 +1,25 @@
 package router
 
-// healthChecks are the checks that this controller makes. Each takes from a credit that queries
-// bring, because hundreds of controllers that check by time alone would keep the engines busy.
+// healthChecks is the state of this controller's health checks. Each check uses up credit that
+// queries bring, because hundreds of controllers that check by time alone would keep the engines
+// busy.
 type healthChecks struct {
-	wanted []*engine // to be checked at the end of this step
-	credit float64   // checks that may be made
+	wanted []*engine // engines to be checked at the end of this step
+	credit float64   // number of checks that may be made
 }
 
 const (
 	healthCheckInterval    = 400.0  // ms between checks of an engine, by all controllers together
 	maxHealthCheckInterval = 1000.0 // ms between checks of an engine, by one controller, at most
-	healthCheckJitter      = 0.2    // share of the interval by which it varies
-	reportRefreshAge       = 1200.0 // ms; an older report is refreshed before an attempt on its engine
-	healthChecksPerQuery   = 1.0    // credit that a query brings
-	maxHealthCheckCredit   = 10.0   // credit that is saved at most
-	reservedCredit         = 5.0    // part of it that is kept for refreshing reports
+	healthCheckJitter      = 0.2    // share of the interval by which it is randomized
+	reportRefreshAge       = 1200.0 // ms; an older load report is refreshed before an attempt
+	healthChecksPerQuery   = 1.0    // credit that each arriving query adds
+	maxHealthCheckCredit   = 10.0   // upper bound of the credit
+	reservedCredit         = 5.0    // credit that only checks which refresh load reports may use
 )
 
-// checkHealth asks an engine for its health and load, and reports whether it does. It does not
-// where checks are not allowed, the credit is used up, or a check of the engine runs.
+// checkHealth requests a health check of e, and reports whether it did. It does not if health
+// checks are not allowed, the credit is used up, or a check of e is outstanding.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthChecks.credit < 1 {
 		return false
@@ -31,8 +32,9 @@
 	return true
 }
 
-// waitForFreshReport reports whether an attempt on e has to wait for a health check, and asks for
-// one if none runs. If no check can be made the attempt need not wait.
+// waitForFreshReport reports whether an attempt on e has to wait for a health check, because the
+// last load report is too old, and requests a check if none is outstanding. If no check can be
+// made, the attempt does not wait.
 func (r *Router) waitForFreshReport(e *engine) bool {
 	if r.now-e.reportedAt <= reportRefreshAge {
 		return false
@@ -43,7 +45,7 @@
 	return r.now > e.healthCheckAt && r.checkHealth(e)
 }
 
-// healthCheckEnded handles the result of a health check.
+// healthCheckEnded records the result of a health check.
 func (r *Router) healthCheckEnded(ev HealthCheckEnded) {
 	e := r.engines[ev.Engine]
 	if e == nil {
--- a/router/load.go
+++ b/router/load.go
@@ -2,22 +2,22 @@
 
 const (
 	reportHalfLife      = 1000.0  // ms, of reported utilization
-	othersHalfLife      = 5000.0  // ms, of what other controllers have in flight on an engine
-	reportMaxAge        = 4000.0  // ms after which a load report no longer counts
-	maxUtilization      = 2.0     // busy cores over all cores; a report of more is not believed
-	maxInflightPerCore  = 100.0   // queries; a report of more is not believed
-	slowdownLifeFactor  = 4.0     // slowdownHalfLife in mean times between own queries for an engine
+	othersHalfLife      = 5000.0  // ms, of the queries of other controllers in flight on an engine
+	reportMaxAge        = 4000.0  // ms after which a load report is ignored
+	maxUtilization      = 2.0     // busy cores over all cores; a report of more is ignored
+	maxInflightPerCore  = 100.0   // queries; a report of more is ignored
+	slowdownLifeFactor  = 4.0     // slowdownHalfLife, in mean intervals between own queries per engine
 	maxSlowdownHalfLife = 10000.0 // ms
-	negligibleQueryRate = 1e-9    // queries per ms, so that no rate is a divisor of 0
+	negligibleQueryRate = 1e-9    // queries per ms; avoids a division by 0
 )
 
-// plausible reports whether an engine can have this load. A report that is not plausible changes
-// nothing.
+// plausible reports whether an engine can have this load. Reports that are not plausible are
+// ignored.
 func (l *LoadReport) plausible(e *engine) bool {
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
 }
 
-// recordReport records an engine's load report; nil: there is none.
+// recordReport records the load report of an engine; nil: there is none.
 func (r *Router) recordReport(e *engine, report *LoadReport) {
 	if report == nil || !report.plausible(e) {
 		return
@@ -36,8 +36,8 @@
 	r.updateBounds(e)
 }
 
-// recordInflight records how many queries of all controllers an engine has in flight: the part of
-// the others is its load, and the part of this controller its share of the traffic.
+// recordInflight records how many queries of all controllers an engine has in flight, to learn its
+// load by other controllers and this controller's share of the traffic.
 func (r *Router) recordInflight(e *engine, inflight float64) {
 	others := max(0, inflight-float64(e.attempts))
 	e.othersInflight.capWeight(r.now, 1)
@@ -49,9 +49,9 @@
 	}
 }
 
-// engineLoad is the load of an engine: the larger of its reported utilization and disk use; without
-// these the queries in flight for each core; without any recent report an estimate of these, by
-// this controller's own attempts and its share of the traffic.
+// engineLoad is the load of an engine: the larger of its reported utilization and disk use; if it
+// reports no utilization, the queries in flight per core; without a recent report, an estimate of
+// that from this controller's own attempts and its share of the traffic.
 func (r *Router) engineLoad(e *engine) float64 {
 	if e.reportedAt == 0 || r.now-e.reportedAt > reportMaxAge {
 		return float64(e.attempts) / e.cores / r.trafficShare()
@@ -62,8 +62,8 @@
 	return (float64(e.attempts) + e.othersInflight.mean(r.now, 0, 0)) / e.cores
 }
 
-// slowdownHalfLife is the half-life in ms of an engine's slowdown: as long as it takes for some own
-// queries to come to each engine, within bounds.
+// slowdownHalfLife is the half-life in ms of an engine's slowdown: long enough for several own
+// queries per engine, within bounds.
 func (r *Router) slowdownHalfLife() float64 {
 	queryRate := r.traffic.queryRate.rate(r.now) + negligibleQueryRate
 	wanted := slowdownLifeFactor * float64(len(r.engineList)) / queryRate
--- a/router/packing.go
+++ b/router/packing.go
@@ -9,14 +9,14 @@
 
 const (
 	memoryReserve      = 0.1     // share of an engine's memory that packing leaves free
-	assumedMemoryShare = 0.5     // share of it that all groups are taken to use while nothing is known
-	demandHalfLife     = 10000.0 // ms, of the demand and the footprints of table groups
+	assumedMemoryShare = 0.5     // share of it assumed to be used while nothing is known
+	demandHalfLife     = 10000.0 // ms, of the demand and the memory footprint of table groups
 )
 
-// footprints are the memory in MB that each table group needs on the engines of a kind: mean memory
-// times the queries that run at once, over all controllers, and the kind's part of all engines. By
-// Little's law that is the memory times the time of its attempts, for each ms. While nothing is
-// known all groups are alike.
+// footprints estimates the memory in MB that each table group needs on the engines of a kind: the
+// mean memory of its queries times the number that run at once, over all controllers, times the
+// kind's share of all engines. By Little's law, the first two are the rate of memory times run time
+// of its attempts. While nothing is known, all groups have the same size.
 func (r *Router) footprints(kind int) map[*tableGroup]float64 {
 	total := 0.0
 	for _, g := range r.groupList {
@@ -34,9 +34,9 @@
 	return sizes
 }
 
-// bestFitDecreasing packs table groups into bins of one size by Best Fit Decreasing: the largest
-// first, each into the bin that it fills best. A group that is larger than a bin has one of its
-// own.
+// bestFitDecreasing packs table groups into bins of one size by Best Fit Decreasing: in descending
+// order of size, each into the bin in which it leaves the least memory free. A group that is larger
+// than a bin gets a bin of its own.
 func bestFitDecreasing(groups []*tableGroup, sizes map[*tableGroup]float64,
 	binSize float64) [][]*tableGroup {
 	sorted := slices.Clone(groups)
@@ -58,15 +58,15 @@
 	return packs
 }
 
-// bin is one pack of table groups with the memory that it has left.
+// bin is a pack of table groups and its free memory.
 type bin struct {
-	free float64 // MB; below 0 if its only group is too large
-	pack int
+	free float64 // MB; negative if its only group is too large
+	pack int     // index of the pack
 }
 
-// binIndex finds the bin that a group fits into best.
+// binIndex finds the best fit for a table group.
 type binIndex struct {
-	byFree *btree.BTreeG[bin] // then by pack
+	byFree *btree.BTreeG[bin] // ordered by free memory, then by pack
 }
 
 func newBinIndex() binIndex {
@@ -78,8 +78,8 @@
 
 func (index binIndex) put(b bin) { index.byFree.Set(b) }
 
-// takeBestFit takes out the bin with the least memory left that is enough, the first of several; ok
-// reports whether there is one.
+// takeBestFit removes and returns the bin with the least free memory that is enough, the first of
+// several; ok reports whether there is one.
 func (index binIndex) takeBestFit(size float64) (best bin, ok bool) {
 	index.byFree.Ascend(bin{free: size, pack: -1}, func(b bin) bool {
 		best = b
--- a/router/periodic.go
+++ b/router/periodic.go
@@ -1,10 +1,11 @@
 package router
 
-// periodicInterval is the time in ms between two runs of what is done by time and not by events.
+// periodicInterval is the time in ms between two calls of runPeriodic.
 const periodicInterval = 50.0
 
-// runPeriodic does what is done by time: it gives up queued queries, moves engines between pools,
-// asks for the endpoint list and computes anew what holds until its next run.
+// runPeriodic does what depends on time and not on events: it adjusts the size limit, discards old
+// estimates, sheds queued queries, moves engines between pools, polls the endpoint list, recomputes
+// limits and bounds, and drops unused state.
 func (r *Router) runPeriodic() {
 	r.timers.periodicAt = r.now + periodicInterval
 	r.adjustSizeLimit()
--- a/router/pools.go
+++ b/router/pools.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// poolState is which engines serve which table groups.
+// poolState is the assignment of engines to table groups.
 type poolState struct {
-	byKind      [][]*enginePool // by machine kind; each ready engine of a kind is in one pool of it
-	packed      bool            // by learned footprints
-	rebalanceAt float64         // ms, when engines may move between pools again
+	byKind      [][]*enginePool // by machine kind; each ready engine of a kind is in one of its pools
+	packed      bool            // by learned memory footprints
+	rebalanceAt float64         // ms, when engines may next move between pools
 
-	// marked is the pool to which markedPool of its engines points while engines are assigned; nil:
-	// none.
+	// marked is the pool to which markedPool of its engines points, while engines are assigned to
+	// pools; nil: none.
 	marked        *enginePool
 	markedEngines []*engine
 }
 
-// enginePool is the engines of one kind that serve a pack of table groups, or several packs that
-// share them as merged.
+// enginePool is the engines of one kind that serve a pack of table groups, or several packs whose
+// pools were merged.
 type enginePool struct {
 	packs       [][]*tableGroup
 	engines     []*engine
-	targetCount int     // engines that it is to have
-	demand      float64 // poolDemand, when engines were last allocated
+	targetCount int     // number of engines that it is to have
+	demand      float64 // poolDemand, as last computed
 	candidates  candidateList
 }
 
 func (pool *enginePool) tableGroups() []*tableGroup { return slices.Concat(pool.packs...) }
 
-// demandPerEngine is the demand for each engine that the pool is to have.
+// demandPerEngine is the demand per engine at the target count.
 func (pool *enginePool) demandPerEngine() float64 {
 	return pool.demand / float64(max(1, pool.targetCount))
 }
 
 const (
-	rebalanceInterval = 2000.0  // ms between moves of engines
+	rebalanceInterval = 2000.0  // ms between rebalances
 	moveMargin        = 1.25    // busiest pool's load over the donor's future load, to move an engine
-	recomputeMargin   = 2.5     // the same, from which all counts are solved at once
+	recomputeMargin   = 2.5     // the same, from which all target counts are recomputed at once
 	underusedLoad     = 0.25    // load below which a pool of one engine may be merged with another
 	hotDemandFactor   = 3.0     // weight of the demand of a table group that a rule marks as hot
 	tableGroupMaxIdle = 60000.0 // ms after its last query for which a table group is kept
-	negligibleDemand  = 1e-9    // so that no demand or load is a divisor of 0
+	negligibleDemand  = 1e-9    // avoids a division by a demand or load of 0
 )
 
-// rebalanceAll forgets unused table groups, packs the pools of each kind once demand is known, and
-// moves engines between them.
+// rebalanceAll drops unused table groups, repacks the pools of each kind once the demand is known,
+// and moves engines between them.
 func (r *Router) rebalanceAll() {
 	r.pools.rebalanceAt = r.now + rebalanceInterval
 	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
@@ -61,11 +61,14 @@
 	}
 }
 
-// rebalance moves engines between the pools of one kind. The donor is the pool that would have the
-// lowest load with one engine less. It gives one to the busiest pool if the load of that is
-// moveMargin times the donor's future load; after a sharp swing all counts are solved at once. A
-// busiest pool of several packs on one engine is divided first. If no engine moves, two pools that
-// underuse their only engines are merged, and the engine that is freed goes to the busiest pool.
+// rebalance moves engines between the pools of one kind. The donor is the pool whose load with one
+// engine less, its future load, is the lowest. It gives one engine to the busiest pool if the load
+// of that is at least moveMargin times the donor's future load; from recomputeMargin on, after a
+// sharp swing, all target counts are recomputed at once.
+//
+// If the busiest pool has several packs on one engine, one of the packs gets a pool of its own
+// instead, with the donor's engine. If no engine is to move, two underused pools of one engine are
+// merged, and the engine that is freed goes to the busiest pool.
 func (r *Router) rebalance(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := len(r.readyEngines(kind))
@@ -104,7 +107,8 @@
 	r.assignEngines(kind, pools)
 }
 
-// underusedPools are the pools of one engine with a low load, without the busiest pool.
+// underusedPools returns the pools of one engine with a load below underusedLoad, except the
+// busiest pool.
 func (r *Router) underusedPools(pools []*enginePool, busiest *enginePool) []*enginePool {
 	var underused []*enginePool
 	for _, pool := range pools {
@@ -115,8 +119,8 @@
 	return underused
 }
 
-// recomputeCounts sets the counts for which all loads would be equal, rounded towards the present
-// counts.
+// recomputeCounts sets the target counts at which all loads would be equal, rounded towards the
+// present counts.
 func (r *Router) recomputeCounts(pools []*enginePool, ready int) {
 	total := negligibleDemand
 	for _, pool := range pools {
@@ -148,7 +152,8 @@
 	return load
 }
 
-// poolDemand is the work that the queries of a pool's table groups ask for, in ms for each ms.
+// poolDemand is the demand of a pool's table groups, in ms of work per ms, with a higher weight for
+// hot groups.
 func (r *Router) poolDemand(pool *enginePool) float64 {
 	demand := negligibleDemand
 	for _, pack := range pool.packs {
@@ -162,14 +167,15 @@
 	return demand
 }
 
-// updateDemands computes the demand of each pool.
+// updateDemands recomputes the demand field of each pool.
 func (r *Router) updateDemands(pools []*enginePool) {
 	for _, pool := range pools {
 		pool.demand = r.poolDemand(pool)
 	}
 }
 
-// repack gives each pack of table groups, by their present footprints, a pool of its own.
+// repack replaces the pools of a kind by one pool for each pack of table groups, packed by their
+// present memory footprints.
 func (r *Router) repack(kind int) {
 	binSize := r.kinds[kind].MemoryMB * (1 - memoryReserve)
 	r.pools.byKind[kind] = nil
@@ -180,7 +186,7 @@
 	r.reassign(kind)
 }
 
-// addToPool gives a new table group to the pool with the least demand for each engine.
+// addToPool adds a new table group to the pool with the lowest demand per engine.
 func (r *Router) addToPool(kind int, g *tableGroup) {
 	if len(r.pools.byKind[kind]) == 0 {
 		r.pools.byKind[kind] = []*enginePool{{packs: make([][]*tableGroup, 1)}}
@@ -197,9 +203,9 @@
 	}
 }
 
-// reassign gives each pool of a kind engines after engines or table groups have changed. Pools keep
-// the engines that they have, as these have their tables in memory. While there are fewer engines
-// than pools the lightest are merged.
+// reassign distributes the engines of a kind anew after engines or table groups have changed. Pools
+// preferably keep their engines, because these have the pool's tables in memory. If there are fewer
+// engines than pools, the pools with the lowest demand are merged.
 func (r *Router) reassign(kind int) {
 	pools := r.pools.byKind[kind]
 	ready := r.readyEngines(kind)
@@ -218,7 +224,7 @@
 	r.assignEngines(kind, pools)
 }
 
-// mergeLightest merges the two pools with the least demand until no more than count are left.
+// mergeLightest merges the two pools with the lowest demand until at most count pools are left.
 func (r *Router) mergeLightest(pools []*enginePool, count int) []*enginePool {
 	demand := map[*enginePool]float64{}
 	for _, pool := range pools {
@@ -229,7 +235,7 @@
 	})
 	for len(pools) > count {
 		last := len(pools) - 1
-		// The pool that was merged into last may be out of order by now.
+		// The pool that the last merge has grown may be out of order.
 		for i := last; i > 0 && demand[pools[i-1]] < demand[pools[i]]; i-- {
 			pools[i-1], pools[i] = pools[i], pools[i-1]
 		}
--- a/router/reasons.go
+++ b/router/reasons.go
@@ -1,30 +1,29 @@
 package router
 
-// answerReason says why a query gets its final answer from this controller and not from an engine.
+// answerReason is why a query gets its final answer from this controller and not from an engine.
 type answerReason int
 
 const (
 	// noReason: the query is not rejected or failed.
 	noReason answerReason = iota
-	// reasonArrivalWaitTooLong: queries wait too long until a step takes them in, and this one could not
-	// be in time.
+	// reasonArrivalWaitTooLong: arrival waits are too long, and the query can't be in time after one.
 	reasonArrivalWaitTooLong
-	// reasonArrivalWaitShare: the same, and this one belongs to the share that is rejected to shorten the
-	// waits.
+	// reasonArrivalWaitShare: arrival waits are too long, and the query belongs to the share that is
+	// rejected to shorten them.
 	reasonArrivalWaitShare
-	// reasonOrderingQueueTooLong: those ahead of it in the queue of its ordering key take too long.
+	// reasonOrderingQueueTooLong: the queries ahead of it in an ordering queue take too long.
 	reasonOrderingQueueTooLong
-	// reasonOverQuota: there is overload, and its tenant is over its quota.
+	// reasonOverQuota: in overload, its tenant is over its quota.
 	reasonOverQuota
-	// reasonLateInOverload: there is overload, and it could only be late.
+	// reasonLateInOverload: in overload, it could only be late.
 	reasonLateInOverload
-	// reasonCannotFinish: by its own estimate it can't end before its client timeout.
+	// reasonCannotFinish: by its own estimate it can't finish before its client timeout.
 	reasonCannotFinish
-	// reasonTooLarge: by its own estimate it is larger than admission control takes now.
+	// reasonTooLarge: by its own estimate it exceeds the size limit of admission control.
 	reasonTooLarge
-	// reasonOverdue: it was queued for as long as was worth it.
+	// reasonOverdue: it was queued past its shedDeadline.
 	reasonOverdue
-	// reasonAnswerDue: its client timeout, or this controller's shutdown, is about to come.
+	// reasonAnswerDue: its client timeout, or this controller's shutdown, is imminent.
 	reasonAnswerDue
 	// reasonAttemptsExhausted: its last attempt failed, and no other is allowed.
 	reasonAttemptsExhausted
@@ -32,13 +31,13 @@
 
 var answerReasonNames = [...]string{
 	noReason:                   "none",
-	reasonArrivalWaitTooLong:   "arrivals too slow",
-	reasonArrivalWaitShare:     "arrivals too slow, share rejected",
+	reasonArrivalWaitTooLong:   "arrival wait too long",
+	reasonArrivalWaitShare:     "arrival wait too long, share rejected",
 	reasonOrderingQueueTooLong: "ordering queue too long",
 	reasonOverQuota:            "tenant over quota in overload",
 	reasonLateInOverload:       "late in overload",
 	reasonCannotFinish:         "cannot finish in time",
-	reasonTooLarge:             "too large in overload",
+	reasonTooLarge:             "larger than the size limit",
 	reasonOverdue:              "queued too long",
 	reasonAnswerDue:            "client timeout or shutdown",
 	reasonAttemptsExhausted:    "attempts exhausted",
@@ -46,8 +45,8 @@
 
 func (reason answerReason) String() string { return answerReasonNames[reason] }
 
-// waitReason says why a queued query may not start an attempt on any engine just now. That no
-// engine has capacity for it is not among these: selectEngine finds that out.
+// waitReason is why a queued query may not start an attempt on any engine now. That no engine has
+// capacity for it is not among these: selectEngine finds that out.
 type waitReason int
 
 const (
@@ -56,15 +55,15 @@
 	// waitOrdering: it is not at the head of the queue of each of its ordering keys, or a key is in
 	// cooldown.
 	waitOrdering
-	// waitAnswered: it has its answer or has begun to get it.
+	// waitAnswered: it has its final answer, or its response has started.
 	waitAnswered
-	// waitOutcome: the outcome of an attempt is waited for.
+	// waitOutcome: an attempt has no outcome yet.
 	waitOutcome
-	// waitAnswerDue: there is no time left for an attempt.
+	// waitAnswerDue: its final answer is due.
 	waitAnswerDue
 	// waitAttemptsExhausted: no further attempt is allowed.
 	waitAttemptsExhausted
-	// waitRetryBudget: the retry budget is used up for now.
+	// waitRetryBudget: the retry budget is used up.
 	waitRetryBudget
 )
 
--- a/router/restore.go
+++ b/router/restore.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// The bounds of restored figures. Beyond them no figure can be true; within them none can shut out
-// a class or an engine for long.
+// Bounds of restored figures. No true figure is beyond them, and none within them can exclude a
+// class or an engine for long.
 const (
-	maxRestoredWeight   = 1000.0 // additions
+	maxRestoredWeight   = 1000.0 // in additions of weight 1
 	maxRestoredSlowdown = 20.0   // times the time on an idle engine
-	maxRestoredScale    = 16.0   // times the estimate; the least is one over this
-	maxRestoredRate     = 1e6    // ms of work for each ms; the square of it bounds megabytes in use
+	maxRestoredScale    = 16.0   // true over estimated cost; the lower bound is one over this
+	maxRestoredRate     = 1e6    // ms of work per ms; its square bounds megabytes in use
 )
 
-// clamp brings a figure within bounds. NaN counts as the least.
+// clamp limits x to the range from least to most. NaN becomes least.
 func clamp(x, least, most float64) float64 {
 	if math.IsNaN(x) || x < least {
 		return least
@@ -19,8 +19,8 @@
 	return min(x, most)
 }
 
-// restored is a decayed mean as it would be if it had been learned just now. Its mean is clamped to
-// bounds.
+// restored converts an exported mean into a decayed mean, as if it had been learned just now. The
+// mean is clamped to the given bounds, and the weight to maxRestoredWeight.
 func (m WeightedMean) restored(halfLife, now, least, most float64) decayedMean {
 	weight := clamp(m.Weight, 0, maxRestoredWeight)
 	return decayedMean{
@@ -31,9 +31,9 @@
 	}
 }
 
-// statisticsRestored imports what an earlier run of this controller exported. If it knows table
-// groups, the pools are packed anew by them, and the next rebalance waits for a whole interval: all
-// loads are still unknown, and pools of one engine would be merged as idle.
+// statisticsRestored imports what an earlier run of this controller exported. If that includes
+// table groups, the pools are repacked by them, and the next rebalance waits for a whole interval:
+// while no load is known, it would merge pools of one engine as underused.
 func (r *Router) statisticsRestored(s Statistics) {
 	r.restore(s)
 	if len(s.Tables) == 0 {
@@ -45,9 +45,9 @@
 	}
 }
 
-// restore imports statistics, which may hold any figures. What this run has learned itself stands;
-// figures are clamped to their bounds; records of engines and classes that don't exist are passed
-// over, as are those of engines that have another process now.
+// restore imports statistics, which may contain any figures. What this run has learned takes
+// precedence. Figures are clamped to their bounds, and records are skipped if their engine or class
+// does not exist or their engine has another process now.
 func (r *Router) restore(s Statistics) {
 	pools := restoredPools{}
 	for _, record := range s.Engines {
@@ -64,12 +64,12 @@
 	}
 }
 
-// restoredPools are the pools of the earlier run, by their leader, with those of their engines that
-// still have the same process. They stand in for the pools of table groups until repack, which
-// gives the pools that it makes the engines of those that their table groups had.
+// restoredPools are the pools of the earlier run by leader, each with those of its engines that
+// still have the same process. They stand in as the pools of table groups until repack, which
+// prefers for its new pools the engines that their table groups had.
 type restoredPools map[EngineID]*enginePool
 
-// add puts an engine into the pool of a leader.
+// add adds an engine to the pool of a leader.
 func (pools restoredPools) add(leader EngineID, e *engine) {
 	pool := pools[leader]
 	if pool == nil {
@@ -79,8 +79,8 @@
 	pool.engines = append(pool.engines, e)
 }
 
-// restoreEngine imports the record of an engine, if it is ready and has the process that the record
-// is of.
+// restoreEngine imports the record of an engine, if it is ready and still has the process that the
+// record describes.
 func (r *Router) restoreEngine(record EngineStatistics, pools restoredPools) {
 	e := r.engines[record.Engine]
 	if e == nil || e.state != Ready || max(e.startedAt, 0) != record.StartedAt {
@@ -97,7 +97,7 @@
 	}
 }
 
-// unobserved reports whether this run has learned nothing of an engine.
+// unobserved reports whether this run has learned nothing about an engine.
 func (e *engine) unobserved() bool {
 	return e.slowdown.weight == 0 && e.outcomes == allSucceeded &&
 		e.threadsPerCore == initialThreadsPerCore
@@ -122,7 +122,8 @@
 		maxRestoredScale)
 }
 
-// restoreTraffic imports the share of the traffic, if this run knows nothing of it.
+// restoreTraffic imports this controller's share of the traffic, if this run has learned nothing
+// about it.
 func (r *Router) restoreTraffic(record TrafficStatistics) {
 	if r.traffic.share.weight == 0 {
 		r.traffic.share = record.Share.restored(shareHalfLife, r.now, 0, 1)
@@ -139,7 +140,7 @@
 	g.lastQueryAt = r.now
 	demand := clamp(record.Demand, 0, maxRestoredRate)
 	memoryTime := clamp(record.MemoryTime, 0, maxRestoredRate*maxRestoredRate)
-	g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1) // the reverse of rate
+	g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1) // inverse of rate
 	g.memoryTime.add(r.now, memoryTime*demandHalfLife/math.Ln2, 1)
 	for kind, leader := range record.PoolLeaders {
 		if pool := pools[leader]; pool != nil && kind < len(g.pools) {
--- a/router/retry.go
+++ b/router/retry.go
@@ -1,16 +1,15 @@
 package router
 
 const (
-	progressTimeoutIntervals = 1.6  // progress intervals without a message until an attempt counts as silent
-	progressWeight           = 0.5  // of a first progress message in an engine's slowdown; an answer's is 1
-	minProgressShare         = 0.01 // share of the work that a progress message counts as, at least
-	badPlanFactor            = 4.0  // times the expected time from which the plan of an attempt counts as bad
-	badPlanRemaining         = 1.5  // expected times that such an attempt must have left for a retry to pay
+	progressTimeoutIntervals = 1.6  // progress intervals in progressTimeout
+	progressWeight           = 0.5  // of a first progress message in an engine's slowdown; answers: 1
+	minProgressShare         = 0.01 // lower bound of the share of the work that a message reports
+	badPlanFactor            = 4.0  // projected over expected run time, above which a plan is bad
+	badPlanRemaining         = 1.5  // expected run times that must remain for a retry to pay
 )
 
 // attemptEnded handles the outcome of an attempt. A query without an answer goes back into the
-// queue, where it waits for another engine, or gets its final answer if no further attempt is
-// allowed.
+// queue, where it waits for an engine, or gets its final answer if no further attempt is allowed.
 func (r *Router) attemptEnded(ev AttemptEnded) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -39,8 +38,9 @@
 	}
 }
 
-// attemptSucceeded learns from an answer. An error of the same query on another engine was that
-// engine's fault, as this one could answer it.
+// attemptSucceeded learns from an answer. If the same query failed with an error on another engine,
+// its class backs off from that engine: the error was the engine's fault, as this one could answer
+// the query.
 func (r *Router) attemptSucceeded(q *query, a *attempt, ev AttemptEnded) {
 	r.recordAttemptOutcome(q, a, true)
 	for i := range q.attempts {
@@ -58,9 +58,9 @@
 	r.learnFromSuccess(q, a.engine, ev)
 }
 
-// attemptRejected keeps the class away from an engine that was full for a while and cuts the
-// engine's concurrency limit. Attempts that went on there would be rejected too, and queries would
-// use up their attempts.
+// attemptRejected makes the class back off from an engine that was full, and decreases the engine's
+// concurrency limit. Otherwise attempts would go on there, be rejected too, and use up the attempts
+// of their queries.
 func (r *Router) attemptRejected(q *query, a *attempt) {
 	e := a.engine
 	r.backOff(q, a)
@@ -68,9 +68,9 @@
 	r.updateBounds(e)
 }
 
-// attemptFailed handles a failure of the engine. An error may be the query's own fault: it counts
-// against the engine only if another one answers the query, or if the query may not be tried
-// anywhere else.
+// attemptFailed handles a failed attempt. An error may be the query's own fault: it counts against
+// the engine only if another engine answers the query, or if the query may not be tried anywhere
+// else.
 func (r *Router) attemptFailed(q *query, a *attempt, outcome Outcome) {
 	a.endedInError = outcome == Errored && q.class.Effect != NonIdempotent
 	if !a.endedInError {
@@ -78,10 +78,10 @@
 	}
 }
 
-// attemptProgress handles a progress message, which reports a table lock or how slow the engine is.
-// An attempt with a bad plan, or on an engine that has all but stopped, is cancelled if a retry is
-// expected to end sooner. The work that is cancelled is lost. A query that is truly large would be
-// cancelled again and again, so only queries with an estimate are.
+// attemptProgress handles a progress message, which may report a table lock or the share of the
+// work that is done. An attempt with a bad plan, or on an engine that has almost stopped, is
+// cancelled if a retry is expected to finish sooner. Its work is lost. Only queries with an
+// estimate are cancelled, because a query that is truly large would be cancelled again and again.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -112,22 +112,21 @@
 	}
 }
 
-// mayCancelToRetry reports whether q may be cancelled in order to be retried.
+// mayCancelToRetry reports whether an attempt of q may be cancelled in order to retry q.
 func (r *Router) mayCancelToRetry(q *query) bool {
 	return q.estimatedWork > 0 && !q.done && q.class.Effect == Idempotent &&
 		!r.attemptsExhausted(q) && r.retryBudgetAllows()
 }
 
 // progressTimeout is the time in ms without a message after which an attempt counts as silent; +Inf
-// where engines send no progress messages.
+// if engines send no progress messages.
 func (r *Router) progressTimeout() float64 {
 	return progressTimeoutIntervals*r.capabilities.ProgressInterval + windowSlack
 }
 
-// checkQuery is what an alarm of q asks for: its final answer if that is due, and a retry for each
-// attempt that has gone silent. It guards against answers that get lost and against engines that
-// hang though they still answer health checks. If only progress messages were lost the query runs
-// twice.
+// checkQuery handles an alarm of q: it decides the final answer if that is due, and has silent
+// attempts replaced. This guards against answers that get lost, and against engines that hang but
+// still answer health checks. If only progress messages were lost, the query runs twice.
 func (r *Router) checkQuery(q *query) {
 	if r.now >= r.answerBy(q) {
 		r.rejectOrFail(q, reasonAnswerDue)
@@ -143,9 +142,11 @@
 	}
 }
 
-// handleSilentAttempt counts a silent attempt of q as failed (its later outcome counts too) and
-// replaces it: it is cancelled where that is possible, else abandoned where a hedged attempt may
-// run beside it. The retry goes through the queue as any other.
+// handleSilentAttempt replaces an attempt of q if it is silent and may be repeated; if it is not
+// silent yet, an alarm is set for when it will be. A silent attempt counts as failed, and its later
+// outcome counts as well. It is cancelled where that is possible; otherwise, where hedging is
+// allowed, it is abandoned and a second attempt may run beside it. The retry goes through the queue
+// like any other.
 func (r *Router) handleSilentAttempt(q *query, a *attempt) {
 	silentAt := a.lastHeardAt + r.progressTimeout()
 	if r.now < silentAt {
@@ -165,7 +166,7 @@
 	}
 }
 
-// repeatable reports whether q may be repeated although an attempt may still run.
+// repeatable reports whether q may be repeated while an attempt may still be running.
 func (r *Router) repeatable(q *query, a *attempt) bool {
 	switch q.class.Effect {
 	case Idempotent:
--- a/router/search.go
+++ b/router/search.go
@@ -311,5 +311,6 @@
 	if r.search.exemptEngines == 0 {
 		return true
 	}
-	return r.search.warmingEngines == 0 && pooled.threads > pooled.pooledThreadLimit+pooledLimitTolerance
+	return r.search.warmingEngines == 0 &&
+		pooled.threads > pooled.pooledThreadLimit+pooledLimitTolerance
 }
--- a/router/selection.go
+++ b/router/selection.go
@@ -3,26 +3,26 @@
 import "math"
 
 const (
-	spillShare          = 0.75    // of the thread limit, up to which other pools' queries are taken
-	affinityWeight      = 1.0     // penalty, in threads a core, for the lowest affinity
-	tableLockPenalty    = 4.0     // penalty, in threads a core, for a lock on the query's tables
-	tableLockMessageAge = 1500.0  // ms for which a progress message of a table lock counts
+	spillShare          = 0.75    // of the thread limit, up to which other pools' queries are accepted
+	affinityWeight      = 1.0     // penalty, in threads per core, for the lowest affinity
+	tableLockPenalty    = 4.0     // penalty, in threads per core, for each unit of contention
+	tableLockMessageAge = 1500.0  // ms for which a progress message about a table lock counts
 	widelyLockedShare   = 2.0 / 3 // of the healthy engines, see tablesLockedWidely
-	priorReportWeight   = 0.5     // reports; weight of the mean of all engines in the load of one
+	priorReportWeight   = 0.5     // of the mean of all engines in the load of one, in reports
 )
 
-// selection is one search for the engine of a query.
+// selection is one search for an engine for a query.
 type selection struct {
 	q            *query
-	lockedOnly   bool    // it goes only where its tables are locked already
+	lockedOnly   bool    // only engines on which its tables are locked already are allowed
 	trafficShare float64 // of this controller
 	best         bestCandidate
 }
 
-// selectEngine finds the engine for q: the one with the lowest placement score among those of its
-// table group's pools that have capacity. If none has, or q would meet a lock or its own failure
-// there, it spills to any engine that is not too full. Of two alike the first in the list wins.
-// nil: no engine may take it now.
+// selectEngine returns the engine for q, or nil if no engine may take it now: the one with the
+// lowest placement score among the engines with capacity in its table group's pools. If there is
+// none, or q would meet a table lock or its own earlier failure on it, q spills over to any engine
+// that is below spillShare of its thread limit. Ties go to the first engine in the list.
 func (r *Router) selectEngine(q *query) *engine {
 	if r.noCapacityAnywhere(q) {
 		return nil
@@ -44,10 +44,11 @@
 	return s.best.engine
 }
 
-// searchIn looks for a better engine in a list, each filled up to a share of its thread limit. The
-// bounds of search.go leave out those that can't be better. If no engine of the list has capacity,
-// and nothing but its class and table group narrows the choice of q, that is remembered for the
-// others of its class in this step.
+// searchIn searches a list for an engine with a better score than the best so far, on condition
+// that no more than the given share of its thread limit is in use. The bounds in search.go skip
+// engines that can't be better. If no engine of the list has capacity, and nothing but its class
+// and table group restricts the choice of q, that is remembered for the other queries of its class
+// in this step.
 func (r *Router) searchIn(
 	s *selection, candidates *candidateList, engines []*engine, share float64,
 ) {
@@ -81,10 +82,10 @@
 	}
 }
 
-// placementScore ranks engines for a query, lowest first: how full the engine would be, times its
-// slowdown past increaseBelowSlowdown, plus what q would wait for there, plus a penalty for a lack of
-// affinity of its table group. Queries that lock their tables have no affinity: they would meet on
-// one engine and wait for each other.
+// placementScore ranks engines for a query, lowest first: the fill of the engine with q on it,
+// times its slowdown relative to increaseBelowSlowdown, plus penalties for contention and for a
+// lack of affinity to the table group. Queries that lock their tables have no affinity: it would
+// bring them together on one engine, where they wait for each other.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	fill := r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))
 	score := fill * max(1, e.meanSlowdown(r.now)/increaseBelowSlowdown)
@@ -95,16 +96,17 @@
 	return score
 }
 
-// fill is how many threads a core an engine is taken to run: own attempts, and those of other
-// controllers by its reports, or by the mean of all engines' while it has not reported.
+// fill is the number of threads per core that an engine is assumed to run: those of this
+// controller's attempts, and those of other controllers' queries by its reports, or by the mean of
+// all engines while it has not reported.
 func (r *Router) fill(e *engine) float64 {
 	mean := e.cores * r.meanOthersPerCore()
 	others := e.othersInflight.mean(r.now, mean, priorReportWeight)
 	return (e.threads + threadsPerOtherQuery*others) / (e.cores * r.slowStartCapacity(e))
 }
 
-// contention counts what is known to speak against q on e: locks on its tables that it would wait
-// for, and its own attempts that failed there.
+// contention counts what speaks against q on e: the table locks that q would wait for, and its own
+// attempts that failed there.
 func (r *Router) contention(q *query, e *engine) float64 {
 	failed := q.failedAttemptsOn(e)
 	if q.class.LocksTables || q.class.WaitsForTables {
@@ -113,11 +115,11 @@
 	return failed
 }
 
-// tablesLockedWidely reports whether the tables of q, which will lock them too, are locked on so
-// many engines that q has to join one of these. It waits there, and queries that wait for the
-// tables find engines where they need not. It guards against traffic on few tables: their locks
-// would otherwise spread to all engines. Queries that lock queue up for it, and more of them are
-// late.
+// tablesLockedWidely reports whether q, which will lock its tables, has to join an engine on which
+// they are locked already, because these are at least widelyLockedShare of the healthy engines. q
+// waits there, and queries that wait for the tables find engines without locks. Under traffic on
+// few table groups, their locks would otherwise spread to all engines. The cost is that queries
+// that lock tables queue up, and more of them are late.
 func (r *Router) tablesLockedWidely(q *query) bool {
 	if !q.class.LocksTables || len(q.tables.lockHolders) == 0 {
 		return false
@@ -149,8 +151,8 @@
 	return count
 }
 
-// rendezvousAffinity is a hash of a table group and an engine, from 0 to 1: the same at every
-// controller, so that they all prefer the same engines for a group without communication. The
+// rendezvousAffinity is a hash of a table group and an engine, from 0 to 1. It is the same at every
+// controller, so that all prefer the same engines for a group without communication. The
 // multipliers are those of SplitMix64.
 func rendezvousAffinity(g *tableGroup, e *engine) float64 {
 	x := e.idHash ^ uint64(g.id)*0x9e3779b97f4a7c15
--- a/router/shedding.go
+++ b/router/shedding.go
@@ -2,14 +2,14 @@
 
 const (
 	runTimeMargin        = 1.2 // factor on the expected run time in shedDeadline
-	minQueueShare        = 0.5 // of the latency objective, for which a query is queued in any case
-	lateBenefitThreshold = 0.5 // LateBenefit from which a query is queued past its latency objective
-	lateRunTimeMargin    = 1.5 // factor on the unloaded time of queries with such a benefit
+	minQueueShare        = 0.5 // of the latency objective, for which a query stays queued in any case
+	lateBenefitThreshold = 0.5 // LateBenefit from which queries stay queued past the objective
+	lateRunTimeMargin    = 1.5 // factor on the unloaded time of these queries in latestStart
 )
 
-// latestStart is the latest time at which q can start and be worth its work, if it runs as on an
-// idle engine. Started later it could only miss its latency objective or, where late answers keep
-// most of their benefit, its client timeout.
+// latestStart is the latest time at which q can start and still be worth running, if it takes as
+// long as on an idle engine. After that it could only miss its latency objective or, where late
+// answers keep most of their benefit, its client timeout.
 func (r *Router) latestStart(q *query) float64 {
 	class := q.class
 	unloaded := class.unloadedTime(q, r.now)
@@ -20,10 +20,10 @@
 		r.answerBy(q)) - unloaded
 }
 
-// shedDeadline is the time at which a queued query is given up. It is latestStart, less what such
-// queries lately take longer than on an idle engine: otherwise, in overload, all would start at the
-// last moment and be late. For a part of its latency objective it is queued in any case, so that
-// one slow answer does not shut out a class.
+// shedDeadline is the time at which a queued query is shed: latestStart, less the time by which
+// such queries recently run longer than on an idle engine. Without that reserve, in overload all
+// queries would start at the last moment and be late. For minQueueShare of its latency objective a
+// query stays queued in any case, so that one slow answer does not exclude a class.
 func (r *Router) shedDeadline(q *query) float64 {
 	class := q.class
 	latest := r.latestStart(q)
@@ -31,9 +31,9 @@
 	return max(latest-slower, min(latest, q.firstTriedAt+minQueueShare*class.LatencyObjective))
 }
 
-// shedOverdue gives up the queued queries that are past their shedDeadline. Only those that are on
-// their client's first try make it an overload: if late retries did, shedding them would bring the
-// next retries and keep it up.
+// shedOverdue sheds the queued queries that are past their shedDeadline. Only those on their
+// client's first try count as a sign of overload: if late retries did, shedding them would bring
+// the next retries and sustain the overload.
 func (r *Router) shedOverdue() {
 	for _, q := range r.overdueQueries() {
 		r.admission.objectiveMissed = true
@@ -44,9 +44,9 @@
 	}
 }
 
-// rejectOrFail decides the final answer of q, which leaves with the actions of this step, for the
-// reason named. A query that was given up is never held back to keep its client from retrying. It
-// is rejected if a retry is harmless, else failed; attempts that run are cancelled.
+// rejectOrFail decides the final answer of q, for the given reason: it is rejected if a retry is
+// harmless, and failed otherwise. The answer leaves with the actions of this step; it is never held
+// back to keep the client from retrying. Attempts that run are cancelled.
 func (r *Router) rejectOrFail(q *query, reason answerReason) {
 	if q.done || q.responseStarted || q.answer != unanswered {
 		return
@@ -60,9 +60,9 @@
 	r.markChanged(q)
 }
 
-// RetryAfterDelay is the time in ms that a rejected client should wait before it retries; 0 if
-// rejections don't say. chance, from 0 to 1, spreads the retries over the second half of the
-// longest wait allowed.
+// RetryAfterDelay is the time in ms that a rejected client is asked to wait before it retries; 0 if
+// rejections carry no such time. chance, from 0 to 1, spreads the retries over the second half of
+// the longest wait allowed.
 func (c Capabilities) RetryAfterDelay(chance float64) float64 {
 	if !c.RetryAfter {
 		return 0
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -3,19 +3,22 @@
 import "math"
 
 const (
-	// slowStartShareUsed is the share of what rule 4 allows that all controllers together use at most.
+	// slowStartShareUsed is the share of the work that rule 4 allows which all controllers together
+	// use at most.
 	slowStartShareUsed = 0.6
-	// slowStartTurnsPerWindow is how many turns controllers take in one window of the rule.
+	// slowStartTurnsPerWindow is the number of turns in one window of the rule, where controllers take
+	// turns.
 	slowStartTurnsPerWindow = 2.0
 )
 
-// slowStartPartSizes are, in ms of work, what a controller's part of a warming engine has to hold
-// so that a small, a middling or a large query fits into it.
+// slowStartPartSizes are the sizes, in ms of work, of a controller's part of a warming engine that
+// hold a small, a medium or a large query.
 var slowStartPartSizes = [...]float64{500, 2000, 8000}
 
 // slowStartAllows is rule 4: it reports whether an attempt of q fits into this controller's part of
-// what a warming engine may be sent in one window. A controller that has not yet run for a window
-// starts nothing on a warming engine, because it does not know what it sent before its own restart.
+// what a warming engine may be sent in one window. A controller that has not run for a whole window
+// yet starts nothing on a warming engine, because it does not know what it sent before its own
+// restart.
 func (r *Router) slowStartAllows(q *query, e *engine) bool {
 	allowance := r.slowStartAllowance(e)
 	if math.IsInf(allowance, 1) {
@@ -27,14 +30,14 @@
 }
 
 // slowStartAllowance is this controller's part, in ms of work, of what a warming engine may be sent
-// in one window; +Inf once the engine is warm. Controllers don't talk to each other, so it is
-// computed as if all of them used theirs, and as if the engine had no more than the capacity that
-// it starts with until it is warm.
+// in one window; +Inf once the engine is warm. Controllers don't communicate, so it is computed as
+// if all of them used their parts, and as if the engine had only its initial capacity until it is
+// warm.
 //
-// Where an equal part would be too small for any query, controllers take turns: in each turn some
-// of them have a larger part and the others none. Which controllers have a turn follows from their
-// indexes, the engine and the time since the engine's start, which all controllers know alike. The
-// size of the parts changes from turn to turn, so that large queries get their turn too.
+// Where equal parts would be too small for any query, controllers take turns: in each turn some of
+// them have a larger part and the others none. Which controllers have a turn follows from their
+// indexes, the engine and the time since the engine's start, on which all controllers agree. The
+// size of the parts changes from turn to turn, so that large queries fit in some of them.
 func (r *Router) slowStartAllowance(e *engine) float64 {
 	limits := &r.limits
 	warm := r.now > e.startedAt+limits.SlowStartTime+windowSlack
@@ -64,8 +67,8 @@
 	return r.now < e.startedAt+r.limits.SlowStartTime+r.limits.SlowStartWindow
 }
 
-// slowStartCapacityAt is the share of its full capacity that e is taken to have at some time: it
-// grows evenly from the configured start to 1.
+// slowStartCapacityAt is the share of its full capacity that e is assumed to have at a time: it
+// grows linearly from the configured initial capacity to 1.
 func (r *Router) slowStartCapacityAt(e *engine, at float64) float64 {
 	limits := &r.limits
 	warmUpProgress := min(1, max(0, at-e.startedAt)/max(1, limits.SlowStartTime))
@@ -75,9 +78,9 @@
 // slowStartCapacity is slowStartCapacityAt now.
 func (r *Router) slowStartCapacity(e *engine) float64 { return r.slowStartCapacityAt(e, r.now) }
 
-// slowStartCost is the work in ms that q counts for on a warming engine: the usual work of its
-// class, or its own estimate if that is larger. A cap on the estimate does not count here: too low
-// a guess would break rule 4.
+// slowStartCost is the work in ms that q counts for on a warming engine: the mean work of its
+// class, or its own estimate if that is larger. The estimate counts without its cap, because too
+// low a value would break rule 4.
 func (q *query) slowStartCost(now float64) float64 {
 	return max(q.class.meanWork(now), q.uncappedEstimate)
 }
--- a/router/trafficshare.go
+++ b/router/trafficshare.go
@@ -1,26 +1,26 @@
 package router
 
-// traffic is this controller's share of what the engines serve.
+// traffic holds what is learned of the traffic of this and of other controllers.
 type traffic struct {
-	share         decayedMean // own attempts over all that engines report
-	queryRate     decayedMean // queries taken
-	othersPerCore decayedMean // queries of other controllers for each core, by all reports
+	share         decayedMean // own attempts over all queries in flight that engines report
+	queryRate     decayedMean // its rate is arriving queries per ms
+	othersPerCore decayedMean // queries of other controllers per core, over all reports
 
-	// trafficShare keeps its last result, as it is asked for many times a step.
+	// trafficShare caches its last result, as it is called many times in a step.
 	cachedShare float64
 	cachedAt    float64     // ms
 	cachedFrom  decayedMean // the value of share that it was computed from
 }
 
 const (
-	shareHalfLife    = 5000.0 // ms, of the traffic share and the rates beside it
-	tenantHalfLife   = 2000.0 // ms, of the rate of a tenant's queries
-	equalShareWeight = 200.0  // weight of an equal share, as the prior, in reported queries
-	minShare         = 0.2    // of an equal share; a controller takes no less for its own
+	shareHalfLife    = 5000.0 // ms, of the means in traffic
+	tenantHalfLife   = 2000.0 // ms, of the query rate of a tenant
+	equalShareWeight = 200.0  // weight of the prior, an equal share, in reported queries
+	minShare         = 0.2    // of an equal share; lower bound of a controller's share
 )
 
 // trafficShare is the share of all traffic that passes through this controller, from 0 to 1. It is
-// learned from what engines report to have in flight, and starts as an equal share.
+// learned from the queries in flight that engines report; the prior is an equal share.
 func (r *Router) trafficShare() float64 {
 	if r.controllers == 1 {
 		return 1
@@ -35,5 +35,5 @@
 	return state.cachedShare
 }
 
-// meanOthersPerCore is how many queries of other controllers run for each core, over all engines.
+// meanOthersPerCore is the mean number of queries of other controllers per core, over all engines.
 func (r *Router) meanOthersPerCore() float64 { return r.traffic.othersPerCore.mean(r.now, 0, 1) }
