--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -198,7 +198,7 @@
 // stay under N.
 func TestSlowStartSumOverControllers(t *testing.T) {
 	class := QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, LateBenefit: 1}
-	const meanWork, stepMS, arrivalsPerStep = 300.0, 10.0, 3
+	const meanWork, stepMS, arrivalsPerTwoSteps = 300.0, 10.0, 3
 	for _, controllers := range []int{3, 20, 30} {
 		rng := rand.New(rand.NewSource(int64(controllers)))
 		warming := Endpoint{Engine: "a", StartedAt: 100000}
@@ -218,7 +218,7 @@
 					events = append(events, pending[n][0].ended)
 					pending[n] = pending[n][1:]
 				}
-				for range arrivalsPerStep * (1 + rng.Intn(2)) / 3 {
+				for range arrivalsPerTwoSteps * (1 + rng.Intn(2)) / 3 {
 					id++
 					work[id] = meanWork * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
 					events = append(events, QueryArrived{ID: id, Tenant: -1, TimeLeft: 60000, Tables: 7,
@@ -326,14 +326,14 @@
 
 // newFleet returns controllers that all know of one warming engine, and that the queries of their class
 // usually need so much work (ms).
-func newFleet(controllers int, class QueryClass, warming Endpoint, usualWork float64) []*Router {
+func newFleet(controllers int, class QueryClass, warming Endpoint, meanWork float64) []*Router {
 	var fleet []*Router
 	for n := range controllers {
 		r := New(int64(n), Identity{Controllers: controllers, Index: n}, twoKinds, []QueryClass{class}, nil,
 			cancelCapabilities, slowStartLimits)
 		r.Step(warming.StartedAt-10000, []Event{EndpointsUpdated{Complete: true, Cached: true,
 			Endpoints: []Endpoint{warming}}})
-		r.classes[0].work.add(warming.StartedAt, 100*usualWork, 100)
+		r.classes[0].work.add(warming.StartedAt, 100*meanWork, 100)
 		fleet = append(fleet, r)
 	}
 	return fleet
