--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Queries arrive faster than the controller can decide, and each waits longer for its step. Those that can't
-// be in time after such a wait are rejected first, then a growing share of all. While waits are short none
-// is rejected, and none any more once they are short again.
+// Queries arrive faster than the controller handles them, and each waits longer for its step. Those
+// that can't be in time after such a wait are rejected, and a growing share of the others. None is
+// rejected while waits are short, or once they are short again.
 func TestSlowInboxRejectsQueries(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -29,7 +29,7 @@
 			actions := tr.step(ev)
 			rejections, failures := finalAnswers(actions, id)
 			if failures > 0 || rejections > 0 && startedOn(actions, id) != "" {
-				t.Fatalf("%s: %v", c.name, actions)
+				t.Fatalf("%s: the query was failed, or rejected and started: %v", c.name, actions)
 			}
 			if rejected += rejections; rejections == 0 {
 				tr.step(attemptEnded(id, 0, Succeeded))
@@ -39,7 +39,7 @@
 			arrive(c.arrivalWait)
 		}
 		if rejected < c.least || rejected > c.most {
-			t.Errorf("%s: %d of 400 were rejected", c.name, rejected)
+			t.Errorf("%s: %d of 400 queries were rejected, which is out of the range of the case", c.name, rejected)
 		}
 		for range 4000 { // waits are short again
 			arrive(0)
@@ -47,15 +47,15 @@
 		if rejected = 0; c.timeLeft == 5000 {
 			for range 50 {
 				if arrive(0); rejected > 0 {
-					t.Fatalf("%s: still rejected", c.name)
+					t.Fatalf("%s: a query was rejected though waits are short again", c.name)
 				}
 			}
 		}
 	}
 }
 
-// Seen on the deployment tacoma-east: a few very large queries took the engines that many usual ones needed.
-// A query beyond the size limit is rejected.
+// A query beyond the size limit is rejected. On the deployment tacoma-east a few very large queries
+// took the engines that many usual ones needed.
 func TestTooLargeQueryIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		estimate, sizeLimit float64
@@ -67,13 +67,14 @@
 		ev := newQuery(1)
 		ev.EstimatedWork = c.estimate
 		if s, _ := finalAnswers(tr.step(ev), 1); s != c.rejections {
-			t.Errorf("%+v: rejected %d", c, s)
+			t.Errorf("%+v: %d rejections, want as many as the case has", c, s)
 		}
 	}
 }
 
-// Seen on the deployment dundee-main: client retries, which are nearer to their client timeout, started
-// before first tries and made these late. In overload a retry that can only be late is rejected.
+// In overload a client's retry that can only be late is rejected. On the deployment dundee-main
+// such retries, which are nearer to their client timeout, started before first tries and made these
+// late.
 func TestLateRetryIsRejectedInOverload(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -92,13 +93,13 @@
 			tr.r.admission.overloadedUntil = tr.now + overloadDuration
 		}
 		if s, _ := finalAnswers(tr.step(retry), 2); s != c.rejections {
-			t.Errorf("%s: rejected %d", c.name, s)
+			t.Errorf("%s: %d rejections, want 1 for a late retry in overload, else 0", c.name, s)
 		}
 	}
 }
 
-// Seen on the deployment dundee-main: all clients shortened their timeout, were taken for retries, and were
-// rejected while engines were idle.
+// Clients that shorten their timeout are not rejected by idle engines. On the deployment
+// dundee-main all clients did so, and their queries were treated as retries and rejected.
 func TestShorterClientTimeoutIsNoOverload(t *testing.T) {
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 	rejections := 0
@@ -111,12 +112,13 @@
 		rejections += s
 	}
 	if rejections > 0 {
-		t.Errorf("%d queries were rejected by an idle engine", rejections)
+		t.Errorf("%d queries were rejected while the engine was idle, want 0", rejections)
 	}
 }
 
-// Seen on the deployment tacoma-east: the surge of one tenant over its quota took the engines from the
-// others. In overload, and only then, as many of its queries are rejected as are over the quota.
+// In overload, and only then, as many queries of a tenant are rejected as are over its quota. On
+// the deployment tacoma-east the surge of one tenant over its quota took the engines from the
+// others.
 func TestTenantOverQuotaIsRejectedInOverload(t *testing.T) {
 	for _, c := range []struct {
 		perSecond   float64
@@ -139,14 +141,14 @@
 			}
 		}
 		if rejections < c.least || rejections > c.most {
-			t.Errorf("%+v: %d rejected", c, rejections)
+			t.Errorf("%+v: %d of the last 100 queries were rejected, want from least to most", c, rejections)
 		}
 	}
 }
 
-// A query may have waited in its client's own queue, and the client counts that as part of its timeout. The
-// query has its final answer before the client gives up, whether it runs or is queued. Without such a wait
-// it has the whole time.
+// A client counts the time that a query waited in its own queue as part of the timeout. The query
+// has its final answer before the client gives up, whether it runs or is queued. Without such a
+// wait it has the whole time.
 func TestClientQueueTimeCountsAgainstTheTimeout(t *testing.T) {
 	for _, c := range []struct{ clientQueueTime, answerBefore float64 }{{0, 13000}, {3000, 10000}, {9000, 4000},
 		{40000, 13000 * 0.25}} {
@@ -169,7 +171,7 @@
 		}
 		for id := QueryID(1); id <= 2; id++ {
 			if at := answeredAfter[id]; at == 0 || at > c.answerBefore || id == 1 && at < c.answerBefore-200 {
-				t.Errorf("at the client for %v ms at most: query %d had its answer after %v ms, want just before %v",
+				t.Errorf("%v ms in the client's queue: query %d had its answer after %v ms, want just before %v ms",
 					c.clientQueueTime, id, at, c.answerBefore)
 			}
 		}
--- a/router/assignment_test.go
+++ b/router/assignment_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// By each of its methods splitByAffinity picks the engines with the most affinity, of two alike the earlier
-// one, and the large ones keep the order of the rest.
+// By each of its methods splitByAffinity picks the engines with the highest affinity, the earlier
+// one in a tie. The methods for more than maxEnginesSortedWhole engines keep the order of the rest.
 func TestSplitByAffinity(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, c := range []struct{ engines, n int }{{5, 2}, {256, 256}, {300, 1}, {300, 8}, {300, 9}, {300, 300},
@@ -24,11 +24,11 @@
 		}
 		best, rest := splitByAffinity(free, c.n)
 		if !slices.Equal(best, want[:c.n]) || len(rest) != c.engines-c.n {
-			t.Errorf("%+v: not those with the most affinity", c)
+			t.Errorf("%+v: the engines picked are not the n of highest affinity, or some are lost", c)
 		}
 		if c.engines > maxEnginesSortedWhole && !slices.IsSortedFunc(rest,
 			func(a, b *engine) int { return order[a] - order[b] }) {
-			t.Errorf("%+v: the rest are in another order", c)
+			t.Errorf("%+v: the engines that were not picked are not in their former order", c)
 		}
 	}
 }
--- a/router/concurrency_test.go
+++ b/router/concurrency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The thread limit of an engine widens while queries run nearly as fast as on an idle engine, is cut when
-// they are much slower, and stands in between.
+// The thread limit of an engine increases while queries run nearly as fast as on an idle engine,
+// decreases when they are much slower, and is constant in between.
 func TestThreadLimitFollowsSlowdown(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -25,13 +25,14 @@
 		}
 		if (e.threadsPerCore > initialThreadsPerCore) != c.widened ||
 			(e.threadsPerCore < initialThreadsPerCore) != c.cut || e.threadsPerCore > maxThreadsPerCore {
-			t.Errorf("%s: thread limit became %g", c.name, e.threadsPerCore)
+			t.Errorf("%s: the limit became %g threads per core, which is not the change of the case", c.name, e.threadsPerCore)
 		}
 	}
 }
 
-// Seen on the deployment trapani-sosta-later: each of a hundred controllers had one attempt on every engine,
-// which together overloaded all of them. The limit pooled over all engines holds for each controller.
+// The limit pooled over all engines holds for each controller. On the deployment
+// trapani-sosta-later each of a hundred controllers had one attempt on every engine, and together
+// these overloaded all engines.
 func TestPooledThreadLimitOfManyControllers(t *testing.T) {
 	for _, c := range []struct {
 		controllers int
@@ -54,13 +55,14 @@
 			}
 		}
 		if n < c.least || n > c.most {
-			t.Errorf("%+v: %d of 60 queries in flight", c, n)
+			t.Errorf("%+v: %d of 60 queries are in flight, want from least to most", c, n)
 		}
 	}
 }
 
-// Seen on the deployment trapani-sosta-later: engines out of memory ran at a sixth of their speed and were
-// given more queries. Nothing starts on an engine while it has lately reported its memory as used up.
+// Nothing starts on an engine that has recently reported its memory as used up. On the deployment
+// trapani-sosta-later engines out of memory ran at a sixth of their speed and were sent more
+// queries.
 func TestNothingStartsWhereMemoryIsUsedUp(t *testing.T) {
 	for _, c := range []struct {
 		memory, age float64
@@ -71,13 +73,13 @@
 		tr.r.recordReport(tr.r.engines["a"], &LoadReport{Inflight: 1, Memory: c.memory})
 		tr.wait(c.age)
 		if to := startedOn(tr.step(newQuery(2)), 2); (to != "") != c.starts {
-			t.Errorf("%+v: started on %q", c, to)
+			t.Errorf("%+v: started on %q, want it started only if starts is true", c, to)
 		}
 	}
 }
 
-// Seen on the deployment dundee-main-later: warming engines that could get nothing made the pooled limit
-// larger, and the warm engines were overloaded by it.
+// A warming engine that a controller may send nothing to does not increase the controller's pooled
+// limit. On the deployment dundee-main-later it did, and the warm engines were overloaded.
 func TestWarmingEngineAddsNoPooledLimit(t *testing.T) {
 	for _, c := range []struct{ controllers, more int }{{1, 1}, {100, 0}} {
 		tr := newTestRouterInFleet(t, cancelCapabilities, c.controllers, 2)
@@ -86,8 +88,8 @@
 		warming.StartedAt = tr.now
 		tr.step(EndpointsUpdated{Endpoints: []Endpoint{warming}})
 		if tr.wait(periodicInterval); (tr.r.concurrency.pooledThreadLimit > before) != (c.more > 0) {
-			t.Errorf("%d controllers: the pooled limit went from %g to %g", c.controllers, before,
-				tr.r.concurrency.pooledThreadLimit)
+			t.Errorf("%d controllers: the pooled limit went from %g to %g, want an increase for one controller alone",
+				c.controllers, before, tr.r.concurrency.pooledThreadLimit)
 		}
 	}
 }
--- a/router/eligibility_test.go
+++ b/router/eligibility_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Rule 2: a repeat must reach its engine before the deduplication window of the first attempt that may have
-// run ends, though clocks differ by some ms.
+// Rule 2: a repeat must reach its engine before the deduplication window ends that began with the
+// first attempt that may have run, although clocks differ by some ms.
 func TestRepeatEndsBeforeDeduplicationWindow(t *testing.T) {
 	class := lookupClass
 	class.Effect = Deduplicated
@@ -22,13 +22,14 @@
 		q.unresolvedAt = tr.r.now
 		tr.r.now += c.after
 		if tr.r.attemptsExhausted(q) != c.exhausted {
-			t.Errorf("%g ms after an attempt that may have run: exhausted is %v", c.after, !c.exhausted)
+			t.Errorf("%g ms after an attempt that may have run: attempts exhausted is %v, want the opposite", c.after,
+				!c.exhausted)
 		}
 	}
 }
 
-// Rule 1: two event intervals and some ms are left for the final answer to reach its client, before its
-// timeout and before a planned shutdown.
+// Rule 1: the final answer is due two event intervals and some ms before the client timeout and
+// before a planned shutdown, so that it reaches the client in time.
 func TestAnswerByLeavesTimeForTheAnswer(t *testing.T) {
 	for _, interval := range []float64{0, 5, 50} {
 		limits := slowStartLimits
@@ -37,17 +38,20 @@
 		tr.step(newQuery(1))
 		q := tr.r.queries[1]
 		if by := tr.r.answerBy(q); by > q.deadline-2*interval-5 || by < q.deadline-2*interval-10 {
-			t.Errorf("interval %g: answered %g ms before its timeout", interval, q.deadline-by)
+			t.Errorf("interval %g: answer due %g ms before the client timeout, want two intervals and 5 to 10 ms", interval,
+				q.deadline-by)
 		}
 		tr.r.shutdownAt = q.deadline - 1000
 		if by := tr.r.answerBy(q); by > tr.r.shutdownAt-2*interval-5 {
-			t.Errorf("interval %g: answered %g ms before the planned shutdown", interval, tr.r.shutdownAt-by)
+			t.Errorf("interval %g: answer due %g ms before the planned shutdown, want two intervals and 5 ms at least",
+				interval, tr.r.shutdownAt-by)
 		}
 	}
 }
 
-// Rule 3 with an expired endpoint list, at the margins: the engine's last answer must be younger than any
-// drain that counts as notified, and its connections must not have broken since the last update.
+// Rule 3 with an expired endpoint list, at the margins: an engine is trusted if its last answer is
+// more recent than any drain that counts as notified, and no connection to it was lost since the
+// last update.
 func TestEndpointTrustMargins(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -71,13 +75,14 @@
 			e.connectionLostAt = tr.r.now - c.lost
 		}
 		if tr.r.endpointTrusted(e) != c.trusted {
-			t.Errorf("%s: trusted is %v", c.name, !c.trusted)
+			t.Errorf("%s: the engine is trusted: %v, want the opposite", c.name, !c.trusted)
 		}
 	}
 }
 
-// A connection may come up late. What allows an attempt only for a time, such as a deduplication window,
-// must still allow it when it is sent, so the action names the time by which it must be.
+// A connection may be established late. What allows an attempt only for a time, such as a
+// deduplication window, must still allow it when it is sent, so the action has the time by which it
+// must be.
 func TestAttemptStartBy(t *testing.T) {
 	here := readyEndpoint("a", 0, "z", 1)
 	far := readyEndpoint("b", 0, "z", 1)
@@ -107,7 +112,8 @@
 		{"deduplicated, may have run", deduplicated, slowStartLimits,
 			afterOutcome(ConnectionReset), func(first, _ float64) float64 { return first + 2000 - windowSlack }},
 		{"again, within a retry budget", lookupClass, budgeted, afterOutcome(ConnectionReset), atOnce},
-		{"while the list has expired", lookupClass, slowStartLimits, expireEndpointList, func(first, _ float64) float64 { return first - 1 + 3000 }},
+		{"while the list has expired", lookupClass, slowStartLimits, expireEndpointList,
+			func(first, _ float64) float64 { return first - 1 + 3000 }},
 		{"to a warming engine", lookupClass, slowStartLimits, replaceByWarmingEngine, atOnce},
 	} {
 		tr := newTestRouter(t, c.class, cancelCapabilities, c.limits, here, far)
@@ -123,17 +129,17 @@
 		}
 		at := slices.IndexFunc(actions, isStart)
 		if at < 0 {
-			t.Errorf("%s: not started", c.name)
+			t.Errorf("%s: no attempt was started", c.name)
 		} else if got, want := actions[at].(StartAttempt).StartBy, c.startBy(first, tr.now); got != want {
-			t.Errorf("%s: to start by %g, not %g (first %g, now %g)", c.name, got, want, first, tr.now)
+			t.Errorf("%s: StartBy is %g, want %g (first attempt at %g, now %g)", c.name, got, want, first, tr.now)
 		}
 	}
 }
 
-// expireEndpointList lets the endpoint list expire when both engines have answered an attempt that started
-// with the router.
+// expireEndpointList has the endpoint list expire after both engines have answered an attempt that
+// started with the router. The query that it returns is examined.
 func expireEndpointList(tr *testRouter) Event {
-	tr.step(attemptEnded(1, 0, Succeeded), newQuery(2)) // which may take over the second engine
+	tr.step(attemptEnded(1, 0, Succeeded), newQuery(2)) // query 2 may go to the second engine
 	tr.r.engines["b"].answeredStartAt = tr.r.engines["a"].answeredStartAt
 	tr.step(attemptEnded(2, 0, Succeeded), EndpointsUpdated{ExpiredFor: 3000})
 	tr.r.engines["a"].answeredStartAt = tr.r.startedAt
@@ -141,18 +147,18 @@
 	return newQuery(3)
 }
 
-// replaceByWarmingEngine puts an engine that has just started in the place of both.
+// replaceByWarmingEngine replaces both engines by one that has just started.
 func replaceByWarmingEngine(tr *testRouter) Event {
 	tr.step(attemptEnded(1, 0, Succeeded))
 	warming := readyEndpoint("b", 0, "z", 1)
 	warming.StartedAt = tr.now
 	tr.step(EndpointsUpdated{Complete: true, Endpoints: []Endpoint{warming}})
-	tr.now += slowStartLimits.SlowStartWindow + 2*windowSlack // this controller's own first window
+	tr.now += slowStartLimits.SlowStartWindow + 2*windowSlack // past this controller's own first window
 	return newQuery(2)
 }
 
-// Rule 1: a query has one final answer before its client timeout, whatever became of its attempt, and
-// nothing is done for it afterwards.
+// Rule 1: a query has one final answer before its client timeout, whatever becomes of its attempt,
+// and nothing is done for it afterwards.
 func TestOneFinalAnswerInTime(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -173,17 +179,17 @@
 			actions = append(actions, tr.wait(49.4)...)
 		}
 		if s, f := finalAnswers(actions, 1); s != c.rejections || f != c.failures {
-			t.Errorf("%s: %d rejected and %d failed by its client timeout", c.name, s, f)
+			t.Errorf("%s: %d rejections and %d failures by the client timeout, want the one answer of the case", c.name, s, f)
 		}
 		actions = append(tr.step(attemptEnded(1, 0, TimedOut)), tr.wait(500)...)
 		if s, f := finalAnswers(actions, 1); s+f > 0 || startedOn(actions, 1) != "" || len(tr.r.queries) > 0 {
-			t.Errorf("%s: something was done after the answer: %v", c.name, actions)
+			t.Errorf("%s: after the final answer the query was kept, started or answered: %v", c.name, actions)
 		}
 	}
 }
 
-// Rules 3 and 6: a first attempt goes to no draining engine, and only to the machine kinds and zones of its
-// class.
+// Rules 3 and 6: a first attempt goes to no draining engine, and only to the machine kinds and
+// zones of its class.
 func TestPlacement(t *testing.T) {
 	limited := lookupClass
 	zoned := lookupClass
@@ -205,13 +211,14 @@
 	} {
 		if to := startedOn(newTestRouter(t, c.class, cancelCapabilities, slowStartLimits,
 			c.endpoint).step(newQuery(1)), 1); to != c.want {
-			t.Errorf("case %d: started on %q, not %q", i, to, c.want)
+			t.Errorf("case %d: started on %q, want %q", i, to, c.want)
 		}
 	}
 }
 
-// Rule 3 while the endpoint list can't be had: an engine may have begun to drain without notice. Attempts
-// start only on engines that answered one which started recently enough, until the list is back.
+// Rule 3 while the endpoint list can't be updated: an engine may have begun to drain without
+// notice. Until the next update, attempts start only on engines that answered one which started
+// recently enough.
 func TestExpiredEndpointList(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -231,18 +238,18 @@
 		tr.step(EndpointsUpdated{ExpiredFor: 6000})
 		tr.wait(c.wait)
 		if to := startedOn(append(tr.step(newQuery(2)), tr.wait(periodicInterval)...), 2); (to != "") != c.starts {
-			t.Errorf("%s: started on %q by an expired list", c.name, to)
+			t.Errorf("%s: started on %q by an expired list, want it started only after a recent answer", c.name, to)
 		}
 		tr.step(ClientDisconnected{ID: 2})
 		if to := startedOn(append(tr.step(EndpointsUpdated{}, newQuery(3)), tr.wait(periodicInterval)...),
 			3); to != "a" {
-			t.Errorf("%s: not started after an update", c.name)
+			t.Errorf("%s: not started on engine a after an update of the list", c.name)
 		}
 	}
 }
 
-// Rule 6 for queries that an operator's rule limits further: they run where both they and their class may,
-// and nowhere if that is nothing.
+// Rule 6 for queries that an operator's rule restricts further: they run where both their class and
+// the rule allow it, and nowhere if nothing is allowed by both.
 func TestPlacementNarrowedByARule(t *testing.T) {
 	limited := lookupClass
 	limited.Kinds = []KindID{1}
@@ -269,7 +276,7 @@
 		ev.Kinds = c.kinds
 		ev.Zones = c.zones
 		if to := startedOn(append(tr.step(ev), tr.wait(periodicInterval)...), 1); to != c.want {
-			t.Errorf("case %d: started on %q, not %q", i, to, c.want)
+			t.Errorf("case %d: started on %q, want %q", i, to, c.want)
 		}
 	}
 }
--- a/router/endpoints_test.go
+++ b/router/endpoints_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint list that must be polled is polled again after each failure, well within the time that the
-// rules allow.
+// After each failure an endpoint list that must be polled is polled again, within the time that the
+// rules allow between polls.
 func TestFailedPollIsRepeated(t *testing.T) {
 	capabilities := cancelCapabilities
 	limits := slowStartLimits
@@ -16,7 +16,7 @@
 		for _, action := range tr.wait(99) {
 			if _, ok := action.(Subscribe); ok {
 				if tr.now-last >= limits.PollWithin {
-					t.Fatalf("nothing was asked for %g ms", tr.now-last)
+					t.Fatalf("%g ms between polls, want less than 10 s", tr.now-last)
 				}
 				last = tr.now
 				asked++
@@ -25,6 +25,6 @@
 		}
 	}
 	if asked < 4 {
-		t.Errorf("asked %d times in 40 s", asked)
+		t.Errorf("%d polls in 40 s, want at least 4", asked)
 	}
 }
--- a/router/healthcheck_test.go
+++ b/router/healthcheck_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Seen on the deployment dundee-main-later: health checks were paced by time alone, and a hundred
-// controllers made six of them for each query.
+// Health checks are limited by the number of queries. On the deployment dundee-main-later they were
+// paced by time alone, and a hundred controllers made six of them for each query.
 func TestHealthChecksFollowQueries(t *testing.T) {
 	capabilities := cancelCapabilities
 	checks := 0
@@ -19,6 +19,6 @@
 		tr.step(attemptEnded(id, 0, Succeeded))
 	}
 	if checks < 20 || checks > 100 {
-		t.Errorf("%d health checks for 100 queries", checks)
+		t.Errorf("%d health checks for 100 queries, want 20 to 100", checks)
 	}
 }
--- a/router/packing_test.go
+++ b/router/packing_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Table groups are packed into bins of one size: the largest first, each into the bin that it fills best.
+// Table groups are packed into bins of one size: in descending order of size, each into the bin in
+// which it leaves the least memory free.
 func TestBestFitDecreasing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -32,7 +33,7 @@
 			got = append(got, ids)
 		}
 		if !slices.EqualFunc(got, c.want, slices.Equal[[]TableGroup]) {
-			t.Errorf("%s: packed %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: packed %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/router/pools_test.go
+++ b/router/pools_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Every rebalance interval engines move between pools: one engine at a margin of loads, all at once after a
-// sharp swing. Pools that underuse their only engines are merged, and a busy pool of several packs is
-// divided.
+// Rebalancing moves one engine between pools when their loads differ by a margin, and recomputes
+// all counts after a sharp swing. Two pools that underuse their only engines are merged, and a busy
+// pool of several packs is divided.
 func TestRebalance(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -17,12 +17,12 @@
 		want   []int
 	}{
 		{"moves from the lowest future load", []int{2, 6, 2}, nil, []float64{0.20, 0.25, 0.5}, []int{2, 5, 3}},
-		{"keeps still within the margin", []int{2, 2}, nil, []float64{0.49, 0.20}, []int{2, 2}},
+		{"moves nothing within the margin", []int{2, 2}, nil, []float64{0.49, 0.20}, []int{2, 2}},
 		{"moves at the margin", []int{2, 2}, nil, []float64{0.51, 0.20}, []int{3, 1}},
-		{"solves at once after a swing", []int{3, 7}, nil, []float64{0.70, 0.10}, []int{7, 3}},
-		{"merges two that underuse lone engines", []int{1, 1, 1}, nil, []float64{0.1, 0.2, 0.9}, []int{1, 2}},
-		{"does not merge what is used", []int{1, 1, 1}, nil, []float64{0.3, 0.2, 0.9}, []int{1, 1, 1}},
-		{"splits the shared one that is busiest", []int{1, 3}, []int{2, 1}, []float64{0.9, 0.3}, []int{1, 2, 1}},
+		{"recomputes all counts after a swing", []int{3, 7}, nil, []float64{0.70, 0.10}, []int{7, 3}},
+		{"merges two pools that underuse their only engines", []int{1, 1, 1}, nil, []float64{0.1, 0.2, 0.9}, []int{1, 2}},
+		{"does not merge pools that are used", []int{1, 1, 1}, nil, []float64{0.3, 0.2, 0.9}, []int{1, 1, 1}},
+		{"divides the busiest pool of several packs", []int{1, 3}, []int{2, 1}, []float64{0.9, 0.3}, []int{1, 2, 1}},
 	} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
 		var endpoints []Endpoint
@@ -51,18 +51,18 @@
 			got = append(got, len(pool.engines))
 			for _, g := range pool.tableGroups() {
 				if g.pools[0] != pool {
-					t.Errorf("%s: group %d does not know its pool", c.name, g.id)
+					t.Errorf("%s: table group %d refers to another pool than the one that has it", c.name, g.id)
 				}
 			}
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: engines %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: pools have %v engines, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A table group that a rule marks as hot has more engines from the first packing on, before any load shows
-// that it needs them.
+// A table group that a rule marks as hot has more engines from the first packing on, before any
+// load shows that it needs them.
 func TestHotTableGroupGetsMoreEngines(t *testing.T) {
 	var engines [2]int
 	for i, hot := range []bool{false, true} {
@@ -78,13 +78,13 @@
 			ev.Hot = hot && ev.Tables == 0
 			tr.step(ev)
 			end := attemptEnded(id, 0, Succeeded)
-			end.Elapsed = 20000 // so that each group is a pack of its own
+			end.Elapsed = 20000 // large footprints, so that each group is a pack of its own
 			tr.step(end)
 			tr.wait(30)
 		}
 		engines[i] = len(tr.r.groupList[0].pools[0].engines)
 	}
 	if engines[0] >= engines[1] || engines[1] < 3 {
-		t.Errorf("%d engines, and %d if it is hot", engines[0], engines[1])
+		t.Errorf("table group has %d engines, and %d if it is hot; want more if hot, at least 3", engines[0], engines[1])
 	}
 }
--- a/router/reasons_test.go
+++ b/router/reasons_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// decide does all of a step but its end, which turns decisions into actions and forgets the queries that have
-// their answer. It returns the query of an id, with the reason for its answer.
+// decide runs a step without its end, which turns decisions into actions and drops the queries that
+// have their answer. It returns the query of an id, with the reason for its answer.
 func (tr *testRouter) decide(id QueryID, events ...Event) *query {
 	tr.now++
 	r := tr.r
@@ -22,8 +22,8 @@
 	return r.queries[id]
 }
 
-// An operator asks why queries were rejected, and the wrong reason would send the search for the cause
-// astray. Each condition for which an arriving query is rejected gives its own reason.
+// Each condition for which an arriving query is rejected gives its own reason. An operator who asks
+// why queries were rejected would be misled by a wrong one.
 func TestReasonOfAnswerOnArrival(t *testing.T) {
 	ready := []Endpoint{readyEndpoint("a", 0, "z", 1)}
 	for _, c := range []answerReasonCase{
@@ -51,7 +51,7 @@
 	}
 }
 
-// The same for queries that were taken: each condition for which one is given up gives its own reason.
+// Each condition for which an accepted query is given up gives its own reason.
 func TestReasonOfAnswerToAQueuedQuery(t *testing.T) {
 	nonIdempotent := lookupClass
 	nonIdempotent.Effect = NonIdempotent
@@ -68,7 +68,7 @@
 			return ev
 		}},
 		{reasonLateInOverload, lookupClass, ready, func(tr *testRouter) Event {
-			tr.step(newQuery(2)) // a first try, by which the other one is recognized as a retry
+			tr.step(newQuery(2)) // a first try, against which query 1 counts as a retry
 			tr.r.admission.overloadedUntil = tr.now + overloadDuration
 			ev := newQuery(1)
 			ev.TimeLeft = 2500
@@ -105,7 +105,7 @@
 	}
 }
 
-// answerReasonCase is a condition for a final answer by the controller, and its reason.
+// answerReasonCase is a condition for a final answer by the controller, with its reason.
 type answerReasonCase struct {
 	want    answerReason
 	class   QueryClass
@@ -114,18 +114,18 @@
 	prepare func(tr *testRouter) Event
 }
 
-// check plays the case. noReason wants no answer.
+// check runs the case. noReason stands for no answer.
 func (c answerReasonCase) check(t *testing.T) {
 	t.Helper()
 	tr := newTestRouter(t, c.class, cancelCapabilities, slowStartLimits, c.engines...)
 	q := tr.decide(1, c.prepare(tr))
 	if q.reason != c.want || (q.answer == unanswered) != (c.want == noReason) {
-		t.Errorf("%v: the reason is %v, the answer %v", c.want, q.reason, q.answer)
+		t.Errorf("want reason %q, got %q with final answer %v", c.want, q.reason, q.answer)
 	}
 }
 
-// A query is queued while engines are idle, and an operator asks why. Each condition that keeps it from
-// starting gives its own reason, which is also what startable goes by.
+// Each condition that keeps a queued query from starting while engines are idle gives its own
+// reason, for an operator who asks why it waits. startable follows from the same reason.
 func TestReasonOfWait(t *testing.T) {
 	class := lookupClass
 	class.Ordered = true
@@ -154,7 +154,7 @@
 		q := tr.r.queries[1]
 		c.prepare(tr, q)
 		if got := tr.r.whyWaiting(q); got != c.want || tr.r.startable(q) != (c.want == notWaiting) {
-			t.Errorf("%v: the reason is %v, startable %v", c.want, got, tr.r.startable(q))
+			t.Errorf("want reason %q, got %q with startable %v", c.want, got, tr.r.startable(q))
 		}
 	}
 }
--- a/router/restore_test.go
+++ b/router/restore_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Restored statistics count where nothing was learned since, and only for the same process of a ready
-// engine.
+// Restored statistics are used where this run has learned nothing, and only for ready engines that
+// still have the same process.
 func TestRestoreForTheSameProcessOnly(t *testing.T) {
 	old, slow := newTrainedRouter(t)
 	exported, _ := exportAll(old.r, 1000)
@@ -36,22 +36,23 @@
 		if (e.slowdown.mean(tr.r.now, 1, 1) > 2) != (e.id == slow) || e.id == want["process"] &&
 			e.slowdown.weight > 0 ||
 			e.id == want["drains"] && e.slowdown.weight > 0 {
-			t.Errorf("%s, of %v: slowdown %g", e.id, want, e.slowdown.mean(tr.r.now, 1, 1))
+			t.Errorf("engine %s, of %v: slowdown is %g, want it restored for the slow engine alone", e.id, want,
+				e.slowdown.mean(tr.r.now, 1, 1))
 		}
 	}
 	if len(tr.r.groupList) != 5 || tr.r.groupList[0].demand.rate(tr.r.now) <= 0 {
-		t.Errorf("%d table groups", len(tr.r.groupList))
+		t.Errorf("%d table groups were restored, want 5, the first with a demand above 0", len(tr.r.groupList))
 	}
 	if class := tr.r.classes[0]; class.bestUnitTime != exported.Classes[0].UnloadedTime ||
 		class.work.weight != 0 {
-		t.Errorf("unit time %g, weight %g of work, which protects warming engines", class.bestUnitTime,
-			class.work.weight)
+		t.Errorf("unit time is %g, want it as exported; work, which slow start relies on, has weight %g, want 0",
+			class.bestUnitTime, class.work.weight)
 	}
 	e := tr.r.engines[slow]
 	tr.step(StatisticsRestored{Statistics: Statistics{Engines: []EngineStatistics{{Engine: slow,
 		StartedAt: e.startedAt, Slowdown: WeightedMean{1, 50}}}}})
 	if e.slowdown.mean(tr.r.now, 1, 1) < 2 {
-		t.Error("what is there was restored again")
+		t.Error("a second restore replaced the slowdown that was restored before")
 	}
 	for k, list := range tr.r.pools.byKind { // whatever was restored, each ready engine is in one pool
 		var pooled []EngineID
@@ -62,12 +63,12 @@
 		}
 		if slices.Sort(pooled); len(pooled) != len(tr.r.readyEngines(k)) ||
 			len(slices.Compact(pooled)) != len(pooled) {
-			t.Errorf("kind %d: pooled %v", k, pooled)
+			t.Errorf("kind %d: the pools have engines %v, want each ready engine once", k, pooled)
 		}
 	}
 }
 
-// Table groups go back to the engines that served them before the restart, as far as these are there.
+// Table groups return to the engines that served them before the restart, if these still exist.
 func TestRestoreKeepsPools(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 8 {
@@ -75,7 +76,7 @@
 	}
 	kept := 0
 	moved := 0
-	for shift := range 8 { // by each shift others than the engines of most affinity served them
+	for shift := range 8 { // each shift has other engines than those of highest affinity serve the groups
 		var exported Statistics
 		for i := range 8 {
 			id := EngineID(fmt.Sprint("e", i))
@@ -100,12 +101,12 @@
 		}
 	}
 	if kept < 60 {
-		t.Errorf("%d table groups are where they were, %d elsewhere", kept, moved)
+		t.Errorf("%d table groups kept their engine and %d moved, want at least 60 kept", kept, moved)
 	}
 }
 
-// A restored run time that can't be true must not shed all queries of a class for ever, and one that is too
-// short must not count for long.
+// A restored run time that is too long must not have all queries of a class shed for ever, and one
+// that is too short must not be used for long.
 func TestUnconfirmedEstimatesAreDiscarded(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -131,10 +132,10 @@
 			tr.wait(49)
 		}
 		if best := tr.r.classes[0].bestUnitTime; best < c.from || best > c.to {
-			t.Errorf("%s: unit time %g", c.name, best)
+			t.Errorf("%s: unit time is %g, which is out of the range of the case", c.name, best)
 		}
 	}
-	// Few answers, none long after the last, refute it: it is discarded.
+	// Few answers, with gaps below restoredMaxAge, refute the restored value: it is discarded.
 	for _, best := range []float64{1, 2000} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 		tr.step(StatisticsRestored{Statistics: Statistics{Classes: []ClassStatistics{{UnloadedTime: best}}}})
@@ -144,10 +145,10 @@
 			tr.step(attemptEnded(id, 0, Succeeded))
 		}
 		if tr.r.classes[0].bestUnitTime != 0 {
-			t.Errorf("%g ms are kept of answers that take 100", best)
+			t.Errorf("a restored unit time of %g ms was kept though answers take 100 ms", best)
 		}
 	}
-	// Few answers, none long after the last: what they confirm stands.
+	// Few answers, with gaps below restoredMaxAge, confirm the restored value: it is kept.
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 	tr.step(StatisticsRestored{Statistics: Statistics{Classes: []ClassStatistics{{UnloadedTime: 90}}}})
 	for id := range QueryID(5) {
@@ -158,12 +159,12 @@
 		tr.step(attemptEnded(id, 0, Succeeded))
 	}
 	if tr.r.classes[0].bestUnitTime == 0 {
-		t.Error("discarded though answers came")
+		t.Error("a restored unit time was discarded though answers confirm it")
 	}
 }
 
-// Restored records may hold any figures and name what does not exist. No figure is taken beyond its bounds,
-// and queries still run.
+// Restored records may contain any figures, and ids that don't exist. No figure is used beyond its
+// bounds, and queries still run.
 func TestRestoredFiguresAreClamped(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300, 1e-300} {
 		w := WeightedMean{x, x}
@@ -187,16 +188,17 @@
 			"memory scale": class.memoryScale.mean(tr.r.now, 1, 3), "traffic share": tr.r.trafficShare(),
 			"demand": tr.r.groupList[0].demand.rate(tr.r.now)} {
 			if math.IsNaN(y) || math.IsInf(y, 0) || y < 0 || y > 1e7 {
-				t.Errorf("%g restored: %s is %g", x, name, y)
+				t.Errorf("%g restored: %s is %g, want 0 to 1e7", x, name, y)
 			}
 		}
 		if e.threadsPerCore < minThreadsPerCore || e.threadsPerCore > maxThreadsPerCore ||
 			class.bestUnitTime > class.ClientTimeout {
-			t.Errorf("%g restored: thread limit %g, unit time %g", x, e.threadsPerCore, class.bestUnitTime)
+			t.Errorf("%g restored: thread limit %g or unit time %g is out of its bounds", x, e.threadsPerCore,
+				class.bestUnitTime)
 		}
 		if to := startedOn(append(tr.step(newQuery(1)), tr.wait(100)...), 1); to == "" &&
 			tr.r.engines["b"].attempts == 0 {
-			t.Errorf("%g restored: nothing is started", x)
+			t.Errorf("%g restored: a query was started on no engine", x)
 		}
 	}
 }
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A query with a bad plan, by its progress and its estimate, is cancelled and retried. One that is truly
-// large, nearly done or without an estimate runs on.
+// An attempt that has a bad plan, by its progress and the estimate of its query, is cancelled in
+// order to be retried. One that is truly large, nearly done or without an estimate runs on.
 func TestBadPlanIsCancelled(t *testing.T) {
 	for _, c := range []struct {
 		estimate, done float64
@@ -16,13 +16,13 @@
 		tr.wait(500)
 		actions := tr.step(AttemptProgress{ID: 1, Kind: ProgressDone, Value: c.done})
 		if got := hasCancel(actions); got != c.cancels {
-			t.Errorf("%+v: cancelled: %v", c, got)
+			t.Errorf("%+v: cancelled is %v, want the opposite", c, got)
 		}
 	}
 }
 
-// Rule 2: a silent attempt is not followed by a repeat that would reach its engine after the deduplication
-// window, where it could run a second time.
+// Rule 2: a silent attempt is not followed by a repeat that would reach its engine after the
+// deduplication window, where it could run a second time.
 func TestSilentAttemptIsNotRepeatedTooLate(t *testing.T) {
 	for _, c := range []struct {
 		window   float64
@@ -37,7 +37,7 @@
 		tr.step(newQuery(1))
 		actions := tr.wait(tr.r.progressTimeout() + 5)
 		if (startedOn(actions, 1) != "") != c.repeated {
-			t.Errorf("window %g: retried on %q", c.window, startedOn(actions, 1))
+			t.Errorf("window %g: retried on %q, want a retry only within the window", c.window, startedOn(actions, 1))
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		class.Effect = effect
 		class.Scope = scope
 		class.DeduplicationWindow = 2000
-		class.LateBenefit = 1 // so that it is not given up as late
+		class.LateBenefit = 1 // so that it is not shed as late
 		return class
 	}
 	budgeted := slowStartLimits
@@ -98,28 +98,28 @@
 	}
 }
 
-// retryCase is what follows the outcome of the first attempt of a query, which an engine had that drains
-// then.
+// retryCase is an outcome of the first attempt of a query, on an engine that drains before the
+// outcome arrives, and what follows from it.
 type retryCase struct {
 	name                 string
 	class                QueryClass
 	limits               SafetyLimits
 	outcome              Outcome
 	delay                float64    // ms
-	otherEndpoints       []Endpoint // that are there when the attempt ends
+	otherEndpoints       []Endpoint // in the endpoint list when the attempt ends
 	retried              bool
 	rejections, failures int
 }
 
-// check plays the case with the engine of the first attempt.
+// check runs the case with the engine of the first attempt.
 func (c retryCase) check(t *testing.T, first Endpoint) {
 	t.Helper()
 	tr := newTestRouter(t, c.class, cancelCapabilities, c.limits, first)
 	if to := startedOn(tr.step(newQuery(1)), 1); to != "a" {
-		t.Fatalf("%s: first attempt went to %q", c.name, to)
+		t.Fatalf("%s: first attempt was started on %q, want engine a", c.name, to)
 	}
 	if q := tr.r.queries[1]; tr.r.eligible(q, tr.r.engines["a"]) {
-		t.Errorf("%s: may have two attempts in flight", c.name)
+		t.Errorf("%s: a second attempt is eligible while the first is in flight", c.name)
 	}
 	draining := first
 	draining.State = Draining
@@ -128,15 +128,16 @@
 	actions := tr.step(attemptEnded(1, 0, c.outcome))
 	actions = append(actions, tr.wait(60)...)
 	if to := startedOn(actions, 1); (to != "") != c.retried {
-		t.Errorf("%s: retried on %q", c.name, to)
+		t.Errorf("%s: retried on %q, want a retry only if the case has one", c.name, to)
 	}
 	if s, f := finalAnswers(actions, 1); s != c.rejections || f != c.failures {
-		t.Errorf("%s: %d rejected, %d failed", c.name, s, f)
+		t.Errorf("%s: %d rejections and %d failures, which are not those of the case", c.name, s, f)
 	}
 }
 
-// An attempt that is withdrawn before its first byte is sent says nothing about its engine. The query is
-// retried there at once, also if the endpoint list has expired since, which may be why it was withdrawn.
+// An attempt that is withdrawn before its first byte is sent says nothing about its engine. The
+// query is retried there at once, even if the endpoint list has expired in the meantime, which may
+// be why the attempt was withdrawn.
 func TestWithdrawnAttemptIsRetriedAtOnce(t *testing.T) {
 	for _, expired := range []float64{0, 6000} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
@@ -145,14 +146,14 @@
 		tr.step(newQuery(2))
 		if to := startedOn(tr.step(EndpointsUpdated{ExpiredFor: expired}, attemptEnded(2, 0, Withdrawn)),
 			2); to != "a" {
-			t.Errorf("expired %g: started on %q", expired, to)
+			t.Errorf("ExpiredFor %g: retried on %q, want engine a", expired, to)
 		}
 	}
 }
 
-// Seen on large deployments: attempts with a lost answer were waited for until the client timeout. An
-// attempt without progress messages is cancelled, or gets a hedged attempt beside it, if the query may be
-// repeated.
+// An attempt without progress messages is cancelled, or gets a hedged attempt beside it, if the
+// query may be repeated. On large deployments attempts with a lost answer were waited for until the
+// client timeout.
 func TestSilentAttemptIsReplaced(t *testing.T) {
 	with := func(effect RepeatEffect, window float64) QueryClass {
 		class := lookupClass
@@ -191,13 +192,14 @@
 			}
 		}
 		if hasCancel(actions) != c.cancelled || (startedOn(actions, 1) != "") != c.retried {
-			t.Errorf("%s: retried on %q; %v", c.name, startedOn(actions, 1), actions)
+			t.Errorf("%s: retried on %q, or not cancelled as in the case: %v", c.name, startedOn(actions, 1), actions)
 		}
 	}
 }
 
-// Seen in a simulation: a query with a response that had begun was retried when its progress messages stopped, and
-// its client would have got parts of two responses.
+// A query whose response has started is neither retried nor answered otherwise. In a simulation one
+// was retried when its progress messages stopped, and its client would have got parts of two
+// responses.
 func TestStartedResponseIsLeftAlone(t *testing.T) {
 	for _, capabilities := range []Capabilities{{MaxAttempts: 6, Hedging: true, ProgressInterval: 500},
 		{MaxAttempts: 6, Cancel: true, ProgressInterval: 500}} {
@@ -210,7 +212,8 @@
 		}
 		rejections, failures := finalAnswers(actions, 1)
 		if startedOn(actions, 1) != "" || hasCancel(actions) || rejections+failures > 0 {
-			t.Errorf("%+v: something was done about a response that has begun: %v", capabilities, actions)
+			t.Errorf("%+v: a query whose response has started was retried, cancelled or answered: %v", capabilities,
+				actions)
 		}
 	}
 }
--- a/router/retrybudget_test.go
+++ b/router/retrybudget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Rule 7, at the margins: clocks differ by some ms, so retries count for a little longer than the window,
-// and arrivals for a little less.
+// Rule 7, at the margins: clocks differ by some ms, so retries count for a little longer than the
+// window, and arriving queries for a little less.
 func TestRetryBudgetWindowMargins(t *testing.T) {
 	const window = 1000.0
 	for _, c := range []struct {
@@ -31,7 +31,7 @@
 		tr.r.retryBudget.retries.add(tr.r.now-c.retried, 1)
 		tr.r.retryBudget.queries.add(tr.r.now-c.arrived, 1)
 		if tr.r.retryBudgetAllows() != c.allows {
-			t.Errorf("%s: allowed is %v", c.name, !c.allows)
+			t.Errorf("%s: a retry is allowed: %v, want the opposite", c.name, !c.allows)
 		}
 	}
 }
--- a/router/selection_test.go
+++ b/router/selection_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Seen on the deployment tacoma-east: queries that lock a table group met on the engine with the most
-// affinity for it and waited for each other.
+// Queries that lock a table group go to different engines. On the deployment tacoma-east they met
+// on the engine with the highest affinity for the group and waited for each other.
 func TestTableLockingQueriesSpread(t *testing.T) {
 	class := lookupClass
 	class.LocksTables = true
@@ -14,13 +14,13 @@
 		readyEndpoint("b", 0, "z", 1))
 	actions := tr.step(newQuery(1), newQuery(2))
 	if startedOn(actions, 1) == startedOn(actions, 2) {
-		t.Error("two queries that lock a table group went to one engine while another was idle")
+		t.Error("two queries that lock a table group were started on one engine, want two engines")
 	}
 }
 
-// Seen on a recorded day of the deployment tacoma-east, with its traffic on two table groups: queries
-// locked them on every engine, and queries that wait for the tables stood still everywhere. Once a group is
-// locked on two thirds of the engines, further locks join these.
+// Once a table group is locked on two thirds of the engines, further locks join these. On a
+// recorded day of the deployment tacoma-east, with its traffic on two table groups, queries locked
+// them on every engine, and queries that wait for the tables were blocked everywhere.
 func TestTableLocksLeaveEnginesFree(t *testing.T) {
 	locks := lookupClass
 	waits := lookupClass
@@ -42,9 +42,10 @@
 			locked[startedOn(tr.step(newQuery(id)), id)]++
 		}
 		if len(locked) != c.most || locked[""] > 0 {
-			t.Errorf("%s: locks are at %v", c.name, locked)
+			t.Errorf("%s: attempts that lock tables, by engine: %v; want all started, on as many engines as in the case", c.name,
+				locked)
 		}
-		// Shrink the pool to one engine, on which the tables are locked.
+		// Only an engine on which the tables are locked is left in the pool.
 		for _, pool := range tr.r.tableGroups[7].pools {
 			if pool != nil {
 				pool.engines = []*engine{tr.r.engines[tr.r.queries[0].attempts[0].engine.id]}
@@ -53,13 +54,14 @@
 		ev := newQuery(100)
 		ev.Class = 1
 		if to := startedOn(tr.step(ev), 100); locked[to] > 0 && c.most < c.engines || to == "" {
-			t.Errorf("%s: a query that waits for tables went to %q", c.name, to)
+			t.Errorf("%s: a query that waits for tables was started on %q, want an engine without locks if there is one",
+				c.name, to)
 		}
 	}
 }
 
-// Seen on the deployment tacoma-east-later: an engine with a load report had its load count against it, and
-// one without a report counted as idle. Without a report the mean load of all engines counts.
+// An engine without a load report counts with the mean load of all engines. On the deployment
+// tacoma-east-later it counted as idle, which put engines with a report at a disadvantage.
 func TestReportedEngineIsNotAtADisadvantage(t *testing.T) {
 	tr := newTestRouterInFleet(t, cancelCapabilities, 100, 2)
 	a := tr.r.engineList[0]
@@ -68,6 +70,7 @@
 	a.idHash = b.idHash
 	q := &query{class: tr.r.classes[0], tables: &tableGroup{}}
 	if x, y := tr.r.placementScore(q, a), tr.r.placementScore(q, b); x > y*1.1 {
-		t.Errorf("an engine at the mean has score %g, one without a report %g", x, y)
+		t.Errorf("an engine with the mean load has placement score %g, one without a report %g, want a ratio up to 1.1",
+			x, y)
 	}
 }
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Rule 4, at the margins: clocks differ by some ms, so an engine counts as warming a little longer than
-// configured, a window as longer, and a turn lasts for all of a window. All parts of a turn together stay
-// within what the rule allows.
+// Rule 4, at the margins: clocks differ by some ms, so an engine counts as warming for a little
+// longer than configured, and a window as longer. A controller's part is constant within a turn.
+// All parts of a turn together stay within what the rule allows.
 func TestSlowStartMargins(t *testing.T) {
 	checkWarmingByAge(t)
 	checkSlowStartWindow(t)
@@ -18,7 +18,7 @@
 	checkSlowStartParts(t)
 }
 
-// newWarmingTestRouter returns a controller for which engine "a" has just started, and that engine.
+// newWarmingTestRouter returns a controller, and engine "a", which has just started.
 func newWarmingTestRouter(t *testing.T) (*testRouter, Endpoint) {
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits)
 	tr.now += 5000
@@ -28,14 +28,14 @@
 	return tr, warming
 }
 
-// usedSlowStartWork is the work in ms that slowStartLimits let all controllers together start within a
-// window on an engine of the first machine kind, times the share of it that is used.
+// usedSlowStartWork is the work in ms that all controllers together may start within a window on a
+// warming engine of the first machine kind: slowStartShareUsed of what slowStartLimits allow.
 func usedSlowStartWork() float64 {
 	return slowStartShareUsed * slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
 		slowStartLimits.SlowStartWindow
 }
 
-// checkWarmingByAge checks until which age an engine counts as warming.
+// checkWarmingByAge checks up to which age an engine counts as warming.
 func checkWarmingByAge(t *testing.T) {
 	t.Helper()
 	for _, c := range []struct {
@@ -47,17 +47,17 @@
 		tr, warming := newWarmingTestRouter(t)
 		tr.r.now = warming.StartedAt + c.age
 		if part := tr.r.slowStartAllowance(tr.r.engines["a"]); (part < 1e9) != c.warming {
-			t.Errorf("%g ms after its start: part %g", c.age, part)
+			t.Errorf("%g ms after the start of an engine: part is %g, want it finite only while warming", c.age, part)
 		}
 	}
 }
 
-// checkSlowStartWindow checks for how long what was started counts.
+// checkSlowStartWindow checks for how long started work counts.
 func checkSlowStartWindow(t *testing.T) {
 	t.Helper()
 	for _, c := range []struct {
 		name    string
-		ago     float64 // since all of its part was started
+		ago     float64 // ms since all of the part was used
 		allowed bool
 	}{{"within the window", 1000, false}, {"just before the window",
 		slowStartLimits.SlowStartWindow + windowSlack/2, false},
@@ -67,12 +67,13 @@
 		tr.r.now = warming.StartedAt + 5000
 		e.slowStartWork.add(tr.r.now-c.ago, tr.r.slowStartAllowance(e))
 		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, e) != c.allowed {
-			t.Errorf("%s: allowed is %v", c.name, !c.allowed)
+			t.Errorf("%s: an attempt is allowed: %v, want the opposite", c.name, !c.allowed)
 		}
 	}
 }
 
-// checkSlowStartAfterRestart checks for how long a controller that has just started sends nothing.
+// checkSlowStartAfterRestart checks for how long a restarted controller sends nothing to a warming
+// engine.
 func checkSlowStartAfterRestart(t *testing.T) {
 	t.Helper()
 	for _, c := range []struct {
@@ -84,16 +85,17 @@
 		tr.r.now = warming.StartedAt + 3000
 		tr.r.startedAt = warming.StartedAt + 3000 - c.up
 		if tr.r.slowStartAllows(&query{class: tr.r.classes[0]}, tr.r.engines["a"]) != c.allowed {
-			t.Errorf("up for %g ms: allowed is %v", c.up, !c.allowed)
+			t.Errorf("controller up for %g ms: an attempt is allowed: %v, want the opposite", c.up, !c.allowed)
 		}
 	}
 }
 
-// checkSlowStartTurns checks that a part stays the same within a turn, that the parts of all turns which a
-// window overlaps are within what the rule allows, and that there are parts of several sizes.
+// checkSlowStartTurns checks that a part is constant within a turn, that the parts of all turns
+// which a window overlaps are together within what the rule allows, and that parts have several
+// sizes.
 func checkSlowStartTurns(t *testing.T) {
 	t.Helper()
-	// all controllers with turns that overlap a window use all of their parts
+	// All controllers whose turns overlap a window use all of their parts.
 	for _, controllers := range []int{60, 150, 300, 1000} {
 		tr, warming := newWarmingTestRouter(t)
 		tr.r.controllers = float64(controllers)
@@ -111,7 +113,7 @@
 				sum += part
 				for early := -0.49; early < 0.5; early += 0.49 {
 					if tr.r.now = warming.StartedAt + at + early*length; tr.r.slowStartAllowance(e) != part {
-						t.Fatalf("%d controllers: the part of %d changes within a turn", controllers, n)
+						t.Fatalf("%d controllers: the part of controller %d changes within a turn", controllers, n)
 					}
 				}
 				sizes[part] = true
@@ -120,11 +122,12 @@
 		}
 		for i := 2; i < len(sums); i++ { // a window, and clocks that differ by the slack, overlap three turns
 			if together := sums[i-2] + sums[i-1] + sums[i]; together > totalAllowance*1.001 || together < totalAllowance/3 {
-				t.Errorf("%d controllers: %g ms of %g are handed out in a window", controllers, together, totalAllowance)
+				t.Errorf("%d controllers: parts in a window add up to %g ms, want a third to all of %g", controllers, together,
+					totalAllowance)
 			}
 		}
 		if len(sizes) < 3 { // none, small and large
-			t.Errorf("%d controllers: parts of %v alone", controllers, sizes)
+			t.Errorf("%d controllers: the sizes of parts are %v, want at least 3", controllers, sizes)
 		}
 	}
 }
@@ -144,14 +147,15 @@
 			sum += tr.r.slowStartAllowance(tr.r.engines["a"])
 		}
 		if sum > totalAllowance*1.001 || controllers < 10 && sum < totalAllowance*0.999 {
-			t.Errorf("%g controllers: %g ms of %g are handed out", controllers, sum, totalAllowance)
+			t.Errorf("%g controllers: parts in a turn add up to %g ms, want at most %g, and all of it for fewer than 10",
+				controllers, sum, totalAllowance)
 		}
 	}
 }
 
-// A warming engine takes what this controller's part in its turn holds, though the pooled thread limit is
-// used up and the controller's equal part of the engine is less than one thread. Another engine does not,
-// nor does the warming one without a turn.
+// A warming engine takes what this controller's part holds in its turn, even if the pooled thread
+// limit is used up and the controller's equal share of the engine is less than one thread. Another
+// engine does not, nor does the warming engine outside of the controller's turn.
 func TestSlowStartTurnPassesPooledLimit(t *testing.T) {
 	warming := readyEndpoint("a", 0, "z", 1)
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("b", 0, "z", 1))
@@ -175,27 +179,27 @@
 	turn(true)
 	capacity := tr.r.capacityBound(1, tr.r.trafficShare())
 	if !tr.r.hasCapacity(q, e, 1) || !capacity.mayHold(e) || tr.r.noCapacityAnywhere(q) {
-		t.Error("a warming engine whose turn it is has no capacity")
+		t.Error("a warming engine has no capacity in this controller's turn")
 	}
 	if tr.r.hasCapacity(q, tr.r.engines["b"], 1) {
-		t.Error("a warm engine has capacity though the pool is used up")
+		t.Error("a warm engine has capacity though the pooled limit is used up")
 	}
 	if e.threads = 2 * maxThreadsPerCore * e.cores; tr.r.hasCapacity(q, e, 1) {
-		t.Error("a warming engine takes more threads than its limit")
+		t.Error("a warming engine has capacity though its own thread limit is used up")
 	}
 	e.threads = 2
 	turn(false)
 	if tr.r.slowStartAllows(q, e) {
-		t.Error("a warming engine takes something out of turn")
+		t.Error("an attempt is allowed on a warming engine outside of this controller's turn")
 	}
 	if q.uncappedEstimate = 1e5; q.slowStartCost(tr.r.now) < 1e5 {
-		t.Error("a large estimate does not count at a warming engine")
+		t.Error("an estimate of 1e5 ms counts for less on a warming engine")
 	}
 }
 
-// Rule 4: twenty or thirty controllers all want one warming engine, and none knows of the others. Of N
-// queries of usual work that the rule allows in a window, chance may add 2 roots of N and 2; together they
-// stay under N.
+// Rule 4: several controllers, which know nothing of each other, send queries to one warming
+// engine. Of N queries of average work that the rule allows in a window, chance may add 2 square
+// roots of N and 2; together they stay within N.
 func TestSlowStartSumOverControllers(t *testing.T) {
 	class := QueryClass{LatencyObjective: 60000, ClientTimeout: 60000, Threads: 1, LateBenefit: 1}
 	const meanWork, stepMS, arrivalsPerTwoSteps = 300.0, 10.0, 3
@@ -220,7 +224,7 @@
 				}
 				for range arrivalsPerTwoSteps * (1 + rng.Intn(2)) / 3 {
 					id++
-					work[id] = meanWork * math.Exp(rng.NormFloat64()-0.5) // of this mean, widely spread
+					work[id] = meanWork * math.Exp(rng.NormFloat64()-0.5) // log-normal, with mean meanWork
 					events = append(events, QueryArrived{ID: id, Tenant: -1, TimeLeft: 60000, Tables: 7,
 						EstimatedWork: work[id]})
 				}
@@ -236,19 +240,19 @@
 			slowStartLimits.SlowStartWindow / meanWork
 		most := mostWithin(starts, slowStartLimits.SlowStartWindow)
 		if float64(most) > allowed {
-			t.Errorf("%d controllers: %d queries in a window, of %.0f, where chance may add %.0f", controllers, most,
+			t.Errorf("%d controllers: %d queries in a window, want at most %.0f, where chance may add %.0f", controllers, most,
 				allowed, 2*math.Sqrt(allowed)+2)
 		}
 		if float64(most) < allowed/6 {
-			t.Errorf("%d controllers: only %d queries in a window, of %.0f: the test asks for too little",
+			t.Errorf("%d controllers: at most %d queries in a window, of %.0f: the test sends too few",
 				controllers, most, allowed)
 		}
 		t.Logf("%d controllers: at most %d queries in a window, of %.0f", controllers, most, allowed)
 	}
 }
 
-// Rule 4: what a warming engine is sent within a window stays under this controller's part, and a controller
-// that has just started starts it nothing.
+// Rule 4: the work that a warming engine is sent within a window stays within this controller's
+// part, and a controller that has just started sends it nothing.
 func TestWarmingEngineGetsItsPartAtMost(t *testing.T) {
 	for _, c := range []struct{ controllers, uptime, least, most float64 }{
 		{1, 5000, 1, 20}, {4, 5000, 0, 5}, {1, 500, 0, 0},
@@ -270,13 +274,13 @@
 		if totalAllowance := slowStartLimits.SlowStartOverload * slowStartLimits.SlowStartCapacity * 8 *
 			slowStartLimits.SlowStartWindow / c.controllers; n*1000 > totalAllowance ||
 			n < c.least || n > c.most {
-			t.Errorf("%g controllers, up for %g ms: %g queries of 1000 ms to a warming engine", c.controllers,
-				c.uptime, n)
+			t.Errorf("%g controllers, up for %g ms: %g queries of 1000 ms to a warming engine, want from least to most",
+				c.controllers, c.uptime, n)
 		}
 	}
 }
 
-// Rule 4: a rule that caps estimates must not make work look small to what protects warming engines.
+// Rule 4: a rule that caps estimates must not make work look small to slow start.
 func TestCappedEstimateCountsInFull(t *testing.T) {
 	tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
 	for id := range QueryID(50) {
@@ -287,12 +291,12 @@
 		tr.step(attemptEnded(id, 0, Succeeded))
 	}
 	if w := tr.r.classes[0].meanWork(tr.now); w < 300 {
-		t.Errorf("queries of 400 ms are taken to need %g", w)
+		t.Errorf("mean work is %g ms for queries with an estimate of 400 ms, want at least 300", w)
 	}
 }
 
-// Rule 4 with many controllers: in any window all of them together stay under the limit, and some of them
-// may start attempts.
+// Rule 4 with many controllers: in any window all of them together stay within the limit, and some
+// of them may start attempts.
 func TestSlowStartTurnsStayWithinTheLimit(t *testing.T) {
 	const controllers = 150
 	var parts [controllers][]float64 // of each controller, every 10 ms
@@ -316,16 +320,16 @@
 			sum += slices.Max(parts[n][from : from+window])
 		}
 		if used = max(used, sum); sum > slowStartShareUsed*totalAllowance*1.001 {
-			t.Fatalf("%g ms of work may be sent within a window, of %g", sum, slowStartShareUsed*totalAllowance)
+			t.Fatalf("%g ms of work may be sent within a window, want at most %g", sum, slowStartShareUsed*totalAllowance)
 		}
 	}
 	if used < totalAllowance/4 {
-		t.Errorf("only %g ms of work of %g may be sent", used, totalAllowance)
+		t.Errorf("at most %g ms of work may be sent within a window, want a quarter of %g at least", used, totalAllowance)
 	}
 }
 
-// newFleet returns controllers that all know of one warming engine, and that the queries of their class
-// usually need so much work (ms).
+// newFleet returns controllers that know of one warming engine and have learned the given mean work
+// (ms) of the queries of their class.
 func newFleet(controllers int, class QueryClass, warming Endpoint, meanWork float64) []*Router {
 	var fleet []*Router
 	for n := range controllers {
@@ -339,7 +343,7 @@
 	return fleet
 }
 
-// mostWithin is the largest number of times, which are in order, that lie within any window (ms).
+// mostWithin is the largest number of the ascending times that lie within any window (ms).
 func mostWithin(times []float64, window float64) int {
 	most := 0
 	for from := range times {
