--- a/router/concurrency_test.go
+++ b/router/concurrency_test.go
@@ -6,10 +6,10 @@
 // decreases when they are much slower, and is constant in between.
 func TestThreadLimitFollowsSlowdown(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		took    float64
-		widened bool
-		cut     bool
+		name      string
+		took      float64
+		increased bool
+		decreased bool
 	}{{"nearly as fast as idle", 110, true, false}, {"between", 240, false, false},
 		{"far slower", 900, false, true}} {
 		tr := newTestRouter(t, lookupClass, cancelCapabilities, slowStartLimits, readyEndpoint("a", 0, "z", 1))
@@ -23,8 +23,8 @@
 			tr.r.now += 100
 			tr.r.learnFromSuccess(q, e, AttemptEnded{Outcome: Succeeded, Elapsed: c.took})
 		}
-		if (e.threadsPerCore > initialThreadsPerCore) != c.widened ||
-			(e.threadsPerCore < initialThreadsPerCore) != c.cut || e.threadsPerCore > maxThreadsPerCore {
+		if (e.threadsPerCore > initialThreadsPerCore) != c.increased ||
+			(e.threadsPerCore < initialThreadsPerCore) != c.decreased || e.threadsPerCore > maxThreadsPerCore {
 			t.Errorf("%s: the limit became %g threads per core, which is not the change of the case", c.name, e.threadsPerCore)
 		}
 	}
