--- a/router/alarms.go
+++ b/router/alarms.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// nextDue takes out the next query with an alarm that is due; nil: there is none.
-func (r *Router) nextDue() *query {
+// popDueQuery takes out the next query with an alarm that is due; nil: there is none.
+func (r *Router) popDueQuery() *query {
 	if r.nextAlarmAt() > r.now {
 		return nil
 	}
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -104,7 +104,7 @@
 		pool := pools[top.index]
 		pool.targetCount++
 		top.demandPerEngine = pool.demandPerEngine()
-		byDemand.sink(0)
+		byDemand.siftDown(0)
 	}
 }
 
--- a/router/backoff.go
+++ b/router/backoff.go
@@ -36,8 +36,8 @@
 	b.until = startedAt + b.wait
 }
 
-// noteStart records that a try starts: it is the only one until the wait is over or it succeeds.
-func (b *backoff) noteStart(now float64) {
+// recordStart records that a try starts: it is the only one until the wait is over or it succeeds.
+func (b *backoff) recordStart(now float64) {
 	if b.wait > 0 {
 		b.until = now + b.wait
 	}
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -9,9 +9,9 @@
 // again: which engines may have capacity, for the rest of the step, and the order of engines by
 // affinity, while the list is the same.
 type candidateList struct {
-	step       uint64    // in which engines was made
-	engines    []*engine // that may have capacity
-	fullAtStep []uint64  // by class index: the last step in which no engine had capacity for it
+	step             uint64    // in which engines was made
+	engines          []*engine // that may have capacity
+	noCapacityAtStep []uint64  // by class index: the last step in which no engine had capacity for it
 
 	topologyVersion int // for which affinityOrders were made
 	affinityOrders  map[*tableGroup]*affinityOrder
@@ -54,36 +54,36 @@
 	list.step = r.stepCount
 	list.engines = list.engines[:0]
 	for _, e := range s.engines {
-		if s.capacity.mayHold(e) {
+		if s.capacity.mayHaveCapacity(e) {
 			list.engines = append(list.engines, e)
 		}
 	}
 	return list.engines
 }
 
-// knownFull reports whether a search of this step has found that no engine of the list has capacity
+// knownWithoutCapacity reports whether a search of this step has found that no engine of the list has capacity
 // for a class.
-func (r *Router) knownFull(list *candidateList, class *queryClass) bool {
-	return class.index < len(list.fullAtStep) && list.fullAtStep[class.index] == r.stepCount
+func (r *Router) knownWithoutCapacity(list *candidateList, class *queryClass) bool {
+	return class.index < len(list.noCapacityAtStep) && list.noCapacityAtStep[class.index] == r.stepCount
 }
 
-// markFull remembers for this step that no engine of the list has capacity for a class.
-func (r *Router) markFull(list *candidateList, class *queryClass) {
-	if list.fullAtStep == nil {
-		list.fullAtStep = make([]uint64, len(r.classes))
+// markWithoutCapacity remembers for this step that no engine of the list has capacity for a class.
+func (r *Router) markWithoutCapacity(list *candidateList, class *queryClass) {
+	if list.noCapacityAtStep == nil {
+		list.noCapacityAtStep = make([]uint64, len(r.classes))
 	}
-	list.fullAtStep[class.index] = r.stepCount
+	list.noCapacityAtStep[class.index] = r.stepCount
 }
 
-// knownFullFor reports whether searches of this step have found that no engine at all has capacity
+// knownWithoutCapacityFor reports whether searches of this step have found that no engine at all has capacity
 // for the class of q, neither in the pools of its table group nor elsewhere.
-func (r *Router) knownFullFor(q *query) bool {
-	if !r.knownFull(&r.search.candidates, q.class) {
+func (r *Router) knownWithoutCapacityFor(q *query) bool {
+	if !r.knownWithoutCapacity(&r.search.candidates, q.class) {
 		return false
 	}
 	for kind, pool := range q.tables.pools {
 		if pool != nil && permits(q.class.Kinds, KindID(kind)) &&
-			!r.knownFull(&pool.candidates, q.class) {
+			!r.knownWithoutCapacity(&pool.candidates, q.class) {
 			return false
 		}
 	}
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -36,8 +36,8 @@
 	if e == nil || r.waitForFreshReport(e) {
 		return
 	}
-	e.classBackoff(q.class).noteStart(r.now)
+	e.classBackoff(q.class).recordStart(r.now)
 	r.setAlarm(r.now+r.progressTimeout(), q)
 	memory := q.estimatedMemoryMB * q.class.memoryScale.mean(r.now, 1, memoryScalePriorWeight)
-	r.recordStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
+	r.recordAttemptStart(q, e, memory, q.slowStartCost(r.now), r.attemptStartBy(q, e))
 }
--- a/router/engine.go
+++ b/router/engine.go
@@ -129,9 +129,9 @@
 	return list
 }
 
-// forgetEngines drops the engines that have left the endpoint list, once no outcome of an attempt
+// removeGoneEngines drops the engines that have left the endpoint list, once no outcome of an attempt
 // or of a health check is waited for.
-func (r *Router) forgetEngines() {
+func (r *Router) removeGoneEngines() {
 	r.engineList = slices.DeleteFunc(r.engineList, func(e *engine) bool {
 		if e.state != Gone || e.attempts != 0 || e.checkingHealth {
 			return false
--- a/router/heap.go
+++ b/router/heap.go
@@ -11,7 +11,7 @@
 // push puts in a member.
 func (h *heap[T]) push(x T) {
 	h.list = append(h.list, x)
-	h.rise(len(h.list) - 1)
+	h.siftUp(len(h.list) - 1)
 }
 
 // pop takes out the least member; there must be one.
@@ -22,12 +22,12 @@
 	var zero T
 	h.list[last] = zero // so that the slice does not keep it in memory
 	h.list = h.list[:last]
-	h.sink(0)
+	h.siftDown(0)
 	return top
 }
 
-// rise moves the member at an index up to its place.
-func (h *heap[T]) rise(i int) {
+// siftUp moves the member at an index up to its place.
+func (h *heap[T]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(&h.list[i], &h.list[parent]) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// sink moves the member at an index down to its place.
-func (h *heap[T]) sink(i int) {
+// siftDown moves the member at an index down to its place.
+func (h *heap[T]) siftDown(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(h.list); child++ {
@@ -58,6 +58,6 @@
 // heapify makes a heap of a list in any order.
 func (h *heap[T]) heapify() {
 	for i := len(h.list)/2 - 1; i >= 0; i-- {
-		h.sink(i)
+		h.siftDown(i)
 	}
 }
--- a/router/ordering.go
+++ b/router/ordering.go
@@ -4,8 +4,8 @@
 
 // ordering is the state of all ordering keys.
 type ordering struct {
-	queues  map[OrderingKey]*orderingQueue
-	cooling []OrderingKey // keys of empty queues that are kept until their cooldown is over
+	queues   map[OrderingKey]*orderingQueue
+	idleKeys []OrderingKey // keys of empty queues that are kept until their cooldown is over
 }
 
 // orderingQueue is the queue of one ordering key. A query stays in it until it is forgotten, so the
@@ -40,7 +40,7 @@
 	if slices.Contains(q.queues, queue) {
 		return
 	}
-	if q.outstanding > 0 || queue.hasLaterThan(q) {
+	if q.outstanding > 0 || queue.hasLaterArrival(q) {
 		queue.joinedLate = true
 	}
 	queue.queries = insertSorted(queue.queries, q, byArrival)
@@ -48,8 +48,8 @@
 	q.queues = append(q.queues, queue)
 }
 
-// hasLaterThan reports whether the queue holds a query that arrived after q.
-func (queue *orderingQueue) hasLaterThan(q *query) bool {
+// hasLaterArrival reports whether the queue holds a query that arrived after q.
+func (queue *orderingQueue) hasLaterArrival(q *query) bool {
 	count := len(queue.queries)
 	return count > 0 && byArrival(q, queue.queries[count-1]) < 0
 }
@@ -61,7 +61,7 @@
 	if len(queue.queries) == 0 {
 		queue.queries = nil
 		queue.joinedLate = false
-		r.ordering.cooling = append(r.ordering.cooling, queue.key)
+		r.ordering.idleKeys = append(r.ordering.idleKeys, queue.key)
 		return
 	}
 	head := queue.queries[0]
@@ -82,9 +82,9 @@
 	}
 }
 
-// forgetOrderingQueues drops the empty queues that are in cooldown no longer.
-func (r *Router) forgetOrderingQueues() {
-	r.ordering.cooling = slices.DeleteFunc(r.ordering.cooling, func(key OrderingKey) bool {
+// removeIdleOrderingQueues drops the empty queues that are in cooldown no longer.
+func (r *Router) removeIdleOrderingQueues() {
+	r.ordering.idleKeys = slices.DeleteFunc(r.ordering.idleKeys, func(key OrderingKey) bool {
 		queue := r.ordering.queues[key]
 		if queue == nil || len(queue.queries) > 0 {
 			return true // it was dropped, or is in use again and will be listed anew
--- a/router/ordering_test.go
+++ b/router/ordering_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("outcome %d: the key is in cooldown for ever", c.outcome)
 		}
 		tr.step(attemptEnded(2, 0, Succeeded), attemptEnded(3, 0, Succeeded))
-		if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.cooling) > 0 {
+		if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.idleKeys) > 0 {
 			t.Errorf("outcome %d: the ordering queue was not forgotten", c.outcome)
 		}
 	}
@@ -111,7 +111,7 @@
 		attemptEnded(6, 0, Succeeded)))
 	expect("nothing is in flight any more", tr.step(attemptEnded(8, 0, Succeeded)), 7)
 	tr.step(attemptEnded(7, 0, Succeeded))
-	if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.cooling) > 0 || len(tr.r.queries) > 0 {
+	if tr.wait(500); len(tr.r.ordering.queues) > 0 || len(tr.r.ordering.idleKeys) > 0 || len(tr.r.queries) > 0 {
 		t.Errorf("%d ordering queues are left", len(tr.r.ordering.queues))
 	}
 }
--- a/router/periodic.go
+++ b/router/periodic.go
@@ -17,6 +17,6 @@
 	r.pollEndpoints()
 	r.refreshEngines()
 	r.updateAllBounds()
-	r.forgetOrderingQueues()
-	r.forgetEngines()
+	r.removeIdleOrderingQueues()
+	r.removeGoneEngines()
 }
--- a/router/pools.go
+++ b/router/pools.go
@@ -49,7 +49,7 @@
 // and moves engines between them.
 func (r *Router) rebalanceAll() {
 	r.pools.rebalanceAt = r.now + rebalanceInterval
-	r.forgetTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
+	r.removeIdleTableGroups(r.now-tableGroupMaxIdle, r.now-rebalanceInterval)
 	demandKnown := r.firstQueryAt > 0 && r.now >= r.firstQueryAt+rebalanceInterval
 	repack := !r.pools.packed && demandKnown
 	r.pools.packed = r.pools.packed || repack
--- a/router/query.go
+++ b/router/query.go
@@ -152,11 +152,11 @@
 	}
 }
 
-// recordStart records that an attempt of q starts on e, before the action for it is returned: all
+// recordAttemptStart records that an attempt of q starts on e, before the action for it is returned: all
 // further decisions of the same step count it. memoryMB is its estimated memory, slowStartCost (ms
 // of work) what it counts for on a warming engine, startBy (ms) when it must have been sent; 0: at
 // any time.
-func (r *Router) recordStart(q *query, e *engine, memoryMB, slowStartCost, startBy float64) {
+func (r *Router) recordAttemptStart(q *query, e *engine, memoryMB, slowStartCost, startBy float64) {
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retryBudget.retries.add(r.now, 1)
 	}
@@ -209,9 +209,9 @@
 	r.updateBounds(e)
 }
 
-// recordEnd records the outcome of an attempt of q, as far as the rules need it: what may have run,
+// recordAttemptEnd records the outcome of an attempt of q, as far as the rules need it: what may have run,
 // what the outcome proves about the engine, and how long its ordering keys are in cooldown.
-func (r *Router) recordEnd(q *query, a *attempt, ev AttemptEnded) {
+func (r *Router) recordAttemptEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
 	}
@@ -220,7 +220,7 @@
 	a.outstanding = false
 	a.failed = a.failed || ev.Outcome.isFailure()
 	q.done = q.done || ev.QueryDone
-	a.engine.recordConnection(r.now, a, ev.Outcome)
+	a.engine.recordConnectionOutcome(r.now, a, ev.Outcome)
 	if ev.Outcome == Succeeded {
 		q.tables.confirmed = true
 	}
@@ -241,10 +241,10 @@
 	return o == Errored || o == ConnectionReset || o == TimedOut || o == ConnectFailed
 }
 
-// recordConnection records what the outcome of an attempt proves about the process that has the
+// recordConnectionOutcome records what the outcome of an attempt proves about the process that has the
 // address of an engine: an answer shows that it is still the same, a lost connection that it may be
 // another.
-func (e *engine) recordConnection(now float64, a *attempt, outcome Outcome) {
+func (e *engine) recordConnectionOutcome(now float64, a *attempt, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
 		e.answeredStartAt = max(e.answeredStartAt, a.startedAt)
@@ -300,8 +300,8 @@
 	return q, &q.attempts[number]
 }
 
-// forgetQuery drops a query that has its answer and no attempt without an outcome.
-func (r *Router) forgetQuery(q *query) {
+// removeQuery drops a query that has its answer and no attempt without an outcome.
+func (r *Router) removeQuery(q *query) {
 	delete(r.queries, q.id)
 	q.tables.openQueries--
 	for _, queue := range q.queues {
--- a/router/queue.go
+++ b/router/queue.go
@@ -95,25 +95,25 @@
 		r.eachInBatches(firstAttempts, visit)
 		return
 	}
-	first, retry := after(firstAttempts, nil), after(retries, nil)
+	first, retry := nextAfter(firstAttempts, nil), nextAfter(retries, nil)
 	for first != nil || retry != nil {
 		if retry == nil || first != nil && byDeadline(retry, first) >= 0 {
 			if !visit(first) {
 				return
 			}
-			first = after(firstAttempts, first)
+			first = nextAfter(firstAttempts, first)
 			continue
 		}
 		if !visit(retry) {
 			return
 		}
-		retry = after(retries, retry)
+		retry = nextAfter(retries, retry)
 	}
 }
 
-// after is the query that follows q in a tree, whether or not q is still in it; the first one for
+// nextAfter is the query that follows q in a tree, whether or not q is still in it; the first one for
 // nil, and nil if none follows.
-func after(tree *deadlineTree, q *query) *query {
+func nextAfter(tree *deadlineTree, q *query) *query {
 	if q == nil {
 		first, _ := tree.Min()
 		return first
@@ -131,15 +131,15 @@
 // Sizes of the batches, in queries, that eachInBatches reads. They start small: a step that stops
 // early must not have read many.
 const (
-	minBatch = 4
-	maxBatch = 64
+	minBatchSize = 4
+	maxBatchSize = 64
 )
 
 // eachInBatches calls visit for the queries of one tree, in order, until it returns false. It reads
 // ahead in batches, as visit may change the tree.
 func (r *Router) eachInBatches(tree *deadlineTree, visit func(q *query) bool) {
 	var last *query
-	for size := minBatch; ; size = min(maxBatch, 2*size) {
+	for size := minBatchSize; ; size = min(maxBatchSize, 2*size) {
 		batch := r.nextBatch(tree, last, size)
 		for _, q := range batch {
 			if !visit(q) {
--- a/router/reasons_test.go
+++ b/router/reasons_test.go
@@ -12,7 +12,7 @@
 	for _, event := range events {
 		r.handle(event)
 	}
-	for q := r.nextDue(); q != nil; q = r.nextDue() {
+	for q := r.popDueQuery(); q != nil; q = r.popDueQuery() {
 		r.checkQuery(q)
 	}
 	if r.now >= r.timers.periodicAt {
--- a/router/retry.go
+++ b/router/retry.go
@@ -15,7 +15,7 @@
 	if a == nil {
 		return
 	}
-	r.recordEnd(q, a, ev)
+	r.recordAttemptEnd(q, a, ev)
 	r.recordReport(a.engine, ev.Load)
 	switch ev.Outcome {
 	case Succeeded:
--- a/router/router.go
+++ b/router/router.go
@@ -99,7 +99,7 @@
 	for _, event := range events {
 		r.handle(event)
 	}
-	for q := r.nextDue(); q != nil; q = r.nextDue() {
+	for q := r.popDueQuery(); q != nil; q = r.popDueQuery() {
 		r.checkQuery(q)
 	}
 	if now >= r.timers.periodicAt {
@@ -200,7 +200,7 @@
 	}
 	q.cancelWanted = false
 	if q.done && q.outstanding == 0 {
-		r.forgetQuery(q)
+		r.removeQuery(q)
 	}
 	return actions
 }
--- a/router/search.go
+++ b/router/search.go
@@ -24,7 +24,7 @@
 // searchState is what is kept for the searches over engines.
 type searchState struct {
 	candidates       candidateList // of engineList, for queries that leave their pools
-	exemptEngines    int           // engines with bounds.exemptFromPool
+	exemptEngines    int           // engines with bounds.exemptFromPooledLimit
 	warmingEngines   int           // above 0 if an engine may be warming; counts some repeatedly
 	minFill          float64       // threads per core; lower bound over all engines
 	maxCapacity      float64       // cores; upper bound over all engines
@@ -35,13 +35,13 @@
 
 // searchBounds are the bounds of one engine.
 type searchBounds struct {
-	minFill        float64 // threads per core; lower bound of fill
-	maxCapacity    float64 // cores; upper bound of cores times slowStartCapacity
-	minSlowdown    float64 // lower bound of the factor of its slowdown in the placement score
-	maxThreadLimit float64 // threads; upper bound of the thread limit of all controllers together
-	maybeHealthy   bool    // false: it is usable for no class
-	maybeWarming   bool    // false: it is warm
-	exemptFromPool bool    // false: it has no capacity once the pooled thread limit is used up
+	minFill               float64 // threads per core; lower bound of fill
+	maxCapacity           float64 // cores; upper bound of cores times slowStartCapacity
+	minSlowdown           float64 // lower bound of the factor of its slowdown in the placement score
+	maxThreadLimit        float64 // threads; upper bound of the thread limit of all controllers together
+	maybeHealthy          bool    // false: it is usable for no class
+	maybeWarming          bool    // false: it is warm
+	exemptFromPooledLimit bool    // false: it has no capacity once the pooled thread limit is used up
 }
 
 const (
@@ -78,8 +78,8 @@
 	b.minFill = r.fillLowerBound(e, until)
 	b.minSlowdown = e.slowdownLowerBound(r.now, until)
 	b.maxThreadLimit = e.threadsPerCore * b.maxCapacity * (1 + roundingSlack)
-	r.includeInSearchBounds(b)
-	r.updateExempt(b)
+	r.widenSearchBounds(b)
+	r.updatePooledLimitExemption(b)
 }
 
 // fillLowerBound is a lower bound of fill until a time (ms). bounds.maxCapacity of e must hold
@@ -98,8 +98,8 @@
 	return max(1, e.slowdown.meanLowerBound(now, until, 1, slowdownPriorWeight)/increaseBelowSlowdown)
 }
 
-// includeInSearchBounds widens the bounds over all engines to those of one.
-func (r *Router) includeInSearchBounds(b *searchBounds) {
+// widenSearchBounds widens the bounds over all engines to those of one.
+func (r *Router) widenSearchBounds(b *searchBounds) {
 	if b.maybeHealthy {
 		r.search.minFill = min(r.search.minFill, b.minFill)
 		r.search.maxCapacity = max(r.search.maxCapacity, b.maxCapacity)
@@ -109,18 +109,18 @@
 	}
 }
 
-// updateExempt sets exemptFromPool by the other bounds of the engine, and keeps the count of such
+// updatePooledLimitExemption sets exemptFromPooledLimit by the other bounds of the engine, and keeps the count of such
 // engines. The two cases are those in which withinThreadLimits lets an engine pass the pooled
 // limit: it is warming up, or its reports tell of capacity.
-func (r *Router) updateExempt(b *searchBounds) {
+func (r *Router) updatePooledLimitExemption(b *searchBounds) {
 	exempt := b.maybeHealthy && (b.maybeWarming || b.minFill < spillShare*initialThreadsPerCore)
 	switch {
-	case exempt && !b.exemptFromPool:
+	case exempt && !b.exemptFromPooledLimit:
 		r.search.exemptEngines++
-	case !exempt && b.exemptFromPool:
+	case !exempt && b.exemptFromPooledLimit:
 		r.search.exemptEngines--
 	}
-	b.exemptFromPool = exempt
+	b.exemptFromPooledLimit = exempt
 }
 
 // updateAllBounds computes the bounds of all engines anew.
@@ -156,7 +156,7 @@
 	return bound
 }
 
-// capacityBound is the part of mayHold that is the same for all engines of a list.
+// capacityBound is the part of mayHaveCapacity that is the same for all engines of a list.
 type capacityBound struct {
 	nothingInFlight   bool // this controller has no attempt
 	withinPooledLimit bool // the pooled thread limit is not used up
@@ -176,14 +176,14 @@
 	}
 }
 
-// mayHold reports whether e may have capacity. If it says no, hasCapacity does so too, for every
+// mayHaveCapacity reports whether e may have capacity. If it says no, hasCapacity does so too, for every
 // class.
-func (c *capacityBound) mayHold(e *engine) bool {
+func (c *capacityBound) mayHaveCapacity(e *engine) bool {
 	b := &e.bounds
 	if !b.maybeHealthy || c.nothingInFlight {
 		return b.maybeHealthy
 	}
-	return (c.withinPooledLimit || b.exemptFromPool) &&
+	return (c.withinPooledLimit || b.exemptFromPooledLimit) &&
 		(e.attempts == 0 || b.maybeWarming || e.threads <= c.limitShare*b.maxThreadLimit)
 }
 
@@ -200,7 +200,7 @@
 	leastIndex := 0
 	for i, e := range engines {
 		bound := math.Inf(1)
-		if capacity.mayHold(e) {
+		if capacity.mayHaveCapacity(e) {
 			bound = q.fillScoreLowerBound(e)
 			if bound < least && !q.class.LocksTables {
 				bound += q.affinityScore(e)
@@ -271,7 +271,7 @@
 		if minFillScore+s.q.affinityScore(e) > s.best.score {
 			return
 		}
-		if s.capacity.mayHold(e) && s.best.beatenBy(s.q.scoreLowerBound(e), int(index)) {
+		if s.capacity.mayHaveCapacity(e) && s.best.beatenBy(s.q.scoreLowerBound(e), int(index)) {
 			try(e, int(index))
 		}
 	}
@@ -298,7 +298,7 @@
 // noCapacityAnywhere reports that no engine has capacity for q, as far as that is known without a
 // search. It may be false although none has.
 func (r *Router) noCapacityAnywhere(q *query) bool {
-	return r.pooledLimitExceeded() || r.knownFullFor(q)
+	return r.pooledLimitExceeded() || r.knownWithoutCapacityFor(q)
 }
 
 // pooledLimitExceeded reports that the pooled thread limit is used up, and that no engine may pass
--- a/router/selection.go
+++ b/router/selection.go
@@ -53,7 +53,7 @@
 	s *selection, candidates *candidateList, engines []*engine, share float64,
 ) {
 	q := s.q
-	if r.knownFull(candidates, q.class) {
+	if r.knownWithoutCapacity(candidates, q.class) {
 		return
 	}
 	nothingFoundYet := s.best.engine == nil
@@ -78,7 +78,7 @@
 		}
 	})
 	if nothingFoundYet && s.best.engine == nil && !s.lockedOnly && r.unrestricted(q) {
-		r.markFull(candidates, q.class)
+		r.markWithoutCapacity(candidates, q.class)
 	}
 }
 
--- a/router/shedwatch.go
+++ b/router/shedwatch.go
@@ -8,7 +8,7 @@
 // This file finds the queued queries that are past their shedDeadline without a look at all of
 // them. That time depends on the run times of the class, which change with every answer.
 //
-// Each queued query has an alarm at its earliestShed: a time that is not after its shedDeadline,
+// Each queued query has an alarm at its shedDeadlineLowerBound: a time that is not after its shedDeadline,
 // whatever the run times do within the tolerances below. So a query is not overdue before its alarm
 // is due, and then it is looked at exactly. When a class leaves the tolerances, all its alarms come
 // forward at once by as much as any of them could have to (shedWatch.offset), and each is set anew
@@ -33,9 +33,9 @@
 
 // shedWatch has an alarm for each queued query of a class, and for some that are queued no longer.
 type shedWatch struct {
-	alarms          heap[alarm] // at earliestShed plus the offset of the time when they were set
+	alarms          heap[alarm] // at shedDeadlineLowerBound plus the offset of the time when they were set
 	offset          float64     // ms; an alarm is due at its time less this
-	model           timeModel   // for which earliestShed holds, within the tolerances
+	model           timeModel   // for which shedDeadlineLowerBound holds, within the tolerances
 	largestEstimate float64     // ms on one thread, of the queries that are or were watched
 }
 
@@ -55,8 +55,8 @@
 // withinRatio reports whether neither of two values is more than a ratio times the other.
 func withinRatio(a, b, ratio float64) bool { return a <= b*ratio && b <= a*ratio }
 
-// within reports whether a model is within the tolerances of another.
-func (m timeModel) within(other timeModel) bool {
+// withinTolerances reports whether a model is within the tolerances of another.
+func (m timeModel) withinTolerances(other timeModel) bool {
 	return withinRatio(m.unitTime, other.unitTime, unitTimeTolerance) &&
 		withinRatio(m.workScale, other.workScale, workScaleTolerance) &&
 		withinRatio(m.slowdown, other.slowdown, slowdownTolerance)
@@ -66,7 +66,7 @@
 func (r *Router) watchForShedding(q *query) {
 	watch := &q.class.shedWatch
 	watch.largestEstimate = max(watch.largestEstimate, q.estimatedWork)
-	watch.alarms.push(alarm{r.earliestShed(q) + watch.offset, q})
+	watch.alarms.push(alarm{r.shedDeadlineLowerBound(q) + watch.offset, q})
 }
 
 // refreshShedWatch takes over the present model of the class if it has left the tolerances, and
@@ -81,7 +81,7 @@
 		watch.largestEstimate = 0
 		return
 	}
-	if model.within(watch.model) {
+	if model.withinTolerances(watch.model) {
 		return
 	}
 	shift := class.maxShedShift(watch.model) + class.maxShedShift(model)
@@ -89,11 +89,11 @@
 	watch.offset += shift
 }
 
-// maxShedShift is the time in ms by which a model, within its tolerances, moves earliestShed at
+// maxShedShift is the time in ms by which a model, within its tolerances, moves shedDeadlineLowerBound at
 // most: it is the largest for the query with the largest estimate or for one without any.
 func (class *queryClass) maxShedShift(model timeModel) float64 {
 	largestEstimate := max(class.shedWatch.largestEstimate, 1)
-	longest := max(class.unloadedTimeBy(0, model), class.unloadedTimeBy(largestEstimate, model))
+	longest := max(class.unloadedTimeForModel(0, model), class.unloadedTimeForModel(largestEstimate, model))
 	// Of the unloaded time, by latestStart and by what shedDeadline takes off it.
 	shifts := max(lateRunTimeMargin, class.ObjectivePerWork, 1) +
 		max(0, runTimeMargin*model.slowdown*slowdownTolerance-1)
@@ -108,7 +108,7 @@
 		watch := &class.shedWatch
 		for i := range watch.alarms.list {
 			a := &watch.alarms.list[i]
-			a.at = r.earliestShed(a.query) + watch.offset
+			a.at = r.shedDeadlineLowerBound(a.query) + watch.offset
 		}
 		watch.alarms.heapify()
 	}
@@ -120,13 +120,13 @@
 	examined := r.queue.scanBuffer[:0]
 	for _, class := range r.classes {
 		class.refreshShedWatch(r.now)
-		examined = class.shedWatch.takeDue(r.now, examined)
+		examined = class.shedWatch.popDue(r.now, examined)
 	}
 	for _, q := range examined {
 		if r.now > r.shedDeadline(q) {
 			overdue = append(overdue, q)
 		}
-		r.watchAgain(q)
+		r.resetShedAlarm(q)
 	}
 	clear(examined)
 	slices.SortFunc(overdue, byDeadline)
@@ -135,9 +135,9 @@
 	return overdue
 }
 
-// takeDue takes out the alarms that are due at a time (ms), and appends the queries that are still
+// popDue takes out the alarms that are due at a time (ms), and appends the queries that are still
 // queued.
-func (watch *shedWatch) takeDue(now float64, queued []*query) []*query {
+func (watch *shedWatch) popDue(now float64, queued []*query) []*query {
 	alarms := &watch.alarms
 	for len(alarms.list) > 0 && alarms.list[0].at-watch.offset < now {
 		q := alarms.pop().query
@@ -150,20 +150,20 @@
 	return queued
 }
 
-// watchAgain sets the alarm of a query that was looked at. An overdue one gets an alarm too: it
+// resetShedAlarm sets the alarm of a query that was looked at. An overdue one gets an alarm too: it
 // stays queued if it can't be given an answer, as its response has begun.
-func (r *Router) watchAgain(q *query) {
+func (r *Router) resetShedAlarm(q *query) {
 	watch := &q.class.shedWatch
-	watch.alarms.push(alarm{max(r.now, r.earliestShed(q)) + watch.offset, q})
+	watch.alarms.push(alarm{max(r.now, r.shedDeadlineLowerBound(q)) + watch.offset, q})
 }
 
-// earliestShed is a lower bound in ms of the shedDeadline of q, for all run times within the
+// shedDeadlineLowerBound is a lower bound in ms of the shedDeadline of q, for all run times within the
 // tolerances of the watch's model. It is shedDeadline with its least latestStart, and the most that
 // is taken off it.
-func (r *Router) earliestShed(q *query) float64 {
+func (r *Router) shedDeadlineLowerBound(q *query) float64 {
 	class := q.class
 	model := class.shedWatch.model
-	longest := class.unloadedTimeBy(q.estimatedWork, model) * unloadedTolerance
+	longest := class.unloadedTimeForModel(q.estimatedWork, model) * unloadedTolerance
 	latest := r.latestStartLowerBound(q)
 	slower := max(0, longest*(runTimeMargin*model.slowdown*slowdownTolerance-1))
 	shed := max(latest-slower, min(latest, q.firstTriedAt+minQueueShare*class.LatencyObjective))
@@ -175,7 +175,7 @@
 // each is least at one of the ends of its range.
 func (r *Router) latestStartLowerBound(q *query) float64 {
 	class := q.class
-	unloaded := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model)
+	unloaded := class.unloadedTimeForModel(q.estimatedWork, class.shedWatch.model)
 	shortest := unloaded / unloadedTolerance
 	longest := unloaded * unloadedTolerance
 	if class.LateBenefit >= lateBenefitThreshold {
@@ -185,8 +185,8 @@
 	return min(q.firstTriedAt+class.LatencyObjective+added, r.answerBy(q)-longest)
 }
 
-// unloadedTimeBy is unloadedTime by a model, for a query with this estimate of its work.
-func (class *queryClass) unloadedTimeBy(estimatedWork float64, model timeModel) float64 {
+// unloadedTimeForModel is unloadedTime by a model, for a query with this estimate of its work.
+func (class *queryClass) unloadedTimeForModel(estimatedWork float64, model timeModel) float64 {
 	if model.unitTime == 0 && estimatedWork <= 0 {
 		return class.LatencyObjective / unknownTimeDivisor
 	}
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -178,7 +178,7 @@
 	e.threads = 2
 	turn(true)
 	capacity := tr.r.capacityBound(1, tr.r.trafficShare())
-	if !tr.r.hasCapacity(q, e, 1) || !capacity.mayHold(e) || tr.r.noCapacityAnywhere(q) {
+	if !tr.r.hasCapacity(q, e, 1) || !capacity.mayHaveCapacity(e) || tr.r.noCapacityAnywhere(q) {
 		t.Error("a warming engine has no capacity in this controller's turn")
 	}
 	if tr.r.hasCapacity(q, tr.r.engines["b"], 1) {
--- a/router/statistics.go
+++ b/router/statistics.go
@@ -99,8 +99,8 @@
 // something, so that a part takes little time. It changes nothing, not even the last bit of a
 // decayed sum: the same events lead to the same actions whether or not anyone exports.
 func (r *Router) Statistics(from Cursor, limit int) (part Statistics, next Cursor, more bool) {
-	export := statisticsExport{router: r, now: r.now, cursor: from, left: limit}
-	for export.left > 0 && export.cursor.stage < stageDone {
+	export := statisticsExport{router: r, now: r.now, cursor: from, remaining: limit}
+	for export.remaining > 0 && export.cursor.stage < stageDone {
 		switch export.cursor.stage {
 		case stageTraffic:
 			export.exportTraffic()
@@ -117,16 +117,16 @@
 
 // statisticsExport is one call of Router.Statistics.
 type statisticsExport struct {
-	router *Router
-	now    float64 // ms
-	part   Statistics
-	cursor Cursor
-	left   int // records that may still be examined
+	router    *Router
+	now       float64 // ms
+	part      Statistics
+	cursor    Cursor
+	remaining int // records that may still be examined
 }
 
 // exportTraffic exports this controller's share of the traffic.
 func (export *statisticsExport) exportTraffic() {
-	export.left--
+	export.remaining--
 	if share := weightedMean(export.router.traffic.share, export.now); share.Weight > 0 {
 		export.part.Traffic = append(export.part.Traffic, TrafficStatistics{At: export.now, Share: share})
 	}
@@ -136,8 +136,8 @@
 // exportClasses exports the query classes, from the cursor on.
 func (export *statisticsExport) exportClasses() {
 	all := export.router.classes
-	for ; export.cursor.class < len(all) && export.left > 0; export.cursor.class++ {
-		export.left--
+	for ; export.cursor.class < len(all) && export.remaining > 0; export.cursor.class++ {
+		export.remaining--
 		class := all[export.cursor.class]
 		if class.bestUnitTime > 0 || class.firstTryTimeout > 0 {
 			export.part.Classes = append(export.part.Classes, class.statistics(export.now))
@@ -154,8 +154,8 @@
 	at, _ := slices.BinarySearchFunc(all, export.cursor.engine, func(e *engine, id EngineID) int {
 		return cmp.Compare(e.id, id)
 	})
-	for ; at < len(all) && export.left > 0; at++ {
-		export.left--
+	for ; at < len(all) && export.remaining > 0; at++ {
+		export.remaining--
 		e := all[at]
 		if e.state != Gone {
 			export.part.Engines = append(export.part.Engines, e.statistics(export.now))
@@ -175,8 +175,8 @@
 		func(g *tableGroup, id TableGroup) int {
 			return cmp.Compare(g.id, id)
 		})
-	for ; at < len(all) && export.left > 0; at++ {
-		export.left--
+	for ; at < len(all) && export.remaining > 0; at++ {
+		export.remaining--
 		g := all[at]
 		if g.confirmed {
 			export.part.Tables = append(export.part.Tables, g.statistics(export.now))
--- a/router/tablegroup.go
+++ b/router/tablegroup.go
@@ -59,12 +59,12 @@
 	})
 }
 
-// forgetTableGroups drops table groups that have no open query and that no query has named since
+// removeIdleTableGroups drops table groups that have no open query and that no query has named since
 // idleSince (ms) or, if no query on them was ever answered, since unconfirmedSince (ms). The second
 // time is the later one: clients can name any number of groups that don't exist, and memory would
 // grow with them.
-func (r *Router) forgetTableGroups(idleSince, unconfirmedSince float64) {
-	r.dropTableLocks()
+func (r *Router) removeIdleTableGroups(idleSince, unconfirmedSince float64) {
+	r.dropStaleTableLocks()
 	unused := func(g *tableGroup) bool {
 		if g.openQueries != 0 {
 			return false
@@ -80,9 +80,9 @@
 	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return unused(g) })
 }
 
-// dropTableLocks forgets the table locks that count no longer. They would keep dropped table groups
+// dropStaleTableLocks forgets the table locks that count no longer. They would keep dropped table groups
 // in memory.
-func (r *Router) dropTableLocks() {
+func (r *Router) dropStaleTableLocks() {
 	for _, e := range r.engineList {
 		maps.DeleteFunc(e.tablesLockedUntil, func(_ *tableGroup, until float64) bool {
 			return r.now >= until
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -65,7 +65,7 @@
 		return math.Inf(-1)
 	}
 	class := q.class
-	longest := class.unloadedTimeBy(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
+	longest := class.unloadedTimeForModel(q.estimatedWork, class.shedWatch.model) * unloadedTolerance
 	return min(r.answerBy(q)-longest, r.latestStartLowerBound(q)) - timeRoundingSlack
 }
 
