--- a/router/candidates.go
+++ b/router/candidates.go
@@ -119,21 +119,21 @@
 		list.affinityOrders = map[*tableGroup]*affinityOrder{}
 		list.affinityEntries = 0
 	}
-	entry := list.affinityOrders[g]
-	if entry == nil {
-		entry = &affinityOrder{}
-		list.affinityOrders[g] = entry
+	kept := list.affinityOrders[g]
+	if kept == nil {
+		kept = &affinityOrder{}
+		list.affinityOrders[g] = kept
 		list.affinityEntries += affinityEntriesPerGroup
 	}
-	entry.uses++
-	if entry.uses < minUsesForAffinityOrder {
+	kept.uses++
+	if kept.uses < minUsesForAffinityOrder {
 		return nil
 	}
-	if entry.order == nil {
-		entry.order = orderByAffinity(g, engines)
+	if kept.order == nil {
+		kept.order = orderByAffinity(g, engines)
 		list.affinityEntries += len(engines)
 	}
-	return entry.order
+	return kept.order
 }
 
 // orderByAffinity returns the indexes of engines by their affinity for a table group, highest
