--- a/internal/core/fleet/config/announce.go
+++ b/internal/core/fleet/config/announce.go
@@ -12,8 +12,9 @@
 	pushFanout = 4
 	// maxPushes is how often a new summary is pushed.
 	maxPushes = 3
-	// pushInterval is the time until the second push in ms; the third comes twice as long after that.
-	pushInterval = 300.0
+	// firstPushInterval is the time in ms until the second push; the third follows after twice that
+	// time.
+	firstPushInterval = 300.0
 )
 
 // announcement is the summary that this controller announces, and its pushes.
@@ -61,9 +62,9 @@
 	if r.announcement.pushesLeft == 0 || r.now < r.announcement.nextPushAt {
 		return
 	}
-	done := maxPushes - r.announcement.pushesLeft
+	sent := maxPushes - r.announcement.pushesLeft
 	r.announcement.pushesLeft--
-	r.announcement.nextPushAt = r.now + pushInterval*float64(1+done)
+	r.announcement.nextPushAt = r.now + firstPushInterval*float64(1+sent)
 	for _, id := range r.drawAlive(pushFanout) {
 		r.send(id, Message{Summary: r.Summary()})
 		r.counters.Pushed++
--- a/internal/core/fleet/config/announce_test.go
+++ b/internal/core/fleet/config/announce_test.go
@@ -25,13 +25,13 @@
 			f.lossRate = c.loss
 			f.runFor(12000)
 			began, most := f.bytesSent()
-			ref := f.put(f.all[50], randomDocument(c.size, 1), 0)
+			ref := f.propose(f.all[50], randomDocument(c.size, 1), 0)
 			putAt := f.now
-			if o := f.outcome(f.all[50], ref); o.Result != Committed || o.Version.Number != 1 {
+			if o := f.awaitResult(f.all[50], ref); o.Result != Committed || o.Version.Number != 1 {
 				t.Fatalf("%+v", o)
 			}
 			agreed := f.now - putAt
-			f.everywhere(1, c.limit)
+			f.requireInForceEverywhere(1, c.limit)
 			f.runFor(3000)
 			total, mostAfter := f.bytesSent()
 			last := 0.0
@@ -50,8 +50,8 @@
 	f := newFleet(t, 1, 5, 3)
 	f.runFor(1000)
 	for _, size := range []int{0, MaxDocument + 1} {
-		ref := f.put(f.all[4], randomDocument(size, 1), 0)
-		if o, ok := f.all[4].outcomes[ref]; !ok || o.Result != Rejected || o.Reason == "" {
+		ref := f.propose(f.all[4], randomDocument(size, 1), 0)
+		if o, ok := f.all[4].results[ref]; !ok || o.Result != Rejected || o.Reason == "" {
 			t.Errorf("%d bytes: %+v, %v", size, o, ok)
 		}
 	}
--- a/internal/core/fleet/config/apply.go
+++ b/internal/core/fleet/config/apply.go
@@ -27,8 +27,8 @@
 	stuckReason string  // why stuck is not in force
 }
 
-// handled returns the highest number that is in force or rejected here.
-func (a *application) handled() uint64 { return max(a.current.Number, a.rejected.Number) }
+// highestHandled returns the highest number that is in force or rejected here.
+func (a *application) highestHandled() uint64 { return max(a.current.Number, a.rejected.Number) }
 
 // isApplicable reports whether a version is later than the one in force and not rejected.
 func (a *application) isApplicable(v Version) bool {
@@ -57,7 +57,7 @@
 			return
 		}
 		if !a.hasPassed(v) {
-			ended, err := r.checkEnded(v.Hash)
+			ended, err := r.checkResult(v.Hash)
 			if !ended {
 				return
 			}
--- a/internal/core/fleet/config/apply_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -17,7 +17,7 @@
 			f.kill(c)
 		}
 	}
-	f.putAgreed(f.all[7], []byte("two"), 1)
+	f.proposeCommitted(f.all[7], []byte("two"), 1)
 	f.runUntil(5000, func() bool { return !victim.up })
 	if victim.up || victim.runApplied[victim.run] != 1 || victim.folder.current.Number != 2 {
 		t.Fatalf("up %v, in force %d, to be in force %d",
@@ -28,8 +28,8 @@
 	if victim.replica.Current().Number != 2 {
 		t.Errorf("after the start: %+v", victim.replica.Current())
 	}
-	f.putAgreed(f.all[7], []byte("three"), 2)
-	f.everywhere(3, 5000)
+	f.proposeCommitted(f.all[7], []byte("three"), 2)
+	f.requireInForceEverywhere(3, 5000)
 }
 
 // A controller is killed while it stores the document. It starts with the version before, and
@@ -37,7 +37,7 @@
 func TestKilledWhileStoringDocument(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 7)
 	victim := f.all[6]
-	f.put(f.all[7], randomDocument(100000, 1), 1)
+	f.propose(f.all[7], randomDocument(100000, 1), 1)
 	f.runUntil(5000, func() bool { return victim.storing })
 	if !victim.storing {
 		t.Fatal("it writes nothing")
@@ -48,7 +48,7 @@
 	if victim.replica.Current().Number != 1 {
 		t.Errorf("after the start: %+v", victim.replica.Current())
 	}
-	f.everywhere(2, 5000)
+	f.requireInForceEverywhere(2, 5000)
 }
 
 // The clocks of a voter, of the leader and of others jump by an hour. No version is lost, and none
@@ -57,20 +57,20 @@
 	const hour = 3600000.0
 	f := newFleet(t, 1, 20, 5)
 	f.runFor(1000)
-	f.putAgreed(f.all[7], []byte("one"), 0)
+	f.proposeCommitted(f.all[7], []byte("one"), 0)
 	f.runFor(20)
 	for _, i := range []int{0, 2, 7, 9} {
-		f.all[i].ahead = hour
+		f.all[i].clockOffset = hour
 		f.all[i].replica.Tick(f.all[i].clock())
-		f.settle(f.all[i])
-	}
-	f.everywhere(1, 5000)
-	f.putAgreed(f.all[9], []byte("two"), 1)
-	f.all[1].ahead, f.all[10].ahead = hour, hour
-	f.putAgreed(f.all[10], []byte("three"), 2)
-	f.everywhere(3, 8000)
-	f.all[0].ahead, f.all[9].ahead = 0, 0 // and back: time stands still for an hour there
-	f.putAgreed(f.all[12], []byte("four"), 3)
+		f.carryOut(f.all[i])
+	}
+	f.requireInForceEverywhere(1, 5000)
+	f.proposeCommitted(f.all[9], []byte("two"), 1)
+	f.all[1].clockOffset, f.all[10].clockOffset = hour, hour
+	f.proposeCommitted(f.all[10], []byte("three"), 2)
+	f.requireInForceEverywhere(3, 8000)
+	f.all[0].clockOffset, f.all[9].clockOffset = 0, 0 // and back: time stands still for an hour there
+	f.proposeCommitted(f.all[12], []byte("four"), 3)
 	if f.runUntil(8000, func() bool { return inForce(4, f.all[1:9]) && inForce(4, f.all[10:]) }) < 0 {
 		t.Error("not in force where the clocks are well")
 	}
@@ -81,9 +81,9 @@
 func TestOlderOrContradictingSummaryChangesNothing(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
-	one := f.putAgreed(f.all[7], []byte("one"), 0)
-	two := f.putAgreed(f.all[7], []byte("two"), 1)
-	f.everywhere(2, 5000)
+	one := f.proposeCommitted(f.all[7], []byte("one"), 0)
+	two := f.proposeCommitted(f.all[7], []byte("two"), 1)
+	f.requireInForceEverywhere(2, 5000)
 	f.runFor(2000)
 	for _, c := range []*controller{f.all[1], f.all[5]} {
 		for _, s := range []Summary{
@@ -114,9 +114,9 @@
 	for _, c := range []*controller{f.all[1], f.all[6]} {
 		copies[c] = c.folder.copy()
 	}
-	f.putAgreed(f.all[7], []byte("two"), 1)
-	f.putAgreed(f.all[7], []byte("three"), 2)
-	f.everywhere(3, 5000)
+	f.proposeCommitted(f.all[7], []byte("two"), 1)
+	f.proposeCommitted(f.all[7], []byte("three"), 2)
+	f.requireInForceEverywhere(3, 5000)
 	for _, c := range []*controller{f.all[1], f.all[6]} {
 		f.kill(c)
 		c.folder = copies[c]
@@ -125,7 +125,7 @@
 			t.Errorf("%s: %+v", c.id, c.replica.Readiness())
 		}
 	}
-	f.everywhere(3, 5000)
+	f.requireInForceEverywhere(3, 5000)
 }
 
 // A newcomer reaches one member alone, which has an older version. It applies that, is not
@@ -133,18 +133,18 @@
 func TestNewcomerWithOldPeerIsNotConfirmed(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 7)
 	old := f.all[6]
-	f.cut([]*controller{old}, 1)
-	f.putAgreed(f.all[7], []byte("two"), 1)
+	f.partition([]*controller{old}, 1)
+	f.proposeCommitted(f.all[7], []byte("two"), 1)
 	newcomer := f.add(false, &folder{documents: map[Hash][]byte{}})
-	newcomer.side = 1
+	newcomer.partition = 1
 	f.start(newcomer)
 	f.runFor(60000)
 	ready := newcomer.replica.Readiness()
 	if newcomer.replica.Current().Number != 1 || ready.Confirmed || ready.Number != 1 {
 		t.Errorf("with the old peer alone: %+v", ready)
 	}
-	f.cut(f.all, 0)
-	f.everywhere(2, 19000)
+	f.partition(f.all, 0)
+	f.requireInForceEverywhere(2, 19000)
 	f.runFor(3000)
 	if ready := newcomer.replica.Readiness(); !ready.Confirmed || ready.Number != 2 || ready.Latest != 2 {
 		t.Errorf("after the heal: %+v", ready)
@@ -160,7 +160,7 @@
 			t.Errorf("%s without any version: %+v", c.id, ready)
 		}
 	}
-	f.putAgreed(f.all[7], randomDocument(64<<10, 1), 0)
+	f.proposeCommitted(f.all[7], randomDocument(64<<10, 1), 0)
 	newcomer := f.add(false, &folder{documents: map[Hash][]byte{}})
 	f.start(newcomer)
 	took := f.runUntil(5000, func() bool { return newcomer.replica.Readiness().Confirmed })
@@ -169,7 +169,7 @@
 	}
 }
 
-var errOld = errors.New("line 4: unknown field \"later\"")
+var errUnknownField = errors.New("line 4: unknown field \"later\"")
 
 // One in ten controllers can't use a document. They keep the version before and report it, serve
 // the document all the same, and apply the next version.
@@ -178,9 +178,9 @@
 	var rest []*controller
 	for i, c := range f.all {
 		if i%10 == 9 {
-			c.refuses = func(document []byte) error {
+			c.checkDocument = func(document []byte) error {
 				if string(document) == "two" {
-					return errOld
+					return errUnknownField
 				}
 				return nil
 			}
@@ -188,7 +188,7 @@
 			rest = append(rest, c)
 		}
 	}
-	f.putAgreed(f.all[0], []byte("two"), 1)
+	f.proposeCommitted(f.all[0], []byte("two"), 1)
 	f.runUntil(5000, func() bool { return inForce(2, rest) })
 	f.runFor(12000)
 	for i, c := range f.all {
@@ -206,11 +206,11 @@
 			t.Errorf("%s: version %d", c.id, c.replica.Current().Number)
 		}
 	}
-	a, ok := f.ask(f.all[30], QueryStatus)
+	a, ok := f.query(f.all[30], QueryStatus)
 	if !ok || a.Status.InForce != 54 || len(a.Status.Rejected) != 6 {
 		t.Fatalf("%v, %+v", ok, a.Status)
 	}
-	if rejected := a.Status.Rejected[0]; rejected.Reason != errOld.Error() || rejected.Applied != 1 {
+	if rejected := a.Status.Rejected[0]; rejected.Reason != errUnknownField.Error() || rejected.Applied != 1 {
 		t.Fatalf("%v, %+v", ok, a.Status)
 	}
 	c := f.all[9]
@@ -220,27 +220,27 @@
 	if took < 0 || c.replica.Current().Number != 1 || c.replica.Readiness().Latest != 2 {
 		t.Errorf("after a start: %+v", c.replica.Readiness())
 	}
-	f.putAgreed(f.all[0], []byte("three"), 2)
-	f.everywhere(3, 5000)
+	f.proposeCommitted(f.all[0], []byte("three"), 2)
+	f.requireInForceEverywhere(3, 5000)
 }
 
 // Two versions come at once, the later of which can't be used here. The earlier one comes into force.
 func TestEarlierVersionAppliesIfLaterIsRejected(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 0)
 	c := f.all[7]
-	c.refuses = func(document []byte) error {
+	c.checkDocument = func(document []byte) error {
 		if string(document) == "three" {
-			return errOld
+			return errUnknownField
 		}
 		return nil
 	}
 	f.onStored = func(on *controller, request *StoreRequest) { // three arrives while two is being stored
 		if on == c && request.Current != nil && request.Current.Number == 2 {
-			f.putAgreed(f.all[0], []byte("three"), 2)
+			f.proposeCommitted(f.all[0], []byte("three"), 2)
 			f.runUntil(3000, func() bool { return c.replica.newest.Number == 3 })
 		}
 	}
-	f.putAgreed(f.all[0], []byte("two"), 1)
+	f.proposeCommitted(f.all[0], []byte("two"), 1)
 	f.runUntil(8000, func() bool { return inForce(3, f.all[:7]) })
 	f.runFor(3000)
 	if v := c.replica.Current(); v.Number != 2 || c.folder.current.Number != 2 {
@@ -261,7 +261,7 @@
 		return nil, false
 	}
 	forGood.applyErr = func(Version) (error, bool) { return errors.New("needs a restart"), false }
-	f.putAgreed(f.all[0], []byte("two"), 1)
+	f.proposeCommitted(f.all[0], []byte("two"), 1)
 	f.runFor(12000)
 	if tries != 4 || retries.replica.Current().Number != 2 {
 		t.Errorf("%d tries, version %d", tries, retries.replica.Current().Number)
@@ -269,13 +269,13 @@
 	if forGood.replica.Current().Number != 1 || forGood.folder.current.Number != 1 {
 		t.Errorf("in force %d, at a start %d", forGood.replica.Current().Number, forGood.folder.current.Number)
 	}
-	a, ok := f.ask(f.all[5], QueryStatus)
+	a, ok := f.query(f.all[5], QueryStatus)
 	if !ok || len(a.Status.Rejected) != 1 || a.Status.Rejected[0].Reason != "needs a restart" {
 		t.Errorf("%v: %+v", ok, a.Status)
 	}
 	forGood.applyErr = nil
-	f.putAgreed(f.all[0], []byte("three"), 2)
-	f.everywhere(3, 5000)
+	f.proposeCommitted(f.all[0], []byte("three"), 2)
+	f.requireInForceEverywhere(3, 5000)
 }
 
 // The first version of all can't be applied. None is in force at the next start.
@@ -284,7 +284,7 @@
 	f.runFor(1000)
 	c := f.all[7]
 	c.applyErr = func(Version) (error, bool) { return errors.New("needs a restart"), false }
-	f.putAgreed(f.all[0], []byte("one"), 0)
+	f.proposeCommitted(f.all[0], []byte("one"), 0)
 	f.runFor(3000)
 	if c.folder.current.Number != 0 {
 		t.Errorf("at a start: %+v", c.folder.current)
@@ -298,13 +298,13 @@
 	f.runFor(1000)
 	c := f.all[7]
 	c.diskFull = true
-	v := f.putAgreed(f.all[0], []byte("one"), 0)
+	v := f.proposeCommitted(f.all[0], []byte("one"), 0)
 	f.runUntil(5000, func() bool { return inForce(1, f.all[:7]) })
 	f.runFor(11000)
 	if c.replica.Current().Number != 0 || c.replica.Readiness().Confirmed && c.replica.Readiness().Number != 0 {
 		t.Errorf("%+v", c.replica.Readiness())
 	}
-	a, ok := f.ask(f.all[5], QueryStatus)
+	a, ok := f.query(f.all[5], QueryStatus)
 	notStored := ok && len(a.Status.Rejected) == 1 &&
 		a.Status.Rejected[0].Reason == "not stored yet: "+errDisk.Error()
 	if !notStored || a.Status.InForce != 7 {
@@ -315,7 +315,7 @@
 		t.Errorf("the document is not served: %+v", out.Messages)
 	}
 	c.diskFull = false
-	f.everywhere(1, maxStoreRetry+1000)
+	f.requireInForceEverywhere(1, maxStoreRetry+1000)
 }
 
 // A source sends corrupt bytes. It is found out and avoided, and the document comes from another.
@@ -326,8 +326,8 @@
 		for _, i := range []int{1, 3, 10, 20, 30} {
 			f.all[i].corrupt = true
 		}
-		f.putAgreed(f.all[35], randomDocument(100000, seed), 0)
-		f.everywhere(1, 19000)
+		f.proposeCommitted(f.all[35], randomDocument(100000, seed), 0)
+		f.requireInForceEverywhere(1, 19000)
 		corrupt := int64(0)
 		for _, c := range f.all {
 			corrupt += c.replica.Counters().Corrupt
@@ -345,10 +345,10 @@
 	f.runFor(1000)
 	c := f.all[7]
 	data := randomDocument(MaxDocument, 1)
-	f.cut([]*controller{c}, 1)
-	f.putAgreed(f.all[0], data, 0)
+	f.partition([]*controller{c}, 1)
+	f.proposeCommitted(f.all[0], data, 0)
 	f.runUntil(8000, func() bool { return inForce(1, f.all[:7]) })
-	f.cut(f.all, 0)
+	f.partition(f.all, 0)
 	for _, n := range f.all {
 		n.delay = 20
 	}
@@ -361,7 +361,7 @@
 	if f.leader == "" {
 		f.setLeader(f.all[1].id)
 	}
-	f.everywhere(1, 8000)
+	f.requireInForceEverywhere(1, 8000)
 	if got := c.replica.Counters().FetchedBytes; got != MaxDocument {
 		t.Errorf("%d bytes were fetched", got)
 	}
@@ -374,11 +374,11 @@
 	for _, c := range f.all[1:] {
 		forged := &Summary{Number: 99, Hash: HashOf([]byte("phantom")), Size: 7}
 		c.replica.Receive(f.now, "n002", &Message{Summary: forged})
-		f.settle(c)
+		f.carryOut(c)
 	}
 	f.runFor(500)
-	f.putAgreed(f.all[0], []byte("two"), 1)
-	f.everywhere(2, 19000)
+	f.proposeCommitted(f.all[0], []byte("two"), 1)
+	f.requireInForceEverywhere(2, 19000)
 }
 
 // A member announces another document under a number that a voter's own state has. The voter does
@@ -386,9 +386,9 @@
 func TestVoterBelievesItsState(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
-	v := f.putAgreed(f.all[0], []byte("one"), 0)
+	v := f.proposeCommitted(f.all[0], []byte("one"), 0)
 	voter := f.all[2]
-	f.runUntil(1000, func() bool { return voter.learnt == 1 })
+	f.runUntil(1000, func() bool { return voter.learnedEntries == 1 })
 	// It has the state and no document yet.
 	fresh := New(Options{Self: voter.id, Run: 77, Seed: 1}, voter, StoredState{}, f.now)
 	fresh.Take()
@@ -411,9 +411,9 @@
 	voter := f.all[2]
 	forged := &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}
 	voter.replica.Receive(f.now, "n007", &Message{Summary: forged})
-	f.settle(voter)
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 2000) // it does not wait until the forged one is abandoned
+	f.carryOut(voter)
+	f.proposeCommitted(f.all[0], []byte("one"), 0)
+	f.requireInForceEverywhere(1, 2000) // it does not wait until the forged one is abandoned
 }
 
 // TestSixtyVersionsInAMinute: of 60 versions in as many seconds the last comes into force at each
@@ -424,9 +424,9 @@
 	f.runFor(1000)
 	for i := range 60 {
 		f.runFor(700)
-		f.putAgreed(f.all[i], randomDocument(4000+i, int64(i)), uint64(i))
+		f.proposeCommitted(f.all[i], randomDocument(4000+i, int64(i)), uint64(i))
 	}
-	took := f.everywhere(60, 19000)
+	took := f.requireInForceEverywhere(60, 19000)
 	t.Logf("in force at the last %.0f ms after the last was agreed on", took)
 }
 
@@ -434,17 +434,17 @@
 func TestManyControllersComeBack(t *testing.T) {
 	f := newFleet(t, 1, 300, 7)
 	f.runFor(1000)
-	f.putAgreed(f.all[0], randomDocument(16<<10, 1), 0)
-	f.everywhere(1, 10000)
-	f.cut(f.all[77:], 1)
-	f.putAgreed(f.all[0], randomDocument(16<<10, 2), 1)
-	f.putAgreed(f.all[0], randomDocument(16<<10, 3), 2)
+	f.proposeCommitted(f.all[0], randomDocument(16<<10, 1), 0)
+	f.requireInForceEverywhere(1, 10000)
+	f.partition(f.all[77:], 1)
+	f.proposeCommitted(f.all[0], randomDocument(16<<10, 2), 1)
+	f.proposeCommitted(f.all[0], randomDocument(16<<10, 3), 2)
 	f.runFor(30000)
 	if !inForce(3, f.all[:77]) || inForce(2, f.all[77:78]) {
 		t.Error("not in force here, or in force there")
 	}
-	f.cut(f.all, 0)
-	t.Logf("in force at the last %.0f ms after the heal", f.everywhere(3, 19000))
+	f.partition(f.all, 0)
+	t.Logf("in force at the last %.0f ms after the heal", f.requireInForceEverywhere(3, 19000))
 }
 
 // TestSameSeedSendsSameMessages: simulations can be replayed only if the same seed and events give
@@ -454,15 +454,15 @@
 		f := newFleet(t, 5, 30, 5)
 		f.lossRate = 0.05
 		f.onMessage = func(from, to *controller, _ *Message) bool {
-			sum = sum*31 + mixedHash(from.id, to.id) + uint64(f.now*1000)
+			sum = sum*31 + rendezvousHash(from.id, to.id) + uint64(f.now*1000)
 			return true
 		}
 		f.runFor(1000)
-		f.putAgreed(f.all[20], randomDocument(64<<10, 1), 0)
+		f.proposeCommitted(f.all[20], randomDocument(64<<10, 1), 0)
 		f.kill(f.all[1])
-		f.putAgreed(f.all[21], randomDocument(64<<10, 2), 1)
+		f.proposeCommitted(f.all[21], randomDocument(64<<10, 2), 1)
 		f.start(f.all[1])
-		f.everywhere(2, 19000)
+		f.requireInForceEverywhere(2, 19000)
 		f.runFor(20000)
 		return sum
 	}
@@ -475,8 +475,8 @@
 func TestIdleReplicaSendsLittle(t *testing.T) {
 	f := newFleet(t, 1, 100, 7)
 	f.runFor(1000)
-	f.putAgreed(f.all[0], randomDocument(4<<10, 1), 0)
-	f.everywhere(1, 10000)
+	f.proposeCommitted(f.all[0], randomDocument(4<<10, 1), 0)
+	f.requireInForceEverywhere(1, 10000)
 	f.runFor(30000)
 	before, _ := f.bytesSent()
 	perOne := map[members.ID]int64{}
--- a/internal/core/fleet/config/candidate.go
+++ b/internal/core/fleet/config/candidate.go
@@ -212,7 +212,7 @@
 	if len(data) != v.Size {
 		return true, errSize
 	}
-	return r.checkEnded(v.Hash)
+	return r.checkResult(v.Hash)
 }
 
 // sendHoldRequests has the voters that have not stored the document yet fetch and store it.
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -7,9 +7,9 @@
 	results map[Hash]error // of checks that ended; a nil error: the document can be used
 }
 
-// checkEnded reports whether the check of a document has ended, and with which error. It requests a
-// check that has not ended, unless one is pending.
-func (r *Replica) checkEnded(h Hash) (ended bool, err error) {
+// checkResult reports whether the check of a document has ended, and returns its error. If there is
+// no result yet, it requests the check, unless one is pending.
+func (r *Replica) checkResult(h Hash) (ended bool, err error) {
 	err, ended = r.checks.results[h]
 	if ended {
 		return true, err
--- a/internal/core/fleet/config/checks_test.go
+++ b/internal/core/fleet/config/checks_test.go
@@ -117,13 +117,13 @@
 func TestSlowChecksKeepOrder(t *testing.T) {
 	f := newFleet(t, 1, 9, 3)
 	for _, c := range f.all {
-		c.checkMS = 2000
+		c.extraCheckTime = 2000
 	}
 	f.runFor(3000)
 	for number := uint64(1); number <= 3; number++ {
 		document := randomDocument(5000, int64(number))
-		ref := f.put(f.all[5], document, number-1)
-		if o := f.outcome(f.all[5], ref); o.Result != Committed || o.Version.Number != number {
+		ref := f.propose(f.all[5], document, number-1)
+		if o := f.awaitResult(f.all[5], ref); o.Result != Committed || o.Version.Number != number {
 			t.Fatalf("%+v", o)
 		}
 		took := f.runUntil(19000, func() bool {
@@ -138,8 +138,8 @@
 			t.Fatalf("version %d is not in force everywhere", number)
 		}
 	}
-	ref := f.put(f.all[5], []byte("nonsense"), 3)
-	if o := f.outcome(f.all[5], ref); o.Result != Rejected {
+	ref := f.propose(f.all[5], []byte("nonsense"), 3)
+	if o := f.awaitResult(f.all[5], ref); o.Result != Rejected {
 		t.Errorf("%+v", o)
 	}
 }
@@ -156,18 +156,18 @@
 		return m.Chunk == nil || !slices.Contains(gone, from)
 	}
 	for i, c := range gone {
-		f.put(c, randomDocument(3000, int64(i)), 0)
+		f.propose(c, randomDocument(3000, int64(i)), 0)
 	}
 	f.runFor(200)
 	if len(leader.replica.candidates) != len(gone) {
 		t.Fatalf("%d proposals wait", len(leader.replica.candidates))
 	}
 	author := f.all[10]
-	ref := f.put(author, randomDocument(3000, 100), 0)
+	ref := f.propose(author, randomDocument(3000, 100), 0)
 	const within = 3000.0
-	took := f.runUntil(within, func() bool { return author.outcomes[ref].Result == Committed })
+	took := f.runUntil(within, func() bool { return author.results[ref].Result == Committed })
 	if took < 0 {
-		t.Errorf("not agreed on within %.0f ms: %+v", within, author.outcomes[ref])
+		t.Errorf("not agreed on within %.0f ms: %+v", within, author.results[ref])
 	}
 	f.runFor(candidateTimeout + 5000)
 	if n := len(leader.replica.candidates); n != 0 {
--- a/internal/core/fleet/config/describe.go
+++ b/internal/core/fleet/config/describe.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// describe adds what is known of its version to the first chunk of a document.
-func (r *Replica) describe(c *Chunk) {
+// addVersionTo adds what is known of its version to the first chunk of a document.
+func (r *Replica) addVersionTo(c *Chunk) {
 	if c.Offset == 0 {
 		c.Version = r.findDescription(c.Hash)
 	}
--- a/internal/core/fleet/config/describe_test.go
+++ b/internal/core/fleet/config/describe_test.go
@@ -14,8 +14,8 @@
 	for seed := range int64(20) {
 		f := newFleet(t, seed, 20, 3)
 		f.runFor(1000)
-		f.putAgreed(f.all[seed], randomDocument(3*ChunkBytes, 1), 0)
-		f.everywhere(1, 5000)
+		f.proposeCommitted(f.all[seed], randomDocument(3*ChunkBytes, 1), 0)
+		f.requireInForceEverywhere(1, 5000)
 		for _, c := range f.all {
 			if v := c.replica.Current(); v.Author != "operator" || v.Reason != "test" || v.Time == 0 {
 				t.Errorf("seed %d: %s has %+v in force", seed, c.id, v)
--- a/internal/core/fleet/config/fetch.go
+++ b/internal/core/fleet/config/fetch.go
@@ -43,7 +43,7 @@
 
 // fetch begins to fetch a document, or adds a purpose and sources to a download. Size 0: it is not
 // known.
-func (r *Replica) fetch(h Hash, size int, why purpose, sources ...members.ID) {
+func (r *Replica) fetch(h Hash, size int, added purpose, sources ...members.ID) {
 	d := r.findDownload(h)
 	if d == nil {
 		if len(r.downloads) >= maxDownloads {
@@ -60,7 +60,7 @@
 	if d.size == 0 && size > 0 {
 		d.setSize(size)
 	}
-	d.purposes |= why
+	d.purposes |= added
 	for _, id := range sources {
 		if id != r.options.Self {
 			d.addSource(id)
@@ -69,12 +69,12 @@
 }
 
 // releaseFetch ends one purpose of a download. Without any the download ends.
-func (r *Replica) releaseFetch(h Hash, why purpose) {
+func (r *Replica) releaseFetch(h Hash, ended purpose) {
 	d := r.findDownload(h)
 	if d == nil {
 		return
 	}
-	d.purposes &^= why
+	d.purposes &^= ended
 	if d.purposes == 0 {
 		r.endDownload(d)
 	}
@@ -208,7 +208,7 @@
 		d.chooseSourceAt = 0
 		d.requests = d.requests[:0]
 	}
-	r.lookupMissing(d.hash, from)
+	r.handleLookupMissing(d.hash, from)
 }
 
 // completeDownload verifies a document of which all chunks are here. One that does not match its
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -17,12 +17,12 @@
 
 // Times of the simulation, in ms.
 const (
-	gossipEach  = 1000.0 // between two exchanges of membership, which carry summaries
-	goneAfter   = 6000.0 // until a member that is down is believed to be gone
-	aliveAfter  = 300.0  // until a member that came back is believed to be alive
-	leaderAfter = 200.0  // until others know a new leader
-	voteAfter   = 800.0  // until a voter that restarted votes
-	commitAfter = 15.0   // until the quorum agrees on a proposal
+	gossipInterval = 1000.0 // between two exchanges of membership, which carry summaries
+	deadAfter      = 6000.0 // until a member that is down is believed to be gone
+	aliveAfter     = 300.0  // until a member that came back is believed to be alive
+	leaderAfter    = 200.0  // until others know a new leader
+	voteAfter      = 800.0  // until a voter that restarted votes
+	commitAfter    = 15.0   // until the quorum agrees on a proposal
 )
 
 // folder is what a controller has on its disk.
@@ -46,28 +46,28 @@
 	up        bool
 	changedAt float64 // when it last went up or down
 	left      bool
-	side      int // controllers of different sides don't hear each other
+	partition int // controllers of different sides don't hear each other
 	tickAt    float64
 
-	voter   bool
-	votesAt float64
-	state   State // what this voter has learnt of the quorum's log
-	learnt  int   // entries of the log
-
-	checking bool
-	storing  bool
-	applying bool
-	diskFull bool
-	refuses  func(document []byte) error
-	applyErr func(v Version) (err error, retryable bool)
-	corrupt  bool // it sends chunks with wrong bytes
-	delay    float64
-	checkMS  float64 // that a check takes beside the usual
-	ahead    float64 // of its clock
+	voter          bool
+	votesAt        float64
+	state          State // what this voter has learnt of the quorum's log
+	learnedEntries int   // entries of the log
+
+	checking       bool
+	storing        bool
+	applying       bool
+	diskFull       bool
+	checkDocument  func(document []byte) error
+	applyErr       func(v Version) (err error, retryable bool)
+	corrupt        bool // it sends chunks with wrong bytes
+	delay          float64
+	extraCheckTime float64 // that a check takes beside the usual
+	clockOffset    float64 // of its clock
 
 	runApplied map[uint64]uint64 // by run, the version in force
 	appliedAt  map[uint64]float64
-	outcomes   map[uint64]ProposalResult
+	results    map[uint64]ProposalResult
 	answers    map[uint64]QueryResult
 	documents  map[uint64]DocumentResult
 	sentBytes  int64
@@ -75,7 +75,7 @@
 }
 
 // clock returns the time by this controller's clock.
-func (c *controller) clock() float64 { return c.fleet.now + c.ahead }
+func (c *controller) clock() float64 { return c.fleet.now + c.clockOffset }
 
 // fleet is a simulation in virtual time.
 type fleet struct {
@@ -84,22 +84,22 @@
 	now    float64
 	events eventqueue.Queue
 
-	all      []*controller
-	byID     map[members.ID]*controller
-	voters   []members.ID
-	log      []Proposal
-	agreed   State
-	leader   members.ID
-	before   members.ID // the leader before
-	leaderAt float64
-	lossRate float64
-	cutAt    float64
-	ref      uint64
-	runs     uint64
+	all             []*controller
+	byID            map[members.ID]*controller
+	voters          []members.ID
+	log             []Proposal
+	agreed          State
+	leader          members.ID
+	previousLeader  members.ID // the leader before
+	leaderChangedAt float64
+	lossRate        float64
+	partitionedAt   float64
+	lastRef         uint64
+	lastRun         uint64
 
 	onStored  func(c *controller, request *StoreRequest) // right before Stored
 	onMessage func(from, to *controller, m *Message) bool
-	failure   string
+	violation string
 }
 
 // newFleet starts controllers of which the first few vote.
@@ -109,7 +109,7 @@
 		f.add(i < voters, &folder{documents: map[Hash][]byte{}})
 	}
 	f.leader = f.all[0].id
-	f.leaderAt = -leaderAfter
+	f.leaderChangedAt = -leaderAfter
 	for _, c := range f.all {
 		f.start(c)
 		c.votesAt = 0
@@ -119,7 +119,7 @@
 
 func (f *fleet) add(voter bool, on *folder) *controller {
 	c := &controller{fleet: f, id: members.ID(fmt.Sprintf("n%03d", len(f.all))), voter: voter, folder: on,
-		runApplied: map[uint64]uint64{}, appliedAt: map[uint64]float64{}, outcomes: map[uint64]ProposalResult{},
+		runApplied: map[uint64]uint64{}, appliedAt: map[uint64]float64{}, results: map[uint64]ProposalResult{},
 		answers: map[uint64]QueryResult{}, documents: map[uint64]DocumentResult{}}
 	f.all = append(f.all, c)
 	f.byID[c.id] = c
@@ -131,22 +131,22 @@
 
 // start runs a controller from its folder.
 func (f *fleet) start(c *controller) {
-	f.runs++
-	c.run, c.up, c.changedAt = f.runs, true, f.now
+	f.lastRun++
+	c.run, c.up, c.changedAt = f.lastRun, true, f.now
 	c.votesAt = f.now + voteAfter
-	c.checking, c.storing, c.applying, c.state, c.learnt = false, false, false, State{}, 0
+	c.checking, c.storing, c.applying, c.state, c.learnedEntries = false, false, false, State{}, 0
 	kept := StoredState{Current: c.folder.current, Documents: maps.Clone(c.folder.documents)}
 	if v := kept.Current; v.Number > 0 {
-		f.noteApplied(c, v, c.folder.documents[v.Hash])
+		f.recordApplied(c, v, c.folder.documents[v.Hash])
 	}
 	c.replica = New(Options{Self: c.id, Run: c.run, Seed: f.rng.Int63()}, c, kept, c.clock())
 	c.replica.QuorumChanged(c.clock())
 	if c.voter {
-		f.learnLater(c)
+		f.learnAgreedLater(c)
 	}
 	run := c.run
-	f.after(f.rng.Float64()*gossipEach, func() { f.gossip(c, run) })
-	f.settle(c)
+	f.after(f.rng.Float64()*gossipInterval, func() { f.gossip(c, run) })
+	f.carryOut(c)
 }
 
 // kill ends a controller; what it had not stored is lost.
@@ -158,11 +158,11 @@
 }
 
 func (f *fleet) setLeader(id members.ID) {
-	f.before, f.leader, f.leaderAt = f.leader, id, f.now
+	f.previousLeader, f.leader, f.leaderChangedAt = f.leader, id, f.now
 	for _, c := range f.all {
 		if c.voter && c.up {
 			c.replica.QuorumChanged(c.clock())
-			f.settle(c)
+			f.carryOut(c)
 		}
 	}
 }
@@ -176,8 +176,8 @@
 	e := f.events.Take()
 	f.now = max(f.now, e.At)
 	e.Run()
-	if f.failure != "" {
-		f.t.Fatalf("at %.0f ms: %s", f.now, f.failure)
+	if f.violation != "" {
+		f.t.Fatalf("at %.0f ms: %s", f.now, f.violation)
 	}
 }
 
@@ -204,9 +204,9 @@
 	return f.now - began
 }
 
-func (f *fleet) fail(format string, args ...any) {
-	if f.failure == "" {
-		f.failure = fmt.Sprintf(format, args...)
+func (f *fleet) reportViolation(format string, args ...any) {
+	if f.violation == "" {
+		f.violation = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -215,7 +215,7 @@
 	if !c.up || c.run != run {
 		return
 	}
-	f.after(gossipEach, func() { f.gossip(c, run) })
+	f.after(gossipInterval, func() { f.gossip(c, run) })
 	other := f.all[f.rng.Intn(len(f.all))]
 	if other == c {
 		return
@@ -225,8 +225,8 @@
 	})
 }
 
-// settle carries out what a replica asks for, and schedules its next tick.
-func (f *fleet) settle(c *controller) {
+// carryOut carries out what a replica asks for, and schedules its next tick.
+func (f *fleet) carryOut(c *controller) {
 	out := c.replica.Take()
 	for _, s := range out.Messages {
 		if to := f.byID[s.To]; to != nil {
@@ -243,28 +243,28 @@
 		f.applyLater(c, out.Apply)
 	}
 	for _, o := range out.ProposalResults {
-		if _, twice := c.outcomes[o.Ref]; twice {
-			f.fail("%s: two outcomes of proposal %d", c.id, o.Ref)
+		if _, twice := c.results[o.Ref]; twice {
+			f.reportViolation("%s: two outcomes of proposal %d", c.id, o.Ref)
 		}
-		c.outcomes[o.Ref] = o
+		c.results[o.Ref] = o
 	}
 	for _, a := range out.QueryResults {
 		c.answers[a.Ref] = a
 		if a.Answer.Status != nil {
-			f.checkStatus(f.byID[a.From], a.Answer.Status)
+			f.verifyStatus(f.byID[a.From], a.Answer.Status)
 		}
 	}
 	for _, d := range out.DocumentResults {
 		c.documents[d.Ref] = d
 		if d.Document != nil && HashOf(d.Document) != d.Hash {
-			f.fail("%s: a document that does not match its hash", c.id)
+			f.reportViolation("%s: a document that does not match its hash", c.id)
 		}
 	}
-	f.wake(c)
+	f.scheduleTick(c)
 }
 
-func (f *fleet) wake(c *controller) {
-	next := max(c.replica.Next()-c.ahead, f.now)
+func (f *fleet) scheduleTick(c *controller) {
+	next := max(c.replica.Next()-c.clockOffset, f.now)
 	if next > f.now+1e9 || c.tickAt > f.now && c.tickAt <= next {
 		return
 	}
@@ -275,16 +275,16 @@
 			c.tickAt = 0
 			c.replica.Tick(c.clock())
 			if next := c.replica.Next(); next <= c.clock() {
-				f.fail("%s wants to wake up at once again", c.id)
+				f.reportViolation("%s wants to wake up at once again", c.id)
 			}
-			f.settle(c)
+			f.carryOut(c)
 		} else if c.up && c.run == run && c.tickAt <= f.now {
-			f.wake(c)
+			f.scheduleTick(c)
 		}
 	})
 }
 
-func (f *fleet) connected(a, b *controller) bool { return a.up && b.up && a.side == b.side }
+func (f *fleet) connected(a, b *controller) bool { return a.up && b.up && a.partition == b.partition }
 
 // deliver delivers a message through its encoding.
 func (f *fleet) deliver(from, to *controller, m Message, then func()) {
@@ -299,7 +299,7 @@
 	}
 	data, err := cbor.Marshal(m)
 	if err != nil {
-		f.fail("encoding: %v", err)
+		f.reportViolation("encoding: %v", err)
 	}
 	from.sentBytes += int64(len(data))
 	from.sent++
@@ -316,11 +316,11 @@
 		}
 		var got Message
 		if err := cbor.Unmarshal(data, &got); err != nil {
-			f.fail("decoding: %v", err)
+			f.reportViolation("decoding: %v", err)
 			return
 		}
 		to.replica.Receive(to.clock(), from.id, &got)
-		f.settle(to)
+		f.carryOut(to)
 		if then != nil {
 			then()
 		}
@@ -332,27 +332,27 @@
 // checkLater checks a document a little later.
 func (f *fleet) checkLater(c *controller, request *CheckRequest) {
 	if c.checking {
-		f.fail("%s: two CheckRequests are out", c.id)
+		f.reportViolation("%s: two CheckRequests are out", c.id)
 	}
 	if HashOf(request.Document) != request.Hash {
-		f.fail("%s checks a document that does not match its hash", c.id)
+		f.reportViolation("%s checks a document that does not match its hash", c.id)
 	}
 	c.checking = true
 	run := c.run
-	f.after(1+f.rng.Float64()*9+c.checkMS, func() {
+	f.after(1+f.rng.Float64()*9+c.extraCheckTime, func() {
 		if !c.up || c.run != run {
 			return
 		}
 		c.checking = false
 		c.replica.Checked(c.clock(), request.Hash, c.check(request.Document))
-		f.settle(c)
+		f.carryOut(c)
 	})
 }
 
 // storeLater writes to the folder a little later.
 func (f *fleet) storeLater(c *controller, request *StoreRequest) {
 	if c.storing {
-		f.fail("%s: two StoreRequests are out", c.id)
+		f.reportViolation("%s: two StoreRequests are out", c.id)
 	}
 	c.storing = true
 	run := c.run
@@ -369,7 +369,7 @@
 		}
 		c.storing = false
 		c.replica.Stored(c.clock(), err)
-		f.settle(c)
+		f.carryOut(c)
 	})
 }
 
@@ -379,19 +379,19 @@
 	}
 	if request.Document != nil {
 		if HashOf(request.Document) != request.Hash {
-			f.fail("%s stores a document that does not match its hash", c.id)
+			f.reportViolation("%s stores a document that does not match its hash", c.id)
 		}
 		c.folder.documents[request.Hash] = request.Document
 	}
 	if v := request.Current; v != nil {
 		if v.Number > 0 && c.folder.documents[v.Hash] == nil {
-			f.fail("%s: version %d is current and its document is not stored", c.id, v.Number)
+			f.reportViolation("%s: version %d is current and its document is not stored", c.id, v.Number)
 		}
 		c.folder.current = *v
 	}
 	for _, h := range request.Remove {
 		if h == c.folder.current.Hash {
-			f.fail("%s removes the document that is in force at a start", c.id)
+			f.reportViolation("%s removes the document that is in force at a start", c.id)
 		}
 		delete(c.folder.documents, h)
 	}
@@ -400,7 +400,7 @@
 		bytes += len(d)
 	}
 	if bytes > MaxStored+(MaxProposals+4)*MaxDocument {
-		f.fail("%s stores %d bytes", c.id, bytes)
+		f.reportViolation("%s stores %d bytes", c.id, bytes)
 	}
 	return nil
 }
@@ -408,10 +408,10 @@
 // applyLater takes a version into use a little later.
 func (f *fleet) applyLater(c *controller, request *ApplyRequest) {
 	if c.applying {
-		f.fail("%s: two ApplyRequests are out", c.id)
+		f.reportViolation("%s: two ApplyRequests are out", c.id)
 	}
 	if c.folder.current.Number != request.Version.Number {
-		f.fail("%s applies version %d while %d is to be in force at a start",
+		f.reportViolation("%s applies version %d while %d is to be in force at a start",
 			c.id, request.Version.Number, c.folder.current.Number)
 	}
 	c.applying = true
@@ -424,29 +424,29 @@
 		if c.applyErr != nil {
 			if err, retryable := c.applyErr(request.Version); err != nil {
 				c.replica.Applied(c.clock(), err, retryable)
-				f.settle(c)
+				f.carryOut(c)
 				return
 			}
 		}
-		f.noteApplied(c, request.Version, request.Document)
+		f.recordApplied(c, request.Version, request.Document)
 		c.replica.Applied(c.clock(), nil, false)
-		f.settle(c)
+		f.carryOut(c)
 	})
 }
 
-// noteApplied checks that versions never go back, and that each is the one that was agreed on.
-func (f *fleet) noteApplied(c *controller, v Version, document []byte) {
+// recordApplied checks that versions never go back, and that each is the one that was agreed on.
+func (f *fleet) recordApplied(c *controller, v Version, document []byte) {
 	if HashOf(document) != v.Hash {
-		f.fail("%s applies a document that does not match the hash of version %d", c.id, v.Number)
+		f.reportViolation("%s applies a document that does not match the hash of version %d", c.id, v.Number)
 	}
 	if v.Number == 0 || v.Number > uint64(len(f.history())) || f.history()[v.Number-1] != v.Hash {
-		f.fail("%s applies version %d with a document that was not agreed on", c.id, v.Number)
+		f.reportViolation("%s applies version %d with a document that was not agreed on", c.id, v.Number)
 	}
 	if before := c.runApplied[c.run]; v.Number <= before {
-		f.fail("%s goes from version %d to %d", c.id, before, v.Number)
+		f.reportViolation("%s goes from version %d to %d", c.id, before, v.Number)
 	}
 	if v.Number < c.folder.lastApplied {
-		f.fail("%s goes from version %d to %d on one folder", c.id, c.folder.lastApplied, v.Number)
+		f.reportViolation("%s goes from version %d to %d on one folder", c.id, c.folder.lastApplied, v.Number)
 	}
 	c.folder.lastApplied = v.Number
 	c.runApplied[c.run] = v.Number
@@ -467,8 +467,8 @@
 	return hashes
 }
 
-// checkStatus compares a status with what the controllers did.
-func (f *fleet) checkStatus(leader *controller, s *Status) {
+// verifyStatus compares a status with what the controllers did.
+func (f *fleet) verifyStatus(leader *controller, s *Status) {
 	inForce, count := 0, 0
 	for _, m := range f.view(leader) {
 		if m.State == members.Left {
@@ -480,40 +480,40 @@
 		}
 	}
 	if s.Members > count || s.InForce > inForce {
-		f.fail("the status has %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
+		f.reportViolation("the status has %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
 	}
 	listed := len(s.Rejected) + len(s.Behind) + len(s.Unreachable) + s.Omitted
 	if s.Latest.Number > 0 && s.InForce+listed != s.Members {
-		f.fail("status lists %d and %d of %d: %+v", s.InForce, listed, s.Members, s)
+		f.reportViolation("status lists %d and %d of %d: %+v", s.InForce, listed, s.Members, s)
 	}
 	sum := 0
 	for _, n := range s.ByVersion {
 		sum += n
 	}
 	if sum > s.Members {
-		f.fail("status counts %d of %d members", sum, s.Members)
+		f.reportViolation("status counts %d of %d members", sum, s.Members)
 	}
 	seen := map[members.ID]bool{}
 	for _, list := range [][]ControllerReport{s.Rejected, s.Behind, s.Unreachable} {
 		if len(list) > MaxListed {
-			f.fail("a list of %d", len(list))
+			f.reportViolation("a list of %d", len(list))
 		}
 		for _, c := range list {
 			if seen[c.ID] {
-				f.fail("%s is listed twice", c.ID)
+				f.reportViolation("%s is listed twice", c.ID)
 			}
 			seen[c.ID] = true
 		}
 	}
 }
 
-// propose simulates the quorum: a proposal is agreed on a little later if its leader still leads
+// proposeToQuorum simulates the quorum: a proposal is agreed on a little later if its leader still leads
 // with a majority, and sometimes if it does not.
-func (f *fleet) propose(c *controller, p Proposal) bool {
+func (f *fleet) proposeToQuorum(c *controller, p Proposal) bool {
 	if f.leader != c.id || !f.majority(c) {
 		return false
 	}
-	f.checkMajorityHolds(p)
+	f.verifyMajorityHolds(p)
 	kept := f.rng.Intn(2) == 0
 	f.after(commitAfter, func() {
 		if (f.leader != c.id || !f.majority(c)) && !kept {
@@ -522,13 +522,13 @@
 		f.log = append(f.log, p)
 		f.agreed.Apply(p)
 		for _, id := range f.voters {
-			f.learnLater(f.byID[id])
+			f.learnAgreedLater(f.byID[id])
 		}
 	})
 	return true
 }
 
-func (f *fleet) checkMajorityHolds(p Proposal) {
+func (f *fleet) verifyMajorityHolds(p Proposal) {
 	holds := 0
 	for _, id := range f.voters {
 		if f.byID[id].folder.documents[p.Version.Hash] != nil {
@@ -536,7 +536,7 @@
 		}
 	}
 	if 2*holds <= len(f.voters) {
-		f.fail("a proposal is made whose document %d of %d voters hold", holds, len(f.voters))
+		f.reportViolation("a proposal is made whose document %d of %d voters hold", holds, len(f.voters))
 	}
 }
 
@@ -550,52 +550,52 @@
 	return 2*count > len(f.voters)
 }
 
-// learnLater has a voter learn a little later what was agreed on.
-func (f *fleet) learnLater(c *controller) {
+// learnAgreedLater has a voter learn a little later what was agreed on.
+func (f *fleet) learnAgreedLater(c *controller) {
 	run := c.run
 	f.after(2+f.rng.Float64()*60, func() {
-		if !c.up || c.run != run || c.learnt == len(f.log) {
+		if !c.up || c.run != run || c.learnedEntries == len(f.log) {
 			return
 		}
 		if !f.majority(c) || f.now < c.votesAt {
-			f.learnLater(c)
+			f.learnAgreedLater(c)
 			return
 		}
-		for ; c.learnt < len(f.log); c.learnt++ {
-			c.state.Apply(f.log[c.learnt])
+		for ; c.learnedEntries < len(f.log); c.learnedEntries++ {
+			c.state.Apply(f.log[c.learnedEntries])
 		}
 		c.replica.QuorumChanged(c.clock())
-		f.settle(c)
+		f.carryOut(c)
 	})
 }
 
-// cut partitions some controllers from the rest.
-func (f *fleet) cut(controllers []*controller, side int) {
-	f.cutAt = f.now
+// partition partitions some controllers from the rest.
+func (f *fleet) partition(controllers []*controller, side int) {
+	f.partitionedAt = f.now
 	for _, c := range controllers {
-		c.side = side
+		c.partition = side
 	}
 }
 
 // view returns what a controller believes of all.
 func (f *fleet) view(c *controller) (list []members.Member) {
 	for _, m := range f.all {
-		if known, ok := f.believed(c, m); ok {
+		if known, ok := f.memberAsSeenBy(c, m); ok {
 			list = append(list, known)
 		}
 	}
 	return list
 }
 
-func (f *fleet) believed(c, of *controller) (members.Member, bool) {
+func (f *fleet) memberAsSeenBy(c, of *controller) (members.Member, bool) {
 	m := members.Member{ID: of.id, Run: of.run}
 	switch {
 	case of.left:
 		m.State = members.Left
 	case of == c:
-	case !of.up && f.now >= of.changedAt+goneAfter:
+	case !of.up && f.now >= of.changedAt+deadAfter:
 		m.State = members.Dead
-	case of.side != c.side && f.now >= f.cutAt+goneAfter:
+	case of.partition != c.partition && f.now >= f.partitionedAt+deadAfter:
 		m.State = members.Dead
 	case of.up && of.changedAt > 0 && f.now < of.changedAt+aliveAfter:
 		m.Run = 0
@@ -611,15 +611,15 @@
 	if of == nil {
 		return members.Member{}, false
 	}
-	return c.fleet.believed(c, of)
+	return c.fleet.memberAsSeenBy(c, of)
 }
 
 func (c *controller) Voters() []members.ID { return c.fleet.voters }
 
 func (c *controller) Leader() members.ID {
 	f := c.fleet
-	if f.now < f.leaderAt+leaderAfter && f.leader != c.id {
-		return f.before
+	if f.now < f.leaderChangedAt+leaderAfter && f.leader != c.id {
+		return f.previousLeader
 	}
 	return f.leader
 }
@@ -630,15 +630,15 @@
 
 func (c *controller) State() *State { return &c.state }
 
-func (c *controller) Propose(p Proposal) bool { return c.fleet.propose(c, p) }
+func (c *controller) Propose(p Proposal) bool { return c.fleet.proposeToQuorum(c, p) }
 
 // check reports whether a document can be used here.
 func (c *controller) check(document []byte) error {
 	if strings.HasPrefix(string(document), "nonsense") {
 		return errors.New("line 1: nonsense")
 	}
-	if c.refuses != nil {
-		return c.refuses(document)
+	if c.checkDocument != nil {
+		return c.checkDocument(document)
 	}
 	return nil
 }
--- a/internal/core/fleet/config/history.go
+++ b/internal/core/fleet/config/history.go
@@ -10,9 +10,9 @@
 	historyStartDelay = 5000.0
 )
 
-// historyFetch is how far a voter is with documents of older versions that it lacks, as one that
+// historySearch is how far a voter is with documents of older versions that it lacks, as one that
 // joined late does.
-type historyFetch struct {
+type historySearch struct {
 	nextAt        float64 // ms, when it searches next
 	checkedNewest uint64  // the newest number at the last search
 	complete      bool    // no document was missing then
@@ -28,7 +28,7 @@
 	if r.history.complete && r.history.checkedNewest == newest {
 		return
 	}
-	r.history = historyFetch{nextAt: r.now + historyInterval, checkedNewest: newest, complete: true}
+	r.history = historySearch{nextAt: r.now + historyInterval, checkedNewest: newest, complete: true}
 	for _, v := range r.retainedVersions() {
 		if r.documents.get(v.Hash) != nil {
 			continue
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -20,39 +20,39 @@
 	for i := range int64(*histories) {
 		seed := *firstHistory + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			h := newDrawnHistory(t, seed)
+			h := newFaultHistory(t, seed)
 			h.run()
-			h.mend()
+			h.endFaults()
 			versions += len(h.fleet.history())
 		})
 	}
 	t.Logf("%d versions in %d histories", versions, *histories)
 }
 
-// drawnHistory is a random history of faults.
-type drawnHistory struct {
-	t      *testing.T
-	fleet  *fleet
-	copies map[*controller]*folder // older copies of folders
-	docs   [][]byte
-	script []string
+// faultHistory is a random history of faults.
+type faultHistory struct {
+	t         *testing.T
+	fleet     *fleet
+	copies    map[*controller]*folder // older copies of folders
+	documents [][]byte
+	eventLog  []string
 }
 
-// newDrawnHistory returns the history of a seed.
-func newDrawnHistory(t *testing.T, seed int64) *drawnHistory {
+// newFaultHistory returns the history of a seed.
+func newFaultHistory(t *testing.T, seed int64) *faultHistory {
 	f := newFleet(t, seed, 9+int(seed%5)*6, 3+2*int(seed%3))
 	f.lossRate = []float64{0, 0.02, 0.1}[seed%3]
-	h := &drawnHistory{t: t, fleet: f, copies: map[*controller]*folder{}}
+	h := &faultHistory{t: t, fleet: f, copies: map[*controller]*folder{}}
 	for i := range 6 {
 		size := []int{1, 300, 5000, 40000, 100000, 70000}[i]
-		h.docs = append(h.docs, randomDocument(size, seed*100+int64(i)))
+		h.documents = append(h.documents, randomDocument(size, seed*100+int64(i)))
 	}
-	h.docs = append(h.docs, []byte(fmt.Sprint("odd ", seed)))
+	h.documents = append(h.documents, []byte(fmt.Sprint("odd ", seed)))
 	for i, c := range f.all {
 		if i%10 == 9 {
-			c.refuses = func(document []byte) error {
+			c.checkDocument = func(document []byte) error {
 				if strings.HasPrefix(string(document), "odd") {
-					return errOld
+					return errUnknownField
 				}
 				return nil
 			}
@@ -61,69 +61,69 @@
 	return h
 }
 
-// note adds to the script that is shown if the test fails.
-func (h *drawnHistory) note(format string, args ...any) {
-	h.script = append(h.script, fmt.Sprintf("%.0f ms: ", h.fleet.now)+fmt.Sprintf(format, args...))
+// record adds to the script that is shown if the test fails.
+func (h *faultHistory) record(format string, args ...any) {
+	h.eventLog = append(h.eventLog, fmt.Sprintf("%.0f ms: ", h.fleet.now)+fmt.Sprintf(format, args...))
 }
 
 // run simulates the faults.
-func (h *drawnHistory) run() {
+func (h *faultHistory) run() {
 	f := h.fleet
 	defer func() {
 		if h.t.Failed() {
-			h.t.Log(strings.Join(h.script, "\n"))
+			h.t.Log(strings.Join(h.eventLog, "\n"))
 		}
 	}()
 	f.runFor(1500)
 	for range 60 {
-		h.fault()
+		h.injectFault()
 		f.runFor(f.rng.Float64() * 1500)
 		h.elect()
 	}
 }
 
-// fault causes or ends one random fault.
-func (h *drawnHistory) fault() {
+// injectFault causes or ends one random fault.
+func (h *faultHistory) injectFault() {
 	f := h.fleet
 	c := f.all[f.rng.Intn(len(f.all))]
 	switch f.rng.Intn(12) {
 	case 0, 1, 2, 3, 4:
 		if c.up {
 			expect := c.replica.Readiness().Latest
-			h.note("%s puts after %d", c.id, expect)
-			f.put(c, h.docs[f.rng.Intn(len(h.docs))], expect)
+			h.record("%s puts after %d", c.id, expect)
+			f.propose(c, h.documents[f.rng.Intn(len(h.documents))], expect)
 		}
 	case 5:
-		if c.up && h.voterMayGo(c) {
-			h.note("%s is killed", c.id)
+		if c.up && h.voterMayStop(c) {
+			h.record("%s is killed", c.id)
 			f.kill(c)
 		}
 	case 6, 7:
 		h.restart()
 	case 8:
-		h.note("%s: the folder is copied", c.id)
+		h.record("%s: the folder is copied", c.id)
 		h.copies[c] = c.folder.copy()
 	case 9:
 		side := f.rng.Intn(2)
-		h.note("%s and others are on side %d", c.id, side)
-		f.cut(f.all[f.rng.Intn(len(f.all)):], side)
+		h.record("%s and others are on side %d", c.id, side)
+		f.partition(f.all[f.rng.Intn(len(f.all)):], side)
 	case 10:
 		c.diskFull = !c.diskFull && !c.voter
 		c.corrupt = !c.corrupt && f.rng.Intn(4) == 0
-		h.note("%s: disk full %v, corrupt %v", c.id, c.diskFull, c.corrupt)
+		h.record("%s: disk full %v, corrupt %v", c.id, c.diskFull, c.corrupt)
 	case 11:
 		if f.leader != "" {
-			h.note("%s leads no more", f.leader)
+			h.record("%s leads no more", f.leader)
 			f.setLeader("")
 		}
 	}
 	if f.rng.Intn(4) == 0 && f.leader != "" && f.byID[f.leader].up {
-		f.ask(f.byID[f.leader], QueryStatus)
+		f.query(f.byID[f.leader], QueryStatus)
 	}
 }
 
-// voterMayGo reports whether a majority of the voters remains without one.
-func (h *drawnHistory) voterMayGo(c *controller) bool {
+// voterMayStop reports whether a majority of the voters remains without one.
+func (h *faultHistory) voterMayStop(c *controller) bool {
 	up := 0
 	for _, id := range h.fleet.voters {
 		if h.fleet.byID[id].up {
@@ -135,7 +135,7 @@
 
 // restart starts a stopped controller, perhaps on an older copy of its folder. Of the voters only
 // the last one may have such.
-func (h *drawnHistory) restart() {
+func (h *faultHistory) restart() {
 	f := h.fleet
 	for _, c := range f.all {
 		if c.up {
@@ -143,11 +143,11 @@
 		}
 		old := h.copies[c]
 		if old != nil && f.rng.Intn(2) == 0 && (!c.voter || c.id == f.voters[len(f.voters)-1]) {
-			h.note("%s starts on an older copy of its folder, version %d for %d",
+			h.record("%s starts on an older copy of its folder, version %d for %d",
 				c.id, old.current.Number, c.folder.current.Number)
 			c.folder = old.copy()
 		} else {
-			h.note("%s starts", c.id)
+			h.record("%s starts", c.id)
 		}
 		f.start(c)
 		return
@@ -155,7 +155,7 @@
 }
 
 // elect makes a voter that reaches a majority the leader, if none leads.
-func (h *drawnHistory) elect() {
+func (h *faultHistory) elect() {
 	f := h.fleet
 	if f.leader != "" && f.byID[f.leader].up && f.majority(f.byID[f.leader]) {
 		return
@@ -168,17 +168,17 @@
 	}
 	if len(able) > 0 {
 		c := able[f.rng.Intn(len(able))]
-		h.note("%s leads", c.id)
+		h.record("%s leads", c.id)
 		f.setLeader(c.id)
 	}
 }
 
-// mend ends all faults, and expects the latest version to come into force everywhere in time and
+// endFaults ends all faults, and expects the latest version to come into force everywhere in time and
 // the status to show it.
-func (h *drawnHistory) mend() {
+func (h *faultHistory) endFaults() {
 	f := h.fleet
 	f.lossRate = 0
-	f.cut(f.all, 0)
+	f.partition(f.all, 0)
 	for _, c := range f.all {
 		c.diskFull, c.corrupt = false, false
 		if !c.up {
@@ -192,7 +192,7 @@
 	}
 	latest := f.agreed.Newest()
 	rejecting := func(c *controller) bool {
-		return c.refuses != nil && c.replica.application.rejected.Number == latest
+		return c.checkDocument != nil && c.replica.application.rejected.Number == latest
 	}
 	took := f.runUntil(maxStoreRetry+1000, func() bool {
 		for _, c := range f.all {
@@ -209,7 +209,7 @@
 					c.id, c.replica.Current().Number, latest, c.replica.target)
 			}
 		}
-		h.t.Fatalf("not in force everywhere\n%s", strings.Join(h.script, "\n"))
+		h.t.Fatalf("not in force everywhere\n%s", strings.Join(h.eventLog, "\n"))
 	}
 	f.runFor(2*reportInterval + 2000)
 	s := f.status(h.t, f.byID[f.leader])
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -15,11 +15,11 @@
 
 // fakeEnvironment is the environment of a replica that gets all its messages from the test.
 type fakeEnvironment struct {
-	self   members.ID
-	leads  bool
-	late   bool // it leads, and does not know yet all that was agreed on
-	voting bool
-	state  State
+	self       members.ID
+	leads      bool
+	catchingUp bool // it leads, and does not know yet all that was agreed on
+	voting     bool
+	state      State
 }
 
 func (e *fakeEnvironment) Members() (list []members.Member) {
@@ -41,7 +41,7 @@
 func (e *fakeEnvironment) Voters() []members.ID { return []members.ID{"n0", "n1", "n2"} }
 
 func (e *fakeEnvironment) Leader() members.ID {
-	if e.leads || e.late {
+	if e.leads || e.catchingUp {
 		return e.self
 	}
 	return "n1"
@@ -105,7 +105,7 @@
 	if next := x.replica.Next(); math.IsNaN(next) || next <= x.now {
 		return fmt.Errorf("the next wake-up is at %g, now is %g", next, x.now)
 	}
-	return errors.Join(problem, x.drain(), x.bounds())
+	return errors.Join(problem, x.drain(), x.checkBounds())
 }
 
 // drain carries out what the replica asks for.
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// bounds returns which bound of what is remembered is exceeded.
-func (x *testReplica) bounds() error {
+// checkBounds returns which bound of what is remembered is exceeded.
+func (x *testReplica) checkBounds() error {
 	r := x.replica
 	size := 0
 	for h, d := range r.documents.documents {
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// nonsense returns messages with fields that are out of bounds.
-func nonsense() []Message {
+// invalidMessages returns messages with fields that are out of bounds.
+func invalidMessages() []Message {
 	propose := func(v Version) *ProposeRequest {
 		return &ProposeRequest{Proposal: Proposal{Expect: 1, Version: v}}
 	}
@@ -263,7 +263,7 @@
 	for from := range 5 {
 		for i, x := range newTestReplicas() {
 			for round := range 4 {
-				list := nonsense()
+				list := invalidMessages()
 				for j := range list {
 					k := (j*(2*round+1) + round*7) % len(list)
 					if err := x.receive(members.ID(fmt.Sprint("n", from)), &list[k]); err != nil {
@@ -298,7 +298,7 @@
 
 // FuzzReceive passes in messages as they would come off the wire, in each role.
 func FuzzReceive(f *testing.F) {
-	for _, m := range nonsense() {
+	for _, m := range invalidMessages() {
 		data, err := cbor.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/core/fleet/config/leader.go
+++ b/internal/core/fleet/config/leader.go
@@ -2,8 +2,8 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// hintTime is for how long a hint of another member is believed, in ms.
-const hintTime = 5000.0
+// leaderHintTime is for how long a hint of another member is believed, in ms.
+const leaderHintTime = 5000.0
 
 // leaderHint names the quorum's leader as another member knows it. It counts while the environment
 // goes on naming the leader that it replaces.
@@ -31,7 +31,7 @@
 		return
 	}
 	if _, known := r.env.Member(leader); known {
-		r.hint = leaderHint{leader: leader, until: r.now + hintTime, replaces: r.env.Leader()}
+		r.hint = leaderHint{leader: leader, until: r.now + leaderHintTime, replaces: r.env.Leader()}
 	}
 }
 
--- a/internal/core/fleet/config/lookup.go
+++ b/internal/core/fleet/config/lookup.go
@@ -14,10 +14,10 @@
 
 // lookup is a document that an operator requested here.
 type lookup struct {
-	ref      uint64 // the caller's number of it
-	hash     Hash
-	deadline float64      // ms
-	without  []members.ID // voters that don't have it
+	ref       uint64 // the caller's number of it
+	hash      Hash
+	deadline  float64      // ms
+	missingAt []members.ID // voters that don't have it
 }
 
 // FetchDocument looks a document up here and at voters. The result comes within lookupTimeout.
@@ -32,7 +32,7 @@
 	l := &lookup{ref: ref, hash: h, deadline: r.now + lookupTimeout}
 	r.lookups = append(r.lookups, l)
 	r.fetch(h, 0, forLookup)
-	r.endMissing()
+	r.endFailedLookups()
 	r.process()
 }
 
@@ -55,20 +55,22 @@
 	}
 }
 
-// lookupMissing handles that a member does not have a document.
-func (r *Replica) lookupMissing(h Hash, from members.ID) {
+// handleLookupMissing handles that a member does not have a document.
+func (r *Replica) handleLookupMissing(h Hash, from members.ID) {
 	for _, l := range r.lookups {
-		if l.hash == h && !slices.Contains(l.without, from) && len(l.without) < maxExcluded {
-			l.without = append(l.without, from)
+		if l.hash == h && !slices.Contains(l.missingAt, from) && len(l.missingAt) < maxExcluded {
+			l.missingAt = append(l.missingAt, from)
 		}
 	}
-	r.endMissing()
+	r.endFailedLookups()
 }
 
-// endMissing ends the lookups of documents that no voter has.
-func (r *Replica) endMissing() {
+// endFailedLookups ends the lookups of documents that no voter has.
+func (r *Replica) endFailedLookups() {
 	for _, l := range slices.Clone(r.lookups) {
-		has := func(id members.ID) bool { return id != r.options.Self && !slices.Contains(l.without, id) }
+		has := func(id members.ID) bool {
+			return id != r.options.Self && !slices.Contains(l.missingAt, id)
+		}
 		if !slices.ContainsFunc(r.env.Voters(), has) {
 			r.endLookup(l, nil)
 		}
--- a/internal/core/fleet/config/propose.go
+++ b/internal/core/fleet/config/propose.go
@@ -98,10 +98,11 @@
 	if from != r.options.Self && !slices.Contains(p.sentTo, from) {
 		return
 	}
-	own := &p.proposal.Version
+	proposed := &p.proposal.Version
 	switch reply.Result {
 	case Committed:
-		if reply.Version.ID != own.ID || reply.Version.Hash != own.Hash || reply.Version.Number == 0 {
+		if reply.Version.ID != proposed.ID || reply.Version.Hash != proposed.Hash ||
+			reply.Version.Number == 0 {
 			return
 		}
 	case Conflict, Rejected:
--- a/internal/core/fleet/config/propose_test.go
+++ b/internal/core/fleet/config/propose_test.go
@@ -16,16 +16,16 @@
 		f.lossRate = 0.05
 		f.runFor(1000)
 		at := f.all[9]
-		ref := f.put(at, randomDocument(64<<10, seed), 0)
+		ref := f.propose(at, randomDocument(64<<10, seed), 0)
 		f.runFor(float64(seed) * 10) // at each stage of the proposal
 		f.setLeader("")
 		f.runFor(400)
 		f.setLeader(f.all[1].id)
-		o := f.outcome(at, ref)
+		o := f.awaitResult(at, ref)
 		if o.Result != Committed || o.Version.Number != 1 || f.agreed.Newest() != 1 {
 			t.Errorf("seed %d: %+v, newest %d", seed, o, f.agreed.Newest())
 		}
-		f.everywhere(1, 15000)
+		f.requireInForceEverywhere(1, 15000)
 	}
 }
 
@@ -39,8 +39,8 @@
 		if seed%2 == 0 {                    // both at one controller
 			first = second
 		}
-		a, b := f.put(first, randomDocument(5000, 1), 0), f.put(second, randomDocument(9000, 2), 0)
-		x, y := f.outcome(first, a), f.outcome(second, b)
+		a, b := f.propose(first, randomDocument(5000, 1), 0), f.propose(second, randomDocument(9000, 2), 0)
+		x, y := f.awaitResult(first, a), f.awaitResult(second, b)
 		if x.Result == Conflict {
 			x, y = y, x
 		}
@@ -48,7 +48,7 @@
 		if x.Result != Committed || y.Result != Conflict || !sameVersion || y.Reason == "" {
 			t.Errorf("seed %d: %+v, %+v", seed, x, y)
 		}
-		f.everywhere(1, 10000)
+		f.requireInForceEverywhere(1, 10000)
 	}
 }
 
@@ -57,10 +57,10 @@
 func TestProposalExpectsNewestVersion(t *testing.T) {
 	f := newFleet(t, 1, 6, 3)
 	f.runFor(1000)
-	f.putAgreed(f.all[5], []byte("one"), 0)
-	f.putAgreed(f.all[5], []byte("two"), 1)
+	f.proposeCommitted(f.all[5], []byte("one"), 0)
+	f.proposeCommitted(f.all[5], []byte("two"), 1)
 	for _, expect := range []uint64{0, 1, 3, 1 << 63} {
-		o := f.outcome(f.all[4], f.put(f.all[4], []byte("three"), expect))
+		o := f.awaitResult(f.all[4], f.propose(f.all[4], []byte("three"), expect))
 		if o.Result != Conflict || o.Version.Number != 2 || o.Reason == "" {
 			t.Errorf("expecting %d: %+v", expect, o)
 		}
@@ -75,7 +75,7 @@
 	f := newFleet(t, 1, 6, 3)
 	f.runFor(1000)
 	for _, at := range []*controller{f.all[0], f.all[1], f.all[5]} {
-		o := f.outcome(at, f.put(at, []byte("nonsense, for "+at.id), 0))
+		o := f.awaitResult(at, f.propose(at, []byte("nonsense, for "+at.id), 0))
 		if o.Result != Rejected || o.Reason != "line 1: nonsense" {
 			t.Errorf("at %s: %+v", at.id, o)
 		}
@@ -83,8 +83,8 @@
 	if len(f.log) != 0 {
 		t.Error("it was proposed to the quorum")
 	}
-	f.all[0].refuses = func([]byte) error { return fmt.Errorf("%s", strings.Repeat("ä", MaxReason)) }
-	o := f.outcome(f.all[5], f.put(f.all[5], []byte("x"), 0))
+	f.all[0].checkDocument = func([]byte) error { return fmt.Errorf("%s", strings.Repeat("ä", MaxReason)) }
+	o := f.awaitResult(f.all[5], f.propose(f.all[5], []byte("x"), 0))
 	wholeCharacters := strings.HasPrefix(o.Reason, "ä") && !strings.ContainsRune(o.Reason, 0xfffd)
 	if o.Result != Rejected || len(o.Reason) > MaxReason || !wholeCharacters {
 		t.Errorf("a long reason: %d bytes", len(o.Reason))
@@ -95,21 +95,21 @@
 // leader without a majority commits nothing.
 func TestPartitionedProposalIsUnknown(t *testing.T) {
 	f := newFleetWithVersion(t, 10, 5, 9)
-	f.cut([]*controller{f.all[0], f.all[1], f.all[9]}, 1) // the leader of before and one voter
-	a, b := f.put(f.all[9], []byte("two"), 1), f.put(f.all[0], []byte("three"), 1)
+	f.partition([]*controller{f.all[0], f.all[1], f.all[9]}, 1) // the leader of before and one voter
+	a, b := f.propose(f.all[9], []byte("two"), 1), f.propose(f.all[0], []byte("three"), 1)
 	began := f.now
-	x, y := f.outcome(f.all[9], a), f.outcome(f.all[0], b)
+	x, y := f.awaitResult(f.all[9], a), f.awaitResult(f.all[0], b)
 	if x.Result != Unknown || y.Result != Unknown || f.now-began > proposeTimeout+100 {
 		t.Errorf("%+v, %+v after %.0f ms", x, y, f.now-began)
 	}
 	f.setLeader(f.all[2].id)
-	f.putAgreed(f.all[8], []byte("four"), 1)
+	f.proposeCommitted(f.all[8], []byte("four"), 1)
 	f.runFor(5000)
 	if f.all[9].replica.Current().Number != 1 || f.all[8].replica.Current().Number != 2 {
 		t.Errorf("%d there, %d here", f.all[9].replica.Current().Number, f.all[8].replica.Current().Number)
 	}
-	f.cut(f.all, 0)
-	if took := f.everywhere(2, 19000); took > 19000 {
+	f.partition(f.all, 0)
+	if took := f.requireInForceEverywhere(2, 19000); took > 19000 {
 		t.Errorf("after the heal: %.0f ms", took)
 	}
 }
@@ -118,15 +118,15 @@
 func TestProposalsAboveBoundAreRejected(t *testing.T) {
 	f := newFleet(t, 1, 30, 3)
 	f.runFor(1000)
-	f.cut([]*controller{f.all[1], f.all[2]}, 1) // no majority: nothing ends
+	f.partition([]*controller{f.all[1], f.all[2]}, 1) // no majority: nothing ends
 	refs := map[*controller]uint64{}
 	for _, c := range f.all[3:] {
-		refs[c] = f.put(c, []byte("by "+c.id), 0)
+		refs[c] = f.propose(c, []byte("by "+c.id), 0)
 	}
 	f.runFor(400)
 	busy := 0
 	for c, ref := range refs {
-		if o, ok := c.outcomes[ref]; ok && o.Result == Rejected && o.Reason == "busy" {
+		if o, ok := c.results[ref]; ok && o.Result == Rejected && o.Reason == "busy" {
 			busy++
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	if c := f.all[5]; c != nil {
 		for range 2 * MaxProposals {
-			f.put(c, []byte("more"), 0)
+			f.propose(c, []byte("more"), 0)
 		}
 		if n := len(c.replica.proposals); n > MaxProposals {
 			t.Errorf("%d proposals wait at their origin", n)
@@ -149,11 +149,11 @@
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	f.onMessage = func(_, _ *controller, m *Message) bool { return m.ProposeReply == nil }
-	ref := f.put(f.all[7], []byte("one"), 0)
+	ref := f.propose(f.all[7], []byte("one"), 0)
 	f.runUntil(5000, func() bool { return f.agreed.Newest() == 1 })
 	f.setLeader(f.all[1].id)
 	f.onMessage = nil
-	if o := f.outcome(f.all[7], ref); o.Result != Committed || o.Version.Number != 1 || len(f.log) != 1 {
+	if o := f.awaitResult(f.all[7], ref); o.Result != Committed || o.Version.Number != 1 || len(f.log) != 1 {
 		t.Errorf("%+v, %d entries", o, len(f.log))
 	}
 }
@@ -166,13 +166,13 @@
 	for _, i := range []int{1, 2, 3} {
 		f.all[i].diskFull = true
 	}
-	ref := f.put(f.all[7], randomDocument(100000, 1), 0)
+	ref := f.propose(f.all[7], randomDocument(100000, 1), 0)
 	f.runFor(4000)
 	if len(f.log) != 0 {
 		t.Fatal("it was proposed with two of five")
 	}
 	f.all[2].diskFull = false // it tries again after some seconds
-	if o := f.outcome(f.all[7], ref); o.Result != Committed {
+	if o := f.awaitResult(f.all[7], ref); o.Result != Committed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -184,13 +184,13 @@
 	for _, c := range f.all[:3] {
 		c.diskFull = true
 	}
-	ref := f.put(f.all[7], randomDocument(1000, 1), 0)
+	ref := f.propose(f.all[7], randomDocument(1000, 1), 0)
 	f.runFor(4000)
 	if len(f.log) != 0 {
 		t.Fatal("it was proposed with two of five")
 	}
 	f.all[0].diskFull = false
-	if o := f.outcome(f.all[7], ref); o.Result != Committed {
+	if o := f.awaitResult(f.all[7], ref); o.Result != Committed {
 		t.Errorf("%+v", o)
 	}
 }
@@ -201,13 +201,13 @@
 	f := newFleet(t, 1, 8, 5)
 	f.runFor(1000)
 	f.all[0].diskFull = true
-	f.putAgreed(f.all[7], randomDocument(100000, 1), 0)
+	f.proposeCommitted(f.all[7], randomDocument(100000, 1), 0)
 	f.runUntil(10000, func() bool { return inForce(1, f.all[1:]) })
 	if !inForce(1, f.all[1:]) || inForce(1, f.all[:1]) {
 		t.Error("not in force at the others, or in force where it is not stored")
 	}
 	f.all[0].diskFull = false
-	f.everywhere(1, maxStoreRetry+1000)
+	f.requireInForceEverywhere(1, maxStoreRetry+1000)
 }
 
 // A rollback is a new version with an older document. It comes into force everywhere, also while
@@ -216,9 +216,9 @@
 	f := newFleet(t, 3, 60, 5)
 	f.runFor(2000)
 	old, bad := randomDocument(64<<10, 1), randomDocument(MaxDocument, 2)
-	f.putAgreed(f.all[50], old, 0)
-	f.everywhere(1, 10000)
-	f.putAgreed(f.all[50], bad, 1)
+	f.proposeCommitted(f.all[50], old, 0)
+	f.requireInForceEverywhere(1, 10000)
+	f.proposeCommitted(f.all[50], bad, 1)
 	f.runFor(30)
 	spread := 0
 	for _, c := range f.all {
@@ -229,8 +229,8 @@
 	if spread == len(f.all) {
 		t.Fatal("the version before is in force already")
 	}
-	f.putAgreed(f.all[40], old, 2)
-	f.everywhere(3, 10000)
+	f.proposeCommitted(f.all[40], old, 2)
+	f.requireInForceEverywhere(3, 10000)
 	for _, c := range f.all {
 		if v := c.replica.Current(); v.Number != 3 || v.Hash != HashOf(old) {
 			t.Errorf("%s: %+v", c.id, v)
@@ -246,15 +246,15 @@
 	var documents [][]byte
 	for i := range 6 {
 		documents = append(documents, randomDocument(40000+i, int64(i)))
-		f.putAgreed(f.all[11], documents[i], uint64(i))
-		f.everywhere(uint64(i+1), 8000)
+		f.proposeCommitted(f.all[11], documents[i], uint64(i))
+		f.requireInForceEverywhere(uint64(i+1), 8000)
 	}
 	for i, d := range documents {
 		c := f.all[5+i]
-		f.ref++
-		ref := f.ref
+		f.lastRef++
+		ref := f.lastRef
 		c.replica.FetchDocument(f.now, ref, HashOf(d))
-		f.settle(c)
+		f.carryOut(c)
 		f.runUntil(lookupTimeout+100, func() bool { _, ok := c.documents[ref]; return ok })
 		if got := c.documents[ref]; !bytes.Equal(got.Document, d) || got.Ref != ref {
 			t.Errorf("document %d: %d bytes", i, len(got.Document))
@@ -263,7 +263,7 @@
 	c := f.all[8]
 	began := f.now
 	c.replica.FetchDocument(f.now, 9999, HashOf([]byte("unknown")))
-	f.settle(c)
+	f.carryOut(c)
 	f.runUntil(lookupTimeout+100, func() bool { _, ok := c.documents[9999]; return ok })
 	if got, ok := c.documents[9999]; !ok || got.Document != nil || f.now-began > 1000 {
 		t.Errorf("a document that nobody has: %v after %.0f ms", ok, f.now-began)
@@ -273,7 +273,7 @@
 	}
 	f.runFor(100)
 	c.replica.FetchDocument(f.now, 9998, HashOf([]byte("unknown")))
-	f.settle(c)
+	f.carryOut(c)
 	f.runFor(lookupTimeout + 100)
 	if got, ok := c.documents[9998]; !ok || got.Document != nil {
 		t.Error("no result although no voter answers")
@@ -286,8 +286,8 @@
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(removeAfter + 1000)
 	for i := range 12 {
-		f.putAgreed(f.all[7], randomDocument(MaxDocument-i, int64(i)), uint64(i))
-		f.everywhere(uint64(i+1), 15000)
+		f.proposeCommitted(f.all[7], randomDocument(MaxDocument-i, int64(i)), uint64(i))
+		f.requireInForceEverywhere(uint64(i+1), 15000)
 	}
 	f.runFor(1000)
 	for _, c := range f.all {
@@ -315,7 +315,7 @@
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
 	for i := range 5 {
-		f.putAgreed(f.all[7], randomDocument(40000, int64(i)), uint64(i))
+		f.proposeCommitted(f.all[7], randomDocument(40000, int64(i)), uint64(i))
 	}
 	f.runFor(5000)
 	c := f.all[1]
@@ -343,7 +343,7 @@
 		t.Error("a proposal under another name is accepted")
 	}
 	c := f.all[7]
-	ref := f.put(c, []byte("one"), 0)
+	ref := f.propose(c, []byte("one"), 0)
 	id := ProposalID{Origin: c.id, Run: c.run, Ref: ref}
 	for from, reply := range map[members.ID]ProposeReply{
 		"n005": {ID: id, Result: Conflict},
@@ -359,11 +359,11 @@
 	committed(Version{Number: 9, ID: id, Hash: HashOf([]byte("other"))})
 	otherID := ProposalID{Origin: "n005", Run: 1, Ref: 1} // of the same document
 	committed(Version{Number: 9, ID: otherID, Hash: HashOf([]byte("one")), Size: 3})
-	f.settle(c)
-	if len(c.outcomes) != 0 {
-		t.Errorf("%+v", c.outcomes)
+	f.carryOut(c)
+	if len(c.results) != 0 {
+		t.Errorf("%+v", c.results)
 	}
-	if o := f.outcome(c, ref); o.Result != Committed || o.Version.Number != 1 {
+	if o := f.awaitResult(c, ref); o.Result != Committed || o.Version.Number != 1 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -375,24 +375,24 @@
 	f.runFor(1000)
 	origin, other := f.all[6], f.all[5]
 	origin.corrupt = true
-	first := f.put(origin, randomDocument(1000, 1), 0)
+	first := f.propose(origin, randomDocument(1000, 1), 0)
 	f.runFor(2000)
-	second := f.put(other, randomDocument(1000, 2), 0)
+	second := f.propose(other, randomDocument(1000, 2), 0)
 	answered := func(c *controller, ref uint64) func() bool {
-		return func() bool { _, ok := c.outcomes[ref]; return ok }
+		return func() bool { _, ok := c.results[ref]; return ok }
 	}
 	took := f.runUntil(4000, answered(other, second))
-	if took < 0 || other.outcomes[second].Result != Committed {
-		t.Errorf("the proposal behind it took %v ms: %+v", took, other.outcomes[second])
+	if took < 0 || other.results[second].Result != Committed {
+		t.Errorf("the proposal behind it took %v ms: %+v", took, other.results[second])
 	}
-	if o := f.outcome(origin, first); o.Result != Conflict {
+	if o := f.awaitResult(origin, first); o.Result != Conflict {
 		t.Errorf("the proposal of the changed bytes: %+v", o)
 	}
-	third := f.put(origin, randomDocument(1000, 3), 1)
+	third := f.propose(origin, randomDocument(1000, 3), 1)
 	f.runFor(1500)
 	origin.corrupt = false
 	took = f.runUntil(3000, answered(origin, third))
-	if took < 0 || origin.outcomes[third].Result != Committed {
-		t.Errorf("when no bytes are changed any more: %v ms, %+v", took, origin.outcomes[third])
+	if took < 0 || origin.results[third].Result != Committed {
+		t.Errorf("when no bytes are changed any more: %v ms, %+v", took, origin.results[third])
 	}
 }
--- a/internal/core/fleet/config/query.go
+++ b/internal/core/fleet/config/query.go
@@ -159,9 +159,10 @@
 		return
 	}
 	r.endQuery(q)
-	own := *a
-	own.Ref = q.ref
-	r.out.QueryResults = append(r.out.QueryResults, QueryResult{Ref: q.ref, From: from, Answer: own})
+	answer := *a
+	answer.Ref = q.ref
+	r.out.QueryResults = append(r.out.QueryResults,
+		QueryResult{Ref: q.ref, From: from, Answer: answer})
 }
 
 // nextQuery returns when a query has something due.
--- a/internal/core/fleet/config/relays.go
+++ b/internal/core/fleet/config/relays.go
@@ -13,29 +13,29 @@
 // same on all controllers that believe the same members alive.
 func relaysOf(ids []members.ID) []members.ID {
 	count := int(math.Ceil(math.Sqrt(float64(len(ids)))))
-	return highestHashes(ids, "", count)
+	return rendezvousOrder(ids, "", count)
 }
 
 // relaysInOrder returns the relays in the order in which this controller tries them.
 func (r *Replica) relaysInOrder() []members.ID {
 	r.refreshAlive()
-	return highestHashes(r.alive.relays, r.options.Self, len(r.alive.relays))
+	return rendezvousOrder(r.alive.relays, r.options.Self, len(r.alive.relays))
 }
 
-// hashedMember is a member with a hash of its name.
-type hashedMember struct {
+// rankedMember is a member with the hash that it is ranked by.
+type rankedMember struct {
 	id   members.ID
 	hash uint64
 }
 
-// highestHashes returns the members that have the highest hashes of name and salt; the highest
-// first.
-func highestHashes(ids []members.ID, salt members.ID, count int) []members.ID {
-	list := make([]hashedMember, len(ids))
+// rendezvousOrder returns the count members with the highest hashes of name and salt, the highest
+// first (rendezvous hashing): without one member the order of the others stays the same.
+func rendezvousOrder(ids []members.ID, salt members.ID, count int) []members.ID {
+	list := make([]rankedMember, len(ids))
 	for i, id := range ids {
-		list[i] = hashedMember{id: id, hash: mixedHash(id, salt)}
+		list[i] = rankedMember{id: id, hash: rendezvousHash(id, salt)}
 	}
-	slices.SortFunc(list, func(a, b hashedMember) int {
+	slices.SortFunc(list, func(a, b rankedMember) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.id, b.id))
 	})
 	count = min(count, len(list))
@@ -46,9 +46,9 @@
 	return top
 }
 
-// mixedHash returns a hash of two names. With FNV alone, names that differ in their last byte would
-// have hashes that are close to each other.
-func mixedHash(id, salt members.ID) uint64 {
+// rendezvousHash returns a hash of two names. FNV alone would give close hashes to names that differ
+// only in their last byte, so a finalizer mixes its bits.
+func rendezvousHash(id, salt members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(salt))
 	h.Write([]byte{0})
--- a/internal/core/fleet/config/replica.go
+++ b/internal/core/fleet/config/replica.go
@@ -41,7 +41,7 @@
 	proposals  []*ownProposal // of this controller
 	candidates []*candidate   // at this leader; the first one is worked on
 	holds      []*hold        // at this voter
-	history    historyFetch
+	history    historySearch
 	retained   retainedCache
 
 	reports     reports
@@ -200,7 +200,7 @@
 	r.runDownloads()
 	r.advanceCandidates()
 	r.advanceHolds()
-	r.adoptTarget()
+	r.promoteTarget()
 	r.advanceApplication()
 	r.advanceStorage()
 	r.updateSummary()
--- a/internal/core/fleet/config/replica_test.go
+++ b/internal/core/fleet/config/replica_test.go
@@ -125,8 +125,8 @@
 	return x.replica.Take()
 }
 
-// getSecond has the replica get version 2, and returns the StoreRequest that follows.
-func (x *testReplica) getSecond(t *testing.T) *StoreRequest {
+// receiveSecond has the replica get version 2, and returns the StoreRequest that follows.
+func (x *testReplica) receiveSecond(t *testing.T) *StoreRequest {
 	t.Helper()
 	x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(2, "second")})
 	x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("second")})
@@ -137,7 +137,7 @@
 // as held, whether or not the removal succeeds, and is stored again.
 func TestDocumentBeingRemovedIsNotHeld(t *testing.T) {
 	x := newWithUnneeded(&fakeEnvironment{self: "n2", voting: true})
-	request := x.getSecond(t)
+	request := x.receiveSecond(t)
 	if request == nil || len(request.Remove) != 1 || request.Remove[0] != HashOf([]byte("surplus")) {
 		t.Fatalf("%+v", request)
 	}
@@ -168,7 +168,7 @@
 // A document could not be removed. It is removed with a later request.
 func TestFailedRemovalIsRepeated(t *testing.T) {
 	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
-	if request := x.getSecond(t); request == nil || len(request.Remove) != 1 {
+	if request := x.receiveSecond(t); request == nil || len(request.Remove) != 1 {
 		t.Fatalf("%+v", request)
 	}
 	x.replica.Stored(x.now, errDisk)
@@ -183,13 +183,13 @@
 // A voter that does not have the state yet, or a controller that has just started, does not know
 // which documents are needed. It removes none.
 func TestNothingIsRemovedBeforeStateIsKnown(t *testing.T) {
-	request := newWithUnneeded(&fakeEnvironment{self: "n2"}).getSecond(t)
+	request := newWithUnneeded(&fakeEnvironment{self: "n2"}).receiveSecond(t)
 	if request == nil || len(request.Remove) != 0 {
 		t.Errorf("a voter that does not vote: %+v", request)
 	}
 	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
 	x.replica.startedAt = x.now - removeAfter + 100
-	if request := x.getSecond(t); request == nil || len(request.Remove) != 0 {
+	if request := x.receiveSecond(t); request == nil || len(request.Remove) != 0 {
 		t.Errorf("right after its start: %+v", request)
 	}
 }
@@ -360,7 +360,7 @@
 func TestLeaderAnswersOnlyWhenReady(t *testing.T) {
 	x := newTestReplicas()[1]
 	x.replica.Take()
-	x.env.late = true
+	x.env.catchingUp = true
 	x.replica.Query(x.now, 50, QueryStatus)
 	x.replica.Propose(x.now, 51, []byte("second"), 1, Version{})
 	for x.now < 1500 {
--- a/internal/core/fleet/config/reports.go
+++ b/internal/core/fleet/config/reports.go
@@ -203,16 +203,16 @@
 
 // isLaterRun reports whether a report is of a later run of a controller than the one before. Runs
 // have no order: the run that membership believes in counts, else the one heard last.
-func (r *Replica) isLaterRun(before *heardReport, report Report, at float64) bool {
+func (r *Replica) isLaterRun(known *heardReport, report Report, at float64) bool {
 	if m, ok := r.env.Member(report.ID); ok && m.Run != 0 {
-		if m.Run == before.Run {
+		if m.Run == known.Run {
 			return false
 		}
 		if m.Run == report.Run {
 			return true
 		}
 	}
-	return at > before.heardAt
+	return at > known.heardAt
 }
 
 // purgeReports forgets old reports. A leader keeps those of members that it knows and that have not
--- a/internal/core/fleet/config/scenario_test.go
+++ b/internal/core/fleet/config/scenario_test.go
@@ -15,8 +15,8 @@
 	t.Helper()
 	f := newFleet(t, 1, size, voters)
 	f.runFor(1000)
-	f.putAgreed(f.all[proposer], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f.proposeCommitted(f.all[proposer], []byte("one"), 0)
+	f.requireInForceEverywhere(1, 5000)
 	return f
 }
 
@@ -27,30 +27,30 @@
 	return data
 }
 
-// put proposes a document at a controller and returns the reference.
-func (f *fleet) put(c *controller, document []byte, expect uint64) uint64 {
-	f.ref++
+// propose proposes a document at a controller and returns the reference.
+func (f *fleet) propose(c *controller, document []byte, expect uint64) uint64 {
+	f.lastRef++
 	v := Version{Author: "operator", Reason: "test", Time: int64(f.now)}
-	c.replica.Propose(c.clock(), f.ref, document, expect, v)
-	f.settle(c)
-	return f.ref
+	c.replica.Propose(c.clock(), f.lastRef, document, expect, v)
+	f.carryOut(c)
+	return f.lastRef
 }
 
-// outcome waits for the result of a proposal.
-func (f *fleet) outcome(c *controller, ref uint64) ProposalResult {
+// awaitResult waits for the result of a proposal.
+func (f *fleet) awaitResult(c *controller, ref uint64) ProposalResult {
 	f.t.Helper()
-	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.outcomes[ref]; return ok })
-	o, ok := c.outcomes[ref]
+	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.results[ref]; return ok })
+	o, ok := c.results[ref]
 	if !ok {
 		f.t.Fatalf("proposal %d has no outcome", ref)
 	}
 	return o
 }
 
-// putAgreed proposes a document and expects it to be committed.
-func (f *fleet) putAgreed(c *controller, document []byte, expect uint64) Version {
+// proposeCommitted proposes a document and expects it to be committed.
+func (f *fleet) proposeCommitted(c *controller, document []byte, expect uint64) Version {
 	f.t.Helper()
-	o := f.outcome(c, f.put(c, document, expect))
+	o := f.awaitResult(c, f.propose(c, document, expect))
 	if o.Result != Committed || o.Version.Number != expect+1 || o.Version.Hash != HashOf(document) {
 		f.t.Fatalf("proposal after %d: %+v", expect, o)
 	}
@@ -68,8 +68,8 @@
 	return true
 }
 
-// everywhere waits until a version is in force at all controllers, and returns how long that took.
-func (f *fleet) everywhere(number uint64, limit float64) float64 {
+// requireInForceEverywhere waits until a version is in force at all controllers, and returns how long that took.
+func (f *fleet) requireInForceEverywhere(number uint64, limit float64) float64 {
 	f.t.Helper()
 	took := f.runUntil(limit, func() bool { return inForce(number, f.all) })
 	if took < 0 {
@@ -85,12 +85,12 @@
 	return took
 }
 
-// ask sends a query and waits for its answer.
-func (f *fleet) ask(c *controller, kind QueryKind) (Answer, bool) {
-	f.ref++
-	ref := f.ref
+// query sends a query and waits for its answer.
+func (f *fleet) query(c *controller, kind QueryKind) (Answer, bool) {
+	f.lastRef++
+	ref := f.lastRef
 	c.replica.Query(c.clock(), ref, kind)
-	f.settle(c)
+	f.carryOut(c)
 	f.runUntil(queryTimeout+100, func() bool { _, ok := c.answers[ref]; return ok })
 	a, ok := c.answers[ref]
 	return a.Answer, ok
--- a/internal/core/fleet/config/serve.go
+++ b/internal/core/fleet/config/serve.go
@@ -35,6 +35,6 @@
 	r.served.bytes += len(part)
 	r.counters.ServedBytes += int64(len(part))
 	c := &Chunk{Hash: f.Hash, Offset: f.Offset, Total: len(data), Data: part}
-	r.describe(c)
+	r.addVersionTo(c)
 	r.send(from, Message{Chunk: c})
 }
--- a/internal/core/fleet/config/startup.go
+++ b/internal/core/fleet/config/startup.go
@@ -110,7 +110,7 @@
 			s.leaderAnswered = true
 		}
 	}
-	s.confirmed = s.answered(r) && r.application.handled() >= s.latest
+	s.confirmed = s.answered(r) && r.application.highestHandled() >= s.latest
 }
 
 // Readiness returns the version in force here, and whether it is confirmed to be the latest.
--- a/internal/core/fleet/config/status_test.go
+++ b/internal/core/fleet/config/status_test.go
@@ -11,7 +11,7 @@
 // status queries the status at a controller.
 func (f *fleet) status(t *testing.T, at *controller) *Status {
 	t.Helper()
-	a, ok := f.ask(at, QueryStatus)
+	a, ok := f.query(at, QueryStatus)
 	if !ok || a.Status == nil {
 		t.Fatalf("no status at %s", at.id)
 	}
@@ -25,8 +25,8 @@
 	if s := f.status(t, f.all[20]); s.Latest.Number != 0 || s.InForce != 0 || s.Members != 100 {
 		t.Errorf("at first: %+v", s)
 	}
-	f.putAgreed(f.all[0], []byte("one"), 0)
-	f.everywhere(1, 5000)
+	f.proposeCommitted(f.all[0], []byte("one"), 0)
+	f.requireInForceEverywhere(1, 5000)
 	took := f.runUntil(5000, func() bool { return f.all[0].replica.status().InForce == 100 })
 	if took < 0 {
 		t.Fatalf("%+v", f.status(t, f.all[0]))
@@ -39,10 +39,10 @@
 			t.Errorf("at %s: %+v", at.id, s)
 		}
 	}
-	if a, ok := f.ask(f.all[50], QueryHistory); !ok || len(a.Versions) != 1 || a.Versions[0].Reason != "test" {
+	if a, ok := f.query(f.all[50], QueryHistory); !ok || len(a.Versions) != 1 || a.Versions[0].Reason != "test" {
 		t.Errorf("history: %v, %+v", ok, a)
 	}
-	if a, ok := f.ask(f.all[50], QueryLatest); !ok || a.Latest.Number != 1 || !a.Voting {
+	if a, ok := f.query(f.all[50], QueryLatest); !ok || a.Latest.Number != 1 || !a.Voting {
 		t.Errorf("latest: %v, %+v", ok, a)
 	}
 }
@@ -56,12 +56,12 @@
 	f.kill(dead)
 	f.kill(gone)
 	gone.left = true
-	f.runFor(goneAfter + 1000)
+	f.runFor(deadAfter + 1000)
 	s := f.status(t, f.all[5])
 	if s.Members != 19 || s.InForce != 18 || len(s.Unreachable) != 1 {
 		t.Fatalf("%+v", s)
 	}
-	if u := s.Unreachable[0]; u.ID != dead.id || u.Age < goneAfter || u.Applied != 1 {
+	if u := s.Unreachable[0]; u.ID != dead.id || u.Age < deadAfter || u.Applied != 1 {
 		t.Errorf("%+v", s)
 	}
 	dead.folder = &folder{documents: map[Hash][]byte{}} // it comes back empty, and can't store
@@ -107,13 +107,13 @@
 // not count.
 func TestPartitionedControllerIsNotInForce(t *testing.T) {
 	f := newFleetWithVersion(t, 20, 3, 0)
-	f.cut(f.all[15:], 1)
+	f.partition(f.all[15:], 1)
 	f.runFor(reportFreshTime + relayedReportTime)
 	s := f.status(t, f.all[0])
 	if s.InForce != 15 || len(s.Unreachable) != 5 || s.Unreachable[0].Age < reportFreshTime {
 		t.Errorf("%+v", s)
 	}
-	f.cut(f.all, 0)
+	f.partition(f.all, 0)
 	if f.runUntil(19000, func() bool { return f.all[0].replica.status().InForce == 20 }) < 0 {
 		t.Errorf("after the heal: %+v", f.status(t, f.all[0]))
 	}
@@ -187,7 +187,7 @@
 		t.Fatalf("%+v", f.all[3].replica.status())
 	}
 	t.Logf("the next leader knows 99 after %.0f ms", took)
-	f.runFor(goneAfter)
+	f.runFor(deadAfter)
 	if s := f.status(t, f.all[60]); s.InForce != 99 || s.CollectedFor <= 0 || s.CollectedFor > f.now {
 		t.Errorf("%+v", s)
 	}
@@ -231,10 +231,10 @@
 func TestStatusListsAreBounded(t *testing.T) {
 	f := newFleet(t, 1, 150, 3)
 	for _, c := range f.all[3:] {
-		c.refuses = func([]byte) error { return errOld }
+		c.checkDocument = func([]byte) error { return errUnknownField }
 	}
 	f.runFor(1000)
-	f.putAgreed(f.all[0], []byte("one"), 0)
+	f.proposeCommitted(f.all[0], []byte("one"), 0)
 	f.runFor(5000)
 	if s := f.status(t, f.all[0]); len(s.Rejected) != MaxListed || s.Omitted != 147-MaxListed || s.InForce != 3 {
 		t.Errorf("%d rejected, %d omitted, %d in force", len(s.Rejected), s.Omitted, s.InForce)
@@ -275,7 +275,7 @@
 		relays := relaysOf(ids)
 		load := map[members.ID]int{}
 		for _, id := range ids {
-			load[highestHashes(relays, id, len(relays))[0]]++
+			load[rendezvousOrder(relays, id, len(relays))[0]]++
 		}
 		most := 0
 		for _, n := range load {
--- a/internal/core/fleet/config/storage.go
+++ b/internal/core/fleet/config/storage.go
@@ -50,8 +50,8 @@
 		return r.storeRequest(v.Hash, &v)
 	case !found && a.persisted.Number != a.current.Number:
 		// a version that was rejected when it was applied must not be in force at a start
-		before := a.current
-		return r.storeRequest(before.Hash, &before)
+		inForce := a.current
+		return r.storeRequest(inForce.Hash, &inForce)
 	}
 	if !r.documents.hasUnstored() {
 		return nil
--- a/internal/core/fleet/config/target.go
+++ b/internal/core/fleet/config/target.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// adoptTarget makes the target the newest version once its document is here.
-func (r *Replica) adoptTarget() {
+// promoteTarget makes the target the newest version once its document is here.
+func (r *Replica) promoteTarget() {
 	if r.target.Number <= r.newest.Number {
 		return
 	}
