--- a/internal/core/fleet/config/alive.go
+++ b/internal/core/fleet/config/alive.go
@@ -6,10 +6,10 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// aliveInterval is for how long a list of the alive members is used, in ms.
+// aliveInterval is the time in ms for which the list of alive members is reused.
 const aliveInterval = 1000.0
 
-// aliveMembers is the list of alive members, this controller among them, as of a short time ago.
+// aliveMembers is the list of alive members, this controller among them, at most aliveInterval old.
 type aliveMembers struct {
 	refreshedAt float64      // ms
 	ids         []members.ID // sorted
@@ -34,7 +34,8 @@
 	r.alive.relays = relaysOf(r.alive.ids)
 }
 
-// drawAlive draws count alive members other than this controller, or all if there are fewer.
+// drawAlive returns count random alive members other than this controller, or all if there are
+// fewer.
 func (r *Replica) drawAlive(count int) (picked []members.ID) {
 	r.refreshAlive()
 	ids := r.alive.ids
--- a/internal/core/fleet/config/announce.go
+++ b/internal/core/fleet/config/announce.go
@@ -8,9 +8,9 @@
 
 // Pushes of a new summary.
 const (
-	// pushFanout is how many members a push goes to.
+	// pushFanout is the number of members that a push is sent to.
 	pushFanout = 4
-	// maxPushes is how often a new summary is pushed.
+	// maxPushes is the number of times that a new summary is pushed.
 	maxPushes = 3
 	// firstPushInterval is the time in ms until the second push; the third follows after twice that
 	// time.
@@ -32,7 +32,7 @@
 	return never
 }
 
-// Summary returns what accompanies membership messages; nil: nothing.
+// Summary returns the summary to be sent along with membership messages; nil: none.
 func (r *Replica) Summary() *Summary {
 	if r.announcement.summary.Number == 0 {
 		return nil
@@ -47,7 +47,7 @@
 		return
 	}
 	if r.votes() && r.env.State().Newest() < r.newest.Number {
-		return // a voter announces only what its own state has, as that has the author and reason
+		return // a voter announces only versions of its own state, which has their author and reason
 	}
 	r.announcement = announcement{
 		summary:    r.newest.summary(),
@@ -57,7 +57,8 @@
 	r.sendPushes()
 }
 
-// sendPushes pushes the summary to some members at once, and to others a little later.
+// sendPushes pushes the summary to some random members if a push is due, and schedules the next
+// push.
 func (r *Replica) sendPushes() {
 	if r.announcement.pushesLeft == 0 || r.now < r.announcement.nextPushAt {
 		return
@@ -71,8 +72,8 @@
 	}
 }
 
-// handleSummary handles the newest version that a member announces, and reports whether anything
-// changed by it. A lower number, or the same again, changes nothing.
+// handleSummary handles the newest version that a member announces, and reports whether it changed
+// anything. A lower number than the target's changes nothing; the same one can only add a source.
 func (r *Replica) handleSummary(from members.ID, s Summary) bool {
 	switch {
 	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
@@ -92,7 +93,7 @@
 	return true
 }
 
-// contradicts reports whether another document is known here by the same number.
+// contradicts reports whether the version known here under the same number has another document.
 func (r *Replica) contradicts(s Summary) bool {
 	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
 		if v.Number == s.Number && v.summary() != s {
--- a/internal/core/fleet/config/announce_test.go
+++ b/internal/core/fleet/config/announce_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestVersionReachesAll: documents of all sizes come into force at all controllers in time, also
-// with a tenth of the messages lost.
+// TestVersionReachesAll: versions with documents of all sizes come into force at all controllers in
+// time, also if a tenth of the messages is lost.
 func TestVersionReachesAll(t *testing.T) {
 	for _, c := range []struct {
 		size  int
@@ -28,7 +28,7 @@
 			ref := f.propose(f.all[50], randomDocument(c.size, 1), 0)
 			putAt := f.now
 			if o := f.awaitResult(f.all[50], ref); o.Result != Committed || o.Version.Number != 1 {
-				t.Fatalf("%+v", o)
+				t.Fatalf("proposal: got %+v, want Committed as version 1", o)
 			}
 			agreed := f.now - putAt
 			f.requireInForceEverywhere(1, c.limit)
@@ -38,13 +38,13 @@
 			for _, n := range f.all {
 				last = max(last, n.appliedAt[1]-putAt)
 			}
-			t.Logf("agreed after %.0f ms, in force everywhere after %.0f ms; bytes sent: mean %d, most %d",
+			t.Logf("committed after %.0f ms, in force everywhere after %.0f ms; bytes sent per controller: mean %d, maximum %d",
 				agreed, last, (total-began)/100, mostAfter-most)
 		})
 	}
 }
 
-// TestDocumentSizeIsBounded: documents that are empty or too large are rejected, and never proposed
+// TestDocumentSizeIsBounded: documents that are empty or too large are rejected, and not proposed
 // to the quorum.
 func TestDocumentSizeIsBounded(t *testing.T) {
 	f := newFleet(t, 1, 5, 3)
@@ -52,11 +52,11 @@
 	for _, size := range []int{0, MaxDocument + 1} {
 		ref := f.propose(f.all[4], randomDocument(size, 1), 0)
 		if o, ok := f.all[4].results[ref]; !ok || o.Result != Rejected || o.Reason == "" {
-			t.Errorf("%d bytes: %+v, %v", size, o, ok)
+			t.Errorf("document of %d bytes: got %+v, result present %v; want Rejected with a reason", size, o, ok)
 		}
 	}
 	f.runFor(1000)
 	if len(f.log) != 0 {
-		t.Errorf("%d proposals were made", len(f.log))
+		t.Errorf("got %d proposals in the log, want none", len(f.log))
 	}
 }
--- a/internal/core/fleet/config/apply.go
+++ b/internal/core/fleet/config/apply.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// Retries of applying.
+// Timing and bounds of applying versions.
 const (
 	// applyRetry is the time in ms after which a version that could not be applied is tried again.
 	applyRetry = 1000.0
-	// maxRejections bounds the numbers of rejected versions that are remembered: more than there
-	// are candidates at a time.
+	// maxRejections bounds the numbers of rejected versions that are kept. It exceeds the two
+	// versions, newest and previous, that may be next to be applied.
 	maxRejections = 8
 )
 
-// application is how far this controller is with applying the versions it knows.
+// application is this controller's progress in applying versions.
 type application struct {
 	current     Version  // in force
-	persisted   Version  // durably to be in force at a start
+	persisted   Version  // stored as the one to be in force after a restart
 	passedCheck Version  // the last one that passed the check
 	applying    *Version // of the ApplyRequest that is not answered yet
 	retryAt     float64  // ms, when applying is tried again
 
-	rejected   Version  // the latest that can't be used here
+	rejected   Version  // the latest version that can't be used here
 	reason     string   // why rejected can't be used
-	rejections []uint64 // the last numbers that can't be used here
+	rejections []uint64 // numbers of the last versions that can't be used here
 
-	stuck       Version // a later one that could not be stored or applied yet
+	stuck       Version // a later version that could not be stored or applied yet
 	stuckReason string  // why stuck is not in force
 }
 
@@ -38,8 +38,8 @@
 // hasPassed reports whether a version passed the check here.
 func (a *application) hasPassed(v Version) bool { return a.passedCheck.summary() == v.summary() }
 
-// nextVersion returns the version to be applied next: the newest one that has its document here or,
-// if that is rejected, the one before it; false: there is none.
+// nextVersion returns the version to be applied next: the newest one whose document is here or, if
+// that is rejected, the one before it; false: there is none.
 func (r *Replica) nextVersion() (Version, bool) {
 	if r.application.isApplicable(r.newest) {
 		return r.newest, true
@@ -80,8 +80,8 @@
 	r.out.Apply = &ApplyRequest{Version: v, Document: r.documents.get(v.Hash)}
 }
 
-// Applied continues after an ApplyRequest. A retryable error is tried again; any other rejects the
-// version here.
+// Applied passes in the result of an ApplyRequest. After a retryable error the version is applied
+// again later; any other error rejects it here.
 func (r *Replica) Applied(now float64, err error, retryable bool) {
 	r.advanceClock(now)
 	a := &r.application
@@ -125,7 +125,7 @@
 	return r.application.rejected, r.application.reason
 }
 
-// setStuck records a version that could not be stored or applied yet, to be reported.
+// setStuck records, for the report, a version that could not be stored or applied yet.
 func (r *Replica) setStuck(v Version, reason string) {
 	r.application.stuck = v
 	r.application.stuckReason = reason
@@ -136,7 +136,7 @@
 	r.setStuck(Version{}, "")
 }
 
-// nextApplication returns when storing or applying is tried again.
+// nextApplication returns when the next retry of storing or applying is due.
 func (r *Replica) nextApplication() float64 {
 	next := never
 	if r.storage.pending == nil && r.storage.retryAt > r.now {
--- a/internal/core/fleet/config/apply_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -20,13 +20,13 @@
 	f.proposeCommitted(f.all[7], []byte("two"), 1)
 	f.runUntil(5000, func() bool { return !victim.up })
 	if victim.up || victim.runApplied[victim.run] != 1 || victim.folder.current.Number != 2 {
-		t.Fatalf("up %v, in force %d, to be in force %d",
+		t.Fatalf("after the kill: up %v, version in force %d, stored version %d; want down, 1 and 2",
 			victim.up, victim.runApplied[victim.run], victim.folder.current.Number)
 	}
 	f.onStored = nil
 	f.start(victim)
 	if victim.replica.Current().Number != 2 {
-		t.Errorf("after the start: %+v", victim.replica.Current())
+		t.Errorf("version in force after the restart: got %+v, want version 2", victim.replica.Current())
 	}
 	f.proposeCommitted(f.all[7], []byte("three"), 2)
 	f.requireInForceEverywhere(3, 5000)
@@ -40,13 +40,13 @@
 	f.propose(f.all[7], randomDocument(100000, 1), 1)
 	f.runUntil(5000, func() bool { return victim.storing })
 	if !victim.storing {
-		t.Fatal("it writes nothing")
+		t.Fatal("the controller stores nothing within 5 s")
 	}
 	f.kill(victim)
 	f.runFor(100)
 	f.start(victim)
 	if victim.replica.Current().Number != 1 {
-		t.Errorf("after the start: %+v", victim.replica.Current())
+		t.Errorf("version in force after the restart: got %+v, want version 1", victim.replica.Current())
 	}
 	f.requireInForceEverywhere(2, 5000)
 }
@@ -69,15 +69,15 @@
 	f.all[1].clockOffset, f.all[10].clockOffset = hour, hour
 	f.proposeCommitted(f.all[10], []byte("three"), 2)
 	f.requireInForceEverywhere(3, 8000)
-	f.all[0].clockOffset, f.all[9].clockOffset = 0, 0 // and back: time stands still for an hour there
+	f.all[0].clockOffset, f.all[9].clockOffset = 0, 0 // back: for an hour their replicas' time stands still
 	f.proposeCommitted(f.all[12], []byte("four"), 3)
 	if f.runUntil(8000, func() bool { return inForce(4, f.all[1:9]) && inForce(4, f.all[10:]) }) < 0 {
-		t.Error("not in force where the clocks are well")
+		t.Error("version 4 is not in force at the controllers whose clocks did not jump back")
 	}
 }
 
-// After a newer version come a summary of an older one, the same again, and one of another document
-// under the same number. They change nothing.
+// A controller receives summaries of an older version, of the version in force, of another document
+// under the same number, and with invalid fields. They change nothing.
 func TestOlderOrContradictingSummaryChangesNothing(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -98,16 +98,17 @@
 		} {
 			c.replica.Receive(f.now, "n003", &Message{Summary: &s})
 			if out := c.replica.Take(); len(out.Messages) != 0 || out.Store != nil || out.Apply != nil {
-				t.Errorf("%s on %+v: %+v", c.id, s, out)
+				t.Errorf("%s on summary %+v: got output %+v, want none", c.id, s, out)
 			}
 		}
 		if c.replica.Counters().Conflicts != 2 || c.replica.Current().Number != 2 {
-			t.Errorf("%s: %+v", c.id, c.replica.Counters())
+			t.Errorf("%s: got %+v, want 2 conflicts and version 2 in force", c.id, c.replica.Counters())
 		}
 	}
 }
 
-// A controller starts on an older copy of its folder. It catches up, and never goes back within a run.
+// A controller starts from an older copy of its folder. It catches up, and its version never
+// decreases within a run.
 func TestOlderCopyOfFolderCatchesUp(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 7)
 	copies := map[*controller]*folder{}
@@ -122,14 +123,15 @@
 		c.folder = copies[c]
 		f.start(c)
 		if c.replica.Current().Number != 1 || c.replica.Readiness().Confirmed {
-			t.Errorf("%s: %+v", c.id, c.replica.Readiness())
+			t.Errorf("%s after its restart on an older folder: got %+v, want version 1, not confirmed",
+				c.id, c.replica.Readiness())
 		}
 	}
 	f.requireInForceEverywhere(3, 5000)
 }
 
-// A newcomer reaches one member alone, which has an older version. It applies that, is not
-// confirmed, and catches up when it reaches the others.
+// A new controller reaches only a member that has an older version. It applies that version and is
+// not confirmed, and catches up when it reaches the others.
 func TestNewcomerWithOldPeerIsNotConfirmed(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 7)
 	old := f.all[6]
@@ -141,23 +143,24 @@
 	f.runFor(60000)
 	ready := newcomer.replica.Readiness()
 	if newcomer.replica.Current().Number != 1 || ready.Confirmed || ready.Number != 1 {
-		t.Errorf("with the old peer alone: %+v", ready)
+		t.Errorf("with only the outdated peer: got %+v, want version 1, not confirmed", ready)
 	}
 	f.partition(f.all, 0)
 	f.requireInForceEverywhere(2, 19000)
 	f.runFor(3000)
 	if ready := newcomer.replica.Readiness(); !ready.Confirmed || ready.Number != 2 || ready.Latest != 2 {
-		t.Errorf("after the heal: %+v", ready)
+		t.Errorf("after the partition has healed: got %+v, want version 2, confirmed", ready)
 	}
 }
 
-// TestNewcomerIsReadySoon: a newcomer has the latest version in force soon, and is confirmed.
+// TestNewcomerIsReadySoon: a new controller has the latest version in force, and is confirmed,
+// within 5 s.
 func TestNewcomerIsReadySoon(t *testing.T) {
 	f := newFleet(t, 1, 30, 5)
 	f.runFor(1000)
 	for _, c := range f.all {
 		if ready := c.replica.Readiness(); !ready.Confirmed || ready.Number != 0 {
-			t.Errorf("%s without any version: %+v", c.id, ready)
+			t.Errorf("%s without any version: got %+v, want version 0, confirmed", c.id, ready)
 		}
 	}
 	f.proposeCommitted(f.all[7], randomDocument(64<<10, 1), 0)
@@ -165,7 +168,8 @@
 	f.start(newcomer)
 	took := f.runUntil(5000, func() bool { return newcomer.replica.Readiness().Confirmed })
 	if took < 0 || newcomer.replica.Current().Number != 1 {
-		t.Errorf("%.0f ms, %+v", took, newcomer.replica.Readiness())
+		t.Errorf("newcomer: confirmed after %.0f ms (below 0: not in time), %+v; want version 1",
+			took, newcomer.replica.Readiness())
 	}
 }
 
@@ -196,35 +200,37 @@
 		if i%10 == 9 {
 			want = 1
 			if s := c.replica.Summary(); s == nil || s.Number != 2 {
-				t.Errorf("%s does not announce it: %+v", c.id, s)
+				t.Errorf("%s rejects version 2: got summary %+v, want one of version 2", c.id, s)
 			}
 			if c.folder.current.Number != 1 {
-				t.Errorf("%s: version %d is to be in force at a start", c.id, c.folder.current.Number)
+				t.Errorf("%s rejects version 2: version %d is stored as the current one, want 1",
+					c.id, c.folder.current.Number)
 			}
 		}
 		if c.replica.Current().Number != want {
-			t.Errorf("%s: version %d", c.id, c.replica.Current().Number)
+			t.Errorf("%s: got version %d in force, want %d", c.id, c.replica.Current().Number, want)
 		}
 	}
 	a, ok := f.query(f.all[30], QueryStatus)
 	if !ok || a.Status.InForce != 54 || len(a.Status.Rejected) != 6 {
-		t.Fatalf("%v, %+v", ok, a.Status)
+		t.Fatalf("status: answered %v, got %+v; want 54 in force and 6 rejected", ok, a.Status)
 	}
 	if rejected := a.Status.Rejected[0]; rejected.Reason != errUnknownField.Error() || rejected.Applied != 1 {
-		t.Fatalf("%v, %+v", ok, a.Status)
+		t.Fatalf("status: answered %v, got %+v; want the check's error as reason and version 1 applied", ok, a.Status)
 	}
 	c := f.all[9]
-	f.kill(c) // at its next start it refuses it again, and is ready with the version before
+	f.kill(c) // at its next start it rejects the version again, and is confirmed with the one before
 	f.start(c)
 	took := f.runUntil(5000, func() bool { return c.replica.Readiness().Confirmed })
 	if took < 0 || c.replica.Current().Number != 1 || c.replica.Readiness().Latest != 2 {
-		t.Errorf("after a start: %+v", c.replica.Readiness())
+		t.Errorf("after a restart: got %+v, want version 1 confirmed, with latest 2", c.replica.Readiness())
 	}
 	f.proposeCommitted(f.all[0], []byte("three"), 2)
 	f.requireInForceEverywhere(3, 5000)
 }
 
-// Two versions come at once, the later of which can't be used here. The earlier one comes into force.
+// Two versions come at once, the later of which can't be used here. The earlier one has to come
+// into force.
 func TestEarlierVersionAppliesIfLaterIsRejected(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 0)
 	c := f.all[7]
@@ -244,12 +250,13 @@
 	f.runUntil(8000, func() bool { return inForce(3, f.all[:7]) })
 	f.runFor(3000)
 	if v := c.replica.Current(); v.Number != 2 || c.folder.current.Number != 2 {
-		t.Errorf("in force: %d, at a start: %d", v.Number, c.folder.current.Number)
+		t.Errorf("got version %d in force and %d stored as the current one, want 2 for both",
+			v.Number, c.folder.current.Number)
 	}
 }
 
-// TestApplyErrorIsRetriedOrRejects: a retryable error of applying a version is tried again, any
-// other rejects the version for good.
+// TestApplyErrorIsRetriedOrRejects: after a retryable error a version is applied again, any other
+// error rejects it permanently.
 func TestApplyErrorIsRetriedOrRejects(t *testing.T) {
 	f := newFleetWithVersion(t, 8, 3, 0)
 	retries, forGood := f.all[6], f.all[7]
@@ -264,21 +271,25 @@
 	f.proposeCommitted(f.all[0], []byte("two"), 1)
 	f.runFor(12000)
 	if tries != 4 || retries.replica.Current().Number != 2 {
-		t.Errorf("%d tries, version %d", tries, retries.replica.Current().Number)
+		t.Errorf("retryable error: got %d attempts and version %d, want 4 and 2",
+			tries, retries.replica.Current().Number)
 	}
 	if forGood.replica.Current().Number != 1 || forGood.folder.current.Number != 1 {
-		t.Errorf("in force %d, at a start %d", forGood.replica.Current().Number, forGood.folder.current.Number)
+		t.Errorf("permanent error: got version %d in force and %d stored as the current one, want 1 for both",
+			forGood.replica.Current().Number, forGood.folder.current.Number)
 	}
 	a, ok := f.query(f.all[5], QueryStatus)
 	if !ok || len(a.Status.Rejected) != 1 || a.Status.Rejected[0].Reason != "needs a restart" {
-		t.Errorf("%v: %+v", ok, a.Status)
+		t.Errorf("status: answered %v, got %+v; want one rejection, for the reason of the permanent error",
+			ok, a.Status)
 	}
 	forGood.applyErr = nil
 	f.proposeCommitted(f.all[0], []byte("three"), 2)
 	f.requireInForceEverywhere(3, 5000)
 }
 
-// The first version of all can't be applied. None is in force at the next start.
+// The very first version can't be applied. No version may be stored as the current one, or it would
+// be in force after a restart.
 func TestFirstVersionRejectedOnApply(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -287,12 +298,12 @@
 	f.proposeCommitted(f.all[0], []byte("one"), 0)
 	f.runFor(3000)
 	if c.folder.current.Number != 0 {
-		t.Errorf("at a start: %+v", c.folder.current)
+		t.Errorf("version stored as the current one: got %+v, want none", c.folder.current)
 	}
 }
 
-// The disk is full. A version does not come into force, is served from memory, reported, and tried
-// again.
+// The disk is full. A version does not come into force, but is served from memory, reported as not
+// stored, and stored once there is space.
 func TestDiskFullVersionIsServedAndRetried(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -302,23 +313,25 @@
 	f.runUntil(5000, func() bool { return inForce(1, f.all[:7]) })
 	f.runFor(11000)
 	if c.replica.Current().Number != 0 || c.replica.Readiness().Confirmed && c.replica.Readiness().Number != 0 {
-		t.Errorf("%+v", c.replica.Readiness())
+		t.Errorf("with a full disk: got %+v, want no version in force", c.replica.Readiness())
 	}
 	a, ok := f.query(f.all[5], QueryStatus)
 	notStored := ok && len(a.Status.Rejected) == 1 &&
 		a.Status.Rejected[0].Reason == "not stored yet: "+errDisk.Error()
 	if !notStored || a.Status.InForce != 7 {
-		t.Errorf("%v: %+v", ok, a.Status)
+		t.Errorf("status: answered %v, got %+v; want 7 in force and one rejection, for the disk's error",
+			ok, a.Status)
 	}
 	c.replica.Receive(f.now, "n006", &Message{Fetch: &Fetch{Hash: v.Hash}})
 	if out := c.replica.Take(); len(out.Messages) != 1 || string(out.Messages[0].Message.Chunk.Data) != "one" {
-		t.Errorf("the document is not served: %+v", out.Messages)
+		t.Errorf("fetch of the document that is not stored: got %+v, want its chunk", out.Messages)
 	}
 	c.diskFull = false
 	f.requireInForceEverywhere(1, maxStoreRetry+1000)
 }
 
-// A source sends corrupt bytes. It is found out and avoided, and the document comes from another.
+// Some sources send corrupt bytes. They are detected and avoided, and the document is fetched from
+// others.
 func TestCorruptSourceIsReplaced(t *testing.T) {
 	for seed := range int64(10) {
 		f := newFleet(t, seed, 40, 5)
@@ -338,8 +351,8 @@
 	}
 }
 
-// The source of a document ends in the middle. The fetch goes on with the chunks that are here,
-// from another source.
+// The source of a document stops during the fetch. The fetch continues from another source, and no
+// chunk is fetched twice.
 func TestFetchGoesOnWithAnotherSource(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -363,12 +376,12 @@
 	}
 	f.requireInForceEverywhere(1, 8000)
 	if got := c.replica.Counters().FetchedBytes; got != MaxDocument {
-		t.Errorf("%d bytes were fetched", got)
+		t.Errorf("got %d fetched bytes, want each chunk fetched once", got)
 	}
 }
 
-// A member announces a version, and nobody has its document. It must not keep real versions from
-// coming.
+// A member announces a version whose document nobody has. It must not prevent later versions from
+// coming into force, although their numbers are lower.
 func TestForgedVersionIsAbandoned(t *testing.T) {
 	f := newFleetWithVersion(t, 20, 3, 0)
 	for _, c := range f.all[1:] {
@@ -389,22 +402,22 @@
 	v := f.proposeCommitted(f.all[0], []byte("one"), 0)
 	voter := f.all[2]
 	f.runUntil(1000, func() bool { return voter.learnedEntries == 1 })
-	// It has the state and no document yet.
+	// The new replica has the state, but not the document.
 	fresh := New(Options{Self: voter.id, Run: 77, Seed: 1}, voter, StoredState{}, f.now)
 	fresh.Take()
 	fresh.Receive(f.now, "n007", &Message{Summary: &Summary{Number: 1, Hash: HashOf([]byte("forged")), Size: 6}})
 	for _, s := range fresh.Take().Messages {
 		if s.Message.Fetch != nil && s.Message.Fetch.Hash != v.Hash {
-			t.Errorf("it fetches %v", s.Message.Fetch)
+			t.Errorf("the voter fetches %v, want only the document of its own state", s.Message.Fetch)
 		}
 	}
 	if fresh.Counters().Conflicts != 1 {
-		t.Errorf("%+v", fresh.Counters())
+		t.Errorf("got %+v, want 1 conflict", fresh.Counters())
 	}
 }
 
-// A forged version is announced to a voter before the voter learns of the real one. The voter turns
-// to the real one at once.
+// A forged version is announced to a voter before the voter learns of the real one. The voter
+// fetches the real one at once.
 func TestVoterCorrectsForgedTarget(t *testing.T) {
 	f := newFleet(t, 1, 8, 3)
 	f.runFor(1000)
@@ -427,10 +440,10 @@
 		f.proposeCommitted(f.all[i], randomDocument(4000+i, int64(i)), uint64(i))
 	}
 	took := f.requireInForceEverywhere(60, 19000)
-	t.Logf("in force at the last %.0f ms after the last was agreed on", took)
+	t.Logf("in force everywhere %.0f ms after the last version was committed", took)
 }
 
-// 223 of 300 controllers are partitioned while versions follow each other, and come back at once.
+// 223 of 300 controllers are partitioned while versions are agreed on, and return at the same time.
 func TestManyControllersComeBack(t *testing.T) {
 	f := newFleet(t, 1, 300, 7)
 	f.runFor(1000)
@@ -441,10 +454,10 @@
 	f.proposeCommitted(f.all[0], randomDocument(16<<10, 3), 2)
 	f.runFor(30000)
 	if !inForce(3, f.all[:77]) || inForce(2, f.all[77:78]) {
-		t.Error("not in force here, or in force there")
+		t.Error("version 3 is not in force on the voters' side, or version 2 is on the other side")
 	}
 	f.partition(f.all, 0)
-	t.Logf("in force at the last %.0f ms after the heal", f.requireInForceEverywhere(3, 19000))
+	t.Logf("in force everywhere %.0f ms after the partition has healed", f.requireInForceEverywhere(3, 19000))
 }
 
 // TestSameSeedSendsSameMessages: simulations can be replayed only if the same seed and events give
@@ -467,11 +480,11 @@
 		return sum
 	}
 	if a, b := trace(), trace(); a != b {
-		t.Errorf("%d and %d", a, b)
+		t.Errorf("the same seed gives the message traces %d and %d, want equal ones", a, b)
 	}
 }
 
-// TestIdleReplicaSendsLittle: without a new version a controller wakes up seldom and sends little.
+// TestIdleReplicaSendsLittle: without a new version a controller sends at most 1000 bytes a second.
 func TestIdleReplicaSendsLittle(t *testing.T) {
 	f := newFleet(t, 1, 100, 7)
 	f.runFor(1000)
@@ -489,9 +502,9 @@
 	for _, c := range f.all {
 		most = max(most, c.sentBytes-perOne[c.id])
 	}
-	t.Logf("%d bytes a second of each on average, %d at most, with summaries on membership messages",
+	t.Logf("%d bytes/s per controller on average, %d bytes/s at most, with summaries on membership messages",
 		(after-before)/100/60, most/60)
 	if most/60 > 1000 {
-		t.Errorf("%d bytes a second", most/60)
+		t.Errorf("got %d bytes/s at one controller, want at most 1000", most/60)
 	}
 }
--- a/internal/core/fleet/config/batches.go
+++ b/internal/core/fleet/config/batches.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// batch is a message with reports to the leader that was not answered yet.
+// batch is a message with reports to the leader that is not acknowledged yet.
 type batch struct {
 	sequence uint64
 	to       members.ID
@@ -14,7 +14,7 @@
 	sentAt   float64 // ms
 }
 
-// markDirty has a report sent to the leader, unless this controller leads.
+// markDirty marks a report to be sent to the leader, unless this controller leads.
 func (r *Replica) markDirty(h *heardReport) {
 	if r.env.Leads() || h.dirty {
 		return
@@ -24,7 +24,7 @@
 	r.reports.flushAt = min(r.reports.flushAt, r.now+relayDelay)
 }
 
-// markDirtySince has all reports sent that were heard within the last so many ms.
+// markDirtySince marks all reports that were heard within a time in ms before now.
 func (r *Replica) markDirtySince(within float64) {
 	for _, h := range r.reports.known {
 		if h.heardAt > r.now-within {
@@ -33,7 +33,7 @@
 	}
 }
 
-// clearDirty records that no report is to be sent.
+// clearDirty unmarks all reports.
 func (r *Replica) clearDirty() {
 	for _, h := range r.reports.known {
 		h.dirty = false
@@ -42,7 +42,8 @@
 	r.reports.flushAt = never
 }
 
-// reportToNewLeader sends all reports to a new leader at once.
+// reportToNewLeader sends all reports to a new leader at once. If this controller is the new
+// leader, it only adds its own.
 func (r *Replica) reportToNewLeader() {
 	r.reports.batches = nil
 	if r.env.Leads() {
@@ -65,7 +66,7 @@
 		r.clearDirty()
 	}
 	if leader == "" || s.dirtyCount == 0 {
-		return // a leader that becomes known is sent all
+		return // once a leader is known, reportToNewLeader sends all reports
 	}
 	ids := make([]members.ID, 0, s.dirtyCount)
 	for id, h := range s.known {
@@ -100,7 +101,7 @@
 	r.send(leader, Message{Reports: &Reports{Sequence: s.sequence, List: list}})
 }
 
-// retryBatches sends reports again that were not acknowledged in time.
+// retryBatches marks reports that were not acknowledged in time to be sent again.
 func (r *Replica) retryBatches() {
 	s := &r.reports
 	s.batches = slices.DeleteFunc(s.batches, func(b batch) bool {
@@ -117,7 +118,7 @@
 	})
 }
 
-// handleReportsReply handles that reports have arrived.
+// handleReportsReply handles the acknowledgement of reports.
 func (r *Replica) handleReportsReply(from members.ID, reply *ReportsReply) {
 	s := &r.reports
 	if s.awaitedSequence != 0 && reply.Sequence == s.awaitedSequence && from == s.awaitedFrom {
--- a/internal/core/fleet/config/candidate.go
+++ b/internal/core/fleet/config/candidate.go
@@ -7,24 +7,24 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Proposals at the leader.
+// Timing of proposals at the leader.
 const (
-	// candidateTimeout is the time in ms after which a candidate that made no progress is dropped;
-	// its origin sends it again.
+	// candidateTimeout is the time in ms after which a candidate that has not ended is dropped; its
+	// origin sends it again.
 	candidateTimeout = 12000.0
-	// catchUpTime is the time in ms after which a leader has applied all that was agreed on before:
-	// else it would not lead any more.
+	// catchUpTime is the time in ms after which a new leader has applied all entries that were agreed
+	// on before its term: one that takes longer no longer leads.
 	catchUpTime = 3000.0
-	// proposeRetry is the time in ms after which a proposal that the quorum did not accept is
-	// repeated.
+	// proposeRetry is the time in ms after which a proposal that the quorum did not accept is made
+	// again.
 	proposeRetry = 200.0
-	// commitTimeout is the time in ms after which a proposal that the quorum accepted and has not
-	// agreed on is repeated.
+	// commitTimeout is the time in ms after which a proposal that the quorum accepted, but has not
+	// committed, is made again.
 	commitTimeout = 2000.0
 )
 
 // errSize rejects a document that does not have the size of its proposal.
-var errSize = errors.New("the document has another size than the proposal")
+var errSize = errors.New("the document's size differs from that in the proposal")
 
 // candidate is a proposal at the leader. Its document is fetched, checked and stored durably by a
 // majority of the voters before the quorum is asked to agree, so that an agreed version can always
@@ -40,8 +40,9 @@
 	proposeAt float64      // ms, when it is proposed to the quorum next
 }
 
-// handlePropose handles another controller's proposal. A member that does not lead does not answer:
-// the origin finds the leader.
+// handlePropose handles another controller's proposal; one that names another origin is ignored. A
+// member that does not lead sends no reply: the origin sends the proposal again to the leader it
+// knows by then.
 func (r *Replica) handlePropose(from members.ID, p Proposal) {
 	if p.Version.ID.Origin != from {
 		return
@@ -49,7 +50,7 @@
 	r.submit(from, p)
 }
 
-// submit answers a proposal at once, or enqueues it.
+// submit replies to a proposal at once if its result is known, and else enqueues it.
 func (r *Replica) submit(origin members.ID, p Proposal) {
 	if !r.env.Leads() || !r.votes() {
 		return
@@ -103,8 +104,8 @@
 	r.send(to, Message{ProposeReply: &reply})
 }
 
-// advanceCandidates works on the first candidate that has its document here. A controller that does
-// not lead drops all: their origins send them to the next leader.
+// advanceCandidates advances the first candidate whose document is here. A controller that does not
+// lead drops all candidates: their origins send them to the next leader.
 func (r *Replica) advanceCandidates() {
 	if !r.env.Leads() || !r.votes() {
 		for _, c := range r.candidates {
@@ -127,9 +128,9 @@
 	}
 }
 
-// fetchProposed has the documents of all candidates fetched, so that one without its document holds
-// up no other. It drops a candidate if its document has not come in time: its origin may have given
-// it up.
+// fetchProposed fetches the documents of all candidates, so that one whose document is missing
+// delays no other. It drops a candidate whose document has not arrived within candidateTimeout, as
+// its origin may have given up.
 func (r *Replica) fetchProposed() {
 	r.candidates = slices.DeleteFunc(r.candidates, func(c *candidate) bool {
 		v := &c.proposal.Version
@@ -158,7 +159,7 @@
 	return r.candidates[0]
 }
 
-// advanceCandidate does the next step of a candidate, and reports whether it has ended.
+// advanceCandidate takes the next step of a candidate, and reports whether it has ended.
 func (r *Replica) advanceCandidate(c *candidate) bool {
 	if r.answerDecided(c.origin, c.proposal) {
 		return true
@@ -192,8 +193,8 @@
 }
 
 // awaitExpected handles a candidate that expects a version which this leader does not know, and
-// reports whether it has ended. A new leader may not have applied all yet, and the proposal may
-// even be agreed on already. Later there is no such version.
+// reports whether it has ended. Until catchUpTime the leader may not have applied all agreed
+// entries, which may even include this proposal. After that, the expected version does not exist.
 func (r *Replica) awaitExpected(c *candidate) bool {
 	if r.now < r.leadsChangedAt+catchUpTime {
 		return false
@@ -206,7 +207,7 @@
 	return true
 }
 
-// checkCandidate reports whether the check of a candidate's document has ended, and why the
+// checkCandidate reports whether the check of a candidate's document has ended, and returns why the
 // document can't be used.
 func (r *Replica) checkCandidate(v *Version, data []byte) (ended bool, err error) {
 	if len(data) != v.Size {
@@ -215,7 +216,7 @@
 	return r.checkResult(v.Hash)
 }
 
-// sendHoldRequests has the voters that have not stored the document yet fetch and store it.
+// sendHoldRequests asks the voters that have not stored the document yet to fetch and store it.
 func (r *Replica) sendHoldRequests(c *candidate) {
 	if r.now < c.holdAt {
 		return
@@ -229,7 +230,7 @@
 	}
 }
 
-// handleHoldReply handles that a voter has stored a document.
+// handleHoldReply records that a voter has stored the document of the first candidate.
 func (r *Replica) handleHoldReply(from members.ID, reply *HoldReply) {
 	if len(r.candidates) == 0 {
 		return
@@ -242,8 +243,8 @@
 	}
 }
 
-// heldByMajority reports whether a majority of the voters has stored the document durably. Then
-// each later majority includes a voter that has it.
+// heldByMajority reports whether a majority of the voters has stored the document durably. Every
+// later majority then includes a voter that has it.
 func (r *Replica) heldByMajority(c *candidate) bool {
 	voters := r.env.Voters()
 	held := 0
@@ -268,7 +269,7 @@
 	}
 }
 
-// nextCandidate returns when a candidate has something due.
+// nextCandidate returns when the next step of a candidate is due.
 func (r *Replica) nextCandidate() float64 {
 	if len(r.candidates) == 0 {
 		return never
--- a/internal/core/fleet/config/checks.go
+++ b/internal/core/fleet/config/checks.go
@@ -1,7 +1,6 @@
 package config
 
-// checks are the checks of documents that a proposal at this leader, or the next version here,
-// needs to pass.
+// checks holds the checks of documents that are proposed to this leader or to be applied next here.
 type checks struct {
 	pending *CheckRequest  // not answered yet
 	results map[Hash]error // of checks that ended; a nil error: the document can be used
@@ -21,7 +20,7 @@
 	return false, nil
 }
 
-// Checked continues after a CheckRequest; an error says why the document can't be used.
+// Checked passes in the result of a CheckRequest; an error says why the document can't be used.
 func (r *Replica) Checked(now float64, h Hash, err error) {
 	r.advanceClock(now)
 	if r.checks.pending == nil || r.checks.pending.Hash != h {
@@ -32,7 +31,7 @@
 	r.process()
 }
 
-// forgetChecks forgets results that neither a proposal nor the next version needs.
+// forgetChecks drops results that neither a candidate nor the next version needs.
 func (r *Replica) forgetChecks() {
 	for h := range r.checks.results {
 		if !r.needsCheckResult(h) {
--- a/internal/core/fleet/config/checks_test.go
+++ b/internal/core/fleet/config/checks_test.go
@@ -17,7 +17,7 @@
 	x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("second")})
 	request := x.replica.Take().Check
 	if request == nil || request.Hash != HashOf([]byte("second")) || string(request.Document) != "second" {
-		t.Fatalf("%+v", request)
+		t.Fatalf("after the document has arrived: got CheckRequest %+v, want one for it", request)
 	}
 	x.replica.Checked(x.now, HashOf([]byte("one")), nil) // of another document
 	for range 20 {
@@ -26,27 +26,27 @@
 		x.replica.Receive(x.now, "n3", &Message{Fetch: &Fetch{Hash: HashOf([]byte("one"))}})
 		out := x.replica.Take()
 		if out.Check != nil || out.Store != nil || out.Apply != nil {
-			t.Fatalf("while the check is under way: %+v", out)
+			t.Fatalf("while the check is pending: got output %+v, want no further request", out)
 		}
 		if len(out.Messages) == 0 {
-			t.Error("no document is served while a check is under way")
+			t.Error("no document is served while a check is pending")
 		}
 	}
 	if x.replica.Summary().Number != 1 {
-		t.Error("a version that was not checked is announced")
+		t.Error("a version is announced before its check has ended")
 	}
 	x.replica.Checked(x.now, request.Hash, nil)
 	if out := x.replica.Take(); out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 2 {
-		t.Fatalf("after the check: %+v", out)
+		t.Fatalf("after the check: got output %+v, want a StoreRequest for version 2", out)
 	}
-	x.replica.Checked(x.now, request.Hash, errors.New("late")) // nobody waits for it
+	x.replica.Checked(x.now, request.Hash, errors.New("late")) // not requested
 	if v, _ := x.replica.Rejected(); v.Number != 0 {
-		t.Errorf("version %d is rejected by a result that nobody waits for", v.Number)
+		t.Errorf("version %d is rejected by a result that was not requested", v.Number)
 	}
 }
 
-// A newer version comes while an older one is checked. The older one is never stored or applied,
-// whether it passes or not, and its result is forgotten.
+// A newer version arrives while an older one is checked. The older one is never stored or applied,
+// whether or not it passes, and its result is dropped.
 func TestNewerVersionReplacesCheckedOne(t *testing.T) {
 	for name, result := range map[string]error{"passes": nil, "fails": errors.New("bad")} {
 		t.Run(name, func(t *testing.T) {
@@ -58,25 +58,25 @@
 			x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(3, "third")})
 			x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("third")})
 			if out := x.replica.Take(); out.Check != nil {
-				t.Fatal("two checks are out")
+				t.Fatal("a second check is requested while one is pending")
 			}
 			x.replica.Checked(x.now, older.Hash, result)
 			out := x.answerCheck(t)
 			if out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 3 {
-				t.Errorf("after both checks: %+v", out.Store)
+				t.Errorf("after both checks: got StoreRequest %+v, want one for version 3", out.Store)
 			}
 			if v, _ := x.replica.Rejected(); v.Number != 0 {
-				t.Errorf("version %d is rejected although a newer one is aimed at", v.Number)
+				t.Errorf("version %d is rejected although a newer one replaced it, want no rejection", v.Number)
 			}
 			if len(x.replica.checks.results) != 0 {
-				t.Errorf("%d results are remembered", len(x.replica.checks.results))
+				t.Errorf("got %d check results kept, want none", len(x.replica.checks.results))
 			}
 		})
 	}
 }
 
 // A leader loses the lead while it checks a proposal. It must not propose it, and a result that
-// comes then changes nothing. When it leads again the proposal is checked anew.
+// comes then changes nothing. When it leads again, a repeated proposal is checked again.
 func TestLeaderLostDuringCheckProposesNothing(t *testing.T) {
 	one := []byte("one")
 	v := Version{Number: 1, Hash: HashOf(one), Size: len(one)}
@@ -95,25 +95,25 @@
 	}
 	request := propose()
 	if request == nil || request.Hash != p.Version.Hash {
-		t.Fatalf("%+v", request)
+		t.Fatalf("after the proposal: got CheckRequest %+v, want one for its document", request)
 	}
 	x.env.leads = false
 	x.replica.QuorumChanged(x.now)
 	x.replica.Checked(x.now, request.Hash, errors.New("bad"))
 	for _, s := range x.replica.Take().Messages {
 		if s.Message.ProposeReply != nil || s.Message.Hold != nil {
-			t.Errorf("a former leader sends %+v", s.Message)
+			t.Errorf("a former leader sends %+v, want no reply and no hold", s.Message)
 		}
 	}
 	x.env.leads = true
 	x.replica.QuorumChanged(x.now)
 	if again := propose(); again == nil || again.Hash != request.Hash {
-		t.Errorf("when it leads again: %+v", again)
+		t.Errorf("proposed again to the same leader: got CheckRequest %+v, want one for its document", again)
 	}
 }
 
-// Every check takes two seconds. Versions come into force everywhere all the same, in their order,
-// and a document that can't be used is rejected to its author.
+// Every check takes two seconds. Versions still come into force everywhere, in their order, and a
+// document that can't be used is rejected.
 func TestSlowChecksKeepOrder(t *testing.T) {
 	f := newFleet(t, 1, 9, 3)
 	for _, c := range f.all {
@@ -124,7 +124,7 @@
 		document := randomDocument(5000, int64(number))
 		ref := f.propose(f.all[5], document, number-1)
 		if o := f.awaitResult(f.all[5], ref); o.Result != Committed || o.Version.Number != number {
-			t.Fatalf("%+v", o)
+			t.Fatalf("proposal: got %+v, want Committed as the next version", o)
 		}
 		took := f.runUntil(19000, func() bool {
 			for _, c := range f.all {
@@ -140,13 +140,13 @@
 	}
 	ref := f.propose(f.all[5], []byte("nonsense"), 3)
 	if o := f.awaitResult(f.all[5], ref); o.Result != Rejected {
-		t.Errorf("%+v", o)
+		t.Errorf("unusable document: got %+v, want Rejected", o)
 	}
 }
 
 // Many proposals arrive, and their origins end before the leader has their documents, as after a
-// pause of the leader. They must hold up no proposal that has its document, and are dropped in
-// time.
+// pause of the leader. They must not delay a proposal whose document is there, and are dropped
+// after candidateTimeout.
 func TestCandidatesWithoutDocumentHoldUpNoOther(t *testing.T) {
 	f := newFleet(t, 3, 12, 3)
 	f.runFor(3000)
@@ -160,17 +160,17 @@
 	}
 	f.runFor(200)
 	if len(leader.replica.candidates) != len(gone) {
-		t.Fatalf("%d proposals wait", len(leader.replica.candidates))
+		t.Fatalf("got %d candidates at the leader, want one per stopped origin", len(leader.replica.candidates))
 	}
 	author := f.all[10]
 	ref := f.propose(author, randomDocument(3000, 100), 0)
 	const within = 3000.0
 	took := f.runUntil(within, func() bool { return author.results[ref].Result == Committed })
 	if took < 0 {
-		t.Errorf("not agreed on within %.0f ms: %+v", within, author.results[ref])
+		t.Errorf("proposal with its document: not committed within %.0f ms: %+v", within, author.results[ref])
 	}
 	f.runFor(candidateTimeout + 5000)
 	if n := len(leader.replica.candidates); n != 0 {
-		t.Errorf("%d proposals are still at the leader", n)
+		t.Errorf("got %d candidates at the leader after their timeout, want none", n)
 	}
 }
--- a/internal/core/fleet/config/describe.go
+++ b/internal/core/fleet/config/describe.go
@@ -8,7 +8,8 @@
 	return len(v.Author) <= MaxAuthor && len(v.Reason) <= MaxReason && len(v.ID.Origin) <= maxIDBytes
 }
 
-// addDescription adds a description of this version, or of the proposal that it came from.
+// addDescription fills in author, reason, time and origin from a description of this version or of
+// the proposal that it came from.
 func (v *Version) addDescription(description *Version) {
 	if description == nil || v.isDescribed() {
 		return
@@ -24,8 +25,8 @@
 }
 
 // findDescription returns what is known here of the version of a document; nil: nothing. Summaries
-// have no author and reason, so it comes with the document. Its Number is 0 if it is known from a
-// proposal.
+// have no author and reason, so the description is sent with the document. Its Number is 0 if it
+// comes from a proposal.
 func (r *Replica) findDescription(hash Hash) *Version {
 	known := []Version{r.newest, r.target, r.application.current}
 	for _, p := range r.proposals {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// addVersionTo adds what is known of its version to the first chunk of a document.
+// addVersionTo adds the description of a document's version, if known, to its first chunk.
 func (r *Replica) addVersionTo(c *Chunk) {
 	if c.Offset == 0 {
 		c.Version = r.findDescription(c.Hash)
@@ -55,7 +56,7 @@
 }
 
 // addDescription adds the description of a version that a member sent. It is for operators alone:
-// nothing is decided by it.
+// no decision depends on it.
 func (r *Replica) addDescription(description *Version) {
 	if description == nil || !description.hasBoundedText() {
 		return
--- a/internal/core/fleet/config/describe_test.go
+++ b/internal/core/fleet/config/describe_test.go
@@ -8,8 +8,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// TestAllLearnAuthorAndReason: voters, other controllers and the proposer, whether it hears of the
-// version or of its proposal's end first.
+// TestAllLearnAuthorAndReason: voters, other controllers and the proposer learn the author and
+// reason, whether the proposer first learns of the version or of its proposal's result.
 func TestAllLearnAuthorAndReason(t *testing.T) {
 	for seed := range int64(20) {
 		f := newFleet(t, seed, 20, 3)
@@ -18,7 +18,7 @@
 		f.requireInForceEverywhere(1, 5000)
 		for _, c := range f.all {
 			if v := c.replica.Current(); v.Author != "operator" || v.Reason != "test" || v.Time == 0 {
-				t.Errorf("seed %d: %s has %+v in force", seed, c.id, v)
+				t.Errorf("seed %d: %s has version %+v in force, want one with author, reason and time", seed, c.id, v)
 			}
 		}
 	}
@@ -52,13 +52,13 @@
 		x.replica.Receive(1, "n1", &Message{Summary: &s})
 		sends := x.replica.Take().Messages
 		if !slices.ContainsFunc(sends, func(m Envelope) bool { return m.To == "n1" && m.Message.Fetch != nil }) {
-			t.Fatalf("%s: nothing is fetched: %+v", name, sends)
+			t.Fatalf("%s: got messages %+v, want a fetch from n1", name, sends)
 		}
 		chunk := &Chunk{Hash: s.Hash, Total: s.Size, Data: document, Version: &description}
 		x.replica.Receive(2, "n1", &Message{Chunk: chunk})
 		v := x.replica.newest
 		if v.summary() != s || v.isDescribed() != c.taken || c.taken && v.Author != description.Author {
-			t.Errorf("%s: %+v", name, v)
+			t.Errorf("%s: got version %+v, want the announced one, described only if the description is valid", name, v)
 		}
 	}
 }
--- a/internal/core/fleet/config/doc.go
+++ b/internal/core/fleet/config/doc.go
@@ -1,5 +1,5 @@
 // Package config distributes one configuration document to a fleet of controllers, and reports
-// where which version is in force.
+// which version is in force at which controller.
 //
 // The quorum agrees on numbered versions, each the hash of a whole document. Documents are stored
 // by hash, fetched in chunks from any member that has them, checked, stored durably, and only then
@@ -19,21 +19,22 @@
 //     removed; the result is passed to [Replica.Stored].
 //   - Apply: the version is taken into use; the result is passed to [Replica.Applied]. It comes
 //     only after its version passed the check and was stored as the current one, so a controller
-//     that restarts goes on with it.
+//     that restarts continues with it.
 //   - Messages may be sent at once, and may be lost.
 //
 // At most one of each of Check, Store and Apply is pending. [Replica.Tick] is called when
 // [Replica.Next] is reached, and [Replica.QuorumChanged] when the quorum's state, its leader or
-// this controller's role in it may have changed. Times are in ms of a steady clock that only the
-// caller reads. Random draws come from Options.Seed.
+// this controller's role in it may have changed. Times are in ms of a monotonic clock that only the
+// caller reads. Random choices come from a generator with the seed Options.Seed.
 //
 // # Safety
 //
 // A proposal enters the quorum's log only when a majority of the voters store its document durably,
-// so an agreed version can always be fetched. The version in force at a controller never goes back.
-// A member is authenticated, but not trusted with content: a document counts only if it matches its
-// hash, and a voter believes no number that contradicts its own state. What peers can make a
-// replica hold is bounded by the constants of each file and of limits.go.
+// so an agreed version can always be fetched. The version in force at a controller never decreases
+// while the controller runs. A member is authenticated, but not trusted with content: a document
+// counts only if it matches its hash, and a voter rejects an announced version that contradicts its
+// own state. The memory that peers can make a replica use is bounded by the constants of each file
+// and of limits.go.
 //
 // # Files
 //
--- a/internal/core/fleet/config/documents.go
+++ b/internal/core/fleet/config/documents.go
@@ -16,8 +16,8 @@
 	documents map[Hash]*document
 }
 
-// newDocumentStore begins with the documents of a folder. One that does not match its hash is left
-// out.
+// newDocumentStore returns a store of the documents of a folder, without those that do not match
+// their hash.
 func newDocumentStore(stored map[Hash][]byte) documentStore {
 	s := documentStore{documents: map[Hash]*document{}}
 	for h, data := range stored {
@@ -28,7 +28,7 @@
 	return s
 }
 
-// get returns a document; nil: it is not here.
+// get returns a document, or nil if it is not here.
 func (s *documentStore) get(h Hash) []byte {
 	if d := s.documents[h]; d != nil {
 		return d.data
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// isStored reports whether a document is here durably.
+// isStored reports whether a document is durable here.
 func (s *documentStore) isStored(h Hash) bool {
 	d := s.documents[h]
 	return d != nil && d.stored
@@ -67,12 +67,12 @@
 	return hashes
 }
 
-// forgetUnstored forgets documents that are in memory alone and not needed.
+// forgetUnstored drops documents that are only in memory and not needed.
 func (s *documentStore) forgetUnstored(needed map[Hash]bool) {
 	maps.DeleteFunc(s.documents, func(h Hash, d *document) bool { return !d.stored && !needed[h] })
 }
 
-// hasUnstored reports whether a document is in memory alone.
+// hasUnstored reports whether any document is only in memory.
 func (s *documentStore) hasUnstored() bool {
 	for _, d := range s.documents {
 		if !d.stored {
--- a/internal/core/fleet/config/environment.go
+++ b/internal/core/fleet/config/environment.go
@@ -2,20 +2,21 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Options are what a replica is given when its process starts.
+// Options identify a replica and one run of its process.
 type Options struct {
 	Self members.ID
 	Run  uint64 // a random number drawn when the process starts
-	Seed int64  // of all random draws
+	Seed int64  // of the generator for all random choices
 }
 
-// StoredState is what a controller's folder holds of an earlier run.
+// StoredState is what an earlier run left in the controller's folder.
 type StoredState struct {
 	Current   Version         // the version to be in force at the start; Number 0: none
 	Documents map[Hash][]byte // all that are stored, that of Current among them
 }
 
-// Environment is what a replica asks of the node around it. The answers are those of this moment.
+// Environment gives a replica access to the node that runs it. Each method returns the state at the
+// time of the call.
 type Environment interface {
 	// Members returns all known members, this controller among them.
 	Members() []members.Member
@@ -27,9 +28,10 @@
 	Leader() members.ID
 	// Leads reports whether this controller leads the quorum.
 	Leads() bool
-	// Voting reports whether this controller is a voter and its State counts.
+	// Voting reports whether this controller votes in the quorum, so that its State can be relied on.
+	// A voter that is not ready to vote yet is one of Voters, and Voting is false.
 	Voting() bool
-	// State returns what the quorum agreed on, if Voting.
+	// State returns the agreed versions. It is meaningful only if Voting.
 	State() *State
 	// Propose proposes to the quorum, if this controller leads it; false: the proposal was not
 	// accepted.
--- a/internal/core/fleet/config/fetch.go
+++ b/internal/core/fleet/config/fetch.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// How documents are fetched.
+// Timeouts and bounds of fetches.
 const (
 	// maxChunkRequests bounds the chunks of a document that are requested at a time.
 	maxChunkRequests = 4
@@ -15,19 +15,18 @@
 	chunkTimeout = 500.0
 	// sourceInterval is the time in ms between two searches for a source while there is none.
 	sourceInterval = 300.0
-	// missingTime is for how long in ms a member that did not have the document is not asked.
+	// missingTime is the time in ms for which a member that did not have the document is not asked.
 	missingTime = 1000.0
-	// avoidTime is for how long in ms a member that sent wrong bytes is not asked.
+	// avoidTime is the time in ms for which a member that sent wrong bytes is not asked.
 	avoidTime = 10000.0
-	// avoidOnlySourceTime is for how long in ms such a member is not asked if no other has the
-	// document.
+	// avoidOnlySourceTime is that time if no other member has the document.
 	avoidOnlySourceTime = 1000.0
 	// maxSources bounds the sources of a document.
 	maxSources = 16
-	// maxExcluded bounds the members that are remembered as not to be asked.
+	// maxExcluded bounds each list of members that are not to be asked.
 	maxExcluded = 64
-	// maxDownloads has room for what each purpose may want at a time: proposals, holds and lookups
-	// by their bounds, the version to be applied, and one of the history.
+	// maxDownloads is the sum of what each purpose may need at a time: proposals, holds and lookups by
+	// their bounds, the version to be applied, and one of the history.
 	maxDownloads = MaxProposals + 1 + maxHolds + maxLookups + 2
 )
 
@@ -41,8 +40,8 @@
 	return nil
 }
 
-// fetch begins to fetch a document, or adds a purpose and sources to a download. Size 0: it is not
-// known.
+// fetch starts the download of a document, or adds a purpose and sources to it. A size of 0 is
+// unknown.
 func (r *Replica) fetch(h Hash, size int, added purpose, sources ...members.ID) {
 	d := r.findDownload(h)
 	if d == nil {
@@ -68,7 +67,7 @@
 	}
 }
 
-// releaseFetch ends one purpose of a download. Without any the download ends.
+// releaseFetch removes a purpose from a download. A download without a purpose ends.
 func (r *Replica) releaseFetch(h Hash, ended purpose) {
 	d := r.findDownload(h)
 	if d == nil {
@@ -85,7 +84,8 @@
 	r.downloads = slices.DeleteFunc(r.downloads, func(x *download) bool { return x == d })
 }
 
-// runDownloads requests the chunks that are to be requested next.
+// runDownloads starts the download of the target if its document is missing, and requests the next
+// chunks of all downloads.
 func (r *Replica) runDownloads() {
 	missing := r.target.Number > r.newest.Number && r.documents.get(r.target.Hash) == nil
 	if missing && r.findDownload(r.target.Hash) == nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-// runDownload requests the next chunks of a document. The size of one that was only named by its
-// hash comes with the first chunk.
+// runDownload requests the next chunks of a document. If its size is unknown, as for a document
+// named only by its hash, only the first chunk is requested, which gives the size.
 func (r *Replica) runDownload(d *download) {
 	if d.source == "" || r.excluded(d, d.source) && d.source != r.avoidedSource(d) {
 		if r.now < d.chooseSourceAt {
@@ -126,14 +126,14 @@
 	}
 }
 
-// requestChunk requests one chunk of the current source.
+// requestChunk requests one chunk from the current source.
 func (r *Replica) requestChunk(d *download, index int) {
 	d.requests = append(d.requests, chunkRequest{index: index, sentAt: r.now})
 	r.send(d.source, Message{Fetch: &Fetch{Hash: d.hash, Offset: index * ChunkBytes}})
 }
 
-// tickDownloads changes the source of chunks that did not come in time, and ends downloads that
-// stall.
+// tickDownloads changes the source of downloads with a chunk that timed out, and handles downloads
+// that stall.
 func (r *Replica) tickDownloads() {
 	for _, d := range slices.Clone(r.downloads) {
 		timedOut := func(request chunkRequest) bool { return r.now >= request.sentAt+chunkTimeout }
@@ -147,8 +147,9 @@
 	}
 }
 
-// handleStall gives up a document of which no chunk came for a while, unless a proposal, a hold or
-// a lookup waits for just this one.
+// handleStall gives up a document of which no chunk has arrived within stallTimeout, if it is the
+// target or an older version's. Proposals, holds and lookups need this very document, and have
+// timeouts of their own.
 func (r *Replica) handleStall(d *download) {
 	if d.purposes&forApplication != 0 && d.hash == r.target.Hash {
 		r.abandon(slices.Clone(d.sources))
@@ -198,7 +199,8 @@
 	}
 }
 
-// handleMissing handles that a member does not have a document.
+// handleMissing records that a member does not have a document, and changes the source if it was
+// that member.
 func (r *Replica) handleMissing(d *download, from members.ID) {
 	if len(d.missingUntil) < maxExcluded || d.missingUntil[from] != 0 {
 		d.missingUntil[from] = r.now + missingTime
@@ -211,8 +213,8 @@
 	r.handleLookupMissing(d.hash, from)
 }
 
-// completeDownload verifies a document of which all chunks are here. One that does not match its
-// hash is dropped, and the members that sent chunks of it are avoided for a while.
+// completeDownload verifies a document of which all chunks have arrived. One that does not match
+// its hash is dropped, and the members that sent chunks of it are avoided for a while.
 func (r *Replica) completeDownload(d *download) {
 	data := slices.Concat(d.chunks...)
 	if HashOf(data) == d.hash {
@@ -228,13 +230,13 @@
 	d.contributors = nil
 	d.changeSource()
 	d.setSize(d.size)
-	if d.purposes&^forLookup == 0 { // the size came from the source alone
+	if d.purposes&^forLookup == 0 { // only the source told the size
 		d.size = 0
 		d.chunks = nil
 	}
 }
 
-// nextDownload returns when a download has something due.
+// nextDownload returns when the next step of a download is due.
 func (r *Replica) nextDownload() float64 {
 	next := never
 	for _, d := range r.downloads {
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -18,8 +18,8 @@
 // Times of the simulation, in ms.
 const (
 	gossipInterval = 1000.0 // between two exchanges of membership, which carry summaries
-	deadAfter      = 6000.0 // until a member that is down is believed to be gone
-	aliveAfter     = 300.0  // until a member that came back is believed to be alive
+	deadAfter      = 6000.0 // until a member that is down is seen as dead
+	aliveAfter     = 300.0  // until a restarted member is seen as alive
 	leaderAfter    = 200.0  // until others know a new leader
 	voteAfter      = 800.0  // until a voter that restarted votes
 	commitAfter    = 15.0   // until the quorum agrees on a proposal
@@ -29,7 +29,7 @@
 type folder struct {
 	current     Version
 	documents   map[Hash][]byte
-	lastApplied uint64 // by any run on this folder, to check that it never goes back
+	lastApplied uint64 // by any run with this folder, to check that it never decreases
 }
 
 func (f *folder) copy() *folder {
@@ -46,13 +46,13 @@
 	up        bool
 	changedAt float64 // when it last went up or down
 	left      bool
-	partition int // controllers of different sides don't hear each other
+	partition int // controllers in different partitions don't reach each other
 	tickAt    float64
 
 	voter          bool
 	votesAt        float64
-	state          State // what this voter has learnt of the quorum's log
-	learnedEntries int   // entries of the log
+	state          State // what this voter has applied of the quorum's log
+	learnedEntries int   // how many entries of the log state includes
 
 	checking       bool
 	storing        bool
@@ -62,8 +62,8 @@
 	applyErr       func(v Version) (err error, retryable bool)
 	corrupt        bool // it sends chunks with wrong bytes
 	delay          float64
-	extraCheckTime float64 // that a check takes beside the usual
-	clockOffset    float64 // of its clock
+	extraCheckTime float64 // ms that a check takes longer than usual
+	clockOffset    float64 // ms that its clock is ahead
 
 	runApplied map[uint64]uint64 // by run, the version in force
 	appliedAt  map[uint64]float64
@@ -90,7 +90,7 @@
 	log             []Proposal
 	agreed          State
 	leader          members.ID
-	previousLeader  members.ID // the leader before
+	previousLeader  members.ID // leader before the last change
 	leaderChangedAt float64
 	lossRate        float64
 	partitionedAt   float64
@@ -102,7 +102,7 @@
 	violation string
 }
 
-// newFleet starts controllers of which the first few vote.
+// newFleet starts size controllers, of which the first ones are voters.
 func newFleet(t testing.TB, seed int64, size, voters int) *fleet {
 	f := &fleet{t: t, rng: rand.New(rand.NewSource(seed)), byID: map[members.ID]*controller{}}
 	for i := range size {
@@ -129,7 +129,7 @@
 	return c
 }
 
-// start runs a controller from its folder.
+// start starts a controller from its folder.
 func (f *fleet) start(c *controller) {
 	f.lastRun++
 	c.run, c.up, c.changedAt = f.lastRun, true, f.now
@@ -149,7 +149,7 @@
 	f.carryOut(c)
 }
 
-// kill ends a controller; what it had not stored is lost.
+// kill stops a controller. What it had not stored is lost.
 func (f *fleet) kill(c *controller) {
 	c.up, c.changedAt = false, f.now
 	if f.leader == c.id {
@@ -190,8 +190,8 @@
 	f.now = until
 }
 
-// runUntil advances the time until a condition holds, and returns how long that took; below 0: it
-// does not hold in time.
+// runUntil advances the time until a condition holds, and returns how long that took in ms, or -1
+// if it does not hold within the limit.
 func (f *fleet) runUntil(limit float64, holds func() bool) float64 {
 	began := f.now
 	for !holds() {
@@ -210,7 +210,7 @@
 	}
 }
 
-// gossip delivers summaries as membership messages do.
+// gossip exchanges summaries with a random controller, as membership messages do, and repeats that.
 func (f *fleet) gossip(c *controller, run uint64) {
 	if !c.up || c.run != run {
 		return
@@ -225,7 +225,7 @@
 	})
 }
 
-// carryOut carries out what a replica asks for, and schedules its next tick.
+// carryOut carries out a replica's output, and schedules its next tick.
 func (f *fleet) carryOut(c *controller) {
 	out := c.replica.Take()
 	for _, s := range out.Messages {
@@ -244,7 +244,7 @@
 	}
 	for _, o := range out.ProposalResults {
 		if _, twice := c.results[o.Ref]; twice {
-			f.reportViolation("%s: two outcomes of proposal %d", c.id, o.Ref)
+			f.reportViolation("%s: proposal %d has two results", c.id, o.Ref)
 		}
 		c.results[o.Ref] = o
 	}
@@ -257,7 +257,7 @@
 	for _, d := range out.DocumentResults {
 		c.documents[d.Ref] = d
 		if d.Document != nil && HashOf(d.Document) != d.Hash {
-			f.reportViolation("%s: a document that does not match its hash", c.id)
+			f.reportViolation("%s: FetchDocument returns a document that does not match its hash", c.id)
 		}
 	}
 	f.scheduleTick(c)
@@ -275,7 +275,7 @@
 			c.tickAt = 0
 			c.replica.Tick(c.clock())
 			if next := c.replica.Next(); next <= c.clock() {
-				f.reportViolation("%s wants to wake up at once again", c.id)
+				f.reportViolation("%s: Next is due again right after Tick", c.id)
 			}
 			f.carryOut(c)
 		} else if c.up && c.run == run && c.tickAt <= f.now {
@@ -286,7 +286,8 @@
 
 func (f *fleet) connected(a, b *controller) bool { return a.up && b.up && a.partition == b.partition }
 
-// deliver delivers a message through its encoding.
+// deliver encodes a message, and has it received and decoded after a random delay, unless it is
+// lost.
 func (f *fleet) deliver(from, to *controller, m Message, then func()) {
 	if m == (Message{}) {
 		return
@@ -329,10 +330,10 @@
 
 var errDisk = errors.New("no space left on device")
 
-// checkLater checks a document a little later.
+// checkLater checks a document after a random delay.
 func (f *fleet) checkLater(c *controller, request *CheckRequest) {
 	if c.checking {
-		f.reportViolation("%s: two CheckRequests are out", c.id)
+		f.reportViolation("%s: a CheckRequest is made while one is pending", c.id)
 	}
 	if HashOf(request.Document) != request.Hash {
 		f.reportViolation("%s checks a document that does not match its hash", c.id)
@@ -349,10 +350,10 @@
 	})
 }
 
-// storeLater writes to the folder a little later.
+// storeLater writes to the folder after a random delay.
 func (f *fleet) storeLater(c *controller, request *StoreRequest) {
 	if c.storing {
-		f.reportViolation("%s: two StoreRequests are out", c.id)
+		f.reportViolation("%s: a StoreRequest is made while one is pending", c.id)
 	}
 	c.storing = true
 	run := c.run
@@ -385,13 +386,13 @@
 	}
 	if v := request.Current; v != nil {
 		if v.Number > 0 && c.folder.documents[v.Hash] == nil {
-			f.reportViolation("%s: version %d is current and its document is not stored", c.id, v.Number)
+			f.reportViolation("%s: version %d becomes the current one while its document is not stored", c.id, v.Number)
 		}
 		c.folder.current = *v
 	}
 	for _, h := range request.Remove {
 		if h == c.folder.current.Hash {
-			f.reportViolation("%s removes the document that is in force at a start", c.id)
+			f.reportViolation("%s removes the document of the version to be in force after a restart", c.id)
 		}
 		delete(c.folder.documents, h)
 	}
@@ -400,18 +401,18 @@
 		bytes += len(d)
 	}
 	if bytes > MaxStored+(MaxProposals+4)*MaxDocument {
-		f.reportViolation("%s stores %d bytes", c.id, bytes)
+		f.reportViolation("%s stores %d bytes of documents, which exceeds the bound", c.id, bytes)
 	}
 	return nil
 }
 
-// applyLater takes a version into use a little later.
+// applyLater applies a version after a random delay.
 func (f *fleet) applyLater(c *controller, request *ApplyRequest) {
 	if c.applying {
-		f.reportViolation("%s: two ApplyRequests are out", c.id)
+		f.reportViolation("%s: an ApplyRequest is made while one is pending", c.id)
 	}
 	if c.folder.current.Number != request.Version.Number {
-		f.reportViolation("%s applies version %d while %d is to be in force at a start",
+		f.reportViolation("%s applies version %d while version %d is stored as the current one",
 			c.id, request.Version.Number, c.folder.current.Number)
 	}
 	c.applying = true
@@ -434,19 +435,20 @@
 	})
 }
 
-// recordApplied checks that versions never go back, and that each is the one that was agreed on.
+// recordApplied checks that an applied version is later than those before and the one that was
+// committed.
 func (f *fleet) recordApplied(c *controller, v Version, document []byte) {
 	if HashOf(document) != v.Hash {
 		f.reportViolation("%s applies a document that does not match the hash of version %d", c.id, v.Number)
 	}
 	if v.Number == 0 || v.Number > uint64(len(f.history())) || f.history()[v.Number-1] != v.Hash {
-		f.reportViolation("%s applies version %d with a document that was not agreed on", c.id, v.Number)
+		f.reportViolation("%s applies version %d with a document that was not committed", c.id, v.Number)
 	}
 	if before := c.runApplied[c.run]; v.Number <= before {
-		f.reportViolation("%s goes from version %d to %d", c.id, before, v.Number)
+		f.reportViolation("%s goes from version %d to %d within one run", c.id, before, v.Number)
 	}
 	if v.Number < c.folder.lastApplied {
-		f.reportViolation("%s goes from version %d to %d on one folder", c.id, c.folder.lastApplied, v.Number)
+		f.reportViolation("%s goes from version %d to %d on the same folder", c.id, c.folder.lastApplied, v.Number)
 	}
 	c.folder.lastApplied = v.Number
 	c.runApplied[c.run] = v.Number
@@ -455,7 +457,7 @@
 	}
 }
 
-// history returns the hashes of all versions by the log.
+// history returns the hashes of all versions, as computed from the log.
 func (f *fleet) history() (hashes []Hash) {
 	seen := map[ProposalID]bool{}
 	for _, p := range f.log {
@@ -467,7 +469,7 @@
 	return hashes
 }
 
-// verifyStatus compares a status with what the controllers did.
+// verifyStatus compares a status with the versions that the controllers applied.
 func (f *fleet) verifyStatus(leader *controller, s *Status) {
 	inForce, count := 0, 0
 	for _, m := range f.view(leader) {
@@ -480,35 +482,37 @@
 		}
 	}
 	if s.Members > count || s.InForce > inForce {
-		f.reportViolation("the status has %d of %d, and it is in force at %d of %d", s.InForce, s.Members, inForce, count)
+		f.reportViolation("status: got %d of %d members in force, want at most %d of %d",
+			s.InForce, s.Members, inForce, count)
 	}
 	listed := len(s.Rejected) + len(s.Behind) + len(s.Unreachable) + s.Omitted
 	if s.Latest.Number > 0 && s.InForce+listed != s.Members {
-		f.reportViolation("status lists %d and %d of %d: %+v", s.InForce, listed, s.Members, s)
+		f.reportViolation("status: %d members in force and %d listed, want %d in total: %+v",
+			s.InForce, listed, s.Members, s)
 	}
 	sum := 0
 	for _, n := range s.ByVersion {
 		sum += n
 	}
 	if sum > s.Members {
-		f.reportViolation("status counts %d of %d members", sum, s.Members)
+		f.reportViolation("status: %d members counted by version, want at most %d", sum, s.Members)
 	}
 	seen := map[members.ID]bool{}
 	for _, list := range [][]ControllerReport{s.Rejected, s.Behind, s.Unreachable} {
 		if len(list) > MaxListed {
-			f.reportViolation("a list of %d", len(list))
+			f.reportViolation("status: a list has %d entries, want at most MaxListed", len(list))
 		}
 		for _, c := range list {
 			if seen[c.ID] {
-				f.reportViolation("%s is listed twice", c.ID)
+				f.reportViolation("status: %s is listed twice", c.ID)
 			}
 			seen[c.ID] = true
 		}
 	}
 }
 
-// proposeToQuorum simulates the quorum: a proposal is agreed on a little later if its leader still leads
-// with a majority, and sometimes if it does not.
+// proposeToQuorum simulates the quorum: a proposal is committed after commitAfter if its leader
+// still leads with a majority, and in half of the other cases too.
 func (f *fleet) proposeToQuorum(c *controller, p Proposal) bool {
 	if f.leader != c.id || !f.majority(c) {
 		return false
@@ -536,7 +540,8 @@
 		}
 	}
 	if 2*holds <= len(f.voters) {
-		f.reportViolation("a proposal is made whose document %d of %d voters hold", holds, len(f.voters))
+		f.reportViolation("a proposal is made while %d of %d voters hold its document, want a majority",
+			holds, len(f.voters))
 	}
 }
 
@@ -550,7 +555,7 @@
 	return 2*count > len(f.voters)
 }
 
-// learnAgreedLater has a voter learn a little later what was agreed on.
+// learnAgreedLater has a voter apply the committed entries after a random delay.
 func (f *fleet) learnAgreedLater(c *controller) {
 	run := c.run
 	f.after(2+f.rng.Float64()*60, func() {
@@ -569,7 +574,7 @@
 	})
 }
 
-// partition partitions some controllers from the rest.
+// partition moves some controllers to a partition.
 func (f *fleet) partition(controllers []*controller, side int) {
 	f.partitionedAt = f.now
 	for _, c := range controllers {
@@ -577,7 +582,7 @@
 	}
 }
 
-// view returns what a controller believes of all.
+// view returns all members as a controller sees them.
 func (f *fleet) view(c *controller) (list []members.Member) {
 	for _, m := range f.all {
 		if known, ok := f.memberAsSeenBy(c, m); ok {
--- a/internal/core/fleet/config/history.go
+++ b/internal/core/fleet/config/history.go
@@ -1,21 +1,21 @@
 package config
 
-// Documents of older versions.
+// Timing of the search for documents of older versions.
 const (
 	// historyInterval is the time in ms between two searches for older documents that a voter lacks.
 	historyInterval = 5000.0
 	// historyRetry is the time in ms until the next search after no member sent the document.
 	historyRetry = 60000.0
-	// historyStartDelay is the time in ms after the start before which none is fetched.
+	// historyStartDelay is the time in ms after the start in which no older document is fetched.
 	historyStartDelay = 5000.0
 )
 
-// historySearch is how far a voter is with documents of older versions that it lacks, as one that
-// joined late does.
+// historySearch is the state of a voter's search for documents of older versions that it lacks, for
+// example because it joined late.
 type historySearch struct {
-	nextAt        float64 // ms, when it searches next
-	checkedNewest uint64  // the newest number at the last search
-	complete      bool    // no document was missing then
+	nextAt        float64 // ms, when the next search is due
+	checkedNewest uint64  // the newest version's number at the last search
+	complete      bool    // the last search found no document missing
 }
 
 // fetchHistory fetches a document of an older version that this voter should have, one at a time,
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -8,13 +8,13 @@
 )
 
 var (
-	histories    = flag.Int("histories", 30, "drawn histories of faults that TestDrawnHistories runs")
-	firstHistory = flag.Int64("first-history", 0, "the seed of the first one")
+	histories    = flag.Int("histories", 30, "number of random fault histories that TestDrawnHistories runs")
+	firstHistory = flag.Int64("first-history", 0, "seed of the first history")
 )
 
 // TestDrawnHistories simulates random histories of faults. The simulation checks the invariants
-// after each step. At the end all partitions, full disks and stopped controllers are mended, and
-// the latest version must come into force everywhere in time.
+// after each step. At the end all faults are ended, and the latest version must come into force
+// everywhere in time.
 func TestDrawnHistories(t *testing.T) {
 	versions := 0
 	for i := range int64(*histories) {
@@ -38,7 +38,7 @@
 	eventLog  []string
 }
 
-// newFaultHistory returns the history of a seed.
+// newFaultHistory returns the history drawn by a seed.
 func newFaultHistory(t *testing.T, seed int64) *faultHistory {
 	f := newFleet(t, seed, 9+int(seed%5)*6, 3+2*int(seed%3))
 	f.lossRate = []float64{0, 0.02, 0.1}[seed%3]
@@ -61,7 +61,7 @@
 	return h
 }
 
-// record adds to the script that is shown if the test fails.
+// record adds an event to the log that is shown if the test fails.
 func (h *faultHistory) record(format string, args ...any) {
 	h.eventLog = append(h.eventLog, fmt.Sprintf("%.0f ms: ", h.fleet.now)+fmt.Sprintf(format, args...))
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// injectFault causes or ends one random fault.
+// injectFault causes or ends a random fault, or has a document proposed.
 func (h *faultHistory) injectFault() {
 	f := h.fleet
 	c := f.all[f.rng.Intn(len(f.all))]
@@ -90,7 +90,7 @@
 	case 0, 1, 2, 3, 4:
 		if c.up {
 			expect := c.replica.Readiness().Latest
-			h.record("%s puts after %d", c.id, expect)
+			h.record("%s proposes after version %d", c.id, expect)
 			f.propose(c, h.documents[f.rng.Intn(len(h.documents))], expect)
 		}
 	case 5:
@@ -105,7 +105,7 @@
 		h.copies[c] = c.folder.copy()
 	case 9:
 		side := f.rng.Intn(2)
-		h.record("%s and others are on side %d", c.id, side)
+		h.record("some controllers are moved to partition %d", side)
 		f.partition(f.all[f.rng.Intn(len(f.all)):], side)
 	case 10:
 		c.diskFull = !c.diskFull && !c.voter
@@ -113,7 +113,7 @@
 		h.record("%s: disk full %v, corrupt %v", c.id, c.diskFull, c.corrupt)
 	case 11:
 		if f.leader != "" {
-			h.record("%s leads no more", f.leader)
+			h.record("%s stops leading", f.leader)
 			f.setLeader("")
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-// voterMayStop reports whether a majority of the voters remains without one.
+// voterMayStop reports whether a controller may stop: a majority of the voters must remain.
 func (h *faultHistory) voterMayStop(c *controller) bool {
 	up := 0
 	for _, id := range h.fleet.voters {
@@ -133,8 +133,8 @@
 	return !c.voter || 2*(up-1) > len(h.fleet.voters)
 }
 
-// restart starts a stopped controller, perhaps on an older copy of its folder. Of the voters only
-// the last one may have such.
+// restart starts a stopped controller, perhaps from an older copy of its folder. Of the voters only
+// the last one may lose data in this way.
 func (h *faultHistory) restart() {
 	f := h.fleet
 	for _, c := range f.all {
@@ -154,7 +154,7 @@
 	}
 }
 
-// elect makes a voter that reaches a majority the leader, if none leads.
+// elect makes a random voter that reaches a majority the leader, if none leads.
 func (h *faultHistory) elect() {
 	f := h.fleet
 	if f.leader != "" && f.byID[f.leader].up && f.majority(f.byID[f.leader]) {
@@ -185,10 +185,10 @@
 			f.start(c)
 		}
 	}
-	f.runFor(proposeTimeout + 1000) // what is proposed ends
+	f.runFor(proposeTimeout + 1000) // until all proposals have ended
 	h.elect()
 	if f.leader == "" {
-		h.t.Fatal("no leader")
+		h.t.Fatal("no voter can be made the leader after all faults have ended")
 	}
 	latest := f.agreed.Newest()
 	rejecting := func(c *controller) bool {
@@ -205,20 +205,21 @@
 	if took < 0 {
 		for _, c := range f.all {
 			if c.replica.Current().Number != latest {
-				h.t.Errorf("%s has version %d of %d: target %+v",
+				h.t.Errorf("%s has version %d in force, want %d: target %+v",
 					c.id, c.replica.Current().Number, latest, c.replica.target)
 			}
 		}
-		h.t.Fatalf("not in force everywhere\n%s", strings.Join(h.eventLog, "\n"))
+		h.t.Fatalf("the latest version is not in force everywhere in time; events:\n%s",
+			strings.Join(h.eventLog, "\n"))
 	}
 	f.runFor(2*reportInterval + 2000)
 	s := f.status(h.t, f.byID[f.leader])
 	if latest > 0 && s.InForce+len(s.Rejected) != len(f.all) {
-		h.t.Errorf("the status is %+v", s)
+		h.t.Errorf("got status %+v, want each controller in force or rejected", s)
 	}
 	for _, c := range f.all {
 		if !c.replica.Readiness().Confirmed {
-			h.t.Errorf("%s is not confirmed: %+v", c.id, c.replica.Readiness())
+			h.t.Errorf("%s: got %+v, want it confirmed", c.id, c.replica.Readiness())
 		}
 	}
 }
--- a/internal/core/fleet/config/hold.go
+++ b/internal/core/fleet/config/hold.go
@@ -6,18 +6,18 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Holds of documents by voters.
+// Timing and bounds of holds: documents that voters store before their versions are agreed on.
 const (
-	// holdInterval is the time in ms between two requests of a leader.
+	// holdInterval is the time in ms between two HoldRequests of a leader to a voter.
 	holdInterval = 500.0
-	// holdTime is for how long in ms after the last request a document is held if its version was not
-	// agreed on: the quorum may agree on it late.
+	// holdTime is the time in ms after the last request for which a document is held although its
+	// version was not agreed on: the quorum may still agree on it.
 	holdTime = 3600000.0
 	// maxHolds bounds the documents held at a time.
 	maxHolds = 4
 )
 
-// hold is a document that a leader has this voter store, before its version is agreed on.
+// hold is a document that a leader asked this voter to store, before its version is agreed on.
 type hold struct {
 	hash        Hash
 	from        members.ID // the leader
@@ -26,7 +26,7 @@
 	version     *Version   // the proposed one, if the leader sent it
 }
 
-// handleHold handles that a leader wants a document to be stored here.
+// handleHold handles the leader's request to store a document here.
 func (r *Replica) handleHold(from members.ID, request *HoldRequest) {
 	if request.Size < 1 || request.Size > MaxDocument || from != r.env.Leader() || !r.isVoter() {
 		return
@@ -43,8 +43,8 @@
 }
 
 // holdOwn holds the document of a candidate at this leader, which is one of the voters that hold
-// it. It stays when this controller stops leading: the quorum may agree on the proposal all the
-// same.
+// it. The hold remains when this controller stops leading, as the quorum may still agree on the
+// proposal.
 func (r *Replica) holdOwn(hash Hash) {
 	h := r.addHold(hash)
 	h.from = r.options.Self
@@ -71,7 +71,9 @@
 	r.holds = slices.DeleteFunc(r.holds, func(x *hold) bool { return x == h })
 }
 
-// advanceHolds confirms what is stored to the leaders, and drops holds that are over.
+// advanceHolds confirms stored documents to the leaders that asked for them, drops holds that have
+// expired or, once confirmed, whose document is retained for a version, and continues the search
+// for older documents.
 func (r *Replica) advanceHolds() {
 	for _, h := range slices.Clone(r.holds) {
 		if r.now >= h.requestedAt+holdTime || h.replied && r.isRetained(h.hash) {
@@ -91,7 +93,7 @@
 	return slices.ContainsFunc(r.retainedVersions(), func(v Version) bool { return v.Hash == hash })
 }
 
-// nextHold returns when a hold ends.
+// nextHold returns when the next hold expires.
 func (r *Replica) nextHold() float64 {
 	next := never
 	for _, h := range r.holds {
--- a/internal/core/fleet/config/hostile_test.go
+++ b/internal/core/fleet/config/hostile_test.go
@@ -13,11 +13,11 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// fakeEnvironment is the environment of a replica that gets all its messages from the test.
+// fakeEnvironment is the environment of a replica whose messages all come from the test.
 type fakeEnvironment struct {
 	self       members.ID
 	leads      bool
-	catchingUp bool // it leads, and does not know yet all that was agreed on
+	catchingUp bool // it leads, but has not applied all committed entries
 	voting     bool
 	state      State
 }
@@ -96,24 +96,24 @@
 	return list
 }
 
-// receive passes a message in, advances the time a little, and returns what is wrong then.
+// receive passes in a message, advances the time, and returns which invariant is violated.
 func (x *testReplica) receive(from members.ID, m *Message) error {
 	x.replica.Receive(x.now, from, m)
 	problem := x.drain()
 	x.now += 150
 	x.replica.Tick(x.now)
 	if next := x.replica.Next(); math.IsNaN(next) || next <= x.now {
-		return fmt.Errorf("the next wake-up is at %g, now is %g", next, x.now)
+		return fmt.Errorf("Next returns %g at %g, want a later time", next, x.now)
 	}
 	return errors.Join(problem, x.drain(), x.checkBounds())
 }
 
-// drain carries out what the replica asks for.
+// drain carries out the replica's output, and returns which invariant it violates.
 func (x *testReplica) drain() error {
 	for range 10 {
 		out := x.replica.Take()
 		if len(out.Messages) > 64 {
-			return fmt.Errorf("%d messages at once", len(out.Messages))
+			return fmt.Errorf("got %d messages in one output, want at most 64", len(out.Messages))
 		}
 		if out.Check != nil {
 			x.replica.Checked(x.now, out.Check.Hash, x.env.check(out.Check.Document))
@@ -123,7 +123,7 @@
 		}
 		if out.Apply != nil {
 			if out.Apply.Version.Number <= x.applied || HashOf(out.Apply.Document) != out.Apply.Version.Hash {
-				return fmt.Errorf("it applies %+v after %d", out.Apply.Version, x.applied)
+				return fmt.Errorf("it applies %+v after version %d", out.Apply.Version, x.applied)
 			}
 			x.applied = out.Apply.Version.Number
 			x.replica.Applied(x.now, nil, false)
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// checkBounds returns which bound of what is remembered is exceeded.
+// checkBounds returns which bound on the replica's memory is exceeded.
 func (x *testReplica) checkBounds() error {
 	r := x.replica
 	size := 0
@@ -147,21 +147,22 @@
 	}
 	switch {
 	case size > MaxStored+(maxDownloads+maxHolds)*MaxDocument:
-		return fmt.Errorf("%d bytes of documents", size)
+		return fmt.Errorf("%d bytes of documents exceed the bound", size)
 	case len(r.downloads) > maxDownloads, len(r.avoidedUntil) > maxExcluded:
-		return fmt.Errorf("%d downloads, %d avoided", len(r.downloads), len(r.avoidedUntil))
+		return fmt.Errorf("%d downloads or %d avoided members exceed their bound",
+			len(r.downloads), len(r.avoidedUntil))
 	case len(r.reports.known) > MaxReports, len(r.reports.batches) > maxBatches:
-		return fmt.Errorf("%d reports, %d batches", len(r.reports.known), len(r.reports.batches))
+		return fmt.Errorf("%d reports or %d batches exceed their bound", len(r.reports.known), len(r.reports.batches))
 	case len(r.candidates) > MaxProposals+1, len(r.holds) > maxHolds:
-		return fmt.Errorf("%d proposals, %d holds", len(r.candidates), len(r.holds))
+		return fmt.Errorf("%d candidates or %d holds exceed their bound", len(r.candidates), len(r.holds))
 	case len(r.startup.latestOf) > 16:
-		return fmt.Errorf("%d voters answered", len(r.startup.latestOf))
+		return fmt.Errorf("%d answers of voters are kept, want at most 16", len(r.startup.latestOf))
 	}
 	for _, d := range r.downloads {
 		tooManyMembers := len(d.missingUntil) > maxExcluded || len(d.requestedFrom) > maxExcluded ||
 			len(d.sources) > maxSources
 		if len(d.chunks) > chunkCount(MaxDocument) || tooManyMembers {
-			return fmt.Errorf("a download of %d chunks", len(d.chunks))
+			return fmt.Errorf("a download of %d chunks exceeds a bound", len(d.chunks))
 		}
 	}
 	return nil
@@ -257,7 +258,7 @@
 	return list
 }
 
-// A faulty or hostile member sends messages with fields out of bounds, in whatever order. No bound
+// A faulty or hostile member sends messages with fields out of bounds, in various orders. No bound
 // is exceeded, and no wrong version is applied.
 func TestMessagesOutOfBoundsDoNoHarm(t *testing.T) {
 	for from := range 5 {
@@ -267,19 +268,19 @@
 				for j := range list {
 					k := (j*(2*round+1) + round*7) % len(list)
 					if err := x.receive(members.ID(fmt.Sprint("n", from)), &list[k]); err != nil {
-						t.Fatalf("target %d, message %d from n%d: %v", i, k, from, err)
+						t.Fatalf("replica %d, message %d from n%d: %v", i, k, from, err)
 					}
 				}
 			}
 			if x.applied != 1 || x.replica.Current().Number != 1 {
-				t.Errorf("target %d applied version %d", i, x.applied)
+				t.Errorf("replica %d: got version %d applied, want only version 1", i, x.applied)
 			}
 		}
 	}
 }
 
-// A member announces a large document that nobody has. If memory were taken up for the announced
-// size, a few messages could use it up. It is taken up for the bytes that come alone.
+// A member announces a large document that nobody has. If memory were allocated for the announced
+// size, a few messages could exhaust it. It may be allocated only for received bytes.
 func TestAnnouncedSizeTakesNoMemory(t *testing.T) {
 	x := newTestReplicas()[2]
 	allocations := testing.AllocsPerRun(10, func() {
@@ -287,16 +288,16 @@
 		x.replica.Receive(x.now, "n3", &Message{Summary: summary})
 	})
 	if d := x.replica.findDownload(HashOf([]byte("x"))); d == nil || len(d.chunks) != 32 || allocations > 100 {
-		t.Errorf("%v, %g allocations", d, allocations)
+		t.Errorf("got download %v and %g allocations, want 32 chunks and at most 100 allocations", d, allocations)
 	}
 	for _, c := range x.replica.findDownload(HashOf([]byte("x"))).chunks {
 		if c != nil {
-			t.Error("memory is taken up for a chunk that has not come")
+			t.Error("memory is allocated for a chunk that has not arrived")
 		}
 	}
 }
 
-// FuzzReceive passes in messages as they would come off the wire, in each role.
+// FuzzReceive passes encoded messages to a replica in each role.
 func FuzzReceive(f *testing.F) {
 	for _, m := range invalidMessages() {
 		data, err := cbor.Marshal(m)
--- a/internal/core/fleet/config/leader.go
+++ b/internal/core/fleet/config/leader.go
@@ -2,11 +2,11 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// leaderHintTime is for how long a hint of another member is believed, in ms.
+// leaderHintTime is the time in ms for which a hint is used.
 const leaderHintTime = 5000.0
 
-// leaderHint names the quorum's leader as another member knows it. It counts while the environment
-// goes on naming the leader that it replaces.
+// leaderHint names the quorum's leader as another member knows it. It is used only while the
+// environment still names the leader that the hint replaces.
 type leaderHint struct {
 	leader   members.ID
 	until    float64 // ms
@@ -25,7 +25,7 @@
 	return believed
 }
 
-// hintLeader handles the leader named by a member that was asked as the leader and does not lead.
+// hintLeader records the leader named by a member that this controller took for the leader.
 func (r *Replica) hintLeader(from, leader members.ID) {
 	if leader == "" || leader == from || leader == r.options.Self || from != r.leader() {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// updateLeader handles a change of the leader.
+// updateLeader records changes of the leader, and sends all reports to a new one.
 func (r *Replica) updateLeader() {
 	leads := r.env.Leads()
 	if leads != r.leads {
--- a/internal/core/fleet/config/limits.go
+++ b/internal/core/fleet/config/limits.go
@@ -6,7 +6,7 @@
 const (
 	// MaxDocument bounds the bytes of a document.
 	MaxDocument = 1 << 20
-	// MaxHistory bounds the versions that the quorum remembers.
+	// MaxHistory bounds the versions in the quorum's history.
 	MaxHistory = 32
 	// MaxStored bounds the bytes of documents that a voter keeps of the history; the newest two
 	// always stay.
@@ -17,7 +17,7 @@
 	MaxReason = 256
 	// ChunkBytes is the size of a document's chunks.
 	ChunkBytes = 32 << 10
-	// MaxReports bounds the controllers with a report that is remembered.
+	// MaxReports bounds the controllers whose reports are kept.
 	MaxReports = 4096
 	// MaxProposals bounds the proposals that wait at an origin, or beside the current one at the
 	// leader.
@@ -28,5 +28,5 @@
 	maxIDBytes = 64
 )
 
-// never is a time that does not come.
+// never is the due time of what is not scheduled: it is later than any time.
 var never = math.Inf(1)
--- a/internal/core/fleet/config/lookup.go
+++ b/internal/core/fleet/config/lookup.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// maxLookups bounds the lookups at a time.
+// maxLookups bounds the pending lookups.
 const maxLookups = 4
 
 // lookupTimeout is the time in ms after which a lookup ends without the document.
@@ -14,13 +14,14 @@
 
 // lookup is a document that an operator requested here.
 type lookup struct {
-	ref       uint64 // the caller's number of it
+	ref       uint64 // assigned by the caller
 	hash      Hash
 	deadline  float64      // ms
 	missingAt []members.ID // voters that don't have it
 }
 
-// FetchDocument looks a document up here and at voters. The result comes within lookupTimeout.
+// FetchDocument looks up a document here and at voters. Its DocumentResult follows within
+// lookupTimeout.
 func (r *Replica) FetchDocument(now float64, ref uint64, h Hash) {
 	r.advanceClock(now)
 	data := r.documents.get(h)
@@ -36,7 +37,7 @@
 	r.process()
 }
 
-// answerLookups ends the lookups of a document that has come.
+// answerLookups ends the lookups of a document that has arrived.
 func (r *Replica) answerLookups(h Hash, data []byte) {
 	for _, l := range slices.Clone(r.lookups) {
 		if l.hash == h {
@@ -45,7 +46,7 @@
 	}
 }
 
-// endLookup ends a lookup with its result; nil: the document was not found.
+// endLookup ends a lookup with its document; nil: it was not found.
 func (r *Replica) endLookup(l *lookup, data []byte) {
 	r.lookups = slices.DeleteFunc(r.lookups, func(x *lookup) bool { return x == l })
 	result := DocumentResult{Ref: l.ref, Hash: l.hash, Document: data}
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleLookupMissing handles that a member does not have a document.
+// handleLookupMissing records that a member does not have a document that is looked up.
 func (r *Replica) handleLookupMissing(h Hash, from members.ID) {
 	for _, l := range r.lookups {
 		if l.hash == h && !slices.Contains(l.missingAt, from) && len(l.missingAt) < maxExcluded {
@@ -65,7 +66,7 @@
 	r.endFailedLookups()
 }
 
-// endFailedLookups ends the lookups of documents that no voter has.
+// endFailedLookups ends the lookups of documents that all other voters lack.
 func (r *Replica) endFailedLookups() {
 	for _, l := range slices.Clone(r.lookups) {
 		has := func(id members.ID) bool {
@@ -86,7 +87,7 @@
 	}
 }
 
-// nextLookup returns when a lookup ends.
+// nextLookup returns when the next lookup times out.
 func (r *Replica) nextLookup() float64 {
 	next := never
 	for _, l := range r.lookups {
--- a/internal/core/fleet/config/messages.go
+++ b/internal/core/fleet/config/messages.go
@@ -2,7 +2,8 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Message is a message between replicas, encoded by the keys of its fields. Any of them may be set.
+// Message is a message between replicas, encoded by the keys of its fields. Any combination of them
+// may be set.
 type Message struct {
 	Summary      *Summary        `cbor:"1,keyasint,omitempty"`
 	Fetch        *Fetch          `cbor:"2,keyasint,omitempty"`
@@ -17,7 +18,7 @@
 	Answer       *Answer         `cbor:"11,keyasint,omitempty"`
 }
 
-// Summary names the newest version that the sender has the document of. It accompanies membership
+// Summary identifies the newest version whose document the sender has. It accompanies membership
 // messages, and is pushed to some members at once when it changes.
 type Summary struct {
 	Number uint64 `cbor:"1,keyasint"`
@@ -49,7 +50,7 @@
 	Proposal Proposal `cbor:"1,keyasint"`
 }
 
-// Result is how a proposal ended.
+// Result is the outcome of a proposal.
 type Result uint8
 
 // The results of a proposal.
@@ -60,7 +61,7 @@
 	Committed
 	// Conflict: another version than the expected one is the newest.
 	Conflict
-	// Rejected: the document can't be used, or a bound is exceeded.
+	// Rejected: the document can't be used, a bound is exceeded, or too many proposals wait.
 	Rejected
 )
 
@@ -96,9 +97,9 @@
 	Applied uint64 `cbor:"4,keyasint"`
 	// Rejected is a later version that it can't use, or can't store or apply yet.
 	Rejected uint64 `cbor:"5,keyasint,omitempty"`
-	// Reason is why.
+	// Reason is why Rejected is not in force.
 	Reason string `cbor:"6,keyasint,omitempty"`
-	// Age is for how long the sender of this message has known the report, in ms.
+	// Age is the time in ms for which the sender of this message has known the report.
 	Age float64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -127,7 +128,7 @@
 	QueryHistory
 )
 
-// Query asks a member of the quorum.
+// Query is sent to the leader or to voters.
 type Query struct {
 	Ref  uint64    `cbor:"1,keyasint"`
 	Kind QueryKind `cbor:"2,keyasint"`
@@ -136,7 +137,7 @@
 // Answer answers a Query.
 type Answer struct {
 	Ref uint64 `cbor:"1,keyasint"`
-	// Voting: the sender is a voter and its state counts.
+	// Voting: the sender votes in the quorum, so its state can be relied on.
 	Voting bool `cbor:"2,keyasint"`
 	// Leads: the sender leads the quorum. Status and Versions come from a leader alone.
 	Leads    bool       `cbor:"3,keyasint"`
--- a/internal/core/fleet/config/output.go
+++ b/internal/core/fleet/config/output.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Output is what the caller has to carry out, as the package comment describes.
+// Output is what the caller has to carry out, as described in the package comment.
 type Output struct {
 	Messages        []Envelope
 	Check           *CheckRequest
@@ -20,8 +20,8 @@
 }
 
 // CheckRequest asks whether a document can be used here, by the same code as `mintkeel check`. It
-// is answered by Replica.Checked. The check of a large document may take a second, during which the
-// replica goes on.
+// is answered by Replica.Checked. The check of a large document may take a second; the replica
+// handles other input meanwhile.
 type CheckRequest struct {
 	Hash     Hash
 	Document []byte
@@ -31,7 +31,7 @@
 type StoreRequest struct {
 	Hash     Hash
 	Document []byte   // nil: it is stored already
-	Current  *Version // the version to be in force at a start from now on; nil: it stays as it is
+	Current  *Version // the version to be in force after a restart; nil: unchanged
 	Remove   []Hash   // documents to be removed after the rest is durable
 }
 
@@ -41,7 +41,7 @@
 	Document []byte
 }
 
-// ProposalResult is how a proposal of this controller ended.
+// ProposalResult is the result of a proposal of this controller.
 type ProposalResult struct {
 	Ref     uint64
 	Result  Result
@@ -56,31 +56,30 @@
 	Answer Answer
 }
 
-// DocumentResult is a document that this controller asked for; Document is nil if no member that
-// was asked has it.
+// DocumentResult is the result of FetchDocument. Document is nil if it was not found in time.
 type DocumentResult struct {
 	Ref      uint64
 	Hash     Hash
 	Document []byte
 }
 
-// Readiness is whether a controller that starts has the latest version. It is shown to operators as
+// Readiness shows whether a starting controller has the latest version. It is shown to operators as
 // JSON by the names of its fields.
 type Readiness struct {
 	// Confirmed: the leader or a majority of the voters has answered, and their latest version is
 	// in force or rejected here.
 	Confirmed bool
 	Number    uint64 // the version in force
-	Latest    uint64 // the highest known number
+	Latest    uint64 // the highest known version number
 }
 
-// Counters are for operators and measurements; all count since the start.
+// Counters are for operators and measurements. All count from the start.
 type Counters struct {
 	Applied      int64 // versions taken into use
 	Rejected     int64 // versions that can't be used here
 	Conflicts    int64 // summaries that contradict what is known here
-	Corrupt      int64 // chunks and documents that did not match
+	Corrupt      int64 // chunks of a wrong size, and documents that did not match their hash
 	FetchedBytes int64
 	ServedBytes  int64
-	Pushed       int64 // summaries sent at once
+	Pushed       int64 // summaries pushed
 }
--- a/internal/core/fleet/config/propose.go
+++ b/internal/core/fleet/config/propose.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Proposals at their origin.
+// Timing of proposals at their origin.
 const (
 	// proposeInterval is the time in ms after which a proposal is sent to the leader again.
 	proposeInterval = 500.0
@@ -16,15 +16,16 @@
 
 // ownProposal is a proposal of this controller's operators that has not ended.
 type ownProposal struct {
-	ref      uint64 // the caller's number of it
+	ref      uint64 // assigned by the caller
 	proposal Proposal
 	deadline float64      // ms
 	nextAt   float64      // ms, when it is sent again
 	sentTo   []members.ID // only these may answer it
 }
 
-// Propose proposes a document as the next version after expect. The caller has checked it. The
-// result comes within proposeTimeout. A ref that is under way already is ignored.
+// Propose proposes a document as the next version after expect. The caller has checked the
+// document. The ProposalResult follows within proposeTimeout. A call with the ref of a pending
+// proposal is ignored.
 func (r *Replica) Propose(now float64, ref uint64, document []byte, expect uint64, v Version) {
 	r.advanceClock(now)
 	if slices.ContainsFunc(r.proposals, func(p *ownProposal) bool { return p.ref == ref }) {
@@ -85,8 +86,8 @@
 	r.send(leader, Message{Propose: &ProposeRequest{Proposal: p.proposal}})
 }
 
-// handleProposeReply handles how a proposal of this controller ended. A reply is accepted only from
-// a member that the proposal was sent to.
+// handleProposeReply handles the result of a proposal of this controller. A reply is accepted only
+// from a member that the proposal was sent to.
 func (r *Replica) handleProposeReply(from members.ID, reply *ProposeReply) {
 	i := slices.IndexFunc(r.proposals, func(p *ownProposal) bool {
 		return p.proposal.Version.ID == reply.ID
@@ -127,7 +128,7 @@
 	r.out.ProposalResults = append(r.out.ProposalResults, result)
 }
 
-// nextProposal returns when a proposal has something due.
+// nextProposal returns when the next step of a proposal is due.
 func (r *Replica) nextProposal() float64 {
 	next := never
 	for _, p := range r.proposals {
@@ -136,13 +137,13 @@
 	return next
 }
 
-// truncateReason cuts a reason to MaxReason bytes, at a character.
+// truncateReason cuts a reason to at most MaxReason bytes, without splitting a character.
 func truncateReason(reason string) string {
 	if len(reason) <= MaxReason {
 		return reason
 	}
 	cut := MaxReason
-	for cut > 0 && reason[cut]&0xc0 == 0x80 { // not within a character
+	for cut > 0 && reason[cut]&0xc0 == 0x80 { // a UTF-8 continuation byte
 		cut--
 	}
 	return reason[:cut]
--- a/internal/core/fleet/config/query.go
+++ b/internal/core/fleet/config/query.go
@@ -6,20 +6,20 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Queries.
+// Timing and bounds of queries.
 const (
 	// queryInterval is the time in ms after which a query is sent again.
 	queryInterval = 500.0
-	// queryTimeout is the time in ms after which a query that was not answered ends.
+	// queryTimeout is the time in ms after which a query ends without an answer.
 	queryTimeout = 5000.0
-	// maxQueries bounds the queries that are not answered.
+	// maxQueries bounds the pending queries.
 	maxQueries = 16
 )
 
 // pendingQuery is a query of this controller that was not answered yet.
 type pendingQuery struct {
-	ref      uint64 // the caller's number of it
-	wireRef  uint64 // its number in messages
+	ref      uint64 // assigned by the caller
+	wireRef  uint64 // the Ref of its messages
 	kind     QueryKind
 	nextAt   float64 // ms, when it is sent again
 	deadline float64 // ms
@@ -28,7 +28,8 @@
 // valid reports whether the kind is known.
 func (k QueryKind) valid() bool { return k >= QueryLatest && k <= QueryHistory }
 
-// Query sends a query to the leader or to voters. Its answer comes within queryTimeout, or never.
+// Query sends a query to the leader and, for QueryLatest, to voters. Its QueryResult follows within
+// queryTimeout, or never.
 func (r *Replica) Query(now float64, ref uint64, kind QueryKind) {
 	r.advanceClock(now)
 	if len(r.queries) >= maxQueries || !kind.valid() {
@@ -59,7 +60,7 @@
 	}
 }
 
-// endQuery forgets a query.
+// endQuery removes a query.
 func (r *Replica) endQuery(q *pendingQuery) {
 	r.queries = slices.DeleteFunc(r.queries, func(x *pendingQuery) bool { return x == q })
 }
@@ -93,7 +94,7 @@
 	r.send(from, Message{Answer: &a})
 }
 
-// answer returns what this controller can answer: status and history only as the leader.
+// answer returns this controller's answer to a query. Only the leader adds a status or a history.
 func (r *Replica) answer(ref uint64, kind QueryKind) Answer {
 	a := Answer{
 		Ref:    ref,
@@ -117,7 +118,7 @@
 	return a
 }
 
-// valid reports whether an answer keeps its bounds.
+// valid reports whether an answer is within its bounds.
 func (a *Answer) valid() bool {
 	if len(a.Leader) > maxIDBytes || len(a.Versions) > MaxHistory {
 		return false
@@ -125,7 +126,7 @@
 	return a.Status == nil || a.Status.valid()
 }
 
-// valid reports whether a status keeps its bounds.
+// valid reports whether a status is within its bounds.
 func (s *Status) valid() bool {
 	return len(s.ByVersion) <= MaxReports &&
 		len(s.Rejected) <= MaxListed &&
@@ -133,7 +134,8 @@
 		len(s.Unreachable) <= MaxListed
 }
 
-// handleAnswer handles an answer.
+// handleAnswer handles an answer to a query of the start or of a caller. One from a member that
+// can't answer the query completely may only name the leader.
 func (r *Replica) handleAnswer(from members.ID, a *Answer) {
 	if !a.valid() {
 		return
@@ -165,7 +167,7 @@
 		QueryResult{Ref: q.ref, From: from, Answer: answer})
 }
 
-// nextQuery returns when a query has something due.
+// nextQuery returns when the next step of a query is due.
 func (r *Replica) nextQuery() float64 {
 	next := never
 	for _, q := range r.queries {
--- a/internal/core/fleet/config/relays.go
+++ b/internal/core/fleet/config/relays.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// relaysOf returns the members that collect reports, as many as the square root of all. It is the
-// same on all controllers that believe the same members alive.
+// relaysOf returns the members that collect reports: the square root of the number of members,
+// rounded up. All controllers that consider the same members alive choose the same relays.
 func relaysOf(ids []members.ID) []members.ID {
 	count := int(math.Ceil(math.Sqrt(float64(len(ids)))))
 	return rendezvousOrder(ids, "", count)
@@ -46,8 +46,8 @@
 	return top
 }
 
-// rendezvousHash returns a hash of two names. FNV alone would give close hashes to names that differ
-// only in their last byte, so a finalizer mixes its bits.
+// rendezvousHash returns a hash of two names. FNV alone would give close hashes to names that
+// differ only in their last byte, so the bits of its hash are mixed.
 func rendezvousHash(id, salt members.ID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(salt))
--- a/internal/core/fleet/config/replica.go
+++ b/internal/core/fleet/config/replica.go
@@ -8,13 +8,12 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Replica is one controller's part in distributing the configuration. It is for one goroutine;
-// times are in ms of a steady clock.
+// Replica is one controller's part in distributing the configuration. It must be used by one
+// goroutine. Times are in ms of a monotonic clock.
 //
-// The senders of messages are authenticated members of the fleet. A member is believed when it
-// announces a version, unless this controller votes and its own state has another one of that
-// number. What can be verified is verified: a document by its hash, each size and length by its
-// bound.
+// The senders of messages are authenticated members of the fleet. A version that a member announces
+// is accepted, unless this controller votes and its own state has another one under that number.
+// What can be verified is verified: a document by its hash, each size and length by its bound.
 type Replica struct {
 	options   Options
 	env       Environment
@@ -25,21 +24,21 @@
 	counters  Counters
 	documents documentStore
 
-	target   Version // the newest version known of
-	newest   Version // the newest that has its document here
-	previous Version // the one before newest that has its document here
+	target   Version // the newest known version
+	newest   Version // the newest version whose document is here
+	previous Version // the one before newest whose document was here
 
 	announcement announcement
 	abandoned    abandonedVersion
 	downloads    []*download
-	avoidedUntil map[members.ID]float64 // ms; members that sent wrong bytes are not asked till then
+	avoidedUntil map[members.ID]float64 // ms, until when members that sent wrong bytes are not asked
 	served       servedBytes
 	checks       checks
 	application  application
 	storage      storage
 
 	proposals  []*ownProposal // of this controller
-	candidates []*candidate   // at this leader; the first one is worked on
+	candidates []*candidate   // at this leader; the first one is advanced
 	holds      []*hold        // at this voter
 	history    historySearch
 	retained   retainedCache
@@ -48,7 +47,7 @@
 	queries     []*pendingQuery
 	lookups     []*lookup
 	startup     startup
-	lastWireRef uint64 // of queries in messages
+	lastWireRef uint64 // the last Ref of a query message
 
 	alive          aliveMembers
 	hint           leaderHint
@@ -56,7 +55,7 @@
 	leadsChangedAt float64 // ms
 }
 
-// New returns a replica that goes on from what its folder holds. The caller has applied
+// New returns a replica that continues from what an earlier run stored. The caller has applied
 // stored.Current already.
 func New(options Options, env Environment, stored StoredState, now float64) *Replica {
 	r := &Replica{
@@ -93,7 +92,7 @@
 	}
 	if m.Summary != nil && !r.handleSummary(from, *m.Summary) && *m == (Message{Summary: m.Summary}) {
 		r.updateLeader()
-		return // most messages announce nothing new, and must cost next to nothing
+		return // most messages announce nothing new, so handling them must be cheap
 	}
 	r.dispatch(from, m)
 	r.process()
@@ -133,7 +132,7 @@
 	}
 }
 
-// Tick advances the time and does what is due.
+// Tick advances the time and takes all steps that are due.
 func (r *Replica) Tick(now float64) {
 	r.advanceClock(now)
 	r.sendPushes()
@@ -165,14 +164,14 @@
 	return max(next, r.now)
 }
 
-// QuorumChanged handles that the quorum's state, its leader or this controller's role may have
-// changed.
+// QuorumChanged is to be called when the quorum's state, its leader or this controller's role may
+// have changed.
 func (r *Replica) QuorumChanged(now float64) {
 	r.advanceClock(now)
 	r.process()
 }
 
-// Take returns what is to be carried out since the last call.
+// Take returns what is to be carried out, and has not been returned by an earlier call.
 func (r *Replica) Take() Output {
 	out := r.out
 	r.out = Output{}
@@ -185,15 +184,15 @@
 // Counters returns the counters since the start.
 func (r *Replica) Counters() Counters { return r.counters }
 
-// advanceClock advances the time, which never goes back here.
+// advanceClock advances the time. An earlier time is ignored.
 func (r *Replica) advanceClock(now float64) {
 	if now > r.now { // false for NaN
 		r.now = now
 	}
 }
 
-// process does what the last input has made possible, in the order in which one step enables the
-// next.
+// process takes all steps that the last input has made possible. Their order matters: each may
+// enable those after it.
 func (r *Replica) process() {
 	r.updateLeader()
 	r.followQuorum()
@@ -210,14 +209,15 @@
 	r.forgetChecks()
 }
 
-// send hands a message out. One to this controller itself, or to nobody, is dropped.
+// send adds a message to the output. One to this controller itself, or without a recipient, is
+// dropped.
 func (r *Replica) send(to members.ID, m Message) {
 	if to != "" && to != r.options.Self {
 		r.out.Messages = append(r.out.Messages, Envelope{To: to, Message: m})
 	}
 }
 
-// votes reports whether this controller votes and its state counts.
+// votes reports whether this controller votes in the quorum and its state is known.
 func (r *Replica) votes() bool { return r.env.Voting() && r.env.State() != nil }
 
 // isVoter reports whether this controller is one of the voters, as far as it knows.
--- a/internal/core/fleet/config/replica_test.go
+++ b/internal/core/fleet/config/replica_test.go
@@ -37,21 +37,21 @@
 	x.replica.Receive(0, "n1", &Message{Summary: summaryOf(3, "three!")})
 	x.replica.Receive(0, "n3", &Message{Summary: summaryOf(2, "second")})
 	if got := fetches(x.replica.Take()); len(got) != 1 || got[0] != HashOf([]byte("three!")) {
-		t.Errorf("%v", got)
+		t.Errorf("got fetches of %v, want only that of version 3's document", got)
 	}
 	if x.replica.target.Number != 3 || x.replica.findDownload(HashOf([]byte("three!"))) == nil {
-		t.Errorf("the target is %+v", x.replica.target)
+		t.Errorf("got target %+v, want version 3 with a download of its document", x.replica.target)
 	}
 	x.replica.Receive(0, "n1", &Message{Summary: summaryOf(4, "fourth")})
 	older := x.replica.findDownload(HashOf([]byte("three!")))
 	newer := x.replica.findDownload(HashOf([]byte("fourth")))
 	if older != nil || newer == nil {
-		t.Error("the fetch of the older one goes on")
+		t.Error("the download of the older target continues, or that of the newer one is missing")
 	}
 }
 
-// Only a member that was asked for a chunk may send it, and a version is announced only when its
-// document is durable here.
+// A chunk is accepted only from a member that was asked for it, and a version is announced only
+// when its document is durable here.
 func TestChunkOfAskedSourceAndSummaryWhenStored(t *testing.T) {
 	x := newNonVoter()
 	x.replica.Take()
@@ -62,26 +62,26 @@
 	x.replica.Receive(0, "n3", &Message{Chunk: forged})
 	d := x.replica.findDownload(HashOf([]byte("second")))
 	if d == nil || d.received != 0 || x.replica.Counters().Corrupt != 0 {
-		t.Fatal("a chunk of a member that was not asked is used")
+		t.Fatal("a chunk from a member that was not asked is used or counted as corrupt")
 	}
 	x.replica.Receive(0, "n1", &Message{Chunk: chunkOf("second")})
 	out := x.answerCheck(t)
 	if out.Store == nil || out.Store.Current == nil || out.Store.Current.Number != 2 || out.Apply != nil {
-		t.Fatalf("%+v", out)
+		t.Fatalf("after the check: got %+v, want a StoreRequest for version 2 and no ApplyRequest", out)
 	}
 	if x.replica.Summary().Number != 1 || len(out.Messages) != 0 {
-		t.Errorf("it is announced before it is stored: %+v", out.Messages)
+		t.Errorf("the version is announced before it is stored; messages: %+v", out.Messages)
 	}
 	x.replica.Stored(1, nil)
 	out = x.replica.Take()
 	applies := out.Apply != nil && out.Apply.Version.Number == 2
 	if x.replica.Summary().Number != 2 || !applies || len(out.Messages) == 0 {
-		t.Errorf("after it was stored: %+v", out)
+		t.Errorf("after it was stored: got %+v, want version 2 announced and an ApplyRequest for it", out)
 	}
 }
 
-// A voter has not looked at its state since a version was agreed on, and a member announces another
-// document under its number. The state counts.
+// A voter has not processed its state since a version was agreed on, and a member announces another
+// document under the same number. The state takes precedence.
 func TestVoterStateOverridesSummary(t *testing.T) {
 	x := newTestReplicas()[1]
 	x.replica.Take()
@@ -89,17 +89,18 @@
 	x.env.state.Versions = append(x.env.state.Versions, Version{Number: 2, Hash: agreed.Hash, Size: agreed.Size})
 	x.replica.Receive(0, "n3", &Message{Summary: summaryOf(2, "forged")})
 	if got := fetches(x.replica.Take()); len(got) != 0 {
-		t.Errorf("it fetches %v", got)
+		t.Errorf("got fetches of %v, want none", got)
 	}
 	x.replica.QuorumChanged(0)
 	got := fetches(x.replica.Take())
 	if len(got) != 1 || got[0] != agreed.Hash || x.replica.Counters().Conflicts != 1 {
-		t.Errorf("%v, %+v", got, x.replica.Counters())
+		t.Errorf("got fetches of %v and %+v, want a fetch of the agreed document and 1 conflict",
+			got, x.replica.Counters())
 	}
 }
 
-// newWithUnneeded returns a replica at a time at which it may remove documents, with the document
-// "surplus" that it does not need.
+// newWithUnneeded returns a replica that may remove documents already and has one, "surplus", that
+// it does not need.
 func newWithUnneeded(e *fakeEnvironment) *testReplica {
 	const unneeded = "surplus"
 	one := []byte("one")
@@ -113,19 +114,19 @@
 	return x
 }
 
-// answerCheck answers the CheckRequest, which must be all that the replica asks for, and returns
-// what it asks for then.
+// answerCheck answers the CheckRequest, which must be the replica's only request, and returns the
+// output that follows.
 func (x *testReplica) answerCheck(t *testing.T) Output {
 	t.Helper()
 	out := x.replica.Take()
 	if out.Check == nil || out.Store != nil || out.Apply != nil {
-		t.Fatalf("before the check: %+v", out)
+		t.Fatalf("before the check: got output %+v, want only a CheckRequest", out)
 	}
 	x.replica.Checked(x.now, out.Check.Hash, x.env.check(out.Check.Document))
 	return x.replica.Take()
 }
 
-// receiveSecond has the replica get version 2, and returns the StoreRequest that follows.
+// receiveSecond has the replica receive version 2, and returns the StoreRequest that follows.
 func (x *testReplica) receiveSecond(t *testing.T) *StoreRequest {
 	t.Helper()
 	x.replica.Receive(x.now, "n1", &Message{Summary: summaryOf(2, "second")})
@@ -133,19 +134,19 @@
 	return x.answerCheck(t).Store
 }
 
-// A leader has a voter hold a document while its removal is under way. The document does not count
+// A leader asks a voter to hold a document that the voter is removing. The document does not count
 // as held, whether or not the removal succeeds, and is stored again.
 func TestDocumentBeingRemovedIsNotHeld(t *testing.T) {
 	x := newWithUnneeded(&fakeEnvironment{self: "n2", voting: true})
 	request := x.receiveSecond(t)
 	if request == nil || len(request.Remove) != 1 || request.Remove[0] != HashOf([]byte("surplus")) {
-		t.Fatalf("%+v", request)
+		t.Fatalf("got StoreRequest %+v, want one that removes the surplus document", request)
 	}
 	hold := &Message{Hold: &HoldRequest{Hash: HashOf([]byte("surplus")), Size: len("surplus")}}
 	x.replica.Receive(x.now, "n1", hold)
 	for _, s := range x.replica.Take().Messages {
 		if s.Message.HoldReply != nil {
-			t.Error("it confirms a hold of what it removes")
+			t.Error("a hold is confirmed for a document that is being removed")
 		}
 	}
 	x.replica.Receive(x.now, "n1", &Message{Chunk: chunkOf("surplus")})
@@ -153,7 +154,7 @@
 	out := x.replica.Take()
 	again := out.Store
 	if again == nil || again.Hash != HashOf([]byte("surplus")) || string(again.Document) != "surplus" {
-		t.Fatalf("it is not stored again: %+v", out.Store)
+		t.Fatalf("got StoreRequest %+v, want one that stores the held document again", out.Store)
 	}
 	x.replica.Stored(x.now, nil)
 	held := false
@@ -161,41 +162,41 @@
 		held = held || s.To == "n1" && s.Message.HoldReply != nil
 	}
 	if !held {
-		t.Error("it does not confirm the hold")
+		t.Error("the hold is not confirmed after the document was stored")
 	}
 }
 
-// A document could not be removed. It is removed with a later request.
+// A request to remove a document failed. A later request removes it.
 func TestFailedRemovalIsRepeated(t *testing.T) {
 	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
 	if request := x.receiveSecond(t); request == nil || len(request.Remove) != 1 {
-		t.Fatalf("%+v", request)
+		t.Fatalf("got StoreRequest %+v, want one that removes a document", request)
 	}
 	x.replica.Stored(x.now, errDisk)
 	x.now += storeRetryFirst
 	x.replica.Tick(x.now)
 	out := x.replica.Take()
 	if out.Store == nil || len(out.Store.Remove) != 1 || out.Store.Remove[0] != HashOf([]byte("surplus")) {
-		t.Errorf("%+v", out.Store)
+		t.Errorf("after the failure: got StoreRequest %+v, want one that removes the surplus document", out.Store)
 	}
 }
 
-// A voter that does not have the state yet, or a controller that has just started, does not know
-// which documents are needed. It removes none.
+// A voter that does not vote yet, or a controller that has just started, does not know which
+// documents are needed. It removes none.
 func TestNothingIsRemovedBeforeStateIsKnown(t *testing.T) {
 	request := newWithUnneeded(&fakeEnvironment{self: "n2"}).receiveSecond(t)
 	if request == nil || len(request.Remove) != 0 {
-		t.Errorf("a voter that does not vote: %+v", request)
+		t.Errorf("voter that does not vote: got StoreRequest %+v, want one without removals", request)
 	}
 	x := newWithUnneeded(&fakeEnvironment{self: "n4"})
 	x.replica.startedAt = x.now - removeAfter + 100
 	if request := x.receiveSecond(t); request == nil || len(request.Remove) != 0 {
-		t.Errorf("right after its start: %+v", request)
+		t.Errorf("right after the start: got StoreRequest %+v, want one without removals", request)
 	}
 }
 
-// The first relay does not answer. The report is sent to the next one, and the answer of another
-// member does not count.
+// The first relay does not answer. The report is sent to the next one, and an acknowledgement from
+// another member does not count.
 func TestReportGoesToNextRelay(t *testing.T) {
 	x := newNonVoter()
 	x.replica.Take()
@@ -213,11 +214,12 @@
 	}
 	relays := x.replica.relaysInOrder()
 	if len(relays) != 3 || len(asked) < 2 || asked[0] == asked[1] {
-		t.Errorf("relays %v, asked %v", relays, asked)
+		t.Errorf("got relays %v and reports sent to %v, want 3 relays and the second one tried after the first",
+			relays, asked)
 	}
 }
 
-// A member sent corrupt bytes. It is not asked for another document for a while, then it is again.
+// A member sent corrupt bytes. It is not asked for another document for avoidTime, and then is.
 func TestCorruptSourceIsAvoidedForAWhile(t *testing.T) {
 	x := newNonVoter()
 	x.replica.Take()
@@ -227,11 +229,11 @@
 	corrupt.Data = []byte("sEcond")
 	x.replica.Receive(x.now, "n3", &Message{Chunk: corrupt})
 	if x.replica.Counters().Corrupt != 1 {
-		t.Fatalf("%+v", x.replica.Counters())
+		t.Fatalf("got %+v, want 1 corrupt chunk", x.replica.Counters())
 	}
 	for _, s := range x.replica.Take().Messages {
 		if s.To == "n3" && s.Message.Fetch != nil {
-			t.Error("it is asked again")
+			t.Error("the corrupt source is asked again at once")
 		}
 	}
 	asked := func(number uint64, text string) bool {
@@ -245,10 +247,10 @@
 	}
 	x.now += avoidTime - 1
 	if asked(3, "third") {
-		t.Error("it is asked for another document")
+		t.Error("the corrupt source is asked for another document before avoidTime has passed")
 	}
 	if x.now++; !asked(4, "fourth") {
-		t.Error("it is never asked again")
+		t.Error("the corrupt source is not asked after avoidTime")
 	}
 }
 
@@ -259,16 +261,16 @@
 	hold := &Message{Hold: &HoldRequest{Hash: HashOf([]byte("x")), Size: 1}}
 	x.replica.Receive(x.now, "n3", hold)
 	if got := fetches(x.replica.Take()); len(got) != 0 || len(x.replica.holds) != 0 {
-		t.Errorf("for another member it fetches %v", got)
+		t.Errorf("hold requested by another member: got fetches of %v, want none and no hold", got)
 	}
 	x.replica.Receive(x.now, "n1", hold)
 	if got := fetches(x.replica.Take()); len(got) != 1 || len(x.replica.holds) != 1 {
-		t.Errorf("for the leader it fetches %v", got)
+		t.Errorf("hold requested by the leader: got fetches of %v, want one and a hold", got)
 	}
 }
 
 // A new leader does not know the version that a proposal expects. It must not reject the proposal
-// yet: it may be one that was committed under the leader before.
+// yet, as it may have been committed under the previous leader.
 func TestNewLeaderWaitsForExpectedVersion(t *testing.T) {
 	x := newTestReplicas()[0]
 	x.replica.Take()
@@ -290,7 +292,7 @@
 		x.now += 500
 		x.replica.Tick(x.now)
 		if got := reply(); got != nil {
-			t.Fatalf("after %.0f ms: %+v", x.now, got)
+			t.Fatalf("after %.0f ms: got reply %+v, want none before catchUpTime", x.now, got)
 		}
 	}
 	second := proposal(1, 6, "second")
@@ -298,11 +300,12 @@
 	x.env.state.Apply(p)
 	x.replica.QuorumChanged(x.now)
 	if got := reply(); got == nil || got.Result != Committed || got.Version.Number != 3 {
-		t.Errorf("when it knows: %+v", got)
+		t.Errorf("after the leader has caught up: got %+v, want Committed as version 3", got)
 	}
 }
 
-// A document in the folder does not match its hash. It is neither used nor served, and fetched again.
+// A document in the folder does not match its hash. It is neither used nor served, and is fetched
+// again.
 func TestCorruptStoredDocumentIsNotUsed(t *testing.T) {
 	one, two := HashOf([]byte("one")), HashOf([]byte("two"))
 	e := &fakeEnvironment{self: "n4"}
@@ -314,36 +317,36 @@
 	r.Receive(0, "n3", &Message{Fetch: &Fetch{Hash: two}})
 	for _, s := range r.Take().Messages {
 		if s.Message.Chunk != nil && !s.Message.Chunk.Missing {
-			t.Errorf("it serves %q", s.Message.Chunk.Data)
+			t.Errorf("the corrupt document %q is served, want it reported as missing", s.Message.Chunk.Data)
 		}
 	}
 	r = New(Options{Self: "n4", Run: 5, Seed: 1}, e, StoredState{Current: Version{Number: 1, Hash: one, Size: 3},
 		Documents: map[Hash][]byte{one: []byte("0ne")}}, 0)
 	if r.Summary() != nil || r.Current().Number != 1 {
-		t.Errorf("it announces %+v", r.Summary())
+		t.Errorf("got summary %+v, want none, and version 1 in force", r.Summary())
 	}
 	// The version in force stays, and its document is fetched again.
 	r.Receive(0, "n3", &Message{Summary: summaryOf(1, "one")})
 	if got := r.findDownload(one); got == nil {
-		t.Error("it does not fetch the document of its version")
+		t.Error("the document of the version in force is not fetched again")
 	}
 }
 
-// A version is announced with the hash of a document that is here, and with another size. It is
-// ignored, and so is such a proposal.
+// A version is announced with the hash of a document that is here, but another size. It is ignored,
+// and such a proposal is rejected.
 func TestWrongSizeOfKnownDocumentIsIgnored(t *testing.T) {
 	x := newNonVoter()
 	x.replica.Take()
 	x.replica.Receive(x.now, "n3", &Message{Summary: &Summary{Number: 2, Hash: HashOf([]byte("one")), Size: 99}})
 	out := x.replica.Take()
 	if out.Store != nil || x.replica.Counters().Conflicts != 1 || x.replica.target.Number != 1 {
-		t.Errorf("%+v, %+v", out.Store, x.replica.Counters())
+		t.Errorf("got StoreRequest %+v and %+v, want none, 1 conflict and target 1", out.Store, x.replica.Counters())
 	}
 	x = newTestReplicas()[0]
 	x.replica.Take()
 	p := proposal(1, 7, "one")
 	p.Version.ID.Origin, p.Version.Size = "n3", 99
-	x.replica.candidates = nil // what this one proposed itself
+	x.replica.candidates = nil // drops its own proposal
 	x.replica.Receive(x.now, "n3", &Message{Propose: &ProposeRequest{Proposal: p}})
 	rejected := false
 	for _, s := range x.replica.Take().Messages {
@@ -351,12 +354,12 @@
 		rejected = rejected || s.To == "n3" && reply != nil && reply.Result == Rejected
 	}
 	if !rejected {
-		t.Error("a proposal with a wrong size is not rejected")
+		t.Error("a proposal with another size than its document's is not rejected")
 	}
 }
 
-// A leader has not applied all that was agreed on. It answers no query of its own and accepts no
-// proposal until it has.
+// A new leader has not applied all committed entries. Until it has, it answers no query of its own
+// and accepts no proposal.
 func TestLeaderAnswersOnlyWhenReady(t *testing.T) {
 	x := newTestReplicas()[1]
 	x.replica.Take()
@@ -368,7 +371,7 @@
 		x.replica.Tick(x.now)
 		out := x.replica.Take()
 		if len(out.QueryResults) != 0 || len(out.ProposalResults) != 0 || len(x.replica.candidates) != 0 {
-			t.Fatalf("after %.0f ms: %+v", x.now, out)
+			t.Fatalf("after %.0f ms: got output %+v, want no result and no candidate", x.now, out)
 		}
 	}
 	x.env.leads = true
@@ -381,18 +384,19 @@
 		}
 	}
 	if !answered || len(x.replica.candidates) == 0 {
-		t.Errorf("answered %v, %d proposals", answered, len(x.replica.candidates))
+		t.Errorf("after it has caught up: query answered %v, %d candidates; want an answer and a candidate",
+			answered, len(x.replica.candidates))
 	}
 }
 
-// A summary accompanies each membership message, and mostly announces nothing new. It must allocate
-// nothing.
+// Each membership message carries a summary, which mostly announces nothing new. Handling it must
+// allocate nothing.
 func TestKnownSummaryAllocatesNothing(t *testing.T) {
 	for i, x := range newTestReplicas() {
 		x.replica.Take()
 		m := &Message{Summary: summaryOf(1, "one")}
 		if n := testing.AllocsPerRun(100, func() { x.replica.Receive(x.now, "n3", m) }); n != 0 {
-			t.Errorf("target %d: %g allocations", i, n)
+			t.Errorf("replica %d: got %g allocations for a known summary, want 0", i, n)
 		}
 	}
 }
--- a/internal/core/fleet/config/reports.go
+++ b/internal/core/fleet/config/reports.go
@@ -6,30 +6,31 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// How reports are collected.
+// Timing and bounds of the collection of reports.
 const (
-	// reportDelay is the time in ms within which a change is reported, by a random draw.
+	// reportDelay is the upper bound in ms of the random delay before a change is reported.
 	reportDelay = 200.0
-	// reportInterval is the time in ms between two reports of a controller, and between two of all
-	// that a relay knows.
+	// reportInterval is the time in ms between two reports of a controller, and after which a relay
+	// sends all its fresh reports again.
 	reportInterval = 10000.0
-	// relayDelay is the time in ms in which a relay gathers changes.
+	// relayDelay is the time in ms for which a relay collects changes before it sends them.
 	relayDelay = 200.0
-	// reportTimeout is the time in ms after which another relay is tried, or the leader again.
+	// reportTimeout is the time in ms without an acknowledgement after which a controller tries
+	// another relay, and a relay sends to the leader again.
 	reportTimeout = 1000.0
-	// reportFreshTime is for how long in ms a report counts.
+	// reportFreshTime is the time in ms for which a report counts in a Status.
 	reportFreshTime = 30000.0
-	// relayedReportTime is for how long in ms a relay keeps a report.
+	// relayedReportTime is the time in ms for which a relay keeps a report.
 	relayedReportTime = 60000.0
-	// reportIntervalJitter is the share of reportInterval by which it is drawn shorter.
+	// reportIntervalJitter is the largest share by which reportInterval is shortened at random.
 	reportIntervalJitter = 0.1
-	// maxReportsPerMessage bounds the reports of a message.
+	// maxReportsPerMessage bounds the reports of a message that is sent.
 	maxReportsPerMessage = 300
-	// maxReportsAccepted bounds the reports of a message that is accepted.
+	// maxReportsAccepted bounds the reports of a received message; one with more is ignored.
 	maxReportsAccepted = 1024
-	// maxBatches bounds the messages to the leader that are not answered.
+	// maxBatches bounds the messages to the leader that are not acknowledged.
 	maxBatches = 32
-	// maxRelayAttempts is how many relays are tried before the first one again.
+	// maxRelayAttempts is the number of relays that are tried before the first one is tried again.
 	maxRelayAttempts = 4
 )
 
@@ -37,11 +38,11 @@
 type heardReport struct {
 	Report
 	heardAt float64 // ms
-	dirty   bool    // it is to be sent to the leader
+	dirty   bool    // to be sent to the leader
 }
 
-// reports is what a controller knows of reports: its own, those for which it is a relay, and all if
-// it leads.
+// reports holds the reports that a controller knows: its own, those that it relays, and all if it
+// leads.
 type reports struct {
 	own       Report
 	changed   bool    // own has changed since it was sent
@@ -58,12 +59,12 @@
 	dirtyCount int
 	flushAt    float64 // ms, when dirty reports are sent
 	resendAt   float64 // ms, when all fresh reports are sent again
-	purgeAt    float64 // ms, when old reports may be forgotten again
+	purgeAt    float64 // ms, when old reports may be purged again
 	batches    []batch
-	leader     members.ID // that the reports are sent to
+	leader     members.ID // to which the reports are sent
 }
 
-// newReports returns the state at a start: the own report is due at once.
+// newReports returns the state at the start, with the controller's own report due at once.
 func newReports(now float64) reports {
 	return reports{
 		sendOwnAt: now,
@@ -73,8 +74,7 @@
 	}
 }
 
-// updateReport updates the report of this controller about itself, and schedules it if it has
-// changed.
+// updateReport updates this controller's report about itself, and schedules it if it has changed.
 func (r *Replica) updateReport() {
 	a := &r.application
 	next := Report{
@@ -101,7 +101,7 @@
 	r.reports.awaitedSequence = 0
 }
 
-// tickReports sends what is due.
+// tickReports sends the reports that are due.
 func (r *Replica) tickReports() {
 	s := &r.reports
 	if s.awaitedSequence != 0 && r.now >= s.awaitedUntil {
@@ -125,7 +125,8 @@
 	}
 }
 
-// sendReport sends the own report to a relay: the first one, or the next if one did not answer.
+// sendReport sends this controller's report to a relay: the first one or, after a timeout, the
+// next.
 func (r *Replica) sendReport() {
 	s := &r.reports
 	if s.changed {
@@ -162,7 +163,7 @@
 	r.send(from, Message{ReportsReply: &ReportsReply{Sequence: m.Sequence, Leader: r.leader()}})
 }
 
-// valid reports whether a report keeps its bounds.
+// valid reports whether a report is within its bounds.
 func (report *Report) valid() bool {
 	validID := report.ID != "" && len(report.ID) <= maxIDBytes
 	validAge := report.Age >= 0 && !math.IsInf(report.Age, 1)
@@ -201,8 +202,8 @@
 	r.markDirty(h)
 }
 
-// isLaterRun reports whether a report is of a later run of a controller than the one before. Runs
-// have no order: the run that membership believes in counts, else the one heard last.
+// isLaterRun reports whether a report is of a later run of a controller than the known one. Runs
+// have no order: the run that membership has counts, else that of the report heard last.
 func (r *Replica) isLaterRun(known *heardReport, report Report, at float64) bool {
 	if m, ok := r.env.Member(report.ID); ok && m.Run != 0 {
 		if m.Run == known.Run {
@@ -215,7 +216,7 @@
 	return at > known.heardAt
 }
 
-// purgeReports forgets old reports. A leader keeps those of members that it knows and that have not
+// purgeReports drops old reports. A leader keeps those of members that it knows and that have not
 // left, so that a Status shows when each was last heard from.
 func (r *Replica) purgeReports() {
 	s := &r.reports
@@ -236,7 +237,7 @@
 	}
 }
 
-// nextReport returns when something of the reports is due.
+// nextReport returns when the next step in collecting reports is due.
 func (r *Replica) nextReport() float64 {
 	s := &r.reports
 	next := min(s.sendOwnAt, s.flushAt)
--- a/internal/core/fleet/config/retention.go
+++ b/internal/core/fleet/config/retention.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// removeAfter is for how long after its start a controller removes no document, in ms: until then
-// its view may be stale.
+// removeAfter is the time in ms after its start in which a controller removes no document, as its
+// view may be stale.
 const removeAfter = 60000.0
 
-// neededDocuments returns the documents that this controller has a use for.
+// neededDocuments returns the documents that this controller needs.
 func (r *Replica) neededDocuments() map[Hash]bool {
 	needed := map[Hash]bool{
 		r.application.current.Hash:   true,
@@ -36,7 +36,7 @@
 	return needed
 }
 
-// forgetUnneeded forgets documents that are in memory alone and not needed.
+// forgetUnneeded drops documents that are only in memory and not needed.
 func (r *Replica) forgetUnneeded() {
 	if r.documents.hasUnstored() {
 		r.documents.forgetUnstored(r.neededDocuments())
@@ -81,9 +81,9 @@
 	return retained
 }
 
-// takeDocumentsToRemove takes the durable documents that are not needed any more: they count as not
-// durable from now on, whenever the caller removes them. A voter removes none while its state does
-// not count yet, as it does not know which are needed.
+// takeDocumentsToRemove returns the durable documents that are no longer needed. They count as not
+// durable from now on, as the caller may remove them at any time. A voter removes none until it
+// votes, as it does not know which are needed.
 func (r *Replica) takeDocumentsToRemove() []Hash {
 	if r.now < r.startedAt+removeAfter || r.isVoter() && !r.votes() {
 		return nil
--- a/internal/core/fleet/config/scenario_test.go
+++ b/internal/core/fleet/config/scenario_test.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// What tests do with a simulated fleet, and expect of it.
+// Actions and expectations of tests on a simulated fleet.
 
 // newFleetWithVersion returns a fleet, drawn by seed 1, in which version 1 is in force everywhere.
 // Its document is "one", proposed at the controller with the index proposer.
@@ -36,13 +36,13 @@
 	return f.lastRef
 }
 
-// awaitResult waits for the result of a proposal.
+// awaitResult returns the result of a proposal. The test fails if there is none in time.
 func (f *fleet) awaitResult(c *controller, ref uint64) ProposalResult {
 	f.t.Helper()
 	f.runUntil(proposeTimeout+100, func() bool { _, ok := c.results[ref]; return ok })
 	o, ok := c.results[ref]
 	if !ok {
-		f.t.Fatalf("proposal %d has no outcome", ref)
+		f.t.Fatalf("proposal %d has no result in time", ref)
 	}
 	return o
 }
@@ -52,12 +52,12 @@
 	f.t.Helper()
 	o := f.awaitResult(c, f.propose(c, document, expect))
 	if o.Result != Committed || o.Version.Number != expect+1 || o.Version.Hash != HashOf(document) {
-		f.t.Fatalf("proposal after %d: %+v", expect, o)
+		f.t.Fatalf("proposal that expects version %d: got %+v, want Committed as the next version", expect, o)
 	}
 	return o.Version
 }
 
-// inForce reports whether a version, or a later one, is in force at all of some controllers that
+// inForce reports whether a version, or a later one, is in force at those of some controllers that
 // are up.
 func inForce(number uint64, controllers []*controller) bool {
 	for _, c := range controllers {
@@ -68,7 +68,8 @@
 	return true
 }
 
-// requireInForceEverywhere waits until a version is in force at all controllers, and returns how long that took.
+// requireInForceEverywhere waits until a version is in force at all controllers that are up, and
+// returns how long that took in ms. The test fails if it takes longer than the limit.
 func (f *fleet) requireInForceEverywhere(number uint64, limit float64) float64 {
 	f.t.Helper()
 	took := f.runUntil(limit, func() bool { return inForce(number, f.all) })
@@ -79,13 +80,13 @@
 				behind = append(behind, c.id)
 			}
 		}
-		f.t.Fatalf("version %d is not in force after %.0f ms at %d: %v",
+		f.t.Fatalf("version %d is not in force after %.0f ms at %d controllers, among them %v",
 			number, limit, len(behind), behind[:min(8, len(behind))])
 	}
 	return took
 }
 
-// query sends a query and waits for its answer.
+// query sends a query and waits for its answer; false: there is none in time.
 func (f *fleet) query(c *controller, kind QueryKind) (Answer, bool) {
 	f.lastRef++
 	ref := f.lastRef
--- a/internal/core/fleet/config/sources.go
+++ b/internal/core/fleet/config/sources.go
@@ -8,7 +8,7 @@
 }
 
 // chooseSource returns the next member to be asked: one that announced the document, else a voter.
-// One that was slow is asked again only if there is no other. Empty: there is none.
+// The slow source is asked again only if there is no other. Empty: there is none.
 func (r *Replica) chooseSource(d *download) members.ID {
 	var fallback members.ID
 	for _, id := range d.sources {
@@ -37,8 +37,8 @@
 }
 
 // avoidedSource returns a member that announced the document and sent wrong bytes. It may be the
-// only source, and the bytes may have been changed on their way, so it is asked again a while after
-// each failure.
+// only source, and the bytes may have been corrupted on their way, so it is asked again
+// avoidOnlySourceTime after each failure.
 func (r *Replica) avoidedSource(d *download) members.ID {
 	for _, id := range d.sources {
 		until, avoided := r.avoidedUntil[id]
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// avoid has a member not be asked for documents for a while.
+// avoid excludes a member as a source of documents for avoidTime.
 func (r *Replica) avoid(id members.ID) {
 	if len(r.avoidedUntil) >= maxExcluded {
 		for other, until := range r.avoidedUntil {
--- a/internal/core/fleet/config/startup.go
+++ b/internal/core/fleet/config/startup.go
@@ -6,18 +6,18 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Queries for the latest version at a start.
+// Timing of the queries for the latest version at the start.
 const (
 	// latestInterval is the time in ms between the first two queries. It grows with the time since the
-	// start, so that many controllers that start together don't keep the voters busy.
+	// start, so that many controllers that start together don't overload the voters.
 	latestInterval = 300.0
 	// maxLatestInterval bounds that time.
 	maxLatestInterval = 2000.0
-	// latestVoters is how many voters are asked at a time.
+	// latestVoters is the number of voters that are asked at a time.
 	latestVoters = 2
 )
 
-// startup is how far a controller that starts is with finding the latest version.
+// startup is the progress of a starting controller in finding the latest version.
 type startup struct {
 	nextAt         float64 // ms, when the next queries are sent
 	wireRef        uint64
@@ -68,7 +68,7 @@
 	}
 }
 
-// drawVoters draws a number of voters other than this controller.
+// drawVoters returns up to count random voters other than this controller.
 func (r *Replica) drawVoters(count int) (picked []members.ID) {
 	for _, i := range r.rng.Perm(len(r.env.Voters())) {
 		if id := r.env.Voters()[i]; id != r.options.Self && len(picked) < count {
@@ -78,7 +78,7 @@
 	return picked
 }
 
-// handleLatest handles the latest version of a voter.
+// handleLatest handles an answer to a query of the start.
 func (r *Replica) handleLatest(from members.ID, a *Answer) {
 	s := &r.startup
 	if s.confirmed {
@@ -98,7 +98,7 @@
 	r.handleSummary(from, a.Latest)
 }
 
-// confirmLatest confirms that the latest version is in force or rejected here.
+// confirmLatest records whether the latest version is known, and in force or rejected here.
 func (r *Replica) confirmLatest() {
 	s := &r.startup
 	if s.confirmed {
@@ -122,7 +122,7 @@
 	}
 }
 
-// nextStartup returns when the next queries of the start are due.
+// nextStartup returns when the next queries for the latest version are due.
 func (r *Replica) nextStartup() float64 {
 	if r.startup.confirmed {
 		return never
--- a/internal/core/fleet/config/state.go
+++ b/internal/core/fleet/config/state.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// State is what the quorum agrees on, the same on each voter. The zero value has no versions.
+// State is the result of applying the agreed proposals in order; all voters compute the same one.
+// The zero value has no versions.
 type State struct {
 	Versions []Version `cbor:"1,keyasint"` // the last MaxHistory, oldest first
 }
 
-// Newest returns the number of the latest version; 0: there is none.
+// Newest returns the number of the latest version, or 0 if there is none.
 func (s *State) Newest() uint64 {
 	if len(s.Versions) == 0 {
 		return 0
@@ -23,7 +24,7 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Find returns the version of a number, if it is remembered.
+// Find returns the version with a number, if it is still in the history.
 func (s *State) Find(number uint64) (Version, bool) {
 	for _, v := range s.Versions {
 		if v.Number == number {
@@ -33,7 +34,7 @@
 	return Version{}, false
 }
 
-// FindProposal returns the version that a proposal became, if it is remembered.
+// FindProposal returns the version that a proposal became, if it is still in the history.
 func (s *State) FindProposal(id ProposalID) (Version, bool) {
 	for _, v := range s.Versions {
 		if v.ID == id {
@@ -47,9 +48,9 @@
 func (s *State) Copy() *State { return &State{Versions: slices.Clone(s.Versions)} }
 
 // Apply applies an agreed proposal, and returns the version that it became. It is deterministic:
-// the same proposals in the same order give the same state on all voters. A proposal that was
-// agreed on before returns its version again. One that expects another version than the newest, or
-// exceeds a bound, changes nothing and returns false.
+// the same proposals in the same order give the same state on all voters. For a proposal that
+// became a version already it returns that version again. One that expects another version than the
+// newest, or exceeds a bound, changes nothing and returns false.
 func (s *State) Apply(p Proposal) (Version, bool) {
 	if v, ok := s.FindProposal(p.Version.ID); ok {
 		return v, true
--- a/internal/core/fleet/config/state_test.go
+++ b/internal/core/fleet/config/state_test.go
@@ -17,7 +17,8 @@
 	}}
 }
 
-// TestStateApplyBoundsAndExpectation: which proposals become versions after others.
+// TestStateApplyBoundsAndExpectation: a proposal becomes a version only if it is within its bounds
+// and expects the newest version, and only once.
 func TestStateApplyBoundsAndExpectation(t *testing.T) {
 	with := func(change func(*Version)) Proposal {
 		p := proposal(0, 1, "x")
@@ -62,36 +63,37 @@
 		}
 		v, ok := s.Apply(c.p)
 		if ok != c.ok || v.Number != c.number || s.Newest() != c.newest {
-			t.Errorf("%s: %+v, %v, newest %d", name, v, ok, s.Newest())
+			t.Errorf("%s: got version %+v, applied %v, newest %d", name, v, ok, s.Newest())
 		}
 	}
 }
 
-// TestStateRemembersBoundedHistory: the last MaxHistory versions are remembered.
+// TestStateRemembersBoundedHistory: the state keeps the last MaxHistory versions.
 func TestStateRemembersBoundedHistory(t *testing.T) {
 	s := &State{}
 	if s.Latest() != (Version{}) || s.Newest() != 0 {
-		t.Errorf("of an empty state: %+v", s.Latest())
+		t.Errorf("latest version of an empty state: got %+v, want none", s.Latest())
 	}
 	for i := range uint64(3 * MaxHistory) {
 		if v, ok := s.Apply(proposal(i, i+1, fmt.Sprint("text ", i))); !ok || v.Number != i+1 {
-			t.Fatalf("%d: %+v, %v", i, v, ok)
+			t.Fatalf("proposal %d: got %+v, applied %v; want the next version", i, v, ok)
 		}
 	}
 	oldest := s.Versions[0].Number
 	if len(s.Versions) != MaxHistory || oldest != 2*MaxHistory+1 || s.Latest().Number != 3*MaxHistory {
-		t.Errorf("%d versions from %d to %d", len(s.Versions), s.Versions[0].Number, s.Latest().Number)
+		t.Errorf("got %d versions from %d to %d, want the last MaxHistory",
+			len(s.Versions), s.Versions[0].Number, s.Latest().Number)
 	}
 	if _, ok := s.Find(2 * MaxHistory); ok {
-		t.Error("a dropped version is found")
+		t.Error("a version that was dropped from the history is found")
 	}
 	if v, ok := s.Find(2*MaxHistory + 5); !ok || v.Number != 2*MaxHistory+5 {
-		t.Errorf("found: %+v, %v", v, ok)
+		t.Errorf("version in the history: got %+v, found %v", v, ok)
 	}
 	c := s.Copy()
 	s.Versions[0].Author = "other"
 	s.Apply(proposal(s.Newest(), 9999, "new"))
 	if c.Versions[0].Author != "a" || c.Newest() != 3*MaxHistory {
-		t.Error("a copy shares its versions")
+		t.Error("a change of the state changes its copy")
 	}
 }
--- a/internal/core/fleet/config/status.go
+++ b/internal/core/fleet/config/status.go
@@ -2,9 +2,9 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Status is where versions are in force, as the leader has collected it. No controller counts
-// twice, and one that was not heard from lately does not count as having a version in force. It is
-// shown to operators as JSON: the JSON names are those of earlier versions.
+// Status shows which version is in force at which controllers, as collected by the leader. Each
+// controller counts once, and one that was not heard from within reportFreshTime counts for no
+// version. It is shown to operators as JSON: the JSON names are those of earlier versions.
 type Status struct {
 	Latest Version `cbor:"1,keyasint"`
 	// Members is the number of controllers that should have the latest version: all known ones but
@@ -12,7 +12,8 @@
 	Members int `cbor:"2,keyasint"`
 	// InForce is how many of them reported it.
 	InForce int `cbor:"3,keyasint"`
-	// ByVersion counts the controllers that were heard from lately by the version they reported.
+	// ByVersion counts the controllers that were heard from within reportFreshTime by the version they
+	// reported.
 	ByVersion map[uint64]int `cbor:"4,keyasint" json:"Counts"`
 	// Rejected, Behind and Unreachable list the other controllers, at most MaxListed each.
 	Rejected    []ControllerReport `cbor:"5,keyasint,omitempty" json:"Refused"`
@@ -20,8 +21,8 @@
 	Unreachable []ControllerReport `cbor:"7,keyasint,omitempty" json:"Unheard"`
 	// Omitted is how many controllers the lists have no room for.
 	Omitted int `cbor:"8,keyasint,omitempty" json:"More"`
-	// CollectedFor is for how long the leader has collected, in ms: after a change of leader all
-	// reports are sent again.
+	// CollectedFor is the time in ms for which the leader has collected reports: after a change of
+	// leader all are sent again.
 	CollectedFor float64 `cbor:"9,keyasint" json:"Since"`
 }
 
@@ -34,9 +35,8 @@
 	Age     float64    `cbor:"5,keyasint"` // ms since it was last heard from; below 0: never
 }
 
-// status counts where versions are in force. Each member counts once: by its newest report, if that
-// is of the run that membership believes in and was heard lately of a member that is alive; else as
-// unreachable.
+// status returns the Status. Each member counts once: by its newest report if the member is alive
+// and the report is fresh and of the run that membership has, else as unreachable.
 func (r *Replica) status() *Status {
 	r.mergeReport(r.reports.own, r.now)
 	s := &Status{
@@ -81,7 +81,7 @@
 	}
 }
 
-// addTo adds a controller to a list, if that has room.
+// addTo adds a controller to a list, or counts it as omitted if the list is full.
 func (s *Status) addTo(to *[]ControllerReport, c ControllerReport) {
 	if len(*to) >= MaxListed {
 		s.Omitted++
--- a/internal/core/fleet/config/storage.go
+++ b/internal/core/fleet/config/storage.go
@@ -1,26 +1,27 @@
 package config
 
-// Retries of storing.
+// Timing and bounds of storing.
 const (
 	// storeRetryFirst is the time in ms after which a failed StoreRequest is tried again, doubled
 	// up to maxStoreRetry.
 	storeRetryFirst = 5000.0
-	// maxStoreRetry bounds that time, and so how long a version waits when there is space again.
+	// maxStoreRetry bounds that time, and thereby how long a version still waits once there is space
+	// again.
 	maxStoreRetry = 10000.0
-	// maxRemoveAgain bounds the documents of which the removal is tried again.
+	// maxRemoveAgain bounds the documents whose removal is tried again.
 	maxRemoveAgain = 64
 )
 
-// storage is how far this controller is with making things durable.
+// storage is the state of this controller's requests to make documents and versions durable.
 type storage struct {
 	pending     *StoreRequest // not answered yet
 	retryAt     float64       // ms, after a failure
 	delay       float64       // ms, until the next retry; 0: the last request succeeded
-	removeAgain []Hash        // documents that may not have been removed, as a request failed
+	removeAgain []Hash        // documents that may still exist, as the request to remove them failed
 }
 
-// storesCurrent reports whether a pending StoreRequest changes the version to be in force at a
-// start.
+// storesCurrent reports whether a pending StoreRequest changes the version to be in force after a
+// restart.
 func (r *Replica) storesCurrent() bool {
 	return r.storage.pending != nil && r.storage.pending.Current != nil
 }
@@ -39,7 +40,7 @@
 	r.out.Store = request
 }
 
-// nextStore returns what is to become durable next; nil: nothing.
+// nextStore returns the next StoreRequest; nil: nothing is to become durable.
 func (r *Replica) nextStore() *StoreRequest {
 	a := &r.application
 	v, found := r.nextVersion()
@@ -49,7 +50,7 @@
 	case found && a.persisted.Number != v.Number:
 		return r.storeRequest(v.Hash, &v)
 	case !found && a.persisted.Number != a.current.Number:
-		// a version that was rejected when it was applied must not be in force at a start
+		// a version that was rejected when it was applied must not be in force after a restart
 		inForce := a.current
 		return r.storeRequest(inForce.Hash, &inForce)
 	}
@@ -88,7 +89,7 @@
 	return hashes
 }
 
-// Stored continues after a StoreRequest.
+// Stored passes in the result of a StoreRequest.
 func (r *Replica) Stored(now float64, err error) {
 	r.advanceClock(now)
 	s := &r.storage
--- a/internal/core/fleet/config/target.go
+++ b/internal/core/fleet/config/target.go
@@ -2,17 +2,17 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Abandoned versions.
+// Timing of the abandonment of versions whose document no member sends.
 const (
-	// stallTimeout is the time in ms without a byte after which a version that was announced is
+	// stallTimeout is the time in ms without a new chunk after which an announced version is
 	// abandoned.
 	stallTimeout = 5000.0
-	// abandonTime is for how long in ms an abandoned version is not fetched again from the same
+	// abandonTime is the time in ms for which an abandoned version is not fetched again from the same
 	// members.
 	abandonTime = 10000.0
 )
 
-// abandonedVersion is a version that was announced, but no member sent its document.
+// abandonedVersion is an announced version whose document no member sent.
 type abandonedVersion struct {
 	summary Summary
 	until   float64 // ms
@@ -25,7 +25,8 @@
 	return d != nil && d.addSource(from)
 }
 
-// setTarget makes a version the one to be fetched. A fetch of the target before it ends.
+// setTarget makes a version the target, and fetches its document if it is not here. The previous
+// target's document is no longer fetched to be applied.
 func (r *Replica) setTarget(v Version, sources ...members.ID) {
 	if r.target.Hash != v.Hash {
 		r.releaseFetch(r.target.Hash, forApplication)
@@ -38,7 +39,7 @@
 }
 
 // followQuorum makes the newest version that the quorum agreed on the target, if this controller
-// votes. Its own state overrides what was announced under a number that the state has.
+// votes. Its own state overrides an announced version that it has under the same number.
 func (r *Replica) followQuorum() {
 	if !r.votes() {
 		return
@@ -53,7 +54,7 @@
 		r.setTarget(latest)
 	}
 	if latest.Number == r.target.Number && latest.Hash == r.target.Hash {
-		r.target = latest // with its author and reason, which summaries don't have
+		r.target = latest // adds the author and reason, which summaries don't have
 	}
 	if latest.Number == r.newest.Number && latest.Hash == r.newest.Hash {
 		r.newest = latest
@@ -83,8 +84,8 @@
 	r.newest = r.target
 }
 
-// abandon gives up the target if no member sends its document, so that a version before it can be
-// fetched. A version that this voter's state has is not given up.
+// abandon replaces the target, whose document no member sends, by the newest version that is here,
+// so that other versions can be fetched. A version in this voter's own state is not given up.
 func (r *Replica) abandon(sources []members.ID) {
 	if r.votes() {
 		if v, ok := r.env.State().Find(r.target.Number); ok && v.Hash == r.target.Hash {
--- a/internal/core/fleet/config/version.go
+++ b/internal/core/fleet/config/version.go
@@ -20,12 +20,12 @@
 // compareHashes orders hashes by their bytes.
 func compareHashes(a, b Hash) int { return bytes.Compare(a[:], b[:]) }
 
-// ProposalID identifies a proposal: one that is sent again, perhaps to another leader, is agreed on
-// once.
+// ProposalID identifies a proposal, so that one that is sent again, perhaps to another leader,
+// becomes a version only once.
 type ProposalID struct {
 	Origin members.ID `cbor:"1,keyasint"`
 	Run    uint64     `cbor:"2,keyasint"` // of the origin's process
-	Ref    uint64     `cbor:"3,keyasint"` // counted by that process
+	Ref    uint64     `cbor:"3,keyasint"` // assigned by that process
 }
 
 // Version is a document as the quorum agreed on it. It is encoded by the keys of its fields, and
@@ -36,11 +36,11 @@
 	Size   int    `cbor:"3,keyasint"` // bytes
 	Author string `cbor:"4,keyasint"`
 	Reason string `cbor:"5,keyasint"`
-	// Time is in ms since 1970 by the origin's wall clock. It is for operators alone: nothing is
-	// decided by it.
+	// Time is in ms since 1970 by the origin's wall clock. It is for operators alone: no decision
+	// depends on it.
 	Time int64 `cbor:"6,keyasint"`
-	// RollbackOf is the number of the version that this one replaces by an earlier document; 0: it
-	// is no rollback.
+	// RollbackOf is the number of the earlier version whose document this one restores; 0: it is no
+	// rollback.
 	RollbackOf uint64     `cbor:"7,keyasint,omitempty"`
 	ID         ProposalID `cbor:"8,keyasint"`
 }
@@ -55,7 +55,7 @@
 	Version Version `cbor:"2,keyasint"` // Number is not set yet
 }
 
-// invalid returns which bound a proposal exceeds, as operators read it; empty: none.
+// invalid returns why a proposal is invalid, as text for operators; empty: it is valid.
 func (p *Proposal) invalid() string {
 	switch v := &p.Version; {
 	case v.Size < 1:
@@ -67,7 +67,7 @@
 	case len(v.Reason) > MaxReason:
 		return "the reason is too long"
 	case v.ID.Origin == "" || len(v.ID.Origin) > maxIDBytes:
-		return "the proposal names no origin"
+		return "the proposal names no valid origin"
 	}
 	return ""
 }
