--- a/internal/core/fleet/digest/collector.go
+++ b/internal/core/fleet/digest/collector.go
@@ -78,7 +78,7 @@
 // together: from the one with the most demand, as its assignment rests on the most queries.
 func (c *Collector) Merge(now float64, halfLives restore.HalfLives) router.Statistics {
 	reports := c.fresh(now)
-	poolReport := mostDemanded(reports)
+	poolReport := highestDemandReport(reports)
 	return router.Statistics{
 		Engines: mergeEngines(reports, poolReport, now, halfLives),
 		Tables:  mergeTables(reports, poolReport, now, halfLives),
@@ -86,8 +86,8 @@
 	}
 }
 
-// mostDemanded returns the index of the report with the most demand; -1: there is none.
-func mostDemanded(reports []Report) int {
+// highestDemandReport returns the index of the report with the most demand; -1: there is none.
+func highestDemandReport(reports []Report) int {
 	index := -1
 	most := -1.0
 	for i, report := range reports {
--- a/internal/core/fleet/digest/merge.go
+++ b/internal/core/fleet/digest/merge.go
@@ -118,7 +118,7 @@
 		weight := restore.RemainingWeight(now-report.At, halfLives.Tables)
 		weights += weight
 		for _, t := range report.Statistics.Tables {
-			if !validTables(t) {
+			if !validFigures(t) {
 				continue
 			}
 			sum := sums[t.Tables]
@@ -146,17 +146,17 @@
 		}
 		merged = append(merged, t)
 	}
-	return mostDemandedTables(merged)
+	return highestDemandTables(merged)
 }
 
-// validTables reports whether the figures of a table group are neither negative nor infinite nor
+// validFigures reports whether the figures of a table group are neither negative nor infinite nor
 // NaN.
-func validTables(t router.TableStatistics) bool {
+func validFigures(t router.TableStatistics) bool {
 	return t.Demand >= 0 && t.MemoryTime >= 0 && !math.IsInf(t.Demand+t.MemoryTime, 0)
 }
 
-// mostDemandedTables keeps the table groups with the most demand, sorted by number.
-func mostDemandedTables(tables []router.TableStatistics) []router.TableStatistics {
+// highestDemandTables keeps the table groups with the most demand, sorted by number.
+func highestDemandTables(tables []router.TableStatistics) []router.TableStatistics {
 	if len(tables) <= MaxTables {
 		return tables
 	}
