--- a/internal/core/fleet/digest/collector.go
+++ b/internal/core/fleet/digest/collector.go
@@ -13,7 +13,7 @@
 
 // Bounds of a digest and a Collector.
 const (
-	// MaxTables bounds the table groups of a digest; those with the most demand stay.
+	// MaxTables bounds the table groups of a digest; those with the highest demand are kept.
 	MaxTables = 3000
 	// MaxEngines bounds the engines of a digest.
 	MaxEngines = 4000
@@ -23,21 +23,21 @@
 	maxReportAge = 120000.0
 )
 
-// Report is the statistics of one controller. The times of its records are of this controller's
-// clock (ShiftTimes).
+// Report is the statistics of one controller. The times of its records are by the clock of the
+// controller that merges them (ShiftTimes).
 type Report struct {
 	From       members.ID
 	At         float64 // ms, when it was received
 	Statistics router.Statistics
 }
 
-// Collector holds the latest report of each of some controllers. The zero value has none. It is for
-// one goroutine.
+// Collector holds the latest report of each controller. The zero value is empty and ready to use.
+// It must be used by one goroutine.
 type Collector struct {
 	reports map[members.ID]Report
 }
 
-// Add replaces the report of a controller, unless the one there is newer.
+// Add replaces the report of a controller, unless the present one is newer.
 func (c *Collector) Add(report Report) {
 	if c.reports == nil {
 		c.reports = map[members.ID]Report{}
@@ -59,7 +59,7 @@
 	})
 }
 
-// Len returns how many reports are merged now.
+// Len returns the number of reports that Merge would use now.
 func (c *Collector) Len(now float64) int { return len(c.fresh(now)) }
 
 // fresh returns the reports that are not too old, by controller.
@@ -72,10 +72,10 @@
 	return list
 }
 
-// Merge returns the digest of the reports: each figure is a mean weighted by the weights and ages
-// of the reported ones, and an engine's health is that of the newest record. Which engines are in a
-// pool together is taken from one report alone, as pool leaders of different reports would not fit
-// together: from the one with the most demand, as its assignment rests on the most queries.
+// Merge returns the digest of the reports: each figure is the mean of the reported ones, weighted
+// by their weights and ages, and an engine's health is that of the newest record. The engine pools
+// are taken from one report alone, as pool leaders of different reports would not fit together:
+// from the one with the highest demand, as its assignment is based on the most queries.
 func (c *Collector) Merge(now float64, halfLives restore.HalfLives) router.Statistics {
 	reports := c.fresh(now)
 	poolReport := highestDemandReport(reports)
@@ -86,7 +86,8 @@
 	}
 }
 
-// highestDemandReport returns the index of the report with the most demand; -1: there is none.
+// highestDemandReport returns the index of the report with the highest total demand, or -1 if there
+// is no report.
 func highestDemandReport(reports []Report) int {
 	index := -1
 	most := -1.0
@@ -106,8 +107,8 @@
 }
 
 // ShiftTimes converts the times of records from the clock of the controller that reported them to
-// this controller's, which is ahead by a number of ms. Only the age of a record counts, so clocks
-// that differ or jump make no record older or younger than it is.
+// this controller's, which is ahead by a number of ms. Only the ages of records matter, and clocks
+// that differ or jump don't change these.
 func ShiftTimes(s *router.Statistics, by float64) {
 	for i := range s.Engines {
 		s.Engines[i].At += by
--- a/internal/core/fleet/digest/collector_test.go
+++ b/internal/core/fleet/digest/collector_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestMergeWeighsByWeightAndAge: figures are means by weight and age, the health of an engine is
-// that of the newest record, and pools are those of the report with the most demand.
+// TestMergeWeighsByWeightAndAge: figures are means weighted by weight and age, the health of an
+// engine is that of the newest record, and pools are those of the report with the highest demand.
 func TestMergeWeighsByWeightAndAge(t *testing.T) {
 	const now = 1e6
 	var collector Collector
@@ -59,25 +59,26 @@
 	}})
 	merged := collector.Merge(now, restore.DefaultHalfLives())
 	if len(merged.Engines) != 2 || len(merged.Tables) != 2 || len(merged.Classes) != 1 {
-		t.Fatalf("%+v", merged)
+		t.Fatalf("got digest %+v, want 2 engines, 2 table groups and 1 class", merged)
 	}
 	s1 := merged.Engines[0]
 	want := (2*1.5 + 4*3) / 4.5 // the first record is a half-life old
 	if math.Abs(s1.Slowdown.Mean-want) > 0.01 {
-		t.Errorf("slowdown %g, want %g", s1.Slowdown.Mean, want)
+		t.Errorf("got slowdown %g, want %g", s1.Slowdown.Mean, want)
 	}
 	if s1.Outcomes != 0x0f || s1.PoolLeader != "s2" {
-		t.Errorf("health is not of the newest record, or pools not of the report with the most demand: %+v", s1)
+		t.Errorf("engine: got %+v, want the newest record's health and the pool of the report with the highest demand", s1)
 	}
 	first, second := merged.Tables[0], merged.Tables[1]
 	if first.Demand != 6 || first.PoolLeaders[0] != "s2" || second.Demand != 2 {
-		t.Errorf("tables %+v", merged.Tables)
+		t.Errorf("got table groups %+v, want demands 6 and 2, and pools of the report with the highest demand",
+			merged.Tables)
 	}
 	if p := merged.Classes[0]; p.FirstTryTimeout != 1000 || p.UnloadedTime != 3 || p.WorkScale.Mean != 2.5 {
-		t.Errorf("class %+v", p)
+		t.Errorf("got class %+v, want the longest timeout 1000 and the means 3 and 2.5", p)
 	}
 	if merged := collector.Merge(now+maxReportAge+1, restore.DefaultHalfLives()); merged.Len() != 0 {
-		t.Errorf("old reports count: %+v", merged)
+		t.Errorf("got digest %+v after maxReportAge, want an empty one", merged)
 	}
 }
 
@@ -102,12 +103,12 @@
 	inOrder := fmt.Sprint(g.Merge(20, restore.DefaultHalfLives()))
 	reversed := fmt.Sprint(h.Merge(20, restore.DefaultHalfLives()))
 	if inOrder != reversed {
-		t.Errorf("%s\n%s", inOrder, reversed)
+		t.Errorf("the digest depends on the order of reports:\n%s\n%s", inOrder, reversed)
 	}
 }
 
-// TestDigestIsBounded: however many reports, table groups and engines come, the digest keeps to its
-// bounds.
+// TestDigestIsBounded: however many reports, table groups and engines are added, the digest stays
+// within its bounds.
 func TestDigestIsBounded(t *testing.T) {
 	var collector Collector
 	for i := range 3 * maxReports {
@@ -122,7 +123,7 @@
 	}
 	merged := collector.Merge(200, restore.DefaultHalfLives())
 	if collector.Len(200) > maxReports || len(merged.Tables) > MaxTables || len(merged.Engines) > MaxEngines {
-		t.Errorf("%d reports, %d table groups, %d engines",
+		t.Errorf("got %d reports, %d table groups, %d engines, of which one exceeds its bound",
 			collector.Len(200), len(merged.Tables), len(merged.Engines))
 	}
 }
--- a/internal/core/fleet/digest/merge.go
+++ b/internal/core/fleet/digest/merge.go
@@ -10,13 +10,13 @@
 	"mintkeel/router"
 )
 
-// weightedMean is a mean of figures with weights. The zero value has none.
+// weightedMean accumulates a weighted mean of figures. The zero value has no figures.
 type weightedMean struct {
 	sum    float64
 	weight float64
 }
 
-// add adds a figure. One that is not finite, or without a weight, is ignored.
+// add adds a figure. One that is not finite, or whose weight is not positive, is ignored.
 func (m *weightedMean) add(x, weight float64) {
 	if weight > 0 && !math.IsNaN(x) && !math.IsInf(x, 0) {
 		m.sum += x * weight
@@ -32,7 +32,7 @@
 	return m.sum / m.weight
 }
 
-// weighted returns the mean, or a fallback, with the weight of all figures.
+// weighted returns the mean, or a fallback, with the total weight of the figures.
 func (m *weightedMean) weighted(fallback float64) router.WeightedMean {
 	return router.WeightedMean{Mean: m.mean(fallback), Weight: m.weight}
 }
@@ -49,7 +49,7 @@
 	return cmp.Or(cmp.Compare(a.engine, b.engine), cmp.Compare(a.startedAt, b.startedAt))
 }
 
-// engineSum is what the reports say of one engine process.
+// engineSum accumulates the reports' records of one engine process.
 type engineSum struct {
 	slowdown       weightedMean
 	threadsPerCore weightedMean
@@ -98,17 +98,17 @@
 	return merged
 }
 
-// tableSum is what the reports say of one table group.
+// tableSum accumulates the reports' records of one table group.
 type tableSum struct {
-	demand      float64 // weighted
-	memoryTime  float64 // weighted
+	demand      float64 // sum, weighted by age
+	memoryTime  float64 // sum, weighted by age
 	newest      router.TableStatistics
 	poolLeaders []router.EngineID
 }
 
 // mergeTables merges the table groups of all reports, and takes their pools from the report with
-// the index poolReport. A group's demand is the mean of all reports, also of those without demand
-// for it.
+// the index poolReport. A group's demand is the mean over all reports, including those without
+// demand for it.
 func mergeTables(
 	reports []Report, poolReport int, now float64, halfLives restore.HalfLives,
 ) (merged []router.TableStatistics) {
@@ -155,7 +155,7 @@
 	return t.Demand >= 0 && t.MemoryTime >= 0 && !math.IsInf(t.Demand+t.MemoryTime, 0)
 }
 
-// highestDemandTables keeps the table groups with the most demand, sorted by number.
+// highestDemandTables returns the MaxTables table groups with the highest demand, sorted by number.
 func highestDemandTables(tables []router.TableStatistics) []router.TableStatistics {
 	if len(tables) <= MaxTables {
 		return tables
@@ -170,7 +170,7 @@
 	return tables
 }
 
-// classSum is what the reports say of one query class.
+// classSum accumulates the reports' records of one query class.
 type classSum struct {
 	unloadedTime    weightedMean
 	workScale       weightedMean
