--- a/internal/core/fleet/maintenance/blocked.go
+++ b/internal/core/fleet/maintenance/blocked.go
@@ -10,7 +10,7 @@
 
 // blockReason returns why an engine may not be taken out now, as operators read it; empty: it may.
 // Begun says that the engine is being prepared already.
-func (v View) blockReason(id EngineID, l Limits, begun bool) string {
+func (v View) blockReason(id EngineID, l Limits, preparing bool) string {
 	e, ok := findEngine(v.Engines, id)
 	if !ok {
 		return "it is not in the list"
@@ -32,10 +32,10 @@
 	if len(unavailable) >= plan.MaxUnavailable {
 		return fmt.Sprintf("%d are out or lost, and %d may be", len(unavailable), plan.MaxUnavailable)
 	}
-	if reason := v.taskBlockReason(id, l, begun); reason != "" {
+	if reason := v.taskBlockReason(id, l, preparing); reason != "" {
 		return reason
 	}
-	r := remaining{view: v, engine: e, unavailable: unavailable}
+	r := remainingFleet{view: v, engine: e, unavailable: unavailable}
 	if reason := r.minAvailableBlockReason(plan); reason != "" {
 		return reason
 	}
@@ -56,7 +56,7 @@
 }
 
 // taskBlockReason returns which other engine's step has to end first; empty: none.
-func (v View) taskBlockReason(id EngineID, l Limits, begun bool) string {
+func (v View) taskBlockReason(id EngineID, l Limits, preparing bool) string {
 	for _, t := range v.Tasks {
 		if t.Engine == id {
 			continue
@@ -64,31 +64,33 @@
 		if l.WaitForWarm && t.Step == Warming {
 			return fmt.Sprintf("%s is back and still cold", t.Engine)
 		}
-		if !begun && t.Step == Preparing {
+		if !preparing && t.Step == Preparing {
 			return fmt.Sprintf("%s is being prepared", t.Engine)
 		}
 	}
 	return ""
 }
 
-// remaining is the fleet without one engine, and without those that are unavailable already.
-type remaining struct {
+// remainingFleet is the fleet without one engine, and without those that are unavailable already.
+type remainingFleet struct {
 	view        View
 	engine      Engine // the one that would be taken out
 	unavailable []Engine
 }
 
 // staysReady reports whether an engine would go on serving.
-func (r remaining) staysReady(e Engine) bool {
+func (r remainingFleet) staysReady(e Engine) bool {
 	isUnavailable := func(u Engine) bool { return u.ID == e.ID }
 	return e.ID != r.engine.ID && e.Ready && !slices.ContainsFunc(r.unavailable, isUnavailable)
 }
 
 // staysWarm reports whether an engine would go on serving with warm caches.
-func (r remaining) staysWarm(e Engine) bool { return r.staysReady(e) && r.view.Now >= e.WarmAt }
+func (r remainingFleet) staysWarm(e Engine) bool {
+	return r.staysReady(e) && r.view.Now >= e.WarmAt
+}
 
 // all returns the engines of the endpoint list, and the unavailable ones, which may have left it.
-func (r remaining) all() []Engine {
+func (r remainingFleet) all() []Engine {
 	all := slices.Clone(r.view.Engines)
 	for _, e := range r.unavailable {
 		if _, listed := findEngine(all, e.ID); !listed {
@@ -99,7 +101,7 @@
 }
 
 // minAvailableBlockReason returns which rule of the plan would be broken; empty: none.
-func (r remaining) minAvailableBlockReason(plan Plan) string {
+func (r remainingFleet) minAvailableBlockReason(plan Plan) string {
 	all := r.all()
 	for _, rule := range plan.MinAvailable {
 		if !rule.matches(r.engine) {
@@ -120,7 +122,7 @@
 
 // requiredCoresBlockReason returns which kinds would have too few cores for the query classes that
 // run on them alone; empty: none.
-func (r remaining) requiredCoresBlockReason(l Limits) string {
+func (r remainingFleet) requiredCoresBlockReason(l Limits) string {
 	for _, requirement := range r.view.Requirements {
 		if !slices.Contains(requirement.Kinds, r.engine.Kind) {
 			continue
@@ -134,14 +136,14 @@
 		needed := l.CapacityFactor * requirement.Cores
 		if cores < needed {
 			return fmt.Sprintf("what only %s may run needs %.1f cores, and %.1f would remain",
-				kinds(requirement.Kinds), needed, cores)
+				joinKinds(requirement.Kinds), needed, cores)
 		}
 	}
 	return ""
 }
 
 // loadBlockReason returns why the remaining engines could not bear the load; empty: they could.
-func (r remaining) loadBlockReason(l Limits) string {
+func (r remainingFleet) loadBlockReason(l Limits) string {
 	used := 0.0
 	cores := 0.0
 	for _, e := range r.view.Engines {
--- a/internal/core/fleet/maintenance/check.go
+++ b/internal/core/fleet/maintenance/check.go
@@ -11,8 +11,8 @@
 // msOfHour is an hour in ms.
 const msOfHour = 3.6e6
 
-// maxHourSteps bounds how often nextAllowed passes over blocked hours that follow each other.
-const maxHourSteps = 8
+// maxBlockedHourSkips bounds how often nextAllowed passes over blocked hours that follow each other.
+const maxBlockedHourSkips = 8
 
 // Problem is why a plan can't be done as it stands, and what would help. It is an error; its text
 // is what operators read.
@@ -159,7 +159,7 @@
 	for _, requirement := range requirements {
 		cores := 0.0
 		largest := 0.0
-		touched := false
+		affected := false
 		for _, e := range c.fleet {
 			if !slices.Contains(requirement.Kinds, e.Kind) {
 				continue
@@ -167,13 +167,13 @@
 			cores += e.Cores
 			if c.plan.Select.matches(e) {
 				largest = max(largest, e.Cores)
-				touched = true
+				affected = true
 			}
 		}
-		if touched && cores-largest < requirement.Cores {
+		if affected && cores-largest < requirement.Cores {
 			c.add("select", remedy,
 				"what only %s may run needs %.0f cores now, and %.0f would remain while the largest is out",
-				kinds(requirement.Kinds), requirement.Cores, cores-largest)
+				joinKinds(requirement.Kinds), requirement.Cores, cores-largest)
 		}
 	}
 }
@@ -202,27 +202,27 @@
 // plannedEnd returns when a plan's last engine would be back and warm, in ms since 1970, if nothing
 // goes wrong: the next ones are taken out when the ones before are warm, and not in blocked hours.
 func plannedEnd(p Plan, engines, atOnce int, now float64, durations StepDurations) float64 {
-	each := durations.Drain + p.WorkTime + durations.Warm
+	perRound := durations.Drain + p.WorkTime + durations.Warm
 	at := now
 	for rounds := (engines + atOnce - 1) / atOnce; rounds > 0; rounds-- {
-		at = nextAllowed(p, at) + each
+		at = nextAllowed(p, at) + perRound
 	}
 	return at
 }
 
 // nextAllowed returns when an engine may be taken out by the plan's hours, at a time or later, in
-// ms since 1970. If the hours block the whole day, it gives up after maxHourSteps.
+// ms since 1970. If the hours block the whole day, it gives up after maxBlockedHourSkips.
 func nextAllowed(p Plan, at float64) float64 {
-	for range maxHourSteps {
-		moved := false
+	for range maxBlockedHourSkips {
+		blocked := false
 		for _, h := range p.BlockedHours {
 			minute := int(at / msOfMinute)
 			if left, ok := h.within(minute % dayMinutes); ok {
 				at = (float64(minute) + float64(left)) * msOfMinute
-				moved = true
+				blocked = true
 			}
 		}
-		if !moved {
+		if !blocked {
 			break
 		}
 	}
--- a/internal/core/fleet/maintenance/decide.go
+++ b/internal/core/fleet/maintenance/decide.go
@@ -73,7 +73,7 @@
 // the lowest removal cost. Nil: none may go.
 func (d *decision) chooseNext() *Move {
 	var next *Move
-	least := math.Inf(1)
+	lowestCost := math.Inf(1)
 	waiting := 0
 	for _, e := range sortedByID(d.view.Engines) {
 		plan, ok := Merge(d.view.Plans, e)
@@ -86,13 +86,13 @@
 			continue
 		}
 		cost := d.view.removalCost(e)
-		if cost < least {
-			least = cost
+		if cost < lowestCost {
+			lowestCost = cost
 			next = &Move{Engine: e.ID, Plan: plan.ID, To: Preparing, IsNew: true}
 		}
 	}
 	if next != nil {
-		d.explain(next.Engine, "is next: it costs least now (%.2f)", least)
+		d.explain(next.Engine, "is next: it costs least now (%.2f)", lowestCost)
 	} else if waiting == 0 {
 		d.explain("", "no engine waits to be taken")
 	}
--- a/internal/core/fleet/maintenance/engine.go
+++ b/internal/core/fleet/maintenance/engine.go
@@ -69,8 +69,8 @@
 	return !slices.ContainsFunc(e.Groups, alone)
 }
 
-// kinds returns a list of kinds as text.
-func kinds(list []Kind) string {
+// joinKinds returns a list of kinds as text.
+func joinKinds(list []Kind) string {
 	texts := make([]string, len(list))
 	for i, k := range list {
 		texts[i] = string(k)
--- a/internal/core/fleet/maintenance/forecast.go
+++ b/internal/core/fleet/maintenance/forecast.go
@@ -7,8 +7,8 @@
 
 // Constants of Forecast.
 const (
-	// minForecastEnds is how many engines must be done before anything is forecast.
-	minForecastEnds = 3
+	// minForecastDone is how many engines must be done before anything is forecast.
+	minForecastDone = 3
 	// forecastDeviations is the half-width of the forecast in standard deviations: nine of ten
 	// normally distributed values lie within.
 	forecastDeviations = 1.64
@@ -21,27 +21,28 @@
 // back and warm in nine of ten cases. It is extrapolated from the intervals between the engines
 // that are done so far, with their waits and losses; false: too few are done.
 func Forecast(v View, p Plan) (earliest, latest float64, ok bool) {
-	ends, left, first := planProgress(v, p)
-	if len(ends) < minForecastEnds {
+	doneTimes, left, first := planProgress(v, p)
+	if len(doneTimes) < minForecastDone {
 		return 0, 0, false
 	}
-	last := slices.Max(ends)
+	last := slices.Max(doneTimes)
 	if left == 0 {
 		return last, last, true
 	}
-	slices.Sort(ends)
-	mean, deviation := intervals(first, ends)
+	slices.Sort(doneTimes)
+	mean, deviation := intervals(first, doneTimes)
 	n := float64(left)
 	spread := max(minForecastSpread*mean, deviation)
 	// The variance of n intervals to come, and that of n times the mean, an estimate from few.
-	half := forecastDeviations*spread*math.Sqrt(n+n*n/float64(len(ends))) + minForecastSpread*n*mean
+	halfWidth := forecastDeviations*spread*math.Sqrt(n+n*n/float64(len(doneTimes))) +
+		minForecastSpread*n*mean
 	at := v.Now - min(v.Now-last, mean) + n*mean
-	return max(v.Now, at-half), at + half, true
+	return max(v.Now, at-halfWidth), at + halfWidth, true
 }
 
 // planProgress returns when engines of a plan were done, how many are left, and when the first was
 // chosen; times in ms since 1970.
-func planProgress(v View, p Plan) (ends []float64, left int, first float64) {
+func planProgress(v View, p Plan) (doneTimes []float64, left int, first float64) {
 	first = math.Inf(1)
 	for _, t := range v.Tasks {
 		if t.Plan != p.ID {
@@ -49,7 +50,7 @@
 		}
 		first = min(first, t.ChosenAt)
 		if t.Step == Done {
-			ends = append(ends, t.StepStartedAt)
+			doneTimes = append(doneTimes, t.StepStartedAt)
 		} else {
 			left++
 		}
@@ -60,18 +61,18 @@
 			left++
 		}
 	}
-	return ends, left, first
+	return doneTimes, left, first
 }
 
 // intervals returns the mean and the standard deviation of the intervals between sorted times, from
 // a first one on.
-func intervals(first float64, ends []float64) (mean, deviation float64) {
-	mean = (ends[len(ends)-1] - first) / float64(len(ends))
+func intervals(first float64, doneTimes []float64) (mean, deviation float64) {
+	mean = (doneTimes[len(doneTimes)-1] - first) / float64(len(doneTimes))
 	sum := 0.0
 	previous := first
-	for _, end := range ends {
+	for _, end := range doneTimes {
 		sum += (end - previous - mean) * (end - previous - mean)
 		previous = end
 	}
-	return mean, math.Sqrt(sum / float64(len(ends)-1))
+	return mean, math.Sqrt(sum / float64(len(doneTimes)-1))
 }
--- a/internal/core/fleet/maintenance/plan.go
+++ b/internal/core/fleet/maintenance/plan.go
@@ -69,23 +69,23 @@
 }
 
 // String returns the rule as operators read it.
-func (k MinAvailable) String() string {
+func (m MinAvailable) String() string {
 	what := "engines"
-	if k.Kind != "" {
-		what += " of kind " + string(k.Kind)
+	if m.Kind != "" {
+		what += " of kind " + string(m.Kind)
 	}
-	if k.Zone != "" {
-		what += " in " + string(k.Zone)
+	if m.Zone != "" {
+		what += " in " + string(m.Zone)
 	}
-	if k.Share > 0 {
-		return fmt.Sprintf("%.0f%% of the %s", 100*k.Share, what)
+	if m.Share > 0 {
+		return fmt.Sprintf("%.0f%% of the %s", 100*m.Share, what)
 	}
-	return fmt.Sprintf("%d %s", k.Count, what)
+	return fmt.Sprintf("%d %s", m.Count, what)
 }
 
 // matches reports whether an engine counts for the rule.
-func (k MinAvailable) matches(e Engine) bool {
-	return (k.Kind == "" || k.Kind == e.Kind) && (k.Zone == "" || k.Zone == e.Zone)
+func (m MinAvailable) matches(e Engine) bool {
+	return (m.Kind == "" || m.Kind == e.Kind) && (m.Zone == "" || m.Zone == e.Zone)
 }
 
 // roundUp is added before a conversion to int to round up. It is a little less than 1, so that a
@@ -93,15 +93,15 @@
 const roundUp = 0.999999
 
 // required returns how many of a number of engines must remain.
-func (k MinAvailable) required(all int) int {
-	byShare := int(k.Share*float64(all) + roundUp)
-	return min(max(k.Count, byShare), max(k.Count, all))
+func (m MinAvailable) required(all int) int {
+	byShare := int(m.Share*float64(all) + roundUp)
+	return min(max(m.Count, byShare), max(m.Count, all))
 }
 
 // countMatching returns how many engines count for a rule.
-func countMatching(k MinAvailable, fleet []Engine) (n int) {
+func countMatching(rule MinAvailable, fleet []Engine) (n int) {
 	for _, e := range fleet {
-		if k.matches(e) {
+		if rule.matches(e) {
 			n++
 		}
 	}
