--- a/internal/core/fleet/maintenance/blocked.go
+++ b/internal/core/fleet/maintenance/blocked.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// msOfMinute is a minute in ms.
+// msOfMinute is the length of a minute in ms.
 const msOfMinute = 60000
 
-// blockReason returns why an engine may not be taken out now, as operators read it; empty: it may.
-// Begun says that the engine is being prepared already.
+// blockReason returns why an engine may not be taken out now, as text for operators; empty: it may.
+// preparing says that the engine is being prepared already.
 func (v View) blockReason(id EngineID, l Limits, preparing bool) string {
 	e, ok := findEngine(v.Engines, id)
 	if !ok {
-		return "it is not in the list"
+		return "it is not in the endpoint list"
 	}
 	plan, ok := Merge(v.Plans, e)
 	if !ok {
@@ -26,7 +26,7 @@
 		return reason
 	}
 	if v.ReconnectStorm {
-		return "clients are coming back in a storm"
+		return "many clients are reconnecting (a reconnect storm)"
 	}
 	unavailable := v.unavailable(id)
 	if len(unavailable) >= plan.MaxUnavailable {
@@ -45,17 +45,17 @@
 	return r.loadBlockReason(l)
 }
 
-// hourBlockReason returns why the hour of the day is blocked; empty: it is not.
+// hourBlockReason returns why no engine may be taken out at this time of day; empty: one may.
 func (v View) hourBlockReason(plan Plan) string {
 	for _, h := range plan.BlockedHours {
 		if left, ok := h.within(int(v.Now/msOfMinute) % dayMinutes); ok {
-			return fmt.Sprintf("none is taken in these hours, for %d min more", left)
+			return fmt.Sprintf("no engine is taken out in these hours, for %d min more", left)
 		}
 	}
 	return ""
 }
 
-// taskBlockReason returns which other engine's step has to end first; empty: none.
+// taskBlockReason returns which other engine's step must end first; empty: none.
 func (v View) taskBlockReason(id EngineID, l Limits, preparing bool) string {
 	for _, t := range v.Tasks {
 		if t.Engine == id {
@@ -71,25 +71,27 @@
 	return ""
 }
 
-// remainingFleet is the fleet without one engine, and without those that are unavailable already.
+// remainingFleet is the fleet without an engine that would be taken out, and without those that are
+// unavailable already.
 type remainingFleet struct {
 	view        View
 	engine      Engine // the one that would be taken out
 	unavailable []Engine
 }
 
-// staysReady reports whether an engine would go on serving.
+// staysReady reports whether an engine would continue to serve.
 func (r remainingFleet) staysReady(e Engine) bool {
 	isUnavailable := func(u Engine) bool { return u.ID == e.ID }
 	return e.ID != r.engine.ID && e.Ready && !slices.ContainsFunc(r.unavailable, isUnavailable)
 }
 
-// staysWarm reports whether an engine would go on serving with warm caches.
+// staysWarm reports whether an engine would continue to serve with warm caches.
 func (r remainingFleet) staysWarm(e Engine) bool {
 	return r.staysReady(e) && r.view.Now >= e.WarmAt
 }
 
-// all returns the engines of the endpoint list, and the unavailable ones, which may have left it.
+// all returns the engines of the endpoint list, and the unavailable ones, which may no longer be in
+// it.
 func (r remainingFleet) all() []Engine {
 	all := slices.Clone(r.view.Engines)
 	for _, e := range r.unavailable {
@@ -100,7 +102,8 @@
 	return all
 }
 
-// minAvailableBlockReason returns which rule of the plan would be broken; empty: none.
+// minAvailableBlockReason returns which rule of the plan's MinAvailable would be violated; empty:
+// none.
 func (r remainingFleet) minAvailableBlockReason(plan Plan) string {
 	all := r.all()
 	for _, rule := range plan.MinAvailable {
@@ -121,7 +124,7 @@
 }
 
 // requiredCoresBlockReason returns which kinds would have too few cores for the query classes that
-// run on them alone; empty: none.
+// run only on them; empty: none.
 func (r remainingFleet) requiredCoresBlockReason(l Limits) string {
 	for _, requirement := range r.view.Requirements {
 		if !slices.Contains(requirement.Kinds, r.engine.Kind) {
@@ -135,14 +138,15 @@
 		}
 		needed := l.CapacityFactor * requirement.Cores
 		if cores < needed {
-			return fmt.Sprintf("what only %s may run needs %.1f cores, and %.1f would remain",
+			return fmt.Sprintf("query classes that run only on %s need %.1f cores, and %.1f would remain",
 				joinKinds(requirement.Kinds), needed, cores)
 		}
 	}
 	return ""
 }
 
-// loadBlockReason returns why the remaining engines could not bear the load; empty: they could.
+// loadBlockReason returns why the remaining engines could not take over the load; empty: they
+// could.
 func (r remainingFleet) loadBlockReason(l Limits) string {
 	used := 0.0
 	cores := 0.0
@@ -157,10 +161,10 @@
 		}
 	}
 	if cores == 0 {
-		return "nothing would remain"
+		return "no engine would remain"
 	}
 	if used > l.MaxLoad*cores {
-		return fmt.Sprintf("what remains would be busy to %.0f%%", 100*used/cores)
+		return fmt.Sprintf("the remaining engines would be busy to %.0f%%", 100*used/cores)
 	}
 	return ""
 }
--- a/internal/core/fleet/maintenance/check.go
+++ b/internal/core/fleet/maintenance/check.go
@@ -8,21 +8,21 @@
 // maxPlanIDBytes bounds the length of a plan's ID.
 const maxPlanIDBytes = 64
 
-// msOfHour is an hour in ms.
+// msOfHour is the length of an hour in ms.
 const msOfHour = 3.6e6
 
-// maxBlockedHourSkips bounds how often nextAllowed passes over blocked hours that follow each other.
+// maxBlockedHourSkips bounds the passes of nextAllowed over blocked hours that follow each other.
 const maxBlockedHourSkips = 8
 
-// Problem is why a plan can't be done as it stands, and what would help. It is an error; its text
-// is what operators read.
+// Problem is a reason why a plan can't be carried out as it is, and what would remedy it. It is an
+// error whose text is for operators.
 type Problem struct {
-	Field  string // of the operators' file
+	Field  string // name in the operators' file
 	Reason string
 	Remedy string // empty: none is known
 }
 
-// Error returns the text that operators read.
+// Error returns the text for operators.
 func (p Problem) Error() string {
 	text := p.Field + ": " + p.Reason
 	if p.Remedy != "" {
@@ -31,14 +31,14 @@
 	return text
 }
 
-// StepDurations are what the steps beside the work take, in ms.
+// StepDurations are the durations of the steps other than the work, in ms.
 type StepDurations struct {
-	Drain float64 // until an engine is free
-	Warm  float64 // until it is warm again
+	Drain float64 // until no query runs on an engine
+	Warm  float64 // until its caches are warm again
 }
 
-// Check returns all that is wrong with a plan for a fleet, beside the other plans; none: it can be
-// done, as far as can be foreseen.
+// Check returns all problems of a plan for a fleet, given the other plans. If there are none, the
+// plan can be carried out as far as is foreseeable.
 func Check(
 	p Plan, others []Plan, fleet []Engine, requirements []Requirement, now float64,
 	durations StepDurations,
@@ -50,7 +50,7 @@
 	}
 	c.selectEngines()
 	if len(c.selected) == 0 {
-		c.add("select", "", "no engine of the list is selected")
+		c.add("select", "", "no engine of the endpoint list is selected")
 		return c.problems
 	}
 	c.checkOthers(others)
@@ -76,20 +76,20 @@
 		Problem{Field: field, Reason: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// checkForm checks the values of the plan by themselves.
+// checkForm checks the values of the plan, without the fleet.
 func (c *planCheck) checkForm() {
 	p := c.plan
 	switch {
 	case p.ID == "" || len(p.ID) > maxPlanIDBytes:
-		c.add("id", "", "has to have 1 to %d letters", maxPlanIDBytes)
+		c.add("id", "", "must have 1 to %d bytes", maxPlanIDBytes)
 	case p.WorkTime <= 0:
-		c.add("needs", "", "is no time")
+		c.add("needs", "", "must be a time above 0")
 	case p.MaxUnavailable < 1:
-		c.add("at_once", "", "is no number above 0")
+		c.add("at_once", "", "must be a number above 0")
 	}
 	for _, h := range p.BlockedHours {
 		if h.From < 0 || h.From >= dayMinutes || h.To < 0 || h.To >= dayMinutes || h.From == h.To {
-			c.add("not", "", "hours from %d to %d are no part of a day", h.From, h.To)
+			c.add("not", "", "minutes from %d to %d are not a part of a day", h.From, h.To)
 		}
 	}
 	if p.Select.empty() {
@@ -106,12 +106,13 @@
 	}
 	for _, id := range c.plan.Select.Engines {
 		if _, listed := findEngine(c.fleet, id); !listed {
-			c.add("select.engines", "", "%s is not in the list", id)
+			c.add("select.engines", "", "%s is not in the endpoint list", id)
 		}
 	}
 }
 
-// checkOthers finds engines for which another plan wants the opposite of this one.
+// checkOthers reports engines that are also selected by another plan, if only one of the two plans
+// is halted.
 func (c *planCheck) checkOthers(others []Plan) {
 	for _, other := range others {
 		if other.ID == c.plan.ID || other.Withdrawn || other.Halted == c.plan.Halted {
@@ -120,13 +121,14 @@
 		if i := slices.IndexFunc(c.selected, other.Select.matches); i >= 0 {
 			e := c.selected[i]
 			remedy := fmt.Sprintf("withdraw %s, or leave %s out", other.ID, e.ID)
-			c.add("select", remedy, "%s is in plan %s as well, of which one is halted", e.ID, other.ID)
+			c.add("select", remedy, "%s is in plan %s as well, and one of the two plans is halted",
+				e.ID, other.ID)
 		}
 	}
 }
 
-// checkMinAvailable checks the rules of what must remain, and returns how many engines may be out
-// at once.
+// checkMinAvailable checks the rules of MinAvailable, and returns how many engines may be out at
+// once.
 func (c *planCheck) checkMinAvailable() (maxOut int) {
 	maxOut = c.plan.MaxUnavailable
 	for _, rule := range c.plan.MinAvailable {
@@ -152,10 +154,10 @@
 	return maxOut
 }
 
-// checkRequirements checks that the kinds that some query classes need have enough cores without
+// checkRequirements checks that the kinds that query classes depend on have enough cores without
 // their largest selected engine.
 func (c *planCheck) checkRequirements(requirements []Requirement) {
-	const remedy = "add engines of those kinds first, or take them out when less is asked"
+	const remedy = "add engines of those kinds first, or take them out when demand is lower"
 	for _, requirement := range requirements {
 		cores := 0.0
 		largest := 0.0
@@ -172,14 +174,14 @@
 		}
 		if affected && cores-largest < requirement.Cores {
 			c.add("select", remedy,
-				"what only %s may run needs %.0f cores now, and %.0f would remain while the largest is out",
+				"classes that run only on %s need %.0f cores now, and %.0f would remain without the largest",
 				joinKinds(requirement.Kinds), requirement.Cores, cores-largest)
 		}
 	}
 }
 
-// checkDeadline checks that the plan is done by its deadline with a number of engines out at once,
-// and finds out which number would do.
+// checkDeadline checks that the plan is done by its deadline with at most maxOut engines out at
+// once, and finds the number that would suffice.
 func (c *planCheck) checkDeadline(maxOut int, now float64, durations StepDurations) {
 	p := c.plan
 	count := len(c.selected)
@@ -191,7 +193,7 @@
 	for enough < count && plannedEnd(p, count, enough, now, durations) > p.Deadline {
 		enough++
 	}
-	remedy := fmt.Sprintf("%d at once would do, if what must remain allows it", enough)
+	remedy := fmt.Sprintf("%d at once would do, if the engines that must remain allow it", enough)
 	if best := plannedEnd(p, count, enough, now, durations); best > p.Deadline {
 		remedy = fmt.Sprintf("%.1f h more are needed even with all at once", (best-p.Deadline)/msOfHour)
 	}
@@ -200,7 +202,7 @@
 }
 
 // plannedEnd returns when a plan's last engine would be back and warm, in ms since 1970, if nothing
-// goes wrong: the next ones are taken out when the ones before are warm, and not in blocked hours.
+// fails. Each round of engines starts when the previous one is warm, outside blocked hours.
 func plannedEnd(p Plan, engines, atOnce int, now float64, durations StepDurations) float64 {
 	perRound := durations.Drain + p.WorkTime + durations.Warm
 	at := now
@@ -210,8 +212,8 @@
 	return at
 }
 
-// nextAllowed returns when an engine may be taken out by the plan's hours, at a time or later, in
-// ms since 1970. If the hours block the whole day, it gives up after maxBlockedHourSkips.
+// nextAllowed returns the first time from at on that is not in the plan's blocked hours, in ms
+// since 1970. If they block the whole day, it gives up after maxBlockedHourSkips passes.
 func nextAllowed(p Plan, at float64) float64 {
 	for range maxBlockedHourSkips {
 		blocked := false
--- a/internal/core/fleet/maintenance/cost.go
+++ b/internal/core/fleet/maintenance/cost.go
@@ -10,11 +10,11 @@
 	sameZoneCost = 0.5
 	// sizeCost is for each core: a small engine leaves more capacity and is warm again sooner.
 	sizeCost = 0.02
-	// minCostedLoad is the load that sameZoneCost counts at least.
+	// minCostedLoad is the lowest load that is assumed for sameZoneCost.
 	minCostedLoad = 0.1
 )
 
-// removalCost returns what taking an engine out now would cost, in cores of work that finds cold
+// removalCost returns the cost of taking an engine out now, in cores of work that would find cold
 // caches or less capacity.
 func (v View) removalCost(e Engine) float64 {
 	cost := sizeCost * e.Cores
--- a/internal/core/fleet/maintenance/decide.go
+++ b/internal/core/fleet/maintenance/decide.go
@@ -8,7 +8,7 @@
 // Reason is why an engine was chosen, or why none is taken out now.
 type Reason struct {
 	Engine EngineID // empty: all
-	Text   string   // as operators read it
+	Text   string   // for operators
 }
 
 // decision collects the reasons of one call of Decide.
@@ -23,9 +23,9 @@
 	d.reasons = append(d.reasons, Reason{Engine: engine, Text: fmt.Sprintf(format, args...)})
 }
 
-// Decide returns the next move, nil if there is none, and the reasons. It returns one move at a
-// time, as each changes the view. Tasks that are under way come before engines that wait. The steps
-// that depend on confirmations and on programs are the caller's.
+// Decide returns the next move, or nil if there is none, and the reasons. It returns one move at a
+// time, as each changes the view. Tasks take precedence over engines that wait. The steps that
+// depend on confirmations and on programs are taken by the caller.
 func Decide(v View, l Limits) (*Move, []Reason) {
 	d := &decision{view: v, limits: l}
 	for _, t := range v.Tasks {
@@ -37,7 +37,8 @@
 	return move, d.reasons
 }
 
-// continueTask returns the next move of a task; nil: it waits, or its next step is the caller's.
+// continueTask returns the next move of a task; nil: it waits, or its next step is taken by the
+// caller.
 func (d *decision) continueTask(t Task) *Move {
 	v := d.view
 	l := d.limits
@@ -51,7 +52,8 @@
 			d.explain(t.Engine, "is prepared, and waits: %s", reason)
 			return nil
 		}
-		d.explain(t.Engine, "goes: its table groups have other warm homes, or %0.f s were spent on that",
+		d.explain(t.Engine,
+			"goes: its table groups are warm on other engines, or %0.f s were spent on preparing that",
 			l.PrepareTimeout/1e3)
 		move.To = Draining
 	case t.Step == Returning && isBack:
@@ -69,8 +71,8 @@
 	return move
 }
 
-// chooseNext returns the move that takes the next engine out: of those that may go, the one with
-// the lowest removal cost. Nil: none may go.
+// chooseNext returns the move that takes out the next engine: of those that may be taken out, the
+// one with the lowest removal cost. Nil: there is none.
 func (d *decision) chooseNext() *Move {
 	var next *Move
 	lowestCost := math.Inf(1)
@@ -94,7 +96,7 @@
 	if next != nil {
 		d.explain(next.Engine, "is next: it costs least now (%.2f)", lowestCost)
 	} else if waiting == 0 {
-		d.explain("", "no engine waits to be taken")
+		d.explain("", "no engine waits to be taken out")
 	}
 	return next
 }
--- a/internal/core/fleet/maintenance/engine.go
+++ b/internal/core/fleet/maintenance/engine.go
@@ -19,7 +19,7 @@
 	PlanID string
 )
 
-// Engine is what is known of an engine now.
+// Engine is the present state of an engine.
 type Engine struct {
 	ID        EngineID
 	Zone      Zone
@@ -35,12 +35,11 @@
 // HostedGroup is a table group that an engine serves.
 type HostedGroup struct {
 	Group        Group
-	Demand       float64 // cores of work that queries ask of it there
-	WarmReplicas int     // other engines, ready and warm, that have it cached
+	Demand       float64 // cores of work by queries for the group on this engine
+	WarmReplicas int     // other engines that are ready and warm and have the group cached
 }
 
-// Requirement is the capacity that is needed by query classes that may run on some kinds of engines
-// alone.
+// Requirement is the capacity needed by query classes that may run only on some kinds of engines.
 type Requirement struct {
 	Kinds []Kind
 	Cores float64
@@ -63,13 +62,13 @@
 	return Engine{}, false
 }
 
-// hasWarmReplicas reports whether all table groups of an engine are warm on another engine too.
+// hasWarmReplicas reports whether each table group of an engine is warm on another engine too.
 func hasWarmReplicas(e Engine) bool {
 	alone := func(g HostedGroup) bool { return g.WarmReplicas == 0 }
 	return !slices.ContainsFunc(e.Groups, alone)
 }
 
-// joinKinds returns a list of kinds as text.
+// joinKinds returns a list of kinds as text for operators.
 func joinKinds(list []Kind) string {
 	texts := make([]string, len(list))
 	for i, k := range list {
--- a/internal/core/fleet/maintenance/forecast.go
+++ b/internal/core/fleet/maintenance/forecast.go
@@ -7,7 +7,7 @@
 
 // Constants of Forecast.
 const (
-	// minForecastDone is how many engines must be done before anything is forecast.
+	// minForecastDone is the number of engines that must be done before a forecast is made.
 	minForecastDone = 3
 	// forecastDeviations is the half-width of the forecast in standard deviations: nine of ten
 	// normally distributed values lie within.
@@ -18,8 +18,8 @@
 )
 
 // Forecast returns the two times, in ms since 1970, between which all engines of a plan will be
-// back and warm in nine of ten cases. It is extrapolated from the intervals between the engines
-// that are done so far, with their waits and losses; false: too few are done.
+// back and warm in nine of ten cases. It is extrapolated from the intervals between the ends of the
+// tasks that are done, which include waits and losses; false: too few are done.
 func Forecast(v View, p Plan) (earliest, latest float64, ok bool) {
 	doneTimes, left, first := planProgress(v, p)
 	if len(doneTimes) < minForecastDone {
@@ -33,15 +33,16 @@
 	mean, deviation := intervals(first, doneTimes)
 	n := float64(left)
 	spread := max(minForecastSpread*mean, deviation)
-	// The variance of n intervals to come, and that of n times the mean, an estimate from few.
+	// The variance of n future intervals, plus that of n times the mean, which is estimated from few
+	// samples.
 	halfWidth := forecastDeviations*spread*math.Sqrt(n+n*n/float64(len(doneTimes))) +
 		minForecastSpread*n*mean
 	at := v.Now - min(v.Now-last, mean) + n*mean
 	return max(v.Now, at-halfWidth), at + halfWidth, true
 }
 
-// planProgress returns when engines of a plan were done, how many are left, and when the first was
-// chosen; times in ms since 1970.
+// planProgress returns when the plan's finished tasks were done, how many engines are left, and
+// when the first engine was chosen; times in ms since 1970.
 func planProgress(v View, p Plan) (doneTimes []float64, left int, first float64) {
 	first = math.Inf(1)
 	for _, t := range v.Tasks {
--- a/internal/core/fleet/maintenance/maintenance_test.go
+++ b/internal/core/fleet/maintenance/maintenance_test.go
@@ -23,7 +23,7 @@
 	return fleet
 }
 
-// TestCheckFindsProblemsOfPlan: each problem is found, with what would help.
+// TestCheckFindsProblemsOfPlan: each problem is reported, with its remedy.
 func TestCheckFindsProblemsOfPlan(t *testing.T) {
 	fleet := fleetOf(8)
 	good := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, WorkTime: 60000, MaxUnavailable: 2}
@@ -76,7 +76,7 @@
 		"query classes need the engines": {
 			func(*Plan) {},
 			nil, []Requirement{{Kinds: []Kind{"c12"}, Cores: 40}},
-			"select: what only c12 may run needs 40 cores now, and 36",
+			"select: classes that run only on c12 need 40 cores now, and 36",
 		},
 		"query classes have enough": {
 			func(*Plan) {},
@@ -104,12 +104,13 @@
 			texts = append(texts, problem.Error())
 		}
 		if got := strings.Join(texts, "\n"); (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: got problems %q, want %q in them", name, got, c.want)
 		}
 	}
 }
 
-// TestHoursSpanMidnight: hours within a day and over midnight, and hours that follow each other.
+// TestHoursSpanMidnight: hours within a day and across midnight, and blocked hours that follow each
+// other.
 func TestHoursSpanMidnight(t *testing.T) {
 	for _, c := range []struct {
 		h      Hours
@@ -126,16 +127,17 @@
 		{Hours{1380, 60}, 700, false, 0},
 	} {
 		if left, ok := c.h.within(c.minute); ok != c.within || ok && left != c.left {
-			t.Errorf("%v at %d: %v, %d", c.h, c.minute, ok, left)
+			t.Errorf("hours %v at minute %d: got within %v and %d min left, want those of the case",
+				c.h, c.minute, ok, left)
 		}
 	}
 	p := Plan{BlockedHours: []Hours{{60, 120}, {120, 180}}}
 	if at := nextAllowed(p, 61*60000); at != 180*60000 {
-		t.Errorf("the next allowed time is minute %g", at/60000)
+		t.Errorf("next allowed time: got minute %g, want 180", at/60000)
 	}
 }
 
-// TestDecideNextMove: which move is next, or why there is none.
+// TestDecideNextMove: Decide returns the next move, or why there is none.
 func TestDecideNextMove(t *testing.T) {
 	plan := Plan{ID: "p", Select: Selection{Kinds: []Kind{"c12"}}, WorkTime: 60000, MaxUnavailable: 2}
 	base := func() View { return View{Now: 1e9, Engines: fleetOf(8), Plans: []Plan{plan}} }
@@ -185,7 +187,7 @@
 			func(v *View) {
 				v.Requirements = []Requirement{{Kinds: []Kind{"c12"},
 					Cores: 31}}
-			}, "", "needs 37.2 cores, and 36.0",
+			}, "", "need 37.2 cores, and 36.0",
 		},
 		"another is being prepared": {func(v *View) {
 			v.Tasks = []Task{{Engine: "s01", Step: Preparing, StepStartedAt: 1e9}}
@@ -254,14 +256,15 @@
 			got = fmt.Sprint(move.Engine, " ", move.To)
 		}
 		if got != c.move || !strings.Contains(fmt.Sprint(reasons), c.reason) {
-			t.Errorf("%s: %q, want %q; %v", name, got, c.move, reasons)
+			t.Errorf("%s: got move %q, want %q; got reasons %v", name, got, c.move, reasons)
 		}
 	}
 }
 
-// Random fleets, plans and losses are simulated until all engines are done. At no time are more out
-// than the plan allows, what must remain remains, query classes that need a kind have their cores,
-// no engine is taken twice or forgotten, and a move that does not fit the tasks changes nothing.
+// Random fleets, plans and losses are simulated until all engines are done. At no time are more
+// engines out than the plan allows, the engines that must remain do, query classes that need a kind
+// have their cores, each engine is taken out exactly once, and a move that does not fit the tasks
+// changes nothing.
 func TestRandomPlansKeepCapacity(t *testing.T) {
 	for seed := range int64(80) {
 		rng := rand.New(rand.NewSource(seed))
@@ -281,7 +284,7 @@
 		taken := map[EngineID]int{}
 		for range 20000 {
 			v.Now += 1000
-			if rng.Intn(400) == 0 && len(lost) == 0 { // an engine fails, and is back after a while
+			if rng.Intn(400) == 0 && len(lost) == 0 { // an engine fails, and is back after 30 s
 				lost[engines[rng.Intn(n)].ID] = v.Now + 30000
 			}
 			v.Lost = nil
@@ -302,7 +305,7 @@
 					v.Engines = append(v.Engines, *e)
 				}
 			}
-			for i := range v.Tasks { // the steps that the caller makes
+			for i := range v.Tasks { // the steps that the caller of Decide takes
 				task := &v.Tasks[i]
 				step := func(to Step) { task.Step, task.StepStartedAt = to, v.Now }
 				switch {
@@ -327,13 +330,13 @@
 				continue
 			}
 			e, _ := findEngine(v.Engines, move.Engine)
-			rng.Intn(10) // keeps the sequence of the draws that follow
+			rng.Intn(10) // keeps the random numbers that follow the same
 			if _, ok := Apply(v.Tasks, Move{Engine: move.Engine, From: move.From + 1, To: move.To}, e, v.Now); ok {
-				t.Fatalf("seed %d: a move that does not fit is made", seed)
+				t.Fatalf("seed %d: a move that does not fit the tasks is applied", seed)
 			}
 			tasks, ok := Apply(v.Tasks, *move, e, v.Now)
 			if !ok {
-				t.Fatalf("seed %d: the decided move does not fit: %+v", seed, move)
+				t.Fatalf("seed %d: the decided move does not fit the tasks: %+v", seed, move)
 			}
 			v.Tasks = tasks
 			if move.To == Draining {
@@ -346,7 +349,7 @@
 					}
 				}
 				if out > plan.MaxUnavailable {
-					t.Fatalf("seed %d: %d are out, %d may be", seed, out, plan.MaxUnavailable)
+					t.Fatalf("seed %d: got %d engines out or lost, want at most %d", seed, out, plan.MaxUnavailable)
 				}
 				for _, e := range v.Engines {
 					gone := false
@@ -358,16 +361,16 @@
 					}
 				}
 				if e.Kind == "c16" && (remain < plan.MinAvailable[0].Count || cores < requirements[0].Cores) {
-					t.Fatalf("seed %d: %d remain with %g cores", seed, remain, cores)
+					t.Fatalf("seed %d: %d engines of kind c16 remain with %g cores, fewer than must remain", seed, remain, cores)
 				}
 				if taken[move.Engine]++; taken[move.Engine] > 1 {
-					t.Fatalf("seed %d: %s is taken twice", seed, move.Engine)
+					t.Fatalf("seed %d: %s is taken out twice", seed, move.Engine)
 				}
 			}
 		}
 		if len(taken) != n {
 			_, why := Decide(v, DefaultLimits())
-			t.Fatalf("seed %d: %d of %d were taken: %v", seed, len(taken), n, why)
+			t.Fatalf("seed %d: got %d of %d engines taken out, want all; reasons: %v", seed, len(taken), n, why)
 		}
 	}
 }
--- a/internal/core/fleet/maintenance/plan.go
+++ b/internal/core/fleet/maintenance/plan.go
@@ -10,7 +10,8 @@
 type Plan struct {
 	ID     PlanID    `cbor:"1,keyasint"`
 	Select Selection `cbor:"2,keyasint"`
-	// WorkTime is what the work on one engine takes in ms, from drained to back in the endpoint list.
+	// WorkTime is the duration of the work on one engine in ms, from drained to back in the endpoint
+	// list.
 	WorkTime float64 `cbor:"3,keyasint" json:"Needs"`
 	// Deadline is when all is to be done, in ms since 1970; 0: any time.
 	Deadline float64 `cbor:"4,keyasint,omitempty" json:"By"`
@@ -18,20 +19,20 @@
 	BlockedHours []Hours `cbor:"5,keyasint,omitempty" json:"Not"`
 	// MinAvailable is the capacity that must remain at all times.
 	MinAvailable []MinAvailable `cbor:"6,keyasint,omitempty" json:"Keep"`
-	// MaxUnavailable is how many engines may be out or lost at a time.
+	// MaxUnavailable is the number of engines that may be out or lost at a time.
 	MaxUnavailable int `cbor:"7,keyasint" json:"AtOnce"`
 	// Version is the serial of the agreed state in which the plan was accepted.
 	Version int `cbor:"8,keyasint,omitempty"`
-	// Halted: no further engine is taken out; those that are out come back.
+	// Halted: no further engine is taken out; those that are out return.
 	Halted bool `cbor:"9,keyasint,omitempty"`
-	// Withdrawn: as Halted, and it can't be resumed.
+	// Withdrawn: as Halted, but the plan can't be resumed.
 	Withdrawn bool `cbor:"10,keyasint,omitempty" json:"Over"`
 	// ConfirmWork: each task waits until a person confirms that the work is done.
 	ConfirmWork bool `cbor:"11,keyasint,omitempty" json:"Person"`
 }
 
-// Selection is which engines a plan is for: those that are named, and those that match all of
-// Zones, Kinds and StartedBefore that are given.
+// Selection selects the engines of a plan: those that are named, and those that match all of Zones,
+// Kinds and StartedBefore that are given.
 type Selection struct {
 	Engines []EngineID `cbor:"1,keyasint,omitempty"`
 	Zones   []Zone     `cbor:"2,keyasint,omitempty"`
@@ -68,7 +69,7 @@
 	Share float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// String returns the rule as operators read it.
+// String returns the rule as text for operators.
 func (m MinAvailable) String() string {
 	what := "engines"
 	if m.Kind != "" {
@@ -89,10 +90,10 @@
 }
 
 // roundUp is added before a conversion to int to round up. It is a little less than 1, so that a
-// product that is whole but for a rounding error is not raised by one.
+// product that exceeds a whole number only by a rounding error is not rounded up.
 const roundUp = 0.999999
 
-// required returns how many of a number of engines must remain.
+// required returns how many of a number of matching engines must remain.
 func (m MinAvailable) required(all int) int {
 	byShare := int(m.Share*float64(all) + roundUp)
 	return min(max(m.Count, byShare), max(m.Count, all))
@@ -117,16 +118,17 @@
 	To   int `cbor:"2,keyasint"`
 }
 
-// within reports whether a minute of a day lies in the hours, and for how many minutes more.
+// within reports whether a minute of the day is in the hours, and returns how many minutes of them
+// are left.
 func (h Hours) within(minute int) (left int, ok bool) {
 	length := (h.To - h.From + dayMinutes) % dayMinutes
 	since := (minute - h.From + dayMinutes) % dayMinutes
 	return length - since, since < length
 }
 
-// Merge combines the plans that hold for an engine: the longest work, the earliest deadline, the
-// strictest limits, and what any of them blocks or keeps available. So plans that overlap take an
-// engine out once. It returns false if no plan holds.
+// Merge combines the plans in effect for an engine: the longest work, the earliest deadline, the
+// strictest limits, and what any of them blocks or keeps available, so that overlapping plans take
+// an engine out only once. It returns false if no plan is in effect.
 func Merge(plans []Plan, e Engine) (merged Plan, ok bool) {
 	for _, p := range plans {
 		if p.Withdrawn || p.Halted || !p.Select.matches(e) {
--- a/internal/core/fleet/maintenance/task.go
+++ b/internal/core/fleet/maintenance/task.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Step is how far the work on an engine is.
+// Step is a stage of the work on an engine.
 type Step uint8
 
 // The steps, in their order.
 const (
-	// Preparing: other engines are loading its table groups; it serves.
+	// Preparing: other engines are loading its table groups; it still serves.
 	Preparing Step = iota
 	// Draining: it was announced as out of service; some controllers may still send queries to it.
 	Draining
 	// Free: all controllers that might send to it have confirmed that they stopped and that no
 	// query of theirs runs there.
 	Free
-	// Working: the work is going on.
+	// Working: the work is in progress.
 	Working
-	// Returning: the work is done; it is to come back into the endpoint list.
+	// Returning: the work is done; the engine is to return to the endpoint list.
 	Returning
-	// Warming: it is back and its caches are cold.
+	// Warming: it is back, and its caches are cold.
 	Warming
 	// Done: it is back and warm.
 	Done
@@ -26,15 +26,15 @@
 	Missing
 )
 
-// stepNames are the names that operators see, by step.
+// stepNames are the names for operators, by step.
 var stepNames = [...]string{
 	"preparing", "draining", "free", "working", "returning", "warming", "done", "missing",
 }
 
-// String returns the step's name as operators see it.
+// String returns the step's name for operators.
 func (s Step) String() string { return stepNames[s] }
 
-// reducesCapacity reports whether an engine in this step is missing from the capacity, or soon will
+// reducesCapacity reports whether an engine in this step counts as unavailable: it is, or soon will
 // be.
 func (s Step) reducesCapacity() bool { return s <= Warming || s == Missing }
 
@@ -48,12 +48,13 @@
 	StepStartedAt float64 `cbor:"4,keyasint"`
 	// Sequence rises with each step of any task: an action for an older one is rejected.
 	Sequence uint64 `cbor:"5,keyasint"`
-	// Zone, Kind and Cores are those of the engine, which may leave the endpoint list.
+	// Zone, Kind and Cores are those of the engine. They are kept here as it may leave the endpoint
+	// list.
 	Zone  Zone    `cbor:"6,keyasint"`
 	Kind  Kind    `cbor:"7,keyasint"`
 	Cores float64 `cbor:"8,keyasint"`
-	// EngineStartedAt is when the engine's process started that is taken out, in ms since 1970. An
-	// engine that is back has started later.
+	// EngineStartedAt is when the engine process that is taken out started, in ms since 1970. The
+	// process of an engine that is back has started later.
 	EngineStartedAt float64 `cbor:"9,keyasint,omitempty"`
 	// ChosenAt is when the engine was chosen, in ms since 1970.
 	ChosenAt float64 `cbor:"10,keyasint,omitempty"`
@@ -68,9 +69,9 @@
 	IsNew  bool // the engine has no task yet
 }
 
-// Apply returns the tasks after a move of an engine, with the next sequence number. A move that no
-// longer fits changes nothing, and Apply returns false: the tasks have changed since it was decided
-// on.
+// Apply returns the tasks after a move of an engine, with the next sequence number. If the move no
+// longer fits, because the tasks have changed since it was decided on, Apply returns the tasks
+// unchanged and false.
 func Apply(tasks []Task, m Move, e Engine, now float64) ([]Task, bool) {
 	sequence := uint64(1)
 	for _, t := range tasks {
@@ -93,7 +94,7 @@
 	if !m.IsNew {
 		return tasks, false
 	}
-	ofEngine := func(t Task) bool { return t.Engine == m.Engine } // done, by an earlier plan
+	ofEngine := func(t Task) bool { return t.Engine == m.Engine } // done, of an earlier plan
 	out = slices.DeleteFunc(out, ofEngine)
 	return append(out, Task{
 		Engine:          m.Engine,
--- a/internal/core/fleet/maintenance/view.go
+++ b/internal/core/fleet/maintenance/view.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// View is all that a decision depends on.
+// View is the input of a decision.
 type View struct {
 	Now          float64 // ms since 1970
 	Engines      []Engine
@@ -13,10 +13,10 @@
 	// ReconnectStorm: many clients are reconnecting, or controllers are coming back. No caller sets it
 	// yet.
 	ReconnectStorm bool
-	// DrainsListed: the endpoint list shows engines that are taken out as draining, so one that it
-	// shows as ready is back.
+	// DrainsListed: the endpoint list marks engines that are taken out as draining, so that one it
+	// lists as ready is back.
 	DrainsListed bool
-	// StaleReason is why the view may be incomplete, as operators read it; empty: it is complete.
+	// StaleReason is why the view may be incomplete, as text for operators; empty: it is complete.
 	StaleReason string
 }
 
@@ -28,13 +28,13 @@
 	// CapacityFactor times the cores of a Requirement must remain. Default 1.2; 0: requirements
 	// don't count.
 	CapacityFactor float64
-	// PrepareTimeout is how long other engines load an engine's table groups at most, in ms.
-	// Default 30000; 0: they are not waited for.
+	// PrepareTimeout is the longest time in ms for which other engines load an engine's table groups
+	// before it is drained. Default 30000; 0: they are not waited for.
 	PrepareTimeout float64
-	// ReturnTimeout is how long after its work an engine that is not back counts as missing, in ms.
-	// Default 600000; 0: at once.
+	// ReturnTimeout is the time in ms after its work after which an engine that is not back counts as
+	// missing. Default 600000; 0: at once.
 	ReturnTimeout float64
-	// WaitForWarm: no engine is taken out while one that came back is cold. Default true.
+	// WaitForWarm: no engine is taken out while one that is back is still cold. Default true.
 	WaitForWarm bool
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// hasTask reports whether an engine has a task, or had one by this version of a plan.
+// hasTask reports whether an engine has an unfinished task, or a finished one of this version of a
+// plan.
 func (v View) hasTask(id EngineID, p Plan) bool {
 	return slices.ContainsFunc(v.Tasks, func(t Task) bool {
 		doneByPlan := t.Plan == p.ID && t.Sequence >= uint64(p.Version)
