--- a/internal/core/fleet/config/apply_test.go
+++ b/internal/core/fleet/config/apply_test.go
@@ -208,7 +208,8 @@
 			}
 		}
 		if c.replica.Current().Number != want {
-			t.Errorf("%s: got version %d in force, want %d", c.id, c.replica.Current().Number, want)
+			t.Errorf("%s: got version %d in force, want 1 if it rejects version 2, else 2",
+				c.id, c.replica.Current().Number)
 		}
 	}
 	a, ok := f.query(f.all[30], QueryStatus)
--- a/internal/core/fleet/config/environment.go
+++ b/internal/core/fleet/config/environment.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/internal/core/fleet/members"
 
-// Options identify a replica and one run of its process.
+// Options identify a replica and one run of its process, and seed its random choices.
 type Options struct {
 	Self members.ID
 	Run  uint64 // a random number drawn when the process starts
--- a/internal/core/fleet/config/fetch.go
+++ b/internal/core/fleet/config/fetch.go
@@ -23,7 +23,8 @@
 	avoidOnlySourceTime = 1000.0
 	// maxSources bounds the sources of a document.
 	maxSources = 16
-	// maxExcluded bounds each list of members that are not to be asked.
+	// maxExcluded bounds each set of members that is kept: those asked for a document, those that lack
+	// it, and those to be avoided.
 	maxExcluded = 64
 	// maxDownloads is the sum of what each purpose may need at a time: proposals, holds and lookups by
 	// their bounds, the version to be applied, and one of the history.
--- a/internal/core/fleet/config/history_test.go
+++ b/internal/core/fleet/config/history_test.go
@@ -105,7 +105,7 @@
 		h.copies[c] = c.folder.copy()
 	case 9:
 		side := f.rng.Intn(2)
-		h.record("some controllers are moved to partition %d", side)
+		h.record("(drawn: %s) some controllers are moved to partition %d", c.id, side)
 		f.partition(f.all[f.rng.Intn(len(f.all)):], side)
 	case 10:
 		c.diskFull = !c.diskFull && !c.voter
