--- a/internal/core/fleet/config/announce.go
+++ b/internal/core/fleet/config/announce.go
@@ -8,12 +8,13 @@
 
 // Pushes of a new summary.
 const (
-	// pushFanout is how many members a push goes to.
+	// pushFanout is the number of members that a push is sent to.
 	pushFanout = 4
-	// maxPushes is how often a new summary is pushed.
+	// maxPushes is the number of times that a new summary is pushed.
 	maxPushes = 3
-	// pushInterval is the time until the second push in ms; the third comes twice as long after that.
-	pushInterval = 300.0
+	// firstPushInterval is the time in ms until the second push; the third follows after twice that
+	// time.
+	firstPushInterval = 300.0
 )
 
 // announcement is the summary that this controller announces, and its pushes.
@@ -31,7 +32,7 @@
 	return never
 }
 
-// Summary returns what accompanies membership messages; nil: nothing.
+// Summary returns the summary to be sent along with membership messages; nil: none.
 func (r *Replica) Summary() *Summary {
 	if r.announcement.summary.Number == 0 {
 		return nil
@@ -46,7 +47,7 @@
 		return
 	}
 	if r.votes() && r.env.State().Newest() < r.newest.Number {
-		return // a voter announces only what its own state has, as that has the author and reason
+		return // a voter announces only versions of its own state, which has their author and reason
 	}
 	r.announcement = announcement{
 		summary:    r.newest.summary(),
@@ -56,22 +57,23 @@
 	r.sendPushes()
 }
 
-// sendPushes pushes the summary to some members at once, and to others a little later.
+// sendPushes pushes the summary to some random members if a push is due, and schedules the next
+// push.
 func (r *Replica) sendPushes() {
 	if r.announcement.pushesLeft == 0 || r.now < r.announcement.nextPushAt {
 		return
 	}
-	done := maxPushes - r.announcement.pushesLeft
+	sent := maxPushes - r.announcement.pushesLeft
 	r.announcement.pushesLeft--
-	r.announcement.nextPushAt = r.now + pushInterval*float64(1+done)
+	r.announcement.nextPushAt = r.now + firstPushInterval*float64(1+sent)
 	for _, id := range r.drawAlive(pushFanout) {
 		r.send(id, Message{Summary: r.Summary()})
 		r.counters.Pushed++
 	}
 }
 
-// handleSummary handles the newest version that a member announces, and reports whether anything
-// changed by it. A lower number, or the same again, changes nothing.
+// handleSummary handles the newest version that a member announces, and reports whether it changed
+// anything. A lower number than the target's changes nothing; the same one can only add a source.
 func (r *Replica) handleSummary(from members.ID, s Summary) bool {
 	switch {
 	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
@@ -91,7 +93,7 @@
 	return true
 }
 
-// contradicts reports whether another document is known here by the same number.
+// contradicts reports whether the version known here under the same number has another document.
 func (r *Replica) contradicts(s Summary) bool {
 	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
 		if v.Number == s.Number && v.summary() != s {
