--- a/internal/core/restore/engines.go
+++ b/internal/core/restore/engines.go
@@ -40,18 +40,18 @@
 // ageEngine returns a record with each of its values aged by its own half-life. ok is false if all
 // have expired.
 func (s *selector) ageEngine(e router.EngineStatistics) (aged router.EngineStatistics, ok bool) {
-	lives := s.halfLives
-	longest := max(lives.Slowdown, lives.Outcomes, lives.ThreadsPerCore, lives.Pools)
+	halfLives := s.halfLives
+	longest := max(halfLives.Slowdown, halfLives.Outcomes, halfLives.ThreadsPerCore, halfLives.Pools)
 	if _, ok := s.remainingWeight(e.At, longest); !ok {
 		return e, false
 	}
 	age := s.now - e.At
 	e.Slowdown.Weight = min(maxSlowdownWeight, e.Slowdown.Weight) *
-		RemainingWeight(age, lives.Slowdown)
-	surplus := e.ThreadsPerCore - defaultThreadsPerCore
-	e.ThreadsPerCore = defaultThreadsPerCore + surplus*RemainingWeight(age, lives.ThreadsPerCore)
-	e.Outcomes = ageOutcomes(e.Outcomes, RemainingWeight(age, lives.Outcomes))
-	if RemainingWeight(age, lives.Pools) < minRemainingWeight {
+		RemainingWeight(age, halfLives.Slowdown)
+	deviation := e.ThreadsPerCore - defaultThreadsPerCore
+	e.ThreadsPerCore = defaultThreadsPerCore + deviation*RemainingWeight(age, halfLives.ThreadsPerCore)
+	e.Outcomes = ageOutcomes(e.Outcomes, RemainingWeight(age, halfLives.Outcomes))
+	if RemainingWeight(age, halfLives.Pools) < minRemainingWeight {
 		e.PoolLeader = ""
 	}
 	return e, true
--- a/internal/core/restore/restore.go
+++ b/internal/core/restore/restore.go
@@ -100,12 +100,12 @@
 
 // uniqueByID returns a copy of the records ordered by id: the first of each id, up to a number of
 // them. All others are counted as invalid.
-func uniqueByID[T any, K cmp.Ordered](s *selector, records []T, id func(*T) K, most int) []T {
+func uniqueByID[T any, K cmp.Ordered](s *selector, records []T, id func(*T) K, limit int) []T {
 	unique := slices.Clone(records)
 	slices.SortStableFunc(unique, func(a, b T) int { return cmp.Compare(id(&a), id(&b)) })
 	unique = slices.CompactFunc(unique, func(a, b T) bool { return id(&a) == id(&b) })
-	if len(unique) > most {
-		unique = unique[:most]
+	if len(unique) > limit {
+		unique = unique[:limit]
 	}
 	s.counts.Invalid += len(records) - len(unique)
 	return unique
--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -13,8 +13,8 @@
 	"mintkeel/router"
 )
 
-// ageless returns the half-lives of a plain baseline, by which all records count as if they were new.
-func ageless() HalfLives {
+// infiniteHalfLives returns the half-lives of a plain baseline, by which all records count as if they were new.
+func infiniteHalfLives() HalfLives {
 	inf := math.Inf(1)
 	return HalfLives{inf, inf, inf, inf, inf, inf, inf}
 }
@@ -29,7 +29,7 @@
 const now = 1.8e12
 
 var (
-	me            = Identity{Name: "n3", Settings: 77}
+	owner         = Identity{Name: "n3", Settings: 77}
 	testEndpoints = []router.Endpoint{
 		{Engine: "a"},
 		{Engine: "b", StartedAt: now - 1e6},
@@ -40,7 +40,7 @@
 // sampleSnapshot has a record of each kind, of an age in ms.
 func sampleSnapshot(age float64) *Snapshot {
 	at := now - age
-	return &Snapshot{Owner: me, Statistics: router.Statistics{
+	return &Snapshot{Owner: owner, Statistics: router.Statistics{
 		Engines: []router.EngineStatistics{{
 			At:             at,
 			Engine:         "a",
@@ -69,63 +69,63 @@
 // Records of several ages, also of the future, are restored or counted as expired by the half-life
 // of their kind.
 func TestRecordsExpireByAge(t *testing.T) {
-	u := DefaultHalfLives()
+	halfLives := DefaultHalfLives()
 	for _, c := range []struct {
-		name                               string
-		age                                float64
-		lives                              HalfLives
-		engines, tables, profiles, traffic int
-		counts                             Counts
+		name                              string
+		age                               float64
+		halfLives                         HalfLives
+		engines, tables, classes, traffic int
+		counts                            Counts
 	}{
-		{"fresh", 0, u, 1, 1, 1, 1, Counts{Restored: 4}},
-		{"a clock set back by half a second", -500, u, 1, 1, 1, 1, Counts{Restored: 4}},
-		{"from the future", -5000, u, 0, 0, 0, 0, Counts{FromFuture: 4}},
-		{"a minute", 60e3, u, 1, 1, 1, 1, Counts{Restored: 4}},
-		{"ten minutes", 600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
-		{"three hours", 3 * 3600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
-		{"a day", 24 * 3600e3, u, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
-		{"two weeks", 14 * 24 * 3600e3, u, 0, 0, 0, 0, Counts{Expired: 4}},
-		{"a day, by the plain baseline", 24 * 3600e3, ageless(), 1, 1, 1, 1, Counts{Restored: 4}},
+		{"fresh", 0, halfLives, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"a clock set back by half a second", -500, halfLives, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"from the future", -5000, halfLives, 0, 0, 0, 0, Counts{FromFuture: 4}},
+		{"a minute", 60e3, halfLives, 1, 1, 1, 1, Counts{Restored: 4}},
+		{"ten minutes", 600e3, halfLives, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"three hours", 3 * 3600e3, halfLives, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"a day", 24 * 3600e3, halfLives, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
+		{"two weeks", 14 * 24 * 3600e3, halfLives, 0, 0, 0, 0, Counts{Expired: 4}},
+		{"a day, by the plain baseline", 24 * 3600e3, infiniteHalfLives(), 1, 1, 1, 1, Counts{Restored: 4}},
 		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
 	} {
-		l, counts := Select(sampleSnapshot(c.age), me, testEndpoints, now, c.lives)
-		if len(l.Engines) != c.engines || len(l.Tables) != c.tables || len(l.Classes) != c.profiles ||
-			len(l.Traffic) != c.traffic || counts != c.counts {
-			t.Errorf("%s: %+v, %+v", c.name, l, counts)
+		selected, counts := Select(sampleSnapshot(c.age), owner, testEndpoints, now, c.halfLives)
+		if len(selected.Engines) != c.engines || len(selected.Tables) != c.tables || len(selected.Classes) != c.classes ||
+			len(selected.Traffic) != c.traffic || counts != c.counts {
+			t.Errorf("%s: %+v, %+v", c.name, selected, counts)
 		}
 	}
 }
 
 // Each value of a record ages towards that of an engine without statistics, by its own half-life.
 func TestValuesAgeByTheirOwnHalfLife(t *testing.T) {
-	u := DefaultHalfLives()
+	halfLives := DefaultHalfLives()
 	at := func(age float64) router.Statistics {
-		l, _ := Select(sampleSnapshot(age), me, testEndpoints, now, u)
-		return l
+		selected, _ := Select(sampleSnapshot(age), owner, testEndpoints, now, halfLives)
+		return selected
 	}
 	if e := at(0).Engines[0]; e.Slowdown.Weight != 3 || e.ThreadsPerCore != 1.6 || e.Outcomes != 0b11110000 || e.PoolLeader != "a" {
 		t.Errorf("fresh: %+v", e)
 	}
-	if e := at(u.Slowdown).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
+	if e := at(halfLives.Slowdown).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
 		t.Errorf("after the half-life of a slowdown: %+v", e)
 	}
-	if e := at(u.ThreadsPerCore).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
+	if e := at(halfLives.ThreadsPerCore).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
 		t.Errorf("after the half-life of threads per core: %+v", e)
 	}
-	if e := at(u.Outcomes).Engines[0]; e.Outcomes != 0b11110000 {
+	if e := at(halfLives.Outcomes).Engines[0]; e.Outcomes != 0b11110000 {
 		t.Errorf("after the half-life of outcomes, of which the bad are the latest: %08b", e.Outcomes)
 	}
-	if e := at(2 * u.Outcomes).Engines[0]; e.Outcomes != 0b11111100 {
+	if e := at(2 * halfLives.Outcomes).Engines[0]; e.Outcomes != 0b11111100 {
 		t.Errorf("after twice the half-life of outcomes: %08b", e.Outcomes)
 	}
-	if e := at(5 * u.Outcomes).Engines[0]; e.Outcomes != 0xff {
+	if e := at(5 * halfLives.Outcomes).Engines[0]; e.Outcomes != 0xff {
 		t.Errorf("after five times the half-life of outcomes: %08b", e.Outcomes)
 	}
-	if g := at(u.Tables).Tables[0]; math.Abs(g.Demand-1) > 1e-9 || math.Abs(g.MemoryTime-20) > 1e-9 {
-		t.Errorf("after the half-life of table groups: %+v", g)
+	if table := at(halfLives.Tables).Tables[0]; math.Abs(table.Demand-1) > 1e-9 || math.Abs(table.MemoryTime-20) > 1e-9 {
+		t.Errorf("after the half-life of table groups: %+v", table)
 	}
-	if g := at(4.5 * u.Pools).Tables[0]; g.PoolLeaders != nil || g.Demand < 1.9 {
-		t.Errorf("after the half-life of pools: %+v", g)
+	if table := at(4.5 * halfLives.Pools).Tables[0]; table.PoolLeaders != nil || table.Demand < 1.9 {
+		t.Errorf("after the half-life of pools: %+v", table)
 	}
 }
 
@@ -134,46 +134,46 @@
 func TestForeignAndInvalidRecordsAreDropped(t *testing.T) {
 	nan := math.NaN()
 	inf := math.Inf(1)
-	// engine changes the record of an engine.
-	engine := func(change func(*router.EngineStatistics)) func(*Snapshot) {
-		return func(m *Snapshot) { change(&m.Statistics.Engines[0]) }
+	// changeEngine changes the record of an engine.
+	changeEngine := func(change func(*router.EngineStatistics)) func(*Snapshot) {
+		return func(stored *Snapshot) { change(&stored.Statistics.Engines[0]) }
 	}
 	for _, c := range []struct {
-		name   string
-		change func(m *Snapshot)
-		left   int
-		want   Counts
+		name     string
+		change   func(stored *Snapshot)
+		restored int
+		want     Counts
 	}{
-		{"another controller's", func(m *Snapshot) { m.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
-		{"other settings", func(m *Snapshot) { m.Owner.Settings++ }, 0, Counts{Foreign: 4}},
-		{"an engine not listed", engine(func(e *router.EngineStatistics) { e.Engine = "c" }),
+		{"another controller's", func(stored *Snapshot) { stored.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
+		{"other settings", func(stored *Snapshot) { stored.Owner.Settings++ }, 0, Counts{Foreign: 4}},
+		{"an engine not listed", changeEngine(func(e *router.EngineStatistics) { e.Engine = "c" }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"an engine that drains", engine(func(e *router.EngineStatistics) { e.Engine = "d" }),
+		{"an engine that drains", changeEngine(func(e *router.EngineStatistics) { e.Engine = "d" }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"another process", engine(func(e *router.EngineStatistics) { e.StartedAt = 5 }),
+		{"another process", changeEngine(func(e *router.EngineStatistics) { e.StartedAt = 5 }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"a slowdown that is no number", engine(func(e *router.EngineStatistics) { e.Slowdown.Mean = nan }),
+		{"a slowdown that is no number", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Mean = nan }),
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"infinite threads per core", engine(func(e *router.EngineStatistics) { e.ThreadsPerCore = inf }),
+		{"infinite threads per core", changeEngine(func(e *router.EngineStatistics) { e.ThreadsPerCore = inf }),
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a weight below zero", engine(func(e *router.EngineStatistics) { e.Slowdown.Weight = -1 }),
+		{"a weight below zero", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Weight = -1 }),
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a demand that can't be", func(m *Snapshot) { m.Statistics.Tables[0].Demand = 1e9 },
+		{"a demand that can't be", func(stored *Snapshot) { stored.Statistics.Tables[0].Demand = 1e9 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"no class", func(m *Snapshot) { m.Statistics.Classes[0].Class = -1 },
+		{"no class", func(stored *Snapshot) { stored.Statistics.Classes[0].Class = -1 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"more than all traffic", func(m *Snapshot) { m.Statistics.Traffic[0].Share.Mean = 1.1 },
+		{"more than all traffic", func(stored *Snapshot) { stored.Statistics.Traffic[0].Share.Mean = 1.1 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a time that is no number", func(m *Snapshot) { m.Statistics.Traffic[0].At = nan },
+		{"a time that is no number", func(stored *Snapshot) { stored.Statistics.Traffic[0].At = nan },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"twice the same engine", func(m *Snapshot) {
-			m.Statistics.Engines = append(m.Statistics.Engines, m.Statistics.Engines[0])
+		{"twice the same engine", func(stored *Snapshot) {
+			stored.Statistics.Engines = append(stored.Statistics.Engines, stored.Statistics.Engines[0])
 		}, 4, Counts{Restored: 4, Invalid: 1}},
 	} {
-		m := sampleSnapshot(0)
-		c.change(m)
-		if l, counts := Select(m, me, testEndpoints, now, DefaultHalfLives()); l.Len() != c.left || counts != c.want {
-			t.Errorf("%s: %d left, %+v", c.name, l.Len(), counts)
+		stored := sampleSnapshot(0)
+		c.change(stored)
+		if selected, counts := Select(stored, owner, testEndpoints, now, DefaultHalfLives()); selected.Len() != c.restored || counts != c.want {
+			t.Errorf("%s: %d left, %+v", c.name, selected.Len(), counts)
 		}
 	}
 }
@@ -181,25 +181,25 @@
 // There are more table groups than can be taken in at once. Those with the most demand are
 // restored, ordered by id.
 func TestTableGroupsWithMostDemandAreRestored(t *testing.T) {
-	m := &Snapshot{Owner: me}
+	stored := &Snapshot{Owner: owner}
 	for i := range 1000 {
-		m.Statistics.Tables = append(m.Statistics.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
+		stored.Statistics.Tables = append(stored.Statistics.Tables, router.TableStatistics{At: now, Tables: router.TableGroup(i),
 			Demand: float64(i * 7919 % 1000)})
 	}
-	var many []router.Endpoint
+	var endpoints []router.Endpoint
 	for range maxTableEnginePairs / 100 {
-		many = append(many, router.Endpoint{})
+		endpoints = append(endpoints, router.Endpoint{})
 	}
-	l, counts := Select(m, me, many, now, DefaultHalfLives())
-	if len(l.Tables) != 100 || counts.Invalid != 900 {
-		t.Fatalf("%d left, %+v", len(l.Tables), counts)
+	selected, counts := Select(stored, owner, endpoints, now, DefaultHalfLives())
+	if len(selected.Tables) != 100 || counts.Invalid != 900 {
+		t.Fatalf("%d left, %+v", len(selected.Tables), counts)
 	}
-	for _, g := range l.Tables {
-		if g.Demand < 900 {
-			t.Errorf("%+v is left", g)
+	for _, table := range selected.Tables {
+		if table.Demand < 900 {
+			t.Errorf("%+v is left", table)
 		}
 	}
-	if !slices.IsSortedFunc(l.Tables, func(a, b router.TableStatistics) int { return int(a.Tables - b.Tables) }) {
+	if !slices.IsSortedFunc(selected.Tables, func(a, b router.TableStatistics) int { return int(a.Tables - b.Tables) }) {
 		t.Error("not by id")
 	}
 }
@@ -207,71 +207,71 @@
 // A snapshot holds anything. What is restored has no more weight than it had, less the older it is;
 // it names each engine once and only as listed; and every value is a number.
 func TestAnySnapshotIsRestoredWithinBounds(t *testing.T) {
-	odd := func(t *rapid.T, name string) float64 {
+	drawFloat := func(t *rapid.T, name string) float64 {
 		return rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 5), rapid.SampledFrom([]float64{math.NaN(),
 			math.Inf(1), math.Inf(-1), now, now - 1e4, now + 1e9, 0})).Draw(t, name)
 	}
-	weighed := func(t *rapid.T) router.WeightedMean {
-		return router.WeightedMean{Mean: odd(t, "mean"), Weight: odd(t, "weight")}
+	drawMean := func(t *rapid.T) router.WeightedMean {
+		return router.WeightedMean{Mean: drawFloat(t, "mean"), Weight: drawFloat(t, "weight")}
 	}
 	id := rapid.Map(rapid.SampledFrom([]string{"a", "b", "c", "d", ""}), func(s string) router.EngineID {
 		return router.EngineID(s)
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		m := &Snapshot{Owner: me}
+		stored := &Snapshot{Owner: owner}
 		for range rapid.IntRange(0, 6).Draw(t, "engines") {
-			m.Statistics.Engines = append(m.Statistics.Engines, router.EngineStatistics{At: odd(t, "at"), Engine: id.Draw(t, "id"),
-				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Slowdown: weighed(t),
-				ThreadsPerCore: odd(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "lead")})
+			stored.Statistics.Engines = append(stored.Statistics.Engines, router.EngineStatistics{At: drawFloat(t, "at"), Engine: id.Draw(t, "id"),
+				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Slowdown: drawMean(t),
+				ThreadsPerCore: drawFloat(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "lead")})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "tables") {
-			m.Statistics.Tables = append(m.Statistics.Tables, router.TableStatistics{At: odd(t, "at"),
-				Tables: router.TableGroup(rapid.IntRange(-2, 2).Draw(t, "group")), Demand: odd(t, "demand"),
-				MemoryTime: odd(t, "held"), PoolLeaders: []router.EngineID{id.Draw(t, "home")}})
+			stored.Statistics.Tables = append(stored.Statistics.Tables, router.TableStatistics{At: drawFloat(t, "at"),
+				Tables: router.TableGroup(rapid.IntRange(-2, 2).Draw(t, "group")), Demand: drawFloat(t, "demand"),
+				MemoryTime: drawFloat(t, "held"), PoolLeaders: []router.EngineID{id.Draw(t, "home")}})
 		}
-		m.Statistics.Classes = []router.ClassStatistics{{At: odd(t, "at"), FirstTryTimeout: odd(t, "left"), UnloadedTime: odd(t, "best"),
-			WorkScale: weighed(t), MemoryScale: weighed(t)}}
-		m.Statistics.Traffic = []router.TrafficStatistics{{At: odd(t, "at"), Share: weighed(t)}}
-		before := clone(m)
-		sooner, _ := Select(m, me, testEndpoints, now, DefaultHalfLives())
-		later, counts := Select(m, me, testEndpoints, now+30000, DefaultHalfLives())
-		if before != clone(m) {
+		stored.Statistics.Classes = []router.ClassStatistics{{At: drawFloat(t, "at"), FirstTryTimeout: drawFloat(t, "left"), UnloadedTime: drawFloat(t, "best"),
+			WorkScale: drawMean(t), MemoryScale: drawMean(t)}}
+		stored.Statistics.Traffic = []router.TrafficStatistics{{At: drawFloat(t, "at"), Share: drawMean(t)}}
+		before := snapshotText(stored)
+		earlier, _ := Select(stored, owner, testEndpoints, now, DefaultHalfLives())
+		later, counts := Select(stored, owner, testEndpoints, now+30000, DefaultHalfLives())
+		if before != snapshotText(stored) {
 			t.Fatal("the snapshot itself was changed")
 		}
-		if counts.Restored != later.Len() || later.Len() > sooner.Len()+6 {
+		if counts.Restored != later.Len() || later.Len() > earlier.Len()+6 {
 			t.Fatalf("%+v of %d", counts, later.Len())
 		}
 		seen := map[router.EngineID]bool{}
-		for _, e := range sooner.Engines {
+		for _, e := range earlier.Engines {
 			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !allValid(e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore) ||
 				e.Slowdown.Weight > maxSlowdownWeight {
 				t.Fatalf("%+v", e)
 			}
 			seen[e.Engine] = true
-			for _, o := range later.Engines {
-				if o.Engine == e.Engine && o.At == e.At && (o.Slowdown.Weight > e.Slowdown.Weight ||
-					math.Abs(o.ThreadsPerCore-defaultThreadsPerCore) > math.Abs(e.ThreadsPerCore-defaultThreadsPerCore)+1e-9 || o.Outcomes|e.Outcomes != o.Outcomes) {
-					t.Fatalf("later %+v weighs more than %+v", o, e)
+			for _, laterEngine := range later.Engines {
+				if laterEngine.Engine == e.Engine && laterEngine.At == e.At && (laterEngine.Slowdown.Weight > e.Slowdown.Weight ||
+					math.Abs(laterEngine.ThreadsPerCore-defaultThreadsPerCore) > math.Abs(e.ThreadsPerCore-defaultThreadsPerCore)+1e-9 || laterEngine.Outcomes|e.Outcomes != laterEngine.Outcomes) {
+					t.Fatalf("later %+v weighs more than %+v", laterEngine, e)
 				}
 			}
 		}
-		for _, g := range sooner.Tables {
-			if !allValid(g.Demand, g.MemoryTime) || g.Demand > maxDemand {
-				t.Fatalf("%+v", g)
+		for _, table := range earlier.Tables {
+			if !allValid(table.Demand, table.MemoryTime) || table.Demand > maxDemand {
+				t.Fatalf("%+v", table)
 			}
 		}
-		for _, p := range sooner.Classes {
-			if !allValid(p.UnloadedTime, p.FirstTryTimeout, p.WorkScale.Mean, p.MemoryScale.Mean) || p.WorkScale.Weight > maxScaleWeight {
-				t.Fatalf("%+v", p)
+		for _, class := range earlier.Classes {
+			if !allValid(class.UnloadedTime, class.FirstTryTimeout, class.WorkScale.Mean, class.MemoryScale.Mean) || class.WorkScale.Weight > maxScaleWeight {
+				t.Fatalf("%+v", class)
 			}
 		}
-		for _, p := range sooner.Traffic {
-			if !(p.Share.Mean >= 0 && p.Share.Mean <= 1) || !(p.Share.Weight <= maxShareWeight) {
-				t.Fatalf("%+v", p)
+		for _, traffic := range earlier.Traffic {
+			if !(traffic.Share.Mean >= 0 && traffic.Share.Mean <= 1) || !(traffic.Share.Weight <= maxShareWeight) {
+				t.Fatalf("%+v", traffic)
 			}
 		}
 	})
 }
 
-// clone returns a snapshot as text, in which NaN equals itself.
-func clone(m *Snapshot) string { return fmt.Sprint(*m) }
+// snapshotText returns a snapshot as text, in which NaN equals itself.
+func snapshotText(stored *Snapshot) string { return fmt.Sprint(*stored) }
--- a/internal/core/restore/tables.go
+++ b/internal/core/restore/tables.go
@@ -33,15 +33,15 @@
 }
 
 // limitTables returns the table groups with the most demand, ordered by id.
-func (s *selector) limitTables(tables []router.TableStatistics, most int) []router.TableStatistics {
-	if len(tables) <= most {
+func (s *selector) limitTables(tables []router.TableStatistics, limit int) []router.TableStatistics {
+	if len(tables) <= limit {
 		return tables
 	}
 	slices.SortStableFunc(tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(b.Demand, a.Demand)
 	})
-	s.counts.Invalid += len(tables) - most
-	tables = tables[:most]
+	s.counts.Invalid += len(tables) - limit
+	tables = tables[:limit]
 	slices.SortFunc(tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(a.Tables, b.Tables)
 	})
