--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -32,15 +32,15 @@
 		return nil
 	}
 	line := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
-	line.AddAttrs(h.scoped(r)...)
+	line.AddAttrs(h.scopedAttrs(r)...)
 	if dropped > 0 {
 		line.AddAttrs(slog.Int("dropped", dropped))
 	}
 	return config.handler.Handle(ctx, line)
 }
 
-// scoped returns the attributes of a record and of the handler, each in the group it was set in.
-func (h *handler) scoped(r slog.Record) []slog.Attr {
+// scopedAttrs returns the attributes of a record and of the handler, each in the group it was set in.
+func (h *handler) scopedAttrs(r slog.Record) []slog.Attr {
 	var attrs []slog.Attr
 	r.Attrs(func(a slog.Attr) bool {
 		attrs = append(attrs, a)
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -10,44 +10,44 @@
 	"mintkeel/router"
 )
 
-// sizes are numbers of engines; there are ten table groups for each.
-var sizes = []int{10, 100, 1000}
+// engineCounts are numbers of engines; there are ten table groups for each.
+var engineCounts = []int{10, 100, 1000}
 
-// statisticsOf returns statistics of so many engines, and their endpoints.
-func statisticsOf(engines int) (router.Statistics, []router.Endpoint) {
-	l := router.Statistics{}
-	var list []router.Endpoint
+// benchmarkStatistics returns statistics of so many engines, and their endpoints.
+func benchmarkStatistics(engines int) (router.Statistics, []router.Endpoint) {
+	statistics := router.Statistics{}
+	var endpoints []router.Endpoint
 	for i := range engines {
 		id := router.EngineID(fmt.Sprintf("s-%08x", i))
-		l.Engines = append(l.Engines, router.EngineStatistics{At: 1e6, Engine: id, Slowdown: router.WeightedMean{Mean: 1.5, Weight: 2},
+		statistics.Engines = append(statistics.Engines, router.EngineStatistics{At: 1e6, Engine: id, Slowdown: router.WeightedMean{Mean: 1.5, Weight: 2},
 			ThreadsPerCore: 2.25, Outcomes: 0xff, PoolLeader: id})
-		list = append(list, router.Endpoint{Engine: id})
+		endpoints = append(endpoints, router.Endpoint{Engine: id})
 	}
 	for i := range 10 * engines {
-		l.Tables = append(l.Tables, router.TableStatistics{At: 1e6, Tables: router.TableGroup(i), Demand: float64(i%7) + 1,
-			MemoryTime: 100, PoolLeaders: []router.EngineID{l.Engines[i%engines].Engine}})
+		statistics.Tables = append(statistics.Tables, router.TableStatistics{At: 1e6, Tables: router.TableGroup(i), Demand: float64(i%7) + 1,
+			MemoryTime: 100, PoolLeaders: []router.EngineID{statistics.Engines[i%engines].Engine}})
 	}
-	return l, list
+	return statistics, endpoints
 }
 
-// newRouter returns a router with restored statistics.
-func newRouter(l router.Statistics, list []router.Endpoint) *router.Router {
+// routerWithStatistics returns a router with restored statistics.
+func routerWithStatistics(statistics router.Statistics, endpoints []router.Endpoint) *router.Router {
 	r := router.New(1, router.Identity{}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Capabilities{}, router.SafetyLimits{})
-	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: list}, router.StatisticsRestored{Statistics: l}})
+	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: endpoints}, router.StatisticsRestored{Statistics: statistics}})
 	return r
 }
 
 // BenchmarkCopyStatistics copies all statistics in parts, as a snapshot does.
 func BenchmarkCopyStatistics(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := statisticsOf(n)
-			l.Tables = l.Tables[:min(len(l.Tables), 3000)] // taking in more is not what is measured
-			m := newRouter(l, list)
+			statistics, endpoints := benchmarkStatistics(n)
+			statistics.Tables = statistics.Tables[:min(len(statistics.Tables), 3000)] // taking in more is not what is measured
+			r := routerWithStatistics(statistics, endpoints)
 			b.ReportAllocs()
 			for b.Loop() {
 				for from, more := (router.Cursor{}), true; more; {
-					_, from, more = m.Statistics(from, 256)
+					_, from, more = r.Statistics(from, 256)
 				}
 			}
 		})
@@ -56,13 +56,13 @@
 
 // BenchmarkSelect decides what of a snapshot still counts.
 func BenchmarkSelect(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := statisticsOf(n)
-			m := &restore.Snapshot{Owner: me, Statistics: l}
+			statistics, endpoints := benchmarkStatistics(n)
+			stored := &restore.Snapshot{Owner: owner, Statistics: statistics}
 			b.ReportAllocs()
 			for b.Loop() {
-				restore.Select(m, me, list, 1e6+5000, restore.DefaultHalfLives())
+				restore.Select(stored, owner, endpoints, 1e6+5000, restore.DefaultHalfLives())
 			}
 		})
 	}
@@ -70,12 +70,12 @@
 
 // BenchmarkTakeIn measures the step in which the router restores all statistics at once.
 func BenchmarkTakeIn(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, list := statisticsOf(n)
-			selected, _ := restore.Select(&restore.Snapshot{Owner: me, Statistics: l}, me, list, 1e6, restore.DefaultHalfLives())
+			statistics, endpoints := benchmarkStatistics(n)
+			selected, _ := restore.Select(&restore.Snapshot{Owner: owner, Statistics: statistics}, owner, endpoints, 1e6, restore.DefaultHalfLives())
 			for b.Loop() {
-				newRouter(selected, list)
+				routerWithStatistics(selected, endpoints)
 			}
 		})
 	}
@@ -83,8 +83,8 @@
 
 // BenchmarkWriteAndRead writes and reads a snapshot on the file system.
 func BenchmarkWriteAndRead(b *testing.B) {
-	for _, n := range sizes {
-		l, _ := statisticsOf(n)
+	for _, n := range engineCounts {
+		statistics, _ := benchmarkStatistics(n)
 		dir := disk.Folder(b.TempDir())
 		f, err := snapshots.Open(dir, FileBounds(testLimits))
 		if err != nil {
@@ -97,7 +97,7 @@
 					if err := add(sectionHeader, head); err != nil {
 						return err
 					}
-					return encodeRecords(&l, add)
+					return encodeRecords(&statistics, add)
 				})
 				if err != nil {
 					b.Fatal(err)
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -139,7 +139,7 @@
 		Tables: int64(t.Tables),
 		Demand: float32(t.Demand),
 		Held:   float32(t.MemoryTime),
-		Homes:  convertTexts[string](t.PoolLeaders),
+		Homes:  convertIDs[string](t.PoolLeaders),
 	}
 }
 
@@ -149,7 +149,7 @@
 		Tables:      router.TableGroup(f.Tables),
 		Demand:      float64(f.Demand),
 		MemoryTime:  float64(f.Held),
-		PoolLeaders: convertTexts[router.EngineID](f.Homes),
+		PoolLeaders: convertIDs[router.EngineID](f.Homes),
 	}
 	isTooLong := func(id string) bool { return len(id) > maxTextBytes }
 	return r, len(f.Homes) <= maxPoolLeaders && !slices.ContainsFunc(f.Homes, isTooLong)
@@ -186,8 +186,8 @@
 	return router.TrafficStatistics{At: float64(f.At), Share: f.Part.mean()}, true
 }
 
-// convertTexts converts ids to texts and back.
-func convertTexts[To, From ~string](from []From) []To {
+// convertIDs converts ids to texts and back.
+func convertIDs[To, From ~string](from []From) []To {
 	converted := make([]To, len(from))
 	for i, text := range from {
 		converted[i] = To(text)
--- a/internal/memory/load.go
+++ b/internal/memory/load.go
@@ -111,15 +111,15 @@
 // returns nil if there is nothing to be restored, or if the disk takes longer than
 // SnapshotReadTimeout: a disk that hangs must not keep a controller from serving.
 func LoadWithTimeout(d disk.Disk, l *limits.Limits, log *slog.Logger) *StoredSnapshot {
-	type loaded struct {
+	type loadReply struct {
 		stored  *StoredSnapshot
 		results []ReadResult
 		err     error
 	}
-	reply := make(chan loaded, 1)
+	reply := make(chan loadReply, 1)
 	go func() { // ends when the disk answers; reply has room, so it never waits for the receiver
 		stored, results, err := Load(d, FileBounds(l))
-		reply <- loaded{stored, results, err}
+		reply <- loadReply{stored, results, err}
 	}()
 	timer := time.NewTimer(l.SnapshotReadTimeout)
 	defer timer.Stop()
@@ -127,9 +127,9 @@
 	case <-timer.C:
 		log.Warn("snapshot not read in time, starting without statistics", "after", l.SnapshotReadTimeout)
 		return nil
-	case found := <-reply:
-		logResults(found.results, found.err, log)
-		return found.stored
+	case reply := <-reply:
+		logResults(reply.results, reply.err, log)
+		return reply.stored
 	}
 }
 
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -24,33 +24,33 @@
 	"mintkeel/router"
 )
 
-// patience is how long a test waits for what must happen.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 10 * time.Second
 
 var (
-	me         = restore.Identity{Name: "n3", Settings: 77}
-	quiet      = slog.New(slog.NewTextHandler(io.Discard, nil))
-	testLimits = limits.For(1024, 192, 0, 0, 0)
-	testBounds = FileBounds(testLimits)
+	owner         = restore.Identity{Name: "n3", Settings: 77}
+	discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
+	testLimits    = limits.For(1024, 192, 0, 0, 0)
+	testBounds    = FileBounds(testLimits)
 )
 
 // fakeSource is a source with so many records of each kind.
 type fakeSource struct {
 	records int
-	asked   atomic.Int64
+	calls   atomic.Int64
 	block   chan struct{} // nil: it answers at once
 }
 
-func (p *fakeSource) Statistics(ctx context.Context, _ router.Cursor, _ int) (Part, error) {
-	p.asked.Add(1)
-	if p.block != nil {
+func (s *fakeSource) Statistics(ctx context.Context, _ router.Cursor, _ int) (Part, error) {
+	s.calls.Add(1)
+	if s.block != nil {
 		select {
-		case <-p.block:
+		case <-s.block:
 		case <-ctx.Done():
 			return Part{}, ctx.Err()
 		}
 	}
-	return Part{Statistics: sampleStatistics(p.records, float64(time.Now().UnixMilli()))}, nil
+	return Part{Statistics: sampleStatistics(s.records, float64(time.Now().UnixMilli()))}, nil
 }
 
 // sampleStatistics returns n records of each kind of which there may be several.
@@ -86,21 +86,21 @@
 	return s
 }
 
-// until waits until a condition holds.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// stop stops a writer and waits until it has released the directory.
-func stop(t *testing.T, w *SnapshotWriter) {
+// stopAndWait stops a writer and waits until it has released the directory.
+func stopAndWait(t *testing.T, w *SnapshotWriter) {
 	t.Helper()
 	w.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := w.Wait(ctx); err != nil {
 		t.Fatal(err)
@@ -108,20 +108,20 @@
 }
 
 func startWriter(d disk.Disk, interval time.Duration, source StatisticsSource, l *limits.Limits) *SnapshotWriter {
-	return StartSnapshotWriter(d, interval, me, "test", source, l, quiet)
+	return StartSnapshotWriter(d, interval, owner, "test", source, l, discardLogger)
 }
 
 // A snapshot is written and read back as it was.
 func TestSnapshotIsReadAsItWasWritten(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 300}, testLimits)
-	stop(t, w)
+	stopAndWait(t, w)
 	stored, results, err := Load(d, testBounds)
 	if err != nil || len(results) != 1 || !stored.Complete || stored.Build != "test" {
 		t.Fatal(stored, results, err)
 	}
 	want := sampleStatistics(300, stored.Snapshot.Statistics.Engines[0].At)
-	if stored.Snapshot.Owner != me || !reflect.DeepEqual(stored.Snapshot.Statistics, want) {
+	if stored.Snapshot.Owner != owner || !reflect.DeepEqual(stored.Snapshot.Statistics, want) {
 		t.Errorf("%+v", stored.Snapshot.Statistics.Engines[:3])
 	}
 }
@@ -134,9 +134,9 @@
 		t.Error("written ahead of the interval")
 	}
 	w.SetInterval(time.Millisecond)
-	until(t, "snapshots at the new interval", func() bool { return w.written.Load() >= 3 })
+	waitUntil(t, "snapshots at the new interval", func() bool { return w.written.Load() >= 3 })
 	w.SetInterval(time.Hour)
-	stop(t, w)
+	stopAndWait(t, w)
 	n := w.written.Load()
 	if files, _ := snapshots.Files(d); len(files) != 2 || files[0].Serial != uint64(n) {
 		t.Errorf("%d written, %v are there", n, files)
@@ -175,7 +175,7 @@
 func TestWritingResumesAfterDiskFailures(t *testing.T) {
 	l := *testLimits
 	l.SnapshotMaxRetryDelay = time.Millisecond
-	for name, fault := range map[string]struct{ begins, ends func(*disktest.Disk) }{
+	for name, faults := range map[string]struct{ begins, ends func(*disktest.Disk) }{
 		"full": {func(d *disktest.Disk) { d.Fill(10) }, func(d *disktest.Disk) { d.Fill(-1) }},
 		"fails": {
 			func(d *disktest.Disk) { d.Fail(io.ErrClosedPipe) },
@@ -184,38 +184,38 @@
 	} {
 		d := disktest.New()
 		w := startWriter(d, time.Millisecond, &fakeSource{records: 20}, &l)
-		until(t, name+": a first snapshot", func() bool { return w.written.Load() > 0 })
-		fault.begins(d)
-		until(t, name+": failures", func() bool { return w.failed.Load() > 3 })
+		waitUntil(t, name+": a first snapshot", func() bool { return w.written.Load() > 0 })
+		faults.begins(d)
+		waitUntil(t, name+": failures", func() bool { return w.failed.Load() > 3 })
 		written := w.written.Load()
 		if name == "full" {
 			if _, _, err := Load(d, testBounds); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		fault.ends(d)
-		until(t, name+": written again", func() bool { return w.written.Load() > written+1 })
-		stop(t, w)
+		faults.ends(d)
+		waitUntil(t, name+": written again", func() bool { return w.written.Load() > written+1 })
+		stopAndWait(t, w)
 	}
 	// from the start
 	d := disktest.New()
 	d.Fail(io.ErrClosedPipe)
 	w := startWriter(d, time.Millisecond, &fakeSource{}, &l)
-	until(t, "failures from the start", func() bool { return w.failed.Load() > 2 })
+	waitUntil(t, "failures from the start", func() bool { return w.failed.Load() > 2 })
 	d.Fail(nil)
-	until(t, "a first snapshot", func() bool { return w.written.Load() > 0 })
-	stop(t, w)
+	waitUntil(t, "a first snapshot", func() bool { return w.written.Load() > 0 })
+	stopAndWait(t, w)
 }
 
 // The disk hangs. Neither a start nor an end waits for it, nor whoever asks for the counts.
 func TestHangingDiskDelaysNeitherStartNorEnd(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 1}, testLimits)
-	stop(t, w)
+	stopAndWait(t, w)
 	release := d.Hang()
 	l := *testLimits
 	l.SnapshotReadTimeout = 10 * time.Millisecond
-	if stored := LoadWithTimeout(d, &l, quiet); stored != nil {
+	if stored := LoadWithTimeout(d, &l, discardLogger); stored != nil {
 		t.Error("something was read of a disk that hangs")
 	}
 	w = startWriter(d, time.Millisecond, &fakeSource{records: 1}, testLimits)
@@ -227,8 +227,8 @@
 		t.Errorf("waits for a disk that hangs: %v", err)
 	}
 	release()
-	until(t, "the goroutine ends", w.Stopped)
-	if stored := LoadWithTimeout(d, testLimits, quiet); stored == nil {
+	waitUntil(t, "the goroutine ends", w.Stopped)
+	if stored := LoadWithTimeout(d, testLimits, discardLogger); stored == nil {
 		t.Error("the disk is back, and nothing is read")
 	}
 }
@@ -237,14 +237,14 @@
 // any more, and leaves no goroutine.
 func TestSourceThatDoesNotAnswer(t *testing.T) {
 	before := runtime.NumGoroutine()
-	p := &fakeSource{block: make(chan struct{})}
-	w := startWriter(disktest.New(), time.Millisecond, p, testLimits)
-	until(t, "the source is asked", func() bool { return p.asked.Load() > 0 })
+	source := &fakeSource{block: make(chan struct{})}
+	w := startWriter(disktest.New(), time.Millisecond, source, testLimits)
+	waitUntil(t, "the source is asked", func() bool { return source.calls.Load() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	w.Stop()
 	w.Wait(ctx)
-	until(t, "the goroutine ends", func() bool { return w.Stopped() && runtime.NumGoroutine() <= before })
+	waitUntil(t, "the goroutine ends", func() bool { return w.Stopped() && runtime.NumGoroutine() <= before })
 }
 
 // Two processes have the same directory. One writes; the other counts that it is locked, reads what
@@ -253,16 +253,16 @@
 	l := *testLimits
 	l.SnapshotMaxRetryDelay = time.Millisecond
 	d := disktest.New()
-	one := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
-	until(t, "the first has the folder", func() bool { return one.written.Load() > 0 })
-	two := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
-	until(t, "the second finds it taken", func() bool { return two.locked.Load() > 2 })
-	if two.written.Load() > 0 || LoadWithTimeout(d, &l, quiet) == nil {
+	first := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
+	waitUntil(t, "the first has the folder", func() bool { return first.written.Load() > 0 })
+	second := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
+	waitUntil(t, "the second finds it taken", func() bool { return second.locked.Load() > 2 })
+	if second.written.Load() > 0 || LoadWithTimeout(d, &l, discardLogger) == nil {
 		t.Error("the second has written, or can't read")
 	}
-	stop(t, one)
-	until(t, "the second takes over", func() bool { return two.written.Load() > 0 })
-	stop(t, two)
+	stopAndWait(t, first)
+	waitUntil(t, "the second takes over", func() bool { return second.written.Load() > 0 })
+	stopAndWait(t, second)
 }
 
 // Files are damaged, empty or foreign. Load takes the newest that is whole or, if none is, what can
@@ -271,38 +271,38 @@
 	d := disktest.New()
 	for n := 1; n <= 2; n++ {
 		w := startWriter(d, time.Hour, &fakeSource{records: n}, testLimits)
-		stop(t, w)
+		stopAndWait(t, w)
 	}
 	const older, newer = "snapshot-0000000000000001", "snapshot-0000000000000002"
 	a, b := d.Get(older), d.Get(newer)
-	noSnapshot := []byte("no snapshot, but of some length at least")
-	flipped := func(file []byte) []byte {
+	foreignFile := []byte("no snapshot, but of some length at least")
+	flipBit := func(file []byte) []byte {
 		out := append([]byte(nil), file...)
 		out[len(out)-40] ^= 1
 		return out
 	}
-	engines := func(stored *StoredSnapshot) int {
+	engineCount := func(stored *StoredSnapshot) int {
 		if stored == nil {
 			return -1
 		}
 		return len(stored.Snapshot.Statistics.Engines)
 	}
 	for _, c := range []struct {
-		name    string
-		files   map[string][]byte
-		engines int
-		whole   bool
+		name     string
+		files    map[string][]byte
+		engines  int
+		complete bool
 	}{
 		{"both whole", map[string][]byte{older: a, newer: b}, 2, true},
 		{"the newer one is cut", map[string][]byte{older: a, newer: b[:len(b)/2]}, 1, true},
 		{"the newer one is empty", map[string][]byte{older: a, newer: nil}, 1, true},
-		{"a bit of the newer one is flipped", map[string][]byte{older: a, newer: flipped(b)}, 1, true},
-		{"both are damaged", map[string][]byte{older: flipped(a), newer: flipped(b)}, 2, false},
-		{"only a damaged one", map[string][]byte{newer: flipped(b)}, 2, false},
+		{"a bit of the newer one is flipped", map[string][]byte{older: a, newer: flipBit(b)}, 1, true},
+		{"both are damaged", map[string][]byte{older: flipBit(a), newer: flipBit(b)}, 2, false},
+		{"only a damaged one", map[string][]byte{newer: flipBit(b)}, 2, false},
 		{"an old backup under a newer name", map[string][]byte{"snapshot-00000000000000ff": a, newer: b}, 2, true},
 		{"another program's file beside it", map[string][]byte{"snapshot-00000000000000ff": []byte("x"), newer: b}, 2, true},
 		{"nothing", nil, -1, false},
-		{"nothing that can be used", map[string][]byte{newer: noSnapshot}, -1, false},
+		{"nothing that can be used", map[string][]byte{newer: foreignFile}, -1, false},
 	} {
 		d := disktest.New()
 		for name, file := range c.files {
@@ -310,14 +310,14 @@
 		}
 		stored, _, err := Load(d, testBounds)
 		isLoaded := stored != nil
-		if engines(stored) != c.engines || isLoaded && stored.Complete != c.whole || (err == nil) != isLoaded {
-			t.Errorf("%s: %d engines, %v", c.name, engines(stored), err)
+		if engineCount(stored) != c.engines || isLoaded && stored.Complete != c.complete || (err == nil) != isLoaded {
+			t.Errorf("%s: %d engines, %v", c.name, engineCount(stored), err)
 		}
-		checks, err := Verify(d, testBounds)
-		hasBad := strings.Contains(fmt.Sprint(checks), "false")
-		allGood := c.name == "both whole" || c.name == "nothing"
-		if err != nil || hasBad == allGood {
-			t.Errorf("%s: %+v, %v", c.name, checks, err)
+		fileChecks, err := Verify(d, testBounds)
+		hasIncomplete := strings.Contains(fmt.Sprint(fileChecks), "false")
+		allComplete := c.name == "both whole" || c.name == "nothing"
+		if err != nil || hasIncomplete == allComplete {
+			t.Errorf("%s: %+v, %v", c.name, fileChecks, err)
 		}
 	}
 }
@@ -345,14 +345,14 @@
 		}
 		return d
 	}
-	head, _ := encoder.Marshal(headerForm{Name: "n3"})
-	good, _ := encoder.Marshal([]trafficForm{{At: 5}})
-	claims := []byte{0x9b, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff} // an array of billions
+	header, _ := encoder.Marshal(headerForm{Name: "n3"})
+	traffic, _ := encoder.Marshal([]trafficForm{{At: 5}})
+	hugeArray := []byte{0x9b, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff} // an array of billions
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for kind := sectionHeader; kind <= sectionTraffic; kind++ {
 		payloads := [][]byte{
-			nil, claims, {0x80}, {0xa0}, {0xf6}, {0x81, 0x80}, {0x81, 0xf6},
+			nil, hugeArray, {0x80}, {0xa0}, {0xf6}, {0x81, 0x80}, {0x81, 0xf6},
 			[]byte(strings.Repeat("\x81", 5000)),
 			append([]byte{0x99, 0x04, 0x01}, make([]byte, 0x401)...),
 		}
@@ -363,9 +363,9 @@
 		}
 		for _, payload := range payloads {
 			d := write(
-				snapshots.Section{Kind: sectionHeader, Payload: head},
+				snapshots.Section{Kind: sectionHeader, Payload: header},
 				snapshots.Section{Kind: kind, Payload: payload},
-				snapshots.Section{Kind: sectionTraffic, Payload: good},
+				snapshots.Section{Kind: sectionTraffic, Payload: traffic},
 				snapshots.Section{Kind: 999, Payload: payload},
 			)
 			stored, _, err := Load(d, testBounds)
@@ -378,20 +378,20 @@
 	if mean := (after.TotalAlloc - before.TotalAlloc) / (5 * 309); mean > 1<<20 {
 		t.Errorf("%d bytes a file", mean)
 	}
-	homes, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
-	long, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
-	for _, payload := range [][]byte{homes, long} {
+	tooManyLeaders, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
+	tooLongName, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
+	for _, payload := range [][]byte{tooManyLeaders, tooLongName} {
 		d := write(
-			snapshots.Section{Kind: sectionHeader, Payload: head},
+			snapshots.Section{Kind: sectionHeader, Payload: header},
 			snapshots.Section{Kind: sectionTables, Payload: payload},
-			snapshots.Section{Kind: sectionTraffic, Payload: good},
+			snapshots.Section{Kind: sectionTraffic, Payload: traffic},
 		)
 		stored, _, err := Load(d, testBounds)
 		if err != nil || len(stored.Snapshot.Statistics.Tables) != 0 || stored.Complete {
 			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), stored, err)
 		}
 	}
-	withoutHeader := write(snapshots.Section{Kind: sectionTraffic, Payload: good})
+	withoutHeader := write(snapshots.Section{Kind: sectionTraffic, Payload: traffic})
 	if _, _, err := Load(withoutHeader, testBounds); err == nil {
 		t.Error("read without a head")
 	}
@@ -406,12 +406,12 @@
 		t.Error(err)
 	}
 	w.SetInterval(time.Millisecond)
-	until(t, "two snapshots", func() bool { return w.written.Load() > 1 })
+	waitUntil(t, "two snapshots", func() bool { return w.written.Load() > 1 })
 	if _, err := Prune(d, testBounds, PruneSelection{All: true}); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("pruned under a controller that runs: %v", err)
 	}
-	stop(t, w)
-	old, _, _ := Load(d, testBounds)
+	stopAndWait(t, w)
+	before, _, _ := Load(d, testBounds)
 	n, err := Prune(d, testBounds, PruneSelection{
 		Engines: []router.EngineID{"e1", "x"},
 		Tables:  []router.TableGroup{-1, 2},
@@ -426,14 +426,14 @@
 		if err != nil || len(statistics.Engines) != 3 || len(statistics.Tables) != 2 {
 			t.Errorf("%s: %+v, %v", f.Name, stored, err)
 		}
-		if stored.TakenAt != old.TakenAt || statistics.Engines[0].At != old.Snapshot.Statistics.Engines[0].At {
+		if stored.TakenAt != before.TakenAt || statistics.Engines[0].At != before.Snapshot.Statistics.Engines[0].At {
 			t.Error("it looks younger than it is")
 		}
 	}
-	shown := NewReport(old, old.TakenAt+60e3, restore.DefaultHalfLives())
-	weight := shown.Engines[0].RemainingWeight
-	if shown.Records != 10 || shown.Restorable != 10 || weight <= 0 || weight >= 1 {
-		t.Errorf("%+v", shown)
+	report := NewReport(before, before.TakenAt+60e3, restore.DefaultHalfLives())
+	weight := report.Engines[0].RemainingWeight
+	if report.Records != 10 || report.Restorable != 10 || weight <= 0 || weight >= 1 {
+		t.Errorf("%+v", report)
 	}
 	if n, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil || n != 7 {
 		t.Errorf("%d forgotten of all, %v", n, err)
@@ -455,25 +455,25 @@
 	withoutParent := filepath.Join(t.TempDir(), "no", "parent")
 	for _, path := range []string{"/proc/self/none", filepath.Join(file, "below"), withoutParent} {
 		w := startWriter(disk.Folder(path), time.Millisecond, &fakeSource{records: 1}, &l)
-		until(t, path+": failures", func() bool { return w.failed.Load() > 2 })
-		stop(t, w)
-		if w.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, quiet) != nil {
+		waitUntil(t, path+": failures", func() bool { return w.failed.Load() > 2 })
+		stopAndWait(t, w)
+		if w.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, discardLogger) != nil {
 			t.Errorf("%s is written", path)
 		}
 	}
 	parent := filepath.Join(t.TempDir(), "parent")
 	folder := disk.Folder(filepath.Join(parent, "kept"))
 	w := startWriter(folder, time.Millisecond, &fakeSource{records: 1}, &l)
-	until(t, "failures without a parent", func() bool { return w.failed.Load() > 0 })
+	waitUntil(t, "failures without a parent", func() bool { return w.failed.Load() > 0 })
 	if err := os.Mkdir(parent, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the disk is there", func() bool { return w.written.Load() > 0 })
+	waitUntil(t, "the disk is there", func() bool { return w.written.Load() > 0 })
 	written := w.written.Load()
 	for os.RemoveAll(string(folder)) != nil { // it may be writing
 	}
-	until(t, "the folder is made anew", func() bool { return w.written.Load() > written+2 })
-	stop(t, w)
+	waitUntil(t, "the folder is made anew", func() bool { return w.written.Load() > written+2 })
+	stopAndWait(t, w)
 	if _, _, err := Load(folder, testBounds); err != nil {
 		t.Error(err)
 	}
--- a/internal/memory/report.go
+++ b/internal/memory/report.go
@@ -110,7 +110,7 @@
 			RecordReport: newRecordReport(now-t.At, halfLives.Tables),
 			Tables:       int64(t.Tables),
 			Demand:       finiteOrMinusOne(t.Demand),
-			PoolLeaders:  convertTexts[string](t.PoolLeaders),
+			PoolLeaders:  convertIDs[string](t.PoolLeaders),
 		})
 	}
 	for _, c := range s.Classes {
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	storedFolder = "testdata/folder"
-	storedName   = "snapshot-0000000000000001"
-	storedTaken  = 1_700_000_000_500.0 // ms since 1970
+	storedFolder  = "testdata/folder"
+	storedName    = "snapshot-0000000000000001"
+	storedTakenAt = 1_700_000_000_500.0 // ms since 1970
 )
 
 // storedStatistics holds each kind of record, with every field set and figures that the format
@@ -47,7 +47,7 @@
 }
 
 func storedSnapshot() *StoredSnapshot {
-	return &StoredSnapshot{File: storedName, Serial: 1, TakenAt: storedTaken, Build: "v1.2.3",
+	return &StoredSnapshot{File: storedName, Serial: 1, TakenAt: storedTakenAt, Build: "v1.2.3",
 		Snapshot: restore.Snapshot{Owner: restore.Identity{Name: "n3", Settings: 0xfedcba9876543210}, Statistics: storedStatistics()},
 		Complete: true, hasHeader: true}
 }
@@ -133,7 +133,7 @@
 }
 
 func TestShownMemoryJSONIsStable(t *testing.T) {
-	shown, err := json.MarshalIndent(NewReport(storedSnapshot(), storedTaken+1000, restore.DefaultHalfLives()), "", "  ")
+	shown, err := json.MarshalIndent(NewReport(storedSnapshot(), storedTakenAt+1000, restore.DefaultHalfLives()), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
