--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -52,7 +52,7 @@
 	if attribute := b.fields[field]; attribute != nil {
 		at = attribute.Expr.Range()
 	}
-	b.diagnostics.Add(at, join(b.Name, field), why)
+	b.diagnostics.Add(at, qualifiedName(b.Name, field), why)
 }
 
 // Has reports whether a field is present.
@@ -108,7 +108,7 @@
 }
 
 // Duration reads a time with its unit as a string, such as "5s" or "250ms".
-func (b *Block) Duration(field string, fallback, least, most time.Duration) time.Duration {
+func (b *Block) Duration(field string, fallback, minimum, maximum time.Duration) time.Duration {
 	value, ok := b.value(field, cty.String, `time in quotes, such as "5s"`)
 	if !ok {
 		return fallback
@@ -118,22 +118,22 @@
 		b.AddProblem(field, fmt.Sprintf(`%.40q is no time, such as "5s"`, value.AsString()))
 		return fallback
 	}
-	if duration < least || duration > most {
-		b.AddProblem(field, fmt.Sprintf("%v is not from %v to %v", duration, least, most))
+	if duration < minimum || duration > maximum {
+		b.AddProblem(field, fmt.Sprintf("%v is not from %v to %v", duration, minimum, maximum))
 		return fallback
 	}
 	return duration
 }
 
 // Int reads a whole number.
-func (b *Block) Int(field string, fallback, least, most int) int {
+func (b *Block) Int(field string, fallback, minimum, maximum int) int {
 	value, ok := b.value(field, cty.Number, "number")
 	if !ok {
 		return fallback
 	}
 	number, _ := value.AsBigFloat().Float64()
-	if number != math.Trunc(number) || number < float64(least) || number > float64(most) {
-		b.AddProblem(field, fmt.Sprintf("%v is no whole number from %d to %d", number, least, most))
+	if number != math.Trunc(number) || number < float64(minimum) || number > float64(maximum) {
+		b.AddProblem(field, fmt.Sprintf("%v is no whole number from %d to %d", number, minimum, maximum))
 		return fallback
 	}
 	return int(number)
@@ -170,7 +170,7 @@
 	}
 	value, found := attribute.Expr.Value(b.variables)
 	if found.HasErrors() {
-		b.diagnostics.AddHCL(found, join(b.Name, field))
+		b.diagnostics.AddHCL(found, qualifiedName(b.Name, field))
 		return value, false
 	}
 	return value, true
--- a/internal/operator/block/diagnostics.go
+++ b/internal/operator/block/diagnostics.go
@@ -61,7 +61,7 @@
 	// the name.
 	isUnknownName := strings.HasPrefix(found.Summary, "Unsupported") && found.Subject != nil
 	if isUnknownName {
-		d.Add(at, join(within, string(at.SliceBytes(d.text))), "is not known")
+		d.Add(at, qualifiedName(within, string(at.SliceBytes(d.text))), "is not known")
 		return
 	}
 	why := found.Summary
@@ -79,8 +79,8 @@
 	return d.problems
 }
 
-// join is the name of a field with that of its block, if any.
-func join(block, field string) string {
+// qualifiedName is the name of a field with that of its block, if any.
+func qualifiedName(block, field string) string {
 	if block == "" {
 		return field
 	}
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -89,7 +89,7 @@
 // readExpectations reads the fields of a case that say what is expected.
 func readExpectations(open *block.Block, facts *settings.Facts) []expectation {
 	classNames := RuleFacts(facts).ClassNames
-	all := []expectation{
+	expectations := []expectation{
 		{"matches", open.Strings("matches", maxNameBytes),
 			func(_ rules.Verdict, matched []string) any { return matched }},
 		{"hot", fmt.Sprint(open.Bool("hot", false)),
@@ -100,15 +100,15 @@
 			func(v rules.Verdict, _ []string) any { return v.Rejection }},
 		{"profile", open.String("profile", "", false, maxNameBytes),
 			func(v rules.Verdict, _ []string) any { return classNames[v.Class] }},
-		{"kinds", sorted(open.Strings("kinds", maxNameBytes)),
+		{"kinds", sortInPlace(open.Strings("kinds", maxNameBytes)),
 			func(v rules.Verdict, _ []string) any { return kindNames(v.Kinds, facts) }},
-		{"zones", sorted(open.Strings("zones", maxNameBytes)),
+		{"zones", sortInPlace(open.Strings("zones", maxNameBytes)),
 			func(v rules.Verdict, _ []string) any { return zoneNames(v.Zones) }},
 	}
-	return slices.DeleteFunc(all, func(e expectation) bool { return !open.Has(e.field) })
+	return slices.DeleteFunc(expectations, func(e expectation) bool { return !open.Has(e.field) })
 }
 
-func sorted(texts []string) []string {
+func sortInPlace(texts []string) []string {
 	slices.Sort(texts)
 	return texts
 }
@@ -117,14 +117,14 @@
 	for _, k := range kinds {
 		names = append(names, facts.Names.MachineKindAt[k])
 	}
-	return sorted(names)
+	return sortInPlace(names)
 }
 
 func zoneNames(zones []router.Zone) (names []string) {
 	for _, z := range zones {
 		names = append(names, string(z))
 	}
-	return sorted(names)
+	return sortInPlace(names)
 }
 
 // Run applies the rules to the query and returns what is not as expected; nothing if all is.
@@ -136,11 +136,11 @@
 			matched = append(matched, rule.Name)
 		}
 	}
-	var wrong []string
+	var failures []string
 	for _, e := range c.expectations {
 		if why := e.check(verdict, matched); why != "" {
-			wrong = append(wrong, why)
+			failures = append(failures, why)
 		}
 	}
-	return wrong
+	return failures
 }
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -23,13 +23,13 @@
 	File *File
 }
 
-// ownFields are the fields of the block fleet that each controller has in its own file. A document
+// localFields are the fields of the block fleet that each controller has in its own file. A document
 // has only the others.
-var ownFields = []string{
+var localFields = []string{
 	"name", "generation", "listen", "advertise", "key_file", "folder", "council", "lease", "willing",
 }
 
-const onlyInOwnFile = "is each controller's own: it stands in its file alone"
+const onlyInLocalFile = "is each controller's own: it stands in its file alone"
 
 // ParseDocument reads a document that the fleet agrees on: the operator's file for all controllers,
 // without the blocks and fields that are each controller's own. It returns the file that this
@@ -64,8 +64,8 @@
 	if content == nil {
 		return
 	}
-	single, ruleBlocks := splitRules(content.Blocks, diagnostics)
-	for _, b := range single {
+	otherBlocks, ruleBlocks := splitRules(content.Blocks, diagnostics)
+	for _, b := range otherBlocks {
 		f.readDocumentBlock(b, local, diagnostics)
 	}
 	if !hasBlock(content.Blocks, blockMaintenance) {
@@ -89,17 +89,17 @@
 		f.Maintenance = maintenance.ReadBlock(b, diagnostics)
 		checkDocumentMaintenance(b.DefRange, f.Maintenance, local.File.Maintenance, diagnostics)
 	case blockConfig:
-		diagnostics.Add(b.DefRange, blockConfig, onlyInOwnFile)
+		diagnostics.Add(b.DefRange, blockConfig, onlyInLocalFile)
 	}
 }
 
 // readDocumentLeases reads the block fleet of a document, which has only the leases, and returns
 // the controller's own block with these.
 func readDocumentLeases(b *hcl.Block, local *File, diagnostics *block.Diagnostics) *fleet.Block {
-	open := block.Open(b, diagnostics, append([]string{"works"}, ownFields...)...)
-	for _, field := range ownFields {
+	open := block.Open(b, diagnostics, append([]string{"works"}, localFields...)...)
+	for _, field := range localFields {
 		if open.Has(field) {
-			open.AddProblem(field, onlyInOwnFile)
+			open.AddProblem(field, onlyInLocalFile)
 		}
 	}
 	leases := fleet.ReadLeases(open)
--- a/internal/operator/document_test.go
+++ b/internal/operator/document_test.go
@@ -17,16 +17,16 @@
 	"mintkeel/internal/memory"
 )
 
-// localOf is a controller with the blocks fleet and config in its own file, some of its own defaults,
+// testLocal is a controller with the blocks fleet and config in its own file, some of its own defaults,
 // and perhaps maintenance.
-func localOf(maintained *maintenance.Block, leases ...lease.Name) Local {
+func testLocal(maintenanceBlock *maintenance.Block, leases ...lease.Name) Local {
 	return Local{Name: "n7", File: &File{Log: logs.DefaultBlock(), Memory: &memory.Block{Folder: "/own", Interval: time.Second},
 		Fleet:  &fleet.Block{Name: "east", Folder: "/f", Leases: leases, Lease: 3 * time.Second, Willing: true},
-		Config: &configuration.Block{Wait: time.Second}, Maintenance: maintained}}
+		Config: &configuration.Block{Wait: time.Second}, Maintenance: maintenanceBlock}}
 }
 
-// places are the problems of an error as line:column field.
-func places(err error) (list []string) {
+// problemPlaces are the problems of an error as line:column field.
+func problemPlaces(err error) (list []string) {
 	for _, p := range Problems(err) {
 		list = append(list, fmt.Sprintf("%d:%d %s", p.Line, p.Column, p.Field))
 	}
@@ -37,76 +37,76 @@
 // restart, or expressions that compute. All of these are reported at once, with place and field,
 // and nothing of the document is used.
 func TestDocumentProblemsAreReportedAtOnce(t *testing.T) {
-	usual := &maintenance.Block{Drain: "/d", Within: 10 * time.Minute, Prepare: 30 * time.Second, List: true}
-	alone, maintained := localOf(nil, "digest"), localOf(usual, "digest", "maintenance")
+	maintenanceBlock := &maintenance.Block{Drain: "/d", Within: 10 * time.Minute, Prepare: 30 * time.Second, List: true}
+	withoutMaintenance, maintained := testLocal(nil, "digest"), testLocal(maintenanceBlock, "digest", "maintenance")
 	for _, c := range []struct {
 		name, text string
 		local      Local
 		want       []string // as line:column field; none: it is read
 	}{
-		{"empty", "", alone, nil},
-		{"all that it may hold", "log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\nrule \"a\" {\n hot = true\n}\nfleet {\n works = [\"digest\"]\n}\n", alone, nil},
-		{"no leases named", "fleet {\n}\n", alone, nil},
+		{"empty", "", withoutMaintenance, nil},
+		{"all that it may hold", "log {\n level = \"warn\"\n}\nmemory {\n folder = \"/m/${name}\"\n}\nrule \"a\" {\n hot = true\n}\nfleet {\n works = [\"digest\"]\n}\n", withoutMaintenance, nil},
+		{"no leases named", "fleet {\n}\n", withoutMaintenance, nil},
 		{"maintenance as it runs", "maintenance {\n drain = \"/d\"\n}\nfleet {\n works = [\"digest\"]\n}\n", maintained, nil},
-		{"name", "fleet {\n name = \"east\"\n}\n", alone, []string{"2:9 fleet.name"}},
-		{"generation", "fleet {\n generation = 2\n}\n", alone, []string{"2:15 fleet.generation"}},
-		{"listen", "fleet {\n listen = \"10.0.0.1:9\"\n}\n", alone, []string{"2:11 fleet.listen"}},
-		{"advertise", "fleet {\n advertise = \"10.0.0.1:9\"\n}\n", alone, []string{"2:14 fleet.advertise"}},
-		{"key_file", "fleet {\n key_file = \"/k\"\n}\n", alone, []string{"2:13 fleet.key_file"}},
-		{"folder", "fleet {\n folder = \"/f\"\n}\n", alone, []string{"2:11 fleet.folder"}},
-		{"council", "fleet {\n council = {}\n}\n", alone, []string{"2:12 fleet.council"}},
-		{"lease", "fleet {\n lease = \"3s\"\n}\n", alone, []string{"2:10 fleet.lease"}},
-		{"willing", "fleet {\n willing = false\n}\n", alone, []string{"2:12 fleet.willing"}},
-		{"several at once", "fleet {\n willing = false\n lease = 3\n x = 1\n}\nlog {\n level = \"loud\"\n}\n", alone,
+		{"name", "fleet {\n name = \"east\"\n}\n", withoutMaintenance, []string{"2:9 fleet.name"}},
+		{"generation", "fleet {\n generation = 2\n}\n", withoutMaintenance, []string{"2:15 fleet.generation"}},
+		{"listen", "fleet {\n listen = \"10.0.0.1:9\"\n}\n", withoutMaintenance, []string{"2:11 fleet.listen"}},
+		{"advertise", "fleet {\n advertise = \"10.0.0.1:9\"\n}\n", withoutMaintenance, []string{"2:14 fleet.advertise"}},
+		{"key_file", "fleet {\n key_file = \"/k\"\n}\n", withoutMaintenance, []string{"2:13 fleet.key_file"}},
+		{"folder", "fleet {\n folder = \"/f\"\n}\n", withoutMaintenance, []string{"2:11 fleet.folder"}},
+		{"council", "fleet {\n council = {}\n}\n", withoutMaintenance, []string{"2:12 fleet.council"}},
+		{"lease", "fleet {\n lease = \"3s\"\n}\n", withoutMaintenance, []string{"2:10 fleet.lease"}},
+		{"willing", "fleet {\n willing = false\n}\n", withoutMaintenance, []string{"2:12 fleet.willing"}},
+		{"several at once", "fleet {\n willing = false\n lease = 3\n x = 1\n}\nlog {\n level = \"loud\"\n}\n", withoutMaintenance,
 			[]string{"2:12 fleet.willing", "3:10 fleet.lease", "4:2 fleet.x", "7:10 log.level"}},
-		{"config", "config {\n wait = \"1s\"\n}\n", alone, []string{"1:1 config"}},
-		{"other leases", "fleet {\n works = [\"digest\", \"plan\"]\n}\n", alone, nil},
-		{"no leases", "fleet {\n works = []\n}\n", alone, nil},
-		{"leases that are no list", "fleet {\n works = \"digest\"\n}\n", alone, []string{"2:10 fleet.works"}},
-		{"a bad name of a lease", "fleet {\n works = [\"digest\", \"a b\"]\n}\n", alone, []string{"2:10 fleet.works"}},
-		{"maintenance that is off", "maintenance {\n}\n", alone, []string{"1:1 maintenance"}},
+		{"config", "config {\n wait = \"1s\"\n}\n", withoutMaintenance, []string{"1:1 config"}},
+		{"other leases", "fleet {\n works = [\"digest\", \"plan\"]\n}\n", withoutMaintenance, nil},
+		{"no leases", "fleet {\n works = []\n}\n", withoutMaintenance, nil},
+		{"leases that are no list", "fleet {\n works = \"digest\"\n}\n", withoutMaintenance, []string{"2:10 fleet.works"}},
+		{"a bad name of a lease", "fleet {\n works = [\"digest\", \"a b\"]\n}\n", withoutMaintenance, []string{"2:10 fleet.works"}},
+		{"maintenance that is off", "maintenance {\n}\n", withoutMaintenance, []string{"1:1 maintenance"}},
 		{"maintenance that is on", "log {\n}\n", maintained, []string{"1:1 maintenance"}},
 		{"other maintenance", "\nmaintenance {\n drain = \"/other\"\n}\n", maintained, nil},
 		{"bad maintenance", "\nmaintenance {\n drain = \"other\"\n}\n", maintained, []string{"3:10 maintenance.drain"}},
-		{"a block again", "log {\n}\nlog {\n}\n", alone, []string{"3:1 log"}},
-		{"an unknown block", "throttle {\n}\n", alone, []string{"1:1 throttle"}},
-		{"an unknown field", "log {\n colour = 1\n}\n", alone, []string{"2:2 log.colour"}},
-		{"a bad rule", "rule \"a\" {\n when = \"tenant = 1\"\n}\n", alone, []string{"2:9 rule \"a\".when"}},
-		{"a name elsewhere", "log {\n level = \"${name}\"\n}\n", alone, []string{"2:13 log.level"}},
-		{"another name", "memory {\n folder = \"/${host}\"\n}\n", alone, []string{"2:15 memory.folder"}},
-		{"a folder that is no path", "memory {\n folder = name\n}\n", alone, []string{"2:11 memory.folder"}},
-		{"a long folder", "memory {\n folder = \"/" + strings.Repeat("${name}", 5000) + "\"\n}\n", alone, []string{"2:11 memory.folder"}},
-		{"arithmetic", "log {\n burst = 1e600000000 % 3\n}\n", alone, []string{"2:10 "}},
-		{"a power", "log {\n burst = 1e600000000\n}\n", alone, []string{"2:10 log.burst"}},
-		{"many digits", "log {\n burst = " + strings.Repeat("9", 500_000) + "\n}\n", alone, []string{"2:10 "}},
-		{"a choice", "log {\n burst = true ? 1 : 2\n}\n", alone, []string{"2:10 "}},
-		{"a loop", "rule \"a\" {\n zones = [for x in [1, 2]: x]\n}\n", alone, []string{"2:10 "}},
-		{"a loop in a text", "log {\n level = \"%{for x in [1]}a%{endfor}\"\n}\n", alone, []string{"2:11 "}},
-		{"a call", "log {\n level = lower(\"INFO\")\n}\n", alone, []string{"2:10 "}},
-		{"deep brackets", "x = " + strings.Repeat("[", 100_000), alone, []string{"1:37 "}},
-		{"no HCL", "log {\n", alone, []string{"1:5 "}},
-		{"too long", strings.Repeat("#", config.MaxDocument+1), alone, []string{"0:0 "}},
+		{"a block again", "log {\n}\nlog {\n}\n", withoutMaintenance, []string{"3:1 log"}},
+		{"an unknown block", "throttle {\n}\n", withoutMaintenance, []string{"1:1 throttle"}},
+		{"an unknown field", "log {\n colour = 1\n}\n", withoutMaintenance, []string{"2:2 log.colour"}},
+		{"a bad rule", "rule \"a\" {\n when = \"tenant = 1\"\n}\n", withoutMaintenance, []string{"2:9 rule \"a\".when"}},
+		{"a name elsewhere", "log {\n level = \"${name}\"\n}\n", withoutMaintenance, []string{"2:13 log.level"}},
+		{"another name", "memory {\n folder = \"/${host}\"\n}\n", withoutMaintenance, []string{"2:15 memory.folder"}},
+		{"a folder that is no path", "memory {\n folder = name\n}\n", withoutMaintenance, []string{"2:11 memory.folder"}},
+		{"a long folder", "memory {\n folder = \"/" + strings.Repeat("${name}", 5000) + "\"\n}\n", withoutMaintenance, []string{"2:11 memory.folder"}},
+		{"arithmetic", "log {\n burst = 1e600000000 % 3\n}\n", withoutMaintenance, []string{"2:10 "}},
+		{"a power", "log {\n burst = 1e600000000\n}\n", withoutMaintenance, []string{"2:10 log.burst"}},
+		{"many digits", "log {\n burst = " + strings.Repeat("9", 500_000) + "\n}\n", withoutMaintenance, []string{"2:10 "}},
+		{"a choice", "log {\n burst = true ? 1 : 2\n}\n", withoutMaintenance, []string{"2:10 "}},
+		{"a loop", "rule \"a\" {\n zones = [for x in [1, 2]: x]\n}\n", withoutMaintenance, []string{"2:10 "}},
+		{"a loop in a text", "log {\n level = \"%{for x in [1]}a%{endfor}\"\n}\n", withoutMaintenance, []string{"2:11 "}},
+		{"a call", "log {\n level = lower(\"INFO\")\n}\n", withoutMaintenance, []string{"2:10 "}},
+		{"deep brackets", "x = " + strings.Repeat("[", 100_000), withoutMaintenance, []string{"1:37 "}},
+		{"no HCL", "log {\n", withoutMaintenance, []string{"1:5 "}},
+		{"too long", strings.Repeat("#", config.MaxDocument+1), withoutMaintenance, []string{"0:0 "}},
 	} {
-		began := time.Now()
+		start := time.Now()
 		file, err := ParseDocument("document", []byte(c.text), c.local, facts)
-		if took := time.Since(began); took > 2*time.Second {
+		if took := time.Since(start); took > 2*time.Second {
 			t.Errorf("%s: took %v", c.name, took)
 		}
-		if got := places(err); (file == nil) != (err != nil) || !samePlaces(got, c.want) {
+		if got := problemPlaces(err); (file == nil) != (err != nil) || !equalPlaces(got, c.want) {
 			t.Errorf("%s: %q, not %q: %v", c.name, got, c.want, err)
 		}
 	}
 }
 
-// samePlaces reports whether each problem is the one wanted; the same field may have more than one.
-func samePlaces(got, want []string) bool {
+// equalPlaces reports whether each problem is the one wanted; the same field may have more than one.
+func equalPlaces(got, want []string) bool {
 	return slices.Equal(slices.Compact(got), want)
 }
 
 // A document is used together with the controller's own blocks. What it does not name is off or has
 // its default, whatever the controller's own file says, and that file is not changed.
 func TestDocumentIsCompletedWithOwnBlocks(t *testing.T) {
-	local := localOf(nil, "digest")
+	local := testLocal(nil, "digest")
 	local.File.Log.Burst = 7
 	file, err := ParseDocument("document", []byte(""), local, facts)
 	if err != nil || file.Memory != nil || file.Rules != nil || file.Maintenance != nil || file.Log != logs.DefaultBlock() {
@@ -124,7 +124,7 @@
 	if err != nil || !slices.Equal(file.Fleet.Leases, []lease.Name{"a", "plan"}) || file.Fleet.Folder != local.File.Fleet.Folder {
 		t.Errorf("other leases: %+v, %v", file, err)
 	}
-	maintained := localOf(&maintenance.Block{}, "digest", "maintenance")
+	maintained := testLocal(&maintenance.Block{}, "digest", "maintenance")
 	file, err = ParseDocument("document", []byte("maintenance {\n drain = \"/d\"\n}\nfleet {\n works = [\"a\"]\n}\n"), maintained, facts)
 	if err != nil || !slices.Equal(file.Fleet.Leases, []lease.Name{"a", "maintenance"}) || file.Maintenance.Drain != "/d" {
 		t.Errorf("leases beside maintenance: %+v, %v", file, err)
@@ -136,17 +136,17 @@
 
 // The block config of a controller's own file is read; its fields have bounds.
 func TestConfigBlockOfOwnFile(t *testing.T) {
-	const own = "fleet {\n name = \"e\"\n listen = \"10.0.0.1:9\"\n key_file = \"/k\"\n folder = \"/f\"\n council = { n1 = \"10.0.0.1:9\" }\n}\n"
-	file, err := Parse("f", []byte(own+"config {\n wait = \"2s\"\n}\n"), facts)
+	const fleetBlock = "fleet {\n name = \"e\"\n listen = \"10.0.0.1:9\"\n key_file = \"/k\"\n folder = \"/f\"\n council = { n1 = \"10.0.0.1:9\" }\n}\n"
+	file, err := Parse("f", []byte(fleetBlock+"config {\n wait = \"2s\"\n}\n"), facts)
 	if err != nil || file.Config == nil || file.Config.Wait != 2*time.Second {
 		t.Errorf("%+v, %v", file, err)
 	}
-	if file, err = Parse("f", []byte(own), facts); err != nil || file.Config != nil {
+	if file, err = Parse("f", []byte(fleetBlock), facts); err != nil || file.Config != nil {
 		t.Errorf("off: %+v, %v", file, err)
 	}
-	for text, want := range map[string]string{"config {\n}\n": "1:1 config", own + "config {\n wait = \"9s\"\n}\n": "9:9 config.wait",
-		own + "config {\n x = 1\n}\n": "9:2 config.x", own + "config {\n}\nconfig {\n}\n": "10:1 config"} {
-		if _, err := Parse("f", []byte(text), facts); !slices.Equal(places(err), []string{want}) {
+	for text, want := range map[string]string{"config {\n}\n": "1:1 config", fleetBlock + "config {\n wait = \"9s\"\n}\n": "9:9 config.wait",
+		fleetBlock + "config {\n x = 1\n}\n": "9:2 config.x", fleetBlock + "config {\n}\nconfig {\n}\n": "10:1 config"} {
+		if _, err := Parse("f", []byte(text), facts); !slices.Equal(problemPlaces(err), []string{want}) {
 			t.Errorf("%q: %v, not %q", text, err, want)
 		}
 	}
@@ -157,7 +157,7 @@
 	f.Add([]byte("log {\n level = \"info\"\n}\n"))
 	f.Add([]byte("memory {\n folder = \"/a/${name}\"\n}\n"))
 	f.Add([]byte("fleet {\n works = [\"digest\"]\n}\n"))
-	local := localOf(nil, "digest")
+	local := testLocal(nil, "digest")
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := ParseDocument("d", text, local, facts)
 		if (file == nil) != (err != nil) || err != nil && len(Problems(err)) == 0 {
@@ -177,7 +177,7 @@
 		for i := range rules {
 			fmt.Fprintf(&text, "rule \"r%d\" {\n when = \"tenant == 'acme%d' && table_name startswith 'menu_%d'\"\n hot = true\n}\n", i, i, i)
 		}
-		document, local := []byte(text.String()), localOf(nil, "digest")
+		document, local := []byte(text.String()), testLocal(nil, "digest")
 		b.Run(fmt.Sprintf("%d bytes", len(document)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -128,13 +128,13 @@
 	if content == nil {
 		return
 	}
-	single, ruleBlocks := splitRules(content.Blocks, diagnostics)
-	for _, b := range single {
+	otherBlocks, ruleBlocks := splitRules(content.Blocks, diagnostics)
+	for _, b := range otherBlocks {
 		f.readBlock(b, diagnostics)
 	}
 	if !hasBlock(content.Blocks, blockFleet) {
-		for _, b := range single {
-			noteMissingFleet(b, diagnostics)
+		for _, b := range otherBlocks {
+			checkFleetBlock(b, diagnostics)
 		}
 	}
 	if f.Fleet != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// noteMissingFleet notes blocks that need a block fleet, in a file without one.
-func noteMissingFleet(b *hcl.Block, diagnostics *block.Diagnostics) {
+// checkFleetBlock notes blocks that need a block fleet, in a file without one.
+func checkFleetBlock(b *hcl.Block, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockMaintenance:
 		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
@@ -171,7 +171,7 @@
 }
 
 // splitRules separates the rules from the blocks of which there may be one, and notes a second one.
-func splitRules(blocks hcl.Blocks, diagnostics *block.Diagnostics) (single, ruleBlocks hcl.Blocks) {
+func splitRules(blocks hcl.Blocks, diagnostics *block.Diagnostics) (otherBlocks, ruleBlocks hcl.Blocks) {
 	seen := map[string]bool{}
 	for _, b := range blocks {
 		switch {
@@ -181,10 +181,10 @@
 			diagnostics.Add(b.DefRange, b.Type, "stands here a second time")
 		default:
 			seen[b.Type] = true
-			single = append(single, b)
+			otherBlocks = append(otherBlocks, b)
 		}
 	}
-	return single, ruleBlocks
+	return otherBlocks, ruleBlocks
 }
 
 // withMaintenance adds the lease of scheduled maintenance to others, if that is on.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -124,15 +124,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var on strings.Builder // what is commented out with a name behind it is to be read too
+	var uncommented strings.Builder // what is commented out with a name behind it is to be read too
 	for line := range strings.Lines(string(example)) {
 		if rest, ok := strings.CutPrefix(line, "# "); ok && (strings.HasPrefix(rest, " ") || strings.HasSuffix(rest, "{\n") ||
 			rest == "}\n") {
 			line = rest
 		}
-		on.WriteString(line)
+		uncommented.WriteString(line)
 	}
-	if file, err := Parse("example", []byte(on.String()), facts); err != nil || file.Memory == nil {
+	if file, err := Parse("example", []byte(uncommented.String()), facts); err != nil || file.Memory == nil {
 		t.Errorf("the example, turned on: %v", err)
 	}
 }
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -34,19 +34,19 @@
 	if len(blocks) == 0 {
 		return nil
 	}
-	var given []rules.Rule
-	var opened []*block.Block
+	var ruleList []rules.Rule
+	var openBlocks []*block.Block
 	for _, b := range blocks {
 		open := block.Open(b, diagnostics,
 			"when", "hot", "key", "kinds", "zones", "profile", "labels", "most_estimate", "refuse", "last")
 		open.Name = fmt.Sprintf("rule %q", b.Labels[0])
-		opened = append(opened, open)
-		given = append(given, readRule(b.Labels[0], open))
+		openBlocks = append(openBlocks, open)
+		ruleList = append(ruleList, readRule(b.Labels[0], open))
 	}
-	set, problems := rules.Compile(given, RuleFacts(facts), RuleBounds())
+	set, problems := rules.Compile(ruleList, RuleFacts(facts), RuleBounds())
 	for _, problem := range problems {
 		field, _, _ := strings.Cut(problem.Field, ".")
-		opened[problem.Rule].AddProblem(field, describeRuleProblem(problem))
+		openBlocks[problem.Rule].AddProblem(field, describeRuleProblem(problem))
 	}
 	return set
 }
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -64,9 +64,9 @@
 	p.line("maintenance list", b.List)
 }
 
-// rulesOn prints what the rules do to a command.
-func (p *printer) rulesOn(name string, set *rules.Set, command rules.Query) {
-	verdict := set.Apply(&command, &rules.Scratch{})
+// verdict prints what the rules do to a command.
+func (p *printer) verdict(name string, set *rules.Set, query rules.Query) {
+	verdict := set.Apply(&query, &rules.Scratch{})
 	p.line(name+" refused", verdict.Rejection)
 	p.line(name+" profile", int(verdict.Class))
 	p.line(name+" key", verdict.OrderingKey)
@@ -96,15 +96,15 @@
 	p.line("config wait", file.Config.Wait)
 	p.maintenance(file.Maintenance)
 	p.line("rules", file.Rules.Len())
-	command := rules.Query{Tenant: "acme", Schema: "s", Table: "menu_17", Tables: 5, OrderingKey: "k", EstimatedWork: 6000, EstimatedMemoryMB: 64,
+	query := rules.Query{Tenant: "acme", Schema: "s", Table: "menu_17", Tables: 5, OrderingKey: "k", EstimatedWork: 6000, EstimatedMemoryMB: 64,
 		TimeLeft: 9000, Protocol: "postgres", Application: "psql", Listener: "l"}
-	p.rulesOn("long lookup", file.Rules, command)
-	command.EstimatedWork = 1000
-	p.rulesOn("short lookup", file.Rules, command)
-	command.Class = 2
-	p.rulesOn("ordered", file.Rules, command)
-	command.Table = "secrets"
-	p.rulesOn("secret", file.Rules, command)
+	p.verdict("long lookup", file.Rules, query)
+	query.EstimatedWork = 1000
+	p.verdict("short lookup", file.Rules, query)
+	query.Class = 2
+	p.verdict("ordered", file.Rules, query)
+	query.Table = "secrets"
+	p.verdict("secret", file.Rules, query)
 	golden.File(t, "file.golden", []byte(p.String()))
 }
 
@@ -130,19 +130,19 @@
 			t.Errorf("field %s of the deployed file is not in the stored one", field[1])
 		}
 	}
-	var turnedOn strings.Builder // the deployed file with its blocks as they stand in the comments
-	on := false
+	var uncommented strings.Builder // the deployed file with its blocks as they stand in the comments
+	inBlock := false
 	for line := range strings.Lines(string(deployed)) {
 		text := strings.TrimPrefix(line, "# ")
-		on = on || regexp.MustCompile(`^[a-z]+ .*\{`).MatchString(text)
-		if on {
-			turnedOn.WriteString(text)
+		inBlock = inBlock || regexp.MustCompile(`^[a-z]+ .*\{`).MatchString(text)
+		if inBlock {
+			uncommented.WriteString(text)
 		}
-		on = on && !strings.HasPrefix(text, "}")
+		inBlock = inBlock && !strings.HasPrefix(text, "}")
 	}
-	file, err := Parse("operator.hcl", []byte(turnedOn.String()), storedFacts())
+	file, err := Parse("operator.hcl", []byte(uncommented.String()), storedFacts())
 	if err != nil {
-		t.Fatalf("%v\n%s", err, turnedOn.String())
+		t.Fatalf("%v\n%s", err, uncommented.String())
 	}
 	if file.Memory == nil || file.Rules.Len() != 1 || file.Fleet == nil || file.Config == nil || file.Maintenance == nil {
 		t.Errorf("%+v", file)
--- a/internal/settings/class.go
+++ b/internal/settings/class.go
@@ -19,7 +19,7 @@
 
 // class reads the i-th query class, which has keys that begin with prefix.
 func (p *parser) class(prefix string, i int, names *Names) router.QueryClass {
-	effect, scope := p.repeat(prefix)
+	effect, scope := p.repeatEffect(prefix)
 	return router.QueryClass{
 		Effect:              effect,
 		Scope:               scope,
@@ -37,9 +37,9 @@
 	}
 }
 
-// repeat reads what a second run of a query does. The scope has to be known only for deduplicated
+// repeatEffect reads what a second run of a query does. The scope has to be known only for deduplicated
 // queries.
-func (p *parser) repeat(prefix string) (router.RepeatEffect, router.DeduplicationScope) {
+func (p *parser) repeatEffect(prefix string) (router.RepeatEffect, router.DeduplicationScope) {
 	effect, known := effects[p.values[prefix+"effect"]]
 	if !known {
 		p.fail(prefix+"effect", "is not known")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,13 +23,13 @@
 	if flat := Flatten(nested); !reflect.DeepEqual(flat["services.1.bound_to"], "b") {
 		t.Errorf("%v", flat)
 	}
-	a, err := Read(pairs)
-	b, err2 := Read(Flatten(nested))
-	if err != nil || err2 != nil || !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v, %v\n%+v, %v", a, err, b, err2)
+	fromPairs, err := Read(pairs)
+	fromNested, nestedErr := Read(Flatten(nested))
+	if err != nil || nestedErr != nil || !reflect.DeepEqual(fromPairs, fromNested) {
+		t.Errorf("%+v, %v\n%+v, %v", fromPairs, err, fromNested, nestedErr)
 	}
-	if p := a.Classes[1]; !reflect.DeepEqual(p.Kinds, []router.KindID{1}) || !p.LocksTables || a.Classes[0].LatencyObjective != 1.5 ||
-		!a.SafetyLimits.RetryBudgeted || a.Tenants[a.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || a.Names.MachineKind("none") != -1 {
-		t.Errorf("%+v", a)
+	if class := fromPairs.Classes[1]; !reflect.DeepEqual(class.Kinds, []router.KindID{1}) || !class.LocksTables || fromPairs.Classes[0].LatencyObjective != 1.5 ||
+		!fromPairs.SafetyLimits.RetryBudgeted || fromPairs.Tenants[fromPairs.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || fromPairs.Names.MachineKind("none") != -1 {
+		t.Errorf("%+v", fromPairs)
 	}
 }
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -24,13 +24,13 @@
 
 func (p *printer) line(name string, value any) { fmt.Fprintf(p, "%s = %#v\n", name, value) }
 
-func (p *printer) place(x router.Identity) {
+func (p *printer) identity(x router.Identity) {
 	p.line("place controllers", x.Controllers)
 	p.line("place number", x.Index)
 	p.line("place zone", string(x.Zone))
 }
 
-func (p *printer) allowed(x router.Capabilities) {
+func (p *printer) capabilities(x router.Capabilities) {
 	p.line("allowed cancel", x.Cancel)
 	p.line("allowed probes", x.HealthChecks)
 	p.line("allowed second copies", x.Hedging)
@@ -41,7 +41,7 @@
 	p.line("allowed list only when asked for", x.PollEndpoints)
 }
 
-func (p *printer) guards(x router.SafetyLimits) {
+func (p *printer) safetyLimits(x router.SafetyLimits) {
 	p.line("guards round ms", x.EventInterval)
 	p.line("guards cold share", x.SlowStartCapacity)
 	p.line("guards cold time ms", x.SlowStartTime)
@@ -56,7 +56,7 @@
 	p.line("guards benefit over the share", x.OverQuotaBenefit)
 }
 
-func (p *printer) profile(at string, x router.QueryClass) {
+func (p *printer) class(at string, x router.QueryClass) {
 	p.line(at+" effect", int(x.Effect))
 	p.line(at+" scope", int(x.Scope))
 	p.line(at+" repeat window ms", x.DeduplicationWindow)
@@ -94,29 +94,29 @@
 	return names
 }
 
-func numbered[T ~int](p *printer, at string, ids map[string]T) {
+func idLines[T ~int](p *printer, at string, ids map[string]T) {
 	for _, name := range slices.Sorted(maps.Keys(ids)) {
 		p.line(at+" "+name, int(ids[name]))
 	}
 }
 
 func (p *printer) facts(f *Facts) {
-	p.place(f.Identity)
-	p.allowed(f.Capabilities)
-	p.guards(f.SafetyLimits)
+	p.identity(f.Identity)
+	p.capabilities(f.Capabilities)
+	p.safetyLimits(f.SafetyLimits)
 	for i, kind := range f.MachineKinds {
 		p.line(fmt.Sprintf("kind %d cores", i), kind.Cores)
 		p.line(fmt.Sprintf("kind %d memory MB", i), kind.MemoryMB)
 	}
 	for i, profile := range f.Classes {
-		p.profile(fmt.Sprintf("profile %d", i), profile)
+		p.class(fmt.Sprintf("profile %d", i), profile)
 	}
 	for i, tenant := range f.Tenants {
 		p.line(fmt.Sprintf("tenant %d per second", i), tenant.QueriesPerSecond)
 	}
-	numbered(p, "name of kind", f.Names.MachineKinds)
-	numbered(p, "name of profile", f.Names.Classes)
-	numbered(p, "name of tenant", f.Names.Tenants)
+	idLines(p, "name of kind", f.Names.MachineKinds)
+	idLines(p, "name of profile", f.Names.Classes)
+	idLines(p, "name of tenant", f.Names.Tenants)
 	p.line("names of kinds", f.Names.MachineKindAt)
 	p.line("names of zones", f.Names.ZoneAt)
 	p.line("names in reports", f.Names.ReportFields)
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -35,31 +35,31 @@
 }
 
 // flatten sets the values of an item under the key at.
-func (v Values) flatten(at string, item any) {
+func (v Values) flatten(prefix string, item any) {
 	switch item := item.(type) {
 	case map[string]any:
 		for key, inner := range item {
-			v.flatten(at+"."+key, inner)
+			v.flatten(prefix+"."+key, inner)
 		}
 	case []any:
-		v.flattenList(at, item)
+		v.flattenList(prefix, item)
 	default:
-		v[at] = plainText(item)
+		v[prefix] = plainText(item)
 	}
 }
 
-func (v Values) flattenList(at string, items []any) {
+func (v Values) flattenList(prefix string, items []any) {
 	var plain []string
 	for i, item := range items {
 		_, isObject := item.(map[string]any)
 		if isObject {
-			v.flatten(fmt.Sprintf("%s.%d", at, i), item)
-			v[at+".count"] = strconv.Itoa(i + 1)
+			v.flatten(fmt.Sprintf("%s.%d", prefix, i), item)
+			v[prefix+".count"] = strconv.Itoa(i + 1)
 			continue
 		}
 		plain = append(plain, strings.ReplaceAll(plainText(item), ",", "_")) // a comma separates items
 	}
-	v[at] = strings.Join(plain, ",")
+	v[prefix] = strings.Join(plain, ",")
 }
 
 func plainText(item any) string {
