--- a/internal/store/disk/disktest/crash.go
+++ b/internal/store/disk/disktest/crash.go
@@ -73,11 +73,11 @@
 		switch {
 		case mode == LoseUnsynced || mode == KeepNamesOnly:
 		case mode == TearLastWrite && isLast:
-			content = append(content, torn(written, rng)...)
+			content = append(content, tornPrefix(written, rng)...)
 		case mode == LoseFirstWrite && isFirst && len(written) > 0:
 			content = append(content, make([]byte, len(written))...)
 		case mode == LoseAtRandom && rng.Intn(3) == 0:
-			return append(content, torn(written, rng)...)
+			return append(content, tornPrefix(written, rng)...)
 		case mode == LoseAtRandom && rng.Intn(3) == 0:
 			content = append(content, make([]byte, len(written))...)
 		default:
@@ -87,5 +87,5 @@
 	return content
 }
 
-// torn returns a prefix of a write.
-func torn(written []byte, rng *rand.Rand) []byte { return written[:rng.Intn(len(written)+1)] }
+// tornPrefix returns a prefix of a write.
+func tornPrefix(written []byte, rng *rand.Rand) []byte { return written[:rng.Intn(len(written)+1)] }
--- a/internal/store/disk/disktest/disk.go
+++ b/internal/store/disk/disktest/disk.go
@@ -87,14 +87,14 @@
 
 // Make does nothing: the modelled directory exists.
 func (d *Disk) Make() error {
-	err := d.begin()
+	err := d.beginOperation()
 	d.mu.Unlock()
 	return err
 }
 
 // Create creates an empty file. Its name is not durable before Sync.
 func (d *Disk) Create(name string) (disk.File, error) {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 
 // Open opens a file for reading from its start.
 func (d *Disk) Open(name string) (disk.File, error) {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 
 // Rename moves a file; a crash before Sync may leave it under both names, either or none.
 func (d *Disk) Rename(from, to string) error {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 
 // Remove deletes a file; a crash before Sync may bring it back.
 func (d *Disk) Remove(name string) error {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 
 // Names lists the files' names.
 func (d *Disk) Names() ([]string, error) {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 
 // Sync makes all changes of names durable, but no content.
 func (d *Disk) Sync() error {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 
 // Lock takes a lock, which a crash releases.
 func (d *Disk) Lock(name string) (io.Closer, error) {
-	err := d.begin()
+	err := d.beginOperation()
 	defer d.mu.Unlock()
 	if err != nil {
 		return nil, err
--- a/internal/store/disk/disktest/faults.go
+++ b/internal/store/disk/disktest/faults.go
@@ -1,10 +1,10 @@
 package disktest
 
 // Fill leaves room for so many bytes; below 0 there is no limit.
-func (d *Disk) Fill(left int) {
+func (d *Disk) Fill(freeBytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.free = max(left, unlimited)
+	d.free = max(freeBytes, unlimited)
 }
 
 // Fail makes every operation from now on fail with err; nil ends it.
@@ -51,9 +51,9 @@
 	d.onOperation = watch
 }
 
-// begin counts an operation, waits while the disk hangs, and returns the error that the operation
+// beginOperation counts an operation, waits while the disk hangs, and returns the error that the operation
 // has to fail with. It returns with d.mu held, also with an error.
-func (d *Disk) begin() error {
+func (d *Disk) beginOperation() error {
 	d.mu.Lock()
 	if hang := d.hang; hang != nil {
 		d.mu.Unlock()
--- a/internal/store/disk/disktest/file.go
+++ b/internal/store/disk/disktest/file.go
@@ -13,7 +13,7 @@
 }
 
 func (f *file) Read(b []byte) (int, error) {
-	err := f.disk.begin()
+	err := f.disk.beginOperation()
 	defer f.disk.mu.Unlock()
 	if err != nil {
 		return 0, err
@@ -29,7 +29,7 @@
 
 // Write adds to the file's end; on a full disk it writes what there is room for, as a system does.
 func (f *file) Write(b []byte) (int, error) {
-	err := f.disk.begin()
+	err := f.disk.beginOperation()
 	defer f.disk.mu.Unlock()
 	if err != nil {
 		return 0, err
@@ -47,7 +47,7 @@
 }
 
 func (f *file) Sync() error {
-	err := f.disk.begin()
+	err := f.disk.beginOperation()
 	defer f.disk.mu.Unlock()
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 }
 
 func (f *file) Size() (int64, error) {
-	err := f.disk.begin()
+	err := f.disk.beginOperation()
 	defer f.disk.mu.Unlock()
 	return int64(len(f.node.content())), err
 }
--- a/internal/store/documents/folder.go
+++ b/internal/store/documents/folder.go
@@ -42,7 +42,7 @@
 		f.disk.Remove(name)
 		return err
 	}
-	f.recordStored(hash, len(document))
+	f.countStored(hash, len(document))
 	return nil
 }
 
@@ -94,8 +94,8 @@
 // Close releases the lock.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-// recordStored counts a durable document towards the bounds.
-func (f *Folder) recordStored(hash Hash, size int) {
+// countStored counts a durable document towards the bounds.
+func (f *Folder) countStored(hash Hash, size int) {
 	f.sizes[hash] = size
 	f.bytes += int64(size)
 }
--- a/internal/store/documents/format.go
+++ b/internal/store/documents/format.go
@@ -71,8 +71,8 @@
 
 func documentName(hash Hash) string { return documentPrefix + hex.EncodeToString(hash[:]) }
 
-// hashOf is the hash in the name of a document's file; not ok for other names.
-func hashOf(name string) (hash Hash, ok bool) {
+// parseDocumentName is the hash in the name of a document's file; not ok for other names.
+func parseDocumentName(name string) (hash Hash, ok bool) {
 	digits, ok := strings.CutPrefix(name, documentPrefix)
 	if !ok || len(digits) != hex.EncodedLen(len(hash)) || digits != strings.ToLower(digits) {
 		return hash, false
--- a/internal/store/documents/open.go
+++ b/internal/store/documents/open.go
@@ -84,7 +84,7 @@
 			f.disk.Remove(name) // if that fails, the next write of this name removes it
 			continue
 		}
-		hash, ok := hashOf(name)
+		hash, ok := parseDocumentName(name)
 		if !ok || contents.Documents[hash] != nil {
 			continue
 		}
@@ -104,7 +104,7 @@
 	if !ok {
 		return false
 	}
-	_, isDocument := hashOf(final)
+	_, isDocument := parseDocumentName(final)
 	return isDocument || final == currentName
 }
 
@@ -117,7 +117,7 @@
 
 func (f *Folder) add(contents *Contents, hash Hash, document []byte) {
 	contents.Documents[hash] = document
-	f.recordStored(hash, len(document))
+	f.countStored(hash, len(document))
 }
 
 // readDocument reads a document; errDamaged if it does not match its hash.
--- a/internal/store/fenced/fenced_test.go
+++ b/internal/store/fenced/fenced_test.go
@@ -14,29 +14,29 @@
 // paused, and others continue.
 type pausedDisk struct {
 	disk.Disk
-	n    int
-	then func()
+	operationsLeft int
+	whilePaused    func()
 }
 
 func (s *pausedDisk) beforeOperation() {
-	s.n--
-	if s.n == 0 {
-		s.then()
+	s.operationsLeft--
+	if s.operationsLeft == 0 {
+		s.whilePaused()
 	}
 }
 
 type pausedFile struct {
 	disk.File
-	s *pausedDisk
+	pausedDisk *pausedDisk
 }
 
 func (f pausedFile) Write(b []byte) (int, error) {
-	f.s.beforeOperation()
+	f.pausedDisk.beforeOperation()
 	return f.File.Write(b)
 }
 
 func (f pausedFile) Sync() error {
-	f.s.beforeOperation()
+	f.pausedDisk.beforeOperation()
 	return f.File.Sync()
 }
 
@@ -79,32 +79,32 @@
 				t.Fatal(err)
 			}
 			paused := false
-			old := &pausedDisk{Disk: d, n: n, then: func() {
+			pausedWriter := &pausedDisk{Disk: d, operationsLeft: n, whilePaused: func() {
 				paused = true
 				for range writes {
 					if err := Write(d, "plan", 6, []byte("new")); err != nil {
 						t.Fatalf("paused at %d: the new owner can't write: %v", n, err)
 					}
 				}
-				if v, e, err := Read(d, "plan"); string(v) != "new" || e != 6 || err != nil {
-					t.Fatalf("paused at %d: %q of token %d, %v", n, v, e, err)
+				if value, token, err := Read(d, "plan"); string(value) != "new" || token != 6 || err != nil {
+					t.Fatalf("paused at %d: %q of token %d, %v", n, value, token, err)
 				}
 			}}
-			err := Write(old, "plan", 5, []byte("old"))
+			err := Write(pausedWriter, "plan", 5, []byte("old"))
 			if !paused {
 				break // it has no more operations
 			}
 			if !errors.Is(err, ErrSuperseded) {
 				t.Errorf("paused at %d: the old owner gets %v", n, err)
 			}
-			if v, e, err := Read(d, "plan"); string(v) != "new" || e != 6 || err != nil {
-				t.Errorf("paused at %d: %q of token %d, %v", n, v, e, err)
+			if value, token, err := Read(d, "plan"); string(value) != "new" || token != 6 || err != nil {
+				t.Errorf("paused at %d: %q of token %d, %v", n, value, token, err)
 			}
 			if err := Write(d, "plan", 6, []byte("newer")); err != nil {
 				t.Errorf("paused at %d: %v", n, err)
 			}
-			if v, _, _ := Read(d, "plan"); string(v) != "newer" {
-				t.Errorf("paused at %d: then %q", n, v)
+			if value, _, _ := Read(d, "plan"); string(value) != "newer" {
+				t.Errorf("paused at %d: then %q", n, value)
 			}
 		}
 	}
@@ -117,9 +117,9 @@
 	Write(d, "plan", 1, []byte("before"))
 	d.OnOperation(func(int) {
 		for _, mode := range disktest.CrashModes() {
-			v, _, err := Read(d.AfterCrash(mode, rng), "plan")
-			if err != nil || string(v) != "before" && string(v) != "after" {
-				t.Errorf("%v: %q, %v", mode, v, err)
+			value, _, err := Read(d.AfterCrash(mode, rng), "plan")
+			if err != nil || string(value) != "before" && string(value) != "after" {
+				t.Errorf("%v: %q, %v", mode, value, err)
 			}
 		}
 	})
@@ -128,8 +128,8 @@
 	}
 	d.OnOperation(nil)
 	for _, mode := range disktest.CrashModes() {
-		if v, e, _ := Read(d.AfterCrash(mode, rng), "plan"); string(v) != "after" || e != 2 {
-			t.Errorf("%v: after Write returned: %q of token %d", mode, v, e)
+		if value, token, _ := Read(d.AfterCrash(mode, rng), "plan"); string(value) != "after" || token != 2 {
+			t.Errorf("%v: after Write returned: %q of token %d", mode, value, token)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		t.Errorf("files pile up: %v", names)
 	}
 	d.Put("a.00000000000000ff.0000000000000001", []byte("not whole"))
-	if v, e, err := Read(d, "a"); string(v) != "x" || e != 1 || err != nil {
-		t.Errorf("a damaged file of a high token hides the others: %q, %d, %v", v, e, err)
+	if value, token, err := Read(d, "a"); string(value) != "x" || token != 1 || err != nil {
+		t.Errorf("a damaged file of a high token hides the others: %q, %d, %v", value, token, err)
 	}
 }
--- a/internal/store/fenced/stored_test.go
+++ b/internal/store/fenced/stored_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	golden.File(t, file, written)
-	if got, of, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || of != token || err != nil {
-		t.Errorf("%q of token %d, %v", got, of, err)
+	if got, gotToken, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || gotToken != token || err != nil {
+		t.Errorf("%q of token %d, %v", got, gotToken, err)
 	}
 }
--- a/internal/store/records/format.go
+++ b/internal/store/records/format.go
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("%s%0*x", filePrefix, numberDigits, number)
 }
 
-// numberOf is the number in the name of a file of the log; not ok for other names.
-func numberOf(name string) (number uint64, ok bool) {
+// parseFileName is the number in the name of a file of the log; not ok for other names.
+func parseFileName(name string) (number uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, filePrefix)
 	if !ok || len(digits) != numberDigits {
 		return 0, false
--- a/internal/store/records/log.go
+++ b/internal/store/records/log.go
@@ -70,7 +70,7 @@
 	}
 	var files []logFile
 	for _, name := range names {
-		if number, ok := numberOf(name); ok {
+		if number, ok := parseFileName(name); ok {
 			files = append(files, logFile{name, number})
 		}
 	}
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -110,7 +110,7 @@
 	length := int64(binary.BigEndian.Uint32(header))
 	r.offset += int64(recordHeaderBytes)
 	if length > int64(r.maxRecord) {
-		return nil, r.damaged()
+		return nil, r.damagedError()
 	}
 	if r.offset+length > r.size {
 		return nil, errTornTail
@@ -140,10 +140,10 @@
 	if isLast || isZeros(header) && isZeros(payload) && isZeros(rest) {
 		return errTornTail
 	}
-	return r.damaged()
+	return r.damagedError()
 }
 
-func (r *reader) damaged() error { return &FileError{r.file.name, r.records, ErrDamaged} }
+func (r *reader) damagedError() error { return &FileError{r.file.name, r.records, ErrDamaged} }
 
 func isZeros(b []byte) bool { return len(bytes.Trim(b, "\x00")) == 0 }
 
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -19,7 +19,7 @@
 		rng := rand.New(rand.NewSource(seed))
 		d := disktest.New()
 		var durable []string // records for which Append or Replace has returned
-		next, writing := 0, ""
+		next, pending := 0, ""
 		checkCrash := func(int) {
 			for _, mode := range disktest.CrashModes() {
 				crashes++
@@ -36,12 +36,12 @@
 						texts = texts[len(texts)-1:]
 					}
 				}
-				owed := fmt.Sprint(durable)
-				with := fmt.Sprint(append(append([]string{}, durable...), writing))
-				replaced := fmt.Sprint([]string{writing})
-				if got := fmt.Sprint(texts); got != owed && got != with && got != replaced {
+				want := fmt.Sprint(durable)
+				wantWithPending := fmt.Sprint(append(append([]string{}, durable...), pending))
+				wantReplaced := fmt.Sprint([]string{pending})
+				if got := fmt.Sprint(texts); got != want && got != wantWithPending && got != wantReplaced {
 					t.Fatalf("seed %d, crash mode %v: found %v, owed %v, writing %q",
-						seed, mode, got, owed, writing)
+						seed, mode, got, want, pending)
 				}
 			}
 		}
@@ -54,24 +54,24 @@
 			next++
 			switch rng.Intn(6) {
 			case 0:
-				writing = fmt.Sprintf("W%d", next)
-				if err := l.Replace([]byte(writing)); err != nil {
+				pending = fmt.Sprintf("W%d", next)
+				if err := l.Replace([]byte(pending)); err != nil {
 					t.Fatal(err)
 				}
-				durable = []string{writing}
+				durable = []string{pending}
 			case 1:
 				l.Close()
 				if l, _, err = Open(d, DefaultBounds()); err != nil {
 					t.Fatal(err)
 				}
 			default:
-				writing = fmt.Sprintf("r%d %s", next, make([]byte, rng.Intn(100)))
-				if err := l.Append([]byte(writing)); err != nil {
+				pending = fmt.Sprintf("r%d %s", next, make([]byte, rng.Intn(100)))
+				if err := l.Append([]byte(pending)); err != nil {
 					t.Fatal(err)
 				}
-				durable = append(durable, writing)
+				durable = append(durable, pending)
 			}
-			writing = ""
+			pending = ""
 		}
 		d.OnOperation(nil)
 		l.Close()
@@ -89,13 +89,13 @@
 	}
 	l.Close()
 	const name = "records-0000000000000001"
-	whole := d.Get(name)
-	for at := range whole {
-		bad := append([]byte{}, whole...)
-		bad[at] ^= 1 << (at % 8)
-		other := disktest.New()
-		other.Put(name, bad)
-		_, recovered, err := Open(other, DefaultBounds())
+	content := d.Get(name)
+	for at := range content {
+		damaged := append([]byte{}, content...)
+		damaged[at] ^= 1 << (at % 8)
+		damagedDisk := disktest.New()
+		damagedDisk.Put(name, damaged)
+		_, recovered, err := Open(damagedDisk, DefaultBounds())
 		if err == nil && !recovered.TornTail {
 			t.Fatalf("byte %d: taken as whole: %q", at, recovered.Records)
 		}
@@ -105,10 +105,10 @@
 			}
 		}
 	}
-	for cut := range whole {
-		other := disktest.New()
-		other.Put(name, whole[:cut])
-		if _, recovered, err := Open(other, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
+	for cut := range content {
+		cutDisk := disktest.New()
+		cutDisk.Put(name, content[:cut])
+		if _, recovered, err := Open(cutDisk, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
 			t.Fatalf("cut at %d: %d records, %v", cut, len(recovered.Records), err)
 		}
 	}
@@ -133,11 +133,11 @@
 	}
 	l.Close()
 	const name = "records-0000000000000001"
-	bad := d.Get(name)
-	bad[len(magic)+20] ^= 1
-	other := disktest.New()
-	other.Put(name, bad)
-	l, _, err := Open(other, DefaultBounds())
+	damaged := d.Get(name)
+	damaged[len(magic)+20] ^= 1
+	damagedDisk := disktest.New()
+	damagedDisk.Put(name, damaged)
+	l, _, err := Open(damagedDisk, DefaultBounds())
 	if !errors.Is(err, ErrDamaged) || l.Append([]byte("x")) == nil {
 		t.Fatalf("a damaged log is appended to: %v", err)
 	}
@@ -145,10 +145,10 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if other.Get(damagedPrefix+name) == nil {
+	if damagedDisk.Get(damagedPrefix+name) == nil {
 		t.Error("the damaged file is not put aside")
 	}
-	_, recovered, err := Open(other, DefaultBounds())
+	_, recovered, err := Open(damagedDisk, DefaultBounds())
 	if err != nil || len(recovered.Records) != 1 || string(recovered.Records[0]) != "anew" {
 		t.Errorf("%q, %v", recovered.Records, err)
 	}
--- a/internal/store/snapshots/folder.go
+++ b/internal/store/snapshots/folder.go
@@ -55,7 +55,7 @@
 	}
 	var files []File
 	for _, name := range names {
-		if serial, ok := serialOf(name); ok {
+		if serial, ok := parseFileName(name); ok {
 			files = append(files, File{name, serial})
 		}
 	}
@@ -63,8 +63,8 @@
 	return files, nil
 }
 
-// serialOf is the serial number in the name of a snapshot; not ok for other names.
-func serialOf(name string) (serial uint64, ok bool) {
+// parseFileName is the serial number in the name of a snapshot; not ok for other names.
+func parseFileName(name string) (serial uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, filePrefix)
 	if !ok || len(digits) != serialDigits {
 		return 0, false
--- a/internal/store/snapshots/read.go
+++ b/internal/store/snapshots/read.go
@@ -16,7 +16,7 @@
 // A section with a wrong checksum is passed over, and so is everything behind a length that exceeds
 // the bounds. The error is then ErrDamaged, after the other sections were passed to take. Files
 // that are too large, no snapshots or of another version are not read at all.
-func Read(d disk.Disk, name string, b Bounds, take func(Section) error) (serial uint64, err error) {
+func Read(d disk.Disk, name string, b Bounds, handle func(Section) error) (serial uint64, err error) {
 	in, err := d.Open(name)
 	if err != nil {
 		return 0, &FileError{name, noSection, err}
@@ -37,7 +37,7 @@
 	if err := r.readHeader(); err != nil {
 		return 0, err
 	}
-	return r.serial, r.readSections(take)
+	return r.serial, r.readSections(handle)
 }
 
 // reader reads one file.
@@ -71,14 +71,14 @@
 }
 
 // readSections passes all good sections to take, up to the end of the file.
-func (r *reader) readSections(take func(Section) error) error {
+func (r *reader) readSections(handle func(Section) error) error {
 	for {
-		header, good, err := r.readSection()
+		header, valid, err := r.readSection()
 		if err != nil {
 			return err
 		}
 		switch {
-		case !good:
+		case !valid:
 			if r.damaged == 0 {
 				r.firstDamaged = r.sections
 			}
@@ -86,7 +86,7 @@
 		case header.kind == kindEnd:
 			return r.checkEnd()
 		default:
-			if err := take(Section{header.kind, r.payload}); err != nil {
+			if err := handle(Section{header.kind, r.payload}); err != nil {
 				return err
 			}
 		}
@@ -95,7 +95,7 @@
 }
 
 // readSection reads a section into r.payload; good: its checksum is right.
-func (r *reader) readSection() (header sectionHeader, good bool, err error) {
+func (r *reader) readSection() (header sectionHeader, valid bool, err error) {
 	encoded := make([]byte, sectionHeaderBytes)
 	if _, err := io.ReadFull(r.in, encoded); err != nil {
 		return header, false, r.fail(noSection, truncated(err, "it has no end"))
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -18,15 +18,15 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-var small = Bounds{Section: 1 << 10, Sections: 8, File: 8 << 10}
+var testBounds = Bounds{Section: 1 << 10, Sections: 8, File: 8 << 10}
 
-// content returns sections that say which snapshot they belong to.
-func content(serial int) []Section {
-	var all []Section
+// testSections returns sections that say which snapshot they belong to.
+func testSections(serial int) []Section {
+	var sections []Section
 	for i := range 3 {
-		all = append(all, Section{SectionKind(i + 1), bytes.Repeat([]byte{byte(serial), byte(i)}, 20+10*i)})
+		sections = append(sections, Section{SectionKind(i + 1), bytes.Repeat([]byte{byte(serial), byte(i)}, 20+10*i)})
 	}
-	return all
+	return sections
 }
 
 func write(f *Folder, sections []Section) error {
@@ -41,23 +41,23 @@
 	return err
 }
 
-func read(d disk.Disk, name string) (all []Section, err error) {
-	_, err = Read(d, name, small, func(s Section) error {
-		all = append(all, Section{s.Kind, slices.Clone(s.Payload)})
+func read(d disk.Disk, name string) (sections []Section, err error) {
+	_, err = Read(d, name, testBounds, func(s Section) error {
+		sections = append(sections, Section{s.Kind, slices.Clone(s.Payload)})
 		return nil
 	})
-	return all, err
+	return sections, err
 }
 
-func same(a, b []Section) bool {
+func equalSections(a, b []Section) bool {
 	return slices.EqualFunc(a, b, func(a, b Section) bool {
 		return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload)
 	})
 }
 
-// newest is the number of the newest snapshot that can be read whole, as a reader would choose it;
+// newestReadable is the number of the newest snapshot that can be read whole, as a reader would choose it;
 // 0: there is none.
-func newest(t *testing.T, d disk.Disk) int {
+func newestReadable(t *testing.T, d disk.Disk) int {
 	t.Helper()
 	files, err := Files(d)
 	if err != nil {
@@ -66,7 +66,7 @@
 	for _, f := range files {
 		if got, err := read(d, f.Name); err == nil {
 			for serial := range 10 {
-				if same(got, content(serial)) {
+				if equalSections(got, testSections(serial)) {
 					return serial
 				}
 			}
@@ -78,7 +78,7 @@
 
 func open(t *testing.T, d disk.Disk) *Folder {
 	t.Helper()
-	f, err := Open(d, small)
+	f, err := Open(d, testBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,24 +90,24 @@
 	path := t.TempDir()
 	for _, d := range []disk.Disk{disktest.New(), disk.Folder(path)} {
 		f := open(t, d)
-		if _, err := Open(d, small); !errors.Is(err, disk.ErrLocked) {
+		if _, err := Open(d, testBounds); !errors.Is(err, disk.ErrLocked) {
 			t.Errorf("%T: a second process has the folder too: %v", d, err)
 		}
 		for serial := 1; serial <= 4; serial++ {
-			if err := write(f, content(serial)); err != nil {
+			if err := write(f, testSections(serial)); err != nil {
 				t.Fatal(err)
 			}
-			if files, _ := Files(d); newest(t, d) != serial || len(files) != min(serial, retainedFiles) {
+			if files, _ := Files(d); newestReadable(t, d) != serial || len(files) != min(serial, retainedFiles) {
 				t.Errorf("%T: %v after %d", d, files, serial)
 			}
 		}
 		f.Close()
 		f = open(t, d)
-		if err := write(f, content(5)); err != nil || newest(t, d) != 5 {
-			t.Errorf("%T: another process goes on with %d, %v", d, newest(t, d), err)
+		if err := write(f, testSections(5)); err != nil || newestReadable(t, d) != 5 {
+			t.Errorf("%T: another process goes on with %d, %v", d, newestReadable(t, d), err)
 		}
-		if err := f.Clear(); err != nil || newest(t, d) != 0 {
-			t.Errorf("%T: cleared, but %d is there, %v", d, newest(t, d), err)
+		if err := f.Clear(); err != nil || newestReadable(t, d) != 0 {
+			t.Errorf("%T: cleared, but %d is there, %v", d, newestReadable(t, d), err)
 		}
 		f.Close()
 	}
@@ -117,37 +117,37 @@
 // reordered. The directory then has the snapshot before or the new one, whole; once Write has
 // reflipped, the new one. The next process can write again.
 func TestCrashAtEveryOperation(t *testing.T) {
-	points := 0
+	crashPoints := 0
 	for _, mode := range disktest.CrashModes() {
 		for seed := range int64(8) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f := open(t, d)
-			done := 0
+			written := 0
 			for serial := 1; serial <= 4; serial++ {
 				d.OnOperation(func(op int) {
-					points++
+					crashPoints++
 					after := d.AfterCrash(mode, rng)
-					if got := newest(t, after); got < done || got > serial {
+					if got := newestReadable(t, after); got < written || got > serial {
 						t.Fatalf("crash mode %d, operation %d: %d is found, %d was written, %d was being written",
-							mode, op, got, done, serial)
+							mode, op, got, written, serial)
 					}
-					if g := open(t, after); write(g, content(9)) != nil || newest(t, after) != 9 {
+					if reopened := open(t, after); write(reopened, testSections(9)) != nil || newestReadable(t, after) != 9 {
 						t.Fatalf("crash mode %d, operation %d: the next process can't go on", mode, op)
 					}
 				})
-				if err := write(f, content(serial)); err != nil {
+				if err := write(f, testSections(serial)); err != nil {
 					t.Fatal(err)
 				}
 				d.OnOperation(nil)
-				done = serial
-				if got := newest(t, d.AfterCrash(mode, rng)); got != serial {
+				written = serial
+				if got := newestReadable(t, d.AfterCrash(mode, rng)); got != serial {
 					t.Fatalf("crash mode %d: %d was written, %d is found", mode, serial, got)
 				}
 			}
 		}
 	}
-	if points < 1500 {
-		t.Errorf("only %d points", points)
+	if crashPoints < 1500 {
+		t.Errorf("only %d points", crashPoints)
 	}
 }
 
@@ -156,12 +156,12 @@
 func TestDamagedFilesAreReported(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
-	if err := write(f, content(1)); err != nil {
+	if err := write(f, testSections(1)); err != nil {
 		t.Fatal(err)
 	}
 	const name = "snapshot-0000000000000001"
 	whole := d.Get(name)
-	try := func(what string, file []byte) {
+	checkDamaged := func(what string, file []byte) {
 		t.Helper()
 		d.Put(name, file)
 		got, err := read(d, name)
@@ -169,49 +169,49 @@
 			t.Errorf("%s: taken for whole", what)
 		}
 		for _, s := range got {
-			wasWritten := func(w Section) bool { return same([]Section{w}, []Section{s}) }
-			if !slices.ContainsFunc(content(1), wasWritten) {
+			wasWritten := func(w Section) bool { return equalSections([]Section{w}, []Section{s}) }
+			if !slices.ContainsFunc(testSections(1), wasWritten) {
 				t.Errorf("%s: hands on what was not written", what)
 			}
 		}
 	}
 	for n := range whole {
-		try(fmt.Sprint("cut at ", n), whole[:n])
+		checkDamaged(fmt.Sprint("cut at ", n), whole[:n])
 		for bit := range 8 {
 			flipped := slices.Clone(whole)
 			flipped[n] ^= 1 << bit
-			try(fmt.Sprint("bit ", bit, " of ", n), flipped)
+			checkDamaged(fmt.Sprint("bit ", bit, " of ", n), flipped)
 		}
 	}
-	try("something behind the end", append(slices.Clone(whole), 0))
-	try("twice", append(slices.Clone(whole), whole...))
+	checkDamaged("something behind the end", append(slices.Clone(whole), 0))
+	checkDamaged("twice", append(slices.Clone(whole), whole...))
 	flipped := slices.Clone(whole)
 	flipped[headerBytes+sectionHeaderBytes+3] ^= 1
 	d.Put(name, flipped)
-	if got, _ := read(d, name); !same(got, content(1)[1:]) {
+	if got, _ := read(d, name); !equalSections(got, testSections(1)[1:]) {
 		t.Errorf("one section damaged: %d are left", len(got))
 	}
-	other := content(1)
-	other[0], other[1] = other[1], other[0]
+	swapped := testSections(1)
+	swapped[0], swapped[1] = swapped[1], swapped[0]
 	d.Put(name, whole)
-	if err := write(f, other); err != nil {
+	if err := write(f, swapped); err != nil {
 		t.Fatal(err)
 	}
 	second := d.Get("snapshot-0000000000000002")
 	mixed := slices.Concat(second[:headerBytes], whole[headerBytes:])
-	try("the head of another file", mixed)
+	checkDamaged("the head of another file", mixed)
 }
 
 // A directory has files of other programs and versions, of absurd sizes or with absurd lengths
 // inside. Each gets its own error, no more is allocated than the bounds say, and snapshots can be
 // written beside it.
 func TestFilesThatAreNoUsableSnapshots(t *testing.T) {
-	head := func(version uint16) []byte {
+	header := func(version uint16) []byte {
 		b := binary.BigEndian.AppendUint16([]byte(magic), version)
 		b = binary.BigEndian.AppendUint64(b, 1)
 		return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 	}
-	claims := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint16(head(Version), 1), 1<<31)
+	oversized := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint16(header(Version), 1), 1<<31)
 	for _, c := range []struct {
 		name string
 		file []byte
@@ -219,17 +219,17 @@
 	}{
 		{"empty", nil, ErrNotSnapshot},
 		{"another program's", []byte("SQLite format 3\x00 and more than a head of it"), ErrNotSnapshot},
-		{"a newer version's", head(Version + 1), ErrVersion},
-		{"a section of 2 GB", append(claims, make([]byte, 100)...), ErrDamaged},
-		{"past the bound", make([]byte, small.File+1), ErrTooLarge},
-		{"zeros", make([]byte, small.File), ErrNotSnapshot},
+		{"a newer version's", header(Version + 1), ErrVersion},
+		{"a section of 2 GB", append(oversized, make([]byte, 100)...), ErrDamaged},
+		{"past the bound", make([]byte, testBounds.File+1), ErrTooLarge},
+		{"zeros", make([]byte, testBounds.File), ErrNotSnapshot},
 	} {
 		d := disktest.New()
 		d.Put("snapshot-0000000000000001", c.file)
 		if _, err := read(d, "snapshot-0000000000000001"); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if f := open(t, d); write(f, content(2)) != nil || newest(t, d) != 2 {
+		if f := open(t, d); write(f, testSections(2)) != nil || newestReadable(t, d) != 2 {
 			t.Errorf("%s: nothing can be kept beside it", c.name)
 		}
 	}
@@ -261,33 +261,33 @@
 func TestFullAndFailingDisks(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
-	if err := write(f, content(1)); err != nil {
+	if err := write(f, testSections(1)); err != nil {
 		t.Fatal(err)
 	}
 	size := len(d.Get("snapshot-0000000000000001"))
-	for left := range size {
-		d.Fill(left)
-		if err := write(f, content(2)); err == nil {
-			t.Fatalf("%d bytes of room: written", left)
+	for freeBytes := range size {
+		d.Fill(freeBytes)
+		if err := write(f, testSections(2)); err == nil {
+			t.Fatalf("%d bytes of room: written", freeBytes)
 		}
-		if newest(t, d) != 1 {
-			t.Fatalf("%d bytes of room: the old one is gone", left)
+		if newestReadable(t, d) != 1 {
+			t.Fatalf("%d bytes of room: the old one is gone", freeBytes)
 		}
 	}
 	d.Fill(-1)
 	for op := 1; ; op++ {
 		reached := d.FailFrom(op, io.ErrClosedPipe)
-		err := write(f, content(2))
+		err := write(f, testSections(2))
 		failed := reached()
-		if got := newest(t, d); got != 1 && got != 2 || err == nil && got != 2 {
+		if got := newestReadable(t, d); got != 1 && got != 2 || err == nil && got != 2 {
 			t.Fatalf("fails from operation %d: %v, %d is there", op, err, got)
 		}
 		if !failed {
 			break
 		}
 	}
-	if err := write(f, content(3)); err != nil || newest(t, d) != 3 {
-		t.Errorf("well again: %v, %d is there", err, newest(t, d))
+	if err := write(f, testSections(3)); err != nil || newestReadable(t, d) != 3 {
+		t.Errorf("well again: %v, %d is there", err, newestReadable(t, d))
 	}
 }
 
@@ -295,9 +295,9 @@
 func TestWriteKeepsToTheBounds(t *testing.T) {
 	f := open(t, disktest.New())
 	for name, sections := range map[string][]Section{
-		"a section too long": {{1, make([]byte, small.Section+1)}},
-		"too many sections":  slices.Repeat([]Section{{1, nil}}, small.Sections+1),
-		"a file too long":    slices.Repeat([]Section{{1, make([]byte, small.Section)}}, small.Sections),
+		"a section too long": {{1, make([]byte, testBounds.Section+1)}},
+		"too many sections":  slices.Repeat([]Section{{1, nil}}, testBounds.Sections+1),
+		"a file too long":    slices.Repeat([]Section{{1, make([]byte, testBounds.Section)}}, testBounds.Sections),
 		"the kind of an end": {{0, nil}},
 	} {
 		if err := write(f, sections); err == nil {
