--- a/internal/core/restore/classes.go
+++ b/internal/core/restore/classes.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/router"
 
-// selectClasses returns the records of query classes.
+// selectClasses returns the valid records of query classes, with decayed weights.
 func (s *selector) selectClasses(
 	records []router.ClassStatistics,
 ) (selected []router.ClassStatistics) {
@@ -25,7 +25,8 @@
 	return selected
 }
 
-// selectTraffic returns the first valid record of the controller's share of the traffic.
+// selectTraffic returns the first valid record of the controller's share of the traffic; there is
+// one at most.
 func (s *selector) selectTraffic(
 	records []router.TrafficStatistics,
 ) (selected []router.TrafficStatistics) {
--- a/internal/core/restore/doc.go
+++ b/internal/core/restore/doc.go
@@ -1,12 +1,12 @@
-// Package restore decides which statistics of an earlier run of a controller still count, and with
-// what weight. It does no I/O and reads no clock.
+// Package restore decides which statistics of an earlier run of a controller are still valid, and
+// with what weight. It does no I/O and reads no clock.
 //
-// It is asked once, when the first endpoint list has come. Every record is weighed by its age with
-// the half-life of its kind; records that are too old, come from the future, belong to another
-// controller, other settings or another process of an engine, or hold impossible values, are
-// dropped and counted. Weights and numbers are bounded, so that answers of this run soon outweigh
-// what was restored.
+// Select is called once, when the first endpoint list has arrived. The weight of each record decays
+// exponentially with its age, by the half-life of its kind. Records are dropped and counted if they
+// are too old, have a timestamp in the future, belong to another controller, other settings or
+// another process of an engine, or have impossible values. Weights and the number of records are
+// bounded, so that the answers observed in this run soon outweigh what was restored.
 //
-// What is restored influences decisions only: the decision module uses none of it where the safety
-// of a query depends on it.
+// Restored statistics only influence decisions: the decision module uses none of them where the
+// safety of a query depends on it.
 package restore
--- a/internal/core/restore/engines.go
+++ b/internal/core/restore/engines.go
@@ -6,7 +6,7 @@
 	"mintkeel/router"
 )
 
-// recordedOutcomes is how many outcomes of attempts an engine's record has, a bit for each.
+// recordedOutcomes is the number of attempts whose outcomes an engine's record has, one bit each.
 const recordedOutcomes = 8
 
 // selectEngines returns the records of engines that are listed as ready and are still the same
@@ -37,8 +37,8 @@
 	return selected
 }
 
-// ageEngine returns a record with each of its values aged by its own half-life. ok is false if all
-// have expired.
+// ageEngine returns a record with each of its values decayed by its own half-life. ok is false if
+// all have expired.
 func (s *selector) ageEngine(e router.EngineStatistics) (aged router.EngineStatistics, ok bool) {
 	halfLives := s.halfLives
 	longest := max(halfLives.Slowdown, halfLives.Outcomes, halfLives.ThreadsPerCore, halfLives.Pools)
@@ -57,8 +57,8 @@
 	return e, true
 }
 
-// ageOutcomes keeps a share of the outcomes, the latest, and takes the others as good, as with an
-// engine without statistics.
+// ageOutcomes keeps a share of the outcomes, the latest, and sets the others to success, which is
+// the state of an engine without statistics.
 func ageOutcomes(outcomes uint8, share float64) uint8 {
 	count := int(math.Round(recordedOutcomes * share))
 	return outcomes | uint8(0xff<<count)
--- a/internal/core/restore/restore.go
+++ b/internal/core/restore/restore.go
@@ -8,56 +8,56 @@
 	"mintkeel/router"
 )
 
-// Bounds on what is restored, whatever a file holds.
+// Bounds on what is restored, whatever the snapshot contains.
 const (
-	minRemainingWeight = 1.0 / 16 // a record with less has expired
+	minRemainingWeight = 1.0 / 16 // a record with a smaller share of its weight has expired
 
 	maxEngines = 10_000
 	maxClasses = 20_000
 	maxTables  = 20_000
 
-	// maxTableEnginePairs bounds the pairs of table group and engine: the decision module looks at
-	// each pair in the one step that takes them in.
+	// maxTableEnginePairs bounds the pairs of table group and engine: the decision module visits
+	// each pair in the single step that restores the statistics.
 	maxTableEnginePairs = 300_000
 
 	maxSlowdownWeight = 4.0   // answers
 	maxScaleWeight    = 8.0   // answers
 	maxShareWeight    = 400.0 // queries in load reports
 
-	// defaultThreadsPerCore is what an engine's concurrency limit ages towards: that of an engine
-	// without statistics.
+	// defaultThreadsPerCore is the concurrency limit of an engine without statistics, to which a
+	// restored limit decays.
 	defaultThreadsPerCore = 2.0
 
 	maxDemand = 1e6 // of a table group, ms of work for each ms
 )
 
-// Identity is the controller and the settings that a snapshot belongs to. Under other settings it
-// does not count, because classes, machine kinds and tenants are known by their position in the
-// settings.
+// Identity is the controller and the settings that a snapshot belongs to. A snapshot is not used
+// under other settings, because its records identify classes, machine kinds and tenants by their
+// position in the settings.
 type Identity struct {
 	Name     string // of the controller
 	Settings uint64 // hash of the settings
 }
 
-// Snapshot is the statistics of an earlier run as they were stored.
+// Snapshot is the stored statistics of an earlier run.
 type Snapshot struct {
 	Owner      Identity
 	Statistics router.Statistics
 }
 
-// Counts is what became of the records of a snapshot.
+// Counts has the numbers of a snapshot's records that were restored or dropped, by reason.
 type Counts struct {
 	Restored       int
 	Expired        int // too old
-	FromFuture     int // their time has not come, so their age is unknown
-	UnknownEngines int // the engine is not listed as ready, or is another process by now
-	Invalid        int // impossible values, repeated records, or more of them than the bounds allow
-	Foreign        int // all records, as the owner is another one
+	FromFuture     int // timestamp in the future, so the age is unknown
+	UnknownEngines int // the engine is not listed as ready, or has been restarted since
+	Invalid        int // impossible values, duplicates, or more records than the bounds allow
+	Foreign        int // all records of a snapshot of another controller or other settings
 }
 
-// Select returns the statistics of a snapshot that still count for the controller owner, with these
-// endpoints listed, at a time in ms since 1970. Records are ordered by id, and have the weight that
-// is left. The snapshot is not changed.
+// Select returns the statistics of a snapshot that are still valid for the controller owner, given
+// the listed endpoints, at the time now in ms since 1970. Records are ordered by id and have their
+// remaining weight. The snapshot is not changed.
 func Select(
 	stored *Snapshot, owner Identity, endpoints []router.Endpoint, now float64, halfLives HalfLives,
 ) (router.Statistics, Counts) {
@@ -75,15 +75,15 @@
 	return selected, s.counts
 }
 
-// selector ages records and counts those that it drops.
+// selector decays the weights of records and counts those that it drops.
 type selector struct {
 	now       float64 // ms since 1970
 	halfLives HalfLives
 	counts    Counts
 }
 
-// remainingWeight is the weight that a record of a time (ms) still has. If that is too little, ok
-// is false and the record is counted as dropped.
+// remainingWeight returns the share of its weight that a record with the timestamp at (ms) still
+// has. If it is below minRemainingWeight, ok is false and the record is counted as dropped.
 func (s *selector) remainingWeight(at, halfLife float64) (weight float64, ok bool) {
 	age := s.now - at
 	weight = RemainingWeight(age, halfLife)
@@ -98,8 +98,8 @@
 	return 0, false
 }
 
-// uniqueByID returns a copy of the records ordered by id: the first of each id, up to a number of
-// them. All others are counted as invalid.
+// uniqueByID returns a copy of the records ordered by id: the first of each id, and at most limit
+// of them. All others are counted as invalid.
 func uniqueByID[T any, K cmp.Ordered](s *selector, records []T, id func(*T) K, limit int) []T {
 	unique := slices.Clone(records)
 	slices.SortStableFunc(unique, func(a, b T) int { return cmp.Compare(id(&a), id(&b)) })
--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// infiniteHalfLives returns the half-lives of a plain baseline, by which all records count as if they were new.
+// infiniteHalfLives returns half-lives with which no record decays.
 func infiniteHalfLives() HalfLives {
 	inf := math.Inf(1)
 	return HalfLives{inf, inf, inf, inf, inf, inf, inf}
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict each time
+	flag.Set("rapid.seed", "20261201") // a fixed seed makes the result reproducible
 	flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
@@ -37,7 +37,7 @@
 	}
 )
 
-// sampleSnapshot has a record of each kind, of an age in ms.
+// sampleSnapshot returns a snapshot with one record of each kind, all of the given age in ms.
 func sampleSnapshot(age float64) *Snapshot {
 	at := now - age
 	return &Snapshot{Owner: owner, Statistics: router.Statistics{
@@ -66,8 +66,8 @@
 	}}
 }
 
-// Records of several ages, also of the future, are restored or counted as expired by the half-life
-// of their kind.
+// Records of several ages, some with timestamps in the future, are restored or counted as expired
+// by the half-life of their kind.
 func TestRecordsExpireByAge(t *testing.T) {
 	halfLives := DefaultHalfLives()
 	for _, c := range []struct {
@@ -85,18 +85,19 @@
 		{"three hours", 3 * 3600e3, halfLives, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
 		{"a day", 24 * 3600e3, halfLives, 0, 1, 1, 0, Counts{Restored: 2, Expired: 2}},
 		{"two weeks", 14 * 24 * 3600e3, halfLives, 0, 0, 0, 0, Counts{Expired: 4}},
-		{"a day, by the plain baseline", 24 * 3600e3, infiniteHalfLives(), 1, 1, 1, 1, Counts{Restored: 4}},
-		{"no life at all", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
+		{"a day, with infinite half-lives", 24 * 3600e3, infiniteHalfLives(), 1, 1, 1, 1, Counts{Restored: 4}},
+		{"half-lives of zero", 0, HalfLives{}, 0, 0, 0, 0, Counts{Expired: 4}},
 	} {
 		selected, counts := Select(sampleSnapshot(c.age), owner, testEndpoints, now, c.halfLives)
 		if len(selected.Engines) != c.engines || len(selected.Tables) != c.tables || len(selected.Classes) != c.classes ||
 			len(selected.Traffic) != c.traffic || counts != c.counts {
-			t.Errorf("%s: %+v, %+v", c.name, selected, counts)
+			t.Errorf("%s: selected %+v, counts %+v; want %d engines, %d tables, %d classes, %d traffic, counts %+v",
+				c.name, selected, counts, c.engines, c.tables, c.classes, c.traffic, c.counts)
 		}
 	}
 }
 
-// Each value of a record ages towards that of an engine without statistics, by its own half-life.
+// Each value of a record decays to that of an engine without statistics, by its own half-life.
 func TestValuesAgeByTheirOwnHalfLife(t *testing.T) {
 	halfLives := DefaultHalfLives()
 	at := func(age float64) router.Statistics {
@@ -104,37 +105,37 @@
 		return selected
 	}
 	if e := at(0).Engines[0]; e.Slowdown.Weight != 3 || e.ThreadsPerCore != 1.6 || e.Outcomes != 0b11110000 || e.PoolLeader != "a" {
-		t.Errorf("fresh: %+v", e)
+		t.Errorf("age 0: engine record %+v, want it unchanged", e)
 	}
 	if e := at(halfLives.Slowdown).Engines[0]; e.Slowdown.Weight != 1.5 || e.Slowdown.Mean != 5 {
-		t.Errorf("after the half-life of a slowdown: %+v", e)
+		t.Errorf("after the half-life of slowdowns: %+v, want slowdown 5 with weight 1.5", e)
 	}
 	if e := at(halfLives.ThreadsPerCore).Engines[0]; math.Abs(e.ThreadsPerCore-1.8) > 1e-9 {
-		t.Errorf("after the half-life of threads per core: %+v", e)
+		t.Errorf("after the half-life of threads per core: %+v, want 1.8 threads per core", e)
 	}
 	if e := at(halfLives.Outcomes).Engines[0]; e.Outcomes != 0b11110000 {
-		t.Errorf("after the half-life of outcomes, of which the bad are the latest: %08b", e.Outcomes)
+		t.Errorf("after the half-life of outcomes: %08b, want the four latest, which are failures", e.Outcomes)
 	}
 	if e := at(2 * halfLives.Outcomes).Engines[0]; e.Outcomes != 0b11111100 {
-		t.Errorf("after twice the half-life of outcomes: %08b", e.Outcomes)
+		t.Errorf("after twice the half-life of outcomes: %08b, want 11111100", e.Outcomes)
 	}
 	if e := at(5 * halfLives.Outcomes).Engines[0]; e.Outcomes != 0xff {
-		t.Errorf("after five times the half-life of outcomes: %08b", e.Outcomes)
+		t.Errorf("after five times the half-life of outcomes: %08b, want 11111111", e.Outcomes)
 	}
 	if table := at(halfLives.Tables).Tables[0]; math.Abs(table.Demand-1) > 1e-9 || math.Abs(table.MemoryTime-20) > 1e-9 {
-		t.Errorf("after the half-life of table groups: %+v", table)
+		t.Errorf("after the half-life of table groups: %+v, want demand 1 and memory time 20", table)
 	}
 	if table := at(4.5 * halfLives.Pools).Tables[0]; table.PoolLeaders != nil || table.Demand < 1.9 {
-		t.Errorf("after the half-life of pools: %+v", table)
+		t.Errorf("after 4.5 half-lives of pools: %+v, want no pool leaders and the demand kept", table)
 	}
 }
 
-// Snapshots of another controller or settings, records of engines that aren't listed, and values
-// that can't be are dropped and counted.
+// Snapshots of another controller or other settings, records of engines that are not listed, and
+// impossible values are dropped and counted.
 func TestForeignAndInvalidRecordsAreDropped(t *testing.T) {
 	nan := math.NaN()
 	inf := math.Inf(1)
-	// changeEngine changes the record of an engine.
+	// changeEngine returns a function that changes the engine record of a snapshot.
 	changeEngine := func(change func(*router.EngineStatistics)) func(*Snapshot) {
 		return func(stored *Snapshot) { change(&stored.Statistics.Engines[0]) }
 	}
@@ -144,41 +145,41 @@
 		restored int
 		want     Counts
 	}{
-		{"another controller's", func(stored *Snapshot) { stored.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
+		{"another controller", func(stored *Snapshot) { stored.Owner.Name = "n4" }, 0, Counts{Foreign: 4}},
 		{"other settings", func(stored *Snapshot) { stored.Owner.Settings++ }, 0, Counts{Foreign: 4}},
 		{"an engine not listed", changeEngine(func(e *router.EngineStatistics) { e.Engine = "c" }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"an engine that drains", changeEngine(func(e *router.EngineStatistics) { e.Engine = "d" }),
+		{"an engine that is draining", changeEngine(func(e *router.EngineStatistics) { e.Engine = "d" }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"another process", changeEngine(func(e *router.EngineStatistics) { e.StartedAt = 5 }),
+		{"another process of the engine", changeEngine(func(e *router.EngineStatistics) { e.StartedAt = 5 }),
 			3, Counts{Restored: 3, UnknownEngines: 1}},
-		{"a slowdown that is no number", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Mean = nan }),
+		{"a slowdown of NaN", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Mean = nan }),
 			3, Counts{Restored: 3, Invalid: 1}},
 		{"infinite threads per core", changeEngine(func(e *router.EngineStatistics) { e.ThreadsPerCore = inf }),
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a weight below zero", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Weight = -1 }),
+		{"a negative weight", changeEngine(func(e *router.EngineStatistics) { e.Slowdown.Weight = -1 }),
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a demand that can't be", func(stored *Snapshot) { stored.Statistics.Tables[0].Demand = 1e9 },
+		{"a demand above its bound", func(stored *Snapshot) { stored.Statistics.Tables[0].Demand = 1e9 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"no class", func(stored *Snapshot) { stored.Statistics.Classes[0].Class = -1 },
+		{"a negative class", func(stored *Snapshot) { stored.Statistics.Classes[0].Class = -1 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"more than all traffic", func(stored *Snapshot) { stored.Statistics.Traffic[0].Share.Mean = 1.1 },
+		{"a traffic share above 1", func(stored *Snapshot) { stored.Statistics.Traffic[0].Share.Mean = 1.1 },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"a time that is no number", func(stored *Snapshot) { stored.Statistics.Traffic[0].At = nan },
+		{"a timestamp of NaN", func(stored *Snapshot) { stored.Statistics.Traffic[0].At = nan },
 			3, Counts{Restored: 3, Invalid: 1}},
-		{"twice the same engine", func(stored *Snapshot) {
+		{"a duplicate engine", func(stored *Snapshot) {
 			stored.Statistics.Engines = append(stored.Statistics.Engines, stored.Statistics.Engines[0])
 		}, 4, Counts{Restored: 4, Invalid: 1}},
 	} {
 		stored := sampleSnapshot(0)
 		c.change(stored)
 		if selected, counts := Select(stored, owner, testEndpoints, now, DefaultHalfLives()); selected.Len() != c.restored || counts != c.want {
-			t.Errorf("%s: %d left, %+v", c.name, selected.Len(), counts)
+			t.Errorf("%s: %d records restored, counts %+v; want %d, %+v", c.name, selected.Len(), counts, c.restored, c.want)
 		}
 	}
 }
 
-// There are more table groups than can be taken in at once. Those with the most demand are
+// A snapshot has more table groups than may be restored at once. Those with the highest demand are
 // restored, ordered by id.
 func TestTableGroupsWithMostDemandAreRestored(t *testing.T) {
 	stored := &Snapshot{Owner: owner}
@@ -192,20 +193,20 @@
 	}
 	selected, counts := Select(stored, owner, endpoints, now, DefaultHalfLives())
 	if len(selected.Tables) != 100 || counts.Invalid != 900 {
-		t.Fatalf("%d left, %+v", len(selected.Tables), counts)
+		t.Fatalf("%d table groups restored, counts %+v; want 100 restored and 900 invalid", len(selected.Tables), counts)
 	}
 	for _, table := range selected.Tables {
 		if table.Demand < 900 {
-			t.Errorf("%+v is left", table)
+			t.Errorf("restored %+v, want only demands of 900 and more", table)
 		}
 	}
 	if !slices.IsSortedFunc(selected.Tables, func(a, b router.TableStatistics) int { return int(a.Tables - b.Tables) }) {
-		t.Error("not by id")
+		t.Error("the restored table groups are not ordered by id")
 	}
 }
 
-// A snapshot holds anything. What is restored has no more weight than it had, less the older it is;
-// it names each engine once and only as listed; and every value is a number.
+// A snapshot has arbitrary values. Restored records have no more weight than stored, and less the
+// older they are; each engine is listed and occurs once; and every value is finite.
 func TestAnySnapshotIsRestoredWithinBounds(t *testing.T) {
 	drawFloat := func(t *rapid.T, name string) float64 {
 		return rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 5), rapid.SampledFrom([]float64{math.NaN(),
@@ -221,57 +222,57 @@
 		stored := &Snapshot{Owner: owner}
 		for range rapid.IntRange(0, 6).Draw(t, "engines") {
 			stored.Statistics.Engines = append(stored.Statistics.Engines, router.EngineStatistics{At: drawFloat(t, "at"), Engine: id.Draw(t, "id"),
-				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "since"), Slowdown: drawMean(t),
-				ThreadsPerCore: drawFloat(t, "width"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "lead")})
+				StartedAt: rapid.SampledFrom([]float64{0, now - 1e6, 5}).Draw(t, "started at"), Slowdown: drawMean(t),
+				ThreadsPerCore: drawFloat(t, "threads per core"), Outcomes: rapid.Uint8().Draw(t, "outcomes"), PoolLeader: id.Draw(t, "pool leader")})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "tables") {
 			stored.Statistics.Tables = append(stored.Statistics.Tables, router.TableStatistics{At: drawFloat(t, "at"),
 				Tables: router.TableGroup(rapid.IntRange(-2, 2).Draw(t, "group")), Demand: drawFloat(t, "demand"),
-				MemoryTime: drawFloat(t, "held"), PoolLeaders: []router.EngineID{id.Draw(t, "home")}})
+				MemoryTime: drawFloat(t, "memory time"), PoolLeaders: []router.EngineID{id.Draw(t, "pool leader")}})
 		}
-		stored.Statistics.Classes = []router.ClassStatistics{{At: drawFloat(t, "at"), FirstTryTimeout: drawFloat(t, "left"), UnloadedTime: drawFloat(t, "best"),
+		stored.Statistics.Classes = []router.ClassStatistics{{At: drawFloat(t, "at"), FirstTryTimeout: drawFloat(t, "first try timeout"), UnloadedTime: drawFloat(t, "unloaded time"),
 			WorkScale: drawMean(t), MemoryScale: drawMean(t)}}
 		stored.Statistics.Traffic = []router.TrafficStatistics{{At: drawFloat(t, "at"), Share: drawMean(t)}}
 		before := snapshotText(stored)
 		earlier, _ := Select(stored, owner, testEndpoints, now, DefaultHalfLives())
 		later, counts := Select(stored, owner, testEndpoints, now+30000, DefaultHalfLives())
 		if before != snapshotText(stored) {
-			t.Fatal("the snapshot itself was changed")
+			t.Fatal("Select changed the snapshot")
 		}
 		if counts.Restored != later.Len() || later.Len() > earlier.Len()+6 {
-			t.Fatalf("%+v of %d", counts, later.Len())
+			t.Fatalf("counts %+v, but %d records were restored, and %d of them 30 s earlier", counts, later.Len(), earlier.Len())
 		}
 		seen := map[router.EngineID]bool{}
 		for _, e := range earlier.Engines {
 			if seen[e.Engine] || e.Engine != "a" && e.Engine != "b" || !allValid(e.Slowdown.Mean, e.Slowdown.Weight, e.ThreadsPerCore) ||
 				e.Slowdown.Weight > maxSlowdownWeight {
-				t.Fatalf("%+v", e)
+				t.Fatalf("restored engine %+v is a duplicate, not listed or out of bounds", e)
 			}
 			seen[e.Engine] = true
 			for _, laterEngine := range later.Engines {
 				if laterEngine.Engine == e.Engine && laterEngine.At == e.At && (laterEngine.Slowdown.Weight > e.Slowdown.Weight ||
 					math.Abs(laterEngine.ThreadsPerCore-defaultThreadsPerCore) > math.Abs(e.ThreadsPerCore-defaultThreadsPerCore)+1e-9 || laterEngine.Outcomes|e.Outcomes != laterEngine.Outcomes) {
-					t.Fatalf("later %+v weighs more than %+v", laterEngine, e)
+					t.Fatalf("%+v, restored 30 s later, has more weight than %+v", laterEngine, e)
 				}
 			}
 		}
 		for _, table := range earlier.Tables {
 			if !allValid(table.Demand, table.MemoryTime) || table.Demand > maxDemand {
-				t.Fatalf("%+v", table)
+				t.Fatalf("restored table group %+v is out of bounds", table)
 			}
 		}
 		for _, class := range earlier.Classes {
 			if !allValid(class.UnloadedTime, class.FirstTryTimeout, class.WorkScale.Mean, class.MemoryScale.Mean) || class.WorkScale.Weight > maxScaleWeight {
-				t.Fatalf("%+v", class)
+				t.Fatalf("restored class %+v is out of bounds", class)
 			}
 		}
 		for _, traffic := range earlier.Traffic {
 			if !(traffic.Share.Mean >= 0 && traffic.Share.Mean <= 1) || !(traffic.Share.Weight <= maxShareWeight) {
-				t.Fatalf("%+v", traffic)
+				t.Fatalf("restored traffic share %+v is out of bounds", traffic)
 			}
 		}
 	})
 }
 
-// snapshotText returns a snapshot as text, in which NaN equals itself.
+// snapshotText formats a snapshot for comparison, as NaN does not equal itself.
 func snapshotText(stored *Snapshot) string { return fmt.Sprint(*stored) }
--- a/internal/core/restore/tables.go
+++ b/internal/core/restore/tables.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// selectTables returns the records of table groups, those with the most demand if there are too
-// many for this number of engines.
+// selectTables returns the valid records of table groups, with decayed values. If there are too
+// many for this number of engines, it returns those with the highest demand.
 func (s *selector) selectTables(
 	records []router.TableStatistics, engines int,
 ) (selected []router.TableStatistics) {
@@ -32,7 +32,7 @@
 	return s.limitTables(selected, min(maxTables, maxTableEnginePairs/max(1, engines)))
 }
 
-// limitTables returns the table groups with the most demand, ordered by id.
+// limitTables returns the table groups with the highest demand, at most limit, ordered by id.
 func (s *selector) limitTables(tables []router.TableStatistics, limit int) []router.TableStatistics {
 	if len(tables) <= limit {
 		return tables
