--- a/internal/logs/block.go
+++ b/internal/logs/block.go
@@ -31,11 +31,12 @@
 	Format string
 	// Level is the lowest level that is written. Default: info.
 	Level slog.Level
-	// Burst is how many lines of one kind are written within Every; further ones are counted and
-	// dropped. From 1 to 1,000,000, default 20. Zero would drop all lines; the file can't set it.
+	// Burst is the number of lines of one kind that are written within Every; further lines are
+	// counted and dropped. From 1 to 1,000,000, default 20. Zero, which would drop all lines, can't
+	// be set in the file.
 	Burst int
-	// Every is the window of the rate limit. From 10 ms to 1 h, default 1 s. Zero would be no limit;
-	// the file can't set it.
+	// Every is the window of the rate limit. From 10 ms to 1 h, default 1 s. Zero, which would
+	// disable the limit, can't be set in the file.
 	Every time.Duration
 }
 
@@ -50,7 +51,7 @@
 	open := block.Open(b, diagnostics, "format", "level", "burst", "every")
 	read.Format = open.Choice("format", read.Format, formatText, formatJSON)
 	level := open.Choice("level", "info", "debug", "info", "warn", "error")
-	read.Level.UnmarshalText([]byte(level)) // can't fail: slog knows all of these words
+	read.Level.UnmarshalText([]byte(level)) // can't fail: slog accepts each of these words
 	read.Burst = open.Int("burst", read.Burst, 1, maxBurst)
 	read.Every = open.Duration("every", read.Every, minEvery, maxEvery)
 	return read
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -10,10 +10,10 @@
 // would put attributes into groups that were opened after them.
 type handler struct {
 	log    *Log
-	scopes []scope // the outermost first
+	scopes []scope // outermost first
 }
 
-// scope is attributes set by WithAttrs, or a group opened by WithGroup.
+// scope is the attributes of one WithAttrs, or the group of one WithGroup.
 type scope struct {
 	group string // empty: attributes only
 	attrs []slog.Attr
--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -10,10 +10,10 @@
 	"github.com/rs/zerolog"
 )
 
-// timeFormat has milliseconds, as many events of one fault are less than a second apart.
+// timeFormat has milliseconds, as many events of one failure are less than a second apart.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// zerolog has one time format for the process, without fractions of a second by default.
+// zerolog has one time format per process; its default has no fractions of a second.
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
 // Log is the destination of all log lines of a process.
@@ -23,7 +23,7 @@
 	config  atomic.Pointer[config]
 }
 
-// config is the block in force, with zerolog's handler for it.
+// config is the current block and the zerolog handler built from it.
 type config struct {
 	block   Block
 	handler slog.Handler
@@ -39,7 +39,7 @@
 	return l
 }
 
-// Configure changes format, level and rate limit, also for loggers that exist already.
+// Configure changes format, level and rate limit, also of existing loggers.
 func (l *Log) Configure(b Block) {
 	var to io.Writer = l.out
 	if b.Format != formatJSON {
@@ -49,7 +49,7 @@
 	l.config.Store(&config{block: b, handler: handler})
 }
 
-// zerologLevel is the highest level of zerolog that still writes lines of this level.
+// zerologLevel returns the highest zerolog level that still writes lines of an slog level.
 func zerologLevel(level slog.Level) zerolog.Level {
 	switch {
 	case level < slog.LevelInfo:
@@ -65,13 +65,13 @@
 // Logger returns a logger that writes to the log.
 func (l *Log) Logger() *slog.Logger { return slog.New(&handler{log: l}) }
 
-// lineWriter writes one line at a time, which zerolog's writers don't ensure.
+// lineWriter serializes writes of whole lines, which zerolog's writers don't.
 type lineWriter struct {
 	mu sync.Mutex
 	to io.Writer
 }
 
-// Write never fails: after an error zerolog would write another line, to the same destination.
+// Write never returns an error: zerolog would report it by writing a line to the same destination.
 func (w *lineWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newTestLog returns a log with a clock that stands still until it is moved.
+// newTestLog returns a log, its output and its clock, which only the test advances.
 func newTestLog(b Block) (*Log, *bytes.Buffer, *time.Time) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
@@ -20,8 +20,8 @@
 	return l, &out, &now
 }
 
-// A line says the same as text and as JSON. Groups are joined by dots, and each attribute is in the
-// group in which it was set.
+// A line has the same content as text and as JSON. Groups are joined by dots, and each attribute is
+// in the group in which it was set.
 func TestTextAndJSONSayTheSame(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		b := DefaultBlock()
@@ -32,7 +32,7 @@
 		if format == "text" {
 			for _, want := range []string{" WRN it happened ", "a=1", "g.b=2", "g.c.d=3", `g.why="two words"`} {
 				if !strings.Contains(out.String(), want) {
-					t.Errorf("no %q: %s", want, out)
+					t.Errorf("text line has no %q: %s", want, out)
 				}
 			}
 			continue
@@ -43,14 +43,14 @@
 		}
 		if line["level"] != "warn" || line["message"] != "it happened" || line["a"] != 1.0 || line["g.b"] != 2.0 ||
 			line["g.c.d"] != 3.0 || line["g.why"] != "two words" || line["time"] == nil {
-			t.Error(line)
+			t.Errorf("JSON line is %v", line)
 		}
 	}
 }
 
-// One message is repeated more often than its burst. It is dropped and counted while others are
-// written, and the next line of its kind has the count. A clock that is set back does not silence a
-// kind, and ever new messages do not fill the memory.
+// One message is repeated more often than the burst allows. The surplus is dropped and counted
+// while other kinds are written, and the next line of the kind has the count. A clock that is set
+// back does not suppress a kind, and the number of tracked kinds is bounded.
 func TestRateLimitByKind(t *testing.T) {
 	b := DefaultBlock()
 	b.Burst = 3
@@ -60,32 +60,32 @@
 		log.Info("often")
 	}
 	log.Info("seldom")
-	log.Warn("often") // of another level: another kind
+	log.Warn("often") // another level makes another kind
 	if n := strings.Count(out.String(), "\n"); n != 5 {
-		t.Errorf("%d lines: %s", n, out)
+		t.Errorf("%d lines are written, want 5: %s", n, out)
 	}
 	out.Reset()
 	*now = now.Add(b.Every)
 	log.Info("often")
 	log.Info("often")
 	if n := strings.Count(out.String(), "dropped=7"); n != 1 {
-		t.Error(out.String())
+		t.Errorf("%d lines have dropped=7, want 1: %s", n, out)
 	}
-	*now = now.Add(-time.Hour) // a clock that is set back must not silence a kind until it has caught up
+	*now = now.Add(-time.Hour) // the clock is set back
 	out.Reset()
 	log.Info("often")
 	if out.Len() == 0 {
-		t.Error("silent since the clock was set back")
+		t.Error("no line is written after the clock was set back")
 	}
 	for i := range 10 * maxKinds {
 		log.Info(fmt.Sprint("kind ", i))
 	}
 	if len(l.limiter.windows) > maxKinds+1 {
-		t.Errorf("%d kinds are kept", len(l.limiter.windows))
+		t.Errorf("%d kinds have windows, want at most %d", len(l.limiter.windows), maxKinds+1)
 	}
 }
 
-// Level and format change while the process runs. Loggers that exist already follow.
+// Level and format change while the process runs. Existing loggers use the new ones.
 func TestChangesHoldForExistingLoggers(t *testing.T) {
 	l, out, _ := newTestLog(DefaultBlock())
 	log := l.Logger()
@@ -98,11 +98,11 @@
 	l.Configure(b)
 	log.Warn("quiet")
 	if text := out.String(); strings.Contains(text, "quiet") || !strings.Contains(text, `"message":"loud"`) {
-		t.Error(text)
+		t.Errorf("log is %q, want only the line that was logged at level debug", text)
 	}
 }
 
-// Many goroutines log while the format changes. Lines stay whole.
+// Many goroutines log while the log is reconfigured. Lines are not interleaved.
 func TestLinesOfManyGoroutinesStayWhole(t *testing.T) {
 	b := DefaultBlock()
 	b.Format, b.Burst = "json", 1e6
@@ -121,10 +121,10 @@
 	for line := range strings.Lines(out.String()) {
 		n++
 		if !json.Valid([]byte(line)) {
-			t.Fatalf("no line: %s", line)
+			t.Fatalf("line is not valid JSON: %s", line)
 		}
 	}
 	if n != 1600 {
-		t.Errorf("%d lines", n)
+		t.Errorf("%d lines, want 1600", n)
 	}
 }
--- a/internal/logs/ratelimit.go
+++ b/internal/logs/ratelimit.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// maxKinds bounds the memory of the rate limiter in case a message holds something that varies.
-// Further kinds share one window.
+// maxKinds bounds the memory of the rate limiter in case a message has variable content. Further
+// kinds share one window.
 const maxKinds = 256
 
-// otherKinds is the kind of lines past maxKinds.
+// otherKinds stands for all kinds past maxKinds.
 var otherKinds = kind{message: "other"}
 
-// kind is what a rate limit applies to. Messages are constants of the program, so there are few
-// kinds; what varies belongs in attributes.
+// kind is the key of a rate limit. Messages are constants of the program, so there are few kinds;
+// variable content belongs in attributes.
 type kind struct {
 	level   slog.Level
 	message string
 }
 
-// window counts lines of one kind.
+// window counts the lines of one kind.
 type window struct {
 	start   time.Time
 	written int // since start
-	dropped int // since the last line that was written
+	dropped int // since the last written line
 }
 
-// rateLimiter limits lines of each kind to a number within a fixed window.
+// rateLimiter limits the number of lines of each kind within a fixed window.
 type rateLimiter struct {
 	now func() time.Time
 
@@ -35,15 +35,15 @@
 	windows map[kind]*window
 }
 
-// allow reports whether a line may be written now, and how many lines of its kind were dropped
-// since the last one that was written.
+// allow reports whether a line may be written now and, if so, how many lines of its kind were
+// dropped since the last written one.
 func (r *rateLimiter) allow(k kind, b Block) (dropped int, ok bool) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.windowOf(k, now)
 	elapsed := now.Sub(w.start)
-	// Without this check the kind would be silent until a clock that was set back has caught up.
+	// Without this check a clock that was set back would suppress the kind until it has caught up.
 	clockSetBack := elapsed < 0
 	if elapsed >= b.Every || clockSetBack {
 		w.start = now
@@ -59,7 +59,7 @@
 	return dropped, true
 }
 
-// windowOf returns the window of a kind, or the shared one if there are too many kinds.
+// windowOf returns the window of a kind, or the shared one for new kinds past maxKinds.
 func (r *rateLimiter) windowOf(k kind, now time.Time) *window {
 	if w := r.windows[k]; w != nil {
 		return w
