--- a/internal/core/restore/tables.go
+++ b/internal/core/restore/tables.go
@@ -33,7 +33,9 @@
 }
 
 // limitTables returns the table groups with the highest demand, at most limit, ordered by id.
-func (s *selector) limitTables(tables []router.TableStatistics, limit int) []router.TableStatistics {
+func (s *selector) limitTables(
+	tables []router.TableStatistics, limit int,
+) []router.TableStatistics {
 	if len(tables) <= limit {
 		return tables
 	}
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -39,7 +39,8 @@
 	return config.handler.Handle(ctx, line)
 }
 
-// scopedAttrs returns the attributes of a record and of the handler, each in the group it was set in.
+// scopedAttrs returns the attributes of a record and of the handler, each in the group in which it
+// was set.
 func (h *handler) scopedAttrs(r slog.Record) []slog.Attr {
 	var attrs []slog.Attr
 	r.Attrs(func(a slog.Attr) bool {
--- a/internal/memory/bench_test.go
+++ b/internal/memory/bench_test.go
@@ -10,10 +10,10 @@
 	"mintkeel/router"
 )
 
-// engineCounts are numbers of engines; there are ten table groups for each.
+// engineCounts are the measured numbers of engines, each with ten table groups per engine.
 var engineCounts = []int{10, 100, 1000}
 
-// benchmarkStatistics returns statistics of so many engines, and their endpoints.
+// benchmarkStatistics returns statistics of a number of engines, and their endpoints.
 func benchmarkStatistics(engines int) (router.Statistics, []router.Endpoint) {
 	statistics := router.Statistics{}
 	var endpoints []router.Endpoint
@@ -30,19 +30,19 @@
 	return statistics, endpoints
 }
 
-// routerWithStatistics returns a router with restored statistics.
+// routerWithStatistics returns a router that has restored the statistics.
 func routerWithStatistics(statistics router.Statistics, endpoints []router.Endpoint) *router.Router {
 	r := router.New(1, router.Identity{}, []router.MachineKind{{Cores: 8, MemoryMB: 1000}}, nil, nil, router.Capabilities{}, router.SafetyLimits{})
 	r.Step(1e6, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: endpoints}, router.StatisticsRestored{Statistics: statistics}})
 	return r
 }
 
-// BenchmarkCopyStatistics copies all statistics in parts, as a snapshot does.
+// BenchmarkCopyStatistics copies all statistics in parts, as the snapshot writer does.
 func BenchmarkCopyStatistics(b *testing.B) {
 	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			statistics, endpoints := benchmarkStatistics(n)
-			statistics.Tables = statistics.Tables[:min(len(statistics.Tables), 3000)] // taking in more is not what is measured
+			statistics.Tables = statistics.Tables[:min(len(statistics.Tables), 3000)] // restoring more would only slow the setup
 			r := routerWithStatistics(statistics, endpoints)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkSelect decides what of a snapshot still counts.
+// BenchmarkSelect selects the records of a snapshot that are still valid.
 func BenchmarkSelect(b *testing.B) {
 	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkTakeIn measures the step in which the router restores all statistics at once.
+// BenchmarkTakeIn measures the step in which the router restores all statistics.
 func BenchmarkTakeIn(b *testing.B) {
 	for _, n := range engineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/memory/block.go
+++ b/internal/memory/block.go
@@ -15,12 +15,12 @@
 	maxInterval     = time.Hour
 )
 
-// Block is the block "memory" of the operator's file. Without it statistics are not stored.
+// Block is the block "memory" of the operator's file. Without the block, statistics are not stored.
 type Block struct {
 	// Folder is the absolute path of the directory for snapshots, which belongs to this controller
 	// alone. It is created if its parent exists. Required.
 	Folder string
-	// Interval is the time between two snapshots, longer where they are large
+	// Interval is the time between two snapshots; it is longer if they are large
 	// (limits.Limits.SnapshotBytesPerSecond). From 100 ms to 1 h, default 5 s; zero can't be set.
 	// The field is called "pace" in the file.
 	Interval time.Duration
--- a/internal/memory/decode.go
+++ b/internal/memory/decode.go
@@ -8,13 +8,13 @@
 	"mintkeel/router"
 )
 
-// recordForm is the form of a record of type R. A record is not ok if it exceeds the bounds.
+// recordForm is the stored form of a record of type R. ok is false if the record exceeds a bound.
 type recordForm[R any] interface {
 	record() (r R, ok bool)
 }
 
-// decodeSection adds the content of one section to a snapshot, or ignores it if its kind is
-// unknown.
+// decodeSection adds the content of one section to a snapshot. Sections of unknown kinds are
+// ignored.
 func decodeSection(section snapshots.Section, into *StoredSnapshot) error {
 	statistics := &into.Snapshot.Statistics
 	switch section.Kind {
@@ -36,7 +36,7 @@
 	var header headerForm
 	err := decoder.Unmarshal(section.Payload, &header)
 	if err != nil || len(header.Name) > maxTextBytes || len(header.Build) > maxTextBytes {
-		return fmt.Errorf("%w: its head", errForeignContent)
+		return fmt.Errorf("%w: header section", errForeignContent)
 	}
 	into.Snapshot.Owner = restore.Identity{Name: header.Name, Settings: header.Settings}
 	into.TakenAt = float64(header.Taken)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// decodeRecords appends the records of a section, up to the first that is not ok.
+// decodeRecords appends the records of a section, up to the first one that exceeds the bounds.
 func decodeRecords[F recordForm[R], R any](section snapshots.Section, into *[]R) error {
 	var forms []F
 	if err := decoder.Unmarshal(section.Payload, &forms); err != nil {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// DecodeStatistics reads what EncodeStatistics of another controller returned. If any part of it is
-// wrong, nothing of it is used.
+// DecodeStatistics decodes what EncodeStatistics returned on another controller. If any part of it
+// is invalid, it returns an error and no statistics.
 func DecodeStatistics(data []byte) (router.Statistics, error) {
 	var sections []sectionForm
 	if err := decoder.Unmarshal(data, &sections); err != nil {
--- a/internal/memory/encode.go
+++ b/internal/memory/encode.go
@@ -13,7 +13,7 @@
 	return add(sectionHeader, payload)
 }
 
-// encodeRecords adds all records, in as few sections as possible for each kind.
+// encodeRecords adds all records, in as few sections of each kind as possible.
 func encodeRecords(s *router.Statistics, add snapshots.AddFunc) error {
 	if err := addRecords(sectionEngines, s.Engines, newEngineForm, add); err != nil {
 		return err
@@ -48,15 +48,16 @@
 	return nil
 }
 
-// sectionForm is a section in a message to another controller, encoded like the forms of records.
+// sectionForm is a section in a message to another controller, encoded as a CBOR array like the
+// forms of records.
 type sectionForm struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    uint16
 	Payload []byte
 }
 
-// EncodeStatistics returns statistics as one value for another controller: a list of the sections
-// that a file would have, without the header.
+// EncodeStatistics encodes statistics as one value for another controller: a list of the sections
+// that a file would have, without the header section.
 func EncodeStatistics(s *router.Statistics) ([]byte, error) {
 	var sections []sectionForm
 	err := encodeRecords(s, func(kind snapshots.SectionKind, payload []byte) error {
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -14,13 +14,13 @@
 // Bounds on the records that are decoded; see FileBounds for those of a file.
 const (
 	maxSectionRecords = 1024 // records of a section, read or written
-	maxPoolLeaders    = 64   // of a table group, which has one for each kind of engine
+	maxPoolLeaders    = 64   // of a table group, which has one for each machine kind
 	maxTextBytes      = 256  // bytes of a name or id
 )
 
-// errForeignContent means that a section with a good checksum has content that this program does
+// errForeignContent means that a section with a valid checksum has content that this program does
 // not write.
-var errForeignContent = errors.New("holds what this program did not write")
+var errForeignContent = errors.New("has content that this program does not write")
 
 // Kinds of sections.
 const (
@@ -31,11 +31,11 @@
 	sectionTraffic
 )
 
-// The forms in which statistics are stored, and sent to other controllers. Each is encoded as a
-// CBOR array of its fields in this order: a change of any of them needs a new snapshots.Version.
-// Some fields keep older terms; the functions new...Form and record are the one place that maps
-// these to the terms of package router. Times are whole ms since 1970, except for an engine's
-// start, which has to be equal to that in the endpoint list.
+// The forms in which statistics are stored and sent to other controllers. Each is encoded as a CBOR
+// array of its fields in this order: a change of any of them needs a new snapshots.Version. Some
+// fields keep older terms; the functions new...Form and record are the only place that maps these
+// to the terms of package router. Times are whole ms since 1970, except for an engine's start time,
+// which has to equal the one in the endpoint list.
 type (
 	headerForm struct {
 		_        struct{} `cbor:",toarray"`
@@ -186,7 +186,7 @@
 	return router.TrafficStatistics{At: float64(f.At), Share: f.Part.mean()}, true
 }
 
-// convertIDs converts ids to texts and back.
+// convertIDs converts ids to strings and back.
 func convertIDs[To, From ~string](from []From) []To {
 	converted := make([]To, len(from))
 	for i, text := range from {
--- a/internal/memory/inspect.go
+++ b/internal/memory/inspect.go
@@ -8,7 +8,7 @@
 	"mintkeel/router"
 )
 
-// retainedSnapshots is how many snapshots a directory keeps: see package snapshots.
+// retainedSnapshots is the number of snapshots that a directory keeps: see package snapshots.
 const retainedSnapshots = 2
 
 // FileCheck is the state of one file. The JSON keys are those of mintkeel memory verify --json.
@@ -17,7 +17,7 @@
 	Complete bool   `json:"whole"`
 	Reason   string `json:"why,omitempty"`  // why it is not complete
 	Name     string `json:"name,omitempty"` // of the controller
-	Records  int    `json:"records"`        // that can be used
+	Records  int    `json:"records"`        // number of records that can be used
 }
 
 // Verify reads all files of a directory, the newest first.
@@ -42,15 +42,15 @@
 	return checks, nil
 }
 
-// PruneSelection is which records to remove.
+// PruneSelection selects the records to remove.
 type PruneSelection struct {
 	All     bool // every record; Engines and Tables are ignored
 	Engines []router.EngineID
 	Tables  []router.TableGroup
 }
 
-// Prune removes records from the stored snapshots and returns how many. While a controller uses the
-// directory the error is disk.ErrLocked.
+// Prune removes the selected records from all stored snapshots and returns the number of records
+// removed. While a controller uses the directory the error is disk.ErrLocked.
 func Prune(d disk.Disk, b snapshots.Bounds, selection PruneSelection) (removed int, err error) {
 	if selection.All {
 		return removeAll(d, b)
@@ -68,7 +68,7 @@
 	return removed, err
 }
 
-// removeAll removes all files and returns how many records Load could have used.
+// removeAll removes all snapshots and returns the number of records that Load would have returned.
 func removeAll(d disk.Disk, b snapshots.Bounds) (removed int, err error) {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return removed, folder.Clear()
 }
 
-// RewriteNewest replaces all snapshots of a directory by the newest one after change. The times of
-// the records stay, so that they don't look younger.
+// RewriteNewest applies change to the newest snapshot of a directory and replaces all snapshots by
+// the result. The records keep their timestamps, so that they don't seem newer than they are.
 func RewriteNewest(d disk.Disk, b snapshots.Bounds, change func(*router.Statistics)) error {
 	folder, err := snapshots.Open(d, b)
 	if err != nil {
@@ -95,7 +95,7 @@
 		return err
 	}
 	change(&stored.Snapshot.Statistics)
-	// It is written as often as files are retained, so that no older file is left.
+	// Writing it as often as files are retained removes all older files.
 	for range retainedSnapshots {
 		_, err = folder.Write(stored.writeSections)
 		if err != nil {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// writeSections adds the snapshot's sections to a file, with the header that it had.
+// writeSections adds the snapshot's sections to a file, with its original header.
 func (stored *StoredSnapshot) writeSections(add snapshots.AddFunc) error {
 	header := headerForm{
 		Name:     stored.Snapshot.Owner.Name,
--- a/internal/memory/load.go
+++ b/internal/memory/load.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// maxFilesRead bounds how many files of a directory are tried. A writer leaves two, but a
-	// directory with many other files must not delay a start.
+	// maxFilesRead bounds the number of files of a directory that are read. A writer leaves two, but
+	// a directory with many other files must not delay a start.
 	maxFilesRead = 8
 
-	// maxFileRecords bounds the records of a file, which then take a few MB of memory.
+	// maxFileRecords bounds the records of a file to a few MB of memory.
 	maxFileRecords = 40_000
 )
 
-var errTooManyRecords = errors.New("holds too many records")
+var errTooManyRecords = errors.New("has too many records")
 
 // StoredSnapshot is a snapshot as it was read from a file.
 type StoredSnapshot struct {
 	File      string  // name in the directory
-	Serial    uint64  // one more with each snapshot
+	Serial    uint64  // increases by one with each snapshot
 	TakenAt   float64 // ms since 1970, by the clock of the machine that wrote it
 	Build     string  // version of the program that wrote it
 	Snapshot  restore.Snapshot
@@ -50,8 +50,8 @@
 	}
 }
 
-// Load reads the newest snapshot that is whole or, if none is, the newest of which some records can
-// be used. The results are those of the files that were read, the newest first. The error is
+// Load reads the newest snapshot that is whole or, if none is, the newest with any usable records.
+// The results are those of the files that were read, newest first. The error is
 // snapshots.ErrNoSnapshot if nothing can be used, or one of the disk.
 func Load(d disk.Disk, b snapshots.Bounds) (*StoredSnapshot, []ReadResult, error) {
 	files, err := snapshots.Files(d)
@@ -79,8 +79,8 @@
 	return partial, results, nil
 }
 
-// readFile reads one file. With an error it may return what could be used of the file. It returns
-// nil for a file without a header, which would name the controller that it belongs to.
+// readFile reads one file. Besides an error it may return the part of the file that can be used. It
+// returns nil for a file without a header section, which names the controller it belongs to.
 func readFile(d disk.Disk, file snapshots.File, b snapshots.Bounds) (*StoredSnapshot, error) {
 	stored := &StoredSnapshot{File: file.Name}
 	var decodeErr error // the first one; later sections are still used
@@ -94,10 +94,10 @@
 	})
 	err = cmp.Or(err, decodeErr)
 	if err == nil && serial != file.Serial {
-		err = fmt.Errorf("%w: it was written as number %d", snapshots.ErrDamaged, serial)
+		err = fmt.Errorf("%w: header has another serial, %d", snapshots.ErrDamaged, serial)
 	}
 	if err == nil && !stored.hasHeader {
-		err = fmt.Errorf("%w: it has no head", errForeignContent)
+		err = fmt.Errorf("%w: no header section", errForeignContent)
 	}
 	stored.Serial = serial
 	stored.Complete = err == nil
@@ -107,9 +107,9 @@
 	return stored, err
 }
 
-// LoadWithTimeout reads the directory of a controller that starts, and logs what can't be used. It
-// returns nil if there is nothing to be restored, or if the disk takes longer than
-// SnapshotReadTimeout: a disk that hangs must not keep a controller from serving.
+// LoadWithTimeout loads the snapshot of a controller that starts, and logs what can't be used. It
+// returns nil if there is nothing to restore, or if the disk takes longer than SnapshotReadTimeout:
+// a disk that hangs must not keep a controller from serving.
 func LoadWithTimeout(d disk.Disk, l *limits.Limits, log *slog.Logger) *StoredSnapshot {
 	type loadReply struct {
 		stored  *StoredSnapshot
@@ -117,7 +117,7 @@
 		err     error
 	}
 	reply := make(chan loadReply, 1)
-	go func() { // ends when the disk answers; reply has room, so it never waits for the receiver
+	go func() { // ends when the disk responds: reply is buffered, so sending never blocks
 		stored, results, err := Load(d, FileBounds(l))
 		reply <- loadReply{stored, results, err}
 	}()
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -24,7 +24,7 @@
 	"mintkeel/router"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout bounds the wait for an expected event.
 const testTimeout = 10 * time.Second
 
 var (
@@ -34,11 +34,11 @@
 	testBounds    = FileBounds(testLimits)
 )
 
-// fakeSource is a source with so many records of each kind.
+// fakeSource is a source with a number of records of each kind.
 type fakeSource struct {
 	records int
 	calls   atomic.Int64
-	block   chan struct{} // nil: it answers at once
+	block   chan struct{} // Statistics blocks until it is closed; nil: no blocking
 }
 
 func (s *fakeSource) Statistics(ctx context.Context, _ router.Cursor, _ int) (Part, error) {
@@ -53,7 +53,7 @@
 	return Part{Statistics: sampleStatistics(s.records, float64(time.Now().UnixMilli()))}, nil
 }
 
-// sampleStatistics returns n records of each kind of which there may be several.
+// sampleStatistics returns n records each of engines and table groups, and one of each other kind.
 func sampleStatistics(n int, at float64) (s router.Statistics) {
 	for i := range n {
 		id := router.EngineID(fmt.Sprint("e", i))
@@ -91,7 +91,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -111,27 +111,27 @@
 	return StartSnapshotWriter(d, interval, owner, "test", source, l, discardLogger)
 }
 
-// A snapshot is written and read back as it was.
+// A snapshot that is read equals the one that was written.
 func TestSnapshotIsReadAsItWasWritten(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 300}, testLimits)
 	stopAndWait(t, w)
 	stored, results, err := Load(d, testBounds)
 	if err != nil || len(results) != 1 || !stored.Complete || stored.Build != "test" {
-		t.Fatal(stored, results, err)
+		t.Fatalf("Load: %+v, %v, %v; want a complete snapshot of build \"test\" from one file", stored, results, err)
 	}
 	want := sampleStatistics(300, stored.Snapshot.Statistics.Engines[0].At)
 	if stored.Snapshot.Owner != owner || !reflect.DeepEqual(stored.Snapshot.Statistics, want) {
-		t.Errorf("%+v", stored.Snapshot.Statistics.Engines[:3])
+		t.Errorf("snapshot of %+v read, with engines %+v; want what was written", stored.Snapshot.Owner, stored.Snapshot.Statistics.Engines[:3])
 	}
 }
 
-// Snapshots follow each other at the interval, which can change. Stop writes a final one.
+// Snapshots are written at an interval, which can change while the writer runs. Stop writes a final one.
 func TestIntervalAndFinalSnapshot(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 3}, testLimits)
 	if w.written.Load() != 0 {
-		t.Error("written ahead of the interval")
+		t.Error("a snapshot was written before the first interval had passed")
 	}
 	w.SetInterval(time.Millisecond)
 	waitUntil(t, "snapshots at the new interval", func() bool { return w.written.Load() >= 3 })
@@ -139,11 +139,11 @@
 	stopAndWait(t, w)
 	n := w.written.Load()
 	if files, _ := snapshots.Files(d); len(files) != 2 || files[0].Serial != uint64(n) {
-		t.Errorf("%d written, %v are there", n, files)
+		t.Errorf("%d snapshots written, files %v; want 2 files, the newest with serial %d", n, files, n)
 	}
 }
 
-// Large snapshots are written less often. Failures double the delay, up to a bound, and never make
+// The delay grows with the size of the snapshot. Failures double it, up to a bound, and never make
 // it shorter than the interval.
 func TestDelayBySizeAndFailures(t *testing.T) {
 	w := &SnapshotWriter{limits: testLimits}
@@ -161,17 +161,17 @@
 		{40, 0, testLimits.SnapshotMaxRetryDelay},
 	} {
 		if got := w.nextDelay(c.failures, c.size); got != c.want {
-			t.Errorf("%d failures, %d bytes: %v", c.failures, c.size, got)
+			t.Errorf("%d failures, %d bytes: delay %v, want %v", c.failures, c.size, got, c.want)
 		}
 	}
 	w.interval.Store(int64(time.Hour))
 	if got := w.nextDelay(5, 0); got != time.Hour {
-		t.Errorf("after failures sooner than the interval: %v", got)
+		t.Errorf("delay after 5 failures is %v, want the interval of 1 h", got)
 	}
 }
 
-// The disk is full, fails or is gone for a while. Failures are counted, an earlier snapshot stays,
-// and writing goes on once the disk is back.
+// The disk is full or fails for a while, or fails from the start. Failures are counted, the earlier
+// snapshot stays readable, and writing resumes once the disk works.
 func TestWritingResumesAfterDiskFailures(t *testing.T) {
 	l := *testLimits
 	l.SnapshotMaxRetryDelay = time.Millisecond
@@ -190,14 +190,14 @@
 		written := w.written.Load()
 		if name == "full" {
 			if _, _, err := Load(d, testBounds); err != nil {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("disk %s: earlier snapshot can't be loaded: %v", name, err)
 			}
 		}
 		faults.ends(d)
 		waitUntil(t, name+": written again", func() bool { return w.written.Load() > written+1 })
 		stopAndWait(t, w)
 	}
-	// from the start
+	// The disk fails from the start.
 	d := disktest.New()
 	d.Fail(io.ErrClosedPipe)
 	w := startWriter(d, time.Millisecond, &fakeSource{}, &l)
@@ -207,7 +207,7 @@
 	stopAndWait(t, w)
 }
 
-// The disk hangs. Neither a start nor an end waits for it, nor whoever asks for the counts.
+// The disk hangs. Neither start nor shutdown nor LogValue waits for it.
 func TestHangingDiskDelaysNeitherStartNorEnd(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 1}, testLimits)
@@ -216,7 +216,7 @@
 	l := *testLimits
 	l.SnapshotReadTimeout = 10 * time.Millisecond
 	if stored := LoadWithTimeout(d, &l, discardLogger); stored != nil {
-		t.Error("something was read of a disk that hangs")
+		t.Error("LoadWithTimeout returned a snapshot from a hanging disk")
 	}
 	w = startWriter(d, time.Millisecond, &fakeSource{records: 1}, testLimits)
 	w.LogValue()
@@ -224,22 +224,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	if err := w.Wait(ctx); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("waits for a disk that hangs: %v", err)
+		t.Errorf("Wait with a hanging disk returned %v, want a deadline error", err)
 	}
 	release()
 	waitUntil(t, "the goroutine ends", w.Stopped)
 	if stored := LoadWithTimeout(d, testLimits, discardLogger); stored == nil {
-		t.Error("the disk is back, and nothing is read")
+		t.Error("LoadWithTimeout returned no snapshot after the disk stopped hanging")
 	}
 }
 
-// The source does not answer, as its loop has ended. The writer gives up once it isn't waited for
-// any more, and leaves no goroutine.
+// The source does not respond, as its event loop has ended. The writer stops once the context of
+// Wait ends, and leaks no goroutine.
 func TestSourceThatDoesNotAnswer(t *testing.T) {
 	before := runtime.NumGoroutine()
 	source := &fakeSource{block: make(chan struct{})}
 	w := startWriter(disktest.New(), time.Millisecond, source, testLimits)
-	waitUntil(t, "the source is asked", func() bool { return source.calls.Load() > 0 })
+	waitUntil(t, "the source is called", func() bool { return source.calls.Load() > 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	w.Stop()
@@ -247,26 +247,26 @@
 	waitUntil(t, "the goroutine ends", func() bool { return w.Stopped() && runtime.NumGoroutine() <= before })
 }
 
-// Two processes have the same directory. One writes; the other counts that it is locked, reads what
-// is there, and takes over once the first has stopped.
+// Two processes use the same directory. The first one writes; the second counts that the directory
+// is locked, can read snapshots, and takes over once the first has stopped.
 func TestSecondProcessTakesOver(t *testing.T) {
 	l := *testLimits
 	l.SnapshotMaxRetryDelay = time.Millisecond
 	d := disktest.New()
 	first := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
-	waitUntil(t, "the first has the folder", func() bool { return first.written.Load() > 0 })
+	waitUntil(t, "the first writer has locked the directory", func() bool { return first.written.Load() > 0 })
 	second := startWriter(d, time.Millisecond, &fakeSource{records: 2}, &l)
-	waitUntil(t, "the second finds it taken", func() bool { return second.locked.Load() > 2 })
+	waitUntil(t, "the second writer finds it locked", func() bool { return second.locked.Load() > 2 })
 	if second.written.Load() > 0 || LoadWithTimeout(d, &l, discardLogger) == nil {
-		t.Error("the second has written, or can't read")
+		t.Error("the second writer wrote to the locked directory, or no snapshot can be read from it")
 	}
 	stopAndWait(t, first)
-	waitUntil(t, "the second takes over", func() bool { return second.written.Load() > 0 })
+	waitUntil(t, "the second writer takes over", func() bool { return second.written.Load() > 0 })
 	stopAndWait(t, second)
 }
 
-// Files are damaged, empty or foreign. Load takes the newest that is whole or, if none is, what can
-// be used of the newest.
+// Files are damaged, empty or of other programs. Load returns the newest snapshot that is whole or,
+// if none is, the usable part of the newest.
 func TestLoadFallsBackToOlderSnapshots(t *testing.T) {
 	d := disktest.New()
 	for n := 1; n <= 2; n++ {
@@ -294,15 +294,15 @@
 		complete bool
 	}{
 		{"both whole", map[string][]byte{older: a, newer: b}, 2, true},
-		{"the newer one is cut", map[string][]byte{older: a, newer: b[:len(b)/2]}, 1, true},
+		{"the newer one is truncated", map[string][]byte{older: a, newer: b[:len(b)/2]}, 1, true},
 		{"the newer one is empty", map[string][]byte{older: a, newer: nil}, 1, true},
 		{"a bit of the newer one is flipped", map[string][]byte{older: a, newer: flipBit(b)}, 1, true},
 		{"both are damaged", map[string][]byte{older: flipBit(a), newer: flipBit(b)}, 2, false},
 		{"only a damaged one", map[string][]byte{newer: flipBit(b)}, 2, false},
 		{"an old backup under a newer name", map[string][]byte{"snapshot-00000000000000ff": a, newer: b}, 2, true},
-		{"another program's file beside it", map[string][]byte{"snapshot-00000000000000ff": []byte("x"), newer: b}, 2, true},
-		{"nothing", nil, -1, false},
-		{"nothing that can be used", map[string][]byte{newer: foreignFile}, -1, false},
+		{"a file of another program under a newer name", map[string][]byte{"snapshot-00000000000000ff": []byte("x"), newer: b}, 2, true},
+		{"no files", nil, -1, false},
+		{"no usable files", map[string][]byte{newer: foreignFile}, -1, false},
 	} {
 		d := disktest.New()
 		for name, file := range c.files {
@@ -311,19 +311,19 @@
 		stored, _, err := Load(d, testBounds)
 		isLoaded := stored != nil
 		if engineCount(stored) != c.engines || isLoaded && stored.Complete != c.complete || (err == nil) != isLoaded {
-			t.Errorf("%s: %d engines, %v", c.name, engineCount(stored), err)
+			t.Errorf("%s: Load returned %d engines, %v; want %d engines (-1: no snapshot), complete %v", c.name, engineCount(stored), err, c.engines, c.complete)
 		}
 		fileChecks, err := Verify(d, testBounds)
 		hasIncomplete := strings.Contains(fmt.Sprint(fileChecks), "false")
-		allComplete := c.name == "both whole" || c.name == "nothing"
+		allComplete := c.name == "both whole" || c.name == "no files"
 		if err != nil || hasIncomplete == allComplete {
-			t.Errorf("%s: %+v, %v", c.name, fileChecks, err)
+			t.Errorf("%s: Verify returned %+v, %v; want all complete: %v", c.name, fileChecks, err, allComplete)
 		}
 	}
 }
 
-// Sections have good checksums and contents that no program of ours wrote. They are refused, cost
-// no more memory than their size allows, and the other sections are still used.
+// Sections have valid checksums and content that this program does not write. They are rejected
+// without allocating much more than their size, and the other sections are still used.
 func TestForeignContentOfSections(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	write := func(sections ...snapshots.Section) disk.Disk {
@@ -347,7 +347,7 @@
 	}
 	header, _ := encoder.Marshal(headerForm{Name: "n3"})
 	traffic, _ := encoder.Marshal([]trafficForm{{At: 5}})
-	hugeArray := []byte{0x9b, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff} // an array of billions
+	hugeArray := []byte{0x9b, 0, 0, 0, 0x7f, 0xff, 0xff, 0xff, 0xff} // the header of an array of billions of elements
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for kind := sectionHeader; kind <= sectionTraffic; kind++ {
@@ -370,13 +370,13 @@
 			)
 			stored, _, err := Load(d, testBounds)
 			if err != nil || len(stored.Snapshot.Statistics.Traffic) == 0 {
-				t.Errorf("kind %d, % x: %v", kind, payload[:min(len(payload), 20)], err)
+				t.Errorf("section of kind %d, payload % x: the traffic section is not used, %v", kind, payload[:min(len(payload), 20)], err)
 			}
 		}
 	}
 	runtime.ReadMemStats(&after)
 	if mean := (after.TotalAlloc - before.TotalAlloc) / (5 * 309); mean > 1<<20 {
-		t.Errorf("%d bytes a file", mean)
+		t.Errorf("%d bytes allocated per file, want at most %d", mean, 1<<20)
 	}
 	tooManyLeaders, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
 	tooLongName, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
@@ -388,27 +388,27 @@
 		)
 		stored, _, err := Load(d, testBounds)
 		if err != nil || len(stored.Snapshot.Statistics.Tables) != 0 || stored.Complete {
-			t.Errorf("a table group with %d bytes of homes: %+v, %v", len(payload), stored, err)
+			t.Errorf("a table group with %d bytes of pool leaders: %+v, %v; want it rejected", len(payload), stored, err)
 		}
 	}
 	withoutHeader := write(snapshots.Section{Kind: sectionTraffic, Payload: traffic})
 	if _, _, err := Load(withoutHeader, testBounds); err == nil {
-		t.Error("read without a head")
+		t.Error("a file without a header section was loaded")
 	}
 }
 
-// Records are pruned. They are in no file any more, and the others are as old as before.
+// Pruned records are in no file any more, and the others keep their timestamps.
 func TestPrunedRecordsAreInNoFile(t *testing.T) {
 	d := disktest.New()
 	w := startWriter(d, time.Hour, &fakeSource{records: 4}, testLimits)
-	// The writer has not locked the directory yet.
+	// The writer locks the directory only when it writes.
 	if _, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil {
 		t.Error(err)
 	}
 	w.SetInterval(time.Millisecond)
 	waitUntil(t, "two snapshots", func() bool { return w.written.Load() > 1 })
 	if _, err := Prune(d, testBounds, PruneSelection{All: true}); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("pruned under a controller that runs: %v", err)
+		t.Errorf("Prune while a writer has the directory returned %v, want ErrLocked", err)
 	}
 	stopAndWait(t, w)
 	before, _, _ := Load(d, testBounds)
@@ -417,34 +417,34 @@
 		Tables:  []router.TableGroup{-1, 2},
 	})
 	if err != nil || n != 3 {
-		t.Errorf("%d forgotten, %v", n, err)
+		t.Errorf("%d records pruned, %v; want 3", n, err)
 	}
 	files, _ := snapshots.Files(d)
 	for _, f := range files {
 		stored, err := readFile(d, f, testBounds)
 		statistics := stored.Snapshot.Statistics
 		if err != nil || len(statistics.Engines) != 3 || len(statistics.Tables) != 2 {
-			t.Errorf("%s: %+v, %v", f.Name, stored, err)
+			t.Errorf("%s: %+v, %v; want 3 engines and 2 table groups", f.Name, stored, err)
 		}
 		if stored.TakenAt != before.TakenAt || statistics.Engines[0].At != before.Snapshot.Statistics.Engines[0].At {
-			t.Error("it looks younger than it is")
+			t.Errorf("%s: pruning changed timestamps", f.Name)
 		}
 	}
 	report := NewReport(before, before.TakenAt+60e3, restore.DefaultHalfLives())
 	weight := report.Engines[0].RemainingWeight
 	if report.Records != 10 || report.Restorable != 10 || weight <= 0 || weight >= 1 {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want 10 restorable records with decayed weights", report)
 	}
 	if n, err := Prune(d, testBounds, PruneSelection{All: true}); err != nil || n != 7 {
-		t.Errorf("%d forgotten of all, %v", n, err)
+		t.Errorf("%d records pruned with All, %v; want 7", n, err)
 	}
 	if _, _, err := Load(d, testBounds); !errors.Is(err, snapshots.ErrNoSnapshot) {
-		t.Errorf("after all was forgotten: %v", err)
+		t.Errorf("Load after all records were pruned returned %v, want ErrNoSnapshot", err)
 	}
 }
 
-// On a real file system, a directory can't be created, or is removed while the writer runs.
-// Failures are counted, and a directory that can be created later is used.
+// On a real file system, the directory can't be created, or is removed while the writer runs.
+// Failures are counted, and the directory is used as soon as it can be created.
 func TestDirectoriesOfTheFileSystem(t *testing.T) {
 	l := *testLimits
 	l.SnapshotMaxRetryDelay = time.Millisecond
@@ -458,7 +458,7 @@
 		waitUntil(t, path+": failures", func() bool { return w.failed.Load() > 2 })
 		stopAndWait(t, w)
 		if w.written.Load() > 0 || LoadWithTimeout(disk.Folder(path), &l, discardLogger) != nil {
-			t.Errorf("%s is written", path)
+			t.Errorf("%s: a snapshot was written or read, though the directory can't exist", path)
 		}
 	}
 	parent := filepath.Join(t.TempDir(), "parent")
@@ -468,11 +468,11 @@
 	if err := os.Mkdir(parent, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the disk is there", func() bool { return w.written.Load() > 0 })
+	waitUntil(t, "a snapshot once the parent exists", func() bool { return w.written.Load() > 0 })
 	written := w.written.Load()
-	for os.RemoveAll(string(folder)) != nil { // it may be writing
+	for os.RemoveAll(string(folder)) != nil { // fails while the writer creates files
 	}
-	waitUntil(t, "the folder is made anew", func() bool { return w.written.Load() > written+2 })
+	waitUntil(t, "snapshots in the directory that was created again", func() bool { return w.written.Load() > written+2 })
 	stopAndWait(t, w)
 	if _, _, err := Load(folder, testBounds); err != nil {
 		t.Error(err)
--- a/internal/memory/report.go
+++ b/internal/memory/report.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// Report is what a snapshot holds and how much of it would be restored, for people and programs.
-// The JSON keys are those of mintkeel memory show --json, some of which keep older terms.
+// Report describes the content of a snapshot and how much of it would be restored. The JSON keys
+// are those of mintkeel memory show --json, some of which keep older terms.
 type Report struct {
 	File       string          `json:"file"`
 	Serial     uint64          `json:"serial"`
@@ -17,9 +17,9 @@
 	AgeMS      int64           `json:"age_ms"`
 	Complete   bool            `json:"whole"` // else sections that could not be used are missing
 	Records    int             `json:"records"`
-	Restorable int             `json:"believed"` // records
+	Restorable int             `json:"believed"` // records that would be restored
 	Expired    int             `json:"aged"`     // records that are too old
-	FromFuture int             `json:"future"`   // records with a time in the future
+	FromFuture int             `json:"future"`   // records with a timestamp in the future
 	Invalid    int             `json:"wrong"`    // records with impossible values
 	Engines    []EngineReport  `json:"engines"`
 	Tables     []TableReport   `json:"tables"`
@@ -27,10 +27,10 @@
 	Traffic    []TrafficReport `json:"traffic"`
 }
 
-// RecordReport has the fields that the reports of all records have.
+// RecordReport has the fields common to the reports of all records.
 type RecordReport struct {
 	AgeMS int64 `json:"age_ms"`
-	// RemainingWeight is the share of its weight that the record still has; 0: it is not restored.
+	// RemainingWeight is the share of its weight that the record still has. With 0 it is not restored.
 	RemainingWeight float64 `json:"weighs"`
 }
 
@@ -67,8 +67,8 @@
 	Share float64 `json:"part"`
 }
 
-// NewReport describes a snapshot as its owner would see it at a time in ms since 1970, if the same
-// engines were listed.
+// NewReport describes a snapshot as its owner would restore it at the time now in ms since 1970, if
+// the same engines were listed.
 func NewReport(stored *StoredSnapshot, now float64, halfLives restore.HalfLives) *Report {
 	statistics := &stored.Snapshot.Statistics
 	var endpoints []router.Endpoint
@@ -130,7 +130,7 @@
 	}
 }
 
-// newRecordReport returns the report of a record of an age in ms. Its weight is that of the part
+// newRecordReport returns the report of a record of an age in ms. The weight is that of the value
 // with the longest half-life.
 func newRecordReport(age float64, halfLives ...float64) RecordReport {
 	report := RecordReport{AgeMS: int64(age)}
@@ -140,7 +140,7 @@
 	return report
 }
 
-// finiteOrMinusOne replaces what JSON can't hold, infinities and NaN, by -1.
+// finiteOrMinusOne replaces infinities and NaN, which JSON can't represent, by -1.
 func finiteOrMinusOne(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return -1
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -1,8 +1,7 @@
 package memory
 
-// A rename or a reordering of fields can change the format of the memory folder without any other
-// test failing: both ends of a test are of one build. These tests read a folder that an earlier
-// build wrote.
+// A renamed or reordered field can change the stored format without any other test failing, as
+// those write and read with the same build. These tests read a folder written by an earlier build.
 
 import (
 	"encoding/json"
@@ -25,8 +24,8 @@
 	storedTakenAt = 1_700_000_000_500.0 // ms since 1970
 )
 
-// storedStatistics holds each kind of record, with every field set and figures that the format
-// holds exactly.
+// storedStatistics returns records of each kind, with every field set to a value that the format
+// represents exactly.
 func storedStatistics() router.Statistics {
 	return router.Statistics{
 		Engines: []router.EngineStatistics{
@@ -52,7 +51,7 @@
 		Complete: true, hasHeader: true}
 }
 
-// writeStored writes what a snapshot holds to a new folder, and returns the bytes of its file.
+// writeStored writes a snapshot to a new folder and returns the content of its file.
 func writeStored(t *testing.T, stored *StoredSnapshot) []byte {
 	t.Helper()
 	d := disktest.New()
@@ -94,14 +93,14 @@
 	}
 	stored, results, err := Load(disk.Folder(storedFolder), testBounds)
 	if err != nil || len(results) != 1 || results[0].Err != nil {
-		t.Fatal(results, err)
+		t.Fatalf("Load: %+v, %v; want one file without an error", results, err)
 	}
 	if want := storedSnapshot(); !reflect.DeepEqual(stored, want) {
-		t.Errorf("read:\n%+v\nstored:\n%+v", stored, want)
+		t.Errorf("snapshot read:\n%+v\nwant:\n%+v", stored, want)
 	}
 	checks, err := Verify(disk.Folder(storedFolder), testBounds)
 	if err != nil || !reflect.DeepEqual(checks, []FileCheck{{File: storedName, Complete: true, Name: "n3", Records: 6}}) {
-		t.Errorf("verified: %+v, %v", checks, err)
+		t.Errorf("Verify: %+v, %v; want one complete file of n3 with 6 records", checks, err)
 	}
 }
 
@@ -111,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if got := writeStored(t, storedSnapshot()); string(got) != string(want) {
-		t.Errorf("written: %x\nstored:  %x", got, want)
+		t.Errorf("file written: %x\nwant:         %x", got, want)
 	}
 }
 
@@ -128,7 +127,7 @@
 	}
 	decoded, err := DecodeStatistics(table.Bytes(t, "learned", encoded))
 	if err != nil || !reflect.DeepEqual(decoded, statistics) {
-		t.Errorf("decoded: %+v, %v", decoded, err)
+		t.Errorf("DecodeStatistics: %+v, %v; want %+v", decoded, err, statistics)
 	}
 }
 
--- a/internal/memory/writer.go
+++ b/internal/memory/writer.go
@@ -16,12 +16,14 @@
 	"mintkeel/router"
 )
 
-// maxBackoffDoublings bounds how often the delay is doubled while writes fail: it can't overflow.
+// maxBackoffDoublings bounds how often the delay is doubled while writes fail, so that it can't
+// overflow.
 const maxBackoffDoublings = 10
 
-// StatisticsSource is where statistics are copied from.
+// StatisticsSource is the source of the statistics that a SnapshotWriter stores.
 type StatisticsSource interface {
-	// Statistics copies a part of at most maxRecords records. The only error is that of ctx.
+	// Statistics copies the part of at most maxRecords records that begins at from. The only error
+	// is that of ctx.
 	Statistics(ctx context.Context, from router.Cursor, maxRecords int) (Part, error)
 }
 
@@ -36,24 +38,24 @@
 type SnapshotWriter struct {
 	disk   disk.Disk
 	owner  restore.Identity
-	build  string // version of this program, for people
+	build  string // version of this program, informational
 	source StatisticsSource
 	limits *limits.Limits
 	log    *slog.Logger
 
 	interval        atomic.Int64  // ns
-	intervalChanged chan struct{} // has room for one signal
+	intervalChanged chan struct{} // buffers one signal
 	stopOnce        sync.Once
 	stopRequested   chan struct{} // closed by Stop: write a final snapshot and end
 	done            chan struct{} // closed once the directory is released
 
-	// ctx aborts a snapshot that is being written; Wait ends it at the latest.
+	// ctx aborts a snapshot that is being written; Wait cancels it when it returns.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	// Owned by the goroutine of run:
 	folder   *snapshots.Folder // nil: not open
-	failures int               // in a row
+	failures int               // consecutive failed writes
 	lastSize int64             // bytes of the last snapshot; 0 after a failure
 
 	// Counts, for LogValue.
@@ -65,8 +67,8 @@
 	writtenAt atomic.Int64 // time of the last snapshot, ms since 1970; 0: none
 }
 
-// StartSnapshotWriter starts to write the source's statistics to a directory, as snapshots of the
-// controller owner. The first is written after one interval.
+// StartSnapshotWriter starts a writer that stores the source's statistics in a directory, as
+// snapshots of the controller owner. The first one is written after one interval.
 func StartSnapshotWriter(
 	d disk.Disk, interval time.Duration, owner restore.Identity, build string,
 	source StatisticsSource, l *limits.Limits, log *slog.Logger,
@@ -90,23 +92,23 @@
 	return w
 }
 
-// SetInterval changes the time between two snapshots, which begins anew.
+// SetInterval changes the time between two snapshots and restarts the current wait.
 func (w *SnapshotWriter) SetInterval(interval time.Duration) {
 	w.interval.Store(int64(interval))
 	select {
 	case w.intervalChanged <- struct{}{}:
-	default: // a change is pending, which will see this interval
+	default: // a signal is pending, and its receiver will read this interval
 	}
 }
 
-// Stop makes the writer write a final snapshot and release the directory, but does not wait for it.
+// Stop makes the writer write a final snapshot and release the directory, without waiting for it.
 func (w *SnapshotWriter) Stop() {
 	w.stopOnce.Do(func() { close(w.stopRequested) })
 }
 
-// Wait waits until the directory is released. If ctx ends first, Wait returns its error, and a
-// snapshot that is being written is aborted. A write that hangs in the kernel can't be interrupted:
-// the writer's goroutine ends after it, or with the process.
+// Wait waits until the directory is released. If ctx ends first, Wait returns its error and aborts
+// a snapshot that is being written. A write that hangs in the kernel can't be interrupted: the
+// writer's goroutine ends after it, or with the process.
 func (w *SnapshotWriter) Wait(ctx context.Context) error {
 	defer w.cancel()
 	select {
@@ -127,7 +129,7 @@
 	}
 }
 
-// LogValue prints the counts, which docs/memory.md explains.
+// LogValue returns the counts, which docs/memory.md explains.
 func (w *SnapshotWriter) LogValue() slog.Value {
 	age := int64(-1)
 	if at := w.writtenAt.Load(); at > 0 {
@@ -169,10 +171,11 @@
 	}
 }
 
-// nextDelay is the time until the next snapshot, after so many failures in a row and a snapshot of
-// so many bytes. A large snapshot makes it longer, so that no more than SnapshotBytesPerSecond is
-// written on average. Each failure doubles it up to SnapshotMaxRetryDelay. There is no last retry,
-// as a disk that was full or gone may come back.
+// nextDelay returns the time until the next snapshot, given the number of consecutive failures and
+// the size of the last snapshot in bytes. A large snapshot makes it longer, so that no more than
+// SnapshotBytesPerSecond is written on average. Each failure doubles it up to
+// SnapshotMaxRetryDelay. The number of retries is unlimited, as a disk that was full or missing may
+// become usable again.
 func (w *SnapshotWriter) nextDelay(failures int, size int64) time.Duration {
 	interval := time.Duration(w.interval.Load())
 	seconds := float64(size) / float64(w.limits.SnapshotBytesPerSecond)
@@ -205,8 +208,8 @@
 	w.log.Warn("snapshot not written", "why", err, "failures", w.failures)
 }
 
-// tryWrite writes a snapshot and returns the bytes of its file. A directory that is missing is
-// created, also if it was removed since the last snapshot.
+// tryWrite writes a snapshot and returns the size of its file in bytes. A missing directory is
+// created, also if it was removed after the last snapshot.
 func (w *SnapshotWriter) tryWrite() (size int64, err error) {
 	if err := w.openFolder(); err != nil {
 		return 0, err
@@ -230,7 +233,7 @@
 	return size, nil
 }
 
-// openFolder creates and locks the directory, unless it is open.
+// openFolder creates and locks the directory, unless it is already open.
 func (w *SnapshotWriter) openFolder() error {
 	if w.folder != nil {
 		return nil
@@ -256,7 +259,7 @@
 	}
 }
 
-// writeSections copies the statistics part by part and returns the number of records.
+// writeSections copies the statistics part by part and returns the number of records written.
 func (w *SnapshotWriter) writeSections(add snapshots.AddFunc) (records int, err error) {
 	header := headerForm{
 		Name:     w.owner.Name,
@@ -284,7 +287,7 @@
 	return records, nil
 }
 
-// pause leaves the event loop to its queries between two parts.
+// pause waits between two parts, so that the event loop can handle queries.
 func (w *SnapshotWriter) pause() {
 	timer := time.NewTimer(w.limits.SnapshotPartPause)
 	defer timer.Stop()
