--- a/internal/operator/block/block.go
+++ b/internal/operator/block/block.go
@@ -12,21 +12,21 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// maxPathBytes bounds a path: Linux takes no longer ones.
+// maxPathBytes bounds a path to what Linux accepts.
 const maxPathBytes = 4096
 
-// Block is an open block. Its methods read one field each. They return the fallback if the field is
-// absent or can't be used; in the latter case a problem is noted.
+// Block is a block whose fields are being read. Its methods read one field each. They return the
+// fallback if the field is absent or can't be used; in the latter case they add a problem.
 type Block struct {
-	Name string    // in front of its fields in problems
-	At   hcl.Range // of its first line
+	Name string    // prefix of its fields in problems
+	At   hcl.Range // range of its first line
 
 	diagnostics *Diagnostics
 	fields      hcl.Attributes
 	variables   *hcl.EvalContext
 }
 
-// Open opens a block that may have these fields and no others.
+// Open opens a block. Fields other than the given ones are problems.
 func Open(b *hcl.Block, diagnostics *Diagnostics, fields ...string) *Block {
 	schema := &hcl.BodySchema{}
 	for _, name := range fields {
@@ -58,8 +58,8 @@
 // Has reports whether a field is present.
 func (b *Block) Has(field string) bool { return b.fields[field] != nil }
 
-// String reads a string of at most maxBytes bytes. If it is required, its absence or an empty
-// string is a problem.
+// String reads a string of at most maxBytes bytes. If the field is required, its absence and an
+// empty string are problems.
 func (b *Block) String(field, fallback string, required bool, maxBytes int) string {
 	value, ok := b.value(field, cty.String, "text in quotes")
 	if !ok {
@@ -75,25 +75,25 @@
 	case len(text) > maxBytes:
 		b.AddProblem(field, fmt.Sprintf("has over %d bytes", maxBytes))
 	case strings.ContainsRune(text, 0):
-		b.AddProblem(field, "holds a zero byte")
+		b.AddProblem(field, "contains a zero byte")
 	default:
 		return text
 	}
 	return fallback
 }
 
-// AbsolutePath reads an absolute path; "" if it is absent or can't be used. If it is required, its
-// absence is a problem.
+// AbsolutePath reads an absolute path; it returns "" if the field is absent or can't be used. If
+// the field is required, its absence is a problem.
 func (b *Block) AbsolutePath(field string, required bool) string {
 	path := b.String(field, "", required, maxPathBytes)
 	if path != "" && !filepath.IsAbs(path) {
-		b.AddProblem(field, "is no absolute path")
+		b.AddProblem(field, "is not an absolute path")
 		return ""
 	}
 	return path
 }
 
-// Choice reads one of a few words.
+// Choice reads a string that has to be one of words.
 func (b *Block) Choice(field, fallback string, words ...string) string {
 	value, ok := b.value(field, cty.String, "text in quotes")
 	if !ok {
@@ -101,13 +101,13 @@
 	}
 	word := value.AsString()
 	if !slices.Contains(words, word) {
-		b.AddProblem(field, fmt.Sprintf("%.40q is none of %s", word, strings.Join(words, ", ")))
+		b.AddProblem(field, fmt.Sprintf("%.40q is not one of %s", word, strings.Join(words, ", ")))
 		return fallback
 	}
 	return word
 }
 
-// Duration reads a time with its unit as a string, such as "5s" or "250ms".
+// Duration reads a duration, which is a string with a unit such as "5s" or "250ms".
 func (b *Block) Duration(field string, fallback, minimum, maximum time.Duration) time.Duration {
 	value, ok := b.value(field, cty.String, `time in quotes, such as "5s"`)
 	if !ok {
@@ -115,7 +115,7 @@
 	}
 	duration, err := time.ParseDuration(value.AsString())
 	if err != nil {
-		b.AddProblem(field, fmt.Sprintf(`%.40q is no time, such as "5s"`, value.AsString()))
+		b.AddProblem(field, fmt.Sprintf(`%.40q is not a duration, such as "5s"`, value.AsString()))
 		return fallback
 	}
 	if duration < minimum || duration > maximum {
@@ -125,7 +125,7 @@
 	return duration
 }
 
-// Int reads a whole number.
+// Int reads an integer.
 func (b *Block) Int(field string, fallback, minimum, maximum int) int {
 	value, ok := b.value(field, cty.Number, "number")
 	if !ok {
@@ -133,7 +133,8 @@
 	}
 	number, _ := value.AsBigFloat().Float64()
 	if number != math.Trunc(number) || number < float64(minimum) || number > float64(maximum) {
-		b.AddProblem(field, fmt.Sprintf("%v is no whole number from %d to %d", number, minimum, maximum))
+		b.AddProblem(field, fmt.Sprintf("%v is not a whole number from %d to %d",
+			number, minimum, maximum))
 		return fallback
 	}
 	return int(number)
@@ -148,8 +149,8 @@
 	return value.True()
 }
 
-// value evaluates a field that has to be of a type; typeName is what problems call it. Not ok if
-// the field is absent or can't be used.
+// value evaluates a field that has to be of the type want, which problems call typeName. ok is
+// false if the field is absent or can't be used.
 func (b *Block) value(field string, want cty.Type, typeName string) (value cty.Value, ok bool) {
 	value, ok = b.evaluate(field)
 	if !ok {
@@ -162,7 +163,7 @@
 	return value, true
 }
 
-// evaluate evaluates a field. Not ok if it is absent or has an error.
+// evaluate evaluates a field. ok is false if the field is absent or its expression has an error.
 func (b *Block) evaluate(field string) (value cty.Value, ok bool) {
 	attribute := b.fields[field]
 	if attribute == nil {
--- a/internal/operator/block/diagnostics.go
+++ b/internal/operator/block/diagnostics.go
@@ -13,11 +13,11 @@
 type Diagnostics struct {
 	text      []byte
 	problems  Problems
-	variables *hcl.EvalContext // for blocks opened from now on; nil: expressions know no variables
+	variables *hcl.EvalContext // of the blocks opened from now on; nil: no variables
 }
 
-// NewDiagnostics returns empty diagnostics of a file with this text, from which the names of
-// unknown fields are taken.
+// NewDiagnostics returns empty diagnostics of a file with this text, which is needed for the names
+// of unknown fields.
 func NewDiagnostics(text []byte) *Diagnostics { return &Diagnostics{text: text} }
 
 // SetVariables sets the variables that expressions of blocks opened from now on may use, as in
@@ -34,7 +34,7 @@
 	d.variables = &hcl.EvalContext{Variables: values}
 }
 
-// Add adds a problem at a place of the file.
+// Add adds a problem at a position in the file.
 func (d *Diagnostics) Add(at hcl.Range, field, why string) {
 	d.problems = append(d.problems, Problem{
 		File:   at.Filename,
@@ -45,7 +45,7 @@
 	})
 }
 
-// AddHCL adds what the HCL library found when it read the block or field within.
+// AddHCL adds the diagnostics that the HCL library returned for the block or field within.
 func (d *Diagnostics) AddHCL(found hcl.Diagnostics, within string) {
 	for _, diagnostic := range found {
 		d.addHCL(diagnostic, within)
@@ -57,8 +57,8 @@
 	if found.Subject != nil {
 		at = *found.Subject
 	}
-	// The library's message for an unknown field or block begins with this word, and its place is
-	// the name.
+	// The library's message for an unknown field or block begins with this word, and its range is
+	// that of the name.
 	isUnknownName := strings.HasPrefix(found.Summary, "Unsupported") && found.Subject != nil
 	if isUnknownName {
 		d.Add(at, qualifiedName(within, string(at.SliceBytes(d.text))), "is not known")
@@ -71,7 +71,7 @@
 	d.Add(at, within, why)
 }
 
-// Problems returns the problems so far in the order of their places; nil if there are none.
+// Problems returns the problems so far, ordered by position; nil if there are none.
 func (d *Diagnostics) Problems() Problems {
 	slices.SortStableFunc(d.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -79,7 +79,7 @@
 	return d.problems
 }
 
-// qualifiedName is the name of a field with that of its block, if any.
+// qualifiedName returns the name of a field, prefixed with that of its block, if any.
 func qualifiedName(block, field string) string {
 	if block == "" {
 		return field
--- a/internal/operator/block/lists.go
+++ b/internal/operator/block/lists.go
@@ -6,8 +6,8 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Strings reads a list of strings of at most maxBytes bytes each; nil if it is absent. An empty
-// list is not nil.
+// Strings reads a list of strings of at most maxBytes bytes each. It returns nil if the field is
+// absent, and an empty list that is not nil if the list is empty or can't be used.
 func (b *Block) Strings(field string, maxBytes int) []string {
 	if !b.Has(field) {
 		return nil
@@ -21,27 +21,28 @@
 	return texts
 }
 
-// elements returns the values of a list.
+// elements returns the elements of a list.
 func (b *Block) elements(field string) []cty.Value {
 	value, ok := b.evaluate(field)
 	if !ok {
 		return nil
 	}
 	if value.IsNull() || !value.IsKnown() || !value.Type().IsTupleType() {
-		b.AddProblem(field, "is no list")
+		b.AddProblem(field, "is not a list")
 		return nil
 	}
 	return value.AsValueSlice()
 }
 
-// StringMap reads strings by name, of at most maxBytes bytes each; nil if it is absent.
+// StringMap reads a map of strings of at most maxBytes bytes each; nil if the field is absent or is
+// not a map.
 func (b *Block) StringMap(field string, maxBytes int) map[string]string {
 	value, ok := b.evaluate(field)
 	if !ok {
 		return nil
 	}
 	if value.IsNull() || !value.IsKnown() || !value.Type().IsObjectType() {
-		b.AddProblem(field, `is no list of names and texts, such as { team = "\"a\"" }`)
+		b.AddProblem(field, `is not a map of names to texts, such as { team = "\"a\"" }`)
 		return nil
 	}
 	texts := map[string]string{}
@@ -53,15 +54,15 @@
 	return texts
 }
 
-// element returns one string of a list or map.
+// element returns one element of a list or map as a string. ok is false if it can't be used.
 func (b *Block) element(field string, value cty.Value, maxBytes int) (text string, ok bool) {
 	if value.IsNull() || !value.IsKnown() || !value.Type().Equals(cty.String) {
-		b.AddProblem(field, "holds something that is no text in quotes")
+		b.AddProblem(field, "has an element that is not text in quotes")
 		return "", false
 	}
 	text = value.AsString()
 	if len(text) > maxBytes {
-		b.AddProblem(field, fmt.Sprintf("holds a text of over %d bytes", maxBytes))
+		b.AddProblem(field, fmt.Sprintf("has an element of over %d bytes", maxBytes))
 		return "", false
 	}
 	return text, true
--- a/internal/operator/block/problem.go
+++ b/internal/operator/block/problem.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Problem is one thing in a file that can't be used.
+// Problem is one error in a file.
 type Problem struct {
 	File   string
 	Line   int    // from 1; 0: the file as a whole
 	Column int    // from 1; 0: the file as a whole
-	Field  string // as block.field; empty where the file's syntax is at fault
+	Field  string // as block.field; empty for a problem of the syntax
 	Why    string
 }
 
-// Error is file:line:column, field and reason.
+// Error returns file:line:column, field and reason.
 func (p Problem) Error() string {
 	text := p.File
 	if p.Line > 0 {
@@ -26,10 +26,10 @@
 	return text + ": " + p.Why
 }
 
-// Problems are all problems of a file, in the order of their places.
+// Problems are all problems of a file, ordered by position.
 type Problems []Problem
 
-// Error has a line for each problem.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/operator/cases.go
+++ b/internal/operator/cases.go
@@ -14,21 +14,22 @@
 	"mintkeel/router"
 )
 
-// Case is a query together with what the rules are expected to do to it.
+// Case is a test case for the rules: a query and the expected result.
 type Case struct {
 	Name         string
 	Query        rules.Query
 	expectations []expectation
 }
 
-// expectation is one field of a case. Fields that the file does not name are not checked.
+// expectation is the expected value of one field of a case. Fields that are not set in the file are
+// not checked.
 type expectation struct {
 	field string
 	want  any
 	got   func(v rules.Verdict, matched []string) any
 }
 
-// check returns what is wrong; empty if the expectation is met.
+// check returns the difference between the expected and the actual value; empty if there is none.
 func (e expectation) check(v rules.Verdict, matched []string) string {
 	got := fmt.Sprintf("%q", e.got(v, matched))
 	want := fmt.Sprintf("%q", e.want)
@@ -38,7 +39,7 @@
 	return fmt.Sprintf("%s is %s, not %s", e.field, got, want)
 }
 
-// caseSchema is the blocks of a file of cases.
+// caseSchema has the blocks of a file of cases.
 var caseSchema = &hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
 	{Type: "case", LabelNames: []string{"name"}},
 }}
@@ -86,7 +87,7 @@
 	return Case{Name: b.Labels[0], Query: query, expectations: readExpectations(open, facts)}
 }
 
-// readExpectations reads the fields of a case that say what is expected.
+// readExpectations reads the fields of a case that have expected values.
 func readExpectations(open *block.Block, facts *settings.Facts) []expectation {
 	classNames := RuleFacts(facts).ClassNames
 	expectations := []expectation{
@@ -127,7 +128,8 @@
 	return sortInPlace(names)
 }
 
-// Run applies the rules to the query and returns what is not as expected; nothing if all is.
+// Run applies the rules to the query and returns the differences from the expected result; none if
+// the case passes.
 func (c *Case) Run(set *rules.Set) []string {
 	verdict, tried := set.Explain(&c.Query)
 	matched := []string{}
--- a/internal/operator/complexity.go
+++ b/internal/operator/complexity.go
@@ -9,17 +9,17 @@
 	"mintkeel/internal/operator/block"
 )
 
-// The HCL library parses by recursion, so a small file of brackets or operators could need a stack
-// that the process has no memory for, and end it. Its scanner does not recurse, so tokens are
-// counted before the file is parsed.
+// The HCL library has a recursive parser, so that a small file of brackets or operators could need
+// more stack than the process has memory for, and crash it. The library's scanner does not recurse,
+// so these limits are checked on its tokens before the file is parsed.
 const (
-	maxDepth     = 32   // brackets within each other
+	maxDepth     = 32   // nested brackets
 	maxOperators = 2000 // outside of strings
-	maxDigits    = 64   // of a number: the time to read one grows with the square
+	maxDigits    = 64   // of a number: the time to parse one grows with the square of its digits
 )
 
-// checkComplexity returns the first place at which a file is too complex to be parsed; nil if there
-// is none. Scan errors are left to the parser, which finds them again.
+// checkComplexity returns a problem at the first position at which a file exceeds a limit; nil if
+// there is none. Scan errors are ignored, as the parser reports them again.
 func checkComplexity(path string, text []byte) *block.Problem {
 	tokens, _ := hclsyntax.LexConfig(text, path, hcl.InitialPos)
 	depth := 0
@@ -36,7 +36,7 @@
 		case operators > maxOperators:
 			why = fmt.Sprintf("has over %d operators", maxOperators)
 		case depth > maxDepth:
-			why = fmt.Sprintf("has over %d brackets within each other", maxDepth)
+			why = fmt.Sprintf("has over %d nested brackets", maxDepth)
 		}
 		if why != "" {
 			at := token.Range.Start
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// isOperator reports whether a token is one that the parser recurses for.
+// isOperator reports whether a token is an operator at which the parser recurses.
 func isOperator(token hclsyntax.TokenType) bool {
 	switch token {
 	case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion, hclsyntax.TokenPlus,
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -15,30 +15,30 @@
 	"mintkeel/internal/settings"
 )
 
-// Local is what a document is completed with on one controller.
+// Local is what one controller adds to a document.
 type Local struct {
 	// Name is the controller's name, which the document's block memory may use as ${name}.
 	Name string
-	// File is the controller's own file, which holds as long as the fleet has agreed on no version.
+	// File is the controller's own file, which is in force until the fleet has agreed on a version.
 	File *File
 }
 
-// localFields are the fields of the block fleet that each controller has in its own file. A document
-// has only the others.
+// localFields are the fields of the block fleet that belong in each controller's own file. A
+// document may have only the others.
 var localFields = []string{
 	"name", "generation", "listen", "advertise", "key_file", "folder", "council", "lease", "willing",
 }
 
-const onlyInLocalFile = "is each controller's own: it stands in its file alone"
+const onlyInLocalFile = "is each controller's own: only its own file may have it"
 
 // ParseDocument reads a document that the fleet agrees on: the operator's file for all controllers,
-// without the blocks and fields that are each controller's own. It returns the file that this
-// controller would run with: its own blocks fleet and config, and all else from the document.
-// Blocks that the document does not have are off or have defaults; leases that it does not name are
-// those of the controller's own file.
+// without the blocks and fields that belong in each controller's own file. It returns the file that
+// this controller would run with: its own blocks fleet and config, and all else from the document.
+// Blocks that the document does not have are off or have defaults; if it does not list the leases,
+// those of the controller's own file stay.
 //
-// What a running controller can't change without a restart is a problem of its field. The path is
-// used in problems only; the error is a block.Problems. ParseDocument has no effects.
+// A field whose change requires a restart of the controller is a problem. The path is used in
+// problems only; the error is a block.Problems. ParseDocument has no side effects.
 func ParseDocument(path string, text []byte, local Local, facts *settings.Facts) (*File, error) {
 	if len(text) > config.MaxDocument {
 		why := fmt.Sprintf("has over %d bytes", config.MaxDocument)
@@ -74,7 +74,7 @@
 	f.Rules = readRules(ruleBlocks, facts, diagnostics)
 }
 
-// readDocumentBlock reads a block that is no rule.
+// readDocumentBlock reads a block other than rule.
 func (f *File) readDocumentBlock(b *hcl.Block, local Local, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
@@ -93,8 +93,8 @@
 	}
 }
 
-// readDocumentLeases reads the block fleet of a document, which has only the leases, and returns
-// the controller's own block with these.
+// readDocumentLeases reads the block fleet of a document, which may only list the leases, and
+// returns the controller's own block with that list.
 func readDocumentLeases(b *hcl.Block, local *File, diagnostics *block.Diagnostics) *fleet.Block {
 	open := block.Open(b, diagnostics, append([]string{"works"}, localFields...)...)
 	for _, field := range localFields {
@@ -111,8 +111,8 @@
 	return &merged
 }
 
-// checkDocumentMaintenance notes a document that turns scheduled maintenance on or off, which a
-// running controller can't.
+// checkDocumentMaintenance adds a problem if a document turns scheduled maintenance on or off, as
+// that requires a restart of the controller.
 func checkDocumentMaintenance(
 	at hcl.Range, wanted, running *maintenance.Block, diagnostics *block.Diagnostics,
 ) {
@@ -131,9 +131,9 @@
 	return "on"
 }
 
-// onlyLiterals notes expressions that compute something. A document comes over the network, and a
-// loop or a large power could take any time and memory. It needs only strings with ${name},
-// numbers, lists and maps.
+// onlyLiterals reports whether a document has literal expressions only, and adds a problem for each
+// other one. A document comes over the network, and a loop or a large power could take unlimited
+// time and memory. A document needs only strings with ${name}, numbers, lists and maps.
 func onlyLiterals(parsed *hcl.File, diagnostics *block.Diagnostics) bool {
 	body, ok := parsed.Body.(*hclsyntax.Body)
 	if !ok {
@@ -144,7 +144,7 @@
 		expression, isExpression := node.(hclsyntax.Expression)
 		if isExpression && !isLiteral(expression) {
 			literal = false
-			diagnostics.Add(node.Range(), "", "computes something: a document holds plain values")
+			diagnostics.Add(node.Range(), "", "is computed: a document may have plain values only")
 		}
 		return nil
 	})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,7 +21,7 @@
 	"mintkeel/internal/settings"
 )
 
-// maxFileBytes bounds a file, and with it the memory to read it: a controller may have only 32 MB.
+// maxFileBytes bounds a file and the memory needed to read it: a controller may have only 32 MB.
 const maxFileBytes = 1 << 20
 
 // Names of the blocks of an operator's file.
@@ -34,8 +34,8 @@
 	blockRule        = "rule"
 )
 
-// fileSchema is the blocks of an operator's file, and of a document for all controllers. Rules may
-// be many; of all other blocks there is one at most.
+// fileSchema has the blocks of an operator's file, and of a document for all controllers. There may
+// be many rules, and at most one of each other block.
 var fileSchema = &hcl.BodySchema{Blocks: []hcl.BlockHeaderSchema{
 	{Type: blockLog},
 	{Type: blockMemory},
@@ -45,9 +45,9 @@
 	{Type: blockRule, LabelNames: []string{"name"}},
 }}
 
-// File is what an operator's file says.
+// File is the content of an operator's file.
 type File struct {
-	// Log has the defaults if the file has no such block.
+	// Log has the defaults if the file has no block log.
 	Log logs.Block
 	// Memory is nil if statistics are not stored.
 	Memory *memory.Block
@@ -55,15 +55,15 @@
 	Rules *rules.Set
 	// Fleet is nil if the controller belongs to no fleet.
 	Fleet *fleet.Block
-	// Maintenance is nil if the controller takes no part in scheduled maintenance.
+	// Maintenance is nil if the controller does not take part in scheduled maintenance.
 	Maintenance *maintenance.Block
 	// Config is nil if the controller does not take its configuration from the fleet.
 	Config *configuration.Block
 }
 
-// Read reads an operator's file for a controller with these settings; an empty path means that
-// there is none, and everything is off. The error is a block.Problems with everything that is
-// wrong, unless the file can't be read at all.
+// Read reads an operator's file for a controller with these settings. An empty path means that
+// there is no file, and everything is off. The error is a block.Problems with all problems, unless
+// the file can't be read at all.
 func Read(path string, facts *settings.Facts) (*File, error) {
 	if path == "" {
 		return &File{Log: logs.DefaultBlock()}, nil
@@ -80,8 +80,8 @@
 	return Parse(path, text, facts)
 }
 
-// Parse reads the text of an operator's file. The error is a block.Problems, in which alone the
-// path is used.
+// Parse reads the text of an operator's file. The path is used in problems only; the error is a
+// block.Problems.
 func Parse(path string, text []byte, facts *settings.Facts) (*File, error) {
 	if len(text) > maxFileBytes {
 		return nil, block.Problems{{File: path, Why: fmt.Sprintf("has over %d bytes", maxFileBytes)}}
@@ -96,8 +96,8 @@
 	return file, nil
 }
 
-// parse parses HCL and calls read with the result, unless the syntax is wrong. All problems, also
-// those of read, are in the error, a block.Problems.
+// parse parses HCL and calls read with the result, unless the syntax is invalid. The error is a
+// block.Problems with all problems, including those that read added.
 func parse(path string, text []byte, read func(*hcl.File, *block.Diagnostics)) error {
 	if problem := checkComplexity(path, text); problem != nil {
 		return block.Problems{*problem}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// Problems returns the problems in an error of Read, Parse, ParseDocument or ReadCases; nil if it
-// holds none.
+// Problems returns the problems in an error of Read, Parse, ParseDocument or ReadCases; nil if the
+// error is of another kind.
 func Problems(err error) block.Problems {
 	var problems block.Problems
 	errors.As(err, &problems)
@@ -143,7 +143,7 @@
 	f.Rules = readRules(ruleBlocks, facts, diagnostics)
 }
 
-// readBlock reads a block that is no rule.
+// readBlock reads a block other than rule.
 func (f *File) readBlock(b *hcl.Block, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockLog:
@@ -159,26 +159,28 @@
 	}
 }
 
-// checkFleetBlock notes blocks that need a block fleet, in a file without one.
+// checkFleetBlock adds a problem for a block that needs a block fleet, in a file without one.
 func checkFleetBlock(b *hcl.Block, diagnostics *block.Diagnostics) {
 	switch b.Type {
 	case blockMaintenance:
-		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: controllers settle it among them")
+		diagnostics.Add(b.DefRange, b.Type, "needs a block fleet: its controllers coordinate it")
 	case blockConfig:
 		diagnostics.Add(b.DefRange, b.Type,
 			"needs a block fleet: its controllers agree on the configuration")
 	}
 }
 
-// splitRules separates the rules from the blocks of which there may be one, and notes a second one.
-func splitRules(blocks hcl.Blocks, diagnostics *block.Diagnostics) (otherBlocks, ruleBlocks hcl.Blocks) {
+// splitRules separates the rules from the other blocks, and adds a problem for each repeated block.
+func splitRules(
+	blocks hcl.Blocks, diagnostics *block.Diagnostics,
+) (otherBlocks, ruleBlocks hcl.Blocks) {
 	seen := map[string]bool{}
 	for _, b := range blocks {
 		switch {
 		case b.Type == blockRule:
 			ruleBlocks = append(ruleBlocks, b)
 		case seen[b.Type]:
-			diagnostics.Add(b.DefRange, b.Type, "stands here a second time")
+			diagnostics.Add(b.DefRange, b.Type, "is repeated: there may be only one")
 		default:
 			seen[b.Type] = true
 			otherBlocks = append(otherBlocks, b)
@@ -187,7 +189,7 @@
 	return otherBlocks, ruleBlocks
 }
 
-// withMaintenance adds the lease of scheduled maintenance to others, if that is on.
+// withMaintenance adds the lease of scheduled maintenance to others, if maintenance is on.
 func withMaintenance(names []lease.Name, maintenanceBlock *maintenance.Block) []lease.Name {
 	if maintenanceBlock == nil || slices.Contains(names, maintenance.Lease) {
 		return names
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -15,10 +15,10 @@
 	"mintkeel/match"
 )
 
-// Bounds of texts in the file. The rules have bounds of their own, for what their expressions cost.
+// Bounds of texts in the file. Package rules has further bounds, on the cost of expressions.
 const (
 	maxTextBytes = 64 << 10 // bytes of an expression, a label or the text of a rejection
-	maxNameBytes = 64       // bytes of the name of a kind, zone or profile
+	maxNameBytes = 64       // bytes of the name of a machine kind, zone or query class
 
 	maxKeyBytes = 128 // bytes of an ordering key that a case expects
 
@@ -26,8 +26,8 @@
 	maxEstimate = time.Hour
 )
 
-// readRules reads the blocks rule, in their order, and compiles them; nil if there are none.
-// Problems within an expression are noted at its field, with their place in the expression.
+// readRules reads the blocks rule, in order, and compiles them; nil if there are none. A problem
+// within an expression is added at the field, with its position in the expression.
 func readRules(
 	blocks hcl.Blocks, facts *settings.Facts, diagnostics *block.Diagnostics,
 ) *rules.Set {
@@ -51,7 +51,7 @@
 	return set
 }
 
-// readRule reads the fields of one rule. rules.Rule says what each means, and what an absent one.
+// readRule reads the fields of one rule. rules.Rule documents each field and its default.
 func readRule(name string, open *block.Block) rules.Rule {
 	return rules.Rule{
 		Name:        name,
@@ -70,8 +70,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// describeRuleProblem is the reason and, for a problem within an expression, its place and the line
-// with a mark under it.
+// describeRuleProblem returns the reason and, for a problem within an expression, its position and
+// the line with a caret under it.
 func describeRuleProblem(p rules.Problem) string {
 	if p.Place == nil {
 		return p.Reason
@@ -80,10 +80,10 @@
 	return fmt.Sprintf("%s, at %d:%d of the expression:\n%s", p.Reason, line, column, p.Place.Caret())
 }
 
-// RuleBounds bounds what one expression of a rule may cost.
+// RuleBounds returns the bounds on the cost of one expression of a rule.
 func RuleBounds() match.Bounds { return match.DefaultBounds() }
 
-// RuleFacts returns what rules need to know of the settings.
+// RuleFacts returns the part of the settings that rules depend on.
 func RuleFacts(f *settings.Facts) rules.Facts {
 	facts := rules.Facts{
 		ClassNames: make([]string, len(f.Classes)),
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -1,7 +1,7 @@
 package operator
 
-// Operators' files outlive versions of the program: a name in them that changes is found only at a controller's start.
-// This test reads a file with each block and field, and compares all that was read with what an earlier build read.
+// Operators' files outlive versions of the program: a changed name of a field shows only when a controller starts.
+// This test reads a file with each block and field, and compares the result with that of an earlier build.
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 	"mintkeel/router"
 )
 
-// printer prints values under names that are those of this test, and not of the fields.
+// printer prints values under names of this test, which stay when fields are renamed.
 type printer struct{ strings.Builder }
 
 func (p *printer) line(name string, value any) { fmt.Fprintf(p, "%s = %v\n", name, value) }
@@ -64,7 +64,7 @@
 	p.line("maintenance list", b.List)
 }
 
-// verdict prints what the rules do to a command.
+// verdict prints the result of the rules for a query.
 func (p *printer) verdict(name string, set *rules.Set, query rules.Query) {
 	verdict := set.Apply(&query, &rules.Scratch{})
 	p.line(name+" refused", verdict.Rejection)
@@ -77,7 +77,7 @@
 	p.line(name+" labels", verdict.Labels)
 }
 
-// storedFacts are settings with a profile that may go anywhere, one that may not, and one that keeps order.
+// storedFacts returns settings with a query class without constraints, one bound to a machine kind, and an ordered one.
 func storedFacts() *settings.Facts {
 	return &settings.Facts{Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true}},
 		Names: settings.Names{MachineKinds: map[string]router.KindID{"std": 0, "c16": 1}, ZoneAt: []string{"east"},
@@ -108,10 +108,10 @@
 	golden.File(t, "file.golden", []byte(p.String()))
 }
 
-// fieldName is a field within a block of deploy/operator.hcl, which stands there as a comment.
+// fieldName matches a field within a commented block of deploy/operator.hcl.
 var fieldName = regexp.MustCompile(`(?m)^# +([a-z_]+) +=`)
 
-// TestStoredFileHasFieldsOfDeployed checks that the stored file has each block and field that the deployed one shows.
+// TestStoredFileHasFieldsOfDeployed checks that the stored file has each block and field of the deployed one.
 func TestStoredFileHasFieldsOfDeployed(t *testing.T) {
 	deployed, err := os.ReadFile("../../deploy/operator.hcl")
 	if err != nil {
@@ -123,14 +123,14 @@
 	}
 	fields := fieldName.FindAllStringSubmatch(string(deployed), -1)
 	if len(fields) < 10 {
-		t.Fatalf("%d fields are found", len(fields))
+		t.Fatalf("found %d fields in the deployed file, want at least 10", len(fields))
 	}
 	for _, field := range fields {
 		if !regexp.MustCompile(`(?m)^ +` + field[1] + ` +=`).Match(stored) {
 			t.Errorf("field %s of the deployed file is not in the stored one", field[1])
 		}
 	}
-	var uncommented strings.Builder // the deployed file with its blocks as they stand in the comments
+	var uncommented strings.Builder // the deployed file with its commented blocks turned on
 	inBlock := false
 	for line := range strings.Lines(string(deployed)) {
 		text := strings.TrimPrefix(line, "# ")
@@ -145,7 +145,7 @@
 		t.Fatalf("%v\n%s", err, uncommented.String())
 	}
 	if file.Memory == nil || file.Rules.Len() != 1 || file.Fleet == nil || file.Config == nil || file.Maintenance == nil {
-		t.Errorf("%+v", file)
+		t.Errorf("deployed file with its blocks turned on is read as %+v, want all blocks and one rule", file)
 	}
 }
 
