--- a/internal/settings/class.go
+++ b/internal/settings/class.go
@@ -2,8 +2,8 @@
 
 import "mintkeel/router"
 
-// Words of the settings for what a second run of a query does, and for the engines that know of
-// each other's idempotency keys.
+// Values of the settings effect and dedup_scope: the effect of running a query twice, and the
+// engines that share idempotency keys.
 var (
 	effects = map[string]router.RepeatEffect{
 		"free":        router.Idempotent,
@@ -17,7 +17,7 @@
 	}
 )
 
-// class reads the i-th query class, which has keys that begin with prefix.
+// class reads the i-th query class, whose keys begin with prefix.
 func (p *parser) class(prefix string, i int, names *Names) router.QueryClass {
 	effect, scope := p.repeatEffect(prefix)
 	return router.QueryClass{
@@ -37,8 +37,8 @@
 	}
 }
 
-// repeatEffect reads what a second run of a query does. The scope has to be known only for deduplicated
-// queries.
+// repeatEffect reads the effect of running a query twice. The scope is required only for
+// deduplicated queries.
 func (p *parser) repeatEffect(prefix string) (router.RepeatEffect, router.DeduplicationScope) {
 	effect, known := effects[p.values[prefix+"effect"]]
 	if !known {
@@ -51,8 +51,8 @@
 	return effect, scope
 }
 
-// classKinds reads the machine kinds that may run a class; nil: any. Names that the settings don't
-// list are ignored, so a key with none that is known allows no kind.
+// classKinds reads the machine kinds that may run a class; nil: any. Names of kinds that the
+// settings don't have are ignored, so a list of only such names allows no kind.
 func (p *parser) classKinds(key string, names *Names) []router.KindID {
 	if !p.has(key) {
 		return nil
--- a/internal/settings/parser.go
+++ b/internal/settings/parser.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxListItems bounds a list of objects: its length is itself a value, and may be any number.
+// maxListItems bounds a list of objects, whose length is read from a value and may be any number.
 const maxListItems = 1_000_000
 
 // FieldError is a setting that can't be used.
@@ -18,8 +18,8 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Why) }
 
-// parser reads values by key. A value that can't be used is read as zero; the first of them is kept
-// as the error.
+// parser reads values by key. A value that can't be used is read as zero; the first such value is
+// reported as the error.
 type parser struct {
 	values Values
 	err    error
@@ -40,7 +40,7 @@
 
 func (p *parser) int(key string) int { return int(p.float(key)) }
 
-// milliseconds reads a time in ns.
+// milliseconds reads a duration in ns and returns it in ms.
 func (p *parser) milliseconds(key string) float64 { return p.float(key) / 1e6 }
 
 func (p *parser) bool(key string) bool {
@@ -55,7 +55,7 @@
 	}
 }
 
-// list reads a list of plain values; nil if it is empty or absent.
+// list reads a list of scalar values; nil if it is empty or absent.
 func (p *parser) list(key string) []string {
 	if p.values[key] == "" {
 		return nil
@@ -63,7 +63,7 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// item is the i-th of a list of plain values; empty if the list is shorter.
+// item returns the i-th value of a list of scalar values; empty if the list is shorter.
 func (p *parser) item(key string, i int) string {
 	list := p.list(key)
 	if i >= len(list) {
@@ -74,7 +74,7 @@
 
 func (p *parser) floatItem(key string, i int) float64 { return p.parseFloat(key, p.item(key, i)) }
 
-// count is the length of a list of objects.
+// count returns the length of a list of objects.
 func (p *parser) count(key string) int {
 	n := p.float(key + ".count")
 	if n < 0 || n > maxListItems {
@@ -84,14 +84,14 @@
 	return int(n)
 }
 
-// parseFloat reads the text of a key's value; 0 if it is empty.
+// parseFloat parses the value of a key; 0 if it is empty.
 func (p *parser) parseFloat(key, text string) float64 {
 	if text == "" {
 		return 0
 	}
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(x) {
-		p.fail(key, fmt.Sprintf("%q is no number", text))
+		p.fail(key, fmt.Sprintf("%q is not a number", text))
 	}
 	return x
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,7 +7,7 @@
 	"mintkeel/router"
 )
 
-// Facts is what the settings say. Times are in ms, except for those of Connections.
+// Facts is the parsed settings. Durations are in ms, except for those of Connections.
 type Facts struct {
 	Identity     router.Identity
 	MachineKinds []router.MachineKind // by router.KindID
@@ -19,7 +19,7 @@
 	Connections  Connections
 }
 
-// Names maps the names that are used on the wires to ids of package router.
+// Names maps names used on the wires to ids of package router, and back.
 type Names struct {
 	MachineKinds    map[string]router.KindID
 	Classes         map[string]router.ClassID
@@ -27,10 +27,10 @@
 	MachineKindAt   []string // names by router.KindID
 	ZoneAt          []string // names of the zones
 	ReportFields    []string // names of the fields of a load report, in their order
-	AnswersHaveCost bool     // answers of engines say what a query cost
+	AnswersHaveCost bool     // engines' answers include the cost of the query
 }
 
-// MachineKind returns the id of a machine kind; -1 if the settings have none of this name.
+// MachineKind returns the id of a machine kind; -1 if the settings have no kind of this name.
 func (n *Names) MachineKind(name string) router.KindID {
 	if kind, known := n.MachineKinds[name]; known {
 		return kind
@@ -38,15 +38,15 @@
 	return -1
 }
 
-// Connections is what the settings say about connections to engines.
+// Connections has the settings of connections to engines.
 type Connections struct {
-	// ConnectTimeout is the time for a connection to be established. 0: limits.For has a default.
+	// ConnectTimeout bounds the time to establish a connection. 0: the default of limits.For.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which engines close an unused connection. 0: limits.For has a
-	// default.
+	// IdleTimeout is the time after which engines close an unused connection. 0: the default of
+	// limits.For.
 	IdleTimeout time.Duration
-	// AttemptsPerConnection is how many attempts one connection carries at a time. 0: package engines
-	// has a default.
+	// AttemptsPerConnection is the number of concurrent attempts on one connection. 0: the default of
+	// package engines.
 	AttemptsPerConnection int
 }
 
@@ -56,8 +56,8 @@
 		f.SafetyLimits)
 }
 
-// Read reads settings. The error is a *FieldError of the first value that can't be used, in the
-// order in which they are read here.
+// Read parses settings. The error is a *FieldError of the first value that can't be used, in the
+// order in which Read reads them.
 func Read(values Values) (*Facts, error) {
 	p := &parser{values: values}
 	f := &Facts{Names: p.names()}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"mintkeel/router"
 )
 
-// The same settings come as the wire's pairs and as nested JSON. Both are read as the same facts.
+// The same settings given as the wire's key-value pairs and as nested JSON are read as equal facts.
 func TestPairsAndNestedJSONAreReadAlike(t *testing.T) {
 	pairs := Values{"kinds": "a,b", "family_info.size_cores": "8,4", "family_info.holds_tables": "false,true",
 		"services.count": "2", "services": "", "services.0.name": "x", "services.0.effect": "free",
@@ -21,15 +21,15 @@
 		"accounts": []any{map[string]any{"name": "big_one", "quota_per_s": 2.5}},
 		"contract": map[string]any{"resend_span_ns": 1e9}}
 	if flat := Flatten(nested); !reflect.DeepEqual(flat["services.1.bound_to"], "b") {
-		t.Errorf("%v", flat)
+		t.Errorf("flattened settings %v, want services.1.bound_to to be \"b\"", flat)
 	}
 	fromPairs, err := Read(pairs)
 	fromNested, nestedErr := Read(Flatten(nested))
 	if err != nil || nestedErr != nil || !reflect.DeepEqual(fromPairs, fromNested) {
-		t.Errorf("%+v, %v\n%+v, %v", fromPairs, err, fromNested, nestedErr)
+		t.Errorf("pairs are read as %+v, %v\nnested JSON as %+v, %v", fromPairs, err, fromNested, nestedErr)
 	}
 	if class := fromPairs.Classes[1]; !reflect.DeepEqual(class.Kinds, []router.KindID{1}) || !class.LocksTables || fromPairs.Classes[0].LatencyObjective != 1.5 ||
 		!fromPairs.SafetyLimits.RetryBudgeted || fromPairs.Tenants[fromPairs.Names.Tenants["big_one"]].QueriesPerSecond != 2.5 || fromPairs.Names.MachineKind("none") != -1 {
-		t.Errorf("%+v", fromPairs)
+		t.Errorf("facts %+v differ from the settings", fromPairs)
 	}
 }
--- a/internal/settings/stored_test.go
+++ b/internal/settings/stored_test.go
@@ -1,9 +1,8 @@
 package settings
 
 // A renamed or dropped key of the settings is read as its zero value, without an error: a
-// controller would start and decide by other figures than its platform gave. This test reads
-// settings in which each key is set, and compares all that was read with what an earlier build
-// read.
+// controller would start and decide with other values than its platform configured. This test reads
+// settings in which each key is set, and compares the result with that of an earlier build.
 
 import (
 	"bytes"
@@ -19,7 +18,7 @@
 	"mintkeel/router"
 )
 
-// printer prints values under names that are those of this test, and not of the fields.
+// printer prints values under names of this test, which stay when fields are renamed.
 type printer struct{ strings.Builder }
 
 func (p *printer) line(name string, value any) { fmt.Fprintf(p, "%s = %#v\n", name, value) }
@@ -157,8 +156,8 @@
 	golden.File(t, "facts.golden", []byte(p.String()))
 }
 
-// TestSettingsSumIsStable pins the hash by which a memory folder is known to be of the same
-// settings: with another hash all that was learned is dropped at a start.
+// TestSettingsSumIsStable pins the hash that identifies the settings of a stored snapshot: with
+// another hash, all stored statistics are dropped at start.
 func TestSettingsSumIsStable(t *testing.T) {
 	golden.File(t, "sum.golden", []byte(fmt.Sprintf("%016x\n", readStored(t).Hash())))
 }
@@ -169,6 +168,6 @@
 		SetLoadField(load, name, float64(i+1))
 	}
 	if load.Inflight != 1 || load.Utilization != 2 || load.Memory != 3 || load.Disk != 4 {
-		t.Errorf("%+v", load)
+		t.Errorf("load report %+v, want values 1 to 4 and the unknown name ignored", load)
 	}
 }
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -11,12 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Values are settings by key. A list of plain values is joined by commas. A list of objects has its
-// length under the key ".count" and its items under ".0", ".1" and so on. An absent key stands for
-// a zero value.
+// Values are settings by key. A list of scalar values is joined by commas. A list of objects has
+// its length under the list's key with the suffix ".count", and its items under ".0", ".1" and so
+// on. An absent key stands for a zero value.
 type Values map[string]string
 
-// Hash returns a hash of all values, which differs between different settings.
+// Hash returns a hash of all keys and values, which identifies the settings.
 func (v Values) Hash() uint64 {
 	digest := xxhash.New()
 	for _, key := range slices.Sorted(maps.Keys(v)) {
@@ -25,7 +25,7 @@
 	return digest.Sum64()
 }
 
-// Flatten returns nested JSON as values.
+// Flatten converts nested JSON to values.
 func Flatten(nested map[string]any) Values {
 	values := Values{}
 	for key, item := range nested {
@@ -34,7 +34,7 @@
 	return values
 }
 
-// flatten sets the values of an item under the key at.
+// flatten sets the values of an item that has the key prefix.
 func (v Values) flatten(prefix string, item any) {
 	switch item := item.(type) {
 	case map[string]any:
