--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -11,20 +11,20 @@
 type Disk interface {
 	// Make creates the directory itself, unless it exists. Its parent must exist.
 	Make() error
-	// Create creates a file for writing; it fails with fs.ErrExist if there is one of this name.
+	// Create creates a file for writing; it fails with fs.ErrExist if the name exists.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
-	// Rename moves a file and replaces the one at the new name, if any.
+	// Rename renames a file and replaces the one at the new name, if any.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// Names lists the names in the directory, in no order.
+	// Names lists the names in the directory, in no particular order.
 	Names() ([]string, error)
-	// Sync makes the creates, renames and removes so far durable.
+	// Sync makes all earlier creates, renames and removes durable.
 	Sync() error
-	// Lock takes an exclusive lock, which ends with Close or with the process; ErrLocked if another
-	// process has it.
+	// Lock takes an exclusive lock, which is released by Close or the end of the process; ErrLocked
+	// if another process holds it.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -32,19 +32,19 @@
 type File interface {
 	io.Reader
 	io.Writer
-	// Sync makes what was written so far durable.
+	// Sync makes all earlier writes durable.
 	Sync() error
-	// Size is the file's size in bytes.
+	// Size returns the file's size in bytes.
 	Size() (int64, error)
 	Close() error
 }
 
-// Errors beside those of the operating system.
+// Errors in addition to those of the operating system.
 var (
 	// ErrLocked means that another process holds the lock.
 	ErrLocked = errors.New("in use by another process")
 	// ErrInvalidName means that a name is empty or would lead out of the directory.
-	ErrInvalidName = errors.New("is no name of a file")
+	ErrInvalidName = errors.New("is not a valid file name")
 	// ErrNotRegular means that a name belongs to a directory, pipe, socket or device.
-	ErrNotRegular = errors.New("is no regular file")
+	ErrNotRegular = errors.New("is not a regular file")
 )
--- a/internal/store/disk/disktest/crash.go
+++ b/internal/store/disk/disktest/crash.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// CrashMode is how a crash treats what was not synced.
+// CrashMode selects which unsynced changes survive a crash.
 type CrashMode int
 
-// The modes of a crash.
+// The modes of a crash. They concern unsynced writes and unsynced changes of names only.
 const (
 	LoseUnsynced        CrashMode = iota // no change of names and no write survives
 	KeepUnsynced                         // all survive
@@ -30,8 +30,8 @@
 	return all
 }
 
-// AfterCrash returns the disk as it is found after a crash at this moment; d itself is not changed.
-// It takes no lock, so that it may be called from the function of OnOperation.
+// AfterCrash returns the disk as a crash at this moment would leave it; d itself is not changed. It
+// does not lock d.mu, so that the function passed to OnOperation may call it.
 func (d *Disk) AfterCrash(mode CrashMode, rng *rand.Rand) *Disk {
 	names := maps.Clone(d.durableNames)
 	for i, change := range d.unsyncedNames {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// afterCrash returns what is left of a file's content.
+// afterCrash returns the content of a file after a crash.
 func (n *inode) afterCrash(mode CrashMode, rng *rand.Rand) []byte {
 	content := slices.Clone(n.synced)
 	for i, written := range n.unsynced {
@@ -87,5 +87,5 @@
 	return content
 }
 
-// tornPrefix returns a prefix of a write.
+// tornPrefix returns a prefix of a write, of random length.
 func tornPrefix(written []byte, rng *rand.Rand) []byte { return written[:rng.Intn(len(written)+1)] }
--- a/internal/store/disk/disktest/disk.go
+++ b/internal/store/disk/disktest/disk.go
@@ -10,32 +10,32 @@
 	"mintkeel/internal/store/disk"
 )
 
-// unlimited is the value of Disk.free of a disk that never gets full.
+// unlimited is the value of Disk.free for a disk that never gets full.
 const unlimited = -1
 
 // ErrNoSpace is the error of a write to a full disk.
 var ErrNoSpace = errors.New("no space left on device")
 
-// Disk is a directory on the modelled disk. New makes one; the zero value is not usable. Any
-// goroutine may use it.
+// Disk is a directory on the modelled disk. Its zero value is not usable; New creates one. It is
+// safe for concurrent use.
 type Disk struct {
-	mu sync.Mutex // guards all below
+	mu sync.Mutex // guards the fields below
 
 	names         map[string]*inode // the directory as the running system sees it
 	durableNames  map[string]*inode // the directory as of the last Sync
 	unsyncedNames []nameChange      // changes of names since then, in order
 	locks         map[string]bool
 
-	operations  int           // operations so far
+	operations  int           // number of operations so far
 	onOperation func(int)     // called before each operation, with its number
 	free        int           // bytes that may still be written, or unlimited
 	failure     error         // of every operation; nil: none
 	failFrom    int           // number of the first operation that fails with failFromErr
 	failFromErr error         // nil: none
-	hang        chan struct{} // operations wait for its close; nil: they don't wait
+	hang        chan struct{} // operations wait until it is closed; nil: they don't wait
 }
 
-// inode is the content of a file, whatever its names.
+// inode is the content of a file, which may have any number of names.
 type inode struct {
 	synced   []byte
 	unsynced [][]byte // writes since the last File.Sync
@@ -49,13 +49,13 @@
 	return content
 }
 
-// nameChange is one change of the directory: name now belongs to node, or to none if node is nil.
+// nameChange is one change of the directory: it binds name to node, or removes it if node is nil.
 type nameChange struct {
 	name string
 	node *inode
 }
 
-// New returns an empty directory on a disk that works and has room.
+// New returns an empty directory on a disk that works and never gets full.
 func New() *Disk {
 	return &Disk{
 		names:        map[string]*inode{},
@@ -65,7 +65,7 @@
 	}
 }
 
-// Put stores a file that is durable at once.
+// Put stores a file durably.
 func (d *Disk) Put(name string, content []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,7 @@
 	d.durableNames[name] = node
 }
 
-// Get returns a file's content as the running system sees it; nil if there is none of this name.
+// Get returns a file's content as the running system sees it; nil if there is no such file.
 func (d *Disk) Get(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,14 +85,14 @@
 	return node.content()
 }
 
-// Make does nothing: the modelled directory exists.
+// Make counts as an operation but changes nothing: the modelled directory exists.
 func (d *Disk) Make() error {
 	err := d.beginOperation()
 	d.mu.Unlock()
 	return err
 }
 
-// Create creates an empty file. Its name is not durable before Sync.
+// Create creates an empty file, whose name is not durable before Sync.
 func (d *Disk) Create(name string) (disk.File, error) {
 	err := d.beginOperation()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	return &file{disk: d, node: d.names[name]}, nil
 }
 
-// Rename moves a file; a crash before Sync may leave it under both names, either or none.
+// Rename renames a file; a crash before Sync may leave it under both names, either or none.
 func (d *Disk) Rename(from, to string) error {
 	err := d.beginOperation()
 	defer d.mu.Unlock()
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// Remove deletes a file; a crash before Sync may bring it back.
+// Remove deletes a file; a crash before Sync may undo that.
 func (d *Disk) Remove(name string) error {
 	err := d.beginOperation()
 	defer d.mu.Unlock()
@@ -189,7 +189,7 @@
 	names[c.name] = c.node
 }
 
-// Lock takes a lock, which a crash releases.
+// Lock takes a lock, which is not held on the disk that AfterCrash returns.
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	err := d.beginOperation()
 	defer d.mu.Unlock()
--- a/internal/store/disk/disktest/faults.go
+++ b/internal/store/disk/disktest/faults.go
@@ -1,13 +1,13 @@
 package disktest
 
-// Fill leaves room for so many bytes; below 0 there is no limit.
+// Fill limits the bytes that may still be written to freeBytes; a negative value removes the limit.
 func (d *Disk) Fill(freeBytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.free = max(freeBytes, unlimited)
 }
 
-// Fail makes every operation from now on fail with err; nil ends it.
+// Fail makes every operation from now on fail with err; nil ends the failure.
 func (d *Disk) Fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -15,7 +15,7 @@
 }
 
 // FailFrom makes operations fail with err from the n-th on, counted from now. The returned function
-// ends that and reports whether any operation failed.
+// ends the failure and reports whether any operation failed.
 func (d *Disk) FailFrom(n int, err error) (reached func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,16 +43,16 @@
 	}
 }
 
-// OnOperation has watch called before each operation, with the operation's number; nil ends it. The
-// disk is locked meanwhile: watch may call AfterCrash and no other method.
+// OnOperation makes the disk call watch before each operation, with the operation's number; nil
+// ends that. The disk is locked during the call: watch may call AfterCrash and no other method.
 func (d *Disk) OnOperation(watch func(op int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onOperation = watch
 }
 
-// beginOperation counts an operation, waits while the disk hangs, and returns the error that the operation
-// has to fail with. It returns with d.mu held, also with an error.
+// beginOperation counts an operation, waits while the disk hangs, and returns the error that the
+// operation has to fail with. It returns with d.mu locked, also if it returns an error.
 func (d *Disk) beginOperation() error {
 	d.mu.Lock()
 	if hang := d.hang; hang != nil {
--- a/internal/store/disk/disktest/file.go
+++ b/internal/store/disk/disktest/file.go
@@ -27,7 +27,7 @@
 	return n, nil
 }
 
-// Write adds to the file's end; on a full disk it writes what there is room for, as a system does.
+// Write appends to the file. On a full disk it writes as many bytes as fit, like a file system.
 func (f *file) Write(b []byte) (int, error) {
 	err := f.disk.beginOperation()
 	defer f.disk.mu.Unlock()
--- a/internal/store/disk/doc.go
+++ b/internal/store/disk/doc.go
@@ -8,11 +8,12 @@
 //     may leave any part of it: nothing, a prefix (a torn write), or zeros where a write was lost
 //     and a later one was not.
 //   - Disk.Sync (fsync of the directory) makes every create, rename and remove so far durable.
-//     Before it, a crash may undo any of them, each for itself.
+//     Before it, a crash may undo any of them, independently of the others.
 //   - Rename replaces its target atomically: a reader finds the old file or the new one. A file
 //     that must be whole under its final name is therefore written under another name, synced,
-//     renamed, and the directory is synced. ReplaceFile does that for a content in memory.
+//     renamed, and the directory is synced. ReplaceFile does that for content in memory.
 //
-// The package computes no checksums: each store has its own and detects what a crash or a bad disk
-// has left. A directory listing is bounded (see Folder.Names); the stores bound the size of files.
+// The package computes no checksums: each store has its own, by which it detects damage by a crash
+// or a bad disk. A directory listing is bounded (see Folder.Names); the stores bound the size of
+// files.
 package disk
--- a/internal/store/disk/folder.go
+++ b/internal/store/disk/folder.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// folderMode and fileMode give access to this user alone: statistics reveal a customer's traffic.
+	// folderMode and fileMode give access to this user only: statistics reveal a customer's traffic.
 	folderMode = 0o700
 	fileMode   = 0o600
 
-	// maxNames bounds how many names are read from a directory, as other programs may fill it.
+	// maxNames bounds the number of names read from a directory, as other programs may fill it.
 	maxNames = 10_000
 )
 
 // Folder is a directory of the operating system's file system, by its path.
 type Folder string
 
-// Make creates the directory, but not its parents: if the parent is missing, a disk may not be
+// Make creates the directory, but not its parents: a missing parent may mean that the disk is not
 // mounted yet.
 func (d Folder) Make() error {
 	err := os.Mkdir(string(d), folderMode)
@@ -40,8 +40,8 @@
 	return f, nil
 }
 
-// Open opens a regular file; other kinds are ErrNotRegular. It does not block: opening a pipe would
-// wait for a writer.
+// Open opens a regular file; for other kinds it returns ErrNotRegular. It opens without blocking,
+// as opening a pipe would otherwise wait for a writer.
 func (d Folder) Open(name string) (File, error) {
 	f, err := d.openFile(name, os.O_RDONLY|syscall.O_NONBLOCK)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return f, nil
 }
 
-// Rename moves a file within the directory.
+// Rename renames a file within the directory.
 func (d Folder) Rename(from, to string) error {
 	source, err := d.path(from)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return f.Sync()
 }
 
-// Lock takes an flock on a file of this name. The kernel releases it when the process ends, however
-// it ends.
+// Lock takes an flock on a file of this name. The kernel releases it when the process ends in any
+// way.
 func (d Folder) Lock(name string) (io.Closer, error) {
 	path, err := d.path(name)
 	if err != nil {
@@ -124,7 +124,8 @@
 	return nil, err
 }
 
-// path is the path of a file in the directory; names that would lead out of it are ErrInvalidName.
+// path returns the path of a file in the directory; ErrInvalidName for names that would lead out of
+// it.
 func (d Folder) path(name string) (string, error) {
 	if name == "" || name != filepath.Base(name) || name == "." || name == ".." {
 		return "", fmt.Errorf("%q %w", name, ErrInvalidName)
@@ -144,7 +145,7 @@
 // osFile adds Size to os.File.
 type osFile struct{ *os.File }
 
-// Size is the file's size in bytes.
+// Size returns the file's size in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/store/disk/replace.go
+++ b/internal/store/disk/replace.go
@@ -5,13 +5,13 @@
 	"io/fs"
 )
 
-// ReplaceFile creates a file with this content, or replaces the one of this name. It is durable
-// when ReplaceFile returns nil.
+// ReplaceFile creates a file with this content, or replaces the one of this name. The new file is
+// durable when ReplaceFile returns nil.
 //
 // The content is written under the name temporary and synced; then the file is renamed and the
-// directory synced. So a crash leaves the former file or the new one, whole, and perhaps a file
-// temporary, torn or whole, which the next call with that name replaces. After an error of anything
-// but the last sync the former file is untouched.
+// directory synced. A crash therefore leaves the former file or the new one, whole, and perhaps the
+// temporary file, torn or whole, which the next call with the same temporary name replaces. After
+// an error of any step but the last sync the former file is unchanged.
 func ReplaceFile(d Disk, name, temporary string, content []byte) error {
 	err := writeSynced(d, temporary, content)
 	if err == nil {
@@ -24,7 +24,7 @@
 	return d.Sync()
 }
 
-// writeSynced writes a file and syncs it. A file of this name, left by a write that did not end, is
+// writeSynced writes a file and syncs it. A file of this name, left by an interrupted write, is
 // removed first.
 func writeSynced(d Disk, name string, content []byte) (err error) {
 	out, err := d.Create(name)
