--- a/internal/store/documents/documents_test.go
+++ b/internal/store/documents/documents_test.go
@@ -19,15 +19,15 @@
 
 var testBounds = Bounds{Document: 200, Documents: 4, Bytes: 500}
 
-// testDocument is the n-th that is stored; no two have the same length.
+// testDocument returns the n-th document; no two have the same length.
 func testDocument(n int) []byte { return bytes.Repeat([]byte{byte(n)}, 20+n) }
 
 func hashOfDocument(n int) Hash { return sha256.Sum256(testDocument(n)) }
 
 func testCurrent(n int) Current { return Current{hashOfDocument(n), fmt.Append(nil, "version ", n)} }
 
-// storeVersion does what a caller does for the n-th version: it stores the document and the record, and
-// removes the document before the last one.
+// storeVersion stores the n-th version as callers do: it stores the document, then the record, and
+// removes the document of version n-2.
 func storeVersion(f *Folder, n int) error {
 	if err := f.Put(hashOfDocument(n), testDocument(n)); err != nil {
 		return err
@@ -50,68 +50,69 @@
 	return f, c
 }
 
-// currentVersion returns the current version of a directory; 0: it has none. Everything that the directory
-// returns must be as it was stored.
+// currentVersion opens a directory and returns its current version; 0: it has none. It fails the
+// test if a document or the record differs from what was stored.
 func currentVersion(t *testing.T, d disk.Disk) int {
 	t.Helper()
 	f, contents := open(t, d)
 	defer f.Close()
 	for hash, content := range contents.Documents {
 		if sha256.Sum256(content) != hash {
-			t.Fatalf("%x is handed out with other content", hash)
+			t.Fatalf("Open returned a document that does not match its hash %x", hash)
 		}
 	}
 	if contents.Current == nil {
 		return 0
 	}
 	if contents.Documents[contents.Current.Document] == nil {
-		t.Fatal("the record is there without its document")
+		t.Fatal("Open returned a record without its document")
 	}
 	for n := range 20 {
 		if contents.Current.Document == hashOfDocument(n) && bytes.Equal(contents.Current.Record, testCurrent(n).Record) {
 			return n
 		}
 	}
-	t.Fatalf("a record is handed out that was never stored: %q", contents.Current.Record)
+	t.Fatalf("Open returned a record that was never stored: %q", contents.Current.Record)
 	return 0
 }
 
-// Versions follow each other over restarts, on the model of a disk and on the operating system's.
+// Versions are stored one after another and across restarts, on the model of a disk and on a real file
+// system.
 func TestVersionsFollowEachOtherOverRestarts(t *testing.T) {
 	for _, d := range []disk.Disk{disktest.New(), disk.Folder(t.TempDir())} {
 		f, contents := open(t, d)
 		if contents.Current != nil || len(contents.Documents) > 0 || contents.Damaged > 0 {
-			t.Errorf("%T: an empty folder holds %+v", d, contents)
+			t.Errorf("%T: Open of an empty directory returned %+v", d, contents)
 		}
 		if _, _, err := Open(d, testBounds); !errors.Is(err, disk.ErrLocked) {
-			t.Errorf("%T: a second process has the folder too: %v", d, err)
+			t.Errorf("%T: a second Open returned %v, want ErrLocked", d, err)
 		}
 		for n := 1; n <= 8; n++ {
 			if err := storeVersion(f, n); err != nil {
-				t.Fatalf("%T: version %d: %v", d, n, err)
+				t.Fatalf("%T: storing version %d: %v", d, n, err)
 			}
 		}
 		f.Close()
 		if got := currentVersion(t, d); got != 8 {
-			t.Errorf("%T: %d is current", d, got)
+			t.Errorf("%T: version %d is current, want 8", d, got)
 		}
 		f, contents = open(t, d)
 		if len(contents.Documents) != 2 || contents.Damaged > 0 {
-			t.Errorf("%T: %d documents are left, %d damaged", d, len(contents.Documents), contents.Damaged)
+			t.Errorf("%T: %d documents, %d damaged; want 2 and 0", d, len(contents.Documents), contents.Damaged)
 		}
 		if err := storeVersion(f, 9); err != nil {
-			t.Errorf("%T: another process can't go on: %v", d, err)
+			t.Errorf("%T: storing a version after reopening: %v", d, err)
 		}
 		f.Close()
 		if got := currentVersion(t, d); got != 9 {
-			t.Errorf("%T: %d is current", d, got)
+			t.Errorf("%T: version %d is current, want 9", d, got)
 		}
 	}
 }
 
-// The machine crashes at some operation, and what was not synced is lost, torn or reordered. The
-// version before or the new one is then current, with its document; once a call has returned, what
-// it stored is there. The next process can continue.
+// The machine crashes at any operation, and unsynced changes are lost, torn or reordered. The previous
+// version or the new one is then current, with its document; what a call stored before it returned is
+// durable. The next process can store versions.
 func TestCrashAtEveryOperation(t *testing.T) {
 	crashPoints := 0
 	for _, mode := range disktest.CrashModes() {
@@ -124,14 +125,14 @@
 					crashPoints++
 					after := d.AfterCrash(mode, rng)
 					if got := currentVersion(t, after); got < stored || got > n {
-						t.Fatalf("crash mode %d, operation %d: %d is found, %d was stored, %d was being stored",
+						t.Fatalf("crash mode %d, operation %d: version %d is current, %d was stored, %d was being stored",
 							mode, op, got, stored, n)
 					}
 					reopened, contents := open(t, after)
 					defer reopened.Close()
 					removeOthers(t, reopened, contents)
 					if err := storeVersion(reopened, 9); err != nil {
-						t.Fatalf("crash mode %d, operation %d: the next process can't go on: %v", mode, op, err)
+						t.Fatalf("crash mode %d, operation %d: the next process can't store a version: %v", mode, op, err)
 					}
 				})
 				if err := f.Put(hashOfDocument(n), testDocument(n)); err != nil {
@@ -140,7 +141,7 @@
 				if err := f.SetCurrent(testCurrent(n)); err != nil {
 					t.Fatal(err)
 				}
-				stored = n // whatever becomes of the removal
+				stored = n // independent of the removal below
 				if n > 2 {
 					if err := f.Remove(hashOfDocument(n - 2)); err != nil {
 						t.Fatal(err)
@@ -148,17 +149,17 @@
 				}
 				d.OnOperation(nil)
 				if got := currentVersion(t, d.AfterCrash(mode, rng)); got != n {
-					t.Fatalf("crash mode %d: %d was stored, %d is found", mode, n, got)
+					t.Fatalf("crash mode %d: version %d was stored, but %d is current", mode, n, got)
 				}
 			}
 		}
 	}
 	if crashPoints < 2500 {
-		t.Errorf("only %d points", crashPoints)
+		t.Errorf("%d crash points were tested, want at least 2500", crashPoints)
 	}
 }
 
-// removeOthers removes all documents but the current one, as a crash may have undone removals.
+// removeOthers removes all documents but the current one, as the crash may have undone removals.
 func removeOthers(t *testing.T, f *Folder, contents Contents) {
 	t.Helper()
 	for hash := range contents.Documents {
@@ -171,7 +172,7 @@
 	}
 }
 
-// A document is put and the machine crashes before any record names it. The document is there.
+// A document is stored and the machine crashes before any record names it. The document is durable.
 func TestDocumentIsDurableBeforeItsRecord(t *testing.T) {
 	for _, mode := range disktest.CrashModes() {
 		d := disktest.New()
@@ -187,8 +188,8 @@
 	}
 }
 
-// A file is cut at some byte or has a bit flipped. Open removes and counts it, and the next process
-// can store the same content again.
+// A file is truncated at any byte, has any bit flipped, or has trailing data. Open removes and counts
+// it, and the same content can be stored again.
 func TestDamagedFilesAreDroppedAndCounted(t *testing.T) {
 	for _, name := range []string{currentName, documentName(hashOfDocument(2)), documentName(hashOfDocument(1))} {
 		whole := diskWithTwoVersions(t).Get(name)
@@ -207,23 +208,23 @@
 			d.Put(name, damaged)
 			f, contents := open(t, d)
 			if contents.Damaged == 0 {
-				t.Fatalf("%s: damage %d is not counted", name, i)
+				t.Fatalf("%s: Open does not count damage %d", name, i)
 			}
 			if isCurrent := contents.Current != nil; isCurrent != (name == documentName(hashOfDocument(1))) {
-				t.Fatalf("%s: damage %d: there is a current version: %v", name, i, isCurrent)
+				t.Fatalf("%s: damage %d: Open returns a record: %v", name, i, isCurrent)
 			}
 			if err := storeVersion(f, 2); err != nil {
-				t.Fatalf("%s: damage %d: %v", name, i, err)
+				t.Fatalf("%s: damage %d: storing the version again: %v", name, i, err)
 			}
 			f.Close()
 			if got := currentVersion(t, d); got != 2 {
-				t.Fatalf("%s: damage %d: stored again, %d is current", name, i, got)
+				t.Fatalf("%s: damage %d: after storing version 2 again, %d is current", name, i, got)
 			}
 		}
 	}
 }
 
-// diskWithTwoVersions returns a disk with two versions.
+// diskWithTwoVersions returns a disk on which versions 1 and 2 are stored.
 func diskWithTwoVersions(t *testing.T) *disktest.Disk {
 	t.Helper()
 	d := disktest.New()
@@ -237,8 +238,8 @@
 	return d
 }
 
-// The disk gets full at some byte of a write. The version before stays, and the new one is stored
-// once there is room.
+// The disk gets full at any byte of a write. The previous version stays, no temporary file is left,
+// and the new version can be stored once there is space.
 func TestFullDiskKeepsTheVersionBefore(t *testing.T) {
 	d := diskWithTwoVersions(t)
 	f, _ := open(t, d)
@@ -246,16 +247,16 @@
 	for freeBytes := range size {
 		d.Fill(freeBytes)
 		if err := storeVersion(f, 3); err == nil {
-			t.Fatalf("%d bytes of room: stored", freeBytes)
+			t.Fatalf("%d bytes free: storing a version returned no error", freeBytes)
 		}
 		for name := range namesOf(t, d) {
 			if strings.HasSuffix(name, temporarySuffix) {
-				t.Fatalf("%d bytes of room: %s is left", freeBytes, name)
+				t.Fatalf("%d bytes free: temporary file %s is left", freeBytes, name)
 			}
 		}
 		f.Close()
 		if got := currentVersion(t, d); got != 2 {
-			t.Fatalf("%d bytes of room: %d is current", freeBytes, got)
+			t.Fatalf("%d bytes free: version %d is current, want 2", freeBytes, got)
 		}
 		f, _ = open(t, d)
 		if err := f.Remove(hashOfDocument(3)); err != nil {
@@ -268,7 +269,7 @@
 	}
 	f.Close()
 	if got := currentVersion(t, d); got != 3 {
-		t.Errorf("room is back, and %d is current", got)
+		t.Errorf("once there is space, version %d is current, want 3", got)
 	}
 }
 
@@ -285,8 +286,8 @@
 	return set
 }
 
-// The disk fails from some operation on. The version before or the new one is current and neither
-// document is removed; the process continues once the disk works.
+// The disk fails from any operation on. The previous version or the new one is then current, and its
+// document is not removed; once the disk works, versions can be stored.
 func TestFailingDiskKeepsBothDocuments(t *testing.T) {
 	for op := 1; ; op++ {
 		d := diskWithTwoVersions(t)
@@ -299,15 +300,15 @@
 		}
 		f.Close()
 		if got := currentVersion(t, d); got != 2 && got != 3 || err == nil && got != 3 {
-			t.Fatalf("fails from operation %d: %v, %d is current", op, err, got)
+			t.Fatalf("disk failed from operation %d: storing version 3 returned %v, and version %d is current", op, err, got)
 		}
 		f, _ = open(t, d)
 		if err := storeVersion(f, 4); err != nil {
-			t.Fatalf("failed from operation %d and is well: %v", op, err)
+			t.Fatalf("disk failed from operation %d and works again: storing version 4: %v", op, err)
 		}
 		f.Close()
 		if got := currentVersion(t, d); got != 4 {
-			t.Fatalf("failed from operation %d and is well: %d is current", op, got)
+			t.Fatalf("disk failed from operation %d and works again: version %d is current, want 4", op, got)
 		}
 		if !failed {
 			break
@@ -315,8 +316,8 @@
 	}
 }
 
-// The directory's sync fails after the record's rename. A restart may find either version, so
-// neither document can be removed before a replacement has succeeded.
+// The sync of the directory fails after the rename of the record. A restart may find either record, so
+// neither document can be removed until SetCurrent has succeeded.
 func TestFailedReplacementKeepsBothDocumentsInUse(t *testing.T) {
 	d := diskWithTwoVersions(t)
 	f, _ := open(t, d)
@@ -326,11 +327,11 @@
 	const syncOfFolder = 5 // create, write, sync, rename, sync
 	reached := d.FailFrom(syncOfFolder, io.ErrClosedPipe)
 	if err := f.SetCurrent(testCurrent(3)); err == nil || !reached() {
-		t.Fatalf("the sync did not fail: %v", err)
+		t.Fatalf("SetCurrent returned %v, want the error of the sync", err)
 	}
 	for n := 2; n <= 3; n++ {
 		if err := f.Remove(hashOfDocument(n)); !errors.Is(err, ErrInUse) {
-			t.Errorf("document %d: %v", n, err)
+			t.Errorf("Remove of document %d returned %v, want ErrInUse", n, err)
 		}
 	}
 	if err := f.SetCurrent(testCurrent(3)); err != nil {
@@ -341,15 +342,15 @@
 	}
 }
 
-// The record is removed. At each crash and after each failure it is there whole or gone, and its
-// document can be removed only once the record is gone for good.
+// The record is removed. After a crash or a failure at any operation it is whole or removed, and its
+// document can be removed only once the removal of the record is durable.
 func TestClearedRecordIsGoneForGood(t *testing.T) {
 	for _, mode := range disktest.CrashModes() {
 		d, rng := diskWithTwoVersions(t), rand.New(rand.NewSource(1))
 		f, _ := open(t, d)
 		d.OnOperation(func(op int) {
 			if got := currentVersion(t, d.AfterCrash(mode, rng)); got != 0 && got != 2 {
-				t.Fatalf("crash mode %d, operation %d: %d is current", mode, op, got)
+				t.Fatalf("crash mode %d, operation %d: version %d is current, want 2 or none (0)", mode, op, got)
 			}
 		})
 		if err := f.ClearCurrent(); err != nil {
@@ -357,7 +358,7 @@
 		}
 		d.OnOperation(nil)
 		if got := currentVersion(t, d.AfterCrash(mode, rng)); got != 0 {
-			t.Errorf("crash mode %d: cleared, and %d is current", mode, got)
+			t.Errorf("crash mode %d: version %d is current after ClearCurrent, want none (0)", mode, got)
 		}
 	}
 	d := diskWithTwoVersions(t)
@@ -365,10 +366,10 @@
 	for op := 1; op <= 2; op++ {
 		reached := d.FailFrom(op, io.ErrClosedPipe)
 		if err := f.ClearCurrent(); err == nil || !reached() {
-			t.Errorf("fails from operation %d: %v", op, err)
+			t.Errorf("disk fails from operation %d: ClearCurrent returned %v, want an error", op, err)
 		}
 		if err := f.Remove(hashOfDocument(2)); !errors.Is(err, ErrInUse) {
-			t.Errorf("failed from operation %d, and the document is let go: %v", op, err)
+			t.Errorf("disk failed from operation %d: Remove returned %v, want ErrInUse", op, err)
 		}
 	}
 	for range 2 {
@@ -381,8 +382,8 @@
 	}
 }
 
-// Reading fails. Open reports that, because a disk that can't be read just now is not one without a
-// version.
+// Reading fails. Open returns the error, so that a disk that can't be read for a while is not taken
+// for one without a current version.
 func TestUnreadableDiskIsNotAnEmptyOne(t *testing.T) {
 	for op := 1; ; op++ {
 		d := diskWithTwoVersions(t)
@@ -392,18 +393,18 @@
 			break
 		}
 		if err == nil && c.Current == nil {
-			t.Errorf("fails from operation %d: the folder is taken for one without a version", op)
+			t.Errorf("disk fails from operation %d: Open returned neither an error nor a record", op)
 		}
 		if err == nil {
 			f.Close()
 		}
 		if got := currentVersion(t, d); got != 2 {
-			t.Errorf("failed from operation %d and is well: %d is current", op, got)
+			t.Errorf("disk failed from operation %d and works again: version %d is current, want 2", op, got)
 		}
 	}
 }
 
-// The disk hangs during a write. The write returns once the disk goes on, and is whole.
+// The disk hangs during a write. The write completes once the disk stops hanging.
 func TestWriteWaitsForAHangingDisk(t *testing.T) {
 	d := diskWithTwoVersions(t)
 	f, _ := open(t, d)
@@ -412,7 +413,7 @@
 	go func() { result <- storeVersion(f, 3) }()
 	select {
 	case err := <-result:
-		t.Fatalf("the disk hangs, and the store returns %v", err)
+		t.Fatalf("storing a version returned %v while the disk hangs", err)
 	default:
 	}
 	release()
@@ -421,11 +422,11 @@
 	}
 	f.Close()
 	if got := currentVersion(t, d); got != 3 {
-		t.Errorf("%d is current", got)
+		t.Errorf("version %d is current, want 3", got)
 	}
 }
 
-// A call exceeds a bound, or its arguments contradict each other. It fails and changes nothing.
+// Calls that exceed a bound or have inconsistent arguments fail and change nothing.
 func TestRefusedCallsChangeNothing(t *testing.T) {
 	f, _ := open(t, diskWithTwoVersions(t))
 	big := make([]byte, testBounds.Document+1)
@@ -434,19 +435,19 @@
 		err  error
 		want error
 	}{
-		"a document too big":                  {f.Put(sha256.Sum256(big), big), ErrTooLarge},
-		"a document of another hash":          {f.Put(hashOfDocument(4), testDocument(5)), ErrHashMismatch},
+		"a document that is too large":        {f.Put(sha256.Sum256(big), big), ErrTooLarge},
+		"a document with a wrong hash":        {f.Put(hashOfDocument(4), testDocument(5)), ErrHashMismatch},
 		"a record without a document":         {f.SetCurrent(testCurrent(6)), ErrNotFound},
-		"a record too big":                    {f.SetCurrent(withBigRecord), ErrTooLarge},
-		"the current document's removal":      {f.Remove(hashOfDocument(2)), ErrInUse},
-		"removal of what was never there":     {f.Remove(hashOfDocument(7)), nil},
-		"a document that is there already":    {f.Put(hashOfDocument(2), testDocument(2)), nil},
-		"a document of no bytes":              {f.Put(sha256.Sum256(nil), nil), nil},
+		"a record that is too large":          {f.SetCurrent(withBigRecord), ErrTooLarge},
+		"removal of the current document":     {f.Remove(hashOfDocument(2)), ErrInUse},
+		"removal of an unknown document":      {f.Remove(hashOfDocument(7)), nil},
+		"a document that is already stored":   {f.Put(hashOfDocument(2), testDocument(2)), nil},
+		"an empty document":                   {f.Put(sha256.Sum256(nil), nil), nil},
 		"a document within the bounds":        {f.Put(hashOfDocument(10), testDocument(10)), nil},
-		"one more document than there may be": {f.Put(hashOfDocument(11), testDocument(11)), ErrFull},
+		"a document above the number allowed": {f.Put(hashOfDocument(11), testDocument(11)), ErrFull},
 	} {
 		if !errors.Is(c.err, c.want) {
-			t.Errorf("%s: %v", name, c.err)
+			t.Errorf("%s: error %v, want %v", name, c.err, c.want)
 		}
 	}
 	f, _ = open(t, disktest.New())
@@ -458,12 +459,12 @@
 	}
 	last := bytes.Repeat([]byte{9}, int(testBounds.Bytes)-2*testBounds.Document+1)
 	if err := f.Put(sha256.Sum256(last), last); !errors.Is(err, ErrFull) {
-		t.Errorf("more bytes than there may be: %v", err)
+		t.Errorf("a document above the total size allowed: error %v, want ErrFull", err)
 	}
 }
 
-// Other programs' files are left alone. Documents that exceed the bounds are dropped, the current
-// one last.
+// Files of other programs are not touched. Documents that exceed the bounds are removed, but not the
+// current one.
 func TestForeignFilesStayAndExcessDocumentsGo(t *testing.T) {
 	path := t.TempDir()
 	d := disk.Folder(path)
@@ -495,16 +496,17 @@
 	defer f.Close()
 	isCurrent := contents.Current != nil && contents.Current.Document == hashOfDocument(1)
 	if !isCurrent || len(contents.Documents) != testBounds.Documents || contents.Damaged != 6 {
-		t.Errorf("current %v, %d documents, %d damaged", contents.Current, len(contents.Documents), contents.Damaged)
+		t.Errorf("current %v, %d documents, %d damaged; want current document 1, %d documents, 6 damaged",
+			contents.Current, len(contents.Documents), contents.Damaged, testBounds.Documents)
 	}
 	names := namesOf(t, d)
 	for _, name := range foreign {
 		if !names[name] {
-			t.Errorf("%s is gone", name)
+			t.Errorf("file %s of another program was removed", name)
 		}
 	}
 	const own = 1 + 1 // current and the lock
 	if len(names) != len(foreign)+own+testBounds.Documents {
-		t.Errorf("%d files are left: %v", len(names), names)
+		t.Errorf("%d files are left, want %d: %v", len(names), len(foreign)+own+testBounds.Documents, names)
 	}
 }
--- a/internal/store/documents/folder.go
+++ b/internal/store/documents/folder.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Folder is a directory of documents, locked by this process. It is for use by one goroutine.
+// Folder is a directory of documents, locked by this process. It is not safe for concurrent use.
 type Folder struct {
 	disk   disk.Disk
 	bounds Bounds
@@ -17,13 +17,13 @@
 	sizes  map[Hash]int // bytes of each document that is durable
 	bytes  int64        // sum of sizes
 
-	// inUse has the documents that a record in the directory may name: two after a SetCurrent that
-	// failed, as a restart may find either record.
+	// inUse has the documents that a record in the directory may name: two after a failed SetCurrent,
+	// as a restart may find either record.
 	inUse map[Hash]bool
 }
 
-// Put stores a document; one that is stored already is no error. It is durable when Put returns
-// nil. After an error it may be there or not, and Put may be called again.
+// Put stores a document; it does nothing if the document is already stored. The document is durable
+// when Put returns nil. After an error it may be stored or not, and Put may be called again.
 func (f *Folder) Put(hash Hash, document []byte) error {
 	if _, stored := f.sizes[hash]; stored {
 		return nil
@@ -38,7 +38,7 @@
 	}
 	name := documentName(hash)
 	if err := f.writeFile(name, document); err != nil {
-		// If only the last sync failed the file is there, but it is not counted towards the bounds.
+		// If only the last sync failed, the file exists, but it is not counted towards the bounds.
 		f.disk.Remove(name)
 		return err
 	}
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// SetCurrent replaces the record by one that names a document which is stored; ErrNotFound if it is
-// not. The record is durable when SetCurrent returns nil. After an error a restart finds the new
-// record or the one before, whole, with its document.
+// SetCurrent replaces the record. It returns ErrNotFound if the document that the new record names
+// is not stored. The record is durable when SetCurrent returns nil. After an error a restart finds
+// the new record or the previous one, whole, with its document.
 func (f *Folder) SetCurrent(c Current) error {
 	if len(c.Record) > maxRecordBytes {
 		return ErrTooLarge
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// ClearCurrent removes the record. It is gone for good when ClearCurrent returns nil; after an
-// error a restart may find it.
+// ClearCurrent removes the record. The removal is durable when ClearCurrent returns nil; after an
+// error a restart may still find the record.
 func (f *Folder) ClearCurrent() error {
 	if err := f.removeFile(currentName); err != nil {
 		return err
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Remove removes a document; ErrInUse if a record may name it. One that is not there is no error.
-// The removal is not synced: after a crash the document may be there again.
+// Remove removes a document; it returns ErrInUse if a record may name it, and nil if it is not
+// stored. The removal is not synced: a crash may undo it.
 func (f *Folder) Remove(hash Hash) error {
 	if f.inUse[hash] {
 		return ErrInUse
@@ -100,17 +100,17 @@
 	f.bytes += int64(size)
 }
 
-// hasRoom reports whether a document of so many bytes is within the bounds of the directory.
+// hasRoom reports whether the bounds of the directory allow another document of this size in bytes.
 func (f *Folder) hasRoom(size int) bool {
 	return len(f.sizes) < f.bounds.Documents && f.bytes+int64(size) <= f.bounds.Bytes
 }
 
-// writeFile replaces a file by one with this content, durably, as disk.ReplaceFile does.
+// writeFile creates or replaces a file durably.
 func (f *Folder) writeFile(name string, content []byte) error {
 	return disk.ReplaceFile(f.disk, name, name+temporarySuffix, content)
 }
 
-// removeFile removes a file; one that is not there is no error.
+// removeFile removes a file, if it exists.
 func (f *Folder) removeFile(name string) error {
 	err := f.disk.Remove(name)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/store/documents/format.go
+++ b/internal/store/documents/format.go
@@ -15,7 +15,7 @@
 	magic = "MKDOCS1\n"
 
 	checksumBytes  = 8
-	checkedBytes   = len(magic) + sha256.Size // of the file "current", ahead of the checksum
+	checkedBytes   = len(magic) + sha256.Size // of the file "current", before the checksum
 	headerBytes    = checkedBytes + checksumBytes
 	maxRecordBytes = 64 << 10
 
@@ -35,23 +35,24 @@
 	Bytes     int64 // bytes of all documents
 }
 
-// Errors, to be checked with errors.Is.
+// Errors, for use with errors.Is.
 var (
 	// ErrTooLarge means that a document or record exceeds the bounds.
-	ErrTooLarge = errors.New("is too big")
-	// ErrFull means that the directory has as many documents or bytes as the bounds allow.
-	ErrFull = errors.New("finds no room within the bounds")
-	// ErrHashMismatch means that a document does not have the hash that it was to be stored under.
-	ErrHashMismatch = errors.New("has another hash")
+	ErrTooLarge = errors.New("is too large")
+	// ErrFull means that the bounds of the directory don't allow the document in addition to those
+	// stored.
+	ErrFull = errors.New("exceeds the bounds of the directory")
+	// ErrHashMismatch means that the hash passed with a document is not that of the document.
+	ErrHashMismatch = errors.New("does not match its hash")
 	// ErrNotFound means that a document is not stored.
 	ErrNotFound = errors.New("is not stored")
 	// ErrInUse means that a record in the directory names or may name the document.
-	ErrInUse = errors.New("is the current one")
+	ErrInUse = errors.New("is the current document")
 
 	errDamaged = errors.New("is damaged")
 )
 
-// FileError is an error of the disk with one file, found by Open.
+// FileError is an error of the disk that Open got for one file.
 type FileError struct {
 	File string // name in the directory
 	Err  error
@@ -63,7 +64,7 @@
 // Unwrap returns Err.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Current is the record, with the document that it names.
+// Current is the record and the hash of the document that it names.
 type Current struct {
 	Document Hash
 	Record   []byte
@@ -71,7 +72,7 @@
 
 func documentName(hash Hash) string { return documentPrefix + hex.EncodeToString(hash[:]) }
 
-// parseDocumentName is the hash in the name of a document's file; not ok for other names.
+// parseDocumentName returns the hash in the name of a document's file; ok is false for other names.
 func parseDocumentName(name string) (hash Hash, ok bool) {
 	digits, ok := strings.CutPrefix(name, documentPrefix)
 	if !ok || len(digits) != hex.EncodedLen(len(hash)) || digits != strings.ToLower(digits) {
@@ -87,7 +88,7 @@
 	return append(file, c.Record...)
 }
 
-// decodeCurrent is not ok if the file is not whole.
+// decodeCurrent decodes the file "current"; ok is false if the file is damaged.
 func decodeCurrent(file []byte) (c Current, ok bool) {
 	if len(file) < headerBytes || !bytes.HasPrefix(file, []byte(magic)) {
 		return Current{}, false
@@ -104,7 +105,7 @@
 	return digest.Sum64()
 }
 
-// isUnusable reports whether an error is one of a file's content, and not one of the disk.
+// isUnusable reports whether an error concerns a file's content or size, and not the disk.
 func isUnusable(err error) bool {
 	return errors.Is(err, errDamaged) || errors.Is(err, ErrTooLarge)
 }
--- a/internal/store/documents/open.go
+++ b/internal/store/documents/open.go
@@ -11,19 +11,20 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Contents is what a directory held when it was opened.
+// Contents is the content of a directory when it was opened.
 type Contents struct {
 	// Current is the record; nil: there is none.
 	Current *Current
-	// Documents are all documents by their hash, that of Current among them.
+	// Documents has all documents by hash, including that of Current.
 	Documents map[Hash][]byte
-	// Damaged counts files that did not match their hash or checksum, or exceeded the bounds. They
-	// were removed.
+	// Damaged is the number of files that did not match their hash or checksum, or exceeded the
+	// bounds. They were removed.
 	Damaged int
 }
 
-// Open locks a directory for this process and reads it; disk.ErrLocked if another process has it.
-// Files that are damaged are no error. Any other error is one of the disk; the folder is nil then.
+// Open locks a directory for this process and reads it. Damaged files are not an error. The error
+// is disk.ErrLocked if another process has the directory, or one of the disk; the folder is nil
+// then.
 func Open(d disk.Disk, b Bounds) (*Folder, Contents, error) {
 	lock, err := d.Lock(lockName)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// loadOthers reads the documents that are not current, and removes temporary files of a write that
-// did not end.
+// loadOthers reads the documents that are not current, and removes temporary files of interrupted
+// writes.
 func (f *Folder) loadOthers(contents *Contents) error {
 	names, err := f.disk.Names()
 	if err != nil {
@@ -81,7 +82,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		if isTemporary(name) {
-			f.disk.Remove(name) // if that fails, the next write of this name removes it
+			f.disk.Remove(name) // if this fails, the next write with this temporary name replaces the file
 			continue
 		}
 		hash, ok := parseDocumentName(name)
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// isTemporary reports whether this package writes files under a name before they are renamed.
+// isTemporary reports whether a name is that of a temporary file of this package.
 func isTemporary(name string) bool {
 	final, ok := strings.CutSuffix(name, temporarySuffix)
 	if !ok {
@@ -108,8 +109,8 @@
 	return isDocument || final == currentName
 }
 
-// dropDamaged removes a file that can't be used and counts it. If the removal fails, the next Open
-// tries again, or a write of this name replaces the file.
+// dropDamaged removes a file that can't be used, and counts it. If the removal fails, the next Open
+// tries it again, unless a write of this name replaces the file before.
 func (f *Folder) dropDamaged(contents *Contents, name string) {
 	contents.Damaged++
 	f.disk.Remove(name)
@@ -120,7 +121,7 @@
 	f.countStored(hash, len(document))
 }
 
-// readDocument reads a document; errDamaged if it does not match its hash.
+// readDocument reads a document; it returns errDamaged if the content does not match the hash.
 func (f *Folder) readDocument(hash Hash) ([]byte, error) {
 	document, err := f.readFile(documentName(hash), f.bounds.Document)
 	if err == nil && sha256.Sum256(document) != hash {
@@ -129,7 +130,7 @@
 	return document, err
 }
 
-// readFile reads a file of at most so many bytes.
+// readFile reads a file; it returns ErrTooLarge if the file has more than maxBytes bytes.
 func (f *Folder) readFile(name string, maxBytes int) ([]byte, error) {
 	in, err := f.disk.Open(name)
 	if err != nil {
@@ -146,7 +147,7 @@
 	content := make([]byte, size)
 	_, err = io.ReadFull(in, content)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return nil, errDamaged // it became shorter meanwhile
+		return nil, errDamaged // the file was truncated after Size
 	}
 	if err != nil {
 		return nil, err
--- a/internal/store/documents/stored_test.go
+++ b/internal/store/documents/stored_test.go
@@ -1,8 +1,8 @@
 package documents
 
-// A change of the format or of the names of the files in a folder of documents shows only when a controller starts with
-// a folder that an earlier build wrote: it would drop them all as damaged. This test reads such a folder, and writes the
-// same documents to the same files.
+// A change of the file format or of the file names shows only when a controller starts with a folder that an earlier
+// build wrote: it would drop all documents as damaged. This test reads such a folder, and writes the same documents to
+// the same files.
 
 import (
 	"crypto/sha256"
@@ -43,7 +43,7 @@
 		golden.File(t, filepath.Join("folder", name), content)
 	}
 
-	read := t.TempDir() // a folder is opened with a lock in it
+	read := t.TempDir() // Open creates a lock file in the folder
 	if err := os.CopyFS(read, os.DirFS(storedFolder)); err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 	want := Contents{Current: &record,
 		Documents: map[Hash][]byte{record.Document: current, sha256.Sum256(other): other}}
 	if !reflect.DeepEqual(contents, want) {
-		t.Errorf("read: %+v\nstored: %+v", contents, want)
+		t.Errorf("folder is read as %+v\nwant %+v", contents, want)
 	}
 	if names, err := os.ReadDir(storedFolder); err != nil || len(names) != 3 {
-		t.Errorf("the stored folder holds %v, %v", names, err)
+		t.Errorf("the stored folder has %v, %v; want 3 files", names, err)
 	}
 }
