--- a/internal/store/fenced/fenced_test.go
+++ b/internal/store/fenced/fenced_test.go
@@ -10,8 +10,8 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// pausedDisk is the directory as one process sees it: before its n-th operation the process is
-// paused, and others continue.
+// pausedDisk is the directory as used by one process, which is paused before its n-th operation
+// while whilePaused runs.
 type pausedDisk struct {
 	disk.Disk
 	operationsLeft int
@@ -68,9 +68,9 @@
 
 func (s *pausedDisk) Lock(name string) (io.Closer, error) { return s.Disk.Lock(name) }
 
-// A writer is paused before one of its operations and loses its lease. The new owner writes once or
-// twice, and the old one continues with the very next operation. Readers have the new owner's value
-// before and after that, and the old writer gets ErrSuperseded.
+// A writer is paused before any one of its operations and loses its lease. The new owner writes once
+// or twice, and then the old one continues. Readers get the new owner's value before and after that,
+// and the old writer gets ErrSuperseded.
 func TestPausedWriterWithAnOldToken(t *testing.T) {
 	for writes := 1; writes <= 2; writes++ {
 		for n := 1; ; n++ {
@@ -83,34 +83,34 @@
 				paused = true
 				for range writes {
 					if err := Write(d, "plan", 6, []byte("new")); err != nil {
-						t.Fatalf("paused at %d: the new owner can't write: %v", n, err)
+						t.Fatalf("paused at operation %d: the new owner's Write: %v", n, err)
 					}
 				}
 				if value, token, err := Read(d, "plan"); string(value) != "new" || token != 6 || err != nil {
-					t.Fatalf("paused at %d: %q of token %d, %v", n, value, token, err)
+					t.Fatalf("paused at operation %d: read %q with token %d, %v; want \"new\" with token 6", n, value, token, err)
 				}
 			}}
 			err := Write(pausedWriter, "plan", 5, []byte("old"))
 			if !paused {
-				break // it has no more operations
+				break // Write has fewer than n operations
 			}
 			if !errors.Is(err, ErrSuperseded) {
-				t.Errorf("paused at %d: the old owner gets %v", n, err)
+				t.Errorf("paused at operation %d: the old owner's Write returned %v, want ErrSuperseded", n, err)
 			}
 			if value, token, err := Read(d, "plan"); string(value) != "new" || token != 6 || err != nil {
-				t.Errorf("paused at %d: %q of token %d, %v", n, value, token, err)
+				t.Errorf("resumed at operation %d: read %q with token %d, %v; want \"new\" with token 6", n, value, token, err)
 			}
 			if err := Write(d, "plan", 6, []byte("newer")); err != nil {
-				t.Errorf("paused at %d: %v", n, err)
+				t.Errorf("resumed at operation %d: the new owner's next Write: %v", n, err)
 			}
 			if value, _, _ := Read(d, "plan"); string(value) != "newer" {
-				t.Errorf("paused at %d: then %q", n, value)
+				t.Errorf("resumed at operation %d: read %q after the new owner's next Write, want \"newer\"", n, value)
 			}
 		}
 	}
 }
 
-// The machine crashes at some operation of a write. The value before or the new one is there, whole.
+// The machine crashes at any operation of a write. The previous value or the new one is read, whole.
 func TestCrashAtEveryOperation(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	d := disktest.New()
@@ -119,7 +119,7 @@
 		for _, mode := range disktest.CrashModes() {
 			value, _, err := Read(d.AfterCrash(mode, rng), "plan")
 			if err != nil || string(value) != "before" && string(value) != "after" {
-				t.Errorf("%v: %q, %v", mode, value, err)
+				t.Errorf("crash mode %v during Write: read %q, %v; want \"before\" or \"after\"", mode, value, err)
 			}
 		}
 	})
@@ -129,25 +129,25 @@
 	d.OnOperation(nil)
 	for _, mode := range disktest.CrashModes() {
 		if value, token, _ := Read(d.AfterCrash(mode, rng), "plan"); string(value) != "after" || token != 2 {
-			t.Errorf("%v: after Write returned: %q of token %d", mode, value, token)
+			t.Errorf("crash mode %v after Write: read %q with token %d, want \"after\" with token 2", mode, value, token)
 		}
 	}
 }
 
-// Names and sizes out of bounds are refused, old files are removed, and a damaged file with a high
-// token does not hide the value.
+// Invalid names and sizes are rejected, old files are removed, and a damaged file with a high token
+// does not hide the value.
 func TestNamesBoundsAndLeftFiles(t *testing.T) {
 	d := disktest.New()
 	for _, name := range []string{"", "a/b", "A", "a.b", "..", string(make([]byte, 65))} {
 		if err := Write(d, name, 1, nil); !errors.Is(err, ErrInvalidName) {
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("Write with the name %q returned %v, want ErrInvalidName", name, err)
 		}
 	}
 	if err := Write(d, "a", 1, make([]byte, MaxValueBytes+1)); !errors.Is(err, ErrTooLarge) {
-		t.Error(err)
+		t.Errorf("Write of a value that is too large returned %v, want ErrTooLarge", err)
 	}
 	if _, _, err := Read(d, "a"); !errors.Is(err, ErrNotFound) {
-		t.Error(err)
+		t.Errorf("Read of a value that was never written returned %v, want ErrNotFound", err)
 	}
 	for range 5 {
 		Write(d, "a", 1, []byte("x"))
@@ -155,10 +155,10 @@
 	}
 	names, _ := d.Names()
 	if len(names) != 2 {
-		t.Errorf("files pile up: %v", names)
+		t.Errorf("files after 5 writes of 2 values are %v, want 2", names)
 	}
 	d.Put("a.00000000000000ff.0000000000000001", []byte("not whole"))
 	if value, token, err := Read(d, "a"); string(value) != "x" || token != 1 || err != nil {
-		t.Errorf("a damaged file of a high token hides the others: %q, %d, %v", value, token, err)
+		t.Errorf("beside a damaged file with a high token: read %q with token %d, %v; want \"x\" with token 1", value, token, err)
 	}
 }
--- a/internal/store/fenced/format.go
+++ b/internal/store/fenced/format.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// MaxValueBytes is how many bytes a value may have.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes = 4 << 20
 
 	maxNameLength   = 64
@@ -23,22 +23,22 @@
 	numberDigits    = 16 // of token and serial in a file's name
 	temporarySuffix = ".new"
 
-	// readAttempts bounds how often Read lists the directory again because files were removed
-	// before it could open them.
+	// readAttempts bounds how often Read lists the directory; it lists it again if files were
+	// removed before it could open them.
 	readAttempts = 3
 )
 
-// Errors, to be checked with errors.Is.
+// Errors, for use with errors.Is.
 var (
-	// ErrSuperseded means that the value was written with a higher token: the writer that gets it
-	// no longer owns the value.
+	// ErrSuperseded means that the value was written with a higher token: the writer that gets this
+	// error no longer owns the value.
 	ErrSuperseded = errors.New("was written with a higher token")
-	// ErrNotFound means that there is no file of the value that can be read whole.
+	// ErrNotFound means that no file of the value can be read whole.
 	ErrNotFound = errors.New("was never written")
 	// ErrInvalidName means that a name can't be that of a value.
-	ErrInvalidName = errors.New("is no name of a value: 1 to 64 small letters, digits and '-'")
+	ErrInvalidName = errors.New("is not a valid name: 1 to 64 lower-case letters, digits and '-'")
 	// ErrTooLarge means that a value exceeds MaxValueBytes.
-	ErrTooLarge = errors.New("is too big")
+	ErrTooLarge = errors.New("is too large")
 
 	errDamaged = errors.New("is damaged")
 )
@@ -60,7 +60,8 @@
 	return cmp.Or(cmp.Compare(a.token, b.token), cmp.Compare(a.serial, b.serial))
 }
 
-// parseVersion is the version of a value that a file holds by its name; not ok for other files.
+// parseVersion returns the version in the file name of the value called name; ok is false for other
+// files.
 func parseVersion(file, name string) (v version, ok bool) {
 	parts := strings.Split(file, ".")
 	if len(parts) != 3 || parts[0] != name || len(parts[1]) != numberDigits ||
@@ -72,7 +73,7 @@
 	return version{token, serial, file}, tokenErr == nil && serialErr == nil
 }
 
-// listVersions lists a value's files, the latest last.
+// listVersions lists the files of a value, the latest version last.
 func listVersions(d disk.Disk, name string) ([]version, error) {
 	files, err := d.Names()
 	if err != nil {
@@ -103,7 +104,7 @@
 	return append(content, value...)
 }
 
-// decode returns the value; errDamaged if the content is not whole.
+// decode returns the value in a file's content; errDamaged if the checksum does not match.
 func decode(content []byte) ([]byte, error) {
 	if len(content) < checksumBytes {
 		return nil, errDamaged
--- a/internal/store/fenced/read.go
+++ b/internal/store/fenced/read.go
@@ -28,7 +28,7 @@
 			}
 			removed = removed || errors.Is(err, fs.ErrNotExist)
 		}
-		// A file that was listed and then removed has a successor, which a new listing shows.
+		// A file that was removed after it was listed has a successor, which a new listing shows.
 		if !removed {
 			break
 		}
--- a/internal/store/fenced/stored_test.go
+++ b/internal/store/fenced/stored_test.go
@@ -1,7 +1,7 @@
 package fenced
 
-// A change of the format or of the name of a fenced value's file shows only when a holder reads what an earlier build
-// wrote. This test reads such a file, and writes the same value to the same bytes.
+// A change of the format or name of a value's file shows only when a lease holder reads what an earlier build wrote.
+// This test reads such a file, and checks that the same value is written as the same bytes.
 
 import (
 	"os"
@@ -28,6 +28,6 @@
 	}
 	golden.File(t, file, written)
 	if got, gotToken, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || gotToken != token || err != nil {
-		t.Errorf("%q of token %d, %v", got, gotToken, err)
+		t.Errorf("stored value is read as %q with token %d, %v; want %q with token %d", got, gotToken, err, value, token)
 	}
 }
--- a/internal/store/fenced/write.go
+++ b/internal/store/fenced/write.go
@@ -2,9 +2,9 @@
 
 import "mintkeel/internal/store/disk"
 
-// Write stores a value under a token, which no other process may use. The value is durable when
-// Write returns nil. ErrSuperseded means that there is a higher token; it may come before or after
-// the value was written.
+// Write stores a value with a token, which no other process may use. The value is durable when
+// Write returns nil. ErrSuperseded means that there is a file with a higher token; Write may return
+// it before or after it has written the value.
 func Write(d disk.Disk, name string, token uint64, value []byte) error {
 	if !isValidName(name) {
 		return ErrInvalidName
@@ -24,15 +24,14 @@
 	if err != nil {
 		return err
 	}
-	// Only earlier versions are removed: a writer that was late must not remove a file with a
-	// higher token.
+	// Only earlier versions are removed: a delayed writer must not remove a file with a higher token.
 	for _, v := range found {
 		if compareVersions(v, next) < 0 {
 			d.Remove(v.file)
 		}
 	}
-	// Another process may have written between the first look and the rename. The value is stored
-	// then and nobody reads it; the writer has to know that.
+	// Another process may have written a higher token between the first listing and the rename. The
+	// value is then stored but never read, which the writer has to know.
 	found, err = listVersions(d, name)
 	if err == nil && len(found) > 0 && found[len(found)-1].token > token {
 		return ErrSuperseded
@@ -40,7 +39,8 @@
 	return nil
 }
 
-// nextVersion is the one to be written after those found; ErrSuperseded if one has a higher token.
+// nextVersion returns the version to write, given the existing ones; ErrSuperseded if one of these
+// has a higher token.
 func nextVersion(found []version, name string, token uint64) (version, error) {
 	serial := uint64(1)
 	if len(found) > 0 {
