--- a/internal/store/records/format.go
+++ b/internal/store/records/format.go
@@ -18,27 +18,27 @@
 	recordHeaderBytes = 4 + checksumBytes
 
 	filePrefix    = "records-"
-	damagedPrefix = "damaged-" // put before the name of a file that was damaged
+	damagedPrefix = "damaged-" // added to the name of a damaged file
 	numberDigits  = 16         // of a file's name
 	lockName      = "lock"
 )
 
-// Bounds limits what is written and read.
+// Bounds limits the size of a log; see the package comment.
 type Bounds struct {
 	Record int   // bytes of a payload
 	Log    int64 // bytes of all files
 	Files  int   // number of files
 }
 
-// DefaultBounds are the bounds of a log of a quorum's small records.
+// DefaultBounds returns bounds for the log of a quorum, whose records are small.
 func DefaultBounds() Bounds { return Bounds{Record: 8 << 20, Log: 64 << 20, Files: 1000} }
 
-// Errors, to be checked with errors.Is.
+// Errors, for use with errors.Is.
 var (
 	// ErrDamaged means that a checksum is wrong where no torn write explains it.
 	ErrDamaged = errors.New("is damaged")
 	// ErrTooLarge means that a record or the log exceeds the bounds.
-	ErrTooLarge = errors.New("is too big")
+	ErrTooLarge = errors.New("is too large")
 )
 
 // noRecord is FileError.Record of an error that is not about one record.
@@ -62,12 +62,12 @@
 // Unwrap returns Err.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// fileName is the name of the file with a number.
+// fileName returns the name of the file with a number.
 func fileName(number uint64) string {
 	return fmt.Sprintf("%s%0*x", filePrefix, numberDigits, number)
 }
 
-// parseFileName is the number in the name of a file of the log; not ok for other names.
+// parseFileName returns the number in the name of a file of the log; ok is false for other names.
 func parseFileName(name string) (number uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, filePrefix)
 	if !ok || len(digits) != numberDigits {
@@ -89,8 +89,8 @@
 	return append(b, payload...)
 }
 
-// recordChecksum includes the file's number and the record's index, so that blocks of an older file
-// or a record at another place don't match.
+// recordChecksum covers the file's number and the record's index, so that blocks of an older file
+// and records at another position don't match.
 func recordChecksum(number, index uint64, payload []byte) uint64 {
 	head := binary.BigEndian.AppendUint64(nil, number)
 	head = binary.BigEndian.AppendUint64(head, index)
--- a/internal/store/records/log.go
+++ b/internal/store/records/log.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Log is a log of records, locked by this process. It is for use by one goroutine.
+// Log is a log of records, locked by this process. It is not safe for concurrent use.
 type Log struct {
 	disk   disk.Disk
 	bounds Bounds
@@ -19,22 +19,22 @@
 	number uint64    // of the newest file
 	out    disk.File // the newest file, if this process began it; else nil
 	index  uint64    // of the next record in out
-	failed error     // nothing is appended after an error, as the record may be there or not
+	failed error     // nothing is appended after an error, as the record may be stored or not
 }
 
-// Recovered is what Open found.
+// Recovered is the content of a log that Open read.
 type Recovered struct {
 	// Records are in the order in which they were appended.
 	Records [][]byte
-	// TornTail is set if a file ended in a record that was not whole. That record is dropped: its
-	// Append had not returned.
+	// TornTail is set if a file ended in a torn record. That record is dropped: its Append had not
+	// returned.
 	TornTail bool
 }
 
-// Open locks a directory for this process and reads its records. Without a lock it returns no log;
-// the error is disk.ErrLocked if another process has the directory. An error with a log means that
-// its files can't be read: if it is ErrDamaged or ErrTooLarge, Replace begins the log anew; nothing
-// else can be done with it but Close.
+// Open locks a directory for this process and reads its records. If it can't lock or list the
+// directory, it returns no log; the error is disk.ErrLocked if another process has the directory.
+// An error together with a log means that the files can't be read: if it is ErrDamaged or
+// ErrTooLarge, Replace starts the log over; after any other error the log can only be closed.
 func Open(d disk.Disk, b Bounds) (*Log, Recovered, error) {
 	lock, err := d.Lock(lockName)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return l, recovered, nil
 }
 
-// listFiles lists the files of the log in the order of their numbers.
+// listFiles lists the files of the log, ordered by number.
 func listFiles(d disk.Disk) ([]logFile, error) {
 	names, err := d.Names()
 	if err != nil {
@@ -92,9 +92,9 @@
 	return all, nil
 }
 
-// Append adds a record, which is durable when it returns nil. A record that exceeds the bounds is
-// ErrTooLarge and changes nothing. After any other error the record may be there or not, and all
-// further appends fail; a new Open shows which.
+// Append adds a record, which is durable when Append returns nil. For a record that exceeds the
+// bounds it returns ErrTooLarge and changes nothing. After any other error the record may be stored
+// or not, which a new Open shows, and all further appends fail.
 func (l *Log) Append(payload []byte) error {
 	if l.failed != nil {
 		return l.failed
@@ -115,7 +115,7 @@
 	return l.write(payload)
 }
 
-// beginFile creates the next file. Its header is written with the first record.
+// beginFile creates the next file. Its header is written together with the first record.
 func (l *Log) beginFile() error {
 	l.number++
 	name := fileName(l.number)
@@ -144,15 +144,15 @@
 		return err
 	}
 	l.index++
-	if isFirst { // the file's name has to be durable too
+	if isFirst { // the name of the file has to be durable too
 		return l.disk.Sync()
 	}
 	return nil
 }
 
-// Replace stores a record that replaces all before it, in a file of its own, and removes the files
-// before. The record is durable when it returns nil; errors are as with Append. Files of a damaged
-// log are renamed and not removed, so that somebody can look into them.
+// Replace stores a record that replaces all earlier ones, in a file of its own, and removes the
+// earlier files. The record is durable when Replace returns nil; errors are as with Append. Files
+// of a damaged log are renamed instead of removed, so that they can be examined.
 func (l *Log) Replace(payload []byte) error {
 	wasDamaged := errors.Is(l.failed, ErrDamaged) || errors.Is(l.failed, ErrTooLarge)
 	if l.failed != nil && !wasDamaged {
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// discard removes files that were replaced, or renames damaged ones. Those for which that fails
-// stay in the log, before the newest file, and are discarded by the next Replace.
+// discard removes replaced files, or renames them if the log was damaged. Files for which that
+// fails stay in the log, before the newest file, and the next Replace discards them.
 func (l *Log) discard(names []string, wereDamaged bool) {
 	for _, name := range names {
 		var err error
--- a/internal/store/records/read.go
+++ b/internal/store/records/read.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Ends of a file that are no errors to the caller of readFile.
+// Ends of a file, which readFile does not return as errors.
 var (
 	errEndOfFile = errors.New("end of the file")
 	errTornTail  = errors.New("torn tail")
@@ -23,8 +23,8 @@
 	number uint64
 }
 
-// readFile reads the records of a file; tornTail: the last one is not whole and is left out. The
-// file's size is taken off bytesLeft, which must not get below 0.
+// readFile reads the records of a file. tornTail means that the last one is torn and left out. The
+// size of the file is subtracted from bytesLeft; the result must not be negative.
 func readFile(
 	d disk.Disk, file logFile, b Bounds, bytesLeft *int64,
 ) (records [][]byte, tornTail bool, err error) {
@@ -70,8 +70,8 @@
 	file      logFile
 	size      int64 // bytes of the file
 	offset    int64 // bytes read so far
-	maxRecord int   // bytes of a payload
-	records   int   // read so far
+	maxRecord int   // maximum bytes of a payload
+	records   int   // number read so far
 }
 
 func (r *reader) readHeader() error {
@@ -88,11 +88,11 @@
 	case bytes.Equal(header, appendHeader(nil, r.file.number)):
 		return nil
 	case isZeros(header):
-		// The header is written together with the first record, so this write was lost and no
-		// Append had returned.
+		// The header is written together with the first record: this write was lost, and no Append
+		// to the file had returned.
 		return errTornTail
 	}
-	return &FileError{r.file.name, noRecord, fmt.Errorf("head %w", ErrDamaged)}
+	return &FileError{r.file.name, noRecord, fmt.Errorf("header %w", ErrDamaged)}
 }
 
 // readRecord returns the next record's payload, or errEndOfFile, errTornTail or another error.
@@ -129,8 +129,8 @@
 }
 
 // classifyMismatch returns the error of a record with a wrong checksum: errTornTail for a torn
-// write, else that of a damaged file. A torn write has nothing behind it, or zeros all over, which
-// a file system leaves where it had allocated blocks for a write that it lost.
+// write, else that of a damaged file. A torn write is at the end of the file, or is all zeros up to
+// the end, which a file system leaves where it had allocated blocks for a write that it lost.
 func (r *reader) classifyMismatch(header, payload []byte) error {
 	rest, err := io.ReadAll(r.in) // bounded by the file's size
 	if err != nil {
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -10,9 +10,9 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// The machine crashes at some operation in the life of a log, and what was not synced is lost, torn
-// or reordered. A new Open then returns every record for which Append or Replace had returned, in
-// order, and besides at most the one that was being written.
+// The machine crashes at any operation on a log, and unsynced changes are lost, torn or reordered. A
+// new Open then returns every record for which Append or Replace had returned, in order, and at most
+// the record that was being written in addition.
 func TestCrashAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := range int64(20) {
@@ -26,13 +26,13 @@
 				after := d.AfterCrash(mode, rng)
 				l, recovered, err := Open(after, DefaultBounds())
 				if err != nil {
-					t.Fatalf("seed %d, crash mode %v after %d: %v", seed, mode, next, err)
+					t.Fatalf("seed %d, crash mode %v at record %d: Open: %v", seed, mode, next, err)
 				}
 				l.Close()
 				texts := []string{}
 				for _, b := range recovered.Records {
 					texts = append(texts, string(b))
-					if b[0] == 'W' { // it replaces all before it
+					if b[0] == 'W' { // a replacing record
 						texts = texts[len(texts)-1:]
 					}
 				}
@@ -40,7 +40,7 @@
 				wantWithPending := fmt.Sprint(append(append([]string{}, durable...), pending))
 				wantReplaced := fmt.Sprint([]string{pending})
 				if got := fmt.Sprint(texts); got != want && got != wantWithPending && got != wantReplaced {
-					t.Fatalf("seed %d, crash mode %v: found %v, owed %v, writing %q",
+					t.Fatalf("seed %d, crash mode %v: Open returned %v, want %v and perhaps %q",
 						seed, mode, got, want, pending)
 				}
 			}
@@ -79,8 +79,8 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// A byte of a log's file changes, or the file is cut. Open then fails, or reports a torn tail; it
-// never returns a record with other content.
+// A bit of a log's file is flipped, or the file is truncated. Open then fails or drops the end of the
+// file; it never returns a record with other content.
 func TestChangedBytesAreNoticed(t *testing.T) {
 	d := disktest.New()
 	l, _, _ := Open(d, DefaultBounds())
@@ -97,11 +97,11 @@
 		damagedDisk.Put(name, damaged)
 		_, recovered, err := Open(damagedDisk, DefaultBounds())
 		if err == nil && !recovered.TornTail {
-			t.Fatalf("byte %d: taken as whole: %q", at, recovered.Records)
+			t.Fatalf("byte %d changed: Open returned %q and neither an error nor a torn tail", at, recovered.Records)
 		}
 		for i, b := range recovered.Records {
 			if string(b) != fmt.Sprint("record ", i) {
-				t.Fatalf("byte %d: record %d is %q", at, i, b)
+				t.Fatalf("byte %d changed: record %d is %q", at, i, b)
 			}
 		}
 	}
@@ -109,27 +109,27 @@
 		cutDisk := disktest.New()
 		cutDisk.Put(name, content[:cut])
 		if _, recovered, err := Open(cutDisk, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
-			t.Fatalf("cut at %d: %d records, %v", cut, len(recovered.Records), err)
+			t.Fatalf("file cut at byte %d: Open returned %d records, %v; want at most 3 and no error", cut, len(recovered.Records), err)
 		}
 	}
 }
 
-// An append fails: the log accepts nothing more, as the record may be there or not. A log is
-// damaged: it accepts only a record that replaces all, and its files are kept under another name.
+// After a failed append a log accepts nothing more, as the record may be stored or not. A damaged log
+// accepts only a replacing record, and its files are kept under another name.
 func TestFailedAndDamagedLogs(t *testing.T) {
 	d := disktest.New()
 	l, _, _ := Open(d, DefaultBounds())
 	l.Append([]byte("one"))
 	l.Append([]byte("two"))
 	if _, _, err := Open(d, DefaultBounds()); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("a second process opens it: %v", err)
+		t.Errorf("a second Open returned %v, want ErrLocked", err)
 	}
 	reached := d.FailFrom(1, errors.New("broken"))
 	if l.Append([]byte("three")) == nil || !reached() {
-		t.Error("a failed append is taken as kept")
+		t.Error("Append returned no error, or the disk did not fail")
 	}
 	if l.Append([]byte("four")) == nil || l.Replace([]byte("all")) == nil {
-		t.Error("something is kept after a failure")
+		t.Error("Append or Replace returned no error after a failed append")
 	}
 	l.Close()
 	const name = "records-0000000000000001"
@@ -139,17 +139,17 @@
 	damagedDisk.Put(name, damaged)
 	l, _, err := Open(damagedDisk, DefaultBounds())
 	if !errors.Is(err, ErrDamaged) || l.Append([]byte("x")) == nil {
-		t.Fatalf("a damaged log is appended to: %v", err)
+		t.Fatalf("Open of a damaged log returned %v, want ErrDamaged, and Append must fail", err)
 	}
 	if err := l.Replace([]byte("anew")); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	if damagedDisk.Get(damagedPrefix+name) == nil {
-		t.Error("the damaged file is not put aside")
+		t.Error("Replace did not keep the damaged file under another name")
 	}
 	_, recovered, err := Open(damagedDisk, DefaultBounds())
 	if err != nil || len(recovered.Records) != 1 || string(recovered.Records[0]) != "anew" {
-		t.Errorf("%q, %v", recovered.Records, err)
+		t.Errorf("Open after Replace returned %q, %v; want only the replacing record", recovered.Records, err)
 	}
 }
--- a/internal/store/records/stored_test.go
+++ b/internal/store/records/stored_test.go
@@ -1,7 +1,7 @@
 package records
 
 // A change of the log's file format shows only when a controller starts with a folder that an earlier build wrote. This
-// test reads such a file, and writes the same records to the same bytes.
+// test reads such a file, and checks that the same records are written as the same bytes.
 
 import (
 	"os"
@@ -41,10 +41,10 @@
 func TestStoredLogIsReadable(t *testing.T) {
 	name, written := writeLog(t, storedRecords())
 	if name != "records-0000000000000001" {
-		t.Errorf("the file is named %s", name)
+		t.Errorf("the first file is named %s", name)
 	}
 	golden.File(t, "records-0000000000000001", written)
-	folder := t.TempDir() // a log takes a lock in its folder
+	folder := t.TempDir() // Open creates a lock file in the folder
 	stored, err := os.ReadFile("testdata/records-0000000000000001")
 	if err != nil {
 		t.Fatal(err)
@@ -56,6 +56,6 @@
 	}
 	defer log.Close()
 	if recovered.TornTail || !reflect.DeepEqual(recovered.Records, storedRecords()) {
-		t.Errorf("torn %v, read %q", recovered.TornTail, recovered.Records)
+		t.Errorf("stored log: torn tail %v, records %q; want no torn tail, records %q", recovered.TornTail, recovered.Records, storedRecords())
 	}
 }
