--- a/internal/store/snapshots/folder.go
+++ b/internal/store/snapshots/folder.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Folder is a directory of snapshots, locked by this process. It is for use by one goroutine.
+// Folder is a directory of snapshots, locked by this process. It is not safe for concurrent use.
 type Folder struct {
 	disk   disk.Disk
 	bounds Bounds
@@ -19,7 +19,8 @@
 	names  []string // of the snapshots in the directory
 }
 
-// Open locks a directory, which must exist, for this process; disk.ErrLocked if another one has it.
+// Open locks a directory, which must exist, for this process. The error is disk.ErrLocked if
+// another process has it.
 func Open(d disk.Disk, b Bounds) (*Folder, error) {
 	lock, err := d.Lock(lockName)
 	if err != nil {
@@ -47,7 +48,8 @@
 	Serial uint64 // by its name
 }
 
-// Files lists the snapshots of a directory by their names, the newest first. It needs no lock.
+// Files lists the snapshots of a directory by the serial numbers in their names, newest first. It
+// needs no lock.
 func Files(d disk.Disk) ([]File, error) {
 	names, err := d.Names()
 	if err != nil {
@@ -63,7 +65,7 @@
 	return files, nil
 }
 
-// parseFileName is the serial number in the name of a snapshot; not ok for other names.
+// parseFileName returns the serial number in the name of a snapshot; ok is false for other names.
 func parseFileName(name string) (serial uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, filePrefix)
 	if !ok || len(digits) != serialDigits {
@@ -73,8 +75,8 @@
 	return serial, err == nil
 }
 
-// Clear removes all snapshots. They are gone for good when it returns nil; after an error some may
-// be left.
+// Clear removes all snapshots. The removal is durable when Clear returns nil; after an error some
+// may be left.
 func (f *Folder) Clear() error {
 	f.removeTemporaryFiles()
 	for len(f.names) > 0 {
@@ -86,8 +88,8 @@
 	return f.disk.Sync()
 }
 
-// removeTemporaryFiles removes what a process left that ended within Write. Errors are ignored: if
-// the directory can't be read or written, Write fails as well.
+// removeTemporaryFiles removes the files of interrupted calls of Write. Errors are ignored: if the
+// directory can't be read or written, Write fails as well.
 func (f *Folder) removeTemporaryFiles() {
 	names, err := f.disk.Names()
 	if err != nil {
@@ -100,8 +102,8 @@
 	}
 }
 
-// removeOldFiles removes all but the newest snapshots. One that can't be removed is left to the
-// next Write.
+// removeOldFiles removes all but the newest snapshots. After a failed removal it leaves the rest to
+// the next Write.
 func (f *Folder) removeOldFiles() {
 	slices.Sort(f.names) // by serial number, as all have the same number of digits
 	for len(f.names) > retainedFiles {
--- a/internal/store/snapshots/format.go
+++ b/internal/store/snapshots/format.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is the version of the files written here. Files of other versions are not read: their
-// content is statistics, which a controller gathers anew.
+// Version is the version of the file format. Files of other versions are not read: their content is
+// statistics, which a controller gathers again.
 const Version = 1
 
 const (
@@ -27,20 +27,21 @@
 	readBufferBytes  = 16 << 10
 	writeBufferBytes = 64 << 10
 
-	// retainedFiles is how many snapshots are left by a write: the newest, and the one before in
-	// case the newest can't be read.
+	// retainedFiles is the number of snapshots that a write leaves: the newest, and the previous one
+	// in case the newest can't be read.
 	retainedFiles = 2
 )
 
-// SectionKind is what a section holds, by a number of the caller. 0 is reserved: a file's end.
+// SectionKind identifies the content of a section by a number that the caller defines. 0 is
+// reserved for the end section.
 type SectionKind uint16
 
 const kindEnd SectionKind = 0
 
-// Bounds limits what is written, and what is read whatever a file claims.
+// Bounds limits what is written, and what is read whatever lengths a file claims.
 type Bounds struct {
 	Section  int   // bytes of a section's payload
-	Sections int   // sections of a file, without its end
+	Sections int   // sections of a file, without the end section
 	File     int64 // bytes of a file
 }
 
@@ -50,7 +51,7 @@
 	Payload []byte
 }
 
-// fileName is the final name of the snapshot with a serial number.
+// fileName returns the final name of the snapshot with a serial number.
 func fileName(serial uint64) string {
 	return fmt.Sprintf("%s%0*x", filePrefix, serialDigits, serial)
 }
@@ -71,14 +72,14 @@
 	case string(header[:len(magic)]) != magic:
 		return 0, ErrNotSnapshot
 	case xxhash.Sum64(checked) != checksum:
-		return 0, fmt.Errorf("%w in its head", ErrDamaged)
+		return 0, fmt.Errorf("%w in its header", ErrDamaged)
 	case version != Version:
-		return 0, fmt.Errorf("%w: %d, not %d", ErrVersion, version, Version)
+		return 0, fmt.Errorf("%w: %d, want %d", ErrVersion, version, Version)
 	}
 	return binary.BigEndian.Uint64(header[len(magic)+2:]), nil
 }
 
-// sectionHeader stands before a section's payload.
+// sectionHeader precedes a section's payload.
 type sectionHeader struct {
 	kind     SectionKind
 	length   int // bytes of the payload
@@ -100,8 +101,8 @@
 	}
 }
 
-// sectionChecksum covers a section's kind, length and payload, and the file's serial number: where
-// a lost write leaves blocks of an older file, their sections are whole but don't match.
+// sectionChecksum covers a section's kind, length and payload, and the file's serial number: a lost
+// write may leave blocks of an older file, whose sections are whole but must not match.
 func sectionChecksum(serial uint64, kindAndLength, payload []byte) uint64 {
 	digest := xxhash.New()
 	digest.Write(binary.BigEndian.AppendUint64(nil, serial))
--- a/internal/store/snapshots/read.go
+++ b/internal/store/snapshots/read.go
@@ -10,13 +10,16 @@
 	"mintkeel/internal/store/disk"
 )
 
-// Read passes the sections of one file to take, in order; a payload is valid until take returns. An
-// error of take ends the reading and is returned as it is; all others are a *FileError.
+// Read passes the sections of one file to handle, in order; a payload is valid until handle
+// returns. An error of handle ends the reading and is returned unchanged; all other errors are a
+// *FileError.
 //
-// A section with a wrong checksum is passed over, and so is everything behind a length that exceeds
-// the bounds. The error is then ErrDamaged, after the other sections were passed to take. Files
-// that are too large, no snapshots or of another version are not read at all.
-func Read(d disk.Disk, name string, b Bounds, handle func(Section) error) (serial uint64, err error) {
+// A section with a wrong checksum is skipped, and so is everything after a length that exceeds the
+// bounds. The error is then ErrDamaged, after the other sections were passed to handle. Files that
+// are too large, not snapshots or of another version are not read at all.
+func Read(
+	d disk.Disk, name string, b Bounds, handle func(Section) error,
+) (serial uint64, err error) {
 	in, err := d.Open(name)
 	if err != nil {
 		return 0, &FileError{name, noSection, err}
@@ -46,10 +49,10 @@
 	name         string
 	bounds       Bounds
 	serial       uint64 // by the header
-	payload      []byte // of the last section that was read; its memory is used again for the next one
-	sections     int    // read so far
-	damaged      int    // of these, sections with a wrong checksum
-	firstDamaged int    // index of the first of those
+	payload      []byte // of the last section read; the next section reuses its memory
+	sections     int    // number read so far
+	damaged      int    // number of these that have a wrong checksum
+	firstDamaged int    // index of the first damaged section
 }
 
 func (r *reader) fail(section int, err error) error { return &FileError{r.name, section, err} }
@@ -70,7 +73,7 @@
 	return nil
 }
 
-// readSections passes all good sections to take, up to the end of the file.
+// readSections passes all valid sections to handle, up to the end section.
 func (r *reader) readSections(handle func(Section) error) error {
 	for {
 		header, valid, err := r.readSection()
@@ -94,11 +97,12 @@
 	}
 }
 
-// readSection reads a section into r.payload; good: its checksum is right.
+// readSection reads a section, with its payload into r.payload. valid means that the checksum
+// matches.
 func (r *reader) readSection() (header sectionHeader, valid bool, err error) {
 	encoded := make([]byte, sectionHeaderBytes)
 	if _, err := io.ReadFull(r.in, encoded); err != nil {
-		return header, false, r.fail(noSection, truncated(err, "it has no end"))
+		return header, false, r.fail(noSection, truncated(err, "its end section is missing"))
 	}
 	header = parseSectionHeader(encoded)
 	if header.length > r.bounds.Section || r.sections > r.bounds.Sections {
@@ -110,20 +114,20 @@
 	}
 	r.payload = r.payload[:header.length]
 	if _, err := io.ReadFull(r.in, r.payload); err != nil {
-		return header, false, r.fail(r.sections, truncated(err, "its last section is cut"))
+		return header, false, r.fail(r.sections, truncated(err, "its last section is truncated"))
 	}
 	kindAndLength := encoded[:sectionHeaderBytes-checksumBytes]
 	return header, sectionChecksum(r.serial, kindAndLength, r.payload) == header.checksum, nil
 }
 
-// checkEnd checks the file once its end section is in r.payload: the number of sections, and that
-// nothing follows.
+// checkEnd checks the file after its end section was read into r.payload: the number of sections
+// must match, and no data may follow.
 func (r *reader) checkEnd() error {
 	if len(r.payload) != endPayloadBytes || binary.BigEndian.Uint32(r.payload) != uint32(r.sections) {
 		return r.fail(noSection, fmt.Errorf("%w: sections are missing", ErrDamaged))
 	}
 	if _, err := r.in.ReadByte(); err == nil {
-		return r.fail(noSection, fmt.Errorf("%w: something follows its end", ErrDamaged))
+		return r.fail(noSection, fmt.Errorf("%w: data follows its end", ErrDamaged))
 	}
 	if r.damaged > 0 {
 		return r.fail(r.firstDamaged, fmt.Errorf("%w in %d sections", ErrDamaged, r.damaged))
@@ -136,7 +140,7 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// truncated is the error of a file that is too short; errors of the disk pass as they are.
+// truncated returns the error of a file that is too short; it returns errors of the disk unchanged.
 func truncated(err error, reason string) error {
 	if isTruncation(err) {
 		return fmt.Errorf("%w: %s", ErrDamaged, reason)
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -20,7 +20,7 @@
 
 var testBounds = Bounds{Section: 1 << 10, Sections: 8, File: 8 << 10}
 
-// testSections returns sections that say which snapshot they belong to.
+// testSections returns sections whose payload identifies the snapshot they belong to.
 func testSections(serial int) []Section {
 	var sections []Section
 	for i := range 3 {
@@ -55,8 +55,8 @@
 	})
 }
 
-// newestReadable is the number of the newest snapshot that can be read whole, as a reader would choose it;
-// 0: there is none.
+// newestReadable returns the number of the newest snapshot that can be read whole, which is the one
+// that a reader chooses; 0: there is none.
 func newestReadable(t *testing.T, d disk.Disk) int {
 	t.Helper()
 	files, err := Files(d)
@@ -70,7 +70,7 @@
 					return serial
 				}
 			}
-			t.Fatalf("%s is read as whole, and holds what was never written", f.Name)
+			t.Fatalf("Read of %s returned sections that were never written, and no error", f.Name)
 		}
 	}
 	return 0
@@ -91,31 +91,31 @@
 	for _, d := range []disk.Disk{disktest.New(), disk.Folder(path)} {
 		f := open(t, d)
 		if _, err := Open(d, testBounds); !errors.Is(err, disk.ErrLocked) {
-			t.Errorf("%T: a second process has the folder too: %v", d, err)
+			t.Errorf("%T: a second Open returned %v, want ErrLocked", d, err)
 		}
 		for serial := 1; serial <= 4; serial++ {
 			if err := write(f, testSections(serial)); err != nil {
 				t.Fatal(err)
 			}
 			if files, _ := Files(d); newestReadable(t, d) != serial || len(files) != min(serial, retainedFiles) {
-				t.Errorf("%T: %v after %d", d, files, serial)
+				t.Errorf("%T: after snapshot %d the files are %v; want it readable, and %d files", d, serial, files, min(serial, retainedFiles))
 			}
 		}
 		f.Close()
 		f = open(t, d)
 		if err := write(f, testSections(5)); err != nil || newestReadable(t, d) != 5 {
-			t.Errorf("%T: another process goes on with %d, %v", d, newestReadable(t, d), err)
+			t.Errorf("%T: Write after reopening: %v, newest snapshot is %d, want 5", d, err, newestReadable(t, d))
 		}
 		if err := f.Clear(); err != nil || newestReadable(t, d) != 0 {
-			t.Errorf("%T: cleared, but %d is there, %v", d, newestReadable(t, d), err)
+			t.Errorf("%T: Clear: %v, newest snapshot is %d, want none (0)", d, err, newestReadable(t, d))
 		}
 		f.Close()
 	}
 }
 
-// The machine crashes at some operation of a write, and what was not synced is lost, torn or
-// reordered. The directory then has the snapshot before or the new one, whole; once Write has
-// reflipped, the new one. The next process can write again.
+// The machine crashes at any operation of a write, and unsynced changes are lost, torn or reordered.
+// The directory then has the previous snapshot or the new one, whole; once Write has returned, it has
+// the new one. The next process can write.
 func TestCrashAtEveryOperation(t *testing.T) {
 	crashPoints := 0
 	for _, mode := range disktest.CrashModes() {
@@ -128,11 +128,11 @@
 					crashPoints++
 					after := d.AfterCrash(mode, rng)
 					if got := newestReadable(t, after); got < written || got > serial {
-						t.Fatalf("crash mode %d, operation %d: %d is found, %d was written, %d was being written",
+						t.Fatalf("crash mode %d, operation %d: newest snapshot is %d, %d was written, %d was being written",
 							mode, op, got, written, serial)
 					}
 					if reopened := open(t, after); write(reopened, testSections(9)) != nil || newestReadable(t, after) != 9 {
-						t.Fatalf("crash mode %d, operation %d: the next process can't go on", mode, op)
+						t.Fatalf("crash mode %d, operation %d: the next process can't write a snapshot", mode, op)
 					}
 				})
 				if err := write(f, testSections(serial)); err != nil {
@@ -141,18 +141,18 @@
 				d.OnOperation(nil)
 				written = serial
 				if got := newestReadable(t, d.AfterCrash(mode, rng)); got != serial {
-					t.Fatalf("crash mode %d: %d was written, %d is found", mode, serial, got)
+					t.Fatalf("crash mode %d: snapshot %d was written, but the newest is %d", mode, serial, got)
 				}
 			}
 		}
 	}
 	if crashPoints < 1500 {
-		t.Errorf("only %d points", crashPoints)
+		t.Errorf("%d crash points were tested, want at least 1500", crashPoints)
 	}
 }
 
-// A file is cut at any byte, has any bit flipped, or has something behind its end. Read reports it
-// as damaged and never passes on a section that was not written.
+// A file is truncated at any byte, has any bit flipped, or has data after its end. Read returns an
+// error and never passes on a section that was not written.
 func TestDamagedFilesAreReported(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
@@ -166,12 +166,12 @@
 		d.Put(name, file)
 		got, err := read(d, name)
 		if err == nil {
-			t.Errorf("%s: taken for whole", what)
+			t.Errorf("%s: Read returned no error", what)
 		}
 		for _, s := range got {
 			wasWritten := func(w Section) bool { return equalSections([]Section{w}, []Section{s}) }
 			if !slices.ContainsFunc(testSections(1), wasWritten) {
-				t.Errorf("%s: hands on what was not written", what)
+				t.Errorf("%s: Read passed on a section that was not written", what)
 			}
 		}
 	}
@@ -183,13 +183,13 @@
 			checkDamaged(fmt.Sprint("bit ", bit, " of ", n), flipped)
 		}
 	}
-	checkDamaged("something behind the end", append(slices.Clone(whole), 0))
-	checkDamaged("twice", append(slices.Clone(whole), whole...))
+	checkDamaged("data after the end", append(slices.Clone(whole), 0))
+	checkDamaged("the content twice", append(slices.Clone(whole), whole...))
 	flipped := slices.Clone(whole)
 	flipped[headerBytes+sectionHeaderBytes+3] ^= 1
 	d.Put(name, flipped)
 	if got, _ := read(d, name); !equalSections(got, testSections(1)[1:]) {
-		t.Errorf("one section damaged: %d are left", len(got))
+		t.Errorf("with the first section damaged, Read passed on %d sections, want the other 2", len(got))
 	}
 	swapped := testSections(1)
 	swapped[0], swapped[1] = swapped[1], swapped[0]
@@ -199,12 +199,11 @@
 	}
 	second := d.Get("snapshot-0000000000000002")
 	mixed := slices.Concat(second[:headerBytes], whole[headerBytes:])
-	checkDamaged("the head of another file", mixed)
+	checkDamaged("the header of another file", mixed)
 }
 
-// A directory has files of other programs and versions, of absurd sizes or with absurd lengths
-// inside. Each gets its own error, no more is allocated than the bounds say, and snapshots can be
-// written beside it.
+// A directory has files of other programs and versions, files that are too large, and files with
+// lengths out of bounds. Read returns the error of each kind, and snapshots can be written beside them.
 func TestFilesThatAreNoUsableSnapshots(t *testing.T) {
 	header := func(version uint16) []byte {
 		b := binary.BigEndian.AppendUint16([]byte(magic), version)
@@ -218,19 +217,19 @@
 		want error
 	}{
 		{"empty", nil, ErrNotSnapshot},
-		{"another program's", []byte("SQLite format 3\x00 and more than a head of it"), ErrNotSnapshot},
-		{"a newer version's", header(Version + 1), ErrVersion},
+		{"a file of another program", []byte("SQLite format 3\x00 and more than a head of it"), ErrNotSnapshot},
+		{"a newer version", header(Version + 1), ErrVersion},
 		{"a section of 2 GB", append(oversized, make([]byte, 100)...), ErrDamaged},
-		{"past the bound", make([]byte, testBounds.File+1), ErrTooLarge},
+		{"larger than the bound", make([]byte, testBounds.File+1), ErrTooLarge},
 		{"zeros", make([]byte, testBounds.File), ErrNotSnapshot},
 	} {
 		d := disktest.New()
 		d.Put("snapshot-0000000000000001", c.file)
 		if _, err := read(d, "snapshot-0000000000000001"); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: Read returned %v, want %v", c.name, err, c.want)
 		}
 		if f := open(t, d); write(f, testSections(2)) != nil || newestReadable(t, d) != 2 {
-			t.Errorf("%s: nothing can be kept beside it", c.name)
+			t.Errorf("%s: no snapshot can be written beside it", c.name)
 		}
 	}
 	path := t.TempDir()
@@ -241,23 +240,23 @@
 	big.Truncate(1 << 30)
 	big.Close()
 	if _, err := read(disk.Folder(path), "snapshot-00000000000000ff"); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a file of 1 GB: %v", err)
+		t.Errorf("a file of 1 GB: Read returned %v, want ErrTooLarge", err)
 	}
 	if err := os.Mkdir(filepath.Join(path, "snapshot-00000000000000fe"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := read(disk.Folder(path), "snapshot-00000000000000fe"); err == nil {
-		t.Error("a folder is read as a file")
+		t.Error("Read of a directory returned no error")
 	}
 	for _, name := range []string{"", ".", "..", "../x", "a/b"} {
 		if _, err := disk.Folder(path).Create(name); err == nil {
-			t.Errorf("%q is created", name)
+			t.Errorf("Create with the invalid name %q returned no error", name)
 		}
 	}
 }
 
-// A disk gets full, or fails from any operation on. The earlier snapshot stays, and writes succeed
-// again once the disk works.
+// A disk gets full, or fails from any operation on. The earlier snapshot stays readable, and writes
+// succeed again once the disk works.
 func TestFullAndFailingDisks(t *testing.T) {
 	d := disktest.New()
 	f := open(t, d)
@@ -268,10 +267,10 @@
 	for freeBytes := range size {
 		d.Fill(freeBytes)
 		if err := write(f, testSections(2)); err == nil {
-			t.Fatalf("%d bytes of room: written", freeBytes)
+			t.Fatalf("%d bytes free: Write returned no error", freeBytes)
 		}
 		if newestReadable(t, d) != 1 {
-			t.Fatalf("%d bytes of room: the old one is gone", freeBytes)
+			t.Fatalf("%d bytes free: the earlier snapshot can't be read", freeBytes)
 		}
 	}
 	d.Fill(-1)
@@ -280,28 +279,28 @@
 		err := write(f, testSections(2))
 		failed := reached()
 		if got := newestReadable(t, d); got != 1 && got != 2 || err == nil && got != 2 {
-			t.Fatalf("fails from operation %d: %v, %d is there", op, err, got)
+			t.Fatalf("disk fails from operation %d: Write returned %v, and the newest snapshot is %d", op, err, got)
 		}
 		if !failed {
 			break
 		}
 	}
 	if err := write(f, testSections(3)); err != nil || newestReadable(t, d) != 3 {
-		t.Errorf("well again: %v, %d is there", err, newestReadable(t, d))
+		t.Errorf("disk works again: Write returned %v, and the newest snapshot is %d, want 3", err, newestReadable(t, d))
 	}
 }
 
-// Write refuses what Read would refuse.
+// Write rejects what Read would reject.
 func TestWriteKeepsToTheBounds(t *testing.T) {
 	f := open(t, disktest.New())
 	for name, sections := range map[string][]Section{
-		"a section too long": {{1, make([]byte, testBounds.Section+1)}},
-		"too many sections":  slices.Repeat([]Section{{1, nil}}, testBounds.Sections+1),
-		"a file too long":    slices.Repeat([]Section{{1, make([]byte, testBounds.Section)}}, testBounds.Sections),
-		"the kind of an end": {{0, nil}},
+		"a section that is too large": {{1, make([]byte, testBounds.Section+1)}},
+		"too many sections":           slices.Repeat([]Section{{1, nil}}, testBounds.Sections+1),
+		"a file that is too large":    slices.Repeat([]Section{{1, make([]byte, testBounds.Section)}}, testBounds.Sections),
+		"the kind of the end section": {{0, nil}},
 	} {
 		if err := write(f, sections); err == nil {
-			t.Errorf("%s is written", name)
+			t.Errorf("%s: Write returned no error", name)
 		}
 	}
 }
--- a/internal/store/snapshots/write.go
+++ b/internal/store/snapshots/write.go
@@ -6,12 +6,12 @@
 	"math"
 )
 
-// AddFunc adds a section to the file that is being written. It does not retain the payload.
+// AddFunc adds a section to the file being written. It does not retain the payload.
 type AddFunc = func(kind SectionKind, payload []byte) error
 
 // Write stores a new snapshot and removes old ones. The function fill passes the sections to add,
-// one after another; an error of add or fill ends the write. Write returns the bytes of the file.
-// See the package comment for what is durable when it returns.
+// one after another; an error of add or fill aborts the write. Write returns the size of the file
+// in bytes. See the package comment for what is durable when it returns.
 func (f *Folder) Write(fill func(add AddFunc) error) (size int64, err error) {
 	if f.serial == math.MaxUint64 {
 		return 0, errSerialsExhausted
@@ -29,7 +29,7 @@
 		f.disk.Remove(temporary)
 		return 0, err
 	}
-	// The file counts from here, also if Sync fails: its serial number must not be used again.
+	// The file exists from here on, also if Sync fails: its serial number must not be used again.
 	f.serial = serial
 	f.names = append(f.names, name)
 	if err := f.disk.Sync(); err != nil {
@@ -39,7 +39,7 @@
 	return size, nil
 }
 
-// writeFile writes a whole file and syncs it. It returns the bytes of the file.
+// writeFile writes a whole file and syncs it. It returns the size of the file in bytes.
 func (f *Folder) writeFile(
 	name string, serial uint64, fill func(add AddFunc) error,
 ) (size int64, err error) {
@@ -71,10 +71,10 @@
 	bounds   Bounds
 	sections int
 	size     int64 // bytes of the file so far
-	err      error // the first one
+	err      error // the first error
 }
 
-// add appends a section to the file, unless it exceeds the bounds: Read would refuse it.
+// add appends a section to the file, unless the section exceeds the bounds: Read would reject it.
 func (w *writer) add(kind SectionKind, payload []byte) error {
 	if w.err == nil {
 		w.err = w.check(kind, payload)
@@ -85,7 +85,8 @@
 }
 
 func (w *writer) check(kind SectionKind, payload []byte) error {
-	// Room is left for the headers of this section and of the end, and for the end's payload.
+	// This leaves room for the headers of this section and of the end section, and for the payload of
+	// the end section.
 	sizeWithEnd := w.size + int64(len(payload)+3*sectionHeaderBytes)
 	switch {
 	case kind == kindEnd:
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// finish appends the end and flushes the buffer.
+// finish appends the end section and flushes the buffer.
 func (w *writer) finish() error {
 	w.writeSection(Section{kindEnd, binary.BigEndian.AppendUint32(nil, uint32(w.sections))})
 	if w.err != nil {
