--- a/internal/core/restore/restore_test.go
+++ b/internal/core/restore/restore_test.go
@@ -91,8 +91,7 @@
 		selected, counts := Select(sampleSnapshot(c.age), owner, testEndpoints, now, c.halfLives)
 		if len(selected.Engines) != c.engines || len(selected.Tables) != c.tables || len(selected.Classes) != c.classes ||
 			len(selected.Traffic) != c.traffic || counts != c.counts {
-			t.Errorf("%s: selected %+v, counts %+v; want %d engines, %d tables, %d classes, %d traffic, counts %+v",
-				c.name, selected, counts, c.engines, c.tables, c.classes, c.traffic, c.counts)
+			t.Errorf("%s: selected %+v with counts %+v, want those of the table", c.name, selected, counts)
 		}
 	}
 }
@@ -174,7 +173,7 @@
 		stored := sampleSnapshot(0)
 		c.change(stored)
 		if selected, counts := Select(stored, owner, testEndpoints, now, DefaultHalfLives()); selected.Len() != c.restored || counts != c.want {
-			t.Errorf("%s: %d records restored, counts %+v; want %d, %+v", c.name, selected.Len(), counts, c.restored, c.want)
+			t.Errorf("%s: %d records restored with counts %+v, want those of the table", c.name, selected.Len(), counts)
 		}
 	}
 }
@@ -240,7 +239,7 @@
 			t.Fatal("Select changed the snapshot")
 		}
 		if counts.Restored != later.Len() || later.Len() > earlier.Len()+6 {
-			t.Fatalf("counts %+v, but %d records were restored, and %d of them 30 s earlier", counts, later.Len(), earlier.Len())
+			t.Fatalf("counts %+v with %d records restored, want the same number, and hardly more than 30 s earlier", counts, later.Len())
 		}
 		seen := map[router.EngineID]bool{}
 		for _, e := range earlier.Engines {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -43,7 +43,7 @@
 		}
 		if line["level"] != "warn" || line["message"] != "it happened" || line["a"] != 1.0 || line["g.b"] != 2.0 ||
 			line["g.c.d"] != 3.0 || line["g.why"] != "two words" || line["time"] == nil {
-			t.Errorf("JSON line is %v", line)
+			t.Error(line)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	log.Info("often")
 	log.Info("often")
 	if n := strings.Count(out.String(), "dropped=7"); n != 1 {
-		t.Errorf("%d lines have dropped=7, want 1: %s", n, out)
+		t.Error(out.String())
 	}
 	*now = now.Add(-time.Hour) // the clock is set back
 	out.Reset()
@@ -81,7 +81,7 @@
 		log.Info(fmt.Sprint("kind ", i))
 	}
 	if len(l.limiter.windows) > maxKinds+1 {
-		t.Errorf("%d kinds have windows, want at most %d", len(l.limiter.windows), maxKinds+1)
+		t.Errorf("%d kinds have windows, want at most maxKinds+1", len(l.limiter.windows))
 	}
 }
 
@@ -98,7 +98,7 @@
 	l.Configure(b)
 	log.Warn("quiet")
 	if text := out.String(); strings.Contains(text, "quiet") || !strings.Contains(text, `"message":"loud"`) {
-		t.Errorf("log is %q, want only the line that was logged at level debug", text)
+		t.Error(text)
 	}
 }
 
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -91,7 +91,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("did not happen within testTimeout: %s", what)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 	stopAndWait(t, w)
 	stored, results, err := Load(d, testBounds)
 	if err != nil || len(results) != 1 || !stored.Complete || stored.Build != "test" {
-		t.Fatalf("Load: %+v, %v, %v; want a complete snapshot of build \"test\" from one file", stored, results, err)
+		t.Fatal(stored, results, err)
 	}
 	want := sampleStatistics(300, stored.Snapshot.Statistics.Engines[0].At)
 	if stored.Snapshot.Owner != owner || !reflect.DeepEqual(stored.Snapshot.Statistics, want) {
-		t.Errorf("snapshot of %+v read, with engines %+v; want what was written", stored.Snapshot.Owner, stored.Snapshot.Statistics.Engines[:3])
+		t.Errorf("the snapshot read differs from the one written; its first engines are %+v", stored.Snapshot.Statistics.Engines[:3])
 	}
 }
 
@@ -139,7 +139,7 @@
 	stopAndWait(t, w)
 	n := w.written.Load()
 	if files, _ := snapshots.Files(d); len(files) != 2 || files[0].Serial != uint64(n) {
-		t.Errorf("%d snapshots written, files %v; want 2 files, the newest with serial %d", n, files, n)
+		t.Errorf("%d snapshots written, files %v; want 2 files, the newest with that number as its serial", n, files)
 	}
 }
 
@@ -161,7 +161,7 @@
 		{40, 0, testLimits.SnapshotMaxRetryDelay},
 	} {
 		if got := w.nextDelay(c.failures, c.size); got != c.want {
-			t.Errorf("%d failures, %d bytes: delay %v, want %v", c.failures, c.size, got, c.want)
+			t.Errorf("%d failures, %d bytes: delay %v is not the one in the table", c.failures, c.size, got)
 		}
 	}
 	w.interval.Store(int64(time.Hour))
@@ -311,13 +311,13 @@
 		stored, _, err := Load(d, testBounds)
 		isLoaded := stored != nil
 		if engineCount(stored) != c.engines || isLoaded && stored.Complete != c.complete || (err == nil) != isLoaded {
-			t.Errorf("%s: Load returned %d engines, %v; want %d engines (-1: no snapshot), complete %v", c.name, engineCount(stored), err, c.engines, c.complete)
+			t.Errorf("%s: Load returned %d engines (-1: no snapshot), %v; want the result in the table", c.name, engineCount(stored), err)
 		}
 		fileChecks, err := Verify(d, testBounds)
 		hasIncomplete := strings.Contains(fmt.Sprint(fileChecks), "false")
 		allComplete := c.name == "both whole" || c.name == "no files"
 		if err != nil || hasIncomplete == allComplete {
-			t.Errorf("%s: Verify returned %+v, %v; want all complete: %v", c.name, fileChecks, err, allComplete)
+			t.Errorf("%s: Verify returned %+v, %v; want exactly the damaged files incomplete", c.name, fileChecks, err)
 		}
 	}
 }
@@ -376,7 +376,7 @@
 	}
 	runtime.ReadMemStats(&after)
 	if mean := (after.TotalAlloc - before.TotalAlloc) / (5 * 309); mean > 1<<20 {
-		t.Errorf("%d bytes allocated per file, want at most %d", mean, 1<<20)
+		t.Errorf("%d bytes allocated per file, want at most 1 MiB", mean)
 	}
 	tooManyLeaders, _ := encoder.Marshal([]tableForm{{Homes: make([]string, maxPoolLeaders+1)}})
 	tooLongName, _ := encoder.Marshal([]tableForm{{Homes: []string{strings.Repeat("x", maxTextBytes+1)}}})
@@ -427,7 +427,7 @@
 			t.Errorf("%s: %+v, %v; want 3 engines and 2 table groups", f.Name, stored, err)
 		}
 		if stored.TakenAt != before.TakenAt || statistics.Engines[0].At != before.Snapshot.Statistics.Engines[0].At {
-			t.Errorf("%s: pruning changed timestamps", f.Name)
+			t.Error("pruning changed the timestamps of the records that it kept")
 		}
 	}
 	report := NewReport(before, before.TakenAt+60e3, restore.DefaultHalfLives())
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -93,7 +93,7 @@
 	}
 	stored, results, err := Load(disk.Folder(storedFolder), testBounds)
 	if err != nil || len(results) != 1 || results[0].Err != nil {
-		t.Fatalf("Load: %+v, %v; want one file without an error", results, err)
+		t.Fatal(results, err)
 	}
 	if want := storedSnapshot(); !reflect.DeepEqual(stored, want) {
 		t.Errorf("snapshot read:\n%+v\nwant:\n%+v", stored, want)
@@ -127,7 +127,7 @@
 	}
 	decoded, err := DecodeStatistics(table.Bytes(t, "learned", encoded))
 	if err != nil || !reflect.DeepEqual(decoded, statistics) {
-		t.Errorf("DecodeStatistics: %+v, %v; want %+v", decoded, err, statistics)
+		t.Errorf("DecodeStatistics returned %+v, %v; want the encoded statistics", decoded, err)
 	}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -81,7 +81,7 @@
 			got = append(got, fmt.Sprintf("%d:%d %s", p.Line, p.Column, p.Field))
 		}
 		if (err == nil) != (c.want == nil) || len(got) < len(c.want) || (file == nil) != (err != nil) {
-			t.Errorf("%s: problems %v, want %q", c.name, err, c.want)
+			t.Errorf("%s: problems %v, want those of the table", c.name, err)
 			continue
 		}
 		for i, want := range c.want {
--- a/internal/store/documents/documents_test.go
+++ b/internal/store/documents/documents_test.go
@@ -447,7 +447,7 @@
 		"a document above the number allowed": {f.Put(hashOfDocument(11), testDocument(11)), ErrFull},
 	} {
 		if !errors.Is(c.err, c.want) {
-			t.Errorf("%s: error %v, want %v", name, c.err, c.want)
+			t.Errorf("%s: error %v is not the one in the table", name, c.err)
 		}
 	}
 	f, _ = open(t, disktest.New())
@@ -496,8 +496,7 @@
 	defer f.Close()
 	isCurrent := contents.Current != nil && contents.Current.Document == hashOfDocument(1)
 	if !isCurrent || len(contents.Documents) != testBounds.Documents || contents.Damaged != 6 {
-		t.Errorf("current %v, %d documents, %d damaged; want current document 1, %d documents, 6 damaged",
-			contents.Current, len(contents.Documents), contents.Damaged, testBounds.Documents)
+		t.Errorf("current %v, %d documents, %d damaged; want document 1 current, 4 documents, 6 damaged", contents.Current, len(contents.Documents), contents.Damaged)
 	}
 	names := namesOf(t, d)
 	for _, name := range foreign {
@@ -507,6 +506,6 @@
 	}
 	const own = 1 + 1 // current and the lock
 	if len(names) != len(foreign)+own+testBounds.Documents {
-		t.Errorf("%d files are left, want %d: %v", len(names), len(foreign)+own+testBounds.Documents, names)
+		t.Errorf("%d files are left, want the foreign ones, current, lock and 4 documents: %v", len(names), names)
 	}
 }
--- a/internal/store/fenced/fenced_test.go
+++ b/internal/store/fenced/fenced_test.go
@@ -144,10 +144,10 @@
 		}
 	}
 	if err := Write(d, "a", 1, make([]byte, MaxValueBytes+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("Write of a value that is too large returned %v, want ErrTooLarge", err)
+		t.Error(err)
 	}
 	if _, _, err := Read(d, "a"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("Read of a value that was never written returned %v, want ErrNotFound", err)
+		t.Error(err)
 	}
 	for range 5 {
 		Write(d, "a", 1, []byte("x"))
--- a/internal/store/fenced/stored_test.go
+++ b/internal/store/fenced/stored_test.go
@@ -28,6 +28,6 @@
 	}
 	golden.File(t, file, written)
 	if got, gotToken, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || gotToken != token || err != nil {
-		t.Errorf("stored value is read as %q with token %d, %v; want %q with token %d", got, gotToken, err, value, token)
+		t.Errorf("stored value is read as %q with token %d, %v; want what an earlier build wrote", got, gotToken, err)
 	}
 }
--- a/internal/store/records/stored_test.go
+++ b/internal/store/records/stored_test.go
@@ -56,6 +56,6 @@
 	}
 	defer log.Close()
 	if recovered.TornTail || !reflect.DeepEqual(recovered.Records, storedRecords()) {
-		t.Errorf("stored log: torn tail %v, records %q; want no torn tail, records %q", recovered.TornTail, recovered.Records, storedRecords())
+		t.Errorf("stored log: torn tail %v, records %q; want storedRecords and no torn tail", recovered.TornTail, recovered.Records)
 	}
 }
--- a/internal/store/snapshots/snapshots_test.go
+++ b/internal/store/snapshots/snapshots_test.go
@@ -98,16 +98,16 @@
 				t.Fatal(err)
 			}
 			if files, _ := Files(d); newestReadable(t, d) != serial || len(files) != min(serial, retainedFiles) {
-				t.Errorf("%T: after snapshot %d the files are %v; want it readable, and %d files", d, serial, files, min(serial, retainedFiles))
+				t.Errorf("%T: files are %v after snapshot %d; want it readable, and at most retainedFiles files", d, files, serial)
 			}
 		}
 		f.Close()
 		f = open(t, d)
 		if err := write(f, testSections(5)); err != nil || newestReadable(t, d) != 5 {
-			t.Errorf("%T: Write after reopening: %v, newest snapshot is %d, want 5", d, err, newestReadable(t, d))
+			t.Errorf("%T: newest snapshot is %d after reopening and a Write, want 5; Write returned %v", d, newestReadable(t, d), err)
 		}
 		if err := f.Clear(); err != nil || newestReadable(t, d) != 0 {
-			t.Errorf("%T: Clear: %v, newest snapshot is %d, want none (0)", d, err, newestReadable(t, d))
+			t.Errorf("%T: newest snapshot is %d after Clear, want none (0); Clear returned %v", d, newestReadable(t, d), err)
 		}
 		f.Close()
 	}
@@ -226,7 +226,7 @@
 		d := disktest.New()
 		d.Put("snapshot-0000000000000001", c.file)
 		if _, err := read(d, "snapshot-0000000000000001"); !errors.Is(err, c.want) {
-			t.Errorf("%s: Read returned %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: Read returned %v, want the error in the table", c.name, err)
 		}
 		if f := open(t, d); write(f, testSections(2)) != nil || newestReadable(t, d) != 2 {
 			t.Errorf("%s: no snapshot can be written beside it", c.name)
@@ -286,7 +286,7 @@
 		}
 	}
 	if err := write(f, testSections(3)); err != nil || newestReadable(t, d) != 3 {
-		t.Errorf("disk works again: Write returned %v, and the newest snapshot is %d, want 3", err, newestReadable(t, d))
+		t.Errorf("disk works again: Write returned %v, newest snapshot is %d, want 3", err, newestReadable(t, d))
 	}
 }
 
