--- a/internal/core/restore/engines.go
+++ b/internal/core/restore/engines.go
@@ -6,7 +6,7 @@
 	"mintkeel/router"
 )
 
-// recordedOutcomes is how many outcomes of attempts an engine's record has, a bit for each.
+// recordedOutcomes is the number of attempts whose outcomes an engine's record has, one bit each.
 const recordedOutcomes = 8
 
 // selectEngines returns the records of engines that are listed as ready and are still the same
@@ -37,28 +37,28 @@
 	return selected
 }
 
-// ageEngine returns a record with each of its values aged by its own half-life. ok is false if all
-// have expired.
+// ageEngine returns a record with each of its values decayed by its own half-life. ok is false if
+// all have expired.
 func (s *selector) ageEngine(e router.EngineStatistics) (aged router.EngineStatistics, ok bool) {
-	lives := s.halfLives
-	longest := max(lives.Slowdown, lives.Outcomes, lives.ThreadsPerCore, lives.Pools)
+	halfLives := s.halfLives
+	longest := max(halfLives.Slowdown, halfLives.Outcomes, halfLives.ThreadsPerCore, halfLives.Pools)
 	if _, ok := s.remainingWeight(e.At, longest); !ok {
 		return e, false
 	}
 	age := s.now - e.At
 	e.Slowdown.Weight = min(maxSlowdownWeight, e.Slowdown.Weight) *
-		RemainingWeight(age, lives.Slowdown)
-	surplus := e.ThreadsPerCore - defaultThreadsPerCore
-	e.ThreadsPerCore = defaultThreadsPerCore + surplus*RemainingWeight(age, lives.ThreadsPerCore)
-	e.Outcomes = ageOutcomes(e.Outcomes, RemainingWeight(age, lives.Outcomes))
-	if RemainingWeight(age, lives.Pools) < minRemainingWeight {
+		RemainingWeight(age, halfLives.Slowdown)
+	deviation := e.ThreadsPerCore - defaultThreadsPerCore
+	e.ThreadsPerCore = defaultThreadsPerCore + deviation*RemainingWeight(age, halfLives.ThreadsPerCore)
+	e.Outcomes = ageOutcomes(e.Outcomes, RemainingWeight(age, halfLives.Outcomes))
+	if RemainingWeight(age, halfLives.Pools) < minRemainingWeight {
 		e.PoolLeader = ""
 	}
 	return e, true
 }
 
-// ageOutcomes keeps a share of the outcomes, the latest, and takes the others as good, as with an
-// engine without statistics.
+// ageOutcomes keeps a share of the outcomes, the latest, and sets the others to success, which is
+// the state of an engine without statistics.
 func ageOutcomes(outcomes uint8, share float64) uint8 {
 	count := int(math.Round(recordedOutcomes * share))
 	return outcomes | uint8(0xff<<count)
--- a/internal/core/restore/tables.go
+++ b/internal/core/restore/tables.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// selectTables returns the records of table groups, those with the most demand if there are too
-// many for this number of engines.
+// selectTables returns the valid records of table groups, with decayed values. If there are too
+// many for this number of engines, it returns those with the highest demand.
 func (s *selector) selectTables(
 	records []router.TableStatistics, engines int,
 ) (selected []router.TableStatistics) {
@@ -32,16 +32,18 @@
 	return s.limitTables(selected, min(maxTables, maxTableEnginePairs/max(1, engines)))
 }
 
-// limitTables returns the table groups with the most demand, ordered by id.
-func (s *selector) limitTables(tables []router.TableStatistics, most int) []router.TableStatistics {
-	if len(tables) <= most {
+// limitTables returns the table groups with the highest demand, at most limit, ordered by id.
+func (s *selector) limitTables(
+	tables []router.TableStatistics, limit int,
+) []router.TableStatistics {
+	if len(tables) <= limit {
 		return tables
 	}
 	slices.SortStableFunc(tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(b.Demand, a.Demand)
 	})
-	s.counts.Invalid += len(tables) - most
-	tables = tables[:most]
+	s.counts.Invalid += len(tables) - limit
+	tables = tables[:limit]
 	slices.SortFunc(tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(a.Tables, b.Tables)
 	})
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -10,10 +10,10 @@
 // would put attributes into groups that were opened after them.
 type handler struct {
 	log    *Log
-	scopes []scope // the outermost first
+	scopes []scope // outermost first
 }
 
-// scope is attributes set by WithAttrs, or a group opened by WithGroup.
+// scope is the attributes of one WithAttrs, or the group of one WithGroup.
 type scope struct {
 	group string // empty: attributes only
 	attrs []slog.Attr
@@ -32,15 +32,16 @@
 		return nil
 	}
 	line := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
-	line.AddAttrs(h.scoped(r)...)
+	line.AddAttrs(h.scopedAttrs(r)...)
 	if dropped > 0 {
 		line.AddAttrs(slog.Int("dropped", dropped))
 	}
 	return config.handler.Handle(ctx, line)
 }
 
-// scoped returns the attributes of a record and of the handler, each in the group it was set in.
-func (h *handler) scoped(r slog.Record) []slog.Attr {
+// scopedAttrs returns the attributes of a record and of the handler, each in the group in which it
+// was set.
+func (h *handler) scopedAttrs(r slog.Record) []slog.Attr {
 	var attrs []slog.Attr
 	r.Attrs(func(a slog.Attr) bool {
 		attrs = append(attrs, a)
--- a/internal/memory/stored_test.go
+++ b/internal/memory/stored_test.go
@@ -1,8 +1,7 @@
 package memory
 
-// A rename or a reordering of fields can change the format of the memory folder without any other
-// test failing: both ends of a test are of one build. These tests read a folder that an earlier
-// build wrote.
+// A renamed or reordered field can change the stored format without any other test failing, as
+// those write and read with the same build. These tests read a folder written by an earlier build.
 
 import (
 	"encoding/json"
@@ -20,13 +19,13 @@
 )
 
 const (
-	storedFolder = "testdata/folder"
-	storedName   = "snapshot-0000000000000001"
-	storedTaken  = 1_700_000_000_500.0 // ms since 1970
+	storedFolder  = "testdata/folder"
+	storedName    = "snapshot-0000000000000001"
+	storedTakenAt = 1_700_000_000_500.0 // ms since 1970
 )
 
-// storedStatistics holds each kind of record, with every field set and figures that the format
-// holds exactly.
+// storedStatistics returns records of each kind, with every field set to a value that the format
+// represents exactly.
 func storedStatistics() router.Statistics {
 	return router.Statistics{
 		Engines: []router.EngineStatistics{
@@ -47,12 +46,12 @@
 }
 
 func storedSnapshot() *StoredSnapshot {
-	return &StoredSnapshot{File: storedName, Serial: 1, TakenAt: storedTaken, Build: "v1.2.3",
+	return &StoredSnapshot{File: storedName, Serial: 1, TakenAt: storedTakenAt, Build: "v1.2.3",
 		Snapshot: restore.Snapshot{Owner: restore.Identity{Name: "n3", Settings: 0xfedcba9876543210}, Statistics: storedStatistics()},
 		Complete: true, hasHeader: true}
 }
 
-// writeStored writes what a snapshot holds to a new folder, and returns the bytes of its file.
+// writeStored writes a snapshot to a new folder and returns the content of its file.
 func writeStored(t *testing.T, stored *StoredSnapshot) []byte {
 	t.Helper()
 	d := disktest.New()
@@ -97,11 +96,11 @@
 		t.Fatal(results, err)
 	}
 	if want := storedSnapshot(); !reflect.DeepEqual(stored, want) {
-		t.Errorf("read:\n%+v\nstored:\n%+v", stored, want)
+		t.Errorf("snapshot read:\n%+v\nwant:\n%+v", stored, want)
 	}
 	checks, err := Verify(disk.Folder(storedFolder), testBounds)
 	if err != nil || !reflect.DeepEqual(checks, []FileCheck{{File: storedName, Complete: true, Name: "n3", Records: 6}}) {
-		t.Errorf("verified: %+v, %v", checks, err)
+		t.Errorf("Verify: %+v, %v; want one complete file of n3 with 6 records", checks, err)
 	}
 }
 
@@ -111,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if got := writeStored(t, storedSnapshot()); string(got) != string(want) {
-		t.Errorf("written: %x\nstored:  %x", got, want)
+		t.Errorf("file written: %x\nwant:         %x", got, want)
 	}
 }
 
@@ -128,12 +127,12 @@
 	}
 	decoded, err := DecodeStatistics(table.Bytes(t, "learned", encoded))
 	if err != nil || !reflect.DeepEqual(decoded, statistics) {
-		t.Errorf("decoded: %+v, %v", decoded, err)
+		t.Errorf("DecodeStatistics returned %+v, %v; want the encoded statistics", decoded, err)
 	}
 }
 
 func TestShownMemoryJSONIsStable(t *testing.T) {
-	shown, err := json.MarshalIndent(NewReport(storedSnapshot(), storedTaken+1000, restore.DefaultHalfLives()), "", "  ")
+	shown, err := json.MarshalIndent(NewReport(storedSnapshot(), storedTakenAt+1000, restore.DefaultHalfLives()), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/fenced/stored_test.go
+++ b/internal/store/fenced/stored_test.go
@@ -1,7 +1,7 @@
 package fenced
 
-// A change of the format or of the name of a fenced value's file shows only when a holder reads what an earlier build
-// wrote. This test reads such a file, and writes the same value to the same bytes.
+// A change of the format or name of a value's file shows only when a lease holder reads what an earlier build wrote.
+// This test reads such a file, and checks that the same value is written as the same bytes.
 
 import (
 	"os"
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	golden.File(t, file, written)
-	if got, of, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || of != token || err != nil {
-		t.Errorf("%q of token %d, %v", got, of, err)
+	if got, gotToken, err := Read(disk.Folder("testdata"), "plan-a"); string(got) != value || gotToken != token || err != nil {
+		t.Errorf("stored value is read as %q with token %d, %v; want what an earlier build wrote", got, gotToken, err)
 	}
 }
--- a/internal/store/records/records_test.go
+++ b/internal/store/records/records_test.go
@@ -10,38 +10,38 @@
 	"mintkeel/internal/store/disk/disktest"
 )
 
-// The machine crashes at some operation in the life of a log, and what was not synced is lost, torn
-// or reordered. A new Open then returns every record for which Append or Replace had returned, in
-// order, and besides at most the one that was being written.
+// The machine crashes at any operation on a log, and unsynced changes are lost, torn or reordered. A
+// new Open then returns every record for which Append or Replace had returned, in order, and at most
+// the record that was being written in addition.
 func TestCrashAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := range int64(20) {
 		rng := rand.New(rand.NewSource(seed))
 		d := disktest.New()
 		var durable []string // records for which Append or Replace has returned
-		next, writing := 0, ""
+		next, pending := 0, ""
 		checkCrash := func(int) {
 			for _, mode := range disktest.CrashModes() {
 				crashes++
 				after := d.AfterCrash(mode, rng)
 				l, recovered, err := Open(after, DefaultBounds())
 				if err != nil {
-					t.Fatalf("seed %d, crash mode %v after %d: %v", seed, mode, next, err)
+					t.Fatalf("seed %d, crash mode %v at record %d: Open: %v", seed, mode, next, err)
 				}
 				l.Close()
 				texts := []string{}
 				for _, b := range recovered.Records {
 					texts = append(texts, string(b))
-					if b[0] == 'W' { // it replaces all before it
+					if b[0] == 'W' { // a replacing record
 						texts = texts[len(texts)-1:]
 					}
 				}
-				owed := fmt.Sprint(durable)
-				with := fmt.Sprint(append(append([]string{}, durable...), writing))
-				replaced := fmt.Sprint([]string{writing})
-				if got := fmt.Sprint(texts); got != owed && got != with && got != replaced {
-					t.Fatalf("seed %d, crash mode %v: found %v, owed %v, writing %q",
-						seed, mode, got, owed, writing)
+				want := fmt.Sprint(durable)
+				wantWithPending := fmt.Sprint(append(append([]string{}, durable...), pending))
+				wantReplaced := fmt.Sprint([]string{pending})
+				if got := fmt.Sprint(texts); got != want && got != wantWithPending && got != wantReplaced {
+					t.Fatalf("seed %d, crash mode %v: Open returned %v, want %v and perhaps %q",
+						seed, mode, got, want, pending)
 				}
 			}
 		}
@@ -54,24 +54,24 @@
 			next++
 			switch rng.Intn(6) {
 			case 0:
-				writing = fmt.Sprintf("W%d", next)
-				if err := l.Replace([]byte(writing)); err != nil {
+				pending = fmt.Sprintf("W%d", next)
+				if err := l.Replace([]byte(pending)); err != nil {
 					t.Fatal(err)
 				}
-				durable = []string{writing}
+				durable = []string{pending}
 			case 1:
 				l.Close()
 				if l, _, err = Open(d, DefaultBounds()); err != nil {
 					t.Fatal(err)
 				}
 			default:
-				writing = fmt.Sprintf("r%d %s", next, make([]byte, rng.Intn(100)))
-				if err := l.Append([]byte(writing)); err != nil {
+				pending = fmt.Sprintf("r%d %s", next, make([]byte, rng.Intn(100)))
+				if err := l.Append([]byte(pending)); err != nil {
 					t.Fatal(err)
 				}
-				durable = append(durable, writing)
+				durable = append(durable, pending)
 			}
-			writing = ""
+			pending = ""
 		}
 		d.OnOperation(nil)
 		l.Close()
@@ -79,8 +79,8 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// A byte of a log's file changes, or the file is cut. Open then fails, or reports a torn tail; it
-// never returns a record with other content.
+// A bit of a log's file is flipped, or the file is truncated. Open then fails or drops the end of the
+// file; it never returns a record with other content.
 func TestChangedBytesAreNoticed(t *testing.T) {
 	d := disktest.New()
 	l, _, _ := Open(d, DefaultBounds())
@@ -89,67 +89,67 @@
 	}
 	l.Close()
 	const name = "records-0000000000000001"
-	whole := d.Get(name)
-	for at := range whole {
-		bad := append([]byte{}, whole...)
-		bad[at] ^= 1 << (at % 8)
-		other := disktest.New()
-		other.Put(name, bad)
-		_, recovered, err := Open(other, DefaultBounds())
+	content := d.Get(name)
+	for at := range content {
+		damaged := append([]byte{}, content...)
+		damaged[at] ^= 1 << (at % 8)
+		damagedDisk := disktest.New()
+		damagedDisk.Put(name, damaged)
+		_, recovered, err := Open(damagedDisk, DefaultBounds())
 		if err == nil && !recovered.TornTail {
-			t.Fatalf("byte %d: taken as whole: %q", at, recovered.Records)
+			t.Fatalf("byte %d changed: Open returned %q and neither an error nor a torn tail", at, recovered.Records)
 		}
 		for i, b := range recovered.Records {
 			if string(b) != fmt.Sprint("record ", i) {
-				t.Fatalf("byte %d: record %d is %q", at, i, b)
+				t.Fatalf("byte %d changed: record %d is %q", at, i, b)
 			}
 		}
 	}
-	for cut := range whole {
-		other := disktest.New()
-		other.Put(name, whole[:cut])
-		if _, recovered, err := Open(other, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
-			t.Fatalf("cut at %d: %d records, %v", cut, len(recovered.Records), err)
+	for cut := range content {
+		cutDisk := disktest.New()
+		cutDisk.Put(name, content[:cut])
+		if _, recovered, err := Open(cutDisk, DefaultBounds()); err != nil || len(recovered.Records) > 3 {
+			t.Fatalf("file cut at byte %d: Open returned %d records, %v; want at most 3 and no error", cut, len(recovered.Records), err)
 		}
 	}
 }
 
-// An append fails: the log accepts nothing more, as the record may be there or not. A log is
-// damaged: it accepts only a record that replaces all, and its files are kept under another name.
+// After a failed append a log accepts nothing more, as the record may be stored or not. A damaged log
+// accepts only a replacing record, and its files are kept under another name.
 func TestFailedAndDamagedLogs(t *testing.T) {
 	d := disktest.New()
 	l, _, _ := Open(d, DefaultBounds())
 	l.Append([]byte("one"))
 	l.Append([]byte("two"))
 	if _, _, err := Open(d, DefaultBounds()); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("a second process opens it: %v", err)
+		t.Errorf("a second Open returned %v, want ErrLocked", err)
 	}
 	reached := d.FailFrom(1, errors.New("broken"))
 	if l.Append([]byte("three")) == nil || !reached() {
-		t.Error("a failed append is taken as kept")
+		t.Error("Append returned no error, or the disk did not fail")
 	}
 	if l.Append([]byte("four")) == nil || l.Replace([]byte("all")) == nil {
-		t.Error("something is kept after a failure")
+		t.Error("Append or Replace returned no error after a failed append")
 	}
 	l.Close()
 	const name = "records-0000000000000001"
-	bad := d.Get(name)
-	bad[len(magic)+20] ^= 1
-	other := disktest.New()
-	other.Put(name, bad)
-	l, _, err := Open(other, DefaultBounds())
+	damaged := d.Get(name)
+	damaged[len(magic)+20] ^= 1
+	damagedDisk := disktest.New()
+	damagedDisk.Put(name, damaged)
+	l, _, err := Open(damagedDisk, DefaultBounds())
 	if !errors.Is(err, ErrDamaged) || l.Append([]byte("x")) == nil {
-		t.Fatalf("a damaged log is appended to: %v", err)
+		t.Fatalf("Open of a damaged log returned %v, want ErrDamaged, and Append must fail", err)
 	}
 	if err := l.Replace([]byte("anew")); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	if other.Get(damagedPrefix+name) == nil {
-		t.Error("the damaged file is not put aside")
+	if damagedDisk.Get(damagedPrefix+name) == nil {
+		t.Error("Replace did not keep the damaged file under another name")
 	}
-	_, recovered, err := Open(other, DefaultBounds())
+	_, recovered, err := Open(damagedDisk, DefaultBounds())
 	if err != nil || len(recovered.Records) != 1 || string(recovered.Records[0]) != "anew" {
-		t.Errorf("%q, %v", recovered.Records, err)
+		t.Errorf("Open after Replace returned %q, %v; want only the replacing record", recovered.Records, err)
 	}
 }
