--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -23,17 +23,17 @@
 this configuration and operator's file would: docs/config.md.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, file, err := from.read()
+			config, file, err := from.read()
 			if err == nil && document != "" {
-				file, err = checkDocument(document, s, file)
+				file, err = checkDocument(document, config, file)
 			}
 			if asJSON {
-				return checkJSON(c, s, file, err)
+				return checkJSON(c, config, file, err)
 			}
 			if err != nil {
 				return err
 			}
-			printCheckResult(c.OutOrStdout(), from.operatorPath, document, s, file)
+			printCheckResult(c.OutOrStdout(), from.operatorPath, document, config, file)
 			return nil
 		},
 	}
@@ -46,11 +46,11 @@
 // printCheckResult prints in a line each what the configuration and the operator's file, or the
 // document, hold.
 func printCheckResult(
-	out io.Writer, operatorPath, document string, s *controllerConfig, file *operator.File,
+	out io.Writer, operatorPath, document string, config *controllerConfig, file *operator.File,
 ) {
 	fmt.Fprintf(out, "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
-		cmp.Or(s.Name, "unnamed"), len(s.facts.Classes), len(s.facts.Tenants),
-		len(s.facts.MachineKinds), s.InitialEndpoints.Number)
+		cmp.Or(config.Name, "unnamed"), len(config.facts.Classes), len(config.facts.Tenants),
+		len(config.facts.MachineKinds), config.InitialEndpoints.Number)
 	if operatorPath != "" && document == "" {
 		fmt.Fprintf(out, "%s: memory %s, %d rules, fleet %s\n", operatorPath, onOff(file.Memory != nil),
 			ruleCount(file), onOff(file.Fleet != nil))
@@ -63,16 +63,19 @@
 
 // checkDocument parses a document for the fleet as the controller with this configuration and
 // operator's file would, and returns the merged file.
-func checkDocument(path string, s *controllerConfig, own *operator.File) (*operator.File, error) {
+func checkDocument(
+	path string, config *controllerConfig, own *operator.File,
+) (*operator.File, error) {
 	text, err := readDocument(path)
 	if err != nil {
 		return nil, err
 	}
-	return operator.ParseDocument(path, text, operator.Local{Name: s.Name, File: own}, s.facts)
+	return operator.ParseDocument(path, text, operator.Local{Name: config.Name, File: own},
+		config.facts)
 }
 
 // checkJSON prints the result of a check as JSON. It returns the error of the check.
-func checkJSON(c *cobra.Command, s *controllerConfig, file *operator.File, err error) error {
+func checkJSON(c *cobra.Command, config *controllerConfig, file *operator.File, err error) error {
 	type problem struct {
 		File   string `json:"file,omitempty"`
 		Line   int    `json:"line,omitempty"`
@@ -90,10 +93,10 @@
 		Problems []problem `json:"problems"`
 	}{OK: err == nil, Problems: []problem{}}
 	if err == nil {
-		found.Name = s.Name
-		found.Profiles = len(s.facts.Classes)
-		found.Tenants = len(s.facts.Tenants)
-		found.Kinds = len(s.facts.MachineKinds)
+		found.Name = config.Name
+		found.Profiles = len(config.facts.Classes)
+		found.Tenants = len(config.facts.Tenants)
+		found.Kinds = len(config.facts.MachineKinds)
 		found.Memory = file.Memory != nil
 	}
 	for _, p := range operator.Problems(err) {
--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -56,46 +56,46 @@
 }
 
 func parseControllerConfig(text []byte) (*controllerConfig, error) {
-	s := &controllerConfig{}
+	config := &controllerConfig{}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
-	if err := decoder.Decode(s); err != nil {
+	if err := decoder.Decode(config); err != nil {
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &kind) {
 			return nil, fieldError(kind.Field, "is a "+kind.Value)
 		}
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if err := s.checkAddresses(); err != nil {
+	if err := config.checkAddresses(); err != nil {
 		return nil, err
 	}
-	seed, err := strconv.ParseUint(s.Seed, 16, 64)
+	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
-		return nil, fieldError("seed", fmt.Sprintf("%q is no hexadecimal number", s.Seed))
+		return nil, fieldError("seed", fmt.Sprintf("%q is no hexadecimal number", config.Seed))
 	}
-	s.seed = int64(seed)
-	if err := s.checkGrants(); err != nil {
+	config.seed = int64(seed)
+	if err := config.checkGrants(); err != nil {
 		return nil, err
 	}
-	if s.Settings == nil {
+	if config.Settings == nil {
 		return nil, fieldError("settings", "is missing")
 	}
-	facts, err := settings.Read(settings.Flatten(s.Settings))
+	facts, err := settings.Read(settings.Flatten(config.Settings))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s.facts = facts
-	s.endpointUpdates, err = s.InitialEndpoints.Read(&facts.Names)
+	config.facts = facts
+	config.endpointUpdates, err = config.InitialEndpoints.Read(&facts.Names)
 	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	return config, nil
 }
 
-func (s *controllerConfig) checkAddresses() error {
+func (c *controllerConfig) checkAddresses() error {
 	for _, address := range []struct{ field, value string }{
-		{"listen", s.Listen},
-		{"bulletin", s.Discovery},
+		{"listen", c.Listen},
+		{"bulletin", c.Discovery},
 	} {
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
 			return fieldError(address.field, fmt.Sprintf("%q is no address", address.value))
@@ -110,15 +110,15 @@
 	minDescriptors = 64
 )
 
-func (s *controllerConfig) checkGrants() error {
+func (c *controllerConfig) checkGrants() error {
 	for _, grant := range []struct {
 		field string
 		value float64
 		least float64
 	}{
-		{"limits.cores", s.Grants.Cores, 0},
-		{"limits.memory_mb", float64(s.Grants.MemoryMB), minMemoryMB},
-		{"limits.sockets", float64(s.Grants.Descriptors), minDescriptors},
+		{"limits.cores", c.Grants.Cores, 0},
+		{"limits.memory_mb", float64(c.Grants.MemoryMB), minMemoryMB},
+		{"limits.sockets", float64(c.Grants.Descriptors), minDescriptors},
 	} {
 		if !(grant.value > 0) || grant.value < grant.least || math.IsInf(grant.value, 0) {
 			return fieldError(grant.field, fmt.Sprintf("%v is too little", grant.value))
--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -83,17 +83,17 @@
 }
 
 // versionArgs expects one version number for each place, and stores it there.
-func versionArgs(places ...*uint64) cobra.PositionalArgs {
+func versionArgs(destinations ...*uint64) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
-		if err := cobra.ExactArgs(len(places))(c, args); err != nil {
+		if err := cobra.ExactArgs(len(destinations))(c, args); err != nil {
 			return err
 		}
-		for i, place := range places {
+		for i, destination := range destinations {
 			n, err := strconv.ParseUint(args[i], 10, 64)
 			if err != nil || n == 0 {
 				return fmt.Errorf("%.40q is no number of a version", args[i])
 			}
-			*place = n
+			*destination = n
 		}
 		return nil
 	}
--- a/cmd/mintkeel/configcommands_test.go
+++ b/cmd/mintkeel/configcommands_test.go
@@ -24,8 +24,8 @@
 	folder  string
 	answers map[configuration.Action][]*control.Status
 
-	mu     sync.Mutex
-	orders []configuration.Request
+	mu       sync.Mutex
+	requests []configuration.Request
 }
 
 func newFakeControl(t *testing.T, answers map[configuration.Action][]*control.Status) *fakeControl {
@@ -60,27 +60,27 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, *r.Config)
-	left := f.answers[r.Config.Action]
-	if len(left) == 0 || left[0] == nil {
+	f.requests = append(f.requests, *r.Config)
+	remaining := f.answers[r.Config.Action]
+	if len(remaining) == 0 || remaining[0] == nil {
 		return
 	}
-	if len(left) > 1 {
-		f.answers[r.Config.Action] = left[1:]
+	if len(remaining) > 1 {
+		f.answers[r.Config.Action] = remaining[1:]
 	}
-	json.NewEncoder(conn).Encode(left[0])
+	json.NewEncoder(conn).Encode(remaining[0])
 }
 
-// last returns the last request of an action.
-func (f *fakeControl) last(action configuration.Action) (order configuration.Request) {
+// lastRequest returns the last request of an action.
+func (f *fakeControl) lastRequest(action configuration.Action) (request configuration.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.orders {
-		if o.Action == action {
-			order = o
+	for _, r := range f.requests {
+		if r.Action == action {
+			request = r
 		}
 	}
-	return order
+	return request
 }
 
 func answerStatus(a configuration.Answer) *control.Status {
@@ -180,19 +180,19 @@
 			var out, errs strings.Builder
 			args = append([]string{"fleet", "config", "--folder", fake.folder, "--reason", "r", "--author", "a", "--wait", c.wait}, args...)
 			code := execute(args, &out, &errs)
-			if code != c.code || !holdsAll(out.String(), c.out) || !holdsAll(errs.String(), c.errs) || c.errs == nil && errs.Len() > 0 {
+			if code != c.code || !containsAll(out.String(), c.out) || !containsAll(errs.String(), c.errs) || c.errs == nil && errs.Len() > 0 {
 				t.Errorf("%s, %s: code %d\n%s\n%s", c.name, action, code, out.String(), errs.String())
 			}
-			order := fake.last(action)
-			if order.Author != "a" || order.Reason != "r" || order.Expect != nil ||
-				action == configuration.ActionPut && string(order.Document) != "log {\n}\n" || action == configuration.ActionRollback && order.Number != 7 {
-				t.Errorf("%s: asked for %+v", c.name, order)
+			request := fake.lastRequest(action)
+			if request.Author != "a" || request.Reason != "r" || request.Expect != nil ||
+				action == configuration.ActionPut && string(request.Document) != "log {\n}\n" || action == configuration.ActionRollback && request.Number != 7 {
+				t.Errorf("%s: asked for %+v", c.name, request)
 			}
 		}
 	}
 }
 
-func holdsAll(text string, parts []string) bool {
+func containsAll(text string, parts []string) bool {
 	for _, part := range parts {
 		if !strings.Contains(text, part) {
 			return false
@@ -276,7 +276,7 @@
 		fake := newFakeControl(t, map[configuration.Action][]*control.Status{c.action: slices.Clone(c.answers)})
 		var out, errs strings.Builder
 		args := append([]string{"fleet", "config", "--folder", fake.folder}, strings.Fields(c.args)...)
-		if code := execute(args, &out, &errs); code != c.code || !holdsAll(out.String(), c.out) || !holdsAll(errs.String(), c.errs) ||
+		if code := execute(args, &out, &errs); code != c.code || !containsAll(out.String(), c.out) || !containsAll(errs.String(), c.errs) ||
 			c.errs == nil && errs.Len() > 0 {
 			t.Errorf("%.80q: code %d\n%s\n%s", c.args, code, out.String(), errs.String())
 		}
@@ -293,8 +293,8 @@
 	t.Setenv("MINTKEEL_FLEET", fake.folder)
 	var out, errs strings.Builder
 	execute([]string{"fleet", "config", "put", file, "--reason", "r", "--expect", "0"}, &out, &errs)
-	if order := fake.last(configuration.ActionPut); order.Expect == nil || *order.Expect != 0 || order.Author != userName() || order.Author == "" {
-		t.Errorf("asked for %+v", order)
+	if request := fake.lastRequest(configuration.ActionPut); request.Expect == nil || *request.Expect != 0 || request.Author != userName() || request.Author == "" {
+		t.Errorf("asked for %+v", request)
 	}
 	t.Setenv("MINTKEEL_FLEET", "")
 	for folder, want := range map[string]string{"": "no folder", t.TempDir(): "no controller answers"} {
--- a/cmd/mintkeel/fleetversions.go
+++ b/cmd/mintkeel/fleetversions.go
@@ -45,10 +45,10 @@
 	reply   chan error // has room for the answer
 }
 
-func newFleetConfig(s *controllerConfig, own *operator.File) *fleetConfig {
+func newFleetConfig(controller *controllerConfig, own *operator.File) *fleetConfig {
 	c := &fleetConfig{
-		name:     s.Name,
-		facts:    s.facts,
+		name:     controller.Name,
+		facts:    controller.facts,
 		requests: make(chan versionRequest),
 		serving:  make(chan struct{}),
 		stopped:  make(chan struct{}),
--- a/cmd/mintkeel/fleetversions_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -53,8 +53,8 @@
 // fleet's service.
 func startConfigDaemon(t *testing.T, text string) (h *testDaemon, d *daemon, hangs chan bool) {
 	t.Helper()
-	feed, engine, hangs := feedAndEngine(t)
-	h = newTestDaemon(t, text, feed, engine, "")
+	discovery, engine, hangs := fakeDiscoveryAndEngine(t)
+	h = newTestDaemon(t, text, discovery, engine, "")
 	h.put(h.from.operatorPath, configFleet(t, h.dir, "100ms"))
 	return h, h.serve(), hangs
 }
@@ -69,8 +69,8 @@
 		if err := c.query(id, "1"); err != nil {
 			t.Fatal(err)
 		}
-		if said := c.readMessageText(); !strings.Contains(said, want) {
-			t.Errorf("query %d: %q, not %q", id, said, want)
+		if got := c.readMessageText(); !strings.Contains(got, want) {
+			t.Errorf("query %d: %q, not %q", id, got, want)
 		}
 	}
 	apply := func(number uint64, document string) error {
@@ -97,14 +97,14 @@
 	}
 	serves(4, "two")
 	own := configFleet(t, h.dir, "200ms")
-	h.reload(own, again)
+	h.reload(own, logReloaded)
 	h.log.wait(t, "configuration version stays in force")
 	serves(5, "two")
-	h.reload("fleet {\n", refused)
+	h.reload("fleet {\n", logNotUsed)
 	serves(6, "two")
-	h.reload(strings.Replace(own, "config {\n wait = \"200ms\"\n}\n", "", 1), again)
+	h.reload(strings.Replace(own, "config {\n wait = \"200ms\"\n}\n", "", 1), logReloaded)
 	h.log.wait(t, "field=config")
-	h.reload(strings.Replace(own, "name = \"e\"", "name = \"other\"", 1)+"maintenance {\n}\n", again)
+	h.reload(strings.Replace(own, "name = \"e\"", "name = \"other\"", 1)+"maintenance {\n}\n", logReloaded)
 	h.log.wait(t, "field=fleet")
 	h.log.wait(t, "field=maintenance")
 	serves(7, "two")
@@ -155,49 +155,49 @@
 // applyTimeout, nor past a shutdown.
 func TestUnappliedVersionEndsByTimeoutOrShutdown(t *testing.T) {
 	own := &operator.File{Log: logs.DefaultBlock()}
-	a := newFleetConfig(&controllerConfig{Name: "n1"}, own)
+	c := newFleetConfig(&controllerConfig{Name: "n1"}, own)
 	ended := make(chan error, 2)
 	for range 2 { // one that is not taken, and one that is taken and not answered
-		go func() { ended <- a.apply(numbered(1), nil) }()
+		go func() { ended <- c.apply(numbered(1), nil) }()
 	}
-	<-a.requests
-	a.stopApplying()
+	<-c.requests
+	c.stopApplying()
 	for range 2 {
 		if err := <-ended; !errors.Is(err, errStopping) || !errors.Is(err, configuration.ErrRetryable) {
 			t.Error(err)
 		}
 	}
-	if a.needsSharedStatistics() {
+	if c.needsSharedStatistics() {
 		t.Error("the digest is wanted after the end")
 	}
-	if a.counts.retried.Load() != 2 {
-		t.Errorf("%d tried again", a.counts.retried.Load())
+	if c.counts.retried.Load() != 2 {
+		t.Errorf("%d tried again", c.counts.retried.Load())
 	}
 }
 
 // A document is parsed once to be checked and applied, unless the controller's own file was reloaded in between. A document
 // with errors is not cached.
 func TestDocumentIsParsedOnce(t *testing.T) {
-	a := newFleetConfig(&controllerConfig{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
+	c := newFleetConfig(&controllerConfig{Name: "n1"}, &operator.File{Log: logs.DefaultBlock()})
 	parse := func(text string) *operator.File {
 		t.Helper()
-		file, err := a.parse([]byte(text))
+		file, err := c.parse([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return file
 	}
 	one := parse("log {\n}\n")
-	if _, err := a.parse([]byte("x = 1\n")); err == nil {
+	if _, err := c.parse([]byte("x = 1\n")); err == nil {
 		t.Error("an unknown name can be used")
 	}
-	if _, err := a.parse([]byte("x = 1\n")); err == nil {
+	if _, err := c.parse([]byte("x = 1\n")); err == nil {
 		t.Error("an unknown name can be used the second time")
 	}
 	if parse("log {\n}\n") != one {
 		t.Error("read twice")
 	}
-	a.setLocal(&operator.File{Log: logs.DefaultBlock()})
+	c.setLocal(&operator.File{Log: logs.DefaultBlock()})
 	two := parse("log {\n}\n")
 	if two == one || parse("log {\n burst = 7\n}\n").Log.Burst != 7 || parse("log {\n}\n") == two {
 		t.Error("not read again")
@@ -211,13 +211,13 @@
 	h := &testDaemon{t: t, dir: dir, from: configSources{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.hcl")}, log: &logBuffer{}}
 	h.put(h.from.configPath, strings.NewReplacer("%FEED%", "127.0.0.1:1", "%ENGINE%", "127.0.0.1:1").Replace(validConfig))
 	h.put(h.from.operatorPath, configFleet(t, dir, wait))
-	s, file, err := h.from.read()
+	controller, file, err := h.from.read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{sources: h.from, config: s, file: file, limits: limits.For(1024, 192, 0, 0, 0), logOutput: logs.New(h.log, file.Log)}
+	d := &daemon{sources: h.from, config: controller, file: file, limits: limits.For(1024, 192, 0, 0, 0), logOutput: logs.New(h.log, file.Log)}
 	d.log = d.logOutput.Logger()
-	d.fleetConfig = newFleetConfig(s, file)
+	d.fleetConfig = newFleetConfig(controller, file)
 	t.Cleanup(d.fleetConfig.stopApplying)
 	return d
 }
@@ -265,16 +265,16 @@
 func TestNoConfigBlockStartsNothing(t *testing.T) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		t.Run(name, func(t *testing.T) {
-			feed, engine, _ := feedAndEngine(t)
-			h := newTestDaemon(t, validConfig, feed, engine, "")
+			discovery, engine, _ := fakeDiscoveryAndEngine(t)
+			h := newTestDaemon(t, validConfig, discovery, engine, "")
 			own := configFleet(t, h.dir, "8s")
 			if !on {
 				own = strings.Replace(own, "config {\n wait = \"8s\"\n}\n", "", 1)
 			}
 			h.put(h.from.operatorPath, own)
-			looked, served := make(chan struct{}), make(chan struct{})
+			probed, served := make(chan struct{}), make(chan struct{})
 			go func() { // looks while the latest version may be waited for
-				defer close(looked)
+				defer close(probed)
 				for ended := false; !ended; {
 					select {
 					case <-served:
@@ -293,7 +293,7 @@
 			}()
 			d := h.serve()
 			close(served)
-			<-looked
+			<-probed
 			h.log.wait(t, "serving")
 			known := strings.Index(h.log.String(), "as the latest")
 			if waited := known >= 0 && known < strings.Index(h.log.String(), "serving"); waited != on {
--- a/cmd/mintkeel/maintenance.go
+++ b/cmd/mintkeel/maintenance.go
@@ -33,31 +33,31 @@
 		"the controller's `folder` (MINTKEEL_FLEET)")
 	c.PersistentFlags().BoolVar(&m.asJSON, "json", false, "print the whole answer as JSON")
 	c.AddCommand(
-		m.ofFile("plan FILE",
+		m.fileCommand("plan FILE",
 			"Submit the plans of a file, all or none; those of the same names are replaced",
 			maintenance.ActionPlan, printMaintenance),
-		m.ofFile("check FILE",
+		m.fileCommand("check FILE",
 			"Check whether the plans of a file are feasible and, if not, why and what would be",
 			maintenance.ActionCheck, printCheck),
-		m.ofName("status",
+		m.nameCommand("status",
 			"Show the plans and the step of the work on each engine",
 			maintenance.ActionStatus, printMaintenance),
-		m.ofName("explain",
+		m.nameCommand("explain",
 			"Explain why an engine was chosen, and why others wait",
 			maintenance.ActionStatus, printReasons),
-		m.ofName("halt PLAN",
+		m.nameCommand("halt PLAN",
 			"Take no further engines out for a plan; those that are out return",
 			maintenance.ActionHalt, printMaintenance),
-		m.ofName("resume PLAN",
+		m.nameCommand("resume PLAN",
 			"Resume a halted plan",
 			maintenance.ActionResume, printMaintenance),
-		m.ofName("withdraw PLAN",
+		m.nameCommand("withdraw PLAN",
 			"End a plan; engines that are out return",
 			maintenance.ActionWithdraw, printMaintenance),
-		m.ofName("done ENGINE",
+		m.nameCommand("done ENGINE",
 			"Mark the work on an engine as done",
 			maintenance.ActionDone, printMaintenance),
-		m.ofName("without CONTROLLER",
+		m.nameCommand("without CONTROLLER",
 			"Go on without the confirmation of a controller: you vouch that it uses no engine any more",
 			maintenance.ActionWithout, printMaintenance),
 	)
@@ -97,8 +97,8 @@
 	return err
 }
 
-// ofName makes a command with the argument of its use, or without one.
-func (m *maintenanceCaller) ofName(
+// nameCommand makes a command with the argument of its use, or without one.
+func (m *maintenanceCaller) nameCommand(
 	use, short, action string, printText maintenancePrinter,
 ) *cobra.Command {
 	count := strings.Count(use, " ")
@@ -112,8 +112,8 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(count), RunE: run}
 }
 
-// ofFile makes a command that sends the plans of a file.
-func (m *maintenanceCaller) ofFile(
+// fileCommand makes a command that sends the plans of a file.
+func (m *maintenanceCaller) fileCommand(
 	use, short, action string, printText maintenancePrinter,
 ) *cobra.Command {
 	run := func(c *cobra.Command, args []string) error {
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -60,8 +60,8 @@
 	return c
 }
 
-// errUntrusted ends verify with code 1.
-var errUntrusted = errors.New("can't be trusted whole")
+// errDamagedSnapshot ends verify with code 1.
+var errDamagedSnapshot = errors.New("can't be trusted whole")
 
 func memoryVerify() *cobra.Command {
 	var asJSON bool
@@ -93,7 +93,7 @@
 				}
 			}
 			if damaged || len(checks) == 0 {
-				return fmt.Errorf("%s: %w", args[0], errUntrusted)
+				return fmt.Errorf("%s: %w", args[0], errDamagedSnapshot)
 			}
 			return nil
 		},
--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// aging are figures of what is remembered that depend on the time of the test.
-var aging = regexp.MustCompile(`"(age_ms|weighs)": [-+.0-9e]+`)
+// ageFields are figures of what is remembered that depend on the time of the test.
+var ageFields = regexp.MustCompile(`"(age_ms|weighs)": [-+.0-9e]+`)
 
 func TestMemoryOutputIsStable(t *testing.T) {
 	for _, name := range []string{"show", "verify"} {
@@ -155,7 +155,7 @@
 		if code := execute([]string{"memory", name, "testdata/memory", "--json"}, &out, &errs); code != 0 {
 			t.Errorf("code %d, %s", code, errs.String())
 		}
-		stable := aging.ReplaceAll([]byte(out.String()), []byte(`"$1": 0`))
+		stable := ageFields.ReplaceAll([]byte(out.String()), []byte(`"$1": 0`))
 		golden.File(t, filepath.Join("output", "memory-"+name+".txt"), stable)
 	}
 }
@@ -190,14 +190,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := parseControllerConfig(text)
+	config, err := parseControllerConfig(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var p strings.Builder
-	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", s.Name,
-		s.Listen, uint64(s.seed), s.Grants.Cores, s.Grants.MemoryMB, s.Grants.Descriptors, s.Discovery, s.InitialEndpoints.Number, len(s.facts.Classes))
-	for _, update := range s.endpointUpdates {
+	fmt.Fprintf(&p, "name %s\nlisten %s\nseed %x\ncores %v\nmemory MB %d\ndescriptors %d\nfeed %s\nknown %d\nprofiles %d\n", config.Name,
+		config.Listen, uint64(config.seed), config.Grants.Cores, config.Grants.MemoryMB, config.Grants.Descriptors, config.Discovery, config.InitialEndpoints.Number, len(config.facts.Classes))
+	for _, update := range config.endpointUpdates {
 		fmt.Fprintf(&p, "update %d, whole %v\n", update.Number, update.Complete)
 		for _, e := range update.Endpoints {
 			fmt.Fprintf(&p, "  engine %s at %s, state %d, zone %s, kind %d, cell %d, since %v\n", e.Engine, e.Address, int(e.State), e.Zone,
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -25,7 +25,7 @@
 	fleet  string // for the fleet
 	log    *logBuffer
 	cmd    *exec.Cmd
-	ended  chan error
+	exited chan error
 	query  int
 }
 
@@ -53,7 +53,7 @@
 // last one has another kind of engine than the others.
 func configProcesses(t *testing.T, count int) []*process {
 	t.Helper()
-	feed, engine, _ := feedAndEngine(t)
+	discovery, engine, _ := fakeDiscoveryAndEngine(t)
 	binary, dir := buildDaemon(t), t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "fleet.key"), []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		}
 	}
 	for i, p := range all {
-		text := strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", p.addr, `"name":"n1"`, fmt.Sprintf(`"name":%q`, p.name)).Replace(validConfig)
+		text := strings.NewReplacer("%FEED%", discovery, "%ENGINE%", engine, "127.0.0.1:0", p.addr, `"name":"n1"`, fmt.Sprintf(`"name":%q`, p.name)).Replace(validConfig)
 		if i == 3 {
 			text = strings.ReplaceAll(text, `"std"`, `"big"`)
 		}
@@ -101,14 +101,14 @@
 // launch starts the daemon.
 func (p *process) launch() {
 	p.t.Helper()
-	p.log, p.ended = &logBuffer{}, make(chan error, 1)
+	p.log, p.exited = &logBuffer{}, make(chan error, 1)
 	p.cmd = exec.Command(p.binary, "serve", "--config", filepath.Join(p.dir, "config.json"), "--operator", filepath.Join(p.dir, "operator.hcl"))
 	p.cmd.Stderr = p.log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	cmd, ended := p.cmd, p.ended
+	cmd, ended := p.cmd, p.exited
 	go func() { ended <- cmd.Wait() }()
 	p.t.Cleanup(func() { cmd.Process.Kill() })
 }
@@ -120,7 +120,7 @@
 		p.t.Fatal(err)
 	}
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		return err
 	case <-time.After(2 * testTimeout):
 		p.t.Fatalf("%s does not end: %s", p.name, p.log)
@@ -144,8 +144,8 @@
 	if err := c.query(p.query, "1"); err != nil {
 		p.t.Fatal(err)
 	}
-	if said := c.readMessageText(); !strings.Contains(said, want) {
-		p.t.Errorf("%s serves %q, not %q: %s", p.name, said, want, p.log)
+	if got := c.readMessageText(); !strings.Contains(got, want) {
+		p.t.Errorf("%s serves %q, not %q: %s", p.name, got, want, p.log)
 	}
 }
 
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -177,19 +177,19 @@
 
 // logFixedFields logs the fields of a new configuration that differ and are not applied: only the
 // address of discovery may change while running.
-func (s *controllerConfig) logFixedFields(again *controllerConfig, log *slog.Logger) {
+func (c *controllerConfig) logFixedFields(updated *controllerConfig, log *slog.Logger) {
 	for _, kept := range []struct {
 		field string
 		same  bool
 	}{
-		{"name", again.Name == s.Name},
-		{"listen", again.Listen == s.Listen},
-		{"limits", again.Grants == s.Grants},
-		{"settings", reflect.DeepEqual(again.Settings, s.Settings)},
+		{"name", updated.Name == c.Name},
+		{"listen", updated.Listen == c.Listen},
+		{"limits", updated.Grants == c.Grants},
+		{"settings", reflect.DeepEqual(updated.Settings, c.Settings)},
 	} {
 		if !kept.same {
 			log.Warn("field can't change while running", "field", kept.field)
 		}
 	}
-	log.Info("configuration read again", "bulletin", again.Discovery)
+	log.Info("configuration read again", "bulletin", updated.Discovery)
 }
--- a/cmd/mintkeel/reload_test.go
+++ b/cmd/mintkeel/reload_test.go
@@ -14,13 +14,13 @@
 )
 
 // Words of the log at a reload.
-const again, refused = "operator's file read again", "operator's file not used"
+const logReloaded, logNotUsed = "operator's file read again", "operator's file not used"
 
 // Under load, reloads turn snapshots on, off and to other folders, and one file is invalid. Queries go on being answered, and
 // the snapshots at the end are complete.
 func TestSnapshotsSurviveReloadsUnderLoad(t *testing.T) {
-	feed, engine, _ := feedAndEngine(t)
-	h := newTestDaemon(t, validConfig, feed, engine, "")
+	discovery, engine, _ := fakeDiscoveryAndEngine(t)
+	h := newTestDaemon(t, validConfig, discovery, engine, "")
 	block := func(folder, pace string) string {
 		return fmt.Sprintf("memory {\n folder = %q\n pace = %q\n}\n", filepath.Join(h.dir, folder), pace)
 	}
@@ -43,13 +43,13 @@
 		}
 	}()
 	for range 3 {
-		h.reload(block("b", "100ms"), again)
-		h.reload("memory {\n", refused)
-		h.reload(block("b", "200ms"), again)
-		h.reload("", again)
-		h.reload(block("a", "100ms"), again)
+		h.reload(block("b", "100ms"), logReloaded)
+		h.reload("memory {\n", logNotUsed)
+		h.reload(block("b", "200ms"), logReloaded)
+		h.reload("", logReloaded)
+		h.reload(block("a", "100ms"), logReloaded)
 	}
-	h.reload("memory {\n folder = 3\n}\nx = 1\n", refused)
+	h.reload("memory {\n folder = 3\n}\nx = 1\n", logNotUsed)
 	close(stop)
 	if n := <-stopped; n < 20 {
 		t.Errorf("%d commands answered", n)
@@ -90,9 +90,9 @@
 
 // SIGHUP comes while files are read for an earlier one. They are read once more, and the last state counts.
 func TestReloadMeetsReload(t *testing.T) {
-	feed, engine, _ := feedAndEngine(t)
-	moved, _, _ := feedAndEngine(t)
-	h := newTestDaemon(t, validConfig, feed, engine, "")
+	discovery, engine, _ := fakeDiscoveryAndEngine(t)
+	moved, _, _ := fakeDiscoveryAndEngine(t)
+	h := newTestDaemon(t, validConfig, discovery, engine, "")
 	text, err := os.ReadFile(h.from.configPath)
 	if err != nil {
 		t.Fatal(err)
@@ -103,13 +103,13 @@
 	h.signals <- syscall.SIGUSR1
 	h.log.wait(t, "counts") // so the second has been heard
 	next := filepath.Join(h.dir, "next")
-	h.put(next, strings.ReplaceAll(string(text), feed, moved))
+	h.put(next, strings.ReplaceAll(string(text), discovery, moved))
 	if err := os.Rename(next, h.from.configPath); err != nil {
 		t.Fatal(err)
 	}
 	first.Write(text)
 	first.Close()
-	h.log.wait(t, "bulletin="+feed)
+	h.log.wait(t, "bulletin="+discovery)
 	h.log.wait(t, "bulletin="+moved)
 	h.stop()
 }
--- a/cmd/mintkeel/rules_test.go
+++ b/cmd/mintkeel/rules_test.go
@@ -15,27 +15,27 @@
 
 // Rules are applied before the event loop: they reject queries with their text, and a reload changes all of them or none.
 func TestRulesRejectAndReload(t *testing.T) {
-	feed, engine, _ := feedAndEngine(t)
+	discovery, engine, _ := fakeDiscoveryAndEngine(t)
 	const no = "rule \"no\" {\n when = \"table_name == 't'\"\n refuse = \"not now\"\n}\n"
-	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, engine, no)
+	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), discovery, engine, no)
 	h.serve()
 	c := h.dial()
-	for i, step := range []struct{ text, word, says string }{
+	for i, step := range []struct{ text, logged, answer string }{
 		{"", "", "EZ"},
-		{"rule \"no\" {\n when = \"table_name == 'u'\"\n refuse = \"not now\"\n}\n", again, "TDCZ"},
-		{no, again, "EZ"},
-		{"rule \"no\" {\n when = \"table_name = 't'\"\n}\n", refused, "EZ"},
-		{"rule \"k\" {\n key = \"'k' + tenant\"\n}\n", again, "TDCZ"},
-		{"log {\n}\n", again, "TDCZ"},
+		{"rule \"no\" {\n when = \"table_name == 'u'\"\n refuse = \"not now\"\n}\n", logReloaded, "TDCZ"},
+		{no, logReloaded, "EZ"},
+		{"rule \"no\" {\n when = \"table_name = 't'\"\n}\n", logNotUsed, "EZ"},
+		{"rule \"k\" {\n key = \"'k' + tenant\"\n}\n", logReloaded, "TDCZ"},
+		{"log {\n}\n", logReloaded, "TDCZ"},
 	} {
-		if step.word != "" {
-			h.reload(step.text, step.word)
+		if step.logged != "" {
+			h.reload(step.text, step.logged)
 		}
-		if c.query(i, "1"); c.awaitMessageKinds() != step.says {
-			t.Errorf("step %d: not %s", i, step.says)
+		if c.query(i, "1"); c.awaitMessageKinds() != step.answer {
+			t.Errorf("step %d: not %s", i, step.answer)
 		}
 	}
-	h.reload(no, again)
+	h.reload(no, logReloaded)
 	c.query(99, "1")
 	c.awaitMessageKinds()
 	h.stop()
@@ -46,10 +46,10 @@
 
 // orderCheckingEngine is a fake engine that takes 2 ms for a query and counts queries of one store that run at once.
 type orderCheckingEngine struct {
-	mu    sync.Mutex
-	out   map[string]int
-	both  int
-	taken int
+	mu       sync.Mutex
+	running  map[string]int
+	overlaps int
+	received int
 }
 
 func (o *orderCheckingEngine) serve(conn net.Conn) {
@@ -72,14 +72,14 @@
 			statement, _ := r.ReadString('\n')
 			store, _, _ := strings.Cut(statement[strings.Index(statement, "store_"):], " ")
 			o.mu.Lock()
-			if o.taken++; o.out[store] > 0 {
-				o.both++
+			if o.received++; o.running[store] > 0 {
+				o.overlaps++
 			}
-			o.out[store]++
+			o.running[store]++
 			o.mu.Unlock()
 			time.AfterFunc(2*time.Millisecond, func() {
 				o.mu.Lock()
-				o.out[store]--
+				o.running[store]--
 				o.mu.Unlock()
 				reply(" ACK parts=1 6\r\na\tb\tc\n\r\n")
 			})
@@ -90,8 +90,8 @@
 // Valid and invalid rules alternate many times a second under load on few stores. Each set gives a store's loads one ordering
 // key, and each set another key. Even so no two loads of a store ever run at once.
 func TestOrderingHoldsWhileRulesChangeUnderLoad(t *testing.T) {
-	feed, _, _ := feedAndEngine(t)
-	engine := &orderCheckingEngine{out: map[string]int{}}
+	discovery, _, _ := fakeDiscoveryAndEngine(t)
+	engine := &orderCheckingEngine{running: map[string]int{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 		// Each reload is awaited by its line, so none may be dropped.
 		return fmt.Sprintf("log {\n burst = 1000\n}\nrule %q {\n key = \"'%s/' + label('store')\"\n}\n", name, name)
 	}
-	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), feed, listener.Addr().String(), rule("r0"))
+	h := newTestDaemon(t, strings.Replace(validConfig, `"promise_ns"`, `"in_order":true,"promise_ns"`, 1), discovery, listener.Addr().String(), rule("r0"))
 	h.serve()
 	var group sync.WaitGroup
 	stop := make(chan bool)
@@ -126,30 +126,30 @@
 				store := fmt.Sprint("store_", (n+i)%3)
 				body := fmt.Sprintf("/* verb=lookup,txn=%08x%08x,limit=5000,store=%s */ SELECT 1 FROM s_1.%s WHERE x\x00", n, i, store, store)
 				fmt.Fprintf(c, "Q%s%s", binary.BigEndian.AppendUint32(nil, uint32(4+len(body))), body)
-				if said := c.awaitMessageKinds(); said != "TDCZ" {
-					t.Errorf("client %d, command %d: %s", n, i, said)
+				if got := c.awaitMessageKinds(); got != "TDCZ" {
+					t.Errorf("client %d, command %d: %s", n, i, got)
 					return
 				}
 			}
 		})
 	}
 	for i := 1; i <= 40; i++ {
-		text, word := rule(fmt.Sprint("r", i)), again
+		text, logged := rule(fmt.Sprint("r", i)), logReloaded
 		if i%4 == 0 {
-			text, word = "rule \"bad\" {\n key = \"label('store')\"\n}\n", refused
+			text, logged = "rule \"bad\" {\n key = \"label('store')\"\n}\n", logNotUsed
 		}
 		h.put(h.from.operatorPath, text)
-		const soon = "changed too often"
-		seen, early := h.log.count(word), h.log.count(soon)
+		const changedTooOften = "changed too often"
+		seen, tooOften := h.log.count(logged), h.log.count(changedTooOften)
 		h.signals <- syscall.SIGHUP
-		taken := func() int {
+		received := func() int {
 			engine.mu.Lock()
 			defer engine.mu.Unlock()
-			return engine.taken
+			return engine.received
 		}
-		for end := time.Now().Add(testTimeout); h.log.count(word) <= seen && h.log.count(soon) <= early || taken() < 4*i; {
+		for end := time.Now().Add(testTimeout); h.log.count(logged) <= seen && h.log.count(changedTooOften) <= tooOften || received() < 4*i; {
 			if time.Sleep(time.Millisecond); time.Now().After(end) {
-				t.Fatalf("no %q: %s", word, h.log)
+				t.Fatalf("no %q: %s", logged, h.log)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	h.stop()
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.both > 0 || engine.taken < 160 {
-		t.Errorf("%d of %d loads were out beside one of their store", engine.both, engine.taken)
+	if engine.overlaps > 0 || engine.received < 160 {
+		t.Errorf("%d of %d loads were out beside one of their store", engine.overlaps, engine.received)
 	}
 }
--- a/cmd/mintkeel/serve_test.go
+++ b/cmd/mintkeel/serve_test.go
@@ -18,24 +18,24 @@
 // The daemon with all its parts answers queries, applies a new configuration and keeps the former one if the new one is
 // invalid. Asked to stop, it answers open queries, gives up in time on those of an engine that hangs, and ends.
 func TestServe(t *testing.T) {
-	feed, engine, hangs := feedAndEngine(t)
+	discovery, engine, hangs := fakeDiscoveryAndEngine(t)
 	addr := reserveAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure := func(text, feed string) {
-		text = strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", addr).Replace(text)
+	configure := func(text, discovery string) {
+		text = strings.NewReplacer("%FEED%", discovery, "%ENGINE%", engine, "127.0.0.1:0", addr).Replace(text)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	configure(validConfig, feed)
-	s, err := readControllerConfig(path)
+	configure(validConfig, discovery)
+	config, err := readControllerConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := limits.For(1024, 192, time.Second, time.Minute, 0)
 	l.DrainTimeout, l.ShutdownTimeout, l.DrainQuietPeriod = 300*time.Millisecond, testTimeout, 100*time.Millisecond
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	d := &daemon{sources: configSources{configPath: path}, config: s, file: &operator.File{}, limits: l,
+	d := &daemon{sources: configSources{configPath: path}, config: config, file: &operator.File{}, limits: l,
 		logOutput: logs.New(io.Discard, logs.DefaultBlock())}
 	go func() { ended <- d.run(signals) }()
 	dial := func() *client {
@@ -85,8 +85,8 @@
 	two.query(10, "hang")
 	<-hangs
 	one.query(10, "1") // an id that is open, which engines could not tell apart
-	if said := one.awaitMessageKinds(); said != "EZ" {
-		t.Errorf("an open id: %s", said)
+	if got := one.awaitMessageKinds(); got != "EZ" {
+		t.Errorf("an open id: %s", got)
 	}
 	signals <- syscall.SIGUSR1
 	signals <- syscall.SIGTERM
@@ -97,8 +97,8 @@
 	if three.query(12, "1"); three.awaitMessageKinds() != "TDCZ" {
 		t.Error("a new connection not answered while stopping")
 	}
-	if said := two.awaitMessageKinds(); said != "EZ" {
-		t.Errorf("what hangs: %s", said)
+	if got := two.awaitMessageKinds(); got != "EZ" {
+		t.Errorf("what hangs: %s", got)
 	}
 	select {
 	case err := <-ended:
--- a/cmd/mintkeel/shutdown_test.go
+++ b/cmd/mintkeel/shutdown_test.go
@@ -16,8 +16,8 @@
 // are answered, idle sessions are closed in order, and the controller shuts down once.
 func TestStopCrossings(t *testing.T) {
 	t.Run("during the start", func(t *testing.T) {
-		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, validConfig, feed, engine, "")
+		discovery, engine, _ := fakeDiscoveryAndEngine(t)
+		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.early = []os.Signal{syscall.SIGTERM, syscall.SIGTERM}
 		h.serve()
 		if err := <-h.ended; err != nil {
@@ -25,36 +25,36 @@
 		}
 	})
 	t.Run("twice, and a reload behind it", func(t *testing.T) {
-		feed, engine, hangs := feedAndEngine(t)
-		h := newTestDaemon(t, validConfig, feed, engine, "")
+		discovery, engine, hangs := fakeDiscoveryAndEngine(t)
+		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = testTimeout }
 		h.serve()
-		rests, open := h.dial(), h.dial()
-		if rests.query(1, "1"); rests.awaitMessageKinds() != "TDCZ" {
+		idle, waiting := h.dial(), h.dial()
+		if idle.query(1, "1"); idle.awaitMessageKinds() != "TDCZ" {
 			t.Error("not answered")
 		}
-		open.query(2, "hang")
+		waiting.query(2, "hang")
 		<-hangs
 		h.signals <- syscall.SIGTERM
 		h.log.wait(t, "shutdown started")
 		h.put(h.from.configPath, "no configuration")
 		h.signals <- syscall.SIGHUP
-		if said := open.awaitMessageKinds(); said != "EZ" {
-			t.Errorf("what hangs: %s", said)
+		if got := waiting.awaitMessageKinds(); got != "EZ" {
+			t.Errorf("what hangs: %s", got)
 		}
-		if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("who rests finds %v", err)
 		}
 		for id := 3; id < 500; id++ { // cross the end; a closed socket would answer the first by a reset, which the next meets
-			if err := rests.query(id, "hang"); err != nil {
+			if err := idle.query(id, "hang"); err != nil {
 				t.Fatalf("query %d that crosses the end: %v", id, err)
 			}
 		}
-		rests.Close()
-		if _, err := open.Read(make([]byte, 1)); err != io.EOF {
+		idle.Close()
+		if _, err := waiting.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("who was answered finds %v", err)
 		}
-		open.Close()
+		waiting.Close()
 		if err := <-h.ended; err != nil || len(hangs) > 0 {
 			t.Errorf("ended by %v, %d sent on past the end", err, len(hangs))
 		}
@@ -63,29 +63,29 @@
 		}
 	})
 	t.Run("and clients that ask to the last", func(t *testing.T) {
-		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, validConfig, feed, engine, "")
+		discovery, engine, _ := fakeDiscoveryAndEngine(t)
+		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.change = func(l *limits.Limits) {
 			l.ShutdownTimeout, l.ClientCloseTimeout, l.DrainQuietPeriod = testTimeout, testTimeout-time.Second, testTimeout
 		}
 		h.serve()
-		rests, asks := h.dial(), h.dial()
+		idle, active := h.dial(), h.dial()
 		h.signals <- syscall.SIGTERM
 		for id := 1; ; id++ {
-			if err := asks.query(id, "1"); err != nil {
+			if err := active.query(id, "1"); err != nil {
 				t.Fatalf("query %d: %v", id, err)
 			}
-			if said, err := asks.readMessageKinds(); err == io.EOF && said == "" {
+			if got, err := active.readMessageKinds(); err == io.EOF && got == "" {
 				break // it crossed the end
-			} else if err != nil || said != "TDCZ" && said != "EZ" { // shed once there is no time left
-				t.Fatalf("query %d: said %q, %v", id, said, err)
+			} else if err != nil || got != "TDCZ" && got != "EZ" { // shed once there is no time left
+				t.Fatalf("query %d: said %q, %v", id, got, err)
 			}
 		}
-		if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("who rests finds %v", err)
 		}
-		rests.Close()
-		asks.Close()
+		idle.Close()
+		active.Close()
 		if err := <-h.ended; err != nil {
 			t.Error(err)
 		}
@@ -100,8 +100,8 @@
 		}
 	})
 	t.Run("while a reload hangs", func(t *testing.T) {
-		feed, engine, _ := feedAndEngine(t)
-		h := newTestDaemon(t, validConfig, feed, engine, "")
+		discovery, engine, _ := fakeDiscoveryAndEngine(t)
+		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.serve()
 		defer h.hangingReload().Close()
 		began := time.Now()
--- a/cmd/mintkeel/testdaemon_test.go
+++ b/cmd/mintkeel/testdaemon_test.go
@@ -32,9 +32,9 @@
  "services":[{"name":"lookup","effect":"free","promise_ns":1000000000,"hard_limit_ns":6000000000}]}}`
 )
 
-// feedAndEngine is a fake discovery and a fake engine. The engine answers each attempt at once; one with hang in its text is
+// fakeDiscoveryAndEngine is a fake discovery and a fake engine. The engine answers each attempt at once; one with hang in its text is
 // only reported on hangs.
-func feedAndEngine(t *testing.T) (feed, engine string, hangs chan bool) {
+func fakeDiscoveryAndEngine(t *testing.T) (discovery, engine string, hangs chan bool) {
 	hangs = make(chan bool, 10)
 	serve := func(handle func(net.Conn)) string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,7 @@
 		}()
 		return listener.Addr().String()
 	}
-	feed = serve(func(conn net.Conn) { io.Copy(io.Discard, conn) })
+	discovery = serve(func(conn net.Conn) { io.Copy(io.Discard, conn) })
 	engine = serve(func(conn net.Conn) {
 		for r := bufio.NewReader(conn); ; {
 			line, err := r.ReadString('\n')
@@ -73,7 +73,7 @@
 			}
 		}
 	})
-	return feed, engine, hangs
+	return discovery, engine, hangs
 }
 
 type client struct {
@@ -90,24 +90,24 @@
 // awaitMessageKinds reads the kinds of the messages up to the next ReadyForQuery.
 func (c *client) awaitMessageKinds() string {
 	c.t.Helper()
-	said, err := c.readMessageKinds()
+	got, err := c.readMessageKinds()
 	if err != nil {
-		c.t.Fatalf("after %q: %v", said, err)
+		c.t.Fatalf("after %q: %v", got, err)
 	}
-	return said
+	return got
 }
 
 // readMessageKinds does the same, and returns the error with which the session ended.
-func (c *client) readMessageKinds() (said string, err error) {
-	for !strings.HasSuffix(said, "Z") {
+func (c *client) readMessageKinds() (kinds string, err error) {
+	for !strings.HasSuffix(kinds, "Z") {
 		head := make([]byte, 5)
 		if _, err := io.ReadFull(c, head); err != nil {
-			return said, err
+			return kinds, err
 		}
 		io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(head[1:]))-4)
-		said += string(head[:1])
+		kinds += string(head[:1])
 	}
-	return said, nil
+	return kinds, nil
 }
 
 // readMessageText returns the content of the messages up to the next ReadyForQuery, as it is on the wire.
@@ -142,11 +142,11 @@
 }
 
 // newTestDaemon writes a configuration for a discovery and an engine, and an operator's file.
-func newTestDaemon(t *testing.T, text, feed, engine, hcl string) *testDaemon {
+func newTestDaemon(t *testing.T, text, discovery, engine, hcl string) *testDaemon {
 	t.Helper()
 	h := &testDaemon{t: t, dir: t.TempDir(), addr: reserveAddress(t)}
 	h.from = configSources{filepath.Join(h.dir, "config.json"), filepath.Join(h.dir, "operator.hcl")}
-	h.put(h.from.configPath, strings.NewReplacer("%FEED%", feed, "%ENGINE%", engine, "127.0.0.1:0", h.addr).Replace(text))
+	h.put(h.from.configPath, strings.NewReplacer("%FEED%", discovery, "%ENGINE%", engine, "127.0.0.1:0", h.addr).Replace(text))
 	h.put(h.from.operatorPath, hcl)
 	return h
 }
@@ -161,7 +161,7 @@
 // serve starts the daemon and waits until it serves.
 func (h *testDaemon) serve() *daemon {
 	h.t.Helper()
-	s, file, err := h.from.read()
+	config, file, err := h.from.read()
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -174,7 +174,7 @@
 	for _, sig := range h.early {
 		h.signals <- sig
 	}
-	d := &daemon{sources: h.from, config: s, file: file, limits: l, logOutput: logs.New(h.log, file.Log)}
+	d := &daemon{sources: h.from, config: config, file: file, limits: l, logOutput: logs.New(h.log, file.Log)}
 	go func(ended chan error, signals chan os.Signal) { ended <- d.run(signals) }(h.ended, h.signals)
 	h.log.wait(h.t, "serving")
 	return d
@@ -196,12 +196,12 @@
 }
 
 // reload writes another operator's file, sends SIGHUP and waits for a text in the log.
-func (h *testDaemon) reload(text, word string) {
+func (h *testDaemon) reload(text, logged string) {
 	h.t.Helper()
 	h.put(h.from.operatorPath, text)
-	seen := h.log.count(word)
+	seen := h.log.count(logged)
 	h.signals <- syscall.SIGHUP
-	h.log.more(h.t, word, seen)
+	h.log.waitForMore(h.t, logged, seen)
 }
 
 // hangingReload makes a reload read the configuration from a pipe, and returns the pipe once it is being read.
@@ -246,15 +246,15 @@
 	return l.text.String()
 }
 
-func (l *logBuffer) count(word string) int { return strings.Count(l.String(), word) }
+func (l *logBuffer) count(part string) int { return strings.Count(l.String(), part) }
 
-func (l *logBuffer) wait(t *testing.T, word string) { t.Helper(); l.more(t, word, 0) }
+func (l *logBuffer) wait(t *testing.T, part string) { t.Helper(); l.waitForMore(t, part, 0) }
 
-func (l *logBuffer) more(t *testing.T, word string, than int) {
+func (l *logBuffer) waitForMore(t *testing.T, part string, seen int) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); l.count(word) <= than; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); l.count(part) <= seen; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %q: %s", word, l)
+			t.Fatalf("no %q: %s", part, l)
 		}
 	}
 }
