--- a/cmd/mintkeel/applyversion.go
+++ b/cmd/mintkeel/applyversion.go
@@ -11,11 +11,11 @@
 	"mintkeel/internal/fleet/configuration"
 )
 
-// applyVersion puts a version in force in place of the one before, on the main goroutine as a
-// reload is. It does not compare version numbers, which begin anew in a new generation of the
+// applyVersion puts a version in force in place of the previous one, on the main goroutine like a
+// reload. It does not compare version numbers, which start over in a new generation of the
 // fleet: the fleet's service orders versions.
 func (d *daemon) applyVersion(r versionRequest) error {
-	if d.clients == nil { // clients are not served yet: serveClients applies the rest
+	if d.clients == nil { // clients are not served yet; serveClients applies the rest
 		d.logOutput.Configure(r.file.Log)
 		d.updateFleetSettings(r.file)
 		d.file = r.file
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// awaitLatestVersion applies versions until wait returns: the latest is in force, or config.wait is
-// over. Signals that come meanwhile are returned; one that asks to stop ends the wait.
+// awaitLatestVersion applies versions until wait returns, because the latest is in force or
+// config.wait has elapsed. It returns the signals that arrived meanwhile; one that asks for
+// shutdown ends the wait.
 func (d *daemon) awaitLatestVersion(
 	ctx context.Context, signals <-chan os.Signal, wait func(context.Context) config.Readiness,
 ) (pending pendingSignals) {
@@ -48,7 +49,7 @@
 			switch sig {
 			case syscall.SIGHUP:
 				pending.reload = true
-			case syscall.SIGUSR1: // there are no counts yet
+			case syscall.SIGUSR1: // no counts exist yet
 			default:
 				pending.stop = true
 				return pending
@@ -57,8 +58,8 @@
 	}
 }
 
-// logReadiness logs which version clients are served by, with a warning if it is not confirmed as
-// the latest.
+// logReadiness logs the version under which clients will be served, as a warning if it is not
+// confirmed as the latest.
 func (d *daemon) logReadiness(r config.Readiness, took time.Duration) {
 	attributes := []any{
 		"version", d.fleetConfig.version.Number,
--- a/cmd/mintkeel/check.go
+++ b/cmd/mintkeel/check.go
@@ -43,12 +43,12 @@
 	return c
 }
 
-// printCheckResult prints in a line each what the configuration and the operator's file, or the
-// document, hold.
+// printCheckResult prints a one-line summary of the configuration, and one of the operator's file
+// or of the document.
 func printCheckResult(
 	out io.Writer, operatorPath, document string, config *controllerConfig, file *operator.File,
 ) {
-	fmt.Fprintf(out, "%s: %d profiles, %d tenants, %d kinds of engine, feed up to event %d\n",
+	fmt.Fprintf(out, "%s: %d profiles, %d tenants, %d machine kinds, endpoint list up to event %d\n",
 		cmp.Or(config.Name, "unnamed"), len(config.facts.Classes), len(config.facts.Tenants),
 		len(config.facts.MachineKinds), config.InitialEndpoints.Number)
 	if operatorPath != "" && document == "" {
--- a/cmd/mintkeel/config.go
+++ b/cmd/mintkeel/config.go
@@ -14,8 +14,8 @@
 	"mintkeel/internal/settings"
 )
 
-// controllerConfig is the platform's configuration of a controller, read at its start. Names of its
-// JSON are mapped by tags.
+// controllerConfig is the configuration that the platform gives a controller, read at startup. Tags
+// map the names of its JSON.
 type controllerConfig struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -34,7 +34,8 @@
 	endpointUpdates []discovery.Update
 }
 
-// fieldError names a field of the configuration and why it can't be used.
+// fieldError returns an error that names a field of the configuration and the reason why its value
+// can't be used.
 func fieldError(field, why string) error { return &settings.FieldError{Field: field, Why: why} }
 
 // errorField returns the field that an error names, or "".
@@ -71,7 +72,7 @@
 	}
 	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
-		return nil, fieldError("seed", fmt.Sprintf("%q is no hexadecimal number", config.Seed))
+		return nil, fieldError("seed", fmt.Sprintf("%q is not a hexadecimal number", config.Seed))
 	}
 	config.seed = int64(seed)
 	if err := config.checkGrants(); err != nil {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// The least that a controller can run with.
+// The minimum resources that a controller needs to run.
 const (
 	minMemoryMB    = 32
 	minDescriptors = 64
--- a/cmd/mintkeel/configprint.go
+++ b/cmd/mintkeel/configprint.go
@@ -14,14 +14,14 @@
 	"mintkeel/internal/core/fleet/config"
 )
 
-// printStatus prints a status; its error holds the exit code.
+// printStatus prints a status, and returns the error that holds the exit code.
 func (cc *configCommands) printStatus(
 	c *cobra.Command, local config.Readiness, found configStatus,
 ) error {
 	now := cc.now()
 	out := c.OutOrStdout()
 	if found.status == nil {
-		err := errors.New("where versions are in force is not known: no leader told it")
+		err := errors.New("where versions are in force is not known: no leader answered")
 		if cc.flags.json {
 			return cmp.Or(errors.Join(err, found.err), printJSON(c, statusView{Local: localViewOf(local)}))
 		}
@@ -39,17 +39,17 @@
 	fmt.Fprintln(out, found.summary(now))
 	if found.collectedTooShort() {
 		fmt.Fprintf(out, "the leader has collected for %v only: "+
-			"who is not heard may not have reported to it yet\n", collectedFor(found.status))
+			"controllers not heard may not have reported to it yet\n", collectedFor(found.status))
 	}
 	fmt.Fprintf(out, "the controller asked: %s\n", formatReadiness(local))
 	return err
 }
 
-// formatReadiness formats the version that a controller has in force itself.
+// formatReadiness describes the version that a controller itself has in force.
 func formatReadiness(r config.Readiness) string {
 	text := fmt.Sprintf("version %d in force", r.Number)
 	if r.Number == 0 {
-		text = "no version in force, by its own file"
+		text = "no version in force, only its own file"
 	}
 	if r.Latest > r.Number {
 		text += fmt.Sprintf(", version %d heard of", r.Latest)
--- a/cmd/mintkeel/configstatus.go
+++ b/cmd/mintkeel/configstatus.go
@@ -13,21 +13,21 @@
 
 const (
 	// collectionTime is how long a new leader takes to collect the reports of all controllers. Until
-	// then a controller without a report may well be reachable.
+	// then, a controller without a report may still be reachable.
 	collectionTime      = 15 * time.Second
-	maxNamedControllers = 8 // controllers named in a line; --json has more
+	maxNamedControllers = 8 // controllers listed by name in the text output; --json lists more
 )
 
-// configStatus is the leader's status of versions at all controllers, or the error by which it is
-// not known.
+// configStatus is the leader's view of the versions at all controllers, or the error because of
+// which it is unknown.
 type configStatus struct {
-	status *config.Status // nil: not known
+	status *config.Status // nil: unknown
 	from   string
 	err    error
 }
 
-// unreachable is the number of controllers without a recent report. Lists of a status may be cut,
-// its counts are not.
+// unreachable returns the number of controllers without a recent report. The lists of a status may
+// be truncated; its counts are complete.
 func (s configStatus) unreachable() int {
 	if s.status.Omitted == 0 {
 		return len(s.status.Unreachable)
@@ -35,8 +35,8 @@
 	return max(0, s.status.Members-s.countFrom(0))
 }
 
-// countFrom is the number of controllers that have this version or a later one in force, by the
-// counts of the status.
+// countFrom returns the number of controllers that have this version or a later one in force,
+// according to the counts of the status.
 func (s configStatus) countFrom(from uint64) (n int) {
 	for number, count := range s.status.ByVersion {
 		if number >= from {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// inForce is how many controllers have the version, or a later one, in force.
+// inForce returns how many controllers have the version, or a later one, in force.
 func (s configStatus) inForce(number uint64) int {
 	if number == s.status.Latest.Number {
 		return s.status.InForce
@@ -60,7 +60,8 @@
 	return s.unreachable() > 0 && s.status.CollectedFor < float64(collectionTime/time.Millisecond)
 }
 
-// inForceAtReachable reports whether all reachable controllers have a version, or a later one.
+// inForceAtReachable reports whether all reachable controllers have the version, or a later one, in
+// force.
 func (s configStatus) inForceAtReachable(number uint64) bool {
 	if s.status == nil || s.status.Latest.Number < number || s.collectedTooShort() {
 		return false
@@ -84,14 +85,15 @@
 	return s.status.InForce+len(s.status.Rejected) == s.status.Members-s.unreachable()
 }
 
-// resultError has exitPartial; nil if the version is in force at all reachable controllers.
+// resultError returns an error with exitPartial, or nil if the version is in force at all reachable
+// controllers.
 func (s configStatus) resultError(number uint64, wait time.Duration) error {
 	if s.inForceAtReachable(number) {
 		return nil
 	}
 	if s.status == nil {
 		err := fmt.Errorf("version %d is agreed; where it is in force is not known: "+
-			"no leader told it within %v", number, wait)
+			"no leader answered within %v", number, wait)
 		return &exitError{exitPartial, errors.Join(err, s.err)}
 	}
 	if s.collectedTooShort() && s.inForce(number) == s.status.Members-s.unreachable() {
@@ -112,14 +114,14 @@
 func (s configStatus) summary(now time.Time) string {
 	st := s.status
 	if st.Latest.Number == 0 {
-		return fmt.Sprintf("no version is agreed yet: each of %d controllers runs by its own file",
+		return fmt.Sprintf("no version is agreed yet: each of %d controllers uses its own file",
 			st.Members)
 	}
 	parts := []string{fmt.Sprintf("version %d in force at %d of %d", st.Latest.Number, st.InForce,
 		st.Members)}
 	if n := len(st.Rejected); n > 0 {
 		names := listControllers(st.Rejected, func(r config.ControllerReport) string {
-			return fmt.Sprintf("%s (%s)", r.ID, cmp.Or(oneLine(r.Reason), "no reason told"))
+			return fmt.Sprintf("%s (%s)", r.ID, cmp.Or(oneLine(r.Reason), "no reason given"))
 		})
 		parts = append(parts, fmt.Sprintf("%d refused: %s", n, names))
 	}
@@ -145,7 +147,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// listControllers lists the first maxNamedControllers controllers.
+// listControllers formats the first maxNamedControllers reports, and the number of the others.
 func listControllers(
 	reports []config.ControllerReport, text func(config.ControllerReport) string,
 ) string {
@@ -179,7 +181,8 @@
 	return now.Add(-time.Duration(r.Age * float64(time.Millisecond))), true
 }
 
-// oneLine replaces characters of a text from another controller that could disturb a terminal.
+// oneLine replaces non-printable characters with spaces: text from another controller could contain
+// terminal control sequences.
 func oneLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
--- a/cmd/mintkeel/configviews.go
+++ b/cmd/mintkeel/configviews.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// localView is what the controller asked says of itself.
+// localView is the state of the controller that was asked.
 type localView struct {
 	Version   uint64 `json:"version"`
 	Latest    uint64 `json:"latest"`
@@ -45,12 +45,12 @@
 	return &localView{Version: r.Number, Latest: r.Latest, Confirmed: r.Confirmed}
 }
 
-// reportView is one controller.
+// reportView is the leader's last report of one controller.
 type reportView struct {
 	Controller string `json:"controller"`
 	Version    uint64 `json:"version"`
 	Reason     string `json:"reason,omitempty"`
-	LastHeard  string `json:"last_heard,omitempty"` // absent: never by this leader
+	LastHeard  string `json:"last_heard,omitempty"` // absent: this leader has not heard of it
 }
 
 func reportViews(reports []config.ControllerReport, now time.Time) []reportView {
@@ -67,8 +67,8 @@
 
 // statusView is a status as printed with --json.
 type statusView struct {
-	Local       *localView     `json:"local,omitempty"` // of the controller asked
-	Known       bool           `json:"known"`           // the other fields are: a leader answered
+	Local       *localView     `json:"local,omitempty"` // of the controller that was asked
+	Known       bool           `json:"known"`           // a leader answered: the other fields are set
 	From        string         `json:"from,omitempty"`
 	Latest      *versionView   `json:"latest,omitempty"`
 	Controllers int            `json:"controllers"`
@@ -103,14 +103,14 @@
 	}
 }
 
-// changeOutcome is how put and rollback ended, as printed with --json.
+// changeOutcome is the outcome of put or rollback, as printed with --json.
 type changeOutcome struct {
 	Result  string       `json:"result"`
 	Reason  string       `json:"reason,omitempty"`
 	Version *versionView `json:"version,omitempty"`
 	Status  *statusView  `json:"status,omitempty"`
 
-	line string // summary of Status, as text
+	line string // summary of Status, for the text output
 }
 
 func (o *changeOutcome) setStatus(found configStatus, now time.Time) {
--- a/cmd/mintkeel/daemon.go
+++ b/cmd/mintkeel/daemon.go
@@ -18,15 +18,15 @@
 	"mintkeel/internal/operator"
 )
 
-// daemon is a running controller with all its parts. The main goroutine, which calls run, owns all
-// its fields: no other writes them. Fields marked shared are set before the goroutines that read
-// them start, and do not change afterwards.
+// daemon is a running controller with all its parts. Its fields are owned by the main goroutine,
+// which calls run; no other goroutine writes them. Fields marked shared may be read by other
+// goroutines: they are set before those start, and do not change afterwards.
 type daemon struct {
 	sources   configSources     // shared
 	config    *controllerConfig // as read at the start; shared
 	file      *operator.File    // in force: the operator's, with the fleet's document if there is one
 	limits    *limits.Limits    // shared
-	logOutput *logs.Log         // where log writes; its level and rate limit change with the file
+	logOutput *logs.Log         // destination of log; level and rate limit follow the file
 	log       *slog.Logger      // shared
 
 	loop      *controller.Loop   // event loop of the decision module, with its own goroutine; shared
@@ -35,17 +35,17 @@
 	clients   *clients.Server    // clients' sessions; nil until clients are served
 
 	snapshotWriter  *memory.SnapshotWriter   // nil: no block memory
-	stoppingWriters []*memory.SnapshotWriter // former writers, which write their final snapshots
-	hasOwnSnapshot  bool                     // a snapshot of an earlier run was found
+	stoppingWriters []*memory.SnapshotWriter // replaced writers that write their final snapshots
+	hasOwnSnapshot  bool                     // a snapshot of an earlier run was found at startup
 
 	fleet          *fleet.Service   // nil: no block fleet, or not joined yet
 	fleetConfig    *fleetConfig     // nil: no block config; shared
 	maintenanceJob *maintenance.Job // nil: no block maintenance
 }
 
-// run starts the parts, serves until it is asked to stop, and shuts down. With a block config the
-// version in force is learned before clients are served; without one the fleet is joined
-// afterwards, so that no client waits for it.
+// run starts the parts, serves until a signal asks for shutdown, and shuts down. With a block
+// config, the daemon joins the fleet and learns the version in force before it serves clients;
+// without one it joins afterwards, so that no client waits for the fleet.
 func (d *daemon) run(signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// pendingSignals are signals that came before they could be handled.
+// pendingSignals records signals that arrived before they could be handled.
 type pendingSignals struct {
 	stop   bool
 	reload bool
 }
 
-// handleEvents handles signals and versions of the fleet's configuration until a signal asks to
-// stop. A reload reads its files on another goroutine, so that a disk that hangs does not hold up
+// handleEvents handles signals and versions of the fleet's configuration until a signal asks for
+// shutdown. A reload reads its files on another goroutine, so that a hanging disk does not delay
 // the shutdown.
 func (d *daemon) handleEvents(signals <-chan os.Signal, pending pendingSignals) {
 	reading := false
@@ -123,7 +123,7 @@
 	}
 }
 
-// logCounts logs all counts.
+// logCounts logs the counters of all parts.
 func (d *daemon) logCounts(message string) {
 	counts := []any{"commands", d.loop.Counts(), "clients", d.clients, "engines", d.engines}
 	if d.snapshotWriter != nil {
--- a/cmd/mintkeel/doc.go
+++ b/cmd/mintkeel/doc.go
@@ -1,6 +1,6 @@
 // Command mintkeel is one controller of the gateway: it accepts clients' queries on a socket, asks
-// the decision module on which engine each is to run, and answers. The package holds the command
-// line and the wiring of the daemon only.
+// the decision module which engine to run each on, and returns the results. The package contains
+// only the command line and the wiring of the daemon.
 //
 // The command line: main.go runs it and maps errors to exit codes; sources.go reads the files that
 // most commands need. Each command has a file of its own: serve.go, check.go, version.go,
--- a/cmd/mintkeel/documenterror.go
+++ b/cmd/mintkeel/documenterror.go
@@ -10,7 +10,8 @@
 // maxReportedProblems bounds the problems in one message; mintkeel check prints all.
 const maxReportedProblems = 16
 
-// documentError is why a document can't be used, in one line for logs and for other controllers.
+// documentError is the error of a document that can't be used, formatted in one line for logs and
+// for other controllers.
 type documentError struct{ err error }
 
 func (e *documentError) Error() string {
--- a/cmd/mintkeel/fleet.go
+++ b/cmd/mintkeel/fleet.go
@@ -11,13 +11,13 @@
 	"mintkeel/internal/fleet/control"
 )
 
-// fleetFlags are the flags of all commands that speak to a controller about its fleet.
+// fleetFlags are the flags of all commands that ask a controller about its fleet.
 type fleetFlags struct {
 	folder string
 	json   bool
 }
 
-// call sends a request to the controller of the folder.
+// call sends a request to the controller that uses the folder.
 func (f *fleetFlags) call(ctx context.Context, request control.Request) (control.Status, error) {
 	if f.folder == "" {
 		return control.Status{}, errors.New("no folder: set --folder or MINTKEEL_FLEET")
@@ -31,10 +31,10 @@
 		Short: "Show the fleet as one of its controllers knows it, and hand over leases",
 		Long: `Show the fleet as one of its controllers knows it, and hand over leases.
 
-Each command asks the controller whose folder is named: the folder of the block
+Each command asks the controller whose folder is given: the folder of the block
 fleet in its operator's file. Members are listed as that controller sees them.
-Leases are the quorum's state as far as a voter has heard of it; a controller
-that is no voter lists what it heard last.`,
+A voter lists the leases by the quorum's state as far as it has received it;
+a controller that is not a voter lists those that it was last told.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -92,7 +92,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(argCount), RunE: run}
 }
 
-// hiddenAlias is a hidden copy of a command with its name of earlier versions.
+// hiddenAlias returns a hidden copy of a command under the name that it had in earlier versions.
 func hiddenAlias(formerName string, c *cobra.Command) *cobra.Command {
 	hidden := *c
 	hidden.Use = formerName
--- a/cmd/mintkeel/fleetjobs.go
+++ b/cmd/mintkeel/fleetjobs.go
@@ -10,7 +10,7 @@
 	"mintkeel/router"
 )
 
-// fleetJobs lists the jobs that this controller runs when it holds their leases.
+// fleetJobs returns the jobs that this controller runs while it holds their leases.
 func (d *daemon) fleetJobs() []job.Job {
 	jobs := []job.Job{sharedstatistics.NewJob(d.sharedStatisticsHost())}
 	if d.file.Maintenance == nil {
@@ -37,8 +37,8 @@
 	return append(jobs, d.maintenanceJob)
 }
 
-// sharedStatisticsHost gives the job of shared statistics access to this controller. A controller
-// with a snapshot of its own restores nothing from others.
+// sharedStatisticsHost gives the shared-statistics job access to this controller. A controller with
+// a snapshot of its own restores nothing from others.
 func (d *daemon) sharedStatisticsHost() sharedstatistics.Host {
 	host := sharedstatistics.Host{Source: d.loop, Settings: d.identity().Settings, Log: d.log}
 	if !d.hasOwnSnapshot {
@@ -48,8 +48,8 @@
 }
 
 // restoreSharedStatistics restores the statistics that the fleet shares. With a block config it
-// waits until clients are served: only then is it known whether this controller has a snapshot of
-// its own.
+// waits until clients are served, because only then is it known whether this controller has a
+// snapshot of its own.
 func (d *daemon) restoreSharedStatistics(shared router.Statistics) {
 	if d.fleetConfig != nil && !d.fleetConfig.needsSharedStatistics() {
 		return
@@ -58,6 +58,7 @@
 		now := float64(time.Now().UnixMicro()) / 1e3
 		snapshot := restore.Snapshot{Owner: d.identity(), Statistics: shared}
 		restored, counts := restore.Select(&snapshot, d.identity(), list, now, restore.DefaultHalfLives())
+		// The keys of the counts are those of mintkeel memory show --json.
 		d.log.Info("fleet: the digest",
 			"believed", counts.Restored,
 			"aged", counts.Expired,
--- a/cmd/mintkeel/fleetprint.go
+++ b/cmd/mintkeel/fleetprint.go
@@ -11,8 +11,8 @@
 
 func printMembers(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintf(t, "fleet %s, generation %d, as %s believes\n", s.Fleet, s.Generation, s.Self)
-	fmt.Fprintln(t, "controller\tis\taddress\ttakes leases\trun")
+	fmt.Fprintf(t, "fleet %s, generation %d, as seen by %s\n", s.Fleet, s.Generation, s.Self)
+	fmt.Fprintln(t, "controller\tstate\taddress\ttakes leases\trun")
 	for _, m := range s.Members {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", m.ID, m.State, m.Addr, yesNo(m.Willing), m.Run)
 	}
@@ -21,11 +21,11 @@
 
 func printLeases(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	source := "as " + s.Self + " was told"
+	source := "as last reported to " + s.Self
 	if s.Agreed {
-		source = "as the quorum agreed, as far as " + s.Self + " has heard"
+		source = "as the quorum agreed, as far as " + s.Self + " knows"
 	}
-	fmt.Fprintf(t, "%d leases, %s\nlease\ttoken\tholder\tis to go to\n", len(s.Leases), source)
+	fmt.Fprintf(t, "%d leases, %s\nlease\ttoken\tholder\tpreferred holder\n", len(s.Leases), source)
 	for _, w := range s.Leases {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\n", w.Lease, w.Token, cmp.Or(w.Holder, "nobody"), w.Preferred)
 	}
--- a/cmd/mintkeel/main.go
+++ b/cmd/mintkeel/main.go
@@ -14,11 +14,11 @@
 const (
 	exitFailed  = 1 // the command failed, for example on a corrupt snapshot
 	exitUsage   = 2 // the command line was not understood
-	exitPartial = 3 // a version was committed, not known to be in force at all reachable controllers
+	exitPartial = 3 // a version was committed, but may not be in force at all reachable controllers
 	exitLost    = 4 // another version was committed first
 )
 
-// exitError is an error with the exit code of the process.
+// exitError is an error that determines the exit code of the process.
 type exitError struct {
 	code int
 	err  error
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// normalizeFlags adds a dash to -config: flags of earlier versions had one dash.
+// normalizeFlags turns -config into --config: in earlier versions flags had a single dash.
 func normalizeFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, arg := range args {
--- a/cmd/mintkeel/memory.go
+++ b/cmd/mintkeel/memory.go
@@ -25,14 +25,14 @@
 	return c
 }
 
-// What commands take as granted that run without the platform's configuration.
+// Grants assumed by commands that run without the platform's configuration.
 const (
 	offlineDescriptors = 64
 	offlineMemoryMB    = 256
 )
 
-// offlineLimits are the limits of commands that run without the platform's configuration, and
-// without connections.
+// offlineLimits returns the limits of commands that run without the platform's configuration and
+// open no connections.
 func offlineLimits() *limits.Limits {
 	return limits.For(offlineDescriptors, offlineMemoryMB, 0, 0, 0)
 }
@@ -41,7 +41,7 @@
 	var asJSON, all bool
 	c := &cobra.Command{
 		Use:   "show FOLDER",
-		Short: "Show the newest snapshot of a folder, its age, and what a restore would take of it",
+		Short: "Show the newest snapshot in a folder, its age, and which records a restore would use",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			snapshot, _, err := memory.Load(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
@@ -56,18 +56,18 @@
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print all records as JSON")
-	c.Flags().BoolVar(&all, "all", false, "print all records, not the first of each kind")
+	c.Flags().BoolVar(&all, "all", false, "print all records, not only the first ones of each kind")
 	return c
 }
 
-// errDamagedSnapshot ends verify with code 1.
-var errDamagedSnapshot = errors.New("can't be trusted whole")
+// errDamagedSnapshot makes verify exit with code 1.
+var errDamagedSnapshot = errors.New("has a damaged snapshot, or none at all")
 
 func memoryVerify() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "verify FOLDER",
-		Short: "Verify the snapshots of a folder; exit code 1 if one is damaged",
+		Short: "Verify the snapshots in a folder; exit code 1 if one is damaged or there is none",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			checks, err := memory.Verify(disk.Folder(args[0]), memory.FileBounds(offlineLimits()))
@@ -81,7 +81,7 @@
 					continue
 				}
 				if check.Complete {
-					fmt.Fprintf(c.OutOrStdout(), "%s is whole: %d records of %s\n", check.File, check.Records,
+					fmt.Fprintf(c.OutOrStdout(), "%s is complete: %d records of %s\n", check.File, check.Records,
 						check.Name)
 				} else {
 					fmt.Fprintf(c.OutOrStdout(), "%s %s\n", check.File, check.Reason)
@@ -109,7 +109,7 @@
 	c := &cobra.Command{
 		Use: "prune FOLDER",
 		Short: "Delete the statistics of an engine, a table group or all; " +
-			"no controller may use the folder",
+			"no controller may be using the folder",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, e := range engines {
@@ -119,18 +119,18 @@
 				what.Tables = append(what.Tables, router.TableGroup(t))
 			}
 			if !what.All && len(what.Engines)+len(what.Tables) == 0 {
-				return errors.New("name what to forget: --engine, --tables or --all")
+				return errors.New("nothing selected: set --engine, --tables or --all")
 			}
 			n, err := memory.Prune(disk.Folder(args[0]), memory.FileBounds(offlineLimits()), what)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d records forgotten\n", n)
+			fmt.Fprintf(c.OutOrStdout(), "%d records deleted\n", n)
 			return nil
 		},
 	}
-	c.Flags().StringSliceVar(&engines, "engine", nil, "forget what is known of this engine")
-	c.Flags().Int64SliceVar(&tables, "tables", nil, "forget what is known of this table group")
-	c.Flags().BoolVar(&what.All, "all", false, "forget all")
+	c.Flags().StringSliceVar(&engines, "engine", nil, "delete the statistics of this `engine`")
+	c.Flags().Int64SliceVar(&tables, "tables", nil, "delete the statistics of this table `group`")
+	c.Flags().BoolVar(&what.All, "all", false, "delete all statistics")
 	return c
 }
--- a/cmd/mintkeel/memoryprint.go
+++ b/cmd/mintkeel/memoryprint.go
@@ -9,17 +9,18 @@
 	"mintkeel/internal/memory"
 )
 
-// defaultRecordLimit is how many records of each kind are printed unless all are asked for.
+// defaultRecordLimit is the number of records of each kind that are printed without --all.
 const defaultRecordLimit = 20
 
 func printReport(out io.Writer, report *memory.Report, all bool) error {
 	fmt.Fprintf(out, "%s of %s, number %d, %s old, written by %s\n", report.File, report.Name,
-		report.Serial, (time.Duration(report.AgeMS) * time.Millisecond).Round(time.Millisecond), report.Build)
+		report.Serial, (time.Duration(report.AgeMS) * time.Millisecond).Round(time.Millisecond),
+		report.Build)
 	if !report.Complete {
-		fmt.Fprintln(out, "some of its sections could not be used and are left out")
+		fmt.Fprintln(out, "some of its sections are damaged and were skipped")
 	}
-	fmt.Fprintf(out, "%d records: %d believed now, %d too old, %d from the future, "+
-		"%d with figures that can't be\n",
+	fmt.Fprintf(out, "%d records: %d restorable now, %d expired, %d from the future, "+
+		"%d invalid\n",
 		report.Records, report.Restorable, report.Expired, report.FromFuture, report.Invalid)
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	table := func(title, head string, n int, line func(i int)) {
@@ -35,24 +36,25 @@
 			line(i)
 		}
 	}
-	table("Engines", "id\tage\tweighs\tpace\twidth\toutcomes\tshares with", len(report.Engines),
+	table("Engines", "id\tage\tweight\tslowdown\tthreads per core\toutcomes\tpool leader",
+		len(report.Engines),
 		func(i int) {
 			e := report.Engines[i]
 			fmt.Fprintf(t, "%s\t%s\t%.2f\t%.2f\t%.2f\t%08b\t%s\n", e.Engine, ms(e.AgeMS),
 				e.RemainingWeight, e.Slowdown, e.ThreadsPerCore, e.Outcomes, e.PoolLeader)
 		})
-	table("Table groups", "id\tage\tweighs\tasks for\tat", len(report.Tables), func(i int) {
+	table("Table groups", "id\tage\tweight\tdemand\tpool leaders", len(report.Tables), func(i int) {
 		g := report.Tables[i]
 		fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%v\n", g.Tables, ms(g.AgeMS), g.RemainingWeight, g.Demand,
 			g.PoolLeaders)
 	})
-	table("Profiles", "place\tage\tweighs\talone\twork over estimate\tmemory over estimate",
+	table("Profiles", "index\tage\tweight\tunloaded time\twork / estimate\tmemory / estimate",
 		len(report.Classes), func(i int) {
 			p := report.Classes[i]
 			fmt.Fprintf(t, "%d\t%s\t%.2f\t%.4g\t%.3g\t%.3g\n", p.Class, ms(p.AgeMS), p.RemainingWeight,
 				p.UnloadedTime, p.WorkScale, p.MemoryScale)
 		})
-	table("Part of the traffic", "age\tweighs\tpart", len(report.Traffic), func(i int) {
+	table("Share of the traffic", "age\tweight\tshare", len(report.Traffic), func(i int) {
 		p := report.Traffic[i]
 		fmt.Fprintf(t, "%s\t%.2f\t%.3f\n", ms(p.AgeMS), p.RemainingWeight, p.Share)
 	})
--- a/cmd/mintkeel/names_test.go
+++ b/cmd/mintkeel/names_test.go
@@ -1,7 +1,7 @@
 package main
 
-// Scripts of operators call commands by name: one that changes is found when it fails, perhaps within an incident. This
-// test pins the names of commands, their arguments and their flags.
+// Operators' scripts call commands by name, and a renamed command would only be noticed when a script fails, perhaps during
+// an incident. This test pins the names of commands, their arguments and their flags.
 
 import (
 	"fmt"
@@ -14,10 +14,10 @@
 	"mintkeel/internal/lab/golden"
 )
 
-// flagName is a flag where it begins a line of a command's help.
+// flagName matches a flag at the start of a line of a command's help.
 var flagName = regexp.MustCompile(`(?m)^ +(?:-\w, )?--([a-z-]+)`)
 
-// commandNames writes a line for each command at or below one, and for each of its own flags.
+// commandNames writes a line for a command, for each of its own flags, and recursively for its subcommands.
 func commandNames(out *strings.Builder, above string, c *cobra.Command) {
 	hidden := ""
 	if c.Hidden {
--- a/cmd/mintkeel/output.go
+++ b/cmd/mintkeel/output.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/operator"
 )
 
-// printJSON prints a value, indented, for programs.
+// printJSON prints a value as indented JSON.
 func printJSON(c *cobra.Command, value any) error {
 	encoder := json.NewEncoder(c.OutOrStdout())
 	encoder.SetIndent("", "  ")
@@ -37,7 +37,7 @@
 	return "no"
 }
 
-// errorIf is an error with a text where a condition holds, and else nil.
+// errorIf returns an error with the text if the condition holds, else nil.
 func errorIf(is bool, text string) error {
 	if is {
 		return errors.New(text)
--- a/cmd/mintkeel/reload.go
+++ b/cmd/mintkeel/reload.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/operator"
 )
 
-// reloadResult is what was read at a SIGHUP, or why it could not be read.
+// reloadResult holds the files read for a SIGHUP, or the errors of reading them.
 type reloadResult struct {
 	file      *operator.File
 	fileErr   error
@@ -20,7 +20,7 @@
 }
 
 // readFiles reads the operator's file and the configuration, each within limits.ConfigReadTimeout.
-// It changes nothing and runs on a goroutine of its own.
+// It runs on a goroutine of its own and changes no state.
 func (d *daemon) readFiles() (r reloadResult) {
 	r.file, r.fileErr = readWithTimeout(d.limits.ConfigReadTimeout, func() (*operator.File, error) {
 		return operator.Read(d.sources.operatorPath, d.config.facts)
@@ -32,8 +32,9 @@
 	return r
 }
 
-// applyReload puts in force what may change while running. The operator's file and the
-// configuration are each applied whole or not at all; an error is logged, and serving goes on.
+// applyReload puts in force the fields that may change while running. The operator's file and the
+// configuration are each applied completely or not at all; an error is logged, and serving
+// continues.
 func (d *daemon) applyReload(r reloadResult) {
 	if err := d.applyOperatorFile(r.file, r.fileErr); err != nil {
 		problems := operator.Problems(err)
@@ -112,8 +113,8 @@
 	}
 }
 
-// applyFile puts a file in force in place of the one before. It fails with errRulesBusy, and
-// changes nothing, if the event loop takes no rules at the moment.
+// applyFile puts a file in force in place of the previous one. It fails with errRulesBusy, and
+// changes nothing, if the event loop accepts no new rules at the moment.
 func (d *daemon) applyFile(file *operator.File) error {
 	if !d.loop.SetRules(file.Rules) {
 		return errRulesBusy
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// updateFleetSettings hands the leases and the block maintenance of a file to the fleet's service.
+// updateFleetSettings passes the leases and the block maintenance of a file to the fleet's service.
 func (d *daemon) updateFleetSettings(file *operator.File) {
 	if d.maintenanceJob != nil && file.Maintenance != nil {
 		d.maintenanceJob.SetBlock(*file.Maintenance)
@@ -137,7 +138,8 @@
 	}
 }
 
-// updateFleetMembership applies what may change of the block fleet while running: willing and keys.
+// updateFleetMembership applies the parts of the block fleet that may change while running: whether
+// this controller takes leases (willing), and the keys.
 func (d *daemon) updateFleetMembership(block *fleet.Block) {
 	if d.fleet == nil {
 		return
@@ -148,8 +150,8 @@
 	}
 }
 
-// readWithTimeout bounds a read that may hang, as on a disk that is gone. A result that comes too
-// late is dropped; the goroutine ends with the read.
+// readWithTimeout bounds a read that may hang, for example on a disk that is gone. A late result is
+// dropped; the goroutine ends when the read returns.
 func readWithTimeout[T any](within time.Duration, read func() (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -171,9 +173,9 @@
 	}
 }
 
-// errRulesBusy means that the event loop takes no new rules at the moment; a retry may succeed.
+// errRulesBusy means that the event loop accepts no new rules at the moment; a retry may succeed.
 var errRulesBusy = errors.New(
-	"rules have changed too often within the last seconds, or too many commands are held: try again")
+	"rules have changed too often within the last seconds, or too many queries are open: try again")
 
 // logFixedFields logs the fields of a new configuration that differ and are not applied: only the
 // address of discovery may change while running.
--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -27,14 +27,14 @@
 	return c
 }
 
-// readRules reads the operator's rules; it is an error if there are none.
+// readRules reads the operator's rules. It fails if there are none.
 func (s *configSources) readRules() (*rules.Set, *settings.Facts, error) {
 	config, file, err := s.read()
 	if err != nil {
 		return nil, nil, err
 	}
 	if file.Rules == nil {
-		return nil, nil, errors.New("there are no rules: name a file with --operator")
+		return nil, nil, errors.New("there are no rules: set --operator to a file with rules")
 	}
 	return file.Rules, config.facts, nil
 }
@@ -43,7 +43,7 @@
 	var from configSources
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Validate the rules, and print the most steps that each may take",
+		Short: "Validate the rules, and print the maximum number of steps of each",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			set, _, err := from.readRules()
@@ -51,7 +51,7 @@
 				return err
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 2, 8, 2, ' ', 0)
-			fmt.Fprintln(t, "rule\tsteps at the most\tfound by")
+			fmt.Fprintln(t, "rule\tmax steps\tindexed by")
 			for i := range set.Len() {
 				fmt.Fprintf(t, "%s\t%d\t%s\n", set.Name(i), set.Steps(i), set.FoundBy(i))
 			}
@@ -84,12 +84,13 @@
 	}
 	from.addFlags(c)
 	c.Flags().StringVar(&application, "application", "", "the client's application_name")
-	c.Flags().StringVar(&listener, "listener", "", "the address that the client came to")
+	c.Flags().StringVar(&listener, "listener", "",
+		"the controller's address that the client connected to")
 	return c
 }
 
-// printExplanation prints the rules that were tried on a query, with the steps of each, and what
-// they decided.
+// printExplanation prints the rules that were tried on a query, each with the steps of its
+// evaluation, and the verdict.
 func printExplanation(
 	out io.Writer, set *rules.Set, query *rules.Query, facts *settings.Facts,
 ) {
@@ -104,14 +105,14 @@
 			fmt.Fprintf(out, "%s%s = %s\n", strings.Repeat("  ", step.Depth+1), step.Text, step.Value)
 		}
 	}
-	fmt.Fprintf(out, "%d of %d rules were tried; the others require something that it has not\n",
+	fmt.Fprintf(out, "%d of %d rules were tried; the others require something that the query lacks\n",
 		len(tried), set.Len())
 	if verdict.Rejection != "" {
 		fmt.Fprintf(out, "refused: %s\n", verdict.Rejection)
 		return
 	}
 	fmt.Fprintf(out, "profile %s, key %q, hot %t, kinds %v, zones %v, "+
-		"estimate at the most %gms, labels %v\n",
+		"estimate capped at %gms, labels %v\n",
 		operator.RuleFacts(facts).ClassNames[verdict.Class], verdict.OrderingKey, verdict.Hot,
 		verdict.Kinds, verdict.Zones, verdict.EstimateCap, verdict.Labels)
 }
@@ -181,14 +182,14 @@
 		},
 	}
 	from.addFlags(c)
-	c.Flags().DurationVar(&duration, "for", duration, "how long to look")
+	c.Flags().DurationVar(&duration, "for", duration, "how long to measure")
 	return c
 }
 
-// measureRules returns the mean time in ns in which the rules are applied to a query, measured for
-// a duration.
+// measureRules applies the rules to a query for the given duration, and returns the mean time of
+// one application in ns.
 func measureRules(set *rules.Set, query *rules.Query, duration time.Duration) float64 {
-	const batch = 100 // applications between two looks at the clock
+	const batch = 100 // applications between two readings of the clock
 	var scratch rules.Scratch
 	count := 0
 	began := time.Now()
--- a/cmd/mintkeel/serve.go
+++ b/cmd/mintkeel/serve.go
@@ -30,10 +30,10 @@
 	return c
 }
 
-// serve reads the configuration, sets the limits of the process and runs a daemon until it is asked
-// to stop.
+// serve reads the configuration, sets the limits of the process and runs a daemon until a signal
+// asks for shutdown.
 func serve(from configSources) error {
-	// SIGHUP ends a process by default, so signals are caught before anything is read.
+	// By default SIGHUP terminates a process, so signals are caught before anything is read.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	config, file, err := from.read()
--- a/cmd/mintkeel/shutdown.go
+++ b/cmd/mintkeel/shutdown.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/clients"
 )
 
-// shutdown drains the queries within limits.ShutdownTimeout and ends the parts. Leases are released
-// and the final snapshot is begun first, so that both happen while queries are still answered.
+// shutdown drains the queries within limits.ShutdownTimeout and stops the parts. It first releases
+// the leases and starts the final snapshot, so that both proceed while queries are still answered.
 func (d *daemon) shutdown(listener net.Listener) {
 	l := d.limits
 	d.log.Info("shutdown started")
@@ -23,7 +23,7 @@
 	if d.snapshotWriter != nil {
 		d.snapshotWriter.Stop()
 	}
-	// Time is left to close the sessions of clients that send queries to the last.
+	// Leaves time to close the sessions of clients that keep sending queries until the end.
 	awaitQuiet(d.clients, end.Add(-l.ClientCloseTimeout), l.DrainQuietPeriod)
 	listener.Close()
 	d.clients.Shutdown(end)
@@ -33,8 +33,8 @@
 	d.logCounts("stopped")
 }
 
-// awaitQuiet waits until no query has come and no answer has been due for a quiet period, and until
-// the given time at most.
+// awaitQuiet waits until, for a quiet period, no query has arrived and no answer has been pending.
+// It gives up at the given time.
 func awaitQuiet(server *clients.Server, until time.Time, quiet time.Duration) {
 	end := time.NewTimer(time.Until(until))
 	defer end.Stop()
@@ -49,7 +49,7 @@
 	}
 }
 
-// leaveFleet closes the fleet's service, if it runs.
+// leaveFleet closes the fleet's service if it is running.
 func (d *daemon) leaveFleet() {
 	if d.fleetConfig != nil {
 		d.fleetConfig.stopApplying()
--- a/cmd/mintkeel/snapshots.go
+++ b/cmd/mintkeel/snapshots.go
@@ -12,13 +12,13 @@
 	"mintkeel/router"
 )
 
-// identity marks this controller's snapshots. Those of another identity are not restored.
+// identity identifies this controller's snapshots. Those of another identity are not restored.
 func (d *daemon) identity() restore.Identity {
 	return restore.Identity{Name: d.config.Name, Settings: settings.Flatten(d.config.Settings).Hash()}
 }
 
-// restoreSnapshot reads the statistics of an earlier run and hands them to the event loop, which
-// takes in what still counts once the first engines are listed.
+// restoreSnapshot reads the statistics of an earlier run and passes them to the event loop. Those
+// that are still valid are restored once the first engines are listed.
 func (d *daemon) restoreSnapshot() {
 	stored := memory.LoadWithTimeout(disk.Folder(d.file.Memory.Folder), d.limits, d.log)
 	if stored == nil {
@@ -43,9 +43,9 @@
 	})
 }
 
-// replaceSnapshotWriter changes over from the block memory of one file to that of another; nil
-// stands for off. The former writer writes a final snapshot and ends by itself, unless only the
-// interval differs.
+// replaceSnapshotWriter switches from the block memory of one file to that of another; nil stands
+// for off. If only the interval differs, the writer stays; otherwise the previous one writes a
+// final snapshot and stops by itself.
 func (d *daemon) replaceSnapshotWriter(from, to *memory.Block) {
 	if from != nil && to != nil && from.Folder == to.Folder {
 		d.snapshotWriter.SetInterval(to.Interval)
@@ -63,7 +63,7 @@
 	}
 }
 
-// awaitSnapshotWriters waits for final snapshots until a time.
+// awaitSnapshotWriters waits for the final snapshots, until a time at most.
 func (d *daemon) awaitSnapshotWriters(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -78,7 +78,7 @@
 	}
 }
 
-// maxStoppingWriters bounds the writers that are stopping, as reloads may follow each other quickly
+// maxStoppingWriters bounds the number of stopping writers: reloads may follow each other quickly
 // while a disk hangs.
 const maxStoppingWriters = 8
 
--- a/cmd/mintkeel/sources.go
+++ b/cmd/mintkeel/sources.go
@@ -15,12 +15,12 @@
 	operatorPath string // the operator's file, HCL; empty: none
 }
 
-// addFlags adds the flags for the paths; environment variables are their defaults.
+// addFlags adds the flags for the paths. Environment variables give their defaults.
 func (s *configSources) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&s.configPath, "config", os.Getenv("PROXY_CONFIG"),
-		"`file` with what the platform tells, as JSON (PROXY_CONFIG)")
+		"`file` with the platform's configuration, as JSON (PROXY_CONFIG)")
 	c.Flags().StringVar(&s.operatorPath, "operator", os.Getenv("MINTKEEL_OPERATOR"),
-		"`file` with the operator's own settings, as HCL (MINTKEEL_OPERATOR); none: all is off")
+		"`file` with the operator's own settings, as HCL (MINTKEEL_OPERATOR); none: all blocks off")
 }
 
 // read reads both files.
--- a/cmd/mintkeel/start.go
+++ b/cmd/mintkeel/start.go
@@ -13,8 +13,8 @@
 	"mintkeel/internal/fleet/configuration"
 )
 
-// serveClients starts the event loop, the watch of the endpoint list and the clients' server, until
-// ctx ends. The rules in force are set before the first query is admitted.
+// serveClients starts the event loop, the watch of the endpoint list and the clients' server; the
+// first two run until ctx ends. The rules in force are set before the first query is admitted.
 func (d *daemon) serveClients(ctx context.Context) (net.Listener, error) {
 	if d.file.Memory != nil {
 		d.restoreSnapshot()
--- a/cmd/mintkeel/version.go
+++ b/cmd/mintkeel/version.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-// buildInfo is the version, the Go release and the revision of the source.
+// buildInfo holds the version, the Go release and the revision of the source.
 type buildInfo struct {
 	Version  string `json:"version"`
 	Go       string `json:"go"`
