--- a/cmd/mintkeel/rules.go
+++ b/cmd/mintkeel/rules.go
@@ -53,7 +53,7 @@
 			t := tabwriter.NewWriter(c.OutOrStdout(), 2, 8, 2, ' ', 0)
 			fmt.Fprintln(t, "rule\tmax steps\tindexed by")
 			for i := range set.Len() {
-				fmt.Fprintf(t, "%s\t%d\t%s\n", set.Name(i), set.Steps(i), set.FoundBy(i))
+				fmt.Fprintf(t, "%s\t%d\t%s\n", set.Name(i), set.Steps(i), set.IndexedBy(i))
 			}
 			return t.Flush()
 		},
--- a/internal/core/rules/apply.go
+++ b/internal/core/rules/apply.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Tried is a rule that was tried on a query, and why it matched or did not.
-type Tried struct {
+// TriedRule is a rule that was tried on a query, and why it matched or did not.
+type TriedRule struct {
 	Rule    int
 	Name    string
 	Matched bool
@@ -58,10 +58,10 @@
 }
 
 // Explain applies the rules as Apply does, and returns each that was tried.
-func (s *Set) Explain(q *Query) (v Verdict, tried []Tried) {
+func (s *Set) Explain(q *Query) (v Verdict, tried []TriedRule) {
 	var scratch Scratch
 	scratch.Trace = func(i int, matched bool) {
-		t := Tried{Rule: i, Name: s.rules[i].Name, Matched: matched}
+		t := TriedRule{Rule: i, Name: s.rules[i].Name, Matched: matched}
 		if when := s.rules[i].when; when != nil {
 			t.Steps = when.Explain(scratch.row())
 		}
--- a/internal/core/rules/epochs.go
+++ b/internal/core/rules/epochs.go
@@ -29,7 +29,7 @@
 // epoch is a set that is followed, with its queries.
 type epoch struct {
 	set       *Set    // nil: no rules
-	open      int     // queries in flight that arrived under it
+	inFlight  int     // queries in flight that arrived under it
 	runsUntil float64 // ms: by then no attempt of theirs that was given up still runs
 }
 
@@ -61,7 +61,7 @@
 
 // dropFinished drops the oldest sets once nothing of them is in flight or may still run.
 func (e *Epochs) dropFinished(now float64) {
-	for len(e.sets) > 1 && e.sets[0].open == 0 && now >= e.sets[0].runsUntil {
+	for len(e.sets) > 1 && e.sets[0].inFlight == 0 && now >= e.sets[0].runsUntil {
 		e.sets = e.sets[1:]
 		e.first++
 	}
@@ -77,7 +77,7 @@
 	}
 	e.dropFinished(now)
 	last := len(e.sets) - 1
-	e.sets[last].open++
+	e.sets[last].inFlight++
 	key = e.sets[last].set.Key(q, &e.scratch)
 	for _, older := range e.sets[:last] {
 		if k := older.set.Key(q, &e.scratch); k != key && k != "" {
@@ -102,7 +102,7 @@
 	if i < 0 || i >= len(e.sets) {
 		return
 	}
-	e.sets[i].open--
+	e.sets[i].inFlight--
 	e.sets[i].runsUntil = now + e.OrderingCooldown
 	e.dropFinished(now)
 }
--- a/internal/core/rules/index.go
+++ b/internal/core/rules/index.go
@@ -27,7 +27,7 @@
 	equal        [fieldCount]map[string][]int32 // by texts
 	numbers      [fieldCount]map[uint64][]int32 // by numberKey
 	prefixes     [fieldCount]*trie
-	descriptions []string // by rule: see Set.FoundBy
+	descriptions []string // by rule: see Set.IndexedBy
 }
 
 // newIndex puts each rule under the requirement that probably lets through the fewest queries: an
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -162,18 +162,18 @@
 	if _, problems := Compile([]Rule{{Name: "a"}}, long, match.DefaultBounds()); problems == nil {
 		t.Error("a profile whose name can't be told from another's")
 	}
-	ways := facts
-	ways.Zones = nil
+	manyZones := facts
+	manyZones.Zones = nil
 	var narrowing []Rule
 	for i := range 12 { // each may match or not, so that all subsets must be followed
-		ways.Zones = append(ways.Zones, fmt.Sprint("z", i))
+		manyZones.Zones = append(manyZones.Zones, fmt.Sprint("z", i))
 	}
-	ways.Classes = []router.QueryClass{{}, {}, {}, {}}
+	manyZones.Classes = []router.QueryClass{{}, {}, {}, {}}
 	for i := range 12 {
 		narrowing = append(narrowing, Rule{Name: fmt.Sprint("n", i), When: `tenant == "x"`,
-			Zones: slices.Delete(slices.Clone(ways.Zones), i, i+1)})
+			Zones: slices.Delete(slices.Clone(manyZones.Zones), i, i+1)})
 	}
-	if _, problems := Compile(narrowing, ways, match.DefaultBounds()); !slices.ContainsFunc(problems, func(p Problem) bool {
+	if _, problems := Compile(narrowing, manyZones, match.DefaultBounds()); !slices.ContainsFunc(problems, func(p Problem) bool {
 		return strings.Contains(p.Reason, "in more than")
 	}) {
 		t.Errorf("more ways than can be followed: %v", problems)
@@ -224,8 +224,8 @@
 	}
 }
 
-// drawn are random rules over few values, so that many match, and of all kinds that the index distinguishes.
-func drawn(rng *rand.Rand, n int) []Rule {
+// randomRules are random rules over few values, so that many match, and of all kinds that the index distinguishes.
+func randomRules(rng *rand.Rand, n int) []Rule {
 	text := func() string { return fmt.Sprintf("%q", []string{"a", "b", "ab", "abc", "", "menu_1"}[rng.Intn(6)]) }
 	conjunct := func() string {
 		switch rng.Intn(9) {
@@ -250,28 +250,28 @@
 	}
 	var rules []Rule
 	for i := range n {
-		g := Rule{Name: fmt.Sprint("r", i), When: conjunct()}
+		rule := Rule{Name: fmt.Sprint("r", i), When: conjunct()}
 		for range rng.Intn(3) {
-			g.When += " && " + conjunct()
+			rule.When += " && " + conjunct()
 		}
 		switch rng.Intn(8) {
 		case 0:
-			g.When = ""
-			g.Hot = true
+			rule.When = ""
+			rule.Hot = true
 		case 1:
-			g.Labels = map[string]string{"l": "tenant + " + text()}
+			rule.Labels = map[string]string{"l": "tenant + " + text()}
 		case 2:
-			g.Key = `"k" + tenant`
+			rule.Key = `"k" + tenant`
 		case 3:
-			g.Kinds = []string{"c16"}
+			rule.Kinds = []string{"c16"}
 		case 4:
-			g.When, g.Class = `profile == "lookup" && `+g.When, "report"
+			rule.When, rule.Class = `profile == "lookup" && `+rule.When, "report"
 		case 5:
-			g.Last = rng.Intn(3) == 0
+			rule.Last = rng.Intn(3) == 0
 		case 6:
-			g.EstimateCap = 2
+			rule.EstimateCap = 2
 		}
-		rules = append(rules, g)
+		rules = append(rules, rule)
 	}
 	return rules
 }
@@ -283,9 +283,9 @@
 	compiled, matched := 0, 0
 	for range 600 {
 		var rules []Rule
-		for _, g := range drawn(rng, rng.Intn(30)) { // those that are refused are left out
-			if _, problems := Compile(append(slices.Clone(rules), g), facts, match.DefaultBounds()); problems == nil {
-				rules = append(rules, g)
+		for _, rule := range randomRules(rng, rng.Intn(30)) { // those that are refused are left out
+			if _, problems := Compile(append(slices.Clone(rules), rule), facts, match.DefaultBounds()); problems == nil {
+				rules = append(rules, rule)
 			}
 		}
 		set := compile(t, rules...)
--- a/internal/core/rules/set.go
+++ b/internal/core/rules/set.go
@@ -30,8 +30,8 @@
 	return s.rules[i].when.Steps()
 }
 
-// FoundBy describes, for operators, on which queries a rule is tried.
-func (s *Set) FoundBy(i int) string { return s.index.descriptions[i] }
+// IndexedBy describes, for operators, on which queries a rule is tried.
+func (s *Set) IndexedBy(i int) string { return s.index.descriptions[i] }
 
 // Key returns the ordering key that the rules give a query, or the client's if they give none.
 func (s *Set) Key(q *Query, scratch *Scratch) router.OrderingKey {
