--- a/internal/core/spacing/spacing.go
+++ b/internal/core/spacing/spacing.go
@@ -1,11 +1,12 @@
-// Package spacing estimates how long a query may have queued at its own client before it was sent.
-// Clients send the queries of one ordering key some time apart, so a burst of them waits where no
-// controller sees it, while each goes on naming the whole timeout that its client had at first. A
-// controller that answers by that timeout alone answers too late.
+// Package spacing estimates how long a query may have been queued at its client before it was
+// sent. Clients send the queries of one ordering key at a minimum interval, so a burst of them
+// waits where no controller sees it, while each query still states the full timeout that its
+// client started with. A controller that only answers within the stated timeout may answer too
+// late.
 //
-// The queue at a client is of all queries of the key, whichever controllers they go to, so beside
-// what this controller sees of it there is a part that it does not see. The package is free of I/O
-// and clocks. The loop asks it ahead of the decision module; it decides nothing.
+// A client's queue holds all queries of a key, whichever controllers they go to, so each
+// controller sees only a part of it. The package does no I/O and reads no clocks. The event loop
+// asks it before the decision module; it decides nothing itself.
 package spacing
 
 import (
@@ -15,52 +16,54 @@
 	"mintkeel/router"
 )
 
-// The times that clients keep between two queries of one ordering key, by the platform's protocol.
+// Minimum intervals that clients keep between two queries of one ordering key, by the platform's
+// protocol.
 const (
 	queryInterval   = 60 * time.Millisecond
-	newConnInterval = 250 * time.Millisecond // after a query that was the first on its connection
+	newConnInterval = 250 * time.Millisecond // after the first query on a connection
 )
 
-// readDelay is how much later than it was sent a query may be read. Two queries that are read by so
-// much more than the interval apart may still have waited for one another; after a longer gap the
-// later one found no queue at its client.
+// readDelay bounds the time between sending and reading a query. If two queries are read at most
+// this much more than the interval apart, the later one may have waited for the earlier one; after
+// a longer gap, the client's queue was empty.
 const readDelay = 60 * time.Millisecond
 
-// unseenShare is the share of the client timeout that a query may have waited in a queue that this
-// controller does not see, if its key came here within that timeout. A larger share covers longer
-// queues and leaves queries less time.
+// unseenShare is the share of the client timeout that a query is assumed to have waited in the
+// part of a queue that this controller does not see, if its key arrived here within that timeout.
+// A larger share covers longer queues, but leaves queries less time.
 const unseenShare = 0.3
 
 const (
-	minSweep = 64   // keys; with fewer, bursts that are over are not looked for
-	maxKeys  = 4096 // keys that are followed at once
+	minSweep = 64   // number of keys below which finished bursts are not dropped
+	maxKeys  = 4096 // maximum number of keys that are tracked at once
 )
 
-// burst is a run of queries of one key, each of which may have waited for the one before it.
+// burst is a sequence of queries of one key, each of which may have waited for the previous one.
 type burst struct {
-	firstAt   time.Time // when the first of them was read
-	endsAt    time.Time // a query that is read later waited for none of them that this controller saw
-	keptUntil time.Time // a query that is read later waited for none of the key at all
+	firstAt   time.Time // when its first query was read
+	endsAt    time.Time // a query read later did not wait for those that this controller has seen
+	keptUntil time.Time // a query read later did not wait for any query of the key
 }
 
-// ClientQueues are the queues at clients, by ordering key. The zero value is ready for use, by one
-// goroutine.
+// ClientQueues tracks the queues at clients by ordering key. The zero value is ready for use by
+// one goroutine.
 type ClientQueues struct {
 	bursts  map[router.OrderingKey]burst
-	sweepAt int // number of bursts at which those that are over are dropped
+	sweepAt int // number of bursts at which finished ones are dropped
 
-	// incompleteUntil is the time until which there may be keys that came lately and are not in
-	// bursts: they came before the start, or past maxKeys.
+	// incompleteUntil is the time until which recently used keys may be missing from bursts, because
+	// they arrived before the start or while maxKeys were tracked.
 	incompleteUntil time.Time
 }
 
-// Wait records a query of a key that was read at some time, and returns how long it may have waited
-// at its client at most. first says that it was the first on its connection. clientTimeout is how
-// long clients wait for such a query, from when they would like to send it.
+// Wait records a query of a key with the time at which it was read, and returns the maximum time
+// that it may have waited at its client. first reports whether it was the first on its connection.
+// clientTimeout is how long clients wait for such a query, counted from when it is queued.
 //
-// The wait is since the first of its burst, which came when the queue was empty, as queues keep
-// their order; or a share of the timeout, in a queue that this controller does not see, where the
-// key came lately. Memory is bounded by the keys of one timeout, and by maxKeys.
+// The wait is the time since the first query of the burst, which found an empty queue, as queues
+// keep their order. If the key arrived recently, it is at least a share of the timeout, for the
+// part of the queue that this controller does not see. Memory is bounded by the keys that arrive
+// within one timeout, and by maxKeys.
 func (q *ClientQueues) Wait(
 	key router.OrderingKey, readAt time.Time, first bool, clientTimeout time.Duration,
 ) time.Duration {
@@ -87,8 +90,8 @@
 	return max(unseen, readAt.Sub(b.firstAt), 0)
 }
 
-// extend makes a burst last for a query in it. Queries need not come in the order in which they
-// were read, so a burst never gets shorter.
+// extend extends a burst by a query. Queries may arrive in another order than they were read in,
+// so a burst never becomes shorter.
 func (b *burst) extend(readAt time.Time, first bool, clientTimeout time.Duration) {
 	interval := queryInterval
 	if first {
@@ -98,7 +101,7 @@
 	b.keptUntil = latest(b.keptUntil, readAt.Add(max(clientTimeout, interval+readDelay)))
 }
 
-// sweep drops bursts that are over, once there are many.
+// sweep drops finished bursts once there are sweepAt bursts.
 func (q *ClientQueues) sweep(now time.Time) {
 	if len(q.bursts) < q.sweepAt {
 		return
--- a/internal/core/spacing/spacing_test.go
+++ b/internal/core/spacing/spacing_test.go
@@ -9,14 +9,14 @@
 	"mintkeel/router"
 )
 
-// zero is the time at which the tests begin.
+// zero is the start time of the tests.
 var zero = time.Unix(1000, 0)
 
-// ms is a time in ms after zero.
+// ms returns the time x ms after zero.
 func ms(x int) time.Time { return zero.Add(time.Duration(x) * time.Millisecond) }
 
-// What a query may have waited for the queries of its key that this controller saw: nothing after a gap, else
-// since the first of its burst.
+// Without a client timeout, only queries that this controller has seen count. A query may have waited for them
+// since the first of its burst, and not at all after a gap.
 func TestWaitIsSinceTheFirstOfTheBurst(t *testing.T) {
 	type came struct {
 		at    int
@@ -37,20 +37,20 @@
 		var queues ClientQueues
 		for i, c := range list {
 			if got := queues.Wait("k", ms(c.at), c.first, 0); got != time.Duration(c.want)*time.Millisecond {
-				t.Errorf("%s: query %d waited %v at most, want %d ms", name, i, got, c.want)
+				t.Errorf("%s: query %d: estimated wait %v, want %d ms", name, i, got, c.want)
 			}
 		}
 	}
 }
 
-// A client sends queries of one key at random times, each some time after the one before. None has waited for
-// longer at the client than the estimate.
+// A client queues queries of one key at random times and sends them at the protocol's intervals. None may have
+// waited longer at the client than estimated.
 func TestWaitIsUpperBound(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
 		var queues ClientQueues
 		due, free := 0.0, 0.0
-		rate := 20 + 400*rng.Float64() // ms between queries
+		rate := 20 + 400*rng.Float64() // mean ms between queries
 		for range 300 {
 			due += rng.ExpFloat64() * rate
 			sent := max(due, free)
@@ -60,15 +60,15 @@
 			}
 			read := sent + 40*rng.Float64()
 			got := float64(queues.Wait("k", zero.Add(time.Duration(read*1e6)), first, 0)) / 1e6
-			if waited := sent - due; got < waited-41 { // the first of the burst may have been read late itself
-				t.Fatalf("seed %d: it waited %.0f ms, and %.0f at most by the estimate", seed, waited, got)
+			if waited := sent - due; got < waited-41 { // the first query of the burst may itself have been read up to 40 ms late
+				t.Fatalf("seed %d: a query waited %.0f ms, estimated are at most %.0f ms", seed, waited, got)
 			}
 		}
 	}
 }
 
-// Of a queue at a client each controller sees a part. A key that came within the client timeout may stand in
-// one; a key that comes for the first time does not, but for right after the start.
+// Each controller sees only a part of a client's queue. A query whose key arrived within the client timeout may
+// have waited in such a queue; one whose key is new has not, except right after the start.
 func TestKeyOfTheLastTimeoutMayBeInAnUnseenQueue(t *testing.T) {
 	const clientTimeout = 8 * time.Second
 	share := time.Duration(unseenShare * float64(clientTimeout))
@@ -88,29 +88,29 @@
 		{"one that follows at the interval", "c", 26160, share},
 	} {
 		if got := queues.Wait(c.key, ms(c.at), false, clientTimeout); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: estimated wait %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Many keys come, once each. Those that are over are dropped, and past the bound keys are not kept; then a
-// key that may have come counts as one that did.
+// Many keys arrive once each. Finished bursts must be dropped, and at most maxKeys kept; beyond that, a key that
+// may have arrived counts as one that did.
 func TestMemoryIsBounded(t *testing.T) {
 	var queues ClientQueues
 	for i := range 100000 {
 		queues.Wait(router.OrderingKey(fmt.Sprint("key ", i)), ms(i), true, 0)
 	}
 	if n := len(queues.bursts); n > 1000 {
-		t.Errorf("%d keys are kept of which none came within the last second but 310", n)
+		t.Errorf("%d keys are kept, want 1000 or fewer: only 310 arrived within the time that counts", n)
 	}
 	queues = ClientQueues{}
 	for i := range 100000 {
 		queues.Wait(router.OrderingKey(fmt.Sprint("key ", i)), ms(i/1000), true, time.Minute)
 	}
 	if n := len(queues.bursts); n > maxKeys {
-		t.Errorf("%d keys are kept", n)
+		t.Errorf("%d keys are kept, want at most maxKeys", n)
 	}
 	if got := queues.Wait("one that may not have been kept", ms(100), false, time.Minute); got == 0 {
-		t.Error("a query of a key that may have come before counts as not having waited")
+		t.Error("a query of a key that may have arrived before is estimated not to have waited")
 	}
 }
