--- a/internal/core/rules/apply.go
+++ b/internal/core/rules/apply.go
@@ -7,22 +7,22 @@
 	"mintkeel/router"
 )
 
-// Verdict is what the rules come to for a query.
+// Verdict is the combined effect of the rules on a query.
 type Verdict struct {
-	Rejection   string // not empty: the query is rejected with this text, and the rest does not count
+	Rejection   string // not empty: the query is rejected with this text, the rest is unused
 	Class       router.ClassID
 	OrderingKey router.OrderingKey
 	Hot         bool
 	Kinds       []router.KindID // nil: not narrowed
 	Zones       []router.Zone   // nil: not narrowed
 	EstimateCap float64         // ms; 0: none
-	Labels      []match.Label   // good until the scratch is used again
+	Labels      []match.Label   // valid until the scratch is used again
 }
 
-// Scratch is what one goroutine needs to apply rules without allocating. The zero value is ready
-// for use.
+// Scratch holds the buffers with which one goroutine applies rules without allocating. The zero
+// value is ready for use.
 type Scratch struct {
-	// Trace is called for each rule that is tried; nil: there is no trace.
+	// Trace is called for each rule that is tried; nil: no trace.
 	Trace func(rule int, matched bool)
 
 	match      match.Scratch
@@ -33,7 +33,8 @@
 	search     uint32   // number of the current search, from 1
 }
 
-// row is the query as expressions see it, with what rules have changed so far.
+// row returns the row on which expressions are evaluated: the query with the changes of the rules
+// applied so far.
 func (s *Scratch) row() match.Row { return match.Row{Values: s.values[:], Labels: s.labels} }
 
 // setLabel sets a label. A new one past maxLabels is dropped.
@@ -49,15 +50,16 @@
 	}
 }
 
-// TriedRule is a rule that was tried on a query, and why it matched or did not.
+// TriedRule is a rule that was tried on a query, with the steps by which its condition was
+// evaluated.
 type TriedRule struct {
 	Rule    int
 	Name    string
 	Matched bool
-	Steps   []match.Step // of its condition; none: it has none
+	Steps   []match.Step // empty: it has no condition
 }
 
-// Explain applies the rules as Apply does, and returns each that was tried.
+// Explain applies the rules as Apply does, and also returns each rule that was tried.
 func (s *Set) Explain(q *Query) (v Verdict, tried []TriedRule) {
 	var scratch Scratch
 	scratch.Trace = func(i int, matched bool) {
@@ -70,7 +72,7 @@
 	return s.Apply(q, &scratch), tried
 }
 
-// Apply returns what the rules do to a query. It never fails.
+// Apply applies the rules to a query in their order. It never fails.
 func (s *Set) Apply(q *Query, scratch *Scratch) Verdict {
 	v := Verdict{Class: q.Class, OrderingKey: q.OrderingKey}
 	s.fill(q, scratch)
@@ -96,7 +98,7 @@
 	return v
 }
 
-// applyEffects has a rule change the verdict, and what later rules see.
+// applyEffects applies the effects of a rule to the verdict, and to the row that later rules see.
 func (s *Set) applyEffects(r *compiledRule, v *Verdict, scratch *Scratch) {
 	v.Hot = v.Hot || r.Hot
 	if r.key != nil {
@@ -120,13 +122,13 @@
 	}
 }
 
-// copyKey copies a text, which is in the scratch, as a key of bounded length.
+// copyKey copies a text out of the scratch as an ordering key, truncated to maxKeyBytes.
 func copyKey(s string) router.OrderingKey {
 	return router.OrderingKey(strings.Clone(s[:min(len(s), maxKeyBytes)]))
 }
 
-// narrow is what is left of a list that is narrowed to another; nil stands for all. It is never
-// nil.
+// narrow returns the members of have that are also in to; a nil have stands for all. The result is
+// never nil.
 func narrow[T comparable](have, to []T) []T {
 	if have == nil {
 		return to
--- a/internal/core/rules/compile.go
+++ b/internal/core/rules/compile.go
@@ -12,8 +12,8 @@
 	"mintkeel/router"
 )
 
-// Fields of a rule as the operator's file names them, for problems. fieldNameRule is of the rule as
-// a whole.
+// Names of a rule's fields in the operator's file, for problems. fieldNameRule stands for the rule
+// as a whole.
 const (
 	fieldNameRule        = "rule"
 	fieldNameName        = "name"
@@ -27,8 +27,8 @@
 	fieldNameRejection   = "refuse"
 )
 
-// compiler gathers the problems of a set of rules, and what is known ahead of the rule that is
-// being compiled.
+// compiler collects the problems of a set of rules, and what is known about queries before the
+// rule that is being compiled.
 type compiler struct {
 	facts     Facts
 	bounds    match.Bounds // of each expression
@@ -38,7 +38,7 @@
 	reachable *reachable
 }
 
-// Compile compiles rules, or returns all that is wrong with them.
+// Compile compiles rules, or returns all problems that it finds in them.
 func Compile(rules []Rule, facts Facts, b match.Bounds) (*Set, []Problem) {
 	c := &compiler{
 		facts:     facts,
@@ -50,9 +50,9 @@
 		c.addProblem(fieldNameRule, "there are over %d rules", maxRules)
 		return nil, c.problems
 	}
-	for _, name := range facts.ClassNames { // a longer name is cut, and could pass for another
+	for _, name := range facts.ClassNames { // a longer name is truncated, and could equal another
 		if len(name) > Schema.Fields[fieldClass].MaxBytes {
-			c.addProblem(fieldNameRule, "profile %.80q has too long a name for rules", name)
+			c.addProblem(fieldNameRule, "the name of profile %.80q is too long for rules", name)
 		}
 	}
 	set := &Set{facts: facts}
@@ -73,7 +73,7 @@
 		c.rule = costliest
 		c.addProblem(fieldNameWhen,
 			"rules tried on one command may take %d steps together, of %d allowed; "+
-				"this one is among the dearest. Rules that require a field to equal or "+
+				"this one is among the most expensive. Rules that require a field to equal or "+
 				"begin with a text are tried only where it does",
 			set.maxSteps, maxSteps)
 		return nil, c.problems
@@ -86,17 +86,17 @@
 	c.problems = append(c.problems, Problem{Rule: c.rule, Field: field, Reason: reason})
 }
 
-// checkName checks a rule's name; seen has those of the rules before, with their numbers.
+// checkName checks a rule's name; seen holds the names of the earlier rules with their numbers.
 func (c *compiler) checkName(name string, seen map[string]int) {
 	if first, twice := seen[name]; twice {
 		c.addProblem(fieldNameName, "%q is the name of rule %d too", name, first)
 	}
 	if name == "" || len(name) > maxNameBytes {
-		c.addProblem(fieldNameName, "has not 1 to %d bytes", maxNameBytes)
+		c.addProblem(fieldNameName, "must have 1 to %d bytes", maxNameBytes)
 	}
 }
 
-// compile compiles a rule, and records what it may change for those after it.
+// compile compiles a rule, and records what it may change for later rules.
 func (c *compiler) compile(rule Rule) compiledRule {
 	r := compiledRule{Rule: rule, class: unchanged}
 	if rule.When != "" {
@@ -104,14 +104,14 @@
 	}
 	states := c.reachable.matching(r.when)
 	if len(states) == 0 {
-		c.addProblem(fieldNameWhen, "no command can have this profile here")
+		c.addProblem(fieldNameWhen, "no query can have this profile here")
 	}
 	isControl := func(x rune) bool { return x < ' ' }
 	if len(rule.Rejection) > maxTextBytes || strings.ContainsFunc(rule.Rejection, isControl) {
-		c.addProblem(fieldNameRejection, "is no line of %d bytes at the most", maxTextBytes)
+		c.addProblem(fieldNameRejection, "is not a single line of at most %d bytes", maxTextBytes)
 	}
 	if rule.EstimateCap < 0 || math.IsNaN(rule.EstimateCap) {
-		c.addProblem(fieldNameEstimateCap, "is below zero")
+		c.addProblem(fieldNameEstimateCap, "is negative or not a number")
 	}
 	c.compileLabels(&r)
 	c.compileKey(&r, states)
@@ -119,13 +119,13 @@
 	c.compileZones(&r, states)
 	c.compileClass(&r, states)
 	if !c.reachable.apply(&r, states) {
-		c.addProblem(fieldNameRule, "rules before it narrow in more than %d ways", maxStates)
+		c.addProblem(fieldNameRule, "the rules before it narrow queries in more than %d ways", maxStates)
 	}
 	c.stability.record(&r)
 	return r
 }
 
-// expression compiles an expression; nil: it has a problem.
+// expression compiles an expression. If that fails it records the problem and returns nil.
 func (c *compiler) expression(field, source string, t match.Type) *match.Expr {
 	e, err := match.Compile(source, t, &Schema, c.bounds)
 	if err != nil {
@@ -140,15 +140,15 @@
 	return e
 }
 
-// compileLabels compiles the expressions of a rule's labels, ordered by label.
+// compileLabels compiles the expressions of a rule's labels, sorted by label.
 func (c *compiler) compileLabels(r *compiledRule) {
 	if len(r.Labels) > maxLabels {
 		c.addProblem(fieldNameLabels, "there are over %d", maxLabels)
 	}
-	// Sorted, so that problems always come in the same order.
+	// Sorted, so that problems are always reported in the same order.
 	for _, name := range slices.Sorted(maps.Keys(r.Labels)) {
 		if name == "" || len(name) > maxNameBytes {
-			c.addProblem(fieldNameLabels, "a name has not 1 to %d bytes", maxNameBytes)
+			c.addProblem(fieldNameLabels, "a label's name must have 1 to %d bytes", maxNameBytes)
 		}
 		if e := c.expression(fieldNameLabels+"."+name, r.Labels[name], match.Text); e != nil {
 			r.labels = append(r.labels, labelExpr{name, e})
@@ -156,7 +156,8 @@
 	}
 }
 
-// compileKey checks that an ordering key is the same for all retries of a query, and never empty.
+// compileKey compiles an ordering key. It checks that the key is the same for all retries of a
+// query and never empty, and that a query which keeps order can get it.
 func (c *compiler) compileKey(r *compiledRule, states []state) {
 	if r.Key == "" {
 		return
@@ -166,16 +167,16 @@
 		return
 	}
 	if part := c.stability.unstablePart(r.key); part != "" {
-		c.addProblem(fieldNameKey, "reads %s, which a client's retry need not repeat", part)
+		c.addProblem(fieldNameKey, "reads %s, which may differ in a client's retry", part)
 	} else if part := c.stability.unstablePart(r.when); part != "" {
-		c.addProblem(fieldNameKey, "depends on %s, which a client's retry need not repeat", part)
+		c.addProblem(fieldNameKey, "depends on %s, which may differ in a client's retry", part)
 	} else if c.stability.unstableFlow {
 		c.addProblem(fieldNameKey,
-			"an earlier rule is the last by something that a client's retry need not repeat")
+			"an earlier rule ends the rules by something that may differ in a client's retry")
 	}
 	if !r.key.NeverEmpty(classField) {
 		c.addProblem(fieldNameKey,
-			"may be empty: put a text beside what may be missing, as in \"store/\" + label(\"store\")")
+			"may be empty: add a literal text to what may be missing, as in \"store/\" + label(\"store\")")
 	}
 	isOrdered := func(s state) bool { return c.facts.Classes[s.class].Ordered }
 	if !slices.ContainsFunc(states, isOrdered) {
@@ -183,7 +184,8 @@
 	}
 }
 
-// compileKinds checks that machine kinds leave something of what each class may use.
+// compileKinds checks that the machine kinds exist, and that each query class keeps one of those
+// that it may use.
 func (c *compiler) compileKinds(r *compiledRule, states []state) {
 	if r.Kinds == nil {
 		return
@@ -192,7 +194,7 @@
 	for _, name := range r.Kinds {
 		kind, known := c.facts.Kinds[name]
 		if !known {
-			c.addProblem(fieldNameKinds, "%q is no kind of engine", name)
+			c.addProblem(fieldNameKinds, "%q is not a machine kind", name)
 			continue
 		}
 		r.kinds = append(r.kinds, kind)
@@ -206,7 +208,8 @@
 	}
 }
 
-// compileZones checks that zones leave something of what each class may use.
+// compileZones checks that the zones exist, and that each query class keeps one of those that it
+// may use.
 func (c *compiler) compileZones(r *compiledRule, states []state) {
 	if r.Zones == nil {
 		return
@@ -214,7 +217,7 @@
 	r.zones = []router.Zone{}
 	for _, name := range r.Zones {
 		if !slices.Contains(c.facts.Zones, name) {
-			c.addProblem(fieldNameZones, "%q is no zone", name)
+			c.addProblem(fieldNameZones, "%q is not a zone", name)
 		}
 		r.zones = append(r.zones, router.Zone(name))
 	}
@@ -226,7 +229,7 @@
 	}
 }
 
-// kindNames lists the names of machine kinds; nil stands for all.
+// kindNames returns the names of machine kinds, sorted; nil stands for all kinds.
 func (c *compiler) kindNames(kinds []router.KindID) string {
 	var names []string
 	for name, kind := range c.facts.Kinds {
@@ -238,21 +241,21 @@
 	return strings.Join(names, ", ")
 }
 
-// compileClass checks that a query may count as one of another class, which must allow nothing
-// more.
+// compileClass checks that queries may change to another class, which must not allow more than
+// their own.
 func (c *compiler) compileClass(r *compiledRule, states []state) {
 	if r.Class == "" {
 		return
 	}
 	id := slices.Index(c.facts.ClassNames, r.Class)
 	if id < 0 {
-		c.addProblem(fieldNameClass, "%q is no profile", r.Class)
+		c.addProblem(fieldNameClass, "%q is not a profile", r.Class)
 		return
 	}
 	r.class = router.ClassID(id)
 	for _, s := range states {
 		if why := whyWider(c.facts.Classes[s.original], s, c.facts.Classes[id]); why != "" {
-			c.addProblem(fieldNameClass, "a command of profile %s can't be taken for %s: %s",
+			c.addProblem(fieldNameClass, "a query of profile %s can't count as %s: %s",
 				c.facts.ClassNames[s.original], r.Class, why)
 			return
 		}
--- a/internal/core/rules/doc.go
+++ b/internal/core/rules/doc.go
@@ -1,16 +1,17 @@
-// Package rules applies an operator's rules to a query before the controller's loop takes it: named
-// rules, in order, each with a condition and effects. It is free of I/O and clocks.
+// Package rules applies an operator's rules to a query before it enters the controller's event
+// loop: named rules, in order, each with a condition and effects. It does no I/O and reads no
+// clocks.
 //
 // # Contract
 //
-// Compile turns rules into a Set, or returns all that is wrong with them. A rule may only narrow
-// what the settings allow, and that is shown by Compile, for every query that there can be and
-// whatever rules come before (reachable.go). Ordering keys must be the same for all retries of a
-// query (retrystable.go). What all rules tried on one query may cost together is bounded
-// (index.go).
+// Compile turns rules into a Set, or returns all problems that it finds. A rule may only narrow
+// what the settings allow; Compile proves this for every possible query and every combination of
+// matching earlier rules (reachable.go). Ordering keys must be the same for all retries of a query
+// (retrystable.go). The total cost of the rules tried on one query is bounded (index.go).
 //
-// A Set never changes, and several goroutines may apply it at once, each with a Scratch of its own.
-// Apply never fails: Compile reports whatever could.
+// A Set is immutable. Several goroutines may apply it concurrently, each with its own Scratch.
+// Apply never fails: everything that could fail is reported by Compile.
 //
-// Epochs give the ordering keys while the rules change. They belong to the goroutine of the loop.
+// Epochs determines the ordering keys of queries while the rules change. It is used by the
+// goroutine of the event loop only.
 package rules
--- a/internal/core/rules/epochs.go
+++ b/internal/core/rules/epochs.go
@@ -3,39 +3,40 @@
 import "mintkeel/router"
 
 const (
-	// maxEpochs bounds the sets that are followed at once. Queries end at their client timeouts, so no
-	// set is followed for more than seconds; rules that change faster than that have to wait.
+	// maxEpochs bounds the number of sets that are followed at once. Queries end at their client
+	// timeouts, so a set is followed for a few seconds only; rules that change faster are rejected
+	// for the time being.
 	maxEpochs = 4
-	// maxRekeySteps bounds the steps that giving new ordering keys to all queries in flight may take:
-	// some 20 ms of the loop.
+	// maxRekeySteps bounds the steps for giving all queries in flight their new ordering keys: some
+	// 20 ms of the event loop.
 	maxRekeySteps = 5000000
 )
 
 // Epoch numbers a set of rules, from 0.
 type Epoch int
 
-// Epochs are the sets of rules under which queries are in flight, or were so lately that an attempt
-// which was given up may still run. While rules change, a query that arrives stands in the queue of
-// its ordering key under the new set and under each older one that is followed, and those in flight
-// also get their key under the new one. So of two queries that share a key under any of these sets,
-// the later one waits. One goroutine uses them; times are the module's, in ms.
+// Epochs follows the sets of rules under which queries are in flight, or were until so recently
+// that an abandoned attempt may still run. While rules change, an arriving query is queued under
+// its ordering key by the new set and by each older one that is followed, and queries in flight
+// also get their key by the new set. So of two queries that share a key under any of these sets,
+// the later one waits. One goroutine uses it; times are those of the decision module, in ms.
 type Epochs struct {
 	OrderingCooldown float64 // ms, of an ordering key after an attempt that may still run
-	sets             []epoch // the last is in force
-	first            int     // number of sets[0]
+	sets             []epoch // oldest first; the last is in force
+	first            int     // epoch number of sets[0]
 	scratch          Scratch
 }
 
-// epoch is a set that is followed, with its queries.
+// epoch is a set that is followed, with the state of its queries.
 type epoch struct {
 	set       *Set    // nil: no rules
-	inFlight  int     // queries in flight that arrived under it
-	runsUntil float64 // ms: by then no attempt of theirs that was given up still runs
+	inFlight  int     // number of queries in flight that arrived under it
+	runsUntil float64 // ms: from then on no abandoned attempt of its queries runs
 }
 
-// PutInForce puts a set in force while a number of queries are in flight. inForce is false if too
-// many older sets are followed, or too many queries would have to get new keys; the set before then
-// stays in force. addKeys says that the queries in flight must get their keys under the new set.
+// PutInForce puts a set in force while a number of queries are in flight. inForce is false, and
+// the previous set stays in force, if too many older sets are followed or too many queries would
+// need new keys. addKeys says that the queries in flight must get their keys under the new set.
 func (e *Epochs) PutInForce(now float64, set *Set, inFlight int) (inForce, addKeys bool) {
 	e.dropFinished(now)
 	if len(e.sets) == 0 {
@@ -46,7 +47,7 @@
 	switch {
 	case current.set.Same(set):
 		return true, false
-	case !current.set.GivesKeys() && !set.GivesKeys(): // all keys stay their clients'
+	case !current.set.GivesKeys() && !set.GivesKeys(): // all keys remain those of the clients
 		current.set = set
 		return true, false
 	case len(e.sets) >= maxEpochs:
@@ -59,7 +60,7 @@
 	return true, true
 }
 
-// dropFinished drops the oldest sets once nothing of them is in flight or may still run.
+// dropFinished drops the oldest sets once none of their queries is in flight or may still run.
 func (e *Epochs) dropFinished(now float64) {
 	for len(e.sets) > 1 && e.sets[0].inFlight == 0 && now >= e.sets[0].runsUntil {
 		e.sets = e.sets[1:]
@@ -67,8 +68,8 @@
 	}
 }
 
-// QueryArrived counts an arriving query under the set in force. It returns the number of that set,
-// the query's key under it, and its further keys under older sets.
+// QueryArrived counts an arriving query under the set in force. It returns the epoch number of
+// that set, the query's key under it, and the different keys that it has under older sets.
 func (e *Epochs) QueryArrived(now float64, q *Query) (
 	number Epoch, key router.OrderingKey, moreKeys []router.OrderingKey,
 ) {
@@ -87,7 +88,7 @@
 	return Epoch(e.first + last), key, moreKeys
 }
 
-// Key is a query's ordering key under the set in force.
+// Key returns a query's ordering key under the set in force.
 func (e *Epochs) Key(q *Query) router.OrderingKey {
 	if len(e.sets) == 0 {
 		return q.OrderingKey
@@ -95,8 +96,8 @@
 	return e.sets[len(e.sets)-1].set.Key(q, &e.scratch)
 }
 
-// QueryEnded takes a query off the count of its set, once it has its final answer and no attempt
-// without an outcome. An attempt that was given up may run on for the cooldown of its key.
+// QueryEnded removes a query from the count of its set, once it has its final answer and all its
+// attempts have an outcome. An abandoned attempt may keep running for the cooldown of its key.
 func (e *Epochs) QueryEnded(now float64, number Epoch) {
 	i := int(number) - e.first
 	if i < 0 || i >= len(e.sets) {
@@ -107,5 +108,5 @@
 	e.dropFinished(now)
 }
 
-// Count is how many sets are followed.
+// Count returns the number of sets that are followed.
 func (e *Epochs) Count() int { return len(e.sets) }
--- a/internal/core/rules/index.go
+++ b/internal/core/rules/index.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// maxIndexedValues is the longest list of values that is indexed; a rule with a longer one is
-	// always tried.
+	// maxIndexedValues is the maximum length of a list of values that is indexed. A rule that requires
+	// nothing but longer lists is always tried.
 	maxIndexedValues = 64
-	// prefixWeight, over the length of a prefix, is added to the weight of the longest list: so
-	// prefixes come after lists, and short prefixes after longer ones.
+	// prefixWeight, divided by the length of a prefix, is added to the weight of the longest list, so
+	// that prefixes rank after lists, and short prefixes after longer ones.
 	prefixWeight = 100
-	// classWeight is added for the class, as it has few values and each lets many queries through.
+	// classWeight is added for the class, as it has few values, each of which many queries have.
 	classWeight = 8
 )
 
-// index finds the rules worth trying on a query: those that require a value of a field which the
-// query has, and those that require none. It looks only at fields that no rule changes. Rules are
-// numbered in their order.
+// index finds the rules that must be tried on a query: those whose indexed requirement the query
+// meets, and those without one. Only fields that no rule changes are indexed. Rules are numbered
+// in their order.
 type index struct {
 	always       []int32
 	equal        [fieldCount]map[string][]int32 // by texts
 	numbers      [fieldCount]map[uint64][]int32 // by numberKey
 	prefixes     [fieldCount]*trie
-	descriptions []string // by rule: see Set.IndexedBy
+	descriptions []string // by rule, for Set.IndexedBy
 }
 
-// newIndex puts each rule under the requirement that probably lets through the fewest queries: an
-// equality before a list, a list before a prefix.
+// newIndex indexes each rule by the requirement that probably the fewest queries meet: an equality
+// rather than a list, a list rather than a prefix.
 func newIndex(rules []compiledRule) (x index) {
 	classChanges := slices.ContainsFunc(rules, func(r compiledRule) bool {
 		return r.class != unchanged
@@ -44,8 +44,8 @@
 	return x
 }
 
-// bestRequirement is the requirement of a condition that newIndex takes; the zero value: there is
-// none.
+// bestRequirement returns the requirement of a condition by which newIndex indexes its rule, or
+// the zero value if there is none.
 func bestRequirement(when *match.Expr, classChanges bool) match.Requirement {
 	var best match.Requirement
 	if when == nil {
@@ -71,7 +71,7 @@
 	return best
 }
 
-// describe says what a rule is found by.
+// describe describes a requirement for operators.
 func describe(q match.Requirement) string {
 	switch {
 	case q.Field == "":
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("%s, one of %d", q.Field, len(q.Equal))
 }
 
-// add puts a rule under a requirement.
+// add indexes a rule by a requirement.
 func (x *index) add(rule int32, q match.Requirement) {
 	field := slices.IndexFunc(Schema.Fields, func(f match.Field) bool { return f.Name == q.Field })
 	if field < 0 {
@@ -112,10 +112,11 @@
 	(*lists)[key] = append((*lists)[key], rule)
 }
 
-// numberKey is a number as a key; both zeros are one.
+// numberKey returns the map key of a number. Both zeros have the same key.
 func numberKey(x float64) uint64 { return math.Float64bits(x + 0) }
 
-// finite is a number as the language compares it.
+// finite returns a number as package match compares it: NaN becomes 0, and an infinity the largest
+// finite number.
 func finite(x float64) float64 {
 	if x != x {
 		return 0
@@ -123,7 +124,7 @@
 	return max(-math.MaxFloat64, min(math.MaxFloat64, x))
 }
 
-// candidates are the rules to be tried, in order, each once.
+// candidates returns the rules to be tried on the query in the scratch, in order, each once.
 func (x *index) candidates(ruleCount int, scratch *Scratch) []int32 {
 	scratch.beginSearch(ruleCount)
 	scratch.candidates = append(scratch.candidates[:0], x.always...)
@@ -148,14 +149,14 @@
 	return scratch.candidates
 }
 
-// beginSearch has addCandidates add each rule once.
+// beginSearch starts a search, within which addCandidates adds each rule only once.
 func (s *Scratch) beginSearch(ruleCount int) {
 	if len(s.seenIn) < ruleCount {
 		s.seenIn = make([]uint32, ruleCount)
 		s.search = 0
 	}
 	s.search++
-	if s.search == 0 { // it has wrapped around
+	if s.search == 0 { // the counter has wrapped around
 		clear(s.seenIn)
 		s.search = 1
 	}
@@ -170,8 +171,8 @@
 	}
 }
 
-// maxSteps is what the rules tried on one query may cost together at most, and the number of a rule
-// that costs most alone.
+// maxSteps returns the maximum total cost of the rules tried on one query, and the number of the
+// most expensive rule.
 func (x *index) maxSteps(rules []compiledRule) (steps, costliest int) {
 	most := 0
 	sum := func(list []int32) (n int) {
@@ -199,7 +200,7 @@
 	return steps, costliest
 }
 
-// trie finds the prefixes of a text, byte by byte.
+// trie finds the rules whose prefixes a text starts with, byte by byte.
 type trie struct {
 	rules []int32
 	next  map[byte]*trie
@@ -218,7 +219,7 @@
 	t.rules = append(t.rules, rule)
 }
 
-// maxSteps is the most that the rules on one path from here down cost.
+// maxSteps returns the maximum cost of the rules on one path down from this node.
 func (t *trie) maxSteps(sum func([]int32) int) int {
 	if t == nil {
 		return 0
--- a/internal/core/rules/query.go
+++ b/internal/core/rules/query.go
@@ -5,19 +5,19 @@
 	"mintkeel/router"
 )
 
-// Query is a query as rules see it.
+// Query holds the properties of a query that rules may read.
 type Query struct {
 	Class             router.ClassID
 	Tenant            string
-	Schema, Table     string // of the table that it names
+	Schema, Table     string // of the table that the query names
 	Tables            router.TableGroup
-	OrderingKey       router.OrderingKey // as the client gave it
+	OrderingKey       router.OrderingKey // as given by the client
 	EstimatedWork     float64            // ms; 0: no estimate
 	EstimatedMemoryMB float64            // 0: no estimate
 	TimeLeft          float64            // ms until the client gives up
-	Protocol          string             // by which it came
+	Protocol          string             // client protocol
 	Application       string             // the client's name for itself
-	Listener          string             // the address of the controller that it came to
+	Listener          string             // the controller's address that the client connected to
 	Labels            []match.Label
 }
 
@@ -38,11 +38,11 @@
 	fieldCount
 )
 
-// classField is the name of the field that rules may change.
+// classField is the name of the field for the query class, the only one that rules may change.
 const classField = "profile"
 
-// Schema is the fields that rules may read. Their names are those of the operator's file, mapped
-// here alone.
+// Schema lists the fields that rules may read. This is the only place that maps their names in the
+// operator's file.
 var Schema = match.Schema{
 	Fields: []match.Field{
 		fieldClass:           {Name: classField, Type: match.Text, MaxBytes: maxFieldBytes},
@@ -62,10 +62,10 @@
 	MaxLabelBytes: maxTextBytes,
 }
 
-// changingFields are the fields that may differ between a query and its client's retry of it.
+// changingFields lists the fields that may differ between a query and its client's retry.
 var changingFields = []string{"estimate", "memory_mb", "left", "front", "application", "listener"}
 
-// fill sets a scratch's values to a query's fields.
+// fill sets the values and labels of a scratch from a query.
 func (s *Set) fill(q *Query, scratch *Scratch) {
 	text := func(i int, x string) { scratch.values[i] = match.Value{Text: x, Present: x != ""} }
 	number := func(i int, x float64) { scratch.values[i] = match.Value{Number: x, Present: x != 0} }
--- a/internal/core/rules/reachable.go
+++ b/internal/core/rules/reachable.go
@@ -9,20 +9,20 @@
 	"mintkeel/router"
 )
 
-// maxStates bounds the states that are followed. Past it Compile could not show what rules allow,
-// so it reports a problem.
+// maxStates bounds the states that are followed. Beyond it Compile reports a problem, as it can no
+// longer prove what the rules allow.
 const maxStates = 1000
 
-// state is what a query may have become ahead of a rule.
+// state is a combination of properties that a query may have before a rule.
 type state struct {
-	original router.ClassID  // of its client
-	class    router.ClassID  // that it counts as
-	kinds    []router.KindID // that are left at least; nil: all
-	zones    []router.Zone   // that are left at least; nil: all
+	original router.ClassID  // given by the client
+	class    router.ClassID  // after earlier rules
+	kinds    []router.KindID // that remain at least; nil: all
+	zones    []router.Zone   // that remain at least; nil: all
 }
 
-// reachable is the set of states that queries may be in ahead of a rule, whichever of the rules
-// before it matched.
+// reachable is the set of states in which queries may be before a rule, for all combinations of
+// matching earlier rules.
 type reachable struct {
 	facts  Facts
 	states []state
@@ -38,7 +38,7 @@
 	return r
 }
 
-// add adds a state, unless it is there already.
+// add adds a state unless it is already present.
 func (r *reachable) add(s state) {
 	key := fmt.Sprintf("%#v", s)
 	if !r.known[key] {
@@ -47,8 +47,8 @@
 	}
 }
 
-// matching returns the states in which a condition may hold, as far as it requires something of the
-// class.
+// matching returns the states in which a condition may hold. Only its requirements on the class
+// exclude states.
 func (r *reachable) matching(when *match.Expr) []state {
 	states := slices.Clone(r.states)
 	if when == nil {
@@ -65,7 +65,7 @@
 	return states
 }
 
-// allows reports whether a requirement lets a text through.
+// allows reports whether a text meets a requirement.
 func allows(q match.Requirement, text string) bool {
 	if q.Equal == nil {
 		return strings.HasPrefix(text, q.Prefix)
@@ -73,8 +73,8 @@
 	return slices.ContainsFunc(q.Equal, func(v match.Value) bool { return v.Text == text })
 }
 
-// apply adds the states that a rule leads to from others, and reports whether they are few enough
-// to be followed. The states that it leads from stay, as its condition may not hold.
+// apply adds the states into which a rule may bring queries from the given ones, and reports
+// whether there are still at most maxStates. The given states stay, as the condition may not hold.
 func (r *reachable) apply(by *compiledRule, from []state) bool {
 	if by.kinds == nil && by.zones == nil && by.class == unchanged {
 		return true
@@ -93,24 +93,24 @@
 	return len(r.states) <= maxStates
 }
 
-// whyWider says in what the class to allows more than the class from does, or promises less; empty:
-// in nothing. s is the state of a query of the class from.
+// whyWider returns why a query of the class from, in the state s, may not change to the class to,
+// which allows more or guarantees less. It is empty if the change is allowed.
 func whyWider(from router.QueryClass, s state, to router.QueryClass) string {
 	deduplicated := to.Effect == router.Deduplicated
 	switch {
 	case to.Effect < from.Effect || deduplicated && from.Effect != router.Deduplicated:
 		return "it could run twice"
 	case deduplicated && (to.Scope != from.Scope || to.DeduplicationWindow > from.DeduplicationWindow):
-		return "its repeats are dropped by other engines, or for longer"
+		return "its duplicates are dropped by other engines, or for longer"
 	case from.Ordered && !to.Ordered:
-		return "it keeps no order"
+		return "it would not keep its order"
 	case from.Kinds != nil && !isSubset(to.Kinds, from.Kinds):
-		return "it may go to other kinds of engine"
+		return "it may go to other machine kinds"
 	case from.Zones != nil && !isSubset(to.Zones, from.Zones):
 		return "it may go to other zones"
 	case s.kinds != nil && len(intersect(s.kinds, to.Kinds)) == 0,
 		s.zones != nil && len(intersect(s.zones, to.Zones)) == 0:
-		return "nothing is left of where it may go"
+		return "no machine kind or zone is left to it"
 	}
 	return ""
 }
--- a/internal/core/rules/retrystable.go
+++ b/internal/core/rules/retrystable.go
@@ -6,17 +6,17 @@
 	"mintkeel/match"
 )
 
-// retryStability follows what may differ between a query and its client's retry of it, ahead of a
-// rule: labels, the class, and whether the rule is tried at all. An ordering key must rest on none
-// of it, or a retry would stand in another queue than the query that may still run.
+// retryStability tracks what may differ between a query and its client's retry before a rule:
+// labels, the class, and whether the rule is tried at all. An ordering key must depend on none of
+// it; otherwise a retry could be queued under another key than the query, which may still run.
 type retryStability struct {
 	unstableLabels map[string]bool
 	unstableClass  bool
-	unstableFlow   bool // an earlier rule may end the rules for the query and not for its retry
+	unstableFlow   bool // an earlier rule may end the rules for a query but not for its retry
 }
 
-// unstablePart names what of an expression may differ between a query and its retry; empty: nothing
-// does.
+// unstablePart returns the name of a field or label that an expression reads and that may differ
+// between a query and its retry. It is empty if there is none.
 func (s *retryStability) unstablePart(e *match.Expr) string {
 	if e == nil {
 		return ""
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// record adds what a rule may change for a query and not for its retry.
+// record adds what a rule may change differently for a query and its retry.
 func (s *retryStability) record(r *compiledRule) {
 	unstable := s.unstableFlow || s.unstablePart(r.when) != ""
 	for _, l := range r.labels {
--- a/internal/core/rules/rule.go
+++ b/internal/core/rules/rule.go
@@ -11,34 +11,34 @@
 const (
 	maxRules      = 10000
 	maxNameBytes  = 64
-	maxTextBytes  = 200 // of a rejection and of a label's value
+	maxTextBytes  = 200 // of a rejection's text and of a label's value
 	maxLabels     = 16
 	maxKeyBytes   = 128   // of an ordering key
-	maxSteps      = 10000 // that all rules tried on one query may take together: some 50 microseconds
+	maxSteps      = 10000 // total of all rules tried on one query: some 50 microseconds
 	maxFieldBytes = 64    // of most fields
 )
 
-// Rule is one rule as it was written. A field with its zero value has no effect.
+// Rule is one rule as written in the operator's file. A field with its zero value has no effect.
 type Rule struct {
 	Name        string
 	When        string            // the condition; empty: always
-	Hot         bool              // the query's table group is served by more engines from the start
-	Key         string            // an expression of text: the ordering key
+	Hot         bool              // the query's table group gets more engines from the start
+	Key         string            // text expression for the ordering key
 	Kinds       []string          // machine kinds to which the query is narrowed
 	Zones       []string          // zones to which it is narrowed
-	Class       string            // the query class that it counts as from here on
-	Labels      map[string]string // expressions of text by label, which later rules see
-	EstimateCap float64           // ms: a larger estimate counts as this; 0: no cap
+	Class       string            // the query class that replaces the query's from here on
+	Labels      map[string]string // text expressions by label; later rules see the labels
+	EstimateCap float64           // ms: caps the estimate; 0: no cap
 	Rejection   string            // the query is rejected with this text; empty: it is not
 	Last        bool              // no later rule is tried
 }
 
-// Problem is what is wrong with a rule.
+// Problem is one problem of a rule.
 type Problem struct {
-	Rule   int    // its number, from 0
-	Field  string // as the operator's file names it
+	Rule   int    // number of the rule, from 0
+	Field  string // as named in the operator's file
 	Reason string
-	Place  *match.Error // where in the expression of the field; nil: not within an expression
+	Place  *match.Error // position in the field's expression; nil: not in an expression
 }
 
 // Error names the rule, the field and the reason.
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("rule %d, field %s: %s", p.Rule, p.Field, p.Reason)
 }
 
-// Facts are what the settings say of the names in rules.
+// Facts holds the classes, machine kinds and zones of the settings, to which rules refer by name.
 type Facts struct {
 	ClassNames []string            // by ClassID
 	Classes    []router.QueryClass // by ClassID
@@ -62,22 +62,22 @@
 	labels []labelExpr
 	kinds  []router.KindID // nil: not narrowed
 	zones  []router.Zone   // nil: not narrowed
-	class  router.ClassID  // unchanged: it stays
+	class  router.ClassID  // unchanged: none
 }
 
-// unchanged stands for the class of a rule that does not change it.
+// unchanged is the class of a rule that does not change the query class.
 const unchanged router.ClassID = -1
 
-// labelExpr is a label that a rule gives.
+// labelExpr is a label that a rule sets.
 type labelExpr struct {
 	name string
 	text *match.Expr
 }
 
-// baseSteps is what a rule costs beside its expressions.
+// baseSteps is the cost of a rule in addition to its expressions.
 const baseSteps = 4
 
-// steps is what trying a rule may cost, its effects included.
+// steps returns the maximum cost of trying a rule, including its effects.
 func (r *compiledRule) steps() int {
 	n := baseSteps
 	if r.when != nil {
--- a/internal/core/rules/rules_test.go
+++ b/internal/core/rules/rules_test.go
@@ -12,8 +12,8 @@
 	"mintkeel/router"
 )
 
-// facts are four classes: a report may go to c16 alone, a load keeps order, a lookup may do anything, and
-// once is like a report but must not run twice.
+// facts has four classes: report may only use machine kind c16, load keeps order, lookup is unrestricted, and once
+// is like report, but must not run twice and only in zone east.
 var facts = Facts{
 	ClassNames: []string{"lookup", "report", "load", "once"},
 	Classes: []router.QueryClass{{}, {Kinds: []router.KindID{1}}, {Ordered: true, Effect: router.Deduplicated,
@@ -32,20 +32,20 @@
 	return set
 }
 
-// Rules that could widen what the settings allow, break the order or repeat what must not be repeated are
-// refused, however that comes about.
+// Compile must reject rules that could widen what the settings allow, break the order of queries, or let a query
+// run twice that must not, in whatever way the rules bring that about.
 func TestCompileProblems(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		rules []Rule
-		field string // of the last rule; empty: it is fine
+		field string // of the last rule; empty: no problem
 		why   string
 	}{
 		{"nothing", nil, "", ""},
 		{"hot", []Rule{{Name: "a", When: `table_name startswith "menu_"`, Hot: true}}, "", ""},
 		{"no name", []Rule{{}}, "name", "1 to"},
 		{"a name twice", []Rule{{Name: "a"}, {Name: "a"}}, "name", "rule 0 too"},
-		{"no condition", []Rule{{Name: "a", When: "profile = 1"}}, "when", "begins nothing"},
+		{"no condition", []Rule{{Name: "a", When: "profile = 1"}}, "when", "unexpected character"},
 		{"a report elsewhere",
 			[]Rule{{Name: "a", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there: it may use c16"},
 		{"a report elsewhere, unsaid", []Rule{{Name: "a", Kinds: []string{"std"}}}, "kinds", "profile report"},
@@ -56,8 +56,8 @@
 			[]Rule{{Name: "a", When: `profile == "lookup" && tenant == "x"`, Kinds: []string{"std"}}}, "", ""},
 		{"a report where it belongs", []Rule{{Name: "a", Kinds: []string{"c16"}}}, "", ""},
 		{"a report taken for a lookup",
-			[]Rule{{Name: "a", When: `profile == "report"`, Class: "lookup"}}, "profile", "other kinds"},
-		{"anything taken for a lookup", []Rule{{Name: "a", Class: "lookup"}}, "profile", "other kinds"},
+			[]Rule{{Name: "a", When: `profile == "report"`, Class: "lookup"}}, "profile", "other machine kinds"},
+		{"anything taken for a lookup", []Rule{{Name: "a", Class: "lookup"}}, "profile", "other machine kinds"},
 		{"a lookup taken for a report", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"}}, "", ""},
 		{"a report in two steps", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "report"},
 			{Name: "b", When: `profile == "report"`, Kinds: []string{"std"}}}, "kinds", "may not go there"},
@@ -65,7 +65,7 @@
 			{Name: "b", When: `profile == "lookup"`, Kinds: []string{"c16"}}}, "kinds", "may not go there"},
 		{"narrowed, then taken for what can't go there",
 			[]Rule{{Name: "a", When: `profile == "lookup"`, Kinds: []string{"std"}},
-				{Name: "b", When: `profile == "lookup"`, Class: "report"}}, "profile", "nothing is left"},
+				{Name: "b", When: `profile == "lookup"`, Class: "report"}}, "profile", "kind or zone is left"},
 		{"by a label", []Rule{{Name: "a", When: `profile == "report"`, Labels: map[string]string{"go": `"std"`}},
 			{Name: "b", When: `label("go") == "std"`, Kinds: []string{"std"}}}, "kinds", "profile report"},
 		{"by a condition that is always true",
@@ -79,13 +79,13 @@
 		{"without a mark taken for what needs one",
 			[]Rule{{Name: "a", When: `profile == "lookup"`, Class: "load"}}, "profile", "twice"},
 		{"in order taken for what is not",
-			[]Rule{{Name: "a", When: `profile == "load"`, Class: "once"}}, "profile", "no order"},
+			[]Rule{{Name: "a", When: `profile == "load"`, Class: "once"}}, "profile", "not keep its order"},
 		{"a profile that nobody has any more",
-			[]Rule{{Name: "a", When: `profile == "none"`}}, "when", "no command"},
-		{"no profile", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "none"}}, "profile", "no profile"},
-		{"no kind", []Rule{{Name: "a", Kinds: []string{"c17"}}}, "kinds", "no kind"},
+			[]Rule{{Name: "a", When: `profile == "none"`}}, "when", "no query"},
+		{"no profile", []Rule{{Name: "a", When: `profile == "lookup"`, Class: "none"}}, "profile", "not a profile"},
+		{"no kind", []Rule{{Name: "a", Kinds: []string{"c17"}}}, "kinds", "not a machine kind"},
 		{"no kinds at all", []Rule{{Name: "a", Kinds: []string{}}}, "kinds", "may not go there"},
-		{"no zone", []Rule{{Name: "a", Zones: []string{"north"}}}, "zones", "no zone"},
+		{"no zone", []Rule{{Name: "a", Zones: []string{"north"}}}, "zones", "not a zone"},
 		{"another zone",
 			[]Rule{{Name: "a", When: `profile == "once"`, Zones: []string{"west"}}}, "zones", "may not go there"},
 		{"a key by store",
@@ -95,7 +95,7 @@
 		{"a key that may be empty at times",
 			[]Rule{{Name: "a", Key: `has(tenant) ? "x" : ""`}}, "key", "may be empty"},
 		{"a key that a retry changes",
-			[]Rule{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "need not repeat"},
+			[]Rule{{Name: "a", Key: `"a" + (left > 1s ? "x" : "y")`}}, "key", "may differ in a client's retry"},
 		{"a key by a label that a retry changes",
 			[]Rule{{Name: "l", Labels: map[string]string{"x": `left > 1s ? "a" : "b"`}},
 				{Name: "a", Key: `"k" + label("x")`}}, "key", "label x"},
@@ -108,23 +108,23 @@
 			[]Rule{{Name: "p", When: `profile == "lookup" && left > 1s`, Class: "report"},
 				{Name: "a", When: `profile != "report"`, Key: `"k"`}}, "key", "depends on profile"},
 		{"a key that a retry may not come to",
-			[]Rule{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "is the last by"},
+			[]Rule{{Name: "l", When: `left > 1s`, Last: true}, {Name: "a", Key: `"k"`}}, "key", "an earlier rule ends the rules by"},
 		{"a key beside such things", []Rule{{Name: "l", When: `left > 1s`, Labels: map[string]string{"x": `"a"`}},
 			{Name: "a", Key: `"k" + label("y")`}}, "", ""},
 		{"a key for what keeps no order",
 			[]Rule{{Name: "a", When: `profile in ["lookup", "report"]`, Key: `"x"`}}, "key", "no profile keeps order"},
 		{"a key that is no text", []Rule{{Name: "a", Key: `1`}}, "key", "number"},
-		{"a rejection of two lines", []Rule{{Name: "a", Rejection: "no\nmore"}}, "refuse", "no line"},
+		{"a rejection of two lines", []Rule{{Name: "a", Rejection: "no\nmore"}}, "refuse", "not a single line"},
 		{"a label that is no text",
 			[]Rule{{Name: "a", Labels: map[string]string{"team": "1"}}}, "labels.team", "number"},
-		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "below zero"},
+		{"an estimate below zero", []Rule{{Name: "a", EstimateCap: -1}}, "most_estimate", "is negative"},
 		{"too dear",
 			[]Rule{{Name: "a", When: strings.Repeat(`table_name like "*a*b*c*d*e*f*g*" || `, 9) + "true"}}, "when", "steps"},
 	} {
 		set, problems := Compile(c.rules, facts, match.DefaultBounds())
 		if c.field == "" {
 			if problems != nil || set.Len() != len(c.rules) {
-				t.Errorf("%s: %v", c.name, problems)
+				t.Errorf("%s: problems %v, want none", c.name, problems)
 			}
 			continue
 		}
@@ -132,12 +132,12 @@
 		if set != nil || !slices.ContainsFunc(problems, func(p Problem) bool {
 			return p.Rule == last && p.Field == c.field && strings.Contains(p.Reason, c.why)
 		}) {
-			t.Errorf("%s: %v", c.name, problems)
+			t.Errorf("%s: problems %v, want one of the last rule", c.name, problems)
 		}
 	}
 	several := []Rule{{Name: "a", When: "x"}, {Name: "b", Key: "1", Kinds: []string{"x"}}}
 	if _, problems := Compile(several, facts, match.DefaultBounds()); len(problems) < 3 {
-		t.Errorf("not all problems at once: %v", problems)
+		t.Errorf("problems %v, want those of both rules", problems)
 	}
 	many := func(when string) (rules []Rule) {
 		for i := range 400 {
@@ -147,25 +147,25 @@
 	}
 	if _, problems := Compile(many(`application like "*a*b%d"`), facts, match.DefaultBounds()); len(problems) != 1 ||
 		!strings.Contains(problems[0].Reason, "together") {
-		t.Errorf("too dear together: %v", problems)
+		t.Errorf("rules that are too expensive together: problems %v, want one", problems)
 	}
 	prefixed := many(`tenant startswith "t" && application like "*a*b%d"`)
 	if _, problems := Compile(prefixed, facts, match.DefaultBounds()); problems == nil {
-		t.Error("too dear together by one prefix")
+		t.Error("rules with the same prefix that are too expensive together are accepted")
 	}
 	equal := many(`tenant == "t%[1]d" && application like "*a*b%[1]d"`)
 	if _, problems := Compile(equal, facts, match.DefaultBounds()); problems != nil {
-		t.Errorf("each on its tenant alone: %v", problems)
+		t.Errorf("rules for different tenants, which are never tried together: problems %v, want none", problems)
 	}
 	long := facts
 	long.ClassNames = []string{"lookup", strings.Repeat("r", 70), "load", "once"}
 	if _, problems := Compile([]Rule{{Name: "a"}}, long, match.DefaultBounds()); problems == nil {
-		t.Error("a profile whose name can't be told from another's")
+		t.Error("a profile whose name would be truncated is accepted")
 	}
 	manyZones := facts
 	manyZones.Zones = nil
 	var narrowing []Rule
-	for i := range 12 { // each may match or not, so that all subsets must be followed
+	for i := range 12 { // each rule may match or not, so Compile must follow all subsets
 		manyZones.Zones = append(manyZones.Zones, fmt.Sprint("z", i))
 	}
 	manyZones.Classes = []router.QueryClass{{}, {}, {}, {}}
@@ -176,14 +176,14 @@
 	if _, problems := Compile(narrowing, manyZones, match.DefaultBounds()); !slices.ContainsFunc(problems, func(p Problem) bool {
 		return strings.Contains(p.Reason, "in more than")
 	}) {
-		t.Errorf("more ways than can be followed: %v", problems)
+		t.Errorf("more than maxStates states: problems %v, want one that says so", problems)
 	}
 	if _, problems := Compile(make([]Rule, maxRules+1), facts, match.DefaultBounds()); problems == nil {
-		t.Error("too many rules")
+		t.Error("more than maxRules rules are accepted")
 	}
 }
 
-// What rules come to for a query, in their order.
+// Rules take effect in their order, and later ones see the effects of earlier ones.
 func TestRulesApplyInOrder(t *testing.T) {
 	set := compile(t,
 		Rule{Name: "team", When: `tenant == "acme"`, Labels: map[string]string{"team": `"partner/" + tenant`}},
@@ -219,12 +219,13 @@
 			got.Labels = nil
 		}
 		if !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
+			t.Errorf("%s: verdict %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
-// randomRules are random rules over few values, so that many match, and of all kinds that the index distinguishes.
+// randomRules returns rules over few values, so that many of them match, with all kinds of requirements that the
+// index distinguishes.
 func randomRules(rng *rand.Rand, n int) []Rule {
 	text := func() string { return fmt.Sprintf("%q", []string{"a", "b", "ab", "abc", "", "menu_1"}[rng.Intn(6)]) }
 	conjunct := func() string {
@@ -276,14 +277,14 @@
 	return rules
 }
 
-// The index gives the same verdicts as trying each rule in order; and whatever rules are taken, they only
-// narrow.
+// With the index the verdicts must be the same as when each rule is tried in order. And no set of rules that
+// Compile accepts may widen what the settings allow.
 func TestIndexFindsAllRules(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	compiled, matched := 0, 0
 	for range 600 {
 		var rules []Rule
-		for _, rule := range randomRules(rng, rng.Intn(30)) { // those that are refused are left out
+		for _, rule := range randomRules(rng, rng.Intn(30)) { // those that Compile rejects are left out
 			if _, problems := Compile(append(slices.Clone(rules), rule), facts, match.DefaultBounds()); problems == nil {
 				rules = append(rules, rule)
 			}
@@ -308,22 +309,22 @@
 			}
 			got, want := set.Apply(&query, &s), plain.Apply(&query, &p)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("%+v\n%+v\n%+v, not %+v", rules, query, got, want)
+				t.Fatalf("rules %+v\nquery %+v\nverdict with the index %+v, without %+v", rules, query, got, want)
 			}
 			from, to := facts.Classes[query.Class], facts.Classes[got.Class]
 			kinds := intersect(intersect(to.Kinds, got.Kinds), nil)
 			if from.Kinds != nil && !isSubset(kinds, from.Kinds) || to.Effect < from.Effect || from.Ordered && !to.Ordered ||
 				(from.Kinds != nil || got.Kinds != nil) && len(kinds) == 0 || got.OrderingKey == "" {
-				t.Fatalf("%+v\n%+v is widened: %+v", rules, query, got)
+				t.Fatalf("rules %+v\nquery %+v\nverdict widens what the class allows: %+v", rules, query, got)
 			}
 		}
 	}
 	if compiled < 3000 || matched < 10000 {
-		t.Errorf("%d rules, %d matches", compiled, matched)
+		t.Errorf("%d rules compiled, %d matches; want 3000 and 10000 or more", compiled, matched)
 	}
 }
 
-// Applying rules allocates nothing where none gives a key or a label.
+// Applying rules that give neither keys nor labels allocates nothing.
 func TestApplyAllocatesNothing(t *testing.T) {
 	set := compile(t, Rule{Name: "a", When: `tenant == "acme"`, Hot: true}, Rule{Name: "b", When: `table_name startswith "m"`,
 		Kinds: []string{"c16"}}, Rule{Name: "c", When: `estimate > 5ms`, EstimateCap: 3})
@@ -331,11 +332,11 @@
 	query := Query{Tenant: "acme", Table: "menu_1", EstimatedWork: 10}
 	set.Apply(&query, &s)
 	if n := testing.AllocsPerRun(100, func() { set.Apply(&query, &s) }); n > 0 {
-		t.Errorf("%g allocations", n)
+		t.Errorf("%g allocations, want none", n)
 	}
 }
 
-// BenchmarkApply is rules on the same few fields, by the index and each in order.
+// BenchmarkApply measures rules on the same few fields, with the index and without it.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000, 10000} {
 		var rules []Rule
--- a/match/compile.go
+++ b/match/compile.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// A tree is compiled into closures by type, so that no value is boxed and nothing is allocated.
-// They call each other as deep as the tree goes, which parsing bounds.
+// A tree is compiled into closures, one kind per type, so that evaluation neither boxes values nor
+// allocates. Closures call each other as deep as the tree, whose depth the parser bounds.
 
-// compileBool compiles a truth value.
+// compileBool compiles a node whose value is a truth value.
 func (n *node) compileBool() func(*evaluation) bool {
 	switch n.op {
 	case opLiteral:
@@ -56,7 +56,7 @@
 	}
 }
 
-// compileTextCondition compiles operators that look into a text.
+// compileTextCondition compiles operators that search or match a text.
 func (n *node) compileTextCondition() func(*evaluation) bool {
 	a := n.args[0].compileText()
 	switch n.op {
@@ -99,7 +99,7 @@
 	return func(ev *evaluation) bool { return (a(ev) < b(ev)) != negated }
 }
 
-// compileIn compiles a search in a sorted list of literals.
+// compileIn compiles a binary search in a sorted list of literals.
 func (n *node) compileIn() func(*evaluation) bool {
 	if n.args[0].valueType == Text {
 		var texts []string
@@ -117,7 +117,7 @@
 	return func(ev *evaluation) bool { _, found := slices.BinarySearch(numbers, a(ev)); return found }
 }
 
-// compileNumber compiles a number or a duration.
+// compileNumber compiles a node whose value is a number or a duration.
 func (n *node) compileNumber() func(*evaluation) float64 {
 	switch n.op {
 	case opLiteral:
@@ -170,7 +170,7 @@
 	return func(ev *evaluation) float64 { return max(a(ev), b(ev)) }
 }
 
-// compileText compiles a text.
+// compileText compiles a node whose value is a text.
 func (n *node) compileText() func(*evaluation) string {
 	switch n.op {
 	case opLiteral:
--- a/match/cost.go
+++ b/match/cost.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Costs in steps of some nanoseconds. A text is looked at a word at a time where it is compared,
-// and a byte at a time where it is changed or matched.
+// Costs in steps of some nanoseconds. A text is processed word by word where it is compared, and
+// byte by byte where it is changed or matched.
 const (
 	wordBytes      = 8
 	lookupSteps    = 2
 	literalSteps   = 1
-	regexSteps     = 20 // of a regular expression, beside those for each byte
-	regexByteSteps = 2  // of a regular expression for each byte, beside one for each instruction
-	callSteps      = 4  // of a function on a text, beside those for each byte
+	regexSteps     = 20 // of a regular expression, in addition to those per byte
+	regexByteSteps = 2  // of a regular expression per byte, in addition to one per instruction
+	callSteps      = 4  // of a function on a text, in addition to those per byte
 	divideSteps    = 4
-	remainderSteps = 300 // math.Mod divides in software, a bit at a time
+	remainderSteps = 300 // math.Mod divides in software, bit by bit
 )
 
-// maxTextBytes is how many bytes a text may have.
+// maxTextBytes returns the maximum length of a node's text, or 0 for a node of another type.
 func (n *node) maxTextBytes(s *Schema) int {
 	switch n.op {
 	case opLiteral:
@@ -38,7 +38,8 @@
 	return 0
 }
 
-// ownCost is what a node costs apart from its arguments, and the bytes of scratch that it needs.
+// ownCost returns the cost of a node without its arguments, and the bytes of scratch that it
+// needs.
 func (n *node) ownCost(s *Schema) (steps, scratchBytes int) {
 	words := func(i int) int { return n.args[i].maxTextBytes(s)/wordBytes + 1 }
 	switch n.op {
@@ -57,7 +58,7 @@
 		return n.listCost(s), 0
 	case opStartsWith, opEndsWith:
 		return 1 + words(1), 0
-	case opContains: // by a search that does not go back far
+	case opContains: // by a search that never backs up far
 		return 2 + 2*n.args[0].maxTextBytes(s) + words(1), 0
 	case opLike:
 		if !slices.Contains(n.pattern.isStar, true) {
@@ -86,7 +87,7 @@
 	return 1, 0
 }
 
-// listCost is what searching a list by halves costs.
+// listCost returns the cost of a binary search in a list.
 func (n *node) listCost(s *Schema) int {
 	halves := 1
 	for k := len(n.set); k > 0; k /= 2 {
@@ -102,8 +103,8 @@
 	return halves * (2 + min(n.args[0].maxTextBytes(s), longest)/wordBytes)
 }
 
-// cost is the most that one evaluation may take, and the bytes of scratch that it may need. Of a
-// choice the more expensive side counts for steps, and both for scratch.
+// cost returns the maximum cost of one evaluation and the bytes of scratch that it may need. For a
+// conditional, the more expensive branch counts for the steps, and both branches for the scratch.
 func (n *node) cost(s *Schema) (steps, scratchBytes int) {
 	steps, scratchBytes = n.ownCost(s)
 	if n.op == opIf {
@@ -120,7 +121,7 @@
 	return steps, scratchBytes
 }
 
-// costliest is the node below n, itself included, that costs most apart from its arguments.
+// costliest returns the node in the subtree of n, n included, with the highest own cost.
 func (n *node) costliest(s *Schema) *node {
 	costliest := n
 	most := -1
--- a/match/error.go
+++ b/match/error.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// maxCaretBytes is how many bytes of a line are shown before a place, and after it.
+// maxCaretBytes is the number of bytes of a line that are shown on each side of a position.
 const maxCaretBytes = 120
 
-// Error is what is wrong with an expression.
+// Error is an error in an expression, with its position.
 type Error struct {
 	Offset int // in bytes, from 0
 	Reason string
 	source string
 }
 
-// Error has the line, the column and the reason.
+// Error returns the line, the column and the reason.
 func (e *Error) Error() string {
 	line, column := e.Place()
 	return fmt.Sprintf("%d:%d: %s", line, column, e.Reason)
@@ -27,7 +27,7 @@
 	return strings.Count(before, "\n") + 1, len(before) - strings.LastIndexByte(before, '\n')
 }
 
-// Caret returns the line of the expression, and below it a mark under the place.
+// Caret returns the line of the expression with the error, and below it a caret at the position.
 func (e *Error) Caret() string {
 	at := min(e.Offset, len(e.source))
 	from := strings.LastIndexByte(e.source[:at], '\n') + 1
--- a/match/eval.go
+++ b/match/eval.go
@@ -6,15 +6,16 @@
 	"unsafe"
 )
 
-// Scratch is what an evaluation writes texts into. The texts that come out are good until the next
-// evaluation with it. The zero value is ready for use: it grows to what the expressions need, and
-// then no evaluation allocates. One goroutine uses it.
+// Scratch is the buffer in which an evaluation builds texts. Texts that an evaluation returns are
+// valid until the next one with the same Scratch. The zero value is ready for use: it grows to the
+// size that the expressions need, after which no evaluation allocates. It must not be used by
+// several goroutines at once.
 type Scratch struct{ evaluation evaluation }
 
-// evaluation is one evaluation of an expression.
+// evaluation is the state of one evaluation of an expression.
 type evaluation struct {
 	row Row
-	// texts that were written so far; it never grows beyond its capacity within an evaluation
+	// scratch holds the texts built so far. It never outgrows its capacity during an evaluation.
 	scratch []byte
 }
 
@@ -24,7 +25,7 @@
 // absentValue is the value of a field that a row does not have.
 var absentValue Value
 
-// beginEvaluation readies a scratch.
+// beginEvaluation prepares a scratch for an evaluation on a row.
 func (e *Expr) beginEvaluation(row Row, s *Scratch) *evaluation {
 	if cap(s.evaluation.scratch) < e.scratchBytes {
 		s.evaluation.scratch = make([]byte, 0, e.scratchBytes)
@@ -34,7 +35,7 @@
 	return &s.evaluation
 }
 
-// value is a field's value; the zero value if the row is too short.
+// value returns the value of a field, or the zero value if the row is too short.
 func (ev *evaluation) value(i int) *Value {
 	if i < len(ev.row.Values) {
 		return &ev.row.Values[i]
@@ -42,7 +43,7 @@
 	return &absentValue
 }
 
-// label is a label's value, and whether it is there.
+// label returns the value of a label, and whether the row has the label.
 func (ev *evaluation) label(name string, bounds labelBounds) (string, bool) {
 	for i := range min(len(ev.row.Labels), bounds.maxLabels) {
 		if ev.row.Labels[i].Name == name {
@@ -52,8 +53,8 @@
 	return "", false
 }
 
-// scratchText is what was written into the scratch from a place on, as a text. It is not copied:
-// what is written stays until the next evaluation, as the scratch never grows within one.
+// scratchText returns the bytes of the scratch from an offset on as a text, without copying them.
+// They stay unchanged until the next evaluation, as the scratch is never reallocated during one.
 func (ev *evaluation) scratchText(from int) string {
 	if from == len(ev.scratch) {
 		return ""
@@ -61,7 +62,7 @@
 	return unsafe.String(&ev.scratch[from], len(ev.scratch)-from)
 }
 
-// changeCase writes a text with the letters from first to last in the other case.
+// changeCase builds a text with the case of the ASCII letters from first to last inverted.
 func (ev *evaluation) changeCase(s string, first, last byte) string {
 	from := len(ev.scratch)
 	for i := range len(s) {
@@ -74,8 +75,8 @@
 	return ev.scratchText(from)
 }
 
-// concat writes texts one after the other. They are all evaluated first, as a part may write into
-// the scratch itself.
+// concat concatenates texts. It evaluates all of them first, as a part may itself write into the
+// scratch.
 func (ev *evaluation) concat(parts []func(*evaluation) string) string {
 	var texts [maxArguments]string
 	for i, part := range parts {
@@ -88,7 +89,7 @@
 	return ev.scratchText(from)
 }
 
-// truncate cuts a text to a length in bytes: a row may hold whatever a client has sent.
+// truncate truncates a text to a length in bytes: a row may contain anything that a client sends.
 func truncate(s string, maxBytes int) string {
 	if len(s) > maxBytes {
 		return s[:maxBytes]
@@ -109,7 +110,7 @@
 	return x
 }
 
-// divide has a meaning for every divisor: over zero it is zero.
+// divide is defined for every divisor: a division by zero is zero.
 func divide(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -117,12 +118,12 @@
 	return finite(a / b)
 }
 
-// maxQuotient is how often a divisor may go into a number for a remainder to mean anything: past it
-// all digits are lost. It also bounds the cost, which is a subtraction for each bit.
+// maxQuotient bounds the quotient for which a remainder is meaningful: beyond it all digits are
+// lost. It also bounds the cost, which is one subtraction per bit.
 const maxQuotient = 1 << 53
 
-// remainder is what is left of a division towards zero; over zero, or where all digits are lost,
-// zero.
+// remainder returns the remainder of a division that truncates towards zero. It is zero for a
+// division by zero, and where all digits are lost.
 func remainder(a, b float64) float64 {
 	if b == 0 || !(math.Abs(a/b) < maxQuotient) {
 		return 0
@@ -131,13 +132,14 @@
 }
 
 const (
-	fnvOffset  = uint64(14695981039346656037) // offset basis of FNV-1a with 64 bits
-	fnvPrime   = 1099511628211                // its prime
-	maxBuckets = 1 << 32                      // the largest number of buckets
+	fnvOffset  = uint64(14695981039346656037) // offset basis of 64-bit FNV-1a
+	fnvPrime   = 1099511628211                // prime of 64-bit FNV-1a
+	maxBuckets = 1 << 32                      // maximum number of buckets
 )
 
-// bucket is a text's place among n, from 0: its hash by FNV-1a, folded. It is the same everywhere
-// and must stay so. Of no places it is 0.
+// bucket returns the number, from 0, of the bucket out of n to which a text belongs, by its folded
+// FNV-1a hash. The result must be the same at all controllers and in all versions. It is 0 if n is
+// below 1.
 func bucket(s string, n float64) float64 {
 	if !(n >= 1) {
 		return 0
@@ -150,8 +152,8 @@
 	return float64(h % uint64(min(n, maxBuckets)))
 }
 
-// part is the n-th part of a text between separators, from 0, or from the end if n is below 0: -1
-// is the last. It is empty if there is no such part.
+// part returns the n-th part of a text that is split at separators, from 0. A negative n counts
+// from the end: -1 is the last part. The result is empty if there is no such part.
 func part(s, separator string, n float64) string {
 	if n < 0 {
 		return partFromEnd(s, separator, -n)
@@ -171,7 +173,7 @@
 	}
 }
 
-// partFromEnd is the n-th part from the end, from 1.
+// partFromEnd returns the n-th part from the end, from 1.
 func partFromEnd(s, separator string, n float64) string {
 	for ; ; n-- {
 		at := strings.LastIndex(s, separator)
@@ -188,11 +190,11 @@
 	}
 }
 
-// maxDigits is how many bytes of a text are read as a number, at most.
+// maxDigits is the maximum number of bytes of a text that are parsed as a number.
 const maxDigits = 32
 
-// parseNumberPrefix is the number that a text begins with, without exponent; 0 if it begins with
-// none.
+// parseNumberPrefix returns the decimal number, without an exponent, with which a text starts. It
+// is 0 if there is none.
 func parseNumberPrefix(s string) float64 {
 	s = truncate(s, maxDigits)
 	sign := 1.0
--- a/match/explain.go
+++ b/match/explain.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// maxItemsShown is how many items of a list are written out.
+// maxItemsShown is the maximum number of list items that are written out.
 const maxItemsShown = 8
 
-// Step is one part of an expression with its value, for people.
+// Step is one part of an expression with its value, formatted for people.
 type Step struct {
-	Depth int    // of the part in the expression
-	Text  string // the part, written out
+	Depth int    // nesting depth of the part
+	Text  string // source text of the part
 	Value string
 }
 
-// Explain evaluates an expression part by part: conditions down to what they compare, and the two
-// sides of each comparison. Parts that an evaluation would skip are there too.
+// Explain evaluates each part of an expression that is not a literal, operators before their
+// operands. Parts that an evaluation would skip are included.
 func (e *Expr) Explain(row Row) (steps []Step) {
 	var s Scratch
 	var explain func(n *node, depth int)
@@ -33,7 +33,7 @@
 	return steps
 }
 
-// evaluate returns the value of a part of an expression, written out.
+// evaluate returns the formatted value of a part of an expression.
 func (n *node) evaluate(whole *Expr, row Row, s *Scratch) string {
 	part := &Expr{valueType: n.valueType, scratchBytes: whole.scratchBytes}
 	ev := part.beginEvaluation(row, s)
@@ -46,7 +46,7 @@
 	return numberText(n.valueType, n.compileNumber()(ev))
 }
 
-// infixSigns are the operators that are written between their sides.
+// infixSigns are the operators written between their operands.
 var infixSigns = map[op]string{
 	opAnd:        "&&",
 	opOr:         "||",
@@ -60,7 +60,7 @@
 	opRemainder:  "%",
 }
 
-// sign is the operator between the sides of a node; empty: it is not written so.
+// sign returns the infix operator of a node, or "" if it has none.
 func (n *node) sign() string {
 	switch {
 	case n.op == opEqual && n.negated:
@@ -75,7 +75,7 @@
 	return infixSigns[n.op]
 }
 
-// String is the part written out, with its operators in parentheses.
+// String formats a node as source text, with each infix operator in parentheses.
 func (n *node) String() string {
 	var args []string
 	for _, a := range n.args {
@@ -116,7 +116,7 @@
 	return "?"
 }
 
-// listText is the list of an opIn, written out as far as it is short.
+// listText formats the list of an opIn, up to maxItemsShown items.
 func (n *node) listText() string {
 	var items []string
 	for i, v := range n.set {
@@ -139,7 +139,7 @@
 	return numberText(t, v.Number)
 }
 
-// numberText writes out a number, or a duration with its unit.
+// numberText formats a number, or a duration with its unit.
 func numberText(t Type, x float64) string {
 	text := strconv.FormatFloat(x, 'g', 6, 64)
 	if t == Duration {
--- a/match/expr.go
+++ b/match/expr.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Expr is a compiled expression. Several goroutines may evaluate it at once, each with a Scratch of
-// its own.
+// Expr is a compiled expression. Several goroutines may evaluate it concurrently, each with its
+// own Scratch.
 type Expr struct {
 	source       string
 	valueType    Type
 	tree         *node
-	steps        int // that one evaluation may take
-	scratchBytes int // that one evaluation may need
-	// The function of its type; the others are nil.
+	steps        int // maximum for one evaluation
+	scratchBytes int // maximum for one evaluation
+	// The compiled function for valueType is set; the others are nil.
 	truth  func(*evaluation) bool
 	number func(*evaluation) float64
 	text   func(*evaluation) string
 }
 
-// Compile compiles an expression of a type. Its error is an *Error.
+// Compile compiles an expression, which must be of the wanted type. Its error is an *Error.
 func Compile(source string, want Type, schema *Schema, b Bounds) (*Expr, error) {
 	tree, err := parse(source, schema, b)
 	if err != nil {
@@ -34,7 +34,7 @@
 	if e.steps > b.Steps {
 		costliest := tree.costliest(schema)
 		part, _ := costliest.cost(schema)
-		reason := fmt.Sprintf("an evaluation may take %d steps, of %d allowed; most, %d, are for this",
+		reason := fmt.Sprintf("an evaluation takes up to %d steps, of %d allowed; the largest part is %d",
 			e.steps, b.Steps, part)
 		return nil, &Error{costliest.offset, reason, source}
 	}
@@ -49,16 +49,16 @@
 	return e, nil
 }
 
-// Steps is what an evaluation may cost at most.
+// Steps returns the maximum cost of an evaluation.
 func (e *Expr) Steps() int { return e.steps }
 
-// Source is the expression as it was written.
+// Source returns the source of the expression.
 func (e *Expr) Source() string { return e.source }
 
-// Type is the expression's type.
+// Type returns the type of the expression.
 func (e *Expr) Type() Type { return e.valueType }
 
-// Fields are the fields that the expression reads, each once, in alphabetical order.
+// Fields returns the names of the fields that the expression reads, sorted and each once.
 func (e *Expr) Fields() []string {
 	seen := map[string]bool{}
 	e.tree.walk(func(n *node) {
@@ -74,7 +74,7 @@
 	return names
 }
 
-// Labels are the labels that the expression reads, in the order in which it names them.
+// Labels returns the names of the labels that the expression reads, in the order of its source.
 func (e *Expr) Labels() (names []string) {
 	e.tree.walk(func(n *node) {
 		if n.op == opLabel || n.op == opHasLabel {
--- a/match/functions.go
+++ b/match/functions.go
@@ -1,17 +1,18 @@
 package match
 
-// maxArguments bounds the arguments of a function.
+// maxArguments is the maximum number of arguments of a function.
 const maxArguments = 16
 
 // function is a function's signature.
 type function struct {
 	op        op
 	arguments []Type
-	variadic  bool // there may be more of the last argument
+	variadic  bool // the last argument may be repeated
 	result    Type
 }
 
-// functions are all but has and label, which take names. min and max also take two durations.
+// functions holds all functions except has and label, which take names. min and max also take two
+// durations.
 var functions = map[string]function{
 	"concat": {opConcat, []Type{Text}, true, Text},
 	"lower":  {opLower, []Type{Text}, false, Text},
@@ -24,7 +25,8 @@
 	"max":    {opMax, []Type{Number, Number}, false, Number},
 }
 
-// functionCall parses a function's arguments; the next token is the parenthesis before them.
+// functionCall parses the parentheses and arguments of a call; the next token is the opening
+// parenthesis.
 func (p *parser) functionCall(name token) (*node, error) {
 	if err := p.advance(); err != nil {
 		return nil, err
@@ -36,7 +38,7 @@
 	f, known := functions[name.text]
 	if !known {
 		return nil, p.fail(name.offset,
-			"%.40q is no function: there are bucket, concat, has, label, length, lower, "+
+			"%.40q is not a function: there are bucket, concat, has, label, length, lower, "+
 				"max, min, number, part, upper", name.text)
 	}
 	n := &node{op: f.op, valueType: f.result, offset: name.offset}
@@ -58,12 +60,13 @@
 		return nil, p.fail(p.token.offset, "%s takes %d values", name.text, len(f.arguments))
 	}
 	if f.op == opPart && (n.args[1].op != opLiteral || n.args[1].literal.Text == "") {
-		return nil, p.fail(n.args[1].offset, "a separator is a literal text of one byte or more")
+		return nil, p.fail(n.args[1].offset, "a separator must be a literal text of one byte or more")
 	}
 	return n, p.advance()
 }
 
-// addArgument checks the type of an argument and adds it. min and max of durations are durations.
+// addArgument checks the type of an argument and adds it to a call. min and max of durations are
+// durations.
 func (p *parser) addArgument(n *node, name string, f function, arg *node) error {
 	count := len(n.args)
 	if count >= len(f.arguments) && !f.variadic || count >= maxArguments {
@@ -88,7 +91,7 @@
 	return nil
 }
 
-// labelOrHas parses what stands in the parentheses of has(field), has(label("x")) and label("x").
+// labelOrHas parses the argument of has(field), has(label("x")) or label("x").
 func (p *parser) labelOrHas(name token) (*node, error) {
 	if name.text == "has" && !p.nextIs("label") {
 		return p.hasField(name)
@@ -109,7 +112,7 @@
 		return nil, p.fail(name.offset, "there are no labels here")
 	}
 	if p.token.kind != tokenText || p.token.text == "" || len(p.token.text) > p.schema.MaxLabelBytes {
-		return nil, p.fail(p.token.offset, "a label's name is a text in quotes, of %d bytes at the most",
+		return nil, p.fail(p.token.offset, "a label's name must be a text in quotes, of at most %d bytes",
 			p.schema.MaxLabelBytes)
 	}
 	n.name = p.token.text
--- a/match/lexer.go
+++ b/match/lexer.go
@@ -25,14 +25,14 @@
 	number float64 // of a number, or of a duration in ms
 }
 
-// lexer splits a source into tokens. It does not recurse, and looks at each byte a bounded number
-// of times.
+// lexer splits a source into tokens. It does not recurse, and reads each byte a bounded number of
+// times.
 type lexer struct {
 	source string
 	offset int // of the next byte
 }
 
-// signs are the operators and punctuation. A sign stands before those that it begins with.
+// signs lists the operators and punctuation. A sign precedes any sign that is a prefix of it.
 var signs = []string{"&&", "||", "==", "!=", "<=", ">=", "<", ">", "!", "+", "-", "*", "/", "%",
 	"(", ")", "[", "]", ",", "?", ":"}
 
@@ -47,7 +47,7 @@
 func isDigit(c byte) bool  { return c >= '0' && c <= '9' }
 func isBlank(c byte) bool  { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-// takeWhile takes bytes for which a condition holds.
+// takeWhile consumes and returns bytes as long as a condition holds.
 func (l *lexer) takeWhile(holds func(byte) bool) string {
 	from := l.offset
 	for l.offset < len(l.source) && holds(l.source[l.offset]) {
@@ -56,7 +56,7 @@
 	return l.source[from:l.offset]
 }
 
-// skipBlanks skips blanks, and comments, which go from # to the end of the line.
+// skipBlanks skips white space and comments, which extend from # to the end of the line.
 func (l *lexer) skipBlanks() {
 	for l.offset < len(l.source) {
 		switch c := l.source[l.offset]; {
@@ -70,7 +70,7 @@
 	}
 }
 
-// next takes the next token.
+// next consumes and returns the next token.
 func (l *lexer) next() (token, error) {
 	l.skipBlanks()
 	from := l.offset
@@ -92,10 +92,10 @@
 			return token{kind: tokenSign, offset: from, text: sign}, nil
 		}
 	}
-	return token{}, l.fail(from, "%q begins nothing", l.source[from])
+	return token{}, l.fail(from, "unexpected character %q", l.source[from])
 }
 
-// number takes a number, or a duration if a unit follows it.
+// number consumes a number, or a duration if a unit follows.
 func (l *lexer) number() (token, error) {
 	from := l.offset
 	l.takeWhile(isDigit)
@@ -106,7 +106,7 @@
 	digits := l.source[from:l.offset]
 	x, err := strconv.ParseFloat(digits, 64)
 	if err != nil {
-		return token{}, l.fail(from, "%.40s is no number", digits)
+		return token{}, l.fail(from, "%.40s is not a number", digits)
 	}
 	unit := l.takeWhile(isLetter)
 	if unit == "" {
@@ -114,13 +114,13 @@
 	}
 	factor, known := units[unit]
 	if !known {
-		return token{}, l.fail(from, "%.40q is no unit of time: ms, s, m or h", unit)
+		return token{}, l.fail(from, "%.40q is not a unit of time: ms, s, m or h", unit)
 	}
 	return token{kind: tokenDuration, offset: from, number: x * factor}, nil
 }
 
-// quoted takes a text in quotes, with the escapes \n, \t, \\, \" and \'. Other backslashes stand
-// for themselves, so that regular expressions need not double theirs.
+// quoted consumes a text in quotes, with the escapes \n, \t, \\, \" and \'. Other backslashes are
+// kept, so that regular expressions need not double theirs.
 func (l *lexer) quoted(quote byte) (token, error) {
 	from := l.offset
 	var b strings.Builder
@@ -130,21 +130,21 @@
 			l.offset++
 			return token{kind: tokenText, offset: from, text: b.String()}, nil
 		case '\n':
-			return token{}, l.fail(from, "a text has no end on its line")
+			return token{}, l.fail(from, "a text is not terminated on its line")
 		case '\\':
 			l.offset++
 			if l.offset == len(l.source) {
-				return token{}, l.fail(from, "a text has no end")
+				return token{}, l.fail(from, "a text is not terminated")
 			}
 			appendEscaped(&b, l.source[l.offset])
 		default:
 			b.WriteByte(c)
 		}
 	}
-	return token{}, l.fail(from, "a text has no end")
+	return token{}, l.fail(from, "a text is not terminated")
 }
 
-// appendEscaped writes what a backslash before a byte stands for.
+// appendEscaped writes the meaning of a backslash followed by the byte c.
 func appendEscaped(b *strings.Builder, c byte) {
 	switch c {
 	case 'n':
--- a/match/literals.go
+++ b/match/literals.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// maxListItems bounds a list of literals. It is searched by halves, so its length costs little.
+	// maxListItems bounds a list of literals. Lists are searched by bisection, so length costs
+	// little.
 	maxListItems = 2000
-	// maxProgramLength bounds the instructions of a regular expression: each may be looked at for each
+	// maxProgramLength bounds the instructions of a regular expression: each may be executed for each
 	// byte.
 	maxProgramLength = 500
 )
 
-// list parses what stands on the right of in: a list of literals.
+// list parses the right side of in: a list of literals.
 func (p *parser) list(left *node, offset int) (*node, error) {
 	n := &node{op: opIn, valueType: Bool, offset: offset, args: []*node{left}}
 	if err := p.expect("["); err != nil {
@@ -33,7 +34,7 @@
 			return nil, err
 		}
 		if item.valueType != left.valueType || item.valueType == Bool {
-			return nil, p.fail(itemOffset, "is a %v, what is looked for a %v",
+			return nil, p.fail(itemOffset, "is a %v, but the value to be found is a %v",
 				item.valueType, left.valueType)
 		}
 		n.set = append(n.set, item.literal)
@@ -55,7 +56,7 @@
 	return strings.Compare(a.Text, b.Text)
 }
 
-// literal parses a literal, perhaps with a minus.
+// literal parses a literal, with an optional minus.
 func (p *parser) literal() (*node, error) {
 	t := p.token
 	if p.nextIs("-") {
@@ -64,7 +65,7 @@
 		}
 		t = p.token
 		if t.kind != tokenNumber && t.kind != tokenDuration {
-			return nil, p.fail(t.offset, "a list holds literals alone")
+			return nil, p.fail(t.offset, "a list may only contain literals")
 		}
 		t.number = -t.number
 	}
@@ -83,19 +84,19 @@
 		n.valueType = Bool
 		n.literal = BoolOf(t.text == "true")
 	default:
-		return nil, p.fail(t.offset, "a list holds literals alone")
+		return nil, p.fail(t.offset, "a list may only contain literals")
 	}
 	return n, p.advance()
 }
 
-// patternMatch parses what stands on the right of like and matches: a pattern in quotes.
+// patternMatch parses the right side of like or matches: a pattern in quotes.
 func (p *parser) patternMatch(left *node, sign string, offset int) (*node, error) {
 	if left.valueType != Text {
-		return nil, p.fail(left.offset, "is a %v, and %s goes with a text", left.valueType, sign)
+		return nil, p.fail(left.offset, "is a %v, but %s needs a text", left.valueType, sign)
 	}
 	t := p.token
 	if t.kind != tokenText {
-		return nil, p.fail(t.offset, "a pattern is a text in quotes")
+		return nil, p.fail(t.offset, "a pattern must be a text in quotes")
 	}
 	n := &node{op: opLike, valueType: Bool, offset: offset, args: []*node{left}}
 	if sign == "like" {
@@ -109,24 +110,24 @@
 	return n, p.advance()
 }
 
-// compileRegex compiles a regular expression, and bounds what it costs for each byte.
+// compileRegex compiles a regular expression, and checks its cost per byte.
 func (p *parser) compileRegex(n *node, t token) error {
 	parsed, err := syntax.Parse(t.text, syntax.Perl)
 	if err != nil {
-		return p.fail(t.offset, "is no regular expression: %.80s", err)
+		return p.fail(t.offset, "is not a regular expression: %.80s", err)
 	}
 	program, err := syntax.Compile(parsed.Simplify())
 	if err != nil {
-		return p.fail(t.offset, "is no regular expression: %.80s", err)
+		return p.fail(t.offset, "is not a regular expression: %.80s", err)
 	}
 	n.programLength = len(program.Inst)
 	if n.programLength > maxProgramLength {
-		return p.fail(t.offset, "a regular expression has %d steps for each byte, of %d allowed",
+		return p.fail(t.offset, "a regular expression takes %d steps per byte, of %d allowed",
 			n.programLength, maxProgramLength)
 	}
 	n.regex, err = regexp.Compile(t.text)
 	if err != nil {
-		return p.fail(t.offset, "is no regular expression: %.80s", err)
+		return p.fail(t.offset, "is not a regular expression: %.80s", err)
 	}
 	return nil
 }
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -13,12 +13,12 @@
 
 var schema = &exprs.Schema
 
-// row is a load of one of a brand's menu marts.
+// row is a load query of the tenant acme for the table menu_17.
 var row = match.Row{Values: []match.Value{match.TextOf("load"), match.TextOf("acme"), match.TextOf("menu_17"),
 	match.NumberOf(17), match.NumberOf(250), match.NumberOf(1500), {}},
 	Labels: []match.Label{{Name: "store", Value: "store-12-east"}}}
 
-// What expressions evaluate to: each operator and function, with absent fields and odd values.
+// Each operator and function evaluates to the expected value, including for absent fields and unusual values.
 func TestOperatorsAndFunctionsEvaluate(t *testing.T) {
 	for source, want := range map[string]any{
 		`true`: true, `!true`: false, `!!true`: true, `urgent`: false, `has(urgent)`: false, `has(profile)`: true,
@@ -69,12 +69,12 @@
 			got = e.Number(row, &s)
 		}
 		if got != want {
-			t.Errorf("%s: %v, not %v", source, got, want)
+			t.Errorf("%s: value %v, want %v", source, got, want)
 		}
 		if e.Source() != source || e.Type() != typ || e.Steps() < 1 {
-			t.Errorf("%s: %v of %d steps", e.Source(), e.Type(), e.Steps())
+			t.Errorf("unexpected source, type or steps of a compiled expression: %s, %v, %d", e.Source(), e.Type(), e.Steps())
 		}
-		// an empty row is a query without any field
+		// An empty row stands for a query without any field.
 		switch typ {
 		case match.Bool:
 			e.Bool(match.Row{}, &s)
@@ -86,7 +86,7 @@
 	}
 }
 
-// Whatever is wrong with an expression is reported when it is compiled, with its place.
+// All errors in an expression are reported when it is compiled, with their position.
 func TestCompileErrorsNameThePlace(t *testing.T) {
 	deep := func(opening, closing string, n int) string {
 		return strings.Repeat(opening, n) + "true" + strings.Repeat(closing, n)
@@ -96,25 +96,25 @@
 	}{
 		{"", "1:1", "empty"},
 		{" # remark", "1:1", "empty"},
-		{"prfile == 1", "1:1", "no field"},
-		{"profile == 1", "1:9", "does not go with"},
-		{"true &&\n  profile", "1:6", "does not go with"},
-		{"true &&", "1:8", "missing at the end"},
-		{"true true", "1:6", "belongs to nothing"},
+		{"prfile == 1", "1:1", "not a field"},
+		{"profile == 1", "1:9", "can't be applied to"},
+		{"true &&\n  profile", "1:6", "can't be applied to"},
+		{"true &&", "1:8", "incomplete"},
+		{"true true", "1:6", "unexpected text after"},
 		{"estimate < 5", "1:10", "duration and a number"},
 		{"estimate + 1", "1:10", "duration and a number"},
 		{"estimate * left", "1:10", "duration and a duration"},
-		{"1 < 2 < 3", "1:7", "can't follow each other"},
-		{"urgent < true", "1:8", "does not go with"},
-		{"profile in []", "1:13", "literals alone"},
-		{"profile in [tenant]", "1:13", "literals alone"},
+		{"1 < 2 < 3", "1:7", "can't be chained"},
+		{"urgent < true", "1:8", "can't be applied to"},
+		{"profile in []", "1:13", "only contain literals"},
+		{"profile in [tenant]", "1:13", "only contain literals"},
 		{"profile in [1]", "1:13", "is a number"},
 		{"profile in [\"a\"", "1:16", "missing"},
 		{"urgent in [true]", "1:12", "truth value"},
 		{"profile like tenant", "1:14", "text in quotes"},
 		{"profile matches \"(\"", "1:17", "regular expression"},
-		{"profile matches \"(a{1,99}){1,9}\"", "1:17", "steps for each byte"},
-		{"table_group like \"x\"", "1:1", "goes with a text"},
+		{"profile matches \"(a{1,99}){1,9}\"", "1:17", "steps per byte"},
+		{"table_group like \"x\"", "1:1", "needs a text"},
 		{"lower(1) == \"\"", "1:7", "takes a text"},
 		{"lower() == \"\"", "1:7", "takes 1"},
 		{"lower(\"a\", \"b\") == \"\"", "1:12", "no more than"},
@@ -122,26 +122,26 @@
 		{"min(2s, 1) == 1s", "1:9", "takes a duration"},
 		{"part(profile, tenant, 1) == \"\"", "1:15", "literal"},
 		{"part(profile, \"\", 1) == \"\"", "1:15", "literal"},
-		{"rate(profile) > 1", "1:1", "no function"},
+		{"rate(profile) > 1", "1:1", "not a function"},
 		{"label(profile) == \"\"", "1:7", "in quotes"},
 		{"has(1)", "1:5", "takes a field"},
-		{"\"abc", "1:1", "no end"},
-		{"\"abc\\", "1:1", "no end"},
-		{"\"a\nb\" == profile", "1:1", "no end"},
-		{"5 parsecs", "1:3", "belongs to nothing"},
-		{"estimate < 5parsecs", "1:12", "no unit"},
-		{strings.Repeat("9", 400) + " > 1", "1:1", "no number"},
-		{"a == b", "1:1", "no field"},
-		{"true & true", "1:6", "begins nothing"},
-		{"profile == \"a\" \x00", "1:16", "begins nothing"},
-		{"\xff", "1:1", "begins nothing"},
-		{"-profile == 1", "1:1", "does not go with"},
-		{"!1", "1:1", "does not go with"},
+		{"\"abc", "1:1", "not terminated"},
+		{"\"abc\\", "1:1", "not terminated"},
+		{"\"a\nb\" == profile", "1:1", "not terminated"},
+		{"5 parsecs", "1:3", "unexpected text after"},
+		{"estimate < 5parsecs", "1:12", "not a unit"},
+		{strings.Repeat("9", 400) + " > 1", "1:1", "not a number"},
+		{"a == b", "1:1", "not a field"},
+		{"true & true", "1:6", "unexpected character"},
+		{"profile == \"a\" \x00", "1:16", "unexpected character"},
+		{"\xff", "1:1", "unexpected character"},
+		{"-profile == 1", "1:1", "can't be applied to"},
+		{"!1", "1:1", "can't be applied to"},
 		{"1 ? true : false", "1:1", "not a truth value"},
-		{"true ? 1 : profile", "1:12", "the other choice"},
+		{"true ? 1 : profile", "1:12", "the other branch"},
 		{"true ? 1", "1:9", "missing"},
 		{"profile", "1:1", "is a text, not a truth value"},
-		{"true\n &&\n  x", "3:3", "no field"},
+		{"true\n &&\n  x", "3:3", "not a field"},
 		{deep("(", ")", 100000), "1:", "longer than"},
 		{deep("(", ")", 7000), "1:", "nested"},
 		{deep("!", "", 7000), "1:", "nested"},
@@ -151,34 +151,34 @@
 		{"profile in [" + strings.Repeat("\"a\",", 2500) + "\"a\"]", "1:", "over 2000"},
 		{"concat(" + strings.Repeat("tenant,", 30) + "tenant) == \"\"", "1:", "no more than"},
 		{strings.Repeat("table_name like \"*a*b*c*d*e*f*g*h\" || ", 9) + "true", "1:", "steps, of 2500 allowed"},
-		{strings.Repeat("table_name matches \"(a|b)*c\" && ", 9) + "true", "1:", "most, "},
+		{strings.Repeat("table_name matches \"(a|b)*c\" && ", 9) + "true", "1:", "the largest part is "},
 	} {
 		_, err := match.Compile(c.source, match.Bool, schema, match.DefaultBounds())
 		var e *match.Error
 		if !errors.As(err, &e) || !strings.HasPrefix(err.Error(), c.place) || !strings.Contains(e.Reason, c.why) {
-			t.Errorf("%.60q: %v", c.source, err)
+			t.Errorf("%.60q: error %v, want another one or another position", c.source, err)
 			continue
 		}
 		caret := e.Caret()
 		line, column := e.Place()
 		if shown, mark, ok := strings.Cut(caret, "\n"); !ok || !strings.HasSuffix(mark, "^") || line < 1 || column < 1 ||
 			len(shown) > 300 {
-			t.Errorf("%.60q: %q", c.source, caret)
+			t.Errorf("%.60q: malformed or too long caret %q", c.source, caret)
 		}
 	}
 }
 
-// A caret stands under the place, also behind tabs and in long lines.
+// The caret is at the position of the error, also after tabs.
 func TestCaretStandsUnderThePlaceBehindTabs(t *testing.T) {
 	_, err := match.Compile("true &&\n\tprfile", match.Bool, schema, match.DefaultBounds())
 	var e *match.Error
 	if errors.As(err, &e); e.Caret() != "\tprfile\n\t^" {
-		t.Errorf("%q", e.Caret())
+		t.Errorf("unexpected caret %q", e.Caret())
 	}
 }
 
-// Random expressions, well-typed and broken, compiled and walked: the same verdicts, no failure, within the
-// bound, and nothing allocated.
+// Random expressions evaluate as the same expressions do without compilation. Broken ones never make Compile
+// panic, and well-typed ones fail only for their cost or length.
 func TestRandomExpressionsEvaluateAsDrawn(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	n := 20000
@@ -217,16 +217,16 @@
 				got, want = e.Number(r, &s), drawn.Number(r)
 			}
 			if got != want {
-				t.Fatalf("%s on %+v: %v, not %v", drawn.Source, r, got, want)
+				t.Fatalf("%s on %+v: value %v, want %v", drawn.Source, r, got, want)
 			}
 		}
 	}
 	if compiled < n/2 || refused > n/4 || broken < n/8 {
-		t.Errorf("%d compiled, %d refused for their cost, %d broken ones refused", compiled, refused, broken)
+		t.Errorf("too few expressions of a kind: %d compiled, %d rejected for their cost, %d broken ones rejected", compiled, refused, broken)
 	}
 }
 
-// No evaluation allocates.
+// Evaluations allocate nothing once the scratch has grown.
 func TestEvaluationAllocatesNothing(t *testing.T) {
 	for _, source := range []string{
 		`profile == "load" && table_name startswith "menu_" && tenant in ["acme", "b", "c"]`,
@@ -242,12 +242,12 @@
 		var s match.Scratch
 		e.Bool(row, &s)
 		if n := testing.AllocsPerRun(100, func() { e.Bool(row, &s) }); n > 0 {
-			t.Errorf("%s: %g allocations", source, n)
+			t.Errorf("%s: %g allocations, want none", source, n)
 		}
 	}
 }
 
-// The same expression in several goroutines, each with a scratch of its own.
+// Several goroutines evaluate the same expression, each with its own scratch.
 func TestConcurrentEvaluation(t *testing.T) {
 	e, err := match.Compile(`lower(upper(tenant) + "-" + label("store"))`, match.Text, schema, match.DefaultBounds())
 	if err != nil {
@@ -266,15 +266,15 @@
 	}
 }
 
-// Fields are those that an expression reads.
+// Fields returns the fields that an expression reads, each once.
 func TestFieldsListsEachFieldOnce(t *testing.T) {
 	e, err := match.Compile(`has(urgent) || profile == tenant || profile == "x"`, match.Bool, schema, match.DefaultBounds())
 	if err != nil || fmt.Sprint(e.Fields()) != "[profile tenant urgent]" {
-		t.Errorf("%v, %v", e.Fields(), err)
+		t.Errorf("fields %v, error %v; want profile, tenant and urgent", e.Fields(), err)
 	}
 }
 
-// No source makes Compile fail otherwise than by an error, and no evaluation fails.
+// For any source, Compile returns an expression or an *Error, and no evaluation panics.
 func FuzzCompile(f *testing.F) {
 	rng := rand.New(rand.NewSource(2))
 	for range 20 {
@@ -292,7 +292,7 @@
 			return
 		}
 		if e.Steps() > match.DefaultBounds().Steps {
-			t.Fatalf("%d steps", e.Steps())
+			t.Fatalf("a compiled expression of %d steps, which is over the bound", e.Steps())
 		}
 		var s match.Scratch
 		e.Bool(row, &s)
@@ -300,7 +300,7 @@
 	})
 }
 
-// BenchmarkTypical is a condition as operators write them.
+// BenchmarkTypical measures conditions as operators write them, and two of the most expensive ones.
 func BenchmarkTypical(b *testing.B) {
 	for name, source := range map[string]string{
 		"equal":  `profile == "load"`,
--- a/match/parser.go
+++ b/match/parser.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// parser is a recursive descent of bounded depth. Each method that parses returns a tree with
-// checked types.
+// parser is a recursive descent parser of bounded depth. Each parsing method returns a tree whose
+// types are checked.
 type parser struct {
 	lexer  lexer
 	schema *Schema
@@ -27,7 +27,7 @@
 	}
 	n, err := p.expression()
 	if err == nil && p.token.kind != tokenEnd {
-		err = p.fail(p.token.offset, "something follows that belongs to nothing")
+		err = p.fail(p.token.offset, "unexpected text after the expression")
 	}
 	return n, err
 }
@@ -36,7 +36,7 @@
 	return p.lexer.fail(offset, format, args...)
 }
 
-// advance takes the next token.
+// advance reads the next token.
 func (p *parser) advance() (err error) {
 	p.token, err = p.lexer.next()
 	return err
@@ -47,7 +47,8 @@
 	return (p.token.kind == tokenSign || p.token.kind == tokenName) && p.token.text == text
 }
 
-// accept takes the next token if it is one of these signs or words; empty: it is not.
+// accept consumes the next token if it is one of these signs or words, and returns its text; else
+// it returns "".
 func (p *parser) accept(texts ...string) (text string, offset int, err error) {
 	for _, text := range texts {
 		if p.nextIs(text) {
@@ -58,16 +59,16 @@
 	return "", 0, nil
 }
 
-// expect takes the next token, which must be this sign.
+// expect consumes the next token, which must be this sign.
 func (p *parser) expect(text string) error {
 	if !p.nextIs(text) {
-		return p.fail(p.token.offset, "%q is missing", text)
+		return p.fail(p.token.offset, "missing %q", text)
 	}
 	return p.advance()
 }
 
-// nested calls a method that parses one level deeper, and fails past the depth allowed. Each
-// recursion goes through it, so that no source exhausts the stack.
+// nested calls a parsing method one level deeper, and fails beyond the allowed depth. All
+// recursion goes through it, so that no source can exhaust the stack.
 func (p *parser) nested(parse func() (*node, error)) (*node, error) {
 	p.depth++
 	if p.depth > p.bounds.Depth {
@@ -80,7 +81,7 @@
 
 func (p *parser) expression() (*node, error) { return p.nested(p.conditional) }
 
-// conditional parses condition ? a : b, or what has no ? behind it.
+// conditional parses condition ? a : b, or just a binary expression if no ? follows.
 func (p *parser) conditional() (*node, error) {
 	condition, err := p.binary(0)
 	if err != nil || !p.nextIs("?") {
@@ -91,7 +92,7 @@
 		return nil, err
 	}
 	if condition.valueType != Bool {
-		return nil, p.fail(condition.offset, "stands before ? and is a %v, not a truth value",
+		return nil, p.fail(condition.offset, "is before ? and is a %v, not a truth value",
 			condition.valueType)
 	}
 	yes, err := p.expression()
@@ -106,14 +107,15 @@
 		return nil, err
 	}
 	if yes.valueType != no.valueType {
-		return nil, p.fail(no.offset, "is a %v, the other choice a %v", no.valueType, yes.valueType)
+		return nil, p.fail(no.offset, "is a %v, but the other branch is a %v",
+			no.valueType, yes.valueType)
 	}
 	args := []*node{condition, yes, no}
 	return &node{op: opIf, valueType: yes.valueType, offset: offset, args: args}, nil
 }
 
-// operatorLevels are the binary operators, those that bind least first. Those of one level
-// associate to the left.
+// operatorLevels lists the binary operators by ascending precedence. Operators of one level are
+// left-associative.
 var operatorLevels = [][]string{
 	{"||"},
 	{"&&"},
@@ -122,11 +124,11 @@
 	{"*", "/", "%"},
 }
 
-// comparisonLevel is the level of the comparisons, which can't follow each other.
+// comparisonLevel is the level of the comparisons, which can't be chained.
 const comparisonLevel = 2
 
-// binary parses the operators of a level and those that bind more. A chain of operators counts as
-// deep as it is long, as evaluation goes down its left side.
+// binary parses the operators of a level and of higher precedence. Each operator of a chain counts
+// as one level of depth, as evaluation descends along the left sides.
 func (p *parser) binary(level int) (*node, error) {
 	if level == len(operatorLevels) {
 		return p.unary()
@@ -146,14 +148,14 @@
 			return nil, p.fail(offset, "is nested more than %d deep", p.bounds.Depth)
 		}
 		if level == comparisonLevel && n > 0 {
-			return nil, p.fail(offset, "comparisons can't follow each other: use && or parentheses")
+			return nil, p.fail(offset, "comparisons can't be chained: use && or parentheses")
 		}
 		left, err = p.rightSide(left, sign, offset, level)
 	}
 	return left, err
 }
 
-// rightSide parses what stands on the right of a binary operator.
+// rightSide parses the right operand of a binary operator, and returns the operator's node.
 func (p *parser) rightSide(left *node, sign string, offset, level int) (*node, error) {
 	switch sign {
 	case "in":
@@ -189,7 +191,7 @@
 		fits = arg.valueType == Number || arg.valueType == Duration
 	}
 	if !fits {
-		return nil, p.fail(offset, "%s does not go with a %v", sign, arg.valueType)
+		return nil, p.fail(offset, "%s can't be applied to a %v", sign, arg.valueType)
 	}
 	return n, nil
 }
@@ -199,7 +201,7 @@
 	t := p.token
 	switch {
 	case t.kind == tokenEnd:
-		return nil, p.fail(t.offset, "something is missing at the end")
+		return nil, p.fail(t.offset, "the expression is incomplete")
 	case p.nextIs("("):
 		if err := p.advance(); err != nil {
 			return nil, err
@@ -212,7 +214,7 @@
 	case t.kind == tokenName && t.text != "true" && t.text != "false":
 		return p.fieldOrCall()
 	case t.kind == tokenSign:
-		return nil, p.fail(t.offset, "%q stands where a value should", t.text)
+		return nil, p.fail(t.offset, "unexpected %q where a value is needed", t.text)
 	}
 	return p.literal()
 }
@@ -228,7 +230,7 @@
 	}
 	field, index := p.schema.findField(name.text)
 	if field == nil {
-		return nil, p.fail(name.offset, "%.40q is no field: there are %s",
+		return nil, p.fail(name.offset, "%.40q is not a field: there are %s",
 			name.text, p.schema.fieldNames())
 	}
 	n := &node{op: opField, valueType: field.Type, offset: name.offset, field: field, index: index}
--- a/match/pattern.go
+++ b/match/pattern.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// pattern is a glob over bytes: * matches any number of bytes, also none, ? exactly one (so it does
-// not match a character of several bytes), and \ takes the next byte as it is. Matching backtracks
-// only to the last star, so it compares at most len(s) times len(pattern) bytes.
+// pattern is a glob over bytes: * matches any number of bytes, including none, ? matches exactly
+// one byte (so not a character of several bytes), and \ makes the next byte literal. Matching
+// backtracks only to the last star, so it compares at most len(s) times len(pattern) bytes.
 type pattern struct {
 	source         string
-	text           string // the pattern with its escapes taken out
+	text           string // the pattern without its escapes
 	isStar         []bool // by index in text
 	isQuestionMark []bool // by index in text
 }
@@ -28,7 +28,7 @@
 			i++
 			add(source[i], false, false)
 		case c == '*' && afterStar:
-			// Adjacent stars equal one.
+			// Adjacent stars are equivalent to one.
 		default:
 			add(c, c == '*', c == '?')
 		}
@@ -40,8 +40,8 @@
 // matches reports whether the pattern matches all of s.
 func (p *pattern) matches(s string) bool {
 	at := 0        // in the pattern
-	lastStar := -1 // in the pattern; -1: there was none
-	starEnd := 0   // in s: where the last star's match ends
+	lastStar := -1 // in the pattern; -1: none so far
+	starEnd := 0   // in s: end of the last star's match
 	for i := 0; i < len(s); {
 		switch {
 		case at < len(p.text) && p.isStar[at]:
@@ -51,7 +51,7 @@
 		case at < len(p.text) && (p.isQuestionMark[at] || p.text[at] == s[i]):
 			at++
 			i++
-		case lastStar >= 0: // the star has to match one byte more
+		case lastStar >= 0: // extends the last star's match by one byte
 			starEnd++
 			at = lastStar + 1
 			i = starEnd
--- a/match/requirements.go
+++ b/match/requirements.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Requirement is what holds for every row on which a condition holds: a field has one of some
-// values, or begins with a text.
+// Requirement is a necessary condition of an expression, met by every row on which that holds: a
+// field has one of some values, or starts with a text.
 type Requirement struct {
 	Field  string
-	Equal  []Value // one of these; nil: it begins with Prefix
+	Equal  []Value // the field has one of these; nil: it starts with Prefix
 	Prefix string
 }
 
-// Requires returns what the outermost conjunction of a condition requires, without evaluating it.
-// There may be nothing.
+// Requires returns the requirements in the outermost conjunction of a condition, without
+// evaluating it. There may be none.
 func (e *Expr) Requires() []Requirement { return e.tree.requirements(nil) }
 
 // requirements appends the requirements of a condition.
@@ -46,8 +46,8 @@
 	return all
 }
 
-// NeverEmpty reports whether it can be shown that a text is never empty, provided that the fields
-// named are never empty.
+// NeverEmpty reports whether a text is provably never empty, provided that the named fields are
+// never empty.
 func (e *Expr) NeverEmpty(filled ...string) bool { return e.tree.neverEmpty(filled) }
 
 func (n *node) neverEmpty(filled []string) bool {
--- a/match/schema.go
+++ b/match/schema.go
@@ -18,25 +18,25 @@
 
 var typeNames = [...]string{"truth value", "number", "duration", "text"}
 
-// String is the name of the type in error messages.
+// String returns the name of the type for error messages.
 func (t Type) String() string { return typeNames[t] }
 
-// Field is a field that expressions may name.
+// Field is a field that expressions may refer to.
 type Field struct {
 	Name     string
 	Type     Type
-	MaxBytes int // of a text: longer ones are cut before they are matched
+	MaxBytes int // of a text; longer ones are truncated before evaluation
 }
 
-// Schema is the fields that there are, in the order of a Row's values, and the bounds of labels.
-// Labels are texts with names that are not known beforehand: label("store").
+// Schema holds the fields, in the order of a Row's values, and the bounds of labels. Labels are
+// texts whose names are not known in advance: label("store").
 type Schema struct {
 	Fields        []Field
-	MaxLabels     int // of a row; 0: there is no function label
+	MaxLabels     int // of a row; 0: expressions can't use labels
 	MaxLabelBytes int // of a label's name and of its value
 }
 
-// fieldNames lists the fields, for error messages.
+// fieldNames lists the names of the fields for error messages.
 func (s *Schema) fieldNames() string {
 	var names []string
 	for _, f := range s.Fields {
@@ -45,7 +45,7 @@
 	return strings.Join(names, ", ")
 }
 
-// findField returns a field and its index; nil: there is none of this name.
+// findField returns the field of a name and its index, or nil if there is none.
 func (s *Schema) findField(name string) (*Field, int) {
 	for i := range s.Fields {
 		if s.Fields[i].Name == name {
@@ -80,19 +80,20 @@
 // Label is one label of a row.
 type Label struct{ Name, Value string }
 
-// Row is what expressions are evaluated on: values in the schema's order, and labels. What is past
-// the schema's bounds is cut: texts that are too long, labels past their number.
+// Row is the input of an evaluation: values in the schema's order, and labels. Texts that are
+// longer than the schema's bounds are truncated, and labels beyond their maximum number are
+// ignored.
 type Row struct {
 	Values []Value
 	Labels []Label
 }
 
-// Bounds are what an expression may cost.
+// Bounds limits the size and the cost of an expression.
 type Bounds struct {
 	SourceBytes int
-	Depth       int // of parentheses, operators and functions within each other
-	Steps       int // of one evaluation; a step takes some nanoseconds
+	Depth       int // nesting of parentheses, operators and functions
+	Steps       int // maximum cost of one evaluation; a step takes some nanoseconds
 }
 
-// DefaultBounds returns bounds by which no evaluation takes over 50 microseconds.
+// DefaultBounds returns bounds within which no evaluation takes over 50 microseconds.
 func DefaultBounds() Bounds { return Bounds{SourceBytes: 16 << 10, Depth: 200, Steps: 2500} }
--- a/match/tree.go
+++ b/match/tree.go
@@ -2,7 +2,7 @@
 
 import "regexp"
 
-// op is what a node does.
+// op is the operation of a node.
 type op int
 
 const (
@@ -17,7 +17,7 @@
 	opIf    // condition ? a : b
 	opEqual // of any type; negated: not equal
 	opLess  // of numbers, durations or texts; negated: at least
-	opIn    // one of a list of literals
+	opIn    // is one of a list of literals
 	opStartsWith
 	opEndsWith
 	opContains
@@ -37,10 +37,10 @@
 	opLength
 	opMin
 	opMax
-	opNumber // that a text begins with
+	opNumber // with which a text starts
 )
 
-// node is a node of an expression's tree. Which of the fields below args count depends on op.
+// node is a node of an expression's tree. Which of the fields below args are used depends on op.
 type node struct {
 	op        op
 	valueType Type
@@ -56,10 +56,10 @@
 	set           []Value     // of opIn, sorted
 	pattern       *pattern    // of opLike
 	regex         *regexp.Regexp
-	programLength int // instructions of regex
+	programLength int // number of instructions of regex
 }
 
-// walk visits a node and all below it.
+// walk visits a node and all its descendants.
 func (n *node) walk(visit func(*node)) {
 	visit(n)
 	for _, a := range n.args {
--- a/match/types.go
+++ b/match/types.go
@@ -9,15 +9,15 @@
 	"%": opRemainder,
 }
 
-// textOps are the operators that compare the bytes of two texts.
+// textOps are the operators that look for one text in another, bytewise.
 var textOps = map[string]op{
 	"startswith": opStartsWith,
 	"endswith":   opEndsWith,
 	"contains":   opContains,
 }
 
-// combine checks the types of the two sides of a binary operator, and returns its node. Operators
-// that differ by a negation or by the order of their sides share an op.
+// combine checks the types of the operands of a binary operator, and returns its node. Operators
+// that differ only by negation or by the order of their operands share an op.
 func (p *parser) combine(left, right *node, sign string, offset int) (*node, error) {
 	n := &node{valueType: Bool, offset: offset, args: []*node{left, right}}
 	sameType := left.valueType == right.valueType
@@ -49,14 +49,15 @@
 		return p.combineArithmetic(left, right, sign, offset)
 	}
 	if !fits {
-		return nil, p.fail(offset, "%s does not go with a %v and a %v",
+		return nil, p.fail(offset, "%s can't be applied to a %v and a %v",
 			sign, left.valueType, right.valueType)
 	}
 	return n, nil
 }
 
-// combineArithmetic is combine for arithmetic: durations add to durations, and are multiplied and
-// divided by numbers; a duration over a duration is a number. Texts are joined by +.
+// combineArithmetic is combine for arithmetic operators. Durations can be added, subtracted and
+// divided with remainder, and multiplied and divided by numbers; a duration divided by a duration
+// is a number. + also concatenates texts.
 func (p *parser) combineArithmetic(left, right *node, sign string, offset int) (*node, error) {
 	n := &node{op: arithmeticOps[sign], offset: offset, args: []*node{left, right}}
 	a, b := left.valueType, right.valueType
@@ -75,7 +76,7 @@
 		n.op = opConcat
 		n.valueType = Text
 	default:
-		return nil, p.fail(offset, "%s does not go with a %v and a %v", sign, a, b)
+		return nil, p.fail(offset, "%s can't be applied to a %v and a %v", sign, a, b)
 	}
 	return n, nil
 }
