--- a/cmd/mintkeel/configcommands.go
+++ b/cmd/mintkeel/configcommands.go
@@ -78,7 +78,7 @@
 	case len(document) > config.MaxDocument:
 		return nil, fmt.Errorf("%s: has over %d bytes", path, config.MaxDocument)
 	case len(document) == 0:
-		return nil, fmt.Errorf("%s: is empty: to turn all off, put a file that holds only a comment", path)
+		return nil, fmt.Errorf("%s: is empty: to turn all off, put a file with only a comment", path)
 	}
 	return document, nil
 }
--- a/cmd/mintkeel/fleetprint.go
+++ b/cmd/mintkeel/fleetprint.go
@@ -21,7 +21,7 @@
 
 func printLeases(out io.Writer, s control.Status) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	source := "as last reported to " + s.Self
+	source := "as " + s.Self + " last received them"
 	if s.Agreed {
 		source = "as the quorum agreed, as far as " + s.Self + " knows"
 	}
--- a/cmd/mintkeel/fleetversions_test.go
+++ b/cmd/mintkeel/fleetversions_test.go
@@ -61,7 +61,7 @@
 }
 
 // A version of the fleet's document is applied in one step by the code of a reload; a document that can't be used changes
-// nothing. A reload keeps the version in force, and applies the controller's own blocks beside it.
+// nothing. A reload keeps the version in force, and also applies the controller's own blocks.
 func TestVersionIsAppliedInOneStepAndSurvivesReload(t *testing.T) {
 	h, d, _ := startConfigDaemon(t, validConfig)
 	c := h.dial()
--- a/cmd/mintkeel/memoryprint.go
+++ b/cmd/mintkeel/memoryprint.go
@@ -17,7 +17,7 @@
 		report.Serial, (time.Duration(report.AgeMS) * time.Millisecond).Round(time.Millisecond),
 		report.Build)
 	if !report.Complete {
-		fmt.Fprintln(out, "some of its sections are damaged and were skipped")
+		fmt.Fprintln(out, "some of its sections could not be used and were skipped")
 	}
 	fmt.Fprintf(out, "%d records: %d restorable now, %d expired, %d from the future, "+
 		"%d invalid\n",
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "mintkeel")
 	if out, err := exec.Command("go", "build", "-o", binary, "mintkeel/cmd/mintkeel").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("building the daemon: %v: %s", err, out)
 	}
 	return binary
 }
--- a/cmd/mintkeel/shutdown_test.go
+++ b/cmd/mintkeel/shutdown_test.go
@@ -75,7 +75,7 @@
 		h.signals <- syscall.SIGTERM
 		for id := 1; ; id++ {
 			if err := active.query(id, "1"); err != nil {
-				t.Fatalf("query %d: %v", id, err)
+				t.Fatalf("sending query %d during the shutdown: %v", id, err)
 			}
 			if got, err := active.readMessageKinds(); err == io.EOF && got == "" {
 				break // the session was closed before the query was read
--- a/cmd/mintkeel/testdaemon_test.go
+++ b/cmd/mintkeel/testdaemon_test.go
@@ -92,7 +92,7 @@
 	c.t.Helper()
 	got, err := c.readMessageKinds()
 	if err != nil {
-		c.t.Fatalf("after %q: %v", got, err)
+		c.t.Fatalf("reading an answer, after the message kinds %q: %v", got, err)
 	}
 	return got
 }
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -55,7 +55,7 @@
 		}
 		e, err := match.Compile(source, typ, schema, match.DefaultBounds())
 		if err != nil {
-			t.Errorf("%s: %v", source, err)
+			t.Errorf("%s: does not compile: %v", source, err)
 			continue
 		}
 		var s match.Scratch
@@ -200,7 +200,7 @@
 		if err != nil {
 			var why *match.Error
 			if refused++; !errors.As(err, &why) || !strings.Contains(why.Reason, "steps, of") && !strings.Contains(why.Reason, "longer") {
-				t.Fatalf("%s: %v", drawn.Source, err)
+				t.Fatalf("%s: error %v, want one on cost or length alone", drawn.Source, err)
 			}
 			continue
 		}
