--- a/internal/fleet/block.go
+++ b/internal/fleet/block.go
@@ -44,8 +44,8 @@
 	maxAddressBytes = 256
 )
 
-// nameForm is the form of names of fleets, controllers and leases.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+// namePattern is the form of names of fleets, controllers and leases.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // ReadBlock reads the block fleet. Problems go to the diagnostics.
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) *Block {
@@ -61,7 +61,7 @@
 		Willing:    open.Bool("willing", true),
 	}
 	read.Advertise = open.String("advertise", read.Listen, false, maxAddressBytes)
-	if read.Name != "" && !nameForm.MatchString(read.Name) {
+	if read.Name != "" && !namePattern.MatchString(read.Name) {
 		open.AddProblem("name", "holds other than letters, digits, '.', '_' and '-'")
 	}
 	checkAddress(open, "listen", read.Listen)
@@ -110,7 +110,7 @@
 // voterProblem is what is wrong with a voter; empty: nothing. The other is one with the same
 // address; empty: there is none.
 func voterProblem(name, address, other string) string {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		return fmt.Sprintf("%.64q is no name of a controller", name)
 	}
 	if problem := addressProblem(address); problem != "" {
@@ -130,7 +130,7 @@
 	var names []lease.Name
 	for _, name := range open.Strings("works", maxLeases) {
 		switch {
-		case !nameForm.MatchString(name):
+		case !namePattern.MatchString(name):
 			open.AddProblem("works", fmt.Sprintf("%.64q is no name of a lease", name))
 		case slices.Contains(names, lease.Name(name)):
 			open.AddProblem("works", name+" stands there twice")
--- a/internal/fleet/config_folder_test.go
+++ b/internal/fleet/config_folder_test.go
@@ -20,18 +20,18 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
 	f.stop(3)
-	older := filepath.Join(f.dir, "older")
-	if err := os.CopyFS(older, os.DirFS(f.configFolder(3))); err != nil {
+	olderCopy := filepath.Join(f.dir, "older")
+	if err := os.CopyFS(olderCopy, os.DirFS(f.configFolder(3))); err != nil {
 		t.Fatal(err)
 	}
 	f.start(3)
 	two := f.put(0, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1, 2, 3)
+	f.awaitInForce(two, []byte("two"), 0, 1, 2, 3)
 	for name, prepare := range map[string]func() error{
 		"emptied":  func() error { return nil },
-		"an older": func() error { return os.CopyFS(f.configFolder(3), os.DirFS(older)) },
+		"an older": func() error { return os.CopyFS(f.configFolder(3), os.DirFS(olderCopy)) },
 	} {
 		f.stop(3)
 		if err := os.RemoveAll(f.configFolder(3)); err != nil {
@@ -45,9 +45,9 @@
 		if local := f.services[3].WaitConfig(context.Background()); local.Number != 2 {
 			t.Errorf("%s: started as %+v", name, local)
 		}
-		f.inForce(two, []byte("two"), 3)
+		f.awaitInForce(two, []byte("two"), 3)
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
 
 // A controller starts with damaged files. They are counted and dropped, and their documents fetched again.
@@ -55,7 +55,7 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	v := f.put(0, []byte("one"))
-	f.inForce(v, []byte("one"), 0, 1, 2, 3)
+	f.awaitInForce(v, []byte("one"), 0, 1, 2, 3)
 	f.stop(3)
 	files, err := os.ReadDir(f.configFolder(3))
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	f.hosts[3] = &fakeHost{}
 	f.start(3)
-	f.inForce(v, []byte("one"), 3)
+	f.awaitInForce(v, []byte("one"), 3)
 	// The document is damaged, and the record counts for nothing without it.
 	if n := f.services[3].config.DamagedFiles(); n != 2 {
 		t.Errorf("%d files are counted", n)
@@ -81,35 +81,35 @@
 // new one once there is room.
 func TestFullDiskKeepsTheVersionInForce(t *testing.T) {
 	t.Parallel()
-	full := disktest.New()
-	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = full })
+	fullDisk := disktest.New()
+	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = fullDisk })
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
-	full.Fill(0)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
+	fullDisk.Fill(0)
 	two := f.put(0, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1, 2)
-	f.statusIs(0, "not stored at one", func(s *config.Status) bool {
+	f.awaitInForce(two, []byte("two"), 0, 1, 2)
+	f.awaitStatus(0, "not stored at one", func(s *config.Status) bool {
 		return s.InForce == 3 && slices.ContainsFunc(slices.Concat(s.Behind, s.Rejected),
 			func(r config.ControllerReport) bool {
 				return r.ID == "n3" && r.Applied == one.Number && strings.Contains(r.Reason, "no space left")
 			})
 	})
-	if !f.hosts[3].uses(one.Number, []byte("one")) || f.services[3].config.StoreFailures() == 0 {
+	if !f.hosts[3].usesVersion(one.Number, []byte("one")) || f.services[3].config.StoreFailures() == 0 {
 		t.Error("the version before is not in force, or the failure is not counted")
 	}
-	full.Fill(-1)
-	f.inForce(two, []byte("two"), 3)
-	f.neverOlder()
+	fullDisk.Fill(-1)
+	f.awaitInForce(two, []byte("two"), 3)
+	f.checkVersionsNeverDecrease()
 }
 
-// openedDisk signals when it is about to be opened.
-type openedDisk struct {
+// openSignalDisk signals when it is about to be opened.
+type openSignalDisk struct {
 	*disktest.Disk
 	opened chan struct{}
 }
 
 // Make is the first operation on a folder that is opened.
-func (d *openedDisk) Make() error {
+func (d *openSignalDisk) Make() error {
 	d.opened <- struct{}{}
 	return d.Disk.Make()
 }
@@ -118,19 +118,19 @@
 // other process gets the folder before it works again.
 func TestHangingDiskHoldsUpNothingElse(t *testing.T) {
 	t.Parallel()
-	hanging := &openedDisk{Disk: disktest.New(), opened: make(chan struct{}, 100)}
-	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = hanging })
-	<-hanging.opened
+	hangingDisk := &openSignalDisk{Disk: disktest.New(), opened: make(chan struct{}, 100)}
+	f := startConfigFleet(t, 4, func(f *configFleet) { f.disks[3] = hangingDisk })
+	<-hangingDisk.opened
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
-	release := hanging.Hang()
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
+	releaseDisk := hangingDisk.Hang()
 	two := f.put(3, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1, 2)
+	f.awaitInForce(two, []byte("two"), 0, 1, 2)
 	if s, err := control.Call(context.Background(), f.folder(3),
 		control.Request{Action: "status"}); err != nil || len(s.Members) != 4 {
 		t.Errorf("while the disk hangs: %+v, %v", s, err)
 	}
-	if !f.hosts[3].uses(one.Number, []byte("one")) {
+	if !f.hosts[3].usesVersion(one.Number, []byte("one")) {
 		t.Error("a version is in force that is not durable")
 	}
 	closed := make(chan struct{})
@@ -141,7 +141,7 @@
 		t.Error("closing waits for the disk")
 	}
 	f.start(3)
-	<-hanging.opened
+	<-hangingDisk.opened
 	began := time.Now()
 	f.stop(3) // while it opens the folder
 	if took := time.Since(began); took > 5*time.Second {
@@ -153,9 +153,9 @@
 	if local := f.services[3].WaitConfig(ctx); local != (config.Readiness{}) {
 		t.Errorf("with a disk that hangs it tells %+v", local)
 	}
-	release()
-	f.inForce(two, []byte("two"), 3)
-	f.neverOlder()
+	releaseDisk()
+	f.awaitInForce(two, []byte("two"), 3)
+	f.checkVersionsNeverDecrease()
 }
 
 // configFiles are a folder's files but for the lock.
--- a/internal/fleet/config_helpers_test.go
+++ b/internal/fleet/config_helpers_test.go
@@ -73,8 +73,8 @@
 	h.apply = apply
 }
 
-// numbers are those of the versions it took, in order.
-func (h *fakeHost) numbers() (list []uint64) {
+// appliedNumbers are those of the versions it took, in order.
+func (h *fakeHost) appliedNumbers() (list []uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, v := range h.versions {
@@ -83,8 +83,8 @@
 	return list
 }
 
-// uses reports whether this version is in use, with this document.
-func (h *fakeHost) uses(number uint64, document []byte) bool {
+// usesVersion reports whether this version is in use, with this document.
+func (h *fakeHost) usesVersion(number uint64, document []byte) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.versions) == 0 {
@@ -101,15 +101,15 @@
 
 // configFleet is some services on loopback. The first three are voters.
 type configFleet struct {
-	t        *testing.T
-	dir      string
-	addrs    []string
-	hosts    []*fakeHost
-	disks    []disk.Disk // where versions are stored; nil: in the service's folder
-	services []*Service  // nil: not running
-	change   func(i int, b *Block)
-	off      bool // the fleet has no say in configuration
-	log      *slog.Logger
+	t           *testing.T
+	dir         string
+	addrs       []string
+	hosts       []*fakeHost
+	disks       []disk.Disk // where versions are stored; nil: in the service's folder
+	services    []*Service  // nil: not running
+	changeBlock func(i int, b *Block)
+	noConfig    bool // the fleet has no say in configuration
+	log         *slog.Logger
 }
 
 const configVoters = 3
@@ -117,7 +117,7 @@
 // startConfigFleet starts services; prepare may change what they start with.
 func startConfigFleet(t *testing.T, count int, prepare func(*configFleet)) *configFleet {
 	t.Helper()
-	f := &configFleet{t: t, dir: t.TempDir(), log: quiet, disks: make([]disk.Disk, count),
+	f := &configFleet{t: t, dir: t.TempDir(), log: discardLog, disks: make([]disk.Disk, count),
 		services: make([]*Service, count)}
 	for range count {
 		f.addrs = append(f.addrs, reserveAddress(t))
@@ -146,17 +146,17 @@
 // start begins a service, as a process that starts would.
 func (f *configFleet) start(i int) {
 	f.t.Helper()
-	b := blockOf(f.t, f.dir, i, f.addrs)
+	b := newBlock(f.t, f.dir, i, f.addrs)
 	b.Voters = map[members.ID]string{}
 	for j, addr := range f.addrs[:min(configVoters, len(f.addrs))] {
 		b.Voters[members.ID(fmt.Sprint("n", j))] = addr
 	}
-	if f.change != nil {
-		f.change(i, b)
+	if f.changeBlock != nil {
+		f.changeBlock(i, b)
 	}
 	manager := configuration.NewFolderManager(f.hosts[i].host(), b.Folder)
 	switch {
-	case f.off:
+	case f.noConfig:
 		manager = nil
 	case f.disks[i] != nil:
 		manager = configuration.NewManager(f.hosts[i].host(), f.disks[i])
@@ -175,9 +175,9 @@
 	}
 }
 
-// order asks the i-th controller by its socket.
-func (f *configFleet) order(i int, o configuration.Request) (configuration.Answer, error) {
-	s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "config", Config: &o})
+// request asks the i-th controller by its socket.
+func (f *configFleet) request(i int, request configuration.Request) (configuration.Answer, error) {
+	s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "config", Config: &request})
 	if s.Config == nil {
 		return configuration.Answer{}, err
 	}
@@ -190,7 +190,7 @@
 	var answer configuration.Answer
 	var err error
 	f.eventually("put is answered", func() bool { // a quorum without a leader proposes nothing
-		answer, err = f.order(i, configuration.Request{Action: configuration.ActionPut, Document: document,
+		answer, err = f.request(i, configuration.Request{Action: configuration.ActionPut, Document: document,
 			Author: "a", Reason: "r"})
 		return err == nil
 	})
@@ -201,18 +201,18 @@
 	return *answer.Version
 }
 
-// inForce waits until these controllers use a version.
-func (f *configFleet) inForce(v config.Version, document []byte, which ...int) {
+// awaitInForce waits until these controllers use a version.
+func (f *configFleet) awaitInForce(v config.Version, document []byte, which ...int) {
 	f.t.Helper()
 	for _, i := range which {
 		f.eventually(fmt.Sprintf("version %d is in force at n%d", v.Number, i), func() bool {
-			return f.hosts[i].uses(v.Number, document)
+			return f.hosts[i].usesVersion(v.Number, document)
 		})
 	}
 }
 
-// statusIs waits until the status, as the i-th controller answers it, is as wanted.
-func (f *configFleet) statusIs(i int, what string, is func(*config.Status) bool) {
+// awaitStatus waits until the status, as the i-th controller answers it, is as wanted.
+func (f *configFleet) awaitStatus(i int, description string, condition func(*config.Status) bool) {
 	f.t.Helper()
 	var last *config.Status
 	defer func() {
@@ -220,37 +220,37 @@
 			f.t.Logf("the last status: %+v", last)
 		}
 	}()
-	f.eventually(what, func() bool {
-		answer, err := f.order(i, configuration.Request{Action: configuration.ActionStatus})
+	f.eventually(description, func() bool {
+		answer, err := f.request(i, configuration.Request{Action: configuration.ActionStatus})
 		if err != nil || answer.Status == nil {
 			return false
 		}
 		last = answer.Status
-		return is(last)
+		return condition(last)
 	})
 }
 
-func (f *configFleet) eventually(what string, is func() bool) {
+func (f *configFleet) eventually(description string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("not so in time: %s", what)
+			f.t.Fatalf("not so in time: %s", description)
 		}
 	}
 }
 
-// neverOlder checks that no host took an older version after a newer one.
-func (f *configFleet) neverOlder() {
+// checkVersionsNeverDecrease checks that no host took an older version after a newer one.
+func (f *configFleet) checkVersionsNeverDecrease() {
 	f.t.Helper()
 	for i, h := range f.hosts {
-		if numbers := h.numbers(); !slices.IsSorted(numbers) {
+		if numbers := h.appliedNumbers(); !slices.IsSorted(numbers) {
 			f.t.Errorf("n%d took %v", i, numbers)
 		}
 	}
 }
 
-// acquainted reports whether each knows all to be alive, and one leads.
-func (f *configFleet) acquainted() bool {
+// allMembersAlive reports whether each knows all to be alive, and one leads.
+func (f *configFleet) allMembersAlive() bool {
 	for i := range f.services {
 		s, err := control.Call(context.Background(), f.folder(i), control.Request{Action: "status"})
 		if err != nil || s.Quorum.Leader == "" || len(s.Members) != len(f.services) {
@@ -265,21 +265,21 @@
 	return true
 }
 
-// logRest measures what all send and compute for some seconds, where somebody reads it.
-func (f *configFleet) logRest(what string, cost restingCost) {
+// logIdleCost measures what all send and compute for some seconds, where somebody reads it.
+func (f *configFleet) logIdleCost(label string, cost idleCost) {
 	if !testing.Verbose() {
 		return
 	}
-	bytesBefore, processorBefore, began := f.bytesOut(), processorTime(f.t), time.Now()
+	bytesBefore, processorBefore, began := f.bytesSent(), cpuTime(f.t), time.Now()
 	time.Sleep(30 * time.Second)
 	seconds := time.Since(began).Seconds()
-	f.t.Logf("%s: %+v, of all three: %.0f bytes and %.2f ms of processor time a second", what, cost,
-		float64(f.bytesOut()-bytesBefore)/seconds,
-		float64((processorTime(f.t)-processorBefore).Microseconds())/1000/seconds)
+	f.t.Logf("%s: %+v, of all three: %.0f bytes and %.2f ms of processor time a second", label, cost,
+		float64(f.bytesSent()-bytesBefore)/seconds,
+		float64((cpuTime(f.t)-processorBefore).Microseconds())/1000/seconds)
 }
 
-// processorTime is that of this process.
-func processorTime(t *testing.T) time.Duration {
+// cpuTime is that of this process.
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -288,8 +288,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// bytesOut are those that all have sent.
-func (f *configFleet) bytesOut() (n int64) {
+// bytesSent are those that all have sent.
+func (f *configFleet) bytesSent() (n int64) {
 	for i := range f.services {
 		n += f.linkCount(i, "bytes_out")
 	}
@@ -308,8 +308,8 @@
 	return 0
 }
 
-// leaderOf is the number of the controller that the i-th one takes for the leader.
-func (f *configFleet) leaderOf(i int) int {
+// leaderSeenBy is the number of the controller that the i-th one takes for the leader.
+func (f *configFleet) leaderSeenBy(i int) int {
 	f.t.Helper()
 	status, err := control.Call(f.t.Context(), f.folder(i), control.Request{Action: "status"})
 	if err != nil {
@@ -324,20 +324,20 @@
 	return 0
 }
 
-// logText is a log that a test reads.
-type logText struct {
+// logBuffer is a log that a test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write adds a line.
-func (l *logText) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logText) contains(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -33,46 +33,46 @@
 		if v.Number != uint64(n+1) || v.Author != "a" || v.Reason != "r" || v.Size != len(document) || v.Time == 0 {
 			t.Errorf("agreed on %+v", v)
 		}
-		f.inForce(v, document, all...)
+		f.awaitInForce(v, document, all...)
 	}
-	f.statusIs(4, "in force at all", func(s *config.Status) bool {
+	f.awaitStatus(4, "in force at all", func(s *config.Status) bool {
 		return s.Latest.Number == 3 && s.Members == 5 && s.InForce == 5 && s.ByVersion[3] == 5
 	})
-	tooBig := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
+	oversized := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
 	for size, want := range map[int]string{
-		config.MaxDocument + 1: tooBig.RefuseTooBig().Reason,
+		config.MaxDocument + 1: oversized.RefuseTooBig().Reason,
 		0:                      "the document is empty",
 	} {
-		order := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
-		answer, err := f.order(1, order)
+		request := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
+		answer, err := f.request(1, request)
 		if err != nil || answer.Result != configuration.ResultRefused || answer.Reason != want {
 			t.Errorf("%d bytes: %+v, %v", size, answer, err)
 		}
-		status, err := f.services[1].Ask(control.Request{Action: "config", Config: &order})
+		status, err := f.services[1].Handle(control.Request{Action: "config", Config: &request})
 		if err != nil || status.Config.Result != configuration.ResultRefused || status.Config.Reason != want {
 			t.Errorf("%d bytes, past the bound of the client: %+v, %v", size, status.Config, err)
 		}
 	}
-	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
+	history, err := f.request(3, configuration.Request{Action: configuration.ActionHistory})
 	if err != nil || len(history.Versions) != 3 || history.From == "" || history.Local.Number != 3 {
 		t.Errorf("history: %+v, %v", history, err)
 	}
 	for number, want := range map[uint64][]byte{
 		0: documents[2], 1: documents[0], 2: documents[1], 3: documents[2],
 	} {
-		shown, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: number})
+		shown, err := f.request(4, configuration.Request{Action: configuration.ActionShow, Number: number})
 		if err != nil || !bytes.Equal(shown.Document, want) {
 			t.Errorf("show %d: %d bytes, %v", number, len(shown.Document), err)
 		}
 	}
-	if _, err := f.order(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
+	if _, err := f.request(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
 		t.Error("a version that was never agreed on is shown")
 	}
 	if local := f.services[4].WaitConfig(context.Background()); local.Number != 3 || !local.Confirmed ||
 		local != f.services[4].ConfigReadiness() {
 		t.Errorf("local: %+v", local)
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
 
 // Two operators put at once, both on top of the same version. One wins, and the other is given the version
@@ -84,7 +84,7 @@
 	answers := make(chan configuration.Answer, 2)
 	for i := range 2 {
 		go func() {
-			answer, err := f.order(i, configuration.Request{
+			answer, err := f.request(i, configuration.Request{
 				Action:   configuration.ActionPut,
 				Document: fmt.Append(nil, "by ", i),
 				Expect:   &first.Number,
@@ -103,12 +103,12 @@
 		b.Version.Number != first.Number+1 || b.Version.Hash != a.Version.Hash {
 		t.Fatalf("%+v and %+v", a, b)
 	}
-	stale, err := f.order(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"),
+	stale, err := f.request(2, configuration.Request{Action: configuration.ActionPut, Document: []byte("late"),
 		Expect: &first.Number})
 	if err != nil || stale.Result != configuration.ResultLost {
 		t.Errorf("one that has seen no newer version than the first: %+v, %v", stale, err)
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
 
 // An operator puts a document that the controller asked can't use, or that makes its check panic. It is refused at
@@ -126,7 +126,7 @@
 		return errors.New("line 4: what is this?")
 	})
 	for document, want := range map[string]string{"bad": "line 4", "panic": "the parser is broken"} {
-		answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut,
+		answer, err := f.request(0, configuration.Request{Action: configuration.ActionPut,
 			Document: []byte(document)})
 		if err != nil || answer.Result != configuration.ResultRefused || !strings.Contains(answer.Reason, want) {
 			t.Errorf("%s: %+v, %v", document, answer, err)
@@ -137,7 +137,7 @@
 		t.Errorf("agreed on %+v", v)
 	}
 	f.hosts[0].setCheck(func([]byte) error { return errors.New("no longer") })
-	rollback, err := f.order(0, configuration.Request{Action: configuration.ActionRollback, Number: 1})
+	rollback, err := f.request(0, configuration.Request{Action: configuration.ActionRollback, Number: 1})
 	if err != nil || rollback.Result != configuration.ResultRefused {
 		t.Errorf("rollback to what can't be used any more: %+v, %v", rollback, err)
 	}
@@ -150,23 +150,23 @@
 	f := startConfigFleet(t, 4, nil)
 	f.put(0, []byte("one"))
 	f.put(1, []byte("two"))
-	answer, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 1,
+	answer, err := f.request(3, configuration.Request{Action: configuration.ActionRollback, Number: 1,
 		Author: "b", Reason: "two is bad"})
 	if err != nil || answer.Result != configuration.ResultAgreed || answer.Version.Number != 3 ||
 		answer.Version.RollbackOf != 1 ||
 		answer.Version.Reason != "two is bad" {
 		t.Fatalf("%+v, %v", answer, err)
 	}
-	f.inForce(*answer.Version, []byte("one"), 0, 1, 2, 3)
+	f.awaitInForce(*answer.Version, []byte("one"), 0, 1, 2, 3)
 	seen := uint64(2)
-	if late, err := f.order(2, configuration.Request{Action: configuration.ActionRollback, Number: 2,
+	if late, err := f.request(2, configuration.Request{Action: configuration.ActionRollback, Number: 2,
 		Expect: &seen}); err != nil || late.Result != configuration.ResultLost {
 		t.Errorf("one that has not seen the rollback: %+v, %v", late, err)
 	}
-	if _, err := f.order(3, configuration.Request{Action: configuration.ActionRollback, Number: 8}); err == nil {
+	if _, err := f.request(3, configuration.Request{Action: configuration.ActionRollback, Number: 8}); err == nil {
 		t.Error("rolled back to a version that was never agreed on")
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
 
 // A service without a host for configuration has no folder and no counts for it, and answers
@@ -174,7 +174,7 @@
 func TestServiceWithoutConfigurationHost(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	s, err := Start(blockOf(t, dir, 0, []string{"127.0.0.1:0"}), "n0", nil, nil, quiet)
+	s, err := Start(newBlock(t, dir, 0, []string{"127.0.0.1:0"}), "n0", nil, nil, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 		"a reason too long": {Action: configuration.ActionPut, Document: []byte("y"), Reason: strings.Repeat("a",
 			config.MaxReason+1)},
 	} {
-		if answer, err := f.order(0, o); err != nil || answer.Result != configuration.ResultRefused ||
+		if answer, err := f.request(0, o); err != nil || answer.Result != configuration.ResultRefused ||
 			answer.Reason == "" {
 			t.Errorf("%s: %+v, %v", name, answer, err)
 		}
@@ -251,19 +251,19 @@
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2)
 	f.stop(1)
 	f.stop(2)
 	f.eventually("there is no leader", func() bool {
-		_, err := f.order(0, configuration.Request{Action: configuration.ActionHistory})
+		_, err := f.request(0, configuration.Request{Action: configuration.ActionHistory})
 		return err != nil && strings.Contains(err.Error(), configuration.ErrNoLeader.Error())
 	})
-	answer, err := f.order(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"),
+	answer, err := f.request(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"),
 		Expect: &one.Number})
 	if err != nil || answer.Result != configuration.ResultUnknown || answer.Local.Number != one.Number {
 		t.Errorf("put: %+v, %v", answer, err)
 	}
-	if !f.hosts[0].uses(one.Number, []byte("one")) {
+	if !f.hosts[0].usesVersion(one.Number, []byte("one")) {
 		t.Error("the last version is not in force")
 	}
 }
@@ -275,8 +275,8 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(3, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
-	history, err := f.order(3, configuration.Request{Action: configuration.ActionHistory})
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
+	history, err := f.request(3, configuration.Request{Action: configuration.ActionHistory})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +287,7 @@
 	document := bytes.Repeat([]byte("two"), 200<<10)
 	answered := make(chan configuration.Answer, 1)
 	go func() {
-		answer, err := f.order(3, configuration.Request{Action: configuration.ActionPut, Document: document,
+		answer, err := f.request(3, configuration.Request{Action: configuration.ActionPut, Document: document,
 			Expect: &one.Number})
 		if err != nil {
 			t.Error(err)
@@ -295,7 +295,7 @@
 		answered <- answer
 	}()
 	f.eventually("the leader has the proposal, or has had it agreed on", func() bool {
-		n, err := ask(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
+		n, err := callSession(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
 		return err == nil && n > 0 || len(answered) > 0
 	})
 	f.stop(leader)
@@ -304,14 +304,14 @@
 		t.Fatalf("%+v", answer)
 	}
 	others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == leader })
-	f.inForce(*answer.Version, document, others...)
+	f.awaitInForce(*answer.Version, document, others...)
 	f.start(leader)
-	f.inForce(*answer.Version, document, leader)
+	f.awaitInForce(*answer.Version, document, leader)
 	for i := range f.services {
-		history, err := f.order(i, configuration.Request{Action: configuration.ActionHistory})
+		history, err := f.request(i, configuration.Request{Action: configuration.ActionHistory})
 		if err != nil || len(history.Versions) != 2 || history.Versions[1] != *answer.Version {
 			t.Errorf("n%d: %+v, %v", i, history, err)
 		}
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
--- a/internal/fleet/config_versions_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -30,37 +30,37 @@
 // reports the refusal, and takes the next version.
 func TestVersionRefusedByOneControllerIsReported(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]func(*fakeHost){
+	for name, breakHost := range map[string]func(*fakeHost){
 		"check": func(h *fakeHost) {
 			h.setCheck(func(d []byte) error {
-				return refuse(d, errors.New("can't use this"))
+				return refuseBadDocument(d, errors.New("can't use this"))
 			})
 		},
-		"check panic": func(h *fakeHost) { h.setCheck(func(d []byte) error { return refuse(d, nil) }) },
+		"check panic": func(h *fakeHost) { h.setCheck(func(d []byte) error { return refuseBadDocument(d, nil) }) },
 		"apply": func(h *fakeHost) {
-			h.setApply(func(_ config.Version, d []byte) error { return refuse(d, errors.New("can't use this")) })
+			h.setApply(func(_ config.Version, d []byte) error { return refuseBadDocument(d, errors.New("can't use this")) })
 		},
 		"apply panic": func(h *fakeHost) {
 			h.setApply(func(_ config.Version, d []byte) error {
-				return refuse(d, nil)
+				return refuseBadDocument(d, nil)
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			log := &logText{}
+			log := &logBuffer{}
 			f := startConfigFleet(t, 4, func(f *configFleet) { f.log = slog.New(slog.NewTextHandler(log, nil)) })
-			spoil(f.hosts[3])
+			breakHost(f.hosts[3])
 			before := f.put(0, []byte("good"))
-			f.inForce(before, []byte("good"), 0, 1, 2, 3)
+			f.awaitInForce(before, []byte("good"), 0, 1, 2, 3)
 			bad := f.put(0, []byte("bad"))
-			f.inForce(bad, []byte("bad"), 0, 1, 2)
-			f.statusIs(1, "refused at one", func(s *config.Status) bool {
+			f.awaitInForce(bad, []byte("bad"), 0, 1, 2)
+			f.awaitStatus(1, "refused at one", func(s *config.Status) bool {
 				return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" &&
 					s.Rejected[0].Applied == before.Number &&
 					strings.Contains(s.Rejected[0].Reason, "can't use this")
 			})
-			if !f.hosts[3].uses(before.Number, []byte("good")) {
+			if !f.hosts[3].usesVersion(before.Number, []byte("good")) {
 				t.Error("the version before is not in force")
 			}
 			if !log.contains("can't use this") {
@@ -68,18 +68,18 @@
 			}
 			f.stop(3) // what it refused is not what it starts with
 			f.hosts[3] = &fakeHost{}
-			spoil(f.hosts[3])
+			breakHost(f.hosts[3])
 			f.start(3)
-			f.inForce(before, []byte("good"), 3)
+			f.awaitInForce(before, []byte("good"), 3)
 			next := f.put(0, []byte("better"))
-			f.inForce(next, []byte("better"), 0, 1, 2, 3)
-			f.neverOlder()
+			f.awaitInForce(next, []byte("better"), 0, 1, 2, 3)
+			f.checkVersionsNeverDecrease()
 		})
 	}
 }
 
-// refuse fails for the document "bad", by an error or by a panic.
-func refuse(document []byte, err error) error {
+// refuseBadDocument fails for the document "bad", by an error or by a panic.
+func refuseBadDocument(document []byte, err error) error {
 	if string(document) != "bad" {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	v := f.put(0, []byte("x"))
 	f.eventually("tried twice", func() bool { return f.hosts[0].callCount() >= 2 })
 	f.hosts[0].setApply(nil)
-	f.inForce(v, []byte("x"), 0)
+	f.awaitInForce(v, []byte("x"), 0)
 }
 
 // A controller restarts with a version in its folder. That is in force before WaitConfig returns, also if
@@ -108,15 +108,15 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
 	f.stop(3)
 	two := f.put(0, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1, 2)
+	f.awaitInForce(two, []byte("two"), 0, 1, 2)
 	f.start(3)
 	if local := f.services[3].WaitConfig(context.Background()); !local.Confirmed || local.Number != 2 {
 		t.Errorf("started as %+v", local)
 	}
-	if got := f.hosts[3].numbers(); !slices.Equal(got, []uint64{1, 1, 2}) {
+	if got := f.hosts[3].appliedNumbers(); !slices.Equal(got, []uint64{1, 1, 2}) {
 		t.Errorf("applied %v", got)
 	}
 	for i := range f.services {
@@ -128,10 +128,10 @@
 	if local := f.services[3].WaitConfig(ctx); local.Confirmed || local.Number != 2 {
 		t.Errorf("alone, it tells %+v", local)
 	}
-	if !f.hosts[3].uses(2, []byte("two")) || f.hosts[3].callCount() != 4 {
-		t.Errorf("alone, it applied %v", f.hosts[3].numbers())
+	if !f.hosts[3].usesVersion(2, []byte("two")) || f.hosts[3].callCount() != 4 {
+		t.Errorf("alone, it applied %v", f.hosts[3].appliedNumbers())
 	}
-	f.neverOlder()
+	f.checkVersionsNeverDecrease()
 }
 
 // A controller starts with a stored version that it can't use any more. It goes on without, reports it, and
@@ -140,20 +140,20 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	bad := f.put(0, []byte("bad"))
-	f.inForce(bad, []byte("bad"), 0, 1, 2, 3)
+	f.awaitInForce(bad, []byte("bad"), 0, 1, 2, 3)
 	f.stop(3)
 	f.hosts[3] = &fakeHost{apply: func(_ config.Version, d []byte) error {
-		return refuse(d, errors.New("can't use this"))
+		return refuseBadDocument(d, errors.New("can't use this"))
 	}}
 	f.start(3)
-	f.statusIs(0, "refused at one", func(s *config.Status) bool {
+	f.awaitStatus(0, "refused at one", func(s *config.Status) bool {
 		return s.InForce == 3 && len(s.Rejected) == 1 && s.Rejected[0].ID == "n3" && s.Rejected[0].Applied == 0
 	})
 	if local := f.services[3].ConfigReadiness(); local.Number != 0 {
 		t.Errorf("it tells %+v", local)
 	}
 	next := f.put(0, []byte("better"))
-	f.inForce(next, []byte("better"), 0, 1, 2, 3)
+	f.awaitInForce(next, []byte("better"), 0, 1, 2, 3)
 }
 
 // A fleet is rebuilt as a new generation. The versions of the former one stay in force until there is one
@@ -163,12 +163,12 @@
 	f := startConfigFleet(t, 3, nil)
 	f.put(0, []byte("one"))
 	old := f.put(0, []byte("two"))
-	f.inForce(old, []byte("two"), 0, 1, 2)
+	f.awaitInForce(old, []byte("two"), 0, 1, 2)
 	for i := range f.services {
 		f.stop(i)
 		f.hosts[i] = &fakeHost{}
 	}
-	f.change = func(_ int, b *Block) { b.Generation = 2 }
+	f.changeBlock = func(_ int, b *Block) { b.Generation = 2 }
 	for i := range f.services {
 		if err := os.Rename(f.configFolder(i), f.folder(i)+"-config"); err != nil {
 			t.Fatal(err)
@@ -184,7 +184,7 @@
 		}
 		f.start(i)
 	}
-	f.inForce(old, []byte("two"), 0, 1, 2)
+	f.awaitInForce(old, []byte("two"), 0, 1, 2)
 	if local := f.services[0].WaitConfig(context.Background()); local.Number != 0 || local.Latest != 0 {
 		t.Errorf("in the new generation: %+v", local)
 	}
@@ -192,7 +192,7 @@
 	if next.Number != 1 {
 		t.Errorf("the first of a generation is %+v", next)
 	}
-	f.inForce(next, []byte("three"), 0, 1, 2)
+	f.awaitInForce(next, []byte("three"), 0, 1, 2)
 }
 
 // The session of a service ends by a failure and another begins, once with its folder emptied meanwhile.
@@ -202,7 +202,7 @@
 	t.Parallel()
 	f := startConfigFleet(t, 4, nil)
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2, 3)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2, 3)
 	for _, emptied := range []bool{false, true} {
 		calls, restarts := f.hosts[3].callCount(), f.services[3].counts.restarts.Load()
 		if emptied {
@@ -218,7 +218,7 @@
 			waiting <- err
 		}()
 		f.eventually("a request waits", func() bool {
-			n, err := ask(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
+			n, err := callSession(f.services[3], control.Timeout, func(s *session) int { return s.config.Waiting() })
 			return err == nil && n == 1
 		})
 		f.services[3].post(func(*session) { panic("broken") })
@@ -237,8 +237,8 @@
 		}
 	}
 	two := f.put(3, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1, 2, 3)
-	f.neverOlder()
+	f.awaitInForce(two, []byte("two"), 0, 1, 2, 3)
+	f.checkVersionsNeverDecrease()
 }
 
 // The core should never ask for an older version than the one in force, or for another document of its
@@ -269,7 +269,7 @@
 			t.Errorf("%d of generation %d: %v", step.next.Version.Number, step.next.Generation, err)
 		}
 	}
-	if got := h.numbers(); !slices.Equal(got, []uint64{5, 6, 1}) {
+	if got := h.appliedNumbers(); !slices.Equal(got, []uint64{5, 6, 1}) {
 		t.Errorf("applied %v", got)
 	}
 	c.Close()
@@ -290,8 +290,8 @@
 	one := f.put(0, []byte("one"))
 	f.eventually("the host is asked", func() bool { return f.hosts[2].callCount() == 1 })
 	two := f.put(2, []byte("two"))
-	f.inForce(two, []byte("two"), 0, 1)
-	f.statusIs(2, "behind at one", func(s *config.Status) bool { return s.InForce == 2 })
+	f.awaitInForce(two, []byte("two"), 0, 1)
+	f.awaitStatus(2, "behind at one", func(s *config.Status) bool { return s.InForce == 2 })
 	if n := f.hosts[2].callCount(); n != 1 {
 		t.Errorf("%d calls at once", n)
 	}
@@ -303,7 +303,7 @@
 		t.Error("closing waits for the host")
 	}
 	close(release)
-	f.eventually("the call has ended", func() bool { return f.hosts[2].uses(one.Number, []byte("one")) })
+	f.eventually("the call has ended", func() bool { return f.hosts[2].usesVersion(one.Number, []byte("one")) })
 	if n := f.hosts[2].callCount(); n != 1 {
 		t.Errorf("%d calls, one of them after the end", n)
 	}
@@ -315,7 +315,7 @@
 	t.Parallel()
 	f := startConfigFleet(t, 3, nil)
 	one := f.put(0, []byte("one"))
-	f.inForce(one, []byte("one"), 0, 1, 2)
+	f.awaitInForce(one, []byte("one"), 0, 1, 2)
 	keys, err := frames.ReadKeys(filepath.Join(f.dir, "key"))
 	if err != nil {
 		t.Fatal(err)
@@ -332,24 +332,24 @@
 		"another generation": {Fleet: "t", Generation: 2, From: "n1", Run: 1},
 		"another key":        {Fleet: "t", Generation: 1, From: "n1", Run: 1},
 	} {
-		own := keys
+		foreignKeys := keys
 		if name == "another key" {
-			own = frames.Keys{bytes.Repeat([]byte{9}, 32)}
+			foreignKeys = frames.Keys{bytes.Repeat([]byte{9}, 32)}
 		}
-		stranger := links.New(hello, own, links.DefaultBounds(), func(links.Received) {}, quiet)
+		foreign := links.New(hello, foreignKeys, links.DefaultBounds(), func(links.Received) {}, discardLog)
 		for i, addr := range f.addrs {
-			stranger.Send(members.ID(fmt.Sprint("n", i)), addr, payload)
+			foreign.Send(members.ID(fmt.Sprint("n", i)), addr, payload)
 		}
 		for _, s := range f.services {
 			f.eventually(name+" is turned away", func() bool { return rejectedConnections(s) > 0 })
 		}
-		stranger.Close()
+		foreign.Close()
 	}
 	two := f.put(1, []byte("two"))
 	if two.Number != one.Number+1 {
 		t.Errorf("agreed on %+v", two)
 	}
-	f.inForce(two, []byte("two"), 0, 1, 2)
+	f.awaitInForce(two, []byte("two"), 0, 1, 2)
 	for i, s := range f.services {
 		f.eventually(fmt.Sprintf("n%d has heard of the second version, and of no later one", i), func() bool {
 			return s.ConfigReadiness().Latest == two.Number
@@ -367,43 +367,43 @@
 	return n
 }
 
-// restingCost is what a fleet of three needs while nothing happens.
-type restingCost struct{ goroutines, descriptors int }
+// idleCost is what a fleet of three needs while nothing happens.
+type idleCost struct{ goroutines, descriptors int }
 
-func measureRest(t *testing.T) restingCost {
+func measureIdleCost(t *testing.T) idleCost {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip("descriptors can't be counted here")
 	}
-	return restingCost{runtime.NumGoroutine(), len(open)}
+	return idleCost{runtime.NumGoroutine(), len(open)}
 }
 
 // A fleet with a version in force needs no more goroutines and descriptors at rest than one that does not
 // use configuration, but for the lock of each folder.
 func TestConfigAtRest(t *testing.T) {
-	var off restingCost
+	var baseline idleCost
 	t.Run("off", func(t *testing.T) {
-		f := startConfigFleet(t, 3, func(f *configFleet) { f.off = true })
-		f.eventually("all know each other", func() bool { return f.acquainted() })
+		f := startConfigFleet(t, 3, func(f *configFleet) { f.noConfig = true })
+		f.eventually("all know each other", func() bool { return f.allMembersAlive() })
 		for range 100 { // connections come and go: the most within a while
-			now := measureRest(t)
-			off.goroutines, off.descriptors = max(off.goroutines, now.goroutines), max(off.descriptors,
+			now := measureIdleCost(t)
+			baseline.goroutines, baseline.descriptors = max(baseline.goroutines, now.goroutines), max(baseline.descriptors,
 				now.descriptors)
 			time.Sleep(20 * time.Millisecond)
 		}
-		f.logRest("off", off)
+		f.logIdleCost("off", baseline)
 	})
 	t.Run("on", func(t *testing.T) {
 		f := startConfigFleet(t, 3, nil)
 		v := f.put(0, []byte("x"))
-		f.inForce(v, []byte("x"), 0, 1, 2)
+		f.awaitInForce(v, []byte("x"), 0, 1, 2)
 		const locks = 3
-		var now restingCost
+		var now idleCost
 		f.eventually("no more is needed", func() bool {
-			now = measureRest(t)
-			return now.goroutines <= off.goroutines && now.descriptors <= off.descriptors+locks
+			now = measureIdleCost(t)
+			return now.goroutines <= baseline.goroutines && now.descriptors <= baseline.descriptors+locks
 		})
-		f.logRest("on", now)
+		f.logIdleCost("on", now)
 	})
 }
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -32,8 +32,8 @@
 // Handler answers requests. It is called by the goroutines of connections, several at once, and may
 // wait for as long as the request may take.
 type Handler interface {
-	// Ask does what a request asks, and returns the state after it.
-	Ask(r Request) (Status, error)
+	// Handle does what a request asks, and returns the state after it.
+	Handle(r Request) (Status, error)
 	// MaxConfigBytes bounds a request about configuration.
 	MaxConfigBytes() int64
 }
@@ -85,7 +85,7 @@
 	request, err := readRequest(line, tooLong)
 	if err == nil {
 		conn.SetDeadline(time.Now().Add(request.maxDuration() + socketTimeout))
-		reply, err = handler.Ask(request)
+		reply, err = handler.Handle(request)
 	}
 	if err != nil {
 		reply.Error = err.Error()
--- a/internal/fleet/faultinjection/job.go
+++ b/internal/fleet/faultinjection/job.go
@@ -57,9 +57,9 @@
 	return []job.Job{j}
 }
 
-func (j *effectJob) Began(job.Context, lease.Grant)             {}
-func (j *effectJob) Ended(lease.Grant)                          {}
-func (j *effectJob) VerdictReceived(node.EffectResponse)        {}
+func (j *effectJob) LeaseAcquired(job.Context, lease.Grant)     {}
+func (j *effectJob) LeaseLost(lease.Grant)                      {}
+func (j *effectJob) EffectResponseReceived(node.EffectResponse) {}
 func (j *effectJob) StateReceived(job.Context, node.Checkpoint) {}
 func (j *effectJob) Close()                                     { close(j.end) }
 
--- a/internal/fleet/inbox.go
+++ b/internal/fleet/inbox.go
@@ -11,8 +11,8 @@
 
 // Errors of requests.
 var (
-	errBusy   = errors.New("the controller does not answer in time")
-	errEnding = errors.New("the controller is ending")
+	errBusy         = errors.New("the controller does not answer in time")
+	errShuttingDown = errors.New("the controller is ending")
 )
 
 // post has a function called by the session's goroutine. It does not wait: with a full inbox the
@@ -21,31 +21,31 @@
 	select {
 	case s.inbox <- f:
 	default:
-		s.counts.full.Add(1)
+		s.counts.inboxFull.Add(1)
 	}
 }
 
-// ask has a function called by the session's goroutine, and returns its result. After errBusy or
-// errEnding it may have been called, or be called yet.
-func ask[T any](s *Service, timeout time.Duration, f func(*session) T) (T, error) {
+// callSession has a function called by the session's goroutine, and returns its result. After errBusy or
+// errShuttingDown it may have been called, or be called yet.
+func callSession[T any](s *Service, timeout time.Duration, f func(*session) T) (T, error) {
 	reply := make(chan T, 1)
-	var none T
+	var zero T
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s.inbox <- func(session *session) { reply <- f(session) }:
 	case <-timer.C:
-		return none, errBusy
+		return zero, errBusy
 	case <-s.ctx.Done():
-		return none, errEnding
+		return zero, errShuttingDown
 	}
 	select {
 	case result := <-reply:
 		return result, nil
 	case <-timer.C:
-		return none, errBusy
+		return zero, errBusy
 	case <-s.done:
-		return none, errEnding
+		return zero, errShuttingDown
 	}
 }
 
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -8,16 +8,16 @@
 
 // Job does the work of a lease. Every job is called for every lease, and ignores all but its own.
 type Job interface {
-	// Began reports a lease that this controller holds from now on.
-	Began(c Context, grant lease.Grant)
-	// Ended reports a lease that this controller holds no more.
-	Ended(grant lease.Grant)
+	// LeaseAcquired reports a lease that this controller holds from now on.
+	LeaseAcquired(c Context, grant lease.Grant)
+	// LeaseLost reports a lease that this controller holds no more.
+	LeaseLost(grant lease.Grant)
 	// Tick is called about each 100 ms; now is Context.Now.
 	Tick(c Context, now float64)
 	// EffectReceived reports an effect of a lease holder that passed the fencing check here.
 	EffectReceived(c Context, from members.ID, effect node.Effect)
-	// VerdictReceived reports whether the receiver accepted an effect of this controller.
-	VerdictReceived(response node.EffectResponse)
+	// EffectResponseReceived reports whether the receiver accepted an effect of this controller.
+	EffectResponseReceived(response node.EffectResponse)
 	// MessageReceived takes in a message of another controller's job. It is false for a message of
 	// another kind of job, which is then offered to the next one.
 	MessageReceived(c Context, from members.ID, data []byte) bool
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -24,9 +24,9 @@
 // updateLeases hands on the names of SetLeases, if they were set since the last call.
 func (s *session) updateLeases() {
 	names := s.leases.Load()
-	if names == s.knownLeases {
+	if names == s.appliedLeases {
 		return
 	}
-	s.knownLeases = names
+	s.appliedLeases = names
 	s.core.SetLeases(s.Now(), *names)
 }
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -27,7 +27,7 @@
 func TestSetLeasesCountsWhileRunning(t *testing.T) {
 	dir := t.TempDir()
 	addr := reserveAddress(t)
-	s, err := Start(blockOf(t, dir, 0, []string{addr}), "n0", nil, nil, quiet)
+	s, err := Start(newBlock(t, dir, 0, []string{addr}), "n0", nil, nil, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -123,8 +123,8 @@
 // on as it began.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// Began takes in that this controller holds the lease. It reads the agreed state before all else.
-func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
+// LeaseAcquired takes in that this controller holds the lease. It reads the agreed state before all else.
+func (j *Job) LeaseAcquired(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
 	}
@@ -137,8 +137,8 @@
 	jobContext.RequestState(Lease)
 }
 
-// Ended takes in that this controller holds the lease no more.
-func (j *Job) Ended(grant lease.Grant) {
+// LeaseLost takes in that this controller holds the lease no more.
+func (j *Job) LeaseLost(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
 		j.stateRead = false
@@ -151,8 +151,8 @@
 	j.group.Wait()
 }
 
-// VerdictReceived is of no use here: an announcement is repeated whatever became of it.
-func (j *Job) VerdictReceived(node.EffectResponse) {}
+// EffectResponseReceived is of no use here: an announcement is repeated whatever became of it.
+func (j *Job) EffectResponseReceived(node.EffectResponse) {}
 
 // Tick confirms what this controller holds and, where it holds the lease, makes the next step.
 func (j *Job) Tick(jobContext job.Context, now float64) {
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -24,11 +24,11 @@
 	return configuration.MaxRequestBytes
 }
 
-// Ask does what an operator asks, and returns the state after it.
-func (s *Service) Ask(r control.Request) (control.Status, error) {
+// Handle does what an operator asks, and returns the state after it.
+func (s *Service) Handle(r control.Request) (control.Status, error) {
 	switch r.Action {
 	case control.ActionMaintenance:
-		return s.askMaintenance(r.Maintenance)
+		return s.handleMaintenance(r.Maintenance)
 	case control.ActionConfig:
 		answer, err := s.client.Do(r.Config)
 		return control.Status{Config: answer}, err
@@ -37,18 +37,18 @@
 		status control.Status
 		err    error
 	}
-	found, err := ask(s, control.Timeout, func(session *session) outcome {
-		err := session.carryOutRequest(r)
+	result, err := callSession(s, control.Timeout, func(session *session) outcome {
+		err := session.executeRequest(r)
 		return outcome{session.status(), err}
 	})
 	if err != nil {
 		return control.Status{}, err
 	}
-	return found.status, found.err
+	return result.status, result.err
 }
 
-// carryOutRequest does what an operator asks of the core.
-func (s *session) carryOutRequest(r control.Request) error {
+// executeRequest does what an operator asks of the core.
+func (s *session) executeRequest(r control.Request) error {
 	switch r.Action {
 	case control.ActionStatus:
 		return nil
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// errNoAnswer means that the holder of the maintenance lease did not answer a request.
-var errNoAnswer = errors.New(
+// errMaintenanceTimeout means that the holder of the maintenance lease did not answer a request.
+var errMaintenanceTimeout = errors.New(
 	"who conducts maintenance did not answer in time: whether it was done is not known")
 
 // maintenanceJob is what the service needs of the maintenance job, which is one of its jobs where
@@ -119,9 +119,9 @@
 	) (chan maintenance.Status, error)
 }
 
-// askMaintenance forwards an operator's request to the holder of the maintenance lease, and waits
+// handleMaintenance forwards an operator's request to the holder of the maintenance lease, and waits
 // for the answer.
-func (s *Service) askMaintenance(request *maintenance.Request) (control.Status, error) {
+func (s *Service) handleMaintenance(request *maintenance.Request) (control.Status, error) {
 	if request == nil {
 		return control.Status{}, errors.New("nothing is asked for")
 	}
@@ -129,31 +129,33 @@
 		reply chan maintenance.Status
 		err   error
 	}
-	found, err := ask(s, control.Timeout, func(session *session) sent {
-		reply, err := session.sendMaintenance(*request)
+	result, err := callSession(s, control.Timeout, func(session *session) sent {
+		reply, err := session.sendMaintenanceRequest(*request)
 		return sent{reply, err}
 	})
-	err = cmp.Or(err, found.err)
+	err = cmp.Or(err, result.err)
 	if err != nil {
 		return control.Status{}, err
 	}
 	timer := time.NewTimer(control.Timeout)
 	defer timer.Stop()
 	select {
-	case answer := <-found.reply:
+	case answer := <-result.reply:
 		if answer.Error != "" {
 			err = errors.New(answer.Error)
 		}
 		return control.Status{Maintenance: &answer}, err
 	case <-timer.C:
-		return control.Status{}, errNoAnswer
+		return control.Status{}, errMaintenanceTimeout
 	case <-s.done:
-		return control.Status{}, errEnding
+		return control.Status{}, errShuttingDown
 	}
 }
 
-// sendMaintenance has the maintenance job forward a request.
-func (s *session) sendMaintenance(request maintenance.Request) (chan maintenance.Status, error) {
+// sendMaintenanceRequest has the maintenance job forward a request.
+func (s *session) sendMaintenanceRequest(
+	request maintenance.Request,
+) (chan maintenance.Status, error) {
 	for _, j := range s.jobs {
 		if sender, ok := j.(maintenanceJob); ok {
 			return sender.SendRequest(s, s.holder(maintenance.Lease), request)
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -7,13 +7,13 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying
+// maxOutputRounds bounds how often the core's outputs are carried out in one turn of the loop: carrying
 // one out may lead to another.
-const maxOutputs = 8
+const maxOutputRounds = 8
 
-// carryOut does what the core asks for.
-func (s *session) carryOut() error {
-	for range maxOutputs {
+// processOutputs does what the core asks for.
+func (s *session) processOutputs() error {
+	for range maxOutputRounds {
 		out := s.core.Take()
 		for _, envelope := range out.Messages {
 			s.send(envelope)
@@ -54,23 +54,23 @@
 	for _, grant := range out.Began {
 		s.log.Info("fleet: holds a lease", "lease", string(grant.Name), "token", uint64(grant.Token))
 		for _, j := range s.jobs {
-			j.Began(s, grant)
+			j.LeaseAcquired(s, grant)
 		}
 	}
 	for _, grant := range out.Ended {
 		s.log.Info("fleet: lease ended", "lease", string(grant.Name), "token", uint64(grant.Token))
 		for _, j := range s.jobs {
-			j.Ended(grant)
+			j.LeaseLost(grant)
 		}
 	}
 }
 
 // logMembers logs members that are new or in another state.
 func (s *session) logMembers(changes []members.Change) {
-	for _, c := range changes {
-		if c.Member.State != c.Previous || c.New {
-			s.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(),
-				"was", c.Previous.String(), "new", c.New)
+	for _, change := range changes {
+		if change.Member.State != change.Previous || change.New {
+			s.log.Info("fleet: member", "id", string(change.Member.ID), "is", change.Member.State.String(),
+				"was", change.Previous.String(), "new", change.New)
 		}
 	}
 }
@@ -78,17 +78,17 @@
 // notifyJobs hands the jobs what came for them.
 func (s *session) notifyJobs(out node.Output) {
 	for _, received := range out.Effects {
-		s.counts.effects.Add(1)
+		s.counts.effectsAccepted.Add(1)
 		for _, j := range s.jobs {
 			j.EffectReceived(s, received.From, received.Effect)
 		}
 	}
 	for _, response := range out.EffectResponses {
 		if !response.Accepted {
-			s.counts.rejected.Add(1)
+			s.counts.effectsRejected.Add(1)
 		}
 		for _, j := range s.jobs {
-			j.VerdictReceived(response)
+			j.EffectResponseReceived(response)
 		}
 	}
 	for _, message := range out.JobMessages {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -47,7 +47,7 @@
 
 	inbox  chan func(*session) // what others have the session's goroutine do
 	ctx    context.Context
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	group  sync.WaitGroup
 	stop   atomic.Bool
 	leases atomic.Pointer[[]lease.Name] // nil: those of the block
@@ -58,12 +58,12 @@
 
 // counters are what the log reports of the service.
 type counters struct {
-	unread   atomic.Int64 // messages that can't be decoded
-	full     atomic.Int64 // functions dropped as the inbox was full
-	restarts atomic.Int64 // sessions that failed
-	saves    atomic.Int64 // records made durable
-	effects  atomic.Int64 // effects of other controllers that passed the fencing check
-	rejected atomic.Int64 // effects of this controller that did not pass it
+	undecodable     atomic.Int64 // messages that can't be decoded
+	inboxFull       atomic.Int64 // functions dropped as the inbox was full
+	restarts        atomic.Int64 // sessions that failed
+	recordsWritten  atomic.Int64 // records made durable
+	effectsAccepted atomic.Int64 // effectsAccepted of other controllers that passed the fencing check
+	effectsRejected atomic.Int64 // effects of this controller that did not pass it
 }
 
 // Start begins to take part; host is nil without a block config. It fails on what an operator has
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: key_file: %w", err)
 	}
-	if !nameForm.MatchString(self) {
+	if !namePattern.MatchString(self) {
 		return nil, fmt.Errorf(
 			"fleet: the controller's name %.64q holds other than letters, digits, '.', '_' and '-'", self)
 	}
@@ -111,7 +111,7 @@
 func newService(
 	b *Block, self members.ID, jobs []job.Job, manager *configuration.Manager, log *slog.Logger,
 ) *Service {
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
 		block:  *b,
 		self:   self,
@@ -120,7 +120,7 @@
 		config: manager,
 		inbox:  make(chan func(*session), inboxSize),
 		ctx:    ctx,
-		end:    end,
+		cancel: cancel,
 		done:   make(chan struct{}),
 	}
 	s.client = configuration.NewClient(manager, configExecutor{s})
@@ -139,19 +139,19 @@
 
 // randomNonZero draws a number that no other run of a controller has drawn.
 func randomNonZero() uint64 {
-	var b [8]byte
-	crand.Read(b[:]) // never fails
-	return max(1, binary.BigEndian.Uint64(b[:]))
+	var random [8]byte
+	crand.Read(random[:]) // never fails
+	return max(1, binary.BigEndian.Uint64(random[:]))
 }
 
 // receive takes in a message, by a connection's goroutine.
 func (s *Service) receive(r links.Received) {
-	var m node.Message
-	if err := frames.Decoder.Unmarshal(r.Payload, &m); err != nil {
-		s.counts.unread.Add(1)
+	var message node.Message
+	if err := frames.Decoder.Unmarshal(r.Payload, &message); err != nil {
+		s.counts.undecodable.Add(1)
 		return
 	}
-	s.post(func(session *session) { session.core.Receive(session.Now(), r.From, &m) })
+	s.post(func(session *session) { session.core.Receive(session.Now(), r.From, &message) })
 }
 
 // SetKeys reads the file of keys again. After an error the keys stay.
@@ -188,7 +188,7 @@
 
 // Close ends all goroutines and waits for them, but not for a disk that hangs.
 func (s *Service) Close() {
-	s.end()
+	s.cancel()
 	<-s.done
 	s.links.Close()
 	if s.control != nil {
@@ -228,8 +228,8 @@
 
 // discardInbox empties the inbox without effect for a time, as no session runs. It is false if the
 // service ends.
-func (s *Service) discardInbox(d time.Duration) bool {
-	timer := time.NewTimer(d)
+func (s *Service) discardInbox(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	for {
 		select {
@@ -246,12 +246,12 @@
 func (s *Service) LogValue() slog.Value {
 	counts := []slog.Attr{
 		slog.Any("links", s.links),
-		slog.Int64("unread", s.counts.unread.Load()),
-		slog.Int64("full", s.counts.full.Load()),
+		slog.Int64("unread", s.counts.undecodable.Load()),
+		slog.Int64("full", s.counts.inboxFull.Load()),
 		slog.Int64("begun_anew", s.counts.restarts.Load()),
-		slog.Int64("kept", s.counts.saves.Load()),
-		slog.Int64("effects", s.counts.effects.Load()),
-		slog.Int64("turned_away", s.counts.rejected.Load()),
+		slog.Int64("kept", s.counts.recordsWritten.Load()),
+		slog.Int64("effects", s.counts.effectsAccepted.Load()),
+		slog.Int64("turned_away", s.counts.effectsRejected.Load()),
 	}
 	if s.config != nil {
 		counts = append(counts, slog.Attr{Key: "config", Value: s.config.LogValue()})
--- a/internal/fleet/service_test.go
+++ b/internal/fleet/service_test.go
@@ -17,7 +17,7 @@
 	"mintkeel/internal/fleet/control"
 )
 
-func blockOf(t *testing.T, dir string, i int, addrs []string) *Block {
+func newBlock(t *testing.T, dir string, i int, addrs []string) *Block {
 	t.Helper()
 	key := filepath.Join(dir, "key")
 	if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
@@ -32,7 +32,7 @@
 	return b
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // Three services in one process find each other and agree on the holder of a lease. An operator hands it
 // over, requests that make no sense fail, and another controller takes it when the holder shuts down.
@@ -42,24 +42,24 @@
 	for range 3 {
 		addrs = append(addrs, reserveAddress(t))
 	}
-	var all []*Service
+	var services []*Service
 	for i := range addrs {
-		s, err := Start(blockOf(t, dir, i, addrs), fmt.Sprint("n", i), nil, nil, quiet)
+		s, err := Start(newBlock(t, dir, i, addrs), fmt.Sprint("n", i), nil, nil, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, s)
+		services = append(services, s)
 	}
 	closed := map[*Service]bool{}
 	defer func() {
-		for _, s := range all {
+		for _, s := range services {
 			if !closed[s] {
 				s.Close()
 			}
 		}
 	}()
-	owner := func() string {
-		for i, s := range all {
+	holder := func() string {
+		for i, s := range services {
 			if closed[s] {
 				continue
 			}
@@ -71,18 +71,18 @@
 		}
 		return ""
 	}
-	wait := func(what string, is func(owner string) bool) {
+	wait := func(failure string, condition func(holder string) bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !is(owner()); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !condition(holder()); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
 	wait("nobody owns the work", func(o string) bool { return o != "" })
-	first := owner()
+	firstHolder := holder()
 	to := "n0"
-	if first == to {
+	if firstHolder == to {
 		to = "n1"
 	}
 	if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"),
@@ -90,13 +90,13 @@
 		t.Fatal(err)
 	}
 	wait("not handed over", func(o string) bool { return o == to })
-	for _, bad := range []control.Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover",
+	for _, invalid := range []control.Request{{Action: "handover", Lease: "x", To: to}, {Action: "handover",
 		Lease: "w", To: "z"}, {Action: "trust"}, {Action: "jump"}, {Action: "replace", Old: "z"}} {
-		if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), bad); err == nil {
-			t.Errorf("%+v is done", bad)
+		if _, err := control.Call(context.Background(), filepath.Join(dir, "n2"), invalid); err == nil {
+			t.Errorf("%+v is done", invalid)
 		}
 	}
-	for i, s := range all {
+	for i, s := range services {
 		if fmt.Sprint("n", i) == to {
 			s.Stop()
 			wait("the owner ended and nobody took over", func(o string) bool { return o != "" && o != to })
@@ -104,7 +104,7 @@
 			closed[s] = true
 		}
 	}
-	if err := all[2].SetKeys(); err != nil {
+	if err := services[2].SetKeys(); err != nil {
 		t.Error(err)
 	}
 }
@@ -113,22 +113,22 @@
 // The error names the field.
 func TestStartReportsWhatAnOperatorHasToMend(t *testing.T) {
 	dir := t.TempDir()
-	good := func() *Block { return blockOf(t, dir, 0, []string{"127.0.0.1:0"}) }
-	for what, change := range map[string]func(*Block){
+	valid := func() *Block { return newBlock(t, dir, 0, []string{"127.0.0.1:0"}) }
+	for field, change := range map[string]func(*Block){
 		"key_file": func(b *Block) { b.KeyFile = filepath.Join(dir, "none") },
 		"folder":   func(b *Block) { b.Folder = filepath.Join(dir, "no", "such") },
 		"listen":   func(b *Block) { b.Listen = "203.0.113.1:1" },
 	} {
-		b := good()
+		b := valid()
 		change(b)
-		if s, err := Start(b, "n0", nil, nil, quiet); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+		if s, err := Start(b, "n0", nil, nil, discardLog); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: %v", field, err)
 			if s != nil {
 				s.Close()
 			}
 		}
 	}
-	if _, err := Start(good(), "a name with spaces", nil, nil, quiet); err == nil {
+	if _, err := Start(valid(), "a name with spaces", nil, nil, discardLog); err == nil {
 		t.Error("any name is taken")
 	}
 }
@@ -138,8 +138,8 @@
 	if err := safely(func() error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "broken") {
 		t.Error(err)
 	}
-	some := errors.New("some")
-	if err := safely(func() error { return some }); err != some {
+	want := errors.New("some")
+	if err := safely(func() error { return want }); err != want {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -21,11 +21,11 @@
 // session is one run of the core. It belongs to the goroutine of Service.run.
 type session struct {
 	*Service
-	core        *node.Node
-	storage     *storage
-	config      *configuration.Session // nil: no block config
-	knownLeases *[]lease.Name          // last passed to the core; nil: those of the block
-	nextTick    float64                // ms, when jobs and configuration are called again
+	core          *node.Node
+	storage       *storage
+	config        *configuration.Session // nil: no block config
+	appliedLeases *[]lease.Name          // last passed to the core; nil: those of the block
+	nextTick      float64                // ms, when jobs and configuration are called again
 }
 
 // runSession runs the core until the service ends or its disk fails.
@@ -65,14 +65,14 @@
 		session.core.Stop(session.Now())
 	}
 	err = safely(session.loop)
-	session.endLeases()
+	session.notifyLeasesLost()
 	return err
 }
 
 // coreConfig is what a core begins with, but for the fleet's configuration. The founders are the
 // voters of the block, in the same order at each controller.
 func (s *Service) coreConfig(run uint64) node.Config {
-	c := node.Config{
+	config := node.Config{
 		Self: members.Member{
 			ID:      s.self,
 			Addr:    s.block.Advertise,
@@ -86,13 +86,13 @@
 		Seed:        int64(randomNonZero() >> 1),
 	}
 	for id := range s.block.Voters {
-		c.Founders = append(c.Founders, id)
+		config.Founders = append(config.Founders, id)
 	}
-	slices.Sort(c.Founders)
-	for _, id := range c.Founders {
-		c.Seeds = append(c.Seeds, members.Member{ID: id, Addr: s.block.Voters[id]})
+	slices.Sort(config.Founders)
+	for _, id := range config.Founders {
+		config.Seeds = append(config.Seeds, members.Member{ID: id, Addr: s.block.Voters[id]})
 	}
-	return c
+	return config
 }
 
 // safely runs a part of the core. The consensus library panics where it finds its state broken,
@@ -100,8 +100,8 @@
 // and must not end the serving of clients.
 func safely(f func() error) (err error) {
 	defer func() {
-		if x := recover(); x != nil {
-			err = fmt.Errorf("the agreement finds itself broken: %v", x)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("the agreement finds itself broken: %v", recovered)
 		}
 	}()
 	return f()
@@ -118,7 +118,7 @@
 		case f := <-s.inbox:
 			f(s)
 		case result := <-s.storage.results:
-			if err := s.writeEnded(result); err != nil {
+			if err := s.writeCompleted(result); err != nil {
 				return err
 			}
 		case check := <-s.config.Checked():
@@ -130,7 +130,7 @@
 		case <-timer.C:
 			s.core.Tick(s.Now())
 		}
-		if err := s.carryOut(); err != nil {
+		if err := s.processOutputs(); err != nil {
 			return err
 		}
 		now := s.Now()
@@ -152,17 +152,17 @@
 		j.Tick(s, now)
 	}
 	s.config.Observe()
-	return s.carryOut()
+	return s.processOutputs()
 }
 
-// writeEnded has the core go on after a record became durable. A record that could not be written
+// writeCompleted has the core go on after a record became durable. A record that could not be written
 // ends the session.
-func (s *session) writeEnded(result writeResult) error {
-	s.storage.saving = false
+func (s *session) writeCompleted(result writeResult) error {
+	s.storage.writing = false
 	if result.err != nil {
 		return fmt.Errorf("record not kept: %w", result.err)
 	}
-	s.counts.saves.Add(1)
+	s.counts.recordsWritten.Add(1)
 	if result.compaction != nil {
 		s.core.Compacted(s.Now(), result.compaction)
 	} else {
@@ -171,11 +171,11 @@
 	return nil
 }
 
-// endLeases notifies the jobs that this controller holds no lease any more.
-func (s *session) endLeases() {
+// notifyLeasesLost notifies the jobs that this controller holds no lease any more.
+func (s *session) notifyLeasesLost() {
 	for _, grant := range s.core.Held(s.Now()) {
 		for _, j := range s.jobs {
-			j.Ended(grant)
+			j.LeaseLost(grant)
 		}
 	}
 }
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Began takes in that this controller holds the lease.
-func (j *Job) Began(jobContext job.Context, grant lease.Grant) {
+// LeaseAcquired takes in that this controller holds the lease.
+func (j *Job) LeaseAcquired(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
 	}
@@ -108,15 +108,15 @@
 	j.gathered = digest.Collector{}
 }
 
-// Ended takes in that this controller holds the lease no more.
-func (j *Job) Ended(grant lease.Grant) {
+// LeaseLost takes in that this controller holds the lease no more.
+func (j *Job) LeaseLost(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
 	}
 }
 
-// VerdictReceived does nothing: a digest is sent again with the next interval.
-func (j *Job) VerdictReceived(node.EffectResponse) {}
+// EffectResponseReceived does nothing: a digest is sent again with the next interval.
+func (j *Job) EffectResponseReceived(node.EffectResponse) {}
 
 // StateReceived does nothing: the holders of the lease hand nothing on.
 func (j *Job) StateReceived(job.Context, node.Checkpoint) {}
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -19,7 +19,7 @@
 	log     *records.Log
 	writes  chan writeRequest // has room for the one write that is out at a time
 	results chan writeResult  // of the write that is out
-	saving  bool              // a write is out
+	writing bool              // a write is out
 }
 
 // writeRequest is a record to be made durable. One of batch and compaction is set.
@@ -101,7 +101,7 @@
 		return err
 	}
 	request.payload = payload
-	s.saving = true
+	s.writing = true
 	s.writes <- request
 	return nil
 }
@@ -110,7 +110,7 @@
 // the folder stays locked by this process, so nobody takes it meanwhile.
 func (s *storage) close() {
 	close(s.writes)
-	if !s.saving {
+	if !s.writing {
 		s.log.Close()
 		return
 	}
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -59,7 +59,7 @@
 		return 0, fmt.Errorf("n%d does not run here", number)
 	}
 	order := configuration.Request{Action: configuration.ActionPut, Document: document, Author: "rig", Reason: "measurement"}
-	status, err := c.service.Ask(control.Request{Action: "config", Config: &order})
+	status, err := c.service.Handle(control.Request{Action: "config", Config: &order})
 	switch {
 	case err != nil:
 		return 0, err
--- a/internal/lab/scale/hollow/controller.go
+++ b/internal/lab/scale/hollow/controller.go
@@ -78,7 +78,7 @@
 }
 
 func (c *controller) standing() (Standing, error) {
-	status, err := c.service.Ask(control.Request{Action: "status"})
+	status, err := c.service.Handle(control.Request{Action: "status"})
 	if err != nil {
 		return Standing{}, fmt.Errorf("n%d: %w", c.number, err)
 	}
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -37,8 +37,8 @@
 	mostGrants = 1000
 )
 
-// Began notes a lease that this controller holds from now on.
-func (p *probe) Began(_ job.Context, grant lease.Grant) {
+// LeaseAcquired notes a lease that this controller holds from now on.
+func (p *probe) LeaseAcquired(_ job.Context, grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.held == nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Ended notes that a lease is held no more.
-func (p *probe) Ended(grant lease.Grant) {
+// LeaseLost notes that a lease is held no more.
+func (p *probe) LeaseLost(grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.held[grant.Name] == grant.Token {
@@ -139,8 +139,8 @@
 // EffectReceived does nothing.
 func (p *probe) EffectReceived(job.Context, members.ID, node.Effect) {}
 
-// VerdictReceived does nothing.
-func (p *probe) VerdictReceived(node.EffectResponse) {}
+// EffectResponseReceived does nothing.
+func (p *probe) EffectResponseReceived(node.EffectResponse) {}
 
 // MessageReceived leaves messages to other jobs.
 func (p *probe) MessageReceived(job.Context, members.ID, []byte) bool { return false }
