--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -40,7 +40,7 @@
 	})
 	oversized := &configuration.Request{Document: make([]byte, config.MaxDocument+1)}
 	for size, want := range map[int]string{
-		config.MaxDocument + 1: oversized.RefuseTooBig().Reason,
+		config.MaxDocument + 1: oversized.RefuseOversized().Reason,
 		0:                      "the document is empty",
 	} {
 		request := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
@@ -195,7 +195,7 @@
 	if status.Config != nil {
 		t.Errorf("the answer has a part about the configuration: %+v", status.Config)
 	}
-	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxBytes)}
+	long := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, control.MaxRequestBytes)}
 	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
 		Config: &long}); err == nil ||
 		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
@@ -214,7 +214,7 @@
 func TestConfigurationRequestsBeyondBoundsAreRefused(t *testing.T) {
 	t.Parallel()
 	f := startConfigFleet(t, 1, nil)
-	long := strings.Repeat("x", control.MaxBytes)
+	long := strings.Repeat("x", control.MaxRequestBytes)
 	for name, r := range map[string]control.Request{
 		"longer than any may be": {Action: "config",
 			Config: &configuration.Request{Action: configuration.ActionPut, Reason: strings.Repeat("x",
--- a/internal/fleet/config_versions_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -259,8 +259,8 @@
 		want error
 	}{
 		{version(1, 5, "five"), nil},
-		{version(1, 4, "four"), configuration.ErrOlder},
-		{version(1, 5, "other"), configuration.ErrOther},
+		{version(1, 4, "four"), configuration.ErrOlderVersion},
+		{version(1, 5, "other"), configuration.ErrConflictingDocument},
 		{version(1, 5, "five"), nil},
 		{version(1, 6, "six"), nil},
 		{version(2, 1, "one"), nil},
--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -19,21 +19,21 @@
 	ErrNoLeader  = errors.New("the leader of the quorum does not answer")
 	ErrRestarted = errors.New("this controller's part in the fleet ended meanwhile")
 
-	errTimeout = errors.New("no answer in time")
-	errTooMany = errors.New("too many requests at once")
-	errEnding  = errors.New("the controller is ending")
+	errTimeout         = errors.New("no answer in time")
+	errTooManyRequests = errors.New("too many requests at once")
+	errShuttingDown    = errors.New("the controller is ending")
 )
 
-// notBegunError means that the session's goroutine did not take a request, and never will.
-type notBegunError struct{ cause error }
+// notStartedError means that the session's goroutine did not take a request, and never will.
+type notStartedError struct{ cause error }
 
-func (e *notBegunError) Error() string { return e.cause.Error() }
-func (e *notBegunError) Unwrap() error { return e.cause }
+func (e *notStartedError) Error() string { return e.cause.Error() }
+func (e *notStartedError) Unwrap() error { return e.cause }
 
 // hadNoEffect reports whether an error of a request means that the replica was not asked.
 func hadNoEffect(err error) bool {
-	var notBegun *notBegunError
-	return errors.As(err, &notBegun) || errors.Is(err, errTooMany)
+	var notBegun *notStartedError
+	return errors.As(err, &notBegun) || errors.Is(err, errTooManyRequests)
 }
 
 // Executor runs functions on the goroutine of the service's session.
@@ -90,7 +90,7 @@
 
 // put has a document agreed on as the next version, once it is checked here.
 func (c *Client) put(request *Request) (Answer, error) {
-	if reason := c.unusable(request.Document); reason != "" {
+	if reason := c.checkUsable(request.Document); reason != "" {
 		return Answer{Result: ResultRefused, Reason: reason}, nil
 	}
 	if request.Expect != nil {
@@ -100,7 +100,7 @@
 	if err != nil {
 		return history, fmt.Errorf("nothing was proposed: %w", err)
 	}
-	return c.propose(request, request.Document, newest(history.Versions), 0)
+	return c.propose(request, request.Document, newestNumber(history.Versions), 0)
 }
 
 // rollback has an earlier document agreed on as the next version.
@@ -113,23 +113,23 @@
 	if err != nil {
 		return Answer{}, fmt.Errorf("nothing was proposed: %w", err)
 	}
-	if reason := c.unusable(shown.Document); reason != "" {
+	if reason := c.checkUsable(shown.Document); reason != "" {
 		return Answer{Result: ResultRefused, Reason: reason}, nil
 	}
-	expect := newest(history.Versions)
+	expect := newestNumber(history.Versions)
 	if request.Expect != nil {
 		expect = *request.Expect
 	}
 	return c.propose(request, shown.Document, expect, request.Number)
 }
 
-// unusable is why a document is not proposed; empty: it may be.
-func (c *Client) unusable(document []byte) string {
+// checkUsable is why a document is not proposed; empty: it may be.
+func (c *Client) checkUsable(document []byte) string {
 	switch {
 	case len(document) == 0:
 		return "the document is empty"
 	case len(document) > config.MaxDocument:
-		return tooBig(len(document))
+		return oversizedReason(len(document))
 	}
 	if err := c.manager.check(document); err != nil {
 		return problemText(err)
@@ -198,7 +198,7 @@
 	if err != nil {
 		return history, err
 	}
-	return c.fetch(history, cmp.Or(number, newest(history.Versions)))
+	return c.fetch(history, cmp.Or(number, newestNumber(history.Versions)))
 }
 
 // fetch finds the document of a version, here or at a voter.
@@ -222,8 +222,8 @@
 		"version %d is not remembered: the quorum has the last %d", number, config.MaxHistory)
 }
 
-// newest is the number of the last version; 0: there is none.
-func newest(versions []config.Version) uint64 {
+// newestNumber is the number of the last version; 0: there is none.
+func newestNumber(versions []config.Version) uint64 {
 	if len(versions) == 0 {
 		return 0
 	}
@@ -248,10 +248,10 @@
 	reply := make(chan Reply, 1)
 	ref := c.manager.lastRef.Add(1)
 	err := c.executor.Execute(func(session *Session) {
-		session.begin(ref, waiter{reply: reply}, timeout, request)
+		session.submit(ref, waiter{reply: reply}, timeout, request)
 	})
 	if err != nil {
-		return Reply{}, &notBegunError{err}
+		return Reply{}, &notStartedError{err}
 	}
 	timer := time.NewTimer(timeout + replyGrace)
 	defer timer.Stop()
@@ -261,6 +261,6 @@
 	case <-timer.C:
 		return Reply{}, errTimeout
 	case <-c.executor.Done():
-		return Reply{}, errEnding
+		return Reply{}, errShuttingDown
 	}
 }
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -52,11 +52,11 @@
 	folder     *documents.Folder
 	generation uint64 // of the fleet
 
-	// earlier is the record of another generation, if the folder had one: it is put back while there
+	// otherGeneration is the record of another generation, if the folder had one: it is put back while there
 	// is no version of this generation.
-	earlier *documents.Current
+	otherGeneration *documents.Current
 
-	unremoved []config.Hash // documents that could not be removed yet
+	pendingRemovals []config.Hash // documents that could not be removed yet
 }
 
 // Contents is what a folder held when it was opened.
@@ -94,14 +94,14 @@
 	contents.record = &record
 	contents.document = stored.Documents[stored.Current.Document]
 	if record.Generation != generation {
-		f.earlier = stored.Current
+		f.otherGeneration = stored.Current
 	}
 	return f, contents, nil
 }
 
 // Store carries out a request. Nothing is removed before the rest is durable.
 func (f *Folder) Store(request *config.StoreRequest) error {
-	if err := faultinjection.BeforeSave(); err != nil {
+	if err := faultinjection.BeforeWrite(); err != nil {
 		return err
 	}
 	if request.Document != nil {
@@ -131,8 +131,8 @@
 }
 
 func (f *Folder) clearCurrent() error {
-	if f.earlier != nil {
-		if err := f.folder.SetCurrent(*f.earlier); !errors.Is(err, documents.ErrNotFound) {
+	if f.otherGeneration != nil {
+		if err := f.folder.SetCurrent(*f.otherGeneration); !errors.Is(err, documents.ErrNotFound) {
 			return err
 		}
 	}
@@ -142,15 +142,15 @@
 // remove lets documents go. One that can't be removed is tried again with the next request, unless
 // it was stored again.
 func (f *Folder) remove(request *config.StoreRequest) {
-	hashes := slices.Concat(f.unremoved, request.Remove)
-	f.unremoved = nil
+	hashes := slices.Concat(f.pendingRemovals, request.Remove)
+	f.pendingRemovals = nil
 	for _, hash := range hashes {
 		if hash == request.Hash {
 			continue
 		}
 		if err := f.folder.Remove(documents.Hash(hash)); err != nil &&
-			!slices.Contains(f.unremoved, hash) {
-			f.unremoved = append(f.unremoved, hash)
+			!slices.Contains(f.pendingRemovals, hash) {
+			f.pendingRemovals = append(f.pendingRemovals, hash)
 		}
 	}
 }
--- a/internal/fleet/configuration/folder_test.go
+++ b/internal/fleet/configuration/folder_test.go
@@ -63,30 +63,30 @@
 // one, complete; once the request was answered, the new one.
 func TestFolderAfterStopAtEachOperation(t *testing.T) {
 	t.Parallel()
-	points := 0
-	for _, how := range disktest.CrashModes() {
+	crashes := 0
+	for _, mode := range disktest.CrashModes() {
 		for seed := range int64(4) {
 			d, rng := disktest.New(), rand.New(rand.NewSource(seed))
 			f, _ := openTestFolder(t, d, 1)
 			for n := 1; n <= 5; n++ {
 				d.OnOperation(func(op int) {
-					points++
-					if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) && got != uint64(n-1) {
-						t.Fatalf("way %d, operation %d: version %d is found, %d was being stored", how, op, got, n)
+					crashes++
+					if got := currentNumber(t, d.AfterCrash(mode, rng), 1); got != uint64(n) && got != uint64(n-1) {
+						t.Fatalf("way %d, operation %d: version %d is found, %d was being stored", mode, op, got, n)
 					}
 				})
 				if err := storeVersion(f, n); err != nil {
 					t.Fatal(err)
 				}
 				d.OnOperation(nil)
-				if got := currentNumber(t, d.AfterCrash(how, rng), 1); got != uint64(n) {
-					t.Fatalf("way %d: version %d was stored, %d is found", how, n, got)
+				if got := currentNumber(t, d.AfterCrash(mode, rng), 1); got != uint64(n) {
+					t.Fatalf("way %d: version %d was stored, %d is found", mode, n, got)
 				}
 			}
 		}
 	}
-	if points < 1000 {
-		t.Errorf("only %d points", points)
+	if crashes < 1000 {
+		t.Errorf("only %d points", crashes)
 	}
 }
 
@@ -105,18 +105,18 @@
 		contents.record.atLeast(2, config.Version{Number: 1}) {
 		t.Errorf("found %+v", contents.record)
 	}
-	none := config.StoreRequest{Current: &config.Version{}}
+	noVersion := config.StoreRequest{Current: &config.Version{}}
 	for _, step := range []struct {
 		name  string
 		store func() error
 		want  uint64
 	}{
 		{"a version of this generation", func() error { return storeVersion(f, 1) }, 1},
-		{"none of this generation", func() error { return f.Store(&none) }, 7},
+		{"none of this generation", func() error { return f.Store(&noVersion) }, 7},
 		{"again one", func() error { return storeVersion(f, 2) }, 2},
 		{"the other's document removed",
 			func() error { return f.folder.Remove(documents.Hash(contents.record.Version.Hash)) }, 2},
-		{"none of either", func() error { return f.Store(&none) }, 0},
+		{"none of either", func() error { return f.Store(&noVersion) }, 0},
 		{"and again one", func() error { return storeVersion(f, 2) }, 2},
 	} {
 		if err := step.store(); err != nil {
@@ -161,8 +161,8 @@
 	if err := storeVersion(f, 3); err != nil {
 		t.Fatal(err)
 	}
-	if len(f.unremoved) != 0 {
-		t.Errorf("%d documents are left", len(f.unremoved))
+	if len(f.pendingRemovals) != 0 {
+		t.Errorf("%d documents are left", len(f.pendingRemovals))
 	}
 	f.Close()
 	if _, contents = openTestFolder(t, d, 1); len(contents.documents) != 1 {
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -17,16 +17,16 @@
 // ApplyGrace is the time for which Close waits for a call of Host.Apply.
 const ApplyGrace = 2 * time.Second
 
-// readinessPoll is the interval between two looks of Wait.
-const readinessPoll = 20 * time.Millisecond
+// readinessPollInterval is the interval between two looks of Wait.
+const readinessPollInterval = 20 * time.Millisecond
 
 // maxProblemBytes bounds the text on a document that can't be used.
 const maxProblemBytes = 16 << 10
 
 // Errors of Apply: what is in use stays.
 var (
-	ErrOlder = errors.New("a later version is in force")
-	ErrOther = errors.New("another document of this number is in force")
+	ErrOlderVersion        = errors.New("a later version is in force")
+	ErrConflictingDocument = errors.New("another document of this number is in force")
 )
 
 // Applied is a version that the program has in use, or is to take.
@@ -72,8 +72,8 @@
 	m.checking.Lock()
 	defer m.checking.Unlock()
 	defer func() {
-		if x := recover(); x != nil {
-			err = fmt.Errorf("the check failed: %v", x)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("the check failed: %v", recovered)
 		}
 	}()
 	return m.host.Check(document)
@@ -86,7 +86,7 @@
 }
 
 // Apply has the host take a version into use, unless that or a later one of the generation is
-// (ErrOlder, ErrOther). One call is made at a time.
+// (ErrOlderVersion, ErrConflictingDocument). One call is made at a time.
 func (m *Manager) Apply(ctx context.Context, next Applied) (err error) {
 	if !m.reserveApply(ctx) {
 		return context.Cause(ctx)
@@ -95,16 +95,16 @@
 	if inForce := m.applied.Load(); inForce != nil && inForce.Generation == next.Generation {
 		switch {
 		case next.Version.Number < inForce.Version.Number:
-			return ErrOlder
+			return ErrOlderVersion
 		case next.Version.Number == inForce.Version.Number && next.Version.Hash != inForce.Version.Hash:
-			return ErrOther
+			return ErrConflictingDocument
 		case next.Version.Number == inForce.Version.Number:
 			return nil
 		}
 	}
 	defer func() {
-		if x := recover(); x != nil {
-			err = fmt.Errorf("taking it into use failed: %v", x)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("taking it into use failed: %v", recovered)
 		}
 	}()
 	if err := m.host.Apply(next.Version, next.Document); err != nil {
@@ -165,7 +165,7 @@
 	if m == nil {
 		return config.Readiness{}
 	}
-	ticker := time.NewTicker(readinessPoll)
+	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
 	for {
 		if last := m.Readiness(); last.Confirmed {
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	storedAttempts     = 5                      // to apply the version that the folder has
-	storedRetryBackoff = 200 * time.Millisecond // between two of them
+	applyStoredAttempts = 5                      // to apply the version that the folder has
+	applyStoredBackoff  = 200 * time.Millisecond // between two of them
 )
 
 // OpenSession reads the folder, has the version that is to be in force at a start applied, and
@@ -90,7 +90,7 @@
 				o.folder.Close()
 			}
 		}()
-		return Contents{}, errEnding
+		return Contents{}, errShuttingDown
 	}
 }
 
@@ -116,15 +116,15 @@
 			return
 		}
 		switch {
-		case err == nil || errors.Is(err, ErrOlder):
+		case err == nil || errors.Is(err, ErrOlderVersion):
 			return
-		case !errors.Is(err, ErrRetryable) || attempt == storedAttempts:
+		case !errors.Is(err, ErrRetryable) || attempt == applyStoredAttempts:
 			s.Log.Error("fleet: the stored version of the configuration can't be used",
 				"version", record.Version.Number, "generation", record.Generation, "why", problemText(err))
 			return
 		}
 		select {
-		case <-time.After(storedRetryBackoff):
+		case <-time.After(applyStoredBackoff):
 		case <-s.ctx.Done():
 			return
 		}
@@ -159,6 +159,6 @@
 		s.storing = false
 		return state, err
 	case <-s.ctx.Done():
-		return state, errEnding
+		return state, errShuttingDown
 	}
 }
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -74,15 +74,15 @@
 	}
 }
 
-// RefuseTooBig answers a request with a document that is too big to be sent; nil: it is not.
-func (r *Request) RefuseTooBig() *Answer {
+// RefuseOversized answers a request with a document that is too big to be sent; nil: it is not.
+func (r *Request) RefuseOversized() *Answer {
 	if len(r.Document) <= config.MaxDocument {
 		return nil
 	}
-	return &Answer{Result: ResultRefused, Reason: tooBig(len(r.Document))}
+	return &Answer{Result: ResultRefused, Reason: oversizedReason(len(r.Document))}
 }
 
-func tooBig(bytes int) string {
+func oversizedReason(bytes int) string {
 	return fmt.Sprintf("the document has %d bytes: %d are possible", bytes, config.MaxDocument)
 }
 
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	storeGrace = time.Second // for which the end of a session waits for a write
-	maxWaiters = 32          // requests of operators at once
-	hashShown  = 12          // digits of a hash in the log
+	storeGrace       = time.Second // for which the end of a session waits for a write
+	maxWaiters       = 32          // requests of operators at once
+	loggedHashDigits = 12          // digits of a hash in the log
 )
 
 // Core is what a session needs of the core: to call a function with the configuration's replica,
@@ -34,16 +34,16 @@
 // Without a block config the Session is nil: its methods do nothing, its channels deliver nothing.
 type Session struct {
 	Environment
-	manager *Manager
-	ctx     context.Context // ends with the service
-	core    Core
-	folder  *Folder           // nil: not open
-	checked chan Check        // answers the CheckRequest that is out
-	stored  chan error        // answers the StoreRequest that is out
-	applied chan error        // answers the ApplyRequest that is out
-	storing bool              // a StoreRequest is out
-	refused config.Version    // the last that was logged as refused
-	waiters map[uint64]waiter // by the request's number
+	manager     *Manager
+	ctx         context.Context // ends with the service
+	core        Core
+	folder      *Folder           // nil: not open
+	checked     chan Check        // answers the CheckRequest that is out
+	stored      chan error        // answers the StoreRequest that is out
+	applied     chan error        // answers the ApplyRequest that is out
+	storing     bool              // a StoreRequest is out
+	lastRefused config.Version    // the last that was logged as refused
+	waiters     map[uint64]waiter // by the request's number
 }
 
 // Check is how the check of a document ended.
@@ -97,8 +97,8 @@
 	return len(s.waiters)
 }
 
-// CarryOut begins what the replica asks for, and hands its answers to the requests that wait.
-func (s *Session) CarryOut(out config.Output) {
+// HandleOutput begins what the replica asks for, and hands its answers to the requests that wait.
+func (s *Session) HandleOutput(out config.Output) {
 	if s == nil {
 		return
 	}
@@ -195,18 +195,18 @@
 // logRefused logs a version that can't be used here, once.
 func (s *Session) logRefused(r *config.Replica) {
 	v, reason := r.Rejected()
-	if v.Number == s.refused.Number && v.Hash == s.refused.Hash {
+	if v.Number == s.lastRefused.Number && v.Hash == s.lastRefused.Hash {
 		return
 	}
-	s.refused = v
+	s.lastRefused = v
 	s.Log.Error("configuration version refused", "version", v.Number, "hash",
-		v.Hash.String()[:hashShown], "author", v.Author, "reason", v.Reason, "why", reason)
+		v.Hash.String()[:loggedHashDigits], "author", v.Author, "reason", v.Reason, "why", reason)
 }
 
-// begin puts a request to the replica.
-func (s *Session) begin(ref uint64, w waiter, timeout time.Duration, request ReplicaRequest) {
+// submit puts a request to the replica.
+func (s *Session) submit(ref uint64, w waiter, timeout time.Duration, request ReplicaRequest) {
 	if len(s.waiters) >= maxWaiters {
-		w.reply <- Reply{err: errTooMany}
+		w.reply <- Reply{err: errTooManyRequests}
 		return
 	}
 	w.until = s.Now() + float64(timeout)/float64(time.Millisecond)
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -18,7 +18,7 @@
 // then the status is set too, as far as it was answered.
 func Call(ctx context.Context, folder string, r Request) (Status, error) {
 	if r.Config != nil {
-		if refused := r.Config.RefuseTooBig(); refused != nil {
+		if refused := r.Config.RefuseOversized(); refused != nil {
 			return Status{Config: refused}, nil
 		}
 	}
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -17,8 +17,8 @@
 // Timeout bounds how long the service may take for its own part of a request.
 const Timeout = 3 * time.Second
 
-// MaxBytes bounds a request that is not about configuration.
-const MaxBytes = 64 << 10
+// MaxRequestBytes bounds a request that is not about configuration.
+const MaxRequestBytes = 64 << 10
 
 const (
 	socketName     = "control.sock" // in the fleet's folder
@@ -52,19 +52,19 @@
 func Serve(ctx context.Context, listener net.Listener, handler Handler) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
-	free := make(chan struct{}, maxConnections)
+	slots := make(chan struct{}, maxConnections)
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 			connections.Go(func() {
-				defer func() { <-free }()
+				defer func() { <-slots }()
 				defer conn.Close()
 				defer context.AfterFunc(ctx, func() { conn.Close() })()
-				answer(conn, handler)
+				serveConnection(conn, handler)
 			})
 		default:
 			conn.Close()
@@ -72,10 +72,10 @@
 	}
 }
 
-// answer reads the request of a connection and answers it, unless the connection ends before.
-func answer(conn net.Conn, handler Handler) {
+// serveConnection reads the request of a connection and answers it, unless the connection ends before.
+func serveConnection(conn net.Conn, handler Handler) {
 	conn.SetDeadline(time.Now().Add(socketTimeout))
-	limit := max(MaxBytes, handler.MaxConfigBytes())
+	limit := max(MaxRequestBytes, handler.MaxConfigBytes())
 	line, err := bufio.NewReader(io.LimitReader(conn, limit)).ReadBytes('\n')
 	tooLong := errors.Is(err, io.EOF) && int64(len(line)) == limit
 	if err != nil && !tooLong {
@@ -101,7 +101,7 @@
 	if err := json.Unmarshal(line, &r); err != nil {
 		return r, fmt.Errorf("the request can't be read: %w", err)
 	}
-	if r.Action != ActionConfig && len(line) > MaxBytes {
+	if r.Action != ActionConfig && len(line) > MaxRequestBytes {
 		return r, ErrTooLong
 	}
 	return r, nil
--- a/internal/fleet/faultinjection/faultinjection.go
+++ b/internal/fleet/faultinjection/faultinjection.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// began is when the steady clock was at 0.
-var began = time.Now()
+// clockStart is when the steady clock was at 0.
+var clockStart = time.Now()
 
 // steadyNow is the time in ms by the system's steady clock.
-func steadyNow() float64 { return float64(time.Since(began)) / float64(time.Millisecond) }
+func steadyNow() float64 { return float64(time.Since(clockStart)) / float64(time.Millisecond) }
 
 // dial opens a connection by TCP.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/fleet/faultinjection/job.go
+++ b/internal/fleet/faultinjection/job.go
@@ -28,13 +28,13 @@
 // at another controller, which writes down what it accepted. Between its check of the lease and the
 // effect the rig may stop the process for any time.
 type effectJob struct {
-	endpoint string
-	accepted *os.File // one line for each effect that passed the fencing check
-	mu       sync.Mutex
-	next     float64 // ms, when the next effects are due
-	id       uint64  // of the last effect
-	queue    chan string
-	end      chan struct{}
+	endpoint      string
+	accepted      *os.File // one line for each effect that passed the fencing check
+	mu            sync.Mutex
+	nextEffectsAt float64 // ms, when the next effects are due
+	lastEffectID  uint64  // of the last effect
+	queue         chan string
+	done          chan struct{}
 }
 
 // Jobs are the jobs that the rig adds to those of the service; folder is the fleet's.
@@ -51,7 +51,7 @@
 		endpoint: endpoint,
 		accepted: accepted,
 		queue:    make(chan string, maxQueuedEffects),
-		end:      make(chan struct{}),
+		done:     make(chan struct{}),
 	}
 	go j.sendEffects()
 	return []job.Job{j}
@@ -61,29 +61,29 @@
 func (j *effectJob) LeaseLost(lease.Grant)                      {}
 func (j *effectJob) EffectResponseReceived(node.EffectResponse) {}
 func (j *effectJob) StateReceived(job.Context, node.Checkpoint) {}
-func (j *effectJob) Close()                                     { close(j.end) }
+func (j *effectJob) Close()                                     { close(j.done) }
 
 func (j *effectJob) MessageReceived(job.Context, members.ID, []byte) bool { return false }
 
 // Tick begins the effects of the leases that this controller holds.
 func (j *effectJob) Tick(jobContext job.Context, now float64) {
-	if now < j.next {
+	if now < j.nextEffectsAt {
 		return
 	}
-	j.next = now + effectInterval
-	all := jobContext.Members()
+	j.nextEffectsAt = now + effectInterval
+	known := jobContext.Members()
 	for i := range rigLeases {
 		name := lease.Name(fmt.Sprintf("work-%d", i))
 		token, held := jobContext.CanAct(name)
 		if !held {
 			continue
 		}
-		j.id++
-		if to := all[int(j.id)%len(all)]; to.State == members.Alive {
-			jobContext.TryEffect(name, to.ID, j.id, nil)
+		j.lastEffectID++
+		if to := known[int(j.lastEffectID)%len(known)]; to.State == members.Alive {
+			jobContext.TryEffect(name, to.ID, j.lastEffectID, nil)
 		}
 		select {
-		case j.queue <- fmt.Sprintf("%s %d %d %s\n", name, token, j.id, jobContext.Self()):
+		case j.queue <- fmt.Sprintf("%s %d %d %s\n", name, token, j.lastEffectID, jobContext.Self()):
 		default:
 		}
 	}
@@ -103,7 +103,7 @@
 	var conn net.Conn
 	for {
 		select {
-		case <-j.end:
+		case <-j.done:
 			return
 		case line := <-j.queue:
 			conn = j.sendEffect(conn, line)
--- a/internal/fleet/faultinjection/rig.go
+++ b/internal/fleet/faultinjection/rig.go
@@ -60,9 +60,9 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(b)), n == len(b)
 }
 
-// BeforeSave takes as long as the rig has the disk take, and fails as a full disk does if the rig
+// BeforeWrite takes as long as the rig has the disk take, and fails as a full disk does if the rig
 // says so.
-func BeforeSave() error {
+func BeforeWrite() error {
 	if clock.file == nil {
 		return nil
 	}
@@ -79,11 +79,11 @@
 // Dial opens a connection. Where the rig names a switch it goes there, and begins with the address
 // that was meant: its length in one byte, and the text.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
-	by := os.Getenv("MINTKEEL_LAB_SWITCH")
-	if by == "" {
+	switchAddr := os.Getenv("MINTKEEL_LAB_SWITCH")
+	if switchAddr == "" {
 		return dial(ctx, addr)
 	}
-	conn, err := dial(ctx, by)
+	conn, err := dial(ctx, switchAddr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/frames/encoding_test.go
+++ b/internal/fleet/frames/encoding_test.go
@@ -28,19 +28,19 @@
 	return Hello{Fleet: "east", Generation: 3, From: "n1", Run: 77, To: "n2", Nonce: nonce}
 }
 
-// challenged is a connection on which the challenge of a listener has come; what is written to it is
+// challengedConn is a connection on which the challenge of a listener has come; what is written to it is
 // gathered.
-type challenged struct {
+type challengedConn struct {
 	io.Reader
 	written bytes.Buffer
 }
 
-func (c *challenged) Write(b []byte) (int, error) { return c.written.Write(b) }
+func (c *challengedConn) Write(b []byte) (int, error) { return c.written.Write(b) }
 
 // writeConnection returns what a controller writes that opens a connection and sends the payloads.
 func writeConnection(t *testing.T) []byte {
 	t.Helper()
-	connection := &challenged{Reader: bytes.NewReader(append([]byte("MKFLEET1"), storedChallenge...))}
+	connection := &challengedConn{Reader: bytes.NewReader(append([]byte("MKFLEET1"), storedChallenge...))}
 	writer, err := Open(connection, storedKey, storedHello(nil))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/frames/frames.go
+++ b/internal/fleet/frames/frames.go
@@ -19,7 +19,7 @@
 	// MaxPayloadBytes bounds the payload of a frame.
 	MaxPayloadBytes = 1 << 20
 
-	firstChunk = 4096 // bytes for which a reader allocates memory before any has come
+	initialAllocation = 4096 // bytes for which a reader allocates memory before any has come
 )
 
 // Decoder reads what others send: bounded in elements and nesting, without indefinite lengths.
@@ -65,8 +65,8 @@
 	Hello  Hello  // of the sender
 }
 
-// Await waits until a frame has begun to come, and returns the length that it claims.
-func (r *Reader) Await() (length int, err error) {
+// AwaitFrame waits until a frame has begun to come, and returns the length that it claims.
+func (r *Reader) AwaitFrame() (length int, err error) {
 	head, err := r.r.Peek(lengthSize)
 	if err != nil {
 		return 0, err
@@ -95,10 +95,10 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-func appendFrame(to, payload, code []byte) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(len(payload)))
-	to = append(to, payload...)
-	return append(to, code...)
+func appendFrame(dst, payload, code []byte) []byte {
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(payload)))
+	dst = append(dst, payload...)
+	return append(dst, code...)
 }
 
 // readFrame reads a frame as it comes: whatever length it claims, it takes memory only as fast as
@@ -113,14 +113,14 @@
 		return nil, nil, ErrTooLong
 	}
 	size := length + macSize
-	all := make([]byte, 0, min(size, firstChunk))
-	for len(all) < size {
-		read := len(all)
-		chunk := min(size-read, max(firstChunk, read))
-		all = append(all, make([]byte, chunk)...)
-		if _, err := io.ReadFull(r, all[read:]); err != nil {
+	frame := make([]byte, 0, min(size, initialAllocation))
+	for len(frame) < size {
+		read := len(frame)
+		chunk := min(size-read, max(initialAllocation, read))
+		frame = append(frame, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, frame[read:]); err != nil {
 			return nil, nil, err
 		}
 	}
-	return all[:length], all[length:], nil
+	return frame[:length], frame[length:], nil
 }
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	key  = Key(bytes.Repeat([]byte{7}, 32))
-	mine = Hello{Fleet: "f", Generation: 2, From: "a", Run: 5, To: "b"}
+	testKey   = Key(bytes.Repeat([]byte{7}, 32))
+	testHello = Hello{Fleet: "f", Generation: 2, From: "a", Run: 5, To: "b"}
 )
 
 // writeFrames returns what an opener writes for a challenge: a hello and some frames.
@@ -52,18 +52,18 @@
 	}
 }
 
-var challenge = bytes.Repeat([]byte{9}, nonceSize)
+var testChallenge = bytes.Repeat([]byte{9}, nonceSize)
 
 // A listener reads the frames of a controller with one of its keys. It closes a connection with another
 // key, fleet, generation, receiver or challenge, or with a name that can't be one.
 func TestFramesAreReadFromMembersOfTheFleetOnly(t *testing.T) {
-	b := writeFrames(t, key, mine, challenge, "one", "", "three")
-	got, err := readPayloads(b, challenge, Keys{key})
+	b := writeFrames(t, testKey, testHello, testChallenge, "one", "", "three")
+	got, err := readPayloads(b, testChallenge, Keys{testKey})
 	if err != io.EOF || len(got) != 3 || got[0] != "one" || got[2] != "three" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	other := Key(bytes.Repeat([]byte{8}, 32))
-	if got, _ := readPayloads(b, challenge, Keys{other, key}); len(got) != 3 {
+	otherKey := Key(bytes.Repeat([]byte{8}, 32))
+	if got, _ := readPayloads(b, testChallenge, Keys{otherKey, testKey}); len(got) != 3 {
 		t.Error("the second of two keys is not taken")
 	}
 	for name, c := range map[string]struct {
@@ -72,17 +72,17 @@
 		challenge []byte
 		want      error
 	}{
-		"another key":       {other, mine, challenge, ErrForged},
-		"another fleet":     {key, Hello{Fleet: "g", Generation: 2, From: "a"}, challenge, ErrForeign},
-		"an old generation": {key, Hello{Fleet: "f", Generation: 1, From: "a"}, challenge, ErrForeign},
-		"meant for another": {key, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, challenge, ErrForeign},
-		"nobody":            {key, Hello{Fleet: "f", Generation: 2}, challenge, ErrMalformed},
-		"said to another":   {key, mine, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
-		"a name without end": {key, Hello{Fleet: "f", Generation: 2,
-			From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, challenge, ErrMalformed},
+		"another key":       {otherKey, testHello, testChallenge, ErrForged},
+		"another fleet":     {testKey, Hello{Fleet: "g", Generation: 2, From: "a"}, testChallenge, ErrForeign},
+		"an old generation": {testKey, Hello{Fleet: "f", Generation: 1, From: "a"}, testChallenge, ErrForeign},
+		"meant for another": {testKey, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, testChallenge, ErrForeign},
+		"nobody":            {testKey, Hello{Fleet: "f", Generation: 2}, testChallenge, ErrMalformed},
+		"said to another":   {testKey, testHello, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
+		"a name without end": {testKey, Hello{Fleet: "f", Generation: 2,
+			From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, testChallenge, ErrMalformed},
 	} {
 		sent := writeFrames(t, c.key, c.hello, c.challenge, "x")
-		if _, err := readPayloads(sent, challenge, Keys{key}); !errors.Is(err, c.want) {
+		if _, err := readPayloads(sent, testChallenge, Keys{testKey}); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -91,9 +91,9 @@
 // Somebody on the network cuts a connection at any byte, changes any byte, or repeats, swaps or leaves out
 // frames. The listener accepts nothing but what was sent, in its order, up to the change.
 func TestChangedFramesAreRejected(t *testing.T) {
-	b := writeFrames(t, key, mine, challenge, "one", "two", "three")
+	b := writeFrames(t, testKey, testHello, testChallenge, "one", "two", "three")
 	want := []string{"one", "two", "three"}
-	prefix := func(got []string) bool {
+	isPrefix := func(got []string) bool {
 		for i := range got {
 			if i >= len(want) || got[i] != want[i] {
 				return false
@@ -102,13 +102,13 @@
 		return true
 	}
 	for i := range b {
-		got, err := readPayloads(b[:i], challenge, Keys{key})
-		if err == nil || !prefix(got) || len(got) == 3 {
+		got, err := readPayloads(b[:i], testChallenge, Keys{testKey})
+		if err == nil || !isPrefix(got) || len(got) == 3 {
 			t.Fatalf("cut at %d: %q, %v", i, got, err)
 		}
-		bad := bytes.Clone(b)
-		bad[i] ^= 1 << (i % 8)
-		if got, err := readPayloads(bad, challenge, Keys{key}); err == nil || !prefix(got) || len(got) == 3 {
+		corrupted := bytes.Clone(b)
+		corrupted[i] ^= 1 << (i % 8)
+		if got, err := readPayloads(corrupted, testChallenge, Keys{testKey}); err == nil || !isPrefix(got) || len(got) == 3 {
 			t.Fatalf("changed at %d: %q, %v", i, got, err)
 		}
 	}
@@ -120,11 +120,11 @@
 	for name, order := range map[string][]int{"repeated": {0, 1, 1, 2, 3}, "changed over": {0, 2, 1, 3},
 		"left out":      {0, 2, 3},
 		"a hello again": {0, 0, 1}} {
-		var all []byte
+		var stream []byte
 		for _, i := range order {
-			all = append(all, parts[i]...)
+			stream = append(stream, parts[i]...)
 		}
-		if got, err := readPayloads(all, challenge, Keys{key}); !errors.Is(err, ErrForged) || !prefix(got) {
+		if got, err := readPayloads(stream, testChallenge, Keys{testKey}); !errors.Is(err, ErrForged) || !isPrefix(got) {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
 	}
@@ -133,19 +133,19 @@
 // A frame claims a length of 1 GB, or the longest that is allowed, and nothing follows. The reader must not
 // allocate memory for it.
 func TestClaimedLengthsTakeNoMemory(t *testing.T) {
-	hello := writeFrames(t, key, mine, challenge)
+	hello := writeFrames(t, testKey, testHello, testChallenge)
 	for _, claim := range []uint32{1 << 30, 1<<32 - 1, MaxPayloadBytes} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		_, err := readPayloads(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), challenge, Keys{key})
+		_, err := readPayloads(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), testChallenge, Keys{testKey})
 		runtime.ReadMemStats(&after)
 		if grown := after.TotalAlloc - before.TotalAlloc; err == nil || grown > 64<<10 {
 			t.Errorf("%d: %v, %d bytes taken", claim, err, grown)
 		}
 	}
-	w := writeFrames(t, key, mine, challenge)
+	w := writeFrames(t, testKey, testHello, testChallenge)
 	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)),
-		challenge, Keys{key}, "f", 2,
+		testChallenge, Keys{testKey}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long hello: %v", err)
 	}
@@ -159,7 +159,7 @@
 	a.SetDeadline(time.Now().Add(5 * time.Second))
 	b.SetDeadline(time.Now().Add(5 * time.Second))
 	go func() {
-		w, err := Open(a, key, mine)
+		w, err := Open(a, testKey, testHello)
 		if err == nil {
 			w.Write(bytes.Repeat([]byte("x"), 100000))
 		}
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Accept(b, nonce, Keys{key}, "f", 2, "b")
+	r, err := Accept(b, nonce, Keys{testKey}, "f", 2, "b")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/frames/handshake.go
+++ b/internal/fleet/frames/handshake.go
@@ -22,8 +22,8 @@
 	// MaxHelloBytes bounds the payload of a hello, which is read before its sender is authenticated.
 	MaxHelloBytes = 512
 
-	maxMemberBytes = 64   // of a controller's name
-	readBuffer     = 4096 // bytes that a reader reads ahead
+	maxMemberBytes  = 64   // of a controller's name
+	readBufferBytes = 4096 // bytes that a reader reads ahead
 )
 
 // Labels keep the codes of hellos and the keys of frames apart.
@@ -85,7 +85,7 @@
 func Accept(
 	r io.Reader, nonce []byte, keys Keys, fleet string, generation uint64, self members.ID,
 ) (*Reader, error) {
-	buffered := bufio.NewReaderSize(r, readBuffer)
+	buffered := bufio.NewReaderSize(r, readBufferBytes)
 	payload, code, err := readFrame(buffered, MaxHelloBytes)
 	if err != nil {
 		return nil, err
@@ -120,16 +120,16 @@
 
 // helloMAC authenticates a hello.
 func helloMAC(key Key, nonce, hello []byte) []byte {
-	return derive(key, helloLabel, nonce, hello)[:macSize]
+	return deriveMAC(key, helloLabel, nonce, hello)[:macSize]
 }
 
 // framesKey is the key of the frames after a hello.
 func framesKey(key Key, nonce, hello []byte) []byte {
-	return derive(key, framesLabel, nonce, hello)
+	return deriveMAC(key, framesLabel, nonce, hello)
 }
 
-// derive is the HMAC of a label, the listener's nonce and the hello, each after its length.
-func derive(key Key, label string, nonce, hello []byte) []byte {
+// deriveMAC is the HMAC of a label, the listener's nonce and the hello, each after its length.
+func deriveMAC(key Key, label string, nonce, hello []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(label), nonce, hello} {
 		mac.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -13,10 +13,10 @@
 // may be used up.
 const acceptBackoff = 50 * time.Millisecond
 
-// unauthenticatedShare is a bound on connections that are not authenticated yet: idle ones are
+// unauthenticatedDivisor is a bound on connections that are not authenticated yet: idle ones are
 // evicted for them only while they are less than one in so many of MaxIncoming. So strangers can't
 // displace more controllers than that.
-const unauthenticatedShare = 4
+const unauthenticatedDivisor = 4
 
 // maxRateWait bounds how long a connection is not read as its sender is over its rate.
 const maxRateWait = time.Second
@@ -33,15 +33,15 @@
 		<-l.ctx.Done()
 		listener.Close()
 	})
-	l.group.Go(func() { l.acceptAll(listener) })
+	l.group.Go(func() { l.acceptConnections(listener) })
 }
 
-func (l *Links) acceptAll(listener net.Listener) {
+func (l *Links) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		switch {
-		case err == nil && l.admit(conn):
-			l.group.Go(func() { l.receiveAll(conn) })
+		case err == nil && l.admitIncoming(conn):
+			l.group.Go(func() { l.serveIncoming(conn) })
 		case err == nil:
 			l.refused.Add(1)
 			conn.Close()
@@ -57,9 +57,9 @@
 	}
 }
 
-// admit finds room for a connection; false: there is none. The sender of an idle connection that is
+// admitIncoming finds room for a connection; false: there is none. The sender of an idle connection that is
 // evicted for it notices that, and opens another one for its next message.
-func (l *Links) admit(conn net.Conn) bool {
+func (l *Links) admitIncoming(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx.Err() != nil {
@@ -87,7 +87,7 @@
 			usedAt = candidate.usedAt
 		}
 	}
-	if longestIdle == nil || unauthenticated >= max(1, l.bounds.MaxIncoming/unauthenticatedShare) {
+	if longestIdle == nil || unauthenticated >= max(1, l.bounds.MaxIncoming/unauthenticatedDivisor) {
 		return false
 	}
 	l.evicted.Add(1)
@@ -101,8 +101,8 @@
 	conn.Close()
 }
 
-// receiveAll hands over what one connection brings, until it ends.
-func (l *Links) receiveAll(conn net.Conn) {
+// serveIncoming hands over what one connection brings, until it ends.
+func (l *Links) serveIncoming(conn net.Conn) {
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -120,7 +120,7 @@
 			l.logRejected(conn, err)
 			return
 		}
-		if !l.touch(conn) {
+		if !l.recordUse(conn) {
 			return
 		}
 		l.received.Add(1)
@@ -182,8 +182,8 @@
 	return reader, nil
 }
 
-// touch notes that a connection has brought a message; false if it was closed meanwhile.
-func (l *Links) touch(conn net.Conn) bool {
+// recordUse notes that a connection has brought a message; false if it was closed meanwhile.
+func (l *Links) recordUse(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	own := l.incoming[conn]
@@ -201,7 +201,7 @@
 func (l *Links) readFrame(conn net.Conn, reader *frames.Reader) ([]byte, error) {
 	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection before
 	conn.SetReadDeadline(time.Now().Add(maxWait))
-	length, err := reader.Await()
+	length, err := reader.AwaitFrame()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -11,12 +11,12 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// fill has so many controllers connect to one, in order, and returns them.
-func fill(t *testing.T, to *testLinks, count int) []*testLinks {
+// connectSenders has so many controllers connect to one, in order, and returns them.
+func connectSenders(t *testing.T, to *testLinks, count int) []*testLinks {
 	t.Helper()
 	senders := make([]*testLinks, count)
 	for i := range senders {
-		senders[i] = open(t, members.ID(fmt.Sprint("n", i)), "f", keys, DefaultBounds())
+		senders[i] = openLinks(t, members.ID(fmt.Sprint("n", i)), "f", testKeys, DefaultBounds())
 		senders[i].sendTo(t, to, fmt.Sprint("first of ", i))
 	}
 	return senders
@@ -34,10 +34,10 @@
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Nanosecond
-	a := open(t, "a", "f", keys, b)
-	senders := fill(t, a, 3)
+	a := openLinks(t, "a", "f", testKeys, b)
+	senders := connectSenders(t, a, 3)
 	senders[0].sendTo(t, a, "second of 0") // the longest idle one is n1 now
-	late := open(t, "late", "f", keys, DefaultBounds())
+	late := openLinks(t, "late", "f", testKeys, DefaultBounds())
 	late.sendTo(t, a, "late")
 	eventually(t, "n1 does not see its end", func() bool { return senders[1].ended.Load() == 1 })
 	if ended := senders[0].ended.Load() + senders[2].ended.Load(); ended > 0 || a.refused.Load() > 0 {
@@ -54,11 +54,11 @@
 func TestBusyConnectionsStay(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Hour
-	a := open(t, "a", "f", keys, b)
-	senders := fill(t, a, 3)
-	quick := DefaultBounds()
-	quick.RetryInterval, quick.MaxRetryInterval = time.Millisecond, 10*time.Millisecond
-	late := open(t, "late", "f", keys, quick)
+	a := openLinks(t, "a", "f", testKeys, b)
+	senders := connectSenders(t, a, 3)
+	fastRetry := DefaultBounds()
+	fastRetry.RetryInterval, fastRetry.MaxRetryInterval = time.Millisecond, 10*time.Millisecond
+	late := openLinks(t, "late", "f", testKeys, fastRetry)
 	late.Send("a", a.addr, []byte("refused"))
 	eventually(t, "it is not refused", func() bool { return a.refused.Load() > 0 })
 	for i, s := range senders {
@@ -67,7 +67,7 @@
 	senders[2].Close()
 	eventually(t, "it does not come in", func() bool {
 		late.Send("a", a.addr, []byte("late"))
-		return len(a.got) > 0
+		return len(a.messages) > 0
 	})
 	if a.evicted.Load() > 0 {
 		t.Errorf("%d connections yielded", a.evicted.Load())
@@ -77,21 +77,21 @@
 // Strangers open connections and prove nothing. They may displace no more than a share of the idle
 // controllers.
 func TestStrangersDisplaceFew(t *testing.T) {
-	const room = 8
+	const maxIncoming = 8
 	b := DefaultBounds()
-	b.MaxIncoming, b.EvictAfter = room, time.Nanosecond
-	a := open(t, "a", "f", keys, b)
-	fill(t, a, room)
-	for range room {
+	b.MaxIncoming, b.EvictAfter = maxIncoming, time.Nanosecond
+	a := openLinks(t, "a", "f", testKeys, b)
+	connectSenders(t, a, maxIncoming)
+	for range maxIncoming {
 		conn, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 	}
-	eventually(t, "strangers are not refused", func() bool { return a.evicted.Load()+a.refused.Load() == room })
-	if evicted := a.evicted.Load(); evicted != room/unauthenticatedShare {
-		t.Errorf("%d of %d strangers displaced controllers", evicted, room)
+	eventually(t, "strangers are not refused", func() bool { return a.evicted.Load()+a.refused.Load() == maxIncoming })
+	if evicted := a.evicted.Load(); evicted != maxIncoming/unauthenticatedDivisor {
+		t.Errorf("%d of %d strangers displaced controllers", evicted, maxIncoming)
 	}
 }
 
@@ -123,7 +123,7 @@
 			<-release
 		}
 	}
-	a := New(frames.Hello{Fleet: "f", Generation: 1, From: "a", Run: 7}, keys, DefaultBounds(), receive, quiet)
+	a := New(frames.Hello{Fleet: "f", Generation: 1, From: "a", Run: 7}, testKeys, DefaultBounds(), receive, discardLog)
 	a.Serve(listener)
 	t.Cleanup(a.Close)
 	conn, err := net.Dial("tcp", listener.Addr().String())
@@ -131,17 +131,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	g := &bufferedConn{Conn: conn}
-	writer, err := frames.Open(g, keys[0], frames.Hello{Fleet: "f", Generation: 1, From: "b", Run: 7, To: "a"})
+	buffered := &bufferedConn{Conn: conn}
+	writer, err := frames.Open(buffered, testKeys[0], frames.Hello{Fleet: "f", Generation: 1, From: "b", Run: 7, To: "a"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.buffer = &bytes.Buffer{}
+	buffered.buffer = &bytes.Buffer{}
 	writer.Write([]byte("one"))
 	writer.Write([]byte("two")) // is read with the first one
-	conn.Write(g.buffer.Bytes())
+	conn.Write(buffered.buffer.Bytes())
 	<-first
-	again := open(t, "b", "f", keys, DefaultBounds())
+	again := openLinks(t, "b", "f", testKeys, DefaultBounds())
 	again.Send("a", listener.Addr().String(), []byte("again"))
 	for _, want := range []string{"one", "again"} {
 		select {
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -17,34 +17,34 @@
 )
 
 var (
-	keys  = frames.Keys{bytes.Repeat([]byte{1}, 32)}
-	other = frames.Keys{bytes.Repeat([]byte{2}, 32)}
-	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+	testKeys   = frames.Keys{bytes.Repeat([]byte{1}, 32)}
+	otherKeys  = frames.Keys{bytes.Repeat([]byte{2}, 32)}
+	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
 // testLinks are links of one controller of a test, with what they receive.
 type testLinks struct {
 	*Links
-	addr string
-	got  chan Received
+	addr     string
+	messages chan Received
 }
 
-func open(t *testing.T, name members.ID, fleet string, k frames.Keys, b Bounds) *testLinks {
+func openLinks(t *testing.T, name members.ID, fleet string, k frames.Keys, b Bounds) *testLinks {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serve(t, listener, name, fleet, k, b)
+	return serveLinks(t, listener, name, fleet, k, b)
 }
 
-// serve is links of a controller that takes connections from a listener.
-func serve(
+// serveLinks is links of a controller that takes connections from a listener.
+func serveLinks(
 	t *testing.T, listener net.Listener, name members.ID, fleet string, k frames.Keys, b Bounds,
 ) *testLinks {
-	e := &testLinks{addr: listener.Addr().String(), got: make(chan Received, 100000)}
+	e := &testLinks{addr: listener.Addr().String(), messages: make(chan Received, 100000)}
 	e.Links = New(frames.Hello{Fleet: fleet, Generation: 1, From: name, Run: 7}, k, b,
-		func(r Received) { e.got <- r }, quiet)
+		func(r Received) { e.messages <- r }, discardLog)
 	e.Serve(listener)
 	t.Cleanup(e.Close)
 	return e
@@ -53,7 +53,7 @@
 func (e *testLinks) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
-	case r := <-e.got:
+	case r := <-e.messages:
 		if string(r.Payload) != want || r.Run != 7 {
 			t.Errorf("received %q of run %d, want %q", r.Payload, r.Run, want)
 		}
@@ -63,11 +63,11 @@
 }
 
 // eventually waits for something that is bound to come.
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // Two controllers send to each other. Messages arrive in order, also while one has changed to a key that
 // the other does not know yet.
 func TestMessagesArriveInOrderBothWays(t *testing.T) {
-	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
+	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), openLinks(t, "b", "f", testKeys, DefaultBounds())
 	for i := range 100 {
 		a.Send("b", b.addr, fmt.Append(nil, i))
 	}
@@ -84,7 +84,7 @@
 	}
 	b.Send("a", a.addr, []byte("back"))
 	a.expect(t, "back")
-	a.SetKeys(append(frames.Keys{other[0]}, keys...)) // a changes over, b does not know the new key yet
+	a.SetKeys(append(frames.Keys{otherKeys[0]}, testKeys...)) // a changes over, b does not know the new key yet
 	b.Send("a", a.addr, []byte("under the old key"))
 	a.expect(t, "under the old key")
 	a.Send("b", b.addr, []byte("on a connection that is up"))
@@ -94,10 +94,10 @@
 // Another fleet, another key and a stranger connect. None gets an answer, each is counted, and nothing of
 // theirs is handed over.
 func TestForeignAndForgedConnectionsAreCounted(t *testing.T) {
-	a := open(t, "a", "f", keys, DefaultBounds())
-	open(t, "b", "g", keys, DefaultBounds()).Send("a", a.addr, []byte("x"))
+	a := openLinks(t, "a", "f", testKeys, DefaultBounds())
+	openLinks(t, "b", "g", testKeys, DefaultBounds()).Send("a", a.addr, []byte("x"))
 	eventually(t, "another fleet is not counted", func() bool { return a.foreign.Load() == 1 })
-	open(t, "c", "f", other, DefaultBounds()).Send("a", a.addr, []byte("x"))
+	openLinks(t, "c", "f", otherKeys, DefaultBounds()).Send("a", a.addr, []byte("x"))
 	eventually(t, "another key is not counted", func() bool { return a.forged.Load() == 1 })
 	conn, err := net.Dial("tcp", a.addr)
 	if err != nil {
@@ -106,7 +106,7 @@
 	defer conn.Close()
 	io.WriteString(conn, "\xff\xff\xff\xff and so on")
 	eventually(t, "a length of 4 GB is not counted", func() bool { return a.forged.Load() == 2 })
-	if len(a.got) > 0 {
+	if len(a.messages) > 0 {
 		t.Error("something of theirs came through")
 	}
 }
@@ -117,19 +117,19 @@
 	b := DefaultBounds()
 	b.MaxPeers, b.QueueMessages, b.QueueBytes, b.DialTimeout, b.WriteTimeout, b.IdleTimeout = 4, 8, 4000,
 		100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
-	a := open(t, "a", "f", keys, b)
-	deaf, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and says nothing
+	a := openLinks(t, "a", "f", testKeys, b)
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and says nothing
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer deaf.Close()
+	defer unresponsive.Close()
 	began := time.Now()
 	for range 1000 {
-		a.Send("deaf", deaf.Addr().String(), make([]byte, 1000))
+		a.Send("deaf", unresponsive.Addr().String(), make([]byte, 1000))
 		a.Send("gone", "127.0.0.1:1", make([]byte, 1000))
 	}
 	for i := range 50 {
-		a.Send(members.ID(fmt.Sprint("n", i)), deaf.Addr().String(), []byte("x"))
+		a.Send(members.ID(fmt.Sprint("n", i)), unresponsive.Addr().String(), []byte("x"))
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("sending waited %v", took)
@@ -150,8 +150,8 @@
 	before := runtime.NumGoroutine()
 	b := DefaultBounds()
 	b.MaxIncoming = 3
-	a := open(t, "a", "f", keys, b)
-	first, second := open(t, "b", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
+	a := openLinks(t, "a", "f", testKeys, b)
+	first, second := openLinks(t, "b", "f", testKeys, DefaultBounds()), openLinks(t, "b", "f", testKeys, DefaultBounds())
 	first.Send("a", a.addr, []byte("first"))
 	a.expect(t, "first")
 	second.Send("a", a.addr, []byte("second"))
@@ -172,9 +172,9 @@
 	eventually(t, "goroutines stay", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
-// lengthChanger passes on what one writes to another, and changes the length of the second frame after the
+// startLengthCorruptingProxy passes on what one writes to another, and changes the length of the second frame after the
 // hello.
-func lengthChanger(t *testing.T, to string) (addr string) {
+func startLengthCorruptingProxy(t *testing.T, target string) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,14 +188,14 @@
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", to)
+			upstream, err := net.Dial("tcp", target)
 			if err != nil {
 				conn.Close()
 				return
 			}
-			go func() { io.Copy(conn, far); conn.Close() }()
+			go func() { io.Copy(conn, upstream); conn.Close() }()
 			go func() {
-				defer far.Close()
+				defer upstream.Close()
 				for i := 0; ; i++ {
 					frame, err := readRaw(conn)
 					if err != nil {
@@ -204,7 +204,7 @@
 					if i == 2 && !changed.Swap(true) {
 						frame[1] ^= 1 // 64 KiB more
 					}
-					if _, err := far.Write(frame); err != nil {
+					if _, err := upstream.Write(frame); err != nil {
 						return
 					}
 				}
@@ -231,11 +231,11 @@
 func TestChangedLengthEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.RetryInterval = 300*time.Millisecond, 10*time.Millisecond
-	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
-	through := lengthChanger(t, receiver.addr)
+	receiver, sender := openLinks(t, "a", "f", testKeys, b), openLinks(t, "b", "f", testKeys, b)
+	proxy := startLengthCorruptingProxy(t, receiver.addr)
 	began := time.Now()
 	for n := 0; ; n++ {
-		sender.Send("a", through, fmt.Append(nil, n))
+		sender.Send("a", proxy, fmt.Append(nil, n))
 		time.Sleep(10 * time.Millisecond)
 		if receiver.received.Load() > 1 {
 			break
@@ -249,8 +249,8 @@
 	}
 }
 
-// slowly passes on what one writes to another, some bytes at a time.
-func slowly(t *testing.T, to string, size int, each time.Duration) (addr string) {
+// startThrottlingProxy passes on what one writes to another, some bytes at a time.
+func startThrottlingProxy(t *testing.T, target string, chunk int, interval time.Duration) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -263,19 +263,19 @@
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", to)
+			upstream, err := net.Dial("tcp", target)
 			if err != nil {
 				conn.Close()
 				return
 			}
-			go func() { io.Copy(conn, far); conn.Close() }()
+			go func() { io.Copy(conn, upstream); conn.Close() }()
 			go func() {
-				defer far.Close()
+				defer upstream.Close()
 				for {
-					if _, err := io.CopyN(far, conn, int64(size)); err != nil {
+					if _, err := io.CopyN(upstream, conn, int64(chunk)); err != nil {
 						return
 					}
-					time.Sleep(each)
+					time.Sleep(interval)
 				}
 			}()
 		}
@@ -287,13 +287,13 @@
 func TestLargeMessageOverASlowNetwork(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout = 100 * time.Millisecond
-	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, b)
-	const size, each, pause = 64 << 10, 2 << 10, 20 * time.Millisecond // 100 KB/s: 0.64 s
-	through := slowly(t, receiver.addr, each, pause)
-	sender.Send("a", through, bytes.Repeat([]byte{7}, size))
-	sender.Send("a", through, make([]byte, each)) // fills the last piece
+	receiver, sender := openLinks(t, "a", "f", testKeys, b), openLinks(t, "b", "f", testKeys, b)
+	const size, chunk, pause = 64 << 10, 2 << 10, 20 * time.Millisecond // 100 KB/s: 0.64 s
+	proxy := startThrottlingProxy(t, receiver.addr, chunk, pause)
+	sender.Send("a", proxy, bytes.Repeat([]byte{7}, size))
+	sender.Send("a", proxy, make([]byte, chunk)) // fills the last piece
 	select {
-	case r := <-receiver.got:
+	case r := <-receiver.messages:
 		if len(r.Payload) != size {
 			t.Errorf("%d bytes came", len(r.Payload))
 		}
@@ -307,9 +307,9 @@
 func TestSlowFrameEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.IdleTimeout, b.MinFrameRate = 50*time.Millisecond, 200*time.Millisecond, 1000
-	receiver, sender := open(t, "a", "f", keys, b), open(t, "b", "f", keys, DefaultBounds())
-	through := slowly(t, receiver.addr, 256, 10*time.Millisecond) // 25 KB/s: 40 s
-	sender.Send("a", through, make([]byte, frames.MaxPayloadBytes))
+	receiver, sender := openLinks(t, "a", "f", testKeys, b), openLinks(t, "b", "f", testKeys, DefaultBounds())
+	proxy := startThrottlingProxy(t, receiver.addr, 256, 10*time.Millisecond) // 25 KB/s: 40 s
+	sender.Send("a", proxy, make([]byte, frames.MaxPayloadBytes))
 	incoming := func() int {
 		receiver.mu.Lock()
 		defer receiver.mu.Unlock()
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// forget takes a peer that ended out of the table, unless another one of its name is in it.
-func (l *Links) forget(p *peer) {
+// removePeer takes a peer that ended out of the table, unless another one of its name is in it.
+func (l *Links) removePeer(p *peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.peers[p.id] == p {
@@ -110,19 +110,19 @@
 
 // peerWriter writes what is queued for one peer. It belongs to the goroutine of writeQueued.
 type peerWriter struct {
-	links       *Links
-	peer        *peer
-	connection  *outgoing // nil: none
-	retryAt     time.Time // before which no connection is opened
-	refusals    int       // in a row
-	endedAtOnce bool      // the peer ended the last connection right after its beginning
+	links      *Links
+	peer       *peer
+	connection *outgoing // nil: none
+	retryAt    time.Time // before which no connection is opened
+	refusals   int       // in a row
+	endedEarly bool      // the peer ended the last connection right after its beginning
 }
 
 // writeQueued writes what is queued for one peer until the peer has been idle for a while, or the
 // context ends. A message that finds no connection, as the last attempt to connect failed a moment
 // ago, is dropped: by the time of the next attempt it would be old.
 func (l *Links) writeQueued(ctx context.Context, p *peer) {
-	defer l.forget(p)
+	defer l.removePeer(p)
 	w := &peerWriter{links: l, peer: p}
 	defer w.disconnect()
 	idle := time.NewTimer(l.bounds.IdleTimeout)
@@ -134,7 +134,7 @@
 		case <-idle.C:
 			return
 		case <-w.connectionEnded():
-			w.dropEnded()
+			w.closeEnded()
 		case payload := <-p.queue:
 			p.queuedBytes.Add(-int64(len(payload)))
 			idle.Reset(l.bounds.IdleTimeout)
@@ -151,16 +151,16 @@
 	return w.connection.ended
 }
 
-// dropEnded closes the connection that the peer has ended. If a peer ends connections right after
+// closeEnded closes the connection that the peer has ended. If a peer ends connections right after
 // their beginning, as one does that does not accept this controller's hello, the second and further
 // ones are not replaced at once.
-func (w *peerWriter) dropEnded() {
+func (w *peerWriter) closeEnded() {
 	w.links.ended.Add(1)
 	atOnce := time.Since(w.connection.openedAt) < w.links.bounds.RetryInterval
-	if atOnce && w.endedAtOnce {
+	if atOnce && w.endedEarly {
 		w.retryAt = time.Now().Add(w.links.bounds.RetryInterval)
 	}
-	w.endedAtOnce = atOnce
+	w.endedEarly = atOnce
 	w.disconnect()
 }
 
@@ -175,7 +175,7 @@
 func (w *peerWriter) write(ctx context.Context, payload []byte) {
 	select {
 	case <-w.connectionEnded():
-		w.dropEnded()
+		w.closeEnded()
 	default:
 	}
 	if w.connection == nil && !w.connect(ctx) {
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// openAgain is links of a controller that takes over the listener of a former incarnation, which ends. The
+// restart is links of a controller that takes over the listener of a former incarnation, which ends. The
 // port is held throughout, so that no other program gets it.
-func (e *testLinks) openAgain(t *testing.T, listener net.Listener, b Bounds) *testLinks {
+func (e *testLinks) restart(t *testing.T, listener net.Listener, b Bounds) *testLinks {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	again, err := net.FileListener(file)
+	inherited, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.Close()
-	return serve(t, again, e.self.From, e.self.Fleet, keys, b)
+	return serveLinks(t, inherited, e.self.From, e.self.Fleet, testKeys, b)
 }
 
 // A peer restarts. The first message after that goes over a connection to the new incarnation, and is not
@@ -31,10 +31,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := open(t, "a", "f", keys, DefaultBounds()), serve(t, listener, "b", "f", keys, DefaultBounds())
+	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), serveLinks(t, listener, "b", "f", testKeys, DefaultBounds())
 	a.Send("b", b.addr, []byte("before"))
 	b.expect(t, "before")
-	b = b.openAgain(t, listener, DefaultBounds())
+	b = b.restart(t, listener, DefaultBounds())
 	eventually(t, "the end of the connection is not noticed", func() bool { return a.ended.Load() == 1 })
 	a.Send("b", b.addr, []byte("after"))
 	b.expect(t, "after")
@@ -74,31 +74,31 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
-	connect := func(c *peerWriter) bool {
-		c.retryAt = time.Time{}
-		return c.connect(context.Background())
+	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), openLinks(t, "b", "f", testKeys, DefaultBounds())
+	connect := func(writer *peerWriter) bool {
+		writer.retryAt = time.Time{}
+		return writer.connect(context.Background())
 	}
-	full := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
+	writer := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
 	for refusals := 1; refusals < 4; refusals++ {
 		go func() {
 			if conn, err := listener.Accept(); err == nil {
 				conn.Close()
 			}
 		}()
-		if connect(full) || full.refusals != refusals ||
-			time.Until(full.retryAt) > 2*DefaultBounds().MaxRetryInterval {
-			t.Errorf("%d refusals are counted, not %d", full.refusals, refusals)
+		if connect(writer) || writer.refusals != refusals ||
+			time.Until(writer.retryAt) > 2*DefaultBounds().MaxRetryInterval {
+			t.Errorf("%d refusals are counted, not %d", writer.refusals, refusals)
 		}
 	}
-	full.peer.addr = b.addr
-	if !connect(full) || full.refusals != 0 {
-		t.Errorf("%d refusals are counted after it was let in", full.refusals)
+	writer.peer.addr = b.addr
+	if !connect(writer) || writer.refusals != 0 {
+		t.Errorf("%d refusals are counted after it was let in", writer.refusals)
 	}
-	full.disconnect()
-	full.peer.addr = "127.0.0.1:1"
-	if connect(full) || full.refusals != 0 {
-		t.Errorf("%d refusals of one that is not there", full.refusals)
+	writer.disconnect()
+	writer.peer.addr = "127.0.0.1:1"
+	if connect(writer) || writer.refusals != 0 {
+		t.Errorf("%d refusals of one that is not there", writer.refusals)
 	}
 }
 
@@ -107,17 +107,17 @@
 func TestConnectionsThatThePeerEndsAtOnceAreDelayed(t *testing.T) {
 	b := DefaultBounds()
 	b.RetryInterval = time.Minute // "right after" on a slow machine too
-	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, DefaultBounds())
-	c := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: stranger.addr}}
-	for ends := 1; ends < 4; ends++ {
-		c.retryAt = time.Time{}
-		if !c.connect(context.Background()) {
+	a, foreign := openLinks(t, "a", "f", testKeys, b), openLinks(t, "b", "g", testKeys, DefaultBounds())
+	writer := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: foreign.addr}}
+	for endings := 1; endings < 4; endings++ {
+		writer.retryAt = time.Time{}
+		if !writer.connect(context.Background()) {
 			t.Fatal("not connected")
 		}
-		<-c.connectionEnded()
-		c.dropEnded()
-		if waits := time.Until(c.retryAt) > b.RetryInterval/2; waits != (ends > 1) {
-			t.Errorf("waits after %d such ends: %t", ends, waits)
+		<-writer.connectionEnded()
+		writer.closeEnded()
+		if waits := time.Until(writer.retryAt) > b.RetryInterval/2; waits != (endings > 1) {
+			t.Errorf("waits after %d such ends: %t", endings, waits)
 		}
 	}
 }
--- a/internal/fleet/maintenance/block_test.go
+++ b/internal/fleet/maintenance/block_test.go
@@ -13,27 +13,27 @@
 // A reload names a program for the work while a task waits for a person. The program is run with the next
 // step.
 func TestSetBlockCountsFromTheNextStepOn(t *testing.T) {
-	mark := filepath.Join(t.TempDir(), "mark")
-	script := mark + ".sh"
-	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $3\" > "+mark+"\n"), 0o700); err != nil {
+	output := filepath.Join(t.TempDir(), "mark")
+	script := output + ".sh"
+	if err := os.WriteFile(script, []byte("#!/bin/sh\necho \"$1 $2 $3\" > "+output+"\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	c := NewJob(Host{Log: slog.New(slog.DiscardHandler)}, Block{Within: time.Minute})
-	defer c.Close()
+	j := NewJob(Host{Log: slog.New(slog.DiscardHandler)}, Block{Within: time.Minute})
+	defer j.Close()
 	task := core.Task{Engine: "e1", Step: core.Working, Sequence: 7}
-	if m := c.step(nil, task); m != nil || c.waits["e1"] != "a person's word that the work is done" {
-		t.Errorf("without a program: %+v, waits for %q", m, c.waits["e1"])
+	if move := j.step(nil, task); move != nil || j.waitReasons["e1"] != "a person's word that the work is done" {
+		t.Errorf("without a program: %+v, waits for %q", move, j.waitReasons["e1"])
 	}
-	c.SetBlock(Block{Work: script, Within: time.Minute})
+	j.SetBlock(Block{Work: script, Within: time.Minute})
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if m := c.step(nil, task); m != nil && m.To == core.Returning {
+		if move := j.step(nil, task); move != nil && move.To == core.Returning {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("waits for %q", c.waits["e1"])
+			t.Fatalf("waits for %q", j.waitReasons["e1"])
 		}
 	}
-	if said, err := os.ReadFile(mark); err != nil || string(said) != "work e1 7\n" {
-		t.Errorf("the program was told %q, %v", said, err)
+	if written, err := os.ReadFile(output); err != nil || string(written) != "work e1 7\n" {
+		t.Errorf("the program was told %q, %v", written, err)
 	}
 }
--- a/internal/fleet/maintenance/engines.go
+++ b/internal/fleet/maintenance/engines.go
@@ -11,10 +11,10 @@
 func (j *Job) refreshEngines() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.asking {
+	if j.refreshing {
 		return
 	}
-	j.asking = true
+	j.refreshing = true
 	change := j.holdChanges
 	changed := change != j.appliedHold
 	toHold := j.toHold
@@ -27,7 +27,7 @@
 		engines, err := j.host.Engines(ctx)
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		j.asking = false
+		j.refreshing = false
 		j.appliedHold = change
 		if err == nil && change == j.holdChanges { // else the answer is of a time before the last change
 			j.engines = engines
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -15,9 +15,9 @@
 
 // confirmation is what a controller last said of the engines that it holds.
 type confirmation struct {
-	serial  uint64            // of the announcement that it answers
-	stopped []router.EngineID // engines on which nothing of the controller's own runs any more
-	at      float64           // ms, when it was received
+	serial     uint64            // of the announcement that it answers
+	stopped    []router.EngineID // engines on which nothing of the controller's own runs any more
+	receivedAt float64           // ms, when it was received
 }
 
 // enginesToHold are the engines to which no controller may send anything new, sorted.
@@ -92,24 +92,24 @@
 	if changed {
 		j.refreshEngines()
 	}
-	if j.heldFrom == "" || len(j.held.Engines) == 0 || jobContext.Now() < j.confirmAt {
+	if j.heldFrom == "" || len(j.held.Engines) == 0 || jobContext.Now() < j.nextConfirmAt {
 		return
 	}
-	j.confirmAt = jobContext.Now() + stepInterval
+	j.nextConfirmAt = jobContext.Now() + stepInterval
 	j.refreshEngines()
 	if engines == nil {
 		return
 	}
-	m := message{Token: uint64(j.heldToken), Serial: j.held.Serial}
+	reply := message{Token: uint64(j.heldToken), Serial: j.held.Serial}
 	for _, id := range j.held.Engines {
 		inUse := slices.ContainsFunc(engines, func(e router.EngineStatus) bool {
 			return e.Engine == id && (e.State == router.Ready || e.Attempts > 0)
 		})
 		if !inUse {
-			m.Stopped = append(m.Stopped, id)
+			reply.Stopped = append(reply.Stopped, id)
 		}
 	}
-	sendMessage(jobContext, j.heldFrom, m)
+	sendMessage(jobContext, j.heldFrom, reply)
 }
 
 // unconfirmed are the controllers that may still send to an engine, as far as the lease holder
@@ -117,11 +117,11 @@
 // had it wait for no more.
 func (j *Job) unconfirmed(jobContext job.Context, engine core.EngineID) (controllers []string) {
 	for _, m := range jobContext.Members() {
-		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Without, m.ID) {
+		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Excluded, m.ID) {
 			continue
 		}
 		last, ok := j.confirmations[m.ID]
-		expired := jobContext.Now()-last.at > confirmationLifetime
+		expired := jobContext.Now()-last.receivedAt > confirmationLifetime
 		if !ok || expired || !slices.Contains(last.stopped, router.EngineID(engine)) {
 			controllers = append(controllers, string(m.ID))
 		}
--- a/internal/fleet/maintenance/hooks.go
+++ b/internal/fleet/maintenance/hooks.go
@@ -56,12 +56,14 @@
 	run.running = true
 	j.hooks[key] = run
 	timeout := j.block.Load().Within
-	j.group.Go(func() { j.hookEnded(key, task.Sequence, j.execute(path, step, task, timeout)) })
+	j.group.Go(func() {
+		j.recordHookResult(key, task.Sequence, j.runProgram(path, step, task, timeout))
+	})
 	return false, step + " is under way"
 }
 
-// hookEnded notes how a program ended, unless the engine has a later task.
-func (j *Job) hookEnded(key string, sequence uint64, err error) {
+// recordHookResult notes how a program ended, unless the engine has a later task.
+func (j *Job) recordHookResult(key string, sequence uint64, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.hooks[key].sequence == sequence {
@@ -69,9 +71,9 @@
 	}
 }
 
-// execute runs a program to its end, or until its time is up. The program is given the step, the
+// runProgram runs a program to its end, or until its time is up. The program is given the step, the
 // engine and the sequence number of the task.
-func (j *Job) execute(path, step string, task core.Task, timeout time.Duration) error {
+func (j *Job) runProgram(path, step string, task core.Task, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, path, step, string(task.Engine),
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -28,7 +28,7 @@
 	announceInterval     = 1000.0 // between two announcements of the engines to hold
 	confirmationLifetime = 5000.0 // for which a confirmation counts, unless it is repeated
 	proposalTimeout      = 2000.0 // for a proposal to be agreed on; then the state is read again
-	lostEngineTime       = 3600e3 // after which an engine that nobody took out has left for good
+	lostEngineTimeout    = 3600e3 // after which an engine that nobody took out has left for good
 )
 
 // Timeouts of the job's own goroutines.
@@ -43,7 +43,7 @@
 	maxPendingRequests = 64
 	maxPlans           = 32
 	maxKnownEngines    = 4096
-	maxWithout         = 256
+	maxExcluded        = 256
 	maxReasons         = 100
 )
 
@@ -63,39 +63,39 @@
 	now   func() float64 // ms since 1970
 
 	// State of the lease holder, owned by the session's goroutine.
-	holdsLease     bool
-	grant          lease.Grant
-	stateRead      bool // the agreed state has been read
-	agreed         agreedState
-	serial         uint64 // of the agreed state
-	proposing      bool
-	proposedAt     float64 // ms
-	stepAt         float64 // ms, when the next step is due
-	announceAt     float64 // ms, when the next announcement is due
-	effectID       uint64  // of the last announcement
-	confirmations  map[members.ID]confirmation
-	reasons        []core.Reason            // why no step was possible at the last one
-	waits          map[core.EngineID]string // what the task of an engine waits for
-	requests       []pendingRequest
-	engineLostFrom map[core.EngineID]float64 // ms, since when one is missing, as this holder saw it
+	holdsLease      bool
+	grant           lease.Grant
+	stateRead       bool // the agreed state has been read
+	agreed          agreedState
+	serial          uint64 // of the agreed state
+	proposing       bool
+	proposedAt      float64 // ms
+	nextStepAt      float64 // ms, when the next step is due
+	nextAnnounceAt  float64 // ms, when the next announcement is due
+	effectID        uint64  // of the last announcement
+	confirmations   map[members.ID]confirmation
+	reasons         []core.Reason            // why no step was possible at the last one
+	waitReasons     map[core.EngineID]string // what the task of an engine waits for
+	requests        []pendingRequest
+	engineLostSince map[core.EngineID]float64 // ms, since when one is missing, as this holder saw it
 
 	// State of every controller, owned by the session's goroutine.
-	held        holdEffect // the latest announcement
-	heldToken   lease.Token
-	heldFrom    members.ID // empty: none was received
-	confirmAt   float64    // ms, when the next confirmation is due
-	replies     map[uint64]chan Status
-	lastRequest uint64
+	held          holdEffect // the latest announcement
+	heldToken     lease.Token
+	heldFrom      members.ID // empty: none was received
+	nextConfirmAt float64    // ms, when the next confirmation is due
+	replies       map[uint64]chan Status
+	lastRequest   uint64
 
 	mu          sync.Mutex            // guards the fields up to hooks
 	engines     []router.EngineStatus // nil: not known since the last change of what is held
-	asking      bool
+	refreshing  bool
 	holdChanges int               // how often toHold has changed
 	toHold      []router.EngineID // engines that the loop is to hold
 	appliedHold int               // value of holdChanges when the loop was last given toHold
 	hooks       map[string]hookRun
 	ctx         context.Context
-	end         context.CancelFunc
+	cancel      context.CancelFunc
 	group       sync.WaitGroup
 }
 
@@ -103,17 +103,17 @@
 func NewJob(host Host, b Block) *Job {
 	ctx, end := context.WithCancel(context.Background())
 	j := &Job{
-		host:           host,
-		now:            func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
-		confirmations:  map[members.ID]confirmation{},
-		waits:          map[core.EngineID]string{},
-		engineLostFrom: map[core.EngineID]float64{},
-		replies:        map[uint64]chan Status{},
-		hooks:          map[string]hookRun{},
+		host:            host,
+		now:             func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
+		confirmations:   map[members.ID]confirmation{},
+		waitReasons:     map[core.EngineID]string{},
+		engineLostSince: map[core.EngineID]float64{},
+		replies:         map[uint64]chan Status{},
+		hooks:           map[string]hookRun{},
 		// an answer to an earlier process of this controller finds no request
 		lastRequest: rand.Uint64() >> 1,
 		ctx:         ctx,
-		end:         end,
+		cancel:      end,
 	}
 	j.block.Store(&b)
 	return j
@@ -132,7 +132,7 @@
 	j.grant = grant
 	j.stateRead = false
 	j.proposing = false
-	j.stepAt = jobContext.Now()
+	j.nextStepAt = jobContext.Now()
 	j.confirmations = map[members.ID]confirmation{}
 	jobContext.RequestState(Lease)
 }
@@ -147,7 +147,7 @@
 
 // Close ends the job and its programs.
 func (j *Job) Close() {
-	j.end()
+	j.cancel()
 	j.group.Wait()
 }
 
@@ -157,23 +157,23 @@
 // Tick confirms what this controller holds and, where it holds the lease, makes the next step.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	j.confirm(jobContext)
-	if !j.holdsLease || now < j.stepAt {
+	if !j.holdsLease || now < j.nextStepAt {
 		return
 	}
-	j.stepAt = now + stepInterval
+	j.nextStepAt = now + stepInterval
 	j.refreshEngines()
 	if !j.stateRead || j.proposing {
 		j.retryState(jobContext, now)
 		return
 	}
-	if now >= j.announceAt {
-		j.announceAt = now + announceInterval
+	if now >= j.nextAnnounceAt {
+		j.nextAnnounceAt = now + announceInterval
 		j.announce(jobContext)
 	}
 	if len(j.requests) > 0 {
 		first := j.requests[0]
 		j.requests = j.requests[1:]
-		j.carryOut(jobContext, first)
+		j.executeRequest(jobContext, first)
 		return
 	}
 	j.advance(jobContext)
@@ -208,8 +208,8 @@
 			return
 		}
 	}
-	if agreed.Hooked == nil {
-		agreed.Hooked = map[string]uint64{}
+	if agreed.ConfirmedWork == nil {
+		agreed.ConfirmedWork = map[string]uint64{}
 	}
 	j.agreed = agreed
 	j.serial = s.Serial
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -15,13 +15,13 @@
 
 // agreedState is what is agreed on through the quorum: the next lease holder goes on from it.
 type agreedState struct {
-	Plans   []core.Plan     `cbor:"1,keyasint"`
-	Tasks   []core.Task     `cbor:"2,keyasint"`
-	Without []members.ID    `cbor:"3,keyasint,omitempty"` // controllers not waited for any more
-	Known   []core.EngineID `cbor:"5,keyasint,omitempty"` // the engines that there should be
+	Plans    []core.Plan     `cbor:"1,keyasint"`
+	Tasks    []core.Task     `cbor:"2,keyasint"`
+	Excluded []members.ID    `cbor:"3,keyasint,omitempty"` // controllers not waited for any more
+	Known    []core.EngineID `cbor:"5,keyasint,omitempty"` // the engines that there should be
 
-	// Hooked is, by hookKey, the sequence number of the task that a person has done the work of.
-	Hooked map[string]uint64 `cbor:"6,keyasint,omitempty"`
+	// ConfirmedWork is, by hookKey, the sequence number of the task that a person has done the work of.
+	ConfirmedWork map[string]uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // holdEffect is the effect that lists, to every controller, the engines to which it may send
@@ -134,9 +134,9 @@
 		j.receiveAnswer(received.Answer)
 	case j.holdsLease && received.Token == uint64(j.grant.Token):
 		j.confirmations[from] = confirmation{
-			serial:  received.Serial,
-			stopped: received.Stopped,
-			at:      jobContext.Now(),
+			serial:     received.Serial,
+			stopped:    received.Stopped,
+			receivedAt: jobContext.Now(),
 		}
 	}
 	return true
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -62,8 +62,8 @@
 // receiveRequest enqueues a request where this controller holds the lease.
 func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
 	var request Request
-	able := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
-	if !able || json.Unmarshal(encoded.JSON, &request) != nil {
+	accepted := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
+	if !accepted || json.Unmarshal(encoded.JSON, &request) != nil {
 		j.reply(jobContext, from, encoded.Ref, Status{
 			Error: "this controller does not conduct maintenance now: ask again",
 		})
@@ -79,16 +79,16 @@
 	}
 }
 
-// carryOut does what an operator asks for, and answers with the state after it.
-func (j *Job) carryOut(jobContext job.Context, request pendingRequest) {
+// executeRequest does what an operator asks for, and answers with the state after it.
+func (j *Job) executeRequest(jobContext job.Context, request pendingRequest) {
 	run := &requestRun{state: j.agreed}
 	run.state.Plans = slices.Clone(run.state.Plans)
-	run.state.Without = slices.Clone(run.state.Without)
+	run.state.Excluded = slices.Clone(run.state.Excluded)
 	v := j.view(jobContext)
 	switch request.Action {
 	case ActionStatus:
 	case ActionPlan, ActionCheck:
-		run.takePlans(request.Plans, v, int(j.serial+1), request.Action == ActionPlan)
+		run.addPlans(request.Plans, v, int(j.serial+1), request.Action == ActionPlan)
 	case ActionHalt, ActionResume:
 		run.setHalted(request.Name, request.Action == ActionHalt)
 	case ActionWithdraw:
@@ -96,21 +96,21 @@
 	case ActionDone:
 		run.markDone(request.Name)
 	case ActionWithout:
-		run.doWithout(members.ID(request.Name))
+		run.excludeController(members.ID(request.Name))
 	default:
 		run.status.Error = fmt.Sprintf("%.64q is not known", request.Action)
 	}
 	if run.changed {
 		j.propose(jobContext, run.state)
 	}
-	j.describe(jobContext, run.state, &run.status)
+	j.fillStatus(jobContext, run.state, &run.status)
 	j.reply(jobContext, request.from, request.ref, run.status)
 }
 
 // setHalted has a plan take no further engine, or go on.
 func (r *requestRun) setHalted(name string, halted bool) {
-	if p := r.findPlan(name); p != nil {
-		p.Halted = halted
+	if plan := r.findPlan(name); plan != nil {
+		plan.Halted = halted
 		r.changed = true
 	}
 }
@@ -126,19 +126,19 @@
 	return nil
 }
 
-// takePlans checks plans and takes them into the state; commit: it is to be agreed on if they have
+// addPlans checks plans and takes them into the state; commit: it is to be agreed on if they have
 // no problems.
-func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
+func (r *requestRun) addPlans(plans []core.Plan, v core.View, version int, commit bool) {
 	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
-	for _, p := range plans {
-		p.Version = version
-		problems := core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, durations)
+	for _, plan := range plans {
+		plan.Version = version
+		problems := core.Check(plan, r.state.Plans, v.Engines, v.Requirements, v.Now, durations)
 		for _, problem := range problems {
 			r.status.Problems = append(r.status.Problems,
-				fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
+				fmt.Sprintf("plan %s: %s", plan.ID, problem.Error()))
 		}
-		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
-		r.state.Plans = append(r.state.Plans, p)
+		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == plan.ID })
+		r.state.Plans = append(r.state.Plans, plan)
 	}
 	if len(r.state.Plans) > maxPlans {
 		r.status.Problems = append(r.status.Problems,
@@ -153,15 +153,15 @@
 // withdraw ends a plan: the engines on which its work has begun are brought back, the others are
 // left alone.
 func (r *requestRun) withdraw(name string) {
-	p := r.findPlan(name)
-	if p == nil {
+	plan := r.findPlan(name)
+	if plan == nil {
 		return
 	}
-	p.Withdrawn = true
+	plan.Withdrawn = true
 	r.changed = true
 	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t core.Task) bool {
 		begun := t.Step != core.Done && t.Step != core.Preparing
-		return t.Plan == p.ID && !begun
+		return t.Plan == plan.ID && !begun
 	})
 }
 
@@ -175,16 +175,16 @@
 		return
 	}
 	hooked := map[string]uint64{}
-	maps.Copy(hooked, r.state.Hooked)
+	maps.Copy(hooked, r.state.ConfirmedWork)
 	hooked[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
-	r.state.Hooked = hooked
+	r.state.ConfirmedWork = hooked
 	r.changed = true
 }
 
-// doWithout has the confirmation of a controller no longer waited for.
-func (r *requestRun) doWithout(id members.ID) {
-	if !slices.Contains(r.state.Without, id) && len(r.state.Without) < maxWithout {
-		r.state.Without = append(r.state.Without, id)
+// excludeController has the confirmation of a controller no longer waited for.
+func (r *requestRun) excludeController(id members.ID) {
+	if !slices.Contains(r.state.Excluded, id) && len(r.state.Excluded) < maxExcluded {
+		r.state.Excluded = append(r.state.Excluded, id)
 		r.changed = true
 	}
 }
--- a/internal/fleet/maintenance/status.go
+++ b/internal/fleet/maintenance/status.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// describe fills in the state of all plans and tasks.
-func (j *Job) describe(jobContext job.Context, state agreedState, status *Status) {
+// fillStatus fills in the state of all plans and tasks.
+func (j *Job) fillStatus(jobContext job.Context, state agreedState, status *Status) {
 	status.Holder = string(jobContext.Self())
 	status.Token = uint64(j.grant.Token)
 	status.Serial = j.serial
@@ -18,7 +18,7 @@
 	status.Forecasts = forecasts(j.view(jobContext), state.Plans)
 	status.Tasks = []TaskStatus{}
 	for _, task := range state.Tasks {
-		status.Tasks = append(status.Tasks, j.describeTask(jobContext, task))
+		status.Tasks = append(status.Tasks, j.taskStatus(jobContext, task))
 	}
 	slices.SortFunc(status.Tasks, func(a, b TaskStatus) int { return cmp.Compare(a.Engine, b.Engine) })
 	status.Reasons = []string{}
@@ -43,14 +43,14 @@
 	return list
 }
 
-// describeTask is the state of the work on one engine.
-func (j *Job) describeTask(jobContext job.Context, task core.Task) TaskStatus {
+// taskStatus is the state of the work on one engine.
+func (j *Job) taskStatus(jobContext job.Context, task core.Task) TaskStatus {
 	status := TaskStatus{
 		Engine:  string(task.Engine),
 		Plan:    string(task.Plan),
 		Step:    task.Step.String(),
 		SinceMS: int64(j.now() - task.StepStartedAt),
-		Waits:   j.waits[task.Engine],
+		Waits:   j.waitReasons[task.Engine],
 	}
 	if task.Step == core.Draining {
 		status.NotConfirmed = j.unconfirmed(jobContext, task.Engine)
--- a/internal/fleet/maintenance/steps.go
+++ b/internal/fleet/maintenance/steps.go
@@ -9,8 +9,8 @@
 	"mintkeel/router"
 )
 
-// namesShown is how many names a reason lists.
-const namesShown = 5
+// maxListedNames is how many names a reason lists.
+const maxListedNames = 5
 
 // advance makes the next step, if there is one, and has it agreed on.
 func (j *Job) advance(jobContext job.Context) {
@@ -35,10 +35,10 @@
 func (j *Job) step(jobContext job.Context, task core.Task) *core.Move {
 	to, reason := j.nextStep(jobContext, task)
 	if reason != "" {
-		j.waits[task.Engine] = reason
+		j.waitReasons[task.Engine] = reason
 		return nil
 	}
-	delete(j.waits, task.Engine)
+	delete(j.waitReasons, task.Engine)
 	if to == task.Step {
 		return nil
 	}
@@ -71,7 +71,7 @@
 		return reason
 	}
 	if names := j.unconfirmed(jobContext, task.Engine); len(names) > 0 {
-		return "not confirmed by " + firstNames(names)
+		return "not confirmed by " + summarizeNames(names)
 	}
 	if block.List && j.listedState(task.Engine) == router.Ready {
 		return "the list still tells that it is there for work: " +
@@ -87,16 +87,16 @@
 		_, reason := j.runHook(workHook, block.Work, task)
 		return reason
 	}
-	if j.agreed.Hooked[hookKey(workHook, task.Engine)] != task.Sequence {
+	if j.agreed.ConfirmedWork[hookKey(workHook, task.Engine)] != task.Sequence {
 		return "a person's word that the work is done"
 	}
 	return ""
 }
 
-// firstNames lists the first names, and how many there are besides.
-func firstNames(names []string) string {
-	if len(names) > namesShown {
-		return fmt.Sprintf("%v and %d more", names[:namesShown], len(names)-namesShown)
+// summarizeNames lists the first names, and how many there are besides.
+func summarizeNames(names []string) string {
+	if len(names) > maxListedNames {
+		return fmt.Sprintf("%v and %d more", names[:maxListedNames], len(names)-maxListedNames)
 	}
 	return fmt.Sprint(names)
 }
--- a/internal/fleet/maintenance/stored_test.go
+++ b/internal/fleet/maintenance/stored_test.go
@@ -51,11 +51,11 @@
 
 func storedMaintenance() agreedState {
 	return agreedState{
-		Plans:   []core.Plan{storedPlan()},
-		Tasks:   []core.Task{storedTask()},
-		Without: []members.ID{"n7"},
-		Known:   []core.EngineID{"e1", "e2", "e3"},
-		Hooked:  map[string]uint64{"e1": 17}, // one entry: the encoding of a map has no order
+		Plans:         []core.Plan{storedPlan()},
+		Tasks:         []core.Task{storedTask()},
+		Excluded:      []members.ID{"n7"},
+		Known:         []core.EngineID{"e1", "e2", "e3"},
+		ConfirmedWork: map[string]uint64{"e1": 17}, // one entry: the encoding of a map has no order
 	}
 }
 
@@ -84,15 +84,15 @@
 // position.
 func TestProgramArgumentsAreStable(t *testing.T) {
 	folder := t.TempDir()
-	program, given := filepath.Join(folder, "program"), filepath.Join(folder, "given")
-	if err := os.WriteFile(program, []byte("#!/bin/sh\necho \"$*\" > "+given+"\n"), 0o700); err != nil {
+	program, output := filepath.Join(folder, "program"), filepath.Join(folder, "given")
+	if err := os.WriteFile(program, []byte("#!/bin/sh\necho \"$*\" > "+output+"\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	job := &Job{ctx: t.Context()}
-	if err := job.execute(program, "drain", storedTask(), 10*time.Second); err != nil {
+	if err := job.runProgram(program, "drain", storedTask(), 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if text, err := os.ReadFile(given); string(text) != "drain e1 17\n" || err != nil {
+	if text, err := os.ReadFile(output); string(text) != "drain e1 17\n" || err != nil {
 		t.Errorf("%q, %v", text, err)
 	}
 }
--- a/internal/fleet/maintenance/view.go
+++ b/internal/fleet/maintenance/view.go
@@ -81,30 +81,30 @@
 			return t.Engine == id && t.Step != core.Done
 		})
 		if ready || takenOut {
-			delete(j.engineLostFrom, id)
+			delete(j.engineLostSince, id)
 			continue
 		}
-		if j.engineLostFrom[id] == 0 {
-			j.engineLostFrom[id] = v.Now
+		if j.engineLostSince[id] == 0 {
+			j.engineLostSince[id] = v.Now
 		}
-		if !j.leftForGood(id, v.Now) {
+		if !j.presumedRemoved(id, v.Now) {
 			lost = append(lost, core.Engine{ID: id})
 		}
 	}
 	return lost
 }
 
-// leftForGood reports whether an engine has been missing for so long that it does not count as lost
+// presumedRemoved reports whether an engine has been missing for so long that it does not count as lost
 // any more.
-func (j *Job) leftForGood(id core.EngineID, now float64) bool {
-	return j.engineLostFrom[id] > 0 && now >= j.engineLostFrom[id]+lostEngineTime
+func (j *Job) presumedRemoved(id core.EngineID, now float64) bool {
+	return j.engineLostSince[id] > 0 && now >= j.engineLostSince[id]+lostEngineTimeout
 }
 
 // knownEngines are the engines that there should be: all that were ever ready while there were
 // plans, but for those that left for good.
 func (j *Job) knownEngines(v core.View) []core.EngineID {
 	known := slices.DeleteFunc(slices.Clone(j.agreed.Known), func(id core.EngineID) bool {
-		return j.leftForGood(id, v.Now)
+		return j.presumedRemoved(id, v.Now)
 	})
 	for _, e := range v.Engines {
 		if e.Ready && !slices.Contains(known, e.ID) && len(known) < maxKnownEngines {
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -21,7 +21,7 @@
 		s.notifyLeases(out)
 		s.logMembers(out.Changes)
 		s.notifyJobs(out)
-		s.config.CarryOut(out.Config)
+		s.config.HandleOutput(out.Config)
 		advanced, err := s.persist(out)
 		if err != nil {
 			return err
--- a/internal/fleet/sharedstatistics/collect.go
+++ b/internal/fleet/sharedstatistics/collect.go
@@ -35,22 +35,22 @@
 func (j *Job) readSource() []byte {
 	ctx, cancel := context.WithTimeout(j.ctx, collectTimeout)
 	defer cancel()
-	var all router.Statistics
+	var collected router.Statistics
 	part := memory.Part{More: true}
-	for part.More && all.Len() < maxRecords {
+	for part.More && collected.Len() < maxRecords {
 		var err error
 		part, err = j.host.Source.Statistics(ctx, part.Next, partRecords)
 		if err != nil {
 			return nil
 		}
-		all.Add(part.Statistics)
+		collected.Add(part.Statistics)
 	}
-	return encodeWithin(&all, maxSnapshotBytes)
+	return encodeBounded(&collected, maxSnapshotBytes)
 }
 
-// encodeWithin encodes statistics in a number of bytes at most: table groups with the least demand
+// encodeBounded encodes statistics in a number of bytes at most: table groups with the least demand
 // are left out, and some engines. It sorts and shortens the lists of the statistics.
-func encodeWithin(statistics *router.Statistics, maxBytes int) []byte {
+func encodeBounded(statistics *router.Statistics, maxBytes int) []byte {
 	slices.SortStableFunc(statistics.Tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(b.Demand, a.Demand)
 	})
@@ -77,10 +77,10 @@
 	if data == nil {
 		return
 	}
-	own := &snapshot{Settings: j.host.Settings, Now: j.clock(), Data: data}
+	ownStatistics := &snapshot{Settings: j.host.Settings, Now: j.clock(), Data: data}
 	if requester == jobContext.Self() {
-		j.addReport(requester, own)
+		j.addReport(requester, ownStatistics)
 		return
 	}
-	sendMessage(jobContext, requester, message{Snapshot: own})
+	sendMessage(jobContext, requester, message{Snapshot: ownStatistics})
 }
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -43,7 +43,7 @@
 		Settings: j.host.Settings,
 		Now:      now,
 		Whole:    true,
-		Data:     encodeWithin(&merged, maxSnapshotBytes),
+		Data:     encodeBounded(&merged, maxSnapshotBytes),
 	})
 	if err != nil {
 		return
@@ -54,16 +54,16 @@
 	}
 }
 
-// giveDigest sends the latest digest to a newcomer, unless it is too old or one was just given.
-func (j *Job) giveDigest(jobContext job.Context, newcomer members.ID) {
-	if j.latestDigest == nil || jobContext.Now() < j.nextGiveAt {
+// sendDigest sends the latest digest to a newcomer, unless it is too old or one was just given.
+func (j *Job) sendDigest(jobContext job.Context, newcomer members.ID) {
+	if j.latestDigest == nil || jobContext.Now() < j.nextDigestSendAt {
 		return
 	}
 	age := time.Since(j.digestReceivedAt)
 	if float64(age.Milliseconds()) >= digestLifetime {
 		return
 	}
-	j.nextGiveAt = jobContext.Now() + giveInterval
+	j.nextDigestSendAt = jobContext.Now() + digestSendInterval
 	given := *j.latestDigest
 	// Moved on by the digest's age here, or the receiver would take its records for younger.
 	given.Now += float64(age.Microseconds()) / 1e3
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeOver has a newcomer begin with the digest; only the first one counts.
-func (j *Job) takeOver(received *snapshot) {
+// restoreDigest has a newcomer begin with the digest; only the first one counts.
+func (j *Job) restoreDigest(received *snapshot) {
 	if !j.needsDigest || received.Settings != j.host.Settings {
 		return
 	}
--- a/internal/fleet/sharedstatistics/doc.go
+++ b/internal/fleet/sharedstatistics/doc.go
@@ -21,7 +21,7 @@
 // holder. What one controller sends is bounded by maxRecords and maxSnapshotBytes, of which the
 // table groups with the least demand are left out; a larger digest is dropped by the receiver. A
 // request that comes while statistics are being taken out is not answered, nor one for a digest
-// within giveInterval of the last: a newcomer asks again.
+// within digestSendInterval of the last: a newcomer asks again.
 //
 // Statistics count only among controllers with the same settings, as the numbers of classes and
 // machine kinds are theirs. Their times are of the sender's clock, and are shifted by the
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -23,12 +23,12 @@
 
 // Intervals of the session's goroutine, in ms of the steady clock.
 const (
-	gatherInterval   = 5000.0   // between two rounds of asking
-	publishInterval  = 5000.0   // between two digests
-	newcomerInterval = 500.0    // between two requests of a newcomer for the digest
-	newcomerWindow   = 15000.0  // after its start, in which a newcomer asks
-	digestLifetime   = 120000.0 // for which a voter gives a digest to newcomers
-	giveInterval     = 100.0    // between two digests that one voter gives to newcomers
+	gatherInterval     = 5000.0   // between two rounds of asking
+	publishInterval    = 5000.0   // between two digests
+	newcomerInterval   = 500.0    // between two requests of a newcomer for the digest
+	newcomerWindow     = 15000.0  // after its start, in which a newcomer asks
+	digestLifetime     = 120000.0 // for which a voter gives a digest to newcomers
+	digestSendInterval = 100.0    // between two digests that one voter gives to newcomers
 )
 
 // collectTimeout bounds how long the controller's own statistics are taken out.
@@ -58,30 +58,30 @@
 	clock func() float64 // ms since 1970, as in statistics
 
 	// State of the lease holder, owned by the session's goroutine.
-	holdsLease bool
-	gathered   digest.Collector
-	gatherAt   float64 // ms, when the next round of asking is due
-	publishAt  float64 // ms, when the next digest is due
-	effectID   uint64  // of the last digest sent
+	holdsLease    bool
+	gathered      digest.Collector
+	nextGatherAt  float64 // ms, when the next round of asking is due
+	nextPublishAt float64 // ms, when the next digest is due
+	effectID      uint64  // of the last digest sent
 
 	// State of a voter, owned by the session's goroutine.
 	latestDigest     *snapshot // nil: none was received
 	digestReceivedAt time.Time // when it was received
-	nextGiveAt       float64   // ms, from when the digest is given again
+	nextDigestSendAt float64   // ms, from when the digest is given again
 
 	// State of a newcomer, owned by the session's goroutine.
-	needsDigest bool    // it has no statistics yet, and asks
-	startedAt   float64 // ms, of the first Tick
-	requestAt   float64 // ms, when the next request is due
+	needsDigest   bool    // it has no statistics yet, and asks
+	startedAt     float64 // ms, of the first Tick
+	nextRequestAt float64 // ms, when the next request is due
 
 	mu         sync.Mutex // guards the fields up to requester
 	collecting bool
 	collected  []byte     // the controller's own statistics, encoded; nil: none wait to be sent
 	requester  members.ID // to which they are to be sent
 
-	ctx   context.Context
-	end   context.CancelFunc
-	group sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	group  sync.WaitGroup
 }
 
 // NewJob returns the job of one controller; Close ends it.
@@ -93,7 +93,7 @@
 		clock:       func() float64 { return float64(time.Now().UnixMicro()) / 1e3 },
 		needsDigest: host.Restore != nil,
 		ctx:         ctx,
-		end:         end,
+		cancel:      end,
 	}
 }
 
@@ -103,8 +103,8 @@
 		return
 	}
 	j.holdsLease = true
-	j.gatherAt = jobContext.Now()
-	j.publishAt = jobContext.Now() + publishInterval/2
+	j.nextGatherAt = jobContext.Now()
+	j.nextPublishAt = jobContext.Now() + publishInterval/2
 	j.gathered = digest.Collector{}
 }
 
@@ -123,7 +123,7 @@
 
 // Close ends the goroutine of the job.
 func (j *Job) Close() {
-	j.end()
+	j.cancel()
 	j.group.Wait()
 }
 
@@ -134,16 +134,16 @@
 		j.startedAt = now
 	}
 	j.sendCollected(jobContext)
-	if j.holdsLease && now >= j.gatherAt {
-		j.gatherAt = now + gatherInterval
+	if j.holdsLease && now >= j.nextGatherAt {
+		j.nextGatherAt = now + gatherInterval
 		j.gather(jobContext)
 	}
-	if j.holdsLease && now >= j.publishAt {
-		j.publishAt = now + publishInterval
+	if j.holdsLease && now >= j.nextPublishAt {
+		j.nextPublishAt = now + publishInterval
 		j.publish(jobContext)
 	}
-	if j.needsDigest && now >= j.requestAt {
-		j.requestAt = now + newcomerInterval
+	if j.needsDigest && now >= j.nextRequestAt {
+		j.nextRequestAt = now + newcomerInterval
 		j.needsDigest = now < j.startedAt+newcomerWindow
 		if j.needsDigest {
 			j.requestDigest(jobContext)
@@ -176,9 +176,9 @@
 	case received.RequestStatistics:
 		j.collect(from)
 	case received.RequestDigest:
-		j.giveDigest(jobContext, from)
+		j.sendDigest(jobContext, from)
 	case received.Snapshot != nil && received.Snapshot.Whole:
-		j.takeOver(received.Snapshot)
+		j.restoreDigest(received.Snapshot)
 	case received.Snapshot != nil && j.holdsLease:
 		j.addReport(from, received.Snapshot)
 	}
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -85,7 +85,7 @@
 }
 
 func (s *storage) writeRecord(request writeRequest) error {
-	if err := faultinjection.BeforeSave(); err != nil {
+	if err := faultinjection.BeforeWrite(); err != nil {
 		return err
 	}
 	if request.replace {
