--- a/internal/fleet/configuration/client.go
+++ b/internal/fleet/configuration/client.go
@@ -9,28 +9,28 @@
 	"mintkeel/internal/core/fleet/config"
 )
 
-// replyGrace is how much longer than its timeout a request is waited for. It is a backstop: the
-// session ends the wait before.
+// replyGrace is how much longer than a request's timeout Call waits. It is a backstop: the session
+// ends the wait earlier.
 const replyGrace = 3 * time.Second
 
 // Errors of requests.
 var (
 	ErrOff       = errors.New("there is no block config in this controller's file")
 	ErrNoLeader  = errors.New("the leader of the quorum does not answer")
-	ErrRestarted = errors.New("this controller's part in the fleet ended meanwhile")
+	ErrRestarted = errors.New("the controller's fleet session ended before the request was answered")
 
 	errTimeout         = errors.New("no answer in time")
-	errTooManyRequests = errors.New("too many requests at once")
-	errShuttingDown    = errors.New("the controller is ending")
+	errTooManyRequests = errors.New("too many concurrent requests")
+	errShuttingDown    = errors.New("the controller is shutting down")
 )
 
-// notStartedError means that the session's goroutine did not take a request, and never will.
+// notStartedError means that the session's goroutine did not start a request and never will.
 type notStartedError struct{ cause error }
 
 func (e *notStartedError) Error() string { return e.cause.Error() }
 func (e *notStartedError) Unwrap() error { return e.cause }
 
-// hadNoEffect reports whether an error of a request means that the replica was not asked.
+// hadNoEffect reports whether an error means that the request did not reach the replica.
 func hadNoEffect(err error) bool {
 	var notBegun *notStartedError
 	return errors.As(err, &notBegun) || errors.Is(err, errTooManyRequests)
@@ -38,33 +38,33 @@
 
 // Executor runs functions on the goroutine of the service's session.
 type Executor interface {
-	// Execute has a function called with the session, and returns once the call has begun. After an
-	// error it was not called, and will not be.
+	// Execute calls a function with the session and returns once the call has begun. After an error
+	// the function was not called and never will be.
 	Execute(f func(*Session)) error
-	// Done is closed when no function is called any more.
+	// Done returns a channel that is closed once no more functions are called.
 	Done() <-chan struct{}
 }
 
-// Client carries out operators' requests. Its methods wait for the replica's answers; any goroutine
-// but the session's may call them.
+// Client executes operators' requests. Its methods block until the replica answers, so any
+// goroutine except the session's may call them.
 type Client struct {
 	manager  *Manager
 	executor Executor
 }
 
-// NewClient returns a client; the manager is nil without a block config.
+// NewClient returns a client; the manager is nil without a config block.
 func NewClient(manager *Manager, executor Executor) *Client {
 	return &Client{manager: manager, executor: executor}
 }
 
-// Do carries out an operator's request. Other errors than ErrOff and that of a nil request come
-// with an answer, which has the version in force here.
+// Do executes an operator's request. All errors except ErrOff and that of a nil request come with
+// an answer, which has the version in force here.
 func (c *Client) Do(request *Request) (*Answer, error) {
 	if c.manager == nil {
 		return nil, ErrOff
 	}
 	if request == nil {
-		return nil, errors.New("nothing is asked for")
+		return nil, errors.New("the configuration request is missing")
 	}
 	answer, err := c.dispatch(request)
 	answer.Local = c.manager.Readiness()
@@ -84,11 +84,11 @@
 	case ActionRollback:
 		return c.rollback(request)
 	default:
-		return Answer{}, fmt.Errorf("%.64q is not known", request.Action)
+		return Answer{}, fmt.Errorf("%.64q is not a known action", request.Action)
 	}
 }
 
-// put has a document agreed on as the next version, once it is checked here.
+// put checks a document here and proposes it as the next version.
 func (c *Client) put(request *Request) (Answer, error) {
 	if reason := c.checkUsable(request.Document); reason != "" {
 		return Answer{Result: ResultRefused, Reason: reason}, nil
@@ -103,7 +103,7 @@
 	return c.propose(request, request.Document, newestNumber(history.Versions), 0)
 }
 
-// rollback has an earlier document agreed on as the next version.
+// rollback checks the document of an earlier version here and proposes it as the next version.
 func (c *Client) rollback(request *Request) (Answer, error) {
 	history, err := c.history()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return c.propose(request, shown.Document, expect, request.Number)
 }
 
-// checkUsable is why a document is not proposed; empty: it may be.
+// checkUsable returns why a document may not be proposed; "" if it may.
 func (c *Client) checkUsable(document []byte) string {
 	switch {
 	case len(document) == 0:
@@ -137,7 +137,8 @@
 	return ""
 }
 
-// propose has a checked document agreed on, if the newest version is still the one expected.
+// propose proposes a checked document as the version after the expected one, and waits for the
+// result. It loses if the expected version is no longer the newest.
 func (c *Client) propose(
 	request *Request, document []byte, expect, rollbackOf uint64,
 ) (Answer, error) {
@@ -163,7 +164,7 @@
 	}, nil
 }
 
-// status asks the leader where versions are in force.
+// status requests from the leader where versions are in force.
 func (c *Client) status() (Answer, error) {
 	result, err := c.query(config.QueryStatus)
 	if err != nil {
@@ -172,7 +173,7 @@
 	return Answer{Status: result.Answer.Status, From: string(result.From)}, nil
 }
 
-// history asks the leader for the versions that the quorum remembers, oldest first.
+// history requests from the leader the versions that the quorum keeps, oldest first.
 func (c *Client) history() (Answer, error) {
 	result, err := c.query(config.QueryHistory)
 	if err != nil {
@@ -181,7 +182,7 @@
 	return Answer{Versions: result.Answer.Versions, From: string(result.From)}, nil
 }
 
-// query asks the leader. The error is ErrNoLeader if it does not answer in time.
+// query queries the leader. The error is ErrNoLeader if the leader does not answer in time.
 func (c *Client) query(kind config.QueryKind) (*config.QueryResult, error) {
 	reply, err := c.Call(QueryTimeout, func(now float64, ref uint64, replica *config.Replica) {
 		replica.Query(now, ref, kind)
@@ -192,7 +193,7 @@
 	return reply.query, err
 }
 
-// show finds a version's document; number 0 is the newest.
+// show returns the document of a version; number 0 stands for the newest.
 func (c *Client) show(number uint64) (Answer, error) {
 	history, err := c.history()
 	if err != nil {
@@ -201,7 +202,7 @@
 	return c.fetch(history, cmp.Or(number, newestNumber(history.Versions)))
 }
 
-// fetch finds the document of a version, here or at a voter.
+// fetch returns the document of a version, from this controller or from a voter.
 func (c *Client) fetch(history Answer, number uint64) (Answer, error) {
 	for _, v := range history.Versions {
 		if v.Number != number {
@@ -214,15 +215,15 @@
 			return Answer{}, err
 		}
 		if reply.document.Document == nil {
-			return Answer{}, fmt.Errorf("the document of version %d was found at no voter", number)
+			return Answer{}, fmt.Errorf("no reachable voter has the document of version %d", number)
 		}
 		return Answer{Version: &v, Document: reply.document.Document, From: history.From}, nil
 	}
 	return Answer{}, fmt.Errorf(
-		"version %d is not remembered: the quorum has the last %d", number, config.MaxHistory)
+		"version %d is not in the history: the quorum keeps the last %d", number, config.MaxHistory)
 }
 
-// newestNumber is the number of the last version; 0: there is none.
+// newestNumber returns the number of the last version; 0 if there is none.
 func newestNumber(versions []config.Version) uint64 {
 	if len(versions) == 0 {
 		return 0
@@ -230,7 +231,7 @@
 	return versions[len(versions)-1].Number
 }
 
-// ReplicaRequest puts a request to the replica, under the number ref; now is in ms.
+// ReplicaRequest submits a request to the replica under the number ref; now is in ms.
 type ReplicaRequest func(now float64, ref uint64, replica *config.Replica)
 
 // Reply is the replica's answer to a request; one of its fields is set.
@@ -241,9 +242,9 @@
 	err      error
 }
 
-// Call has a function put a request to the replica, under the number ref, and waits for the reply.
-// The session ends the wait after the timeout. After an error for which hadNoEffect is false the
-// request may have had its effect.
+// Call submits a request to the replica on the session's goroutine and waits for the reply. The
+// session ends the wait after the timeout. After an error for which hadNoEffect is false, the
+// request may have taken effect.
 func (c *Client) Call(timeout time.Duration, request ReplicaRequest) (Reply, error) {
 	reply := make(chan Reply, 1)
 	ref := c.manager.lastRef.Add(1)
--- a/internal/fleet/configuration/folder.go
+++ b/internal/fleet/configuration/folder.go
@@ -15,22 +15,22 @@
 // FolderName is the name of the folder of configuration versions within the fleet's folder.
 const FolderName = "config"
 
-// folderBounds are a backstop: the core keeps what is stored within config.MaxStored, but removes
-// nothing in its first minute.
+// folderBounds are a backstop above the core's own bound: the core keeps the stored documents
+// within config.MaxStored, but removes nothing in its first minute.
 var folderBounds = documents.Bounds{
 	Document:  config.MaxDocument,
 	Documents: 256,
 	Bytes:     4 * config.MaxStored,
 }
 
-// currentRecord is what the folder's record holds: the version to be in force at a start.
+// currentRecord is the content of the folder's record: the version to apply at a start.
 type currentRecord struct {
 	Generation uint64         `cbor:"1,keyasint"`
 	Version    config.Version `cbor:"2,keyasint"`
 }
 
-// atLeast reports whether a record is of this version or of a later one of the generation. It is
-// false for no record (nil).
+// atLeast reports whether the record names this version or a later one of the generation. It is
+// false for a nil record.
 func (r *currentRecord) atLeast(generation uint64, v config.Version) bool {
 	if r == nil || r.Generation != generation {
 		return false
@@ -38,7 +38,7 @@
 	return r.Version.Number > v.Number || r.Version.Number == v.Number && r.Version.Hash == v.Hash
 }
 
-// recordDecoder reads what this controller wrote itself.
+// recordDecoder decodes records that this controller wrote itself.
 var recordDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
@@ -47,27 +47,27 @@
 	return mode
 }()
 
-// Folder stores versions. It is used by one goroutine at a time.
+// Folder stores versions. It is not safe for concurrent use.
 type Folder struct {
 	folder     *documents.Folder
 	generation uint64 // of the fleet
 
-	// otherGeneration is the record of another generation, if the folder had one: it is put back while there
-	// is no version of this generation.
+	// otherGeneration is the record of another generation, if the folder had one. It is restored while
+	// there is no version of this generation.
 	otherGeneration *documents.Current
 
-	pendingRemovals []config.Hash // documents that could not be removed yet
+	pendingRemovals []config.Hash // documents whose removal failed
 }
 
-// Contents is what a folder held when it was opened.
+// Contents is the content of a folder when it was opened.
 type Contents struct {
-	record    *currentRecord // nil: none
-	document  []byte         // of the record
+	record    *currentRecord // nil if there is none
+	document  []byte         // the document that the record names
 	documents map[config.Hash][]byte
-	damaged   int // files that were dropped
+	damaged   int // damaged files that were dropped
 }
 
-// OpenFolder takes the folder for this process and reads it.
+// OpenFolder locks the folder for this process and reads it.
 func OpenFolder(d disk.Disk, generation uint64) (*Folder, Contents, error) {
 	if err := d.Make(); err != nil {
 		return nil, Contents{}, err
@@ -99,7 +99,7 @@
 	return f, contents, nil
 }
 
-// Store carries out a request. Nothing is removed before the rest is durable.
+// Store executes a request. It removes documents only after all writes are durable.
 func (f *Folder) Store(request *config.StoreRequest) error {
 	if err := faultinjection.BeforeWrite(); err != nil {
 		return err
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// setCurrent has a version be the one in force at a start. Number 0 is none of this generation.
+// setCurrent records the version to apply at a start. Number 0 stands for no version of this
+// generation.
 func (f *Folder) setCurrent(v config.Version) error {
 	if v.Number == 0 {
 		return f.clearCurrent()
@@ -130,6 +131,8 @@
 	return f.folder.SetCurrent(documents.Current{Document: documents.Hash(v.Hash), Record: record})
 }
 
+// clearCurrent restores the record of another generation if its document is still stored, and
+// otherwise clears the record.
 func (f *Folder) clearCurrent() error {
 	if f.otherGeneration != nil {
 		if err := f.folder.SetCurrent(*f.otherGeneration); !errors.Is(err, documents.ErrNotFound) {
@@ -139,8 +142,8 @@
 	return f.folder.ClearCurrent()
 }
 
-// remove lets documents go. One that can't be removed is tried again with the next request, unless
-// it was stored again.
+// remove removes documents. A removal that fails is retried with the next request, unless the
+// document has been stored again.
 func (f *Folder) remove(request *config.StoreRequest) {
 	hashes := slices.Concat(f.pendingRemovals, request.Remove)
 	f.pendingRemovals = nil
@@ -155,5 +158,5 @@
 	}
 }
 
-// Close lets others have the folder.
+// Close unlocks the folder.
 func (f *Folder) Close() { f.folder.Close() }
--- a/internal/fleet/configuration/folder_test.go
+++ b/internal/fleet/configuration/folder_test.go
@@ -16,14 +16,14 @@
 	"mintkeel/internal/store/documents"
 )
 
-// storedVersion is the n-th version of a folder that is tested by itself.
+// storedVersion returns the n-th version and its document.
 func storedVersion(n int) (config.Version, []byte) {
 	document := fmt.Append(nil, "document ", n)
 	return config.Version{Number: uint64(n), Hash: config.HashOf(document), Size: len(document), Author: "a"},
 		document
 }
 
-// storeVersion has the n-th version be current, and the one before the last be removed.
+// storeVersion stores the n-th version as the current one and removes the document of version n-2.
 func storeVersion(f *Folder, n int) error {
 	v, document := storedVersion(n)
 	request := config.StoreRequest{Hash: v.Hash, Document: document, Current: &v}
@@ -43,7 +43,7 @@
 	return f, contents
 }
 
-// currentNumber is the number of the version that a folder has as current; 0: none.
+// currentNumber returns the number of the folder's current version; 0 if it has none.
 func currentNumber(t *testing.T, d disk.Disk, generation uint64) uint64 {
 	t.Helper()
 	f, contents := openTestFolder(t, d, generation)
@@ -54,13 +54,14 @@
 	v, document := storedVersion(int(contents.record.Version.Number))
 	if contents.record.Version != v || !bytes.Equal(contents.document, document) ||
 		!bytes.Equal(contents.documents[v.Hash], document) {
-		t.Fatalf("%+v with %q", contents.record, contents.document)
+		t.Fatalf("current version: got %+v with document %q, want %+v with %q", contents.record, contents.document, v,
+			document)
 	}
 	return v.Number
 }
 
-// The process is killed at each operation of a request. The folder then has the version before or the new
-// one, complete; once the request was answered, the new one.
+// After a crash at any disk operation of a store request, the folder must have either the previous version or
+// the new one, complete; once the request has returned, the new one.
 func TestFolderAfterStopAtEachOperation(t *testing.T) {
 	t.Parallel()
 	crashes := 0
@@ -72,7 +73,7 @@
 				d.OnOperation(func(op int) {
 					crashes++
 					if got := currentNumber(t, d.AfterCrash(mode, rng), 1); got != uint64(n) && got != uint64(n-1) {
-						t.Fatalf("way %d, operation %d: version %d is found, %d was being stored", mode, op, got, n)
+						t.Fatalf("crash mode %d, operation %d: found version %d while %d was being stored", mode, op, got, n)
 					}
 				})
 				if err := storeVersion(f, n); err != nil {
@@ -80,18 +81,18 @@
 				}
 				d.OnOperation(nil)
 				if got := currentNumber(t, d.AfterCrash(mode, rng), 1); got != uint64(n) {
-					t.Fatalf("way %d: version %d was stored, %d is found", mode, n, got)
+					t.Fatalf("crash mode %d: found version %d after %d was stored", mode, got, n)
 				}
 			}
 		}
 	}
 	if crashes < 1000 {
-		t.Errorf("only %d points", crashes)
+		t.Errorf("tested %d crashes, want at least 1000", crashes)
 	}
 }
 
-// A folder has the record of another generation. It is replaced by a version of this one, and is back when
-// none of this one is to be in force at a start.
+// The record of another generation must be replaced by a version of this generation, and restored when no
+// version of this generation is current any more, unless its document was removed.
 func TestFolderOfAnotherGeneration(t *testing.T) {
 	t.Parallel()
 	d := disktest.New()
@@ -103,7 +104,7 @@
 	f, contents := openTestFolder(t, d, 2)
 	if contents.record == nil || contents.record.Generation != 1 ||
 		contents.record.atLeast(2, config.Version{Number: 1}) {
-		t.Errorf("found %+v", contents.record)
+		t.Errorf("record: got %+v, want that of generation 1", contents.record)
 	}
 	noVersion := config.StoreRequest{Current: &config.Version{}}
 	for _, step := range []struct {
@@ -113,23 +114,22 @@
 	}{
 		{"a version of this generation", func() error { return storeVersion(f, 1) }, 1},
 		{"none of this generation", func() error { return f.Store(&noVersion) }, 7},
-		{"again one", func() error { return storeVersion(f, 2) }, 2},
-		{"the other's document removed",
+		{"a second version of this generation", func() error { return storeVersion(f, 2) }, 2},
+		{"the other generation's document removed",
 			func() error { return f.folder.Remove(documents.Hash(contents.record.Version.Hash)) }, 2},
-		{"none of either", func() error { return f.Store(&noVersion) }, 0},
-		{"and again one", func() error { return storeVersion(f, 2) }, 2},
+		{"none of either generation", func() error { return f.Store(&noVersion) }, 0},
+		{"the second version again", func() error { return storeVersion(f, 2) }, 2},
 	} {
 		if err := step.store(); err != nil {
 			t.Fatalf("%s: %v", step.name, err)
 		}
 		if got := currentNumber(t, d.AfterCrash(disktest.LoseUnsynced, nil), 2); got != step.want {
-			t.Errorf("%s: version %d is found", step.name, got)
+			t.Errorf("%s: found version %d, want %d", step.name, got, step.want)
 		}
 	}
 }
 
-// A document can't be removed. The removal is tried again with the next request, unless the document was
-// stored again meanwhile.
+// A removal that fails must be retried with the next request, unless the document has been stored again.
 func TestRemovalThatFailedIsTriedAgain(t *testing.T) {
 	t.Parallel()
 	d := disktest.New()
@@ -141,10 +141,10 @@
 	}
 	one, document := storedVersion(1)
 	two, _ := storedVersion(2)
-	const removal = 1 // is the only operation
+	const removal = 1 // number of the only disk operation of the request
 	reached := d.FailFrom(removal, os.ErrPermission)
 	if err := f.Store(&config.StoreRequest{Remove: []config.Hash{one.Hash}}); err != nil || !reached() {
-		t.Fatalf("a removal that failed: %v", err)
+		t.Fatalf("store with a removal that fails: got error %v, removal reached: %v; want no error", err, reached())
 	}
 	if err := f.Store(&config.StoreRequest{Hash: one.Hash, Document: document}); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 	f.Close()
 	f, contents := openTestFolder(t, d, 1)
 	if contents.documents[one.Hash] == nil {
-		t.Error("a document that was stored again is gone")
+		t.Error("a document that was stored again is missing")
 	}
 	if err := f.Store(&config.StoreRequest{Remove: []config.Hash{one.Hash,
 		two.Hash}}); err != nil { // two is current
@@ -162,15 +162,15 @@
 		t.Fatal(err)
 	}
 	if len(f.pendingRemovals) != 0 {
-		t.Errorf("%d documents are left", len(f.pendingRemovals))
+		t.Errorf("%d removals are pending, want none", len(f.pendingRemovals))
 	}
 	f.Close()
 	if _, contents = openTestFolder(t, d, 1); len(contents.documents) != 1 {
-		t.Errorf("%d documents are stored", len(contents.documents))
+		t.Errorf("%d documents are stored, want 1", len(contents.documents))
 	}
 }
 
-// A record is complete but can't be one of ours. It is dropped and counted, and the folder is usable.
+// A record that is complete but invalid must be dropped and counted, and the folder must stay usable.
 func TestUnusableRecordsAreDropped(t *testing.T) {
 	t.Parallel()
 	v, document := storedVersion(1)
@@ -178,11 +178,11 @@
 	zero := v
 	zero.Number = 0
 	for name, record := range map[string]any{
-		"no record":             "a text",
-		"of another document":   currentRecord{Generation: 1, Version: other},
-		"of a version 0":        currentRecord{Generation: 1, Version: zero},
-		"nothing":               nil,
-		"nested without an end": bytes.Repeat([]byte{0x81}, 1000),
+		"a text instead of a record": "a text",
+		"another document's hash":    currentRecord{Generation: 1, Version: other},
+		"version number 0":           currentRecord{Generation: 1, Version: zero},
+		"null":                       nil,
+		"excessive nesting":          bytes.Repeat([]byte{0x81}, 1000),
 	} {
 		d := disktest.New()
 		folder, _, err := documents.Open(d, folderBounds)
@@ -200,10 +200,10 @@
 		folder.Close()
 		f, contents := openTestFolder(t, d, 1)
 		if contents.record != nil || contents.damaged != 1 || contents.documents[v.Hash] == nil {
-			t.Errorf("%s: %+v", name, contents)
+			t.Errorf("%s: got contents %+v, want no record, 1 damaged file and the document", name, contents)
 		}
 		if err := storeVersion(f, 2); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: store after the record was dropped: %v", name, err)
 		}
 	}
 }
--- a/internal/fleet/configuration/manager.go
+++ b/internal/fleet/configuration/manager.go
@@ -17,48 +17,49 @@
 // ApplyGrace is the time for which Close waits for a call of Host.Apply.
 const ApplyGrace = 2 * time.Second
 
-// readinessPollInterval is the interval between two looks of Wait.
+// readinessPollInterval is how often Wait polls the readiness.
 const readinessPollInterval = 20 * time.Millisecond
 
-// maxProblemBytes bounds the text on a document that can't be used.
+// maxProblemBytes bounds the text about the problems of a document.
 const maxProblemBytes = 16 << 10
 
-// Errors of Apply: what is in use stays.
+// Errors of Manager.Apply; the version in force stays in force.
 var (
 	ErrOlderVersion        = errors.New("a later version is in force")
 	ErrConflictingDocument = errors.New("another document of this number is in force")
 )
 
-// Applied is a version that the program has in use, or is to take.
+// Applied is a version that the host has applied, or is to apply.
 type Applied struct {
 	Generation uint64 // of the fleet
 	Version    config.Version
 	Document   []byte
 }
 
-// Manager has documents checked, and versions taken into use, by the program. It outlives sessions;
-// any goroutine may call it.
+// Manager has the host check documents and apply versions. It outlives sessions and is safe for
+// concurrent use.
 type Manager struct {
 	host      *Host
-	disk      disk.Disk               // of the folder of versions
-	checking  sync.Mutex              // one call of Host.Check at a time
-	applying  chan struct{}           // holds one while Host.Apply is called
-	applied   atomic.Pointer[Applied] // what Host.Apply took last; nil: nothing yet
+	disk      disk.Disk               // the folder of versions
+	checking  sync.Mutex              // held during a call of Host.Check
+	applying  chan struct{}           // full during a call of Host.Apply
+	applied   atomic.Pointer[Applied] // last version that Host.Apply applied; nil if none
 	readiness atomic.Pointer[config.Readiness]
 	counters  atomic.Pointer[config.Counters]
 	lastRef   atomic.Uint64 // number of the last request to the replica
 
-	stored      atomic.Int64 // writes
-	storeFailed atomic.Int64 // writes that failed
-	damaged     atomic.Int64 // files that were dropped when the folder was opened
+	stored      atomic.Int64 // successful writes
+	storeFailed atomic.Int64 // failed writes
+	damaged     atomic.Int64 // damaged files dropped when the folder was opened
 }
 
-// NewManager stores versions on a disk.
+// NewManager returns a manager that stores versions on a disk.
 func NewManager(host *Host, d disk.Disk) *Manager {
 	return &Manager{host: host, disk: d, applying: make(chan struct{}, 1)}
 }
 
-// NewFolderManager stores versions in the fleet's folder; nil where there is no host.
+// NewFolderManager returns a manager that stores versions in the fleet's folder; nil for a nil
+// host.
 func NewFolderManager(host *Host, folder string) *Manager {
 	if host == nil {
 		return nil
@@ -66,27 +67,28 @@
 	return NewManager(host, disk.Folder(filepath.Join(folder, FolderName)))
 }
 
-// check returns why a document can't be used here; nil: it can. A parser that panics ends no more
-// than the check.
+// check returns why a document can't be used here; nil if it can. A panic of the host's parser
+// fails the check.
 func (m *Manager) check(document []byte) (err error) {
 	m.checking.Lock()
 	defer m.checking.Unlock()
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			err = fmt.Errorf("the check failed: %v", recovered)
+			err = fmt.Errorf("panic while checking the document: %v", recovered)
 		}
 	}()
 	return m.host.Check(document)
 }
 
-// problemText is the text of a document's problems, within a bound.
+// problemText returns the text of a document's problems, truncated to maxProblemBytes.
 func problemText(err error) string {
 	text := err.Error()
 	return text[:min(len(text), maxProblemBytes)]
 }
 
-// Apply has the host take a version into use, unless that or a later one of the generation is
-// (ErrOlderVersion, ErrConflictingDocument). One call is made at a time.
+// Apply has the host apply a version, one call at a time. It returns nil at once if this version is
+// in force already, ErrOlderVersion if a later one of the generation is, and ErrConflictingDocument
+// if another document of this number is.
 func (m *Manager) Apply(ctx context.Context, next Applied) (err error) {
 	if !m.reserveApply(ctx) {
 		return context.Cause(ctx)
@@ -104,7 +106,7 @@
 	}
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			err = fmt.Errorf("taking it into use failed: %v", recovered)
+			err = fmt.Errorf("panic while applying the version: %v", recovered)
 		}
 	}()
 	if err := m.host.Apply(next.Version, next.Document); err != nil {
@@ -114,7 +116,8 @@
 	return nil
 }
 
-// reserveApply waits until no call of Host.Apply is under way; false if the context ends before.
+// reserveApply waits until no call of Host.Apply is in progress. It returns false if the context
+// ends first.
 func (m *Manager) reserveApply(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -129,8 +132,9 @@
 
 func (m *Manager) releaseApply() { <-m.applying }
 
-// Close waits for a call of Host.Apply, for a bounded time, as that call may wait for the goroutine
-// that closes the service. No call is made after it. A nil Manager has nothing to close.
+// Close waits for a call of Host.Apply in progress and prevents further ones. The wait is bounded
+// by ApplyGrace, as the call may wait for the goroutine that closes the service. Close does nothing
+// on a nil Manager.
 func (m *Manager) Close() {
 	if m == nil {
 		return
@@ -140,8 +144,8 @@
 	m.reserveApply(ctx)
 }
 
-// Readiness returns which version is in force here, and whether it is known to be the latest. It is
-// zero for a nil Manager: there is no block config.
+// Readiness returns the version in force here, and whether it is confirmed to be the latest. It is
+// zero for a nil Manager, as there is no config block.
 func (m *Manager) Readiness() config.Readiness {
 	if m == nil {
 		return config.Readiness{}
@@ -152,15 +156,15 @@
 	return config.Readiness{}
 }
 
-// setUnconfirmed notes that it is not known any more whether the version in force is the latest.
+// setUnconfirmed records that the version in force is no longer confirmed to be the latest.
 func (m *Manager) setUnconfirmed() {
 	last := m.Readiness()
 	last.Confirmed = false
 	m.readiness.Store(&last)
 }
 
-// Wait waits until the latest version is known to be in force here, the context ends or done is
-// closed, and returns which is in force. It returns at once for a nil Manager.
+// Wait waits until the version in force here is confirmed to be the latest, the context ends or
+// done is closed, and returns the version in force. It returns at once for a nil Manager.
 func (m *Manager) Wait(ctx context.Context, done <-chan struct{}) config.Readiness {
 	if m == nil {
 		return config.Readiness{}
@@ -181,13 +185,14 @@
 	}
 }
 
-// StoreFailures is how many writes have failed.
+// StoreFailures returns the number of failed writes.
 func (m *Manager) StoreFailures() int64 { return m.storeFailed.Load() }
 
-// DamagedFiles is how many files were dropped when the folder was opened, in all sessions.
+// DamagedFiles returns the number of damaged files dropped when the folder was opened, over all
+// sessions.
 func (m *Manager) DamagedFiles() int64 { return m.damaged.Load() }
 
-// LogValue prints the counts.
+// LogValue returns the counts as log attributes.
 func (m *Manager) LogValue() slog.Value {
 	last := m.Readiness()
 	var counts config.Counters
--- a/internal/fleet/configuration/open.go
+++ b/internal/fleet/configuration/open.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	applyStoredAttempts = 5                      // to apply the version that the folder has
-	applyStoredBackoff  = 200 * time.Millisecond // between two of them
+	applyStoredAttempts = 5                      // attempts to apply the folder's version at a start
+	applyStoredBackoff  = 200 * time.Millisecond // between two attempts
 )
 
-// OpenSession reads the folder, has the version that is to be in force at a start applied, and
-// returns what the core begins with. It waits for the disk and for Host.Apply, until the context
-// ends. For a nil Manager all results are nil. A session that was opened must be closed, also if
+// OpenSession reads the folder, applies the version that the folder's record names, and returns the
+// state that the core starts with. It waits for the disk and for Host.Apply until the context ends.
+// For a nil Manager all results are nil. The caller must close a session that was opened, even if
 // the core does not start.
 func (m *Manager) OpenSession(
 	ctx context.Context, environment Environment,
@@ -37,7 +37,7 @@
 	stored, err := s.open()
 	if err != nil {
 		s.Close()
-		return nil, nil, fmt.Errorf("folder of configuration: %w", err)
+		return nil, nil, fmt.Errorf("configuration folder: %w", err)
 	}
 	return s, &node.FleetConfig{Stored: stored}, nil
 }
@@ -63,8 +63,8 @@
 	return stored, nil
 }
 
-// openFolder opens the folder, unless the service ends first: it does not wait for a disk that
-// hangs then, and closes the folder if it opens after all.
+// openFolder opens the folder, or gives up when the service closes. In that case it does not wait
+// for a disk that hangs, and closes the folder if it is opened after all.
 func (s *Session) openFolder() (Contents, error) {
 	type opened struct {
 		folder   *Folder
@@ -76,7 +76,7 @@
 		var o opened
 		o.folder, o.contents, o.err = OpenFolder(s.manager.disk, s.Generation)
 		if o.err == nil {
-			o.err = s.FleetFolder.Sync() // the folder of versions itself is to last
+			o.err = s.FleetFolder.Sync() // makes the folder's own directory entry durable
 		}
 		result <- o
 	}()
@@ -94,8 +94,8 @@
 	}
 }
 
-// applyStored applies the version that the folder has. Where that fails what is in force stays: the
-// replica takes the version again, or refuses it, once it has heard of it.
+// applyStored applies the version that the folder has. If that fails, the version in force stays in
+// force: the replica requests the stored version again, or rejects it, once it knows of it.
 func (s *Session) applyStored(contents Contents) {
 	if contents.record == nil {
 		return
@@ -131,9 +131,9 @@
 	}
 }
 
-// storedState is what the replica begins with: what is in force here, which an earlier session may
-// have applied after its folder failed; then it is stored first. Versions of another generation do
-// not count.
+// storedState returns the state that the replica starts with: the version in force here, without
+// versions of another generation. It first stores that version if the folder lacks it, as an
+// earlier session may have applied it before its folder failed.
 func (s *Session) storedState(contents Contents) (config.StoredState, error) {
 	state := config.StoredState{Documents: contents.documents}
 	inForce := s.manager.applied.Load()
--- a/internal/fleet/configuration/request.go
+++ b/internal/fleet/configuration/request.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/config"
 )
 
-// Action is what an operator asks of the fleet's configuration.
+// Action is an operation of operators on the fleet's configuration.
 type Action string
 
 // Actions of operators.
@@ -23,26 +23,26 @@
 const (
 	ResultAgreed  = "agreed"
 	ResultLost    = "lost"    // another version was agreed on first
-	ResultRefused = "refused" // the document can't be used, or a bound is passed
-	ResultUnknown = "unknown" // it may be agreed on, or not
+	ResultRefused = "refused" // the document can't be used, or a bound is exceeded
+	ResultUnknown = "unknown" // the version may or may not be agreed on
 )
 
-// Longest waits for the replica's answer to a request: a little longer than its own waits.
+// Timeouts of requests to the replica, a little longer than the replica's own timeouts.
 const (
 	QueryTimeout   = 6 * time.Second  // to query the leader
-	fetchTimeout   = 11 * time.Second // to find a document
-	proposeTimeout = 16 * time.Second // to have a version agreed on
+	fetchTimeout   = 11 * time.Second // to fetch a document
+	proposeTimeout = 16 * time.Second // to get a version agreed on
 )
 
-// MaxRequestBytes bounds the JSON of a request: a document, in base64, has config.MaxDocument bytes
-// at most before that.
+// MaxRequestBytes bounds the JSON of a request. It leaves room for a document of config.MaxDocument
+// bytes in base64.
 const MaxRequestBytes = 2 << 20
 
 // Request is an operator's request.
 type Request struct {
 	Action   Action  `json:"action"`
 	Document []byte  `json:"document,omitempty"` // of ActionPut
-	Expect   *uint64 `json:"expect,omitempty"`   // newest version that the author has seen; nil: any
+	Expect   *uint64 `json:"expect,omitempty"`   // newest version that the author saw; nil for any
 	Number   uint64  `json:"number,omitempty"`   // of ActionShow and ActionRollback
 	Author   string  `json:"author,omitempty"`
 	Reason   string  `json:"reason,omitempty"`
@@ -52,15 +52,15 @@
 type Answer struct {
 	Result   string           `json:"result,omitempty"` // of ActionPut and ActionRollback
 	Reason   string           `json:"reason,omitempty"`
-	Version  *config.Version  `json:"version,omitempty"` // agreed on, or the newest where it was lost
+	Version  *config.Version  `json:"version,omitempty"` // agreed on, or the newest for ResultLost
 	Local    config.Readiness `json:"local"`             // of the controller asked
 	Status   *config.Status   `json:"status,omitempty"`  // of ActionStatus
-	From     string           `json:"from,omitempty"`    // the leader that Status or Versions are from
+	From     string           `json:"from,omitempty"`    // leader that sent Status or Versions
 	Versions []config.Version `json:"versions,omitempty"`
 	Document []byte           `json:"document,omitempty"` // of ActionShow
 }
 
-// MaxDuration is how long a controller takes for the request at most.
+// MaxDuration returns the longest time that a controller takes to answer the request.
 func (r *Request) MaxDuration() time.Duration {
 	switch r.Action {
 	case ActionPut:
@@ -74,7 +74,8 @@
 	}
 }
 
-// RefuseOversized answers a request with a document that is too big to be sent; nil: it is not.
+// RefuseOversized returns the answer to a request whose document is too large to be sent; nil if it
+// is not.
 func (r *Request) RefuseOversized() *Answer {
 	if len(r.Document) <= config.MaxDocument {
 		return nil
@@ -83,10 +84,10 @@
 }
 
 func oversizedReason(bytes int) string {
-	return fmt.Sprintf("the document has %d bytes: %d are possible", bytes, config.MaxDocument)
+	return fmt.Sprintf("the document has %d bytes, over the limit of %d", bytes, config.MaxDocument)
 }
 
-// resultName is a result of a proposal as operators see it.
+// resultName returns the name of a proposal's result in answers to operators.
 func resultName(r config.Result) string {
 	switch r {
 	case config.Committed:
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	storeGrace       = time.Second // for which the end of a session waits for a write
-	maxWaiters       = 32          // requests of operators at once
-	loggedHashDigits = 12          // digits of a hash in the log
+	storeGrace       = time.Second // how long the end of a session waits for a write
+	maxWaiters       = 32          // operators' requests that wait at once
+	loggedHashDigits = 12          // logged digits of a hash
 )
 
-// Core is what a session needs of the core: to call a function with the configuration's replica,
-// and to carry out what follows from it.
+// Core is what a session needs of the core: it calls a function with the configuration's replica
+// and then processes the replica's outputs.
 type Core interface {
 	WithConfig(now float64, use func(*config.Replica))
 }
 
-// Environment is what a session is given of the service.
+// Environment is what the service provides to a session.
 type Environment struct {
 	Generation  uint64    // of the fleet
-	FleetFolder disk.Disk // the fleet's folder, in which the folder of versions lies
+	FleetFolder disk.Disk // the fleet's folder, which contains the folder of versions
 	Now         func() float64
 	Log         *slog.Logger
 }
 
-// Session is the part of one run of the core. It belongs to the goroutine of the service's session.
-// Without a block config the Session is nil: its methods do nothing, its channels deliver nothing.
+// Session is the configuration's part of one run of the core. The goroutine of the service's
+// session owns it. Without a config block the Session is nil: its methods do nothing and its
+// channels deliver nothing.
 type Session struct {
 	Environment
 	manager     *Manager
 	ctx         context.Context // ends with the service
 	core        Core
 	folder      *Folder           // nil: not open
-	checked     chan Check        // answers the CheckRequest that is out
-	stored      chan error        // answers the StoreRequest that is out
-	applied     chan error        // answers the ApplyRequest that is out
-	storing     bool              // a StoreRequest is out
+	checked     chan Check        // result of the pending CheckRequest
+	stored      chan error        // result of the pending StoreRequest
+	applied     chan error        // result of the pending ApplyRequest
+	storing     bool              // a StoreRequest is pending
 	lastRefused config.Version    // the last that was logged as refused
 	waiters     map[uint64]waiter // by the request's number
 }
 
-// Check is how the check of a document ended.
+// Check is the result of the check of a document.
 type Check struct {
 	hash config.Hash
-	err  error // nil: the document can be used here
+	err  error // why the document can't be used here; nil if it can
 }
 
 // waiter is a request that waits for the replica's answer.
 type waiter struct {
 	reply chan Reply // has room for the one reply
-	until float64    // ms of the steady clock
+	until float64    // ms of the monotonic clock
 }
 
-// Start has the session work with a core.
+// Start sets the core that the session works with.
 func (s *Session) Start(core Core) {
 	if s != nil {
 		s.core = core
@@ -81,7 +82,7 @@
 	return s.stored
 }
 
-// Applied delivers the results of versions that were to be applied, for ApplyEnded.
+// Applied delivers the results of calls of Manager.Apply, for ApplyEnded.
 func (s *Session) Applied() <-chan error {
 	if s == nil {
 		return nil
@@ -89,7 +90,7 @@
 	return s.applied
 }
 
-// Waiting is how many requests wait for an answer of the replica.
+// Waiting returns the number of requests that wait for an answer of the replica.
 func (s *Session) Waiting() int {
 	if s == nil {
 		return 0
@@ -97,7 +98,8 @@
 	return len(s.waiters)
 }
 
-// HandleOutput begins what the replica asks for, and hands its answers to the requests that wait.
+// HandleOutput starts the operations that the replica requests and delivers its answers to the
+// waiting requests.
 func (s *Session) HandleOutput(out config.Output) {
 	if s == nil {
 		return
@@ -122,34 +124,34 @@
 	}
 }
 
-// beginCheck checks a document that this controller is to take, or to have agreed on, beside the
-// core, which has one CheckRequest out at a time.
+// beginCheck starts checking a document that this controller is to apply or to propose. The core
+// has one CheckRequest pending at a time.
 func (s *Session) beginCheck(request *config.CheckRequest) {
 	go func() { s.checked <- Check{request.Hash, s.manager.check(request.Document)} }()
 }
 
-// beginStore writes beside the core, which has one StoreRequest out at a time.
+// beginStore starts a write. The core has one StoreRequest pending at a time.
 func (s *Session) beginStore(request *config.StoreRequest) {
 	s.storing = true
 	go func() { s.stored <- s.folder.Store(request) }()
 }
 
-// beginApply applies beside the core, which has one ApplyRequest out at a time.
+// beginApply starts applying a version. The core has one ApplyRequest pending at a time.
 func (s *Session) beginApply(request *config.ApplyRequest) {
 	next := Applied{Generation: s.Generation, Version: request.Version, Document: request.Document}
 	go func() { s.applied <- s.manager.Apply(s.ctx, next) }()
 }
 
-// CheckEnded takes in the answer to a CheckRequest.
+// CheckEnded passes the result of a CheckRequest to the replica.
 func (s *Session) CheckEnded(check Check) {
 	if check.err != nil {
-		s.Log.Warn("fleet: a document of the configuration can't be used here",
+		s.Log.Warn("fleet: configuration document can't be used here",
 			"hash", check.hash.String(), "why", problemText(check.err))
 	}
 	s.core.WithConfig(s.Now(), func(r *config.Replica) { r.Checked(s.Now(), check.hash, check.err) })
 }
 
-// StoreEnded takes in the answer to a StoreRequest.
+// StoreEnded passes the result of a StoreRequest to the replica.
 func (s *Session) StoreEnded(err error) {
 	s.storing = false
 	if err != nil {
@@ -161,19 +163,19 @@
 	s.core.WithConfig(s.Now(), func(r *config.Replica) { r.Stored(s.Now(), err) })
 }
 
-// ApplyEnded takes in the answer to an ApplyRequest.
+// ApplyEnded passes the result of an ApplyRequest to the replica.
 func (s *Session) ApplyEnded(err error) {
 	retryable := errors.Is(err, ErrRetryable)
 	if err != nil {
-		s.Log.Warn("fleet: a version of the configuration is not in force here",
+		s.Log.Warn("fleet: configuration version not applied",
 			"tried_again", retryable, "why", problemText(err))
 	}
 	s.core.WithConfig(s.Now(), func(r *config.Replica) { r.Applied(s.Now(), err, retryable) })
 	s.Observe()
 }
 
-// Observe notes the state of the replica for reports, and ends waits that took too long. It is
-// called with each tick.
+// Observe publishes the replica's readiness and counters, and ends the waits that have timed out.
+// The service calls it on each tick.
 func (s *Session) Observe() {
 	if s == nil {
 		return
@@ -192,7 +194,7 @@
 	}
 }
 
-// logRefused logs a version that can't be used here, once.
+// logRefused logs the last version that can't be used here, once.
 func (s *Session) logRefused(r *config.Replica) {
 	v, reason := r.Rejected()
 	if v.Number == s.lastRefused.Number && v.Hash == s.lastRefused.Hash {
@@ -203,7 +205,7 @@
 		v.Hash.String()[:loggedHashDigits], "author", v.Author, "reason", v.Reason, "why", reason)
 }
 
-// submit puts a request to the replica.
+// submit submits a request to the replica and registers its waiter.
 func (s *Session) submit(ref uint64, w waiter, timeout time.Duration, request ReplicaRequest) {
 	if len(s.waiters) >= maxWaiters {
 		w.reply <- Reply{err: errTooManyRequests}
@@ -214,7 +216,7 @@
 	s.core.WithConfig(s.Now(), func(r *config.Replica) { request(s.Now(), ref, r) })
 }
 
-// reply hands an answer to the request that waits for it.
+// reply delivers an answer to the request that waits for it.
 func (s *Session) reply(ref uint64, reply Reply) {
 	if w, ok := s.waiters[ref]; ok {
 		delete(s.waiters, ref)
@@ -222,9 +224,9 @@
 	}
 }
 
-// Close ends what operators wait for, and lets the folder go once the last write is over. It waits
-// for a write, but not for a disk that hangs: then the folder stays locked by this process. What is
-// in force stays; whether it is the latest is not known any more.
+// Close ends the waits of operators' requests and unlocks the folder once the last write has ended.
+// It waits for a write, but not for a disk that hangs: in that case the folder stays locked by this
+// process. The version in force stays in force, but is no longer confirmed to be the latest.
 func (s *Session) Close() {
 	if s == nil {
 		return
@@ -242,8 +244,8 @@
 	}
 }
 
-// closeAfterWrite closes the folder once the write that is under way has ended, and waits for that
-// for a bounded time.
+// closeAfterWrite closes the folder once the write in progress has ended, and waits for that for at
+// most storeGrace.
 func (s *Session) closeAfterWrite() {
 	written := make(chan struct{})
 	go func() {
--- a/internal/fleet/configuration/stored_test.go
+++ b/internal/fleet/configuration/stored_test.go
@@ -1,7 +1,7 @@
 package configuration
 
-// A rename or a reordering of fields can change what a controller stores of the fleet's configuration. It
-// shows only with a folder of an earlier build. This test compares with what an earlier build wrote.
+// A renamed or reordered field can change the stored format of the fleet's configuration, which fails only
+// with a folder of an earlier build. This test compares the format with files that an earlier build wrote.
 
 import (
 	"crypto/sha256"
@@ -21,8 +21,8 @@
 		ID: config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11}}
 }
 
-// A folder of configuration versions of an earlier build is read, and the same versions are written to the
-// same files.
+// A folder of configuration versions that an earlier build wrote must be readable, and the same version must
+// be written to identical files.
 func TestStoredConfigFolderIsReadable(t *testing.T) {
 	const generation = 3
 	document := []byte("log {\n  level = \"warn\"\n}\n")
@@ -47,7 +47,7 @@
 		golden.File(t, filepath.Join("config", name), content)
 	}
 
-	read := t.TempDir() // a folder is opened with a lock in it
+	read := t.TempDir() // a copy, as opening a folder creates a lock file in it
 	if err := os.CopyFS(read, os.DirFS("testdata/config")); err != nil {
 		t.Fatal(err)
 	}
@@ -59,6 +59,6 @@
 	want := Contents{record: &currentRecord{Generation: generation, Version: version}, document: document,
 		documents: map[config.Hash][]byte{version.Hash: document}}
 	if !reflect.DeepEqual(contents, want) {
-		t.Errorf("read: %+v\nstored: %+v", contents, want)
+		t.Errorf("contents of the stored folder:\ngot  %+v\nwant %+v", contents, want)
 	}
 }
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// maxAnswerBytes bounds what a command reads of an answer.
+// maxAnswerBytes bounds the size of an answer that Call reads.
 const maxAnswerBytes = 16 << 20
 
-// Call asks the controller that has this folder. The error may be one that the controller reports;
-// then the status is set too, as far as it was answered.
+// Call sends a request to the controller that has this folder open. If the controller reports an
+// error, Call returns it together with the rest of the status.
 func Call(ctx context.Context, folder string, r Request) (Status, error) {
 	if r.Config != nil {
 		if refused := r.Config.RefuseOversized(); refused != nil {
@@ -25,10 +25,10 @@
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "unix", filepath.Join(folder, socketName))
 	if err != nil {
-		return Status{}, fmt.Errorf("no controller answers in %s: %w", folder, err)
+		return Status{}, fmt.Errorf("no controller answers on the socket in %s: %w", folder, err)
 	}
 	defer conn.Close()
-	// The controller's own deadline is earlier, so that its error is heard.
+	// The controller's own deadline is earlier, so that its error arrives here.
 	deadline := time.Now().Add(r.maxDuration() + socketTimeout + Timeout)
 	conn.SetDeadline(deadline)
 	if err := json.NewEncoder(conn).Encode(r); err != nil {
@@ -36,7 +36,7 @@
 	}
 	var status Status
 	if err := json.NewDecoder(io.LimitReader(conn, maxAnswerBytes)).Decode(&status); err != nil {
-		return Status{}, fmt.Errorf("answer of the controller: %w", err)
+		return Status{}, fmt.Errorf("reading the controller's answer: %w", err)
 	}
 	if status.Error != "" {
 		return status, errors.New(status.Error)
--- a/internal/fleet/control/request.go
+++ b/internal/fleet/control/request.go
@@ -17,7 +17,7 @@
 	ActionConfig      = "config"
 )
 
-// Request is what an operator asks.
+// Request is an operator's request.
 type Request struct {
 	Action string `json:"do"`             // one of the actions
 	Lease  string `json:"work,omitempty"` // of ActionHandOver
@@ -28,7 +28,7 @@
 	Config      *configuration.Request `json:"config,omitempty"`
 }
 
-// maxDuration is how long a controller takes for the request at most.
+// maxDuration returns the longest time that a controller takes to answer the request.
 func (r *Request) maxDuration() time.Duration {
 	if r.Action == ActionConfig && r.Config != nil {
 		return r.Config.MaxDuration() + Timeout
--- a/internal/fleet/control/server.go
+++ b/internal/fleet/control/server.go
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// Timeout bounds how long the service may take for its own part of a request.
+// Timeout bounds the service's own processing of a request.
 const Timeout = 3 * time.Second
 
-// MaxRequestBytes bounds a request that is not about configuration.
+// MaxRequestBytes bounds the size of every request other than ActionConfig.
 const MaxRequestBytes = 64 << 10
 
 const (
 	socketName     = "control.sock" // in the fleet's folder
-	socketTimeout  = 2 * Timeout    // to send a request, and an answer
-	maxConnections = 8              // at once
+	socketTimeout  = 2 * Timeout    // to send a request or an answer
+	maxConnections = 8              // concurrent connections
 )
 
-// ErrTooLong means that a request is longer than its kind may be.
+// ErrTooLong means that a request exceeds the size limit of its kind.
 var ErrTooLong = errors.New("the request is too long")
 
-// Handler answers requests. It is called by the goroutines of connections, several at once, and may
-// wait for as long as the request may take.
+// Handler answers requests. The goroutines of connections call it concurrently, and it may block
+// for as long as the request may take.
 type Handler interface {
-	// Handle does what a request asks, and returns the state after it.
+	// Handle executes a request and returns the resulting status.
 	Handle(r Request) (Status, error)
-	// MaxConfigBytes bounds a request about configuration.
+	// MaxConfigBytes returns the maximum size of a request with ActionConfig.
 	MaxConfigBytes() int64
 }
 
-// Listen opens the socket in a fleet's folder. One that an earlier process left is removed.
+// Listen opens the socket in a fleet's folder. It removes a socket that an earlier process left.
 func Listen(folder string) (net.Listener, error) {
 	path := filepath.Join(folder, socketName)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -48,7 +48,7 @@
 }
 
 // Serve answers requests until the listener is closed, and returns once all connections have ended.
-// The context's end closes the connections.
+// It closes the connections when the context ends.
 func Serve(ctx context.Context, listener net.Listener, handler Handler) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -72,7 +72,7 @@
 	}
 }
 
-// serveConnection reads the request of a connection and answers it, unless the connection ends before.
+// serveConnection reads a connection's request and answers it, unless the connection ends first.
 func serveConnection(conn net.Conn, handler Handler) {
 	conn.SetDeadline(time.Now().Add(socketTimeout))
 	limit := max(MaxRequestBytes, handler.MaxConfigBytes())
@@ -93,13 +93,13 @@
 	json.NewEncoder(conn).Encode(reply)
 }
 
-// readRequest reads the line of a request. Only one about the fleet's configuration may be long.
+// readRequest parses the line of a request. Only ActionConfig may exceed MaxRequestBytes.
 func readRequest(line []byte, tooLong bool) (r Request, err error) {
 	if tooLong {
 		return r, ErrTooLong
 	}
 	if err := json.Unmarshal(line, &r); err != nil {
-		return r, fmt.Errorf("the request can't be read: %w", err)
+		return r, fmt.Errorf("the request can't be parsed: %w", err)
 	}
 	if r.Action != ActionConfig && len(line) > MaxRequestBytes {
 		return r, ErrTooLong
--- a/internal/fleet/control/stored_test.go
+++ b/internal/fleet/control/stored_test.go
@@ -1,7 +1,7 @@
 package control
 
-// A rename of fields can change what operators' scripts read and write. It shows only beside a program of
-// an earlier build. This test compares with what an earlier build wrote.
+// A renamed field can change the JSON that operators' scripts read and write, which fails only with a script
+// or a command of an earlier build. This test compares the JSON with files that an earlier build wrote.
 
 import (
 	"crypto/sha256"
@@ -42,7 +42,7 @@
 		ID: config.ProposalID{Origin: "n2", Run: 0xbeef, Ref: 11}}
 }
 
-// storedRequests are requests of operators, one with each part.
+// storedRequests returns operators' requests by name, one for each optional part.
 func storedRequests() map[string]Request {
 	expect := uint64(6)
 	return map[string]Request{
@@ -90,8 +90,8 @@
 		Error: "an error", Maintenance: storedMaintenanceStatus(), Config: storedConfigAnswer()}
 }
 
-// checkJSON compares the JSON of a value with the stored one, and the stored one's value with this one. The
-// structs in it that have no json tags are encoded under the names of their Go fields.
+// checkJSON compares the JSON of a value with the stored file, and the value decoded from the file with the
+// given one. Structs without json tags are encoded under the names of their Go fields.
 func checkJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	golden.AllSet(t, value)
@@ -106,7 +106,7 @@
 	}
 	var decoded T
 	if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s is read as %+v, %v", name, decoded, err)
+		t.Errorf("%s: decoded %+v, %v, want %+v", name, decoded, err, value)
 	}
 }
 
@@ -127,7 +127,7 @@
 		}
 		var decoded Request
 		if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, request) {
-			t.Errorf("%s is read as %+v, %v", file, decoded, err)
+			t.Errorf("%s: decoded %+v, %v, want %+v", file, decoded, err, request)
 		}
 	}
 	checkJSON(t, "status.json", storedStatus())
