--- a/internal/fleet/faultinjection/job.go
+++ b/internal/fleet/faultinjection/job.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	rigLeases        = 8    // leases that a rig uses, work-0 and up
-	effectInterval   = 50.0 // ms between two effects of each lease
-	maxQueuedEffects = 64   // for the rig's endpoint; one more is dropped
+	rigLeases        = 8    // number of leases that a rig uses, named work-0 and up
+	effectInterval   = 50.0 // ms between two effects of a lease
+	maxQueuedEffects = 64   // lines queued for the rig's endpoint; further ones are dropped
 	endpointTimeout  = time.Second
 )
 
-// effectJob does the work of a rig's leases: an effect each 50 ms at an endpoint outside, and one
-// at another controller, which writes down what it accepted. Between its check of the lease and the
-// effect the rig may stop the process for any time.
+// effectJob is the job of a rig's leases. Every effectInterval it produces one effect at the rig's
+// endpoint and one at another controller, which logs the effects that it accepts. The rig may stop
+// the process between the check of the lease and the effect, for any time.
 type effectJob struct {
 	endpoint      string
-	accepted      *os.File // one line for each effect that passed the fencing check
+	accepted      *os.File // log with one line for each effect that passed the fencing check
 	mu            sync.Mutex
 	nextEffectsAt float64 // ms, when the next effects are due
 	lastEffectID  uint64  // of the last effect
@@ -37,7 +37,8 @@
 	done          chan struct{}
 }
 
-// Jobs are the jobs that the rig adds to those of the service; folder is the fleet's.
+// Jobs returns the jobs that the rig adds to those of the service; folder is the fleet's folder. It
+// returns none if the rig names no endpoint.
 func Jobs(folder string) []job.Job {
 	endpoint := os.Getenv("MINTKEEL_LAB_ENDPOINT")
 	if endpoint == "" {
@@ -65,7 +66,7 @@
 
 func (j *effectJob) MessageReceived(job.Context, members.ID, []byte) bool { return false }
 
-// Tick begins the effects of the leases that this controller holds.
+// Tick starts the effects of the leases that this controller holds.
 func (j *effectJob) Tick(jobContext job.Context, now float64) {
 	if now < j.nextEffectsAt {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// EffectReceived writes down an effect that passed the fencing check.
+// EffectReceived logs an effect that passed the fencing check.
 func (j *effectJob) EffectReceived(_ job.Context, from members.ID, effect node.Effect) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -98,7 +99,8 @@
 		effect.ID, from)
 }
 
-// sendEffects sends effects to the endpoint, in order, on one connection while it lasts.
+// sendEffects sends queued effects to the endpoint in order, and reuses the connection until it
+// fails.
 func (j *effectJob) sendEffects() {
 	var conn net.Conn
 	for {
@@ -111,8 +113,8 @@
 	}
 }
 
-// sendEffect sends one effect and awaits the answer. It returns the connection for the next one;
-// nil: it failed.
+// sendEffect sends one effect and waits for the answer. It returns the connection for the next
+// effect, or nil if it failed.
 func (j *effectJob) sendEffect(conn net.Conn, line string) net.Conn {
 	if conn == nil {
 		opened, err := net.DialTimeout("tcp", j.endpoint, endpointTimeout)
--- a/internal/fleet/faultinjection/rig.go
+++ b/internal/fleet/faultinjection/rig.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// The file of the rig has two float64 in big-endian order.
+// The rig's file has two float64 values in big-endian order.
 const (
-	clockRateOffset = 0    // rate at which the clock runs
-	diskTimeOffset  = 8    // ms that a write to the disk takes; below zero: it fails as on a full disk
+	clockRateOffset = 0    // rate of the clock
+	diskTimeOffset  = 8    // ms that a disk write takes; if negative, it fails as on a full disk
 	clockPoll       = 20.0 // ms between two reads of the rate
 )
 
-// clock is the steady clock at the rig's rate: base at the steady time from, and rate ms for each
-// ms since.
+// clock is the monotonic clock at the rig's rate. It shows base when the system's clock is at from,
+// and advances by rate ms for each ms after that.
 var clock = struct {
 	sync.Mutex
-	file   *os.File // nil: the rig names none
+	file   *os.File // nil if the rig names none
 	rate   float64
-	from   float64 // ms
+	from   float64 // ms of the system's clock
 	base   float64 // ms
-	polled float64 // ms of the steady clock, when the rate was read last
+	polled float64 // ms of the system's clock at the last read of the rate
 }{rate: 1}
 
 func init() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Now is the time in ms, by the steady clock at the rate that the rig sets.
+// Now returns the monotonic clock in ms at the rate that the rig sets.
 func Now() float64 {
 	now := steadyNow()
 	clock.Lock()
@@ -60,8 +60,8 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(b)), n == len(b)
 }
 
-// BeforeWrite takes as long as the rig has the disk take, and fails as a full disk does if the rig
-// says so.
+// BeforeWrite delays a write by the time that the rig sets, or fails like a write to a full disk if
+// the rig sets a negative time.
 func BeforeWrite() error {
 	if clock.file == nil {
 		return nil
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Dial opens a connection. Where the rig names a switch it goes there, and begins with the address
-// that was meant: its length in one byte, and the text.
+// Dial opens a connection to an address. If the rig names a switch, it connects to the switch and
+// first sends the address: its length in one byte, and its text.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	switchAddr := os.Getenv("MINTKEEL_LAB_SWITCH")
 	if switchAddr == "" {
--- a/internal/fleet/faultinjection/system.go
+++ b/internal/fleet/faultinjection/system.go
@@ -9,14 +9,15 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// Now is the time in ms, by a clock that only goes forward and that nobody sets.
+// Now returns the monotonic clock in ms, which is unaffected by changes of the system time.
 func Now() float64 { return steadyNow() }
 
-// Dial opens a connection to an address with its port.
+// Dial opens a TCP connection to an address with a port.
 func Dial(ctx context.Context, addr string) (net.Conn, error) { return dial(ctx, addr) }
 
-// BeforeWrite is called before each write of stored state; an error stands for one of the disk.
+// BeforeWrite is called before each write of stored state; its error counts as an error of the
+// disk. Without a rig it is always nil.
 func BeforeWrite() error { return nil }
 
-// Jobs are the jobs that the rig adds to those of the service: none.
+// Jobs returns the jobs that a rig adds to those of the service; without a rig there are none.
 func Jobs(string) []job.Job { return nil }
--- a/internal/fleet/frames/encoding_test.go
+++ b/internal/fleet/frames/encoding_test.go
@@ -1,7 +1,8 @@
 package frames
 
-// A change of the hello or of the frames around messages shows only beside a controller of an earlier
-// build, which ends the connection. These tests compare with what an earlier build sent, and read it.
+// A changed encoding of the hello or of frames fails only with a controller of an earlier build,
+// which closes the connection. These tests compare the encoding with what an earlier build sent,
+// and read that.
 
 import (
 	"bytes"
@@ -28,8 +29,8 @@
 	return Hello{Fleet: "east", Generation: 3, From: "n1", Run: 77, To: "n2", Nonce: nonce}
 }
 
-// challengedConn is a connection on which the challenge of a listener has come; what is written to it is
-// gathered.
+// challengedConn is a connection on which a listener's challenge has arrived. It buffers what is
+// written to it.
 type challengedConn struct {
 	io.Reader
 	written bytes.Buffer
@@ -37,7 +38,8 @@
 
 func (c *challengedConn) Write(b []byte) (int, error) { return c.written.Write(b) }
 
-// writeConnection returns what a controller writes that opens a connection and sends the payloads.
+// writeConnection returns the bytes that a controller writes when it opens a connection and sends
+// the payloads.
 func writeConnection(t *testing.T) []byte {
 	t.Helper()
 	connection := &challengedConn{Reader: bytes.NewReader(append([]byte("MKFLEET1"), storedChallenge...))}
@@ -62,7 +64,7 @@
 
 func TestStoredConnectionIsReadable(t *testing.T) {
 	if golden.Updating() {
-		golden.Write(t, storedConnection, writeConnection(t)) // the nonce in it is drawn
+		golden.Write(t, storedConnection, writeConnection(t)) // differs each time, as its nonce is random
 	}
 	stored, err := os.ReadFile(storedConnection)
 	if err != nil {
@@ -74,22 +76,22 @@
 	}
 	hello, err := cbor.Marshal(storedHello(reader.Hello.Nonce))
 	if err != nil || len(reader.Hello.Nonce) != nonceSize {
-		t.Fatal(reader.Hello, err)
+		t.Fatalf("stored hello: got %+v, %v, want a nonce of %d bytes", reader.Hello, err, nonceSize)
 	}
 	if at := lengthSize; !bytes.Equal(stored[at:at+len(hello)], hello) {
-		t.Errorf("the hello is encoded as %x, and was as %x", hello, stored[at:at+len(hello)])
+		t.Errorf("hello: encoded as %x, want the stored %x", hello, stored[at:at+len(hello)])
 	}
 	var written bytes.Buffer
 	writer := &Writer{w: &written, mac: hmac.New(sha256.New, framesKey(storedKey, storedChallenge, hello))}
 	for _, payload := range storedPayloads {
 		if got, err := reader.Read(); string(got) != payload || err != nil {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("stored frame: read %q, %v, want %q", got, err, payload)
 		}
 		if err := writer.Write([]byte(payload)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if want := stored[len(hello)+Overhead:]; !bytes.Equal(written.Bytes(), want) {
-		t.Errorf("the frames are %x, and were %x", written.Bytes(), want)
+		t.Errorf("frames: encoded as %x, want the stored %x", written.Bytes(), want)
 	}
 }
--- a/internal/fleet/frames/frames.go
+++ b/internal/fleet/frames/frames.go
@@ -14,15 +14,16 @@
 	lengthSize = 4  // bytes
 	macSize    = 16 // bytes
 
-	// Overhead is what a frame has beside its payload, in bytes.
+	// Overhead is the size of a frame without its payload, in bytes.
 	Overhead = lengthSize + macSize
 	// MaxPayloadBytes bounds the payload of a frame.
 	MaxPayloadBytes = 1 << 20
 
-	initialAllocation = 4096 // bytes for which a reader allocates memory before any has come
+	initialAllocation = 4096 // bytes that a reader allocates before any have arrived
 )
 
-// Decoder reads what others send: bounded in elements and nesting, without indefinite lengths.
+// Decoder decodes CBOR from other controllers. It bounds the number of elements and the nesting,
+// and rejects indefinite lengths and tags.
 var Decoder = mustDecoder(cbor.DecOptions{
 	MaxArrayElements: 8192,
 	MaxMapPairs:      1024,
@@ -39,7 +40,7 @@
 	return mode
 }
 
-// Writer writes frames. It is for one goroutine.
+// Writer writes frames. It is not safe for concurrent use.
 type Writer struct {
 	w      io.Writer
 	mac    hash.Hash
@@ -57,7 +58,7 @@
 	return err
 }
 
-// Reader reads frames. It is for one goroutine.
+// Reader reads frames. It is not safe for concurrent use.
 type Reader struct {
 	r      *bufio.Reader
 	mac    hash.Hash
@@ -65,7 +66,8 @@
 	Hello  Hello  // of the sender
 }
 
-// AwaitFrame waits until a frame has begun to come, and returns the length that it claims.
+// AwaitFrame waits until a frame has begun to arrive, and returns the payload length that it
+// claims.
 func (r *Reader) AwaitFrame() (length int, err error) {
 	head, err := r.r.Peek(lengthSize)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return payload, nil
 }
 
-// frameMAC authenticates the frame of a number.
+// frameMAC returns the authentication code of the frame with this number.
 func frameMAC(mac hash.Hash, number uint64, payload []byte) []byte {
 	mac.Reset()
 	mac.Write(binary.BigEndian.AppendUint64(nil, number))
@@ -101,8 +103,8 @@
 	return append(dst, code...)
 }
 
-// readFrame reads a frame as it comes: whatever length it claims, it takes memory only as fast as
-// bytes arrive.
+// readFrame reads a frame. It allocates memory only as fast as bytes arrive, whatever length the
+// frame claims.
 func readFrame(r *bufio.Reader, maxPayload int) (payload, code []byte, err error) {
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(r, head); err != nil {
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -18,7 +18,7 @@
 	testHello = Hello{Fleet: "f", Generation: 2, From: "a", Run: 5, To: "b"}
 )
 
-// writeFrames returns what an opener writes for a challenge: a hello and some frames.
+// writeFrames returns the bytes that an opener writes in answer to a challenge: a hello and frames.
 func writeFrames(t *testing.T, k Key, h Hello, challenge []byte, payloads ...string) []byte {
 	t.Helper()
 	out := &bytes.Buffer{}
@@ -37,7 +37,8 @@
 	return out.Bytes()
 }
 
-// readPayloads returns what a listener reads of a connection: the payloads up to the error that ended it.
+// readPayloads reads a connection as a listener does. It returns the payloads up to the error that
+// ended it.
 func readPayloads(b, challenge []byte, keys Keys) (payloads []string, err error) {
 	r, err := Accept(bytes.NewReader(b), challenge, keys, "f", 2, "b")
 	if err != nil {
@@ -54,17 +55,17 @@
 
 var testChallenge = bytes.Repeat([]byte{9}, nonceSize)
 
-// A listener reads the frames of a controller with one of its keys. It closes a connection with another
-// key, fleet, generation, receiver or challenge, or with a name that can't be one.
+// A listener must read the frames of a controller that has one of its keys, and reject a connection
+// with another key, fleet, generation, receiver or challenge, or with an invalid name.
 func TestFramesAreReadFromMembersOfTheFleetOnly(t *testing.T) {
 	b := writeFrames(t, testKey, testHello, testChallenge, "one", "", "three")
 	got, err := readPayloads(b, testChallenge, Keys{testKey})
 	if err != io.EOF || len(got) != 3 || got[0] != "one" || got[2] != "three" {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("read %q, %v, want 3 payloads and %v", got, err, io.EOF)
 	}
 	otherKey := Key(bytes.Repeat([]byte{8}, 32))
 	if got, _ := readPayloads(b, testChallenge, Keys{otherKey, testKey}); len(got) != 3 {
-		t.Error("the second of two keys is not taken")
+		t.Error("frames made with the second of two keys are rejected")
 	}
 	for name, c := range map[string]struct {
 		key       Key
@@ -75,21 +76,21 @@
 		"another key":       {otherKey, testHello, testChallenge, ErrForged},
 		"another fleet":     {testKey, Hello{Fleet: "g", Generation: 2, From: "a"}, testChallenge, ErrForeign},
 		"an old generation": {testKey, Hello{Fleet: "f", Generation: 1, From: "a"}, testChallenge, ErrForeign},
-		"meant for another": {testKey, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, testChallenge, ErrForeign},
-		"nobody":            {testKey, Hello{Fleet: "f", Generation: 2}, testChallenge, ErrMalformed},
-		"said to another":   {testKey, testHello, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
-		"a name without end": {testKey, Hello{Fleet: "f", Generation: 2,
+		"another receiver":  {testKey, Hello{Fleet: "f", Generation: 2, From: "a", To: "c"}, testChallenge, ErrForeign},
+		"no name":           {testKey, Hello{Fleet: "f", Generation: 2}, testChallenge, ErrMalformed},
+		"another challenge": {testKey, testHello, bytes.Repeat([]byte{1}, nonceSize), ErrForged},
+		"oversized name": {testKey, Hello{Fleet: "f", Generation: 2,
 			From: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"}, testChallenge, ErrMalformed},
 	} {
 		sent := writeFrames(t, c.key, c.hello, c.challenge, "x")
 		if _, err := readPayloads(sent, testChallenge, Keys{testKey}); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// Somebody on the network cuts a connection at any byte, changes any byte, or repeats, swaps or leaves out
-// frames. The listener accepts nothing but what was sent, in its order, up to the change.
+// If a connection is cut at any byte, or any byte is changed, or frames are repeated, swapped or
+// left out, the listener must accept only the frames sent before the change, in order.
 func TestChangedFramesAreRejected(t *testing.T) {
 	b := writeFrames(t, testKey, testHello, testChallenge, "one", "two", "three")
 	want := []string{"one", "two", "three"}
@@ -104,12 +105,12 @@
 	for i := range b {
 		got, err := readPayloads(b[:i], testChallenge, Keys{testKey})
 		if err == nil || !isPrefix(got) || len(got) == 3 {
-			t.Fatalf("cut at %d: %q, %v", i, got, err)
+			t.Fatalf("cut at byte %d: read %q, %v, want an error after a proper prefix of the frames", i, got, err)
 		}
 		corrupted := bytes.Clone(b)
 		corrupted[i] ^= 1 << (i % 8)
 		if got, err := readPayloads(corrupted, testChallenge, Keys{testKey}); err == nil || !isPrefix(got) || len(got) == 3 {
-			t.Fatalf("changed at %d: %q, %v", i, got, err)
+			t.Fatalf("changed at byte %d: read %q, %v, want an error after a proper prefix of the frames", i, got, err)
 		}
 	}
 	var parts [][]byte
@@ -117,7 +118,7 @@
 		n := 4 + int(binary.BigEndian.Uint32(rest)) + macSize
 		parts, rest = append(parts, rest[:n]), rest[n:]
 	}
-	for name, order := range map[string][]int{"repeated": {0, 1, 1, 2, 3}, "changed over": {0, 2, 1, 3},
+	for name, order := range map[string][]int{"repeated": {0, 1, 1, 2, 3}, "swapped": {0, 2, 1, 3},
 		"left out":      {0, 2, 3},
 		"a hello again": {0, 0, 1}} {
 		var stream []byte
@@ -125,13 +126,13 @@
 			stream = append(stream, parts[i]...)
 		}
 		if got, err := readPayloads(stream, testChallenge, Keys{testKey}); !errors.Is(err, ErrForged) || !isPrefix(got) {
-			t.Errorf("%s: %q, %v", name, got, err)
+			t.Errorf("%s: read %q, %v, want %v after a prefix of the frames", name, got, err, ErrForged)
 		}
 	}
 }
 
-// A frame claims a length of 1 GB, or the longest that is allowed, and nothing follows. The reader must not
-// allocate memory for it.
+// A frame that claims a length of 1 GB or more, or the largest allowed, with nothing after it, must
+// not make the reader allocate memory for that length.
 func TestClaimedLengthsTakeNoMemory(t *testing.T) {
 	hello := writeFrames(t, testKey, testHello, testChallenge)
 	for _, claim := range []uint32{1 << 30, 1<<32 - 1, MaxPayloadBytes} {
@@ -140,18 +141,19 @@
 		_, err := readPayloads(binary.BigEndian.AppendUint32(bytes.Clone(hello), claim), testChallenge, Keys{testKey})
 		runtime.ReadMemStats(&after)
 		if grown := after.TotalAlloc - before.TotalAlloc; err == nil || grown > 64<<10 {
-			t.Errorf("%d: %v, %d bytes taken", claim, err, grown)
+			t.Errorf("claimed length %d: got error %v and %d bytes allocated, want an error and at most 64 KiB", claim,
+				err, grown)
 		}
 	}
 	w := writeFrames(t, testKey, testHello, testChallenge)
 	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)),
 		testChallenge, Keys{testKey}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a long hello: %v", err)
+		t.Errorf("oversized hello: got error %v, want %v", err, ErrTooLong)
 	}
 }
 
-// A challenge, a hello and frames pass over a connection. Its two ends run at once.
+// Challenge, hello and frames must pass over a connection whose two ends run concurrently.
 func TestFramesOverAPipe(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
@@ -173,7 +175,7 @@
 		t.Fatal(err)
 	}
 	if p, err := r.Read(); err != nil || len(p) != 100000 || r.Hello.Run != 5 {
-		t.Errorf("%d bytes, %v", len(p), err)
+		t.Errorf("read %d bytes of run %d, %v, want 100000 bytes of run 5", len(p), r.Hello.Run, err)
 	}
 }
 
@@ -188,7 +190,7 @@
 	} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if keys, err := ReadKeys(path); len(keys) != want || (err == nil) != (want > 0) {
-			t.Errorf("%q: %d keys, %v", text, len(keys), err)
+			t.Errorf("%q: got %d keys, %v, want %d keys", text, len(keys), err, want)
 		}
 	}
 }
--- a/internal/fleet/frames/keys.go
+++ b/internal/fleet/frames/keys.go
@@ -8,21 +8,22 @@
 	"strings"
 )
 
-// Bounds of a file of keys.
+// Bounds of a key file.
 const (
 	minKeyBytes     = 16
 	maxKeys         = 8
 	maxKeyFileBytes = 4096
 )
 
-// Key is a secret that all controllers of a fleet have.
+// Key is a secret that all controllers of a fleet share.
 type Key []byte
 
-// Keys are those of a file. The first one is used to send; frames made with any are accepted, so
-// that keys can be changed while the fleet runs.
+// Keys are the keys of a key file. The first one authenticates outgoing connections; incoming ones
+// may use any, so that keys can be changed while the fleet runs.
 type Keys []Key
 
-// ReadKeys reads a file of keys, one a line, in hexadecimal digits. Lines with # are comments.
+// ReadKeys reads a key file: one key per line, in hexadecimal digits. Empty lines and lines that
+// start with # are ignored.
 func ReadKeys(path string) (Keys, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -46,19 +47,20 @@
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys || len(text) > maxKeyFileBytes {
-		return nil, fmt.Errorf("%s: holds %d keys: 1 to %d are possible", path, len(keys), maxKeys)
+		return nil, fmt.Errorf("%s: has %d keys: must have 1 to %d in at most %d bytes", path, len(keys),
+			maxKeys, maxKeyFileBytes)
 	}
 	return keys, nil
 }
 
-// parseKey reads one key. Errors name the file alone: the line may be a secret.
+// parseKey parses one key. Its errors name only the file, as the line may be a secret.
 func parseKey(path, line string) (Key, error) {
 	key, err := hex.DecodeString(line)
 	if err != nil {
-		return nil, fmt.Errorf("%s: a line is no hexadecimal number", path)
+		return nil, fmt.Errorf("%s: a line is not a hexadecimal number", path)
 	}
 	if len(key) < minKeyBytes {
-		return nil, fmt.Errorf("%s: a key has under %d bytes", path, minKeyBytes)
+		return nil, fmt.Errorf("%s: a key has fewer than %d bytes", path, minKeyBytes)
 	}
 	return key, nil
 }
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -6,48 +6,51 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Job does the work of a lease. Every job is called for every lease, and ignores all but its own.
+// Job does the work of a lease. Every job is notified of every lease and ignores those of others.
 type Job interface {
-	// LeaseAcquired reports a lease that this controller holds from now on.
+	// LeaseAcquired reports that this controller has acquired a lease.
 	LeaseAcquired(c Context, grant lease.Grant)
-	// LeaseLost reports a lease that this controller holds no more.
+	// LeaseLost reports that this controller no longer holds a lease.
 	LeaseLost(grant lease.Grant)
-	// Tick is called about each 100 ms; now is Context.Now.
+	// Tick is called about every 100 ms; now is the value of Context.Now.
 	Tick(c Context, now float64)
 	// EffectReceived reports an effect of a lease holder that passed the fencing check here.
 	EffectReceived(c Context, from members.ID, effect node.Effect)
 	// EffectResponseReceived reports whether the receiver accepted an effect of this controller.
 	EffectResponseReceived(response node.EffectResponse)
-	// MessageReceived takes in a message of another controller's job. It is false for a message of
-	// another kind of job, which is then offered to the next one.
+	// MessageReceived handles a message from another controller's job. It returns false for a message
+	// of another kind of job, which the service then offers to the next job.
 	MessageReceived(c Context, from members.ID, data []byte) bool
-	// StateReceived reports the agreed state of a lease, after ProposeState or RequestState.
+	// StateReceived reports the committed state of a lease, after ProposeState or RequestState.
 	StateReceived(c Context, state node.Checkpoint)
-	// Close ends the job's goroutines and waits for them. The session has ended before.
+	// Close ends the job's goroutines and waits for them. It is called after the session has ended.
 	Close()
 }
 
-// Context is what a job may do through the service.
+// Context is the part of the service that a job may use.
 type Context interface {
-	// Self is this controller.
+	// Self returns the ID of this controller.
 	Self() members.ID
-	// TryEffect sends an effect of a lease to a controller. It is false where the lease is not held:
-	// nothing was sent.
+	// TryEffect sends an effect of a lease to a controller. It returns false, and sends nothing, if
+	// this controller does not hold the lease.
 	TryEffect(name lease.Name, to members.ID, id uint64, data []byte) bool
 	// SendMessage sends a message to another controller's job. It may be lost.
 	SendMessage(to members.ID, data []byte)
-	// CanAct reports whether this controller holds a lease now, and its fencing token.
+	// CanAct reports whether this controller holds a lease now, and returns its fencing token.
 	CanAct(name lease.Name) (lease.Token, bool)
-	// Release gives a lease up to another controller; failed: this one can't do its job.
+	// Release gives up a lease, so that another controller can acquire it. Failed means that this
+	// controller could not run the lease's job.
 	Release(name lease.Name, failed bool)
-	// ProposeState has the state of a lease agreed on. It is false where the lease is not held.
+	// ProposeState proposes the state of a lease to the quorum. It returns false if this controller
+	// does not hold the lease.
 	ProposeState(name lease.Name, serial uint64, data []byte) bool
-	// RequestState asks for the agreed state of a lease. It is false where the lease is not held.
+	// RequestState requests the committed state of a lease. It returns false if this controller does
+	// not hold the lease.
 	RequestState(name lease.Name) bool
-	// Members are all members that this controller knows of, in every state.
+	// Members returns all members that this controller knows of, in every state.
 	Members() []members.Member
-	// Voters are the members of the quorum, as far as this controller knows.
+	// Voters returns the voters of the quorum, as far as this controller knows.
 	Voters() []members.ID
-	// Now is the steady clock in ms.
+	// Now returns the monotonic clock in ms.
 	Now() float64
 }
