--- a/internal/fleet/links/doc.go
+++ b/internal/fleet/links/doc.go
@@ -1,35 +1,36 @@
-// Package links carries messages between the controllers of a fleet: one way, over a connection to
-// each controller that something is sent to, which is open only while it is needed.
+// Package links sends messages between the controllers of a fleet. Messages to a controller go over
+// one connection in one direction, which is open only while it is needed.
 //
-// It promises nothing: a message that does not go within its time is dropped, which the protocols
-// above take as loss. Messages to one controller that arrive do so in the order of Send.
+// Delivery is not guaranteed: a message that can't be sent in time is dropped, which the protocols
+// above treat as loss. Messages to one controller arrive in the order of Send.
 //
 // # Goroutines
 //
-// Send never waits and is for one goroutine. A peer has a goroutine that connects and writes
+// Send never blocks; one goroutine calls it. Each peer has a goroutine that connects and writes
 // (writeQueued), and one that waits for the end of its connection. Each incoming connection has a
-// goroutine that reads and calls the function given to New, which must not wait long: it holds up
-// this one connection. The table of peers and of incoming connections is guarded by Links.mu. Every
-// goroutine ends with its connection, and every connection with a deadline or with Close, which
-// waits for all.
+// goroutine that reads and calls the function given to New, which must return quickly, as it blocks
+// this connection. Links.mu guards the tables of peers and incoming connections. Every goroutine
+// ends with its connection, and every connection ends at a deadline or with Close, which waits for
+// all goroutines.
 //
 // # Bounds
 //
-// Bounds has them all. What happens at each:
+// The type Bounds defines all limits. What happens at each:
 //
-//   - QueueMessages, QueueBytes: a message that finds no room is dropped.
-//   - MaxPeers: the peer that was sent nothing for the longest time is closed for a new one.
-//   - MaxIncoming: the connection that has been idle for the longest time, and for EvictAfter at
-//     least, is closed for a new one; if there is none the new one is refused. Its sender backs
-//     off, up to MaxRetryInterval.
-//   - ReceiveRate: a sender that sends more is read no faster.
-//   - MinFrameRate: a frame that comes slower ends its connection.
+//   - QueueMessages, QueueBytes: a message that does not fit into the queue is dropped.
+//   - MaxPeers: the peer with the longest time since its last Send is closed for a new one.
+//   - MaxIncoming: the connection that has been idle for the longest time, and for at least
+//     EvictAfter, is closed for a new one. If there is none, the new one is refused, and its sender
+//     backs off up to MaxRetryInterval.
+//   - ReceiveRate: a connection whose sender exceeds it is read more slowly.
+//   - MinFrameRate: a connection on which a frame arrives more slowly is closed.
 //
-// # Restarts and strangers
+// # Restarts and foreign connections
 //
-// A sender notices that its connection has ended and opens another for the next message, so that
-// nothing is written to a former incarnation of the peer. A later connection of one sender ends its
-// earlier ones: what a former incarnation has on its way is not handed over any more. Connections
-// that have not proved that they are of the fleet may take the place of a quarter of the incoming
-// connections at most; one that fails to is closed without a word, counted and logged.
+// A sender notices that its connection has ended and opens another one for the next message, so
+// that it writes nothing to a former incarnation of the peer. A new connection from a sender ends
+// its earlier ones, and messages of a former incarnation that are still in transit are dropped.
+// Connections that are not yet authenticated as members of the fleet may displace at most a quarter
+// of the incoming connections. One that fails to authenticate is closed without an answer, counted
+// and logged.
 package links
--- a/internal/fleet/links/incoming.go
+++ b/internal/fleet/links/incoming.go
@@ -9,25 +9,24 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// acceptBackoff is for how long no connection is accepted after one could not be, as descriptors
-// may be used up.
+// acceptBackoff is the delay after Accept failed, as the process may have run out of descriptors.
 const acceptBackoff = 50 * time.Millisecond
 
-// unauthenticatedDivisor is a bound on connections that are not authenticated yet: idle ones are
-// evicted for them only while they are less than one in so many of MaxIncoming. So strangers can't
-// displace more controllers than that.
+// unauthenticatedDivisor bounds how many connections senders without a key can displace: idle
+// connections are evicted only while fewer than MaxIncoming/unauthenticatedDivisor connections are
+// not authenticated yet.
 const unauthenticatedDivisor = 4
 
-// maxRateWait bounds how long a connection is not read as its sender is over its rate.
+// maxRateWait bounds each pause in reading a connection whose sender exceeds ReceiveRate.
 const maxRateWait = time.Second
 
 // incoming is a connection from another controller.
 type incoming struct {
-	from   members.ID // empty until its hello was verified
-	usedAt time.Time  // of its last message, or when it was accepted
+	from   members.ID // empty until its hello is verified
+	usedAt time.Time  // time of its last message, or of its acceptance
 }
 
-// Serve accepts connections until the links are closed. The listener is closed with them.
+// Serve accepts connections until the links are closed, which closes the listener too.
 func (l *Links) Serve(listener net.Listener) {
 	l.group.Go(func() {
 		<-l.ctx.Done()
@@ -57,8 +56,9 @@
 	}
 }
 
-// admitIncoming finds room for a connection; false: there is none. The sender of an idle connection that is
-// evicted for it notices that, and opens another one for its next message.
+// admitIncoming makes room for a connection and registers it; it returns false if there is no room.
+// The sender of an idle connection that is evicted for it notices that, and opens another one for
+// its next message.
 func (l *Links) admitIncoming(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,8 +73,8 @@
 	return true
 }
 
-// evictIncoming closes the connection that has been idle for the longest time, if that is long
-// enough. mu is held.
+// evictIncoming closes the authenticated connection that has been idle for the longest time, if
+// that is over EvictAfter and the bound on unauthenticated connections allows it. mu is held.
 func (l *Links) evictIncoming() bool {
 	var longestIdle net.Conn
 	unauthenticated := 0
@@ -95,13 +95,14 @@
 	return true
 }
 
-// endIncoming closes a connection. mu is held. What was read and not handed over yet is dropped.
+// endIncoming closes a connection. Messages that were read but not yet delivered are dropped. mu is
+// held.
 func (l *Links) endIncoming(conn net.Conn) {
 	delete(l.incoming, conn)
 	conn.Close()
 }
 
-// serveIncoming hands over what one connection brings, until it ends.
+// serveIncoming authenticates a connection and delivers its messages until it ends.
 func (l *Links) serveIncoming(conn net.Conn) {
 	defer func() {
 		l.mu.Lock()
@@ -138,14 +139,14 @@
 	}
 }
 
-// rateLimit slows a connection down to a rate.
+// rateLimit limits the rate at which a connection is read.
 type rateLimit struct {
 	bytesPerSecond int
-	bytes          int       // read since the time since
-	since          time.Time // begins anew once the sender is well below the rate
+	bytes          int       // read after since
+	since          time.Time // reset once the sender is over maxRateWait below the rate
 }
 
-// add counts bytes that were read, and returns how long the connection is not to be read.
+// add counts bytes that were read, and returns how long to pause before the next read.
 func (r *rateLimit) add(bytes int) time.Duration {
 	r.bytes += bytes
 	ahead := time.Duration(r.bytes)*time.Second/time.Duration(r.bytesPerSecond) - time.Since(r.since)
@@ -156,8 +157,9 @@
 	return min(max(0, ahead), maxRateWait)
 }
 
-// authenticate has a connection's sender prove that it is of the fleet. An earlier connection of
-// the same sender is closed: what a former incarnation still has on its way is not handed over.
+// authenticate verifies that a connection's sender is a member of the fleet. It closes earlier
+// connections of the same sender, so that messages of a former incarnation that are still in
+// transit are not delivered.
 func (l *Links) authenticate(conn net.Conn) (*frames.Reader, error) {
 	conn.SetDeadline(time.Now().Add(l.bounds.DialTimeout))
 	challenge, err := frames.Challenge(conn)
@@ -182,7 +184,8 @@
 	return reader, nil
 }
 
-// recordUse notes that a connection has brought a message; false if it was closed meanwhile.
+// recordUse records the arrival of a message on a connection. It returns false if the connection
+// was closed meanwhile.
 func (l *Links) recordUse(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,12 +197,12 @@
 	return true
 }
 
-// readFrame waits for the next frame and reads it. A frame that has begun has a deadline by its
-// length: with a length that was changed on its way the messages behind it would otherwise be read
-// as its payload, and the sender would not notice. The deadline leaves a slow network the time for
-// a large frame.
+// readFrame waits for the next frame and reads it. Once a frame has begun, its claimed length sets
+// a deadline. Without it, a length that was corrupted in transit would make the reader take the
+// following messages for the frame's payload without the sender noticing. The deadline leaves a
+// slow network enough time for a large frame.
 func (l *Links) readFrame(conn net.Conn, reader *frames.Reader) ([]byte, error) {
-	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection before
+	maxWait := 2 * l.bounds.IdleTimeout // the sender closes an idle connection earlier
 	conn.SetReadDeadline(time.Now().Add(maxWait))
 	length, err := reader.AwaitFrame()
 	if err != nil {
@@ -211,7 +214,8 @@
 	return reader.Read()
 }
 
-// logRejected counts and logs a connection that is not of this fleet. Others that end are no fault.
+// logRejected counts and logs a connection that is not from a member of this fleet. It ignores all
+// other errors, as the end of a connection is not a fault.
 func (l *Links) logRejected(conn net.Conn, err error) {
 	switch {
 	case errors.Is(err, frames.ErrForged),
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// connectSenders has so many controllers connect to one, in order, and returns them.
+// connectSenders connects a number of controllers to one, in order, and returns them.
 func connectSenders(t *testing.T, to *testLinks, count int) []*testLinks {
 	t.Helper()
 	senders := make([]*testLinks, count)
@@ -22,15 +22,15 @@
 	return senders
 }
 
-// sendTo sends a message, which has to arrive.
+// sendTo sends a message and checks that it arrives.
 func (e *testLinks) sendTo(t *testing.T, to *testLinks, message string) {
 	t.Helper()
 	e.Send("a", to.addr, []byte(message))
 	to.expect(t, message)
 }
 
-// All room for incoming connections is taken. The one that has been idle for the longest time makes room
-// for a new one. Its sender notices, and its next message arrives over another connection.
+// With all incoming connections in use, the one that has been idle for the longest time must be evicted for a
+// new one. Its sender must notice, and its next message must arrive over another connection.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Nanosecond
@@ -39,18 +39,18 @@
 	senders[0].sendTo(t, a, "second of 0") // the longest idle one is n1 now
 	late := openLinks(t, "late", "f", testKeys, DefaultBounds())
 	late.sendTo(t, a, "late")
-	eventually(t, "n1 does not see its end", func() bool { return senders[1].ended.Load() == 1 })
+	eventually(t, "n1 does not notice the end of its connection", func() bool { return senders[1].ended.Load() == 1 })
 	if ended := senders[0].ended.Load() + senders[2].ended.Load(); ended > 0 || a.refused.Load() > 0 {
-		t.Errorf("%d others yielded, %d were refused", ended, a.refused.Load())
+		t.Errorf("%d other connections ended and %d were refused, want none", ended, a.refused.Load())
 	}
 	senders[1].sendTo(t, a, "second of 1")
 	if failed := senders[1].failed.Load() + senders[1].dropped.Load(); failed > 0 || a.evicted.Load() != 2 {
-		t.Errorf("%d messages or connections failed, %d connections yielded", failed, a.evicted.Load())
+		t.Errorf("n1: %d messages or connections failed, and %d connections were evicted, want 0 and 2", failed,
+			a.evicted.Load())
 	}
 }
 
-// All room is taken by connections that were used a moment ago. A new one is refused, and is accepted once
-// there is room.
+// With all incoming connections in recent use, a new one must be refused, and accepted once there is room.
 func TestBusyConnectionsStay(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxIncoming, b.EvictAfter = 3, time.Hour
@@ -60,22 +60,22 @@
 	fastRetry.RetryInterval, fastRetry.MaxRetryInterval = time.Millisecond, 10*time.Millisecond
 	late := openLinks(t, "late", "f", testKeys, fastRetry)
 	late.Send("a", a.addr, []byte("refused"))
-	eventually(t, "it is not refused", func() bool { return a.refused.Load() > 0 })
+	eventually(t, "the new connection is not refused", func() bool { return a.refused.Load() > 0 })
 	for i, s := range senders {
 		s.sendTo(t, a, fmt.Sprint("second of ", i))
 	}
 	senders[2].Close()
-	eventually(t, "it does not come in", func() bool {
+	eventually(t, "the new sender is not accepted once there is room", func() bool {
 		late.Send("a", a.addr, []byte("late"))
 		return len(a.messages) > 0
 	})
 	if a.evicted.Load() > 0 {
-		t.Errorf("%d connections yielded", a.evicted.Load())
+		t.Errorf("%d connections in recent use were evicted, want none", a.evicted.Load())
 	}
 }
 
-// Strangers open connections and prove nothing. They may displace no more than a share of the idle
-// controllers.
+// Connections that never authenticate must displace at most MaxIncoming/unauthenticatedDivisor idle
+// connections.
 func TestStrangersDisplaceFew(t *testing.T) {
 	const maxIncoming = 8
 	b := DefaultBounds()
@@ -89,16 +89,17 @@
 		}
 		defer conn.Close()
 	}
-	eventually(t, "strangers are not refused", func() bool { return a.evicted.Load()+a.refused.Load() == maxIncoming })
+	eventually(t, "not every unauthenticated connection displaced one or was refused", func() bool { return a.evicted.Load()+a.refused.Load() == maxIncoming })
 	if evicted := a.evicted.Load(); evicted != maxIncoming/unauthenticatedDivisor {
-		t.Errorf("%d of %d strangers displaced controllers", evicted, maxIncoming)
+		t.Errorf("%d of %d unauthenticated connections displaced others, want %d", evicted, maxIncoming,
+			maxIncoming/unauthenticatedDivisor)
 	}
 }
 
-// bufferedConn is a connection with buffered writes, so that they go out as one.
+// bufferedConn is a connection that buffers writes, so that a test can send several as one.
 type bufferedConn struct {
 	net.Conn
-	buffer *bytes.Buffer // nil: they go out at once
+	buffer *bytes.Buffer // nil for unbuffered writes
 }
 
 func (g *bufferedConn) Write(b []byte) (int, error) {
@@ -108,8 +109,8 @@
 	return g.Conn.Write(b)
 }
 
-// A controller restarts and connects again while frames of its former incarnation have been read and not
-// handed over. These must be dropped.
+// If a controller restarts and connects again, frames of its former incarnation that were read but not yet
+// delivered must be dropped.
 func TestFramesReadAheadOfAnEndedConnectionAreDropped(t *testing.T) {
 	first, release, got := make(chan bool), make(chan bool), make(chan string, 10)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,7 +139,7 @@
 	}
 	buffered.buffer = &bytes.Buffer{}
 	writer.Write([]byte("one"))
-	writer.Write([]byte("two")) // is read with the first one
+	writer.Write([]byte("two")) // is read together with the first frame
 	conn.Write(buffered.buffer.Bytes())
 	<-first
 	again := openLinks(t, "b", "f", testKeys, DefaultBounds())
@@ -147,15 +148,15 @@
 		select {
 		case payload := <-got:
 			if payload != want {
-				t.Fatalf("%q came, not %q", payload, want)
+				t.Fatalf("received %q, want %q", payload, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%q did not come", want)
+			t.Fatalf("%q did not arrive", want)
 		}
 	}
 	close(release)
-	a.Close() // the former connection's goroutine has ended
+	a.Close() // waits for the former connection's goroutine
 	if len(got) > 0 {
-		t.Errorf("%q came after a later connection", <-got)
+		t.Errorf("%q of the former connection was delivered after the new connection", <-got)
 	}
 }
--- a/internal/fleet/links/links.go
+++ b/internal/fleet/links/links.go
@@ -13,28 +13,28 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// Bounds are sizes and times.
+// Bounds are the limits and timeouts of links.
 type Bounds struct {
-	MaxPeers      int // outgoing connections at once
-	MaxIncoming   int // incoming connections at once
-	QueueMessages int // that wait for one peer
-	QueueBytes    int // that wait for one peer
+	MaxPeers      int // peers, each with at most one outgoing connection
+	MaxIncoming   int // incoming connections
+	QueueMessages int // messages queued for one peer
+	QueueBytes    int // bytes queued for one peer
 
-	EvictAfter       time.Duration // without a message, after which an incoming one may be evicted
-	DialTimeout      time.Duration // to be connected and authenticated
+	EvictAfter       time.Duration // idle time after which an incoming connection may be evicted
+	DialTimeout      time.Duration // to connect and authenticate
 	WriteTimeout     time.Duration // to write a message
-	IdleTimeout      time.Duration // without a message, after which a connection is closed
-	RetryInterval    time.Duration // between two attempts to connect to one peer, at least
-	MaxRetryInterval time.Duration // longest wait for a peer that has no room, give or take a half
+	IdleTimeout      time.Duration // idle time after which a connection is closed
+	RetryInterval    time.Duration // shortest delay between attempts to connect to one peer
+	MaxRetryInterval time.Duration // bound of the delay after refusals, before a jitter of half of it
 
-	ReceiveRate  int // bytes a second that one sender may send; it is slowed to that
-	MinFrameRate int // bytes a second at which a frame that has begun has to come, after WriteTimeout
+	ReceiveRate  int // bytes per second that are read from one sender
+	MinFrameRate int // bytes per second at which a frame has to arrive, in addition to WriteTimeout
 }
 
-// DefaultBounds are those of a fleet of up to a thousand: a controller that pings one member a
-// second, helps some others and writes to the quorum has some ten connections at a time. A leader's
-// heartbeats come more often than a connection is evicted; a neighbour pings each ten seconds, and
-// opens another one where its connection was.
+// DefaultBounds returns the bounds for a fleet of up to a thousand controllers: one that pings a
+// member per second, relays pings for others and writes to the quorum has about ten connections at
+// a time. A leader's heartbeats come more often than EvictAfter, so its connections stay; a
+// neighbour pings every ten seconds, and opens a new connection if its own was evicted.
 func DefaultBounds() Bounds {
 	return Bounds{
 		MaxPeers:         64,
@@ -52,10 +52,10 @@
 	}
 }
 
-// Dial opens a connection to an address, within the context's deadline.
+// Dial opens a connection to an address within the context's deadline.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// Received is a message that came in.
+// Received is an incoming message.
 type Received struct {
 	From    members.ID
 	Run     uint64 // of the sender
@@ -74,14 +74,14 @@
 	group   sync.WaitGroup
 	keys    atomic.Pointer[frames.Keys]
 
-	mu       sync.Mutex // guards the two tables
+	mu       sync.Mutex // guards peers and incoming
 	peers    map[members.ID]*peer
 	incoming map[net.Conn]*incoming
 
 	counts
 }
 
-// counts are numbers since the start.
+// counts are the totals since the links were created.
 type counts struct {
 	sent     atomic.Int64 // messages
 	received atomic.Int64 // messages
@@ -92,12 +92,12 @@
 	ended    atomic.Int64 // outgoing connections that the peer ended
 	forged   atomic.Int64 // incoming connections that were not authentic
 	foreign  atomic.Int64 // incoming connections of another fleet or generation
-	refused  atomic.Int64 // incoming connections that found no room
-	evicted  atomic.Int64 // idle incoming connections that were closed to make room
+	refused  atomic.Int64 // incoming connections refused because there was no room
+	evicted  atomic.Int64 // idle incoming connections closed to make room
 }
 
-// New returns links of a controller that says hello as self. They call receive with each message
-// that comes in; it must not wait long, as it holds up one connection.
+// New returns the links of a controller that sends self as its hello. They call receive with each
+// incoming message; it must return quickly, as it blocks the message's connection.
 func New(
 	self frames.Hello, keys frames.Keys, b Bounds, receive func(Received), log *slog.Logger,
 ) *Links {
@@ -117,10 +117,10 @@
 	return l
 }
 
-// SetDial has connections opened in another way than the system's. Call it before the first Send.
+// SetDial replaces the function that opens connections. It must be called before the first Send.
 func (l *Links) SetDial(dial Dial) { l.dial = dial }
 
-// SetKeys sets the keys of connections that are opened from now on.
+// SetKeys sets the keys for connections that are opened or accepted from now on.
 func (l *Links) SetKeys(keys frames.Keys) { l.keys.Store(&keys) }
 
 // Close ends all connections and waits for their goroutines.
@@ -139,7 +139,7 @@
 	}
 }
 
-// LogValue prints the counts.
+// LogValue returns the counts as log attributes.
 func (l *Links) LogValue() slog.Value {
 	l.mu.Lock()
 	peers := len(l.peers)
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -22,7 +22,7 @@
 	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
-// testLinks are links of one controller of a test, with what they receive.
+// testLinks are the links of one controller in a test, with the messages that they receive.
 type testLinks struct {
 	*Links
 	addr     string
@@ -38,7 +38,7 @@
 	return serveLinks(t, listener, name, fleet, k, b)
 }
 
-// serveLinks is links of a controller that takes connections from a listener.
+// serveLinks returns the links of a controller that accepts connections from a listener.
 func serveLinks(
 	t *testing.T, listener net.Listener, name members.ID, fleet string, k frames.Keys, b Bounds,
 ) *testLinks {
@@ -62,7 +62,7 @@
 	}
 }
 
-// eventually waits for something that is bound to come.
+// eventually waits until a condition holds, and fails the test with the given text after 5 s.
 func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Two controllers send to each other. Messages arrive in order, also while one has changed to a key that
-// the other does not know yet.
+// Messages between two controllers must arrive in order in both directions, even after one has changed to a
+// key that the other does not know yet.
 func TestMessagesArriveInOrderBothWays(t *testing.T) {
 	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), openLinks(t, "b", "f", testKeys, DefaultBounds())
 	for i := range 100 {
@@ -84,68 +84,69 @@
 	}
 	b.Send("a", a.addr, []byte("back"))
 	a.expect(t, "back")
-	a.SetKeys(append(frames.Keys{otherKeys[0]}, testKeys...)) // a changes over, b does not know the new key yet
+	a.SetKeys(append(frames.Keys{otherKeys[0]}, testKeys...)) // b does not know a's new key yet
 	b.Send("a", a.addr, []byte("under the old key"))
 	a.expect(t, "under the old key")
-	a.Send("b", b.addr, []byte("on a connection that is up"))
-	b.expect(t, "on a connection that is up")
+	a.Send("b", b.addr, []byte("on an open connection"))
+	b.expect(t, "on an open connection")
 }
 
-// Another fleet, another key and a stranger connect. None gets an answer, each is counted, and nothing of
-// theirs is handed over.
+// Connections from another fleet, with another key or with an invalid hello must be counted, and none of
+// their messages delivered.
 func TestForeignAndForgedConnectionsAreCounted(t *testing.T) {
 	a := openLinks(t, "a", "f", testKeys, DefaultBounds())
 	openLinks(t, "b", "g", testKeys, DefaultBounds()).Send("a", a.addr, []byte("x"))
-	eventually(t, "another fleet is not counted", func() bool { return a.foreign.Load() == 1 })
+	eventually(t, "a connection of another fleet is not counted", func() bool { return a.foreign.Load() == 1 })
 	openLinks(t, "c", "f", otherKeys, DefaultBounds()).Send("a", a.addr, []byte("x"))
-	eventually(t, "another key is not counted", func() bool { return a.forged.Load() == 1 })
+	eventually(t, "a connection with another key is not counted", func() bool { return a.forged.Load() == 1 })
 	conn, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	io.WriteString(conn, "\xff\xff\xff\xff and so on")
-	eventually(t, "a length of 4 GB is not counted", func() bool { return a.forged.Load() == 2 })
+	eventually(t, "a connection with a claimed length of 4 GB is not counted", func() bool { return a.forged.Load() == 2 })
 	if len(a.messages) > 0 {
-		t.Error("something of theirs came through")
+		t.Error("a message of a rejected connection was delivered")
 	}
 }
 
-// One peer does not read, one can't be reached, and there are more peers than bounds allow. Send never
-// waits, and queues and peers stay within their bounds.
+// With a peer that does not read, one that is unreachable, and more peers than the bound, Send must not
+// block, and queues and peers must stay within their bounds.
 func TestSendNeverWaitsAndIsBounded(t *testing.T) {
 	b := DefaultBounds()
 	b.MaxPeers, b.QueueMessages, b.QueueBytes, b.DialTimeout, b.WriteTimeout, b.IdleTimeout = 4, 8, 4000,
 		100*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
 	a := openLinks(t, "a", "f", testKeys, b)
-	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // it accepts and says nothing
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
 	began := time.Now()
 	for range 1000 {
-		a.Send("deaf", unresponsive.Addr().String(), make([]byte, 1000))
+		a.Send("unresponsive", unresponsive.Addr().String(), make([]byte, 1000))
 		a.Send("gone", "127.0.0.1:1", make([]byte, 1000))
 	}
 	for i := range 50 {
 		a.Send(members.ID(fmt.Sprint("n", i)), unresponsive.Addr().String(), []byte("x"))
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("sending waited %v", took)
+		t.Errorf("2050 calls of Send took %v, want at most 1s", took)
 	}
 	a.mu.Lock()
 	n := len(a.peers)
 	a.mu.Unlock()
 	if n > b.MaxPeers || a.dropped.Load() < 1900 {
-		t.Errorf("%d peers, %d dropped", n, a.dropped.Load())
+		t.Errorf("%d peers and %d dropped messages, want at most %d peers and at least 1900 dropped", n,
+			a.dropped.Load(), b.MaxPeers)
 	}
 	eventually(t, "idle peers are kept",
 		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.peers) == 0 })
 }
 
-// A controller connects twice: the earlier connection ends. No more connections than the bound are
-// accepted, and Close leaves no goroutine.
+// A second connection of a controller must end its earlier one. No more connections than the bound may be
+// accepted, and Close must leave no goroutine.
 func TestLaterConnectionEndsEarlierOnesOfItsSender(t *testing.T) {
 	before := runtime.NumGoroutine()
 	b := DefaultBounds()
@@ -156,7 +157,7 @@
 	a.expect(t, "first")
 	second.Send("a", a.addr, []byte("second"))
 	a.expect(t, "second")
-	eventually(t, "the earlier connection stays",
+	eventually(t, "the earlier connection stays open",
 		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.incoming) == 1 })
 	for range 5 {
 		conn, err := net.Dial("tcp", a.addr)
@@ -165,15 +166,15 @@
 		}
 		defer conn.Close()
 	}
-	eventually(t, "more come in than may", func() bool { return a.refused.Load() == 3 })
+	eventually(t, "not all connections over the bound are refused", func() bool { return a.refused.Load() == 3 })
 	a.Close()
 	first.Close()
 	second.Close()
-	eventually(t, "goroutines stay", func() bool { return runtime.NumGoroutine() <= before+1 })
+	eventually(t, "goroutines are left after Close", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
-// startLengthCorruptingProxy passes on what one writes to another, and changes the length of the second frame after the
-// hello.
+// startLengthCorruptingProxy starts a proxy to target that changes the length of the second frame after the
+// hello on its first connection.
 func startLengthCorruptingProxy(t *testing.T, target string) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,8 +227,8 @@
 	return frame, err
 }
 
-// The length of a frame is changed on its way, so that the messages behind it look like its payload. The
-// connection ends within the time for writing a message, and later messages arrive over another one.
+// If the length of a frame is corrupted in transit, the following messages look like its payload. The
+// connection must then end at the frame's deadline, and later messages must arrive over another one.
 func TestChangedLengthEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.RetryInterval = 300*time.Millisecond, 10*time.Millisecond
@@ -241,15 +242,15 @@
 			break
 		}
 		if time.Since(began) > 5*time.Second {
-			t.Fatalf("of %d messages %d came", n, receiver.received.Load())
+			t.Fatalf("%d of %d messages arrived, want more than 1", receiver.received.Load(), n)
 		}
 	}
 	if took := time.Since(began); took < b.WriteTimeout {
-		t.Errorf("the connection ended after %v: no length was changed", took)
+		t.Errorf("the next message arrived after %v, before the write timeout: no length was corrupted", took)
 	}
 }
 
-// startThrottlingProxy passes on what one writes to another, some bytes at a time.
+// startThrottlingProxy starts a proxy to target that forwards one chunk of bytes at each interval.
 func startThrottlingProxy(t *testing.T, target string, chunk int, interval time.Duration) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -283,7 +284,7 @@
 	return listener.Addr().String()
 }
 
-// The network takes longer for a large message than the sender has to write it. The message arrives.
+// A large message must arrive even if the network takes longer than the sender's write timeout to carry it.
 func TestLargeMessageOverASlowNetwork(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout = 100 * time.Millisecond
@@ -295,15 +296,15 @@
 	select {
 	case r := <-receiver.messages:
 		if len(r.Payload) != size {
-			t.Errorf("%d bytes came", len(r.Payload))
+			t.Errorf("received %d bytes, want %d", len(r.Payload), size)
 		}
 	case <-time.After(5 * time.Second):
-		t.Errorf("nothing came; %d connections failed", sender.failed.Load())
+		t.Errorf("the message did not arrive; %d connections failed", sender.failed.Load())
 	}
 }
 
-// A frame claims the longest length and hardly comes. Its connection ends after the longest time for a
-// frame, whatever it claims.
+// A connection on which a frame of the largest length arrives slowly must end after the longest time for a
+// frame, whatever length the frame claims.
 func TestSlowFrameEndsTheConnection(t *testing.T) {
 	b := DefaultBounds()
 	b.WriteTimeout, b.IdleTimeout, b.MinFrameRate = 50*time.Millisecond, 200*time.Millisecond, 1000
@@ -315,9 +316,9 @@
 		defer receiver.mu.Unlock()
 		return len(receiver.incoming)
 	}
-	eventually(t, "it does not connect", func() bool { return incoming() == 1 })
-	eventually(t, "the connection stays", func() bool { return incoming() == 0 })
+	eventually(t, "the sender does not connect", func() bool { return incoming() == 1 })
+	eventually(t, "the connection stays open", func() bool { return incoming() == 0 })
 	if receiver.received.Load() > 0 {
-		t.Error("the message came")
+		t.Error("the slow message was delivered")
 	}
 }
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -15,18 +15,18 @@
 	"mintkeel/internal/fleet/frames"
 )
 
-// peer is a controller to which messages are sent.
+// peer is a controller that messages are sent to.
 type peer struct {
 	id          members.ID
 	addr        string
 	queue       chan []byte
 	queuedBytes atomic.Int64
-	usedAt      time.Time // of the last Send; guarded by Links.mu
+	usedAt      time.Time // time of the last Send; guarded by Links.mu
 	cancel      context.CancelFunc
 }
 
-// Send enqueues a message to a controller at an address. It never waits; a message that finds no
-// room is dropped.
+// Send enqueues a message to a controller at an address. It never blocks: a message that does not
+// fit into the queue is dropped.
 func (l *Links) Send(to members.ID, addr string, payload []byte) {
 	if addr == "" || l.ctx.Err() != nil || len(payload) > frames.MaxPayloadBytes {
 		l.dropped.Add(1)
@@ -35,7 +35,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[to]
-	if p != nil && p.addr != addr { // it has moved
+	if p != nil && p.addr != addr { // the controller has a new address
 		p.cancel()
 		delete(l.peers, to)
 		p = nil
@@ -49,7 +49,7 @@
 	}
 }
 
-// addPeer begins to write to a controller. mu is held.
+// addPeer adds a peer and starts its writer. mu is held.
 func (l *Links) addPeer(id members.ID, addr string) *peer {
 	if len(l.peers) >= l.bounds.MaxPeers {
 		l.evictPeer()
@@ -61,7 +61,7 @@
 	return p
 }
 
-// evictPeer closes the peer that was sent nothing for the longest time. mu is held.
+// evictPeer removes the peer with the longest time since its last Send. mu is held.
 func (l *Links) evictPeer() {
 	var oldest *peer
 	for _, p := range l.peers {
@@ -75,7 +75,7 @@
 	}
 }
 
-// enqueue is false where there is no room for the message.
+// enqueue adds a message to the queue. It returns false if the message does not fit.
 func (p *peer) enqueue(payload []byte, maxBytes int) bool {
 	size := int64(len(payload))
 	if p.queuedBytes.Add(size) > int64(maxBytes) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// removePeer takes a peer that ended out of the table, unless another one of its name is in it.
+// removePeer removes a peer whose writer has ended, unless a new peer has replaced it in the table.
 func (l *Links) removePeer(p *peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,27 +100,27 @@
 	}
 }
 
-// outgoing is an open connection to a peer. Nothing comes back on it but its end.
+// outgoing is an open connection to a peer, which sends nothing back but the end of the connection.
 type outgoing struct {
 	conn     net.Conn
 	writer   *frames.Writer
 	openedAt time.Time
-	ended    chan struct{} // closed once the peer has ended it
+	ended    chan struct{} // closed once the connection has ended
 }
 
-// peerWriter writes what is queued for one peer. It belongs to the goroutine of writeQueued.
+// peerWriter writes the queued messages of one peer. The goroutine of writeQueued owns it.
 type peerWriter struct {
 	links      *Links
 	peer       *peer
 	connection *outgoing // nil: none
 	retryAt    time.Time // before which no connection is opened
-	refusals   int       // in a row
+	refusals   int       // consecutive refusals
 	endedEarly bool      // the peer ended the last connection right after its beginning
 }
 
-// writeQueued writes what is queued for one peer until the peer has been idle for a while, or the
-// context ends. A message that finds no connection, as the last attempt to connect failed a moment
-// ago, is dropped: by the time of the next attempt it would be old.
+// writeQueued writes the queued messages of one peer until nothing was queued for IdleTimeout, or
+// the context ends. It drops a message while there is no connection and the delay after the last
+// failed attempt has not passed, as the message would be outdated by the next attempt.
 func (l *Links) writeQueued(ctx context.Context, p *peer) {
 	defer l.removePeer(p)
 	w := &peerWriter{links: l, peer: p}
@@ -143,7 +143,8 @@
 	}
 }
 
-// connectionEnded is closed once the peer has ended the connection; nil without one.
+// connectionEnded returns a channel that is closed once the connection has ended; nil without a
+// connection.
 func (w *peerWriter) connectionEnded() <-chan struct{} {
 	if w.connection == nil {
 		return nil
@@ -151,9 +152,9 @@
 	return w.connection.ended
 }
 
-// closeEnded closes the connection that the peer has ended. If a peer ends connections right after
-// their beginning, as one does that does not accept this controller's hello, the second and further
-// ones are not replaced at once.
+// closeEnded closes a connection that the peer has ended. If the peer ends connections right after
+// they are opened, as one does that rejects this controller's hello, the second and further ones
+// are replaced only after RetryInterval.
 func (w *peerWriter) closeEnded() {
 	w.links.ended.Add(1)
 	atOnce := time.Since(w.connection.openedAt) < w.links.bounds.RetryInterval
@@ -171,7 +172,7 @@
 	}
 }
 
-// write writes one message, on a new connection if there is none or the peer has ended it.
+// write writes one message, on a new connection if there is none or the peer has ended the last.
 func (w *peerWriter) write(ctx context.Context, payload []byte) {
 	select {
 	case <-w.connectionEnded():
@@ -184,7 +185,8 @@
 	}
 	now := time.Now()
 	w.connection.conn.SetWriteDeadline(now.Add(w.links.bounds.WriteTimeout))
-	// The read waits for the peer to end the connection; writeQueued closes an idle one well before.
+	// The pending read waits for the peer to end the connection; writeQueued closes an idle connection
+	// well before this deadline.
 	w.connection.conn.SetReadDeadline(now.Add(2 * w.links.bounds.IdleTimeout))
 	if err := w.connection.writer.Write(payload); err != nil {
 		w.retryAt = time.Now().Add(w.links.bounds.RetryInterval)
@@ -196,7 +198,8 @@
 	w.links.bytesOut.Add(int64(len(payload)) + frames.Overhead)
 }
 
-// connect opens a connection, unless the last one failed a moment ago.
+// connect opens a connection, unless the delay after the last failure has not passed. It reports
+// whether there is a connection.
 func (w *peerWriter) connect(ctx context.Context) bool {
 	if time.Now().Before(w.retryAt) {
 		return false
@@ -216,9 +219,9 @@
 	return true
 }
 
-// retryBackoff is for how long no connection is opened after one that failed. It grows with each
-// refusal in a row by a peer that has no room, and has jitter then, so that the controllers that
-// were refused do not come back all at once.
+// retryBackoff returns the delay after a failed attempt to connect. It grows with each consecutive
+// refusal by a peer without room and then has jitter, so that refused controllers do not all retry
+// at once.
 func (b Bounds) retryBackoff(refusals int) time.Duration {
 	if refusals == 0 {
 		return b.RetryInterval
@@ -231,7 +234,8 @@
 	return wait/2 + rand.N(wait)
 }
 
-// errRefused means that a peer closed a connection before the challenge, as one without room does.
+// errRefused means that a peer closed a connection before its challenge, as a peer without room
+// does.
 var errRefused = errors.New("the peer has no room for a connection")
 
 // open opens a connection to a peer; it is closed when the context ends.
@@ -265,7 +269,7 @@
 	l.group.Go(func() {
 		defer stop()
 		defer close(connection.ended)
-		conn.Read(make([]byte, 1)) // the peer sends nothing more: whatever comes is the end
+		conn.Read(make([]byte, 1)) // returns at the end of the connection, as the peer sends nothing
 	})
 	return connection, nil
 }
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// restart is links of a controller that takes over the listener of a former incarnation, which ends. The
-// port is held throughout, so that no other program gets it.
+// restart closes the links and returns those of the controller's next incarnation on the same listener. The
+// port stays open throughout, so that no other program gets it.
 func (e *testLinks) restart(t *testing.T, listener net.Listener, b Bounds) *testLinks {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
@@ -24,8 +24,8 @@
 	return serveLinks(t, inherited, e.self.From, e.self.Fleet, testKeys, b)
 }
 
-// A peer restarts. The first message after that goes over a connection to the new incarnation, and is not
-// lost in the one to the former.
+// After a peer restarts, the first message must go over a connection to the new incarnation, and must not be
+// lost in the one to the former incarnation.
 func TestPeerRestarts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,12 +39,12 @@
 	a.Send("b", b.addr, []byte("after"))
 	b.expect(t, "after")
 	if failed, dropped := a.failed.Load(), a.dropped.Load(); failed+dropped > 0 {
-		t.Errorf("%d connections failed, %d messages were dropped", failed, dropped)
+		t.Errorf("%d connections failed and %d messages were dropped, want none", failed, dropped)
 	}
 }
 
-// A peer has no room several times in a row. The waits double up to their bound and are drawn, so that
-// senders do not return at once. After another failure the wait is always the same.
+// After consecutive refusals by a peer without room, the delay must double up to its bound, with jitter, so
+// that senders do not all retry at once. After other failures the delay is constant.
 func TestRetryBackoffDoublesUpToItsBound(t *testing.T) {
 	b := Bounds{RetryInterval: 200 * time.Millisecond, MaxRetryInterval: time.Second}
 	for refusals, middle := range []time.Duration{0, 200, 400, 800, 1000, 1000} {
@@ -54,20 +54,21 @@
 			wait := b.retryBackoff(refusals)
 			drawn[wait] = true
 			if refusals > 0 && (wait < middle/2 || wait >= middle*3/2) || refusals == 0 && wait != b.RetryInterval {
-				t.Errorf("%v after %d refusals", wait, refusals)
+				t.Errorf("delay of %v after %d refusals, want %v, for refusals give or take a half", wait, refusals,
+					max(middle, b.RetryInterval))
 			}
 		}
 		if refusals > 0 && len(drawn) < 100 {
-			t.Errorf("%d waits of 200 differ after %d refusals", len(drawn), refusals)
+			t.Errorf("%d of 200 delays differ after %d refusals, want at least 100", len(drawn), refusals)
 		}
 	}
 	if wait := b.retryBackoff(1 << 40); wait > b.MaxRetryInterval*3/2 {
-		t.Errorf("%v after very many refusals", wait)
+		t.Errorf("delay of %v after 1<<40 refusals, want at most %v", wait, b.MaxRetryInterval*3/2)
 	}
 }
 
-// A peer that closes connections before its challenge counts as full, one that can't be reached does not,
-// and one that accepts ends the count.
+// A peer that closes a connection before its challenge must count as one without room. One that accepts a
+// connection resets the count, and one that can't be reached does not count.
 func TestRefusalsInARowAreCounted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,22 +89,22 @@
 		}()
 		if connect(writer) || writer.refusals != refusals ||
 			time.Until(writer.retryAt) > 2*DefaultBounds().MaxRetryInterval {
-			t.Errorf("%d refusals are counted, not %d", writer.refusals, refusals)
+			t.Errorf("counted %d refusals, want %d and a delay within the bound", writer.refusals, refusals)
 		}
 	}
 	writer.peer.addr = b.addr
 	if !connect(writer) || writer.refusals != 0 {
-		t.Errorf("%d refusals are counted after it was let in", writer.refusals)
+		t.Errorf("counted %d refusals after the peer accepted, want a connection and 0", writer.refusals)
 	}
 	writer.disconnect()
 	writer.peer.addr = "127.0.0.1:1"
 	if connect(writer) || writer.refusals != 0 {
-		t.Errorf("%d refusals of one that is not there", writer.refusals)
+		t.Errorf("counted %d refusals of an unreachable peer, want no connection and 0", writer.refusals)
 	}
 }
 
-// A peer of another fleet ends each connection right after its beginning. From the second one on no other
-// is opened at once.
+// If a peer, here one of another fleet, ends each connection right after it was opened, the replacement of
+// the second and further ones must be delayed.
 func TestConnectionsThatThePeerEndsAtOnceAreDelayed(t *testing.T) {
 	b := DefaultBounds()
 	b.RetryInterval = time.Minute // "right after" on a slow machine too
@@ -112,12 +113,12 @@
 	for endings := 1; endings < 4; endings++ {
 		writer.retryAt = time.Time{}
 		if !writer.connect(context.Background()) {
-			t.Fatal("not connected")
+			t.Fatal("the connection could not be opened")
 		}
 		<-writer.connectionEnded()
 		writer.closeEnded()
 		if waits := time.Until(writer.retryAt) > b.RetryInterval/2; waits != (endings > 1) {
-			t.Errorf("waits after %d such ends: %t", endings, waits)
+			t.Errorf("after %d connections that ended early: delay %t, want %t", endings, waits, endings > 1)
 		}
 	}
 }
