--- a/internal/fleet/maintenance/block.go
+++ b/internal/fleet/maintenance/block.go
@@ -8,17 +8,17 @@
 	"mintkeel/internal/operator/block"
 )
 
-// Block is the block maintenance of the operator's file.
+// Block is the maintenance block of the operator's file.
 type Block struct {
-	Drain   string        // program that takes an engine out, absolute path; empty: none
-	Work    string        // program that does the work, absolute path; empty: a person does
-	Back    string        // program that brings an engine back, absolute path; empty: none
-	Within  time.Duration // for one run of a program
-	Prepare time.Duration // for which other engines of an engine's table groups are waited for at most
+	Drain   string        // program that drains an engine, absolute path; empty for none
+	Work    string        // program that does the work, absolute path; empty if a person does it
+	Back    string        // program that returns an engine to service, absolute path; empty for none
+	Within  time.Duration // timeout of one run of a program
+	Prepare time.Duration // longest wait for other engines to take over an engine's table groups
 	List    bool          // an engine is free only once the endpoint list has it as draining or gone
 }
 
-// ReadBlock reads the block maintenance. Problems go to the diagnostics.
+// ReadBlock parses the maintenance block and adds problems to the diagnostics.
 func ReadBlock(b *hcl.Block, diagnostics *block.Diagnostics) *Block {
 	open := block.Open(b, diagnostics, "drain", "work", "back", "within", "prepare", "list")
 	return &Block{
--- a/internal/fleet/maintenance/block_test.go
+++ b/internal/fleet/maintenance/block_test.go
@@ -10,8 +10,8 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// A reload names a program for the work while a task waits for a person. The program is run with the next
-// step.
+// If a reload sets a program for the work while a task waits for a person, the next step must run the
+// program.
 func TestSetBlockCountsFromTheNextStepOn(t *testing.T) {
 	output := filepath.Join(t.TempDir(), "mark")
 	script := output + ".sh"
@@ -22,7 +22,8 @@
 	defer j.Close()
 	task := core.Task{Engine: "e1", Step: core.Working, Sequence: 7}
 	if move := j.step(nil, task); move != nil || j.waitReasons["e1"] != "a person's word that the work is done" {
-		t.Errorf("without a program: %+v, waits for %q", move, j.waitReasons["e1"])
+		t.Errorf("step without a program: got move %+v, waiting for %q, want no move and to wait for a person", move,
+			j.waitReasons["e1"])
 	}
 	j.SetBlock(Block{Work: script, Within: time.Minute})
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -30,10 +31,10 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("waits for %q", j.waitReasons["e1"])
+			t.Fatalf("no move to %v in time: waiting for %q", core.Returning, j.waitReasons["e1"])
 		}
 	}
 	if written, err := os.ReadFile(output); err != nil || string(written) != "work e1 7\n" {
-		t.Errorf("the program was told %q, %v", written, err)
+		t.Errorf("arguments of the program: got %q, %v, want \"work e1 7\"", written, err)
 	}
 }
--- a/internal/fleet/maintenance/engines.go
+++ b/internal/fleet/maintenance/engines.go
@@ -6,8 +6,8 @@
 	"mintkeel/router"
 )
 
-// refreshEngines asks the loop what it knows of the engines, in a goroutine of its own. A change of
-// what is to be held goes to the loop first, so that its answer is of the time after it.
+// refreshEngines reads the state of the engines from the daemon's loop, in a separate goroutine. It
+// first passes a changed set of engines to hold to the loop, so that the loop's answer reflects it.
 func (j *Job) refreshEngines() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -29,14 +29,14 @@
 		defer j.mu.Unlock()
 		j.refreshing = false
 		j.appliedHold = change
-		if err == nil && change == j.holdChanges { // else the answer is of a time before the last change
+		if err == nil && change == j.holdChanges { // otherwise the answer predates the last change
 			j.engines = engines
 		}
 	})
 }
 
-// currentEngines is what the loop last said of the engines; nil: nothing since the last change of
-// what is held.
+// currentEngines returns the state of the engines that the loop last reported; nil if it has not
+// reported any since the set of held engines last changed.
 func (j *Job) currentEngines() []router.EngineStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -13,14 +13,14 @@
 	"mintkeel/router"
 )
 
-// confirmation is what a controller last said of the engines that it holds.
+// confirmation is the last confirmation from a controller about the engines that it holds.
 type confirmation struct {
 	serial     uint64            // of the announcement that it answers
-	stopped    []router.EngineID // engines on which nothing of the controller's own runs any more
-	receivedAt float64           // ms, when it was received
+	stopped    []router.EngineID // engines on which none of the controller's attempts run any more
+	receivedAt float64           // ms
 }
 
-// enginesToHold are the engines to which no controller may send anything new, sorted.
+// enginesToHold returns the engines that no controller may send new attempts to, sorted.
 func (j *Job) enginesToHold() (engines []router.EngineID) {
 	for _, t := range j.agreed.Tasks {
 		if t.Step >= core.Draining && t.Step <= core.Returning || t.Step == core.Missing {
@@ -31,9 +31,9 @@
 	return engines
 }
 
-// announce sends every controller the engines to hold. It is repeated, so that a controller that
-// missed an announcement, or starts, gets the next. A member that is believed dead may be cut off
-// in one direction alone and gets it too.
+// announce sends the engines to hold to every controller. It is repeated, so that a controller that
+// missed an announcement, or has just started, gets the next one. Members that are believed dead
+// get it too, as they may be cut off in one direction only.
 func (j *Job) announce(jobContext job.Context) {
 	data, err := cbor.Marshal(holdEffect{Serial: j.serial, Engines: j.enginesToHold()})
 	if err != nil {
@@ -47,7 +47,8 @@
 	}
 }
 
-// EffectReceived takes in the engines to hold, from the latest holder of the lease.
+// EffectReceived handles an announcement of the engines to hold, which has passed the fencing
+// check. It ignores one that is older than the last under the same fencing token.
 func (j *Job) EffectReceived(_ job.Context, from members.ID, effect node.Effect) {
 	if effect.Grant.Name != Lease {
 		return
@@ -71,8 +72,8 @@
 	j.refreshEngines()
 }
 
-// setToHold notes engines that the loop is to hold. What it said of the engines before does not
-// count any more.
+// setToHold sets the engines that the loop is to hold, and discards its last report on the engines,
+// which predates the change.
 func (j *Job) setToHold(engines []router.EngineID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -81,9 +82,9 @@
 	j.engines = nil
 }
 
-// confirm reports to the holder of the lease on which of the held engines nothing of this
-// controller's own runs any more. It sends nothing before the loop has answered after the last
-// change of what is held.
+// confirm reports to the lease holder on which of the held engines none of this controller's
+// attempts run any more. It sends nothing until the loop has reported the engines after the last
+// change of the held set.
 func (j *Job) confirm(jobContext job.Context) {
 	j.mu.Lock()
 	changed := j.holdChanges != j.appliedHold
@@ -112,9 +113,9 @@
 	sendMessage(jobContext, j.heldFrom, reply)
 }
 
-// unconfirmed are the controllers that may still send to an engine, as far as the lease holder
-// knows: each member that it ever heard of, but for those that shut down and those that an operator
-// had it wait for no more.
+// unconfirmed returns the controllers that may still send attempts to an engine, as far as the
+// lease holder knows: every known member without a current confirmation, except for those that shut
+// down and those that an operator excluded.
 func (j *Job) unconfirmed(jobContext job.Context, engine core.EngineID) (controllers []string) {
 	for _, m := range jobContext.Members() {
 		if m.State == members.Left || m.Run == 0 || slices.Contains(j.agreed.Excluded, m.ID) {
--- a/internal/fleet/maintenance/hooks.go
+++ b/internal/fleet/maintenance/hooks.go
@@ -10,15 +10,15 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// Names of the steps for which the installation may have a program: its first argument, and the
-// first word of the keys of agreedState.Hooked.
+// Names of the steps for which the installation may have a program. A name is the program's first
+// argument, and the first word of the keys of Job.hooks and agreedState.ConfirmedWork.
 const (
 	drainHook = "drain"
 	workHook  = "work"
 	backHook  = "back"
 )
 
-// hookRun is the last run of a program of the installation.
+// hookRun is the last run of a program of the installation for an engine.
 type hookRun struct {
 	sequence uint64 // of the task
 	running  bool
@@ -27,12 +27,12 @@
 	endedAt  time.Time
 }
 
-// hookKey names the program of a step for an engine.
+// hookKey returns the key of a step's program for an engine.
 func hookKey(step string, engine core.EngineID) string { return step + " " + string(engine) }
 
-// runHook has a program of the installation do its part, once for each sequence number of a task.
-// Until it is done, reason is what is waited for. If a lease holder died meanwhile, the next one
-// runs the program again, with the same number.
+// runHook runs a program of the installation until it succeeds once for the sequence number of a
+// task. It returns at once; until the program is done, reason is what the task waits for. If the
+// lease holder fails meanwhile, the next holder runs the program again with the same number.
 func (j *Job) runHook(step, path string, task core.Task) (done bool, reason string) {
 	if path == "" {
 		return true, ""
@@ -48,9 +48,9 @@
 	case run.done:
 		return true, ""
 	case run.running:
-		return false, step + " is under way"
+		return false, step + " is running"
 	case run.err != nil && time.Since(run.endedAt) < hookBackoff:
-		return false, fmt.Sprintf("%s: %v; tried again after %v s", step, run.err,
+		return false, fmt.Sprintf("%s: %v; retried after %v s", step, run.err,
 			hookBackoff.Seconds())
 	}
 	run.running = true
@@ -59,10 +59,10 @@
 	j.group.Go(func() {
 		j.recordHookResult(key, task.Sequence, j.runProgram(path, step, task, timeout))
 	})
-	return false, step + " is under way"
+	return false, step + " is running"
 }
 
-// recordHookResult notes how a program ended, unless the engine has a later task.
+// recordHookResult records how a program ended, unless the engine has a later task.
 func (j *Job) recordHookResult(key string, sequence uint64, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// runProgram runs a program to its end, or until its time is up. The program is given the step, the
+// runProgram runs a program until it ends or times out. The program's arguments are the step, the
 // engine and the sequence number of the task.
 func (j *Job) runProgram(path, step string, task core.Task, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
@@ -81,7 +81,7 @@
 	command.WaitDelay = hookWaitDelay
 	err := command.Run()
 	if ctx.Err() != nil {
-		return fmt.Errorf("not done within %v", timeout)
+		return fmt.Errorf("did not end within %v", timeout)
 	}
 	return err
 }
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -22,23 +22,23 @@
 // Lease is the name of the lease for carrying out maintenance.
 const Lease lease.Name = "maintenance"
 
-// Intervals and timeouts of the session's goroutine, in ms of the steady clock.
+// Intervals and timeouts of the session's goroutine, in ms of the monotonic clock.
 const (
-	stepInterval         = 500.0  // between two steps of the holder
+	stepInterval         = 500.0  // between two steps of the holder, and two confirmations
 	announceInterval     = 1000.0 // between two announcements of the engines to hold
-	confirmationLifetime = 5000.0 // for which a confirmation counts, unless it is repeated
-	proposalTimeout      = 2000.0 // for a proposal to be agreed on; then the state is read again
-	lostEngineTimeout    = 3600e3 // after which an engine that nobody took out has left for good
+	confirmationLifetime = 5000.0 // how long a confirmation counts unless it is repeated
+	proposalTimeout      = 2000.0 // for a proposal to be committed; then the state is read again
+	lostEngineTimeout    = 3600e3 // after which an engine missing without a task counts as removed
 )
 
 // Timeouts of the job's own goroutines.
 const (
-	engineTimeout = 2 * time.Second  // for the loop to answer what it knows of the engines
-	hookBackoff   = 10 * time.Second // until a program that failed is run again
-	hookWaitDelay = time.Second      // for a program's output after its end
+	engineTimeout = 2 * time.Second  // for the loop to report the engines
+	hookBackoff   = 10 * time.Second // until a failed program is run again
+	hookWaitDelay = time.Second      // for a program's output to be closed after its end
 )
 
-// Bounds of what is kept. What goes beyond is rejected (requests, plans) or left out (the others).
+// Bounds of the job's state. Requests and plans over the bound are rejected, other items left out.
 const (
 	maxPendingRequests = 64
 	maxPlans           = 32
@@ -47,12 +47,12 @@
 	maxReasons         = 100
 )
 
-// Host is what maintenance needs of its controller. Goroutines of the job call its functions.
+// Host is what the job needs of its controller. Goroutines of the job call its functions.
 type Host struct {
 	Engines func(ctx context.Context) ([]router.EngineStatus, error)
-	Hold    func([]router.EngineID) // replaces the set of engines that get nothing new
+	Hold    func([]router.EngineID) // replaces the set of engines that get no new attempts
 	Kinds   []string                // names of machine kinds, by number
-	Bounds  [][]router.KindID       // kinds of each query class that is bound to some kinds
+	Bounds  [][]router.KindID       // machine kinds of each query class that is bound to some kinds
 	Log     *slog.Logger
 }
 
@@ -65,7 +65,7 @@
 	// State of the lease holder, owned by the session's goroutine.
 	holdsLease      bool
 	grant           lease.Grant
-	stateRead       bool // the agreed state has been read
+	stateRead       bool // the committed state has been read
 	agreed          agreedState
 	serial          uint64 // of the agreed state
 	proposing       bool
@@ -74,23 +74,23 @@
 	nextAnnounceAt  float64 // ms, when the next announcement is due
 	effectID        uint64  // of the last announcement
 	confirmations   map[members.ID]confirmation
-	reasons         []core.Reason            // why no step was possible at the last one
+	reasons         []core.Reason            // why engines had to wait at the last decision
 	waitReasons     map[core.EngineID]string // what the task of an engine waits for
 	requests        []pendingRequest
-	engineLostSince map[core.EngineID]float64 // ms, since when one is missing, as this holder saw it
+	engineLostSince map[core.EngineID]float64 // ms, when this holder first saw the engine missing
 
 	// State of every controller, owned by the session's goroutine.
 	held          holdEffect // the latest announcement
 	heldToken     lease.Token
-	heldFrom      members.ID // empty: none was received
+	heldFrom      members.ID // sender of the latest announcement; empty if none was received
 	nextConfirmAt float64    // ms, when the next confirmation is due
 	replies       map[uint64]chan Status
 	lastRequest   uint64
 
 	mu          sync.Mutex            // guards the fields up to hooks
-	engines     []router.EngineStatus // nil: not known since the last change of what is held
+	engines     []router.EngineStatus // nil if not reported since the last change of toHold
 	refreshing  bool
-	holdChanges int               // how often toHold has changed
+	holdChanges int               // number of changes of toHold
 	toHold      []router.EngineID // engines that the loop is to hold
 	appliedHold int               // value of holdChanges when the loop was last given toHold
 	hooks       map[string]hookRun
@@ -110,7 +110,7 @@
 		engineLostSince: map[core.EngineID]float64{},
 		replies:         map[uint64]chan Status{},
 		hooks:           map[string]hookRun{},
-		// an answer to an earlier process of this controller finds no request
+		// Random, so that an answer to an earlier process of this controller matches no request.
 		lastRequest: rand.Uint64() >> 1,
 		ctx:         ctx,
 		cancel:      end,
@@ -119,11 +119,12 @@
 	return j
 }
 
-// SetBlock has the programs and times of another block used from now on. A program that runs goes
-// on as it began.
+// SetBlock sets the block whose programs and times are used from now on. Running programs continue
+// unchanged.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// LeaseAcquired takes in that this controller holds the lease. It reads the agreed state before all else.
+// LeaseAcquired takes in that this controller holds the lease. It reads the agreed state before all
+// else.
 func (j *Job) LeaseAcquired(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
@@ -151,10 +152,11 @@
 	j.group.Wait()
 }
 
-// EffectResponseReceived is of no use here: an announcement is repeated whatever became of it.
+// EffectResponseReceived does nothing: an announcement is repeated in any case.
 func (j *Job) EffectResponseReceived(node.EffectResponse) {}
 
-// Tick confirms what this controller holds and, where it holds the lease, makes the next step.
+// Tick confirms the engines that this controller holds. If it holds the lease, it also makes the
+// next step: an announcement, an operator's request or a move of a task.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	j.confirm(jobContext)
 	if !j.holdsLease || now < j.nextStepAt {
@@ -179,8 +181,8 @@
 	j.advance(jobContext)
 }
 
-// retryState reads the agreed state again once a proposal, or the state, has not come back in time.
-// A message was lost: by the state the holder sees whether the proposal was agreed on.
+// retryState requests the committed state again if the result of a proposal or the state has not
+// arrived in time, as a message was lost. The state shows whether the proposal was committed.
 func (j *Job) retryState(jobContext job.Context, now float64) {
 	if now <= j.proposedAt+proposalTimeout {
 		return
@@ -191,7 +193,7 @@
 	jobContext.RequestState(Lease)
 }
 
-// StateReceived takes in the agreed state.
+// StateReceived handles the committed state of the lease.
 func (j *Job) StateReceived(jobContext job.Context, s node.Checkpoint) {
 	if s.Grant != j.grant || !j.holdsLease {
 		return
@@ -203,7 +205,7 @@
 	var agreed agreedState
 	if len(s.Data) > 0 {
 		if err := frames.Decoder.Unmarshal(s.Data, &agreed); err != nil {
-			j.host.Log.Error("maintenance: the agreed state can't be read", "why", err)
+			j.host.Log.Error("maintenance: agreed state can't be decoded", "why", err)
 			jobContext.Release(Lease, true)
 			return
 		}
@@ -217,11 +219,11 @@
 	j.proposing = false
 }
 
-// propose has a changed state agreed on; it is acted on once it is.
+// propose proposes a changed state to the quorum. The job acts on it only once it is committed.
 func (j *Job) propose(jobContext job.Context, state agreedState) {
 	data, err := cbor.Marshal(state)
 	if err != nil || len(data) > lease.MaxStateBytes {
-		j.host.Log.Error("maintenance: the state is too big to be agreed on", "bytes", len(data))
+		j.host.Log.Error("maintenance: state is too large to be proposed", "bytes", len(data))
 		return
 	}
 	if jobContext.ProposeState(Lease, j.serial+1, data) {
--- a/internal/fleet/maintenance/messages.go
+++ b/internal/fleet/maintenance/messages.go
@@ -13,43 +13,43 @@
 	"mintkeel/router"
 )
 
-// agreedState is what is agreed on through the quorum: the next lease holder goes on from it.
+// agreedState is the state that the quorum commits and the next lease holder continues from.
 type agreedState struct {
 	Plans    []core.Plan     `cbor:"1,keyasint"`
 	Tasks    []core.Task     `cbor:"2,keyasint"`
-	Excluded []members.ID    `cbor:"3,keyasint,omitempty"` // controllers not waited for any more
-	Known    []core.EngineID `cbor:"5,keyasint,omitempty"` // the engines that there should be
+	Excluded []members.ID    `cbor:"3,keyasint,omitempty"` // controllers not waited for
+	Known    []core.EngineID `cbor:"5,keyasint,omitempty"` // engines that are expected to exist
 
-	// ConfirmedWork is, by hookKey, the sequence number of the task that a person has done the work of.
+	// ConfirmedWork has, by hookKey, the sequence number of the task whose work a person confirmed.
 	ConfirmedWork map[string]uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// holdEffect is the effect that lists, to every controller, the engines to which it may send
-// nothing new.
+// holdEffect is the effect that announces to every controller the engines that it may not send new
+// attempts to.
 type holdEffect struct {
 	Serial  uint64            `cbor:"1,keyasint"` // of the agreed state
 	Engines []router.EngineID `cbor:"2,keyasint"` // sorted
 }
 
-// messageKind is message.Kind of all messages of this job.
+// messageKind is the value of message.Kind in all messages of this job.
 const messageKind = "maintenance"
 
-// message is one between the jobs of two controllers: a request, its answer, or a confirmation of
-// what is held. It is encoded by the order of its fields.
+// message is a message between the jobs of two controllers: a request, its answer, or a
+// confirmation of the held engines. Its encoding depends on the order of the fields.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    string
 	Token   uint64            // of the announcement that is confirmed
 	Serial  uint64            // of the announcement that is confirmed
-	Stopped []router.EngineID // held here, with nothing of this controller's own still running there
+	Stopped []router.EngineID // held engines on which none of the sender's attempts run any more
 	Request *encodedRequest
 	Answer  *encodedAnswer
 }
 
-// encodedRequest is a Request on its way to the lease holder.
+// encodedRequest is a Request that is sent to the lease holder.
 type encodedRequest struct {
 	_    struct{} `cbor:",toarray"`
-	Ref  uint64   // number that the sender gave it
+	Ref  uint64   // number that the sender assigned
 	JSON []byte
 }
 
@@ -63,37 +63,37 @@
 // Actions of requests.
 const (
 	ActionStatus   = "status"
-	ActionPlan     = "plan"     // take plans over
-	ActionCheck    = "check"    // check plans without taking them over
-	ActionHalt     = "halt"     // take no further engine for a plan
-	ActionResume   = "resume"   // go on with a halted plan
+	ActionPlan     = "plan"     // add or replace plans
+	ActionCheck    = "check"    // check plans without adding them
+	ActionHalt     = "halt"     // start work on no further engine of a plan
+	ActionResume   = "resume"   // resume a halted plan
 	ActionWithdraw = "withdraw" // end a plan
-	ActionDone     = "done"     // a person has done the work on an engine
-	ActionWithout  = "without"  // wait for a controller's confirmations no more
+	ActionDone     = "done"     // confirm that a person has done the work on an engine
+	ActionWithout  = "without"  // stop waiting for a controller's confirmations
 )
 
-// Request is what an operator asks of the holder of the maintenance lease.
+// Request is an operator's request to the holder of the maintenance lease.
 type Request struct {
 	Action string      `json:"do"`              // one of the actions
 	Plans  []core.Plan `json:"plans,omitempty"` // of ActionPlan and ActionCheck
-	Name   string      `json:"name,omitempty"`  // of a plan, an engine or a controller
+	Name   string      `json:"name,omitempty"`  // plan, engine or controller, by the action
 }
 
-// Status is the state of maintenance as its lease holder sees it. The JSON names stay as they are
-// for operators' scripts.
+// Status is the state of maintenance as the lease holder sees it. Operators' scripts depend on the
+// JSON names.
 type Status struct {
 	Holder    string           `json:"conductor"`
 	Token     uint64           `json:"epoch"` // fencing token of the lease
 	Serial    uint64           `json:"serial"`
 	Plans     []core.Plan      `json:"plans"`
 	Tasks     []TaskStatus     `json:"tasks"`
-	Reasons   []string         `json:"reasons"` // why engines wait
+	Reasons   []string         `json:"reasons"` // why engines have to wait
 	Forecasts []ForecastStatus `json:"forecasts"`
-	Problems  []string         `json:"problems,omitempty"` // of plans that were to be checked
+	Problems  []string         `json:"problems,omitempty"` // of the plans in the request
 	Error     string           `json:"error,omitempty"`
 }
 
-// ForecastStatus is when a plan will be done, in nine of ten cases.
+// ForecastStatus is the interval in which a plan will be done with a probability of 90 %.
 type ForecastStatus struct {
 	Plan   string    `json:"plan"`
 	After  time.Time `json:"after"`
@@ -105,7 +105,7 @@
 	Engine       string   `json:"engine"`
 	Plan         string   `json:"plan"`
 	Step         string   `json:"step"`
-	SinceMS      int64    `json:"since_ms"`                // ms since the step began
+	SinceMS      int64    `json:"since_ms"`                // ms since the step started
 	NotConfirmed []string `json:"not_confirmed,omitempty"` // controllers that may still send to it
 	Waits        string   `json:"waits,omitempty"`         // what the step waits for
 }
@@ -120,7 +120,7 @@
 	jobContext.SendMessage(to, data)
 }
 
-// MessageReceived takes in a request, an answer or a confirmation; it is false for a message of
+// MessageReceived handles a request, an answer or a confirmation. It returns false for a message of
 // another job.
 func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
 	var received message
@@ -142,7 +142,8 @@
 	return true
 }
 
-// receiveAnswer hands an answer to the operator's request that waits for it, if one still does.
+// receiveAnswer delivers an answer to the operator's request that waits for it, if there still is
+// one.
 func (j *Job) receiveAnswer(answer *encodedAnswer) {
 	reply := j.replies[answer.Ref]
 	var status Status
--- a/internal/fleet/maintenance/planfile.go
+++ b/internal/fleet/maintenance/planfile.go
@@ -14,25 +14,25 @@
 	"mintkeel/internal/operator/block"
 )
 
-// Bounds of a file of plans.
+// Bounds of a plan file.
 const (
 	maxPlanFileBytes = 1 << 18
-	maxSelected      = 256 // engines, zones or kinds that a plan names
+	maxSelected      = 256 // engines, zones or kinds that a plan selects
 	maxBlockedHours  = 32
 	maxMinAvailable  = 128
 	maxAtOnce        = 1000
 	maxWorkTime      = 7 * 24 * time.Hour
-	maxTimeBytes     = 64 // of a time as text
+	maxTimeBytes     = 64 // length of a time as text
 )
 
 var planName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// ReadPlans reads a file of plans. Its error is a block.Problems that holds all that is wrong with
-// the file itself; whether the plans can be carried out is for the lease holder to check.
+// ReadPlans parses a plan file. Its error is a block.Problems with all problems of the file itself;
+// whether the plans are feasible is checked by the lease holder.
 func ReadPlans(path string, text []byte) ([]core.Plan, error) {
 	diagnostics := block.NewDiagnostics(text)
 	if len(text) > maxPlanFileBytes {
-		return nil, block.Problems{{File: path, Why: "has over 256 KB"}}
+		return nil, block.Problems{{File: path, Why: "is larger than 256 KB"}}
 	}
 	parsed, found := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	diagnostics.AddHCL(found, "")
@@ -41,7 +41,7 @@
 		plans = readPlanBlocks(parsed.Body, diagnostics)
 	}
 	if len(plans) > maxPlans {
-		diagnostics.Add(hcl.Range{Filename: path}, "plan", fmt.Sprintf("there are over %d", maxPlans))
+		diagnostics.Add(hcl.Range{Filename: path}, "plan", fmt.Sprintf("more than %d plans", maxPlans))
 	}
 	if problems := diagnostics.Problems(); problems != nil {
 		return nil, problems
@@ -49,7 +49,7 @@
 	return plans, nil
 }
 
-// readPlanBlocks reads the plans of a file. Two of the same name are a problem.
+// readPlanBlocks parses the plans of a file and adds a problem for each name that is used twice.
 func readPlanBlocks(body hcl.Body, diagnostics *block.Diagnostics) (plans []core.Plan) {
 	content, found := body.Content(&hcl.BodySchema{
 		Blocks: []hcl.BlockHeaderSchema{{Type: "plan", LabelNames: []string{"name"}}},
@@ -58,7 +58,7 @@
 	seen := map[string]bool{}
 	for _, b := range content.Blocks {
 		if seen[b.Labels[0]] {
-			diagnostics.Add(b.DefRange, "plan", b.Labels[0]+" stands here a second time")
+			diagnostics.Add(b.DefRange, "plan", b.Labels[0]+" is defined twice")
 		}
 		seen[b.Labels[0]] = true
 		plans = append(plans, readPlan(b, diagnostics))
@@ -66,7 +66,7 @@
 	return plans
 }
 
-// readPlan reads one plan. The names of its fields are those of the operators.
+// readPlan parses one plan. The field names are part of the file format.
 func readPlan(b *hcl.Block, diagnostics *block.Diagnostics) core.Plan {
 	open := block.Open(b, diagnostics, "engines", "zones", "kinds", "before", "needs", "by", "not",
 		"keep", "at_once", "person")
@@ -78,7 +78,7 @@
 	workTime := open.Duration("needs", 10*time.Minute, time.Second, maxWorkTime)
 	plan.WorkTime = float64(workTime) / float64(time.Millisecond)
 	if !planName.MatchString(b.Labels[0]) {
-		diagnostics.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is no name of a plan", b.Labels[0]))
+		diagnostics.Add(b.DefRange, "plan", fmt.Sprintf("%.64q is not a valid plan name", b.Labels[0]))
 	}
 	for _, id := range open.Strings("engines", maxSelected) {
 		plan.Select.Engines = append(plan.Select.Engines, core.EngineID(id))
@@ -96,7 +96,7 @@
 	return plan
 }
 
-// readTime reads a field with a time, in ms since 1970; 0: there is none.
+// readTime parses a field with a time and returns it in ms since 1970; 0 if it is not set.
 func readTime(open *block.Block, field string) float64 {
 	text := open.String(field, "", false, maxTimeBytes)
 	if text == "" {
@@ -104,19 +104,20 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		open.AddProblem(field, fmt.Sprintf("%.40q is no time, such as \"2026-12-03T06:00:00Z\"", text))
+		open.AddProblem(field,
+			fmt.Sprintf("%.40q is not a time like \"2026-12-03T06:00:00Z\"", text))
 		return 0
 	}
 	return float64(t.UnixMilli())
 }
 
-// readBlockedHours reads the field not: parts of a day, in UTC.
+// readBlockedHours parses the not field: parts of a day in UTC.
 func readBlockedHours(open *block.Block) (list []core.Hours) {
 	for _, text := range open.Strings("not", maxBlockedHours) {
 		hours, ok := parseHours(text)
 		if !ok {
 			open.AddProblem("not",
-				fmt.Sprintf("%.40q is no part of a day, such as \"08:00-20:30\" (UTC)", text))
+				fmt.Sprintf("%.40q is not a part of a day like \"08:00-20:30\" (UTC)", text))
 		}
 		list = append(list, hours)
 	}
@@ -136,21 +137,22 @@
 
 func minutesOfDay(t time.Time) int { return t.Hour()*60 + t.Minute() }
 
-// readMinAvailable reads the field keep: how many engines are to stay in service.
+// readMinAvailable parses the keep field: how many engines have to stay in service.
 func readMinAvailable(open *block.Block) (list []core.MinAvailable) {
 	for _, text := range open.Strings("keep", maxMinAvailable) {
 		keep, ok := parseMinAvailable(text)
 		if !ok {
 			open.AddProblem("keep", fmt.Sprintf(
-				"%.60q is none of \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\", \"3 c16 in hall-a\"", text))
+				"%.60q is not like \"3\", \"50%%\", \"3 c16\", \"50%% in hall-a\" or \"3 c16 in hall-a\"",
+				text))
 		}
 		list = append(list, keep)
 	}
 	return list
 }
 
-// parseMinAvailable parses a count or a share of engines, with a kind and a zone where they are
-// given, such as "3 c16 in hall-a".
+// parseMinAvailable parses a count or a share of engines with an optional machine kind and zone,
+// such as "3 c16 in hall-a".
 func parseMinAvailable(text string) (keep core.MinAvailable, ok bool) {
 	words := strings.Fields(text)
 	if len(words) == 0 || !parseCountOrShare(words[0], &keep) {
@@ -171,7 +173,7 @@
 	return keep, false
 }
 
-// parseCountOrShare parses "3" or "50%".
+// parseCountOrShare parses a count such as "3" or a share such as "50%".
 func parseCountOrShare(word string, keep *core.MinAvailable) bool {
 	if percentage, isShare := strings.CutSuffix(word, "%"); isShare {
 		percent, err := strconv.ParseFloat(percentage, 64)
--- a/internal/fleet/maintenance/planfile_test.go
+++ b/internal/fleet/maintenance/planfile_test.go
@@ -8,7 +8,7 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// A file of plans is read with all its fields, and each mistake in one is reported with its place.
+// A plan file must be parsed with all its fields, and each mistake must be reported with its position.
 func TestReadPlansAndTheirProblems(t *testing.T) {
 	plans, err := ReadPlans("p.hcl", []byte(`plan "kernel" {
   kinds   = ["c16"]
@@ -27,21 +27,21 @@
 }
 `))
 	if err != nil || len(plans) != 2 {
-		t.Fatal(plans, err)
+		t.Fatalf("got plans %+v, %v, want 2 plans", plans, err)
 	}
 	p := plans[0]
 	if p.WorkTime != 1200000 || p.MaxUnavailable != 2 || !p.ConfirmWork ||
 		p.BlockedHours[0] != (core.Hours{From: 660, To: 840}) ||
 		p.Deadline-p.Select.StartedBefore != 2.25*24*3600*1000 {
-		t.Errorf("%+v", p)
+		t.Errorf("first plan: got %+v, want the fields of the file", p)
 	}
 	want := "[50% of the engines in hall-a 3 engines of kind c16 4 engines 2 engines of kind c12 in hall-b]"
 	if got := fmt.Sprint(p.MinAvailable); got != want {
-		t.Errorf("keeps %s", got)
+		t.Errorf("minimum of available engines: got %s, want %s", got, want)
 	}
 	for text, want := range map[string]string{
 		"plan \"a\" {\n}\nplan \"a\" {\n}\n":  "p.hcl:3:1: field plan",
-		"plan \"a b\" {\n}\n":                 "no name of a plan",
+		"plan \"a b\" {\n}\n":                 "not a valid plan name",
 		"plan {\n}\n":                         "p.hcl:1",
 		"x = 1\n":                             "p.hcl:1:1: field x",
 		"plan \"a\" {\n not = [\"1-2\"]\n}\n": "p.hcl:2:8: field plan.not",
@@ -51,7 +51,7 @@
 		strings.Repeat("#", 1<<19):                                     "256 KB",
 	} {
 		if _, err := ReadPlans("p.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40q: %v, want %q", text, err, want)
+			t.Errorf("%.40q: got error %v, want one containing %q", text, err, want)
 		}
 	}
 }
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -14,31 +14,30 @@
 
 // pendingRequest is a request that waits for the holder's next step.
 type pendingRequest struct {
-	from members.ID // the controller that the operator asked
-	ref  uint64     // number that this controller gave the request
+	from members.ID // controller that forwarded the operator's request
+	ref  uint64     // number that the forwarding controller assigned to the request
 	Request
 }
 
-// requestRun is a request that is being carried out: the state that it would have agreed on, and
-// its answer.
+// requestRun is the execution of a request: the state that it leads to, and its answer.
 type requestRun struct {
 	state   agreedState
-	changed bool // the state is to be agreed on
+	changed bool // the state has to be proposed
 	status  Status
 }
 
 // ErrNoHolder means that no controller holds the maintenance lease, as far as this one knows.
-var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
+var ErrNoHolder = errors.New("no controller holds the maintenance lease, as far as this one knows")
 
-// Durations in ms that plans are checked with, of steps that end when the installation is ready.
+// Durations in ms that the check of plans assumes for steps whose end depends on the installation.
 const (
 	expectedDrainTime = 10000.0
 	expectedWarmTime  = 30000.0
 )
 
-// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the
-// returned channel, which has room for it, or is lost: the caller waits for a bounded time. The
-// error is ErrNoHolder where there is none.
+// SendRequest forwards an operator's request to the lease holder. The answer is sent to the
+// returned channel, which has room for it, or may be lost, so the caller has to bound its wait. The
+// error is ErrNoHolder if there is no holder.
 func (j *Job) SendRequest(
 	jobContext job.Context, holder members.ID, request Request,
 ) (chan Status, error) {
@@ -50,7 +49,7 @@
 		return nil, err
 	}
 	if len(j.replies) >= maxPendingRequests {
-		clear(j.replies) // their callers have given up: there are never as many at once
+		clear(j.replies) // their callers have timed out, as there are never that many at once
 	}
 	j.lastRequest++
 	reply := make(chan Status, 1)
@@ -59,7 +58,8 @@
 	return reply, nil
 }
 
-// receiveRequest enqueues a request where this controller holds the lease.
+// receiveRequest enqueues a request if this controller holds the lease and has read its state, and
+// otherwise answers it with an error.
 func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
 	var request Request
 	accepted := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
@@ -79,7 +79,8 @@
 	}
 }
 
-// executeRequest does what an operator asks for, and answers with the state after it.
+// executeRequest executes an operator's request and answers with the resulting state, which the
+// quorum has yet to commit.
 func (j *Job) executeRequest(jobContext job.Context, request pendingRequest) {
 	run := &requestRun{state: j.agreed}
 	run.state.Plans = slices.Clone(run.state.Plans)
@@ -98,7 +99,7 @@
 	case ActionWithout:
 		run.excludeController(members.ID(request.Name))
 	default:
-		run.status.Error = fmt.Sprintf("%.64q is not known", request.Action)
+		run.status.Error = fmt.Sprintf("%.64q is not a known action", request.Action)
 	}
 	if run.changed {
 		j.propose(jobContext, run.state)
@@ -107,7 +108,7 @@
 	j.reply(jobContext, request.from, request.ref, run.status)
 }
 
-// setHalted has a plan take no further engine, or go on.
+// setHalted halts or resumes a plan.
 func (r *requestRun) setHalted(name string, halted bool) {
 	if plan := r.findPlan(name); plan != nil {
 		plan.Halted = halted
@@ -115,19 +116,20 @@
 	}
 }
 
-// findPlan is the plan of a name; nil, with an error in the answer: there is none.
+// findPlan returns the plan with a name. If there is none, it sets the answer's error and returns
+// nil.
 func (r *requestRun) findPlan(name string) *core.Plan {
 	for i := range r.state.Plans {
 		if string(r.state.Plans[i].ID) == name {
 			return &r.state.Plans[i]
 		}
 	}
-	r.status.Error = fmt.Sprintf("%.64q is no plan", name)
+	r.status.Error = fmt.Sprintf("there is no plan %.64q", name)
 	return nil
 }
 
-// addPlans checks plans and takes them into the state; commit: it is to be agreed on if they have
-// no problems.
+// addPlans checks plans and adds them to the state, replacing plans of the same name. With commit,
+// the state is proposed if they have no problems.
 func (r *requestRun) addPlans(plans []core.Plan, v core.View, version int, commit bool) {
 	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
 	for _, plan := range plans {
@@ -137,21 +139,22 @@
 			r.status.Problems = append(r.status.Problems,
 				fmt.Sprintf("plan %s: %s", plan.ID, problem.Error()))
 		}
-		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == plan.ID })
+		r.state.Plans = slices.DeleteFunc(r.state.Plans,
+			func(q core.Plan) bool { return q.ID == plan.ID })
 		r.state.Plans = append(r.state.Plans, plan)
 	}
 	if len(r.state.Plans) > maxPlans {
 		r.status.Problems = append(r.status.Problems,
-			fmt.Sprintf("there would be over %d plans: withdraw some", maxPlans))
+			fmt.Sprintf("there would be more than %d plans: withdraw some", maxPlans))
 	}
 	r.changed = commit && r.status.Problems == nil
 	if commit && r.status.Problems != nil {
-		r.status.Error = "not taken over"
+		r.status.Error = "plans not added because of their problems"
 	}
 }
 
-// withdraw ends a plan: the engines on which its work has begun are brought back, the others are
-// left alone.
+// withdraw ends a plan: engines on which its work has begun are returned to service, and the tasks
+// of the others are removed.
 func (r *requestRun) withdraw(name string) {
 	plan := r.findPlan(name)
 	if plan == nil {
@@ -165,7 +168,7 @@
 	})
 }
 
-// markDone takes in that a person has done the work on an engine.
+// markDone records that a person has done the work on an engine.
 func (r *requestRun) markDone(engine string) {
 	i := slices.IndexFunc(r.state.Tasks, func(t core.Task) bool {
 		return string(t.Engine) == engine && t.Step == core.Working
@@ -181,7 +184,7 @@
 	r.changed = true
 }
 
-// excludeController has the confirmation of a controller no longer waited for.
+// excludeController records that a controller's confirmations are no longer required.
 func (r *requestRun) excludeController(id members.ID) {
 	if !slices.Contains(r.state.Excluded, id) && len(r.state.Excluded) < maxExcluded {
 		r.state.Excluded = append(r.state.Excluded, id)
--- a/internal/fleet/maintenance/status.go
+++ b/internal/fleet/maintenance/status.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// fillStatus fills in the state of all plans and tasks.
+// fillStatus fills in the status of all plans and tasks.
 func (j *Job) fillStatus(jobContext job.Context, state agreedState, status *Status) {
 	status.Holder = string(jobContext.Self())
 	status.Token = uint64(j.grant.Token)
@@ -27,7 +27,7 @@
 	}
 }
 
-// forecasts are when the plans that go on will be done.
+// forecasts returns when the plans that are neither halted nor withdrawn will be done.
 func forecasts(v core.View, plans []core.Plan) []ForecastStatus {
 	list := []ForecastStatus{} // encoded as an empty list
 	for _, plan := range plans {
@@ -43,7 +43,7 @@
 	return list
 }
 
-// taskStatus is the state of the work on one engine.
+// taskStatus returns the status of the work on one engine.
 func (j *Job) taskStatus(jobContext job.Context, task core.Task) TaskStatus {
 	status := TaskStatus{
 		Engine:  string(task.Engine),
--- a/internal/fleet/maintenance/steps.go
+++ b/internal/fleet/maintenance/steps.go
@@ -9,10 +9,10 @@
 	"mintkeel/router"
 )
 
-// maxListedNames is how many names a reason lists.
+// maxListedNames bounds the names that a reason lists.
 const maxListedNames = 5
 
-// advance makes the next step, if there is one, and has it agreed on.
+// advance determines the next move of any task and proposes the state after it.
 func (j *Job) advance(jobContext job.Context) {
 	v := j.view(jobContext)
 	for _, task := range j.agreed.Tasks {
@@ -30,8 +30,9 @@
 	}
 }
 
-// step is the next move of a task that follows from programs, confirmations and operators; nil: the
-// task waits, for the reason in j.waits, or its next move is for core.Decide.
+// step returns the next move of a task that follows from programs, confirmations and operators. It
+// returns nil if the task waits, for the reason in j.waitReasons, or if core.Decide determines the
+// next move.
 func (j *Job) step(jobContext job.Context, task core.Task) *core.Move {
 	to, reason := j.nextStep(jobContext, task)
 	if reason != "" {
@@ -45,8 +46,8 @@
 	return &core.Move{Engine: task.Engine, Plan: task.Plan, From: task.Step, To: to}
 }
 
-// nextStep is the step after that of a task, or why the task waits. A step that core.Decide ends is
-// its own next.
+// nextStep returns the step that follows a task's current one, or the reason why the task waits. It
+// returns the current step if core.Decide determines its end.
 func (j *Job) nextStep(jobContext job.Context, task core.Task) (next core.Step, reason string) {
 	block := j.block.Load()
 	switch task.Step {
@@ -64,8 +65,9 @@
 	}
 }
 
-// drainReason is why an engine is not free yet; empty: it is. For that its program has ended, each
-// controller has confirmed, and the endpoint list offers it to no controller that starts now.
+// drainReason returns why an engine is not free yet; "" if it is. An engine is free once its drain
+// program has ended, each controller has confirmed, and the endpoint list no longer offers it to
+// controllers that start.
 func (j *Job) drainReason(jobContext job.Context, block *Block, task core.Task) string {
 	if done, reason := j.runHook(drainHook, block.Drain, task); !done {
 		return reason
@@ -80,8 +82,8 @@
 	return ""
 }
 
-// workReason is why the work on an engine is not done; empty: it is. Without a program a person
-// does it and says so.
+// workReason returns why the work on an engine is not done; "" if it is. Without a program, a
+// person does the work and confirms it.
 func (j *Job) workReason(block *Block, task core.Task) string {
 	if block.Work != "" {
 		_, reason := j.runHook(workHook, block.Work, task)
@@ -93,7 +95,7 @@
 	return ""
 }
 
-// summarizeNames lists the first names, and how many there are besides.
+// summarizeNames lists up to maxListedNames names and the number of the rest.
 func summarizeNames(names []string) string {
 	if len(names) > maxListedNames {
 		return fmt.Sprintf("%v and %d more", names[:maxListedNames], len(names)-maxListedNames)
--- a/internal/fleet/maintenance/stored_test.go
+++ b/internal/fleet/maintenance/stored_test.go
@@ -1,8 +1,8 @@
 package maintenance
 
-// A rename or a reordering of fields can change what lease holders hand on and what jobs send each other.
-// It shows only beside a controller of an earlier build. These tests compare with what an earlier build
-// wrote.
+// A renamed or reordered field can change the encoding of the state that lease holders pass on and of the
+// messages between jobs, which fails only with a controller of an earlier build. These tests compare the
+// encoding with what an earlier build wrote.
 
 import (
 	"os"
@@ -55,7 +55,7 @@
 		Tasks:         []core.Task{storedTask()},
 		Excluded:      []members.ID{"n7"},
 		Known:         []core.EngineID{"e1", "e2", "e3"},
-		ConfirmedWork: map[string]uint64{"e1": 17}, // one entry: the encoding of a map has no order
+		ConfirmedWork: map[string]uint64{"e1": 17}, // one entry, as the encoding of a map has no fixed order
 	}
 }
 
@@ -75,12 +75,12 @@
 	names := []string{"preparing", "draining", "free", "working", "returning", "warming", "done", "missing"}
 	for number, step := range steps {
 		if int(step) != number || step.String() != names[number] {
-			t.Errorf("%v is stored as %d, and was as %d, %s", step, step, number, names[number])
+			t.Errorf("step %v has number %d, want %d, %s as in stored states", step, step, number, names[number])
 		}
 	}
 }
 
-// TestProgramArgumentsAreStable pins what the programs of an installation are given, which read it by
+// TestProgramArgumentsAreStable guards the arguments of an installation's programs, which read them by
 // position.
 func TestProgramArgumentsAreStable(t *testing.T) {
 	folder := t.TempDir()
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(output); string(text) != "drain e1 17\n" || err != nil {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("arguments of the program: got %q, %v, want \"drain e1 17\"", text, err)
 	}
 }
 
--- a/internal/fleet/maintenance/view.go
+++ b/internal/fleet/maintenance/view.go
@@ -9,7 +9,7 @@
 	"mintkeel/router"
 )
 
-// view is what the decisions of internal/core/fleet/maintenance are made from.
+// view returns the input for the decisions of internal/core/fleet/maintenance.
 func (j *Job) view(jobContext job.Context) core.View {
 	engines := j.currentEngines()
 	v := core.View{
@@ -19,7 +19,7 @@
 		DrainsListed: j.block.Load().List,
 	}
 	if len(engines) == 0 {
-		v.StaleReason = "the engines have not been looked at yet"
+		v.StaleReason = "the state of the engines is not known yet"
 	}
 	for _, e := range engines {
 		if e.State != router.Gone {
@@ -32,13 +32,13 @@
 	}
 	for _, m := range jobContext.Members() {
 		if m.State == members.Suspect {
-			v.StaleReason = string(m.ID) + " does not answer just now"
+			v.StaleReason = string(m.ID) + " does not answer at the moment"
 		}
 	}
 	return v
 }
 
-// kindName is the name of a machine kind; empty: it is not known.
+// kindName returns the name of a machine kind; "" if it is unknown.
 func (j *Job) kindName(kind router.KindID) string {
 	if int(kind) < 0 || int(kind) >= len(j.host.Kinds) {
 		return ""
@@ -46,8 +46,8 @@
 	return j.host.Kinds[kind]
 }
 
-// viewEngine is an engine as decisions see it. One that maintenance itself holds is ready again
-// once the endpoint list has it so, as the loop has it drain for as long as it is held.
+// viewEngine returns an engine for the view. The readiness of an engine that maintenance holds
+// comes from the endpoint list, as the loop reports it as draining for as long as it is held.
 func (j *Job) viewEngine(e router.EngineStatus) core.Engine {
 	viewed := core.Engine{
 		ID:        core.EngineID(e.Engine),
@@ -72,8 +72,8 @@
 	return viewed
 }
 
-// lostEngines are the known engines that are missing and that nobody took out, until they count as
-// left for good.
+// lostEngines returns the known engines that are not ready although no task took them out, until
+// they are presumed removed.
 func (j *Job) lostEngines(v core.View) (lost []core.Engine) {
 	for _, id := range j.agreed.Known {
 		ready := slices.ContainsFunc(v.Engines, func(e core.Engine) bool { return e.ID == id && e.Ready })
@@ -94,14 +94,14 @@
 	return lost
 }
 
-// presumedRemoved reports whether an engine has been missing for so long that it does not count as lost
-// any more.
+// presumedRemoved reports whether an engine has been missing for lostEngineTimeout, after which it
+// no longer counts as lost.
 func (j *Job) presumedRemoved(id core.EngineID, now float64) bool {
 	return j.engineLostSince[id] > 0 && now >= j.engineLostSince[id]+lostEngineTimeout
 }
 
-// knownEngines are the engines that there should be: all that were ever ready while there were
-// plans, but for those that left for good.
+// knownEngines returns the engines that are expected to exist: all that were ready while there were
+// plans, except for those presumed removed.
 func (j *Job) knownEngines(v core.View) []core.EngineID {
 	known := slices.DeleteFunc(slices.Clone(j.agreed.Known), func(id core.EngineID) bool {
 		return j.presumedRemoved(id, v.Now)
@@ -115,8 +115,8 @@
 	return known
 }
 
-// requirement is the capacity that a query class bound to these machine kinds may need: all that is
-// in use there, as it is not known which class uses it.
+// requirement returns the capacity that a query class bound to these machine kinds may need: all
+// capacity in use there, as it is not known which class uses it.
 func (j *Job) requirement(kinds []router.KindID, engines []core.Engine) core.Requirement {
 	required := core.Requirement{}
 	for _, kind := range kinds {
@@ -132,8 +132,8 @@
 	return required
 }
 
-// listedState is the state that the endpoint list gives an engine, whether or not this controller
-// holds it.
+// listedState returns the state of an engine in the endpoint list, whether or not this controller
+// holds the engine.
 func (j *Job) listedState(id core.EngineID) router.EngineState {
 	for _, e := range j.currentEngines() {
 		if core.EngineID(e.Engine) == id {
--- a/internal/fleet/sharedstatistics/collect.go
+++ b/internal/fleet/sharedstatistics/collect.go
@@ -11,8 +11,8 @@
 	"mintkeel/router"
 )
 
-// collect takes out the controller's own statistics for a requester, in a goroutine. A request that
-// comes before the last one's statistics were sent is dropped.
+// collect reads the controller's own statistics for a requester, in a goroutine. It drops a request
+// that arrives before the statistics for the last one were sent.
 func (j *Job) collect(requester members.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -30,8 +30,8 @@
 	})
 }
 
-// readSource reads the controller's statistics, a part at a time so that the loop goes on serving,
-// and encodes them. It returns nil where they can't be had in time.
+// readSource reads the controller's statistics in parts, so that the loop can serve in between, and
+// encodes them. It returns nil if they can't be read in time.
 func (j *Job) readSource() []byte {
 	ctx, cancel := context.WithTimeout(j.ctx, collectTimeout)
 	defer cancel()
@@ -48,8 +48,9 @@
 	return encodeBounded(&collected, maxSnapshotBytes)
 }
 
-// encodeBounded encodes statistics in a number of bytes at most: table groups with the least demand
-// are left out, and some engines. It sorts and shortens the lists of the statistics.
+// encodeBounded encodes statistics in at most maxBytes. If they are larger, it leaves out the table
+// groups with the least demand and some engines. It sorts and truncates the lists of the
+// statistics.
 func encodeBounded(statistics *router.Statistics, maxBytes int) []byte {
 	slices.SortStableFunc(statistics.Tables, func(a, b router.TableStatistics) int {
 		return cmp.Compare(b.Demand, a.Demand)
@@ -67,7 +68,7 @@
 	}
 }
 
-// sendCollected sends statistics that were taken out to the controller that asked for them.
+// sendCollected sends statistics that were read to the controller that requested them.
 func (j *Job) sendCollected(jobContext job.Context) {
 	j.mu.Lock()
 	data := j.collected
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -12,7 +12,7 @@
 	"mintkeel/internal/memory"
 )
 
-// gather asks some controllers, and this one, for their statistics.
+// gather requests the statistics of some other controllers and of this one.
 func (j *Job) gather(jobContext job.Context) {
 	j.collect(jobContext.Self())
 	anyMember := func(members.Member) bool { return true }
@@ -21,7 +21,8 @@
 	}
 }
 
-// addReport takes in the statistics of one controller.
+// addReport adds the statistics of one controller to those of the next digest, unless that
+// controller has other settings.
 func (j *Job) addReport(from members.ID, received *snapshot) {
 	statistics, err := memory.DecodeStatistics(received.Data)
 	if err != nil || received.Settings != j.host.Settings {
@@ -32,7 +33,7 @@
 	j.gathered.Add(digest.Report{From: from, At: now, Statistics: statistics})
 }
 
-// publish sends the digest to the voters.
+// publish merges the gathered statistics and sends the digest to the voters.
 func (j *Job) publish(jobContext job.Context) {
 	now := j.clock()
 	if j.gathered.Len(now) == 0 {
@@ -54,7 +55,8 @@
 	}
 }
 
-// sendDigest sends the latest digest to a newcomer, unless it is too old or one was just given.
+// sendDigest sends the latest digest to a newcomer, unless the digest is older than digestLifetime
+// or one was sent within digestSendInterval.
 func (j *Job) sendDigest(jobContext job.Context, newcomer members.ID) {
 	if j.latestDigest == nil || jobContext.Now() < j.nextDigestSendAt {
 		return
@@ -65,26 +67,28 @@
 	}
 	j.nextDigestSendAt = jobContext.Now() + digestSendInterval
 	given := *j.latestDigest
-	// Moved on by the digest's age here, or the receiver would take its records for younger.
+	// Advanced by the time since the digest arrived; otherwise the receiver would take its records for
+	// younger than they are.
 	given.Now += float64(age.Microseconds()) / 1e3
 	sendMessage(jobContext, newcomer, message{Snapshot: &given})
 }
 
-// requestDigest asks some voters for the digest.
+// requestDigest requests the digest from some voters.
 func (j *Job) requestDigest(jobContext job.Context) {
 	for _, voter := range j.drawPeers(jobContext, newcomerPeers, isVoter(jobContext)) {
 		sendMessage(jobContext, voter, message{RequestDigest: true})
 	}
 }
 
-// restoreDigest has a newcomer begin with the digest; only the first one counts.
+// restoreDigest restores a newcomer's statistics from the first usable digest; it ignores further
+// ones.
 func (j *Job) restoreDigest(received *snapshot) {
 	if !j.needsDigest || received.Settings != j.host.Settings {
 		return
 	}
 	statistics, err := memory.DecodeStatistics(received.Data)
 	if err != nil {
-		j.host.Log.Warn("fleet: a digest can't be used", "why", err)
+		j.host.Log.Warn("fleet: statistics digest can't be decoded", "why", err)
 		return
 	}
 	j.needsDigest = false
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -21,33 +21,33 @@
 // Lease is the name of the lease for gathering and publishing statistics.
 const Lease lease.Name = "digest"
 
-// Intervals of the session's goroutine, in ms of the steady clock.
+// Intervals of the session's goroutine, in ms of the monotonic clock.
 const (
-	gatherInterval     = 5000.0   // between two rounds of asking
+	gatherInterval     = 5000.0   // between two rounds of requests for statistics
 	publishInterval    = 5000.0   // between two digests
 	newcomerInterval   = 500.0    // between two requests of a newcomer for the digest
-	newcomerWindow     = 15000.0  // after its start, in which a newcomer asks
-	digestLifetime     = 120000.0 // for which a voter gives a digest to newcomers
-	digestSendInterval = 100.0    // between two digests that one voter gives to newcomers
+	newcomerWindow     = 15000.0  // after its start, in which a newcomer requests the digest
+	digestLifetime     = 120000.0 // age up to which a voter sends a digest to newcomers
+	digestSendInterval = 100.0    // between two digests that a voter sends to newcomers
 )
 
-// collectTimeout bounds how long the controller's own statistics are taken out.
+// collectTimeout bounds the time to read the controller's own statistics.
 const collectTimeout = 2 * time.Second
 
-// Bounds.
+// Bounds on requests and statistics.
 const (
-	gatherPeers      = 4    // controllers asked in a round
-	newcomerPeers    = 2    // voters that a newcomer asks at a time
-	partRecords      = 1000 // taken out of the loop at once
-	maxRecords       = 6000 // sent by one controller
+	gatherPeers      = 4    // controllers that a round of requests goes to
+	newcomerPeers    = 2    // voters that a newcomer's request goes to
+	partRecords      = 1000 // records read from the loop at once
+	maxRecords       = 6000 // records after which a controller reads no further part
 	maxSnapshotBytes = 400 << 10
 )
 
 // Host is what the job needs of its controller.
 type Host struct {
-	Source   memory.StatisticsSource // nil: this controller has no statistics to send
-	Settings uint64                  // hash of the settings: classes and machine kinds go by them
-	Restore  func(router.Statistics) // takes over the fleet's; nil: this controller has its own
+	Source   memory.StatisticsSource // nil if this controller has no statistics to send
+	Settings uint64                  // hash of the settings, which number classes and machine kinds
+	Restore  func(router.Statistics) // restores the fleet's statistics; nil if there are own ones
 	Log      *slog.Logger
 }
 
@@ -60,24 +60,24 @@
 	// State of the lease holder, owned by the session's goroutine.
 	holdsLease    bool
 	gathered      digest.Collector
-	nextGatherAt  float64 // ms, when the next round of asking is due
+	nextGatherAt  float64 // ms, when the next round of requests is due
 	nextPublishAt float64 // ms, when the next digest is due
 	effectID      uint64  // of the last digest sent
 
 	// State of a voter, owned by the session's goroutine.
-	latestDigest     *snapshot // nil: none was received
-	digestReceivedAt time.Time // when it was received
-	nextDigestSendAt float64   // ms, from when the digest is given again
+	latestDigest     *snapshot // nil if none was received
+	digestReceivedAt time.Time
+	nextDigestSendAt float64 // ms, from when the digest may be sent again
 
 	// State of a newcomer, owned by the session's goroutine.
-	needsDigest   bool    // it has no statistics yet, and asks
+	needsDigest   bool    // the controller has no statistics yet and requests the digest
 	startedAt     float64 // ms, of the first Tick
 	nextRequestAt float64 // ms, when the next request is due
 
 	mu         sync.Mutex // guards the fields up to requester
 	collecting bool
-	collected  []byte     // the controller's own statistics, encoded; nil: none wait to be sent
-	requester  members.ID // to which they are to be sent
+	collected  []byte     // the controller's own statistics to be sent, encoded; nil if there are none
+	requester  members.ID // controller that requested them
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -115,10 +115,10 @@
 	}
 }
 
-// EffectResponseReceived does nothing: a digest is sent again with the next interval.
+// EffectResponseReceived does nothing: the next digest is sent at the next interval in any case.
 func (j *Job) EffectResponseReceived(node.EffectResponse) {}
 
-// StateReceived does nothing: the holders of the lease hand nothing on.
+// StateReceived does nothing: the lease has no state.
 func (j *Job) StateReceived(job.Context, node.Checkpoint) {}
 
 // Close ends the goroutine of the job.
@@ -127,8 +127,8 @@
 	j.group.Wait()
 }
 
-// Tick sends what is due: statistics that were taken out, the requests and the digest of a lease
-// holder, a newcomer's request.
+// Tick sends the messages that are due: collected statistics, a lease holder's requests and digest,
+// and a newcomer's request.
 func (j *Job) Tick(jobContext job.Context, now float64) {
 	if j.startedAt == 0 {
 		j.startedAt = now
@@ -151,7 +151,7 @@
 	}
 }
 
-// EffectReceived keeps the digest of the latest lease holder.
+// EffectReceived stores the digest of the latest lease holder in memory.
 func (j *Job) EffectReceived(_ job.Context, _ members.ID, effect node.Effect) {
 	if effect.Grant.Name != Lease {
 		return
@@ -166,7 +166,7 @@
 	j.digestReceivedAt = time.Now()
 }
 
-// MessageReceived takes in a request or statistics; it is false for a message of another job.
+// MessageReceived handles a request or statistics. It returns false for a message of another job.
 func (j *Job) MessageReceived(jobContext job.Context, from members.ID, data []byte) bool {
 	var received message
 	if err := frames.Decoder.Unmarshal(data, &received); err != nil || !received.Digest {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// drawPeers draws some other members that are alive and eligible.
+// drawPeers returns up to count random other members that are alive and eligible.
 func (j *Job) drawPeers(
 	jobContext job.Context, count int, eligible func(members.Member) bool,
 ) (peers []members.ID) {
--- a/internal/fleet/sharedstatistics/messages.go
+++ b/internal/fleet/sharedstatistics/messages.go
@@ -7,23 +7,23 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// message is one between the jobs of two controllers; besides Digest one of its fields is set. It
-// is encoded by the order of its fields.
+// message is a message between the jobs of two controllers. Besides Digest, one field is set. Its
+// encoding depends on the order of the fields.
 type message struct {
 	_                 struct{} `cbor:",toarray"`
-	Digest            bool     // always true: other jobs' messages have another value here
-	RequestStatistics bool     // asks for the statistics of the receiver
-	RequestDigest     bool     // asks for the digest: the sender has no statistics
+	Digest            bool     // always true; messages of other jobs differ in this position
+	RequestStatistics bool     // requests the receiver's own statistics
+	RequestDigest     bool     // requests the digest for a newcomer
 	Snapshot          *snapshot
 }
 
-// snapshot has the statistics of one controller, or of the fleet. As the effect of the lease it is
-// encoded by the order of its fields.
+// snapshot contains the statistics of one controller or, as a digest, of the fleet. A digest is
+// also the effect of the lease. Its encoding depends on the order of the fields.
 type snapshot struct {
 	_        struct{} `cbor:",toarray"`
-	Settings uint64   // identifies the sender's settings
-	Now      float64  // the sender's clock, ms since 1970: the records' times are by it
-	Whole    bool     // the digest, and not one controller's statistics
+	Settings uint64   // hash of the sender's settings
+	Now      float64  // the sender's clock in ms since 1970, which the records' times refer to
+	Whole    bool     // true for a digest, false for one controller's statistics
 	Token    uint64   // fencing token of the holder that merged a digest
 	Data     []byte   // encoded by memory.EncodeStatistics
 }
--- a/internal/fleet/sharedstatistics/stored_test.go
+++ b/internal/fleet/sharedstatistics/stored_test.go
@@ -1,7 +1,7 @@
 package sharedstatistics
 
-// A rename or a reordering of fields can change what jobs send each other, which shows only beside a
-// controller of an earlier build. This test compares with what an earlier build wrote.
+// A renamed or reordered field can change the encoding of messages between jobs, which fails only with a
+// controller of an earlier build. This test compares the encoding with what an earlier build wrote.
 
 import (
 	"testing"
