--- a/internal/fleet/faultinjection/faultinjection.go
+++ b/internal/fleet/faultinjection/faultinjection.go
@@ -16,8 +16,8 @@
 // clockStart is when the monotonic clock was at 0.
 var clockStart = time.Now()
 
-// steadyNow returns the system's monotonic clock in ms.
-func steadyNow() float64 { return float64(time.Since(clockStart)) / float64(time.Millisecond) }
+// monotonicNow returns the system's monotonic clock in ms.
+func monotonicNow() float64 { return float64(time.Since(clockStart)) / float64(time.Millisecond) }
 
 // dial opens a TCP connection.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
--- a/internal/fleet/faultinjection/rig.go
+++ b/internal/fleet/faultinjection/rig.go
@@ -39,7 +39,7 @@
 
 // Now returns the monotonic clock in ms at the rate that the rig sets.
 func Now() float64 {
-	now := steadyNow()
+	now := monotonicNow()
 	clock.Lock()
 	defer clock.Unlock()
 	if clock.file != nil && now-clock.polled > clockPoll {
--- a/internal/fleet/faultinjection/system.go
+++ b/internal/fleet/faultinjection/system.go
@@ -10,7 +10,7 @@
 )
 
 // Now returns the monotonic clock in ms, which is unaffected by changes of the system time.
-func Now() float64 { return steadyNow() }
+func Now() float64 { return monotonicNow() }
 
 // Dial opens a TCP connection to an address with a port.
 func Dial(ctx context.Context, addr string) (net.Conn, error) { return dial(ctx, addr) }
--- a/internal/fleet/maintenance/hold.go
+++ b/internal/fleet/maintenance/hold.go
@@ -101,16 +101,16 @@
 	if engines == nil {
 		return
 	}
-	reply := message{Token: uint64(j.heldToken), Serial: j.held.Serial}
+	answer := message{Token: uint64(j.heldToken), Serial: j.held.Serial}
 	for _, id := range j.held.Engines {
 		inUse := slices.ContainsFunc(engines, func(e router.EngineStatus) bool {
 			return e.Engine == id && (e.State == router.Ready || e.Attempts > 0)
 		})
 		if !inUse {
-			reply.Stopped = append(reply.Stopped, id)
+			answer.Stopped = append(answer.Stopped, id)
 		}
 	}
-	sendMessage(jobContext, j.heldFrom, reply)
+	sendMessage(jobContext, j.heldFrom, answer)
 }
 
 // unconfirmed returns the controllers that may still send attempts to an engine, as far as the
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -177,10 +177,10 @@
 		r.status.Error = fmt.Sprintf("%.64q is not being worked on", engine)
 		return
 	}
-	hooked := map[string]uint64{}
-	maps.Copy(hooked, r.state.ConfirmedWork)
-	hooked[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
-	r.state.ConfirmedWork = hooked
+	confirmedWork := map[string]uint64{}
+	maps.Copy(confirmedWork, r.state.ConfirmedWork)
+	confirmedWork[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
+	r.state.ConfirmedWork = confirmedWork
 	r.changed = true
 }
 
--- a/internal/fleet/sharedstatistics/digest.go
+++ b/internal/fleet/sharedstatistics/digest.go
@@ -66,11 +66,11 @@
 		return
 	}
 	j.nextDigestSendAt = jobContext.Now() + digestSendInterval
-	given := *j.latestDigest
+	sent := *j.latestDigest
 	// Advanced by the time since the digest arrived; otherwise the receiver would take its records for
 	// younger than they are.
-	given.Now += float64(age.Microseconds()) / 1e3
-	sendMessage(jobContext, newcomer, message{Snapshot: &given})
+	sent.Now += float64(age.Microseconds()) / 1e3
+	sendMessage(jobContext, newcomer, message{Snapshot: &sent})
 }
 
 // requestDigest requests the digest from some voters.
