--- a/internal/fleet/config_check_test.go
+++ b/internal/fleet/config_check_test.go
@@ -54,7 +54,7 @@
 			select {
 			case <-checkStarted:
 			case <-time.After(checkAnswerTimeout):
-				t.Fatalf("no check started within %v", checkAnswerTimeout)
+				t.Fatal("no check started in time")
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), checkAnswerTimeout)
 			defer cancel()
@@ -64,7 +64,7 @@
 				t.Fatalf("a controller that is checking a document does not answer: %v", err)
 			}
 			if status.Quorum.Leader != fmt.Sprint("n", leader) {
-				t.Errorf("the leader is %s during the check, want n%d", status.Quorum.Leader, leader)
+				t.Errorf("the leader is %s during the check, want the same as before", status.Quorum.Leader)
 			}
 			f.eventually("the controller sends messages during the check", func() bool { return f.linkCount(slowController, "sent") > sentBefore+10 })
 			if f.leaderSeenBy(author) != leader {
--- a/internal/fleet/config_helpers_test.go
+++ b/internal/fleet/config_helpers_test.go
@@ -106,8 +106,8 @@
 	dir         string
 	addrs       []string
 	hosts       []*fakeHost
-	disks       []disk.Disk // where versions are stored; nil: in the service's folder
-	services    []*Service  // nil: not running
+	disks       []disk.Disk // where versions are stored; nil for the service's folder
+	services    []*Service  // nil if it is not running
 	changeBlock func(i int, b *Block)
 	noConfig    bool // the services run without a configuration host
 	log         *slog.Logger
@@ -321,7 +321,7 @@
 			return j
 		}
 	}
-	f.t.Fatalf("n%d sees %q as the leader, want a controller of the fleet", i, status.Quorum.Leader)
+	f.t.Fatalf("the leader is %q, want a controller of the fleet", status.Quorum.Leader)
 	return 0
 }
 
--- a/internal/fleet/config_requests_test.go
+++ b/internal/fleet/config_requests_test.go
@@ -31,8 +31,7 @@
 	for n, document := range documents {
 		v := f.put(n+2, document)
 		if v.Number != uint64(n+1) || v.Author != "a" || v.Reason != "r" || v.Size != len(document) || v.Time == 0 {
-			t.Errorf("put %d: agreed on %+v, want number %d with the request's author, reason and size, and a time",
-				n, v, n+1)
+			t.Errorf("agreed on %+v, want the next number, the request's author, reason and size, and a time", v)
 		}
 		f.awaitInForce(v, document, all...)
 	}
@@ -47,12 +46,11 @@
 		request := configuration.Request{Action: configuration.ActionPut, Document: make([]byte, size)}
 		answer, err := f.request(1, request)
 		if err != nil || answer.Result != configuration.ResultRefused || answer.Reason != want {
-			t.Errorf("put of %d bytes by the command's client: got %+v, %v, want it refused: %s", size, answer, err, want)
+			t.Errorf("put of %d bytes by the command's client: got %+v, %v, want it refused", size, answer, err)
 		}
 		status, err := f.services[1].Handle(control.Request{Action: "config", Config: &request})
 		if err != nil || status.Config.Result != configuration.ResultRefused || status.Config.Reason != want {
-			t.Errorf("put of %d bytes without the client's check: got %+v, %v, want it refused: %s", size,
-				status.Config, err, want)
+			t.Errorf("put of %d bytes without the client's check: got %+v, %v, want it refused", size, status.Config, err)
 		}
 	}
 	history, err := f.request(3, configuration.Request{Action: configuration.ActionHistory})
@@ -64,8 +62,7 @@
 	} {
 		shown, err := f.request(4, configuration.Request{Action: configuration.ActionShow, Number: number})
 		if err != nil || !bytes.Equal(shown.Document, want) {
-			t.Errorf("show %d: got another document, of %d bytes, %v; want the one put, of %d bytes", number,
-				len(shown.Document), err, len(want))
+			t.Errorf("show %d: got %d bytes, %v, want the document that was put", number, len(shown.Document), err)
 		}
 	}
 	if _, err := f.request(4, configuration.Request{Action: configuration.ActionShow, Number: 9}); err == nil {
@@ -132,7 +129,7 @@
 		answer, err := f.request(0, configuration.Request{Action: configuration.ActionPut,
 			Document: []byte(document)})
 		if err != nil || answer.Result != configuration.ResultRefused || !strings.Contains(answer.Reason, want) {
-			t.Errorf("put of %q: got %+v, %v, want it refused with a reason containing %q", document, answer, err, want)
+			t.Errorf("put of %q: got %+v, %v, want it refused with the error of the check", document, answer, err)
 		}
 	}
 	v := f.put(0, []byte("good"))
@@ -193,7 +190,7 @@
 	status, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
 		Config: &configuration.Request{Action: configuration.ActionStatus}})
 	if err == nil || !strings.Contains(err.Error(), configuration.ErrOff.Error()) {
-		t.Errorf("configuration request: got error %v, want %v", err, configuration.ErrOff)
+		t.Errorf("configuration request: got error %v, want ErrOff", err)
 	}
 	if status.Config != nil {
 		t.Errorf("configuration request: got the answer %+v, want none", status.Config)
@@ -202,7 +199,7 @@
 	if _, err := control.Call(context.Background(), filepath.Join(dir, "n0"), control.Request{Action: "config",
 		Config: &long}); err == nil ||
 		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
-		t.Errorf("oversized configuration request: got error %v, want %v", err, control.ErrTooLong)
+		t.Errorf("oversized configuration request: got error %v, want ErrTooLong", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "n0", configuration.FolderName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("folder of configuration versions: got error %v, want it not to exist", err)
@@ -232,7 +229,7 @@
 	if _, err := control.Call(context.Background(), f.folder(0), control.Request{Action: "status",
 		Lease: long}); err == nil ||
 		!strings.Contains(err.Error(), control.ErrTooLong.Error()) {
-		t.Errorf("oversized status request: got error %v, want %v", err, control.ErrTooLong)
+		t.Errorf("oversized status request: got error %v, want ErrTooLong", err)
 	}
 	f.put(0, []byte("x"))
 	for name, o := range map[string]configuration.Request{
@@ -264,8 +261,7 @@
 	answer, err := f.request(0, configuration.Request{Action: configuration.ActionPut, Document: []byte("two"),
 		Expect: &one.Number})
 	if err != nil || answer.Result != configuration.ResultUnknown || answer.Local.Number != one.Number {
-		t.Errorf("put without a majority: got %+v, %v, want an unknown outcome and version %d in force", answer, err,
-			one.Number)
+		t.Errorf("put without a majority: got %+v, %v, want an unknown outcome and version 1 in force", answer, err)
 	}
 	if !f.hosts[0].usesVersion(one.Number, []byte("one")) {
 		t.Error("the last version is not in force")
@@ -305,7 +301,7 @@
 	f.stop(leader)
 	answer := <-answered
 	if answer.Result != configuration.ResultAgreed || answer.Version.Number != one.Number+1 {
-		t.Fatalf("put: got %+v, want it agreed on as version %d", answer, one.Number+1)
+		t.Fatalf("put: got %+v, want it agreed on as version 2", answer)
 	}
 	others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == leader })
 	f.awaitInForce(*answer.Version, document, others...)
@@ -314,8 +310,7 @@
 	for i := range f.services {
 		history, err := f.request(i, configuration.Request{Action: configuration.ActionHistory})
 		if err != nil || len(history.Versions) != 2 || history.Versions[1] != *answer.Version {
-			t.Errorf("history at n%d: got %+v, %v, want 2 versions, the last of them %+v", i, history, err,
-				*answer.Version)
+			t.Errorf("history at n%d: got %+v, %v, want 2 versions, the last of them the one put", i, history, err)
 		}
 	}
 	f.checkVersionsNeverDecrease()
--- a/internal/fleet/config_versions_test.go
+++ b/internal/fleet/config_versions_test.go
@@ -221,15 +221,15 @@
 		})
 		f.services[3].post(func(*session) { panic("broken") })
 		if err := <-waiting; !errors.Is(err, configuration.ErrRestarted) {
-			t.Errorf("waiting request: got error %v, want %v", err, configuration.ErrRestarted)
+			t.Errorf("waiting request: got error %v, want ErrRestarted", err)
 		}
 		f.eventually("the new session confirms its version", func() bool { return f.services[3].ConfigReadiness().Confirmed })
 		if n := f.services[3].counts.restarts.Load(); n != restarts+1 {
 			t.Errorf("%d sessions failed, want 1", n-restarts)
 		}
 		if local := f.services[3].ConfigReadiness(); local.Number != one.Number || f.hosts[3].callCount() != calls {
-			t.Errorf("folder emptied: %v: got %+v and %d more calls of Apply, want version %d and none", emptied, local,
-				f.hosts[3].callCount()-calls, one.Number)
+			t.Errorf("folder emptied: %v: got %+v and %d more calls of Apply, want version 1 and none", emptied, local,
+				f.hosts[3].callCount()-calls)
 		}
 		if files := configFiles(t, f.configFolder(3)); len(files) != 2 {
 			t.Errorf("folder emptied: %v: the folder has %v, want a document and the record", emptied, files)
@@ -265,8 +265,8 @@
 		{version(2, 1, "one"), nil},
 	} {
 		if err := c.Apply(context.Background(), step.next); !errors.Is(err, step.want) {
-			t.Errorf("version %d of generation %d: got error %v, want %v", step.next.Version.Number,
-				step.next.Generation, err, step.want)
+			t.Errorf("version %d of generation %d: got the wrong error %v", step.next.Version.Number,
+				step.next.Generation, err)
 		}
 	}
 	if got := h.appliedNumbers(); !slices.Equal(got, []uint64{5, 6, 1}) {
@@ -276,8 +276,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := c.Apply(ctx, version(2, 2, "two")); err == nil || h.callCount() != 3 {
-		t.Errorf("Apply after Close: got error %v and %d calls of the host, want an error and 3 calls", err,
-			h.callCount())
+		t.Errorf("Apply after Close: got error %v, want an error and no further call of the host", err)
 	}
 }
 
@@ -348,7 +347,7 @@
 	}
 	two := f.put(1, []byte("two"))
 	if two.Number != one.Number+1 {
-		t.Errorf("agreed on %+v, want version %d", two, one.Number+1)
+		t.Errorf("agreed on %+v, want version 2", two)
 	}
 	f.awaitInForce(two, []byte("two"), 0, 1, 2)
 	for i, s := range f.services {
--- a/internal/fleet/configuration/folder_test.go
+++ b/internal/fleet/configuration/folder_test.go
@@ -54,8 +54,8 @@
 	v, document := storedVersion(int(contents.record.Version.Number))
 	if contents.record.Version != v || !bytes.Equal(contents.document, document) ||
 		!bytes.Equal(contents.documents[v.Hash], document) {
-		t.Fatalf("current version: got %+v with document %q, want %+v with %q", contents.record, contents.document, v,
-			document)
+		t.Fatalf("current version: got %+v with document %q, want the version as stored", contents.record,
+			contents.document)
 	}
 	return v.Number
 }
@@ -124,7 +124,7 @@
 			t.Fatalf("%s: %v", step.name, err)
 		}
 		if got := currentNumber(t, d.AfterCrash(disktest.LoseUnsynced, nil), 2); got != step.want {
-			t.Errorf("%s: found version %d, want %d", step.name, got, step.want)
+			t.Errorf("%s: found the wrong version %d", step.name, got)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	const removal = 1 // number of the only disk operation of the request
 	reached := d.FailFrom(removal, os.ErrPermission)
 	if err := f.Store(&config.StoreRequest{Remove: []config.Hash{one.Hash}}); err != nil || !reached() {
-		t.Fatalf("store with a removal that fails: got error %v, removal reached: %v; want no error", err, reached())
+		t.Fatalf("store with a removal that fails: got error %v, want none after the removal was tried", err)
 	}
 	if err := f.Store(&config.StoreRequest{Hash: one.Hash, Document: document}); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/configuration/session.go
+++ b/internal/fleet/configuration/session.go
@@ -38,7 +38,7 @@
 	manager     *Manager
 	ctx         context.Context // ends with the service
 	core        Core
-	folder      *Folder           // nil: not open
+	folder      *Folder           // nil while it is not open
 	checked     chan Check        // result of the pending CheckRequest
 	stored      chan error        // result of the pending StoreRequest
 	applied     chan error        // result of the pending ApplyRequest
--- a/internal/fleet/control/stored_test.go
+++ b/internal/fleet/control/stored_test.go
@@ -106,7 +106,7 @@
 	}
 	var decoded T
 	if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s: decoded %+v, %v, want %+v", name, decoded, err, value)
+		t.Errorf("%s: decoded %+v, %v, want the value that it was encoded from", name, decoded, err)
 	}
 }
 
@@ -127,7 +127,7 @@
 		}
 		var decoded Request
 		if err := json.Unmarshal(stored, &decoded); err != nil || !reflect.DeepEqual(decoded, request) {
-			t.Errorf("%s: decoded %+v, %v, want %+v", file, decoded, err, request)
+			t.Errorf("%s: decoded %+v, %v, want the request that it was encoded from", file, decoded, err)
 		}
 	}
 	checkJSON(t, "status.json", storedStatus())
--- a/internal/fleet/frames/encoding_test.go
+++ b/internal/fleet/frames/encoding_test.go
@@ -76,7 +76,7 @@
 	}
 	hello, err := cbor.Marshal(storedHello(reader.Hello.Nonce))
 	if err != nil || len(reader.Hello.Nonce) != nonceSize {
-		t.Fatalf("stored hello: got %+v, %v, want a nonce of %d bytes", reader.Hello, err, nonceSize)
+		t.Fatal(reader.Hello, err)
 	}
 	if at := lengthSize; !bytes.Equal(stored[at:at+len(hello)], hello) {
 		t.Errorf("hello: encoded as %x, want the stored %x", hello, stored[at:at+len(hello)])
@@ -85,7 +85,7 @@
 	writer := &Writer{w: &written, mac: hmac.New(sha256.New, framesKey(storedKey, storedChallenge, hello))}
 	for _, payload := range storedPayloads {
 		if got, err := reader.Read(); string(got) != payload || err != nil {
-			t.Errorf("stored frame: read %q, %v, want %q", got, err, payload)
+			t.Errorf("stored frame: read %q, %v, want the payload that was sent", got, err)
 		}
 		if err := writer.Write([]byte(payload)); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -61,7 +61,7 @@
 	b := writeFrames(t, testKey, testHello, testChallenge, "one", "", "three")
 	got, err := readPayloads(b, testChallenge, Keys{testKey})
 	if err != io.EOF || len(got) != 3 || got[0] != "one" || got[2] != "three" {
-		t.Fatalf("read %q, %v, want 3 payloads and %v", got, err, io.EOF)
+		t.Fatalf("read %q, %v, want the 3 payloads sent and EOF", got, err)
 	}
 	otherKey := Key(bytes.Repeat([]byte{8}, 32))
 	if got, _ := readPayloads(b, testChallenge, Keys{otherKey, testKey}); len(got) != 3 {
@@ -84,7 +84,7 @@
 	} {
 		sent := writeFrames(t, c.key, c.hello, c.challenge, "x")
 		if _, err := readPayloads(sent, testChallenge, Keys{testKey}); !errors.Is(err, c.want) {
-			t.Errorf("%s: got error %v, want %v", name, err, c.want)
+			t.Errorf("%s: got the wrong error %v", name, err)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 			stream = append(stream, parts[i]...)
 		}
 		if got, err := readPayloads(stream, testChallenge, Keys{testKey}); !errors.Is(err, ErrForged) || !isPrefix(got) {
-			t.Errorf("%s: read %q, %v, want %v after a prefix of the frames", name, got, err, ErrForged)
+			t.Errorf("%s: read %q, %v, want ErrForged after a prefix of the frames", name, got, err)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	if _, err := Accept(bytes.NewReader(append(binary.BigEndian.AppendUint32(nil, MaxHelloBytes+1), w...)),
 		testChallenge, Keys{testKey}, "f", 2,
 		"b"); !errors.Is(err, ErrTooLong) {
-		t.Errorf("oversized hello: got error %v, want %v", err, ErrTooLong)
+		t.Errorf("oversized hello: got error %v, want ErrTooLong", err)
 	}
 }
 
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	if p, err := r.Read(); err != nil || len(p) != 100000 || r.Hello.Run != 5 {
-		t.Errorf("read %d bytes of run %d, %v, want 100000 bytes of run 5", len(p), r.Hello.Run, err)
+		t.Errorf("read %d bytes, %v, want 100000 bytes of run 5", len(p), err)
 	}
 }
 
@@ -190,7 +190,7 @@
 	} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if keys, err := ReadKeys(path); len(keys) != want || (err == nil) != (want > 0) {
-			t.Errorf("%q: got %d keys, %v, want %d keys", text, len(keys), err, want)
+			t.Errorf("%q: got the wrong result of %d keys, %v", text, len(keys), err)
 		}
 	}
 }
--- a/internal/fleet/frames/keys.go
+++ b/internal/fleet/frames/keys.go
@@ -47,8 +47,8 @@
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys || len(text) > maxKeyFileBytes {
-		return nil, fmt.Errorf("%s: has %d keys: must have 1 to %d in at most %d bytes", path, len(keys),
-			maxKeys, maxKeyFileBytes)
+		return nil, fmt.Errorf("%s: has %d keys: must have 1 to %d in at most 4 KiB", path, len(keys),
+			maxKeys)
 	}
 	return keys, nil
 }
--- a/internal/fleet/job/job.go
+++ b/internal/fleet/job/job.go
@@ -6,7 +6,7 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Job does the work of a lease. Every job is notified of every lease and ignores those of others.
+// Job does the work of a lease. Every job is notified of every lease and ignores all but its own.
 type Job interface {
 	// LeaseAcquired reports that this controller has acquired a lease.
 	LeaseAcquired(c Context, grant lease.Grant)
--- a/internal/fleet/links/doc.go
+++ b/internal/fleet/links/doc.go
@@ -2,7 +2,7 @@
 // one connection in one direction, which is open only while it is needed.
 //
 // Delivery is not guaranteed: a message that can't be sent in time is dropped, which the protocols
-// above treat as loss. Messages to one controller arrive in the order of Send.
+// above treat as loss. The messages to one controller that arrive do so in the order of Send.
 //
 // # Goroutines
 //
--- a/internal/fleet/links/incoming_test.go
+++ b/internal/fleet/links/incoming_test.go
@@ -91,8 +91,7 @@
 	}
 	eventually(t, "not every unauthenticated connection displaced one or was refused", func() bool { return a.evicted.Load()+a.refused.Load() == maxIncoming })
 	if evicted := a.evicted.Load(); evicted != maxIncoming/unauthenticatedDivisor {
-		t.Errorf("%d of %d unauthenticated connections displaced others, want %d", evicted, maxIncoming,
-			maxIncoming/unauthenticatedDivisor)
+		t.Errorf("%d of %d unauthenticated connections displaced others, want the bound", evicted, maxIncoming)
 	}
 }
 
--- a/internal/fleet/links/links_test.go
+++ b/internal/fleet/links/links_test.go
@@ -138,8 +138,8 @@
 	n := len(a.peers)
 	a.mu.Unlock()
 	if n > b.MaxPeers || a.dropped.Load() < 1900 {
-		t.Errorf("%d peers and %d dropped messages, want at most %d peers and at least 1900 dropped", n,
-			a.dropped.Load(), b.MaxPeers)
+		t.Errorf("%d peers and %d dropped messages, want at most 4 peers and at least 1900 dropped", n,
+			a.dropped.Load())
 	}
 	eventually(t, "idle peers are kept",
 		func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.peers) == 0 })
@@ -242,7 +242,7 @@
 			break
 		}
 		if time.Since(began) > 5*time.Second {
-			t.Fatalf("%d of %d messages arrived, want more than 1", receiver.received.Load(), n)
+			t.Fatalf("of %d messages %d arrived, want more than 1", n, receiver.received.Load())
 		}
 	}
 	if took := time.Since(began); took < b.WriteTimeout {
@@ -296,7 +296,7 @@
 	select {
 	case r := <-receiver.messages:
 		if len(r.Payload) != size {
-			t.Errorf("received %d bytes, want %d", len(r.Payload), size)
+			t.Errorf("received %d bytes, want all 64 KiB", len(r.Payload))
 		}
 	case <-time.After(5 * time.Second):
 		t.Errorf("the message did not arrive; %d connections failed", sender.failed.Load())
--- a/internal/fleet/links/outgoing.go
+++ b/internal/fleet/links/outgoing.go
@@ -112,7 +112,7 @@
 type peerWriter struct {
 	links      *Links
 	peer       *peer
-	connection *outgoing // nil: none
+	connection *outgoing // nil if there is none
 	retryAt    time.Time // before which no connection is opened
 	refusals   int       // consecutive refusals
 	endedEarly bool      // the peer ended the last connection right after its beginning
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -54,8 +54,7 @@
 			wait := b.retryBackoff(refusals)
 			drawn[wait] = true
 			if refusals > 0 && (wait < middle/2 || wait >= middle*3/2) || refusals == 0 && wait != b.RetryInterval {
-				t.Errorf("delay of %v after %d refusals, want %v, for refusals give or take a half", wait, refusals,
-					max(middle, b.RetryInterval))
+				t.Errorf("delay of %v after %d refusals is outside the range of the backoff", wait, refusals)
 			}
 		}
 		if refusals > 0 && len(drawn) < 100 {
@@ -63,7 +62,7 @@
 		}
 	}
 	if wait := b.retryBackoff(1 << 40); wait > b.MaxRetryInterval*3/2 {
-		t.Errorf("delay of %v after 1<<40 refusals, want at most %v", wait, b.MaxRetryInterval*3/2)
+		t.Errorf("delay of %v after 1<<40 refusals, want at most 1.5 s", wait)
 	}
 }
 
@@ -118,7 +117,8 @@
 		<-writer.connectionEnded()
 		writer.closeEnded()
 		if waits := time.Until(writer.retryAt) > b.RetryInterval/2; waits != (endings > 1) {
-			t.Errorf("after %d connections that ended early: delay %t, want %t", endings, waits, endings > 1)
+			t.Errorf("after %d connections that ended early: delayed: %t, want a delay from the second one on", endings,
+				waits)
 		}
 	}
 }
--- a/internal/fleet/maintenance/block_test.go
+++ b/internal/fleet/maintenance/block_test.go
@@ -31,7 +31,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no move to %v in time: waiting for %q", core.Returning, j.waitReasons["e1"])
+			t.Fatalf("no move to the returning step in time: waiting for %q", j.waitReasons["e1"])
 		}
 	}
 	if written, err := os.ReadFile(output); err != nil || string(written) != "work e1 7\n" {
--- a/internal/fleet/maintenance/job.go
+++ b/internal/fleet/maintenance/job.go
@@ -123,8 +123,8 @@
 // unchanged.
 func (j *Job) SetBlock(b Block) { j.block.Store(&b) }
 
-// LeaseAcquired takes in that this controller holds the lease. It reads the agreed state before all
-// else.
+// LeaseAcquired starts the work of the lease holder, which reads the committed state before
+// anything else.
 func (j *Job) LeaseAcquired(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
@@ -138,7 +138,7 @@
 	jobContext.RequestState(Lease)
 }
 
-// LeaseLost takes in that this controller holds the lease no more.
+// LeaseLost ends the work of the lease holder.
 func (j *Job) LeaseLost(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
--- a/internal/fleet/service_test.go
+++ b/internal/fleet/service_test.go
@@ -136,10 +136,10 @@
 // The consensus library panics on an inconsistent state. That must end the session, and not the daemon.
 func TestSafelyTurnsPanicsIntoErrors(t *testing.T) {
 	if err := safely(func() error { panic("broken") }); err == nil || !strings.Contains(err.Error(), "broken") {
-		t.Errorf("a panic was turned into the error %v, want one with its text", err)
+		t.Error(err)
 	}
 	want := errors.New("some")
 	if err := safely(func() error { return want }); err != want {
-		t.Errorf("got error %v, want the function's error %v", err, want)
+		t.Error(err)
 	}
 }
--- a/internal/fleet/sharedstatistics/job.go
+++ b/internal/fleet/sharedstatistics/job.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// LeaseAcquired takes in that this controller holds the lease.
+// LeaseAcquired starts the work of the lease holder.
 func (j *Job) LeaseAcquired(jobContext job.Context, grant lease.Grant) {
 	if grant.Name != Lease {
 		return
@@ -108,7 +108,7 @@
 	j.gathered = digest.Collector{}
 }
 
-// LeaseLost takes in that this controller holds the lease no more.
+// LeaseLost ends the work of the lease holder.
 func (j *Job) LeaseLost(grant lease.Grant) {
 	if grant.Name == Lease {
 		j.holdsLease = false
