--- a/internal/fleet/frames/frames.go
+++ b/internal/fleet/frames/frames.go
@@ -14,15 +14,16 @@
 	lengthSize = 4  // bytes
 	macSize    = 16 // bytes
 
-	// Overhead is what a frame has beside its payload, in bytes.
+	// Overhead is the size of a frame without its payload, in bytes.
 	Overhead = lengthSize + macSize
 	// MaxPayloadBytes bounds the payload of a frame.
 	MaxPayloadBytes = 1 << 20
 
-	firstChunk = 4096 // bytes for which a reader allocates memory before any has come
+	initialAllocation = 4096 // bytes that a reader allocates before any have arrived
 )
 
-// Decoder reads what others send: bounded in elements and nesting, without indefinite lengths.
+// Decoder decodes CBOR from other controllers. It bounds the number of elements and the nesting,
+// and rejects indefinite lengths and tags.
 var Decoder = mustDecoder(cbor.DecOptions{
 	MaxArrayElements: 8192,
 	MaxMapPairs:      1024,
@@ -39,7 +40,7 @@
 	return mode
 }
 
-// Writer writes frames. It is for one goroutine.
+// Writer writes frames. It is not safe for concurrent use.
 type Writer struct {
 	w      io.Writer
 	mac    hash.Hash
@@ -57,7 +58,7 @@
 	return err
 }
 
-// Reader reads frames. It is for one goroutine.
+// Reader reads frames. It is not safe for concurrent use.
 type Reader struct {
 	r      *bufio.Reader
 	mac    hash.Hash
@@ -65,8 +66,9 @@
 	Hello  Hello  // of the sender
 }
 
-// Await waits until a frame has begun to come, and returns the length that it claims.
-func (r *Reader) Await() (length int, err error) {
+// AwaitFrame waits until a frame has begun to arrive, and returns the payload length that it
+// claims.
+func (r *Reader) AwaitFrame() (length int, err error) {
 	head, err := r.r.Peek(lengthSize)
 	if err != nil {
 		return 0, err
@@ -87,7 +89,7 @@
 	return payload, nil
 }
 
-// frameMAC authenticates the frame of a number.
+// frameMAC returns the authentication code of the frame with this number.
 func frameMAC(mac hash.Hash, number uint64, payload []byte) []byte {
 	mac.Reset()
 	mac.Write(binary.BigEndian.AppendUint64(nil, number))
@@ -95,14 +97,14 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-func appendFrame(to, payload, code []byte) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(len(payload)))
-	to = append(to, payload...)
-	return append(to, code...)
+func appendFrame(dst, payload, code []byte) []byte {
+	dst = binary.BigEndian.AppendUint32(dst, uint32(len(payload)))
+	dst = append(dst, payload...)
+	return append(dst, code...)
 }
 
-// readFrame reads a frame as it comes: whatever length it claims, it takes memory only as fast as
-// bytes arrive.
+// readFrame reads a frame. It allocates memory only as fast as bytes arrive, whatever length the
+// frame claims.
 func readFrame(r *bufio.Reader, maxPayload int) (payload, code []byte, err error) {
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -113,14 +115,14 @@
 		return nil, nil, ErrTooLong
 	}
 	size := length + macSize
-	all := make([]byte, 0, min(size, firstChunk))
-	for len(all) < size {
-		read := len(all)
-		chunk := min(size-read, max(firstChunk, read))
-		all = append(all, make([]byte, chunk)...)
-		if _, err := io.ReadFull(r, all[read:]); err != nil {
+	frame := make([]byte, 0, min(size, initialAllocation))
+	for len(frame) < size {
+		read := len(frame)
+		chunk := min(size-read, max(initialAllocation, read))
+		frame = append(frame, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, frame[read:]); err != nil {
 			return nil, nil, err
 		}
 	}
-	return all[:length], all[length:], nil
+	return frame[:length], frame[length:], nil
 }
--- a/internal/fleet/inbox.go
+++ b/internal/fleet/inbox.go
@@ -11,56 +11,56 @@
 
 // Errors of requests.
 var (
-	errBusy   = errors.New("the controller does not answer in time")
-	errEnding = errors.New("the controller is ending")
+	errBusy         = errors.New("the controller does not answer in time")
+	errShuttingDown = errors.New("the controller is shutting down")
 )
 
-// post has a function called by the session's goroutine. It does not wait: with a full inbox the
-// function is dropped.
+// post enqueues a function for the session's goroutine. It does not block: if the inbox is full,
+// the function is dropped.
 func (s *Service) post(f func(*session)) {
 	select {
 	case s.inbox <- f:
 	default:
-		s.counts.full.Add(1)
+		s.counts.inboxFull.Add(1)
 	}
 }
 
-// ask has a function called by the session's goroutine, and returns its result. After errBusy or
-// errEnding it may have been called, or be called yet.
-func ask[T any](s *Service, timeout time.Duration, f func(*session) T) (T, error) {
+// callSession calls a function on the session's goroutine and returns its result. After errBusy or
+// errShuttingDown the function may have been called, or may still be.
+func callSession[T any](s *Service, timeout time.Duration, f func(*session) T) (T, error) {
 	reply := make(chan T, 1)
-	var none T
+	var zero T
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case s.inbox <- func(session *session) { reply <- f(session) }:
 	case <-timer.C:
-		return none, errBusy
+		return zero, errBusy
 	case <-s.ctx.Done():
-		return none, errEnding
+		return zero, errShuttingDown
 	}
 	select {
 	case result := <-reply:
 		return result, nil
 	case <-timer.C:
-		return none, errBusy
+		return zero, errBusy
 	case <-s.done:
-		return none, errEnding
+		return zero, errShuttingDown
 	}
 }
 
-// configExecutor has the session's goroutine put requests to the configuration's replica.
+// configExecutor submits requests to the configuration's replica on the session's goroutine.
 type configExecutor struct{ service *Service }
 
-// Done is closed when no session runs any more.
+// Done returns a channel that is closed once the last session has ended.
 func (e configExecutor) Done() <-chan struct{} { return e.service.done }
 
-// Execute has a function called by the session's goroutine, and returns once the call has begun.
-// Both claim the function first, so that after an error it is not called later, when its caller has
-// reported that nothing was done.
+// Execute calls a function on the session's goroutine and returns once the call has begun. Either
+// side has to claim the function first: the session to call it, or this goroutine to give up. So
+// after an error it is never called, and the caller may report that nothing was done.
 func (e configExecutor) Execute(f func(*configuration.Session)) error {
 	begun := make(chan struct{})
-	var claimed atomic.Bool // by the session, which calls, or by this goroutine, which gives up
+	var claimed atomic.Bool // by the session, to call, or by this goroutine, to give up
 	call := func(session *session) {
 		if !claimed.CompareAndSwap(false, true) {
 			return
--- a/internal/fleet/links/outgoing_test.go
+++ b/internal/fleet/links/outgoing_test.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// openAgain is links of a controller that takes over the listener of a former incarnation, which ends. The
-// port is held throughout, so that no other program gets it.
-func (e *testLinks) openAgain(t *testing.T, listener net.Listener, b Bounds) *testLinks {
+// restart closes the links and returns those of the controller's next incarnation on the same listener. The
+// port stays open throughout, so that no other program gets it.
+func (e *testLinks) restart(t *testing.T, listener net.Listener, b Bounds) *testLinks {
 	t.Helper()
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	again, err := net.FileListener(file)
+	inherited, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.Close()
-	return serve(t, again, e.self.From, e.self.Fleet, keys, b)
+	return serveLinks(t, inherited, e.self.From, e.self.Fleet, testKeys, b)
 }
 
-// A peer restarts. The first message after that goes over a connection to the new incarnation, and is not
-// lost in the one to the former.
+// After a peer restarts, the first message must go over a connection to the new incarnation, and must not be
+// lost in the one to the former incarnation.
 func TestPeerRestarts(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := open(t, "a", "f", keys, DefaultBounds()), serve(t, listener, "b", "f", keys, DefaultBounds())
+	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), serveLinks(t, listener, "b", "f", testKeys, DefaultBounds())
 	a.Send("b", b.addr, []byte("before"))
 	b.expect(t, "before")
-	b = b.openAgain(t, listener, DefaultBounds())
+	b = b.restart(t, listener, DefaultBounds())
 	eventually(t, "the end of the connection is not noticed", func() bool { return a.ended.Load() == 1 })
 	a.Send("b", b.addr, []byte("after"))
 	b.expect(t, "after")
 	if failed, dropped := a.failed.Load(), a.dropped.Load(); failed+dropped > 0 {
-		t.Errorf("%d connections failed, %d messages were dropped", failed, dropped)
+		t.Errorf("%d connections failed and %d messages were dropped, want none", failed, dropped)
 	}
 }
 
-// A peer has no room several times in a row. The waits double up to their bound and are drawn, so that
-// senders do not return at once. After another failure the wait is always the same.
+// After consecutive refusals by a peer without room, the delay must double up to its bound, with jitter, so
+// that senders do not all retry at once. After other failures the delay is constant.
 func TestRetryBackoffDoublesUpToItsBound(t *testing.T) {
 	b := Bounds{RetryInterval: 200 * time.Millisecond, MaxRetryInterval: time.Second}
 	for refusals, middle := range []time.Duration{0, 200, 400, 800, 1000, 1000} {
@@ -54,70 +54,71 @@
 			wait := b.retryBackoff(refusals)
 			drawn[wait] = true
 			if refusals > 0 && (wait < middle/2 || wait >= middle*3/2) || refusals == 0 && wait != b.RetryInterval {
-				t.Errorf("%v after %d refusals", wait, refusals)
+				t.Errorf("delay of %v after %d refusals is outside the range of the backoff", wait, refusals)
 			}
 		}
 		if refusals > 0 && len(drawn) < 100 {
-			t.Errorf("%d waits of 200 differ after %d refusals", len(drawn), refusals)
+			t.Errorf("%d of 200 delays differ after %d refusals, want at least 100", len(drawn), refusals)
 		}
 	}
 	if wait := b.retryBackoff(1 << 40); wait > b.MaxRetryInterval*3/2 {
-		t.Errorf("%v after very many refusals", wait)
+		t.Errorf("delay of %v after 1<<40 refusals, want at most 1.5 s", wait)
 	}
 }
 
-// A peer that closes connections before its challenge counts as full, one that can't be reached does not,
-// and one that accepts ends the count.
+// A peer that closes a connection before its challenge must count as one without room. One that accepts a
+// connection resets the count, and one that can't be reached does not count.
 func TestRefusalsInARowAreCounted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a, b := open(t, "a", "f", keys, DefaultBounds()), open(t, "b", "f", keys, DefaultBounds())
-	connect := func(c *peerWriter) bool {
-		c.retryAt = time.Time{}
-		return c.connect(context.Background())
+	a, b := openLinks(t, "a", "f", testKeys, DefaultBounds()), openLinks(t, "b", "f", testKeys, DefaultBounds())
+	connect := func(writer *peerWriter) bool {
+		writer.retryAt = time.Time{}
+		return writer.connect(context.Background())
 	}
-	full := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
+	writer := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: listener.Addr().String()}}
 	for refusals := 1; refusals < 4; refusals++ {
 		go func() {
 			if conn, err := listener.Accept(); err == nil {
 				conn.Close()
 			}
 		}()
-		if connect(full) || full.refusals != refusals ||
-			time.Until(full.retryAt) > 2*DefaultBounds().MaxRetryInterval {
-			t.Errorf("%d refusals are counted, not %d", full.refusals, refusals)
+		if connect(writer) || writer.refusals != refusals ||
+			time.Until(writer.retryAt) > 2*DefaultBounds().MaxRetryInterval {
+			t.Errorf("counted %d refusals, want %d and a delay within the bound", writer.refusals, refusals)
 		}
 	}
-	full.peer.addr = b.addr
-	if !connect(full) || full.refusals != 0 {
-		t.Errorf("%d refusals are counted after it was let in", full.refusals)
+	writer.peer.addr = b.addr
+	if !connect(writer) || writer.refusals != 0 {
+		t.Errorf("counted %d refusals after the peer accepted, want a connection and 0", writer.refusals)
 	}
-	full.disconnect()
-	full.peer.addr = "127.0.0.1:1"
-	if connect(full) || full.refusals != 0 {
-		t.Errorf("%d refusals of one that is not there", full.refusals)
+	writer.disconnect()
+	writer.peer.addr = "127.0.0.1:1"
+	if connect(writer) || writer.refusals != 0 {
+		t.Errorf("counted %d refusals of an unreachable peer, want no connection and 0", writer.refusals)
 	}
 }
 
-// A peer of another fleet ends each connection right after its beginning. From the second one on no other
-// is opened at once.
+// If a peer, here one of another fleet, ends each connection right after it was opened, the replacement of
+// the second and further ones must be delayed.
 func TestConnectionsThatThePeerEndsAtOnceAreDelayed(t *testing.T) {
 	b := DefaultBounds()
 	b.RetryInterval = time.Minute // "right after" on a slow machine too
-	a, stranger := open(t, "a", "f", keys, b), open(t, "b", "g", keys, DefaultBounds())
-	c := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: stranger.addr}}
-	for ends := 1; ends < 4; ends++ {
-		c.retryAt = time.Time{}
-		if !c.connect(context.Background()) {
-			t.Fatal("not connected")
+	a, foreign := openLinks(t, "a", "f", testKeys, b), openLinks(t, "b", "g", testKeys, DefaultBounds())
+	writer := &peerWriter{links: a.Links, peer: &peer{id: "b", addr: foreign.addr}}
+	for endings := 1; endings < 4; endings++ {
+		writer.retryAt = time.Time{}
+		if !writer.connect(context.Background()) {
+			t.Fatal("the connection could not be opened")
 		}
-		<-c.connectionEnded()
-		c.dropEnded()
-		if waits := time.Until(c.retryAt) > b.RetryInterval/2; waits != (ends > 1) {
-			t.Errorf("waits after %d such ends: %t", ends, waits)
+		<-writer.connectionEnded()
+		writer.closeEnded()
+		if waits := time.Until(writer.retryAt) > b.RetryInterval/2; waits != (endings > 1) {
+			t.Errorf("after %d connections that ended early: delayed: %t, want a delay from the second one on", endings,
+				waits)
 		}
 	}
 }
--- a/internal/fleet/maintenance/requests.go
+++ b/internal/fleet/maintenance/requests.go
@@ -14,31 +14,30 @@
 
 // pendingRequest is a request that waits for the holder's next step.
 type pendingRequest struct {
-	from members.ID // the controller that the operator asked
-	ref  uint64     // number that this controller gave the request
+	from members.ID // controller that forwarded the operator's request
+	ref  uint64     // number that the forwarding controller assigned to the request
 	Request
 }
 
-// requestRun is a request that is being carried out: the state that it would have agreed on, and
-// its answer.
+// requestRun is the execution of a request: the state that it leads to, and its answer.
 type requestRun struct {
 	state   agreedState
-	changed bool // the state is to be agreed on
+	changed bool // the state has to be proposed
 	status  Status
 }
 
 // ErrNoHolder means that no controller holds the maintenance lease, as far as this one knows.
-var ErrNoHolder = errors.New("nobody conducts maintenance now, as far as this controller knows")
+var ErrNoHolder = errors.New("no controller holds the maintenance lease, as far as this one knows")
 
-// Durations in ms that plans are checked with, of steps that end when the installation is ready.
+// Durations in ms that the check of plans assumes for steps whose end depends on the installation.
 const (
 	expectedDrainTime = 10000.0
 	expectedWarmTime  = 30000.0
 )
 
-// SendRequest passes an operator's request on to the holder of the lease. The answer comes on the
-// returned channel, which has room for it, or is lost: the caller waits for a bounded time. The
-// error is ErrNoHolder where there is none.
+// SendRequest forwards an operator's request to the lease holder. The answer is sent to the
+// returned channel, which has room for it, or may be lost, so the caller has to bound its wait. The
+// error is ErrNoHolder if there is no holder.
 func (j *Job) SendRequest(
 	jobContext job.Context, holder members.ID, request Request,
 ) (chan Status, error) {
@@ -50,7 +49,7 @@
 		return nil, err
 	}
 	if len(j.replies) >= maxPendingRequests {
-		clear(j.replies) // their callers have given up: there are never as many at once
+		clear(j.replies) // their callers have timed out, as there are never that many at once
 	}
 	j.lastRequest++
 	reply := make(chan Status, 1)
@@ -59,11 +58,12 @@
 	return reply, nil
 }
 
-// receiveRequest enqueues a request where this controller holds the lease.
+// receiveRequest enqueues a request if this controller holds the lease and has read its state, and
+// otherwise answers it with an error.
 func (j *Job) receiveRequest(jobContext job.Context, from members.ID, encoded *encodedRequest) {
 	var request Request
-	able := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
-	if !able || json.Unmarshal(encoded.JSON, &request) != nil {
+	accepted := j.holdsLease && j.stateRead && len(j.requests) < maxPendingRequests
+	if !accepted || json.Unmarshal(encoded.JSON, &request) != nil {
 		j.reply(jobContext, from, encoded.Ref, Status{
 			Error: "this controller does not conduct maintenance now: ask again",
 		})
@@ -79,16 +79,17 @@
 	}
 }
 
-// carryOut does what an operator asks for, and answers with the state after it.
-func (j *Job) carryOut(jobContext job.Context, request pendingRequest) {
+// executeRequest executes an operator's request and answers with the resulting state, which the
+// quorum has yet to commit.
+func (j *Job) executeRequest(jobContext job.Context, request pendingRequest) {
 	run := &requestRun{state: j.agreed}
 	run.state.Plans = slices.Clone(run.state.Plans)
-	run.state.Without = slices.Clone(run.state.Without)
+	run.state.Excluded = slices.Clone(run.state.Excluded)
 	v := j.view(jobContext)
 	switch request.Action {
 	case ActionStatus:
 	case ActionPlan, ActionCheck:
-		run.takePlans(request.Plans, v, int(j.serial+1), request.Action == ActionPlan)
+		run.addPlans(request.Plans, v, int(j.serial+1), request.Action == ActionPlan)
 	case ActionHalt, ActionResume:
 		run.setHalted(request.Name, request.Action == ActionHalt)
 	case ActionWithdraw:
@@ -96,76 +97,78 @@
 	case ActionDone:
 		run.markDone(request.Name)
 	case ActionWithout:
-		run.doWithout(members.ID(request.Name))
+		run.excludeController(members.ID(request.Name))
 	default:
-		run.status.Error = fmt.Sprintf("%.64q is not known", request.Action)
+		run.status.Error = fmt.Sprintf("%.64q is not a known action", request.Action)
 	}
 	if run.changed {
 		j.propose(jobContext, run.state)
 	}
-	j.describe(jobContext, run.state, &run.status)
+	j.fillStatus(jobContext, run.state, &run.status)
 	j.reply(jobContext, request.from, request.ref, run.status)
 }
 
-// setHalted has a plan take no further engine, or go on.
+// setHalted halts or resumes a plan.
 func (r *requestRun) setHalted(name string, halted bool) {
-	if p := r.findPlan(name); p != nil {
-		p.Halted = halted
+	if plan := r.findPlan(name); plan != nil {
+		plan.Halted = halted
 		r.changed = true
 	}
 }
 
-// findPlan is the plan of a name; nil, with an error in the answer: there is none.
+// findPlan returns the plan with a name. If there is none, it sets the answer's error and returns
+// nil.
 func (r *requestRun) findPlan(name string) *core.Plan {
 	for i := range r.state.Plans {
 		if string(r.state.Plans[i].ID) == name {
 			return &r.state.Plans[i]
 		}
 	}
-	r.status.Error = fmt.Sprintf("%.64q is no plan", name)
+	r.status.Error = fmt.Sprintf("there is no plan %.64q", name)
 	return nil
 }
 
-// takePlans checks plans and takes them into the state; commit: it is to be agreed on if they have
-// no problems.
-func (r *requestRun) takePlans(plans []core.Plan, v core.View, version int, commit bool) {
+// addPlans checks plans and adds them to the state, replacing plans of the same name. With commit,
+// the state is proposed if they have no problems.
+func (r *requestRun) addPlans(plans []core.Plan, v core.View, version int, commit bool) {
 	durations := core.StepDurations{Drain: expectedDrainTime, Warm: expectedWarmTime}
-	for _, p := range plans {
-		p.Version = version
-		problems := core.Check(p, r.state.Plans, v.Engines, v.Requirements, v.Now, durations)
+	for _, plan := range plans {
+		plan.Version = version
+		problems := core.Check(plan, r.state.Plans, v.Engines, v.Requirements, v.Now, durations)
 		for _, problem := range problems {
 			r.status.Problems = append(r.status.Problems,
-				fmt.Sprintf("plan %s: %s", p.ID, problem.Error()))
+				fmt.Sprintf("plan %s: %s", plan.ID, problem.Error()))
 		}
-		r.state.Plans = slices.DeleteFunc(r.state.Plans, func(q core.Plan) bool { return q.ID == p.ID })
-		r.state.Plans = append(r.state.Plans, p)
+		r.state.Plans = slices.DeleteFunc(r.state.Plans,
+			func(q core.Plan) bool { return q.ID == plan.ID })
+		r.state.Plans = append(r.state.Plans, plan)
 	}
 	if len(r.state.Plans) > maxPlans {
 		r.status.Problems = append(r.status.Problems,
-			fmt.Sprintf("there would be over %d plans: withdraw some", maxPlans))
+			fmt.Sprintf("there would be more than %d plans: withdraw some", maxPlans))
 	}
 	r.changed = commit && r.status.Problems == nil
 	if commit && r.status.Problems != nil {
-		r.status.Error = "not taken over"
+		r.status.Error = "plans not added because of their problems"
 	}
 }
 
-// withdraw ends a plan: the engines on which its work has begun are brought back, the others are
-// left alone.
+// withdraw ends a plan: engines on which its work has begun are returned to service, and the tasks
+// of the others are removed.
 func (r *requestRun) withdraw(name string) {
-	p := r.findPlan(name)
-	if p == nil {
+	plan := r.findPlan(name)
+	if plan == nil {
 		return
 	}
-	p.Withdrawn = true
+	plan.Withdrawn = true
 	r.changed = true
 	r.state.Tasks = slices.DeleteFunc(slices.Clone(r.state.Tasks), func(t core.Task) bool {
 		begun := t.Step != core.Done && t.Step != core.Preparing
-		return t.Plan == p.ID && !begun
+		return t.Plan == plan.ID && !begun
 	})
 }
 
-// markDone takes in that a person has done the work on an engine.
+// markDone records that a person has done the work on an engine.
 func (r *requestRun) markDone(engine string) {
 	i := slices.IndexFunc(r.state.Tasks, func(t core.Task) bool {
 		return string(t.Engine) == engine && t.Step == core.Working
@@ -174,17 +177,17 @@
 		r.status.Error = fmt.Sprintf("%.64q is not being worked on", engine)
 		return
 	}
-	hooked := map[string]uint64{}
-	maps.Copy(hooked, r.state.Hooked)
-	hooked[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
-	r.state.Hooked = hooked
+	confirmedWork := map[string]uint64{}
+	maps.Copy(confirmedWork, r.state.ConfirmedWork)
+	confirmedWork[hookKey(workHook, r.state.Tasks[i].Engine)] = r.state.Tasks[i].Sequence
+	r.state.ConfirmedWork = confirmedWork
 	r.changed = true
 }
 
-// doWithout has the confirmation of a controller no longer waited for.
-func (r *requestRun) doWithout(id members.ID) {
-	if !slices.Contains(r.state.Without, id) && len(r.state.Without) < maxWithout {
-		r.state.Without = append(r.state.Without, id)
+// excludeController records that a controller's confirmations are no longer required.
+func (r *requestRun) excludeController(id members.ID) {
+	if !slices.Contains(r.state.Excluded, id) && len(r.state.Excluded) < maxExcluded {
+		r.state.Excluded = append(r.state.Excluded, id)
 		r.changed = true
 	}
 }
--- a/internal/fleet/outputs.go
+++ b/internal/fleet/outputs.go
@@ -7,13 +7,13 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// maxOutputs bounds how often the core's outputs are carried out in one turn of the loop: carrying
-// one out may lead to another.
-const maxOutputs = 8
+// maxOutputRounds bounds how often one turn of the loop processes the core's outputs, as processing
+// them may produce more.
+const maxOutputRounds = 8
 
-// carryOut does what the core asks for.
-func (s *session) carryOut() error {
-	for range maxOutputs {
+// processOutputs carries out the core's outputs.
+func (s *session) processOutputs() error {
+	for range maxOutputRounds {
 		out := s.core.Take()
 		for _, envelope := range out.Messages {
 			s.send(envelope)
@@ -21,7 +21,7 @@
 		s.notifyLeases(out)
 		s.logMembers(out.Changes)
 		s.notifyJobs(out)
-		s.config.CarryOut(out.Config)
+		s.config.HandleOutput(out.Config)
 		advanced, err := s.persist(out)
 		if err != nil {
 			return err
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// send sends a message of the core. As long as a voter's address is not known, it is the block's.
+// send sends a message of the core, to the block's address of a voter until the core knows one.
 func (s *session) send(envelope node.Envelope) {
 	payload, err := cbor.Marshal(envelope.Message)
 	if err != nil {
@@ -48,47 +48,47 @@
 	s.links.Send(envelope.To, addr, payload)
 }
 
-// notifyLeases notifies the jobs of leases that this controller came to hold, and of those that it
-// holds no more.
+// notifyLeases notifies the jobs of leases that this controller acquired or lost.
 func (s *session) notifyLeases(out node.Output) {
 	for _, grant := range out.Began {
-		s.log.Info("fleet: holds a lease", "lease", string(grant.Name), "token", uint64(grant.Token))
+		s.log.Info("fleet: lease acquired", "lease", string(grant.Name), "token", uint64(grant.Token))
 		for _, j := range s.jobs {
-			j.Began(s, grant)
+			j.LeaseAcquired(s, grant)
 		}
 	}
 	for _, grant := range out.Ended {
 		s.log.Info("fleet: lease ended", "lease", string(grant.Name), "token", uint64(grant.Token))
 		for _, j := range s.jobs {
-			j.Ended(grant)
+			j.LeaseLost(grant)
 		}
 	}
 }
 
-// logMembers logs members that are new or in another state.
+// logMembers logs members that are new or changed their state.
 func (s *session) logMembers(changes []members.Change) {
-	for _, c := range changes {
-		if c.Member.State != c.Previous || c.New {
-			s.log.Info("fleet: member", "id", string(c.Member.ID), "is", c.Member.State.String(),
-				"was", c.Previous.String(), "new", c.New)
+	for _, change := range changes {
+		if change.Member.State != change.Previous || change.New {
+			s.log.Info("fleet: member", "id", string(change.Member.ID), "is", change.Member.State.String(),
+				"was", change.Previous.String(), "new", change.New)
 		}
 	}
 }
 
-// notifyJobs hands the jobs what came for them.
+// notifyJobs delivers effects, responses, messages and checkpoints to the jobs. Only the first job
+// that accepts a message gets it.
 func (s *session) notifyJobs(out node.Output) {
 	for _, received := range out.Effects {
-		s.counts.effects.Add(1)
+		s.counts.effectsAccepted.Add(1)
 		for _, j := range s.jobs {
 			j.EffectReceived(s, received.From, received.Effect)
 		}
 	}
 	for _, response := range out.EffectResponses {
 		if !response.Accepted {
-			s.counts.rejected.Add(1)
+			s.counts.effectsRejected.Add(1)
 		}
 		for _, j := range s.jobs {
-			j.VerdictReceived(response)
+			j.EffectResponseReceived(response)
 		}
 	}
 	for _, message := range out.JobMessages {
@@ -105,8 +105,8 @@
 	}
 }
 
-// persist has the quorum's next record written beside the loop. Where a batch has none the core
-// goes on at once, and advanced is true: it may have more outputs.
+// persist starts writing the quorum's next record outside the loop. A batch without a record is
+// advanced at once; advanced is then true, as the core may have more outputs.
 func (s *session) persist(out node.Output) (advanced bool, err error) {
 	switch {
 	case out.Compaction != nil:
