--- a/internal/lab/fleet/dropped.go
+++ b/internal/lab/fleet/dropped.go
@@ -36,7 +36,7 @@
 		{"a report of an earlier run counts", "status.go", "report.Run == m.Run && ", ""},
 		{"a report counts for ever", "status.go",
 			" && report.heardAt >= r.now-reportFreshTime\n\tif !current || m.State != members.Alive {", "\n\tif !current {"},
-		{"any answer ends a proposal", "propose.go", "if reply.Version.ID != own.ID || ", "if "},
+		{"any answer ends a proposal", "propose.go", "if reply.Version.ID != proposed.ID || ", "if "},
 	}
 }
 
