--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -17,16 +17,16 @@
 
 // process is a daemon that runs as a process, with its folder and addresses.
 type process struct {
-	t      *testing.T
-	binary string
-	name   string
-	dir    string
-	addr   string // for clients
-	fleet  string // for the fleet
-	log    *logBuffer
-	cmd    *exec.Cmd
-	exited chan error
-	query  int
+	t           *testing.T
+	binary      string
+	name        string
+	dir         string
+	addr        string // for clients
+	fleetAddr   string // for the fleet
+	log         *logBuffer
+	cmd         *exec.Cmd
+	exited      chan error
+	lastQueryID int
 }
 
 // buildDaemon builds the daemon as it is deployed.
@@ -59,15 +59,15 @@
 		t.Fatal(err)
 	}
 	var all []*process
-	var council []string
+	var voters []string
 	for i := range count {
 		p := &process{t: t, binary: binary, name: fmt.Sprint("n", i+1), dir: filepath.Join(dir, fmt.Sprint("n", i+1)), addr: reserveAddress(t),
-			fleet: reserveAddress(t), query: 1000 * i}
+			fleetAddr: reserveAddress(t), lastQueryID: 1000 * i}
 		if err := os.Mkdir(p.dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		if all = append(all, p); i < 3 {
-			council = append(council, fmt.Sprintf("%s = %q", p.name, p.fleet))
+			voters = append(voters, fmt.Sprintf("%s = %q", p.name, p.fleetAddr))
 		}
 	}
 	for i, p := range all {
@@ -77,7 +77,7 @@
 		}
 		p.write("config.json", text)
 		p.write("operator.hcl", fmt.Sprintf("fleet {\n name = \"e\"\n listen = %q\n key_file = %q\n folder = %q\n council = { %s }\n lease = \"1s\"\n}\n"+
-			"config {\n wait = \"2s\"\n}\n", p.fleet, filepath.Join(dir, "fleet.key"), p.folder(), strings.Join(council, ", "))+ruleRejectingAll("own"))
+			"config {\n wait = \"2s\"\n}\n", p.fleetAddr, filepath.Join(dir, "fleet.key"), p.folder(), strings.Join(voters, ", "))+ruleRejectingAll("own"))
 	}
 	return all
 }
@@ -128,8 +128,8 @@
 	}
 }
 
-// serves sends a query and checks that the answer contains a text.
-func (p *process) serves(want string) {
+// expectAnswer sends a query and checks that the answer contains a text.
+func (p *process) expectAnswer(want string) {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -140,8 +140,8 @@
 	io.WriteString(conn, hello)
 	c := &client{p.t, conn}
 	c.awaitMessageKinds()
-	p.query++
-	if err := c.query(p.query, "1"); err != nil {
+	p.lastQueryID++
+	if err := c.query(p.lastQueryID, "1"); err != nil {
 		p.t.Fatal(err)
 	}
 	if got := c.readMessageText(); !strings.Contains(got, want) {
@@ -179,22 +179,22 @@
 	}
 }
 
-// await polls the status until it starts with the given text.
-func (p *process) await(line string) {
+// awaitStatus polls the status until it starts with the given text.
+func (p *process) awaitStatus(prefix string) {
 	p.t.Helper()
 	for end := time.Now().Add(2 * testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		_, out, errs := p.config("status")
-		if strings.HasPrefix(out, line) {
+		if strings.HasPrefix(out, prefix) {
 			return
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("status at %s: %s %s, want one that starts with %q", p.name, out, errs, line)
+			p.t.Fatalf("status at %s: %s %s, want one that starts with %q", p.name, out, errs, prefix)
 		}
 	}
 }
 
-// file writes a document and returns its path.
-func (p *process) file(text string) string {
+// writeDocument writes a document and returns its path.
+func (p *process) writeDocument(text string) string {
 	p.t.Helper()
 	p.write("document.hcl", text)
 	return filepath.Join(p.dir, "document.hcl")
@@ -226,23 +226,23 @@
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	for _, p := range all {
 		p.log.wait(t, "serving")
-		p.serves("own")
+		p.expectAnswer("own")
 	}
 	n1.awaitLeader()
 	n1.expect(0, "no version is agreed yet", "status")
-	n1.expect(0, "version 1 in force at 4 of 4", "put", "--reason", "first", "--expect", "0", "--author", "anna", n1.file(ruleRejectingAll("one")))
+	n1.expect(0, "version 1 in force at 4 of 4", "put", "--reason", "first", "--expect", "0", "--author", "anna", n1.writeDocument(ruleRejectingAll("one")))
 	for _, p := range all {
-		p.serves("one")
+		p.expectAnswer("one")
 		p.log.wait(t, "configuration version in force author=anna") // also at the controller that is not a voter
 	}
-	n4.expect(1, "line 2, column 9: field log.level", "put", "--reason", "bad", n4.file("log {\nlevel = \"loud\"\n}\n"))
-	n2.expect(1, "field fleet.name is each controller's own", "put", "--reason", "bad", n2.file("fleet {\n name = \"x\"\n}\n"))
-	n3.expect(4, "version 1 by anna (first) was agreed first", "put", "--reason", "late", "--expect", "0", n3.file(ruleRejectingAll("late")))
+	n4.expect(1, "line 2, column 9: field log.level", "put", "--reason", "bad", n4.writeDocument("log {\nlevel = \"loud\"\n}\n"))
+	n2.expect(1, "field fleet.name is each controller's own", "put", "--reason", "bad", n2.writeDocument("fleet {\n name = \"x\"\n}\n"))
+	n3.expect(4, "version 1 by anna (first) was agreed first", "put", "--reason", "late", "--expect", "0", n3.writeDocument(ruleRejectingAll("late")))
 	n2.expect(0, "version 1 in force at 4 of 4", "status")
 	two := ruleRejectingAll("two") + "memory {\n folder = \"" + filepath.Dir(n1.dir) + "/memory-${name}\"\n}\n"
-	n4.expect(0, "version 2 in force at 4 of 4", "put", "--reason", "second", "--expect", "1", n4.file(two))
+	n4.expect(0, "version 2 in force at 4 of 4", "put", "--reason", "second", "--expect", "1", n4.writeDocument(two))
 	for _, p := range all {
-		p.serves("two")
+		p.expectAnswer("two")
 	}
 }
 
@@ -252,7 +252,7 @@
 	n1, n2, n3, n4 := all[0], all[1], all[2], all[3]
 	n2.cmd.Process.Signal(syscall.SIGHUP)
 	n2.log.wait(t, "configuration version stays in force")
-	n2.serves("two")
+	n2.expectAnswer("two")
 
 	if err := n3.end(syscall.SIGTERM); err != nil {
 		t.Error(err)
@@ -261,23 +261,23 @@
 		t.Error(err)
 	}
 	n3.start()
-	n3.serves("two")
+	n3.expectAnswer("two")
 	n3.log.wait(t, "configuration version confirmed as the latest")
-	n1.await("version 2 in force at 4 of 4") // a controller that was shut down counts again once it is heard
+	n1.awaitStatus("version 2 in force at 4 of 4") // a controller that was shut down counts again once it is heard
 
 	for _, p := range all {
 		p.end(syscall.SIGKILL)
 	}
 	n3.start() // without a majority of voters it uses the version stored in its folder
 	n3.log.wait(t, "configuration version not confirmed as the latest")
-	n3.serves("two")
-	n3.expect(1, "the leader of the quorum does not answer", "put", "--reason", "alone", n3.file(ruleRejectingAll("alone")))
+	n3.expectAnswer("two")
+	n3.expect(1, "the leader of the quorum does not answer", "put", "--reason", "alone", n3.writeDocument(ruleRejectingAll("alone")))
 	for _, p := range []*process{n1, n2, n4} {
 		p.launch()
 	}
 	for _, p := range all {
 		p.log.wait(t, "serving")
-		p.serves("two")
+		p.expectAnswer("two")
 	}
 }
 
@@ -287,7 +287,7 @@
 	n4.awaitLeader()
 	n4.expect(0, "version 3 in force at 4 of 4", "rollback", "1", "--reason", "two was bad")
 	for _, p := range all {
-		p.serves("one")
+		p.expectAnswer("one")
 	}
 	n1.expect(0, "rollback to 1: two was bad", "history")
 	n2.expect(0, "+rule \"two\" {", "diff", "1", "2")
@@ -300,24 +300,24 @@
 func checkUnusableDocument(t *testing.T, all []*process) {
 	n1, n2, n4 := all[0], all[1], all[3]
 	n1.expect(3, "version 4 in force at 3 of 4; 1 refused: n4 (line 3, column 10: field rule \"four\".kinds", "put", "--reason", "fourth",
-		n1.file("rule \"four\" {\n refuse = \"four\"\n kinds = [\"std\"]\n}\n"))
+		n1.writeDocument("rule \"four\" {\n refuse = \"four\"\n kinds = [\"std\"]\n}\n"))
 	for i, p := range all {
-		p.serves([]string{"four", "four", "four", "one"}[i])
+		p.expectAnswer([]string{"four", "four", "four", "one"}[i])
 	}
 	n4.log.wait(t, "configuration version refused")
 	if err := n4.end(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 	n4.start()
-	n4.serves("one")
-	n2.await("version 4 in force at 3 of 4; 1 refused: n4 (line 3")
+	n4.expectAnswer("one")
+	n2.awaitStatus("version 4 in force at 3 of 4; 1 refused: n4 (line 3")
 }
 
 // checkConcurrentPuts puts two versions concurrently. One wins, and the other command exits with exitLost.
 func checkConcurrentPuts(t *testing.T, all []*process) {
 	codes := make(chan int, 2)
 	for _, p := range []*process{all[0], all[2]} {
-		path := p.file(ruleRejectingAll("from " + p.name))
+		path := p.writeDocument(ruleRejectingAll("from " + p.name))
 		go func() {
 			code, _, _ := p.config("put", "--reason", "at once", "--expect", "4", path)
 			codes <- code
@@ -334,10 +334,10 @@
 	for i, size := range []int{1, 64 << 10, 1 << 20} {
 		text := ruleRejectingAll(fmt.Sprint("size ", size))
 		text = strings.Repeat("#", max(1, size-len(text)-1)) + "\n" + text
-		n2.expect(0, fmt.Sprintf("version %d in force at 4 of 4", 6+i), "put", "--reason", "size", n2.file(text[:size]))
+		n2.expect(0, fmt.Sprintf("version %d in force at 4 of 4", 6+i), "put", "--reason", "size", n2.writeDocument(text[:size]))
 	}
-	n2.expect(1, "has over 1048576 bytes", "put", "--reason", "size", n2.file(strings.Repeat("#", 1<<20+1)))
+	n2.expect(1, "has over 1048576 bytes", "put", "--reason", "size", n2.writeDocument(strings.Repeat("#", 1<<20+1)))
 	for _, p := range all {
-		p.serves("size 1048576")
+		p.expectAnswer("size 1048576")
 	}
 }
