--- a/router/admission.go
+++ b/router/admission.go
@@ -31,7 +31,11 @@
 	arrivalWaitHalfLife = 50.0   // ms
 	rejectShareRamp     = 2500.0 // ms in which rejectShare grows from 0 to 1 at twice maxArrivalWait
 	maxRejectShareStep  = 20.0   // ms since the last query, at most, for which rejectShare is adjusted
-	maxRejectShare      = 0.98   // below 1, so that waits of accepted queries are still observed
+
+	// maxRejectShare bounds rejectShare. Without it, rejectShare would grow on in a long overload and
+	// reject queries long after waits are short again. As it is below 1, the share alone never rejects
+	// all queries.
+	maxRejectShare = 0.98
 )
 
 // queryArrived puts a query into the queue, or gives it its final answer at once: if it can't be in
--- a/router/worthcache.go
+++ b/router/worthcache.go
@@ -4,9 +4,9 @@
 
 // worthCache makes it cheap to check repeatedly, while no engine has capacity, whether a queued
 // query is still worth running. If whyNotWorthRunning finds no reason against it, that result is
-// cached in the query, with a time before which nothing can change it within the current epoch. An
-// epoch ends when the run times of the class or the size limit of admission control leave their
-// tolerances, or when a shutdown is planned.
+// cached in the query, with a time before which only its tenant's quota can change it within the
+// current epoch. An epoch ends when the run times of the class, or the work that the size limit of
+// admission control allows, leave their tolerances, or when a shutdown starts.
 type worthCache struct {
 	step        uint64  // of the last refresh
 	epoch       int     // number of the current epoch
@@ -18,7 +18,8 @@
 const sizeLimitTolerance = 1.3
 
 // refreshWorthCache begins a new epoch of a class if its model or the allowed work has left the
-// tolerances. It checks once per step.
+// tolerances. It checks once per step. A model that overdueQueries has adopted before begins no
+// epoch.
 func (r *Router) refreshWorthCache(class *queryClass) {
 	cache := &class.worthCache
 	if cache.step == r.stepCount {
@@ -36,9 +37,9 @@
 }
 
 // knownWorthRunning reports whether q is worth running, from the cache if it is valid, else by
-// whyNotWorthRunning. A cached yes is always right: of the reasons in whyNotWorthRunning, the
-// tenant's quota is checked on each call, the two that depend on time can't apply before
-// worthUntil, and the size stays within the limit for the whole epoch.
+// whyNotWorthRunning. A cached yes is right while the class stays within the tolerances of the
+// epoch: of the reasons in whyNotWorthRunning, the tenant's quota is checked on each call, the two
+// that depend on time can't apply before worthUntil, and the size stays within the limit.
 func (r *Router) knownWorthRunning(q *query) bool {
 	if len(q.attempts) > 0 {
 		return true
@@ -58,8 +59,9 @@
 	return true
 }
 
-// worthUntilLowerBound is a time in ms until which q, which is worth running now, stays so in this
-// epoch; -Inf: q is so close to the size limit that it may exceed it before the epoch ends.
+// worthUntilLowerBound returns a time in ms until which q, which is worth running now, stays worth
+// running in this epoch. It returns -Inf if q is so close to the size limit that it may exceed the
+// limit before the epoch ends.
 func (r *Router) worthUntilLowerBound(q *query) float64 {
 	if q.mayExceed(q.class.worthCache.allowedWork) {
 		return math.Inf(-1)
