--- a/internal/core/fleet/config/announce.go
+++ b/internal/core/fleet/config/announce.go
@@ -12,8 +12,8 @@
 	pushFanout = 4
 	// maxPushes is the number of times that a new summary is pushed.
 	maxPushes = 3
-	// firstPushInterval is the time in ms until the second push; the third follows after twice that
-	// time.
+	// firstPushInterval is the time in ms from the first push to the second; the third follows
+	// the second after twice that time.
 	firstPushInterval = 300.0
 )
 
@@ -47,7 +47,7 @@
 		return
 	}
 	if r.votes() && r.env.State().Newest() < r.newest.Number {
-		return // a voter announces only versions of its own state, which has their author and reason
+		return // a voter announces only versions that its own state has, with their author and reason
 	}
 	r.announcement = announcement{
 		summary:    r.newest.summary(),
@@ -73,7 +73,8 @@
 }
 
 // handleSummary handles the newest version that a member announces, and reports whether it changed
-// anything. A lower number than the target's changes nothing; the same one can only add a source.
+// anything. A lower number than the target's changes nothing, the same number can only add a
+// source, and a version abandoned recently is not accepted from the same sources again.
 func (r *Replica) handleSummary(from members.ID, s Summary) bool {
 	switch {
 	case s.Number == 0 || s.Size < 1 || s.Size > MaxDocument:
@@ -93,7 +94,7 @@
 	return true
 }
 
-// contradicts reports whether the version known here under the same number has another document.
+// contradicts reports whether a version known here has the number of s but another document.
 func (r *Replica) contradicts(s Summary) bool {
 	for _, v := range [...]*Version{&r.target, &r.newest, &r.previous, &r.application.current} {
 		if v.Number == s.Number && v.summary() != s {
