--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// engineRecorder is a fake of Engines that records its calls.
+// engineRecorder is a fake of Engines that records which attempts are started and cancelled.
 type engineRecorder struct {
 	started      chan *request.Query
 	cancelled    chan router.AttemptID
@@ -93,8 +93,8 @@
 }
 
 // The daemon closes the connections to engines while discovery posts an update. If the caller of Close closed
-// them itself, two goroutines would use the Engines at once. The loop's goroutine must do both; the race
-// detector reports it if not.
+// them itself, two goroutines would use the Engines at once. So the loop's goroutine must do both; the race
+// detector reports any other use.
 func TestCloseDuringEndpointUpdates(_ *testing.T) {
 	module := router.New(1, router.Identity{Controllers: 1}, nil, nil, nil, router.Capabilities{},
 		router.SafetyLimits{})
@@ -117,9 +117,10 @@
 	l.Counts() // the loop still replies
 }
 
-// More queries arrive than one step handles and than the arrivals hold. If they shared a queue with answers and
-// requests, these would wait behind them. Queries beyond the capacity are not accepted, a request gets its
-// reply after one step, and every accepted query gets its answer.
+// More queries arrive than one step handles, and more than the queue of arrivals holds. If the engines'
+// answers and the requests to the loop went through that queue too, they would wait behind the queries.
+// Queries beyond the capacity are not accepted, a request gets its reply after one step, and every accepted
+// query gets its answer.
 func TestManyArrivals(t *testing.T) {
 	module := newModule(router.QueryClass{LatencyObjective: 1000, ClientTimeout: 5000, Threads: 1},
 		router.Capabilities{MaxAttempts: 3}, router.SafetyLimits{EventInterval: 5})
@@ -146,8 +147,8 @@
 	go l.Run(ctx)
 	got := <-counts
 	if accepted != 1000 || got.QueueFull != 200 || got.Accepted > maxQueriesPerStep {
-		t.Errorf("%d queries accepted, counts %+v, want 1000 accepted, 200 not, at most maxQueriesPerStep in a step",
-			accepted, got)
+		t.Errorf("%d queries accepted, counts %+v, want 1000 accepted, 200 not, at most %d in a step",
+			accepted, got, maxQueriesPerStep)
 	}
 	for range accepted {
 		select {
--- a/internal/store/disk/disktest/disk.go
+++ b/internal/store/disk/disktest/disk.go
@@ -85,7 +85,7 @@
 	return node.content()
 }
 
-// Make counts as an operation but changes nothing: the modelled directory exists.
+// Make counts as an operation but changes nothing, as the modelled directory always exists.
 func (d *Disk) Make() error {
 	err := d.beginOperation()
 	d.mu.Unlock()
