--- a/cmd/mintkeel/output_test.go
+++ b/cmd/mintkeel/output_test.go
@@ -1,8 +1,8 @@
 package main
 
 // Operators' programs read the --json output of commands, and commands talk to controllers of other versions. A renamed
-// field would only be noticed there, so these tests compare the complete output of each command, and the request that it
-// sends, with those of an earlier build.
+// field breaks those programs and controllers, while this build still works with itself. So these tests compare the complete
+// output of each command, and the request that it sends, with those of an earlier build.
 
 import (
 	"bufio"
@@ -71,7 +71,7 @@
 	return requests, fmt.Sprintf("%s%scode %d\n", printed.String(), errs.String(), code)
 }
 
-// lastHeardField matches the time at which a controller was last heard of, which depends on when the test runs.
+// lastHeardField matches the time at which a controller was last heard from, which depends on when the test runs.
 var lastHeardField = regexp.MustCompile(`"last_heard": "[^"]*"`)
 
 func TestFleetOutputIsStable(t *testing.T) {
@@ -102,7 +102,7 @@
 			requests, out := newStoredControl(t).run(args...)
 			golden.File(t, filepath.Join("requests", name+".json"), []byte(requests))
 			file := name + ".txt"
-			switch { // most commands print the whole answer, so they share a golden file
+			switch { // most fleet commands print the whole answer, as do all maintenance commands: each group shares a golden file
 			case args[0] == "maintenance":
 				file = "maintenance.txt"
 			case args[1] != "config":
@@ -125,7 +125,7 @@
 	return out.Bytes()
 }
 
-// TestOutputOfAllFieldsIsStable covers the fields that no single answer sets together.
+// TestOutputOfAllFieldsIsStable compares the output of values in which every field is set, which no real answer has.
 func TestOutputOfAllFieldsIsStable(t *testing.T) {
 	version := &versionView{Number: 7, Hash: "a1", Size: 8, Author: "ann", Reason: "more room", Time: "2026-12-02T05:06:07Z",
 		RollbackOf: 5}
@@ -147,14 +147,14 @@
 	}
 }
 
-// ageFields matches the fields of records that depend on when the test runs.
+// ageFields matches the fields of records whose values depend on when the test runs.
 var ageFields = regexp.MustCompile(`"(age_ms|weighs)": [-+.0-9e]+`)
 
 func TestMemoryOutputIsStable(t *testing.T) {
 	for _, name := range []string{"show", "verify"} {
 		var out, errs strings.Builder
 		if code := execute([]string{"memory", name, "testdata/memory", "--json"}, &out, &errs); code != 0 {
-			t.Errorf("exit code %d, want 0: %s", code, errs.String())
+			t.Errorf("memory %s: exit code %d, want 0: %s", name, code, errs.String())
 		}
 		stable := ageFields.ReplaceAll([]byte(out.String()), []byte(`"$1": 0`))
 		golden.File(t, filepath.Join("output", "memory-"+name+".txt"), stable)
@@ -220,6 +220,6 @@
 	}
 	again, err := json.MarshalIndent(status, "", "  ")
 	if err != nil || string(again)+"\n" != string(text) {
-		t.Errorf("the answer changes when it is decoded and encoded again: %s, %v", again, err)
+		t.Errorf("the stored answer, decoded and encoded again: got %s, error %v, want it unchanged", again, err)
 	}
 }
--- a/cmd/mintkeel/processes_test.go
+++ b/cmd/mintkeel/processes_test.go
@@ -15,14 +15,14 @@
 	"mintkeel/internal/lab/loopback"
 )
 
-// process is a daemon that runs as a process, with its folder and addresses.
+// process is a daemon that runs as a process of its own, with its folder and addresses.
 type process struct {
 	t           *testing.T
 	binary      string
 	name        string
 	dir         string
-	addr        string // for clients
-	fleetAddr   string // for the fleet
+	addr        string // on which it serves clients
+	fleetAddr   string // on which it serves the other controllers
 	log         *logBuffer
 	cmd         *exec.Cmd
 	exited      chan error
@@ -49,8 +49,8 @@
 	return address
 }
 
-// configProcesses prepares controllers n1 to nN of one fleet with a block config, without starting them. The first three are
-// voters. The fourth has another machine kind than the others.
+// configProcesses prepares controllers n1 to nN of one fleet, whose operator files have a config block, without starting
+// them. The first three are voters. The configuration of the fourth names another machine kind than those of the others.
 func configProcesses(t *testing.T, count int) []*process {
 	t.Helper()
 	discovery, engine, _ := fakeDiscoveryAndEngine(t)
@@ -200,9 +200,10 @@
 	return filepath.Join(p.dir, "document.hcl")
 }
 
-// Four daemons run as processes. A version comes into force at each of them. A document that can't be used, and one whose
-// author has not seen the latest version, change nothing. Reloads and restarts keep the version in force, a rollback
-// restores an earlier document, and of two concurrent puts exactly one wins.
+// Four daemons run as processes. A version comes into force at each of them. An invalid document, and one whose
+// author has not seen the latest version, are rejected. A version that one controller can't use comes into force at the
+// others. Reloads and restarts keep the version in force, a rollback restores an earlier document, and of two concurrent
+// puts exactly one wins.
 func TestConfigVersionsAcrossProcesses(t *testing.T) {
 	all := configProcesses(t, 4)
 	for _, p := range all {
@@ -257,13 +258,13 @@
 	if err := n3.end(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
-	if _, err := os.Stat(filepath.Dir(n3.dir) + "/memory-n3"); err != nil { // its final snapshot
+	if _, err := os.Stat(filepath.Dir(n3.dir) + "/memory-n3"); err != nil { // the folder of its final snapshot
 		t.Error(err)
 	}
 	n3.start()
 	n3.expectAnswer("two")
 	n3.log.wait(t, "configuration version confirmed as the latest")
-	n1.awaitStatus("version 2 in force at 4 of 4") // a controller that was shut down counts again once it is heard
+	n1.awaitStatus("version 2 in force at 4 of 4") // a restarted controller is counted again once n1 hears from it
 
 	for _, p := range all {
 		p.end(syscall.SIGKILL)
@@ -324,7 +325,7 @@
 		}()
 	}
 	if first, second := <-codes, <-codes; min(first, second) != 0 || max(first, second) != 4 {
-		t.Errorf("two concurrent puts exit with %d and %d, want 0 and 4", first, second)
+		t.Errorf("two concurrent puts exit with %d and %d, want 0 and 4 in either order", first, second)
 	}
 }
 
--- a/cmd/mintkeel/shutdown_test.go
+++ b/cmd/mintkeel/shutdown_test.go
@@ -12,8 +12,9 @@
 	"mintkeel/internal/limits"
 )
 
-// SIGTERM arrives before clients are served, twice, followed by a reload, or while a reload hangs. In each case open queries
-// must be answered, idle sessions closed in an orderly way, and the shutdown run once.
+// SIGTERM arrives twice before clients are served, is followed by a reload, arrives while a client goes on sending queries, or
+// arrives while a reload hangs. The daemon exits without an error, and the shutdown runs once. Open queries are answered first,
+// and a session is closed without a reset of its connection.
 func TestStopCrossings(t *testing.T) {
 	t.Run("during the start", func(t *testing.T) {
 		discovery, engine, _ := fakeDiscoveryAndEngine(t)
@@ -24,7 +25,7 @@
 			t.Error(err)
 		}
 	})
-	t.Run("twice, and a reload behind it", func(t *testing.T) {
+	t.Run("followed by a reload", func(t *testing.T) {
 		discovery, engine, hangs := fakeDiscoveryAndEngine(t)
 		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.change = func(l *limits.Limits) { l.ClientCloseTimeout = testTimeout }
@@ -45,8 +46,8 @@
 		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("the idle session reads %v, want EOF", err)
 		}
-		// Queries sent after the end of the session: a closed socket would reset the connection at the first of them, and the
-		// next write would fail.
+		// The client sends queries after the daemon has ended the session. If the daemon had closed its socket already, the
+		// first of them would reset the connection, and a later write would fail.
 		for id := 3; id < 500; id++ {
 			if err := idle.query(id, "hang"); err != nil {
 				t.Fatalf("sending query %d after the end of the session: %v", id, err)
@@ -58,13 +59,13 @@
 		}
 		waiting.Close()
 		if err := <-h.ended; err != nil || len(hangs) > 0 {
-			t.Errorf("the daemon exits with %v, and sent %d more queries to the engine, want 0", err, len(hangs))
+			t.Errorf("the daemon exits with %v, and sent %d more queries to the engine, want no error and 0", err, len(hangs))
 		}
 		if n := h.log.count("shutdown started"); n != 1 {
 			t.Errorf("the shutdown started %d times, want once", n)
 		}
 	})
-	t.Run("and clients that ask to the last", func(t *testing.T) {
+	t.Run("while a client sends queries", func(t *testing.T) {
 		discovery, engine, _ := fakeDiscoveryAndEngine(t)
 		h := newTestDaemon(t, validConfig, discovery, engine, "")
 		h.change = func(l *limits.Limits) {
@@ -79,7 +80,7 @@
 			}
 			if got, err := active.readMessageKinds(); err == io.EOF && got == "" {
 				break // the session was closed before the query was read
-			} else if err != nil || got != "TDCZ" && got != "EZ" { // rejected once no time is left
+			} else if err != nil || got != "TDCZ" && got != "EZ" { // EZ: rejected, as no drain time is left for it
 				t.Fatalf("query %d: answer %q, %v, want TDCZ or EZ", id, got, err)
 			}
 		}
@@ -98,7 +99,7 @@
 			return n
 		}
 		if n := count("taken"); n == 0 || n != count("answered")+count("shed") {
-			t.Errorf("%d queries taken, %d answered and %d shed; want some, and no others unanswered", n, count("answered"), count("shed"))
+			t.Errorf("%d queries taken, %d answered and %d shed; want at least one taken, and each of them answered or shed", n, count("answered"), count("shed"))
 		}
 	})
 	t.Run("while a reload hangs", func(t *testing.T) {
@@ -109,7 +110,7 @@
 		began := time.Now()
 		h.signals <- syscall.SIGTERM
 		if err := <-h.ended; err != nil || time.Since(began) > testTimeout/2 {
-			t.Errorf("the daemon exits with %v after %v, want no error and no wait for the read", err, time.Since(began))
+			t.Errorf("the daemon exits with %v after %v, want no error, and no wait for the hanging reload", err, time.Since(began))
 		}
 	})
 }
