--- a/internal/fleet/maintenance/planfile_test.go
+++ b/internal/fleet/maintenance/planfile_test.go
@@ -8,7 +8,7 @@
 	core "mintkeel/internal/core/fleet/maintenance"
 )
 
-// A plan file must be parsed with all its fields, and each mistake must be reported with its position.
+// A plan file must be parsed with all its fields, and each mistake must be reported, with its position if it has one.
 func TestReadPlansAndTheirProblems(t *testing.T) {
 	plans, err := ReadPlans("p.hcl", []byte(`plan "kernel" {
   kinds   = ["c16"]
