--- a/cmd/mintkeel-lab/daemon.go
+++ b/cmd/mintkeel-lab/daemon.go
@@ -14,17 +14,17 @@
 const (
 	daemonDescriptors = 16000 // that the daemon and the relay may have
 
-	// mostFullEngines is how many engines queries of some tenths of a second can keep full.
-	mostFullEngines = 20
+	// maxFullEngines is how many engines queries of some tenths of a second can keep full.
+	maxFullEngines = 20
 )
 
 // daemonMeasurement measures the processor time of a query on the daemon beside a relay.
 type daemonMeasurement struct {
-	scene   restart.Scene
-	engines []int
-	turns   int
-	seed    int64  // of the first turn
-	old     string // path of another build; empty: none
+	scene     restart.Scene
+	engines   []int
+	turns     int
+	firstSeed int64  // of the first turn
+	oldDaemon string // path of another build; empty: none
 }
 
 // daemonRatios are what the turns of one row gave, one value a turn.
@@ -37,10 +37,10 @@
 
 func daemonCommand() *cobra.Command {
 	m := &daemonMeasurement{
-		scene:   restart.Usual(),
-		engines: []int{10, 100, 1000},
-		turns:   3,
-		seed:    1,
+		scene:     restart.Usual(),
+		engines:   []int{10, 100, 1000},
+		turns:     3,
+		firstSeed: 1,
 	}
 	scene := &m.scene
 	scene.Learn = 3 * time.Second
@@ -62,9 +62,9 @@
 		RunE: func(c *cobra.Command, _ []string) error { return m.run(c.Context(), c.OutOrStdout()) },
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().StringVar(&m.old, "old", "", "another build of it to compare with")
+	c.Flags().StringVar(&m.oldDaemon, "old", "", "another build of it to compare with")
 	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each is measured; medians are printed")
-	c.Flags().Int64Var(&m.seed, "seed", m.seed, "of the first turn")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "of the first turn")
 	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
 	c.Flags().IntVar(&scene.Clients, "clients", scene.Clients,
 		"connections of clients that are open at least")
@@ -81,7 +81,7 @@
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, engines := range m.engines {
 		for _, full := range []bool{false, true} {
-			if full && engines > mostFullEngines {
+			if full && engines > maxFullEngines {
 				continue
 			}
 			if err := m.printRow(ctx, out, engines, full); err != nil {
@@ -99,7 +99,7 @@
 	for turn := range m.turns {
 		scene := m.scene
 		scene.Engines = engines
-		scene.Seed = m.seed + int64(turn)
+		scene.Seed = m.firstSeed + int64(turn)
 		scene.Work = workOfQuery(scene.Rate, engines, full)
 		if err := m.measureTurn(ctx, scene, &ratios); err != nil {
 			return err
@@ -150,10 +150,10 @@
 	}
 	ratios.overRelay = append(ratios.overRelay, daemon.Processor/relay.Processor)
 	ratios.inTime = append(ratios.inTime, daemon.Benefit)
-	if m.old == "" {
+	if m.oldDaemon == "" {
 		return nil
 	}
-	scene.Mintkeel = m.old
+	scene.Mintkeel = m.oldDaemon
 	old, err := restart.Path(ctx, scene, "")
 	if err != nil {
 		return err
--- a/cmd/mintkeel-lab/fleetconfig.go
+++ b/cmd/mintkeel-lab/fleetconfig.go
@@ -26,9 +26,9 @@
 	statuses   int // that operators asked for
 	noMajority int // histories that lost the folders of most voters, and are not in the other sums
 
-	catchUps  []float64 // ms from the last heal until the newest version was in force
-	afterPut  []float64 // ms from a put after that until its version was in force
-	afterTold []float64 // ms from that until a status said so
+	catchUpTimes []float64 // ms from the last heal until the newest version was in force
+	afterPut     []float64 // ms from a put after that until its version was in force
+	untilStatus  []float64 // ms from that until a status said so
 }
 
 // playConfiguration plays histories of a fleet's configuration in virtual time. The totals are
@@ -71,14 +71,14 @@
 	t.unanswered += counts.Unanswered
 	t.statuses += counts.Statuses
 	times := world.ConfigurationTimes()
-	t.catchUps = append(t.catchUps, times.CatchUp)
+	t.catchUpTimes = append(t.catchUpTimes, times.CatchUp)
 	t.afterPut = append(t.afterPut, times.AfterPut)
-	t.afterTold = append(t.afterTold, times.AfterTold)
+	t.untilStatus = append(t.untilStatus, times.AfterTold)
 }
 
 func (t *configurationTotals) print(out io.Writer, failed int, took time.Duration) {
 	fmt.Fprintf(out, "%d histories of a configuration in virtual time passed, %d failed (%v)\n",
-		len(t.catchUps), failed, took.Round(time.Second))
+		len(t.catchUpTimes), failed, took.Round(time.Second))
 	if t.noMajority > 0 {
 		fmt.Fprintf(out, "%d more broke no promise, and ended without a majority, "+
 			"as the script lost the folders of most voters\n", t.noMajority)
@@ -86,7 +86,7 @@
 	fmt.Fprintf(out, "%d versions applied; %d proposals: %d agreed, %d lost, %d refused, "+
 		"%d not answered; %d statuses\n",
 		t.applied, t.proposed, t.agreed, t.lost, t.refused, t.unanswered, t.statuses)
-	fmt.Fprintf(out, "newest in force after the last heal: %s ms\n", distribution(t.catchUps))
+	fmt.Fprintf(out, "newest in force after the last heal: %s ms\n", distribution(t.catchUpTimes))
 	fmt.Fprintf(out, "a put after that in force: %s ms\na status tells it after: %s ms\n",
-		distribution(t.afterPut), distribution(t.afterTold))
+		distribution(t.afterPut), distribution(t.untilStatus))
 }
--- a/cmd/mintkeel-lab/fleetconfigprocesses.go
+++ b/cmd/mintkeel-lab/fleetconfigprocesses.go
@@ -14,7 +14,7 @@
 // configurationProcessTotals sum up histories of the configuration of fleets of processes.
 type configurationProcessTotals struct {
 	fleet.Report           // the sums of its counts; no other field is set
-	catchUps     []float64 // ms from when all was whole until the newest version was in force
+	catchUpTimes []float64 // ms from when all was whole until the newest version was in force
 	afterPut     []float64 // ms from a put after that until its version was in force
 }
 
@@ -54,16 +54,16 @@
 	t.ConfigApplied += report.ConfigApplied
 	t.ConfigRefused += report.ConfigRefused
 	t.ConfigStatuses += report.ConfigStatuses
-	t.catchUps = append(t.catchUps, milliseconds(report.ConfigCatchUp))
+	t.catchUpTimes = append(t.catchUpTimes, milliseconds(report.ConfigCatchUp))
 	t.afterPut = append(t.afterPut, milliseconds(report.ConfigAfterPut))
 }
 
 func (t *configurationProcessTotals) print(out io.Writer, failed int) {
 	fmt.Fprintf(out, "%d histories of a configuration with processes passed, %d failed\n",
-		len(t.catchUps), failed)
+		len(t.catchUpTimes), failed)
 	fmt.Fprintf(out, "%d proposals, %d agreed; %d versions applied, "+
 		"%d refused by one that can't use them; %d statuses\n",
 		t.ConfigProposals, t.ConfigAgreed, t.ConfigApplied, t.ConfigRefused, t.ConfigStatuses)
 	fmt.Fprintf(out, "newest in force once all was whole: %s ms\na put after that in force: %s ms\n",
-		distribution(t.catchUps), distribution(t.afterPut))
+		distribution(t.catchUpTimes), distribution(t.afterPut))
 }
--- a/cmd/mintkeel-lab/fleetprocesses.go
+++ b/cmd/mintkeel-lab/fleetprocesses.go
@@ -15,10 +15,10 @@
 
 // processTotals sum up histories of fleets of processes.
 type processTotals struct {
-	fleet.Report           // the sums of its counts; no other field is set
-	recoveries   []float64 // ms from the last fault until all was whole again
-	unheld       []float64 // ms between the effects of two holders of a lease
-	maintained   []float64 // ms from when all was whole until all engines were back
+	fleet.Report               // the sums of its counts; no other field is set
+	recoveries       []float64 // ms from the last fault until all was whole again
+	unheld           []float64 // ms between the effects of two holders of a lease
+	maintenanceTimes []float64 // ms from when all was whole until all engines were back
 }
 
 // playProcesses plays histories of leases with daemons as processes.
@@ -92,7 +92,7 @@
 	t.Failed += report.Failed
 	t.Back += report.Back
 	if report.Maintained > 0 {
-		t.maintained = append(t.maintained, milliseconds(report.Maintained))
+		t.maintenanceTimes = append(t.maintenanceTimes, milliseconds(report.Maintained))
 	}
 	t.recoveries = append(t.recoveries, milliseconds(report.Whole))
 	for _, unheld := range report.Free {
@@ -114,5 +114,5 @@
 func (t *processTotals) printMaintenance(out io.Writer) {
 	fmt.Fprintf(out, "%d engines were taken out once and are back, none while too many were out, "+
 		"no command at one that was told free; after all was whole: %s ms\n",
-		t.Back, distribution(t.maintained))
+		t.Back, distribution(t.maintenanceTimes))
 }
--- a/cmd/mintkeel-lab/mutants.go
+++ b/cmd/mintkeel-lab/mutants.go
@@ -17,24 +17,24 @@
 
 // mutationTest changes a source file in one place at a time and runs the tests on each change.
 type mutationTest struct {
-	count    int    // changes that are drawn
-	seed     int64  // by which they are drawn
-	file     string // that is changed
-	funcs    []string
-	packages []string      // of which the tests are run
-	workers  int           // changes that are tested at a time
-	within   time.Duration // for the tests of one change
-	checks   bool          // leave out one check at a time, in place of changing operators
+	count       int    // changes that are drawn
+	seed        int64  // by which they are drawn
+	file        string // that is changed
+	funcs       []string
+	packages    []string      // of which the tests are run
+	workers     int           // changes that are tested at a time
+	testTimeout time.Duration // for the tests of one change
+	checks      bool          // leave out one check at a time, in place of changing operators
 }
 
 func mutantsCommand() *cobra.Command {
 	t := &mutationTest{
-		count:    90,
-		seed:     1,
-		file:     "router/eligibility.go",
-		packages: []string{"./router", "./internal/lab/simulation"},
-		workers:  max(1, runtime.NumCPU()/2),
-		within:   time.Minute,
+		count:       90,
+		seed:        1,
+		file:        "router/eligibility.go",
+		packages:    []string{"./router", "./internal/lab/simulation"},
+		workers:     max(1, runtime.NumCPU()/2),
+		testTimeout: time.Minute,
 	}
 	c := &cobra.Command{
 		Use: "mutants",
@@ -49,7 +49,7 @@
 	c.Flags().Int64Var(&t.seed, "seed", t.seed, "by which they are drawn")
 	c.Flags().IntVar(&t.workers, "workers", t.workers, "tests that run at once")
 	c.Flags().StringVar(&t.file, "file", t.file, "source file to be changed")
-	c.Flags().DurationVar(&t.within, "within", t.within, "for the tests of one change")
+	c.Flags().DurationVar(&t.testTimeout, "within", t.testTimeout, "for the tests of one change")
 	c.Flags().StringSliceVar(&t.funcs, "func", nil, "functions to be changed; all if none is named")
 	c.Flags().BoolVar(&t.checks, "checks", false,
 		"leave out one check at a time, in place of changing operators")
@@ -65,7 +65,7 @@
 	}
 	counts := map[mutants.Verdict]int{}
 	var passed []mutants.Mutant
-	err = mutants.Try(ctx, ".", drawn, t.packages, t.workers, t.within,
+	err = mutants.Try(ctx, ".", drawn, t.packages, t.workers, t.testTimeout,
 		func(m mutants.Mutant, verdict mutants.Verdict, _ string) {
 			counts[verdict]++
 			if verdict == mutants.Passed {
--- a/cmd/mintkeel-lab/restart.go
+++ b/cmd/mintkeel-lab/restart.go
@@ -16,13 +16,13 @@
 
 // restartMeasurement measures what restored statistics are worth at a restart.
 type restartMeasurement struct {
-	scene restart.Scene
-	seeds int
-	seed  int64 // the first
+	scene     restart.Scene
+	seeds     int
+	firstSeed int64 // the first
 }
 
 func restartCommand() *cobra.Command {
-	m := &restartMeasurement{scene: restart.Usual(), seeds: 6, seed: 1}
+	m := &restartMeasurement{scene: restart.Usual(), seeds: 6, firstSeed: 1}
 	scene := &m.scene
 	c := &cobra.Command{
 		Use: "restart",
@@ -35,7 +35,7 @@
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
 	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many")
-	c.Flags().Int64Var(&m.seed, "seed", m.seed, "the first")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "the first")
 	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
 	c.Flags().Float64Var(&scene.Slow, "slow", scene.Slow, "times the usual time at the slow engine")
 	c.Flags().Float64Var(&scene.Cold, "cold", scene.Cold,
@@ -54,7 +54,7 @@
 	var all []map[restart.Variant]restart.Outcome
 	for i := range m.seeds {
 		scene := m.scene
-		scene.Seed = m.seed + int64(i)
+		scene.Seed = m.firstSeed + int64(i)
 		outcomes, err := playRestartVariants(ctx, scene)
 		if err != nil {
 			return err
--- a/cmd/mintkeel-lab/rulespath.go
+++ b/cmd/mintkeel-lab/rulespath.go
@@ -13,18 +13,18 @@
 
 // rulesMeasurement measures what the operator's rules cost on the daemon's whole path.
 type rulesMeasurement struct {
-	scene  restart.Scene
-	counts []int // of rules; the first is what the others are compared with
-	turns  int
-	seed   int64 // of the first turn
+	scene     restart.Scene
+	counts    []int // of rules; the first is what the others are compared with
+	turns     int
+	firstSeed int64 // of the first turn
 }
 
 func rulesPathCommand() *cobra.Command {
 	m := &rulesMeasurement{
-		scene:  restart.Usual(),
-		counts: []int{0, 1, 10, 100, 1000, 10000},
-		turns:  5,
-		seed:   1,
+		scene:     restart.Usual(),
+		counts:    []int{0, 1, 10, 100, 1000, 10000},
+		turns:     5,
+		firstSeed: 1,
 	}
 	scene := &m.scene
 	scene.Learn = 3 * time.Second
@@ -43,7 +43,7 @@
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
 	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each number is measured")
-	c.Flags().Int64Var(&m.seed, "seed", m.seed, "of the first turn")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "of the first turn")
 	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
 	c.Flags().IntSliceVar(&m.counts, "rules", m.counts,
 		"how many; the first is what the others are compared with")
@@ -58,7 +58,7 @@
 	ratios := make([][]float64, len(m.counts))
 	benefits := make([][]float64, len(m.counts))
 	for turn := range m.turns {
-		m.scene.Seed = m.seed + int64(turn)
+		m.scene.Seed = m.firstSeed + int64(turn)
 		base := 0.0                      // ms of processor time with the first number of rules
 		for i, count := range m.counts { // one at a time: they would take each other's processors
 			cost, err := restart.Path(ctx, m.scene, restart.Ruled(count, m.scene.Groups))
--- a/cmd/mintkeel-lab/scale.go
+++ b/cmd/mintkeel-lab/scale.go
@@ -15,17 +15,17 @@
 
 // scaleRun measures how costs grow with the fleet, or prints what earlier runs measured.
 type scaleRun struct {
-	options scale.Options
-	only    []string // names of measurements; none: all
-	from    []string // files of rows that are printed in place of measuring
-	asJSON  bool
-	verbose bool          // print each figure as it is measured
-	within  time.Duration // the run ends after that, with what was measured
-	page    string        // path of the page that lists the costs known to be over their budget
+	options      scale.Options
+	only         []string // names of measurements; none: all
+	from         []string // files of rows that are printed in place of measuring
+	asJSON       bool
+	verbose      bool          // print each figure as it is measured
+	timeLimit    time.Duration // the run ends after that, with what was measured
+	capacityPage string        // path of the page that lists the costs known to be over their budget
 }
 
 func scaleCommand() *cobra.Command {
-	r := &scaleRun{within: 40 * time.Minute, page: "docs/CAPACITY.md"}
+	r := &scaleRun{timeLimit: 40 * time.Minute, capacityPage: "docs/CAPACITY.md"}
 	list := false
 	c := &cobra.Command{
 		Use: "scale",
@@ -64,8 +64,8 @@
 	c.Flags().StringSliceVar(&r.from, "from", nil,
 		"files that --json has written: their rows are printed, and nothing is measured")
 	c.Flags().BoolVar(&r.verbose, "tell", false, "print each figure as it is measured")
-	c.Flags().DurationVar(&r.within, "within", r.within, "end after so long, with what was measured")
-	c.Flags().StringVar(&r.page, "page", r.page,
+	c.Flags().DurationVar(&r.timeLimit, "within", r.timeLimit, "end after so long, with what was measured")
+	c.Flags().StringVar(&r.capacityPage, "page", r.capacityPage,
 		"the page that lists what is known to be over its budget")
 	c.AddCommand(scaleShareCommand())
 	return c
@@ -75,7 +75,7 @@
 // over their budget are listed on errs.
 func (r *scaleRun) run(ctx context.Context, measurements []scale.Measurement,
 	out, errs io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, r.within)
+	ctx, cancel := context.WithTimeout(ctx, r.timeLimit)
 	defer cancel()
 	r.options.Command = scaleShareProcess
 	if r.verbose {
@@ -89,7 +89,7 @@
 		rows, failed = scale.Run(ctx, measurements, r.options)
 	}
 	printFailed := printScaleRows(out, rows, r.asJSON)
-	return errors.Join(failed, printFailed, checkBudgets(errs, rows, r.page))
+	return errors.Join(failed, printFailed, checkBudgets(errs, rows, r.capacityPage))
 }
 
 // timestamped returns a function that writes lines with the seconds since it was made.
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -17,7 +17,7 @@
 	held          []int // queries held, where all engines are full
 	tableGroups   []int
 	steps         int           // of each row, at most
-	within        time.Duration // for the steps of a row
+	timeBudget    time.Duration // for the steps of a row
 	withReference bool          // measure the reference too
 	orderingKeys  int           // 0: none
 	controllers   int
@@ -29,7 +29,7 @@
 		held:          []int{10, 1000, 100000},
 		tableGroups:   []int{10, 1000},
 		steps:         2000,
-		within:        3 * time.Second,
+		timeBudget:    3 * time.Second,
 		withReference: true,
 		controllers:   1,
 	}
@@ -46,7 +46,7 @@
 	c.Flags().IntSliceVar(&m.held, "held", m.held, "queries held, where all engines are full")
 	c.Flags().IntSliceVar(&m.tableGroups, "tables", m.tableGroups, "table groups")
 	c.Flags().IntVar(&m.steps, "n", m.steps, "steps of each row, at the most")
-	c.Flags().DurationVar(&m.within, "within", m.within, "for the steps of a row")
+	c.Flags().DurationVar(&m.timeBudget, "within", m.timeBudget, "for the steps of a row")
 	c.Flags().BoolVar(&m.withReference, "reference", m.withReference, "measure the reference too")
 	c.Flags().IntVar(&m.orderingKeys, "keys", m.orderingKeys, "ordering keys; 0: none")
 	c.Flags().IntVar(&m.controllers, "controllers", m.controllers, "side by side")
@@ -95,7 +95,7 @@
 	)
 	rig := steps.New(scene, newModule)
 	first := rig.Run(fewest)
-	affordable := int(m.within.Seconds() * 1e6 / max(shortestStep, first.Median))
+	affordable := int(m.timeBudget.Seconds() * 1e6 / max(shortestStep, first.Median))
 	if affordable < m.steps {
 		return rig.Run(max(fewest, affordable))
 	}
--- a/cmd/mintkeel-lab/surge.go
+++ b/cmd/mintkeel-lab/surge.go
@@ -17,13 +17,13 @@
 
 // surgeMeasurement measures what a rule that marks a table group hot is worth.
 type surgeMeasurement struct {
-	scene restart.Scene
-	seeds int
-	seed  int64 // the first
+	scene     restart.Scene
+	seeds     int
+	firstSeed int64 // the first
 }
 
 func surgeCommand() *cobra.Command {
-	m := &surgeMeasurement{scene: restart.Usual(), seeds: 6, seed: 1}
+	m := &surgeMeasurement{scene: restart.Usual(), seeds: 6, firstSeed: 1}
 	scene := &m.scene
 	scene.Learn = 8 * time.Second
 	scene.Hot = 0.5
@@ -46,7 +46,7 @@
 	}
 	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
 	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many")
-	c.Flags().Int64Var(&m.seed, "seed", m.seed, "the first")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "the first")
 	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
 	c.Flags().Float64Var(&scene.Hot, "hot", scene.Hot, "share of the queries on the hot table group")
 	return c
@@ -64,7 +64,7 @@
 		all[i] = map[restart.Variant]restart.Outcome{}
 		for _, variant := range []restart.Variant{restart.Without, restart.With} {
 			scene := m.scene
-			scene.Seed = m.seed + int64(i)
+			scene.Seed = m.firstSeed + int64(i)
 			group.Go(func() {
 				slots <- true
 				defer func() { <-slots }()
