--- a/cmd/mintkeel-lab/behind.go
+++ b/cmd/mintkeel-lab/behind.go
@@ -70,7 +70,7 @@
 // play plays all seeds at one load. A blind module is not given the time that queries waited
 // before it saw them.
 func (m *overloadMeasurement) play(decisionTime, load float64, blind bool) overloadResult {
-	const decisionsOfRun = 20000 // attempts that there is time to decide in one run
+	const decisionsPerRun = 20000 // attempts that there is time to decide in one run
 	var result overloadResult
 	for seed := range int64(m.seeds) {
 		run := steps.Overload{
@@ -79,7 +79,7 @@
 			AttemptTime:        decisionTime,
 			RejectionTime:      decisionTime / 10,
 			RefusalTime:        decisionTime / 50,
-			Length:             decisionTime * decisionsOfRun,
+			Length:             decisionTime * decisionsPerRun,
 			WithoutArrivalWait: blind,
 		}
 		outcome := run.Play(newModule)
--- a/cmd/mintkeel-lab/daemon.go
+++ b/cmd/mintkeel-lab/daemon.go
@@ -121,15 +121,15 @@
 // of it, on average, so that some queries are held.
 func workOfQuery(rate float64, engines int, full bool) float64 {
 	const (
-		calmShare    = 0.1 // of what the engines can do
-		mostCalmWork = 20  // ms
-		cores        = 4   // of an engine
+		calmShare   = 0.1 // of what the engines can do
+		maxCalmWork = 20  // ms
+		cores       = 4   // of an engine
 	)
 	capacity := float64(engines) * cores * 1000 / rate
 	if full {
 		return capacity
 	}
-	return min(mostCalmWork, calmShare*capacity)
+	return min(maxCalmWork, calmShare*capacity)
 }
 
 // measureTurn measures the relay, the daemon and the other build one after the other, as they
--- a/cmd/mintkeel-lab/fleetchecks.go
+++ b/cmd/mintkeel-lab/fleetchecks.go
@@ -16,8 +16,8 @@
 // checkTestTimeout is how long the tests of one dropped check may take.
 const checkTestTimeout = 5 * time.Minute
 
-// firstFailureBytes is how much is printed of a test output that names no line of a test.
-const firstFailureBytes = 300
+// maxFailureBytes is how much is printed of a test output that names no line of a test.
+const maxFailureBytes = 300
 
 func fleetChecksCommand() *cobra.Command {
 	workers := 1
@@ -77,5 +77,5 @@
 			return strings.TrimSpace(line)
 		}
 	}
-	return strings.TrimSpace(output[:min(len(output), firstFailureBytes)])
+	return strings.TrimSpace(output[:min(len(output), maxFailureBytes)])
 }
--- a/cmd/mintkeel-lab/fleetorders.go
+++ b/cmd/mintkeel-lab/fleetorders.go
@@ -22,7 +22,7 @@
 type orderCosts struct {
 	lost      []float64 // by seed: share of the benefit that was lost
 	durations []float64 // by seed: s until all engines were back and warm; infinite if they never were
-	mostOut   int       // engines out at once
+	maxOut    int       // engines out at once
 }
 
 func fleetOrdersCommand() *cobra.Command {
@@ -65,7 +65,7 @@
 			lost, _ := restart.Around(costs.lost)
 			mean, half := restart.Around(over)
 			fmt.Fprintf(out, "| %d | %v | %.4f | %+.4f ±%.4f | %s | %d |\n", engines, policy, lost, mean,
-				half, meanDuration(costs.durations, horizon), costs.mostOut)
+				half, meanDuration(costs.durations, horizon), costs.maxOut)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		lost, took, mostOut := fleet.TakeAll(seed, engines, m.load, policy, atOnce, horizon)
 		costs.lost = append(costs.lost, lost)
 		costs.durations = append(costs.durations, took)
-		costs.mostOut = max(costs.mostOut, mostOut)
+		costs.maxOut = max(costs.maxOut, mostOut)
 	}
 	return costs
 }
--- a/cmd/mintkeel-lab/histories.go
+++ b/cmd/mintkeel-lab/histories.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 )
 
-// fewestControllers is the least number of controllers of a fleet with a size drawn from a seed.
-const fewestControllers = 3
+// minControllers is the least number of controllers of a fleet with a size drawn from a seed.
+const minControllers = 3
 
 // historyOptions say which histories of a fleet are played: each has a seed, from which its
 // faults are drawn, and a size.
@@ -25,12 +25,12 @@
 }
 
 // controllersOf is the size of the fleet of one seed. A drawn size is one of so many sizes, from
-// fewestControllers up.
+// minControllers up.
 func (o *historyOptions) controllersOf(seed, sizes int64) int {
 	if o.controllers > 0 {
 		return o.controllers
 	}
-	return fewestControllers + int(seed%sizes)
+	return minControllers + int(seed%sizes)
 }
 
 // play plays all histories, some at a time, until one returns an error or the context ends.
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -90,14 +90,14 @@
 // measure runs a few steps to learn how long one takes, and then as many as there is time for.
 func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Make) steps.Costs {
 	const (
-		fewest       = 20  // steps that are run in any case
+		minSteps     = 20  // steps that are run in any case
 		shortestStep = 0.1 // µs that a step is taken to last at least
 	)
 	rig := steps.New(scene, newModule)
-	first := rig.Run(fewest)
+	first := rig.Run(minSteps)
 	affordable := int(m.timeBudget.Seconds() * 1e6 / max(shortestStep, first.Median))
 	if affordable < m.steps {
-		return rig.Run(max(fewest, affordable))
+		return rig.Run(max(minSteps, affordable))
 	}
 	return rig.Run(m.steps)
 }
