--- a/cmd/mintkeel-lab/behind.go
+++ b/cmd/mintkeel-lab/behind.go
@@ -11,19 +11,19 @@
 	"mintkeel/internal/lab/steps"
 )
 
-// overloadMeasurement plays a controller that gets more queries than it has processor time to
+// overloadMeasurement runs a controller that receives more queries than it has processor time to
 // decide, in virtual time.
 type overloadMeasurement struct {
 	seeds         int
-	loads         []float64 // queries that arrive, over those that can be decided
-	decisionTimes []float64 // ms of processor time that an attempt takes
+	loads         []float64 // ratio of the queries that arrive to those that can be decided
+	decisionTimes []float64 // processor time of an attempt in ms
 }
 
-// overloadResult is what became of the queries of all seeds at one load.
+// overloadResult sums up the queries of all seeds at one load.
 type overloadResult struct {
-	inTime []float64 // by seed: answered in time, over those that could have been answered
-	late   []float64 // by seed: answered late, over the same
-	missed int       // no final answer before the client timeout
+	inTime []float64 // by seed: share of the answerable queries that were answered in time
+	late   []float64 // by seed: share of the answerable queries that were answered late
+	missed int       // queries without a final answer before the client timeout, over all seeds
 }
 
 func behindCommand() *cobra.Command {
@@ -34,20 +34,21 @@
 	}
 	c := &cobra.Command{
 		Use:   "behind",
-		Short: "Measure, in virtual time, what becomes of queries when more come than can be decided",
-		Long: `Measure, in virtual time, what becomes of queries when more come than can be
-decided. An attempt takes the processor so many ms, a query that is rejected a
-tenth of that, one that finds the queue full a fiftieth. Beside it the module
-that is not told how long queries waited.`,
+		Short: "Measure, in virtual time, how queries fare when more arrive than can be decided",
+		Long: `Measure, in virtual time, how queries fare when more arrive than can be decided.
+An attempt takes the processor time that --decide gives, a rejected query a
+tenth of that, and a query that finds the queue full a fiftieth. Each load is
+also run with a decision module that is not told how long queries waited.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return m.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many; medians are printed")
-	c.Flags().Float64SliceVar(&m.loads, "times", m.loads, "what comes, over what can be decided")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "number of seeds; medians are printed")
+	c.Flags().Float64SliceVar(&m.loads, "times", m.loads,
+		"ratios of the queries that arrive to those that can be decided")
 	c.Flags().Float64SliceVar(&m.decisionTimes, "decide", m.decisionTimes,
-		"ms of processor time that an attempt takes")
+		"processor times of an attempt in ms")
 	return c
 }
 
@@ -67,10 +68,10 @@
 	return ctx.Err()
 }
 
-// play plays all seeds at one load. A blind module is not given the time that queries waited
-// before it saw them.
+// play runs all seeds at one load. A blind module is not told how long queries waited before
+// they reached it.
 func (m *overloadMeasurement) play(decisionTime, load float64, blind bool) overloadResult {
-	const decisionsPerRun = 20000 // attempts that there is time to decide in one run
+	const decisionsPerRun = 20000 // attempts that can be decided within the length of a run
 	var result overloadResult
 	for seed := range int64(m.seeds) {
 		run := steps.Overload{
--- a/cmd/mintkeel-lab/daemon.go
+++ b/cmd/mintkeel-lab/daemon.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	daemonDescriptors = 16000 // that the daemon and the relay may have
+	daemonDescriptors = 16000 // descriptor limit of the daemon and of the relay
 
-	// maxFullEngines is how many engines queries of some tenths of a second can keep full.
+	// maxFullEngines bounds the engines of a row with full engines: queries that run for some
+	// tenths of a second cannot keep more of them full.
 	maxFullEngines = 20
 )
 
-// daemonMeasurement measures the processor time of a query on the daemon beside a relay.
+// daemonMeasurement compares the processor time of a query on the daemon with that on a relay.
 type daemonMeasurement struct {
 	scene     restart.Scene
 	engines   []int
@@ -27,11 +28,11 @@
 	oldDaemon string // path of another build; empty: none
 }
 
-// daemonRatios are what the turns of one row gave, one value a turn.
+// daemonRatios holds the results of one row, one value per turn.
 type daemonRatios struct {
-	// of processor time
+	// ratios of processor time
 	overRelay, oldOverRelay, oldOverNew []float64
-	// shares of the benefit
+	// shares of the highest possible benefit
 	inTime, oldInTime []float64
 }
 
@@ -51,24 +52,24 @@
 	scene.Hot = 0.05
 	c := &cobra.Command{
 		Use: "daemon",
-		Short: "Measure the processor time of a query on the whole daemon, by engines, " +
-			"beside a relay and another build",
-		Long: `Measure the processor time of a query on the whole daemon against stand-in
+		Short: "Measure the processor time of a query on the whole daemon by the number of engines, " +
+			"compared with a relay and another build",
+		Long: `Measure the processor time of a query on the whole daemon in front of emulated
 engines on loopback, as ratios to a relay that decides nothing and, with --old,
-to another build of the daemon, in one turn each. Calm is a tenth of what the
-engines can do, or the rate; full is the rate with engines that can do only a
-part of it, so that queries are held.`,
+to another build of the daemon, all in the same turn. In the state "calm" the
+queries ask for a tenth of the engines' capacity or less; in the state "full"
+they ask for all of it on average, so that some queries are held.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return m.run(c.Context(), c.OutOrStdout()) },
 	}
-	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().StringVar(&m.oldDaemon, "old", "", "another build of it to compare with")
-	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each is measured; medians are printed")
-	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "of the first turn")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
+	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "path of the daemon")
+	c.Flags().StringVar(&m.oldDaemon, "old", "", "path of another build to compare with")
+	c.Flags().IntVar(&m.turns, "turns", m.turns, "measurements of each row; medians are printed")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "seed of the first turn")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries per second")
 	c.Flags().IntVar(&scene.Clients, "clients", scene.Clients,
-		"connections of clients that are open at least")
-	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "how many")
+		"least number of open client connections")
+	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "numbers of engines")
 	return c
 }
 
@@ -116,12 +117,12 @@
 	return nil
 }
 
-// workOfQuery is the work of a query in ms on one core, at a rate in queries a second. At calm
-// engines the queries ask for a tenth of what the engines can do, or less; at full ones for all
-// of it, on average, so that some queries are held.
+// workOfQuery returns the work of a query in ms on one core, at a rate in queries per second. At
+// calm engines the queries ask for a tenth of the engines' capacity or less; at full engines for
+// all of it on average, so that some queries are held.
 func workOfQuery(rate float64, engines int, full bool) float64 {
 	const (
-		calmShare   = 0.1 // of what the engines can do
+		calmShare   = 0.1 // of the engines' capacity
 		maxCalmWork = 20  // ms
 		cores       = 4   // of an engine
 	)
@@ -132,8 +133,8 @@
 	return min(maxCalmWork, calmShare*capacity)
 }
 
-// measureTurn measures the relay, the daemon and the other build one after the other, as they
-// would take each other's processors.
+// measureTurn measures the relay, the daemon and the other build one after another, because they
+// would compete for the processors if they ran at the same time.
 func (m *daemonMeasurement) measureTurn(ctx context.Context, scene restart.Scene,
 	ratios *daemonRatios) error {
 	relayScene := scene
--- a/cmd/mintkeel-lab/distribution.go
+++ b/cmd/mintkeel-lab/distribution.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// distribution writes the median, two percentiles and the largest of some values. It sorts them.
+// distribution formats the median, the 90th and 99th percentiles and the maximum of values, which
+// it sorts in place.
 func distribution(values []float64) string {
 	if len(values) == 0 {
 		return "none"
@@ -19,7 +20,7 @@
 		quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), len(values))
 }
 
-// milliseconds is a time in ms.
+// milliseconds converts a duration to ms.
 func milliseconds(d time.Duration) float64 {
 	return float64(d) / 1e6
 }
--- a/cmd/mintkeel-lab/fleetchecks.go
+++ b/cmd/mintkeel-lab/fleetchecks.go
@@ -13,10 +13,10 @@
 	"mintkeel/internal/lab/mutants"
 )
 
-// checkTestTimeout is how long the tests of one dropped check may take.
+// checkTestTimeout bounds the tests of one dropped check.
 const checkTestTimeout = 5 * time.Minute
 
-// maxFailureBytes is how much is printed of a test output that names no line of a test.
+// maxFailureBytes bounds what is printed of a test output that names no line of a test file.
 const maxFailureBytes = 300
 
 func fleetChecksCommand() *cobra.Command {
@@ -24,20 +24,20 @@
 	name := ""
 	c := &cobra.Command{
 		Use: "checks",
-		Short: "Leave out each check that the configuration's promises rest on, " +
-			"and see that histories or the core's tests notice",
+		Short: "Drop each check that the configuration's guarantees depend on, " +
+			"and verify that the histories or the core's tests fail",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return tryDroppedChecks(c.Context(), c.OutOrStdout(), name, workers)
 		},
 	}
-	c.Flags().IntVar(&workers, "workers", workers, "at a time")
-	c.Flags().StringVar(&name, "name", name, "those with a name that holds this; empty: all")
+	c.Flags().IntVar(&workers, "workers", workers, "checks that are tested at a time")
+	c.Flags().StringVar(&name, "name", name, "only checks whose name contains this; empty: all")
 	return c
 }
 
-// tryDroppedChecks leaves out one check after another, of those with a name that contains the
-// given text, and fails if no test notices one.
+// tryDroppedChecks drops each check whose name contains the given text, one per test run, and
+// returns an error if the tests pass without one of them.
 func tryDroppedChecks(ctx context.Context, out io.Writer, name string, workers int) error {
 	var chosen []mutants.Mutant
 	names := map[string]string{} // of checks, by their mutant
@@ -64,13 +64,13 @@
 			fmt.Fprintf(out, "%v: %s\n    %s\n", verdict, names[m.String()], firstFailure(output))
 		})
 	if err == nil && missed > 0 {
-		err = fmt.Errorf("%d dropped checks were not noticed", missed)
+		err = fmt.Errorf("no test failed for %d dropped checks", missed)
 	}
 	return err
 }
 
-// firstFailure is the line of a test's output that says what failed first, or the beginning of
-// an output without such a line.
+// firstFailure returns the line of a test's output that reports the first failure, or the
+// beginning of an output without such a line.
 func firstFailure(output string) string {
 	for line := range strings.Lines(output) {
 		if strings.Contains(line, "_test.go:") {
--- a/cmd/mintkeel-lab/fleetconfig.go
+++ b/cmd/mintkeel-lab/fleetconfig.go
@@ -12,7 +12,7 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// configurationSizes are the sizes of fleets that are drawn in virtual time: 3 to 12 controllers.
+// configurationSizes is the number of fleet sizes drawn in virtual time: 3 to 12 controllers.
 const configurationSizes = 10
 
 // configurationTotals sum up histories of a fleet's configuration in virtual time.
@@ -20,19 +20,19 @@
 	applied    int // versions that came into force at a controller
 	proposed   int
 	agreed     int // proposals that were committed
-	lost       int // proposals, because another was committed first
-	refused    int // proposals
-	unanswered int // proposals
-	statuses   int // that operators asked for
-	noMajority int // histories that lost the folders of most voters, and are not in the other sums
+	lost       int // proposals that failed because another was committed first
+	refused    int // proposals that were refused
+	unanswered int // proposals without an answer
+	statuses   int // status requests of operators
+	noMajority int // histories that lost the folders of most voters; the other sums exclude them
 
 	catchUpTimes []float64 // ms from the last heal until the newest version was in force
-	afterPut     []float64 // ms from a put after that until its version was in force
-	untilStatus  []float64 // ms from that until a status said so
+	afterPut     []float64 // ms from a put after the catch-up until its version was in force
+	untilStatus  []float64 // ms from then until a status reported it
 }
 
-// playConfiguration plays histories of a fleet's configuration in virtual time. The totals are
-// printed also if the histories ended early.
+// playConfiguration runs histories of a fleet's configuration in virtual time. It prints the
+// totals even if the histories end early.
 func (r *fleetRun) playConfiguration(c *cobra.Command) error {
 	var mu sync.Mutex
 	var totals configurationTotals
--- a/cmd/mintkeel-lab/fleetconfigprocesses.go
+++ b/cmd/mintkeel-lab/fleetconfigprocesses.go
@@ -13,13 +13,13 @@
 
 // configurationProcessTotals sum up histories of the configuration of fleets of processes.
 type configurationProcessTotals struct {
-	fleet.Report           // the sums of its counts; no other field is set
-	catchUpTimes []float64 // ms from when all was whole until the newest version was in force
-	afterPut     []float64 // ms from a put after that until its version was in force
+	fleet.Report           // sums of the counts; no other field is set
+	catchUpTimes []float64 // ms from the recovery until the newest version was in force
+	afterPut     []float64 // ms from a put after the catch-up until its version was in force
 }
 
-// playConfigurationProcesses plays histories of a fleet's configuration with daemons as
-// processes. The totals are printed also if the histories ended early.
+// playConfigurationProcesses runs histories of a fleet's configuration with daemons as processes.
+// It prints the totals even if the histories end early.
 func (r *fleetRun) playConfigurationProcesses(c *cobra.Command) error {
 	daemon, remove, err := labDaemon(c.Context(), r.daemon)
 	if err != nil {
--- a/cmd/mintkeel-lab/fleetmembers.go
+++ b/cmd/mintkeel-lab/fleetmembers.go
@@ -14,7 +14,7 @@
 type memberTrouble struct {
 	name   string
 	loss   float64 // share of the messages that are lost
-	pauses bool    // each second controller pauses at times
+	pauses bool    // every other controller pauses at times
 }
 
 func fleetMembersCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 	measured := 2 * time.Minute
 	c := &cobra.Command{
 		Use: "members",
-		Short: "Measure what membership costs, and how often it is wrong, by size of the fleet, " +
+		Short: "Measure the cost of membership and its false detections by fleet size, " +
 			"in virtual time",
 		Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
@@ -31,13 +31,13 @@
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "sizes", sizes, "controllers")
-	c.Flags().Int64Var(&seed, "seed", seed, "of the histories")
-	c.Flags().DurationVar(&measured, "long", measured, "virtual time that is measured")
+	c.Flags().Int64Var(&seed, "seed", seed, "seed of the histories")
+	c.Flags().DurationVar(&measured, "long", measured, "virtual time to measure for")
 	return c
 }
 
-// measureMembers measures fleets of some sizes for some virtual time, and prints a row for each
-// size and trouble.
+// measureMembers measures fleets of the given sizes for the given virtual time, and prints a row
+// for each size and condition.
 func measureMembers(out io.Writer, sizes []int, seed int64, measured time.Duration) {
 	troubles := []memberTrouble{
 		{name: "none"},
--- a/cmd/mintkeel-lab/fleetmodel.go
+++ b/cmd/mintkeel-lab/fleetmodel.go
@@ -23,7 +23,7 @@
 	}
 	c := &cobra.Command{
 		Use:   "model",
-		Short: "Search all orders of events in a small case of leases",
+		Short: "Check all orders of events in a small model of leases",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return searchModel(c.OutOrStdout(), model)
@@ -32,17 +32,17 @@
 	c.Flags().IntVar(&model.Nodes, "nodes", model.Nodes, "controllers")
 	c.Flags().IntVar(&model.Leases, "works", model.Leases, "leases")
 	c.Flags().IntVar(&model.Horizon, "horizon", model.Horizon, "units of time; a lease has 2")
-	c.Flags().IntVar(&model.Crashes, "crashes", model.Crashes, "restarts at most")
-	c.Flags().IntVar(&model.Losses, "losses", model.Losses, "lost messages at most")
+	c.Flags().IntVar(&model.Crashes, "crashes", model.Crashes, "maximum number of restarts")
+	c.Flags().IntVar(&model.Losses, "losses", model.Losses, "maximum number of lost messages")
 	c.Flags().IntVar(&model.Leaders, "leaders", model.Leaders,
-		"changes of the quorum's leader at most")
-	c.Flags().IntVar(&model.Flight, "flight", model.Flight, "messages on their way at most")
-	c.Flags().IntVar(&model.Most, "most", model.Most, "states at most")
+		"maximum number of changes of the quorum's leader")
+	c.Flags().IntVar(&model.Flight, "flight", model.Flight, "maximum number of messages in flight")
+	c.Flags().IntVar(&model.Most, "most", model.Most, "maximum number of states")
 	return c
 }
 
-// searchModel visits all states of the model. It fails if an invariant does not hold in one, and
-// if there were too many states to visit.
+// searchModel visits all states of the model. It returns an error if an invariant does not hold
+// in one of them, or if there are more states than the model's bound.
 func searchModel(out io.Writer, model fleet.Small) error {
 	result := model.Search()
 	fmt.Fprintf(out, "%d states, %d moves between them\n", result.States, result.Moves)
@@ -50,7 +50,7 @@
 	case result.Broken != "":
 		return fmt.Errorf("%s\n%s", result.Broken, strings.Join(result.Path, "\n"))
 	case !result.Whole:
-		return fmt.Errorf("not all states were looked at: --most is %d", model.Most)
+		return fmt.Errorf("the model has more states than --most %d; not all were checked", model.Most)
 	}
 	fmt.Fprintln(out, "all states within the bounds: nothing breaks")
 	return nil
--- a/cmd/mintkeel-lab/fleetorders.go
+++ b/cmd/mintkeel-lab/fleetorders.go
@@ -11,25 +11,26 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// orderMeasurement measures what taking all engines out of service once costs, by the order.
+// orderMeasurement measures the cost of taking every engine out of service once, by the order in
+// which the engines are taken.
 type orderMeasurement struct {
 	sizes []int   // engines of a fleet
 	seeds int     // fleets of each size
-	load  float64 // share of all cores that is asked for
+	load  float64 // share of all cores that queries ask for
 }
 
-// orderCosts are the costs of one policy.
+// orderCosts holds the costs of one policy.
 type orderCosts struct {
 	lost      []float64 // by seed: share of the benefit that was lost
 	durations []float64 // by seed: s until all engines were back and warm; infinite if they never were
-	maxOut    int       // engines out at once
+	maxOut    int       // maximum number of engines out at once
 }
 
 func fleetOrdersCommand() *cobra.Command {
 	m := &orderMeasurement{sizes: []int{10, 80, 300}, seeds: 20, load: 0.6}
 	c := &cobra.Command{
 		Use: "orders",
-		Short: "Measure what taking all engines out once costs, by order and size of the fleet, " +
+		Short: "Measure the cost of taking every engine out of service once, by order and fleet size, " +
 			"in virtual time",
 		Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
@@ -39,20 +40,20 @@
 	}
 	c.Flags().IntSliceVar(&m.sizes, "sizes", m.sizes, "engines")
 	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "fleets of each size")
-	c.Flags().Float64Var(&m.load, "load", m.load, "share of all cores that is asked for")
+	c.Flags().Float64Var(&m.load, "load", m.load, "share of all cores that queries ask for")
 	return c
 }
 
-// measurePolicies prints a row for each size of a fleet and each policy, compared with the
-// policy that the daemon has, seed by seed.
+// measurePolicies prints a row for each fleet size and policy, compared seed by seed with the
+// policy that the daemon uses.
 func (m *orderMeasurement) measurePolicies(out io.Writer) {
-	const secondsPerEngine = 120 // that there are to take an engine out and back
+	const secondsPerEngine = 120 // allowed for taking an engine out and back
 	fmt.Fprintln(out, "| engines | order | benefit lost | over the settled order "+
 		"| until all were back and warm | out at once |\n| --- | --- | --- | --- | --- | --- |")
 	for _, engines := range m.sizes {
 		atOnce := max(1, engines/10)
 		horizon := float64(engines) * secondsPerEngine / float64(atOnce)
-		var settled orderCosts // of the daemon's policy, which is the first of all
+		var settled orderCosts // of the daemon's policy, which comes first in fleet.Policies
 		for _, policy := range fleet.Policies() {
 			costs := m.measurePolicy(policy, engines, atOnce, horizon)
 			if policy == fleet.Ours {
@@ -70,8 +71,8 @@
 	}
 }
 
-// measurePolicy takes all engines out once in a fleet of each seed, at most atOnce at a time,
-// within a horizon of some s.
+// measurePolicy takes every engine out of service once in the fleet of each seed, at most atOnce
+// at a time, within a horizon in s.
 func (m *orderMeasurement) measurePolicy(policy fleet.Policy, engines, atOnce int,
 	horizon float64) orderCosts {
 	var costs orderCosts
@@ -84,7 +85,7 @@
 	return costs
 }
 
-// meanDuration writes the mean of durations in s, or that one did not end within the horizon.
+// meanDuration formats the mean of durations in s, or states that one exceeded the horizon.
 func meanDuration(durations []float64, horizon float64) string {
 	mean, _ := restart.Around(durations)
 	if math.IsInf(mean, 1) {
@@ -93,8 +94,8 @@
 	return fmt.Sprintf("%.0f s", mean)
 }
 
-// measureBestOrder compares the daemon's policy with the best of all orders, in fleets so small
-// that all orders can be tried.
+// measureBestOrder compares the daemon's policy with the best of all orders, in fleets small
+// enough to try every order.
 func (m *orderMeasurement) measureBestOrder(out io.Writer) {
 	const engines = 5
 	var best, over []float64
--- a/cmd/mintkeel-lab/fleetprocesses.go
+++ b/cmd/mintkeel-lab/fleetprocesses.go
@@ -10,18 +10,18 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// maintainedEngines are the engines of a history with the maintenance script.
+// maintainedEngines is the number of engines in a history with the maintenance script.
 const maintainedEngines = 6
 
 // processTotals sum up histories of fleets of processes.
 type processTotals struct {
-	fleet.Report               // the sums of its counts; no other field is set
-	recoveries       []float64 // ms from the last fault until all was whole again
-	unheld           []float64 // ms between the effects of two holders of a lease
-	maintenanceTimes []float64 // ms from when all was whole until all engines were back
+	fleet.Report               // sums of the counts; no other field is set
+	recoveries       []float64 // ms from the last fault until the fleet had recovered
+	unheld           []float64 // ms between the effects of two successive holders of a lease
+	maintenanceTimes []float64 // ms from the recovery until all engines were back in service
 }
 
-// playProcesses plays histories of leases with daemons as processes.
+// playProcesses runs histories of leases with daemons as processes.
 func (r *fleetRun) playProcesses(c *cobra.Command) error {
 	daemon, remove, err := labDaemon(c.Context(), r.daemon)
 	if err != nil {
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// brokenHistoryError is a history of processes in which something was found broken.
+// brokenHistoryError reports a history with processes in which a checker found a fault.
 type brokenHistoryError struct {
 	scene  fleet.Scene
-	broken string // what was found
-	events string // of the history, one a line
+	broken string // the checker's finding
+	events string // events of the history, one per line
 }
 
 func (e *brokenHistoryError) Error() string {
@@ -67,8 +67,8 @@
 		e.scene.Nodes, e.scene.Voters, e.broken, e.scene.Script, e.events)
 }
 
-// playScene plays one history with processes. The error is a brokenHistoryError if something was
-// found broken, and another one if the history could not be played.
+// playScene runs one history with processes. The error is a brokenHistoryError if a checker found
+// a fault, and another one if the history could not be run.
 func (r *fleetRun) playScene(c *cobra.Command, scene fleet.Scene) (fleet.Report, error) {
 	events := r.newEventLog(c.ErrOrStderr())
 	scene.Tell = events.add
--- a/cmd/mintkeel-lab/fleetspread.go
+++ b/cmd/mintkeel-lab/fleetspread.go
@@ -19,7 +19,7 @@
 			"in virtual time",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var mu sync.Mutex // histories run beside each other
+			var mu sync.Mutex // histories run concurrently
 			options.Tell = func(format string, args ...any) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -32,18 +32,18 @@
 			return err
 		},
 	}
-	c.Flags().Int64Var(&options.Seed, "seed", options.Seed, "of the first history")
+	c.Flags().Int64Var(&options.Seed, "seed", options.Seed, "seed of the first history")
 	c.Flags().IntVar(&options.Seeds, "seeds", 5, "histories of each condition")
-	c.Flags().IntVar(&options.Changes, "changes", 40, "of each history")
-	c.Flags().IntVar(&options.Workers, "workers", 2, "histories at a time")
+	c.Flags().IntVar(&options.Changes, "changes", 40, "changes in each history")
+	c.Flags().IntVar(&options.Workers, "workers", 2, "histories that run at a time")
 	c.Flags().StringSliceVar(&options.Only, "only", nil,
-		"some conditions: at rest, 10% loss, ...; none: all")
-	c.Flags().BoolVar(&options.Largest, "largest", false, "fleets of 670 alone")
-	c.Flags().BoolVar(&options.Quick, "quick", false, "small fleets and few changes")
+		"conditions to measure: at rest, 10% loss, ...; default: all")
+	c.Flags().BoolVar(&options.Largest, "largest", false, "measure only fleets of 670 controllers")
+	c.Flags().BoolVar(&options.Quick, "quick", false, "measure small fleets and few changes")
 	return c
 }
 
-// printSpreadRow prints what one cost is at its target.
+// printSpreadRow prints the value of a row at its target size.
 func printSpreadRow(out io.Writer, row slope.Row) {
 	value, _ := row.AtTarget()
 	fmt.Fprintf(out, "| %s | %s | %s | %.0f %s at %.0f, %s | %.2f | %s |\n", row.Role, row.Cost,
--- a/cmd/mintkeel-lab/fleettakeover.go
+++ b/cmd/mintkeel-lab/fleettakeover.go
@@ -9,10 +9,10 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// takeoverMeasurement measures for how long a lease has no holder when its holder is lost.
+// takeoverMeasurement measures for how long a lease has no holder after its holder is lost.
 type takeoverMeasurement struct {
 	seeds     int       // histories of each kind
-	durations []float64 // of leases, s
+	durations []float64 // lease durations in s
 }
 
 func fleetTakeoverCommand() *cobra.Command {
@@ -20,7 +20,7 @@
 	c := &cobra.Command{
 		Use: "takeover",
 		Short: "Measure for how long a lease has no holder, by its duration and by how its holder " +
-			"was lost, beside a lock file",
+			"was lost, compared with a lock file",
 		Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			m.measureLeases(c.OutOrStdout())
@@ -28,11 +28,11 @@
 		},
 	}
 	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "histories of each kind")
-	c.Flags().Float64SliceVar(&m.durations, "leases", m.durations, "seconds")
+	c.Flags().Float64SliceVar(&m.durations, "leases", m.durations, "lease durations in seconds")
 	return c
 }
 
-// measureLeases prints a row for each duration of a lease and each way to lose its holder.
+// measureLeases prints a row for each lease duration and each way to lose the holder.
 func (m *takeoverMeasurement) measureLeases(out io.Writer) {
 	fmt.Fprintln(out, "| lease | its owner | without an owner, ms "+
 		"| late effects that were refused |\n"+
@@ -51,10 +51,10 @@
 	}
 }
 
-// measureLockFile prints what goes wrong with a lock file in place of a lease.
+// measureLockFile prints how often exclusion fails with a lock file in place of a lease.
 func (m *takeoverMeasurement) measureLockFile(out io.Writer) {
 	const (
-		historiesPerSeed = 20   // faults of a lock file are rarer than takeovers
+		historiesPerSeed = 20   // a lock file fails more rarely than a lease is taken over
 		leaseTime        = 4000 // ms
 	)
 	histories := historiesPerSeed * m.seeds
--- a/cmd/mintkeel-lab/fleetvirtual.go
+++ b/cmd/mintkeel-lab/fleetvirtual.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	fleetSizes    = 7 // sizes of fleets that are drawn: 3 to 9 controllers
-	virtualLeases = 3 // of a fleet in virtual time
+	fleetSizes    = 7 // number of fleet sizes that are drawn: 3 to 9 controllers
+	virtualLeases = 3 // leases of a fleet in virtual time
 )
 
 // virtualTotals sum up histories of leases in virtual time.
 type virtualTotals struct {
-	recoveries []float64 // ms from the last fault until all was whole again
+	recoveries []float64 // ms from the last fault until the fleet had recovered
 	unheld     []float64 // ms for which a lease had no holder
-	effects    int       // of holders of leases, at their receivers
-	overlaps   int       // times that a holder began while another still acted
-	late       int       // effects that came after their holder had stopped
+	effects    int       // effects of lease holders that receivers applied
+	overlaps   int       // times that a holder began while another was still acting
+	late       int       // effects that arrived after their holder had stopped
 }
 
-// playVirtual plays histories of leases in virtual time.
+// playVirtual runs histories of leases in virtual time.
 func (r *fleetRun) playVirtual(c *cobra.Command) error {
 	var mu sync.Mutex
 	var totals virtualTotals
--- a/cmd/mintkeel-lab/histories.go
+++ b/cmd/mintkeel-lab/histories.go
@@ -9,23 +9,23 @@
 	"sync/atomic"
 )
 
-// minControllers is the least number of controllers of a fleet with a size drawn from a seed.
+// minControllers is the smallest fleet size drawn from a seed.
 const minControllers = 3
 
-// historyOptions say which histories of a fleet are played: each has a seed, from which its
-// faults are drawn, and a size.
+// historyOptions select the histories of a fleet to run. Each history has a size and a seed, from
+// which its faults are drawn.
 type historyOptions struct {
 	count       int
 	controllers int // of each fleet; 0: drawn from the seed
-	faults      int // of each history
-	parallel    int // histories at a time
+	faults      int // per history
+	parallel    int // histories that run at a time
 	firstSeed   int64
-	keepGoing   bool // play all histories, whatever fails
+	keepGoing   bool // run all histories even if some fail
 	verbose     bool // print each fault as it happens
 }
 
-// controllersOf is the size of the fleet of one seed. A drawn size is one of so many sizes, from
-// minControllers up.
+// controllersOf returns the fleet size for a seed: the given one or, if there is none, one of
+// sizes consecutive sizes from minControllers up.
 func (o *historyOptions) controllersOf(seed, sizes int64) int {
 	if o.controllers > 0 {
 		return o.controllers
@@ -33,7 +33,7 @@
 	return minControllers + int(seed%sizes)
 }
 
-// play plays all histories, some at a time, until one returns an error or the context ends.
+// play runs all histories, some at a time, until one returns an error or the context ends.
 func (o *historyOptions) play(ctx context.Context, playOne func(seed int64) error) error {
 	var started atomic.Int64
 	var mu sync.Mutex
@@ -64,15 +64,15 @@
 	return failed
 }
 
-// failureLog counts the histories that broke, where the others are played nevertheless. Calls of
-// its methods must not overlap.
+// failureLog counts the failed histories when keepGoing is set. Calls of its methods must not
+// overlap.
 type failureLog struct {
 	keepGoing bool
 	out       io.Writer // failures are printed here
 	count     int
 }
 
-// add takes in that a history broke. It returns the failure if no other history is to be played.
+// add records the failure of a history. It returns the failure if no further history is to run.
 func (l *failureLog) add(failure error) error {
 	if !l.keepGoing {
 		return failure
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// result is the error of all histories, given the one that ended them early, if any.
+// result returns the overall error of the histories, given the error that ended them early or nil.
 func (l *failureLog) result(err error, histories int) error {
 	if err == nil && l.count > 0 {
 		return fmt.Errorf("%d of %d histories failed", l.count, histories)
@@ -90,14 +90,14 @@
 	return err
 }
 
-// eventLog keeps what happened in one history, which is printed if the history breaks.
+// eventLog records the events of one history, which are printed if the history fails.
 type eventLog struct {
-	verbose io.Writer // gets each line as it happens; nil: none
+	verbose io.Writer // receives each line as it is added; nil: disabled
 	mu      sync.Mutex
 	lines   []string
 }
 
-// newEventLog makes the log of one history.
+// newEventLog creates the log of one history, which also writes to out if verbose is set.
 func (o *historyOptions) newEventLog(out io.Writer) *eventLog {
 	if !o.verbose {
 		return &eventLog{}
@@ -105,7 +105,7 @@
 	return &eventLog{verbose: out}
 }
 
-// add takes in a line.
+// add appends a line.
 func (l *eventLog) add(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/mintkeel-lab/histories_test.go
+++ b/cmd/mintkeel-lab/histories_test.go
@@ -11,8 +11,8 @@
 
 var errBroken = errors.New("two holders at once")
 
-// A history breaks, and --go-on is not set: its failure is that of the command, and histories that
-// have not begun by then are not played.
+// Without --go-on, the failure of a history is the error of the command, and histories that have
+// not started by then do not run.
 func TestHistoriesEndAtTheFirstFailure(t *testing.T) {
 	options := historyOptions{count: 10, parallel: 1, firstSeed: 5}
 	failures := failureLog{}
@@ -25,15 +25,15 @@
 		return nil
 	})
 	if err := failures.result(err, options.count); !errors.Is(err, errBroken) {
-		t.Errorf("error %v, not that of the broken history", err)
+		t.Errorf("error %v, want that of the failed history", err)
 	}
 	if last.Load() != 7 {
-		t.Errorf("the last history played has seed %d, not 7", last.Load())
+		t.Errorf("the last history that ran has seed %d, want 7", last.Load())
 	}
 }
 
-// Two histories break with --go-on: all are played, both failures are printed, and the command
-// fails in the end.
+// With --go-on and two failing histories, all histories run, both failures are printed, and the
+// command fails at the end.
 func TestHistoriesGoOnAfterFailures(t *testing.T) {
 	options := historyOptions{count: 10, parallel: 1, firstSeed: 5}
 	var out bytes.Buffer
@@ -48,17 +48,17 @@
 	})
 	err = failures.result(err, options.count)
 	if err == nil || err.Error() != "2 of 10 histories failed" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want \"2 of 10 histories failed\"", err)
 	}
 	if played != 10 {
-		t.Errorf("%d histories played, not 10", played)
+		t.Errorf("%d histories ran, want 10", played)
 	}
 	if want := "two holders at once\ntwo holders at once\n"; out.String() != want {
-		t.Errorf("printed %q, not %q", out.String(), want)
+		t.Errorf("printed %q, want %q", out.String(), want)
 	}
 }
 
-// The command is interrupted: the histories end, and the interruption is the error.
+// When the context is cancelled, the histories end and the cancellation is the error.
 func TestHistoriesEndWithTheContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	options := historyOptions{count: 10, parallel: 2, firstSeed: 1}
@@ -69,10 +69,10 @@
 		return nil
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 	if played.Load() > 2 {
-		t.Errorf("%d histories played after the end", played.Load())
+		t.Errorf("%d histories ran with a cancelled context, want at most 2", played.Load())
 	}
 }
 
@@ -80,27 +80,27 @@
 	var drawn historyOptions
 	for seed, want := range map[int64]int{0: 3, 6: 9, 7: 3, 8: 4} {
 		if got := drawn.controllersOf(seed, fleetSizes); got != want {
-			t.Errorf("seed %d: %d controllers, not %d", seed, got, want)
+			t.Errorf("seed %d: %d controllers, want %d", seed, got, want)
 		}
 	}
 	given := historyOptions{controllers: 5}
 	if got := given.controllersOf(8, fleetSizes); got != 5 {
-		t.Errorf("%d controllers where 5 are asked for", got)
+		t.Errorf("%d controllers, want the given size 5", got)
 	}
 }
 
 func TestDistribution(t *testing.T) {
 	if got := distribution(nil); got != "none" {
-		t.Errorf("of nothing: %q", got)
+		t.Errorf("distribution of no values: %q, want \"none\"", got)
 	}
 	var values []float64
 	for i := range 100 {
 		values = append(values, float64(99-i))
 	}
 	if got, want := distribution(values), "median 50, 90th 90, 99th 99, most 99 of 100"; got != want {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("distribution %q, want %q", got, want)
 	}
 	if got := milliseconds(1500 * time.Microsecond); got != 1.5 {
-		t.Errorf("1500 µs are %g ms", got)
+		t.Errorf("1500 µs converted to %g ms, want 1.5", got)
 	}
 }
--- a/cmd/mintkeel-lab/kills.go
+++ b/cmd/mintkeel-lab/kills.go
@@ -23,8 +23,8 @@
 	childFolder := ""
 	c := &cobra.Command{
 		Use: "kills",
-		Short: "Kill processes that write snapshots all the time, " +
-			"and see whether what they left can be trusted",
+		Short: "Kill processes that write snapshots continuously, " +
+			"and check whether the files that they leave can be trusted",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if childFolder != "" {
@@ -33,15 +33,15 @@
 			return killWriters(c.Context(), c.OutOrStdout(), count, seed)
 		},
 	}
-	c.Flags().IntVar(&count, "kills", count, "how many")
-	c.Flags().Int64Var(&seed, "seed", seed, "of the moments at which they come")
-	c.Flags().StringVar(&childFolder, "child", "", "be the process that is killed, in this folder")
+	c.Flags().IntVar(&count, "kills", count, "number of kills")
+	c.Flags().Int64Var(&seed, "seed", seed, "seed of the times of the kills")
+	c.Flags().StringVar(&childFolder, "child", "", "run as the process to be killed, in this folder")
 	c.Flags().MarkHidden("child")
 	return c
 }
 
-// killWriters kills child processes of this program, on half of the processors, and prints what
-// their folders held.
+// killWriters kills child processes of this program, using half of the processors, and prints
+// what their folders contained.
 func killWriters(ctx context.Context, out io.Writer, count int, seed int64) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -68,7 +68,7 @@
 	group.Wait()
 	fmt.Fprintln(out, total)
 	if failed == nil && total.Bad() {
-		failed = errors.New("what was left can't be trusted")
+		failed = errors.New("a killed process left a snapshot that can't be trusted")
 	}
 	return failed
 }
--- a/cmd/mintkeel-lab/labdaemon.go
+++ b/cmd/mintkeel-lab/labdaemon.go
@@ -10,9 +10,8 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// labDaemon returns the path of a daemon with the rigs' fault injection: the given one or, if
-// that is empty, one that is built from the sources here. The caller calls remove when no daemon
-// runs any more.
+// labDaemon returns the path of a daemon with fault injection: the given one or, if that is
+// empty, one built from the sources here. The caller must call remove after the last daemon ends.
 func labDaemon(ctx context.Context, path string) (binary string, remove func(), err error) {
 	if path != "" {
 		return path, func() {}, nil
@@ -30,19 +29,19 @@
 	return binary, remove, nil
 }
 
-// buildLabDaemon builds the daemon with the rigs' fault injection into a folder.
+// buildLabDaemon builds the daemon with fault injection into a folder and returns its path.
 func buildLabDaemon(ctx context.Context, folder string) (string, error) {
 	binary := filepath.Join(folder, "mintkeel")
 	build := exec.CommandContext(ctx,
 		"go", "build", "-tags", "mintkeel_lab", "-o", binary, "mintkeel/cmd/mintkeel")
 	if output, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the lab's daemon: %w\n%s", err, output)
+		return "", fmt.Errorf("building the daemon with fault injection: %w\n%s", err, output)
 	}
 	return binary, nil
 }
 
-// makeDaemonPathAbsolute resolves the path of a scene's daemon. A name without a folder is a file
-// of the working directory then; as it stands it would be looked up in PATH.
+// makeDaemonPathAbsolute resolves the path of a scene's daemon against the working directory.
+// Without that, a name without a folder would be looked up in PATH.
 func makeDaemonPathAbsolute(scene *restart.Scene) error {
 	path, err := filepath.Abs(scene.Mintkeel)
 	if err != nil {
--- a/cmd/mintkeel-lab/main.go
+++ b/cmd/mintkeel-lab/main.go
@@ -22,18 +22,18 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "mintkeel-lab",
-		Short:         "The rigs on which mintkeel is tested and measured",
+		Short:         "Run the rigs that test and measure mintkeel",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	// Checks that end with an error if something is wrong.
+	// Checks, which end with an error if they find a fault.
 	root.AddCommand(simulateCommand(), mutantsCommand(), killsCommand(), rulesFuzzCommand())
 	// Measurements of the decision module and of the daemon.
 	root.AddCommand(behindCommand(), stepsCommand(), rulesPathCommand(), daemonCommand())
 	root.AddCommand(relayCommand(), restartCommand(), surgeCommand())
-	// Many controllers.
+	// Checks and measurements of many controllers.
 	root.AddCommand(fleetCommand(), scaleCommand())
-	// A first run of the daemon without engines.
+	// A trial of the daemon with emulated engines.
 	root.AddCommand(playgroundCommand(), queryCommand())
 	return root
 }
--- a/cmd/mintkeel-lab/mutants.go
+++ b/cmd/mintkeel-lab/mutants.go
@@ -15,16 +15,16 @@
 	"mintkeel/internal/lab/mutants"
 )
 
-// mutationTest changes a source file in one place at a time and runs the tests on each change.
+// mutationTest changes a source file in one place at a time and runs the tests on each mutant.
 type mutationTest struct {
-	count       int    // changes that are drawn
-	seed        int64  // by which they are drawn
-	file        string // that is changed
+	count       int    // mutants to draw
+	seed        int64  // of the draw
+	file        string // source file to change
 	funcs       []string
-	packages    []string      // of which the tests are run
-	workers     int           // changes that are tested at a time
-	testTimeout time.Duration // for the tests of one change
-	checks      bool          // leave out one check at a time, in place of changing operators
+	packages    []string      // packages whose tests are run
+	workers     int           // mutants that are tested at a time
+	testTimeout time.Duration // for the tests of one mutant
+	checks      bool          // drop one check at a time instead of changing operators
 }
 
 func mutantsCommand() *cobra.Command {
@@ -38,23 +38,23 @@
 	}
 	c := &cobra.Command{
 		Use: "mutants",
-		Short: "Change one operator of the module at a time and see whether a test notices; " +
+		Short: "Change one operator of the module at a time and check whether a test fails; " +
 			"run at the repository's root",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return t.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().IntVar(&t.count, "n", t.count, "how many")
-	c.Flags().Int64Var(&t.seed, "seed", t.seed, "by which they are drawn")
-	c.Flags().IntVar(&t.workers, "workers", t.workers, "tests that run at once")
-	c.Flags().StringVar(&t.file, "file", t.file, "source file to be changed")
-	c.Flags().DurationVar(&t.testTimeout, "within", t.testTimeout, "for the tests of one change")
-	c.Flags().StringSliceVar(&t.funcs, "func", nil, "functions to be changed; all if none is named")
+	c.Flags().IntVar(&t.count, "n", t.count, "number of mutants to draw")
+	c.Flags().Int64Var(&t.seed, "seed", t.seed, "seed of the draw")
+	c.Flags().IntVar(&t.workers, "workers", t.workers, "mutants that are tested at a time")
+	c.Flags().StringVar(&t.file, "file", t.file, "source file to change")
+	c.Flags().DurationVar(&t.testTimeout, "within", t.testTimeout,
+		"timeout for the tests of one mutant")
+	c.Flags().StringSliceVar(&t.funcs, "func", nil, "functions to change; default: all")
 	c.Flags().BoolVar(&t.checks, "checks", false,
-		"leave out one check at a time, in place of changing operators")
-	c.Flags().StringSliceVar(&t.packages, "packages", t.packages,
-		"packages of which the tests are run")
+		"drop one check at a time instead of changing operators")
+	c.Flags().StringSliceVar(&t.packages, "packages", t.packages, "packages whose tests are run")
 	return c
 }
 
@@ -82,7 +82,7 @@
 	return err
 }
 
-// draw chooses the changes to be tested.
+// draw chooses the mutants to test.
 func (t *mutationTest) draw() ([]mutants.Mutant, error) {
 	list := mutants.All
 	if t.checks {
@@ -99,7 +99,7 @@
 	}
 	drawn := mutants.Some(all, t.count, t.seed)
 	if len(drawn) == 0 {
-		return nil, errors.New("no operator to be changed")
+		return nil, errors.New("the chosen functions have nothing to change")
 	}
 	return drawn, nil
 }
--- a/cmd/mintkeel-lab/playground.go
+++ b/cmd/mintkeel-lab/playground.go
@@ -12,8 +12,8 @@
 	"mintkeel/internal/lab/playground"
 )
 
-// playgroundAddress is where the playground's controller listens and where query connects to,
-// unless flags say otherwise.
+// playgroundAddress is the default address on which the playground's controller listens and to
+// which the command query connects.
 const playgroundAddress = "127.0.0.1:8443"
 
 func playgroundCommand() *cobra.Command {
@@ -27,15 +27,16 @@
 			return runPlayground(c.Context(), c.OutOrStdout(), options)
 		},
 	}
-	c.Flags().StringVar(&options.Folder, "folder", options.Folder, "for the configuration")
-	c.Flags().StringVar(&options.Listen, "listen", options.Listen, "where the controller is to listen")
+	c.Flags().StringVar(&options.Folder, "folder", options.Folder, "folder for the configuration")
+	c.Flags().StringVar(&options.Listen, "listen", options.Listen, "listen address of the controller")
 	c.Flags().IntVar(&options.Engines, "engines", options.Engines,
-		fmt.Sprintf("1 to %d", playground.MaxEngines))
-	c.Flags().Int64Var(&options.Seed, "seed", options.Seed, "of the engines and the controller")
+		fmt.Sprintf("number of engines, 1 to %d", playground.MaxEngines))
+	c.Flags().Int64Var(&options.Seed, "seed", options.Seed, "seed of the engines and the controller")
 	return c
 }
 
-// runPlayground runs the engines until the context ends, and then prints the attempts of each.
+// runPlayground runs the engines until the context ends, and then prints the attempts that each
+// engine received.
 func runPlayground(ctx context.Context, out io.Writer, options playground.Options) error {
 	running, err := playground.Start(ctx, options)
 	if err != nil {
--- a/cmd/mintkeel-lab/query.go
+++ b/cmd/mintkeel-lab/query.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// answerNames are the glossary's terms for the answers of a controller.
+// answerNames maps the answers of a controller to the glossary's terms.
 var answerNames = map[standin.Verdict]string{
 	standin.Answered: "succeeded",
 	standin.Shed:     "rejected",
@@ -28,7 +28,7 @@
 	}
 	c := &cobra.Command{
 		Use:   "query",
-		Short: "Send a query to a controller of a playground, and print what it was answered",
+		Short: "Send a query to a controller of a playground, and print its answer",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			verdict, took, err := playground.Query(c.Context(), address, statement, deadline)
@@ -40,11 +40,11 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&address, "connect", address, "where the controller listens")
+	c.Flags().StringVar(&address, "connect", address, "address of the controller")
 	c.Flags().StringVar(&statement.Class, "class", statement.Class,
 		"query class: "+strings.Join(playground.Classes(), ", "))
-	c.Flags().DurationVar(&statement.Work, "work", statement.Work, "what the query asks of an engine")
-	c.Flags().StringVar(&statement.Tables, "tables", statement.Tables, "that it reads")
-	c.Flags().DurationVar(&deadline, "deadline", deadline, "of the query")
+	c.Flags().DurationVar(&statement.Work, "work", statement.Work, "work of the query at an engine")
+	c.Flags().StringVar(&statement.Tables, "tables", statement.Tables, "tables that the query reads")
+	c.Flags().DurationVar(&deadline, "deadline", deadline, "deadline of the query")
 	return c
 }
--- a/cmd/mintkeel-lab/relay.go
+++ b/cmd/mintkeel-lab/relay.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/limits"
 )
 
-// What the relay is granted: as many descriptors as the daemon that it is compared with.
+// Limits of the relay. It may use as many descriptors as the daemon that it is compared with.
 const (
 	relayDescriptors = daemonDescriptors
 	relayMemoryMB    = 2048
@@ -20,7 +20,7 @@
 	var listen, engine string
 	c := &cobra.Command{
 		Use:    "relay",
-		Short:  "Pass queries to one engine without deciding: what a controller is measured against",
+		Short:  "Forward queries to one engine without decisions, the baseline for a controller",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -33,7 +33,7 @@
 			return relay.Serve(c.Context(), listener, engine, []string{"lookup", "report"}, granted)
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "", "where clients connect")
-	c.Flags().StringVar(&engine, "engine", "", "where all queries go")
+	c.Flags().StringVar(&listen, "listen", "", "listen address for clients")
+	c.Flags().StringVar(&engine, "engine", "", "address of the engine")
 	return c
 }
--- a/cmd/mintkeel-lab/restart.go
+++ b/cmd/mintkeel-lab/restart.go
@@ -14,11 +14,11 @@
 	"mintkeel/internal/memory"
 )
 
-// restartMeasurement measures what restored statistics are worth at a restart.
+// restartMeasurement measures the benefit of restored statistics at a restart.
 type restartMeasurement struct {
 	scene     restart.Scene
 	seeds     int
-	firstSeed int64 // the first
+	firstSeed int64
 }
 
 func restartCommand() *cobra.Command {
@@ -26,26 +26,27 @@
 	scene := &m.scene
 	c := &cobra.Command{
 		Use: "restart",
-		Short: "Measure what restored statistics are worth at a restart, " +
-			"with real daemons and stand-in engines on loopback",
+		Short: "Measure the benefit of restored statistics at a restart, " +
+			"with real daemons and emulated engines on loopback",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return m.run(c.Context(), c.OutOrStdout(), c.ErrOrStderr())
 		},
 	}
-	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many")
-	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "the first")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
-	c.Flags().Float64Var(&scene.Slow, "slow", scene.Slow, "times the usual time at the slow engine")
+	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "path of the daemon")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "number of seeds")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "first seed")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries per second")
+	c.Flags().Float64Var(&scene.Slow, "slow", scene.Slow,
+		"factor by which the slow engine takes longer than the others")
 	c.Flags().Float64Var(&scene.Cold, "cold", scene.Cold,
-		"times the work of a query with tables that are not warm")
-	c.Flags().DurationVar(&scene.Learn, "learn", scene.Learn, "time ahead of the restart")
-	c.Flags().DurationVar(&scene.Measure, "measure", 10*time.Second, "time after it")
+		"factor by which a query takes more work if its tables are not warm")
+	c.Flags().DurationVar(&scene.Learn, "learn", scene.Learn, "time before the restart")
+	c.Flags().DurationVar(&scene.Measure, "measure", 10*time.Second, "time after the restart")
 	return c
 }
 
-// run measures each seed, prints its figures to progress and in the end the table to out.
+// run measures each seed, prints its figures to progress and, at the end, the table to out.
 func (m *restartMeasurement) run(ctx context.Context, out, progress io.Writer) error {
 	if err := makeDaemonPathAbsolute(&m.scene); err != nil {
 		return err
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// playRestartVariants plays all variants of a scene beside each other, so that noise of the
-// machine affects all of them alike.
+// playRestartVariants runs all variants of a scene at the same time, so that noise of the machine
+// affects all of them alike.
 func playRestartVariants(ctx context.Context, scene restart.Scene) (
 	map[restart.Variant]restart.Outcome, error) {
 	outcomes := map[restart.Variant]restart.Outcome{}
--- a/cmd/mintkeel-lab/rulesfuzz.go
+++ b/cmd/mintkeel-lab/rulesfuzz.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	brokenInterval    = 4 // one of so many expressions is broken before it is compiled
-	valueTypes        = 4 // values of match.Type
-	expressionDepths  = 7 // depths that an expression is drawn with: 0 to 6
-	rowsPerExpression = 4 // rows that each expression is evaluated on
-	maxConfirmations  = 5 // further evaluations that confirm a longest time
+	brokenInterval    = 4 // every brokenInterval-th expression is broken before it is compiled
+	valueTypes        = 4 // number of values of match.Type
+	expressionDepths  = 7 // number of depths drawn for an expression: 0 to 6
+	rowsPerExpression = 4 // rows on which each expression is evaluated
+	maxConfirmations  = 5 // further evaluations that confirm a new longest time
 )
 
-// fuzzTally counts what became of random expressions.
+// fuzzTally counts the outcomes of random expressions.
 type fuzzTally struct {
-	compiled      int // well-typed
-	tooExpensive  int // well-typed, and refused as too long or of too many steps
-	refused       int // broken
-	stillValid    int // broken, and an expression all the same
+	compiled      int // well-typed expressions that compiled
+	tooExpensive  int // well-typed expressions that were refused as too long or of too many steps
+	refused       int // broken expressions that were refused
+	stillValid    int // broken expressions that compiled
 	evaluations   int
-	wrong         []string // expressions with a wrong value or a wrong reason of their refusal
+	wrong         []string // expressions with a wrong value or a wrong reason for their refusal
 	slowest       time.Duration
 	slowestSource string
 	mostSteps     int // of one expression
@@ -44,24 +44,25 @@
 	c := &cobra.Command{
 		Use: "rules-fuzz",
 		Short: "Compile and evaluate random expressions, well-typed and broken, " +
-			"beside a plain evaluation",
+			"and compare with a direct evaluation",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			tally := fuzzExpressions(c.Context(), count, seed)
 			tally.print(c.OutOrStdout())
 			if len(tally.wrong) > 0 {
-				return fmt.Errorf("%d expressions are wrong, the first: %.500s", len(tally.wrong),
+				return fmt.Errorf("%d expressions gave a wrong result, the first: %.500s", len(tally.wrong),
 					tally.wrong[0])
 			}
 			return nil
 		},
 	}
-	c.Flags().IntVar(&count, "n", count, "how many")
-	c.Flags().Int64Var(&seed, "seed", seed, "by which they are drawn")
+	c.Flags().IntVar(&count, "n", count, "number of expressions")
+	c.Flags().Int64Var(&seed, "seed", seed, "seed of the draw")
 	return c
 }
 
-// fuzzExpressions tries expressions on half of the processors, each with a seed of its own.
+// fuzzExpressions tries expressions with one worker on each of half of the processors. Each
+// worker has a seed of its own.
 func fuzzExpressions(ctx context.Context, count int, seed int64) *fuzzTally {
 	workers := max(1, runtime.NumCPU()/2)
 	var mu sync.Mutex
@@ -130,8 +131,8 @@
 	}
 }
 
-// evaluate evaluates an expression on a row and keeps the longest time. A new longest time is
-// confirmed by further evaluations, as the process may have been suspended meanwhile.
+// evaluate evaluates an expression on a row and records the longest time. A new longest time is
+// confirmed by further evaluations, because the process may have been suspended during the first.
 func (t *fuzzTally) evaluate(expression *match.Expr, source string, row match.Row,
 	scratch *match.Scratch) any {
 	took, value := timeEvaluation(expression, row, scratch)
@@ -169,8 +170,8 @@
 		t.mostSteps, t.slowest, t.slowestSource)
 }
 
-// timeEvaluation evaluates a compiled expression. A text is copied outside the time measured, as
-// it may lie in the scratch memory.
+// timeEvaluation evaluates a compiled expression and returns the time taken. A text is copied
+// after the time is taken, because it may lie in the scratch memory.
 func timeEvaluation(expression *match.Expr, row match.Row,
 	scratch *match.Scratch) (time.Duration, any) {
 	began := time.Now()
@@ -187,7 +188,7 @@
 	return time.Since(began), value
 }
 
-// evaluateTree evaluates the drawn tree itself, without the matching language.
+// evaluateTree evaluates the drawn expression tree directly, without the matching language.
 func evaluateTree(tree *exprs.Expr, row match.Row) any {
 	switch tree.Type {
 	case match.Bool:
--- a/cmd/mintkeel-lab/rulespath.go
+++ b/cmd/mintkeel-lab/rulespath.go
@@ -11,10 +11,10 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// rulesMeasurement measures what the operator's rules cost on the daemon's whole path.
+// rulesMeasurement measures the cost of the operator's rules on the daemon's whole data path.
 type rulesMeasurement struct {
 	scene     restart.Scene
-	counts    []int // of rules; the first is what the others are compared with
+	counts    []int // numbers of rules; the first is the baseline
 	turns     int
 	firstSeed int64 // of the first turn
 }
@@ -34,19 +34,19 @@
 	scene.Engines = 12
 	c := &cobra.Command{
 		Use: "rules-path",
-		Short: "Measure what rules cost on the daemon's whole path, by their number, " +
-			"as ratios to none in the same turn",
+		Short: "Measure the cost of rules on the daemon's whole data path, by their number, " +
+			"as ratios to the first number in the same turn",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return m.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().IntVar(&m.turns, "turns", m.turns, "how often each number is measured")
-	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "of the first turn")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
+	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "path of the daemon")
+	c.Flags().IntVar(&m.turns, "turns", m.turns, "measurements of each number of rules")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "seed of the first turn")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries per second")
 	c.Flags().IntSliceVar(&m.counts, "rules", m.counts,
-		"how many; the first is what the others are compared with")
+		"numbers of rules; the first is the baseline")
 	return c
 }
 
@@ -54,13 +54,13 @@
 	if err := makeDaemonPathAbsolute(&m.scene); err != nil {
 		return err
 	}
-	// By the place of the count in m.counts, one value a turn.
+	// Indexed as m.counts, with one value per turn.
 	ratios := make([][]float64, len(m.counts))
 	benefits := make([][]float64, len(m.counts))
 	for turn := range m.turns {
 		m.scene.Seed = m.firstSeed + int64(turn)
 		base := 0.0                      // ms of processor time with the first number of rules
-		for i, count := range m.counts { // one at a time: they would take each other's processors
+		for i, count := range m.counts { // one at a time: runs would compete for the processors
 			cost, err := restart.Path(ctx, m.scene, restart.Ruled(count, m.scene.Groups))
 			if err != nil {
 				return err
--- a/cmd/mintkeel-lab/scale.go
+++ b/cmd/mintkeel-lab/scale.go
@@ -13,15 +13,15 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// scaleRun measures how costs grow with the fleet, or prints what earlier runs measured.
+// scaleRun measures how costs grow with the fleet size, or prints the rows of earlier runs.
 type scaleRun struct {
 	options      scale.Options
-	only         []string // names of measurements; none: all
-	from         []string // files of rows that are printed in place of measuring
+	only         []string // names of measurements; empty: all
+	from         []string // files whose rows are printed instead of measuring
 	asJSON       bool
 	verbose      bool          // print each figure as it is measured
-	timeLimit    time.Duration // the run ends after that, with what was measured
-	capacityPage string        // path of the page that lists the costs known to be over their budget
+	timeLimit    time.Duration // the run ends after this time with the rows measured so far
+	capacityPage string        // page that lists the costs known to be over their budget
 }
 
 func scaleCommand() *cobra.Command {
@@ -29,16 +29,17 @@
 	list := false
 	c := &cobra.Command{
 		Use: "scale",
-		Short: "Measure how each cost grows with the fleet, and tell what 670 controllers " +
-			"before 1,100 engines cost",
-		Long: `Measure how each cost grows with the fleet, and tell what 670 controllers before
-1,100 engines cost: for each row the sizes measured, the fitted slope with its
-residual, and the value at the target beside the operators' budget. --quick
-measures small fleets alone, within a minute on two cores.
+		Short: "Measure how each cost grows with the fleet size, and report the costs of " +
+			"670 controllers in front of 1,100 engines",
+		Long: `Measure how each cost grows with the fleet size, and report the costs of 670
+controllers in front of 1,100 engines: for each row the sizes measured, the
+fitted slope with its residual, and the value at the target size with the
+operators' budget. --quick measures only small fleets, within a minute on two
+cores.
 
-It ends with 1 if something could not be measured, or if a row that was measured
-at its target is over its budget and the page of the fleet's capacity does not
-list it in a line as "over budget: ROLE: COST (CONDITION)".`,
+The exit code is 1 if a measurement failed, or if a row that was measured at its
+target size is over its budget and the capacity page does not list it in a line
+of the form "over budget: ROLE: COST (CONDITION)".`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			measurements, err := scale.Select(r.only)
@@ -54,25 +55,27 @@
 			return r.run(c.Context(), measurements, c.OutOrStdout(), c.ErrOrStderr())
 		},
 	}
-	c.Flags().BoolVar(&r.options.Quick, "quick", false, "small fleets alone, beside each other")
-	c.Flags().Int64Var(&r.options.Seed, "seed", 1, "of the first history in virtual time")
+	c.Flags().BoolVar(&r.options.Quick, "quick", false,
+		"measure only small fleets, all at the same time")
+	c.Flags().Int64Var(&r.options.Seed, "seed", 1, "seed of the first history in virtual time")
 	c.Flags().IntSliceVar(&r.options.Sizes, "sizes", nil,
-		"of the fleets of hollow controllers; none: 30, 100, 300, 670, or small ones")
-	c.Flags().StringSliceVar(&r.only, "only", nil, "measurements, as --list names them")
+		"sizes of the fleets of hollow controllers; default: 30, 100, 300, 670; smaller with --quick")
+	c.Flags().StringSliceVar(&r.only, "only", nil, "measurements to run, as --list names them")
 	c.Flags().BoolVar(&list, "list", false, "list the measurements")
 	c.Flags().BoolVar(&r.asJSON, "json", false, "print the rows with all points as JSON")
 	c.Flags().StringSliceVar(&r.from, "from", nil,
-		"files that --json has written: their rows are printed, and nothing is measured")
+		"files written with --json, whose rows are printed instead of measuring")
 	c.Flags().BoolVar(&r.verbose, "tell", false, "print each figure as it is measured")
-	c.Flags().DurationVar(&r.timeLimit, "within", r.timeLimit, "end after so long, with what was measured")
+	c.Flags().DurationVar(&r.timeLimit, "within", r.timeLimit,
+		"time limit, after which the run ends with the rows measured so far")
 	c.Flags().StringVar(&r.capacityPage, "page", r.capacityPage,
-		"the page that lists what is known to be over its budget")
+		"page that lists the costs known to be over their budget")
 	c.AddCommand(scaleShareCommand())
 	return c
 }
 
-// run measures or reads the rows and prints them, also those of a run that failed later. Rows
-// over their budget are listed on errs.
+// run measures or reads the rows and prints them, including those measured before a failure. It
+// lists the rows over their budget on errs.
 func (r *scaleRun) run(ctx context.Context, measurements []scale.Measurement,
 	out, errs io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timeLimit)
@@ -92,7 +95,7 @@
 	return errors.Join(failed, printFailed, checkBudgets(errs, rows, r.capacityPage))
 }
 
-// timestamped returns a function that writes lines with the seconds since it was made.
+// timestamped returns a function that writes lines prefixed with the seconds since this call.
 func timestamped(w io.Writer) func(format string, args ...any) {
 	began := time.Now()
 	return func(format string, args ...any) {
@@ -101,8 +104,8 @@
 	}
 }
 
-// checkBudgets lists the rows over their budget. It is an error if the page does not list a row
-// that was measured; extrapolated ones are no error.
+// checkBudgets lists the rows over their budget. It returns an error if the page does not list
+// one that was measured at its target size; extrapolated rows are not an error.
 func checkBudgets(w io.Writer, rows []slope.Row, page string) error {
 	known, err := scale.ReadKnownFile(page)
 	if err != nil {
@@ -122,7 +125,7 @@
 		fmt.Fprintf(w, "%s: extrapolated\n", excess)
 	}
 	if unlisted > 0 {
-		return fmt.Errorf("%d rows are over their budget and not listed as that", unlisted)
+		return fmt.Errorf("%d rows are over their budget and not listed in the capacity page", unlisted)
 	}
 	return nil
 }
--- a/cmd/mintkeel-lab/scalerows.go
+++ b/cmd/mintkeel-lab/scalerows.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// scaleRow is a row as it is printed as JSON, with what follows from its points.
+// scaleRow is the JSON form of a row, with the values derived from its points.
 type scaleRow struct {
 	slope.Row
 	Line     slope.Line `json:"line"`
@@ -19,7 +19,7 @@
 	Ratio    float64    `json:"ratio"`
 }
 
-// readScaleRows reads the rows of earlier runs, from files that printScaleRows wrote as JSON.
+// readScaleRows reads the rows of earlier runs from files that printScaleRows wrote as JSON.
 func readScaleRows(paths []string) (rows []slope.Row, err error) {
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
--- a/cmd/mintkeel-lab/scaleshare.go
+++ b/cmd/mintkeel-lab/scaleshare.go
@@ -10,8 +10,8 @@
 	"mintkeel/internal/lab/scale/hollow"
 )
 
-// scaleShareProcess is a process of this program that runs a share of a hollow fleet. It has one
-// core, as a controller does.
+// scaleShareProcess returns a command that runs this program with a share of a hollow fleet. The
+// process has one core, as a controller does.
 func scaleShareProcess(ctx context.Context) *exec.Cmd {
 	path, err := os.Executable()
 	if err != nil {
@@ -25,7 +25,7 @@
 func scaleShareCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "share",
-		Short:  "Run a share of a hollow fleet as told on the standard input, until it ends",
+		Short:  "Run a share of a hollow fleet by requests on the standard input, until the input ends",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/mintkeel-lab/simulate.go
+++ b/cmd/mintkeel-lab/simulate.go
@@ -18,8 +18,8 @@
 	queries           int
 	attempts          int
 	retries           int
-	slowStartAttempts int // at engines that were still warming up
-	restarts          int // of controllers
+	slowStartAttempts int // attempts at engines that were still warming up
+	restarts          int // restarts of controllers
 	steps             int
 	broken            int // simulations that broke a rule
 }
@@ -29,8 +29,8 @@
 	seed := 0
 	c := &cobra.Command{
 		Use:     "simulate",
-		Aliases: []string{"worlds"}, // the name of an earlier version, for one version more
-		Short: "Play random fleets in virtual time and check the seven rules; " +
+		Aliases: []string{"worlds"}, // name in an earlier version, kept for one more version
+		Short: "Simulate random fleets in virtual time and check the seven rules; " +
 			"exit code 1 if one is broken",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -42,13 +42,13 @@
 			return err
 		},
 	}
-	c.Flags().IntVar(&count, "n", count, "how many")
-	c.Flags().IntVar(&seed, "seed", seed, "of the first; the others follow")
+	c.Flags().IntVar(&count, "n", count, "number of simulations")
+	c.Flags().IntVar(&seed, "seed", seed, "seed of the first simulation; the others follow")
 	return c
 }
 
-// playSimulations plays simulations on all processors and prints each broken rule as it is
-// found. If the context ends early, the totals are those of the simulations played until then.
+// playSimulations runs simulations on all processors and prints each broken rule as it is found.
+// If the context ends early, the totals cover the simulations that had run by then.
 func playSimulations(ctx context.Context, out io.Writer, count, firstSeed int) (
 	simulationTotals, error) {
 	var mu sync.Mutex
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -11,14 +11,14 @@
 	"mintkeel/internal/lab/steps"
 )
 
-// stepMeasurement measures what a step of the decision module costs.
+// stepMeasurement measures the cost of a step of the decision module.
 type stepMeasurement struct {
 	engines       []int
-	held          []int // queries held, where all engines are full
+	held          []int // queries held, if all engines are full
 	tableGroups   []int
-	steps         int           // of each row, at most
+	steps         int           // maximum per row
 	timeBudget    time.Duration // for the steps of a row
-	withReference bool          // measure the reference too
+	withReference bool          // measure the reference as well
 	orderingKeys  int           // 0: none
 	controllers   int
 }
@@ -35,21 +35,21 @@
 	}
 	c := &cobra.Command{
 		Use: "steps",
-		Short: "Measure what a step of the module costs, by engines, held queries and table groups, " +
-			"beside the reference",
+		Short: "Measure the cost of a step of the decision module by engines, held queries and " +
+			"table groups, compared with the reference",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return m.run(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "how many")
-	c.Flags().IntSliceVar(&m.held, "held", m.held, "queries held, where all engines are full")
-	c.Flags().IntSliceVar(&m.tableGroups, "tables", m.tableGroups, "table groups")
-	c.Flags().IntVar(&m.steps, "n", m.steps, "steps of each row, at the most")
-	c.Flags().DurationVar(&m.timeBudget, "within", m.timeBudget, "for the steps of a row")
-	c.Flags().BoolVar(&m.withReference, "reference", m.withReference, "measure the reference too")
+	c.Flags().IntSliceVar(&m.engines, "engines", m.engines, "numbers of engines")
+	c.Flags().IntSliceVar(&m.held, "held", m.held, "numbers of queries held, if all engines are full")
+	c.Flags().IntSliceVar(&m.tableGroups, "tables", m.tableGroups, "numbers of table groups")
+	c.Flags().IntVar(&m.steps, "n", m.steps, "maximum number of steps per row")
+	c.Flags().DurationVar(&m.timeBudget, "within", m.timeBudget, "time budget for the steps of a row")
+	c.Flags().BoolVar(&m.withReference, "reference", m.withReference, "measure the reference as well")
 	c.Flags().IntVar(&m.orderingKeys, "keys", m.orderingKeys, "ordering keys; 0: none")
-	c.Flags().IntVar(&m.controllers, "controllers", m.controllers, "side by side")
+	c.Flags().IntVar(&m.controllers, "controllers", m.controllers, "controllers side by side")
 	return c
 }
 
@@ -87,11 +87,12 @@
 	fmt.Fprintln(out)
 }
 
-// measure runs a few steps to learn how long one takes, and then as many as there is time for.
+// measure runs a few steps to estimate the time per step, and then as many as the time budget
+// allows.
 func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Make) steps.Costs {
 	const (
-		minSteps     = 20  // steps that are run in any case
-		shortestStep = 0.1 // µs that a step is taken to last at least
+		minSteps     = 20  // steps that always run
+		shortestStep = 0.1 // lower bound in µs of the estimated time per step
 	)
 	rig := steps.New(scene, newModule)
 	first := rig.Run(minSteps)
--- a/cmd/mintkeel-lab/surge.go
+++ b/cmd/mintkeel-lab/surge.go
@@ -12,14 +12,14 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// surgesAtOnce is how many runs, each with a daemon of its own, go on beside each other.
+// surgesAtOnce bounds the runs, each with a daemon of its own, that go on at the same time.
 const surgesAtOnce = 6
 
-// surgeMeasurement measures what a rule that marks a table group hot is worth.
+// surgeMeasurement measures the benefit of a rule that marks a table group as hot.
 type surgeMeasurement struct {
 	scene     restart.Scene
 	seeds     int
-	firstSeed int64 // the first
+	firstSeed int64
 }
 
 func surgeCommand() *cobra.Command {
@@ -30,7 +30,7 @@
 	scene.Slow = 1
 	c := &cobra.Command{
 		Use:   "surge",
-		Short: "Measure what a rule that marks a table group hot is worth when it turns hot at once",
+		Short: "Measure the benefit of a rule that marks a table group as hot when it suddenly turns hot",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := makeDaemonPathAbsolute(scene); err != nil {
@@ -44,15 +44,16 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "the daemon")
-	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "how many")
-	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "the first")
-	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries a second")
+	c.Flags().StringVar(&scene.Mintkeel, "mintkeel", "bin/mintkeel", "path of the daemon")
+	c.Flags().IntVar(&m.seeds, "seeds", m.seeds, "number of seeds")
+	c.Flags().Int64Var(&m.firstSeed, "seed", m.firstSeed, "first seed")
+	c.Flags().Float64Var(&scene.Rate, "rate", scene.Rate, "queries per second")
 	c.Flags().Float64Var(&scene.Hot, "hot", scene.Hot, "share of the queries on the hot table group")
 	return c
 }
 
-// play plays each seed with the rule and without, some at a time. The outcomes are listed by seed.
+// play runs each seed with the rule and without it, some runs at a time. The outcomes are indexed
+// by seed.
 func (m *surgeMeasurement) play(ctx context.Context) (
 	[]map[restart.Variant]restart.Outcome, error) {
 	var mu sync.Mutex
