--- a/cmd/mintkeel-lab/fleetspread.go
+++ b/cmd/mintkeel-lab/fleetspread.go
@@ -20,7 +20,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var mu sync.Mutex // histories run concurrently
-			options.Tell = func(format string, args ...any) {
+			options.Logf = func(format string, args ...any) {
 				mu.Lock()
 				defer mu.Unlock()
 				fmt.Fprintf(c.ErrOrStderr(), format+"\n", args...)
--- a/cmd/mintkeel-lab/scale.go
+++ b/cmd/mintkeel-lab/scale.go
@@ -82,7 +82,7 @@
 	defer cancel()
 	r.options.Command = scaleShareProcess
 	if r.verbose {
-		r.options.Tell = timestamped(errs)
+		r.options.Logf = timestamped(errs)
 	}
 	var rows []slope.Row
 	var failed error
--- a/internal/lab/playground/playground.go
+++ b/internal/lab/playground/playground.go
@@ -60,7 +60,7 @@
 		}
 		p.engines = append(p.engines, engine)
 	}
-	controller := daemon.Options{Folder: o.Folder, Name: "playground", Feed: feed.Addr, Engines: p.engines, Controllers: 1, Seed: o.Seed}
+	controller := daemon.Options{Folder: o.Folder, Name: "playground", DiscoveryAddr: feed.Addr, Engines: p.engines, Controllers: 1, Seed: o.Seed}
 	path, err := controller.WriteConfiguration(o.Listen)
 	if err != nil {
 		return err
--- a/internal/lab/scale/daemon/daemon.go
+++ b/internal/lab/scale/daemon/daemon.go
@@ -19,40 +19,40 @@
 )
 
 const (
-	// StartTime is within which a daemon serves after its start.
-	StartTime = 20 * time.Second
+	// StartTimeout is within which a daemon serves after its start.
+	StartTimeout = 20 * time.Second
 
 	// startAttempts bounds the addresses that are tried: another listener may come to one between its choice and its use.
 	startAttempts = 3
-	dialTime      = time.Second
-	lookEach      = 5 * time.Millisecond
+	dialTimeout   = time.Second
+	pollInterval  = 5 * time.Millisecond
 )
 
 var (
-	errEnded  = errors.New("the daemon has ended")
-	errSilent = errors.New("the daemon does not answer")
+	errExited     = errors.New("the daemon has ended")
+	errNotServing = errors.New("the daemon does not answer")
 )
 
 // Options are what a daemon is started with.
 type Options struct {
-	Binary      string // as Build returned it
-	Folder      string // for its files
-	Name        string
-	Feed        string            // the address of discovery
-	Engines     []*standin.Engine // that it knows at its start
-	Controllers int               // of the deployment
-	Seed        int64
-	Probes      bool   // they are allowed
-	Operator    string // path of the operator's file; empty: none
+	Binary        string // as Build returned it
+	Folder        string // for its files
+	Name          string
+	DiscoveryAddr string            // the address of discovery
+	Engines       []*standin.Engine // that it knows at its start
+	Controllers   int               // of the deployment
+	Seed          int64
+	Probes        bool   // they are allowed
+	OperatorFile  string // path of the operator's file; empty: none
 }
 
 // Process is a daemon that runs.
 type Process struct {
 	Addr string // for clients
 
-	cmd   *exec.Cmd
-	log   string        // its path
-	ended chan struct{} // closed when the process has ended
+	cmd     *exec.Cmd
+	logPath string        // its path
+	exited  chan struct{} // closed when the process has ended
 }
 
 // Build builds the daemon as it is shipped, into a folder, and returns its path.
@@ -68,7 +68,7 @@
 // Start starts a daemon and waits until it serves.
 func Start(ctx context.Context, o Options) (p *Process, err error) {
 	for range startAttempts {
-		p, err = o.try(ctx)
+		p, err = o.startOnce(ctx)
 		if err == nil || ctx.Err() != nil {
 			break
 		}
@@ -76,7 +76,7 @@
 	return p, err
 }
 
-func (o Options) try(ctx context.Context) (*Process, error) {
+func (o Options) startOnce(ctx context.Context) (*Process, error) {
 	addr, err := loopback.Reserve()
 	if err != nil {
 		return nil, err
@@ -91,10 +91,10 @@
 	}
 	defer log.Close()
 	arguments := []string{"serve", "--config", path}
-	if o.Operator != "" {
-		arguments = append(arguments, "--operator", o.Operator)
+	if o.OperatorFile != "" {
+		arguments = append(arguments, "--operator", o.OperatorFile)
 	}
-	p := &Process{cmd: exec.CommandContext(ctx, o.Binary, arguments...), log: log.Name(), Addr: addr, ended: make(chan struct{})}
+	p := &Process{cmd: exec.CommandContext(ctx, o.Binary, arguments...), logPath: log.Name(), Addr: addr, exited: make(chan struct{})}
 	p.cmd.Stderr = log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt is for the parent, which ends its children
 	if err := p.cmd.Start(); err != nil {
@@ -102,9 +102,9 @@
 	}
 	go func() {
 		p.cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
-	if err := p.await(ctx); err != nil {
+	if err := p.awaitServing(ctx); err != nil {
 		p.Stop()
 		logged, _ := p.Log()
 		return nil, fmt.Errorf("%w\n%s", err, logged)
@@ -112,25 +112,25 @@
 	return p, nil
 }
 
-func (p *Process) await(ctx context.Context) error {
-	for end := time.Now().Add(StartTime); time.Now().Before(end) && ctx.Err() == nil; {
-		if c, err := standin.Dial(ctx, p.Addr, dialTime); err == nil {
+func (p *Process) awaitServing(ctx context.Context) error {
+	for end := time.Now().Add(StartTimeout); time.Now().Before(end) && ctx.Err() == nil; {
+		if c, err := standin.Dial(ctx, p.Addr, dialTimeout); err == nil {
 			c.Close()
 			return nil
 		}
 		select {
-		case <-p.ended:
-			return errEnded
-		case <-time.After(lookEach):
+		case <-p.exited:
+			return errExited
+		case <-time.After(pollInterval):
 		}
 	}
-	return errSilent
+	return errNotServing
 }
 
 // Stop kills the process and waits for its end.
 func (p *Process) Stop() {
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
 // Signal sends the process a signal.
@@ -138,19 +138,19 @@
 
 // Log is what the daemon has logged since its start.
 func (p *Process) Log() (string, error) {
-	text, err := os.ReadFile(p.log)
+	text, err := os.ReadFile(p.logPath)
 	return string(text), err
 }
 
 // ProcessorTime is the time that the process has had on processors, in seconds: the sum of its threads', which the kernel
 // counts in nanoseconds. The Go runtime ends threads rarely, and then their time is lost.
 func (p *Process) ProcessorTime() (sum float64, err error) {
-	tasks, err := os.ReadDir(p.proc("task"))
+	tasks, err := os.ReadDir(p.procPath("task"))
 	if err != nil {
 		return 0, err
 	}
 	for _, task := range tasks {
-		text, err := os.ReadFile(filepath.Join(p.proc("task"), task.Name(), "schedstat"))
+		text, err := os.ReadFile(filepath.Join(p.procPath("task"), task.Name(), "schedstat"))
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
@@ -166,7 +166,7 @@
 	return sum, nil
 }
 
-func (p *Process) proc(name string) string {
+func (p *Process) procPath(name string) string {
 	return filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), name)
 }
 
@@ -183,7 +183,7 @@
 // Resident is the process's memory in the machine, in MB of 2^20 bytes; buffers of its sockets are the kernel's and
 // are not part of it.
 func (p *Process) Resident() (float64, error) {
-	text, err := os.ReadFile(p.proc("status"))
+	text, err := os.ReadFile(p.procPath("status"))
 	if err != nil {
 		return 0, err
 	}
@@ -202,6 +202,6 @@
 
 // Descriptors is how many the process has open.
 func (p *Process) Descriptors() (float64, error) {
-	entries, err := os.ReadDir(p.proc("fd"))
+	entries, err := os.ReadDir(p.procPath("fd"))
 	return float64(len(entries)), err
 }
--- a/internal/lab/scale/daemon/settings.go
+++ b/internal/lab/scale/daemon/settings.go
@@ -30,9 +30,9 @@
 	WriteClass  = "write"  // non-idempotent
 	ReportClass = "report" // idempotent, long
 
-	knownSequence   = 1
-	mostDescriptors = 1 << 20
-	fewDescriptors  = 1024 // where the system does not tell its limit
+	initialSequence    = 1
+	maxDescriptors     = 1 << 20
+	defaultDescriptors = 1024 // where the system does not tell its limit
 )
 
 // object is a nested value of the configuration.
@@ -42,9 +42,9 @@
 func DescriptorLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fewDescriptors
+		return defaultDescriptors
 	}
-	return int(min(limit.Cur, mostDescriptors))
+	return int(min(limit.Cur, maxDescriptors))
 }
 
 // NewEngine is an emulated engine as the daemons' settings know it.
@@ -80,11 +80,11 @@
 	for _, e := range o.Engines {
 		hosts = append(hosts, object{"host": e.ID, "dial": e.Addr, "site": "east", "class": "std", "health": "active"})
 	}
-	roster := object{"seq": knownSequence, "whole": true, "hosts": hosts}
+	roster := object{"seq": initialSequence, "whole": true, "hosts": hosts}
 	text, err := json.Marshal(object{
-		"name": o.Name, "listen": addr, "seed": fmt.Sprintf("%016x", uint64(o.Seed)), "bulletin": o.Feed,
+		"name": o.Name, "listen": addr, "seed": fmt.Sprintf("%016x", uint64(o.Seed)), "bulletin": o.DiscoveryAddr,
 		"limits":   object{"cores": Cores, "memory_mb": Memory, "sockets": DescriptorLimit()},
-		"known":    object{"no": knownSequence, "items": []object{{"no": knownSequence, "roster": roster}}},
+		"known":    object{"no": initialSequence, "items": []object{{"no": initialSequence, "roster": roster}}},
 		"settings": Settings(o.Controllers, o.Probes),
 	})
 	if err != nil {
--- a/internal/lab/scale/datapath/connections.go
+++ b/internal/lab/scale/datapath/connections.go
@@ -11,18 +11,18 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// sparedTime is how long connections of clients stay without a sign of life, with some to spare: the daemon ends them
+// touchInterval is how long connections of clients stay without a sign of life, with some to spare: the daemon ends them
 // after 5 s.
-const sparedTime = 3 * time.Second
+const touchInterval = 3 * time.Second
 
 // connectionEngines are the engines behind the rows by connections.
 const connectionEngines = 40
 
-// heldCost is what connections cost the daemon.
-type heldCost struct {
+// connectionCost is what connections cost the daemon.
+type connectionCost struct {
 	resident, descriptors, cores float64
-	ended                        int // that the daemon had ended
-	service                      service
+	closed                       int // that the daemon had ended
+	service                      outcomes
 }
 
 // connectionRows measures processor, memory and descriptors by clients' connections.
@@ -35,8 +35,8 @@
 	return append(idle, busy...), err
 }
 
-// possible are the sizes that the machine's descriptors allow.
-func possible(sizes []int) (fit []int, left []int) {
+// splitByDescriptorLimit are the sizes that the machine's descriptors allow.
+func splitByDescriptorLimit(sizes []int) (fit []int, left []int) {
 	for _, n := range sizes {
 		if n <= clientLimit() {
 			fit = append(fit, n)
@@ -60,9 +60,9 @@
 	}
 	memory, open := row("resident memory", "MB", "idle"), row("descriptors", "descriptors", "idle")
 	processor := row("processor", "cores", condition)
-	sizes, left := possible(b.connections)
+	sizes, left := splitByDescriptorLimit(b.connections)
 	for _, n := range sizes {
-		cost, err := b.hold(ctx, r, n)
+		cost, err := b.measureConnections(ctx, r, n)
 		if err != nil {
 			return nil, err
 		}
@@ -70,9 +70,9 @@
 		memory.Points = append(memory.Points, slope.Point{Size: size, Value: cost.resident})
 		open.Points = append(open.Points, slope.Point{Size: size, Value: cost.descriptors})
 		processor.Points = append(processor.Points, slope.Point{Size: size, Value: cost.cores})
-		processor.Note += note(fmt.Sprintf("%d", n), cost.service)
-		if cost.ended > 0 {
-			memory.Note += fmt.Sprintf("at %d the daemon had ended %d; ", n, cost.ended)
+		processor.Note += unansweredNote(fmt.Sprintf("%d", n), cost.service)
+		if cost.closed > 0 {
+			memory.Note += fmt.Sprintf("at %d the daemon had ended %d; ", n, cost.closed)
 		}
 	}
 	if len(left) > 0 {
@@ -80,16 +80,16 @@
 	}
 	memory.Note += "the kernel's buffers are not in it"
 	open.Note += "a daemon gives clients 21 of 40 descriptors"
-	rows := append(forEach(memory, clientTargets...), forEach(open, clientTargets...)...)
-	return append(rows, forEach(processor, clientTargets...)...), nil
+	rows := append(atTargets(memory, clientTargets...), atTargets(open, clientTargets...)...)
+	return append(rows, atTargets(processor, clientTargets...)...), nil
 }
 
-// hold opens connections up to n and takes what they cost while idle and then, until the first would end, under load.
-func (b *bench) hold(ctx context.Context, r *rig, n int) (cost heldCost, err error) {
+// measureConnections opens connections up to n and takes what they cost while idle and then, until the first would end, under load.
+func (b *bench) measureConnections(ctx context.Context, r *rig, n int) (cost connectionCost, err error) {
 	if err := r.connect(ctx, n); err != nil {
 		return cost, err
 	}
-	cost.ended = r.touch()
+	cost.closed = r.keepAlive()
 	if err := r.connect(ctx, n); err != nil {
 		return cost, err
 	}
@@ -100,15 +100,15 @@
 	if cost.descriptors, err = r.daemon.Descriptors(); err != nil {
 		return cost, err
 	}
-	windows := int(math.Ceil(float64(b.window) / float64(sparedTime)))
+	windows := int(math.Ceil(float64(b.window) / float64(touchInterval)))
 	before, spent, passed := 0.0, 0.0, time.Duration(0)
 	for range windows {
-		cost.ended += r.touch()
+		cost.closed += r.keepAlive()
 		if before, err = r.daemon.ProcessorTime(); err != nil {
 			return cost, err
 		}
 		began := time.Now()
-		served := r.load(ctx, b.connectionRate, min(b.window, sparedTime), r.usual)
+		served := r.measureLoad(ctx, b.connectionRate, min(b.window, touchInterval), r.drawUsual)
 		passed += time.Since(began)
 		after, err := r.daemon.ProcessorTime()
 		if err != nil {
@@ -122,10 +122,10 @@
 }
 
 // merge takes in what clients saw at another time; times of answers stay apart.
-func (s *service) merge(other service) {
-	s.asked += other.asked
+func (s *outcomes) merge(other outcomes) {
+	s.queries += other.queries
 	s.answered += other.answered
-	s.shed += other.shed
+	s.rejected += other.rejected
 	s.failed += other.failed
 	s.lost += other.lost
 }
@@ -134,10 +134,10 @@
 func (b *bench) busyConnections(ctx context.Context) ([]slope.Row, error) {
 	row := slope.Row{Role: controllerRole, Cost: "connections: resident memory", Unit: "MB", Per: "client connections",
 		Condition: "each with an open query", Method: methodSockets}
-	sizes, _ := possible(b.busy)
+	sizes, _ := splitByDescriptorLimit(b.busy)
 	costs := make([]busyCost, len(sizes))
-	err := sideBySide(len(sizes), b.beside, func(i int) (err error) {
-		costs[i], err = b.askAll(ctx, sizes[i])
+	err := inParallelLimited(len(sizes), b.parallel, func(i int) (err error) {
+		costs[i], err = b.queryOnAll(ctx, sizes[i])
 		return err
 	})
 	if err != nil {
@@ -151,18 +151,18 @@
 		}
 	}
 	row.Note += "with their connections to engines"
-	return forEach(row, clientTargets...), nil
+	return atTargets(row, clientTargets...), nil
 }
 
 // busyCost is what connections with an open query each cost the daemon.
 type busyCost struct {
 	resident float64
 	open     int // queries that were at engines
-	service  service
+	service  outcomes
 }
 
-// askAll opens n connections, has each ask at one time and takes the cost while the answers are awaited.
-func (b *bench) askAll(ctx context.Context, n int) (cost busyCost, err error) {
+// queryOnAll opens n connections, has each ask at one time and takes the cost while the answers are awaited.
+func (b *bench) queryOnAll(ctx context.Context, n int) (cost busyCost, err error) {
 	r, err := b.open(ctx, connectionEngines)
 	if err != nil {
 		return cost, err
@@ -171,12 +171,12 @@
 	if err := r.connect(ctx, n); err != nil {
 		return cost, err
 	}
-	r.touch()
+	r.keepAlive()
 	answers := make(chan standin.Verdict, n)
 	for range n {
 		s := r.statement(daemon.ReportClass, float64(b.busyWork)/1e6)
 		go func() {
-			verdict, _ := r.ask(ctx, s)
+			verdict, _ := r.query(ctx, s)
 			answers <- verdict
 		}()
 	}
--- a/internal/lab/scale/datapath/datapath.go
+++ b/internal/lab/scale/datapath/datapath.go
@@ -38,7 +38,7 @@
 	reconnectBurst    = 4250 // that come to a controller as those of a region leave it
 	regions           = 3
 	bytesBudget       = 17000 // a second, for control
-	replacedWithin    = 5000  // ms until a change of primary is over
+	replacementBudget = 5000  // ms until a change of primary is over
 )
 
 // Words of the rows.
@@ -52,7 +52,7 @@
 // plan is how much is measured.
 type plan struct {
 	settle, window time.Duration // before and while a cost is taken
-	beside         int           // daemons that are measured side by side, where only what each takes itself is counted
+	parallel       int           // daemons that are measured side by side, where only what each takes itself is counted
 
 	rates       []float64 // statements a second
 	rateEngines int
@@ -73,10 +73,10 @@
 	listed      []int // engines
 	listRepeats int
 
-	peers       []int         // engines that are talked with
-	peersSettle time.Duration // under load, until connections to engines stand
-	peersWindow time.Duration
-	peersBeside int // of them side by side
+	peers         []int         // engines that are talked with
+	peersSettle   time.Duration // under load, until connections to engines stand
+	peersWindow   time.Duration
+	peersParallel int // of them side by side
 
 	probed []int // engines that are probed, and are not
 
@@ -87,12 +87,12 @@
 	replacedRepeats int
 	replacedBefore  time.Duration // under load, before the engine goes
 	replacedAfter   time.Duration // and after the list told
-	hungTold        time.Duration // until the list tells of one that hangs
+	hangReportDelay time.Duration // until the list tells of one that hangs
 }
 
 func fullPlan() plan {
 	return plan{
-		settle: 2 * time.Second, window: 5 * time.Second, beside: 1,
+		settle: 2 * time.Second, window: 5 * time.Second, parallel: 1,
 		rates:       []float64{250, 500, 1000, statementRate, zoneGoneRate, regionGoneRate},
 		rateEngines: engineCount,
 		engines:     []int{10, 100, 300, engineCount}, engineRate: statementRate,
@@ -101,17 +101,17 @@
 		gaps: []int{100, 200, 400, 800}, gapsSettle: 6 * time.Second, gapsWindow: 15 * time.Second,
 		reconnects: []int{500, 1000, 2000, reconnectBurst, 8500},
 		listed:     []int{10, 100, 300, engineCount}, listRepeats: 50,
-		peers: []int{5, 10, 20, 40, 300, engineCount}, peersSettle: 5 * time.Second, peersWindow: 10 * time.Second, peersBeside: 3,
+		peers: []int{5, 10, 20, 40, 300, engineCount}, peersSettle: 5 * time.Second, peersWindow: 10 * time.Second, peersParallel: 3,
 		probed:      []int{100, 300, 600, engineCount},
 		stepEngines: []int{10, 100, 300, engineCount}, stepsWithin: 2 * time.Second,
 		replacedRates: []float64{200, 400, 800, statementRate}, replacedRepeats: 3,
-		replacedBefore: 700 * time.Millisecond, replacedAfter: 1500 * time.Millisecond, hungTold: 2 * time.Second,
+		replacedBefore: 700 * time.Millisecond, replacedAfter: 1500 * time.Millisecond, hangReportDelay: 2 * time.Second,
 	}
 }
 
 func quickPlan() plan {
 	return plan{
-		settle: 200 * time.Millisecond, window: 500 * time.Millisecond, beside: 4,
+		settle: 200 * time.Millisecond, window: 500 * time.Millisecond, parallel: 4,
 		rates:       []float64{250, 500, 750, 1000},
 		rateEngines: 50,
 		engines:     []int{5, 10, 50, 100}, engineRate: 500,
@@ -119,10 +119,10 @@
 		busy: []int{50, 100, 200, 400}, busyWork: 400 * time.Millisecond,
 		reconnects: []int{100, 200, 400, 800},
 		listed:     []int{10, 100, 300, engineCount}, listRepeats: 5,
-		peers: []int{20, 100, 300, engineCount}, peersSettle: 3 * time.Second, peersWindow: time.Second, peersBeside: 4,
+		peers: []int{20, 100, 300, engineCount}, peersSettle: 3 * time.Second, peersWindow: time.Second, peersParallel: 4,
 		stepEngines: []int{10, 100, 300, engineCount}, stepsWithin: 30 * time.Millisecond,
 		replacedRates: []float64{200, 300, 400, 500}, replacedRepeats: 1,
-		replacedBefore: 300 * time.Millisecond, replacedAfter: 500 * time.Millisecond, hungTold: 800 * time.Millisecond,
+		replacedBefore: 300 * time.Millisecond, replacedAfter: 500 * time.Millisecond, hangReportDelay: 800 * time.Millisecond,
 	}
 }
 
@@ -201,8 +201,8 @@
 	return chosen
 }
 
-// forEach is a row at each of some targets.
-func forEach(row slope.Row, targets ...target) (rows []slope.Row) {
+// atTargets is a row at each of some targets.
+func atTargets(row slope.Row, targets ...target) (rows []slope.Row) {
 	condition := row.Condition
 	for _, t := range targets {
 		row.Target, row.Condition = t.size, t.condition
@@ -220,8 +220,8 @@
 	size      float64
 }
 
-// sideBySide calls f for each of n, so many at one time, and joins their errors.
-func sideBySide(n, beside int, f func(i int) error) error {
+// inParallelLimited calls f for each of n, so many at one time, and joins their errors.
+func inParallelLimited(n, beside int, f func(i int) error) error {
 	errs := make([]error, n)
 	room := make(chan bool, max(1, beside))
 	var group sync.WaitGroup
@@ -239,10 +239,10 @@
 // What the rows by statements and by connections are built for: all of the fleet is there, a zone is gone (1.11 times as
 // much at each controller that is left), a region is gone (1.5 times).
 var (
-	statementTargets = grown(statementRate, zoneGoneRate, regionGoneRate)
-	clientTargets    = grown(clientCount, zoneGoneClients, regionGoneClients)
+	statementTargets = targetsFor(statementRate, zoneGoneRate, regionGoneRate)
+	clientTargets    = targetsFor(clientCount, zoneGoneClients, regionGoneClients)
 )
 
-func grown(usual, zoneGone, regionGone float64) []target {
+func targetsFor(usual, zoneGone, regionGone float64) []target {
 	return []target{{"all are there", usual}, {"a zone is gone", zoneGone}, {"a region is gone", regionGone}}
 }
--- a/internal/lab/scale/datapath/datapath_test.go
+++ b/internal/lab/scale/datapath/datapath_test.go
@@ -43,15 +43,15 @@
 }
 
 func TestTargets(t *testing.T) {
-	rows := forEach(slope.Row{Condition: "idle"}, grown(1000, 1110, 1500)...)
+	rows := atTargets(slope.Row{Condition: "idle"}, targetsFor(1000, 1110, 1500)...)
 	if len(rows) != 3 || rows[1].Target != 1110 || rows[2].Target != 1500 ||
 		rows[2].Condition != "idle, a region is gone" {
 		t.Errorf("%+v", rows)
 	}
-	if rows := forEach(slope.Row{}, grown(1, 2, 3)...); rows[0].Condition != "all are there" {
+	if rows := atTargets(slope.Row{}, targetsFor(1, 2, 3)...); rows[0].Condition != "all are there" {
 		t.Error(rows[0].Condition)
 	}
-	if fit, left := possible([]int{1, clientLimit(), clientLimit() + 1}); len(fit) != 2 || len(left) != 1 {
+	if fit, left := splitByDescriptorLimit([]int{1, clientLimit(), clientLimit() + 1}); len(fit) != 2 || len(left) != 1 {
 		t.Error(fit, left)
 	}
 }
@@ -70,7 +70,7 @@
 	if e := news.Endpoints[0]; e.Engine != "s-00000003" || e.State != router.Draining || e.Zone != "east" {
 		t.Errorf("%+v", e)
 	}
-	if n := len(frame(1, frameWhole, 0, engineCount, router.Ready)); n != headBytes+recordBytes*engineCount {
+	if n := len(frame(1, frameWhole, 0, engineCount, router.Ready)); n != headerBytes+recordBytes*engineCount {
 		t.Error(n)
 	}
 }
@@ -96,7 +96,7 @@
 
 // What became of queries in flight is told from what engines and clients wrote down.
 func TestJudge(t *testing.T) {
-	g := newRegister()
+	g := newQueryLog()
 	end := time.Now()
 	for _, q := range []struct {
 		id, class string
@@ -105,23 +105,23 @@
 		after     time.Duration
 	}{{"a", daemon.LookupClass, 2, standin.Answered, time.Second}, {"b", daemon.WriteClass, 1, standin.Failed, 2 * time.Second},
 		{"c", daemon.WriteClass, 2, standin.Answered, -time.Second}} {
-		g.asked(statement{id: q.id, class: q.class})
-		g.begun[q.id] = q.begun
+		g.recordQuery(statement{id: q.id, class: q.class})
+		g.reads[q.id] = q.begun
 		g.answered[q.id], g.verdicts[q.id] = end.Add(q.after), q.verdict
 	}
-	g.asked(statement{id: "d", class: daemon.LoadClass}) // never answered
-	into := map[string]*outcome{}
-	g.judge([]string{"a", "b", "c", "d"}, end, into)
-	if o := into[daemon.LookupClass]; !slices.Equal(o.took, []float64{1000}) || o.again != 1 || o.verdicts[standin.Answered] != 1 {
+	g.recordQuery(statement{id: "d", class: daemon.LoadClass}) // never answered
+	into := map[string]*inFlightOutcome{}
+	g.addOutcomes([]string{"a", "b", "c", "d"}, end, into)
+	if o := into[daemon.LookupClass]; !slices.Equal(o.took, []float64{1000}) || o.repeated != 1 || o.verdicts[standin.Answered] != 1 {
 		t.Errorf("%+v", o)
 	}
-	if o := into[daemon.WriteClass]; !slices.Equal(o.took, []float64{2000, 0}) || o.again != 1 || o.verdicts[standin.Failed] != 1 {
+	if o := into[daemon.WriteClass]; !slices.Equal(o.took, []float64{2000, 0}) || o.repeated != 1 || o.verdicts[standin.Failed] != 1 {
 		t.Errorf("%+v", o)
 	}
 	if o := into[daemon.LoadClass]; o.verdicts[standin.Lost] != 1 {
 		t.Errorf("%+v", o)
 	}
-	if got := g.twice(); got != 1 {
+	if got := g.repeatedWrites(); got != 1 {
 		t.Errorf("%d non-idempotent queries begun twice, want 1", got)
 	}
 	rows := addOutcome(nil, effectClasses[2], "x", 50, into[daemon.WriteClass])
@@ -141,9 +141,9 @@
 	small := []int{1, 2, 3, 4}
 	p := plan{settle: moment, window: moment, rates: []float64{50, 60, 70, 80}, rateEngines: 4, engines: small, engineRate: 50,
 		connections: []int{20, 40, 60, 80}, connectionRate: 50, busy: []int{2, 4, 6, 8}, busyWork: moment, reconnects: []int{10, 20, 30, 40},
-		listed: []int{3, 6, 9, 12}, listRepeats: 3, beside: 4, gaps: small, gapsWindow: moment, probed: small, peers: small, peersSettle: moment, peersWindow: moment, peersBeside: 4,
+		listed: []int{3, 6, 9, 12}, listRepeats: 3, parallel: 4, gaps: small, gapsWindow: moment, probed: small, peers: small, peersSettle: moment, peersWindow: moment, peersParallel: 4,
 		stepEngines: small, stepsWithin: time.Millisecond, replacedRates: []float64{100}, replacedRepeats: 1,
-		replacedBefore: moment, replacedAfter: moment, hungTold: 3 * moment}
+		replacedBefore: moment, replacedAfter: moment, hangReportDelay: 3 * moment}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	rows, err := measure(ctx, Options{Seed: 1}, p)
--- a/internal/lab/scale/datapath/decision.go
+++ b/internal/lab/scale/datapath/decision.go
@@ -17,8 +17,8 @@
 	stepHeld        = 1000 // commands, where all engines are full
 	stepEvents      = 2    // of a measured step: an arrival and an answer
 	statementEvents = 3    // of a statement: these, and a wake-up or a note
-	fewSteps        = 20   // with the least of which a scene is measured
-	mostSteps       = 20000
+	minSteps        = 20   // with the least of which a scene is measured
+	maxSteps        = 20000
 )
 
 // stepCosts are those of a scene's steps, in microseconds.
@@ -48,9 +48,9 @@
 		scene.Queued = stepHeld
 	}
 	rig := steps.New(scene, newModule)
-	rig.Run(fewSteps)
+	rig.Run(minSteps)
 	var costs []float64
-	for end := time.Now().Add(b.stepsWithin); len(costs) < fewSteps || time.Now().Before(end) && len(costs) < mostSteps; {
+	for end := time.Now().Add(b.stepsWithin); len(costs) < minSteps || time.Now().Before(end) && len(costs) < maxSteps; {
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -28,12 +28,12 @@
 	frameWhole  = 1
 	frameChange = 2
 	recordBytes = 27
-	headBytes   = 13
+	headerBytes = 13
 )
 
 // frame is a frame of the feed that tells the states of engines first to last.
 func frame(number uint64, kind byte, first, last int, state router.EngineState) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(headBytes-4+recordBytes*(last-first)))
+	b := binary.BigEndian.AppendUint32(nil, uint32(headerBytes-4+recordBytes*(last-first)))
 	b = append(binary.BigEndian.AppendUint64(b, number), kind)
 	for i := first; i < last; i++ {
 		b = binary.BigEndian.AppendUint32(b, uint32(i+1))
@@ -46,66 +46,66 @@
 	return b
 }
 
-// teller is the feed's end of a controller's connection.
-type teller struct {
+// discoveryServer is the feed's end of a controller's connection.
+type discoveryServer struct {
 	listener net.Listener
 	conn     net.Conn
 	last     uint64 // number of the last frame
 }
 
-func newTeller() (*teller, error) {
+func newDiscoveryServer() (*discoveryServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &teller{listener: listener}, nil
+	return &discoveryServer{listener: listener}, nil
 }
 
-func (f *teller) addr() string { return f.listener.Addr().String() }
+func (f *discoveryServer) addr() string { return f.listener.Addr().String() }
 
 // accept waits for the controller, which begins by the number of the last frame that it has.
-func (f *teller) accept() (err error) {
-	f.listener.(*net.TCPListener).SetDeadline(time.Now().Add(daemon.StartTime))
+func (f *discoveryServer) accept() (err error) {
+	f.listener.(*net.TCPListener).SetDeadline(time.Now().Add(daemon.StartTimeout))
 	if f.conn, err = f.listener.Accept(); err != nil {
 		return err
 	}
-	f.conn.SetDeadline(time.Now().Add(daemon.StartTime))
+	f.conn.SetDeadline(time.Now().Add(daemon.StartTimeout))
 	head := make([]byte, 8)
 	_, err = io.ReadFull(f.conn, head)
 	f.last = binary.BigEndian.Uint64(head)
 	return err
 }
 
-// tell writes a frame of the next number.
-func (f *teller) tell(kind byte, first, last int, state router.EngineState) error {
+// send writes a frame of the next number.
+func (f *discoveryServer) send(kind byte, first, last int, state router.EngineState) error {
 	f.last++
-	f.conn.SetDeadline(time.Now().Add(daemon.StartTime))
+	f.conn.SetDeadline(time.Now().Add(daemon.StartTimeout))
 	_, err := f.conn.Write(frame(f.last, kind, first, last, state))
 	return err
 }
 
-func (f *teller) close() {
+func (f *discoveryServer) close() {
 	f.listener.Close()
 	if f.conn != nil {
 		f.conn.Close()
 	}
 }
 
-// watcher is the daemon's way of taking the list, in this process: the feed's follower, the loop, the pool of
+// listReceiver is the daemon's way of taking the list, in this process: the feed's follower, the loop, the pool of
 // connections to engines and the decision module.
-type watcher struct {
-	feed   *teller
-	loop   *controller.Loop
-	news   int64 // frames so far
-	cancel context.CancelFunc
+type listReceiver struct {
+	feed    *discoveryServer
+	loop    *controller.Loop
+	updates int64 // frames so far
+	cancel  context.CancelFunc
 }
 
-func newWatcher(ctx context.Context, seed int64) (*watcher, error) {
+func newListReceiver(ctx context.Context, seed int64) (*listReceiver, error) {
 	facts, err := deploymentFacts()
 	if err != nil {
 		return nil, err
 	}
-	feed, err := newTeller()
+	feed, err := newDiscoveryServer()
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	go loop.Run(ctx)
 	follower := discovery.NewWatcher(feed.addr(), 0, &facts.Names, l, loop.PostEndpoints, log)
 	go follower.Follow(ctx)
-	w := &watcher{feed: feed, loop: loop, cancel: cancel}
+	w := &listReceiver{feed: feed, loop: loop, cancel: cancel}
 	if err := feed.accept(); err != nil {
 		w.close()
 		return nil, err
@@ -138,20 +138,20 @@
 	return settings.Read(settings.Flatten(nested))
 }
 
-func (w *watcher) close() {
+func (w *listReceiver) close() {
 	w.feed.close()
 	w.cancel()
 }
 
-// tell writes a frame and waits until the module has taken it in.
-func (w *watcher) tell(kind byte, first, last int, state router.EngineState) (time.Duration, error) {
+// sendAndWait writes a frame and waits until the module has taken it in.
+func (w *listReceiver) sendAndWait(kind byte, first, last int, state router.EngineState) (time.Duration, error) {
 	began := time.Now()
-	if err := w.feed.tell(kind, first, last, state); err != nil {
+	if err := w.feed.send(kind, first, last, state); err != nil {
 		return 0, err
 	}
-	w.news++
-	for w.loop.Counts().EndpointUpdates < w.news {
-		if time.Since(began) > daemon.StartTime {
+	w.updates++
+	for w.loop.Counts().EndpointUpdates < w.updates {
+		if time.Since(began) > daemon.StartTimeout {
 			return 0, errors.New("the list was not taken")
 		}
 		time.Sleep(20 * time.Microsecond)
@@ -160,8 +160,8 @@
 	return time.Since(began), nil
 }
 
-// change is what is told of a list again and again.
-type change struct {
+// listChange is what is told of a list again and again.
+type listChange struct {
 	name   string
 	kind   byte
 	share  float64              // of the engines
@@ -170,33 +170,33 @@
 
 // listCost is what one frame of a change costs.
 type listCost struct {
-	bytes        int
-	median, most float64 // ms until the module has taken it
-	processor    float64 // ms of the daemon
+	bytes           int
+	median, longest float64 // ms until the module has taken it
+	processor       float64 // ms of the daemon
 }
 
-func (c change) engines(n int) int { return int(float64(n)*c.share + 0.5) }
+func (c listChange) engines(n int) int { return int(float64(n)*c.share + 0.5) }
 
 // frameTimes has a controller in this process take a list of n engines and then the change, again and again.
-func (b *bench) frameTimes(ctx context.Context, n int, c change, cost *listCost) error {
-	w, err := newWatcher(ctx, b.seed)
+func (b *bench) frameTimes(ctx context.Context, n int, c listChange, cost *listCost) error {
+	w, err := newListReceiver(ctx, b.seed)
 	if err != nil {
 		return err
 	}
 	defer w.close()
-	if _, err := w.tell(frameWhole, 0, n, router.Ready); err != nil {
+	if _, err := w.sendAndWait(frameWhole, 0, n, router.Ready); err != nil {
 		return err
 	}
 	var took []float64
 	for i := range b.listRepeats {
-		one, err := w.tell(c.kind, 0, c.engines(n), c.states[i%len(c.states)])
+		one, err := w.sendAndWait(c.kind, 0, c.engines(n), c.states[i%len(c.states)])
 		if err != nil {
 			return err
 		}
 		took = append(took, float64(one)/1e6)
 	}
 	slices.Sort(took)
-	cost.median, cost.most = quantile(took, 0.5), quantile(took, 1)
+	cost.median, cost.longest = quantile(took, 0.5), quantile(took, 1)
 	return nil
 }
 
@@ -204,8 +204,8 @@
 const frameSpacing = 25 * time.Millisecond
 
 // frameProcessor has the daemon do the same, and takes its time on processors.
-func (b *bench) frameProcessor(ctx context.Context, n int, c change, cost *listCost) error {
-	feed, err := newTeller()
+func (b *bench) frameProcessor(ctx context.Context, n int, c listChange, cost *listCost) error {
+	feed, err := newDiscoveryServer()
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, Feed: feed.addr(),
+	d, err := daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, DiscoveryAddr: feed.addr(),
 		Controllers: controllers, Seed: b.seed, Probes: true})
 	if err != nil {
 		return err
@@ -224,7 +224,7 @@
 		return err
 	}
 	tell := func(kind byte, last int, state router.EngineState) error {
-		err := feed.tell(kind, 0, last, state)
+		err := feed.send(kind, 0, last, state)
 		time.Sleep(frameSpacing)
 		return err
 	}
@@ -246,8 +246,8 @@
 	return err
 }
 
-// changes are the whole list, and a region's worth of engines at once.
-var changes = []change{
+// listChanges are the whole list, and a region's worth of engines at once.
+var listChanges = []listChange{
 	{"whole list", frameWhole, 1, []router.EngineState{router.Ready}},
 	{"a region's engines go and come back", frameChange, 1.0 / regions, []router.EngineState{router.Gone, router.Ready}},
 }
@@ -255,7 +255,7 @@
 // discovery measures lists and changes by their engines.
 func (b *bench) discovery(ctx context.Context) (rows []slope.Row, err error) {
 	bound := float64(limits.For(daemon.DescriptorLimit(), daemon.Memory, 0, 0, 0).DiscoveryFrameBytes)
-	for _, c := range changes {
+	for _, c := range listChanges {
 		row := func(cost, unit string, budget float64, note string) slope.Row {
 			return slope.Row{Role: controllerRole, Cost: "discovery: " + cost, Unit: unit, Per: "engines", Condition: c.name,
 				Method: methodSockets, Target: engineCount, Budget: budget, Note: note}
@@ -264,7 +264,7 @@
 		took := row("median until it is taken", "ms", 0, "")
 		processor := row("processor for each", "ms", 0, "")
 		costs := make([]listCost, len(b.listed))
-		err := sideBySide(len(b.listed), b.beside, func(i int) error {
+		err := inParallelLimited(len(b.listed), b.parallel, func(i int) error {
 			n := b.listed[i]
 			costs[i].bytes = len(frame(1, c.kind, 0, c.engines(n), router.Ready))
 			return errors.Join(b.frameTimes(ctx, n, c, &costs[i]), b.frameProcessor(ctx, n, c, &costs[i]))
@@ -276,7 +276,7 @@
 			cost, size := costs[i], float64(n)
 			bytes.Points = append(bytes.Points, slope.Point{Size: size, Value: float64(cost.bytes)})
 			took.Points = append(took.Points, slope.Point{Size: size, Value: cost.median})
-			took.Note += fmt.Sprintf("at %d %.2f at the most; ", n, cost.most)
+			took.Note += fmt.Sprintf("at %d %.2f at the most; ", n, cost.longest)
 			processor.Points = append(processor.Points, slope.Point{Size: size, Value: cost.processor})
 		}
 		rows = append(rows, bytes, took, processor)
--- a/internal/lab/scale/datapath/gaps.go
+++ b/internal/lab/scale/datapath/gaps.go
@@ -21,8 +21,8 @@
 		return nil, nil
 	}
 	ended := make([]float64, len(b.gaps))
-	err := sideBySide(len(b.gaps), len(b.gaps), func(i int) (err error) {
-		ended[i], err = b.endedBetween(ctx, b.gaps[i])
+	err := inParallelLimited(len(b.gaps), len(b.gaps), func(i int) (err error) {
+		ended[i], err = b.closedConnections(ctx, b.gaps[i])
 		return err
 	})
 	if err != nil {
@@ -34,11 +34,11 @@
 	for i, n := range b.gaps {
 		row.Points = append(row.Points, slope.Point{Size: float64(n), Value: ended[i]})
 	}
-	return forEach(row, clientTargets...), nil
+	return atTargets(row, clientTargets...), nil
 }
 
-// endedBetween has n clients ask at random for a while and tells how many a second found their connection ended.
-func (b *bench) endedBetween(ctx context.Context, n int) (float64, error) {
+// closedConnections has n clients ask at random for a while and tells how many a second found their connection ended.
+func (b *bench) closedConnections(ctx context.Context, n int) (float64, error) {
 	r, err := b.open(ctx, connectionEngines)
 	if err != nil {
 		return 0, err
@@ -55,7 +55,7 @@
 	for range n {
 		c := &gapClient{session: <-r.sessions, rng: rand.New(rand.NewSource(r.rng.Int63())), addr: r.daemon.Addr}
 		group.Go(func() {
-			count := c.play(ctx, steady, end)
+			count := c.run(ctx, steady, end)
 			mu.Lock()
 			defer mu.Unlock()
 			ended += count
@@ -72,8 +72,8 @@
 	addr    string
 }
 
-// play asks until the end and counts the connections that it found ended since it counts.
-func (c *gapClient) play(ctx context.Context, counts, end time.Time) (ended int) {
+// run asks until the end and counts the connections that it found ended since it counts.
+func (c *gapClient) run(ctx context.Context, counts, end time.Time) (ended int) {
 	defer func() { c.session.Close() }()
 	draw := rig{rng: c.rng}
 	for {
@@ -82,7 +82,7 @@
 			return ended
 		}
 		time.Sleep(time.Until(at))
-		s := draw.usual()
+		s := draw.drawUsual()
 		if _, err := c.session.Query(s.fields, s.text, daemon.Deadline); err == nil {
 			continue
 		}
@@ -95,7 +95,7 @@
 		}
 		c.session.Close()
 		c.session = again
-		s = draw.usual()
+		s = draw.drawUsual()
 		c.session.Query(s.fields, s.text, daemon.Deadline)
 	}
 }
--- a/internal/lab/scale/datapath/probes.go
+++ b/internal/lab/scale/datapath/probes.go
@@ -18,11 +18,11 @@
 		Note: "a daemon with probes less one without, one pair for each size: pairs scatter by 0.04 on a busy machine, so no budget is held against it"}
 	for _, n := range b.probed {
 		rate := engineShare * float64(n)
-		with, err := b.takeBefore(ctx, n, rate, true)
+		with, err := b.measureCostWith(ctx, n, rate, true)
 		if err != nil {
 			return nil, err
 		}
-		without, err := b.takeBefore(ctx, n, rate, false)
+		without, err := b.measureCostWith(ctx, n, rate, false)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/datapath/reconnects.go
+++ b/internal/lab/scale/datapath/reconnects.go
@@ -17,14 +17,14 @@
 	}
 	processor, took := row("processor, with each first query", "core s"), row("until all are answered", "s")
 	apart := row("processor, without the first queries", "core s")
-	sizes, _ := possible(b.reconnects)
+	sizes, _ := splitByDescriptorLimit(b.reconnects)
 	for _, n := range sizes {
 		cost, err := b.burst(ctx, n)
 		if err != nil {
 			return nil, err
 		}
 		size := float64(n)
-		processor.Note += note(fmt.Sprint(n), cost.service)
+		processor.Note += unansweredNote(fmt.Sprint(n), cost.service)
 		processor.Points = append(processor.Points, slope.Point{Size: size, Value: cost.processor})
 		apart.Points = append(apart.Points, slope.Point{Size: size, Value: cost.processor - cost.queries})
 		took.Points = append(took.Points, slope.Point{Size: size, Value: cost.took.Seconds()})
@@ -39,7 +39,7 @@
 	processor float64 // s
 	queries   float64 // s that as many queries cost on connections that stand
 	took      time.Duration
-	service   service // of the first queries
+	service   outcomes // of the first queries
 }
 
 func (b *bench) burst(ctx context.Context, n int) (cost burstCost, err error) {
@@ -55,12 +55,12 @@
 	if err != nil {
 		return cost, err
 	}
-	r.firsts = service{}
+	r.firstQueries = outcomes{}
 	began := time.Now()
 	if err := r.connect(ctx, workers+n); err != nil {
 		return cost, err
 	}
-	cost.took, cost.service = time.Since(began), r.firsts
+	cost.took, cost.service = time.Since(began), r.firstQueries
 	after, err := r.daemon.ProcessorTime()
 	if err != nil {
 		return cost, err
@@ -71,7 +71,7 @@
 		queries[i] = r.statement(daemon.LookupClass, 1)
 	}
 	inParallel(n, func(i int) error {
-		r.ask(ctx, queries[i])
+		r.query(ctx, queries[i])
 		return nil
 	})
 	again, err := r.daemon.ProcessorTime()
--- a/internal/lab/scale/datapath/rig.go
+++ b/internal/lab/scale/datapath/rig.go
@@ -25,15 +25,15 @@
 	rng      *rand.Rand
 	cancel   context.CancelFunc
 
-	mu     sync.Mutex
-	firsts service // what became of each session's first query
+	mu           sync.Mutex
+	firstQueries outcomes // what became of each session's first query
 }
 
 // daemonName is the daemon's, as a controller.
 const daemonName = "n1"
 
-// mostSessions bounds a rig's sessions.
-const mostSessions = 1 << 14
+// maxSessions bounds a rig's sessions.
+const maxSessions = 1 << 14
 
 func (b *bench) open(ctx context.Context, engines int) (*rig, error) {
 	return b.openWith(ctx, engines, true)
@@ -42,7 +42,7 @@
 // openWith is open with a daemon that may probe engines or not.
 func (b *bench) openWith(ctx context.Context, engines int, probes bool) (*rig, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	r := &rig{sessions: make(chan *standin.Client, mostSessions), rng: rand.New(rand.NewSource(b.seed)), cancel: cancel}
+	r := &rig{sessions: make(chan *standin.Client, maxSessions), rng: rand.New(rand.NewSource(b.seed)), cancel: cancel}
 	err := r.start(ctx, b, engines, probes)
 	if err != nil {
 		r.close()
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	r.daemon, err = daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, Feed: r.feed.Addr,
+	r.daemon, err = daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, DiscoveryAddr: r.feed.Addr,
 		Engines: r.engines, Controllers: controllers, Seed: b.seed, Probes: probes})
 	return err
 }
@@ -128,7 +128,7 @@
 	return s
 }
 
-func (r *rig) usual() statement {
+func (r *rig) drawUsual() statement {
 	return r.statement(daemon.LookupClass, usualWork*(0.5+r.rng.Float64()))
 }
 
@@ -183,14 +183,14 @@
 		r.sessions <- c
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.firsts.add(verdict, time.Since(began))
+		r.firstQueries.add(verdict, time.Since(began))
 		return nil
 	})
 }
 
-// touch gives a sign of life on each idle session: the daemon ends those that are silent for 5 s. It returns how many
+// keepAlive gives a sign of life on each idle session: the daemon ends those that are silent for 5 s. It returns how many
 // had ended.
-func (r *rig) touch() (ended int) {
+func (r *rig) keepAlive() (ended int) {
 	var mu sync.Mutex
 	inParallel(len(r.sessions), func(int) error {
 		c := <-r.sessions
@@ -207,21 +207,21 @@
 	return ended
 }
 
-// service is what clients saw in a time under load.
-type service struct {
-	asked, answered, shed, failed, lost int
-	took                                []float64 // ms of those that were answered, sorted
+// outcomes is what clients saw in a time under load.
+type outcomes struct {
+	queries, answered, rejected, failed, lost int
+	answerTimes                               []float64 // ms of those that were answered, sorted
 }
 
 // quantile is that of the times of answers, in ms.
-func (s service) quantile(q float64) float64 { return quantile(s.took, q) }
+func (s outcomes) quantile(q float64) float64 { return quantile(s.answerTimes, q) }
 
-func (s service) String() string {
-	text := fmt.Sprintf("%d of %d answered", s.answered, s.asked)
+func (s outcomes) String() string {
+	text := fmt.Sprintf("%d of %d answered", s.answered, s.queries)
 	for _, other := range []struct {
 		count int
 		word  string
-	}{{s.shed, "rejected"}, {s.failed, "failed"}, {s.lost, "without an answer"}} {
+	}{{s.rejected, "rejected"}, {s.failed, "failed"}, {s.lost, "without an answer"}} {
 		if other.count > 0 {
 			text += fmt.Sprintf(", %d %s", other.count, other.word)
 		}
@@ -230,14 +230,14 @@
 }
 
 // add counts an answer.
-func (s *service) add(verdict standin.Verdict, took time.Duration) {
-	s.asked++
+func (s *outcomes) add(verdict standin.Verdict, took time.Duration) {
+	s.queries++
 	switch verdict {
 	case standin.Answered:
 		s.answered++
-		s.took = append(s.took, float64(took)/1e6)
+		s.answerTimes = append(s.answerTimes, float64(took)/1e6)
 	case standin.Shed:
-		s.shed++
+		s.rejected++
 	case standin.Failed:
 		s.failed++
 	case standin.Lost:
@@ -245,17 +245,17 @@
 	}
 }
 
-// load has statements come at a rate for so long, each on the session that was idle for the longest time, and waits
+// measureLoad has statements come at a rate for so long, each on the session that was idle for the longest time, and waits
 // for their answers.
-func (r *rig) load(ctx context.Context, rate float64, long time.Duration, draw func() statement) service {
-	var out service
-	r.drive(ctx, rate, long, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
-	slices.Sort(out.took)
+func (r *rig) measureLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement) outcomes {
+	var out outcomes
+	r.runLoad(ctx, rate, long, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
+	slices.Sort(out.answerTimes)
 	return out
 }
 
-// drive is load with each answer told, one at a time.
-func (r *rig) drive(ctx context.Context, rate float64, long time.Duration, draw func() statement,
+// runLoad is load with each answer told, one at a time.
+func (r *rig) runLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement,
 	told func(s statement, verdict standin.Verdict, took time.Duration)) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -268,7 +268,7 @@
 		s := draw()
 		time.Sleep(time.Until(began.Add(time.Duration(at * 1e9))))
 		group.Go(func() {
-			verdict, took := r.ask(ctx, s)
+			verdict, took := r.query(ctx, s)
 			mu.Lock()
 			defer mu.Unlock()
 			told(s, verdict, took)
@@ -277,8 +277,8 @@
 	group.Wait()
 }
 
-// ask has one statement answered, on an idle session or, where there is none, a new one.
-func (r *rig) ask(ctx context.Context, s statement) (standin.Verdict, time.Duration) {
+// query has one statement answered, on an idle session or, where there is none, a new one.
+func (r *rig) query(ctx context.Context, s statement) (standin.Verdict, time.Duration) {
 	began := time.Now()
 	var c *standin.Client
 	select {
--- a/internal/lab/scale/datapath/statements.go
+++ b/internal/lab/scale/datapath/statements.go
@@ -12,23 +12,23 @@
 // sessionsFor keeps each session in use often enough to stay: it is asked at least each other second on average.
 func sessionsFor(rate float64) int { return max(20, int(2*rate)) }
 
-// taken is what a time under load cost the daemon.
-type taken struct {
+// loadCost is what a time under load cost the daemon.
+type loadCost struct {
 	cores   float64
-	service service
+	service outcomes
 	traffic standin.Traffic
 }
 
-// take has statements come for a while that is not counted and then for a window in which the costs are taken.
-func (b *bench) take(ctx context.Context, r *rig, rate float64) (out taken, err error) {
-	r.load(ctx, rate, b.settle, r.usual)
+// measureCost has statements come for a while that is not counted and then for a window in which the costs are taken.
+func (b *bench) measureCost(ctx context.Context, r *rig, rate float64) (out loadCost, err error) {
+	r.measureLoad(ctx, rate, b.settle, r.drawUsual)
 	trafficBefore := r.traffic()
 	before, err := r.daemon.ProcessorTime()
 	if err != nil {
 		return out, err
 	}
 	began := time.Now()
-	out.service = r.load(ctx, rate, b.window, r.usual)
+	out.service = r.measureLoad(ctx, rate, b.window, r.drawUsual)
 	passed := time.Since(began)
 	after, err := r.daemon.ProcessorTime()
 	out.cores = (after - before) / passed.Seconds()
@@ -60,20 +60,20 @@
 		if err := r.connect(ctx, sessionsFor(rate)); err != nil {
 			return nil, err
 		}
-		cost, err := b.take(ctx, r, rate)
+		cost, err := b.measureCost(ctx, r, rate)
 		if err != nil {
 			return nil, err
 		}
 		row.Points = append(row.Points, slope.Point{Size: rate, Value: cost.cores})
 		answer.Points = append(answer.Points, slope.Point{Size: rate, Value: cost.service.quantile(0.99)})
-		row.Note += note(fmt.Sprintf("%g/s", rate), cost.service)
+		row.Note += unansweredNote(fmt.Sprintf("%g/s", rate), cost.service)
 	}
-	return append(forEach(row, statementTargets...), forEach(answer, statementTargets...)...), nil
+	return append(atTargets(row, statementTargets...), atTargets(answer, statementTargets...)...), nil
 }
 
-// note tells what clients saw at one size; empty where all were answered.
-func note(size string, s service) string {
-	if s.answered == s.asked {
+// unansweredNote tells what clients saw at one size; empty where all were answered.
+func unansweredNote(size string, s outcomes) string {
+	if s.answered == s.queries {
 		return ""
 	}
 	return fmt.Sprintf("at %s %v; ", size, s)
@@ -82,9 +82,9 @@
 func (b *bench) statementEngines(ctx context.Context) ([]slope.Row, error) {
 	row := slope.Row{Role: controllerRole, Cost: "data path: processor", Unit: "cores", Per: "engines",
 		Condition: fmt.Sprintf("%g statements/s", b.engineRate), Method: methodSockets, Target: engineCount}
-	costs := make([]taken, len(b.engines))
-	err := sideBySide(len(b.engines), b.beside, func(i int) (err error) {
-		costs[i], err = b.takeBefore(ctx, b.engines[i], b.engineRate, true)
+	costs := make([]loadCost, len(b.engines))
+	err := inParallelLimited(len(b.engines), b.parallel, func(i int) (err error) {
+		costs[i], err = b.measureCostWith(ctx, b.engines[i], b.engineRate, true)
 		return err
 	})
 	if err != nil {
@@ -93,20 +93,20 @@
 	for i, n := range b.engines {
 		cost := costs[i]
 		row.Points = append(row.Points, slope.Point{Size: float64(n), Value: cost.cores})
-		row.Note += note(fmt.Sprintf("%d", n), cost.service)
+		row.Note += unansweredNote(fmt.Sprintf("%d", n), cost.service)
 	}
 	return []slope.Row{row}, nil
 }
 
-// takeBefore takes the costs of a daemon of its own before so many engines, which it may probe or not.
-func (b *bench) takeBefore(ctx context.Context, engines int, rate float64, probes bool) (taken, error) {
+// measureCostWith takes the costs of a daemon of its own before so many engines, which it may probe or not.
+func (b *bench) measureCostWith(ctx context.Context, engines int, rate float64, probes bool) (loadCost, error) {
 	r, err := b.openWith(ctx, engines, probes)
 	if err != nil {
-		return taken{}, err
+		return loadCost{}, err
 	}
 	defer r.close()
 	if err := r.connect(ctx, sessionsFor(rate)); err != nil {
-		return taken{}, err
+		return loadCost{}, err
 	}
-	return b.take(ctx, r, rate)
+	return b.measureCost(ctx, r, rate)
 }
--- a/internal/lab/scale/datapath/talk.go
+++ b/internal/lab/scale/datapath/talk.go
@@ -16,43 +16,43 @@
 // the three packets of a question, its reply and the acknowledgement of that, and for the seven of a connection's begin
 // and end.
 const (
-	packetHeaders     = 52
-	pairPackets       = 3
-	connectionPackets = 7
+	packetHeaders        = 52
+	packetsPerExchange   = 3
+	packetsPerConnection = 7
 )
 
 // quietSettle is after which a daemon's connections to engines that it reached at its start have ended: it closes
 // them after 5 s without use.
 const quietSettle = 6 * time.Second
 
-// peerTalk is what a daemon and so many engines said to each other, idle and under light load, for a while each.
-type peerTalk struct {
+// engineTraffic is what a daemon and so many engines said to each other, idle and under light load, for a while each.
+type engineTraffic struct {
 	idle, light standin.Traffic
 	window      time.Duration
-	service     service
+	service     outcomes
 }
 
 // talk measures what a controller and engines say that is no traffic.
 func (b *bench) talk(ctx context.Context) ([]slope.Row, error) {
-	all := make([]peerTalk, len(b.peers))
-	err := sideBySide(len(b.peers), b.peersBeside, func(i int) (err error) {
-		all[i], err = b.talkWith(ctx, b.peers[i])
+	all := make([]engineTraffic, len(b.peers))
+	err := inParallelLimited(len(b.peers), b.peersParallel, func(i int) (err error) {
+		all[i], err = b.measureTraffic(ctx, b.peers[i])
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	idle := talkRows("idle", b.peers, all, func(t peerTalk) standin.Traffic { return t.idle })
-	light := talkRows(fmt.Sprintf("%.2f statements/s an engine", engineShare), b.peers, all,
-		func(t peerTalk) standin.Traffic { return t.light })
+	idle := trafficRows("idle", b.peers, all, func(t engineTraffic) standin.Traffic { return t.idle })
+	light := trafficRows(fmt.Sprintf("%.2f statements/s an engine", engineShare), b.peers, all,
+		func(t engineTraffic) standin.Traffic { return t.light })
 	for i, n := range b.peers {
-		light[0].Note += note(fmt.Sprint(n), all[i].service)
+		light[0].Note += unansweredNote(fmt.Sprint(n), all[i].service)
 	}
 	return append(idle, light...), nil
 }
 
-// talkWith drives a daemon of its own before n engines.
-func (b *bench) talkWith(ctx context.Context, n int) (out peerTalk, err error) {
+// measureTraffic drives a daemon of its own before n engines.
+func (b *bench) measureTraffic(ctx context.Context, n int) (out engineTraffic, err error) {
 	r, err := b.open(ctx, n)
 	if err != nil {
 		return out, err
@@ -66,15 +66,15 @@
 	time.Sleep(b.peersWindow)
 	out.idle = r.traffic().Sub(before)
 	rate := engineShare * float64(n)
-	r.load(ctx, rate, b.peersSettle, r.usual)
+	r.measureLoad(ctx, rate, b.peersSettle, r.drawUsual)
 	before = r.traffic()
-	out.service = r.load(ctx, rate, b.peersWindow, r.usual)
+	out.service = r.measureLoad(ctx, rate, b.peersWindow, r.drawUsual)
 	out.light = r.traffic().Sub(before)
 	return out, ctx.Err()
 }
 
-// talkRows are the rows of one condition.
-func talkRows(condition string, sizes []int, all []peerTalk, of func(peerTalk) standin.Traffic) []slope.Row {
+// trafficRows are the rows of one condition.
+func trafficRows(condition string, sizes []int, all []engineTraffic, of func(engineTraffic) standin.Traffic) []slope.Row {
 	kinds := []struct {
 		cost, unit, method string
 		budget             float64
@@ -113,6 +113,6 @@
 // wireBytes is an estimate of what control talk puts on the wire each second: what was counted, with headers.
 func wireBytes(t standin.Traffic, seconds float64) float64 {
 	frames, bytes := t.Control()
-	headers := (float64(frames)/2*pairPackets + float64(t.Opened*connectionPackets)) * packetHeaders
+	headers := (float64(frames)/2*packetsPerExchange + float64(t.Opened*packetsPerConnection)) * packetHeaders
 	return (float64(bytes) + headers) / seconds
 }
--- a/internal/lab/scale/dissemination/compare.go
+++ b/internal/lab/scale/dissemination/compare.go
@@ -21,10 +21,10 @@
 	usualSeeds = 20
 	voters     = 7
 
-	playFor  = 60000.0 // ms
-	zone     = 10      // one in so many restarts
-	restarts = 50.0    // ms after the agreement
-	downFor  = 5000.0  // ms
+	runTime          = 60000.0 // ms
+	zoneInterval     = 10      // one in so many restarts
+	zoneRestartDelay = 50.0    // ms after the agreement
+	downTime         = 5000.0  // ms
 )
 
 // condition is what happens meanwhile.
@@ -40,16 +40,16 @@
 
 // Result is how one way did under one condition, over all seeds.
 type Result struct {
-	Way, Condition string
-	Size           int
-	Median, Most   float64 // ms until the last had it, counted from its own start where it restarted
-	Missing        int     // controllers that did not have it in the end
-	Leader, Voter  int     // bytes that the leader, and the voter that sent most, sent at the median
-	Node, MostNode int     // bytes that an ordinary controller sent: mean and most, at the median
+	Protocol, Condition string
+	Size                int
+	Median, Longest     float64 // ms until the last had it, counted from its own start where it restarted
+	Missing             int     // controllers that did not have it in the end
+	Leader, Voter       int     // bytes that the leader, and the voter that sent most, sent at the median
+	Node, MaxNode       int     // bytes that an ordinary controller sent: mean and most, at the median
 }
 
-// play is one play of a way.
-type play struct {
+// runResult is one play of a way.
+type runResult struct {
 	last    float64
 	missing int
 	leader  int
@@ -66,10 +66,10 @@
 	}
 	for _, size := range o.Sizes {
 		for _, c := range conditions() {
-			for _, name := range Ways() {
-				var plays []play
+			for _, name := range Protocols() {
+				var plays []runResult
 				for i := range o.Seeds {
-					plays = append(plays, playOnce(name, c, o.Seed+int64(i), o.Nodes, size))
+					plays = append(plays, runOnce(name, c, o.Seed+int64(i), o.Nodes, size))
 				}
 				results = append(results, summarize(name, c.name, size, plays))
 			}
@@ -78,24 +78,24 @@
 	return results
 }
 
-func playOnce(name string, c condition, seed int64, nodes, size int) play {
+func runOnce(name string, c condition, seed int64, nodes, size int) runResult {
 	n := newNetwork(seed, nodes, voters, size, c.loss)
-	w := newWay(name, n)
-	w.begin()
+	w := newProtocol(name, n)
+	w.start()
 	if c.zoneRestarts {
-		n.after(restarts, func() {
+		n.after(zoneRestartDelay, func() {
 			for number := voters; number < nodes; number++ {
-				if number%zone == 0 {
-					n.stop(number, downFor, w.started)
+				if number%zoneInterval == 0 {
+					n.stop(number, downTime, w.nodeStarted)
 				}
 			}
 		})
 	}
-	n.run(playFor)
+	n.run(runTime)
 	return n.outcome()
 }
 
-func (n *network) outcome() (p play) {
+func (n *network) outcome() (p runResult) {
 	p.leader = n.nodes[0].sent
 	sum := 0
 	for number, at := range n.nodes {
@@ -106,7 +106,7 @@
 		case !at.has:
 			p.missing++
 		default:
-			p.last = max(p.last, at.had-at.startAt)
+			p.last = max(p.last, at.receivedAt-at.startedAt)
 		}
 		sum += at.sent
 		p.most = max(p.most, at.sent)
@@ -115,21 +115,21 @@
 	return p
 }
 
-func summarize(way, condition string, size int, plays []play) Result {
-	r := Result{Way: way, Condition: condition, Size: size}
+func summarize(way, condition string, size int, plays []runResult) Result {
+	r := Result{Protocol: way, Condition: condition, Size: size}
 	for _, p := range plays {
-		r.Most = max(r.Most, p.last)
+		r.Longest = max(r.Longest, p.last)
 		r.Missing += p.missing
 	}
-	r.Median = median(plays, func(p play) float64 { return p.last })
-	r.Leader = int(median(plays, func(p play) float64 { return float64(p.leader) }))
-	r.Voter = int(median(plays, func(p play) float64 { return float64(p.voter) }))
-	r.Node = int(median(plays, func(p play) float64 { return float64(p.node) }))
-	r.MostNode = int(median(plays, func(p play) float64 { return float64(p.most) }))
+	r.Median = median(plays, func(p runResult) float64 { return p.last })
+	r.Leader = int(median(plays, func(p runResult) float64 { return float64(p.leader) }))
+	r.Voter = int(median(plays, func(p runResult) float64 { return float64(p.voter) }))
+	r.Node = int(median(plays, func(p runResult) float64 { return float64(p.node) }))
+	r.MaxNode = int(median(plays, func(p runResult) float64 { return float64(p.most) }))
 	return r
 }
 
-func median(plays []play, of func(play) float64) float64 {
+func median(plays []runResult, of func(runResult) float64) float64 {
 	values := make([]float64, len(plays))
 	for i, p := range plays {
 		values[i] = of(p)
@@ -143,7 +143,7 @@
 	fmt.Fprintln(w, "| bytes | condition | way | last has it, median; most, ms | missing | leader sent | most of a voter | a controller sent, mean; most |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range results {
-		fmt.Fprintf(w, "| %d | %s | %s | %.0f; %.0f | %d | %d | %d | %d; %d |\n", r.Size, r.Condition, r.Way, r.Median, r.Most, r.Missing, r.Leader,
-			r.Voter, r.Node, r.MostNode)
+		fmt.Fprintf(w, "| %d | %s | %s | %.0f; %.0f | %d | %d | %d | %d; %d |\n", r.Size, r.Condition, r.Protocol, r.Median, r.Longest, r.Missing, r.Leader,
+			r.Voter, r.Node, r.MaxNode)
 	}
 }
--- a/internal/lab/scale/dissemination/compare_test.go
+++ b/internal/lab/scale/dissemination/compare_test.go
@@ -9,15 +9,15 @@
 func TestCompare(t *testing.T) {
 	const size = 4 << 10
 	results := Compare(Options{Nodes: 100, Seeds: 3, Seed: 1, Sizes: []int{size}})
-	if len(results) != len(Ways())*len(conditions()) {
+	if len(results) != len(Protocols())*len(conditions()) {
 		t.Fatalf("%d results", len(results))
 	}
 	of := func(way, condition string) Result {
-		i := slices.IndexFunc(results, func(r Result) bool { return r.Way == way && r.Condition == condition })
+		i := slices.IndexFunc(results, func(r Result) bool { return r.Protocol == way && r.Condition == condition })
 		return results[i]
 	}
 	for _, r := range results {
-		if r.Missing != 0 || r.Median <= 0 || r.Most < r.Median {
+		if r.Missing != 0 || r.Median <= 0 || r.Longest < r.Median {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -25,7 +25,7 @@
 	if push.Voter < 13*size || push.Node > 2*headerBytes {
 		t.Errorf("voters push: %+v", push)
 	}
-	if tree.MostNode > (treeFanOut+1)*(size+2*headerBytes) || tree.Voter < treeFanOut*size {
+	if tree.MaxNode > (treeFanOut+1)*(size+2*headerBytes) || tree.Voter < treeFanOut*size {
 		t.Errorf("tree by region: %+v", tree)
 	}
 	if pull.Node < size/2 || pull.Voter > push.Voter {
--- a/internal/lab/scale/dissemination/network.go
+++ b/internal/lab/scale/dissemination/network.go
@@ -23,12 +23,12 @@
 
 // node is one controller.
 type node struct {
-	up       bool
-	has      bool    // the document
-	had      float64 // ms, when it came
-	startAt  float64 // ms, of its last start
-	sendFree float64 // ms, when its uplink is free
-	sent     int     // bytes
+	up           bool
+	has          bool    // the document
+	receivedAt   float64 // ms, when it came
+	startedAt    float64 // ms, of its last start
+	uplinkFreeAt float64 // ms, when its uplink is free
+	sent         int     // bytes
 }
 
 // network carries messages between nodes; the first ones are the voters, of which node 0 leads.
@@ -41,7 +41,7 @@
 	loss   float64
 	size   int // bytes of the document
 
-	received func(to int) // is told of each node that has come to have the document
+	onReceived func(to int) // is told of each node that has come to have the document
 }
 
 func newNetwork(seed int64, nodes, voters, size int, loss float64) *network {
@@ -77,12 +77,12 @@
 	}
 	bytes += headerBytes
 	sender.sent += bytes
-	sender.sendFree = max(n.now, sender.sendFree) + float64(bytes)/uplink
+	sender.uplinkFreeAt = max(n.now, sender.uplinkFreeAt) + float64(bytes)/uplink
 	latency := betweenRegions
 	if region(from) == region(to) {
 		latency = withinRegion
 	}
-	delay := sender.sendFree - n.now + latency + jitter*n.rng.Float64()
+	delay := sender.uplinkFreeAt - n.now + latency + jitter*n.rng.Float64()
 	if n.rng.Float64() < n.loss {
 		return
 	}
@@ -107,11 +107,11 @@
 	}
 }
 
-// take notes that a node has the document.
-func (n *network) take(to int) {
+// recordReceipt notes that a node has the document.
+func (n *network) recordReceipt(to int) {
 	if at := &n.nodes[to]; !at.has {
-		at.has, at.had = true, n.now
-		n.received(to)
+		at.has, at.receivedAt = true, n.now
+		n.onReceived(to)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (n *network) stop(number int, down float64, started func(int)) {
 	n.nodes[number].up, n.nodes[number].has = false, false
 	n.after(down, func() {
-		n.nodes[number].up, n.nodes[number].startAt = true, n.now
+		n.nodes[number].up, n.nodes[number].startedAt = true, n.now
 		started(number)
 	})
 }
--- a/internal/lab/scale/dissemination/ways.go
+++ b/internal/lab/scale/dissemination/ways.go
@@ -2,25 +2,25 @@
 
 // Times of all ways, in ms.
 const (
-	retryAfter    = 1000.0 // of a document or a question that was not answered
-	chunkPatience = 500.0  // of one that pulls, before it asks another
-	pingEach      = 1000.0 // of membership, which carries summaries
-	treeTries     = 3      // of a parent, before it takes on the children of a child that does not answer
-	treeFanOut    = 8
-	pushedTo      = 4  // controllers that are told at once
-	summaryBytes  = 40 // in a ping that is sent anyway
+	retryInterval  = 1000.0 // of a document or a question that was not answered
+	fetchTimeout   = 500.0  // of one that pulls, before it asks another
+	pingInterval   = 1000.0 // of membership, which carries summaries
+	treeAttempts   = 3      // of a parent, before it takes on the children of a child that does not answer
+	treeFanOut     = 8
+	announceFanOut = 4  // controllers that are told at once
+	summaryBytes   = 40 // in a ping that is sent anyway
 )
 
-// way is one way of dissemination on a network.
-type way interface {
-	begin()             // the document was agreed on
-	started(number int) // a controller has started without the document
+// protocol is one way of dissemination on a network.
+type protocol interface {
+	start()                 // the document was agreed on
+	nodeStarted(number int) // a controller has started without the document
 }
 
-// Ways are the names of all, in the order of the table.
-func Ways() []string { return []string{"voters push", "tree by region", "summaries and pull"} }
+// Protocols are the names of all, in the order of the table.
+func Protocols() []string { return []string{"voters push", "tree by region", "summaries and pull"} }
 
-func newWay(name string, n *network) way {
+func newProtocol(name string, n *network) protocol {
 	switch name {
 	case "voters push":
 		return newPush(n)
@@ -31,18 +31,18 @@
 	}
 }
 
-// askVoter has a controller that started ask voters, one after the other, until it has the document.
-func (n *network) askVoter(number, turn int) {
+// fetchFromVoter has a controller that started ask voters, one after the other, until it has the document.
+func (n *network) fetchFromVoter(number, turn int) {
 	if n.nodes[number].has || !n.nodes[number].up {
 		return
 	}
 	voter := (number + turn) % n.voters
 	n.send(number, voter, 0, func() {
 		if n.nodes[voter].has {
-			n.sendDocument(voter, number, func() { n.take(number) })
+			n.sendDocument(voter, number, func() { n.recordReceipt(number) })
 		}
 	})
-	n.after(retryAfter, func() { n.askVoter(number, turn+1) })
+	n.after(retryInterval, func() { n.fetchFromVoter(number, turn+1) })
 }
 
 // push has each voter send the document to its part of the controllers until they have acknowledged it.
@@ -53,11 +53,11 @@
 
 func newPush(n *network) *push {
 	p := &push{network: n, acknowledged: make([]bool, len(n.nodes))}
-	n.received = func(int) {}
+	n.onReceived = func(int) {}
 	return p
 }
 
-func (p *push) begin() {
+func (p *push) start() {
 	for to := p.voters; to < len(p.nodes); to++ {
 		p.deliver(to%p.voters, to)
 	}
@@ -68,13 +68,13 @@
 		return
 	}
 	p.sendDocument(voter, to, func() {
-		p.take(to)
+		p.recordReceipt(to)
 		p.send(to, voter, 0, func() { p.acknowledged[to] = true })
 	})
-	p.after(retryAfter, func() { p.deliver(voter, to) })
+	p.after(retryInterval, func() { p.deliver(voter, to) })
 }
 
-func (p *push) started(number int) { p.askVoter(number, 0) }
+func (p *push) nodeStarted(number int) { p.fetchFromVoter(number, 0) }
 
 // tree has the leader send the document to a voter of each region, and each controller to its children in a tree of its
 // region. A parent takes on the children of a child that does not answer.
@@ -95,11 +95,11 @@
 		t.place[number] = len(t.order[at])
 		t.order[at] = append(t.order[at], number)
 	}
-	n.received = t.forward
+	n.onReceived = t.forward
 	return t
 }
 
-func (t *tree) begin() {
+func (t *tree) start() {
 	for at := range t.order {
 		t.forward(t.order[at][0])
 	}
@@ -108,7 +108,7 @@
 // forward has a controller send the document to its children.
 func (t *tree) forward(parent int) {
 	for _, child := range t.children(parent) {
-		t.deliver(parent, child, treeTries)
+		t.deliver(parent, child, treeAttempts)
 	}
 }
 
@@ -127,18 +127,18 @@
 	}
 	if tries == 0 {
 		for _, grandchild := range t.children(child) {
-			t.deliver(parent, grandchild, treeTries)
+			t.deliver(parent, grandchild, treeAttempts)
 		}
 		return
 	}
 	t.sendDocument(parent, child, func() {
-		t.take(child)
+		t.recordReceipt(child)
 		t.send(child, parent, 0, func() { t.acknowledged[child] = true })
 	})
-	t.after(retryAfter, func() { t.deliver(parent, child, tries-1) })
+	t.after(retryInterval, func() { t.deliver(parent, child, tries-1) })
 }
 
-func (t *tree) started(number int) { t.askVoter(number, 0) }
+func (t *tree) nodeStarted(number int) { t.fetchFromVoter(number, 0) }
 
 // pull has each controller that has the document tell some others at once, and one more with each ping; whoever is told
 // fetches it from the teller.
@@ -149,27 +149,27 @@
 
 func newPull(n *network) *pull {
 	p := &pull{network: n, fetching: make([]bool, len(n.nodes))}
-	n.received = func(number int) { p.tellSome(number) }
+	n.onReceived = func(number int) { p.announceToSome(number) }
 	for number := range n.nodes {
-		n.after(pingEach*n.rng.Float64(), func() { p.ping(number) })
+		n.after(pingInterval*n.rng.Float64(), func() { p.ping(number) })
 	}
 	return p
 }
 
-func (p *pull) begin() {
+func (p *pull) start() {
 	for voter := range p.voters {
-		p.tellSome(voter)
+		p.announceToSome(voter)
 	}
 }
 
-func (p *pull) tellSome(number int) {
-	for range pushedTo {
-		p.tell(number, p.rng.Intn(len(p.nodes)), 0)
+func (p *pull) announceToSome(number int) {
+	for range announceFanOut {
+		p.announce(number, p.rng.Intn(len(p.nodes)), 0)
 	}
 }
 
-// tell has one controller tell another that it has the document; as a part of a ping it costs fewer bytes.
-func (p *pull) tell(from, to, bytes int) {
+// announce has one controller tell another that it has the document; as a part of a ping it costs fewer bytes.
+func (p *pull) announce(from, to, bytes int) {
 	if from == to || !p.nodes[from].has {
 		return
 	}
@@ -178,9 +178,9 @@
 
 func (p *pull) ping(number int) {
 	other := p.rng.Intn(len(p.nodes))
-	p.tell(number, other, summaryBytes-headerBytes)
-	p.tell(other, number, summaryBytes-headerBytes)
-	p.after(pingEach, func() { p.ping(number) })
+	p.announce(number, other, summaryBytes-headerBytes)
+	p.announce(other, number, summaryBytes-headerBytes)
+	p.after(pingInterval, func() { p.ping(number) })
 }
 
 func (p *pull) fetch(number, source int) {
@@ -190,10 +190,10 @@
 	p.fetching[number] = true
 	p.send(number, source, 0, func() {
 		if p.nodes[source].has {
-			p.sendDocument(source, number, func() { p.take(number) })
+			p.sendDocument(source, number, func() { p.recordReceipt(number) })
 		}
 	})
-	p.after(chunkPatience, func() {
+	p.after(fetchTimeout, func() {
 		p.fetching[number] = false
 		if !p.nodes[number].has && p.nodes[number].up {
 			p.fetch(number, p.rng.Intn(p.voters))
@@ -201,4 +201,4 @@
 	})
 }
 
-func (p *pull) started(number int) { p.fetching[number] = false; p.askVoter(number, 0) }
+func (p *pull) nodeStarted(number int) { p.fetching[number] = false; p.fetchFromVoter(number, 0) }
--- a/internal/lab/scale/hollow/agreement.go
+++ b/internal/lab/scale/hollow/agreement.go
@@ -10,24 +10,24 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// smallFleet is how many controllers the fleets have in which leases and the digest are measured.
-const smallFleet = 10
+// smallFleetSize is how many controllers the fleets have in which leases and the digest are measured.
+const smallFleetSize = 10
 
 // agreement measures what the quorum's leader spends by leases and by voters.
 func (m *measurement) agreement(ctx context.Context) ([]slope.Row, error) {
 	type point struct{ leases, voters int }
 	points := []point{{1, usualVoters}, {4, usualVoters}, {16, usualVoters}, {64, usualVoters}, {16, 1}, {16, 3}, {16, 7}}
-	spent := make([]Spending, len(points))
-	err := each(m, numbers(0, len(points)), func(i int) (err error) {
-		spent[i], err = m.leaderOf(ctx, Spec{Controllers: smallFleet, Voters: points[i].voters, Leases: points[i].leases})
+	spent := make([]ResourceUsage, len(points))
+	err := forEachCase(m, numberRange(0, len(points)), func(i int) (err error) {
+		spent[i], err = m.measureLeader(ctx, Spec{Controllers: smallFleetSize, Voters: points[i].voters, Leases: points[i].leases})
 		if err != nil {
 			return fmt.Errorf("%d leases and %d voters: %w", points[i].leases, points[i].voters, err)
 		}
-		m.Tell("%d leases and %d voters: the leader spends %.4f cores and %.0f bytes/s", points[i].leases, points[i].voters,
+		m.Logf("%d leases and %d voters: the leader spends %.4f cores and %.0f bytes/s", points[i].leases, points[i].voters,
 			spent[i].Processor, spent[i].Sent+spent[i].Received)
 		return nil
 	})
-	condition := fmt.Sprintf("at rest, %d controllers", smallFleet)
+	condition := fmt.Sprintf("at rest, %d controllers", smallFleetSize)
 	byLeases := slope.Row{Role: "quorum leader", Per: "leases", Condition: fmt.Sprintf("%s, %d voters", condition, usualVoters),
 		Method: "sockets", Target: targetLeases}
 	byVoters := slope.Row{Role: "quorum leader", Per: "voters", Condition: condition + ", 16 leases", Method: "sockets", Target: targetVoters}
@@ -56,26 +56,26 @@
 
 func bySize(a, b slope.Point) int { return int(a.Size - b.Size) }
 
-// leaderOf is what the leader of a fleet spends while all its leases are held.
-func (m *measurement) leaderOf(ctx context.Context, s Spec) (Spending, error) {
+// measureLeader is what the leader of a fleet spends while all its leases are held.
+func (m *measurement) measureLeader(ctx context.Context, s Spec) (ResourceUsage, error) {
 	f, err := m.open(ctx, s)
 	if err != nil {
-		return Spending{}, err
+		return ResourceUsage{}, err
 	}
 	defer f.Close()
-	if err := f.Start(numbers(0, s.Controllers), s.Controllers); err != nil {
-		return Spending{}, err
+	if err := f.Start(numberRange(0, s.Controllers), s.Controllers); err != nil {
+		return ResourceUsage{}, err
 	}
 	for _, name := range s.leases() {
-		if _, _, err := f.AwaitHolder(ctx, knownWithin, name, 0); err != nil {
-			return Spending{}, err
+		if _, _, err := f.AwaitHolder(ctx, knownTimeout, name, 0); err != nil {
+			return ResourceUsage{}, err
 		}
 	}
-	if err := pause(ctx, m.settle); err != nil {
-		return Spending{}, err
+	if err := sleep(ctx, m.settle); err != nil {
+		return ResourceUsage{}, err
 	}
-	leader, interval, err := m.watchLed(ctx, f, s.Voters)
-	return interval.Of(leader), err
+	leader, interval, err := m.measureWithOneLeader(ctx, f, s.Voters)
+	return interval.Mean(leader), err
 }
 
 // digestCase is a size of the statistics digest.
@@ -86,24 +86,24 @@
 	const manyGroups, manyEngines = 1000, 300
 	cases := []digestCase{{10, manyGroups}, {100, manyGroups}, {300, manyGroups}, {targetEngines, manyGroups},
 		{manyEngines, 10}, {manyEngines, 100}, {manyEngines, 3000}}
-	spent := make([]digestSpending, len(cases))
-	err := each(m, numbers(0, len(cases)), func(i int) (err error) {
-		spent[i], err = m.digestOf(ctx, cases[i])
+	spent := make([]digestUsage, len(cases))
+	err := forEachCase(m, numberRange(0, len(cases)), func(i int) (err error) {
+		spent[i], err = m.measureDigestCase(ctx, cases[i])
 		if err != nil {
 			return fmt.Errorf("digest of %d engines and %d table groups: %w", cases[i].engines, cases[i].tableGroups, err)
 		}
-		m.Tell("digest of %d engines and %d table groups: %+.3f", cases[i].engines, cases[i].tableGroups, spent[i])
+		m.Logf("digest of %d engines and %d table groups: %+.3f", cases[i].engines, cases[i].tableGroups, spent[i])
 		return nil
 	})
 	var rows []slope.Row
 	for _, per := range []string{"engines", "table groups"} {
 		for _, role := range []struct {
 			name string
-			of   func(digestSpending) Spending
+			of   func(digestUsage) ResourceUsage
 		}{
-			{"lease holder", func(s digestSpending) Spending { return s.holder }},
-			{"voter", func(s digestSpending) Spending { return s.voter }},
-			{"controller", func(s digestSpending) Spending { return s.other }},
+			{"lease holder", func(s digestUsage) ResourceUsage { return s.holder }},
+			{"voter", func(s digestUsage) ResourceUsage { return s.voter }},
+			{"controller", func(s digestUsage) ResourceUsage { return s.controller }},
 		} {
 			row := slope.Row{Role: role.name, Per: per, Method: "sockets", Target: targetEngines, Condition: fmt.Sprintf("%d table groups", manyGroups)}
 			if per == "table groups" {
@@ -111,9 +111,9 @@
 			}
 			bytes, cores := row, row
 			bytes.Cost, bytes.Unit, bytes.Budget = "digest: bytes sent and received", "bytes/s", budgetBytes
-			bytes.Note = fmt.Sprintf("with membership of %d controllers and %d voters", smallFleet, usualVoters)
+			bytes.Note = fmt.Sprintf("with membership of %d controllers and %d voters", smallFleetSize, usualVoters)
 			cores.Cost, cores.Unit, cores.Budget = "digest: processor", "cores", budgetCores
-			cores.Note = fmt.Sprintf("%s; the statistics of %d controllers are merged, of up to 64 in a large fleet", bytes.Note, smallFleet)
+			cores.Note = fmt.Sprintf("%s; the statistics of %d controllers are merged, of up to 64 in a large fleet", bytes.Note, smallFleetSize)
 			if role.name == "controller" {
 				bytes.Note += "; each is asked four times in nine rounds here, and far less often in a large fleet"
 			}
@@ -135,40 +135,40 @@
 	return rows, err
 }
 
-// digestSpending is what the digest's holder, voters that do not hold it, and other controllers spend.
-type digestSpending struct{ holder, voter, other Spending }
+// digestUsage is what the digest's holder, voters that do not hold it, and other controllers spend.
+type digestUsage struct{ holder, voter, controller ResourceUsage }
 
-func (m *measurement) digestOf(ctx context.Context, c digestCase) (digestSpending, error) {
-	s := Spec{Controllers: smallFleet, Voters: usualVoters, OneHolder: true, Digest: true, Engines: c.engines, TableGroups: c.tableGroups}
+func (m *measurement) measureDigestCase(ctx context.Context, c digestCase) (digestUsage, error) {
+	s := Spec{Controllers: smallFleetSize, Voters: usualVoters, OneHolder: true, Digest: true, Engines: c.engines, TableGroups: c.tableGroups}
 	f, err := m.open(ctx, s)
 	if err != nil {
-		return digestSpending{}, err
+		return digestUsage{}, err
 	}
 	defer f.Close()
-	if err := f.Start(numbers(0, s.Controllers), s.Controllers); err != nil {
-		return digestSpending{}, err
+	if err := f.Start(numberRange(0, s.Controllers), s.Controllers); err != nil {
+		return digestUsage{}, err
 	}
-	holder, _, err := f.AwaitHolder(ctx, knownWithin, sharedstatistics.Lease, 0)
+	holder, _, err := f.AwaitHolder(ctx, knownTimeout, sharedstatistics.Lease, 0)
 	if err != nil {
-		return digestSpending{}, err
+		return digestUsage{}, err
 	}
-	if _, err := f.AwaitAllKnown(ctx, knownWithin); err != nil {
-		return digestSpending{}, err
+	if _, err := f.AwaitAllKnown(ctx, knownTimeout); err != nil {
+		return digestUsage{}, err
 	}
 	const round = 5 * time.Second // of gathering and publishing
 	rounds := time.Duration(2)
 	if !m.Quick {
 		rounds = 4
 	}
-	if err := pause(ctx, round); err != nil {
-		return digestSpending{}, err
+	if err := sleep(ctx, round); err != nil {
+		return digestUsage{}, err
 	}
-	interval, err := m.watch(ctx, f, rounds*round)
+	interval, err := m.measureInterval(ctx, f, rounds*round)
 	if err != nil {
-		return digestSpending{}, err
+		return digestUsage{}, err
 	}
 	others := func(from, to int) []int {
-		return slices.DeleteFunc(numbers(from, to), func(n int) bool { return n == holder })
+		return slices.DeleteFunc(numberRange(from, to), func(n int) bool { return n == holder })
 	}
-	return digestSpending{interval.Of(holder), interval.Of(others(0, s.Voters)...), interval.Of(others(s.Voters, s.Controllers)...)}, nil
+	return digestUsage{interval.Mean(holder), interval.Mean(others(0, s.Voters)...), interval.Mean(others(s.Voters, s.Controllers)...)}, nil
 }
--- a/internal/lab/scale/hollow/await.go
+++ b/internal/lab/scale/hollow/await.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// pause waits for a time, or until the context ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -21,26 +21,28 @@
 	}
 }
 
-// LateError is something that was awaited in vain.
-type LateError struct {
-	What   string
-	Within time.Duration
+// TimeoutError is something that was awaited in vain.
+type TimeoutError struct {
+	What    string
+	Timeout time.Duration
 }
 
 // Error implements error.
-func (e *LateError) Error() string { return fmt.Sprintf("after %v still not so: %s", e.Within, e.What) }
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("after %v still not so: %s", e.Timeout, e.What)
+}
 
-// await looks again and again until something is so.
-func await(ctx context.Context, within, each time.Duration, what string, is func() (bool, error)) error {
+// pollUntil looks again and again until something is so.
+func pollUntil(ctx context.Context, within, each time.Duration, what string, is func() (bool, error)) error {
 	for end := time.Now().Add(within); ; {
 		found, err := is()
 		if err != nil || found {
 			return err
 		}
 		if time.Now().After(end) {
-			return &LateError{What: what, Within: within}
+			return &TimeoutError{What: what, Timeout: within}
 		}
-		if err := pause(ctx, each); err != nil {
+		if err := sleep(ctx, each); err != nil {
 			return err
 		}
 	}
@@ -60,7 +62,7 @@
 // awaitLast waits until some controllers, or all that run if none are named, tell a time, and returns the latest.
 func (f *Fleet) awaitLast(ctx context.Context, within time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
 	const lookEach = 250 * time.Millisecond
-	err = await(ctx, within, lookEach, what, func() (bool, error) {
+	err = pollUntil(ctx, within, lookEach, what, func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
@@ -92,10 +94,10 @@
 // awaitLeaderAmong is AwaitLeader of some voters; nil: all that run.
 func (f *Fleet) awaitLeaderAmong(ctx context.Context, within time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
 	const lookEach = 20 * time.Millisecond
-	err = await(ctx, within, lookEach, "the voters have a leader", func() (bool, error) {
-		standings, err := f.Standings()
+	err = pollUntil(ctx, within, lookEach, "the voters have a leader", func() (bool, error) {
+		standings, err := f.QuorumViews()
 		if among != nil {
-			standings = slices.DeleteFunc(standings, func(s Standing) bool { return !slices.Contains(among, s.Number) })
+			standings = slices.DeleteFunc(standings, func(s QuorumView) bool { return !slices.Contains(among, s.Number) })
 		}
 		if err != nil || len(standings) < voters {
 			return false, err
@@ -117,7 +119,7 @@
 // AwaitHolder waits until a lease has a holder whose fencing token is above the one told, and tells both.
 func (f *Fleet) AwaitHolder(ctx context.Context, within time.Duration, of lease.Name, above lease.Token) (holder int, grant Grant, err error) {
 	const lookEach = 50 * time.Millisecond
-	err = await(ctx, within, lookEach, fmt.Sprintf("%s has a holder", of), func() (bool, error) {
+	err = pollUntil(ctx, within, lookEach, fmt.Sprintf("%s has a holder", of), func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
--- a/internal/lab/scale/hollow/child.go
+++ b/internal/lab/scale/hollow/child.go
@@ -41,11 +41,11 @@
 
 // reply is the line with which a child answers.
 type reply struct {
-	Error     string     `json:"error,omitempty"`
-	Version   uint64     `json:"version,omitempty"`
-	Views     []View     `json:"views,omitempty"`
-	Standings []Standing `json:"standings,omitempty"`
-	Sample    *Sample    `json:"sample,omitempty"`
+	Error       string       `json:"error,omitempty"`
+	Version     uint64       `json:"version,omitempty"`
+	Views       []View       `json:"views,omitempty"`
+	QuorumViews []QuorumView `json:"standings,omitempty"`
+	Sample      *Sample      `json:"sample,omitempty"`
 }
 
 // ServeChild has this process run a share of a fleet, as it is told by lines of JSON, until its input or the context
@@ -70,7 +70,7 @@
 		if err != nil {
 			return fmt.Errorf("request: %w", err)
 		}
-		answer, err := child.perform(r)
+		answer, err := child.handle(r)
 		if err != nil {
 			answer.Error = err.Error()
 		}
@@ -82,7 +82,7 @@
 
 type child struct{ share *Share }
 
-func (c *child) perform(r request) (answer reply, err error) {
+func (c *child) handle(r request) (answer reply, err error) {
 	if r.Action == actionOpen {
 		if c.share != nil || r.Spec == nil {
 			return answer, errors.New("the share is open already, or no fleet is told")
@@ -112,7 +112,7 @@
 	case actionViews:
 		answer.Views = c.share.Views()
 	case actionStandings:
-		answer.Standings = c.share.Standings()
+		answer.QuorumViews = c.share.QuorumViews()
 	case actionSample:
 		var sample Sample
 		sample, err = c.share.Sample()
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -29,12 +29,12 @@
 	At     time.Time `json:"at"`
 }
 
-const mostApplied = 1000
+const maxApplied = 1000
 
 func (h *host) apply(v config.Version, document []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.applied) < mostApplied {
+	if len(h.applied) < maxApplied {
 		h.applied = append(h.applied, Applied{v.Number, len(document), time.Now()})
 	}
 	return nil
@@ -73,7 +73,7 @@
 
 // Put has a controller propose a document, and tells the number of the version that was agreed on.
 func (f *Fleet) Put(number int, document []byte) (version uint64, err error) {
-	replies, err := f.all(askTime, func(p *process) *request {
+	replies, err := f.callAll(requestTimeout, func(p *process) *request {
 		if !slices.Contains(p.numbers, number) {
 			return nil
 		}
@@ -122,15 +122,15 @@
 		}
 		slices.SortFunc(took, func(a, b time.Duration) int { return cmp.Compare(a, b) })
 		median, longest := took[len(took)/2], took[len(took)-1]
-		m.note(size, putFigure(bytes, "median"), milliseconds(median))
-		m.note(size, putFigure(bytes, "longest"), milliseconds(longest))
-		m.Tell("%d controllers: a document of %d bytes was in force at the last after %v, at most %v, of %d", size, bytes,
+		m.record(size, putFigureName(bytes, "median"), milliseconds(median))
+		m.record(size, putFigureName(bytes, "longest"), milliseconds(longest))
+		m.Logf("%d controllers: a document of %d bytes was in force at the last after %v, at most %v, of %d", size, bytes,
 			median.Round(time.Millisecond), longest.Round(time.Millisecond), len(took))
 	}
 	return nil
 }
 
-func putFigure(bytes int, which string) string { return fmt.Sprintf("put/%d/%s", bytes, which) }
+func putFigureName(bytes int, which string) string { return fmt.Sprintf("put/%d/%s", bytes, which) }
 
 // timePut has a controller put a document, and adds the time until the last one had it in force; none if that was awaited
 // in vain.
@@ -140,8 +140,8 @@
 	if err != nil {
 		return err
 	}
-	last, err := f.AwaitInForce(ctx, knownWithin, version)
-	if err != nil && m.isLate(size, err) {
+	last, err := f.AwaitInForce(ctx, knownTimeout, version)
+	if err != nil && m.recordTimeout(size, err) {
 		return nil
 	}
 	if err != nil {
@@ -155,7 +155,7 @@
 func putRows() (rows []sizeRow) {
 	for _, bytes := range documentSizes {
 		for _, which := range []string{"median", "longest"} {
-			rows = append(rows, sizeRow{putFigure(bytes, which), slope.Row{Role: "fleet",
+			rows = append(rows, sizeRow{putFigureName(bytes, which), slope.Row{Role: "fleet",
 				Cost: "configuration: from put to in force at the last, " + which, Unit: "ms", Log: true, Budget: budgetInForce,
 				Condition: fmt.Sprintf("at rest, documents of %d KB", bytes>>10), Note: "few puts at each size"}})
 		}
--- a/internal/lab/scale/hollow/controller.go
+++ b/internal/lab/scale/hollow/controller.go
@@ -69,20 +69,20 @@
 	return c, nil
 }
 
-// Standing is how a voter sees the quorum.
-type Standing struct {
+// QuorumView is how a voter sees the quorum.
+type QuorumView struct {
 	Number int    `json:"number"`
 	Leader string `json:"leader"`
 	Term   uint64 `json:"term"`
 	Votes  bool   `json:"votes"` // it takes part
 }
 
-func (c *controller) standing() (Standing, error) {
+func (c *controller) quorumView() (QuorumView, error) {
 	status, err := c.service.Ask(control.Request{Action: "status"})
 	if err != nil {
-		return Standing{}, fmt.Errorf("n%d: %w", c.number, err)
+		return QuorumView{}, fmt.Errorf("n%d: %w", c.number, err)
 	}
-	return Standing{c.number, status.Quorum.Leader, status.Quorum.Term, status.Quorum.Role == "voting"}, nil
+	return QuorumView{c.number, status.Quorum.Leader, status.Quorum.Term, status.Quorum.Role == "voting"}, nil
 }
 
 // counters are the counts that the service prints, by their names, as "links.refused".
--- a/internal/lab/scale/hollow/daemons.go
+++ b/internal/lab/scale/hollow/daemons.go
@@ -16,18 +16,18 @@
 
 // daemons are real controllers among hollow ones: shipped daemons as processes, without clients.
 type daemons struct {
-	folder string
-	list   []*daemon.Process
-	feed   *standin.Feed
-	engine *standin.Engine
-	end    context.CancelFunc
+	folder    string
+	processes []*daemon.Process
+	feed      *standin.Feed
+	engine    *standin.Engine
+	cancel    context.CancelFunc
 }
 
 // startDaemons builds the daemon and starts some that join the fleet. Their addresses follow those of the hollow
 // controllers.
 func (f *Fleet) startDaemons(ctx context.Context, count int, seed int64) (*daemons, error) {
 	d := &daemons{}
-	ctx, d.end = context.WithCancel(ctx)
+	ctx, d.cancel = context.WithCancel(ctx)
 	if err := d.startAll(ctx, f, count, seed); err != nil {
 		d.close()
 		return nil, err
@@ -49,11 +49,11 @@
 	if d.engine, err = daemon.NewEngine(1, seed); err != nil {
 		return err
 	}
-	d.list = make([]*daemon.Process, count)
+	d.processes = make([]*daemon.Process, count)
 	errs := make([]error, count)
 	var group sync.WaitGroup
 	for i := range count {
-		group.Go(func() { d.list[i], errs[i] = d.start(ctx, f, binary, i, seed) })
+		group.Go(func() { d.processes[i], errs[i] = d.start(ctx, f, binary, i, seed) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
@@ -69,8 +69,8 @@
 	if err := os.WriteFile(operator, []byte(f.operatorFile(folder, f.spec.Controllers+i)), 0o600); err != nil {
 		return nil, err
 	}
-	return daemon.Start(ctx, daemon.Options{Binary: binary, Folder: folder, Name: name, Feed: d.feed.Addr,
-		Engines: []*standin.Engine{d.engine}, Controllers: f.spec.Controllers, Seed: seed + int64(i), Operator: operator})
+	return daemon.Start(ctx, daemon.Options{Binary: binary, Folder: folder, Name: name, DiscoveryAddr: d.feed.Addr,
+		Engines: []*standin.Engine{d.engine}, Controllers: f.spec.Controllers, Seed: seed + int64(i), OperatorFile: operator})
 }
 
 func daemonName(i int) string { return fmt.Sprintf("daemon-%d", i) }
@@ -87,7 +87,7 @@
 }
 
 func (d *daemons) close() {
-	for _, p := range d.list {
+	for _, p := range d.processes {
 		if p != nil {
 			p.Stop()
 		}
@@ -95,7 +95,7 @@
 	if d.engine != nil {
 		d.engine.Close()
 	}
-	d.end()
+	d.cancel()
 	if d.folder != "" {
 		os.RemoveAll(d.folder)
 	}
@@ -105,8 +105,8 @@
 func (d *daemons) awaitInForce(ctx context.Context, within time.Duration, version uint64) error {
 	const lookEach = 50 * time.Millisecond
 	what := fmt.Sprintf("version %d is in force at all daemons", version)
-	return await(ctx, within, lookEach, what, func() (bool, error) {
-		for _, p := range d.list {
+	return pollUntil(ctx, within, lookEach, what, func() (bool, error) {
+		for _, p := range d.processes {
 			log, err := p.Log()
 			if err != nil || !hasInForce(log, version) {
 				return false, err
@@ -127,15 +127,15 @@
 	return false
 }
 
-// spentBy is what a daemon has had of processors, and has in memory.
-type spentBy struct {
+// daemonUsage is what a daemon has had of processors, and has in memory.
+type daemonUsage struct {
 	processor float64 // seconds
 	resident  float64 // MB of 2^20 bytes
 }
 
-func (d *daemons) spent() ([]spentBy, error) {
-	list := make([]spentBy, len(d.list))
-	for i, p := range d.list {
+func (d *daemons) usage() ([]daemonUsage, error) {
+	list := make([]daemonUsage, len(d.processes))
+	for i, p := range d.processes {
 		var err error
 		if list[i].processor, err = p.ProcessorTime(); err != nil {
 			return nil, err
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -17,19 +17,19 @@
 
 // What happens on a day, as the operators tell it.
 const (
-	changesOfDay      = 1000
-	replacementsOfDay = 260
-	failuresOfDay     = 2
+	changesPerDay      = 1000
+	replacementsPerDay = 260
+	failuresPerDay     = 2
 
-	dayDocument = 4 << 10 // bytes
-	dayVoters   = 7
-	dayWindow   = 10 * time.Minute
-	dayDaemons  = 10
-	downFor     = 30 * time.Second // that a controller which failed is away
-	cutFor      = 5 * time.Minute  // that a region is cut off
-	regionOfAll = 3                // a region is one in so many
-	cutPuts     = 3
-	mbOfBinary  = 1 << 20
+	dayDocumentBytes = 4 << 10 // bytes
+	dayVoters        = 7
+	dayWindow        = 10 * time.Minute
+	dayDaemons       = 10
+	downTime         = 30 * time.Second // that a controller which failed is away
+	cutTime          = 5 * time.Minute  // that a region is cut off
+	regionInterval   = 3                // a region is one in so many
+	cutPuts          = 3
+	bytesPerMiB      = 1 << 20
 )
 
 // day is how much of a day is measured.
@@ -45,7 +45,7 @@
 // off, and to the region once that has ended.
 func MeasureDay(ctx context.Context, o Options) ([]slope.Row, error) {
 	m := o.measurement()
-	d := day{window: dayWindow, daemons: dayDaemons, cut: cutFor, down: downFor}
+	d := day{window: dayWindow, daemons: dayDaemons, cut: cutTime, down: downTime}
 	if m.Sizes = o.Sizes; m.Sizes == nil {
 		m.Sizes = []int{67, targetControllers}
 	}
@@ -63,7 +63,7 @@
 	var group sync.WaitGroup
 	for i, size := range m.Sizes {
 		group.Go(func() {
-			if err := m.dayOf(ctx, size, d); err != nil {
+			if err := m.measureDay(ctx, size, d); err != nil {
 				errs[i] = fmt.Errorf("%d controllers: %w", size, err)
 			}
 		})
@@ -76,11 +76,11 @@
 			rows = append(rows, r.row)
 		}
 	}
-	return rows, errors.Join(append(errs, m.late...)...)
+	return rows, errors.Join(append(errs, m.timeouts...)...)
 }
 
-// dayOf measures a fleet of one size.
-func (m *measurement) dayOf(ctx context.Context, size int, d day) error {
+// measureDay measures a fleet of one size.
+func (m *measurement) measureDay(ctx context.Context, size int, d day) error {
 	voters := min(dayVoters, size-d.daemons-2) | 1
 	hollow := size - d.daemons
 	f, err := m.open(ctx, Spec{Controllers: hollow, Voters: voters, Leases: leasesAtRest, Configured: true})
@@ -88,7 +88,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Start(numbers(0, hollow), size); err != nil {
+	if err := f.Start(numberRange(0, hollow), size); err != nil {
 		return err
 	}
 	daemons, err := f.startDaemons(ctx, d.daemons, m.Seed)
@@ -96,15 +96,15 @@
 		return err
 	}
 	defer daemons.close()
-	if _, err := f.AwaitAllKnown(ctx, knownWithin); err != nil && !m.isLate(size, err) {
+	if _, err := f.AwaitAllKnown(ctx, knownTimeout); err != nil && !m.recordTimeout(size, err) {
 		return err
 	}
-	if err := pause(ctx, m.settle); err != nil {
+	if err := sleep(ctx, m.settle); err != nil {
 		return err
 	}
 	run := &dayRun{measurement: m, fleet: f, daemons: daemons, size: size, hollow: hollow, voters: voters, day: d,
 		rng: rand.New(rand.NewSource(m.Seed + int64(size)))}
-	if err := run.mix(ctx); err != nil {
+	if err := run.runMix(ctx); err != nil {
 		return err
 	}
 	daemons.close()
@@ -114,25 +114,25 @@
 // dayRun is the measurement of one fleet.
 type dayRun struct {
 	*measurement
-	fleet   *Fleet
-	daemons *daemons
-	size    int // daemons among them
-	hollow  int
-	voters  int
-	day     day
-	rng     *rand.Rand
-	took    []time.Duration // of versions, until they were in force at all
+	fleet    *Fleet
+	daemons  *daemons
+	size     int // daemons among them
+	hollow   int
+	voters   int
+	day      day
+	rng      *rand.Rand
+	putTimes []time.Duration // of versions, until they were in force at all
 }
 
-// happening is one thing of the mix, at a time from its start.
-type happening struct {
+// plannedEvent is one thing of the mix, at a time from its start.
+type plannedEvent struct {
 	at time.Duration
 	do func(context.Context) error
 }
 
-// mix plays a part of a day's mix and notes what controllers spent.
-func (r *dayRun) mix(ctx context.Context) error {
-	leader, _, err := r.fleet.AwaitLeader(ctx, leaderWithin, r.voters)
+// runMix plays a part of a day's mix and notes what controllers spent.
+func (r *dayRun) runMix(ctx context.Context) error {
+	leader, _, err := r.fleet.AwaitLeader(ctx, leaderTimeout, r.voters)
 	if err != nil {
 		return err
 	}
@@ -140,55 +140,55 @@
 	if err != nil {
 		return err
 	}
-	spentBefore, err := r.daemons.spent()
+	spentBefore, err := r.daemons.usage()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
 	for _, h := range r.plan() {
-		if err := pause(ctx, h.at-time.Since(began)); err != nil {
+		if err := sleep(ctx, h.at-time.Since(began)); err != nil {
 			return err
 		}
 		if err := h.do(ctx); err != nil {
 			return err
 		}
 	}
-	if err := pause(ctx, r.day.window-time.Since(began)); err != nil {
+	if err := sleep(ctx, r.day.window-time.Since(began)); err != nil {
 		return err
 	}
 	after, err := r.fleet.Samples()
 	if err != nil {
 		return err
 	}
-	spentAfter, err := r.daemons.spent()
+	spentAfter, err := r.daemons.usage()
 	if err != nil {
 		return err
 	}
-	r.noteMix(Interval{r.fleet.layout(), before, after}, leader)
-	r.noteDaemons(spentBefore, spentAfter, time.Since(began))
-	r.notePuts(r.size, "mix", r.took)
+	r.recordMix(Interval{r.fleet.layout(), before, after}, leader)
+	r.recordDaemons(spentBefore, spentAfter, time.Since(began))
+	r.recordPuts(r.size, "mix", r.putTimes)
 	return nil
 }
 
 // plan is the mix of the window, in order: of each kind at least one, spread evenly.
-func (r *dayRun) plan() (plan []happening) {
+func (r *dayRun) plan() (plan []plannedEvent) {
 	const hoursOfDay = 24
 	share := r.day.window.Hours() / hoursOfDay
 	for _, kind := range []struct {
 		perDay float64
 		do     func(context.Context) error
 	}{
-		{changesOfDay, r.put},
-		{replacementsOfDay, r.replace},
-		{failuresOfDay, r.fail},
+		{changesPerDay, r.put},
+		{replacementsPerDay, r.replace},
+		{failuresPerDay, r.crash},
 	} {
 		count := int(math.Ceil(kind.perDay * share))
 		for i := range count {
 			at := (float64(i) + 0.2 + 0.6*r.rng.Float64()) / float64(count)
-			plan = append(plan, happening{time.Duration(at * float64(r.day.window)), kind.do})
+			plan = append(plan, plannedEvent{time.Duration(at * float64(r.day.window)), kind.do})
 		}
 	}
-	slices.SortFunc(plan, func(a, b happening) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(plan, func(a, b plannedEvent) int { return cmp.Compare(a.at, b.at) })
 	return plan
 }
 
@@ -199,87 +199,87 @@
 	if err != nil {
 		return err
 	}
-	last, err := r.fleet.AwaitInForce(ctx, knownWithin, version)
+	last, err := r.fleet.AwaitInForce(ctx, knownTimeout, version)
 	if err == nil {
-		err = r.daemons.awaitInForce(ctx, knownWithin, version)
+		err = r.daemons.awaitInForce(ctx, knownTimeout, version)
 	}
-	if err != nil && r.isLate(r.size, err) {
+	if err != nil && r.recordTimeout(r.size, err) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if now := time.Now(); last.Before(now) && len(r.daemons.list) > 0 {
+	if now := time.Now(); last.Before(now) && len(r.daemons.processes) > 0 {
 		last = now // daemons are looked at after the others
 	}
-	r.took = append(r.took, last.Sub(began))
+	r.putTimes = append(r.putTimes, last.Sub(began))
 	return nil
 }
 
 // document is one that daemons can use, of random bytes for the rest.
 func (r *dayRun) document() []byte {
 	const head = "log {\n level = \"info\"\n}\n# "
-	data := make([]byte, (dayDocument-len(head))/2)
+	data := make([]byte, (dayDocumentBytes-len(head))/2)
 	r.rng.Read(data)
 	return []byte(head + hex.EncodeToString(data) + "\n")
 }
 
 // replace has an ordinary controller end and start again at once.
 func (r *dayRun) replace(_ context.Context) error {
-	number := r.ordinary()
+	number := r.drawOrdinary()
 	if err := r.fleet.Stop([]int{number}); err != nil {
 		return err
 	}
 	return r.fleet.Start([]int{number}, r.size)
 }
 
-// fail has an ordinary controller end and start again after a while.
-func (r *dayRun) fail(ctx context.Context) error {
-	number := r.ordinary()
+// crash has an ordinary controller end and start again after a while.
+func (r *dayRun) crash(ctx context.Context) error {
+	number := r.drawOrdinary()
 	if err := r.fleet.Stop([]int{number}); err != nil {
 		return err
 	}
-	if err := pause(ctx, r.day.down); err != nil {
+	if err := sleep(ctx, r.day.down); err != nil {
 		return err
 	}
 	return r.fleet.Start([]int{number}, r.size)
 }
 
-// ordinary is a controller that shares its process with others.
-func (r *dayRun) ordinary() int { return r.voters + 1 + r.rng.Intn(r.hollow-r.voters-1) }
+// drawOrdinary is a controller that shares its process with others.
+func (r *dayRun) drawOrdinary() int { return r.voters + 1 + r.rng.Intn(r.hollow-r.voters-1) }
 
-func (r *dayRun) noteMix(v Interval, leader int) {
-	followers := slices.DeleteFunc(numbers(0, r.voters), func(n int) bool { return n == leader })
-	r.noteSpending(r.size, "mix/leader", v.Of(leader))
-	r.noteSpending(r.size, "mix/voter", v.Of(followers...))
-	r.noteSpending(r.size, "mix/controller", v.Of(r.voters))
-	r.noteSpending(r.size, "mix/packed", v.Of(numbers(r.voters+1, r.hollow)...))
-	r.Tell("%d controllers, a day's mix: controller %+.4g, leader %+.4g", r.size, v.Of(r.voters), v.Of(leader))
+func (r *dayRun) recordMix(v Interval, leader int) {
+	followers := slices.DeleteFunc(numberRange(0, r.voters), func(n int) bool { return n == leader })
+	r.recordUsage(r.size, "mix/leader", v.Mean(leader))
+	r.recordUsage(r.size, "mix/voter", v.Mean(followers...))
+	r.recordUsage(r.size, "mix/controller", v.Mean(r.voters))
+	r.recordUsage(r.size, "mix/packed", v.Mean(numberRange(r.voters+1, r.hollow)...))
+	r.Logf("%d controllers, a day's mix: controller %+.4g, leader %+.4g", r.size, v.Mean(r.voters), v.Mean(leader))
 }
 
-func (r *dayRun) noteDaemons(before, after []spentBy, long time.Duration) {
+func (r *dayRun) recordDaemons(before, after []daemonUsage, long time.Duration) {
 	cores, memory := 0.0, 0.0
 	for i := range before {
 		cores = max(cores, (after[i].processor-before[i].processor)/long.Seconds())
-		memory = max(memory, after[i].resident*mbOfBinary/bytesOfMB)
+		memory = max(memory, after[i].resident*bytesPerMiB/bytesPerMB)
 	}
 	if len(before) > 0 {
-		r.note(r.size, "mix/daemon/cores", cores)
-		r.note(r.size, "mix/daemon/resident", memory)
-		r.Tell("%d controllers, a day's mix: of %d daemons the most %.4f cores and %.1f MB", r.size, len(before), cores, memory)
+		r.record(r.size, "mix/daemon/cores", cores)
+		r.record(r.size, "mix/daemon/resident", memory)
+		r.Logf("%d controllers, a day's mix: of %d daemons the most %.4f cores and %.1f MB", r.size, len(before), cores, memory)
 	}
 }
 
-// notePuts notes the median and the longest time until versions were in force.
-func (m *measurement) notePuts(size int, figure string, took []time.Duration) {
+// recordPuts notes the median and the longest time until versions were in force.
+func (m *measurement) recordPuts(size int, figure string, took []time.Duration) {
 	if len(took) == 0 {
 		return
 	}
 	slices.Sort(took)
 	median, longest := took[len(took)/2], took[len(took)-1]
-	m.note(size, figure+"/put/median", milliseconds(median))
-	m.note(size, figure+"/put/longest", milliseconds(longest))
-	m.Tell("%d controllers, %s: %d versions in force at the last after %v, at most %v", size, figure, len(took),
+	m.record(size, figure+"/put/median", milliseconds(median))
+	m.record(size, figure+"/put/longest", milliseconds(longest))
+	m.Logf("%d controllers, %s: %d versions in force at the last after %v, at most %v", size, figure, len(took),
 		median.Round(time.Millisecond), longest.Round(time.Millisecond))
 }
 
@@ -292,13 +292,13 @@
 	}
 	began := time.Now()
 	votersOfRest := slices.DeleteFunc(slices.Clone(rest), func(n int) bool { return n >= r.voters })
-	if _, _, err := r.fleet.awaitLeaderAmong(ctx, leaderWithin, votersOfRest, len(votersOfRest)); err != nil {
+	if _, _, err := r.fleet.awaitLeaderAmong(ctx, leaderTimeout, votersOfRest, len(votersOfRest)); err != nil {
 		return err
 	}
 	var newest uint64
 	var took []time.Duration
 	for i := range cutPuts {
-		if err := pause(ctx, r.day.cut*time.Duration(i+1)/(cutPuts+1)-time.Since(began)); err != nil {
+		if err := sleep(ctx, r.day.cut*time.Duration(i+1)/(cutPuts+1)-time.Since(began)); err != nil {
 			return err
 		}
 		put := time.Now()
@@ -306,26 +306,26 @@
 		if err != nil {
 			return err
 		}
-		last, err := r.fleet.awaitInForceAt(ctx, knownWithin, version, rest)
+		last, err := r.fleet.awaitInForceAt(ctx, knownTimeout, version, rest)
 		if err != nil {
 			return err
 		}
 		newest, took = version, append(took, last.Sub(put))
 	}
-	r.notePuts(r.size, "cut", took)
-	if err := pause(ctx, r.day.cut-time.Since(began)); err != nil {
+	r.recordPuts(r.size, "cut", took)
+	if err := sleep(ctx, r.day.cut-time.Since(began)); err != nil {
 		return err
 	}
 	healed := time.Now() // Heal takes a while, and a controller whose connections it opened first may be done before it is
 	if err := r.fleet.Heal(); err != nil {
 		return err
 	}
-	last, err := r.fleet.AwaitInForce(ctx, knownWithin, newest)
+	last, err := r.fleet.AwaitInForce(ctx, knownTimeout, newest)
 	if err != nil {
 		return err
 	}
-	r.note(r.size, "heal/put/longest", milliseconds(last.Sub(healed)))
-	r.Tell("%d controllers: the region of %d had the newest version %v after its heal", r.size, len(region),
+	r.record(r.size, "heal/put/longest", milliseconds(last.Sub(healed)))
+	r.Logf("%d controllers: the region of %d had the newest version %v after its heal", r.size, len(region),
 		last.Sub(healed).Round(time.Millisecond))
 	return nil
 }
@@ -333,7 +333,7 @@
 // regions are the hollow controllers inside a region and outside: one in three, voters among them.
 func (r *dayRun) regions() (inside, outside []int) {
 	for number := range r.hollow {
-		if number%regionOfAll == regionOfAll-1 {
+		if number%regionInterval == regionInterval-1 {
 			inside = append(inside, number)
 		} else {
 			outside = append(outside, number)
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -18,9 +18,9 @@
 
 // Fleet is a fleet of hollow controllers in child processes.
 type Fleet struct {
-	spec    Spec
-	folder  string
-	members []*process
+	spec      Spec
+	folder    string
+	processes []*process
 }
 
 // process is a child with its part of the fleet.
@@ -33,9 +33,9 @@
 	read    *json.Decoder
 }
 
-// perProcess is how many ordinary controllers share a process: with 64 connections out and as many in at the start of a
+// controllersPerProcess is how many ordinary controllers share a process: with 64 connections out and as many in at the start of a
 // fleet they stay below 20,000 descriptors.
-const perProcess = 110
+const controllersPerProcess = 110
 
 // Layout is which controllers share a process: each voter and one ordinary controller have one of their own, whose costs
 // are theirs alone; the others share.
@@ -49,7 +49,7 @@
 	for number := alone; number < s.Controllers; number++ {
 		rest = append(rest, number)
 	}
-	shares := (len(rest) + perProcess - 1) / perProcess
+	shares := (len(rest) + controllersPerProcess - 1) / controllersPerProcess
 	for i := range shares {
 		layout = append(layout, rest[len(rest)*i/shares:len(rest)*(i+1)/shares])
 	}
@@ -68,14 +68,14 @@
 		return nil, err
 	}
 	for _, numbers := range Layout(s) {
-		p, err := launch(command(ctx), numbers)
+		p, err := startProcess(command(ctx), numbers)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.members = append(f.members, p)
+		f.processes = append(f.processes, p)
 	}
-	_, err = f.all(openTime, func(*process) *request { return &request{Action: actionOpen, Spec: &s, Folder: folder} })
+	_, err = f.callAll(openTimeout, func(*process) *request { return &request{Action: actionOpen, Spec: &s, Folder: folder} })
 	if err != nil {
 		f.Close()
 		return nil, err
@@ -85,13 +85,13 @@
 
 // Times within which children answer.
 const (
-	openTime  = 20 * time.Second
-	startTime = 60 * time.Second
-	askTime   = 20 * time.Second
-	endTime   = 8 * time.Second
+	openTimeout    = 20 * time.Second
+	startTimeout   = 60 * time.Second
+	requestTimeout = 20 * time.Second
+	exitTimeout    = 8 * time.Second
 )
 
-func launch(command *exec.Cmd, numbers []int) (*process, error) {
+func startProcess(command *exec.Cmd, numbers []int) (*process, error) {
 	in, err := command.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -109,8 +109,8 @@
 	return p, nil
 }
 
-// ask has a child do something. A child that does not answer in time is ended, and is an error from then on.
-func (p *process) ask(within time.Duration, r request) (answer reply, err error) {
+// call has a child do something. A child that does not answer in time is ended, and is an error from then on.
+func (p *process) call(within time.Duration, r request) (answer reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	timer := time.AfterFunc(within, func() { p.command.Process.Kill() })
@@ -127,22 +127,22 @@
 	return answer, nil
 }
 
-// end ends a child: by its closed input, or by force after a while.
-func (p *process) end() {
+// shutDown ends a child: by its closed input, or by force after a while.
+func (p *process) shutDown() {
 	p.in.Close()
-	timer := time.AfterFunc(endTime, func() { p.command.Process.Kill() })
+	timer := time.AfterFunc(exitTimeout, func() { p.command.Process.Kill() })
 	defer timer.Stop()
 	p.command.Wait()
 }
 
-// all asks all children at once; a nil request leaves one out.
-func (f *Fleet) all(within time.Duration, of func(*process) *request) ([]reply, error) {
-	replies := make([]reply, len(f.members))
-	errs := make([]error, len(f.members))
+// callAll asks all children at once; a nil request leaves one out.
+func (f *Fleet) callAll(within time.Duration, of func(*process) *request) ([]reply, error) {
+	replies := make([]reply, len(f.processes))
+	errs := make([]error, len(f.processes))
 	var group sync.WaitGroup
-	for i, p := range f.members {
+	for i, p := range f.processes {
 		if r := of(p); r != nil {
-			group.Go(func() { replies[i], errs[i] = p.ask(within, *r) })
+			group.Go(func() { replies[i], errs[i] = p.call(within, *r) })
 		}
 	}
 	group.Wait()
@@ -150,8 +150,8 @@
 }
 
 func (f *Fleet) layout() [][]int {
-	layout := make([][]int, len(f.members))
-	for i, p := range f.members {
+	layout := make([][]int, len(f.processes))
+	for i, p := range f.processes {
 		layout[i] = p.numbers
 	}
 	return layout
@@ -160,8 +160,8 @@
 // Close ends all processes and removes what they stored.
 func (f *Fleet) Close() {
 	var group sync.WaitGroup
-	for _, p := range f.members {
-		group.Go(p.end)
+	for _, p := range f.processes {
+		group.Go(p.shutDown)
 	}
 	group.Wait()
 	os.RemoveAll(f.folder)
@@ -169,7 +169,7 @@
 
 // Start starts controllers at once, which note when they know of so many members alive.
 func (f *Fleet) Start(numbers []int, expect int) error {
-	_, err := f.all(startTime, func(p *process) *request {
+	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
 		if len(own) == 0 {
 			return nil
@@ -181,7 +181,7 @@
 
 // Stop ends controllers as a crash would.
 func (f *Fleet) Stop(numbers []int) error {
-	_, err := f.all(startTime, func(p *process) *request {
+	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
 		if len(own) == 0 {
 			return nil
@@ -203,32 +203,32 @@
 
 // AwaitMembers has the running controllers note when they know of so many members alive.
 func (f *Fleet) AwaitMembers(expect int) error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionAwaitMembers, Expect: expect} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitMembers, Expect: expect} })
 	return err
 }
 
 // AwaitRestarts has the running controllers note when they know of so many members alive, some of which have restarted
 // since.
 func (f *Fleet) AwaitRestarts(ctx context.Context, expect int, of []int) error {
-	const noted = 2 * lookEach * time.Millisecond // until all have seen which runs are the old ones
-	_, err := f.all(askTime, func(*process) *request {
+	const noted = 2 * pollInterval * time.Millisecond // until all have seen which runs are the old ones
+	_, err := f.callAll(requestTimeout, func(*process) *request {
 		return &request{Action: actionAwaitRestart, Expect: expect, Numbers: of}
 	})
 	if err != nil {
 		return err
 	}
-	return pause(ctx, noted)
+	return sleep(ctx, noted)
 }
 
 // AwaitLoss has the running controllers note when they know that one is gone.
 func (f *Fleet) AwaitLoss(number int) error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionAwaitLoss, Lost: number} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitLoss, Lost: number} })
 	return err
 }
 
 // Views are what all running controllers have seen.
 func (f *Fleet) Views() ([]View, error) {
-	replies, err := f.all(askTime, func(*process) *request { return &request{Action: actionViews} })
+	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionViews} })
 	var views []View
 	for _, r := range replies {
 		views = append(views, r.Views...)
@@ -236,24 +236,24 @@
 	return views, err
 }
 
-// Standings are how the running voters see the quorum.
-func (f *Fleet) Standings() ([]Standing, error) {
-	replies, err := f.all(askTime, func(p *process) *request {
+// QuorumViews are how the running voters see the quorum.
+func (f *Fleet) QuorumViews() ([]QuorumView, error) {
+	replies, err := f.callAll(requestTimeout, func(p *process) *request {
 		if p.numbers[0] >= f.spec.Voters {
 			return nil
 		}
 		return &request{Action: actionStandings}
 	})
-	var list []Standing
+	var list []QuorumView
 	for _, r := range replies {
-		list = append(list, r.Standings...)
+		list = append(list, r.QuorumViews...)
 	}
 	return list, err
 }
 
 // Samples are samples of all processes, in the layout's order.
 func (f *Fleet) Samples() ([]Sample, error) {
-	replies, err := f.all(askTime, func(*process) *request { return &request{Action: actionSample} })
+	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionSample} })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -40,14 +40,14 @@
 func NewNetwork(number int) Network {
 	const firstPort, processes = 2048, 155 // below the source ports
 	pid := os.Getpid()
-	return Network{Octet: uint8(16 + pid%224), Port: uint16(firstPort + pid/224%processes*fleetsEach + number%fleetsEach)}
+	return Network{Octet: uint8(16 + pid%224), Port: uint16(firstPort + pid/224%processes*fleetsPerProcess + number%fleetsPerProcess)}
 }
 
-// fleetsEach is how many fleets of a process have ports of their own.
-const fleetsEach = 64
+// fleetsPerProcess is how many fleets of a process have ports of their own.
+const fleetsPerProcess = 64
 
 // fleet is the fleet's number among those of its process.
-func (n Network) fleet() int { return int(n.Port) % fleetsEach }
+func (n Network) fleet() int { return int(n.Port) % fleetsPerProcess }
 
 const addressesPerOctet = 250
 
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := share.Start(numbers(0, 5), 5); err != nil {
+	if err := share.Start(numberRange(0, 5), 5); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "not all know all", func() bool {
@@ -75,7 +75,7 @@
 		}
 		return true
 	})
-	eventually(t, "no leader", func() bool { return len(share.Standings()) == 3 && share.Standings()[0].Leader != "" })
+	eventually(t, "no leader", func() bool { return len(share.QuorumViews()) == 3 && share.QuorumViews()[0].Leader != "" })
 	eventually(t, "nobody holds the lease and the digest's", func() bool {
 		held := 0
 		for _, v := range share.Views() {
@@ -125,7 +125,7 @@
 func TestMeasure(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	m := &measurement{Options: Options{Quick: true, Voters: 3, Command: testCommand, Tell: t.Logf}, settle: 200 * time.Millisecond,
+	m := &measurement{Options: Options{Quick: true, Voters: 3, Command: testCommand, Logf: t.Logf}, settle: 200 * time.Millisecond,
 		window: 2500 * time.Millisecond, lease: time.Second, puts: 2}
 	m.Sizes = []int{5, 6}
 	rows, err := m.sizes(ctx)
@@ -172,13 +172,13 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if err := f.Start(numbers(0, 3), 3); err != nil {
+	if err := f.Start(numberRange(0, 3), 3); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.all(askTime, func(*process) *request { return &request{Action: "dance"} }); err == nil {
+	if _, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: "dance"} }); err == nil {
 		t.Error("an action that is not known is no error")
 	}
-	for _, p := range f.members {
+	for _, p := range f.processes {
 		p.in.Close()
 		if err := p.command.Wait(); err != nil {
 			t.Error(err)
@@ -259,7 +259,7 @@
 	}
 	seen := map[int]bool{}
 	for i, share := range Layout(good) {
-		if i <= good.Voters && len(share) != 1 || len(share) > perProcess {
+		if i <= good.Voters && len(share) != 1 || len(share) > controllersPerProcess {
 			t.Errorf("process %d has %d controllers", i, len(share))
 		}
 		for _, number := range share {
@@ -287,29 +287,29 @@
 // What is awaited in vain is told at the end, and does not keep the rest from being measured; other errors do.
 func TestLate(t *testing.T) {
 	m := Options{}.measurement()
-	err := await(t.Context(), 0, time.Millisecond, "all know all", func() (bool, error) { return false, nil })
-	if err == nil || !m.isLate(30, err) || len(m.late) != 1 {
-		t.Errorf("%v; late: %v", err, m.late)
+	err := pollUntil(t.Context(), 0, time.Millisecond, "all know all", func() (bool, error) { return false, nil })
+	if err == nil || !m.recordTimeout(30, err) || len(m.timeouts) != 1 {
+		t.Errorf("%v; late: %v", err, m.timeouts)
 	}
-	err = await(t.Context(), time.Minute, time.Millisecond, "x", func() (bool, error) { return false, io.ErrUnexpectedEOF })
-	if err != io.ErrUnexpectedEOF || m.isLate(30, err) {
+	err = pollUntil(t.Context(), time.Minute, time.Millisecond, "x", func() (bool, error) { return false, io.ErrUnexpectedEOF })
+	if err != io.ErrUnexpectedEOF || m.recordTimeout(30, err) {
 		t.Errorf("%v is late", err)
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
-	err = await(ended, time.Minute, time.Minute, "x", func() (bool, error) { return false, nil })
-	if err != context.Canceled || m.isLate(30, err) {
+	err = pollUntil(ended, time.Minute, time.Minute, "x", func() (bool, error) { return false, nil })
+	if err != context.Canceled || m.recordTimeout(30, err) {
 		t.Errorf("%v is late", err)
 	}
 }
 
 // No more controllers run at a time than there is room for.
 func TestRoom(t *testing.T) {
-	room := newRoom(10)
-	room.take(6)
+	room := newLimiter(10)
+	room.acquire(6)
 	taken := make(chan struct{})
 	go func() {
-		room.take(5)
+		room.acquire(5)
 		close(taken)
 	}()
 	select {
@@ -317,7 +317,7 @@
 		t.Fatal("there is room for 11")
 	case <-time.After(20 * time.Millisecond):
 	}
-	room.give(6)
+	room.release(6)
 	<-taken
 	if room.free != 5 {
 		t.Errorf("%d are free", room.free)
@@ -343,7 +343,7 @@
 func TestDay(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
 	defer cancel()
-	m := &measurement{Options: Options{Quick: true, Command: testCommand, Tell: t.Logf}, settle: 200 * time.Millisecond, lease: 2 * time.Second}
+	m := &measurement{Options: Options{Quick: true, Command: testCommand, Logf: t.Logf}, settle: 200 * time.Millisecond, lease: 2 * time.Second}
 	m.Sizes = []int{12}
 	d := day{window: 4 * time.Second, daemons: 2, cut: 4 * time.Second, down: 200 * time.Millisecond}
 	rows, err := m.day(ctx, d)
--- a/internal/lab/scale/hollow/interval.go
+++ b/internal/lab/scale/hollow/interval.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Spending is what a controller spent in an interval.
-type Spending struct {
+// ResourceUsage is what a controller spent in an interval.
+type ResourceUsage struct {
 	Sent      float64 // bytes a second, with headers
 	Received  float64 // bytes a second, with headers
 	Opened    float64 // connections a second
@@ -23,16 +23,16 @@
 	before, after []Sample
 }
 
-// Of is what each of some controllers spent, on average. What processes spend is divided evenly by the controllers in them.
-func (v Interval) Of(numbers ...int) Spending {
-	var sum Spending
+// Mean is what each of some controllers spent, on average. What processes spend is divided evenly by the controllers in them.
+func (v Interval) Mean(numbers ...int) ResourceUsage {
+	var sum ResourceUsage
 	for _, number := range numbers {
-		sum.add(v.one(number))
+		sum.add(v.ofController(number))
 	}
-	return sum.over(float64(len(numbers)))
+	return sum.dividedBy(float64(len(numbers)))
 }
 
-func (v Interval) one(number int) Spending {
+func (v Interval) ofController(number int) ResourceUsage {
 	for i, share := range v.layout {
 		if !slices.Contains(share, number) {
 			continue
@@ -43,7 +43,7 @@
 		sent, was := usageOf(after, number), usageOf(before, number)
 		flow := sent.Sent.Minus(was.Sent)
 		received := v.received(number)
-		return Spending{
+		return ResourceUsage{
 			Sent:      float64(flow.Forward()+received.Backward()) / seconds,
 			Received:  float64(flow.Backward()+received.Forward()) / seconds,
 			Opened:    float64(flow.Opened) / seconds,
@@ -57,7 +57,7 @@
 			Files:     float64(after.Process.Descriptors) / with,
 		}
 	}
-	return Spending{}
+	return ResourceUsage{}
 }
 
 // received is what went over connections that others opened to a controller.
@@ -77,7 +77,7 @@
 	return Usage{}
 }
 
-func (s *Spending) add(t Spending) {
+func (s *ResourceUsage) add(t ResourceUsage) {
 	s.Sent += t.Sent
 	s.Received += t.Received
 	s.Opened += t.Opened
@@ -91,7 +91,7 @@
 	s.Files += t.Files
 }
 
-func (s Spending) over(n float64) Spending {
-	return Spending{s.Sent / n, s.Received / n, s.Opened / n, s.Out / n, s.In / n, s.Processor / n, s.Private / n, s.Resident / n,
+func (s ResourceUsage) dividedBy(n float64) ResourceUsage {
+	return ResourceUsage{s.Sent / n, s.Received / n, s.Opened / n, s.Out / n, s.In / n, s.Processor / n, s.Private / n, s.Resident / n,
 		s.Heap / n, s.WakeUps / n, s.Files / n}
 }
--- a/internal/lab/scale/hollow/loss.go
+++ b/internal/lab/scale/hollow/loss.go
@@ -33,7 +33,7 @@
 	var group sync.WaitGroup
 	for i, size := range m.Sizes {
 		group.Go(func() {
-			if err := m.lossOf(ctx, size); err != nil {
+			if err := m.measureLoss(ctx, size); err != nil {
 				errs[i] = fmt.Errorf("%d controllers: %w", size, err)
 			}
 		})
@@ -46,11 +46,11 @@
 			rows = append(rows, r.row)
 		}
 	}
-	return rows, errors.Join(append(errs, m.late...)...)
+	return rows, errors.Join(append(errs, m.timeouts...)...)
 }
 
-// lossOf measures a fleet of one size.
-func (m *measurement) lossOf(ctx context.Context, size int) error {
+// measureLoss measures a fleet of one size.
+func (m *measurement) measureLoss(ctx context.Context, size int) error {
 	voters := min(m.Voters, size-2) | 1
 	f, err := m.open(ctx, Spec{Controllers: size, Voters: voters, Leases: leasesAtRest, Configured: true, Loss: lossShare})
 	if err != nil {
@@ -58,47 +58,47 @@
 	}
 	defer f.Close()
 	began := time.Now()
-	if err := f.Start(numbers(0, size), size); err != nil {
+	if err := f.Start(numberRange(0, size), size); err != nil {
 		return err
 	}
-	if last, err := f.AwaitAllKnown(ctx, knownWithin); err == nil {
-		m.note(size, "lossy/known", milliseconds(last.Sub(began)))
-	} else if !m.isLate(size, err) {
+	if last, err := f.AwaitAllKnown(ctx, knownTimeout); err == nil {
+		m.record(size, "lossy/known", milliseconds(last.Sub(began)))
+	} else if !m.recordTimeout(size, err) {
 		return err
 	}
-	if err := pause(ctx, m.settle); err != nil {
+	if err := sleep(ctx, m.settle); err != nil {
 		return err
 	}
-	leader, interval, err := m.watchLed(ctx, f, voters)
+	leader, interval, err := m.measureWithOneLeader(ctx, f, voters)
 	if err != nil {
 		return err
 	}
-	m.noteSpending(size, "lossy/leader", interval.Of(leader))
-	m.noteSpending(size, "lossy/controller", interval.Of(voters))
-	m.noteSpending(size, "lossy/packed", interval.Of(numbers(voters+1, size)...))
-	m.Tell("%d controllers, %s: controller %+.4g, leader %+.4g", size, lossCondition, interval.Of(voters), interval.Of(leader))
-	if err := m.putLossy(ctx, f, size); err != nil {
+	m.recordUsage(size, "lossy/leader", interval.Mean(leader))
+	m.recordUsage(size, "lossy/controller", interval.Mean(voters))
+	m.recordUsage(size, "lossy/packed", interval.Mean(numberRange(voters+1, size)...))
+	m.Logf("%d controllers, %s: controller %+.4g, leader %+.4g", size, lossCondition, interval.Mean(voters), interval.Mean(leader))
+	if err := m.measurePuts(ctx, f, size); err != nil {
 		return err
 	}
-	if leader, _, err = f.AwaitLeader(ctx, leaderWithin, voters); err != nil {
+	if leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters); err != nil {
 		return err
 	}
-	return m.loseLeader(ctx, f, size, voters, leader, "lossy/free")
+	return m.killLeader(ctx, f, size, voters, leader, "lossy/free")
 }
 
-// putLossy notes how long versions take until they are in force at all.
-func (m *measurement) putLossy(ctx context.Context, f *Fleet, size int) error {
+// measurePuts notes how long versions take until they are in force at all.
+func (m *measurement) measurePuts(ctx context.Context, f *Fleet, size int) error {
 	var took []time.Duration
 	for i := range m.puts {
 		if err := m.timePut(ctx, f, size, 0, fmt.Appendf(nil, "# %d\n", i), &took); err != nil {
 			return err
 		}
 	}
-	m.notePuts(size, "lossy", took)
+	m.recordPuts(size, "lossy", took)
 	return nil
 }
 
-// lossRows are the rows of lossOf, without their points.
+// lossRows are the rows of measureLoss, without their points.
 func lossRows() (rows []sizeRow) {
 	for _, role := range []struct{ figure, name string }{{"controller", "controller"}, {"leader", "quorum leader"}} {
 		figure := "lossy/" + role.figure
@@ -114,7 +114,7 @@
 		sizeRow{"lossy/known", slope.Row{Role: "fleet", Cost: "membership: all know all", Unit: "ms", Condition: lossCondition,
 			Note: "all start at once"}},
 		sizeRow{"lossy/free", slope.Row{Role: "quorum leader", Cost: "time without a leader", Unit: "ms", Condition: lossCondition,
-			Budget: budgetChange, Note: "the leader killed; one death at each size"}})
+			Budget: budgetPrimaryChange, Note: "the leader killed; one death at each size"}})
 	for _, which := range []string{"median", "longest"} {
 		rows = append(rows, sizeRow{"lossy/put/" + which, slope.Row{Role: "fleet",
 			Cost: "configuration: from put to in force at the last, " + which, Unit: "ms", Log: true, Budget: budgetInForce,
--- a/internal/lab/scale/hollow/loss_test.go
+++ b/internal/lab/scale/hollow/loss_test.go
@@ -47,7 +47,7 @@
 	sum := int64(0)
 	const draws = 20000
 	for range draws {
-		again, late := loss(0.1).draw(time.Second)
+		again, late := loss(0.1).drawSegment(time.Second)
 		if want := time.Duration(1<<again-1) * time.Second; late != want {
 			t.Fatalf("lost %d times, it is %v late, not %v", again, late, want)
 		}
@@ -65,7 +65,7 @@
 func TestMeasureLoss(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
-	m := &measurement{Options: Options{Quick: true, Voters: 3, Command: testCommand, Tell: t.Logf}, settle: 200 * time.Millisecond,
+	m := &measurement{Options: Options{Quick: true, Voters: 3, Command: testCommand, Logf: t.Logf}, settle: 200 * time.Millisecond,
 		window: 2500 * time.Millisecond, lease: time.Second, puts: 1}
 	m.Sizes = []int{5}
 	rows, err := m.loss(ctx)
--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -15,7 +15,7 @@
 const (
 	dataRetransmission = 200 * time.Millisecond // the least that Linux waits
 	synRetransmission  = time.Second
-	mostRetransmitted  = 6  // of one segment; what is later than that ends by the deadlines of links
+	maxRetransmissions = 6  // of one segment; what is later than that ends by the deadlines of links
 	lossyQueue         = 64 // writes on their way on one connection
 	lossyWriteTime     = 2 * time.Second
 )
@@ -23,9 +23,9 @@
 // loss is the share of segments that are lost.
 type loss float64
 
-// draw draws how often a segment is sent again, and how late it arrives.
-func (l loss) draw(first time.Duration) (again int64, late time.Duration) {
-	for wait := first; again < mostRetransmitted && rand.Float64() < float64(l); wait *= 2 {
+// drawSegment draws how often a segment is sent again, and how late it arrives.
+func (l loss) drawSegment(first time.Duration) (again int64, late time.Duration) {
+	for wait := first; again < maxRetransmissions && rand.Float64() < float64(l); wait *= 2 {
 		again++
 		late += wait
 	}
@@ -35,7 +35,7 @@
 // drawWrite draws the same for a number of segments that are sent together.
 func (l loss) drawWrite(segments int64, first time.Duration) (again int64, late time.Duration) {
 	for range segments {
-		n, after := l.draw(first)
+		n, after := l.drawSegment(first)
 		again += n
 		late = max(late, after)
 	}
@@ -45,7 +45,7 @@
 // awaitHandshake waits for as long as lost segments hold up the beginning of a connection: SYN, SYN-ACK and the greeting.
 func (l loss) awaitHandshake(ctx context.Context) error {
 	_, late := l.drawWrite(2, synRetransmission)
-	_, greeting := l.draw(dataRetransmission)
+	_, greeting := l.drawSegment(dataRetransmission)
 	select {
 	case <-time.After(late + greeting):
 		return nil
@@ -57,25 +57,25 @@
 // lossyConn delays what is written as the loss of segments does, in order. What is on its way when it is closed is lost.
 type lossyConn struct {
 	net.Conn
-	loss     loss
-	first    time.Duration // until the first retransmission
-	again    func(segments int64)
-	queue    chan lateWrite
-	done     chan struct{}
-	closing  sync.Once
-	lastAt   time.Time // when the last write arrives; of the one that writes
-	finished chan struct{}
+	loss              loss
+	retransmitTimeout time.Duration // until the first retransmission
+	onRetransmit      func(segments int64)
+	queue             chan delayedWrite
+	done              chan struct{}
+	closing           sync.Once
+	lastAt            time.Time // when the last write arrives; of the one that writes
+	finished          chan struct{}
 }
 
-// lateWrite is what arrives at a time.
-type lateWrite struct {
+// delayedWrite is what arrives at a time.
+type delayedWrite struct {
 	data []byte
 	at   time.Time
 }
 
 // newLossyConn counts the segments that go again by a function.
 func newLossyConn(conn net.Conn, l loss, first time.Duration, again func(segments int64)) *lossyConn {
-	c := &lossyConn{Conn: conn, loss: l, first: first, again: again, queue: make(chan lateWrite, lossyQueue), done: make(chan struct{}),
+	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: first, onRetransmit: again, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
 		finished: make(chan struct{})}
 	go c.deliver()
 	return c
@@ -88,13 +88,13 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	again, late := c.loss.drawWrite(segments(len(b)), c.first)
-	c.again(again)
+	again, late := c.loss.drawWrite(segments(len(b)), c.retransmitTimeout)
+	c.onRetransmit(again)
 	c.lastAt = latest(c.lastAt, time.Now().Add(late))
 	deadline := time.NewTimer(lossyWriteTime)
 	defer deadline.Stop()
 	select {
-	case c.queue <- lateWrite{bytes.Clone(b), c.lastAt}:
+	case c.queue <- delayedWrite{bytes.Clone(b), c.lastAt}:
 		return len(b), nil
 	case <-c.done:
 		return 0, net.ErrClosed
--- a/internal/lab/scale/hollow/measure.go
+++ b/internal/lab/scale/hollow/measure.go
@@ -18,7 +18,7 @@
 	Sizes   []int // of fleets; nil: the usual ones
 	Voters  int   // 0: 5
 	Command Command
-	Tell    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // is told of what is measured; nil: nobody
 }
 
 // The size that the fleet is built for, and what the operators let a controller spend for control.
@@ -28,31 +28,31 @@
 	targetVoters      = 7
 	targetLeases      = 64
 
-	budgetCores   = 0.021
-	budgetMB      = 128
-	budgetBytes   = 17000
-	budgetInForce = 19000 // ms, for a change of configuration
-	budgetChange  = 5000  // ms, for a change of primary
-	bytesOfMB     = 1e6
-	knownWithin   = 120 * time.Second
-	leaderWithin  = 60 * time.Second
-	usualLease    = 10 * time.Second
-	usualVoters   = 5
-	leasesAtRest  = 2
-	partOfTarget  = 200.0 / targetControllers // of a fleet runs when the rest starts at once
-	zoneOfTarget  = 67.0 / targetControllers  // of a fleet restarts at once
+	budgetCores         = 0.021
+	budgetMB            = 128
+	budgetBytes         = 17000
+	budgetInForce       = 19000 // ms, for a change of configuration
+	budgetPrimaryChange = 5000  // ms, for a change of primary
+	bytesPerMB          = 1e6
+	knownTimeout        = 120 * time.Second
+	leaderTimeout       = 60 * time.Second
+	usualLease          = 10 * time.Second
+	usualVoters         = 5
+	leasesAtRest        = 2
+	initialShare        = 200.0 / targetControllers // of a fleet runs when the rest starts at once
+	zoneShare           = 67.0 / targetControllers  // of a fleet restarts at once
 )
 
 type measurement struct {
 	Options
-	settle  time.Duration // before something is measured
-	window  time.Duration // in which it is
-	lease   time.Duration
-	puts    int  // of documents, of each size
-	deaths  bool // how long it takes until a death is known is measured
-	mu      sync.Mutex
-	figures []figures
-	late    []error // what was awaited in vain while the rest was measured
+	settle   time.Duration // before something is measured
+	window   time.Duration // in which it is
+	lease    time.Duration
+	puts     int  // of documents, of each size
+	deaths   bool // how long it takes until a death is known is measured
+	mu       sync.Mutex
+	figures  []figures
+	timeouts []error // what was awaited in vain while the rest was measured
 }
 
 // Measure runs fleets of several sizes and tells what they cost at rest, when many controllers start or restart at once,
@@ -84,8 +84,8 @@
 			m.Sizes = []int{8, 16, 32, 48}
 		}
 	}
-	if m.Tell == nil {
-		m.Tell = func(string, ...any) {}
+	if m.Logf == nil {
+		m.Logf = func(string, ...any) {}
 	}
 	return m
 }
@@ -100,8 +100,8 @@
 	return Open(ctx, s, m.Command)
 }
 
-// each measures several cases: one after the other, or all beside each other where it is to be quick.
-func each[T any](m *measurement, cases []T, measure func(T) error) error {
+// forEachCase measures several cases: one after the other, or all beside each other where it is to be quick.
+func forEachCase[T any](m *measurement, cases []T, measure func(T) error) error {
 	errs := make([]error, len(cases))
 	var group sync.WaitGroup
 	for i, c := range cases {
@@ -115,39 +115,39 @@
 	return errors.Join(errs...)
 }
 
-// watch is what is spent within the window.
-func (m *measurement) watch(ctx context.Context, f *Fleet, window time.Duration) (Interval, error) {
+// measureInterval is what is spent within the window.
+func (m *measurement) measureInterval(ctx context.Context, f *Fleet, window time.Duration) (Interval, error) {
 	before, err := f.Samples()
 	if err != nil {
 		return Interval{}, err
 	}
-	if err := pause(ctx, window); err != nil {
+	if err := sleep(ctx, window); err != nil {
 		return Interval{}, err
 	}
 	after, err := f.Samples()
 	return Interval{f.layout(), before, after}, err
 }
 
-// watchLed is what is spent within the window by a fleet at rest, and which voter led it. A window in which another one came
+// measureWithOneLeader is what is spent within the window by a fleet at rest, and which voter led it. A window in which another one came
 // to lead is watched again.
-func (m *measurement) watchLed(ctx context.Context, f *Fleet, voters int) (leader int, interval Interval, err error) {
+func (m *measurement) measureWithOneLeader(ctx context.Context, f *Fleet, voters int) (leader int, interval Interval, err error) {
 	const tries = 3
-	leader, _, err = f.AwaitLeader(ctx, leaderWithin, voters)
+	leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters)
 	for range tries {
 		if err != nil {
 			return leader, interval, err
 		}
-		if interval, err = m.watch(ctx, f, m.window); err != nil {
+		if interval, err = m.measureInterval(ctx, f, m.window); err != nil {
 			return leader, interval, err
 		}
 		was := leader
-		leader, _, err = f.AwaitLeader(ctx, leaderWithin, voters)
+		leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters)
 		if leader == was {
 			return leader, interval, err
 		}
-		m.Tell("n%d leads after n%d, though nothing was done", leader, was)
+		m.Logf("n%d leads after n%d, though nothing was done", leader, was)
 	}
-	return leader, interval, &LateError{What: "one voter leads throughout a window", Within: tries * m.window}
+	return leader, interval, &TimeoutError{What: "one voter leads throughout a window", Timeout: tries * m.window}
 }
 
 // figures are those of a fleet of one size; a figure that is missing was not measured.
@@ -156,7 +156,7 @@
 	values map[string]float64
 }
 
-func (m *measurement) note(size int, name string, value float64) {
+func (m *measurement) record(size int, name string, value float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.figures {
@@ -168,17 +168,17 @@
 	m.figures = append(m.figures, figures{size, map[string]float64{name: value}})
 }
 
-func (m *measurement) noteSpending(size int, role string, s Spending) {
-	m.note(size, role+"/bytes", s.Sent+s.Received)
-	m.note(size, role+"/sent", s.Sent)
-	m.note(size, role+"/cores", s.Processor)
-	m.note(size, role+"/memory", s.Private/bytesOfMB)
-	m.note(size, role+"/resident", s.Resident/bytesOfMB)
-	m.note(size, role+"/heap", s.Heap/bytesOfMB)
-	m.note(size, role+"/wake-ups", s.WakeUps)
-	m.note(size, role+"/files", s.Files)
-	m.note(size, role+"/opened", s.Opened)
-	m.note(size, role+"/connections", s.Out+s.In)
+func (m *measurement) recordUsage(size int, role string, s ResourceUsage) {
+	m.record(size, role+"/bytes", s.Sent+s.Received)
+	m.record(size, role+"/sent", s.Sent)
+	m.record(size, role+"/cores", s.Processor)
+	m.record(size, role+"/memory", s.Private/bytesPerMB)
+	m.record(size, role+"/resident", s.Resident/bytesPerMB)
+	m.record(size, role+"/heap", s.Heap/bytesPerMB)
+	m.record(size, role+"/wake-ups", s.WakeUps)
+	m.record(size, role+"/files", s.Files)
+	m.record(size, role+"/opened", s.Opened)
+	m.record(size, role+"/connections", s.Out+s.In)
 }
 
 // points are the points of one figure by size.
@@ -192,7 +192,7 @@
 	return points
 }
 
-func numbers(from, to int) []int {
+func numberRange(from, to int) []int {
 	list := make([]int, 0, to-from)
 	for i := from; i < to; i++ {
 		list = append(list, i)
--- a/internal/lab/scale/hollow/partition.go
+++ b/internal/lab/scale/hollow/partition.go
@@ -15,8 +15,8 @@
 // partitions is the partition that there is now, if any. Its zero value is none; a nil pointer never has one.
 type partitions struct{ current atomic.Pointer[partition] }
 
-// begin parts controllers from all others, in place of an earlier partition.
-func (p *partitions) begin(inside []int) {
+// start parts controllers from all others, in place of an earlier partition.
+func (p *partitions) start(inside []int) {
 	next := &partition{inside: map[int]bool{}, healed: make(chan struct{})}
 	for _, number := range inside {
 		next.inside[number] = true
@@ -24,8 +24,8 @@
 	p.replace(next)
 }
 
-// end heals the partition.
-func (p *partitions) end() { p.replace(nil) }
+// heal heals the partition.
+func (p *partitions) heal() { p.replace(nil) }
 
 func (p *partitions) replace(next *partition) {
 	if before := p.current.Swap(next); before != nil {
@@ -62,17 +62,17 @@
 
 // Cut parts controllers of the fleet from all others: connections between the two sides end, and new ones do not come up.
 func (s *Share) Cut(inside []int) {
-	s.partitions.begin(inside)
+	s.partitions.start(inside)
 	for _, c := range s.running() {
-		c.dialer.closeParted()
+		c.dialer.closeCutOff()
 	}
 }
 
 // Heal ends a cut.
-func (s *Share) Heal() { s.partitions.end() }
+func (s *Share) Heal() { s.partitions.heal() }
 
-// closeParted ends connections to controllers on the other side.
-func (d *dialer) closeParted() {
+// closeCutOff ends connections to controllers on the other side.
+func (d *dialer) closeCutOff() {
 	d.mu.Lock()
 	var parted []net.Conn
 	for conn := range d.conns {
@@ -88,12 +88,12 @@
 
 // Cut parts controllers from all others.
 func (f *Fleet) Cut(inside []int) error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionCut, Numbers: inside} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionCut, Numbers: inside} })
 	return err
 }
 
 // Heal ends a cut.
 func (f *Fleet) Heal() error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionHeal} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionHeal} })
 	return err
 }
--- a/internal/lab/scale/hollow/partition_test.go
+++ b/internal/lab/scale/hollow/partition_test.go
@@ -41,8 +41,8 @@
 		return conn
 	}
 	same, other := dial(t.Context(), 1), dial(t.Context(), 2)
-	cut.begin([]int{0, 1})
-	d.closeParted()
+	cut.start([]int{0, 1})
+	d.closeCutOff()
 	if _, err := other.Write([]byte{1}); err == nil {
 		t.Error("a connection between the sides goes on")
 	}
@@ -62,7 +62,7 @@
 		}
 		connected <- err
 	}()
-	cut.end()
+	cut.heal()
 	if err := <-connected; err != nil {
 		t.Errorf("after the heal: %v", err)
 	}
@@ -101,7 +101,7 @@
 			accepted.Close()
 		}
 	}
-	pair := 40 + 2*int(portTests.Add(1)-1)%(fleetsEach-40) // of fleets that no other test has; ports of an earlier run rest
-	connect(NewNetwork(pair), 2*portTries)
+	pair := 40 + 2*int(portTests.Add(1)-1)%(fleetsPerProcess-40) // of fleets that no other test has; ports of an earlier run rest
+	connect(NewNetwork(pair), 2*portAttempts)
 	connect(NewNetwork(pair+1), 1)
 }
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -13,16 +13,16 @@
 
 // probe is the job that looks at the fleet from within a controller.
 type probe struct {
-	mu      sync.Mutex
-	expect  int                   // members alive for which it waits; 0: it does not
-	alive   int                   // members seen alive at the last look
-	knownAt time.Time             // when there were as many
-	again   map[members.ID]uint64 // members that are to be seen in another run than this, for knownAt; 0: the run to be noted
-	lost    members.ID
-	goneAt  time.Time // when the lost member was no longer taken to be alive or suspect
-	lookAt  float64
-	held    map[lease.Name]lease.Token
-	grants  []Grant
+	mu          sync.Mutex
+	expect      int                   // members alive for which it waits; 0: it does not
+	alive       int                   // members seen alive at the last look
+	knownAt     time.Time             // when there were as many
+	awaitedRuns map[members.ID]uint64 // members that are to be seen in another run than this, for knownAt; 0: the run to be noted
+	lost        members.ID
+	goneAt      time.Time // when the lost member was no longer taken to be alive or suspect
+	lookAt      float64
+	held        map[lease.Name]lease.Token
+	grants      []Grant
 }
 
 // Grant is a lease that a controller came to hold.
@@ -33,8 +33,8 @@
 }
 
 const (
-	lookEach   = 250.0 // ms between two looks at the members while something is awaited
-	mostGrants = 1000
+	pollInterval = 250.0 // ms between two looks at the members while something is awaited
+	maxGrants    = 1000
 )
 
 // Began notes a lease that this controller holds from now on.
@@ -45,7 +45,7 @@
 		p.held = map[lease.Name]lease.Token{}
 	}
 	p.held[grant.Name] = grant.Token
-	if len(p.grants) < mostGrants {
+	if len(p.grants) < maxGrants {
 		p.grants = append(p.grants, Grant{grant.Name, grant.Token, time.Now()})
 	}
 }
@@ -67,14 +67,14 @@
 	if !waiting || now < p.lookAt {
 		return
 	}
-	p.lookAt = now + lookEach
+	p.lookAt = now + pollInterval
 	alive, old, lostLives := 0, 0, false
 	for _, m := range h.Members() {
 		if m.State == members.Alive {
 			alive++
 		}
-		if run, awaited := p.again[m.ID]; awaited && run == 0 {
-			p.again[m.ID] = m.Run
+		if run, awaited := p.awaitedRuns[m.ID]; awaited && run == 0 {
+			p.awaitedRuns[m.ID] = m.Run
 			old++
 		} else if awaited && run == m.Run {
 			old++
@@ -94,16 +94,16 @@
 func (p *probe) awaitMembers(expect int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expect, p.knownAt, p.again = expect, time.Time{}, nil
+	p.expect, p.knownAt, p.awaitedRuns = expect, time.Time{}, nil
 }
 
 // awaitRestarts has the probe note when it sees so many members alive, and some of them in another run than now.
 func (p *probe) awaitRestarts(expect int, of []members.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expect, p.knownAt, p.again = expect, time.Time{}, map[members.ID]uint64{}
+	p.expect, p.knownAt, p.awaitedRuns = expect, time.Time{}, map[members.ID]uint64{}
 	for _, id := range of {
-		p.again[id] = 0
+		p.awaitedRuns[id] = 0
 	}
 }
 
--- a/internal/lab/scale/hollow/room.go
+++ b/internal/lab/scale/hollow/room.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// room bounds how many controllers run at a time.
-type room struct {
+// limiter bounds how many controllers run at a time.
+type limiter struct {
 	mu      sync.Mutex
 	changed *sync.Cond
 	free    int
 }
 
-func newRoom(size int) *room {
-	r := &room{free: size}
+func newLimiter(size int) *limiter {
+	r := &limiter{free: size}
 	r.changed = sync.NewCond(&r.mu)
 	return r
 }
 
-// take waits until there is room for so many.
-func (r *room) take(size int) {
+// acquire waits until there is room for so many.
+func (r *limiter) acquire(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.free < size {
@@ -25,8 +25,8 @@
 	r.free -= size
 }
 
-// give gives room back.
-func (r *room) give(size int) {
+// release gives room back.
+func (r *limiter) release(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.free += size
--- a/internal/lab/scale/hollow/rows.go
+++ b/internal/lab/scale/hollow/rows.go
@@ -46,9 +46,9 @@
 		sizeRow{"loss/known", slope.Row{Role: "fleet", Cost: "membership: a death is known to all", Unit: "ms", Condition: "the leader killed",
 			Log: true, Note: "one death at each size"}},
 		sizeRow{"leader/free", slope.Row{Role: "quorum leader", Cost: "time without a leader", Unit: "ms", Condition: "the leader killed",
-			Budget: budgetChange, Note: "one death at each size; seen by all voters"}},
+			Budget: budgetPrimaryChange, Note: "one death at each size; seen by all voters"}},
 		sizeRow{"holder/free", slope.Row{Role: "lease holder", Cost: "time without a holder", Unit: "ms", Condition: "the holder killed, lease 10 s",
-			Budget: budgetChange, Note: "one death at each size"}})
+			Budget: budgetPrimaryChange, Note: "one death at each size"}})
 	for _, start := range []struct{ figure, condition string }{
 		{"start", "all start at once"},
 		{"part", "the last 70% start at once"},
@@ -65,11 +65,11 @@
 			sizeRow{start.figure + "/dropped", slope.Row{Role: "fleet", Cost: "messages dropped by senders", Unit: "messages",
 				Condition: start.condition, Note: "at all controllers"}})
 	}
-	return append(rows, rushRows()...)
+	return append(rows, massStartRows()...)
 }
 
-// rushRows are what a voter and an ordinary controller spend while many start.
-func rushRows() (rows []sizeRow) {
+// massStartRows are what a voter and an ordinary controller spend while many start.
+func massStartRows() (rows []sizeRow) {
 	for _, rush := range []struct{ figure, condition string }{
 		{"part", "the last 70% start at once"},
 		{"zone", "a zone of 10% restarts at once"},
--- a/internal/lab/scale/hollow/share.go
+++ b/internal/lab/scale/hollow/share.go
@@ -23,7 +23,7 @@
 
 	mu          sync.Mutex
 	controllers map[int]*controller
-	lost        map[int]Flow // of controllers that were stopped
+	stopped     map[int]Flow // of controllers that were stopped
 	partitions  partitions
 
 	end   chan struct{}
@@ -36,8 +36,8 @@
 		return nil, err
 	}
 	share := &Share{spec: s, folder: folder, peers: make([]flowCounter, s.Controllers), controllers: map[int]*controller{},
-		lost: map[int]Flow{}, end: make(chan struct{})}
-	share.group.Go(share.watchVoters)
+		stopped: map[int]Flow{}, end: make(chan struct{})}
+	share.group.Go(share.samplePeaks)
 	return share, nil
 }
 
@@ -73,7 +73,7 @@
 		c := s.controllers[number]
 		delete(s.controllers, number)
 		if c != nil {
-			s.lost[number] = s.lost[number].Plus(c.dialer.own.load())
+			s.stopped[number] = s.stopped[number].Plus(c.dialer.own.load())
 		}
 		s.mu.Unlock()
 		if c != nil {
@@ -157,12 +157,12 @@
 	return views
 }
 
-// Standings are how the voters of this share see the quorum. A voter that is not yet up is left out.
-func (s *Share) Standings() []Standing {
-	var list []Standing
+// QuorumViews are how the voters of this share see the quorum. A voter that is not yet up is left out.
+func (s *Share) QuorumViews() []QuorumView {
+	var list []QuorumView
 	for _, c := range s.running() {
 		if c.number < s.spec.Voters {
-			if standing, err := c.standing(); err == nil {
+			if standing, err := c.quorumView(); err == nil {
 				list = append(list, standing)
 			}
 		}
@@ -170,8 +170,8 @@
 	return list
 }
 
-// watchVoters looks at how many connections come in at voters, as a fleet's start is over within seconds.
-func (s *Share) watchVoters() {
+// samplePeaks looks at how many connections come in at voters, as a fleet's start is over within seconds.
+func (s *Share) samplePeaks() {
 	const lookEach = 50 * time.Millisecond
 	ticker := time.NewTicker(lookEach)
 	defer ticker.Stop()
@@ -228,7 +228,7 @@
 
 // Sample takes a sample.
 func (s *Share) Sample() (Sample, error) {
-	process, err := processNow()
+	process, err := readProcess()
 	if err != nil {
 		return Sample{}, err
 	}
@@ -236,7 +236,7 @@
 	for _, c := range s.running() {
 		counters := c.counters()
 		s.mu.Lock()
-		sent := c.dialer.own.load().Plus(s.lost[c.number])
+		sent := c.dialer.own.load().Plus(s.stopped[c.number])
 		s.mu.Unlock()
 		usage := Usage{Number: c.number, Sent: sent, Out: c.dialer.open.Load(), In: counters["links.incoming"], PeakIn: c.peak.Load(),
 			Refused: counters["links.refused"], Dropped: counters["links.dropped"], Full: counters["full"],
@@ -254,11 +254,11 @@
 	return sample, nil
 }
 
-// processNow is what this process has spent.
-func processNow() (Process, error) {
+// readProcess is what this process has spent.
+func readProcess() (Process, error) {
 	var p Process
 	var err error
-	if p.Processor, p.WakeUps, err = spent(); err != nil {
+	if p.Processor, p.WakeUps, err = processorUsage(); err != nil {
 		return p, err
 	}
 	runtime.GC()
@@ -279,12 +279,12 @@
 		return p, err
 	}
 	p.Descriptors = len(descriptors)
-	p.ProcessorAfter, p.WakeUpsAfter, err = spent()
+	p.ProcessorAfter, p.WakeUpsAfter, err = processorUsage()
 	return p, err
 }
 
-// spent is the processor time of this process in seconds, and how often one of its threads waited and went on.
-func spent() (processor float64, wakeUps int64, err error) {
+// processorUsage is the processor time of this process in seconds, and how often one of its threads waited and went on.
+func processorUsage() (processor float64, wakeUps int64, err error) {
 	var usage syscall.Rusage
 	err = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds(), usage.Nvcsw, err
--- a/internal/lab/scale/hollow/sizes.go
+++ b/internal/lab/scale/hollow/sizes.go
@@ -14,15 +14,15 @@
 )
 
 func (m *measurement) sizes(ctx context.Context) ([]slope.Row, error) {
-	room := newRoom(max(targetControllers, slices.Max(m.Sizes)))
+	room := newLimiter(max(targetControllers, slices.Max(m.Sizes)))
 	var errs []error
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for _, size := range m.Sizes {
-		for _, measure := range []func(context.Context, int) error{m.wholeStart, m.partStart} {
-			room.take(size)
+		for _, measure := range []func(context.Context, int) error{m.measureFullStart, m.measurePartialStart} {
+			room.acquire(size)
 			group.Go(func() {
-				defer room.give(size)
+				defer room.release(size)
 				if err := measure(ctx, size); err != nil {
 					mu.Lock()
 					defer mu.Unlock()
@@ -39,24 +39,24 @@
 			rows = append(rows, r.row)
 		}
 	}
-	return rows, errors.Join(append(errs, m.late...)...)
+	return rows, errors.Join(append(errs, m.timeouts...)...)
 }
 
-// isLate tells whether an error is of something that was awaited in vain. It is told at the end; the rest can be measured.
-func (m *measurement) isLate(size int, err error) bool {
-	var late *LateError
+// recordTimeout tells whether an error is of something that was awaited in vain. It is told at the end; the rest can be measured.
+func (m *measurement) recordTimeout(size int, err error) bool {
+	var late *TimeoutError
 	if !errors.As(err, &late) {
 		return false
 	}
-	m.Tell("%d controllers: %v", size, err)
+	m.Logf("%d controllers: %v", size, err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.late = append(m.late, fmt.Errorf("%d controllers: %w", size, err))
+	m.timeouts = append(m.timeouts, fmt.Errorf("%d controllers: %w", size, err))
 	return true
 }
 
-// wholeStart starts a fleet at once, watches it at rest, and takes its leader and a lease's holder from it.
-func (m *measurement) wholeStart(ctx context.Context, size int) error {
+// measureFullStart starts a fleet at once, watches it at rest, and takes its leader and a lease's holder from it.
+func (m *measurement) measureFullStart(ctx context.Context, size int) error {
 	voters := min(m.Voters, size-2) | 1
 	f, err := m.open(ctx, Spec{Controllers: size, Voters: voters, Leases: leasesAtRest, Configured: true})
 	if err != nil {
@@ -64,64 +64,64 @@
 	}
 	defer f.Close()
 	began := time.Now()
-	if err := f.Start(numbers(0, size), size); err != nil {
+	if err := f.Start(numberRange(0, size), size); err != nil {
 		return err
 	}
-	last, err := f.AwaitAllKnown(ctx, knownWithin)
-	if err != nil && !m.isLate(size, err) {
+	last, err := f.AwaitAllKnown(ctx, knownTimeout)
+	if err != nil && !m.recordTimeout(size, err) {
 		return err
 	}
 	if err == nil {
-		m.note(size, "start/known", milliseconds(last.Sub(began)))
-		m.Tell("%d controllers: all know all after %v", size, last.Sub(began).Round(time.Millisecond))
+		m.record(size, "start/known", milliseconds(last.Sub(began)))
+		m.Logf("%d controllers: all know all after %v", size, last.Sub(began).Round(time.Millisecond))
 	}
-	if err := m.noteMedian(f, size, "start", began); err != nil {
+	if err := m.recordMedian(f, size, "start", began); err != nil {
 		return err
 	}
 	samples, err := f.Samples()
 	if err != nil {
 		return err
 	}
-	m.noteRush(samples, size, "start")
-	if err := pause(ctx, m.settle); err != nil {
+	m.recordStart(samples, size, "start")
+	if err := sleep(ctx, m.settle); err != nil {
 		return err
 	}
-	leader, interval, err := m.watchLed(ctx, f, voters)
+	leader, interval, err := m.measureWithOneLeader(ctx, f, voters)
 	if err != nil {
 		return err
 	}
-	m.noteRest(interval, size, voters, leader)
+	m.recordRest(interval, size, voters, leader)
 	lost := time.Now()
-	if err := m.loseLeader(ctx, f, size, voters, leader, "leader/free"); err != nil {
+	if err := m.killLeader(ctx, f, size, voters, leader, "leader/free"); err != nil {
 		return err
 	}
-	if err := m.loseHolder(ctx, f, size); err != nil || !m.deaths {
+	if err := m.killHolder(ctx, f, size); err != nil || !m.deaths {
 		return err
 	}
-	last, err = f.AwaitLossKnown(ctx, knownWithin)
+	last, err = f.AwaitLossKnown(ctx, knownTimeout)
 	if err != nil {
-		if m.isLate(size, err) {
+		if m.recordTimeout(size, err) {
 			return nil
 		}
 		return err
 	}
-	m.note(size, "loss/known", milliseconds(last.Sub(lost)))
-	m.Tell("%d controllers: the loss of n%d was known to all after %v", size, leader, last.Sub(lost).Round(time.Millisecond))
+	m.record(size, "loss/known", milliseconds(last.Sub(lost)))
+	m.Logf("%d controllers: the loss of n%d was known to all after %v", size, leader, last.Sub(lost).Round(time.Millisecond))
 	return nil
 }
 
-// noteRest notes what a fleet spent at rest.
-func (m *measurement) noteRest(interval Interval, size, voters, leader int) {
-	followers := slices.DeleteFunc(numbers(0, voters), func(n int) bool { return n == leader })
-	m.noteSpending(size, "leader", interval.Of(leader))
-	m.noteSpending(size, "voter", interval.Of(followers...))
-	m.noteSpending(size, "controller", interval.Of(voters))
-	m.noteSpending(size, "packed", interval.Of(numbers(voters+1, size)...))
-	m.Tell("%d controllers at rest: controller %+.0f", size, interval.Of(voters))
+// recordRest notes what a fleet spent at rest.
+func (m *measurement) recordRest(interval Interval, size, voters, leader int) {
+	followers := slices.DeleteFunc(numberRange(0, voters), func(n int) bool { return n == leader })
+	m.recordUsage(size, "leader", interval.Mean(leader))
+	m.recordUsage(size, "voter", interval.Mean(followers...))
+	m.recordUsage(size, "controller", interval.Mean(voters))
+	m.recordUsage(size, "packed", interval.Mean(numberRange(voters+1, size)...))
+	m.Logf("%d controllers at rest: controller %+.0f", size, interval.Mean(voters))
 }
 
-// noteMedian notes after how long half of the controllers knew all.
-func (m *measurement) noteMedian(f *Fleet, size int, when string, began time.Time) error {
+// recordMedian notes after how long half of the controllers knew all.
+func (m *measurement) recordMedian(f *Fleet, size int, when string, began time.Time) error {
 	views, err := f.Views()
 	if err != nil {
 		return err
@@ -138,16 +138,16 @@
 	}
 	slices.Sort(took)
 	if median := took[len(took)/2]; !math.IsInf(median, 1) {
-		m.note(size, when+"/median", median)
+		m.record(size, when+"/median", median)
 	}
 	if unknowing > 0 {
-		m.Tell("%d controllers, %s: %d of %d do not know all, but %d to %d", size, when, unknowing, len(views), fewest, most)
+		m.Logf("%d controllers, %s: %d of %d do not know all, but %d to %d", size, when, unknowing, len(views), fewest, most)
 	}
 	return nil
 }
 
-// noteRush notes what a start did to the voters.
-func (m *measurement) noteRush(samples []Sample, size int, when string) {
+// recordStart notes what a start did to the voters.
+func (m *measurement) recordStart(samples []Sample, size int, when string) {
 	refused, peak, dropped, problem := 0.0, 0.0, 0.0, ""
 	for _, s := range samples {
 		for _, u := range s.Controllers {
@@ -159,16 +159,16 @@
 			}
 		}
 	}
-	m.note(size, when+"/refused", refused)
-	m.note(size, when+"/peak", peak)
-	m.note(size, when+"/dropped", dropped)
+	m.record(size, when+"/refused", refused)
+	m.record(size, when+"/peak", peak)
+	m.record(size, when+"/dropped", dropped)
 	if problem != "" {
-		m.Tell("%d controllers: an error was logged: %s", size, problem)
+		m.Logf("%d controllers: an error was logged: %s", size, problem)
 	}
 }
 
-// loseLeader ends the leader, and notes for how long none leads.
-func (m *measurement) loseLeader(ctx context.Context, f *Fleet, size, voters, leader int, figure string) error {
+// killLeader ends the leader, and notes for how long none leads.
+func (m *measurement) killLeader(ctx context.Context, f *Fleet, size, voters, leader int, figure string) error {
 	if err := f.AwaitLoss(leader); err != nil {
 		return err
 	}
@@ -176,19 +176,19 @@
 	if err := f.Stop([]int{leader}); err != nil {
 		return err
 	}
-	next, found, err := f.AwaitLeader(ctx, leaderWithin, voters-1)
+	next, found, err := f.AwaitLeader(ctx, leaderTimeout, voters-1)
 	if err != nil {
 		return err
 	}
-	m.note(size, figure, milliseconds(found.Sub(lost)))
-	m.Tell("%d controllers: n%d leads %v after n%d", size, next, found.Sub(lost).Round(time.Millisecond), leader)
+	m.record(size, figure, milliseconds(found.Sub(lost)))
+	m.Logf("%d controllers: n%d leads %v after n%d", size, next, found.Sub(lost).Round(time.Millisecond), leader)
 	return nil
 }
 
-// loseHolder ends the holder of a lease.
-func (m *measurement) loseHolder(ctx context.Context, f *Fleet, size int) error {
+// killHolder ends the holder of a lease.
+func (m *measurement) killHolder(ctx context.Context, f *Fleet, size int) error {
 	of := lease.Name("lease-00")
-	holder, grant, err := f.AwaitHolder(ctx, knownWithin, of, 0)
+	holder, grant, err := f.AwaitHolder(ctx, knownTimeout, of, 0)
 	if err != nil {
 		return err
 	}
@@ -196,41 +196,41 @@
 	if err := f.Stop([]int{holder}); err != nil {
 		return err
 	}
-	next, granted, err := f.AwaitHolder(ctx, knownWithin, of, grant.Token)
+	next, granted, err := f.AwaitHolder(ctx, knownTimeout, of, grant.Token)
 	if err != nil {
 		return err
 	}
-	m.note(size, "holder/free", milliseconds(granted.At.Sub(lost)))
-	m.Tell("%d controllers: n%d holds %s %v after n%d", size, next, of, granted.At.Sub(lost).Round(time.Millisecond), holder)
+	m.record(size, "holder/free", milliseconds(granted.At.Sub(lost)))
+	m.Logf("%d controllers: n%d holds %s %v after n%d", size, next, of, granted.At.Sub(lost).Round(time.Millisecond), holder)
 	return nil
 }
 
-// partStart has a part of the fleet run, and starts the rest at once. Then a zone restarts.
-func (m *measurement) partStart(ctx context.Context, size int) error {
+// measurePartialStart has a part of the fleet run, and starts the rest at once. Then a zone restarts.
+func (m *measurement) measurePartialStart(ctx context.Context, size int) error {
 	voters := min(m.Voters, size-2) | 1
-	first := max(voters+1, int(float64(size)*partOfTarget))
+	first := max(voters+1, int(float64(size)*initialShare))
 	f, err := m.open(ctx, Spec{Controllers: size, Voters: voters, Leases: leasesAtRest, Configured: true})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := f.Start(numbers(0, first), first); err != nil {
+	if err := f.Start(numberRange(0, first), first); err != nil {
 		return err
 	}
-	if _, err := f.AwaitAllKnown(ctx, knownWithin); err != nil && !m.isLate(size, err) {
+	if _, err := f.AwaitAllKnown(ctx, knownTimeout); err != nil && !m.recordTimeout(size, err) {
 		return err
 	}
-	if err := pause(ctx, m.settle); err != nil {
+	if err := sleep(ctx, m.settle); err != nil {
 		return err
 	}
 	if err := f.AwaitMembers(size); err != nil {
 		return err
 	}
-	err = m.rush(ctx, f, size, voters, "part", func() error { return f.Start(numbers(first, size), size) })
+	err = m.measureMassStart(ctx, f, size, voters, "part", func() error { return f.Start(numberRange(first, size), size) })
 	if err != nil {
 		return err
 	}
-	if err := pause(ctx, m.settle); err != nil {
+	if err := sleep(ctx, m.settle); err != nil {
 		return err
 	}
 	if m.puts > 0 {
@@ -238,11 +238,11 @@
 			return err
 		}
 	}
-	zone := numbers(size-max(1, int(float64(size)*zoneOfTarget)), size)
+	zone := numberRange(size-max(1, int(float64(size)*zoneShare)), size)
 	if err := f.AwaitRestarts(ctx, size, zone); err != nil {
 		return err
 	}
-	return m.rush(ctx, f, size, voters, "zone", func() error {
+	return m.measureMassStart(ctx, f, size, voters, "zone", func() error {
 		if err := f.Stop(zone); err != nil {
 			return err
 		}
@@ -250,9 +250,9 @@
 	})
 }
 
-// rush has many controllers begin at once, and notes when all know of it, what it did to the voters and what the time
+// measureMassStart has many controllers begin at once, and notes when all know of it, what it did to the voters and what the time
 // until then, or a window after it, cost.
-func (m *measurement) rush(ctx context.Context, f *Fleet, size, voters int, figure string, begin func() error) error {
+func (m *measurement) measureMassStart(ctx context.Context, f *Fleet, size, voters int, figure string, begin func() error) error {
 	before, err := f.Samples()
 	if err != nil {
 		return err
@@ -261,31 +261,31 @@
 	if err := begin(); err != nil {
 		return err
 	}
-	last, err := f.AwaitAllKnown(ctx, knownWithin)
-	if err != nil && !m.isLate(size, err) {
+	last, err := f.AwaitAllKnown(ctx, knownTimeout)
+	if err != nil && !m.recordTimeout(size, err) {
 		return err
 	}
 	took := last.Sub(began)
 	if err == nil {
-		m.note(size, figure+"/known", milliseconds(took))
-		m.Tell("%d controllers, %s: all know all after %v", size, figure, took.Round(time.Millisecond))
+		m.record(size, figure+"/known", milliseconds(took))
+		m.Logf("%d controllers, %s: all know all after %v", size, figure, took.Round(time.Millisecond))
 	}
-	if err := m.noteMedian(f, size, figure, began); err != nil {
+	if err := m.recordMedian(f, size, figure, began); err != nil {
 		return err
 	}
-	if err := pause(ctx, m.window-time.Since(began)); err != nil {
+	if err := sleep(ctx, m.window-time.Since(began)); err != nil {
 		return err
 	}
 	after, err := f.Samples()
 	if err != nil {
 		return err
 	}
-	m.noteRush(after, size, figure)
+	m.recordStart(after, size, figure)
 	interval := Interval{f.layout(), before, after}
-	for role, of := range map[string][]int{"voter": numbers(0, voters), "controller": {voters}} {
-		spent := interval.Of(of...)
-		m.note(size, figure+"/"+role+"/bytes", spent.Sent+spent.Received)
-		m.note(size, figure+"/"+role+"/cores", spent.Processor)
+	for role, of := range map[string][]int{"voter": numberRange(0, voters), "controller": {voters}} {
+		spent := interval.Mean(of...)
+		m.record(size, figure+"/"+role+"/bytes", spent.Sent+spent.Received)
+		m.record(size, figure+"/"+role+"/cores", spent.Processor)
 	}
 	return nil
 }
--- a/internal/lab/scale/hollow/sockets.go
+++ b/internal/lab/scale/hollow/sockets.go
@@ -68,7 +68,7 @@
 const (
 	firstSourcePort = 12000
 	sourcePorts     = 20000
-	portTries       = 8
+	portAttempts    = 8
 )
 
 // dialer opens a controller's connections, from its own address, and counts what goes over them.
@@ -92,7 +92,7 @@
 func newDialer(number int, network Network, peers []flowCounter, p *partitions) *dialer {
 	d := &dialer{number: number, source: network.address(number).Addr(), network: network, own: &flowCounter{}, peers: peers,
 		partitions: p, conns: map[*countedConn]bool{}}
-	d.next.Store(uint32(network.fleet() * sourcePorts / fleetsEach))
+	d.next.Store(uint32(network.fleet() * sourcePorts / fleetsPerProcess))
 	return d
 }
 
@@ -149,7 +149,7 @@
 
 // connect tries source ports until one is free.
 func (d *dialer) connect(ctx context.Context, addr string) (conn net.Conn, err error) {
-	for range portTries {
+	for range portAttempts {
 		port := firstSourcePort + int(d.next.Add(1)%sourcePorts)
 		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: d.source.AsSlice(), Port: port}}
 		conn, err = dialer.DialContext(ctx, "tcp", addr)
--- a/internal/lab/scale/leases.go
+++ b/internal/lab/scale/leases.go
@@ -13,12 +13,12 @@
 
 // Leases whose holder is lost, in virtual time, in a fleet of three regions.
 const (
-	regions      = 3
-	betweenMS    = 80   // from one region to another, one way
-	targetLease  = 10   // s, that leases have if the operator's file does not say otherwise
-	budgetChange = 5000 // ms, that the operators state for a change of primary
-	fullSeeds    = 40
-	quickSeeds   = 8
+	regions             = 3
+	interRegionLatency  = 80   // from one region to another, one way
+	targetLeaseSeconds  = 10   // s, that leases have if the operator's file does not say otherwise
+	primaryChangeBudget = 5000 // ms, that the operators state for a change of primary
+	fullSeeds           = 40
+	quickSeeds          = 8
 )
 
 // leaseLengths are those for which the time without a holder is measured, in seconds.
@@ -36,12 +36,12 @@
 	var rows []slope.Row
 	for _, loss := range []fleet.Loss{fleet.Killed, fleet.CutOff} {
 		worst := slope.Row{Role: "lease holder", Cost: "time without a holder, longest", Unit: "ms", Per: "seconds of lease",
-			Condition: fmt.Sprintf("%v, %d ms between %d regions", loss, betweenMS, regions), Method: "virtual time",
-			Target: targetLease, Budget: budgetChange, Note: fmt.Sprintf("of %d seeds", seeds)}
+			Condition: fmt.Sprintf("%v, %d ms between %d regions", loss, interRegionLatency, regions), Method: "virtual time",
+			Target: targetLeaseSeconds, Budget: primaryChangeBudget, Note: fmt.Sprintf("of %d seeds", seeds)}
 		median := worst
 		median.Cost, median.Budget = "time without a holder, median", 0
 		for _, seconds := range lengths {
-			free, err := timesFree(ctx, seed, seeds, seconds, loss)
+			free, err := unheldTimes(ctx, seed, seeds, seconds, loss)
 			if err != nil {
 				return rows, err
 			}
@@ -53,15 +53,15 @@
 	return rows, nil
 }
 
-// timesFree are the times without a holder in ms, sorted, of histories with these seeds, two at a time.
-func timesFree(ctx context.Context, seed int64, seeds int, seconds float64, loss fleet.Loss) ([]float64, error) {
+// unheldTimes are the times without a holder in ms, sorted, of histories with these seeds, two at a time.
+func unheldTimes(ctx context.Context, seed int64, seeds int, seconds float64, loss fleet.Loss) ([]float64, error) {
 	const beside = 2
 	free := make([]float64, seeds)
 	var group sync.WaitGroup
 	for first := range beside {
 		group.Go(func() {
 			for i := first; i < seeds && ctx.Err() == nil; i += beside {
-				free[i], _ = fleet.TakeOverAcross(seed+int64(i), seconds*1000, loss, fleet.Regions{Count: regions, Between: betweenMS})
+				free[i], _ = fleet.TakeOverAcross(seed+int64(i), seconds*1000, loss, fleet.Regions{Count: regions, Between: interRegionLatency})
 			}
 		})
 	}
--- a/internal/lab/scale/membership/columns.go
+++ b/internal/lab/scale/membership/columns.go
@@ -22,7 +22,7 @@
 	bytesColumn = column{cost: "bytes sent", unit: "bytes/s", budget: bytesBudget, note: sentNote,
 		value: mean(func(o outcome) float64 { return o.costs.bytes })}
 	busiestColumn = column{cost: "bytes sent by the busiest controller in its busiest second", unit: "bytes",
-		value: most(func(o outcome) []float64 { return []float64{o.costs.busiest} })}
+		value: maximum(func(o outcome) []float64 { return []float64{o.costs.busiest} })}
 	falseSuspicionsColumn = column{cost: "suspicions of controllers that run, whole fleet", unit: "1/h",
 		value: mean(func(o outcome) float64 { return o.costs.falseSuspicions })}
 	falseDeathsColumn = column{cost: "controllers that run and are taken to be gone, whole fleet", unit: "1/h",
@@ -35,7 +35,7 @@
 	healedColumn = column{cost: "bytes sent in the minute after the region is back", unit: "bytes/s", budget: bytesBudget,
 		note: sentNote, value: mean(func(o outcome) float64 { return o.healed.bytes })}
 	healedBusiestColumn = column{cost: "bytes sent by the busiest controller in its busiest second after the region is back",
-		unit: "bytes", value: most(func(o outcome) []float64 { return []float64{o.healed.busiest} })}
+		unit: "bytes", value: maximum(func(o outcome) []float64 { return []float64{o.healed.busiest} })}
 )
 
 var steadyColumns = slices.Concat(
@@ -46,12 +46,12 @@
 
 var zoneColumns = slices.Concat(
 	[]column{bytesColumn, busiestColumn},
-	timeColumns("from the last start until all know all", func(o outcome) []float64 { return o.whole }),
+	timeColumns("from the last start until all know all", func(o outcome) []float64 { return o.converged }),
 )
 
 var regionColumns = slices.Concat(
 	[]column{bytesColumn, healedColumn, healedBusiestColumn},
-	timeColumns("from the region's return until all know all", func(o outcome) []float64 { return o.whole }),
+	timeColumns("from the region's return until all know all", func(o outcome) []float64 { return o.converged }),
 )
 
 // timeColumns are three points of a distribution of times.
@@ -85,7 +85,7 @@
 	}
 }
 
-func most(values func(outcome) []float64) func([]outcome) float64 { return quantile(1, values) }
+func maximum(values func(outcome) []float64) func([]outcome) float64 { return quantile(1, values) }
 
 // quantile is the smallest of all values that a share of them does not exceed.
 func quantile(share float64, values func(outcome) []float64) func([]outcome) float64 {
--- a/internal/lab/scale/membership/measure.go
+++ b/internal/lab/scale/membership/measure.go
@@ -27,9 +27,9 @@
 	controllers = 670 // of the fleet that is built for
 	bytesBudget = 17_000.0
 	coresBudget = 0.021
-	bytesMB     = 1e6
+	bytesPerMB  = 1e6
 	budgetNote  = "the budget is that of all control traffic together"
-	mostWorkers = 2
+	maxWorkers  = 2
 )
 
 func (o Options) sizes() []int {
@@ -67,7 +67,7 @@
 	if o.Quick {
 		events = 2
 	}
-	under := func(t trouble) scenario {
+	under := func(t disturbance) scenario {
 		play := func(ctx context.Context, p plan) (outcome, error) { return steady(ctx, p, t, events) }
 		return scenario{t.name, play, steadyColumns}
 	}
@@ -126,7 +126,7 @@
 func playAll(ctx context.Context, o Options, tasks []task) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	workers := min(mostWorkers, runtime.GOMAXPROCS(0))
+	workers := min(maxWorkers, runtime.GOMAXPROCS(0))
 	if o.Quick {
 		workers = 1
 	}
--- a/internal/lab/scale/membership/measure_test.go
+++ b/internal/lab/scale/membership/measure_test.go
@@ -88,12 +88,12 @@
 	peers := peerTable{}
 	for i := range 100 {
 		id := peerName(i)
-		peers.opened(id, &connection{used: float64(i)})
+		peers.add(id, &connection{used: float64(i)})
 	}
 	if len(peers) != 64 || peers[peerName(35)] != nil || peers[peerName(36)] == nil {
 		t.Errorf("%d connections", len(peers))
 	}
-	if peers.reuse(peerName(99), 99+idle()) == nil || peers.reuse(peerName(99), 100+idle()) != nil {
+	if peers.reuse(peerName(99), 99+idleTimeout()) == nil || peers.reuse(peerName(99), 100+idleTimeout()) != nil {
 		t.Error("an idle connection is not closed after its time")
 	}
 }
--- a/internal/lab/scale/membership/process.go
+++ b/internal/lab/scale/membership/process.go
@@ -32,7 +32,7 @@
 		Condition: atRest.name, Method: "virtual time", Target: controllers, Budget: coresBudget,
 		Note: "protocol, encoding, decoding, frames' authentication, and the simulation's own queue; without the kernel's part; " + budgetNote}
 	for _, size := range o.sizes() {
-		s, err := warm(ctx, plan{size, o.Seed, farLatency})
+		s, err := warmUp(ctx, plan{size, o.Seed, farLatency})
 		if err != nil {
 			return row, err
 		}
@@ -41,14 +41,14 @@
 		if err != nil {
 			return row, err
 		}
-		if err := s.runUntil(ctx, s.now+restTime); err != nil {
+		if err := s.runUntil(ctx, s.now+measuredTime); err != nil {
 			return row, err
 		}
 		after, err := processorTime()
 		if err != nil {
 			return row, err
 		}
-		cores := (after - before).Seconds() / (restTime / 1000) / float64(size)
+		cores := (after - before).Seconds() / (measuredTime / 1000) / float64(size)
 		row.Points = append(row.Points, slope.Point{Size: float64(size), Value: cores})
 	}
 	return row, nil
@@ -63,7 +63,7 @@
 		if err != nil {
 			return row, err
 		}
-		row.Points = append(row.Points, slope.Point{Size: float64(size), Value: bytes / bytesMB})
+		row.Points = append(row.Points, slope.Point{Size: float64(size), Value: bytes / bytesPerMB})
 	}
 	return row, nil
 }
--- a/internal/lab/scale/membership/scenarios.go
+++ b/internal/lab/scale/membership/scenarios.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	warmMost    = 300_000.0 // ms within which a fleet has to find itself
-	restTime    = 60_000.0  // ms of which costs are the mean
-	eventEvery  = 8_000.0   // ms between a death and the next one
-	pauseEvery  = 1000.0    // ms between two pauses of some controller
-	pauseLeast  = 200.0
-	pauseSpread = 2800.0
-	restartTime = 5_000.0   // ms within which those of a zone that restarts are back
-	cutTime     = 300_000.0 // ms for which a region is cut off
+	warmUpTimeout = 300_000.0 // ms within which a fleet has to find itself
+	measuredTime  = 60_000.0  // ms of which costs are the mean
+	eventInterval = 8_000.0   // ms between a death and the next one
+	pauseInterval = 1000.0    // ms between two pauses of some controller
+	minPause      = 200.0
+	pauseSpread   = 2800.0
+	restartTime   = 5_000.0   // ms within which those of a zone that restarts are back
+	cutTime       = 300_000.0 // ms for which a region is cut off
 )
 
 // costs are what one controller pays, as the mean over the fleet.
@@ -28,33 +28,33 @@
 
 // outcome is what one seed of a scenario gave.
 type outcome struct {
-	costs  costs
-	healed costs     // in the minute after a region is back
-	deaths []float64 // ms until a death is known to all
-	joins  []float64 // ms until a new controller is known to all
-	whole  []float64 // ms until all know all again
+	costs     costs
+	healed    costs     // in the minute after a region is back
+	deaths    []float64 // ms until a death is known to all
+	joins     []float64 // ms until a new controller is known to all
+	converged []float64 // ms until all know all again
 }
 
-// trouble is what goes on while a fleet is measured.
-type trouble struct {
+// disturbance is what goes on while a fleet is measured.
+type disturbance struct {
 	name   string
 	loss   float64
 	pauses bool
 }
 
 var (
-	atRest     = trouble{name: "at rest"}
-	tenthLost  = trouble{name: "10% loss", loss: 0.1}
-	withPauses = trouble{name: "each second one pauses for 0.2 to 3 s", pauses: true}
+	atRest     = disturbance{name: "at rest"}
+	tenthLost  = disturbance{name: "10% loss", loss: 0.1}
+	withPauses = disturbance{name: "each second one pauses for 0.2 to 3 s", pauses: true}
 )
 
-// warm starts a fleet and plays until all know all.
-func warm(ctx context.Context, p plan) (*simulation, error) {
+// warmUp starts a fleet and plays until all know all.
+func warmUp(ctx context.Context, p plan) (*simulation, error) {
 	s := newSimulation(p)
-	if err := s.runUntil(ctx, 2*starting); err != nil {
+	if err := s.runUntil(ctx, 2*startWindow); err != nil {
 		return nil, err
 	}
-	err := s.settle(ctx, []*watch{s.wholeWatch()}, warmMost)
+	err := s.runUntilDone(ctx, []*watch{s.convergenceWatch()}, warmUpTimeout)
 	if err == nil {
 		err = s.runUntil(ctx, s.now+20_000) // what is still passed on of the start
 	}
@@ -63,9 +63,9 @@
 
 // resetCosts begins a measurement of costs.
 func (s *simulation) resetCosts() {
-	s.counters, s.wronged, s.since = counters{}, map[members.Member]bool{}, s.now
+	s.counters, s.falselyDead, s.since = counters{}, map[members.Member]bool{}, s.now
 	for _, c := range s.controllers {
-		c.busiest, c.inSecond = 0, 0
+		c.busiest, c.bytesInSecond = 0, 0
 	}
 }
 
@@ -94,8 +94,8 @@
 	return s.costs(), err
 }
 
-// begin has a trouble begin; it lasts as long as the simulation.
-func (s *simulation) begin(t trouble) {
+// applyDisturbance has a trouble begin; it lasts as long as the simulation.
+func (s *simulation) applyDisturbance(t disturbance) {
 	s.network.loss = t.loss
 	if t.pauses {
 		s.pause()
@@ -105,19 +105,19 @@
 // pause has one controller stand still, and another one a second later.
 func (s *simulation) pause() {
 	c := s.controllers[s.rng.Intn(len(s.controllers))]
-	c.pausedUntil = max(c.pausedUntil, s.now+pauseLeast+pauseSpread*s.rng.Float64())
-	s.at(s.now+pauseEvery, s.pause)
+	c.pausedUntil = max(c.pausedUntil, s.now+minPause+pauseSpread*s.rng.Float64())
+	s.at(s.now+pauseInterval, s.pause)
 }
 
 // steady measures a fleet's costs, then kills some controllers and starts new ones, one after another.
-func steady(ctx context.Context, p plan, t trouble, events int) (outcome, error) {
-	s, err := warm(ctx, p)
+func steady(ctx context.Context, p plan, t disturbance, events int) (outcome, error) {
+	s, err := warmUp(ctx, p)
 	if err != nil {
 		return outcome{}, err
 	}
-	s.begin(t)
+	s.applyDisturbance(t)
 	var o outcome
-	if o.costs, err = s.measureCosts(ctx, restTime); err != nil {
+	if o.costs, err = s.measureCosts(ctx, measuredTime); err != nil {
 		return outcome{}, err
 	}
 	var deaths, joins []*watch
@@ -125,17 +125,17 @@
 		dead := s.controllers[min(voters, p.size/2)+i] // no voter
 		deaths = append(deaths, s.deathWatch(dead))
 		s.stop(dead)
-		if err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
+		if err := s.runUntilDone(ctx, append(deaths, joins...), eventInterval/2); err != nil {
 			return outcome{}, err
 		}
 		started := s.addController()
 		s.start(started)
 		joins = append(joins, s.startWatch(started))
-		if err := s.settle(ctx, append(deaths, joins...), eventEvery/2); err != nil {
+		if err := s.runUntilDone(ctx, append(deaths, joins...), eventInterval/2); err != nil {
 			return outcome{}, err
 		}
 	}
-	if err := s.settle(ctx, append(deaths, joins...), tookMost); err != nil {
+	if err := s.runUntilDone(ctx, append(deaths, joins...), watchTimeout); err != nil {
 		return outcome{}, err
 	}
 	o.deaths, o.joins = times(deaths), times(joins)
@@ -145,7 +145,7 @@
 // zoneRestarts kills a tenth of a fleet at once; each of them starts again within some seconds. Its time is counted from
 // when all have started.
 func zoneRestarts(ctx context.Context, p plan) (outcome, error) {
-	s, err := warm(ctx, p)
+	s, err := warmUp(ctx, p)
 	if err != nil {
 		return outcome{}, err
 	}
@@ -158,21 +158,21 @@
 	if err := s.runUntil(ctx, s.now+restartTime); err != nil {
 		return outcome{}, err
 	}
-	o, err := s.untilWhole(ctx)
+	o, err := s.runUntilConverged(ctx)
 	o.costs = s.costs()
 	return o, err
 }
 
-// untilWhole plays until all know all, and gives the time that it took.
-func (s *simulation) untilWhole(ctx context.Context) (outcome, error) {
-	whole := []*watch{s.wholeWatch()}
-	err := s.settle(ctx, whole, tookMost)
-	return outcome{whole: times(whole)}, err
+// runUntilConverged plays until all know all, and gives the time that it took.
+func (s *simulation) runUntilConverged(ctx context.Context) (outcome, error) {
+	whole := []*watch{s.convergenceWatch()}
+	err := s.runUntilDone(ctx, whole, watchTimeout)
+	return outcome{converged: times(whole)}, err
 }
 
 // regionCutOff cuts a third of a fleet off for five minutes. Its time is counted from when the region is back.
 func regionCutOff(ctx context.Context, p plan) (outcome, error) {
-	s, err := warm(ctx, p)
+	s, err := warmUp(ctx, p)
 	if err != nil {
 		return outcome{}, err
 	}
@@ -184,11 +184,11 @@
 	s.network.cutOff = -1
 	s.resetCosts()
 	back := s.now
-	o, err := s.untilWhole(ctx)
+	o, err := s.runUntilConverged(ctx)
 	if err != nil {
 		return outcome{}, err
 	}
-	err = s.runUntil(ctx, max(s.now, back+restTime))
+	err = s.runUntil(ctx, max(s.now, back+measuredTime))
 	o.costs, o.healed = during, s.costs()
 	return o, err
 }
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -21,8 +21,8 @@
 	localLatency = 0.3  // ms one way, to which up to jitter is added
 	jitter       = 1.0  // ms
 	farLatency   = 40.0 // ms one way between two regions: 80 ms there and back
-	starting     = 500.0
-	pollEvery    = 100.0 // ms between two looks at what controllers know
+	startWindow  = 500.0
+	pollInterval = 100.0 // ms between two looks at what controllers know
 )
 
 // controller is one of the simulation.
@@ -34,11 +34,11 @@
 	run    uint64
 	peers  peerTable
 
-	wakeAt      float64 // of the timer that counts
-	pausedUntil float64
-	second      int
-	inSecond    int
-	busiest     int // bytes sent in its busiest second
+	timerAt       float64 // of the timer that counts
+	pausedUntil   float64
+	second        int
+	bytesInSecond int
+	busiest       int // bytes sent in its busiest second
 }
 
 // conditions are what the network does.
@@ -64,13 +64,13 @@
 	controllers []*controller
 	byID        map[members.ID]*controller
 	network     conditions
-	pace        members.Config
+	config      members.Config
 	encoder     encoder
 	mac         hash.Hash
 	decode      bool // messages are decoded as the daemon does, so that its processor time counts
 	counters    counters
 	since       float64                 // ms, when the counters were reset
-	wronged     map[members.Member]bool // members taken to be gone though they ran
+	falselyDead map[members.Member]bool // members taken to be gone though they ran
 	err         error
 }
 
@@ -83,12 +83,12 @@
 
 func newSimulation(p plan) *simulation {
 	s := &simulation{rng: rand.New(rand.NewSource(p.seed*7919 + int64(p.size))), byID: map[members.ID]*controller{},
-		network: conditions{cutOff: -1, far: p.far}, pace: members.DefaultConfig(), mac: hmac.New(sha256.New, make([]byte, sha256.Size)), wronged: map[members.Member]bool{}}
+		network: conditions{cutOff: -1, far: p.far}, config: members.DefaultConfig(), mac: hmac.New(sha256.New, make([]byte, sha256.Size)), falselyDead: map[members.Member]bool{}}
 	for range p.size {
 		s.addController()
 	}
 	for _, c := range s.controllers {
-		s.at(s.rng.Float64()*starting, func() { s.start(c) })
+		s.at(s.rng.Float64()*startWindow, func() { s.start(c) })
 	}
 	return s
 }
@@ -130,52 +130,52 @@
 	}
 	c.run = s.rng.Uint64()
 	self := members.Member{ID: c.id, Addr: c.addr, Willing: true, Run: c.run}
-	c.table = members.New(self, seeds, s.pace, s.rng.Int63(), s.now)
-	c.peers, c.wakeAt, c.pausedUntil = peerTable{}, math.Inf(1), 0
-	s.turn(c)
+	c.table = members.New(self, seeds, s.config, s.rng.Int63(), s.now)
+	c.peers, c.timerAt, c.pausedUntil = peerTable{}, math.Inf(1), 0
+	s.processOutput(c)
 }
 
 // stop kills a controller.
 func (s *simulation) stop(c *controller) { c.table = nil }
 
-// turn carries out what a table asks for after some input.
-func (s *simulation) turn(c *controller) {
+// processOutput carries out what a table asks for after some input.
+func (s *simulation) processOutput(c *controller) {
 	for _, change := range c.table.TakeChanges() {
-		s.judge(c, change)
+		s.countFalseDetection(c, change)
 	}
 	for _, out := range c.table.TakeMessages() {
 		s.send(c, out)
 	}
-	if next := max(c.table.Next(), s.now+0.5); next < c.wakeAt {
-		s.wake(c, next)
+	if next := max(c.table.Next(), s.now+0.5); next < c.timerAt {
+		s.setTimer(c, next)
 	}
 }
 
-// wake sets a controller's timer.
-func (s *simulation) wake(c *controller, at float64) {
+// setTimer sets a controller's timer.
+func (s *simulation) setTimer(c *controller, at float64) {
 	run := c.run
-	c.wakeAt = at
+	c.timerAt = at
 	s.at(at, func() {
-		if c.table == nil || c.run != run || c.wakeAt != at {
+		if c.table == nil || c.run != run || c.timerAt != at {
 			return
 		}
 		if s.now < c.pausedUntil {
-			s.wake(c, c.pausedUntil)
+			s.setTimer(c, c.pausedUntil)
 			return
 		}
-		c.wakeAt = math.Inf(1)
+		c.timerAt = math.Inf(1)
 		if next := c.table.Next(); next > s.now {
-			s.wake(c, next)
+			s.setTimer(c, next)
 			return
 		}
 		s.counters.timers++
 		c.table.Tick(s.now)
-		s.turn(c)
+		s.processOutput(c)
 	})
 }
 
-// judge counts what is believed wrongly of a controller that runs, is reached and does not stand still.
-func (s *simulation) judge(at *controller, change members.Change) {
+// countFalseDetection counts what is believed wrongly of a controller that runs, is reached and does not stand still.
+func (s *simulation) countFalseDetection(at *controller, change members.Change) {
 	about := s.byID[change.Member.ID]
 	if about.table == nil || about.run != change.Member.Run || s.now < about.pausedUntil || s.network.cutOff >= 0 {
 		return
@@ -183,23 +183,23 @@
 	switch {
 	case change.Member.State == members.Suspect && change.Member.Suspector == at.id:
 		s.counters.falseSuspicions++
-	case change.Member.State == members.Dead && !s.wronged[change.Member]:
-		s.wronged[change.Member] = true
+	case change.Member.State == members.Dead && !s.falselyDead[change.Member]:
+		s.falselyDead[change.Member] = true
 		s.counters.falseDeaths++
 	}
 }
 
-// spend counts bytes that a controller sends.
-func (s *simulation) spend(c *controller, bytes int) {
+// countSent counts bytes that a controller sends.
+func (s *simulation) countSent(c *controller, bytes int) {
 	s.counters.bytes += bytes
 	if second := int(s.now / 1000); second != c.second {
-		c.second, c.inSecond = second, 0
+		c.second, c.bytesInSecond = second, 0
 	}
-	c.inSecond += bytes
-	c.busiest = max(c.busiest, c.inSecond)
+	c.bytesInSecond += bytes
+	c.busiest = max(c.busiest, c.bytesInSecond)
 }
 
-func (s *simulation) reached(from, to *controller) bool {
+func (s *simulation) reachable(from, to *controller) bool {
 	return from.region == to.region || from.region != s.network.cutOff && to.region != s.network.cutOff
 }
 
@@ -218,7 +218,7 @@
 		delete(from.peers, to.id)
 		open = nil
 	}
-	if !s.carried(from, to, open, frame) {
+	if !s.canDeliver(from, to, open, frame) {
 		return
 	}
 	latencies := 1.0
@@ -228,8 +228,8 @@
 	} else {
 		open.used = s.now
 	}
-	s.spend(from, frame.sender)
-	s.spend(to, frame.receiver)
+	s.countSent(from, frame.sender)
+	s.countSent(to, frame.receiver)
 	if s.network.loss > 0 && s.rng.Float64() < s.network.loss {
 		return
 	}
@@ -258,23 +258,23 @@
 
 // endedByPeer tells whether a connection's receiver has ended, which the sender sees by the end of what it reads.
 func (s *simulation) endedByPeer(from, to *controller, open *connection) bool {
-	return s.reached(from, to) && (to.table == nil || open.run != to.run)
+	return s.reachable(from, to) && (to.table == nil || open.run != to.run)
 }
 
-// carried tells whether a message gets over at all; one that does not costs what was tried.
-func (s *simulation) carried(from, to *controller, open *connection, frame traffic) bool {
+// canDeliver tells whether a message gets over at all; one that does not costs what was tried.
+func (s *simulation) canDeliver(from, to *controller, open *connection, frame traffic) bool {
 	switch {
-	case !s.reached(from, to) && open != nil:
-		s.spend(from, lostTries*frame.sender)
+	case !s.reachable(from, to) && open != nil:
+		s.countSent(from, writeAttempts*frame.sender)
 		open.writes++
-		if open.writes >= lostTries {
+		if open.writes >= writeAttempts {
 			delete(from.peers, to.id)
 		}
-	case !s.reached(from, to):
-		s.spend(from, dialTries*synHeader)
+	case !s.reachable(from, to):
+		s.countSent(from, dialAttempts*synHeader)
 	case to.table == nil:
-		s.spend(from, synHeader)
-		s.spend(to, resetHeader)
+		s.countSent(from, synHeader)
+		s.countSent(to, resetHeader)
 	default:
 		return true
 	}
@@ -290,9 +290,9 @@
 	}
 	cost := handshake(hello)
 	s.counters.handshakeBytes += cost.sender + cost.receiver
-	s.spend(from, cost.sender)
-	s.spend(to, cost.receiver)
-	from.peers.opened(to.id, &connection{run: to.run, used: s.now})
+	s.countSent(from, cost.sender)
+	s.countSent(to, cost.receiver)
+	from.peers.add(to.id, &connection{run: to.run, used: s.now})
 }
 
 func (s *simulation) latency(from, to *controller) float64 {
@@ -304,7 +304,7 @@
 
 // deliver hands a message to the run that it was sent to, when that does not stand still.
 func (s *simulation) deliver(from, to *controller, run uint64, m members.Message) {
-	if to.table == nil || to.run != run || !s.reached(from, to) {
+	if to.table == nil || to.run != run || !s.reachable(from, to) {
 		return
 	}
 	if s.now < to.pausedUntil {
@@ -312,7 +312,7 @@
 		return
 	}
 	to.table.Receive(s.now, from.id, m)
-	s.turn(to)
+	s.processOutput(to)
 }
 
 // running are the controllers that run.
--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -37,8 +37,8 @@
 	return &watch{known: known, from: s.now, pending: s.running()}
 }
 
-// look finds out who has heard by now. When all that were asked have, all are asked again: one may have started meanwhile.
-func (w *watch) look(s *simulation) {
+// poll finds out who has heard by now. When all that were asked have, all are asked again: one may have started meanwhile.
+func (w *watch) poll(s *simulation) {
 	if w.done > 0 {
 		return
 	}
@@ -51,15 +51,15 @@
 	}
 }
 
-// settle plays until all watches are done, for a time in ms at most.
-func (s *simulation) settle(ctx context.Context, watches []*watch, most float64) error {
+// runUntilDone plays until all watches are done, for a time in ms at most.
+func (s *simulation) runUntilDone(ctx context.Context, watches []*watch, most float64) error {
 	for end := s.now + most; s.now < end; {
-		if err := s.runUntil(ctx, s.now+pollEvery); err != nil {
+		if err := s.runUntil(ctx, s.now+pollInterval); err != nil {
 			return err
 		}
 		waiting := 0
 		for _, w := range watches {
-			if w.look(s); w.done == 0 {
+			if w.poll(s); w.done == 0 {
 				waiting++
 			}
 		}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// wholeWatch waits until all that run take all that run to be alive, and nobody else.
-func (s *simulation) wholeWatch() *watch {
+// convergenceWatch waits until all that run take all that run to be alive, and nobody else.
+func (s *simulation) convergenceWatch() *watch {
 	return s.newWatch(func(t *members.Table) bool {
 		for _, c := range s.controllers {
 			m, known := t.Lookup(c.id)
@@ -84,14 +84,14 @@
 	})
 }
 
-// tookMost is the time given to what should be known within seconds.
-const tookMost = 600_000.0 // ms
+// watchTimeout is the time given to what should be known within seconds.
+const watchTimeout = 600_000.0 // ms
 
-// times are those of watches, in ms; what was not done in time counts as tookMost.
+// times are those of watches, in ms; what was not done in time counts as watchTimeout.
 func times(watches []*watch) (list []float64) {
 	for _, w := range watches {
 		if w.done == 0 {
-			list = append(list, tookMost)
+			list = append(list, watchTimeout)
 		} else {
 			list = append(list, w.done)
 		}
--- a/internal/lab/scale/membership/wire.go
+++ b/internal/lab/scale/membership/wire.go
@@ -19,8 +19,8 @@
 	resetHeader    = 40   // IPv4 and TCP without options
 	segmentPayload = 1448 // of an Ethernet frame
 	challengeBytes = 40   // magic and nonce of the listener
-	lostTries      = 4    // transmissions of what is never acknowledged, until the connection is given up
-	dialTries      = 2    // SYNs within the time that a dial has
+	writeAttempts  = 4    // transmissions of what is never acknowledged, until the connection is given up
+	dialAttempts   = 2    // SYNs within the time that a dial has
 )
 
 // dialLatencies is how many one-way latencies pass until the first message of a new connection is there: SYN, SYN-ACK,
@@ -73,20 +73,20 @@
 // peerTable is a controller's connections out.
 type peerTable map[members.ID]*connection
 
-// idle is for how long a connection stays open without a message, in ms.
-func idle() float64 { return float64(links.DefaultBounds().IdleTimeout) / 1e6 }
+// idleTimeout is for how long a connection stays open without a message, in ms.
+func idleTimeout() float64 { return float64(links.DefaultBounds().IdleTimeout) / 1e6 }
 
 // reuse is the connection that is open to a peer, nil if there is none.
 func (p peerTable) reuse(to members.ID, now float64) *connection {
 	c := p[to]
-	if c == nil || now-c.used > idle() {
+	if c == nil || now-c.used > idleTimeout() {
 		return nil
 	}
 	return c
 }
 
-// opened takes in a new connection; the one unused for the longest time yields to it.
-func (p peerTable) opened(to members.ID, c *connection) {
+// add takes in a new connection; the one unused for the longest time yields to it.
+func (p peerTable) add(to members.ID, c *connection) {
 	delete(p, to)
 	if len(p) >= links.DefaultBounds().MaxPeers {
 		var oldest members.ID
