--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -27,7 +27,7 @@
 	Seed    int64
 	Sizes   []int                            // of fleets of hollow controllers; nil: the usual ones
 	Command func(context.Context) *exec.Cmd  // runs hollow.ServeChild in a child process
-	Tell    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // is told of what is measured; nil: nobody
 }
 
 // Measurement measures some rows. It returns what it could measure also where it returns an error.
@@ -39,11 +39,11 @@
 // Measurements are all, in the order in which they are made.
 func Measurements() []Measurement {
 	return []Measurement{
-		{"hollow", onHollow(hollow.Measure)},
-		{"agreement", onHollow(hollow.MeasureAgreement)},
-		{"digest", onHollow(hollow.MeasureDigest)},
-		{"day", onHollow(hollow.MeasureDay)},
-		{"loss", onHollow(hollow.MeasureLoss)},
+		{"hollow", hollowMeasurement(hollow.Measure)},
+		{"agreement", hollowMeasurement(hollow.MeasureAgreement)},
+		{"digest", hollowMeasurement(hollow.MeasureDigest)},
+		{"day", hollowMeasurement(hollow.MeasureDay)},
+		{"loss", hollowMeasurement(hollow.MeasureLoss)},
 		{"leases", measureLeases},
 		{"membership", measureMembership},
 		{"datapath", measureDataPath},
@@ -63,9 +63,9 @@
 	return spread.Measure(ctx, spread.Options{Quick: o.Quick, Seed: o.Seed})
 }
 
-func onHollow(measure func(context.Context, hollow.Options) ([]slope.Row, error)) func(context.Context, Options) ([]slope.Row, error) {
+func hollowMeasurement(measure func(context.Context, hollow.Options) ([]slope.Row, error)) func(context.Context, Options) ([]slope.Row, error) {
 	return func(ctx context.Context, o Options) ([]slope.Row, error) {
-		return measure(ctx, hollow.Options{Quick: o.Quick, Seed: o.Seed, Sizes: o.Sizes, Command: o.Command, Tell: o.Tell})
+		return measure(ctx, hollow.Options{Quick: o.Quick, Seed: o.Seed, Sizes: o.Sizes, Command: o.Command, Logf: o.Logf})
 	}
 }
 
@@ -120,21 +120,21 @@
 		value, _ := r.AtTarget()
 		budget, ratio := "", ""
 		if r.Budget > 0 {
-			budget, ratio = figure(r.Budget)+" "+r.Unit, figure(r.Ratio())
+			budget, ratio = formatFigure(r.Budget)+" "+r.Unit, formatFigure(r.Ratio())
 		}
 		per := r.Per
 		if r.Log {
 			per = "doubling of " + r.Per
 		}
-		printRow(r.Role, r.Cost, r.Condition, r.Method, sizes(r), fmt.Sprintf("%s %s per %s", figure(line.Slope), r.Unit, singular(per)),
-			figure(line.Residual), fmt.Sprintf("%s %s at %g %s", figure(value), r.Unit, r.Target, r.Per), r.Origin(), budget, ratio)
+		printRow(r.Role, r.Cost, r.Condition, r.Method, formatSizes(r), fmt.Sprintf("%s %s per %s", formatFigure(line.Slope), r.Unit, singular(per)),
+			formatFigure(line.Residual), fmt.Sprintf("%s %s at %g %s", formatFigure(value), r.Unit, r.Target, r.Per), r.Origin(), budget, ratio)
 	}
 	return table.Flush()
 }
 
 func singular(unit string) string { return strings.TrimSuffix(unit, "s") }
 
-func sizes(r slope.Row) string {
+func formatSizes(r slope.Row) string {
 	var text []string
 	for _, p := range r.Points {
 		text = append(text, fmt.Sprintf("%g", p.Size))
@@ -142,8 +142,8 @@
 	return strings.Join(text, " ")
 }
 
-// figure is a number with three digits that count.
-func figure(x float64) string {
+// formatFigure is a number with three digits that count.
+func formatFigure(x float64) string {
 	if x >= 1000 || x <= -1000 {
 		return fmt.Sprintf("%.0f", x)
 	}
--- a/internal/lab/scale/slope/slope.go
+++ b/internal/lab/scale/slope/slope.go
@@ -45,12 +45,12 @@
 	}
 	var meanX, meanY, covariance, variance float64
 	for _, p := range r.Points {
-		meanX += r.x(p.Size) / n
+		meanX += r.abscissa(p.Size) / n
 		meanY += p.Value / n
 	}
 	for _, p := range r.Points {
-		covariance += (r.x(p.Size) - meanX) * (p.Value - meanY)
-		variance += (r.x(p.Size) - meanX) * (r.x(p.Size) - meanX)
+		covariance += (r.abscissa(p.Size) - meanX) * (p.Value - meanY)
+		variance += (r.abscissa(p.Size) - meanX) * (r.abscissa(p.Size) - meanX)
 	}
 	line := Line{Intercept: meanY}
 	if variance > 0 {
@@ -59,21 +59,21 @@
 	}
 	squares := 0.0
 	for _, p := range r.Points {
-		difference := p.Value - line.at(r.x(p.Size))
+		difference := p.Value - line.valueAt(r.abscissa(p.Size))
 		squares += difference * difference
 	}
 	line.Residual = math.Sqrt(squares / n)
 	return line
 }
 
-func (r Row) x(size float64) float64 {
+func (r Row) abscissa(size float64) float64 {
 	if r.Log {
 		return math.Log2(max(1, size))
 	}
 	return size
 }
 
-func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
+func (l Line) valueAt(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // AtTarget is the value at Target: the measured one where a point stands there, else the line's.
 func (r Row) AtTarget() (value float64, measured bool) {
@@ -82,7 +82,7 @@
 			return p.Value, true
 		}
 	}
-	return r.Fit().at(r.x(r.Target)), false
+	return r.Fit().valueAt(r.abscissa(r.Target)), false
 }
 
 // Largest is the largest size that was measured.
--- a/internal/lab/scale/spread/bytes.go
+++ b/internal/lab/scale/spread/bytes.go
@@ -9,36 +9,36 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-const bytesName = "a day's mix"
+const dayName = "a day's mix"
 
 // A day of the fleet, and the share of it that is played.
 const (
-	dayMS          = 24 * 3600 * 1000.0
-	dayChanges     = 1000
-	dayReplaced    = 260
-	dayFailed      = 2
-	playedShare    = 200.0 // one of so many parts of a day
-	controlBytes   = 17000 // a second: the operators' budget for all that is for control
-	replacedAfter  = 5000.0
-	changesInPart  = dayChanges / playedShare
-	replacedInPart = dayReplaced / playedShare
+	dayMS            = 24 * 3600 * 1000.0
+	dayChanges       = 1000
+	dayReplaced      = 260
+	dayFailed        = 2
+	partsOfDay       = 200.0 // one of so many parts of a day
+	controlBytes     = 17000 // a second: the operators' budget for all that is for control
+	replacementDelay = 5000.0
+	changesInPart    = dayChanges / partsOfDay
+	replacedInPart   = dayReplaced / partsOfDay
 )
 
-// dayCosts are bytes a second of one role, sent and received together.
-type dayCosts struct {
+// roleBytes are bytes a second of one role, sent and received together.
+type roleBytes struct {
 	whole, config float64
 }
 
 // day is a part of a day's mix on a fleet of some size.
 type day struct {
 	nodes int
-	costs map[string]dayCosts
+	costs map[string]roleBytes
 	err   error
 }
 
 // days are those to be played, the largest first; none where they are not chosen.
 func (o Options) days() (days []*day) {
-	if o.chosen(bytesName) {
+	if o.selected(dayName) {
 		for _, size := range slices.Backward(o.sizes()) {
 			days = append(days, &day{nodes: size})
 		}
@@ -46,10 +46,10 @@
 	return days
 }
 
-// tellDay tells of a part of a day.
-func (o Options) tellDay(d *day) {
-	if o.Tell != nil {
-		o.Tell("%s, %d controllers, seed %d: bytes a second, sent and received, all and of the configuration: %+v; %v", bytesName, d.nodes, o.Seed, d.costs, d.err)
+// logDay tells of a part of a day.
+func (o Options) logDay(d *day) {
+	if o.Logf != nil {
+		o.Logf("%s, %d controllers, seed %d: bytes a second, sent and received, all and of the configuration: %+v; %v", dayName, d.nodes, o.Seed, d.costs, d.err)
 	}
 }
 
@@ -57,7 +57,7 @@
 // day has two: a hundred times too many.
 func dayRows(days []*day) (rows []slope.Row, err error) {
 	for _, role := range []string{"controller", "voter", "leader"} {
-		all := slope.Row{Role: role, Cost: "all of the fleet's talk: bytes sent and received", Unit: "bytes/s", Per: "controllers", Condition: bytesName,
+		all := slope.Row{Role: role, Cost: "all of the fleet's talk: bytes sent and received", Unit: "bytes/s", Per: "controllers", Condition: dayName,
 			Method: "virtual time", Target: FleetSize, Budget: controlBytes,
 			Note: "a two-hundredth of a day: 5 changes of 4 KiB, 1 replacement and 1 failure at 670; messages and 40 bytes each, no handshakes"}
 		part := all
@@ -81,12 +81,12 @@
 }
 
 // playDay plays a part of a day, and tells what a second cost each role.
-func playDay(ctx context.Context, seed int64, nodes int, quick bool) (map[string]dayCosts, error) {
+func playDay(ctx context.Context, seed int64, nodes int, quick bool) (map[string]roleBytes, error) {
 	s, err := newSimulation(ctx, seed, nodes)
 	if err != nil {
 		return nil, err
 	}
-	long := dayMS / playedShare
+	long := dayMS / partsOfDay
 	changes := int(changesInPart)
 	if quick {
 		long, changes = long/5, changes/5
@@ -95,7 +95,7 @@
 	leader := s.world.Leader()
 	replacements := max(1, int(replacedInPart*float64(nodes)/FleetSize+0.5))
 	for range replacements {
-		s.world.After(long*s.rng.Float64(), func() { s.world.Replace(Voters+s.rng.Intn(nodes-Voters), replacedAfter) })
+		s.world.After(long*s.rng.Float64(), func() { s.world.Replace(Voters+s.rng.Intn(nodes-Voters), replacementDelay) })
 	}
 	s.world.After(long/2, func() { s.world.Restart(Voters+s.rng.Intn(nodes-Voters), 60000) })
 	for range changes {
@@ -110,9 +110,9 @@
 	return s.dayCosts(long/1000, leader), nil
 }
 
-// dayCosts are the means over the controllers of each role.
-func (s *simulation) dayCosts(seconds float64, leader int) map[string]dayCosts {
-	sums, counts := map[string]dayCosts{}, map[string]float64{}
+// roleBytes are the means over the controllers of each role.
+func (s *simulation) dayCosts(seconds float64, leader int) map[string]roleBytes {
+	sums, counts := map[string]roleBytes{}, map[string]float64{}
 	for machine := range s.nodes {
 		role := "controller"
 		switch {
@@ -129,7 +129,7 @@
 		counts[role]++
 	}
 	for role, sum := range sums {
-		sums[role] = dayCosts{sum.whole / counts[role], sum.config / counts[role]}
+		sums[role] = roleBytes{sum.whole / counts[role], sum.config / counts[role]}
 	}
 	return sums
 }
--- a/internal/lab/scale/spread/measure.go
+++ b/internal/lab/scale/spread/measure.go
@@ -19,7 +19,7 @@
 	Workers int                              // histories at a time; 0: two
 	Only    []string                         // names of conditions; none: all
 	Largest bool                             // fleets of the largest size alone
-	Tell    func(format string, args ...any) // is told of each history; nil: nobody
+	Logf    func(format string, args ...any) // is told of each history; nil: nobody
 }
 
 // condition is what happens while versions spread.
@@ -44,39 +44,39 @@
 
 // Times between two changes, in ms. A change that takes longer is looked at to its end all the same.
 const (
-	apart        = 3500.0
-	apartLoss    = 5000.0
-	apartZone    = 9000.0
-	apartLeader  = 16000.0 // a proposal that is not answered is given up after 15 s
-	apartRegion  = 7400.0
-	cutFor       = 300000.0
-	changesOfCut = 40
-	lastWait     = 20000.0 // after the last change
+	changeInterval       = 3500.0
+	lossChangeInterval   = 5000.0
+	zoneChangeInterval   = 9000.0
+	leaderChangeInterval = 16000.0 // a proposal that is not answered is given up after 15 s
+	regionChangeInterval = 7400.0
+	cutTime              = 300000.0
+	changesPerCut        = 40
+	finalWait            = 20000.0 // after the last change
 )
 
 // atRest puts one change after another.
 func atRest(ctx context.Context, s *simulation, changes int) error {
-	return s.putEach(ctx, changes, apart)
+	return s.putChanges(ctx, changes, changeInterval)
 }
 
 // underLoss does so while a tenth of all messages is lost.
 func underLoss(ctx context.Context, s *simulation, changes int) error {
 	s.world.Lose(0.1, 1e12)
-	if err := s.run(ctx, lastWait); err != nil {
+	if err := s.run(ctx, finalWait); err != nil {
 		return err
 	}
-	return s.putEach(ctx, changes, apartLoss)
+	return s.putChanges(ctx, changes, lossChangeInterval)
 }
 
-// putEach puts changes at controllers drawn, with some time between them.
-func (s *simulation) putEach(ctx context.Context, changes int, between float64) error {
+// putChanges puts changes at controllers drawn, with some time between them.
+func (s *simulation) putChanges(ctx context.Context, changes int, between float64) error {
 	for range changes {
 		s.put(s.rng.Intn(s.nodes))
 		if err := s.run(ctx, between*(0.9+0.2*s.rng.Float64())); err != nil {
 			return err
 		}
 	}
-	return s.run(ctx, lastWait)
+	return s.run(ctx, finalWait)
 }
 
 // zoneRestarts has a tenth of the fleet, of one region, restart while a change spreads: each of them ends within 500 ms
@@ -85,17 +85,17 @@
 	zone := max(1, s.nodes*ZoneSize/FleetSize)
 	for i := range changes {
 		region, first := i%Regions, (i/Regions)%(FleetSize/ZoneSize/Regions)*zone*Regions
-		s.put(s.outside(region))
+		s.put(s.drawOutside(region))
 		for j := range zone {
 			machine := (first + j*Regions + region) % s.nodes
 			after := 2000 + 6000*s.rng.Float64()
 			s.world.After(500*s.rng.Float64(), func() { s.world.Restart(machine, after) })
 		}
-		if err := s.run(ctx, apartZone); err != nil {
+		if err := s.run(ctx, zoneChangeInterval); err != nil {
 			return err
 		}
 	}
-	return s.run(ctx, lastWait)
+	return s.run(ctx, finalWait)
 }
 
 // leaderKilled ends the leader when it sees that a change is agreed on, before it tells anybody.
@@ -108,28 +108,28 @@
 			origin = (origin + 1) % s.nodes
 		}
 		s.put(origin)
-		if err := s.run(ctx, apartLeader); err != nil {
+		if err := s.run(ctx, leaderChangeInterval); err != nil {
 			return err
 		}
 	}
-	return s.run(ctx, lastWait)
+	return s.run(ctx, finalWait)
 }
 
 // regionCutOff cuts a third of the fleet off for five minutes, in which forty changes are agreed on, again and again.
 func regionCutOff(ctx context.Context, s *simulation, changes int) error {
-	for i := 0; i < changes; i += changesOfCut {
-		region := 1 + i/changesOfCut%(Regions-1)
+	for i := 0; i < changes; i += changesPerCut {
+		region := 1 + i/changesPerCut%(Regions-1)
 		heal := s.cutOff(region)
-		for range min(changesOfCut, changes-i) {
-			if err := s.run(ctx, apartRegion); err != nil {
+		for range min(changesPerCut, changes-i) {
+			if err := s.run(ctx, regionChangeInterval); err != nil {
 				return err
 			}
-			s.put(s.outside(region))
+			s.put(s.drawOutside(region))
 		}
-		if err := s.run(ctx, heal-s.world.Now()+lastWait); err != nil {
+		if err := s.run(ctx, heal-s.world.Now()+finalWait); err != nil {
 			return err
 		}
-		s.settle()
+		s.recordTimes()
 	}
 	return nil
 }
@@ -137,18 +137,18 @@
 // cutOff cuts a region off, and returns when that heals.
 func (s *simulation) cutOff(region int) (heal float64) {
 	inside := func(machine int) bool { return Region(machine) == region }
-	s.world.CutOff(inside, cutFor)
-	heal = s.world.Now() + cutFor
+	s.world.CutOff(inside, cutTime)
+	heal = s.world.Now() + cutTime
 	for machine := range s.nodes {
 		if inside(machine) {
-			s.base[machine] = heal
+			s.reachableSince[machine] = heal
 		}
 	}
 	return heal
 }
 
-// outside draws a controller that is not of a region.
-func (s *simulation) outside(region int) int {
+// drawOutside draws a controller that is not of a region.
+func (s *simulation) drawOutside(region int) int {
 	for {
 		if machine := s.rng.Intn(s.nodes); Region(machine) != region {
 			return machine
@@ -164,19 +164,19 @@
 			return err
 		}
 	}
-	return s.run(ctx, lastWait)
+	return s.run(ctx, finalWait)
 }
 
 // spreadTimes are the times of all changes of a condition.
 type spreadTimes struct {
-	Changes    int // put
-	Agreed     int
-	Lost       int // to another change, as told
-	Unanswered int
-	Missed     int       // controllers at which an agreed change was not in force at the end, over all changes
-	Others     []float64 // ms from put to in force at the last controller that nothing happened to
-	Disturbed  []float64 // ms from start or heal to in force at the last of the others
-	AgreeAfter []float64 // ms from put to its operator's being told
+	Changes     int // put
+	Agreed      int
+	Lost        int // to another change, as told
+	Unanswered  int
+	Missed      int       // controllers at which an agreed change was not in force at the end, over all changes
+	Undisturbed []float64 // ms from put to in force at the last controller that nothing happened to
+	Disturbed   []float64 // ms from start or heal to in force at the last of the others
+	ToAgreed    []float64 // ms from put to its operator's being told
 }
 
 func (t *spreadTimes) add(o spreadTimes) {
@@ -185,13 +185,13 @@
 	t.Lost += o.Lost
 	t.Unanswered += o.Unanswered
 	t.Missed += o.Missed
-	t.Others = append(t.Others, o.Others...)
+	t.Undisturbed = append(t.Undisturbed, o.Undisturbed...)
 	t.Disturbed = append(t.Disturbed, o.Disturbed...)
-	t.AgreeAfter = append(t.AgreeAfter, o.AgreeAfter...)
+	t.ToAgreed = append(t.ToAgreed, o.ToAgreed...)
 }
 
-// settle looks at the changes so far, while it is known what happened to whom.
-func (s *simulation) settle() {
+// recordTimes looks at the changes so far, while it is known what happened to whom.
+func (s *simulation) recordTimes() {
 	for _, c := range s.changes {
 		s.times.Changes++
 		switch c.result {
@@ -204,15 +204,15 @@
 			continue
 		}
 		s.times.Agreed++
-		l := s.lagsOf(c)
+		l := s.measureLags(c)
 		s.times.Missed += l.missed
-		if l.others >= 0 {
-			s.times.Others = append(s.times.Others, l.others)
+		if l.undisturbed >= 0 {
+			s.times.Undisturbed = append(s.times.Undisturbed, l.undisturbed)
 		}
 		if l.disturbed >= 0 {
 			s.times.Disturbed = append(s.times.Disturbed, l.disturbed)
 		}
-		s.times.AgreeAfter = append(s.times.AgreeAfter, c.agreed-c.at)
+		s.times.ToAgreed = append(s.times.ToAgreed, c.agreed-c.at)
 	}
 	s.changes = nil
 }
@@ -226,7 +226,7 @@
 	if err := c.play(ctx, s, changes); err != nil {
 		return spreadTimes{}, err
 	}
-	s.settle()
+	s.recordTimes()
 	return s.times, nil
 }
 
@@ -245,20 +245,20 @@
 	o = o.withDefaults()
 	jobs := o.jobs()
 	days := o.days()
-	o.each(len(days)+len(jobs), func(i int) {
+	o.runAll(len(days)+len(jobs), func(i int) {
 		if i < len(days) {
 			days[i].costs, days[i].err = playDay(ctx, o.Seed, days[i].nodes, o.Quick)
-			o.tellDay(days[i])
+			o.logDay(days[i])
 			return
 		}
 		j := jobs[i-len(days)]
 		j.times, j.err = play(ctx, j.condition, j.seed, j.nodes, j.changes)
-		o.tell(j)
+		o.logJob(j)
 	})
 	var rows []slope.Row
 	for _, c := range conditions() {
-		if o.chosen(c.name) {
-			rows = append(rows, rowsOf(c, jobs)...)
+		if o.selected(c.name) {
+			rows = append(rows, conditionRows(c, jobs)...)
 		}
 	}
 	for _, j := range jobs {
@@ -270,17 +270,17 @@
 	return append(rows, costs...), err
 }
 
-// tell tells of a history.
-func (o Options) tell(j *job) {
-	if o.Tell != nil {
-		o.Tell("%s, %d controllers, seed %d: %d of %d changes agreed, %d lost, %d not answered, %d missing; put to last %s; start or heal to last %s; put to agreed %s; %v",
-			j.condition.name, j.nodes, j.seed, j.times.Agreed, j.times.Changes, j.times.Lost, j.times.Unanswered, j.times.Missed, summary(j.times.Others),
-			summary(j.times.Disturbed), summary(j.times.AgreeAfter), j.err)
+// logJob tells of a history.
+func (o Options) logJob(j *job) {
+	if o.Logf != nil {
+		o.Logf("%s, %d controllers, seed %d: %d of %d changes agreed, %d lost, %d not answered, %d missing; put to last %s; start or heal to last %s; put to agreed %s; %v",
+			j.condition.name, j.nodes, j.seed, j.times.Agreed, j.times.Changes, j.times.Lost, j.times.Unanswered, j.times.Missed, summarize(j.times.Undisturbed),
+			summarize(j.times.Disturbed), summarize(j.times.ToAgreed), j.err)
 	}
 }
 
-// summary is a text of times in ms.
-func summary(values []float64) string {
+// summarize is a text of times in ms.
+func summarize(values []float64) string {
 	if len(values) == 0 {
 		return "none"
 	}
@@ -303,8 +303,8 @@
 	return o
 }
 
-// chosen tells whether a condition is to be measured.
-func (o Options) chosen(name string) bool { return len(o.Only) == 0 || slices.Contains(o.Only, name) }
+// selected tells whether a condition is to be measured.
+func (o Options) selected(name string) bool { return len(o.Only) == 0 || slices.Contains(o.Only, name) }
 
 // sizes are the fleets that are measured; the last one by all seeds and with all changes.
 func (o Options) sizes() []int {
@@ -322,7 +322,7 @@
 	sizes := o.sizes()
 	for i := len(sizes) - 1; i >= 0; i-- {
 		for _, c := range conditions() {
-			if !o.chosen(c.name) {
+			if !o.selected(c.name) {
 				continue
 			}
 			seeds, changes := o.Seeds, o.Changes
@@ -340,8 +340,8 @@
 	return jobs
 }
 
-// each does something of all numbers below n, some at a time.
-func (o Options) each(n int, do func(i int)) {
+// runAll does something of all numbers below n, some at a time.
+func (o Options) runAll(n int, do func(i int)) {
 	next := make(chan int)
 	var group sync.WaitGroup
 	for range o.Workers {
@@ -358,8 +358,8 @@
 	group.Wait()
 }
 
-// rowsOf are a condition's rows: what of each size the median, the 99th of a hundred and the most took.
-func rowsOf(c condition, jobs []*job) []slope.Row {
+// conditionRows are a condition's rows: what of each size the median, the 99th of a hundred and the most took.
+func conditionRows(c condition, jobs []*job) []slope.Row {
 	bySize := map[int]*spreadTimes{}
 	for _, j := range jobs {
 		if j.condition.name == c.name && j.err == nil {
@@ -369,7 +369,7 @@
 			bySize[j.nodes].add(j.times)
 		}
 	}
-	rows := quantileRows("configuration: put to in force at the last", c.name, bySize, func(t *spreadTimes) []float64 { return t.Others })
+	rows := quantileRows("configuration: put to in force at the last", c.name, bySize, func(t *spreadTimes) []float64 { return t.Undisturbed })
 	return append(rows, quantileRows("configuration: start or heal to in force at the last", c.name, bySize,
 		func(t *spreadTimes) []float64 { return t.Disturbed })...)
 }
@@ -380,7 +380,7 @@
 		share float64
 	}{{"median", 0.5}, {"99th percentile", 0.99}, {"most", 1}} {
 		row := slope.Row{Role: "controller", Cost: cost + ", " + q.name, Unit: "ms", Per: "controllers", Condition: condition, Method: "virtual time",
-			Target: FleetSize, Budget: Bound, Log: true}
+			Target: FleetSize, Budget: TimeBudget, Log: true}
 		for _, size := range sortedSizes(bySize) {
 			t := bySize[size]
 			if values := of(t); len(values) > 0 {
--- a/internal/lab/scale/spread/world.go
+++ b/internal/lab/scale/spread/world.go
@@ -22,7 +22,7 @@
 	ZoneSize       = 67
 	withinRegion   = 1.0  // ms one way at least, up to 1 ms more
 	betweenRegions = 80.0 // ms one way at least
-	Bound          = 19000.0
+	TimeBudget     = 19000.0
 	changeBytes    = 4096
 )
 
@@ -37,21 +37,21 @@
 	return betweenRegions
 }
 
-// reach is when a controller had a version, and from when it could have it.
-type reach struct {
+// versionChange is when a controller had a version, and from when it could have it.
+type versionChange struct {
 	at     float64
 	number uint64
 }
 
 // simulation is a fleet with what came into force where and when.
 type simulation struct {
-	world   *fleet.World
-	rng     *rand.Rand
-	nodes   int
-	reached [][]reach
-	base    []float64 // since when a controller can be reached: its last start, or the last heal
-	changes []change
-	times   spreadTimes
+	world          *fleet.World
+	rng            *rand.Rand
+	nodes          int
+	inForce        [][]versionChange
+	reachableSince []float64 // since when a controller can be reached: its last start, or the last heal
+	changes        []change
+	times          spreadTimes
 }
 
 // change is one put.
@@ -67,12 +67,12 @@
 	voters := min(Voters, nodes)
 	plan := fleet.Plan{Seed: seed, Nodes: nodes, Voters: voters, Lease: 10000, Pace: members.DefaultConfig(), Config: true, Latency: latency, Direct: true}
 	s := &simulation{world: fleet.NewWorld(plan), rng: rand.New(rand.NewSource(seed*31 + 7)), nodes: nodes,
-		reached: make([][]reach, nodes), base: make([]float64, nodes)}
+		inForce: make([][]versionChange, nodes), reachableSince: make([]float64, nodes)}
 	s.world.Observe(func(machine int, number uint64, started bool) {
 		if started {
-			s.base[machine] = s.world.Now()
+			s.reachableSince[machine] = s.world.Now()
 		}
-		s.reached[machine] = append(s.reached[machine], reach{s.world.Now(), number})
+		s.inForce[machine] = append(s.inForce[machine], versionChange{s.world.Now(), number})
 	})
 	if err := s.run(ctx, 15000+15*float64(nodes)); err != nil {
 		return nil, err
@@ -115,33 +115,33 @@
 // happened to, counted from the put; and at the last of those that restarted or were cut off, counted from their start
 // or heal. below 0: there were none. Missed is how many had not got it.
 type lags struct {
-	others    float64
-	disturbed float64
-	missed    int
+	undisturbed float64
+	disturbed   float64
+	missed      int
 }
 
-// lagsOf looks at a change when enough time has gone since.
-func (s *simulation) lagsOf(c change) lags {
-	l := lags{others: -1, disturbed: -1}
+// measureLags looks at a change when enough time has gone since.
+func (s *simulation) measureLags(c change) lags {
+	l := lags{undisturbed: -1, disturbed: -1}
 	for machine := range s.nodes {
-		from := max(c.at, s.base[machine])
-		at, ok := s.reachedAt(machine, c.number, from)
+		from := max(c.at, s.reachableSince[machine])
+		at, ok := s.inForceAt(machine, c.number, from)
 		switch {
 		case !ok:
 			l.missed++
-		case s.base[machine] > c.at:
+		case s.reachableSince[machine] > c.at:
 			l.disturbed = max(l.disturbed, at-from)
 		default:
-			l.others = max(l.others, at-from)
+			l.undisturbed = max(l.undisturbed, at-from)
 		}
 	}
 	return l
 }
 
-// reachedAt is when a controller had a version, or a later one, in force at or after a time.
-func (s *simulation) reachedAt(machine int, number uint64, from float64) (float64, bool) {
-	last := reach{}
-	for _, r := range s.reached[machine] {
+// inForceAt is when a controller had a version, or a later one, in force at or after a time.
+func (s *simulation) inForceAt(machine int, number uint64, from float64) (float64, bool) {
+	last := versionChange{}
+	for _, r := range s.inForce[machine] {
 		if r.at > from && r.number >= number {
 			if last.number >= number {
 				return from, true // it had it before
