--- a/internal/lab/scale/budget.go
+++ b/internal/lab/scale/budget.go
@@ -11,19 +11,19 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Excess names a row whose value is over its budget.
+// Excess identifies a row whose value is over its budget.
 type Excess struct{ Role, Cost, Condition string }
 
-// excessPrefix begins the page's lines of what is known to be over its budget.
+// excessPrefix starts each line of the capacity page that lists a known excess.
 const excessPrefix = "over budget: "
 
-// String is the line of the page.
+// String returns the line of the capacity page that lists the excess.
 func (e Excess) String() string {
 	return excessPrefix + e.Role + ": " + e.Cost + " (" + e.Condition + ")"
 }
 
-// ReadKnown reads what a page tells to be over its budget, from lines as "over budget: ROLE: COST (CONDITION)". The lines
-// may be items of a list and have words behind the condition.
+// ReadKnown reads the excesses that a page lists in lines of the form "over budget: ROLE: COST (CONDITION)". The lines may
+// be list items and may have text after the condition.
 func ReadKnown(r io.Reader) (map[Excess]bool, error) {
 	known := map[Excess]bool{}
 	lines := bufio.NewScanner(r)
@@ -53,7 +53,7 @@
 	return Excess{role, cost, condition}, found && role != "" && cost != "" && condition != ""
 }
 
-// ReadKnownFile reads a page. One that is not there tells nothing.
+// ReadKnownFile is ReadKnown of a file. A missing file lists no excess.
 func ReadKnownFile(path string) (map[Excess]bool, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,7 +66,8 @@
 	return ReadKnown(f)
 }
 
-// Excesses are the rows over their budget: those whose value was measured, and those that are extrapolated.
+// Excesses returns the rows over their budget, divided by whether their value at the target size was measured or
+// extrapolated.
 func Excesses(rows []slope.Row) (measured, extrapolated []Excess) {
 	for _, r := range rows {
 		if r.Ratio() <= 1 {
--- a/internal/lab/scale/daemon/daemon.go
+++ b/internal/lab/scale/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs the shipped daemon as a process, as a controller of a deployment of the size that is built for, and
-// reads what the process spends.
+// Package daemon runs the shipped daemon as a process, configured as a controller of a deployment of the target size, and
+// reads the processor time, memory and descriptors that the process uses.
 package daemon
 
 import (
@@ -19,34 +19,35 @@
 )
 
 const (
-	// StartTimeout is within which a daemon serves after its start.
+	// StartTimeout bounds the time from a daemon's start until it serves.
 	StartTimeout = 20 * time.Second
 
-	// startAttempts bounds the addresses that are tried: another listener may come to one between its choice and its use.
+	// startAttempts bounds the addresses that are tried: another listener may take an address after it was chosen and before
+	// the daemon listens on it.
 	startAttempts = 3
 	dialTimeout   = time.Second
 	pollInterval  = 5 * time.Millisecond
 )
 
 var (
-	errExited     = errors.New("the daemon has ended")
-	errNotServing = errors.New("the daemon does not answer")
+	errExited     = errors.New("the daemon exited before it served")
+	errNotServing = errors.New("the daemon accepts no connection within its start timeout")
 )
 
-// Options are what a daemon is started with.
+// Options configure a daemon process.
 type Options struct {
-	Binary        string // as Build returned it
-	Folder        string // for its files
+	Binary        string // path that Build returned
+	Folder        string // for the daemon's files
 	Name          string
-	DiscoveryAddr string            // the address of discovery
-	Engines       []*standin.Engine // that it knows at its start
-	Controllers   int               // of the deployment
+	DiscoveryAddr string            // address of the discovery service
+	Engines       []*standin.Engine // in the initial configuration
+	Controllers   int               // in the deployment
 	Seed          int64
-	Probes        bool   // they are allowed
+	Probes        bool   // whether health probes are allowed
 	OperatorFile  string // path of the operator's file; empty: none
 }
 
-// Process is a daemon that runs.
+// Process is a running daemon.
 type Process struct {
 	Addr string // for clients
 
@@ -55,7 +56,7 @@
 	exited  chan struct{} // closed when the process has ended
 }
 
-// Build builds the daemon as it is shipped, into a folder, and returns its path.
+// Build builds the daemon without build tags into a folder and returns its path.
 func Build(ctx context.Context, folder string) (string, error) {
 	path := filepath.Join(folder, "mintkeel")
 	command := exec.CommandContext(ctx, "go", "build", "-o", path, "mintkeel/cmd/mintkeel")
@@ -65,7 +66,7 @@
 	return path, nil
 }
 
-// Start starts a daemon and waits until it serves.
+// Start starts a daemon, on another address if the first attempt fails, and waits until it serves.
 func Start(ctx context.Context, o Options) (p *Process, err error) {
 	for range startAttempts {
 		p, err = o.startOnce(ctx)
@@ -96,7 +97,7 @@
 	}
 	p := &Process{cmd: exec.CommandContext(ctx, o.Binary, arguments...), logPath: log.Name(), Addr: addr, exited: make(chan struct{})}
 	p.cmd.Stderr = log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt is for the parent, which ends its children
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // interrupts reach only the parent, which stops its children
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -127,23 +128,23 @@
 	return errNotServing
 }
 
-// Stop kills the process and waits for its end.
+// Stop kills the process and waits until it has exited.
 func (p *Process) Stop() {
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Log is what the daemon has logged since its start.
+// Log returns the daemon's log since its start.
 func (p *Process) Log() (string, error) {
 	text, err := os.ReadFile(p.logPath)
 	return string(text), err
 }
 
-// ProcessorTime is the time that the process has had on processors, in seconds: the sum of its threads', which the kernel
-// counts in nanoseconds. The Go runtime ends threads rarely, and then their time is lost.
+// ProcessorTime returns the processor time of the process in seconds, as the sum over its threads, which the kernel counts
+// in nanoseconds. The time of a thread that has ended is missing; the Go runtime rarely ends threads.
 func (p *Process) ProcessorTime() (sum float64, err error) {
 	tasks, err := os.ReadDir(p.procPath("task"))
 	if err != nil {
@@ -170,18 +171,18 @@
 	return filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), name)
 }
 
-// parseProcessorTime reads a thread's time on processors, the first of three figures, in seconds.
+// parseProcessorTime reads a thread's processor time in seconds, the first of the three fields of schedstat.
 func parseProcessorTime(schedstat string) (float64, error) {
 	fields := strings.Fields(schedstat)
 	if len(fields) != 3 {
-		return 0, errors.New("the kernel's form of schedstat is not known")
+		return 0, errors.New("schedstat does not have three fields")
 	}
 	nanoseconds, err := strconv.ParseFloat(fields[0], 64)
 	return nanoseconds / 1e9, err
 }
 
-// Resident is the process's memory in the machine, in MB of 2^20 bytes; buffers of its sockets are the kernel's and
-// are not part of it.
+// Resident returns the resident memory of the process in units of 2^20 bytes. It excludes the socket buffers, which belong
+// to the kernel.
 func (p *Process) Resident() (float64, error) {
 	text, err := os.ReadFile(p.procPath("status"))
 	if err != nil {
@@ -197,10 +198,10 @@
 			return kilobytes / 1024, err
 		}
 	}
-	return 0, errors.New("the kernel's form of status is not known")
+	return 0, errors.New("the status of the process has no VmRSS line")
 }
 
-// Descriptors is how many the process has open.
+// Descriptors returns the number of open descriptors of the process.
 func (p *Process) Descriptors() (float64, error) {
 	entries, err := os.ReadDir(p.procPath("fd"))
 	return float64(len(entries)), err
--- a/internal/lab/scale/daemon/daemon_test.go
+++ b/internal/lab/scale/daemon/daemon_test.go
@@ -7,12 +7,12 @@
 		t.Error(s, err)
 	}
 	if _, err := parseProcessorTime("7 (a)"); err == nil {
-		t.Error("a short line is taken")
+		t.Error("schedstat with two fields returns no error")
 	}
 	if mb, err := parseResident("Name:\ta\nVmHWM:\t 9 kB\nVmRSS:\t  2048 kB\n"); err != nil || mb != 2 {
 		t.Error(mb, err)
 	}
 	if _, err := parseResident("Name:\ta\n"); err == nil {
-		t.Error("no figure is taken")
+		t.Error("status without VmRSS returns no error")
 	}
 }
--- a/internal/lab/scale/daemon/settings.go
+++ b/internal/lab/scale/daemon/settings.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// What an emulated engine is like. It is large, so that no row measures engines that are full.
+// The model of an emulated engine. It is large, so that no row measures the effect of full engines.
 const (
 	engineCores  = 64.0
 	engineMemory = 256000.0 // MB
@@ -19,11 +19,11 @@
 	warmGroups   = 1 << 10
 )
 
-// What a daemon is granted, and how its queries are classed.
+// Limits of a daemon, and the query classes.
 const (
 	Memory   = 2048 // MB
 	Cores    = 1.0
-	Deadline = 8 * time.Second // of all queries
+	Deadline = 8 * time.Second // of every query
 
 	LookupClass = "lookup" // idempotent
 	LoadClass   = "load"   // deduplicated
@@ -32,13 +32,13 @@
 
 	initialSequence    = 1
 	maxDescriptors     = 1 << 20
-	defaultDescriptors = 1024 // where the system does not tell its limit
+	defaultDescriptors = 1024 // if the system's limit is unknown
 )
 
-// object is a nested value of the configuration.
+// object is a nested JSON object of the configuration.
 type object = map[string]any
 
-// DescriptorLimit is how many descriptors a process of this machine may have.
+// DescriptorLimit returns the descriptor limit of a process on this machine.
 func DescriptorLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -47,13 +47,13 @@
 	return int(min(limit.Cur, maxDescriptors))
 }
 
-// NewEngine is an emulated engine as the daemons' settings know it.
+// NewEngine starts an emulated engine with the name and size that the daemons' settings expect.
 func NewEngine(number int, seed int64) (*standin.Engine, error) {
 	model := standin.Model{Cores: engineCores, Slow: 1, Sessions: engineSlots, Warm: warmGroups, ColdCost: 1}
 	return standin.NewEngine(fmt.Sprintf("s-%08x", number), model, seed)
 }
 
-// Settings are those of a deployment of so many controllers, with a query class of each effect.
+// Settings returns the settings of a deployment with the given number of controllers and a query class of each effect.
 func Settings(controllers int, probes bool) map[string]any {
 	class := func(name, effect string, objective time.Duration) object {
 		return object{"name": name, "effect": effect, "dedup_scope": "all", "repeat_window_ns": int64(time.Minute),
@@ -74,7 +74,7 @@
 	}
 }
 
-// WriteConfiguration writes the configuration of a daemon that listens at an address, and returns its path.
+// WriteConfiguration writes the configuration file of a daemon that listens at addr and returns its path.
 func (o Options) WriteConfiguration(addr string) (string, error) {
 	var hosts []object
 	for _, e := range o.Engines {
--- a/internal/lab/scale/leases.go
+++ b/internal/lab/scale/leases.go
@@ -11,20 +11,20 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Leases whose holder is lost, in virtual time, in a fleet of three regions.
+// The fleet in virtual time whose lease holders are lost. It has three regions.
 const (
 	regions             = 3
-	interRegionLatency  = 80   // from one region to another, one way
-	targetLeaseSeconds  = 10   // s, that leases have if the operator's file does not say otherwise
-	primaryChangeBudget = 5000 // ms, that the operators state for a change of primary
+	interRegionLatency  = 80   // ms, one-way latency between two regions
+	targetLeaseSeconds  = 10   // s, default lease duration of the operator's file
+	primaryChangeBudget = 5000 // ms, the operators' budget for a change of primary
 	fullSeeds           = 40
 	quickSeeds          = 8
 )
 
-// leaseLengths are those for which the time without a holder is measured, in seconds.
+// leaseLengths are the lease durations in seconds for which the time without a holder is measured.
 var leaseLengths = []float64{1, 2, 5, 10}
 
-// measureLeases measures for how long a lease has no holder, by its length.
+// measureLeases measures for how long a lease has no holder, by its duration.
 func measureLeases(ctx context.Context, o Options) ([]slope.Row, error) {
 	if o.Quick {
 		return leaseRows(ctx, o.Seed, quickSeeds, leaseLengths)
@@ -53,7 +53,7 @@
 	return rows, nil
 }
 
-// unheldTimes are the times without a holder in ms, sorted, of histories with these seeds, two at a time.
+// unheldTimes runs one history per seed, two at a time, and returns the times in ms without a holder, sorted.
 func unheldTimes(ctx context.Context, seed int64, seeds int, seconds float64, loss fleet.Loss) ([]float64, error) {
 	const beside = 2
 	free := make([]float64, seeds)
@@ -71,7 +71,7 @@
 	}
 	for i, ms := range free {
 		if math.IsInf(ms, 1) {
-			return nil, fmt.Errorf("seed %d, lease of %g s, holder %v: nobody held it", seed+int64(i), seconds, loss)
+			return nil, fmt.Errorf("seed %d, lease of %g s, holder %v: no new holder until the history's end", seed+int64(i), seconds, loss)
 		}
 	}
 	slices.Sort(free)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures how each cost of a fleet grows with its size, and tells what the fleet that it is built for
-// costs. The measurements stand in packages below; here are their registry, the table, and the page of what is known to
-// be over its budget.
+// Package scale measures how each cost of a fleet grows with its size, and estimates the costs of a fleet of the target
+// size. The measurements are in the packages below this one, which holds their registry, the table of results, and the
+// reader of the page that lists the costs known to be over their budget.
 package scale
 
 import (
@@ -21,22 +21,22 @@
 	"mintkeel/internal/lab/scale/spread"
 )
 
-// Options say how measurements are made.
+// Options configure a run of measurements.
 type Options struct {
 	Quick   bool
 	Seed    int64
-	Sizes   []int                            // of fleets of hollow controllers; nil: the usual ones
+	Sizes   []int                            // sizes of the fleets of hollow controllers; nil: the defaults
 	Command func(context.Context) *exec.Cmd  // runs hollow.ServeChild in a child process
-	Logf    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // logs each measured figure; nil: no log
 }
 
-// Measurement measures some rows. It returns what it could measure also where it returns an error.
+// Measurement measures some rows. Together with an error, Run returns the rows that it could measure.
 type Measurement struct {
 	Name string
 	Run  func(ctx context.Context, o Options) ([]slope.Row, error)
 }
 
-// Measurements are all, in the order in which they are made.
+// Measurements returns all measurements in the order in which Run makes them.
 func Measurements() []Measurement {
 	return []Measurement{
 		{"hollow", hollowMeasurement(hollow.Measure)},
@@ -69,7 +69,7 @@
 	}
 }
 
-// Select are the measurements of these names, or all if there is no name.
+// Select returns the measurements with the given names, or all if there are no names.
 func Select(names []string) ([]Measurement, error) {
 	all := Measurements()
 	if len(names) == 0 {
@@ -79,15 +79,15 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(m Measurement) bool { return m.Name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("%.40q is no measurement", name)
+			return nil, fmt.Errorf("unknown measurement %.40q", name)
 		}
 		chosen = append(chosen, all[i])
 	}
 	return chosen, nil
 }
 
-// Run makes measurements: one after the other, or all beside each other where it is to be quick, as most wait most of the
-// time and none counts the time that the processor spends on others.
+// Run makes measurements one after another or, with Quick, all at the same time: most measurements wait most of the time,
+// and none counts the processor time of the others.
 func Run(ctx context.Context, measurements []Measurement, o Options) ([]slope.Row, error) {
 	rows := make([][]slope.Row, len(measurements))
 	errs := make([]error, len(measurements))
@@ -142,7 +142,7 @@
 	return strings.Join(text, " ")
 }
 
-// formatFigure is a number with three digits that count.
+// formatFigure formats a number with three significant digits, or without a fraction from 1000 on.
 func formatFigure(x float64) string {
 	if x >= 1000 || x <= -1000 {
 		return fmt.Sprintf("%.0f", x)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -33,11 +33,11 @@
 		{"lease holder", "time without a holder, longest", "killed, 80 ms between 3 regions"}: true,
 	}
 	if !maps.Equal(known, want) {
-		t.Errorf("known %v, want %v", known, want)
+		t.Errorf("excesses read from the page: %v, want %v", known, want)
 	}
 	for e := range want {
 		if again, err := ReadKnown(strings.NewReader(e.String())); err != nil || !again[e] {
-			t.Errorf("%q is not read as %+v", e, e)
+			t.Errorf("line %q is not read back as %+v", e, e)
 		}
 	}
 }
@@ -45,16 +45,16 @@
 func TestReadKnownFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.md")
 	if known, err := ReadKnownFile(path); len(known) != 0 || err != nil {
-		t.Errorf("no page: %v, %v", known, err)
+		t.Errorf("missing page: excesses %v, error %v; want neither", known, err)
 	}
 	if err := os.WriteFile(path, []byte("over budget: a: b (c)\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if known, err := ReadKnownFile(path); !known[Excess{"a", "b", "c"}] || err != nil {
-		t.Errorf("a page: %v, %v", known, err)
+		t.Errorf("page with one line: excesses %v, error %v; want a: b (c) alone", known, err)
 	}
 	if _, err := ReadKnownFile(t.TempDir()); err == nil {
-		t.Error("a folder is a page")
+		t.Error("a folder is read as a page without an error")
 	}
 }
 
@@ -68,10 +68,10 @@
 		rowOf("no budget", 20, 0)}
 	measured, extrapolated := Excesses(rows)
 	if len(measured) != 1 || measured[0] != (Excess{"voter", "over", "at rest"}) {
-		t.Errorf("measured: %v", measured)
+		t.Errorf("measured excesses %v, want the row \"over\" alone", measured)
 	}
 	if len(extrapolated) != 1 || extrapolated[0].Cost != "far over" {
-		t.Errorf("extrapolated: %v", extrapolated)
+		t.Errorf("extrapolated excesses %v, want the row \"far over\" alone", extrapolated)
 	}
 }
 
@@ -85,7 +85,7 @@
 	for _, want := range []string{"10 20", "10 bytes/s per controller", "6700 bytes/s at 670 controllers", "extrapolated from 20", "17000 bytes/s",
 		"0.394", "200 bytes/s at 20 controllers", "measured", "per doubling of controller"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the table is without %q:\n%s", want, out.String())
+			t.Errorf("the table lacks %q:\n%s", want, out.String())
 		}
 	}
 }
@@ -93,36 +93,36 @@
 func TestSelectAndRun(t *testing.T) {
 	all, err := Select(nil)
 	if err != nil || len(all) != len(Measurements()) {
-		t.Errorf("all: %d, %v", len(all), err)
+		t.Errorf("Select without names: %d measurements, error %v; want all", len(all), err)
 	}
 	one, err := Select([]string{all[1].Name})
 	if err != nil || len(one) != 1 || one[0].Name != all[1].Name {
-		t.Errorf("one: %v, %v", one, err)
+		t.Errorf("Select with one name: %v, error %v; want that measurement alone", one, err)
 	}
 	if _, err := Select([]string{"nothing"}); err == nil {
-		t.Error("what does not exist is selected")
+		t.Error("Select of an unknown name returns no error")
 	}
 	fails := Measurement{"fails", func(context.Context, Options) ([]slope.Row, error) {
 		return []slope.Row{rowOf("one", 1, 1)}, os.ErrDeadlineExceeded
 	}}
 	rows, err := Run(t.Context(), []Measurement{fails, fails}, Options{})
 	if len(rows) != 2 || err == nil || !strings.Contains(err.Error(), "fails") {
-		t.Errorf("%d rows, %v", len(rows), err)
+		t.Errorf("Run of two failing measurements: %d rows, error %v; want 2 rows and an error with the name", len(rows), err)
 	}
 }
 
-// The longest time without a holder grows with the lease and is never shorter than what the lease's holder may go on for.
+// The longest time without a holder is positive and grows with the lease duration, for each way to lose the holder.
 func TestMeasureLeases(t *testing.T) {
 	rows, err := leaseRows(t.Context(), 1, 2, []float64{1, 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(rows) != 4 {
-		t.Fatalf("%d rows", len(rows))
+		t.Fatalf("%d rows, want 4", len(rows))
 	}
 	for _, r := range rows {
 		if len(r.Points) != 2 || r.Points[0].Value <= 0 || r.Fit().Slope <= 0 {
-			t.Errorf("%s (%s): %v", r.Cost, r.Condition, r.Points)
+			t.Errorf("%s (%s): points %v, want 2 that are positive and grow", r.Cost, r.Condition, r.Points)
 		}
 	}
 }
--- a/internal/lab/scale/slope/slope.go
+++ b/internal/lab/scale/slope/slope.go
@@ -1,5 +1,5 @@
-// Package slope holds measurements of how a cost grows with size: points at four sizes or more, a straight line through
-// them, and the value at the size that the fleet is built for.
+// Package slope represents measurements of how a cost grows with size: points at four or more sizes, a straight line
+// fitted to them, and the value at the target size of the fleet.
 package slope
 
 import (
@@ -15,29 +15,29 @@
 	Value float64 `json:"value"`
 }
 
-// Row is one cost as it was measured.
+// Row is one measured cost.
 type Row struct {
-	Role      string  `json:"role"`      // of the controller that pays: "controller", "voter", "lease holder", ...
-	Cost      string  `json:"cost"`      // what is paid, as "membership: bytes sent"
+	Role      string  `json:"role"`      // role that bears the cost: "controller", "voter", "lease holder", ...
+	Cost      string  `json:"cost"`      // such as "membership: bytes sent"
 	Unit      string  `json:"unit"`      // of Value: "bytes/s", "cores", "MB", "ms", ...
 	Per       string  `json:"per"`       // of Size: "controllers", "engines", ...
 	Condition string  `json:"condition"` // "at rest", "10% loss", "zone restarts", ...
 	Method    string  `json:"method"`    // "sockets", "virtual time", "benchmark"
 	Points    []Point `json:"points"`
-	Target    float64 `json:"target"` // the size that the fleet is built for
-	Budget    float64 `json:"budget"` // the operators' bound of Value at Target; 0: none is stated
-	Log       bool    `json:"log"`    // the line is drawn over the logarithm of Size
+	Target    float64 `json:"target"` // target size of the fleet
+	Budget    float64 `json:"budget"` // the operators' upper bound of Value at Target; 0: none
+	Log       bool    `json:"log"`    // the line is fitted over the binary logarithm of Size
 	Note      string  `json:"note"`
 }
 
-// Line is a straight line through points.
+// Line is a straight line fitted to points.
 type Line struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	Residual  float64 `json:"residual"` // root of the mean squared difference, in units of Value
+	Residual  float64 `json:"residual"` // root mean square error, in the unit of Value
 }
 
-// Fit is the line of least squares through the row's points.
+// Fit returns the least-squares line of the row's points.
 func (r Row) Fit() Line {
 	n := float64(len(r.Points))
 	if n == 0 {
@@ -75,7 +75,7 @@
 
 func (l Line) valueAt(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// AtTarget is the value at Target: the measured one where a point stands there, else the line's.
+// AtTarget returns the value at Target: that of a point if one was measured there, and that of the line otherwise.
 func (r Row) AtTarget() (value float64, measured bool) {
 	for _, p := range r.Points {
 		if p.Size == r.Target {
@@ -85,7 +85,7 @@
 	return r.Fit().valueAt(r.abscissa(r.Target)), false
 }
 
-// Largest is the largest size that was measured.
+// Largest returns the largest measured size.
 func (r Row) Largest() float64 {
 	if len(r.Points) == 0 {
 		return 0
@@ -93,7 +93,7 @@
 	return slices.MaxFunc(r.Points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) }).Size
 }
 
-// Ratio is the value at Target over the budget; 0 where no budget is stated.
+// Ratio returns the value at Target divided by the budget, or 0 without a budget.
 func (r Row) Ratio() float64 {
 	if r.Budget == 0 {
 		return 0
@@ -102,7 +102,7 @@
 	return value / r.Budget
 }
 
-// Origin says in words where the value at Target comes from.
+// Origin describes where the value at Target comes from.
 func (r Row) Origin() string {
 	if _, measured := r.AtTarget(); measured {
 		return "measured"
--- a/internal/lab/scale/slope/slope_test.go
+++ b/internal/lab/scale/slope/slope_test.go
@@ -22,13 +22,13 @@
 	} {
 		value, measured := c.row.AtTarget()
 		if l := c.row.Fit(); math.Abs(l.Slope-c.slope) > 1e-9 || math.Abs(value-c.value) > 1e-9 || measured != c.measured {
-			t.Errorf("%s: slope %v, value %v, measured %v", c.name, l.Slope, value, measured)
+			t.Errorf("%s: slope %v, value %v, measured %v; want those of the case", c.name, l.Slope, value, measured)
 		}
 		if math.Abs(c.row.Ratio()-c.ratio) > 1e-9 {
-			t.Errorf("%s: ratio %v", c.name, c.row.Ratio())
+			t.Errorf("%s: ratio %v, want that of the case", c.name, c.row.Ratio())
 		}
 	}
 	if r := (Row{Points: []Point{{1, 1}, {2, 4}, {3, 1}}}).Fit(); math.Abs(r.Residual-math.Sqrt2) > 1e-9 {
-		t.Errorf("residual %v", r.Residual)
+		t.Errorf("residual %v, want the square root of 2", r.Residual)
 	}
 }
