--- a/internal/lab/scale/datapath/connections.go
+++ b/internal/lab/scale/datapath/connections.go
@@ -11,21 +11,21 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// touchInterval is how long connections of clients stay without a sign of life, with some to spare: the daemon ends them
-// after 5 s.
+// touchInterval is the longest time that client connections are left without a message. It stays below the 5 s after which
+// the daemon closes them.
 const touchInterval = 3 * time.Second
 
-// connectionEngines are the engines behind the rows by connections.
+// connectionEngines is the number of engines for the rows by connections.
 const connectionEngines = 40
 
-// connectionCost is what connections cost the daemon.
+// connectionCost is the daemon's cost of a number of client connections.
 type connectionCost struct {
 	resident, descriptors, cores float64
-	closed                       int // that the daemon had ended
+	closed                       int // connections that the daemon had closed
 	service                      outcomes
 }
 
-// connectionRows measures processor, memory and descriptors by clients' connections.
+// connectionRows measures processor time, memory and descriptors by the number of client connections.
 func (b *bench) connectionRows(ctx context.Context) ([]slope.Row, error) {
 	idle, err := b.idleConnections(ctx)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return append(idle, busy...), err
 }
 
-// splitByDescriptorLimit are the sizes that the machine's descriptors allow.
+// splitByDescriptorLimit divides sizes into those that the machine's descriptor limit allows and those that it does not.
 func splitByDescriptorLimit(sizes []int) (fit []int, left []int) {
 	for _, n := range sizes {
 		if n <= clientLimit() {
@@ -84,7 +84,9 @@
 	return append(rows, atTargets(processor, clientTargets...)...), nil
 }
 
-// measureConnections opens connections up to n and takes what they cost while idle and then, until the first would end, under load.
+// measureConnections opens connections up to n and measures their cost while they are idle and then under load. The load
+// runs in windows that are short enough that the daemon closes no unused connection; before each one, all connections are
+// kept alive.
 func (b *bench) measureConnections(ctx context.Context, r *rig, n int) (cost connectionCost, err error) {
 	if err := r.connect(ctx, n); err != nil {
 		return cost, err
@@ -121,7 +123,7 @@
 	return cost, nil
 }
 
-// merge takes in what clients saw at another time; times of answers stay apart.
+// merge adds the counts of another window. Answer times are not merged.
 func (s *outcomes) merge(other outcomes) {
 	s.queries += other.queries
 	s.answered += other.answered
@@ -130,7 +132,7 @@
 	s.lost += other.lost
 }
 
-// busyConnections has each connection wait for an answer at one time.
+// busyConnections measures connections that all wait for an answer at the same time.
 func (b *bench) busyConnections(ctx context.Context) ([]slope.Row, error) {
 	row := slope.Row{Role: controllerRole, Cost: "connections: resident memory", Unit: "MB", Per: "client connections",
 		Condition: "each with an open query", Method: methodSockets}
@@ -154,14 +156,15 @@
 	return atTargets(row, clientTargets...), nil
 }
 
-// busyCost is what connections with an open query each cost the daemon.
+// busyCost is the daemon's cost of connections with one open query each.
 type busyCost struct {
 	resident float64
-	open     int // queries that were at engines
+	open     int // queries that were running at engines
 	service  outcomes
 }
 
-// queryOnAll opens n connections, has each ask at one time and takes the cost while the answers are awaited.
+// queryOnAll opens n connections, sends a query on each at the same time and measures the cost while the answers are
+// pending.
 func (b *bench) queryOnAll(ctx context.Context, n int) (cost busyCost, err error) {
 	r, err := b.open(ctx, connectionEngines)
 	if err != nil {
--- a/internal/lab/scale/datapath/datapath.go
+++ b/internal/lab/scale/datapath/datapath.go
@@ -1,7 +1,7 @@
-// Package datapath measures what serving clients costs one controller, and how that grows: statements, connections,
-// reconnects, the list of engines, talk with engines that is no traffic, the decision module's step, and what queries
-// in flight see of an engine that is replaced. A real daemon, as a process of its own, serves emulated clients before
-// emulated engines on loopback.
+// Package datapath measures the cost of serving clients on one controller and how it grows: statements, connections,
+// reconnects, the list of engines, control traffic with engines, the decision module's step, and the effect of the
+// replacement of an engine on queries in flight. A real daemon, as a process of its own, serves emulated clients in front
+// of emulated engines on loopback.
 package datapath
 
 import (
@@ -17,31 +17,31 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Options say what is measured, and how.
+// Options select what is measured, and how.
 type Options struct {
 	Quick    bool
 	Seed     int64
-	Only     string // names of sections, parted by commas; empty or the package's own name: all
-	Mintkeel string // path of the daemon; empty: it is built from this module
+	Only     string // names of sections, separated by commas; empty or the package's own name: all
+	Mintkeel string // path of the daemon; empty: the daemon is built from this module
 }
 
-// What the fleet is built for, as a controller sees it.
+// The target sizes of the fleet, as seen by one controller.
 const (
 	controllers       = 670
 	engineCount       = 1100
-	statementRate     = 1642 // a second at each controller
+	statementRate     = 1642 // per second at each controller
 	zoneGoneRate      = 1823
 	regionGoneRate    = 2463
 	clientCount       = 8507 // connections at each controller
 	zoneGoneClients   = 9443
 	regionGoneClients = 12760
-	reconnectBurst    = 4250 // that come to a controller as those of a region leave it
+	reconnectBurst    = 4250 // clients that reconnect to a controller when they leave a failed region
 	regions           = 3
-	bytesBudget       = 17000 // a second, for control
-	replacementBudget = 5000  // ms until a change of primary is over
+	bytesBudget       = 17000 // per second, for control traffic
+	replacementBudget = 5000  // ms for a change of primary
 )
 
-// Words of the rows.
+// Role and methods of the rows.
 const (
 	controllerRole  = "controller"
 	methodSockets   = "sockets"
@@ -49,45 +49,45 @@
 	methodComputed  = "computed"
 )
 
-// plan is how much is measured.
+// plan sets the sizes and durations of the measurements.
 type plan struct {
-	settle, window time.Duration // before and while a cost is taken
-	parallel       int           // daemons that are measured side by side, where only what each takes itself is counted
+	settle, window time.Duration // time before a cost is measured, and time in which it is measured
+	parallel       int           // daemons measured at the same time, where only the cost of each process itself counts
 
-	rates       []float64 // statements a second
+	rates       []float64 // statements per second
 	rateEngines int
-	engines     []int // at engineRate
+	engines     []int // numbers of engines at engineRate
 	engineRate  float64
 
 	connections    []int
-	connectionRate float64       // statements a second meanwhile
-	busy           []int         // connections with an open query each,
-	busyWork       time.Duration // on which an engine works so long
+	connectionRate float64       // statements per second while connections are measured
+	busy           []int         // numbers of connections with an open query each
+	busyWork       time.Duration // engine work of each of these queries
 
-	gaps       []int // clients that ask at random
+	gaps       []int // numbers of clients that send queries at random times
 	gapsSettle time.Duration
 	gapsWindow time.Duration
 
 	reconnects []int
 
-	listed      []int // engines
+	listed      []int // numbers of engines in the list
 	listRepeats int
 
-	peers         []int         // engines that are talked with
-	peersSettle   time.Duration // under load, until connections to engines stand
+	peers         []int         // numbers of engines whose control traffic is measured
+	peersSettle   time.Duration // time under load until the connections to engines are open
 	peersWindow   time.Duration
-	peersParallel int // of them side by side
+	peersParallel int // sizes of peers measured at the same time
 
-	probed []int // engines that are probed, and are not
+	probed []int // numbers of engines, each measured with probes and without
 
 	stepEngines []int
 	stepsWithin time.Duration
 
 	replacedRates   []float64
 	replacedRepeats int
-	replacedBefore  time.Duration // under load, before the engine goes
-	replacedAfter   time.Duration // and after the list told
-	hangReportDelay time.Duration // until the list tells of one that hangs
+	replacedBefore  time.Duration // time under load before the engine fails
+	replacedAfter   time.Duration // time under load after the list reports the failure
+	hangReportDelay time.Duration // delay until the list reports an engine that hangs
 }
 
 func fullPlan() plan {
@@ -126,7 +126,7 @@
 	}
 }
 
-// bench is a run of the measurements.
+// bench is one run of the measurements.
 type bench struct {
 	plan
 	seed     int64
@@ -151,8 +151,8 @@
 	{"replacement", (*bench).replacement},
 }
 
-// Measure takes the rows of one controller's data path, section by section; what was measured before an error is
-// returned with it.
+// Measure measures the rows of one controller's data path, section by section. Together with an error it returns the rows
+// that were measured before it.
 func Measure(ctx context.Context, o Options) ([]slope.Row, error) {
 	p := fullPlan()
 	if o.Quick {
@@ -186,7 +186,7 @@
 	return rows, ctx.Err()
 }
 
-// choose lists the sections that are asked for; none where only other packages' rows are.
+// choose returns the sections that the names in only select; there are none if all names are those of other packages.
 func choose(only string) (chosen []section) {
 	names := strings.Split(only, ",")
 	for _, s := range sections {
@@ -201,7 +201,7 @@
 	return chosen
 }
 
-// atTargets is a row at each of some targets.
+// atTargets returns a copy of the row for each target.
 func atTargets(row slope.Row, targets ...target) (rows []slope.Row) {
 	condition := row.Condition
 	for _, t := range targets {
@@ -214,16 +214,16 @@
 	return rows
 }
 
-// target is a size that the fleet is built for, and when.
+// target is a target size with the condition under which it applies.
 type target struct {
 	condition string
 	size      float64
 }
 
-// inParallelLimited calls f for each of n, so many at one time, and joins their errors.
-func inParallelLimited(n, beside int, f func(i int) error) error {
+// inParallelLimited calls f with each number below n, at most limit calls at a time, and joins their errors.
+func inParallelLimited(n, limit int, f func(i int) error) error {
 	errs := make([]error, n)
-	room := make(chan bool, max(1, beside))
+	room := make(chan bool, max(1, limit))
 	var group sync.WaitGroup
 	for i := range n {
 		group.Go(func() {
@@ -236,8 +236,8 @@
 	return errors.Join(errs...)
 }
 
-// What the rows by statements and by connections are built for: all of the fleet is there, a zone is gone (1.11 times as
-// much at each controller that is left), a region is gone (1.5 times).
+// Targets of the rows by statements and by connections: the whole fleet runs, a zone has failed (1.11 times the load at
+// each remaining controller), or a region has failed (1.5 times the load).
 var (
 	statementTargets = targetsFor(statementRate, zoneGoneRate, regionGoneRate)
 	clientTargets    = targetsFor(clientCount, zoneGoneClients, regionGoneClients)
--- a/internal/lab/scale/datapath/datapath_test.go
+++ b/internal/lab/scale/datapath/datapath_test.go
@@ -21,23 +21,23 @@
 	for only, want := range map[string]int{"": len(sections), "datapath": len(sections), "discovery": 1,
 		"datapath/talk, reconnects": 2, "membership": 0, "talk,talk": 1, "membership,datapath": len(sections)} {
 		if got := choose(only); len(got) != want {
-			t.Errorf("%q chooses %d sections, want %d", only, len(got), want)
+			t.Errorf("choose(%q) returns %d sections, want %d", only, len(got), want)
 		}
 	}
 }
 
-// Each row needs four sizes for its line to say anything.
+// Each row needs at least four sizes for a meaningful line, and each replacement needs an engine of its own.
 func TestPlans(t *testing.T) {
 	for name, p := range map[string]plan{"full": fullPlan(), "quick": quickPlan()} {
 		for what, n := range map[string]int{"rates": len(p.rates), "engines": len(p.engines), "connections": len(p.connections),
 			"busy": len(p.busy), "reconnects": len(p.reconnects), "listed": len(p.listed), "peers": len(p.peers),
 			"steps": len(p.stepEngines), "replaced": len(p.replacedRates)} {
 			if n < 4 {
-				t.Errorf("%s: %d sizes of %s", name, n, what)
+				t.Errorf("%s plan: %d sizes of %s, want at least 4", name, n, what)
 			}
 		}
 		if p.replacedRepeats > replacedEngines {
-			t.Errorf("%s: %d replacements of %d engines", name, p.replacedRepeats, replacedEngines)
+			t.Errorf("%s plan: %d replacements with only %d engines", name, p.replacedRepeats, replacedEngines)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	rows := atTargets(slope.Row{Condition: "idle"}, targetsFor(1000, 1110, 1500)...)
 	if len(rows) != 3 || rows[1].Target != 1110 || rows[2].Target != 1500 ||
 		rows[2].Condition != "idle, a region is gone" {
-		t.Errorf("%+v", rows)
+		t.Errorf("rows at three targets: %+v", rows)
 	}
 	if rows := atTargets(slope.Row{}, targetsFor(1, 2, 3)...); rows[0].Condition != "all are there" {
 		t.Error(rows[0].Condition)
@@ -56,7 +56,7 @@
 	}
 }
 
-// The frames of the rig are what the daemon reads.
+// The discovery frames that the rig writes are read back by the daemon's reader.
 func TestFrame(t *testing.T) {
 	facts, err := deploymentFacts()
 	if err != nil {
@@ -65,10 +65,10 @@
 	b := frame(7, frameChange, 2, 5, router.Draining)
 	news, fresh, err := discovery.ReadFrame(bufio.NewReader(bytes.NewReader(b)), len(b), &facts.Names)
 	if err != nil || !fresh || news.Number != 7 || news.Complete || len(news.Endpoints) != 3 {
-		t.Fatalf("%+v, %v, %v", news, fresh, err)
+		t.Fatalf("frame 7 with three engines is read as %+v, fresh %v, error %v", news, fresh, err)
 	}
 	if e := news.Endpoints[0]; e.Engine != "s-00000003" || e.State != router.Draining || e.Zone != "east" {
-		t.Errorf("%+v", e)
+		t.Errorf("first engine %+v, want s-00000003, draining, in zone east", e)
 	}
 	if n := len(frame(1, frameWhole, 0, engineCount, router.Ready)); n != headerBytes+recordBytes*engineCount {
 		t.Error(n)
@@ -94,7 +94,7 @@
 	}
 }
 
-// What became of queries in flight is told from what engines and clients wrote down.
+// The outcome of queries in flight is derived from the reads of the engines and the answers to the clients.
 func TestJudge(t *testing.T) {
 	g := newQueryLog()
 	end := time.Now()
@@ -113,29 +113,29 @@
 	into := map[string]*inFlightOutcome{}
 	g.addOutcomes([]string{"a", "b", "c", "d"}, end, into)
 	if o := into[daemon.LookupClass]; !slices.Equal(o.took, []float64{1000}) || o.repeated != 1 || o.verdicts[standin.Answered] != 1 {
-		t.Errorf("%+v", o)
+		t.Errorf("lookups: %+v, want one answered after 1000 ms and repeated", o)
 	}
 	if o := into[daemon.WriteClass]; !slices.Equal(o.took, []float64{2000, 0}) || o.repeated != 1 || o.verdicts[standin.Failed] != 1 {
-		t.Errorf("%+v", o)
+		t.Errorf("writes: %+v, want times 2000 and 0 ms, one repeated and one failed", o)
 	}
 	if o := into[daemon.LoadClass]; o.verdicts[standin.Lost] != 1 {
-		t.Errorf("%+v", o)
+		t.Errorf("loads: %+v, want one without an answer", o)
 	}
 	if got := g.repeatedWrites(); got != 1 {
-		t.Errorf("%d non-idempotent queries begun twice, want 1", got)
+		t.Errorf("%d repeated non-idempotent queries, want 1", got)
 	}
 	rows := addOutcome(nil, effectClasses[2], "x", 50, into[daemon.WriteClass])
 	rows = addOutcome(rows, effectClasses[2], "x", 100, nil)
 	if len(rows) != 3 || len(rows[2].Points) != 1 || rows[2].Points[0].Value != 2000 ||
 		!strings.Contains(rows[0].Note, "2 in flight, 1 answered, 1 failed, 1 begun twice") {
-		t.Errorf("%+v", rows)
+		t.Errorf("rows of the writes' outcome: %+v", rows)
 	}
 }
 
-// A tiny run of all sections with a real daemon.
+// All sections run with a real daemon at small sizes and measure complete rows.
 func TestMeasure(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a daemon as a process is played in whole runs")
+		t.Skip("starts daemons as processes")
 	}
 	const moment = 40 * time.Millisecond
 	small := []int{1, 2, 3, 4}
@@ -151,12 +151,12 @@
 		t.Fatal(err)
 	}
 	if len(rows) < 65 {
-		t.Errorf("%d rows", len(rows))
+		t.Errorf("%d rows, want at least 65", len(rows))
 	}
 	for _, r := range rows {
-		few := len(r.Points) < 4 && !strings.HasPrefix(r.Cost, "engine replaced") // one rate here, and few in flight
+		few := len(r.Points) < 4 && !strings.HasPrefix(r.Cost, "engine replaced") // only one rate is measured, with few queries in flight
 		if few || r.Target == 0 || r.Unit == "" || r.Method == "" {
-			t.Errorf("%+v", r)
+			t.Errorf("row with too few points or without target, unit or method: %+v", r)
 		}
 	}
 }
--- a/internal/lab/scale/datapath/decision.go
+++ b/internal/lab/scale/datapath/decision.go
@@ -11,17 +11,17 @@
 	"mintkeel/router"
 )
 
-// The scenes of the decision module, and what a statement is to it.
+// The scenes of the decision module, and the events that a statement causes in it.
 const (
 	stepTables      = 300
-	stepHeld        = 1000 // commands, where all engines are full
-	stepEvents      = 2    // of a measured step: an arrival and an answer
-	statementEvents = 3    // of a statement: these, and a wake-up or a note
-	minSteps        = 20   // with the least of which a scene is measured
+	stepHeld        = 1000 // queries held, if all engines are full
+	stepEvents      = 2    // events of a measured step: an arrival and an answer
+	statementEvents = 3    // events of a statement: an arrival, an answer, and a wake-up or a note
+	minSteps        = 20   // least number of steps with which a scene is measured
 	maxSteps        = 20000
 )
 
-// stepCosts are those of a scene's steps, in microseconds.
+// stepCosts are statistics of the durations of a scene's steps in microseconds.
 type stepCosts struct{ mean, median, p99 float64 }
 
 func summarizeSteps(costs []float64) (out stepCosts) {
@@ -41,7 +41,7 @@
 	return router.New(seed, place, kinds, profiles, tenants, allowed, guards)
 }
 
-// stepsOf measures a scene for a while.
+// stepsOf measures the steps of a scene for stepsWithin.
 func (b *bench) stepsOf(ctx context.Context, engines int, busy steps.Busy) stepCosts {
 	scene := steps.Scene{Engines: engines, Tables: stepTables, Busy: busy, Seed: b.seed}
 	if busy == steps.Full {
@@ -60,13 +60,12 @@
 	return summarizeSteps(costs)
 }
 
-// coreShare is the share of a core that deciding takes at a controller's statements, where a step costs so many
-// microseconds.
+// coreShare returns the share of a core that decisions take at statementRate, given the cost of a step in microseconds.
 func coreShare(step float64) float64 {
 	return step * 1e-6 * statementRate * statementEvents / stepEvents
 }
 
-// decision measures the decision module's step by engines.
+// decision measures the decision module's step by the number of engines.
 func (b *bench) decision(ctx context.Context) (rows []slope.Row, err error) {
 	for _, busy := range []steps.Busy{steps.Idle, steps.Half, steps.Full} {
 		condition := busy.String()
--- a/internal/lab/scale/datapath/discovery.go
+++ b/internal/lab/scale/datapath/discovery.go
@@ -23,7 +23,7 @@
 	"mintkeel/router"
 )
 
-// Kinds of frames, and the size of a record, as package discovery reads them.
+// Kinds of frames, and the sizes of a record and of a frame's header, as package discovery reads them.
 const (
 	frameWhole  = 1
 	frameChange = 2
@@ -31,14 +31,14 @@
 	headerBytes = 13
 )
 
-// frame is a frame of the feed that tells the states of engines first to last.
+// frame encodes a discovery frame that reports a state for the engines from first up to, but not including, last.
 func frame(number uint64, kind byte, first, last int, state router.EngineState) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(headerBytes-4+recordBytes*(last-first)))
 	b = append(binary.BigEndian.AppendUint64(b, number), kind)
 	for i := first; i < last; i++ {
 		b = binary.BigEndian.AppendUint32(b, uint32(i+1))
 		b = binary.BigEndian.AppendUint16(append(b, 127, 0, 0, 1), uint16(1024+i))
-		b = append(b, byte(state), 0, 0) // zone and kind: the first of the settings
+		b = append(b, byte(state), 0, 0) // zone and kind: the first ones in the settings
 		b = binary.BigEndian.AppendUint16(b, 0)
 		b = binary.BigEndian.AppendUint32(b, 1000)
 		b = binary.BigEndian.AppendUint64(b, 0)
@@ -46,7 +46,7 @@
 	return b
 }
 
-// discoveryServer is the feed's end of a controller's connection.
+// discoveryServer is the discovery service's end of the connection to one controller.
 type discoveryServer struct {
 	listener net.Listener
 	conn     net.Conn
@@ -63,7 +63,7 @@
 
 func (f *discoveryServer) addr() string { return f.listener.Addr().String() }
 
-// accept waits for the controller, which begins by the number of the last frame that it has.
+// accept waits for the controller, which first sends the number of the last frame that it has.
 func (f *discoveryServer) accept() (err error) {
 	f.listener.(*net.TCPListener).SetDeadline(time.Now().Add(daemon.StartTimeout))
 	if f.conn, err = f.listener.Accept(); err != nil {
@@ -76,7 +76,7 @@
 	return err
 }
 
-// send writes a frame of the next number.
+// send writes a frame with the next number.
 func (f *discoveryServer) send(kind byte, first, last int, state router.EngineState) error {
 	f.last++
 	f.conn.SetDeadline(time.Now().Add(daemon.StartTimeout))
@@ -91,12 +91,12 @@
 	}
 }
 
-// listReceiver is the daemon's way of taking the list, in this process: the feed's follower, the loop, the pool of
-// connections to engines and the decision module.
+// listReceiver runs the parts of the daemon that receive the list of engines in this process: the discovery watcher, the
+// controller loop, the pool of connections to engines and the decision module.
 type listReceiver struct {
 	feed    *discoveryServer
 	loop    *controller.Loop
-	updates int64 // frames so far
+	updates int64 // frames sent so far
 	cancel  context.CancelFunc
 }
 
@@ -125,7 +125,7 @@
 	return w, nil
 }
 
-// deploymentFacts are those of the daemon's settings.
+// deploymentFacts reads the facts of the deployment from the daemon's settings.
 func deploymentFacts() (*settings.Facts, error) {
 	text, err := json.Marshal(daemon.Settings(controllers, true))
 	if err != nil {
@@ -143,7 +143,7 @@
 	w.cancel()
 }
 
-// sendAndWait writes a frame and waits until the module has taken it in.
+// sendAndWait sends a frame, waits until the module has processed it, and returns the time that this took.
 func (w *listReceiver) sendAndWait(kind byte, first, last int, state router.EngineState) (time.Duration, error) {
 	began := time.Now()
 	if err := w.feed.send(kind, first, last, state); err != nil {
@@ -152,32 +152,33 @@
 	w.updates++
 	for w.loop.Counts().EndpointUpdates < w.updates {
 		if time.Since(began) > daemon.StartTimeout {
-			return 0, errors.New("the list was not taken")
+			return 0, errors.New("the loop did not process the discovery frame in time")
 		}
 		time.Sleep(20 * time.Microsecond)
 	}
-	w.loop.Counts() // it answers after the step that the news belonged to
+	w.loop.Counts() // returns only after the step that the frame caused
 	return time.Since(began), nil
 }
 
-// listChange is what is told of a list again and again.
+// listChange is a change that is reported to a list of engines again and again.
 type listChange struct {
 	name   string
 	kind   byte
-	share  float64              // of the engines
-	states []router.EngineState // that take turns
+	share  float64              // share of the engines that change
+	states []router.EngineState // states that are reported in turn
 }
 
-// listCost is what one frame of a change costs.
+// listCost is the cost of one frame of a change.
 type listCost struct {
 	bytes           int
-	median, longest float64 // ms until the module has taken it
-	processor       float64 // ms of the daemon
+	median, longest float64 // ms until the module has processed the frame
+	processor       float64 // processor time of the daemon in ms
 }
 
 func (c listChange) engines(n int) int { return int(float64(n)*c.share + 0.5) }
 
-// frameTimes has a controller in this process take a list of n engines and then the change, again and again.
+// frameTimes sends a list of n engines to a controller in this process and then, listRepeats times, the change, and
+// measures how long each frame takes.
 func (b *bench) frameTimes(ctx context.Context, n int, c listChange, cost *listCost) error {
 	w, err := newListReceiver(ctx, b.seed)
 	if err != nil {
@@ -200,10 +201,10 @@
 	return nil
 }
 
-// frameSpacing is the time between two frames to the daemon, so that each is a step of its own.
+// frameSpacing is the time between two frames to the daemon. It makes each frame a step of its own.
 const frameSpacing = 25 * time.Millisecond
 
-// frameProcessor has the daemon do the same, and takes its time on processors.
+// frameProcessor sends the same frames to a daemon and measures its processor time.
 func (b *bench) frameProcessor(ctx context.Context, n int, c listChange, cost *listCost) error {
 	feed, err := newDiscoveryServer()
 	if err != nil {
@@ -246,13 +247,13 @@
 	return err
 }
 
-// listChanges are the whole list, and a region's worth of engines at once.
+// listChanges are the whole list, and the engines of a region that change together.
 var listChanges = []listChange{
 	{"whole list", frameWhole, 1, []router.EngineState{router.Ready}},
 	{"a region's engines go and come back", frameChange, 1.0 / regions, []router.EngineState{router.Gone, router.Ready}},
 }
 
-// discovery measures lists and changes by their engines.
+// discovery measures frames with the whole list and with changes by the number of engines.
 func (b *bench) discovery(ctx context.Context) (rows []slope.Row, err error) {
 	bound := float64(limits.For(daemon.DescriptorLimit(), daemon.Memory, 0, 0, 0).DiscoveryFrameBytes)
 	for _, c := range listChanges {
--- a/internal/lab/scale/datapath/gaps.go
+++ b/internal/lab/scale/datapath/gaps.go
@@ -11,11 +11,12 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// meanGap is the mean time between two queries of one client: connections over statements a second.
+// meanGap is the mean time between two queries of one client: connections divided by statements per second.
 const meanGap = clientCount * time.Second / statementRate
 
-// gapRows measures how many clients a second find that the daemon has ended their connection between two queries, where
-// each asks at random, as often on average as in the fleet that is built for. Sizes are measured side by side.
+// gapRows measures how many clients per second find that the daemon has closed their connection between two queries. Each
+// client sends queries at random times, with the mean rate of a client of the target fleet. All sizes are measured at the
+// same time.
 func (b *bench) gapRows(ctx context.Context) ([]slope.Row, error) {
 	if len(b.gaps) == 0 {
 		return nil, nil
@@ -37,7 +38,8 @@
 	return atTargets(row, clientTargets...), nil
 }
 
-// closedConnections has n clients ask at random for a while and tells how many a second found their connection ended.
+// closedConnections runs n clients that send queries at random times, and returns how many per second found their
+// connection closed.
 func (b *bench) closedConnections(ctx context.Context, n int) (float64, error) {
 	r, err := b.open(ctx, connectionEngines)
 	if err != nil {
@@ -50,7 +52,7 @@
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	ended, began := 0, time.Now()
-	steady := began.Add(b.gapsSettle) // before it few can have ended
+	steady := began.Add(b.gapsSettle) // before then, few connections can have been idle for long enough
 	end := steady.Add(b.gapsWindow)
 	for range n {
 		c := &gapClient{session: <-r.sessions, rng: rand.New(rand.NewSource(r.rng.Int63())), addr: r.daemon.Addr}
@@ -65,14 +67,14 @@
 	return float64(ended) / b.gapsWindow.Seconds(), ctx.Err()
 }
 
-// gapClient is a client that asks at random on one connection while that lasts, and opens another when it has ended.
+// gapClient is a client that sends queries at random times on one connection, which it replaces when it finds it closed.
 type gapClient struct {
 	session *standin.Client
 	rng     *rand.Rand
 	addr    string
 }
 
-// run asks until the end and counts the connections that it found ended since it counts.
+// run sends queries until end and returns the number of connections found closed by queries sent after counts.
 func (c *gapClient) run(ctx context.Context, counts, end time.Time) (ended int) {
 	defer func() { c.session.Close() }()
 	draw := rig{rng: c.rng}
--- a/internal/lab/scale/datapath/probes.go
+++ b/internal/lab/scale/datapath/probes.go
@@ -7,8 +7,8 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// probes measures what pings to engines take of the processor: what a daemon that sends them takes over one that does
-// not, by engines, each engine under its usual share of the controller's statements.
+// probes measures the processor time of pings to engines by the number of engines, as the difference between a daemon with
+// probes and one without. Each engine receives its usual share of the controller's statements.
 func (b *bench) probes(ctx context.Context) ([]slope.Row, error) {
 	if len(b.probed) == 0 {
 		return nil, nil
--- a/internal/lab/scale/datapath/reconnects.go
+++ b/internal/lab/scale/datapath/reconnects.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// reconnectRows measures what bursts of clients that come anew cost: connection, start-up messages and a first query.
+// reconnectRows measures the cost of bursts of clients that reconnect: connection, start-up messages and a first query.
 func (b *bench) reconnectRows(ctx context.Context) ([]slope.Row, error) {
 	row := func(cost, unit string) slope.Row {
 		return slope.Row{Role: controllerRole, Cost: "reconnects: " + cost, Unit: unit, Per: "reconnects at once",
@@ -34,10 +34,10 @@
 	return []slope.Row{processor, apart, took}, nil
 }
 
-// burstCost is what a burst cost the daemon.
+// burstCost is the daemon's cost of a burst of reconnects.
 type burstCost struct {
 	processor float64 // s
-	queries   float64 // s that as many queries cost on connections that stand
+	queries   float64 // s, for as many queries on open connections
 	took      time.Duration
 	service   outcomes // of the first queries
 }
@@ -48,7 +48,7 @@
 		return cost, err
 	}
 	defer r.close()
-	if err := r.connect(ctx, workers); err != nil { // connections to engines stand
+	if err := r.connect(ctx, workers); err != nil { // opens the connections to engines
 		return cost, err
 	}
 	before, err := r.daemon.ProcessorTime()
--- a/internal/lab/scale/datapath/replacement.go
+++ b/internal/lab/scale/datapath/replacement.go
@@ -14,17 +14,17 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// How an engine is replaced.
+// The measurement of an engine's replacement.
 const (
 	replacedEngines = 4
 	replacedWork    = 100.0                  // ms
-	exitReportDelay = 300 * time.Millisecond // until the list tells, where the process ended
+	exitReportDelay = 300 * time.Millisecond // delay until the list reports an engine whose process ended
 )
 
-// failureMode is a way in which an engine goes.
+// failureMode is a way in which an engine fails.
 type failureMode struct {
 	name        string
-	reportDelay time.Duration // until the list tells of its end and of the one in its place
+	reportDelay time.Duration // delay until the list reports the failed engine as gone and its replacement as ready
 	fail        func(e *standin.Engine) (running []string)
 }
 
@@ -39,18 +39,18 @@
 	}
 }
 
-// effectClass is a class of queries by what running one again does.
+// effectClass is a query class with the effect of running one of its queries again.
 type effectClass struct{ class, effect string }
 
 var effectClasses = []effectClass{{daemon.LookupClass, "idempotent"}, {daemon.LoadClass, "deduplicated"}, {daemon.WriteClass, "non-idempotent"}}
 
-// queryLog is what engines and clients wrote down of each query.
+// queryLog records the reads of engines and the answers to clients for each query.
 type queryLog struct {
 	mu       sync.Mutex
 	classes  map[string]string    // by query
-	reads    map[string]int       // how many engines' reads of it there were
-	engines  map[string][]int     // engines that read it
-	answered map[string]time.Time // when its client was told
+	reads    map[string]int       // number of reads by engines
+	engines  map[string][]int     // numbers of the engines that read it
+	answered map[string]time.Time // time of the answer to the client
 	verdicts map[string]standin.Verdict
 }
 
@@ -59,7 +59,7 @@
 		answered: map[string]time.Time{}, verdicts: map[string]standin.Verdict{}}
 }
 
-// recordReads has an engine's reads registered under its number.
+// recordReads records each query that an engine reads under the engine's number.
 func (g *queryLog) recordReads(e *standin.Engine, number int) {
 	e.Watch(func(id string) {
 		g.mu.Lock()
@@ -81,7 +81,7 @@
 	g.answered[s.id], g.verdicts[s.id] = time.Now(), verdict
 }
 
-// readAt are the queries that an engine read.
+// readAt returns the queries that an engine has read, sorted.
 func (g *queryLog) readAt(number int) (ids []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,11 +94,11 @@
 	return ids
 }
 
-// inFlightOutcome is what became of queries of one class that were in flight at engines that went.
+// inFlightOutcome sums up the queries of one class that were in flight at an engine when it failed.
 type inFlightOutcome struct {
-	took     []float64 // ms from the engine's end to what their clients were told
+	took     []float64 // ms from the engine's failure to the answer to the client
 	verdicts [standin.Lost + 1]int
-	repeated int // that more than one engine began
+	repeated int // queries that engines read more than once
 }
 
 func (o inFlightOutcome) String() string {
@@ -114,7 +114,8 @@
 	return text
 }
 
-// addOutcomes takes up what became of the queries that were in flight when an engine went.
+// addOutcomes adds the outcomes of the queries that were in flight when an engine failed at end. A query without an answer
+// counts as lost.
 func (g *queryLog) addOutcomes(inFlight []string, end time.Time, into map[string]*inFlightOutcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// repeatedWrites counts the non-idempotent queries that engines began more than once, of all that were asked.
+// repeatedWrites counts the non-idempotent queries, of all that were sent, that engines began more than once.
 func (g *queryLog) repeatedWrites() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,7 +152,7 @@
 
 var errRepeatedWrite = errors.New("engines began a non-idempotent query more than once")
 
-// replacement measures what queries in flight see of an engine that is replaced.
+// replacement measures the effect of an engine's replacement on queries in flight.
 func (b *bench) replacement(ctx context.Context) (rows []slope.Row, err error) {
 	endings := b.failureModes()
 	byEnding := make([][]slope.Row, len(endings))
@@ -162,7 +163,7 @@
 	return slices.Concat(byEnding...), err
 }
 
-// replacementBy measures one way in which engines go.
+// replacementBy measures one failure mode.
 func (b *bench) replacementBy(ctx context.Context, way failureMode) (rows []slope.Row, err error) {
 	byClass := map[string][]slope.Row{}
 	double := slope.Row{Role: controllerRole, Cost: "engine replaced: non-idempotent queries begun twice", Unit: "queries",
@@ -188,7 +189,8 @@
 	return rows, ctx.Err()
 }
 
-// addOutcome adds a rate's outcome to the rows of a class: median, 99th and most; no point where nothing was in flight.
+// addOutcome adds the outcome at one rate to the rows of a class: median, 99th percentile and maximum. It adds no point if
+// no query was in flight.
 func addOutcome(rows []slope.Row, c effectClass, condition string, rate float64, o *inFlightOutcome) []slope.Row {
 	if o == nil {
 		o = &inFlightOutcome{}
@@ -213,7 +215,7 @@
 	return rows
 }
 
-// replace has engines go one after another under load, each with another in its place.
+// replace makes engines fail one after another under load and replaces each by a new one.
 func (b *bench) replace(ctx context.Context, way failureMode, rate float64) (map[string]*inFlightOutcome, int, error) {
 	r, err := b.open(ctx, replacedEngines)
 	if err != nil {
@@ -238,8 +240,8 @@
 	return outcomes, g.repeatedWrites(), nil
 }
 
-// replaceOne has the engine of a number go under load, and tells which queries were in flight there: those that ran,
-// and those that it read after its end.
+// replaceOne makes the engine with the given number fail under load and returns the queries that were in flight there:
+// those that ran, and those that it read after its failure.
 func (b *bench) replaceOne(ctx context.Context, r *rig, g *queryLog, number int, way failureMode, rate float64) (inFlight []string,
 	end time.Time, err error) {
 	over := make(chan bool)
@@ -276,7 +278,7 @@
 	return inFlight, end, err
 }
 
-// drawMixed draws a statement of one of the classes: three of five are lookups.
+// drawMixed draws a statement: on average three of five are lookups, one is a load and one is a write.
 func (r *rig) drawMixed() statement {
 	work := replacedWork * (0.5 + r.rng.Float64())
 	switch r.rng.Intn(5) {
--- a/internal/lab/scale/datapath/rig.go
+++ b/internal/lab/scale/datapath/rig.go
@@ -13,33 +13,33 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// clientLimit is how many connections of clients a daemon with that limit serves: see package limits.
+// clientLimit returns how many client connections a daemon serves with this machine's descriptor limit; see package limits.
 func clientLimit() int { return daemon.DescriptorLimit() * 21 / 40 }
 
-// rig is a daemon with emulated engines, the feed and clients' sessions.
+// rig is a daemon with emulated engines, a discovery service and client sessions.
 type rig struct {
 	engines  []*standin.Engine
 	feed     *standin.Feed
 	daemon   *daemon.Process
-	sessions chan *standin.Client // that are idle, the longest so first
+	sessions chan *standin.Client // idle sessions, the longest idle first
 	rng      *rand.Rand
 	cancel   context.CancelFunc
 
 	mu           sync.Mutex
-	firstQueries outcomes // what became of each session's first query
+	firstQueries outcomes // of the first query of each session
 }
 
-// daemonName is the daemon's, as a controller.
+// daemonName is the daemon's name as a controller.
 const daemonName = "n1"
 
-// maxSessions bounds a rig's sessions.
+// maxSessions bounds the idle sessions of a rig.
 const maxSessions = 1 << 14
 
 func (b *bench) open(ctx context.Context, engines int) (*rig, error) {
 	return b.openWith(ctx, engines, true)
 }
 
-// openWith is open with a daemon that may probe engines or not.
+// openWith is open with health probes allowed or not.
 func (b *bench) openWith(ctx context.Context, engines int, probes bool) (*rig, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &rig{sessions: make(chan *standin.Client, maxSessions), rng: rand.New(rand.NewSource(b.seed)), cancel: cancel}
@@ -84,7 +84,7 @@
 	}
 }
 
-// traffic is what all engines counted.
+// traffic returns the sum of all engines' traffic counts.
 func (r *rig) traffic() (sum standin.Traffic) {
 	for _, e := range r.engines {
 		t := e.Traffic()
@@ -107,12 +107,12 @@
 	return sum
 }
 
-// statement is a query as a client writes it.
+// statement is a query as a client sends it.
 type statement struct {
 	id, class, fields, text string
 }
 
-// Work of an ordinary statement at its engine, and how many table groups there are.
+// The work of an ordinary statement at its engine, and the number of table groups.
 const (
 	usualWork   = 20.0 // ms
 	tableGroups = 300
@@ -132,10 +132,10 @@
 	return r.statement(daemon.LookupClass, usualWork*(0.5+r.rng.Float64()))
 }
 
-// workers are how many sessions are opened or touched at one time.
+// workers is the number of sessions that are opened or kept alive at a time.
 const workers = 64
 
-// inParallel calls f for each of n, some at one time, and returns the first error.
+// inParallel calls f with each number below n, at most workers calls at a time, and returns the first error.
 func inParallel(n int, f func(i int) error) error {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -162,7 +162,7 @@
 	return first
 }
 
-// connect opens sessions until there are n, each with a first query, without which none stays.
+// connect opens sessions until there are n. It sends a first query on each, without which the daemon would close it.
 func (r *rig) connect(ctx context.Context, n int) error {
 	missing := n - len(r.sessions)
 	first := make([]statement, max(0, missing))
@@ -188,8 +188,8 @@
 	})
 }
 
-// keepAlive gives a sign of life on each idle session: the daemon ends those that are silent for 5 s. It returns how many
-// had ended.
+// keepAlive sends a message on each idle session, because the daemon closes sessions that are silent for 5 s. It returns
+// how many had been closed.
 func (r *rig) keepAlive() (ended int) {
 	var mu sync.Mutex
 	inParallel(len(r.sessions), func(int) error {
@@ -207,13 +207,13 @@
 	return ended
 }
 
-// outcomes is what clients saw in a time under load.
+// outcomes counts the answers to clients during a time under load.
 type outcomes struct {
 	queries, answered, rejected, failed, lost int
-	answerTimes                               []float64 // ms of those that were answered, sorted
+	answerTimes                               []float64 // ms, of the answered queries; sorted by measureLoad
 }
 
-// quantile is that of the times of answers, in ms.
+// quantile returns a quantile of the answer times in ms.
 func (s outcomes) quantile(q float64) float64 { return quantile(s.answerTimes, q) }
 
 func (s outcomes) String() string {
@@ -229,7 +229,7 @@
 	return text
 }
 
-// add counts an answer.
+// add counts the answer to a query.
 func (s *outcomes) add(verdict standin.Verdict, took time.Duration) {
 	s.queries++
 	switch verdict {
@@ -245,8 +245,8 @@
 	}
 }
 
-// measureLoad has statements come at a rate for so long, each on the session that was idle for the longest time, and waits
-// for their answers.
+// measureLoad sends statements at random times with a mean rate for a duration, each on the session that was idle for the
+// longest time, and waits for all answers.
 func (r *rig) measureLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement) outcomes {
 	var out outcomes
 	r.runLoad(ctx, rate, long, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
@@ -254,7 +254,7 @@
 	return out
 }
 
-// runLoad is load with each answer told, one at a time.
+// runLoad is measureLoad with a function that is called with each answer, one call at a time.
 func (r *rig) runLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement,
 	told func(s statement, verdict standin.Verdict, took time.Duration)) {
 	var group sync.WaitGroup
@@ -277,7 +277,7 @@
 	group.Wait()
 }
 
-// query has one statement answered, on an idle session or, where there is none, a new one.
+// query sends one statement and waits for its answer, on an idle session or, if there is none, a new one.
 func (r *rig) query(ctx context.Context, s statement) (standin.Verdict, time.Duration) {
 	began := time.Now()
 	var c *standin.Client
@@ -303,7 +303,7 @@
 	return verdict, took
 }
 
-// quantile of sorted values; 0 of none.
+// quantile returns a quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/lab/scale/datapath/statements.go
+++ b/internal/lab/scale/datapath/statements.go
@@ -9,17 +9,18 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// sessionsFor keeps each session in use often enough to stay: it is asked at least each other second on average.
+// sessionsFor returns a number of sessions so small that the daemon does not close them as idle: from a rate of 10 on, each
+// session gets a query every two seconds on average.
 func sessionsFor(rate float64) int { return max(20, int(2*rate)) }
 
-// loadCost is what a time under load cost the daemon.
+// loadCost is the daemon's cost of a time under load.
 type loadCost struct {
 	cores   float64
 	service outcomes
 	traffic standin.Traffic
 }
 
-// measureCost has statements come for a while that is not counted and then for a window in which the costs are taken.
+// measureCost runs a load for the settling time, which is not counted, and then for a window in which it measures the cost.
 func (b *bench) measureCost(ctx context.Context, r *rig, rate float64) (out loadCost, err error) {
 	r.measureLoad(ctx, rate, b.settle, r.drawUsual)
 	trafficBefore := r.traffic()
@@ -36,7 +37,7 @@
 	return out, err
 }
 
-// statements measures the processor by statements a second, and by engines at one rate.
+// statements measures the processor time by statements per second, and by the number of engines at one rate.
 func (b *bench) statements(ctx context.Context) ([]slope.Row, error) {
 	byRate, err := b.statementRates(ctx)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return append(atTargets(row, statementTargets...), atTargets(answer, statementTargets...)...), nil
 }
 
-// unansweredNote tells what clients saw at one size; empty where all were answered.
+// unansweredNote describes the answers to clients at one size. It is empty if all queries were answered.
 func unansweredNote(size string, s outcomes) string {
 	if s.answered == s.queries {
 		return ""
@@ -98,7 +99,7 @@
 	return []slope.Row{row}, nil
 }
 
-// measureCostWith takes the costs of a daemon of its own before so many engines, which it may probe or not.
+// measureCostWith measures the cost of a new daemon in front of a number of engines, with probes allowed or not.
 func (b *bench) measureCostWith(ctx context.Context, engines int, rate float64, probes bool) (loadCost, error) {
 	r, err := b.openWith(ctx, engines, probes)
 	if err != nil {
--- a/internal/lab/scale/datapath/talk.go
+++ b/internal/lab/scale/datapath/talk.go
@@ -9,30 +9,30 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// engineShare is what of a controller's statements comes to one engine each second, where all of the fleet is there.
+// engineShare is the rate of a controller's statements at one engine when the whole fleet runs.
 const engineShare = float64(statementRate) / engineCount
 
-// Bytes that lower layers add to what is counted at the engines: an IPv4 and a TCP header with timestamps for each of
-// the three packets of a question, its reply and the acknowledgement of that, and for the seven of a connection's begin
-// and end.
+// Overhead of the lower layers, which the engines do not count: an IPv4 and a TCP header with timestamps for each of the
+// three packets of an exchange (request, reply and the acknowledgement of the reply) and of the seven packets that open and
+// close a connection.
 const (
 	packetHeaders        = 52
 	packetsPerExchange   = 3
 	packetsPerConnection = 7
 )
 
-// quietSettle is after which a daemon's connections to engines that it reached at its start have ended: it closes
-// them after 5 s without use.
+// quietSettle is the time until a daemon has closed the connections to engines that it opened at its start: it closes them
+// after 5 s without use.
 const quietSettle = 6 * time.Second
 
-// engineTraffic is what a daemon and so many engines said to each other, idle and under light load, for a while each.
+// engineTraffic is the traffic between a daemon and a number of engines in a window without load and in one under light load.
 type engineTraffic struct {
 	idle, light standin.Traffic
 	window      time.Duration
 	service     outcomes
 }
 
-// talk measures what a controller and engines say that is no traffic.
+// talk measures the control traffic between a controller and engines, which carries no queries.
 func (b *bench) talk(ctx context.Context) ([]slope.Row, error) {
 	all := make([]engineTraffic, len(b.peers))
 	err := inParallelLimited(len(b.peers), b.peersParallel, func(i int) (err error) {
@@ -51,7 +51,7 @@
 	return append(idle, light...), nil
 }
 
-// measureTraffic drives a daemon of its own before n engines.
+// measureTraffic measures the traffic of a new daemon with n engines.
 func (b *bench) measureTraffic(ctx context.Context, n int) (out engineTraffic, err error) {
 	r, err := b.open(ctx, n)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return out, ctx.Err()
 }
 
-// trafficRows are the rows of one condition.
+// trafficRows returns the rows of one condition.
 func trafficRows(condition string, sizes []int, all []engineTraffic, of func(engineTraffic) standin.Traffic) []slope.Row {
 	kinds := []struct {
 		cost, unit, method string
@@ -110,7 +110,7 @@
 	return rows
 }
 
-// wireBytes is an estimate of what control talk puts on the wire each second: what was counted, with headers.
+// wireBytes estimates the bytes of control traffic on the wire per second: the counted bytes plus headers.
 func wireBytes(t standin.Traffic, seconds float64) float64 {
 	frames, bytes := t.Control()
 	headers := (float64(frames)/2*packetsPerExchange + float64(t.Opened*packetsPerConnection)) * packetHeaders
