--- a/internal/lab/scale/dissemination/compare.go
+++ b/internal/lab/scale/dissemination/compare.go
@@ -7,27 +7,27 @@
 	"slices"
 )
 
-// Options say what is compared.
+// Options configure a comparison.
 type Options struct {
 	Nodes int
 	Seeds int
-	Seed  int64 // of the first play
-	Sizes []int // bytes of documents
+	Seed  int64 // of the first run
+	Sizes []int // sizes of documents in bytes
 }
 
-// The usual fleet, as package spread's.
+// The default fleet, the same as in package spread, and the schedule of a run.
 const (
 	usualNodes = 670
 	usualSeeds = 20
 	voters     = 7
 
 	runTime          = 60000.0 // ms
-	zoneInterval     = 10      // one in so many restarts
-	zoneRestartDelay = 50.0    // ms after the agreement
+	zoneInterval     = 10      // every zoneInterval-th controller restarts
+	zoneRestartDelay = 50.0    // ms after the document was agreed on
 	downTime         = 5000.0  // ms
 )
 
-// condition is what happens meanwhile.
+// condition is the disturbance during a run.
 type condition struct {
 	name         string
 	loss         float64
@@ -38,17 +38,17 @@
 	return []condition{{name: "at rest"}, {name: "10% loss", loss: 0.1}, {name: "a zone restarts", zoneRestarts: true}}
 }
 
-// Result is how one way did under one condition, over all seeds.
+// Result sums up one protocol under one condition over all seeds.
 type Result struct {
 	Protocol, Condition string
 	Size                int
-	Median, Longest     float64 // ms until the last had it, counted from its own start where it restarted
-	Missing             int     // controllers that did not have it in the end
-	Leader, Voter       int     // bytes that the leader, and the voter that sent most, sent at the median
-	Node, MaxNode       int     // bytes that an ordinary controller sent: mean and most, at the median
+	Median, Longest     float64 // ms until the last controller had the document, counted from its own start if it restarted
+	Missing             int     // controllers without the document at the end, over all runs
+	Leader, Voter       int     // bytes sent by the leader and by the busiest voter, medians over the runs
+	Node, MaxNode       int     // bytes sent by an ordinary controller, mean and maximum, medians over the runs
 }
 
-// runResult is one play of a way.
+// runResult is the result of one run of a protocol.
 type runResult struct {
 	last    float64
 	missing int
@@ -58,7 +58,7 @@
 	most    int
 }
 
-// Compare plays all ways under all conditions, with the same seeds.
+// Compare runs all protocols under all conditions with the same seeds.
 func Compare(o Options) (results []Result) {
 	o.Nodes, o.Seeds = cmp.Or(o.Nodes, usualNodes), cmp.Or(o.Seeds, usualSeeds)
 	if o.Sizes == nil {
--- a/internal/lab/scale/dissemination/network.go
+++ b/internal/lab/scale/dissemination/network.go
@@ -1,7 +1,6 @@
-// Package dissemination compares ways in which a document that the quorum agreed on may reach all controllers of a
-// fleet: pushed by the voters, over a tree in each region, and pulled after summaries that are passed on. It is a model in
-// virtual time with one network for all ways; the way that the program uses is measured with its real core by package
-// spread.
+// Package dissemination compares protocols that deliver a document that the quorum agreed on to all controllers of a fleet:
+// a push by the voters, a tree in each region, and a pull after gossiped summaries. It is a model in virtual time with the
+// same network for all protocols. Package spread measures the protocol that the daemon uses with its real core.
 package dissemination
 
 import (
@@ -10,28 +9,28 @@
 	"mintkeel/internal/lab/eventqueue"
 )
 
-// The network, as package spread assumes it: times in ms, sizes in bytes.
+// The network, with the same assumptions as in package spread: times in ms, sizes in bytes.
 const (
 	regions        = 3
-	withinRegion   = 1.0  // one way at least, up to jitter more
-	betweenRegions = 80.0 // one way at least
+	withinRegion   = 1.0  // least one-way latency, to which up to jitter is added
+	betweenRegions = 80.0 // least one-way latency
 	jitter         = 1.0
-	uplink         = 12500.0 // bytes a ms that a controller can send: 100 Mbit/s
-	headerBytes    = 60      // of a message, with those of its frame
+	uplink         = 12500.0 // bytes per ms that a controller can send: 100 Mbit/s
+	headerBytes    = 60      // of a message, including its frame
 	chunkBytes     = 32 << 10
 )
 
 // node is one controller.
 type node struct {
 	up           bool
-	has          bool    // the document
-	receivedAt   float64 // ms, when it came
-	startedAt    float64 // ms, of its last start
-	uplinkFreeAt float64 // ms, when its uplink is free
-	sent         int     // bytes
+	has          bool    // it has the document
+	receivedAt   float64 // ms, when the document arrived
+	startedAt    float64 // ms, time of its last start
+	uplinkFreeAt float64 // ms, when its uplink becomes free
+	sent         int     // bytes sent
 }
 
-// network carries messages between nodes; the first ones are the voters, of which node 0 leads.
+// network delivers messages between nodes. The first nodes are the voters, and node 0 is the leader.
 type network struct {
 	rng    *rand.Rand
 	now    float64
@@ -41,14 +40,14 @@
 	loss   float64
 	size   int // bytes of the document
 
-	onReceived func(to int) // is told of each node that has come to have the document
+	onReceived func(to int) // called for each node that has received the document
 }
 
 func newNetwork(seed int64, nodes, voters, size int, loss float64) *network {
 	n := &network{rng: rand.New(rand.NewSource(seed)), nodes: make([]node, nodes), voters: voters, size: size, loss: loss}
 	for i := range n.nodes {
 		n.nodes[i].up = true
-		n.nodes[i].has = i < voters // a majority has it before it is agreed on
+		n.nodes[i].has = i < voters // in the model all voters; a majority has it before it is agreed on
 	}
 	return n
 }
@@ -59,7 +58,7 @@
 	n.events.Add(n.now+delay, run)
 }
 
-// run lets time pass.
+// run plays all events up to a time.
 func (n *network) run(until float64) {
 	for n.events.Next() <= until {
 		e := n.events.Take()
@@ -69,7 +68,7 @@
 	n.now = until
 }
 
-// send has a message arrive, unless it is lost or one of the two is down.
+// send delivers a message, unless it is lost or one of the two nodes is down.
 func (n *network) send(from, to, bytes int, arrived func()) {
 	sender := &n.nodes[from]
 	if !sender.up {
@@ -93,7 +92,7 @@
 	})
 }
 
-// sendDocument sends the document in chunks; it arrived when all have.
+// sendDocument sends the document in chunks and calls arrived when all have arrived.
 func (n *network) sendDocument(from, to int, arrived func()) {
 	chunks := (n.size + chunkBytes - 1) / chunkBytes
 	missing := chunks
@@ -107,7 +106,7 @@
 	}
 }
 
-// recordReceipt notes that a node has the document.
+// recordReceipt records that a node has the document.
 func (n *network) recordReceipt(to int) {
 	if at := &n.nodes[to]; !at.has {
 		at.has, at.receivedAt = true, n.now
@@ -115,7 +114,7 @@
 	}
 }
 
-// stop ends a node, with all that it has in memory, and starts it again after a while without the document.
+// stop stops a node, which loses the document, and starts it again after a time.
 func (n *network) stop(number int, down float64, started func(int)) {
 	n.nodes[number].up, n.nodes[number].has = false, false
 	n.after(down, func() {
--- a/internal/lab/scale/dissemination/ways.go
+++ b/internal/lab/scale/dissemination/ways.go
@@ -1,23 +1,23 @@
 package dissemination
 
-// Times of all ways, in ms.
+// Parameters of the protocols, times in ms.
 const (
-	retryInterval  = 1000.0 // of a document or a question that was not answered
-	fetchTimeout   = 500.0  // of one that pulls, before it asks another
-	pingInterval   = 1000.0 // of membership, which carries summaries
-	treeAttempts   = 3      // of a parent, before it takes on the children of a child that does not answer
+	retryInterval  = 1000.0 // after which an unanswered document or request is sent again
+	fetchTimeout   = 500.0  // after which a node that fetches the document asks another one
+	pingInterval   = 1000.0 // of membership pings, which carry summaries
+	treeAttempts   = 3      // attempts to reach a child, before its parent takes over the child's children
 	treeFanOut     = 8
-	announceFanOut = 4  // controllers that are told at once
-	summaryBytes   = 40 // in a ping that is sent anyway
+	announceFanOut = 4  // controllers to which a new holder of the document announces it at once
+	summaryBytes   = 40 // of a summary, in a ping that is sent in any case
 )
 
-// protocol is one way of dissemination on a network.
+// protocol is a dissemination protocol on a network.
 type protocol interface {
-	start()                 // the document was agreed on
-	nodeStarted(number int) // a controller has started without the document
+	start()                 // called when the document is agreed on
+	nodeStarted(number int) // called when a controller has started without the document
 }
 
-// Protocols are the names of all, in the order of the table.
+// Protocols returns the names of all protocols, in the order of the table.
 func Protocols() []string { return []string{"voters push", "tree by region", "summaries and pull"} }
 
 func newProtocol(name string, n *network) protocol {
@@ -31,7 +31,7 @@
 	}
 }
 
-// fetchFromVoter has a controller that started ask voters, one after the other, until it has the document.
+// fetchFromVoter makes a controller that has started ask the voters, one after another, until it has the document.
 func (n *network) fetchFromVoter(number, turn int) {
 	if n.nodes[number].has || !n.nodes[number].up {
 		return
@@ -45,7 +45,7 @@
 	n.after(retryInterval, func() { n.fetchFromVoter(number, turn+1) })
 }
 
-// push has each voter send the document to its part of the controllers until they have acknowledged it.
+// push lets each voter send the document to its share of the controllers until they have acknowledged it.
 type push struct {
 	*network
 	acknowledged []bool
@@ -76,12 +76,12 @@
 
 func (p *push) nodeStarted(number int) { p.fetchFromVoter(number, 0) }
 
-// tree has the leader send the document to a voter of each region, and each controller to its children in a tree of its
-// region. A parent takes on the children of a child that does not answer.
+// tree sends the document down a tree in each region, from a voter at its root. A parent takes over the children of a child
+// that does not answer.
 type tree struct {
 	*network
-	order        [regions][]int // the controllers of a region, a voter first
-	place        []int          // of each in its region's order
+	order        [regions][]int // controllers of a region, its root, a voter, first
+	place        []int          // index of each controller in its region's order
 	acknowledged []bool
 }
 
@@ -90,7 +90,7 @@
 	for number := range n.nodes {
 		at := region(number)
 		if number < n.voters && len(t.order[at]) > 0 {
-			continue // it has the document already
+			continue // a further voter already has the document
 		}
 		t.place[number] = len(t.order[at])
 		t.order[at] = append(t.order[at], number)
@@ -105,7 +105,7 @@
 	}
 }
 
-// forward has a controller send the document to its children.
+// forward sends the document from a controller to its children.
 func (t *tree) forward(parent int) {
 	for _, child := range t.children(parent) {
 		t.deliver(parent, child, treeAttempts)
@@ -140,8 +140,8 @@
 
 func (t *tree) nodeStarted(number int) { t.fetchFromVoter(number, 0) }
 
-// pull has each controller that has the document tell some others at once, and one more with each ping; whoever is told
-// fetches it from the teller.
+// pull lets each controller with the document announce it to some others at once, and to another one with each ping. A
+// controller fetches the document from the one that announced it.
 type pull struct {
 	*network
 	fetching []bool
@@ -168,7 +168,7 @@
 	}
 }
 
-// announce has one controller tell another that it has the document; as a part of a ping it costs fewer bytes.
+// announce tells a controller that another one has the document. As part of a ping it costs fewer bytes than a message.
 func (p *pull) announce(from, to, bytes int) {
 	if from == to || !p.nodes[from].has {
 		return
