--- a/internal/lab/scale/hollow/agreement.go
+++ b/internal/lab/scale/hollow/agreement.go
@@ -10,10 +10,10 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// smallFleetSize is how many controllers the fleets have in which leases and the digest are measured.
+// smallFleetSize is the number of controllers of the fleets in which leases and the digest are measured.
 const smallFleetSize = 10
 
-// agreement measures what the quorum's leader spends by leases and by voters.
+// agreement measures the resource usage of the quorum's leader by the numbers of leases and of voters.
 func (m *measurement) agreement(ctx context.Context) ([]slope.Row, error) {
 	type point struct{ leases, voters int }
 	points := []point{{1, usualVoters}, {4, usualVoters}, {16, usualVoters}, {64, usualVoters}, {16, 1}, {16, 3}, {16, 7}}
@@ -23,7 +23,7 @@
 		if err != nil {
 			return fmt.Errorf("%d leases and %d voters: %w", points[i].leases, points[i].voters, err)
 		}
-		m.Logf("%d leases and %d voters: the leader spends %.4f cores and %.0f bytes/s", points[i].leases, points[i].voters,
+		m.Logf("%d leases and %d voters: the leader uses %.4f cores and %.0f bytes/s", points[i].leases, points[i].voters,
 			spent[i].Processor, spent[i].Sent+spent[i].Received)
 		return nil
 	})
@@ -56,7 +56,7 @@
 
 func bySize(a, b slope.Point) int { return int(a.Size - b.Size) }
 
-// measureLeader is what the leader of a fleet spends while all its leases are held.
+// measureLeader measures the resource usage of a fleet's leader while all leases are held.
 func (m *measurement) measureLeader(ctx context.Context, s Spec) (ResourceUsage, error) {
 	f, err := m.open(ctx, s)
 	if err != nil {
@@ -78,10 +78,11 @@
 	return interval.Mean(leader), err
 }
 
-// digestCase is a size of the statistics digest.
+// digestCase is one size of the statistics digest.
 type digestCase struct{ engines, tableGroups int }
 
-// digest measures what the statistics digest costs its holder, voters and others, by engines and table groups.
+// digest measures the cost of the statistics digest for its holder, voters and other controllers, by the numbers of engines
+// and of table groups.
 func (m *measurement) digest(ctx context.Context) ([]slope.Row, error) {
 	const manyGroups, manyEngines = 1000, 300
 	cases := []digestCase{{10, manyGroups}, {100, manyGroups}, {300, manyGroups}, {targetEngines, manyGroups},
@@ -135,7 +136,7 @@
 	return rows, err
 }
 
-// digestUsage is what the digest's holder, voters that do not hold it, and other controllers spend.
+// digestUsage is the resource usage of the digest's holder, of voters that do not hold it, and of other controllers.
 type digestUsage struct{ holder, voter, controller ResourceUsage }
 
 func (m *measurement) measureDigestCase(ctx context.Context, c digestCase) (digestUsage, error) {
@@ -155,7 +156,7 @@
 	if _, err := f.AwaitAllKnown(ctx, knownTimeout); err != nil {
 		return digestUsage{}, err
 	}
-	const round = 5 * time.Second // of gathering and publishing
+	const round = 5 * time.Second // interval at which the holder gathers statistics and publishes the digest
 	rounds := time.Duration(2)
 	if !m.Quick {
 		rounds = 4
--- a/internal/lab/scale/hollow/await.go
+++ b/internal/lab/scale/hollow/await.go
@@ -9,7 +9,7 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -21,7 +21,7 @@
 	}
 }
 
-// TimeoutError is something that was awaited in vain.
+// TimeoutError reports a condition that was not met in time.
 type TimeoutError struct {
 	What    string
 	Timeout time.Duration
@@ -29,10 +29,10 @@
 
 // Error implements error.
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("after %v still not so: %s", e.Timeout, e.What)
+	return fmt.Sprintf("not met within %v: %s", e.Timeout, e.What)
 }
 
-// pollUntil looks again and again until something is so.
+// pollUntil calls a function at an interval until it returns true, an error or the time is over.
 func pollUntil(ctx context.Context, within, each time.Duration, what string, is func() (bool, error)) error {
 	for end := time.Now().Add(within); ; {
 		found, err := is()
@@ -48,18 +48,19 @@
 	}
 }
 
-// AwaitAllKnown waits until all running controllers have seen as many members as they were told to expect, and tells when
-// the last one had.
+// AwaitAllKnown waits until each running controller has seen as many members alive as it was told to expect, and returns
+// when the last one had.
 func (f *Fleet) AwaitAllKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all know all", nil, func(v View) time.Time { return v.KnownAt })
+	return f.awaitLast(ctx, within, "all controllers know all members", nil, func(v View) time.Time { return v.KnownAt })
 }
 
-// AwaitLossKnown waits until all running controllers know of a loss, and tells when the last one did.
+// AwaitLossKnown waits until all running controllers know of a loss, and returns when the last one did.
 func (f *Fleet) AwaitLossKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all know of the loss", nil, func(v View) time.Time { return v.GoneAt })
+	return f.awaitLast(ctx, within, "all controllers know of the loss", nil, func(v View) time.Time { return v.GoneAt })
 }
 
-// awaitLast waits until some controllers, or all that run if none are named, tell a time, and returns the latest.
+// awaitLast waits until the views of some controllers, or of all running ones if at is nil, contain a time, and returns the
+// latest of these times.
 func (f *Fleet) awaitLast(ctx context.Context, within time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
 	const lookEach = 250 * time.Millisecond
 	err = pollUntil(ctx, within, lookEach, what, func() (bool, error) {
@@ -85,13 +86,13 @@
 	return last, err
 }
 
-// AwaitLeader waits until all running voters take part and name the same running leader, and tells its number and when
-// that was seen.
+// AwaitLeader waits until all running voters vote and report the same running leader, and returns its number and the time
+// at which this was observed.
 func (f *Fleet) AwaitLeader(ctx context.Context, within time.Duration, voters int) (leader int, at time.Time, err error) {
 	return f.awaitLeaderAmong(ctx, within, nil, voters)
 }
 
-// awaitLeaderAmong is AwaitLeader of some voters; nil: all that run.
+// awaitLeaderAmong is AwaitLeader for some voters; nil: all that run.
 func (f *Fleet) awaitLeaderAmong(ctx context.Context, within time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
 	const lookEach = 20 * time.Millisecond
 	err = pollUntil(ctx, within, lookEach, "the voters have a leader", func() (bool, error) {
@@ -116,7 +117,7 @@
 	return leader, at, err
 }
 
-// AwaitHolder waits until a lease has a holder whose fencing token is above the one told, and tells both.
+// AwaitHolder waits until a lease has a holder whose fencing token is higher than above, and returns the holder and its grant.
 func (f *Fleet) AwaitHolder(ctx context.Context, within time.Duration, of lease.Name, above lease.Token) (holder int, grant Grant, err error) {
 	const lookEach = 50 * time.Millisecond
 	err = pollUntil(ctx, within, lookEach, fmt.Sprintf("%s has a holder", of), func() (bool, error) {
--- a/internal/lab/scale/hollow/child.go
+++ b/internal/lab/scale/hollow/child.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// action is what a child is asked to do.
+// action is the action that a request asks of a child process.
 type action string
 
 const (
@@ -28,18 +28,18 @@
 	actionHeal         action = "heal"
 )
 
-// request is a line that a child reads.
+// request is one line of JSON that a child reads.
 type request struct {
 	Action   action `json:"action"`
 	Spec     *Spec  `json:"spec,omitempty"`     // of actionOpen
 	Folder   string `json:"folder,omitempty"`   // of actionOpen
 	Numbers  []int  `json:"numbers,omitempty"`  // of actionStart, actionStop, actionAwaitRestart, actionPut and actionCut
-	Expect   int    `json:"expect,omitempty"`   // members, of actionStart, actionAwaitMembers and actionAwaitRestart
+	Expect   int    `json:"expect,omitempty"`   // number of members, of actionStart, actionAwaitMembers and actionAwaitRestart
 	Document []byte `json:"document,omitempty"` // of actionPut
 	Lost     int    `json:"lost,omitempty"`     // of actionAwaitLoss
 }
 
-// reply is the line with which a child answers.
+// reply is the line of JSON with which a child answers a request.
 type reply struct {
 	Error       string       `json:"error,omitempty"`
 	Version     uint64       `json:"version,omitempty"`
@@ -48,8 +48,8 @@
 	Sample      *Sample      `json:"sample,omitempty"`
 }
 
-// ServeChild has this process run a share of a fleet, as it is told by lines of JSON, until its input or the context
-// ends. Then it ends all controllers; a process that can't do so in time exits.
+// ServeChild runs a share of a fleet in this process. It performs the requests that it reads, until its input or the context
+// ends. Then it stops all controllers; if they do not stop in time, the process exits.
 func ServeChild(ctx context.Context, in io.ReadCloser, out io.Writer) error {
 	const closeTime = 5 * time.Second
 	defer context.AfterFunc(ctx, func() { in.Close() })()
@@ -75,7 +75,7 @@
 			answer.Error = err.Error()
 		}
 		if err := replies.Encode(answer); err != nil {
-			return nil // who asked is gone
+			return nil // the parent no longer reads replies
 		}
 	}
 }
@@ -85,13 +85,13 @@
 func (c *child) handle(r request) (answer reply, err error) {
 	if r.Action == actionOpen {
 		if c.share != nil || r.Spec == nil {
-			return answer, errors.New("the share is open already, or no fleet is told")
+			return answer, errors.New("the share is already open, or the request has no spec")
 		}
 		c.share, err = NewShare(*r.Spec, r.Folder)
 		return answer, err
 	}
 	if c.share == nil {
-		return answer, errors.New("the share is not open")
+		return answer, errors.New("the first request must open the share")
 	}
 	switch r.Action {
 	case actionStart:
@@ -106,7 +106,7 @@
 		c.share.AwaitLoss(r.Lost)
 	case actionPut:
 		if len(r.Numbers) != 1 {
-			return answer, errors.New("one controller puts a document")
+			return answer, errors.New("a put needs exactly one controller")
 		}
 		answer.Version, err = c.share.Put(r.Numbers[0], r.Document)
 	case actionViews:
@@ -122,7 +122,7 @@
 	case actionHeal:
 		c.share.Heal()
 	default:
-		err = fmt.Errorf("%q is not known", r.Action)
+		err = fmt.Errorf("unknown action %q", r.Action)
 	}
 	return answer, err
 }
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -16,13 +16,13 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// host stands for the program that uses the fleet's configuration. It takes every version at once.
+// host stands in for the daemon that uses the fleet's configuration. It accepts and applies every version at once.
 type host struct {
 	mu      sync.Mutex
 	applied []Applied
 }
 
-// Applied is a version of the configuration that a controller took into use.
+// Applied is a version of the configuration that a controller has applied.
 type Applied struct {
 	Number uint64    `json:"number"`
 	Bytes  int       `json:"bytes"`
@@ -50,7 +50,7 @@
 	return &configuration.Host{Check: func([]byte) error { return nil }, Apply: h.apply}
 }
 
-// Put has a controller of this share propose a document, and tells the number of the version that was agreed on.
+// Put proposes a document at a controller of this share, and returns the number of the version that was agreed on.
 func (s *Share) Put(number int, document []byte) (uint64, error) {
 	s.mu.Lock()
 	c := s.controllers[number]
@@ -64,14 +64,14 @@
 	case err != nil:
 		return 0, err
 	case status.Config == nil || status.Config.Version == nil:
-		return 0, errors.New("no version is told")
+		return 0, errors.New("the reply to the put has no version")
 	case status.Config.Result != "agreed":
 		return 0, fmt.Errorf("the document was not agreed on: %s, %s", status.Config.Result, status.Config.Reason)
 	}
 	return status.Config.Version.Number, nil
 }
 
-// Put has a controller propose a document, and tells the number of the version that was agreed on.
+// Put proposes a document at a controller, and returns the number of the version that was agreed on.
 func (f *Fleet) Put(number int, document []byte) (version uint64, err error) {
 	replies, err := f.callAll(requestTimeout, func(p *process) *request {
 		if !slices.Contains(p.numbers, number) {
@@ -85,14 +85,14 @@
 	return version, err
 }
 
-// AwaitInForce waits until all running controllers have a version or a later one in force, and tells when the last one had.
+// AwaitInForce waits until all running controllers have a version or a later one in force, and returns when the last one had.
 func (f *Fleet) AwaitInForce(ctx context.Context, within time.Duration, version uint64) (last time.Time, err error) {
 	return f.awaitInForceAt(ctx, within, version, nil)
 }
 
-// awaitInForceAt is AwaitInForce of some controllers; nil: all that run.
+// awaitInForceAt is AwaitInForce for some controllers; nil: all that run.
 func (f *Fleet) awaitInForceAt(ctx context.Context, within time.Duration, version uint64, at []int) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, fmt.Sprintf("version %d is in force at all", version), at, func(v View) time.Time {
+	return f.awaitLast(ctx, within, fmt.Sprintf("version %d is in force at all controllers", version), at, func(v View) time.Time {
 		i := slices.IndexFunc(v.Applied, func(a Applied) bool { return a.Number >= version })
 		if i < 0 {
 			return time.Time{}
@@ -101,11 +101,11 @@
 	})
 }
 
-// documentSizes are the bytes of the documents that are put.
+// documentSizes are the sizes in bytes of the documents that are put.
 var documentSizes = []int{4 << 10, 64 << 10}
 
-// putDocuments puts documents of each size in a running fleet, one after the other, and notes the median and the longest
-// time until the last controller had it in force.
+// putDocuments puts documents of each size in a running fleet, one after another, and records the median and the longest
+// time until the last controller had one in force.
 func (m *measurement) putDocuments(ctx context.Context, f *Fleet, size int) error {
 	rng := rand.New(rand.NewSource(m.Seed + int64(size)))
 	for _, bytes := range documentSizes {
@@ -132,8 +132,8 @@
 
 func putFigureName(bytes int, which string) string { return fmt.Sprintf("put/%d/%s", bytes, which) }
 
-// timePut has a controller put a document, and adds the time until the last one had it in force; none if that was awaited
-// in vain.
+// timePut puts a document at a controller and appends the time until the last controller had it in force. It appends nothing
+// if that timed out.
 func (m *measurement) timePut(ctx context.Context, f *Fleet, size, number int, document []byte, took *[]time.Duration) error {
 	began := time.Now()
 	version, err := f.Put(number, document)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// putRows are the rows of putDocuments.
+// putRows returns the rows of putDocuments, without their points.
 func putRows() (rows []sizeRow) {
 	for _, bytes := range documentSizes {
 		for _, which := range []string{"median", "longest"} {
--- a/internal/lab/scale/hollow/controller.go
+++ b/internal/lab/scale/hollow/controller.go
@@ -24,10 +24,10 @@
 	dialer  *dialer
 	host    *host
 	errors  *errorLog
-	peak    atomic.Int64 // of connections in, where it is looked at
+	peak    atomic.Int64 // highest number of connections in; sampled at voters only
 }
 
-// keyFile is the file of the fleet's key, in its folder.
+// keyFile is the name of the fleet's key file in the fleet's folder.
 const keyFile = "key"
 
 const fleetName = "hollow"
@@ -46,7 +46,7 @@
 	return b
 }
 
-// start starts a controller whose connections are counted in peers too, by acceptor.
+// start starts a controller. Its connections are also counted in peers, indexed by acceptor.
 func start(s Spec, folder string, number, expect int, peers []flowCounter, p *partitions) (*controller, error) {
 	c := &controller{number: number, probe: &probe{expect: expect}, host: &host{}, errors: &errorLog{}}
 	c.dialer = newDialer(number, s.Network, peers, p)
@@ -69,12 +69,12 @@
 	return c, nil
 }
 
-// QuorumView is how a voter sees the quorum.
+// QuorumView is the state of the quorum as seen by a voter.
 type QuorumView struct {
 	Number int    `json:"number"`
 	Leader string `json:"leader"`
 	Term   uint64 `json:"term"`
-	Votes  bool   `json:"votes"` // it takes part
+	Votes  bool   `json:"votes"` // it takes part in the quorum
 }
 
 func (c *controller) quorumView() (QuorumView, error) {
@@ -85,7 +85,7 @@
 	return QuorumView{c.number, status.Quorum.Leader, status.Quorum.Term, status.Quorum.Role == "voting"}, nil
 }
 
-// counters are the counts that the service prints, by their names, as "links.refused".
+// counters returns the service's counts by their dotted names, such as "links.refused".
 func (c *controller) counters() map[string]int64 {
 	into := map[string]int64{}
 	collect(into, "", slog.AnyValue(c.service))
@@ -104,7 +104,7 @@
 	}
 }
 
-// errorLog counts the errors that a controller logs and keeps the first one. All else is dropped.
+// errorLog counts the errors that a controller logs and keeps the first one. It drops all other records.
 type errorLog struct {
 	count atomic.Int64
 	first atomic.Pointer[string]
--- a/internal/lab/scale/hollow/daemons.go
+++ b/internal/lab/scale/hollow/daemons.go
@@ -14,7 +14,7 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// daemons are real controllers among hollow ones: shipped daemons as processes, without clients.
+// daemons are real controllers in a fleet of hollow ones: shipped daemons that run as processes, without clients.
 type daemons struct {
 	folder    string
 	processes []*daemon.Process
@@ -23,8 +23,8 @@
 	cancel    context.CancelFunc
 }
 
-// startDaemons builds the daemon and starts some that join the fleet. Their addresses follow those of the hollow
-// controllers.
+// startDaemons builds the daemon and starts a number of daemons that join the fleet. Their addresses follow those of the
+// hollow controllers.
 func (f *Fleet) startDaemons(ctx context.Context, count int, seed int64) (*daemons, error) {
 	d := &daemons{}
 	ctx, d.cancel = context.WithCancel(ctx)
@@ -75,7 +75,7 @@
 
 func daemonName(i int) string { return fmt.Sprintf("daemon-%d", i) }
 
-// operatorFile is that of a daemon that listens for the fleet at the address of this number.
+// operatorFile returns the operator's file of a daemon that listens for the fleet at the address with the given number.
 func (f *Fleet) operatorFile(folder string, number int) string {
 	var voters []string
 	for voter := range f.spec.Voters {
@@ -116,7 +116,7 @@
 	})
 }
 
-// hasInForce tells whether a daemon's log tells that a version is in force.
+// hasInForce reports whether a daemon's log states that a version is in force.
 func hasInForce(log string, version uint64) bool {
 	for line := range strings.Lines(log) {
 		if strings.Contains(line, "configuration version in force") &&
@@ -127,9 +127,9 @@
 	return false
 }
 
-// daemonUsage is what a daemon has had of processors, and has in memory.
+// daemonUsage is the processor time that a daemon has used and its memory.
 type daemonUsage struct {
-	processor float64 // seconds
+	processor float64 // processor time in s since its start
 	resident  float64 // MB of 2^20 bytes
 }
 
--- a/internal/lab/scale/hollow/daemons_test.go
+++ b/internal/lab/scale/hollow/daemons_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Daemons that can't be built or started are an error, and what was begun is ended.
+// Daemons that cannot be built or started are reported as an error, and those that were started are stopped.
 func TestDaemonsThatDoNotStart(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if d, err := (&Fleet{}).startDaemons(ctx, 1, 1); d != nil || !errors.Is(err, context.Canceled) {
-		t.Errorf("%v, %v", d, err)
+		t.Errorf("daemons %v, error %v; want nil and context.Canceled", d, err)
 	}
 }
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -15,7 +15,7 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// What happens on a day, as the operators tell it.
+// The events of a day, according to the operators, and the parameters of their measurement.
 const (
 	changesPerDay      = 1000
 	replacementsPerDay = 260
@@ -25,14 +25,14 @@
 	dayVoters        = 7
 	dayWindow        = 10 * time.Minute
 	dayDaemons       = 10
-	downTime         = 30 * time.Second // that a controller which failed is away
-	cutTime          = 5 * time.Minute  // that a region is cut off
-	regionInterval   = 3                // a region is one in so many
+	downTime         = 30 * time.Second // for which a failed controller is down
+	cutTime          = 5 * time.Minute  // for which a region is cut off
+	regionInterval   = 3                // a region is every regionInterval-th controller
 	cutPuts          = 3
 	bytesPerMiB      = 1 << 20
 )
 
-// day is how much of a day is measured.
+// day sets how much of a day is measured.
 type day struct {
 	window  time.Duration
 	daemons int
@@ -40,9 +40,9 @@
 	down    time.Duration
 }
 
-// MeasureDay tells what controllers spend for control through a part of a day's mix of changes, replacements and
-// failures, with real daemons among the hollow controllers, and how long a version takes to all while a region is cut
-// off, and to the region once that has ended.
+// MeasureDay measures the control cost of controllers during a part of a day's mix of changes, replacements and failures,
+// with real daemons among the hollow controllers. It also measures how long a version takes until it is in force at all
+// other controllers while a region is cut off, and at the region's controllers after the heal.
 func MeasureDay(ctx context.Context, o Options) ([]slope.Row, error) {
 	m := o.measurement()
 	d := day{window: dayWindow, daemons: dayDaemons, cut: cutTime, down: downTime}
@@ -116,21 +116,21 @@
 	*measurement
 	fleet    *Fleet
 	daemons  *daemons
-	size     int // daemons among them
+	size     int // of the fleet, with daemons
 	hollow   int
 	voters   int
 	day      day
 	rng      *rand.Rand
-	putTimes []time.Duration // of versions, until they were in force at all
+	putTimes []time.Duration // times from the put of a version until it was in force at all controllers
 }
 
-// plannedEvent is one thing of the mix, at a time from its start.
+// plannedEvent is one event of the mix, at a time since the start of the window.
 type plannedEvent struct {
 	at time.Duration
 	do func(context.Context) error
 }
 
-// runMix plays a part of a day's mix and notes what controllers spent.
+// runMix runs a part of a day's mix and records the resource usage of the controllers.
 func (r *dayRun) runMix(ctx context.Context) error {
 	leader, _, err := r.fleet.AwaitLeader(ctx, leaderTimeout, r.voters)
 	if err != nil {
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// plan is the mix of the window, in order: of each kind at least one, spread evenly.
+// plan returns the events of the window in order: at least one of each kind, spread evenly.
 func (r *dayRun) plan() (plan []plannedEvent) {
 	const hoursOfDay = 24
 	share := r.day.window.Hours() / hoursOfDay
@@ -192,7 +192,7 @@
 	return plan
 }
 
-// put has one controller propose a document, and notes when it is in force at all, the daemons among them.
+// put proposes a document at a voter, and records when it is in force at all controllers, including the daemons.
 func (r *dayRun) put(ctx context.Context) error {
 	began := time.Now()
 	version, err := r.fleet.Put(r.rng.Intn(r.voters), r.document())
@@ -210,13 +210,13 @@
 		return err
 	}
 	if now := time.Now(); last.Before(now) && len(r.daemons.processes) > 0 {
-		last = now // daemons are looked at after the others
+		last = now // daemons are polled after the hollow controllers
 	}
 	r.putTimes = append(r.putTimes, last.Sub(began))
 	return nil
 }
 
-// document is one that daemons can use, of random bytes for the rest.
+// document returns a configuration that daemons accept, padded with a comment of random bytes.
 func (r *dayRun) document() []byte {
 	const head = "log {\n level = \"info\"\n}\n# "
 	data := make([]byte, (dayDocumentBytes-len(head))/2)
@@ -224,7 +224,7 @@
 	return []byte(head + hex.EncodeToString(data) + "\n")
 }
 
-// replace has an ordinary controller end and start again at once.
+// replace stops an ordinary controller and starts it again at once.
 func (r *dayRun) replace(_ context.Context) error {
 	number := r.drawOrdinary()
 	if err := r.fleet.Stop([]int{number}); err != nil {
@@ -233,7 +233,7 @@
 	return r.fleet.Start([]int{number}, r.size)
 }
 
-// crash has an ordinary controller end and start again after a while.
+// crash stops an ordinary controller and starts it again after the down time.
 func (r *dayRun) crash(ctx context.Context) error {
 	number := r.drawOrdinary()
 	if err := r.fleet.Stop([]int{number}); err != nil {
@@ -245,7 +245,7 @@
 	return r.fleet.Start([]int{number}, r.size)
 }
 
-// drawOrdinary is a controller that shares its process with others.
+// drawOrdinary draws a controller that shares its process with others.
 func (r *dayRun) drawOrdinary() int { return r.voters + 1 + r.rng.Intn(r.hollow-r.voters-1) }
 
 func (r *dayRun) recordMix(v Interval, leader int) {
@@ -270,7 +270,7 @@
 	}
 }
 
-// recordPuts notes the median and the longest time until versions were in force.
+// recordPuts records the median and the longest time until versions were in force.
 func (m *measurement) recordPuts(size int, figure string, took []time.Duration) {
 	if len(took) == 0 {
 		return
@@ -283,8 +283,8 @@
 		median.Round(time.Millisecond), longest.Round(time.Millisecond))
 }
 
-// cutRegion cuts a region off that has a minority of the voters, has versions agreed on meanwhile, and notes how long they
-// took in the rest, and in the region from the heal.
+// cutRegion cuts off a region with a minority of the voters and puts versions meanwhile. It records how long they take until
+// they are in force outside the region, and how long after the heal the newest one takes until it is in force inside.
 func (r *dayRun) cutRegion(ctx context.Context) error {
 	region, rest := r.regions()
 	if err := r.fleet.Cut(region); err != nil {
@@ -316,7 +316,7 @@
 	if err := sleep(ctx, r.day.cut-time.Since(began)); err != nil {
 		return err
 	}
-	healed := time.Now() // Heal takes a while, and a controller whose connections it opened first may be done before it is
+	healed := time.Now() // before Heal, which takes a while: the first controllers may be up to date before it returns
 	if err := r.fleet.Heal(); err != nil {
 		return err
 	}
@@ -330,7 +330,7 @@
 	return nil
 }
 
-// regions are the hollow controllers inside a region and outside: one in three, voters among them.
+// regions returns the hollow controllers inside a region, every third one including voters, and those outside.
 func (r *dayRun) regions() (inside, outside []int) {
 	for number := range r.hollow {
 		if number%regionInterval == regionInterval-1 {
@@ -342,7 +342,7 @@
 	return inside, outside
 }
 
-// dayRows are the rows of a day's mix, without their points.
+// dayRows returns the rows of a day's mix, without their points.
 func dayRows(d day) (rows []sizeRow) {
 	mix := fmt.Sprintf("a day's mix for %v", d.window)
 	cut := fmt.Sprintf("a region cut off for %v", d.cut)
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Command is the command that runs ServeChild in a child process.
+// Command returns a command that runs ServeChild in a child process.
 type Command func(ctx context.Context) *exec.Cmd
 
 // Fleet is a fleet of hollow controllers in child processes.
@@ -23,7 +23,7 @@
 	processes []*process
 }
 
-// process is a child with its part of the fleet.
+// process is a child process with its share of the fleet.
 type process struct {
 	numbers []int
 	command *exec.Cmd
@@ -33,12 +33,12 @@
 	read    *json.Decoder
 }
 
-// controllersPerProcess is how many ordinary controllers share a process: with 64 connections out and as many in at the start of a
-// fleet they stay below 20,000 descriptors.
+// controllersPerProcess bounds the ordinary controllers that share a process. With 64 connections out and as many in at the
+// start of a fleet, the process stays below 20,000 descriptors.
 const controllersPerProcess = 110
 
-// Layout is which controllers share a process: each voter and one ordinary controller have one of their own, whose costs
-// are theirs alone; the others share.
+// Layout returns the controllers of each process. Each voter and one ordinary controller have a process of their own, so that
+// its costs are theirs alone; the others share processes.
 func Layout(s Spec) [][]int {
 	var layout [][]int
 	alone := min(s.Voters+1, s.Controllers)
@@ -56,7 +56,7 @@
 	return layout
 }
 
-// Open starts the processes of a fleet, without controllers yet.
+// Open starts the processes of a fleet. They run no controllers yet.
 func Open(ctx context.Context, s Spec, command Command) (*Fleet, error) {
 	folder, err := os.MkdirTemp("", "hollow")
 	if err != nil {
@@ -83,7 +83,7 @@
 	return f, nil
 }
 
-// Times within which children answer.
+// Timeouts of the requests to child processes.
 const (
 	openTimeout    = 20 * time.Second
 	startTimeout   = 60 * time.Second
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	command.Stderr = os.Stderr
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt is for the parent, which ends its children
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // interrupts reach only the parent, which stops its children
 	if err := command.Start(); err != nil {
 		return nil, err
 	}
@@ -109,7 +109,8 @@
 	return p, nil
 }
 
-// call has a child do something. A child that does not answer in time is ended, and is an error from then on.
+// call sends a request to a child and waits for the reply. A child that does not reply in time is killed, and all later
+// calls return an error.
 func (p *process) call(within time.Duration, r request) (answer reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +120,7 @@
 		err = p.read.Decode(&answer)
 	}
 	if err != nil {
-		return answer, fmt.Errorf("the process of n%d, asked for %q: %w", p.numbers[0], r.Action, err)
+		return answer, fmt.Errorf("process of n%d, request %q: %w", p.numbers[0], r.Action, err)
 	}
 	if answer.Error != "" {
 		return answer, fmt.Errorf("%s: %s", r.Action, answer.Error)
@@ -127,7 +128,7 @@
 	return answer, nil
 }
 
-// shutDown ends a child: by its closed input, or by force after a while.
+// shutDown closes the input of a child, waits until it exits, and kills it after exitTimeout.
 func (p *process) shutDown() {
 	p.in.Close()
 	timer := time.AfterFunc(exitTimeout, func() { p.command.Process.Kill() })
@@ -135,7 +136,7 @@
 	p.command.Wait()
 }
 
-// callAll asks all children at once; a nil request leaves one out.
+// callAll calls all children at the same time, except those for which the request is nil.
 func (f *Fleet) callAll(within time.Duration, of func(*process) *request) ([]reply, error) {
 	replies := make([]reply, len(f.processes))
 	errs := make([]error, len(f.processes))
@@ -157,7 +158,7 @@
 	return layout
 }
 
-// Close ends all processes and removes what they stored.
+// Close stops all processes and removes the files that they stored.
 func (f *Fleet) Close() {
 	var group sync.WaitGroup
 	for _, p := range f.processes {
@@ -167,7 +168,7 @@
 	os.RemoveAll(f.folder)
 }
 
-// Start starts controllers at once, which note when they know of so many members alive.
+// Start starts controllers at the same time. They record when they know the expected number of members to be alive.
 func (f *Fleet) Start(numbers []int, expect int) error {
 	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
@@ -179,7 +180,7 @@
 	return err
 }
 
-// Stop ends controllers as a crash would.
+// Stop stops controllers as a crash would.
 func (f *Fleet) Stop(numbers []int) error {
 	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
@@ -201,16 +202,16 @@
 	return both
 }
 
-// AwaitMembers has the running controllers note when they know of so many members alive.
+// AwaitMembers makes the running controllers record when they know the expected number of members to be alive.
 func (f *Fleet) AwaitMembers(expect int) error {
 	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitMembers, Expect: expect} })
 	return err
 }
 
-// AwaitRestarts has the running controllers note when they know of so many members alive, some of which have restarted
-// since.
+// AwaitRestarts makes the running controllers record when they know the expected number of members to be alive, the given
+// ones in a later run than now.
 func (f *Fleet) AwaitRestarts(ctx context.Context, expect int, of []int) error {
-	const noted = 2 * pollInterval * time.Millisecond // until all have seen which runs are the old ones
+	const noted = 2 * pollInterval * time.Millisecond // until all controllers have recorded the current runs
 	_, err := f.callAll(requestTimeout, func(*process) *request {
 		return &request{Action: actionAwaitRestart, Expect: expect, Numbers: of}
 	})
@@ -220,13 +221,13 @@
 	return sleep(ctx, noted)
 }
 
-// AwaitLoss has the running controllers note when they know that one is gone.
+// AwaitLoss makes the running controllers record when they know that one controller is gone.
 func (f *Fleet) AwaitLoss(number int) error {
 	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitLoss, Lost: number} })
 	return err
 }
 
-// Views are what all running controllers have seen.
+// Views returns what all running controllers have seen.
 func (f *Fleet) Views() ([]View, error) {
 	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionViews} })
 	var views []View
@@ -236,7 +237,7 @@
 	return views, err
 }
 
-// QuorumViews are how the running voters see the quorum.
+// QuorumViews returns the state of the quorum as seen by the running voters.
 func (f *Fleet) QuorumViews() ([]QuorumView, error) {
 	replies, err := f.callAll(requestTimeout, func(p *process) *request {
 		if p.numbers[0] >= f.spec.Voters {
@@ -251,7 +252,7 @@
 	return list, err
 }
 
-// Samples are samples of all processes, in the layout's order.
+// Samples returns a sample of each process, in the layout's order.
 func (f *Fleet) Samples() ([]Sample, error) {
 	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionSample} })
 	if err != nil {
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -13,7 +13,7 @@
 	"mintkeel/router"
 )
 
-// childVariable has the test's binary run as a child process.
+// childVariable is the environment variable that makes the test binary run as a child process.
 const childVariable = "HOLLOW_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -50,8 +50,8 @@
 	return len(list)
 }
 
-// Five controllers in this process find each other, agree on a leader and on who holds the lease, are counted, and leave
-// neither goroutines nor descriptors behind.
+// Five controllers in this process find each other and agree on a leader and on lease holders. Their traffic is counted, and
+// after the end no goroutine or descriptor remains.
 func TestShare(t *testing.T) {
 	spec := Spec{Controllers: 5, Voters: 3, LeaseTime: 2 * time.Second, Leases: 1, Digest: true, Engines: 20, TableGroups: 30,
 		Network: NewNetwork(0)}
@@ -67,7 +67,7 @@
 	if err := share.Start(numberRange(0, 5), 5); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "not all know all", func() bool {
+	eventually(t, "not all controllers know all members", func() bool {
 		for _, v := range share.Views() {
 			if v.KnownAt.IsZero() {
 				return false
@@ -76,7 +76,7 @@
 		return true
 	})
 	eventually(t, "no leader", func() bool { return len(share.QuorumViews()) == 3 && share.QuorumViews()[0].Leader != "" })
-	eventually(t, "nobody holds the lease and the digest's", func() bool {
+	eventually(t, "the lease and the digest's lease do not both have a holder", func() bool {
 		held := 0
 		for _, v := range share.Views() {
 			held += len(v.Holds)
@@ -90,7 +90,7 @@
 	checkCounts(t, sample)
 	share.AwaitLoss(4)
 	share.Leave([]int{4})
-	eventually(t, "a loss is not known", func() bool {
+	eventually(t, "the loss of n4 is not known to all", func() bool {
 		for _, v := range share.Views() {
 			if v.GoneAt.IsZero() {
 				return false
@@ -99,29 +99,29 @@
 		return len(share.Views()) == 4
 	})
 	share.Close()
-	eventually(t, "goroutines stay", func() bool { return runtime.NumGoroutine() <= before })
-	eventually(t, "descriptors stay", func() bool { return descriptors(t) <= open })
+	eventually(t, "goroutines remain after Close", func() bool { return runtime.NumGoroutine() <= before })
+	eventually(t, "descriptors remain open after Close", func() bool { return descriptors(t) <= open })
 }
 
-// checkCounts looks at whether what controllers sent was received.
+// checkCounts checks that each controller has sent, without errors, and that the counts by acceptor include all that was sent.
 func checkCounts(t *testing.T, sample Sample) {
 	t.Helper()
 	var sent, received Flow
 	for _, u := range sample.Controllers {
 		sent = sent.Plus(u.Sent)
 		if u.Sent.Opened == 0 || u.Errors > 0 {
-			t.Errorf("n%d: %+v", u.Number, u)
+			t.Errorf("n%d has opened no connection or logged errors: %+v", u.Number, u)
 		}
 	}
 	for _, flow := range sample.Received {
 		received = received.Plus(flow)
 	}
 	if received.Opened < sent.Opened || received.Written < sent.Written {
-		t.Errorf("sent %+v and received %+v", sent, received) // received was counted later
+		t.Errorf("received %+v, want at least what was sent: %+v", received, sent) // received was counted later
 	}
 }
 
-// The smallest fleets in processes are measured, and no process stays.
+// The smallest fleets in child processes are measured completely, and no process remains.
 func TestMeasure(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -134,21 +134,21 @@
 	}
 	for _, r := range rows {
 		if len(r.Points) != 2 {
-			t.Errorf("%s: %s (%s) has the points %v", r.Role, r.Cost, r.Condition, r.Points)
+			t.Errorf("%s: %s (%s) has the points %v, want 2", r.Role, r.Cost, r.Condition, r.Points)
 		}
 		for _, p := range r.Points {
 			if p.Value < 0 || p.Value == 0 && r.Unit == "bytes/s" {
-				t.Errorf("%s: %s (%s) has the points %v", r.Role, r.Cost, r.Condition, r.Points)
+				t.Errorf("%s: %s (%s) has a negative point, or no traffic: %v", r.Role, r.Cost, r.Condition, r.Points)
 			}
 		}
 	}
-	if len(rows) != len(sizeRows())+len(putRows())-1 { // deaths take longer
-		t.Errorf("%d of %d rows", len(rows), len(sizeRows()))
+	if len(rows) != len(sizeRows())+len(putRows())-1 { // without the row of deaths, which take longer
+		t.Errorf("%d rows are measured, with %d rows by size and those of puts", len(rows), len(sizeRows()))
 	}
-	eventually(t, "processes stay", func() bool { return children(t) == 0 })
+	eventually(t, "child processes remain", func() bool { return children(t) == 0 })
 }
 
-// children are the processes that this one has.
+// children returns how many threads of this process have child processes.
 func children(t *testing.T) int {
 	t.Helper()
 	n := 0
@@ -165,7 +165,7 @@
 	return n
 }
 
-// A child whose input is closed ends with its controllers.
+// A child process whose input is closed stops its controllers and exits.
 func TestChildEndsWithItsInput(t *testing.T) {
 	f, err := Open(t.Context(), Spec{Controllers: 3, Voters: 3, LeaseTime: time.Second, Network: NewNetwork(9)}, testCommand)
 	if err != nil {
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	if _, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: "dance"} }); err == nil {
-		t.Error("an action that is not known is no error")
+		t.Error("an unknown action returns no error")
 	}
 	for _, p := range f.processes {
 		p.in.Close()
@@ -185,11 +185,11 @@
 		}
 	}
 	if _, err := f.Views(); err == nil {
-		t.Error("a process that ended answers")
+		t.Error("a process that has exited returns views")
 	}
 }
 
-// The bytes that are counted are those of a connection's data, headers, beginning and end.
+// The counted bytes are those of a connection's data, headers, opening and closing.
 func TestFlow(t *testing.T) {
 	network := NewNetwork(19)
 	listener, err := net.Listen("tcp", network.address(1).String())
@@ -214,31 +214,31 @@
 		t.Fatal(err)
 	}
 	if from := conn.LocalAddr().(*net.TCPAddr); from.AddrPort().Addr() != network.address(0).Addr() {
-		t.Errorf("it comes from %v", from)
+		t.Errorf("the connection comes from %v, not from the controller's address", from)
 	}
 	io.ReadFull(conn, make([]byte, len("challenge")))
 	conn.Write(make([]byte, 2000))
 	if d.open.Load() != 1 {
-		t.Error("it is not counted as open")
+		t.Error("the connection is not counted as open")
 	}
 	conn.Close()
 	conn.Close()
 	if _, err := d.dial(t.Context(), network.address(0).String()); err == nil {
-		t.Error("somebody listens where nobody does")
+		t.Error("a dial to an address without a listener succeeds")
 	}
 	want := Flow{Opened: 1, Failed: 1, Written: 2000, Read: 9, SegmentsOut: 2, SegmentsBack: 1}
 	if got := d.own.load(); got != want || d.open.Load() != 0 {
-		t.Errorf("%+v, want %+v; %d are open", got, want, d.open.Load())
+		t.Errorf("counted %+v, want %+v; %d connections are open, want 0", got, want, d.open.Load())
 	}
 	peers := d.peers[0].load().Plus(d.peers[1].load())
 	if peers != want {
-		t.Errorf("by acceptor: %+v, want %+v", peers, want)
+		t.Errorf("counted by acceptor: %+v, want %+v", peers, want)
 	}
 	if f, b := want.Forward(), want.Backward(); f != 2000+3*52+60+3*52+60 || b != 9+3*52+60+2*52+40 {
-		t.Errorf("%d forward, %d back", f, b)
+		t.Errorf("%d bytes forward, %d bytes backward", f, b)
 	}
 	if want.Minus(want) != (Flow{}) {
-		t.Error("nothing is something")
+		t.Error("a flow minus itself is not zero")
 	}
 }
 
@@ -254,56 +254,56 @@
 		"too many of all": {Controllers: 1 << 20, Voters: 3, LeaseTime: time.Second},
 	} {
 		if _, err := NewShare(bad, t.TempDir()); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: NewShare returns no error", what)
 		}
 	}
 	seen := map[int]bool{}
 	for i, share := range Layout(good) {
 		if i <= good.Voters && len(share) != 1 || len(share) > controllersPerProcess {
-			t.Errorf("process %d has %d controllers", i, len(share))
+			t.Errorf("process %d has %d controllers, want 1 for voters and the first ordinary one, or at most the bound", i, len(share))
 		}
 		for _, number := range share {
 			if seen[number] {
-				t.Errorf("n%d is twice there", number)
+				t.Errorf("n%d is in two processes", number)
 			}
 			seen[number] = true
 			if addr := good.Network.address(number).String(); good.Network.number(addr) != number {
-				t.Errorf("%s is the address of n%d, and of n%d", addr, number, good.Network.number(addr))
+				t.Errorf("%s is the address of n%d, but is mapped to n%d", addr, number, good.Network.number(addr))
 			}
 		}
 	}
 	if len(seen) != good.Controllers {
-		t.Errorf("%d controllers", len(seen))
+		t.Errorf("the layout has %d controllers, want all of the spec", len(seen))
 	}
 	if last := NewNetwork(1 << 20); last.Port >= firstSourcePort || NewNetwork(0) == NewNetwork(40) {
 		t.Errorf("fleets of one process listen at %+v and %+v, and open connections from port %d on", NewNetwork(0), NewNetwork(40),
 			firstSourcePort)
 	}
 	if good.Network.number("[::1]:1") != -1 || good.Network.number("here") != -1 {
-		t.Error("a foreign address is a controller's")
+		t.Error("an address outside the network is mapped to a controller")
 	}
 }
 
-// What is awaited in vain is told at the end, and does not keep the rest from being measured; other errors do.
+// A timeout is kept for the end of a run and does not stop the measurement; other errors do.
 func TestLate(t *testing.T) {
 	m := Options{}.measurement()
 	err := pollUntil(t.Context(), 0, time.Millisecond, "all know all", func() (bool, error) { return false, nil })
 	if err == nil || !m.recordTimeout(30, err) || len(m.timeouts) != 1 {
-		t.Errorf("%v; late: %v", err, m.timeouts)
+		t.Errorf("error %v; recorded timeouts: %v, want one", err, m.timeouts)
 	}
 	err = pollUntil(t.Context(), time.Minute, time.Millisecond, "x", func() (bool, error) { return false, io.ErrUnexpectedEOF })
 	if err != io.ErrUnexpectedEOF || m.recordTimeout(30, err) {
-		t.Errorf("%v is late", err)
+		t.Errorf("error %v: want the cause, not recorded as a timeout", err)
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
 	err = pollUntil(ended, time.Minute, time.Minute, "x", func() (bool, error) { return false, nil })
 	if err != context.Canceled || m.recordTimeout(30, err) {
-		t.Errorf("%v is late", err)
+		t.Errorf("error %v: want the cause, not recorded as a timeout", err)
 	}
 }
 
-// No more controllers run at a time than there is room for.
+// The limiter admits no more controllers than its bound, and admits waiting ones after a release.
 func TestRoom(t *testing.T) {
 	room := newLimiter(10)
 	room.acquire(6)
@@ -314,32 +314,33 @@
 	}()
 	select {
 	case <-taken:
-		t.Fatal("there is room for 11")
+		t.Fatal("11 controllers are admitted with a bound of 10")
 	case <-time.After(20 * time.Millisecond):
 	}
 	room.release(6)
 	<-taken
 	if room.free != 5 {
-		t.Errorf("%d are free", room.free)
+		t.Errorf("%d places are free, want 5", room.free)
 	}
 }
 
-// All controllers know the same processes of engines, as a merge would have them many times over otherwise.
+// All controllers know the same processes of engines. Otherwise a merge would contain each engine many times.
 func TestStatistics(t *testing.T) {
 	first, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
 	time.Sleep(2 * time.Millisecond)
 	second, _ := statistics{engines: 30, tableGroups: 20}.Statistics(t.Context(), router.Cursor{}, 0)
 	if len(first.Statistics.Engines) != 30 || len(first.Statistics.Tables) != 20 || first.More {
-		t.Errorf("%d engines and %d table groups", len(first.Statistics.Engines), len(first.Statistics.Tables))
+		t.Errorf("%d engines and %d table groups, want 30 and 20 in one part", len(first.Statistics.Engines), len(first.Statistics.Tables))
 	}
 	for i, e := range first.Statistics.Engines {
 		if other := second.Statistics.Engines[i]; e.Engine != other.Engine || e.StartedAt != other.StartedAt {
-			t.Fatalf("%s of %g and %s of %g", e.Engine, e.StartedAt, other.Engine, other.StartedAt)
+			t.Fatalf("one call returns engine %s started at %g, a later one %s at %g", e.Engine, e.StartedAt, other.Engine, other.StartedAt)
 		}
 	}
 }
 
-// A part of a day's mix is measured with real daemons among hollow controllers, a region is cut off, and no process stays.
+// A part of a day's mix is measured with real daemons among hollow controllers, a region is cut off and healed, and no
+// process remains.
 func TestDay(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 120*time.Second)
 	defer cancel()
@@ -352,11 +353,11 @@
 	}
 	for _, r := range rows {
 		if len(r.Points) != 1 || r.Points[0].Value <= 0 {
-			t.Errorf("%s: %s (%s) has the points %v", r.Role, r.Cost, r.Condition, r.Points)
+			t.Errorf("%s: %s (%s) has the points %v, want one above 0", r.Role, r.Cost, r.Condition, r.Points)
 		}
 	}
-	if len(rows) != len(dayRows(d))-1 { // after the heal there is one time alone
-		t.Errorf("%d of %d rows", len(rows), len(dayRows(d)))
+	if len(rows) != len(dayRows(d))-1 { // after the heal there is only one time, not a median
+		t.Errorf("%d rows are measured, want all but one of %d", len(rows), len(dayRows(d)))
 	}
-	eventually(t, "processes stay", func() bool { return children(t) == 0 })
+	eventually(t, "child processes remain", func() bool { return children(t) == 0 })
 }
--- a/internal/lab/scale/hollow/interval.go
+++ b/internal/lab/scale/hollow/interval.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// ResourceUsage is what a controller spent in an interval.
+// ResourceUsage is the traffic and resource usage of a controller in an interval.
 type ResourceUsage struct {
-	Sent      float64 // bytes a second, with headers
-	Received  float64 // bytes a second, with headers
-	Opened    float64 // connections a second
+	Sent      float64 // bytes per second, with headers
+	Received  float64 // bytes per second, with headers
+	Opened    float64 // connections per second
 	Out       float64 // connections open at the end of the interval
 	In        float64
 	Processor float64 // cores
 	Private   float64 // bytes
 	Resident  float64 // bytes
 	Heap      float64 // bytes
-	WakeUps   float64 // a second
+	WakeUps   float64 // per second
 	Files     float64 // descriptors open
 }
 
@@ -23,7 +23,7 @@
 	before, after []Sample
 }
 
-// Mean is what each of some controllers spent, on average. What processes spend is divided evenly by the controllers in them.
+// Mean returns the mean usage of the given controllers. The usage of a process is divided evenly among its controllers.
 func (v Interval) Mean(numbers ...int) ResourceUsage {
 	var sum ResourceUsage
 	for _, number := range numbers {
@@ -60,7 +60,7 @@
 	return ResourceUsage{}
 }
 
-// received is what went over connections that others opened to a controller.
+// received returns the traffic over connections that others opened to a controller.
 func (v Interval) received(number int) (sum Flow) {
 	for i := range v.before {
 		sum = sum.Plus(v.after[i].Received[number].Minus(v.before[i].Received[number]))
--- a/internal/lab/scale/hollow/loss.go
+++ b/internal/lab/scale/hollow/loss.go
@@ -10,13 +10,13 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// lossShare is the share of segments that the operators ask the fleet to bear.
+// lossShare is the share of lost segments that the operators require the fleet to tolerate.
 const lossShare = 0.1
 
 var lossCondition = fmt.Sprintf("%.0f%% of segments lost", 100*lossShare)
 
-// MeasureLoss tells what a fleet at rest spends where segments are lost on the way between controllers, and how long a
-// version takes to all and a leader is missing there.
+// MeasureLoss measures the cost of a fleet at rest when segments between controllers are lost, how long a version then takes
+// until it is in force at all controllers, and for how long there is no leader after the leader is killed.
 func MeasureLoss(ctx context.Context, o Options) ([]slope.Row, error) {
 	m := o.measurement()
 	if o.Sizes == nil && !o.Quick {
@@ -86,7 +86,7 @@
 	return m.killLeader(ctx, f, size, voters, leader, "lossy/free")
 }
 
-// measurePuts notes how long versions take until they are in force at all.
+// measurePuts records how long versions take until they are in force at all controllers.
 func (m *measurement) measurePuts(ctx context.Context, f *Fleet, size int) error {
 	var took []time.Duration
 	for i := range m.puts {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// lossRows are the rows of measureLoss, without their points.
+// lossRows returns the rows of measureLoss, without their points.
 func lossRows() (rows []sizeRow) {
 	for _, role := range []struct{ figure, name string }{{"controller", "controller"}, {"leader", "quorum leader"}} {
 		figure := "lossy/" + role.figure
--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// How TCP makes up for a lost segment: it waits, and twice as long after each further loss. Loss shows as lateness, and as
-// bytes that go twice.
+// Parameters of the model of TCP retransmission: TCP waits before it retransmits a lost segment, and twice as long after each
+// further loss. Loss therefore appears as delay and as bytes that are sent again.
 const (
-	dataRetransmission = 200 * time.Millisecond // the least that Linux waits
+	dataRetransmission = 200 * time.Millisecond // Linux's minimum retransmission timeout
 	synRetransmission  = time.Second
-	maxRetransmissions = 6  // of one segment; what is later than that ends by the deadlines of links
-	lossyQueue         = 64 // writes on their way on one connection
+	maxRetransmissions = 6  // of one segment; the deadlines of links end what is later than that
+	lossyQueue         = 64 // delayed writes of one connection
 	lossyWriteTime     = 2 * time.Second
 )
 
-// loss is the share of segments that are lost.
+// loss is the share of lost segments.
 type loss float64
 
-// drawSegment draws how often a segment is sent again, and how late it arrives.
+// drawSegment draws how often a segment is retransmitted and by how much that delays it.
 func (l loss) drawSegment(first time.Duration) (again int64, late time.Duration) {
 	for wait := first; again < maxRetransmissions && rand.Float64() < float64(l); wait *= 2 {
 		again++
@@ -32,7 +32,7 @@
 	return again, late
 }
 
-// drawWrite draws the same for a number of segments that are sent together.
+// drawWrite draws the same for segments that are sent together: the sum of retransmissions and the longest delay.
 func (l loss) drawWrite(segments int64, first time.Duration) (again int64, late time.Duration) {
 	for range segments {
 		n, after := l.drawSegment(first)
@@ -42,7 +42,7 @@
 	return again, late
 }
 
-// awaitHandshake waits for as long as lost segments hold up the beginning of a connection: SYN, SYN-ACK and the greeting.
+// awaitHandshake waits for the delay that lost segments cause when a connection is opened: SYN, SYN-ACK and the greeting.
 func (l loss) awaitHandshake(ctx context.Context) error {
 	_, late := l.drawWrite(2, synRetransmission)
 	_, greeting := l.drawSegment(dataRetransmission)
@@ -54,7 +54,8 @@
 	}
 }
 
-// lossyConn delays what is written as the loss of segments does, in order. What is on its way when it is closed is lost.
+// lossyConn delays writes as the loss of segments would, and keeps their order. Writes that are still delayed when it is
+// closed are lost.
 type lossyConn struct {
 	net.Conn
 	loss              loss
@@ -63,17 +64,17 @@
 	queue             chan delayedWrite
 	done              chan struct{}
 	closing           sync.Once
-	lastAt            time.Time // when the last write arrives; of the one that writes
+	lastAt            time.Time // when the last write arrives; used only by the writing goroutine
 	finished          chan struct{}
 }
 
-// delayedWrite is what arrives at a time.
+// delayedWrite is data that arrives at a time.
 type delayedWrite struct {
 	data []byte
 	at   time.Time
 }
 
-// newLossyConn counts the segments that go again by a function.
+// newLossyConn wraps a connection. It calls again with the number of retransmitted segments of each write.
 func newLossyConn(conn net.Conn, l loss, first time.Duration, again func(segments int64)) *lossyConn {
 	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: first, onRetransmit: again, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
 		finished: make(chan struct{})}
@@ -81,7 +82,7 @@
 	return c
 }
 
-// Write implements net.Conn. It is for one goroutine.
+// Write implements net.Conn. Only one goroutine may call it.
 func (c *lossyConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.done:
@@ -110,7 +111,7 @@
 	return b
 }
 
-// deliver writes each write once it arrives, until the connection is closed.
+// deliver passes each write to the underlying connection at its time of arrival, until the connection is closed.
 func (c *lossyConn) deliver() {
 	defer close(c.finished)
 	for {
--- a/internal/lab/scale/hollow/measure.go
+++ b/internal/lab/scale/hollow/measure.go
@@ -11,17 +11,17 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Options say what Measure measures.
+// Options configure the measurements.
 type Options struct {
 	Quick   bool
 	Seed    int64
-	Sizes   []int // of fleets; nil: the usual ones
+	Sizes   []int // of fleets; nil: the defaults
 	Voters  int   // 0: 5
 	Command Command
-	Logf    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // logs each measured figure; nil: no log
 }
 
-// The size that the fleet is built for, and what the operators let a controller spend for control.
+// The target sizes of the fleet, the operators' budgets of a controller for control, and the defaults of the measurements.
 const (
 	targetControllers = 670
 	targetEngines     = 1100
@@ -39,33 +39,33 @@
 	usualLease          = 10 * time.Second
 	usualVoters         = 5
 	leasesAtRest        = 2
-	initialShare        = 200.0 / targetControllers // of a fleet runs when the rest starts at once
-	zoneShare           = 67.0 / targetControllers  // of a fleet restarts at once
+	initialShare        = 200.0 / targetControllers // share of a fleet that runs before the rest starts at once
+	zoneShare           = 67.0 / targetControllers  // share of a fleet that restarts at once
 )
 
 type measurement struct {
 	Options
-	settle   time.Duration // before something is measured
-	window   time.Duration // in which it is
+	settle   time.Duration // waiting time before a measurement
+	window   time.Duration // duration of a measurement
 	lease    time.Duration
-	puts     int  // of documents, of each size
-	deaths   bool // how long it takes until a death is known is measured
+	puts     int  // documents of each size that are put
+	deaths   bool // whether the time until a death is known to all is measured
 	mu       sync.Mutex
 	figures  []figures
-	timeouts []error // what was awaited in vain while the rest was measured
+	timeouts []error // conditions that were not met in time; the rest was measured
 }
 
-// Measure runs fleets of several sizes and tells what they cost at rest, when many controllers start or restart at once,
-// and for how long a leader and a lease's holder are missing. It returns what it could measure also where it returns an
-// error.
+// Measure runs fleets of several sizes. It measures their costs at rest and when many controllers start or restart at once,
+// and for how long there is no leader and no holder of a lease after they are killed. Together with an error it returns the
+// rows that it could measure.
 func Measure(ctx context.Context, o Options) ([]slope.Row, error) { return o.measurement().sizes(ctx) }
 
-// MeasureAgreement tells what the quorum's leader spends by leases and by voters.
+// MeasureAgreement measures the resource usage of the quorum's leader by the numbers of leases and of voters.
 func MeasureAgreement(ctx context.Context, o Options) ([]slope.Row, error) {
 	return o.measurement().agreement(ctx)
 }
 
-// MeasureDigest tells what the statistics digest costs by engines and table groups.
+// MeasureDigest measures the cost of the statistics digest by the numbers of engines and of table groups.
 func MeasureDigest(ctx context.Context, o Options) ([]slope.Row, error) {
 	return o.measurement().digest(ctx)
 }
@@ -90,7 +90,7 @@
 	return m
 }
 
-// fleets counts the fleets of this process, each of which has a network of its own.
+// fleets counts the fleets of this process, to give each a network of its own.
 var fleets atomic.Int64
 
 // open opens a fleet with a network of its own.
@@ -100,7 +100,7 @@
 	return Open(ctx, s, m.Command)
 }
 
-// forEachCase measures several cases: one after the other, or all beside each other where it is to be quick.
+// forEachCase measures cases one after another or, with Quick, all at the same time.
 func forEachCase[T any](m *measurement, cases []T, measure func(T) error) error {
 	errs := make([]error, len(cases))
 	var group sync.WaitGroup
@@ -115,7 +115,7 @@
 	return errors.Join(errs...)
 }
 
-// measureInterval is what is spent within the window.
+// measureInterval samples all processes at the start and at the end of a window.
 func (m *measurement) measureInterval(ctx context.Context, f *Fleet, window time.Duration) (Interval, error) {
 	before, err := f.Samples()
 	if err != nil {
@@ -128,8 +128,8 @@
 	return Interval{f.layout(), before, after}, err
 }
 
-// measureWithOneLeader is what is spent within the window by a fleet at rest, and which voter led it. A window in which another one came
-// to lead is watched again.
+// measureWithOneLeader measures a window of a fleet at rest and returns the voter that led it. It measures another window if
+// the leader changed.
 func (m *measurement) measureWithOneLeader(ctx context.Context, f *Fleet, voters int) (leader int, interval Interval, err error) {
 	const tries = 3
 	leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters)
@@ -145,12 +145,12 @@
 		if leader == was {
 			return leader, interval, err
 		}
-		m.Logf("n%d leads after n%d, though nothing was done", leader, was)
+		m.Logf("the leader changed to n%d from n%d in a fleet at rest", leader, was)
 	}
-	return leader, interval, &TimeoutError{What: "one voter leads throughout a window", Timeout: tries * m.window}
+	return leader, interval, &TimeoutError{What: "the same voter leads throughout a window", Timeout: tries * m.window}
 }
 
-// figures are those of a fleet of one size; a figure that is missing was not measured.
+// figures are the measured figures of a fleet of one size, by name.
 type figures struct {
 	size   int
 	values map[string]float64
@@ -181,7 +181,7 @@
 	m.record(size, role+"/connections", s.Out+s.In)
 }
 
-// points are the points of one figure by size.
+// points returns the points of one figure, sorted by size.
 func (m *measurement) points(name string) (points []slope.Point) {
 	for _, f := range m.figures {
 		if value, ok := f.values[name]; ok {
--- a/internal/lab/scale/hollow/partition.go
+++ b/internal/lab/scale/hollow/partition.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// partition parts some controllers from all others.
+// partition separates some controllers from all others.
 type partition struct {
 	inside map[int]bool
-	healed chan struct{} // closed when it has ended
+	healed chan struct{} // closed when the partition ends
 }
 
-// partitions is the partition that there is now, if any. Its zero value is none; a nil pointer never has one.
+// partitions holds the current partition, if there is one. The zero value has none, and a nil pointer never has one.
 type partitions struct{ current atomic.Pointer[partition] }
 
-// start parts controllers from all others, in place of an earlier partition.
+// start separates controllers from all others and ends an earlier partition.
 func (p *partitions) start(inside []int) {
 	next := &partition{inside: map[int]bool{}, healed: make(chan struct{})}
 	for _, number := range inside {
@@ -24,7 +24,7 @@
 	p.replace(next)
 }
 
-// heal heals the partition.
+// heal ends the partition.
 func (p *partitions) heal() { p.replace(nil) }
 
 func (p *partitions) replace(next *partition) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// between is the partition that parts two controllers; nil: none does.
+// between returns the partition that separates two controllers, or nil if there is none.
 func (p *partitions) between(a, b int) *partition {
 	if p == nil {
 		return nil
@@ -45,7 +45,7 @@
 	return now
 }
 
-// await waits until no partition parts two controllers, as an attempt to connect does whose packets are lost.
+// await waits until no partition separates two controllers, as a connection attempt does while its packets are lost.
 func (p *partitions) await(ctx context.Context, a, b int) error {
 	for {
 		now := p.between(a, b)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Cut parts controllers of the fleet from all others: connections between the two sides end, and new ones do not come up.
+// Cut separates controllers of the fleet from all others: connections between the two sides are closed, and new ones hang.
 func (s *Share) Cut(inside []int) {
 	s.partitions.start(inside)
 	for _, c := range s.running() {
@@ -68,10 +68,10 @@
 	}
 }
 
-// Heal ends a cut.
+// Heal ends the partition.
 func (s *Share) Heal() { s.partitions.heal() }
 
-// closeCutOff ends connections to controllers on the other side.
+// closeCutOff closes the connections to controllers on the other side of the partition.
 func (d *dialer) closeCutOff() {
 	d.mu.Lock()
 	var parted []net.Conn
@@ -86,13 +86,13 @@
 	}
 }
 
-// Cut parts controllers from all others.
+// Cut separates controllers from all others.
 func (f *Fleet) Cut(inside []int) error {
 	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionCut, Numbers: inside} })
 	return err
 }
 
-// Heal ends a cut.
+// Heal ends the partition.
 func (f *Fleet) Heal() error {
 	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionHeal} })
 	return err
--- a/internal/lab/scale/hollow/partition_test.go
+++ b/internal/lab/scale/hollow/partition_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestPartition has a connection between two sides end and a new one hang until the partition is healed, while
-// connections within a side are left alone.
+// A partition closes connections between its sides and makes new ones hang until it is healed. Connections within a side
+// stay open.
 func TestPartition(t *testing.T) {
 	network := NewNetwork(20)
 	cut := &partitions{}
@@ -44,15 +44,15 @@
 	cut.start([]int{0, 1})
 	d.closeCutOff()
 	if _, err := other.Write([]byte{1}); err == nil {
-		t.Error("a connection between the sides goes on")
+		t.Error("a connection between the sides is still open")
 	}
 	if _, err := same.Write([]byte{1}); err != nil {
-		t.Errorf("a connection within a side: %v", err)
+		t.Errorf("write on a connection within a side: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := d.dial(ctx, network.address(2).String()); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a new connection between the sides: %v", err)
+		t.Errorf("new connection between the sides: %v, want context.DeadlineExceeded", err)
 	}
 	connected := make(chan error, 1)
 	go func() {
@@ -64,21 +64,21 @@
 	}()
 	cut.heal()
 	if err := <-connected; err != nil {
-		t.Errorf("after the heal: %v", err)
+		t.Errorf("the waiting connection after the heal: %v", err)
 	}
 	other.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.conns) != 1 {
-		t.Errorf("%d connections are known to be open", len(d.conns))
+		t.Errorf("%d connections are registered as open, want 1", len(d.conns))
 	}
 }
 
 // portTests counts the runs of TestSourcePortsRest in this process.
 var portTests atomic.Int64
 
-// TestSourcePortsRest has a fleet use more source ports than a dialer tries, and close its connections first, so that the
-// system lets those ports rest: another fleet of the same process connects all the same.
+// A fleet uses more source ports than a dialer tries and closes its connections first, so that the system keeps these ports
+// in TIME_WAIT. Another fleet of the same process must still be able to connect.
 func TestSourcePortsRest(t *testing.T) {
 	connect := func(network Network, count int) {
 		t.Helper()
@@ -101,7 +101,7 @@
 			accepted.Close()
 		}
 	}
-	pair := 40 + 2*int(portTests.Add(1)-1)%(fleetsPerProcess-40) // of fleets that no other test has; ports of an earlier run rest
+	pair := 40 + 2*int(portTests.Add(1)-1)%(fleetsPerProcess-40) // numbers of fleets that no other test uses; ports of an earlier run are in TIME_WAIT
 	connect(NewNetwork(pair), 2*portAttempts)
 	connect(NewNetwork(pair+1), 1)
 }
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -11,21 +11,21 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// probe is the job that looks at the fleet from within a controller.
+// probe is a job that observes the fleet from within a controller.
 type probe struct {
 	mu          sync.Mutex
-	expect      int                   // members alive for which it waits; 0: it does not
-	alive       int                   // members seen alive at the last look
-	knownAt     time.Time             // when there were as many
-	awaitedRuns map[members.ID]uint64 // members that are to be seen in another run than this, for knownAt; 0: the run to be noted
+	expect      int                   // number of members alive that is awaited; 0: none
+	alive       int                   // members seen alive at the last poll
+	knownAt     time.Time             // when the awaited members were first seen
+	awaitedRuns map[members.ID]uint64 // by member: the run to be succeeded by a later one before knownAt is set; 0: to be recorded at the next poll
 	lost        members.ID
-	goneAt      time.Time // when the lost member was no longer taken to be alive or suspect
+	goneAt      time.Time // when the lost member was first seen neither alive nor suspect
 	lookAt      float64
 	held        map[lease.Name]lease.Token
 	grants      []Grant
 }
 
-// Grant is a lease that a controller came to hold.
+// Grant is a lease that a controller has acquired.
 type Grant struct {
 	Lease lease.Name  `json:"lease"`
 	Token lease.Token `json:"token"`
@@ -33,11 +33,11 @@
 }
 
 const (
-	pollInterval = 250.0 // ms between two looks at the members while something is awaited
+	pollInterval = 250.0 // ms between two polls of the members while something is awaited
 	maxGrants    = 1000
 )
 
-// Began notes a lease that this controller holds from now on.
+// Began records a lease that this controller now holds.
 func (p *probe) Began(_ job.Context, grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Ended notes that a lease is held no more.
+// Ended records that a lease is no longer held.
 func (p *probe) Ended(grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Tick looks at the members while something is awaited.
+// Tick polls the members while something is awaited.
 func (p *probe) Tick(h job.Context, now float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,14 +90,15 @@
 	}
 }
 
-// awaitMembers has the probe note when it sees so many members alive.
+// awaitMembers makes the probe record when it sees the expected number of members alive.
 func (p *probe) awaitMembers(expect int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expect, p.knownAt, p.awaitedRuns = expect, time.Time{}, nil
 }
 
-// awaitRestarts has the probe note when it sees so many members alive, and some of them in another run than now.
+// awaitRestarts makes the probe record when it sees the expected number of members alive, and the given ones in another run
+// than now.
 func (p *probe) awaitRestarts(expect int, of []members.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// awaitLoss has the probe note when it knows that a member is gone.
+// awaitLoss makes the probe record when it knows that a member is gone.
 func (p *probe) awaitLoss(of members.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +119,7 @@
 type View struct {
 	Number  int          `json:"number"`
 	KnownAt time.Time    `json:"known_at"` // zero: not yet
-	Alive   int          `json:"alive"`    // members seen alive at the last look while something was awaited
+	Alive   int          `json:"alive"`    // members seen alive at the last poll while something was awaited
 	GoneAt  time.Time    `json:"gone_at"`  // zero: not yet
 	Holds   []lease.Name `json:"holds,omitempty"`
 	Grants  []Grant      `json:"grants,omitempty"`
--- a/internal/lab/scale/hollow/room.go
+++ b/internal/lab/scale/hollow/room.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// limiter bounds how many controllers run at a time.
+// limiter is a semaphore that bounds how many controllers run at a time.
 type limiter struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -15,7 +15,7 @@
 	return r
 }
 
-// acquire waits until there is room for so many.
+// acquire waits until size controllers may run, and reserves them.
 func (r *limiter) acquire(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,7 +25,7 @@
 	r.free -= size
 }
 
-// release gives room back.
+// release returns a reservation.
 func (r *limiter) release(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scale/hollow/rows.go
+++ b/internal/lab/scale/hollow/rows.go
@@ -4,7 +4,7 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// sizeRow is a row of the fleets by size, with the name of its figure.
+// sizeRow is a row by fleet size, with the name of its figure.
 type sizeRow struct {
 	figure string
 	row    slope.Row
@@ -12,7 +12,7 @@
 
 const atRest = "at rest"
 
-// sizeRows are the rows that are measured by size of the fleet, without their points.
+// sizeRows returns the rows that are measured by fleet size, without their points.
 func sizeRows() (rows []sizeRow) {
 	for _, role := range []struct{ figure, name, note string }{
 		{"controller", "controller", "alone in its process"},
@@ -68,7 +68,7 @@
 	return append(rows, massStartRows()...)
 }
 
-// massStartRows are what a voter and an ordinary controller spend while many start.
+// massStartRows returns the rows of the usage of a voter and an ordinary controller while many controllers start.
 func massStartRows() (rows []sizeRow) {
 	for _, rush := range []struct{ figure, condition string }{
 		{"part", "the last 70% start at once"},
--- a/internal/lab/scale/hollow/share.go
+++ b/internal/lab/scale/hollow/share.go
@@ -15,7 +15,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Share is the controllers of a fleet that run in this process.
+// Share holds the controllers of a fleet that run in this process.
 type Share struct {
 	spec   Spec
 	folder string
@@ -23,14 +23,14 @@
 
 	mu          sync.Mutex
 	controllers map[int]*controller
-	stopped     map[int]Flow // of controllers that were stopped
+	stopped     map[int]Flow // traffic of the controllers that were stopped, by number
 	partitions  partitions
 
 	end   chan struct{}
 	group sync.WaitGroup
 }
 
-// NewShare is a share without controllers; the folder holds the fleet's key and all that its controllers store.
+// NewShare returns a share without controllers. The folder holds the fleet's key and the files of its controllers.
 func NewShare(s Spec, folder string) (*Share, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -41,13 +41,13 @@
 	return share, nil
 }
 
-// WriteKey writes the file of the fleet's key, which must be there before the first controller starts.
+// WriteKey writes the fleet's key file, which must exist before the first controller starts.
 func WriteKey(folder string) error {
 	const keyDigits = 64
 	return os.WriteFile(folder+"/"+keyFile, []byte(strings.Repeat("5a", keyDigits/2)+"\n"), 0o600)
 }
 
-// Start starts controllers at once; they note when they know of so many members alive.
+// Start starts controllers at the same time. They record when they know the expected number of members to be alive.
 func (s *Share) Start(numbers []int, expect int) error {
 	errs := make([]error, len(numbers))
 	var group sync.WaitGroup
@@ -65,7 +65,7 @@
 	return errors.Join(errs...)
 }
 
-// Stop ends controllers without a word to the others, as a crash would.
+// Stop stops controllers without a message to the others, as a crash would.
 func (s *Share) Stop(numbers []int) {
 	var group sync.WaitGroup
 	for _, number := range numbers {
@@ -83,9 +83,9 @@
 	group.Wait()
 }
 
-// Leave ends controllers after they have given up their leases and said that they end, as a planned restart does.
+// Leave stops controllers after they have released their leases and announced that they leave, as a planned restart does.
 func (s *Share) Leave(numbers []int) {
-	const farewell = 300 * time.Millisecond // for the message to be sent
+	const farewell = 300 * time.Millisecond // until the message has been sent
 	s.mu.Lock()
 	for _, number := range numbers {
 		if c := s.controllers[number]; c != nil {
@@ -110,7 +110,7 @@
 	return slices.Sorted(maps.Keys(s.controllers))
 }
 
-// running are the controllers by number.
+// running returns the controllers, sorted by number.
 func (s *Share) running() []*controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,14 +121,15 @@
 	return list
 }
 
-// AwaitMembers has all controllers note when they know of so many members alive.
+// AwaitMembers makes all controllers record when they know the expected number of members to be alive.
 func (s *Share) AwaitMembers(expect int) {
 	for _, c := range s.running() {
 		c.probe.awaitMembers(expect)
 	}
 }
 
-// AwaitRestarts has all controllers note when they know of so many members alive, some of which have restarted since.
+// AwaitRestarts makes all controllers record when they know the expected number of members to be alive, the given ones in a
+// later run than now.
 func (s *Share) AwaitRestarts(expect int, of []int) {
 	ids := make([]members.ID, len(of))
 	for i, number := range of {
@@ -139,14 +140,14 @@
 	}
 }
 
-// AwaitLoss has all controllers note when they know that one is gone.
+// AwaitLoss makes all controllers record when they know that one controller is gone.
 func (s *Share) AwaitLoss(number int) {
 	for _, c := range s.running() {
 		c.probe.awaitLoss(name(number))
 	}
 }
 
-// Views are what the controllers have seen.
+// Views returns what the controllers have seen.
 func (s *Share) Views() []View {
 	var views []View
 	for _, c := range s.running() {
@@ -157,7 +158,8 @@
 	return views
 }
 
-// QuorumViews are how the voters of this share see the quorum. A voter that is not yet up is left out.
+// QuorumViews returns the state of the quorum as seen by the voters of this share. It leaves out voters that do not answer
+// yet.
 func (s *Share) QuorumViews() []QuorumView {
 	var list []QuorumView
 	for _, c := range s.running() {
@@ -170,7 +172,8 @@
 	return list
 }
 
-// samplePeaks looks at how many connections come in at voters, as a fleet's start is over within seconds.
+// samplePeaks polls the number of connections in at voters and keeps the maximum. It polls often, because the start of a
+// fleet is over within seconds.
 func (s *Share) samplePeaks() {
 	const lookEach = 50 * time.Millisecond
 	ticker := time.NewTicker(lookEach)
@@ -189,14 +192,14 @@
 	}
 }
 
-// Usage is what one controller has sent since its start, and how many connections it has.
+// Usage is the traffic of one controller since its start, its connections and its error counts.
 type Usage struct {
 	Number       int    `json:"number"`
-	Sent         Flow   `json:"sent"` // over connections that it opened, also in earlier lives
+	Sent         Flow   `json:"sent"` // over connections that it opened, including those of earlier runs
 	Out          int64  `json:"out"`  // connections open
 	In           int64  `json:"in"`
-	PeakIn       int64  `json:"peak_in"` // at a voter: the most since its start
-	Refused      int64  `json:"refused"` // connections that found no room
+	PeakIn       int64  `json:"peak_in"` // at a voter: the maximum since its start
+	Refused      int64  `json:"refused"` // connections refused at the bound
 	Dropped      int64  `json:"dropped"` // messages that were not sent
 	Full         int64  `json:"full"`    // messages that found the inbox full
 	Restarts     int64  `json:"restarts"`
@@ -204,21 +207,21 @@
 	FirstProblem string `json:"first_problem,omitempty"`
 }
 
-// Process is what a process has spent. Processor time and wake-ups are told before and after the sample itself was taken,
-// so that the difference of two samples is without them.
+// Process is the resource usage of a process. Processor time and wake-ups are read before and after the rest of the sample,
+// so that the difference of two samples excludes the cost of sampling.
 type Process struct {
 	Processor      float64 `json:"processor"` // seconds
 	ProcessorAfter float64 `json:"processor_after"`
-	WakeUps        int64   `json:"wake_ups"` // times that a thread waited and went on
+	WakeUps        int64   `json:"wake_ups"` // voluntary context switches of its threads
 	WakeUpsAfter   int64   `json:"wake_ups_after"`
 	Resident       float64 `json:"resident"` // bytes
-	Private        float64 `json:"private"`  // resident bytes that are not of files
+	Private        float64 `json:"private"`  // resident bytes that are not shared with files
 	Heap           float64 `json:"heap"`     // bytes in use by objects and stacks, after a collection
 	Descriptors    int     `json:"descriptors"`
 	Goroutines     int     `json:"goroutines"`
 }
 
-// Sample is how things stand in a share.
+// Sample is the state of a share at a time.
 type Sample struct {
 	At          time.Time    `json:"at"`
 	Process     Process      `json:"process"`
@@ -254,7 +257,7 @@
 	return sample, nil
 }
 
-// readProcess is what this process has spent.
+// readProcess returns the resource usage of this process.
 func readProcess() (Process, error) {
 	var p Process
 	var err error
@@ -283,7 +286,7 @@
 	return p, err
 }
 
-// processorUsage is the processor time of this process in seconds, and how often one of its threads waited and went on.
+// processorUsage returns the processor time of this process in seconds and its voluntary context switches.
 func processorUsage() (processor float64, wakeUps int64, err error) {
 	var usage syscall.Rusage
 	err = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/internal/lab/scale/hollow/sizes.go
+++ b/internal/lab/scale/hollow/sizes.go
@@ -42,7 +42,8 @@
 	return rows, errors.Join(append(errs, m.timeouts...)...)
 }
 
-// recordTimeout tells whether an error is of something that was awaited in vain. It is told at the end; the rest can be measured.
+// recordTimeout reports whether an error is a TimeoutError. If so, it keeps the error for the end of the run, so that the rest
+// can be measured.
 func (m *measurement) recordTimeout(size int, err error) bool {
 	var late *TimeoutError
 	if !errors.As(err, &late) {
@@ -55,7 +56,8 @@
 	return true
 }
 
-// measureFullStart starts a fleet at once, watches it at rest, and takes its leader and a lease's holder from it.
+// measureFullStart starts all controllers of a fleet at once, measures it at rest, and then kills its leader and the holder of
+// a lease.
 func (m *measurement) measureFullStart(ctx context.Context, size int) error {
 	voters := min(m.Voters, size-2) | 1
 	f, err := m.open(ctx, Spec{Controllers: size, Voters: voters, Leases: leasesAtRest, Configured: true})
@@ -73,7 +75,7 @@
 	}
 	if err == nil {
 		m.record(size, "start/known", milliseconds(last.Sub(began)))
-		m.Logf("%d controllers: all know all after %v", size, last.Sub(began).Round(time.Millisecond))
+		m.Logf("%d controllers: all know all members after %v", size, last.Sub(began).Round(time.Millisecond))
 	}
 	if err := m.recordMedian(f, size, "start", began); err != nil {
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// recordRest notes what a fleet spent at rest.
+// recordRest records the resource usage of a fleet at rest.
 func (m *measurement) recordRest(interval Interval, size, voters, leader int) {
 	followers := slices.DeleteFunc(numberRange(0, voters), func(n int) bool { return n == leader })
 	m.recordUsage(size, "leader", interval.Mean(leader))
@@ -120,7 +122,7 @@
 	m.Logf("%d controllers at rest: controller %+.0f", size, interval.Mean(voters))
 }
 
-// recordMedian notes after how long half of the controllers knew all.
+// recordMedian records the time until half of the controllers knew all members.
 func (m *measurement) recordMedian(f *Fleet, size int, when string, began time.Time) error {
 	views, err := f.Views()
 	if err != nil {
@@ -141,12 +143,12 @@
 		m.record(size, when+"/median", median)
 	}
 	if unknowing > 0 {
-		m.Logf("%d controllers, %s: %d of %d do not know all, but %d to %d", size, when, unknowing, len(views), fewest, most)
+		m.Logf("%d controllers, %s: %d of %d do not know all members, but %d to %d", size, when, unknowing, len(views), fewest, most)
 	}
 	return nil
 }
 
-// recordStart notes what a start did to the voters.
+// recordStart records the connections and messages refused and dropped during a start, and the peak of connections at voters.
 func (m *measurement) recordStart(samples []Sample, size int, when string) {
 	refused, peak, dropped, problem := 0.0, 0.0, 0.0, ""
 	for _, s := range samples {
@@ -167,7 +169,7 @@
 	}
 }
 
-// killLeader ends the leader, and notes for how long none leads.
+// killLeader stops the leader as a crash would, and records for how long there is no leader.
 func (m *measurement) killLeader(ctx context.Context, f *Fleet, size, voters, leader int, figure string) error {
 	if err := f.AwaitLoss(leader); err != nil {
 		return err
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// killHolder ends the holder of a lease.
+// killHolder stops the holder of a lease as a crash would, and records for how long there is no holder.
 func (m *measurement) killHolder(ctx context.Context, f *Fleet, size int) error {
 	of := lease.Name("lease-00")
 	holder, grant, err := f.AwaitHolder(ctx, knownTimeout, of, 0)
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// measurePartialStart has a part of the fleet run, and starts the rest at once. Then a zone restarts.
+// measurePartialStart starts a part of the fleet first and then the rest at once. After that it restarts a zone.
 func (m *measurement) measurePartialStart(ctx context.Context, size int) error {
 	voters := min(m.Voters, size-2) | 1
 	first := max(voters+1, int(float64(size)*initialShare))
@@ -250,8 +252,8 @@
 	})
 }
 
-// measureMassStart has many controllers begin at once, and notes when all know of it, what it did to the voters and what the time
-// until then, or a window after it, cost.
+// measureMassStart starts many controllers at once with begin. It records when all know all members, the effect on the
+// voters, and the mean cost until then or for a window, whichever is longer.
 func (m *measurement) measureMassStart(ctx context.Context, f *Fleet, size, voters int, figure string, begin func() error) error {
 	before, err := f.Samples()
 	if err != nil {
@@ -268,7 +270,7 @@
 	took := last.Sub(began)
 	if err == nil {
 		m.record(size, figure+"/known", milliseconds(took))
-		m.Logf("%d controllers, %s: all know all after %v", size, figure, took.Round(time.Millisecond))
+		m.Logf("%d controllers, %s: all know all members after %v", size, figure, took.Round(time.Millisecond))
 	}
 	if err := m.recordMedian(f, size, figure, began); err != nil {
 		return err
--- a/internal/lab/scale/hollow/sockets.go
+++ b/internal/lab/scale/hollow/sockets.go
@@ -10,18 +10,18 @@
 	"syscall"
 )
 
-// Sizes of TCP over IPv4 on Ethernet, with timestamps.
+// Sizes in bytes of TCP over IPv4 on Ethernet, with timestamps.
 const (
-	headerBytes  = 52   // of a segment, and so of an acknowledgement
-	synBytes     = 60   // of the two segments that open a connection
-	resetBytes   = 40   // of the answer of a machine where nobody listens
-	segmentBytes = 1448 // of data that a segment carries
+	headerBytes  = 52   // headers of a segment, and thus the size of an acknowledgement
+	synBytes     = 60   // of each of the two SYN segments that open a connection
+	resetBytes   = 40   // of the RST from a machine where nothing listens
+	segmentBytes = 1448 // maximum data in a segment
 
 	openerOverhead   = synBytes + 3*headerBytes // SYN, ACK; FIN, ACK
 	acceptorOverhead = synBytes + 2*headerBytes // SYN and ACK; ACK and FIN
 )
 
-// Flow counts what went over connections, as seen by the controllers that opened them.
+// Flow counts the traffic of connections, from the point of view of the controllers that opened them.
 type Flow struct {
 	Opened       int64 `json:"opened"`
 	Failed       int64 `json:"failed"`
@@ -31,30 +31,30 @@
 	SegmentsBack int64 `json:"segments_back"`
 }
 
-// Forward is the bytes from openers to acceptors: data, headers, acknowledgements and what opens and closes connections.
-// An acknowledgement for each segment is counted, which is the most there can be.
+// Forward returns the bytes from openers to acceptors: data, headers, acknowledgements and the segments that open and close
+// connections. It counts an acknowledgement for each segment, which is the upper bound.
 func (f Flow) Forward() int64 {
 	return f.Written + headerBytes*(f.SegmentsOut+f.SegmentsBack) + openerOverhead*f.Opened + synBytes*f.Failed
 }
 
-// Backward is the bytes from acceptors to openers.
+// Backward returns the bytes from acceptors to openers.
 func (f Flow) Backward() int64 {
 	return f.Read + headerBytes*(f.SegmentsOut+f.SegmentsBack) + acceptorOverhead*f.Opened + resetBytes*f.Failed
 }
 
-// Minus is what was added since an earlier count.
+// Minus returns the increase since an earlier count.
 func (f Flow) Minus(earlier Flow) Flow {
 	return Flow{f.Opened - earlier.Opened, f.Failed - earlier.Failed, f.Written - earlier.Written, f.Read - earlier.Read,
 		f.SegmentsOut - earlier.SegmentsOut, f.SegmentsBack - earlier.SegmentsBack}
 }
 
-// Plus is the sum of two counts.
+// Plus returns the sum of two counts.
 func (f Flow) Plus(g Flow) Flow {
 	return Flow{f.Opened + g.Opened, f.Failed + g.Failed, f.Written + g.Written, f.Read + g.Read,
 		f.SegmentsOut + g.SegmentsOut, f.SegmentsBack + g.SegmentsBack}
 }
 
-// flowCounter is a Flow that many goroutines count in.
+// flowCounter is a Flow for concurrent use.
 type flowCounter struct {
 	opened, failed, written, read, segmentsOut, segmentsBack atomic.Int64
 }
@@ -63,32 +63,32 @@
 	return Flow{c.opened.Load(), c.failed.Load(), c.written.Load(), c.read.Load(), c.segmentsOut.Load(), c.segmentsBack.Load()}
 }
 
-// Source ports lie below those that the system gives to others. One comes again only after all the others, which takes
-// longer than the system remembers a closed connection.
+// Source ports lie below the system's ephemeral ports. A port is used again only after all others, which takes longer than
+// the system keeps a closed connection in TIME_WAIT.
 const (
 	firstSourcePort = 12000
 	sourcePorts     = 20000
 	portAttempts    = 8
 )
 
-// dialer opens a controller's connections, from its own address, and counts what goes over them.
+// dialer opens a controller's connections from its own address and counts their traffic.
 type dialer struct {
 	number     int // of the controller
 	source     netip.Addr
 	network    Network
 	next       atomic.Uint32
 	own        *flowCounter
-	peers      []flowCounter // of all that open connections in this process, by the number of the acceptor
-	open       atomic.Int64  // connections now
+	peers      []flowCounter // traffic of all openers in this process, by the number of the acceptor
+	open       atomic.Int64  // connections open now
 	partitions *partitions
 	loss       loss
 
 	mu    sync.Mutex
-	conns map[*countedConn]bool // that are open
+	conns map[*countedConn]bool // open connections
 }
 
-// newDialer is that of a controller. The fleets of a process share its addresses: each begins at source ports of its own,
-// as the system lets those rest for a minute that an earlier fleet has used.
+// newDialer returns the dialer of a controller. The fleets of a process share addresses, so each fleet starts at source ports
+// of its own: the system keeps the ports that an earlier fleet has used in TIME_WAIT for a minute.
 func newDialer(number int, network Network, peers []flowCounter, p *partitions) *dialer {
 	d := &dialer{number: number, source: network.address(number).Addr(), network: network, own: &flowCounter{}, peers: peers,
 		partitions: p, conns: map[*countedConn]bool{}}
@@ -121,13 +121,13 @@
 	d.mu.Lock()
 	d.conns[counted] = true
 	d.mu.Unlock()
-	if d.partitions.between(d.number, peer) != nil { // it began meanwhile
+	if d.partitions.between(d.number, peer) != nil { // the partition began during the connect
 		conn.Close()
 	}
 	return counted, nil
 }
 
-// connectOver opens a connection, on which segments are lost where the fleet's network loses some.
+// connectOver opens a connection that loses segments if the fleet's network does.
 func (d *dialer) connectOver(ctx context.Context, addr string, counters [2]*flowCounter) (net.Conn, error) {
 	if d.loss == 0 {
 		return d.connect(ctx, addr)
@@ -142,12 +142,12 @@
 	return newLossyConn(conn, d.loss, dataRetransmission, func(again int64) {
 		for _, c := range counters {
 			c.segmentsOut.Add(again)
-			c.written.Add(again * headerBytes) // the data of a small segment, about as much as its headers
+			c.written.Add(again * headerBytes) // estimates the data of a small segment by the size of its headers
 		}
 	}), nil
 }
 
-// connect tries source ports until one is free.
+// connect opens a connection from the next free source port, of portAttempts at most.
 func (d *dialer) connect(ctx context.Context, addr string) (conn net.Conn, err error) {
 	for range portAttempts {
 		port := firstSourcePort + int(d.next.Add(1)%sourcePorts)
@@ -160,7 +160,7 @@
 	return conn, err
 }
 
-// countedConn counts what goes over one connection.
+// countedConn counts the traffic of one connection.
 type countedConn struct {
 	net.Conn
 	counters [2]*flowCounter
--- a/internal/lab/scale/hollow/statistics.go
+++ b/internal/lab/scale/hollow/statistics.go
@@ -9,17 +9,17 @@
 	"mintkeel/router"
 )
 
-// statistics stands for what a controller's decision module has learned: so many engines and table groups, with figures
-// in the range of a real one's.
+// statistics stands in for the statistics that a controller's decision module has learned, on a number of engines and table
+// groups, with values in a realistic range.
 type statistics struct{ engines, tableGroups int }
 
-// firstStart is when the first engine's process started, in Unix milliseconds: each controller knows the same.
+// firstStart is the start time of the first engine's process in Unix milliseconds, the same at each controller.
 const firstStart = 1.7e12
 
-// machineKinds is how many kinds of engines there are, each of which has a home for a table group.
+// machineKinds is the number of machine kinds. Each table group has one pool leader per kind.
 const machineKinds = 2
 
-// Statistics implements memory.Source, in one part.
+// Statistics implements memory.Source. It returns all statistics in one part.
 func (s statistics) Statistics(context.Context, router.Cursor, int) (memory.Part, error) {
 	now := float64(time.Now().UnixMilli())
 	learned := router.Statistics{Traffic: []router.TrafficStatistics{{At: now, Share: router.WeightedMean{Mean: 0.01, Weight: 100}}}}
@@ -39,5 +39,5 @@
 	return memory.Part{Statistics: learned}, nil
 }
 
-// engine is the name of an engine, as long as the operators' names are.
+// engine returns the name of an engine, which is as long as the operators' names.
 func engine(i int) router.EngineID { return router.EngineID(fmt.Sprintf("s-%08x", i+1)) }
