--- a/internal/lab/scale/membership/columns.go
+++ b/internal/lab/scale/membership/columns.go
@@ -7,11 +7,11 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// column is one cost that is told of a scenario.
+// column is one cost of a scenario; it gives a row.
 type column struct {
 	cost, unit string
 	budget     float64
-	log        bool // it grows with the logarithm of the size
+	log        bool // the cost grows with the logarithm of the size
 	note       string
 	value      func([]outcome) float64
 }
@@ -54,7 +54,7 @@
 	timeColumns("from the region's return until all know all", func(o outcome) []float64 { return o.converged }),
 )
 
-// timeColumns are three points of a distribution of times.
+// timeColumns returns columns of the median, the 99th percentile and the maximum of times.
 func timeColumns(cost string, times func(outcome) []float64) []column {
 	of := func(name string, share float64) column {
 		return column{cost: cost + ", " + name, unit: "ms", log: true, value: quantile(share, times)}
@@ -62,7 +62,7 @@
 	return []column{of("median", 0.5), of("99th percentile", 0.99), of("most", 1)}
 }
 
-// row is the column's row over all sizes.
+// row returns the column's row over all sizes.
 func (c column) row(condition string, o Options, outcomes [][]outcome) slope.Row {
 	row := slope.Row{Role: "controller", Cost: "membership: " + c.cost, Unit: c.unit, Per: "controllers", Condition: condition,
 		Method: "virtual time", Target: controllers, Budget: c.budget, Log: c.log, Note: c.note}
@@ -87,7 +87,7 @@
 
 func maximum(values func(outcome) []float64) func([]outcome) float64 { return quantile(1, values) }
 
-// quantile is the smallest of all values that a share of them does not exceed.
+// quantile returns a function for the smallest value such that the given share of all values does not exceed it.
 func quantile(share float64, values func(outcome) []float64) func([]outcome) float64 {
 	return func(outcomes []outcome) float64 {
 		var all []float64
--- a/internal/lab/scale/membership/measure.go
+++ b/internal/lab/scale/membership/measure.go
@@ -1,6 +1,6 @@
-// Package membership measures what the membership protocol costs a controller, and how long a change takes until all
-// controllers know of it, by the size of the fleet. It drives tables of internal/core/fleet/members in virtual time, with
-// the sizes of internal/fleet/frames, and counts what a socket adds: TCP and IP headers, acknowledgements, and the opening
+// Package membership measures the cost of the membership protocol for a controller, and how long a change takes until all
+// controllers know of it, by fleet size. It drives tables of internal/core/fleet/members in virtual time, with the frame
+// sizes of internal/fleet/frames, and counts the overhead of sockets: TCP and IP headers, acknowledgements, and the opening
 // and closing of connections under the bounds of internal/fleet/links.
 package membership
 
@@ -14,17 +14,17 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Options are what is measured.
+// Options configure the measurement.
 type Options struct {
-	Quick bool  // small fleets, within some seconds
-	Seeds int   // histories of each size and scenario; 0: 5, with Quick 2
+	Quick bool  // measure small fleets, within some seconds
+	Seeds int   // histories of each size and scenario; 0: 5, or 2 with Quick
 	Seed  int64 // of the first one; 0: 1
 
-	fleetSizes []int // for tests: in place of the usual ones
+	fleetSizes []int // for tests: used instead of the default sizes
 }
 
 const (
-	controllers = 670 // of the fleet that is built for
+	controllers = 670 // target size of the fleet
 	bytesBudget = 17_000.0
 	coresBudget = 0.021
 	bytesPerMB  = 1e6
@@ -55,7 +55,7 @@
 	return o
 }
 
-// scenario is what is played, and what is told of it.
+// scenario is a simulation and the costs that are reported of it.
 type scenario struct {
 	name    string
 	play    func(context.Context, plan) (outcome, error)
@@ -80,14 +80,14 @@
 	}
 }
 
-// task is one history; its outcome has a place of its own, so that the order in which they are played does not matter.
+// task is one history. Its outcome has a place of its own, so that the results do not depend on the order of the tasks.
 type task struct {
 	scenario scenario
 	plan     plan
 	outcome  *outcome
 }
 
-// Measure plays all scenarios at all sizes and gives a row for each cost.
+// Measure runs all scenarios at all sizes and returns a row for each cost.
 func Measure(ctx context.Context, o Options) ([]slope.Row, error) {
 	o = o.withDefaults()
 	processor, err := processorRow(ctx, o)
@@ -122,7 +122,7 @@
 	return rows, nil
 }
 
-// playAll plays tasks, the largest fleets first.
+// playAll runs the tasks, the largest fleets first, and stops at the first error.
 func playAll(ctx context.Context, o Options, tasks []task) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/lab/scale/membership/measure_test.go
+++ b/internal/lab/scale/membership/measure_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// TestMeasureQuick has all rows measured at four sizes, and the bounds kept that don't depend on the machine.
+// All rows are measured at four sizes, and the values that do not depend on the machine stay within their bounds.
 func TestMeasureQuick(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
@@ -21,22 +21,22 @@
 	}
 	for _, row := range rows {
 		if len(row.Points) != 4 {
-			t.Errorf("%s, %s: %d sizes", row.Cost, row.Condition, len(row.Points))
+			t.Errorf("%s, %s: %d sizes, want 4", row.Cost, row.Condition, len(row.Points))
 		}
 		for _, p := range row.Points {
 			switch {
 			case strings.Contains(row.Cost, "bytes sent") && p.Value <= 0, row.Unit == "bytes/s" && p.Value > 5000:
-				t.Errorf("%s, %s, %g controllers: %g bytes/s", row.Cost, row.Condition, p.Size, p.Value)
+				t.Errorf("%s, %s, %g controllers: %g bytes/s, want more than 0 and at most 5000", row.Cost, row.Condition, p.Size, p.Value)
 			case strings.Contains(row.Cost, "death is known") && (p.Value < 4000 || p.Value > 40_000):
-				t.Errorf("%s, %s, %g controllers: %g ms", row.Cost, row.Condition, p.Size, p.Value)
+				t.Errorf("%s, %s, %g controllers: %g ms, want 4000 to 40000", row.Cost, row.Condition, p.Size, p.Value)
 			case strings.Contains(row.Cost, "taken to be gone") && p.Value > 0:
-				t.Errorf("%s, %s, %g controllers: %g an hour", row.Cost, row.Condition, p.Size, p.Value)
+				t.Errorf("%s, %s, %g controllers: %g per hour, want none", row.Cost, row.Condition, p.Size, p.Value)
 			}
 		}
 	}
 }
 
-// TestSameSeed has a history be the same again.
+// Histories with the same seed give the same outcome.
 func TestSameSeed(t *testing.T) {
 	for name, play := range map[string]func(context.Context, plan) (outcome, error){
 		"loss": func(ctx context.Context, p plan) (outcome, error) { return steady(ctx, p, tenthLost, 1) },
@@ -51,39 +51,40 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(first, again) {
-			t.Errorf("%s: %+v, then %+v", name, first, again)
+			t.Errorf("%s: outcomes with the same seed differ: %+v, then %+v", name, first, again)
 		}
 	}
 }
 
-// TestCancelled has a measurement end when it is told to.
+// A measurement returns an error when its context is cancelled.
 func TestCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Measure(ctx, Options{Quick: true}); err == nil {
-		t.Error("it went on")
+		t.Error("a measurement with a cancelled context returns no error")
 	}
 }
 
-// TestConnectionSizes compares the sizes of a connection's opening with what frames and TCP make them.
+// The sizes of frames and of a connection's opening match those of package frames and of TCP.
 func TestConnectionSizes(t *testing.T) {
 	if got, want := segments(100), (traffic{100 + 52, 52}); got != want {
-		t.Errorf("a small frame costs %+v", got)
+		t.Errorf("cost of a small frame: %+v", got)
 	}
 	if got, want := segments(3000), (traffic{3000 + 3*52, 2 * 52}); got != want {
-		t.Errorf("a frame of three segments costs %+v", got)
+		t.Errorf("cost of a frame of three segments: %+v", got)
 	}
 	hello, err := helloBytes("n1", "n2", 1<<63)
 	if err != nil || hello < 80 || hello > 120 {
-		t.Errorf("a hello has %d bytes, %v", hello, err)
+		t.Errorf("a hello has %d bytes, want 80 to 120; error %v", hello, err)
 	}
 	cost := handshake(100)
 	if cost.sender != 60+52+152+104 || cost.receiver != 60+92+52+52 {
-		t.Errorf("a connection costs %+v", cost)
+		t.Errorf("cost of opening and closing a connection: %+v", cost)
 	}
 }
 
-// TestPeerTable has connections that are idle opened anew, and their number bounded.
+// The number of connections out is bounded, the least recently used one is dropped, and an idle one is not reused after its
+// timeout.
 func TestPeerTable(t *testing.T) {
 	peers := peerTable{}
 	for i := range 100 {
@@ -91,10 +92,10 @@
 		peers.add(id, &connection{used: float64(i)})
 	}
 	if len(peers) != 64 || peers[peerName(35)] != nil || peers[peerName(36)] == nil {
-		t.Errorf("%d connections", len(peers))
+		t.Errorf("%d connections, want 64, without peer 35 and with peer 36", len(peers))
 	}
 	if peers.reuse(peerName(99), 99+idleTimeout()) == nil || peers.reuse(peerName(99), 100+idleTimeout()) != nil {
-		t.Error("an idle connection is not closed after its time")
+		t.Error("an idle connection is not reused until its timeout, or is reused after it")
 	}
 }
 
--- a/internal/lab/scale/membership/process.go
+++ b/internal/lab/scale/membership/process.go
@@ -15,9 +15,9 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-const measuredTables = 16 // whose memory is measured together
+const measuredTables = 16 // tables whose memory is measured together
 
-// processorTime is what the process has used.
+// processorTime returns the processor time that the process has used.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -26,7 +26,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// processorRow measures the processor time of fleets at rest. Nothing else may run in the process meanwhile.
+// processorRow measures the processor time of fleets at rest. Nothing else may run in the process at the same time.
 func processorRow(ctx context.Context, o Options) (slope.Row, error) {
 	row := slope.Row{Role: "controller", Cost: "membership: processor time", Unit: "cores", Per: "controllers",
 		Condition: atRest.name, Method: "virtual time", Target: controllers, Budget: coresBudget,
@@ -54,7 +54,7 @@
 	return row, nil
 }
 
-// memoryRow measures the heap of tables that know all of a fleet.
+// memoryRow measures the heap of tables that know all members of a fleet.
 func memoryRow(o Options) (slope.Row, error) {
 	row := slope.Row{Role: "controller", Cost: "membership: memory of the table", Unit: "MB", Per: "controllers",
 		Condition: atRest.name, Method: "benchmark", Target: controllers, Budget: 128, Note: budgetNote}
@@ -68,7 +68,8 @@
 	return row, nil
 }
 
-// tableBytes is the heap that one table takes, of several that were told of all members by messages as they come in.
+// tableBytes returns the heap of one table, as the mean of several. Each has learned of all members from decoded messages, as
+// in a daemon.
 func tableBytes(size int) (float64, error) {
 	payloads, err := introductions(size)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return float64(after-before) / measuredTables, nil
 }
 
-// introductions are encoded messages that tell of all of a fleet.
+// introductions returns encoded messages that contain all members of a fleet.
 func introductions(size int) (payloads [][]byte, err error) {
 	part := members.DefaultConfig().MaxSyncMembers
 	for from := 0; from < size; from += part {
--- a/internal/lab/scale/membership/race_test.go
+++ b/internal/lab/scale/membership/race_test.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// The detector makes histories ten times as dear.
+// The race detector makes histories ten times as expensive.
 var measuredSizes = []int{6, 9, 12, 15}
--- a/internal/lab/scale/membership/scenarios.go
+++ b/internal/lab/scale/membership/scenarios.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	warmUpTimeout = 300_000.0 // ms within which a fleet has to find itself
-	measuredTime  = 60_000.0  // ms of which costs are the mean
-	eventInterval = 8_000.0   // ms between a death and the next one
-	pauseInterval = 1000.0    // ms between two pauses of some controller
+	warmUpTimeout = 300_000.0 // ms within which all members of a new fleet should know each other
+	measuredTime  = 60_000.0  // ms over which costs are averaged
+	eventInterval = 8_000.0   // ms between two deaths
+	pauseInterval = 1000.0    // ms between two pauses, each of a controller that is drawn
 	minPause      = 200.0
 	pauseSpread   = 2800.0
-	restartTime   = 5_000.0   // ms within which those of a zone that restarts are back
+	restartTime   = 5_000.0   // ms within which the controllers of a restarting zone are back
 	cutTime       = 300_000.0 // ms for which a region is cut off
 )
 
-// costs are what one controller pays, as the mean over the fleet.
+// costs are the costs of one controller, as the mean over the fleet.
 type costs struct {
-	bytes, handshakeBytes float64 // sent, a second
-	messages, wakeUps     float64 // a second
+	bytes, handshakeBytes float64 // sent, per second
+	messages, wakeUps     float64 // per second
 	falseSuspicions       float64 // an hour, of the whole fleet
 	falseDeaths           float64 // an hour, of the whole fleet
-	busiest               float64 // bytes that the controller with the busiest second sent in it
+	busiest               float64 // bytes sent in the busiest second of any controller
 }
 
-// outcome is what one seed of a scenario gave.
+// outcome is the result of one seed of a scenario.
 type outcome struct {
 	costs     costs
 	healed    costs     // in the minute after a region is back
 	deaths    []float64 // ms until a death is known to all
 	joins     []float64 // ms until a new controller is known to all
-	converged []float64 // ms until all know all again
+	converged []float64 // ms until all know all members again
 }
 
-// disturbance is what goes on while a fleet is measured.
+// disturbance is the condition under which a fleet is measured.
 type disturbance struct {
 	name   string
 	loss   float64
@@ -48,7 +48,7 @@
 	withPauses = disturbance{name: "each second one pauses for 0.2 to 3 s", pauses: true}
 )
 
-// warmUp starts a fleet and plays until all know all.
+// warmUp starts a fleet and runs it until all know all members, and then until the gossip about the start has ceased.
 func warmUp(ctx context.Context, p plan) (*simulation, error) {
 	s := newSimulation(p)
 	if err := s.runUntil(ctx, 2*startWindow); err != nil {
@@ -56,12 +56,12 @@
 	}
 	err := s.runUntilDone(ctx, []*watch{s.convergenceWatch()}, warmUpTimeout)
 	if err == nil {
-		err = s.runUntil(ctx, s.now+20_000) // what is still passed on of the start
+		err = s.runUntil(ctx, s.now+20_000) // for the remaining gossip about the start
 	}
 	return s, err
 }
 
-// resetCosts begins a measurement of costs.
+// resetCosts starts a measurement of costs.
 func (s *simulation) resetCosts() {
 	s.counters, s.falselyDead, s.since = counters{}, map[members.Member]bool{}, s.now
 	for _, c := range s.controllers {
@@ -69,7 +69,7 @@
 	}
 }
 
-// costs are those since resetCosts.
+// costs returns the costs since resetCosts.
 func (s *simulation) costs() costs {
 	seconds := (s.now - s.since) / 1000
 	size := float64(len(s.running()))
@@ -87,14 +87,14 @@
 	return result
 }
 
-// measureCosts plays for a time and gives what it cost.
+// measureCosts runs for a time and returns its costs.
 func (s *simulation) measureCosts(ctx context.Context, length float64) (costs, error) {
 	s.resetCosts()
 	err := s.runUntil(ctx, s.now+length)
 	return s.costs(), err
 }
 
-// applyDisturbance has a trouble begin; it lasts as long as the simulation.
+// applyDisturbance starts a disturbance, which lasts until the end of the simulation.
 func (s *simulation) applyDisturbance(t disturbance) {
 	s.network.loss = t.loss
 	if t.pauses {
@@ -102,14 +102,14 @@
 	}
 }
 
-// pause has one controller stand still, and another one a second later.
+// pause pauses one controller, and schedules the next pause a second later.
 func (s *simulation) pause() {
 	c := s.controllers[s.rng.Intn(len(s.controllers))]
 	c.pausedUntil = max(c.pausedUntil, s.now+minPause+pauseSpread*s.rng.Float64())
 	s.at(s.now+pauseInterval, s.pause)
 }
 
-// steady measures a fleet's costs, then kills some controllers and starts new ones, one after another.
+// steady measures a fleet's costs, and then alternately kills a controller and starts a new one.
 func steady(ctx context.Context, p plan, t disturbance, events int) (outcome, error) {
 	s, err := warmUp(ctx, p)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return o, nil
 }
 
-// zoneRestarts kills a tenth of a fleet at once; each of them starts again within some seconds. Its time is counted from
-// when all have started.
+// zoneRestarts kills a tenth of a fleet at once. Each of these controllers starts again within restartTime. The time to
+// convergence counts from then on.
 func zoneRestarts(ctx context.Context, p plan) (outcome, error) {
 	s, err := warmUp(ctx, p)
 	if err != nil {
@@ -163,14 +163,14 @@
 	return o, err
 }
 
-// runUntilConverged plays until all know all, and gives the time that it took.
+// runUntilConverged runs until all know all members, and returns the time that it took.
 func (s *simulation) runUntilConverged(ctx context.Context) (outcome, error) {
 	whole := []*watch{s.convergenceWatch()}
 	err := s.runUntilDone(ctx, whole, watchTimeout)
 	return outcome{converged: times(whole)}, err
 }
 
-// regionCutOff cuts a third of a fleet off for five minutes. Its time is counted from when the region is back.
+// regionCutOff cuts off a third of a fleet for five minutes. The time to convergence counts from the end of the partition.
 func regionCutOff(ctx context.Context, p plan) (outcome, error) {
 	s, err := warmUp(ctx, p)
 	if err != nil {
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -17,34 +17,34 @@
 
 const (
 	regions      = 3
-	voters       = 7    // whose addresses all are told
-	localLatency = 0.3  // ms one way, to which up to jitter is added
+	voters       = 7    // voters, whose addresses all controllers know
+	localLatency = 0.3  // least one-way latency in ms within a region, to which up to jitter is added
 	jitter       = 1.0  // ms
-	farLatency   = 40.0 // ms one way between two regions: 80 ms there and back
+	farLatency   = 40.0 // one-way latency in ms between two regions: a round trip of 80 ms
 	startWindow  = 500.0
-	pollInterval = 100.0 // ms between two looks at what controllers know
+	pollInterval = 100.0 // ms between two polls of the watches
 )
 
-// controller is one of the simulation.
+// controller is a simulated controller.
 type controller struct {
 	id     members.ID
 	addr   string
 	region int
-	table  *members.Table // nil: it does not run
+	table  *members.Table // nil: the controller does not run
 	run    uint64
 	peers  peerTable
 
-	timerAt       float64 // of the timer that counts
+	timerAt       float64 // ms, when the current timer fires; earlier timers are ignored
 	pausedUntil   float64
 	second        int
 	bytesInSecond int
-	busiest       int // bytes sent in its busiest second
+	busiest       int // bytes sent in the busiest second
 }
 
-// conditions are what the network does.
+// conditions are the faults and latencies of the network.
 type conditions struct {
 	loss   float64
-	cutOff int // region that reaches no other; -1: none
+	cutOff int // region that is cut off from the others; -1: none
 	far    float64
 }
 
@@ -67,14 +67,14 @@
 	config      members.Config
 	encoder     encoder
 	mac         hash.Hash
-	decode      bool // messages are decoded as the daemon does, so that its processor time counts
+	decode      bool // messages are decoded and authenticated as in the daemon, so that the processor time counts
 	counters    counters
-	since       float64                 // ms, when the counters were reset
-	falselyDead map[members.Member]bool // members taken to be gone though they ran
+	since       float64                 // ms, when the counters were last reset
+	falselyDead map[members.Member]bool // members that were declared dead while they ran
 	err         error
 }
 
-// plan is what a simulation is made of.
+// plan holds the parameters of a simulation.
 type plan struct {
 	size int
 	seed int64
@@ -93,7 +93,7 @@
 	return s
 }
 
-// addController adds one that does not run yet.
+// addController adds a controller that does not run yet.
 func (s *simulation) addController() *controller {
 	n := len(s.controllers)
 	c := &controller{id: members.ID(fmt.Sprintf("n%d", n)), region: n % regions,
@@ -105,7 +105,7 @@
 
 func (s *simulation) at(at float64, run func()) { s.queue.Add(max(at, s.now), run) }
 
-// runUntil plays all events up to a time.
+// runUntil runs all events up to a time.
 func (s *simulation) runUntil(ctx context.Context, until float64) error {
 	for played := 0; s.queue.Next() <= until && s.err == nil; played++ {
 		if played%1024 == 0 && ctx.Err() != nil {
@@ -119,7 +119,7 @@
 	return s.err
 }
 
-// start begins a run of a controller.
+// start starts a new run of a controller, unless it runs.
 func (s *simulation) start(c *controller) {
 	if c.table != nil {
 		return
@@ -138,7 +138,7 @@
 // stop kills a controller.
 func (s *simulation) stop(c *controller) { c.table = nil }
 
-// processOutput carries out what a table asks for after some input.
+// processOutput counts the changes and sends the messages of a table after an input, and sets its timer.
 func (s *simulation) processOutput(c *controller) {
 	for _, change := range c.table.TakeChanges() {
 		s.countFalseDetection(c, change)
@@ -151,7 +151,7 @@
 	}
 }
 
-// setTimer sets a controller's timer.
+// setTimer sets a controller's timer. A paused controller handles it after the pause.
 func (s *simulation) setTimer(c *controller, at float64) {
 	run := c.run
 	c.timerAt = at
@@ -174,7 +174,8 @@
 	})
 }
 
-// countFalseDetection counts what is believed wrongly of a controller that runs, is reached and does not stand still.
+// countFalseDetection counts the suspicion or death of a controller that runs and is not paused. It counts nothing while a
+// region is cut off.
 func (s *simulation) countFalseDetection(at *controller, change members.Change) {
 	about := s.byID[change.Member.ID]
 	if about.table == nil || about.run != change.Member.Run || s.now < about.pausedUntil || s.network.cutOff >= 0 {
@@ -189,7 +190,7 @@
 	}
 }
 
-// countSent counts bytes that a controller sends.
+// countSent counts bytes that a controller sends, also by second.
 func (s *simulation) countSent(c *controller, bytes int) {
 	s.counters.bytes += bytes
 	if second := int(s.now / 1000); second != c.second {
@@ -203,7 +204,7 @@
 	return from.region == to.region || from.region != s.network.cutOff && to.region != s.network.cutOff
 }
 
-// send carries a message over its connection, which is opened where there is none.
+// send sends a message over the connection to its receiver, which is opened if there is none.
 func (s *simulation) send(from *controller, out members.Envelope) {
 	to := s.byID[out.To]
 	payload, err := s.encoder.payload(&out.Message)
@@ -214,7 +215,7 @@
 	s.counters.messages++
 	frame := segments(len(payload) + frameOverhead)
 	open := from.peers.reuse(out.To, s.now)
-	if open != nil && s.endedByPeer(from, to, open) { // what ending it costs was counted when it was opened
+	if open != nil && s.endedByPeer(from, to, open) { // the cost of closing it was counted when it was opened
 		delete(from.peers, to.id)
 		open = nil
 	}
@@ -247,7 +248,7 @@
 	s.at(s.now+took, func() { s.deliver(from, to, run, message) })
 }
 
-// authenticate works out what sender and receiver of a frame do for it.
+// authenticate computes the MAC of a frame twice, as its sender and its receiver do.
 func (s *simulation) authenticate(payload []byte) {
 	for range 2 {
 		s.mac.Reset()
@@ -256,12 +257,14 @@
 	}
 }
 
-// endedByPeer tells whether a connection's receiver has ended, which the sender sees by the end of what it reads.
+// endedByPeer reports whether the receiver of a connection has stopped or restarted, which the sender notices as the end of
+// its input.
 func (s *simulation) endedByPeer(from, to *controller, open *connection) bool {
 	return s.reachable(from, to) && (to.table == nil || open.run != to.run)
 }
 
-// canDeliver tells whether a message gets over at all; one that does not costs what was tried.
+// canDeliver reports whether a message reaches a running receiver. For one that does not, it counts the bytes of the failed
+// attempts.
 func (s *simulation) canDeliver(from, to *controller, open *connection, frame traffic) bool {
 	switch {
 	case !s.reachable(from, to) && open != nil:
@@ -302,7 +305,7 @@
 	return localLatency
 }
 
-// deliver hands a message to the run that it was sent to, when that does not stand still.
+// deliver passes a message to the run to which it was sent, after the end of a pause.
 func (s *simulation) deliver(from, to *controller, run uint64, m members.Message) {
 	if to.table == nil || to.run != run || !s.reachable(from, to) {
 		return
@@ -315,7 +318,7 @@
 	s.processOutput(to)
 }
 
-// running are the controllers that run.
+// running returns the controllers that run.
 func (s *simulation) running() (list []*controller) {
 	for _, c := range s.controllers {
 		if c.table != nil {
--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -7,15 +7,15 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// watch waits until all controllers that run know of one event.
+// watch measures the time until all running controllers know of an event.
 type watch struct {
 	known   func(*members.Table) bool
-	from    float64 // ms
-	done    float64 // ms after from; 0: not yet
+	from    float64 // ms, time of the event
+	done    float64 // ms after from, when all knew; 0: not yet
 	pending []*controller
 }
 
-// deathWatch waits until nobody takes a run of a controller to be there any more.
+// deathWatch watches until no controller takes this run of the dead controller to be alive or suspect.
 func (s *simulation) deathWatch(dead *controller) *watch {
 	id, run := dead.id, dead.run
 	return s.newWatch(func(t *members.Table) bool {
@@ -24,7 +24,7 @@
 	})
 }
 
-// startWatch waits until all take a run of a controller to be there.
+// startWatch watches until all controllers take this run of the started controller to be alive or suspect.
 func (s *simulation) startWatch(started *controller) *watch {
 	id, run := started.id, started.run
 	return s.newWatch(func(t *members.Table) bool {
@@ -37,7 +37,8 @@
 	return &watch{known: known, from: s.now, pending: s.running()}
 }
 
-// poll finds out who has heard by now. When all that were asked have, all are asked again: one may have started meanwhile.
+// poll removes the controllers that know of the event from pending. When none is left, it checks all running controllers,
+// because one may have started in the meantime.
 func (w *watch) poll(s *simulation) {
 	if w.done > 0 {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// runUntilDone plays until all watches are done, for a time in ms at most.
+// runUntilDone runs until all watches are done, for a time in ms at most.
 func (s *simulation) runUntilDone(ctx context.Context, watches []*watch, most float64) error {
 	for end := s.now + most; s.now < end; {
 		if err := s.runUntil(ctx, s.now+pollInterval); err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// convergenceWatch waits until all that run take all that run to be alive, and nobody else.
+// convergenceWatch watches until each running controller takes exactly the running controllers to be alive.
 func (s *simulation) convergenceWatch() *watch {
 	return s.newWatch(func(t *members.Table) bool {
 		for _, c := range s.controllers {
@@ -84,10 +85,10 @@
 	})
 }
 
-// watchTimeout is the time given to what should be known within seconds.
+// watchTimeout bounds the time until an event is known, which should take seconds.
 const watchTimeout = 600_000.0 // ms
 
-// times are those of watches, in ms; what was not done in time counts as watchTimeout.
+// times returns the times of watches in ms. A watch that is not done counts as watchTimeout.
 func times(watches []*watch) (list []float64) {
 	for _, w := range watches {
 		if w.done == 0 {
--- a/internal/lab/scale/membership/wire.go
+++ b/internal/lab/scale/membership/wire.go
@@ -11,57 +11,57 @@
 	"mintkeel/internal/fleet/links"
 )
 
-// Sizes in bytes of what goes over a socket beside the payload.
+// Sizes in bytes of the overhead of a socket, and numbers of transmissions.
 const (
 	frameOverhead  = 20   // length and MAC of internal/fleet/frames
-	segmentHeader  = 52   // IPv4 and TCP with timestamps; an acknowledgement is no more than that
+	segmentHeader  = 52   // IPv4 and TCP with timestamps; also the size of an acknowledgement
 	synHeader      = 60   // IPv4 and TCP with the options of a SYN
 	resetHeader    = 40   // IPv4 and TCP without options
-	segmentPayload = 1448 // of an Ethernet frame
+	segmentPayload = 1448 // maximum in an Ethernet frame
 	challengeBytes = 40   // magic and nonce of the listener
-	writeAttempts  = 4    // transmissions of what is never acknowledged, until the connection is given up
-	dialAttempts   = 2    // SYNs within the time that a dial has
+	writeAttempts  = 4    // transmissions of unacknowledged data before the connection is given up
+	dialAttempts   = 2    // SYNs within the timeout of a dial
 )
 
-// dialLatencies is how many one-way latencies pass until the first message of a new connection is there: SYN, SYN-ACK,
-// ACK, challenge, then hello and message together.
+// dialLatencies is the number of one-way latencies until the first message of a new connection arrives: SYN, SYN-ACK, ACK,
+// challenge, and then hello and message together.
 const dialLatencies = 5
 
-// traffic is what one message costs either side.
+// traffic is the bytes that each side sends for one message.
 type traffic struct{ sender, receiver int }
 
-// connection is one way, from the controller that opened it.
+// connection is a connection for one direction, from the controller that opened it.
 type connection struct {
-	run    uint64  // of the receiver when it was opened
-	used   float64 // ms
-	writes int     // to a receiver that is out of reach
+	run    uint64  // run of the receiver when it was opened
+	used   float64 // ms, time of the last message
+	writes int     // writes to a receiver that is unreachable
 }
 
-// encoder works out sizes; its buffer is used again.
+// encoder encodes messages into a buffer that it reuses.
 type encoder struct{ buffer bytes.Buffer }
 
-// payload is the encoding of a message as the node sends it; it is valid until the next call.
+// payload returns the encoding of a message as the node sends it. It is valid until the next call.
 func (e *encoder) payload(m *members.Message) ([]byte, error) {
 	e.buffer.Reset()
 	err := cbor.MarshalToBuffer(node.Message{Members: m}, &e.buffer)
 	return e.buffer.Bytes(), err
 }
 
-// helloBytes is the size of a connection's first frame.
+// helloBytes returns the size of a connection's first frame.
 func helloBytes(from, to members.ID, run uint64) (int, error) {
 	hello := frames.Hello{Fleet: "production", Generation: 1, From: from, Run: run, To: to, Nonce: make([]byte, 32)}
 	payload, err := cbor.Marshal(hello)
 	return len(payload) + frameOverhead, err
 }
 
-// segments is the size on the socket of some bytes, and of their acknowledgements: one for two segments.
+// segments returns the bytes on the wire for some data, and for its acknowledgements: one for each two segments.
 func segments(size int) traffic {
 	n := (size + segmentPayload - 1) / segmentPayload
 	return traffic{sender: size + n*segmentHeader, receiver: (n + 1) / 2 * segmentHeader}
 }
 
-// handshake is what opening a connection and closing it again costs: SYN, SYN-ACK, ACK; the challenge, whose
-// acknowledgement goes with the hello; the hello; FIN, FIN with ACK, ACK.
+// handshake returns the bytes of opening and closing a connection: SYN, SYN-ACK, ACK; the challenge, which is acknowledged
+// with the hello; the hello; FIN, FIN with ACK, ACK.
 func handshake(hello int) traffic {
 	greeting := segments(hello)
 	return traffic{
@@ -70,13 +70,13 @@
 	}
 }
 
-// peerTable is a controller's connections out.
+// peerTable holds a controller's outgoing connections.
 type peerTable map[members.ID]*connection
 
-// idleTimeout is for how long a connection stays open without a message, in ms.
+// idleTimeout returns the time in ms for which a connection stays open without a message.
 func idleTimeout() float64 { return float64(links.DefaultBounds().IdleTimeout) / 1e6 }
 
-// reuse is the connection that is open to a peer, nil if there is none.
+// reuse returns the open connection to a peer, or nil if there is none.
 func (p peerTable) reuse(to members.ID, now float64) *connection {
 	c := p[to]
 	if c == nil || now-c.used > idleTimeout() {
@@ -85,7 +85,7 @@
 	return c
 }
 
-// add takes in a new connection; the one unused for the longest time yields to it.
+// add adds a new connection. At the bound it removes the least recently used one.
 func (p peerTable) add(to members.ID, c *connection) {
 	delete(p, to)
 	if len(p) >= links.DefaultBounds().MaxPeers {
