--- a/internal/lab/scale/spread/bytes.go
+++ b/internal/lab/scale/spread/bytes.go
@@ -11,32 +11,32 @@
 
 const dayName = "a day's mix"
 
-// A day of the fleet, and the share of it that is played.
+// A day of the fleet, and the part of it that is simulated.
 const (
 	dayMS            = 24 * 3600 * 1000.0
 	dayChanges       = 1000
 	dayReplaced      = 260
 	dayFailed        = 2
-	partsOfDay       = 200.0 // one of so many parts of a day
-	controlBytes     = 17000 // a second: the operators' budget for all that is for control
+	partsOfDay       = 200.0 // a run simulates one of this many parts of a day
+	controlBytes     = 17000 // per second: the operators' budget for all control traffic
 	replacementDelay = 5000.0
 	changesInPart    = dayChanges / partsOfDay
 	replacedInPart   = dayReplaced / partsOfDay
 )
 
-// roleBytes are bytes a second of one role, sent and received together.
+// roleBytes are the bytes per second of one role, sent and received together.
 type roleBytes struct {
 	whole, config float64
 }
 
-// day is a part of a day's mix on a fleet of some size.
+// day is a part of a day's mix on a fleet of one size, with its costs by role.
 type day struct {
 	nodes int
 	costs map[string]roleBytes
 	err   error
 }
 
-// days are those to be played, the largest first; none where they are not chosen.
+// days returns the days to simulate, the largest fleet first, or none if they are not selected.
 func (o Options) days() (days []*day) {
 	if o.selected(dayName) {
 		for _, size := range slices.Backward(o.sizes()) {
@@ -46,15 +46,15 @@
 	return days
 }
 
-// logDay tells of a part of a day.
+// logDay logs the costs of a part of a day.
 func (o Options) logDay(d *day) {
 	if o.Logf != nil {
-		o.Logf("%s, %d controllers, seed %d: bytes a second, sent and received, all and of the configuration: %+v; %v", dayName, d.nodes, o.Seed, d.costs, d.err)
+		o.Logf("%s, %d controllers, seed %d: bytes per second sent and received, in total and of the configuration: %+v; error %v", dayName, d.nodes, o.Seed, d.costs, d.err)
 	}
 }
 
-// dayRows are the bytes of a two-hundredth of a day by role: 5 changes, at 670 one replacement, and one failure, of which a
-// day has two: a hundred times too many.
+// dayRows returns the rows of the bytes by role in a two-hundredth of a day: 5 changes, one replacement at 670 controllers,
+// and one failure. As a day has only two failures, that is a hundred times too many.
 func dayRows(days []*day) (rows []slope.Row, err error) {
 	for _, role := range []string{"controller", "voter", "leader"} {
 		all := slope.Row{Role: role, Cost: "all of the fleet's talk: bytes sent and received", Unit: "bytes/s", Per: "controllers", Condition: dayName,
@@ -80,7 +80,7 @@
 	return rows, err
 }
 
-// playDay plays a part of a day, and tells what a second cost each role.
+// playDay simulates a part of a day, and returns the bytes per second of each role.
 func playDay(ctx context.Context, seed int64, nodes int, quick bool) (map[string]roleBytes, error) {
 	s, err := newSimulation(ctx, seed, nodes)
 	if err != nil {
@@ -105,12 +105,12 @@
 		}
 	}
 	if s.world.Leader() != leader {
-		return nil, fmt.Errorf("another leader than at the beginning")
+		return nil, fmt.Errorf("the leader changed during the simulated part of the day")
 	}
 	return s.dayCosts(long/1000, leader), nil
 }
 
-// roleBytes are the means over the controllers of each role.
+// dayCosts returns the means over the controllers of each role.
 func (s *simulation) dayCosts(seconds float64, leader int) map[string]roleBytes {
 	sums, counts := map[string]roleBytes{}, map[string]float64{}
 	for machine := range s.nodes {
--- a/internal/lab/scale/spread/measure.go
+++ b/internal/lab/scale/spread/measure.go
@@ -10,25 +10,25 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Options say how much is measured.
+// Options configure the measurement.
 type Options struct {
 	Quick   bool                             // small fleets and few changes
 	Seeds   int                              // histories of each condition; 0: five
-	Seed    int64                            // of the first
+	Seed    int64                            // of the first history
 	Changes int                              // of each history; 0: forty
-	Workers int                              // histories at a time; 0: two
-	Only    []string                         // names of conditions; none: all
-	Largest bool                             // fleets of the largest size alone
-	Logf    func(format string, args ...any) // is told of each history; nil: nobody
+	Workers int                              // histories that run at a time; 0: two
+	Only    []string                         // names of conditions; empty: all
+	Largest bool                             // measure only the largest fleet size
+	Logf    func(format string, args ...any) // logs each history; nil: no log
 }
 
-// condition is what happens while versions spread.
+// condition is the disturbance while versions spread.
 type condition struct {
 	name string
 	play func(ctx context.Context, s *simulation, changes int) error
 }
 
-// conditions are all, in the order of the rows.
+// conditions returns all conditions in the order of the rows.
 func conditions() []condition {
 	return []condition{
 		{"at rest", atRest},
@@ -42,24 +42,24 @@
 
 const burstName = "60 changes in 60 s"
 
-// Times between two changes, in ms. A change that takes longer is looked at to its end all the same.
+// Times in ms, mainly between two changes. A change that takes longer is still measured to its end.
 const (
 	changeInterval       = 3500.0
 	lossChangeInterval   = 5000.0
 	zoneChangeInterval   = 9000.0
-	leaderChangeInterval = 16000.0 // a proposal that is not answered is given up after 15 s
+	leaderChangeInterval = 16000.0 // more than the 15 s after which an unanswered proposal is given up
 	regionChangeInterval = 7400.0
 	cutTime              = 300000.0
 	changesPerCut        = 40
 	finalWait            = 20000.0 // after the last change
 )
 
-// atRest puts one change after another.
+// atRest puts one change after another without a disturbance.
 func atRest(ctx context.Context, s *simulation, changes int) error {
 	return s.putChanges(ctx, changes, changeInterval)
 }
 
-// underLoss does so while a tenth of all messages is lost.
+// underLoss puts one change after another while a tenth of all messages is lost.
 func underLoss(ctx context.Context, s *simulation, changes int) error {
 	s.world.Lose(0.1, 1e12)
 	if err := s.run(ctx, finalWait); err != nil {
@@ -68,7 +68,7 @@
 	return s.putChanges(ctx, changes, lossChangeInterval)
 }
 
-// putChanges puts changes at controllers drawn, with some time between them.
+// putChanges puts changes at randomly drawn controllers, with a mean time of between ms between them.
 func (s *simulation) putChanges(ctx context.Context, changes int, between float64) error {
 	for range changes {
 		s.put(s.rng.Intn(s.nodes))
@@ -79,8 +79,8 @@
 	return s.run(ctx, finalWait)
 }
 
-// zoneRestarts has a tenth of the fleet, of one region, restart while a change spreads: each of them ends within 500 ms
-// of the put, and is back after 2 to 8 s.
+// zoneRestarts restarts a tenth of the fleet, all in one region, while a change spreads. Each of these controllers stops
+// within 500 ms of the put and is back after 2 to 8 s.
 func zoneRestarts(ctx context.Context, s *simulation, changes int) error {
 	zone := max(1, s.nodes*ZoneSize/FleetSize)
 	for i := range changes {
@@ -98,7 +98,7 @@
 	return s.run(ctx, finalWait)
 }
 
-// leaderKilled ends the leader when it sees that a change is agreed on, before it tells anybody.
+// leaderKilled kills the leader when it learns that a change is agreed on, before it informs any other controller.
 func leaderKilled(ctx context.Context, s *simulation, changes int) error {
 	for range changes {
 		leader := s.world.Leader()
@@ -115,7 +115,7 @@
 	return s.run(ctx, finalWait)
 }
 
-// regionCutOff cuts a third of the fleet off for five minutes, in which forty changes are agreed on, again and again.
+// regionCutOff repeatedly cuts off a third of the fleet for five minutes, in which up to forty changes are put.
 func regionCutOff(ctx context.Context, s *simulation, changes int) error {
 	for i := 0; i < changes; i += changesPerCut {
 		region := 1 + i/changesPerCut%(Regions-1)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// cutOff cuts a region off, and returns when that heals.
+// cutOff cuts off a region, and returns the time of the heal.
 func (s *simulation) cutOff(region int) (heal float64) {
 	inside := func(machine int) bool { return Region(machine) == region }
 	s.world.CutOff(inside, cutTime)
@@ -147,7 +147,7 @@
 	return heal
 }
 
-// drawOutside draws a controller that is not of a region.
+// drawOutside draws a controller outside a region.
 func (s *simulation) drawOutside(region int) int {
 	for {
 		if machine := s.rng.Intn(s.nodes); Region(machine) != region {
@@ -156,7 +156,7 @@
 	}
 }
 
-// burst puts a change each second.
+// burst puts a change every second.
 func burst(ctx context.Context, s *simulation, changes int) error {
 	for range changes {
 		s.put(s.rng.Intn(s.nodes))
@@ -167,16 +167,16 @@
 	return s.run(ctx, finalWait)
 }
 
-// spreadTimes are the times of all changes of a condition.
+// spreadTimes are the counts and times of all changes of a condition.
 type spreadTimes struct {
 	Changes     int // put
 	Agreed      int
-	Lost        int // to another change, as told
+	Lost        int // to another change, as reported to the operator
 	Unanswered  int
-	Missed      int       // controllers at which an agreed change was not in force at the end, over all changes
-	Undisturbed []float64 // ms from put to in force at the last controller that nothing happened to
-	Disturbed   []float64 // ms from start or heal to in force at the last of the others
-	ToAgreed    []float64 // ms from put to its operator's being told
+	Missed      int       // controllers without an agreed change in force at the end, summed over all changes
+	Undisturbed []float64 // ms from put to in force at the last controller that was not disturbed
+	Disturbed   []float64 // ms from start or heal to in force at the last controller that restarted or was cut off
+	ToAgreed    []float64 // ms from put to the reply to the operator
 }
 
 func (t *spreadTimes) add(o spreadTimes) {
@@ -190,7 +190,7 @@
 	t.ToAgreed = append(t.ToAgreed, o.ToAgreed...)
 }
 
-// recordTimes looks at the changes so far, while it is known what happened to whom.
+// recordTimes records the results of the changes so far, while reachableSince still tells which controllers were disturbed.
 func (s *simulation) recordTimes() {
 	for _, c := range s.changes {
 		s.times.Changes++
@@ -217,7 +217,7 @@
 	s.changes = nil
 }
 
-// play plays a condition on one fleet.
+// play runs a condition on one fleet.
 func play(ctx context.Context, c condition, seed int64, nodes, changes int) (spreadTimes, error) {
 	s, err := newSimulation(ctx, seed, nodes)
 	if err != nil {
@@ -240,7 +240,7 @@
 	err       error
 }
 
-// Measure measures all conditions, and what the configuration costs in bytes.
+// Measure measures the spread under all conditions, and the bytes that the configuration costs.
 func Measure(ctx context.Context, o Options) ([]slope.Row, error) {
 	o = o.withDefaults()
 	jobs := o.jobs()
@@ -270,7 +270,7 @@
 	return append(rows, costs...), err
 }
 
-// logJob tells of a history.
+// logJob logs the result of a history.
 func (o Options) logJob(j *job) {
 	if o.Logf != nil {
 		o.Logf("%s, %d controllers, seed %d: %d of %d changes agreed, %d lost, %d not answered, %d missing; put to last %s; start or heal to last %s; put to agreed %s; %v",
@@ -279,7 +279,7 @@
 	}
 }
 
-// summarize is a text of times in ms.
+// summarize formats the median, the 99th percentile and the maximum of times in ms.
 func summarize(values []float64) string {
 	if len(values) == 0 {
 		return "none"
@@ -303,10 +303,10 @@
 	return o
 }
 
-// selected tells whether a condition is to be measured.
+// selected reports whether a condition is to be measured.
 func (o Options) selected(name string) bool { return len(o.Only) == 0 || slices.Contains(o.Only, name) }
 
-// sizes are the fleets that are measured; the last one by all seeds and with all changes.
+// sizes returns the fleet sizes to measure. The last one is measured with all seeds and all changes.
 func (o Options) sizes() []int {
 	switch {
 	case o.Quick:
@@ -317,7 +317,7 @@
 	return []int{85, 170, 335, FleetSize}
 }
 
-// jobs are all histories, the longest first.
+// jobs returns all histories, those of the largest fleet first.
 func (o Options) jobs() (jobs []*job) {
 	sizes := o.sizes()
 	for i := len(sizes) - 1; i >= 0; i-- {
@@ -330,7 +330,7 @@
 				seeds, changes = 1, max(4, o.Changes/2)
 			}
 			if c.name == burstName {
-				changes = changes * 3 / 2 // sixty of forty
+				changes = changes * 3 / 2 // sixty by default, with forty changes otherwise
 			}
 			for seed := range seeds {
 				jobs = append(jobs, &job{condition: c, nodes: sizes[i], changes: changes, seed: o.Seed + int64(seed)})
@@ -340,7 +340,7 @@
 	return jobs
 }
 
-// runAll does something of all numbers below n, some at a time.
+// runAll calls a function with each number below n, Workers calls at a time.
 func (o Options) runAll(n int, do func(i int)) {
 	next := make(chan int)
 	var group sync.WaitGroup
@@ -358,7 +358,7 @@
 	group.Wait()
 }
 
-// conditionRows are a condition's rows: what of each size the median, the 99th of a hundred and the most took.
+// conditionRows returns the rows of a condition: the median, the 99th percentile and the maximum of the times at each size.
 func conditionRows(c condition, jobs []*job) []slope.Row {
 	bySize := map[int]*spreadTimes{}
 	for _, j := range jobs {
@@ -403,7 +403,7 @@
 	return sizes
 }
 
-// quantile is the least value that so large a share of all does not pass.
+// quantile returns the value at the given share of the sorted values.
 func quantile(values []float64, share float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
--- a/internal/lab/scale/spread/world.go
+++ b/internal/lab/scale/spread/world.go
@@ -1,7 +1,7 @@
 // Package spread measures in virtual time how long a version of the configuration takes from the operator's put until it
-// is in force at the last controller of a fleet, at rest and while parts of the system break, and what the configuration
-// costs a controller, a voter and the leader in bytes. The controllers are the real cores with all their parts; the
-// network, disks and the application of a version are drawn.
+// is in force at the last controller of a fleet, at rest and under faults, and how many bytes the configuration costs a
+// controller, a voter and the leader. The controllers run the real cores with all their parts; the network, the disks and
+// the application of a version are simulated with random delays.
 package spread
 
 import (
@@ -14,22 +14,22 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// The fleet that is built for, and what is assumed of its network.
+// The target fleet, and the assumptions about its network.
 const (
 	FleetSize      = 670
 	Voters         = 7
 	Regions        = 3
 	ZoneSize       = 67
-	withinRegion   = 1.0  // ms one way at least, up to 1 ms more
-	betweenRegions = 80.0 // ms one way at least
+	withinRegion   = 1.0  // least one-way latency in ms; up to 1 ms is added
+	betweenRegions = 80.0 // least one-way latency in ms; up to 1 ms is added
 	TimeBudget     = 19000.0
 	changeBytes    = 4096
 )
 
-// Region is where a controller is; the voters are spread over all of them.
+// Region returns the region of a controller. The voters are spread over all regions.
 func Region(machine int) int { return machine % Regions }
 
-// latency is what a message takes at least.
+// latency returns the least latency of a message in ms.
 func latency(from, to int) float64 {
 	if Region(from) == Region(to) {
 		return withinRegion
@@ -37,32 +37,32 @@
 	return betweenRegions
 }
 
-// versionChange is when a controller had a version, and from when it could have it.
+// versionChange is a time from which a controller had a version in force.
 type versionChange struct {
 	at     float64
 	number uint64
 }
 
-// simulation is a fleet with what came into force where and when.
+// simulation is a fleet with the times at which versions came into force at its controllers.
 type simulation struct {
 	world          *fleet.World
 	rng            *rand.Rand
 	nodes          int
 	inForce        [][]versionChange
-	reachableSince []float64 // since when a controller can be reached: its last start, or the last heal
+	reachableSince []float64 // ms, since when a controller can be reached: its last start, or the last heal
 	changes        []change
 	times          spreadTimes
 }
 
-// change is one put.
+// change is one put of a document.
 type change struct {
 	at     float64
-	agreed float64 // when its operator was told; 0: it was not
+	agreed float64 // ms, of the reply to the operator; 0: none that it was agreed on
 	number uint64
 	result config.Result
 }
 
-// newSimulation starts a fleet and lets it find itself.
+// newSimulation starts a fleet and runs it until its members should know each other.
 func newSimulation(ctx context.Context, seed int64, nodes int) (*simulation, error) {
 	voters := min(Voters, nodes)
 	plan := fleet.Plan{Seed: seed, Nodes: nodes, Voters: voters, Lease: 10000, Pace: members.DefaultConfig(), Config: true, Latency: latency, Direct: true}
@@ -80,7 +80,7 @@
 	return s, nil
 }
 
-// run plays for some ms.
+// run runs the simulation for some ms.
 func (s *simulation) run(ctx context.Context, long float64) error {
 	const step = 250.0
 	end := s.world.Now() + long
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// put proposes a version at a controller, or at the next one that runs.
+// put puts a document at a controller or, if it does not run, at the next one that does.
 func (s *simulation) put(machine int) {
 	for !s.world.Runs(machine) {
 		machine = (machine + 1) % s.nodes
@@ -111,16 +111,16 @@
 	})
 }
 
-// lags are the times that a change took, in ms: until it was in force at the last of the controllers that nothing
-// happened to, counted from the put; and at the last of those that restarted or were cut off, counted from their start
-// or heal. below 0: there were none. Missed is how many had not got it.
+// lags are the times in ms that a change took: until it was in force at the last controller that was not disturbed, counted
+// from the put; and at the last of those that restarted or were cut off, counted from their start or heal. A value below 0
+// means that there were no such controllers. missed counts the controllers at which it was not in force.
 type lags struct {
 	undisturbed float64
 	disturbed   float64
 	missed      int
 }
 
-// measureLags looks at a change when enough time has gone since.
+// measureLags measures the lags of a change. It is called when enough time has passed since the put.
 func (s *simulation) measureLags(c change) lags {
 	l := lags{undisturbed: -1, disturbed: -1}
 	for machine := range s.nodes {
@@ -138,13 +138,13 @@
 	return l
 }
 
-// inForceAt is when a controller had a version, or a later one, in force at or after a time.
+// inForceAt returns the first time, not before from, at which a controller had a version or a later one in force.
 func (s *simulation) inForceAt(machine int, number uint64, from float64) (float64, bool) {
 	last := versionChange{}
 	for _, r := range s.inForce[machine] {
 		if r.at > from && r.number >= number {
 			if last.number >= number {
-				return from, true // it had it before
+				return from, true // the version was in force before
 			}
 			return r.at, true
 		}
