--- a/cmd/mintkeel-lab/fleetmembers.go
+++ b/cmd/mintkeel-lab/fleetmembers.go
@@ -14,7 +14,7 @@
 type memberTrouble struct {
 	name   string
 	loss   float64 // share of the messages that are lost
-	pauses bool    // every other controller pauses at times
+	pauses bool    // every second, one random controller pauses
 }
 
 func fleetMembersCommand() *cobra.Command {
