--- a/internal/lab/scale/datapath/connections.go
+++ b/internal/lab/scale/datapath/connections.go
@@ -36,15 +36,15 @@
 }
 
 // splitByDescriptorLimit divides sizes into those that the machine's descriptor limit allows and those that it does not.
-func splitByDescriptorLimit(sizes []int) (fit []int, left []int) {
+func splitByDescriptorLimit(sizes []int) (fit []int, skipped []int) {
 	for _, n := range sizes {
 		if n <= clientLimit() {
 			fit = append(fit, n)
 		} else {
-			left = append(left, n)
+			skipped = append(skipped, n)
 		}
 	}
-	return fit, left
+	return fit, skipped
 }
 
 func (b *bench) idleConnections(ctx context.Context) ([]slope.Row, error) {
@@ -60,7 +60,7 @@
 	}
 	memory, open := row("resident memory", "MB", "idle"), row("descriptors", "descriptors", "idle")
 	processor := row("processor", "cores", condition)
-	sizes, left := splitByDescriptorLimit(b.connections)
+	sizes, skipped := splitByDescriptorLimit(b.connections)
 	for _, n := range sizes {
 		cost, err := b.measureConnections(ctx, r, n)
 		if err != nil {
@@ -75,8 +75,8 @@
 			memory.Note += fmt.Sprintf("at %d the daemon had ended %d; ", n, cost.closed)
 		}
 	}
-	if len(left) > 0 {
-		open.Note += fmt.Sprintf("%v not run: %d descriptors allow %d connections; ", left, daemon.DescriptorLimit(), clientLimit())
+	if len(skipped) > 0 {
+		open.Note += fmt.Sprintf("%v not run: %d descriptors allow %d connections; ", skipped, daemon.DescriptorLimit(), clientLimit())
 	}
 	memory.Note += "the kernel's buffers are not in it"
 	open.Note += "a daemon gives clients 21 of 40 descriptors"
--- a/internal/lab/scale/datapath/replacement.go
+++ b/internal/lab/scale/datapath/replacement.go
@@ -164,27 +164,27 @@
 }
 
 // replacementBy measures one failure mode.
-func (b *bench) replacementBy(ctx context.Context, way failureMode) (rows []slope.Row, err error) {
+func (b *bench) replacementBy(ctx context.Context, mode failureMode) (rows []slope.Row, err error) {
 	byClass := map[string][]slope.Row{}
-	double := slope.Row{Role: controllerRole, Cost: "engine replaced: non-idempotent queries begun twice", Unit: "queries",
-		Per: "statements/s", Condition: way.name, Method: methodSockets, Target: statementRate, Note: "must be none"}
+	repeatedRow := slope.Row{Role: controllerRole, Cost: "engine replaced: non-idempotent queries begun twice", Unit: "queries",
+		Per: "statements/s", Condition: mode.name, Method: methodSockets, Target: statementRate, Note: "must be none"}
 	sum := 0
 	for _, rate := range b.replacedRates {
-		outcomes, twice, err := b.replace(ctx, way, rate)
+		outcomes, repeated, err := b.replace(ctx, mode, rate)
 		if err != nil {
 			return rows, err
 		}
-		sum += twice
-		double.Points = append(double.Points, slope.Point{Size: rate, Value: float64(twice)})
+		sum += repeated
+		repeatedRow.Points = append(repeatedRow.Points, slope.Point{Size: rate, Value: float64(repeated)})
 		for _, c := range effectClasses {
-			byClass[c.class] = addOutcome(byClass[c.class], c, way.name, rate, outcomes[c.class])
+			byClass[c.class] = addOutcome(byClass[c.class], c, mode.name, rate, outcomes[c.class])
 		}
 	}
 	for _, c := range effectClasses {
 		rows = append(rows, byClass[c.class]...)
 	}
-	if rows = append(rows, double); sum > 0 {
-		return rows, fmt.Errorf("%s: %w: %d", way.name, errRepeatedWrite, sum)
+	if rows = append(rows, repeatedRow); sum > 0 {
+		return rows, fmt.Errorf("%s: %w: %d", mode.name, errRepeatedWrite, sum)
 	}
 	return rows, ctx.Err()
 }
@@ -216,7 +216,7 @@
 }
 
 // replace makes engines fail one after another under load and replaces each by a new one.
-func (b *bench) replace(ctx context.Context, way failureMode, rate float64) (map[string]*inFlightOutcome, int, error) {
+func (b *bench) replace(ctx context.Context, mode failureMode, rate float64) (map[string]*inFlightOutcome, int, error) {
 	r, err := b.open(ctx, replacedEngines)
 	if err != nil {
 		return nil, 0, err
@@ -231,7 +231,7 @@
 	}
 	outcomes := map[string]*inFlightOutcome{}
 	for i := range b.replacedRepeats {
-		inFlight, end, err := b.replaceOne(ctx, r, g, i+1, way, rate)
+		inFlight, end, err := b.replaceOne(ctx, r, g, i+1, mode, rate)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -242,17 +242,17 @@
 
 // replaceOne makes the engine with the given number fail under load and returns the queries that were in flight there:
 // those that ran, and those that it read after its failure.
-func (b *bench) replaceOne(ctx context.Context, r *rig, g *queryLog, number int, way failureMode, rate float64) (inFlight []string,
+func (b *bench) replaceOne(ctx context.Context, r *rig, g *queryLog, number int, mode failureMode, rate float64) (inFlight []string,
 	end time.Time, err error) {
-	over := make(chan bool)
+	loadDone := make(chan bool)
 	go func() {
-		defer close(over)
+		defer close(loadDone)
 		draw := func() statement {
 			s := r.drawMixed()
 			g.recordQuery(s)
 			return s
 		}
-		r.runLoad(ctx, rate, b.replacedBefore+way.reportDelay+b.replacedAfter, draw, func(s statement, verdict standin.Verdict, _ time.Duration) {
+		r.runLoad(ctx, rate, b.replacedBefore+mode.reportDelay+b.replacedAfter, draw, func(s statement, verdict standin.Verdict, _ time.Duration) {
 			g.recordAnswer(s, verdict)
 		})
 	}()
@@ -260,8 +260,8 @@
 	old := r.engines[number-1]
 	before := g.readAt(number)
 	end = time.Now()
-	inFlight = way.fail(old)
-	time.Sleep(way.reportDelay)
+	inFlight = mode.fail(old)
+	time.Sleep(mode.reportDelay)
 	replaced, err := daemon.NewEngine(replacedEngines+number, b.seed)
 	if err == nil {
 		g.recordReads(replaced, replacedEngines+number)
@@ -269,7 +269,7 @@
 			r.feed.Tell(uint32(replacedEngines+number), replaced.Addr, standin.Ready, uint64(time.Now().UnixMilli())))
 		r.engines = append(r.engines, replaced)
 	}
-	<-over
+	<-loadDone
 	for _, id := range g.readAt(number) {
 		if !slices.Contains(before, id) && !slices.Contains(inFlight, id) {
 			inFlight = append(inFlight, id)
--- a/internal/lab/scale/datapath/rig.go
+++ b/internal/lab/scale/datapath/rig.go
@@ -247,22 +247,22 @@
 
 // measureLoad sends statements at random times with a mean rate for a duration, each on the session that was idle for the
 // longest time, and waits for all answers.
-func (r *rig) measureLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement) outcomes {
+func (r *rig) measureLoad(ctx context.Context, rate float64, duration time.Duration, draw func() statement) outcomes {
 	var out outcomes
-	r.runLoad(ctx, rate, long, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
+	r.runLoad(ctx, rate, duration, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
 	slices.Sort(out.answerTimes)
 	return out
 }
 
 // runLoad is measureLoad with a function that is called with each answer, one call at a time.
-func (r *rig) runLoad(ctx context.Context, rate float64, long time.Duration, draw func() statement,
-	told func(s statement, verdict standin.Verdict, took time.Duration)) {
+func (r *rig) runLoad(ctx context.Context, rate float64, duration time.Duration, draw func() statement,
+	answered func(s statement, verdict standin.Verdict, took time.Duration)) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	began := time.Now()
 	for at := 0.0; ctx.Err() == nil; {
 		at += r.rng.ExpFloat64() / rate
-		if at > long.Seconds() {
+		if at > duration.Seconds() {
 			break
 		}
 		s := draw()
@@ -271,7 +271,7 @@
 			verdict, took := r.query(ctx, s)
 			mu.Lock()
 			defer mu.Unlock()
-			told(s, verdict, took)
+			answered(s, verdict, took)
 		})
 	}
 	group.Wait()
--- a/internal/lab/scale/dissemination/compare.go
+++ b/internal/lab/scale/dissemination/compare.go
@@ -115,17 +115,17 @@
 	return p
 }
 
-func summarize(way, condition string, size int, plays []runResult) Result {
-	r := Result{Protocol: way, Condition: condition, Size: size}
-	for _, p := range plays {
+func summarize(protocolName, condition string, size int, results []runResult) Result {
+	r := Result{Protocol: protocolName, Condition: condition, Size: size}
+	for _, p := range results {
 		r.Longest = max(r.Longest, p.last)
 		r.Missing += p.missing
 	}
-	r.Median = median(plays, func(p runResult) float64 { return p.last })
-	r.Leader = int(median(plays, func(p runResult) float64 { return float64(p.leader) }))
-	r.Voter = int(median(plays, func(p runResult) float64 { return float64(p.voter) }))
-	r.Node = int(median(plays, func(p runResult) float64 { return float64(p.node) }))
-	r.MaxNode = int(median(plays, func(p runResult) float64 { return float64(p.most) }))
+	r.Median = median(results, func(p runResult) float64 { return p.last })
+	r.Leader = int(median(results, func(p runResult) float64 { return float64(p.leader) }))
+	r.Voter = int(median(results, func(p runResult) float64 { return float64(p.voter) }))
+	r.Node = int(median(results, func(p runResult) float64 { return float64(p.node) }))
+	r.MaxNode = int(median(results, func(p runResult) float64 { return float64(p.most) }))
 	return r
 }
 
--- a/internal/lab/scale/hollow/await.go
+++ b/internal/lab/scale/hollow/await.go
@@ -33,16 +33,16 @@
 }
 
 // pollUntil calls a function at an interval until it returns true, an error or the time is over.
-func pollUntil(ctx context.Context, within, each time.Duration, what string, is func() (bool, error)) error {
-	for end := time.Now().Add(within); ; {
-		found, err := is()
+func pollUntil(ctx context.Context, timeout, interval time.Duration, what string, met func() (bool, error)) error {
+	for end := time.Now().Add(timeout); ; {
+		found, err := met()
 		if err != nil || found {
 			return err
 		}
 		if time.Now().After(end) {
-			return &TimeoutError{What: what, Timeout: within}
+			return &TimeoutError{What: what, Timeout: timeout}
 		}
-		if err := sleep(ctx, each); err != nil {
+		if err := sleep(ctx, interval); err != nil {
 			return err
 		}
 	}
@@ -50,20 +50,20 @@
 
 // AwaitAllKnown waits until each running controller has seen as many members alive as it was told to expect, and returns
 // when the last one had.
-func (f *Fleet) AwaitAllKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all controllers know all members", nil, func(v View) time.Time { return v.KnownAt })
+func (f *Fleet) AwaitAllKnown(ctx context.Context, timeout time.Duration) (last time.Time, err error) {
+	return f.awaitLast(ctx, timeout, "all controllers know all members", nil, func(v View) time.Time { return v.KnownAt })
 }
 
 // AwaitLossKnown waits until all running controllers know of a loss, and returns when the last one did.
-func (f *Fleet) AwaitLossKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all controllers know of the loss", nil, func(v View) time.Time { return v.GoneAt })
+func (f *Fleet) AwaitLossKnown(ctx context.Context, timeout time.Duration) (last time.Time, err error) {
+	return f.awaitLast(ctx, timeout, "all controllers know of the loss", nil, func(v View) time.Time { return v.GoneAt })
 }
 
 // awaitLast waits until the views of some controllers, or of all running ones if at is nil, contain a time, and returns the
 // latest of these times.
-func (f *Fleet) awaitLast(ctx context.Context, within time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
-	const lookEach = 250 * time.Millisecond
-	err = pollUntil(ctx, within, lookEach, what, func() (bool, error) {
+func (f *Fleet) awaitLast(ctx context.Context, timeout time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
+	const interval = 250 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, what, func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
@@ -88,14 +88,14 @@
 
 // AwaitLeader waits until all running voters vote and report the same running leader, and returns its number and the time
 // at which this was observed.
-func (f *Fleet) AwaitLeader(ctx context.Context, within time.Duration, voters int) (leader int, at time.Time, err error) {
-	return f.awaitLeaderAmong(ctx, within, nil, voters)
+func (f *Fleet) AwaitLeader(ctx context.Context, timeout time.Duration, voters int) (leader int, at time.Time, err error) {
+	return f.awaitLeaderAmong(ctx, timeout, nil, voters)
 }
 
 // awaitLeaderAmong is AwaitLeader for some voters; nil: all that run.
-func (f *Fleet) awaitLeaderAmong(ctx context.Context, within time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
-	const lookEach = 20 * time.Millisecond
-	err = pollUntil(ctx, within, lookEach, "the voters have a leader", func() (bool, error) {
+func (f *Fleet) awaitLeaderAmong(ctx context.Context, timeout time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
+	const interval = 20 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, "the voters have a leader", func() (bool, error) {
 		standings, err := f.QuorumViews()
 		if among != nil {
 			standings = slices.DeleteFunc(standings, func(s QuorumView) bool { return !slices.Contains(among, s.Number) })
@@ -118,20 +118,20 @@
 }
 
 // AwaitHolder waits until a lease has a holder whose fencing token is higher than above, and returns the holder and its grant.
-func (f *Fleet) AwaitHolder(ctx context.Context, within time.Duration, of lease.Name, above lease.Token) (holder int, grant Grant, err error) {
-	const lookEach = 50 * time.Millisecond
-	err = pollUntil(ctx, within, lookEach, fmt.Sprintf("%s has a holder", of), func() (bool, error) {
+func (f *Fleet) AwaitHolder(ctx context.Context, timeout time.Duration, leaseName lease.Name, above lease.Token) (holder int, grant Grant, err error) {
+	const interval = 50 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, fmt.Sprintf("%s has a holder", leaseName), func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
 		}
 		grant = Grant{Token: above}
 		for _, v := range views {
-			if !slices.Contains(v.Holds, of) {
+			if !slices.Contains(v.Holds, leaseName) {
 				continue
 			}
 			for _, g := range v.Grants {
-				if g.Lease == of && g.Token > grant.Token {
+				if g.Lease == leaseName && g.Token > grant.Token {
 					holder, grant = v.Number, g
 				}
 			}
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -86,13 +86,13 @@
 }
 
 // AwaitInForce waits until all running controllers have a version or a later one in force, and returns when the last one had.
-func (f *Fleet) AwaitInForce(ctx context.Context, within time.Duration, version uint64) (last time.Time, err error) {
-	return f.awaitInForceAt(ctx, within, version, nil)
+func (f *Fleet) AwaitInForce(ctx context.Context, timeout time.Duration, version uint64) (last time.Time, err error) {
+	return f.awaitInForceAt(ctx, timeout, version, nil)
 }
 
 // awaitInForceAt is AwaitInForce for some controllers; nil: all that run.
-func (f *Fleet) awaitInForceAt(ctx context.Context, within time.Duration, version uint64, at []int) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, fmt.Sprintf("version %d is in force at all controllers", version), at, func(v View) time.Time {
+func (f *Fleet) awaitInForceAt(ctx context.Context, timeout time.Duration, version uint64, at []int) (last time.Time, err error) {
+	return f.awaitLast(ctx, timeout, fmt.Sprintf("version %d is in force at all controllers", version), at, func(v View) time.Time {
 		i := slices.IndexFunc(v.Applied, func(a Applied) bool { return a.Number >= version })
 		if i < 0 {
 			return time.Time{}
--- a/internal/lab/scale/hollow/daemons.go
+++ b/internal/lab/scale/hollow/daemons.go
@@ -102,10 +102,10 @@
 }
 
 // awaitInForce waits until all daemons have a version in force.
-func (d *daemons) awaitInForce(ctx context.Context, within time.Duration, version uint64) error {
-	const lookEach = 50 * time.Millisecond
+func (d *daemons) awaitInForce(ctx context.Context, timeout time.Duration, version uint64) error {
+	const interval = 50 * time.Millisecond
 	what := fmt.Sprintf("version %d is in force at all daemons", version)
-	return pollUntil(ctx, within, lookEach, what, func() (bool, error) {
+	return pollUntil(ctx, timeout, interval, what, func() (bool, error) {
 		for _, p := range d.processes {
 			log, err := p.Log()
 			if err != nil || !hasInForce(log, version) {
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -257,10 +257,10 @@
 	r.Logf("%d controllers, a day's mix: controller %+.4g, leader %+.4g", r.size, v.Mean(r.voters), v.Mean(leader))
 }
 
-func (r *dayRun) recordDaemons(before, after []daemonUsage, long time.Duration) {
+func (r *dayRun) recordDaemons(before, after []daemonUsage, duration time.Duration) {
 	cores, memory := 0.0, 0.0
 	for i := range before {
-		cores = max(cores, (after[i].processor-before[i].processor)/long.Seconds())
+		cores = max(cores, (after[i].processor-before[i].processor)/duration.Seconds())
 		memory = max(memory, after[i].resident*bytesPerMiB/bytesPerMB)
 	}
 	if len(before) > 0 {
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -111,10 +111,10 @@
 
 // call sends a request to a child and waits for the reply. A child that does not reply in time is killed, and all later
 // calls return an error.
-func (p *process) call(within time.Duration, r request) (answer reply, err error) {
+func (p *process) call(timeout time.Duration, r request) (answer reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	timer := time.AfterFunc(within, func() { p.command.Process.Kill() })
+	timer := time.AfterFunc(timeout, func() { p.command.Process.Kill() })
 	defer timer.Stop()
 	if err = p.write.Encode(r); err == nil {
 		err = p.read.Decode(&answer)
@@ -137,13 +137,13 @@
 }
 
 // callAll calls all children at the same time, except those for which the request is nil.
-func (f *Fleet) callAll(within time.Duration, of func(*process) *request) ([]reply, error) {
+func (f *Fleet) callAll(timeout time.Duration, of func(*process) *request) ([]reply, error) {
 	replies := make([]reply, len(f.processes))
 	errs := make([]error, len(f.processes))
 	var group sync.WaitGroup
 	for i, p := range f.processes {
 		if r := of(p); r != nil {
-			group.Go(func() { replies[i], errs[i] = p.call(within, *r) })
+			group.Go(func() { replies[i], errs[i] = p.call(timeout, *r) })
 		}
 	}
 	group.Wait()
@@ -211,14 +211,14 @@
 // AwaitRestarts makes the running controllers record when they know the expected number of members to be alive, the given
 // ones in a later run than now.
 func (f *Fleet) AwaitRestarts(ctx context.Context, expect int, of []int) error {
-	const noted = 2 * pollInterval * time.Millisecond // until all controllers have recorded the current runs
+	const recordTime = 2 * pollInterval * time.Millisecond // until all controllers have recorded the current runs
 	_, err := f.callAll(requestTimeout, func(*process) *request {
 		return &request{Action: actionAwaitRestart, Expect: expect, Numbers: of}
 	})
 	if err != nil {
 		return err
 	}
-	return sleep(ctx, noted)
+	return sleep(ctx, recordTime)
 }
 
 // AwaitLoss makes the running controllers record when they know that one controller is gone.
--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -75,8 +75,8 @@
 }
 
 // newLossyConn wraps a connection. It calls again with the number of retransmitted segments of each write.
-func newLossyConn(conn net.Conn, l loss, first time.Duration, again func(segments int64)) *lossyConn {
-	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: first, onRetransmit: again, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
+func newLossyConn(conn net.Conn, l loss, retransmitTimeout time.Duration, onRetransmit func(segments int64)) *lossyConn {
+	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: retransmitTimeout, onRetransmit: onRetransmit, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
 		finished: make(chan struct{})}
 	go c.deliver()
 	return c
--- a/internal/lab/scale/hollow/share.go
+++ b/internal/lab/scale/hollow/share.go
@@ -85,7 +85,7 @@
 
 // Leave stops controllers after they have released their leases and announced that they leave, as a planned restart does.
 func (s *Share) Leave(numbers []int) {
-	const farewell = 300 * time.Millisecond // until the message has been sent
+	const announceTime = 300 * time.Millisecond // until the message has been sent
 	s.mu.Lock()
 	for _, number := range numbers {
 		if c := s.controllers[number]; c != nil {
@@ -93,7 +93,7 @@
 		}
 	}
 	s.mu.Unlock()
-	time.Sleep(farewell)
+	time.Sleep(announceTime)
 	s.Stop(numbers)
 }
 
@@ -175,8 +175,8 @@
 // samplePeaks polls the number of connections in at voters and keeps the maximum. It polls often, because the start of a
 // fleet is over within seconds.
 func (s *Share) samplePeaks() {
-	const lookEach = 50 * time.Millisecond
-	ticker := time.NewTicker(lookEach)
+	const interval = 50 * time.Millisecond
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/lab/scale/hollow/sizes.go
+++ b/internal/lab/scale/hollow/sizes.go
@@ -128,13 +128,13 @@
 	if err != nil {
 		return err
 	}
-	unknowing, fewest, most := 0, size, 0
+	behind, fewest, most := 0, size, 0
 	took := make([]float64, len(views))
 	for i, v := range views {
 		took[i] = milliseconds(v.KnownAt.Sub(began))
 		if v.KnownAt.IsZero() {
 			took[i] = math.Inf(1)
-			unknowing++
+			behind++
 			fewest, most = min(fewest, v.Alive), max(most, v.Alive)
 		}
 	}
@@ -142,8 +142,8 @@
 	if median := took[len(took)/2]; !math.IsInf(median, 1) {
 		m.record(size, when+"/median", median)
 	}
-	if unknowing > 0 {
-		m.Logf("%d controllers, %s: %d of %d do not know all members, but %d to %d", size, when, unknowing, len(views), fewest, most)
+	if behind > 0 {
+		m.Logf("%d controllers, %s: %d of %d do not know all members, but %d to %d", size, when, behind, len(views), fewest, most)
 	}
 	return nil
 }
--- a/internal/lab/scale/leases.go
+++ b/internal/lab/scale/leases.go
@@ -41,12 +41,12 @@
 		median := worst
 		median.Cost, median.Budget = "time without a holder, median", 0
 		for _, seconds := range lengths {
-			free, err := unheldTimes(ctx, seed, seeds, seconds, loss)
+			unheld, err := unheldTimes(ctx, seed, seeds, seconds, loss)
 			if err != nil {
 				return rows, err
 			}
-			worst.Points = append(worst.Points, slope.Point{Size: seconds, Value: free[len(free)-1]})
-			median.Points = append(median.Points, slope.Point{Size: seconds, Value: free[len(free)/2]})
+			worst.Points = append(worst.Points, slope.Point{Size: seconds, Value: unheld[len(unheld)-1]})
+			median.Points = append(median.Points, slope.Point{Size: seconds, Value: unheld[len(unheld)/2]})
 		}
 		rows = append(rows, worst, median)
 	}
@@ -55,13 +55,13 @@
 
 // unheldTimes runs one history per seed, two at a time, and returns the times in ms without a holder, sorted.
 func unheldTimes(ctx context.Context, seed int64, seeds int, seconds float64, loss fleet.Loss) ([]float64, error) {
-	const beside = 2
-	free := make([]float64, seeds)
+	const workers = 2
+	unheld := make([]float64, seeds)
 	var group sync.WaitGroup
-	for first := range beside {
+	for first := range workers {
 		group.Go(func() {
-			for i := first; i < seeds && ctx.Err() == nil; i += beside {
-				free[i], _ = fleet.TakeOverAcross(seed+int64(i), seconds*1000, loss, fleet.Regions{Count: regions, Between: interRegionLatency})
+			for i := first; i < seeds && ctx.Err() == nil; i += workers {
+				unheld[i], _ = fleet.TakeOverAcross(seed+int64(i), seconds*1000, loss, fleet.Regions{Count: regions, Between: interRegionLatency})
 			}
 		})
 	}
@@ -69,11 +69,11 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	for i, ms := range free {
+	for i, ms := range unheld {
 		if math.IsInf(ms, 1) {
 			return nil, fmt.Errorf("seed %d, lease of %g s, holder %v: no new holder until the history's end", seed+int64(i), seconds, loss)
 		}
 	}
-	slices.Sort(free)
-	return free, nil
+	slices.Sort(unheld)
+	return unheld, nil
 }
--- a/internal/lab/scale/membership/watch.go
+++ b/internal/lab/scale/membership/watch.go
@@ -53,8 +53,8 @@
 }
 
 // runUntilDone runs until all watches are done, for a time in ms at most.
-func (s *simulation) runUntilDone(ctx context.Context, watches []*watch, most float64) error {
-	for end := s.now + most; s.now < end; {
+func (s *simulation) runUntilDone(ctx context.Context, watches []*watch, timeout float64) error {
+	for end := s.now + timeout; s.now < end; {
 		if err := s.runUntil(ctx, s.now+pollInterval); err != nil {
 			return err
 		}
--- a/internal/lab/scale/spread/bytes.go
+++ b/internal/lab/scale/spread/bytes.go
@@ -86,28 +86,28 @@
 	if err != nil {
 		return nil, err
 	}
-	long := dayMS / partsOfDay
+	duration := dayMS / partsOfDay
 	changes := int(changesInPart)
 	if quick {
-		long, changes = long/5, changes/5
+		duration, changes = duration/5, changes/5
 	}
 	s.world.CountTraffic()
 	leader := s.world.Leader()
 	replacements := max(1, int(replacedInPart*float64(nodes)/FleetSize+0.5))
 	for range replacements {
-		s.world.After(long*s.rng.Float64(), func() { s.world.Replace(Voters+s.rng.Intn(nodes-Voters), replacementDelay) })
+		s.world.After(duration*s.rng.Float64(), func() { s.world.Replace(Voters+s.rng.Intn(nodes-Voters), replacementDelay) })
 	}
-	s.world.After(long/2, func() { s.world.Restart(Voters+s.rng.Intn(nodes-Voters), 60000) })
+	s.world.After(duration/2, func() { s.world.Restart(Voters+s.rng.Intn(nodes-Voters), 60000) })
 	for range changes {
 		s.put(s.rng.Intn(nodes))
-		if err := s.run(ctx, long/float64(changes)); err != nil {
+		if err := s.run(ctx, duration/float64(changes)); err != nil {
 			return nil, err
 		}
 	}
 	if s.world.Leader() != leader {
 		return nil, fmt.Errorf("the leader changed during the simulated part of the day")
 	}
-	return s.dayCosts(long/1000, leader), nil
+	return s.dayCosts(duration/1000, leader), nil
 }
 
 // dayCosts returns the means over the controllers of each role.
--- a/internal/lab/scale/spread/world.go
+++ b/internal/lab/scale/spread/world.go
@@ -81,9 +81,9 @@
 }
 
 // run runs the simulation for some ms.
-func (s *simulation) run(ctx context.Context, long float64) error {
+func (s *simulation) run(ctx context.Context, duration float64) error {
 	const step = 250.0
-	end := s.world.Now() + long
+	end := s.world.Now() + duration
 	for s.world.Now() < end {
 		if err := ctx.Err(); err != nil {
 			return err
