--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -74,7 +74,7 @@
 	at   time.Time
 }
 
-// newLossyConn wraps a connection. It calls again with the number of retransmitted segments of each write.
+// newLossyConn wraps a connection. It calls onRetransmit with the number of retransmitted segments of each write.
 func newLossyConn(conn net.Conn, l loss, retransmitTimeout time.Duration, onRetransmit func(segments int64)) *lossyConn {
 	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: retransmitTimeout, onRetransmit: onRetransmit, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
 		finished: make(chan struct{})}
--- a/internal/lab/scale/hollow/measure.go
+++ b/internal/lab/scale/hollow/measure.go
@@ -150,7 +150,7 @@
 	return leader, interval, &TimeoutError{What: "the same voter leads throughout a window", Timeout: tries * m.window}
 }
 
-// figures are the measured figures of a fleet of one size, by name.
+// figures are the figures of a fleet of one size, by name. A missing figure was not measured.
 type figures struct {
 	size   int
 	values map[string]float64
