--- a/internal/lab/scale/datapath/gaps.go
+++ b/internal/lab/scale/datapath/gaps.go
@@ -74,8 +74,8 @@
 	addr    string
 }
 
-// run sends queries until end and returns the number of connections found closed by queries sent after counts.
-func (c *gapClient) run(ctx context.Context, counts, end time.Time) (ended int) {
+// run sends queries until end and returns the number of connections found closed by queries that were due after countFrom.
+func (c *gapClient) run(ctx context.Context, countFrom, end time.Time) (ended int) {
 	defer func() { c.session.Close() }()
 	draw := rig{rng: c.rng}
 	for {
@@ -88,7 +88,7 @@
 		if _, err := c.session.Query(s.fields, s.text, daemon.Deadline); err == nil {
 			continue
 		}
-		if at.After(counts) {
+		if at.After(countFrom) {
 			ended++
 		}
 		again, err := standin.Dial(ctx, c.addr, daemon.Deadline)
