--- a/internal/lab/scale/datapath/replacement.go
+++ b/internal/lab/scale/datapath/replacement.go
@@ -150,7 +150,7 @@
 	return n
 }
 
-var errRepeatedWrite = errors.New("engines began a non-idempotent query more than once")
+var errRepeatedWrite = errors.New("engines began non-idempotent queries more than once")
 
 // replacement measures the effect of an engine's replacement on queries in flight.
 func (b *bench) replacement(ctx context.Context) (rows []slope.Row, err error) {
--- a/internal/lab/scale/hollow/configuration.go
+++ b/internal/lab/scale/hollow/configuration.go
@@ -124,7 +124,7 @@
 		median, longest := took[len(took)/2], took[len(took)-1]
 		m.record(size, putFigureName(bytes, "median"), milliseconds(median))
 		m.record(size, putFigureName(bytes, "longest"), milliseconds(longest))
-		m.Logf("%d controllers: a document of %d bytes was in force at the last after %v, at most %v, of %d", size, bytes,
+		m.Logf("%d controllers: a document of %d bytes was in force at the last controller after a median of %v, at most %v, in %d puts", size, bytes,
 			median.Round(time.Millisecond), longest.Round(time.Millisecond), len(took))
 	}
 	return nil
--- a/internal/lab/scale/hollow/day.go
+++ b/internal/lab/scale/hollow/day.go
@@ -266,7 +266,7 @@
 	if len(before) > 0 {
 		r.record(r.size, "mix/daemon/cores", cores)
 		r.record(r.size, "mix/daemon/resident", memory)
-		r.Logf("%d controllers, a day's mix: of %d daemons the most %.4f cores and %.1f MB", r.size, len(before), cores, memory)
+		r.Logf("%d controllers, a day's mix: of %d daemons, at most %.4f cores and %.1f MB", r.size, len(before), cores, memory)
 	}
 }
 
@@ -279,7 +279,7 @@
 	median, longest := took[len(took)/2], took[len(took)-1]
 	m.record(size, figure+"/put/median", milliseconds(median))
 	m.record(size, figure+"/put/longest", milliseconds(longest))
-	m.Logf("%d controllers, %s: %d versions in force at the last after %v, at most %v", size, figure, len(took),
+	m.Logf("%d controllers, %s: %d versions in force at the last controller after a median of %v, at most %v", size, figure, len(took),
 		median.Round(time.Millisecond), longest.Round(time.Millisecond))
 }
 
--- a/internal/lab/scale/hollow/measure.go
+++ b/internal/lab/scale/hollow/measure.go
@@ -145,7 +145,7 @@
 		if leader == was {
 			return leader, interval, err
 		}
-		m.Logf("the leader changed to n%d from n%d in a fleet at rest", leader, was)
+		m.Logf("n%d leads in place of n%d, though the fleet was at rest", leader, was)
 	}
 	return leader, interval, &TimeoutError{What: "the same voter leads throughout a window", Timeout: tries * m.window}
 }
--- a/internal/lab/scale/hollow/sizes.go
+++ b/internal/lab/scale/hollow/sizes.go
@@ -143,7 +143,7 @@
 		m.record(size, when+"/median", median)
 	}
 	if behind > 0 {
-		m.Logf("%d controllers, %s: %d of %d do not know all members, but %d to %d", size, when, behind, len(views), fewest, most)
+		m.Logf("%d controllers, %s: %d of %d controllers do not know all members, but %d to %d of them", size, when, behind, len(views), fewest, most)
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 		return err
 	}
 	m.record(size, figure, milliseconds(found.Sub(lost)))
-	m.Logf("%d controllers: n%d leads %v after n%d", size, next, found.Sub(lost).Round(time.Millisecond), leader)
+	m.Logf("%d controllers: n%d leads %v after the leader n%d was killed", size, next, found.Sub(lost).Round(time.Millisecond), leader)
 	return nil
 }
 
@@ -203,7 +203,7 @@
 		return err
 	}
 	m.record(size, "holder/free", milliseconds(granted.At.Sub(lost)))
-	m.Logf("%d controllers: n%d holds %s %v after n%d", size, next, of, granted.At.Sub(lost).Round(time.Millisecond), holder)
+	m.Logf("%d controllers: n%d holds %s %v after its holder n%d was killed", size, next, of, granted.At.Sub(lost).Round(time.Millisecond), holder)
 	return nil
 }
 
