--- a/cmd/mintkeel-lab/fleetmembers.go
+++ b/cmd/mintkeel-lab/fleetmembers.go
@@ -10,8 +10,8 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// memberTrouble is a condition under which membership is measured.
-type memberTrouble struct {
+// memberCondition is a condition under which membership is measured.
+type memberCondition struct {
 	name   string
 	loss   float64 // share of the messages that are lost
 	pauses bool    // every second, one random controller pauses
@@ -39,7 +39,7 @@
 // measureMembers measures fleets of the given sizes for the given virtual time, and prints a row
 // for each size and condition.
 func measureMembers(out io.Writer, sizes []int, seed int64, measured time.Duration) {
-	troubles := []memberTrouble{
+	conditions := []memberCondition{
 		{name: "none"},
 		{name: "a tenth of all messages lost", loss: 0.1},
 		{name: "each second one pauses for 0.2 to 3 s", pauses: true},
@@ -49,9 +49,9 @@
 		"| all know of one killed after |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range sizes {
-		for _, trouble := range troubles {
-			m := fleet.MeasureMembers(seed, size, trouble.loss, trouble.pauses, milliseconds(measured))
-			fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", size, trouble.name,
+		for _, condition := range conditions {
+			m := fleet.MeasureMembers(seed, size, condition.loss, condition.pauses, milliseconds(measured))
+			fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", size, condition.name,
 				m.BytesPerSecond, m.TicksPerSecond, m.FalseSuspicionsPerHour, m.FalseDeathsPerHour,
 				m.DetectionMS/1e3)
 		}
