--- a/cmd/mintkeel-lab/fleetmembers.go
+++ b/cmd/mintkeel-lab/fleetmembers.go
@@ -10,11 +10,11 @@
 	"mintkeel/internal/lab/fleet"
 )
 
-// memberTrouble is a condition under which membership is measured.
-type memberTrouble struct {
+// memberCondition is a condition under which membership is measured.
+type memberCondition struct {
 	name   string
 	loss   float64 // share of the messages that are lost
-	pauses bool    // each second controller pauses at times
+	pauses bool    // every second, one random controller pauses
 }
 
 func fleetMembersCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 	measured := 2 * time.Minute
 	c := &cobra.Command{
 		Use: "members",
-		Short: "Measure what membership costs, and how often it is wrong, by size of the fleet, " +
+		Short: "Measure the cost of membership and its false detections by fleet size, " +
 			"in virtual time",
 		Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) {
@@ -31,15 +31,15 @@
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "sizes", sizes, "controllers")
-	c.Flags().Int64Var(&seed, "seed", seed, "of the histories")
-	c.Flags().DurationVar(&measured, "long", measured, "virtual time that is measured")
+	c.Flags().Int64Var(&seed, "seed", seed, "seed of the histories")
+	c.Flags().DurationVar(&measured, "long", measured, "virtual time to measure for")
 	return c
 }
 
-// measureMembers measures fleets of some sizes for some virtual time, and prints a row for each
-// size and trouble.
+// measureMembers measures fleets of the given sizes for the given virtual time, and prints a row
+// for each size and condition.
 func measureMembers(out io.Writer, sizes []int, seed int64, measured time.Duration) {
-	troubles := []memberTrouble{
+	conditions := []memberCondition{
 		{name: "none"},
 		{name: "a tenth of all messages lost", loss: 0.1},
 		{name: "each second one pauses for 0.2 to 3 s", pauses: true},
@@ -49,9 +49,9 @@
 		"| all know of one killed after |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, size := range sizes {
-		for _, trouble := range troubles {
-			m := fleet.MeasureMembers(seed, size, trouble.loss, trouble.pauses, milliseconds(measured))
-			fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", size, trouble.name,
+		for _, condition := range conditions {
+			m := fleet.MeasureMembers(seed, size, condition.loss, condition.pauses, milliseconds(measured))
+			fmt.Fprintf(out, "| %d | %s | %.0f | %.1f | %.0f | %.0f | %.1f s |\n", size, condition.name,
 				m.BytesPerSecond, m.TicksPerSecond, m.FalseSuspicionsPerHour, m.FalseDeathsPerHour,
 				m.DetectionMS/1e3)
 		}
--- a/internal/lab/scale/datapath/gaps.go
+++ b/internal/lab/scale/datapath/gaps.go
@@ -11,18 +11,19 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// meanGap is the mean time between two queries of one client: connections over statements a second.
+// meanGap is the mean time between two queries of one client: connections divided by statements per second.
 const meanGap = clientCount * time.Second / statementRate
 
-// gapRows measures how many clients a second find that the daemon has ended their connection between two queries, where
-// each asks at random, as often on average as in the fleet that is built for. Sizes are measured side by side.
+// gapRows measures how many clients per second find that the daemon has closed their connection between two queries. Each
+// client sends queries at random times, with the mean rate of a client of the target fleet. All sizes are measured at the
+// same time.
 func (b *bench) gapRows(ctx context.Context) ([]slope.Row, error) {
 	if len(b.gaps) == 0 {
 		return nil, nil
 	}
 	ended := make([]float64, len(b.gaps))
-	err := sideBySide(len(b.gaps), len(b.gaps), func(i int) (err error) {
-		ended[i], err = b.endedBetween(ctx, b.gaps[i])
+	err := inParallelLimited(len(b.gaps), len(b.gaps), func(i int) (err error) {
+		ended[i], err = b.closedConnections(ctx, b.gaps[i])
 		return err
 	})
 	if err != nil {
@@ -34,11 +35,12 @@
 	for i, n := range b.gaps {
 		row.Points = append(row.Points, slope.Point{Size: float64(n), Value: ended[i]})
 	}
-	return forEach(row, clientTargets...), nil
+	return atTargets(row, clientTargets...), nil
 }
 
-// endedBetween has n clients ask at random for a while and tells how many a second found their connection ended.
-func (b *bench) endedBetween(ctx context.Context, n int) (float64, error) {
+// closedConnections runs n clients that send queries at random times, and returns how many per second found their
+// connection closed.
+func (b *bench) closedConnections(ctx context.Context, n int) (float64, error) {
 	r, err := b.open(ctx, connectionEngines)
 	if err != nil {
 		return 0, err
@@ -50,12 +52,12 @@
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	ended, began := 0, time.Now()
-	steady := began.Add(b.gapsSettle) // before it few can have ended
+	steady := began.Add(b.gapsSettle) // before then, few connections can have been idle for long enough
 	end := steady.Add(b.gapsWindow)
 	for range n {
 		c := &gapClient{session: <-r.sessions, rng: rand.New(rand.NewSource(r.rng.Int63())), addr: r.daemon.Addr}
 		group.Go(func() {
-			count := c.play(ctx, steady, end)
+			count := c.run(ctx, steady, end)
 			mu.Lock()
 			defer mu.Unlock()
 			ended += count
@@ -65,15 +67,15 @@
 	return float64(ended) / b.gapsWindow.Seconds(), ctx.Err()
 }
 
-// gapClient is a client that asks at random on one connection while that lasts, and opens another when it has ended.
+// gapClient is a client that sends queries at random times on one connection, which it replaces when it finds it closed.
 type gapClient struct {
 	session *standin.Client
 	rng     *rand.Rand
 	addr    string
 }
 
-// play asks until the end and counts the connections that it found ended since it counts.
-func (c *gapClient) play(ctx context.Context, counts, end time.Time) (ended int) {
+// run sends queries until end and returns the number of connections found closed by queries that were due after countFrom.
+func (c *gapClient) run(ctx context.Context, countFrom, end time.Time) (ended int) {
 	defer func() { c.session.Close() }()
 	draw := rig{rng: c.rng}
 	for {
@@ -82,11 +84,11 @@
 			return ended
 		}
 		time.Sleep(time.Until(at))
-		s := draw.usual()
+		s := draw.drawUsual()
 		if _, err := c.session.Query(s.fields, s.text, daemon.Deadline); err == nil {
 			continue
 		}
-		if at.After(counts) {
+		if at.After(countFrom) {
 			ended++
 		}
 		again, err := standin.Dial(ctx, c.addr, daemon.Deadline)
@@ -95,7 +97,7 @@
 		}
 		c.session.Close()
 		c.session = again
-		s = draw.usual()
+		s = draw.drawUsual()
 		c.session.Query(s.fields, s.text, daemon.Deadline)
 	}
 }
--- a/internal/lab/scale/datapath/rig.go
+++ b/internal/lab/scale/datapath/rig.go
@@ -13,36 +13,36 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// clientLimit is how many connections of clients a daemon with that limit serves: see package limits.
+// clientLimit returns how many client connections a daemon serves with this machine's descriptor limit; see package limits.
 func clientLimit() int { return daemon.DescriptorLimit() * 21 / 40 }
 
-// rig is a daemon with emulated engines, the feed and clients' sessions.
+// rig is a daemon with emulated engines, a discovery service and client sessions.
 type rig struct {
 	engines  []*standin.Engine
 	feed     *standin.Feed
 	daemon   *daemon.Process
-	sessions chan *standin.Client // that are idle, the longest so first
+	sessions chan *standin.Client // idle sessions, the longest idle first
 	rng      *rand.Rand
 	cancel   context.CancelFunc
 
-	mu     sync.Mutex
-	firsts service // what became of each session's first query
+	mu           sync.Mutex
+	firstQueries outcomes // of the first query of each session
 }
 
-// daemonName is the daemon's, as a controller.
+// daemonName is the daemon's name as a controller.
 const daemonName = "n1"
 
-// mostSessions bounds a rig's sessions.
-const mostSessions = 1 << 14
+// maxSessions bounds the idle sessions of a rig.
+const maxSessions = 1 << 14
 
 func (b *bench) open(ctx context.Context, engines int) (*rig, error) {
 	return b.openWith(ctx, engines, true)
 }
 
-// openWith is open with a daemon that may probe engines or not.
+// openWith is open with health probes allowed or not.
 func (b *bench) openWith(ctx context.Context, engines int, probes bool) (*rig, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	r := &rig{sessions: make(chan *standin.Client, mostSessions), rng: rand.New(rand.NewSource(b.seed)), cancel: cancel}
+	r := &rig{sessions: make(chan *standin.Client, maxSessions), rng: rand.New(rand.NewSource(b.seed)), cancel: cancel}
 	err := r.start(ctx, b, engines, probes)
 	if err != nil {
 		r.close()
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	r.daemon, err = daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, Feed: r.feed.Addr,
+	r.daemon, err = daemon.Start(ctx, daemon.Options{Binary: b.mintkeel, Folder: dir, Name: daemonName, DiscoveryAddr: r.feed.Addr,
 		Engines: r.engines, Controllers: controllers, Seed: b.seed, Probes: probes})
 	return err
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// traffic is what all engines counted.
+// traffic returns the sum of all engines' traffic counts.
 func (r *rig) traffic() (sum standin.Traffic) {
 	for _, e := range r.engines {
 		t := e.Traffic()
@@ -107,12 +107,12 @@
 	return sum
 }
 
-// statement is a query as a client writes it.
+// statement is a query as a client sends it.
 type statement struct {
 	id, class, fields, text string
 }
 
-// Work of an ordinary statement at its engine, and how many table groups there are.
+// The work of an ordinary statement at its engine, and the number of table groups.
 const (
 	usualWork   = 20.0 // ms
 	tableGroups = 300
@@ -128,14 +128,14 @@
 	return s
 }
 
-func (r *rig) usual() statement {
+func (r *rig) drawUsual() statement {
 	return r.statement(daemon.LookupClass, usualWork*(0.5+r.rng.Float64()))
 }
 
-// workers are how many sessions are opened or touched at one time.
+// workers is the number of sessions that are opened or kept alive at a time.
 const workers = 64
 
-// inParallel calls f for each of n, some at one time, and returns the first error.
+// inParallel calls f with each number below n, at most workers calls at a time, and returns the first error.
 func inParallel(n int, f func(i int) error) error {
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -162,7 +162,7 @@
 	return first
 }
 
-// connect opens sessions until there are n, each with a first query, without which none stays.
+// connect opens sessions until there are n. It sends a first query on each, without which the daemon would close it.
 func (r *rig) connect(ctx context.Context, n int) error {
 	missing := n - len(r.sessions)
 	first := make([]statement, max(0, missing))
@@ -183,14 +183,14 @@
 		r.sessions <- c
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.firsts.add(verdict, time.Since(began))
+		r.firstQueries.add(verdict, time.Since(began))
 		return nil
 	})
 }
 
-// touch gives a sign of life on each idle session: the daemon ends those that are silent for 5 s. It returns how many
-// had ended.
-func (r *rig) touch() (ended int) {
+// keepAlive sends a message on each idle session, because the daemon closes sessions that are silent for 5 s. It returns
+// how many had been closed.
+func (r *rig) keepAlive() (ended int) {
 	var mu sync.Mutex
 	inParallel(len(r.sessions), func(int) error {
 		c := <-r.sessions
@@ -207,21 +207,21 @@
 	return ended
 }
 
-// service is what clients saw in a time under load.
-type service struct {
-	asked, answered, shed, failed, lost int
-	took                                []float64 // ms of those that were answered, sorted
+// outcomes counts the answers to clients during a time under load.
+type outcomes struct {
+	queries, answered, rejected, failed, lost int
+	answerTimes                               []float64 // ms, of the answered queries; sorted by measureLoad
 }
 
-// quantile is that of the times of answers, in ms.
-func (s service) quantile(q float64) float64 { return quantile(s.took, q) }
+// quantile returns a quantile of the answer times in ms.
+func (s outcomes) quantile(q float64) float64 { return quantile(s.answerTimes, q) }
 
-func (s service) String() string {
-	text := fmt.Sprintf("%d of %d answered", s.answered, s.asked)
+func (s outcomes) String() string {
+	text := fmt.Sprintf("%d of %d answered", s.answered, s.queries)
 	for _, other := range []struct {
 		count int
 		word  string
-	}{{s.shed, "rejected"}, {s.failed, "failed"}, {s.lost, "without an answer"}} {
+	}{{s.rejected, "rejected"}, {s.failed, "failed"}, {s.lost, "without an answer"}} {
 		if other.count > 0 {
 			text += fmt.Sprintf(", %d %s", other.count, other.word)
 		}
@@ -229,15 +229,15 @@
 	return text
 }
 
-// add counts an answer.
-func (s *service) add(verdict standin.Verdict, took time.Duration) {
-	s.asked++
+// add counts the answer to a query.
+func (s *outcomes) add(verdict standin.Verdict, took time.Duration) {
+	s.queries++
 	switch verdict {
 	case standin.Answered:
 		s.answered++
-		s.took = append(s.took, float64(took)/1e6)
+		s.answerTimes = append(s.answerTimes, float64(took)/1e6)
 	case standin.Shed:
-		s.shed++
+		s.rejected++
 	case standin.Failed:
 		s.failed++
 	case standin.Lost:
@@ -245,40 +245,40 @@
 	}
 }
 
-// load has statements come at a rate for so long, each on the session that was idle for the longest time, and waits
-// for their answers.
-func (r *rig) load(ctx context.Context, rate float64, long time.Duration, draw func() statement) service {
-	var out service
-	r.drive(ctx, rate, long, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
-	slices.Sort(out.took)
+// measureLoad sends statements at random times with a mean rate for a duration, each on the session that was idle for the
+// longest time, and waits for all answers.
+func (r *rig) measureLoad(ctx context.Context, rate float64, duration time.Duration, draw func() statement) outcomes {
+	var out outcomes
+	r.runLoad(ctx, rate, duration, draw, func(_ statement, verdict standin.Verdict, took time.Duration) { out.add(verdict, took) })
+	slices.Sort(out.answerTimes)
 	return out
 }
 
-// drive is load with each answer told, one at a time.
-func (r *rig) drive(ctx context.Context, rate float64, long time.Duration, draw func() statement,
-	told func(s statement, verdict standin.Verdict, took time.Duration)) {
+// runLoad is measureLoad with a function that is called with each answer, one call at a time.
+func (r *rig) runLoad(ctx context.Context, rate float64, duration time.Duration, draw func() statement,
+	answered func(s statement, verdict standin.Verdict, took time.Duration)) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	began := time.Now()
 	for at := 0.0; ctx.Err() == nil; {
 		at += r.rng.ExpFloat64() / rate
-		if at > long.Seconds() {
+		if at > duration.Seconds() {
 			break
 		}
 		s := draw()
 		time.Sleep(time.Until(began.Add(time.Duration(at * 1e9))))
 		group.Go(func() {
-			verdict, took := r.ask(ctx, s)
+			verdict, took := r.query(ctx, s)
 			mu.Lock()
 			defer mu.Unlock()
-			told(s, verdict, took)
+			answered(s, verdict, took)
 		})
 	}
 	group.Wait()
 }
 
-// ask has one statement answered, on an idle session or, where there is none, a new one.
-func (r *rig) ask(ctx context.Context, s statement) (standin.Verdict, time.Duration) {
+// query sends one statement and waits for its answer, on an idle session or, if there is none, a new one.
+func (r *rig) query(ctx context.Context, s statement) (standin.Verdict, time.Duration) {
 	began := time.Now()
 	var c *standin.Client
 	select {
@@ -303,7 +303,7 @@
 	return verdict, took
 }
 
-// quantile of sorted values; 0 of none.
+// quantile returns a quantile of sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/lab/scale/hollow/await.go
+++ b/internal/lab/scale/hollow/await.go
@@ -9,8 +9,8 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// pause waits for a time, or until the context ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -21,46 +21,49 @@
 	}
 }
 
-// LateError is something that was awaited in vain.
-type LateError struct {
-	What   string
-	Within time.Duration
+// TimeoutError reports a condition that was not met in time.
+type TimeoutError struct {
+	What    string
+	Timeout time.Duration
 }
 
 // Error implements error.
-func (e *LateError) Error() string { return fmt.Sprintf("after %v still not so: %s", e.Within, e.What) }
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("not met within %v: %s", e.Timeout, e.What)
+}
 
-// await looks again and again until something is so.
-func await(ctx context.Context, within, each time.Duration, what string, is func() (bool, error)) error {
-	for end := time.Now().Add(within); ; {
-		found, err := is()
+// pollUntil calls a function at an interval until it returns true, an error or the time is over.
+func pollUntil(ctx context.Context, timeout, interval time.Duration, what string, met func() (bool, error)) error {
+	for end := time.Now().Add(timeout); ; {
+		found, err := met()
 		if err != nil || found {
 			return err
 		}
 		if time.Now().After(end) {
-			return &LateError{What: what, Within: within}
+			return &TimeoutError{What: what, Timeout: timeout}
 		}
-		if err := pause(ctx, each); err != nil {
+		if err := sleep(ctx, interval); err != nil {
 			return err
 		}
 	}
 }
 
-// AwaitAllKnown waits until all running controllers have seen as many members as they were told to expect, and tells when
-// the last one had.
-func (f *Fleet) AwaitAllKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all know all", nil, func(v View) time.Time { return v.KnownAt })
+// AwaitAllKnown waits until each running controller has seen as many members alive as it was told to expect, and returns
+// when the last one had.
+func (f *Fleet) AwaitAllKnown(ctx context.Context, timeout time.Duration) (last time.Time, err error) {
+	return f.awaitLast(ctx, timeout, "all controllers know all members", nil, func(v View) time.Time { return v.KnownAt })
 }
 
-// AwaitLossKnown waits until all running controllers know of a loss, and tells when the last one did.
-func (f *Fleet) AwaitLossKnown(ctx context.Context, within time.Duration) (last time.Time, err error) {
-	return f.awaitLast(ctx, within, "all know of the loss", nil, func(v View) time.Time { return v.GoneAt })
+// AwaitLossKnown waits until all running controllers know of a loss, and returns when the last one did.
+func (f *Fleet) AwaitLossKnown(ctx context.Context, timeout time.Duration) (last time.Time, err error) {
+	return f.awaitLast(ctx, timeout, "all controllers know of the loss", nil, func(v View) time.Time { return v.GoneAt })
 }
 
-// awaitLast waits until some controllers, or all that run if none are named, tell a time, and returns the latest.
-func (f *Fleet) awaitLast(ctx context.Context, within time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
-	const lookEach = 250 * time.Millisecond
-	err = await(ctx, within, lookEach, what, func() (bool, error) {
+// awaitLast waits until the views of some controllers, or of all running ones if at is nil, contain a time, and returns the
+// latest of these times.
+func (f *Fleet) awaitLast(ctx context.Context, timeout time.Duration, what string, at []int, of func(View) time.Time) (last time.Time, err error) {
+	const interval = 250 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, what, func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
@@ -83,19 +86,19 @@
 	return last, err
 }
 
-// AwaitLeader waits until all running voters take part and name the same running leader, and tells its number and when
-// that was seen.
-func (f *Fleet) AwaitLeader(ctx context.Context, within time.Duration, voters int) (leader int, at time.Time, err error) {
-	return f.awaitLeaderAmong(ctx, within, nil, voters)
+// AwaitLeader waits until all running voters vote and report the same running leader, and returns its number and the time
+// at which this was observed.
+func (f *Fleet) AwaitLeader(ctx context.Context, timeout time.Duration, voters int) (leader int, at time.Time, err error) {
+	return f.awaitLeaderAmong(ctx, timeout, nil, voters)
 }
 
-// awaitLeaderAmong is AwaitLeader of some voters; nil: all that run.
-func (f *Fleet) awaitLeaderAmong(ctx context.Context, within time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
-	const lookEach = 20 * time.Millisecond
-	err = await(ctx, within, lookEach, "the voters have a leader", func() (bool, error) {
-		standings, err := f.Standings()
+// awaitLeaderAmong is AwaitLeader for some voters; nil: all that run.
+func (f *Fleet) awaitLeaderAmong(ctx context.Context, timeout time.Duration, among []int, voters int) (leader int, at time.Time, err error) {
+	const interval = 20 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, "the voters have a leader", func() (bool, error) {
+		standings, err := f.QuorumViews()
 		if among != nil {
-			standings = slices.DeleteFunc(standings, func(s Standing) bool { return !slices.Contains(among, s.Number) })
+			standings = slices.DeleteFunc(standings, func(s QuorumView) bool { return !slices.Contains(among, s.Number) })
 		}
 		if err != nil || len(standings) < voters {
 			return false, err
@@ -114,21 +117,21 @@
 	return leader, at, err
 }
 
-// AwaitHolder waits until a lease has a holder whose fencing token is above the one told, and tells both.
-func (f *Fleet) AwaitHolder(ctx context.Context, within time.Duration, of lease.Name, above lease.Token) (holder int, grant Grant, err error) {
-	const lookEach = 50 * time.Millisecond
-	err = await(ctx, within, lookEach, fmt.Sprintf("%s has a holder", of), func() (bool, error) {
+// AwaitHolder waits until a lease has a holder whose fencing token is higher than above, and returns the holder and its grant.
+func (f *Fleet) AwaitHolder(ctx context.Context, timeout time.Duration, leaseName lease.Name, above lease.Token) (holder int, grant Grant, err error) {
+	const interval = 50 * time.Millisecond
+	err = pollUntil(ctx, timeout, interval, fmt.Sprintf("%s has a holder", leaseName), func() (bool, error) {
 		views, err := f.Views()
 		if err != nil {
 			return false, err
 		}
 		grant = Grant{Token: above}
 		for _, v := range views {
-			if !slices.Contains(v.Holds, of) {
+			if !slices.Contains(v.Holds, leaseName) {
 				continue
 			}
 			for _, g := range v.Grants {
-				if g.Lease == of && g.Token > grant.Token {
+				if g.Lease == leaseName && g.Token > grant.Token {
 					holder, grant = v.Number, g
 				}
 			}
--- a/internal/lab/scale/hollow/daemons.go
+++ b/internal/lab/scale/hollow/daemons.go
@@ -14,20 +14,20 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// daemons are real controllers among hollow ones: shipped daemons as processes, without clients.
+// daemons are real controllers in a fleet of hollow ones: shipped daemons that run as processes, without clients.
 type daemons struct {
-	folder string
-	list   []*daemon.Process
-	feed   *standin.Feed
-	engine *standin.Engine
-	end    context.CancelFunc
+	folder    string
+	processes []*daemon.Process
+	feed      *standin.Feed
+	engine    *standin.Engine
+	cancel    context.CancelFunc
 }
 
-// startDaemons builds the daemon and starts some that join the fleet. Their addresses follow those of the hollow
-// controllers.
+// startDaemons builds the daemon and starts a number of daemons that join the fleet. Their addresses follow those of the
+// hollow controllers.
 func (f *Fleet) startDaemons(ctx context.Context, count int, seed int64) (*daemons, error) {
 	d := &daemons{}
-	ctx, d.end = context.WithCancel(ctx)
+	ctx, d.cancel = context.WithCancel(ctx)
 	if err := d.startAll(ctx, f, count, seed); err != nil {
 		d.close()
 		return nil, err
@@ -49,11 +49,11 @@
 	if d.engine, err = daemon.NewEngine(1, seed); err != nil {
 		return err
 	}
-	d.list = make([]*daemon.Process, count)
+	d.processes = make([]*daemon.Process, count)
 	errs := make([]error, count)
 	var group sync.WaitGroup
 	for i := range count {
-		group.Go(func() { d.list[i], errs[i] = d.start(ctx, f, binary, i, seed) })
+		group.Go(func() { d.processes[i], errs[i] = d.start(ctx, f, binary, i, seed) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
@@ -69,13 +69,13 @@
 	if err := os.WriteFile(operator, []byte(f.operatorFile(folder, f.spec.Controllers+i)), 0o600); err != nil {
 		return nil, err
 	}
-	return daemon.Start(ctx, daemon.Options{Binary: binary, Folder: folder, Name: name, Feed: d.feed.Addr,
-		Engines: []*standin.Engine{d.engine}, Controllers: f.spec.Controllers, Seed: seed + int64(i), Operator: operator})
+	return daemon.Start(ctx, daemon.Options{Binary: binary, Folder: folder, Name: name, DiscoveryAddr: d.feed.Addr,
+		Engines: []*standin.Engine{d.engine}, Controllers: f.spec.Controllers, Seed: seed + int64(i), OperatorFile: operator})
 }
 
 func daemonName(i int) string { return fmt.Sprintf("daemon-%d", i) }
 
-// operatorFile is that of a daemon that listens for the fleet at the address of this number.
+// operatorFile returns the operator's file of a daemon that listens for the fleet at the address with the given number.
 func (f *Fleet) operatorFile(folder string, number int) string {
 	var voters []string
 	for voter := range f.spec.Voters {
@@ -87,7 +87,7 @@
 }
 
 func (d *daemons) close() {
-	for _, p := range d.list {
+	for _, p := range d.processes {
 		if p != nil {
 			p.Stop()
 		}
@@ -95,18 +95,18 @@
 	if d.engine != nil {
 		d.engine.Close()
 	}
-	d.end()
+	d.cancel()
 	if d.folder != "" {
 		os.RemoveAll(d.folder)
 	}
 }
 
 // awaitInForce waits until all daemons have a version in force.
-func (d *daemons) awaitInForce(ctx context.Context, within time.Duration, version uint64) error {
-	const lookEach = 50 * time.Millisecond
+func (d *daemons) awaitInForce(ctx context.Context, timeout time.Duration, version uint64) error {
+	const interval = 50 * time.Millisecond
 	what := fmt.Sprintf("version %d is in force at all daemons", version)
-	return await(ctx, within, lookEach, what, func() (bool, error) {
-		for _, p := range d.list {
+	return pollUntil(ctx, timeout, interval, what, func() (bool, error) {
+		for _, p := range d.processes {
 			log, err := p.Log()
 			if err != nil || !hasInForce(log, version) {
 				return false, err
@@ -116,7 +116,7 @@
 	})
 }
 
-// hasInForce tells whether a daemon's log tells that a version is in force.
+// hasInForce reports whether a daemon's log states that a version is in force.
 func hasInForce(log string, version uint64) bool {
 	for line := range strings.Lines(log) {
 		if strings.Contains(line, "configuration version in force") &&
@@ -127,15 +127,15 @@
 	return false
 }
 
-// spentBy is what a daemon has had of processors, and has in memory.
-type spentBy struct {
-	processor float64 // seconds
+// daemonUsage is the processor time that a daemon has used and its memory.
+type daemonUsage struct {
+	processor float64 // processor time in s since its start
 	resident  float64 // MB of 2^20 bytes
 }
 
-func (d *daemons) spent() ([]spentBy, error) {
-	list := make([]spentBy, len(d.list))
-	for i, p := range d.list {
+func (d *daemons) usage() ([]daemonUsage, error) {
+	list := make([]daemonUsage, len(d.processes))
+	for i, p := range d.processes {
 		var err error
 		if list[i].processor, err = p.ProcessorTime(); err != nil {
 			return nil, err
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// Command is the command that runs ServeChild in a child process.
+// Command returns a command that runs ServeChild in a child process.
 type Command func(ctx context.Context) *exec.Cmd
 
 // Fleet is a fleet of hollow controllers in child processes.
 type Fleet struct {
-	spec    Spec
-	folder  string
-	members []*process
+	spec      Spec
+	folder    string
+	processes []*process
 }
 
-// process is a child with its part of the fleet.
+// process is a child process with its share of the fleet.
 type process struct {
 	numbers []int
 	command *exec.Cmd
@@ -33,12 +33,12 @@
 	read    *json.Decoder
 }
 
-// perProcess is how many ordinary controllers share a process: with 64 connections out and as many in at the start of a
-// fleet they stay below 20,000 descriptors.
-const perProcess = 110
+// controllersPerProcess bounds the ordinary controllers that share a process. With 64 connections out and as many in at the
+// start of a fleet, the process stays below 20,000 descriptors.
+const controllersPerProcess = 110
 
-// Layout is which controllers share a process: each voter and one ordinary controller have one of their own, whose costs
-// are theirs alone; the others share.
+// Layout returns the controllers of each process. Each voter and one ordinary controller have a process of their own, so that
+// its costs are theirs alone; the others share processes.
 func Layout(s Spec) [][]int {
 	var layout [][]int
 	alone := min(s.Voters+1, s.Controllers)
@@ -49,14 +49,14 @@
 	for number := alone; number < s.Controllers; number++ {
 		rest = append(rest, number)
 	}
-	shares := (len(rest) + perProcess - 1) / perProcess
+	shares := (len(rest) + controllersPerProcess - 1) / controllersPerProcess
 	for i := range shares {
 		layout = append(layout, rest[len(rest)*i/shares:len(rest)*(i+1)/shares])
 	}
 	return layout
 }
 
-// Open starts the processes of a fleet, without controllers yet.
+// Open starts the processes of a fleet. They run no controllers yet.
 func Open(ctx context.Context, s Spec, command Command) (*Fleet, error) {
 	folder, err := os.MkdirTemp("", "hollow")
 	if err != nil {
@@ -68,14 +68,14 @@
 		return nil, err
 	}
 	for _, numbers := range Layout(s) {
-		p, err := launch(command(ctx), numbers)
+		p, err := startProcess(command(ctx), numbers)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.members = append(f.members, p)
+		f.processes = append(f.processes, p)
 	}
-	_, err = f.all(openTime, func(*process) *request { return &request{Action: actionOpen, Spec: &s, Folder: folder} })
+	_, err = f.callAll(openTimeout, func(*process) *request { return &request{Action: actionOpen, Spec: &s, Folder: folder} })
 	if err != nil {
 		f.Close()
 		return nil, err
@@ -83,15 +83,15 @@
 	return f, nil
 }
 
-// Times within which children answer.
+// Timeouts of the requests to child processes.
 const (
-	openTime  = 20 * time.Second
-	startTime = 60 * time.Second
-	askTime   = 20 * time.Second
-	endTime   = 8 * time.Second
+	openTimeout    = 20 * time.Second
+	startTimeout   = 60 * time.Second
+	requestTimeout = 20 * time.Second
+	exitTimeout    = 8 * time.Second
 )
 
-func launch(command *exec.Cmd, numbers []int) (*process, error) {
+func startProcess(command *exec.Cmd, numbers []int) (*process, error) {
 	in, err := command.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	command.Stderr = os.Stderr
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt is for the parent, which ends its children
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // interrupts reach only the parent, which stops its children
 	if err := command.Start(); err != nil {
 		return nil, err
 	}
@@ -109,17 +109,18 @@
 	return p, nil
 }
 
-// ask has a child do something. A child that does not answer in time is ended, and is an error from then on.
-func (p *process) ask(within time.Duration, r request) (answer reply, err error) {
+// call sends a request to a child and waits for the reply. A child that does not reply in time is killed, and all later
+// calls return an error.
+func (p *process) call(timeout time.Duration, r request) (answer reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	timer := time.AfterFunc(within, func() { p.command.Process.Kill() })
+	timer := time.AfterFunc(timeout, func() { p.command.Process.Kill() })
 	defer timer.Stop()
 	if err = p.write.Encode(r); err == nil {
 		err = p.read.Decode(&answer)
 	}
 	if err != nil {
-		return answer, fmt.Errorf("the process of n%d, asked for %q: %w", p.numbers[0], r.Action, err)
+		return answer, fmt.Errorf("process of n%d, request %q: %w", p.numbers[0], r.Action, err)
 	}
 	if answer.Error != "" {
 		return answer, fmt.Errorf("%s: %s", r.Action, answer.Error)
@@ -127,22 +128,22 @@
 	return answer, nil
 }
 
-// end ends a child: by its closed input, or by force after a while.
-func (p *process) end() {
+// shutDown closes the input of a child, waits until it exits, and kills it after exitTimeout.
+func (p *process) shutDown() {
 	p.in.Close()
-	timer := time.AfterFunc(endTime, func() { p.command.Process.Kill() })
+	timer := time.AfterFunc(exitTimeout, func() { p.command.Process.Kill() })
 	defer timer.Stop()
 	p.command.Wait()
 }
 
-// all asks all children at once; a nil request leaves one out.
-func (f *Fleet) all(within time.Duration, of func(*process) *request) ([]reply, error) {
-	replies := make([]reply, len(f.members))
-	errs := make([]error, len(f.members))
+// callAll calls all children at the same time, except those for which the request is nil.
+func (f *Fleet) callAll(timeout time.Duration, of func(*process) *request) ([]reply, error) {
+	replies := make([]reply, len(f.processes))
+	errs := make([]error, len(f.processes))
 	var group sync.WaitGroup
-	for i, p := range f.members {
+	for i, p := range f.processes {
 		if r := of(p); r != nil {
-			group.Go(func() { replies[i], errs[i] = p.ask(within, *r) })
+			group.Go(func() { replies[i], errs[i] = p.call(timeout, *r) })
 		}
 	}
 	group.Wait()
@@ -150,26 +151,26 @@
 }
 
 func (f *Fleet) layout() [][]int {
-	layout := make([][]int, len(f.members))
-	for i, p := range f.members {
+	layout := make([][]int, len(f.processes))
+	for i, p := range f.processes {
 		layout[i] = p.numbers
 	}
 	return layout
 }
 
-// Close ends all processes and removes what they stored.
+// Close stops all processes and removes the files that they stored.
 func (f *Fleet) Close() {
 	var group sync.WaitGroup
-	for _, p := range f.members {
-		group.Go(p.end)
+	for _, p := range f.processes {
+		group.Go(p.shutDown)
 	}
 	group.Wait()
 	os.RemoveAll(f.folder)
 }
 
-// Start starts controllers at once, which note when they know of so many members alive.
+// Start starts controllers at the same time. They record when they know the expected number of members to be alive.
 func (f *Fleet) Start(numbers []int, expect int) error {
-	_, err := f.all(startTime, func(p *process) *request {
+	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
 		if len(own) == 0 {
 			return nil
@@ -179,9 +180,9 @@
 	return err
 }
 
-// Stop ends controllers as a crash would.
+// Stop stops controllers as a crash would.
 func (f *Fleet) Stop(numbers []int) error {
-	_, err := f.all(startTime, func(p *process) *request {
+	_, err := f.callAll(startTimeout, func(p *process) *request {
 		own := intersection(p.numbers, numbers)
 		if len(own) == 0 {
 			return nil
@@ -201,34 +202,34 @@
 	return both
 }
 
-// AwaitMembers has the running controllers note when they know of so many members alive.
+// AwaitMembers makes the running controllers record when they know the expected number of members to be alive.
 func (f *Fleet) AwaitMembers(expect int) error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionAwaitMembers, Expect: expect} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitMembers, Expect: expect} })
 	return err
 }
 
-// AwaitRestarts has the running controllers note when they know of so many members alive, some of which have restarted
-// since.
+// AwaitRestarts makes the running controllers record when they know the expected number of members to be alive, the given
+// ones in a later run than now.
 func (f *Fleet) AwaitRestarts(ctx context.Context, expect int, of []int) error {
-	const noted = 2 * lookEach * time.Millisecond // until all have seen which runs are the old ones
-	_, err := f.all(askTime, func(*process) *request {
+	const recordTime = 2 * pollInterval * time.Millisecond // until all controllers have recorded the current runs
+	_, err := f.callAll(requestTimeout, func(*process) *request {
 		return &request{Action: actionAwaitRestart, Expect: expect, Numbers: of}
 	})
 	if err != nil {
 		return err
 	}
-	return pause(ctx, noted)
+	return sleep(ctx, recordTime)
 }
 
-// AwaitLoss has the running controllers note when they know that one is gone.
+// AwaitLoss makes the running controllers record when they know that one controller is gone.
 func (f *Fleet) AwaitLoss(number int) error {
-	_, err := f.all(askTime, func(*process) *request { return &request{Action: actionAwaitLoss, Lost: number} })
+	_, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionAwaitLoss, Lost: number} })
 	return err
 }
 
-// Views are what all running controllers have seen.
+// Views returns what all running controllers have seen.
 func (f *Fleet) Views() ([]View, error) {
-	replies, err := f.all(askTime, func(*process) *request { return &request{Action: actionViews} })
+	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionViews} })
 	var views []View
 	for _, r := range replies {
 		views = append(views, r.Views...)
@@ -236,24 +237,24 @@
 	return views, err
 }
 
-// Standings are how the running voters see the quorum.
-func (f *Fleet) Standings() ([]Standing, error) {
-	replies, err := f.all(askTime, func(p *process) *request {
+// QuorumViews returns the state of the quorum as seen by the running voters.
+func (f *Fleet) QuorumViews() ([]QuorumView, error) {
+	replies, err := f.callAll(requestTimeout, func(p *process) *request {
 		if p.numbers[0] >= f.spec.Voters {
 			return nil
 		}
 		return &request{Action: actionStandings}
 	})
-	var list []Standing
+	var list []QuorumView
 	for _, r := range replies {
-		list = append(list, r.Standings...)
+		list = append(list, r.QuorumViews...)
 	}
 	return list, err
 }
 
-// Samples are samples of all processes, in the layout's order.
+// Samples returns a sample of each process, in the layout's order.
 func (f *Fleet) Samples() ([]Sample, error) {
-	replies, err := f.all(askTime, func(*process) *request { return &request{Action: actionSample} })
+	replies, err := f.callAll(requestTimeout, func(*process) *request { return &request{Action: actionSample} })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -10,42 +10,42 @@
 	"time"
 )
 
-// How TCP makes up for a lost segment: it waits, and twice as long after each further loss. Loss shows as lateness, and as
-// bytes that go twice.
+// Parameters of the model of TCP retransmission: TCP waits before it retransmits a lost segment, and twice as long after each
+// further loss. Loss therefore appears as delay and as bytes that are sent again.
 const (
-	dataRetransmission = 200 * time.Millisecond // the least that Linux waits
+	dataRetransmission = 200 * time.Millisecond // Linux's minimum retransmission timeout
 	synRetransmission  = time.Second
-	mostRetransmitted  = 6  // of one segment; what is later than that ends by the deadlines of links
-	lossyQueue         = 64 // writes on their way on one connection
+	maxRetransmissions = 6  // of one segment; the deadlines of links end what is later than that
+	lossyQueue         = 64 // delayed writes of one connection
 	lossyWriteTime     = 2 * time.Second
 )
 
-// loss is the share of segments that are lost.
+// loss is the share of lost segments.
 type loss float64
 
-// draw draws how often a segment is sent again, and how late it arrives.
-func (l loss) draw(first time.Duration) (again int64, late time.Duration) {
-	for wait := first; again < mostRetransmitted && rand.Float64() < float64(l); wait *= 2 {
+// drawSegment draws how often a segment is retransmitted and by how much that delays it.
+func (l loss) drawSegment(first time.Duration) (again int64, late time.Duration) {
+	for wait := first; again < maxRetransmissions && rand.Float64() < float64(l); wait *= 2 {
 		again++
 		late += wait
 	}
 	return again, late
 }
 
-// drawWrite draws the same for a number of segments that are sent together.
+// drawWrite draws the same for segments that are sent together: the sum of retransmissions and the longest delay.
 func (l loss) drawWrite(segments int64, first time.Duration) (again int64, late time.Duration) {
 	for range segments {
-		n, after := l.draw(first)
+		n, after := l.drawSegment(first)
 		again += n
 		late = max(late, after)
 	}
 	return again, late
 }
 
-// awaitHandshake waits for as long as lost segments hold up the beginning of a connection: SYN, SYN-ACK and the greeting.
+// awaitHandshake waits for the delay that lost segments cause when a connection is opened: SYN, SYN-ACK and the greeting.
 func (l loss) awaitHandshake(ctx context.Context) error {
 	_, late := l.drawWrite(2, synRetransmission)
-	_, greeting := l.draw(dataRetransmission)
+	_, greeting := l.drawSegment(dataRetransmission)
 	select {
 	case <-time.After(late + greeting):
 		return nil
@@ -54,47 +54,48 @@
 	}
 }
 
-// lossyConn delays what is written as the loss of segments does, in order. What is on its way when it is closed is lost.
+// lossyConn delays writes as the loss of segments would, and keeps their order. Writes that are still delayed when it is
+// closed are lost.
 type lossyConn struct {
 	net.Conn
-	loss     loss
-	first    time.Duration // until the first retransmission
-	again    func(segments int64)
-	queue    chan lateWrite
-	done     chan struct{}
-	closing  sync.Once
-	lastAt   time.Time // when the last write arrives; of the one that writes
-	finished chan struct{}
+	loss              loss
+	retransmitTimeout time.Duration // until the first retransmission
+	onRetransmit      func(segments int64)
+	queue             chan delayedWrite
+	done              chan struct{}
+	closing           sync.Once
+	lastAt            time.Time // when the last write arrives; used only by the writing goroutine
+	finished          chan struct{}
 }
 
-// lateWrite is what arrives at a time.
-type lateWrite struct {
+// delayedWrite is data that arrives at a time.
+type delayedWrite struct {
 	data []byte
 	at   time.Time
 }
 
-// newLossyConn counts the segments that go again by a function.
-func newLossyConn(conn net.Conn, l loss, first time.Duration, again func(segments int64)) *lossyConn {
-	c := &lossyConn{Conn: conn, loss: l, first: first, again: again, queue: make(chan lateWrite, lossyQueue), done: make(chan struct{}),
+// newLossyConn wraps a connection. It calls onRetransmit with the number of retransmitted segments of each write.
+func newLossyConn(conn net.Conn, l loss, retransmitTimeout time.Duration, onRetransmit func(segments int64)) *lossyConn {
+	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: retransmitTimeout, onRetransmit: onRetransmit, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
 		finished: make(chan struct{})}
 	go c.deliver()
 	return c
 }
 
-// Write implements net.Conn. It is for one goroutine.
+// Write implements net.Conn. Only one goroutine may call it.
 func (c *lossyConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.done:
 		return 0, net.ErrClosed
 	default:
 	}
-	again, late := c.loss.drawWrite(segments(len(b)), c.first)
-	c.again(again)
+	again, late := c.loss.drawWrite(segments(len(b)), c.retransmitTimeout)
+	c.onRetransmit(again)
 	c.lastAt = latest(c.lastAt, time.Now().Add(late))
 	deadline := time.NewTimer(lossyWriteTime)
 	defer deadline.Stop()
 	select {
-	case c.queue <- lateWrite{bytes.Clone(b), c.lastAt}:
+	case c.queue <- delayedWrite{bytes.Clone(b), c.lastAt}:
 		return len(b), nil
 	case <-c.done:
 		return 0, net.ErrClosed
@@ -110,7 +111,7 @@
 	return b
 }
 
-// deliver writes each write once it arrives, until the connection is closed.
+// deliver passes each write to the underlying connection at its time of arrival, until the connection is closed.
 func (c *lossyConn) deliver() {
 	defer close(c.finished)
 	for {
--- a/internal/lab/scale/hollow/measure.go
+++ b/internal/lab/scale/hollow/measure.go
@@ -11,61 +11,61 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// Options say what Measure measures.
+// Options configure the measurements.
 type Options struct {
 	Quick   bool
 	Seed    int64
-	Sizes   []int // of fleets; nil: the usual ones
+	Sizes   []int // of fleets; nil: the defaults
 	Voters  int   // 0: 5
 	Command Command
-	Tell    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // logs each measured figure; nil: no log
 }
 
-// The size that the fleet is built for, and what the operators let a controller spend for control.
+// The target sizes of the fleet, the operators' budgets of a controller for control, and the defaults of the measurements.
 const (
 	targetControllers = 670
 	targetEngines     = 1100
 	targetVoters      = 7
 	targetLeases      = 64
 
-	budgetCores   = 0.021
-	budgetMB      = 128
-	budgetBytes   = 17000
-	budgetInForce = 19000 // ms, for a change of configuration
-	budgetChange  = 5000  // ms, for a change of primary
-	bytesOfMB     = 1e6
-	knownWithin   = 120 * time.Second
-	leaderWithin  = 60 * time.Second
-	usualLease    = 10 * time.Second
-	usualVoters   = 5
-	leasesAtRest  = 2
-	partOfTarget  = 200.0 / targetControllers // of a fleet runs when the rest starts at once
-	zoneOfTarget  = 67.0 / targetControllers  // of a fleet restarts at once
+	budgetCores         = 0.021
+	budgetMB            = 128
+	budgetBytes         = 17000
+	budgetInForce       = 19000 // ms, for a change of configuration
+	budgetPrimaryChange = 5000  // ms, for a change of primary
+	bytesPerMB          = 1e6
+	knownTimeout        = 120 * time.Second
+	leaderTimeout       = 60 * time.Second
+	usualLease          = 10 * time.Second
+	usualVoters         = 5
+	leasesAtRest        = 2
+	initialShare        = 200.0 / targetControllers // share of a fleet that runs before the rest starts at once
+	zoneShare           = 67.0 / targetControllers  // share of a fleet that restarts at once
 )
 
 type measurement struct {
 	Options
-	settle  time.Duration // before something is measured
-	window  time.Duration // in which it is
-	lease   time.Duration
-	puts    int  // of documents, of each size
-	deaths  bool // how long it takes until a death is known is measured
-	mu      sync.Mutex
-	figures []figures
-	late    []error // what was awaited in vain while the rest was measured
+	settle   time.Duration // waiting time before a measurement
+	window   time.Duration // duration of a measurement
+	lease    time.Duration
+	puts     int  // documents of each size that are put
+	deaths   bool // whether the time until a death is known to all is measured
+	mu       sync.Mutex
+	figures  []figures
+	timeouts []error // conditions that were not met in time; the rest was measured
 }
 
-// Measure runs fleets of several sizes and tells what they cost at rest, when many controllers start or restart at once,
-// and for how long a leader and a lease's holder are missing. It returns what it could measure also where it returns an
-// error.
+// Measure runs fleets of several sizes. It measures their costs at rest and when many controllers start or restart at once,
+// and for how long there is no leader and no holder of a lease after they are killed. Together with an error it returns the
+// rows that it could measure.
 func Measure(ctx context.Context, o Options) ([]slope.Row, error) { return o.measurement().sizes(ctx) }
 
-// MeasureAgreement tells what the quorum's leader spends by leases and by voters.
+// MeasureAgreement measures the resource usage of the quorum's leader by the numbers of leases and of voters.
 func MeasureAgreement(ctx context.Context, o Options) ([]slope.Row, error) {
 	return o.measurement().agreement(ctx)
 }
 
-// MeasureDigest tells what the statistics digest costs by engines and table groups.
+// MeasureDigest measures the cost of the statistics digest by the numbers of engines and of table groups.
 func MeasureDigest(ctx context.Context, o Options) ([]slope.Row, error) {
 	return o.measurement().digest(ctx)
 }
@@ -84,13 +84,13 @@
 			m.Sizes = []int{8, 16, 32, 48}
 		}
 	}
-	if m.Tell == nil {
-		m.Tell = func(string, ...any) {}
+	if m.Logf == nil {
+		m.Logf = func(string, ...any) {}
 	}
 	return m
 }
 
-// fleets counts the fleets of this process, each of which has a network of its own.
+// fleets counts the fleets of this process, to give each a network of its own.
 var fleets atomic.Int64
 
 // open opens a fleet with a network of its own.
@@ -100,8 +100,8 @@
 	return Open(ctx, s, m.Command)
 }
 
-// each measures several cases: one after the other, or all beside each other where it is to be quick.
-func each[T any](m *measurement, cases []T, measure func(T) error) error {
+// forEachCase measures cases one after another or, with Quick, all at the same time.
+func forEachCase[T any](m *measurement, cases []T, measure func(T) error) error {
 	errs := make([]error, len(cases))
 	var group sync.WaitGroup
 	for i, c := range cases {
@@ -115,48 +115,48 @@
 	return errors.Join(errs...)
 }
 
-// watch is what is spent within the window.
-func (m *measurement) watch(ctx context.Context, f *Fleet, window time.Duration) (Interval, error) {
+// measureInterval samples all processes at the start and at the end of a window.
+func (m *measurement) measureInterval(ctx context.Context, f *Fleet, window time.Duration) (Interval, error) {
 	before, err := f.Samples()
 	if err != nil {
 		return Interval{}, err
 	}
-	if err := pause(ctx, window); err != nil {
+	if err := sleep(ctx, window); err != nil {
 		return Interval{}, err
 	}
 	after, err := f.Samples()
 	return Interval{f.layout(), before, after}, err
 }
 
-// watchLed is what is spent within the window by a fleet at rest, and which voter led it. A window in which another one came
-// to lead is watched again.
-func (m *measurement) watchLed(ctx context.Context, f *Fleet, voters int) (leader int, interval Interval, err error) {
+// measureWithOneLeader measures a window of a fleet at rest and returns the voter that led it. It measures another window if
+// the leader changed.
+func (m *measurement) measureWithOneLeader(ctx context.Context, f *Fleet, voters int) (leader int, interval Interval, err error) {
 	const tries = 3
-	leader, _, err = f.AwaitLeader(ctx, leaderWithin, voters)
+	leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters)
 	for range tries {
 		if err != nil {
 			return leader, interval, err
 		}
-		if interval, err = m.watch(ctx, f, m.window); err != nil {
+		if interval, err = m.measureInterval(ctx, f, m.window); err != nil {
 			return leader, interval, err
 		}
 		was := leader
-		leader, _, err = f.AwaitLeader(ctx, leaderWithin, voters)
+		leader, _, err = f.AwaitLeader(ctx, leaderTimeout, voters)
 		if leader == was {
 			return leader, interval, err
 		}
-		m.Tell("n%d leads after n%d, though nothing was done", leader, was)
+		m.Logf("n%d leads in place of n%d, though the fleet was at rest", leader, was)
 	}
-	return leader, interval, &LateError{What: "one voter leads throughout a window", Within: tries * m.window}
+	return leader, interval, &TimeoutError{What: "the same voter leads throughout a window", Timeout: tries * m.window}
 }
 
-// figures are those of a fleet of one size; a figure that is missing was not measured.
+// figures are the figures of a fleet of one size, by name. A missing figure was not measured.
 type figures struct {
 	size   int
 	values map[string]float64
 }
 
-func (m *measurement) note(size int, name string, value float64) {
+func (m *measurement) record(size int, name string, value float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.figures {
@@ -168,20 +168,20 @@
 	m.figures = append(m.figures, figures{size, map[string]float64{name: value}})
 }
 
-func (m *measurement) noteSpending(size int, role string, s Spending) {
-	m.note(size, role+"/bytes", s.Sent+s.Received)
-	m.note(size, role+"/sent", s.Sent)
-	m.note(size, role+"/cores", s.Processor)
-	m.note(size, role+"/memory", s.Private/bytesOfMB)
-	m.note(size, role+"/resident", s.Resident/bytesOfMB)
-	m.note(size, role+"/heap", s.Heap/bytesOfMB)
-	m.note(size, role+"/wake-ups", s.WakeUps)
-	m.note(size, role+"/files", s.Files)
-	m.note(size, role+"/opened", s.Opened)
-	m.note(size, role+"/connections", s.Out+s.In)
+func (m *measurement) recordUsage(size int, role string, s ResourceUsage) {
+	m.record(size, role+"/bytes", s.Sent+s.Received)
+	m.record(size, role+"/sent", s.Sent)
+	m.record(size, role+"/cores", s.Processor)
+	m.record(size, role+"/memory", s.Private/bytesPerMB)
+	m.record(size, role+"/resident", s.Resident/bytesPerMB)
+	m.record(size, role+"/heap", s.Heap/bytesPerMB)
+	m.record(size, role+"/wake-ups", s.WakeUps)
+	m.record(size, role+"/files", s.Files)
+	m.record(size, role+"/opened", s.Opened)
+	m.record(size, role+"/connections", s.Out+s.In)
 }
 
-// points are the points of one figure by size.
+// points returns the points of one figure, sorted by size.
 func (m *measurement) points(name string) (points []slope.Point) {
 	for _, f := range m.figures {
 		if value, ok := f.values[name]; ok {
@@ -192,7 +192,7 @@
 	return points
 }
 
-func numbers(from, to int) []int {
+func numberRange(from, to int) []int {
 	list := make([]int, 0, to-from)
 	for i := from; i < to; i++ {
 		list = append(list, i)
--- a/internal/lab/scale/hollow/probe.go
+++ b/internal/lab/scale/hollow/probe.go
@@ -11,21 +11,21 @@
 	"mintkeel/internal/fleet/job"
 )
 
-// probe is the job that looks at the fleet from within a controller.
+// probe is a job that observes the fleet from within a controller.
 type probe struct {
-	mu      sync.Mutex
-	expect  int                   // members alive for which it waits; 0: it does not
-	alive   int                   // members seen alive at the last look
-	knownAt time.Time             // when there were as many
-	again   map[members.ID]uint64 // members that are to be seen in another run than this, for knownAt; 0: the run to be noted
-	lost    members.ID
-	goneAt  time.Time // when the lost member was no longer taken to be alive or suspect
-	lookAt  float64
-	held    map[lease.Name]lease.Token
-	grants  []Grant
+	mu          sync.Mutex
+	expect      int                   // number of members alive that is awaited; 0: none
+	alive       int                   // members seen alive at the last poll
+	knownAt     time.Time             // when the awaited members were first seen
+	awaitedRuns map[members.ID]uint64 // by member: the run to be succeeded by a later one before knownAt is set; 0: to be recorded at the next poll
+	lost        members.ID
+	goneAt      time.Time // when the lost member was first seen neither alive nor suspect
+	lookAt      float64
+	held        map[lease.Name]lease.Token
+	grants      []Grant
 }
 
-// Grant is a lease that a controller came to hold.
+// Grant is a lease that a controller has acquired.
 type Grant struct {
 	Lease lease.Name  `json:"lease"`
 	Token lease.Token `json:"token"`
@@ -33,11 +33,11 @@
 }
 
 const (
-	lookEach   = 250.0 // ms between two looks at the members while something is awaited
-	mostGrants = 1000
+	pollInterval = 250.0 // ms between two polls of the members while something is awaited
+	maxGrants    = 1000
 )
 
-// LeaseAcquired notes a lease that this controller holds from now on.
+// LeaseAcquired records a lease that this controller now holds.
 func (p *probe) LeaseAcquired(_ job.Context, grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,12 +45,12 @@
 		p.held = map[lease.Name]lease.Token{}
 	}
 	p.held[grant.Name] = grant.Token
-	if len(p.grants) < mostGrants {
+	if len(p.grants) < maxGrants {
 		p.grants = append(p.grants, Grant{grant.Name, grant.Token, time.Now()})
 	}
 }
 
-// LeaseLost notes that a lease is held no more.
+// LeaseLost records that a lease is no longer held.
 func (p *probe) LeaseLost(grant lease.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Tick looks at the members while something is awaited.
+// Tick polls the members while something is awaited.
 func (p *probe) Tick(h job.Context, now float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,14 +67,14 @@
 	if !waiting || now < p.lookAt {
 		return
 	}
-	p.lookAt = now + lookEach
+	p.lookAt = now + pollInterval
 	alive, old, lostLives := 0, 0, false
 	for _, m := range h.Members() {
 		if m.State == members.Alive {
 			alive++
 		}
-		if run, awaited := p.again[m.ID]; awaited && run == 0 {
-			p.again[m.ID] = m.Run
+		if run, awaited := p.awaitedRuns[m.ID]; awaited && run == 0 {
+			p.awaitedRuns[m.ID] = m.Run
 			old++
 		} else if awaited && run == m.Run {
 			old++
@@ -90,24 +90,25 @@
 	}
 }
 
-// awaitMembers has the probe note when it sees so many members alive.
+// awaitMembers makes the probe record when it sees the expected number of members alive.
 func (p *probe) awaitMembers(expect int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expect, p.knownAt, p.again = expect, time.Time{}, nil
+	p.expect, p.knownAt, p.awaitedRuns = expect, time.Time{}, nil
 }
 
-// awaitRestarts has the probe note when it sees so many members alive, and some of them in another run than now.
+// awaitRestarts makes the probe record when it sees the expected number of members alive, and the given ones in another run
+// than now.
 func (p *probe) awaitRestarts(expect int, of []members.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expect, p.knownAt, p.again = expect, time.Time{}, map[members.ID]uint64{}
+	p.expect, p.knownAt, p.awaitedRuns = expect, time.Time{}, map[members.ID]uint64{}
 	for _, id := range of {
-		p.again[id] = 0
+		p.awaitedRuns[id] = 0
 	}
 }
 
-// awaitLoss has the probe note when it knows that a member is gone.
+// awaitLoss makes the probe record when it knows that a member is gone.
 func (p *probe) awaitLoss(of members.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +119,7 @@
 type View struct {
 	Number  int          `json:"number"`
 	KnownAt time.Time    `json:"known_at"` // zero: not yet
-	Alive   int          `json:"alive"`    // members seen alive at the last look while something was awaited
+	Alive   int          `json:"alive"`    // members seen alive at the last poll while something was awaited
 	GoneAt  time.Time    `json:"gone_at"`  // zero: not yet
 	Holds   []lease.Name `json:"holds,omitempty"`
 	Grants  []Grant      `json:"grants,omitempty"`
--- a/internal/lab/scale/hollow/rows.go
+++ b/internal/lab/scale/hollow/rows.go
@@ -4,7 +4,7 @@
 	"mintkeel/internal/lab/scale/slope"
 )
 
-// sizeRow is a row of the fleets by size, with the name of its figure.
+// sizeRow is a row by fleet size, with the name of its figure.
 type sizeRow struct {
 	figure string
 	row    slope.Row
@@ -12,7 +12,7 @@
 
 const atRest = "at rest"
 
-// sizeRows are the rows that are measured by size of the fleet, without their points.
+// sizeRows returns the rows that are measured by fleet size, without their points.
 func sizeRows() (rows []sizeRow) {
 	for _, role := range []struct{ figure, name, note string }{
 		{"controller", "controller", "alone in its process"},
@@ -46,9 +46,9 @@
 		sizeRow{"loss/known", slope.Row{Role: "fleet", Cost: "membership: a death is known to all", Unit: "ms", Condition: "the leader killed",
 			Log: true, Note: "one death at each size"}},
 		sizeRow{"leader/free", slope.Row{Role: "quorum leader", Cost: "time without a leader", Unit: "ms", Condition: "the leader killed",
-			Budget: budgetChange, Note: "one death at each size; seen by all voters"}},
+			Budget: budgetPrimaryChange, Note: "one death at each size; seen by all voters"}},
 		sizeRow{"holder/free", slope.Row{Role: "lease holder", Cost: "time without a holder", Unit: "ms", Condition: "the holder killed, lease 10 s",
-			Budget: budgetChange, Note: "one death at each size"}})
+			Budget: budgetPrimaryChange, Note: "one death at each size"}})
 	for _, start := range []struct{ figure, condition string }{
 		{"start", "all start at once"},
 		{"part", "the last 70% start at once"},
@@ -65,11 +65,11 @@
 			sizeRow{start.figure + "/dropped", slope.Row{Role: "fleet", Cost: "messages dropped by senders", Unit: "messages",
 				Condition: start.condition, Note: "at all controllers"}})
 	}
-	return append(rows, rushRows()...)
+	return append(rows, massStartRows()...)
 }
 
-// rushRows are what a voter and an ordinary controller spend while many start.
-func rushRows() (rows []sizeRow) {
+// massStartRows returns the rows of the usage of a voter and an ordinary controller while many controllers start.
+func massStartRows() (rows []sizeRow) {
 	for _, rush := range []struct{ figure, condition string }{
 		{"part", "the last 70% start at once"},
 		{"zone", "a zone of 10% restarts at once"},
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures how each cost of a fleet grows with its size, and tells what the fleet that it is built for
-// costs. The measurements stand in packages below; here are their registry, the table, and the page of what is known to
-// be over its budget.
+// Package scale measures how each cost of a fleet grows with its size, and estimates the costs of a fleet of the target
+// size. The measurements are in the packages below this one, which holds their registry, the table of results, and the
+// reader of the page that lists the costs known to be over their budget.
 package scale
 
 import (
@@ -21,29 +21,29 @@
 	"mintkeel/internal/lab/scale/spread"
 )
 
-// Options say how measurements are made.
+// Options configure a run of measurements.
 type Options struct {
 	Quick   bool
 	Seed    int64
-	Sizes   []int                            // of fleets of hollow controllers; nil: the usual ones
+	Sizes   []int                            // sizes of the fleets of hollow controllers; nil: the defaults
 	Command func(context.Context) *exec.Cmd  // runs hollow.ServeChild in a child process
-	Tell    func(format string, args ...any) // is told of what is measured; nil: nobody
+	Logf    func(format string, args ...any) // logs each measured figure; nil: no log
 }
 
-// Measurement measures some rows. It returns what it could measure also where it returns an error.
+// Measurement measures some rows. Together with an error, Run returns the rows that it could measure.
 type Measurement struct {
 	Name string
 	Run  func(ctx context.Context, o Options) ([]slope.Row, error)
 }
 
-// Measurements are all, in the order in which they are made.
+// Measurements returns all measurements in the order in which Run makes them.
 func Measurements() []Measurement {
 	return []Measurement{
-		{"hollow", onHollow(hollow.Measure)},
-		{"agreement", onHollow(hollow.MeasureAgreement)},
-		{"digest", onHollow(hollow.MeasureDigest)},
-		{"day", onHollow(hollow.MeasureDay)},
-		{"loss", onHollow(hollow.MeasureLoss)},
+		{"hollow", hollowMeasurement(hollow.Measure)},
+		{"agreement", hollowMeasurement(hollow.MeasureAgreement)},
+		{"digest", hollowMeasurement(hollow.MeasureDigest)},
+		{"day", hollowMeasurement(hollow.MeasureDay)},
+		{"loss", hollowMeasurement(hollow.MeasureLoss)},
 		{"leases", measureLeases},
 		{"membership", measureMembership},
 		{"datapath", measureDataPath},
@@ -63,13 +63,13 @@
 	return spread.Measure(ctx, spread.Options{Quick: o.Quick, Seed: o.Seed})
 }
 
-func onHollow(measure func(context.Context, hollow.Options) ([]slope.Row, error)) func(context.Context, Options) ([]slope.Row, error) {
+func hollowMeasurement(measure func(context.Context, hollow.Options) ([]slope.Row, error)) func(context.Context, Options) ([]slope.Row, error) {
 	return func(ctx context.Context, o Options) ([]slope.Row, error) {
-		return measure(ctx, hollow.Options{Quick: o.Quick, Seed: o.Seed, Sizes: o.Sizes, Command: o.Command, Tell: o.Tell})
+		return measure(ctx, hollow.Options{Quick: o.Quick, Seed: o.Seed, Sizes: o.Sizes, Command: o.Command, Logf: o.Logf})
 	}
 }
 
-// Select are the measurements of these names, or all if there is no name.
+// Select returns the measurements with the given names, or all if there are no names.
 func Select(names []string) ([]Measurement, error) {
 	all := Measurements()
 	if len(names) == 0 {
@@ -79,15 +79,15 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(m Measurement) bool { return m.Name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("%.40q is no measurement", name)
+			return nil, fmt.Errorf("unknown measurement %.40q", name)
 		}
 		chosen = append(chosen, all[i])
 	}
 	return chosen, nil
 }
 
-// Run makes measurements: one after the other, or all beside each other where it is to be quick, as most wait most of the
-// time and none counts the time that the processor spends on others.
+// Run makes measurements one after another or, with Quick, all at the same time: most measurements wait most of the time,
+// and none counts the processor time of the others.
 func Run(ctx context.Context, measurements []Measurement, o Options) ([]slope.Row, error) {
 	rows := make([][]slope.Row, len(measurements))
 	errs := make([]error, len(measurements))
@@ -120,21 +120,21 @@
 		value, _ := r.AtTarget()
 		budget, ratio := "", ""
 		if r.Budget > 0 {
-			budget, ratio = figure(r.Budget)+" "+r.Unit, figure(r.Ratio())
+			budget, ratio = formatFigure(r.Budget)+" "+r.Unit, formatFigure(r.Ratio())
 		}
 		per := r.Per
 		if r.Log {
 			per = "doubling of " + r.Per
 		}
-		printRow(r.Role, r.Cost, r.Condition, r.Method, sizes(r), fmt.Sprintf("%s %s per %s", figure(line.Slope), r.Unit, singular(per)),
-			figure(line.Residual), fmt.Sprintf("%s %s at %g %s", figure(value), r.Unit, r.Target, r.Per), r.Origin(), budget, ratio)
+		printRow(r.Role, r.Cost, r.Condition, r.Method, formatSizes(r), fmt.Sprintf("%s %s per %s", formatFigure(line.Slope), r.Unit, singular(per)),
+			formatFigure(line.Residual), fmt.Sprintf("%s %s at %g %s", formatFigure(value), r.Unit, r.Target, r.Per), r.Origin(), budget, ratio)
 	}
 	return table.Flush()
 }
 
 func singular(unit string) string { return strings.TrimSuffix(unit, "s") }
 
-func sizes(r slope.Row) string {
+func formatSizes(r slope.Row) string {
 	var text []string
 	for _, p := range r.Points {
 		text = append(text, fmt.Sprintf("%g", p.Size))
@@ -142,8 +142,8 @@
 	return strings.Join(text, " ")
 }
 
-// figure is a number with three digits that count.
-func figure(x float64) string {
+// formatFigure formats a number with three significant digits, or without a fraction from 1000 on.
+func formatFigure(x float64) string {
 	if x >= 1000 || x <= -1000 {
 		return fmt.Sprintf("%.0f", x)
 	}
