--- a/internal/lab/checker/actions.go
+++ b/internal/lab/checker/actions.go
@@ -6,13 +6,14 @@
 	"mintkeel/router"
 )
 
-// ActionsTaken takes in the actions of a controller in one step, in their order.
+// ActionsTaken checks and records the actions that a controller takes in one step, in their order.
 func (ch *Checker) ActionsTaken(controller int, now float64, actions []router.Action) {
 	inc := ch.incarnations[controller]
 	for _, action := range actions {
 		ch.checkAction(controller, now, inc, action)
 	}
-	// Forgotten after the step alone, so that a second answer to one query is noticed.
+	// Queries are dropped only after all actions of the step are checked, so that a second final
+	// answer to a query in the same step is found.
 	for _, action := range actions {
 		switch a := action.(type) {
 		case router.Reject:
@@ -51,13 +52,14 @@
 	case router.Subscribe:
 		inc.polledAt = now
 	case router.SetTimer:
-		if !(a.After > 0) { // also not a number
+		if !(a.After > 0) { // NaN is refused too
 			ch.breach(Contract, now, controller, "timer set to %v ms", a.After)
 		}
 	}
 }
 
-// checkRejection checks a rejection, which promises that a retry by the client is harmless.
+// checkRejection checks a rejection. It tells the client that a retry is safe, so a query whose
+// effect may happen only once must have no attempt that may have run.
 func (ch *Checker) checkRejection(
 	controller int, now float64, inc *incarnation, a router.Reject,
 ) {
@@ -77,7 +79,7 @@
 	}
 }
 
-// checkFinalAnswer checks that a final answer is the only one of its query, and in time.
+// checkFinalAnswer checks that a final answer is the only one of its query and is given in time.
 func (ch *Checker) checkFinalAnswer(
 	controller int, now float64, inc *incarnation, id router.QueryID, how string,
 ) {
--- a/internal/lab/checker/attempts.go
+++ b/internal/lab/checker/attempts.go
@@ -6,7 +6,7 @@
 	"mintkeel/router"
 )
 
-// checkAttempt checks one attempt by all rules that it can break, and takes it in.
+// checkAttempt checks one attempt against every rule that it can break, and records it.
 func (ch *Checker) checkAttempt(
 	controller int, now float64, inc *incarnation, a router.StartAttempt,
 ) {
@@ -34,8 +34,8 @@
 	q.attempts = append(q.attempts, attempt{startedAt: now, engine: e})
 }
 
-// checkDraining checks the engine's state as it was listed and, while the endpoint list has
-// expired, whether a drain that really began counts as notified.
+// checkDraining checks that the engine was last listed as ready. While the endpoint list is
+// expired, it also checks that no drain of the engine is old enough to count as notified.
 func (ch *Checker) checkDraining(
 	controller int, now float64, inc *incarnation, q *query, e router.Endpoint,
 ) {
@@ -65,11 +65,11 @@
 	}
 }
 
-// permits reports whether a list of what is allowed has x; a nil list allows all.
+// permits reports whether a list of allowed values contains x; a nil list allows every value.
 func permits[T comparable](list []T, x T) bool { return list == nil || slices.Contains(list, x) }
 
-// checkRepeat checks a retry or a hedged request: whether it is allowed, and whether its effect
-// could be a second one.
+// checkRepeat checks a retry or a hedged request: that the settings allow it, and that it can't
+// cause the query's effect a second time.
 func (ch *Checker) checkRepeat(controller int, now float64, q *query, e router.Endpoint) {
 	if len(q.attempts) == 0 {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// sameScope reports whether two engines share the record of what they have run.
+// sameScope reports whether two engines share the record by which repeats are deduplicated.
 func sameScope(scope router.DeduplicationScope, a, b router.Endpoint) bool {
 	switch scope {
 	case router.ScopeAll:
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkOrdering checks that no earlier query of a key is unfinished, that no later one has an
-// attempt, and that no key is in cooldown.
+// checkOrdering checks for each ordering key of a query that no earlier query is unfinished, that
+// no later one has an outstanding attempt, and that the key is not in cooldown.
 func (ch *Checker) checkOrdering(controller int, now float64, inc *incarnation, q *query) {
 	for _, key := range q.keys {
 		ahead := true
@@ -145,7 +145,7 @@
 	}
 }
 
-// countWithin counts the times after from, up to to; times are in order.
+// countWithin counts the times in (from, to]; times are in ascending order.
 func countWithin(times []float64, from, to float64) int {
 	count := 0
 	for i := len(times) - 1; i >= 0 && times[i] > from; i-- {
@@ -156,8 +156,8 @@
 	return count
 }
 
-// checkSlowStart checks the work that all controllers together have started on a warming engine
-// within the window, as if the engine had no more than its least capacity.
+// checkSlowStart bounds the work that all controllers together start on a warming engine within
+// the window. It assumes the lowest capacity of the slow start throughout.
 func (ch *Checker) checkSlowStart(controller int, now float64, q *query, e router.Endpoint) {
 	limits := &ch.settings.Limits
 	warming := e.StartedAt != 0 && now <= e.StartedAt+limits.SlowStartTime
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,11 +1,11 @@
-// Package checker judges from outside whether controllers keep the seven rules: by the events that
-// controllers were given and the actions they took, over all controllers together. It trusts nothing
-// that a controller says of itself, and shares no code with the decision module but the types of
-// its interface. Nothing of the daemon imports it.
+// Package checker verifies that controllers keep the seven rules. It uses only the events that were
+// delivered to controllers and the actions that they took, over all controllers together, relies on
+// nothing that a controller reports of itself, and shares no code with the decision module but the
+// types of its interface. Nothing of the daemon imports it.
 //
-// A simulation reports what happens, in the order of virtual time: controllers that start and end
-// (incarnation.go), what engines really do, the events of each step (events.go) and then its actions
-// (actions.go). Each attempt passes all rules that it can break (attempts.go).
+// A simulation reports what happens, in the order of virtual time: starts and ends of controllers
+// (incarnation.go), the real state of engines, the events of each step (events.go) and then its
+// actions (actions.go). Each attempt is checked against every rule that it can break (attempts.go).
 package checker
 
 import (
@@ -14,12 +14,12 @@
 	"mintkeel/router"
 )
 
-// Rule is one of the seven rules, or the contract of the module's interface.
+// Rule is one of the seven rules, or Contract.
 type Rule int
 
 const (
-	// Contract is no rule of its own: a controller names only queries, attempts and engines that it
-	// was given, and does only what the settings allow.
+	// Contract is the contract of the module's interface, beside the seven rules: a controller names
+	// only queries, attempts and engines that it was given, and does only what the settings allow.
 	Contract Rule = iota
 	// FinalAnswer is rule 1: each query gets one final answer, before its client timeout.
 	FinalAnswer
@@ -50,7 +50,7 @@
 
 func (rule Rule) String() string { return ruleNames[rule] }
 
-// Settings are those that all controllers share.
+// Settings are the settings that all controllers share.
 type Settings struct {
 	Kinds        []router.MachineKind
 	Classes      []router.QueryClass
@@ -58,7 +58,7 @@
 	Limits       router.SafetyLimits
 }
 
-// Breach is one rule broken, once.
+// Breach is a single violation of a rule.
 type Breach struct {
 	Rule       Rule
 	At         float64 // ms
@@ -71,23 +71,25 @@
 }
 
 const (
-	// maxBreaches bounds the breaches that are kept: a faulty module has thousands, of which the
-	// first show the fault.
+	// maxBreaches bounds the breaches that are kept: a faulty module causes thousands, and the first
+	// ones show the fault.
 	maxBreaches = 50
-	// tolerance is added to a time in ms or a count, for sums that are rounded otherwise here.
+	// tolerance, in ms or a count, absorbs rounding differences between the checker's sums and the
+	// module's.
 	tolerance = 1e-6
-	// defaultCores is the size of an engine of a kind that the settings don't list.
+	// defaultCores is the number of cores assumed for an engine whose machine kind is unknown.
 	defaultCores = 8.0
 )
 
-// Checker is used by one goroutine. Times are ms of one clock for all controllers.
+// Checker checks the steps of all controllers of a simulation. It is not safe for concurrent use.
+// Times are in ms, by one clock for all controllers.
 type Checker struct {
 	settings     Settings
 	incarnations map[int]*incarnation // running controllers, by number
 	// startWork is the work that all controllers together started on a warming engine.
 	startWork map[engineProcess][]timedWork
-	drainedAt map[router.EngineID][]float64 // when an engine really began to drain or ended
-	startedAt map[router.EngineID][]float64 // when a process of an engine really started
+	drainedAt map[router.EngineID][]float64 // ms, when an engine really began to drain or ended
+	startedAt map[router.EngineID][]float64 // ms, when a process of an engine really started
 	breaches  []Breach
 	counts    map[Rule]int
 
@@ -99,7 +101,7 @@
 	Failures          int
 }
 
-// engineProcess is one process that ran under an engine's id.
+// engineProcess is one process that runs under an engine's ID.
 type engineProcess struct {
 	engine    router.EngineID
 	startedAt float64 // ms
@@ -108,7 +110,7 @@
 // timedWork is work in ms on one thread, started at a time in ms.
 type timedWork struct{ at, work float64 }
 
-// New makes a checker of controllers with these settings.
+// New returns a checker for controllers with the given settings.
 func New(settings Settings) *Checker {
 	return &Checker{
 		settings:     settings,
@@ -120,24 +122,24 @@
 	}
 }
 
-// Breaches returns the first that were found; Count says how many there were of a rule.
+// Breaches returns the first breaches, up to maxBreaches; Count counts all of them.
 func (ch *Checker) Breaches() []Breach { return ch.breaches }
 
-// Count is how often a rule was broken.
+// Count returns how often a rule was broken.
 func (ch *Checker) Count(rule Rule) int { return ch.counts[rule] }
 
-// EngineDraining takes in that an engine really drains, or has ended, from now on, whatever
-// controllers know of it.
+// EngineDraining records that an engine begins to drain or ends, whether or not controllers have
+// been notified.
 func (ch *Checker) EngineDraining(engine router.EngineID, now float64) {
 	ch.drainedAt[engine] = append(ch.drainedAt[engine], now)
 }
 
-// EngineStarted takes in that a process really starts under an engine's id.
+// EngineStarted records that a process starts under an engine's ID.
 func (ch *Checker) EngineStarted(engine router.EngineID, now float64) {
 	ch.startedAt[engine] = append(ch.startedAt[engine], now)
 }
 
-// engineStartedSince reports whether a process started under an engine's id at a time or later.
+// engineStartedSince reports whether a process started under an engine's ID at or after a time.
 func (ch *Checker) engineStartedSince(engine router.EngineID, since float64) bool {
 	for _, at := range ch.startedAt[engine] {
 		if at >= since {
--- a/internal/lab/checker/events.go
+++ b/internal/lab/checker/events.go
@@ -2,8 +2,8 @@
 
 import "mintkeel/router"
 
-// EventsDelivered takes in the events that a controller is given in one step, before it decides.
-// Work says how much work a query really needs, in ms on one thread.
+// EventsDelivered records the events that a controller receives in one step, before it decides.
+// The work function returns the work that a query really needs, in ms on one thread.
 func (ch *Checker) EventsDelivered(
 	controller int, now float64, events []router.Event, work func(router.QueryID) float64,
 ) {
@@ -81,9 +81,9 @@
 	inc.forgetIfDone(q)
 }
 
-// checkDue looks for queries that should have their answer by now, and for an endpoint list that
-// was not polled in time. It runs before the controller decides in this step, so that an event
-// interval is granted.
+// checkDue checks that no query is overdue for its final answer, and that the endpoint list is
+// polled in time. It runs before the controller decides in this step, so answers have one event
+// interval more than the timeout.
 func (ch *Checker) checkDue(controller int, now float64, inc *incarnation) {
 	limits := &ch.settings.Limits
 	for _, q := range inc.queries {
--- a/internal/lab/checker/incarnation.go
+++ b/internal/lab/checker/incarnation.go
@@ -7,7 +7,7 @@
 	"mintkeel/router"
 )
 
-// incarnation is one run of a controller: what it was given, and what it still owes.
+// incarnation is one run of a controller: what it was given, and the queries that it has to answer.
 type incarnation struct {
 	queries        map[router.QueryID]*query
 	orderingQueues map[router.OrderingKey][]*query // by arrival
@@ -15,13 +15,13 @@
 	endpoints      map[router.EngineID]router.Endpoint
 	arrivedAt      []float64 // ms, of its queries
 	retriedAt      []float64 // ms, of its retries
-	expiredFor     float64   // ms, as its endpoint list said last
+	expiredFor     float64   // ms, from the last update of its endpoint list
 	subscribed     bool      // it gets updates of the endpoint list without polling
-	polledAt       float64   // ms, when it last polled or still was subscribed
-	shutdownAt     float64   // ms; +Inf: none is planned
+	polledAt       float64   // ms, when it last polled or was last subscribed
+	shutdownAt     float64   // ms, when its planned shutdown ends; +Inf: none is planned
 }
 
-// query is a query with what its controller did for it.
+// query is a query with its attempts and its state at the controller.
 type query struct {
 	router.QueryArrived
 	class           *router.QueryClass
@@ -30,11 +30,11 @@
 	deadline        float64 // ms
 	work            float64 // ms on one thread that it really needs
 	attempts        []attempt
-	done            bool // it has its final answer, or its client has gone
+	done            bool // it has its final answer, or its client has disconnected
 	responseStarted bool
 	keys            []router.OrderingKey
-	// cooldownUntil is the time in ms until which no query follows it, by its own attempts that may
-	// still run.
+	// cooldownUntil is the time in ms until which no later query of its keys may start, because an
+	// attempt of this query may still run.
 	cooldownUntil float64
 }
 
@@ -46,7 +46,7 @@
 	outcome   router.Outcome // once it has ended
 }
 
-// ControllerStarted takes in that a controller starts, without any knowledge.
+// ControllerStarted records the start of a controller, which knows no query and no endpoint.
 func (ch *Checker) ControllerStarted(controller int, now float64) {
 	ch.incarnations[controller] = &incarnation{
 		queries:        map[router.QueryID]*query{},
@@ -58,11 +58,11 @@
 	}
 }
 
-// ControllerKilled takes in that a controller was killed; it owes nothing more.
+// ControllerKilled records that a controller was killed; its open queries need no answer any more.
 func (ch *Checker) ControllerKilled(controller int) { delete(ch.incarnations, controller) }
 
-// ControllerStopped takes in that a controller has ended a planned shutdown: all queries that it
-// accepted must have their answers.
+// ControllerStopped records that a controller has completed a planned shutdown: all queries that it
+// accepted must have their final answers.
 func (ch *Checker) ControllerStopped(controller int, now float64) {
 	if inc := ch.incarnations[controller]; inc != nil {
 		for _, q := range inc.queries {
@@ -101,7 +101,7 @@
 	}
 }
 
-// addKey puts a query into the ordering queue of one more key, by its arrival.
+// addKey inserts a query into the queue of one more ordering key, in order of arrival.
 func (inc *incarnation) addKey(q *query, key router.OrderingKey) {
 	if !q.class.Ordered || key == "" || slices.Contains(q.keys, key) {
 		return
@@ -115,8 +115,7 @@
 	inc.orderingQueues[key] = queue
 }
 
-// forgetIfDone drops a query that no rule needs any more: it is done, and all its attempts have
-// ended.
+// forgetIfDone drops a query once no rule needs it: it is done, and all its attempts have ended.
 func (inc *incarnation) forgetIfDone(q *query) {
 	if !q.done || q.outstanding() {
 		return
@@ -132,8 +131,8 @@
 	}
 }
 
-// answerBy is the time in ms by which the final answer of a query is due. For one that comes after
-// the end of a planned shutdown that is at once.
+// answerBy returns the time in ms by which the final answer of a query is due. A query that arrives
+// after the end of a planned shutdown is due on arrival.
 func (inc *incarnation) answerBy(q *query) float64 {
 	return max(q.arrivedAt, min(q.deadline, inc.shutdownAt))
 }
@@ -143,7 +142,7 @@
 	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.ended })
 }
 
-// unresolved is the first attempt that may have run or has not ended; nil: there is none.
+// unresolved returns the first attempt that may have run or has not ended, or nil if there is none.
 func (q *query) unresolved() *attempt {
 	for i := range q.attempts {
 		if a := &q.attempts[i]; !a.ended || !a.outcome.NeverRan() {
