--- a/cmd/mintkeel-lab/fleetconfig.go
+++ b/cmd/mintkeel-lab/fleetconfig.go
@@ -58,7 +58,7 @@
 }
 
 func (t *configurationTotals) add(world *fleet.World) {
-	if world.Lost() {
+	if world.MajorityLost() {
 		t.noMajority++
 		return
 	}
@@ -73,7 +73,7 @@
 	times := world.ConfigurationTimes()
 	t.catchUps = append(t.catchUps, times.CatchUp)
 	t.afterPut = append(t.afterPut, times.AfterPut)
-	t.afterTold = append(t.afterTold, times.AfterTold)
+	t.afterTold = append(t.afterTold, times.AfterStatus)
 }
 
 func (t *configurationTotals) print(out io.Writer, failed int, took time.Duration) {
--- a/cmd/mintkeel-lab/fleetorders.go
+++ b/cmd/mintkeel-lab/fleetorders.go
@@ -55,7 +55,7 @@
 		var settled orderCosts // of the daemon's policy, which is the first of all
 		for _, policy := range fleet.Policies() {
 			costs := m.measurePolicy(policy, engines, atOnce, horizon)
-			if policy == fleet.Ours {
+			if policy == fleet.Planned {
 				settled = costs
 			}
 			var over []float64
--- a/cmd/mintkeel-lab/fleetprocesses.go
+++ b/cmd/mintkeel-lab/fleetprocesses.go
@@ -34,7 +34,7 @@
 		scene := fleet.UsualScene(daemon, seed, r.controllersOf(seed, fleetSizes), r.faults)
 		if r.script == maintenanceScript {
 			scene.Engines = maintainedEngines
-			scene.AtOnce = 1 + int(seed%2)
+			scene.MaxUnavailable = 1 + int(seed%2)
 		}
 		report, err := r.playScene(c, scene)
 		if err != nil {
@@ -71,7 +71,7 @@
 // found broken, and another one if the history could not be played.
 func (r *fleetRun) playScene(c *cobra.Command, scene fleet.Scene) (fleet.Report, error) {
 	events := r.newEventLog(c.ErrOrStderr())
-	scene.Tell = events.add
+	scene.Log = events.add
 	report, err := fleet.PlayProcesses(c.Context(), scene)
 	if err != nil {
 		return report, fmt.Errorf("seed %d: %w", scene.Seed, err)
@@ -85,17 +85,17 @@
 func (t *processTotals) add(report *fleet.Report) {
 	t.Effects += report.Effects
 	t.Refused += report.Refused
-	t.Taken += report.Taken
+	t.PeerEffects += report.PeerEffects
 	t.Commands += report.Commands
 	t.Answered += report.Answered
 	t.Shed += report.Shed
 	t.Failed += report.Failed
-	t.Back += report.Back
+	t.Returned += report.Returned
 	if report.Maintained > 0 {
 		t.maintained = append(t.maintained, milliseconds(report.Maintained))
 	}
-	t.recoveries = append(t.recoveries, milliseconds(report.Whole))
-	for _, unheld := range report.Free {
+	t.recoveries = append(t.recoveries, milliseconds(report.Recovery))
+	for _, unheld := range report.HolderGaps {
 		t.unheld = append(t.unheld, milliseconds(unheld))
 	}
 }
@@ -104,7 +104,7 @@
 	fmt.Fprintf(out, "%d histories with processes, none broke\n", histories)
 	fmt.Fprintf(out, "%d effects taken by the endpoint, %d refused there by their token, "+
 		"%d taken by controllers\n",
-		t.Effects, t.Refused, t.Taken)
+		t.Effects, t.Refused, t.PeerEffects)
 	fmt.Fprintf(out, "%d commands: %d answered, %d shed, %d failed, none lost\n",
 		t.Commands, t.Answered, t.Shed, t.Failed)
 	fmt.Fprintf(out, "whole after the last fault: %s ms\nbetween two owners' effects: %s ms\n",
@@ -114,5 +114,5 @@
 func (t *processTotals) printMaintenance(out io.Writer) {
 	fmt.Fprintf(out, "%d engines were taken out once and are back, none while too many were out, "+
 		"no command at one that was told free; after all was whole: %s ms\n",
-		t.Back, distribution(t.maintained))
+		t.Returned, distribution(t.maintained))
 }
--- a/cmd/mintkeel-lab/fleetvirtual.go
+++ b/cmd/mintkeel-lab/fleetvirtual.go
@@ -51,13 +51,13 @@
 }
 
 func (t *virtualTotals) add(world *fleet.World) {
-	t.recoveries = append(t.recoveries, world.Whole)
-	for _, unheld := range world.Checker.Free {
+	t.recoveries = append(t.recoveries, world.Recovery)
+	for _, unheld := range world.Checker.Vacancies {
 		t.unheld = append(t.unheld, unheld...)
 	}
 	t.effects += world.Checker.Effects
-	t.overlaps += world.Checker.Overlap
-	t.late += world.Checker.Late
+	t.overlaps += world.Checker.Overlaps
+	t.late += world.Checker.LateEffects
 }
 
 func (t *virtualTotals) print(out io.Writer, histories int, took time.Duration) {
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -50,12 +50,12 @@
 
 // configMachine is what a controller has for the fleet's configuration.
 type configMachine struct {
-	disk    configDisk
-	folder  int            // the folder's generation: one more when it is emptied or an older copy is put back
-	inForce config.Version // of this run
-	refs    uint64         // of this run's questions
-	pending map[uint64]configPending
-	applyMS float64 // that taking a version into use takes
+	disk             configDisk
+	folderGeneration int            // the folder's generation: one more when it is emptied or an older copy is put back
+	inForce          config.Version // of this run
+	refs             uint64         // of this run's questions
+	pending          map[uint64]configPending
+	applyMS          float64 // that taking a version into use takes
 }
 
 // configPending is what an operator waits for at a controller.
@@ -69,18 +69,18 @@
 
 // configWorld is what a world has for the fleet's configuration.
 type configWorld struct {
-	checker   *configuration.Checker
-	documents map[config.Hash][]byte // all that were ever proposed
-	proposals int
-	corruptTo float64 // until when some chunks are changed on their way
-	replayTo  float64 // until when old messages come again
-	replays   []configReplay
-	healed    float64 // when the last fault's trace was gone: the last process was started again
+	checker      *configuration.Checker
+	documents    map[config.Hash][]byte // all that were ever proposed
+	proposals    int
+	corruptUntil float64 // until when some chunks are changed on their way
+	replayUntil  float64 // until when old messages come again
+	replays      []configReplay
+	healedAt     float64 // when the last fault's trace was gone: the last process was started again
 
-	times    ConfigurationTimes
-	observed func(machine int, number uint64, started bool)
-	killAt   uint64  // the version at which the leader is to be killed; 0: it is not
-	killFor  float64 // for so long
+	times         ConfigurationTimes
+	observed      func(machine int, number uint64, started bool)
+	killAtVersion uint64  // the version at which the leader is to be killed; 0: it is not
+	killDowntime  float64 // for so long
 }
 
 type configReplay struct {
@@ -90,9 +90,9 @@
 }
 
 const (
-	mostReplays  = 400
-	replayEach   = 700.0
-	settleWithin = 19000.0 // the operators' bound
+	maxReplays     = 400
+	replayInterval = 700.0
+	settleBound    = 19000.0 // the operators' bound
 )
 
 func newConfigWorld(nodes []*machine) *configWorld {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// configFacts begins a run's part with what the folder holds.
-func (w *World) configFacts(m *machine) *node.FleetConfig {
+// loadConfig begins a run's part with what the folder holds.
+func (w *World) loadConfig(m *machine) *node.FleetConfig {
 	if w.config == nil {
 		return nil
 	}
@@ -135,7 +135,7 @@
 }
 
 // olderDisk is the latest copy with a lower version than the folder's.
-func (c *configMachine) olderDisk(copies []copyOf, disk configDisk) configDisk {
+func (c *configMachine) olderDisk(copies []folderCopy, disk configDisk) configDisk {
 	for i := len(copies) - 1; i >= 0; i-- {
 		if copies[i].config.current.Number < disk.current.Number {
 			return copies[i].config
@@ -149,7 +149,7 @@
 }
 
 func (m *machine) configFolder() configuration.Folder {
-	return configuration.Folder{Controller: m.id, Generation: m.config.folder}
+	return configuration.Folder{Controller: m.id, Generation: m.config.folderGeneration}
 }
 
 // configStarted tells the checker what a process has in force from its start.
@@ -159,7 +159,7 @@
 	}
 	w.config.checker.Started(w.now, m.incarnation(), m.configFolder(), m.config.inForce)
 	w.config.observed(m.number, m.config.inForce.Number, true)
-	w.config.healed = w.now
+	w.config.healedAt = w.now
 }
 
 // configEnded tells the checker that a process ended.
@@ -169,8 +169,8 @@
 	}
 }
 
-// configTurn does what a replica of the configuration asks for.
-func (w *World) configTurn(m *machine, out config.Output) {
+// handleConfigOutput does what a replica of the configuration asks for.
+func (w *World) handleConfigOutput(m *machine, out config.Output) {
 	if w.config == nil {
 		return
 	}
@@ -184,21 +184,21 @@
 		w.applyConfig(m, m.run, out.Apply)
 	}
 	for _, o := range out.ProposalResults {
-		w.concludeConfig(m, o)
+		w.proposalConcluded(m, o)
 	}
 	for _, a := range out.QueryResults {
-		if asked, ok := m.config.pending[a.Ref]; ok && asked.status != nil {
+		if request, ok := m.config.pending[a.Ref]; ok && request.status != nil {
 			delete(m.config.pending, a.Ref)
 			if a.From == m.id && a.Answer.Status != nil { // made here, now
-				w.config.checker.StatusMade(w.now, w.mutateStatus(a.Answer.Status), runsKnown(m))
+				w.config.checker.StatusMade(w.now, w.mutateStatus(a.Answer.Status), knownRuns(m))
 			}
-			asked.status(a.Answer)
+			request.status(a.Answer)
 		}
 	}
 	for _, d := range out.DocumentResults {
-		if asked, ok := m.config.pending[d.Ref]; ok && asked.rollback > 0 {
+		if request, ok := m.config.pending[d.Ref]; ok && request.rollback > 0 {
 			delete(m.config.pending, d.Ref)
-			w.rollBackTo(m, asked, d.Document)
+			w.rollBackTo(m, request, d.Document)
 		}
 	}
 }
@@ -218,21 +218,21 @@
 // storeConfig makes what a replica asks for durable, one step after another; a process that ends meanwhile leaves the
 // steps done so far.
 func (w *World) storeConfig(m *machine, run uint64, s *config.StoreRequest) {
-	took := m.diskMS * (0.5 + w.rng.Float64())
+	duration := m.diskMS * (0.5 + w.rng.Float64())
 	running := func() bool { return m.run == run && m.core != nil }
 	answer := func(err error) {
 		w.deliver(m, func() { m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Stored(w.local(m), err) }) })
 	}
-	w.at(w.now+took/2, func() {
-		if running() && w.now >= m.full && s.Document != nil && w.plan.Mutant != "skip store" {
+	w.at(w.now+duration/2, func() {
+		if running() && w.now >= m.diskFullUntil && s.Document != nil && w.plan.Mutant != "skip store" {
 			m.config.disk = m.config.disk.with(s.Hash, slices.Clone(s.Document))
 		}
 	})
-	w.at(w.now+took, func() {
+	w.at(w.now+duration, func() {
 		if !running() {
 			return
 		}
-		if w.now < m.full {
+		if w.now < m.diskFullUntil {
 			answer(errDiskFull)
 			return
 		}
@@ -266,9 +266,9 @@
 
 // applyConfig takes a version into use after the time that it takes.
 func (w *World) applyConfig(m *machine, run uint64, a *config.ApplyRequest) {
-	took := m.config.applyMS * (0.1 + 2*w.rng.Float64())
+	duration := m.config.applyMS * (0.1 + 2*w.rng.Float64())
 	busy := w.rng.Float64() < w.plan.Busy
-	w.at(w.now+took, func() {
+	w.at(w.now+duration, func() {
 		if m.run != run || m.core == nil {
 			return
 		}
@@ -277,15 +277,15 @@
 			if busy {
 				err = errBusy
 			} else {
-				w.inForce(m, a.Version, a.Document)
+				w.versionApplied(m, a.Version, a.Document)
 			}
 			m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Applied(w.local(m), err, busy) })
 		})
 	})
 }
 
-// inForce notes what a process has taken into use.
-func (w *World) inForce(m *machine, v config.Version, document []byte) {
+// versionApplied notes what a process has taken into use.
+func (w *World) versionApplied(m *machine, v config.Version, document []byte) {
 	if w.plan.Mutant == "old apply" && m.config.inForce.Number > 1 && w.rng.Intn(10) == 0 {
 		v.Number--
 		v.Hash, _ = w.config.checker.Version(v.Number)
@@ -302,24 +302,24 @@
 	w.config.observed(m.number, v.Number, false)
 }
 
-// configSent looks at a message on its way: a status is judged when it is made; some are changed or kept to come again.
-func (w *World) configSent(from *machine, to int, message *node.Message) {
+// interceptConfig looks at a message on its way: a status is judged when it is made; some are changed or kept to come again.
+func (w *World) interceptConfig(from *machine, to int, message *node.Message) {
 	if w.config == nil || message.Config == nil {
 		return
 	}
 	if a := message.Config.Answer; a != nil && a.Status != nil {
-		w.config.checker.StatusMade(w.now, w.mutateStatus(a.Status), runsKnown(from))
+		w.config.checker.StatusMade(w.now, w.mutateStatus(a.Status), knownRuns(from))
 	}
-	if w.now < w.config.corruptTo && message.Config.Chunk != nil && w.rng.Intn(3) == 0 {
+	if w.now < w.config.corruptUntil && message.Config.Chunk != nil && w.rng.Intn(3) == 0 {
 		message.Config = corrupted(w.rng, message.Config)
 	}
-	if w.now < w.config.replayTo && len(w.config.replays) < mostReplays && w.rng.Intn(4) == 0 {
+	if w.now < w.config.replayUntil && len(w.config.replays) < maxReplays && w.rng.Intn(4) == 0 {
 		w.config.replays = append(w.config.replays, configReplay{from.number, to, from.run, *message.Config})
 	}
 }
 
-// runsKnown are the runs of which a machine takes the others to be.
-func runsKnown(m *machine) map[members.ID]uint64 {
+// knownRuns are the runs of which a machine takes the others to be.
+func knownRuns(m *machine) map[members.ID]uint64 {
 	runs := map[members.ID]uint64{}
 	for _, about := range m.core.Members() {
 		runs[about.ID] = about.Run
@@ -350,7 +350,7 @@
 
 // replay has messages of before come again, as long as that lasts, those of earlier runs among them.
 func (w *World) replay() {
-	if w.now >= w.config.replayTo {
+	if w.now >= w.config.replayUntil {
 		w.config.replays = nil
 		return
 	}
@@ -366,7 +366,7 @@
 		}
 		w.deliver(target, func() { target.core.Receive(w.local(target), from.id, &node.Message{Config: &message}) })
 	}
-	w.at(w.now+replayEach, w.replay)
+	w.at(w.now+replayInterval, w.replay)
 }
 
 // document draws the content of a version: of some bytes, to be refused by some.
@@ -386,14 +386,14 @@
 	return document
 }
 
-// known is what an operator who looks at a controller takes for the newest version.
-func (w *World) known(m *machine) uint64 {
+// knownVersion is what an operator who looks at a controller takes for the newest version.
+func (w *World) knownVersion(m *machine) uint64 {
 	return max(m.config.inForce.Number, w.config.checker.Newest().Number)
 }
 
 // put has an operator propose a document at a controller.
 func (w *World) put(m *machine, expect uint64, document []byte) {
-	if m.core == nil || w.now < m.paused {
+	if m.core == nil || w.now < m.pausedUntil {
 		return
 	}
 	if m.checkDocument(document) != nil {
@@ -418,9 +418,9 @@
 	})
 }
 
-func (w *World) concludeConfig(m *machine, o config.ProposalResult) {
-	asked, ok := m.config.pending[o.Ref]
-	if !ok || asked.reason == "" {
+func (w *World) proposalConcluded(m *machine, o config.ProposalResult) {
+	request, ok := m.config.pending[o.Ref]
+	if !ok || request.reason == "" {
 		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s tells the outcome of %d, which was not asked, or twice", w.now, m.id, o.Ref)
 		return
 	}
@@ -431,10 +431,10 @@
 	if w.plan.Mutant == "tell lost" && o.Result == config.Committed {
 		o.Result = config.Conflict
 	}
-	w.trace("n%d tells that %s is %s: version %d, %s", m.number, asked.reason, resultNames[o.Result], o.Version.Number, o.Reason)
-	w.config.checker.Concluded(w.now, asked.reason, o)
-	if asked.concluded != nil {
-		asked.concluded(o)
+	w.trace("n%d tells that %s is %s: version %d, %s", m.number, request.reason, resultNames[o.Result], o.Version.Number, o.Reason)
+	w.config.checker.Concluded(w.now, request.reason, o)
+	if request.concluded != nil {
+		request.concluded(o)
 	}
 }
 
@@ -443,7 +443,7 @@
 // rollBack has an operator go back to an older version, whose document is asked for first.
 func (w *World) rollBack(m *machine, back int) {
 	newest := w.config.checker.Newest().Number
-	if m.core == nil || w.now < m.paused || newest < 2 {
+	if m.core == nil || w.now < m.pausedUntil || newest < 2 {
 		return
 	}
 	number := newest - min(newest-1, uint64(1+back))
@@ -459,22 +459,22 @@
 	})
 }
 
-func (w *World) rollBackTo(m *machine, asked configPending, document []byte) {
+func (w *World) rollBackTo(m *machine, request configPending, document []byte) {
 	if document == nil {
 		return
 	}
-	if hash, _ := w.config.checker.Version(asked.rollback); config.HashOf(document) != hash {
-		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s was given another document of version %d", w.now, m.id, asked.rollback)
+	if hash, _ := w.config.checker.Version(request.rollback); config.HashOf(document) != hash {
+		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s was given another document of version %d", w.now, m.id, request.rollback)
 		return
 	}
 	if m.checkDocument(document) == nil {
-		w.propose(m, asked.expect, document, asked.rollback)
+		w.propose(m, request.expect, document, request.rollback)
 	}
 }
 
 // askStatus has an operator ask at a controller where the newest version is in force.
 func (w *World) askStatus(m *machine, answered func(config.Answer)) {
-	if m.core == nil || w.now < m.paused {
+	if m.core == nil || w.now < m.pausedUntil {
 		return
 	}
 	w.deliver(m, func() {
@@ -485,8 +485,8 @@
 	})
 }
 
-// lookAtHistories has the checker see what voters hold as agreed on.
-func (w *World) lookAtHistories() {
+// checkHistories has the checker see what voters hold as agreed on.
+func (w *World) checkHistories() {
 	for _, m := range w.nodes {
 		if state := w.configState(m); state != nil {
 			w.config.checker.History(w.now, string(m.id), state.Versions)
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	lookEach    = 500.0   // ms between looks at voters' histories
-	statusSlack = 15000.0 // ms after which a status tells what is in force
-	ordersLeast = 8       // of what operators ask for in a history; up to twice as many
+	historyInterval = 500.0   // ms between looks at voters' histories
+	statusSlack     = 15000.0 // ms after which a status tells what is in force
+	minOperations   = 8       // of what operators ask for in a history; up to twice as many
 )
 
 // ConfigurationPlan is a plan of a fleet with a configuration, whose script is drawn from a seed: faults, and operators'
 // changes among them.
 func ConfigurationPlan(seed int64, nodes, faults int) Plan {
 	rng := rand.New(rand.NewSource(seed))
-	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: 1, Lease: 4000, Pace: members.DefaultConfig(), Settle: 90000, Config: true, Busy: 0.05}
+	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: 1, Lease: 4000, Membership: members.DefaultConfig(), Settle: 90000, Config: true, Busy: 0.05}
 	if nodes >= 5 && rng.Intn(2) == 0 {
 		p.Voters = 5
 	}
@@ -30,7 +30,7 @@
 		within = 110000
 	}
 	p.Script = DrawScript(rng, nodes, p.Voters, faults, within)
-	p.Script = append(p.Script, drawOrders(rng, nodes, within)...)
+	p.Script = append(p.Script, drawOperations(rng, nodes, within)...)
 	if nodes > p.Voters && rng.Intn(4) == 0 {
 		p.Script = replaceVoter(rng, p, within)
 	}
@@ -38,9 +38,9 @@
 	return p
 }
 
-// drawOrders draws what operators ask for, and faults of the configuration's own.
-func drawOrders(rng *rand.Rand, nodes int, within float64) (s Script) {
-	for range (ordersLeast + rng.Intn(ordersLeast)) * int(1+within/60000) {
+// drawOperations draws what operators ask for, and faults of the configuration's own.
+func drawOperations(rng *rand.Rand, nodes int, within float64) (s Script) {
+	for range (minOperations + rng.Intn(minOperations)) * int(1+within/60000) {
 		f := Fault{At: 2000 + rng.Float64()*(within+3000), A: rng.Intn(nodes), B: rng.Intn(nodes), N: -1}
 		switch kind := rng.Intn(20); {
 		case kind < 9:
@@ -88,7 +88,7 @@
 	f := Fault{At: 3000 + rng.Float64()*within, Kind: ReplaceVoter, A: rng.Intn(p.Voters), B: p.Voters + rng.Intn(p.Nodes-p.Voters)}
 	s := slices.Clone(p.Script)
 	for i := range s {
-		lost := s[i].Kind == Empty || s[i].Kind == OldCopy || s[i].Kind == Full
+		lost := s[i].Kind == EmptyFolder || s[i].Kind == OldCopy || s[i].Kind == DiskFull
 		if lost && s[i].A == f.B {
 			s[i].Kind, s[i].For = Kill, min(s[i].For, 5000)
 		}
@@ -104,13 +104,13 @@
 	m := w.nodes[f.A%len(w.nodes)]
 	switch f.Kind {
 	case Put:
-		expect := w.known(m)
+		expect := w.knownVersion(m)
 		if f.B%7 == 0 && expect > 0 {
 			expect-- // one who has not seen the newest
 		}
 		w.put(m, expect, w.document(int(f.Amount), f.N))
 	case PutTwice:
-		expect := w.known(m)
+		expect := w.knownVersion(m)
 		w.put(m, expect, w.document(int(f.Amount), f.N))
 		w.put(w.nodes[f.B%len(w.nodes)], expect, w.document(int(f.Amount/2), -1))
 	case RollBack:
@@ -122,15 +122,15 @@
 			w.restart(lead, f.For)
 		}
 	case ReplaceVoter:
-		if m := w.leader(); m != nil && w.now >= m.paused {
+		if m := w.leader(); m != nil && w.now >= m.pausedUntil {
 			w.deliver(m, func() { m.core.ReplaceVoter(w.local(m), w.nodes[f.A].id, w.nodes[f.B].id) })
 		}
 	case Corrupt:
-		w.config.corruptTo = max(w.config.corruptTo, w.now+f.For)
+		w.config.corruptUntil = max(w.config.corruptUntil, w.now+f.For)
 	case Replay:
-		playing := w.now < w.config.replayTo
-		if w.config.replayTo = max(w.config.replayTo, w.now+f.For); !playing {
-			w.at(w.now+replayEach, w.replay)
+		playing := w.now < w.config.replayUntil
+		if w.config.replayUntil = max(w.config.replayUntil, w.now+f.For); !playing {
+			w.at(w.now+replayInterval, w.replay)
 		}
 	}
 }
@@ -148,32 +148,32 @@
 	return leader
 }
 
-// looks has the checker look at histories all along.
-func (w *World) looks() {
-	w.lookAtHistories()
-	w.at(w.now+lookEach, w.looks)
+// watchHistories has the checker look at histories all along.
+func (w *World) watchHistories() {
+	w.checkHistories()
+	w.at(w.now+historyInterval, w.watchHistories)
 }
 
 // playConfiguration plays the plan of a fleet with a configuration, and tells what was wrong; empty: nothing.
 func (w *World) playConfiguration() string {
-	w.at(0, w.looks)
+	w.at(0, w.watchHistories)
 	w.Run(w.plan.Script.End())
-	if w.lost {
-		return cmp.Or(w.playLost(), w.broken())
+	if w.majorityLost {
+		return cmp.Or(w.playWithoutMajority(), w.firstBreak())
 	}
-	for _, step := range []func() string{w.catchUp, w.settleQuorum, w.putAfter, w.statusAfter, w.survived} {
+	for _, step := range []func() string{w.catchUp, w.settleQuorum, w.putAfterFaults, w.statusAfterFaults, w.historySurvived} {
 		if why := step(); why != "" {
 			return why
 		}
-		if why := w.broken(); why != "" {
+		if why := w.firstBreak(); why != "" {
 			return why
 		}
 	}
-	return w.Promises.Check()
+	return w.Renewals.Check()
 }
 
-// broken is what was wrong first, by either checker.
-func (w *World) broken() string {
+// firstBreak is what was wrong first, by either checker.
+func (w *World) firstBreak() string {
 	if w.Checker.Broken != "" {
 		return w.Checker.Broken
 	}
@@ -182,11 +182,11 @@
 
 // catchUp waits until the newest version is in force wherever it can be.
 func (w *World) catchUp() string {
-	healed := func() float64 { return max(w.config.healed, w.plan.Script.End()) }
-	why := w.until(func() float64 { return healed() + settleWithin }, w.notInForce)
+	healed := func() float64 { return max(w.config.healedAt, w.plan.Script.End()) }
+	why := w.until(func() float64 { return healed() + settleBound }, w.notInForce)
 	w.config.times.CatchUp = w.now - healed()
 	if why != "" {
-		return fmt.Sprintf("%.0f s after the last heal: %s", settleWithin/1000, why)
+		return fmt.Sprintf("%.0f s after the last heal: %s", settleBound/1000, why)
 	}
 	return ""
 }
@@ -221,14 +221,14 @@
 	return ""
 }
 
-// putAfter has one more version put when nothing is wrong any more, and waits until it is in force.
-func (w *World) putAfter() string {
+// putAfterFaults has one more version put when nothing is wrong any more, and waits until it is in force.
+func (w *World) putAfterFaults() string {
 	m := w.nodes[w.rng.Intn(len(w.nodes))]
 	before := w.config.checker.Newest().Number
 	began := w.now
 	tried := 0.0
-	why := w.until(func() float64 { return began + settleWithin }, func() string {
-		w.lookAtHistories()
+	why := w.until(func() float64 { return began + settleBound }, func() string {
+		w.checkHistories()
 		if newest := w.config.checker.Newest(); newest.Number > before && newest.Time >= int64(began) {
 			return w.notInForce()
 		}
@@ -240,35 +240,35 @@
 	})
 	w.config.times.AfterPut = w.now - began
 	if why != "" {
-		return fmt.Sprintf("%.0f s after a put: %s", settleWithin/1000, why)
+		return fmt.Sprintf("%.0f s after a put: %s", settleBound/1000, why)
 	}
 	return ""
 }
 
-// statusAfter asks until a status tells what is so: all have the newest version in force, or refuse it.
-func (w *World) statusAfter() string {
+// statusAfterFaults asks until a status tells what is so: all have the newest version in force, or refuse it.
+func (w *World) statusAfterFaults() string {
 	began, last := w.now, "no status was answered"
 	asked := 0.0
-	why := w.until(func() float64 { return began + settleWithin + statusSlack }, func() string {
+	why := w.until(func() float64 { return began + settleBound + statusSlack }, func() string {
 		if last != "" && w.now >= asked {
 			asked = w.now + 1000
 			w.askStatus(w.nodes[w.rng.Intn(len(w.nodes))], func(a config.Answer) {
 				if a.Status != nil {
-					last = w.statusLacks(a.Status)
+					last = w.statusMismatch(a.Status)
 				}
 			})
 		}
 		return last
 	})
-	w.config.times.AfterTold = w.now - began
+	w.config.times.AfterStatus = w.now - began
 	if why != "" {
-		return fmt.Sprintf("%.0f s after all was in force: %s", (settleWithin+statusSlack)/1000, why)
+		return fmt.Sprintf("%.0f s after all was in force: %s", (settleBound+statusSlack)/1000, why)
 	}
 	return ""
 }
 
-// statusLacks tells what a status tells otherwise than it is.
-func (w *World) statusLacks(s *config.Status) string {
+// statusMismatch tells what a status tells otherwise than it is.
+func (w *World) statusMismatch(s *config.Status) string {
 	newest := w.config.checker.Newest()
 	able := 0
 	for _, m := range w.nodes {
@@ -283,9 +283,9 @@
 	return ""
 }
 
-// survived checks that all that was agreed on is held by the leader still, once that knows all that was.
-func (w *World) survived() string {
-	end := w.now + settleWithin
+// historySurvived checks that all that was agreed on is held by the leader still, once that knows all that was.
+func (w *World) historySurvived() string {
+	end := w.now + settleBound
 	why := w.until(func() float64 { return end }, func() string {
 		if lead := w.leader(); lead == nil || !lead.core.Quorum().LeadsCaughtUp() {
 			return "no leader knows what was agreed on"
@@ -316,11 +316,11 @@
 }
 
 // until plays until nothing is lacking, and tells what still is when the time is over.
-func (w *World) until(end func() float64, lacking func() string) string {
+func (w *World) until(end func() float64, missing func() string) string {
 	const step = 100.0
 	for {
-		why := lacking()
-		if why == "" || w.broken() != "" {
+		why := missing()
+		if why == "" || w.firstBreak() != "" {
 			return ""
 		}
 		if w.now >= end() {
@@ -332,9 +332,9 @@
 
 // ConfigurationTimes are how long versions took after the last fault of a history, in ms.
 type ConfigurationTimes struct {
-	CatchUp   float64 // from the last heal until the newest version was in force wherever it can be
-	AfterPut  float64 // from a put after that until the same
-	AfterTold float64 // from that until a status told so
+	CatchUp     float64 // from the last heal until the newest version was in force wherever it can be
+	AfterPut    float64 // from a put after that until the same
+	AfterStatus float64 // from that until a status told so
 }
 
 // ConfigurationTimes tells how long versions took after the last fault.
--- a/internal/lab/fleet/configuration_measure.go
+++ b/internal/lab/fleet/configuration_measure.go
@@ -28,9 +28,9 @@
 // PutDocument has an operator propose a document of some bytes at a machine that runs, after the newest version that voters hold.
 // Ended is told how that went, and not at all if the machine's process ends before.
 func (w *World) PutDocument(machine, size int, ended func(config.ProposalResult)) {
-	w.lookAtHistories()
+	w.checkHistories()
 	m := w.nodes[machine]
-	w.put(m, w.known(m), w.document(size, -1))
+	w.put(m, w.knownVersion(m), w.document(size, -1))
 	if asked, ok := m.config.pending[m.config.refs]; ok {
 		asked.concluded = ended
 		m.config.pending[m.config.refs] = asked
@@ -46,7 +46,7 @@
 }
 
 // After does something after some ms.
-func (w *World) After(long float64, do func()) { w.at(w.now+long, do) }
+func (w *World) After(duration float64, do func()) { w.at(w.now+duration, do) }
 
 // Restart ends a machine's process, and begins it anew some ms later.
 func (w *World) Restart(machine int, after float64) { w.restart(w.nodes[machine], after) }
@@ -55,30 +55,30 @@
 func (w *World) Replace(machine int, after float64) {
 	m := w.nodes[machine]
 	w.restart(m, after)
-	m.kept, m.copies = nil, nil
+	m.records, m.copies = nil, nil
 	m.config.disk = configDisk{}
-	m.config.folder++
+	m.config.folderGeneration++
 }
 
 // KillLeaderAt ends the leader's process at the very moment at which it sees that a version was agreed on, before
 // anything that follows from it is sent; it starts again some ms later.
 func (w *World) KillLeaderAt(number uint64, after float64) {
-	w.config.killAt, w.config.killFor = number, after
+	w.config.killAtVersion, w.config.killDowntime = number, after
 }
 
-// killsLeader ends the process of a leader that is to be killed now, and tells whether it did.
-func (w *World) killsLeader(m *machine) bool {
-	if w.config == nil || w.config.killAt == 0 || !m.core.Quorum().Leads() || m.core.Quorum().ConfigState().Newest() < w.config.killAt {
+// killLeaderDue ends the process of a leader that is to be killed now, and tells whether it did.
+func (w *World) killLeaderDue(m *machine) bool {
+	if w.config == nil || w.config.killAtVersion == 0 || !m.core.Quorum().Leads() || m.core.Quorum().ConfigState().Newest() < w.config.killAtVersion {
 		return false
 	}
-	w.config.killAt = 0
-	w.restart(m, w.config.killFor)
+	w.config.killAtVersion = 0
+	w.restart(m, w.config.killDowntime)
 	return true
 }
 
 // CutOff has nothing get between some machines and the others for some ms.
-func (w *World) CutOff(inside func(machine int) bool, long float64) {
-	until := w.now + long
+func (w *World) CutOff(inside func(machine int) bool, duration float64) {
+	until := w.now + duration
 	for i := range w.nodes {
 		for j := range w.nodes {
 			if inside(i) != inside(j) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Lose has a share of all messages lost for some ms.
-func (w *World) Lose(share, long float64) { w.drop, w.dropTo = share, w.now+long }
+// DropMessages has a share of all messages lost for some ms.
+func (w *World) DropMessages(share, duration float64) { w.drop, w.dropUntil = share, w.now+duration }
 
 // CountTraffic has the bytes of each machine counted from now on.
 func (w *World) CountTraffic() { w.traffic = make([]Traffic, len(w.nodes)) }
@@ -102,17 +102,17 @@
 	if w.traffic == nil {
 		return
 	}
-	whole := float64(bytes + frameBytes)
-	ofConfig := 0.0
+	size := float64(bytes + frameBytes)
+	configBytes := 0.0
 	if m.Config != nil {
-		ofConfig = whole
+		configBytes = size
 		if m.Members != nil { // the summary alone
 			data, _ := cbor.Marshal(m.Config)
-			ofConfig = float64(len(data) + 1)
+			configBytes = float64(len(data) + 1)
 		}
 	}
-	w.traffic[from].Sent += whole
-	w.traffic[from].ConfigSent += ofConfig
-	w.traffic[to].Received += whole
-	w.traffic[to].ConfigReceived += ofConfig
+	w.traffic[from].Sent += size
+	w.traffic[from].ConfigSent += configBytes
+	w.traffic[to].Received += size
+	w.traffic[to].ConfigReceived += configBytes
 }
--- a/internal/lab/fleet/configuration_processes.go
+++ b/internal/lab/fleet/configuration_processes.go
@@ -35,22 +35,22 @@
 	unusable map[config.Hash]bool // documents that controllers of another kind can't use, by their shortened hashes
 }
 
-// changedShare is the part of what is written that has a bit changed while bytes are corrupt.
-const changedShare = 0.1
+// corruptShare is the part of what is written that has a bit changed while bytes are corrupt.
+const corruptShare = 0.1
 
 // otherKind is the kind of engine of the controllers that can't use each document.
 const otherKind = "big"
 
-// ofOtherKind tells whether a controller's settings name another kind of engine than the others'. Voters' don't, nor those
+// hasOtherKind tells whether a controller's settings name another kind of engine than the others'. Voters' don't, nor those
 // of fleets without a configuration.
-func (r *rig) ofOtherKind(n *machineProc) bool {
+func (r *rig) hasOtherKind(n *machineProc) bool {
 	return r.Config && r.Nodes > r.Voters && n.number == r.Nodes-1
 }
 
 // configEvent is something to be judged, at a time.
 type configEvent struct {
 	at    time.Time
-	judge func(c *configuration.Checker, now float64)
+	check func(c *configuration.Checker, now float64)
 }
 
 // ConfigurationScene is a scene of daemons with the block config, whose script is drawn from a seed.
@@ -58,7 +58,7 @@
 	s := UsualScene(mintkeel, seed, nodes, faults)
 	s.Config, s.Leases, s.Rate = true, 1, 1
 	rng := rand.New(rand.NewSource(seed * 17))
-	for _, f := range drawOrders(rng, nodes, 12000) {
+	for _, f := range drawOperations(rng, nodes, 12000) {
 		switch f.Kind {
 		case KillLeader, Replay: // the rig's faults are those of processes
 			f.Kind, f.For = Put, 0
@@ -70,8 +70,8 @@
 	return s
 }
 
-// openConfig begins to judge the configuration.
-func (r *rig) openConfig() {
+// initConfig begins to judge the configuration.
+func (r *rig) initConfig() {
 	var ids []members.ID
 	for i := range r.Nodes {
 		ids = append(ids, members.ID(fmt.Sprintf("n%d", i)))
@@ -80,21 +80,21 @@
 	r.config.checker.RunsUnknown = true
 }
 
-// note writes something down to be judged.
-func (r *rig) note(judge func(c *configuration.Checker, now float64)) {
+// recordEvent writes something down to be judged.
+func (r *rig) recordEvent(check func(c *configuration.Checker, now float64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.config.events = append(r.config.events, configEvent{time.Now(), judge})
+	r.config.events = append(r.config.events, configEvent{time.Now(), check})
 }
 
-// startMark is what the rig writes into a daemon's log ahead of each start.
-const startMark = "=== start"
+// startMarker is what the rig writes into a daemon's log ahead of each start.
+const startMarker = "=== start"
 
 // markStart tells in the log that another run begins, on which folder.
 func (r *rig) markStart(n *machineProc, log *os.File) {
 	if r.config != nil {
 		n.runs++
-		fmt.Fprintf(log, "%s %d %d %d\n", startMark, n.runs, n.folder, time.Now().UnixNano())
+		fmt.Fprintf(log, "%s %d %d %d\n", startMarker, n.runs, n.folderGeneration, time.Now().UnixNano())
 	}
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	n := r.nodes[f.A%len(r.nodes)]
-	expect := r.known(n)
+	expect := r.knownVersion(n)
 	switch f.Kind {
 	case Put:
 		if f.B%7 == 0 && expect > 0 {
@@ -122,12 +122,12 @@
 	case AskStatus:
 		r.configStatus(n)
 	case Corrupt:
-		r.sw.Corrupt(changedShare, time.Now().Add(time.Duration(f.For*1e6)))
+		r.sw.Corrupt(corruptShare, time.Now().Add(time.Duration(f.For*1e6)))
 	}
 }
 
-// known is the newest version that an operator at a controller knows of.
-func (r *rig) known(n *machineProc) uint64 {
+// knownVersion is the newest version that an operator at a controller knows of.
+func (r *rig) knownVersion(n *machineProc) uint64 {
 	var latest config.Version
 	if a, err := r.askConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory}); err == nil && len(a.Versions) > 0 {
 		latest = a.Versions[len(a.Versions)-1]
@@ -142,10 +142,10 @@
 }
 
 // askConfig asks a controller, which may be down.
-func (r *rig) askConfig(n *machineProc, order fleetconfiguration.Request) (*fleetconfiguration.Answer, error) {
+func (r *rig) askConfig(n *machineProc, request fleetconfiguration.Request) (*fleetconfiguration.Answer, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, 30*time.Second)
 	defer cancel()
-	s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "config", Config: &order})
+	s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "config", Config: &request})
 	if err != nil {
 		return nil, err
 	}
@@ -177,24 +177,24 @@
 
 // changeConfig has an operator ask for a change, and writes down what was proposed and told. The document of a rollback is
 // that of the version it goes back to.
-func (r *rig) changeConfig(n *machineProc, order fleetconfiguration.Request, document []byte) {
+func (r *rig) changeConfig(n *machineProc, request fleetconfiguration.Request, document []byte) {
 	r.mu.Lock()
 	r.config.proposals++
 	reason := fmt.Sprintf("change %d", r.config.proposals)
 	r.mu.Unlock()
-	order.Author, order.Reason = "rig", reason
-	back, expect := order.Number, *order.Expect
-	r.note(func(c *configuration.Checker, _ float64) {
+	request.Author, request.Reason = "rig", reason
+	back, expect := request.Number, *request.Expect
+	r.recordEvent(func(c *configuration.Checker, _ float64) {
 		hash := shortened(config.HashOf(document))
 		if document == nil {
 			hash, _ = c.Version(back)
 		}
 		c.Proposed(configuration.Proposal{Reason: reason, Expect: expect, Hash: hash})
 	})
-	r.tell("%s is asked for %s after version %d", n.name, reason, expect)
-	a, err := r.askConfig(n, order)
+	r.logf("%s is asked for %s after version %d", n.name, reason, expect)
+	a, err := r.askConfig(n, request)
 	if err != nil {
-		r.tell("%s: %v", reason, err)
+		r.logf("%s: %v", reason, err)
 		return
 	}
 	o := config.ProposalResult{Result: resultOf(a.Result), Reason: a.Reason}
@@ -202,8 +202,8 @@
 		o.Version = *a.Version
 		o.Version.Hash = shortened(o.Version.Hash)
 	}
-	r.tell("%s is %s: %s, version %d", reason, a.Result, a.Reason, o.Version.Number)
-	r.note(func(c *configuration.Checker, now float64) { c.Concluded(now, reason, o) })
+	r.logf("%s is %s: %s, version %d", reason, a.Result, a.Reason, o.Version.Number)
+	r.recordEvent(func(c *configuration.Checker, now float64) { c.Concluded(now, reason, o) })
 }
 
 func resultOf(text string) config.Result {
@@ -234,28 +234,28 @@
 	}
 	s := *a.Status
 	s.Latest.Hash = shortened(s.Latest.Hash)
-	r.note(func(c *configuration.Checker, now float64) { c.StatusMade(now, &s, nil) })
+	r.recordEvent(func(c *configuration.Checker, now float64) { c.StatusMade(now, &s, nil) })
 	return &s
 }
 
-// configSettled waits until the newest version is in force at all, as each tells of itself, then has one more put and a
+// settleConfig waits until the newest version is in force at all, as each tells of itself, then has one more put and a
 // status tell that it is in force at all. What they tell is judged by their logs at the end.
-func (r *rig) configSettled() {
+func (r *rig) settleConfig() {
 	r.faults.Wait() // a put of the script that comes later would take the place of the one that is awaited
 	began := time.Now()
-	r.awaitConfig("after the last heal", func() string { return r.configLacks(0) })
+	r.awaitConfig("after the last heal", func() string { return r.configNotInForce(0) })
 	r.report.ConfigCatchUp = time.Since(began)
 	last := r.nodes[len(r.nodes)-1]
-	if r.ofOtherKind(last) {
+	if r.hasOtherKind(last) {
 		r.settleUnusable()
 	}
 	began = time.Now()
-	before := r.known(last)
+	before := r.knownVersion(last)
 	r.awaitConfig("after a put when all was whole", func() string {
-		if r.known(last) == before {
+		if r.knownVersion(last) == before {
 			r.putConfig(last, before, 4096, false)
 		}
-		return r.configLacks(before + 1)
+		return r.configNotInForce(before + 1)
 	})
 	r.report.ConfigAfterPut = time.Since(began)
 	r.awaitConfig("after all had the newest version in force", func() string {
@@ -265,7 +265,7 @@
 		}
 		return ""
 	})
-	r.survivedConfig()
+	r.recordFinalHistory()
 }
 
 // settleUnusable has a version put that the last controller can't use: it is in force at all others, and a status tells
@@ -273,12 +273,12 @@
 func (r *rig) settleUnusable() {
 	voter := r.nodes[0]
 	r.awaitConfig("after a put that one can't use", func() string {
-		newest := r.known(voter)
-		if !r.latestUnusable() { // a put of the script may be agreed on only now
+		newest := r.knownVersion(voter)
+		if !r.latestIsUnusable() { // a put of the script may be agreed on only now
 			r.putConfig(voter, newest, 4096, true)
 			return "the newest version is one that all can use"
 		}
-		return r.configLacks(newest)
+		return r.configNotInForce(newest)
 	})
 	r.awaitConfig("after a version that one can't use was in force at all others", func() string {
 		s := r.configStatus(voter)
@@ -290,25 +290,25 @@
 }
 
 // awaitConfig waits for the operators' bound at most until nothing is lacking.
-func (r *rig) awaitConfig(since string, lacks func() string) {
+func (r *rig) awaitConfig(since string, missing func() string) {
 	const slack = 2 * time.Second // of the rig's own looks
-	end := time.Now().Add(settleWithin*time.Millisecond + slack)
+	end := time.Now().Add(settleBound*time.Millisecond + slack)
 	for r.ctx.Err() == nil {
-		why := lacks()
+		why := missing()
 		if why == "" {
 			return
 		}
 		if time.Now().After(end) {
-			r.broke("%.0f s %s: %s", settleWithin/1000, since, why)
+			r.fail("%.0f s %s: %s", settleBound/1000, since, why)
 			return
 		}
 		r.sleep(100 * time.Millisecond)
 	}
 }
 
-// configLacks tells which controller does not have the newest version in force, at least a given one.
-func (r *rig) configLacks(least uint64) string {
-	newest := max(r.known(r.nodes[0]), least)
+// configNotInForce tells which controller does not have the newest version in force, at least a given one.
+func (r *rig) configNotInForce(minimum uint64) string {
+	newest := max(r.knownVersion(r.nodes[0]), minimum)
 	for _, n := range r.nodes {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
 		s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "config", Config: &fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory}})
@@ -329,28 +329,28 @@
 	r.mu.Lock()
 	latest := r.config.latest.Number
 	r.mu.Unlock()
-	return r.ofOtherKind(n) && latest == newest && r.latestUnusable()
+	return r.hasOtherKind(n) && latest == newest && r.latestIsUnusable()
 }
 
-// latestUnusable tells whether controllers of another kind can't use the version that was told as the newest last.
-func (r *rig) latestUnusable() bool {
+// latestIsUnusable tells whether controllers of another kind can't use the version that was told as the newest last.
+func (r *rig) latestIsUnusable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.config.unusable[shortened(r.config.latest.Hash)]
 }
 
-// survivedConfig writes down the history as the leader tells it at the end.
-func (r *rig) survivedConfig() {
+// recordFinalHistory writes down the history as the leader tells it at the end.
+func (r *rig) recordFinalHistory() {
 	a, err := r.askConfig(r.nodes[0], fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory})
 	if err != nil {
-		r.broke("no history at the end: %v", err)
+		r.fail("no history at the end: %v", err)
 		return
 	}
 	versions := slices.Clone(a.Versions)
 	for i := range versions {
 		versions[i].Hash = shortened(versions[i].Hash)
 	}
-	r.note(func(c *configuration.Checker, now float64) { c.Survived(now, "the history", versions) })
+	r.recordEvent(func(c *configuration.Checker, now float64) { c.Survived(now, "the history", versions) })
 }
 
 // inForceLine is what a daemon logs when it has taken a version over.
@@ -361,7 +361,7 @@
 	for _, n := range r.nodes {
 		text, err := os.ReadFile(filepath.Join(n.dir, "log"))
 		if err != nil {
-			r.broke("log of %s: %v", n.name, err)
+			r.fail("log of %s: %v", n.name, err)
 			continue
 		}
 		r.readConfigLog(n, string(text))
@@ -371,7 +371,7 @@
 func (r *rig) readConfigLog(n *machineProc, text string) {
 	run, folder := 0, 0
 	for line := range strings.Lines(text) {
-		if strings.HasPrefix(line, startMark) {
+		if strings.HasPrefix(line, startMarker) {
 			words := strings.Fields(line)
 			run, _ = strconv.Atoi(words[2])
 			folder, _ = strconv.Atoi(words[3])
@@ -388,13 +388,13 @@
 		hash, _ := hex.DecodeString(found[2])
 		number, _ := strconv.ParseUint(found[3], 10, 64)
 		if err != nil || number == 0 {
-			r.broke("%s wrote %q: %v", n.name, line, err)
+			r.fail("%s wrote %q: %v", n.name, line, err)
 			return
 		}
 		v := config.Version{Number: number}
 		copy(v.Hash[:], hash)
-		if r.ofOtherKind(n) && r.config.unusable[v.Hash] {
-			r.broke("%s took version %d over, which it can't use", n.name, number)
+		if r.hasOtherKind(n) && r.config.unusable[v.Hash] {
+			r.fail("%s took version %d over, which it can't use", n.name, number)
 			return
 		}
 		who := configuration.Incarnation{Controller: members.ID(n.name), Run: uint64(run)}
@@ -404,17 +404,17 @@
 	}
 }
 
-// judgeConfig judges all that was written down, in the order of time.
-func (r *rig) judgeConfig() {
+// checkConfigEvents judges all that was written down, in the order of time.
+func (r *rig) checkConfigEvents() {
 	r.readConfigLogs()
 	slices.SortStableFunc(r.config.events, func(a, b configEvent) int { return a.at.Compare(b.at) })
 	for _, e := range r.config.events {
-		e.judge(r.config.checker, float64(e.at.Sub(r.began))/1e6)
+		e.check(r.config.checker, float64(e.at.Sub(r.began))/1e6)
 	}
 	c := r.config.checker
 	r.report.ConfigAgreed, r.report.ConfigProposals, r.report.ConfigStatuses = c.Agreed, c.Proposals, c.Statuses
 	if c.Broken != "" {
-		r.broke("%s", c.Broken)
+		r.fail("%s", c.Broken)
 	}
 }
 
--- a/internal/lab/fleet/configuration_test.go
+++ b/internal/lab/fleet/configuration_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// skipRaced leaves a test to the run without the race detector: a history has one goroutine.
-func skipRaced(t *testing.T) {
+// skipUnderRace leaves a test to the run without the race detector: a history has one goroutine.
+func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raced {
 		t.Skip("the detector makes histories ten times as dear")
@@ -54,7 +54,7 @@
 
 // The checker notices what a broken program would do: each mutant is caught in one of some histories.
 func TestConfigurationMutants(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for _, mutant := range []string{"skip store", "old kept", "old apply", "count twice", "tell agreed", "tell lost"} {
 		caught := ""
 		for seed := int64(1); seed <= 20 && caught == ""; seed++ {
@@ -83,7 +83,7 @@
 
 // Hard cases, each forced.
 func TestConfigurationCases(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for name, c := range map[string]struct {
 		faults  []Fault
 		agreed  int // at least
@@ -93,7 +93,7 @@
 		"the leader is killed between agreement and spreading": {[]Fault{put(10000, 4),
 			{At: 10012, Kind: KillLeader, For: 1000}, {At: 10020, Kind: KillLeader, For: 1000}}, 2, 0},
 		"two puts at once": {[]Fault{{At: 10000, Kind: PutTwice, A: 3, B: 4, N: -1, Amount: 3000}}, 2, 0},
-		"killed while it writes the document": {[]Fault{{At: 9000, Kind: Slow, A: 4, Amount: 3000, For: 4000}, put(10000, 1),
+		"killed while it writes the document": {[]Fault{{At: 9000, Kind: SlowDisk, A: 4, Amount: 3000, For: 4000}, put(10000, 1),
 			{At: 11800, Kind: Kill, A: 4, For: 500}}, 2, 0},
 		"one of ten can't use it": {[]Fault{{At: 10000, Kind: Put, A: 2, B: 1, N: 9, Amount: 4000},
 			{At: 12000, Kind: Put, A: 2, B: 1, N: 8, Amount: 4000}}, 3, 0},
@@ -101,11 +101,11 @@
 			{At: 12000, Kind: Put, A: 5, B: 1, N: 1, Amount: 4000}, {At: 14000, Kind: Put, A: 5, B: 1, N: 2, Amount: 4000}}, 3, 1},
 		"rollback while the version before is still spreading": {[]Fault{{At: 9000, Kind: Delay, Amount: 800, For: 6000}, put(10000, 4),
 			{At: 13000, Kind: RollBack, A: 3}, {At: 13500, Kind: RollBack, A: 5}, {At: 14000, Kind: RollBack, A: 6}}, 2, 0},
-		"disks are full while versions come": {[]Fault{{At: 9000, Kind: Full, A: 5, For: 6000}, {At: 9000, Kind: Full, A: 6, For: 3000}, put(10000, 4),
+		"disks are full while versions come": {[]Fault{{At: 9000, Kind: DiskFull, A: 5, For: 6000}, {At: 9000, Kind: DiskFull, A: 6, For: 3000}, put(10000, 4),
 			put(13000, 5)}, 2, 0},
 		"an older copy is put back": {[]Fault{put(10000, 4), put(12000, 4), {At: 16000, Kind: OldCopy, A: 5, Amount: 5000, For: 200},
 			{At: 16000, Kind: OldCopy, A: 2, Amount: 5000, For: 200}}, 3, 0},
-		"a folder is emptied": {[]Fault{put(10000, 4), {At: 12000, Kind: Empty, A: 5, For: 200}, {At: 12000, Kind: Empty, A: 2, For: 200}}, 2, 0},
+		"a folder is emptied": {[]Fault{put(10000, 4), {At: 12000, Kind: EmptyFolder, A: 5, For: 200}, {At: 12000, Kind: EmptyFolder, A: 2, For: 200}}, 2, 0},
 	} {
 		w := NewWorld(configurationScene(5, 10, c.faults...))
 		if why := w.Play(); why != "" {
@@ -146,7 +146,7 @@
 		}
 	}
 	w.put(w.nodes[1], 1, w.document(500, -1))
-	w.fault(Fault{At: 9000, Kind: Empty, A: 5, For: 300})
+	w.fault(Fault{At: 9000, Kind: EmptyFolder, A: 5, For: 300})
 	w.Run(39000)
 	newcomer := w.nodes[5]
 	var ready config.Readiness
@@ -161,15 +161,15 @@
 
 // A controller whose clock jumps by an hour has the next version in force like the others.
 func TestConfigurationClockJump(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for _, i := range []int{0, 1, 2, 5} {
 		w := NewWorld(configurationScene(4, 6, Fault{At: 30000, Kind: AskStatus}))
 		w.Run(12000)
 		m := w.nodes[i]
 		m.offset += 3600e3
-		w.turn(m)
+		w.handleOutput(m)
 		w.put(w.nodes[4], 1, w.document(500, -1))
-		w.Run(13000 + settleWithin)
+		w.Run(13000 + settleBound)
 		if why := w.notInForce(); why != "" || w.Configuration().Newest().Number != 2 {
 			t.Errorf("n%d: %s", i, why)
 		}
@@ -182,7 +182,7 @@
 // Two proposals with one expectation are in the log at once: the first one's entry takes the voters' disks so long that the
 // leader gives it up and proposes the second. One of them is agreed on, whatever is proposed again meanwhile.
 func TestConfigurationTwoInLog(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for seed := range int64(10) {
 		w := NewWorld(configurationScene(seed+1, 5, Fault{At: 70000, Kind: AskStatus, A: 4}))
 		w.Run(10000)
@@ -214,7 +214,7 @@
 
 // A third of a fleet that was cut off for minutes, in which versions were agreed on, comes back at once.
 func TestConfigurationRegion(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	p := configurationScene(6, 45, Fault{At: 10000, Kind: Split, N: 30, For: 120000})
 	for i := range 5 {
 		p.Script = append(p.Script, put(20000+float64(i)*9000, 3))
@@ -228,7 +228,7 @@
 
 // A world without a configuration has none of it.
 func TestNoConfiguration(t *testing.T) {
-	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Pace: members.DefaultConfig()})
+	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Membership: members.DefaultConfig()})
 	w.Run(5000)
 	if w.Configuration() != nil || w.nodes[0].config.inForce.Number != 0 {
 		t.Error("there is a configuration")
@@ -238,10 +238,10 @@
 // A proposal that was agreed on is not told to be refused by the next leader, which can't use the document and does not
 // know yet that it was agreed on: its disk and the others' are slow.
 func TestConfigurationRefusedAfterAgreement(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	agreed := 0
 	for seed := range int64(24) { // of which 12 and 24 failed
-		slow := func(a int) Fault { return Fault{At: 9000, Kind: Slow, A: a, Amount: 300, For: 20000} }
+		slow := func(a int) Fault { return Fault{At: 9000, Kind: SlowDisk, A: a, Amount: 300, For: 20000} }
 		w := NewWorld(configurationScene(seed+1, 6, slow(0), slow(1), slow(2)))
 		w.Run(10000)
 		leader := w.leader()
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -18,26 +18,26 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// yard is where the engines of a scene are worked on: it stands in for the installation's programs and its platform, which
+// platform is where the engines of a scene are worked on: it stands in for the installation's programs and its platform, which
 // drain by the list, and keeps the checker's own count of which are out.
-type yard struct {
-	rig  *rig
-	mu   sync.Mutex
-	out  map[string]string // engine by its step: "drain", "work"
-	done map[string]int    // times that one came back
-	most int
+type platform struct {
+	rig    *rig
+	mu     sync.Mutex
+	out    map[string]string // engine by its step: "drain", "work"
+	done   map[string]int    // times that one came back
+	maxOut int
 }
 
 // hookScript is the program that the operator's file names: it passes its three words on to the yard.
 const hookScript = "#!/bin/bash\nexec 3<>/dev/tcp/%s/%s || exit 1\necho \"$1 $2 $3\" >&3\nread -r -t 20 word <&3\n[ \"$word\" = ok ]\n"
 
-func (r *rig) openYard() error {
+func (r *rig) startPlatform() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	y := &yard{rig: r, out: map[string]string{}, done: map[string]int{}}
-	r.yard = y
+	p := &platform{rig: r, out: map[string]string{}, done: map[string]int{}}
+	r.platform = p
 	context.AfterFunc(r.ctx, func() { listener.Close() })
 	host, port, _ := net.SplitHostPort(listener.Addr().String())
 	if err := os.WriteFile(filepath.Join(r.dir, "hook"), fmt.Appendf(nil, hookScript, host, port), 0o700); err != nil {
@@ -54,7 +54,7 @@
 				conn.SetDeadline(time.Now().Add(20 * time.Second))
 				line, err := bufio.NewReader(conn).ReadString('\n')
 				words := strings.Fields(line)
-				if err == nil && len(words) == 3 && y.hook(words[0], words[1]) {
+				if err == nil && len(words) == 3 && p.runHook(words[0], words[1]) {
 					conn.Write([]byte("ok\n"))
 				} else {
 					conn.Write([]byte("no\n"))
@@ -65,104 +65,104 @@
 	return nil
 }
 
-// hook does what the installation's program asks. Each may be asked twice, or for what is over: then it is done already.
-func (y *yard) hook(step, id string) bool {
+// runHook does what the installation's program asks. Each may be asked twice, or for what is over: then it is done already.
+func (p *platform) runHook(step, id string) bool {
 	n, err := strconv.ParseUint(strings.TrimPrefix(id, "s-"), 16, 32)
-	if err != nil || n == 0 || int(n) > len(y.rig.engines) {
+	if err != nil || n == 0 || int(n) > len(p.rig.engines) {
 		return false
 	}
-	e := y.rig.engines[n-1]
-	y.mu.Lock()
-	is := y.out[id]
-	y.mu.Unlock()
+	e := p.rig.engines[n-1]
+	p.mu.Lock()
+	current := p.out[id]
+	p.mu.Unlock()
 	switch step {
 	case "drain":
-		if is != "" {
+		if current != "" {
 			return true
 		}
-		y.mu.Lock()
-		y.out[id] = "drain"
-		if y.most = max(y.most, len(y.out)); len(y.out) > y.rig.AtOnce {
-			y.rig.broke("%d engines are out, %d may be: %v", len(y.out), y.rig.AtOnce, y.out)
+		p.mu.Lock()
+		p.out[id] = "drain"
+		if p.maxOut = max(p.maxOut, len(p.out)); len(p.out) > p.rig.MaxUnavailable {
+			p.rig.fail("%d engines are out, %d may be: %v", len(p.out), p.rig.MaxUnavailable, p.out)
 		}
-		y.mu.Unlock()
-		y.rig.feed.Tell(uint32(n), e.Addr, standin.Draining, 0)
-		y.rig.tell("%s drains", id)
+		p.mu.Unlock()
+		p.rig.feed.Tell(uint32(n), e.Addr, standin.Draining, 0)
+		p.rig.logf("%s drains", id)
 	case "work":
-		if is == "" {
-			y.rig.broke("%s is to be worked on and was not drained", id)
+		if current == "" {
+			p.rig.fail("%s is to be worked on and was not drained", id)
 			return false
 		}
 		e.SetFree(true) // from now on somebody has its cover off
 		time.Sleep(400 * time.Millisecond)
-		if wrongs := e.SetFree(true); wrongs > 0 {
-			y.rig.broke("%d commands came to %s while it was worked on", wrongs, id)
+		if unexpected := e.SetFree(true); unexpected > 0 {
+			p.rig.fail("%d commands came to %s while it was worked on", unexpected, id)
 		}
-		y.mu.Lock()
-		y.out[id] = "work"
-		y.mu.Unlock()
+		p.mu.Lock()
+		p.out[id] = "work"
+		p.mu.Unlock()
 	case "back":
-		if is == "" {
+		if current == "" {
 			return true
 		}
-		if is != "work" {
-			y.rig.broke("%s is to come back, and its work was not done", id)
+		if current != "work" {
+			p.rig.fail("%s is to come back, and its work was not done", id)
 			return false
 		}
-		if wrongs := e.SetFree(false); wrongs > 0 {
-			y.rig.broke("%d commands came to %s after it was told free", wrongs, id)
+		if unexpected := e.SetFree(false); unexpected > 0 {
+			p.rig.fail("%d commands came to %s after it was told free", unexpected, id)
 		}
-		y.mu.Lock()
-		delete(y.out, id)
-		y.done[id]++
-		y.mu.Unlock()
-		y.rig.feed.Tell(uint32(n), e.Addr, standin.Ready, uint64(time.Now().UnixMilli()))
-		y.rig.tell("%s is back", id)
+		p.mu.Lock()
+		delete(p.out, id)
+		p.done[id]++
+		p.mu.Unlock()
+		p.rig.feed.Tell(uint32(n), e.Addr, standin.Ready, uint64(time.Now().UnixMilli()))
+		p.rig.logf("%s is back", id)
 	}
 	return true
 }
 
-// order has some controller pass an order on to who conducts, until one does.
-func (r *rig) order(o maintenance.Request) {
+// sendMaintenanceRequest has some controller pass an order on to who conducts, until one does.
+func (r *rig) sendMaintenanceRequest(request maintenance.Request) {
 	began := time.Now()
 	for r.ctx.Err() == nil {
 		why := ""
 		for _, n := range r.nodes {
 			ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
-			s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &o})
+			s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &request})
 			if cancel(); err == nil && s.Maintenance != nil {
-				r.tell("%s done, conducted by %s", o.Action, s.Maintenance.Holder)
+				r.logf("%s done, conducted by %s", request.Action, s.Maintenance.Holder)
 				return
 			} else if err != nil {
 				why = err.Error()
 			}
 		}
 		if time.Since(began) > r.Settle {
-			r.broke("%s was not done: %s", o.Action, why)
+			r.fail("%s was not done: %s", request.Action, why)
 			return
 		}
 		r.sleep(200 * time.Millisecond)
 	}
 }
 
-// plan has the whole fleet of engines taken out once.
-func (r *rig) plan() {
-	r.order(maintenance.Request{Action: "plan", Plans: []core.Plan{{ID: "all", Select: core.Selection{Kinds: []core.Kind{"std"}},
-		WorkTime: 1000, MaxUnavailable: r.AtOnce}}})
+// submitPlan has the whole fleet of engines taken out once.
+func (r *rig) submitPlan() {
+	r.sendMaintenanceRequest(maintenance.Request{Action: "plan", Plans: []core.Plan{{ID: "all", Select: core.Selection{Kinds: []core.Kind{"std"}},
+		WorkTime: 1000, MaxUnavailable: r.MaxUnavailable}}})
 }
 
-// withdrawn has the plan withdrawn when an engine is back, and waits until nobody is out and none has been taken for a while.
-func (r *rig) withdrawn() {
+// awaitWithdrawal has the plan withdrawn when an engine is back, and waits until nobody is out and none has been taken for a while.
+func (r *rig) awaitWithdrawal() {
 	began, quiet, ordered := time.Now(), time.Time{}, false
 	for r.ctx.Err() == nil && time.Since(began) < r.Settle {
-		r.yard.mu.Lock()
-		back, out := len(r.yard.done), len(r.yard.out)
-		r.yard.mu.Unlock()
+		r.platform.mu.Lock()
+		back, out := len(r.platform.done), len(r.platform.out)
+		r.platform.mu.Unlock()
 		r.mu.Lock()
-		r.report.Back, r.report.MostOut = back, r.yard.most
+		r.report.Returned, r.report.MaxOut = back, r.platform.maxOut
 		r.mu.Unlock()
 		if back > 0 && !ordered {
-			r.order(maintenance.Request{Action: "withdraw", Name: "all"})
+			r.sendMaintenanceRequest(maintenance.Request{Action: "withdraw", Name: "all"})
 			ordered = true
 		}
 		switch {
@@ -170,36 +170,36 @@
 			quiet = time.Now()
 		case time.Since(quiet) > 8*time.Second:
 			if back == len(r.engines) {
-				r.broke("all %d engines were taken out, though the plan was withdrawn after the first", back)
+				r.fail("all %d engines were taken out, though the plan was withdrawn after the first", back)
 			}
 			return
 		}
 		r.sleep(100 * time.Millisecond)
 	}
-	r.broke("engines are out %v after the plan was withdrawn", r.Settle)
+	r.fail("engines are out %v after the plan was withdrawn", r.Settle)
 }
 
-// finished waits until all engines have been out and are back.
-func (r *rig) finished() {
+// awaitMaintenance waits until all engines have been out and are back.
+func (r *rig) awaitMaintenance() {
 	began := time.Now()
 	for r.ctx.Err() == nil {
-		r.yard.mu.Lock()
-		back, out, twice := len(r.yard.done), len(r.yard.out), ""
-		for id, n := range r.yard.done {
+		r.platform.mu.Lock()
+		back, out, twice := len(r.platform.done), len(r.platform.out), ""
+		for id, n := range r.platform.done {
 			if n > 1 {
 				twice = id
 			}
 		}
-		r.yard.mu.Unlock()
+		r.platform.mu.Unlock()
 		r.mu.Lock()
 		broken := r.report.Broken != ""
-		r.report.Back, r.report.MostOut = back, r.yard.most
+		r.report.Returned, r.report.MaxOut = back, r.platform.maxOut
 		r.mu.Unlock()
 		switch {
 		case broken:
 			return
 		case twice != "":
-			r.broke("%s was taken out twice", twice)
+			r.fail("%s was taken out twice", twice)
 			return
 		case back == len(r.engines) && out == 0:
 			r.mu.Lock()
@@ -216,7 +216,7 @@
 					break
 				}
 			}
-			r.broke("%d of %d engines are back and %d out: %s", back, len(r.engines), out, status)
+			r.fail("%d of %d engines are back and %d out: %s", back, len(r.engines), out, status)
 			return
 		}
 		r.sleep(200 * time.Millisecond)
--- a/internal/lab/fleet/majority_test.go
+++ b/internal/lab/fleet/majority_test.go
@@ -34,10 +34,10 @@
 		lost   bool
 	}{"at once": {20200, true}, "much later": {50000, false}} {
 		for seed := range int64(5) {
-			p := configurationScene(seed+1, 5, Fault{At: 20000, Kind: Empty, A: 0, For: 500}, Fault{At: c.second, Kind: Empty, A: 1, For: 500})
+			p := configurationScene(seed+1, 5, Fault{At: 20000, Kind: EmptyFolder, A: 0, For: 500}, Fault{At: c.second, Kind: EmptyFolder, A: 1, For: 500})
 			w := NewWorld(p)
-			if why := w.Play(); why != "" || w.Lost() != c.lost {
-				t.Errorf("%s, seed %d: lost %v, %s", name, seed+1, w.Lost(), why)
+			if why := w.Play(); why != "" || w.MajorityLost() != c.lost {
+				t.Errorf("%s, seed %d: lost %v, %s", name, seed+1, w.MajorityLost(), why)
 			}
 		}
 	}
--- a/internal/lab/fleet/model.go
+++ b/internal/lab/fleet/model.go
@@ -12,25 +12,25 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Small is the small case that is looked at whole: every order of a bounded number of crashes, pauses, lost messages and
+// ModelSearch is the small case that is looked at whole: every order of a bounded number of crashes, pauses, lost messages and
 // changes of the quorum's leader, on the core of leases. The quorum stands as one log; that its members agree is
 // the consensus library's part and is played in virtual time. Time goes in whole units; a controller that is not let act
 // while time passes is one that pauses.
-type Small struct {
-	Nodes, Leases            int
-	Lease                    float64 // in units
-	Horizon                  int     // units
-	Crashes, Losses, Leaders int
-	Flight                   int       // messages on their way at most
-	Rates                    []float64 // of the nodes' clocks; nil: all alike
-	Most                     int       // states, at which the search ends without a verdict
-	Ungated                  bool      // a mutant: receivers let all pass
+type ModelSearch struct {
+	Nodes, Leases                  int
+	Lease                          float64 // in units
+	Horizon                        int     // units
+	Crashes, Losses, LeaderChanges int
+	MaxInFlight                    int       // messages on their way at most
+	Rates                          []float64 // of the nodes' clocks; nil: all alike
+	MaxStates                      int       // states, at which the search ends without a verdict
+	Unfenced                       bool      // a mutant: receivers let all pass
 }
 
-// Tally is what the search found.
-type Tally struct {
+// SearchResult is what the search found.
+type SearchResult struct {
 	States, Moves int
-	Whole         bool     // all states within the bounds were seen
+	Complete      bool     // all states within the bounds were seen
 	Broken        string   // an invariant that does not hold; empty: all do
 	Path          []string // the moves to it
 	Overlaps      int      // states in which two may act at once, which clocks or pauses past the margin allow
@@ -58,23 +58,23 @@
 
 // modelState is a state of the whole: of the quorum, the nodes, the messages between them and the receivers.
 type modelState struct {
-	now                      int
-	state                    *lease.State
-	manager                  *lease.Manager
-	clients                  []*lease.Client
-	runs                     []uint64
-	messages                 []message
-	effects                  []effect
-	fenced                   map[lease.Name]lease.Token
-	accepted                 map[lease.Grant]int
-	crashes, losses, leaders int
-	path                     *step
+	now                            int
+	state                          *lease.State
+	manager                        *lease.Manager
+	clients                        []*lease.Client
+	runs                           []uint64
+	messages                       []message
+	effects                        []effect
+	fenced                         map[lease.Name]lease.Token
+	accepted                       map[lease.Grant]int
+	crashes, losses, leaderChanges int
+	path                           *step
 }
 
 // step is how a state came about.
 type step struct {
-	text string
-	last *step
+	text     string
+	previous *step
 }
 
 func (s *modelState) copy() *modelState {
@@ -110,7 +110,7 @@
 			b = append(append(b, c.Name...), byte(c.Token))
 		}
 	}
-	put(uint64(s.now), uint64(s.crashes), uint64(s.losses), uint64(s.leaders))
+	put(uint64(s.now), uint64(s.crashes), uint64(s.losses), uint64(s.leaderChanges))
 	put(s.runs...)
 	for _, w := range names {
 		g := s.state.Leases[w]
@@ -159,7 +159,7 @@
 	return xxhash.Sum64(b)
 }
 
-func (p Small) local(s *modelState, i int) float64 {
+func (p ModelSearch) local(s *modelState, i int) float64 {
 	rate := 1.0
 	if p.Rates != nil {
 		rate = p.Rates[i]
@@ -167,14 +167,14 @@
 	return float64(s.now) * rate
 }
 
-func (p Small) holder(s *modelState, i int) lease.Holder {
+func (p ModelSearch) holder(s *modelState, i int) lease.Holder {
 	return lease.Holder{ID: members.ID(fmt.Sprintf("n%d", i)), Run: s.runs[i]}
 }
 
 // Search looks at all states.
-func (p Small) Search() (t Tally) {
-	terms := lease.Timing{Duration: p.Lease}
-	first := &modelState{state: &lease.State{}, manager: lease.NewManager(terms, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
+func (p ModelSearch) Search() (result SearchResult) {
+	timing := lease.Timing{Duration: p.Lease}
+	first := &modelState{state: &lease.State{}, manager: lease.NewManager(timing, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
 		accepted: map[lease.Grant]int{}}
 	var names []lease.Name
 	for i := range p.Leases {
@@ -183,41 +183,41 @@
 	first.state.Apply(lease.Command{Declare: &lease.Declare{Names: names}})
 	for i := range p.Nodes {
 		first.runs = append(first.runs, uint64(i+1))
-		first.clients = append(first.clients, lease.NewClient(p.holder(first, i), terms))
+		first.clients = append(first.clients, lease.NewClient(p.holder(first, i), timing))
 	}
 	seen := map[uint64]bool{first.key(names): true}
 	queue := []*modelState{first}
-	t.Whole = true
+	result.Complete = true
 	for len(queue) > 0 {
 		s := queue[0]
 		queue[0], queue = nil, queue[1:]
-		t.States++
-		if why := p.check(s, &t); why != "" {
-			t.Broken = why
-			for at := s.path; at != nil; at = at.last {
-				t.Path = append([]string{at.text}, t.Path...)
+		result.States++
+		if why := p.check(s, &result); why != "" {
+			result.Broken = why
+			for at := s.path; at != nil; at = at.previous {
+				result.Path = append([]string{at.text}, result.Path...)
 			}
-			t.Whole = false
-			return t
+			result.Complete = false
+			return result
 		}
-		if t.States >= p.Most {
-			t.Whole = false
-			return t
+		if result.States >= p.MaxStates {
+			result.Complete = false
+			return result
 		}
-		for _, next := range p.moves(s, terms, names) {
-			t.Moves++
+		for _, next := range p.moves(s, timing, names) {
+			result.Moves++
 			if key := next.key(names); !seen[key] {
 				seen[key] = true
 				queue = append(queue, next)
 			}
 		}
 	}
-	return t
+	return result
 }
 
 // check tells what does not hold: with clocks that go alike nobody may act beside another, whatever pauses; and of one
 // fencing token there is one holder at the receivers, ever.
-func (p Small) check(s *modelState, t *Tally) string {
+func (p ModelSearch) check(s *modelState, result *SearchResult) string {
 	for w := range s.state.Leases {
 		may := 0
 		for i, h := range s.clients {
@@ -226,7 +226,7 @@
 			}
 		}
 		if may > 1 {
-			if t.Overlaps++; p.Rates == nil {
+			if result.Overlaps++; p.Rates == nil {
 				return fmt.Sprintf("at %d: %d may act for %s", s.now, may, w)
 			}
 		}
--- a/internal/lab/fleet/model_moves.go
+++ b/internal/lab/fleet/model_moves.go
@@ -8,8 +8,8 @@
 )
 
 // moves are all states that can follow a state.
-func (p Small) moves(s *modelState, terms lease.Timing, names []lease.Name) []*modelState {
-	m := &moveList{search: p, from: s, terms: terms}
+func (p ModelSearch) moves(s *modelState, timing lease.Timing, names []lease.Name) []*modelState {
+	m := &moveList{search: p, from: s, timing: timing}
 	m.passTime()
 	m.assign()
 	m.changeLeader()
@@ -31,9 +31,9 @@
 
 // moveList gathers the states that can follow one.
 type moveList struct {
-	search Small
+	search ModelSearch
 	from   *modelState
-	terms  lease.Timing
+	timing lease.Timing
 	next   []*modelState
 }
 
@@ -71,9 +71,9 @@
 }
 
 // offer sends a lease's holder that it holds it.
-func (p Small) offer(s *modelState, assigned *lease.Lease) {
+func (p ModelSearch) offer(s *modelState, assigned *lease.Lease) {
 	for i := range p.Nodes {
-		if p.holder(s, i) == assigned.Holder && len(s.messages) < p.Flight {
+		if p.holder(s, i) == assigned.Holder && len(s.messages) < p.MaxInFlight {
 			grant := &lease.Grant{Name: assigned.Name, Token: assigned.Token}
 			s.messages = append(s.messages, message{to: i, offer: grant, run: assigned.Holder.Run})
 		}
@@ -81,17 +81,17 @@
 }
 
 func (m *moveList) changeLeader() {
-	if m.from.leaders < m.search.Leaders {
+	if m.from.leaderChanges < m.search.LeaderChanges {
 		m.add("another leads", func(next *modelState) {
-			next.leaders++
-			next.manager = lease.NewManager(m.terms, float64(next.now))
+			next.leaderChanges++
+			next.manager = lease.NewManager(m.timing, float64(next.now))
 		})
 	}
 }
 
 func (m *moveList) renew(i int) {
 	p, s := m.search, m.from
-	if s.clients[i].Copy().Renewal(p.local(s, i)) == nil || len(s.messages) >= p.Flight {
+	if s.clients[i].Copy().Renewal(p.local(s, i)) == nil || len(s.messages) >= p.MaxInFlight {
 		return
 	}
 	m.add(fmt.Sprintf("n%d renews", i), func(next *modelState) {
@@ -105,7 +105,7 @@
 		m.add(fmt.Sprintf("n%d restarts", i), func(next *modelState) {
 			next.crashes++
 			next.runs[i] += 100
-			next.clients[i] = lease.NewClient(m.search.holder(next, i), m.terms)
+			next.clients[i] = lease.NewClient(m.search.holder(next, i), m.timing)
 		})
 	}
 }
@@ -142,7 +142,7 @@
 	m.add(fmt.Sprintf("the effect of n%d arrives", arrived.node), func(next *modelState) {
 		next.effects = slices.Delete(slices.Clone(next.effects), i, i+1)
 		if arrived.grant.Token < next.fenced[arrived.grant.Name] {
-			if m.search.Ungated {
+			if m.search.Unfenced {
 				next.accepted[brokenMark] = 1
 			}
 			return
@@ -156,7 +156,7 @@
 }
 
 // arrive has a message reach the quorum or a node.
-func (p Small) arrive(s *modelState, m message) {
+func (p ModelSearch) arrive(s *modelState, m message) {
 	switch {
 	case m.renew != nil:
 		p.applyRenewal(s, m)
@@ -168,7 +168,7 @@
 }
 
 // applyRenewal has a renewal agreed on, and its holder answered.
-func (p Small) applyRenewal(s *modelState, m message) {
+func (p ModelSearch) applyRenewal(s *modelState, m message) {
 	command := lease.Command{Renew: m.renew}
 	changed := s.state.Apply(command)
 	s.manager.Applied(float64(s.now), command, changed)
@@ -183,7 +183,7 @@
 			reply.held = append(reply.held, grant)
 		}
 	}
-	if reply.to >= 0 && len(s.messages) < p.Flight {
+	if reply.to >= 0 && len(s.messages) < p.MaxInFlight {
 		s.messages = append(s.messages, reply)
 	}
 }
--- a/internal/lab/fleet/orders.go
+++ b/internal/lab/fleet/orders.go
@@ -14,7 +14,7 @@
 
 // The policies that are compared.
 const (
-	Ours       Policy = iota // core/fleet/maintenance
+	Planned    Policy = iota // core/fleet/maintenance
 	ListOrder                // one at a time, the next when the one before is in the list again
 	AtRandom                 // the same, drawn
 	AllAllowed               // as many as may be out, always
@@ -27,35 +27,35 @@
 func (p Policy) String() string { return policyNames[p] }
 
 // Policies are all.
-func Policies() []Policy { return []Policy{Ours, ListOrder, AtRandom, AllAllowed, EachAlone} }
+func Policies() []Policy { return []Policy{Planned, ListOrder, AtRandom, AllAllowed, EachAlone} }
 
-// stage is a fleet of engines in virtual time, in steps of a second: work that is asked of table groups, each warm at some
+// drainModel is a fleet of engines in virtual time, in steps of a second: work that is asked of table groups, each warm at some
 // engines; an engine that comes back is cold: its capacity grows over some seconds, and its table groups are cold until
 // they were used there.
-type stage struct {
-	rng     *rand.Rand
-	engines []maintenance.Engine
-	homes   map[maintenance.Group][]int   // engines that serve a group
-	warm    map[[2]int]float64            // engine and group: from when it is warm there
-	asked   map[maintenance.Group]float64 // cores
-	out     map[int]float64               // until when
-	cold    map[int]float64               // since when it is back
-	tasks   []maintenance.Task
-	now     float64
+type drainModel struct {
+	rng          *rand.Rand
+	engines      []maintenance.Engine
+	replicas     map[maintenance.Group][]int   // engines that serve a group
+	tablesWarmAt map[[2]int]float64            // engine and group: from when it is warm there
+	demand       map[maintenance.Group]float64 // cores
+	outUntil     map[int]float64               // until when
+	returnedAt   map[int]float64               // since when it is back
+	tasks        []maintenance.Task
+	now          float64
 }
 
 const (
-	coldFor    = 14.0 // s
-	coldShare  = 0.35
-	warmAfter  = 10.0 // s in which a table group becomes warm at a new home
-	coldTables = 2.0  // times the work of a group that is cold
-	workFor    = 30.0 // s on each engine
-	drainFor   = 2.0
+	warmUpTime    = 14.0 // s
+	coldCapacity  = 0.35
+	tableWarmTime = 10.0 // s in which a table group becomes warm at a new home
+	coldTableCost = 2.0  // times the work of a group that is cold
+	workTime      = 30.0 // s on each engine
+	drainTime     = 2.0
 )
 
-func newStage(seed int64, n int, load float64) *stage {
-	s := &stage{rng: rand.New(rand.NewSource(seed)), homes: map[maintenance.Group][]int{}, warm: map[[2]int]float64{},
-		asked: map[maintenance.Group]float64{}, out: map[int]float64{}, cold: map[int]float64{}}
+func newDrainModel(seed int64, n int, load float64) *drainModel {
+	s := &drainModel{rng: rand.New(rand.NewSource(seed)), replicas: map[maintenance.Group][]int{}, tablesWarmAt: map[[2]int]float64{},
+		demand: map[maintenance.Group]float64{}, outUntil: map[int]float64{}, returnedAt: map[int]float64{}}
 	cores := 0.0
 	for i := range n {
 		c := [...]float64{16, 12}[s.rng.Intn(2)]
@@ -66,62 +66,62 @@
 	groups, sum := n, 0.0
 	for g := range groups {
 		a := s.rng.ExpFloat64()
-		s.asked[maintenance.Group(g)] = a
+		s.demand[maintenance.Group(g)] = a
 		sum += a
 		for range 1 + s.rng.Intn(3) {
-			if i := s.rng.Intn(n); !slices.Contains(s.homes[maintenance.Group(g)], i) {
-				s.homes[maintenance.Group(g)] = append(s.homes[maintenance.Group(g)], i)
+			if i := s.rng.Intn(n); !slices.Contains(s.replicas[maintenance.Group(g)], i) {
+				s.replicas[maintenance.Group(g)] = append(s.replicas[maintenance.Group(g)], i)
 			}
 		}
 	}
-	for g := range s.asked {
-		s.asked[g] *= load * cores / sum
+	for g := range s.demand {
+		s.demand[g] *= load * cores / sum
 	}
 	return s
 }
 
-func (s *stage) capacity(i int) float64 {
-	if until, out := s.out[i]; out && s.now < until {
+func (s *drainModel) capacity(i int) float64 {
+	if until, out := s.outUntil[i]; out && s.now < until {
 		return 0
 	}
 	c := s.engines[i].Cores
-	if since, ok := s.cold[i]; ok && s.now < since+coldFor {
-		c *= coldShare + (1-coldShare)*(s.now-since)/coldFor
+	if since, ok := s.returnedAt[i]; ok && s.now < since+warmUpTime {
+		c *= coldCapacity + (1-coldCapacity)*(s.now-since)/warmUpTime
 	}
 	return c
 }
 
-func (s *stage) there(i int) bool { return s.capacity(i) > 0 }
+func (s *drainModel) isUp(i int) bool { return s.capacity(i) > 0 }
 
-// second is the benefit lost in one, of the work asked: what finds no room, where cold tables make more of it.
-func (s *stage) second() float64 {
+// runSecond is the benefit lost in one, of the work asked: what finds no room, where cold tables make more of it.
+func (s *drainModel) runSecond() float64 {
 	load := make([]float64, len(s.engines))
-	for g := range len(s.asked) {
+	for g := range len(s.demand) {
 		id := maintenance.Group(g)
 		var at []int
-		for _, i := range s.homes[id] {
-			if s.there(i) {
+		for _, i := range s.replicas[id] {
+			if s.isUp(i) {
 				at = append(at, i)
 			}
 		}
 		if len(at) == 0 { // it finds another home, where it is cold: the least loaded
 			best := -1
 			for i := range s.engines {
-				if s.there(i) && (best < 0 || load[i]/s.engines[i].Cores < load[best]/s.engines[best].Cores) {
+				if s.isUp(i) && (best < 0 || load[i]/s.engines[i].Cores < load[best]/s.engines[best].Cores) {
 					best = i
 				}
 			}
 			if best < 0 {
 				continue
 			}
-			s.homes[id] = append(s.homes[id], best)
-			s.warm[[2]int{best, g}] = s.now + warmAfter
+			s.replicas[id] = append(s.replicas[id], best)
+			s.tablesWarmAt[[2]int{best, g}] = s.now + tableWarmTime
 			at = []int{best}
 		}
 		for _, i := range at {
-			work := s.asked[id] / float64(len(at))
-			if s.now < s.warm[[2]int{i, g}] {
-				work *= coldTables
+			work := s.demand[id] / float64(len(at))
+			if s.now < s.tablesWarmAt[[2]int{i, g}] {
+				work *= coldTableCost
 			}
 			load[i] += work
 		}
@@ -135,41 +135,41 @@
 		room += max(0, c-load[i])
 	}
 	if spill > 0 { // others take what they have room for, cold
-		taken := min(spill, room/coldTables)
+		taken := min(spill, room/coldTableCost)
 		lost = spill - taken
 	}
 	s.now++
 	return lost / max(all, 1e-9)
 }
 
-// take takes an engine out.
-func (s *stage) take(i int) {
-	back := s.now + drainFor + workFor
-	s.out[i], s.cold[i] = back, back
-	for g := range len(s.asked) {
-		s.warm[[2]int{i, g}] = back + warmAfter
+// takeOut takes an engine out.
+func (s *drainModel) takeOut(i int) {
+	back := s.now + drainTime + workTime
+	s.outUntil[i], s.returnedAt[i] = back, back
+	for g := range len(s.demand) {
+		s.tablesWarmAt[[2]int{i, g}] = back + tableWarmTime
 	}
 }
 
 // view is the stage as the order sees it.
-func (s *stage) view() maintenance.View {
+func (s *drainModel) view() maintenance.View {
 	v := maintenance.View{Now: 1e9 + s.now*1000, Tasks: s.tasks, DrainsListed: true}
 	for i, e := range s.engines {
-		e.Ready = s.there(i) || !slices.ContainsFunc(s.tasks, func(t maintenance.Task) bool { return t.Engine == e.ID })
-		if since, ok := s.cold[i]; ok {
-			e.WarmAt = 1e9 + (since+coldFor)*1000
+		e.Ready = s.isUp(i) || !slices.ContainsFunc(s.tasks, func(t maintenance.Task) bool { return t.Engine == e.ID })
+		if since, ok := s.returnedAt[i]; ok {
+			e.WarmAt = 1e9 + (since+warmUpTime)*1000
 		}
-		for g := range len(s.asked) {
+		for g := range len(s.demand) {
 			id := maintenance.Group(g)
-			if slices.Contains(s.homes[id], i) {
+			if slices.Contains(s.replicas[id], i) {
 				others := 0
-				for _, o := range s.homes[id] {
-					if o != i && s.there(o) && s.now >= s.warm[[2]int{o, g}] {
+				for _, o := range s.replicas[id] {
+					if o != i && s.isUp(o) && s.now >= s.tablesWarmAt[[2]int{o, g}] {
 						others++
 					}
 				}
-				e.Groups = append(e.Groups, maintenance.HostedGroup{Group: id, Demand: s.asked[id] / float64(len(s.homes[id])), WarmReplicas: others})
-				e.Load += s.asked[id] / float64(len(s.homes[id])) / e.Cores
+				e.Groups = append(e.Groups, maintenance.HostedGroup{Group: id, Demand: s.demand[id] / float64(len(s.replicas[id])), WarmReplicas: others})
+				e.Load += s.demand[id] / float64(len(s.replicas[id])) / e.Cores
 			}
 		}
 		e.Load = min(1, e.Load)
@@ -179,19 +179,19 @@
 }
 
 // prepare warms another home for the groups of an engine that have none: what the module's own move does when it is asked.
-func (s *stage) prepare(i int) {
-	for g := range len(s.asked) {
+func (s *drainModel) prepare(i int) {
+	for g := range len(s.demand) {
 		id := maintenance.Group(g)
-		if at := s.homes[id]; slices.Contains(at, i) && !slices.ContainsFunc(at, func(o int) bool { return o != i && s.there(o) }) {
+		if at := s.replicas[id]; slices.Contains(at, i) && !slices.ContainsFunc(at, func(o int) bool { return o != i && s.isUp(o) }) {
 			best := -1
 			for o, e := range s.engines {
-				if o != i && s.there(o) && (best < 0 || s.cold[o] < s.cold[best] || e.Cores > s.engines[best].Cores && s.cold[o] == s.cold[best]) {
+				if o != i && s.isUp(o) && (best < 0 || s.returnedAt[o] < s.returnedAt[best] || e.Cores > s.engines[best].Cores && s.returnedAt[o] == s.returnedAt[best]) {
 					best = o
 				}
 			}
 			if best >= 0 {
-				s.homes[id] = append(s.homes[id], best)
-				s.warm[[2]int{best, g}] = s.now + warmAfter
+				s.replicas[id] = append(s.replicas[id], best)
+				s.tablesWarmAt[[2]int{best, g}] = s.now + tableWarmTime
 			}
 		}
 	}
@@ -199,14 +199,14 @@
 
 // TakeAll has all engines taken out once by a policy, and tells the share of the benefit that was lost over the time of the
 // slowest, how long it took (s), and how many were out at once at most.
-func TakeAll(seed int64, n int, load float64, p Policy, atOnce int, horizon float64) (lost, took float64, most int) {
-	s := newStage(seed, n, load)
-	t := s.newTaking(p, atOnce)
+func TakeAll(seed int64, n int, load float64, p Policy, maxOut int, horizon float64) (lost, took float64, mostOut int) {
+	s := newDrainModel(seed, n, load)
+	t := s.newRollout(p, maxOut)
 	for s.now < horizon {
 		out := s.countOut()
-		most = max(most, out)
+		mostOut = max(mostOut, out)
 		t.step(out)
-		lost += s.second()
+		lost += s.runSecond()
 		if took == 0 && len(t.taken) == n && s.allWarm() {
 			took = s.now
 		}
@@ -214,15 +214,15 @@
 	if took == 0 {
 		took = math.Inf(1)
 	}
-	return lost / horizon, took, most
+	return lost / horizon, took, mostOut
 }
 
-// taking is how far a policy has come with taking engines out.
-type taking struct {
-	stage  *stage
+// rollout is how far a policy has come with taking engines out.
+type rollout struct {
+	model  *drainModel
 	policy Policy
 	plan   maintenance.Plan
-	atOnce int
+	maxOut int
 	order  []int
 	next   int       // in order
 	timers []float64 // s, of each engine where each is taken out alone
@@ -230,17 +230,17 @@
 	index  map[maintenance.EngineID]int
 }
 
-func (s *stage) newTaking(p Policy, atOnce int) *taking {
+func (s *drainModel) newRollout(p Policy, maxOut int) *rollout {
 	n := len(s.engines)
-	t := &taking{stage: s, policy: p, atOnce: atOnce, taken: map[int]bool{}, index: map[maintenance.EngineID]int{},
-		plan: maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workFor * 1000, MaxUnavailable: atOnce}}
+	t := &rollout{model: s, policy: p, maxOut: maxOut, taken: map[int]bool{}, index: map[maintenance.EngineID]int{},
+		plan: maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workTime * 1000, MaxUnavailable: maxOut}}
 	t.order = s.rng.Perm(n)
 	if p == ListOrder || p == AllAllowed {
 		slices.Sort(t.order)
 	}
 	t.timers = make([]float64, n)
 	for i := range t.timers { // some controller's timer for each engine, over the time that one by one would take
-		t.timers[i] = s.rng.Float64() * float64(n) * (drainFor + workFor) / float64(atOnce)
+		t.timers[i] = s.rng.Float64() * float64(n) * (drainTime + workTime) / float64(maxOut)
 	}
 	for i, e := range s.engines {
 		t.index[e.ID] = i
@@ -249,43 +249,43 @@
 }
 
 // step takes out what the policy takes out now, where so many are out.
-func (t *taking) step(out int) {
+func (t *rollout) step(out int) {
 	switch t.policy {
 	case ListOrder, AtRandom:
 		if out == 0 {
 			t.takeNext()
 		}
 	case AllAllowed:
-		for ; t.next < len(t.order) && out < t.atOnce; out++ {
+		for ; t.next < len(t.order) && out < t.maxOut; out++ {
 			t.takeNext()
 		}
 	case EachAlone:
-		for i := range t.stage.engines {
-			if !t.taken[i] && t.stage.now >= t.timers[i] {
+		for i := range t.model.engines {
+			if !t.taken[i] && t.model.now >= t.timers[i] {
 				t.take(i)
 			}
 		}
-	case Ours:
-		t.stage.conduct(t.plan, t.index, t.taken)
+	case Planned:
+		t.model.runMaintenance(t.plan, t.index, t.taken)
 	}
 }
 
-func (t *taking) takeNext() {
+func (t *rollout) takeNext() {
 	if t.next < len(t.order) {
 		t.take(t.order[t.next])
 		t.next++
 	}
 }
 
-func (t *taking) take(i int) {
-	t.stage.take(i)
+func (t *rollout) take(i int) {
+	t.model.takeOut(i)
 	t.taken[i] = true
 }
 
 // countOut counts the engines that are out.
-func (s *stage) countOut() (out int) {
+func (s *drainModel) countOut() (out int) {
 	for i := range s.engines {
-		if !s.there(i) {
+		if !s.isUp(i) {
 			out++
 		}
 	}
@@ -293,24 +293,24 @@
 }
 
 // allWarm tells whether all engines are there and warm.
-func (s *stage) allWarm() bool {
+func (s *drainModel) allWarm() bool {
 	for i := range s.engines {
-		if !s.there(i) || s.now < s.cold[i]+coldFor {
+		if !s.isUp(i) || s.now < s.returnedAt[i]+warmUpTime {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *stage) conduct(plan maintenance.Plan, index map[maintenance.EngineID]int, taken map[int]bool) {
+func (s *drainModel) runMaintenance(plan maintenance.Plan, index map[maintenance.EngineID]int, taken map[int]bool) {
 	for i := range s.tasks { // what hands and confirmations tell
 		t := &s.tasks[i]
 		switch e := index[t.Engine]; {
-		case t.Step == maintenance.Draining && s.now >= s.out[e]-workFor:
+		case t.Step == maintenance.Draining && s.now >= s.outUntil[e]-workTime:
 			t.Step = maintenance.Free
 		case t.Step == maintenance.Free:
 			t.Step = maintenance.Working
-		case t.Step == maintenance.Working && s.there(e):
+		case t.Step == maintenance.Working && s.isUp(e):
 			t.Step, t.StepStartedAt = maintenance.Returning, 1e9+s.now*1000
 		}
 	}
@@ -331,7 +331,7 @@
 		case maintenance.Preparing:
 			s.prepare(index[m.Engine])
 		case maintenance.Draining:
-			s.take(index[m.Engine])
+			s.takeOut(index[m.Engine])
 			taken[index[m.Engine]] = true
 		}
 	}
@@ -340,7 +340,7 @@
 // BestOrder is the least that can be lost by any order, one at a time, the next when the one before is warm; for fleets so
 // small that all orders can be tried. It tells what the settled order loses on the same stage.
 func BestOrder(seed int64, n int, load float64) (best, ours float64) {
-	horizon := float64(n) * (drainFor + workFor + coldFor + 40)
+	horizon := float64(n) * (drainTime + workTime + warmUpTime + 40)
 	best = math.Inf(1)
 	perm := make([]int, n)
 	for i := range perm {
@@ -349,24 +349,24 @@
 	var try func(k int)
 	try = func(k int) {
 		if k == n {
-			s, lost, next := newStage(seed, n, load), 0.0, 0
+			s, lost, next := newDrainModel(seed, n, load), 0.0, 0
 			prepared := -1.0
 			for s.now < horizon {
-				quiet := true
+				allWarm := true
 				for i := range s.engines {
-					quiet = quiet && s.there(i) && s.now >= s.cold[i]+coldFor
+					allWarm = allWarm && s.isUp(i) && s.now >= s.returnedAt[i]+warmUpTime
 				}
-				if next < n && (quiet || next == 0) {
+				if next < n && (allWarm || next == 0) {
 					if prepared < 0 {
 						s.prepare(perm[next])
 						prepared = s.now
 					}
-					if s.now >= prepared+warmAfter {
-						s.take(perm[next])
+					if s.now >= prepared+tableWarmTime {
+						s.takeOut(perm[next])
 						next, prepared = next+1, -1
 					}
 				}
-				lost += s.second()
+				lost += s.runSecond()
 			}
 			best = min(best, lost/horizon)
 			return
@@ -378,27 +378,27 @@
 		}
 	}
 	try(0)
-	ours, _, _ = TakeAll(seed, n, load, Ours, 1, horizon)
+	ours, _, _ = TakeAll(seed, n, load, Planned, 1, horizon)
 	return best, ours
 }
 
 // Forecasts plays the settled order and tells how many of the forecasts on the way held the real end, of how many: one each
 // time that another engine has come back.
 func Forecasts(seed int64, n int, load float64) (held, of int) {
-	s := newStage(seed, n, load)
-	plan := maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workFor * 1000, MaxUnavailable: max(1, n/10)}
+	s := newDrainModel(seed, n, load)
+	plan := maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workTime * 1000, MaxUnavailable: max(1, n/10)}
 	index, taken := map[maintenance.EngineID]int{}, map[int]bool{}
 	for i, e := range s.engines {
 		index[e.ID] = i
 	}
-	type told struct{ low, high float64 }
-	var all []told
+	type forecast struct{ low, high float64 }
+	var all []forecast
 	back := 0
 	for s.now < float64(n)*200 {
 		if s.rng.Intn(600) == 0 { // something holds it up
 			s.now += float64(s.rng.Intn(30))
 		}
-		s.conduct(plan, index, taken)
+		s.runMaintenance(plan, index, taken)
 		done := 0
 		for _, t := range s.tasks {
 			if t.Step == maintenance.Done {
@@ -407,7 +407,7 @@
 		}
 		if v := s.view(); done > back {
 			if low, high, ok := maintenance.Forecast(v, plan); ok && done < n {
-				all = append(all, told{low, high})
+				all = append(all, forecast{low, high})
 			}
 			if back = done; done == n {
 				for _, f := range all {
@@ -418,7 +418,7 @@
 				return held, len(all)
 			}
 		}
-		s.second()
+		s.runSecond()
 	}
 	return 0, len(all)
 }
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -15,12 +15,12 @@
 			if lost[p] += l; math.IsInf(took, 1) {
 				t.Errorf("%v, seed %d: not all were taken", p, seed)
 			}
-			if p == Ours && most > 2 {
+			if p == Planned && most > 2 {
 				t.Errorf("seed %d: %d were out at once", seed, most)
 			}
 		}
 	}
-	if lost[Ours] >= lost[AllAllowed] || lost[Ours] >= lost[EachAlone] {
+	if lost[Planned] >= lost[AllAllowed] || lost[Planned] >= lost[EachAlone] {
 		t.Errorf("lost %v", lost)
 	}
 	best, ours := 0.0, 0.0
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -18,21 +18,21 @@
 // Scene is what is played with processes: real daemons on loopback, with stand-in engines and a feed, a switch between
 // each pair, clients, and an endpoint that the works' effects go to.
 type Scene struct {
-	Mintkeel string // a daemon built with the tag mintkeel_lab
-	Seed     int64
-	Nodes    int
-	Voters   int
-	Leases   int
-	Lease    time.Duration
-	Rate     float64 // commands a second at each node
-	Digest   bool    // the fleet's digest is one of the works
-	Engines  int     // stand-ins; 0: two
-	Withdraw bool    // the plan is withdrawn when the first engine is back
-	AtOnce   int     // engines that maintenance may have out, all of which it takes out once; 0: there is none
-	Config   bool    // the daemons agree on a configuration
-	Script   Script
-	Settle   time.Duration
-	Tell     func(string)
+	Mintkeel       string // a daemon built with the tag mintkeel_lab
+	Seed           int64
+	Nodes          int
+	Voters         int
+	Leases         int
+	Lease          time.Duration
+	Rate           float64 // commands a second at each node
+	Digest         bool    // the fleet's digest is one of the works
+	Engines        int     // stand-ins; 0: two
+	Withdraw       bool    // the plan is withdrawn when the first engine is back
+	MaxUnavailable int     // engines that maintenance may have out, all of which it takes out once; 0: there is none
+	Config         bool    // the daemons agree on a configuration
+	Script         Script
+	Settle         time.Duration
+	Log            func(string)
 }
 
 // UsualScene is one with a script drawn from a seed.
@@ -47,7 +47,7 @@
 	for i := range s.Script { // a history takes seconds here
 		s.Script[i].For = min(s.Script[i].For, 8000)
 		s.Script[i].Amount = min(s.Script[i].Amount, 3000)
-		if s.Script[i].Kind == Jump {
+		if s.Script[i].Kind == ClockJump {
 			s.Script[i].Kind = Pause
 		}
 	}
@@ -56,26 +56,26 @@
 
 // Report is what a history told.
 type Report struct {
-	Broken   string // empty: nothing
-	Effects  int    // that the endpoint took
-	Refused  int    // and refused, by their epoch
-	Taken    int    // that other controllers took
-	Commands int
-	Answered int
-	Shed     int
-	Failed   int
-	Lost     int // at nodes that ran
-	Digests  int // starts at which something of the fleet's digest was believed
-
-	Back, MostOut int // engines that were out and are back; out at once
-	Maintained    time.Duration
-	Whole         time.Duration
+	Broken      string // empty: nothing
+	Effects     int    // that the endpoint took
+	Refused     int    // and refused, by their epoch
+	PeerEffects int    // that other controllers took
+	Commands    int
+	Answered    int
+	Shed        int
+	Failed      int
+	Lost        int // at nodes that ran
+	Digests     int // starts at which something of the fleet's digest was believed
+
+	Returned, MaxOut int // engines that were out and are back; out at once
+	Maintained       time.Duration
+	Recovery         time.Duration
 
 	ConfigProposals, ConfigAgreed, ConfigApplied, ConfigRefused, ConfigStatuses int
 	ConfigCatchUp                                                               time.Duration // after all was whole, until the newest was in force at all
 	ConfigAfterPut                                                              time.Duration
 
-	Free []time.Duration // between the last effect of one owner and the first of the next
+	HolderGaps []time.Duration // between the last effect of one owner and the first of the next
 }
 
 type rig struct {
@@ -93,7 +93,7 @@
 	ctx      context.Context
 	group    sync.WaitGroup
 	faults   sync.WaitGroup // of the script; those that wait for a controller which stood still may end late
-	yard     *yard
+	platform *platform
 	config   *configRig // nil: the daemons agree on none
 }
 
@@ -109,34 +109,34 @@
 	r := &rig{Scene: s, dir: dir, checker: NewChecker(), ctx: ctx, began: time.Now()}
 	defer r.close()
 	if s.Config {
-		r.openConfig()
+		r.initConfig()
 	}
 	if err := r.open(); err != nil {
 		return r.report, err
 	}
 	for _, n := range r.nodes {
-		r.group.Go(func() { r.clients(n) })
+		r.group.Go(func() { r.sendCommands(n) })
 	}
 	r.group.Go(r.copyFolders)
-	if r.AtOnce > 0 {
-		r.plan()
+	if r.MaxUnavailable > 0 {
+		r.submitPlan()
 	}
-	r.play()
+	r.playScript()
 	r.settle()
 	if r.config != nil {
-		r.configSettled()
+		r.settleConfig()
 	}
 	if r.Withdraw {
-		r.withdrawn()
-	} else if r.AtOnce > 0 {
-		r.finished()
+		r.awaitWithdrawal()
+	} else if r.MaxUnavailable > 0 {
+		r.awaitMaintenance()
 	}
 	cancel()
 	r.faults.Wait()
 	r.group.Wait()
-	r.read()
+	r.checkAccepted()
 	if r.config != nil {
-		r.judgeConfig()
+		r.checkConfigEvents()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,9 +149,9 @@
 	return r.report, nil
 }
 
-func (r *rig) tell(format string, args ...any) {
-	if r.Tell != nil {
-		r.Tell(fmt.Sprintf("%6.2f s ", time.Since(r.began).Seconds()) + fmt.Sprintf(format, args...))
+func (r *rig) logf(format string, args ...any) {
+	if r.Log != nil {
+		r.Log(fmt.Sprintf("%6.2f s ", time.Since(r.began).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -171,8 +171,8 @@
 		return err
 	}
 	context.AfterFunc(r.ctx, func() { r.endpoint.Close() })
-	if r.AtOnce > 0 {
-		if err := r.openYard(); err != nil {
+	if r.MaxUnavailable > 0 {
+		if err := r.startPlatform(); err != nil {
 			return err
 		}
 	}
@@ -181,12 +181,12 @@
 	ip := ownAddr()
 	for i := range r.Nodes {
 		n := &machineProc{number: i, name: fmt.Sprintf("n%d", i), dir: filepath.Join(r.dir, fmt.Sprintf("n%d", i))}
-		n.serve, n.fleet = fmt.Sprintf("%s:%d", ip, 20000+i), fmt.Sprintf("%s:%d", ip, 21000+i)
+		n.serveAddr, n.fleetAddr = fmt.Sprintf("%s:%d", ip, 20000+i), fmt.Sprintf("%s:%d", ip, 21000+i)
 		if err := os.Mkdir(n.dir, 0o700); err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
-		addrs = append(addrs, n.fleet)
+		addrs = append(addrs, n.fleetAddr)
 	}
 	if r.sw, err = NewSwitch(addrs, r.Seed); err != nil {
 		return err
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func (r *rig) broke(format string, args ...any) {
+func (r *rig) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.report.Broken == "" {
--- a/internal/lab/fleet/processes_daemon.go
+++ b/internal/lab/fleet/processes_daemon.go
@@ -18,19 +18,19 @@
 )
 
 type machineProc struct {
-	number  int
-	name    string
-	serve   string // where clients go
-	fleet   string // where other controllers go
-	dir     string
-	cmd     *exec.Cmd
-	gone    chan struct{}
-	down    time.Time // it did not run, or stood still, until then
-	stopped bool
-	copies  []string
-	runs    int // starts
-	folder  int // its generation: one more when it is emptied or an older copy is put back
-	mu      sync.Mutex
+	number           int
+	name             string
+	serveAddr        string // where clients go
+	fleetAddr        string // where other controllers go
+	dir              string
+	cmd              *exec.Cmd
+	exited           chan struct{}
+	downUntil        time.Time // it did not run, or stood still, until then
+	stopped          bool
+	copies           []string
+	runs             int // starts
+	folderGeneration int // its generation: one more when it is emptied or an older copy is put back
+	mu               sync.Mutex
 }
 
 var histories atomic.Int64
@@ -51,7 +51,7 @@
 	for _, e := range r.engines {
 		hosts = append(hosts, object{"host": e.ID, "dial": e.Addr, "site": "east", "class": usualKind, "health": "active"})
 	}
-	config, err := json.Marshal(object{"name": n.name, "listen": n.serve, "seed": fmt.Sprintf("%016x", r.Seed),
+	config, err := json.Marshal(object{"name": n.name, "listen": n.serveAddr, "seed": fmt.Sprintf("%016x", r.Seed),
 		"limits":   object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"bulletin": r.feed.Addr,
 		"known":    object{"no": 1, "items": []object{{"no": 1, "roster": object{"seq": 1, "whole": true, "hosts": hosts}}}},
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if r.ofOtherKind(n) {
+	if r.hasOtherKind(n) {
 		config = bytes.ReplaceAll(config, []byte(strconv.Quote(usualKind)), []byte(strconv.Quote(otherKind)))
 	}
 	if err := os.WriteFile(filepath.Join(n.dir, "config.json"), config, 0o600); err != nil {
@@ -74,7 +74,7 @@
 	}
 	var council []string
 	for _, m := range r.nodes[:r.Voters] {
-		council = append(council, fmt.Sprintf("%s = %q", m.name, m.fleet))
+		council = append(council, fmt.Sprintf("%s = %q", m.name, m.fleetAddr))
 	}
 	var names []string
 	for i := range r.Leases {
@@ -84,8 +84,8 @@
 		names = append(names, `"digest"`)
 	}
 	hcl := fmt.Sprintf("log {\n  burst = 1000\n}\nfleet {\n  name = \"rig\"\n  listen = %q\n  key_file = %q\n  folder = %q\n  council = { %s }\n  works = [%s]\n  lease = %q\n}\n",
-		n.fleet, filepath.Join(r.dir, "key"), filepath.Join(n.dir, "fleet"), strings.Join(council, ", "), strings.Join(names, ", "), r.Lease)
-	if r.AtOnce > 0 {
+		n.fleetAddr, filepath.Join(r.dir, "key"), filepath.Join(n.dir, "fleet"), strings.Join(council, ", "), strings.Join(names, ", "), r.Lease)
+	if r.MaxUnavailable > 0 {
 		hook := filepath.Join(r.dir, "hook")
 		hcl += fmt.Sprintf("maintenance {\n  drain = %q\n  work = %q\n  back = %q\n  within = \"20s\"\n  prepare = \"1s\"\n}\n", hook, hook, hook)
 	}
@@ -95,11 +95,11 @@
 	if err := os.WriteFile(filepath.Join(n.dir, "operator.hcl"), []byte(hcl), 0o600); err != nil {
 		return err
 	}
-	return r.lever(n, 1, 0)
+	return r.setClockAndDisk(n, 1, 0)
 }
 
-// lever sets a node's clock and disk.
-func (r *rig) lever(n *machineProc, rate, diskMS float64) error {
+// setClockAndDisk sets a node's clock and disk.
+func (r *rig) setClockAndDisk(n *machineProc, rate, diskMS float64) error {
 	b := binary.BigEndian.AppendUint64(nil, math.Float64bits(rate))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(diskMS))
 	f, err := os.OpenFile(filepath.Join(n.dir, "clock"), os.O_CREATE|os.O_WRONLY, 0o600)
@@ -132,11 +132,11 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
-	n.cmd, n.gone, n.stopped = cmd, gone, false
+	exited := make(chan struct{})
+	n.cmd, n.exited, n.stopped = cmd, exited, false
 	go func() {
 		cmd.Wait()
-		close(gone)
+		close(exited)
 		n.mu.Lock()
 		crashed := n.cmd == cmd
 		if crashed {
@@ -145,7 +145,7 @@
 		n.mu.Unlock()
 		if crashed && r.ctx.Err() == nil {
 			tail, _ := os.ReadFile(filepath.Join(n.dir, "log"))
-			r.broke("%s ended by itself: %s", n.name, tail[max(0, len(tail)-1500):])
+			r.fail("%s ended by itself: %s", n.name, tail[max(0, len(tail)-1500):])
 		}
 	}()
 	return nil
@@ -153,33 +153,33 @@
 
 func (r *rig) kill(n *machineProc) {
 	n.mu.Lock()
-	cmd, gone := n.cmd, n.gone
+	cmd, exited := n.cmd, n.exited
 	n.cmd = nil
 	n.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
-		<-gone
+		<-exited
 	}
 }
 
-// out says that a node is not to be counted on for a while.
-func (n *machineProc) out(until time.Time) {
+// markOut says that a node is not to be counted on for a while.
+func (n *machineProc) markOut(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until.After(n.down) {
-		n.down = until
+	if until.After(n.downUntil) {
+		n.downUntil = until
 	}
 }
 
 func (n *machineProc) isOut(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return at.Before(n.down) || n.cmd == nil || n.stopped
+	return at.Before(n.downUntil) || n.cmd == nil || n.stopped
 }
 
 // changeFolder notes that the folder is another one from now on.
 func (n *machineProc) changeFolder() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.folder++
+	n.folderGeneration++
 }
--- a/internal/lab/fleet/processes_faults.go
+++ b/internal/lab/fleet/processes_faults.go
@@ -14,12 +14,12 @@
 	"mintkeel/internal/fleet/control"
 )
 
-func (r *rig) play() {
+func (r *rig) playScript() {
 	for _, f := range r.Script {
 		if !r.sleep(time.Until(r.began.Add(time.Duration(f.At * 1e6)))) {
 			return
 		}
-		r.tell("%v", f)
+		r.logf("%v", f)
 		r.faults.Go(func() { r.fault(f) })
 	}
 	r.sleep(time.Until(r.began.Add(time.Duration(r.Script.End() * 1e6))))
@@ -28,30 +28,30 @@
 // fault has something break, and returns when it is over.
 func (r *rig) fault(f Fault) {
 	n := r.nodes[f.A%len(r.nodes)]
-	long := time.Duration(f.For * 1e6)
+	duration := time.Duration(f.For * 1e6)
 	switch f.Kind {
 	case Kill:
-		r.killFor(n, long, nil)
-	case Empty:
-		r.killFor(n, long, func() { r.emptyFolder(n) })
+		r.killFor(n, duration, nil)
+	case EmptyFolder:
+		r.killFor(n, duration, func() { r.emptyFolder(n) })
 	case OldCopy:
-		r.killFor(n, long, func() { r.putBackCopy(n, f.Amount) })
+		r.killFor(n, duration, func() { r.putBackCopy(n, f.Amount) })
 	case Pause:
-		r.pause(n, long)
-	case Slow:
-		r.setDiskFor(n, f.Amount, long)
-	case Full:
-		r.setDiskFor(n, diskFull, long)
-	case Clock:
-		r.lever(n, f.Amount, 0)
+		r.pause(n, duration)
+	case SlowDisk:
+		r.setDiskFor(n, f.Amount, duration)
+	case DiskFull:
+		r.setDiskFor(n, diskFull, duration)
+	case ClockRate:
+		r.setClockAndDisk(n, f.Amount, 0)
 	case KillAll:
-		r.killAll(f.N, long)
-	case Loop:
-		r.killInLoop(n, long)
+		r.killAll(f.N, duration)
+	case RestartLoop:
+		r.killInLoop(n, duration)
 	case HandOver:
 		r.handOver(n, f)
 	default:
-		if !r.networkFault(f, time.Now().Add(long)) {
+		if !r.networkFault(f, time.Now().Add(duration)) {
 			r.configFault(f)
 		}
 	}
@@ -60,17 +60,17 @@
 // diskFull is the lever's value of a disk that takes nothing.
 const diskFull = -1
 
-// killFor kills a daemon, changes its folder, and starts it again after a while.
-func (r *rig) killFor(n *machineProc, long time.Duration, change func()) {
-	const known = 3 * time.Second // until others take it for alive again
-	n.out(time.Now().Add(long + startTime + known))
+// killDowntime kills a daemon, changes its folder, and starts it again after a while.
+func (r *rig) killFor(n *machineProc, duration time.Duration, change func()) {
+	const rediscovery = 3 * time.Second // until others take it for alive again
+	n.markOut(time.Now().Add(duration + startTime + rediscovery))
 	r.kill(n)
 	if change != nil {
 		change()
 	}
-	r.sleep(long)
+	r.sleep(duration)
 	if err := r.start(n); err != nil {
-		r.broke("%s does not start: %v", n.name, err)
+		r.fail("%s does not start: %v", n.name, err)
 	}
 }
 
@@ -94,16 +94,16 @@
 }
 
 // pause has a daemon stand still for a while.
-func (r *rig) pause(n *machineProc, long time.Duration) {
-	const known = 4 * time.Second // until others take it for alive again
+func (r *rig) pause(n *machineProc, duration time.Duration) {
+	const rediscovery = 4 * time.Second // until others take it for alive again
 	n.mu.Lock()
 	cmd := n.cmd
 	n.stopped = true
 	n.mu.Unlock()
-	n.out(time.Now().Add(long + known))
+	n.markOut(time.Now().Add(duration + rediscovery))
 	if cmd != nil {
 		cmd.Process.Signal(syscall.SIGSTOP)
-		r.sleep(long)
+		r.sleep(duration)
 		cmd.Process.Signal(syscall.SIGCONT)
 	}
 	n.mu.Lock()
@@ -111,27 +111,27 @@
 	n.mu.Unlock()
 }
 
-func (r *rig) setDiskFor(n *machineProc, diskMS float64, long time.Duration) {
-	r.lever(n, 1, diskMS)
-	r.sleep(long)
-	r.lever(n, 1, 0)
+func (r *rig) setDiskFor(n *machineProc, diskMS float64, duration time.Duration) {
+	r.setClockAndDisk(n, 1, diskMS)
+	r.sleep(duration)
+	r.setClockAndDisk(n, 1, 0)
 }
 
 // killAll kills all daemons but one at once.
-func (r *rig) killAll(spared int, long time.Duration) {
+func (r *rig) killAll(spared int, duration time.Duration) {
 	var all sync.WaitGroup
 	for _, n := range r.nodes {
 		if n.number != spared {
-			all.Go(func() { r.killFor(n, long, nil) })
+			all.Go(func() { r.killFor(n, duration, nil) })
 		}
 	}
 	all.Wait()
 }
 
 // killInLoop kills a daemon again and again.
-func (r *rig) killInLoop(n *machineProc, long time.Duration) {
+func (r *rig) killInLoop(n *machineProc, duration time.Duration) {
 	const down, up = 300 * time.Millisecond, 700 * time.Millisecond
-	for end := time.Now().Add(long); time.Now().Before(end) && r.ctx.Err() == nil; {
+	for end := time.Now().Add(duration); time.Now().Before(end) && r.ctx.Err() == nil; {
 		r.killFor(n, down, nil)
 		r.sleep(up)
 	}
@@ -154,7 +154,7 @@
 	case CutBoth:
 		r.sw.Block(f.A, f.B, until)
 		r.sw.Block(f.B, f.A, until)
-	case Isolate, Deaf, Mute:
+	case Isolate, CutInbound, CutOutbound:
 		r.isolate(f, until)
 	case Split:
 		r.split(f.N, until)
@@ -171,10 +171,10 @@
 // isolate has one neither hear nor be heard, or only one of both.
 func (r *rig) isolate(f Fault, until time.Time) {
 	for i := range r.nodes {
-		if f.Kind != Mute {
+		if f.Kind != CutOutbound {
 			r.sw.Block(i, f.A, until)
 		}
-		if f.Kind != Deaf {
+		if f.Kind != CutInbound {
 			r.sw.Block(f.A, i, until)
 		}
 	}
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -26,44 +26,44 @@
 		return Scene{Mintkeel: daemon, Seed: 5, Nodes: 4, Voters: 3, Leases: 3, Lease: 2 * time.Second, Rate: 5, Settle: time.Minute, Script: faults}
 	}
 	var group sync.WaitGroup
-	begins := scene(Fault{At: 15000, For: 500, Kind: Kill, A: 3}, Fault{At: 20000, Kind: Clock, A: 2, Amount: 1})
-	begins.Digest = true
-	taken := scene(Fault{At: 9000, For: 1000, Kind: Kill, A: 0}, Fault{At: 14000, For: 4000, Kind: Pause, A: 1}, Fault{At: 20000, For: 1000, Kind: Kill, A: 2})
-	taken.Engines, taken.AtOnce = 5, 1
-	withdrawn := scene(Fault{At: 5000, Kind: Clock, A: 3, Amount: 1})
-	withdrawn.Engines, withdrawn.AtOnce, withdrawn.Withdraw = 8, 1, true
+	digestRestored := scene(Fault{At: 15000, For: 500, Kind: Kill, A: 3}, Fault{At: 20000, Kind: ClockRate, A: 2, Amount: 1})
+	digestRestored.Digest = true
+	maintenance := scene(Fault{At: 9000, For: 1000, Kind: Kill, A: 0}, Fault{At: 14000, For: 4000, Kind: Pause, A: 1}, Fault{At: 20000, For: 1000, Kind: Kill, A: 2})
+	maintenance.Engines, maintenance.MaxUnavailable = 5, 1
+	withdrawn := scene(Fault{At: 5000, Kind: ClockRate, A: 3, Amount: 1})
+	withdrawn.Engines, withdrawn.MaxUnavailable, withdrawn.Withdraw = 8, 1, true
 	halves := scene(Fault{At: 9000, For: 800, Kind: Kill, A: 0}, Fault{At: 9000, For: 800, Kind: Kill, A: 3}, Fault{At: 14000, For: 7000, Kind: Split, N: 2})
-	halves.Engines, halves.AtOnce = 4, 1
+	halves.Engines, halves.MaxUnavailable = 4, 1
 	for name, s := range map[string]Scene{
 		"an owner is stopped for longer than its lease and goes on": scene(Fault{At: 6000, For: 7000, Kind: Pause, A: 0},
 			Fault{At: 6000, For: 7000, Kind: Pause, A: 1}),
 		"all but one restart at once, and again": scene(Fault{At: 6000, For: 500, Kind: KillAll, N: 3}, Fault{At: 8000, For: 500, Kind: KillAll, N: 3}),
-		"a member's folder is lost, another is an old copy": scene(Fault{At: 6000, For: 500, Kind: Empty, A: 0},
+		"a member's folder is lost, another is an old copy": scene(Fault{At: 6000, For: 500, Kind: EmptyFolder, A: 0},
 			Fault{At: 14000, For: 500, Kind: OldCopy, A: 1, Amount: 3000}),
-		"a disk is full, then slow": scene(Fault{At: 6000, For: 3000, Kind: Full, A: 0}, Fault{At: 12000, For: 5000, Kind: Slow, A: 1, Amount: 5000}),
-		"the leader can hear and not be heard, its clock is fast": scene(Fault{At: 5000, Kind: Clock, A: 0, Amount: 1.2},
-			Fault{At: 5000, Kind: Clock, A: 1, Amount: 1.2}, Fault{At: 7000, For: 6000, Kind: Mute, A: 0}, Fault{At: 14000, For: 6000, Kind: Deaf, A: 1}),
-		"all engines are taken out once, while conductors die and pause":                        taken,
+		"a disk is full, then slow": scene(Fault{At: 6000, For: 3000, Kind: DiskFull, A: 0}, Fault{At: 12000, For: 5000, Kind: SlowDisk, A: 1, Amount: 5000}),
+		"the leader can hear and not be heard, its clock is fast": scene(Fault{At: 5000, Kind: ClockRate, A: 0, Amount: 1.2},
+			Fault{At: 5000, Kind: ClockRate, A: 1, Amount: 1.2}, Fault{At: 7000, For: 6000, Kind: CutOutbound, A: 0}, Fault{At: 14000, For: 6000, Kind: CutInbound, A: 1}),
+		"all engines are taken out once, while conductors die and pause":                        maintenance,
 		"a plan is withdrawn in the middle":                                                     withdrawn,
 		"half of the controllers restart, then the fleet is split, while engines are taken out": halves,
-		"one that starts with nothing begins with what the fleet knows":                         begins,
+		"one that starts with nothing begins with what the fleet knows":                         digestRestored,
 	} {
 		group.Go(func() {
-			var said []string
-			s.Tell = func(line string) { said = append(said, line) }
+			var logged []string
+			s.Log = func(line string) { logged = append(logged, line) }
 			r, err := PlayProcesses(ctx, s)
 			switch {
 			case err != nil:
 				t.Errorf("%s: %v", name, err)
 			case r.Broken != "":
-				t.Errorf("%s: %s\n%s", name, r.Broken, strings.Join(said, "\n"))
-			case r.Effects < 50 || r.Taken < 20 || r.Answered < 50:
+				t.Errorf("%s: %s\n%s", name, r.Broken, strings.Join(logged, "\n"))
+			case r.Effects < 50 || r.PeerEffects < 20 || r.Answered < 50:
 				t.Errorf("%s: too little was seen: %+v", name, r)
-			case s.AtOnce > 0 && r.Shed*20 > r.Commands:
+			case s.MaxUnavailable > 0 && r.Shed*20 > r.Commands:
 				t.Errorf("%s: %d of %d commands were shed", name, r.Shed, r.Commands)
-			case s.Withdraw && r.Back >= 1 && r.Back < s.Engines:
-			case s.AtOnce > 0 && (r.Back != s.Engines || r.MostOut != s.AtOnce):
-				t.Errorf("%s: %d engines are back, %d were out at once", name, r.Back, r.MostOut)
+			case s.Withdraw && r.Returned >= 1 && r.Returned < s.Engines:
+			case s.MaxUnavailable > 0 && (r.Returned != s.Engines || r.MaxOut != s.MaxUnavailable):
+				t.Errorf("%s: %d engines are back, %d were out at once", name, r.Returned, r.MaxOut)
 			case s.Digest && r.Digests == 0:
 				t.Errorf("%s: nothing of the digest was believed", name)
 			}
@@ -84,14 +84,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	var said []string
+	var logged []string
 	s := ConfigurationScene(daemon, 3, 4, 4)
 	end := s.Script.End()
 	s.Script = append(s.Script, Fault{At: end + 500, Kind: Corrupt, For: 2500}, Fault{At: end + 1000, Kind: Put, A: 1, B: 1, Amount: 100 << 10, N: -1})
-	s.Tell = func(line string) { said = append(said, line) }
+	s.Log = func(line string) { logged = append(logged, line) }
 	r, err := PlayProcesses(ctx, s)
 	if err != nil || r.Broken != "" {
-		t.Fatalf("%v, %s\n%s", err, r.Broken, strings.Join(said, "\n"))
+		t.Fatalf("%v, %s\n%s", err, r.Broken, strings.Join(logged, "\n"))
 	}
 	if r.ConfigAgreed == 0 || r.ConfigApplied < 4*r.ConfigAgreed/2 || r.ConfigStatuses == 0 || r.ConfigRefused == 0 {
 		t.Errorf("too little was seen: %+v", r)
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -20,9 +20,9 @@
 
 // serveEndpoint is the endpoint outside: it remembers the highest epoch of each work, and refuses lower ones.
 func (r *rig) serveEndpoint() {
-	gate := lease.NewFencingCheck(nil)
+	fencing := lease.NewFencingCheck(nil)
 	last := map[lease.Name]struct {
-		epoch lease.Token
+		token lease.Token
 		at    time.Time
 	}{}
 	for {
@@ -43,23 +43,23 @@
 				if len(words) != 4 {
 					return
 				}
-				epoch, _ := strconv.ParseUint(words[1], 10, 64)
+				token, _ := strconv.ParseUint(words[1], 10, 64)
 				id, _ := strconv.ParseUint(words[2], 10, 64)
-				claim := lease.Grant{Name: lease.Name(words[0]), Token: lease.Token(epoch)}
+				grant := lease.Grant{Name: lease.Name(words[0]), Token: lease.Token(token)}
 				from, _ := strconv.Atoi(strings.TrimPrefix(words[3], "n"))
 				r.mu.Lock()
-				ok, _ := gate.Admit(claim.Name, claim.Token)
+				ok, _ := fencing.Admit(grant.Name, grant.Token)
 				if ok {
 					now := time.Now()
-					if was := last[claim.Name]; was.epoch != claim.Token && was.epoch != 0 {
-						r.report.Free = append(r.report.Free, now.Sub(was.at))
+					if was := last[grant.Name]; was.token != grant.Token && was.token != 0 {
+						r.report.HolderGaps = append(r.report.HolderGaps, now.Sub(was.at))
 					}
-					last[claim.Name] = struct {
-						epoch lease.Token
+					last[grant.Name] = struct {
+						token lease.Token
 						at    time.Time
-					}{claim.Token, now}
+					}{grant.Token, now}
 					r.report.Effects++
-					r.checker.effectAccepted("endpoint", from, node.Effect{Grant: claim, ID: id}, float64(now.Sub(r.began))/1e6)
+					r.checker.effectAccepted("endpoint", from, node.Effect{Grant: grant, ID: id}, float64(now.Sub(r.began))/1e6)
 				} else {
 					r.report.Refused++
 				}
@@ -76,8 +76,8 @@
 	}
 }
 
-// read judges what other controllers wrote down that they took.
-func (r *rig) read() {
+// checkAccepted judges what other controllers wrote down that they took.
+func (r *rig) checkAccepted() {
 	for _, n := range r.nodes {
 		log, _ := os.ReadFile(filepath.Join(n.dir, "log"))
 		r.report.Digests += len(digestLine.FindAll(log, -1))
@@ -91,22 +91,22 @@
 				continue // it was killed as it wrote
 			}
 			at, _ := strconv.ParseInt(words[0], 10, 64)
-			epoch, _ := strconv.ParseUint(words[2], 10, 64)
+			token, _ := strconv.ParseUint(words[2], 10, 64)
 			from, _ := strconv.Atoi(strings.TrimPrefix(words[4], "n"))
-			claim := lease.Grant{Name: lease.Name(words[1]), Token: lease.Token(epoch)}
-			r.report.Taken++
+			grant := lease.Grant{Name: lease.Name(words[1]), Token: lease.Token(token)}
+			r.report.PeerEffects++
 			r.mu.Lock()
-			if was, ok := r.checker.holders[claim]; ok && was != from {
-				r.checker.fail(float64(time.Unix(0, at).Sub(r.began))/1e6, "%s had effects of n%d and n%d under token %d", claim.Name, was, from, epoch)
+			if was, ok := r.checker.holders[grant]; ok && was != from {
+				r.checker.fail(float64(time.Unix(0, at).Sub(r.began))/1e6, "%s had effects of n%d and n%d under token %d", grant.Name, was, from, token)
 			}
-			r.checker.holders[claim] = from
+			r.checker.holders[grant] = from
 			r.mu.Unlock()
 		}
 	}
 }
 
-// clients has commands asked of a node, and counts their answers. A node that was killed or stood still meanwhile owes none.
-func (r *rig) clients(n *machineProc) {
+// sendCommands has commands asked of a node, and counts their answers. A node that was killed or stood still meanwhile owes none.
+func (r *rig) sendCommands(n *machineProc) {
 	rng := rand.New(rand.NewSource(r.Seed*31 + int64(n.number)))
 	r.sleep(startTime)
 	var group sync.WaitGroup
@@ -119,14 +119,14 @@
 		}
 		group.Go(func() {
 			const limit = 1500 * time.Millisecond
-			c, err := standin.Dial(context.Background(), n.serve, time.Second)
+			c, err := standin.Dial(context.Background(), n.serveAddr, time.Second)
 			verdict := standin.Lost
 			if err == nil {
 				verdict, _ = c.Query(fmt.Sprintf("verb=lookup,txn=%016x,cpu=5.0", id), fmt.Sprintf("SELECT WORK(5) FROM sales_%d.orders", tables), limit)
 				c.Close()
 			}
 			n.mu.Lock()
-			out := n.cmd == nil || n.stopped || began.Before(n.down)
+			out := n.cmd == nil || n.stopped || began.Before(n.downUntil)
 			n.mu.Unlock()
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -139,7 +139,7 @@
 				r.report.Answered++
 			case standin.Shed:
 				r.report.Shed++
-				r.tell("%s sheds", n.name)
+				r.logf("%s sheds", n.name)
 			case standin.Failed:
 				r.report.Failed++
 			case standin.Lost:
@@ -153,21 +153,21 @@
 func (r *rig) settle() {
 	began, why := time.Now(), ""
 	for time.Since(began) < r.Settle && r.ctx.Err() == nil {
-		if why = r.whole(); why == "" {
+		if why = r.missing(); why == "" {
 			r.mu.Lock()
-			r.report.Whole = time.Since(began)
+			r.report.Recovery = time.Since(began)
 			r.mu.Unlock()
-			r.tell("whole after %v", time.Since(began).Round(time.Millisecond))
+			r.logf("whole after %v", time.Since(began).Round(time.Millisecond))
 			return
 		}
 		r.sleep(200 * time.Millisecond)
 	}
 	if r.ctx.Err() == nil {
-		r.broke("not whole %v after the last fault: %s", r.Settle, why)
+		r.fail("not whole %v after the last fault: %s", r.Settle, why)
 	}
 }
 
-func (r *rig) whole() string {
+func (r *rig) missing() string {
 	owners := map[string]int{}
 	for _, n := range r.nodes {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -15,25 +15,25 @@
 
 // The kinds of fault, in the order that scripts draw them in.
 const (
-	Kill     FaultKind = iota // the process ends at once; it starts again after For, with its folder
-	Pause                     // the process stands still for For
-	Cut                       // nothing gets from A to B for For
-	CutBoth                   // nor from B to A
-	Isolate                   // A hears and is heard by nobody
-	Deaf                      // A is heard and hears nobody
-	Mute                      // A hears and is heard by nobody
-	Split                     // those below N and the others don't hear each other
-	Drop                      // a share of all messages is lost
-	Delay                     // messages take up to so many ms more, and pass each other
-	Empty                     // killed, and its folder is empty when it starts again
-	OldCopy                   // killed, and its folder is as it was some time ago
-	Slow                      // its disk takes Amount ms for each record
-	Clock                     // its clock runs Amount times as fast
-	Jump                      // its wall clock jumps; steady clocks do not, so it stands for nothing but a check that none is used
-	KillAll                   // all but N end at once
-	HandOver                  // an operator names another owner
-	Loop                      // it restarts every second for For
-	Full                      // its disk takes no record
+	Kill        FaultKind = iota // the process ends at once; it starts again after For, with its folder
+	Pause                        // the process stands still for For
+	Cut                          // nothing gets from A to B for For
+	CutBoth                      // nor from B to A
+	Isolate                      // A hears and is heard by nobody
+	CutInbound                   // A is heard and hears nobody
+	CutOutbound                  // A hears and is heard by nobody
+	Split                        // those below N and the others don't hear each other
+	Drop                         // a share of all messages is lost
+	Delay                        // messages take up to so many ms more, and pass each other
+	EmptyFolder                  // killed, and its folder is empty when it starts again
+	OldCopy                      // killed, and its folder is as it was some time ago
+	SlowDisk                     // its disk takes Amount ms for each record
+	ClockRate                    // its clock runs Amount times as fast
+	ClockJump                    // its wall clock jumps; steady clocks do not, so it stands for nothing but a check that none is used
+	KillAll                      // all but N end at once
+	HandOver                     // an operator names another owner
+	RestartLoop                  // it restarts every second for For
+	DiskFull                     // its disk takes no record
 
 	// What operators ask of the fleet's configuration, and faults of its own; DrawScript draws none of them.
 
@@ -48,7 +48,7 @@
 )
 
 // drawnKinds are those that DrawScript draws from.
-const drawnKinds = int(Full) + 1
+const drawnKinds = int(DiskFull) + 1
 
 var faultNames = [...]string{"kill", "pause", "cut", "cut both", "isolate", "deaf", "mute", "split", "drop", "delay", "empty",
 	"old copy", "slow disk", "clock", "jump", "kill all but", "hand over", "restart loop", "disk full",
@@ -75,7 +75,7 @@
 		text += fmt.Sprintf(" n%d", f.N)
 	case Drop, Delay:
 		text += fmt.Sprintf(" %.2f", f.Amount)
-	case Slow, Clock, OldCopy:
+	case SlowDisk, ClockRate, OldCopy:
 		text += fmt.Sprintf(" n%d %.2f", f.A, f.Amount)
 	default:
 		text += fmt.Sprintf(" n%d", f.A)
@@ -107,28 +107,28 @@
 
 // DrawScript draws a script of n faults within a time, on a fleet of so many nodes with so many in its council. At most
 // a minority of the council loses its folder: what happens past that needs an operator's word.
-func DrawScript(rng *rand.Rand, nodes, council, n int, within float64) (s Script) {
-	lost := map[int]bool{}
+func DrawScript(rng *rand.Rand, nodes, voters, n int, within float64) (s Script) {
+	folderLost := map[int]bool{}
 	for range n {
 		f := Fault{At: 3000 + rng.Float64()*within, Kind: FaultKind(rng.Intn(drawnKinds)), A: rng.Intn(nodes), B: rng.Intn(nodes)}
 		if rng.Intn(3) > 0 { // the council is where it hurts
-			f.A = rng.Intn(council)
+			f.A = rng.Intn(voters)
 		}
 		if f.B == f.A {
 			f.B = (f.A + 1) % nodes
 		}
 		f.For = []float64{200, 1500, 4000, 12000, 25000}[rng.Intn(5)] * (0.5 + rng.Float64())
 		switch f.Kind {
-		case Kill, Empty, OldCopy, Full:
-			if f.Kind != Full {
+		case Kill, EmptyFolder, OldCopy, DiskFull:
+			if f.Kind != DiskFull {
 				f.For = 100 + rng.Float64()*5000
 			}
-			f.Amount = rng.Float64() * 10000     // how old the copy is, for OldCopy
-			if f.Kind != Kill && f.A < council { // one whose disk takes nothing can't come back as another life either
-				if len(lost) >= (council-1)/2 && !lost[f.A] {
+			f.Amount = rng.Float64() * 10000    // how old the copy is, for OldCopy
+			if f.Kind != Kill && f.A < voters { // one whose disk takes nothing can't come back as another life either
+				if len(folderLost) >= (voters-1)/2 && !folderLost[f.A] {
 					f.Kind, f.For = Kill, min(f.For, 5000)
 				} else {
-					lost[f.A] = true
+					folderLost[f.A] = true
 				}
 			}
 		case Split:
@@ -137,9 +137,9 @@
 			f.Amount = 0.02 + rng.Float64()*0.3
 		case Delay:
 			f.Amount = 50 + rng.Float64()*1500
-		case Slow:
+		case SlowDisk:
 			f.Amount = []float64{20, 300, 5000}[rng.Intn(3)]
-		case Clock:
+		case ClockRate:
 			f.Amount = 0.8 + rng.Float64()*0.4
 		case KillAll:
 			f.N, f.For = rng.Intn(nodes), 500+rng.Float64()*3000
--- a/internal/lab/fleet/switch.go
+++ b/internal/lab/fleet/switch.go
@@ -13,28 +13,28 @@
 // meant. What is said on it passes, or not, by the faults of the moment. Cut bytes are held back for as long as the cut
 // lasts, as a network that is cut off says nothing; connections are reset where messages are to be lost.
 type Switch struct {
-	mu        sync.Mutex
-	rng       *rand.Rand
-	byAddr    map[string]int // where a node listens
-	blocked   map[[2]int]time.Time
-	drop      float64
-	dropTo    time.Time
-	delay     time.Duration
-	delayTo   time.Time
-	corrupt   float64
-	corruptTo time.Time
-	listeners []net.Listener
-	conns     map[net.Conn]bool
-	ctx       context.Context
-	end       context.CancelFunc
-	group     sync.WaitGroup
+	mu           sync.Mutex
+	rng          *rand.Rand
+	byAddr       map[string]int // where a node listens
+	blocked      map[[2]int]time.Time
+	drop         float64
+	dropUntil    time.Time
+	delay        time.Duration
+	delayUntil   time.Time
+	corrupt      float64
+	corruptUntil time.Time
+	listeners    []net.Listener
+	conns        map[net.Conn]bool
+	ctx          context.Context
+	cancel       context.CancelFunc
+	group        sync.WaitGroup
 }
 
 // NewSwitch is one for nodes that listen at these addresses. At returns where node i is to go.
 func NewSwitch(addrs []string, seed int64) (*Switch, error) {
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	s := &Switch{rng: rand.New(rand.NewSource(seed)), byAddr: map[string]int{}, blocked: map[[2]int]time.Time{},
-		conns: map[net.Conn]bool{}, ctx: ctx, end: end}
+		conns: map[net.Conn]bool{}, ctx: ctx, cancel: cancel}
 	for i, addr := range addrs {
 		s.byAddr[addr] = i
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,7 @@
 
 // Close ends all.
 func (s *Switch) Close() {
-	s.end()
+	s.cancel()
 	for _, l := range s.listeners {
 		l.Close()
 	}
@@ -78,24 +78,24 @@
 func (s *Switch) Drop(share float64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop, s.dropTo = share, until
+	s.drop, s.dropUntil = share, until
 }
 
 // Corrupt has a share of what is written have one bit changed, until a time.
 func (s *Switch) Corrupt(share float64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.corrupt, s.corruptTo = share, until
+	s.corrupt, s.corruptUntil = share, until
 }
 
 // Delay has all take up to so much longer, until a time.
-func (s *Switch) Delay(most time.Duration, until time.Time) {
+func (s *Switch) Delay(maxDelay time.Duration, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delay, s.delayTo = most, until
+	s.delay, s.delayUntil = maxDelay, until
 }
 
-func (s *Switch) hold(c net.Conn) bool {
+func (s *Switch) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (s *Switch) let(c net.Conn) {
+func (s *Switch) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,15 +119,15 @@
 		if err != nil {
 			return
 		}
-		if !s.hold(conn) {
+		if !s.track(conn) {
 			return
 		}
-		s.group.Go(func() { s.join(conn, from) })
+		s.group.Go(func() { s.forward(conn, from) })
 	}
 }
 
-func (s *Switch) join(conn net.Conn, from int) {
-	defer s.let(conn)
+func (s *Switch) forward(conn net.Conn, from int) {
+	defer s.untrack(conn)
 	head := make([]byte, 1)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.ReadFull(conn, head); err != nil {
@@ -141,22 +141,22 @@
 	s.mu.Lock()
 	to, ok := s.byAddr[string(addr)]
 	s.mu.Unlock()
-	if !ok || !s.wait(from, to) {
+	if !ok || !s.waitUnblocked(from, to) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", string(addr), time.Second)
-	if err != nil || !s.hold(far) {
+	target, err := net.DialTimeout("tcp", string(addr), time.Second)
+	if err != nil || !s.track(target) {
 		return
 	}
-	defer s.let(far)
+	defer s.untrack(target)
 	var both sync.WaitGroup
-	both.Go(func() { s.copy(far, conn, from, to); far.Close(); conn.Close() })
-	both.Go(func() { s.copy(conn, far, to, from); far.Close(); conn.Close() })
+	both.Go(func() { s.copy(target, conn, from, to); target.Close(); conn.Close() })
+	both.Go(func() { s.copy(conn, target, to, from); target.Close(); conn.Close() })
 	both.Wait()
 }
 
-// wait waits until something may pass; false: the switch ends.
-func (s *Switch) wait(from, to int) bool {
+// waitUnblocked waits until something may pass; false: the switch ends.
+func (s *Switch) waitUnblocked(from, to int) bool {
 	for {
 		s.mu.Lock()
 		until := s.blocked[[2]int{from, to}]
@@ -178,17 +178,17 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !s.wait(a, b) {
+			if !s.waitUnblocked(a, b) {
 				return
 			}
 			s.mu.Lock()
 			now := time.Now()
-			reset := now.Before(s.dropTo) && s.rng.Float64() < s.drop
-			late := time.Duration(0)
-			if now.Before(s.delayTo) {
-				late = time.Duration(s.rng.Float64() * float64(s.delay))
+			reset := now.Before(s.dropUntil) && s.rng.Float64() < s.drop
+			delay := time.Duration(0)
+			if now.Before(s.delayUntil) {
+				delay = time.Duration(s.rng.Float64() * float64(s.delay))
 			}
-			if now.Before(s.corruptTo) && s.rng.Float64() < s.corrupt {
+			if now.Before(s.corruptUntil) && s.rng.Float64() < s.corrupt {
 				buffer[s.rng.Intn(n)] ^= 1 << s.rng.Intn(8)
 			}
 			s.mu.Unlock()
@@ -198,11 +198,11 @@
 				}
 				return
 			}
-			if late > 0 {
+			if delay > 0 {
 				select {
 				case <-s.ctx.Done():
 					return
-				case <-time.After(late):
+				case <-time.After(delay):
 				}
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -13,12 +13,12 @@
 
 // The losses that are measured.
 const (
-	Killed    Loss = iota
-	Paused         // for six leases
-	CutOff         // from all others, for six leases
-	CutEnds        // it is heard, and hears nobody
-	Ends           // a planned end
-	HandsOver      // by an operator's word
+	Killed     Loss = iota
+	Paused          // for six leases
+	CutOff          // from all others, for six leases
+	InboundCut      // it is heard, and hears nobody
+	Stopped         // a planned end
+	HandedOver      // by an operator's word
 )
 
 var lossNames = [...]string{"killed", "paused", "cut off", "deaf", "a planned end", "handed over"}
@@ -26,11 +26,11 @@
 func (l Loss) String() string { return lossNames[l] }
 
 // Losses are all.
-func Losses() []Loss { return []Loss{Killed, Paused, CutOff, CutEnds, Ends, HandsOver} }
+func Losses() []Loss { return []Loss{Killed, Paused, CutOff, InboundCut, Stopped, HandedOver} }
 
 // TakeOver is the ms for which a work had nobody that acted for it, from when its owner was lost; and how many effects of
 // the old owner an endpoint refused.
-func TakeOver(seed int64, leaseTime float64, l Loss) (free float64, refused int) {
+func TakeOver(seed int64, leaseTime float64, l Loss) (vacancy float64, refused int) {
 	return TakeOverAcross(seed, leaseTime, l, Regions{})
 }
 
@@ -50,50 +50,50 @@
 }
 
 // TakeOverAcross is TakeOver in a fleet whose controllers, and among them its voters, are spread over regions.
-func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (free float64, refused int) {
-	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Pace: members.DefaultConfig(), Latency: regions.latency}
+func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (vacancy float64, refused int) {
+	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Membership: members.DefaultConfig(), Latency: regions.latency}
 	w := NewWorld(p)
 	w.Run(20000 + 2*leaseTime + rand.New(rand.NewSource(seed)).Float64()*leaseTime)
-	var owner *machine
+	var holder *machine
 	for _, m := range w.nodes {
 		if len(m.core.Held(w.local(m))) > 0 {
-			owner = m
+			holder = m
 		}
 	}
-	if owner == nil {
+	if holder == nil {
 		return math.Inf(1), 0
 	}
 	lost, until := w.now, w.now+6*leaseTime
 	switch l {
 	case Killed:
-		w.stop(owner)
+		w.stop(holder)
 	case Paused:
-		owner.paused = until
-	case CutOff, CutEnds:
+		holder.pausedUntil = until
+	case CutOff, InboundCut:
 		for i := range w.nodes {
-			if w.blocked[[2]int{i, owner.number}] = until; l == CutOff {
-				w.blocked[[2]int{owner.number, i}] = until
+			if w.blocked[[2]int{i, holder.number}] = until; l == CutOff {
+				w.blocked[[2]int{holder.number, i}] = until
 			}
 		}
-	case Ends:
-		w.deliver(owner, func() { owner.core.Stop(w.local(owner)) })
-	case HandsOver:
-		w.deliver(owner, func() { owner.core.HandOver(w.local(owner), "work-0", w.nodes[(owner.number+1)%len(w.nodes)].id) })
+	case Stopped:
+		w.deliver(holder, func() { holder.core.Stop(w.local(holder)) })
+	case HandedOver:
+		w.deliver(holder, func() { holder.core.HandOver(w.local(holder), "work-0", w.nodes[(holder.number+1)%len(w.nodes)].id) })
 	}
 	for w.now < lost+20*leaseTime {
 		w.Run(w.now + 5)
 		for _, m := range w.nodes {
-			if m != owner && m.core != nil && w.now >= m.paused && len(m.core.Held(w.local(m))) > 0 {
-				free = w.now - lost
-				if l == CutOff || l == CutEnds { // it acted on for as long as it might
-					free -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
+			if m != holder && m.core != nil && w.now >= m.pausedUntil && len(m.core.Held(w.local(m))) > 0 {
+				vacancy = w.now - lost
+				if l == CutOff || l == InboundCut { // it acted on for as long as it might
+					vacancy -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
 				}
 				w.Run(until + leaseTime)
-				return max(0, free), w.Checker.Late
+				return max(0, vacancy), w.Checker.LateEffects
 			}
 		}
 	}
-	return math.Inf(1), w.Checker.Late
+	return math.Inf(1), w.Checker.LateEffects
 }
 
 // LockFile is the plain baseline: a file with an owner and a time until which it owns, by the wall clocks of the machines,
@@ -103,10 +103,10 @@
 	const end, interval = 60000.0, 50.0 // ms
 	f := newLockFile(seed, leaseTime)
 	for now := 0.0; now < end; now += interval {
-		f.trouble(now)
+		f.injectFault(now)
 		acting := 0
 		for i := range f.machines {
-			if f.turn(i, now) {
+			if f.step(i, now) {
 				acting++
 			}
 		}
@@ -150,8 +150,8 @@
 	return f
 }
 
-// trouble has a machine pause, run fast or slow, or its clock jump by an hour: one of these each ten seconds.
-func (f *lockFile) trouble(now float64) {
+// injectFault has a machine pause, run fast or slow, or its clock jump by an hour: one of these each ten seconds.
+func (f *lockFile) injectFault(now float64) {
 	if f.rng.Intn(200) != 0 {
 		return
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// turn has a machine do its next step, and tells whether it acts.
-func (f *lockFile) turn(i int, now float64) (acts bool) {
+// step has a machine do its next step, and tells whether it acts.
+func (f *lockFile) step(i int, now float64) (acts bool) {
 	m := &f.machines[i]
 	if now < m.paused {
 		return m.acting // it has looked at its clock, and its next effect goes out when it goes on
--- a/internal/lab/fleet/virtual_faults.go
+++ b/internal/lab/fleet/virtual_faults.go
@@ -10,9 +10,9 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// busy has a node do its works: a look at whether it may, and an effect at another controller and at an endpoint that
+// runHolder has a node do its works: a look at whether it may, and an effect at another controller and at an endpoint that
 // lasts. Between the look and the effect anything may happen to the process.
-func (w *World) busy(m *machine, run uint64) {
+func (w *World) runHolder(m *machine, run uint64) {
 	w.at(w.now+100+w.rng.Float64()*200, func() {
 		if m.run != run || m.core == nil {
 			return
@@ -22,40 +22,40 @@
 				m.effects++
 				to := w.nodes[w.rng.Intn(len(w.nodes))]
 				m.core.TryEffect(w.local(m), c.Name, to.id, m.effects, nil)
-				w.strike(m, c, w.nodes[w.rng.Intn(len(w.nodes))])
-				if serial, known := m.handed[c.Name]; !known {
+				w.scheduleEffect(m, c, w.nodes[w.rng.Intn(len(w.nodes))])
+				if serial, known := m.stateSerials[c.Name]; !known {
 					m.core.RequestState(w.local(m), c.Name)
 				} else {
 					m.core.ProposeState(w.local(m), c.Name, serial+1, fmt.Appendf(nil, "%d by %x", serial+1, m.run))
 				}
 			}
 		})
-		w.busy(m, run)
+		w.runHolder(m, run)
 	})
 }
 
-// strike is an effect at an endpoint, which has passed its own check when the process stops, and gets there later.
-func (w *World) strike(m *machine, c lease.Grant, at *machine) {
-	took := 0.5 + w.rng.Float64()
+// scheduleEffect is an effect at an endpoint, which has passed its own check when the process stops, and gets there later.
+func (w *World) scheduleEffect(m *machine, grant lease.Grant, endpoint *machine) {
+	delay := 0.5 + w.rng.Float64()
 	if w.rng.Intn(50) == 0 {
-		took += 3 * w.plan.Lease * w.rng.Float64()
+		delay += 3 * w.plan.Lease * w.rng.Float64()
 	}
 	run := m.run
 	id := m.effects
-	w.at(w.now+took, func() {
-		ok, _ := at.gated.Admit(c.Name, c.Token)
+	w.at(w.now+delay, func() {
+		ok, _ := endpoint.fencing.Admit(grant.Name, grant.Token)
 		if ok || w.plan.Mutant == "gate" {
-			w.Checker.effectAccepted(fmt.Sprintf("endpoint of n%d", at.number), m.number, node.Effect{Grant: c, ID: id}, w.now)
+			w.Checker.effectAccepted(fmt.Sprintf("endpoint of n%d", endpoint.number), m.number, node.Effect{Grant: grant, ID: id}, w.now)
 		}
-		w.Checker.effectBegun(run, c, w.now)
+		w.Checker.effectArrived(run, grant, w.now)
 	})
 }
 
 // Times of faults, in ms.
 const (
-	usualDisk = 2.0 // that a write takes
-	loopEach  = 1000.0
-	loopDown  = 300.0
+	defaultDiskMS   = 2.0 // that a write takes
+	restartInterval = 1000.0
+	restartDowntime = 300.0
 )
 
 // fault has something break.
@@ -66,24 +66,24 @@
 	switch f.Kind {
 	case Kill:
 		w.restart(m, f.For)
-	case Empty, OldCopy:
+	case EmptyFolder, OldCopy:
 		w.loseFolder(m, f)
 	case Pause:
-		m.paused = max(m.paused, until)
-	case Full:
-		m.full = max(m.full, until)
-	case Slow:
+		m.pausedUntil = max(m.pausedUntil, until)
+	case DiskFull:
+		m.diskFullUntil = max(m.diskFullUntil, until)
+	case SlowDisk:
 		m.diskMS = f.Amount
-		w.at(until, func() { m.diskMS = usualDisk })
-	case Clock:
+		w.at(until, func() { m.diskMS = defaultDiskMS })
+	case ClockRate:
 		w.changeRate(m, f.Amount)
 	case KillAll:
 		w.restartAll(f.N, f.For)
 	case HandOver:
 		w.handOver(m, w.nodes[f.B].id)
-	case Loop:
-		for at := 0.0; at < f.For; at += loopEach {
-			w.at(w.now+at, func() { w.restart(m, loopDown) })
+	case RestartLoop:
+		for at := 0.0; at < f.For; at += restartInterval {
+			w.at(w.now+at, func() { w.restart(m, restartDowntime) })
 		}
 	default:
 		if !w.networkFault(f, until) {
@@ -96,21 +96,21 @@
 func (w *World) loseFolder(m *machine, f Fault) {
 	loses := w.losesMajority(m)
 	w.restart(m, f.For)
-	if f.Kind == Empty {
-		m.kept, m.copies, m.config.disk = nil, nil, configDisk{}
+	if f.Kind == EmptyFolder {
+		m.records, m.copies, m.config.disk = nil, nil, configDisk{}
 	} else if !m.putBack(w.now - f.Amount) {
 		return
 	}
-	m.config.folder++
+	m.config.folderGeneration++
 	m.stoppedAs = quorum.Incarnation{}
-	w.lost = w.lost || loses
+	w.majorityLost = w.majorityLost || loses
 }
 
 // putBack has the folder be the latest copy of before a time; false: there is none.
 func (m *machine) putBack(before float64) bool {
 	for i := len(m.copies) - 1; i >= 0; i-- {
 		if m.copies[i].at <= before {
-			m.kept = slices.Clone(m.copies[i].kept)
+			m.records = slices.Clone(m.copies[i].records)
 			m.config.disk = m.copies[i].config
 			return true
 		}
@@ -138,10 +138,10 @@
 
 // handOver has an operator at a controller ask for a lease to be handed over.
 func (w *World) handOver(m *machine, to members.ID) {
-	if m.core == nil || w.now < m.paused {
+	if m.core == nil || w.now < m.pausedUntil {
 		return
 	}
-	w.deliver(m, func() { m.core.HandOver(w.local(m), w.works()[w.rng.Intn(w.plan.Leases)], to) })
+	w.deliver(m, func() { m.core.HandOver(w.local(m), w.leaseNames()[w.rng.Intn(w.plan.Leases)], to) })
 }
 
 // networkFault has the network do something until a time, and tells whether the fault is one of the network.
@@ -152,14 +152,14 @@
 	case CutBoth:
 		w.block(f.A, f.B, until)
 		w.block(f.B, f.A, until)
-	case Isolate, Deaf, Mute:
+	case Isolate, CutInbound, CutOutbound:
 		w.isolate(f, until)
 	case Split:
 		w.split(f.N, until)
 	case Drop:
-		w.drop, w.dropTo = f.Amount, until
+		w.drop, w.dropUntil = f.Amount, until
 	case Delay:
-		w.delay, w.delayTo = f.Amount, until
+		w.delay, w.delayUntil = f.Amount, until
 	default:
 		return false
 	}
@@ -176,10 +176,10 @@
 // isolate has one neither hear nor be heard, or only one of both.
 func (w *World) isolate(f Fault, until float64) {
 	for i := range w.nodes {
-		if f.Kind != Mute {
+		if f.Kind != CutOutbound {
 			w.block(i, f.A, until)
 		}
-		if f.Kind != Deaf {
+		if f.Kind != CutInbound {
 			w.block(f.A, i, until)
 		}
 	}
--- a/internal/lab/fleet/virtual_measure.go
+++ b/internal/lab/fleet/virtual_measure.go
@@ -16,24 +16,24 @@
 // MeasureMembers runs a fleet in virtual time: 20 s and 20 ms for each node to converge, then long ms at rest, or with
 // a share of the messages lost (0 to 1) and with pauses, each second one node for 0.2 to 3 s; then 60 s of rest, and
 // one node is killed.
-func MeasureMembers(seed int64, nodes int, loss float64, pauses bool, long float64) (c MembershipMeasurements) {
-	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Lease: 10000, Pace: members.DefaultConfig()}
+func MeasureMembers(seed int64, nodes int, loss float64, pauses bool, duration float64) (c MembershipMeasurements) {
+	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Lease: 10000, Membership: members.DefaultConfig()}
 	w := NewWorld(p)
-	warm := 20000 + 20*float64(nodes)
-	w.Run(warm)
+	converged := 20000 + 20*float64(nodes)
+	w.Run(converged)
 	if loss > 0 {
-		w.drop, w.dropTo = loss, warm+long
+		w.drop, w.dropUntil = loss, converged+duration
 	}
 	if pauses {
-		for at := warm; at < warm+long; at += 1000 {
-			w.at(at, func() { m := w.nodes[w.rng.Intn(nodes)]; m.paused = w.now + 200 + 2800*w.rng.Float64() })
+		for at := converged; at < converged+duration; at += 1000 {
+			w.at(at, func() { m := w.nodes[w.rng.Intn(nodes)]; m.pausedUntil = w.now + 200 + 2800*w.rng.Float64() })
 		}
 	}
-	w.TalkBytes, w.Wakes, w.False, w.FalseGone = 0, 0, 0, 0
-	w.Run(warm + long)
-	seconds := long / 1000
-	c = MembershipMeasurements{BytesPerSecond: float64(w.TalkBytes) / seconds / float64(nodes), TicksPerSecond: float64(w.Wakes) / seconds / float64(nodes),
-		FalseSuspicionsPerHour: float64(w.False) / seconds * 3600, FalseDeathsPerHour: float64(w.FalseGone) / seconds * 3600}
+	w.MembershipBytes, w.Ticks, w.FalseSuspicions, w.FalseDeaths = 0, 0, 0, 0
+	w.Run(converged + duration)
+	seconds := duration / 1000
+	c = MembershipMeasurements{BytesPerSecond: float64(w.MembershipBytes) / seconds / float64(nodes), TicksPerSecond: float64(w.Ticks) / seconds / float64(nodes),
+		FalseSuspicionsPerHour: float64(w.FalseSuspicions) / seconds * 3600, FalseDeathsPerHour: float64(w.FalseDeaths) / seconds * 3600}
 	w.Run(w.now + 60000)
 	dead := w.nodes[nodes-1]
 	w.stop(dead)
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -22,7 +22,7 @@
 	if to < 0 {
 		return
 	}
-	w.configSent(from, to, &s.Message)
+	w.interceptConfig(from, to, &s.Message)
 	data, err := w.encode(&s.Message)
 	if err != nil {
 		w.Checker.fail(w.now, "message: %v", err)
@@ -39,7 +39,7 @@
 		w.deliver(target, func() { w.receive(target, from.id, &s.Message, data) })
 	}
 	if s.Message.Renew != nil {
-		w.Promises.Sent(run, s.Message.Renew, w.now)
+		w.Renewals.Sent(run, s.Message.Renew, w.now)
 	}
 	if w.isBlocked(from.number, to) || lost {
 		return
@@ -61,7 +61,7 @@
 func (w *World) countMessage(from, to int, m *node.Message, bytes int) {
 	w.countSent(from, to, m, bytes)
 	if m.Members != nil {
-		w.TalkBytes += bytes + frameBytes
+		w.MembershipBytes += bytes + frameBytes
 	}
 }
 
@@ -71,10 +71,10 @@
 	if w.plan.Latency != nil {
 		took = w.plan.Latency(from, to) + w.rng.Float64()
 	}
-	if w.now < w.dropTo {
+	if w.now < w.dropUntil {
 		lost, twice = w.rng.Float64() < w.drop, w.rng.Float64() < w.drop/4
 	}
-	if w.now < w.delayTo {
+	if w.now < w.delayUntil {
 		took += w.rng.Float64() * w.delay
 	}
 	return took, lost, twice
@@ -91,7 +91,7 @@
 		}
 	}
 	if m.RenewResponse != nil && m.RenewResponse.To.Run == target.run {
-		w.Promises.Came(target.run, m.RenewResponse, w.now)
+		w.Renewals.Answered(target.run, m.RenewResponse, w.now)
 	}
 	target.core.Receive(w.local(target), from, &m)
 }
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -19,10 +19,10 @@
 		if why := w.Play(); why != "" {
 			t.Fatalf("%d nodes: %s", nodes, why)
 		}
-		if w.Checker.Overlap > 0 || w.Checker.Effects == 0 || w.False > 0 {
-			t.Errorf("%d nodes: %d overlaps, %d effects, %d false suspicions", nodes, w.Checker.Overlap, w.Checker.Effects, w.False)
+		if w.Checker.Overlaps > 0 || w.Checker.Effects == 0 || w.FalseSuspicions > 0 {
+			t.Errorf("%d nodes: %d overlaps, %d effects, %d false suspicions", nodes, w.Checker.Overlaps, w.Checker.Effects, w.FalseSuspicions)
 		}
-		for name, free := range w.Checker.Free {
+		for name, free := range w.Checker.Vacancies {
 			if len(free) != 1 || free[0] > 10000 {
 				t.Errorf("%d nodes: %s was free for %v ms", nodes, name, free)
 			}
@@ -45,7 +45,7 @@
 func TestTakeOver(t *testing.T) {
 	for _, l := range Losses() {
 		most := 4000*1.5 + 8000.0
-		if l == Ends || l == HandsOver {
+		if l == Stopped || l == HandedOver {
 			most = 1500
 		}
 		if free, _ := TakeOver(3, 4000, l); free > most {
@@ -79,35 +79,35 @@
 	if why := w.Play(); why != "" {
 		t.Fatal(why)
 	}
-	t.Logf("whole %.0f ms after the last, %d effects, %d late ones refused", w.Whole, w.Checker.Effects, w.Checker.Late)
-	if w.Checker.Effects < 500 || w.Checker.Handed < 500 {
+	t.Logf("whole %.0f ms after the last, %d effects, %d late ones refused", w.Recovery, w.Checker.Effects, w.Checker.LateEffects)
+	if w.Checker.Effects < 500 || w.Checker.Checkpoints < 500 {
 		t.Errorf("%d effects", w.Checker.Effects)
 	}
 }
 
 // The checker of promises finds what no register could have given.
 func TestPromises(t *testing.T) {
-	type told struct {
+	type answer struct {
 		run       uint64
-		epoch     lease.Token
+		token     lease.Token
 		from, til float64
 	}
 	for name, c := range map[string]struct {
-		list []told
+		list []answer
 		ok   bool
 	}{
-		"one after another":                             {[]told{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
-		"at once, in some order":                        {[]told{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
-		"an older owner after a later one":              {[]told{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
-		"two of one epoch":                              {[]told{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
-		"two of one epoch at once":                      {[]told{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
-		"an answer that came late to a question of old": {[]told{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
+		"one after another":                             {[]answer{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
+		"at once, in some order":                        {[]answer{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
+		"an older owner after a later one":              {[]answer{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
+		"two of one epoch":                              {[]answer{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
+		"two of one epoch at once":                      {[]answer{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
+		"an answer that came late to a question of old": {[]answer{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
 	} {
-		p := NewPromises()
+		p := NewRenewals()
 		for i, x := range c.list {
 			r := &lease.Renew{Sequence: uint64(i + 1)}
 			p.Sent(x.run, r, x.from)
-			p.Came(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.epoch}}}, x.til)
+			p.Answered(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.token}}}, x.til)
 		}
 		if why := p.Check(); (why == "") != c.ok {
 			t.Errorf("%s: %q", name, why)
--- a/internal/lab/scale/spread/measure.go
+++ b/internal/lab/scale/spread/measure.go
@@ -61,7 +61,7 @@
 
 // underLoss does so while a tenth of all messages is lost.
 func underLoss(ctx context.Context, s *simulation, changes int) error {
-	s.world.Lose(0.1, 1e12)
+	s.world.DropMessages(0.1, 1e12)
 	if err := s.run(ctx, lastWait); err != nil {
 		return err
 	}
--- a/internal/lab/scale/spread/world.go
+++ b/internal/lab/scale/spread/world.go
@@ -65,7 +65,7 @@
 // newSimulation starts a fleet and lets it find itself.
 func newSimulation(ctx context.Context, seed int64, nodes int) (*simulation, error) {
 	voters := min(Voters, nodes)
-	plan := fleet.Plan{Seed: seed, Nodes: nodes, Voters: voters, Lease: 10000, Pace: members.DefaultConfig(), Config: true, Latency: latency, Direct: true}
+	plan := fleet.Plan{Seed: seed, Nodes: nodes, Voters: voters, Lease: 10000, Membership: members.DefaultConfig(), Config: true, Latency: latency, Direct: true}
 	s := &simulation{world: fleet.NewWorld(plan), rng: rand.New(rand.NewSource(seed*31 + 7)), nodes: nodes,
 		reached: make([][]reach, nodes), base: make([]float64, nodes)}
 	s.world.Observe(func(machine int, number uint64, started bool) {
