--- a/internal/lab/fleet/checker.go
+++ b/internal/lab/fleet/checker.go
@@ -7,32 +7,33 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Checker looks at what receivers wrote down, and finds what may not be.
+// Checker checks the safety of leases from the records of the receivers of effects. It keeps the first violation.
 type Checker struct {
-	Broken string // what broke first; empty: nothing
+	Broken string // the first violation; empty: none
 
-	highest     map[string]map[lease.Name]lease.Token // by receiver
-	holders     map[lease.Grant]int                   // whose effects were accepted under a token, by controller
-	acting      map[lease.Name]map[uint64]lease.Token // runs that act, by their own account: for times alone
+	highest     map[string]map[lease.Name]lease.Token // the highest token that was accepted, by receiver
+	holders     map[lease.Grant]int                   // the controller whose effects were accepted under a grant
+	acting      map[lease.Name]map[uint64]lease.Token // runs that act as holders, as they report it: for durations only
 	Vacancies   map[lease.Name][]float64              // ms without a holder, each time
 	vacantSince map[lease.Name]float64
-	Overlaps    int // times that two acted at once, of which one was refused by its token
+	Overlaps    int // times that two runs acted at once, of which one is refused by its token
 	Effects     int
-	LateEffects int // effects that an endpoint saw after its holder had stopped
+	LateEffects int // effects that reached an endpoint after their holder had stopped acting
 
-	checkpoints  map[lease.Name]map[uint64]string // what was handed on, by its serial
+	checkpoints  map[lease.Name]map[uint64]string // the state passed from holder to holder, by its serial
 	latestSerial map[lease.Name]uint64
 	Checkpoints  int
 }
 
-// NewChecker has seen nothing.
+// NewChecker returns a checker without any records.
 func NewChecker() *Checker {
 	return &Checker{highest: map[string]map[lease.Name]lease.Token{}, holders: map[lease.Grant]int{},
 		acting: map[lease.Name]map[uint64]lease.Token{}, Vacancies: map[lease.Name][]float64{},
 		vacantSince: map[lease.Name]float64{}, checkpoints: map[lease.Name]map[uint64]string{}, latestSerial: map[lease.Name]uint64{}}
 }
 
-// checkpointReceived checks what a holder was told of the state that holders hand on: of each serial there is one, for all of them.
+// checkpointReceived checks a state that a holder received from earlier holders: each serial stands for one state, at all
+// holders.
 func (ch *Checker) checkpointReceived(h node.Checkpoint, now float64) {
 	ch.Checkpoints++
 	states := ch.checkpoints[h.Grant.Name]
@@ -53,7 +54,8 @@
 	}
 }
 
-// effectAccepted checks an effect that a receiver accepted: of one token there is one holder, and none follows a later one's.
+// effectAccepted checks an effect that a receiver accepted: a token has one holder, and a receiver accepts no effect of a
+// lower token after one of a higher token.
 func (ch *Checker) effectAccepted(receiver string, from int, e node.Effect, now float64) {
 	ch.Effects++
 	seen := ch.highest[receiver]
@@ -114,7 +116,8 @@
 	}
 }
 
-// Shrink leaves out faults as long as the history still breaks, and returns the shortest script found and what breaks.
+// Shrink removes faults from a plan's script as long as the history still breaks, and returns the plan with the shortest
+// script found and its violation.
 func Shrink(p Plan) (Plan, string) {
 	why := NewWorld(p).Play()
 	for size := max(1, len(p.Script)/2); size >= 1; {
--- a/internal/lab/fleet/configuration.go
+++ b/internal/lab/fleet/configuration.go
@@ -15,17 +15,17 @@
 	"mintkeel/internal/lab/fleet/configuration"
 )
 
-// errDiskFull is what storing tells while a disk takes nothing.
+// errDiskFull is the error of a store while the disk is full.
 var errDiskFull = errors.New("no space left on device")
 
-// errBusy is what applying tells now and then, and does not tell again.
+// errBusy is the transient error of an apply that succeeds when it is retried.
 var errBusy = errors.New("busy")
 
-// checkShare is the part that checking a document takes of the time for applying it.
+// checkShare is the time for checking a document, as a share of the time for applying it.
 const checkShare = 0.5
 
-// configDisk is the part of a controller's folder that holds its configuration. It is replaced, never changed, so that
-// copies may share it.
+// configDisk is the part of a controller's folder that stores its configuration. It is replaced and never modified, so that
+// copies of the folder can share it.
 type configDisk struct {
 	current   config.Version
 	documents map[config.Hash][]byte
@@ -48,39 +48,39 @@
 	return next
 }
 
-// configMachine is what a controller has for the fleet's configuration.
+// configMachine is a controller's part of the fleet's configuration.
 type configMachine struct {
 	disk             configDisk
-	folderGeneration int            // the folder's generation: one more when it is emptied or an older copy is put back
+	folderGeneration int            // incremented when the folder is emptied or an older copy is restored
 	inForce          config.Version // of this run
-	refs             uint64         // of this run's questions
+	refs             uint64         // the last reference given to a request of this run
 	pending          map[uint64]configPending
-	applyMS          float64 // that taking a version into use takes
+	applyMS          float64 // typical duration of applying a version; each one is drawn around it
 }
 
-// configPending is what an operator waits for at a controller.
+// configPending is a request of an operator to a controller that has no result yet.
 type configPending struct {
 	reason    string // of a proposal
-	rollback  uint64 // the version to go back to, whose document is asked for
+	rollback  uint64 // the version to roll back to, whose document is being fetched
 	expect    uint64
 	status    func(config.Answer)
-	concluded func(config.ProposalResult) // nil: nobody but the checker is told
+	concluded func(config.ProposalResult) // nil: the result goes to the checker only
 }
 
-// configWorld is what a world has for the fleet's configuration.
+// configWorld is a world's part of the fleet's configuration.
 type configWorld struct {
 	checker      *configuration.Checker
-	documents    map[config.Hash][]byte // all that were ever proposed
+	documents    map[config.Hash][]byte // every document that was ever proposed
 	proposals    int
-	corruptUntil float64 // until when some chunks are changed on their way
-	replayUntil  float64 // until when old messages come again
+	corruptUntil float64 // until when some chunks are corrupted in transit
+	replayUntil  float64 // until when old messages are delivered again
 	replays      []configReplay
-	healedAt     float64 // when the last fault's trace was gone: the last process was started again
+	healedAt     float64 // when a process was last started: the effect of the last fault is over then
 
 	times         ConfigurationTimes
 	observed      func(machine int, number uint64, started bool)
-	killAtVersion uint64  // the version at which the leader is to be killed; 0: it is not
-	killDowntime  float64 // for so long
+	killAtVersion uint64  // the version at which the leader is killed; 0: none
+	killDowntime  float64 // ms until it is started again
 }
 
 type configReplay struct {
@@ -92,7 +92,7 @@
 const (
 	maxReplays     = 400
 	replayInterval = 700.0
-	settleBound    = 19000.0 // the operators' bound
+	settleBound    = 19000.0 // ms within which operators are promised that a version is in force
 )
 
 func newConfigWorld(nodes []*machine) *configWorld {
@@ -103,7 +103,7 @@
 	return &configWorld{checker: configuration.NewChecker(ids), documents: map[config.Hash][]byte{}, observed: func(int, uint64, bool) {}}
 }
 
-// Configuration is the checker of the fleet's configuration; nil where the plan has none.
+// Configuration returns the checker of the fleet's configuration, or nil where the plan has none.
 func (w *World) Configuration() *configuration.Checker {
 	if w.config == nil {
 		return nil
@@ -111,8 +111,7 @@
 	return w.config.checker
 }
 
-// checkDocument is the rule by which a machine can use documents or not: one that names it is refused there, one that
-// names all is refused anywhere.
+// checkDocument decides whether a machine can use a document: it refuses documents that name this machine or all machines.
 func (m *machine) checkDocument(document []byte) error {
 	if bytes.Contains(document, []byte("refused-by-all")) || bytes.Contains(document, fmt.Appendf(nil, "refused-by-%s;", m.id)) {
 		return fmt.Errorf("%s can't use this document", m.id)
@@ -120,13 +119,13 @@
 	return nil
 }
 
-// loadConfig begins a run's part with what the folder holds.
+// loadConfig resets the configuration of a new run to the state that its folder stores.
 func (w *World) loadConfig(m *machine) *node.FleetConfig {
 	if w.config == nil {
 		return nil
 	}
 	disk := m.config.disk
-	if w.plan.Mutant == "old kept" && m.restarts%2 == 1 { // a start with an older version than the folder's
+	if w.plan.Mutant == "old kept" && m.restarts%2 == 1 { // starts with an older version than the folder stores
 		disk = m.config.olderDisk(m.copies, disk)
 	}
 	m.config.inForce = disk.current
@@ -134,7 +133,7 @@
 	return &node.FleetConfig{Stored: config.StoredState{Current: disk.current, Documents: maps.Clone(disk.documents)}}
 }
 
-// olderDisk is the latest copy with a lower version than the folder's.
+// olderDisk returns the latest copy with a lower version than the folder's, or the folder's own if there is none.
 func (c *configMachine) olderDisk(copies []folderCopy, disk configDisk) configDisk {
 	for i := len(copies) - 1; i >= 0; i-- {
 		if copies[i].config.current.Number < disk.current.Number {
@@ -152,7 +151,7 @@
 	return configuration.Folder{Controller: m.id, Generation: m.config.folderGeneration}
 }
 
-// configStarted tells the checker what a process has in force from its start.
+// configStarted reports to the checker which version a process has in force at its start.
 func (w *World) configStarted(m *machine) {
 	if w.config == nil {
 		return
@@ -162,14 +161,14 @@
 	w.config.healedAt = w.now
 }
 
-// configEnded tells the checker that a process ended.
+// configEnded reports the end of a process to the checker.
 func (w *World) configEnded(m *machine) {
 	if w.config != nil {
 		w.config.checker.Ended(w.now, m.id)
 	}
 }
 
-// handleConfigOutput does what a replica of the configuration asks for.
+// handleConfigOutput carries out the requests of a replica of the configuration, and passes on its results.
 func (w *World) handleConfigOutput(m *machine, out config.Output) {
 	if w.config == nil {
 		return
@@ -189,7 +188,7 @@
 	for _, a := range out.QueryResults {
 		if request, ok := m.config.pending[a.Ref]; ok && request.status != nil {
 			delete(m.config.pending, a.Ref)
-			if a.From == m.id && a.Answer.Status != nil { // made here, now
+			if a.From == m.id && a.Answer.Status != nil { // a status from another machine is checked when it is sent
 				w.config.checker.StatusMade(w.now, w.mutateStatus(a.Answer.Status), knownRuns(m))
 			}
 			request.status(a.Answer)
@@ -203,7 +202,7 @@
 	}
 }
 
-// checkConfig checks a document for a part of the time that applying takes.
+// checkConfig has a machine check a document, which takes a part of the time for applying it.
 func (w *World) checkConfig(m *machine, run uint64, c *config.CheckRequest) {
 	w.at(w.now+checkShare*m.config.applyMS, func() {
 		if m.run != run || m.core == nil {
@@ -215,8 +214,8 @@
 	})
 }
 
-// storeConfig makes what a replica asks for durable, one step after another; a process that ends meanwhile leaves the
-// steps done so far.
+// storeConfig makes a store request of a replica durable in two steps: first the document, then the rest. A process that
+// ends in between leaves the first step done.
 func (w *World) storeConfig(m *machine, run uint64, s *config.StoreRequest) {
 	duration := m.diskMS * (0.5 + w.rng.Float64())
 	running := func() bool { return m.run == run && m.core != nil }
@@ -243,11 +242,11 @@
 	})
 }
 
-// writeConfig writes the rest of what is to be stored. The copies of a folder are kept with it.
+// writeConfig does the second step of a store request, and then keeps a copy of the folder.
 func (w *World) writeConfig(m *machine, s *config.StoreRequest) {
 	disk := &m.config.disk
 	if s.Document != nil && disk.documents[s.Hash] == nil {
-		*disk = disk.with(s.Hash, slices.Clone(s.Document)) // the first step found the disk full
+		*disk = disk.with(s.Hash, slices.Clone(s.Document)) // the disk was full at the first step
 	}
 	if s.Current != nil {
 		switch {
@@ -264,7 +263,7 @@
 	w.keepCopy(m)
 }
 
-// applyConfig takes a version into use after the time that it takes.
+// applyConfig has a machine apply a version, which takes a while and is refused as busy at times.
 func (w *World) applyConfig(m *machine, run uint64, a *config.ApplyRequest) {
 	duration := m.config.applyMS * (0.1 + 2*w.rng.Float64())
 	busy := w.rng.Float64() < w.plan.Busy
@@ -284,7 +283,7 @@
 	})
 }
 
-// versionApplied notes what a process has taken into use.
+// versionApplied records that a process has applied a version, and checks that it may.
 func (w *World) versionApplied(m *machine, v config.Version, document []byte) {
 	if w.plan.Mutant == "old apply" && m.config.inForce.Number > 1 && w.rng.Intn(10) == 0 {
 		v.Number--
@@ -302,7 +301,8 @@
 	w.config.observed(m.number, v.Number, false)
 }
 
-// interceptConfig looks at a message on its way: a status is judged when it is made; some are changed or kept to come again.
+// interceptConfig handles a message about the configuration as it is sent: a status is checked, some chunks are corrupted,
+// and some messages are recorded for replay.
 func (w *World) interceptConfig(from *machine, to int, message *node.Message) {
 	if w.config == nil || message.Config == nil {
 		return
@@ -318,7 +318,7 @@
 	}
 }
 
-// knownRuns are the runs of which a machine takes the others to be.
+// knownRuns returns the runs of all members as a machine knows them.
 func knownRuns(m *machine) map[members.ID]uint64 {
 	runs := map[members.ID]uint64{}
 	for _, about := range m.core.Members() {
@@ -327,7 +327,7 @@
 	return runs
 }
 
-// mutateStatus counts one more, where that is the mutant.
+// mutateStatus counts one controller too many as in force if the plan's mutant is "count twice".
 func (w *World) mutateStatus(s *config.Status) *config.Status {
 	if w.plan.Mutant != "count twice" {
 		return s
@@ -337,7 +337,7 @@
 	return &changed
 }
 
-// corrupted is a message whose chunk has another byte.
+// corrupted returns a copy of a message with one bit of its chunk flipped.
 func corrupted(rng *rand.Rand, m *config.Message) *config.Message {
 	changed, chunk := *m, *m.Chunk
 	chunk.Data = slices.Clone(chunk.Data)
@@ -348,7 +348,7 @@
 	return &changed
 }
 
-// replay has messages of before come again, as long as that lasts, those of earlier runs among them.
+// replay delivers recorded messages again until replayUntil, also those of earlier runs of their senders.
 func (w *World) replay() {
 	if w.now >= w.config.replayUntil {
 		w.config.replays = nil
@@ -362,14 +362,15 @@
 		}
 		message := old.message
 		if from.run != old.run {
-			message.HoldReply = nil // what a run of before promised of its folder is bound to its connection
+			message.HoldReply = nil // a confirmation that a folder stores a document is bound to its run's connection
 		}
 		w.deliver(target, func() { target.core.Receive(w.local(target), from.id, &node.Message{Config: &message}) })
 	}
 	w.at(w.now+replayInterval, w.replay)
 }
 
-// document draws the content of a version: of some bytes, to be refused by some.
+// document makes a document of a size in bytes: refused by one machine, by all (refusedBy is their number), or by none
+// (refusedBy is negative).
 func (w *World) document(size, refusedBy int) []byte {
 	w.config.proposals++
 	text := fmt.Sprintf("# configuration %d of seed %d\n", w.config.proposals, w.plan.Seed)
@@ -386,7 +387,7 @@
 	return document
 }
 
-// knownVersion is what an operator who looks at a controller takes for the newest version.
+// knownVersion returns the number that an operator at a controller takes for the newest version.
 func (w *World) knownVersion(m *machine) uint64 {
 	return max(m.config.inForce.Number, w.config.checker.Newest().Number)
 }
@@ -397,7 +398,7 @@
 		return
 	}
 	if m.checkDocument(document) != nil {
-		return // the command refuses it before anybody is asked
+		return // the operator's command refuses it before it is proposed
 	}
 	w.propose(m, expect, document, 0)
 }
@@ -413,7 +414,7 @@
 		m.config.refs++
 		ref := m.config.refs
 		m.config.pending[ref] = configPending{reason: reason}
-		w.trace("n%d is asked for %s of %d bytes after version %d", m.number, reason, len(document), expect)
+		w.trace("n%d is asked to propose %s of %d bytes after version %d", m.number, reason, len(document), expect)
 		m.core.WithConfig(w.local(m), func(r *config.Replica) { r.Propose(w.local(m), ref, document, expect, v) })
 	})
 }
@@ -421,7 +422,7 @@
 func (w *World) proposalConcluded(m *machine, o config.ProposalResult) {
 	request, ok := m.config.pending[o.Ref]
 	if !ok || request.reason == "" {
-		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s tells the outcome of %d, which was not asked, or twice", w.now, m.id, o.Ref)
+		w.config.checker.Broken = fmt.Sprintf("%.1f ms: %s reports the result of request %d, which is unknown or has its result already", w.now, m.id, o.Ref)
 		return
 	}
 	delete(m.config.pending, o.Ref)
@@ -431,7 +432,7 @@
 	if w.plan.Mutant == "tell lost" && o.Result == config.Committed {
 		o.Result = config.Conflict
 	}
-	w.trace("n%d tells that %s is %s: version %d, %s", m.number, request.reason, resultNames[o.Result], o.Version.Number, o.Reason)
+	w.trace("n%d reports that %s is %s: version %d, %s", m.number, request.reason, resultNames[o.Result], o.Version.Number, o.Reason)
 	w.config.checker.Concluded(w.now, request.reason, o)
 	if request.concluded != nil {
 		request.concluded(o)
@@ -440,7 +441,7 @@
 
 var resultNames = [...]string{"not known", "agreed", "lost", "refused"}
 
-// rollBack has an operator go back to an older version, whose document is asked for first.
+// rollBack has an operator roll back to an older version, whose document is fetched first.
 func (w *World) rollBack(m *machine, back int) {
 	newest := w.config.checker.Newest().Number
 	if m.core == nil || w.now < m.pausedUntil || newest < 2 {
@@ -472,7 +473,7 @@
 	}
 }
 
-// askStatus has an operator ask at a controller where the newest version is in force.
+// askStatus has an operator ask a controller where the newest version is in force.
 func (w *World) askStatus(m *machine, answered func(config.Answer)) {
 	if m.core == nil || w.now < m.pausedUntil {
 		return
@@ -485,7 +486,7 @@
 	})
 }
 
-// checkHistories has the checker see what voters hold as agreed on.
+// checkHistories passes the agreed versions of each voter to the checker.
 func (w *World) checkHistories() {
 	for _, m := range w.nodes {
 		if state := w.configState(m); state != nil {
@@ -494,7 +495,7 @@
 	}
 }
 
-// configState is what a voter holds as agreed on; nil: it does not vote.
+// configState returns the agreed state of the configuration at a voter, or nil for a machine that does not vote.
 func (w *World) configState(m *machine) *config.State {
 	if m.core == nil {
 		return nil
--- a/internal/lab/fleet/configuration/checker.go
+++ b/internal/lab/fleet/configuration/checker.go
@@ -1,6 +1,6 @@
-// Package configuration checks histories of a fleet's configuration: what controllers applied, what their folders held,
-// what operators were told, and what a status counted, each as it was written down when it happened. The same checker
-// judges fleets in virtual time and fleets of processes. It knows nothing of how versions are agreed on or spread.
+// Package configuration checks histories of a fleet's configuration: the versions that controllers applied and their folders
+// stored, the results that operators received, and the counts of statuses, each recorded when it happened. The same checker
+// serves fleets in virtual time and fleets of processes. It depends on nothing of how versions are agreed on or distributed.
 package configuration
 
 import (
@@ -20,7 +20,8 @@
 
 func (i Incarnation) String() string { return fmt.Sprintf("%s/%x", i.Controller, i.Run) }
 
-// Folder is what a controller keeps, until it is emptied or an older copy is put back: then it is another one.
+// Folder is the state that a controller stores. A folder that is emptied or replaced by an older copy has a new generation,
+// and counts as another folder.
 type Folder struct {
 	Controller members.ID
 	Generation int
@@ -28,21 +29,21 @@
 
 func (f Folder) String() string { return fmt.Sprintf("folder %d of %s", f.Generation, f.Controller) }
 
-// Proposal is one put or rollback of an operator. Reason is drawn for it alone and tells it apart.
+// Proposal is one put or rollback of an operator. Its reason is unique and identifies it.
 type Proposal struct {
 	Reason string
 	Expect uint64
 	Hash   config.Hash
 }
 
-// application is that an incarnation took a version into use.
+// application records that an incarnation applied a version.
 type application struct {
 	run    uint64
 	number uint64
 	at     float64
 }
 
-// verdict is how a proposal ended, by the word of the fleet.
+// verdict is the result of a proposal as the fleet reported it.
 type verdict struct {
 	proposal  Proposal
 	concluded bool
@@ -50,11 +51,12 @@
 	number    uint64
 }
 
-// Checker takes in what happened, in the order of time, and holds what was wrong first. Times are in ms.
+// Checker checks what happens to a configuration, which it is given in the order of time, and keeps the first violation.
+// Times are in ms.
 type Checker struct {
-	Broken string // what was wrong first; empty: nothing
+	Broken string // the first violation; empty: none
 
-	RunsUnknown bool // the runs that a status tells are other numbers than those of what was applied
+	RunsUnknown bool // the runs in a status are numbered otherwise than those of incarnations, and are not compared
 
 	Applications int
 	Proposals    int
@@ -66,10 +68,10 @@
 
 	controllers  []members.ID
 	hashes       map[uint64]config.Hash
-	reasons      map[uint64]string // of agreed versions, by number
-	numbers      map[string]uint64 // the same the other way
-	inRun        map[Incarnation]uint64
-	inFolder     map[Folder]uint64
+	reasons      map[uint64]string      // of agreed versions, by number
+	numbers      map[string]uint64      // of agreed versions, by reason
+	inRun        map[Incarnation]uint64 // the version that a run applied last
+	inFolder     map[Folder]uint64      // the version that was last applied on a folder
 	applications map[members.ID][]application
 	verdicts     map[string]*verdict
 	newest       config.Version
@@ -77,7 +79,7 @@
 	down         map[members.ID]bool
 }
 
-// NewChecker is one for a fleet of these controllers.
+// NewChecker returns a checker for a fleet of these controllers.
 func NewChecker(controllers []members.ID) *Checker {
 	return &Checker{
 		controllers:  slices.Sorted(slices.Values(controllers)),
@@ -93,14 +95,14 @@
 	}
 }
 
-// fail notes what is wrong, if nothing was before.
+// fail records a violation, if it is the first.
 func (c *Checker) fail(now float64, format string, args ...any) {
 	if c.Broken == "" {
 		c.Broken = fmt.Sprintf("%.1f ms: ", now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// identify takes in that a number stands for a document: for one alone, ever and anywhere.
+// identify checks that a version number stands for the same document always and everywhere.
 func (c *Checker) identify(now float64, source string, number uint64, hash config.Hash) {
 	if number == 0 {
 		return
@@ -112,7 +114,7 @@
 	c.hashes[number] = hash
 }
 
-// Started takes in that a process began, with what its folder says is in force. Number 0: nothing.
+// Started records the start of a process, with the version that its folder has in force; number 0: none.
 func (c *Checker) Started(now float64, who Incarnation, folder Folder, current config.Version) {
 	c.lastSeen[who.Controller], c.down[who.Controller] = now, false
 	if current.Number < c.inFolder[folder] {
@@ -123,12 +125,12 @@
 	}
 }
 
-// Ended takes in that a controller's process ended.
+// Ended records the end of a controller's process.
 func (c *Checker) Ended(now float64, controller members.ID) {
 	c.lastSeen[controller], c.down[controller] = now, true
 }
 
-// Applied takes in that a process took a version into use.
+// Applied records that a process applied a version.
 func (c *Checker) Applied(now float64, who Incarnation, folder Folder, v config.Version) {
 	c.lastSeen[who.Controller] = now
 	c.apply(now, who, folder, v)
@@ -147,21 +149,21 @@
 	c.applications[who.Controller] = append(c.applications[who.Controller], application{who.Run, v.Number, now})
 }
 
-// Proposed takes in that an operator asked for a version.
+// Proposed records a proposal of an operator.
 func (c *Checker) Proposed(p Proposal) {
 	c.Proposals++
 	c.verdicts[p.Reason] = &verdict{proposal: p}
 }
 
-// Concluded takes in what the operator was told of a proposal.
+// Concluded records the result of a proposal that the operator received.
 func (c *Checker) Concluded(now float64, reason string, o config.ProposalResult) {
 	told := c.verdicts[reason]
 	if told == nil {
-		c.fail(now, "an outcome of %q, which nobody proposed", reason)
+		c.fail(now, "a result of %q, which nobody proposed", reason)
 		return
 	}
 	if told.concluded && (told.result != o.Result || told.number != o.Version.Number) {
-		c.fail(now, "%q was told to be %v and %v", reason, told.result, o.Result)
+		c.fail(now, "%q was reported as %v and %v", reason, told.result, o.Result)
 	}
 	told.concluded, told.result, told.number = true, o.Result, o.Version.Number
 	switch o.Result {
@@ -180,35 +182,35 @@
 	}
 }
 
-// concludedAgreed checks what was told of an agreed version: it follows the one that was expected, so that of two with
-// one expectation at most one is agreed on.
+// concludedAgreed checks the result of an agreed proposal: its version follows the expected one, so that of two proposals
+// with the same expected version at most one is agreed on.
 func (c *Checker) concludedAgreed(now float64, told *verdict, v config.Version) {
 	p := told.proposal
 	if v.Number != p.Expect+1 {
-		c.fail(now, "%q expected version %d and was told to be version %d", p.Reason, p.Expect, v.Number)
+		c.fail(now, "%q expected version %d and was reported as version %d", p.Reason, p.Expect, v.Number)
 	}
 	if v.Hash != p.Hash {
-		c.fail(now, "%q is document %.8s and was told to be %.8s", p.Reason, p.Hash, v.Hash)
+		c.fail(now, "%q is document %.8s and was reported as %.8s", p.Reason, p.Hash, v.Hash)
 	}
-	c.recordAgreed(now, "an outcome", v, p.Reason)
+	c.recordAgreed(now, "a result", v, p.Reason)
 }
 
-// contradict checks a proposal that is in the history against what its operator was told.
+// contradict checks a proposal that is in the history against the result that its operator received.
 func (c *Checker) contradict(now float64, told *verdict, number uint64) {
 	switch {
 	case !told.concluded || told.result == config.Unknown:
 	case told.result == config.Conflict || told.result == config.Rejected:
-		c.fail(now, "%q was told to be lost or refused and is version %d", told.proposal.Reason, number)
+		c.fail(now, "%q was reported as lost or refused and is version %d", told.proposal.Reason, number)
 	case told.number != number:
-		c.fail(now, "%q was told to be version %d and is version %d", told.proposal.Reason, told.number, number)
+		c.fail(now, "%q was reported as version %d and is version %d", told.proposal.Reason, told.number, number)
 	}
 }
 
-// History takes in what a voter holds as agreed on, or what a leader answered.
+// History records the agreed versions of a voter, or those in a leader's answer.
 func (c *Checker) History(now float64, source string, versions []config.Version) {
 	for i, v := range versions {
 		if i > 0 && v.Number != versions[i-1].Number+1 {
-			c.fail(now, "%s: version %d stands after version %d", source, v.Number, versions[i-1].Number)
+			c.fail(now, "%s: version %d follows version %d", source, v.Number, versions[i-1].Number)
 		}
 		if v.Number > c.newest.Number || c.reasons[v.Number] != v.Reason || c.hashes[v.Number] != v.Hash {
 			c.recordAgreed(now, source, v, v.Reason)
@@ -242,17 +244,17 @@
 	c.contradict(now, told, v.Number)
 }
 
-// Newest is the newest version that is known to be agreed on; Number 0: none.
+// Newest returns the newest version that is known to be agreed on; number 0: none.
 func (c *Checker) Newest() config.Version { return c.newest }
 
-// Version is an agreed version's hash.
+// Version returns the hash of an agreed version.
 func (c *Checker) Version(number uint64) (config.Hash, bool) {
 	_, agreed := c.reasons[number]
 	return c.hashes[number], agreed
 }
 
-// Survived checks that a history still holds what was agreed on: the newest version, and all before it that it would
-// remember.
+// Survived checks that a history still has what was agreed on: the newest version, and those before it that a history of
+// config.MaxHistory versions keeps.
 func (c *Checker) Survived(now float64, source string, versions []config.Version) {
 	c.History(now, source, versions)
 	held := map[uint64]bool{}
@@ -266,12 +268,12 @@
 	}
 }
 
-// HasApplied tells whether any incarnation of a controller had taken a version into use by a time.
+// HasApplied reports whether any incarnation of a controller had applied a version by a time.
 func (c *Checker) HasApplied(controller members.ID, number uint64, by float64) bool {
 	return slices.ContainsFunc(c.applications[controller], func(a application) bool { return a.number == number && a.at <= by })
 }
 
-// runApplied tells the same of one incarnation.
+// runApplied reports whether one incarnation of a controller had applied a version by a time.
 func (c *Checker) runApplied(controller members.ID, run, number uint64, by float64) bool {
 	return slices.ContainsFunc(c.applications[controller], func(a application) bool {
 		return (a.run == run || c.RunsUnknown) && a.number == number && a.at <= by
--- a/internal/lab/fleet/configuration/checker_test.go
+++ b/internal/lab/fleet/configuration/checker_test.go
@@ -29,7 +29,7 @@
 	return config.ProposalResult{Result: config.Committed, Version: v}
 }
 
-// status is one of three controllers at version 1, of which two are in force and one is behind.
+// status is the status of three controllers at version 1, which is in force at two; one is behind.
 func status() *config.Status {
 	return &config.Status{Latest: version(1, 1, "a"), Members: 3, InForce: 2, ByVersion: map[uint64]int{1: 2, 0: 1},
 		Behind: []config.ControllerReport{{ID: "n2", Run: 9}}}
@@ -44,7 +44,7 @@
 func TestChecker(t *testing.T) {
 	for name, test := range map[string]struct {
 		happens func(c *Checker)
-		broken  string // a part of what is told; empty: nothing is wrong
+		broken  string // a part of the violation; empty: none is found
 	}{
 		"numbers rise": {func(c *Checker) {
 			c.Started(1, first, folder, config.Version{})
@@ -90,40 +90,40 @@
 			c.History(3, "n0", []config.Version{version(1, 1, "a")})
 			c.Survived(4, "n0", []config.Version{version(1, 1, "a")})
 		}, ""},
-		"both of two are told to have won": {func(c *Checker) {
+		"both of two proposals are reported as agreed": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Proposed(proposal("b", 0, 1))
 			c.Concluded(1, "a", agreed(version(1, 1, "a")))
 			c.Concluded(2, "b", agreed(version(1, 1, "b")))
 		}, `is "b" and was "a"`},
-		"one wins by another number than it expected": {func(c *Checker) {
+		"one is agreed under another number than the expected one": {func(c *Checker) {
 			c.Proposed(proposal("a", 4, 1))
 			c.Concluded(1, "a", agreed(version(4, 1, "a")))
 		}, "expected version 4"},
-		"one is told to be another document": {func(c *Checker) {
+		"one is reported as another document": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Concluded(1, "a", agreed(version(1, 2, "a")))
-		}, "was told to be"},
-		"one that was told lost is in the history": {func(c *Checker) {
+		}, "was reported as"},
+		"one that was reported as lost is in the history": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Concluded(1, "a", config.ProposalResult{Result: config.Conflict})
 			c.History(2, "n0", []config.Version{version(1, 1, "a")})
-		}, "told to be lost or refused"},
-		"one of the history is told refused": {func(c *Checker) {
+		}, "reported as lost or refused"},
+		"one of the history is reported as refused": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.History(1, "n0", []config.Version{version(1, 1, "a")})
 			c.Concluded(2, "a", config.ProposalResult{Result: config.Rejected})
-		}, "told to be lost or refused"},
-		"one that was not answered is in the history": {func(c *Checker) {
+		}, "reported as lost or refused"},
+		"one whose result is unknown is in the history": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Concluded(1, "a", config.ProposalResult{Result: config.Unknown})
 			c.History(2, "n0", []config.Version{version(1, 1, "a")})
 		}, ""},
-		"one is told twice": {func(c *Checker) {
+		"one has two results": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Concluded(1, "a", config.ProposalResult{Result: config.Conflict})
 			c.Concluded(2, "a", agreed(version(1, 1, "a")))
-		}, "was told to be"},
+		}, "was reported as"},
 		"one that nobody proposed": {func(c *Checker) {
 			c.History(1, "n0", []config.Version{version(1, 1, "a")})
 		}, "nobody proposed"},
@@ -141,7 +141,7 @@
 			c.Proposed(proposal("a", 0, 1))
 			c.Proposed(proposal("c", 2, 3))
 			c.History(1, "n0", []config.Version{version(1, 1, "a"), version(3, 3, "c")})
-		}, "stands after"},
+		}, "version 3 follows version 1"},
 		"one is in the history after another version than it expected": {func(c *Checker) {
 			c.Proposed(proposal("a", 0, 1))
 			c.Proposed(proposal("b", 0, 2))
@@ -201,18 +201,18 @@
 			s.InForce = 1
 			c.StatusMade(5, s, nil)
 		}, "1 as in force and 1 others, of 3"},
-		"a status tells a version of one that it had not applied": {func(c *Checker) {
+		"a status reports a version of a controller that it had not applied": {func(c *Checker) {
 			applyAt(c, "n0", "n1")
 			s := status()
 			s.Behind[0].Applied = 7
 			c.StatusMade(5, s, nil)
 		}, "n2/9 is at version 7"},
-		"a status names a stranger": {func(c *Checker) {
+		"a status names a controller outside of the fleet": {func(c *Checker) {
 			applyAt(c, "n0", "n1", "n2")
 			s := status()
 			s.Behind[0].ID = "x"
 			c.StatusMade(5, s, nil)
-		}, "none of the fleet"},
+		}, "not in the fleet"},
 		"a status knows too many": {func(c *Checker) {
 			applyAt(c, "n0", "n1")
 			s := status()
@@ -223,7 +223,7 @@
 		c := NewChecker(fleet)
 		test.happens(c)
 		if test.broken == "" && c.Broken != "" || test.broken != "" && !strings.Contains(c.Broken, test.broken) {
-			t.Errorf("%s: told %q, expected %q", name, c.Broken, test.broken)
+			t.Errorf("%s: violation %q, want %q", name, c.Broken, test.broken)
 		}
 	}
 }
--- a/internal/lab/fleet/configuration_history.go
+++ b/internal/lab/fleet/configuration_history.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	historyInterval = 500.0   // ms between looks at voters' histories
-	statusSlack     = 15000.0 // ms after which a status tells what is in force
-	minOperations   = 8       // of what operators ask for in a history; up to twice as many
+	historyInterval = 500.0   // ms between checks of the voters' agreed versions
+	statusSlack     = 15000.0 // ms more than settleBound until a status reports what is in force
+	minOperations   = 8       // least number of operators' requests in a short history; less than twice as many are drawn
 )
 
-// ConfigurationPlan is a plan of a fleet with a configuration, whose script is drawn from a seed: faults, and operators'
-// changes among them.
+// ConfigurationPlan returns a plan of a fleet with a configuration. Its script of faults and operators' changes is drawn
+// from a seed.
 func ConfigurationPlan(seed int64, nodes, faults int) Plan {
 	rng := rand.New(rand.NewSource(seed))
 	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: 1, Lease: 4000, Membership: members.DefaultConfig(), Settle: 90000, Config: true, Busy: 0.05}
@@ -26,7 +26,7 @@
 		p.Voters = 5
 	}
 	within := 30000.0
-	if rng.Intn(4) == 0 { // long enough for documents to be removed
+	if rng.Intn(4) == 0 { // long enough for unneeded documents to be removed
 		within = 110000
 	}
 	p.Script = DrawScript(rng, nodes, p.Voters, faults, within)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// drawOperations draws what operators ask for, and faults of the configuration's own.
+// drawOperations draws operators' requests and the faults that concern the configuration.
 func drawOperations(rng *rand.Rand, nodes int, within float64) (s Script) {
 	for range (minOperations + rng.Intn(minOperations)) * int(1+within/60000) {
 		f := Fault{At: 2000 + rng.Float64()*(within+3000), A: rng.Intn(nodes), B: rng.Intn(nodes), N: -1}
@@ -59,7 +59,7 @@
 			f.Kind, f.For = Replay, 2000+rng.Float64()*15000
 		}
 		if rng.Intn(3) == 0 {
-			f.N = rng.Intn(nodes + 1) // who refuses it; nodes: all do
+			f.N = rng.Intn(nodes + 1) // the node that refuses the document; nodes: all refuse it
 		}
 		f.Amount = drawSize(rng)
 		s = append(s, f)
@@ -67,7 +67,7 @@
 	return s
 }
 
-// drawSize draws a document's bytes: most are small, some as large as may be, few too large.
+// drawSize draws a document's size in bytes: most are small, few have the maximum size or are too large.
 func drawSize(rng *rand.Rand) float64 {
 	switch kind := rng.Intn(40); {
 	case kind < 24:
@@ -82,8 +82,8 @@
 	return config.MaxDocument + 1
 }
 
-// replaceVoter adds that an operator replaces a voter by another controller. That one loses no folder: with one lost by a
-// former voter a majority of the disks could be lost.
+// replaceVoter adds to a script that an operator replaces a voter by another controller. The new voter's faults are changed
+// so that it loses no folder: together with a folder lost by a former voter, a majority of the disks could be lost.
 func replaceVoter(rng *rand.Rand, p Plan, within float64) Script {
 	f := Fault{At: 3000 + rng.Float64()*within, Kind: ReplaceVoter, A: rng.Intn(p.Voters), B: p.Voters + rng.Intn(p.Nodes-p.Voters)}
 	s := slices.Clone(p.Script)
@@ -96,7 +96,7 @@
 	return append(s, f)
 }
 
-// configFault does what of a script is about the configuration.
+// configFault runs the script's entries that concern the configuration.
 func (w *World) configFault(f Fault) {
 	if w.config == nil {
 		return
@@ -106,7 +106,7 @@
 	case Put:
 		expect := w.knownVersion(m)
 		if f.B%7 == 0 && expect > 0 {
-			expect-- // one who has not seen the newest
+			expect-- // an operator who has not seen the newest version
 		}
 		w.put(m, expect, w.document(int(f.Amount), f.N))
 	case PutTwice:
@@ -135,7 +135,8 @@
 	}
 }
 
-// leader is the machine that leads the quorum; nil: none does. One that led before may not know yet that another does.
+// leader returns the machine that leads the quorum, or nil if none does. A former leader may not know of its successor yet,
+// so the one with the highest term counts.
 func (w *World) leader() (leader *machine) {
 	for _, m := range w.nodes {
 		if m.core == nil || !m.core.Quorum().Leads() {
@@ -148,13 +149,13 @@
 	return leader
 }
 
-// watchHistories has the checker look at histories all along.
+// watchHistories checks the voters' agreed versions at intervals, for ever.
 func (w *World) watchHistories() {
 	w.checkHistories()
 	w.at(w.now+historyInterval, w.watchHistories)
 }
 
-// playConfiguration plays the plan of a fleet with a configuration, and tells what was wrong; empty: nothing.
+// playConfiguration plays the plan of a fleet with a configuration, and returns the first violation; empty: none.
 func (w *World) playConfiguration() string {
 	w.at(0, w.watchHistories)
 	w.Run(w.plan.Script.End())
@@ -172,7 +173,7 @@
 	return w.Renewals.Check()
 }
 
-// firstBreak is what was wrong first, by either checker.
+// firstBreak returns the violation found by either checker; empty: none.
 func (w *World) firstBreak() string {
 	if w.Checker.Broken != "" {
 		return w.Checker.Broken
@@ -191,7 +192,7 @@
 	return ""
 }
 
-// settleQuorum waits until a leader is there and all that should vote do: what the quorum promises by itself.
+// settleQuorum waits until the quorum has a leader and its full number of voters, as it promises without an operator.
 func (w *World) settleQuorum() string {
 	end := w.now + w.plan.Settle
 	if why := w.until(func() float64 { return end }, w.quorumUnsettled); why != "" {
@@ -200,7 +201,7 @@
 	return ""
 }
 
-// quorumUnsettled tells what the quorum lacks. A voter that was replaced is not looked for.
+// quorumUnsettled returns what the quorum lacks; empty: nothing. It counts voters, as a replaced voter does not vote again.
 func (w *World) quorumUnsettled() string {
 	leader := w.leader()
 	if leader == nil {
@@ -221,7 +222,7 @@
 	return ""
 }
 
-// putAfterFaults has one more version put when nothing is wrong any more, and waits until it is in force.
+// putAfterFaults has an operator put one more version after all faults, and waits until it is in force.
 func (w *World) putAfterFaults() string {
 	m := w.nodes[w.rng.Intn(len(w.nodes))]
 	before := w.config.checker.Newest().Number
@@ -236,7 +237,7 @@
 			tried = w.now + 6000
 			w.put(m, w.config.checker.Newest().Number, w.document(4096, -1))
 		}
-		return "a put after all faults is not agreed on"
+		return "a version put after all faults is not agreed on"
 	})
 	w.config.times.AfterPut = w.now - began
 	if why != "" {
@@ -245,7 +246,7 @@
 	return ""
 }
 
-// statusAfterFaults asks until a status tells what is so: all have the newest version in force, or refuse it.
+// statusAfterFaults asks for the status until it is correct: all controllers have the newest version in force or refuse it.
 func (w *World) statusAfterFaults() string {
 	began, last := w.now, "no status was answered"
 	asked := 0.0
@@ -267,7 +268,7 @@
 	return ""
 }
 
-// statusMismatch tells what a status tells otherwise than it is.
+// statusMismatch returns where a status differs from the real state; empty: nowhere.
 func (w *World) statusMismatch(s *config.Status) string {
 	newest := w.config.checker.Newest()
 	able := 0
@@ -277,18 +278,18 @@
 		}
 	}
 	if s.Latest.Number != newest.Number || s.Members != len(w.nodes) || s.InForce != able || len(s.Rejected) != len(w.nodes)-able {
-		return fmt.Sprintf("a status tells version %d in force at %d of %d, %d refused, %d behind, %d not heard; it is version %d at %d of %d",
+		return fmt.Sprintf("a status reports version %d in force at %d of %d, %d refused, %d behind, %d not heard; want version %d at %d of %d",
 			s.Latest.Number, s.InForce, s.Members, len(s.Rejected), len(s.Behind), len(s.Unreachable), newest.Number, able, len(w.nodes))
 	}
 	return ""
 }
 
-// historySurvived checks that all that was agreed on is held by the leader still, once that knows all that was.
+// historySurvived checks, once a leader has caught up with the log, that it still has every version that was agreed on.
 func (w *World) historySurvived() string {
 	end := w.now + settleBound
 	why := w.until(func() float64 { return end }, func() string {
 		if lead := w.leader(); lead == nil || !lead.core.Quorum().LeadsCaughtUp() {
-			return "no leader knows what was agreed on"
+			return "no leader has caught up with what was agreed on"
 		}
 		return ""
 	})
@@ -300,7 +301,7 @@
 	return why
 }
 
-// notInForce tells where the newest version is not in force, though it can be.
+// notInForce returns a machine at which the newest version is not in force though it can use it; empty: there is none.
 func (w *World) notInForce() string {
 	newest := w.config.checker.Newest()
 	document := w.config.documents[newest.Hash]
@@ -315,7 +316,7 @@
 	return ""
 }
 
-// until plays until nothing is lacking, and tells what still is when the time is over.
+// until plays until nothing is missing, or something is broken; it returns what is still missing at the end of the time.
 func (w *World) until(end func() float64, missing func() string) string {
 	const step = 100.0
 	for {
@@ -330,19 +331,19 @@
 	}
 }
 
-// ConfigurationTimes are how long versions took after the last fault of a history, in ms.
+// ConfigurationTimes are durations in ms after the last fault of a history.
 type ConfigurationTimes struct {
-	CatchUp     float64 // from the last heal until the newest version was in force wherever it can be
-	AfterPut    float64 // from a put after that until the same
-	AfterStatus float64 // from that until a status told so
+	CatchUp     float64 // from the end of the last fault until the newest version was in force wherever it can be
+	AfterPut    float64 // from a put after that until its version was in force wherever it can be
+	AfterStatus float64 // from then until a status reported it
 }
 
-// ConfigurationTimes tells how long versions took after the last fault.
+// ConfigurationTimes returns how long versions took to be in force after the last fault.
 func (w *World) ConfigurationTimes() ConfigurationTimes {
 	return w.config.times
 }
 
-// ShrinkConfiguration is Shrink of a plan with a configuration, with what its history told.
+// ShrinkConfiguration shrinks a plan with a configuration, and describes the violation with the shortest script.
 func ShrinkConfiguration(p Plan) string {
 	short, why := Shrink(p)
 	return fmt.Sprintf("seed %d, %d controllers, %d of them voters: %s\n%v", p.Seed, p.Nodes, p.Voters, why, short.Script)
--- a/internal/lab/fleet/configuration_processes.go
+++ b/internal/lab/fleet/configuration_processes.go
@@ -23,44 +23,44 @@
 	"mintkeel/internal/lab/fleet/configuration"
 )
 
-// configRig is what a rig of processes has for the fleet's configuration. What the rig sees is written down with its time,
-// and judged at the end together with what the daemons wrote down.
+// configRig is the part of a rig that concerns the fleet's configuration. It records what the rig observes with its time;
+// at the end the checker gets these records together with those of the daemons' logs.
 type configRig struct {
 	checker   *configuration.Checker
 	events    []configEvent
 	proposals int
-	newest    uint64 // that an operator was told of
+	newest    uint64 // the newest version that an operator knows of
 
-	latest   config.Version       // of the history that was told last
-	unusable map[config.Hash]bool // documents that controllers of another kind can't use, by their shortened hashes
+	latest   config.Version       // the newest version of all histories that were read
+	unusable map[config.Hash]bool // documents that a controller with another machine kind can't use, by shortened hash
 }
 
-// corruptShare is the part of what is written that has a bit changed while bytes are corrupt.
+// corruptShare is the share of writes that have a bit flipped while the fault Corrupt lasts.
 const corruptShare = 0.1
 
-// otherKind is the kind of engine of the controllers that can't use each document.
+// otherKind is the machine kind in the settings of the controller that can't use documents naming usualKind.
 const otherKind = "big"
 
-// hasOtherKind tells whether a controller's settings name another kind of engine than the others'. Voters' don't, nor those
-// of fleets without a configuration.
+// hasOtherKind reports whether a controller's settings name another machine kind than the others'. Only the last controller
+// of a fleet with a configuration has one, if it is no voter.
 func (r *rig) hasOtherKind(n *machineProc) bool {
 	return r.Config && r.Nodes > r.Voters && n.number == r.Nodes-1
 }
 
-// configEvent is something to be judged, at a time.
+// configEvent is an observation that the checker gets at the end, in the order of time.
 type configEvent struct {
 	at    time.Time
 	check func(c *configuration.Checker, now float64)
 }
 
-// ConfigurationScene is a scene of daemons with the block config, whose script is drawn from a seed.
+// ConfigurationScene returns a scene of daemons whose settings have a config block, with a script drawn from a seed.
 func ConfigurationScene(mintkeel string, seed int64, nodes, faults int) Scene {
 	s := UsualScene(mintkeel, seed, nodes, faults)
 	s.Config, s.Leases, s.Rate = true, 1, 1
 	rng := rand.New(rand.NewSource(seed * 17))
 	for _, f := range drawOperations(rng, nodes, 12000) {
 		switch f.Kind {
-		case KillLeader, Replay: // the rig's faults are those of processes
+		case KillLeader, Replay: // the rig can't cause these faults
 			f.Kind, f.For = Put, 0
 		}
 		f.Amount = min(f.Amount, config.MaxDocument)
@@ -70,7 +70,7 @@
 	return s
 }
 
-// initConfig begins to judge the configuration.
+// initConfig sets up the check of the configuration.
 func (r *rig) initConfig() {
 	var ids []members.ID
 	for i := range r.Nodes {
@@ -80,17 +80,17 @@
 	r.config.checker.RunsUnknown = true
 }
 
-// recordEvent writes something down to be judged.
+// recordEvent records an observation with its time, for the checker.
 func (r *rig) recordEvent(check func(c *configuration.Checker, now float64)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.config.events = append(r.config.events, configEvent{time.Now(), check})
 }
 
-// startMarker is what the rig writes into a daemon's log ahead of each start.
+// startMarker begins the line that the rig writes into a daemon's log before each start.
 const startMarker = "=== start"
 
-// markStart tells in the log that another run begins, on which folder.
+// markStart writes the start of a run into a daemon's log, with the generation of its folder.
 func (r *rig) markStart(n *machineProc, log *os.File) {
 	if r.config != nil {
 		n.runs++
@@ -98,7 +98,7 @@
 	}
 }
 
-// configFault does what of a script is about the configuration.
+// configFault runs the script's entries that concern the configuration.
 func (r *rig) configFault(f Fault) {
 	if r.config == nil {
 		return
@@ -126,7 +126,7 @@
 	}
 }
 
-// knownVersion is the newest version that an operator at a controller knows of.
+// knownVersion returns the newest version that an operator knows of who has asked this controller, or others before.
 func (r *rig) knownVersion(n *machineProc) uint64 {
 	var latest config.Version
 	if a, err := r.askConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory}); err == nil && len(a.Versions) > 0 {
@@ -141,7 +141,7 @@
 	return r.config.newest
 }
 
-// askConfig asks a controller, which may be down.
+// askConfig sends a request about the configuration to a controller, which may be down.
 func (r *rig) askConfig(n *machineProc, request fleetconfiguration.Request) (*fleetconfiguration.Answer, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, 30*time.Second)
 	defer cancel()
@@ -155,7 +155,8 @@
 	return s.Config, nil
 }
 
-// putConfig has an operator put a document at a controller, which those of another kind may not be able to use.
+// putConfig has an operator put a document of a size in bytes at a controller. An unusable document names a machine kind
+// that the settings of the controller with otherKind lack.
 func (r *rig) putConfig(n *machineProc, expect uint64, size int, unusable bool) {
 	r.mu.Lock()
 	r.config.proposals++
@@ -175,8 +176,8 @@
 	r.changeConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionPut, Document: []byte(text), Expect: &expect}, []byte(text))
 }
 
-// changeConfig has an operator ask for a change, and writes down what was proposed and told. The document of a rollback is
-// that of the version it goes back to.
+// changeConfig has an operator ask for a change, and records the proposal and its result. A rollback has a nil document: it
+// proposes the document of the version that it goes back to.
 func (r *rig) changeConfig(n *machineProc, request fleetconfiguration.Request, document []byte) {
 	r.mu.Lock()
 	r.config.proposals++
@@ -218,7 +219,7 @@
 	return config.Unknown
 }
 
-// shortened is a hash as far as the daemons' logs tell it.
+// shortened returns the part of a hash that the daemons' logs contain.
 func shortened(h config.Hash) (short config.Hash) {
 	copy(short[:], h[:loggedHash])
 	return short
@@ -226,7 +227,7 @@
 
 const loggedHash = 6 // bytes of a hash in a log line
 
-// configStatus asks a controller for the status, writes it down and returns it; nil: there is none.
+// configStatus asks a controller for the status, records it and returns it, or nil if there is none.
 func (r *rig) configStatus(n *machineProc) *config.Status {
 	a, err := r.askConfig(n, fleetconfiguration.Request{Action: fleetconfiguration.ActionStatus})
 	if err != nil || a.Status == nil {
@@ -238,10 +239,10 @@
 	return &s
 }
 
-// settleConfig waits until the newest version is in force at all, as each tells of itself, then has one more put and a
-// status tell that it is in force at all. What they tell is judged by their logs at the end.
+// settleConfig waits until every controller reports the newest version in force, then puts one more version and waits for a
+// status that reports it in force at all. These reports are checked against the controllers' logs at the end.
 func (r *rig) settleConfig() {
-	r.faults.Wait() // a put of the script that comes later would take the place of the one that is awaited
+	r.faults.Wait() // a later put of the script would supersede the version that is waited for
 	began := time.Now()
 	r.awaitConfig("after the last heal", func() string { return r.configNotInForce(0) })
 	r.report.ConfigCatchUp = time.Since(began)
@@ -251,7 +252,7 @@
 	}
 	began = time.Now()
 	before := r.knownVersion(last)
-	r.awaitConfig("after a put when all was whole", func() string {
+	r.awaitConfig("after a put when no fault was left", func() string {
 		if r.knownVersion(last) == before {
 			r.putConfig(last, before, 4096, false)
 		}
@@ -261,37 +262,37 @@
 	r.awaitConfig("after all had the newest version in force", func() string {
 		s := r.configStatus(r.nodes[0])
 		if s == nil || s.InForce != r.Nodes || s.Members != r.Nodes {
-			return fmt.Sprintf("a status tells %+v", s)
+			return fmt.Sprintf("the status is %+v", s)
 		}
 		return ""
 	})
 	r.recordFinalHistory()
 }
 
-// settleUnusable has a version put that the last controller can't use: it is in force at all others, and a status tells
-// which one refuses it.
+// settleUnusable puts a version that the last controller can't use, and waits until it is in force at all others and a
+// status reports one controller that refuses it.
 func (r *rig) settleUnusable() {
 	voter := r.nodes[0]
 	r.awaitConfig("after a put that one can't use", func() string {
 		newest := r.knownVersion(voter)
-		if !r.latestIsUnusable() { // a put of the script may be agreed on only now
+		if !r.latestIsUnusable() { // a put of the script may have been agreed on in between
 			r.putConfig(voter, newest, 4096, true)
-			return "the newest version is one that all can use"
+			return "the newest version is usable at all controllers"
 		}
 		return r.configNotInForce(newest)
 	})
 	r.awaitConfig("after a version that one can't use was in force at all others", func() string {
 		s := r.configStatus(voter)
 		if s == nil || s.InForce != r.Nodes-1 || len(s.Rejected) != 1 {
-			return fmt.Sprintf("a status tells %+v", s)
+			return fmt.Sprintf("the status is %+v", s)
 		}
 		return ""
 	})
 }
 
-// awaitConfig waits for the operators' bound at most until nothing is lacking.
+// awaitConfig waits until nothing is missing, for settleBound at most.
 func (r *rig) awaitConfig(since string, missing func() string) {
-	const slack = 2 * time.Second // of the rig's own looks
+	const slack = 2 * time.Second // for the rig's own requests
 	end := time.Now().Add(settleBound*time.Millisecond + slack)
 	for r.ctx.Err() == nil {
 		why := missing()
@@ -306,7 +307,8 @@
 	}
 }
 
-// configNotInForce tells which controller does not have the newest version in force, at least a given one.
+// configNotInForce returns a controller that has neither the newest version, at least the given one, in force nor may refuse
+// it; empty: there is none.
 func (r *rig) configNotInForce(minimum uint64) string {
 	newest := max(r.knownVersion(r.nodes[0]), minimum)
 	for _, n := range r.nodes {
@@ -324,7 +326,7 @@
 	return ""
 }
 
-// mayRefuse tells whether a controller can't use the newest version.
+// mayRefuse reports whether a controller can't use the newest version.
 func (r *rig) mayRefuse(n *machineProc, newest uint64) bool {
 	r.mu.Lock()
 	latest := r.config.latest.Number
@@ -332,14 +334,14 @@
 	return r.hasOtherKind(n) && latest == newest && r.latestIsUnusable()
 }
 
-// latestIsUnusable tells whether controllers of another kind can't use the version that was told as the newest last.
+// latestIsUnusable reports whether the controller with another machine kind can't use the newest version that was read.
 func (r *rig) latestIsUnusable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.config.unusable[shortened(r.config.latest.Hash)]
 }
 
-// recordFinalHistory writes down the history as the leader tells it at the end.
+// recordFinalHistory records the history that the leader reports at the end.
 func (r *rig) recordFinalHistory() {
 	a, err := r.askConfig(r.nodes[0], fleetconfiguration.Request{Action: fleetconfiguration.ActionHistory})
 	if err != nil {
@@ -353,10 +355,10 @@
 	r.recordEvent(func(c *configuration.Checker, now float64) { c.Survived(now, "the history", versions) })
 }
 
-// inForceLine is what a daemon logs when it has taken a version over.
+// inForceLine matches the line that a daemon logs when a version comes into force.
 var inForceLine = regexp.MustCompile(`^(\S+) INF configuration version in force .*\bhash=([0-9a-f]{12}) .*\bversion=(\d+)`)
 
-// readConfigLogs writes down what the daemons applied, by their logs.
+// readConfigLogs records the versions that the daemons applied, from their logs.
 func (r *rig) readConfigLogs() {
 	for _, n := range r.nodes {
 		text, err := os.ReadFile(filepath.Join(n.dir, "log"))
@@ -388,13 +390,13 @@
 		hash, _ := hex.DecodeString(found[2])
 		number, _ := strconv.ParseUint(found[3], 10, 64)
 		if err != nil || number == 0 {
-			r.fail("%s wrote %q: %v", n.name, line, err)
+			r.fail("%s logged %q, which can't be read: %v", n.name, line, err)
 			return
 		}
 		v := config.Version{Number: number}
 		copy(v.Hash[:], hash)
 		if r.hasOtherKind(n) && r.config.unusable[v.Hash] {
-			r.fail("%s took version %d over, which it can't use", n.name, number)
+			r.fail("%s applied version %d, which it can't use", n.name, number)
 			return
 		}
 		who := configuration.Incarnation{Controller: members.ID(n.name), Run: uint64(run)}
@@ -404,7 +406,7 @@
 	}
 }
 
-// checkConfigEvents judges all that was written down, in the order of time.
+// checkConfigEvents passes all recorded observations to the checker, in the order of time.
 func (r *rig) checkConfigEvents() {
 	r.readConfigLogs()
 	slices.SortStableFunc(r.config.events, func(a, b configEvent) int { return a.at.Compare(b.at) })
@@ -418,8 +420,8 @@
 	}
 }
 
-// copyFolder copies a controller's folder with all in it but locks and sockets, while the controller may be writing there;
-// the records of what is current come first.
+// copyFolder copies a controller's folder without locks and sockets, while the controller may write to it. It copies the
+// records first, and the current version before the documents.
 func copyFolder(from, to string) error {
 	if err := copyRecords(from, to); err != nil {
 		return err
--- a/internal/lab/fleet/configuration_test.go
+++ b/internal/lab/fleet/configuration_test.go
@@ -9,8 +9,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Histories of a configuration, drawn from seeds: nothing breaks, and what is agreed on is in force soon after the last
-// fault.
+// In histories drawn from seeds no check fails, and the newest agreed version is in force soon after the last fault.
 func TestConfigurationHistories(t *testing.T) {
 	agreed, lost, statuses := 0, 0, 0
 	for seed := range int64(configurationHistories) {
@@ -27,11 +26,11 @@
 	}
 }
 
-// skipUnderRace leaves a test to the run without the race detector: a history has one goroutine.
+// skipUnderRace skips a test under the race detector: a history runs in one goroutine, and takes ten times as long.
 func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raced {
-		t.Skip("the detector makes histories ten times as dear")
+		t.Skip("the race detector makes histories ten times as slow")
 	}
 }
 
@@ -52,7 +51,7 @@
 	}
 }
 
-// The checker notices what a broken program would do: each mutant is caught in one of some histories.
+// The checker finds the faults of a broken program: each mutant is caught in at least one of 20 histories.
 func TestConfigurationMutants(t *testing.T) {
 	skipUnderRace(t)
 	for _, mutant := range []string{"skip store", "old kept", "old apply", "count twice", "tell agreed", "tell lost"} {
@@ -63,13 +62,13 @@
 			caught = NewWorld(p).Play()
 		}
 		if caught == "" {
-			t.Errorf("%s: nothing was noticed in 20 histories", mutant)
+			t.Errorf("mutant %q was caught in none of 20 histories", mutant)
 		}
 		t.Logf("%s: %s", mutant, caught)
 	}
 }
 
-// scene is a plan whose faults are given, on a fleet that has version 1 in force before the first of them at 10 s.
+// configurationScene returns a plan with the given faults, for a fleet that has version 1 put at 6 s, before the faults.
 func configurationScene(seed int64, nodes int, faults ...Fault) Plan {
 	p := ConfigurationPlan(seed, nodes, 0)
 	p.Voters = 3
@@ -81,7 +80,7 @@
 	return Fault{At: at, Kind: Put, A: a, B: 1, N: -1, Amount: 100_000}
 }
 
-// Hard cases, each forced.
+// Cases that drawn histories reach rarely: each one agrees on at least as many versions, and refuses at least as many, as given.
 func TestConfigurationCases(t *testing.T) {
 	skipUnderRace(t)
 	for name, c := range map[string]struct {
@@ -116,8 +115,8 @@
 	}
 }
 
-// A put on the side of a cut without a majority is not agreed on there, one on the other side is; both sides have it
-// within 19 s of the heal.
+// In a partition a put on the side without a majority is not agreed on, and one on the other side is; both sides have that
+// version in force within 19 s after the partition ends.
 func TestConfigurationCutOff(t *testing.T) {
 	p := configurationScene(2, 7, Fault{At: 10000, Kind: Split, N: 1, For: 25000})
 	w := NewWorld(p)
@@ -135,8 +134,8 @@
 	}
 }
 
-// One that starts with nothing and reaches only a controller that has the older version takes that, does not claim to
-// know the latest, and has the newest soon after it reaches others.
+// A controller that starts with an empty folder and reaches only one with an older version applies at most that version and
+// does not report it as confirmed; it has the newest version soon after it reaches the others.
 func TestConfigurationOldPeer(t *testing.T) {
 	w := NewWorld(configurationScene(3, 6, Fault{At: 40000, Kind: AskStatus}))
 	w.Run(9000)
@@ -152,14 +151,14 @@
 	var ready config.Readiness
 	newcomer.core.WithConfig(w.local(newcomer), func(r *config.Replica) { ready = r.Readiness() })
 	if newest := w.Configuration().Newest().Number; newest != 2 || ready.Number > 1 || ready.Confirmed {
-		t.Errorf("version %d is the newest; the newcomer tells %+v", newest, ready)
+		t.Errorf("version %d is the newest, want 2; the newcomer reports %+v, want version 1 at most and not confirmed", newest, ready)
 	}
 	if why := w.Play(); why != "" {
 		t.Error(why)
 	}
 }
 
-// A controller whose clock jumps by an hour has the next version in force like the others.
+// A controller whose clock jumps by an hour has the next version in force in time like the others.
 func TestConfigurationClockJump(t *testing.T) {
 	skipUnderRace(t)
 	for _, i := range []int{0, 1, 2, 5} {
@@ -179,8 +178,8 @@
 	}
 }
 
-// Two proposals with one expectation are in the log at once: the first one's entry takes the voters' disks so long that the
-// leader gives it up and proposes the second. One of them is agreed on, whatever is proposed again meanwhile.
+// Two proposals with the same expected version are in the log at once: the voters' disks take so long to store the first one
+// that the leader gives it up and proposes the second. At most one of them is agreed on, whatever is proposed again meanwhile.
 func TestConfigurationTwoInLog(t *testing.T) {
 	skipUnderRace(t)
 	for seed := range int64(10) {
@@ -212,7 +211,7 @@
 	}
 }
 
-// A third of a fleet that was cut off for minutes, in which versions were agreed on, comes back at once.
+// A third of a fleet rejoins at once after a partition of two minutes, during which the majority agreed on versions.
 func TestConfigurationRegion(t *testing.T) {
 	skipUnderRace(t)
 	p := configurationScene(6, 45, Fault{At: 10000, Kind: Split, N: 30, For: 120000})
@@ -223,24 +222,24 @@
 	if why := w.Play(); why != "" {
 		t.Fatal(why)
 	}
-	t.Logf("%.0f ms after the heal all had version %d in force", w.config.times.CatchUp, w.Configuration().Newest().Number)
+	t.Logf("all had version %[2]d in force %[1].0f ms after the partition", w.config.times.CatchUp, w.Configuration().Newest().Number)
 }
 
-// A world without a configuration has none of it.
+// A plan without a configuration has no checker of it, and no version in force.
 func TestNoConfiguration(t *testing.T) {
 	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Membership: members.DefaultConfig()})
 	w.Run(5000)
 	if w.Configuration() != nil || w.nodes[0].config.inForce.Number != 0 {
-		t.Error("there is a configuration")
+		t.Error("a world without a configuration has a checker of it, or a version in force")
 	}
 }
 
-// A proposal that was agreed on is not told to be refused by the next leader, which can't use the document and does not
-// know yet that it was agreed on: its disk and the others' are slow.
+// A proposal that was agreed on is not reported as refused by the next leader, which can't use the document and does not
+// know yet that it was agreed on, because the disks of all voters are slow.
 func TestConfigurationRefusedAfterAgreement(t *testing.T) {
 	skipUnderRace(t)
 	agreed := 0
-	for seed := range int64(24) { // of which 12 and 24 failed
+	for seed := range int64(24) { // 12 and 24 of the seeds below failed before the fix
 		slow := func(a int) Fault { return Fault{At: 9000, Kind: SlowDisk, A: a, Amount: 300, For: 20000} }
 		w := NewWorld(configurationScene(seed+1, 6, slow(0), slow(1), slow(2)))
 		w.Run(10000)
@@ -256,12 +255,12 @@
 		agreed += w.Configuration().Agreed
 	}
 	if agreed == 0 {
-		t.Error("nothing was agreed on")
+		t.Error("no proposal was agreed on in any history, want at least one")
 	}
 }
 
-// A folder may be told that no version is to be in force at a start: of a controller that stored one, could not take it
-// yet, and could not use the next two. Where a version is in force, or a document is missing, that is a break.
+// A controller may clear its folder's current version if none is in force: it had stored one, could not apply it yet, and
+// could not use the next two. Clearing while a version is in force, or naming one without its document, is a violation.
 func TestCurrentCleared(t *testing.T) {
 	one := []byte("one")
 	version := config.Version{Number: 1, Hash: config.HashOf(one), Size: len(one)}
@@ -280,7 +279,7 @@
 		m.config.inForce = c.inForce
 		w.writeConfig(m, &c.store)
 		if broken := w.config.checker.Broken != ""; broken != c.broken {
-			t.Errorf("%s: %q", name, w.config.checker.Broken)
+			t.Errorf("%s: violation %q, want one: %v", name, w.config.checker.Broken, c.broken)
 		}
 	}
 }
--- a/internal/lab/fleet/dropped.go
+++ b/internal/lab/fleet/dropped.go
@@ -6,15 +6,15 @@
 	"mintkeel/internal/lab/mutants"
 )
 
-// DroppedCheck is a check of the configuration's core that is left out, to see that histories notice.
+// DroppedCheck is a mutant that leaves a check out of the configuration's core, which histories must catch.
 type DroppedCheck struct {
 	Name string
 	File string // in internal/core/fleet/config
-	From string // as it stands in the file, once
+	From string // text that the file contains exactly once
 	To   string
 }
 
-// DroppedChecks are those on which the promises of the configuration rest.
+// DroppedChecks returns a mutant for each check on which the guarantees of the configuration depend.
 func DroppedChecks() []DroppedCheck {
 	return []DroppedCheck{
 		{"the number that the author saw is not compared", "state.go", "p.Expect != s.Newest() || ", ""},
@@ -40,7 +40,7 @@
 	}
 }
 
-// Mutant is the changed source, in the module at a folder.
+// Mutant returns the changed source file of the module in a folder.
 func (d DroppedCheck) Mutant(module string) (mutants.Mutant, error) {
 	return mutants.Edit(filepath.Join(module, "internal/core/fleet/config", d.File), d.From, d.To)
 }
--- a/internal/lab/fleet/dropped_test.go
+++ b/internal/lab/fleet/dropped_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The list of checks that can be dropped is of the sources as they are.
+// Every listed check is found in the current sources.
 func TestDroppedChecks(t *testing.T) {
 	for _, d := range DroppedChecks() {
 		if _, err := d.Mutant("../../.."); err != nil {
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -18,17 +18,17 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// platform is where the engines of a scene are worked on: it stands in for the installation's programs and its platform, which
-// drain by the list, and keeps the checker's own count of which are out.
+// platform stands in for the platform and the operator's maintenance programs: it drains engines through the endpoint list,
+// and records which engines are out of service, to check the order of steps and the limit.
 type platform struct {
 	rig    *rig
 	mu     sync.Mutex
-	out    map[string]string // engine by its step: "drain", "work"
-	done   map[string]int    // times that one came back
-	maxOut int
+	out    map[string]string // the step of each engine that is out: "drain" or "work"
+	done   map[string]int    // how often each engine came back
+	maxOut int               // engines that were out at once
 }
 
-// hookScript is the program that the operator's file names: it passes its three words on to the yard.
+// hookScript is the program that the operator's file names: it sends its three arguments to the platform.
 const hookScript = "#!/bin/bash\nexec 3<>/dev/tcp/%s/%s || exit 1\necho \"$1 $2 $3\" >&3\nread -r -t 20 word <&3\n[ \"$word\" = ok ]\n"
 
 func (r *rig) startPlatform() error {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// runHook does what the installation's program asks. Each may be asked twice, or for what is over: then it is done already.
+// runHook carries out a step for an engine, and reports whether it succeeded. A step may be requested twice, or after it is
+// over: then there is nothing left to do.
 func (p *platform) runHook(step, id string) bool {
 	n, err := strconv.ParseUint(strings.TrimPrefix(id, "s-"), 16, 32)
 	if err != nil || n == 0 || int(n) > len(p.rig.engines) {
@@ -83,20 +84,20 @@
 		p.mu.Lock()
 		p.out[id] = "drain"
 		if p.maxOut = max(p.maxOut, len(p.out)); len(p.out) > p.rig.MaxUnavailable {
-			p.rig.fail("%d engines are out, %d may be: %v", len(p.out), p.rig.MaxUnavailable, p.out)
+			p.rig.fail("%d engines are out at once, want %d at most: %v", len(p.out), p.rig.MaxUnavailable, p.out)
 		}
 		p.mu.Unlock()
 		p.rig.feed.Tell(uint32(n), e.Addr, standin.Draining, 0)
 		p.rig.logf("%s drains", id)
 	case "work":
 		if current == "" {
-			p.rig.fail("%s is to be worked on and was not drained", id)
+			p.rig.fail("work on %s was requested before it was drained", id)
 			return false
 		}
-		e.SetFree(true) // from now on somebody has its cover off
+		e.SetFree(true) // the engine must get no commands from now on
 		time.Sleep(400 * time.Millisecond)
 		if unexpected := e.SetFree(true); unexpected > 0 {
-			p.rig.fail("%d commands came to %s while it was worked on", unexpected, id)
+			p.rig.fail("%d commands came to %s during its work", unexpected, id)
 		}
 		p.mu.Lock()
 		p.out[id] = "work"
@@ -106,11 +107,11 @@
 			return true
 		}
 		if current != "work" {
-			p.rig.fail("%s is to come back, and its work was not done", id)
+			p.rig.fail("the return of %s was requested before its work was done", id)
 			return false
 		}
 		if unexpected := e.SetFree(false); unexpected > 0 {
-			p.rig.fail("%d commands came to %s after it was told free", unexpected, id)
+			p.rig.fail("%d commands came to %s between its drain and its return", unexpected, id)
 		}
 		p.mu.Lock()
 		delete(p.out, id)
@@ -122,7 +123,8 @@
 	return true
 }
 
-// sendMaintenanceRequest has some controller pass an order on to who conducts, until one does.
+// sendMaintenanceRequest sends a request to one controller after another, which passes it on to the holder of the maintenance
+// lease, until one succeeds.
 func (r *rig) sendMaintenanceRequest(request maintenance.Request) {
 	began := time.Now()
 	for r.ctx.Err() == nil {
@@ -131,27 +133,27 @@
 			ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
 			s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &request})
 			if cancel(); err == nil && s.Maintenance != nil {
-				r.logf("%s done, conducted by %s", request.Action, s.Maintenance.Holder)
+				r.logf("%s done by the holder %s", request.Action, s.Maintenance.Holder)
 				return
 			} else if err != nil {
 				why = err.Error()
 			}
 		}
 		if time.Since(began) > r.Settle {
-			r.fail("%s was not done: %s", request.Action, why)
+			r.fail("the maintenance request %s failed: %s", request.Action, why)
 			return
 		}
 		r.sleep(200 * time.Millisecond)
 	}
 }
 
-// submitPlan has the whole fleet of engines taken out once.
+// submitPlan submits a plan that takes every engine out of service once.
 func (r *rig) submitPlan() {
 	r.sendMaintenanceRequest(maintenance.Request{Action: "plan", Plans: []core.Plan{{ID: "all", Select: core.Selection{Kinds: []core.Kind{"std"}},
 		WorkTime: 1000, MaxUnavailable: r.MaxUnavailable}}})
 }
 
-// awaitWithdrawal has the plan withdrawn when an engine is back, and waits until nobody is out and none has been taken for a while.
+// awaitWithdrawal withdraws the plan when the first engine is back, and waits until no engine has been out for 8 s.
 func (r *rig) awaitWithdrawal() {
 	began, quiet, ordered := time.Now(), time.Time{}, false
 	for r.ctx.Err() == nil && time.Since(began) < r.Settle {
@@ -170,13 +172,13 @@
 			quiet = time.Now()
 		case time.Since(quiet) > 8*time.Second:
 			if back == len(r.engines) {
-				r.fail("all %d engines were taken out, though the plan was withdrawn after the first", back)
+				r.fail("all %d engines were taken out, though the plan was withdrawn after the first was back", back)
 			}
 			return
 		}
 		r.sleep(100 * time.Millisecond)
 	}
-	r.fail("engines are out %v after the plan was withdrawn", r.Settle)
+	r.fail("engines are still out after %v, though the plan is to be withdrawn", r.Settle)
 }
 
 // awaitMaintenance waits until all engines have been out and are back.
@@ -207,7 +209,7 @@
 			r.mu.Unlock()
 			return
 		case time.Since(began) > r.Settle+time.Minute:
-			status := "nobody tells"
+			status := "no controller reports the status"
 			for _, n := range r.nodes {
 				ctx, cancel := context.WithTimeout(r.ctx, 8*time.Second)
 				s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "maintenance", Maintenance: &maintenance.Request{Action: "status"}})
--- a/internal/lab/fleet/majority.go
+++ b/internal/lab/fleet/majority.go
@@ -4,10 +4,10 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// losesMajority tells whether the quorum has lost its majority for good when the folder of one machine is lost or put
-// back: of the voters that were agreed on last, no majority is left whose folder holds what it promised. The quorum
-// promises to go on after the loss of a minority of folders. A voter that gave its incarnation up, as it could not be
-// vouched for, counts as lost until it votes again.
+// losesMajority reports whether the quorum loses its majority for good when the folder of one machine is lost or replaced by
+// an older copy: no majority of the voters that were agreed on last still has the folder of its incarnation. The quorum
+// guarantees progress only after the loss of a minority of folders. A voter that gave up its incarnation, because its folder
+// could not be trusted, counts as lost until it votes again.
 func (w *World) losesMajority(lost *machine) bool {
 	voters := w.agreedVoters()
 	held, loses := 0, false
@@ -23,7 +23,7 @@
 	return loses && 2*held <= len(voters)
 }
 
-// agreedVoters are the voters as the machine knows them that has applied most of what was agreed on.
+// agreedVoters returns the voters known to the machine that has applied the most log entries.
 func (w *World) agreedVoters() (voters []quorum.Incarnation) {
 	var latest *quorum.Replica
 	for _, m := range w.nodes {
@@ -46,7 +46,7 @@
 	return voters
 }
 
-// holds tells whether a machine goes on, or will when it starts again, as this incarnation.
+// holds reports whether a machine runs as this voter's incarnation, or will when it starts again.
 func (m *machine) holds(voter quorum.Incarnation) bool {
 	if m.core == nil {
 		return m.stoppedAs == voter
--- a/internal/lab/fleet/majority_test.go
+++ b/internal/lab/fleet/majority_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestLosesMajority has one folder be lost while all vote, while another voter is down, and while another has given up its
-// incarnation: only the last leaves no majority.
+// One folder is lost while all vote, while another voter is down, and while another voter has given up its incarnation: only
+// the last case leaves no majority.
 func TestLosesMajority(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare func(w *World)
@@ -21,13 +21,13 @@
 		w.Run(10000)
 		c.prepare(w)
 		if got := w.losesMajority(w.nodes[c.lost]); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: majority lost %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// TestSecondFolderLost has one voter lose its folder, and a second one before the first votes again: the history ends
-// without a majority, and no promise is broken. One after the other the quorum goes on.
+// If a second voter loses its folder before the first one votes again, the history ends without a majority and no check
+// fails. If the second voter loses it later, the quorum goes on.
 func TestSecondFolderLost(t *testing.T) {
 	for name, c := range map[string]struct {
 		second float64
@@ -37,7 +37,7 @@
 			p := configurationScene(seed+1, 5, Fault{At: 20000, Kind: EmptyFolder, A: 0, For: 500}, Fault{At: c.second, Kind: EmptyFolder, A: 1, For: 500})
 			w := NewWorld(p)
 			if why := w.Play(); why != "" || w.MajorityLost() != c.lost {
-				t.Errorf("%s, seed %d: lost %v, %s", name, seed+1, w.MajorityLost(), why)
+				t.Errorf("%s, seed %d: majority lost %v, want %v; violation %q, want none", name, seed+1, w.MajorityLost(), c.lost, why)
 			}
 		}
 	}
--- a/internal/lab/fleet/model.go
+++ b/internal/lab/fleet/model.go
@@ -12,35 +12,35 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// ModelSearch is the small case that is looked at whole: every order of a bounded number of crashes, pauses, lost messages and
-// changes of the quorum's leader, on the core of leases. The quorum stands as one log; that its members agree is
-// the consensus library's part and is played in virtual time. Time goes in whole units; a controller that is not let act
-// while time passes is one that pauses.
+// ModelSearch is an exhaustive search of a small model of leases: every order of a bounded number of crashes, lost messages
+// and changes of the quorum's leader, and of any pauses. The quorum is modeled as one log; the consensus of its members is
+// tested in virtual time instead. Time advances in whole units, and a controller that takes no step while time passes is
+// paused.
 type ModelSearch struct {
 	Nodes, Leases                  int
 	Lease                          float64 // in units
 	Horizon                        int     // units
 	Crashes, Losses, LeaderChanges int
-	MaxInFlight                    int       // messages on their way at most
-	Rates                          []float64 // of the nodes' clocks; nil: all alike
-	MaxStates                      int       // states, at which the search ends without a verdict
-	Unfenced                       bool      // a mutant: receivers let all pass
+	MaxInFlight                    int       // messages in flight at most
+	Rates                          []float64 // of the nodes' clocks; nil: all run at the same rate
+	MaxStates                      int       // number of states after which the search is incomplete
+	Unfenced                       bool      // a mutant: receivers ignore fencing tokens
 }
 
-// SearchResult is what the search found.
+// SearchResult is the result of a search.
 type SearchResult struct {
 	States, Moves int
-	Complete      bool     // all states within the bounds were seen
-	Broken        string   // an invariant that does not hold; empty: all do
-	Path          []string // the moves to it
-	Overlaps      int      // states in which two may act at once, which clocks or pauses past the margin allow
+	Complete      bool     // every state within the bounds was reached
+	Broken        string   // an invariant that does not hold; empty: all hold
+	Path          []string // the moves that lead to the violation
+	Overlaps      int      // states in which two nodes may act at once; only clocks that differ by more than the margin allow it
 }
 
-// brokenMark stands among the accepted effects once a receiver took two holders of one token, or a lower one after a
-// higher.
+// brokenMark is added to the accepted effects once a receiver accepts two holders of one token, or a lower token after a
+// higher one.
 var brokenMark = lease.Grant{Name: "broken"}
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	to    int // a node; -1: the quorum
 	renew *lease.Renew
@@ -50,13 +50,13 @@
 	run   uint64
 }
 
-// effect is one that a holder has begun: it has looked at its clock, and has not reached the receiver.
+// effect is an effect that a holder has begun after it checked its clock, and that has not reached the receiver yet.
 type effect struct {
 	node  int
 	grant lease.Grant
 }
 
-// modelState is a state of the whole: of the quorum, the nodes, the messages between them and the receivers.
+// modelState is a state of the model: of the quorum, the nodes, the messages between them and the receivers.
 type modelState struct {
 	now                            int
 	state                          *lease.State
@@ -71,7 +71,7 @@
 	path                           *step
 }
 
-// step is how a state came about.
+// step is the move that led to a state, with the steps before it.
 type step struct {
 	text     string
 	previous *step
@@ -96,8 +96,8 @@
 	return &c
 }
 
-// key tells states apart, but for what no later move can tell: numbers of renewals and tokens count for nothing but for
-// which is which.
+// key returns a hash that is equal for states which no later move can distinguish: the sequence numbers of renewals count
+// only by the times at which these were sent.
 func (s *modelState) key(names []lease.Name) uint64 {
 	b := make([]byte, 0, 512)
 	put := func(xs ...uint64) {
@@ -128,7 +128,7 @@
 	for _, h := range s.clients {
 		b = h.AppendKey(b)
 	}
-	inFlight := make([]string, 0, len(s.messages)) // what is on its way has no order
+	inFlight := make([]string, 0, len(s.messages)) // messages in flight have no order
 	for _, f := range s.messages {
 		keep := b
 		b = nil
@@ -171,7 +171,7 @@
 	return lease.Holder{ID: members.ID(fmt.Sprintf("n%d", i)), Run: s.runs[i]}
 }
 
-// Search looks at all states.
+// Search searches all states breadth-first, up to MaxStates or the first violation.
 func (p ModelSearch) Search() (result SearchResult) {
 	timing := lease.Timing{Duration: p.Lease}
 	first := &modelState{state: &lease.State{}, manager: lease.NewManager(timing, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
@@ -215,8 +215,8 @@
 	return result
 }
 
-// check tells what does not hold: with clocks that go alike nobody may act beside another, whatever pauses; and of one
-// fencing token there is one holder at the receivers, ever.
+// check returns an invariant that a state breaks; empty: none. With clocks of one rate no two nodes may act at once, whatever
+// pauses there are; and receivers never accept two holders of one fencing token, or a lower token after a higher one.
 func (p ModelSearch) check(s *modelState, result *SearchResult) string {
 	for w := range s.state.Leases {
 		may := 0
@@ -227,12 +227,12 @@
 		}
 		if may > 1 {
 			if result.Overlaps++; p.Rates == nil {
-				return fmt.Sprintf("at %d: %d may act for %s", s.now, may, w)
+				return fmt.Sprintf("at %d: %d nodes may act for %s", s.now, may, w)
 			}
 		}
 	}
 	if e := s.accepted[brokenMark]; e != 0 {
-		return fmt.Sprintf("at %d: a receiver took two holders of one token, or a lower one after a higher", s.now)
+		return fmt.Sprintf("at %d: a receiver accepted two holders of one token, or a lower token after a higher one", s.now)
 	}
 	return ""
 }
--- a/internal/lab/fleet/model_moves.go
+++ b/internal/lab/fleet/model_moves.go
@@ -7,7 +7,7 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// moves are all states that can follow a state.
+// moves returns all states that can follow a state.
 func (p ModelSearch) moves(s *modelState, timing lease.Timing, names []lease.Name) []*modelState {
 	m := &moveList{search: p, from: s, timing: timing}
 	m.passTime()
@@ -29,7 +29,7 @@
 	return m.next
 }
 
-// moveList gathers the states that can follow one.
+// moveList collects the states that can follow a state.
 type moveList struct {
 	search ModelSearch
 	from   *modelState
@@ -37,7 +37,7 @@
 	next   []*modelState
 }
 
-// add adds the state to which a change leads.
+// add adds the state that a change leads to.
 func (m *moveList) add(text string, change func(next *modelState)) {
 	next := m.from.copy()
 	change(next)
@@ -51,7 +51,7 @@
 	}
 }
 
-// assign has the quorum's leader assign the leases that are free.
+// assign has the quorum's leader assign the leases without a holder.
 func (m *moveList) assign() {
 	p, s := m.search, m.from
 	var candidates []lease.Candidate
@@ -70,7 +70,7 @@
 	})
 }
 
-// offer sends a lease's holder that it holds it.
+// offer notifies the holder of a lease that it was assigned, if there is room for a message.
 func (p ModelSearch) offer(s *modelState, assigned *lease.Lease) {
 	for i := range p.Nodes {
 		if p.holder(s, i) == assigned.Holder && len(s.messages) < p.MaxInFlight {
@@ -110,7 +110,7 @@
 	}
 }
 
-// beginEffect has a node that holds a lease look at its clock and begin an effect.
+// beginEffect has a node check by its clock that it holds a lease, and begin an effect.
 func (m *moveList) beginEffect(i int, name lease.Name) {
 	s := m.from
 	token, _, ok := s.clients[i].CanAct(m.search.local(s, i), name)
@@ -136,7 +136,7 @@
 	}
 }
 
-// deliverEffect has an effect reach its receiver, which checks the fencing token.
+// deliverEffect delivers an effect to its receiver, which checks the fencing token.
 func (m *moveList) deliverEffect(i int) {
 	arrived := m.from.effects[i]
 	m.add(fmt.Sprintf("the effect of n%d arrives", arrived.node), func(next *modelState) {
@@ -155,7 +155,7 @@
 	})
 }
 
-// arrive has a message reach the quorum or a node.
+// arrive delivers a message to the quorum or a node.
 func (p ModelSearch) arrive(s *modelState, m message) {
 	switch {
 	case m.renew != nil:
@@ -167,7 +167,7 @@
 	}
 }
 
-// applyRenewal has a renewal agreed on, and its holder answered.
+// applyRenewal applies a renewal to the log and sends the response to its holder.
 func (p ModelSearch) applyRenewal(s *modelState, m message) {
 	command := lease.Command{Renew: m.renew}
 	changed := s.state.Apply(command)
--- a/internal/lab/fleet/orders.go
+++ b/internal/lab/fleet/orders.go
@@ -9,48 +9,48 @@
 	"mintkeel/internal/core/fleet/maintenance"
 )
 
-// Policy is a way to take engines out.
+// Policy is an order in which engines are taken out of service for maintenance.
 type Policy int
 
 // The policies that are compared.
 const (
-	Planned    Policy = iota // core/fleet/maintenance
-	ListOrder                // one at a time, the next when the one before is in the list again
-	AtRandom                 // the same, drawn
-	AllAllowed               // as many as may be out, always
-	EachAlone                // each controller by its own timer: none knows of the others' choice
+	Planned    Policy = iota // the order that core/fleet/maintenance decides
+	ListOrder                // one at a time in the list's order, the next as soon as the last one is back
+	AtRandom                 // one at a time in random order, the next as soon as the last one is back
+	AllAllowed               // always as many as may be out at once
+	EachAlone                // each engine by a timer of its own controller, independent of the others
 )
 
-var policyNames = [...]string{"in the order that is settled", "by list order, one at a time", "at random, one at a time", "as many as allowed, always",
+var policyNames = [...]string{"in the planned order", "by list order, one at a time", "at random, one at a time", "as many as allowed, always",
 	"each controller by its own timer"}
 
 func (p Policy) String() string { return policyNames[p] }
 
-// Policies are all.
+// Policies returns all policies.
 func Policies() []Policy { return []Policy{Planned, ListOrder, AtRandom, AllAllowed, EachAlone} }
 
-// drainModel is a fleet of engines in virtual time, in steps of a second: work that is asked of table groups, each warm at some
-// engines; an engine that comes back is cold: its capacity grows over some seconds, and its table groups are cold until
-// they were used there.
+// drainModel models a fleet of engines in virtual time, in steps of one second. Each table group demands work and is warm at
+// its replicas. The capacity of an engine that comes back grows over warmUpTime, and its table groups are cold there for
+// tableWarmTime.
 type drainModel struct {
 	rng          *rand.Rand
 	engines      []maintenance.Engine
 	replicas     map[maintenance.Group][]int   // engines that serve a group
-	tablesWarmAt map[[2]int]float64            // engine and group: from when it is warm there
+	tablesWarmAt map[[2]int]float64            // by engine and group: s, when the group is warm there
 	demand       map[maintenance.Group]float64 // cores
-	outUntil     map[int]float64               // until when
-	returnedAt   map[int]float64               // since when it is back
+	outUntil     map[int]float64               // by engine: s, when it comes back
+	returnedAt   map[int]float64               // by engine: s, when it came back last, or will
 	tasks        []maintenance.Task
 	now          float64
 }
 
 const (
-	warmUpTime    = 14.0 // s
-	coldCapacity  = 0.35
-	tableWarmTime = 10.0 // s in which a table group becomes warm at a new home
-	coldTableCost = 2.0  // times the work of a group that is cold
+	warmUpTime    = 14.0 // s until an engine that is back has its full capacity
+	coldCapacity  = 0.35 // share of the capacity that it has at once
+	tableWarmTime = 10.0 // s until a table group is warm at a new replica
+	coldTableCost = 2.0  // factor of the work for a group that is cold
 	workTime      = 30.0 // s on each engine
-	drainTime     = 2.0
+	drainTime     = 2.0  // s
 )
 
 func newDrainModel(seed int64, n int, load float64) *drainModel {
@@ -93,7 +93,8 @@
 
 func (s *drainModel) isUp(i int) bool { return s.capacity(i) > 0 }
 
-// runSecond is the benefit lost in one, of the work asked: what finds no room, where cold tables make more of it.
+// runSecond simulates one second and returns the lost benefit as a share of the work: work that exceeds all capacity. Cold
+// tables increase the work.
 func (s *drainModel) runSecond() float64 {
 	load := make([]float64, len(s.engines))
 	for g := range len(s.demand) {
@@ -104,7 +105,7 @@
 				at = append(at, i)
 			}
 		}
-		if len(at) == 0 { // it finds another home, where it is cold: the least loaded
+		if len(at) == 0 { // the group moves to the least loaded engine, where it is cold
 			best := -1
 			for i := range s.engines {
 				if s.isUp(i) && (best < 0 || load[i]/s.engines[i].Cores < load[best]/s.engines[best].Cores) {
@@ -134,7 +135,7 @@
 		spill += max(0, load[i]-c)
 		room += max(0, c-load[i])
 	}
-	if spill > 0 { // others take what they have room for, cold
+	if spill > 0 { // other engines take over what they have room for, with cold tables
 		taken := min(spill, room/coldTableCost)
 		lost = spill - taken
 	}
@@ -142,7 +143,7 @@
 	return lost / max(all, 1e-9)
 }
 
-// takeOut takes an engine out.
+// takeOut takes an engine out of service for its drain and work.
 func (s *drainModel) takeOut(i int) {
 	back := s.now + drainTime + workTime
 	s.outUntil[i], s.returnedAt[i] = back, back
@@ -151,7 +152,7 @@
 	}
 }
 
-// view is the stage as the order sees it.
+// view returns the fleet as the input of maintenance.Decide.
 func (s *drainModel) view() maintenance.View {
 	v := maintenance.View{Now: 1e9 + s.now*1000, Tasks: s.tasks, DrainsListed: true}
 	for i, e := range s.engines {
@@ -178,7 +179,7 @@
 	return v
 }
 
-// prepare warms another home for the groups of an engine that have none: what the module's own move does when it is asked.
+// prepare warms another replica for the groups that are up at no other engine, as the daemon does before a drain.
 func (s *drainModel) prepare(i int) {
 	for g := range len(s.demand) {
 		id := maintenance.Group(g)
@@ -197,8 +198,8 @@
 	}
 }
 
-// TakeAll has all engines taken out once by a policy, and tells the share of the benefit that was lost over the time of the
-// slowest, how long it took (s), and how many were out at once at most.
+// TakeAll takes every engine out once by a policy. It returns the share of the benefit that is lost over the horizon, how
+// long it took until all were warm again, in s (+Inf: longer than the horizon), and how many were out at once at most.
 func TakeAll(seed int64, n int, load float64, p Policy, maxOut int, horizon float64) (lost, took float64, mostOut int) {
 	s := newDrainModel(seed, n, load)
 	t := s.newRollout(p, maxOut)
@@ -217,7 +218,7 @@
 	return lost / horizon, took, mostOut
 }
 
-// rollout is how far a policy has come with taking engines out.
+// rollout is the progress of a policy in taking all engines out.
 type rollout struct {
 	model  *drainModel
 	policy Policy
@@ -225,7 +226,7 @@
 	maxOut int
 	order  []int
 	next   int       // in order
-	timers []float64 // s, of each engine where each is taken out alone
+	timers []float64 // s, when EachAlone takes out each engine
 	taken  map[int]bool
 	index  map[maintenance.EngineID]int
 }
@@ -239,7 +240,7 @@
 		slices.Sort(t.order)
 	}
 	t.timers = make([]float64, n)
-	for i := range t.timers { // some controller's timer for each engine, over the time that one by one would take
+	for i := range t.timers { // spread over the time that taking out maxOut at a time needs
 		t.timers[i] = s.rng.Float64() * float64(n) * (drainTime + workTime) / float64(maxOut)
 	}
 	for i, e := range s.engines {
@@ -248,7 +249,7 @@
 	return t
 }
 
-// step takes out what the policy takes out now, where so many are out.
+// step takes out the engines that the policy chooses now; out is the number of engines that are out already.
 func (t *rollout) step(out int) {
 	switch t.policy {
 	case ListOrder, AtRandom:
@@ -292,7 +293,7 @@
 	return out
 }
 
-// allWarm tells whether all engines are there and warm.
+// allWarm reports whether all engines are up and warm.
 func (s *drainModel) allWarm() bool {
 	for i := range s.engines {
 		if !s.isUp(i) || s.now < s.returnedAt[i]+warmUpTime {
@@ -303,7 +304,7 @@
 }
 
 func (s *drainModel) runMaintenance(plan maintenance.Plan, index map[maintenance.EngineID]int, taken map[int]bool) {
-	for i := range s.tasks { // what hands and confirmations tell
+	for i := range s.tasks { // completes the steps that the hooks confirm
 		t := &s.tasks[i]
 		switch e := index[t.Engine]; {
 		case t.Step == maintenance.Draining && s.now >= s.outUntil[e]-workTime:
@@ -337,8 +338,8 @@
 	}
 }
 
-// BestOrder is the least that can be lost by any order, one at a time, the next when the one before is warm; for fleets so
-// small that all orders can be tried. It tells what the settled order loses on the same stage.
+// BestOrder returns the least loss of all orders that take out one engine at a time, the next when all are warm, and the loss
+// of the policy Planned on the same fleet. It tries all permutations, so it suits small fleets only.
 func BestOrder(seed int64, n int, load float64) (best, ours float64) {
 	horizon := float64(n) * (drainTime + workTime + warmUpTime + 40)
 	best = math.Inf(1)
@@ -382,8 +383,8 @@
 	return best, ours
 }
 
-// Forecasts plays the settled order and tells how many of the forecasts on the way held the real end, of how many: one each
-// time that another engine has come back.
+// Forecasts takes all engines out by the policy Planned, with a forecast of the end each time that an engine is done. It
+// returns how many of the forecasts contain the real end, and their number.
 func Forecasts(seed int64, n int, load float64) (held, of int) {
 	s := newDrainModel(seed, n, load)
 	plan := maintenance.Plan{ID: "all", Select: maintenance.Selection{Kinds: []maintenance.Kind{"std"}}, WorkTime: workTime * 1000, MaxUnavailable: max(1, n/10)}
@@ -395,7 +396,7 @@
 	var all []forecast
 	back := 0
 	for s.now < float64(n)*200 {
-		if s.rng.Intn(600) == 0 { // something holds it up
+		if s.rng.Intn(600) == 0 { // a random delay
 			s.now += float64(s.rng.Intn(30))
 		}
 		s.runMaintenance(plan, index, taken)
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -15,8 +15,8 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// Scene is what is played with processes: real daemons on loopback, with stand-in engines and a feed, a switch between
-// each pair, clients, and an endpoint that the works' effects go to.
+// Scene is a history of processes: daemons on loopback with stand-ins for engines and the feed, a switch between each pair
+// of daemons, clients, and an endpoint that receives the effects of the lease holders.
 type Scene struct {
 	Mintkeel       string // a daemon built with the tag mintkeel_lab
 	Seed           int64
@@ -25,17 +25,17 @@
 	Leases         int
 	Lease          time.Duration
 	Rate           float64 // commands a second at each node
-	Digest         bool    // the fleet's digest is one of the works
+	Digest         bool    // the fleet's digest has a lease
 	Engines        int     // stand-ins; 0: two
-	Withdraw       bool    // the plan is withdrawn when the first engine is back
-	MaxUnavailable int     // engines that maintenance may have out, all of which it takes out once; 0: there is none
+	Withdraw       bool    // the maintenance plan is withdrawn when the first engine is back
+	MaxUnavailable int     // engines that a plan for all engines may have out at once; 0: there is no maintenance
 	Config         bool    // the daemons agree on a configuration
 	Script         Script
 	Settle         time.Duration
 	Log            func(string)
 }
 
-// UsualScene is one with a script drawn from a seed.
+// UsualScene returns a scene with a script drawn from a seed.
 func UsualScene(mintkeel string, seed int64, nodes, faults int) Scene {
 	rng := rand.New(rand.NewSource(seed))
 	s := Scene{Mintkeel: mintkeel, Seed: seed, Nodes: nodes, Voters: 3, Leases: 3, Lease: 2 * time.Second, Rate: 5,
@@ -44,7 +44,7 @@
 		s.Voters = 5
 	}
 	s.Script = DrawScript(rng, nodes, s.Voters, faults, 12000)
-	for i := range s.Script { // a history takes seconds here
+	for i := range s.Script { // histories run in real time: faults are kept short
 		s.Script[i].For = min(s.Script[i].For, 8000)
 		s.Script[i].Amount = min(s.Script[i].Amount, 3000)
 		if s.Script[i].Kind == ClockJump {
@@ -54,28 +54,28 @@
 	return s
 }
 
-// Report is what a history told.
+// Report is the result of a history.
 type Report struct {
-	Broken      string // empty: nothing
-	Effects     int    // that the endpoint took
-	Refused     int    // and refused, by their epoch
-	PeerEffects int    // that other controllers took
+	Broken      string // the first violation; empty: none
+	Effects     int    // effects that the endpoint accepted
+	Refused     int    // effects that the endpoint refused by their token
+	PeerEffects int    // effects that other controllers accepted
 	Commands    int
 	Answered    int
 	Shed        int
 	Failed      int
-	Lost        int // at nodes that ran
-	Digests     int // starts at which something of the fleet's digest was believed
+	Lost        int // commands without a final answer at nodes that ran
+	Digests     int // starts at which some of the fleet's digest was restored
 
-	Returned, MaxOut int // engines that were out and are back; out at once
+	Returned, MaxOut int // engines that were out and are back; engines out at once, at most
 	Maintained       time.Duration
 	Recovery         time.Duration
 
 	ConfigProposals, ConfigAgreed, ConfigApplied, ConfigRefused, ConfigStatuses int
-	ConfigCatchUp                                                               time.Duration // after all was whole, until the newest was in force at all
+	ConfigCatchUp                                                               time.Duration // from the recovery until the newest version was in force at all
 	ConfigAfterPut                                                              time.Duration
 
-	HolderGaps []time.Duration // between the last effect of one owner and the first of the next
+	HolderGaps []time.Duration // between the last effect of a holder and the first of the next
 }
 
 type rig struct {
@@ -92,12 +92,12 @@
 	began    time.Time
 	ctx      context.Context
 	group    sync.WaitGroup
-	faults   sync.WaitGroup // of the script; those that wait for a controller which stood still may end late
+	faults   sync.WaitGroup // of the script; requests to a paused controller may end late
 	platform *platform
-	config   *configRig // nil: the daemons agree on none
+	config   *configRig // nil: the daemons have no configuration to agree on
 }
 
-// PlayProcesses plays a scene. It leaves no process behind.
+// PlayProcesses plays a scene, and ends all its processes.
 func PlayProcesses(ctx context.Context, s Scene) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -237,6 +237,8 @@
 	}
 }
 
-const startTime = 1500 * time.Millisecond // from a start until a node must answer all it takes
+// startTime is how long after its start a node must answer every command that it accepts.
+const startTime = 1500 * time.Millisecond
 
+// digestLine matches the log line of a start at which some of the digest was restored.
 var digestLine = regexp.MustCompile(`fleet: the digest.*believed=[1-9]`)
--- a/internal/lab/fleet/processes_daemon.go
+++ b/internal/lab/fleet/processes_daemon.go
@@ -20,29 +20,29 @@
 type machineProc struct {
 	number           int
 	name             string
-	serveAddr        string // where clients go
-	fleetAddr        string // where other controllers go
+	serveAddr        string // for clients
+	fleetAddr        string // for other controllers
 	dir              string
 	cmd              *exec.Cmd
 	exited           chan struct{}
-	downUntil        time.Time // it did not run, or stood still, until then
+	downUntil        time.Time // until then it is down, paused or starting
 	stopped          bool
 	copies           []string
-	runs             int // starts
-	folderGeneration int // its generation: one more when it is emptied or an older copy is put back
+	runs             int // number of starts
+	folderGeneration int // incremented when the folder is emptied or an older copy is restored
 	mu               sync.Mutex
 }
 
 var histories atomic.Int64
 
-// ownAddr is a loopback address that no other history of this machine has: a free port of the usual one may be taken by
-// any connection that somebody opens before the daemon listens.
+// ownAddr returns a loopback address that no other history on this machine uses. With a shared address, an outgoing
+// connection of another process could take a free port before the daemon listens on it.
 func ownAddr() string {
 	n, pid := histories.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%224, pid/224%250, 1+n%250)
 }
 
-// usualKind is the kind of engine that controllers' settings name.
+// usualKind is the machine kind that controllers' settings name.
 const usualKind = "std"
 
 func (r *rig) configure(n *machineProc) error {
@@ -98,7 +98,7 @@
 	return r.setClockAndDisk(n, 1, 0)
 }
 
-// setClockAndDisk sets a node's clock and disk.
+// setClockAndDisk sets the rate of a node's clock and the delay of its disk in ms, in a file that the daemon reads.
 func (r *rig) setClockAndDisk(n *machineProc, rate, diskMS float64) error {
 	b := binary.BigEndian.AppendUint64(nil, math.Float64bits(rate))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(diskMS))
@@ -128,7 +128,7 @@
 	cmd.Env = append(os.Environ(), "MINTKEEL_LAB_SWITCH="+r.sw.At(n.number), "MINTKEEL_LAB_CLOCK="+filepath.Join(n.dir, "clock"),
 		"MINTKEEL_LAB_ENDPOINT="+r.endpoint.Addr().String())
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the rig itself is killed
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the daemon if the rig is killed
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 		n.mu.Unlock()
 		if crashed && r.ctx.Err() == nil {
 			tail, _ := os.ReadFile(filepath.Join(n.dir, "log"))
-			r.fail("%s ended by itself: %s", n.name, tail[max(0, len(tail)-1500):])
+			r.fail("%s exited unexpectedly: %s", n.name, tail[max(0, len(tail)-1500):])
 		}
 	}()
 	return nil
@@ -162,7 +162,7 @@
 	}
 }
 
-// markOut says that a node is not to be counted on for a while.
+// markOut excuses a node from answering commands until a time.
 func (n *machineProc) markOut(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,7 +177,7 @@
 	return at.Before(n.downUntil) || n.cmd == nil || n.stopped
 }
 
-// changeFolder notes that the folder is another one from now on.
+// changeFolder records that the folder was emptied or replaced by an older copy.
 func (n *machineProc) changeFolder() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/fleet/processes_faults.go
+++ b/internal/lab/fleet/processes_faults.go
@@ -25,7 +25,7 @@
 	r.sleep(time.Until(r.began.Add(time.Duration(r.Script.End() * 1e6))))
 }
 
-// fault has something break, and returns when it is over.
+// fault causes a fault, and returns when it is over or the switch has been set to end it.
 func (r *rig) fault(f Fault) {
 	n := r.nodes[f.A%len(r.nodes)]
 	duration := time.Duration(f.For * 1e6)
@@ -57,12 +57,12 @@
 	}
 }
 
-// diskFull is the lever's value of a disk that takes nothing.
+// diskFull is the disk delay that stands for a full disk.
 const diskFull = -1
 
 // killDowntime kills a daemon, changes its folder, and starts it again after a while.
 func (r *rig) killFor(n *machineProc, duration time.Duration, change func()) {
-	const rediscovery = 3 * time.Second // until others take it for alive again
+	const rediscovery = 3 * time.Second // until other controllers consider it alive again
 	n.markOut(time.Now().Add(duration + startTime + rediscovery))
 	r.kill(n)
 	if change != nil {
@@ -79,7 +79,7 @@
 	n.changeFolder()
 }
 
-// putBackCopy puts an older copy of a folder back, of so many ms ago.
+// putBackCopy replaces a folder by a copy that is age ms old, or by the oldest copy.
 func (r *rig) putBackCopy(n *machineProc, age float64) {
 	n.mu.Lock()
 	copies := slices.Clone(n.copies)
@@ -93,9 +93,9 @@
 	n.changeFolder()
 }
 
-// pause has a daemon stand still for a while.
+// pause suspends a daemon's process for a while.
 func (r *rig) pause(n *machineProc, duration time.Duration) {
-	const rediscovery = 4 * time.Second // until others take it for alive again
+	const rediscovery = 4 * time.Second // until other controllers consider it alive again
 	n.mu.Lock()
 	cmd := n.cmd
 	n.stopped = true
@@ -117,7 +117,7 @@
 	r.setClockAndDisk(n, 1, 0)
 }
 
-// killAll kills all daemons but one at once.
+// killAll kills all daemons but one at the same time, and starts them again after a while.
 func (r *rig) killAll(spared int, duration time.Duration) {
 	var all sync.WaitGroup
 	for _, n := range r.nodes {
@@ -128,7 +128,7 @@
 	all.Wait()
 }
 
-// killInLoop kills a daemon again and again.
+// killInLoop kills and restarts a daemon repeatedly.
 func (r *rig) killInLoop(n *machineProc, duration time.Duration) {
 	const down, up = 300 * time.Millisecond, 700 * time.Millisecond
 	for end := time.Now().Add(duration); time.Now().Before(end) && r.ctx.Err() == nil; {
@@ -137,7 +137,7 @@
 	}
 }
 
-// handOver asks a controller to have a lease handed over, by an operator's command.
+// handOver sends a controller an operator's request to hand a lease over to another controller.
 func (r *rig) handOver(n *machineProc, f Fault) {
 	const within = 2 * time.Second
 	ctx, cancel := context.WithTimeout(r.ctx, within)
@@ -146,7 +146,7 @@
 	control.Call(ctx, filepath.Join(n.dir, "fleet"), request)
 }
 
-// networkFault has the switch do something until a time, and tells whether the fault is one of the network.
+// networkFault causes a fault of the network until a time; it reports false for other faults.
 func (r *rig) networkFault(f Fault, until time.Time) bool {
 	switch f.Kind {
 	case Cut:
@@ -168,7 +168,7 @@
 	return true
 }
 
-// isolate has one neither hear nor be heard, or only one of both.
+// isolate blocks a node's inbound messages, its outbound messages, or both, by the kind of fault.
 func (r *rig) isolate(f Fault, until time.Time) {
 	for i := range r.nodes {
 		if f.Kind != CutOutbound {
@@ -180,7 +180,7 @@
 	}
 }
 
-// split parts the first ones from the rest.
+// split partitions the nodes below a number from the others.
 func (r *rig) split(first int, until time.Time) {
 	for i := range r.nodes {
 		for j := range r.nodes {
@@ -194,7 +194,7 @@
 // copyEach is the time between two copies of a folder, in ms.
 const copyEach = 500
 
-// copyFolders keeps copies of the folders, for those that get an old one back.
+// copyFolders copies the folders at intervals, for the fault OldCopy.
 func (r *rig) copyFolders() {
 	for i := 0; r.sleep(copyEach * time.Millisecond); i++ {
 		copied := r.nodes[:r.Voters]
--- a/internal/lab/fleet/processes_test.go
+++ b/internal/lab/fleet/processes_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A few histories with real daemons as processes: the hard cases one by one, and some drawn. `mintkeel-lab fleet` plays
-// more of them.
+// Histories of daemons as processes, each with a combination of faults that drawn scripts rarely have. `mintkeel-lab fleet`
+// plays drawn ones.
 func TestProcesses(t *testing.T) {
 	if testing.Short() || historiesPlayed < 50 {
 		t.Skip("daemons as processes are played once, without the race detector")
@@ -35,18 +35,18 @@
 	halves := scene(Fault{At: 9000, For: 800, Kind: Kill, A: 0}, Fault{At: 9000, For: 800, Kind: Kill, A: 3}, Fault{At: 14000, For: 7000, Kind: Split, N: 2})
 	halves.Engines, halves.MaxUnavailable = 4, 1
 	for name, s := range map[string]Scene{
-		"an owner is stopped for longer than its lease and goes on": scene(Fault{At: 6000, For: 7000, Kind: Pause, A: 0},
+		"a holder is paused for longer than its lease and continues": scene(Fault{At: 6000, For: 7000, Kind: Pause, A: 0},
 			Fault{At: 6000, For: 7000, Kind: Pause, A: 1}),
 		"all but one restart at once, and again": scene(Fault{At: 6000, For: 500, Kind: KillAll, N: 3}, Fault{At: 8000, For: 500, Kind: KillAll, N: 3}),
-		"a member's folder is lost, another is an old copy": scene(Fault{At: 6000, For: 500, Kind: EmptyFolder, A: 0},
+		"a member's folder is lost, another's is replaced by an old copy": scene(Fault{At: 6000, For: 500, Kind: EmptyFolder, A: 0},
 			Fault{At: 14000, For: 500, Kind: OldCopy, A: 1, Amount: 3000}),
 		"a disk is full, then slow": scene(Fault{At: 6000, For: 3000, Kind: DiskFull, A: 0}, Fault{At: 12000, For: 5000, Kind: SlowDisk, A: 1, Amount: 5000}),
-		"the leader can hear and not be heard, its clock is fast": scene(Fault{At: 5000, Kind: ClockRate, A: 0, Amount: 1.2},
+		"a voter's outbound messages are blocked, another's inbound ones, and their clocks are fast": scene(Fault{At: 5000, Kind: ClockRate, A: 0, Amount: 1.2},
 			Fault{At: 5000, Kind: ClockRate, A: 1, Amount: 1.2}, Fault{At: 7000, For: 6000, Kind: CutOutbound, A: 0}, Fault{At: 14000, For: 6000, Kind: CutInbound, A: 1}),
-		"all engines are taken out once, while conductors die and pause":                        maintenance,
+		"all engines are taken out once, while controllers are killed and paused":               maintenance,
 		"a plan is withdrawn in the middle":                                                     withdrawn,
 		"half of the controllers restart, then the fleet is split, while engines are taken out": halves,
-		"one that starts with nothing begins with what the fleet knows":                         digestRestored,
+		"a restarted controller restores the fleet's digest":                                    digestRestored,
 	} {
 		group.Go(func() {
 			var logged []string
@@ -58,22 +58,22 @@
 			case r.Broken != "":
 				t.Errorf("%s: %s\n%s", name, r.Broken, strings.Join(logged, "\n"))
 			case r.Effects < 50 || r.PeerEffects < 20 || r.Answered < 50:
-				t.Errorf("%s: too little was seen: %+v", name, r)
+				t.Errorf("%s: want at least 50 effects, 20 effects at peers and 50 answers, got %+v", name, r)
 			case s.MaxUnavailable > 0 && r.Shed*20 > r.Commands:
-				t.Errorf("%s: %d of %d commands were shed", name, r.Shed, r.Commands)
+				t.Errorf("%s: %d of %d commands were shed, want a twentieth at most", name, r.Shed, r.Commands)
 			case s.Withdraw && r.Returned >= 1 && r.Returned < s.Engines:
 			case s.MaxUnavailable > 0 && (r.Returned != s.Engines || r.MaxOut != s.MaxUnavailable):
-				t.Errorf("%s: %d engines are back, %d were out at once", name, r.Returned, r.MaxOut)
+				t.Errorf("%s: %d engines are back and %d were out at once, want %d and %d", name, r.Returned, r.MaxOut, s.Engines, s.MaxUnavailable)
 			case s.Digest && r.Digests == 0:
-				t.Errorf("%s: nothing of the digest was believed", name)
+				t.Errorf("%s: no start restored the digest, want at least one", name)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// A drawn history of daemons that agree on a configuration, then bytes that are changed on their way and a version that
-// one of them can't use. `mintkeel-lab fleet --config --processes` plays more.
+// A drawn history of daemons that agree on a configuration, then a put while bytes are corrupted in transit, and a version
+// that one controller can't use. `mintkeel-lab fleet --config --processes` plays more.
 func TestConfigurationProcesses(t *testing.T) {
 	if testing.Short() || historiesPlayed < 50 {
 		t.Skip("daemons as processes are played once, without the race detector")
@@ -94,6 +94,6 @@
 		t.Fatalf("%v, %s\n%s", err, r.Broken, strings.Join(logged, "\n"))
 	}
 	if r.ConfigAgreed == 0 || r.ConfigApplied < 4*r.ConfigAgreed/2 || r.ConfigStatuses == 0 || r.ConfigRefused == 0 {
-		t.Errorf("too little was seen: %+v", r)
+		t.Errorf("want agreed versions, at least two applications for each, statuses and refusals, got %+v", r)
 	}
 }
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -18,7 +18,8 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// serveEndpoint is the endpoint outside: it remembers the highest epoch of each work, and refuses lower ones.
+// serveEndpoint serves the endpoint that receives effects: it refuses effects whose token is lower than the highest one seen
+// for their lease.
 func (r *rig) serveEndpoint() {
 	fencing := lease.NewFencingCheck(nil)
 	last := map[lease.Name]struct {
@@ -76,7 +77,8 @@
 	}
 }
 
-// checkAccepted judges what other controllers wrote down that they took.
+// checkAccepted checks the effects that controllers accepted from each other, from the files in which they record them, and
+// counts the restored digests.
 func (r *rig) checkAccepted() {
 	for _, n := range r.nodes {
 		log, _ := os.ReadFile(filepath.Join(n.dir, "log"))
@@ -88,7 +90,7 @@
 		for line := range strings.Lines(string(text)) {
 			words := strings.Fields(line)
 			if len(words) != 5 || !strings.HasSuffix(line, "\n") {
-				continue // it was killed as it wrote
+				continue // the controller was killed while it wrote the line
 			}
 			at, _ := strconv.ParseInt(words[0], 10, 64)
 			token, _ := strconv.ParseUint(words[2], 10, 64)
@@ -105,7 +107,8 @@
 	}
 }
 
-// sendCommands has commands asked of a node, and counts their answers. A node that was killed or stood still meanwhile owes none.
+// sendCommands sends commands to a node at random times and counts their answers. Commands do not count if the node was down
+// or paused meanwhile.
 func (r *rig) sendCommands(n *machineProc) {
 	rng := rand.New(rand.NewSource(r.Seed*31 + int64(n.number)))
 	r.sleep(startTime)
@@ -149,7 +152,7 @@
 	}
 }
 
-// settle waits until all is well again.
+// settle waits until the fleet has recovered.
 func (r *rig) settle() {
 	began, why := time.Now(), ""
 	for time.Since(began) < r.Settle && r.ctx.Err() == nil {
@@ -157,16 +160,18 @@
 			r.mu.Lock()
 			r.report.Recovery = time.Since(began)
 			r.mu.Unlock()
-			r.logf("whole after %v", time.Since(began).Round(time.Millisecond))
+			r.logf("recovered after %v", time.Since(began).Round(time.Millisecond))
 			return
 		}
 		r.sleep(200 * time.Millisecond)
 	}
 	if r.ctx.Err() == nil {
-		r.fail("not whole %v after the last fault: %s", r.Settle, why)
+		r.fail("not recovered %v after the last fault: %s", r.Settle, why)
 	}
 }
 
+// missing returns what the fleet lacks to be recovered: all members alive at all controllers, all voters voting, and one
+// holder for each lease; empty: nothing.
 func (r *rig) missing() string {
 	owners := map[string]int{}
 	for _, n := range r.nodes {
@@ -183,18 +188,18 @@
 			}
 		}
 		if alive != r.Nodes {
-			return fmt.Sprintf("%s takes %d of %d as alive", n.name, alive, r.Nodes)
+			return fmt.Sprintf("%s considers %d of %d members alive", n.name, alive, r.Nodes)
 		}
 		for _, w := range s.Holds {
 			owners[w]++
 		}
 		if n.number < r.Voters && s.Quorum.Role != "voting" {
-			return fmt.Sprintf("%s is %s in the council: %s", n.name, s.Quorum.Role, s.Quorum.Reason)
+			return fmt.Sprintf("%s is %s in the quorum: %s", n.name, s.Quorum.Role, s.Quorum.Reason)
 		}
 	}
 	for i := range r.Leases {
 		if name := fmt.Sprintf("work-%d", i); owners[name] != 1 {
-			return fmt.Sprintf("%s has %d owners", name, owners[name])
+			return fmt.Sprintf("%s has %d holders", name, owners[name])
 		}
 	}
 	return ""
--- a/internal/lab/fleet/promises.go
+++ b/internal/lab/fleet/promises.go
@@ -10,13 +10,14 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Renewals are what owners were told by the council: each renewal from when it was sent until its answer came, by whom, of
-// which epochs. They have to be linearizable: there is one order of them, in which none that was answered before another was
-// asked comes after it, that one register could have given, which holds an epoch with its owner, and only ever a higher one.
+// Renewals records the renewals of leases that the quorum confirmed: the run that sent each one, its fencing tokens, and when
+// it was sent and confirmed. For each lease they must be linearizable as operations on a register that holds a token with its
+// run, where only a higher token may replace it: some order of them is legal, in which none that was confirmed before another
+// was sent comes after it.
 type Renewals struct {
-	sent map[requestID]float64
+	sent map[requestID]float64 // ms
 	ops  []porcupine.Operation
-	ids  map[uint64]int // runs, as the checker wants small numbers
+	ids  map[uint64]int // by run: its client ID for porcupine, which needs small numbers
 }
 
 type requestID struct{ run, sequence uint64 }
@@ -27,17 +28,17 @@
 	run   uint64
 }
 
-// NewRenewals has heard nothing.
+// NewRenewals returns a record without renewals.
 func NewRenewals() *Renewals { return &Renewals{sent: map[requestID]float64{}, ids: map[uint64]int{}} }
 
-// Sent takes in that a run asked.
+// Sent records that a run sent a renewal; a repeated one counts from its first time.
 func (p *Renewals) Sent(run uint64, r *lease.Renew, now float64) {
 	if k := (requestID{run, r.Sequence}); p.sent[k] == 0 {
 		p.sent[k] = now
 	}
 }
 
-// Answered takes in what it was told, once for each that it asked: an answer that comes twice is one promise.
+// Answered records the response to a renewal; a response that is delivered twice counts once.
 func (p *Renewals) Answered(run uint64, response *node.RenewResponse, now float64) {
 	k := requestID{run, response.Sequence}
 	at, ok := p.sent[k]
@@ -83,13 +84,13 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Check tells what is wrong with the promises; empty: nothing.
+// Check returns a violation if the renewals are not linearizable, or could not be checked in time; empty: none.
 func (p *Renewals) Check() string {
 	switch porcupine.CheckOperationsTimeout(registerModel, p.ops, 20*time.Second) {
 	case porcupine.Ok:
 		return ""
 	case porcupine.Unknown:
-		return fmt.Sprintf("the %d promises of the council could not be checked in time", len(p.ops))
+		return fmt.Sprintf("the %d confirmed renewals could not be checked for linearizability in time", len(p.ops))
 	}
-	return fmt.Sprintf("the %d promises of the council have no order that one register could have given", len(p.ops))
+	return fmt.Sprintf("the %d confirmed renewals are not linearizable", len(p.ops))
 }
--- a/internal/lab/fleet/race_test.go
+++ b/internal/lab/fleet/race_test.go
@@ -2,7 +2,7 @@
 
 package fleet
 
-// The detector makes histories ten times as dear, and a history has one goroutine.
+// The race detector makes a history ten times as slow, and a history runs in one goroutine.
 const (
 	historiesPlayed        = 8
 	configurationHistories = 3
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -1,6 +1,6 @@
-// Package fleet is the rig on which many controllers are made to get along while parts of the system break: in virtual
-// time, hundreds of them in one process, every message and timer by a seed; and as processes on loopback with a switch
-// between each pair. What is checked is judged from what receivers wrote down, never from what a controller says of itself.
+// Package fleet tests fleets of many controllers under faults: hundreds of them in virtual time in one process, where a seed
+// determines every message and timer, and daemons as processes on loopback with a switch between each pair. Safety is checked
+// from the records of receivers, never from what a controller reports of itself.
 package fleet
 
 import (
@@ -10,53 +10,53 @@
 	"strings"
 )
 
-// FaultKind is what breaks.
+// FaultKind is a kind of fault, or of a request by an operator.
 type FaultKind int
 
-// The kinds of fault, in the order that scripts draw them in.
+// The kinds of fault. DrawScript draws by their numbers, so their order decides what a seed stands for.
 const (
-	Kill        FaultKind = iota // the process ends at once; it starts again after For, with its folder
-	Pause                        // the process stands still for For
-	Cut                          // nothing gets from A to B for For
-	CutBoth                      // nor from B to A
-	Isolate                      // A hears and is heard by nobody
-	CutInbound                   // A is heard and hears nobody
-	CutOutbound                  // A hears and is heard by nobody
-	Split                        // those below N and the others don't hear each other
-	Drop                         // a share of all messages is lost
-	Delay                        // messages take up to so many ms more, and pass each other
-	EmptyFolder                  // killed, and its folder is empty when it starts again
-	OldCopy                      // killed, and its folder is as it was some time ago
-	SlowDisk                     // its disk takes Amount ms for each record
-	ClockRate                    // its clock runs Amount times as fast
-	ClockJump                    // its wall clock jumps; steady clocks do not, so it stands for nothing but a check that none is used
-	KillAll                      // all but N end at once
-	HandOver                     // an operator names another owner
-	RestartLoop                  // it restarts every second for For
-	DiskFull                     // its disk takes no record
+	Kill        FaultKind = iota // A's process is killed; it starts again after For, with its folder
+	Pause                        // A's process is suspended for For
+	Cut                          // messages from A to B are blocked for For
+	CutBoth                      // messages between A and B are blocked in both directions
+	Isolate                      // messages from and to A are blocked
+	CutInbound                   // messages to A are blocked
+	CutOutbound                  // messages from A are blocked
+	Split                        // messages between the nodes below N and the others are blocked
+	Drop                         // Amount is the share of all messages that is lost
+	Delay                        // messages take up to Amount ms longer, and may overtake each other
+	EmptyFolder                  // A is killed, and its folder is empty when it starts again
+	OldCopy                      // A is killed, and its folder is a copy from Amount ms ago when it starts again
+	SlowDisk                     // A's disk takes Amount ms for each record
+	ClockRate                    // A's clock runs at Amount times the usual rate
+	ClockJump                    // A's wall clock jumps; monotonic clocks don't, so the fault has no effect: no wall clock is used
+	KillAll                      // all nodes but N are killed at once
+	HandOver                     // an operator has a lease handed over to B
+	RestartLoop                  // A restarts every second for For
+	DiskFull                     // A's disk stores no record for For
 
-	// What operators ask of the fleet's configuration, and faults of its own; DrawScript draws none of them.
+	// The rest are operators' requests about the fleet's configuration, and faults of it. DrawScript draws none of them.
 
 	Put          // at A: a document of Amount bytes that N can't use
-	PutTwice     // the same, and another one at B at the same time
+	PutTwice     // at A as Put, and another document at B at the same time
 	RollBack     // at A: to the version that is 1+B%4 before the newest
 	AskStatus    // at A
-	KillLeader   // of the quorum; it starts again after For
+	KillLeader   // kills the quorum's leader, which starts again after For
 	ReplaceVoter // A by B
-	Corrupt      // a byte of some chunks is changed on their way
-	Replay       // messages about the configuration come again later
+	Corrupt      // some bits are flipped in transit, in virtual time in chunks of documents only
+	Replay       // messages about the configuration are delivered again later
 )
 
-// drawnKinds are those that DrawScript draws from.
+// drawnKinds is the number of kinds that DrawScript draws from.
 const drawnKinds = int(DiskFull) + 1
 
-var faultNames = [...]string{"kill", "pause", "cut", "cut both", "isolate", "deaf", "mute", "split", "drop", "delay", "empty",
+var faultNames = [...]string{"kill", "pause", "cut", "cut both", "isolate", "cut inbound", "cut outbound", "split", "drop", "delay", "empty",
 	"old copy", "slow disk", "clock", "jump", "kill all but", "hand over", "restart loop", "disk full",
 	"put", "put twice", "roll back", "ask status", "kill leader", "replace voter", "corrupt", "replay"}
 
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one entry of a script. Times are ms from the beginning.
+// Fault is one entry of a script. Times are in ms; At counts from the beginning of the history.
 type Fault struct {
 	At, For float64
 	Kind    FaultKind
@@ -86,7 +86,7 @@
 	return text
 }
 
-// Script is a history's faults, in order.
+// Script is the faults of a history, in the order of time.
 type Script []Fault
 
 func (s Script) String() string {
@@ -97,7 +97,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// End is when the last fault is over.
+// End returns when the last fault is over.
 func (s Script) End() (end float64) {
 	for _, f := range s {
 		end = max(end, f.At+f.For)
@@ -105,13 +105,13 @@
 	return end
 }
 
-// DrawScript draws a script of n faults within a time, on a fleet of so many nodes with so many in its council. At most
-// a minority of the council loses its folder: what happens past that needs an operator's word.
+// DrawScript draws a script of n faults in a time in ms, for a fleet of nodes of which the first are voters. At most a
+// minority of the voters loses its folder or has a full disk: without a majority the quorum needs an operator's decision.
 func DrawScript(rng *rand.Rand, nodes, voters, n int, within float64) (s Script) {
 	folderLost := map[int]bool{}
 	for range n {
 		f := Fault{At: 3000 + rng.Float64()*within, Kind: FaultKind(rng.Intn(drawnKinds)), A: rng.Intn(nodes), B: rng.Intn(nodes)}
-		if rng.Intn(3) > 0 { // the council is where it hurts
+		if rng.Intn(3) > 0 { // faults of voters have more effect
 			f.A = rng.Intn(voters)
 		}
 		if f.B == f.A {
@@ -123,8 +123,8 @@
 			if f.Kind != DiskFull {
 				f.For = 100 + rng.Float64()*5000
 			}
-			f.Amount = rng.Float64() * 10000    // how old the copy is, for OldCopy
-			if f.Kind != Kill && f.A < voters { // one whose disk takes nothing can't come back as another life either
+			f.Amount = rng.Float64() * 10000    // age of the copy, for OldCopy
+			if f.Kind != Kill && f.A < voters { // a voter with a full disk can't rejoin as another incarnation either
 				if len(folderLost) >= (voters-1)/2 && !folderLost[f.A] {
 					f.Kind, f.For = Kill, min(f.For, 5000)
 				} else {
--- a/internal/lab/fleet/switch.go
+++ b/internal/lab/fleet/switch.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Switch stands between each pair of processes: whoever one opens a connection to, it opens it here, and says whom it
-// meant. What is said on it passes, or not, by the faults of the moment. Cut bytes are held back for as long as the cut
-// lasts, as a network that is cut off says nothing; connections are reset where messages are to be lost.
+// Switch is a proxy between each pair of processes. A process opens each connection to the switch, and sends the address that
+// it means first. The switch forwards the connection's bytes subject to the current faults. Bytes are held back while their
+// direction is blocked, as a partitioned network gives no error; connections are reset where messages are to be lost.
 type Switch struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
@@ -30,7 +30,7 @@
 	group        sync.WaitGroup
 }
 
-// NewSwitch is one for nodes that listen at these addresses. At returns where node i is to go.
+// NewSwitch returns a switch for nodes that listen at these addresses. Node i has to connect to At(i).
 func NewSwitch(addrs []string, seed int64) (*Switch, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Switch{rng: rand.New(rand.NewSource(seed)), byAddr: map[string]int{}, blocked: map[[2]int]time.Time{},
@@ -48,10 +48,10 @@
 	return s, nil
 }
 
-// At is where the connections of a node go.
+// At returns the address to which a node has to open its connections.
 func (s *Switch) At(i int) string { return s.listeners[i].Addr().String() }
 
-// Close ends all.
+// Close closes all connections and waits until the switch has ended.
 func (s *Switch) Close() {
 	s.cancel()
 	for _, l := range s.listeners {
@@ -65,7 +65,7 @@
 	s.group.Wait()
 }
 
-// Block has nothing pass from a to b until a time.
+// Block holds back all bytes from a to b until a time.
 func (s *Switch) Block(a, b int, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,21 +74,21 @@
 	}
 }
 
-// Drop has a share of what is written end its connection, until a time.
+// Drop resets the connection at a share of all writes, until a time.
 func (s *Switch) Drop(share float64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drop, s.dropUntil = share, until
 }
 
-// Corrupt has a share of what is written have one bit changed, until a time.
+// Corrupt flips one bit in a share of all writes, until a time.
 func (s *Switch) Corrupt(share float64, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corrupt, s.corruptUntil = share, until
 }
 
-// Delay has all take up to so much longer, until a time.
+// Delay delays each write by up to maxDelay, until a time.
 func (s *Switch) Delay(maxDelay time.Duration, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,7 @@
 	both.Wait()
 }
 
-// waitUnblocked waits until something may pass; false: the switch ends.
+// waitUnblocked waits until bytes may pass; it reports false when the switch ends.
 func (s *Switch) waitUnblocked(from, to int) bool {
 	for {
 		s.mu.Lock()
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -8,39 +8,39 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Loss is how an owner is lost.
+// Loss is the way in which a lease loses its holder.
 type Loss int
 
 // The losses that are measured.
 const (
 	Killed     Loss = iota
-	Paused          // for six leases
-	CutOff          // from all others, for six leases
-	InboundCut      // it is heard, and hears nobody
-	Stopped         // a planned end
-	HandedOver      // by an operator's word
+	Paused          // for six lease durations
+	CutOff          // partitioned from all others for six lease durations
+	InboundCut      // messages to the holder are blocked for six lease durations
+	Stopped         // shut down as planned
+	HandedOver      // on an operator's request
 )
 
-var lossNames = [...]string{"killed", "paused", "cut off", "deaf", "a planned end", "handed over"}
+var lossNames = [...]string{"killed", "paused", "cut off", "cut inbound", "planned shutdown", "handed over"}
 
 func (l Loss) String() string { return lossNames[l] }
 
-// Losses are all.
+// Losses returns all losses.
 func Losses() []Loss { return []Loss{Killed, Paused, CutOff, InboundCut, Stopped, HandedOver} }
 
-// TakeOver is the ms for which a work had nobody that acted for it, from when its owner was lost; and how many effects of
-// the old owner an endpoint refused.
+// TakeOver returns the ms for which nobody acted as the holder of a lease, from the loss of its holder on (+Inf: for longer
+// than 20 lease durations), and the number of the old holder's effects that reached an endpoint after it had stopped acting.
 func TakeOver(seed int64, leaseTime float64, l Loss) (vacancy float64, refused int) {
 	return TakeOverAcross(seed, leaseTime, l, Regions{})
 }
 
-// Regions are places far from each other, over which controllers are spread in turn. The zero value is one place.
+// Regions are distant regions over which controllers are spread in turn. The zero value is a single region.
 type Regions struct {
 	Count   int
-	Between float64 // ms that a message takes from one to another
+	Between float64 // latency in ms of a message between two regions
 }
 
-// latency is the ms that a message takes at least between two controllers.
+// latency returns the minimum latency in ms of a message between two controllers.
 func (r Regions) latency(a, b int) float64 {
 	const near = 0.3
 	if r.Count <= 1 || a%r.Count == b%r.Count {
@@ -85,7 +85,7 @@
 		for _, m := range w.nodes {
 			if m != holder && m.core != nil && w.now >= m.pausedUntil && len(m.core.Held(w.local(m))) > 0 {
 				vacancy = w.now - lost
-				if l == CutOff || l == InboundCut { // it acted on for as long as it might
+				if l == CutOff || l == InboundCut { // a holder that is cut off acts for a while, which is subtracted
 					vacancy -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
 				}
 				w.Run(until + leaseTime)
@@ -96,9 +96,9 @@
 	return math.Inf(1), w.Checker.LateEffects
 }
 
-// LockFile is the plain baseline: a file with an owner and a time until which it owns, by the wall clocks of the machines,
-// looked at and written in two steps. It plays one history with the troubles that a quorum's lease is played with, and
-// tells how often two acted at once, and how many effects a receiver took from one after a later owner's.
+// LockFile plays one history of a plain baseline, with faults like those that leases are tested with: a file with an owner
+// and the time until which it owns, by the machines' wall clocks, which machines read and write in two steps. It returns how
+// often two machines acted at once, and how many effects a receiver accepted after one of a later owner.
 func LockFile(seed int64, leaseTime float64) (both, late int) {
 	const end, interval = 60000.0, 50.0 // ms
 	f := newLockFile(seed, leaseTime)
@@ -117,17 +117,17 @@
 	return both, f.late
 }
 
-// lockFile is the file, and the machines that want to own it.
+// lockFile is the file, and the machines that try to own it.
 type lockFile struct {
 	rng      *rand.Rand
 	lease    float64 // ms
 	machines []lockMachine
 	owner    int
 	until    float64
-	last     int         // the machine whose effect the receiver took last
-	terms    map[int]int // the number of each machine's last ownership
-	newest   int         // of ownerships
-	late     int         // effects that came after one of a later ownership
+	last     int         // the machine whose effect the receiver accepted last
+	terms    map[int]int // by machine: the number of its last ownership
+	newest   int         // the number of the newest ownership
+	late     int         // effects that were accepted after one of a later ownership
 }
 
 // lockMachine is one of the machines.
@@ -150,7 +150,8 @@
 	return f
 }
 
-// injectFault has a machine pause, run fast or slow, or its clock jump by an hour: one of these each ten seconds.
+// injectFault pauses a machine, changes the rate of its clock, or has the clock jump by an hour; on average one of these
+// happens every ten seconds.
 func (f *lockFile) injectFault(now float64) {
 	if f.rng.Intn(200) != 0 {
 		return
@@ -166,11 +167,11 @@
 	}
 }
 
-// step has a machine do its next step, and tells whether it acts.
+// step advances a machine by one step, and reports whether it acts as the owner.
 func (f *lockFile) step(i int, now float64) (acts bool) {
 	m := &f.machines[i]
 	if now < m.paused {
-		return m.acting // it has looked at its clock, and its next effect goes out when it goes on
+		return m.acting // it has checked its clock already, so it sends its next effect when it continues
 	}
 	clock := now*m.rate + m.jump
 	if m.acting {
@@ -192,7 +193,7 @@
 	return acts
 }
 
-// write is the second step: a machine writes the file by what it read.
+// write is the second step of taking the file: a machine writes it based on what it read.
 func (f *lockFile) write(i int, clock float64) {
 	m := &f.machines[i]
 	m.readAt = 0
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -11,7 +11,7 @@
 	"mintkeel/internal/lab/eventqueue"
 )
 
-// Plan is what is played in virtual time.
+// Plan is a history to be played in virtual time.
 type Plan struct {
 	Seed       int64
 	Nodes      int
@@ -20,15 +20,15 @@
 	Lease      float64
 	Membership members.Config
 	Script     Script
-	Settle     float64                // ms after the last fault within which all must be well again
-	Mutant     string                 // a check that is left out, to see whether that is noticed; empty: none
+	Settle     float64                // ms after the last fault within which the fleet must recover
+	Mutant     string                 // a fault of the program, to test that it is caught; empty: none
 	Config     bool                   // the fleet agrees on a configuration
-	Busy       float64                // the share of versions that can not be applied at once
-	Direct     bool                   // messages are handed over as they are, not encoded: for large fleets, as encoding costs most
-	Latency    func(a, b int) float64 // ms that a message from one to another takes at least; nil: 0.3
+	Busy       float64                // the share of applies that fail with errBusy
+	Direct     bool                   // messages are passed without encoding, which takes most of the time in large fleets
+	Latency    func(a, b int) float64 // minimum latency in ms of a message from one node to another; nil: 0.3
 }
 
-// UsualPlan is one whose script is drawn from a seed.
+// UsualPlan returns a plan whose script is drawn from a seed.
 func UsualPlan(seed int64, nodes, leases, faults int) Plan {
 	rng := rand.New(rand.NewSource(seed))
 	p := Plan{Seed: seed, Nodes: nodes, Voters: 3, Leases: leases, Lease: 4000, Membership: members.DefaultConfig(), Settle: 90000}
@@ -46,7 +46,7 @@
 	now        float64
 	queue      eventqueue.Queue
 	nodes      []*machine
-	blocked    map[[2]int]float64 // until when nothing gets from one to another
+	blocked    map[[2]int]float64 // until when messages from one node to another are blocked
 	drop       float64
 	dropUntil  float64
 	delay      float64
@@ -59,15 +59,15 @@
 
 	Checker         *Checker
 	Renewals        *Renewals
-	MembershipBytes int // of messages of membership
+	MembershipBytes int // bytes of membership messages with their frames
 	Ticks           int
-	Recovery        float64 // ms from the last fault until all was well
-	FalseSuspicions int     // suspicions of one that ran and was not cut off, as n0 heard of them
-	FalseDeaths     int     // the same, taken to be gone
+	Recovery        float64 // ms from the last fault until the fleet had recovered
+	FalseSuspicions int     // suspicions of nodes that ran while nothing was blocked, as n0 learned of them
+	FalseDeaths     int     // the same of members declared dead
 	Trace           func(string)
 }
 
-// NewWorld sets a fleet up.
+// NewWorld returns a fleet whose processes start within the first 500 ms.
 func NewWorld(p Plan) *World {
 	w := &World{plan: p, rng: rand.New(rand.NewSource(p.Seed*7919 + 1)), blocked: map[[2]int]float64{}, Checker: NewChecker(), Renewals: NewRenewals(),
 		numbers: map[members.ID]int{}}
@@ -100,7 +100,7 @@
 	}
 }
 
-// Run plays until a time.
+// Run plays until a time, or until the checker of leases finds a violation.
 func (w *World) Run(until float64) {
 	for w.queue.Next() <= until && w.Checker.Broken == "" {
 		e := w.queue.Take()
@@ -110,18 +110,19 @@
 	w.now = max(w.now, until)
 }
 
-// Play is play, of which a panic of a core counts as a break.
+// Play plays the whole plan and returns the first violation; empty: none. A panic of a controller's core counts as one.
 func (w *World) Play() (why string) {
 	defer func() {
 		if x := recover(); x != nil {
-			why = fmt.Sprintf("%.1f ms: a core failed: %v", w.now, x)
+			why = fmt.Sprintf("%.1f ms: a core panicked: %v", w.now, x)
 		}
 	}()
 	return w.play()
 }
 
-// play plays the whole plan and tells what broke; empty: nothing. It ends when all has been well for some seconds after the
-// last fault, and Whole is how long that took. Where a majority of the voters lost their folders no promise may be broken.
+// play plays the whole plan and returns the first violation; empty: none. It ends when the fleet has been healthy for some
+// seconds after the last fault, and sets Recovery. Where a majority of the voters lost their folders the fleet need not
+// recover, but safety must hold.
 func (w *World) play() string {
 	if w.config != nil {
 		return w.playConfiguration()
@@ -132,7 +133,7 @@
 		return w.playWithoutMajority()
 	}
 	const checkInterval, stableTime = 500.0, 5000.0
-	healthySince, why := 0.0, "it has just ended"
+	healthySince, why := 0.0, "not checked yet"
 	for w.Checker.Broken == "" {
 		if why = w.missing(); why != "" {
 			healthySince = 0
@@ -143,24 +144,25 @@
 			return w.Renewals.Check()
 		}
 		if w.now > end+w.plan.Settle {
-			return fmt.Sprintf("not whole %.0f s after the last fault: %s", w.plan.Settle/1e3, why)
+			return fmt.Sprintf("not recovered %.0f s after the last fault: %s", w.plan.Settle/1e3, why)
 		}
 		w.Run(w.now + checkInterval)
 	}
 	return w.Checker.Broken
 }
 
-// MajorityLost tells whether a majority of the voters lost their folders. Nothing more can be agreed on then, and what was is
-// still judged.
+// MajorityLost reports whether a majority of the voters lost their folders. Then nothing more can be agreed on, but safety is
+// still checked.
 func (w *World) MajorityLost() bool { return w.majorityLost }
 
-// playWithoutMajority plays on for a while without a majority, and tells what broke.
+// playWithoutMajority plays on for the time in Plan.Settle without a majority, and returns the first violation.
 func (w *World) playWithoutMajority() string {
 	w.Run(w.now + w.plan.Settle)
 	return cmp.Or(w.Checker.Broken, w.Renewals.Check())
 }
 
-// missing tells what is missing to a fleet that is well: all known as alive by all, an owner that acts for every work.
+// missing returns what the fleet lacks to be healthy: all members alive at all nodes, all voters voting, and one holder for
+// each lease; empty: nothing.
 func (w *World) missing() string {
 	owners := map[lease.Name]int{}
 	for _, m := range w.nodes {
@@ -174,18 +176,18 @@
 			}
 		}
 		if alive != len(w.nodes) {
-			return fmt.Sprintf("n%d takes %d of %d as alive", m.number, alive, len(w.nodes))
+			return fmt.Sprintf("n%d considers %d of %d members alive", m.number, alive, len(w.nodes))
 		}
 		for _, c := range m.core.Held(w.local(m)) {
 			owners[c.Name]++
 		}
 		if s, why := m.core.Quorum().Role(); m.number < w.plan.Voters && s != quorum.Voter {
-			return fmt.Sprintf("n%d is %v in the council: %s", m.number, s, why)
+			return fmt.Sprintf("n%d is %v in the quorum: %s", m.number, s, why)
 		}
 	}
 	for _, name := range w.leaseNames() {
 		if owners[name] != 1 {
-			return fmt.Sprintf("%s has %d owners", name, owners[name])
+			return fmt.Sprintf("%s has %d holders", name, owners[name])
 		}
 	}
 	return ""
@@ -198,8 +200,8 @@
 	return names
 }
 
-// withoutLeases tells that there is nothing to be done for leases, of which a plan of a configuration may have none.
+// withoutLeases reports whether the plan has no leases, as one with a configuration may, so that no holder has to act.
 func (p *Plan) withoutLeases() bool { return p.Config && p.Leases == 0 }
 
-// Now is the time in ms.
+// Now returns the virtual time in ms.
 func (w *World) Now() float64 { return w.now }
--- a/internal/lab/fleet/virtual_faults.go
+++ b/internal/lab/fleet/virtual_faults.go
@@ -10,8 +10,9 @@
 	"mintkeel/internal/core/fleet/quorum"
 )
 
-// runHolder has a node do its works: a look at whether it may, and an effect at another controller and at an endpoint that
-// lasts. Between the look and the effect anything may happen to the process.
+// runHolder has a node act at intervals for the leases that it holds: after it checks that it holds a lease, it causes an
+// effect at another controller and one at an endpoint, and proposes the next state. Between the check and the effects the
+// process may be paused or killed.
 func (w *World) runHolder(m *machine, run uint64) {
 	w.at(w.now+100+w.rng.Float64()*200, func() {
 		if m.run != run || m.core == nil {
@@ -34,7 +35,8 @@
 	})
 }
 
-// scheduleEffect is an effect at an endpoint, which has passed its own check when the process stops, and gets there later.
+// scheduleEffect has an effect reach an endpoint after a delay, at times a long one. It is on its way already if the process
+// stops meanwhile.
 func (w *World) scheduleEffect(m *machine, grant lease.Grant, endpoint *machine) {
 	delay := 0.5 + w.rng.Float64()
 	if w.rng.Intn(50) == 0 {
@@ -53,12 +55,12 @@
 
 // Times of faults, in ms.
 const (
-	defaultDiskMS   = 2.0 // that a write takes
+	defaultDiskMS   = 2.0 // typical duration of a write
 	restartInterval = 1000.0
 	restartDowntime = 300.0
 )
 
-// fault has something break.
+// fault causes a fault, and schedules its end.
 func (w *World) fault(f Fault) {
 	w.trace("FAULT %v", f)
 	m := w.nodes[f.A%len(w.nodes)]
@@ -92,7 +94,7 @@
 	}
 }
 
-// loseFolder has a process end and start again with an empty folder, or an older copy of it if there is one.
+// loseFolder restarts a process with an empty folder, or with an older copy of its folder if there is one.
 func (w *World) loseFolder(m *machine, f Fault) {
 	loses := w.losesMajority(m)
 	w.restart(m, f.For)
@@ -106,7 +108,7 @@
 	w.majorityLost = w.majorityLost || loses
 }
 
-// putBack has the folder be the latest copy of before a time; false: there is none.
+// putBack replaces the folder by its latest copy from before a time; it reports false if there is none.
 func (m *machine) putBack(before float64) bool {
 	for i := len(m.copies) - 1; i >= 0; i-- {
 		if m.copies[i].at <= before {
@@ -118,7 +120,7 @@
 	return false
 }
 
-// changeRate has a clock run faster or slower from now on.
+// changeRate changes the rate of a clock from now on.
 func (w *World) changeRate(m *machine, rate float64) {
 	m.offset += w.now * (m.rate - rate)
 	m.rate = rate
@@ -127,7 +129,7 @@
 	}
 }
 
-// restartAll ends all processes but one, which start again at about the same time.
+// restartAll ends all processes but one; they start again at about the same time.
 func (w *World) restartAll(spared int, after float64) {
 	for _, m := range w.nodes {
 		if m.number != spared {
@@ -136,7 +138,7 @@
 	}
 }
 
-// handOver has an operator at a controller ask for a lease to be handed over.
+// handOver has an operator at a controller request the handover of a lease.
 func (w *World) handOver(m *machine, to members.ID) {
 	if m.core == nil || w.now < m.pausedUntil {
 		return
@@ -144,7 +146,7 @@
 	w.deliver(m, func() { m.core.HandOver(w.local(m), w.leaseNames()[w.rng.Intn(w.plan.Leases)], to) })
 }
 
-// networkFault has the network do something until a time, and tells whether the fault is one of the network.
+// networkFault causes a fault of the network until a time; it reports false for other faults.
 func (w *World) networkFault(f Fault, until float64) bool {
 	switch f.Kind {
 	case Cut:
@@ -166,14 +168,14 @@
 	return true
 }
 
-// block has nothing get from one to another until a time.
+// block blocks the messages from one node to another until a time.
 func (w *World) block(from, to int, until float64) {
 	if from != to {
 		w.blocked[[2]int{from, to}] = max(w.blocked[[2]int{from, to}], until)
 	}
 }
 
-// isolate has one neither hear nor be heard, or only one of both.
+// isolate blocks a node's inbound messages, its outbound messages, or both, by the kind of fault.
 func (w *World) isolate(f Fault, until float64) {
 	for i := range w.nodes {
 		if f.Kind != CutOutbound {
@@ -185,7 +187,7 @@
 	}
 }
 
-// split parts the first ones from the rest.
+// split partitions the nodes below a number from the others.
 func (w *World) split(first int, until float64) {
 	for i := range w.nodes {
 		for j := range w.nodes {
@@ -196,7 +198,7 @@
 	}
 }
 
-// restart ends a process, and begins it anew some ms later.
+// restart ends a process, and starts it again after some ms.
 func (w *World) restart(m *machine, after float64) {
 	w.stop(m)
 	m.run = 0
--- a/internal/lab/fleet/virtual_machine.go
+++ b/internal/lab/fleet/virtual_machine.go
@@ -18,29 +18,31 @@
 	id            members.ID
 	core          *node.Node // nil: the process does not run
 	run           uint64
-	records       []quorum.Record // durable
+	records       []quorum.Record // of the quorum, stored durably
 	copies        []folderCopy
 	rate          float64 // of its clock
-	offset        float64
-	pausedUntil   float64 // until when it stands still
-	diskMS        float64
-	diskFullUntil float64 // until when its disk takes nothing
-	timerNumber   uint64  // of the timer that counts
+	offset        float64 // ms, of its clock
+	pausedUntil   float64
+	diskMS        float64 // typical duration of a write
+	diskFullUntil float64
+	timerNumber   uint64 // of the last timer that was set; earlier ones are void
 	restarts      int
-	fencing       *lease.FencingCheck // an endpoint beside the controller, that lasts
+	fencing       *lease.FencingCheck // of an endpoint beside the controller, which keeps its state over restarts
 	effects       uint64
-	stateSerials  map[lease.Name]uint64 // the serial of what was handed on, as this run was told
+	stateSerials  map[lease.Name]uint64 // the latest serial of the holders' state that this run received
 	config        configMachine
 
-	stoppedAs quorum.Incarnation // of the quorum, when it stopped last
+	stoppedAs quorum.Incarnation // its incarnation in the quorum when it stopped last
 }
 
+// folderCopy is a copy of a machine's folder.
 type folderCopy struct {
-	at      float64
+	at      float64 // ms
 	records []quorum.Record
 	config  configDisk
 }
 
+// local returns the time in ms by a machine's clock.
 func (w *World) local(m *machine) float64 { return m.offset + w.now*m.rate }
 
 func (w *World) start(m *machine) {
@@ -83,7 +85,7 @@
 	m.timerNumber++
 }
 
-// handleOutput does what a core asks for after some input.
+// handleOutput carries out what a core requests after some input, and reports its effects to the checker.
 func (w *World) handleOutput(m *machine) {
 	if m.core == nil {
 		return
@@ -114,7 +116,7 @@
 	}
 	for _, c := range out.Changes {
 		if about := w.nodes[w.number(c.Member.ID)]; about.core != nil && w.now >= about.pausedUntil && !c.New && len(w.blocked) == 0 &&
-			c.Member.Run == about.run && m.number == 0 { // as one of them sees it: what one suspects all hear of
+			c.Member.Run == about.run && m.number == 0 { // counted at one node, as all learn of each suspicion
 			if c.Member.State == members.Suspect && c.Previous == members.Alive {
 				w.FalseSuspicions++
 			} else if c.Member.State == members.Dead {
@@ -127,7 +129,7 @@
 	w.scheduleTick(m)
 }
 
-// save makes a batch durable after the time that the disk takes; what it asks for holds only then.
+// save stores a batch or a compaction after the time that the disk takes, and only then reports it to the core as stored.
 func (w *World) save(m *machine, run uint64, batch *quorum.Ready, compaction *quorum.Record) {
 	if batch == nil && compaction == nil {
 		return
@@ -136,14 +138,14 @@
 	if compaction != nil || batch.Record != nil {
 		duration = m.diskMS * (0.5 + w.rng.Float64())
 	}
-	if w.plan.Mutant == "sync" { // what is to be durable is so a little after it is made use of
+	if w.plan.Mutant == "sync" { // the record is stored 500 ms late, after the core was told that it is
 		w.at(w.now+500, func() { m.write(w, run, batch, compaction) })
 	}
 	w.at(w.now+duration, func() {
 		if m.run != run || m.core == nil {
 			return
 		}
-		if w.now < m.diskFullUntil && (compaction != nil || batch.Record != nil) { // the daemon takes no part for a while, and begins anew
+		if w.now < m.diskFullUntil && (compaction != nil || batch.Record != nil) { // the daemon stops and starts again after a while
 			w.stop(m)
 			m.run = 0
 			w.at(w.now+1000+w.rng.Float64()*2000, func() { w.start(m) })
@@ -173,7 +175,7 @@
 	if record == nil {
 		return
 	}
-	data, err := cbor.Marshal(record) // as the daemon does: nothing is shared with the core
+	data, err := cbor.Marshal(record) // encoded as the daemon does it, so that nothing is shared with the core
 	var kept quorum.Record
 	if err == nil {
 		err = cbor.Unmarshal(data, &kept)
@@ -189,7 +191,7 @@
 	w.keepCopy(m)
 }
 
-// keepCopy keeps a copy of a folder, at most each half second.
+// keepCopy keeps a copy of a folder, at most one per 500 ms and the last 200.
 func (w *World) keepCopy(m *machine) {
 	if n := len(m.copies); n == 0 || w.now-m.copies[n-1].at > 500 {
 		m.copies = append(m.copies, folderCopy{w.now, slices.Clone(m.records), m.config.disk})
@@ -199,7 +201,7 @@
 	}
 }
 
-// scheduleTick sets the timer for the core's next look at the clock.
+// scheduleTick sets the timer for the core's next tick, which replaces an earlier timer.
 func (w *World) scheduleTick(m *machine) {
 	m.timerNumber++
 	timer := m.timerNumber
@@ -212,7 +214,7 @@
 	})
 }
 
-// deliver has a process take something in: at once, or when it no longer stands still.
+// deliver runs an input of a process at once, or at the end of its pause, and then handles the output.
 func (w *World) deliver(m *machine, do func()) {
 	if w.now < m.pausedUntil {
 		run := m.run
--- a/internal/lab/fleet/virtual_measure.go
+++ b/internal/lab/fleet/virtual_measure.go
@@ -4,13 +4,13 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// MembershipMeasurements are what membership costs a controller, and how often it is wrong.
+// MembershipMeasurements are the cost of membership for a controller, and its rates of error.
 type MembershipMeasurements struct {
 	BytesPerSecond         float64 // sent by one controller, on average
 	TicksPerSecond         float64 // calls of Tick at one controller, on average
-	FalseSuspicionsPerHour float64 // of members that ran, as one controller hears of them
-	FalseDeathsPerHour     float64 // the same, declared dead
-	DetectionMS            float64 // until all knew of a death, in steps of 250; 300,000 if not all did by then
+	FalseSuspicionsPerHour float64 // suspicions of members that ran, as one controller learns of them
+	FalseDeathsPerHour     float64 // the same of members declared dead
+	DetectionMS            float64 // from a death until all controllers knew of it, in steps of 250; at least 300,000 if not all did
 }
 
 // MeasureMembers runs a fleet in virtual time: 20 s and 20 ms for each node to converge, then long ms at rest, or with
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -16,7 +16,7 @@
 
 func (w *World) isBlocked(a, b int) bool { return w.now < w.blocked[[2]int{a, b}] }
 
-// send carries a message over: it may be lost, take long or come twice, and comes from the run that sent it.
+// send delivers a message, which may be lost, delayed or duplicated. It is dropped if the sender runs anew on its arrival.
 func (w *World) send(from *machine, s node.Envelope) {
 	to := w.number(s.To)
 	if to < 0 {
@@ -34,7 +34,7 @@
 	arrive := func() {
 		target := w.nodes[to]
 		if target.core == nil || w.isBlocked(from.number, to) || from.run != run && from.core != nil {
-			return // a connection of an earlier run ends when the next one connects
+			return // a connection of an earlier run ends when the next run connects
 		}
 		w.deliver(target, func() { w.receive(target, from.id, &s.Message, data) })
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// encode is a message as it goes over a socket; nil where messages are handed over as they are and nothing counts bytes.
+// encode returns the encoded message, or nil where messages are passed without encoding and no bytes are counted.
 func (w *World) encode(m *node.Message) ([]byte, error) {
 	if w.plan.Direct && w.traffic == nil {
 		return nil, nil
@@ -65,7 +65,7 @@
 	}
 }
 
-// drawDelivery draws what becomes of a message: how long it takes, in ms, and whether it is lost or comes twice.
+// drawDelivery draws the delay of a message in ms, and whether it is lost or duplicated.
 func (w *World) drawDelivery(from, to int) (took float64, lost, twice bool) {
 	took = 0.3 + w.rng.Float64()
 	if w.plan.Latency != nil {
@@ -80,7 +80,7 @@
 	return took, lost, twice
 }
 
-// receive has a machine take in a message.
+// receive decodes a message and passes it to a machine's core.
 func (w *World) receive(target *machine, from members.ID, sent *node.Message, data []byte) {
 	m := *sent
 	if !w.plan.Direct {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Without faults a fleet finds itself whole and every work has an owner that stays.
+// Without faults all members find each other, and every lease gets one holder that keeps it.
 func TestQuiet(t *testing.T) {
 	for _, nodes := range []int{3, 5, 20} {
 		p := UsualPlan(1, nodes, 4, 0)
@@ -20,17 +20,17 @@
 			t.Fatalf("%d nodes: %s", nodes, why)
 		}
 		if w.Checker.Overlaps > 0 || w.Checker.Effects == 0 || w.FalseSuspicions > 0 {
-			t.Errorf("%d nodes: %d overlaps, %d effects, %d false suspicions", nodes, w.Checker.Overlaps, w.Checker.Effects, w.FalseSuspicions)
+			t.Errorf("%d nodes: %d overlaps, want 0; %d effects, want some; %d false suspicions, want 0", nodes, w.Checker.Overlaps, w.Checker.Effects, w.FalseSuspicions)
 		}
 		for name, free := range w.Checker.Vacancies {
 			if len(free) != 1 || free[0] > 10000 {
-				t.Errorf("%d nodes: %s was free for %v ms", nodes, name, free)
+				t.Errorf("%d nodes: %s had no holder for %v ms, want one time of 10,000 ms at most", nodes, name, free)
 			}
 		}
 	}
 }
 
-// Histories drawn from seeds: nothing breaks, and all is whole again after the last fault.
+// In histories drawn from seeds no check fails, and the fleet recovers after the last fault.
 func TestHistories(t *testing.T) {
 	for seed := range int64(historiesPlayed) {
 		p := UsualPlan(seed+1, 3+int(seed)%7, 3, 8)
@@ -41,7 +41,7 @@
 	}
 }
 
-// A work has another owner soon after each way of losing one; the plain lock file is seen to break.
+// A lease has another holder soon after each way of losing one. The baseline, a lock file, lets two owners act at once.
 func TestTakeOver(t *testing.T) {
 	for _, l := range Losses() {
 		most := 4000*1.5 + 8000.0
@@ -49,7 +49,7 @@
 			most = 1500
 		}
 		if free, _ := TakeOver(3, 4000, l); free > most {
-			t.Errorf("%v: no owner for %.0f ms", l, free)
+			t.Errorf("%v: no holder for %.0f ms, want %.0f at most", l, free, most)
 		}
 	}
 	broke := 0
@@ -59,12 +59,12 @@
 		}
 	}
 	if broke < 10 {
-		t.Errorf("a lock file broke in %d of 20 histories", broke)
+		t.Errorf("the lock file broke in %d of 20 histories, want at least 10", broke)
 	}
 }
 
-// Sixty controllers of which a third restarts every 10 s, those of the council among them: nothing breaks meanwhile, and all is
-// whole soon after.
+// Of sixty controllers a third restarts every 10 s, voters among them: no check fails meanwhile, and the fleet recovers soon
+// after.
 func TestCrowd(t *testing.T) {
 	p := UsualPlan(6, 60, 5, 0)
 	p.Voters = 5
@@ -79,13 +79,13 @@
 	if why := w.Play(); why != "" {
 		t.Fatal(why)
 	}
-	t.Logf("whole %.0f ms after the last, %d effects, %d late ones refused", w.Recovery, w.Checker.Effects, w.Checker.LateEffects)
+	t.Logf("recovered %.0f ms after the last fault, %d effects, %d late ones", w.Recovery, w.Checker.Effects, w.Checker.LateEffects)
 	if w.Checker.Effects < 500 || w.Checker.Checkpoints < 500 {
-		t.Errorf("%d effects", w.Checker.Effects)
+		t.Errorf("%d effects and %d checkpoints, want at least 500 each", w.Checker.Effects, w.Checker.Checkpoints)
 	}
 }
 
-// The checker of promises finds what no register could have given.
+// Check finds renewals that are not linearizable on a register.
 func TestPromises(t *testing.T) {
 	type answer struct {
 		run       uint64
@@ -96,12 +96,12 @@
 		list []answer
 		ok   bool
 	}{
-		"one after another":                             {[]answer{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
-		"at once, in some order":                        {[]answer{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
-		"an older owner after a later one":              {[]answer{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
-		"two of one epoch":                              {[]answer{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
-		"two of one epoch at once":                      {[]answer{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
-		"an answer that came late to a question of old": {[]answer{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
+		"one after another":                   {[]answer{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
+		"at once, in some order":              {[]answer{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
+		"an earlier holder after a later one": {[]answer{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
+		"two holders of one token":            {[]answer{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
+		"two holders of one token at once":    {[]answer{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
+		"a late response to an early renewal": {[]answer{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
 	} {
 		p := NewRenewals()
 		for i, x := range c.list {
@@ -110,7 +110,7 @@
 			p.Answered(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.token}}}, x.til)
 		}
 		if why := p.Check(); (why == "") != c.ok {
-			t.Errorf("%s: %q", name, why)
+			t.Errorf("%s: violation %q, want none: %v", name, why, c.ok)
 		}
 	}
 }
