--- a/cmd/mintkeel-lab/fleetorders.go
+++ b/cmd/mintkeel-lab/fleetorders.go
@@ -62,8 +62,8 @@
 			for seed, lost := range costs.lost {
 				over = append(over, lost-settled.lost[seed])
 			}
-			lost, _ := restart.Around(costs.lost)
-			mean, half := restart.Around(over)
+			lost, _ := restart.MeanInterval(costs.lost)
+			mean, half := restart.MeanInterval(over)
 			fmt.Fprintf(out, "| %d | %v | %.4f | %+.4f ±%.4f | %s | %d |\n", engines, policy, lost, mean,
 				half, meanDuration(costs.durations, horizon), costs.mostOut)
 		}
@@ -86,7 +86,7 @@
 
 // meanDuration writes the mean of durations in s, or that one did not end within the horizon.
 func meanDuration(durations []float64, horizon float64) string {
-	mean, _ := restart.Around(durations)
+	mean, _ := restart.MeanInterval(durations)
 	if math.IsInf(mean, 1) {
 		return fmt.Sprintf("not in %.0f s", horizon)
 	}
@@ -103,8 +103,8 @@
 		best = append(best, lostByBest)
 		over = append(over, lostBySettled-lostByBest)
 	}
-	meanBest, _ := restart.Around(best)
-	meanOver, half := restart.Around(over)
+	meanBest, _ := restart.MeanInterval(best)
+	meanOver, half := restart.MeanInterval(over)
 	fmt.Fprintf(out, "\nFive engines, one at a time: the best of all orders loses %.4f, "+
 		"the settled one %+.4f ±%.4f more\n", meanBest, meanOver, half)
 }
--- a/cmd/mintkeel-lab/kills.go
+++ b/cmd/mintkeel-lab/kills.go
@@ -67,7 +67,7 @@
 	}
 	group.Wait()
 	fmt.Fprintln(out, total)
-	if failed == nil && total.Bad() {
+	if failed == nil && total.Failed() {
 		failed = errors.New("what was left can't be trusted")
 	}
 	return failed
--- a/cmd/mintkeel-lab/rulespath.go
+++ b/cmd/mintkeel-lab/rulespath.go
@@ -61,7 +61,7 @@
 		m.scene.Seed = m.seed + int64(turn)
 		base := 0.0                      // ms of processor time with the first number of rules
 		for i, count := range m.counts { // one at a time: they would take each other's processors
-			cost, err := restart.Path(ctx, m.scene, restart.Ruled(count, m.scene.Groups))
+			cost, err := restart.Path(ctx, m.scene, restart.SyntheticRules(count, m.scene.Groups))
 			if err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 	fmt.Fprintln(out, "| rules | processor time of a command, over none | benefit |\n"+
 		"| --- | --- | --- |")
 	for i, count := range m.counts {
-		mean, half := restart.Around(ratios[i])
+		mean, half := restart.MeanInterval(ratios[i])
 		fmt.Fprintf(out, "| %d | %.2f ±%.2f | %.3f |\n", count, mean, half, restart.Median(benefits[i]))
 	}
 	return nil
--- a/cmd/mintkeel-lab/surge.go
+++ b/cmd/mintkeel-lab/surge.go
@@ -90,6 +90,6 @@
 			continue
 		}
 		fmt.Fprintf(out, "| %v | %.3f | %+.3f ±%.3f | %.3f | %+.3f ±%.3f | %.3f |\n",
-			s.Variant, s.Benefit, s.OverWithout, s.Interval, s.First, s.FirstOver, s.FirstAround, s.Cold)
+			s.Variant, s.Benefit, s.OverWithout, s.Interval, s.First, s.FirstOver, s.FirstInterval, s.Cold)
 	}
 }
--- a/internal/lab/fleet/configuration/checker.go
+++ b/internal/lab/fleet/configuration/checker.go
@@ -43,8 +43,8 @@
 	at     float64
 }
 
-// verdict is the result of a proposal as the fleet reported it.
-type verdict struct {
+// proposalState is the result of a proposal as the fleet reported it.
+type proposalState struct {
 	proposal  Proposal
 	concluded bool
 	result    config.Result
@@ -66,32 +66,32 @@
 	Unanswered   int
 	Statuses     int
 
-	controllers  []members.ID
-	hashes       map[uint64]config.Hash
-	reasons      map[uint64]string      // of agreed versions, by number
-	numbers      map[string]uint64      // of agreed versions, by reason
-	inRun        map[Incarnation]uint64 // the version that a run applied last
-	inFolder     map[Folder]uint64      // the version that was last applied on a folder
-	applications map[members.ID][]application
-	verdicts     map[string]*verdict
-	newest       config.Version
-	lastSeen     map[members.ID]float64 // when a controller was last known to run
-	down         map[members.ID]bool
+	controllers     []members.ID
+	hashes          map[uint64]config.Hash
+	reasons         map[uint64]string      // of agreed versions, by number
+	numbers         map[string]uint64      // of agreed versions, by reason
+	appliedInRun    map[Incarnation]uint64 // the version that a run applied last
+	appliedOnFolder map[Folder]uint64      // the version that was last applied on a folder
+	applications    map[members.ID][]application
+	proposals       map[string]*proposalState
+	newest          config.Version
+	lastSeen        map[members.ID]float64 // when a controller was last known to run
+	down            map[members.ID]bool
 }
 
 // NewChecker returns a checker for a fleet of these controllers.
 func NewChecker(controllers []members.ID) *Checker {
 	return &Checker{
-		controllers:  slices.Sorted(slices.Values(controllers)),
-		hashes:       map[uint64]config.Hash{},
-		reasons:      map[uint64]string{},
-		numbers:      map[string]uint64{},
-		inRun:        map[Incarnation]uint64{},
-		inFolder:     map[Folder]uint64{},
-		applications: map[members.ID][]application{},
-		verdicts:     map[string]*verdict{},
-		lastSeen:     map[members.ID]float64{},
-		down:         map[members.ID]bool{},
+		controllers:     slices.Sorted(slices.Values(controllers)),
+		hashes:          map[uint64]config.Hash{},
+		reasons:         map[uint64]string{},
+		numbers:         map[string]uint64{},
+		appliedInRun:    map[Incarnation]uint64{},
+		appliedOnFolder: map[Folder]uint64{},
+		applications:    map[members.ID][]application{},
+		proposals:       map[string]*proposalState{},
+		lastSeen:        map[members.ID]float64{},
+		down:            map[members.ID]bool{},
 	}
 }
 
@@ -117,8 +117,8 @@
 // Started records the start of a process, with the version that its folder has in force; number 0: none.
 func (c *Checker) Started(now float64, who Incarnation, folder Folder, current config.Version) {
 	c.lastSeen[who.Controller], c.down[who.Controller] = now, false
-	if current.Number < c.inFolder[folder] {
-		c.fail(now, "%s starts with version %d on %s, where version %d was in force", who, current.Number, folder, c.inFolder[folder])
+	if current.Number < c.appliedOnFolder[folder] {
+		c.fail(now, "%s starts with version %d on %s, where version %d was in force", who, current.Number, folder, c.appliedOnFolder[folder])
 	}
 	if current.Number > 0 {
 		c.apply(now, who, folder, current)
@@ -139,25 +139,25 @@
 func (c *Checker) apply(now float64, who Incarnation, folder Folder, v config.Version) {
 	c.Applications++
 	c.identify(now, who.String(), v.Number, v.Hash)
-	if before := c.inRun[who]; v.Number < before {
+	if before := c.appliedInRun[who]; v.Number < before {
 		c.fail(now, "%s applied version %d after version %d", who, v.Number, before)
 	}
-	if before := c.inFolder[folder]; v.Number < before {
+	if before := c.appliedOnFolder[folder]; v.Number < before {
 		c.fail(now, "%s applied version %d on %s, where version %d was in force", who, v.Number, folder, before)
 	}
-	c.inRun[who], c.inFolder[folder] = v.Number, v.Number
+	c.appliedInRun[who], c.appliedOnFolder[folder] = v.Number, v.Number
 	c.applications[who.Controller] = append(c.applications[who.Controller], application{who.Run, v.Number, now})
 }
 
 // Proposed records a proposal of an operator.
 func (c *Checker) Proposed(p Proposal) {
 	c.Proposals++
-	c.verdicts[p.Reason] = &verdict{proposal: p}
+	c.proposals[p.Reason] = &proposalState{proposal: p}
 }
 
 // Concluded records the result of a proposal that the operator received.
 func (c *Checker) Concluded(now float64, reason string, o config.ProposalResult) {
-	told := c.verdicts[reason]
+	told := c.proposals[reason]
 	if told == nil {
 		c.fail(now, "a result of %q, which nobody proposed", reason)
 		return
@@ -184,7 +184,7 @@
 
 // concludedAgreed checks the result of an agreed proposal: its version follows the expected one, so that of two proposals
 // with the same expected version at most one is agreed on.
-func (c *Checker) concludedAgreed(now float64, told *verdict, v config.Version) {
+func (c *Checker) concludedAgreed(now float64, told *proposalState, v config.Version) {
 	p := told.proposal
 	if v.Number != p.Expect+1 {
 		c.fail(now, "%q expected version %d and was reported as version %d", p.Reason, p.Expect, v.Number)
@@ -196,7 +196,7 @@
 }
 
 // contradict checks a proposal that is in the history against the result that its operator received.
-func (c *Checker) contradict(now float64, told *verdict, number uint64) {
+func (c *Checker) contradict(now float64, told *proposalState, number uint64) {
 	switch {
 	case !told.concluded || told.result == config.Unknown:
 	case told.result == config.Conflict || told.result == config.Rejected:
@@ -230,7 +230,7 @@
 	if v.Number > c.newest.Number {
 		c.newest = v
 	}
-	told := c.verdicts[reason]
+	told := c.proposals[reason]
 	if told == nil {
 		c.fail(now, "%s: version %d is %q, which nobody proposed", source, v.Number, reason)
 		return
--- a/internal/lab/fleet/maintain.go
+++ b/internal/lab/fleet/maintain.go
@@ -87,16 +87,16 @@
 			p.rig.fail("%d engines are out at once, want %d at most: %v", len(p.out), p.rig.MaxUnavailable, p.out)
 		}
 		p.mu.Unlock()
-		p.rig.feed.Tell(uint32(n), e.Addr, standin.Draining, 0)
+		p.rig.feed.Publish(uint32(n), e.Addr, standin.Draining, 0)
 		p.rig.logf("%s drains", id)
 	case "work":
 		if current == "" {
 			p.rig.fail("work on %s was requested before it was drained", id)
 			return false
 		}
-		e.SetFree(true) // the engine must get no commands from now on
+		e.SetOutOfService(true) // the engine must get no commands from now on
 		time.Sleep(400 * time.Millisecond)
-		if unexpected := e.SetFree(true); unexpected > 0 {
+		if unexpected := e.SetOutOfService(true); unexpected > 0 {
 			p.rig.fail("%d commands came to %s during its work", unexpected, id)
 		}
 		p.mu.Lock()
@@ -110,14 +110,14 @@
 			p.rig.fail("the return of %s was requested before its work was done", id)
 			return false
 		}
-		if unexpected := e.SetFree(false); unexpected > 0 {
+		if unexpected := e.SetOutOfService(false); unexpected > 0 {
 			p.rig.fail("%d commands came to %s between its drain and its return", unexpected, id)
 		}
 		p.mu.Lock()
 		delete(p.out, id)
 		p.done[id]++
 		p.mu.Unlock()
-		p.rig.feed.Tell(uint32(n), e.Addr, standin.Ready, uint64(time.Now().UnixMilli()))
+		p.rig.feed.Publish(uint32(n), e.Addr, standin.Ready, uint64(time.Now().UnixMilli()))
 		p.rig.logf("%s is back", id)
 	}
 	return true
--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -31,33 +31,33 @@
 // Records are those of each snapshot; each part carries the snapshot's generation, so that one of two would show.
 const Records = 400
 
-// teacher is a source whose n-th snapshot says n in every record. It tells after each that the one before was kept.
-type teacher struct {
-	module     *router.Router // with as many engines as there are records: a cursor is the module's own
-	generation atomic.Int64
-	kept       func(generation int64)
+// numberedSource is a source whose n-th snapshot says n in every record. It tells after each that the one before was kept.
+type numberedSource struct {
+	module      *router.Router // with as many engines as there are records: a cursor is the module's own
+	generation  atomic.Int64
+	onPersisted func(generation int64)
 }
 
-func (t *teacher) Statistics(_ context.Context, from router.Cursor, most int) (memory.Part, error) {
+func (t *numberedSource) Statistics(_ context.Context, from router.Cursor, limit int) (memory.Part, error) {
 	if from == (router.Cursor{}) {
 		if n := t.generation.Add(1); n > 1 {
-			t.kept(n - 1)
+			t.onPersisted(n - 1)
 		}
 	}
 	n := float64(t.generation.Load())
-	part, next, more := t.module.Statistics(from, most)
+	part, next, more := t.module.Statistics(from, limit)
 	for i := range part.Engines {
 		part.Engines[i].Slowdown, part.Engines[i].At = router.WeightedMean{Mean: n, Weight: 1}, float64(time.Now().UnixMilli())
 	}
 	return memory.Part{Statistics: part, Next: next, More: more}, nil
 }
 
-func newTeacher(kept func(int64)) *teacher {
+func newNumberedSource(onPersisted func(int64)) *numberedSource {
 	entries := make([]router.Endpoint, Records)
 	for i := range entries {
 		entries[i] = router.Endpoint{Engine: router.EngineID(fmt.Sprintf("e%05d", i)), Kind: -1}
 	}
-	t := &teacher{kept: kept,
+	t := &numberedSource{onPersisted: onPersisted,
 		module: router.New(1, router.Identity{}, nil, nil, nil, router.Capabilities{}, router.SafetyLimits{})}
 	t.module.Step(1, []router.Event{router.EndpointsUpdated{Complete: true, Endpoints: entries}})
 	return t
@@ -68,12 +68,12 @@
 	l := limits.For(64, 64, 0, 0, 0)
 	l.SnapshotBytesPerSecond, l.SnapshotPartPause, l.SnapshotPartRecords = 1<<30, 50*time.Microsecond, 64
 	lines := make(chan int64, 1000)
-	t := newTeacher(func(n int64) { lines <- n })
-	k := memory.StartSnapshotWriter(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
+	t := newNumberedSource(func(n int64) { lines <- n })
+	writer := memory.StartSnapshotWriter(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
 		slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	for n := range lines { // there is no end but the kill, or the reader's
 		if _, err := fmt.Fprintln(out, n); err != nil {
-			k.Stop()
+			writer.Stop()
 			return err
 		}
 	}
@@ -82,14 +82,14 @@
 
 // Tally is what was found after many kills.
 type Tally struct {
-	Kills     int
-	Corrupt   int // loads with records of two generations, of another's or of none
-	Nothing   int // kills after which nothing could be read though something was kept
-	Lost      int // kills after which what had been kept was not found
-	Within    int // kills that left something unfinished
-	FellBack  int // kills after which the newest file was not whole
-	MostBack  int64
-	Snapshots int64
+	Kills      int
+	Corrupt    int // loads with records of two generations, of another's or of none
+	Unreadable int // kills after which nothing could be read though something was kept
+	Lost       int // kills after which what had been kept was not found
+	Unfinished int // kills that left something unfinished
+	FellBack   int // kills after which the newest file was not whole
+	MaxLost    int64
+	Snapshots  int64
 }
 
 // Run kills n processes one after another in one folder, each at a random moment, and checks the folder after each.
@@ -101,20 +101,20 @@
 	defer os.RemoveAll(folder)
 	rng := rand.New(rand.NewSource(seed))
 	for t.Kills < n && ctx.Err() == nil {
-		acked, err := kill(ctx, command(folder), time.Duration(rng.Float64()*25*float64(time.Millisecond)))
+		persisted, err := kill(ctx, command(folder), time.Duration(rng.Float64()*25*float64(time.Millisecond)))
 		if err != nil {
 			return t, err
 		}
 		t.Kills++
-		t.Snapshots += acked
-		t.check(disk.Folder(folder), acked, bounds)
+		t.Snapshots += persisted
+		t.check(disk.Folder(folder), persisted, bounds)
 	}
 	return t, ctx.Err()
 }
 
 // kill starts a process, lets it write for a while from its first snapshot on, kills it, and returns the last
 // generation that it told it had kept.
-func kill(ctx context.Context, cmd *exec.Cmd, after time.Duration) (acked int64, err error) {
+func kill(ctx context.Context, cmd *exec.Cmd, after time.Duration) (persisted int64, err error) {
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return 0, err
@@ -152,17 +152,17 @@
 }
 
 // check reads what a killed process left.
-func (t *Tally) check(d disk.Disk, acked int64, bounds snapshots.Bounds) {
+func (t *Tally) check(d disk.Disk, persisted int64, bounds snapshots.Bounds) {
 	if names, err := d.Names(); err == nil {
 		for _, name := range names {
 			if strings.HasSuffix(name, ".new") {
-				t.Within++
+				t.Unfinished++
 			}
 		}
 	}
 	kept, trials, err := memory.Load(d, bounds)
 	if err != nil {
-		t.Nothing++
+		t.Unreadable++
 		return
 	}
 	if trials[0].Err != nil {
@@ -180,24 +180,24 @@
 			return
 		}
 	}
-	if back := acked - int64(generation); back > 0 {
+	if lost := persisted - int64(generation); lost > 0 {
 		t.Lost++
-		t.MostBack = max(t.MostBack, back)
+		t.MaxLost = max(t.MaxLost, lost)
 	}
 }
 
 // Add sums up another tally.
 func (t *Tally) Add(o Tally) {
-	t.Kills, t.Corrupt, t.Nothing, t.Lost = t.Kills+o.Kills, t.Corrupt+o.Corrupt, t.Nothing+o.Nothing, t.Lost+o.Lost
-	t.Within, t.FellBack, t.Snapshots = t.Within+o.Within, t.FellBack+o.FellBack, t.Snapshots+o.Snapshots
-	t.MostBack = max(t.MostBack, o.MostBack)
+	t.Kills, t.Corrupt, t.Unreadable, t.Lost = t.Kills+o.Kills, t.Corrupt+o.Corrupt, t.Unreadable+o.Unreadable, t.Lost+o.Lost
+	t.Unfinished, t.FellBack, t.Snapshots = t.Unfinished+o.Unfinished, t.FellBack+o.FellBack, t.Snapshots+o.Snapshots
+	t.MaxLost = max(t.MaxLost, o.MaxLost)
 }
 
-// Bad tells whether a load was corrupt or something that was kept is gone.
-func (t Tally) Bad() bool { return t.Corrupt+t.Nothing+t.Lost > 0 }
+// Failed tells whether a load was corrupt or something that was kept is gone.
+func (t Tally) Failed() bool { return t.Corrupt+t.Unreadable+t.Lost > 0 }
 
 func (t Tally) String() string {
 	return fmt.Sprintf("%d kills, %d snapshots kept: %d corrupt loads, %d empty ones, %d that lost what was kept (%d "+
 		"snapshots back at the most); %d kills left an unfinished file, after %d the newest was not whole", t.Kills,
-		t.Snapshots, t.Corrupt, t.Nothing, t.Lost, t.MostBack, t.Within, t.FellBack)
+		t.Snapshots, t.Corrupt, t.Unreadable, t.Lost, t.MaxLost, t.Unfinished, t.FellBack)
 }
--- a/internal/lab/kills/kills_test.go
+++ b/internal/lab/kills/kills_test.go
@@ -30,7 +30,7 @@
 		cmd.Env = append(os.Environ(), "MINTKEEL_KILLS_FOLDER="+folder)
 		return cmd
 	}, memory.FileBounds(limits.For(64, 64, 0, 0, 0)))
-	if err != nil || tally.Bad() || tally.Snapshots < 25 {
+	if err != nil || tally.Failed() || tally.Snapshots < 25 {
 		t.Errorf("%v, %v", tally, err)
 	}
 }
--- a/internal/lab/restart/path.go
+++ b/internal/lab/restart/path.go
@@ -40,21 +40,21 @@
 	}
 	defer p.kill()
 	w.play(ctx, s.Learn, nil)
-	before, err := processor(p.cmd.Process.Pid)
+	before, err := processorTime(p.cmd.Process.Pid)
 	if err != nil {
 		return cost, err
 	}
 	var out Outcome
 	w.play(ctx, s.Measure, &out)
-	after, err := processor(p.cmd.Process.Pid)
+	after, err := processorTime(p.cmd.Process.Pid)
 	if err != nil {
 		return cost, err
 	}
 	return Cost{(after - before) / float64(max(1, out.Commands)), out.Benefit}, ctx.Err()
 }
 
-// processor is the time that a process has had on processors, in ms: the kernel counts it in hundredths of a second.
-func processor(pid int) (float64, error) {
+// processorTime is the time that a process has had on processors, in ms: the kernel counts it in hundredths of a second.
+func processorTime(pid int) (float64, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		return 0, err
@@ -68,9 +68,9 @@
 	return (user + system) * 10, errors.Join(err1, err2)
 }
 
-// Ruled is an operator's rules of so many: half ask for a table group that is asked for, half for none that is there,
+// SyntheticRules is an operator's rules of so many: half ask for a table group that is asked for, half for none that is there,
 // and each gives a label or narrows nothing.
-func Ruled(n, groups int) string {
+func SyntheticRules(n, groups int) string {
 	var b strings.Builder
 	for i := range n {
 		group := i
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -37,17 +37,17 @@
 	Aged                     // the same, a day old
 	Swapped                  // the same, with every engine taken for another
 	Yesterday                // a day ago: three slow engines, another hot table group, tables warm elsewhere
-	Believed                 // the same, believed as if it were fresh: the plain baseline
+	Unaged                   // the same, believed as if it were fresh: the plain baseline
 )
 
-var names = [...]string{"unbroken", "without", "with", "aged a day", "engines swapped", "yesterday's",
+var variantNames = [...]string{"unbroken", "without", "with", "aged a day", "engines swapped", "yesterday's",
 	"yesterday's, believed without ageing"}
 
-func (v Variant) String() string { return names[v] }
+func (v Variant) String() string { return variantNames[v] }
 
 // Variants are all.
 func Variants() []Variant {
-	return []Variant{Unbroken, Without, With, Aged, Swapped, Yesterday, Believed}
+	return []Variant{Unbroken, Without, With, Aged, Swapped, Yesterday, Unaged}
 }
 
 // Scene is what is played. Times of the run are real ones.
@@ -84,16 +84,16 @@
 }
 
 const (
-	cores, sessions, warm = 4.0, 60, 5
-	lookupMS, reportMS    = 30.0, 140.0
-	lookupAim, reportAim  = 150 * time.Millisecond, 700 * time.Millisecond
-	lookupMax, reportMax  = 1200 * time.Millisecond, 3000 * time.Millisecond
-	lateShare             = 0.3
-	reportShare           = 0.15 // of the commands
+	cores, sessions, warm            = 4.0, 60, 5
+	lookupMS, reportMS               = 30.0, 140.0
+	lookupObjective, reportObjective = 150 * time.Millisecond, 700 * time.Millisecond
+	lookupTimeout, reportTimeout     = 1200 * time.Millisecond, 3000 * time.Millisecond
+	lateBenefit                      = 0.3
+	reportShare                      = 0.15 // of the commands
 )
 
-// world is a scene's surroundings.
-type world struct {
+// environment is a scene's surroundings.
+type environment struct {
 	Scene
 	engines []*standin.Engine
 	feed    *standin.Feed
@@ -113,18 +113,18 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	if v == Yesterday || v == Believed { // first the day before
-		other, err := open(ctx, s, dir, 3)
+	if v == Yesterday || v == Unaged { // first the day before
+		dayBefore, err := open(ctx, s, dir, 3)
 		if err != nil {
 			return out, err
 		}
-		p, err := other.start(ctx)
+		p, err := dayBefore.start(ctx)
 		if err != nil {
 			return out, err
 		}
-		other.play(ctx, s.Learn, nil)
+		dayBefore.play(ctx, s.Learn, nil)
 		p.kill()
-		other.close()
+		dayBefore.close()
 		if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, "yesterday")); err != nil {
 			return out, err
 		}
@@ -142,22 +142,22 @@
 	w.play(ctx, s.Learn, nil)
 	if v != Unbroken {
 		p.kill()
-		w.drop()
-		if err := w.tamper(v); err != nil {
+		w.closeIdle()
+		if err := w.prepareMemory(v); err != nil {
 			return out, err
 		}
 		if p, err = w.start(ctx); err != nil {
 			return out, err
 		}
 	}
-	cold := w.cold()
+	cold := w.coldCommands()
 	w.play(ctx, s.Measure, &out)
-	out.Cold = w.cold() - cold
+	out.Cold = w.coldCommands() - cold
 	return out, ctx.Err()
 }
 
-func open(ctx context.Context, s Scene, dir string, shift int) (*world, error) {
-	w := &world{Scene: s, dir: dir, shift: shift, idle: make(chan *standin.Client, max(400, s.Clients))}
+func open(ctx context.Context, s Scene, dir string, shift int) (*environment, error) {
+	w := &environment{Scene: s, dir: dir, shift: shift, idle: make(chan *standin.Client, max(400, s.Clients))}
 	for i := range s.Engines {
 		m := standin.Model{Cores: cores, Slow: 1, Sessions: sessions, Warm: warm, ColdCost: s.Cold}
 		if s.Relay {
@@ -184,15 +184,15 @@
 	return w, listener.Close()
 }
 
-func (w *world) close() {
-	w.drop()
+func (w *environment) close() {
+	w.closeIdle()
 	for _, e := range w.engines {
 		e.Close()
 	}
 }
 
-// drop closes the clients' idle connections.
-func (w *world) drop() {
+// closeIdle closes the clients' idle connections.
+func (w *environment) closeIdle() {
 	for {
 		select {
 		case c := <-w.idle:
@@ -203,7 +203,7 @@
 	}
 }
 
-func (w *world) cold() (n int) {
+func (w *environment) coldCommands() (n int) {
 	for _, e := range w.engines {
 		_, cold, _ := e.Counts()
 		n += cold
@@ -224,7 +224,7 @@
 }
 
 // start writes a configuration, starts the daemon and waits until it answers.
-func (w *world) start(ctx context.Context) (*process, error) {
+func (w *environment) start(ctx context.Context) (*process, error) {
 	if w.Relay {
 		self, err := os.Executable()
 		if err != nil {
@@ -248,10 +248,10 @@
 				"max_streams": 100, "retry_after": true, "max_retry_after_ns": 500000000},
 			"contract": object{"cold_share": 0.5, "cold_ns": 2000000000, "overload_factor": 4, "tip_after_ns": 1000000000},
 			"services": []object{
-				{"name": "lookup", "effect": "free", "promise_ns": int64(lookupAim), "hard_limit_ns": int64(lookupMax),
-					"late_worth": lateShare},
-				{"name": "report", "effect": "free", "promise_ns": int64(reportAim), "hard_limit_ns": int64(reportMax),
-					"late_worth": lateShare}}}})
+				{"name": "lookup", "effect": "free", "promise_ns": int64(lookupObjective), "hard_limit_ns": int64(lookupTimeout),
+					"late_worth": lateBenefit},
+				{"name": "report", "effect": "free", "promise_ns": int64(reportObjective), "hard_limit_ns": int64(reportTimeout),
+					"late_worth": lateBenefit}}}})
 	if err != nil {
 		return nil, err
 	}
@@ -267,7 +267,7 @@
 }
 
 // await starts a process and waits until it serves.
-func (w *world) await(ctx context.Context, cmd *exec.Cmd) (*process, error) {
+func (w *environment) await(ctx context.Context, cmd *exec.Cmd) (*process, error) {
 	p := &process{cmd: cmd}
 	log, err := os.OpenFile(filepath.Join(w.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -281,7 +281,7 @@
 	for end := time.Now().Add(10 * time.Second); ; {
 		if c, err := standin.Dial(ctx, w.addr, time.Second); err == nil {
 			w.idle <- c
-			return p, w.crowd(ctx)
+			return p, w.openClients(ctx)
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			p.kill()
@@ -291,8 +291,8 @@
 	}
 }
 
-// crowd opens the connections that are to be there.
-func (w *world) crowd(ctx context.Context) error {
+// openClients opens the connections that are to be there.
+func (w *environment) openClients(ctx context.Context) error {
 	for len(w.idle) < w.Clients {
 		c, err := standin.Dial(ctx, w.addr, time.Second)
 		if err != nil {
@@ -304,51 +304,51 @@
 }
 
 // play has commands arrive for so long and, if out is given, sums up their benefit.
-func (w *world) play(ctx context.Context, long time.Duration, out *Outcome) {
-	rng := rand.New(rand.NewSource(w.Seed + int64(long)))
+func (w *environment) play(ctx context.Context, duration time.Duration, out *Outcome) {
+	rng := rand.New(rand.NewSource(w.Seed + int64(duration)))
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	sum, first, firsts := 0.0, 0.0, 0
+	sum, earlyBenefit, earlyCommands := 0.0, 0.0, 0
 	began := time.Now()
 	for at := 0.0; ctx.Err() == nil; {
 		at += rng.ExpFloat64() / w.Rate
-		if at > long.Seconds() {
+		if at > duration.Seconds() {
 			break
 		}
-		command := w.draw(rng)
+		command := w.drawCommand(rng)
 		time.Sleep(time.Until(began.Add(time.Duration(at * 1e9))))
 		early := at < 2
 		if early {
-			firsts++
+			earlyCommands++
 		}
 		if out != nil {
 			out.Commands++
 		}
 		group.Go(func() {
-			b := w.ask(ctx, command)
+			b := w.send(ctx, command)
 			mu.Lock()
 			defer mu.Unlock()
 			if sum += b; early {
-				first += b
+				earlyBenefit += b
 			}
 		})
 	}
 	group.Wait()
 	if out != nil && out.Commands > 0 {
-		out.Benefit, out.First = sum/float64(out.Commands), first/float64(max(1, firsts))
+		out.Benefit, out.First = sum/float64(out.Commands), earlyBenefit/float64(max(1, earlyCommands))
 	}
 }
 
-type drawn struct {
-	fields, statement string
-	aim, limit        time.Duration
+type command struct {
+	fields, statement  string
+	objective, timeout time.Duration
 }
 
-func (w *world) draw(rng *rand.Rand) drawn {
-	d := drawn{aim: lookupAim, limit: lookupMax}
+func (w *environment) drawCommand(rng *rand.Rand) command {
+	d := command{objective: lookupObjective, timeout: lookupTimeout}
 	verb, work := "lookup", lookupMS*(0.5+rng.Float64())
 	if rng.Float64() < reportShare {
-		verb, work, d.aim, d.limit = "report", reportMS*(0.5+rng.Float64()), reportAim, reportMax
+		verb, work, d.objective, d.timeout = "report", reportMS*(0.5+rng.Float64()), reportObjective, reportTimeout
 	}
 	if w.Work > 0 {
 		work = w.Work * (0.5 + rng.Float64())
@@ -362,8 +362,8 @@
 	return d
 }
 
-// ask has one command answered on a connection of its own while it lasts.
-func (w *world) ask(ctx context.Context, d drawn) float64 {
+// send has one command answered on a connection of its own while it lasts.
+func (w *environment) send(ctx context.Context, d command) float64 {
 	var c *standin.Client
 	select {
 	case c = <-w.idle:
@@ -374,7 +374,7 @@
 		}
 	}
 	began := time.Now()
-	verdict, err := c.Query(d.fields, d.statement, d.limit)
+	verdict, err := c.Query(d.fields, d.statement, d.timeout)
 	took := time.Since(began)
 	if err != nil {
 		c.Close()
@@ -388,19 +388,19 @@
 	switch {
 	case verdict != standin.Answered:
 		return 0
-	case took > d.aim:
-		return lateShare
+	case took > d.objective:
+		return lateBenefit
 	}
 	return 1
 }
 
-// tamper makes of what was kept what the variant finds.
-func (w *world) tamper(v Variant) error {
+// prepareMemory makes of what was kept what the variant finds.
+func (w *environment) prepareMemory(v Variant) error {
 	kept := filepath.Join(w.dir, "kept")
 	switch v {
 	case Without:
 		return os.RemoveAll(kept)
-	case Yesterday, Believed:
+	case Yesterday, Unaged:
 		if err := os.RemoveAll(kept); err != nil {
 			return err
 		}
@@ -412,12 +412,12 @@
 	return memory.RewriteNewest(disk.Folder(kept), w.Bounds, func(l *router.Statistics) {
 		switch v {
 		case Aged, Yesterday:
-			shift(l, func(at float64) float64 { return at - day })
-		case Believed:
-			shift(l, func(float64) float64 { return now })
+			shiftTimes(l, func(at float64) float64 { return at - day })
+		case Unaged:
+			shiftTimes(l, func(float64) float64 { return now })
 		}
 		switch v {
-		case Swapped, Yesterday, Believed:
+		case Swapped, Yesterday, Unaged:
 			n := len(l.Engines)
 			next := map[router.EngineID]router.EngineID{}
 			for i, e := range l.Engines {
@@ -436,7 +436,7 @@
 	})
 }
 
-func shift(l *router.Statistics, to func(at float64) float64) {
+func shiftTimes(l *router.Statistics, to func(at float64) float64) {
 	for i := range l.Engines {
 		l.Engines[i].At = to(l.Engines[i].At)
 	}
@@ -453,12 +453,12 @@
 
 // Summary is a variant over several seeds, paired with Without and Unbroken.
 type Summary struct {
-	Variant                Variant
-	Benefit, First         float64
-	Cold                   float64 // commands on cold tables, of all
-	OverWithout, Interval  float64 // mean of the differences by seed, and half of their 95% interval
-	Share                  float64 // of the gap from Without to Unbroken
-	FirstOver, FirstAround float64 // as OverWithout and Interval, in the first 2 s
+	Variant                  Variant
+	Benefit, First           float64
+	Cold                     float64 // commands on cold tables, of all
+	OverWithout, Interval    float64 // mean of the differences by seed, and half of their 95% interval
+	GapShare                 float64 // of the gap from Without to Unbroken
+	FirstOver, FirstInterval float64 // as OverWithout and Interval, in the first 2 s
 }
 
 // Summarize sums up outcomes by seed and variant.
@@ -478,10 +478,10 @@
 			over = append(over, by[v].Benefit-by[Without].Benefit)
 			first = append(first, by[v].First-by[Without].First)
 		}
-		s.OverWithout, s.Interval = Around(over)
-		s.FirstOver, s.FirstAround = Around(first)
+		s.OverWithout, s.Interval = MeanInterval(over)
+		s.FirstOver, s.FirstInterval = MeanInterval(first)
 		if gap != 0 {
-			s.Share = s.OverWithout * float64(len(all)) / gap
+			s.GapShare = s.OverWithout * float64(len(all)) / gap
 		}
 		sums = append(sums, s)
 	}
@@ -491,8 +491,8 @@
 // studentT are the 97.5% points of Student's distribution for 1 degree of freedom and on.
 var studentT = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
-// Around is the mean of some differences and half of its 95% interval.
-func Around(xs []float64) (mean, half float64) {
+// MeanInterval is the mean of some differences and half of its 95% interval.
+func MeanInterval(xs []float64) (mean, half float64) {
 	n := float64(len(xs))
 	for _, x := range xs {
 		mean += x / n
@@ -514,7 +514,7 @@
 		"| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range sums {
 		fmt.Fprintf(&b, "| %v | %.3f | %+.3f ±%.3f | %.2f | %.3f | %+.3f ±%.3f | %.3f |\n", s.Variant, s.Benefit,
-			s.OverWithout, s.Interval, s.Share, s.First, s.FirstOver, s.FirstAround, s.Cold)
+			s.OverWithout, s.Interval, s.GapShare, s.First, s.FirstOver, s.FirstInterval, s.Cold)
 	}
 	return b.String()
 }
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -16,7 +16,7 @@
 			With: {Benefit: 0.65 + noise}, Aged: {Benefit: 0.5 + 2*noise}})
 	}
 	sums := Summarize(all)
-	if s := sums[With]; math.Abs(s.OverWithout-0.15) > 1e-9 || s.Interval > 1e-9 || math.Abs(s.Share-0.75) > 1e-9 {
+	if s := sums[With]; math.Abs(s.OverWithout-0.15) > 1e-9 || s.Interval > 1e-9 || math.Abs(s.GapShare-0.75) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
 	if s := sums[Aged]; math.Abs(s.OverWithout) > 1e-9 || math.Abs(s.Interval-4.30*0.2/math.Sqrt(3)) > 1e-3 {
@@ -31,7 +31,7 @@
 func TestShift(t *testing.T) {
 	l := router.Statistics{Engines: make([]router.EngineStatistics, 1), Tables: make([]router.TableStatistics, 1),
 		Classes: make([]router.ClassStatistics, 1), Traffic: make([]router.TrafficStatistics, 1)}
-	shift(&l, func(at float64) float64 { return at + 5 })
+	shiftTimes(&l, func(at float64) float64 { return at + 5 })
 	if l.Engines[0].At+l.Tables[0].At+l.Classes[0].At+l.Traffic[0].At != 20 {
 		t.Errorf("%+v", l)
 	}
--- a/internal/lab/restart/surge.go
+++ b/internal/lab/restart/surge.go
@@ -32,9 +32,9 @@
 	}
 	defer p.kill()
 	w.play(ctx, s.Learn, nil)
-	cold := w.cold()
+	cold := w.coldCommands()
 	w.Hot = share
 	w.play(ctx, s.Measure, &out)
-	out.Cold = w.cold() - cold
+	out.Cold = w.coldCommands() - cold
 	return out, ctx.Err()
 }
--- a/internal/lab/scale/datapath/replacement.go
+++ b/internal/lab/scale/datapath/replacement.go
@@ -35,7 +35,7 @@
 			e.Close()
 			return running
 		}},
-		{"engine hangs", b.hungTold, (*standin.Engine).Mute},
+		{"engine hangs", b.hungTold, (*standin.Engine).Hang},
 	}
 }
 
@@ -263,8 +263,8 @@
 	replaced, err := daemon.NewEngine(replacedEngines+number, b.seed)
 	if err == nil {
 		g.watch(replaced, replacedEngines+number)
-		err = errors.Join(r.feed.Tell(uint32(number), old.Addr, standin.Gone, 0),
-			r.feed.Tell(uint32(replacedEngines+number), replaced.Addr, standin.Ready, uint64(time.Now().UnixMilli())))
+		err = errors.Join(r.feed.Publish(uint32(number), old.Addr, standin.Gone, 0),
+			r.feed.Publish(uint32(replacedEngines+number), replaced.Addr, standin.Ready, uint64(time.Now().UnixMilli())))
 		r.engines = append(r.engines, replaced)
 	}
 	<-over
--- a/internal/lab/scale/datapath/rig.go
+++ b/internal/lab/scale/datapath/rig.go
@@ -92,8 +92,8 @@
 		sum.QueryBytes += t.QueryBytes
 		sum.Pings += t.Pings
 		sum.PingBytes += t.PingBytes
-		sum.Undos += t.Undos
-		sum.UndoBytes += t.UndoBytes
+		sum.Cancels += t.Cancels
+		sum.CancelBytes += t.CancelBytes
 		sum.Answers += t.Answers
 		sum.AnswerBytes += t.AnswerBytes
 		sum.ReportBytes += t.ReportBytes
--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -119,8 +119,8 @@
 	}
 	c.due = true
 	at := sim.now
-	if round := sim.Settings.Limits.EventInterval; sim.StepOnTicks && round > 0 {
-		at = math.Ceil(sim.now/round) * round
+	if interval := sim.Settings.Limits.EventInterval; sim.StepOnTicks && interval > 0 {
+		at = math.Ceil(sim.now/interval) * interval
 	}
 	sim.at(at, func() {
 		if c.due = false; c.up && len(c.events) > 0 {
@@ -173,20 +173,20 @@
 func (sim *simulation) checkHealth(c *controller, id router.EngineID) {
 	e := sim.engines[id]
 	sim.afterFor(c, 1+sim.rng.Float64()*5, func() {
-		probed := router.HealthCheckEnded{Engine: id, Outcome: router.Succeeded, Load: sim.loadReport(e)}
+		ended := router.HealthCheckEnded{Engine: id, Outcome: router.Succeeded, Load: sim.loadReport(e)}
 		if e == nil || e.gone || sim.rng.Float64() < 0.1 {
-			probed.Outcome, probed.Load = router.TimedOut, nil
+			ended.Outcome, ended.Load = router.TimedOut, nil
 		}
-		sim.deliver(c, probed)
+		sim.deliver(c, ended)
 	})
 }
 
 // setTimer wakes a controller after a delay, in ms, unless it sets another timer before.
 func (sim *simulation) setTimer(c *controller, delay float64) {
 	c.timerNumber++
-	wake := c.timerNumber
+	timer := c.timerNumber
 	sim.afterFor(c, delay, func() {
-		if c.timerNumber == wake {
+		if c.timerNumber == timer {
 			sim.deliver(c, router.TimerFired{})
 		}
 	})
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -23,19 +23,19 @@
 
 // receiveEntries delivers the entries that are newer than what a controller has received.
 func (sim *simulation) receiveEntries(c *controller, entries ...router.Endpoint) {
-	var news []router.Endpoint
+	var updates []router.Endpoint
 	for _, e := range entries {
-		if newer(c.listed[e.Engine], e) {
+		if isNotOlder(c.listed[e.Engine], e) {
 			c.listed[e.Engine] = e
-			news = append(news, e)
+			updates = append(updates, e)
 		}
 	}
 	c.expired = false
-	sim.deliver(c, router.EndpointsUpdated{Endpoints: news})
+	sim.deliver(c, router.EndpointsUpdated{Endpoints: updates})
 }
 
-// newer tells whether b is no older entry of an engine than a.
-func newer(a, b router.Endpoint) bool {
+// isNotOlder tells whether b is no older entry of an engine than a.
+func isNotOlder(a, b router.Endpoint) bool {
 	return a.Engine == "" ||
 		cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(b.State, a.State)) >= 0
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -80,7 +80,7 @@
 		var logs [2][]string
 		for i := range logs {
 			Play(s, func(seed int64, place router.Identity) Controller {
-				return &scribe{Controller: s.Module(seed, place), log: &logs[i], exports: i == 1}
+				return &actionRecorder{Controller: s.Module(seed, place), log: &logs[i], exports: i == 1}
 			})
 		}
 		if len(logs[0]) < 100 || !slices.Equal(logs[0], logs[1]) {
@@ -89,14 +89,14 @@
 	}
 }
 
-// scribe logs the actions of a controller.
-type scribe struct {
+// actionRecorder logs the actions of a controller.
+type actionRecorder struct {
 	Controller
 	log     *[]string
 	exports bool
 }
 
-func (s *scribe) Step(now float64, events []router.Event) []router.Action {
+func (s *actionRecorder) Step(now float64, events []router.Event) []router.Action {
 	actions := s.Controller.Step(now, events)
 	*s.log = append(*s.log, fmt.Sprint(now, actions))
 	if s.exports {
@@ -105,16 +105,16 @@
 	return actions
 }
 
-// broken is a controller that breaks rules, to see whether the checker notices in simulations.
-type broken struct {
+// faultyController is a controller that breaks rules, to see whether the checker notices in simulations.
+type faultyController struct {
 	Controller
-	change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
+	change func(b *faultyController, now float64, events []router.Event, actions []router.Action) []router.Action
 	sent   map[router.QueryID]router.EngineID
 	listed router.EngineID
 	n      int
 }
 
-func (b *broken) Step(now float64, events []router.Event) []router.Action {
+func (b *faultyController) Step(now float64, events []router.Event) []router.Action {
 	b.n++
 	return b.change(b, now, events, b.Controller.Step(now, events))
 }
@@ -134,15 +134,15 @@
 	for _, c := range []struct {
 		name   string
 		rule   checker.Rule
-		change func(b *broken, now float64, events []router.Event,
+		change func(b *faultyController, now float64, events []router.Event,
 			actions []router.Action) []router.Action
 	}{
 		{"rejects nothing", checker.FinalAnswer,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				return drop(a, isRejection)
 			}},
 		{"rejects twice", checker.FinalAnswer,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if isRejection(action) {
 						return append(a, action)
@@ -151,7 +151,7 @@
 				return a
 			}},
 		{"rejects a query with an attempt", checker.SingleEffect,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
 						return append(a, router.Reject{ID: s.ID})
@@ -160,7 +160,7 @@
 				return a
 			}},
 		{"starts each attempt twice at once", checker.SingleEffect,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok {
 						return append(a, s)
@@ -169,7 +169,7 @@
 				return a
 			}},
 		{"uses engines that drain or are gone", checker.Draining,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
 						for _, e := range l.Endpoints {
@@ -179,14 +179,14 @@
 						}
 					}
 				}
-				return b.aim(a, b.listed)
+				return b.redirect(a, b.listed)
 			}},
 		{"uses one engine for all", checker.Placement,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-				return b.aim(a, "e00")
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				return b.redirect(a, "e00")
 			}},
 		{"ignores slow start", checker.SlowStart,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
 						for _, e := range l.Endpoints {
@@ -196,10 +196,10 @@
 						}
 					}
 				}
-				return b.aim(a, b.listed)
+				return b.redirect(a, b.listed)
 			}},
 		{"starts a query before its turn", checker.Ordering,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if arrived, ok := ev.(router.QueryArrived); ok && b.listed != "" {
 						return append(a, router.StartAttempt{ID: arrived.ID, Engine: b.listed,
@@ -214,7 +214,7 @@
 				return a
 			}},
 		{"ignores the retry budget", checker.RetryBudget,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" &&
 						!e.QueryDone {
@@ -229,7 +229,7 @@
 				return a
 			}},
 		{"names an unknown query", checker.Contract,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				if b.n == 100 {
 					return append(a, router.Fail{ID: 1 << 30})
 				}
@@ -243,7 +243,7 @@
 				continue
 			}
 			r := Play(s, func(seed int64, place router.Identity) Controller {
-				return &broken{Controller: s.Module(seed, place), change: c.change,
+				return &faultyController{Controller: s.Module(seed, place), change: c.change,
 					sent: map[router.QueryID]router.EngineID{}}
 			})
 			if r.Count(c.rule) > 0 {
@@ -258,8 +258,8 @@
 	}
 }
 
-// aim starts all on one engine, whatever the module chose.
-func (b *broken) aim(actions []router.Action, to router.EngineID) []router.Action {
+// redirect starts all on one engine, whatever the module chose.
+func (b *faultyController) redirect(actions []router.Action, to router.EngineID) []router.Action {
 	out := slices.Clone(actions)
 	for i, action := range out {
 		if s, ok := action.(router.StartAttempt); ok && to != "" {
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -51,7 +51,7 @@
 // Close ends the session.
 func (c *Client) Close() { c.conn.Close() }
 
-var errLost = errors.New("no whole answer")
+var errIncomplete = errors.New("no whole answer")
 
 // reply reads up to the next ReadyForQuery: whether rows ended as they should, and an error's code.
 func (c *Client) reply() (complete bool, code string, err error) {
@@ -62,7 +62,7 @@
 		}
 		length := int(binary.BigEndian.Uint32(head[1:])) - 4
 		if length < 0 || length > 1<<20 {
-			return false, "", errLost
+			return false, "", errIncomplete
 		}
 		body := make([]byte, length)
 		if _, err := io.ReadFull(c.r, body); err != nil {
@@ -72,7 +72,7 @@
 		case 'C':
 			complete = true
 		case 'E':
-			for _, field := range splitZero(body) {
+			for _, field := range splitFields(body) {
 				if len(field) > 1 && field[0] == 'C' {
 					code = string(field[1:])
 				}
@@ -83,7 +83,7 @@
 	}
 }
 
-func splitZero(b []byte) (fields [][]byte) {
+func splitFields(b []byte) (fields [][]byte) {
 	for at := 0; at < len(b); {
 		end := at
 		for end < len(b) && b[end] != 0 {
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -35,39 +35,39 @@
 	listener net.Listener
 	rng      *rand.Rand
 
-	mu     sync.Mutex
-	model  Model
-	runs   []*run
-	at     time.Time // when the runs were last brought up to date
-	busy   float64   // smoothed share of its cores in use
-	warm   []string
-	timer  *time.Timer
-	conns  map[net.Conn]bool
-	closed bool
-
-	Done, Cold, Turned int // commands
-
-	free   bool // it was told free: nothing may come
-	Wrongs int  // commands that came while it was
-
-	traffic Traffic
-	begun   func(id string) // told of each attempt; nil: nobody is
-	mute    bool            // nothing is answered
+	mu          sync.Mutex
+	model       Model
+	runs        []*run
+	advancedAt  time.Time // when the runs were last brought up to date
+	utilization float64   // smoothed share of its cores in use
+	warm        []string
+	timer       *time.Timer
+	conns       map[net.Conn]bool
+	closed      bool
+
+	Done, Cold, Rejected int // commands
+
+	outOfService bool // it was told free: nothing may come
+	Unexpected   int  // commands that came while it was
+
+	traffic   Traffic
+	onAttempt func(id string) // told of each attempt; nil: nobody is
+	hung      bool            // nothing is answered
 }
 
-// SetFree says that nothing may come from now on, or again; it tells how many came meanwhile.
-func (e *Engine) SetFree(free bool) (wrongs int) {
+// SetOutOfService says that nothing may come from now on, or again; it tells how many came meanwhile.
+func (e *Engine) SetOutOfService(outOfService bool) (unexpected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.free = free
-	return e.Wrongs
+	e.outOfService = outOfService
+	return e.Unexpected
 }
 
 type run struct {
-	id    string
-	left  float64 // work
-	slow  float64
-	reply func(line string)
+	id        string
+	remaining float64 // work
+	slow      float64
+	reply     func(line string)
 }
 
 // NewEngine starts an engine on a loopback address.
@@ -76,9 +76,9 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{ID: id, Addr: listener.Addr().String(), listener: listener, model: m, at: time.Now(),
+	e := &Engine{ID: id, Addr: listener.Addr().String(), listener: listener, model: m, advancedAt: time.Now(),
 		rng: rand.New(rand.NewSource(seed)), conns: map[net.Conn]bool{}}
-	e.timer = time.AfterFunc(time.Hour, e.look)
+	e.timer = time.AfterFunc(time.Hour, e.finishRuns)
 	go e.accept()
 	return e, nil
 }
@@ -104,7 +104,7 @@
 	for _, r := range e.runs {
 		r.slow = slow
 	}
-	e.plan()
+	e.resetTimer()
 }
 
 func (e *Engine) accept() {
@@ -125,13 +125,13 @@
 	}
 }
 
-// silence is after which a connection on which nothing is said ends.
-const silence = 30 * time.Second
+// idleTimeout is after which a connection on which nothing is said ends.
+const idleTimeout = 30 * time.Second
 
 func (e *Engine) serve(c net.Conn) {
 	var writing sync.Mutex
 	reply := func(line string) {
-		if !e.answered(strings.Contains(line, " READY "), len(line), len(between(line, "report=", " "))) {
+		if !e.countAnswer(strings.Contains(line, " READY "), len(line), len(between(line, "report=", " "))) {
 			return
 		}
 		writing.Lock()
@@ -146,7 +146,7 @@
 		delete(e.conns, c)
 	}()
 	for r := bufio.NewReaderSize(c, 64<<10); ; {
-		c.SetReadDeadline(time.Now().Add(silence))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		line, err := r.ReadString('\n')
 		if err != nil {
 			return
@@ -157,11 +157,11 @@
 		}
 		switch words[0] {
 		case "ping":
-			e.received(words[0], len(line))
-			reply(fmt.Sprintf("%s READY %s 0\r\n\r\n", words[1], e.report()))
+			e.countReceived(words[0], len(line))
+			reply(fmt.Sprintf("%s READY %s 0\r\n\r\n", words[1], e.loadReport()))
 		case "undo":
-			e.received(words[0], len(line))
-			e.undo(words[1])
+			e.countReceived(words[0], len(line))
+			e.cancel(words[1])
 		case "do":
 			length, err := strconv.Atoi(words[len(words)-1])
 			if err != nil || length < 0 || length > 1<<20 {
@@ -171,10 +171,10 @@
 			if _, err := io.ReadFull(r, statement); err != nil {
 				return
 			}
-			e.received(words[0], len(line)+len(statement))
-			e.begin(words[1], string(statement), reply)
+			e.countReceived(words[0], len(line)+len(statement))
+			e.startAttempt(words[1], string(statement), reply)
 		default:
-			e.received(words[0], len(line))
+			e.countReceived(words[0], len(line))
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	return part
 }
 
-func (e *Engine) begin(id, statement string, reply func(string)) {
+func (e *Engine) startAttempt(id, statement string, reply func(string)) {
 	work, err := strconv.ParseFloat(between(statement, "WORK(", ")"), 64)
 	if err != nil {
 		reply(id + " EIO - 0\r\n\r\n")
@@ -198,15 +198,15 @@
 	group := between(statement, "FROM ", ".")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.advance(); e.free {
-		e.Wrongs++
+	if e.advance(); e.outOfService {
+		e.Unexpected++
 	}
-	if e.begun != nil {
-		e.begun(id)
+	if e.onAttempt != nil {
+		e.onAttempt(id)
 	}
 	if len(e.runs) >= e.model.Sessions {
-		e.Turned++
-		go reply(id + " AGAIN " + e.reported() + " 0\r\n\r\n")
+		e.Rejected++
+		go reply(id + " AGAIN " + e.loadReportLocked() + " 0\r\n\r\n")
 		return
 	}
 	if at := slices.Index(e.warm, group); at >= 0 {
@@ -218,84 +218,84 @@
 			e.warm = e.warm[1:]
 		}
 	}
-	e.runs = append(e.runs, &run{id: id, left: work, slow: e.model.Slow, reply: reply})
-	e.plan()
+	e.runs = append(e.runs, &run{id: id, remaining: work, slow: e.model.Slow, reply: reply})
+	e.resetTimer()
 }
 
-func (e *Engine) undo(id string) {
+func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool { return r.id == id })
-	e.plan()
+	e.resetTimer()
 }
 
-// pace is the work that each run gets done in a ms.
-func (e *Engine) pace() float64 { return min(1, e.model.Cores/float64(max(1, len(e.runs)))) }
+// runRate is the work that each run gets done in a ms.
+func (e *Engine) runRate() float64 { return min(1, e.model.Cores/float64(max(1, len(e.runs)))) }
 
 // advance brings the runs up to now; mu is held.
 func (e *Engine) advance() {
 	now := time.Now()
-	passed := float64(now.Sub(e.at)) / 1e6
-	e.at = now
-	pace := e.pace()
+	passed := float64(now.Sub(e.advancedAt)) / 1e6
+	e.advancedAt = now
+	rate := e.runRate()
 	for _, r := range e.runs {
-		r.left -= passed * pace / r.slow
+		r.remaining -= passed * rate / r.slow
 	}
 	share := min(1, float64(len(e.runs))/e.model.Cores)
 	keep := math.Exp(-passed / 300)
-	e.busy = e.busy*keep + share*(1-keep)
+	e.utilization = e.utilization*keep + share*(1-keep)
 }
 
-// plan has the next run that ends looked at when it does; mu is held.
-func (e *Engine) plan() {
+// resetTimer has the next run that ends looked at when it does; mu is held.
+func (e *Engine) resetTimer() {
 	next := math.Inf(1)
 	for _, r := range e.runs {
-		next = min(next, r.left*r.slow)
+		next = min(next, r.remaining*r.slow)
 	}
-	if next = next / e.pace(); math.IsInf(next, 1) {
+	if next = next / e.runRate(); math.IsInf(next, 1) {
 		next = 3600e3
 	}
 	e.timer.Reset(time.Duration(max(0, next) * 1e6))
 }
 
-// look ends the runs whose work is done.
-func (e *Engine) look() {
+// finishRuns ends the runs whose work is done.
+func (e *Engine) finishRuns() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return
 	}
 	e.advance()
-	report := e.reported()
+	report := e.loadReportLocked()
 	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
-		if r.left > 0.01 {
+		if r.remaining > 0.01 {
 			return false
 		}
 		e.Done++
 		go r.reply(fmt.Sprintf("%s ACK parts=1,%s 6\r\na\tb\tc\n\r\n", r.id, strings.TrimPrefix(report, "-")))
 		return true
 	})
-	e.plan()
+	e.resetTimer()
 }
 
-// reported is the load report as fields; mu is held.
-func (e *Engine) reported() string {
-	return fmt.Sprintf("report=inflight:%d;util:%.3f", len(e.runs), e.busy)
+// loadReportLocked is the load report as fields; mu is held.
+func (e *Engine) loadReportLocked() string {
+	return fmt.Sprintf("report=inflight:%d;util:%.3f", len(e.runs), e.utilization)
 }
 
-func (e *Engine) report() string {
+func (e *Engine) loadReport() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
-	return e.reported()
+	return e.loadReportLocked()
 }
 
 // Counts are the commands that were done, those of them that found their tables cold, and those turned away.
-func (e *Engine) Counts() (done, cold, turned int) {
+func (e *Engine) Counts() (done, cold, rejected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.Done, e.Cold, e.Turned
+	return e.Done, e.Cold, e.Rejected
 }
 
 // Feed is a stand-in for the feed: it tells changes of the list, and each half second that it is there.
@@ -303,13 +303,13 @@
 	Addr     string
 	listener net.Listener
 
-	mu     sync.Mutex
-	number uint64 // of the last event
-	events []told
-	more   chan struct{} // closed at the next event
+	mu      sync.Mutex
+	number  uint64 // of the last event
+	events  []listEvent
+	changed chan struct{} // closed at the next event
 }
 
-type told struct {
+type listEvent struct {
 	number  uint64
 	payload []byte
 }
@@ -321,7 +321,7 @@
 		return nil, err
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
-	f := &Feed{Addr: listener.Addr().String(), listener: listener, number: 1, more: make(chan struct{})}
+	f := &Feed{Addr: listener.Addr().String(), listener: listener, number: 1, changed: make(chan struct{})}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -344,8 +344,8 @@
 	Gone
 )
 
-// Tell adds an event: an engine by its number, where it listens, its state and when it started (ms since 1970, 0: long ago).
-func (f *Feed) Tell(id uint32, addr string, state ListState, started uint64) error {
+// Publish adds an event: an engine by its number, where it listens, its state and when it started (ms since 1970, 0: long ago).
+func (f *Feed) Publish(id uint32, addr string, state ListState, started uint64) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -364,9 +364,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.number++
-	f.events = append(f.events, told{f.number, b})
-	close(f.more)
-	f.more = make(chan struct{})
+	f.events = append(f.events, listEvent{f.number, b})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return nil
 }
 
@@ -380,7 +380,7 @@
 	}
 	for last := binary.BigEndian.Uint64(head); ; {
 		f.mu.Lock()
-		more, number := f.more, f.number
+		changed, number := f.changed, f.number
 		var frames []byte
 		for _, e := range f.events {
 			if e.number > last {
@@ -399,7 +399,7 @@
 			return
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-time.After(500 * time.Millisecond):
 		}
 	}
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// said is an engine spoken to by hand.
-type said struct {
+// engineConn is an engine spoken to by hand.
+type engineConn struct {
 	t *testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
-func speak(t *testing.T, e *Engine) *said {
+func dialEngine(t *testing.T, e *Engine) *engineConn {
 	conn, err := net.Dial("tcp", e.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	return &said{t, conn, bufio.NewReader(conn)}
+	return &engineConn{t, conn, bufio.NewReader(conn)}
 }
 
-func (s *said) do(id string, work float64, group int) {
+func (s *engineConn) do(id string, work float64, group int) {
 	statement := fmt.Sprintf("SELECT WORK(%g) FROM sales_%d.orders", work, group)
 	fmt.Fprintf(s, "do %s profile=lookup,max=1000 %d\r\n%s\r\n", id, len(statement), statement)
 }
 
-// hears is the id and the word of the next answer.
-func (s *said) hears() string {
+// receive is the id and the word of the next answer.
+func (s *engineConn) receive() string {
 	s.t.Helper()
 	line, err := s.r.ReadString('\n')
 	if err != nil {
@@ -57,34 +57,34 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	s := speak(t, e)
+	s := dialEngine(t, e)
 	s.do("a", 60000, 1)
 	s.do("b", 5, 2)
 	s.do("c", 5, 2)
-	if got := s.hears(); got != "c AGAIN" {
+	if got := s.receive(); got != "c AGAIN" {
 		t.Error(got)
 	}
-	if got := s.hears(); got != "b ACK" {
+	if got := s.receive(); got != "b ACK" {
 		t.Error(got)
 	}
 	fmt.Fprint(s, "undo a\r\nping x\r\n")
-	if got := s.hears(); got != "x READY" {
+	if got := s.receive(); got != "x READY" {
 		t.Error(got)
 	}
 	s.do("d", 1, 2)
-	if got := s.hears(); got != "d ACK" {
+	if got := s.receive(); got != "d ACK" {
 		t.Error(got)
 	}
 	s.do("f", 1, 1)
-	if got := s.hears(); got != "f ACK" {
+	if got := s.receive(); got != "f ACK" {
 		t.Error(got)
 	}
-	if done, cold, turned := e.Counts(); done != 3 || cold != 3 || turned != 1 {
-		t.Errorf("%d done, %d cold, %d turned away", done, cold, turned)
+	if done, cold, rejected := e.Counts(); done != 3 || cold != 3 || rejected != 1 {
+		t.Errorf("%d done, %d cold, %d turned away", done, cold, rejected)
 	}
 	s.do("g", 60000, 1)
 	e.SetSlow(1e-9)
-	if got := s.hears(); got != "g ACK" {
+	if got := s.receive(); got != "g ACK" {
 		t.Error(got)
 	}
 }
--- a/internal/lab/standin/traffic.go
+++ b/internal/lab/standin/traffic.go
@@ -9,8 +9,8 @@
 	QueryBytes   int
 	Pings        int // questions whether a connection works, or how loaded the engine is
 	PingBytes    int
-	Undos        int // attempts given up
-	UndoBytes    int
+	Cancels      int // attempts given up
+	CancelBytes  int
 	Answers      int // of attempts
 	AnswerBytes  int
 	ReportBytes  int // of the load reports inside answers, part of AnswerBytes
@@ -25,7 +25,7 @@
 // Control is the number of frames and bytes that are neither a query's attempt nor its answer; undos are control, as
 // they belong to attempts that were given up.
 func (t Traffic) Control() (frames, bytes int) {
-	return t.Pings + t.Undos + t.Replies, t.PingBytes + t.UndoBytes + t.ReplyBytes
+	return t.Pings + t.Cancels + t.Replies, t.PingBytes + t.CancelBytes + t.ReplyBytes
 }
 
 // Sub is the traffic since an earlier count; Open and MostOpen are as they are now.
@@ -34,8 +34,8 @@
 	t.QueryBytes -= earlier.QueryBytes
 	t.Pings -= earlier.Pings
 	t.PingBytes -= earlier.PingBytes
-	t.Undos -= earlier.Undos
-	t.UndoBytes -= earlier.UndoBytes
+	t.Cancels -= earlier.Cancels
+	t.CancelBytes -= earlier.CancelBytes
 	t.Answers -= earlier.Answers
 	t.AnswerBytes -= earlier.AnswerBytes
 	t.ReportBytes -= earlier.ReportBytes
@@ -56,10 +56,10 @@
 }
 
 // Watch has begun called with the id of each attempt that the engine reads whole, before it runs.
-func (e *Engine) Watch(begun func(id string)) {
+func (e *Engine) Watch(onAttempt func(id string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begun = begun
+	e.onAttempt = onAttempt
 }
 
 // Running are the ids of the attempts that run now.
@@ -75,17 +75,17 @@
 	return ids
 }
 
-// Mute has the engine read on without answering anything, as a process that hangs does; its connections stay. It
+// Hang has the engine read on without answering anything, as a process that hangs does; its connections stay. It
 // returns the ids of the attempts that ran at that moment.
-func (e *Engine) Mute() []string {
+func (e *Engine) Hang() []string {
 	e.mu.Lock()
-	e.mute = true
+	e.hung = true
 	e.mu.Unlock()
 	return e.Running()
 }
 
-// received counts a line of so many bytes, with its body.
-func (e *Engine) received(word string, bytes int) {
+// countReceived counts a line of so many bytes, with its body.
+func (e *Engine) countReceived(word string, bytes int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := &e.traffic
@@ -97,18 +97,18 @@
 		t.Pings++
 		t.PingBytes += bytes
 	case "undo":
-		t.Undos++
-		t.UndoBytes += bytes
+		t.Cancels++
+		t.CancelBytes += bytes
 	default:
 		t.Unrecognized++
 	}
 }
 
-// answered counts an answer that is about to be written, and tells whether it may be.
-func (e *Engine) answered(ping bool, bytes, report int) bool {
+// countAnswer counts an answer that is about to be written, and tells whether it may be.
+func (e *Engine) countAnswer(ping bool, bytes, report int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.mute {
+	if e.hung {
 		return false
 	}
 	t := &e.traffic
--- a/internal/lab/standin/traffic_test.go
+++ b/internal/lab/standin/traffic_test.go
@@ -17,13 +17,13 @@
 	defer e.Close()
 	read := make(chan string, 9)
 	e.Watch(func(id string) { read <- id })
-	s := speak(t, e)
+	s := dialEngine(t, e)
 	s.do("a", 1, 1)
-	if got := s.hears(); got != "a ACK" {
+	if got := s.receive(); got != "a ACK" {
 		t.Error(got)
 	}
 	fmt.Fprint(s, "ping p\r\n")
-	if got := s.hears(); got != "p READY" {
+	if got := s.receive(); got != "p READY" {
 		t.Error(got)
 	}
 	s.do("b", 60000, 1)
@@ -38,7 +38,7 @@
 	if frames, bytes := traffic.Control(); frames != 2 || bytes != traffic.PingBytes+traffic.ReplyBytes {
 		t.Errorf("%d frames, %d bytes", frames, bytes)
 	}
-	if running := e.Mute(); !slices.Equal(running, []string{"b"}) {
+	if running := e.Hang(); !slices.Equal(running, []string{"b"}) {
 		t.Error(running)
 	}
 	s.do("c", 1, 1)
