--- a/internal/lab/kills/kills.go
+++ b/internal/lab/kills/kills.go
@@ -1,5 +1,5 @@
-// Package kills kills a process that writes snapshots all the time, at random moments, and sees whether what it left
-// can be trusted: a real SIGKILL, the real snapshot writer and the real file system.
+// Package kills tests that snapshots survive crashes: it kills a process that writes snapshots continuously, at random times
+// and by SIGKILL, and checks the files that it leaves. It uses the daemon's snapshot writer and the real file system.
 package kills
 
 import (
@@ -25,15 +25,17 @@
 	"mintkeel/router"
 )
 
-// Identity is that of the killed.
+// Identity is the identity under which the killed processes write their snapshots.
 var Identity = restore.Identity{Name: "killed", Settings: 1}
 
-// Records are those of each snapshot; each part carries the snapshot's generation, so that one of two would show.
+// Records is the number of records in each snapshot. Every record carries the snapshot's generation, so that a snapshot made
+// of two generations is noticed.
 const Records = 400
 
-// numberedSource is a source whose n-th snapshot says n in every record. It tells after each that the one before was kept.
+// numberedSource is a source of statistics whose n-th snapshot has n in every record. When the writer begins a snapshot, the
+// one before has been persisted, and onPersisted is called with its generation.
 type numberedSource struct {
-	module      *router.Router // with as many engines as there are records: a cursor is the module's own
+	module      *router.Router // has one engine for each record; only a module can make cursors
 	generation  atomic.Int64
 	onPersisted func(generation int64)
 }
@@ -63,7 +65,7 @@
 	return t
 }
 
-// Child writes snapshots until it is killed, and a line with the generation to out for each that was kept.
+// Child writes snapshots until it is killed. For each that was persisted it writes a line with its generation to out.
 func Child(folder string, out io.Writer) error {
 	l := limits.For(64, 64, 0, 0, 0)
 	l.SnapshotBytesPerSecond, l.SnapshotPartPause, l.SnapshotPartRecords = 1<<30, 50*time.Microsecond, 64
@@ -71,7 +73,7 @@
 	t := newNumberedSource(func(n int64) { lines <- n })
 	writer := memory.StartSnapshotWriter(disk.Folder(folder), time.Microsecond, Identity, "kills", t, l,
 		slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	for n := range lines { // there is no end but the kill, or the reader's
+	for n := range lines { // ends only by the kill or when the reader closes out
 		if _, err := fmt.Fprintln(out, n); err != nil {
 			writer.Stop()
 			return err
@@ -80,19 +82,20 @@
 	return nil
 }
 
-// Tally is what was found after many kills.
+// Tally counts what was found after kills.
 type Tally struct {
 	Kills      int
-	Corrupt    int // loads with records of two generations, of another's or of none
-	Unreadable int // kills after which nothing could be read though something was kept
-	Lost       int // kills after which what had been kept was not found
-	Unfinished int // kills that left something unfinished
-	FellBack   int // kills after which the newest file was not whole
-	MaxLost    int64
-	Snapshots  int64
+	Corrupt    int   // loads of a wrong owner or an incomplete set of records, or with records of two generations
+	Unreadable int   // kills after which no snapshot could be loaded, though one had been persisted
+	Lost       int   // kills after which a persisted snapshot was missing
+	Unfinished int   // temporary files that kills left
+	FellBack   int   // kills after which the newest file could not be loaded
+	MaxLost    int64 // most generations between the last persisted snapshot and the loaded one
+	Snapshots  int64 // snapshots that were persisted
 }
 
-// Run kills n processes one after another in one folder, each at a random moment, and checks the folder after each.
+// Run kills n processes one after another that write to one folder, each at a random time, and checks the folder after each
+// kill.
 func Run(ctx context.Context, n int, seed int64, command func(folder string) *exec.Cmd, bounds snapshots.Bounds) (t Tally, err error) {
 	folder, err := os.MkdirTemp("", "kills")
 	if err != nil {
@@ -112,8 +115,8 @@
 	return t, ctx.Err()
 }
 
-// kill starts a process, lets it write for a while from its first snapshot on, kills it, and returns the last
-// generation that it told it had kept.
+// kill starts a process, kills it some time after its first snapshot was persisted, and returns the last generation that the
+// process reported as persisted.
 func kill(ctx context.Context, cmd *exec.Cmd, after time.Duration) (persisted int64, err error) {
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -142,7 +145,7 @@
 	select {
 	case <-first:
 	case <-limit.C:
-		return 0, errors.New("the process writes nothing")
+		return 0, errors.New("the process has reported no snapshot within 10 s")
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -151,7 +154,7 @@
 	return <-done, nil
 }
 
-// check reads what a killed process left.
+// check loads the newest snapshot that a killed process left, and counts what it finds.
 func (t *Tally) check(d disk.Disk, persisted int64, bounds snapshots.Bounds) {
 	if names, err := d.Names(); err == nil {
 		for _, name := range names {
@@ -186,18 +189,18 @@
 	}
 }
 
-// Add sums up another tally.
+// Add adds another tally to this one.
 func (t *Tally) Add(o Tally) {
 	t.Kills, t.Corrupt, t.Unreadable, t.Lost = t.Kills+o.Kills, t.Corrupt+o.Corrupt, t.Unreadable+o.Unreadable, t.Lost+o.Lost
 	t.Unfinished, t.FellBack, t.Snapshots = t.Unfinished+o.Unfinished, t.FellBack+o.FellBack, t.Snapshots+o.Snapshots
 	t.MaxLost = max(t.MaxLost, o.MaxLost)
 }
 
-// Failed tells whether a load was corrupt or something that was kept is gone.
+// Failed reports whether a load was corrupt or a persisted snapshot was lost.
 func (t Tally) Failed() bool { return t.Corrupt+t.Unreadable+t.Lost > 0 }
 
 func (t Tally) String() string {
-	return fmt.Sprintf("%d kills, %d snapshots kept: %d corrupt loads, %d empty ones, %d that lost what was kept (%d "+
-		"snapshots back at the most); %d kills left an unfinished file, after %d the newest was not whole", t.Kills,
+	return fmt.Sprintf("%d kills, %d snapshots persisted: %d corrupt loads, %d without any snapshot, %d that lost persisted ones (%d "+
+		"generations at most); %d unfinished files left, after %d kills the newest file was not whole", t.Kills,
 		t.Snapshots, t.Corrupt, t.Unreadable, t.Lost, t.MaxLost, t.Unfinished, t.FellBack)
 }
--- a/internal/lab/kills/kills_test.go
+++ b/internal/lab/kills/kills_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/memory"
 )
 
-// The test's own program is the process that is killed.
+// The process that is killed is this test program, run with the environment variable.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("MINTKEEL_KILLS_FOLDER"); folder != "" {
 		Child(folder, os.Stdout)
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// A short one; mintkeel-lab kills does a thousand.
+// No snapshot is corrupt or lost after 25 kills; `mintkeel-lab kills` does a thousand.
 func TestKills(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -31,6 +31,6 @@
 		return cmd
 	}, memory.FileBounds(limits.For(64, 64, 0, 0, 0)))
 	if err != nil || tally.Failed() || tally.Snapshots < 25 {
-		t.Errorf("%v, %v", tally, err)
+		t.Errorf("%v, error %v; want no error, nothing corrupt or lost, and at least 25 snapshots", tally, err)
 	}
 }
--- a/internal/lab/restart/path.go
+++ b/internal/lab/restart/path.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Cost is what serving a scene took of the daemon.
+// Cost is the daemon's cost of serving a scene, with the benefit that it achieved.
 type Cost struct {
-	Processor float64 // ms for each command
+	Processor float64 // ms of processor time for each command
 	Benefit   float64
 }
 
-// Path measures the daemon's whole path: a scene is played, and the process's time on processors is taken over it,
-// without what starting and reading the rules took. Rules stand as in an operator's file.
+// Path measures the processor time of the daemon's whole data path over a scene, without the time for starting and reading
+// the rules. The rules are text of an operator's file.
 func Path(ctx context.Context, s Scene, rules string) (cost Cost, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Learn+s.Measure+30*time.Second)
 	defer cancel()
@@ -53,23 +53,24 @@
 	return Cost{(after - before) / float64(max(1, out.Commands)), out.Benefit}, ctx.Err()
 }
 
-// processorTime is the time that a process has had on processors, in ms: the kernel counts it in hundredths of a second.
+// processorTime returns the processor time that a process has used, in ms. The kernel counts it in units of 10 ms.
 func processorTime(pid int) (float64, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		return 0, err
 	}
-	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:])) // from the third on
+	// The second field, in parentheses, may contain spaces: these fields begin with the third.
+	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) < 13 {
-		return 0, errors.New("the kernel's form is not known")
+		return 0, errors.New("/proc/PID/stat has too few fields")
 	}
 	user, err1 := strconv.ParseFloat(fields[11], 64)
 	system, err2 := strconv.ParseFloat(fields[12], 64)
 	return (user + system) * 10, errors.Join(err1, err2)
 }
 
-// SyntheticRules is an operator's rules of so many: half ask for a table group that is asked for, half for none that is there,
-// and each gives a label or narrows nothing.
+// SyntheticRules returns n rules of an operator that each set a label on reports of a table group. The even ones name groups
+// of the scene in turn. Odd rule i names group i, which the scene lacks unless i is less than groups.
 func SyntheticRules(n, groups int) string {
 	var b strings.Builder
 	for i := range n {
@@ -82,7 +83,7 @@
 	return b.String()
 }
 
-// Median is the middle of some figures.
+// Median returns the median of some values; 0 for none.
 func Median(xs []float64) float64 {
 	sorted := slices.Sorted(slices.Values(xs))
 	if len(sorted) == 0 {
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,6 +1,6 @@
-// Package restart measures what memory is worth: a real controller, as a process of its own, is killed in the middle of
-// a busy time and started again, with stand-ins for engines, feed and clients on loopback, and the benefit answered in
-// the first seconds is compared with that of runs without memory, with wrong memory, and without a kill.
+// Package restart measures the value of persisted statistics ("memory"): a controller process is killed under load and
+// started again, with stand-ins for engines, feed and clients on loopback. The benefit in the first seconds after the restart
+// is compared with that of runs without memory, with wrong memory, and without a kill.
 package restart
 
 import (
@@ -26,18 +26,18 @@
 	"mintkeel/router"
 )
 
-// Variant is what the controller finds when it starts again.
+// Variant is the memory that the controller finds when it starts again.
 type Variant int
 
 // The variants that are compared.
 const (
-	Unbroken  Variant = iota // it was never killed
-	Without                  // nothing
-	With                     // what it had learned
-	Aged                     // the same, a day old
-	Swapped                  // the same, with every engine taken for another
-	Yesterday                // a day ago: three slow engines, another hot table group, tables warm elsewhere
-	Unaged                   // the same, believed as if it were fresh: the plain baseline
+	Unbroken  Variant = iota // the controller is not killed
+	Without                  // no memory
+	With                     // its own memory
+	Aged                     // its own memory, dated back by a day
+	Swapped                  // its own memory, with the records of each engine under another engine's ID
+	Yesterday                // memory of another day: three slow engines, another hot table group, tables warm elsewhere
+	Unaged                   // as Yesterday, but dated as fresh: the plain baseline
 )
 
 var variantNames = [...]string{"unbroken", "without", "with", "aged a day", "engines swapped", "yesterday's",
@@ -45,12 +45,12 @@
 
 func (v Variant) String() string { return variantNames[v] }
 
-// Variants are all.
+// Variants returns all variants.
 func Variants() []Variant {
 	return []Variant{Unbroken, Without, With, Aged, Swapped, Yesterday, Unaged}
 }
 
-// Scene is what is played. Times of the run are real ones.
+// Scene describes the engines and the load of a run, which takes place in real time.
 type Scene struct {
 	Mintkeel string // path of the daemon
 	Bounds   snapshots.Bounds
@@ -60,27 +60,27 @@
 	Rate     float64 // commands a second
 	Learn    time.Duration
 	Measure  time.Duration
-	Slow     float64 // times the usual time at the slow engine
+	Slow     float64 // factor of the duration at the slow engine
 	Hot      float64 // share of the commands on the hot table group
-	Cold     float64 // times the work of a command whose tables are not warm
-	Sockets  int     // that the daemon may have; 0: 1024
-	Clients  int     // connections that are open at least, and take turns
-	Work     float64 // ms on one core of a command; 0: as usual, 30 for a lookup and 140 for a report
-	Relay    bool    // the relay stands in place of the daemon, with one engine that can do all
+	Cold     float64 // factor of the work of a command whose tables are not warm
+	Sockets  int     // limit of the daemon; 0: 1024
+	Clients  int     // least number of open client connections, which are used in turn
+	Work     float64 // ms on one core for each command; 0: 30 for a lookup and 140 for a report
+	Relay    bool    // the relay takes the place of the daemon, with engines that have ample cores and sessions
 }
 
-// Usual is the scene that the results were taken with.
+// Usual returns the scene with which the published results were measured.
 func Usual() Scene {
 	return Scene{Engines: 8, Groups: 24, Rate: 420, Learn: 14 * time.Second, Measure: 10 * time.Second, Slow: 6, Hot: 0.3,
 		Cold: 3}
 }
 
-// Outcome is what one variant of a scene gave.
+// Outcome is the result of one variant of a scene.
 type Outcome struct {
-	Benefit  float64 // of commands, 1 each at most, over their number
-	First    float64 // the same in the first 2 s
+	Benefit  float64 // mean over all commands, each 0 to 1
+	First    float64 // mean over the commands of the first 2 s
 	Commands int
-	Cold     int // commands that found their tables cold
+	Cold     int // commands whose tables were cold at their engine
 }
 
 const (
@@ -92,7 +92,7 @@
 	reportShare                      = 0.15 // of the commands
 )
 
-// environment is a scene's surroundings.
+// environment is what surrounds the controller in a scene: engines, the feed, clients and its files.
 type environment struct {
 	Scene
 	engines []*standin.Engine
@@ -100,11 +100,11 @@
 	addr    string
 	dir     string
 	rules   string // of the operator's file
-	shift   int    // which engine is slow and which table group hot
+	shift   int    // selects the slow engines and the hot table group
 	idle    chan *standin.Client
 }
 
-// Run plays one variant.
+// Run plays one variant of a scene.
 func Run(ctx context.Context, s Scene, v Variant) (out Outcome, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Learn+s.Measure+20*time.Second)
 	defer cancel()
@@ -113,7 +113,7 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	if v == Yesterday || v == Unaged { // first the day before
+	if v == Yesterday || v == Unaged { // play the day before first, for its memory
 		dayBefore, err := open(ctx, s, dir, 3)
 		if err != nil {
 			return out, err
@@ -164,7 +164,7 @@
 			m.Cores, m.Sessions = 100000, 100000
 		}
 		if i == (2+shift)%s.Engines || shift > 0 && (i == (3+shift)%s.Engines || i == (4+shift)%s.Engines) {
-			m.Slow = s.Slow // on the other day, three of them
+			m.Slow = s.Slow // three engines on the other day, else one
 		}
 		e, err := standin.NewEngine(fmt.Sprintf("s-%08x", i+1), m, s.Seed)
 		if err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// closeIdle closes the clients' idle connections.
+// closeIdle closes all idle client connections.
 func (w *environment) closeIdle() {
 	for {
 		select {
@@ -223,7 +223,7 @@
 	})
 }
 
-// start writes a configuration, starts the daemon and waits until it answers.
+// start writes the settings, starts the daemon or the relay, and waits until it answers.
 func (w *environment) start(ctx context.Context) (*process, error) {
 	if w.Relay {
 		self, err := os.Executable()
@@ -266,7 +266,7 @@
 	return w.await(ctx, exec.Command(w.Mintkeel, "serve", "--config", path, "--operator", hcl))
 }
 
-// await starts a process and waits until it serves.
+// await starts a process, waits until it serves clients, and opens the client connections.
 func (w *environment) await(ctx context.Context, cmd *exec.Cmd) (*process, error) {
 	p := &process{cmd: cmd}
 	log, err := os.OpenFile(filepath.Join(w.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
@@ -285,13 +285,13 @@
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			p.kill()
-			return nil, errors.New("the daemon does not answer")
+			return nil, errors.New("the daemon accepts no client within 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// openClients opens the connections that are to be there.
+// openClients opens idle client connections up to Scene.Clients.
 func (w *environment) openClients(ctx context.Context) error {
 	for len(w.idle) < w.Clients {
 		c, err := standin.Dial(ctx, w.addr, time.Second)
@@ -303,7 +303,7 @@
 	return nil
 }
 
-// play has commands arrive for so long and, if out is given, sums up their benefit.
+// play sends commands at random times for a duration and, if out is not nil, records their benefit there.
 func (w *environment) play(ctx context.Context, duration time.Duration, out *Outcome) {
 	rng := rand.New(rand.NewSource(w.Seed + int64(duration)))
 	var mu sync.Mutex
@@ -362,7 +362,7 @@
 	return d
 }
 
-// send has one command answered on a connection of its own while it lasts.
+// send sends a command on a connection that serves no other command meanwhile, and returns its benefit.
 func (w *environment) send(ctx context.Context, d command) float64 {
 	var c *standin.Client
 	select {
@@ -394,7 +394,7 @@
 	return 1
 }
 
-// prepareMemory makes of what was kept what the variant finds.
+// prepareMemory changes the stored memory to what the variant finds at the restart.
 func (w *environment) prepareMemory(v Variant) error {
 	kept := filepath.Join(w.dir, "kept")
 	switch v {
@@ -451,17 +451,17 @@
 	}
 }
 
-// Summary is a variant over several seeds, paired with Without and Unbroken.
+// Summary is the mean of a variant over several seeds, compared by seed with Without and Unbroken.
 type Summary struct {
 	Variant                  Variant
 	Benefit, First           float64
-	Cold                     float64 // commands on cold tables, of all
-	OverWithout, Interval    float64 // mean of the differences by seed, and half of their 95% interval
+	Cold                     float64 // share of the commands on cold tables
+	OverWithout, Interval    float64 // mean of the differences by seed, and half the width of its 95% confidence interval
 	GapShare                 float64 // of the gap from Without to Unbroken
 	FirstOver, FirstInterval float64 // as OverWithout and Interval, in the first 2 s
 }
 
-// Summarize sums up outcomes by seed and variant.
+// Summarize returns a summary of each variant over the outcomes of all seeds.
 func Summarize(all []map[Variant]Outcome) (sums []Summary) {
 	gap := 0.0
 	for _, by := range all {
@@ -488,10 +488,10 @@
 	return sums
 }
 
-// studentT are the 97.5% points of Student's distribution for 1 degree of freedom and on.
+// studentT has the 97.5% quantiles of Student's t-distribution, for 1 degree of freedom and up.
 var studentT = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
-// MeanInterval is the mean of some differences and half of its 95% interval.
+// MeanInterval returns the mean of some values and half the width of its 95% confidence interval.
 func MeanInterval(xs []float64) (mean, half float64) {
 	n := float64(len(xs))
 	for _, x := range xs {
@@ -507,7 +507,7 @@
 	return mean, studentT[min(len(xs)-2, len(studentT)-1)] * math.Sqrt(sum/(n-1)/n)
 }
 
-// Table is the summaries as Markdown.
+// Table formats summaries as a Markdown table.
 func Table(sums []Summary) string {
 	var b strings.Builder
 	b.WriteString("| memory | benefit, 10 s | over without | share of the gap | benefit, first 2 s | over without | on cold tables |\n" +
--- a/internal/lab/restart/surge.go
+++ b/internal/lab/restart/surge.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Surge plays a day on which one table group turns hot at once: it gets its even part of the commands, then the scene's
-// share. What is measured begins with the surge. With a rule the operator said so beforehand.
+// Surge plays a scene in which one table group becomes hot suddenly: it gets its even share of the commands, then Scene.Hot.
+// The measurement begins with the surge. With rule, the operator's rules have marked the group as hot before.
 func Surge(ctx context.Context, s Scene, rule bool) (out Outcome, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Learn+s.Measure+20*time.Second)
 	defer cancel()
