--- a/internal/lab/simulation/controllers.go
+++ b/internal/lab/simulation/controllers.go
@@ -7,8 +7,8 @@
 	"mintkeel/router"
 )
 
-// controller is a module with what its host does for it: events, timers, queries, the endpoint
-// list.
+// controller is a decision module with the state of its host: events, timers, queries and the
+// endpoint list.
 type controller struct {
 	number          int
 	incarnation     int
@@ -19,17 +19,17 @@
 	due             bool // a step is scheduled
 	timerNumber     int  // of the last timer that was set; earlier ones are void
 	queries         map[router.QueryID]*query
-	listed          map[router.EngineID]router.Endpoint // as far as it has received the list
-	process         map[router.EngineID]int             // of each engine it talked to last
-	cutOff          bool                                // it receives nothing of the list
-	missed          []router.Endpoint
+	listed          map[router.EngineID]router.Endpoint // the entries of the list that it has received
+	process         map[router.EngineID]int             // the engine process to which it last had a connection
+	cutOff          bool                                // it receives no changes of the list
+	missed          []router.Endpoint                   // changes that it did not receive
 	expired         bool
 	subscribed      bool // it gets the list without polling
 	savedStatistics router.Statistics
 }
 
-// startController starts a controller: it receives the list, and the statistics of its earlier
-// incarnation.
+// startController starts an incarnation of a controller, which receives the endpoint list and the
+// statistics that the simulation's Memory stands for.
 func (sim *simulation) startController(c *controller) {
 	c.incarnation++
 	c.up, c.stopping, c.cutOff, c.expired = true, false, false, false
@@ -57,7 +57,7 @@
 	}
 }
 
-// killController kills a controller; it comes back after a while.
+// killController kills a controller; it starts again after a while.
 func (sim *simulation) killController(c *controller) {
 	if !c.up {
 		return
@@ -66,7 +66,7 @@
 	sim.takeDown(c)
 }
 
-// takeDown ends an incarnation; the next one starts after a while.
+// takeDown ends an incarnation of a controller; the next one starts after a while.
 func (sim *simulation) takeDown(c *controller) {
 	c.up = false
 	c.incarnation++
@@ -78,7 +78,7 @@
 	})
 }
 
-// stopController has a controller end by itself within a time.
+// stopController shuts a controller down as planned, within a random time.
 func (sim *simulation) stopController(c *controller) {
 	if !c.up || c.stopping {
 		return
@@ -92,7 +92,7 @@
 	})
 }
 
-// saveStatistics exports the statistics of the controllers again and again.
+// saveStatistics exports the statistics of all running controllers at intervals.
 func (sim *simulation) saveStatistics() {
 	sim.after(300, func() {
 		for _, c := range sim.controllers {
@@ -111,7 +111,7 @@
 	})
 }
 
-// deliver hands an event to a controller, which steps at once or at the next tick.
+// deliver queues an event for a controller, which steps at the current time or at the next tick.
 func (sim *simulation) deliver(c *controller, ev router.Event) {
 	c.events = append(c.events, ev)
 	if c.due {
@@ -129,7 +129,7 @@
 	})
 }
 
-// step has a controller decide on the events that have come, and carries out its actions.
+// step has a controller decide on the queued events, and carries out its actions.
 func (sim *simulation) step(c *controller) {
 	events := c.events
 	c.events = nil
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkHealth has a checkHealth of an engine end after a while, well or not.
+// checkHealth has a health check of an engine end after a while, at times with a timeout.
 func (sim *simulation) checkHealth(c *controller, id router.EngineID) {
 	e := sim.engines[id]
 	sim.afterFor(c, 1+sim.rng.Float64()*5, func() {
@@ -181,7 +181,8 @@
 	})
 }
 
-// setTimer wakes a controller after a delay, in ms, unless it sets another timer before.
+// setTimer delivers TimerFired to a controller after a delay in ms, unless it sets another timer
+// before.
 func (sim *simulation) setTimer(c *controller, delay float64) {
 	c.timerNumber++
 	timer := c.timerNumber
@@ -192,7 +193,7 @@
 	})
 }
 
-// subscribe has a subscription to the endpoint list come about after a while, or fail.
+// subscribe has a subscription to the endpoint list succeed or fail after a while.
 func (sim *simulation) subscribe(c *controller) {
 	sim.afterFor(c, sim.rng.Float64()*100, func() {
 		if sim.rng.Intn(3) == 0 {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -6,8 +6,8 @@
 	"mintkeel/router"
 )
 
-// publish has every controller receive the entry of an engine, each with a lag of its own. An entry
-// that overtakes a newer one is ignored by receiveEntries.
+// publish delivers the entry of an engine to every controller, each after a lag of its own. An entry
+// that arrives after a newer one is ignored by receiveEntries.
 func (sim *simulation) publish(e *engine) {
 	entry := e.Endpoint
 	for _, c := range sim.controllers {
@@ -21,7 +21,7 @@
 	}
 }
 
-// receiveEntries delivers the entries that are newer than what a controller has received.
+// receiveEntries delivers entries to a controller, without those older than what it has received.
 func (sim *simulation) receiveEntries(c *controller, entries ...router.Endpoint) {
 	var updates []router.Endpoint
 	for _, e := range entries {
@@ -34,16 +34,16 @@
 	sim.deliver(c, router.EndpointsUpdated{Endpoints: updates})
 }
 
-// isNotOlder tells whether b is no older entry of an engine than a.
+// isNotOlder reports whether entry b of an engine is as new as entry a or newer.
 func isNotOlder(a, b router.Endpoint) bool {
 	return a.Engine == "" ||
 		cmp.Or(cmp.Compare(b.StartedAt, a.StartedAt), cmp.Compare(b.State, a.State)) >= 0
 }
 
-// expiry is for how long, in ms, a controller is cut off from the list until what it has expires.
+// expiry is how long, in ms, after its last update the endpoint list of a controller expires.
 const expiry = 1000.0
 
-// interruptDiscovery cuts a controller off from the endpoint list for a while.
+// interruptDiscovery cuts a controller off from changes of the endpoint list for a while.
 func (sim *simulation) interruptDiscovery(c *controller) {
 	if !c.up || c.cutOff {
 		return
@@ -59,7 +59,7 @@
 		c.cutOff = false
 		missed := c.missed
 		c.missed = nil
-		if sim.Settings.Capabilities.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription broke
+		if sim.Settings.Capabilities.PollEndpoints && sim.rng.Intn(2) == 0 { // the subscription has ended
 			c.subscribed = false
 			c.missed = missed
 			sim.deliver(c, router.EndpointsUpdated{Failed: true})
--- a/internal/lab/simulation/draw.go
+++ b/internal/lab/simulation/draw.go
@@ -8,15 +8,15 @@
 	"mintkeel/router"
 )
 
-// Generator draws worlds with legal settings, up to hostile ones. It shrinks towards few
+// Generator draws simulations with valid settings, up to extreme ones. It shrinks towards few
 // controllers, engines and faults.
 func Generator() *rapid.Generator[Spec] { return rapid.Custom(draw) }
 
-// FromSeed is the simulation that a seed stands for.
+// FromSeed returns the simulation that a seed stands for.
 func FromSeed(seed int) Spec { return Generator().Example(seed) }
 
-// Larger is the same fleet with more of all: engines, queries, tables, keys and engine changes, in
-// a shorter time.
+// Larger returns a larger simulation with the same settings: with more engines, queries, tables,
+// keys and changes of engines, in a shorter time.
 func (s Spec) Larger() Spec {
 	s.Engines, s.Rate, s.Tables, s.Keys = 6*s.Engines, 4*s.Rate, 3*s.Tables, 10*s.Keys
 	s.Controllers = min(s.Controllers, 5)
@@ -38,7 +38,7 @@
 
 func (d drawer) flag(name string) bool { return rapid.Bool().Draw(d.T, name) }
 
-// rate is zero half of the time, so that faults come alone too.
+// rate draws zero half of the time, so that each fault also occurs without the others.
 func (d drawer) rate(name string, most float64) float64 {
 	if d.flag(name + "?") {
 		return d.number(name, 0, most)
@@ -46,11 +46,11 @@
 	return 0
 }
 
-// oneInFour is true a quarter of the time.
+// oneInFour draws true a quarter of the time.
 func (d drawer) oneInFour(name string) bool { return d.count(name, 0, 3) == 3 }
 
-// draw draws a simulation. A seed stands for the values in the order of their draws: new ones come
-// last, so that earlier simulations stay what they were.
+// draw draws a simulation. A seed determines the values in the order of their draws, so new values
+// are drawn last to keep the simulations of earlier seeds.
 func draw(t *rapid.T) Spec {
 	d := drawer{t}
 	s := Spec{
@@ -129,7 +129,7 @@
 	}
 }
 
-// drawClass draws a query class, and its mean work in ms on one thread.
+// drawClass draws a query class and its mean work, in ms on one thread.
 func drawClass(t *rapid.T, i, kinds, zones int) (router.QueryClass, float64) {
 	name := func(of string) string { return fmt.Sprint("profile ", i, " ", of) }
 	p := router.QueryClass{
--- a/internal/lab/simulation/engines.go
+++ b/internal/lab/simulation/engines.go
@@ -7,16 +7,16 @@
 	"mintkeel/router"
 )
 
-// engine is an engine as it is, whatever the controllers know of it.
+// engine is the real state of an engine, which controllers may not know yet.
 type engine struct {
 	router.Endpoint
-	serial      int     // of its process
-	slowness    float64 // times the usual time
-	errorFactor float64 // times the usual share of failures
+	serial      int     // number of its current process
+	slowness    float64 // factor of the usual duration of an attempt
+	errorFactor float64 // factor of the usual share of failures
 	gone        bool
 }
 
-// randomEngine draws an engine, also one that is gone; nil: there is none.
+// randomEngine draws an engine, which may be gone; nil: there is none.
 func (sim *simulation) randomEngine() *engine {
 	if len(sim.order) == 0 {
 		return nil
@@ -24,7 +24,7 @@
 	return sim.order[sim.rng.Intn(len(sim.order))]
 }
 
-// addEngine adds an engine to the fleet; since is 0 for one that was always there.
+// addEngine adds an engine that started at since, in ms; 0 stands for a start long ago.
 func (sim *simulation) addEngine(since float64) {
 	kind := router.KindID(sim.rng.Intn(len(sim.Settings.Kinds)))
 	if sim.rng.Intn(20) == 0 {
@@ -43,7 +43,7 @@
 	sim.publish(e)
 }
 
-// startProcess begins a process of an engine, at times a slow one or one that often fails.
+// startProcess starts a process of an engine, at times a slow one or one with another error rate.
 func (sim *simulation) startProcess(e *engine) {
 	e.serial++
 	e.slowness, e.errorFactor = 1, 1
@@ -63,7 +63,7 @@
 	sim.publish(e)
 }
 
-// drainEngine has the list say that an engine drains; it ends after a while.
+// drainEngine begins to drain an engine and publishes it; the engine ends after a while.
 func (sim *simulation) drainEngine(e *engine) {
 	if e == nil || e.gone || e.State != router.Ready {
 		return
@@ -79,8 +79,7 @@
 	})
 }
 
-// endEngine ends a process: attempts there get no answer any more. The list says so, sooner or
-// later.
+// endEngine ends the process of an engine, whose attempts get no answer any more, and publishes it.
 func (sim *simulation) endEngine(e *engine) {
 	if e == nil || e.gone {
 		return
@@ -92,7 +91,7 @@
 	for _, c := range sim.controllers {
 		for _, q := range sim.openQueries(c) {
 			for i, s := range q.attempts {
-				if s.engine == e && !s.ended && sim.rng.Intn(3) > 0 { // some connections stay silent
+				if s.engine == e && !s.ended && sim.rng.Intn(3) > 0 { // some connections are not reset
 					sim.scheduleOutcome(c, q, i, 0.5+sim.rng.Float64(), router.ConnectionReset)
 				}
 			}
@@ -101,8 +100,8 @@
 	sim.publish(e)
 }
 
-// loadReport is the report that comes with an answer, at times an impossible one; nil: there is
-// none.
+// loadReport returns the load report of an answer, at times one with impossible values; nil: the
+// answer has none.
 func (sim *simulation) loadReport(e *engine) *router.LoadReport {
 	if e == nil || sim.rng.Intn(3) == 0 {
 		return nil
--- a/internal/lab/simulation/hostile.go
+++ b/internal/lab/simulation/hostile.go
@@ -7,7 +7,7 @@
 	"mintkeel/router"
 )
 
-// hostileStatistics is a restored state that no controller can have exported.
+// hostileStatistics returns statistics to restore that no controller can have exported.
 func (sim *simulation) hostileStatistics() (l router.Statistics) {
 	hostileValue := func() float64 {
 		x := []float64{0, -1, 1, 1e-300, 1e300, math.Inf(1), math.Inf(-1), math.NaN(), sim.now,
--- a/internal/lab/simulation/queries.go
+++ b/internal/lab/simulation/queries.go
@@ -9,26 +9,26 @@
 	"mintkeel/router"
 )
 
-// query is one that a controller owes an answer, or that has an attempt without an outcome.
+// query is a query that a controller has to answer, or that has an attempt without an outcome.
 type query struct {
 	id              router.QueryID
 	class           router.ClassID
-	work            float64 // ms on one thread, in truth
-	done            bool    // its client has an answer, or has left
-	responseStarted bool    // its response has started
+	work            float64 // ms on one thread that it really needs
+	done            bool    // its client has an answer, or has disconnected
+	responseStarted bool
 	attempts        []*attempt
-	needMB          float64 // as estimated
-	estimate        float64 // of its work; 0: none
+	needMB          float64 // estimate of its memory
+	estimate        float64 // of its work, in ms on one thread; 0: none
 }
 
 // attempt is one attempt of a query at an engine.
 type attempt struct {
 	engine *engine
 	ended  bool
-	at     float64 // ms
+	at     float64 // ms, when it started
 }
 
-// openQueries are a controller's queries, by id.
+// openQueries returns a controller's queries, sorted by ID.
 func (sim *simulation) openQueries(c *controller) []*query {
 	var list []*query
 	for _, q := range c.queries {
@@ -43,7 +43,7 @@
 	return router.OrderingKey(fmt.Sprint("k", sim.rng.Intn(sim.Keys)))
 }
 
-// arriveQuery has a query arrive at a controller; its client may leave before the answer.
+// arriveQuery has a query arrive at a controller; its client may disconnect before the answer.
 func (sim *simulation) arriveQuery() {
 	c := sim.controllers[sim.pick(sim.weights)]
 	if !c.up {
@@ -73,8 +73,7 @@
 	})
 }
 
-// drawArrival draws what a controller learns of a query, and the time, in ms, until its client
-// gives up.
+// drawArrival draws the arrival event of a query, and the time in ms until its client's timeout.
 func (sim *simulation) drawArrival(q *query) (ev router.QueryArrived, left float64) {
 	f := &sim.Settings
 	left = f.Classes[q.class].ClientTimeout * (0.2 + 0.8*sim.rng.Float64())
@@ -95,7 +94,7 @@
 				sim.rng.Float64()*1e6
 		}
 	}
-	if sim.NarrowedQueries && sim.rng.Intn(3) == 0 { // as an operator's rules may
+	if sim.NarrowedQueries && sim.rng.Intn(3) == 0 { // as an operator's rules may do
 		ev.EstimateCap = q.work * sim.rng.Float64() / 20
 		ev.Hot, ev.Kinds = sim.rng.Intn(2) == 0,
 			[]router.KindID{router.KindID(sim.rng.Intn(len(f.Kinds)))}
@@ -126,7 +125,7 @@
 	}
 }
 
-// startAttempt starts an attempt on an engine, and schedules what becomes of it.
+// startAttempt starts an attempt on an engine, and schedules its progress and outcome.
 func (sim *simulation) startAttempt(c *controller, q *query, a router.StartAttempt) {
 	e := sim.engines[a.Engine]
 	q.attempts = append(q.attempts, &attempt{engine: e, at: sim.now})
@@ -134,7 +133,7 @@
 	latency := 0.2 + sim.rng.Float64()*2
 	known, talked := c.process[e.Engine]
 	switch {
-	// no connection may be opened then, and none is up
+	// With an expired list no connection may be opened, and none to this process is open.
 	case c.expired && (!talked || known != e.serial):
 		sim.scheduleOutcome(c, q, n, latency, router.NotSent)
 		return
@@ -157,7 +156,7 @@
 			router.NotSent}[sim.rng.Intn(6)]
 		took *= sim.rng.Float64() * 2
 	}
-	if outcome == router.TimedOut { // the answer is lost: nothing comes until the time is up
+	if outcome == router.TimedOut { // the answer is lost, so the attempt lasts until its deadline
 		took = math.Inf(1)
 	}
 	if sim.rng.Intn(20) == 0 {
@@ -173,8 +172,8 @@
 	}
 }
 
-// scheduleResponseStart has the response of an attempt start after a delay, in ms, if the query is
-// still open and has no other attempt: no other one may be made then.
+// scheduleResponseStart has the response of an attempt start after a delay in ms, if the query is
+// still open and has no other attempt. After that the query may have no further attempt.
 func (sim *simulation) scheduleResponseStart(c *controller, q *query, n int, delay float64) {
 	sim.afterFor(c, delay, func() {
 		if !q.done && !q.attempts[n].ended && len(q.attempts) == 1 && !q.responseStarted {
@@ -184,7 +183,8 @@
 	})
 }
 
-// scheduleProgress has progress of an attempt reported at about an interval, in ms, until it ends.
+// scheduleProgress reports progress of an attempt at random intervals around one in ms, until the
+// attempt ends.
 func (sim *simulation) scheduleProgress(c *controller, q *query, n int, interval float64) {
 	sim.afterFor(c, interval*(0.5+sim.rng.Float64()), func() {
 		if q.attempts[n].ended {
@@ -200,7 +200,7 @@
 	})
 }
 
-// scheduleOutcome gives an attempt its outcome after a delay, in ms, unless it has one by then.
+// scheduleOutcome ends an attempt with an outcome after a delay in ms, unless it has ended by then.
 func (sim *simulation) scheduleOutcome(c *controller, q *query, n int, delay float64,
 	outcome router.Outcome) {
 	sim.afterFor(c, delay, func() {
@@ -215,7 +215,7 @@
 		}
 		a.ended = true
 		if outcome == router.Succeeded || q.responseStarted {
-			q.done = true // the answer went to the client, or broke off on its way
+			q.done = true // the client has received the whole answer, or a part of it
 		}
 		ev := router.AttemptEnded{ID: q.id, Attempt: router.AttemptID(n), Outcome: outcome,
 			QueryDone: q.done, Elapsed: sim.now - a.at}
@@ -230,7 +230,7 @@
 	})
 }
 
-// finish takes in that a controller has given the final answer.
+// finish records that a controller has given the final answer to a query.
 func (sim *simulation) finish(c *controller, id router.QueryID) {
 	if q := c.queries[id]; q != nil {
 		q.done = true
@@ -238,7 +238,7 @@
 	}
 }
 
-// forgetIfDone drops a query that is answered and has no attempt without an outcome.
+// forgetIfDone drops a query that is done and whose attempts have all ended.
 func (sim *simulation) forgetIfDone(c *controller, q *query) {
 	if q.done && !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(c.queries, q.id)
--- a/internal/lab/simulation/race_test.go
+++ b/internal/lab/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// The race detector makes a simulation ten times as expensive, and one runs on one goroutine.
+// The race detector makes a simulation ten times as slow, and a simulation runs in one goroutine.
 const simulationsPlayed = 24
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,7 +1,8 @@
-// Package simulation simulates random fleets in virtual time: several controllers at once with one
-// set of engines, the module driven by its interface alone, through faults that no bench combines.
-// It asks for no quality, only for the rules, which internal/lab/checker checks. One spec is one
-// history: the same spec gives the same breaches.
+// Package simulation simulates random fleets in virtual time: several controllers that share a set
+// of engines, with combinations of faults that no benchmark has. It drives the decision module
+// through its interface only. It does not measure the quality of decisions; internal/lab/checker
+// checks that they keep the rules. A simulation is deterministic: the same Spec gives the same
+// breaches.
 package simulation
 
 import (
@@ -11,62 +12,65 @@
 	"mintkeel/router"
 )
 
-// Controller is what a simulation drives: the module, or one made to break a rule.
+// Controller is what a simulation drives: the decision module, or a variant of it that breaks a
+// rule.
 type Controller interface {
 	Step(now float64, events []router.Event) []router.Action
 	Statistics(from router.Cursor, most int) (router.Statistics, router.Cursor, bool)
 }
 
-// Memory is what controllers restore when they start again.
+// Memory is the kind of statistics that controllers restore when they start.
 type Memory int
 
-// What there may be to restore.
+// The kinds of Memory.
 const (
 	Nothing   Memory = iota
-	Persisted        // the statistics of the earlier incarnation, aged as in service
-	Hostile          // any values, at any time
+	Persisted        // the statistics of the controller's earlier incarnation, aged as the daemon does
+	Hostile          // statistics with arbitrary values, at the start and later
 )
 
-// Spec is a simulation by its settings. Times are ms, rates are for each second.
+// Spec defines a simulation. Times are in ms, rates are per second.
 type Spec struct {
 	Seed        int64
 	Controllers int
 	Engines     int
 	Length      float64
 	Rate        float64 // queries of all controllers together
-	Imbalance   float64 // 0: all controllers get as much; 1: most get next to nothing
+	Imbalance   float64 // of the load: 0: equal at all controllers; 1: almost none at most controllers
 	Keys        int
 	Tables      int
 	Settings    checker.Settings
 	Zones       int
 	Cells       int
 	MeanWork    []float64 // by class: mean work in ms on one thread
-	// steps come at multiples of the event interval, as in the simulator, else as things happen
+	// StepOnTicks has controllers step at multiples of the event interval only, as in the simulator;
+	// without it they step as soon as an event comes.
 	StepOnTicks bool
 
 	Kills, Stops           float64 // of controllers
-	Drains, Deaths, Starts float64 // of engines; starts of new ones, or anew under an old id
-	Outages                float64 // of the list, at one controller
-	DisconnectShare        float64 // share of queries whose client leaves
-	MaxListLag             float64 // the longest until a controller receives a change
+	Drains, Deaths, Starts float64 // of engines; starts of new ones, or again under an earlier ID
+	Outages                float64 // of the endpoint list, at one controller each
+	DisconnectShare        float64 // share of queries whose client disconnects
+	MaxListLag             float64 // longest time until a controller receives a change of the list
 	FailureShare           float64 // share of attempts that fail
 	AllWarming             bool    // all engines have just started
-	NarrowedQueries        bool    // queries come narrowed to kinds or zones, or said to be hot
-	ExtraKeys              bool    // queries have several ordering keys, and are given more
-	ArrivalWaits           bool    // queries have waited before a controller looks at them
-	// or in a queue at their client, which takes part of the time that they name
+	NarrowedQueries        bool    // queries are restricted to kinds or zones, or marked as hot
+	ExtraKeys              bool    // queries have several ordering keys, and get more later
+	ArrivalWaits           bool    // queries have waited before they reach a controller
+	// ClientQueues has queries wait in a queue at their client, which uses up part of the time left
+	// that they report.
 	ClientQueues      bool
 	ImpossibleReports bool // reports, progress and estimates that can't be true
 	Memory            Memory
 }
 
-// Result is what came of a simulation.
+// Result is the result of a simulation.
 type Result struct {
 	*checker.Checker
 	Steps, Restarts int
 }
 
-// Play runs a simulation to its end. start makes a controller.
+// Play runs a simulation to its end. The start function makes a controller.
 func Play(s Spec, start func(seed int64, place router.Identity) Controller) *Result {
 	sim := &simulation{
 		Spec:    s,
@@ -87,7 +91,7 @@
 	return sim.result
 }
 
-// Module makes controllers of the module as it is.
+// Module makes a controller of the unmodified decision module.
 func (s Spec) Module(seed int64, place router.Identity) Controller {
 	f := s.Settings
 	return router.New(seed, place, f.Kinds, f.Classes, nil, f.Capabilities, f.Limits)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -14,7 +14,7 @@
 	"mintkeel/router"
 )
 
-// The library draws anew each time unless it is told a seed; a verdict must be the same each time.
+// Without a fixed seed rapid draws other simulations at each run; the result must be repeatable.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// The seven rules hold in any simulation, with any restored statistics; what breaks one is shrunk.
+// The seven rules hold in any simulation, with any restored statistics. A failing simulation is
+// shrunk.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Generator().Draw(t, "world")
@@ -35,8 +36,8 @@
 	})
 }
 
-// The same over many simulations, several at a time. Together they must reach what the rules are
-// about, or they show nothing.
+// The rules hold in many simulations, which run in parallel. Together these must have enough
+// retries, slow starts, rejections, failures and restarts to exercise the rules.
 func TestManySimulations(t *testing.T) {
 	const simulations, parts = simulationsPlayed, 8
 	var results [simulations]*Result
@@ -62,17 +63,17 @@
 		failed += r.Failures
 		restarts += r.Restarts
 	}
-	if simulations < 100 { // a few may be quiet ones
+	if simulations < 100 { // too few to reach these counts
 		return
 	}
 	if retries < 300 || slowStart < 300 || rejected < 10000 || failed < 100 || restarts < 40 {
-		t.Errorf("too little happens: %d retries, %d attempts on warming engines, %d rejected, %d failed, "+
-			"%d restarts",
+		t.Errorf("%d retries, %d attempts on warming engines, %d rejected, %d failed, %d restarts; "+
+			"want at least 300, 300, 10000, 100 and 40",
 			retries, slowStart, rejected, failed, restarts)
 	}
 }
 
-// One spec is one history, and whether its statistics are exported changes nothing.
+// Two runs of one spec take the same actions, also if statistics are exported during one of them.
 func TestSameActions(t *testing.T) {
 	for _, seed := range []int{2, 3, 7, 19} {
 		s := FromSeed(seed)
@@ -84,7 +85,8 @@
 			})
 		}
 		if len(logs[0]) < 100 || !slices.Equal(logs[0], logs[1]) {
-			t.Errorf("simulation %d: %d and %d steps, or other actions", seed, len(logs[0]), len(logs[1]))
+			t.Errorf("simulation %d: %d and %d steps; want the same actions, in at least 100 steps", seed,
+				len(logs[0]), len(logs[1]))
 		}
 	}
 }
@@ -105,7 +107,7 @@
 	return actions
 }
 
-// faultyController is a controller that breaks rules, to see whether the checker notices in simulations.
+// faultyController is a controller that breaks a rule, to test that the checker finds it.
 type faultyController struct {
 	Controller
 	change func(b *faultyController, now float64, events []router.Event, actions []router.Action) []router.Action
@@ -119,16 +121,15 @@
 	return b.change(b, now, events, b.Controller.Step(now, events))
 }
 
-// drop leaves out the actions that fit.
+// drop returns the actions without those that fit.
 func drop(actions []router.Action, fits func(router.Action) bool) []router.Action {
 	return slices.DeleteFunc(slices.Clone(actions), fits)
 }
 
-// Each rule is found broken when a controller is made to break it.
+// The checker finds a breach of each rule when a controller is made to break it.
 func TestBrokenControllers(t *testing.T) {
 	if simulationsPlayed < 100 || testing.Short() {
-		t.Skip("one goroutine, and too slow under the race detector; " +
-			"is about the simulations, not about the module")
+		t.Skip("tests the checker, in one goroutine, and is too slow under the race detector")
 	}
 	isRejection := func(a router.Action) bool { _, ok := a.(router.Reject); return ok }
 	for _, c := range []struct {
@@ -253,12 +254,12 @@
 			}
 		}
 		if found < 3 {
-			t.Errorf("%s: %d simulations find rule %v broken", c.name, found, c.rule)
+			t.Errorf("%s: breaches of rule %v in %d simulations, want 3", c.name, c.rule, found)
 		}
 	}
 }
 
-// redirect starts all on one engine, whatever the module chose.
+// redirect changes the engine of all attempts.
 func (b *faultyController) redirect(actions []router.Action, to router.EngineID) []router.Action {
 	out := slices.Clone(actions)
 	for i, action := range out {
--- a/internal/lab/simulation/steps.go
+++ b/internal/lab/simulation/steps.go
@@ -9,8 +9,8 @@
 	"mintkeel/router"
 )
 
-// simulation is a Spec that is being played. All is drawn from one generator, in the order of
-// virtual time.
+// simulation is a run of a Spec. All random values come from one generator, in the order of virtual
+// time.
 type simulation struct {
 	Spec
 	rng         *rand.Rand
@@ -19,9 +19,9 @@
 	queue       eventqueue.Queue
 	checker     *checker.Checker
 	engines     map[router.EngineID]*engine
-	order       []*engine // by when they joined
+	order       []*engine // in order of their addition
 	controllers []*controller
-	weights     []float64 // of controllers, in arrivals
+	weights     []float64 // of the controllers, for the arrival of queries
 	serial      router.QueryID
 	workOf      map[router.QueryID]float64
 	result      *Result
@@ -35,8 +35,8 @@
 // after schedules an event after a delay, in ms.
 func (sim *simulation) after(delay float64, do func()) { sim.at(sim.now+delay, do) }
 
-// afterFor schedules an event of a controller after a delay, in ms. It is void if the controller is
-// another incarnation by then, or down.
+// afterFor schedules an event of a controller after a delay, in ms. The event is dropped if the
+// controller's current incarnation has ended by then.
 func (sim *simulation) afterFor(c *controller, delay float64, do func()) {
 	incarnation := c.incarnation
 	sim.after(delay, func() {
@@ -46,7 +46,7 @@
 	})
 }
 
-// poisson has events happen at random times, at a rate for each second, for ever.
+// poisson schedules events as a Poisson process with a rate per second.
 func (sim *simulation) poisson(rate float64, do func()) {
 	if rate <= 0 {
 		return
@@ -57,7 +57,7 @@
 	})
 }
 
-// pick draws an index by weights.
+// pick draws an index with probabilities in proportion to weights.
 func (sim *simulation) pick(weights []float64) int {
 	sum := 0.0
 	for _, x := range weights {
@@ -72,10 +72,10 @@
 	return len(weights) - 1
 }
 
-// start is when the clock of a simulation begins, in ms: late enough that no time is near zero.
+// start is the time in ms at which a simulation begins: late enough that no time is near zero.
 const start = 1e6
 
-// begin starts the engines and controllers, and schedules all that is to happen to them.
+// begin starts the engines and controllers, and schedules queries and faults.
 func (sim *simulation) begin() {
 	sim.Length += start
 	sim.now = start
@@ -115,7 +115,7 @@
 		}
 	})
 	sim.poisson(sim.Outages, func() { sim.interruptDiscovery(sim.randomController()) })
-	if sim.ExtraKeys { // as when rules change
+	if sim.ExtraKeys { // as a change of rules adds keys
 		sim.poisson(3, sim.addKeys)
 	}
 	if sim.Memory == Persisted {
--- a/internal/lab/simulation/twin_test.go
+++ b/internal/lab/simulation/twin_test.go
@@ -8,9 +8,9 @@
 	"mintkeel/router"
 )
 
-// The module takes the actions that it took before its structures for a thousand engines, event by
-// event: in every simulation, and in some made larger, where all is full, queues are long and
-// engines come and go by the dozen.
+// The module takes the same actions at each step as the reference, which is the module before its
+// data structures for a thousand engines. Some simulations are made larger, so that engines are full,
+// queues are long and many engines start and end.
 func TestAsReference(t *testing.T) {
 	const simulations, parts = simulationsPlayed, 8
 	for part := range parts {
@@ -18,7 +18,7 @@
 			t.Parallel()
 			for seed := part; seed < simulations; seed += parts {
 				s := FromSeed(seed)
-				s.ArrivalWaits = false // the reference has no admission by waits
+				s.ArrivalWaits = false // the reference does not use arrival waits for admission
 				name := "simulation"
 				if seed%12 == 3 {
 					s, name = s.Larger(), "larger simulation"
@@ -31,7 +31,8 @@
 	}
 }
 
-// twin makes controllers of the module beside the reference.
+// twin returns a function that makes controllers of the module which run beside the reference; differs
+// is called for a step with different actions.
 func (s Spec) twin(differs func(step int, now float64, module,
 	old []router.Action)) func(int64, router.Identity) Controller {
 	return func(seed int64, place router.Identity) Controller {
