--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Verdict is what a client was told.
+// Verdict is the result of a command for its client.
 type Verdict int
 
 // The verdicts.
 const (
 	Answered Verdict = iota
-	Shed
-	Failed
-	Lost // no answer: the connection ended, or the time was up
+	Shed             // rejected: the SQLSTATE is of class 53, or 57P03
+	Failed           // an error of another code
+	Lost             // no answer: the connection ended, or the time was up
 )
 
-// Client is a stand-in for a client: one connection, one command at a time.
+// Client is a stand-in for a client. It has one connection, and sends one command at a time.
 type Client struct {
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-// Dial opens a session.
+// Dial opens a session within a time.
 func Dial(ctx context.Context, addr string, within time.Duration) (*Client, error) {
 	dialer := net.Dialer{Timeout: within}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -51,9 +51,9 @@
 // Close ends the session.
 func (c *Client) Close() { c.conn.Close() }
 
-var errIncomplete = errors.New("no whole answer")
+var errIncomplete = errors.New("the answer has a message of invalid length")
 
-// reply reads up to the next ReadyForQuery: whether rows ended as they should, and an error's code.
+// reply reads messages up to the next ReadyForQuery. It reports whether a command completed, and the SQLSTATE of an error.
 func (c *Client) reply() (complete bool, code string, err error) {
 	for {
 		head := make([]byte, 5)
@@ -95,7 +95,7 @@
 	return fields
 }
 
-// Sync asks for nothing but a sign of life, which keeps an idle session open.
+// Sync sends a Sync message and waits for the answer, which keeps an idle session open.
 func (c *Client) Sync(within time.Duration) error {
 	c.conn.SetDeadline(time.Now().Add(within))
 	if _, err := io.WriteString(c.conn, "S\x00\x00\x00\x04"); err != nil {
@@ -105,7 +105,7 @@
 	return err
 }
 
-// Query sends a command and waits for its answer, up to its limit and a little more.
+// Query sends a command and waits for its answer, up to its limit and 200 ms more.
 func (c *Client) Query(fields string, statement string, limit time.Duration) (Verdict, error) {
 	body := fmt.Sprintf("/* %s,limit=%d */ %s\x00", fields, limit.Milliseconds(), statement)
 	c.conn.SetDeadline(time.Now().Add(limit + 200*time.Millisecond))
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins for what surrounds a controller on sockets: engines, the feed and clients, written
-// from the platform's protocol, on loopback. They serve rigs and tests; nothing of the daemon imports them.
+// Package standin has stand-ins for the peers of a controller: engines, the feed and clients, which implement the platform's
+// protocols on loopback sockets. They serve measurements and tests; nothing of the daemon imports them.
 package standin
 
 import (
@@ -18,17 +18,16 @@
 	"time"
 )
 
-// Model is how an engine runs what it is sent: processor sharing over its cores. Work is ms on one core.
+// Model is the performance model of an engine: its commands share its cores equally. Work is in ms on one core.
 type Model struct {
 	Cores    float64
-	Slow     float64 // times the usual time
-	Sessions int     // past which it turns commands away
-	Warm     int     // table groups that it keeps warm, the last used
-	ColdCost float64 // times the work of a command whose table group is not warm
+	Slow     float64 // factor of the usual duration
+	Sessions int     // commands that run at most; it rejects more
+	Warm     int     // number of the last used table groups that it keeps warm
+	ColdCost float64 // factor of the work of a command whose table group is not warm
 }
 
-// Engine is a stand-in for an engine. Its commands' work stands in their statement as WORK(ms), their table group in
-// the schema's number.
+// Engine is a stand-in for an engine. A command's statement gives its work as WORK(ms), and its table group as the schema.
 type Engine struct {
 	ID       string
 	Addr     string
@@ -38,7 +37,7 @@
 	mu          sync.Mutex
 	model       Model
 	runs        []*run
-	advancedAt  time.Time // when the runs were last brought up to date
+	advancedAt  time.Time // up to when the runs have advanced
 	utilization float64   // smoothed share of its cores in use
 	warm        []string
 	timer       *time.Timer
@@ -47,15 +46,16 @@
 
 	Done, Cold, Rejected int // commands
 
-	outOfService bool // it was told free: nothing may come
-	Unexpected   int  // commands that came while it was
+	outOfService bool // it is under maintenance and must get no commands
+	Unexpected   int  // commands that came while it was out of service
 
 	traffic   Traffic
-	onAttempt func(id string) // told of each attempt; nil: nobody is
-	hung      bool            // nothing is answered
+	onAttempt func(id string) // called with each attempt; may be nil
+	hung      bool            // it answers nothing
 }
 
-// SetOutOfService says that nothing may come from now on, or again; it tells how many came meanwhile.
+// SetOutOfService sets whether the engine is under maintenance and must get no commands. It returns how many commands have
+// come so far while it was.
 func (e *Engine) SetOutOfService(outOfService bool) (unexpected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,9 +63,10 @@
 	return e.Unexpected
 }
 
+// run is an attempt that runs.
 type run struct {
 	id        string
-	remaining float64 // work
+	remaining float64 // work in ms on one core
 	slow      float64
 	reply     func(line string)
 }
@@ -83,7 +84,7 @@
 	return e, nil
 }
 
-// Close ends the engine with all its connections.
+// Close ends the engine and closes all its connections.
 func (e *Engine) Close() {
 	e.listener.Close()
 	e.mu.Lock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// SetSlow changes how slow it is from now on.
+// SetSlow changes Model.Slow from now on, also for the attempts that run.
 func (e *Engine) SetSlow(slow float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// idleTimeout is after which a connection on which nothing is said ends.
+// idleTimeout is how long a connection may be idle before the engine closes it.
 const idleTimeout = 30 * time.Second
 
 func (e *Engine) serve(c net.Conn) {
@@ -179,7 +180,7 @@
 	}
 }
 
-// between is what stands between two marks; empty if they are not there.
+// between returns the text between two markers, or an empty text if one is missing.
 func between(text, from, to string) string {
 	_, rest, ok := strings.Cut(text, from)
 	part, _, closed := strings.Cut(rest, to)
@@ -230,10 +231,10 @@
 	e.resetTimer()
 }
 
-// runRate is the work that each run gets done in a ms.
+// runRate returns the work that each run does in a ms, at Model.Slow 1; mu is held.
 func (e *Engine) runRate() float64 { return min(1, e.model.Cores/float64(max(1, len(e.runs)))) }
 
-// advance brings the runs up to now; mu is held.
+// advance reduces the remaining work of the runs, and updates the utilization, for the time since advancedAt; mu is held.
 func (e *Engine) advance() {
 	now := time.Now()
 	passed := float64(now.Sub(e.advancedAt)) / 1e6
@@ -247,7 +248,7 @@
 	e.utilization = e.utilization*keep + share*(1-keep)
 }
 
-// resetTimer has the next run that ends looked at when it does; mu is held.
+// resetTimer sets the timer to the end of the run that ends next; mu is held.
 func (e *Engine) resetTimer() {
 	next := math.Inf(1)
 	for _, r := range e.runs {
@@ -259,7 +260,7 @@
 	e.timer.Reset(time.Duration(max(0, next) * 1e6))
 }
 
-// finishRuns ends the runs whose work is done.
+// finishRuns ends and answers the runs whose work is done.
 func (e *Engine) finishRuns() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -279,7 +280,7 @@
 	e.resetTimer()
 }
 
-// loadReportLocked is the load report as fields; mu is held.
+// loadReportLocked returns the load report as it is in an answer; mu is held.
 func (e *Engine) loadReportLocked() string {
 	return fmt.Sprintf("report=inflight:%d;util:%.3f", len(e.runs), e.utilization)
 }
@@ -291,20 +292,20 @@
 	return e.loadReportLocked()
 }
 
-// Counts are the commands that were done, those of them that found their tables cold, and those turned away.
+// Counts returns the numbers of commands that were done, that found their tables cold, and that were rejected.
 func (e *Engine) Counts() (done, cold, rejected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Done, e.Cold, e.Rejected
 }
 
-// Feed is a stand-in for the feed: it tells changes of the list, and each half second that it is there.
+// Feed is a stand-in for the feed of discovery: it sends changes of the endpoint list, and a heartbeat after 500 ms without one.
 type Feed struct {
 	Addr     string
 	listener net.Listener
 
 	mu      sync.Mutex
-	number  uint64 // of the last event
+	number  uint64 // number of the last event
 	events  []listEvent
 	changed chan struct{} // closed at the next event
 }
@@ -314,7 +315,7 @@
 	payload []byte
 }
 
-// NewFeed starts a feed on a loopback address. Controllers know of event 1 by their configuration.
+// NewFeed starts a feed on a loopback address. Its events begin at number 2: controllers have event 1 in their settings.
 func NewFeed(ctx context.Context) (*Feed, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -334,17 +335,18 @@
 	return f, nil
 }
 
-// ListState is what the list tells of an engine.
+// ListState is the state of an engine in the endpoint list.
 type ListState byte
 
-// The states of an engine in the list.
+// The states of an engine in the endpoint list.
 const (
 	Ready ListState = iota
 	Draining
 	Gone
 )
 
-// Publish adds an event: an engine by its number, where it listens, its state and when it started (ms since 1970, 0: long ago).
+// Publish sends an event with an engine's number, its address, its state and the start of its process, in ms since 1970
+// (0: long ago).
 func (f *Feed) Publish(id uint32, addr string, state ListState, started uint64) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -353,7 +355,7 @@
 	n, err := strconv.ParseUint(port, 10, 16)
 	ip := net.ParseIP(host).To4()
 	if err != nil || ip == nil {
-		return fmt.Errorf("%q is no address", addr)
+		return fmt.Errorf("%q is not an IPv4 address with a port", addr)
 	}
 	b := binary.BigEndian.AppendUint32(nil, id)
 	b = binary.BigEndian.AppendUint16(append(b, ip...), uint16(n))
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// engineConn is an engine spoken to by hand.
+// engineConn is a connection to an engine, on which a test sends single lines of the protocol.
 type engineConn struct {
 	t *testing.T
 	net.Conn
@@ -33,7 +33,7 @@
 	fmt.Fprintf(s, "do %s profile=lookup,max=1000 %d\r\n%s\r\n", id, len(statement), statement)
 }
 
-// receive is the id and the word of the next answer.
+// receive returns the ID and the status of the next answer.
 func (s *engineConn) receive() string {
 	s.t.Helper()
 	line, err := s.r.ReadString('\n')
@@ -49,8 +49,8 @@
 	return words[0] + " " + words[1]
 }
 
-// An engine answers what it is sent, the shorter first, turns away what is past its sessions, forgets what is undone,
-// and keeps the last table groups warm.
+// An engine answers shorter commands first, rejects commands beyond its sessions, forgets cancelled ones, and keeps the last
+// used table group warm.
 func TestEngine(t *testing.T) {
 	e, err := NewEngine("e", Model{Cores: 2, Slow: 1, Sessions: 2, Warm: 1, ColdCost: 1}, 1)
 	if err != nil {
@@ -62,34 +62,34 @@
 	s.do("b", 5, 2)
 	s.do("c", 5, 2)
 	if got := s.receive(); got != "c AGAIN" {
-		t.Error(got)
+		t.Errorf("first answer %q, want the rejection of c", got)
 	}
 	if got := s.receive(); got != "b ACK" {
-		t.Error(got)
+		t.Errorf("second answer %q, want that of b, which is shorter than a", got)
 	}
 	fmt.Fprint(s, "undo a\r\nping x\r\n")
 	if got := s.receive(); got != "x READY" {
-		t.Error(got)
+		t.Errorf("answer to a ping %q, want %q", got, "x READY")
 	}
 	s.do("d", 1, 2)
 	if got := s.receive(); got != "d ACK" {
-		t.Error(got)
+		t.Errorf("answer %q, want that of d", got)
 	}
 	s.do("f", 1, 1)
 	if got := s.receive(); got != "f ACK" {
-		t.Error(got)
+		t.Errorf("answer %q, want that of f", got)
 	}
 	if done, cold, rejected := e.Counts(); done != 3 || cold != 3 || rejected != 1 {
-		t.Errorf("%d done, %d cold, %d turned away", done, cold, rejected)
+		t.Errorf("%d done, %d cold, %d rejected; want 3, 3 and 1", done, cold, rejected)
 	}
 	s.do("g", 60000, 1)
 	e.SetSlow(1e-9)
 	if got := s.receive(); got != "g ACK" {
-		t.Error(got)
+		t.Errorf("answer %q after the engine was made fast, want that of g", got)
 	}
 }
 
-// The feed takes a number and says again and again that there is nothing new.
+// The feed sends a heartbeat to a controller that has all events up to the number it names.
 func TestFeed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -106,6 +106,6 @@
 	io.WriteString(conn, "\x00\x00\x00\x00\x00\x00\x00\x07")
 	frame := make([]byte, 13)
 	if _, err := io.ReadFull(conn, frame); err != nil || string(frame) != "\x00\x00\x00\x09\x00\x00\x00\x00\x00\x00\x00\x07\x00" {
-		t.Errorf("% x, %v", frame, err)
+		t.Errorf("frame % x, error %v; want a heartbeat with number 7", frame, err)
 	}
 }
--- a/internal/lab/standin/traffic.go
+++ b/internal/lab/standin/traffic.go
@@ -2,33 +2,32 @@
 
 import "slices"
 
-// Traffic is what came to an engine and went from it, counted by kind. Bytes are those of lines and bodies, without
-// headers of lower layers.
+// Traffic counts what an engine received and sent, by kind. Bytes are those of lines and bodies, without the headers of lower
+// layers.
 type Traffic struct {
-	Queries      int // attempts that came
+	Queries      int // attempts
 	QueryBytes   int
-	Pings        int // questions whether a connection works, or how loaded the engine is
+	Pings        int // health checks of a connection, or requests for a load report
 	PingBytes    int
-	Cancels      int // attempts given up
+	Cancels      int // cancelled attempts ("undo" in the protocol)
 	CancelBytes  int
-	Answers      int // of attempts
+	Answers      int // to attempts
 	AnswerBytes  int
-	ReportBytes  int // of the load reports inside answers, part of AnswerBytes
+	ReportBytes  int // of the load reports in answers, part of AnswerBytes
 	Replies      int // to pings
 	ReplyBytes   int
-	Opened       int // connections
-	Open         int // connections now
-	MostOpen     int // connections at one time
-	Unrecognized int // lines of another kind
+	Opened       int // connections that were opened
+	Open         int // connections that are open now
+	MostOpen     int // connections that were open at once, at most
+	Unrecognized int // lines of an unknown kind
 }
 
-// Control is the number of frames and bytes that are neither a query's attempt nor its answer; undos are control, as
-// they belong to attempts that were given up.
+// Control returns the numbers of frames and bytes that are neither an attempt nor its answer. Cancellations count as control.
 func (t Traffic) Control() (frames, bytes int) {
 	return t.Pings + t.Cancels + t.Replies, t.PingBytes + t.CancelBytes + t.ReplyBytes
 }
 
-// Sub is the traffic since an earlier count; Open and MostOpen are as they are now.
+// Sub returns the traffic since an earlier count. Open and MostOpen keep their current values.
 func (t Traffic) Sub(earlier Traffic) Traffic {
 	t.Queries -= earlier.Queries
 	t.QueryBytes -= earlier.QueryBytes
@@ -46,7 +45,7 @@
 	return t
 }
 
-// Traffic is what was counted so far.
+// Traffic returns the counts so far.
 func (e *Engine) Traffic() Traffic {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,14 +54,14 @@
 	return traffic
 }
 
-// Watch has begun called with the id of each attempt that the engine reads whole, before it runs.
+// Watch has onAttempt called with the ID of each attempt that the engine has read completely, before it runs.
 func (e *Engine) Watch(onAttempt func(id string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onAttempt = onAttempt
 }
 
-// Running are the ids of the attempts that run now.
+// Running returns the IDs of the attempts that run now, sorted.
 func (e *Engine) Running() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,8 +74,8 @@
 	return ids
 }
 
-// Hang has the engine read on without answering anything, as a process that hangs does; its connections stay. It
-// returns the ids of the attempts that ran at that moment.
+// Hang has the engine read on without answering anything, and keep its connections, as a process that hangs does. It returns
+// the IDs of the attempts that run then.
 func (e *Engine) Hang() []string {
 	e.mu.Lock()
 	e.hung = true
@@ -84,7 +83,7 @@
 	return e.Running()
 }
 
-// countReceived counts a line of so many bytes, with its body.
+// countReceived counts a line by its first word; bytes is the length with its body.
 func (e *Engine) countReceived(word string, bytes int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +103,7 @@
 	}
 }
 
-// countAnswer counts an answer that is about to be written, and tells whether it may be.
+// countAnswer counts an answer before it is written. It reports false if the engine hangs, so that nothing may be written.
 func (e *Engine) countAnswer(ping bool, bytes, report int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
