--- a/internal/lab/fleet/configuration/checker.go
+++ b/internal/lab/fleet/configuration/checker.go
@@ -157,19 +157,19 @@
 
 // Concluded records the result of a proposal that the operator received.
 func (c *Checker) Concluded(now float64, reason string, o config.ProposalResult) {
-	told := c.proposals[reason]
-	if told == nil {
+	state := c.proposals[reason]
+	if state == nil {
 		c.fail(now, "a result of %q, which nobody proposed", reason)
 		return
 	}
-	if told.concluded && (told.result != o.Result || told.number != o.Version.Number) {
-		c.fail(now, "%q was reported as %v and %v", reason, told.result, o.Result)
+	if state.concluded && (state.result != o.Result || state.number != o.Version.Number) {
+		c.fail(now, "%q was reported as %v and %v", reason, state.result, o.Result)
 	}
-	told.concluded, told.result, told.number = true, o.Result, o.Version.Number
+	state.concluded, state.result, state.number = true, o.Result, o.Version.Number
 	switch o.Result {
 	case config.Committed:
 		c.Agreed++
-		c.concludedAgreed(now, told, o.Version)
+		c.concludedAgreed(now, state, o.Version)
 	case config.Conflict:
 		c.Lost++
 	case config.Rejected:
@@ -178,14 +178,14 @@
 		c.Unanswered++
 	}
 	if number, ok := c.numbers[reason]; ok {
-		c.contradict(now, told, number)
+		c.contradict(now, state, number)
 	}
 }
 
 // concludedAgreed checks the result of an agreed proposal: its version follows the expected one, so that of two proposals
 // with the same expected version at most one is agreed on.
-func (c *Checker) concludedAgreed(now float64, told *proposalState, v config.Version) {
-	p := told.proposal
+func (c *Checker) concludedAgreed(now float64, state *proposalState, v config.Version) {
+	p := state.proposal
 	if v.Number != p.Expect+1 {
 		c.fail(now, "%q expected version %d and was reported as version %d", p.Reason, p.Expect, v.Number)
 	}
@@ -196,13 +196,13 @@
 }
 
 // contradict checks a proposal that is in the history against the result that its operator received.
-func (c *Checker) contradict(now float64, told *proposalState, number uint64) {
+func (c *Checker) contradict(now float64, state *proposalState, number uint64) {
 	switch {
-	case !told.concluded || told.result == config.Unknown:
-	case told.result == config.Conflict || told.result == config.Rejected:
-		c.fail(now, "%q was reported as lost or refused and is version %d", told.proposal.Reason, number)
-	case told.number != number:
-		c.fail(now, "%q was reported as version %d and is version %d", told.proposal.Reason, told.number, number)
+	case !state.concluded || state.result == config.Unknown:
+	case state.result == config.Conflict || state.result == config.Rejected:
+		c.fail(now, "%q was reported as lost or refused and is version %d", state.proposal.Reason, number)
+	case state.number != number:
+		c.fail(now, "%q was reported as version %d and is version %d", state.proposal.Reason, state.number, number)
 	}
 }
 
@@ -230,18 +230,18 @@
 	if v.Number > c.newest.Number {
 		c.newest = v
 	}
-	told := c.proposals[reason]
-	if told == nil {
+	state := c.proposals[reason]
+	if state == nil {
 		c.fail(now, "%s: version %d is %q, which nobody proposed", source, v.Number, reason)
 		return
 	}
-	if v.Hash != told.proposal.Hash {
+	if v.Hash != state.proposal.Hash {
 		c.fail(now, "%s: version %d is not the document of %q", source, v.Number, reason)
 	}
-	if v.Number != told.proposal.Expect+1 {
-		c.fail(now, "%s: %q expected version %d and is version %d", source, reason, told.proposal.Expect, v.Number)
+	if v.Number != state.proposal.Expect+1 {
+		c.fail(now, "%s: %q expected version %d and is version %d", source, reason, state.proposal.Expect, v.Number)
 	}
-	c.contradict(now, told, v.Number)
+	c.contradict(now, state, v.Number)
 }
 
 // Newest returns the newest version that is known to be agreed on; number 0: none.
--- a/internal/lab/fleet/processes_watch.go
+++ b/internal/lab/fleet/processes_watch.go
@@ -173,7 +173,7 @@
 // missing returns what the fleet lacks to be recovered: all members alive at all controllers, all voters voting, and one
 // holder for each lease; empty: nothing.
 func (r *rig) missing() string {
-	owners := map[string]int{}
+	holders := map[string]int{}
 	for _, n := range r.nodes {
 		ctx, cancel := context.WithTimeout(r.ctx, 3*time.Second)
 		s, err := control.Call(ctx, filepath.Join(n.dir, "fleet"), control.Request{Action: "status"})
@@ -191,15 +191,15 @@
 			return fmt.Sprintf("%s considers %d of %d members alive", n.name, alive, r.Nodes)
 		}
 		for _, w := range s.Holds {
-			owners[w]++
+			holders[w]++
 		}
 		if n.number < r.Voters && s.Quorum.Role != "voting" {
 			return fmt.Sprintf("%s is %s in the quorum: %s", n.name, s.Quorum.Role, s.Quorum.Reason)
 		}
 	}
 	for i := range r.Leases {
-		if name := fmt.Sprintf("work-%d", i); owners[name] != 1 {
-			return fmt.Sprintf("%s has %d holders", name, owners[name])
+		if name := fmt.Sprintf("work-%d", i); holders[name] != 1 {
+			return fmt.Sprintf("%s has %d holders", name, holders[name])
 		}
 	}
 	return ""
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -30,7 +30,7 @@
 
 // TakeOver returns the ms for which nobody acted as the holder of a lease, from the loss of its holder on (+Inf: for longer
 // than 20 lease durations), and the number of the old holder's effects that reached an endpoint after it had stopped acting.
-func TakeOver(seed int64, leaseTime float64, l Loss) (vacancy float64, refused int) {
+func TakeOver(seed int64, leaseTime float64, l Loss) (vacancy float64, late int) {
 	return TakeOverAcross(seed, leaseTime, l, Regions{})
 }
 
@@ -50,7 +50,7 @@
 }
 
 // TakeOverAcross is TakeOver in a fleet whose controllers, and among them its voters, are spread over regions.
-func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (vacancy float64, refused int) {
+func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (vacancy float64, late int) {
 	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Membership: members.DefaultConfig(), Latency: regions.latency}
 	w := NewWorld(p)
 	w.Run(20000 + 2*leaseTime + rand.New(rand.NewSource(seed)).Float64()*leaseTime)
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -164,7 +164,7 @@
 // missing returns what the fleet lacks to be healthy: all members alive at all nodes, all voters voting, and one holder for
 // each lease; empty: nothing.
 func (w *World) missing() string {
-	owners := map[lease.Name]int{}
+	holders := map[lease.Name]int{}
 	for _, m := range w.nodes {
 		if m.core == nil {
 			return fmt.Sprintf("n%d does not run", m.number)
@@ -179,15 +179,15 @@
 			return fmt.Sprintf("n%d considers %d of %d members alive", m.number, alive, len(w.nodes))
 		}
 		for _, c := range m.core.Held(w.local(m)) {
-			owners[c.Name]++
+			holders[c.Name]++
 		}
 		if s, why := m.core.Quorum().Role(); m.number < w.plan.Voters && s != quorum.Voter {
 			return fmt.Sprintf("n%d is %v in the quorum: %s", m.number, s, why)
 		}
 	}
 	for _, name := range w.leaseNames() {
-		if owners[name] != 1 {
-			return fmt.Sprintf("%s has %d holders", name, owners[name])
+		if holders[name] != 1 {
+			return fmt.Sprintf("%s has %d holders", name, holders[name])
 		}
 	}
 	return ""
