--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -78,6 +78,7 @@
 	HolderGaps []time.Duration // between the last effect of a holder and the first of the next
 }
 
+// rig is a scene that is being played.
 type rig struct {
 	Scene
 	dir      string
--- a/internal/lab/fleet/processes_daemon.go
+++ b/internal/lab/fleet/processes_daemon.go
@@ -17,6 +17,7 @@
 	"time"
 )
 
+// machineProc is a controller with its daemon's process and folder.
 type machineProc struct {
 	number           int
 	name             string
