--- a/internal/lab/fleet/configuration_test.go
+++ b/internal/lab/fleet/configuration_test.go
@@ -9,8 +9,7 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Histories of a configuration, drawn from seeds: nothing breaks, and what is agreed on is in force soon after the last
-// fault.
+// In histories drawn from seeds no check fails, and the newest agreed version is in force soon after the last fault.
 func TestConfigurationHistories(t *testing.T) {
 	agreed, lost, statuses := 0, 0, 0
 	for seed := range int64(configurationHistories) {
@@ -27,11 +26,11 @@
 	}
 }
 
-// skipRaced leaves a test to the run without the race detector: a history has one goroutine.
-func skipRaced(t *testing.T) {
+// skipUnderRace skips a test under the race detector: a history runs in one goroutine, and takes ten times as long.
+func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raced {
-		t.Skip("the detector makes histories ten times as dear")
+		t.Skip("the race detector makes histories ten times as slow")
 	}
 }
 
@@ -52,9 +51,9 @@
 	}
 }
 
-// The checker notices what a broken program would do: each mutant is caught in one of some histories.
+// The checker finds the faults of a broken program: each mutant is caught in at least one of 20 histories.
 func TestConfigurationMutants(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for _, mutant := range []string{"skip store", "old kept", "old apply", "count twice", "tell agreed", "tell lost"} {
 		caught := ""
 		for seed := int64(1); seed <= 20 && caught == ""; seed++ {
@@ -63,13 +62,13 @@
 			caught = NewWorld(p).Play()
 		}
 		if caught == "" {
-			t.Errorf("%s: nothing was noticed in 20 histories", mutant)
+			t.Errorf("mutant %q was caught in none of 20 histories", mutant)
 		}
 		t.Logf("%s: %s", mutant, caught)
 	}
 }
 
-// scene is a plan whose faults are given, on a fleet that has version 1 in force before the first of them at 10 s.
+// configurationScene returns a plan with the given faults, for a fleet that has version 1 put at 6 s, before the faults.
 func configurationScene(seed int64, nodes int, faults ...Fault) Plan {
 	p := ConfigurationPlan(seed, nodes, 0)
 	p.Voters = 3
@@ -81,9 +80,9 @@
 	return Fault{At: at, Kind: Put, A: a, B: 1, N: -1, Amount: 100_000}
 }
 
-// Hard cases, each forced.
+// Cases that drawn histories reach rarely: each one agrees on at least as many versions, and refuses at least as many, as given.
 func TestConfigurationCases(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for name, c := range map[string]struct {
 		faults  []Fault
 		agreed  int // at least
@@ -93,7 +92,7 @@
 		"the leader is killed between agreement and spreading": {[]Fault{put(10000, 4),
 			{At: 10012, Kind: KillLeader, For: 1000}, {At: 10020, Kind: KillLeader, For: 1000}}, 2, 0},
 		"two puts at once": {[]Fault{{At: 10000, Kind: PutTwice, A: 3, B: 4, N: -1, Amount: 3000}}, 2, 0},
-		"killed while it writes the document": {[]Fault{{At: 9000, Kind: Slow, A: 4, Amount: 3000, For: 4000}, put(10000, 1),
+		"killed while it writes the document": {[]Fault{{At: 9000, Kind: SlowDisk, A: 4, Amount: 3000, For: 4000}, put(10000, 1),
 			{At: 11800, Kind: Kill, A: 4, For: 500}}, 2, 0},
 		"one of ten can't use it": {[]Fault{{At: 10000, Kind: Put, A: 2, B: 1, N: 9, Amount: 4000},
 			{At: 12000, Kind: Put, A: 2, B: 1, N: 8, Amount: 4000}}, 3, 0},
@@ -101,11 +100,11 @@
 			{At: 12000, Kind: Put, A: 5, B: 1, N: 1, Amount: 4000}, {At: 14000, Kind: Put, A: 5, B: 1, N: 2, Amount: 4000}}, 3, 1},
 		"rollback while the version before is still spreading": {[]Fault{{At: 9000, Kind: Delay, Amount: 800, For: 6000}, put(10000, 4),
 			{At: 13000, Kind: RollBack, A: 3}, {At: 13500, Kind: RollBack, A: 5}, {At: 14000, Kind: RollBack, A: 6}}, 2, 0},
-		"disks are full while versions come": {[]Fault{{At: 9000, Kind: Full, A: 5, For: 6000}, {At: 9000, Kind: Full, A: 6, For: 3000}, put(10000, 4),
+		"disks are full while versions come": {[]Fault{{At: 9000, Kind: DiskFull, A: 5, For: 6000}, {At: 9000, Kind: DiskFull, A: 6, For: 3000}, put(10000, 4),
 			put(13000, 5)}, 2, 0},
 		"an older copy is put back": {[]Fault{put(10000, 4), put(12000, 4), {At: 16000, Kind: OldCopy, A: 5, Amount: 5000, For: 200},
 			{At: 16000, Kind: OldCopy, A: 2, Amount: 5000, For: 200}}, 3, 0},
-		"a folder is emptied": {[]Fault{put(10000, 4), {At: 12000, Kind: Empty, A: 5, For: 200}, {At: 12000, Kind: Empty, A: 2, For: 200}}, 2, 0},
+		"a folder is emptied": {[]Fault{put(10000, 4), {At: 12000, Kind: EmptyFolder, A: 5, For: 200}, {At: 12000, Kind: EmptyFolder, A: 2, For: 200}}, 2, 0},
 	} {
 		w := NewWorld(configurationScene(5, 10, c.faults...))
 		if why := w.Play(); why != "" {
@@ -116,8 +115,8 @@
 	}
 }
 
-// A put on the side of a cut without a majority is not agreed on there, one on the other side is; both sides have it
-// within 19 s of the heal.
+// In a partition a put on the side without a majority is not agreed on, and one on the other side is; both sides have that
+// version in force within 19 s after the partition ends.
 func TestConfigurationCutOff(t *testing.T) {
 	p := configurationScene(2, 7, Fault{At: 10000, Kind: Split, N: 1, For: 25000})
 	w := NewWorld(p)
@@ -135,8 +134,8 @@
 	}
 }
 
-// One that starts with nothing and reaches only a controller that has the older version takes that, does not claim to
-// know the latest, and has the newest soon after it reaches others.
+// A controller that starts with an empty folder and reaches only one with an older version applies at most that version and
+// does not report it as confirmed; it has the newest version soon after it reaches the others.
 func TestConfigurationOldPeer(t *testing.T) {
 	w := NewWorld(configurationScene(3, 6, Fault{At: 40000, Kind: AskStatus}))
 	w.Run(9000)
@@ -146,30 +145,30 @@
 		}
 	}
 	w.put(w.nodes[1], 1, w.document(500, -1))
-	w.fault(Fault{At: 9000, Kind: Empty, A: 5, For: 300})
+	w.fault(Fault{At: 9000, Kind: EmptyFolder, A: 5, For: 300})
 	w.Run(39000)
 	newcomer := w.nodes[5]
 	var ready config.Readiness
 	newcomer.core.WithConfig(w.local(newcomer), func(r *config.Replica) { ready = r.Readiness() })
 	if newest := w.Configuration().Newest().Number; newest != 2 || ready.Number > 1 || ready.Confirmed {
-		t.Errorf("version %d is the newest; the newcomer tells %+v", newest, ready)
+		t.Errorf("version %d is the newest, want 2; the newcomer reports %+v, want version 1 at most and not confirmed", newest, ready)
 	}
 	if why := w.Play(); why != "" {
 		t.Error(why)
 	}
 }
 
-// A controller whose clock jumps by an hour has the next version in force like the others.
+// A controller whose clock jumps by an hour has the next version in force in time like the others.
 func TestConfigurationClockJump(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for _, i := range []int{0, 1, 2, 5} {
 		w := NewWorld(configurationScene(4, 6, Fault{At: 30000, Kind: AskStatus}))
 		w.Run(12000)
 		m := w.nodes[i]
 		m.offset += 3600e3
-		w.turn(m)
+		w.handleOutput(m)
 		w.put(w.nodes[4], 1, w.document(500, -1))
-		w.Run(13000 + settleWithin)
+		w.Run(13000 + settleBound)
 		if why := w.notInForce(); why != "" || w.Configuration().Newest().Number != 2 {
 			t.Errorf("n%d: %s", i, why)
 		}
@@ -179,10 +178,10 @@
 	}
 }
 
-// Two proposals with one expectation are in the log at once: the first one's entry takes the voters' disks so long that the
-// leader gives it up and proposes the second. One of them is agreed on, whatever is proposed again meanwhile.
+// Two proposals with the same expected version are in the log at once: the voters' disks take so long to store the first one
+// that the leader gives it up and proposes the second. At most one of them is agreed on, whatever is proposed again meanwhile.
 func TestConfigurationTwoInLog(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	for seed := range int64(10) {
 		w := NewWorld(configurationScene(seed+1, 5, Fault{At: 70000, Kind: AskStatus, A: 4}))
 		w.Run(10000)
@@ -212,9 +211,9 @@
 	}
 }
 
-// A third of a fleet that was cut off for minutes, in which versions were agreed on, comes back at once.
+// A third of a fleet rejoins at once after a partition of two minutes, during which the majority agreed on versions.
 func TestConfigurationRegion(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	p := configurationScene(6, 45, Fault{At: 10000, Kind: Split, N: 30, For: 120000})
 	for i := range 5 {
 		p.Script = append(p.Script, put(20000+float64(i)*9000, 3))
@@ -223,25 +222,25 @@
 	if why := w.Play(); why != "" {
 		t.Fatal(why)
 	}
-	t.Logf("%.0f ms after the heal all had version %d in force", w.config.times.CatchUp, w.Configuration().Newest().Number)
+	t.Logf("all had version %[2]d in force %[1].0f ms after the partition", w.config.times.CatchUp, w.Configuration().Newest().Number)
 }
 
-// A world without a configuration has none of it.
+// A plan without a configuration has no checker of it, and no version in force.
 func TestNoConfiguration(t *testing.T) {
-	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Pace: members.DefaultConfig()})
+	w := NewWorld(Plan{Seed: 1, Nodes: 3, Voters: 3, Leases: 1, Lease: 4000, Membership: members.DefaultConfig()})
 	w.Run(5000)
 	if w.Configuration() != nil || w.nodes[0].config.inForce.Number != 0 {
-		t.Error("there is a configuration")
+		t.Error("a world without a configuration has a checker of it, or a version in force")
 	}
 }
 
-// A proposal that was agreed on is not told to be refused by the next leader, which can't use the document and does not
-// know yet that it was agreed on: its disk and the others' are slow.
+// A proposal that was agreed on is not reported as refused by the next leader, which can't use the document and does not
+// know yet that it was agreed on, because the disks of all voters are slow.
 func TestConfigurationRefusedAfterAgreement(t *testing.T) {
-	skipRaced(t)
+	skipUnderRace(t)
 	agreed := 0
-	for seed := range int64(24) { // of which 12 and 24 failed
-		slow := func(a int) Fault { return Fault{At: 9000, Kind: Slow, A: a, Amount: 300, For: 20000} }
+	for seed := range int64(24) { // 12 and 24 of the seeds below failed before the fix
+		slow := func(a int) Fault { return Fault{At: 9000, Kind: SlowDisk, A: a, Amount: 300, For: 20000} }
 		w := NewWorld(configurationScene(seed+1, 6, slow(0), slow(1), slow(2)))
 		w.Run(10000)
 		leader := w.leader()
@@ -256,12 +255,12 @@
 		agreed += w.Configuration().Agreed
 	}
 	if agreed == 0 {
-		t.Error("nothing was agreed on")
+		t.Error("no proposal was agreed on in any history, want at least one")
 	}
 }
 
-// A folder may be told that no version is to be in force at a start: of a controller that stored one, could not take it
-// yet, and could not use the next two. Where a version is in force, or a document is missing, that is a break.
+// A controller may clear its folder's current version if none is in force: it had stored one, could not apply it yet, and
+// could not use the next two. Clearing while a version is in force, or naming one without its document, is a violation.
 func TestCurrentCleared(t *testing.T) {
 	one := []byte("one")
 	version := config.Version{Number: 1, Hash: config.HashOf(one), Size: len(one)}
@@ -280,7 +279,7 @@
 		m.config.inForce = c.inForce
 		w.writeConfig(m, &c.store)
 		if broken := w.config.checker.Broken != ""; broken != c.broken {
-			t.Errorf("%s: %q", name, w.config.checker.Broken)
+			t.Errorf("%s: got violation %q, want the opposite", name, w.config.checker.Broken)
 		}
 	}
 }
--- a/internal/lab/fleet/model.go
+++ b/internal/lab/fleet/model.go
@@ -12,35 +12,35 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Small is the small case that is looked at whole: every order of a bounded number of crashes, pauses, lost messages and
-// changes of the quorum's leader, on the core of leases. The quorum stands as one log; that its members agree is
-// the consensus library's part and is played in virtual time. Time goes in whole units; a controller that is not let act
-// while time passes is one that pauses.
-type Small struct {
-	Nodes, Leases            int
-	Lease                    float64 // in units
-	Horizon                  int     // units
-	Crashes, Losses, Leaders int
-	Flight                   int       // messages on their way at most
-	Rates                    []float64 // of the nodes' clocks; nil: all alike
-	Most                     int       // states, at which the search ends without a verdict
-	Ungated                  bool      // a mutant: receivers let all pass
+// ModelSearch is an exhaustive search of a small model of leases: every order of a bounded number of crashes, lost messages
+// and changes of the quorum's leader, and of any pauses. The quorum is modeled as one log; the consensus of its members is
+// tested in virtual time instead. Time advances in whole units, and a controller that takes no step while time passes is
+// paused.
+type ModelSearch struct {
+	Nodes, Leases                  int
+	Lease                          float64 // in units
+	Horizon                        int     // units
+	Crashes, Losses, LeaderChanges int
+	MaxInFlight                    int       // messages in flight at most
+	Rates                          []float64 // of the nodes' clocks; nil: all run at the same rate
+	MaxStates                      int       // number of states after which the search is incomplete
+	Unfenced                       bool      // a mutant: receivers ignore fencing tokens
 }
 
-// Tally is what the search found.
-type Tally struct {
+// SearchResult is the result of a search.
+type SearchResult struct {
 	States, Moves int
-	Whole         bool     // all states within the bounds were seen
-	Broken        string   // an invariant that does not hold; empty: all do
-	Path          []string // the moves to it
-	Overlaps      int      // states in which two may act at once, which clocks or pauses past the margin allow
+	Complete      bool     // every state within the bounds was reached
+	Broken        string   // an invariant that does not hold; empty: all hold
+	Path          []string // the moves that lead to the violation
+	Overlaps      int      // states in which two nodes may act at once; only clocks that differ by more than the margin allow it
 }
 
-// brokenMark stands among the accepted effects once a receiver took two holders of one token, or a lower one after a
-// higher.
+// brokenMark is added to the accepted effects once a receiver accepts two holders of one token, or a lower token after a
+// higher one.
 var brokenMark = lease.Grant{Name: "broken"}
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	to    int // a node; -1: the quorum
 	renew *lease.Renew
@@ -50,31 +50,31 @@
 	run   uint64
 }
 
-// effect is one that a holder has begun: it has looked at its clock, and has not reached the receiver.
+// effect is an effect that a holder has begun after it checked its clock, and that has not reached the receiver yet.
 type effect struct {
 	node  int
 	grant lease.Grant
 }
 
-// modelState is a state of the whole: of the quorum, the nodes, the messages between them and the receivers.
+// modelState is a state of the model: of the quorum, the nodes, the messages between them and the receivers.
 type modelState struct {
-	now                      int
-	state                    *lease.State
-	manager                  *lease.Manager
-	clients                  []*lease.Client
-	runs                     []uint64
-	messages                 []message
-	effects                  []effect
-	fenced                   map[lease.Name]lease.Token
-	accepted                 map[lease.Grant]int
-	crashes, losses, leaders int
-	path                     *step
+	now                            int
+	state                          *lease.State
+	manager                        *lease.Manager
+	clients                        []*lease.Client
+	runs                           []uint64
+	messages                       []message
+	effects                        []effect
+	fenced                         map[lease.Name]lease.Token
+	accepted                       map[lease.Grant]int
+	crashes, losses, leaderChanges int
+	path                           *step
 }
 
-// step is how a state came about.
+// step is the move that led to a state, with the steps before it.
 type step struct {
-	text string
-	last *step
+	text     string
+	previous *step
 }
 
 func (s *modelState) copy() *modelState {
@@ -96,8 +96,8 @@
 	return &c
 }
 
-// key tells states apart, but for what no later move can tell: numbers of renewals and tokens count for nothing but for
-// which is which.
+// key returns a hash that is equal for states which no later move can distinguish: the sequence numbers of renewals count
+// only by the times at which these were sent.
 func (s *modelState) key(names []lease.Name) uint64 {
 	b := make([]byte, 0, 512)
 	put := func(xs ...uint64) {
@@ -110,7 +110,7 @@
 			b = append(append(b, c.Name...), byte(c.Token))
 		}
 	}
-	put(uint64(s.now), uint64(s.crashes), uint64(s.losses), uint64(s.leaders))
+	put(uint64(s.now), uint64(s.crashes), uint64(s.losses), uint64(s.leaderChanges))
 	put(s.runs...)
 	for _, w := range names {
 		g := s.state.Leases[w]
@@ -128,7 +128,7 @@
 	for _, h := range s.clients {
 		b = h.AppendKey(b)
 	}
-	inFlight := make([]string, 0, len(s.messages)) // what is on its way has no order
+	inFlight := make([]string, 0, len(s.messages)) // messages in flight have no order
 	for _, f := range s.messages {
 		keep := b
 		b = nil
@@ -159,7 +159,7 @@
 	return xxhash.Sum64(b)
 }
 
-func (p Small) local(s *modelState, i int) float64 {
+func (p ModelSearch) local(s *modelState, i int) float64 {
 	rate := 1.0
 	if p.Rates != nil {
 		rate = p.Rates[i]
@@ -167,14 +167,14 @@
 	return float64(s.now) * rate
 }
 
-func (p Small) holder(s *modelState, i int) lease.Holder {
+func (p ModelSearch) holder(s *modelState, i int) lease.Holder {
 	return lease.Holder{ID: members.ID(fmt.Sprintf("n%d", i)), Run: s.runs[i]}
 }
 
-// Search looks at all states.
-func (p Small) Search() (t Tally) {
-	terms := lease.Timing{Duration: p.Lease}
-	first := &modelState{state: &lease.State{}, manager: lease.NewManager(terms, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
+// Search searches all states breadth-first, up to MaxStates or the first violation.
+func (p ModelSearch) Search() (result SearchResult) {
+	timing := lease.Timing{Duration: p.Lease}
+	first := &modelState{state: &lease.State{}, manager: lease.NewManager(timing, -2*p.Lease), fenced: map[lease.Name]lease.Token{},
 		accepted: map[lease.Grant]int{}}
 	var names []lease.Name
 	for i := range p.Leases {
@@ -183,41 +183,41 @@
 	first.state.Apply(lease.Command{Declare: &lease.Declare{Names: names}})
 	for i := range p.Nodes {
 		first.runs = append(first.runs, uint64(i+1))
-		first.clients = append(first.clients, lease.NewClient(p.holder(first, i), terms))
+		first.clients = append(first.clients, lease.NewClient(p.holder(first, i), timing))
 	}
 	seen := map[uint64]bool{first.key(names): true}
 	queue := []*modelState{first}
-	t.Whole = true
+	result.Complete = true
 	for len(queue) > 0 {
 		s := queue[0]
 		queue[0], queue = nil, queue[1:]
-		t.States++
-		if why := p.check(s, &t); why != "" {
-			t.Broken = why
-			for at := s.path; at != nil; at = at.last {
-				t.Path = append([]string{at.text}, t.Path...)
+		result.States++
+		if why := p.check(s, &result); why != "" {
+			result.Broken = why
+			for at := s.path; at != nil; at = at.previous {
+				result.Path = append([]string{at.text}, result.Path...)
 			}
-			t.Whole = false
-			return t
+			result.Complete = false
+			return result
 		}
-		if t.States >= p.Most {
-			t.Whole = false
-			return t
+		if result.States >= p.MaxStates {
+			result.Complete = false
+			return result
 		}
-		for _, next := range p.moves(s, terms, names) {
-			t.Moves++
+		for _, next := range p.moves(s, timing, names) {
+			result.Moves++
 			if key := next.key(names); !seen[key] {
 				seen[key] = true
 				queue = append(queue, next)
 			}
 		}
 	}
-	return t
+	return result
 }
 
-// check tells what does not hold: with clocks that go alike nobody may act beside another, whatever pauses; and of one
-// fencing token there is one holder at the receivers, ever.
-func (p Small) check(s *modelState, t *Tally) string {
+// check returns an invariant that a state breaks; empty: none. With clocks of one rate no two nodes may act at once, whatever
+// pauses there are; and receivers never accept two holders of one fencing token, or a lower token after a higher one.
+func (p ModelSearch) check(s *modelState, result *SearchResult) string {
 	for w := range s.state.Leases {
 		may := 0
 		for i, h := range s.clients {
@@ -226,13 +226,13 @@
 			}
 		}
 		if may > 1 {
-			if t.Overlaps++; p.Rates == nil {
-				return fmt.Sprintf("at %d: %d may act for %s", s.now, may, w)
+			if result.Overlaps++; p.Rates == nil {
+				return fmt.Sprintf("at %d: %d nodes may act for %s", s.now, may, w)
 			}
 		}
 	}
 	if e := s.accepted[brokenMark]; e != 0 {
-		return fmt.Sprintf("at %d: a receiver took two holders of one token, or a lower one after a higher", s.now)
+		return fmt.Sprintf("at %d: a receiver accepted two holders of one token, or a lower token after a higher one", s.now)
 	}
 	return ""
 }
--- a/internal/lab/fleet/model_moves.go
+++ b/internal/lab/fleet/model_moves.go
@@ -7,9 +7,9 @@
 	"mintkeel/internal/core/fleet/lease"
 )
 
-// moves are all states that can follow a state.
-func (p Small) moves(s *modelState, terms lease.Timing, names []lease.Name) []*modelState {
-	m := &moveList{search: p, from: s, terms: terms}
+// moves returns all states that can follow a state.
+func (p ModelSearch) moves(s *modelState, timing lease.Timing, names []lease.Name) []*modelState {
+	m := &moveList{search: p, from: s, timing: timing}
 	m.passTime()
 	m.assign()
 	m.changeLeader()
@@ -29,15 +29,15 @@
 	return m.next
 }
 
-// moveList gathers the states that can follow one.
+// moveList collects the states that can follow a state.
 type moveList struct {
-	search Small
+	search ModelSearch
 	from   *modelState
-	terms  lease.Timing
+	timing lease.Timing
 	next   []*modelState
 }
 
-// add adds the state to which a change leads.
+// add adds the state that a change leads to.
 func (m *moveList) add(text string, change func(next *modelState)) {
 	next := m.from.copy()
 	change(next)
@@ -51,7 +51,7 @@
 	}
 }
 
-// assign has the quorum's leader assign the leases that are free.
+// assign has the quorum's leader assign the leases without a holder.
 func (m *moveList) assign() {
 	p, s := m.search, m.from
 	var candidates []lease.Candidate
@@ -70,10 +70,10 @@
 	})
 }
 
-// offer sends a lease's holder that it holds it.
-func (p Small) offer(s *modelState, assigned *lease.Lease) {
+// offer notifies the holder of a lease that it was assigned, if there is room for a message.
+func (p ModelSearch) offer(s *modelState, assigned *lease.Lease) {
 	for i := range p.Nodes {
-		if p.holder(s, i) == assigned.Holder && len(s.messages) < p.Flight {
+		if p.holder(s, i) == assigned.Holder && len(s.messages) < p.MaxInFlight {
 			grant := &lease.Grant{Name: assigned.Name, Token: assigned.Token}
 			s.messages = append(s.messages, message{to: i, offer: grant, run: assigned.Holder.Run})
 		}
@@ -81,17 +81,17 @@
 }
 
 func (m *moveList) changeLeader() {
-	if m.from.leaders < m.search.Leaders {
+	if m.from.leaderChanges < m.search.LeaderChanges {
 		m.add("another leads", func(next *modelState) {
-			next.leaders++
-			next.manager = lease.NewManager(m.terms, float64(next.now))
+			next.leaderChanges++
+			next.manager = lease.NewManager(m.timing, float64(next.now))
 		})
 	}
 }
 
 func (m *moveList) renew(i int) {
 	p, s := m.search, m.from
-	if s.clients[i].Copy().Renewal(p.local(s, i)) == nil || len(s.messages) >= p.Flight {
+	if s.clients[i].Copy().Renewal(p.local(s, i)) == nil || len(s.messages) >= p.MaxInFlight {
 		return
 	}
 	m.add(fmt.Sprintf("n%d renews", i), func(next *modelState) {
@@ -105,12 +105,12 @@
 		m.add(fmt.Sprintf("n%d restarts", i), func(next *modelState) {
 			next.crashes++
 			next.runs[i] += 100
-			next.clients[i] = lease.NewClient(m.search.holder(next, i), m.terms)
+			next.clients[i] = lease.NewClient(m.search.holder(next, i), m.timing)
 		})
 	}
 }
 
-// beginEffect has a node that holds a lease look at its clock and begin an effect.
+// beginEffect has a node check by its clock that it holds a lease, and begin an effect.
 func (m *moveList) beginEffect(i int, name lease.Name) {
 	s := m.from
 	token, _, ok := s.clients[i].CanAct(m.search.local(s, i), name)
@@ -136,13 +136,13 @@
 	}
 }
 
-// deliverEffect has an effect reach its receiver, which checks the fencing token.
+// deliverEffect delivers an effect to its receiver, which checks the fencing token.
 func (m *moveList) deliverEffect(i int) {
 	arrived := m.from.effects[i]
 	m.add(fmt.Sprintf("the effect of n%d arrives", arrived.node), func(next *modelState) {
 		next.effects = slices.Delete(slices.Clone(next.effects), i, i+1)
 		if arrived.grant.Token < next.fenced[arrived.grant.Name] {
-			if m.search.Ungated {
+			if m.search.Unfenced {
 				next.accepted[brokenMark] = 1
 			}
 			return
@@ -155,8 +155,8 @@
 	})
 }
 
-// arrive has a message reach the quorum or a node.
-func (p Small) arrive(s *modelState, m message) {
+// arrive delivers a message to the quorum or a node.
+func (p ModelSearch) arrive(s *modelState, m message) {
 	switch {
 	case m.renew != nil:
 		p.applyRenewal(s, m)
@@ -167,8 +167,8 @@
 	}
 }
 
-// applyRenewal has a renewal agreed on, and its holder answered.
-func (p Small) applyRenewal(s *modelState, m message) {
+// applyRenewal applies a renewal to the log and sends the response to its holder.
+func (p ModelSearch) applyRenewal(s *modelState, m message) {
 	command := lease.Command{Renew: m.renew}
 	changed := s.state.Apply(command)
 	s.manager.Applied(float64(s.now), command, changed)
@@ -183,7 +183,7 @@
 			reply.held = append(reply.held, grant)
 		}
 	}
-	if reply.to >= 0 && len(s.messages) < p.Flight {
+	if reply.to >= 0 && len(s.messages) < p.MaxInFlight {
 		s.messages = append(s.messages, reply)
 	}
 }
--- a/internal/lab/fleet/processes_daemon.go
+++ b/internal/lab/fleet/processes_daemon.go
@@ -17,32 +17,33 @@
 	"time"
 )
 
+// machineProc is a controller with its daemon's process and folder.
 type machineProc struct {
-	number  int
-	name    string
-	serve   string // where clients go
-	fleet   string // where other controllers go
-	dir     string
-	cmd     *exec.Cmd
-	gone    chan struct{}
-	down    time.Time // it did not run, or stood still, until then
-	stopped bool
-	copies  []string
-	runs    int // starts
-	folder  int // its generation: one more when it is emptied or an older copy is put back
-	mu      sync.Mutex
+	number           int
+	name             string
+	serveAddr        string // for clients
+	fleetAddr        string // for other controllers
+	dir              string
+	cmd              *exec.Cmd
+	exited           chan struct{}
+	downUntil        time.Time // until then it is down, paused or starting
+	stopped          bool
+	copies           []string
+	runs             int // number of starts
+	folderGeneration int // incremented when the folder is emptied or an older copy is restored
+	mu               sync.Mutex
 }
 
 var histories atomic.Int64
 
-// ownAddr is a loopback address that no other history of this machine has: a free port of the usual one may be taken by
-// any connection that somebody opens before the daemon listens.
+// ownAddr returns a loopback address that no other history on this machine uses. With a shared address, an outgoing
+// connection of another process could take a free port before the daemon listens on it.
 func ownAddr() string {
 	n, pid := histories.Add(1), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%224, pid/224%250, 1+n%250)
 }
 
-// usualKind is the kind of engine that controllers' settings name.
+// usualKind is the machine kind that controllers' settings name.
 const usualKind = "std"
 
 func (r *rig) configure(n *machineProc) error {
@@ -51,7 +52,7 @@
 	for _, e := range r.engines {
 		hosts = append(hosts, object{"host": e.ID, "dial": e.Addr, "site": "east", "class": usualKind, "health": "active"})
 	}
-	config, err := json.Marshal(object{"name": n.name, "listen": n.serve, "seed": fmt.Sprintf("%016x", r.Seed),
+	config, err := json.Marshal(object{"name": n.name, "listen": n.serveAddr, "seed": fmt.Sprintf("%016x", r.Seed),
 		"limits":   object{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"bulletin": r.feed.Addr,
 		"known":    object{"no": 1, "items": []object{{"no": 1, "roster": object{"seq": 1, "whole": true, "hosts": hosts}}}},
@@ -66,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if r.ofOtherKind(n) {
+	if r.hasOtherKind(n) {
 		config = bytes.ReplaceAll(config, []byte(strconv.Quote(usualKind)), []byte(strconv.Quote(otherKind)))
 	}
 	if err := os.WriteFile(filepath.Join(n.dir, "config.json"), config, 0o600); err != nil {
@@ -74,7 +75,7 @@
 	}
 	var council []string
 	for _, m := range r.nodes[:r.Voters] {
-		council = append(council, fmt.Sprintf("%s = %q", m.name, m.fleet))
+		council = append(council, fmt.Sprintf("%s = %q", m.name, m.fleetAddr))
 	}
 	var names []string
 	for i := range r.Leases {
@@ -84,8 +85,8 @@
 		names = append(names, `"digest"`)
 	}
 	hcl := fmt.Sprintf("log {\n  burst = 1000\n}\nfleet {\n  name = \"rig\"\n  listen = %q\n  key_file = %q\n  folder = %q\n  council = { %s }\n  works = [%s]\n  lease = %q\n}\n",
-		n.fleet, filepath.Join(r.dir, "key"), filepath.Join(n.dir, "fleet"), strings.Join(council, ", "), strings.Join(names, ", "), r.Lease)
-	if r.AtOnce > 0 {
+		n.fleetAddr, filepath.Join(r.dir, "key"), filepath.Join(n.dir, "fleet"), strings.Join(council, ", "), strings.Join(names, ", "), r.Lease)
+	if r.MaxUnavailable > 0 {
 		hook := filepath.Join(r.dir, "hook")
 		hcl += fmt.Sprintf("maintenance {\n  drain = %q\n  work = %q\n  back = %q\n  within = \"20s\"\n  prepare = \"1s\"\n}\n", hook, hook, hook)
 	}
@@ -95,11 +96,11 @@
 	if err := os.WriteFile(filepath.Join(n.dir, "operator.hcl"), []byte(hcl), 0o600); err != nil {
 		return err
 	}
-	return r.lever(n, 1, 0)
+	return r.setClockAndDisk(n, 1, 0)
 }
 
-// lever sets a node's clock and disk.
-func (r *rig) lever(n *machineProc, rate, diskMS float64) error {
+// setClockAndDisk sets the rate of a node's clock and the delay of its disk in ms, in a file that the daemon reads.
+func (r *rig) setClockAndDisk(n *machineProc, rate, diskMS float64) error {
 	b := binary.BigEndian.AppendUint64(nil, math.Float64bits(rate))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(diskMS))
 	f, err := os.OpenFile(filepath.Join(n.dir, "clock"), os.O_CREATE|os.O_WRONLY, 0o600)
@@ -128,15 +129,15 @@
 	cmd.Env = append(os.Environ(), "MINTKEEL_LAB_SWITCH="+r.sw.At(n.number), "MINTKEEL_LAB_CLOCK="+filepath.Join(n.dir, "clock"),
 		"MINTKEEL_LAB_ENDPOINT="+r.endpoint.Addr().String())
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the rig itself is killed
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the daemon if the rig is killed
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
-	n.cmd, n.gone, n.stopped = cmd, gone, false
+	exited := make(chan struct{})
+	n.cmd, n.exited, n.stopped = cmd, exited, false
 	go func() {
 		cmd.Wait()
-		close(gone)
+		close(exited)
 		n.mu.Lock()
 		crashed := n.cmd == cmd
 		if crashed {
@@ -145,7 +146,7 @@
 		n.mu.Unlock()
 		if crashed && r.ctx.Err() == nil {
 			tail, _ := os.ReadFile(filepath.Join(n.dir, "log"))
-			r.broke("%s ended by itself: %s", n.name, tail[max(0, len(tail)-1500):])
+			r.fail("%s exited unexpectedly: %s", n.name, tail[max(0, len(tail)-1500):])
 		}
 	}()
 	return nil
@@ -153,33 +154,33 @@
 
 func (r *rig) kill(n *machineProc) {
 	n.mu.Lock()
-	cmd, gone := n.cmd, n.gone
+	cmd, exited := n.cmd, n.exited
 	n.cmd = nil
 	n.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
-		<-gone
+		<-exited
 	}
 }
 
-// out says that a node is not to be counted on for a while.
-func (n *machineProc) out(until time.Time) {
+// markOut excuses a node from answering commands until a time.
+func (n *machineProc) markOut(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until.After(n.down) {
-		n.down = until
+	if until.After(n.downUntil) {
+		n.downUntil = until
 	}
 }
 
 func (n *machineProc) isOut(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return at.Before(n.down) || n.cmd == nil || n.stopped
+	return at.Before(n.downUntil) || n.cmd == nil || n.stopped
 }
 
-// changeFolder notes that the folder is another one from now on.
+// changeFolder records that the folder was emptied or replaced by an older copy.
 func (n *machineProc) changeFolder() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.folder++
+	n.folderGeneration++
 }
--- a/internal/lab/fleet/takeover.go
+++ b/internal/lab/fleet/takeover.go
@@ -8,39 +8,39 @@
 	"mintkeel/internal/core/fleet/members"
 )
 
-// Loss is how an owner is lost.
+// Loss is the way in which a lease loses its holder.
 type Loss int
 
 // The losses that are measured.
 const (
-	Killed    Loss = iota
-	Paused         // for six leases
-	CutOff         // from all others, for six leases
-	CutEnds        // it is heard, and hears nobody
-	Ends           // a planned end
-	HandsOver      // by an operator's word
+	Killed     Loss = iota
+	Paused          // for six lease durations
+	CutOff          // partitioned from all others for six lease durations
+	InboundCut      // messages to the holder are blocked for six lease durations
+	Stopped         // shut down as planned
+	HandedOver      // on an operator's request
 )
 
-var lossNames = [...]string{"killed", "paused", "cut off", "deaf", "a planned end", "handed over"}
+var lossNames = [...]string{"killed", "paused", "cut off", "cut inbound", "planned shutdown", "handed over"}
 
 func (l Loss) String() string { return lossNames[l] }
 
-// Losses are all.
-func Losses() []Loss { return []Loss{Killed, Paused, CutOff, CutEnds, Ends, HandsOver} }
+// Losses returns all losses.
+func Losses() []Loss { return []Loss{Killed, Paused, CutOff, InboundCut, Stopped, HandedOver} }
 
-// TakeOver is the ms for which a work had nobody that acted for it, from when its owner was lost; and how many effects of
-// the old owner an endpoint refused.
-func TakeOver(seed int64, leaseTime float64, l Loss) (free float64, refused int) {
+// TakeOver returns the ms for which nobody acted as the holder of a lease, from the loss of its holder on (+Inf: for longer
+// than 20 lease durations), and the number of the old holder's effects that reached an endpoint after it had stopped acting.
+func TakeOver(seed int64, leaseTime float64, l Loss) (vacancy float64, late int) {
 	return TakeOverAcross(seed, leaseTime, l, Regions{})
 }
 
-// Regions are places far from each other, over which controllers are spread in turn. The zero value is one place.
+// Regions are distant regions over which controllers are spread in turn. The zero value is a single region.
 type Regions struct {
 	Count   int
-	Between float64 // ms that a message takes from one to another
+	Between float64 // latency in ms of a message between two regions
 }
 
-// latency is the ms that a message takes at least between two controllers.
+// latency returns the minimum latency in ms of a message between two controllers.
 func (r Regions) latency(a, b int) float64 {
 	const near = 0.3
 	if r.Count <= 1 || a%r.Count == b%r.Count {
@@ -50,63 +50,63 @@
 }
 
 // TakeOverAcross is TakeOver in a fleet whose controllers, and among them its voters, are spread over regions.
-func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (free float64, refused int) {
-	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Pace: members.DefaultConfig(), Latency: regions.latency}
+func TakeOverAcross(seed int64, leaseTime float64, l Loss, regions Regions) (vacancy float64, late int) {
+	p := Plan{Seed: seed, Nodes: 7, Voters: 3, Leases: 1, Lease: leaseTime, Membership: members.DefaultConfig(), Latency: regions.latency}
 	w := NewWorld(p)
 	w.Run(20000 + 2*leaseTime + rand.New(rand.NewSource(seed)).Float64()*leaseTime)
-	var owner *machine
+	var holder *machine
 	for _, m := range w.nodes {
 		if len(m.core.Held(w.local(m))) > 0 {
-			owner = m
+			holder = m
 		}
 	}
-	if owner == nil {
+	if holder == nil {
 		return math.Inf(1), 0
 	}
 	lost, until := w.now, w.now+6*leaseTime
 	switch l {
 	case Killed:
-		w.stop(owner)
+		w.stop(holder)
 	case Paused:
-		owner.paused = until
-	case CutOff, CutEnds:
+		holder.pausedUntil = until
+	case CutOff, InboundCut:
 		for i := range w.nodes {
-			if w.blocked[[2]int{i, owner.number}] = until; l == CutOff {
-				w.blocked[[2]int{owner.number, i}] = until
+			if w.blocked[[2]int{i, holder.number}] = until; l == CutOff {
+				w.blocked[[2]int{holder.number, i}] = until
 			}
 		}
-	case Ends:
-		w.deliver(owner, func() { owner.core.Stop(w.local(owner)) })
-	case HandsOver:
-		w.deliver(owner, func() { owner.core.HandOver(w.local(owner), "work-0", w.nodes[(owner.number+1)%len(w.nodes)].id) })
+	case Stopped:
+		w.deliver(holder, func() { holder.core.Stop(w.local(holder)) })
+	case HandedOver:
+		w.deliver(holder, func() { holder.core.HandOver(w.local(holder), "work-0", w.nodes[(holder.number+1)%len(w.nodes)].id) })
 	}
 	for w.now < lost+20*leaseTime {
 		w.Run(w.now + 5)
 		for _, m := range w.nodes {
-			if m != owner && m.core != nil && w.now >= m.paused && len(m.core.Held(w.local(m))) > 0 {
-				free = w.now - lost
-				if l == CutOff || l == CutEnds { // it acted on for as long as it might
-					free -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
+			if m != holder && m.core != nil && w.now >= m.pausedUntil && len(m.core.Held(w.local(m))) > 0 {
+				vacancy = w.now - lost
+				if l == CutOff || l == InboundCut { // a holder that is cut off acts for a while, which is subtracted
+					vacancy -= lease.Timing{Duration: leaseTime}.HoldTime() / 2
 				}
 				w.Run(until + leaseTime)
-				return max(0, free), w.Checker.Late
+				return max(0, vacancy), w.Checker.LateEffects
 			}
 		}
 	}
-	return math.Inf(1), w.Checker.Late
+	return math.Inf(1), w.Checker.LateEffects
 }
 
-// LockFile is the plain baseline: a file with an owner and a time until which it owns, by the wall clocks of the machines,
-// looked at and written in two steps. It plays one history with the troubles that a quorum's lease is played with, and
-// tells how often two acted at once, and how many effects a receiver took from one after a later owner's.
+// LockFile plays one history of a plain baseline, with faults like those that leases are tested with: a file with an owner
+// and the time until which it owns, by the machines' wall clocks, which machines read and write in two steps. It returns how
+// often two machines acted at once, and how many effects a receiver accepted after one of a later owner.
 func LockFile(seed int64, leaseTime float64) (both, late int) {
 	const end, interval = 60000.0, 50.0 // ms
 	f := newLockFile(seed, leaseTime)
 	for now := 0.0; now < end; now += interval {
-		f.trouble(now)
+		f.injectFault(now)
 		acting := 0
 		for i := range f.machines {
-			if f.turn(i, now) {
+			if f.step(i, now) {
 				acting++
 			}
 		}
@@ -117,17 +117,17 @@
 	return both, f.late
 }
 
-// lockFile is the file, and the machines that want to own it.
+// lockFile is the file, and the machines that try to own it.
 type lockFile struct {
 	rng      *rand.Rand
 	lease    float64 // ms
 	machines []lockMachine
 	owner    int
 	until    float64
-	last     int         // the machine whose effect the receiver took last
-	terms    map[int]int // the number of each machine's last ownership
-	newest   int         // of ownerships
-	late     int         // effects that came after one of a later ownership
+	last     int         // the machine whose effect the receiver accepted last
+	terms    map[int]int // by machine: the number of its last ownership
+	newest   int         // the number of the newest ownership
+	late     int         // effects that were accepted after one of a later ownership
 }
 
 // lockMachine is one of the machines.
@@ -150,8 +150,9 @@
 	return f
 }
 
-// trouble has a machine pause, run fast or slow, or its clock jump by an hour: one of these each ten seconds.
-func (f *lockFile) trouble(now float64) {
+// injectFault pauses a machine, changes the rate of its clock, or has the clock jump by an hour; on average one of these
+// happens every ten seconds.
+func (f *lockFile) injectFault(now float64) {
 	if f.rng.Intn(200) != 0 {
 		return
 	}
@@ -166,11 +167,11 @@
 	}
 }
 
-// turn has a machine do its next step, and tells whether it acts.
-func (f *lockFile) turn(i int, now float64) (acts bool) {
+// step advances a machine by one step, and reports whether it acts as the owner.
+func (f *lockFile) step(i int, now float64) (acts bool) {
 	m := &f.machines[i]
 	if now < m.paused {
-		return m.acting // it has looked at its clock, and its next effect goes out when it goes on
+		return m.acting // it has checked its clock already, so it sends its next effect when it continues
 	}
 	clock := now*m.rate + m.jump
 	if m.acting {
@@ -192,7 +193,7 @@
 	return acts
 }
 
-// write is the second step: a machine writes the file by what it read.
+// write is the second step of taking the file: a machine writes it based on what it read.
 func (f *lockFile) write(i int, clock float64) {
 	m := &f.machines[i]
 	m.readAt = 0
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network.go
@@ -16,13 +16,13 @@
 
 func (w *World) isBlocked(a, b int) bool { return w.now < w.blocked[[2]int{a, b}] }
 
-// send carries a message over: it may be lost, take long or come twice, and comes from the run that sent it.
+// send delivers a message, which may be lost, delayed or duplicated. It is dropped if the sender runs anew on its arrival.
 func (w *World) send(from *machine, s node.Envelope) {
 	to := w.number(s.To)
 	if to < 0 {
 		return
 	}
-	w.configSent(from, to, &s.Message)
+	w.interceptConfig(from, to, &s.Message)
 	data, err := w.encode(&s.Message)
 	if err != nil {
 		w.Checker.fail(w.now, "message: %v", err)
@@ -34,12 +34,12 @@
 	arrive := func() {
 		target := w.nodes[to]
 		if target.core == nil || w.isBlocked(from.number, to) || from.run != run && from.core != nil {
-			return // a connection of an earlier run ends when the next one connects
+			return // a connection of an earlier run ends when the next run connects
 		}
 		w.deliver(target, func() { w.receive(target, from.id, &s.Message, data) })
 	}
 	if s.Message.Renew != nil {
-		w.Promises.Sent(run, s.Message.Renew, w.now)
+		w.Renewals.Sent(run, s.Message.Renew, w.now)
 	}
 	if w.isBlocked(from.number, to) || lost {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// encode is a message as it goes over a socket; nil where messages are handed over as they are and nothing counts bytes.
+// encode returns the encoded message, or nil where messages are passed without encoding and no bytes are counted.
 func (w *World) encode(m *node.Message) ([]byte, error) {
 	if w.plan.Direct && w.traffic == nil {
 		return nil, nil
@@ -61,26 +61,26 @@
 func (w *World) countMessage(from, to int, m *node.Message, bytes int) {
 	w.countSent(from, to, m, bytes)
 	if m.Members != nil {
-		w.TalkBytes += bytes + frameBytes
+		w.MembershipBytes += bytes + frameBytes
 	}
 }
 
-// drawDelivery draws what becomes of a message: how long it takes, in ms, and whether it is lost or comes twice.
+// drawDelivery draws the delay of a message in ms, and whether it is lost or duplicated.
 func (w *World) drawDelivery(from, to int) (took float64, lost, twice bool) {
 	took = 0.3 + w.rng.Float64()
 	if w.plan.Latency != nil {
 		took = w.plan.Latency(from, to) + w.rng.Float64()
 	}
-	if w.now < w.dropTo {
+	if w.now < w.dropUntil {
 		lost, twice = w.rng.Float64() < w.drop, w.rng.Float64() < w.drop/4
 	}
-	if w.now < w.delayTo {
+	if w.now < w.delayUntil {
 		took += w.rng.Float64() * w.delay
 	}
 	return took, lost, twice
 }
 
-// receive has a machine take in a message.
+// receive decodes a message and passes it to a machine's core.
 func (w *World) receive(target *machine, from members.ID, sent *node.Message, data []byte) {
 	m := *sent
 	if !w.plan.Direct {
@@ -91,7 +91,7 @@
 		}
 	}
 	if m.RenewResponse != nil && m.RenewResponse.To.Run == target.run {
-		w.Promises.Came(target.run, m.RenewResponse, w.now)
+		w.Renewals.Answered(target.run, m.RenewResponse, w.now)
 	}
 	target.core.Receive(w.local(target), from, &m)
 }
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -10,7 +10,7 @@
 	"mintkeel/internal/core/fleet/node"
 )
 
-// Without faults a fleet finds itself whole and every work has an owner that stays.
+// Without faults all members find each other, and every lease gets one holder that keeps it.
 func TestQuiet(t *testing.T) {
 	for _, nodes := range []int{3, 5, 20} {
 		p := UsualPlan(1, nodes, 4, 0)
@@ -19,18 +19,18 @@
 		if why := w.Play(); why != "" {
 			t.Fatalf("%d nodes: %s", nodes, why)
 		}
-		if w.Checker.Overlap > 0 || w.Checker.Effects == 0 || w.False > 0 {
-			t.Errorf("%d nodes: %d overlaps, %d effects, %d false suspicions", nodes, w.Checker.Overlap, w.Checker.Effects, w.False)
+		if w.Checker.Overlaps > 0 || w.Checker.Effects == 0 || w.FalseSuspicions > 0 {
+			t.Errorf("%d nodes: %d overlaps, want 0; %d effects, want some; %d false suspicions, want 0", nodes, w.Checker.Overlaps, w.Checker.Effects, w.FalseSuspicions)
 		}
-		for name, free := range w.Checker.Free {
+		for name, free := range w.Checker.Vacancies {
 			if len(free) != 1 || free[0] > 10000 {
-				t.Errorf("%d nodes: %s was free for %v ms", nodes, name, free)
+				t.Errorf("%d nodes: %s had no holder for %v ms, want one time of 10,000 ms at most", nodes, name, free)
 			}
 		}
 	}
 }
 
-// Histories drawn from seeds: nothing breaks, and all is whole again after the last fault.
+// In histories drawn from seeds no check fails, and the fleet recovers after the last fault.
 func TestHistories(t *testing.T) {
 	for seed := range int64(historiesPlayed) {
 		p := UsualPlan(seed+1, 3+int(seed)%7, 3, 8)
@@ -41,15 +41,15 @@
 	}
 }
 
-// A work has another owner soon after each way of losing one; the plain lock file is seen to break.
+// A lease has another holder soon after each way of losing one. The baseline, a lock file, lets two owners act at once.
 func TestTakeOver(t *testing.T) {
 	for _, l := range Losses() {
 		most := 4000*1.5 + 8000.0
-		if l == Ends || l == HandsOver {
+		if l == Stopped || l == HandedOver {
 			most = 1500
 		}
 		if free, _ := TakeOver(3, 4000, l); free > most {
-			t.Errorf("%v: no owner for %.0f ms", l, free)
+			t.Errorf("%v: no holder for %.0f ms, want 14000 at most, and 1500 after a planned shutdown or a handover", l, free)
 		}
 	}
 	broke := 0
@@ -59,12 +59,12 @@
 		}
 	}
 	if broke < 10 {
-		t.Errorf("a lock file broke in %d of 20 histories", broke)
+		t.Errorf("the lock file broke in %d of 20 histories, want at least 10", broke)
 	}
 }
 
-// Sixty controllers of which a third restarts every 10 s, those of the council among them: nothing breaks meanwhile, and all is
-// whole soon after.
+// Of sixty controllers a third restarts every 10 s, voters among them: no check fails meanwhile, and the fleet recovers soon
+// after.
 func TestCrowd(t *testing.T) {
 	p := UsualPlan(6, 60, 5, 0)
 	p.Voters = 5
@@ -79,38 +79,38 @@
 	if why := w.Play(); why != "" {
 		t.Fatal(why)
 	}
-	t.Logf("whole %.0f ms after the last, %d effects, %d late ones refused", w.Whole, w.Checker.Effects, w.Checker.Late)
-	if w.Checker.Effects < 500 || w.Checker.Handed < 500 {
-		t.Errorf("%d effects", w.Checker.Effects)
+	t.Logf("recovered %.0f ms after the last fault, %d effects, %d late ones", w.Recovery, w.Checker.Effects, w.Checker.LateEffects)
+	if w.Checker.Effects < 500 || w.Checker.Checkpoints < 500 {
+		t.Errorf("%d effects; want at least 500, and at least 500 checkpoints", w.Checker.Effects)
 	}
 }
 
-// The checker of promises finds what no register could have given.
+// Check finds renewals that are not linearizable on a register.
 func TestPromises(t *testing.T) {
-	type told struct {
+	type answer struct {
 		run       uint64
-		epoch     lease.Token
+		token     lease.Token
 		from, til float64
 	}
 	for name, c := range map[string]struct {
-		list []told
+		list []answer
 		ok   bool
 	}{
-		"one after another":                             {[]told{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
-		"at once, in some order":                        {[]told{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
-		"an older owner after a later one":              {[]told{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
-		"two of one epoch":                              {[]told{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
-		"two of one epoch at once":                      {[]told{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
-		"an answer that came late to a question of old": {[]told{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
+		"one after another":                   {[]answer{{1, 1, 1, 2}, {1, 1, 3, 4}, {2, 2, 5, 6}}, true},
+		"at once, in some order":              {[]answer{{2, 2, 1, 9}, {1, 1, 2, 3}}, true},
+		"an earlier holder after a later one": {[]answer{{2, 2, 1, 2}, {1, 1, 3, 4}}, false},
+		"two holders of one token":            {[]answer{{1, 1, 1, 2}, {2, 1, 3, 4}}, false},
+		"two holders of one token at once":    {[]answer{{1, 1, 1, 5}, {2, 1, 2, 6}}, false},
+		"a late response to an early renewal": {[]answer{{2, 2, 3, 4}, {1, 1, 1, 9}}, true},
 	} {
-		p := NewPromises()
+		p := NewRenewals()
 		for i, x := range c.list {
 			r := &lease.Renew{Sequence: uint64(i + 1)}
 			p.Sent(x.run, r, x.from)
-			p.Came(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.epoch}}}, x.til)
+			p.Answered(x.run, &node.RenewResponse{Sequence: r.Sequence, Valid: []lease.Grant{{Name: "w", Token: x.token}}}, x.til)
 		}
 		if why := p.Check(); (why == "") != c.ok {
-			t.Errorf("%s: %q", name, why)
+			t.Errorf("%s: got violation %q, want the opposite", name, why)
 		}
 	}
 }
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,6 +1,6 @@
-// Package restart measures what memory is worth: a real controller, as a process of its own, is killed in the middle of
-// a busy time and started again, with stand-ins for engines, feed and clients on loopback, and the benefit answered in
-// the first seconds is compared with that of runs without memory, with wrong memory, and without a kill.
+// Package restart measures the value of persisted statistics ("memory"): a controller process is killed under load and
+// started again, with stand-ins for engines, feed and clients on loopback. The benefit in the first seconds after the restart
+// is compared with that of runs without memory, with wrong memory, and without a kill.
 package restart
 
 import (
@@ -26,31 +26,31 @@
 	"mintkeel/router"
 )
 
-// Variant is what the controller finds when it starts again.
+// Variant is the memory that the controller finds when it starts again.
 type Variant int
 
 // The variants that are compared.
 const (
-	Unbroken  Variant = iota // it was never killed
-	Without                  // nothing
-	With                     // what it had learned
-	Aged                     // the same, a day old
-	Swapped                  // the same, with every engine taken for another
-	Yesterday                // a day ago: three slow engines, another hot table group, tables warm elsewhere
-	Believed                 // the same, believed as if it were fresh: the plain baseline
+	Unbroken  Variant = iota // the controller is not killed
+	Without                  // no memory
+	With                     // its own memory
+	Aged                     // its own memory, dated back by a day
+	Swapped                  // its own memory, with the records of each engine under another engine's ID
+	Yesterday                // memory of another day: three slow engines, another hot table group, tables warm elsewhere
+	Unaged                   // as Yesterday, but dated as fresh: the plain baseline
 )
 
-var names = [...]string{"unbroken", "without", "with", "aged a day", "engines swapped", "yesterday's",
+var variantNames = [...]string{"unbroken", "without", "with", "aged a day", "engines swapped", "yesterday's",
 	"yesterday's, believed without ageing"}
 
-func (v Variant) String() string { return names[v] }
+func (v Variant) String() string { return variantNames[v] }
 
-// Variants are all.
+// Variants returns all variants.
 func Variants() []Variant {
-	return []Variant{Unbroken, Without, With, Aged, Swapped, Yesterday, Believed}
+	return []Variant{Unbroken, Without, With, Aged, Swapped, Yesterday, Unaged}
 }
 
-// Scene is what is played. Times of the run are real ones.
+// Scene describes the engines and the load of a run, which takes place in real time.
 type Scene struct {
 	Mintkeel string // path of the daemon
 	Bounds   snapshots.Bounds
@@ -60,51 +60,51 @@
 	Rate     float64 // commands a second
 	Learn    time.Duration
 	Measure  time.Duration
-	Slow     float64 // times the usual time at the slow engine
+	Slow     float64 // factor of the duration at the slow engine
 	Hot      float64 // share of the commands on the hot table group
-	Cold     float64 // times the work of a command whose tables are not warm
-	Sockets  int     // that the daemon may have; 0: 1024
-	Clients  int     // connections that are open at least, and take turns
-	Work     float64 // ms on one core of a command; 0: as usual, 30 for a lookup and 140 for a report
-	Relay    bool    // the relay stands in place of the daemon, with one engine that can do all
+	Cold     float64 // factor of the work of a command whose tables are not warm
+	Sockets  int     // limit of the daemon; 0: 1024
+	Clients  int     // least number of open client connections, which are used in turn
+	Work     float64 // ms on one core for each command; 0: 30 for a lookup and 140 for a report
+	Relay    bool    // the relay takes the place of the daemon, with engines that have ample cores and sessions
 }
 
-// Usual is the scene that the results were taken with.
+// Usual returns the scene with which the published results were measured.
 func Usual() Scene {
 	return Scene{Engines: 8, Groups: 24, Rate: 420, Learn: 14 * time.Second, Measure: 10 * time.Second, Slow: 6, Hot: 0.3,
 		Cold: 3}
 }
 
-// Outcome is what one variant of a scene gave.
+// Outcome is the result of one variant of a scene.
 type Outcome struct {
-	Benefit  float64 // of commands, 1 each at most, over their number
-	First    float64 // the same in the first 2 s
+	Benefit  float64 // mean over all commands, each 0 to 1
+	First    float64 // mean over the commands of the first 2 s
 	Commands int
-	Cold     int // commands that found their tables cold
+	Cold     int // commands whose tables were cold at their engine
 }
 
 const (
-	cores, sessions, warm = 4.0, 60, 5
-	lookupMS, reportMS    = 30.0, 140.0
-	lookupAim, reportAim  = 150 * time.Millisecond, 700 * time.Millisecond
-	lookupMax, reportMax  = 1200 * time.Millisecond, 3000 * time.Millisecond
-	lateShare             = 0.3
-	reportShare           = 0.15 // of the commands
+	cores, sessions, warm            = 4.0, 60, 5
+	lookupMS, reportMS               = 30.0, 140.0
+	lookupObjective, reportObjective = 150 * time.Millisecond, 700 * time.Millisecond
+	lookupTimeout, reportTimeout     = 1200 * time.Millisecond, 3000 * time.Millisecond
+	lateBenefit                      = 0.3
+	reportShare                      = 0.15 // of the commands
 )
 
-// world is a scene's surroundings.
-type world struct {
+// environment is what surrounds the controller in a scene: engines, the feed, clients and its files.
+type environment struct {
 	Scene
 	engines []*standin.Engine
 	feed    *standin.Feed
 	addr    string
 	dir     string
 	rules   string // of the operator's file
-	shift   int    // which engine is slow and which table group hot
+	shift   int    // selects the slow engines and the hot table group
 	idle    chan *standin.Client
 }
 
-// Run plays one variant.
+// Run plays one variant of a scene.
 func Run(ctx context.Context, s Scene, v Variant) (out Outcome, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Learn+s.Measure+20*time.Second)
 	defer cancel()
@@ -113,18 +113,18 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	if v == Yesterday || v == Believed { // first the day before
-		other, err := open(ctx, s, dir, 3)
+	if v == Yesterday || v == Unaged { // play the day before first, for its memory
+		dayBefore, err := open(ctx, s, dir, 3)
 		if err != nil {
 			return out, err
 		}
-		p, err := other.start(ctx)
+		p, err := dayBefore.start(ctx)
 		if err != nil {
 			return out, err
 		}
-		other.play(ctx, s.Learn, nil)
+		dayBefore.play(ctx, s.Learn, nil)
 		p.kill()
-		other.close()
+		dayBefore.close()
 		if err := os.Rename(filepath.Join(dir, "kept"), filepath.Join(dir, "yesterday")); err != nil {
 			return out, err
 		}
@@ -142,29 +142,29 @@
 	w.play(ctx, s.Learn, nil)
 	if v != Unbroken {
 		p.kill()
-		w.drop()
-		if err := w.tamper(v); err != nil {
+		w.closeIdle()
+		if err := w.prepareMemory(v); err != nil {
 			return out, err
 		}
 		if p, err = w.start(ctx); err != nil {
 			return out, err
 		}
 	}
-	cold := w.cold()
+	cold := w.coldCommands()
 	w.play(ctx, s.Measure, &out)
-	out.Cold = w.cold() - cold
+	out.Cold = w.coldCommands() - cold
 	return out, ctx.Err()
 }
 
-func open(ctx context.Context, s Scene, dir string, shift int) (*world, error) {
-	w := &world{Scene: s, dir: dir, shift: shift, idle: make(chan *standin.Client, max(400, s.Clients))}
+func open(ctx context.Context, s Scene, dir string, shift int) (*environment, error) {
+	w := &environment{Scene: s, dir: dir, shift: shift, idle: make(chan *standin.Client, max(400, s.Clients))}
 	for i := range s.Engines {
 		m := standin.Model{Cores: cores, Slow: 1, Sessions: sessions, Warm: warm, ColdCost: s.Cold}
 		if s.Relay {
 			m.Cores, m.Sessions = 100000, 100000
 		}
 		if i == (2+shift)%s.Engines || shift > 0 && (i == (3+shift)%s.Engines || i == (4+shift)%s.Engines) {
-			m.Slow = s.Slow // on the other day, three of them
+			m.Slow = s.Slow // three engines on the other day, else one
 		}
 		e, err := standin.NewEngine(fmt.Sprintf("s-%08x", i+1), m, s.Seed)
 		if err != nil {
@@ -184,15 +184,15 @@
 	return w, listener.Close()
 }
 
-func (w *world) close() {
-	w.drop()
+func (w *environment) close() {
+	w.closeIdle()
 	for _, e := range w.engines {
 		e.Close()
 	}
 }
 
-// drop closes the clients' idle connections.
-func (w *world) drop() {
+// closeIdle closes all idle client connections.
+func (w *environment) closeIdle() {
 	for {
 		select {
 		case c := <-w.idle:
@@ -203,7 +203,7 @@
 	}
 }
 
-func (w *world) cold() (n int) {
+func (w *environment) coldCommands() (n int) {
 	for _, e := range w.engines {
 		_, cold, _ := e.Counts()
 		n += cold
@@ -223,8 +223,8 @@
 	})
 }
 
-// start writes a configuration, starts the daemon and waits until it answers.
-func (w *world) start(ctx context.Context) (*process, error) {
+// start writes the settings, starts the daemon or the relay, and waits until it answers.
+func (w *environment) start(ctx context.Context) (*process, error) {
 	if w.Relay {
 		self, err := os.Executable()
 		if err != nil {
@@ -248,10 +248,10 @@
 				"max_streams": 100, "retry_after": true, "max_retry_after_ns": 500000000},
 			"contract": object{"cold_share": 0.5, "cold_ns": 2000000000, "overload_factor": 4, "tip_after_ns": 1000000000},
 			"services": []object{
-				{"name": "lookup", "effect": "free", "promise_ns": int64(lookupAim), "hard_limit_ns": int64(lookupMax),
-					"late_worth": lateShare},
-				{"name": "report", "effect": "free", "promise_ns": int64(reportAim), "hard_limit_ns": int64(reportMax),
-					"late_worth": lateShare}}}})
+				{"name": "lookup", "effect": "free", "promise_ns": int64(lookupObjective), "hard_limit_ns": int64(lookupTimeout),
+					"late_worth": lateBenefit},
+				{"name": "report", "effect": "free", "promise_ns": int64(reportObjective), "hard_limit_ns": int64(reportTimeout),
+					"late_worth": lateBenefit}}}})
 	if err != nil {
 		return nil, err
 	}
@@ -266,8 +266,8 @@
 	return w.await(ctx, exec.Command(w.Mintkeel, "serve", "--config", path, "--operator", hcl))
 }
 
-// await starts a process and waits until it serves.
-func (w *world) await(ctx context.Context, cmd *exec.Cmd) (*process, error) {
+// await starts a process, waits until it serves clients, and opens the client connections.
+func (w *environment) await(ctx context.Context, cmd *exec.Cmd) (*process, error) {
 	p := &process{cmd: cmd}
 	log, err := os.OpenFile(filepath.Join(w.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -281,18 +281,18 @@
 	for end := time.Now().Add(10 * time.Second); ; {
 		if c, err := standin.Dial(ctx, w.addr, time.Second); err == nil {
 			w.idle <- c
-			return p, w.crowd(ctx)
+			return p, w.openClients(ctx)
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			p.kill()
-			return nil, errors.New("the daemon does not answer")
+			return nil, errors.New("the process accepts no client")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// crowd opens the connections that are to be there.
-func (w *world) crowd(ctx context.Context) error {
+// openClients opens idle client connections up to Scene.Clients.
+func (w *environment) openClients(ctx context.Context) error {
 	for len(w.idle) < w.Clients {
 		c, err := standin.Dial(ctx, w.addr, time.Second)
 		if err != nil {
@@ -303,52 +303,52 @@
 	return nil
 }
 
-// play has commands arrive for so long and, if out is given, sums up their benefit.
-func (w *world) play(ctx context.Context, long time.Duration, out *Outcome) {
-	rng := rand.New(rand.NewSource(w.Seed + int64(long)))
+// play sends commands at random times for a duration and, if out is not nil, records their benefit there.
+func (w *environment) play(ctx context.Context, duration time.Duration, out *Outcome) {
+	rng := rand.New(rand.NewSource(w.Seed + int64(duration)))
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	sum, first, firsts := 0.0, 0.0, 0
+	sum, earlyBenefit, earlyCommands := 0.0, 0.0, 0
 	began := time.Now()
 	for at := 0.0; ctx.Err() == nil; {
 		at += rng.ExpFloat64() / w.Rate
-		if at > long.Seconds() {
+		if at > duration.Seconds() {
 			break
 		}
-		command := w.draw(rng)
+		command := w.drawCommand(rng)
 		time.Sleep(time.Until(began.Add(time.Duration(at * 1e9))))
 		early := at < 2
 		if early {
-			firsts++
+			earlyCommands++
 		}
 		if out != nil {
 			out.Commands++
 		}
 		group.Go(func() {
-			b := w.ask(ctx, command)
+			b := w.send(ctx, command)
 			mu.Lock()
 			defer mu.Unlock()
 			if sum += b; early {
-				first += b
+				earlyBenefit += b
 			}
 		})
 	}
 	group.Wait()
 	if out != nil && out.Commands > 0 {
-		out.Benefit, out.First = sum/float64(out.Commands), first/float64(max(1, firsts))
+		out.Benefit, out.First = sum/float64(out.Commands), earlyBenefit/float64(max(1, earlyCommands))
 	}
 }
 
-type drawn struct {
-	fields, statement string
-	aim, limit        time.Duration
+type command struct {
+	fields, statement  string
+	objective, timeout time.Duration
 }
 
-func (w *world) draw(rng *rand.Rand) drawn {
-	d := drawn{aim: lookupAim, limit: lookupMax}
+func (w *environment) drawCommand(rng *rand.Rand) command {
+	d := command{objective: lookupObjective, timeout: lookupTimeout}
 	verb, work := "lookup", lookupMS*(0.5+rng.Float64())
 	if rng.Float64() < reportShare {
-		verb, work, d.aim, d.limit = "report", reportMS*(0.5+rng.Float64()), reportAim, reportMax
+		verb, work, d.objective, d.timeout = "report", reportMS*(0.5+rng.Float64()), reportObjective, reportTimeout
 	}
 	if w.Work > 0 {
 		work = w.Work * (0.5 + rng.Float64())
@@ -362,8 +362,8 @@
 	return d
 }
 
-// ask has one command answered on a connection of its own while it lasts.
-func (w *world) ask(ctx context.Context, d drawn) float64 {
+// send sends a command on a connection that serves no other command meanwhile, and returns its benefit.
+func (w *environment) send(ctx context.Context, d command) float64 {
 	var c *standin.Client
 	select {
 	case c = <-w.idle:
@@ -374,7 +374,7 @@
 		}
 	}
 	began := time.Now()
-	verdict, err := c.Query(d.fields, d.statement, d.limit)
+	verdict, err := c.Query(d.fields, d.statement, d.timeout)
 	took := time.Since(began)
 	if err != nil {
 		c.Close()
@@ -388,19 +388,19 @@
 	switch {
 	case verdict != standin.Answered:
 		return 0
-	case took > d.aim:
-		return lateShare
+	case took > d.objective:
+		return lateBenefit
 	}
 	return 1
 }
 
-// tamper makes of what was kept what the variant finds.
-func (w *world) tamper(v Variant) error {
+// prepareMemory changes the stored memory to what the variant finds at the restart.
+func (w *environment) prepareMemory(v Variant) error {
 	kept := filepath.Join(w.dir, "kept")
 	switch v {
 	case Without:
 		return os.RemoveAll(kept)
-	case Yesterday, Believed:
+	case Yesterday, Unaged:
 		if err := os.RemoveAll(kept); err != nil {
 			return err
 		}
@@ -412,12 +412,12 @@
 	return memory.RewriteNewest(disk.Folder(kept), w.Bounds, func(l *router.Statistics) {
 		switch v {
 		case Aged, Yesterday:
-			shift(l, func(at float64) float64 { return at - day })
-		case Believed:
-			shift(l, func(float64) float64 { return now })
+			shiftTimes(l, func(at float64) float64 { return at - day })
+		case Unaged:
+			shiftTimes(l, func(float64) float64 { return now })
 		}
 		switch v {
-		case Swapped, Yesterday, Believed:
+		case Swapped, Yesterday, Unaged:
 			n := len(l.Engines)
 			next := map[router.EngineID]router.EngineID{}
 			for i, e := range l.Engines {
@@ -436,7 +436,7 @@
 	})
 }
 
-func shift(l *router.Statistics, to func(at float64) float64) {
+func shiftTimes(l *router.Statistics, to func(at float64) float64) {
 	for i := range l.Engines {
 		l.Engines[i].At = to(l.Engines[i].At)
 	}
@@ -451,17 +451,17 @@
 	}
 }
 
-// Summary is a variant over several seeds, paired with Without and Unbroken.
+// Summary is the mean of a variant over several seeds, compared by seed with Without and Unbroken.
 type Summary struct {
-	Variant                Variant
-	Benefit, First         float64
-	Cold                   float64 // commands on cold tables, of all
-	OverWithout, Interval  float64 // mean of the differences by seed, and half of their 95% interval
-	Share                  float64 // of the gap from Without to Unbroken
-	FirstOver, FirstAround float64 // as OverWithout and Interval, in the first 2 s
+	Variant                  Variant
+	Benefit, First           float64
+	Cold                     float64 // share of the commands on cold tables
+	OverWithout, Interval    float64 // mean of the differences by seed, and half the width of its 95% confidence interval
+	GapShare                 float64 // of the gap from Without to Unbroken
+	FirstOver, FirstInterval float64 // as OverWithout and Interval, in the first 2 s
 }
 
-// Summarize sums up outcomes by seed and variant.
+// Summarize returns a summary of each variant over the outcomes of all seeds.
 func Summarize(all []map[Variant]Outcome) (sums []Summary) {
 	gap := 0.0
 	for _, by := range all {
@@ -478,21 +478,21 @@
 			over = append(over, by[v].Benefit-by[Without].Benefit)
 			first = append(first, by[v].First-by[Without].First)
 		}
-		s.OverWithout, s.Interval = Around(over)
-		s.FirstOver, s.FirstAround = Around(first)
+		s.OverWithout, s.Interval = MeanInterval(over)
+		s.FirstOver, s.FirstInterval = MeanInterval(first)
 		if gap != 0 {
-			s.Share = s.OverWithout * float64(len(all)) / gap
+			s.GapShare = s.OverWithout * float64(len(all)) / gap
 		}
 		sums = append(sums, s)
 	}
 	return sums
 }
 
-// studentT are the 97.5% points of Student's distribution for 1 degree of freedom and on.
+// studentT has the 97.5% quantiles of Student's t-distribution, for 1 degree of freedom and up.
 var studentT = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
-// Around is the mean of some differences and half of its 95% interval.
-func Around(xs []float64) (mean, half float64) {
+// MeanInterval returns the mean of some values and half the width of its 95% confidence interval.
+func MeanInterval(xs []float64) (mean, half float64) {
 	n := float64(len(xs))
 	for _, x := range xs {
 		mean += x / n
@@ -507,14 +507,14 @@
 	return mean, studentT[min(len(xs)-2, len(studentT)-1)] * math.Sqrt(sum/(n-1)/n)
 }
 
-// Table is the summaries as Markdown.
+// Table formats summaries as a Markdown table.
 func Table(sums []Summary) string {
 	var b strings.Builder
 	b.WriteString("| memory | benefit, 10 s | over without | share of the gap | benefit, first 2 s | over without | on cold tables |\n" +
 		"| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range sums {
 		fmt.Fprintf(&b, "| %v | %.3f | %+.3f ±%.3f | %.2f | %.3f | %+.3f ±%.3f | %.3f |\n", s.Variant, s.Benefit,
-			s.OverWithout, s.Interval, s.Share, s.First, s.FirstOver, s.FirstAround, s.Cold)
+			s.OverWithout, s.Interval, s.GapShare, s.First, s.FirstOver, s.FirstInterval, s.Cold)
 	}
 	return b.String()
 }
--- a/internal/lab/scale/datapath/replacement.go
+++ b/internal/lab/scale/datapath/replacement.go
@@ -35,7 +35,7 @@
 			e.Close()
 			return running
 		}},
-		{"engine hangs", b.hangReportDelay, (*standin.Engine).Mute},
+		{"engine hangs", b.hangReportDelay, (*standin.Engine).Hang},
 	}
 }
 
@@ -265,8 +265,8 @@
 	replaced, err := daemon.NewEngine(replacedEngines+number, b.seed)
 	if err == nil {
 		g.recordReads(replaced, replacedEngines+number)
-		err = errors.Join(r.feed.Tell(uint32(number), old.Addr, standin.Gone, 0),
-			r.feed.Tell(uint32(replacedEngines+number), replaced.Addr, standin.Ready, uint64(time.Now().UnixMilli())))
+		err = errors.Join(r.feed.Publish(uint32(number), old.Addr, standin.Gone, 0),
+			r.feed.Publish(uint32(replacedEngines+number), replaced.Addr, standin.Ready, uint64(time.Now().UnixMilli())))
 		r.engines = append(r.engines, replaced)
 	}
 	<-loadDone
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -14,7 +14,7 @@
 	"mintkeel/router"
 )
 
-// The library draws anew each time unless it is told a seed; a verdict must be the same each time.
+// Without a fixed seed rapid draws other simulations at each run; the result must be repeatable.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// The seven rules hold in any simulation, with any restored statistics; what breaks one is shrunk.
+// The seven rules hold in any simulation, with any restored statistics. A failing simulation is
+// shrunk.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Generator().Draw(t, "world")
@@ -35,8 +36,8 @@
 	})
 }
 
-// The same over many simulations, several at a time. Together they must reach what the rules are
-// about, or they show nothing.
+// The rules hold in many simulations, which run in parallel. Together these must have enough
+// retries, slow starts, rejections, failures and restarts to exercise the rules.
 func TestManySimulations(t *testing.T) {
 	const simulations, parts = simulationsPlayed, 8
 	var results [simulations]*Result
@@ -62,17 +63,17 @@
 		failed += r.Failures
 		restarts += r.Restarts
 	}
-	if simulations < 100 { // a few may be quiet ones
+	if simulations < 100 { // too few to reach these counts
 		return
 	}
 	if retries < 300 || slowStart < 300 || rejected < 10000 || failed < 100 || restarts < 40 {
-		t.Errorf("too little happens: %d retries, %d attempts on warming engines, %d rejected, %d failed, "+
-			"%d restarts",
+		t.Errorf("%d retries, %d attempts on warming engines, %d rejected, %d failed, %d restarts; "+
+			"want at least 300, 300, 10000, 100 and 40",
 			retries, slowStart, rejected, failed, restarts)
 	}
 }
 
-// One spec is one history, and whether its statistics are exported changes nothing.
+// Two runs of one spec take the same actions, also if statistics are exported during one of them.
 func TestSameActions(t *testing.T) {
 	for _, seed := range []int{2, 3, 7, 19} {
 		s := FromSeed(seed)
@@ -80,23 +81,24 @@
 		var logs [2][]string
 		for i := range logs {
 			Play(s, func(seed int64, place router.Identity) Controller {
-				return &scribe{Controller: s.Module(seed, place), log: &logs[i], exports: i == 1}
+				return &actionRecorder{Controller: s.Module(seed, place), log: &logs[i], exports: i == 1}
 			})
 		}
 		if len(logs[0]) < 100 || !slices.Equal(logs[0], logs[1]) {
-			t.Errorf("simulation %d: %d and %d steps, or other actions", seed, len(logs[0]), len(logs[1]))
+			t.Errorf("simulation %d: %d and %d steps; want the same actions, in at least 100 steps", seed,
+				len(logs[0]), len(logs[1]))
 		}
 	}
 }
 
-// scribe logs the actions of a controller.
-type scribe struct {
+// actionRecorder logs the actions of a controller.
+type actionRecorder struct {
 	Controller
 	log     *[]string
 	exports bool
 }
 
-func (s *scribe) Step(now float64, events []router.Event) []router.Action {
+func (s *actionRecorder) Step(now float64, events []router.Event) []router.Action {
 	actions := s.Controller.Step(now, events)
 	*s.log = append(*s.log, fmt.Sprint(now, actions))
 	if s.exports {
@@ -105,44 +107,44 @@
 	return actions
 }
 
-// broken is a controller that breaks rules, to see whether the checker notices in simulations.
-type broken struct {
+// faultyController is a controller that breaks a rule, to test that the checker finds it.
+type faultyController struct {
 	Controller
-	change func(b *broken, now float64, events []router.Event, actions []router.Action) []router.Action
+	change func(b *faultyController, now float64, events []router.Event, actions []router.Action) []router.Action
 	sent   map[router.QueryID]router.EngineID
 	listed router.EngineID
 	n      int
 }
 
-func (b *broken) Step(now float64, events []router.Event) []router.Action {
+func (b *faultyController) Step(now float64, events []router.Event) []router.Action {
 	b.n++
 	return b.change(b, now, events, b.Controller.Step(now, events))
 }
 
-// drop leaves out the actions that fit.
+// drop returns the actions without those that fit.
 func drop(actions []router.Action, fits func(router.Action) bool) []router.Action {
 	return slices.DeleteFunc(slices.Clone(actions), fits)
 }
 
-// Each rule is found broken when a controller is made to break it.
+// The checker finds a breach of each rule when a controller is made to break it.
 func TestBrokenControllers(t *testing.T) {
 	if simulationsPlayed < 100 || testing.Short() {
-		t.Skip("one goroutine, and too slow under the race detector; " +
-			"is about the simulations, not about the module")
+		t.Skip("tests the checker and not the module, in one goroutine; " +
+			"too slow under the race detector")
 	}
 	isRejection := func(a router.Action) bool { _, ok := a.(router.Reject); return ok }
 	for _, c := range []struct {
 		name   string
 		rule   checker.Rule
-		change func(b *broken, now float64, events []router.Event,
+		change func(b *faultyController, now float64, events []router.Event,
 			actions []router.Action) []router.Action
 	}{
 		{"rejects nothing", checker.FinalAnswer,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				return drop(a, isRejection)
 			}},
 		{"rejects twice", checker.FinalAnswer,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if isRejection(action) {
 						return append(a, action)
@@ -151,7 +153,7 @@
 				return a
 			}},
 		{"rejects a query with an attempt", checker.SingleEffect,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok && b.n%5 == 0 {
 						return append(a, router.Reject{ID: s.ID})
@@ -160,7 +162,7 @@
 				return a
 			}},
 		{"starts each attempt twice at once", checker.SingleEffect,
-			func(_ *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(_ *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				for _, action := range a {
 					if s, ok := action.(router.StartAttempt); ok {
 						return append(a, s)
@@ -169,7 +171,7 @@
 				return a
 			}},
 		{"uses engines that drain or are gone", checker.Draining,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
 						for _, e := range l.Endpoints {
@@ -179,14 +181,14 @@
 						}
 					}
 				}
-				return b.aim(a, b.listed)
+				return b.redirect(a, b.listed)
 			}},
 		{"uses one engine for all", checker.Placement,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
-				return b.aim(a, "e00")
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
+				return b.redirect(a, "e00")
 			}},
 		{"ignores slow start", checker.SlowStart,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if l, ok := ev.(router.EndpointsUpdated); ok {
 						for _, e := range l.Endpoints {
@@ -196,10 +198,10 @@
 						}
 					}
 				}
-				return b.aim(a, b.listed)
+				return b.redirect(a, b.listed)
 			}},
 		{"starts a query before its turn", checker.Ordering,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if arrived, ok := ev.(router.QueryArrived); ok && b.listed != "" {
 						return append(a, router.StartAttempt{ID: arrived.ID, Engine: b.listed,
@@ -214,7 +216,7 @@
 				return a
 			}},
 		{"ignores the retry budget", checker.RetryBudget,
-			func(b *broken, _ float64, events []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, events []router.Event, a []router.Action) []router.Action {
 				for _, ev := range events {
 					if e, ok := ev.(router.AttemptEnded); ok && e.Outcome.NeverRan() && b.sent[e.ID] != "" &&
 						!e.QueryDone {
@@ -229,7 +231,7 @@
 				return a
 			}},
 		{"names an unknown query", checker.Contract,
-			func(b *broken, _ float64, _ []router.Event, a []router.Action) []router.Action {
+			func(b *faultyController, _ float64, _ []router.Event, a []router.Action) []router.Action {
 				if b.n == 100 {
 					return append(a, router.Fail{ID: 1 << 30})
 				}
@@ -243,7 +245,7 @@
 				continue
 			}
 			r := Play(s, func(seed int64, place router.Identity) Controller {
-				return &broken{Controller: s.Module(seed, place), change: c.change,
+				return &faultyController{Controller: s.Module(seed, place), change: c.change,
 					sent: map[router.QueryID]router.EngineID{}}
 			})
 			if r.Count(c.rule) > 0 {
@@ -253,13 +255,13 @@
 			}
 		}
 		if found < 3 {
-			t.Errorf("%s: %d simulations find rule %v broken", c.name, found, c.rule)
+			t.Errorf("%s: %d simulations have a breach of rule %v, want 3", c.name, found, c.rule)
 		}
 	}
 }
 
-// aim starts all on one engine, whatever the module chose.
-func (b *broken) aim(actions []router.Action, to router.EngineID) []router.Action {
+// redirect changes the engine of all attempts.
+func (b *faultyController) redirect(actions []router.Action, to router.EngineID) []router.Action {
 	out := slices.Clone(actions)
 	for i, action := range out {
 		if s, ok := action.(router.StartAttempt); ok && to != "" {
