--- a/cmd/mintkeel-lab/fleetchecks.go
+++ b/cmd/mintkeel-lab/fleetchecks.go
@@ -56,9 +56,9 @@
 		"./internal/core/fleet/config",
 	}
 	missed := 0
-	err := mutants.Try(ctx, ".", chosen, tests, workers, checkTestTimeout,
+	err := mutants.Run(ctx, ".", chosen, tests, workers, checkTestTimeout,
 		func(m mutants.Mutant, verdict mutants.Verdict, output string) {
-			if verdict != mutants.Noticed && verdict != mutants.TimedOut {
+			if verdict != mutants.Killed && verdict != mutants.TimedOut {
 				missed++
 			}
 			fmt.Fprintf(out, "%v: %s\n    %s\n", verdict, names[m.String()], firstFailure(output))
--- a/cmd/mintkeel-lab/mutants.go
+++ b/cmd/mintkeel-lab/mutants.go
@@ -65,10 +65,10 @@
 	}
 	counts := map[mutants.Verdict]int{}
 	var passed []mutants.Mutant
-	err = mutants.Try(ctx, ".", drawn, t.packages, t.workers, t.within,
+	err = mutants.Run(ctx, ".", drawn, t.packages, t.workers, t.within,
 		func(m mutants.Mutant, verdict mutants.Verdict, _ string) {
 			counts[verdict]++
-			if verdict == mutants.Passed {
+			if verdict == mutants.Survived {
 				passed = append(passed, m)
 			}
 		})
@@ -77,16 +77,16 @@
 		fmt.Fprintln(out, m)
 	}
 	fmt.Fprintf(out, "%d of %d changes of %s pass every test; noticed %d, hung %d, invalid %d\n",
-		counts[mutants.Passed], len(drawn), t.file, counts[mutants.Noticed], counts[mutants.TimedOut],
+		counts[mutants.Survived], len(drawn), t.file, counts[mutants.Killed], counts[mutants.TimedOut],
 		counts[mutants.Invalid])
 	return err
 }
 
 // draw chooses the changes to be tested.
 func (t *mutationTest) draw() ([]mutants.Mutant, error) {
-	list := mutants.All
+	list := mutants.OperatorMutants
 	if t.checks {
-		list = mutants.Checks
+		list = mutants.ConditionMutants
 	}
 	all, err := list(t.file)
 	if err != nil {
@@ -97,7 +97,7 @@
 			return !slices.Contains(t.funcs, m.Func)
 		})
 	}
-	drawn := mutants.Some(all, t.count, t.seed)
+	drawn := mutants.Sample(all, t.count, t.seed)
 	if len(drawn) == 0 {
 		return nil, errors.New("no operator to be changed")
 	}
--- a/cmd/mintkeel-lab/rulesfuzz.go
+++ b/cmd/mintkeel-lab/rulesfuzz.go
@@ -86,10 +86,10 @@
 // tryExpression draws one expression, breaks it if asked to, compiles it and evaluates it.
 func (t *fuzzTally) tryExpression(rng *rand.Rand, broken bool) {
 	valueType := match.Type(rng.Intn(valueTypes))
-	drawn := exprs.Draw(rng, valueType, rng.Intn(expressionDepths))
+	drawn := exprs.Generate(rng, valueType, rng.Intn(expressionDepths))
 	source := drawn.Source
 	if broken {
-		source = exprs.Break(rng, source)
+		source = exprs.Corrupt(rng, source)
 	}
 	compiled, err := match.Compile(source, valueType, &exprs.Schema, match.DefaultBounds())
 	if err != nil {
@@ -104,7 +104,7 @@
 	t.mostSteps = max(t.mostSteps, compiled.Steps())
 	var scratch match.Scratch
 	for range rowsPerExpression {
-		row := exprs.Row(rng)
+		row := exprs.RandomRow(rng)
 		value := t.evaluate(compiled, source, row, &scratch)
 		if !broken && value != evaluateTree(drawn, row) {
 			t.wrong = append(t.wrong, source)
--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -88,7 +88,7 @@
 }
 
 // measure runs a few steps to learn how long one takes, and then as many as there is time for.
-func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Make) steps.Costs {
+func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Constructor) steps.Costs {
 	const (
 		fewest       = 20  // steps that are run in any case
 		shortestStep = 0.1 // µs that a step is taken to last at least
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -14,17 +14,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// recipe is balancer.toml, as far as it is checked here.
-type recipe struct {
+// manifest is balancer.toml, as far as it is checked here.
+type manifest struct {
 	Build  string   `toml:"build"`
 	Run    string   `toml:"run"`
 	Policy []string `toml:"policy"`
 	Node   []string `toml:"node"`
 }
 
-func read(t *testing.T) recipe {
+func readManifest(t *testing.T) manifest {
 	t.Helper()
-	var r recipe
+	var r manifest
 	if _, err := toml.DecodeFile("balancer.toml", &r); err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	if _, err := exec.LookPath("gcc"); err != nil {
 		t.Skip("no C compiler here: the build line can't be tried")
 	}
-	r, root := read(t), t.TempDir()
+	r, root := readManifest(t), t.TempDir()
 	for _, name := range []string{"go.mod", "go.sum", "cmd", "internal", "match", "router"} {
 		from, to := filepath.Join("..", name), filepath.Join(root, name)
 		info, err := os.Stat(from)
@@ -82,8 +82,8 @@
 	}
 }
 
-// notDeciding are the files of the module that hold its interface, its state and its search structures, and decide nothing.
-var notDeciding = []string{
+// nonPolicyFiles are the files of the module that hold its interface, its state and its search structures, and decide nothing.
+var nonPolicyFiles = []string{
 	"actions.go", "alarms.go", "backoff.go", "candidates.go", "class.go", "decay.go", "doc.go", "engine.go", "events.go", "heap.go",
 	"ordering.go", "query.go", "queue.go", "reasons.go", "router.go", "search.go", "settings.go", "shedwatch.go",
 	"sort.go", "statistics.go", "status.go", "tablegroup.go", "window.go", "worthcache.go",
@@ -93,7 +93,7 @@
 // known not to decide, so that no decision lies where they don't look, and each package of the daemon is named, or it
 // would be counted as nobody's.
 func TestPathsAreNamed(t *testing.T) {
-	r := read(t)
+	r := readManifest(t)
 	const widest = 110
 	sources, err := filepath.Glob("../router/*.go")
 	if err != nil {
@@ -105,7 +105,7 @@
 			continue
 		}
 		policy := slices.Contains(r.Policy, "router/"+base)
-		if policy == slices.Contains(notDeciding, base) {
+		if policy == slices.Contains(nonPolicyFiles, base) {
 			t.Errorf("router/%s has to be either under policy or among the files that decide nothing", base)
 		}
 	}
--- a/internal/core/fleet/config/harness_test.go
+++ b/internal/core/fleet/config/harness_test.go
@@ -173,7 +173,7 @@
 
 // step runs the next event.
 func (f *fleet) step() {
-	e := f.events.Take()
+	e := f.events.Pop()
 	f.now = max(f.now, e.At)
 	e.Run()
 	if f.violation != "" {
@@ -184,7 +184,7 @@
 // runFor advances the time.
 func (f *fleet) runFor(ms float64) {
 	until := f.now + ms
-	for f.events.Next() <= until {
+	for f.events.NextTime() <= until {
 		f.step()
 	}
 	f.now = until
@@ -195,7 +195,7 @@
 func (f *fleet) runUntil(limit float64, holds func() bool) float64 {
 	began := f.now
 	for !holds() {
-		if f.events.Next() > began+limit {
+		if f.events.NextTime() > began+limit {
 			f.now = began + limit
 			return -1
 		}
--- a/internal/lab/eventqueue/eventqueue.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -8,21 +8,21 @@
 	At  float64
 	Run func()
 
-	order uint64
+	sequence uint64
 }
 
 func (e *Event) before(other *Event) bool {
-	return e.At < other.At || e.At == other.At && e.order < other.order
+	return e.At < other.At || e.At == other.At && e.sequence < other.sequence
 }
 
 // Queue is a binary heap of events; of several at one time the one added first comes first. Its zero value is empty.
 type Queue struct {
-	heap  []Event
-	order uint64
+	heap     []Event
+	sequence uint64
 }
 
-// Next is the time of the earliest event; infinite: there is none.
-func (q *Queue) Next() float64 {
+// NextTime is the time of the earliest event; infinite: there is none.
+func (q *Queue) NextTime() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
 	}
@@ -31,8 +31,8 @@
 
 // Add adds an event.
 func (q *Queue) Add(at float64, run func()) {
-	q.order++
-	q.heap = append(q.heap, Event{At: at, Run: run, order: q.order})
+	q.sequence++
+	q.heap = append(q.heap, Event{At: at, Run: run, sequence: q.sequence})
 	i := len(q.heap) - 1
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -44,8 +44,8 @@
 	}
 }
 
-// Take takes the earliest event out; the queue must not be empty.
-func (q *Queue) Take() Event {
+// Pop takes the earliest event out; the queue must not be empty.
+func (q *Queue) Pop() Event {
 	first := q.heap[0]
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
--- a/internal/lab/eventqueue/eventqueue_test.go
+++ b/internal/lab/eventqueue/eventqueue_test.go
@@ -26,19 +26,19 @@
 			continue
 		}
 		slices.SortStableFunc(expected, func(a, b entry) int { return cmp.Compare(a.at, b.at) })
-		if q.Next() != expected[0].at {
-			t.Fatalf("the next is at %g, not %g", q.Next(), expected[0].at)
+		if q.NextTime() != expected[0].at {
+			t.Fatalf("the next is at %g, not %g", q.NextTime(), expected[0].at)
 		}
-		q.Take().Run()
+		q.Pop().Run()
 		if last := got[len(got)-1]; last != expected[0].number {
 			t.Fatalf("%d comes, not %d", last, expected[0].number)
 		}
 		expected = expected[1:]
 	}
 	for range expected {
-		q.Take()
+		q.Pop()
 	}
-	if !math.IsInf(q.Next(), 1) {
-		t.Errorf("an empty queue has an event at %g", q.Next())
+	if !math.IsInf(q.NextTime(), 1) {
+		t.Errorf("an empty queue has an event at %g", q.NextTime())
 	}
 }
--- a/internal/lab/exprs/exprs.go
+++ b/internal/lab/exprs/exprs.go
@@ -72,19 +72,19 @@
 	return b.String()
 }
 
-func word(rng *rand.Rand) string { return words[rng.Intn(len(words))] }
+func randomWord(rng *rand.Rand) string { return words[rng.Intn(len(words))] }
 
-// Row draws a command, perhaps with too much of everything, or too little.
-func Row(rng *rand.Rand) match.Row {
+// RandomRow draws a command, perhaps with too much of everything, or too little.
+func RandomRow(rng *rand.Rand) match.Row {
 	var r match.Row
 	for _, f := range Schema.Fields {
 		switch x := rng.Intn(8); {
 		case x == 0:
 			r.Values = append(r.Values, match.Value{})
 		case f.Type == match.Text:
-			s := word(rng)
+			s := randomWord(rng)
 			if rng.Intn(4) == 0 {
-				s += word(rng) + word(rng)
+				s += randomWord(rng) + randomWord(rng)
 			}
 			r.Values = append(r.Values, match.TextOf(s))
 		case f.Type == match.Bool:
@@ -98,13 +98,13 @@
 		r.Values = r.Values[:rng.Intn(len(r.Values))]
 	}
 	for range rng.Intn(7) {
-		r.Labels = append(r.Labels, match.Label{Name: []string{"store", "brand", "x"}[rng.Intn(3)], Value: word(rng)})
+		r.Labels = append(r.Labels, match.Label{Name: []string{"store", "brand", "x"}[rng.Intn(3)], Value: randomWord(rng)})
 	}
 	return r
 }
 
-// Draw draws a well-typed expression of a type, so many levels deep at the most.
-func Draw(rng *rand.Rand, typ match.Type, depth int) *Expr {
+// Generate draws a well-typed expression of a type, so many levels deep at the most.
+func Generate(rng *rand.Rand, typ match.Type, depth int) *Expr {
 	switch typ {
 	case match.Bool:
 		return boolean(rng, depth)
@@ -114,8 +114,8 @@
 	return number(rng, typ, depth)
 }
 
-// Break damages an expression's source: a few bytes lost, doubled or changed.
-func Break(rng *rand.Rand, source string) string {
+// Corrupt damages an expression's source: a few bytes lost, doubled or changed.
+func Corrupt(rng *rand.Rand, source string) string {
 	b := []byte(source)
 	for range 1 + rng.Intn(3) {
 		if len(b) == 0 {
@@ -137,14 +137,14 @@
 	return string(b)
 }
 
-func field(r match.Row, i int) match.Value {
+func fieldValue(r match.Row, i int) match.Value {
 	if i < len(r.Values) {
 		return r.Values[i]
 	}
 	return match.Value{}
 }
 
-func fieldOf(rng *rand.Rand, typ match.Type) int {
+func randomField(rng *rand.Rand, typ match.Type) int {
 	for {
 		if i := rng.Intn(len(Schema.Fields)); Schema.Fields[i].Type == typ {
 			return i
@@ -152,29 +152,29 @@
 	}
 }
 
-func leafOf(rng *rand.Rand, typ match.Type) *Expr {
-	i := fieldOf(rng, typ)
+func fieldExpr(rng *rand.Rand, typ match.Type) *Expr {
+	i := randomField(rng, typ)
 	f := Schema.Fields[i]
 	return &Expr{f.Name, typ, func(r match.Row) value {
-		v := field(r, i)
+		v := fieldValue(r, i)
 		s := v.Text
 		if len(s) > f.MaxBytes {
 			s = s[:f.MaxBytes]
 		}
-		return value{v.Number != 0 && v.Number == v.Number || v.Number != v.Number, plain(v.Number), s}
+		return value{v.Number != 0 && v.Number == v.Number || v.Number != v.Number, finite(v.Number), s}
 	}}
 }
 
-// plain is a number as the language has it: none that is no number, none without end.
-func plain(x float64) float64 {
+// finite is a number as the language has it: none that is no number, none without end.
+func finite(x float64) float64 {
 	if math.IsNaN(x) {
 		return 0
 	}
 	return math.Max(-math.MaxFloat64, math.Min(math.MaxFloat64, x))
 }
 
-func choice(rng *rand.Rand, typ match.Type, depth int) *Expr {
-	c, a, b := boolean(rng, depth-1), Draw(rng, typ, depth-1), Draw(rng, typ, depth-1)
+func conditional(rng *rand.Rand, typ match.Type, depth int) *Expr {
+	c, a, b := boolean(rng, depth-1), Generate(rng, typ, depth-1), Generate(rng, typ, depth-1)
 	return &Expr{fmt.Sprintf("((%s) ? %s : %s)", c.Source, a.Source, b.Source), typ, func(r match.Row) value {
 		if c.Bool(r) {
 			return a.eval(r)
@@ -183,11 +183,11 @@
 	}}
 }
 
-func truth(b bool) value { return value{b: b} }
+func boolValue(b bool) value { return value{b: b} }
 
 func boolean(rng *rand.Rand, depth int) *Expr {
 	newExpr := func(source string, eval func(match.Row) bool) *Expr {
-		return &Expr{source, match.Bool, func(r match.Row) value { return truth(eval(r)) }}
+		return &Expr{source, match.Bool, func(r match.Row) value { return boolValue(eval(r)) }}
 	}
 	if depth <= 0 {
 		switch rng.Intn(4) {
@@ -195,12 +195,12 @@
 			b := rng.Intn(2) == 0
 			return newExpr(strconv.FormatBool(b), func(match.Row) bool { return b })
 		case 1:
-			return leafOf(rng, match.Bool)
+			return fieldExpr(rng, match.Bool)
 		case 2:
 			i := rng.Intn(len(Schema.Fields))
-			return newExpr("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return field(r, i).Present })
+			return newExpr("has("+Schema.Fields[i].Name+")", func(r match.Row) bool { return fieldValue(r, i).Present })
 		}
-		return newExpr(`has(label("store"))`, func(r match.Row) bool { _, has := labelOf(r, "store"); return has })
+		return newExpr(`has(label("store"))`, func(r match.Row) bool { _, has := findLabel(r, "store"); return has })
 	}
 	d := depth - 1
 	switch rng.Intn(11) {
@@ -214,13 +214,13 @@
 		a := boolean(rng, d)
 		return newExpr("!("+a.Source+")", func(r match.Row) bool { return !a.Bool(r) })
 	case 3:
-		return choice(rng, match.Bool, depth)
+		return conditional(rng, match.Bool, depth)
 	case 4, 5: // numbers compared
 		typ := []match.Type{match.Number, match.Duration}[rng.Intn(2)]
 		a, b := number(rng, typ, d), number(rng, typ, d)
 		sign := []string{"==", "!=", "<", "<=", ">", ">="}[rng.Intn(6)]
 		return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
-			return compared(sign, a.Number(r), b.Number(r))
+			return compare(sign, a.Number(r), b.Number(r))
 		})
 	case 6: // texts compared
 		a, b := text(rng, d), text(rng, d)
@@ -235,13 +235,13 @@
 			case "contains":
 				return strings.Contains(x, y)
 			}
-			return compared(sign, float64(strings.Compare(x, y)), 0)
+			return compare(sign, float64(strings.Compare(x, y)), 0)
 		})
 	case 7:
 		a := text(rng, d)
 		var list, source []string
 		for range 1 + rng.Intn(5) {
-			w := word(rng)
+			w := randomWord(rng)
 			list, source = append(list, w), append(source, quote(w))
 		}
 		return newExpr("("+a.Source+" in ["+strings.Join(source, ", ")+"])", func(r match.Row) bool {
@@ -270,7 +270,7 @@
 	case 9:
 		a := text(rng, d)
 		glob := []string{"*", "menu_*", "*a*a*b", "?oad", "", "a\\*b", "**x?", "*-*-*", "lo*d"}[rng.Intn(9)]
-		return newExpr("("+a.Source+" like "+quote(glob)+")", func(r match.Row) bool { return globbed(glob, a.Text(r)) })
+		return newExpr("("+a.Source+" like "+quote(glob)+")", func(r match.Row) bool { return matchesGlob(glob, a.Text(r)) })
 	}
 	a := text(rng, d)
 	pattern := []string{"^menu_[0-9]+$", "(a+)+$", "x|load", "", "^(.*)-(.*)$", "[A-Z]"}[rng.Intn(6)]
@@ -278,7 +278,7 @@
 	return newExpr("("+a.Source+" matches "+quote(pattern)+")", func(r match.Row) bool { return r2.MatchString(a.Text(r)) })
 }
 
-func compared(sign string, a, b float64) bool {
+func compare(sign string, a, b float64) bool {
 	switch sign {
 	case "==":
 		return a == b
@@ -294,27 +294,27 @@
 	return a >= b
 }
 
-// globbed matches by trying all ways.
-func globbed(glob, s string) bool {
+// matchesGlob matches by trying all ways.
+func matchesGlob(glob, s string) bool {
 	if glob == "" {
 		return s == ""
 	}
 	switch glob[0] {
 	case '*':
 		for i := 0; i <= len(s); i++ {
-			if globbed(glob[1:], s[i:]) {
+			if matchesGlob(glob[1:], s[i:]) {
 				return true
 			}
 		}
 		return false
 	case '?':
-		return s != "" && globbed(glob[1:], s[1:])
+		return s != "" && matchesGlob(glob[1:], s[1:])
 	case '\\':
 		if len(glob) > 1 {
 			glob = glob[1:]
 		}
 	}
-	return s != "" && s[0] == glob[0] && globbed(glob[1:], s[1:])
+	return s != "" && s[0] == glob[0] && matchesGlob(glob[1:], s[1:])
 }
 
 func number(rng *rand.Rand, typ match.Type, depth int) *Expr {
@@ -323,7 +323,7 @@
 	}
 	if depth <= 0 {
 		if rng.Intn(2) == 0 {
-			return leafOf(rng, typ)
+			return fieldExpr(rng, typ)
 		}
 		x := []float64{0, 1, 2.5, 17, 1000}[rng.Intn(5)]
 		source := strconv.FormatFloat(x, 'f', -1, 64)
@@ -337,7 +337,7 @@
 	d := depth - 1
 	switch rng.Intn(7) {
 	case 0:
-		return choice(rng, typ, depth)
+		return conditional(rng, typ, depth)
 	case 1:
 		a := number(rng, typ, d)
 		return newExpr("-("+a.Source+")", func(r match.Row) float64 { return -a.Number(r) })
@@ -355,7 +355,7 @@
 		})
 	case 3:
 		if typ == match.Number {
-			return ofText(rng, d, newExpr)
+			return numberFromText(rng, d, newExpr)
 		}
 	}
 	sign := []string{"+", "-", "%", "*", "/"}[rng.Intn(5)]
@@ -368,27 +368,27 @@
 		x, y := a.Number(r), b.Number(r)
 		switch sign {
 		case "+":
-			return plain(x + y)
+			return finite(x + y)
 		case "-":
-			return plain(x - y)
+			return finite(x - y)
 		case "*":
-			return plain(x * y)
+			return finite(x * y)
 		}
 		if y == 0 {
 			return 0
 		}
 		if sign == "/" {
-			return plain(x / y)
+			return finite(x / y)
 		}
 		if q := x / y; q >= 1<<53 || q <= -(1<<53) || q != q {
 			return 0
 		}
-		return plain(math.Mod(x, y))
+		return finite(math.Mod(x, y))
 	})
 }
 
-// ofText is a number that a text comes to.
-func ofText(rng *rand.Rand, d int, newExpr func(string, func(match.Row) float64) *Expr) *Expr {
+// numberFromText is a number that a text comes to.
+func numberFromText(rng *rand.Rand, d int, newExpr func(string, func(match.Row) float64) *Expr) *Expr {
 	a := text(rng, d)
 	if rng.Intn(2) == 0 {
 		return newExpr("length("+a.Source+")", func(r match.Row) float64 { return float64(len(a.Text(r))) })
@@ -404,7 +404,7 @@
 	})
 }
 
-func labelOf(r match.Row, name string) (string, bool) {
+func findLabel(r match.Row, name string) (string, bool) {
 	for i, l := range r.Labels {
 		if i < Schema.MaxLabels && l.Name == name {
 			return l.Value[:min(len(l.Value), Schema.MaxLabelBytes)], true
@@ -420,18 +420,18 @@
 	if depth <= 0 {
 		switch rng.Intn(3) {
 		case 0:
-			return leafOf(rng, match.Text)
+			return fieldExpr(rng, match.Text)
 		case 1:
 			name := []string{"store", "brand", "none"}[rng.Intn(3)]
-			return newExpr("label("+quote(name)+")", func(r match.Row) string { s, _ := labelOf(r, name); return s })
+			return newExpr("label("+quote(name)+")", func(r match.Row) string { s, _ := findLabel(r, name); return s })
 		}
-		w := word(rng)
+		w := randomWord(rng)
 		return newExpr(quote(w), func(match.Row) string { return w })
 	}
 	d := depth - 1
 	switch rng.Intn(5) {
 	case 0:
-		return choice(rng, match.Text, depth)
+		return conditional(rng, match.Text, depth)
 	case 1:
 		a, b := text(rng, d), text(rng, d)
 		return newExpr("("+a.Source+" + "+b.Source+")", func(r match.Row) string { return a.Text(r) + b.Text(r) })
@@ -459,7 +459,7 @@
 	a, sep, n := text(rng, d), []string{"-", "_", "a", "aa"}[rng.Intn(4)], rng.Intn(7)-3
 	return newExpr(fmt.Sprintf("part(%s, %s, %d)", a.Source, quote(sep), n), func(r match.Row) string {
 		if n < 0 {
-			return fromEnd(a.Text(r), sep, -n)
+			return partFromEnd(a.Text(r), sep, -n)
 		}
 		parts := strings.Split(a.Text(r), sep)
 		if n >= len(parts) {
@@ -469,8 +469,8 @@
 	})
 }
 
-// fromEnd is the n-th part from the end, with separators looked for from the end.
-func fromEnd(s, sep string, n int) string {
+// partFromEnd is the n-th part from the end, with separators looked for from the end.
+func partFromEnd(s, sep string, n int) string {
 	var parts []string
 	for {
 		at := strings.LastIndex(s, sep)
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -102,8 +102,8 @@
 
 // Run plays until a time.
 func (w *World) Run(until float64) {
-	for w.queue.Next() <= until && w.Checker.Broken == "" {
-		e := w.queue.Take()
+	for w.queue.NextTime() <= until && w.Checker.Broken == "" {
+		e := w.queue.Pop()
 		w.now = e.At
 		e.Run()
 	}
--- a/internal/lab/layout/layout.go
+++ b/internal/lab/layout/layout.go
@@ -114,49 +114,49 @@
 
 // Rule is which packages those below a folder may import.
 type Rule struct {
-	Below  string   // folder
-	Except string   // folder below it to which the rule does not apply; empty: none
-	May    []string // folders
-	Not    []string // folders; counts where May is nil
+	Folder    string   // folder
+	Except    string   // folder below it to which the rule does not apply; empty: none
+	Allowed   []string // folders
+	Forbidden []string // folders; used if Allowed is nil
 }
 
 // Rules are the map of the project: which package may import which.
 func Rules() []Rule {
 	return []Rule{
-		{Below: "router", May: []string{}},
-		{Below: "match", May: []string{}},
-		{Below: "internal/core", May: []string{"router", "match", "internal/core"}},
-		{Below: "internal/store", May: []string{"internal/store"}},
-		{Below: "internal/request", May: []string{"router", "internal/core"}},
-		{Below: "internal/operator/block", May: []string{}},
-		{Below: "internal/fleet", Not: []string{"internal/controller", "internal/clients", "internal/engines", "internal/lab", "cmd"}},
-		{Below: "internal/fleet/job", May: []string{"internal/core"}},
-		{Below: "internal/fleet/frames", May: []string{"internal/core"}},
-		{Below: "internal/fleet/maintenance", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
-		{Below: "internal/fleet/sharedstatistics", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
-		{Below: "internal/fleet/configuration", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/job"}},
-		{Below: "internal/clients", Not: []string{"internal/engines", "internal/fleet", "internal/lab", "cmd"}},
-		{Below: "internal/engines", Not: []string{"internal/clients", "internal/fleet", "internal/lab", "cmd"}},
-		{Below: "internal", Except: "internal/lab", Not: []string{"internal/lab", "cmd"}},
-		{Below: "internal/lab", Not: []string{"cmd"}},
-		{Below: "cmd/mintkeel", Not: []string{"internal/lab", "cmd"}},
-		{Below: "cmd/mintkeel-sim", Not: []string{"internal/lab", "cmd"}},
+		{Folder: "router", Allowed: []string{}},
+		{Folder: "match", Allowed: []string{}},
+		{Folder: "internal/core", Allowed: []string{"router", "match", "internal/core"}},
+		{Folder: "internal/store", Allowed: []string{"internal/store"}},
+		{Folder: "internal/request", Allowed: []string{"router", "internal/core"}},
+		{Folder: "internal/operator/block", Allowed: []string{}},
+		{Folder: "internal/fleet", Forbidden: []string{"internal/controller", "internal/clients", "internal/engines", "internal/lab", "cmd"}},
+		{Folder: "internal/fleet/job", Allowed: []string{"internal/core"}},
+		{Folder: "internal/fleet/frames", Allowed: []string{"internal/core"}},
+		{Folder: "internal/fleet/maintenance", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
+		{Folder: "internal/fleet/sharedstatistics", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
+		{Folder: "internal/fleet/configuration", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/job"}},
+		{Folder: "internal/clients", Forbidden: []string{"internal/engines", "internal/fleet", "internal/lab", "cmd"}},
+		{Folder: "internal/engines", Forbidden: []string{"internal/clients", "internal/fleet", "internal/lab", "cmd"}},
+		{Folder: "internal", Except: "internal/lab", Forbidden: []string{"internal/lab", "cmd"}},
+		{Folder: "internal/lab", Forbidden: []string{"cmd"}},
+		{Folder: "cmd/mintkeel", Forbidden: []string{"internal/lab", "cmd"}},
+		{Folder: "cmd/mintkeel-sim", Forbidden: []string{"internal/lab", "cmd"}},
 	}
 }
 
-// below tells whether a package is a folder or lies below it.
-func below(of, folder string) bool { return of == folder || strings.HasPrefix(of, folder+"/") }
+// isWithin tells whether a package is a folder or lies below it.
+func isWithin(of, folder string) bool { return of == folder || strings.HasPrefix(of, folder+"/") }
 
-func belowAny(of string, folders []string) bool {
-	return slices.ContainsFunc(folders, func(folder string) bool { return below(of, folder) })
+func isWithinAny(of string, folders []string) bool {
+	return slices.ContainsFunc(folders, func(folder string) bool { return isWithin(of, folder) })
 }
 
-// Breaks tells which rule an import breaks; empty: none.
-func (r Rule) Breaks(of Source, imported string) string {
-	allowed := r.May != nil && belowAny(imported, r.May) || r.May == nil && !belowAny(imported, r.Not)
-	applies := below(of.Package(), r.Below) && (r.Except == "" || !below(of.Package(), r.Except))
+// Violation tells which rule an import breaks; empty: none.
+func (r Rule) Violation(of Source, imported string) string {
+	allowed := r.Allowed != nil && isWithinAny(imported, r.Allowed) || r.Allowed == nil && !isWithinAny(imported, r.Forbidden)
+	applies := isWithin(of.Package(), r.Folder) && (r.Except == "" || !isWithin(of.Package(), r.Except))
 	if !applies || allowed {
 		return ""
 	}
-	return fmt.Sprintf("%s imports %s, which no package below %s may", of.Path, imported, r.Below)
+	return fmt.Sprintf("%s imports %s, which no package below %s may", of.Path, imported, r.Folder)
 }
--- a/internal/lab/layout/layout_test.go
+++ b/internal/lab/layout/layout_test.go
@@ -65,7 +65,7 @@
 	for _, s := range sources {
 		for _, imported := range s.Imports {
 			for _, r := range Rules() {
-				if why := r.Breaks(s, imported); why != "" {
+				if why := r.Violation(s, imported); why != "" {
 					t.Error(why)
 				}
 			}
@@ -101,7 +101,7 @@
 	broken := 0
 	for _, imported := range s.Imports {
 		for _, r := range Rules() {
-			if r.Breaks(s, imported) != "" {
+			if r.Violation(s, imported) != "" {
 				broken++
 			}
 		}
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s:%d %s: %s to %s: %s", filepath.Base(m.File), m.Line, m.Func, m.From, m.To, m.Text)
 }
 
-var changes = map[token.Token][]token.Token{
+var replacements = map[token.Token][]token.Token{
 	token.ADD: {token.SUB}, token.SUB: {token.ADD}, token.MUL: {token.QUO}, token.QUO: {token.MUL},
 	token.LSS: {token.LEQ, token.GTR}, token.LEQ: {token.LSS, token.GTR}, token.GTR: {token.GEQ, token.LSS},
 	token.GEQ: {token.GTR, token.LSS}, token.EQL: {token.NEQ}, token.NEQ: {token.EQL},
@@ -44,8 +44,8 @@
 	token.INC: {token.DEC}, token.DEC: {token.INC}, token.NOT: {token.ILLEGAL}, // dropped
 }
 
-// All are the mutants of a file, in its order.
-func All(path string) ([]Mutant, error) {
+// OperatorMutants are the mutants of a file, in its order.
+func OperatorMutants(path string) ([]Mutant, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	within := ""
 	add := func(at token.Pos, from token.Token) {
 		p := files.Position(at)
-		for _, to := range changes[from] {
+		for _, to := range replacements[from] {
 			text := ""
 			if to != token.ILLEGAL {
 				text = to.String()
@@ -89,8 +89,8 @@
 	return all, nil
 }
 
-// Checks are the mutants of a file that each leave one of its checks out: the condition of an if never holds.
-func Checks(path string) ([]Mutant, error) {
+// ConditionMutants are the mutants of a file that each leave one of its checks out: the condition of an if never holds.
+func ConditionMutants(path string) ([]Mutant, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -131,8 +131,8 @@
 	return Mutant{File: path, Line: line, From: from, To: to, Text: from, offset: offset}, nil
 }
 
-// Some draws n of them.
-func Some(all []Mutant, n int, seed int64) []Mutant {
+// Sample draws n of them.
+func Sample(all []Mutant, n int, seed int64) []Mutant {
 	drawn := slices.Clone(all)
 	rand.New(rand.NewSource(seed)).Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(n, len(drawn))]
@@ -148,8 +148,8 @@
 
 // The verdicts.
 const (
-	Passed   Verdict = iota // no test noticed
-	Noticed                 // a test failed
+	Survived Verdict = iota // no test noticed
+	Killed                  // a test failed
 	TimedOut                // the tests hung, which counts as noticed
 	Invalid                 // it does not compile
 )
@@ -158,9 +158,9 @@
 
 func (v Verdict) String() string { return verdicts[v] }
 
-// Try runs the tests of packages, one package after another (each may have flags of go test before it, by spaces), against each mutant, several at a time, and tells done of each verdict, in any
+// Run runs the tests of packages, one package after another (each may have flags of go test before it, by spaces), against each mutant, several at a time, and tells done of each verdict, in any
 // order. dir is the module's root.
-func Try(ctx context.Context, dir string, mutants []Mutant, packages []string, workers int, within time.Duration,
+func Run(ctx context.Context, dir string, mutants []Mutant, packages []string, workers int, within time.Duration,
 	done func(Mutant, Verdict, string)) error {
 	tmp, err := os.MkdirTemp("", "mutants")
 	if err != nil {
@@ -174,7 +174,7 @@
 	for range workers {
 		group.Go(func() {
 			for i := range jobs {
-				v, text, err := try(ctx, dir, tmp, i, mutants[i], packages, within)
+				v, text, err := testMutant(ctx, dir, tmp, i, mutants[i], packages, within)
 				mu.Lock()
 				if err != nil && failed == nil {
 					failed = err
@@ -200,7 +200,7 @@
 	return failed
 }
 
-func try(ctx context.Context, dir, tmp string, i int, m Mutant, packages []string, within time.Duration) (Verdict, string,
+func testMutant(ctx context.Context, dir, tmp string, i int, m Mutant, packages []string, within time.Duration) (Verdict, string,
 	error) {
 	source, err := os.ReadFile(m.File)
 	if err != nil {
@@ -236,12 +236,12 @@
 	}
 	switch text := string(out); {
 	case err == nil:
-		return Passed, "", nil
+		return Survived, "", nil
 	case bytes.Contains(out, []byte("[build failed]")):
 		return Invalid, text, nil
 	case bytes.Contains(out, []byte("panic: test timed out")) || ctx.Err() != nil:
 		return TimedOut, text, nil
 	default:
-		return Noticed, text, nil
+		return Killed, text, nil
 	}
 }
--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 	}
-	all, err := All(filepath.Join(dir, "p.go"))
+	all, err := OperatorMutants(filepath.Join(dir, "p.go"))
 	if err != nil || len(all) != 5 {
 		t.Fatal(all, err)
 	}
@@ -41,11 +41,11 @@
 		}
 	}
 	passed := map[string]Verdict{}
-	if err := Try(context.Background(), dir, Some(all, 9, 1), []string{"."}, 2, time.Minute,
+	if err := Run(context.Background(), dir, Sample(all, 9, 1), []string{"."}, 2, time.Minute,
 		func(m Mutant, v Verdict, _ string) { passed[m.From+m.To] = v }); err != nil {
 		t.Fatal(err)
 	}
-	for change, want := range map[string]Verdict{"<<=": Passed, "<>": Noticed, "&&||": Passed, "!": Noticed, "==!=": Noticed} {
+	for change, want := range map[string]Verdict{"<<=": Survived, "<>": Killed, "&&||": Survived, "!": Killed, "==!=": Killed} {
 		if passed[change] != want {
 			t.Errorf("%s: %v", change, passed[change])
 		}
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	all, err := Checks(path)
+	all, err := ConditionMutants(path)
 	if err != nil || len(all) != 2 {
 		t.Fatal(all, err)
 	}
--- a/internal/lab/playground/playground_test.go
+++ b/internal/lab/playground/playground_test.go
@@ -12,7 +12,7 @@
 	"mintkeel/internal/lab/standin"
 )
 
-const patience = 20 * time.Second // for a daemon to serve
+const startTimeout = 20 * time.Second // for a daemon to serve
 
 // The daemon accepts the configuration and answers queries of each class on the playground's engines.
 func TestPlayground(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 	defer serve.Wait()
 	defer cancel()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
 		client, err := standin.Dial(ctx, listen, time.Second)
 		if err == nil {
 			client.Close()
@@ -53,7 +53,7 @@
 	}
 	for _, class := range Classes() {
 		statement := Statement{Class: class, Work: time.Millisecond, Tables: "sales_17.orders"}
-		if verdict, _, err := Query(ctx, listen, statement, patience/4); verdict != standin.Answered {
+		if verdict, _, err := Query(ctx, listen, statement, startTimeout/4); verdict != standin.Answered {
 			t.Errorf("%s: %v, %v", class, verdict, err)
 		}
 	}
--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -59,11 +59,11 @@
 	sceneWithSlowStart
 	sceneWithAbsurdReports
 	sceneWithHostileStatistics
-	features // their number
+	featureCount // their number
 )
 
 // featureNames are the names in reports, in the order of the constants.
-var featureNames = [features]string{
+var featureNames = [featureCount]string{
 	"complete lists", "cached lists", "list changes", "list failures", "expired lists",
 	"draining engines", "gone engines", "started engines",
 	"queries", "queries with an ordering key", "queries with further keys", "queries of a tenant",
@@ -96,7 +96,7 @@
 }
 
 // coverage counts features.
-type coverage [features]int
+type coverage [featureCount]int
 
 func (c *coverage) add(f feature, seen bool) {
 	if seen {
@@ -116,7 +116,7 @@
 	for _, event := range events {
 		switch ev := event.(type) {
 		case router.EndpointsUpdated:
-			c.countList(ev)
+			c.countEndpoints(ev)
 		case router.QueryArrived:
 			c.countArrival(ev)
 		case router.OrderingKeyAdded:
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *coverage) countList(ev router.EndpointsUpdated) {
+func (c *coverage) countEndpoints(ev router.EndpointsUpdated) {
 	c.add(listComplete, ev.Complete)
 	c.add(listCached, ev.Cached)
 	c.add(listFailed, ev.Failed)
--- a/internal/lab/recorded/encoder_test.go
+++ b/internal/lab/recorded/encoder_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func (e *encoder) weighed(w router.WeightedMean) {
+func (e *encoder) weightedMean(w router.WeightedMean) {
 	e.number(w.Mean)
 	e.number(w.Weight)
 }
@@ -117,7 +117,7 @@
 		e.number(x.At)
 		e.text(string(x.Engine))
 		e.number(x.StartedAt)
-		e.weighed(x.Slowdown)
+		e.weightedMean(x.Slowdown)
 		e.number(x.ThreadsPerCore)
 		e.integer(int64(x.Outcomes))
 		e.text(string(x.PoolLeader))
@@ -139,13 +139,13 @@
 		e.integer(int64(x.Class))
 		e.number(x.FirstTryTimeout)
 		e.number(x.UnloadedTime)
-		e.weighed(x.WorkScale)
-		e.weighed(x.MemoryScale)
+		e.weightedMean(x.WorkScale)
+		e.weightedMean(x.MemoryScale)
 	}
 	e.integer(int64(len(l.Traffic)))
 	for _, x := range l.Traffic {
 		e.number(x.At)
-		e.weighed(x.Share)
+		e.weightedMean(x.Share)
 	}
 	e.flush()
 }
--- a/internal/lab/recorded/recorded_test.go
+++ b/internal/lab/recorded/recorded_test.go
@@ -19,7 +19,7 @@
 
 // playAll plays the scenes that are due, several at a time, once for all tests. The others are nil.
 var playAll = sync.OnceValue(func() []*recording {
-	all := scenes()
+	all := allScenes()
 	recordings := make([]*recording, len(all))
 	jobs := make(chan int)
 	var group sync.WaitGroup
@@ -49,9 +49,9 @@
 // addition and round once: the test then fails, and says so.
 func TestActionsAreAsRecorded(t *testing.T) {
 	if *update {
-		rewrite(t)
+		rewriteRecords(t)
 	}
-	all, records := scenes(), readRecords(t, recordsPath)
+	all, records := allScenes(), readRecords(t, recordsPath)
 	if len(records) != len(all) {
 		t.Fatalf("%d scenes are recorded, of %d", len(records), len(all))
 	}
@@ -76,15 +76,15 @@
 	}
 }
 
-// rewrite writes the file and fails the test: a run that rewrites it proves nothing. CI never
+// rewriteRecords writes the file and fails the test: a run that rewrites it proves nothing. CI never
 // rewrites it.
-func rewrite(t *testing.T) {
+func rewriteRecords(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CI") != "" || sceneStride != 1 {
 		t.Fatal("-update-recorded is for a developer's run without the race detector")
 	}
 	lines := []string{"# Scene, steps, actions, hash of all, checkpoints after equal numbers of steps. Written by -update-recorded."}
-	all := scenes()
+	all := allScenes()
 	for i, r := range playAll() {
 		lines = append(lines, r.record(all[i].name).String())
 	}
@@ -102,7 +102,7 @@
 	for _, r := range playAll() {
 		if r != nil {
 			counts.merge(r.counts)
-			steps, actions = steps+len(r.running), actions+r.actions
+			steps, actions = steps+len(r.stepHashes), actions+r.actions
 		}
 	}
 	t.Logf("%d steps, %d actions", steps, actions)
@@ -167,7 +167,7 @@
 				now += 0.5
 			}
 			r.encoder.step(0, now, nil)
-			r.running = append(r.running, uint16(r.encoder.sum()))
+			r.stepHashes = append(r.stepHashes, uint16(r.encoder.sum()))
 		}
 		return r
 	}
--- a/internal/lab/recorded/recorder_test.go
+++ b/internal/lab/recorded/recorder_test.go
@@ -24,10 +24,10 @@
 
 // recording is what the modules of one scene did, in order.
 type recording struct {
-	encoder *encoder
-	running []uint16 // the lowest bits of the hash after each step
-	actions int
-	counts  coverage
+	encoder    *encoder
+	stepHashes []uint16 // the lowest bits of the hash after each step
+	actions    int
+	counts     coverage
 }
 
 func newRecording() *recording { return &recording{encoder: newEncoder()} }
@@ -59,18 +59,18 @@
 
 // Step has the module decide, and records the actions.
 func (m *module) Step(now float64, events []router.Event) []router.Action {
-	events = m.withTenants(events)
+	events = m.assignTenants(events)
 	m.countEvents(events)
 	actions := m.Router.Step(now, events)
 	m.countActions(actions)
 	r := m.recording
 	r.encoder.step(m.number, now, actions)
-	if len(r.running)%readInterval == 0 {
+	if len(r.stepHashes)%readInterval == 0 {
 		r.encoder.statistics(m.allStatistics())
 		r.encoder.engines(m.EngineStatuses())
 	}
 	r.actions += len(actions)
-	r.running = append(r.running, uint16(r.encoder.sum()))
+	r.stepHashes = append(r.stepHashes, uint16(r.encoder.sum()))
 	return actions
 }
 
@@ -84,8 +84,8 @@
 	return all
 }
 
-// withTenants gives queries a tenant each by their id, and some none.
-func (m *module) withTenants(events []router.Event) []router.Event {
+// assignTenants gives queries a tenant each by their id, and some none.
+func (m *module) assignTenants(events []router.Event) []router.Event {
 	if m.tenants == 0 {
 		return events
 	}
@@ -113,10 +113,10 @@
 
 // record is the recording's record.
 func (r *recording) record(name string) record {
-	made := record{name: name, steps: len(r.running), actions: r.actions,
+	made := record{name: name, steps: len(r.stepHashes), actions: r.actions,
 		hash: fmt.Sprintf("%016x", r.encoder.sum())}
-	for at := made.interval(); at <= len(r.running); at += made.interval() {
-		made.checkpoints = append(made.checkpoints, fmt.Sprintf("%04x", r.running[at-1]))
+	for at := made.interval(); at <= len(r.stepHashes); at += made.interval() {
+		made.checkpoints = append(made.checkpoints, fmt.Sprintf("%04x", r.stepHashes[at-1]))
 	}
 	return made
 }
@@ -130,7 +130,7 @@
 	from, to := 1, "the last"
 	for i, checkpoint := range want.checkpoints {
 		at := (i + 1) * want.interval()
-		if at > len(r.running) || fmt.Sprintf("%04x", r.running[at-1]) != checkpoint {
+		if at > len(r.stepHashes) || fmt.Sprintf("%04x", r.stepHashes[at-1]) != checkpoint {
 			to = strconv.Itoa(at)
 			break
 		}
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -22,30 +22,30 @@
 // simulations is the number of random fleets.
 const simulations = 240
 
-// scenes are all scenes. Their names and order are those of the file.
-func scenes() (all []scene) {
+// allScenes are all scenes. Their names and order are those of the file.
+func allScenes() (all []scene) {
 	for seed := range simulations {
 		all = append(all, scene{name: fmt.Sprintf("simulation-%03d", seed),
-			play: func(r *recording) { simulate(r, seed) }})
+			play: func(r *recording) { playSimulation(r, seed) }})
 	}
 	for i, s := range stepScenes() {
 		all = append(all, scene{name: fmt.Sprintf("steps-%02d", i),
-			play: func(r *recording) { rig(r, s) }})
+			play: func(r *recording) { playSteps(r, s) }})
 	}
-	for i, p := range pressedScenes() {
+	for i, p := range overloadScenes() {
 		all = append(all, scene{name: fmt.Sprintf("pressed-%02d", i),
-			play: func(r *recording) { pressed(r, p) }})
+			play: func(r *recording) { playOverload(r, p) }})
 	}
 	for seed := range int64(20) {
 		all = append(all, scene{name: fmt.Sprintf("any-events-%02d", seed),
-			play: func(r *recording) { anyEvents(r, seed) }})
+			play: func(r *recording) { playAnyEvents(r, seed) }})
 	}
 	return all
 }
 
-// simulate plays a random fleet; some are larger, some have tenants with shares, and some hedge
+// playSimulation plays a random fleet; some are larger, some have tenants with shares, and some hedge
 // requests.
-func simulate(r *recording, seed int) {
+func playSimulation(r *recording, seed int) {
 	s := simulation.FromSeed(seed)
 	if seed%12 == 3 {
 		s = s.Larger()
@@ -104,9 +104,9 @@
 	}
 }
 
-// rig takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more
+// playSteps takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more
 // than their shares.
-func rig(r *recording, s steps.Scene) {
+func playSteps(r *recording, s steps.Scene) {
 	const taken = 400
 	var tenants []router.Tenant
 	if s.Seed%3 == 1 {
@@ -120,8 +120,8 @@
 	}).Run(taken)
 }
 
-// pressedScenes are controllers that get more queries than they can decide on.
-func pressedScenes() []steps.Overload {
+// overloadScenes are controllers that get more queries than they can decide on.
+func overloadScenes() []steps.Overload {
 	return []steps.Overload{
 		{Seed: 1, LoadFactor: 0.5, AttemptTime: 0.05, RejectionTime: 0.005, RefusalTime: 0.001, Length: 300},
 		{Seed: 2, LoadFactor: 2, AttemptTime: 0.05, RejectionTime: 0.005, RefusalTime: 0.001, Length: 300},
@@ -130,7 +130,7 @@
 	}
 }
 
-func pressed(r *recording, p steps.Overload) {
+func playOverload(r *recording, p steps.Overload) {
 	p.Play(func(seed int64, place router.Identity, kinds []router.MachineKind,
 		classes []router.QueryClass, tenants []router.Tenant,
 		capabilities router.Capabilities, limits router.SafetyLimits) steps.Module {
@@ -146,8 +146,8 @@
 	serial router.QueryID
 }
 
-// anyEvents plays such a module; outcomes hit an attempt by chance.
-func anyEvents(r *recording, seed int64) {
+// playAnyEvents plays such a module; outcomes hit an attempt by chance.
+func playAnyEvents(r *recording, seed int64) {
 	const taken = 400
 	run := &anyEventsRun{rng: rand.New(rand.NewSource(seed)), now: 1e6}
 	capabilities := router.Capabilities{Cancel: true, HealthChecks: true, Hedging: true,
--- a/internal/lab/scale/dissemination/network.go
+++ b/internal/lab/scale/dissemination/network.go
@@ -61,8 +61,8 @@
 
 // run lets time pass.
 func (n *network) run(until float64) {
-	for n.events.Next() <= until {
-		e := n.events.Take()
+	for n.events.NextTime() <= until {
+		e := n.events.Pop()
 		n.now = e.At
 		e.Run()
 	}
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -107,11 +107,11 @@
 
 // runUntil plays all events up to a time.
 func (s *simulation) runUntil(ctx context.Context, until float64) error {
-	for played := 0; s.queue.Next() <= until && s.err == nil; played++ {
+	for played := 0; s.queue.NextTime() <= until && s.err == nil; played++ {
 		if played%1024 == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
-		e := s.queue.Take()
+		e := s.queue.Pop()
 		s.now = e.At
 		e.Run()
 	}
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -79,8 +79,8 @@
 	}
 	sim.result.Checker = sim.checker
 	sim.begin()
-	for sim.queue.Next() <= sim.Length {
-		e := sim.queue.Take()
+	for sim.queue.NextTime() <= sim.Length {
+		e := sim.queue.Pop()
 		sim.now = max(sim.now, e.At)
 		e.Run()
 	}
--- a/internal/lab/steps/overload.go
+++ b/internal/lab/steps/overload.go
@@ -65,40 +65,40 @@
 	serial          router.QueryID
 	queue           []*pendingQuery
 	running         []*pendingQuery // with an attempt, in the order of its end, as all take as long
-	open            map[router.QueryID]*pendingQuery
+	unanswered      map[router.QueryID]*pendingQuery
 	attemptsStarted int     // in the last step
-	busy            float64 // ms of processor time in this turn
+	cpuTime         float64 // ms of processor time in this turn
 	answeredWait    float64 // ms, sum over answered queries
 	rejectedWait    float64 // ms, sum over rejected queries
 }
 
 // Play runs it to the end. newModule makes the module.
-func (p Overload) Play(newModule Make) OverloadResult {
+func (p Overload) Play(newModule Constructor) OverloadResult {
 	r := p.start(newModule)
-	for r.now < r.end || len(r.queue) > 0 || len(r.open) > 0 {
-		r.passIdleTime()
-		r.busy = 0
-		r.takeArrivals()
+	for r.now < r.end || len(r.queue) > 0 || len(r.unanswered) > 0 {
+		r.skipIdleTime()
+		r.cpuTime = 0
+		r.enqueueArrivals()
 		events := append(r.endAttempts(), r.dequeue()...)
 		if r.timerAt <= r.now {
 			r.timerAt = math.Inf(1)
 		}
 		for _, action := range r.module.Step(r.now, events) {
-			r.carryOut(action)
+			r.execute(action)
 		}
-		r.now += r.busy
+		r.now += r.cpuTime
 	}
 	r.out.AnsweredAfter = r.answeredWait / float64(max(1, r.out.InTime+r.out.Late))
 	r.out.RejectedAfter = r.rejectedWait / float64(max(1, r.out.Rejected))
 	return r.out
 }
 
-func (p Overload) start(newModule Make) *overloadRun {
+func (p Overload) start(newModule Constructor) *overloadRun {
 	const began, engines = 1e6, 50
 	class := router.QueryClass{Effect: router.Idempotent, LatencyObjective: overloadObjective,
 		ClientTimeout: overloadTimeout, Threads: 1, LateBenefit: 0.3}
 	r := &overloadRun{Overload: p, rng: rand.New(rand.NewSource(p.Seed)), now: began,
-		nextArrival: began, end: began + p.Length, timerAt: math.Inf(1), open: map[router.QueryID]*pendingQuery{}}
+		nextArrival: began, end: began + p.Length, timerAt: math.Inf(1), unanswered: map[router.QueryID]*pendingQuery{}}
 	r.module = newModule(p.Seed, router.Identity{Controllers: 1},
 		[]router.MachineKind{{Cores: 64, MemoryMB: memory}}, []router.QueryClass{class}, nil,
 		router.Capabilities{Cancel: true, MaxAttempts: 3},
@@ -111,8 +111,8 @@
 	return r
 }
 
-// passIdleTime advances the time to the next event, if there is nothing to do now.
-func (r *overloadRun) passIdleTime() {
+// skipIdleTime advances the time to the next event, if there is nothing to do now.
+func (r *overloadRun) skipIdleTime() {
 	idle := math.Inf(1)
 	if r.nextArrival < r.end {
 		idle = r.nextArrival
@@ -127,15 +127,15 @@
 	}
 }
 
-// takeArrivals puts the queries that have come into the queue.
-func (r *overloadRun) takeArrivals() {
+// enqueueArrivals puts the queries that have come into the queue.
+func (r *overloadRun) enqueueArrivals() {
 	spacing := r.AttemptTime / r.LoadFactor
 	for r.nextArrival <= r.now && r.nextArrival < r.end {
 		r.serial++
 		r.out.Queries++
 		if len(r.queue) >= overloadQueue {
 			r.out.Refused++
-			r.busy += r.RefusalTime
+			r.cpuTime += r.RefusalTime
 		} else {
 			r.queue = append(r.queue, &pendingQuery{id: r.serial, arrivedAt: r.nextArrival})
 		}
@@ -185,31 +185,31 @@
 		if !r.WithoutArrivalWait {
 			event.ArrivalWait = waited
 		}
-		r.open[c.id] = c
+		r.unanswered[c.id] = c
 		events = append(events, event)
 	}
 	return events
 }
 
-func (r *overloadRun) carryOut(action router.Action) {
+func (r *overloadRun) execute(action router.Action) {
 	switch a := action.(type) {
 	case router.StartAttempt:
-		r.busy += r.AttemptTime
+		r.cpuTime += r.AttemptTime
 		r.attemptsStarted++
-		if c := r.open[a.ID]; c != nil {
-			c.startedAt = r.now + r.busy
+		if c := r.unanswered[a.ID]; c != nil {
+			c.startedAt = r.now + r.cpuTime
 			r.running = append(r.running, c)
 		}
 	case router.Reject:
-		r.busy += r.RejectionTime
-		if c := r.open[a.ID]; c != nil {
+		r.cpuTime += r.RejectionTime
+		if c := r.unanswered[a.ID]; c != nil {
 			r.out.Rejected++
-			r.rejectedWait += r.finish(c, r.now+r.busy)
+			r.rejectedWait += r.finish(c, r.now+r.cpuTime)
 		}
 	case router.Fail:
-		if c := r.open[a.ID]; c != nil {
+		if c := r.unanswered[a.ID]; c != nil {
 			r.out.Failed++
-			r.finish(c, r.now+r.busy)
+			r.finish(c, r.now+r.cpuTime)
 		}
 	case router.SetTimer:
 		r.timerAt = r.now + a.After
@@ -219,7 +219,7 @@
 // finish gives a query its final answer, and returns how long it took, in ms.
 func (r *overloadRun) finish(c *pendingQuery, at float64) float64 {
 	c.done = true
-	delete(r.open, c.id)
+	delete(r.unanswered, c.id)
 	if at > c.arrivedAt+overloadTimeout {
 		r.out.Missed++
 	}
--- a/internal/lab/steps/queue_test.go
+++ b/internal/lab/steps/queue_test.go
@@ -18,7 +18,7 @@
 	_  [20]uint64
 }
 
-func order(a, b *item) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) }
+func compareItems(a, b *item) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) }
 
 // queue is what the module asks of its queued queries.
 type queue interface {
@@ -27,74 +27,74 @@
 	first(n int, visit func(*item))
 }
 
-type asSlice struct{ list []*item }
+type sliceQueue struct{ list []*item }
 
-func (s *asSlice) insert(x *item) {
-	at, _ := slices.BinarySearchFunc(s.list, x, order)
+func (s *sliceQueue) insert(x *item) {
+	at, _ := slices.BinarySearchFunc(s.list, x, compareItems)
 	s.list = slices.Insert(s.list, at, x)
 }
-func (s *asSlice) remove(x *item) {
-	if at, ok := slices.BinarySearchFunc(s.list, x, order); ok {
+func (s *sliceQueue) remove(x *item) {
+	if at, ok := slices.BinarySearchFunc(s.list, x, compareItems); ok {
 		s.list = slices.Delete(s.list, at, at+1)
 	}
 }
-func (s *asSlice) first(n int, visit func(*item)) {
+func (s *sliceQueue) first(n int, visit func(*item)) {
 	for _, x := range s.list[:min(n, len(s.list))] {
 		visit(x)
 	}
 }
 
-type asGoogle struct{ t *gbtree.BTreeG[*item] }
+type googleQueue struct{ t *gbtree.BTreeG[*item] }
 
-func (s *asGoogle) insert(x *item) { s.t.ReplaceOrInsert(x) }
-func (s *asGoogle) remove(x *item) { s.t.Delete(x) }
-func (s *asGoogle) first(n int, visit func(*item)) {
+func (s *googleQueue) insert(x *item) { s.t.ReplaceOrInsert(x) }
+func (s *googleQueue) remove(x *item) { s.t.Delete(x) }
+func (s *googleQueue) first(n int, visit func(*item)) {
 	s.t.Ascend(func(x *item) bool { visit(x); n--; return n > 0 })
 }
 
-type asTidwall struct{ t *tbtree.BTreeG[*item] }
+type tidwallQueue struct{ t *tbtree.BTreeG[*item] }
 
-func (s *asTidwall) insert(x *item) { s.t.Set(x) }
-func (s *asTidwall) remove(x *item) { s.t.Delete(x) }
-func (s *asTidwall) first(n int, visit func(*item)) {
+func (s *tidwallQueue) insert(x *item) { s.t.Set(x) }
+func (s *tidwallQueue) remove(x *item) { s.t.Delete(x) }
+func (s *tidwallQueue) first(n int, visit func(*item)) {
 	s.t.Scan(func(x *item) bool { visit(x); n--; return n > 0 })
 }
 
 // What a queue of queries in order costs: one comes, one of the first goes, the first hundred are
 // visited.
 func BenchmarkQueue(b *testing.B) {
-	less := func(x, y *item) bool { return order(x, y) < 0 }
+	less := func(x, y *item) bool { return compareItems(x, y) < 0 }
 	for _, n := range []int{10, 1000, 100000} {
-		for name, newHeld := range map[string]func() queue{
-			"slice":  func() queue { return &asSlice{} },
-			"google": func() queue { return &asGoogle{gbtree.NewG(32, less)} },
+		for name, newQueue := range map[string]func() queue{
+			"slice":  func() queue { return &sliceQueue{} },
+			"google": func() queue { return &googleQueue{gbtree.NewG(32, less)} },
 			"tidwall": func() queue {
-				return &asTidwall{tbtree.NewBTreeGOptions(less, tbtree.Options{NoLocks: true, Degree: 32})}
+				return &tidwallQueue{tbtree.NewBTreeGOptions(less, tbtree.Options{NoLocks: true, Degree: 32})}
 			},
 		} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
-				h, rng, id := newHeld(), rand.New(rand.NewSource(1)), uint32(0)
-				come := func() {
+				q, rng, id := newQueue(), rand.New(rand.NewSource(1)), uint32(0)
+				insertNext := func() {
 					id++
-					h.insert(&item{at: float64(id) + rng.Float64()*float64(n)/3, id: id})
+					q.insert(&item{at: float64(id) + rng.Float64()*float64(n)/3, id: id})
 				}
 				for range n {
-					come()
+					insertNext()
 				}
 				for b.Loop() {
-					come()
-					var gone *item
+					insertNext()
+					var removed *item
 					skip, sum := rng.Intn(5), 0.0
-					h.first(100, func(x *item) {
+					q.first(100, func(x *item) {
 						if sum += x.at; skip == 0 {
-							gone = x
+							removed = x
 						}
 						skip--
 					})
-					if gone == nil {
-						h.first(1, func(x *item) { gone = x })
+					if removed == nil {
+						q.first(1, func(x *item) { removed = x })
 					}
-					h.remove(gone)
+					q.remove(removed)
 				}
 			})
 		}
--- a/internal/lab/steps/scenarios_test.go
+++ b/internal/lab/steps/scenarios_test.go
@@ -20,7 +20,7 @@
 	attempts    []router.StartAttempt // in order
 }
 
-func newDriver(t *testing.T, newModule Make, classes []router.QueryClass,
+func newDriver(t *testing.T, newModule Constructor, classes []router.QueryClass,
 	limits router.SafetyLimits) *driver {
 	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	return &driver{t: t, now: 1e6, outstanding: map[router.QueryID]router.EngineID{},
@@ -45,8 +45,8 @@
 	}
 }
 
-// answer ends an attempt with an answer.
-func (f *driver) answer(id router.QueryID) router.AttemptEnded {
+// answerQuery ends an attempt with an answer.
+func (f *driver) answerQuery(id router.QueryID) router.AttemptEnded {
 	delete(f.outstanding, id)
 	f.finals[id]++
 	return router.AttemptEnded{ID: id, QueryDone: true, Elapsed: 30,
@@ -111,7 +111,7 @@
 		var events []router.Event
 		for _, s := range f.attempts[max(0, len(f.attempts)-300):] { // the latest are answered
 			if _, out := f.outstanding[s.ID]; out && f.finals[s.ID] == 0 {
-				events = append(events, f.answer(s.ID))
+				events = append(events, f.answerQuery(s.ID))
 			}
 		}
 		f.step(20, events...)
@@ -137,7 +137,7 @@
 func TestLongOrderingQueues(t *testing.T) {
 	for _, c := range []struct {
 		keys, queries, steps int
-		newModule            Make
+		newModule            Constructor
 	}{{300, 1500, 400, twin(t)}, {1, 400, 400, twin(t)}, {20000, 20000, 300, module},
 		{1, 20000, 300, module}} {
 		classes := []router.QueryClass{{Effect: router.Idempotent, LatencyObjective: 1e6,
@@ -180,7 +180,7 @@
 			}
 			slices.Sort(ids)
 			if len(ids) > 0 {
-				f.step(1, f.answer(ids[rng.Intn(len(ids))]))
+				f.step(1, f.answerQuery(ids[rng.Intn(len(ids))]))
 			}
 			f.step(1) // the next in a queue starts once the one before is forgotten
 		}
@@ -210,7 +210,7 @@
 		if _, out := f.outstanding[c.ID]; !out {
 			t.Fatalf("%d was queued behind queries that no engine may run", c.ID)
 		}
-		f.step(1, f.answer(c.ID))
+		f.step(1, f.answerQuery(c.ID))
 	}
 	f.step(5000)
 	f.step(100)
@@ -236,7 +236,7 @@
 // All kinds of events in one step, in any order: the same as the reference, and as another of the
 // same order.
 func TestAnyOrder(t *testing.T) {
-	play := func(newModule Make, seed int64) (all []router.StartAttempt) {
+	play := func(newModule Constructor, seed int64) (all []router.StartAttempt) {
 		rng := rand.New(rand.NewSource(seed))
 		f := newDriver(t, newModule, Classes(4000), limits)
 		f.step(0, router.EndpointsUpdated{Complete: true,
@@ -251,7 +251,7 @@
 			for id := range router.QueryID(300) { // also of some without an attempt
 				id = f.serial - id
 				if _, out := f.outstanding[id]; out && rng.Intn(3) == 0 {
-					events = append(events, f.answer(id))
+					events = append(events, f.answerQuery(id))
 				} else if rng.Intn(40) == 0 {
 					events = append(events,
 						router.AttemptProgress{ID: id, Kind: router.ProgressKind(rng.Intn(5)), Value: rng.Float64()})
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -20,8 +20,8 @@
 	Step(now float64, events []router.Event) []router.Action
 }
 
-// Make makes a module.
-type Make func(seed int64, place router.Identity, kinds []router.MachineKind,
+// Constructor makes a module.
+type Constructor func(seed int64, place router.Identity, kinds []router.MachineKind,
 	classes []router.QueryClass, tenants []router.Tenant,
 	capabilities router.Capabilities, limits router.SafetyLimits) Module
 
@@ -100,7 +100,7 @@
 }
 
 // New fills a scene.
-func New(s Scene, newModule Make) *Rig {
+func New(s Scene, newModule Constructor) *Rig {
 	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6,
 		queued:        map[router.QueryID]bool{},
@@ -115,10 +115,10 @@
 	for t := range s.Tables { // all are known before they are packed
 		g.arrive(router.TableGroup(t))
 		if t%64 == 63 {
-			g.pass(1)
+			g.runFor(1)
 		}
 	}
-	g.pass(2200)
+	g.runFor(2200)
 	g.longestAtStart = g.longest
 	want := s.Engines / 10
 	switch s.Busy {
@@ -139,10 +139,10 @@
 		for n := 0; !g.isFull(want) && n < 64*s.Engines+2*s.Queued; n++ {
 			g.arrive(-1)
 			if g.serial%16 == 0 {
-				g.pass(0.01)
+				g.runFor(0.01)
 			}
 		}
-		g.pass(60)
+		g.runFor(60)
 	}
 	return g
 }
@@ -234,8 +234,8 @@
 	return cost
 }
 
-// pass lets some ms pass, with the steps that the module sets its timer for.
-func (g *Rig) pass(ms float64) {
+// runFor lets some ms pass, with the steps that the module sets its timer for.
+func (g *Rig) runFor(ms float64) {
 	for end := g.now + ms; g.now < end; {
 		g.now = min(end, max(g.now+0.001, g.timerAt))
 		g.timerAt = math.Inf(1)
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -36,7 +36,7 @@
 }
 
 // twin steps module and reference, and reports where they differ.
-func twin(t *testing.T) Make {
+func twin(t *testing.T) Constructor {
 	return func(seed int64, place router.Identity, kinds []router.MachineKind,
 		classes []router.QueryClass, tenants []router.Tenant,
 		capabilities router.Capabilities, limits router.SafetyLimits) Module {
--- a/match/match_test.go
+++ b/match/match_test.go
@@ -189,9 +189,9 @@
 	var s match.Scratch
 	for i := range n {
 		typ := match.Type(rng.Intn(4))
-		drawn := exprs.Draw(rng, typ, rng.Intn(6))
+		drawn := exprs.Generate(rng, typ, rng.Intn(6))
 		if i%4 == 0 {
-			if _, err := match.Compile(exprs.Break(rng, drawn.Source), typ, schema, match.DefaultBounds()); err != nil {
+			if _, err := match.Compile(exprs.Corrupt(rng, drawn.Source), typ, schema, match.DefaultBounds()); err != nil {
 				broken++
 			}
 			continue
@@ -206,7 +206,7 @@
 		}
 		compiled++
 		for range 4 {
-			r := exprs.Row(rng)
+			r := exprs.RandomRow(rng)
 			var got, want any
 			switch typ {
 			case match.Bool:
@@ -278,7 +278,7 @@
 func FuzzCompile(f *testing.F) {
 	rng := rand.New(rand.NewSource(2))
 	for range 20 {
-		f.Add(exprs.Draw(rng, match.Bool, 4).Source)
+		f.Add(exprs.Generate(rng, match.Bool, 4).Source)
 	}
 	f.Add(`profile matches "(a+)+$" && label("x") like "**?"`)
 	f.Fuzz(func(t *testing.T, source string) {
