--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,5 @@
-// Package deploy checks that what the operators build by balancer.toml is what their bench can start.
+// Package deploy checks that the build described by balancer.toml yields a program that the operators' test bench can
+// start, and that the file lists all sources that it should.
 package deploy
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// manifest is balancer.toml, as far as it is checked here.
+// manifest holds the fields of balancer.toml that the tests check.
 type manifest struct {
 	Build  string   `toml:"build"`
 	Run    string   `toml:"run"`
@@ -31,11 +32,12 @@
 	return r
 }
 
-// The bench leads clocks and sockets of a controller to itself by a library that the C library's loader puts into it.
-// A program that the loader does not start would run on the machine's own clock, and the bench refuses it.
+// TestBuildNeedsTheLoader guards against a statically linked build. The test bench redirects the clock and socket calls
+// of a controller by a library that the dynamic loader preloads. A program without the loader would run on the machine's
+// own clock, and the bench refuses it.
 func TestBuildNeedsTheLoader(t *testing.T) {
 	if _, err := exec.LookPath("gcc"); err != nil {
-		t.Skip("no C compiler here: the build line can't be tried")
+		t.Skip("gcc is not installed: the build command cannot run")
 	}
 	r, root := readManifest(t), t.TempDir()
 	for _, name := range []string{"go.mod", "go.sum", "cmd", "internal", "match", "router"} {
@@ -63,7 +65,7 @@
 	}
 	words := strings.Fields(r.Run)
 	if len(words) < 2 || words[0] != "exec" {
-		t.Fatalf("run = %q: it has to end in one process, by exec", r.Run)
+		t.Fatalf("run = %q, want exec and a program: the shell must be replaced by the controller's process", r.Run)
 	}
 	program := filepath.Join(root, words[1])
 	file, err := elf.Open(program)
@@ -72,26 +74,28 @@
 	}
 	defer file.Close()
 	if file.Section(".interp") == nil {
-		t.Errorf("%s is not started by a loader", words[1])
+		t.Errorf("%s has no .interp section, want a dynamically linked program", words[1])
 	}
 	if libraries, err := file.ImportedLibraries(); err != nil || len(libraries) == 0 {
-		t.Errorf("%s needs libraries %v (%v): none of the C library's", words[1], libraries, err)
+		t.Errorf("%s imports libraries %v (error %v), want at least the C library", words[1], libraries, err)
 	}
 	if out, err := exec.Command(program, "version").CombinedOutput(); err != nil {
-		t.Errorf("what was built does not start: %v\n%s", err, out)
+		t.Errorf("%s version: %v\n%s", words[1], err, out)
 	}
 }
 
-// nonPolicyFiles are the files of the module that hold its interface, its state and its search structures, and decide nothing.
+// nonPolicyFiles are the files of package router that hold its interface, its state and its search structures, and make
+// no decisions.
 var nonPolicyFiles = []string{
 	"actions.go", "alarms.go", "backoff.go", "candidates.go", "class.go", "decay.go", "doc.go", "engine.go", "events.go", "heap.go",
 	"ordering.go", "query.go", "queue.go", "reasons.go", "router.go", "search.go", "settings.go", "shedwatch.go",
 	"sort.go", "statistics.go", "status.go", "tablegroup.go", "window.go", "worthcache.go",
 }
 
-// The operators read the module and the daemon by these lists: each file of the module is either listed as policy or
-// known not to decide, so that no decision lies where they don't look, and each package of the daemon is named, or it
-// would be counted as nobody's.
+// TestPathsAreNamed guards against sources missing from the lists of balancer.toml, by which the operators review the
+// decision module and the daemon. Each file of package router must be either under policy or among nonPolicyFiles, so
+// that no decision is made in a file that they do not review. Each package of the daemon must be under node, or it would
+// be attributed to nobody.
 func TestPathsAreNamed(t *testing.T) {
 	r := readManifest(t)
 	const widest = 110
@@ -106,7 +110,7 @@
 		}
 		policy := slices.Contains(r.Policy, "router/"+base)
 		if policy == slices.Contains(nonPolicyFiles, base) {
-			t.Errorf("router/%s has to be either under policy or among the files that decide nothing", base)
+			t.Errorf("router/%s: under policy: %v, in nonPolicyFiles: %v; want exactly one", base, policy, policy)
 		}
 	}
 	for _, name := range r.Policy {
@@ -116,7 +120,7 @@
 		}
 		for i, line := range strings.Split(string(data), "\n") {
 			if n := utf8.RuneCountInString(line); n > widest {
-				t.Errorf("%s:%d has %d characters, over %d", name, i+1, n, widest)
+				t.Errorf("%s:%d has %d characters, want at most %d", name, i+1, n, widest)
 			}
 		}
 	}
@@ -134,7 +138,7 @@
 			named = named || inside == n || strings.HasPrefix(inside, n+"/")
 		}
 		if !named {
-			t.Errorf("the daemon's package %s is not under node", inside)
+			t.Errorf("package %s of the daemon is not listed under node", inside)
 		}
 	}
 }
