--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/router"
 
-// feature is something that scenes do, or that the module does in them.
+// feature is a kind of event, action or setting whose occurrences in the scenes are counted.
 type feature int
 
 const (
@@ -59,10 +59,10 @@
 	sceneWithSlowStart
 	sceneWithAbsurdReports
 	sceneWithHostileStatistics
-	featureCount // their number
+	featureCount // number of features
 )
 
-// featureNames are the names in reports, in the order of the constants.
+// featureNames are the names of the features in the test's log, in the order of the constants.
 var featureNames = [featureCount]string{
 	"complete lists", "cached lists", "list changes", "list failures", "expired lists",
 	"draining engines", "gone engines", "started engines",
@@ -82,7 +82,7 @@
 	"scenes with slow start", "scenes with absurd reports", "scenes with hostile statistics",
 }
 
-// outcomeFeatures are the features of outcomes.
+// outcomeFeatures maps each outcome of an attempt to its feature.
 var outcomeFeatures = map[router.Outcome]feature{
 	router.Succeeded:       attemptAnswered,
 	router.Errored:         attemptErrored,
@@ -95,7 +95,7 @@
 	router.Withdrawn:       attemptWithdrawn,
 }
 
-// coverage counts features.
+// coverage counts the occurrences of each feature.
 type coverage [featureCount]int
 
 func (c *coverage) add(f feature, seen bool) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// countEvents counts the kinds of events.
+// countEvents counts the features of events, and keeps the number of attempts in flight of each query.
 func (m *module) countEvents(events []router.Event) {
 	c := &m.recording.counts
 	for _, event := range events {
--- a/internal/lab/recorded/encoder_test.go
+++ b/internal/lab/recorded/encoder_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"math"
 
 	"github.com/cespare/xxhash/v2"
@@ -9,7 +10,7 @@
 	"mintkeel/router"
 )
 
-// Tags of the encoded records. The recorded hashes depend on them: they must not change.
+// Tags of the encoded records. They must not change, because the recorded hashes depend on them.
 const (
 	tagStartAttempt  byte = 1
 	tagCancelAttempt byte = 2
@@ -23,7 +24,8 @@
 	tagEngines       byte = 22
 )
 
-// encoder hashes steps in a form that holds values alone and names no type and no field.
+// encoder hashes steps in an encoding of values alone, without names of types and fields, so that
+// renaming these changes no hash.
 type encoder struct {
 	digest  *xxhash.Digest
 	scratch []byte
@@ -31,10 +33,10 @@
 
 func newEncoder() *encoder { return &encoder{digest: xxhash.New()} }
 
-// sum is the hash of all that was encoded so far.
+// sum returns the hash of everything flushed so far.
 func (e *encoder) sum() uint64 { return e.digest.Sum64() }
 
-// flush moves what was encoded into the hash.
+// flush adds the pending encoded bytes to the hash.
 func (e *encoder) flush() {
 	e.digest.Write(e.scratch)
 	e.scratch = e.scratch[:0]
@@ -46,7 +48,7 @@
 	e.scratch = binary.LittleEndian.AppendUint64(e.scratch, uint64(x))
 }
 
-// number encodes the bits of x; all values that are no number count as one.
+// number encodes the bits of x; all NaNs are encoded alike.
 func (e *encoder) number(x float64) {
 	bits := math.Float64bits(x)
 	if math.IsNaN(x) {
@@ -60,7 +62,7 @@
 	e.scratch = append(e.scratch, s...)
 }
 
-// step encodes a step of one controller.
+// step encodes a step of one controller and its actions.
 func (e *encoder) step(controller int, now float64, actions []router.Action) {
 	e.tag(tagStep)
 	e.integer(int64(controller))
@@ -100,7 +102,7 @@
 	case router.Subscribe:
 		e.tag(tagSubscribe)
 	default:
-		panic("an action of an unknown kind")
+		panic(fmt.Sprintf("recorded: action of unknown type %T", a))
 	}
 }
 
@@ -109,7 +111,7 @@
 	e.number(w.Weight)
 }
 
-// statistics encodes the statistics of a controller.
+// statistics encodes the exported statistics of a controller.
 func (e *encoder) statistics(l router.Statistics) {
 	e.tag(tagStatistics)
 	e.integer(int64(len(l.Engines)))
@@ -150,7 +152,7 @@
 	e.flush()
 }
 
-// engines encodes what a controller knows of its engines just now.
+// engines encodes the present statuses of a controller's engines.
 func (e *encoder) engines(list []router.EngineStatus) {
 	e.tag(tagEngines)
 	e.integer(int64(len(list)))
@@ -175,8 +177,8 @@
 	e.flush()
 }
 
-// countActions counts the kinds of actions, and the attempts that are retries or run beside
-// another.
+// countActions counts the features of actions. An attempt of a query that had one before is a retry;
+// one started while another is in flight is also a hedged request.
 func (m *module) countActions(actions []router.Action) {
 	c := &m.recording.counts
 	for _, action := range actions {
--- a/internal/lab/recorded/norace_test.go
+++ b/internal/lab/recorded/norace_test.go
@@ -2,5 +2,5 @@
 
 package recorded
 
-// sceneStride is the distance between two scenes that are played: all are.
+// sceneStride is the distance between two scenes that are played; here all scenes are.
 const sceneStride = 1
--- a/internal/lab/recorded/race_test.go
+++ b/internal/lab/recorded/race_test.go
@@ -2,6 +2,6 @@
 
 package recorded
 
-// sceneStride is the distance between two scenes that are played. The race detector makes a scene
-// several times as expensive.
+// sceneStride is the distance between two scenes that are played. Only every fifth scene is, as the
+// race detector makes a scene several times as expensive.
 const sceneStride = 5
--- a/internal/lab/recorded/recorded_test.go
+++ b/internal/lab/recorded/recorded_test.go
@@ -11,13 +11,14 @@
 	"mintkeel/router"
 )
 
-// recordsPath is the file of the recorded hashes.
+// recordsPath is the path of the recorded hashes.
 const recordsPath = "testdata/actions.txt"
 
 var update = flag.Bool("update-recorded", false,
 	"rewrite "+recordsPath+" from the module as it is, for a change that is meant to alter decisions; the test fails")
 
-// playAll plays the scenes that are due, several at a time, once for all tests. The others are nil.
+// playAll plays every sceneStride-th scene, several at a time, once for all tests. The recordings of
+// the other scenes are nil.
 var playAll = sync.OnceValue(func() []*recording {
 	all := allScenes()
 	recordings := make([]*recording, len(all))
@@ -31,7 +32,7 @@
 			}
 		})
 	}
-	for i := len(all) - 1; i >= 0; i-- { // the longest are at the end
+	for i := len(all) - 1; i >= 0; i-- { // the longest, which are last, start first
 		if i%sceneStride == 0 {
 			jobs <- i
 		}
@@ -41,24 +42,25 @@
 	return recordings
 })
 
-// The module is refactored, and by mistake a decision changes in a rare situation. All actions of
-// the module, and what it reports of its statistics and engines, must be those recorded before the
-// refactoring, bit by bit.
+// TestActionsAreAsRecorded guards against a refactoring that changes a decision by mistake, even in
+// a rare situation. All actions of the module, its exported statistics and its engine statuses must
+// equal those recorded before the refactoring, bit by bit.
 //
-// The hashes were recorded on amd64. Elsewhere the compiler may fuse a multiplication with an
-// addition and round once: the test then fails, and says so.
+// The hashes were recorded on amd64. On other architectures the compiler may fuse a multiplication
+// with an addition, which rounds only once: the test then fails, and its message names the
+// architecture.
 func TestActionsAreAsRecorded(t *testing.T) {
 	if *update {
 		rewriteRecords(t)
 	}
 	all, records := allScenes(), readRecords(t, recordsPath)
 	if len(records) != len(all) {
-		t.Fatalf("%d scenes are recorded, of %d", len(records), len(all))
+		t.Fatalf("%s has %d scenes, want %d", recordsPath, len(records), len(all))
 	}
 	differ, played, first := 0, 0, ""
 	for i, r := range playAll() {
 		if records[i].name != all[i].name {
-			t.Fatalf("scene %s is recorded as %s", all[i].name, records[i].name)
+			t.Fatalf("record %d is of scene %s, want %s", i, records[i].name, all[i].name)
 		}
 		if r == nil {
 			continue
@@ -71,17 +73,17 @@
 		}
 	}
 	if differ > 0 {
-		t.Errorf("%d of %d scenes differ on %s (recorded on amd64); the first: %s", differ, played,
+		t.Errorf("%d of %d scenes differ from their records on %s (recorded on amd64); first: %s", differ, played,
 			runtime.GOARCH, first)
 	}
 }
 
-// rewriteRecords writes the file and fails the test: a run that rewrites it proves nothing. CI never
-// rewrites it.
+// rewriteRecords writes the file and fails the test, since a run that rewrites the file checks
+// nothing. It refuses to do so in CI and when only some scenes are played.
 func rewriteRecords(t *testing.T) {
 	t.Helper()
 	if os.Getenv("CI") != "" || sceneStride != 1 {
-		t.Fatal("-update-recorded is for a developer's run without the race detector")
+		t.Fatal("-update-recorded must not be used in CI or with the race detector")
 	}
 	lines := []string{"# Scene, steps, actions, hash of all, checkpoints after equal numbers of steps. Written by -update-recorded."}
 	all := allScenes()
@@ -94,8 +96,8 @@
 	t.Fatalf("%s is rewritten; run again without -update-recorded", recordsPath)
 }
 
-// Scenes that stay quiet would prove nothing. Together they have every kind of event and action,
-// many times over.
+// TestScenesReachEveryFeature guards against scenes that exercise too little of the module: together
+// they must contain every feature, at least ten times if all scenes are played.
 func TestScenesReachEveryFeature(t *testing.T) {
 	var counts coverage
 	steps, actions := 0, 0
@@ -113,13 +115,13 @@
 			least = 10
 		}
 		if n < least {
-			t.Errorf("%s: %d are too few", featureNames[f], n)
+			t.Errorf("%s: counted %d, want at least %d", featureNames[f], n, least)
 		}
 	}
 }
 
-// A recording notices each single change of an action: another kind, value, order, time or number
-// of them.
+// TestEncoderTellsActionsApart checks that steps differ in their hash if their actions differ in
+// type, value, order or number, or if their times differ.
 func TestEncoderTellsActionsApart(t *testing.T) {
 	attempt := router.StartAttempt{ID: 1, Engine: "a", Deadline: 2, StartBy: 3}
 	steps := [][]router.Action{
@@ -153,11 +155,12 @@
 		}
 	}
 	if len(seen) != 2*len(steps) {
-		t.Errorf("%d hashes of %d steps", len(seen), 2*len(steps))
+		t.Errorf("got %d different hashes, want %d, one per step", len(seen), 2*len(steps))
 	}
 }
 
-// A difference is reported with the steps between the two checkpoints around it.
+// TestDifferenceNamesTheSteps checks that a difference is reported with the range of steps between
+// the two checkpoints around it.
 func TestDifferenceNamesTheSteps(t *testing.T) {
 	record := func(other int) *recording {
 		r := newRecording()
@@ -173,12 +176,12 @@
 	}
 	want := record(-1).record("scene")
 	if got := record(-1).difference(want); got != "" {
-		t.Errorf("the same differs: %s", got)
+		t.Errorf("difference between equal recordings is %q, want none", got)
 	}
 	if got := record(50).difference(want); !strings.Contains(got, "in steps 50 to 56;") {
-		t.Error(got)
+		t.Errorf("got difference %q, want it in steps 50 to 56", got)
 	}
 	if got := record(99).difference(want); !strings.Contains(got, "in steps 99 to the last;") {
-		t.Error(got)
+		t.Errorf("got difference %q, want it in steps 99 to the last", got)
 	}
 }
--- a/internal/lab/recorded/recorder_test.go
+++ b/internal/lab/recorded/recorder_test.go
@@ -12,17 +12,17 @@
 	"mintkeel/router"
 )
 
-// readInterval is the number of steps between two readings of the statistics of a module and of the
-// states of its engines.
+// readInterval is the number of steps after which the statistics and the engine statuses of a module
+// are recorded too.
 const readInterval = 64
 
-// statisticsPart is the number of records that are exported at once.
+// statisticsPart is the largest number of statistics records in one part of an export.
 const statisticsPart = 20
 
-// checkpoints is the largest number of hashes of a scene before its last step.
+// checkpoints is the largest number of intermediate hashes in the record of a scene.
 const checkpoints = 16
 
-// recording is what the modules of one scene did, in order.
+// recording holds the hashes of everything that the modules of one scene did, in order.
 type recording struct {
 	encoder    *encoder
 	stepHashes []uint16 // the lowest bits of the hash after each step
@@ -32,19 +32,19 @@
 
 func newRecording() *recording { return &recording{encoder: newEncoder()} }
 
-// module is a module that is recorded.
+// module is a decision module whose actions are recorded.
 type module struct {
 	*router.Router
 	recording *recording
-	number    int // of the controller
+	number    int // index of the controller
 	attempts  map[router.QueryID]attempts
-	tenants   int // events are given tenants if it is above 0
+	tenants   int // number of tenants to which queries are assigned; 0: queries keep theirs
 }
 
-// attempts counts those of a query.
+// attempts counts the attempts of a query: all started, and those in flight.
 type attempts struct{ started, running int }
 
-// module makes a recorded module.
+// module returns a new module that is recorded in r.
 func (r *recording) module(seed int64, place router.Identity, kinds []router.MachineKind,
 	classes []router.QueryClass,
 	tenants []router.Tenant, capabilities router.Capabilities, limits router.SafetyLimits) *module {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Step has the module decide, and records the actions.
+// Step steps the module and records its actions.
 func (m *module) Step(now float64, events []router.Event) []router.Action {
 	events = m.assignTenants(events)
 	m.countEvents(events)
@@ -74,7 +74,7 @@
 	return actions
 }
 
-// allStatistics returns the statistics of the module, part by part.
+// allStatistics exports the statistics of the module in parts, and joins these.
 func (m *module) allStatistics() (all router.Statistics) {
 	for from, more := (router.Cursor{}), true; more; {
 		var part router.Statistics
@@ -84,7 +84,7 @@
 	return all
 }
 
-// assignTenants gives queries a tenant each by their id, and some none.
+// assignTenants assigns each query a tenant, or none, by a hash of its id.
 func (m *module) assignTenants(events []router.Event) []router.Event {
 	if m.tenants == 0 {
 		return events
@@ -100,18 +100,18 @@
 	return changed
 }
 
-// record is a line of the file: what is recorded of a scene.
+// record is a line of the file, the record of one scene.
 type record struct {
 	name           string
 	steps, actions int
 	hash           string
-	checkpoints    []string // after each interval of steps
+	checkpoints    []string // low bits of the hash after each interval of steps
 }
 
-// interval is the number of steps between two checkpoints.
+// interval returns the number of steps between two checkpoints.
 func (r record) interval() int { return r.steps/checkpoints + 1 }
 
-// record is the recording's record.
+// record returns the line of the file for the recording.
 func (r *recording) record(name string) record {
 	made := record{name: name, steps: len(r.stepHashes), actions: r.actions,
 		hash: fmt.Sprintf("%016x", r.encoder.sum())}
@@ -121,7 +121,7 @@
 	return made
 }
 
-// difference says where a recording departs from its record; empty: it doesn't.
+// difference describes where a recording differs from a record. It is empty if they are equal.
 func (r *recording) difference(want record) string {
 	got := r.record(want.name)
 	if got.steps == want.steps && got.actions == want.actions && got.hash == want.hash {
@@ -145,7 +145,7 @@
 		strings.Join(r.checkpoints, ","))
 }
 
-// readRecords reads the file, in its order.
+// readRecords reads the records of a file, in order, skipping comments.
 func readRecords(t *testing.T, path string) (records []record) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -161,7 +161,7 @@
 		var r record
 		var list string
 		if _, err := fmt.Sscan(lines.Text(), &r.name, &r.steps, &r.actions, &r.hash, &list); err != nil {
-			t.Fatalf("%q: %v", lines.Text(), err)
+			t.Fatalf("%s: line %q: %v", path, lines.Text(), err)
 		}
 		r.checkpoints = strings.Split(list, ",")
 		records = append(records, r)
--- a/internal/lab/recorded/scenes_test.go
+++ b/internal/lab/recorded/scenes_test.go
@@ -10,19 +10,19 @@
 	"mintkeel/router"
 )
 
-// scene is a fixed history: the same events as long as the module's actions are the same.
+// scene is a deterministic scenario: its events are the same as long as the module's actions are.
 type scene struct {
 	name string
 	play func(*recording)
 }
 
-// manyEngines is from how many engines a scene counts as one with many.
+// manyEngines is the number of engines from which a scene counts as one with many engines.
 const manyEngines = 60
 
-// simulations is the number of random fleets.
+// simulations is the number of scenes with a random fleet.
 const simulations = 240
 
-// allScenes are all scenes. Their names and order are those of the file.
+// allScenes returns all scenes, with the names and in the order of the file.
 func allScenes() (all []scene) {
 	for seed := range simulations {
 		all = append(all, scene{name: fmt.Sprintf("simulation-%03d", seed),
@@ -43,8 +43,8 @@
 	return all
 }
 
-// playSimulation plays a random fleet; some are larger, some have tenants with shares, and some hedge
-// requests.
+// playSimulation plays a random fleet. Some fleets are larger, some have tenants with shares, and
+// some hedge requests.
 func playSimulation(r *recording, seed int) {
 	s := simulation.FromSeed(seed)
 	if seed%12 == 3 {
@@ -70,8 +70,8 @@
 	})
 }
 
-// allowHedging has attempts report progress often, and one that stops to do so runs on beside a
-// hedged request.
+// allowHedging makes attempts report progress often. Cancelling is not possible, so that an attempt
+// which stops reporting stays in flight beside a hedged request.
 func allowHedging(f *checker.Settings) {
 	f.Capabilities.Hedging, f.Capabilities.Cancel = true, false
 	f.Capabilities.ProgressInterval = 60
@@ -80,13 +80,13 @@
 	f.Classes[0].ClientTimeout = max(3000, f.Classes[0].ClientTimeout)
 }
 
-// tenantsOf are three tenants, one without a share, of a rate of queries a second that exceeds the
-// shares.
+// tenantsOf returns three tenants, one of them without a share. The shares of the others are less
+// than their parts of rate, in queries per second.
 func tenantsOf(rate float64) []router.Tenant {
 	return []router.Tenant{{}, {QueriesPerSecond: rate / 10}, {QueriesPerSecond: rate / 5}}
 }
 
-// stepScenes are fleets that are kept idle, busy or full.
+// stepScenes returns fleets of fixed sizes that are kept idle, busy or full.
 func stepScenes() []steps.Scene {
 	return []steps.Scene{
 		{Engines: 10, Queued: 400, Tables: 10, Busy: steps.Full},
@@ -104,8 +104,8 @@
 	}
 }
 
-// playSteps takes steps in a fleet of a fixed size. Some fleets have tenants, most of which ask for more
-// than their shares.
+// playSteps takes steps in a fleet of a fixed size. Some fleets have tenants, most of which exceed
+// their shares.
 func playSteps(r *recording, s steps.Scene) {
 	const taken = 400
 	var tenants []router.Tenant
@@ -120,7 +120,8 @@
 	}).Run(taken)
 }
 
-// overloadScenes are controllers that get more queries than they can decide on.
+// overloadScenes returns controllers that receive queries at rates below and above what they can
+// decide on.
 func overloadScenes() []steps.Overload {
 	return []steps.Overload{
 		{Seed: 1, LoadFactor: 0.5, AttemptTime: 0.05, RejectionTime: 0.005, RefusalTime: 0.001, Length: 300},
@@ -138,15 +139,15 @@
 	})
 }
 
-// anyEventsRun is a module that gets events of any kind in any order, also of queries and engines
-// that it doesn't know.
+// anyEventsRun generates random events of all kinds in any order, some of them about queries and
+// engines that the module does not know.
 type anyEventsRun struct {
 	rng    *rand.Rand
-	now    float64 // ms
-	serial router.QueryID
+	now    float64        // ms
+	serial router.QueryID // of the latest query
 }
 
-// playAnyEvents plays such a module; outcomes hit an attempt by chance.
+// playAnyEvents steps a module with random events; the outcomes refer to attempts that may not exist.
 func playAnyEvents(r *recording, seed int64) {
 	const taken = 400
 	run := &anyEventsRun{rng: rand.New(rand.NewSource(seed)), now: 1e6}
@@ -176,7 +177,7 @@
 	m.Step(run.now+110, nil)
 }
 
-// entries are a number of engines in a state.
+// entries returns endpoints of the first n engines, all in one state.
 func (run *anyEventsRun) entries(n int, state router.EngineState) (list []router.Endpoint) {
 	for i := range n {
 		since := 0.0
@@ -191,7 +192,7 @@
 
 func engineID(i int) router.EngineID { return router.EngineID(fmt.Sprintf("e%02d", i)) }
 
-// recent is the id of a recent query, which may have ended.
+// recent returns the id of a recent query, which may have ended already.
 func (run *anyEventsRun) recent() router.QueryID {
 	return run.serial - router.QueryID(run.rng.Intn(20))
 }
@@ -200,7 +201,7 @@
 	return router.OrderingKey(fmt.Sprint("k", run.rng.Intn(9)))
 }
 
-// event draws an event.
+// event returns a random event.
 func (run *anyEventsRun) event() router.Event {
 	rng := run.rng
 	attempt := router.AttemptID(rng.Intn(2) * rng.Intn(3))
@@ -238,7 +239,7 @@
 	}
 }
 
-// arrival draws a query.
+// arrival returns the arrival of a random query.
 func (run *anyEventsRun) arrival() router.Event {
 	rng := run.rng
 	run.serial++
@@ -255,7 +256,7 @@
 	return ev
 }
 
-// load draws a report, or none.
+// load returns a random load report or, half of the time, none.
 func (run *anyEventsRun) load() *router.LoadReport {
 	rng := run.rng
 	if rng.Intn(2) == 0 {
