--- a/internal/lab/eventqueue/eventqueue.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -1,27 +1,28 @@
-// Package eventqueue is the queue of what happens next in a simulation in virtual time.
+// Package eventqueue implements the event queue of a discrete-event simulation.
 package eventqueue
 
 import "math"
 
-// Event is something that happens at a time in ms.
+// Event is a function to be run at a virtual time.
 type Event struct {
-	At  float64
+	At  float64 // ms
 	Run func()
 
-	sequence uint64
+	sequence uint64 // orders events of one time by insertion
 }
 
 func (e *Event) before(other *Event) bool {
 	return e.At < other.At || e.At == other.At && e.sequence < other.sequence
 }
 
-// Queue is a binary heap of events; of several at one time the one added first comes first. Its zero value is empty.
+// Queue is a binary heap of events by time; events of the same time keep the order of their insertion. The zero value is
+// an empty queue.
 type Queue struct {
 	heap     []Event
 	sequence uint64
 }
 
-// NextTime is the time of the earliest event; infinite: there is none.
+// NextTime returns the time of the earliest event, or +Inf if the queue is empty.
 func (q *Queue) NextTime() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
@@ -29,7 +30,7 @@
 	return q.heap[0].At
 }
 
-// Add adds an event.
+// Add schedules run at a time in ms.
 func (q *Queue) Add(at float64, run func()) {
 	q.sequence++
 	q.heap = append(q.heap, Event{At: at, Run: run, sequence: q.sequence})
@@ -44,7 +45,7 @@
 	}
 }
 
-// Pop takes the earliest event out; the queue must not be empty.
+// Pop removes and returns the earliest event. The queue must not be empty.
 func (q *Queue) Pop() Event {
 	first := q.heap[0]
 	last := len(q.heap) - 1
--- a/internal/lab/eventqueue/eventqueue_test.go
+++ b/internal/lab/eventqueue/eventqueue_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestOrder adds and takes events at random and compares their order with that of a sorted list.
+// TestOrder adds and removes events at random and compares their order with that of a stably sorted list.
 func TestOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	type entry struct {
@@ -19,7 +19,7 @@
 	var expected []entry
 	var got []int
 	for number := range 5000 {
-		at := float64(rng.Intn(50)) // many at one time
+		at := float64(rng.Intn(50)) // many events share a time
 		q.Add(at, func() { got = append(got, number) })
 		expected = append(expected, entry{at, number})
 		if rng.Intn(3) > 0 {
@@ -27,11 +27,11 @@
 		}
 		slices.SortStableFunc(expected, func(a, b entry) int { return cmp.Compare(a.at, b.at) })
 		if q.NextTime() != expected[0].at {
-			t.Fatalf("the next is at %g, not %g", q.NextTime(), expected[0].at)
+			t.Fatalf("next event is at %g ms, want %g", q.NextTime(), expected[0].at)
 		}
 		q.Pop().Run()
 		if last := got[len(got)-1]; last != expected[0].number {
-			t.Fatalf("%d comes, not %d", last, expected[0].number)
+			t.Fatalf("got event %d, want %d", last, expected[0].number)
 		}
 		expected = expected[1:]
 	}
@@ -39,6 +39,6 @@
 		q.Pop()
 	}
 	if !math.IsInf(q.NextTime(), 1) {
-		t.Errorf("an empty queue has an event at %g", q.NextTime())
+		t.Errorf("next event of an empty queue is at %g ms, want +Inf", q.NextTime())
 	}
 }
--- a/internal/lab/exprs/exprs.go
+++ b/internal/lab/exprs/exprs.go
@@ -1,6 +1,6 @@
-// Package exprs draws random expressions of the matching language, each with a plain evaluation of its own that shares
-// no code with the language: what is drawn is a tree, which is written out as source and walked by itself. It is for
-// rigs and tests.
+// Package exprs generates random expressions of the matching language (package match) for rigs and tests. Each
+// expression comes with its source and an independent evaluation, a tree of closures that shares no code with the
+// language, as an oracle for differential tests.
 package exprs
 
 import (
@@ -14,7 +14,7 @@
 	"mintkeel/match"
 )
 
-// Schema is the one that random expressions are drawn over: the commands' (docs/rules.md).
+// Schema is the schema of the generated expressions: that of the rules about queries (docs/rules.md).
 var Schema = match.Schema{Fields: []match.Field{
 	{Name: "profile", Type: match.Text, MaxBytes: 32},
 	{Name: "tenant", Type: match.Text, MaxBytes: 32},
@@ -25,7 +25,7 @@
 	{Name: "urgent", Type: match.Bool},
 }, MaxLabels: 4, MaxLabelBytes: 24}
 
-// value is what a tree evaluates to.
+// value is the result of an evaluation, in the field for the expression's type: a boolean, a number or a text.
 type value struct {
 	b bool
 	x float64
@@ -39,19 +39,19 @@
 	eval   func(match.Row) value
 }
 
-// Bool is the truth value of the expression on a row, by plain walking.
+// Bool evaluates a boolean expression on a row.
 func (e *Expr) Bool(r match.Row) bool { return e.eval(r).b }
 
-// Number is its value that is a number, or a duration in ms.
+// Number evaluates an expression that yields a number, or a duration in ms.
 func (e *Expr) Number(r match.Row) float64 { return e.eval(r).x }
 
-// Text is its value that is a text.
+// Text evaluates an expression that yields a text.
 func (e *Expr) Text(r match.Row) string { return e.eval(r).s }
 
 var words = []string{"", "load", "lookup", "report", "menu_17", "sales", "store-12-east", "acme", "Ümlaut", "a*b", "\xff\xfe",
 	"x", "AbC", "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "-12.5", "7"}
 
-// quote writes a text as a literal.
+// quote returns a text as a literal of the language.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
@@ -74,7 +74,8 @@
 
 func randomWord(rng *rand.Rand) string { return words[rng.Intn(len(words))] }
 
-// RandomRow draws a command, perhaps with too much of everything, or too little.
+// RandomRow generates the fields and labels of a query. Fields may be absent, texts too long, numbers infinite or NaN,
+// and labels more than the schema admits.
 func RandomRow(rng *rand.Rand) match.Row {
 	var r match.Row
 	for _, f := range Schema.Fields {
@@ -103,7 +104,7 @@
 	return r
 }
 
-// Generate draws a well-typed expression of a type, so many levels deep at the most.
+// Generate returns a random well-typed expression of the given type, at most depth levels deep below its root.
 func Generate(rng *rand.Rand, typ match.Type, depth int) *Expr {
 	switch typ {
 	case match.Bool:
@@ -114,7 +115,7 @@
 	return number(rng, typ, depth)
 }
 
-// Corrupt damages an expression's source: a few bytes lost, doubled or changed.
+// Corrupt damages the source of an expression: it removes, overwrites, duplicates or swaps bytes, one to three times.
 func Corrupt(rng *rand.Rand, source string) string {
 	b := []byte(source)
 	for range 1 + rng.Intn(3) {
@@ -165,7 +166,7 @@
 	}}
 }
 
-// finite is a number as the language has it: none that is no number, none without end.
+// finite returns x as the language stores it: NaN becomes 0, infinities become the largest finite numbers.
 func finite(x float64) float64 {
 	if math.IsNaN(x) {
 		return 0
@@ -215,14 +216,14 @@
 		return newExpr("!("+a.Source+")", func(r match.Row) bool { return !a.Bool(r) })
 	case 3:
 		return conditional(rng, match.Bool, depth)
-	case 4, 5: // numbers compared
+	case 4, 5: // comparison of numbers
 		typ := []match.Type{match.Number, match.Duration}[rng.Intn(2)]
 		a, b := number(rng, typ, d), number(rng, typ, d)
 		sign := []string{"==", "!=", "<", "<=", ">", ">="}[rng.Intn(6)]
 		return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
 			return compare(sign, a.Number(r), b.Number(r))
 		})
-	case 6: // texts compared
+	case 6: // comparison of texts
 		a, b := text(rng, d), text(rng, d)
 		sign := []string{"==", "!=", "<", "<=", ">", ">=", "startswith", "endswith", "contains"}[rng.Intn(9)]
 		return newExpr("("+a.Source+" "+sign+" "+b.Source+")", func(r match.Row) bool {
@@ -294,7 +295,7 @@
 	return a >= b
 }
 
-// matchesGlob matches by trying all ways.
+// matchesGlob reports whether s matches a glob, by backtracking over all lengths of each *.
 func matchesGlob(glob, s string) bool {
 	if glob == "" {
 		return s == ""
@@ -387,7 +388,7 @@
 	})
 }
 
-// numberFromText is a number that a text comes to.
+// numberFromText generates a number computed from a text: its length or its hash bucket.
 func numberFromText(rng *rand.Rand, d int, newExpr func(string, func(match.Row) float64) *Expr) *Expr {
 	a := text(rng, d)
 	if rng.Intn(2) == 0 {
@@ -469,7 +470,7 @@
 	})
 }
 
-// partFromEnd is the n-th part from the end, with separators looked for from the end.
+// partFromEnd returns the n-th part of s from the end, splitting at separators found from the end.
 func partFromEnd(s, sep string, n int) string {
 	var parts []string
 	for {
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,6 +1,5 @@
-// Package golden compares what tests produce with files under testdata, which hold it as an earlier
-// build wrote it. The files are rewritten only by `go test PACKAGE -update`; CI never sets that
-// flag.
+// Package golden compares the output of tests with files under testdata that an earlier build
+// wrote. The files are rewritten only by `go test PACKAGE -update`; CI never sets that flag.
 package golden
 
 import (
@@ -23,7 +22,7 @@
 // Updating reports whether golden files are to be rewritten.
 func Updating() bool { return *update }
 
-// File compares content with the file testdata/name.
+// File checks that content equals the file testdata/name.
 func File(t *testing.T, name string, content []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -37,13 +36,13 @@
 	switch {
 	case bytes.Equal(content, want):
 	case utf8.Valid(content) && utf8.Valid(want):
-		t.Errorf("%s has changed:\ngot:\n%s\nstored:\n%s", name, content, want)
+		t.Errorf("%s differs from the stored file:\ngot:\n%s\nwant:\n%s", name, content, want)
 	default:
-		t.Errorf("%s has changed:\ngot:    %x\nstored: %x", name, content, want)
+		t.Errorf("%s differs from the stored file:\ngot:  %x\nwant: %x", name, content, want)
 	}
 }
 
-// Write writes a file, and the folders that it lies in.
+// Write writes a file and creates its parent directories.
 func Write(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -54,7 +53,7 @@
 	}
 }
 
-// Table is a golden file of encodings, one a line: a name and the bytes in hexadecimal digits.
+// Table is a golden file of encodings, one per line: a name and the bytes in hexadecimal.
 type Table struct {
 	t      *testing.T
 	path   string
@@ -63,7 +62,7 @@
 	used   map[string]bool
 }
 
-// Open reads the table testdata/name. At the end of the test each of its lines must have been
+// Open reads the table testdata/name. The test fails at its end if a line of the table was not
 // compared.
 func Open(t *testing.T, name string) *Table {
 	t.Helper()
@@ -94,16 +93,16 @@
 	}
 	for key := range table.stored {
 		if !table.used[key] {
-			table.t.Errorf("%s: no test encodes %s any more", table.path, key)
+			table.t.Errorf("%s: stored encoding %s was not compared by the test", table.path, key)
 		}
 	}
 }
 
-// Bytes compares an encoding with the stored one of a name, and returns the stored one.
+// Bytes checks that an encoding equals the one stored under a name, and returns the stored one.
 func (table *Table) Bytes(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	if table.used[name] {
-		t.Fatalf("%s: %s is compared twice", table.path, name)
+		t.Fatalf("%s: %s is compared twice, want once", table.path, name)
 	}
 	table.used[name] = true
 	if *update {
@@ -112,16 +111,16 @@
 	}
 	stored, err := hex.DecodeString(table.stored[name])
 	if err != nil || len(stored) == 0 {
-		t.Fatalf("%s: %s is not stored: %v", table.path, name, err)
+		t.Fatalf("%s: no valid encoding is stored for %s: error %v", table.path, name, err)
 	}
 	if !bytes.Equal(encoded, stored) {
-		t.Errorf("%s is encoded as\n%x, and was as\n%x", name, encoded, stored)
+		t.Errorf("encoding of %s differs from the stored one:\ngot:  %x\nwant: %x", name, encoded, stored)
 	}
 	return stored
 }
 
-// CBOR compares the encoding of a value with the stored one, and the stored one's value with this
-// one. Decode is the function that reads such values in service.
+// CBOR checks that a value is encoded as the stored bytes, and that these are decoded to the value.
+// decode is the decoder used by the production code.
 func CBOR[T any](t *testing.T, table *Table, name string, value T, decode func([]byte, any) error) {
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
@@ -131,15 +130,15 @@
 	stored := table.Bytes(t, name, encoded)
 	var decoded T
 	if err := decode(stored, &decoded); err != nil {
-		t.Fatalf("%s can't be read: %v", name, err)
+		t.Fatalf("decoding the stored %s: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s is read as\n%+v, and was\n%+v", name, decoded, value)
+		t.Errorf("stored %s is decoded to a different value:\ngot:  %+v\nwant: %+v", name, decoded, value)
 	}
 }
 
-// AllSet checks that no exported field of a value has its zero value, so that an encoding of it
-// shows all fields.
+// AllSet checks that no exported field of a value has its zero value, so that an encoding of the
+// value contains all fields.
 func AllSet(t *testing.T, value any) {
 	t.Helper()
 	allSet(t, fmt.Sprintf("%T", value), reflect.ValueOf(value))
@@ -148,7 +147,7 @@
 func allSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() {
-		t.Errorf("%s is not set", path)
+		t.Errorf("%s has its zero value, want it set", path)
 		return
 	}
 	switch value.Kind() {
@@ -156,7 +155,7 @@
 		allSet(t, path, value.Elem())
 	case reflect.Slice:
 		if value.Len() == 0 {
-			t.Errorf("%s is empty", path)
+			t.Errorf("%s is an empty slice, want elements", path)
 		}
 		if value.Type().Elem().Kind() == reflect.Struct {
 			for i := range value.Len() {
--- a/internal/lab/layout/layout.go
+++ b/internal/lab/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout checks how the project's sources are laid out: how long files and functions are, and which package
-// imports which. Its tests run in CI.
+// Package layout checks the layout of the project's sources: the lengths of files and functions, and which packages
+// import which. Its tests run in CI.
 package layout
 
 import (
@@ -15,33 +15,34 @@
 	"strings"
 )
 
-// Bounds of all sources, in lines: of the decision module's, the daemon's and the lab's.
+// Limits in lines for all sources: the decision module, the daemon and the lab.
 const (
 	MaxFile     = 700
 	MaxFunction = 60
 )
 
-// module is the name under which packages of the project import each other.
+// module is the path of the project's Go module.
 const module = "mintkeel"
 
-// Source is a file of the project that is no test.
+// Source is a Go file of the project other than a test file.
 type Source struct {
-	Path      string // from the root, with slashes
+	Path      string // relative to the root, with slashes
 	Lines     int
-	Imports   []string // packages of the project, from the root
+	Imports   []string // imported packages of the project, relative to the root
 	Functions []Function
 }
 
-// Function is one with its length.
+// Function is a function or method and its length.
 type Function struct {
-	Name  string // with its receiver's type
+	Name  string // prefixed by the receiver's type
 	Lines int
 }
 
-// Package is the folder of the source.
+// Package returns the source's folder relative to the root.
 func (s Source) Package() string { return path.Dir(s.Path) }
 
-// Read reads all sources below a root, but for the folders named.
+// Read parses all sources below root, except those in the folders named by without, which are relative to root, and in
+// hidden folders.
 func Read(root string, without ...string) ([]Source, error) {
 	var list []Source
 	err := filepath.WalkDir(root, func(at string, entry fs.DirEntry, err error) error {
@@ -94,7 +95,7 @@
 	return s, nil
 }
 
-// functionName is a function's name, with its receiver's type in front.
+// functionName returns the name of a function, prefixed by the type of its receiver.
 func functionName(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return f.Name.Name
@@ -112,15 +113,15 @@
 	return f.Name.Name
 }
 
-// Rule is which packages those below a folder may import.
+// Rule restricts which packages of the project a folder's packages may import.
 type Rule struct {
-	Folder    string   // folder
-	Except    string   // folder below it to which the rule does not apply; empty: none
-	Allowed   []string // folders
-	Forbidden []string // folders; used if Allowed is nil
+	Folder    string   // the rule applies to this folder and those below it
+	Except    string   // folder below Folder to which the rule does not apply; empty: none
+	Allowed   []string // folders; nil: Forbidden applies instead
+	Forbidden []string // folders; all others are allowed
 }
 
-// Rules are the map of the project: which package may import which.
+// Rules returns the import rules of the project.
 func Rules() []Rule {
 	return []Rule{
 		{Folder: "router", Allowed: []string{}},
@@ -144,19 +145,19 @@
 	}
 }
 
-// isWithin tells whether a package is a folder or lies below it.
+// isWithin reports whether a package is the folder itself or lies below it.
 func isWithin(of, folder string) bool { return of == folder || strings.HasPrefix(of, folder+"/") }
 
 func isWithinAny(of string, folders []string) bool {
 	return slices.ContainsFunc(folders, func(folder string) bool { return isWithin(of, folder) })
 }
 
-// Violation tells which rule an import breaks; empty: none.
+// Violation describes how an import violates the rule. It is empty if the import is allowed.
 func (r Rule) Violation(of Source, imported string) string {
 	allowed := r.Allowed != nil && isWithinAny(imported, r.Allowed) || r.Allowed == nil && !isWithinAny(imported, r.Forbidden)
 	applies := isWithin(of.Package(), r.Folder) && (r.Except == "" || !isWithin(of.Package(), r.Except))
 	if !applies || allowed {
 		return ""
 	}
-	return fmt.Sprintf("%s imports %s, which no package below %s may", of.Path, imported, r.Folder)
+	return fmt.Sprintf("%s imports %s, which packages below %s may not import", of.Path, imported, r.Folder)
 }
--- a/internal/lab/layout/layout_test.go
+++ b/internal/lab/layout/layout_test.go
@@ -7,33 +7,32 @@
 	"testing"
 )
 
-// root is the project's from this folder.
+// root is the project's root, relative to this package.
 const root = "../../.."
 
-// longTables are functions that are longer than a function may be, with their lengths: they are tables, read from top to
-// bottom, and may only become shorter.
+// longTables are the functions allowed to exceed MaxFunction, with their lengths in lines. They are tables, read from top
+// to bottom, and may only become shorter.
 var longTables = map[string]int{
 	"internal/lab/exprs/exprs.go boolean": 92, // kinds of expression
 	"internal/lab/exprs/exprs.go number":  69, // kinds of expression
 }
 
-// readAll reads all sources but the former decision module that today's is compared with.
+// readAll reads all sources except internal/lab/reference, a frozen former version of the decision module.
 func readAll(t *testing.T) []Source {
 	t.Helper()
 	sources, err := Read(root, "internal/lab/reference", "bin", "journal")
 	if err != nil || len(sources) < 100 {
-		t.Fatalf("%d sources, %v", len(sources), err)
+		t.Fatalf("read %d sources, error %v; want at least 100 and no error", len(sources), err)
 	}
 	return sources
 }
 
-// TestLengths checks that no file of the decision module, of the daemon and of the lab and none of their functions is
-// longer than it may be.
+// TestLengths checks that no file and no function of the decision module, the daemon and the lab exceeds its limit.
 func TestLengths(t *testing.T) {
 	found := map[string]bool{}
 	for _, s := range readAll(t) {
 		if s.Lines > MaxFile {
-			t.Errorf("%s has %d lines, of %d", s.Path, s.Lines, MaxFile)
+			t.Errorf("%s has %d lines, want at most %d", s.Path, s.Lines, MaxFile)
 		}
 		for _, f := range s.Functions {
 			name := s.Path + " " + f.Name
@@ -41,22 +40,23 @@
 			if length, isTable := longTables[name]; isTable {
 				most, found[name] = length, true
 				if f.Lines < length {
-					t.Errorf("%s has %d lines now: change its entry, or take it out if it is short", name, f.Lines)
+					t.Errorf("%s has %d lines, its entry in longTables %d: reduce the entry, or delete it if the function is within the limit",
+						name, f.Lines, length)
 				}
 			}
 			if f.Lines > most {
-				t.Errorf("%s has %d lines, of %d", name, f.Lines, most)
+				t.Errorf("%s has %d lines, want at most %d", name, f.Lines, most)
 			}
 		}
 	}
 	for name := range longTables {
 		if !found[name] {
-			t.Errorf("%s is not there any more: take its entry out", name)
+			t.Errorf("longTables lists %s, which does not exist: delete its entry", name)
 		}
 	}
 }
 
-// TestImports checks the map of which package may import which, in the lab too.
+// TestImports checks that all sources follow Rules, internal/lab/reference included.
 func TestImports(t *testing.T) {
 	sources, err := Read(root, "bin", "journal")
 	if err != nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestFound checks that breaks are found: in a small project of two files.
+// TestFound checks, in a small project of three files, that tests and excluded folders are skipped, that functions are
+// measured, and that a forbidden import is found.
 func TestFound(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, text string) {
@@ -89,14 +90,14 @@
 	write("internal/core/a/a.go", "package a\n\nimport (\n\t\"fmt\"\n\n\t\"mintkeel/internal/fleet\"\n\t\"mintkeel/router\"\n)\n\nfunc (x *T[K]) Long() {\n"+
 		strings.Repeat("\tfmt.Println()\n", 70)+"}\n")
 	write("internal/core/a/a_test.go", "package a\n")
-	write("skipped/b.go", "no Go at all")
+	write("skipped/b.go", "not Go source")
 	sources, err := Read(folder, "skipped")
 	if err != nil || len(sources) != 1 {
-		t.Fatalf("%+v, %v", sources, err)
+		t.Fatalf("read sources %+v, error %v; want one source and no error", sources, err)
 	}
 	s := sources[0]
 	if len(s.Functions) != 1 || s.Functions[0] != (Function{"T.Long", 72}) || s.Lines < 80 {
-		t.Errorf("%+v", s)
+		t.Errorf("got source %+v, want one function T.Long of 72 lines and at least 80 lines in all", s)
 	}
 	broken := 0
 	for _, imported := range s.Imports {
@@ -107,6 +108,6 @@
 		}
 	}
 	if broken != 1 {
-		t.Errorf("%d breaks are found, of %v", broken, s.Imports)
+		t.Errorf("found %d violations among the imports %v, want 1", broken, s.Imports)
 	}
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -7,25 +7,25 @@
 	"testing"
 )
 
-// TestHostsDiffer checks that no two processes share a host, also such whose ids differ in one bit alone.
+// TestHostsDiffer checks that no two processes share a host, including those whose ids differ in a single bit.
 func TestHostsDiffer(t *testing.T) {
 	const largest = 1 << 22
 	seen := make(map[string]int, largest)
 	for pid := 1; pid < largest; pid += 1 + pid>>15 { // all small ids, fewer large ones
 		if other, taken := seen[host(pid)]; taken {
-			t.Fatalf("processes %d and %d share %s", other, pid, host(pid))
+			t.Fatalf("processes %d and %d share host %s, want different ones", other, pid, host(pid))
 		}
 		seen[host(pid)] = pid
 	}
 	for bit := range 22 {
 		if a, b := 0x155555, 0x155555^1<<bit; host(a) == host(b) {
-			t.Errorf("processes %d and %d share %s", a, b, host(a))
+			t.Errorf("processes %d and %d share host %s, want different ones", a, b, host(a))
 		}
 	}
 }
 
-// TestReserveUnique checks that an address is not given twice, whoever asks at the same time and whether it was used
-// meanwhile, and that it lies below the ports that the system hands out.
+// TestReserveUnique checks that concurrent callers never get the same address, although no address is in use, and that
+// all ports are below the ephemeral range of the system.
 func TestReserveUnique(t *testing.T) {
 	const callers, each = 8, 50
 	var mu sync.Mutex
@@ -44,11 +44,12 @@
 					t.Error(err)
 				}
 				if port, err := strconv.Atoi(text); err != nil || port < firstPort || port >= firstPort+portCount {
-					t.Errorf("port of %s: %v", address, err)
+					t.Errorf("reserved %s (port error %v), want a port from %d to %d", address, err, firstPort,
+						firstPort+portCount-1)
 				}
 				mu.Lock()
 				if seen[address] {
-					t.Errorf("%s is given twice", address)
+					t.Errorf("%s is reserved twice, want unique addresses", address)
 				}
 				seen[address] = true
 				mu.Unlock()
@@ -58,7 +59,7 @@
 	group.Wait()
 }
 
-// TestReserveBusy has the next address be in use: it is passed over.
+// TestReserveBusy checks that an address in use is skipped.
 func TestReserveBusy(t *testing.T) {
 	first, err := Reserve()
 	if err != nil {
@@ -76,6 +77,6 @@
 	defer listener.Close()
 	got, err := Reserve()
 	if err != nil || got == next {
-		t.Errorf("reserved %s: %v", got, err)
+		t.Errorf("reserved %s, error %v; want an address other than %s, which is in use", got, err, next)
 	}
 }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -1,6 +1,6 @@
-// Package mutants changes one operator of a source file at a time and sees whether the tests notice: what no test
-// notices is decided by nobody. It runs the tests through the go command, with the changed file laid over the real
-// one, so nothing in the work tree is touched.
+// Package mutants implements mutation testing: it changes one operator of a source file at a time and runs the tests. A
+// mutant that survives shows code whose behaviour no test pins. The tests are run by the go command with an overlay that
+// replaces the changed file, so the work tree is not modified.
 package mutants
 
 import (
@@ -21,30 +21,31 @@
 	"time"
 )
 
-// Mutant is one operator changed.
+// Mutant is a change of one piece of a source file.
 type Mutant struct {
 	File     string
 	Line     int
-	Func     string
-	From, To string
-	Text     string // the line as it stands
-	offset   int
+	Func     string // enclosing function, without its receiver; empty: unknown
+	From, To string // text that is replaced, and its replacement
+	Text     string // unchanged source around the change, for reports
+	offset   int    // of From in the file, in bytes
 }
 
 func (m Mutant) String() string {
 	return fmt.Sprintf("%s:%d %s: %s to %s: %s", filepath.Base(m.File), m.Line, m.Func, m.From, m.To, m.Text)
 }
 
+// replacements are the operators by which each operator is replaced; token.ILLEGAL removes it.
 var replacements = map[token.Token][]token.Token{
 	token.ADD: {token.SUB}, token.SUB: {token.ADD}, token.MUL: {token.QUO}, token.QUO: {token.MUL},
 	token.LSS: {token.LEQ, token.GTR}, token.LEQ: {token.LSS, token.GTR}, token.GTR: {token.GEQ, token.LSS},
 	token.GEQ: {token.GTR, token.LSS}, token.EQL: {token.NEQ}, token.NEQ: {token.EQL},
 	token.LAND: {token.LOR}, token.LOR: {token.LAND},
 	token.ADD_ASSIGN: {token.SUB_ASSIGN}, token.SUB_ASSIGN: {token.ADD_ASSIGN}, token.MUL_ASSIGN: {token.QUO_ASSIGN},
-	token.INC: {token.DEC}, token.DEC: {token.INC}, token.NOT: {token.ILLEGAL}, // dropped
+	token.INC: {token.DEC}, token.DEC: {token.INC}, token.NOT: {token.ILLEGAL},
 }
 
-// OperatorMutants are the mutants of a file, in its order.
+// OperatorMutants returns the mutants of a file that each replace one operator, in source order.
 func OperatorMutants(path string) ([]Mutant, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +90,8 @@
 	return all, nil
 }
 
-// ConditionMutants are the mutants of a file that each leave one of its checks out: the condition of an if never holds.
+// ConditionMutants returns the mutants of a file that each disable one check: the condition of one if statement never
+// holds.
 func ConditionMutants(path string) ([]Mutant, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -117,49 +119,51 @@
 	return all, nil
 }
 
-// Edit is the mutant of a file that has another text in place of one that stands in it once.
+// Edit returns the mutant of a file in which to replaces from. It is an error if from does not occur exactly once.
 func Edit(path, from, to string) (Mutant, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return Mutant{}, err
 	}
 	if n := bytes.Count(source, []byte(from)); n != 1 {
-		return Mutant{}, fmt.Errorf("%s: %q stands there %d times", path, from, n)
+		return Mutant{}, fmt.Errorf("%s: %q occurs %d times, want once", path, from, n)
 	}
 	offset := bytes.Index(source, []byte(from))
 	line := 1 + bytes.Count(source[:offset], []byte("\n"))
 	return Mutant{File: path, Line: line, From: from, To: to, Text: from, offset: offset}, nil
 }
 
-// Sample draws n of them.
+// Sample draws at most n of the mutants at random, by a seed.
 func Sample(all []Mutant, n int, seed int64) []Mutant {
 	drawn := slices.Clone(all)
 	rand.New(rand.NewSource(seed)).Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(n, len(drawn))]
 }
 
-// apply is the source with the operator changed.
+// apply returns the source with the mutant's change.
 func (m Mutant) apply(source []byte) []byte {
 	return slices.Concat(source[:m.offset], []byte(m.To), source[m.offset+len(m.From):])
 }
 
-// Verdict is what the tests said of a mutant.
+// Verdict is the outcome of running the tests on a mutant.
 type Verdict int
 
 // The verdicts.
 const (
-	Survived Verdict = iota // no test noticed
+	Survived Verdict = iota // all tests passed
 	Killed                  // a test failed
-	TimedOut                // the tests hung, which counts as noticed
-	Invalid                 // it does not compile
+	TimedOut                // the tests hung, which counts as killed
+	Invalid                 // the mutant does not compile
 )
 
-var verdicts = [...]string{"passed", "noticed", "timed out", "invalid"}
+var verdicts = [...]string{"survived", "killed", "timed out", "invalid"}
 
 func (v Verdict) String() string { return verdicts[v] }
 
-// Run runs the tests of packages, one package after another (each may have flags of go test before it, by spaces), against each mutant, several at a time, and tells done of each verdict, in any
-// order. dir is the module's root.
+// Run runs the tests of packages against each mutant, on several workers. It runs the packages of a mutant in order until
+// one fails; each may be preceded by flags of go test, separated by spaces. Run calls done with each mutant, its verdict
+// and the output of the failed tests, in any order but never concurrently. dir is the module's root, and within limits the
+// tests of one package.
 func Run(ctx context.Context, dir string, mutants []Mutant, packages []string, workers int, within time.Duration,
 	done func(Mutant, Verdict, string)) error {
 	tmp, err := os.MkdirTemp("", "mutants")
@@ -225,7 +229,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*within)
 	defer cancel()
 	var out []byte
-	for _, one := range packages { // the quickest to fail stands first
+	for _, one := range packages { // the caller lists first the one that fails soonest
 		args := []string{"test", "-vet=off", "-failfast", "-short", "-timeout", within.String(), "-overlay", list}
 		cmd := exec.CommandContext(ctx, "go", append(args, strings.Fields(one)...)...)
 		cmd.Dir = dir
--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -14,7 +14,7 @@
 func Less(a, b int) bool { return a < b && !(a == b) }
 `
 
-// Each operator is changed alone, and what the tests of a package say of it is told.
+// TestMutants checks that each operator is changed separately, and that Run reports the verdict of each mutant.
 func TestMutants(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"p.go": source, "go.mod": "module p\n\ngo 1.26\n",
@@ -25,19 +25,19 @@
 	}
 	all, err := OperatorMutants(filepath.Join(dir, "p.go"))
 	if err != nil || len(all) != 5 {
-		t.Fatal(all, err)
+		t.Fatalf("got mutants %v, error %v; want 5 and no error", all, err)
 	}
 	changed := map[string]bool{}
 	for _, m := range all {
 		if m.Func != "Less" || m.Line != 3 {
-			t.Errorf("%+v", m)
+			t.Errorf("got mutant %+v, want it in function Less on line 3", m)
 		}
 		changed[string(m.apply([]byte(source)))] = true
 	}
 	for _, want := range []string{"a <= b && !(a == b)", "a > b && !(a == b)", "a < b || !(a == b)", "a < b && (a == b)",
 		"a < b && !(a != b)"} {
 		if !changed[strings.Replace(source, "a < b && !(a == b)", want, 1)] {
-			t.Errorf("not changed to %s", want)
+			t.Errorf("no mutant changes the condition to %s, want one", want)
 		}
 	}
 	passed := map[string]Verdict{}
@@ -47,12 +47,12 @@
 	}
 	for change, want := range map[string]Verdict{"<<=": Survived, "<>": Killed, "&&||": Survived, "!": Killed, "==!=": Killed} {
 		if passed[change] != want {
-			t.Errorf("%s: %v", change, passed[change])
+			t.Errorf("verdict of change %s is %v, want %v", change, passed[change], want)
 		}
 	}
 }
 
-// Each check is left out alone.
+// TestChecks checks that the condition of each if statement is disabled separately.
 func TestChecks(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "q.go")
 	text := "package q\n\nfunc f(a int) int {\n\tif a < 1 && a > -3 {\n\t\treturn 1\n\t} else if b := a; b > 4 {\n\t\treturn b\n\t}\n\treturn 0\n}\n"
@@ -61,16 +61,16 @@
 	}
 	all, err := ConditionMutants(path)
 	if err != nil || len(all) != 2 {
-		t.Fatal(all, err)
+		t.Fatalf("got mutants %v, error %v; want 2 and no error", all, err)
 	}
 	for i, want := range []string{"if false && (a < 1 && a > -3) {", "b := a; false && (b > 4) {"} {
 		if got := string(all[i].apply([]byte(text))); !strings.Contains(got, want) {
-			t.Errorf("%s", got)
+			t.Errorf("mutant %d is\n%s\nwant it to contain %s", i, got, want)
 		}
 	}
 }
 
-// A text that stands once is replaced; one that does not is told.
+// TestEdit checks that a text that occurs once is replaced, and that one that occurs never or more than once is an error.
 func TestEdit(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.go")
 	text := "package r\n\nfunc f(a int) bool { return a < 1 }\n"
@@ -79,11 +79,11 @@
 	}
 	m, err := Edit(path, "a < 1", "true")
 	if err != nil || m.Line != 3 || !strings.Contains(string(m.apply([]byte(text))), "return true }") {
-		t.Errorf("%v, %v", m, err)
+		t.Errorf("got mutant %v, error %v; want line 3 to return true", m, err)
 	}
 	for _, from := range []string{"a > 1", "a"} {
 		if _, err := Edit(path, from, ""); err == nil {
-			t.Errorf("%q is taken", from)
+			t.Errorf("Edit accepts %q, which does not occur exactly once, want an error", from)
 		}
 	}
 }
--- a/internal/lab/playground/playground.go
+++ b/internal/lab/playground/playground.go
@@ -1,4 +1,4 @@
-// Package playground runs emulated engines and their discovery on loopback, and writes the configuration of a controller for
+// Package playground runs emulated engines and their discovery on loopback, and writes a controller's configuration for
 // them, so that the daemon can be tried on one machine.
 package playground
 
@@ -12,18 +12,18 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// MaxEngines bounds the engines of a playground.
+// MaxEngines is the largest number of engines of a playground.
 const MaxEngines = 64
 
-// Options are what a playground is like.
+// Options configure a playground.
 type Options struct {
-	Folder  string // for the configuration; it is made if it is not there
-	Listen  string // where the controller is to listen
+	Folder  string // for the configuration; created if it does not exist
+	Listen  string // address that the controller will listen on
 	Engines int    // 1 to MaxEngines
 	Seed    int64
 }
 
-// Playground is a set of engines with their discovery. Its owner closes it.
+// Playground is a set of running engines with their discovery. The caller must close it.
 type Playground struct {
 	Config string // path of the controller's configuration
 
@@ -31,10 +31,10 @@
 	cancel  context.CancelFunc // of discovery
 }
 
-// Start starts engines and discovery, which end with the context too, and writes the configuration.
+// Start starts discovery and the engines and writes the configuration. Discovery also ends when ctx is done.
 func Start(ctx context.Context, o Options) (*Playground, error) {
 	if o.Engines < 1 || o.Engines > MaxEngines {
-		return nil, fmt.Errorf("%d engines: 1 to %d are possible", o.Engines, MaxEngines)
+		return nil, fmt.Errorf("%d engines: must be from 1 to %d", o.Engines, MaxEngines)
 	}
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return err
 }
 
-// Attempts counts the attempts that each engine has carried out, by its id.
+// Attempts returns the number of attempts that each engine has carried out, by its id.
 func (p *Playground) Attempts() map[string]int {
 	attempts := map[string]int{}
 	for _, engine := range p.engines {
@@ -79,7 +79,7 @@
 	return attempts
 }
 
-// Close ends discovery and the engines.
+// Close stops discovery and the engines.
 func (p *Playground) Close() {
 	p.cancel()
 	for _, engine := range p.engines {
--- a/internal/lab/playground/playground_test.go
+++ b/internal/lab/playground/playground_test.go
@@ -12,9 +12,10 @@
 	"mintkeel/internal/lab/standin"
 )
 
-const startTimeout = 20 * time.Second // for a daemon to serve
+const startTimeout = 20 * time.Second // until a started daemon must accept clients
 
-// The daemon accepts the configuration and answers queries of each class on the playground's engines.
+// TestPlayground checks that the daemon accepts the configuration, and that it answers a query of each class with an
+// attempt on the playground's engines.
 func TestPlayground(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -33,7 +34,7 @@
 	}
 	defer p.Close()
 	if out, err := exec.CommandContext(ctx, binary, "check", "--config", p.Config).CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("check --config: %v\n%s", err, out)
 	}
 	serve := exec.CommandContext(ctx, binary, "serve", "--config", p.Config)
 	if err := serve.Start(); err != nil {
@@ -48,13 +49,13 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal(err)
+			t.Fatalf("daemon does not accept clients within %v: %v", startTimeout, err)
 		}
 	}
 	for _, class := range Classes() {
 		statement := Statement{Class: class, Work: time.Millisecond, Tables: "sales_17.orders"}
 		if verdict, _, err := Query(ctx, listen, statement, startTimeout/4); verdict != standin.Answered {
-			t.Errorf("%s: %v, %v", class, verdict, err)
+			t.Errorf("query of class %s: verdict %v, error %v; want %v", class, verdict, err, standin.Answered)
 		}
 	}
 	attempts := 0
@@ -62,18 +63,18 @@
 		attempts += n
 	}
 	if attempts < len(Classes()) {
-		t.Errorf("%d attempts on all engines: %v", attempts, p.Attempts())
+		t.Errorf("engines carried out %d attempts, by engine %v; want at least %d", attempts, p.Attempts(), len(Classes()))
 	}
 }
 
-// What can't be started is an error that tells why, and leaves nothing running.
+// TestBadOptions checks that Start fails for numbers of engines out of range and for a folder that cannot be created.
 func TestBadOptions(t *testing.T) {
 	for _, engines := range []int{0, MaxEngines + 1} {
 		if _, err := Start(context.Background(), Options{Folder: t.TempDir(), Listen: "127.0.0.1:1", Engines: engines}); err == nil {
-			t.Errorf("%d engines start", engines)
+			t.Errorf("Start accepts %d engines, want an error", engines)
 		}
 	}
 	if _, err := Start(context.Background(), Options{Folder: "/dev/null/x", Listen: "127.0.0.1:1", Engines: 1}); err == nil {
-		t.Error("starts without a folder")
+		t.Error("Start accepts a folder that cannot be created, want an error")
 	}
 }
--- a/internal/lab/playground/query.go
+++ b/internal/lab/playground/query.go
@@ -11,21 +11,20 @@
 	"mintkeel/internal/lab/standin"
 )
 
-// Classes are the query classes of a playground's deployment.
+// Classes returns the names of the query classes of a playground's deployment.
 func Classes() []string {
 	return []string{daemon.LookupClass, daemon.LoadClass, daemon.WriteClass, daemon.ReportClass}
 }
 
-// Statement is what a query asks of an emulated engine, which reads no more of it than how long to work and on which
-// tables.
+// Statement describes a query for an emulated engine, which reads only the duration of the work and the tables.
 type Statement struct {
 	Class  string
-	Work   time.Duration // of one core
-	Tables string        // as "sales_17.orders"
+	Work   time.Duration // on one core
+	Tables string        // such as "sales_17.orders"
 }
 
-// Query sends a statement to a controller, as a client with this deadline, and tells what it was answered and after how
-// long.
+// Query sends a statement to a controller, as a client with the given deadline, and returns the verdict and the time until
+// it.
 func Query(ctx context.Context, addr string, s Statement, deadline time.Duration) (standin.Verdict, time.Duration, error) {
 	client, err := standin.Dial(ctx, addr, deadline)
 	if err != nil {
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is the daemon's network side without its decisions: each command goes to one engine at once, and its end
-// is its client's answer. What a controller costs over it is what deciding costs.
+// Package relay runs the daemon's network side without its decisions, as a baseline: each query goes to one engine at
+// once, and the outcome of its attempt is the answer to its client. The cost of a controller beyond that of the relay is
+// the cost of its decisions.
 package relay
 
 import (
@@ -19,7 +20,8 @@
 
 const engine router.EngineID = "engine"
 
-// Serve relays until ctx ends. Profiles are named by the commands' verbs, in this order.
+// Serve relays queries to the engine at the address dial until ctx is done. verbs are the names of the query classes on
+// the wire, in the order of their ids.
 func Serve(ctx context.Context, listener net.Listener, dial string, verbs []string, l *limits.Limits) error {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	events, taken := make(chan any, l.EventQueueLength), make(chan clients.QueryArrived, l.EventQueueLength)
