--- a/internal/lab/steps/overload.go
+++ b/internal/lab/steps/overload.go
@@ -7,27 +7,28 @@
 	"mintkeel/router"
 )
 
-// Overload is a controller with a processor that can decide only so many queries, in virtual time:
-// more come, wait in a bounded queue, and are taken in steps as the loop takes them.
+// Overload simulates, in virtual time, a controller whose processor can decide a limited number of
+// queries per second. Arriving queries wait in a bounded queue, from which they are taken in steps
+// by the same rules as in the loop of internal/controller.
 type Overload struct {
 	Seed               int64
-	LoadFactor         float64 // queries that come, over those that can be decided
-	AttemptTime        float64 // ms of processor time of a query with an attempt
-	RejectionTime      float64 // and of a rejected one
-	RefusalTime        float64 // and of one that finds the queue full
-	Length             float64 // ms
-	WithoutArrivalWait bool    // the module does not learn how long queries waited: the baseline
+	LoadFactor         float64 // rate of arrivals, over the rate of queries that can be decided
+	AttemptTime        float64 // ms of processor time for a query with an attempt
+	RejectionTime      float64 // ms of processor time for a rejected query
+	RefusalTime        float64 // ms of processor time for a query refused because the queue is full
+	Length             float64 // ms during which queries arrive
+	WithoutArrivalWait bool    // the module is not told how long queries waited: the baseline
 }
 
-// OverloadResult is what became of the queries.
+// OverloadResult counts the queries by their answers.
 type OverloadResult struct {
 	Queries       int
 	InTime        int // answered within the latency objective
 	Late          int // answered after it
 	Rejected      int // by the module
-	Refused       int // as the queue was full
+	Refused       int // because the queue was full
 	Failed        int
-	Missed        int     // without a final answer before the client timeout
+	Missed        int     // final answer after the client timeout; counted in addition
 	LongestWait   float64 // ms until a final answer
 	RejectedAfter float64 // ms until a rejection, on average
 	AnsweredAfter float64 // ms until an answer, on average
@@ -38,41 +39,41 @@
 	overloadTimeout   = 1000.0 // ms, client timeout
 	overloadWork      = 20.0   // ms from the start of an attempt to its end
 
-	// These are the loop's (internal/controller).
-	overloadQueue      = 1024 // queries that wait for the loop at most
-	overloadPerStep    = 512  // queries that the module learns of in one step at most
-	overloadYieldAfter = 64   // attempts of a step from which the next one takes in no query
+	// The values of the loop of internal/controller.
+	overloadQueue      = 1024 // maximum length of the queue
+	overloadPerStep    = 512  // maximum number of arrivals in one step
+	overloadYieldAfter = 64   // after a step with this many attempts, the next step has no arrivals
 )
 
 // pendingQuery is a query that has arrived.
 type pendingQuery struct {
 	id        router.QueryID
 	arrivedAt float64 // ms
-	startedAt float64 // ms, of its attempt
-	done      bool    // it has its final answer
+	startedAt float64 // ms, start of its attempt
+	done      bool    // has its final answer
 }
 
-// overloadRun is one run.
+// overloadRun is the state of one simulation.
 type overloadRun struct {
 	Overload
 	out             OverloadResult
 	rng             *rand.Rand
 	module          Module
-	now             float64 // ms
-	end             float64 // ms, after which no query comes
-	nextArrival     float64 // ms, when the next query comes
-	timerAt         float64 // ms, for which the module set its timer
-	serial          router.QueryID
+	now             float64        // ms
+	end             float64        // ms, time after which no query arrives
+	nextArrival     float64        // ms, time of the next arrival
+	timerAt         float64        // ms, when the module's timer fires
+	serial          router.QueryID // of the latest query
 	queue           []*pendingQuery
-	running         []*pendingQuery // with an attempt, in the order of its end, as all take as long
+	running         []*pendingQuery // queries with an attempt in flight, in the order of its end: all attempts take equally long
 	unanswered      map[router.QueryID]*pendingQuery
 	attemptsStarted int     // in the last step
-	cpuTime         float64 // ms of processor time in this turn
+	cpuTime         float64 // ms of processor time used in this iteration of Play
 	answeredWait    float64 // ms, sum over answered queries
 	rejectedWait    float64 // ms, sum over rejected queries
 }
 
-// Play runs it to the end. newModule makes the module.
+// Play runs the simulation, on a module made by newModule, until all queries have a final answer.
 func (p Overload) Play(newModule Constructor) OverloadResult {
 	r := p.start(newModule)
 	for r.now < r.end || len(r.queue) > 0 || len(r.unanswered) > 0 {
@@ -111,7 +112,7 @@
 	return r
 }
 
-// skipIdleTime advances the time to the next event, if there is nothing to do now.
+// skipIdleTime advances the time to the next event, if there is nothing to do before it.
 func (r *overloadRun) skipIdleTime() {
 	idle := math.Inf(1)
 	if r.nextArrival < r.end {
@@ -127,7 +128,8 @@
 	}
 }
 
-// enqueueArrivals puts the queries that have come into the queue.
+// enqueueArrivals adds the queries that have arrived by now to the queue, or refuses them if it is
+// full.
 func (r *overloadRun) enqueueArrivals() {
 	spacing := r.AttemptTime / r.LoadFactor
 	for r.nextArrival <= r.now && r.nextArrival < r.end {
@@ -143,13 +145,13 @@
 	}
 }
 
-// endAttempts are the events of attempts that engines have answered.
+// endAttempts returns the events of the attempts that have ended by now.
 func (r *overloadRun) endAttempts() (events []router.Event) {
 	for len(r.running) > 0 && r.running[0].startedAt+overloadWork <= r.now {
 		c := r.running[0]
 		r.running = r.running[1:]
 		event := router.AttemptEnded{ID: c.id, Elapsed: overloadWork, QueryDone: true}
-		if c.done { // it has its final answer already
+		if c.done { // the query had its final answer before
 			event.Outcome = router.Cancelled
 		} else {
 			r.countAnswer(c)
@@ -159,7 +161,7 @@
 	return events
 }
 
-// countAnswer answers a query with the result of its attempt.
+// countAnswer answers a query with the result of its attempt, and counts it as in time or late.
 func (r *overloadRun) countAnswer(c *pendingQuery) {
 	r.answeredWait += r.finish(c, r.now)
 	if r.now-c.arrivedAt <= overloadObjective {
@@ -169,10 +171,10 @@
 	}
 }
 
-// dequeue are the events of queries that the module learns of in this step.
+// dequeue takes the queries of this step from the queue, and returns the events of their arrival.
 func (r *overloadRun) dequeue() (events []router.Event) {
 	room := overloadPerStep
-	if r.attemptsStarted >= overloadYieldAfter { // the module has more attempts to start first
+	if r.attemptsStarted >= overloadYieldAfter { // the module may have more attempts to start first
 		room = 0
 	}
 	r.attemptsStarted = 0
@@ -191,6 +193,7 @@
 	return events
 }
 
+// execute carries out an action of the module, and adds its processor time.
 func (r *overloadRun) execute(action router.Action) {
 	switch a := action.(type) {
 	case router.StartAttempt:
@@ -216,7 +219,7 @@
 	}
 }
 
-// finish gives a query its final answer, and returns how long it took, in ms.
+// finish gives a query its final answer at a time, and returns the query's latency in ms.
 func (r *overloadRun) finish(c *pendingQuery, at float64) float64 {
 	c.done = true
 	delete(r.unanswered, c.id)
--- a/internal/lab/steps/queue_test.go
+++ b/internal/lab/steps/queue_test.go
@@ -11,7 +11,7 @@
 	tbtree "github.com/tidwall/btree"
 )
 
-// item stands for a queued query.
+// item stands in for a queued query; the padding makes it about as large.
 type item struct {
 	at float64
 	id uint32
@@ -20,7 +20,7 @@
 
 func compareItems(a, b *item) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) }
 
-// queue is what the module asks of its queued queries.
+// queue holds the operations that the decision module needs on its queued queries.
 type queue interface {
 	insert(*item)
 	remove(*item)
@@ -60,8 +60,8 @@
 	s.t.Scan(func(x *item) bool { visit(x); n--; return n > 0 })
 }
 
-// What a queue of queries in order costs: one comes, one of the first goes, the first hundred are
-// visited.
+// BenchmarkQueue compares data structures for an ordered queue of queries. An iteration inserts one
+// query, visits the first hundred and removes one of the first five.
 func BenchmarkQueue(b *testing.B) {
 	less := func(x, y *item) bool { return compareItems(x, y) < 0 }
 	for _, n := range []int{10, 1000, 100000} {
--- a/internal/lab/steps/scenarios_test.go
+++ b/internal/lab/steps/scenarios_test.go
@@ -9,15 +9,15 @@
 	"mintkeel/router"
 )
 
-// driver drives a module, and records its actions.
+// driver steps a module in virtual time and records its actions.
 type driver struct {
 	t           *testing.T
 	module      Module
-	now         float64
-	serial      router.QueryID
-	outstanding map[router.QueryID]router.EngineID // by its only attempt
-	finals      map[router.QueryID]int
-	attempts    []router.StartAttempt // in order
+	now         float64                            // ms
+	serial      router.QueryID                     // of the latest query
+	outstanding map[router.QueryID]router.EngineID // engine of the query's only attempt
+	finals      map[router.QueryID]int             // number of final answers
+	attempts    []router.StartAttempt              // in order
 }
 
 func newDriver(t *testing.T, newModule Constructor, classes []router.QueryClass,
@@ -30,6 +30,7 @@
 				MaxRetryAfter: 100}, limits)}
 }
 
+// step advances the time by a duration in ms, and has the module handle events.
 func (f *driver) step(after float64, events ...router.Event) {
 	f.now += after
 	for _, action := range f.module.Step(f.now, events) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// answerQuery ends an attempt with an answer.
+// answerQuery returns the event of a successful attempt, which gives the query its final answer.
 func (f *driver) answerQuery(id router.QueryID) router.AttemptEnded {
 	delete(f.outstanding, id)
 	f.finals[id]++
@@ -61,7 +62,7 @@
 		Key: router.OrderingKey(key)}
 }
 
-// checkAnsweredOnce checks that each query had one final answer, and no more.
+// checkAnsweredOnce checks that each query had exactly one final answer.
 func (f *driver) checkAnsweredOnce() {
 	f.t.Helper()
 	wrong := 0
@@ -71,11 +72,12 @@
 		}
 	}
 	if wrong > 0 {
-		f.t.Errorf("%d of %d queries did not get one final answer", wrong, f.serial)
+		f.t.Errorf("%d of %d queries have no or several final answers, want one for each", wrong, f.serial)
 	}
 }
 
-// newEndpoints are n engines of two machine kinds.
+// newEndpoints returns n endpoints in one state, alternately of two machine kinds. since is the time
+// of their start in ms, 0 if it is not known.
 func newEndpoints(prefix string, n int, since float64,
 	state router.EngineState) (l []router.Endpoint) {
 	for i := range n {
@@ -89,9 +91,9 @@
 var limits = router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 3000, SlowStartOverload: 4,
 	SlowStartWindow: 1000, OrderingCooldown: 100}
 
-// All engines drain at once and come back under new ids, warming up, while many queries are queued.
-// Before and after, module and reference take the same actions, nothing new starts on a draining
-// engine, and each query is answered once.
+// TestAllEnginesRestart drains all engines at once while many queries are queued, and lists new
+// engines, which warm up. Module and reference must take the same actions throughout, no attempt may
+// start on a draining engine, and each query must be answered once.
 func TestAllEnginesRestart(t *testing.T) {
 	const engines, queued = 60, 4000
 	f := newDriver(t, twin(t), Classes(3000), limits)
@@ -109,13 +111,13 @@
 	f.step(200, router.EndpointsUpdated{Endpoints: newEndpoints("b", engines, f.now, router.Ready)})
 	for len(f.finals) < int(f.serial) && f.now < 1.02e6 {
 		var events []router.Event
-		for _, s := range f.attempts[max(0, len(f.attempts)-300):] { // the latest are answered
+		for _, s := range f.attempts[max(0, len(f.attempts)-300):] { // the latest attempts are answered
 			if _, out := f.outstanding[s.ID]; out && f.finals[s.ID] == 0 {
 				events = append(events, f.answerQuery(s.ID))
 			}
 		}
 		f.step(20, events...)
-		for id, e := range f.outstanding { // attempts on drained engines never end: they are given up
+		for id, e := range f.outstanding { // attempts on drained engines never end: stop tracking them
 			if e[0] == 'a' && f.finals[id] == 1 {
 				delete(f.outstanding, id)
 			}
@@ -123,17 +125,18 @@
 	}
 	for _, s := range f.attempts[before:] {
 		if s.Engine[0] != 'b' {
-			t.Fatalf("%v started on a draining engine", s)
+			t.Fatalf("attempt %+v started after all engines a... began to drain, want engines b... only", s)
 		}
 	}
 	if len(f.attempts) == before {
-		t.Error("nothing started on the new engines")
+		t.Error("no attempts started on the new engines, want some")
 	}
 	f.checkAnsweredOnce()
 }
 
-// Many keys with an ordering queue each, and one key with a long queue: the order is kept, and the
-// queries in the queues are not searched at each step.
+// TestLongOrderingQueues checks that queries with an ordering key run one at a time in order of
+// arrival, with many keys and with one key that has a long queue. A module that scans these queues in
+// each step makes the test very slow.
 func TestLongOrderingQueues(t *testing.T) {
 	for _, c := range []struct {
 		keys, queries, steps int
@@ -159,7 +162,8 @@
 		last := map[int]router.QueryID{}
 		check := func(s router.StartAttempt) {
 			if key := keyOf[s.ID]; s.ID < last[key] {
-				t.Fatalf("%+v: %d of key %d started after %d", c, s.ID, key, last[key])
+				t.Fatalf("%+v: query %d of key %d started after query %d, want the order of arrival", c, s.ID, key,
+					last[key])
 			} else {
 				last[key] = s.ID
 			}
@@ -173,7 +177,7 @@
 			var ids []router.QueryID
 			for id := range f.outstanding {
 				if running[keyOf[id]] {
-					t.Fatalf("%+v: two of key %d are outstanding", c, keyOf[id])
+					t.Fatalf("%+v: two queries of key %d have attempts in flight, want at most one", c, keyOf[id])
 				}
 				running[keyOf[id]] = true
 				ids = append(ids, id)
@@ -182,16 +186,16 @@
 			if len(ids) > 0 {
 				f.step(1, f.answerQuery(ids[rng.Intn(len(ids))]))
 			}
-			f.step(1) // the next in a queue starts once the one before is forgotten
+			f.step(1) // the next query of a queue starts once the module has removed the one before it
 		}
 		if len(f.attempts) < c.steps {
-			t.Errorf("%+v: %d attempts", c, len(f.attempts))
+			t.Errorf("%+v: %d attempts started, want at least %d", c, len(f.attempts), c.steps)
 		}
 	}
 }
 
-// Queries that no engine may run, with the earliest client timeouts, keep no others from being
-// started.
+// TestUnplaceableQueriesBlockNoOthers guards against head-of-line blocking: queries that no engine
+// may run, with the earliest client timeouts, must not delay others.
 func TestUnplaceableQueriesBlockNoOthers(t *testing.T) {
 	classes := Classes(5000)
 	classes[1].Kinds = []router.KindID{1}
@@ -208,7 +212,7 @@
 		c := f.newQuery(0, int(f.serial)%5, 5000, "")
 		f.step(1, c)
 		if _, out := f.outstanding[c.ID]; !out {
-			t.Fatalf("%d was queued behind queries that no engine may run", c.ID)
+			t.Fatalf("query %d is queued behind queries that no engine may run, want it started at once", c.ID)
 		}
 		f.step(1, f.answerQuery(c.ID))
 	}
@@ -217,8 +221,8 @@
 	f.checkAnsweredOnce()
 }
 
-// A hundred thousand client timeouts in one moment, with no engine there: all are answered in the
-// step that is due.
+// TestManyTimeouts checks that a hundred thousand queries whose client timeouts coincide, while there
+// is no engine, are all answered in one step, 4 ms before the timeout.
 func TestManyTimeouts(t *testing.T) {
 	f := newDriver(t, module, Classes(2000), limits)
 	for range 100 {
@@ -229,12 +233,12 @@
 		}
 		f.step(0.1, events...)
 	}
-	f.step(2000 - (f.now - 1e6) - 4) // the last moment before a client gives up
+	f.step(2000 - (f.now - 1e6) - 4) // shortly before the clients give up
 	f.checkAnsweredOnce()
 }
 
-// All kinds of events in one step, in any order: the same as the reference, and as another of the
-// same order.
+// TestAnyOrder has steps with all kinds of events in random order. The module must take the actions of
+// the reference, and start the same attempts when the same events are played again.
 func TestAnyOrder(t *testing.T) {
 	play := func(newModule Constructor, seed int64) (all []router.StartAttempt) {
 		rng := rand.New(rand.NewSource(seed))
@@ -248,7 +252,7 @@
 					f.newQuery(router.ClassID(rng.Intn(4)), rng.Intn(12), 500+3500*rng.Float64(),
 						fmt.Sprint("k", i%9)))
 			}
-			for id := range router.QueryID(300) { // also of some without an attempt
+			for id := range router.QueryID(300) { // also queries without an attempt
 				id = f.serial - id
 				if _, out := f.outstanding[id]; out && rng.Intn(3) == 0 {
 					events = append(events, f.answerQuery(id))
@@ -273,7 +277,7 @@
 	}
 	for seed := range int64(20) {
 		if a, b := play(twin(t), seed), play(module, seed); !slices.Equal(a, b) {
-			t.Errorf("seed %d: not the same twice", seed)
+			t.Errorf("seed %d: two runs start %d and %d attempts, want equal attempts", seed, len(a), len(b))
 		}
 	}
 }
--- a/internal/lab/steps/steps.go
+++ b/internal/lab/steps/steps.go
@@ -1,7 +1,8 @@
-// Package steps measures what a step of the module costs by the size of what it decides on:
-// engines, queued queries, table groups. It drives a module through its interface alone, in virtual
-// time, and measures the processor time of each step. Figures are for ratios within one run.
-// overload.go measures a controller that gets more queries than it can decide on.
+// Package steps measures the cost of a step of the decision module (package router), depending on
+// the numbers of engines, queued queries and table groups. It drives a module through its interface
+// alone, in virtual time, and measures the duration of each step. Only ratios of figures from the
+// same run are meaningful. Type Overload simulates a controller that receives more queries than it
+// can decide on.
 package steps
 
 import (
@@ -15,29 +16,29 @@
 	"mintkeel/router"
 )
 
-// Module is what is measured: the module, or the reference.
+// Module is the decision module to be measured, or the reference.
 type Module interface {
 	Step(now float64, events []router.Event) []router.Action
 }
 
-// Constructor makes a module.
+// Constructor makes a module, with the parameters of router.New.
 type Constructor func(seed int64, place router.Identity, kinds []router.MachineKind,
 	classes []router.QueryClass, tenants []router.Tenant,
 	capabilities router.Capabilities, limits router.SafetyLimits) Module
 
-// Busy is how full the fleet is kept.
+// Busy is the level of load at which the fleet is kept.
 type Busy int
 
-// How full the fleet may be kept.
+// The levels of load.
 const (
 	Idle Busy = iota // one attempt in flight for every ten engines
-	Half             // half of what engines accept
-	Full             // all that they accept, and queries queued
+	Half             // half the attempts that engines accept
+	Full             // all attempts that engines accept, and further queries queued
 )
 
 func (b Busy) String() string { return [...]string{"idle", "busy", "full"}[b] }
 
-// Scene is what a module is put into.
+// Scene describes the fleet and the load of a module.
 type Scene struct {
 	Engines, Queued, Tables int
 	Busy                    Busy
@@ -46,22 +47,23 @@
 	Seed                    int64
 }
 
-// Costs are those of the steps of a scene, in microseconds.
+// Costs are the costs of the steps of a scene. Durations are in microseconds.
 type Costs struct {
 	Median, P99, Longest float64
-	Allocations          float64 // for each step
-	Queued               int     // queries queued in fact
-	Bytes                float64 // of memory for each queued query, with the state of the rig
-	Start                float64 // the longest step of a start with a complete endpoint list
+	Allocations          float64 // per step
+	Queued               int     // actual number of queued queries
+	Bytes                float64 // heap per queued query, including the state of the rig
+	Start                float64 // longest step during startup, from the complete endpoint list on
 }
 
 const (
 	cores, memory = 16.0, 64000.0
-	spacing       = 2.0 // ms between steps: 500 queries a second
+	spacing       = 2.0 // ms between steps: 500 queries per second
 )
 
-// Classes are those of a scene: lookups, reports that one machine kind alone runs, ordered loads
-// that lock their tables, lookups that wait for locked tables. ClientTimeout is in ms.
+// Classes returns the query classes of a scene: lookups, reports that only one machine kind runs,
+// ordered loads that lock their tables, and lookups that wait for locked tables. longest is the client
+// timeout of all classes in ms.
 func Classes(longest float64) []router.QueryClass {
 	return []router.QueryClass{
 		{Effect: router.Idempotent, LatencyObjective: 2000, ClientTimeout: longest, Threads: 1,
@@ -75,7 +77,7 @@
 			LateBenefit: 1, WaitsForTables: true}}
 }
 
-// Rig is a module in a scene, with the state of its engines and queries.
+// Rig drives a module in a scene, and keeps the state of its engines and queries.
 type Rig struct {
 	Scene
 	module        Module
@@ -88,7 +90,8 @@
 	inFlight      map[router.EngineID]int
 	timerAt       float64
 	events        []router.Event
-	// step so far; and until all engines were listed and all table groups packed
+	// longest step in microseconds: of all, and until all engines were listed and all table groups
+	// packed
 	longest, longestAtStart float64
 	emptyHeap               uint64 // bytes of heap before queries were queued
 }
@@ -99,7 +102,8 @@
 	engine router.EngineID
 }
 
-// New fills a scene.
+// New makes a module, lists the engines of a scene, and adds queries until the scene's load is
+// reached.
 func New(s Scene, newModule Constructor) *Rig {
 	kinds := []router.MachineKind{{Cores: cores, MemoryMB: memory}, {Cores: cores, MemoryMB: memory}}
 	g := &Rig{Scene: s, rng: rand.New(rand.NewSource(s.Seed + 1)), now: 1e6,
@@ -112,7 +116,7 @@
 		router.SafetyLimits{SlowStartCapacity: 0.3, SlowStartTime: 10000, SlowStartOverload: 4,
 			SlowStartWindow: 1500, OrderingCooldown: 300})
 	g.step(router.EndpointsUpdated{Complete: true, Endpoints: g.endpoints()})
-	for t := range s.Tables { // all are known before they are packed
+	for t := range s.Tables { // table groups must be known before they are packed
 		g.arrive(router.TableGroup(t))
 		if t%64 == 63 {
 			g.runFor(1)
@@ -131,11 +135,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	g.emptyHeap = before.HeapAlloc
-	for range 20 { // queued queries start when engines are found to bear more
+	for range 20 { // some queued queries start once the module raises its concurrency limits
 		if g.isFull(want) {
 			break
 		}
-		// beside other controllers it may never be capabilities as much
+		// The number of arrivals is bounded, because a controller with only a part of the fleet's
+		// capacity may never have as many attempts in flight.
 		for n := 0; !g.isFull(want) && n < 64*s.Engines+2*s.Queued; n++ {
 			g.arrive(-1)
 			if g.serial%16 == 0 {
@@ -147,8 +152,8 @@
 	return g
 }
 
-// isFull reports whether so many attempts are in flight or, in a full fleet, enough queries are
-// queued.
+// isFull reports whether the wanted number of attempts is in flight or, if the fleet is kept full,
+// enough queries are queued.
 func (g *Rig) isFull(want int) bool {
 	if g.Busy == Full {
 		return len(g.queued) >= g.Queued
@@ -164,6 +169,8 @@
 	return list
 }
 
+// arrive adds the arrival of a random query to the next step. A negative table group is replaced by
+// a random one.
 func (g *Rig) arrive(tables router.TableGroup) {
 	if tables < 0 {
 		tables = router.TableGroup(g.rng.Intn(max(1, g.Tables)))
@@ -188,7 +195,8 @@
 	g.events = append(g.events, ev)
 }
 
-// answerOne ends a random attempt in flight with an answer and a load report.
+// answerOne adds the successful end of a random attempt in flight, with a load report, to the next
+// step.
 func (g *Rig) answerOne() {
 	if len(g.outstanding) == 0 {
 		return
@@ -206,7 +214,8 @@
 				Utilization: min(1, float64(g.inFlight[s.engine])/cores), Memory: 0.5, Disk: 0.1}})
 }
 
-// step has the module decide on events, and returns the duration in microseconds.
+// step has the module handle the pending and the given events, and returns its duration in
+// microseconds.
 func (g *Rig) step(events ...router.Event) float64 {
 	g.events = append(g.events, events...)
 	began := time.Now()
@@ -234,7 +243,7 @@
 	return cost
 }
 
-// runFor lets some ms pass, with the steps that the module sets its timer for.
+// runFor advances the time by some ms, with steps at the times for which the module sets its timer.
 func (g *Rig) runFor(ms float64) {
 	for end := g.now + ms; g.now < end; {
 		g.now = min(end, max(g.now+0.001, g.timerAt))
@@ -243,7 +252,7 @@
 	}
 }
 
-// Run takes n steps, of one arrival and one answer each, and returns their costs.
+// Run takes n steps, each with one arrival and one answer, and returns their costs.
 func (g *Rig) Run(n int) Costs {
 	costs := make([]float64, 0, n)
 	var before, after runtime.MemStats
@@ -262,14 +271,14 @@
 		Bytes: bytes, Start: g.longestAtStart}
 }
 
-// Advance lets the usual time between two steps pass.
+// Advance advances the time by the interval between two steps.
 func (g *Rig) Advance() { g.now += spacing }
 
-// StepOnce takes one step, of one arrival and one answer, and returns its duration in microseconds.
+// StepOnce takes one step with one arrival and one answer, and returns its duration in microseconds.
 func (g *Rig) StepOnce() float64 {
 	g.answerOne()
 	g.arrive(-1)
-	if g.Busy == Full && len(g.queued) <= g.Queued { // engines run more by now
+	if g.Busy == Full && len(g.queued) <= g.Queued { // replaces a queued query that has started
 		g.arrive(-1)
 	}
 	return g.step()
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -14,7 +14,7 @@
 	return router.New(seed, place, kinds, classes, tenants, capabilities, limits)
 }
 
-// A step by the size of what it decides on.
+// BenchmarkStep measures a step by the level of load and the numbers of engines and queued queries.
 func BenchmarkStep(b *testing.B) {
 	for _, busy := range []Busy{Idle, Half, Full} {
 		for _, engines := range []int{10, 100, 1000} {
@@ -35,21 +35,23 @@
 	}
 }
 
-// twin steps module and reference, and reports where they differ.
+// twin returns a constructor of a module that is stepped beside the reference. The test fails at the
+// first step in which their actions differ.
 func twin(t *testing.T) Constructor {
 	return func(seed int64, place router.Identity, kinds []router.MachineKind,
 		classes []router.QueryClass, tenants []router.Tenant,
 		capabilities router.Capabilities, limits router.SafetyLimits) Module {
 		m := reference.NewTwin(seed, place, kinds, classes, tenants, capabilities, limits)
 		m.Differs = func(step int, now float64, _ []router.Event, module, old []router.Action) {
-			t.Errorf("step %d at %v: %s", step, now, reference.Difference(module, old))
+			t.Errorf("step %d at %v ms: actions differ from the reference: %s", step, now,
+				reference.Difference(module, old))
 		}
 		return m
 	}
 }
 
-// In full fleets the module takes the actions of the reference: with few engines and many, with
-// ordering keys, beside other controllers.
+// TestAsReference checks that the module takes the actions of the reference at all levels of load,
+// with few engines and many, with ordering keys and beside other controllers.
 func TestAsReference(t *testing.T) {
 	for _, s := range []Scene{
 		{Engines: 10, Queued: 400, Tables: 10, Busy: Full},
@@ -67,11 +69,13 @@
 	}
 }
 
-// However many more queries come than can be decided, each accepted one is answered before its
-// client timeout, and most of what can be decided is answered in time. A module that does not learn
-// of the waits answers late.
+// TestOverload checks a controller that receives up to 20 times the queries that it can decide. Each
+// accepted query must have its final answer before its client timeout, and most queries that can be
+// decided must be answered in time. A module that is not told how long queries waited answers late,
+// which shows that the test can fail.
 func TestOverload(t *testing.T) {
-	// shares of what could be answered
+	// least and blind are fractions of the queries that can be decided: the fewest answered in time,
+	// and the most without arrival waits.
 	for _, c := range []struct{ times, decide, least, blind float64 }{
 		{0.5, 0.05, 1, 1}, {1, 0.05, 0.99, 1}, {2, 0.05, 0.85, 1}, {5, 0.05, 0.75, 1},
 		{20, 0.05, 0.45, 1},
@@ -82,11 +86,11 @@
 		out := p.Play(module)
 		could := min(float64(out.Queries), p.Length/p.AttemptTime)
 		if out.Missed > 0 || out.Failed > 0 || float64(out.InTime) < c.least*could {
-			t.Errorf("%+v: %+v, of %g", c, out, could)
+			t.Errorf("%+v: got %+v, want none missed or failed and at least %g in time", c, out, c.least*could)
 		}
 		p.WithoutArrivalWait = true
 		if out := p.Play(module); float64(out.InTime) > c.blind*could*1.05 {
-			t.Errorf("%+v, without arrival waits: %+v, of %g", c, out, could)
+			t.Errorf("%+v, without arrival waits: got %+v, want at most %g in time", c, out, c.blind*could*1.05)
 		}
 	}
 }
