--- a/internal/lab/reference/learned.go
+++ b/internal/lab/reference/learned.go
@@ -4,79 +4,79 @@
 
 // The bounds of what is put in: past them no figure can be true, and none may starve a profile or an engine.
 const (
-	mostWeight, mostPace = 1000.0, 20.0
-	mostScale, mostRate  = 16.0, 1e6
+	maxRestoredWeight, maxRestoredSlowdown = 1000.0, 20.0
+	maxRestoredScale, maxRestoredRate      = 16.0, 1e6
 )
 
-// sane brings a figure within bounds; what is no number counts as the least.
-func sane(x, least, most float64) float64 {
+// clamp brings a figure within bounds; what is no number counts as the least.
+func clamp(x, least, most float64) float64 {
 	if !(x >= least) {
 		return least
 	}
 	return min(x, most)
 }
 
-// refill is a decaying mean as it would stand had it just been learned.
-func refill(w WeightedMean, life, now, least, most float64) decay {
-	n := sane(w.Weight, 0, mostWeight)
-	return decay{life: life, at: now, sum: sane(w.Mean, least, most) * n, n: n}
+// restoredMean is a decaying mean as it would stand had it just been learned.
+func restoredMean(w WeightedMean, life, now, least, most float64) decayedMean {
+	n := clamp(w.Weight, 0, maxRestoredWeight)
+	return decayedMean{halfLife: life, updatedAt: now, sum: clamp(w.Mean, least, most) * n, weight: n}
 }
 
-// recall puts in what an earlier run of this controller learned. Whatever this run has learned itself stands, an
+// restore puts in what an earlier run of this controller learned. Whatever this run has learned itself stands, an
 // engine of which another process is remembered is passed over, and no figure is taken past its bounds.
-func (r *Router) recall(l Statistics) {
-	sets := map[EngineID]*owner{} // engines that had the same owner
+func (r *Router) restore(l Statistics) {
+	restoredPools := map[EngineID]*enginePool{} // engines that had the same owner
 	for _, m := range l.Engines {
 		e := r.engines[m.Engine]
-		if e == nil || e.state != Ready || max(e.since, 0) != m.StartedAt {
+		if e == nil || e.state != Ready || max(e.startedAt, 0) != m.StartedAt {
 			continue
 		}
-		if e.slow.n == 0 && e.outcomes == math.MaxUint64 && e.width == startWidth {
-			e.slow = refill(m.Slowdown, e.slow.life, r.now, 0, mostPace)
+		if e.slowdown.weight == 0 && e.outcomes == math.MaxUint64 && e.threadsPerCore == initialThreadsPerCore {
+			e.slowdown = restoredMean(m.Slowdown, e.slowdown.halfLife, r.now, 0, maxRestoredSlowdown)
 			e.outcomes = math.MaxUint64&^0xff | uint64(m.Outcomes)
-			e.width = sane(m.ThreadsPerCore, leastWidth, mostWidth)
+			e.threadsPerCore = clamp(m.ThreadsPerCore, minThreadsPerCore, maxThreadsPerCore)
 		}
 		if m.PoolLeader != "" {
-			if sets[m.PoolLeader] == nil {
-				sets[m.PoolLeader] = &owner{}
+			if restoredPools[m.PoolLeader] == nil {
+				restoredPools[m.PoolLeader] = &enginePool{}
 			}
-			sets[m.PoolLeader].engines = append(sets[m.PoolLeader].engines, e)
+			restoredPools[m.PoolLeader].engines = append(restoredPools[m.PoolLeader].engines, e)
 		}
 	}
 	for _, m := range l.Classes {
-		if m.Class < 0 || int(m.Class) >= len(r.profiles) || r.profiles[m.Class].unit.n > 0 {
+		if m.Class < 0 || int(m.Class) >= len(r.classes) || r.classes[m.Class].unitTime.weight > 0 {
 			continue
 		}
-		p := r.profiles[m.Class]
-		p.fullLeft = max(p.fullLeft, sane(m.FirstTryTimeout, 0, p.ClientTimeout))
-		p.best, p.hearsayAt = sane(m.UnloadedTime, 0, p.ClientTimeout), r.now
-		p.workScale = refill(m.WorkScale, scaleLife, r.now, 1/mostScale, mostScale)
-		p.needScale = refill(m.MemoryScale, scaleLife, r.now, 1/mostScale, mostScale)
+		class := r.classes[m.Class]
+		class.firstTryTimeout = max(class.firstTryTimeout, clamp(m.FirstTryTimeout, 0, class.ClientTimeout))
+		class.bestUnitTime, class.unconfirmedSince = clamp(m.UnloadedTime, 0, class.ClientTimeout), r.now
+		class.workScale = restoredMean(m.WorkScale, scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
+		class.memoryScale = restoredMean(m.MemoryScale, scaleHalfLife, r.now, 1/maxRestoredScale, maxRestoredScale)
 	}
 	for _, m := range l.Traffic {
-		if r.share.n == 0 {
-			r.share = refill(m.Share, shareLife, r.now, 0, 1)
+		if r.share.weight == 0 {
+			r.share = restoredMean(m.Share, shareHalfLife, r.now, 0, 1)
 		}
 	}
 	for _, m := range l.Tables {
-		g := r.groupOf(m.Tables)
-		if g.known {
+		g := r.tableGroupOf(m.Tables)
+		if g.confirmed {
 			continue
 		}
-		g.known, g.asked = true, r.now
-		demand, held := sane(m.Demand, 0, mostRate), sane(m.MemoryTime, 0, mostRate*mostRate)
-		g.demand.add(r.now, demand*demandLife/math.Ln2, 1)
-		g.held.add(r.now, held*demandLife/math.Ln2, 1)
+		g.confirmed, g.lastQueryAt = true, r.now
+		demand, held := clamp(m.Demand, 0, maxRestoredRate), clamp(m.MemoryTime, 0, maxRestoredRate*maxRestoredRate)
+		g.demand.add(r.now, demand*demandHalfLife/math.Ln2, 1)
+		g.memoryTime.add(r.now, held*demandHalfLife/math.Ln2, 1)
 		for k, lead := range m.PoolLeaders {
-			if k < len(g.homes) && sets[lead] != nil {
-				g.homes[k] = sets[lead]
+			if k < len(g.pools) && restoredPools[lead] != nil {
+				g.pools[k] = restoredPools[lead]
 			}
 		}
 	}
 }
 
-// unlearn forgets how a profile was said to run.
-func (p *profile) unlearn() {
-	p.best, p.hearsayAt = 0, 0
-	p.workScale, p.needScale = decay{life: scaleLife}, decay{life: scaleLife}
+// discardRestored forgets how a profile was said to run.
+func (class *queryClass) discardRestored() {
+	class.bestUnitTime, class.unconfirmedSince = 0, 0
+	class.workScale, class.memoryScale = decayedMean{halfLife: scaleHalfLife}, decayedMean{halfLife: scaleHalfLife}
 }
--- a/internal/lab/reference/twin.go
+++ b/internal/lab/reference/twin.go
@@ -11,26 +11,26 @@
 // step at which the two did not order the same.
 type Twin struct {
 	*router.Router
-	old     *Router
-	steps   int
-	Differs func(step int, now float64, events []router.Event, module, reference []router.Action) // told once
-	told    bool
+	reference *Router
+	steps     int
+	Differs   func(step int, now float64, events []router.Event, module, reference []router.Action) // reported once
+	reported  bool
 }
 
 // NewTwin is as router.New.
-func NewTwin(seed int64, place router.Identity, kinds []router.MachineKind, profiles []router.QueryClass, tenants []router.Tenant,
-	allowed router.Capabilities, guards router.SafetyLimits) *Twin {
-	return &Twin{Router: router.New(seed, place, kinds, profiles, tenants, allowed, guards),
-		old: New(seed, place, kinds, profiles, tenants, allowed, guards)}
+func NewTwin(seed int64, identity router.Identity, kinds []router.MachineKind, classes []router.QueryClass, tenants []router.Tenant,
+	capabilities router.Capabilities, limits router.SafetyLimits) *Twin {
+	return &Twin{Router: router.New(seed, identity, kinds, classes, tenants, capabilities, limits),
+		reference: New(seed, identity, kinds, classes, tenants, capabilities, limits)}
 }
 
 // Step has both decide.
 func (t *Twin) Step(now float64, events []router.Event) []router.Action {
 	t.steps++
-	want := t.old.Step(now, slices.Clone(events))
+	want := t.reference.Step(now, slices.Clone(events))
 	got := t.Router.Step(now, events)
-	if !t.told && !slices.Equal(got, want) && t.Differs != nil {
-		t.told = true
+	if !t.reported && !slices.Equal(got, want) && t.Differs != nil {
+		t.reported = true
 		t.Differs(t.steps, now, events, got, want)
 	}
 	return got
