--- a/internal/lab/reference/learned.go
+++ b/internal/lab/reference/learned.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// The bounds of what is put in: past them no figure can be true, and none may starve a profile or an engine.
+// Bounds of restored values. Values beyond them cannot be true, and they must not starve a class or an engine.
 const (
 	maxRestoredWeight, maxRestoredSlowdown = 1000.0, 20.0
 	maxRestoredScale, maxRestoredRate      = 16.0, 1e6
 )
 
-// clamp brings a figure within bounds; what is no number counts as the least.
+// clamp limits x to a range; NaN becomes the lower bound.
 func clamp(x, least, most float64) float64 {
 	if !(x >= least) {
 		return least
@@ -16,16 +16,16 @@
 	return min(x, most)
 }
 
-// restoredMean is a decaying mean as it would stand had it just been learned.
+// restoredMean is a decayed mean restored as if its values had just been added.
 func restoredMean(w WeightedMean, life, now, least, most float64) decayedMean {
 	n := clamp(w.Weight, 0, maxRestoredWeight)
 	return decayedMean{halfLife: life, updatedAt: now, sum: clamp(w.Mean, least, most) * n, weight: n}
 }
 
-// restore puts in what an earlier run of this controller learned. Whatever this run has learned itself stands, an
-// engine of which another process is remembered is passed over, and no figure is taken past its bounds.
+// restore takes over the statistics of an earlier run of this controller. Whatever this run has learned itself stays,
+// statistics of another process of an engine are skipped, and all values are clamped to their bounds.
 func (r *Router) restore(l Statistics) {
-	restoredPools := map[EngineID]*enginePool{} // engines that had the same owner
+	restoredPools := map[EngineID]*enginePool{} // by the engine that led the pool
 	for _, m := range l.Engines {
 		e := r.engines[m.Engine]
 		if e == nil || e.state != Ready || max(e.startedAt, 0) != m.StartedAt {
@@ -75,7 +75,7 @@
 	}
 }
 
-// discardRestored forgets how a profile was said to run.
+// discardRestored drops the restored estimates of a class.
 func (class *queryClass) discardRestored() {
 	class.bestUnitTime, class.unconfirmedSince = 0, 0
 	class.workScale, class.memoryScale = decayedMean{halfLife: scaleHalfLife}, decayedMean{halfLife: scaleHalfLife}
--- a/internal/lab/reference/router.go
+++ b/internal/lab/reference/router.go
@@ -7,19 +7,23 @@
 	"slices"
 )
 
-// Commands and the rules' guards.
+// Estimates and the safety rules.
 
 const (
-	unitTimeHalfLife, logSlowdownHalfLife, workHalfLife, scaleHalfLife = 10000.0, 1000.0, 20000.0, 30000.0 // ms that learning goes back
+	unitTimeHalfLife, logSlowdownHalfLife, workHalfLife, scaleHalfLife = 10000.0, 1000.0, 20000.0, 30000.0 // ms
 	shareHalfLife, tenantHalfLife                                      = 5000.0, 2000.0
 
-	windowSlack, answerLeadIntervals            = 60.0, 2.0 // ms by which windows are kept wider; rounds before a client timeout
-	slowStartShareUsed, slowStartTurnsPerWindow = 0.6, 2.0  // of a cold engine's allowance; stretches in a window
+	// ms by which time windows are kept wider than configured; event intervals before a client timeout
+	windowSlack, answerLeadIntervals = 60.0, 2.0
+	// share used of a warming engine's allowance; turns in one window
+	slowStartShareUsed, slowStartTurnsPerWindow = 0.6, 2.0
 )
 
-var slowStartPartSizes = [...]float64{500, 2000, 8000} // ms of work that a part must hold, or turns are taken
+// ms of work in a controller's part, for small, medium and large queries
+var slowStartPartSizes = [...]float64{500, 2000, 8000}
 
-// workUnits is the time that c's estimate gives it alone; without estimates all commands of a profile are alike.
+// workUnits is the amount of work of q by its estimate, in the units of bestUnitTime. Without estimates all queries of a
+// class count as 1.
 func (class *queryClass) workUnits(q *query, now float64) float64 {
 	if q.estimatedWork <= 0 {
 		return 1
@@ -27,7 +31,7 @@
 	return max(1, q.estimatedWork*class.workScale.mean(now, 1, 2)/class.Threads)
 }
 
-// unloadedTime is the time that c would take on an idle engine, as far as is known.
+// unloadedTime is the estimated run time of q in ms on an idle engine.
 func (class *queryClass) unloadedTime(q *query, now float64) float64 {
 	if class.bestUnitTime == 0 && q.estimatedWork <= 0 {
 		return class.LatencyObjective / 2
@@ -35,18 +39,20 @@
 	return cmp.Or(class.bestUnitTime, 1) * class.workUnits(q, now)
 }
 
-// meanWork leans high while little is known: it guards cold engines, where too low a guess breaks a rule.
+// meanWork is the mean work of a query in ms on one thread. It is high while little is known, because it guards warming
+// engines, where too low a value breaks a rule.
 func (class *queryClass) meanWork(now float64) float64 {
 	return class.work.mean(now, class.ClientTimeout/3, 1)
 }
 
-// slowStartCost is what c counts for at a cold engine: as its profile usually does, more if its estimate says so.
+// slowStartCost is the work that q counts for on a warming engine: the mean of its class, or its estimate if that is
+// larger.
 func (q *query) slowStartCost(now float64) float64 {
 	return max(q.class.meanWork(now), q.uncappedEstimate)
 }
 
-// eligible tells whether c may go to e now. Every send passes it, first or further: it keeps the rules
-// on drains, repeats, order, placement, the sends budget and cold engines.
+// eligible reports whether an attempt of q may start on e now. Every attempt, first or retry, passes this check. It
+// enforces the rules on drains, repeats, order, placement, the retry budget and slow start.
 func (r *Router) eligible(q *query, e *engine) bool {
 	class := q.class
 	return e.state == Ready && r.endpointTrusted(e) && permits(class.Kinds, e.kind) && permits(class.Zones, e.zone) &&
@@ -54,9 +60,10 @@
 		(q.unresolved == nil || class.Effect == Idempotent || scopeCovers(class.Scope, q.unresolved, e)) && r.slowStartAllows(q, e)
 }
 
-// endpointTrusted tells whether the list may be trusted of e. Once expired, it may for one that answered what was
-// sent so lately that no later drain counts as told: who drains turns new work away. One that was seen to
-// break may have come back cold, or have another in its place.
+// endpointTrusted reports whether the endpoint list may be trusted about e. Once the list has expired, e is trusted only
+// if it answered an attempt that started so recently that a later drain does not count as notified yet: a draining engine
+// rejects new work. After a lost connection it is not trusted, as its process may have been replaced by one that is
+// warming up, or another engine may have its address.
 func (r *Router) endpointTrusted(e *engine) bool {
 	return r.expiredFor == 0 || e.connectionLostAt < r.endpointsUpdatedAt && r.now-e.answeredStartAt < r.expiredFor
 }
@@ -67,8 +74,9 @@
 		!r.attemptsExhausted(q) && (len(q.attempts) == 0 || r.retryBudgetAllows())
 }
 
-// headOfQueues tells whether c is the first of all its keys, none of which rests. All stand by arrival, so who came
-// first of all is the first of each of its own, and nobody waits in a circle.
+// headOfQueues reports whether q is at the head of the queues of all its ordering keys, none of which is in cooldown. All
+// queues are ordered by arrival, so the query that arrived first is at the head of all its queues, and queries cannot
+// deadlock.
 func (r *Router) headOfQueues(q *query) bool {
 	for _, queue := range q.queues {
 		if queue.queries[0] != q || len(q.attempts) == 0 && r.now < queue.cooldownUntil || queue.followerOutstanding() {
@@ -78,34 +86,38 @@
 	return true
 }
 
-// answerBy is when a command is ended at the latest: before its client timeout, and before a planned end of this
-// controller, so that who cannot be done by then is told at once and can try another.
+// answerBy is the time by which q must have its final answer: before its client timeout and before a planned shutdown of
+// this controller, so that the client of a query that cannot be done by then learns it at once and can try another
+// controller.
 func (r *Router) answerBy(q *query) float64 {
 	return min(q.deadline, r.shutdownAt) - answerLeadIntervals*r.limits.EventInterval - 5
 }
 
-// attemptsExhausted tells that no further send of c can ever be allowed.
+// attemptsExhausted reports whether no further attempt of q can ever be allowed.
 func (r *Router) attemptsExhausted(q *query) bool {
 	class := q.class
 	return len(q.attempts) >= r.capabilities.MaxAttempts || q.unresolved != nil && (class.Effect == NonIdempotent ||
 		class.Effect == Deduplicated && r.now > class.repeatDeadline(q.unresolvedAt))
 }
 
-// repeatDeadline is the latest that a repeat may go out of what first did at a time, for engines to know it as one.
+// repeatDeadline is the latest time at which a repeat may be sent of a query that was first sent at the given time. Later,
+// engines may not recognize it as a repeat.
 func (class *queryClass) repeatDeadline(first float64) float64 {
 	return first + class.DeduplicationWindow - windowSlack
 }
 
-// retryBudgetAllows counts resends over a little more, and commands taken over a little less, than the window.
+// retryBudgetAllows reports whether the retry budget allows another retry. It counts retries over a little more than the
+// configured window, and arrivals over a little less.
 func (r *Router) retryBudgetAllows() bool {
 	limits := r.limits
 	return !limits.RetryBudgeted || r.retries.sumSince(r.now-limits.RetryBudgetWindow-windowSlack)+1 <=
 		limits.RetryBudgetMin+limits.RetryBudgetRatio*r.arrivals.sumSince(r.now-limits.RetryBudgetWindow+windowSlack)
 }
 
-// slowStartAllowance is this controller's part of what a cold engine may be sent within the window, as if it had its
-// least stated capacity until warm and all used theirs. Where an equal part is under a command, controllers
-// take turns by number, engine and time since its start, at parts for small, middling and large commands.
+// slowStartAllowance is this controller's part of the work that a warming engine may be sent within the window. It is
+// computed as if the engine had its initial capacity until it is warm, and as if all controllers used their parts. Where
+// an equal part would be less than a query, controllers take turns, by their index, the engine and the time since its
+// start, with parts for small, medium and large queries.
 func (r *Router) slowStartAllowance(e *engine) float64 {
 	limits := r.limits
 	if r.now > e.startedAt+limits.SlowStartTime+windowSlack || limits.SlowStartOverload <= 0 {
@@ -115,7 +127,7 @@
 	if totalAllowance >= slowStartPartSizes[0]*r.controllers {
 		return totalAllowance / r.controllers
 	}
-	totalAllowance /= slowStartTurnsPerWindow + 1 // a window touches so many stretches
+	totalAllowance /= slowStartTurnsPerWindow + 1 // a window overlaps this many turns
 	turn := uint64(max(0, r.now-e.startedAt) * slowStartTurnsPerWindow / (limits.SlowStartWindow + 2*windowSlack))
 	groups := math.Ceil(r.controllers / max(1, math.Floor(totalAllowance/slowStartPartSizes[turn%uint64(len(slowStartPartSizes))])))
 	if (e.idHash+uint64(r.index)+turn/uint64(len(slowStartPartSizes)))%uint64(groups) != 0 {
@@ -125,13 +137,15 @@
 }
 
 func (r *Router) slowStartAllows(q *query, e *engine) bool {
-	allowance, windowStart := r.slowStartAllowance(e), r.now-r.limits.SlowStartWindow-windowSlack // what an earlier life sent is not known
+	// what was sent before this controller's own restart is not known
+	allowance, windowStart := r.slowStartAllowance(e), r.now-r.limits.SlowStartWindow-windowSlack
 	return math.IsInf(allowance, 1) || r.startedAt <= windowStart && e.slowStartWork.sumSince(windowStart)+q.slowStartCost(r.now) <= allowance
 }
 
-// attemptStartBy is when a send of c to e must have gone out at the latest; 0: at any time. A connection may come up
-// late: a repeat could pass its window meanwhile, a drain could count as told, and what counts in one window
-// of cold engines or of the budget could fall into the next. Harm: some that would have gone well go anew.
+// attemptStartBy is the time by which an attempt of q on e must be sent; 0: no limit. A connection may be established
+// late: meanwhile a repeat could be past its deduplication window, a drain could count as notified, and an attempt that
+// counts in one window of slow start or of the retry budget could fall into the next. The cost is that some attempts are
+// withdrawn and decided again that would have been harmless.
 func (r *Router) attemptStartBy(q *query, e *engine) float64 {
 	by := math.Inf(1)
 	if q.unresolved != nil && q.class.Effect == Deduplicated {
@@ -149,34 +163,45 @@
 	return by
 }
 
-// mayReject tells whether the client may be told that trying again is harmless.
+// mayReject reports whether q may be rejected, which tells the client that a retry is harmless.
 func (r *Router) mayReject(q *query) bool {
 	class, mayHaveRun := q.class, q.unresolved != nil || q.awaited > 0
 	return class.Effect == Idempotent || !mayHaveRun || class.Effect == Deduplicated && class.Scope == ScopeAll
 }
 
-// The engine view.
+// Engine state: health, load reports, traffic share.
 
 const (
-	outlierWindow, outlierMinSuccesses          = 8, 3          // last outcomes to judge an engine by; fewer successes: unwell
-	minTrialWait, maxTrialWait                  = 250.0, 2000.0 // ms until an unwell engine's trial send; doubled by failures
-	recentSuccessFor                            = 5000.0        // ms for which a profile's own success speaks for an unwell engine
-	reportHalfLife                              = 1000.0        // ms over which reports are smoothed
-	othersHalfLife                              = 5000.0        // ms over which what an engine was told to hold gives way to the mean
-	slowdownLifeFactor, maxSlowdownHalfLife     = 4.0, 10000.0  // its pace is learned over so many times own commands' distance
-	reportMaxAge                                = 4000.0        // ms after which a report no longer counts
-	maxUtilization, maxInflightPerCore          = 2.0, 100.0    // that may be true: busy cores over all; commands a core
-	healthCheckInterval, maxHealthCheckInterval = 400.0, 1000.0 // ms between probes of an engine: by all, by one at most
-	reportRefreshAge                            = 1200.0        // ms from which a report is asked for anew ahead of a send
-	healthChecksPerQuery, maxHealthCheckCredit  = 1.0, 10.0     // probes a command; saved up, half for asking ahead of a send
-	pollRetryInterval, defaultCores             = 1000.0, 8.0   // ms, and up to as much again; for a kind not named
+	// number of last outcomes that decide on health; successes among them that a healthy engine needs
+	outlierWindow, outlierMinSuccesses = 8, 3
+	// ms until a trial attempt on an unhealthy engine; doubled by each failure, up to the maximum
+	minTrialWait, maxTrialWait = 250.0, 2000.0
+	// ms for which a class's own success lets it use an unhealthy engine
+	recentSuccessFor = 5000.0
+	reportHalfLife   = 1000.0 // ms, of reported utilization
+	// ms, of the queries of other controllers in flight, after which the mean of all engines prevails
+	othersHalfLife = 5000.0
+	// half-life of the slowdown, in mean intervals between own queries per engine; its maximum in ms
+	slowdownLifeFactor, maxSlowdownHalfLife = 4.0, 10000.0
+	reportMaxAge                            = 4000.0 // ms after which a load report is ignored
+	// largest plausible values: busy cores over all cores; queries per core
+	maxUtilization, maxInflightPerCore = 2.0, 100.0
+	// ms between health checks of an engine: by all controllers, by one at most
+	healthCheckInterval, maxHealthCheckInterval = 400.0, 1000.0
+	// ms; an older report is refreshed by a health check before an attempt
+	reportRefreshAge = 1200.0
+	// health checks per arriving query; maximum saved, half of it reserved for refreshing reports
+	healthChecksPerQuery, maxHealthCheckCredit = 1.0, 10.0
+	// ms between polls, up to twice that after a failed poll; cores of a machine kind that is not configured
+	pollRetryInterval, defaultCores = 1000.0, 8.0
 )
 
 func (e *engine) healthy() bool {
 	return bits.OnesCount64(e.outcomes<<(64-outlierWindow)) >= outlierMinSuccesses
 }
 
-// recordOutcome takes in an outcome, of probes too, against engines that died or hang. Harm: a short spell idles one.
+// recordOutcome records the outcome of an attempt or health check, to detect engines that died or hang. The cost is that
+// a short period of failures leaves an engine idle.
 func (e *engine) recordOutcome(now float64, good bool) {
 	if e.outcomes <<= 1; good {
 		e.outcomes, e.trialWait = e.outcomes|1, minTrialWait
@@ -185,8 +210,9 @@
 	}
 }
 
-// recordAttemptOutcome takes in how a send did. Two failures of a profile in a row rest it there, its success speaks for it
-// where others fail: against engines that fail one profile alone, and were left out by all, or by none.
+// recordAttemptOutcome records the success or failure of an attempt for its engine and for its class there. Two
+// consecutive failures make the class back off from the engine, and a success lets the class use the engine while others
+// fail. Otherwise an engine that fails one class alone would be avoided by all classes, or by none.
 func (r *Router) recordAttemptOutcome(q *query, a *attempt, good bool) {
 	t := a.engine.classBackoff(q.class)
 	if a.engine.recordOutcome(r.now, good); good {
@@ -197,12 +223,13 @@
 	t.lastFailed, a.failed = !good, a.failed || !good
 }
 
-// slowStartCapacity is the share of its capacity that a cold engine is taken to have.
+// slowStartCapacity is the share of its full capacity that a warming engine is assumed to have.
 func (r *Router) slowStartCapacity(e *engine) float64 {
 	return r.limits.SlowStartCapacity + (1-r.limits.SlowStartCapacity)*min(1, max(0, r.now-e.startedAt)/max(1, r.limits.SlowStartTime))
 }
 
-// endpointsUpdated takes in news of the list; a failed question is asked again before the old list counts as told.
+// endpointsUpdated handles an update of the endpoint list. A failed poll is repeated before drains that it would have
+// shown count as notified.
 func (r *Router) endpointsUpdated(ev EndpointsUpdated) {
 	if r.subscribed = !ev.Failed && (r.subscribed || !ev.Cached); ev.Failed {
 		r.pollAt = r.now + pollRetryInterval*(1+r.rng.Float64())
@@ -214,8 +241,8 @@
 	}
 }
 
-// statisticsRestored takes in what is remembered. Engines go back to the owners of the table groups that they had; they
-// merge and move only by loads that are known: at first all are none, and lone engines would be shared.
+// statisticsRestored handles restored statistics. Engines return to the pools of the table groups that they served. The
+// next rebalance is delayed until loads are known: at first all loads are 0, and pools of one engine would be merged.
 func (r *Router) statisticsRestored(l Statistics) {
 	if r.restore(l); len(l.Tables) > 0 {
 		r.rebalanceAt = max(r.rebalanceAt, r.now+rebalanceInterval)
@@ -225,7 +252,8 @@
 	}
 }
 
-// trafficShare is this controller's part of the traffic, by what engines hold; first, weighing 200, an equal one.
+// trafficShare is this controller's share of the queries in flight on the engines, by their load reports, with an equal
+// share as a prior of weight 200.
 func (r *Router) trafficShare() float64 {
 	if r.controllers == 1 {
 		return 1
@@ -233,7 +261,8 @@
 	return min(1, max(0.2/r.controllers, r.share.mean(r.now, 1/r.controllers, 200)))
 }
 
-// checkHealth has an engine probed, in relation to commands: by time, a hundred controllers would probe all day.
+// checkHealth starts a health check of an engine, if the credit that queries add allows it: with a fixed rate per
+// controller, a hundred idle controllers would check engines all the time.
 func (r *Router) checkHealth(e *engine) bool {
 	if !r.capabilities.HealthChecks || e.checkingHealth || r.healthCheckCredit < 1 {
 		return false
@@ -243,12 +272,13 @@
 	return true
 }
 
-// plausible tells whether a report may be true: figures that no engine can mean change nothing.
+// plausible reports whether a load report can be true. Impossible values are ignored.
 func plausible(l *LoadReport, e *engine) bool {
 	return l.Utilization <= maxUtilization && l.Inflight <= maxInflightPerCore*e.cores
 }
 
-// engineLoad is the design's, with its fallbacks in order.
+// engineLoad is the load of an engine by which it is moved between pools: the reported utilization, else the reported
+// queries per core or, without a recent report, this controller's attempts scaled up to all controllers.
 func (r *Router) engineLoad(e *engine) float64 {
 	if e.reportedAt == 0 || r.now-e.reportedAt > reportMaxAge {
 		return float64(e.attempts) / e.cores / r.trafficShare()
@@ -262,12 +292,14 @@
 // Footprints and packing.
 
 const (
-	memoryReserve, assumedMemoryShare = 0.1, 0.5 // of memory: left free by packing; taken as used without estimates
-	demandHalfLife                    = 10000.0  // ms over which demand and footprints are learned
+	// shares of memory: left free by packing; assumed to be used without estimates
+	memoryReserve, assumedMemoryShare = 0.1, 0.5
+	demandHalfLife                    = 10000.0 // ms, of demand and memory footprints
 )
 
-// footprints are mean memory times commands running at once, over all controllers and one kind's part of the
-// fleet: by Little's law, memory times time for each millisecond. Without estimates all groups are alike.
+// footprints returns the memory in use by each table group, over all controllers and for one machine kind's part of the
+// fleet. By Little's law, the mean memory in use is memory times run time, per millisecond. Without estimates all groups
+// are assumed equal.
 func (r *Router) footprints(k int) map[*tableGroup]float64 {
 	sizes, total, n := map[*tableGroup]float64{}, 0.0, float64(len(r.readyEngines(k)))
 	for _, g := range r.groupList {
@@ -281,7 +313,8 @@
 	return sizes
 }
 
-// bestFitDecreasing is Best Fit Decreasing; a group too large for any engine stands alone.
+// bestFitDecreasing packs table groups into bins of a size by the Best Fit Decreasing algorithm. A group too large for
+// any bin gets its own.
 func bestFitDecreasing(groups []*tableGroup, size map[*tableGroup]float64, room float64) (bins [][]*tableGroup) {
 	sorted := slices.Clone(groups)
 	slices.SortStableFunc(sorted, func(a, b *tableGroup) int { return cmp.Compare(size[b], size[a]) })
@@ -302,18 +335,19 @@
 }
 
 const (
-	rebalanceInterval, moveMargin = 2000.0, 1.25 // ms between moves, and the margin for one
-	hotDemandFactor               = 3.0          // times its demand that a table group said to be hot counts when packed
-	recomputeMargin               = 2.5          // the busiest so far over the lowest future load: counts are solved
-	underusedLoad                 = 0.25         // load of a lone engine that may be shared
-	tableGroupMaxIdle             = 60000.0      // ms for which a table group is kept that nobody names
+	// ms between rebalances; busiest pool's load over the donor's future load, to move an engine
+	rebalanceInterval, moveMargin = 2000.0, 1.25
+	hotDemandFactor               = 3.0     // weight of the demand of a table group that a rule marks as hot
+	recomputeMargin               = 2.5     // as moveMargin, but all target counts are recomputed at once
+	underusedLoad                 = 0.25    // load below which a pool of one engine may be merged with another
+	tableGroupMaxIdle             = 60000.0 // ms after its last query for which a table group is kept
 )
 
 func (r *Router) demandPerEngine(pool *enginePool) float64 {
 	return r.poolDemand(pool) / float64(max(1, pool.targetCount))
 }
 
-// allocateCounts makes the counts wanted sum to n, one at least each, by what demand leaves for each engine.
+// allocateCounts makes the target counts of the pools sum to n, each at least 1, by demand per engine.
 func (r *Router) allocateCounts(pools []*enginePool, n int) {
 	for _, pool := range pools {
 		pool.targetCount = max(1, pool.targetCount)
@@ -328,8 +362,9 @@
 	}
 }
 
-// assignEngines hands the engines of a kind out as wanted. An engine stays where its tables are warm, else goes by a
-// leaning that all controllers share. Who gives up engines chooses first, so that one move moves one engine.
+// assignEngines assigns the engines of a kind to pools by their target counts. An engine stays in the pool whose tables it
+// has cached, and else goes by an affinity that is the same at all controllers. Pools that lose engines choose first, so
+// that moving one engine changes no other assignment.
 func (r *Router) assignEngines(k int, pools []*enginePool) {
 	free, turn := r.readyEngines(k), slices.Clone(pools)
 	r.allocateCounts(pools, len(free))
@@ -363,7 +398,7 @@
 	r.reassign(k)
 }
 
-// addToPool gives a new group to the owner with least demand for each engine.
+// addToPool adds a new table group to the pool with the least demand per engine.
 func (r *Router) addToPool(k int, g *tableGroup) {
 	if len(r.pools[k]) == 0 {
 		r.pools[k] = []*enginePool{{packs: make([][]*tableGroup, 1)}}
@@ -374,7 +409,8 @@
 	}
 }
 
-// reassign mends ownership after a change: surplus light packs share as merged, who has engines keeps them.
+// reassign updates the pools of a kind after a change of its engines: if there are more pools than engines, those with the
+// least demand are merged. Pools keep the engines that they have.
 func (r *Router) reassign(k int) {
 	pools, ready := r.pools[k], r.readyEngines(k)
 	if len(ready) == 0 || len(r.groupList) == 0 {
@@ -389,7 +425,7 @@
 			}
 			slices.SortStableFunc(pools, func(a, b *enginePool) int { return cmp.Compare(demands[b], demands[a]) })
 		}
-		for i := last; i > 0 && demands[pools[i-1]] < demands[pools[i]]; i-- { // who shares by now asks for more
+		for i := last; i > 0 && demands[pools[i-1]] < demands[pools[i]]; i-- { // a merged pool's demand has grown
 			pools[i-1], pools[i] = pools[i], pools[i-1]
 		}
 		pools[last-1].packs = append(pools[last-1].packs, pools[last].packs...)
@@ -402,7 +438,7 @@
 	r.assignEngines(k, pools)
 }
 
-// futureLoad is the load of an owner that gives up an engine; one that can't is never the lowest.
+// futureLoad is the load of a pool after it gives up an engine; +Inf if it has only one.
 func (r *Router) futureLoad(pool *enginePool) float64 {
 	if n := float64(len(pool.engines)); n > 1 {
 		return r.poolLoad(pool) * n / (n - 1)
@@ -410,7 +446,8 @@
 	return math.Inf(1)
 }
 
-// rebalance is the design's period for one kind: split, fast solve, move or merge.
+// rebalance makes at most one change to the pools of a kind: it splits a merged pool, recomputes all target counts, moves
+// one engine, or merges two pools.
 func (r *Router) rebalance(k int) {
 	pools := r.pools[k]
 	if len(pools) == 0 || len(r.readyEngines(k)) < len(pools) {
@@ -428,10 +465,11 @@
 	}
 	switch {
 	case donor != busiest && high >= moveMargin*low && len(busiest.packs) > 1 && len(busiest.engines) == 1:
-		pools = append(pools, &enginePool{packs: busiest.packs[:1:1], targetCount: 1}) // who shares parts when busiest
+		// the busiest pool of merged packs is split
+		pools = append(pools, &enginePool{packs: busiest.packs[:1:1], targetCount: 1})
 		busiest.packs = busiest.packs[1:]
 		donor.targetCount--
-	case donor != busiest && high >= recomputeMargin*low: // equal load, rounded towards the present counts
+	case donor != busiest && high >= recomputeMargin*low: // counts for equal load, rounded towards the present ones
 		for _, pool := range pools {
 			n := float64(len(pool.engines))
 			pool.targetCount = max(1, pool.targetCount+int(r.poolLoad(pool)*n/total*float64(len(r.readyEngines(k)))-n))
@@ -449,22 +487,28 @@
 	r.assignEngines(k, pools)
 }
 
-// Thread bound.
+// Concurrency limits.
 
 const (
-	initialThreadsPerCore, minThreadsPerCore, maxThreadsPerCore = 2.0, 1.5, 2.5 // threads a core
-	increaseBelowSlowdown, decreaseAboveSlowdown                = 1.8, 3.0      // time over time alone: widens up to one, cut from other
-	limitIncreaseStep, minAnswersForBest                        = 0.5, 25.0     // threads for each answer; answers behind a best time
-	limitDecreaseFactor, limitDecreaseInterval                  = 0.85, 400.0   // and ms between cuts
-	bestUnitTimeDrift                                           = 1.0001        // with each answer: who grew slower is not held to it
-	restoredMaxAge, answersToRefuteRestored                     = 10000.0, 5.0  // ms for which memory stands unanswered; answers to refute it
+	initialThreadsPerCore, minThreadsPerCore, maxThreadsPerCore = 2.0, 1.5, 2.5 // initial value and bounds
+	// slowdown below which an engine's limit is increased, and above which it is decreased
+	increaseBelowSlowdown, decreaseAboveSlowdown = 1.8, 3.0
+	// threads that an answer adds to the limit; answers from which bestUnitTime is learned
+	limitIncreaseStep, minAnswersForBest = 0.5, 25.0
+	// factor of a decrease; ms between decreases for slowness
+	limitDecreaseFactor, limitDecreaseInterval = 0.85, 400.0
+	// growth of bestUnitTime per answer, so that it follows work that became slower
+	bestUnitTimeDrift = 1.0001
+	// ms without an answer after which restored values are discarded; answers above which they can be refuted
+	restoredMaxAge, answersToRefuteRestored = 10000.0, 5.0
 )
 
 func (r *Router) threadLimit(e *engine) float64 {
 	return e.threadsPerCore * e.cores * r.slowStartCapacity(e) * r.trafficShare()
 }
 
-// learnFromSuccess takes in the time of an answered send: what the profile takes alone, and by it the engine's bound.
+// learnFromSuccess updates the estimates of a class from an answered attempt, and adjusts the concurrency limit of the
+// engine by its slowdown.
 func (r *Router) learnFromSuccess(q *query, e *engine, ev AttemptEnded) {
 	class, unit := q.class, q.class.workUnits(q, r.now)
 	if class.recordMeasuredCost(r.now, q, ev) {
@@ -474,7 +518,7 @@
 	class.unitTime.add(r.now, ev.Elapsed/unit, 1)
 	m := class.unitTime.mean(r.now, 0, 0)
 	if class.unconfirmedSince > 0 && class.unitTime.weight > answersToRefuteRestored && (m > decreaseAboveSlowdown*class.bestUnitTime || m < class.bestUnitTime/decreaseAboveSlowdown) {
-		class.discardRestored() // commands have become others than they are remembered
+		class.discardRestored() // queries have changed since the values were saved
 	}
 	if class.unitTime.weight > minAnswersForBest {
 		class.bestUnitTime, class.unconfirmedSince = cmp.Or(min(class.bestUnitTime*bestUnitTimeDrift, m), m), 0
@@ -493,25 +537,32 @@
 	}
 }
 
-// Release, choice and spill.
+// Selection and dispatch.
 
 const (
-	spillShare                             = 0.75        // filled up to this share an engine takes what others can't
-	affinityWeight                         = 1.0         // weight of a table group's fixed leaning, in threads a core
-	tableLockPenalty, tableLockMessageAge  = 4.0, 1500.0 // the same of a load that holds the tables; ms that its note counts
-	widelyLockedShare                      = 2.0 / 3     // of the engines, on which loads hold the same tables
-	minClassBackoff, maxClassBackoff       = 200.0, 1e3  // ms of rest of a profile at an engine that turned it away
-	pooledLimitTolerance                   = 3.0         // threads past its part that a controller may run by reports of room
-	threadsPerOtherQuery, maxMemoryGranted = 1.2, 0.9    // of a command of others; share granted that stops sends
-	maxTriedPerStep                        = 100         // held commands that one step tries
+	// share of the thread limit up to which an engine accepts queries of other pools
+	spillShare     = 0.75
+	affinityWeight = 1.0 // penalty for the lowest affinity, in threads per core
+	// penalty for a table lock, in threads per core; ms for which a progress message about a lock counts
+	tableLockPenalty, tableLockMessageAge = 4.0, 1500.0
+	widelyLockedShare                     = 2.0 / 3 // share of the healthy engines, see tablesLockedWidely
+	// ms that a class avoids an engine after two failures or a rejection; doubled by each further one, up to the
+	// maximum
+	minClassBackoff, maxClassBackoff = 200.0, 1e3
+	// threads over the pooled limit, on engines that report spare capacity
+	pooledLimitTolerance = 3.0
+	// threads assumed for a query of another controller; granted share of memory above which no attempt starts
+	threadsPerOtherQuery, maxMemoryGranted = 1.2, 0.9
+	maxTriedPerStep                        = 100 // queued queries that one step tries to start
 )
 
-// hasCapacity is the thread bound, for the engine and pooled over all: a small controller's part of one engine is
-// less than a command, of which one may always run, and the last may overhang. Its part of all is coarse too:
-// it may go a little past it where a report tells of room, and nothing goes where one tells of no memory.
+// hasCapacity reports whether e may take q by the thread limits of the engine and of all engines together. A small
+// controller's share of one engine can be less than a query, so one attempt may always run, and the last one may exceed
+// the limit. The share of all engines is a coarse estimate too: the pooled limit may be exceeded a little on an engine
+// that reports spare capacity. Nothing starts on an engine that reports its memory as used up.
 func (r *Router) hasCapacity(q *query, e *engine, fill float64) bool {
 	reported, pooledLimit, limit, t := r.now-e.reportedAt < reportMaxAge, r.pooledThreadLimit, fill*r.threadLimit(e), e.classBackoff(q.class)
-	if limit < 1 && !math.IsInf(r.slowStartAllowance(e), 1) { // a cold one's guard is its part
+	if limit < 1 && !math.IsInf(r.slowStartAllowance(e), 1) { // a warming engine is guarded by slowStartAllows
 		pooledLimit, limit = math.Inf(1), limit/r.trafficShare()
 	} else if reported && r.fill(e) < spillShare*initialThreadsPerCore {
 		pooledLimit += pooledLimitTolerance
@@ -520,23 +571,24 @@
 		(r.attempts == 0 || r.threads <= pooledLimit && (e.attempts == 0 || e.threads <= limit) && (!reported || e.memoryGranted <= maxMemoryGranted))
 }
 
-// fill is the threads a core that an engine is taken to run, own and others', by its reports.
+// fill is the estimated number of threads per core in use on e, by this controller and, from load reports, by others.
 func (r *Router) fill(e *engine) float64 {
 	others := e.othersInflight.mean(r.now, e.cores*r.othersPerCore.mean(r.now, 0, 1), 0.5)
 	return (e.threads + threadsPerOtherQuery*others) / (e.cores * r.slowStartCapacity(e))
 }
 
-// placementScore ranks engines for a command: how filled and slow they are, loads that hold its tables, leaning.
+// placementScore ranks engines for q, the lowest first: by fill, slowdown, locks on its tables and affinity.
 func (r *Router) placementScore(q *query, e *engine) float64 {
 	x := (r.fill(e) + q.class.Threads/(e.cores*r.slowStartCapacity(e))) * max(1, e.slowdown.mean(r.now, 1, 1)/increaseBelowSlowdown)
-	x += tableLockPenalty * r.contention(q, e) // who would stand still behind a load finds another engine
-	if !q.class.LocksTables {                  // those don't meet, or they would stand still behind each other
+	x += tableLockPenalty * r.contention(q, e) // a query that would wait for a table lock prefers another engine
+	// queries that lock tables ignore affinity, or they would wait for each other
+	if !q.class.LocksTables {
 		x += affinityWeight * (1 - rendezvousAffinity(q.tables, e))
 	}
 	return x
 }
 
-// contention is what is known against c on e: loads that it would stand still behind, its sends that failed
+// contention counts the reasons against running q on e: table locks that it would wait for, and its attempts that failed
 // there.
 func (r *Router) contention(q *query, e *engine) float64 {
 	if class := q.class; class.LocksTables || class.WaitsForTables {
@@ -545,9 +597,10 @@
 	return q.failedAttemptsOn(e)
 }
 
-// tablesLockedWidely tells whether loads hold c's tables on so many engines that another goes where they are held: it
-// waits its turn there, and who waits for tables finds engines where it need not. Against traffic that meets
-// on few tables, whose loads would hold them everywhere. Harm: loads queue up, and more of them are late.
+// tablesLockedWidely reports whether q, which locks its tables, has to join an engine on which they are locked already,
+// because so many engines have them locked. q waits there, and queries that wait for the tables find engines without
+// locks. Under traffic on few table groups, locks would otherwise spread to all engines. The cost is that queries that
+// lock tables queue up, and more of them are late.
 func (r *Router) tablesLockedWidely(q *query) bool {
 	held, all := 0.0, 0.0
 	for _, e := range r.engineList {
@@ -560,7 +613,8 @@
 	return q.class.LocksTables && held > 0 && held >= widelyLockedShare*all
 }
 
-// selectEngine finds the engine for c: the least pressed of its owners' with room, else a roomy one anywhere.
+// selectEngine returns the engine with the lowest score for q among those of its pools with capacity, or else among all
+// engines with much spare capacity; nil: there is none.
 func (r *Router) selectEngine(q *query) (best *engine) {
 	least, lockedWidely := math.Inf(1), r.tablesLockedWidely(q)
 	consider := func(engines []*engine, fill float64) {
@@ -583,7 +637,7 @@
 	return best
 }
 
-// dispatch lets the held go, earliest client timeout first.
+// dispatch starts queued queries as far as engines have capacity, the earliest client timeout first.
 func (r *Router) dispatch() {
 	tried := 0
 	r.queue = slices.DeleteFunc(r.queue, func(q *query) bool {
@@ -605,23 +659,31 @@
 	})
 }
 
-// Resend, cancel, shed.
+// Retries, cancellation and load shedding.
 
 const (
-	progressTimeoutIntervals, progressWeight       = 1.6, 0.5   // notes come within 1.5 paces; a first note against an answer
-	badPlanFactor, badPlanRemaining                = 4.0, 1.5   // a plan is bad from so many times its time here, so much of it left
-	sizeLimitDecreaseFactor, sizeLimitGrowthFactor = 0.9, 1.005 // the limit between the next two: at a miss, each periodicInterval
-
-	maxSizeLimit, minSizeLimit              = 64.0, 4.0   // times the usual work that a command may have: at ease, when short
-	quotaTolerance, overloadDuration        = 1.2, 1000.0 // times a tenant's share that passes as it; ms that a jam lasts
-	firstTryTimeoutDecay, retryTimeoutShare = 0.997, 0.95 // how what first tries leave falls by command; retries leave less
-	runTimeMargin, minQueueShare            = 1.2, 0.5    // over what commands took lately; of the latency target
-	maxClientQueueShare                     = 0.75        // of what a client names, that may have passed in a line at the client
-	lateBenefitThreshold                    = 0.5         // who keeps this much of its benefit when late is held past its target
+	// progress messages come within 1.5 intervals; weight of a first message, where an answer has 1
+	progressTimeoutIntervals, progressWeight = 1.6, 0.5
+	// projected over expected run time above which a plan is bad; expected run times that must remain
+	badPlanFactor, badPlanRemaining = 4.0, 1.5
+	// factors on sizeLimit: after a missed latency objective; every periodicInterval
+	sizeLimitDecreaseFactor, sizeLimitGrowthFactor = 0.9, 1.005
+
+	maxSizeLimit, minSizeLimit = 64.0, 4.0 // bounds of sizeLimit: while objectives are met; in overload
+	// times a tenant's quota that counts as within it; ms that overload is assumed
+	quotaTolerance, overloadDuration = 1.2, 1000.0
+	// factor on firstTryTimeout per query; share of it below which a query is a client's retry
+	firstTryTimeoutDecay, retryTimeoutShare = 0.997, 0.95
+	// factor on the expected run time; share of the latency objective for which a query stays queued in any case
+	runTimeMargin, minQueueShare = 1.2, 0.5
+	// share of a query's time left that its ClientQueueTime may use up
+	maxClientQueueShare = 0.75
+	// LateBenefit from which queries stay queued past the latency objective
+	lateBenefitThreshold = 0.5
 )
 
-// latestStart is the latest that c may start and be worth its work, if it runs as alone: later it could only miss
-// its latency target or, where late answers keep most of their benefit, its client timeout.
+// latestStart is the latest time at which q is worth starting, if it runs as on an idle engine. Later it could only miss
+// its latency objective or, where late answers keep most of their benefit, its client timeout.
 func (r *Router) latestStart(q *query) float64 {
 	class, alone := q.class, q.class.unloadedTime(q, r.now)
 	if class.LateBenefit >= lateBenefitThreshold {
@@ -630,19 +692,20 @@
 	return min(q.firstTriedAt+class.LatencyObjective+class.ObjectivePerWork*alone, r.answerBy(q)) - alone
 }
 
-// shedDeadline is when a held command is given up: as latestStart, but by how long such commands run lately, or
-// overload would send all at the last moment. A part of its target is waited: one slow answer shuts none out.
+// shedDeadline is the time at which a queued query is shed: latestStart, less the time by which such queries recently run
+// longer than on an idle engine. Otherwise, in overload, all queries would start at the last moment. A query stays queued
+// for a part of its latency objective in any case, so that one slow answer does not exclude a class.
 func (r *Router) shedDeadline(q *query) float64 {
 	class, by := q.class, r.latestStart(q)
 	return max(by-max(0, runTimeMargin*class.expectedRunTime(q, r.now)-class.unloadedTime(q, r.now)), min(by, q.firstTriedAt+minQueueShare*class.LatencyObjective))
 }
 
-// expectedRunTime is the time that c takes as such commands run lately.
+// expectedRunTime is the run time of q in ms at the recent slowdown of its class.
 func (class *queryClass) expectedRunTime(q *query, t float64) float64 {
 	return math.Exp(class.logSlowdown.mean(t, 0, 1)) * class.unloadedTime(q, t)
 }
 
-// cannotReachHeadInTime tells whether c stands so far back in the line of a key that its turn can't come in time.
+// cannotReachHeadInTime reports whether q is so far back in the queue of an ordering key that it cannot start in time.
 func (r *Router) cannotReachHeadInTime(q *query) bool {
 	ahead, most := 0.0, r.latestStart(q)-r.now
 	for _, queue := range q.queues {
@@ -660,16 +723,17 @@
 	return ahead > 0 && r.now+ahead > r.latestStart(q)
 }
 
-// notWorthRunning tells whether c asks for more than it is worth now. In a jam, who can only be late, who is past its
-// tenant's share and the largest of a profile make room. Against overload, costs and tenants that swing, and
-// retries, which by early client timeouts go before first tries. Harm: a few are shed that could have run.
+// notWorthRunning reports whether to give up a query that has had no attempt yet. In overload these are queries that can
+// only be late and those over their tenant's quota; at any time, queries that cannot finish in time and the largest of a
+// class. It guards against overload, varying costs, surges of single tenants, and client retries, whose earlier client
+// timeouts put them before first tries. The cost is that a few queries are shed that could have run.
 func (r *Router) notWorthRunning(q *query) bool {
 	class := q.class
 	return len(q.attempts) == 0 && (r.now < r.overloadedUntil && (q.overQuota || r.now > r.latestStart(q)) || q.estimatedWork > 0 &&
 		(r.now > r.answerBy(q)-class.unloadedTime(q, r.now) || class.workUnits(q, r.now)*class.Threads > r.sizeLimit*class.meanWork(r.now)))
 }
 
-// rejectOrFail gives c its final answer at once: it is never parked to keep its client from asking again.
+// rejectOrFail gives q its final answer at once. It is never held back to keep the client from retrying.
 func (r *Router) rejectOrFail(q *query) {
 	if q.done || q.responseStarted || q.answer != unanswered {
 		return
@@ -681,24 +745,28 @@
 	r.markChanged(q)
 }
 
-// retryAfterDelay is how long a client that is shed should stay away: long, and not all together.
+// retryAfterDelay is the time in ms that a rejected client should wait before a retry: at least half of the maximum, and
+// randomized so that clients do not all return together.
 func (r *Router) retryAfterDelay() float64 {
 	return r.capabilities.MaxRetryAfter * (0.5 + 0.5*r.rng.Float64())
 }
 
 func (r *Router) queryArrived(ev QueryArrived) {
 	class := r.classes[ev.Class]
-	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // a stranger may claim any
+	ev.TimeLeft = min(ev.TimeLeft, class.ClientTimeout) // a client may claim any time
 	q := r.addQuery(ev)
 	q.deadline -= min(ev.ClientQueueTime, maxClientQueueShare*ev.TimeLeft)
 	r.healthCheckCredit = min(maxHealthCheckCredit, r.healthCheckCredit+healthChecksPerQuery)
-	if class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, ev.TimeLeft); ev.TimeLeft < class.firstTryTimeout*retryTimeoutShare { // a retry, it seems
+	// probably a client's retry
+	if class.firstTryTimeout = max(class.firstTryTimeout*firstTryTimeoutDecay, ev.TimeLeft); ev.TimeLeft < class.firstTryTimeout*retryTimeoutShare {
 		q.firstTriedAt -= max(0, class.ClientTimeout-ev.TimeLeft)
 	}
-	if t := q.tenant; t != nil && t.QueriesPerSecond > 0 { // past its share here, so many commands are worth little
+	// of a tenant over its quota, queries are drawn at random, so that the rest is within it
+	if t := q.tenant; t != nil && t.QueriesPerSecond > 0 {
 		q.overQuota = r.rng.Float64()*t.queries.rate(r.now) > t.QueriesPerSecond/1000*r.trafficShare()*quotaTolerance
 	}
-	if ev.Hot && q.tables.confirmed && !q.tables.hot { // of groups that are there; loads take over from then on
+	// only for table groups known to exist; they are packed anew once
+	if ev.Hot && q.tables.confirmed && !q.tables.hot {
 		q.tables.hot, r.packed = true, false
 	}
 	q.tables.demand.add(r.now, min(class.unloadedTime(q, r.now), class.ClientTimeout)*class.Threads, 1)
@@ -721,16 +789,18 @@
 	case Succeeded:
 		r.recordAttemptOutcome(q, a, true)
 		for _, other := range q.attempts {
-			if other.endedInError && other.engine != a.engine { // on what another can do
+			// errors of a query that another engine answered count against their engines
+			if other.endedInError && other.engine != a.engine {
 				other.engine.classBackoff(q.class).increase(r.now, other.startedAt, minClassBackoff, maxClassBackoff)
 			}
 		}
 		r.objectiveMissed = r.objectiveMissed || r.now > q.firstTriedAt+q.class.LatencyObjective+q.class.ObjectivePerWork*q.class.unloadedTime(q, r.now)
 		r.learnFromSuccess(q, a.engine, ev)
-	case EngineFull, NotSent: // sending on would use up the sends of commands, and others may fare well there
+	case EngineFull, NotSent: // immediate attempts would use up MaxAttempts, and other classes may succeed there
 		a.engine.classBackoff(q.class).increase(r.now, a.startedAt, minClassBackoff, maxClassBackoff)
 		a.engine.threadsPerCore = max(minThreadsPerCore, a.engine.threadsPerCore*limitDecreaseFactor)
-	case Errored, ConnectFailed, ConnectionReset, TimedOut: // an error may be the command's own fault, unless another answers it
+	// an error may be the query's own fault, unless another engine answers it
+	case Errored, ConnectFailed, ConnectionReset, TimedOut:
 		if a.endedInError = ev.Outcome == Errored && q.class.Effect != NonIdempotent; !a.endedInError {
 			r.recordAttemptOutcome(q, a, false)
 		}
@@ -743,8 +813,8 @@
 	}
 }
 
-// attemptProgress cancels a plan drawn badly, or a send on an engine that has all but stopped. Harm: work is lost of
-// a command that is truly large, so it acts only with an estimate.
+// attemptProgress handles a progress message. An attempt with a bad plan, or on an engine that has almost stopped, is
+// cancelled. The cost is the lost work if the query is truly large, so only queries with an estimate are cancelled.
 func (r *Router) attemptProgress(ev AttemptProgress) {
 	q, a := r.outstandingAttempt(ev.ID, ev.Attempt)
 	if a == nil {
@@ -756,7 +826,7 @@
 	}
 	alone, elapsed := q.class.unloadedTime(q, r.now), r.now-a.startedAt
 	total, expected := elapsed/max(ev.Value, 0.01), alone*max(1, a.engine.slowdown.mean(r.now, 1, 1))
-	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 { // or no share that an engine can mean
+	if ev.Kind != ProgressDone || ev.Value < 0 || ev.Value > 1 { // or the value is not a share
 		return
 	}
 	if q.class.bestUnitTime > 0 && first {
@@ -773,8 +843,9 @@
 	return progressTimeoutIntervals*r.capabilities.ProgressInterval + windowSlack
 }
 
-// checkQuery is what a command's alarm asks for: its end or, if a send has gone quiet, another. Against answers
-// that are lost and engines that hang, though they answer probes. Harm: if only notes are lost it runs twice.
+// checkQuery handles an alarm of q: it gives the final answer if that is due, and replaces a silent attempt. This guards
+// against answers that get lost and engines that hang but still answer health checks. The cost is that a query runs twice
+// if only its progress messages are lost.
 func (r *Router) checkQuery(q *query) {
 	if r.now >= r.answerBy(q) {
 		r.rejectOrFail(q)
@@ -800,11 +871,11 @@
 	}
 }
 
-// The step.
+// Steps.
 
-const periodicInterval = 50.0 // ms between looks at held commands, probes and the period
+const periodicInterval = 50.0 // ms between runs of runPeriodic
 
-// Step takes in what happened by now and returns what to do.
+// Step handles the events up to now and returns the actions to be taken.
 func (r *Router) Step(now float64, events []Event) []Action {
 	r.setClock(now)
 	for _, ev := range events {
@@ -820,20 +891,22 @@
 	return r.collectActions()
 }
 
-// runPeriodic is what goes by time: it gives up held commands, keeps the period and asks for news.
+// runPeriodic does what depends on time and not on events: it adjusts the size limit, sheds overdue queries, rebalances
+// pools, polls the endpoint list and starts health checks.
 func (r *Router) runPeriodic() {
 	r.periodicAt = r.now + periodicInterval
 	if r.sizeLimit = min(maxSizeLimit, r.sizeLimit*sizeLimitGrowthFactor); r.objectiveMissed {
 		r.sizeLimit, r.objectiveMissed = max(minSizeLimit, r.sizeLimit*sizeLimitDecreaseFactor), false
 	}
-	for _, class := range r.classes { // too long a time would shed all, and so never be corrected
+	for _, class := range r.classes { // too long a restored time would shed all queries, and so never be corrected
 		if class.unconfirmedSince > 0 && r.now > class.unconfirmedSince+restoredMaxAge {
 			class.discardRestored()
 		}
 	}
 	for _, q := range r.queue {
 		if r.now > r.shedDeadline(q) {
-			if r.objectiveMissed = true; q.firstTriedAt == q.arrivedAt { // of late retries alone, shedding them would keep a jam up
+			// late retries are no sign of overload: shedding them would bring further retries and sustain it
+			if r.objectiveMissed = true; q.firstTriedAt == q.arrivedAt {
 				r.overloadedUntil = r.now + overloadDuration
 			}
 			r.rejectOrFail(q)
@@ -858,7 +931,7 @@
 	for _, e := range r.engineList {
 		e.slowdown.halfLife = min(maxSlowdownHalfLife, max(reportHalfLife, slowdownLifeFactor*float64(len(r.engineList))/(r.queryRate.rate(r.now)+1e-9)))
 		if e.state == Ready {
-			r.readyCores += e.cores // a cold one that may get nothing is no room
+			r.readyCores += e.cores // a warming engine adds to the pooled limit only if some class fits its allowance
 			if slices.ContainsFunc(r.classes, func(class *queryClass) bool { return class.meanWork(r.now) < r.slowStartAllowance(e) }) {
 				r.pooledThreadLimit += r.threadLimit(e)
 			}
--- a/internal/lab/reference/state.go
+++ b/internal/lab/reference/state.go
@@ -10,13 +10,14 @@
 	"slices"
 )
 
-// This file holds what a controller remembers and the bookkeeping that keeps it whole. It decides nothing.
+// This file holds the state of a controller and its bookkeeping. It makes no decisions.
 
-// decayedMean is a pair of sums that halve every life milliseconds, brought up to date when something is added. Reading it
-// changes nothing, so that who reads more or less of them, or at other times, still reads the same to the last bit.
+// decayedMean is an exponentially decayed mean: a sum and its weight, which halve every halfLife milliseconds and are
+// brought up to date by additions. Reads change nothing, so a result is the same to the last bit however often, and at
+// whatever times, the mean was read before.
 type decayedMean struct{ halfLife, updatedAt, sum, weight float64 }
 
-// decayFactor is what is left of one by now.
+// decayFactor is the factor by which sum and weight have decayed since updatedAt.
 func (d *decayedMean) decayFactor(now float64) float64 {
 	if now > d.updatedAt {
 		return math.Exp2((d.updatedAt - now) / d.halfLife)
@@ -33,14 +34,14 @@
 
 func (d *decayedMean) add(now, x, n float64) { d.advance(now); d.sum += x; d.weight += n }
 
-// capWeight makes what is there weigh as much as n additions at most.
-func (d *decayedMean) capWeight(now, n float64) {
+// cap limits the weight to n, without changing the mean.
+func (d *decayedMean) cap(now, n float64) {
 	if d.advance(now); d.weight > n {
 		d.sum, d.weight = d.sum*n/d.weight, n
 	}
 }
 
-// mean leans on a prior that counts as much as weight of what was added.
+// mean is the mean of the added amounts and of a prior with its own weight.
 func (d *decayedMean) mean(now, prior, weight float64) float64 {
 	if d.weight == 0 && d.sum == 0 {
 		return prior
@@ -52,7 +53,7 @@
 	return (d.sum*f + prior*weight) / (d.weight*f + weight)
 }
 
-// rate is what was added for each millisecond, over about the last life.
+// rate is the sum of the amounts added per millisecond, over about the last halfLife.
 func (d *decayedMean) rate(now float64) float64 {
 	if d.sum == 0 {
 		return 0
@@ -60,7 +61,7 @@
 	return d.sum * d.decayFactor(now) * math.Ln2 / d.halfLife
 }
 
-// slidingWindow are amounts at times within a sliding window.
+// slidingWindow holds amounts by the times at which they were added.
 type slidingWindow struct {
 	times, amounts []float64
 	total          float64
@@ -70,7 +71,7 @@
 	s.times, s.amounts, s.total = append(s.times, at), append(s.amounts, amount), s.total+amount
 }
 
-// sumSince is the sum of what came at from or later; what came before is dropped.
+// sumSince is the sum of the amounts from a time on. It drops the earlier ones.
 func (s *slidingWindow) sumSince(from float64) float64 {
 	for len(s.times) > 0 && s.times[0] < from {
 		s.total -= s.amounts[0]
@@ -90,76 +91,84 @@
 	failedFinally
 )
 
-// attempt is one send of a command.
+// attempt is an attempt of a query on an engine.
 type attempt struct {
 	engine                 *engine
-	startedAt, lastHeardAt float64 // when it left, and when last heard of
+	startedAt, lastHeardAt float64 // ms; lastHeardAt: of the last progress message, startedAt before the first
 	outstanding, cancelled bool
-	abandoned              bool // out, but not waited for
-	failed                 bool // by what is known of it, or its engine has gone quiet
-	endedInError           bool // it ended as an error, which may be the command's own fault
+	abandoned              bool // its outcome is no longer awaited
+	failed                 bool // by its outcome, or because it went silent
+	endedInError           bool // it ended in an error that may be the query's own fault
 	memoryMB               float64
 }
 
-// query is one that is owed an answer, or has a send without an outcome. The want fields are the wanted
-// state: emit alone compares them with the rest.
+// query is a query without a final answer or with an outstanding attempt. The last fields hold decisions of this step,
+// which only collectActions turns into actions.
 type query struct {
-	id                               QueryID
-	class                            *queryClass
-	tables                           *tableGroup
-	tenant                           *tenant // nil: none
-	overQuota                        bool
-	queues                           []*orderingQueue // of its order keys, in whose turns it stands
-	arrivalOrder                     uint64           // its place among all by arrival
-	cooldownUntil                    float64          // until when nothing may follow it under a key, by its doubtful outcomes
+	id           QueryID
+	class        *queryClass
+	tables       *tableGroup
+	tenant       *tenant // nil: none
+	overQuota    bool
+	queues       []*orderingQueue // of its ordering keys
+	arrivalOrder uint64           // number by arrival, from 1
+	// ms, until which its ordering keys are in cooldown: an attempt of it may still be running
+	cooldownUntil                    float64
 	arrivedAt                        float64
-	firstTriedAt                     float64 // when its client first did, as far as its client timeout tells
+	firstTriedAt                     float64 // ms, of its client's first try, as inferred from the time left
 	deadline                         float64
 	estimatedWork, estimatedMemoryMB float64
-	uncappedEstimate                 float64  // its estimate before an operator's rule cut it: what guards cold engines learns by that
-	kinds                            []KindID // that its profile's are narrowed to; nil: they are not
-	zones                            []Zone
-	attempts                         []attempt
-	awaited                          int // sends that are waited for
-	outstanding                      int // and all without an outcome
-	done, responseStarted            bool
-	unresolvedAt                     float64 // when the first send left that may have run
-	unresolved                       *engine // where it went; nil: none may have run
+	// the estimate before an operator's rule capped it; slow start and its learned scale use this one
+	uncappedEstimate      float64
+	kinds                 []KindID // further limit on the kinds of its class; nil: none
+	zones                 []Zone
+	attempts              []attempt
+	awaited               int // outstanding attempts that are not abandoned
+	outstanding           int // attempts without an outcome, including abandoned ones
+	done, responseStarted bool
+	unresolvedAt          float64 // ms, start of the first attempt that may have run without an answer
+	unresolved            *engine // engine of that attempt; nil: there is none
 
 	startOn      *engine
-	startBy      float64 // with it: by when the send must have gone out; 0: at any time
+	startBy      float64 // ms, latest time to send that attempt; 0: no limit
 	answer       finalAnswer
 	cancelWanted bool
 	changed      bool
 }
 
-// queryClass is what is stated of a profile, with what was learned of it.
+// queryClass is a configured QueryClass with the statistics of its queries.
 type queryClass struct {
 	QueryClass
-	firstTryTimeout  float64     // what a first try leaves until its client gives up: the most seen
-	bestUnitTime     float64     // least mean, lately, of the time taken over the unit: how it runs alone
-	unitTime         decayedMean // time taken over the unit
-	logSlowdown      decayedMean // logarithm of the time taken over the time alone, lately
-	work             decayedMean // what a command needs on one thread
-	workScale        decayedMean // true work over estimate
-	memoryScale      decayedMean // true memory over estimate
-	unconfirmedSince float64     // when best and scales were put in or last borne out, if they are remembered; 0: they are its own
-}
-
-// orderingQueue is the queue of one order key, by arrival; rest is when its next command may start after a doubtful outcome.
+	firstTryTimeout float64 // ms that clients allow for a first try: a slowly decaying maximum
+	// ms per unit of work on an idle engine: the lowest recent mean of unitTime; 0: not known
+	bestUnitTime float64
+	unitTime     decayedMean // ms per unit of work
+	logSlowdown  decayedMean // logarithm of the run time over the time on an idle engine
+	work         decayedMean // ms on one thread
+	workScale    decayedMean // true work over estimated work
+	memoryScale  decayedMean // true memory over estimated memory
+	// ms, when bestUnitTime and the scales were restored or, if later, the last answer came; 0: they are not
+	// restored
+	unconfirmedSince float64
+}
+
+// orderingQueue is the queue of one ordering key, by arrival. No first attempt starts before cooldownUntil, because an
+// earlier attempt may still be running.
 type orderingQueue struct {
 	key           OrderingKey
 	queries       []*query
 	cooldownUntil float64
-	joinedLate    bool // commands came to it that were held or out before, so one behind the first may be out
+	// a query joined that arrived earlier than the last one or had an outstanding attempt, so one behind the head
+	// may have an outstanding attempt
+	joinedLate bool
 }
 
-// followerOutstanding tells whether a command behind the first is out.
+// followerOutstanding reports whether a query behind the head has an outstanding attempt.
 func (queue *orderingQueue) followerOutstanding() bool {
 	return queue.joinedLate && slices.ContainsFunc(queue.queries[1:], func(q *query) bool { return q.outstanding > 0 })
 }
 
-// engine is one of the list, or one that left it with sends still out.
+// engine is an engine of the endpoint list, or one that has left the list while it has awaited attempts.
 type engine struct {
 	id                EngineID
 	idHash            uint64 // of the id
@@ -169,35 +178,35 @@
 	cell              CellID
 	startedAt         float64
 	cores             float64
-	attempts          int                     // own sends out
-	threads           float64                 // of these
-	tableLocks        map[*tableGroup]int     // own loads out, by what they hold
-	tablesLockedUntil map[*tableGroup]float64 // by a note that a load holds them
-	othersInflight    decayedMean             // commands of other controllers, by its reports
+	attempts          int                     // awaited attempts of this controller
+	threads           float64                 // used by these attempts
+	tableLocks        map[*tableGroup]int     // attempts of this controller that lock the group
+	tablesLockedUntil map[*tableGroup]float64 // ms, until which a reported lock counts as held
+	othersInflight    decayedMean             // queries of other controllers in flight, by its load reports
 	utilization, disk decayedMean
-	memoryGranted     float64 // share of its memory, by its last report
+	memoryGranted     float64 // granted share of its memory in the last report
 	reportedAt        float64
-	slowdown          decayedMean // time taken over the time alone
-	outcomes          uint64      // the last outcomes, a bit each, 1 for success
+	slowdown          decayedMean // run time over the time on an idle engine
+	outcomes          uint64      // one bit per outcome, the latest lowest; 1: success
 	trialAt           float64
 	trialWait         float64
 	checkingHealth    bool
 	healthCheckAt     float64
-	threadsPerCore    float64 // threads a core that all controllers together may run here, by what this one sees
+	threadsPerCore    float64 // concurrency limit of all controllers together, as estimated here
 	limitDecreasedAt  float64
-	classBackoffs     map[*queryClass]*backoff // of profiles that it turned away
+	classBackoffs     map[*queryClass]*backoff // by class
 	slowStartWork     slidingWindow
-	answeredStartAt   float64     // when what it last answered was sent to it
-	connectionLostAt  float64     // when a connection to it was last lost, or not to be had
-	pool              *enginePool // which it has
+	answeredStartAt   float64     // ms, latest start among the attempts that succeeded on it
+	connectionLostAt  float64     // ms, of the last connection failure
+	pool              *enginePool // the pool it belongs to
 }
 
-// backoff is how long something waits between tries: twice as long after each that fails, half as long after
-// each that does well. What left before the last change tells nothing of it.
+// backoff is an exponential backoff: the wait between tries doubles with each failure and halves with each success. A try
+// that started before the last change of the wait does not change it again.
 type backoff struct {
 	changedAt, until, wait float64
-	lastFailed             bool    // the last send failed
-	succeededAt            float64 // when one last did well
+	lastFailed             bool    // the last try failed
+	succeededAt            float64 // ms, of the last success
 }
 
 func (t *backoff) increase(now, sent, least, most float64) {
@@ -217,17 +226,17 @@
 	}
 }
 
-// recordStart takes in that one try is made: until the rest is over, or this does well, it is the only one.
+// recordStart records that a try starts, and blocks further ones until the wait is over or this one succeeds.
 func (t *backoff) recordStart(now float64) {
 	if t.wait > 0 {
 		t.until = now + t.wait
 	}
 }
 
-// succeededSince tells whether the last send did well, since then.
+// succeededSince reports whether the last try succeeded, and did so after the given time.
 func (t *backoff) succeededSince(since float64) bool { return !t.lastFailed && t.succeededAt > since }
 
-// classBackoff is the rest of a profile at an engine.
+// classBackoff is the backoff of a class on an engine.
 func (e *engine) classBackoff(class *queryClass) *backoff {
 	if e.classBackoffs[class] == nil {
 		e.classBackoffs[class] = &backoff{}
@@ -235,7 +244,7 @@
 	return e.classBackoffs[class]
 }
 
-// tableLocksHeld is how many loads are known to hold a table group on the engine.
+// tableLocksHeld is the number of attempts known to lock a table group on the engine.
 func (e *engine) tableLocksHeld(g *tableGroup, now float64) float64 {
 	if now < e.tablesLockedUntil[g] {
 		return float64(e.tableLocks[g] + 1)
@@ -243,7 +252,7 @@
 	return float64(e.tableLocks[g])
 }
 
-// failedAttemptsOn is how many sends of c failed on e.
+// failedAttemptsOn is the number of attempts of q that failed on e.
 func (q *query) failedAttemptsOn(e *engine) (n float64) {
 	for _, s := range q.attempts {
 		if s.failed && s.engine == e {
@@ -253,28 +262,28 @@
 	return n
 }
 
-// tableGroup is a group of tables with its learned demand.
+// tableGroup is a group of tables with the learned demand for it and the pools that serve it.
 type tableGroup struct {
 	id          TableGroup
-	lastQueryAt float64       // when it was last named
-	openQueries int           // commands on it in the books
-	hot         bool          // it was said to be
-	confirmed   bool          // commands on it have been answered; else any stranger may have named it
-	demand      decayedMean   // work asked for
-	memoryTime  decayedMean   // memory times time, of this controller's sends
+	lastQueryAt float64       // ms, of the last query on it
+	openQueries int           // queries on it that are not removed yet
+	hot         bool          // an operator's rule marked it as hot
+	confirmed   bool          // a query on it succeeded; until then it may not exist
+	demand      decayedMean   // its rate is ms of work on one thread per ms
+	memoryTime  decayedMean   // its rate is the megabytes that this controller's attempts use
 	pools       []*enginePool // by kind
 }
 
-// enginePool is a pack, or several packs that share as merged, with the engines of one kind that it owns.
+// enginePool is the engines of one kind that serve a pack of table groups, or several packs whose pools were merged.
 type enginePool struct {
 	packs       [][]*tableGroup
 	engines     []*engine
-	targetCount int // how many it is to have
+	targetCount int // number of engines that it is to have
 }
 
 func (pool *enginePool) tableGroups() []*tableGroup { return slices.Concat(pool.packs...) }
 
-// alarm is a time at which a command must be looked at.
+// alarm is a time at which a query must be examined.
 type alarm struct {
 	at    float64
 	query *query
@@ -309,15 +318,15 @@
 	queries                      map[QueryID]*query
 	queue                        []*query // by client timeout
 	orderingQueues               map[OrderingKey]*orderingQueue
-	arrivalCount                 uint64        // commands taken
-	idleKeys                     []OrderingKey // of empty lines that may not be forgotten yet
+	arrivalCount                 uint64        // queries so far; source of query.arrivalOrder
+	idleKeys                     []OrderingKey // of empty queues that are in cooldown
 	retries, arrivals            slidingWindow
 	engines                      map[EngineID]*engine
 	engineList                   []*engine   // by id
-	share                        decayedMean // own commands over all, by reports
-	attempts                     int         // own sends out, on all engines,
-	queryRate                    decayedMean // commands taken
-	threads, pooledThreadLimit   float64     // their threads, and the bound on these
+	share                        decayedMean // share of this controller in the queries in flight, by load reports
+	attempts                     int         // awaited attempts of this controller, on all engines
+	queryRate                    decayedMean // its rate is arrivals per ms
+	threads, pooledThreadLimit   float64     // of these attempts, and the limit pooled over all engines
 	readyCores                   float64     // of the engines that are ready
 	tableGroups                  map[TableGroup]*tableGroup
 	groupList                    []*tableGroup   // by id
@@ -326,25 +335,26 @@
 	alarms                       alarms
 	subscribed                   bool
 	subscribeWanted              bool
-	healthChecksWanted           []*engine   // to be probed
-	healthCheckCredit            float64     // probes that may be made
-	othersPerCore                decayedMean // commands a core that others hold, by all reports
+	healthChecksWanted           []*engine   // for collectActions
+	healthCheckCredit            float64     // number of health checks that may be started
+	othersPerCore                decayedMean // queries of other controllers per core, by load reports
 	pollAt, periodicAt           float64
 	rebalanceAt                  float64
-	packed                       bool // by learned footprints
+	packed                       bool // the pools are packed by learned footprints
 	timerAt                      float64
-	sizeLimit                    float64 // the largest command taken, in usual work of its profile
-	objectiveMissed              bool    // a latency target, since it was last looked at
-	overloadedUntil              float64 // by the last fresh command given up while held
-	shutdownAt                   float64 // when this controller ends
-	endpointsUpdatedAt           float64 // when there was last news of the list
-	expiredFor                   float64 // it has expired: drains older than this count as told; 0: it has not
+	sizeLimit                    float64 // largest work of a query, as a multiple of its class's meanWork
+	objectiveMissed              bool    // a latency objective was missed since sizeLimit was last adjusted
+	overloadedUntil              float64 // ms; set when a queued query on its client's first try is shed
+	shutdownAt                   float64 // ms, of the planned shutdown
+	endpointsUpdatedAt           float64 // ms, of the last update of the endpoint list
+	// ms; the endpoint list has expired, and drains older than this count as notified; 0: it has not
+	expiredFor float64
 }
 
-// tenant is one that shares the fleet, with what it asks for here.
+// tenant is a configured Tenant with the rate of queries that it sends to this controller.
 type tenant struct {
 	Tenant
-	queries decayedMean // commands taken
+	queries decayedMean // its rate is queries per ms
 }
 
 // New makes the module of a controller that has just started.
@@ -375,7 +385,7 @@
 	return r
 }
 
-// markChanged lets emit look at c.
+// markChanged marks q for collectActions.
 func (r *Router) markChanged(q *query) {
 	if !q.changed {
 		q.changed = true
@@ -383,7 +393,7 @@
 	}
 }
 
-// insertSorted keeps list ordered by compare, which must tell all its members apart.
+// insertSorted inserts x into a list ordered by compare, by which no two elements may be equal.
 func insertSorted[T any](list []T, x T, compare func(a, b T) int) []T {
 	at, _ := slices.BinarySearchFunc(list, x, compare)
 	return slices.Insert(list, at, x)
@@ -395,7 +405,7 @@
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 }
 
-// tableGroupOf is the table group of an id; a new one finds its owners.
+// tableGroupOf returns the table group with an id. A new one is added to a pool of each machine kind.
 func (r *Router) tableGroupOf(id TableGroup) *tableGroup {
 	g := r.tableGroups[id]
 	if g == nil {
@@ -409,7 +419,7 @@
 	return g
 }
 
-// addQuery files a new command, in the line of its key if it has one.
+// addQuery adds a new query, also to the queues of its ordering keys.
 func (r *Router) addQuery(ev QueryArrived) *query {
 	g := r.tableGroupOf(ev.Tables)
 	g.lastQueryAt = r.now
@@ -442,7 +452,7 @@
 
 func byArrival(a, b *query) int { return cmp.Compare(a.arrivalOrder, b.arrivalOrder) }
 
-// joinOrderingQueue files a command in the line of a key, if its profile keeps order.
+// joinOrderingQueue inserts q into the queue of an ordering key, if its class is ordered.
 func (r *Router) joinOrderingQueue(q *query, key OrderingKey) {
 	if !q.class.Ordered || key == "" {
 		return
@@ -459,7 +469,7 @@
 	}
 }
 
-// recordAttemptStart counts a send of c on e as out, so that the next choice of the same step sees it.
+// recordAttemptStart counts an attempt of q on e as started, so that later decisions of the same step take it into account.
 func (r *Router) recordAttemptStart(q *query, e *engine, mem, work, begin float64) {
 	if len(q.attempts) > 0 && r.limits.RetryBudgeted {
 		r.retries.add(r.now, 1)
@@ -478,7 +488,8 @@
 	r.markChanged(q)
 }
 
-// recordAttemptEnd takes in that a send has its outcome: what may have run by it, and whether its key must rest.
+// recordAttemptEnd records the outcome of an attempt: whether it may have run, and whether its ordering keys need a
+// cooldown.
 func (r *Router) recordAttemptEnd(q *query, a *attempt, ev AttemptEnded) {
 	if !a.abandoned {
 		r.releaseCapacity(q, a)
@@ -492,7 +503,8 @@
 	}
 	switch ev.Outcome {
 	case Succeeded:
-		a.engine.answeredStartAt, a.engine.connectionLostAt = max(a.engine.answeredStartAt, a.startedAt), math.Inf(-1) // the process is the same
+		// the answer proves that the process is the same
+		a.engine.answeredStartAt, a.engine.connectionLostAt = max(a.engine.answeredStartAt, a.startedAt), math.Inf(-1)
 		q.tables.confirmed = true
 	case ConnectFailed, ConnectionReset, NotSent:
 		a.engine.connectionLostAt = r.now
@@ -509,7 +521,8 @@
 	r.markChanged(q)
 }
 
-// recordMeasuredCost files what an answer tells of a command's true work and memory, and reports whether it told the work.
+// recordMeasuredCost records the true work and memory of a query, as far as an answer contains them, against its
+// estimates. It reports whether there were both a measured and an estimated work.
 func (class *queryClass) recordMeasuredCost(now float64, c *query, ev AttemptEnded) bool {
 	if ev.MemoryMB > 0 && c.estimatedMemoryMB > 0 {
 		class.memoryScale.add(now, ev.MemoryMB/c.estimatedMemoryMB, 1)
@@ -520,7 +533,7 @@
 	return ev.Work > 0 && c.uncappedEstimate > 0
 }
 
-// abandonAttempt takes in that a send's answer is not waited for any more; it may have run.
+// abandonAttempt records that the outcome of an attempt is no longer awaited; the attempt may have run.
 func (r *Router) abandonAttempt(q *query, a *attempt) {
 	a.abandoned = true
 	r.releaseCapacity(q, a)
@@ -529,7 +542,7 @@
 	}
 }
 
-// releaseCapacity gives back what a send that is waited for holds.
+// releaseCapacity releases the capacity that an awaited attempt holds.
 func (r *Router) releaseCapacity(q *query, a *attempt) {
 	e := a.engine
 	q.awaited, e.attempts, r.attempts = q.awaited-1, e.attempts-1, r.attempts-1
@@ -541,7 +554,7 @@
 	}
 }
 
-// removeQuery drops a command that no rule needs any more; a line that still rests is kept until it has.
+// removeQuery removes a query that no rule needs any more. An empty ordering queue is kept until its cooldown is over.
 func (r *Router) removeQuery(q *query) {
 	delete(r.queries, q.id)
 	q.tables.openQueries--
@@ -554,14 +567,14 @@
 	}
 }
 
-// removeIdle drops what no rule needs any more.
+// removeIdle removes the state that no rule needs any more.
 func (r *Router) removeIdle() {
 	r.removeIdleOrderingQueues()
 	r.removeGoneEngines()
 }
 
-// removeIdleTableGroups drops table groups that nobody has named since then, or since the later time if no command on
-// them was ever answered, and that have no command open, with all that is kept by them.
+// removeIdleTableGroups removes the table groups that have no open query and have had none arrive since a time or, if no
+// query on them ever succeeded, since the later time strange: clients can name groups that do not exist.
 func (r *Router) removeIdleTableGroups(since, strange float64) {
 	for _, e := range r.engineList {
 		maps.DeleteFunc(e.tablesLockedUntil, func(_ *tableGroup, until float64) bool { return r.now >= until })
@@ -578,7 +591,7 @@
 	maps.DeleteFunc(r.tableGroups, func(_ TableGroup, g *tableGroup) bool { return unused(g) })
 }
 
-// removeIdleOrderingQueues drops empty lines that have rested.
+// removeIdleOrderingQueues removes the empty queues whose cooldown is over.
 func (r *Router) removeIdleOrderingQueues() {
 	r.idleKeys = slices.DeleteFunc(r.idleKeys, func(key OrderingKey) bool {
 		queue := r.orderingQueues[key]
@@ -589,7 +602,7 @@
 	})
 }
 
-// removeGoneEngines drops engines that left the list and owe no outcome.
+// removeGoneEngines removes the engines that have left the endpoint list and have no awaited attempt or health check.
 func (r *Router) removeGoneEngines() {
 	r.engineList = slices.DeleteFunc(r.engineList, func(e *engine) bool {
 		done := e.state == Gone && e.attempts == 0 && !e.checkingHealth
@@ -600,14 +613,14 @@
 	})
 }
 
-// setAlarm has c looked at when its time has come.
+// setAlarm schedules a checkQuery of q for a time; +Inf: never.
 func (r *Router) setAlarm(at float64, c *query) {
 	if !math.IsInf(at, 1) {
 		heap.Push(&r.alarms, alarm{at, c})
 	}
 }
 
-// popDueQuery is the next command whose time has come, or nil.
+// popDueQuery removes the earliest alarm if it is due, and returns its query; nil: no alarm is due.
 func (r *Router) popDueQuery() *query {
 	if len(r.alarms) == 0 || r.alarms[0].at > r.now {
 		return nil
@@ -615,7 +628,7 @@
 	return heap.Pop(&r.alarms).(alarm).query
 }
 
-// readyEngines is the engines of a kind that the list calls ready, by id.
+// readyEngines lists the ready engines of a machine kind, ordered by id.
 func (r *Router) readyEngines(k int) (list []*engine) {
 	for _, e := range r.engineList {
 		if e.state == Ready && int(e.kind) == k {
@@ -625,7 +638,7 @@
 	return list
 }
 
-// poolDemand is the work asked of an owner's groups, for each millisecond.
+// poolDemand is the demand for the table groups of a pool, in ms of work per millisecond.
 func (r *Router) poolDemand(pool *enginePool) float64 {
 	sum := 1e-9
 	for _, g := range pool.tableGroups() {
@@ -636,10 +649,10 @@
 	return sum
 }
 
-// permits tells whether a list, of which nil is all, holds something.
+// permits reports whether a list of allowed values contains x; a nil list allows all values.
 func permits[T comparable](list []T, x T) bool { return list == nil || slices.Contains(list, x) }
 
-// resetStatistics forgets what was learned of an engine's earlier process.
+// resetStatistics drops what was learned of an earlier process of the engine.
 func (e *engine) resetStatistics() {
 	e.outcomes, e.trialWait, e.trialAt = math.MaxUint64, minTrialWait, 0
 	e.othersInflight, e.utilization, e.disk = decayedMean{halfLife: othersHalfLife}, decayedMean{halfLife: reportHalfLife}, decayedMean{halfLife: reportHalfLife}
@@ -647,7 +660,7 @@
 	clear(e.classBackoffs)
 }
 
-// updateEngines takes in the entries of a list; what a whole list doesn't name has left.
+// updateEngines applies the entries of an endpoint list. Engines that a complete list does not contain are gone.
 func (r *Router) updateEngines(ev EndpointsUpdated) {
 	if r.expiredFor = ev.ExpiredFor; r.expiredFor == 0 {
 		r.endpointsUpdatedAt = r.now
@@ -683,7 +696,7 @@
 	}
 }
 
-// handle hands an event to who decides by it, or files it.
+// handle dispatches an event to the function for its type.
 func (r *Router) handle(event Event) {
 	switch ev := event.(type) {
 	case EndpointsUpdated:
@@ -711,10 +724,10 @@
 	}
 }
 
-// startShutdown has every command looked at by the time that this controller ends.
+// startShutdown schedules a check of every query before the shutdown of this controller.
 func (r *Router) startShutdown(within float64) {
 	r.shutdownAt = r.now + within
-	for _, q := range r.queries { // alarms have an order of their own
+	for _, q := range r.queries { // the order of the map does not matter, as alarms are ordered by time and query id
 		r.setAlarm(r.answerBy(q), q)
 	}
 }
@@ -725,7 +738,7 @@
 	}
 }
 
-// clientDisconnected takes in that c's client has gone: nothing is owed, and what is out is not wanted.
+// clientDisconnected handles the loss of a query's client: no answer is needed any more, and its attempts are cancelled.
 func (r *Router) clientDisconnected(id QueryID) {
 	if q := r.queries[id]; q != nil {
 		q.done, q.cancelWanted = true, true
@@ -741,7 +754,8 @@
 	}
 }
 
-// rendezvousAffinity is a fixed leaning from 0 to 1 of a table group to an engine, the same at every controller.
+// rendezvousAffinity is the affinity, from 0 to 1, of a table group to an engine by rendezvous hashing, the same at every
+// controller.
 func rendezvousAffinity(g *tableGroup, e *engine) float64 {
 	x := e.idHash ^ uint64(g.id)*0x9e3779b97f4a7c15
 	x ^= x >> 31
@@ -750,7 +764,7 @@
 	return float64(x>>11) / (1 << 53)
 }
 
-// recordReport files a load report.
+// recordReport records a load report of an engine; nil or implausible reports are ignored.
 func (r *Router) recordReport(e *engine, l *LoadReport) {
 	if l == nil || !plausible(l, e) {
 		return
@@ -763,7 +777,7 @@
 		e.disk.add(r.now, l.Disk, 1)
 	}
 	if l.Inflight >= 0 {
-		e.othersInflight.capWeight(r.now, 1)
+		e.othersInflight.cap(r.now, 1)
 		e.othersInflight.add(r.now, max(0, l.Inflight-float64(e.attempts)), 1)
 		r.othersPerCore.add(r.now, max(0, l.Inflight-float64(e.attempts)), e.cores)
 		if r.readyCores > 0 {
@@ -772,12 +786,12 @@
 	}
 }
 
-// holds tells whether two engines drop each other's repeats.
+// scopeCovers reports whether two engines recognize each other's repeats.
 func scopeCovers(s DeduplicationScope, a, b *engine) bool {
 	return s == ScopeAll || s == ScopeZone && a.zone == b.zone || s == ScopeCell && a.cell == b.cell
 }
 
-// poolLoad is an owner's load: that of its engines, on average.
+// poolLoad is the mean load of the engines of a pool.
 func (r *Router) poolLoad(pool *enginePool) (sum float64) {
 	for _, e := range pool.engines {
 		sum += r.engineLoad(e) / float64(len(pool.engines))
@@ -785,7 +799,7 @@
 	return sum
 }
 
-// outstandingAttempt finds a send that is out; nil if there is none such.
+// outstandingAttempt returns an outstanding attempt and its query; nil: there is no such attempt.
 func (r *Router) outstandingAttempt(id QueryID, send AttemptID) (*query, *attempt) {
 	q := r.queries[id]
 	if q == nil || send < 0 || int(send) >= len(q.attempts) || !q.attempts[send].outstanding {
@@ -807,7 +821,7 @@
 	return r.alarms[0].at
 }
 
-// collectActions is the one place where the wanted state meets the present.
+// collectActions turns the decisions of this step into actions. It is the only place that creates actions.
 func (r *Router) collectActions() (actions []Action) {
 	for _, q := range r.changed {
 		q.changed = false
