--- a/internal/lab/steps/overload.go
+++ b/internal/lab/steps/overload.go
@@ -56,7 +56,7 @@
 // overloadRun is the state of one simulation.
 type overloadRun struct {
 	Overload
-	out             OverloadResult
+	result          OverloadResult
 	rng             *rand.Rand
 	module          Module
 	now             float64        // ms
@@ -89,9 +89,9 @@
 		}
 		r.now += r.cpuTime
 	}
-	r.out.AnsweredAfter = r.answeredWait / float64(max(1, r.out.InTime+r.out.Late))
-	r.out.RejectedAfter = r.rejectedWait / float64(max(1, r.out.Rejected))
-	return r.out
+	r.result.AnsweredAfter = r.answeredWait / float64(max(1, r.result.InTime+r.result.Late))
+	r.result.RejectedAfter = r.rejectedWait / float64(max(1, r.result.Rejected))
+	return r.result
 }
 
 func (p Overload) start(newModule Constructor) *overloadRun {
@@ -134,9 +134,9 @@
 	spacing := r.AttemptTime / r.LoadFactor
 	for r.nextArrival <= r.now && r.nextArrival < r.end {
 		r.serial++
-		r.out.Queries++
+		r.result.Queries++
 		if len(r.queue) >= overloadQueue {
-			r.out.Refused++
+			r.result.Refused++
 			r.cpuTime += r.RefusalTime
 		} else {
 			r.queue = append(r.queue, &pendingQuery{id: r.serial, arrivedAt: r.nextArrival})
@@ -165,9 +165,9 @@
 func (r *overloadRun) countAnswer(c *pendingQuery) {
 	r.answeredWait += r.finish(c, r.now)
 	if r.now-c.arrivedAt <= overloadObjective {
-		r.out.InTime++
+		r.result.InTime++
 	} else {
-		r.out.Late++
+		r.result.Late++
 	}
 }
 
@@ -206,12 +206,12 @@
 	case router.Reject:
 		r.cpuTime += r.RejectionTime
 		if c := r.unanswered[a.ID]; c != nil {
-			r.out.Rejected++
+			r.result.Rejected++
 			r.rejectedWait += r.finish(c, r.now+r.cpuTime)
 		}
 	case router.Fail:
 		if c := r.unanswered[a.ID]; c != nil {
-			r.out.Failed++
+			r.result.Failed++
 			r.finish(c, r.now+r.cpuTime)
 		}
 	case router.SetTimer:
@@ -224,8 +224,8 @@
 	c.done = true
 	delete(r.unanswered, c.id)
 	if at > c.arrivedAt+overloadTimeout {
-		r.out.Missed++
+		r.result.Missed++
 	}
-	r.out.LongestWait = max(r.out.LongestWait, at-c.arrivedAt)
+	r.result.LongestWait = max(r.result.LongestWait, at-c.arrivedAt)
 	return at - c.arrivedAt
 }
--- a/internal/lab/steps/scenarios_test.go
+++ b/internal/lab/steps/scenarios_test.go
@@ -189,7 +189,7 @@
 			f.step(1) // the next query of a queue starts once the module has removed the one before it
 		}
 		if len(f.attempts) < c.steps {
-			t.Errorf("%+v: %d attempts started, want at least %d", c, len(f.attempts), c.steps)
+			t.Errorf("%+v: %d attempts started, want at least one per step", c, len(f.attempts))
 		}
 	}
 }
@@ -277,7 +277,7 @@
 	}
 	for seed := range int64(20) {
 		if a, b := play(twin(t), seed), play(module, seed); !slices.Equal(a, b) {
-			t.Errorf("seed %d: two runs start %d and %d attempts, want equal attempts", seed, len(a), len(b))
+			t.Errorf("seed %d: two runs start different attempts, want the same ones", seed)
 		}
 	}
 }
--- a/internal/lab/steps/steps_test.go
+++ b/internal/lab/steps/steps_test.go
@@ -74,23 +74,23 @@
 // decided must be answered in time. A module that is not told how long queries waited answers late,
 // which shows that the test can fail.
 func TestOverload(t *testing.T) {
-	// least and blind are fractions of the queries that can be decided: the fewest answered in time,
+	// least and mostWithoutWaits are fractions of the queries that can be decided: the fewest answered in time,
 	// and the most without arrival waits.
-	for _, c := range []struct{ times, decide, least, blind float64 }{
+	for _, c := range []struct{ loadFactor, attemptTime, least, mostWithoutWaits float64 }{
 		{0.5, 0.05, 1, 1}, {1, 0.05, 0.99, 1}, {2, 0.05, 0.85, 1}, {5, 0.05, 0.75, 1},
 		{20, 0.05, 0.45, 1},
 		{1.2, 0.2, 0.75, 0.3}, {2, 0.2, 0.6, 0.2}, {5, 0.2, 0.4, 0.2},
 	} {
-		p := Overload{Seed: 1, LoadFactor: c.times, AttemptTime: c.decide, RejectionTime: c.decide / 10,
-			RefusalTime: c.decide / 50, Length: c.decide * 20000}
+		p := Overload{Seed: 1, LoadFactor: c.loadFactor, AttemptTime: c.attemptTime, RejectionTime: c.attemptTime / 10,
+			RefusalTime: c.attemptTime / 50, Length: c.attemptTime * 20000}
 		out := p.Play(module)
-		could := min(float64(out.Queries), p.Length/p.AttemptTime)
-		if out.Missed > 0 || out.Failed > 0 || float64(out.InTime) < c.least*could {
-			t.Errorf("%+v: got %+v, want none missed or failed and at least %g in time", c, out, c.least*could)
+		decidable := min(float64(out.Queries), p.Length/p.AttemptTime)
+		if out.Missed > 0 || out.Failed > 0 || float64(out.InTime) < c.least*decidable {
+			t.Errorf("%+v: got %+v, want none missed or failed, and the fraction least of %g in time", c, out, decidable)
 		}
 		p.WithoutArrivalWait = true
-		if out := p.Play(module); float64(out.InTime) > c.blind*could*1.05 {
-			t.Errorf("%+v, without arrival waits: got %+v, want at most %g in time", c, out, c.blind*could*1.05)
+		if out := p.Play(module); float64(out.InTime) > c.mostWithoutWaits*decidable*1.05 {
+			t.Errorf("%+v, without arrival waits: got %+v, want at most 1.05 times the fraction mostWithoutWaits of %g in time", c, out, decidable)
 		}
 	}
 }
