--- a/cmd/mintkeel-lab/steps.go
+++ b/cmd/mintkeel-lab/steps.go
@@ -89,7 +89,7 @@
 
 // measure runs a few steps to estimate the time per step, and then as many as the time budget
 // allows.
-func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Make) steps.Costs {
+func (m *stepMeasurement) measure(scene steps.Scene, newModule steps.Constructor) steps.Costs {
 	const (
 		minSteps     = 20  // steps that always run
 		shortestStep = 0.1 // lower bound in µs of the estimated time per step
--- a/internal/lab/layout/layout.go
+++ b/internal/lab/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout checks how the project's sources are laid out: how long files and functions are, and which package
-// imports which. Its tests run in CI.
+// Package layout checks the layout of the project's sources: the lengths of files and functions, and which packages
+// import which. Its tests run in CI.
 package layout
 
 import (
@@ -15,33 +15,34 @@
 	"strings"
 )
 
-// Bounds of all sources, in lines: of the decision module's, the daemon's and the lab's.
+// Limits in lines for all sources: the decision module, the daemon and the lab.
 const (
 	MaxFile     = 700
 	MaxFunction = 60
 )
 
-// module is the name under which packages of the project import each other.
+// module is the path of the project's Go module.
 const module = "mintkeel"
 
-// Source is a file of the project that is no test.
+// Source is a Go file of the project other than a test file.
 type Source struct {
-	Path      string // from the root, with slashes
+	Path      string // relative to the root, with slashes
 	Lines     int
-	Imports   []string // packages of the project, from the root
+	Imports   []string // imported packages of the project, relative to the root
 	Functions []Function
 }
 
-// Function is one with its length.
+// Function is a function or method and its length.
 type Function struct {
-	Name  string // with its receiver's type
+	Name  string // prefixed by the receiver's type
 	Lines int
 }
 
-// Package is the folder of the source.
+// Package returns the source's folder relative to the root.
 func (s Source) Package() string { return path.Dir(s.Path) }
 
-// Read reads all sources below a root, but for the folders named.
+// Read parses all sources below root, except those in the folders named by without, which are relative to root, and in
+// hidden folders.
 func Read(root string, without ...string) ([]Source, error) {
 	var list []Source
 	err := filepath.WalkDir(root, func(at string, entry fs.DirEntry, err error) error {
@@ -94,7 +95,7 @@
 	return s, nil
 }
 
-// functionName is a function's name, with its receiver's type in front.
+// functionName returns the name of a function, prefixed by the type of its receiver.
 func functionName(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return f.Name.Name
@@ -112,51 +113,51 @@
 	return f.Name.Name
 }
 
-// Rule is which packages those below a folder may import.
+// Rule restricts which packages of the project a folder's packages may import.
 type Rule struct {
-	Below  string   // folder
-	Except string   // folder below it to which the rule does not apply; empty: none
-	May    []string // folders
-	Not    []string // folders; counts where May is nil
+	Folder    string   // the rule applies to this folder and those below it
+	Except    string   // folder below Folder to which the rule does not apply; empty: none
+	Allowed   []string // folders; nil: Forbidden applies instead
+	Forbidden []string // folders; all others are allowed
 }
 
-// Rules are the map of the project: which package may import which.
+// Rules returns the import rules of the project.
 func Rules() []Rule {
 	return []Rule{
-		{Below: "router", May: []string{}},
-		{Below: "match", May: []string{}},
-		{Below: "internal/core", May: []string{"router", "match", "internal/core"}},
-		{Below: "internal/store", May: []string{"internal/store"}},
-		{Below: "internal/request", May: []string{"router", "internal/core"}},
-		{Below: "internal/operator/block", May: []string{}},
-		{Below: "internal/fleet", Not: []string{"internal/controller", "internal/clients", "internal/engines", "internal/lab", "cmd"}},
-		{Below: "internal/fleet/job", May: []string{"internal/core"}},
-		{Below: "internal/fleet/frames", May: []string{"internal/core"}},
-		{Below: "internal/fleet/maintenance", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
-		{Below: "internal/fleet/sharedstatistics", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
-		{Below: "internal/fleet/configuration", Not: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/job"}},
-		{Below: "internal/clients", Not: []string{"internal/engines", "internal/fleet", "internal/lab", "cmd"}},
-		{Below: "internal/engines", Not: []string{"internal/clients", "internal/fleet", "internal/lab", "cmd"}},
-		{Below: "internal", Except: "internal/lab", Not: []string{"internal/lab", "cmd"}},
-		{Below: "internal/lab", Not: []string{"cmd"}},
-		{Below: "cmd/mintkeel", Not: []string{"internal/lab", "cmd"}},
-		{Below: "cmd/mintkeel-sim", Not: []string{"internal/lab", "cmd"}},
+		{Folder: "router", Allowed: []string{}},
+		{Folder: "match", Allowed: []string{}},
+		{Folder: "internal/core", Allowed: []string{"router", "match", "internal/core"}},
+		{Folder: "internal/store", Allowed: []string{"internal/store"}},
+		{Folder: "internal/request", Allowed: []string{"router", "internal/core"}},
+		{Folder: "internal/operator/block", Allowed: []string{}},
+		{Folder: "internal/fleet", Forbidden: []string{"internal/controller", "internal/clients", "internal/engines", "internal/lab", "cmd"}},
+		{Folder: "internal/fleet/job", Allowed: []string{"internal/core"}},
+		{Folder: "internal/fleet/frames", Allowed: []string{"internal/core"}},
+		{Folder: "internal/fleet/maintenance", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
+		{Folder: "internal/fleet/sharedstatistics", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/configuration"}},
+		{Folder: "internal/fleet/configuration", Forbidden: []string{"internal/fleet/links", "internal/fleet/control", "internal/fleet/job"}},
+		{Folder: "internal/clients", Forbidden: []string{"internal/engines", "internal/fleet", "internal/lab", "cmd"}},
+		{Folder: "internal/engines", Forbidden: []string{"internal/clients", "internal/fleet", "internal/lab", "cmd"}},
+		{Folder: "internal", Except: "internal/lab", Forbidden: []string{"internal/lab", "cmd"}},
+		{Folder: "internal/lab", Forbidden: []string{"cmd"}},
+		{Folder: "cmd/mintkeel", Forbidden: []string{"internal/lab", "cmd"}},
+		{Folder: "cmd/mintkeel-sim", Forbidden: []string{"internal/lab", "cmd"}},
 	}
 }
 
-// below tells whether a package is a folder or lies below it.
-func below(of, folder string) bool { return of == folder || strings.HasPrefix(of, folder+"/") }
+// isWithin reports whether a package is the folder itself or lies below it.
+func isWithin(of, folder string) bool { return of == folder || strings.HasPrefix(of, folder+"/") }
 
-func belowAny(of string, folders []string) bool {
-	return slices.ContainsFunc(folders, func(folder string) bool { return below(of, folder) })
+func isWithinAny(of string, folders []string) bool {
+	return slices.ContainsFunc(folders, func(folder string) bool { return isWithin(of, folder) })
 }
 
-// Breaks tells which rule an import breaks; empty: none.
-func (r Rule) Breaks(of Source, imported string) string {
-	allowed := r.May != nil && belowAny(imported, r.May) || r.May == nil && !belowAny(imported, r.Not)
-	applies := below(of.Package(), r.Below) && (r.Except == "" || !below(of.Package(), r.Except))
+// Violation describes how an import violates the rule. It is empty if the import is allowed.
+func (r Rule) Violation(of Source, imported string) string {
+	allowed := r.Allowed != nil && isWithinAny(imported, r.Allowed) || r.Allowed == nil && !isWithinAny(imported, r.Forbidden)
+	applies := isWithin(of.Package(), r.Folder) && (r.Except == "" || !isWithin(of.Package(), r.Except))
 	if !applies || allowed {
 		return ""
 	}
-	return fmt.Sprintf("%s imports %s, which no package below %s may", of.Path, imported, r.Below)
+	return fmt.Sprintf("%s imports %s, which packages below %s may not import", of.Path, imported, r.Folder)
 }
--- a/internal/lab/recorded/coverage_test.go
+++ b/internal/lab/recorded/coverage_test.go
@@ -2,7 +2,7 @@
 
 import "mintkeel/router"
 
-// feature is something that scenes do, or that the module does in them.
+// feature is a kind of event, action or setting whose occurrences in the scenes are counted.
 type feature int
 
 const (
@@ -59,11 +59,11 @@
 	sceneWithSlowStart
 	sceneWithAbsurdReports
 	sceneWithHostileStatistics
-	features // their number
+	featureCount // number of features
 )
 
-// featureNames are the names in reports, in the order of the constants.
-var featureNames = [features]string{
+// featureNames are the names of the features in the test's log, in the order of the constants.
+var featureNames = [featureCount]string{
 	"complete lists", "cached lists", "list changes", "list failures", "expired lists",
 	"draining engines", "gone engines", "started engines",
 	"queries", "queries with an ordering key", "queries with further keys", "queries of a tenant",
@@ -82,7 +82,7 @@
 	"scenes with slow start", "scenes with absurd reports", "scenes with hostile statistics",
 }
 
-// outcomeFeatures are the features of outcomes.
+// outcomeFeatures maps each outcome of an attempt to its feature.
 var outcomeFeatures = map[router.Outcome]feature{
 	router.Succeeded:       attemptAnswered,
 	router.Errored:         attemptErrored,
@@ -95,8 +95,8 @@
 	router.Withdrawn:       attemptWithdrawn,
 }
 
-// coverage counts features.
-type coverage [features]int
+// coverage counts the occurrences of each feature.
+type coverage [featureCount]int
 
 func (c *coverage) add(f feature, seen bool) {
 	if seen {
@@ -110,13 +110,13 @@
 	}
 }
 
-// countEvents counts the kinds of events.
+// countEvents counts the features of events, and keeps the number of attempts in flight of each query.
 func (m *module) countEvents(events []router.Event) {
 	c := &m.recording.counts
 	for _, event := range events {
 		switch ev := event.(type) {
 		case router.EndpointsUpdated:
-			c.countList(ev)
+			c.countEndpoints(ev)
 		case router.QueryArrived:
 			c.countArrival(ev)
 		case router.OrderingKeyAdded:
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *coverage) countList(ev router.EndpointsUpdated) {
+func (c *coverage) countEndpoints(ev router.EndpointsUpdated) {
 	c.add(listComplete, ev.Complete)
 	c.add(listCached, ev.Cached)
 	c.add(listFailed, ev.Failed)
--- a/internal/lab/recorded/encoder_test.go
+++ b/internal/lab/recorded/encoder_test.go
@@ -9,7 +9,7 @@
 	"mintkeel/router"
 )
 
-// Tags of the encoded records. The recorded hashes depend on them: they must not change.
+// Tags of the encoded records. They must not change, because the recorded hashes depend on them.
 const (
 	tagStartAttempt  byte = 1
 	tagCancelAttempt byte = 2
@@ -23,7 +23,8 @@
 	tagEngines       byte = 22
 )
 
-// encoder hashes steps in a form that holds values alone and names no type and no field.
+// encoder hashes steps in an encoding of values alone, without names of types and fields, so that
+// renaming these changes no hash.
 type encoder struct {
 	digest  *xxhash.Digest
 	scratch []byte
@@ -31,10 +32,10 @@
 
 func newEncoder() *encoder { return &encoder{digest: xxhash.New()} }
 
-// sum is the hash of all that was encoded so far.
+// sum returns the hash of everything flushed so far.
 func (e *encoder) sum() uint64 { return e.digest.Sum64() }
 
-// flush moves what was encoded into the hash.
+// flush adds the pending encoded bytes to the hash.
 func (e *encoder) flush() {
 	e.digest.Write(e.scratch)
 	e.scratch = e.scratch[:0]
@@ -46,7 +47,7 @@
 	e.scratch = binary.LittleEndian.AppendUint64(e.scratch, uint64(x))
 }
 
-// number encodes the bits of x; all values that are no number count as one.
+// number encodes the bits of x; all NaNs are encoded alike.
 func (e *encoder) number(x float64) {
 	bits := math.Float64bits(x)
 	if math.IsNaN(x) {
@@ -60,7 +61,7 @@
 	e.scratch = append(e.scratch, s...)
 }
 
-// step encodes a step of one controller.
+// step encodes a step of one controller and its actions.
 func (e *encoder) step(controller int, now float64, actions []router.Action) {
 	e.tag(tagStep)
 	e.integer(int64(controller))
@@ -100,16 +101,16 @@
 	case router.Subscribe:
 		e.tag(tagSubscribe)
 	default:
-		panic("an action of an unknown kind")
+		panic("recorded: action of unknown type")
 	}
 }
 
-func (e *encoder) weighed(w router.WeightedMean) {
+func (e *encoder) weightedMean(w router.WeightedMean) {
 	e.number(w.Mean)
 	e.number(w.Weight)
 }
 
-// statistics encodes the statistics of a controller.
+// statistics encodes the exported statistics of a controller.
 func (e *encoder) statistics(l router.Statistics) {
 	e.tag(tagStatistics)
 	e.integer(int64(len(l.Engines)))
@@ -117,7 +118,7 @@
 		e.number(x.At)
 		e.text(string(x.Engine))
 		e.number(x.StartedAt)
-		e.weighed(x.Slowdown)
+		e.weightedMean(x.Slowdown)
 		e.number(x.ThreadsPerCore)
 		e.integer(int64(x.Outcomes))
 		e.text(string(x.PoolLeader))
@@ -139,18 +140,18 @@
 		e.integer(int64(x.Class))
 		e.number(x.FirstTryTimeout)
 		e.number(x.UnloadedTime)
-		e.weighed(x.WorkScale)
-		e.weighed(x.MemoryScale)
+		e.weightedMean(x.WorkScale)
+		e.weightedMean(x.MemoryScale)
 	}
 	e.integer(int64(len(l.Traffic)))
 	for _, x := range l.Traffic {
 		e.number(x.At)
-		e.weighed(x.Share)
+		e.weightedMean(x.Share)
 	}
 	e.flush()
 }
 
-// engines encodes what a controller knows of its engines just now.
+// engines encodes the present statuses of a controller's engines.
 func (e *encoder) engines(list []router.EngineStatus) {
 	e.tag(tagEngines)
 	e.integer(int64(len(list)))
@@ -175,8 +176,8 @@
 	e.flush()
 }
 
-// countActions counts the kinds of actions, and the attempts that are retries or run beside
-// another.
+// countActions counts the features of actions. An attempt of a query that had one before is a retry;
+// one started while another is in flight is also a hedged request.
 func (m *module) countActions(actions []router.Action) {
 	c := &m.recording.counts
 	for _, action := range actions {
