--- a/cmd/mintkeel-lab/fleetmodel.go
+++ b/cmd/mintkeel-lab/fleetmodel.go
@@ -36,7 +36,8 @@
 	c.Flags().IntVar(&model.Losses, "losses", model.Losses, "maximum number of lost messages")
 	c.Flags().IntVar(&model.LeaderChanges, "leaders", model.LeaderChanges,
 		"maximum number of changes of the quorum's leader")
-	c.Flags().IntVar(&model.MaxInFlight, "flight", model.MaxInFlight, "maximum number of messages in flight")
+	c.Flags().IntVar(&model.MaxInFlight, "flight", model.MaxInFlight,
+		"maximum number of messages in flight")
 	c.Flags().IntVar(&model.MaxStates, "most", model.MaxStates, "maximum number of states")
 	return c
 }
@@ -50,7 +51,8 @@
 	case result.Broken != "":
 		return fmt.Errorf("%s\n%s", result.Broken, strings.Join(result.Path, "\n"))
 	case !result.Complete:
-		return fmt.Errorf("the model has more states than --most %d; not all were checked", model.MaxStates)
+		return fmt.Errorf("the model has more states than --most %d; not all were checked",
+			model.MaxStates)
 	}
 	fmt.Fprintln(out, "all states within the bounds: nothing breaks")
 	return nil
