--- a/cmd/mintkeel-lab/mutants.go
+++ b/cmd/mintkeel-lab/mutants.go
@@ -64,16 +64,16 @@
 		return err
 	}
 	counts := map[mutants.Verdict]int{}
-	var passed []mutants.Mutant
+	var survivors []mutants.Mutant
 	err = mutants.Run(ctx, ".", drawn, t.packages, t.workers, t.testTimeout,
 		func(m mutants.Mutant, verdict mutants.Verdict, _ string) {
 			counts[verdict]++
 			if verdict == mutants.Survived {
-				passed = append(passed, m)
+				survivors = append(survivors, m)
 			}
 		})
-	slices.SortFunc(passed, func(a, b mutants.Mutant) int { return cmp.Compare(a.Line, b.Line) })
-	for _, m := range passed {
+	slices.SortFunc(survivors, func(a, b mutants.Mutant) int { return cmp.Compare(a.Line, b.Line) })
+	for _, m := range survivors {
 		fmt.Fprintln(out, m)
 	}
 	fmt.Fprintf(out, "%d of %d changes of %s pass every test; noticed %d, hung %d, invalid %d\n",
--- a/cmd/mintkeel-lab/surge.go
+++ b/cmd/mintkeel-lab/surge.go
@@ -12,8 +12,8 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// surgesAtOnce bounds the runs, each with a daemon of its own, that go on at the same time.
-const surgesAtOnce = 6
+// maxConcurrentSurges bounds the runs, each with a daemon of its own, that go on at the same time.
+const maxConcurrentSurges = 6
 
 // surgeMeasurement measures the benefit of a rule that marks a table group as hot.
 type surgeMeasurement struct {
@@ -58,11 +58,11 @@
 	[]map[restart.Variant]restart.Outcome, error) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	var failed error
-	all := make([]map[restart.Variant]restart.Outcome, m.seeds)
-	slots := make(chan bool, surgesAtOnce)
+	var firstErr error
+	outcomes := make([]map[restart.Variant]restart.Outcome, m.seeds)
+	slots := make(chan bool, maxConcurrentSurges)
 	for i := range m.seeds {
-		all[i] = map[restart.Variant]restart.Outcome{}
+		outcomes[i] = map[restart.Variant]restart.Outcome{}
 		for _, variant := range []restart.Variant{restart.Without, restart.With} {
 			scene := m.scene
 			scene.Seed = m.firstSeed + int64(i)
@@ -72,15 +72,15 @@
 				outcome, err := restart.Surge(ctx, scene, variant == restart.With)
 				mu.Lock()
 				defer mu.Unlock()
-				if failed == nil {
-					failed = err
+				if firstErr == nil {
+					firstErr = err
 				}
-				all[i][variant] = outcome
+				outcomes[i][variant] = outcome
 			})
 		}
 	}
 	group.Wait()
-	return all, failed
+	return outcomes, firstErr
 }
 
 func printSurges(out io.Writer, outcomes []map[restart.Variant]restart.Outcome) {
--- a/internal/lab/scale/hollow/lossyconn.go
+++ b/internal/lab/scale/hollow/lossyconn.go
@@ -16,38 +16,38 @@
 	dataRetransmission = 200 * time.Millisecond // Linux's minimum retransmission timeout
 	synRetransmission  = time.Second
 	maxRetransmissions = 6  // of one segment; the deadlines of links end what is later than that
-	lossyQueue         = 64 // delayed writes of one connection
-	lossyWriteTime     = 2 * time.Second
+	lossyQueueLength   = 64 // delayed writes of one connection
+	lossyWriteTimeout  = 2 * time.Second
 )
 
 // loss is the share of lost segments.
 type loss float64
 
 // drawSegment draws how often a segment is retransmitted and by how much that delays it.
-func (l loss) drawSegment(first time.Duration) (again int64, late time.Duration) {
-	for wait := first; again < maxRetransmissions && rand.Float64() < float64(l); wait *= 2 {
-		again++
-		late += wait
+func (l loss) drawSegment(first time.Duration) (retransmissions int64, delay time.Duration) {
+	for wait := first; retransmissions < maxRetransmissions && rand.Float64() < float64(l); wait *= 2 {
+		retransmissions++
+		delay += wait
 	}
-	return again, late
+	return retransmissions, delay
 }
 
 // drawWrite draws the same for segments that are sent together: the sum of retransmissions and the longest delay.
-func (l loss) drawWrite(segments int64, first time.Duration) (again int64, late time.Duration) {
+func (l loss) drawWrite(segments int64, first time.Duration) (retransmissions int64, delay time.Duration) {
 	for range segments {
-		n, after := l.drawSegment(first)
-		again += n
-		late = max(late, after)
+		n, segmentDelay := l.drawSegment(first)
+		retransmissions += n
+		delay = max(delay, segmentDelay)
 	}
-	return again, late
+	return retransmissions, delay
 }
 
 // awaitHandshake waits for the delay that lost segments cause when a connection is opened: SYN, SYN-ACK and the greeting.
 func (l loss) awaitHandshake(ctx context.Context) error {
-	_, late := l.drawWrite(2, synRetransmission)
-	_, greeting := l.drawSegment(dataRetransmission)
+	_, synDelay := l.drawWrite(2, synRetransmission)
+	_, greetingDelay := l.drawSegment(dataRetransmission)
 	select {
-	case <-time.After(late + greeting):
+	case <-time.After(synDelay + greetingDelay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -76,7 +76,7 @@
 
 // newLossyConn wraps a connection. It calls onRetransmit with the number of retransmitted segments of each write.
 func newLossyConn(conn net.Conn, l loss, retransmitTimeout time.Duration, onRetransmit func(segments int64)) *lossyConn {
-	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: retransmitTimeout, onRetransmit: onRetransmit, queue: make(chan delayedWrite, lossyQueue), done: make(chan struct{}),
+	c := &lossyConn{Conn: conn, loss: l, retransmitTimeout: retransmitTimeout, onRetransmit: onRetransmit, queue: make(chan delayedWrite, lossyQueueLength), done: make(chan struct{}),
 		finished: make(chan struct{})}
 	go c.deliver()
 	return c
@@ -89,10 +89,10 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	again, late := c.loss.drawWrite(segments(len(b)), c.retransmitTimeout)
-	c.onRetransmit(again)
-	c.lastAt = latest(c.lastAt, time.Now().Add(late))
-	deadline := time.NewTimer(lossyWriteTime)
+	retransmissions, delay := c.loss.drawWrite(segments(len(b)), c.retransmitTimeout)
+	c.onRetransmit(retransmissions)
+	c.lastAt = latest(c.lastAt, time.Now().Add(delay))
+	deadline := time.NewTimer(lossyWriteTimeout)
 	defer deadline.Stop()
 	select {
 	case c.queue <- delayedWrite{bytes.Clone(b), c.lastAt}:
@@ -124,7 +124,7 @@
 				return
 			case <-time.After(time.Until(w.at)):
 			}
-			c.Conn.SetWriteDeadline(time.Now().Add(lossyWriteTime))
+			c.Conn.SetWriteDeadline(time.Now().Add(lossyWriteTimeout))
 			if _, err := c.Conn.Write(w.data); err != nil {
 				c.Close()
 				return
--- a/internal/lab/scale/membership/measure_test.go
+++ b/internal/lab/scale/membership/measure_test.go
@@ -89,7 +89,7 @@
 	peers := peerTable{}
 	for i := range 100 {
 		id := peerName(i)
-		peers.add(id, &connection{used: float64(i)})
+		peers.add(id, &connection{lastUsed: float64(i)})
 	}
 	if len(peers) != 64 || peers[peerName(35)] != nil || peers[peerName(36)] == nil {
 		t.Errorf("%d connections, want 64, without peer 35 and with peer 36", len(peers))
--- a/internal/lab/scale/membership/simulation.go
+++ b/internal/lab/scale/membership/simulation.go
@@ -227,7 +227,7 @@
 		latencies = dialLatencies
 		s.dial(from, to)
 	} else {
-		open.used = s.now
+		open.lastUsed = s.now
 	}
 	s.countSent(from, frame.sender)
 	s.countSent(to, frame.receiver)
@@ -269,8 +269,8 @@
 	switch {
 	case !s.reachable(from, to) && open != nil:
 		s.countSent(from, writeAttempts*frame.sender)
-		open.writes++
-		if open.writes >= writeAttempts {
+		open.failedWrites++
+		if open.failedWrites >= writeAttempts {
 			delete(from.peers, to.id)
 		}
 	case !s.reachable(from, to):
@@ -295,7 +295,7 @@
 	s.counters.handshakeBytes += cost.sender + cost.receiver
 	s.countSent(from, cost.sender)
 	s.countSent(to, cost.receiver)
-	from.peers.add(to.id, &connection{run: to.run, used: s.now})
+	from.peers.add(to.id, &connection{run: to.run, lastUsed: s.now})
 }
 
 func (s *simulation) latency(from, to *controller) float64 {
--- a/internal/lab/scale/membership/wire.go
+++ b/internal/lab/scale/membership/wire.go
@@ -32,9 +32,9 @@
 
 // connection is a connection for one direction, from the controller that opened it.
 type connection struct {
-	run    uint64  // run of the receiver when it was opened
-	used   float64 // ms, time of the last message
-	writes int     // writes to a receiver that is unreachable
+	run          uint64  // run of the receiver when it was opened
+	lastUsed     float64 // ms, time of the last message
+	failedWrites int     // writes to a receiver that is unreachable
 }
 
 // encoder encodes messages into a buffer that it reuses.
@@ -63,10 +63,10 @@
 // handshake returns the bytes of opening and closing a connection: SYN, SYN-ACK, ACK; the challenge, which is acknowledged
 // with the hello; the hello; FIN, FIN with ACK, ACK.
 func handshake(hello int) traffic {
-	greeting := segments(hello)
+	helloTraffic := segments(hello)
 	return traffic{
-		sender:   synHeader + segmentHeader + greeting.sender + 2*segmentHeader,
-		receiver: synHeader + challengeBytes + segmentHeader + greeting.receiver + segmentHeader,
+		sender:   synHeader + segmentHeader + helloTraffic.sender + 2*segmentHeader,
+		receiver: synHeader + challengeBytes + segmentHeader + helloTraffic.receiver + segmentHeader,
 	}
 }
 
@@ -79,7 +79,7 @@
 // reuse returns the open connection to a peer, or nil if there is none.
 func (p peerTable) reuse(to members.ID, now float64) *connection {
 	c := p[to]
-	if c == nil || now-c.used > idleTimeout() {
+	if c == nil || now-c.lastUsed > idleTimeout() {
 		return nil
 	}
 	return c
@@ -91,7 +91,7 @@
 	if len(p) >= links.DefaultBounds().MaxPeers {
 		var oldest members.ID
 		for id, other := range p {
-			if oldest == "" || other.used < p[oldest].used || other.used == p[oldest].used && id < oldest {
+			if oldest == "" || other.lastUsed < p[oldest].lastUsed || other.lastUsed == p[oldest].lastUsed && id < oldest {
 				oldest = id
 			}
 		}
