--- a/cmd/mintkeel/fleetjobs.go
+++ b/cmd/mintkeel/fleetjobs.go
@@ -59,7 +59,7 @@
 		snapshot := restore.Snapshot{Owner: d.identity(), Statistics: shared}
 		restored, counts := restore.Select(&snapshot, d.identity(), list, now, restore.DefaultHalfLives())
 		// The keys of the counts are those of mintkeel memory show --json.
-		d.log.Info("fleet: the digest",
+		d.log.Info("restored statistics from fleet digest",
 			"believed", counts.Restored,
 			"aged", counts.Expired,
 			"future", counts.FromFuture,
--- a/internal/lab/fleet/processes.go
+++ b/internal/lab/fleet/processes.go
@@ -242,4 +242,4 @@
 const startTime = 1500 * time.Millisecond
 
 // digestLine matches the log line of a start at which some of the digest was restored.
-var digestLine = regexp.MustCompile(`fleet: the digest.*believed=[1-9]`)
+var digestLine = regexp.MustCompile(`restored statistics from fleet digest.*believed=[1-9]`)
