--- a/cmd/mintkeel-lab/surge.go
+++ b/cmd/mintkeel-lab/surge.go
@@ -12,10 +12,11 @@
 	"mintkeel/internal/lab/restart"
 )
 
-// surgesAtOnce bounds the runs, each with a daemon of its own, that go on at the same time.
-const surgesAtOnce = 6
+// maxConcurrentSurges bounds the runs at the same time; each has a daemon of its own.
+const maxConcurrentSurges = 6
 
-// surgeMeasurement measures the benefit of a rule that marks a table group as hot.
+// surgeMeasurement measures the benefit of a rule that marks a table group as hot before queries
+// surge on it.
 type surgeMeasurement struct {
 	scene     restart.Scene
 	seeds     int
@@ -30,7 +31,7 @@
 	scene.Slow = 1
 	c := &cobra.Command{
 		Use:   "surge",
-		Short: "Measure the benefit of a rule that marks a table group as hot when it suddenly turns hot",
+		Short: "Measure the benefit of a rule that marks a table group as hot before queries surge on it",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := makeDaemonPathAbsolute(scene); err != nil {
@@ -52,17 +53,17 @@
 	return c
 }
 
-// play runs each seed with the rule and without it, some runs at a time. The outcomes are indexed
-// by seed.
+// play runs each seed with the rule and without it, up to maxConcurrentSurges runs at a time. It
+// returns the outcomes of each seed by variant, and the first error.
 func (m *surgeMeasurement) play(ctx context.Context) (
 	[]map[restart.Variant]restart.Outcome, error) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	var failed error
-	all := make([]map[restart.Variant]restart.Outcome, m.seeds)
-	slots := make(chan bool, surgesAtOnce)
+	var firstErr error
+	outcomes := make([]map[restart.Variant]restart.Outcome, m.seeds)
+	slots := make(chan bool, maxConcurrentSurges)
 	for i := range m.seeds {
-		all[i] = map[restart.Variant]restart.Outcome{}
+		outcomes[i] = map[restart.Variant]restart.Outcome{}
 		for _, variant := range []restart.Variant{restart.Without, restart.With} {
 			scene := m.scene
 			scene.Seed = m.firstSeed + int64(i)
@@ -72,15 +73,15 @@
 				outcome, err := restart.Surge(ctx, scene, variant == restart.With)
 				mu.Lock()
 				defer mu.Unlock()
-				if failed == nil {
-					failed = err
+				if firstErr == nil {
+					firstErr = err
 				}
-				all[i][variant] = outcome
+				outcomes[i][variant] = outcome
 			})
 		}
 	}
 	group.Wait()
-	return all, failed
+	return outcomes, firstErr
 }
 
 func printSurges(out io.Writer, outcomes []map[restart.Variant]restart.Outcome) {
